--- /dev/null
+++ b/decision/tests/recorded_runs.rs
@@ -0,0 +1,550 @@
+//! Recorded runs: what a router did in seeded random histories, as the fixtures keep it.
+//!
+//! Each history draws its settings and then its events from one seed: member lists, failovers, drains, restarts,
+//! outages of several kinds, requests of all classes, sessions, probes, timers and events out of order. Every event and
+//! every action is written as text. `fixtures/recorded_runs.txt` has the counts and the hash of each history's text,
+//! `fixtures/recorded_trace.txt` the whole text of a short one.
+//!
+//! A change that is to leave the decisions alone leaves both files alone. After one that changes decisions, the files
+//! that the failed test wrote replace them, and the commit says so.
+use decision::*;
+use std::collections::BTreeMap;
+use std::fmt::Write as _;
+use std::path::Path;
+
+const MS: i64 = 1000;
+const HISTORIES: u64 = 48;
+/// Events drawn for each history, without those that follow from actions.
+const STEPS: usize = 1500;
+/// Every eighth history is so many times as long, with a session for each request.
+const LONG: usize = 20;
+const TRACE_STEPS: usize = 150;
+
+/// What a member does with the work that it gets.
+#[derive(Clone, Copy, PartialEq)]
+enum Health {
+    Well,
+    /// Answers late, but answers.
+    Slow,
+    RefusesConnections,
+    /// Connections to it never come up.
+    Unreachable,
+    Hangs,
+    Errs,
+    Full,
+}
+
+struct Server {
+    id: u32,
+    group: u32,
+    primary: bool,
+    lag: i64,
+    health: Health,
+    started: Option<Time>,
+}
+
+/// An attempt or a probe that has not ended yet.
+struct Pending {
+    at: i64,
+    event: Event,
+}
+
+struct World {
+    settings: Settings,
+    router: Router,
+    rng: fastrand::Rng,
+    now: i64,
+    servers: Vec<Server>,
+    pending: Vec<Pending>,
+    timer: Option<i64>,
+    next_request: u64,
+    /// Class, session, group and number of attempts of each request.
+    requests: BTreeMap<u64, (usize, u32, u32)>,
+    sessions: u64,
+    text: String,
+    counts: BTreeMap<&'static str, usize>,
+}
+
+fn draw<T: Copy>(rng: &mut fastrand::Rng, from: &[T]) -> T {
+    from[rng.usize(..from.len())]
+}
+
+fn draw_settings(rng: &mut fastrand::Rng) -> Settings {
+    let freshness = [
+        Freshness::Write,
+        Freshness::Fresh,
+        Freshness::Session,
+        Freshness::Bounded(300 * MS),
+        Freshness::Any,
+    ];
+    let effects = [
+        Effect::Safe,
+        Effect::Unsafe,
+        Effect::KeyedInGroup(400 * MS),
+        Effect::KeyedEverywhere(700 * MS),
+        Effect::KeyedInZone(500 * MS),
+    ];
+    let classes = (0..7)
+        .map(|n| Class {
+            freshness: freshness[n % freshness.len()],
+            effect: draw(rng, &effects),
+            aim: rng.i64(60..500) * MS,
+            deadline: rng.i64(500..2000) * MS,
+            worth: f64::from(rng.u32(1..9)),
+            late_worth: f64::from(rng.u32(0..4)) / 4.0,
+        })
+        .collect();
+    Settings {
+        classes,
+        tenant_rates: vec![],
+        over_share_worth: 1.0,
+        drivers: draw(rng, &[0, 1, 3, 8, 300]),
+        zone: rng.u32(..3),
+        round: draw(rng, &[0, 1, 5, 10]) * MS,
+        when_behind: draw(rng, &[WhenBehind::Answers, WhenBehind::Bounces, WhenBehind::Waits(20 * MS)]),
+        tokens: draw(rng, &[Tokens::Carried, Tokens::Remembered]),
+        may_duplicate: rng.bool(),
+        max_attempts: rng.u32(1..7),
+        may_cancel: rng.bool(),
+        may_probe: rng.u8(..6) > 0,
+        probe_price: 0.02,
+        max_come_back: rng.bool().then_some(200 * MS),
+        connect_timeout: draw(rng, &[100, 250]) * MS,
+        drain_grace: 500 * MS,
+        only_draining_binds: rng.bool(),
+        cold_from: draw(rng, &[0.15, 0.3, 1.0]),
+        cold_time: draw(rng, &[0, 4_000, 18_000]) * MS,
+        overload_factor: draw(rng, &[1.5, 2.5, 3.0]),
+        tip_time: draw(rng, &[500, 1000, 3000]) * MS,
+        list_on_request: rng.bool(),
+    }
+}
+
+impl World {
+    fn new(seed: u64, sessions: u64) -> World {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let settings = draw_settings(&mut rng);
+        let server = |id: u32| Server {
+            id,
+            group: u32::from(id >= 5),
+            primary: id == 0 || id == 5,
+            lag: i64::from(id % 5) * 20 * MS,
+            health: Health::Well,
+            started: None,
+        };
+        World {
+            router: Router::new(settings.clone(), seed),
+            settings,
+            rng,
+            now: 50_000 * MS,
+            servers: (0..8).map(server).collect(),
+            pending: vec![],
+            timer: None,
+            next_request: 0,
+            requests: BTreeMap::new(),
+            sessions,
+            text: String::new(),
+            counts: BTreeMap::new(),
+        }
+    }
+
+    fn play(seed: u64, steps: usize, sessions: u64) -> World {
+        let mut world = World::new(seed, sessions);
+        world.list(true);
+        (0..steps).for_each(|_| world.step());
+        world
+    }
+
+    fn count(&mut self, what: &'static str) {
+        *self.counts.entry(what).or_default() += 1;
+    }
+
+    fn handle(&mut self, event: Event) {
+        self.count("events");
+        let line = event_text(&event);
+        let mut actions = Vec::new();
+        self.router.handle(Time(self.now), event, &mut actions);
+        let unavailable = self.router.avoided();
+        writeln!(self.text, "{} {line} unavailable={unavailable}", self.now).expect("a string takes it");
+        for action in actions {
+            writeln!(self.text, "    {}", action_text(&action)).expect("a string takes it");
+            self.carry_out(action);
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Send { request, member, timeout, .. } => {
+                self.count("sends");
+                self.attempt(request, member, timeout);
+            }
+            Action::Cancel { .. } => self.count("cancels"),
+            Action::Refuse { .. } => self.count("rejects"),
+            Action::Fail { .. } => self.count("fails"),
+            Action::Probe { member } => {
+                self.count("probes");
+                self.probe(member);
+            }
+            Action::Timer { after } => {
+                self.count("timers");
+                self.timer = Some(self.now + after);
+            }
+            Action::Subscribe => self.count("subscriptions"),
+            Action::Forget { .. } => self.count("removals"),
+        }
+    }
+
+    fn server(&self, id: MemberId) -> Option<&Server> {
+        self.servers.iter().find(|s| s.id == id.0)
+    }
+
+    /// What a member says of itself.
+    fn report(&mut self, id: MemberId) -> Report {
+        let (now, bare) = (self.now, self.rng.u8(..12) == 0);
+        match self.server(id) {
+            Some(s) if !bare => Report {
+                primary: Some(s.primary),
+                position: Some(Time(now - if s.primary { 0 } else { s.lag })),
+            },
+            _ => Report::default(),
+        }
+    }
+
+    /// Decides how an attempt will end and when.
+    fn attempt(&mut self, request: RequestId, member: MemberId, timeout: i64) {
+        let (class, group, attempts) = self.requests.get_mut(&request.0).expect("a request that was sent");
+        let (class, group, attempt) = (*class, *group, *attempts);
+        self.requests.insert(request.0, (class, group, attempt + 1));
+        let freshness = self.settings.classes[class].freshness;
+        let checks = self.settings.when_behind != WhenBehind::Answers;
+        let (health, primary, lag) =
+            self.server(member).map_or((Health::Unreachable, false, 0), |s| (s.health, s.primary, s.lag));
+        let stale = match freshness {
+            Freshness::Write | Freshness::Fresh => !primary,
+            Freshness::Bounded(bound) => checks && !primary && lag > bound,
+            Freshness::Session => checks && !primary && lag > 100 * MS,
+            Freshness::Any => false,
+        };
+        let quick = self.rng.i64(1..30) * MS;
+        let (after, outcome) = match health {
+            // A bad request: it fails wherever it goes.
+            _ if request.0 % 61 == 7 => (quick, Outcome::Error),
+            Health::Hangs => (timeout, Outcome::TimedOut),
+            Health::RefusesConnections => (MS, Outcome::ConnectFailed),
+            Health::Unreachable => (self.settings.connect_timeout, Outcome::ConnectFailed),
+            Health::Errs => (quick, Outcome::Error),
+            Health::Full => (quick, Outcome::Full),
+            Health::Well | Health::Slow if stale => (quick, Outcome::Miss),
+            Health::Slow => (self.rng.i64(50..600) * MS, Outcome::Ok),
+            Health::Well => match self.rng.u8(..60) {
+                0 => (quick, Outcome::Reset),
+                1 => (quick, Outcome::Cancelled),
+                2 => (quick, Outcome::Moot),
+                3 => (quick, Outcome::Error),
+                4 => (quick, Outcome::Full),
+                _ => (quick, Outcome::Ok),
+            },
+        };
+        let (after, outcome) = if after < timeout { (after, outcome) } else { (timeout, Outcome::TimedOut) };
+        let speaks = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Miss);
+        let note = if speaks { self.report(member) } else { Report::default() };
+        let report = if speaks && self.rng.u8(..4) == 0 { self.report(member) } else { Report::default() };
+        let ok = outcome == Outcome::Ok;
+        let commit = (ok && freshness == Freshness::Write).then_some(Time(self.now + after));
+        let ended = ok || outcome == Outcome::Error && self.rng.u8(..20) == 0;
+        let event = Event::Outcome { request, attempt, member, outcome, ended, note, commit, report };
+        self.pending.push(Pending { at: self.now + after, event });
+    }
+
+    fn probe(&mut self, member: MemberId) {
+        let quick = self.rng.i64(1..20) * MS;
+        let (after, outcome) = match self.server(member).map_or(Health::Unreachable, |s| s.health) {
+            Health::RefusesConnections => (MS, Outcome::ConnectFailed),
+            Health::Unreachable => (self.settings.connect_timeout, Outcome::ConnectFailed),
+            Health::Hangs => (250 * MS, Outcome::TimedOut),
+            Health::Errs if self.rng.bool() => (quick, Outcome::Error),
+            _ => (quick, Outcome::Ok),
+        };
+        let report = if outcome == Outcome::Ok { self.report(member) } else { Report::default() };
+        self.pending.push(Pending { at: self.now + after, event: Event::Probed { member, outcome, report } });
+    }
+
+    /// Ends what is due, then lets one thing happen.
+    fn step(&mut self) {
+        self.now += if self.rng.u8(..50) == 0 { self.rng.i64(100..1500) } else { self.rng.i64(0..8) } * MS;
+        while let Some(at) = self.pending.iter().position(|p| p.at <= self.now) {
+            let ended = self.pending.remove(at);
+            self.handle(ended.event);
+        }
+        if self.timer.is_some_and(|at| at <= self.now) {
+            self.timer = None;
+            self.handle(Event::Timer);
+        }
+        match self.rng.u8(..100) {
+            0..2 => {
+                let complete = self.rng.bool();
+                self.list(complete);
+            }
+            2 => self.handle(Event::ListFailed),
+            3 => {
+                let drivers = draw(&mut self.rng, &[0, 1, 2, 8, 300]);
+                self.handle(Event::Drivers(drivers));
+            }
+            4..7 => self.change_health(),
+            7 => self.fail_over(),
+            8 => {
+                let request = self.some_request();
+                self.handle(Event::Streaming { request });
+            }
+            9..11 => {
+                let request = self.some_request();
+                self.handle(Event::ClientLeft { request });
+            }
+            11 => self.stray(),
+            12 => {
+                let server = self.rng.usize(..self.servers.len());
+                self.servers[server].lag = draw(&mut self.rng, &[0, 40, 150, 299, 301, 900, 6000]) * MS;
+            }
+            13..15 => {}
+            _ => self.ask(),
+        }
+    }
+
+    fn some_request(&mut self) -> RequestId {
+        RequestId(self.next_request.saturating_sub(self.rng.u64(..8)))
+    }
+
+    fn ask(&mut self) {
+        let class = self.rng.usize(..self.settings.classes.len());
+        let deadline = self.settings.classes[class].deadline;
+        let left = match self.rng.u8(..10) {
+            0 => self.rng.i64(0..deadline + 100 * MS),
+            1 => deadline / 2,
+            _ => deadline,
+        };
+        let (group, session) = (self.rng.u32(..12) / 10, self.rng.u64(..self.sessions));
+        let id = self.next_request;
+        self.next_request += 1;
+        self.requests.insert(id, (class, group, 0));
+        let token = self.rng.bool().then(|| Time(self.now - self.rng.i64(0..400) * MS));
+        let request = Request {
+            id: RequestId(id),
+            class,
+            tenant: 0,
+            session: (session > 0).then_some(SessionId(session)),
+            group: GroupId(group),
+            deadline: Time(self.now + left),
+            token: token.filter(|_| self.settings.tokens == Tokens::Carried),
+        };
+        self.handle(Event::Request(request));
+    }
+
+    fn change_health(&mut self) {
+        let at = self.rng.usize(..self.servers.len());
+        let all = [
+            Health::Slow,
+            Health::RefusesConnections,
+            Health::Unreachable,
+            Health::Hangs,
+            Health::Errs,
+            Health::Full,
+        ];
+        let (sick, to) = (draw(&mut self.rng, &all), self.rng.u8(..4));
+        let server = &mut self.servers[at];
+        if server.health == Health::RefusesConnections && to < 3 {
+            // Its process comes back, and the list may say so.
+            server.started = Some(Time(self.now));
+        }
+        server.health = if server.health == Health::Well && to < 3 { sick } else { Health::Well };
+    }
+
+    fn fail_over(&mut self) {
+        let group = self.rng.u32(..2);
+        let new = self.rng.usize(..self.servers.len());
+        let ids: Vec<u32> = self.servers.iter().filter(|s| s.group == group).map(|s| s.id).collect();
+        let Some(new) = ids.get(new % ids.len().max(1)).copied() else { return };
+        self.servers.iter_mut().filter(|s| s.group == group).for_each(|s| s.primary = s.id == new);
+    }
+
+    /// An event about something that the router does not know or has seen before.
+    fn stray(&mut self) {
+        let (request, member) = (self.some_request(), MemberId(self.rng.u32(..12)));
+        let (attempt, report) = (self.rng.u32(..3), self.report(member));
+        let outcome =
+            draw(&mut self.rng, &[Outcome::Ok, Outcome::TimedOut, Outcome::Miss, Outcome::ConnectFailed]);
+        if self.rng.bool() {
+            self.handle(Event::Probed { member, outcome, report });
+        } else {
+            let (note, commit, report) = (report, None, Report::default());
+            let ended = outcome == Outcome::Ok;
+            self.handle(Event::Outcome { request, attempt, member, outcome, ended, note, commit, report });
+        }
+    }
+
+    /// A list, whole or in part; now and then a server has been replaced by a new one.
+    fn list(&mut self, complete: bool) {
+        if self.rng.u8(..6) == 0 {
+            let at = self.rng.usize(..self.servers.len());
+            let id = 8 + self.rng.u32(..24);
+            if self.servers.iter().all(|s| s.id != id) {
+                let started = Some(Time(self.now));
+                self.servers[at] = Server { id, health: Health::Well, started, ..self.servers[at] };
+            }
+        }
+        let mut entries = Vec::new();
+        for at in 0..self.servers.len() {
+            if self.rng.u8(..8) == 0 || !complete && self.rng.bool() {
+                continue;
+            }
+            let (state, lie, weight) = (self.rng.u8(..14), self.rng.u8(..9) == 0, self.rng.usize(..7));
+            let server = &self.servers[at];
+            entries.push(MemberEntry {
+                id: MemberId(server.id),
+                group: GroupId(server.group),
+                zone: server.id % 3,
+                state: match state {
+                    0 => MemberState::Draining,
+                    1 if !complete => MemberState::Gone,
+                    _ => MemberState::Ready,
+                },
+                listed_primary: server.primary != lie,
+                weight: [1.0, 1.0, 1.0, 2.5, 0.5, 0.0, f64::NAN][weight],
+                started: server.started,
+            });
+        }
+        self.handle(Event::Members { complete, entries });
+    }
+}
+
+// Text in words of its own, so that a renamed variant or field leaves the fixtures as they are.
+
+fn optional(time: Option<Time>) -> String {
+    time.map_or("-".into(), |t| t.0.to_string())
+}
+
+fn outcome_text(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Ok => "ok",
+        Outcome::Error => "error",
+        Outcome::Full => "rejected",
+        Outcome::TimedOut => "timed-out",
+        Outcome::ConnectFailed => "connect-failed",
+        Outcome::Reset => "reset",
+        Outcome::Cancelled => "cancelled",
+        Outcome::Moot => "never-sent",
+        Outcome::Miss => "not-eligible",
+    }
+}
+
+fn report_text(report: Report) -> String {
+    let role = report.primary.map_or("-", |p| if p { "primary" } else { "replica" });
+    format!("{role}/{}", optional(report.position))
+}
+
+fn entry_text(entry: &MemberEntry) -> String {
+    let state = match entry.state {
+        MemberState::Ready => "ready",
+        MemberState::Draining => "draining",
+        MemberState::Gone => "removed",
+    };
+    let MemberEntry { id, group, zone, listed_primary, weight, started, .. } = entry;
+    let (id, group, started) = (id.0, group.0, optional(*started));
+    format!(" [m{id} g{group} z{zone} {state} primary={listed_primary} weight={weight} start={started}]")
+}
+
+fn event_text(event: &Event) -> String {
+    match event {
+        Event::Members { complete, entries } => {
+            let entries: String = entries.iter().map(entry_text).collect();
+            format!("member-list complete={complete}{entries}")
+        }
+        Event::ListFailed => "list-update-failed".into(),
+        Event::Drivers(count) => format!("router-count {count}"),
+        Event::Request(r) => {
+            let session = r.session.map_or("-".into(), |s| s.0.to_string());
+            let (id, class, group, deadline, commit) =
+                (r.id.0, r.class, r.group.0, r.deadline.0, optional(r.token));
+            format!(
+                "request r{id} class={class} g{group} session={session} deadline={deadline} commit={commit}"
+            )
+        }
+        Event::Streaming { request } => format!("response-begun r{}", request.0),
+        Event::Outcome { request, attempt, member, outcome, ended, note, commit, report } => {
+            let (outcome, commit) = (outcome_text(*outcome), optional(*commit));
+            let (note, report) = (report_text(*note), report_text(*report));
+            format!(
+                "attempt-ended r{}.{attempt} m{} {outcome} final={ended} response={note} commit={commit} load={report}",
+                request.0, member.0
+            )
+        }
+        Event::Probed { member, outcome, report } => {
+            format!("probe-ended m{} {} {}", member.0, outcome_text(*outcome), report_text(*report))
+        }
+        Event::ClientLeft { request } => format!("client-disconnected r{}", request.0),
+        Event::Timer => "timer".into(),
+    }
+}
+
+fn action_text(action: &Action) -> String {
+    match action {
+        Action::Send { request, member, timeout, within } => {
+            format!("send r{} m{} timeout={timeout} start={within}", request.0, member.0)
+        }
+        Action::Cancel { request, attempt } => format!("cancel r{}.{attempt}", request.0),
+        Action::Refuse { request, come_back } => {
+            let after = come_back.map_or("-".into(), |after| after.to_string());
+            format!("reject r{} retry-after={after}", request.0)
+        }
+        Action::Fail { request } => format!("fail r{}", request.0),
+        Action::Probe { member } => format!("probe m{}", member.0),
+        Action::Timer { after } => format!("set-timer {after}"),
+        Action::Subscribe => "subscribe".into(),
+        Action::Forget { member } => format!("remove m{}", member.0),
+    }
+}
+
+/// FNV-1a, 64 bits.
+fn hash(text: &str) -> u64 {
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
+    })
+}
+
+/// Compares with a fixture; what was found instead is written beside the build for a look at the difference.
+fn check(name: &str, found: &str) {
+    let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    let kept = std::fs::read_to_string(&fixture).unwrap_or_default();
+    if kept == found {
+        return;
+    }
+    let beside = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&beside, found).expect("the build's folder can be written to");
+    let line = kept.lines().zip(found.lines()).take_while(|(kept, found)| kept == found).count() + 1;
+    panic!("the run differs from {} at line {line}; it is in {}", fixture.display(), beside.display());
+}
+
+#[test]
+fn actions_of_seeded_histories_match_recorded_hashes() {
+    let mut found = String::new();
+    let mut totals: BTreeMap<&str, usize> = BTreeMap::new();
+    for seed in 0..HISTORIES {
+        let long = seed % 8 == 7;
+        let world =
+            if long { World::play(seed, LONG * STEPS, 1 << 40) } else { World::play(seed, STEPS, 30) };
+        write!(found, "history={seed} hash={:016x}", hash(&world.text)).expect("a string takes it");
+        for (what, count) in &world.counts {
+            write!(found, " {what}={count}").expect("a string takes it");
+            *totals.entry(what).or_default() += count;
+        }
+        found.push('\n');
+    }
+    for what in ["sends", "rejects", "fails", "probes", "timers", "subscriptions", "removals"] {
+        assert!(totals.get(what).is_some_and(|count| *count > 100), "{what}: {totals:?}");
+    }
+    check("recorded_runs.txt", &found);
+}
+
+#[test]
+fn actions_of_short_history_match_recorded_trace() {
+    check("recorded_trace.txt", &World::play(3, TRACE_STEPS, 30).text);
+}
