--- a/decision/src/interface.rs
+++ b/decision/src/interface.rs
@@ -1,18 +1,21 @@
-//! The vocabulary between a driver and a [`Router`](crate::Router): settings, ids, events, actions.
+//! The vocabulary between a driver and a [`Router`](crate::Router): settings, ids, events and actions.
+//!
+//! The driver is the program around the state machine: it owns sockets, timers and the clock, turns what happens into
+//! an [`Event`] and carries out each [`Action`].
 
 /// A moment on the driver's clock, in whole microseconds. Only differences and order matter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(pub i64);
 
-/// A length of time in whole microseconds.
+/// A duration in whole microseconds.
 pub type Micros = i64;
 
 /// A member (primary or replica). The driver picks the number; it is not reused for another member.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct MemberId(pub u32);
 
 /// A client request. The driver picks the number; it is not reused while the router runs.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct RequestId(pub u64);
 
 /// A client session. Two sessions that share a number only see fresher data than they need.
@@ -23,71 +26,71 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct GroupId(pub u32);
 
-/// What a class of requests needs of the data it meets.
+/// How fresh the data has to be that a class of requests meets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// Only the primary takes it.
+    /// A write: only the primary accepts it.
     Write,
-    /// Must see every commit made before the request arrived.
-    Fresh,
-    /// Must see what its session has written.
+    /// A read that must see every commit made before the request arrived.
+    Latest,
+    /// A read that must see what its session has written.
     Session,
-    /// Data at most this old when the attempt is sent.
+    /// A read of data at most this old when the attempt is sent.
     Bounded(Micros),
-    /// Any member will do.
+    /// A read that any member may serve, however far behind.
     Any,
 }
 
-/// What a repeat of a request would do.
+/// What a second execution of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// Harmless.
-    Safe,
-    /// Dropped by the members of its group for this long after the first attempt that may have run.
-    KeyedInGroup(Micros),
-    /// Dropped everywhere for this long after the first attempt that may have run.
-    KeyedEverywhere(Micros),
-    /// Dropped by the members of its zone for this long after the first attempt that may have run.
-    KeyedInZone(Micros),
+pub enum Idempotency {
+    /// Nothing: the request may be repeated without limit.
+    Idempotent,
+    /// The members of its group drop it for this long after the first attempt that may have run was sent.
+    DeduplicatedInGroup(Micros),
+    /// Every member drops it for this long after the first attempt that may have run was sent.
+    DeduplicatedEverywhere(Micros),
+    /// The members of its zone drop it for this long after the first attempt that may have run was sent.
+    DeduplicatedInZone(Micros),
     /// It would take effect twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// What data it needs.
+    /// How fresh its data has to be.
     pub freshness: Freshness,
     /// What a repeat would do.
-    pub effect: Effect,
-    /// Full worth is earned within this time.
-    pub aim: Micros,
+    pub idempotency: Idempotency,
+    /// A response within this time earns the full weight.
+    pub latency_objective: Micros,
     /// How long a client waits at most.
     pub deadline: Micros,
-    /// Worth of an answer within the aim.
-    pub worth: f64,
-    /// The share of the worth that a late answer earns.
-    pub late_worth: f64,
+    /// Weight of a response within the latency objective.
+    pub priority_weight: f64,
+    /// The share of the weight that a late response earns, from 0 to 1.
+    pub late_weight_share: f64,
 }
 
 /// What a replica does with a read for which it is too far behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WhenBehind {
-    /// It answers from what it has.
-    Answers,
-    /// It turns the read away at once.
-    Bounces,
-    /// It waits up to this long, then turns the read away.
-    Waits(Micros),
+pub enum LaggingReplica {
+    /// It answers from the data that it has: the router must keep such reads away from it.
+    AnswersStale,
+    /// It rejects the read at once.
+    Rejects,
+    /// It waits up to this long for the data, then rejects the read.
+    WaitsThenRejects(Micros),
 }
 
-/// How the token of a session read is known.
+/// Where the commit that a session read must see is known from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tokens {
-    /// The request brings it.
-    Carried,
+pub enum SessionCommitSource {
+    /// The request carries it.
+    CarriedByRequest,
     /// The router remembers the commits it has seen.
-    Remembered,
+    RememberedByRouter,
 }
 
 /// The start settings of one router.
@@ -95,64 +98,65 @@
 pub struct Settings {
     /// The classes; requests name them by position.
     pub classes: Vec<Class>,
-    /// For each tenant, the rate (requests a second, all drivers together) within its share.
+    /// For each tenant, the rate (requests per second, all routers together) within its quota.
     pub tenant_rates: Vec<f64>,
-    /// The worth of traffic beyond a tenant's share, as a share of the usual.
-    pub over_share_worth: f64,
-    /// How many drivers there are.
-    pub drivers: u32,
-    /// The zone of this driver.
+    /// The weight of traffic beyond a tenant's quota, as a share of the usual.
+    pub over_quota_weight: f64,
+    /// How many routers there are, this one included; 0 where that is not known.
+    pub router_count: u32,
+    /// The zone of this router.
     pub zone: u32,
-    /// The shortest time between two rounds of events.
-    pub round: Micros,
-    /// What a replica that is behind does.
-    pub when_behind: WhenBehind,
-    /// How session tokens are known.
-    pub tokens: Tokens,
-    /// Two attempts of one request may be out together.
-    pub may_duplicate: bool,
+    /// The shortest time between two batches of events.
+    pub min_event_interval: Micros,
+    /// What a replica that is too far behind does.
+    pub lagging_replica: LaggingReplica,
+    /// Where the commits that session reads must see are known from.
+    pub session_commit_source: SessionCommitSource,
+    /// Two attempts of one request may be in flight together.
+    pub hedging_allowed: bool,
     /// Attempts that one request may have.
     pub max_attempts: u32,
     /// Attempts may be cancelled.
-    pub may_cancel: bool,
+    pub cancel_allowed: bool,
     /// Members may be probed.
-    pub may_probe: bool,
-    /// What one probe for each request costs, as a share of all worth.
-    pub probe_price: f64,
-    /// The longest come-back time that clients follow; `None` where they follow none.
-    pub max_come_back: Option<Micros>,
+    pub probing_allowed: bool,
+    /// What one probe for each request costs, as a share of the weight of all requests.
+    pub probe_cost: f64,
+    /// The longest retry-after time that clients follow; `None` where they follow none.
+    pub max_retry_after: Option<Micros>,
     /// A connection not made within this time has failed.
     pub connect_timeout: Micros,
-    /// New work to a draining or gone member must end this long after the news.
+    /// New work to a draining or removed member must end this long after the router was notified.
     pub drain_grace: Micros,
-    /// Only an entry listed as draining binds; a member that is merely missing may be up.
-    pub only_draining_binds: bool,
+    /// A ready member that a complete list lacks may be up and goes on serving; only an entry listed as draining or
+    /// removed takes it out.
+    pub missing_members_may_serve: bool,
     /// The share of its capacity with which a member starts.
-    pub cold_from: f64,
-    /// A started member is warm after this time.
-    pub cold_time: Micros,
-    /// A cold member falls over when sent more than this multiple of its present capacity
+    pub slow_start_initial_share: f64,
+    /// A started member has its full capacity after this time.
+    pub slow_start_duration: Micros,
+    /// A warming-up member that gets more than this multiple of its present capacity
     pub overload_factor: f64,
-    /// for this time.
-    pub tip_time: Micros,
-    /// The list must be asked for.
-    pub list_on_request: bool,
+    /// for this time fails.
+    pub overload_duration: Micros,
+    /// The driver brings no list unless the router subscribes to it.
+    pub list_requires_subscription: bool,
 }
 
 /// A listed member's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum MemberState {
-    /// Takes work.
+    /// Accepts work.
     #[default]
     Ready,
-    /// Ends its work; nothing new goes to it.
+    /// Ends its work; nothing new is sent to it.
     Draining,
-    /// Taken away.
-    Gone,
+    /// No longer part of its group.
+    Removed,
 }
 
 /// One entry of the member list.
-#[derive(Clone, Debug)]
+#[derive(Clone, Debug, Default)]
 pub struct MemberEntry {
     /// The member.
     pub id: MemberId,
@@ -162,16 +166,16 @@
     pub zone: u32,
     /// Its state.
     pub state: MemberState,
-    /// The list takes it for the primary of its group.
+    /// The list names it as the primary of its group; that may be out of date.
     pub listed_primary: bool,
     /// Its size relative to others, 1 where nothing is known.
     pub weight: f64,
     /// When it last started; `None` means long ago.
-    pub started: Option<Time>,
+    pub started_at: Option<Time>,
 }
 
 /// A client request.
-#[derive(Clone, Debug)]
+#[derive(Clone, Debug, Default)]
 pub struct Request {
     /// Its id.
     pub id: RequestId,
@@ -185,8 +189,8 @@
     pub group: GroupId,
     /// The client gives up then.
     pub deadline: Time,
-    /// The commit that its session must see, where tokens are carried.
-    pub token: Option<Time>,
+    /// The commit that its session must see, where requests carry it ([`SessionCommitSource::CarriedByRequest`]).
+    pub session_commit: Option<Time>,
 }
 
 /// How an attempt or a probe ended.
@@ -194,11 +198,11 @@
 pub enum Outcome {
     /// Served.
     Ok,
-    /// The member answered with an error; it may have run.
+    /// The member responded with an error; the attempt may have run.
     Error,
-    /// Turned away unseen: full or draining.
-    Full,
-    /// No answer in time; it may have run.
+    /// Rejected before it ran: the member is full or draining.
+    Rejected,
+    /// No response in time; it may have run.
     TimedOut,
     /// No connection; it never ran.
     ConnectFailed,
@@ -207,21 +211,21 @@
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
-    /// Turned away untouched: not the primary, or too far behind.
-    Miss,
+    NeverSent,
+    /// Rejected before it ran: the member is not the primary, or too far behind.
+    NotEligible,
 }
 
 impl Outcome {
     /// Whether it proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::NotEligible)
     }
 }
 
-/// What a member said of itself.
+/// What a member reported of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
-pub struct Report {
+pub struct MemberReport {
     /// Whether it is the primary.
     pub primary: Option<bool>,
     /// It has applied every commit up to here.
@@ -231,26 +235,26 @@
 /// What happens to a router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the member list.
-    Members {
-        /// The list is complete: members that it lacks are gone.
+    /// The member list has changed.
+    MemberListChanged {
+        /// The list is complete: members that it lacks are missing.
         complete: bool,
         /// The entries.
         entries: Vec<MemberEntry>,
     },
-    /// A call to the list failed; the list at hand stays.
-    ListFailed,
-    /// So many drivers there are from now on, this one included.
-    Drivers(u32),
+    /// A request for the list failed; the list at hand stays.
+    ListUpdateFailed,
+    /// How many routers there are from now on, this one included.
+    RouterCountChanged(u32),
     /// A request has arrived and is owed one final answer.
-    Request(Request),
-    /// An attempt's answer has begun to stream: it belongs to the client now.
-    Streaming {
+    RequestArrived(Request),
+    /// An attempt's response has begun to stream: it belongs to the client now.
+    ResponseStarted {
         /// The request.
         request: RequestId,
     },
     /// An attempt has ended.
-    Outcome {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// The attempt, counted from 0 in the order of sending.
@@ -260,30 +264,30 @@
         /// How it ended.
         outcome: Outcome,
         /// The request has its final answer.
-        ended: bool,
-        /// The answer's note on the member's role, and its position.
-        note: Report,
+        request_ended: bool,
+        /// The role and the position that the response itself states.
+        response_report: MemberReport,
         /// For a write that was served: when it was committed.
         commit: Option<Time>,
-        /// A report that came with the answer.
-        report: Report,
+        /// A load report that came with the response. It may be older than the response.
+        load_report: MemberReport,
     },
     /// A probe has ended.
-    Probed {
+    ProbeEnded {
         /// The member.
         member: MemberId,
         /// How it ended.
         outcome: Outcome,
         /// What the member reported, as of a little while ago.
-        report: Report,
+        report: MemberReport,
     },
-    /// The client is gone; nothing is owed any more.
-    ClientLeft {
+    /// The client has disconnected; nothing is owed any more.
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// A timer set with [`Action::Timer`] is due.
-    Timer,
+    /// A timer set with [`Action::SetTimer`] has expired.
+    TimerExpired,
 }
 
 /// What a router wants done, in order, at the time of the event.
@@ -297,9 +301,9 @@
         member: MemberId,
         /// Give it up after this time.
         timeout: Micros,
-        /// Its first byte must go out within this time, or it must not begin: what it rests on holds no longer. Never more
-        /// than the timeout.
-        within: Micros,
+        /// Its first byte must be written within this time, or it must not begin: what allows it holds no longer. Never
+        /// more than the timeout.
+        start_timeout: Micros,
     },
     /// Stop waiting for an attempt.
     Cancel {
@@ -308,32 +312,32 @@
         /// The attempt.
         attempt: u32,
     },
-    /// Final answer: not served, a new try does no harm.
-    Refuse {
+    /// Final answer: not served, a retry does no harm.
+    Reject {
         /// The request.
         request: RequestId,
-        /// When the client should come back, from now.
-        come_back: Option<Micros>,
+        /// When the client should retry, from now.
+        retry_after: Option<Micros>,
     },
     /// Final answer: not served, nothing is promised.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Ask a member how it is.
+    /// Send a member a health check.
     Probe {
         /// The member.
         member: MemberId,
     },
-    /// Bring [`Event::Timer`] after this time.
-    Timer {
+    /// Bring [`Event::TimerExpired`] after this time.
+    SetTimer {
         /// From now.
         after: Micros,
     },
-    /// Ask for news of the member list from now on.
+    /// Subscribe to the member list from now on.
     Subscribe,
-    /// The router will not name this member again unless a list brings it back.
-    Forget {
+    /// The router will not name this member again unless a list brings it back: what is kept for it may be dropped.
+    Remove {
         /// The member.
         member: MemberId,
     },
--- a/decision/src/lib.rs
+++ b/decision/src/lib.rs
@@ -1,8 +1,21 @@
-//! damsonvale makes the decisions of a proxy in front of a primary and its replicas.
+//! The decisions of a proxy in front of a database primary and its replicas: a state machine without I/O.
 //!
-//! A [`Router`] holds all state of one driver. It does no I/O, reads no clock and starts no thread: the driver
-//! hands it each [`Event`] with the time and carries out the [`Action`]s in order. The same seed and events
-//! give the same actions.
+//! A [`Router`] holds all state of one router instance. It does no I/O, reads no clock and starts no thread: the
+//! driver (the program around it) hands it each [`Event`] with the time and carries out the [`Action`]s in order. The
+//! same settings, seed and events give the same actions.
+//!
+//! `interface.rs` has the vocabulary: settings, ids, events and actions. `router.rs` has the state and takes the
+//! events; the files of its folder each hold one concern of the decisions:
+//!
+//! | file | concern |
+//! | --- | --- |
+//! | `member_list.rs` | members that join, restart, drain and leave; the number of routers |
+//! | `admission.rs` | a request's arrival, its queue, the decision to forward, queue or reject, the final answer |
+//! | `choice.rs` | which member gets a request: the primary, or a replica that is fresh enough |
+//! | `attempts.rs` | sending, the end of an attempt, the commits of sessions |
+//! | `pool.rs` | how many attempts a member may have in flight, and its share while it warms up |
+//! | `health.rs` | roles, positions, ejection of failing members |
+//! | `probes.rs` | health checks and the search for the primary |
 //!
 //! ```
 //! use decision::*;
@@ -12,33 +25,33 @@
 //! let settings = Settings {
 //!     classes: vec![Class {
 //!         freshness: Freshness::Any,
-//!         effect: Effect::Safe,
-//!         aim: 200 * ms,
+//!         idempotency: Idempotency::Idempotent,
+//!         latency_objective: 200 * ms,
 //!         deadline: 600 * ms,
-//!         worth: 1.0,
-//!         late_worth: 0.0,
+//!         priority_weight: 1.0,
+//!         late_weight_share: 0.0,
 //!     }],
 //!     tenant_rates: vec![],
-//!     over_share_worth: 1.0,
-//!     drivers: 1,
+//!     over_quota_weight: 1.0,
+//!     router_count: 1,
 //!     zone: 0,
-//!     round: 5 * ms,
-//!     when_behind: WhenBehind::Bounces,
-//!     tokens: Tokens::Carried,
-//!     may_duplicate: false,
+//!     min_event_interval: 5 * ms,
+//!     lagging_replica: LaggingReplica::Rejects,
+//!     session_commit_source: SessionCommitSource::CarriedByRequest,
+//!     hedging_allowed: false,
 //!     max_attempts: 6,
-//!     may_cancel: true,
-//!     may_probe: true,
-//!     probe_price: 0.0,
-//!     max_come_back: None,
+//!     cancel_allowed: true,
+//!     probing_allowed: true,
+//!     probe_cost: 0.0,
+//!     max_retry_after: None,
 //!     connect_timeout: 250 * ms,
 //!     drain_grace: 500 * ms,
-//!     only_draining_binds: false,
-//!     cold_from: 0.3,
-//!     cold_time: 10_000 * ms,
+//!     missing_members_may_serve: false,
+//!     slow_start_initial_share: 0.3,
+//!     slow_start_duration: 10_000 * ms,
 //!     overload_factor: 3.0,
-//!     tip_time: 3000 * ms,
-//!     list_on_request: false,
+//!     overload_duration: 3000 * ms,
+//!     list_requires_subscription: false,
 //! };
 //! let entry = |id| MemberEntry {
 //!     id: MemberId(id),
@@ -47,13 +60,13 @@
 //!     state: MemberState::Ready,
 //!     listed_primary: false,
 //!     weight: 1.0,
-//!     started: None,
+//!     started_at: None,
 //! };
-//! let said = |primary| Report { primary: Some(primary), position: Some(Time(900 * ms)) };
-//! let probed = |id, primary| Event::Probed {
+//! let report = |primary| MemberReport { primary: Some(primary), position: Some(Time(900 * ms)) };
+//! let probe_ended = |id, primary| Event::ProbeEnded {
 //!     member: MemberId(id),
 //!     outcome: Outcome::Ok,
-//!     report: said(primary),
+//!     report: report(primary),
 //! };
 //! let read = Request {
 //!     id: RequestId(0),
@@ -62,16 +75,16 @@
 //!     session: None,
 //!     group: GroupId(0),
 //!     deadline: Time(1600 * ms),
-//!     token: None,
+//!     session_commit: None,
 //! };
 //!
 //! let mut router = Router::new(settings, 42);
 //! let (mut actions, mut sent) = (Vec::new(), Vec::new());
 //! for event in [
-//!     Event::Members { complete: true, entries: vec![entry(0), entry(1)] },
-//!     probed(0, true),
-//!     probed(1, false),
-//!     Event::Request(read),
+//!     Event::MemberListChanged { complete: true, entries: vec![entry(0), entry(1)] },
+//!     probe_ended(0, true),
+//!     probe_ended(1, false),
+//!     Event::RequestArrived(read),
 //! ] {
 //!     router.handle(Time(1000 * ms), event, &mut actions);
 //!     for action in actions.drain(..) {
@@ -83,7 +96,7 @@
 //! }
 //! assert_eq!(sent, [(RequestId(0), MemberId(1))]);
 //! ```
-pub mod decide;
-pub mod interface;
-pub use decide::Router;
+mod interface;
+mod router;
 pub use interface::*;
+pub use router::Router;
--- /dev/null
+++ b/decision/src/router/probes.rs
@@ -0,0 +1,54 @@
+//! Health checks: when members are probed, and what the end of a probe says.
+use super::{Action, GroupId, MemberId, MemberReport, Micros, Outcome, Router, Settings, elapsed};
+
+/// Event intervals between two probes of one member that look for the primary or for a position,
+const MIN_EVENT_INTERVALS: i64 = 20;
+/// and the least time between them: reports are as old as that, and every router asks.
+const MIN_INTERVAL: Micros = 100_000;
+/// Doublings of that time while a search or a member's probes bring nothing.
+const MAX_DOUBLINGS: u32 = 3;
+
+fn probe_interval(settings: &Settings, failures: u32) -> Micros {
+    (MIN_EVENT_INTERVALS * settings.min_event_interval).max(MIN_INTERVAL) << failures.min(MAX_DOUBLINGS)
+}
+
+impl Router {
+    /// Looks for the primary: all members are probed, less and less often while that shows nothing new.
+    pub(super) fn search_primary(&mut self, group: GroupId) {
+        let Some(group) = self.groups.get_mut(&group) else { return };
+        if self.now.0 - group.last_search_at.0 >= probe_interval(&self.settings, group.searches) {
+            (group.last_search_at, group.searches) = (self.now, group.searches + 1);
+            group.members.clone().into_iter().for_each(|m| _ = self.probe(m));
+        }
+    }
+
+    /// Probes a member, unless it was probed a moment ago; says whether it did.
+    pub(super) fn probe(&mut self, id: MemberId) -> bool {
+        let Some(member) = self.members.get_mut(&id) else { return false };
+        let interval = probe_interval(&self.settings, member.consecutive_failed_probes);
+        let due = member.probes_in_flight == 0 && elapsed(self.now, member.last_probe_at) >= interval;
+        if !self.settings.probing_allowed || !member.is_ready() || !due {
+            return false;
+        }
+        member.probes_in_flight += 1;
+        member.last_probe_at = Some(self.now);
+        self.actions.push(Action::Probe { member: id });
+        true
+    }
+
+    pub(super) fn on_probe_ended(&mut self, id: MemberId, outcome: Outcome, report: MemberReport) {
+        let Some(member) = self.members.get_mut(&id) else { return };
+        let (group, failures) = (member.listed.group, member.consecutive_failed_probes + 1);
+        member.probes_in_flight = member.probes_in_flight.saturating_sub(1);
+        member.consecutive_failed_probes = if report.primary.is_some() { 0 } else { failures };
+        self.review_ejection(id, outcome);
+        // Responses outrank probes: one that failed says nothing of requests unless nothing could be reached.
+        if outcome == Outcome::ConnectFailed {
+            self.eject(id, outcome);
+            self.doubt_primary(id);
+        } else {
+            self.learn_from_report(id, report);
+        }
+        self.review_group(group);
+    }
+}
--- a/decision/tests/cold_fleet.rs
+++ b/decision/tests/cold_fleet.rs
@@ -127,7 +127,7 @@
     up: bool,
     hung: bool,
     epoch: u32,
-    started: Option<i64>,
+    started_at: Option<i64>,
     busy: usize,
     waiting: VecDeque<Job>,
 }
@@ -173,33 +173,33 @@
 const MEMBERS: usize = 4;
 
 fn settings(plan: &Plan) -> Settings {
-    let class = |freshness, effect, aim: i64, deadline: i64, late_worth| Class {
+    let class = |freshness, idempotency, latency_objective: i64, deadline: i64, late_weight_share| Class {
         freshness,
-        effect,
-        aim: aim * MS,
+        idempotency,
+        latency_objective: latency_objective * MS,
         deadline: deadline * MS,
-        worth: 1.0,
-        late_worth,
+        priority_weight: 1.0,
+        late_weight_share,
     };
     let d = plan.deadline;
     Settings {
         classes: vec![
-            class(Freshness::Write, Effect::Unsafe, 3 * d / 8, d, 0.5),
-            class(Freshness::Fresh, Effect::Safe, d / 4, d, 0.0),
-            class(Freshness::Any, Effect::Safe, d / 4, d, 0.2),
-            class(Freshness::Bounded(3000 * MS), Effect::Safe, 3 * d / 10, d, 0.0),
+            class(Freshness::Write, Idempotency::NotIdempotent, 3 * d / 8, d, 0.5),
+            class(Freshness::Latest, Idempotency::Idempotent, d / 4, d, 0.0),
+            class(Freshness::Any, Idempotency::Idempotent, d / 4, d, 0.2),
+            class(Freshness::Bounded(3000 * MS), Idempotency::Idempotent, 3 * d / 10, d, 0.0),
         ],
-        drivers: plan.routers as u32,
-        when_behind: WhenBehind::Waits(20 * MS),
-        tokens: Tokens::Carried,
-        cold_from: 0.15,
-        cold_time: 18_000 * MS,
+        router_count: plan.routers as u32,
+        lagging_replica: LaggingReplica::WaitsThenRejects(20 * MS),
+        session_commit_source: SessionCommitSource::CarriedByRequest,
+        slow_start_initial_share: 0.15,
+        slow_start_duration: 18_000 * MS,
         overload_factor: 2.5,
-        tip_time: 1000 * MS,
-        max_come_back: Some(500 * MS),
+        overload_duration: 1000 * MS,
+        max_retry_after: Some(500 * MS),
         // Fewer rounds than on the platform, for the test's own speed.
-        round: 25 * MS,
-        ..common::settings(Effect::Unsafe)
+        min_event_interval: 25 * MS,
+        ..common::settings(Idempotency::NotIdempotent)
     }
 }
 
@@ -326,21 +326,24 @@
             Ev::Probed { router, epoch, member, outcome } => {
                 if self.nodes[router].epoch == epoch {
                     let ok = outcome == Outcome::Ok;
-                    let report = Report {
+                    let report = MemberReport {
                         primary: ok.then_some(member == self.primary),
                         position: ok.then_some(Time(self.now - 50 * MS)),
                     };
-                    self.handle(router, Event::Probed { member: MemberId(member as u32), outcome, report });
+                    self.handle(
+                        router,
+                        Event::ProbeEnded { member: MemberId(member as u32), outcome, report },
+                    );
                 }
             }
             Ev::Timer { router, epoch } => {
                 if self.nodes[router].epoch == epoch {
-                    self.handle(router, Event::Timer);
+                    self.handle(router, Event::TimerExpired);
                 }
             }
             Ev::Starts(m) => {
                 let s = &mut self.servers[m];
-                (s.up, s.hung, s.started) = (true, false, Some(self.now));
+                (s.up, s.hung, s.started_at) = (true, false, Some(self.now));
             }
             Ev::Stops(m) => {
                 let s = &mut self.servers[m];
@@ -369,13 +372,13 @@
     fn tell(&mut self, router: usize) {
         let listed: Vec<usize> = self.listed.clone();
         let entry = |m: usize| MemberEntry {
-            started: self.servers[m].started.map(Time),
+            started_at: self.servers[m].started_at.map(Time),
             listed_primary: m == self.primary,
             zone: m as u32 % 3,
             ..common::entry(m as u32)
         };
         let entries = listed.into_iter().map(entry).collect();
-        self.handle(router, Event::Members { complete: true, entries });
+        self.handle(router, Event::MemberListChanged { complete: true, entries });
     }
 
     fn ask(&mut self, client: Client) {
@@ -389,9 +392,9 @@
             session: None,
             group: common::G,
             deadline: Time(client.deadline),
-            token: None,
+            session_commit: None,
         };
-        self.handle(client.router, Event::Request(request));
+        self.handle(client.router, Event::RequestArrived(request));
     }
 
     fn handle(&mut self, router: usize, event: Event) {
@@ -414,10 +417,10 @@
                     self.after(WAY, Ev::AtMember { member, job });
                     self.after(timeout, Ev::Answer { job, outcome: Outcome::TimedOut, role: None });
                 }
-                Action::Refuse { request, come_back } => {
+                Action::Reject { request, retry_after } => {
                     let gone = self.nodes[router].clients.remove(&request.0);
                     let (client, _) = gone.expect("a request that is open");
-                    let wait = come_back.unwrap_or(50 * MS).min(self.rng.i64(20..160) * MS);
+                    let wait = retry_after.unwrap_or(50 * MS).min(self.rng.i64(20..160) * MS);
                     let again = client.repeats < REPEATS && self.rng.f64() < COMES_AGAIN;
                     if again && self.now + wait < client.deadline {
                         self.after(wait, Ev::Again(Client { repeats: client.repeats + 1, ..client }));
@@ -434,31 +437,31 @@
                     };
                     self.after(took, Ev::Probed { router, epoch, member, outcome });
                 }
-                Action::Timer { after } => self.after(after, Ev::Timer { router, epoch }),
-                Action::Cancel { .. } | Action::Subscribe | Action::Forget { .. } => {}
+                Action::SetTimer { after } => self.after(after, Ev::Timer { router, epoch }),
+                Action::Cancel { .. } | Action::Subscribe | Action::Remove { .. } => {}
             }
         }
     }
 
-    fn warmth(&self, started: Option<i64>, at: i64) -> f64 {
+    fn warmth(&self, started_at: Option<i64>, at: i64) -> f64 {
         let s = &self.settings;
-        let age = started.map_or(s.cold_time, |t| at - t) as f64 / s.cold_time as f64;
-        s.cold_from + (1.0 - s.cold_from) * age.min(1.0)
+        let age = started_at.map_or(s.slow_start_duration, |t| at - t) as f64 / s.slow_start_duration as f64;
+        s.slow_start_initial_share + (1.0 - s.slow_start_initial_share) * age.min(1.0)
     }
 
     /// Counts what comes to the cold member in the window that ends now, against what it bears by its mean
     /// warmth in that window.
     fn count(&mut self, work: f64) {
-        let started = self.servers[self.cold].started;
-        let Some(start) = started else { return };
-        let tip = self.settings.tip_time;
+        let started_at = self.servers[self.cold].started_at;
+        let Some(start) = started_at else { return };
+        let tip = self.settings.overload_duration;
         self.window.push_back((self.now, work));
         while self.window.front().is_some_and(|x| x.0 <= self.now - tip) {
             self.window.pop_front();
         }
         let sum: f64 = self.window.iter().map(|x| x.1).sum();
         let begin = (self.now - tip).max(start);
-        let mean = (self.warmth(started, begin) + self.warmth(started, self.now)) / 2.0;
+        let mean = (self.warmth(started_at, begin) + self.warmth(started_at, self.now)) / 2.0;
         let n = self.settings.overload_factor * mean * self.plan.capacity * tip as f64 / 1e6;
         let share = sum / (n + 2.0 * n.sqrt() + 2.0);
         self.played.worst = self.played.worst.max(share);
@@ -477,7 +480,7 @@
             return;
         }
         if job.write && member != self.primary {
-            return self.after(WAY, Ev::Answer { job, outcome: Outcome::Miss, role });
+            return self.after(WAY, Ev::Answer { job, outcome: Outcome::NotEligible, role });
         }
         if s.busy < CORES {
             s.busy += 1;
@@ -485,14 +488,14 @@
         } else if s.waiting.len() < QUEUE {
             s.waiting.push_back(job);
         } else {
-            self.after(WAY, Ev::Answer { job, outcome: Outcome::Full, role });
+            self.after(WAY, Ev::Answer { job, outcome: Outcome::Rejected, role });
         }
     }
 
     fn serve(&mut self, member: usize, job: Job) {
         let s = &self.servers[member];
         let mean = CORES as f64 * 1e6 / self.plan.capacity;
-        let took = (job.work * mean / self.warmth(s.started, self.now)) as i64;
+        let took = (job.work * mean / self.warmth(s.started_at, self.now)) as i64;
         let epoch = s.epoch;
         self.after(took.max(1), Ev::Served { member, epoch, job });
     }
@@ -528,17 +531,17 @@
                 self.played.by_cold += u64::from(job.member == self.cold);
             }
         }
-        let note = Report { primary: role, position: None };
+        let response_report = MemberReport { primary: role, position: None };
         let commit = (ok && job.write).then_some(Time(self.now));
-        let event = Event::Outcome {
+        let event = Event::AttemptEnded {
             request: RequestId(job.request),
             attempt: job.attempt,
             member: MemberId(job.member as u32),
             outcome,
-            ended: ok,
-            note,
+            request_ended: ok,
+            response_report,
             commit,
-            report: Report::default(),
+            load_report: MemberReport::default(),
         };
         self.handle(job.router, event);
     }
--- a/decision/tests/common/mod.rs
+++ b/decision/tests/common/mod.rs
@@ -5,43 +5,50 @@
 pub const MS: i64 = 1000;
 pub const G: GroupId = GroupId(7);
 
-pub fn class(freshness: Freshness, effect: Effect) -> Class {
-    Class { freshness, effect, aim: 400 * MS, deadline: 1200 * MS, worth: 1.0, late_worth: 0.0 }
+pub fn class(freshness: Freshness, idempotency: Idempotency) -> Class {
+    Class {
+        freshness,
+        idempotency,
+        latency_objective: 400 * MS,
+        deadline: 1200 * MS,
+        priority_weight: 1.0,
+        late_weight_share: 0.0,
+    }
 }
 
 /// Classes: 0 write, 1 fresh, 2 session, 3 bounded (300 ms), 4 any.
-pub fn settings(write: Effect) -> Settings {
+pub fn settings(write: Idempotency) -> Settings {
     let mut w = class(Freshness::Write, write);
-    w.late_worth = 0.5;
+    w.late_weight_share = 0.5;
     Settings {
         classes: vec![
             w,
-            class(Freshness::Fresh, Effect::Safe),
-            class(Freshness::Session, Effect::Safe),
-            class(Freshness::Bounded(300 * MS), Effect::Safe),
-            class(Freshness::Any, Effect::Safe),
+            class(Freshness::Latest, Idempotency::Idempotent),
+            class(Freshness::Session, Idempotency::Idempotent),
+            class(Freshness::Bounded(300 * MS), Idempotency::Idempotent),
+            class(Freshness::Any, Idempotency::Idempotent),
         ],
         tenant_rates: vec![],
-        over_share_worth: 1.0,
-        drivers: 3,
+        over_quota_weight: 1.0,
+        router_count: 3,
         zone: 0,
-        round: 5 * MS,
-        when_behind: WhenBehind::Answers,
-        tokens: Tokens::Carried,
-        may_duplicate: false,
+        min_event_interval: 5 * MS,
+        lagging_replica: LaggingReplica::AnswersStale,
+        session_commit_source: SessionCommitSource::CarriedByRequest,
+        hedging_allowed: false,
         max_attempts: 6,
-        may_cancel: true,
-        may_probe: true,
-        probe_price: 0.02,
-        max_come_back: Some(1000 * MS),
+        cancel_allowed: true,
+        probing_allowed: true,
+        probe_cost: 0.02,
+        max_retry_after: Some(1000 * MS),
         connect_timeout: 250 * MS,
         drain_grace: 500 * MS,
-        only_draining_binds: false,
-        cold_from: 0.2,
-        cold_time: 17_000 * MS,
+        missing_members_may_serve: false,
+        slow_start_initial_share: 0.2,
+        slow_start_duration: 17_000 * MS,
         overload_factor: 3.0,
-        tip_time: 2000 * MS,
-        list_on_request: false,
+        overload_duration: 2000 * MS,
+        list_requires_subscription: false,
     }
 }
 
@@ -53,7 +60,7 @@
         state: MemberState::Ready,
         listed_primary: false,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -76,7 +83,7 @@
     /// The same with replicas that are this many milliseconds behind.
     pub fn behind(settings: Settings, replicas: [i64; 2]) -> Self {
         let mut b = Bench::new(settings);
-        b.event(Event::Members { complete: true, entries: (0..3).map(entry).collect() });
+        b.event(Event::MemberListChanged { complete: true, entries: (0..3).map(entry).collect() });
         b.probed(0, true, 0);
         b.probed(1, false, replicas[0]);
         b.probed(2, false, replicas[1]);
@@ -91,12 +98,12 @@
 
     pub fn wait(&mut self, ms: i64) -> Vec<Action> {
         self.now += ms * MS;
-        self.event(Event::Timer)
+        self.event(Event::TimerExpired)
     }
 
     pub fn probed(&mut self, id: u32, primary: bool, behind_ms: i64) -> Vec<Action> {
-        let report = Report { primary: Some(primary), position: Some(Time(self.now - behind_ms * MS)) };
-        self.event(Event::Probed { member: MemberId(id), outcome: Outcome::Ok, report })
+        let report = MemberReport { primary: Some(primary), position: Some(Time(self.now - behind_ms * MS)) };
+        self.event(Event::ProbeEnded { member: MemberId(id), outcome: Outcome::Ok, report })
     }
 
     pub fn ask(&mut self, class: usize, token_ms: Option<i64>) -> (RequestId, Vec<Action>) {
@@ -119,9 +126,9 @@
             session: Some(SessionId(1)),
             group: G,
             deadline: Time(self.now + wait * MS),
-            token: token_ms.map(|t| Time(self.now - t * MS)),
+            session_commit: token_ms.map(|t| Time(self.now - t * MS)),
         };
-        (id, self.event(Event::Request(request)))
+        (id, self.event(Event::RequestArrived(request)))
     }
 
     pub fn outcome(
@@ -131,7 +138,7 @@
         member: MemberId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.noted(request, attempt, member, outcome, Report::default(), None)
+        self.noted(request, attempt, member, outcome, MemberReport::default(), None)
     }
 
     pub fn noted(
@@ -140,11 +147,20 @@
         attempt: u32,
         member: MemberId,
         outcome: Outcome,
-        note: Report,
+        response_report: MemberReport,
         commit: Option<Time>,
     ) -> Vec<Action> {
-        let (ended, report) = (outcome == Outcome::Ok, Report::default());
-        self.event(Event::Outcome { request, attempt, member, outcome, ended, note, commit, report })
+        let (request_ended, load_report) = (outcome == Outcome::Ok, MemberReport::default());
+        self.event(Event::AttemptEnded {
+            request,
+            attempt,
+            member,
+            outcome,
+            request_ended,
+            response_report,
+            commit,
+            load_report,
+        })
     }
 }
 
@@ -157,7 +173,7 @@
 }
 
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
--- a/decision/tests/failures.rs
+++ b/decision/tests/failures.rs
@@ -3,7 +3,7 @@
 use common::*;
 use decision::*;
 
-const KEYED: Effect = Effect::KeyedInGroup(3000 * MS);
+const KEYED: Idempotency = Idempotency::DeduplicatedInGroup(3000 * MS);
 
 #[test]
 fn a_fresh_router_probes_every_member_of_a_group_that_is_asked_for_and_trusts_no_replica() {
@@ -11,7 +11,7 @@
     let mut other = entry(9);
     other.group = GroupId(G.0 + 1);
     let entries = (0..3).map(entry).chain([other]).collect();
-    assert_eq!(probes(&b.event(Event::Members { complete: true, entries })), []);
+    assert_eq!(probes(&b.event(Event::MemberListChanged { complete: true, entries })), []);
     let out = b.ask(3, None).1;
     assert_eq!(probes(&out), [MemberId(0), MemberId(1), MemberId(2)]);
     assert!(sends(&out).is_empty());
@@ -62,13 +62,13 @@
 #[test]
 fn a_session_reads_what_it_wrote() {
     let mut s = settings(KEYED);
-    s.tokens = Tokens::Remembered;
+    s.session_commit_source = SessionCommitSource::RememberedByRouter;
     let mut b = Bench::ready(s);
     let (w, _) = b.ask(0, None);
     b.now += 10 * MS;
     let commit = Some(Time(b.now));
-    let note = Report { primary: Some(true), position: None };
-    b.noted(w, 0, MemberId(0), Outcome::Ok, note, commit);
+    let response_report = MemberReport { primary: Some(true), position: None };
+    b.noted(w, 0, MemberId(0), Outcome::Ok, response_report, commit);
     // The replicas were last seen before the commit.
     assert!(sends(&b.ask(2, None).1).iter().all(|s| s.1 == MemberId(0)));
 }
@@ -78,8 +78,8 @@
     let mut b = Bench::ready(settings(KEYED));
     let (w, out) = b.ask(0, None);
     assert_eq!(sends(&out).len(), 1);
-    let note = Report { primary: Some(false), position: None };
-    b.noted(w, 0, MemberId(0), Outcome::Miss, note, None);
+    let response_report = MemberReport { primary: Some(false), position: None };
+    b.noted(w, 0, MemberId(0), Outcome::NotEligible, response_report, None);
     b.now += 400 * MS;
     // An old report that still calls it the primary is not believed over the answer.
     b.probed(0, true, 350);
@@ -94,7 +94,7 @@
     let mut b = Bench::ready(settings(KEYED));
     let mut e = entry(1);
     e.state = MemberState::Draining;
-    b.event(Event::Members { complete: false, entries: vec![e] });
+    b.event(Event::MemberListChanged { complete: false, entries: vec![e] });
     for _ in 0..6 {
         assert!(sends(&b.ask(4, None).1).iter().all(|s| s.1 != MemberId(1)));
     }
@@ -103,13 +103,13 @@
 #[test]
 fn a_member_missing_from_a_full_list_is_gone_and_forgotten() {
     let mut b = Bench::ready(settings(KEYED));
-    let out = b.event(Event::Members { complete: true, entries: vec![entry(0), entry(1)] });
-    assert!(out.contains(&Action::Forget { member: MemberId(2) }));
+    let out = b.event(Event::MemberListChanged { complete: true, entries: vec![entry(0), entry(1)] });
+    assert!(out.contains(&Action::Remove { member: MemberId(2) }));
 }
 
 #[test]
 fn an_unsafe_write_that_may_have_run_fails_and_is_not_sent_again() {
-    let mut b = Bench::ready(settings(Effect::Unsafe));
+    let mut b = Bench::ready(settings(Idempotency::NotIdempotent));
     let (w, _) = b.ask(0, None);
     let out = b.outcome(w, 0, MemberId(0), Outcome::Reset);
     assert!(failed(&out, w) && sends(&out).is_empty());
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_write_that_never_ran_waits_for_the_new_primary() {
-    let mut b = Bench::ready(settings(Effect::Unsafe));
+    let mut b = Bench::ready(settings(Idempotency::NotIdempotent));
     let (w, _) = b.ask(0, None);
     let out = b.outcome(w, 0, MemberId(0), Outcome::ConnectFailed);
     assert!(sends(&out).is_empty() && !failed(&out, w) && !refused(&out, w));
@@ -127,7 +127,7 @@
 
 #[test]
 fn a_keyed_write_is_not_resent_after_its_window() {
-    let mut b = Bench::ready(settings(Effect::KeyedInGroup(100 * MS)));
+    let mut b = Bench::ready(settings(Idempotency::DeduplicatedInGroup(100 * MS)));
     let (w, _) = b.ask(0, None);
     b.now += 150 * MS;
     let out = b.outcome(w, 0, MemberId(0), Outcome::Reset);
@@ -137,23 +137,24 @@
 }
 
 /// Within which time each attempt has to begin.
-fn within(actions: &[Action]) -> Vec<i64> {
-    let pick = |a: &Action| if let Action::Send { within, .. } = a { Some(*within) } else { None };
+fn start_timeout(actions: &[Action]) -> Vec<i64> {
+    let pick =
+        |a: &Action| if let Action::Send { start_timeout, .. } = a { Some(*start_timeout) } else { None };
     actions.iter().filter_map(pick).collect()
 }
 
 #[test]
 fn a_repeat_begins_before_its_window_ends_or_not_at_all() {
-    let mut b = Bench::ready(settings(Effect::KeyedInGroup(100 * MS)));
+    let mut b = Bench::ready(settings(Idempotency::DeduplicatedInGroup(100 * MS)));
     let (w, out) = b.ask(0, None);
-    assert_eq!(within(&out), [1200 * MS], "a first attempt has the time of its client");
+    assert_eq!(start_timeout(&out), [1200 * MS], "a first attempt has the time of its client");
     b.now += 60 * MS;
     let again = b.outcome(w, 0, MemberId(0), Outcome::Reset);
     // The window less what it is to take from the decision to the last byte.
-    assert_eq!((sends(&again), within(&again)), (vec![(w, MemberId(0))], vec![35 * MS]));
+    assert_eq!((sends(&again), start_timeout(&again)), (vec![(w, MemberId(0))], vec![35 * MS]));
     // Its connection came up too late: it never ran, and nothing is left of the window.
     b.now += 35 * MS;
-    let out = b.outcome(w, 1, MemberId(0), Outcome::Moot);
+    let out = b.outcome(w, 1, MemberId(0), Outcome::NeverSent);
     assert!(sends(&out).is_empty() && failed(&out, w));
 }
 
@@ -164,16 +165,16 @@
     let (r, out) = b.ask(3, None);
     let first = sends(&out)[0].1;
     assert_ne!(first, MemberId(0));
-    assert_eq!(within(&out), [50 * MS]);
+    assert_eq!(start_timeout(&out), [50 * MS]);
     // Its connection came up too late. The other replica is no fresher; the primary always is.
     b.now += 60 * MS;
-    let out = b.outcome(r, 0, first, Outcome::Moot);
-    assert_eq!((sends(&out), within(&out)), (vec![(r, MemberId(0))], vec![340 * MS]));
+    let out = b.outcome(r, 0, first, Outcome::NeverSent);
+    assert_eq!((sends(&out), start_timeout(&out)), (vec![(r, MemberId(0))], vec![340 * MS]));
     // Members that look for themselves need no such bound.
-    let checking = Settings { when_behind: WhenBehind::Bounces, ..settings(KEYED) };
+    let checking = Settings { lagging_replica: LaggingReplica::Rejects, ..settings(KEYED) };
     let mut b = Bench::behind(checking, [250, 250]);
     let (_, out) = b.ask(3, None);
-    assert_eq!(within(&out), [400 * MS]);
+    assert_eq!(start_timeout(&out), [400 * MS]);
 }
 
 #[test]
@@ -185,7 +186,7 @@
         let out = b.wait(10);
         answers += out
             .iter()
-            .filter(|a| matches!(a, Action::Refuse { request, come_back: Some(_) } if *request == r))
+            .filter(|a| matches!(a, Action::Reject { request, retry_after: Some(_) } if *request == r))
             .count();
     }
     assert_eq!(answers, 1);
@@ -200,7 +201,7 @@
     assert!(again.len() == 1 && again[0].1 != bad);
     assert!((0..3).all(|_| sends(&b.ask(4, None).1).iter().all(|s| s.1 != bad)));
     b.now += 2000 * MS;
-    assert!(b.event(Event::Timer).contains(&Action::Probe { member: bad }));
+    assert!(b.event(Event::TimerExpired).contains(&Action::Probe { member: bad }));
 }
 
 #[test]
@@ -209,14 +210,18 @@
     let (r, out) = b.ask(4, None);
     let bad = sends(&out)[0].1;
     while sends(&b.ask(4, None).1)[0].1 != bad {}
-    assert_eq!(b.router.avoided(), 0);
+    assert_eq!(b.router.unavailable_member_count(), 0);
     b.outcome(r, 0, bad, Outcome::ConnectFailed);
-    assert_eq!(b.router.avoided(), 1, "what is under way there changes nothing: it gets nothing");
+    assert_eq!(
+        b.router.unavailable_member_count(),
+        1,
+        "what is under way there changes nothing: it gets nothing"
+    );
     b.now += 3000 * MS;
-    assert_eq!(b.router.avoided(), 1, "nobody has asked it yet: it gets nothing");
-    b.event(Event::Timer);
+    assert_eq!(b.router.unavailable_member_count(), 1, "nobody has asked it yet: it gets nothing");
+    b.event(Event::TimerExpired);
     b.probed(bad.0, false, 0);
-    assert_eq!(b.router.avoided(), 0);
+    assert_eq!(b.router.unavailable_member_count(), 0);
 }
 
 #[test]
@@ -271,8 +276,8 @@
                     out.extend(b.outcome(request, 1, member, Outcome::Ok));
                 }
                 Action::Probe { member } if member != MemberId(0) => {
-                    let (outcome, report) = (Outcome::ConnectFailed, Report::default());
-                    out.extend(b.event(Event::Probed { member, outcome, report }));
+                    let (outcome, report) = (Outcome::ConnectFailed, MemberReport::default());
+                    out.extend(b.event(Event::ProbeEnded { member, outcome, report }));
                 }
                 Action::Probe { .. } => out.extend(b.probed(0, true, 0)),
                 _ => {}
@@ -280,7 +285,7 @@
         }
     }
     b.now += 3000 * MS;
-    b.event(Event::Timer);
+    b.event(Event::TimerExpired);
     b.probed(1, false, 0);
     b.probed(2, false, 0);
     let mut to_replicas = 0;
@@ -298,8 +303,8 @@
 fn a_member_that_was_cut_off_serves_as_before_once_it_answers() {
     let mut b = Bench::ready(settings(KEYED));
     let fail = |b: &mut Bench, id| {
-        let (outcome, report) = (Outcome::ConnectFailed, Report::default());
-        b.event(Event::Probed { member: MemberId(id), outcome, report });
+        let (outcome, report) = (Outcome::ConnectFailed, MemberReport::default());
+        b.event(Event::ProbeEnded { member: MemberId(id), outcome, report });
     };
     for _ in 0..4 {
         // Connections that never come up: nothing refuses them.
@@ -323,11 +328,11 @@
 #[test]
 fn a_replica_whose_first_probe_brought_no_report_is_asked_again() {
     let mut b = Bench::new(settings(KEYED));
-    b.event(Event::Members { complete: true, entries: (0..3).map(entry).collect() });
+    b.event(Event::MemberListChanged { complete: true, entries: (0..3).map(entry).collect() });
     b.probed(0, true, 0);
     b.probed(1, false, 0);
-    let (member, report) = (MemberId(2), Report::default());
-    b.event(Event::Probed { member, outcome: Outcome::Ok, report });
+    let (member, report) = (MemberId(2), MemberReport::default());
+    b.event(Event::ProbeEnded { member, outcome: Outcome::Ok, report });
     b.now += 1000 * MS;
     assert!(b.ask(4, None).1.contains(&Action::Probe { member }));
 }
@@ -336,23 +341,23 @@
 fn a_primary_that_just_started_is_not_pushed_over_by_few_busy_drivers() {
     let mut b = Bench::ready(settings(KEYED));
     let mut e = entry(0);
-    e.started = Some(Time(b.now));
-    b.event(Event::Members { complete: false, entries: vec![e] });
+    e.started_at = Some(Time(b.now));
+    b.event(Event::MemberListChanged { complete: false, entries: vec![e] });
     b.probed(0, true, 0);
     let mut sent = 0;
     for _ in 0..400 {
         b.now += 5 * MS;
         let (id, out) = b.ask(0, None);
-        for (r, m) in sends(&out).into_iter().chain(sends(&b.event(Event::Timer))) {
+        for (r, m) in sends(&out).into_iter().chain(sends(&b.event(Event::TimerExpired))) {
             assert_eq!(m, MemberId(0));
             sent += 1;
             b.outcome(r, 0, m, Outcome::Ok);
         }
-        b.event(Event::ClientLeft { request: id });
+        b.event(Event::ClientDisconnected { request: id });
     }
     // 400 writes in the tip time, and all that the warm primary could do came from this driver.
     let s = settings(KEYED);
-    let budget = s.overload_factor * s.cold_from * 400.0;
+    let budget = s.overload_factor * s.slow_start_initial_share * 400.0;
     assert!(sent > 0 && (sent as f64) < budget * 0.75, "{sent} sent, {budget} push it over");
 }
 
@@ -360,14 +365,14 @@
 fn hundreds_of_drivers_with_a_backlog_do_not_push_over_a_cold_primary() {
     // A warm primary does 100 writes a second; 300 are held when it comes back, and 100 a second go on.
     let mut s = settings(KEYED);
-    s.drivers = 500;
+    s.router_count = 500;
     let mut all: Vec<Bench> = (0..500)
         .map(|i| {
             let mut b = Bench::new(s.clone());
             b.router = Router::new(s.clone(), i);
             let mut entries: Vec<MemberEntry> = (0..3).map(entry).collect();
             entries[0].state = MemberState::Draining;
-            b.event(Event::Members { complete: true, entries });
+            b.event(Event::MemberListChanged { complete: true, entries });
             (1..3).for_each(|m| _ = b.probed(m, false, 0));
             b
         })
@@ -376,29 +381,31 @@
     for b in &mut all[..300] {
         // Nobody is primary yet: each write goes round the replicas once and is held.
         let (id, mut out) = b.ask(0, None);
-        let note = Report { primary: Some(false), position: None };
+        let response_report = MemberReport { primary: Some(false), position: None };
         for attempt in 0..2 {
             let to = sends(&out);
             assert!(to.len() == 1 && to[0].1 != MemberId(0), "{to:?}");
-            out = b.noted(id, attempt, to[0].1, Outcome::Miss, note, None);
+            out = b.noted(id, attempt, to[0].1, Outcome::NotEligible, response_report, None);
         }
         assert!(sends(&out).is_empty());
     }
     for (i, b) in all.iter_mut().enumerate() {
         let mut e = entry(0);
-        e.started = Some(Time(b.now));
-        b.event(Event::Members { complete: false, entries: vec![e] });
+        e.started_at = Some(Time(b.now));
+        b.event(Event::MemberListChanged { complete: false, entries: vec![e] });
         sent += sends(&b.probed(0, true, 0)).len();
         b.now += 4 * MS * i as i64;
         if i % 5 < 2 {
             sent += sends(&b.ask(0, None).1).len();
         }
         b.now += (2000 - 4 * i as i64) * MS;
-        sent += sends(&b.event(Event::Timer)).len();
+        sent += sends(&b.event(Event::TimerExpired)).len();
     }
     // It warms meanwhile, as evenly as it may at the slowest: its present capacity counts.
-    let mean = s.cold_from + (1.0 - s.cold_from) * 0.5 * s.tip_time as f64 / s.cold_time as f64;
-    let budget = 0.9 * s.overload_factor * mean * 100.0 * s.tip_time as f64 / 1e6;
+    let mean = s.slow_start_initial_share
+        + (1.0 - s.slow_start_initial_share) * 0.5 * s.overload_duration as f64
+            / s.slow_start_duration as f64;
+    let budget = 0.9 * s.overload_factor * mean * 100.0 * s.overload_duration as f64 / 1e6;
     assert!(sent > 20 && (sent as f64) < budget, "{sent} sent, {budget} push it over");
 }
 
@@ -473,7 +480,7 @@
 #[test]
 fn a_read_without_proof_asks_two_replicas_at_most() {
     let mut b = Bench::new(settings(KEYED));
-    b.event(Event::Members { complete: true, entries: (0..6).map(entry).collect() });
+    b.event(Event::MemberListChanged { complete: true, entries: (0..6).map(entry).collect() });
     (0..6).for_each(|m| _ = b.probed(m, m == 0, 900));
     b.now += 5000 * MS;
     let (_, mut out) = b.ask(3, None);
@@ -483,7 +490,7 @@
         asked += members.len();
         b.now += 2 * MS;
         out = members.into_iter().flat_map(|m| b.probed(m.0, false, 900)).collect();
-        out.extend(b.event(Event::Timer));
+        out.extend(b.event(Event::TimerExpired));
     }
     assert_eq!(asked, 2);
 }
@@ -491,7 +498,7 @@
 #[test]
 fn a_search_for_the_primary_grows_rarer() {
     let mut b = Bench::new(settings(KEYED));
-    b.event(Event::Members { complete: true, entries: (0..3).map(entry).collect() });
+    b.event(Event::MemberListChanged { complete: true, entries: (0..3).map(entry).collect() });
     let mut asked = 0;
     for _ in 0..500 {
         // Somebody always waits; nobody is primary for five seconds.
@@ -507,7 +514,7 @@
 
 #[test]
 fn a_number_of_drivers_that_was_not_told_leaves_pools_bounded() {
-    let mut b = Bench::ready(Settings { drivers: 0, ..settings(KEYED) });
+    let mut b = Bench::ready(Settings { router_count: 0, ..settings(KEYED) });
     let sent: usize = (0..200).map(|_| sends(&b.ask(4, None).1).len()).sum();
     assert!((1..=32).contains(&sent), "{sent}");
 }
@@ -516,9 +523,9 @@
 fn a_cold_replica_does_not_stand_in_for_its_peers() {
     let mut b = Bench::ready(settings(KEYED));
     let (mut cold, mut other) = (entry(1), entry(2));
-    cold.started = Some(Time(b.now));
+    cold.started_at = Some(Time(b.now));
     other.state = MemberState::Draining;
-    b.event(Event::Members { complete: false, entries: vec![cold, other] });
+    b.event(Event::MemberListChanged { complete: false, entries: vec![cold, other] });
     let mut sent = 0;
     for _ in 0..200 {
         let (id, out) = b.ask(4, None);
@@ -526,7 +533,7 @@
             sent += usize::from(m == MemberId(1));
             b.outcome(r, 0, m, Outcome::Ok);
         }
-        b.event(Event::ClientLeft { request: id });
+        b.event(Event::ClientDisconnected { request: id });
     }
     // A fifth of its capacity, half of the threefold that pushes it over, half of that its own: 30 of 200 by the mean.
     assert!((1..=40).contains(&sent), "{sent} of 200");
@@ -537,7 +544,7 @@
     let mut b = Bench::ready(settings(KEYED));
     for member in [MemberId(1), MemberId(2)] {
         for outcome in [Outcome::Error, Outcome::TimedOut] {
-            b.event(Event::Probed { member, outcome, report: Report::default() });
+            b.event(Event::ProbeEnded { member, outcome, report: MemberReport::default() });
         }
     }
     assert_ne!(sends(&b.ask(4, None).1)[0].1, MemberId(0));
@@ -546,16 +553,16 @@
 #[test]
 fn a_write_finds_the_primary_itself_where_probes_fail() {
     let mut b = Bench::new(settings(KEYED));
-    b.event(Event::Members { complete: true, entries: (0..3).map(entry).collect() });
+    b.event(Event::MemberListChanged { complete: true, entries: (0..3).map(entry).collect() });
     for member in (0..3).map(MemberId) {
-        b.event(Event::Probed { member, outcome: Outcome::Error, report: Report::default() });
+        b.event(Event::ProbeEnded { member, outcome: Outcome::Error, report: MemberReport::default() });
     }
     let (id, out) = b.ask(0, None);
     let mut tried = sends(&out);
     for attempt in 0..2 {
         let m = tried[attempt as usize].1;
-        let note = Report { primary: Some(false), position: None };
-        tried.extend(sends(&b.noted(id, attempt, m, Outcome::Miss, note, None)));
+        let response_report = MemberReport { primary: Some(false), position: None };
+        tried.extend(sends(&b.noted(id, attempt, m, Outcome::NotEligible, response_report, None)));
     }
     tried.sort();
     assert_eq!(tried.iter().map(|s| s.1.0).collect::<Vec<_>>(), [0, 1, 2]);
@@ -564,7 +571,7 @@
 #[test]
 fn a_long_run_leaves_no_growth() {
     let mut s = settings(KEYED);
-    s.tokens = Tokens::Remembered;
+    s.session_commit_source = SessionCommitSource::RememberedByRouter;
     let mut b = Bench::ready(s);
     let size = |b: &mut Bench, base: u32| {
         for i in 0..6000u64 {
@@ -573,18 +580,19 @@
             b.next += 1;
             let session = Some(SessionId(b.next));
             let deadline = Time(b.now + 1200 * MS);
-            let r = Request { id, class: 0, tenant: 0, session, group, deadline, token: None };
-            for (r, m) in sends(&b.event(Event::Request(r))) {
-                let (note, at) = (Report { primary: Some(true), position: None }, Time(b.now));
-                b.noted(r, 0, m, Outcome::Ok, note, Some(at));
+            let r = Request { id, class: 0, tenant: 0, session, group, deadline, session_commit: None };
+            for (r, m) in sends(&b.event(Event::RequestArrived(r))) {
+                let (response_report, at) =
+                    (MemberReport { primary: Some(true), position: None }, Time(b.now));
+                b.noted(r, 0, m, Outcome::Ok, response_report, Some(at));
             }
             // Members come and go.
             let mut e = entry(base + (i / 2) as u32);
-            e.state = if i % 2 == 0 { MemberState::Ready } else { MemberState::Gone };
-            let (member, report) = (e.id, Report::default());
-            let out = b.event(Event::Members { complete: false, entries: vec![e] });
+            e.state = if i % 2 == 0 { MemberState::Ready } else { MemberState::Removed };
+            let (member, report) = (e.id, MemberReport::default());
+            let out = b.event(Event::MemberListChanged { complete: false, entries: vec![e] });
             if out.contains(&Action::Probe { member }) {
-                b.event(Event::Probed { member, outcome: Outcome::ConnectFailed, report });
+                b.event(Event::ProbeEnded { member, outcome: Outcome::ConnectFailed, report });
             }
         }
         format!("{:?}", b.router).len()
@@ -598,8 +606,8 @@
 fn share_at(age_ms: i64) -> f64 {
     let mut b = Bench::ready(settings(KEYED));
     let mut e = entry(0);
-    e.started = Some(Time(b.now - age_ms * MS));
-    b.event(Event::Members { complete: false, entries: vec![e] });
+    e.started_at = Some(Time(b.now - age_ms * MS));
+    b.event(Event::MemberListChanged { complete: false, entries: vec![e] });
     b.probed(0, true, 0);
     let mut sent = 0;
     for _ in 0..1000 {
@@ -608,7 +616,7 @@
             sent += 1;
             b.outcome(r, 0, m, Outcome::Ok);
         }
-        b.event(Event::ClientLeft { request: id });
+        b.event(Event::ClientDisconnected { request: id });
     }
     sent as f64 / 1000.0
 }
@@ -624,8 +632,9 @@
 
 /// Settings of members that check positions themselves, as the fleet's do, and a router that acts every millisecond.
 fn checked() -> Settings {
-    let mut s = settings(Effect::Unsafe);
-    (s.when_behind, s.round, s.drivers) = (WhenBehind::Waits(20 * MS), MS, 100);
+    let mut s = settings(Idempotency::NotIdempotent);
+    (s.lagging_replica, s.min_event_interval, s.router_count) =
+        (LaggingReplica::WaitsThenRejects(20 * MS), MS, 100);
     s
 }
 
@@ -634,7 +643,7 @@
     let mut b = Bench::new(checked());
     let mut entries: Vec<MemberEntry> = (0..3).map(entry).collect();
     entries[0].listed_primary = true;
-    b.event(Event::Members { complete: true, entries });
+    b.event(Event::MemberListChanged { complete: true, entries });
     b
 }
 
@@ -645,8 +654,8 @@
     let to = sends(&out);
     assert_eq!((to.len(), probes(&out).len()), (1, 0), "a hundred routers would ask sixty members each");
     assert_ne!(to[0].1, MemberId(0), "the listed primary is left to writes");
-    let note = Report { primary: Some(false), position: Some(Time(b.now)) };
-    b.noted(read, 0, to[0].1, Outcome::Ok, note, None);
+    let response_report = MemberReport { primary: Some(false), position: Some(Time(b.now)) };
+    b.noted(read, 0, to[0].1, Outcome::Ok, response_report, None);
     // What it learned counts: a session read whose commit is older goes there and nowhere else.
     assert_eq!(sends(&b.ask(2, Some(10)).1)[0].1, to[0].1);
     let (write, out) = b.ask(0, None);
@@ -657,11 +666,11 @@
 fn a_write_goes_round_the_members_once_and_then_waits() {
     let mut b = listed();
     let (id, mut out) = b.ask(0, None);
-    let note = Report { primary: Some(false), position: None };
+    let response_report = MemberReport { primary: Some(false), position: None };
     let mut asked = Vec::new();
     while let [(_, m)] = sends(&out)[..] {
         asked.push(m);
-        out = b.noted(id, asked.len() as u32 - 1, m, Outcome::Miss, note, None);
+        out = b.noted(id, asked.len() as u32 - 1, m, Outcome::NotEligible, response_report, None);
     }
     assert_eq!(asked[0], MemberId(0), "the listed one first");
     asked.sort_unstable();
@@ -683,8 +692,8 @@
 #[test]
 fn a_router_that_acts_every_millisecond_probes_no_more_often_than_reports_change() {
     let mut b = Bench::new(checked());
-    b.event(Event::Members { complete: true, entries: (0..3).map(entry).collect() });
-    let note = Report { primary: Some(false), position: None };
+    b.event(Event::MemberListChanged { complete: true, entries: (0..3).map(entry).collect() });
+    let response_report = MemberReport { primary: Some(false), position: None };
     let mut asked = 0;
     for _ in 0..1000 {
         b.now += MS;
@@ -696,10 +705,10 @@
                 out.extend(b.probed(m.0, false, 0));
             }
             let [(_, m)] = sends(&out)[..] else { break };
-            out = b.noted(id, attempt, m, Outcome::Miss, note, None);
+            out = b.noted(id, attempt, m, Outcome::NotEligible, response_report, None);
             attempt += 1;
         }
-        b.event(Event::ClientLeft { request: id });
+        b.event(Event::ClientDisconnected { request: id });
     }
     // At 0, 100, 300 and 700 ms, three members each; a hundred routers do the same.
     assert!((6..=12).contains(&asked), "{asked} probes of one router in a second");
@@ -707,8 +716,8 @@
 
 #[test]
 fn where_members_may_not_be_probed_a_read_that_bears_any_age_is_sent_all_the_same() {
-    let mut b = Bench::new(Settings { may_probe: false, ..settings(KEYED) });
-    b.event(Event::Members { complete: true, entries: (0..3).map(entry).collect() });
+    let mut b = Bench::new(Settings { probing_allowed: false, ..settings(KEYED) });
+    b.event(Event::MemberListChanged { complete: true, entries: (0..3).map(entry).collect() });
     // Nobody has said anything yet, and nobody may be asked.
     let (r, out) = b.ask(4, None);
     assert_eq!(sends(&out).iter().map(|(id, _)| *id).collect::<Vec<_>>(), [r]);
--- a/decision/tests/random.rs
+++ b/decision/tests/random.rs
@@ -10,7 +10,7 @@
     arrived: i64,
     deadline: i64,
     session: u64,
-    token: Option<i64>,
+    session_commit: Option<i64>,
     /// Member, send time, time-out, still out, may have run.
     attempts: Vec<(u32, i64, i64, bool, bool)>,
     answered: bool,
@@ -51,16 +51,19 @@
         let now = self.b.now;
         for a in actions {
             match a {
-                Action::Send { request, member, timeout, within } => {
-                    self.check_send(request.0, member.0, timeout, within);
+                Action::Send { request, member, timeout, start_timeout } => {
+                    self.check_send(request.0, member.0, timeout, start_timeout);
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let o = self.open.get_mut(&request.0).expect("a refused request is open");
                     assert!(!o.answered, "two final answers");
                     let may = o.attempts.iter().any(|a| a.4 || a.3);
-                    let effect = self.s.classes[o.class].effect;
-                    let fine = matches!(effect, Effect::Safe | Effect::KeyedEverywhere(_));
-                    assert!(fine || !may, "refused though it may have run: {effect:?}");
+                    let idempotency = self.s.classes[o.class].idempotency;
+                    let fine = matches!(
+                        idempotency,
+                        Idempotency::Idempotent | Idempotency::DeduplicatedEverywhere(_)
+                    );
+                    assert!(fine || !may, "refused though it may have run: {idempotency:?}");
                     o.answered = true;
                 }
                 Action::Fail { request } => {
@@ -69,15 +72,15 @@
                     o.answered = true;
                 }
                 Action::Probe { member } => {
-                    assert!(self.s.may_probe && self.ready.contains_key(&member.0));
+                    assert!(self.s.probing_allowed && self.ready.contains_key(&member.0));
                     self.probes.push(member.0);
                 }
-                Action::Timer { after } => {
+                Action::SetTimer { after } => {
                     assert!(after > 0);
                     self.timers += 1;
                 }
-                Action::Cancel { .. } => assert!(self.s.may_cancel),
-                Action::Forget { member } => {
+                Action::Cancel { .. } => assert!(self.s.cancel_allowed),
+                Action::Remove { member } => {
                     self.ready.remove(&member.0);
                 }
                 Action::Subscribe => {}
@@ -89,37 +92,39 @@
         );
     }
 
-    fn check_send(&mut self, id: u64, member: u32, timeout: i64, within: i64) {
+    fn check_send(&mut self, id: u64, member: u32, timeout: i64, start_timeout: i64) {
         let now = self.b.now;
         assert_eq!(self.ready.get(&member), Some(&true), "sent to a member that drains or is gone");
         let s = &self.s;
         let o = self.open.get_mut(&id).expect("a sent request is open");
         let class = &s.classes[o.class];
         assert!(!o.answered, "sent after the final answer");
-        assert!(within <= timeout, "it may begin after it is given up");
+        assert!(start_timeout <= timeout, "it may begin after it is given up");
         assert!(o.attempts.len() < s.max_attempts as usize, "too many attempts");
-        assert!(s.may_duplicate || o.attempts.iter().all(|a| !a.3), "two attempts out together");
+        assert!(s.hedging_allowed || o.attempts.iter().all(|a| !a.3), "two attempts out together");
         if let Some(first) = o.attempts.iter().filter(|a| a.4 || a.3).map(|a| a.1).min() {
-            match class.effect {
-                Effect::Safe => {}
-                Effect::KeyedInGroup(w) | Effect::KeyedEverywhere(w) => {
-                    assert!(now + within.max(1) < first + w, "a repeat may begin after its window");
+            match class.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::DeduplicatedInGroup(w) | Idempotency::DeduplicatedEverywhere(w) => {
+                    assert!(now + start_timeout.max(1) < first + w, "a repeat may begin after its window");
+                }
+                Idempotency::NotIdempotent | Idempotency::DeduplicatedInZone(_) => {
+                    panic!("an idempotency may happen twice")
                 }
-                Effect::Unsafe | Effect::KeyedInZone(_) => panic!("an effect may happen twice"),
             }
         }
-        if s.when_behind == WhenBehind::Answers && self.primary.get(&member) != Some(&true) {
+        if s.lagging_replica == LaggingReplica::AnswersStale && self.primary.get(&member) != Some(&true) {
             let need = match class.freshness {
-                Freshness::Fresh => Some(o.arrived),
+                Freshness::Latest => Some(o.arrived),
                 Freshness::Bounded(b) => Some(now - b),
-                Freshness::Session => o.token,
+                Freshness::Session => o.session_commit,
                 Freshness::Any | Freshness::Write => None,
             };
             let has = self.proven.get(&member).copied().unwrap_or(i64::MIN);
             assert!(need.is_none_or(|n| has >= n), "a stale read: {:?}", class.freshness);
             if let Freshness::Bounded(b) = class.freshness {
                 assert!(
-                    now + within <= has + b,
+                    now + start_timeout <= has + b,
                     "a read may begin after the proof of its freshness has run out"
                 );
             }
@@ -138,11 +143,11 @@
             let mut e = entry(id);
             e.state = match self.rng.u8(..8) {
                 0 => MemberState::Draining,
-                1 if !complete => MemberState::Gone,
+                1 if !complete => MemberState::Removed,
                 _ => MemberState::Ready,
             };
             if !self.ready.contains_key(&id) && e.state == MemberState::Ready && self.rng.bool() {
-                e.started = Some(Time(self.b.now));
+                e.started_at = Some(Time(self.b.now));
             }
             e.listed_primary = self.rng.u8(..5) == 0;
             e.zone = id % 3;
@@ -156,7 +161,7 @@
         for e in &entries {
             self.ready.insert(e.id.0, e.state == MemberState::Ready);
         }
-        let out = self.b.event(Event::Members { complete, entries });
+        let out = self.b.event(Event::MemberListChanged { complete, entries });
         self.take(out);
     }
 
@@ -166,9 +171,9 @@
         let left = if self.rng.u8(..20) == 0 { 0 } else { self.rng.i64(50..1200) * MS };
         let now = self.b.now;
         let carried = self.rng.bool().then(|| now - self.rng.i64(1..600) * MS);
-        let token = match self.s.tokens {
-            Tokens::Carried => carried,
-            Tokens::Remembered => self.commits.get(&session).copied(),
+        let session_commit = match self.s.session_commit_source {
+            SessionCommitSource::CarriedByRequest => carried,
+            SessionCommitSource::RememberedByRouter => self.commits.get(&session).copied(),
         };
         let id = self.b.next;
         self.b.next += 1;
@@ -177,7 +182,7 @@
             arrived: now,
             deadline: now + left,
             session,
-            token,
+            session_commit,
             attempts: vec![],
             answered: false,
         };
@@ -189,9 +194,11 @@
             session: Some(SessionId(session)),
             group: G,
             deadline: Time(now + left),
-            token: (self.s.tokens == Tokens::Carried).then_some(carried.map(Time)).flatten(),
+            session_commit: (self.s.session_commit_source == SessionCommitSource::CarriedByRequest)
+                .then_some(carried.map(Time))
+                .flatten(),
         };
-        let out = self.b.event(Event::Request(request));
+        let out = self.b.event(Event::RequestArrived(request));
         self.take(out);
     }
 
@@ -203,10 +210,11 @@
         o.attempts[i].4 = !outcome.never_ran();
         let ended = o.answered || outcome == Outcome::Ok;
         o.answered = ended;
-        let speaks = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Miss | Outcome::Full);
+        let speaks =
+            matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::NotEligible | Outcome::Rejected);
         let primary =
-            (write && outcome == Outcome::Ok) || (outcome != Outcome::Miss && self.rng.u8(..4) == 0);
-        let note = Report { primary: speaks.then_some(primary), position: None };
+            (write && outcome == Outcome::Ok) || (outcome != Outcome::NotEligible && self.rng.u8(..4) == 0);
+        let response_report = MemberReport { primary: speaks.then_some(primary), position: None };
         let commit = (write && outcome == Outcome::Ok).then_some(Time(now));
         if speaks {
             self.primary.insert(member, primary);
@@ -215,7 +223,7 @@
             self.proven.insert(member, now);
             self.commits.insert(self.open[&id].session, now);
         }
-        let out = self.b.noted(RequestId(id), i as u32, MemberId(member), outcome, note, commit);
+        let out = self.b.noted(RequestId(id), i as u32, MemberId(member), outcome, response_report, commit);
         self.take(out);
     }
 
@@ -234,7 +242,7 @@
             self.end_attempt(id, i, Outcome::TimedOut);
         }
         if std::mem::take(&mut self.timers) > 0 {
-            let out = self.b.event(Event::Timer);
+            let out = self.b.event(Event::TimerExpired);
             self.take(out);
         }
         match self.rng.u8(..20) {
@@ -251,9 +259,14 @@
                 if !out.is_empty() {
                     let (id, i) = out[self.rng.usize(..out.len())];
                     let all =
-                        [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::ConnectFailed];
-                    let more =
-                        [Outcome::Reset, Outcome::Cancelled, Outcome::Moot, Outcome::Miss, Outcome::Ok];
+                        [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed];
+                    let more = [
+                        Outcome::Reset,
+                        Outcome::Cancelled,
+                        Outcome::NeverSent,
+                        Outcome::NotEligible,
+                        Outcome::Ok,
+                    ];
                     let pick = self.rng.usize(..10);
                     let outcome = if pick < 5 { all[pick] } else { more[pick - 5] };
                     self.end_attempt(id, i, outcome);
@@ -270,12 +283,12 @@
                     if primary {
                         self.primary.insert(member, true);
                     }
-                    Report { primary: Some(primary), position: Some(Time(at)) }
+                    MemberReport { primary: Some(primary), position: Some(Time(at)) }
                 } else {
-                    Report::default()
+                    MemberReport::default()
                 };
                 let outcome = if ok { Outcome::Ok } else { Outcome::TimedOut };
-                let out = self.b.event(Event::Probed { member: MemberId(member), outcome, report });
+                let out = self.b.event(Event::ProbeEnded { member: MemberId(member), outcome, report });
                 self.take(out);
             }
             _ => {
@@ -286,7 +299,7 @@
                     if let Some(o) = self.open.get_mut(&id) {
                         o.answered = true;
                     }
-                    let out = self.b.event(Event::ClientLeft { request: RequestId(id) });
+                    let out = self.b.event(Event::ClientDisconnected { request: RequestId(id) });
                     self.take(out);
                 }
             }
@@ -298,20 +311,30 @@
 #[test]
 fn legal_random_events_keep_the_rules() {
     let effects = [
-        Effect::Safe,
-        Effect::Unsafe,
-        Effect::KeyedInGroup(300 * MS),
-        Effect::KeyedEverywhere(300 * MS),
-        Effect::KeyedInZone(300 * MS),
+        Idempotency::Idempotent,
+        Idempotency::NotIdempotent,
+        Idempotency::DeduplicatedInGroup(300 * MS),
+        Idempotency::DeduplicatedEverywhere(300 * MS),
+        Idempotency::DeduplicatedInZone(300 * MS),
     ];
     let mut sent = 0;
-    for effect in effects {
-        for when_behind in [WhenBehind::Answers, WhenBehind::Bounces, WhenBehind::Waits(50 * MS)] {
-            for tokens in [Tokens::Carried, Tokens::Remembered] {
-                for may_duplicate in [false, true] {
+    for idempotency in effects {
+        for lagging_replica in
+            [LaggingReplica::AnswersStale, LaggingReplica::Rejects, LaggingReplica::WaitsThenRejects(50 * MS)]
+        {
+            for session_commit_source in
+                [SessionCommitSource::CarriedByRequest, SessionCommitSource::RememberedByRouter]
+            {
+                for hedging_allowed in [false, true] {
                     // Few drivers, many, and a number that was not told.
-                    let drivers = [3, 500, 0][sent as usize % 3];
-                    let s = Settings { when_behind, tokens, may_duplicate, drivers, ..settings(effect) };
+                    let router_count = [3, 500, 0][sent as usize % 3];
+                    let s = Settings {
+                        lagging_replica,
+                        session_commit_source,
+                        hedging_allowed,
+                        router_count,
+                        ..settings(idempotency)
+                    };
                     let mut w = World::new(s, 1 + sent);
                     w.list();
                     (0..600).for_each(|_| w.step());
@@ -326,7 +349,7 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut b = Bench::ready(settings(Effect::Unsafe));
+        let mut b = Bench::ready(settings(Idempotency::NotIdempotent));
         (0..50).map(|i| b.ask(i % 5, Some(100)).1).collect::<Vec<_>>()
     };
     assert_eq!(run(), run());
--- a/decision/tests/recorded_runs.rs
+++ b/decision/tests/recorded_runs.rs
@@ -40,7 +40,7 @@
     primary: bool,
     lag: i64,
     health: Health,
-    started: Option<Time>,
+    started_at: Option<Time>,
 }
 
 /// An attempt or a probe that has not ended yet.
@@ -72,51 +72,61 @@
 fn draw_settings(rng: &mut fastrand::Rng) -> Settings {
     let freshness = [
         Freshness::Write,
-        Freshness::Fresh,
+        Freshness::Latest,
         Freshness::Session,
         Freshness::Bounded(300 * MS),
         Freshness::Any,
     ];
     let effects = [
-        Effect::Safe,
-        Effect::Unsafe,
-        Effect::KeyedInGroup(400 * MS),
-        Effect::KeyedEverywhere(700 * MS),
-        Effect::KeyedInZone(500 * MS),
+        Idempotency::Idempotent,
+        Idempotency::NotIdempotent,
+        Idempotency::DeduplicatedInGroup(400 * MS),
+        Idempotency::DeduplicatedEverywhere(700 * MS),
+        Idempotency::DeduplicatedInZone(500 * MS),
     ];
     let classes = (0..7)
         .map(|n| Class {
             freshness: freshness[n % freshness.len()],
-            effect: draw(rng, &effects),
-            aim: rng.i64(60..500) * MS,
+            idempotency: draw(rng, &effects),
+            latency_objective: rng.i64(60..500) * MS,
             deadline: rng.i64(500..2000) * MS,
-            worth: f64::from(rng.u32(1..9)),
-            late_worth: f64::from(rng.u32(0..4)) / 4.0,
+            priority_weight: f64::from(rng.u32(1..9)),
+            late_weight_share: f64::from(rng.u32(0..4)) / 4.0,
         })
         .collect();
     Settings {
         classes,
         tenant_rates: vec![],
-        over_share_worth: 1.0,
-        drivers: draw(rng, &[0, 1, 3, 8, 300]),
+        over_quota_weight: 1.0,
+        router_count: draw(rng, &[0, 1, 3, 8, 300]),
         zone: rng.u32(..3),
-        round: draw(rng, &[0, 1, 5, 10]) * MS,
-        when_behind: draw(rng, &[WhenBehind::Answers, WhenBehind::Bounces, WhenBehind::Waits(20 * MS)]),
-        tokens: draw(rng, &[Tokens::Carried, Tokens::Remembered]),
-        may_duplicate: rng.bool(),
+        min_event_interval: draw(rng, &[0, 1, 5, 10]) * MS,
+        lagging_replica: draw(
+            rng,
+            &[
+                LaggingReplica::AnswersStale,
+                LaggingReplica::Rejects,
+                LaggingReplica::WaitsThenRejects(20 * MS),
+            ],
+        ),
+        session_commit_source: draw(
+            rng,
+            &[SessionCommitSource::CarriedByRequest, SessionCommitSource::RememberedByRouter],
+        ),
+        hedging_allowed: rng.bool(),
         max_attempts: rng.u32(1..7),
-        may_cancel: rng.bool(),
-        may_probe: rng.u8(..6) > 0,
-        probe_price: 0.02,
-        max_come_back: rng.bool().then_some(200 * MS),
+        cancel_allowed: rng.bool(),
+        probing_allowed: rng.u8(..6) > 0,
+        probe_cost: 0.02,
+        max_retry_after: rng.bool().then_some(200 * MS),
         connect_timeout: draw(rng, &[100, 250]) * MS,
         drain_grace: 500 * MS,
-        only_draining_binds: rng.bool(),
-        cold_from: draw(rng, &[0.15, 0.3, 1.0]),
-        cold_time: draw(rng, &[0, 4_000, 18_000]) * MS,
+        missing_members_may_serve: rng.bool(),
+        slow_start_initial_share: draw(rng, &[0.15, 0.3, 1.0]),
+        slow_start_duration: draw(rng, &[0, 4_000, 18_000]) * MS,
         overload_factor: draw(rng, &[1.5, 2.5, 3.0]),
-        tip_time: draw(rng, &[500, 1000, 3000]) * MS,
-        list_on_request: rng.bool(),
+        overload_duration: draw(rng, &[500, 1000, 3000]) * MS,
+        list_requires_subscription: rng.bool(),
     }
 }
 
@@ -130,7 +140,7 @@
             primary: id == 0 || id == 5,
             lag: i64::from(id % 5) * 20 * MS,
             health: Health::Well,
-            started: None,
+            started_at: None,
         };
         World {
             router: Router::new(settings.clone(), seed),
@@ -164,7 +174,7 @@
         let line = event_text(&event);
         let mut actions = Vec::new();
         self.router.handle(Time(self.now), event, &mut actions);
-        let unavailable = self.router.avoided();
+        let unavailable = self.router.unavailable_member_count();
         writeln!(self.text, "{} {line} unavailable={unavailable}", self.now).expect("a string takes it");
         for action in actions {
             writeln!(self.text, "    {}", action_text(&action)).expect("a string takes it");
@@ -179,18 +189,18 @@
                 self.attempt(request, member, timeout);
             }
             Action::Cancel { .. } => self.count("cancels"),
-            Action::Refuse { .. } => self.count("rejects"),
+            Action::Reject { .. } => self.count("rejects"),
             Action::Fail { .. } => self.count("fails"),
             Action::Probe { member } => {
                 self.count("probes");
                 self.probe(member);
             }
-            Action::Timer { after } => {
+            Action::SetTimer { after } => {
                 self.count("timers");
                 self.timer = Some(self.now + after);
             }
             Action::Subscribe => self.count("subscriptions"),
-            Action::Forget { .. } => self.count("removals"),
+            Action::Remove { .. } => self.count("removals"),
         }
     }
 
@@ -199,14 +209,14 @@
     }
 
     /// What a member says of itself.
-    fn report(&mut self, id: MemberId) -> Report {
+    fn report(&mut self, id: MemberId) -> MemberReport {
         let (now, bare) = (self.now, self.rng.u8(..12) == 0);
         match self.server(id) {
-            Some(s) if !bare => Report {
+            Some(s) if !bare => MemberReport {
                 primary: Some(s.primary),
                 position: Some(Time(now - if s.primary { 0 } else { s.lag })),
             },
-            _ => Report::default(),
+            _ => MemberReport::default(),
         }
     }
 
@@ -216,11 +226,11 @@
         let (class, group, attempt) = (*class, *group, *attempts);
         self.requests.insert(request.0, (class, group, attempt + 1));
         let freshness = self.settings.classes[class].freshness;
-        let checks = self.settings.when_behind != WhenBehind::Answers;
+        let checks = self.settings.lagging_replica != LaggingReplica::AnswersStale;
         let (health, primary, lag) =
             self.server(member).map_or((Health::Unreachable, false, 0), |s| (s.health, s.primary, s.lag));
         let stale = match freshness {
-            Freshness::Write | Freshness::Fresh => !primary,
+            Freshness::Write | Freshness::Latest => !primary,
             Freshness::Bounded(bound) => checks && !primary && lag > bound,
             Freshness::Session => checks && !primary && lag > 100 * MS,
             Freshness::Any => false,
@@ -233,26 +243,37 @@
             Health::RefusesConnections => (MS, Outcome::ConnectFailed),
             Health::Unreachable => (self.settings.connect_timeout, Outcome::ConnectFailed),
             Health::Errs => (quick, Outcome::Error),
-            Health::Full => (quick, Outcome::Full),
-            Health::Well | Health::Slow if stale => (quick, Outcome::Miss),
+            Health::Full => (quick, Outcome::Rejected),
+            Health::Well | Health::Slow if stale => (quick, Outcome::NotEligible),
             Health::Slow => (self.rng.i64(50..600) * MS, Outcome::Ok),
             Health::Well => match self.rng.u8(..60) {
                 0 => (quick, Outcome::Reset),
                 1 => (quick, Outcome::Cancelled),
-                2 => (quick, Outcome::Moot),
+                2 => (quick, Outcome::NeverSent),
                 3 => (quick, Outcome::Error),
-                4 => (quick, Outcome::Full),
+                4 => (quick, Outcome::Rejected),
                 _ => (quick, Outcome::Ok),
             },
         };
         let (after, outcome) = if after < timeout { (after, outcome) } else { (timeout, Outcome::TimedOut) };
-        let speaks = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Miss);
-        let note = if speaks { self.report(member) } else { Report::default() };
-        let report = if speaks && self.rng.u8(..4) == 0 { self.report(member) } else { Report::default() };
+        let speaks =
+            matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected | Outcome::NotEligible);
+        let response_report = if speaks { self.report(member) } else { MemberReport::default() };
+        let load_report =
+            if speaks && self.rng.u8(..4) == 0 { self.report(member) } else { MemberReport::default() };
         let ok = outcome == Outcome::Ok;
         let commit = (ok && freshness == Freshness::Write).then_some(Time(self.now + after));
-        let ended = ok || outcome == Outcome::Error && self.rng.u8(..20) == 0;
-        let event = Event::Outcome { request, attempt, member, outcome, ended, note, commit, report };
+        let request_ended = ok || outcome == Outcome::Error && self.rng.u8(..20) == 0;
+        let event = Event::AttemptEnded {
+            request,
+            attempt,
+            member,
+            outcome,
+            request_ended,
+            response_report,
+            commit,
+            load_report,
+        };
         self.pending.push(Pending { at: self.now + after, event });
     }
 
@@ -265,8 +286,9 @@
             Health::Errs if self.rng.bool() => (quick, Outcome::Error),
             _ => (quick, Outcome::Ok),
         };
-        let report = if outcome == Outcome::Ok { self.report(member) } else { Report::default() };
-        self.pending.push(Pending { at: self.now + after, event: Event::Probed { member, outcome, report } });
+        let report = if outcome == Outcome::Ok { self.report(member) } else { MemberReport::default() };
+        self.pending
+            .push(Pending { at: self.now + after, event: Event::ProbeEnded { member, outcome, report } });
     }
 
     /// Ends what is due, then lets one thing happen.
@@ -278,27 +300,27 @@
         }
         if self.timer.is_some_and(|at| at <= self.now) {
             self.timer = None;
-            self.handle(Event::Timer);
+            self.handle(Event::TimerExpired);
         }
         match self.rng.u8(..100) {
             0..2 => {
                 let complete = self.rng.bool();
                 self.list(complete);
             }
-            2 => self.handle(Event::ListFailed),
+            2 => self.handle(Event::ListUpdateFailed),
             3 => {
-                let drivers = draw(&mut self.rng, &[0, 1, 2, 8, 300]);
-                self.handle(Event::Drivers(drivers));
+                let router_count = draw(&mut self.rng, &[0, 1, 2, 8, 300]);
+                self.handle(Event::RouterCountChanged(router_count));
             }
             4..7 => self.change_health(),
             7 => self.fail_over(),
             8 => {
                 let request = self.some_request();
-                self.handle(Event::Streaming { request });
+                self.handle(Event::ResponseStarted { request });
             }
             9..11 => {
                 let request = self.some_request();
-                self.handle(Event::ClientLeft { request });
+                self.handle(Event::ClientDisconnected { request });
             }
             11 => self.stray(),
             12 => {
@@ -326,7 +348,7 @@
         let id = self.next_request;
         self.next_request += 1;
         self.requests.insert(id, (class, group, 0));
-        let token = self.rng.bool().then(|| Time(self.now - self.rng.i64(0..400) * MS));
+        let session_commit = self.rng.bool().then(|| Time(self.now - self.rng.i64(0..400) * MS));
         let request = Request {
             id: RequestId(id),
             class,
@@ -334,9 +356,10 @@
             session: (session > 0).then_some(SessionId(session)),
             group: GroupId(group),
             deadline: Time(self.now + left),
-            token: token.filter(|_| self.settings.tokens == Tokens::Carried),
+            session_commit: session_commit
+                .filter(|_| self.settings.session_commit_source == SessionCommitSource::CarriedByRequest),
         };
-        self.handle(Event::Request(request));
+        self.handle(Event::RequestArrived(request));
     }
 
     fn change_health(&mut self) {
@@ -353,7 +376,7 @@
         let server = &mut self.servers[at];
         if server.health == Health::RefusesConnections && to < 3 {
             // Its process comes back, and the list may say so.
-            server.started = Some(Time(self.now));
+            server.started_at = Some(Time(self.now));
         }
         server.health = if server.health == Health::Well && to < 3 { sick } else { Health::Well };
     }
@@ -370,14 +393,25 @@
     fn stray(&mut self) {
         let (request, member) = (self.some_request(), MemberId(self.rng.u32(..12)));
         let (attempt, report) = (self.rng.u32(..3), self.report(member));
-        let outcome =
-            draw(&mut self.rng, &[Outcome::Ok, Outcome::TimedOut, Outcome::Miss, Outcome::ConnectFailed]);
+        let outcome = draw(
+            &mut self.rng,
+            &[Outcome::Ok, Outcome::TimedOut, Outcome::NotEligible, Outcome::ConnectFailed],
+        );
         if self.rng.bool() {
-            self.handle(Event::Probed { member, outcome, report });
+            self.handle(Event::ProbeEnded { member, outcome, report });
         } else {
-            let (note, commit, report) = (report, None, Report::default());
-            let ended = outcome == Outcome::Ok;
-            self.handle(Event::Outcome { request, attempt, member, outcome, ended, note, commit, report });
+            let (response_report, commit, load_report) = (report, None, MemberReport::default());
+            let request_ended = outcome == Outcome::Ok;
+            self.handle(Event::AttemptEnded {
+                request,
+                attempt,
+                member,
+                outcome,
+                request_ended,
+                response_report,
+                commit,
+                load_report,
+            });
         }
     }
 
@@ -387,8 +421,8 @@
             let at = self.rng.usize(..self.servers.len());
             let id = 8 + self.rng.u32(..24);
             if self.servers.iter().all(|s| s.id != id) {
-                let started = Some(Time(self.now));
-                self.servers[at] = Server { id, health: Health::Well, started, ..self.servers[at] };
+                let started_at = Some(Time(self.now));
+                self.servers[at] = Server { id, health: Health::Well, started_at, ..self.servers[at] };
             }
         }
         let mut entries = Vec::new();
@@ -404,15 +438,15 @@
                 zone: server.id % 3,
                 state: match state {
                     0 => MemberState::Draining,
-                    1 if !complete => MemberState::Gone,
+                    1 if !complete => MemberState::Removed,
                     _ => MemberState::Ready,
                 },
                 listed_primary: server.primary != lie,
                 weight: [1.0, 1.0, 1.0, 2.5, 0.5, 0.0, f64::NAN][weight],
-                started: server.started,
+                started_at: server.started_at,
             });
         }
-        self.handle(Event::Members { complete, entries });
+        self.handle(Event::MemberListChanged { complete, entries });
     }
 }
 
@@ -426,17 +460,17 @@
     match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
-        Outcome::Full => "rejected",
+        Outcome::Rejected => "rejected",
         Outcome::TimedOut => "timed-out",
         Outcome::ConnectFailed => "connect-failed",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "never-sent",
-        Outcome::Miss => "not-eligible",
+        Outcome::NeverSent => "never-sent",
+        Outcome::NotEligible => "not-eligible",
     }
 }
 
-fn report_text(report: Report) -> String {
+fn report_text(report: MemberReport) -> String {
     let role = report.primary.map_or("-", |p| if p { "primary" } else { "replica" });
     format!("{role}/{}", optional(report.position))
 }
@@ -445,61 +479,70 @@
     let state = match entry.state {
         MemberState::Ready => "ready",
         MemberState::Draining => "draining",
-        MemberState::Gone => "removed",
+        MemberState::Removed => "removed",
     };
-    let MemberEntry { id, group, zone, listed_primary, weight, started, .. } = entry;
-    let (id, group, started) = (id.0, group.0, optional(*started));
-    format!(" [m{id} g{group} z{zone} {state} primary={listed_primary} weight={weight} start={started}]")
+    let MemberEntry { id, group, zone, listed_primary, weight, started_at, .. } = entry;
+    let (id, group, started_at) = (id.0, group.0, optional(*started_at));
+    format!(" [m{id} g{group} z{zone} {state} primary={listed_primary} weight={weight} start={started_at}]")
 }
 
 fn event_text(event: &Event) -> String {
     match event {
-        Event::Members { complete, entries } => {
+        Event::MemberListChanged { complete, entries } => {
             let entries: String = entries.iter().map(entry_text).collect();
             format!("member-list complete={complete}{entries}")
         }
-        Event::ListFailed => "list-update-failed".into(),
-        Event::Drivers(count) => format!("router-count {count}"),
-        Event::Request(r) => {
+        Event::ListUpdateFailed => "list-update-failed".into(),
+        Event::RouterCountChanged(count) => format!("router-count {count}"),
+        Event::RequestArrived(r) => {
             let session = r.session.map_or("-".into(), |s| s.0.to_string());
             let (id, class, group, deadline, commit) =
-                (r.id.0, r.class, r.group.0, r.deadline.0, optional(r.token));
+                (r.id.0, r.class, r.group.0, r.deadline.0, optional(r.session_commit));
             format!(
                 "request r{id} class={class} g{group} session={session} deadline={deadline} commit={commit}"
             )
         }
-        Event::Streaming { request } => format!("response-begun r{}", request.0),
-        Event::Outcome { request, attempt, member, outcome, ended, note, commit, report } => {
+        Event::ResponseStarted { request } => format!("response-begun r{}", request.0),
+        Event::AttemptEnded {
+            request,
+            attempt,
+            member,
+            outcome,
+            request_ended,
+            response_report,
+            commit,
+            load_report,
+        } => {
             let (outcome, commit) = (outcome_text(*outcome), optional(*commit));
-            let (note, report) = (report_text(*note), report_text(*report));
+            let (response, load) = (report_text(*response_report), report_text(*load_report));
             format!(
-                "attempt-ended r{}.{attempt} m{} {outcome} final={ended} response={note} commit={commit} load={report}",
+                "attempt-ended r{}.{attempt} m{} {outcome} final={request_ended} response={response} commit={commit} load={load}",
                 request.0, member.0
             )
         }
-        Event::Probed { member, outcome, report } => {
+        Event::ProbeEnded { member, outcome, report } => {
             format!("probe-ended m{} {} {}", member.0, outcome_text(*outcome), report_text(*report))
         }
-        Event::ClientLeft { request } => format!("client-disconnected r{}", request.0),
-        Event::Timer => "timer".into(),
+        Event::ClientDisconnected { request } => format!("client-disconnected r{}", request.0),
+        Event::TimerExpired => "timer".into(),
     }
 }
 
 fn action_text(action: &Action) -> String {
     match action {
-        Action::Send { request, member, timeout, within } => {
-            format!("send r{} m{} timeout={timeout} start={within}", request.0, member.0)
+        Action::Send { request, member, timeout, start_timeout } => {
+            format!("send r{} m{} timeout={timeout} start={start_timeout}", request.0, member.0)
         }
         Action::Cancel { request, attempt } => format!("cancel r{}.{attempt}", request.0),
-        Action::Refuse { request, come_back } => {
-            let after = come_back.map_or("-".into(), |after| after.to_string());
+        Action::Reject { request, retry_after } => {
+            let after = retry_after.map_or("-".into(), |after| after.to_string());
             format!("reject r{} retry-after={after}", request.0)
         }
         Action::Fail { request } => format!("fail r{}", request.0),
         Action::Probe { member } => format!("probe m{}", member.0),
-        Action::Timer { after } => format!("set-timer {after}"),
+        Action::SetTimer { after } => format!("set-timer {after}"),
         Action::Subscribe => "subscribe".into(),
-        Action::Forget { member } => format!("remove m{}", member.0),
+        Action::Remove { member } => format!("remove m{}", member.0),
     }
 }
 
--- a/decision/tests/scales.rs
+++ b/decision/tests/scales.rs
@@ -26,8 +26,8 @@
         Time(t.0 * self.times)
     }
 
-    fn report(&self, r: Report) -> Report {
-        Report { position: r.position.map(|t| self.time(t)), ..r }
+    fn report(&self, r: MemberReport) -> MemberReport {
+        MemberReport { position: r.position.map(|t| self.time(t)), ..r }
     }
 
     fn settings(&self, s: &Settings) -> Settings {
@@ -37,13 +37,13 @@
                 Freshness::Bounded(b) => Freshness::Bounded(b * k),
                 other => other,
             },
-            effect: match c.effect {
-                Effect::KeyedInGroup(w) => Effect::KeyedInGroup(w * k),
-                Effect::KeyedEverywhere(w) => Effect::KeyedEverywhere(w * k),
-                Effect::KeyedInZone(w) => Effect::KeyedInZone(w * k),
+            idempotency: match c.idempotency {
+                Idempotency::DeduplicatedInGroup(w) => Idempotency::DeduplicatedInGroup(w * k),
+                Idempotency::DeduplicatedEverywhere(w) => Idempotency::DeduplicatedEverywhere(w * k),
+                Idempotency::DeduplicatedInZone(w) => Idempotency::DeduplicatedInZone(w * k),
                 other => other,
             },
-            aim: c.aim * k,
+            latency_objective: c.latency_objective * k,
             deadline: c.deadline * k,
             ..c.clone()
         };
@@ -51,43 +51,61 @@
         Settings {
             classes: (0..s.classes.len()).map(|at| class(&s.classes[place(at)])).collect(),
             zone: self.zones[s.zone as usize],
-            round: s.round * k,
-            when_behind: match s.when_behind {
-                WhenBehind::Waits(w) => WhenBehind::Waits(w * k),
+            min_event_interval: s.min_event_interval * k,
+            lagging_replica: match s.lagging_replica {
+                LaggingReplica::WaitsThenRejects(w) => LaggingReplica::WaitsThenRejects(w * k),
                 other => other,
             },
-            max_come_back: s.max_come_back.map(|m| m * k),
+            max_retry_after: s.max_retry_after.map(|m| m * k),
             connect_timeout: s.connect_timeout * k,
             drain_grace: s.drain_grace * k,
-            cold_time: s.cold_time * k,
-            tip_time: s.tip_time * k,
+            slow_start_duration: s.slow_start_duration * k,
+            overload_duration: s.overload_duration * k,
             ..s.clone()
         }
     }
 
     fn event(&self, event: &Event) -> Event {
         match event.clone() {
-            Event::Members { complete, entries } => {
+            Event::MemberListChanged { complete, entries } => {
                 let entry = |e: MemberEntry| MemberEntry {
                     zone: self.zones[e.zone as usize],
-                    started: e.started.map(|t| self.time(t)),
+                    started_at: e.started_at.map(|t| self.time(t)),
                     ..e
                 };
-                Event::Members { complete, entries: entries.into_iter().map(entry).collect() }
+                Event::MemberListChanged { complete, entries: entries.into_iter().map(entry).collect() }
             }
-            Event::Request(r) => Event::Request(Request {
+            Event::RequestArrived(r) => Event::RequestArrived(Request {
                 class: self.classes[r.class],
                 deadline: self.time(r.deadline),
-                token: r.token.map(|t| self.time(t)),
+                session_commit: r.session_commit.map(|t| self.time(t)),
                 ..r
             }),
-            Event::Outcome { request, attempt, member, outcome, ended, note, commit, report } => {
-                let (note, report) = (self.report(note), self.report(report));
+            Event::AttemptEnded {
+                request,
+                attempt,
+                member,
+                outcome,
+                request_ended,
+                response_report,
+                commit,
+                load_report,
+            } => {
+                let (response_report, load_report) = (self.report(response_report), self.report(load_report));
                 let commit = commit.map(|t| self.time(t));
-                Event::Outcome { request, attempt, member, outcome, ended, note, commit, report }
+                Event::AttemptEnded {
+                    request,
+                    attempt,
+                    member,
+                    outcome,
+                    request_ended,
+                    response_report,
+                    commit,
+                    load_report,
+                }
             }
-            Event::Probed { member, outcome, report } => {
-                Event::Probed { member, outcome, report: self.report(report) }
+            Event::ProbeEnded { member, outcome, report } => {
+                Event::ProbeEnded { member, outcome, report: self.report(report) }
             }
             other => other,
         }
@@ -95,14 +113,14 @@
 
     fn action(&self, action: &Action) -> Action {
         match action.clone() {
-            Action::Send { request, member, timeout, within } => {
-                let (timeout, within) = (timeout * self.times, within * self.times);
-                Action::Send { request, member, timeout, within }
+            Action::Send { request, member, timeout, start_timeout } => {
+                let (timeout, start_timeout) = (timeout * self.times, start_timeout * self.times);
+                Action::Send { request, member, timeout, start_timeout }
             }
-            Action::Refuse { request, come_back } => {
-                Action::Refuse { request, come_back: come_back.map(|m| m * self.times) }
+            Action::Reject { request, retry_after } => {
+                Action::Reject { request, retry_after: retry_after.map(|m| m * self.times) }
             }
-            Action::Timer { after } => Action::Timer { after: after * self.times },
+            Action::SetTimer { after } => Action::SetTimer { after: after * self.times },
             other => other,
         }
     }
@@ -178,10 +196,10 @@
                     let done = self.now + self.rng.i64(2..30) * MS;
                     self.out.push((request.0, Out { class, member: member.0, attempt, done }));
                 }
-                Action::Refuse { .. } | Action::Fail { .. } => self.refusals += 1,
+                Action::Reject { .. } | Action::Fail { .. } => self.refusals += 1,
                 Action::Probe { member } => self.probes.push((member.0, self.now + self.rng.i64(1..20) * MS)),
-                Action::Timer { after } => self.timer = Some(self.now + after),
-                Action::Cancel { .. } | Action::Subscribe | Action::Forget { .. } => {}
+                Action::SetTimer { after } => self.timer = Some(self.now + after),
+                Action::Cancel { .. } | Action::Subscribe | Action::Remove { .. } => {}
             }
         }
     }
@@ -196,15 +214,15 @@
             state: if draining { MemberState::Draining } else { MemberState::Ready },
             listed_primary: id == PRIMARY,
             weight: f64::from(1 + id % 2),
-            started: cold.then_some(Time(self.now - 3000 * MS)),
+            started_at: cold.then_some(Time(self.now - 3000 * MS)),
         }
     }
 
     /// What an instance says of itself: a replica lags a little, now and then far.
-    fn said(&mut self, member: u32) -> Report {
+    fn said(&mut self, member: u32) -> MemberReport {
         let lag = if self.rng.u8(..6) == 0 { 700 } else { self.rng.i64(0..40) };
         let behind = if member == PRIMARY { 0 } else { lag * MS };
-        Report { primary: Some(member == PRIMARY), position: Some(Time(self.now - behind)) }
+        MemberReport { primary: Some(member == PRIMARY), position: Some(Time(self.now - behind)) }
     }
 
     fn step(&mut self) {
@@ -213,72 +231,77 @@
             let (member, _) = self.probes.swap_remove(at);
             let failed = self.rough && self.rng.u8(..10) == 0;
             let outcome = if failed { Outcome::ConnectFailed } else { Outcome::Ok };
-            let report = if failed { Report::default() } else { self.said(member) };
-            self.event(Event::Probed { member: MemberId(member), outcome, report });
+            let report = if failed { MemberReport::default() } else { self.said(member) };
+            self.event(Event::ProbeEnded { member: MemberId(member), outcome, report });
         }
         while let Some(at) = self.out.iter().position(|o| o.1.done <= self.now) {
             let (request, Out { class, member, attempt, .. }) = self.out.swap_remove(at);
             let write = self.settings.classes[class].freshness == Freshness::Write;
-            let rough =
-                [Outcome::Error, Outcome::Reset, Outcome::ConnectFailed, Outcome::TimedOut, Outcome::Full];
+            let rough = [
+                Outcome::Error,
+                Outcome::Reset,
+                Outcome::ConnectFailed,
+                Outcome::TimedOut,
+                Outcome::Rejected,
+            ];
             let outcome = match self.rng.u8(..16) {
-                _ if write && member != PRIMARY => Outcome::Miss,
-                0 if !write && member != PRIMARY => Outcome::Miss,
+                _ if write && member != PRIMARY => Outcome::NotEligible,
+                0 if !write && member != PRIMARY => Outcome::NotEligible,
                 1..4 if self.rough => rough[self.rng.usize(..rough.len())],
                 _ => Outcome::Ok,
             };
-            let note = self.said(member);
+            let response_report = self.said(member);
             let ok = outcome == Outcome::Ok;
             let commit = (ok && write).then_some(Time(self.now));
-            let (note, report) = match outcome {
-                Outcome::Ok | Outcome::Miss => (note, Report::default()),
-                _ => (Report::default(), Report::default()),
+            let (response_report, load_report) = match outcome {
+                Outcome::Ok | Outcome::NotEligible => (response_report, MemberReport::default()),
+                _ => (MemberReport::default(), MemberReport::default()),
             };
-            self.event(Event::Outcome {
+            self.event(Event::AttemptEnded {
                 request: RequestId(request),
                 attempt,
                 member: MemberId(member),
                 outcome,
-                ended: ok,
-                note,
+                request_ended: ok,
+                response_report,
                 commit,
-                report,
+                load_report,
             });
         }
         if self.timer.is_some_and(|at| at <= self.now) {
             self.timer = None;
-            self.event(Event::Timer);
+            self.event(Event::TimerExpired);
         }
         match self.rng.u8(..40) {
             0 => {
                 let (entries, complete) = ((0..5).map(|id| self.entry(id)).collect(), self.rng.bool());
-                self.event(Event::Members { complete, entries });
+                self.event(Event::MemberListChanged { complete, entries });
             }
             1 => {
                 let request = RequestId(self.rng.u64(..self.next.max(1)));
-                self.event(Event::ClientLeft { request });
+                self.event(Event::ClientDisconnected { request });
             }
             2 => {
-                let drivers = 1 + self.rng.u32(..4);
-                self.event(Event::Drivers(drivers));
+                let router_count = 1 + self.rng.u32(..4);
+                self.event(Event::RouterCountChanged(router_count));
             }
             _ => {
                 let class = self.rng.usize(..self.settings.classes.len());
                 let share = if self.rng.u8(..3) == 0 { 2 } else { 1 };
                 let deadline = Time(self.now + self.settings.classes[class].deadline / share);
-                let token = (self.rng.bool()).then_some(Time(self.now - self.rng.i64(0..300) * MS));
+                let session_commit = (self.rng.bool()).then_some(Time(self.now - self.rng.i64(0..300) * MS));
                 self.sent.insert(self.next, (class, 0));
                 let session = Some(SessionId(self.rng.u64(..20)));
                 let id = RequestId(self.next);
                 self.next += 1;
-                self.event(Event::Request(Request {
+                self.event(Event::RequestArrived(Request {
                     id,
                     class,
                     tenant: 0,
                     session,
                     group: G,
                     deadline,
-                    token,
+                    session_commit,
                 }));
             }
         }
@@ -291,51 +314,56 @@
         Freshness::Session,
         Freshness::Any,
         Freshness::Bounded(400 * MS),
-        Freshness::Fresh,
+        Freshness::Latest,
     ];
     let effects = [
-        Effect::Safe,
-        Effect::Unsafe,
-        Effect::KeyedInGroup(900 * MS),
-        Effect::KeyedEverywhere(1500 * MS),
-        Effect::KeyedInZone(700 * MS),
+        Idempotency::Idempotent,
+        Idempotency::NotIdempotent,
+        Idempotency::DeduplicatedInGroup(900 * MS),
+        Idempotency::DeduplicatedEverywhere(1500 * MS),
+        Idempotency::DeduplicatedInZone(700 * MS),
     ];
     let mut class = |n: usize| {
-        let aim = 80 * rng.i64(3..20) * MS;
+        let latency_objective = 80 * rng.i64(3..20) * MS;
         Class {
             freshness: fresh[n % fresh.len()],
-            effect: effects[rng.usize(..effects.len())],
-            aim,
-            deadline: 2 * aim,
-            worth: f64::from(rng.u32(1..9)),
-            late_worth: f64::from(rng.u32(0..4)) / 4.0,
+            idempotency: effects[rng.usize(..effects.len())],
+            latency_objective,
+            deadline: 2 * latency_objective,
+            priority_weight: f64::from(rng.u32(1..9)),
+            late_weight_share: f64::from(rng.u32(0..4)) / 4.0,
         }
     };
     let classes = (0..8).map(&mut class).collect();
-    let behind = [WhenBehind::Answers, WhenBehind::Bounces, WhenBehind::Waits(20 * MS)];
+    let behind =
+        [LaggingReplica::AnswersStale, LaggingReplica::Rejects, LaggingReplica::WaitsThenRejects(20 * MS)];
     Settings {
         classes,
         tenant_rates: vec![],
-        over_share_worth: 1.0,
-        drivers: 1 + rng.u32(..4),
+        over_quota_weight: 1.0,
+        router_count: 1 + rng.u32(..4),
         zone: rng.u32(..3),
-        round: 5 * MS,
-        when_behind: behind[rng.usize(..3)],
-        tokens: if rng.bool() { Tokens::Carried } else { Tokens::Remembered },
-        may_duplicate: false,
+        min_event_interval: 5 * MS,
+        lagging_replica: behind[rng.usize(..3)],
+        session_commit_source: if rng.bool() {
+            SessionCommitSource::CarriedByRequest
+        } else {
+            SessionCommitSource::RememberedByRouter
+        },
+        hedging_allowed: false,
         max_attempts: 1 + rng.u32(2..6),
-        may_cancel: true,
-        may_probe: true,
-        probe_price: 0.02,
-        max_come_back: rng.bool().then_some(1000 * MS),
+        cancel_allowed: true,
+        probing_allowed: true,
+        probe_cost: 0.02,
+        max_retry_after: rng.bool().then_some(1000 * MS),
         connect_timeout: 200 * MS,
         drain_grace: 500 * MS,
-        only_draining_binds: rng.bool(),
-        cold_from: 0.2,
-        cold_time: 16_000 * MS,
+        missing_members_may_serve: rng.bool(),
+        slow_start_initial_share: 0.2,
+        slow_start_duration: 16_000 * MS,
         overload_factor: 3.0,
-        tip_time: 2000 * MS,
-        list_on_request: rng.bool(),
+        overload_duration: 2000 * MS,
+        list_requires_subscription: rng.bool(),
     }
 }
 
@@ -348,7 +376,7 @@
         let other = other(&mut rng, &settings);
         let mut world = World::new(settings, other, seed, rough);
         let entries = (0..5).map(|id| world.entry(id)).collect();
-        world.event(Event::Members { complete: true, entries });
+        world.event(Event::MemberListChanged { complete: true, entries });
         (0..400).for_each(|_| world.step());
         all = (all.0 + world.sends, all.1 + world.refusals);
     }
