--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -1,6 +1,6 @@
 //! Hosts the routers of one process: reads a batch, feeds each event to its router, writes the actions.
 use decision::{
-    Action, Event, GroupId, MemberEntry, MemberId, MemberState, Micros, Outcome, Report, Request, RequestId,
+    Action, Event, GroupId, MemberEntry, MemberId, MemberState, Micros, Outcome, MemberReport, Request, RequestId,
     Router, SessionId, Time,
 };
 use serde_json::{Value, json};
@@ -103,13 +103,13 @@
     Ok(match code {
         0 => Outcome::Ok,
         1 => Outcome::Error,
-        2 => Outcome::Full,
+        2 => Outcome::Rejected,
         3 => Outcome::TimedOut,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
-        8 => Outcome::Miss,
+        7 => Outcome::NeverSent,
+        8 => Outcome::NotEligible,
         x => return Err(Error::value("ending", "0 to 8", x)),
     })
 }
@@ -146,7 +146,7 @@
 
     fn entry(&mut self, v: &Value) -> Result<MemberEntry, Error> {
         let state = match whole(v, "status")? {
-            0 => MemberState::Gone,
+            0 => MemberState::Removed,
             1 => MemberState::Ready,
             2 => MemberState::Draining,
             x => return Err(Error::value("status", "0, 1 or 2", x)),
@@ -159,13 +159,13 @@
             state,
             listed_primary: v.get("leads").and_then(Value::as_f64) == Some(1.0),
             weight: v.get("powerHint").and_then(Value::as_f64).unwrap_or(1.0),
-            started: started.map(|s| Time(micros(s))),
+            started_at: started.map(|s| Time(micros(s))),
         })
     }
 
-    fn report(&self, body: &Value) -> Report {
+    fn report(&self, body: &Value) -> MemberReport {
         let of = |name: &str| body.get("telemetry").and_then(|t| t.get(name)).and_then(Value::as_f64);
-        Report {
+        MemberReport {
             primary: of("x1").map(|x| x == 1.0),
             position: of("x0")
                 .filter(|s| s.abs() <= FARTHEST_S)
@@ -185,7 +185,7 @@
             "TARGETS" => {
                 let scope = whole(body, "scope")?;
                 if scope == 3 {
-                    return Ok(Some(Event::ListFailed));
+                    return Ok(Some(Event::ListUpdateFailed));
                 }
                 if scope > 3 {
                     return Err(Error::value("scope", "0 to 3", scope));
@@ -195,24 +195,24 @@
                     Error::value("slot", "a list that came before", format_args!("list {slot}"))
                 })?;
                 let entries = rows.iter().map(|r| self.entry(r)).collect::<Result<Vec<_>, _>>()?;
-                Event::Members { complete: scope != 1, entries }
+                Event::MemberListChanged { complete: scope != 1, entries }
             }
             "ACCEPT" => self.accept(now, body)?,
             "UNDER_WAY" => match self.request_ids.get(text(body, "req")?) {
-                Some(&request) => Event::Streaming { request },
+                Some(&request) => Event::ResponseStarted { request },
                 None => return Ok(None),
             },
             "OUTCOME" => return self.outcome(body),
             "CLIENT_LEFT" => match self.request_ids.get(text(body, "req")?) {
-                Some(&request) => Event::ClientLeft { request },
+                Some(&request) => Event::ClientDisconnected { request },
                 None => return Ok(None),
             },
-            "WAKE" => Event::Timer,
+            "WAKE" => Event::TimerExpired,
             "PING_RESULT" => {
                 let outcome = outcome(whole(body, "ending")?)?;
                 let report = self.report(body);
                 match self.member_ids.get(text(body, "member")?) {
-                    Some(&member) => Event::Probed { member, outcome, report },
+                    Some(&member) => Event::ProbeEnded { member, outcome, report },
                     None => return Ok(None),
                 }
             }
@@ -246,13 +246,13 @@
             session,
             group: GroupId(count(body, "cluster")?),
             deadline: Time(now.0 + moment(body, "expiresInMs")?),
-            token: (last_write > 0).then(|| Time(now.0 - last_write)),
+            session_commit: (last_write > 0).then(|| Time(now.0 - last_write)),
         };
         self.next_request += 1;
         let known = Known { name: name.to_string(), write, out: 0, ended: false };
         self.requests.insert(request.id, known);
         self.request_ids.insert(name.to_string(), request.id);
-        Ok(Event::Request(request))
+        Ok(Event::RequestArrived(request))
     }
 
     fn outcome(&mut self, body: &Value) -> Result<Option<Event>, Error> {
@@ -276,7 +276,7 @@
             _ => None,
         };
         let mut commit = None;
-        let mut note = Report { primary, position: at };
+        let mut note = MemberReport { primary, position: at };
         if let Some(k) = self.requests.get_mut(&request) {
             k.out = k.out.saturating_sub(1);
             k.ended |= ended || outcome == Outcome::Ok;
@@ -285,7 +285,7 @@
             }
         }
         self.drop_if_done(request);
-        Ok(Some(Event::Outcome { request, attempt, member, outcome, ended, note, commit, report }))
+        Ok(Some(Event::AttemptEnded { request, attempt, member, outcome, request_ended: ended, response_report: note, commit, load_report: report }))
     }
 
     fn ended(&mut self, body: &Value) -> Result<(), Error> {
@@ -327,7 +327,7 @@
             Action::Cancel { request, attempt } => {
                 json!({"RETRACT": {"driver": driver, "req": name(request)?, "attempt": attempt}})
             }
-            Action::Refuse { request, come_back } => {
+            Action::Reject { request, retry_after: come_back } => {
                 let line = json!({"SHED": {"driver": driver, "req": name(request)?,
                     "stayAwayMs": ms(come_back.unwrap_or(0))}});
                 self.finish(request);
@@ -341,11 +341,11 @@
             Action::Probe { member } => {
                 json!({"SOUND_OUT": {"driver": driver, "member": self.member_names.get(&member)?}})
             }
-            Action::Timer { after } => {
+            Action::SetTimer { after } => {
                 json!({"NOTIFY_ME": {"driver": driver, "spanMs": ms(after), "ref": 0}})
             }
             Action::Subscribe => json!({"LISTEN": {"driver": driver, "want": true}}),
-            Action::Forget { member } => {
+            Action::Remove { member } => {
                 if let Some(n) = self.member_names.remove(&member) {
                     self.member_ids.remove(&n);
                 }
--- a/lab/src/count.rs
+++ b/lab/src/count.rs
@@ -66,13 +66,13 @@
         }
         let second = second as u64;
         let [request, member, outcome, class] = fields.of(line);
-        if line.contains("event Request") {
+        if line.contains("event RequestArrived") {
             classes.insert(request, class);
             into.add(second, "requests");
-        } else if line.contains("event Outcome") {
+        } else if line.contains("event AttemptEnded") {
             into.add(second, format!("outcome {outcome}"));
-        } else if line.contains("event Probed") {
-            let said = if line.contains("report: Report { primary: None") { "no report" } else { "a report" };
+        } else if line.contains("event ProbeEnded") {
+            let said = if line.contains("report: MemberReport { primary: None") { "no report" } else { "a report" };
             let seen = format!("{outcome}, {said}");
             into.add(second, format!("probed {seen}"));
             looked.insert(member, seen);
@@ -82,8 +82,8 @@
         } else if line.contains("action Probe") {
             let before = looked.get(member).map_or("nothing", String::as_str);
             into.add(second, format!("probe after {before}"));
-        } else if line.contains("action Refuse") || line.contains("action Fail") {
-            let kind = if line.contains("action Refuse") { "refused" } else { "failed" };
+        } else if line.contains("action Reject") || line.contains("action Fail") {
+            let kind = if line.contains("action Reject") { "refused" } else { "failed" };
             let tried =
                 if attempts.get(request).is_some_and(|n| *n > 0) { "after attempts" } else { "never sent" };
             let class = classes.get(request).copied().unwrap_or("?");
@@ -129,13 +129,13 @@
     #[test]
     fn a_refusal_is_told_apart_by_whether_an_attempt_went_out() {
         let log = [
-            "0.10 event Request { id: RequestId(7), class: 2, .. }",
-            "0.20 event Request { id: RequestId(8), class: 1, .. }",
+            "0.10 event RequestArrived { id: RequestId(7), class: 2, .. }",
+            "0.20 event RequestArrived { id: RequestId(8), class: 1, .. }",
             "0.30 action Send { request: RequestId(7), member: MemberId(3) }",
             "0.40 link: None member=3",
-            "1.50 action Refuse { request: RequestId(7) }",
-            "1.60 action Refuse { request: RequestId(8) }",
-            "1.70 event Probed { member: MemberId(3), outcome: Reset, report: Report { primary: None } }",
+            "1.50 action Reject { request: RequestId(7) }",
+            "1.60 action Reject { request: RequestId(8) }",
+            "1.70 event ProbeEnded { member: MemberId(3), outcome: Reset, report: MemberReport { primary: None } }",
             "2.00 action Probe { member: MemberId(3) }",
             "a line of something else",
         ];
--- a/placement/src/machine.rs
+++ b/placement/src/machine.rs
@@ -247,7 +247,7 @@
             let due = Time(now.0 + self.settings.hold);
             for (_, m) in self.members.iter_mut().filter(|(n, m)| m.left.is_none() && !named.contains(&***n))
             {
-                (m.state, m.left) = (MemberState::Gone, Some(now));
+                (m.state, m.left) = (MemberState::Removed, Some(now));
                 self.due.insert(due);
                 touched.insert(m.group);
             }
@@ -263,7 +263,7 @@
 
     fn on_member(&mut self, now: Time, e: Member, touched: &mut BTreeSet<GroupId>) {
         let due = Time(now.0 + self.settings.hold);
-        let gone = e.state == MemberState::Gone;
+        let gone = e.state == MemberState::Removed;
         let Some(m) = self.members.get_mut(&e.name) else {
             if gone {
                 return;
--- a/placement/tests/machine.rs
+++ b/placement/tests/machine.rs
@@ -337,10 +337,10 @@
                     self.sites.insert(name.clone(), (site, Some(now)));
                 }
                 Some(_) => {}
-                None if e.state == MemberState::Gone => continue,
+                None if e.state == MemberState::Removed => continue,
                 None => _ = self.sites.insert(name.clone(), (site, None)),
             }
-            if e.state == MemberState::Gone {
+            if e.state == MemberState::Removed {
                 leave(self, &name);
             } else {
                 self.listed.insert(name, e.state);
@@ -389,7 +389,7 @@
                 }
                 Step::List(complete, entries) => {
                     let entry = |(m, s, state): (u8, u8, u8)| Member {
-                        state: [MemberState::Ready, MemberState::Ready, MemberState::Draining, MemberState::Gone][state as usize],
+                        state: [MemberState::Ready, MemberState::Ready, MemberState::Draining, MemberState::Removed][state as usize],
                         primary: m == s,
                         ..member(&format!("m{m}"), SITES[s as usize])
                     };
--- a/settings/src/operator.rs
+++ b/settings/src/operator.rs
@@ -3,7 +3,7 @@
 use crate::fields::{array, field, flag, number, text, whole};
 use crate::limits::Limits;
 use crate::start::changed;
-use decision::{Class, Effect, Freshness, Settings, Tokens, WhenBehind};
+use decision::{Class, Idempotency, Freshness, Settings, SessionCommitSource, LaggingReplica};
 use ipnet::IpNet;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -328,7 +328,7 @@
     let ms = |key: &str| positive(v, key).map(|x| (x * 1000.0) as i64);
     let freshness = match text(v, "freshness")? {
         "write" => Freshness::Write,
-        "fresh" => Freshness::Fresh,
+        "fresh" => Freshness::Latest,
         "session" => Freshness::Session,
         "bounded" => Freshness::Bounded(ms("bound_ms")?),
         "any" => Freshness::Any,
@@ -341,8 +341,8 @@
         }
     };
     let effect = match text(v, "effect")? {
-        "safe" => Effect::Safe,
-        "unsafe" => Effect::Unsafe,
+        "safe" => Idempotency::Idempotent,
+        "unsafe" => Idempotency::NotIdempotent,
         x => return Err(Error::value("effect", "safe or unsafe", format_args!("'{x}'"))),
     };
     let (aim, deadline) = (ms("aim_ms")?, ms("deadline_ms")?);
@@ -353,7 +353,7 @@
         ));
     }
     let (worth, late_worth) = (or(v, "worth", 1.0, positive)?, or(v, "late_worth", 0.5, number)?);
-    Ok((owned(v, "name")?, Class { freshness, effect, aim, deadline, worth, late_worth }))
+    Ok((owned(v, "name")?, Class { freshness, idempotency: effect, latency_objective: aim, deadline, priority_weight: worth, late_weight_share: late_worth }))
 }
 
 fn mysql(v: &Value) -> Result<(Mysql, Settings, Limits), Error> {
@@ -400,10 +400,10 @@
     let mut classes = each(v, "class", class)?;
     let deadline = (or(v, "deadline_ms", 2000.0, positive)? * 1000.0) as i64;
     let own =
-        |freshness, effect| Class { freshness, effect, aim: deadline, deadline, worth: 1.0, late_worth: 0.5 };
+        |freshness, effect| Class { freshness, idempotency: effect, latency_objective: deadline, deadline, priority_weight: 1.0, late_weight_share: 0.5 };
     let (unknown, prepare) = (classes.len(), classes.len() + 1);
-    classes.push(("unknown".into(), own(Freshness::Write, Effect::Unsafe)));
-    classes.push(("prepare".into(), own(Freshness::Any, Effect::Safe)));
+    classes.push(("unknown".into(), own(Freshness::Write, Idempotency::NotIdempotent)));
+    classes.push(("prepare".into(), own(Freshness::Any, Idempotency::Idempotent)));
     let group = or(v, "group", 0, whole)? as u32;
     let rule = |r: &Value| {
         only(r, &["starts", "class", "group"])?;
@@ -456,28 +456,28 @@
     let settings = Settings {
         classes: classes.into_iter().map(|(_, c)| c).collect(),
         tenant_rates: vec![],
-        over_share_worth: 1.0,
-        drivers: or(v, "routers", 1, whole)?.max(1) as u32,
+        over_quota_weight: 1.0,
+        router_count: or(v, "routers", 1, whole)?.max(1) as u32,
         zone: 0,
-        round: 5_000,
+        min_event_interval: 5_000,
         // Servers answer from what they have: a read goes only where proof says that it is fresh enough.
-        when_behind: WhenBehind::Answers,
+        lagging_replica: LaggingReplica::AnswersStale,
         // The front brings what a session must see: it may be known from elsewhere, or from before a restart.
-        tokens: Tokens::Carried,
-        may_duplicate: true,
+        session_commit_source: SessionCommitSource::CarriedByRequest,
+        hedging_allowed: true,
         max_attempts: 6,
-        may_cancel: true,
-        may_probe: true,
-        probe_price: 0.0,
-        max_come_back: Some(500_000),
+        cancel_allowed: true,
+        probing_allowed: true,
+        probe_cost: 0.0,
+        max_retry_after: Some(500_000),
         connect_timeout: connect.as_micros() as i64,
         drain_grace: 250_000,
-        only_draining_binds: false,
-        cold_from: 0.25,
-        cold_time: 15_000_000,
+        missing_members_may_serve: false,
+        slow_start_initial_share: 0.25,
+        slow_start_duration: 15_000_000,
         overload_factor: 2.5,
-        tip_time: 1_000_000,
-        list_on_request: false,
+        overload_duration: 1_000_000,
+        list_requires_subscription: false,
     };
     Ok((mysql, settings, limits))
 }
@@ -701,7 +701,7 @@
         }
     };
     let (mysql, settings, limits) = mysql(field(&v, "mysql")?).map_err(|e| e.at("mysql"))?;
-    let members = v.get("members").map(|m| crate::members::read(m, settings.drivers));
+    let members = v.get("members").map(|m| crate::members::read(m, settings.router_count));
     let members = members.transpose().map_err(|e| Error::from(e).at("members"))?;
     let record = |r: &Value| {
         only(r, &["file", "capacity_mb"])?;
--- a/settings/src/platform.rs
+++ b/settings/src/platform.rs
@@ -1,7 +1,7 @@
 //! Reads the settings object of a start message. Keys that are not named here are skipped.
 use crate::error::Error;
 use crate::fields::{amount, array, count, field, flag, moment, span, text};
-use decision::{Class, Effect, Freshness, Micros, Settings, Tokens, WhenBehind};
+use decision::{Class, Idempotency, Freshness, Micros, Settings, SessionCommitSource, LaggingReplica};
 use serde_json::{Value, json};
 
 /// What the adapter itself needs to translate notes and reports.
@@ -29,12 +29,12 @@
 fn class(c: &Value, need: &Value, bounds: &Value, at: usize) -> Result<Class, Error> {
     let window = || span(c, "repeatWindowMs");
     let effect = match text(c, "semantics")? {
-        "read_like" => Effect::Safe,
-        "non_idempotent" => Effect::Unsafe,
+        "read_like" => Idempotency::Idempotent,
+        "non_idempotent" => Idempotency::NotIdempotent,
         "idempotency_key" => match text(c, "group")? {
-            "cell" => Effect::KeyedInGroup(window()?),
-            "all" => Effect::KeyedEverywhere(window()?),
-            "zone" => Effect::KeyedInZone(window()?),
+            "cell" => Idempotency::DeduplicatedInGroup(window()?),
+            "all" => Idempotency::DeduplicatedEverywhere(window()?),
+            "zone" => Idempotency::DeduplicatedInZone(window()?),
             x => return Err(Error::value("group", "cell, all or zone", format_args!("'{x}'"))),
         },
         x => {
@@ -44,7 +44,7 @@
     };
     let freshness = match need.as_str() {
         Some("mutate") => Freshness::Write,
-        Some("strong") => Freshness::Fresh,
+        Some("strong") => Freshness::Latest,
         Some("causal") => Freshness::Session,
         Some("eventual") => Freshness::Any,
         Some("lag_bound") => Freshness::Bounded(age(bounds, at)?),
@@ -52,11 +52,11 @@
     };
     Ok(Class {
         freshness,
-        effect,
-        aim: span(c, "objectiveMs")?,
+        idempotency: effect,
+        latency_objective: span(c, "objectiveMs")?,
         deadline: span(c, "deadlineMs")?,
-        worth: amount(c, "worth")?,
-        late_worth: amount(c, "lateWorth")?,
+        priority_weight: amount(c, "worth")?,
+        late_weight_share: amount(c, "lateWorth")?,
     })
 }
 
@@ -82,9 +82,9 @@
         .map(|(i, (c, need))| class(c, need, bounds, i).map_err(|e| e.at(format!("classes[{i}]"))))
         .collect::<Result<Vec<_>, _>>()?;
     let when_behind = match text(extra, "whenBehind").map_err(under("extra"))? {
-        "silent" => WhenBehind::Answers,
-        "bounce" => WhenBehind::Bounces,
-        "await" => WhenBehind::Waits(span(extra, "patienceMs").map_err(under("extra"))?),
+        "silent" => LaggingReplica::AnswersStale,
+        "bounce" => LaggingReplica::Rejects,
+        "await" => LaggingReplica::WaitsThenRejects(span(extra, "patienceMs").map_err(under("extra"))?),
         x => {
             return Err(
                 Error::value("whenBehind", "silent, bounce or await", format_args!("'{x}'")).at("extra")
@@ -92,8 +92,8 @@
         }
     };
     let tokens = match text(extra, "writeMarks").map_err(under("extra"))? {
-        "brought" => Tokens::Carried,
-        "kept" => Tokens::Remembered,
+        "brought" => SessionCommitSource::CarriedByRequest,
+        "kept" => SessionCommitSource::RememberedByRouter,
         x => return Err(Error::value("writeMarks", "brought or kept", format_args!("'{x}'")).at("extra")),
     };
     let tenants = match v.get("tenants") {
@@ -113,29 +113,29 @@
     let settings = Settings {
         classes,
         tenant_rates: tenants,
-        over_share_worth: v.get("overShareWorth").and_then(Value::as_f64).unwrap_or(1.0),
-        drivers: count(v, "replicasOfMe")?.max(1),
+        over_quota_weight: v.get("overShareWorth").and_then(Value::as_f64).unwrap_or(1.0),
+        router_count: count(v, "replicasOfMe")?.max(1),
         zone: count(v, "zone")?,
-        round: span(v, "roundMs")?,
-        when_behind,
-        tokens,
-        may_duplicate: flag(limits, "mayDuplicate").map_err(under("limits"))?,
+        min_event_interval: span(v, "roundMs")?,
+        lagging_replica: when_behind,
+        session_commit_source: tokens,
+        hedging_allowed: flag(limits, "mayDuplicate").map_err(under("limits"))?,
         max_attempts: count(limits, "mostTries").map_err(under("limits"))?,
-        may_cancel: flag(limits, "cancel").map_err(under("limits"))?,
-        may_probe: flag(limits, "probes").map_err(under("limits"))?,
-        probe_price: v.get("prices").and_then(|p| p.get("probe")).and_then(Value::as_f64).unwrap_or(0.0),
-        max_come_back: come_back
+        cancel_allowed: flag(limits, "cancel").map_err(under("limits"))?,
+        probing_allowed: flag(limits, "probes").map_err(under("limits"))?,
+        probe_cost: v.get("prices").and_then(|p| p.get("probe")).and_then(Value::as_f64).unwrap_or(0.0),
+        max_retry_after: come_back
             .then(|| span(limits, "maxRetryAfterMs"))
             .transpose()
             .map_err(under("limits"))?,
         connect_timeout: span(limits, "dialTimeoutMs").map_err(under("limits"))?,
         drain_grace: span(rules, "drainGraceMs").map_err(under("contract"))?,
-        only_draining_binds: flag(rules, "drainBindsAlone").map_err(under("contract"))?,
-        cold_from: amount(rules, "coldFrom").map_err(under("contract"))?,
-        cold_time: span(rules, "coldMs").map_err(under("contract"))?,
+        missing_members_may_serve: flag(rules, "drainBindsAlone").map_err(under("contract"))?,
+        slow_start_initial_share: amount(rules, "coldFrom").map_err(under("contract"))?,
+        slow_start_duration: span(rules, "coldMs").map_err(under("contract"))?,
         overload_factor: amount(rules, "overloadFactor").map_err(under("contract"))?,
-        tip_time: span(rules, "tipAfterMs").map_err(under("contract"))?,
-        list_on_request: text(v, "membershipMode")? == "subscribe",
+        overload_duration: span(rules, "tipAfterMs").map_err(under("contract"))?,
+        list_requires_subscription: text(v, "membershipMode")? == "subscribe",
     };
     Ok((settings, translation))
 }
--- a/settings/tests/customers.rs
+++ b/settings/tests/customers.rs
@@ -1,6 +1,6 @@
 //! Settings of customers that nobody has met: any number of classes and zones, of any name and in any order, and any
 //! value in any place.
-use decision::{Effect, Freshness};
+use decision::{Idempotency, Freshness};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use settings::Error;
@@ -147,19 +147,19 @@
                 let most = 1e14 as i64;
                 for c in &s.classes {
                     let bound = match c.freshness { Freshness::Bounded(b) => b, _ => 0 };
-                    let window = match c.effect {
-                        Effect::KeyedInGroup(w) | Effect::KeyedEverywhere(w) | Effect::KeyedInZone(w) => w,
-                        Effect::Safe | Effect::Unsafe => 0,
+                    let window = match c.idempotency {
+                        Idempotency::DeduplicatedInGroup(w) | Idempotency::DeduplicatedEverywhere(w) | Idempotency::DeduplicatedInZone(w) => w,
+                        Idempotency::Idempotent | Idempotency::NotIdempotent => 0,
                     };
-                    for time in [c.aim, c.deadline, bound, window] {
+                    for time in [c.latency_objective, c.deadline, bound, window] {
                         prop_assert!((0..=most).contains(&time));
                     }
-                    prop_assert!(c.worth >= 0.0 && c.late_worth >= 0.0);
+                    prop_assert!(c.priority_weight >= 0.0 && c.late_weight_share >= 0.0);
                 }
-                for time in [s.round, s.connect_timeout, s.drain_grace, s.cold_time, s.tip_time] {
+                for time in [s.min_event_interval, s.connect_timeout, s.drain_grace, s.slow_start_duration, s.overload_duration] {
                     prop_assert!((0..=most).contains(&time));
                 }
-                prop_assert!(s.connect_timeout > 0 && s.max_attempts > 0 && s.drivers > 0);
+                prop_assert!(s.connect_timeout > 0 && s.max_attempts > 0 && s.router_count > 0);
                 prop_assert_eq!(read.names.classes.len(), s.classes.len());
                 prop_assert!(read.limits.client_connections > 0 && read.limits.link_connections > 0);
                 prop_assert!(read.limits.link_trust <= read.limits.link_idle);
