--- /dev/null
+++ b/store/tests/recorded/control_lines.rs
@@ -0,0 +1,61 @@
+//! Lines of the control address, and the texts of rejections, which are part of them.
+use crate::fixtures::assert_recorded;
+use crate::samples::{LONG, refusals, single_node};
+use std::fmt::Write as _;
+use std::io::{BufRead, BufReader, Write};
+use std::net::{TcpListener, TcpStream};
+
+#[test]
+fn control_lines_keep_their_bytes() {
+    let store = single_node(None);
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let addr = listener.local_addr().unwrap();
+    store::control::listen(listener, store).unwrap();
+    let socket = TcpStream::connect(addr).unwrap();
+    socket.set_read_timeout(Some(LONG)).unwrap();
+    let mut lines = BufReader::new(socket.try_clone().unwrap()).lines();
+    let asked = [
+        r#"{"do":"status"}"#,
+        r#"{"do":"get","key":"seeded"}"#,
+        r#"{"do":"set","key":"a","text":"1"}"#,
+        r#"{"do":"set","key":"a","text":"2","expected":1}"#,
+        r#"{"do":"set","key":"a","text":"3","expected":1}"#,
+        r#"{"do":"set","key":"a","text":"3","expected":null}"#,
+        r#"{"do":"set","key":"","text":"3"}"#,
+        r#"{"do":"set","key":"a"}"#,
+        r#"{"do":"set","text":"3"}"#,
+        r#"{"do":"set","key":"a","text":"3","expected":"x"}"#,
+        r#"{"do":"get","key":"a"}"#,
+        r#"{"do":"get","key":"none"}"#,
+        r#"{"do":"get"}"#,
+        r#"{"do":"list","prefix":"a"}"#,
+        r#"{"do":"list","prefix":"none"}"#,
+        r#"{"do":"delete","key":"a","expected":7}"#,
+        r#"{"do":"delete","key":"a"}"#,
+        r#"{"do":"delete"}"#,
+        r#"{"do":"drain","server":"stock-a"}"#,
+        r#"{"do":"undrain","server":"stock-a"}"#,
+        r#"{"do":"drain","server":"none"}"#,
+        r#"{"do":"drain","server":"broken"}"#,
+        r#"{"do":"drain"}"#,
+        r#"{"do":"list"}"#,
+        r#"{"do":"fly"}"#,
+        r#"{"do":7}"#,
+        r#"[1]"#,
+        r#"not json"#,
+    ];
+    let mut now = String::new();
+    for line in asked {
+        writeln!(&socket, "{line}").unwrap();
+        writeln!(now, "> {line}\n< {}", lines.next().unwrap().unwrap()).unwrap();
+    }
+    assert_recorded("control_lines.txt", &now);
+    assert_eq!(store::control::server_key("stock-a"), "server/stock-a");
+}
+
+#[test]
+fn rejection_texts_keep_their_wording() {
+    let mut now = String::new();
+    refusals().iter().for_each(|r| writeln!(now, "{r}").unwrap());
+    assert_recorded("rejection_texts.txt", &now);
+}
