--- /dev/null
+++ b/store/src/acceptor.rs
@@ -0,0 +1,74 @@
+//! Accepts connections up to a bound, with a thread for each.
+use crate::threads::{ACCEPT_RETRY_DELAY, spawn};
+use crate::wire::WireError;
+use std::io;
+use std::net::{TcpListener, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+
+/// Counts one connection while it exists.
+struct ConnectionSlot(Arc<AtomicU64>);
+
+impl ConnectionSlot {
+    fn acquire(open: &Arc<AtomicU64>) -> ConnectionSlot {
+        open.fetch_add(1, Ordering::Relaxed);
+        ConnectionSlot(open.clone())
+    }
+}
+
+impl Drop for ConnectionSlot {
+    fn drop(&mut self) {
+        self.0.fetch_sub(1, Ordering::Relaxed);
+    }
+}
+
+/// Accepts connections until the listener fails, on a thread of its own and with one for each connection; `service`
+/// names them in the log. While there are `max_connections`, `reject` answers new ones and must not block.
+///
+/// # Errors
+/// Where no thread can be started.
+pub fn accept(
+    listener: TcpListener,
+    service: &'static str,
+    max_connections: u64,
+    reject: impl Fn(&TcpStream) + Send + 'static,
+    serve: impl Fn(&TcpStream) -> Result<(), WireError> + Clone + Send + 'static,
+) -> io::Result<()> {
+    let open = Arc::new(AtomicU64::new(0));
+    let accept_all = move || {
+        for socket in listener.incoming() {
+            let Ok(socket) = socket else {
+                std::thread::sleep(ACCEPT_RETRY_DELAY);
+                continue;
+            };
+            if open.load(Ordering::Relaxed) >= max_connections {
+                // What it sends fits into the socket's buffer: nobody can block this thread.
+                _ = socket.set_nonblocking(true);
+                reject(&socket);
+                continue;
+            }
+            start_connection(service, socket, ConnectionSlot::acquire(&open), serve.clone());
+        }
+    };
+    spawn(&format!("{service}-clients"), accept_all)
+}
+
+fn start_connection(
+    service: &'static str,
+    socket: TcpStream,
+    slot: ConnectionSlot,
+    serve: impl FnOnce(&TcpStream) -> Result<(), WireError> + Send + 'static,
+) {
+    let run = move || {
+        let _slot = slot;
+        if let Err(error) = serve(&socket) {
+            tracing::debug!(%error, "{service}: connection of a client closed");
+        }
+    };
+    if let Err(error) = spawn(&format!("{service}-client"), run) {
+        tracing::error!(
+            %error,
+            "{service}: no thread for a client; raise the limit of processes of this user"
+        );
+    }
+}
--- /dev/null
+++ b/store/src/client/session.rs
@@ -0,0 +1,193 @@
+//! Calls with retries, and writes that are applied once.
+use super::connection::{AttemptError, Connection};
+use super::{ClientError, Settings};
+use crate::command::{CommandEffect, CommandResponse, Operation, RequestOrigin};
+use crate::rejection::Rejection;
+use crate::wire::{Request, Response};
+use std::time::Instant;
+
+/// A write that was applied.
+pub(super) struct Written {
+    pub(super) effect: CommandEffect,
+    pub(super) revision: u64,
+    pub(super) term: u64,
+    /// It was not applied before this time.
+    pub(super) not_before: Instant,
+}
+
+/// The response to a call.
+struct CallResponse<T> {
+    value: T,
+    /// The request was not executed before this time: the start of the first attempt that may have executed it.
+    not_before: Instant,
+    /// Whether an earlier attempt than the one that got the response may have executed the request.
+    earlier_attempt_may_have_executed: bool,
+}
+
+/// A call without a response.
+struct CallFailure {
+    error: ClientError,
+    may_have_executed: bool,
+}
+
+/// A write's response from the state machine, and the leader's term.
+struct WriteResponse {
+    response: CommandResponse,
+    term: u64,
+}
+
+/// Whether another attempt, at another node, may get a response.
+fn is_retryable(rejection: &Rejection) -> bool {
+    matches!(rejection, Rejection::NoQuorum | Rejection::Unconfirmed | Rejection::NotInitialized)
+}
+
+pub(super) struct Session {
+    connection: Connection,
+    /// The store's id, this client's, and the sequence number of its last write.
+    last_origin: Option<RequestOrigin>,
+}
+
+impl Session {
+    pub(super) fn new(settings: Settings) -> Session {
+        Session { connection: Connection::new(settings), last_origin: None }
+    }
+
+    /// Makes attempts until there is a response, or the time for the call has passed.
+    fn call<T>(
+        &mut self,
+        request: &Request,
+        receive: impl Fn(&Connection) -> Result<T, AttemptError>,
+    ) -> Result<CallResponse<T>, CallFailure> {
+        if self.connection.settings().nodes.is_empty() {
+            return Err(CallFailure { error: ClientError::NoNodes, may_have_executed: false });
+        }
+        let call_started = Instant::now();
+        let mut may_have_executed_since: Option<Instant> = None;
+        self.connection.reset_backoff();
+        loop {
+            let reused = self.connection.is_open();
+            let attempt_started = Instant::now();
+            let attempt = self.connection.send(request).and_then(|()| receive(&self.connection));
+            let error = match attempt {
+                Ok(value) => {
+                    return Ok(CallResponse {
+                        value,
+                        not_before: may_have_executed_since.unwrap_or(attempt_started),
+                        earlier_attempt_may_have_executed: may_have_executed_since.is_some(),
+                    });
+                }
+                Err(AttemptError::Rejected(rejection)) if !is_retryable(&rejection) => {
+                    let may_have_executed = may_have_executed_since.is_some();
+                    return Err(CallFailure { error: rejection.into(), may_have_executed });
+                }
+                Err(error) => error,
+            };
+            if may_have_executed(&error) {
+                may_have_executed_since.get_or_insert(attempt_started);
+            }
+            let reason = self.leave_failed_node(error, reused);
+            if call_started.elapsed() >= self.connection.settings().call_timeout {
+                let error = ClientError::Unavailable(reason);
+                return Err(CallFailure { error, may_have_executed: may_have_executed_since.is_some() });
+            }
+            // A connection that was idle may have been closed by the node: that costs no pause.
+            if !reused {
+                self.connection.back_off();
+            }
+        }
+    }
+
+    /// Prepares for the next attempt, and returns why this one failed. A reused connection that breaks says nothing of
+    /// its node, which is tried again.
+    fn leave_failed_node(&mut self, error: AttemptError, reused: bool) -> String {
+        match error {
+            AttemptError::NoResponse(reason) if reused => {
+                self.connection.close();
+                reason
+            }
+            AttemptError::NoResponse(reason) | AttemptError::NotSent(reason) => {
+                self.connection.switch_node();
+                reason
+            }
+            AttemptError::Rejected(rejection) => {
+                self.connection.switch_node();
+                rejection.to_string()
+            }
+        }
+    }
+
+    /// Makes a call that changes nothing.
+    pub(super) fn read<T>(
+        &mut self,
+        request: &Request,
+        receive: impl Fn(&Connection) -> Result<T, AttemptError>,
+    ) -> Result<T, ClientError> {
+        let result = self.call(request, receive);
+        result.map(|response| response.value).map_err(|failure| failure.error)
+    }
+
+    /// The origin of the last write, or of none where the client has just been registered.
+    fn origin(&mut self) -> Result<RequestOrigin, ClientError> {
+        if let Some(origin) = self.last_origin {
+            return Ok(origin);
+        }
+        match self.read(&Request::RegisterClient, receive_written)?.response.result? {
+            CommandEffect::ClientRegistered { client_id, store_id } => {
+                Ok(RequestOrigin { store_id, client_id, sequence: 0 })
+            }
+            _ => Err(ClientError::UnexpectedResponse),
+        }
+    }
+
+    /// Applies a write once. Its sequence number follows that of the last write, whatever became of that one.
+    pub(super) fn write(&mut self, operation: &Operation) -> Result<Written, ClientError> {
+        loop {
+            let mut origin = self.origin()?;
+            origin.sequence += 1;
+            self.last_origin = Some(origin);
+            let request = Request::Write { origin, operation: operation.clone() };
+            let call = self.call(&request, receive_written).map_err(write_error)?;
+            let WriteResponse { response, term } = call.value;
+            match response.result {
+                Ok(effect) => {
+                    let not_before = call.not_before;
+                    return Ok(Written { effect, revision: response.revision, term, not_before });
+                }
+                Err(Rejection::UnknownClient) => {
+                    self.last_origin = None;
+                    if call.earlier_attempt_may_have_executed {
+                        return Err(ClientError::Unconfirmed(Rejection::UnknownClient.to_string()));
+                    }
+                    // Unknown at its first attempt: it has not been applied.
+                }
+                Err(rejection) => return Err(rejection.into()),
+            }
+        }
+    }
+}
+
+fn may_have_executed(error: &AttemptError) -> bool {
+    match error {
+        AttemptError::NotSent(_) => false,
+        AttemptError::NoResponse(_) => true,
+        AttemptError::Rejected(rejection) => *rejection == Rejection::Unconfirmed,
+    }
+}
+
+fn write_error(failure: CallFailure) -> ClientError {
+    match failure.error {
+        ClientError::Unavailable(reason) if failure.may_have_executed => ClientError::Unconfirmed(reason),
+        error => error,
+    }
+}
+
+fn receive_written(connection: &Connection) -> Result<WriteResponse, AttemptError> {
+    match connection.receive()? {
+        Response::Written { response, term } => match response.result {
+            Err(rejection @ Rejection::NotInitialized) => Err(AttemptError::Rejected(rejection)),
+            _ => Ok(WriteResponse { response, term }),
+        },
+        Response::Rejected(rejection) => Err(AttemptError::Rejected(rejection)),
+        _ => Err(AttemptError::NoResponse("something else than a write's answer".into())),
+    }
+}
--- a/store/src/control.rs
+++ b/store/src/control.rs
@@ -1,161 +1,195 @@
-//! Commands for the store, as lines of JSON over loopback: one line asks, one line answers.
-use crate::machine::Refused;
+//! Commands of an operator, as lines of JSON over loopback: one line requests, one line responds.
 use crate::node::Store;
-use crate::peers::spawn;
-use crate::state::{Change, Value};
+use crate::rejection::Rejection;
+use crate::state::{Update, Value};
+use crate::threads::{ACCEPT_RETRY_DELAY, spawn};
 use serde_json::{Value as Json, json};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use thiserror::Error;
 
-/// The longest line.
-const MOST: u64 = 1 << 20;
+/// The longest line that is read at once.
+const MAX_LINE_BYTES: u64 = 1 << 20;
+const IN_SERVICE: &str = "in_service";
+const DRAINING: &str = "draining";
 
-/// Why a command has no answer.
+/// Why a command failed.
 #[derive(Debug, Error)]
 pub enum CommandError {
     /// The line is no command.
-    #[error("expected {0}")]
-    Expected(String),
-    /// There is no such thing.
+    #[error("expected {expected}")]
+    InvalidCommand {
+        /// What was expected instead.
+        expected: String,
+    },
+    /// There is no such key, server or command.
     #[error("there is no {what} '{name}'")]
-    Missing {
+    NotFound {
         /// What was asked for.
         what: &'static str,
         /// Its name.
         name: String,
     },
-    /// A server's entry can't be changed.
+    /// The value of a server's key can't be changed.
     #[error("'{key}' is no JSON: {source}; set it right first")]
-    Entry {
-        /// Its key.
+    InvalidServer {
+        /// The key.
         key: String,
         /// Why not.
         source: serde_json::Error,
     },
-    /// The store refuses the change.
+    /// The store rejects the change.
     #[error(transparent)]
-    Refused(#[from] Refused),
+    Rejected(#[from] Rejection),
     /// The node can't be reached.
     #[error("{addr}: {source}; see that the router runs and that its store.control is this address")]
-    Away {
-        /// Where it was looked for.
+    Unreachable {
+        /// The address.
         addr: String,
         /// Why not.
         source: io::Error,
     },
-    /// What answers is no store.
+    /// What responds is no store.
     #[error("{addr}: no answer of JSON: {source}; look at the address")]
-    Answer {
-        /// Who was asked.
+    InvalidResponse {
+        /// The address.
         addr: String,
-        /// Why it is none.
+        /// Why not.
         source: serde_json::Error,
     },
-    /// What the node says instead of an answer.
+    /// The error that the node responds.
     #[error("{0}")]
-    Told(String),
+    Remote(String),
 }
 
 /// Answers commands until the listener fails.
+///
+/// # Errors
+/// Where no thread can be started.
 pub fn listen(listener: TcpListener, store: Store) -> io::Result<()> {
     spawn("control", move || {
         for socket in listener.incoming() {
             let store = store.clone();
-            let talk = move || match socket {
-                Ok(s) => _ = talk(&s, &store),
-                Err(_) => std::thread::sleep(std::time::Duration::from_millis(10)),
+            let serve = move || match socket {
+                Ok(socket) => _ = serve_connection(&socket, &store),
+                Err(_) => std::thread::sleep(ACCEPT_RETRY_DELAY),
             };
-            if let Err(e) = spawn("command", talk) {
-                tracing::error!("store: no thread for a command: {e}");
+            if let Err(error) = spawn("command", serve) {
+                tracing::error!(%error, "store: no thread for a command");
             }
         }
     })
 }
 
-fn talk(socket: &TcpStream, store: &Store) -> io::Result<()> {
-    let (mut reader, mut to) = (BufReader::new(socket), socket);
+fn serve_connection(socket: &TcpStream, store: &Store) -> io::Result<()> {
+    let (mut reader, mut writer) = (BufReader::new(socket), socket);
     loop {
         let mut line = String::new();
-        if (&mut reader).take(MOST).read_line(&mut line)? == 0 {
+        if (&mut reader).take(MAX_LINE_BYTES).read_line(&mut line)? == 0 {
             return Ok(());
         }
-        let answer = match serde_json::from_str(&line) {
-            Ok(asked) => answer(&asked, store).unwrap_or_else(|e| json!({"error": e.to_string()})),
-            Err(e) => json!({"error": format!("expected a line of JSON: {e}")}),
+        let response = match serde_json::from_str(&line) {
+            Ok(command) => {
+                execute(&command, store).unwrap_or_else(|error| json!({"error": error.to_string()}))
+            }
+            Err(error) => json!({"error": format!("expected a line of JSON: {error}")}),
         };
-        writeln!(to, "{answer}")?;
+        writeln!(writer, "{response}")?;
     }
 }
 
-fn shown(key: &str, value: &Value) -> Json {
-    json!({"key": key, "version": value.version, "text": value.text})
-}
-
-fn changed(made: Result<u64, Refused>) -> Result<Json, CommandError> {
-    Ok(json!({"version": made?}))
-}
-
-/// The key of a server of the member list.
+/// The key of a server in the member list.
 pub fn server_key(id: &str) -> String {
     format!("server/{id}")
 }
 
-fn answer(asked: &Json, store: &Store) -> Result<Json, CommandError> {
-    let text = |name: &str| {
-        let value = asked.get(name).and_then(Json::as_str);
-        value.map(str::to_string).ok_or_else(|| CommandError::Expected(format!("text in '{name}'")))
-    };
-    let change = |what: &str| Change::read(asked).ok_or_else(|| CommandError::Expected(what.into()));
-    let missing = |what, name: &str| CommandError::Missing { what, name: name.into() };
-    match text("do")?.as_str() {
-        "get" => {
-            let (key, state) = (text("key")?, store.state());
-            state.get(&key).map(|v| shown(&key, v)).ok_or_else(|| missing("key", &key))
-        }
-        "list" => {
-            let (prefix, state) = (text("prefix").unwrap_or_default(), store.state());
-            let keys: Vec<Json> = state.with_prefix(&prefix).map(|(k, v)| shown(k, v)).collect();
-            Ok(json!({"keys": keys}))
-        }
+fn execute(command: &Json, store: &Store) -> Result<Json, CommandError> {
+    match text_field(command, "do")?.as_str() {
+        "get" => get(&text_field(command, "key")?, store),
+        "list" => Ok(list(&text_field(command, "prefix").unwrap_or_default(), store)),
         "set" => {
-            text("text")?;
-            changed(store.change(change("'key', 'text' and a whole 'expected'")?))
+            text_field(command, "text")?;
+            update(update_field(command, "'key', 'text' and a whole 'expected'")?, store)
         }
-        "delete" => changed(store.change(Change { text: None, ..change("'key' and a whole 'expected'")? })),
-        "status" => {
-            let (node, leader, term) = store.status();
-            Ok(json!({"node": node, "leader": leader, "term": term, "applied": store.state().applied}))
+        "delete" => {
+            let deletion = update_field(command, "'key' and a whole 'expected'")?;
+            update(Update { text: None, ..deletion }, store)
         }
-        "drain" => set_state(&text("server")?, "draining", store),
-        "undrain" => set_state(&text("server")?, "in_service", store),
-        other => Err(missing("command", other)),
+        "status" => Ok(status(store)),
+        "drain" => set_server_state(&text_field(command, "server")?, DRAINING, store),
+        "undrain" => set_server_state(&text_field(command, "server")?, IN_SERVICE, store),
+        unknown => Err(CommandError::NotFound { what: "command", name: unknown.into() }),
     }
 }
 
-/// Sets a server's state, unless someone else changes it meanwhile.
-fn set_state(server: &str, state: &str, store: &Store) -> Result<Json, CommandError> {
+fn text_field(command: &Json, name: &str) -> Result<String, CommandError> {
+    let text = command.get(name).and_then(Json::as_str);
+    text.map(str::to_string)
+        .ok_or_else(|| CommandError::InvalidCommand { expected: format!("text in '{name}'") })
+}
+
+fn update_field(command: &Json, expected: &str) -> Result<Update, CommandError> {
+    Update::from_json(command).ok_or_else(|| CommandError::InvalidCommand { expected: expected.into() })
+}
+
+fn get(key: &str, store: &Store) -> Result<Json, CommandError> {
+    let state = store.state();
+    let value = state.get(key).ok_or_else(|| CommandError::NotFound { what: "key", name: key.into() })?;
+    Ok(key_to_json(key, value))
+}
+
+fn list(prefix: &str, store: &Store) -> Json {
+    let state = store.state();
+    let keys: Vec<Json> = state.with_prefix(prefix).map(|(key, value)| key_to_json(key, value)).collect();
+    json!({"keys": keys})
+}
+
+fn key_to_json(key: &str, value: &Value) -> Json {
+    json!({"key": key, "version": value.version, "text": value.text})
+}
+
+fn update(update: Update, store: &Store) -> Result<Json, CommandError> {
+    Ok(json!({"version": store.update(update)?}))
+}
+
+fn status(store: &Store) -> Json {
+    let status = store.status();
+    json!({
+        "node": status.node,
+        "leader": status.leader.unwrap_or(raft::INVALID_ID),
+        "term": status.term,
+        "applied": store.state().applied_index,
+    })
+}
+
+/// Sets the state of a server, unless another change of it comes first.
+fn set_server_state(server: &str, server_state: &str, store: &Store) -> Result<Json, CommandError> {
     let key = server_key(server);
-    let held = store.state();
-    let missing = || CommandError::Missing { what: "server", name: server.into() };
-    let value = held.get(&key).ok_or_else(missing)?;
+    let state = store.state();
+    let not_found = || CommandError::NotFound { what: "server", name: server.into() };
+    let value = state.get(&key).ok_or_else(not_found)?;
     let mut entry: Json = serde_json::from_str(&value.text)
-        .map_err(|source| CommandError::Entry { key: key.clone(), source })?;
-    entry["state"] = json!(state);
-    changed(store.change(Change { key, text: Some(entry.to_string()), expected: Some(value.version) }))
+        .map_err(|source| CommandError::InvalidServer { key: key.clone(), source })?;
+    entry["state"] = json!(server_state);
+    let (text, expected_version) = (Some(entry.to_string()), Some(value.version));
+    update(Update { key, text, expected_version }, store)
 }
 
-/// Sends one command and gives its answer.
-pub fn command(addr: &str, asked: &Json) -> Result<Json, CommandError> {
-    let failed = |source| CommandError::Away { addr: addr.into(), source };
-    let mut socket = TcpStream::connect(addr).map_err(failed)?;
-    writeln!(socket, "{asked}").map_err(failed)?;
+/// Sends one command to a node and returns its response.
+///
+/// # Errors
+/// [`CommandError::Unreachable`] and [`CommandError::InvalidResponse`] where no node responds,
+/// [`CommandError::Remote`] with the error that one responds.
+pub fn send_command(addr: &str, command: &Json) -> Result<Json, CommandError> {
+    let unreachable = |source| CommandError::Unreachable { addr: addr.into(), source };
+    let mut socket = TcpStream::connect(addr).map_err(unreachable)?;
+    writeln!(socket, "{command}").map_err(unreachable)?;
     let mut line = String::new();
-    BufReader::new(socket).read_line(&mut line).map_err(failed)?;
-    let answer: Json =
-        serde_json::from_str(&line).map_err(|source| CommandError::Answer { addr: addr.into(), source })?;
-    match answer.get("error").and_then(Json::as_str) {
-        Some(e) => Err(CommandError::Told(e.to_string())),
-        None => Ok(answer),
+    BufReader::new(socket).read_line(&mut line).map_err(unreachable)?;
+    let response: Json = serde_json::from_str(&line)
+        .map_err(|source| CommandError::InvalidResponse { addr: addr.into(), source })?;
+    match response.get("error").and_then(Json::as_str) {
+        Some(error) => Err(CommandError::Remote(error.to_string())),
+        None => Ok(response),
     }
 }
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -1,18 +1,24 @@
-//! Why a node does not start or go on.
+//! Why a node does not start, or stops.
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a node does not start or go on.
+/// Why a node does not start, or stops.
 #[derive(Debug, Error)]
 pub enum Error {
     /// The settings leave this node out.
-    #[error("store: expected node {0} among its peers; list it under store.peer")]
-    NotListed(u64),
-    /// An address that is not on loopback.
-    #[error("store: expected addresses on loopback, found {0}; nodes and clients talk without TLS")]
-    Far(SocketAddr),
-    /// The folder, or the file in it, can't be used.
+    #[error("store: expected node {node} among its peers; list it under store.peer")]
+    NotListed {
+        /// This node.
+        node: u64,
+    },
+    /// An address is not on loopback.
+    #[error("store: expected addresses on loopback, found {addr}; nodes and clients talk without TLS")]
+    NotLoopback {
+        /// The address.
+        addr: SocketAddr,
+    },
+    /// The folder, or the log file in it, can't be used.
     #[error("store: folder: {path}: {source}; see that it exists and is this user's")]
     Folder {
         /// The folder.
@@ -20,26 +26,29 @@
         /// Why not.
         source: std::io::Error,
     },
-    /// What is kept is of no format that this program knows.
+    /// Something stored is of no format that this program knows.
     #[error(
-        "store: {0} is of a format that this program does not know; start the program that wrote it, or give this \
+        "store: {what} is of a format that this program does not know; start the program that wrote it, or give this \
          node an empty folder while all others run, and it gets what they have"
     )]
-    Format(String),
+    UnknownFormat {
+        /// What is.
+        what: String,
+    },
     /// Entries are missing from the log.
     #[error(
-        "store: entry {index} of the log follows {before}; give this node an empty folder while all others run"
+        "store: entry {index} of the log follows {previous}; give this node an empty folder while all others run"
     )]
-    Gap {
+    LogGap {
         /// The entry before the gap.
-        before: u64,
-        /// The entry behind it.
+        previous: u64,
+        /// The entry after the gap.
         index: u64,
     },
-    /// What is kept does not fit together.
+    /// What is stored does not fit together.
     #[error("store: {what} does not fit: {source}; give this node an empty folder while all others run")]
-    Fit {
-        /// What.
+    Inconsistent {
+        /// What does not fit the rest.
         what: &'static str,
         /// Why not.
         source: raft::Error,
@@ -57,8 +66,8 @@
     },
     /// No thread could be started.
     #[error("store: no thread: {0}; raise the limit of processes of this user")]
-    Thread(std::io::Error),
-    /// What must be kept can't be: the node stops.
+    SpawnThread(std::io::Error),
+    /// What must be stored can't be: the node stops.
     #[error("store: the log can't be kept: {0}; mend the disk and restart this node")]
-    Disk(#[from] std::io::Error),
+    LogFile(#[from] std::io::Error),
 }
--- /dev/null
+++ b/store/src/log_file.rs
@@ -0,0 +1,173 @@
+//! What a node must not lose, in one file: records that are appended and synced before anything is sent that relies
+//! on them.
+//!
+//! A record is the length of kind and body (four bytes, little-endian), the CRC-32 of both (likewise), the kind (one
+//! byte) and the body, a protobuf message of the `raft` library. A tail that a crash has left incomplete is cut off.
+use protobuf::Message;
+use raft::eraftpb::{Entry, HardState, Snapshot};
+use std::fs::{File, OpenOptions};
+use std::io::{self, Read, Seek, SeekFrom, Write};
+use std::path::{Path, PathBuf};
+
+const FILE_NAME: &str = "log";
+/// Of the file that replaces the other one.
+const NEW_FILE_EXTENSION: &str = "new";
+
+const HARD_STATE: u8 = 1;
+const ENTRY: u8 = 2;
+const SNAPSHOT: u8 = 3;
+
+/// Bytes of the length.
+const LENGTH_BYTES: usize = 4;
+/// Bytes of the length and the checksum.
+const HEADER_BYTES: usize = 8;
+
+/// What a log file contains.
+#[derive(Default)]
+pub struct LogContents {
+    /// The last hard state.
+    pub hard_state: HardState,
+    /// The log after the snapshot.
+    pub entries: Vec<Entry>,
+    /// The last snapshot.
+    pub snapshot: Snapshot,
+    /// Bytes of the incomplete tail that was cut off.
+    pub torn_bytes: u64,
+}
+
+impl LogContents {
+    /// Reads the complete records at the front; also returns their length.
+    fn parse(bytes: &[u8]) -> io::Result<(LogContents, usize)> {
+        let mut contents = LogContents::default();
+        let mut complete = 0;
+        while let Some((kind, body)) = complete_record(&bytes[complete..]) {
+            match kind {
+                HARD_STATE => contents.hard_state = parse(body)?,
+                ENTRY => contents.push_entry(parse(body)?),
+                SNAPSHOT => contents.set_snapshot(parse(body)?),
+                _ => break,
+            }
+            complete += HEADER_BYTES + 1 + body.len();
+        }
+        Ok((contents, complete))
+    }
+
+    /// A new leader's entry replaces the one at its index and all after that.
+    fn push_entry(&mut self, entry: Entry) {
+        self.entries.retain(|existing| existing.index < entry.index);
+        self.entries.push(entry);
+    }
+
+    fn set_snapshot(&mut self, snapshot: Snapshot) {
+        let index = snapshot.get_metadata().index;
+        self.entries.retain(|entry| entry.index > index);
+        self.snapshot = snapshot;
+    }
+}
+
+/// The kind and the body of the record at the front; `None` where it is not complete.
+fn complete_record(bytes: &[u8]) -> Option<(u8, &[u8])> {
+    let header = bytes.get(..HEADER_BYTES)?;
+    let length = little_endian(&header[..LENGTH_BYTES]) as usize;
+    let kind_and_body = bytes.get(HEADER_BYTES..HEADER_BYTES + length)?;
+    if crc32fast::hash(kind_and_body) != little_endian(&header[LENGTH_BYTES..]) {
+        return None;
+    }
+    kind_and_body.split_first().map(|(kind, body)| (*kind, body))
+}
+
+fn little_endian(bytes: &[u8]) -> u32 {
+    bytes.iter().rev().fold(0, |number, byte| number << 8 | u32::from(*byte))
+}
+
+fn parse<T: Message>(body: &[u8]) -> io::Result<T> {
+    T::parse_from_bytes(body).map_err(io::Error::other)
+}
+
+fn write_record(buffer: &mut Vec<u8>, kind: u8, message: &impl Message) -> io::Result<()> {
+    let body = message.write_to_bytes().map_err(io::Error::other)?;
+    let mut checksum = crc32fast::Hasher::new();
+    checksum.update(&[kind]);
+    checksum.update(&body);
+    buffer.extend_from_slice(&(body.len() as u32 + 1).to_le_bytes());
+    buffer.extend_from_slice(&checksum.finalize().to_le_bytes());
+    buffer.push(kind);
+    buffer.extend_from_slice(&body);
+    Ok(())
+}
+
+/// The log file of a node.
+pub struct LogFile {
+    path: PathBuf,
+    file: File,
+}
+
+impl LogFile {
+    /// Opens the log file in a folder; both are created where they are missing.
+    ///
+    /// # Errors
+    /// Where the file can't be created, read or synced, or a complete record can't be parsed.
+    pub fn open(folder: &Path) -> io::Result<(LogFile, LogContents)> {
+        std::fs::create_dir_all(folder)?;
+        let path = folder.join(FILE_NAME);
+        let mut file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(&path)?;
+        let mut bytes = Vec::new();
+        file.read_to_end(&mut bytes)?;
+        let (mut contents, complete) = LogContents::parse(&bytes)?;
+        contents.torn_bytes = (bytes.len() - complete) as u64;
+        if contents.torn_bytes > 0 {
+            file.set_len(complete as u64)?;
+            file.sync_all()?;
+        }
+        file.seek(SeekFrom::End(0))?;
+        File::open(folder)?.sync_all()?;
+        Ok((LogFile { path, file }, contents))
+    }
+
+    /// Appends entries and a hard state, and syncs them.
+    ///
+    /// # Errors
+    /// Where the file can't be written or synced: what it contains then is not known.
+    pub fn append(&mut self, entries: &[Entry], hard_state: Option<&HardState>) -> io::Result<()> {
+        let mut bytes = Vec::new();
+        for entry in entries {
+            write_record(&mut bytes, ENTRY, entry)?;
+        }
+        if let Some(hard_state) = hard_state {
+            write_record(&mut bytes, HARD_STATE, hard_state)?;
+        }
+        if bytes.is_empty() {
+            return Ok(());
+        }
+        self.file.write_all(&bytes)?;
+        self.file.sync_data()
+    }
+
+    /// Replaces the file by one with a snapshot and the log after it.
+    ///
+    /// # Errors
+    /// Where the new file can't be written, synced or put in place of the old one.
+    pub fn rewrite(
+        &mut self,
+        snapshot: &Snapshot,
+        entries: &[Entry],
+        hard_state: &HardState,
+    ) -> io::Result<()> {
+        let mut bytes = Vec::new();
+        write_record(&mut bytes, SNAPSHOT, snapshot)?;
+        for entry in entries {
+            write_record(&mut bytes, ENTRY, entry)?;
+        }
+        write_record(&mut bytes, HARD_STATE, hard_state)?;
+        let new_path = self.path.with_extension(NEW_FILE_EXTENSION);
+        let mut file = File::create(&new_path)?;
+        file.write_all(&bytes)?;
+        file.sync_all()?;
+        std::fs::rename(&new_path, &self.path)?;
+        if let Some(folder) = self.path.parent() {
+            File::open(folder)?.sync_all()?;
+        }
+        self.file = file;
+        Ok(())
+    }
+}
--- /dev/null
+++ b/store/src/node/shared.rs
@@ -0,0 +1,52 @@
+//! What the actor shares with the handles.
+use super::handle::KnownLeader;
+use crate::change_log::ChangeLog;
+use crate::machine::StateMachine;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
+
+pub(super) struct Shared {
+    machine: Mutex<StateMachine>,
+    change_log: Mutex<ChangeLog>,
+    /// Notified when the change log has grown or begun again.
+    pub(super) changed: Condvar,
+    /// The leader's id, or [`raft::INVALID_ID`].
+    leader: AtomicU64,
+    term: AtomicU64,
+}
+
+impl Shared {
+    pub(super) fn new(machine: StateMachine, change_log: ChangeLog) -> Shared {
+        Shared {
+            machine: Mutex::new(machine),
+            change_log: Mutex::new(change_log),
+            changed: Condvar::new(),
+            leader: AtomicU64::new(raft::INVALID_ID),
+            term: AtomicU64::new(0),
+        }
+    }
+
+    pub(super) fn machine(&self) -> MutexGuard<'_, StateMachine> {
+        self.machine.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    pub(super) fn change_log(&self) -> MutexGuard<'_, ChangeLog> {
+        self.change_log.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    pub(super) fn known_leader(&self) -> KnownLeader {
+        KnownLeader::new(self.leader.load(Ordering::Relaxed), self.term.load(Ordering::Relaxed))
+    }
+
+    /// Publishes the leader and the term; returns the leader published before.
+    pub(super) fn set_leader(&self, leader: u64, term: u64) -> u64 {
+        let previous = self.leader.swap(leader, Ordering::Relaxed);
+        self.term.store(term, Ordering::Relaxed);
+        previous
+    }
+
+    /// No leader is known any more, for this node has stopped.
+    pub(super) fn clear_leader(&self) {
+        self.leader.store(raft::INVALID_ID, Ordering::Relaxed);
+    }
+}
--- a/store/src/peers.rs
+++ b/store/src/peers.rs
@@ -1,5 +1,7 @@
-//! The messages between nodes: a length and the message, one way on each connection. What can't be sent is
-//! dropped; raft sends it again.
+//! Raft messages between nodes: a length (four bytes, little-endian) and a protobuf message, in one direction on each
+//! connection. What can't be sent is dropped; raft sends it again.
+use crate::loopback::is_connected_to_itself;
+use crate::threads::{ACCEPT_RETRY_DELAY, spawn};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use protobuf::Message as _;
 use raft::eraftpb::Message;
@@ -8,78 +10,91 @@
 use std::time::Duration;
 
 /// Messages that wait for one peer.
-const WAITING: usize = 256;
-/// The longest message.
-const MOST: usize = 16 << 20;
-const STACK: usize = 128 * 1024;
+const QUEUE_CAPACITY: usize = 256;
+/// The longest message that is accepted.
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
+const LENGTH_BYTES: usize = 4;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Starts a named thread.
-pub fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    std::thread::Builder::new().name(name.into()).stack_size(STACK).spawn(run).map(|_| ())
+/// Starts the thread that sends to a peer, and returns its queue. The thread ends with the queue's last sender.
+///
+/// # Errors
+/// Where no thread can be started.
+pub fn start_sender(addr: SocketAddr) -> io::Result<Sender<Message>> {
+    let (sender, queue) = bounded::<Message>(QUEUE_CAPACITY);
+    spawn("store-to", move || send_all(addr, &queue))?;
+    Ok(sender)
 }
 
-/// A way to a peer.
-pub fn way_to(addr: SocketAddr) -> io::Result<Sender<Message>> {
-    let (to, waiting) = bounded::<Message>(WAITING);
-    spawn("store-to", move || send(addr, &waiting))?;
-    Ok(to)
-}
-
-fn send(addr: SocketAddr, waiting: &Receiver<Message>) {
-    let mut open: Option<TcpStream> = None;
-    for message in waiting {
-        if open.is_none() {
-            open = TcpStream::connect_timeout(&addr, Duration::from_millis(200)).ok();
-            // Where nobody listens, a loopback connection may meet itself and keep the port from the peer.
-            if open.as_ref().is_some_and(|s| s.local_addr().ok() == s.peer_addr().ok()) {
-                _ = open.take().map(|s| socket2::SockRef::from(&s).set_linger(Some(Duration::ZERO)));
-            }
-            _ = open
-                .as_ref()
-                .map(|s| (s.set_nodelay(true), s.set_write_timeout(Some(Duration::from_secs(1)))));
+fn send_all(addr: SocketAddr, queue: &Receiver<Message>) {
+    let mut connection: Option<TcpStream> = None;
+    for message in queue {
+        if connection.is_none() {
+            connection = connect(addr);
         }
-        let (Some(s), Ok(bytes)) = (&mut open, message.write_to_bytes()) else { continue };
-        let framed = [&(bytes.len() as u32).to_le_bytes()[..], &bytes].concat();
-        if s.write_all(&framed).is_err() {
-            open = None;
+        let (Some(socket), Ok(body)) = (&mut connection, message.write_to_bytes()) else { continue };
+        let frame = [&(body.len() as u32).to_le_bytes()[..], &body].concat();
+        if socket.write_all(&frame).is_err() {
+            connection = None;
         }
     }
 }
 
-/// Hands over what peers send, until the listener fails.
+fn connect(addr: SocketAddr) -> Option<TcpStream> {
+    let socket = TcpStream::connect_timeout(&addr, CONNECT_TIMEOUT).ok()?;
+    if !matches!(is_connected_to_itself(&socket), Ok(false)) {
+        return None;
+    }
+    // The connection is usable without these options.
+    _ = socket.set_nodelay(true);
+    _ = socket.set_write_timeout(Some(WRITE_TIMEOUT));
+    Some(socket)
+}
+
+/// Receives what peers send, until the listener fails. A connection ends when `deliver` returns `false`.
+///
+/// # Errors
+/// Where no thread can be started.
 pub fn listen(
     listener: TcpListener,
-    take: impl Fn(Message) -> bool + Clone + Send + 'static,
+    deliver: impl Fn(Message) -> bool + Clone + Send + 'static,
 ) -> io::Result<()> {
     spawn("store-from", move || {
         for socket in listener.incoming() {
-            let take = take.clone();
-            let read = move || match socket {
-                Ok(s) => receive(s, take),
-                Err(_) => std::thread::sleep(Duration::from_millis(10)),
+            let deliver = deliver.clone();
+            let serve = move || match socket {
+                Ok(socket) => receive_all(socket, deliver),
+                Err(_) => std::thread::sleep(ACCEPT_RETRY_DELAY),
             };
-            if let Err(e) = spawn("store-peer", read) {
-                tracing::error!("store: no thread for a peer: {e}");
+            if let Err(error) = spawn("store-peer", serve) {
+                tracing::error!(%error, "store: no thread for a peer");
             }
         }
     })
 }
 
-fn receive(mut socket: TcpStream, take: impl Fn(Message) -> bool) {
-    loop {
-        let mut head = [0; 4];
-        if socket.read_exact(&mut head).is_err() {
-            return;
-        }
-        let length = u32::from_le_bytes(head) as usize;
-        let mut bytes = Vec::new();
-        // Room is made as bytes come: a length alone must not cost memory.
-        let whole = length <= MOST && (&mut socket).take(length as u64).read_to_end(&mut bytes).is_ok();
-        if !whole || bytes.len() < length {
-            return;
-        }
-        if !Message::parse_from_bytes(&bytes).is_ok_and(&take) {
+fn receive_all(mut socket: TcpStream, deliver: impl Fn(Message) -> bool) {
+    while let Some(message) = receive(&mut socket) {
+        if !deliver(message) {
             return;
         }
     }
 }
+
+/// The next message; `None` where the connection has ended or sends something else.
+fn receive(socket: &mut TcpStream) -> Option<Message> {
+    let mut header = [0; LENGTH_BYTES];
+    socket.read_exact(&mut header).ok()?;
+    let length = u32::from_le_bytes(header) as usize;
+    if length > MAX_MESSAGE_BYTES {
+        return None;
+    }
+    // The buffer grows as bytes come: a length alone must not cost memory.
+    let mut body = Vec::new();
+    socket.take(length as u64).read_to_end(&mut body).ok()?;
+    if body.len() < length {
+        return None;
+    }
+    Message::parse_from_bytes(&body).ok()
+}
--- /dev/null
+++ b/store/src/server.rs
@@ -0,0 +1,157 @@
+//! Answers clients that are no nodes themselves: a thread for each connection, up to a bound. A connection that watches
+//! does nothing else.
+mod watch;
+
+use crate::acceptor;
+use crate::command::{Operation, RequestOrigin};
+use crate::error::Error;
+use crate::node::{CommittedWrite, ConfirmedRead, Store};
+use crate::rejection::Rejection;
+use crate::state::{State, Value};
+use crate::wire::{self, Consistency, PART_BYTES, ReadHeader, Request, Response, STORE_PROTOCOL, WireError};
+use std::net::{TcpListener, TcpStream};
+use std::time::Duration;
+
+/// Limits of the connections of clients.
+#[derive(Clone, Copy, Debug)]
+pub struct Limits {
+    /// Connections at a time, and so threads; each watch is one.
+    pub max_connections: u64,
+    /// A connection without a request for this long is closed; the client connects again.
+    pub idle_timeout: Duration,
+    /// A message that has begun must be complete, and a response be accepted, within this time.
+    pub message_timeout: Duration,
+    /// A watch without changes gets a sign of life this often.
+    pub progress_interval: Duration,
+    /// A watch ends where the node has had no leader for this long.
+    pub no_leader_timeout: Duration,
+}
+
+impl Default for Limits {
+    fn default() -> Self {
+        Limits {
+            max_connections: 1024,
+            idle_timeout: Duration::from_secs(60),
+            message_timeout: Duration::from_secs(2),
+            progress_interval: Duration::from_millis(500),
+            no_leader_timeout: Duration::from_millis(1500),
+        }
+    }
+}
+
+/// Answers clients until the listener fails.
+///
+/// # Errors
+/// [`Error::NotLoopback`] where the listener is not on loopback, [`Error::SpawnThread`] where no thread can be started.
+pub fn listen(listener: TcpListener, store: Store, limits: Limits) -> Result<(), Error> {
+    let addr = listener.local_addr()?;
+    if !addr.ip().is_loopback() {
+        return Err(Error::NotLoopback { addr });
+    }
+    let max_connections = limits.max_connections;
+    let reject = move |socket: &TcpStream| {
+        _ = wire::send_hello(socket, STORE_PROTOCOL);
+        _ = wire::send(socket, &Response::Busy { max_connections });
+    };
+    let serve = move |socket: &TcpStream| Connection { socket, store: &store, limits: &limits }.serve();
+    acceptor::accept(listener, "store", max_connections, reject, serve).map_err(Error::SpawnThread)
+}
+
+/// One client's connection.
+struct Connection<'a> {
+    socket: &'a TcpStream,
+    store: &'a Store,
+    limits: &'a Limits,
+}
+
+impl Connection<'_> {
+    fn serve(&self) -> Result<(), WireError> {
+        let Limits { idle_timeout, message_timeout, .. } = *self.limits;
+        self.socket.set_nodelay(true)?;
+        self.socket.set_write_timeout(Some(message_timeout))?;
+        // Sent even to a client of another version, so that it can name both.
+        wire::send_hello(self.socket, STORE_PROTOCOL)?;
+        wire::receive_hello(self.socket, STORE_PROTOCOL, message_timeout)?;
+        self.send(&Response::Welcome { node: self.store.status().node })?;
+        loop {
+            match wire::receive(self.socket, idle_timeout, message_timeout)? {
+                Request::Watch { prefix, after } => return self.watch(&prefix, after),
+                Request::List { prefix, consistency } => self.list(&prefix, consistency)?,
+                Request::Get { key, consistency } => self.send(&self.get(&key, consistency))?,
+                Request::RegisterClient => self.send(&written(self.store.register_client()))?,
+                Request::Write { origin, operation } => self.send(&self.write(origin, operation))?,
+                Request::Status => self.send(&self.status())?,
+            }
+        }
+    }
+
+    fn send(&self, response: &Response) -> Result<(), WireError> {
+        wire::send(self.socket, response)
+    }
+
+    fn get(&self, key: &str, consistency: Consistency) -> Response {
+        match self.read(consistency) {
+            Ok((header, state)) => Response::Value { header, value: state.get(key).cloned() },
+            Err(rejection) => Response::Rejected(rejection),
+        }
+    }
+
+    fn list(&self, prefix: &str, consistency: Consistency) -> Result<(), WireError> {
+        match self.read(consistency) {
+            Ok((header, state)) => send_in_parts(&state, prefix, |entries, last| {
+                self.send(&Response::Keys { header, entries, last })
+            }),
+            Err(rejection) => self.send(&Response::Rejected(rejection)),
+        }
+    }
+
+    fn read(&self, consistency: Consistency) -> Result<(ReadHeader, State), Rejection> {
+        let ConfirmedRead { state, term } = match consistency {
+            Consistency::Linearizable => self.store.read()?,
+            Consistency::Local => {
+                ConfirmedRead { state: self.store.state(), term: self.store.known_leader().term }
+            }
+        };
+        Ok((ReadHeader { consistency, revision: state.revision, term }, state))
+    }
+
+    fn write(&self, origin: RequestOrigin, operation: Operation) -> Response {
+        written(self.store.write(origin, operation))
+    }
+
+    fn status(&self) -> Response {
+        let status = self.store.status();
+        Response::Status {
+            node: status.node,
+            leader: status.leader.unwrap_or(raft::INVALID_ID),
+            term: status.term,
+            revision: self.store.state().revision,
+        }
+    }
+}
+
+fn written(result: Result<CommittedWrite, Rejection>) -> Response {
+    match result {
+        Ok(CommittedWrite { response, term }) => Response::Written { response, term },
+        Err(rejection) => Response::Rejected(rejection),
+    }
+}
+
+/// Sends the keys with a prefix in parts that fit into messages. There is always a last part, which may be empty.
+fn send_in_parts(
+    state: &State,
+    prefix: &str,
+    mut send_part: impl FnMut(Vec<(String, Value)>, bool) -> Result<(), WireError>,
+) -> Result<(), WireError> {
+    let mut entries = Vec::new();
+    let mut bytes = 0;
+    for (key, value) in state.with_prefix(prefix) {
+        if bytes > PART_BYTES {
+            send_part(std::mem::take(&mut entries), false)?;
+            bytes = 0;
+        }
+        bytes += key.len() + value.text.len();
+        entries.push((key.to_string(), value.clone()));
+    }
+    send_part(entries, true)
+}
--- a/store/src/state.rs
+++ b/store/src/state.rs
@@ -1,79 +1,81 @@
-//! The keys, as a reader sees them.
+//! The keys, as readers see them.
 use imbl::OrdMap;
 use serde::{Deserialize, Serialize};
 use serde_json::Value as Json;
 
-/// A key's value.
+/// The value of a key. It is stored and sent: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Value {
-    /// Counts the changes of this key since it came to be.
+    /// Counts the changes of this key since it was created, from 1.
     pub version: u64,
-    /// The index of the command that changed it last.
+    /// The log index of the command that changed it last.
     pub revision: u64,
-    /// The epoch of the lease that it goes with.
-    pub lease: Option<u64>,
-    /// Its text.
+    /// The epoch of the lease that the key is attached to.
+    pub lease_epoch: Option<u64>,
+    /// The text.
     pub text: String,
 }
 
-/// A command that changes one key.
+/// An update of one key. It is stored and sent: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Change {
+pub struct Update {
     /// The key.
     pub key: String,
-    /// Its new text; `None` removes it.
+    /// Its new text; `None` deletes the key.
     pub text: Option<String>,
-    /// Takes effect only at this version; 0 means that the key is not there.
-    pub expected: Option<u64>,
+    /// The version that the key must be at; 0 where it must not exist.
+    pub expected_version: Option<u64>,
 }
 
-impl Change {
-    /// From a command of the control, or from a log of before clients.
-    pub fn read(v: &Json) -> Option<Change> {
-        let expected = match v.get("expected") {
+impl Update {
+    /// From the JSON of a control command or of a log entry from before there were clients; `None` where it has no
+    /// such form.
+    pub(crate) fn from_json(json: &Json) -> Option<Update> {
+        let expected_version = match json.get("expected") {
             None | Some(Json::Null) => None,
-            Some(x) => Some(x.as_u64()?),
+            Some(version) => Some(version.as_u64()?),
         };
-        let text = match v.get("text") {
+        let text = match json.get("text") {
             None | Some(Json::Null) => None,
-            Some(x) => Some(x.as_str()?.to_string()),
+            Some(text) => Some(text.as_str()?.to_string()),
         };
-        Some(Change { key: v.get("key")?.as_str()?.to_string(), text, expected })
+        Some(Update { key: json.get("key")?.as_str()?.to_string(), text, expected_version })
     }
 }
 
-/// All keys. A copy costs next to nothing: it shares what has not changed since.
+/// All keys at one log index. A clone is cheap: it shares what has not changed since.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
-    /// The store's own number, 0 until it has one: revisions of another store mean nothing here.
-    pub born: u64,
-    /// The index of the last command that is in it.
-    pub applied: u64,
-    /// The index of the last command that changed a key.
+    /// The id of the store, 0 until it has one: revisions of another store mean nothing here.
+    pub store_id: u64,
+    /// The log index of the last command that was applied.
+    pub applied_index: u64,
+    /// The log index of the last command that changed a key.
     pub revision: u64,
     keys: OrdMap<String, Value>,
 }
 
 impl State {
-    /// A key's value.
+    /// The value of a key.
     pub fn get(&self, key: &str) -> Option<&Value> {
         self.keys.get(key)
     }
 
-    /// How many keys there are.
+    /// The number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// The keys that begin so.
+    /// The keys that begin with a prefix, in order.
     pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Value)> {
-        let from = self.keys.range(prefix.to_string()..);
-        from.take_while(move |(k, _)| k.starts_with(prefix)).map(|(k, v)| (k.as_str(), v))
+        let from_prefix = self.keys.range(prefix.to_string()..);
+        let matching = from_prefix.take_while(move |(key, _)| key.starts_with(prefix));
+        matching.map(|(key, value)| (key.as_str(), value))
     }
 
     pub(crate) fn insert(&mut self, key: String, value: Value) {
@@ -84,14 +86,16 @@
         self.keys.remove(key)
     }
 
-    /// From a snapshot of before clients: its keys count as changed by its last command.
-    pub(crate) fn read(bytes: &[u8]) -> Option<State> {
-        let v: Json = serde_json::from_slice(bytes).ok()?;
-        let applied = v.get("applied")?.as_u64()?;
-        let mut state = State { applied, revision: applied, ..State::default() };
-        for k in v.get("keys")?.as_array()? {
-            let (version, text) = (k.get(1)?.as_u64()?, k.get(2)?.as_str()?.to_string());
-            state.insert(k.get(0)?.as_str()?.into(), Value { version, revision: applied, lease: None, text });
+    /// From a JSON snapshot of before there were clients; `None` where it has no such form. All keys count as changed
+    /// by the last command in it.
+    pub(crate) fn from_legacy_json(bytes: &[u8]) -> Option<State> {
+        let snapshot: Json = serde_json::from_slice(bytes).ok()?;
+        let applied_index = snapshot.get("applied")?.as_u64()?;
+        let mut state = State { applied_index, revision: applied_index, ..State::default() };
+        for entry in snapshot.get("keys")?.as_array()? {
+            let (version, text) = (entry.get(1)?.as_u64()?, entry.get(2)?.as_str()?.to_string());
+            let value = Value { version, revision: applied_index, lease_epoch: None, text };
+            state.insert(entry.get(0)?.as_str()?.into(), value);
         }
         Some(state)
     }
--- a/store/tests/recorded/control_lines.rs
+++ b/store/tests/recorded/control_lines.rs
@@ -1,6 +1,6 @@
 //! Lines of the control address, and the texts of rejections, which are part of them.
 use crate::fixtures::assert_recorded;
-use crate::samples::{LONG, refusals, single_node};
+use crate::samples::{LONG, rejections, single_node};
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
@@ -14,7 +14,7 @@
     let socket = TcpStream::connect(addr).unwrap();
     socket.set_read_timeout(Some(LONG)).unwrap();
     let mut lines = BufReader::new(socket.try_clone().unwrap()).lines();
-    let asked = [
+    let commands = [
         r#"{"do":"status"}"#,
         r#"{"do":"get","key":"seeded"}"#,
         r#"{"do":"set","key":"a","text":"1"}"#,
@@ -41,11 +41,11 @@
         r#"{"do":"list"}"#,
         r#"{"do":"fly"}"#,
         r#"{"do":7}"#,
-        r#"[1]"#,
-        r#"not json"#,
+        "[1]",
+        "not json",
     ];
     let mut now = String::new();
-    for line in asked {
+    for line in commands {
         writeln!(&socket, "{line}").unwrap();
         writeln!(now, "> {line}\n< {}", lines.next().unwrap().unwrap()).unwrap();
     }
@@ -56,6 +56,6 @@
 #[test]
 fn rejection_texts_keep_their_wording() {
     let mut now = String::new();
-    refusals().iter().for_each(|r| writeln!(now, "{r}").unwrap());
+    rejections().iter().for_each(|rejection| writeln!(now, "{rejection}").unwrap());
     assert_recorded("rejection_texts.txt", &now);
 }
--- a/store/tests/recorded/frames.rs
+++ b/store/tests/recorded/frames.rs
@@ -1,12 +1,12 @@
 //! What is exchanged with other processes: frames between nodes and clients, and between nodes.
 use crate::fixtures::{assert_recorded, fixture, hex, recorded_bytes, unhex};
-use crate::samples::{LONG, answers, raft_message, requests};
+use crate::samples::{LONG, raft_message, requests, responses};
 use protobuf::Message as _;
 use raft::eraftpb::Message;
 use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
-use store::wire::{self, Answer, MAGIC, Request, VERSION, WireError};
+use store::wire::{self, Protocol, Request, Response, STORE_PROTOCOL, WireError};
 
 /// Two ends of one connection.
 fn connection() -> (TcpStream, TcpStream) {
@@ -36,42 +36,44 @@
 
 #[test]
 fn client_frames_keep_their_bytes() {
-    let mut now = format!("hello {}\n", hex(&sent(|s| wire::hello(s).unwrap())));
+    let mut now = format!("hello {}\n", hex(&sent(|s| wire::send_hello(s, STORE_PROTOCOL).unwrap())));
     for (name, request) in requests() {
         let frame = sent(|s| wire::send(s, &request).unwrap());
         writeln!(now, "request:{name} {}", hex(&frame)).unwrap();
     }
-    for (name, answer) in answers() {
-        let frame = sent(|s| wire::send(s, &answer).unwrap());
+    for (name, response) in responses() {
+        let frame = sent(|s| wire::send(s, &response).unwrap());
         writeln!(now, "answer:{name} {}", hex(&frame)).unwrap();
     }
     assert_recorded("client_frames.txt", &now);
     let recorded = fixture("client_frames.txt");
-    wire::greeted(&receiving(&recorded_bytes(&recorded, "hello")), LONG).unwrap();
+    wire::receive_hello(&receiving(&recorded_bytes(&recorded, "hello")), STORE_PROTOCOL, LONG).unwrap();
     for (name, request) in requests() {
         let far = receiving(&recorded_bytes(&recorded, &format!("request:{name}")));
         assert_eq!(wire::receive::<Request>(&far, LONG, LONG).unwrap(), request, "{name}");
     }
-    for (name, answer) in answers() {
+    for (name, response) in responses() {
         let far = receiving(&recorded_bytes(&recorded, &format!("answer:{name}")));
-        assert_eq!(wire::receive::<Answer>(&far, LONG, LONG).unwrap(), answer, "{name}");
+        assert_eq!(wire::receive::<Response>(&far, LONG, LONG).unwrap(), response, "{name}");
     }
 }
 
 #[test]
 fn hello_names_the_protocol_and_its_version() {
-    assert_eq!((MAGIC, VERSION), (*b"DVST", 1));
-    let other = sent(|s| wire::hello_of(s, *b"DVFL", 0x0102).unwrap());
+    assert_eq!((STORE_PROTOCOL.magic, STORE_PROTOCOL.version), (*b"DVST", 1));
+    let protocol = Protocol { magic: *b"DVFL", version: 0x0102 };
+    let other = sent(|s| wire::send_hello(s, protocol).unwrap());
     assert_eq!(other, b"DVFL\x02\x01");
-    assert!(matches!(wire::greeted(&receiving(&other), LONG), Err(WireError::Magic)));
-    assert!(matches!(wire::greeted(&receiving(b"DVST\x02\x00"), LONG), Err(WireError::Version(2))));
-    assert!(wire::greeted_of(&receiving(&other), *b"DVFL", 0x0102, LONG).is_ok());
+    let hello = |bytes: &[u8], expected| wire::receive_hello(&receiving(bytes), expected, LONG);
+    assert!(matches!(hello(&other, STORE_PROTOCOL), Err(WireError::WrongProtocol)));
+    assert!(matches!(hello(b"DVST\x02\x00", STORE_PROTOCOL), Err(WireError::WrongVersion(2))));
+    assert!(hello(&other, protocol).is_ok());
 }
 
 #[test]
 fn peer_frame_keeps_its_bytes() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let peer = store::peers::way_to(listener.local_addr().unwrap()).unwrap();
+    let peer = store::peers::start_sender(listener.local_addr().unwrap()).unwrap();
     peer.send(raft_message()).unwrap();
     drop(peer);
     let (mut socket, _) = listener.accept().unwrap();
--- a/store/tests/recorded/log_forms.rs
+++ b/store/tests/recorded/log_forms.rs
@@ -1,46 +1,48 @@
 //! What is stored: commands in the log, snapshots, and the log file.
 use crate::fixtures::{assert_recorded, fixture, hex, recorded_bytes, unhex};
 use crate::samples::{
-    change, commands, entry, hard_state, log_entries, populated_machine, raft_snapshot, set, single_node,
-    value,
+    commands, entry, hard_state, log_entries, populated_limits, populated_machine, raft_snapshot, set,
+    single_node, update, value,
 };
-use raft::eraftpb::Entry;
 use std::fmt::Write;
-use store::disk::Disk;
-use store::machine::{Bounds, By, Command, Machine, Made};
+use store::command::{Command, CommandEffect, RequestOrigin};
+use store::limits::StoreLimits;
+use store::log_file::LogFile;
+use store::machine::StateMachine;
 
 #[test]
 fn log_commands_keep_their_bytes() {
     let mut now = String::new();
     for (name, command) in commands() {
-        writeln!(now, "{name} {}", hex(&command.write().unwrap())).unwrap();
+        writeln!(now, "{name} {}", hex(&command.encode().unwrap())).unwrap();
     }
     assert_recorded("log_commands.txt", &now);
     let recorded = fixture("log_commands.txt");
     for (name, command) in commands() {
-        assert_eq!(Command::read(&recorded_bytes(&recorded, &name)), Some(command), "{name}");
+        assert_eq!(Command::decode(&recorded_bytes(&recorded, &name)), Some(command), "{name}");
     }
 }
 
 #[test]
 fn legacy_json_commands_are_read() {
     let recorded = fixture("legacy_commands.txt");
-    let read: Vec<_> = recorded.lines().map(|line| Command::read(line.as_bytes())).collect();
+    let read: Vec<_> = recorded.lines().map(|line| Command::decode(line.as_bytes())).collect();
     let expected = [
-        change("a", Some("2"), Some(1)),
-        change("a", Some("2"), None),
-        change("b/\u{e9}", Some("say \"x\""), None),
-        change("a", None, Some(4)),
+        update("a", Some("2"), Some(1)),
+        update("a", Some("2"), None),
+        update("b/\u{e9}", Some("say \"x\""), None),
+        update("a", None, Some(4)),
     ];
-    assert_eq!(read, expected.map(|c| Some(Command::Former(c))));
+    assert_eq!(read, expected.map(|update| Some(Command::LegacyUpdate(update))));
 }
 
 #[test]
 fn legacy_json_snapshot_is_read() {
     let machine =
-        Machine::read(fixture("legacy_snapshot.json").trim().as_bytes(), Bounds::default()).unwrap();
+        StateMachine::decode(fixture("legacy_snapshot.json").trim().as_bytes(), StoreLimits::default())
+            .unwrap();
     let state = machine.state();
-    assert_eq!((state.born, state.applied, state.revision), (0, 9, 9));
+    assert_eq!((state.store_id, state.applied_index, state.revision), (0, 9, 9));
     let keys: Vec<_> = state.with_prefix("").map(|(k, v)| (k.to_string(), v.clone())).collect();
     assert_eq!(
         keys,
@@ -51,11 +53,11 @@
 #[test]
 fn snapshot_keeps_its_bytes() {
     let machine = populated_machine();
-    assert_recorded("snapshot.hex", &(hex(&machine.write().unwrap()) + "\n"));
+    assert_recorded("snapshot.hex", &(hex(&machine.encode().unwrap()) + "\n"));
     let recorded = unhex(&fixture("snapshot.hex"));
-    let read = Machine::read(&recorded, Bounds { names: 2, ..Bounds::default() }).unwrap();
+    let read = StateMachine::decode(&recorded, populated_limits()).unwrap();
     assert_eq!(read, machine);
-    assert_eq!(read.write().unwrap(), recorded);
+    assert_eq!(read.encode().unwrap(), recorded);
 }
 
 #[test]
@@ -63,15 +65,15 @@
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("log");
     let entries = log_entries();
-    let (mut disk, found) = Disk::open(folder.path()).unwrap();
-    assert!(found.entries.is_empty() && found.torn == 0);
-    disk.rewrite(&raft_snapshot(), &entries[..2], &hard_state(2, 3, 21)).unwrap();
+    let (mut log_file, contents) = LogFile::open(folder.path()).unwrap();
+    assert!(contents.entries.is_empty() && contents.torn_bytes == 0);
+    log_file.rewrite(&raft_snapshot(), &entries[..2], &hard_state(2, 3, 21)).unwrap();
     assert_recorded("log_rewritten.hex", &(hex(&std::fs::read(&path).unwrap()) + "\n"));
-    disk.add(&entries[2..], Some(&hard_state(3, 1, 24))).unwrap();
-    disk.add(&[], Some(&hard_state(4, 0, 24))).unwrap();
+    log_file.append(&entries[2..], Some(&hard_state(3, 1, 24))).unwrap();
+    log_file.append(&[], Some(&hard_state(4, 0, 24))).unwrap();
     // A new leader's entry takes the place of what stood there and of all behind it.
-    disk.add(&[entry(25, 4, b"{}")], None).unwrap();
-    disk.add(&[], None).unwrap();
+    log_file.append(&[entry(25, 4, b"{}")], None).unwrap();
+    log_file.append(&[], None).unwrap();
     assert_recorded("log_appended.hex", &(hex(&std::fs::read(&path).unwrap()) + "\n"));
 }
 
@@ -82,44 +84,44 @@
     let recorded = unhex(&fixture("log_appended.hex"));
     for torn in [&b""[..], b"\x50\0\0\0torn off"] {
         std::fs::write(&path, [&recorded[..], torn].concat()).unwrap();
-        let (_, found) = Disk::open(folder.path()).unwrap();
-        assert_eq!(found.torn, torn.len() as u64);
-        assert_eq!(found.hard_state, hard_state(4, 0, 24));
-        assert_eq!(found.snapshot, raft_snapshot());
+        let (_, contents) = LogFile::open(folder.path()).unwrap();
+        assert_eq!(contents.torn_bytes, torn.len() as u64);
+        assert_eq!(contents.hard_state, hard_state(4, 0, 24));
+        assert_eq!(contents.snapshot, raft_snapshot());
         let expected = [&log_entries()[..4], &[entry(25, 4, b"{}")]].concat();
-        assert_eq!(found.entries, expected);
+        assert_eq!(contents.entries, expected);
         assert_eq!(std::fs::read(&path).unwrap(), recorded);
     }
 }
 
 #[test]
-fn a_new_stores_log_file_has_the_recorded_entries() {
+fn log_file_of_a_new_store_has_the_recorded_entries() {
     let folder = tempfile::tempdir().unwrap();
     let store = single_node(Some(folder.path().to_path_buf()));
-    store.change(change("a", Some("1"), Some(0))).unwrap();
-    let (opened, client) = match store.open().unwrap().answered.made.unwrap() {
-        Made::Opened { client, born } => (born, client),
+    store.update(update("a", Some("1"), Some(0))).unwrap();
+    let (store_id, client_id) = match store.register_client().unwrap().response.result.unwrap() {
+        CommandEffect::ClientRegistered { client_id, store_id } => (store_id, client_id),
         other => panic!("{other:?}"),
     };
-    store.write(By { born: opened, client, seq: 1 }, set("a", "2")).unwrap();
-    assert_eq!(opened, store.state().born);
-    // The file is synced before an answer is given; a copy of it is read, for the node goes on with its own.
+    store.write(RequestOrigin { store_id, client_id, sequence: 1 }, set("a", "2")).unwrap();
+    assert_eq!(store_id, store.state().store_id);
+    // The file is synced before a response is sent; a copy of it is read, for the node still writes its own.
     let copy = tempfile::tempdir().unwrap();
     std::fs::copy(folder.path().join("log"), copy.path().join("log")).unwrap();
-    let (_, found) = Disk::open(copy.path()).unwrap();
+    let (_, contents) = LogFile::open(copy.path()).unwrap();
     let mut now = String::new();
-    for e in &found.entries {
-        // The store's number and the counter of proposals are drawn; everything else is recorded.
-        let context = match &e.context[..] {
+    for entry in &contents.entries {
+        // The store's id and the counter of request ids are random; everything else is recorded.
+        let context = match &entry.context[..] {
             [] => "none".to_string(),
             [node @ .., _, _, _, _, _, _, _, _] => format!("node {} and 8 bytes", hex(node)),
             short => hex(short),
         };
-        let drawn = hex(&postcard::to_allocvec(&opened).unwrap());
-        let data = hex(&e.data).replace(&drawn, "STORE");
-        writeln!(now, "{} term {} type {:?} context {context} data {data}", e.index, e.term, e.entry_type)
-            .unwrap();
+        let random = hex(&postcard::to_allocvec(&store_id).unwrap());
+        let data = hex(&entry.data).replace(&random, "STORE");
+        let (index, term, kind) = (entry.index, entry.term, entry.entry_type);
+        writeln!(now, "{index} term {term} type {kind:?} context {context} data {data}").unwrap();
     }
-    writeln!(now, "term {} vote {}", found.hard_state.term, found.hard_state.vote).unwrap();
+    writeln!(now, "term {} vote {}", contents.hard_state.term, contents.hard_state.vote).unwrap();
     assert_recorded("new_store_log.txt", &now);
 }
--- a/store/tests/recorded/samples.rs
+++ b/store/tests/recorded/samples.rs
@@ -4,166 +4,195 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use store::machine::{Answered, Bounds, By, Changes, Command, Fence, Machine, Made, Op};
-use store::wire::{Answer, At, How, Place, Request};
-use store::{Change, Refused, Store, Value};
+use store::command::{
+    ChangeSet, Command, CommandEffect, CommandResponse, FencingToken, KeyChange, Operation, RequestOrigin,
+};
+use store::limits::StoreLimits;
+use store::machine::StateMachine;
+use store::wire::{Consistency, ReadHeader, Request, Response, WatchPosition};
+use store::{Rejection, Store, Update, Value};
 
 /// Reached only by a failure.
 pub(crate) const LONG: Duration = Duration::from_secs(20);
 
-pub(crate) fn change(key: &str, text: Option<&str>, expected: Option<u64>) -> Change {
-    Change { key: key.into(), text: text.map(str::to_string), expected }
+pub(crate) fn update(key: &str, text: Option<&str>, expected_version: Option<u64>) -> Update {
+    Update { key: key.into(), text: text.map(str::to_string), expected_version }
 }
 
-pub(crate) fn fence(name: &str, epoch: u64) -> Fence {
-    Fence { name: name.into(), epoch }
+pub(crate) fn token(name: &str, epoch: u64) -> FencingToken {
+    FencingToken { name: name.into(), epoch }
 }
 
-pub(crate) fn set(key: &str, text: &str) -> Op {
-    Op::Change { change: change(key, Some(text), None), fence: None, lease: None }
+fn plain(update: Update) -> Operation {
+    Operation::Update { update, fencing_token: None, lease_epoch: None }
 }
 
-pub(crate) fn value(version: u64, revision: u64, lease: Option<u64>, text: &str) -> Value {
-    Value { version, revision, lease, text: text.into() }
+pub(crate) fn set(key: &str, text: &str) -> Operation {
+    plain(update(key, Some(text), None))
 }
 
-pub(crate) fn origin() -> By {
-    By { born: 0x0123_4567_89ab_cdef, client: 300, seq: 70_000 }
+pub(crate) fn value(version: u64, revision: u64, lease_epoch: Option<u64>, text: &str) -> Value {
+    Value { version, revision, lease_epoch, text: text.into() }
 }
 
-pub(crate) fn operations() -> Vec<(&'static str, Op)> {
-    let guarded = Op::Change {
-        change: change("shards/1", Some("owner-a"), Some(3)),
-        fence: Some(fence("shard-1", 200)),
-        lease: Some(200),
+pub(crate) fn origin() -> RequestOrigin {
+    RequestOrigin { store_id: 0x0123_4567_89ab_cdef, client_id: 300, sequence: 70_000 }
+}
+
+fn operations() -> Vec<(&'static str, Operation)> {
+    let guarded = Operation::Update {
+        update: update("shards/1", Some("owner-a"), Some(3)),
+        fencing_token: Some(token("shard-1", 200)),
+        lease_epoch: Some(200),
     };
     vec![
         ("put", set("a", "1")),
         ("put_guarded", guarded),
-        ("delete", Op::Change { change: change("a", None, Some(0)), fence: None, lease: None }),
-        ("grant", Op::Grant { name: "shard-1".into(), ttl_ms: 1200 }),
-        ("renew", Op::Renew(fence("shard-1", 200))),
-        ("revoke", Op::Revoke(fence("shard-1", 200))),
+        ("delete", plain(update("a", None, Some(0)))),
+        ("grant", Operation::Grant { name: "shard-1".into(), ttl_ms: 1200 }),
+        ("renew", Operation::Renew(token("shard-1", 200))),
+        ("revoke", Operation::Revoke(token("shard-1", 200))),
     ]
 }
 
+fn internal(operation: Operation) -> Command {
+    Command::Write { origin: None, operation }
+}
+
 pub(crate) fn commands() -> Vec<(String, Command)> {
+    let expire = Command::ExpireLease { token: token("shard-1", 200), renewals: 9 };
     let mut commands = vec![
-        ("store_id".to_string(), Command::Born(u64::MAX - 1)),
-        ("register_client".to_string(), Command::Open),
-        ("expire".to_string(), Command::Expire(fence("shard-1", 200), 9)),
-        ("legacy".to_string(), Command::Former(change("a", Some("2"), Some(1)))),
+        ("store_id".to_string(), Command::Initialize { store_id: u64::MAX - 1 }),
+        ("register_client".to_string(), Command::RegisterClient),
+        ("expire".to_string(), expire),
+        ("legacy".to_string(), Command::LegacyUpdate(update("a", Some("2"), Some(1)))),
     ];
-    for (name, op) in operations() {
-        commands.push((format!("{name}_by_client"), Command::Write(Some(origin()), op.clone())));
-        commands.push((name.to_string(), Command::Write(None, op)));
+    for (name, operation) in operations() {
+        let by_client = Command::Write { origin: Some(origin()), operation: operation.clone() };
+        commands.push((format!("{name}_by_client"), by_client));
+        commands.push((name.to_string(), internal(operation)));
     }
     commands
 }
 
-pub(crate) fn refusals() -> Vec<Refused> {
+pub(crate) fn rejections() -> Vec<Rejection> {
     vec![
-        Refused::NoMajority,
-        Refused::Young,
-        Refused::Version(3),
-        Refused::Unconfirmed,
-        Refused::Fenced(201),
-        Refused::Ended(200),
-        Refused::Held(200),
-        Refused::Size { what: "a key in bytes".into(), least: 1, most: 512 },
-        Refused::Full("keys".into(), 65_536),
-        Refused::Forgotten,
-        Refused::Late(4),
+        Rejection::NoQuorum,
+        Rejection::NotInitialized,
+        Rejection::VersionMismatch { current: 3 },
+        Rejection::Unconfirmed,
+        Rejection::Fenced { highest_epoch: 201 },
+        Rejection::LeaseEnded { epoch: 200 },
+        Rejection::LeaseHeld { epoch: 200 },
+        Rejection::OutOfBounds { what: "a key in bytes".into(), min: 1, max: 512 },
+        Rejection::LimitReached { what: "keys".into(), max: 65_536 },
+        Rejection::UnknownClient,
+        Rejection::StaleSequence { latest: 4 },
     ]
 }
 
-pub(crate) fn effects() -> Vec<Made> {
-    vec![Made::Opened { client: 300, born: 7 }, Made::Changed(3), Made::Granted(200), Made::Done]
+fn effects() -> Vec<CommandEffect> {
+    vec![
+        CommandEffect::ClientRegistered { client_id: 300, store_id: 7 },
+        CommandEffect::Updated { version: 3 },
+        CommandEffect::Granted { epoch: 200 },
+        CommandEffect::Done,
+    ]
+}
+
+pub(crate) fn populated_limits() -> StoreLimits {
+    StoreLimits { max_lease_names: 2, ..StoreLimits::default() }
 }
 
 /// A store with all that a snapshot can hold: keys with and without a lease, a held, a free and a forgotten name,
-/// clients with and without a last answer, one of them a rejection.
-pub(crate) fn populated_machine() -> Machine {
-    let mut machine = Machine::new(Bounds { names: 2, ..Bounds::default() });
-    let grant = |name: &str, ttl_ms| Command::Write(None, Op::Grant { name: name.into(), ttl_ms });
-    let by = |seq| Some(By { born: 77, client: 2, seq });
-    let leased = Op::Change {
-        change: change("owner", Some("one"), None),
-        fence: Some(fence("held", 8)),
-        lease: Some(8),
+/// clients with and without a last response, one of them a rejection.
+pub(crate) fn populated_machine() -> StateMachine {
+    let mut machine = StateMachine::new(populated_limits());
+    let grant = |name: &str, ttl_ms| internal(Operation::Grant { name: name.into(), ttl_ms });
+    let by_client = |sequence, operation| {
+        let origin = RequestOrigin { store_id: 77, client_id: 2, sequence };
+        Command::Write { origin: Some(origin), operation }
+    };
+    let leased = Operation::Update {
+        update: update("owner", Some("one"), None),
+        fencing_token: Some(token("held", 8)),
+        lease_epoch: Some(8),
     };
     let commands = [
-        Command::Born(77),
-        Command::Open,
-        Command::Open,
-        Command::Write(by(1), set("a", "1")),
-        Command::Write(
-            by(2),
-            Op::Change { change: change("a", Some("2"), Some(9)), fence: None, lease: None },
-        ),
+        Command::Initialize { store_id: 77 },
+        Command::RegisterClient,
+        Command::RegisterClient,
+        by_client(1, set("a", "1")),
+        by_client(2, plain(update("a", Some("2"), Some(9)))),
         grant("forgotten", 200),
-        Command::Write(None, Op::Revoke(fence("forgotten", 6))),
+        internal(Operation::Revoke(token("forgotten", 6))),
         grant("held", 1200),
-        Command::Write(None, leased),
-        Command::Write(None, Op::Renew(fence("held", 8))),
+        internal(leased),
+        internal(Operation::Renew(token("held", 8))),
         grant("free", 600_000),
-        Command::Write(None, Op::Revoke(fence("free", 11))),
-        Command::Write(None, set("b/\u{e9}", "")),
-        Command::Former(change("old", Some("kept"), Some(0))),
+        internal(Operation::Revoke(token("free", 11))),
+        internal(set("b/\u{e9}", "")),
+        Command::LegacyUpdate(update("old", Some("kept"), Some(0))),
     ];
     for (index, command) in (1..).zip(commands) {
-        let _ = machine.apply(index, command);
+        machine.apply(index, command);
     }
     machine.skip(20);
     machine
 }
 
 pub(crate) fn requests() -> Vec<(String, Request)> {
-    let place = Place { born: 77, revision: 1 << 20 };
+    let (linearizable, local) = (Consistency::Linearizable, Consistency::Local);
+    let position = WatchPosition { store_id: 77, revision: 1 << 20 };
     let mut requests = vec![
-        ("register_client".to_string(), Request::Open),
-        ("get_linearizable".to_string(), Request::Get { key: "a".into(), how: How::Linearizable }),
-        ("get_local".to_string(), Request::Get { key: "a".into(), how: How::Local }),
-        ("list".to_string(), Request::List { prefix: "server/".into(), how: How::Local }),
+        ("register_client".to_string(), Request::RegisterClient),
+        ("get_linearizable".to_string(), Request::Get { key: "a".into(), consistency: linearizable }),
+        ("get_local".to_string(), Request::Get { key: "a".into(), consistency: local }),
+        ("list".to_string(), Request::List { prefix: "server/".into(), consistency: local }),
         ("status".to_string(), Request::Status),
         ("watch".to_string(), Request::Watch { prefix: "a/".into(), after: None }),
-        ("watch_resumed".to_string(), Request::Watch { prefix: "a/".into(), after: Some(place) }),
+        ("watch_resumed".to_string(), Request::Watch { prefix: "a/".into(), after: Some(position) }),
     ];
-    let writes = operations().into_iter().map(|(name, op)| (name.to_string(), Request::Write(origin(), op)));
-    requests.extend(writes);
+    let write = |(name, operation): (&str, Operation)| {
+        (name.to_string(), Request::Write { origin: origin(), operation })
+    };
+    requests.extend(operations().into_iter().map(write));
     requests
 }
 
-pub(crate) fn answers() -> Vec<(String, Answer)> {
-    let at = At { how: How::Linearizable, revision: 300, term: 4 };
-    let place = Place { born: 77, revision: 300 };
-    let keys =
+pub(crate) fn responses() -> Vec<(String, Response)> {
+    let header = ReadHeader { consistency: Consistency::Linearizable, revision: 300, term: 4 };
+    let local = ReadHeader { consistency: Consistency::Local, ..header };
+    let position = WatchPosition { store_id: 77, revision: 300 };
+    let entries =
         vec![("a".to_string(), value(1, 2, None, "1")), ("b".to_string(), value(3, 300, Some(8), "\u{e9}"))];
-    let changed = vec![("a".to_string(), Some(value(2, 301, None, "2"))), ("b".to_string(), None)];
-    let status = Answer::Status { node: 2, leader: 3, term: 4, revision: 300 };
-    let mut answers = vec![
-        ("welcome".to_string(), Answer::Welcome(3)),
-        ("busy".to_string(), Answer::Busy(1024)),
-        ("value".to_string(), Answer::Value(at, Some(value(1, 2, Some(8), "x")))),
-        ("value_missing".to_string(), Answer::Value(At { how: How::Local, ..at }, None)),
-        ("keys".to_string(), Answer::Part { at, keys: keys.clone(), last: false }),
-        ("keys_last".to_string(), Answer::Part { at, keys: vec![], last: true }),
+    let changes = vec![
+        KeyChange { key: "a".into(), value: Some(value(2, 301, None, "2")) },
+        KeyChange { key: "b".into(), value: None },
+    ];
+    let status = Response::Status { node: 2, leader: 3, term: 4, revision: 300 };
+    let mut responses = vec![
+        ("welcome".to_string(), Response::Welcome { node: 3 }),
+        ("busy".to_string(), Response::Busy { max_connections: 1024 }),
+        ("value".to_string(), Response::Value { header, value: Some(value(1, 2, Some(8), "x")) }),
+        ("value_missing".to_string(), Response::Value { header: local, value: None }),
+        ("keys".to_string(), Response::Keys { header, entries: entries.clone(), last: false }),
+        ("keys_last".to_string(), Response::Keys { header, entries: vec![], last: true }),
         ("status".to_string(), status),
-        ("watch_all".to_string(), Answer::All { place, compacted: true, keys, last: true }),
-        ("watch_changes".to_string(), Answer::Changes(Changes { revision: 301, keys: changed })),
-        ("watch_progress".to_string(), Answer::Progress(302)),
-        ("watch_no_leader".to_string(), Answer::Leaderless),
+        ("watch_all".to_string(), Response::Snapshot { position, compacted: true, entries, last: true }),
+        ("watch_changes".to_string(), Response::Changes(ChangeSet { revision: 301, changes })),
+        ("watch_progress".to_string(), Response::Progress { revision: 302 }),
+        ("watch_no_leader".to_string(), Response::NoLeader),
     ];
-    for (i, made) in effects().into_iter().enumerate() {
-        let answered = Answered { made: Ok(made), revision: 301 };
-        answers.push((format!("written_{i}"), Answer::Written(answered, 4)));
+    let written = |result| Response::Written { response: CommandResponse { result, revision: 301 }, term: 4 };
+    for (i, effect) in effects().into_iter().enumerate() {
+        responses.push((format!("written_{i}"), written(Ok(effect))));
     }
-    for (i, refused) in refusals().into_iter().enumerate() {
-        let answered = Answered { made: Err(refused.clone()), revision: 301 };
-        answers.push((format!("write_rejected_{i}"), Answer::Written(answered, 4)));
-        answers.push((format!("rejected_{i}"), Answer::Refused(refused)));
+    for (i, rejection) in rejections().into_iter().enumerate() {
+        responses.push((format!("write_rejected_{i}"), written(Err(rejection.clone()))));
+        responses.push((format!("rejected_{i}"), Response::Rejected(rejection)));
     }
-    answers
+    responses
 }
 
 pub(crate) fn entry(index: u64, term: u64, data: &[u8]) -> Entry {
@@ -175,7 +204,7 @@
 
 pub(crate) fn log_entries() -> Vec<Entry> {
     let mut entries = vec![entry(21, 2, &[])];
-    entries.extend((22..).zip(commands()).map(|(i, (_, command))| entry(i, 2, &command.write().unwrap())));
+    entries.extend((22..).zip(commands()).map(|(i, (_, command))| entry(i, 2, &command.encode().unwrap())));
     entries
 }
 
@@ -188,7 +217,7 @@
     let metadata = snapshot.mut_metadata();
     (metadata.index, metadata.term) = (20, 2);
     metadata.mut_conf_state().voters = vec![1, 2, 3];
-    snapshot.set_data(populated_machine().write().unwrap().into());
+    snapshot.set_data(populated_machine().encode().unwrap().into());
     snapshot
 }
 
