--- /dev/null
+++ b/store/tests/recorded/frames.rs
@@ -0,0 +1,95 @@
+//! What is exchanged with other processes: frames between nodes and clients, and between nodes.
+use crate::fixtures::{assert_recorded, fixture, hex, recorded_bytes, unhex};
+use crate::samples::{LONG, raft_message, requests, responses};
+use protobuf::Message as _;
+use raft::eraftpb::Message;
+use std::fmt::Write as _;
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+use store::wire::{self, Protocol, Request, Response, STORE_PROTOCOL, WireError};
+
+/// Two ends of one connection.
+fn connection() -> (TcpStream, TcpStream) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let far = listener.accept().unwrap().0;
+    far.set_read_timeout(Some(LONG)).unwrap();
+    (near, far)
+}
+
+/// The bytes that are written to a connection that is closed afterwards.
+fn sent(send: impl FnOnce(&TcpStream)) -> Vec<u8> {
+    let (near, mut far) = connection();
+    send(&near);
+    drop(near);
+    let mut bytes = Vec::new();
+    far.read_to_end(&mut bytes).unwrap();
+    bytes
+}
+
+/// A connection whose other side has sent these bytes.
+fn receiving(bytes: &[u8]) -> TcpStream {
+    let (mut near, far) = connection();
+    near.write_all(bytes).unwrap();
+    far
+}
+
+#[test]
+fn client_frames_keep_their_bytes() {
+    let mut now = format!("hello {}\n", hex(&sent(|s| wire::send_hello(s, STORE_PROTOCOL).unwrap())));
+    for (name, request) in requests() {
+        let frame = sent(|s| wire::send(s, &request).unwrap());
+        writeln!(now, "request:{name} {}", hex(&frame)).unwrap();
+    }
+    for (name, response) in responses() {
+        let frame = sent(|s| wire::send(s, &response).unwrap());
+        writeln!(now, "answer:{name} {}", hex(&frame)).unwrap();
+    }
+    assert_recorded("client_frames.txt", &now);
+    let recorded = fixture("client_frames.txt");
+    wire::receive_hello(&receiving(&recorded_bytes(&recorded, "hello")), STORE_PROTOCOL, LONG).unwrap();
+    for (name, request) in requests() {
+        let far = receiving(&recorded_bytes(&recorded, &format!("request:{name}")));
+        assert_eq!(wire::receive::<Request>(&far, LONG, LONG).unwrap(), request, "{name}");
+    }
+    for (name, response) in responses() {
+        let far = receiving(&recorded_bytes(&recorded, &format!("answer:{name}")));
+        assert_eq!(wire::receive::<Response>(&far, LONG, LONG).unwrap(), response, "{name}");
+    }
+}
+
+#[test]
+fn hello_names_the_protocol_and_its_version() {
+    assert_eq!((STORE_PROTOCOL.magic, STORE_PROTOCOL.version), (*b"DVST", 1));
+    let protocol = Protocol { magic: *b"DVFL", version: 0x0102 };
+    let other = sent(|s| wire::send_hello(s, protocol).unwrap());
+    assert_eq!(other, b"DVFL\x02\x01");
+    let hello = |bytes: &[u8], expected| wire::receive_hello(&receiving(bytes), expected, LONG);
+    assert!(matches!(hello(&other, STORE_PROTOCOL), Err(WireError::WrongProtocol)));
+    assert!(matches!(hello(b"DVST\x02\x00", STORE_PROTOCOL), Err(WireError::WrongVersion(2))));
+    assert!(hello(&other, protocol).is_ok());
+}
+
+#[test]
+fn peer_frame_keeps_its_bytes() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let peer = store::peers::start_sender(listener.local_addr().unwrap()).unwrap();
+    peer.send(raft_message()).unwrap();
+    drop(peer);
+    let (mut socket, _) = listener.accept().unwrap();
+    socket.set_read_timeout(Some(LONG)).unwrap();
+    let mut frame = Vec::new();
+    socket.read_to_end(&mut frame).unwrap();
+    assert_recorded("peer_frame.hex", &(hex(&frame) + "\n"));
+    assert_eq!(Message::parse_from_bytes(&frame[4..]).unwrap(), raft_message());
+
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let addr = listener.local_addr().unwrap();
+    let (received, messages) = crossbeam_channel::unbounded();
+    store::peers::listen(listener, move |message| received.send(message).is_ok()).unwrap();
+    let recorded = unhex(&fixture("peer_frame.hex"));
+    TcpStream::connect(addr).unwrap().write_all(&[&recorded[..], &recorded].concat()).unwrap();
+    for _ in 0..2 {
+        assert_eq!(messages.recv_timeout(LONG).unwrap(), raft_message());
+    }
+}
