--- a/door/tests/common/mod.rs
+++ b/door/tests/common/mod.rs
@@ -1,7 +1,11 @@
 //! A door with a desk that stands in for the router, and callers on real sockets.
+#![allow(dead_code, reason = "each test file uses a part of these helpers")]
+pub mod router;
+
 use door::{Answer, Bounds, Call, Desk, Door};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::path::Path;
 use std::sync::{Arc, Barrier};
 use std::time::Duration;
 
@@ -36,7 +40,6 @@
 }
 
 /// Connects and sends. No read waits for more than 20 s: a test that would hang fails.
-#[allow(dead_code)]
 pub fn connect(at: SocketAddr, bytes: &[u8]) -> TcpStream {
     let mut socket = TcpStream::connect(at).unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
@@ -51,15 +54,30 @@
     all
 }
 
-#[allow(dead_code)]
 pub fn ask(at: SocketAddr, line: &[u8]) -> String {
     rest(&connect(at, line))
 }
 
 /// The same, with a half-close in place of a line end.
-#[allow(dead_code)]
 pub fn ask_and_end(at: SocketAddr, line: &[u8]) -> String {
     let socket = connect(at, line);
     socket.shutdown(Shutdown::Write).unwrap();
     rest(&socket)
 }
+
+/// Sends one line and gives all that comes back.
+pub fn exchange(at: SocketAddr, line: &[u8]) -> String {
+    rest(&connect(at, line))
+}
+
+/// Asserts that `actual` is the fixture byte for byte. On a difference it leaves `actual` in the build's folder for
+/// temporary files, so that the two can be compared.
+pub fn assert_fixture(name: &str, actual: &[u8]) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    if std::fs::read(path).is_ok_and(|expected| expected == actual) {
+        return;
+    }
+    let written = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&written, actual).unwrap();
+    panic!("{name} differs from its fixture; compare it with {}", written.display());
+}
--- /dev/null
+++ b/door/tests/common/router.rs
@@ -0,0 +1,182 @@
+//! A router without instances around the real service: its endpoint list's actor runs, and what the service makes the
+//! other parts do is recorded.
+use clients::Order;
+use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
+use door::{Bounds, Door, Operations, Parts};
+use routing::messages::Message;
+use routing::wire::Unsent;
+use routing::{
+    Clock, Entry, Figures, GroupId, Link, ListHandle, ListNews, MemberState, Outcome, Reply, Stop, Wire, Work,
+};
+use settings::Limits;
+use std::net::{SocketAddr, TcpStream};
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+
+const LONG: Duration = Duration::from_secs(20);
+
+/// A wire that carries nothing: only the endpoint list's actor runs.
+struct NoWire;
+struct NoLink(Arc<TcpStream>);
+
+impl Wire for NoWire {
+    type Payload = ();
+    type Answer = ();
+    type Link = NoLink;
+    fn open(&self, _: SocketAddr) -> Result<NoLink, Outcome> {
+        unreachable!("no instance is asked")
+    }
+}
+
+impl Link<NoWire> for NoLink {
+    fn socket(&self) -> Arc<TcpStream> {
+        self.0.clone()
+    }
+    fn alive(&mut self, _: Duration) -> bool {
+        false
+    }
+    fn carry(&mut self, _: Work<'_, NoWire>, _: &Stop) -> Result<Reply<()>, Unsent> {
+        Err(Unsent::Broken)
+    }
+}
+
+/// What a command made the router do.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Effect {
+    /// The front was told to answer as draining, or no longer.
+    Drain(bool),
+    /// The clients were ordered to drain, or no longer.
+    DrainOrder(bool),
+    /// The clients were told how many processes this router has.
+    Processes { count: usize, successor: bool },
+    /// The core was told the same.
+    CoreProcesses(u32),
+    /// The core was shown this endpoint in another state.
+    Endpoint { id: String, draining: bool },
+    /// The core was told which groups have all their endpoints in maintenance.
+    ClosedGroups(Vec<u32>),
+}
+
+pub struct TestRouter {
+    pub service: Arc<Operations>,
+    folder: PathBuf,
+    list: ListHandle,
+    accepting: Arc<AtomicBool>,
+    core: Receiver<Message<NoWire>>,
+    orders: Receiver<Order>,
+    calls: Receiver<Effect>,
+}
+
+fn limits() -> Limits {
+    let mut limits = Limits::new(256, 192 << 20, LONG, LONG, LONG);
+    limits.holds = 2;
+    limits
+}
+
+fn endpoint(id: &str) -> Entry {
+    Entry {
+        id: id.into(),
+        addr: SocketAddr::from(([127, 0, 0, 1], 9)),
+        group: GroupId(1),
+        zone: 0,
+        site: None,
+        state: MemberState::Ready,
+        primary: false,
+        weight: 1.0,
+        started: None,
+    }
+}
+
+impl TestRouter {
+    /// A router whose processes share an empty folder of this name.
+    pub fn start(name: &str) -> TestRouter {
+        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
+        _ = std::fs::remove_dir_all(&folder);
+        std::fs::create_dir_all(&folder).unwrap();
+        TestRouter::start_in(folder)
+    }
+
+    /// A router whose processes share this folder.
+    pub fn start_in(folder: PathBuf) -> TestRouter {
+        let limits = limits();
+        let figures = Figures::new(&["order".to_string()]).unwrap();
+        let (to_core, core) = unbounded();
+        let list = routing::list::start::<NoWire>(&limits, to_core, Some(figures.clone())).unwrap();
+        let (to_clients, orders) = bounded(64);
+        let (to_calls, calls): (Sender<Effect>, _) = unbounded();
+        let accepting = Arc::new(AtomicBool::new(false));
+        let drains = to_calls.clone();
+        let parts = Parts {
+            figures,
+            list: list.clone(),
+            orders: to_clients,
+            drain: Box::new(move |draining| drains.send(Effect::Drain(draining)).unwrap()),
+            accepting: accepting.clone(),
+            sharing: Box::new(move |count| to_calls.send(Effect::CoreProcesses(count)).unwrap()),
+            clock: Clock::new(),
+            limits: Arc::new(limits),
+        };
+        let service = Arc::new(Operations::open(parts, Some(&folder)));
+        TestRouter { service, folder, list, accepting, core, orders, calls }
+    }
+
+    /// The folder that this router's processes share.
+    pub fn folder(&self) -> &Path {
+        &self.folder
+    }
+
+    /// Serves the operators' address.
+    pub fn serve(&self) -> SocketAddr {
+        let bounds = Bounds { callers: 8, line_bytes: 300, patience: LONG, stack_bytes: 128 << 10 };
+        let door = Door::open("127.0.0.1:0".parse().unwrap(), bounds).unwrap();
+        let addr = door.addr();
+        door.serve(self.service.clone()).unwrap();
+        addr
+    }
+
+    pub fn accept_clients(&self) {
+        self.accepting.store(true, Ordering::Release);
+    }
+
+    /// Replaces the endpoint list; it binds when this returns.
+    pub fn list_endpoints(&self, ids: &[&str]) {
+        let entries = ids.iter().map(|id| endpoint(id)).collect();
+        self.list.tell(ListNews { version: 1, complete: true, entries });
+        assert!(self.list.taken(LONG));
+        _ = self.core.try_iter().count();
+    }
+
+    /// What the service has done since the last call, each kind in its order.
+    pub fn effects(&self) -> Vec<Effect> {
+        assert!(self.list.taken(LONG));
+        let mut effects: Vec<Effect> = self.calls.try_iter().collect();
+        effects.extend(self.orders.try_iter().filter_map(|order| match order {
+            Order::Drain(draining) => Some(Effect::DrainOrder(draining)),
+            Order::Sharing { processes, successor } => {
+                Some(Effect::Processes { count: processes, successor })
+            }
+            Order::End => None,
+        }));
+        for message in self.core.try_iter() {
+            match message {
+                Message::Shut(groups) => {
+                    effects.push(Effect::ClosedGroups(groups.iter().map(|group| group.0).collect()));
+                }
+                Message::List(news) => effects.extend(news.entries.iter().map(|entry| Effect::Endpoint {
+                    id: entry.id.clone(),
+                    draining: entry.state == MemberState::Draining,
+                })),
+                _ => {}
+            }
+        }
+        effects
+    }
+}
+
+impl Drop for TestRouter {
+    fn drop(&mut self) {
+        _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
--- /dev/null
+++ b/holds/tests/recorded_run.rs
@@ -0,0 +1,149 @@
+//! A recorded run of the state machine: seeded events in, actions out, as text. Two machines share one stored state, as
+//! two processes of one router do. The record was written by the program before its names were revised.
+mod common;
+
+use common::assert_fixture;
+use decision::Time;
+use holds::{Action, Event, Machine, Mask, Settings, State};
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+const SECOND: i64 = 1_000_000;
+const EVENTS: usize = 260;
+const SETTINGS: Settings = Settings { most: 3, cold_for: 30 * SECOND };
+
+/// The `SplitMix64` generator: the same numbers in every run.
+struct Random(u64);
+
+impl Random {
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut z = self.0;
+        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        (z ^ (z >> 31)) % bound
+    }
+
+    fn id(&mut self) -> String {
+        format!("db-{}", self.below(6))
+    }
+}
+
+fn random_event(random: &mut Random) -> Event {
+    match random.below(14) {
+        0..=4 => Event::Suspend(random.id()),
+        5..=8 => Event::Restore(random.id()),
+        9 => Event::Pause,
+        10 => Event::Resume,
+        _ => {
+            let complete = random.below(3) == 0;
+            let count = random.below(5);
+            let ids = (0..count).map(|_| (random.id(), random.below(4) > 0)).collect();
+            Event::Listed { complete, ids }
+        }
+    }
+}
+
+/// Mostly forward by up to 12 s; now and then the clock is set back, or far ahead.
+fn next_time(random: &mut Random, now: i64) -> i64 {
+    match random.below(40) {
+        0 => now - 40 * SECOND,
+        1 => now + 90 * SECOND,
+        _ => now + random.below(12 * SECOND as u64) as i64,
+    }
+}
+
+fn times_text(times: &BTreeMap<String, Time>) -> String {
+    times.iter().map(|(id, at)| format!("{id}@{}", at.0)).collect::<Vec<_>>().join(",")
+}
+
+fn state_text(state: &State) -> String {
+    let held = state.held.iter().map(|(id, hold)| (id.clone(), hold.since)).collect();
+    let drain = state.paused.map_or("-".to_string(), |at| at.0.to_string());
+    let (held, restored) = (times_text(&held), times_text(&state.restored));
+    format!("revision={} maintenance=[{held}] restored=[{restored}] drain={drain}", state.revision)
+}
+
+fn mask_text(mask: &Mask) -> String {
+    let held = mask.held.iter().cloned().collect::<Vec<_>>().join(",");
+    format!("maintenance=[{held}] restored=[{}]", times_text(&mask.cold))
+}
+
+fn event_text(event: &Event) -> String {
+    match event {
+        Event::Listed { complete, ids } => {
+            let sign = |(id, still): &(String, bool)| format!("{}{id}", if *still { '+' } else { '-' });
+            let ids = ids.iter().map(sign).collect::<Vec<_>>().join(",");
+            format!("{} [{ids}]", if *complete { "list" } else { "changes" })
+        }
+        Event::Read(state) => format!("read {}", state_text(state)),
+        Event::Suspend(id) => format!("suspend {id}"),
+        Event::Restore(id) => format!("restore {id}"),
+        Event::Pause => "pause".to_string(),
+        Event::Resume => "resume".to_string(),
+    }
+}
+
+fn action_text(action: &Action) -> String {
+    match action {
+        Action::Keep(state) => format!("persist {}", state_text(state)),
+        Action::Mask(mask) => format!("mask {}", mask_text(mask)),
+        Action::Paused(draining) => format!("drain {draining}"),
+        Action::Answer(Ok(())) => "answer ok".to_string(),
+        Action::Answer(Err(error)) => format!("answer {error}"),
+    }
+}
+
+/// Two machines, the state they share, and what they did.
+struct Run {
+    machines: [Machine; 2],
+    stored: State,
+    record: String,
+}
+
+impl Run {
+    fn handle(&mut self, which: usize, now: i64, event: Event) {
+        writeln!(self.record, "{which} {now} {}", event_text(&event)).unwrap();
+        let mut actions = Vec::new();
+        self.machines[which].handle(Time(now), event, &mut actions);
+        for action in actions {
+            writeln!(self.record, "    {}", action_text(&action)).unwrap();
+            if let Action::Keep(state) = action {
+                self.stored = state;
+            }
+        }
+    }
+
+    fn restart(&mut self, which: usize) {
+        let machine = Machine::new(SETTINGS, self.stored.clone());
+        let (mask, draining) = (mask_text(&machine.mask()), machine.paused());
+        writeln!(self.record, "{which} restart {mask} drain={draining}").unwrap();
+        self.machines[which] = machine;
+    }
+}
+
+#[test]
+fn recorded_run_of_two_machines_is_unchanged() {
+    let mut random = Random(2026);
+    let machine = || Machine::new(SETTINGS, State::default());
+    let mut run = Run { machines: [machine(), machine()], stored: State::default(), record: String::new() };
+    let mut now = 0;
+    for _ in 0..EVENTS {
+        now = next_time(&mut random, now);
+        let which = random.below(2) as usize;
+        if random.below(30) == 0 {
+            run.restart(which);
+        }
+        let event = random_event(&mut random);
+        // A process that has not read the stored state first must not happen, but is part of what is decided.
+        if random.below(12) > 0 {
+            run.handle(which, now, Event::Read(run.stored.clone()));
+        }
+        run.handle(which, now, event);
+    }
+    for which in [0, 1] {
+        let line = state_text(run.machines[which].state());
+        writeln!(run.record, "{which} end {line}").unwrap();
+    }
+    assert_fixture("recorded_run.txt", run.record.as_bytes());
+}
