--- a/door/src/desk.rs
+++ b/door/src/desk.rs
@@ -3,7 +3,10 @@
 use crate::{Answer, Call, Desk};
 use clients::Order;
 use crossbeam_channel::Sender;
-use holds::{Action, Event, Kept, KeptError, Machine, No, Others, Present, State};
+use holds::{
+    Action, EndpointChange, Event, Machine, MaintenanceError, OtherProcesses, ProcessPresence,
+    SharedFolderError, State, StateFile,
+};
 use routing::{Clock, Figures, ListHandle, Time, spawn};
 use settings::Limits;
 use std::path::Path;
@@ -32,8 +35,8 @@
 
 /// What is kept in a folder that the processes of one router share.
 struct Shared {
-    kept: Kept,
-    present: Present,
+    kept: StateFile,
+    present: ProcessPresence,
     /// This process has been marked as one that takes clients.
     marked: bool,
 }
@@ -45,8 +48,8 @@
     base: Machine,
     /// Calls that bind here and are not kept yet, with their times.
     pending: Vec<(Time, Event)>,
-    told: (holds::Mask, bool),
-    others: Others,
+    told: (holds::MaintenanceMask, bool),
+    others: OtherProcesses,
 }
 
 /// The operators' desk of one router.
@@ -59,12 +62,12 @@
     /// `folder` is shared by this router's processes and by nobody else; without one, holds end with this process.
     pub fn open(parts: Parts, folder: Option<&Path>) -> Operations {
         let settings = holds::Settings {
-            most: parts.limits.holds,
-            cold_for: i64::try_from(parts.limits.hold_cold.as_micros()).unwrap_or(i64::MAX),
+            max_entries: parts.limits.holds,
+            restored_retention: i64::try_from(parts.limits.hold_cold.as_micros()).unwrap_or(i64::MAX),
         };
         let (mut state, mut shared) = (State::default(), None);
         let opened = folder.map(|folder| {
-            let kept = Kept::open(folder)?;
+            let kept = StateFile::open(folder)?;
             state = match kept.lock().and_then(|mut locked| locked.read()) {
                 Ok(state) => state.unwrap_or_default(),
                 Err(e) => {
@@ -72,7 +75,7 @@
                     State::default()
                 }
             };
-            Present::announce(folder, std::process::id())
+            ProcessPresence::register(folder, std::process::id())
                 .map(|present| shared = Some(Shared { kept, present, marked: false }))
         });
         match opened {
@@ -81,7 +84,7 @@
             Some(Ok(())) => {}
         }
         let base = Machine::new(settings, state);
-        let (told, pending, others) = (Default::default(), Vec::new(), Others::default());
+        let (told, pending, others) = (Default::default(), Vec::new(), OtherProcesses::default());
         let mut inner = Inner { parts, shared, base, pending, told, others };
         // Before any list: what is held is held from the first entry on.
         let machine = inner.base.clone();
@@ -124,7 +127,7 @@
         let mut inner = self.inner();
         if let Some(shared) = &mut inner.shared {
             shared.marked = true;
-            if let Err(e) = shared.present.leaving() {
+            if let Err(e) = shared.present.mark_not_ready() {
                 tracing::error!("holds: {e}");
             }
         }
@@ -133,9 +136,9 @@
 
 impl Inner {
     fn tell(&mut self, machine: &Machine) {
-        let now = (machine.mask(), machine.paused());
+        let now = (machine.mask(), machine.draining());
         if now.0 != self.told.0 {
-            let (held, cold) = (now.0.held.clone(), now.0.cold.clone());
+            let (held, cold) = (now.0.in_maintenance.clone(), now.0.restored.clone());
             _ = self.parts.list.mask(routing::Mask { held, cold });
         }
         if now.1 != self.told.1 {
@@ -146,14 +149,14 @@
     }
 
     /// Carries out what is pending on top of what is kept, and keeps it; the answer to the last call.
-    fn settle(&mut self) -> (Option<Result<(), No>>, Result<(), KeptError>) {
+    fn settle(&mut self) -> (Option<Result<(), MaintenanceError>>, Result<(), SharedFolderError>) {
         let now = self.parts.clock.now();
         let (mut next, mut actions) = (self.base.clone(), Vec::new());
         let mut locked = self.shared.as_ref().map(|s| s.kept.lock()).transpose();
         let mut done = Ok(());
         if let Ok(Some(l)) = &mut locked {
             match l.read() {
-                Ok(Some(state)) => next.handle(now, Event::Read(state), &mut actions),
+                Ok(Some(state)) => next.handle(now, Event::StateRead(state), &mut actions),
                 Ok(None) => {}
                 Err(e) => done = Err(e),
             }
@@ -161,7 +164,7 @@
         let read = next.state().revision;
         self.pending.iter().for_each(|(at, event)| next.handle(*at, event.clone(), &mut actions));
         let answer = actions.into_iter().rev().find_map(|action| match action {
-            Action::Answer(answer) => Some(answer),
+            Action::Respond(answer) => Some(answer),
             _ => None,
         });
         let changed = next.state().revision != read;
@@ -180,7 +183,7 @@
     }
 
     fn look(&mut self) {
-        let changed = self.shared.as_mut().is_some_and(|s| s.kept.changed());
+        let changed = self.shared.as_mut().is_some_and(|s| s.kept.has_changed());
         if !changed && self.pending.is_empty() {
             return;
         }
@@ -193,11 +196,11 @@
         let Some(shared) = &mut self.shared else { return };
         if !shared.marked && self.parts.accepting.load(Ordering::Acquire) {
             shared.marked = true;
-            if let Err(e) = shared.present.ready() {
+            if let Err(e) = shared.present.mark_ready() {
                 tracing::error!("holds: {e}");
             }
         }
-        let others = shared.present.others();
+        let others = shared.present.count_others();
         if others != self.others {
             tracing::info!(
                 "process: {} others of this router live, {} take clients",
@@ -212,8 +215,13 @@
     }
 
     fn call(&mut self, event: Event) -> Answer {
-        let ids = self.parts.list.names().into_iter().map(|id| (id, true)).collect();
-        self.base.handle(self.parts.clock.now(), Event::Listed { complete: true, ids }, &mut Vec::new());
+        let changes =
+            self.parts.list.names().into_iter().map(|id| EndpointChange { id, listed: true }).collect();
+        self.base.handle(
+            self.parts.clock.now(),
+            Event::EndpointsUpdated { complete: true, changes },
+            &mut Vec::new(),
+        );
         self.pending.push((self.parts.clock.now(), event.clone()));
         let (answer, kept) = self.settle();
         match (answer, kept) {
@@ -243,7 +251,10 @@
             }
             Call::Status => {
                 let how = if inner.told.1 { "drained by PAUSE" } else { "taking clients" };
-                return Answer::Yes(format!("{how}, {} instances held by hand", inner.told.0.held.len()));
+                return Answer::Yes(format!(
+                    "{how}, {} instances held by hand",
+                    inner.told.0.in_maintenance.len()
+                ));
             }
             Call::Suspend(id) => Event::Suspend(id),
             Call::Restore(id) => Event::Restore(id),
--- a/holds/src/lib.rs
+++ b/holds/src/lib.rs
@@ -1,51 +1,67 @@
-//! Instances that operators take out of service by hand, and the router's drain.
+//! Instances that operators put in maintenance, and the drain of the router.
 //!
-//! [`machine`] decides what is held and what each call is answered; it does no I/O and reads no clock. [`kept`] is
-//! the file in which that outlives a kill and an upgrade, shared by the old and the new process of one router.
-//! [`present`] tells how many of these processes live. All times that go into the file must come from one clock
-//! that both processes share (the wall clock, or one counted from the machine's start).
+//! - [`Machine`] is the state machine: it decides which instances are in maintenance, whether the router drains, and how
+//!   each command is answered. It does no I/O and reads no clock.
+//! - [`StateFile`] stores that [`State`] across a kill and an upgrade. The old and the new process of one router share
+//!   it.
+//! - [`ProcessPresence`] tells how many of these processes are alive.
 //!
-//! A call is carried out under the file's lock, on a copy of the machine: where the write fails the copy is thrown
-//! away, so a revision that nobody kept never hides the one that the other process keeps under the same number.
+//! All times in the file must come from one clock that both processes share: the wall clock, or one that counts from the
+//! start of the host.
+//!
+//! A command is applied while the file is locked, and to a copy of the machine. If the write fails the copy is dropped:
+//! a revision that was never stored must not hide the one that the other process stores under the same number.
 //!
 //! ```
 //! use decision::Time;
-//! use holds::{Action, Event, Kept, KeptError, Machine, Settings, State};
+//! use holds::{Action, EndpointChange, Event, Machine, Settings, SharedFolderError, State, StateFile};
 //!
-//! fn call(kept: &Kept, machine: &mut Machine, now: Time, event: Event) -> Result<Vec<Action>, KeptError> {
+//! fn apply(
+//!     file: &StateFile,
+//!     machine: &mut Machine,
+//!     now: Time,
+//!     command: Event,
+//! ) -> Result<Vec<Action>, SharedFolderError> {
 //!     let (mut next, mut actions) = (machine.clone(), Vec::new());
-//!     let mut locked = kept.lock()?;
+//!     let mut locked = file.lock()?;
 //!     if let Some(state) = locked.read()? {
-//!         next.handle(now, Event::Read(state), &mut actions);
+//!         next.handle(now, Event::StateRead(state), &mut actions);
 //!     }
-//!     next.handle(now, event, &mut actions);
+//!     next.handle(now, command, &mut actions);
 //!     for action in &actions {
-//!         if let Action::Keep(state) = action {
+//!         if let Action::Persist(state) = action {
 //!             locked.write(state)?;
 //!         }
 //!     }
 //!     *machine = next;
-//!     Ok(actions) // Then tell the list the masks, and the operator the answer.
+//!     Ok(actions) // Next, apply the masks to the endpoint list, then answer the operator.
 //! }
 //!
-//! # let kept_in = tempfile::tempdir().unwrap();
-//! # let folder = kept_in.path();
-//! let kept = Kept::open(folder)?;
-//! let settings = Settings { most: 64, cold_for: 60_000_000 };
+//! # let temporary = tempfile::tempdir().unwrap();
+//! # let folder = temporary.path();
+//! let file = StateFile::open(folder)?;
+//! let settings = Settings { max_entries: 64, restored_retention: 60_000_000 };
 //! let mut machine = Machine::new(settings, State::default());
-//! let listed = Event::Listed { complete: true, ids: vec![("db-3".into(), true)] };
-//! machine.handle(Time(0), listed, &mut Vec::new());
-//! let actions = call(&kept, &mut machine, Time(1), Event::Suspend("db-3".into()))?;
-//! assert_eq!(actions.last(), Some(&Action::Answer(Ok(()))));
+//! let changes = vec![EndpointChange { id: "db-3".into(), listed: true }];
+//! machine.handle(Time(0), Event::EndpointsUpdated { complete: true, changes }, &mut Vec::new());
+//! let actions = apply(&file, &mut machine, Time(1), Event::Suspend("db-3".into()))?;
+//! assert_eq!(actions.last(), Some(&Action::Respond(Ok(()))));
 //!
-//! // The process that takes over begins with what is kept.
-//! let state = kept.lock()?.read()?.unwrap_or_default();
-//! assert!(Machine::new(settings, state).mask().held.contains("db-3"));
-//! # Ok::<(), KeptError>(())
+//! // The process that takes over starts from the stored state.
+//! let state = file.lock()?.read()?.unwrap_or_default();
+//! assert!(Machine::new(settings, state).mask().in_maintenance.contains("db-3"));
+//! # Ok::<(), SharedFolderError>(())
 //! ```
-pub mod kept;
-pub mod machine;
-pub mod present;
-pub use kept::{Kept, KeptError, Locked, Why};
-pub use machine::{Action, Event, Hold, Machine, Mask, No, Settings, State};
-pub use present::{Others, Present};
+mod error;
+mod interface;
+mod machine;
+mod presence;
+mod state;
+mod state_file;
+
+pub use error::{FileOperation, SharedFolderError, UnusableReason};
+pub use interface::{Action, EndpointChange, Event, MaintenanceError, MaintenanceMask, Settings};
+pub use machine::Machine;
+pub use presence::{OtherProcesses, ProcessPresence};
+pub use state::{MaintenanceEntry, State};
+pub use state_file::{LockedStateFile, StateFile};
--- /dev/null
+++ b/holds/src/presence.rs
@@ -0,0 +1,181 @@
+//! Which processes of this router are alive.
+//!
+//! Each has a file `damsonvale-present-PID-MOMENT` in the shared folder and holds an exclusive `flock` on it, which the
+//! kernel releases when the process dies, even by SIGKILL.
+//!
+//! A file gets its name only once it is locked, and no name is used twice. So an unlocked file with such a name belongs
+//! to a dead process for good, and any process may remove it. Readers take the lock shared, so that two of them that
+//! meet at a dead process's file do not mistake each other for its owner.
+use crate::error::{FileOperation, SharedFolderError};
+use std::ffi::OsString;
+use std::fs::{DirEntry, File, OpenOptions, TryLockError};
+use std::io::{ErrorKind, Read};
+use std::os::unix::fs::{FileExt, OpenOptionsExt};
+use std::path::{Path, PathBuf};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+const FILE_PREFIX: &str = "damsonvale-present-";
+/// The end of a file's name until the file is locked.
+const TEMPORARY_SUFFIX: &str = ".new";
+/// Readable and writable by the router's user alone.
+const FILE_MODE: u32 = 0o600;
+/// A temporary file that is older than this was abandoned.
+const TEMPORARY_LIFETIME: Duration = Duration::from_secs(60);
+/// How many names are tried: a clock that was set back may produce one twice, and a process that was stopped for a
+/// minute finds its first one removed.
+const MAX_ATTEMPTS: u32 = 5;
+/// The content of a process that accepts no clients. Both contents have one length, and readers go by the first byte
+/// alone, so that they never see a mixture.
+const NOT_READY: &[u8] = b"starting\n";
+/// The content of a process that accepts clients.
+const READY: &[u8] = b"ready   \n";
+
+/// This process's presence file; it is removed on drop.
+pub struct ProcessPresence {
+    folder: PathBuf,
+    file_name: OsString,
+    path: PathBuf,
+    file: File,
+}
+
+/// The other processes of this router.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct OtherProcesses {
+    /// How many are alive.
+    pub alive: usize,
+    /// How many of these accept clients.
+    pub ready: usize,
+}
+
+impl ProcessPresence {
+    /// Creates this process's file in `folder`, which is created if it is missing. The process counts as not ready.
+    ///
+    /// # Errors
+    /// [`SharedFolderError::Io`].
+    pub fn register(folder: &Path, pid: u32) -> Result<ProcessPresence, SharedFolderError> {
+        std::fs::create_dir_all(folder).map_err(SharedFolderError::io(FileOperation::Create, folder))?;
+        let mut attempts = 1;
+        loop {
+            match ProcessPresence::try_register(folder, pid) {
+                Err(error) if attempts < MAX_ATTEMPTS && is_retryable(&error) => attempts += 1,
+                result => return result,
+            }
+        }
+    }
+
+    fn try_register(folder: &Path, pid: u32) -> Result<ProcessPresence, SharedFolderError> {
+        let moment = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos();
+        let file_name = format!("{FILE_PREFIX}{pid}-{moment:x}");
+        let path = folder.join(&file_name);
+        let temporary = folder.join(format!("{file_name}{TEMPORARY_SUFFIX}"));
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create_new(true)
+            .mode(FILE_MODE)
+            .open(&temporary)
+            .map_err(SharedFolderError::io(FileOperation::Create, &temporary))?;
+        file.try_lock().map_err(|e| SharedFolderError::io(FileOperation::Lock, &temporary)(e.into()))?;
+        file.write_all_at(NOT_READY, 0).map_err(SharedFolderError::io(FileOperation::Write, &temporary))?;
+        // Unlike a rename, this fails if the name is taken.
+        std::fs::hard_link(&temporary, &path).map_err(SharedFolderError::io(FileOperation::Link, &path))?;
+        std::fs::remove_file(&temporary).map_err(SharedFolderError::io(FileOperation::Remove, &temporary))?;
+        Ok(ProcessPresence { folder: folder.to_path_buf(), file_name: file_name.into(), path, file })
+    }
+
+    /// Marks this process as one that accepts clients.
+    ///
+    /// # Errors
+    /// [`SharedFolderError::Io`].
+    pub fn mark_ready(&mut self) -> Result<(), SharedFolderError> {
+        self.write_content(READY)
+    }
+
+    /// Marks this process as one that no longer accepts clients: another one must not rely on it.
+    ///
+    /// # Errors
+    /// [`SharedFolderError::Io`].
+    pub fn mark_not_ready(&mut self) -> Result<(), SharedFolderError> {
+        self.write_content(NOT_READY)
+    }
+
+    /// Counts the other processes and removes the files of dead ones. It reads the whole folder; a folder that cannot be
+    /// read shows no other processes.
+    pub fn count_others(&self) -> OtherProcesses {
+        let mut others = OtherProcesses::default();
+        for entry in std::fs::read_dir(&self.folder).into_iter().flatten().flatten() {
+            if let Some(status) = self.inspect(&entry) {
+                others.alive += 1;
+                others.ready += usize::from(status == ProcessStatus::Ready);
+            }
+        }
+        others
+    }
+
+    fn write_content(&self, content: &[u8]) -> Result<(), SharedFolderError> {
+        self.file.write_all_at(content, 0).map_err(SharedFolderError::io(FileOperation::Write, &self.path))
+    }
+
+    /// The status of the other process to which this file belongs; `None` if it belongs to no live one. Removes the file
+    /// of a dead one.
+    fn inspect(&self, entry: &DirEntry) -> Option<ProcessStatus> {
+        let file_name = entry.file_name();
+        let text = file_name.to_str().filter(|name| name.starts_with(FILE_PREFIX))?;
+        let temporary = text.ends_with(TEMPORARY_SUFFIX);
+        if file_name == self.file_name || (temporary && !is_abandoned(entry)) {
+            return None;
+        }
+        // Opening a pipe would block.
+        if !entry.file_type().is_ok_and(|file_type| file_type.is_file()) {
+            return None;
+        }
+        let mut file = File::open(entry.path()).ok()?;
+        match file.try_lock_shared() {
+            Ok(()) => {
+                // If this fails the file is gone already, or the next call tries again.
+                let _ = std::fs::remove_file(entry.path());
+                None
+            }
+            Err(TryLockError::WouldBlock) if !temporary => Some(read_status(&mut file)),
+            Err(_) => None,
+        }
+    }
+}
+
+impl Drop for ProcessPresence {
+    fn drop(&mut self) {
+        // If this fails the lock still ends with the process, and another process removes the file.
+        let _ = std::fs::remove_file(&self.path);
+    }
+}
+
+/// What a live process has written into its file.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ProcessStatus {
+    NotReady,
+    Ready,
+}
+
+fn read_status(file: &mut File) -> ProcessStatus {
+    let mut first = [0];
+    if file.read_exact(&mut first).is_ok() && first[0] == READY[0] {
+        ProcessStatus::Ready
+    } else {
+        ProcessStatus::NotReady
+    }
+}
+
+/// Whether another name may succeed.
+fn is_retryable(error: &SharedFolderError) -> bool {
+    let SharedFolderError::Io { source, .. } = error else { return false };
+    matches!(
+        source.kind(),
+        ErrorKind::AlreadyExists | ErrorKind::NotFound | ErrorKind::WouldBlock | ErrorKind::Interrupted
+    )
+}
+
+/// Whether a temporary file is too old to be about to get its name.
+fn is_abandoned(entry: &DirEntry) -> bool {
+    let modified = entry.metadata().and_then(|metadata| metadata.modified());
+    modified.is_ok_and(|at| at.elapsed().is_ok_and(|age| age > TEMPORARY_LIFETIME))
+}
--- /dev/null
+++ b/holds/src/state.rs
@@ -0,0 +1,58 @@
+//! The stored state: the instances in maintenance, those restored recently, and the drain.
+use decision::Time;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+
+/// An instance in maintenance.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MaintenanceEntry {
+    /// When the first command suspended it.
+    pub since: Time,
+}
+
+/// Everything that outlives a process.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "StoredState", into = "StoredState")]
+pub struct State {
+    /// Counts the changes made by commands: of two states the one with the higher revision is the later one.
+    pub revision: u64,
+    /// The instances in maintenance, by id.
+    pub in_maintenance: BTreeMap<String, MaintenanceEntry>,
+    /// The instances restored recently, and when. Each may have been restarted meanwhile, so it warms up from this time.
+    pub restored: BTreeMap<String, Time>,
+    /// When the drain began, if the router drains.
+    pub draining_since: Option<Time>,
+}
+
+/// The state as it is encoded, with times as plain numbers of microseconds. The encoding is positional: the order and
+/// the types of the fields are the stored form, their names are not.
+#[derive(Serialize, Deserialize)]
+struct StoredState {
+    revision: u64,
+    in_maintenance: BTreeMap<String, i64>,
+    restored: BTreeMap<String, i64>,
+    draining_since: Option<i64>,
+}
+
+impl From<State> for StoredState {
+    fn from(state: State) -> StoredState {
+        StoredState {
+            revision: state.revision,
+            in_maintenance: state.in_maintenance.into_iter().map(|(id, entry)| (id, entry.since.0)).collect(),
+            restored: state.restored.into_iter().map(|(id, at)| (id, at.0)).collect(),
+            draining_since: state.draining_since.map(|at| at.0),
+        }
+    }
+}
+
+impl From<StoredState> for State {
+    fn from(stored: StoredState) -> State {
+        let entry = |since| MaintenanceEntry { since: Time(since) };
+        State {
+            revision: stored.revision,
+            in_maintenance: stored.in_maintenance.into_iter().map(|(id, since)| (id, entry(since))).collect(),
+            restored: stored.restored.into_iter().map(|(id, at)| (id, Time(at))).collect(),
+            draining_since: stored.draining_since.map(Time),
+        }
+    }
+}
--- /dev/null
+++ b/holds/src/state_file/encoding.rs
@@ -0,0 +1,61 @@
+//! The bytes of the state file: 8 bytes of magic; then version, length of the body and checksum (CRC-32) of the body as
+//! 32-bit little-endian numbers; then the body, the [`State`] in postcard's encoding.
+use super::MAX_FILE_BYTES;
+use crate::error::{SharedFolderError, UnusableReason};
+use crate::state::State;
+use std::cmp::Ordering;
+use std::path::Path;
+
+const MAGIC: &[u8; 8] = b"dvholds\n";
+/// The version that this program writes, and the only one that it reads.
+pub(crate) const FORMAT_VERSION: u32 = 1;
+/// Magic, version, length and checksum.
+const HEADER_BYTES: usize = 20;
+
+/// The bytes of the file at `path` for this state.
+pub(super) fn encode(state: &State, path: &Path) -> Result<Vec<u8>, SharedFolderError> {
+    let body = postcard::to_stdvec(state)
+        .map_err(|source| SharedFolderError::Encode { path: path.to_path_buf(), source })?;
+    let file_bytes = HEADER_BYTES + body.len();
+    if file_bytes > MAX_FILE_BYTES {
+        return Err(SharedFolderError::TooLarge { path: path.to_path_buf(), bytes: file_bytes });
+    }
+    let mut encoded = Vec::with_capacity(file_bytes);
+    encoded.extend_from_slice(MAGIC);
+    for number in [FORMAT_VERSION, body.len() as u32, crc32fast::hash(&body)] {
+        encoded.extend_from_slice(&number.to_le_bytes());
+    }
+    encoded.extend_from_slice(&body);
+    Ok(encoded)
+}
+
+/// The state in the bytes of a file.
+pub(super) fn decode(bytes: &[u8]) -> Result<State, UnusableReason> {
+    let (magic, rest) = bytes.split_at(bytes.len().min(MAGIC.len()));
+    if !MAGIC.starts_with(magic) {
+        return Err(UnusableReason::NotAStateFile);
+    }
+    let (version, rest) = split_number(rest)?;
+    if version != FORMAT_VERSION {
+        return Err(UnusableReason::UnsupportedVersion(version));
+    }
+    let (body_bytes, rest) = split_number(rest)?;
+    let (checksum, body) = split_number(rest)?;
+    match body.len().cmp(&(body_bytes as usize)) {
+        Ordering::Less => return Err(UnusableReason::Truncated),
+        Ordering::Greater => return Err(UnusableReason::NotAStateFile),
+        Ordering::Equal => {}
+    }
+    if crc32fast::hash(body) != checksum {
+        return Err(UnusableReason::ChecksumMismatch);
+    }
+    match postcard::take_from_bytes(body) {
+        Ok((state, [])) => Ok(state),
+        _ => Err(UnusableReason::NotAStateFile),
+    }
+}
+
+fn split_number(bytes: &[u8]) -> Result<(u32, &[u8]), UnusableReason> {
+    let (number, rest) = bytes.split_first_chunk::<4>().ok_or(UnusableReason::Truncated)?;
+    Ok((u32::from_le_bytes(*number), rest))
+}
--- a/holds/tests/common/mod.rs
+++ b/holds/tests/common/mod.rs
@@ -1,20 +1,45 @@
 //! Helpers shared by the tests of this package.
 #![allow(dead_code, reason = "each test file uses a part of these helpers")]
+use decision::Time;
+use holds::{Action, EndpointChange, Event, Machine, MaintenanceMask, Settings};
 use std::path::{Path, PathBuf};
 
+pub(crate) const SECOND: i64 = 1_000_000;
+pub(crate) const SETTINGS: Settings = Settings { max_entries: 3, restored_retention: 30 * SECOND };
+
+/// The whole endpoint list, or a change of it: each id, and whether it is listed.
+pub(crate) fn endpoints(complete: bool, ids: &[(&str, bool)]) -> Event {
+    let change = |(id, listed): &(&str, bool)| EndpointChange { id: id.to_string(), listed: *listed };
+    Event::EndpointsUpdated { complete, changes: ids.iter().map(change).collect() }
+}
+
+/// Handles one event; the actions that follow from it.
+pub(crate) fn handle(machine: &mut Machine, now: i64, event: Event) -> Vec<Action> {
+    let mut actions = Vec::new();
+    machine.handle(Time(now), event, &mut actions);
+    actions
+}
+
+pub(crate) fn mask(in_maintenance: &[&str], restored: &[(&str, i64)]) -> MaintenanceMask {
+    MaintenanceMask {
+        in_maintenance: in_maintenance.iter().map(ToString::to_string).collect(),
+        restored: restored.iter().map(|(id, at)| (id.to_string(), Time(*at))).collect(),
+    }
+}
+
 fn fixture_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
 /// The bytes of a fixture.
-pub fn fixture(name: &str) -> Vec<u8> {
+pub(crate) fn fixture(name: &str) -> Vec<u8> {
     let path = fixture_path(name);
     std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
 /// Asserts that `actual` is the fixture byte for byte. On a difference it leaves `actual` in the build's folder for
 /// temporary files, so that the two can be compared.
-pub fn assert_fixture(name: &str, actual: &[u8]) {
+pub(crate) fn assert_fixture(name: &str, actual: &[u8]) {
     if std::fs::read(fixture_path(name)).is_ok_and(|expected| expected == actual) {
         return;
     }
--- a/holds/tests/recorded_run.rs
+++ b/holds/tests/recorded_run.rs
@@ -2,15 +2,13 @@
 //! two processes of one router do. The record was written by the program before its names were revised.
 mod common;
 
-use common::assert_fixture;
+use common::{SECOND, SETTINGS, assert_fixture};
 use decision::Time;
-use holds::{Action, Event, Machine, Mask, Settings, State};
+use holds::{Action, EndpointChange, Event, Machine, MaintenanceMask, State};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-const SECOND: i64 = 1_000_000;
 const EVENTS: usize = 260;
-const SETTINGS: Settings = Settings { most: 3, cold_for: 30 * SECOND };
 
 /// The `SplitMix64` generator: the same numbers in every run.
 struct Random(u64);
@@ -38,8 +36,9 @@
         _ => {
             let complete = random.below(3) == 0;
             let count = random.below(5);
-            let ids = (0..count).map(|_| (random.id(), random.below(4) > 0)).collect();
-            Event::Listed { complete, ids }
+            let mut change = || EndpointChange { id: random.id(), listed: random.below(4) > 0 };
+            let changes = (0..count).map(|_| change()).collect();
+            Event::EndpointsUpdated { complete, changes }
         }
     }
 }
@@ -58,25 +57,25 @@
 }
 
 fn state_text(state: &State) -> String {
-    let held = state.held.iter().map(|(id, hold)| (id.clone(), hold.since)).collect();
-    let drain = state.paused.map_or("-".to_string(), |at| at.0.to_string());
-    let (held, restored) = (times_text(&held), times_text(&state.restored));
-    format!("revision={} maintenance=[{held}] restored=[{restored}] drain={drain}", state.revision)
+    let entries = state.in_maintenance.iter().map(|(id, entry)| (id.clone(), entry.since)).collect();
+    let drain = state.draining_since.map_or("-".to_string(), |at| at.0.to_string());
+    let (entries, restored) = (times_text(&entries), times_text(&state.restored));
+    format!("revision={} maintenance=[{entries}] restored=[{restored}] drain={drain}", state.revision)
 }
 
-fn mask_text(mask: &Mask) -> String {
-    let held = mask.held.iter().cloned().collect::<Vec<_>>().join(",");
-    format!("maintenance=[{held}] restored=[{}]", times_text(&mask.cold))
+fn mask_text(mask: &MaintenanceMask) -> String {
+    let ids = mask.in_maintenance.iter().cloned().collect::<Vec<_>>().join(",");
+    format!("maintenance=[{ids}] restored=[{}]", times_text(&mask.restored))
 }
 
 fn event_text(event: &Event) -> String {
     match event {
-        Event::Listed { complete, ids } => {
-            let sign = |(id, still): &(String, bool)| format!("{}{id}", if *still { '+' } else { '-' });
-            let ids = ids.iter().map(sign).collect::<Vec<_>>().join(",");
-            format!("{} [{ids}]", if *complete { "list" } else { "changes" })
+        Event::EndpointsUpdated { complete, changes } => {
+            let sign = |c: &EndpointChange| format!("{}{}", if c.listed { '+' } else { '-' }, c.id);
+            let changes = changes.iter().map(sign).collect::<Vec<_>>().join(",");
+            format!("{} [{changes}]", if *complete { "list" } else { "changes" })
         }
-        Event::Read(state) => format!("read {}", state_text(state)),
+        Event::StateRead(state) => format!("read {}", state_text(state)),
         Event::Suspend(id) => format!("suspend {id}"),
         Event::Restore(id) => format!("restore {id}"),
         Event::Pause => "pause".to_string(),
@@ -86,11 +85,11 @@
 
 fn action_text(action: &Action) -> String {
     match action {
-        Action::Keep(state) => format!("persist {}", state_text(state)),
-        Action::Mask(mask) => format!("mask {}", mask_text(mask)),
-        Action::Paused(draining) => format!("drain {draining}"),
-        Action::Answer(Ok(())) => "answer ok".to_string(),
-        Action::Answer(Err(error)) => format!("answer {error}"),
+        Action::Persist(state) => format!("persist {}", state_text(state)),
+        Action::SetMask(mask) => format!("mask {}", mask_text(mask)),
+        Action::SetDraining(draining) => format!("drain {draining}"),
+        Action::Respond(Ok(())) => "answer ok".to_string(),
+        Action::Respond(Err(error)) => format!("answer {error}"),
     }
 }
 
@@ -108,7 +107,7 @@
         self.machines[which].handle(Time(now), event, &mut actions);
         for action in actions {
             writeln!(self.record, "    {}", action_text(&action)).unwrap();
-            if let Action::Keep(state) = action {
+            if let Action::Persist(state) = action {
                 self.stored = state;
             }
         }
@@ -116,7 +115,7 @@
 
     fn restart(&mut self, which: usize) {
         let machine = Machine::new(SETTINGS, self.stored.clone());
-        let (mask, draining) = (mask_text(&machine.mask()), machine.paused());
+        let (mask, draining) = (mask_text(&machine.mask()), machine.draining());
         writeln!(self.record, "{which} restart {mask} drain={draining}").unwrap();
         self.machines[which] = machine;
     }
@@ -137,7 +136,7 @@
         let event = random_event(&mut random);
         // A process that has not read the stored state first must not happen, but is part of what is decided.
         if random.below(12) > 0 {
-            run.handle(which, now, Event::Read(run.stored.clone()));
+            run.handle(which, now, Event::StateRead(run.stored.clone()));
         }
         run.handle(which, now, event);
     }
--- a/holds/tests/stored_forms.rs
+++ b/holds/tests/stored_forms.rs
@@ -4,7 +4,10 @@
 
 use common::assert_fixture;
 use decision::Time;
-use holds::{Hold, Kept, KeptError, No, Others, Present, State, Why};
+use holds::{
+    FileOperation, MaintenanceEntry, MaintenanceError, OtherProcesses, ProcessPresence, SharedFolderError,
+    State, StateFile, UnusableReason,
+};
 use std::fs::File;
 use std::io;
 use std::os::unix::fs::PermissionsExt;
@@ -16,26 +19,26 @@
 fn full_state() -> State {
     State {
         revision: 300,
-        held: [
-            ("db-1".to_string(), Hold { since: Time(1_733_000_000_000_000) }),
-            ("db-2".to_string(), Hold { since: Time(-7) }),
+        in_maintenance: [
+            ("db-1".to_string(), MaintenanceEntry { since: Time(1_733_000_000_000_000) }),
+            ("db-2".to_string(), MaintenanceEntry { since: Time(-7) }),
         ]
         .into(),
         restored: [("db-3".to_string(), Time(i64::MAX)), ("db-4".to_string(), Time(i64::MIN))].into(),
-        paused: Some(Time(1_733_000_001_000_000)),
+        draining_since: Some(Time(1_733_000_001_000_000)),
     }
 }
 
 fn assert_state_file_round_trip(fixture: &str, state: &State) {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join(STATE_FILE_NAME);
-    let kept = Kept::open(folder.path()).unwrap();
-    kept.lock().unwrap().write(state).unwrap();
+    let file = StateFile::open(folder.path()).unwrap();
+    file.lock().unwrap().write(state).unwrap();
     assert_fixture(fixture, &std::fs::read(&path).unwrap());
     assert_eq!(std::fs::metadata(&path).unwrap().permissions().mode() & 0o777, 0o600);
 
     std::fs::write(&path, common::fixture(fixture)).unwrap();
-    let reader = Kept::open(folder.path()).unwrap();
+    let reader = StateFile::open(folder.path()).unwrap();
     assert_eq!(reader.lock().unwrap().read().unwrap().as_ref(), Some(state));
 }
 
@@ -57,7 +60,7 @@
 #[test]
 fn presence_file_keeps_its_name_and_bytes() {
     let folder = tempfile::tempdir().unwrap();
-    let mut own = Present::announce(folder.path(), 4711).unwrap();
+    let mut own = ProcessPresence::register(folder.path(), 4711).unwrap();
     let files = presence_files(folder.path());
     let [path] = &files[..] else { panic!("one file, not {files:?}") };
     let name = path.file_name().unwrap().to_str().unwrap();
@@ -66,16 +69,16 @@
     assert_eq!(std::fs::metadata(path).unwrap().permissions().mode() & 0o777, 0o600);
 
     assert_fixture("presence_starting.txt", &std::fs::read(path).unwrap());
-    own.ready().unwrap();
+    own.mark_ready().unwrap();
     assert_fixture("presence_ready.txt", &std::fs::read(path).unwrap());
-    own.leaving().unwrap();
+    own.mark_not_ready().unwrap();
     assert_fixture("presence_starting.txt", &std::fs::read(path).unwrap());
 }
 
 #[test]
 fn presence_files_of_other_processes_are_read() {
     let folder = tempfile::tempdir().unwrap();
-    let own = Present::announce(folder.path(), 1).unwrap();
+    let own = ProcessPresence::register(folder.path(), 1).unwrap();
     let locked = |name: &str, fixture: &str| {
         let path = folder.path().join(name);
         std::fs::write(&path, common::fixture(fixture)).unwrap();
@@ -84,38 +87,46 @@
         file
     };
     let _starting = locked("damsonvale-present-2-1811f0", "presence_starting.txt");
-    assert_eq!(own.others(), Others { alive: 1, ready: 0 });
+    assert_eq!(own.count_others(), OtherProcesses { alive: 1, ready: 0 });
     let _ready = locked("damsonvale-present-3-1811f1", "presence_ready.txt");
-    assert_eq!(own.others(), Others { alive: 2, ready: 1 });
+    assert_eq!(own.count_others(), OtherProcesses { alive: 2, ready: 1 });
 }
 
 #[test]
 fn lock_file_keeps_its_name() {
     let folder = tempfile::tempdir().unwrap();
-    let kept = Kept::open(folder.path()).unwrap();
-    let _locked = kept.lock().unwrap();
+    let file = StateFile::open(folder.path()).unwrap();
+    let _locked = file.lock().unwrap();
     assert_eq!(presence_files(folder.path()), [folder.path().join("damsonvale-holds.lock")]);
 }
 
 #[test]
 fn error_texts_keep_their_bytes() {
     let path = || PathBuf::from("/folder/damsonvale-holds");
-    let refused =
-        |why| KeptError::Refused { path: path(), why, kept_as: "/folder/damsonvale-holds.refused".into() };
+    let unusable = |reason| SharedFolderError::Unusable {
+        path: path(),
+        reason,
+        moved_to: "/folder/damsonvale-holds.refused".into(),
+    };
     let id = || "db-1\n".to_string();
     let texts = [
-        KeptError::Io { what: "open", path: path(), source: io::Error::from_raw_os_error(28) }.to_string(),
-        KeptError::Busy { path: path() }.to_string(),
-        refused(Why::Torn).to_string(),
-        refused(Why::Foreign).to_string(),
-        refused(Why::Version(2)).to_string(),
-        refused(Why::Damaged).to_string(),
-        KeptError::TooLarge { path: path(), bytes: 1_048_577 }.to_string(),
-        KeptError::Form { path: path(), source: postcard::Error::SerializeBufferFull }.to_string(),
-        No::NoListYet { id: id() }.to_string(),
-        No::NotListed { id: id(), listed: 3 }.to_string(),
-        No::NotHeld { id: id(), held: 2 }.to_string(),
-        No::TooMany { most: 1024 }.to_string(),
+        SharedFolderError::Io {
+            operation: FileOperation::Open,
+            path: path(),
+            source: io::Error::from_raw_os_error(28),
+        }
+        .to_string(),
+        SharedFolderError::LockTimeout { path: path() }.to_string(),
+        unusable(UnusableReason::Truncated).to_string(),
+        unusable(UnusableReason::NotAStateFile).to_string(),
+        unusable(UnusableReason::UnsupportedVersion(2)).to_string(),
+        unusable(UnusableReason::ChecksumMismatch).to_string(),
+        SharedFolderError::TooLarge { path: path(), bytes: 1_048_577 }.to_string(),
+        SharedFolderError::Encode { path: path(), source: postcard::Error::SerializeBufferFull }.to_string(),
+        MaintenanceError::EndpointsPending { id: id() }.to_string(),
+        MaintenanceError::NotListed { id: id(), listed_count: 3 }.to_string(),
+        MaintenanceError::NotInMaintenance { id: id(), entry_count: 2 }.to_string(),
+        MaintenanceError::TooManyEntries { max_entries: 1024 }.to_string(),
     ];
     assert_fixture("error_texts.txt", (texts.join("\n") + "\n").as_bytes());
 }
