--- /dev/null
+++ b/door/src/event_loop.rs
@@ -0,0 +1,191 @@
+//! The server's one thread: it waits for events, advances the connections, and accepts new ones.
+use crate::connection::{AdminConnection, EvictionOrder, Progress};
+use crate::handler::{AdminHandler, handle_or_report_panic};
+use crate::limits::AdminLimits;
+use mio::net::{TcpListener, TcpStream};
+use mio::{Events, Interest, Poll, Token};
+use std::collections::BTreeMap;
+use std::io::{self, ErrorKind};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// The listener's token. Connections count up from the next one, and no token is used twice.
+pub(crate) const LISTENER: Token = Token(0);
+/// The most that one read takes, in bytes; one buffer of this size serves all connections.
+const READ_BUFFER_BYTES: usize = 64 << 10;
+/// Connections accepted before the others have their turn.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
+/// How long after a failed accept (out of descriptors, for example) the next one is tried.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Events handled in one turn.
+const MAX_EVENTS_PER_TURN: usize = 256;
+
+/// When to accept next.
+struct AcceptSchedule {
+    /// `None` once the listener's queue is empty, until an event reports a new connection.
+    next: Option<Instant>,
+    /// Whether the last accept failed: a series of failures is logged once.
+    failing: bool,
+}
+
+/// All connections and what serves them.
+pub(crate) struct EventLoop {
+    listener: TcpListener,
+    poll: Poll,
+    limits: AdminLimits,
+    handler: Arc<dyn AdminHandler>,
+    /// By token, which is the order in which they were accepted.
+    connections: BTreeMap<Token, AdminConnection>,
+    next_token: Token,
+    read_buffer: Vec<u8>,
+}
+
+impl EventLoop {
+    /// An event loop without connections; `listener` is registered with `poll` as [`LISTENER`].
+    pub(crate) fn new(
+        listener: TcpListener,
+        poll: Poll,
+        limits: AdminLimits,
+        handler: Arc<dyn AdminHandler>,
+    ) -> EventLoop {
+        EventLoop {
+            listener,
+            poll,
+            limits,
+            handler,
+            connections: BTreeMap::new(),
+            next_token: Token(LISTENER.0 + 1),
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+        }
+    }
+
+    /// Serves for as long as the process lives.
+    pub(crate) fn run(mut self) {
+        let mut events = Events::with_capacity(MAX_EVENTS_PER_TURN);
+        let mut schedule = AcceptSchedule { next: Some(Instant::now()), failing: false };
+        loop {
+            self.wait(&mut events, &schedule);
+            self.note_events(&events, &mut schedule);
+            self.advance_all();
+            if schedule.next.is_some_and(|at| at <= Instant::now()) {
+                self.accept_due(&mut schedule);
+            }
+        }
+    }
+
+    fn wait(&mut self, events: &mut Events, schedule: &AcceptSchedule) {
+        if let Err(e) = self.poll.poll(events, self.timeout(schedule))
+            && e.kind() != ErrorKind::Interrupted
+        {
+            tracing::warn!(error = %e, "the operators' address can't wait for callers; it tries again");
+            // Not a busy loop: whatever is wrong, the connections are tried again at this pace.
+            std::thread::sleep(ACCEPT_RETRY_DELAY);
+        }
+    }
+
+    /// How long nothing needs doing unless an event arrives. `None`: forever.
+    fn timeout(&self, schedule: &AcceptSchedule) -> Option<Duration> {
+        if self.connections.values().any(AdminConnection::has_work) {
+            return Some(Duration::ZERO);
+        }
+        let next = self.connections.values().map(AdminConnection::deadline).chain(schedule.next).min();
+        next.map(|at| at.saturating_duration_since(Instant::now()))
+    }
+
+    fn note_events(&mut self, events: &Events, schedule: &mut AcceptSchedule) {
+        for event in events {
+            if event.token() == LISTENER {
+                schedule.next = schedule.next.or_else(|| Some(Instant::now()));
+            } else if let Some(connection) = self.connections.get_mut(&event.token()) {
+                connection.note_readiness(event);
+            }
+        }
+    }
+
+    /// Advances each connection, and drops those that are over or past their deadline.
+    fn advance_all(&mut self) {
+        let now = Instant::now();
+        let EventLoop { connections, limits, read_buffer, handler, .. } = self;
+        connections.retain(|_, connection| {
+            let handle = |command| handle_or_report_panic(&**handler, command);
+            connection.advance(now, limits, read_buffer, handle) == Progress::Open
+                && now < connection.deadline()
+        });
+    }
+
+    /// Advances one connection, and drops it if it is over.
+    fn advance(&mut self, token: Token) -> Progress {
+        let EventLoop { connections, limits, read_buffer, handler, .. } = self;
+        let handle = |command| handle_or_report_panic(&**handler, command);
+        let progress = connections.get_mut(&token).map_or(Progress::Closed, |connection| {
+            connection.advance(Instant::now(), limits, read_buffer, handle)
+        });
+        if progress == Progress::Closed {
+            connections.remove(&token);
+        }
+        progress
+    }
+
+    fn accept_due(&mut self, schedule: &mut AcceptSchedule) {
+        match self.accept() {
+            Ok(next) => *schedule = AcceptSchedule { next, failing: false },
+            Err(e) => {
+                if !schedule.failing {
+                    tracing::warn!(error = %e, "the operators' address can't accept; it tries again");
+                }
+                let next = Some(Instant::now() + ACCEPT_RETRY_DELAY);
+                *schedule = AcceptSchedule { next, failing: true };
+            }
+        }
+    }
+
+    /// Accepts connections and reads each at once. Returns when to go on: now, or `None` at the next event.
+    fn accept(&mut self) -> io::Result<Option<Instant>> {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            match self.listener.accept() {
+                Ok((socket, _)) => self.admit(socket)?,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(None),
+                // The client is gone already, or a signal arrived: on to the next.
+                Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
+                Err(e) => return Err(e),
+            }
+        }
+        Ok(Some(Instant::now()))
+    }
+
+    fn admit(&mut self, mut socket: TcpStream) -> io::Result<()> {
+        let token = self.next_token;
+        self.next_token = Token(token.0 + 1);
+        // Before the first read, so that an event reports all that arrives after it.
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        self.poll.registry().register(&mut socket, token, interest)?;
+        let deadline = Instant::now() + self.limits.io_timeout;
+        self.connections.insert(token, AdminConnection::new(socket, deadline));
+        self.advance(token);
+        while self.connections.len() > self.limits.max_connections {
+            self.evict_one(token);
+        }
+        Ok(())
+    }
+
+    /// Makes room for one connection: the first by [`EvictionOrder`], and the oldest of these, is closed. It is read once
+    /// more before, and stays if that changes its order: a command that has arrived is answered.
+    fn evict_one(&mut self, newcomer: Token) {
+        let order = |token: Token, connection: &AdminConnection| match connection.eviction_order() {
+            order if token != newcomer || order == EvictionOrder::Finished => order,
+            _ => EvictionOrder::Newcomer,
+        };
+        let first = self
+            .connections
+            .iter_mut()
+            .min_by_key(|(token, connection)| (order(**token, connection), **token));
+        let Some((&token, connection)) = first else { return };
+        let before = connection.eviction_order();
+        connection.assume_readable();
+        if self.advance(token) == Progress::Open
+            && self.connections.get(&token).map(AdminConnection::eviction_order) == Some(before)
+        {
+            self.connections.remove(&token);
+        }
+    }
+}
--- /dev/null
+++ b/door/src/handler.rs
@@ -0,0 +1,20 @@
+//! The interface between the server and whoever carries commands out.
+use crate::command::Command;
+use crate::response::Response;
+use std::panic::{AssertUnwindSafe, catch_unwind};
+
+/// Carries commands out.
+pub trait AdminHandler: Send + Sync + 'static {
+    /// Carries one command out. It runs on the server's only thread: all other connections wait for it, so it must not
+    /// block.
+    fn handle(&self, command: Command) -> Response;
+}
+
+/// A command that panics in its handler fails alone and does not end the server.
+pub(crate) fn handle_or_report_panic(handler: &dyn AdminHandler, command: Command) -> Response {
+    catch_unwind(AssertUnwindSafe(|| handler.handle(command))).unwrap_or_else(|_| {
+        Response::Rejected(
+            "the router failed to carry this out; see its log, then ask STATUS before asking again".into(),
+        )
+    })
+}
--- a/door/src/lib.rs
+++ b/door/src/lib.rs
@@ -1,17 +1,27 @@
-//! The operators' address of a router: each connection carries one line, a [`Call`], and gets one [`Answer`].
-//! Answers are due within 1 s under any load, and beside callers that hold a connection without a whole call.
-//! Who carries a call out is behind [`Desk`].
+//! The operators' address of a router: each connection carries one line, a [`Command`], and receives one [`Response`].
 //!
-//! One thread serves all callers, on sockets that never block, so that hundreds of them cost no threads. What
-//! tells it which sockets are ready is `mio`. Weighed against it: `polling`, whose registrations are `unsafe`
-//! and must be undone by hand before a socket is dropped (this workspace has no `unsafe`); `poll(2)` by hand,
-//! which is plumbing that a library does; a thread for each caller, as [`clients`](../clients/index.html) has,
-//! where a thousand idle callers cost a thousand stacks and turns at the processor.
-mod call;
-mod caller;
-mod desk;
+//! Responses are due within 1 s under any load, also beside connections that never send a complete line.
+//! [`AdminServer`] owns the address; whoever carries commands out implements [`AdminHandler`]. A router's handler is
+//! [`AdminService`].
+//!
+//! One thread serves all connections, on non-blocking sockets, so that hundreds of them cost no threads. `mio` tells it
+//! which sockets are ready. The alternatives were `polling`, whose registrations are `unsafe` and must be undone by hand
+//! before a socket is dropped (this workspace has no `unsafe`); `poll(2)` by hand, which repeats what a library does; and
+//! a thread for each connection, as [`clients`](../clients/index.html) has, where a thousand idle connections cost a
+//! thousand stacks and their scheduling.
+mod command;
+mod connection;
+mod event_loop;
+mod handler;
+mod limits;
+mod line;
+mod response;
 mod server;
+mod service;
 
-pub use call::{Answer, BadCall, Call, ID_BYTES};
-pub use desk::{Operations, Parts};
-pub use server::{Bounds, Desk, Door, DoorError};
+pub use command::{Command, MAX_ID_BYTES, ParseError};
+pub use handler::AdminHandler;
+pub use limits::AdminLimits;
+pub use response::Response;
+pub use server::{AdminServer, AdminServerError};
+pub use service::{AdminService, ServiceDependencies};
--- /dev/null
+++ b/door/src/response.rs
@@ -0,0 +1,43 @@
+//! The answer to a command.
+
+/// What is sent back.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Response {
+    /// The command was carried out: `200 text`.
+    Done(String),
+    /// The command was not carried out, and why: `400 text`.
+    Rejected(String),
+    /// Metrics, one a line; a line `EOF` follows them.
+    Metrics(String),
+}
+
+impl Response {
+    /// The bytes on the wire. Control characters of a text are escaped, so that no part of it can pass for another line
+    /// or move a terminal's cursor. Metrics are sent as they are; a missing last line end is added.
+    pub fn into_bytes(self) -> Vec<u8> {
+        match self {
+            Response::Done(text) => status_line("200 ", &text),
+            Response::Rejected(text) => status_line("400 ", &text),
+            Response::Metrics(mut lines) => {
+                if !lines.is_empty() && !lines.ends_with('\n') {
+                    lines.push('\n');
+                }
+                lines.push_str("EOF\n");
+                lines.into_bytes()
+            }
+        }
+    }
+}
+
+fn status_line(code: &str, text: &str) -> Vec<u8> {
+    let mut line = String::from(code);
+    for c in text.chars() {
+        if c.is_control() {
+            line.extend(c.escape_default());
+        } else {
+            line.push(c);
+        }
+    }
+    line.push('\n');
+    line.into_bytes()
+}
--- /dev/null
+++ b/door/src/service.rs
@@ -0,0 +1,109 @@
+//! Carries the operators' commands out: it connects the server with what the commands are about, the endpoint list, the
+//! metrics, the clients, and the state that the processes of this router share. What a command means is decided by
+//! [`holds::Machine`].
+mod coordinator;
+mod shared_folder;
+
+use crate::command::Command;
+use crate::handler::AdminHandler;
+use crate::response::Response;
+use clients::Order;
+use coordinator::Coordinator;
+use crossbeam_channel::Sender;
+use holds::Event;
+use routing::{Clock, Figures, ListHandle, spawn};
+use settings::Limits;
+use std::io;
+use std::path::Path;
+use std::sync::atomic::AtomicBool;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+const SYNC_THREAD_NAME: &str = "maintenance";
+
+/// What the commands act on.
+pub struct ServiceDependencies {
+    /// The metrics that `METRICS` reports.
+    pub metrics: Arc<Figures>,
+    /// The endpoint list, which shows instances in maintenance as draining.
+    pub endpoints: ListHandle,
+    /// Orders to the clients' front: drains, and which other processes serve.
+    pub client_orders: Sender<Order>,
+    /// Sets whether the front answers its readiness probe as draining. It takes effect before `PAUSE` is answered.
+    pub set_draining: Box<dyn Fn(bool) + Send>,
+    /// Whether clients are accepted.
+    pub accepting: Arc<AtomicBool>,
+    /// Tells the core how many processes serve as this router.
+    pub set_process_count: Box<dyn Fn(u32) + Send>,
+    /// The clock of maintenance times, the same in all processes: Unix time.
+    pub clock: Clock,
+    /// The router's limits.
+    pub limits: Arc<Limits>,
+}
+
+/// The command handler of one router.
+pub struct AdminService(Mutex<Coordinator>);
+
+impl AdminService {
+    /// A service that continues where the router's last process ended. It changes nothing in the folder, except that it
+    /// moves a state file that cannot be used aside: this process may yet fail to start.
+    ///
+    /// `shared_folder` belongs to the processes of this router alone. Without one, maintenance and drain end with this
+    /// process.
+    pub fn open(dependencies: ServiceDependencies, shared_folder: Option<&Path>) -> AdminService {
+        AdminService(Mutex::new(Coordinator::open(dependencies, shared_folder)))
+    }
+
+    /// Starts to follow the router's other processes, on a thread of its own. If there are others, this returns once this
+    /// process has reduced its use of what they share and the others have had the time to see it and do the same: a
+    /// process that accepted clients at once would use its part on top of all of theirs.
+    ///
+    /// # Errors
+    /// If the thread cannot be started.
+    pub fn start_sync(self: &Arc<Self>) -> io::Result<()> {
+        let service = self.clone();
+        let (limits, alone) = {
+            let mut coordinator = self.coordinator();
+            coordinator.update_process_count();
+            (coordinator.limits(), coordinator.is_only_process())
+        };
+        let interval = limits.holds_look;
+        if !alone {
+            std::thread::sleep(2 * interval);
+        }
+        spawn(SYNC_THREAD_NAME, limits.stack_bytes, move || {
+            loop {
+                // On an overloaded host the checks become fewer instead of queueing up.
+                std::thread::sleep(interval);
+                let mut coordinator = service.coordinator();
+                coordinator.sync_if_needed();
+                coordinator.update_process_count();
+            }
+        })
+    }
+
+    /// Announces that this process is about to end: it accepts no more clients, and no other process may rely on it.
+    pub fn announce_shutdown(&self) {
+        self.coordinator().announce_shutdown();
+    }
+
+    fn coordinator(&self) -> MutexGuard<'_, Coordinator> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+impl AdminHandler for AdminService {
+    fn handle(&self, command: Command) -> Response {
+        let mut coordinator = self.coordinator();
+        let text = command.to_string();
+        let event = match command {
+            Command::Status => return coordinator.status(),
+            Command::Metrics => return coordinator.metrics(),
+            Command::Suspend(id) => Event::Suspend(id),
+            Command::Restore(id) => Event::Restore(id),
+            Command::Pause => Event::Pause,
+            Command::Resume => Event::Resume,
+        };
+        tracing::info!(command = %text, "admin command received");
+        coordinator.run_command(event)
+    }
+}
--- /dev/null
+++ b/door/src/service/coordinator.rs
@@ -0,0 +1,214 @@
+//! Keeps three things in agreement: the state machine, the state that the processes of this router share, and what the
+//! other parts of this process have been told.
+use super::ServiceDependencies;
+use super::shared_folder::SharedFolder;
+use crate::response::Response;
+use clients::Order;
+use holds::{
+    Action, EndpointChange, Event, Machine, MaintenanceError, MaintenanceMask, OtherProcesses,
+    SharedFolderError,
+};
+use routing::Time;
+use settings::Limits;
+use std::path::Path;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+
+/// A command that is in effect in this process and may not be stored yet.
+struct PendingCommand {
+    received: Time,
+    event: Event,
+}
+
+/// What the other parts of this process were told last.
+#[derive(Default)]
+struct Notified {
+    mask: MaintenanceMask,
+    draining: bool,
+}
+
+/// What came of one synchronisation.
+struct SyncResult {
+    /// The response to the last pending command, if there is one.
+    response: Option<Result<(), MaintenanceError>>,
+    /// Whether the state is stored.
+    stored: Result<(), SharedFolderError>,
+}
+
+/// See the module.
+pub(super) struct Coordinator {
+    dependencies: ServiceDependencies,
+    shared: Option<SharedFolder>,
+    /// The machine with the stored state.
+    stored_machine: Machine,
+    pending: Vec<PendingCommand>,
+    notified: Notified,
+    others: OtherProcesses,
+}
+
+impl Coordinator {
+    /// Continues from the stored state and applies it to the endpoint list and the clients.
+    pub(super) fn open(dependencies: ServiceDependencies, shared_folder: Option<&Path>) -> Coordinator {
+        let limits = &dependencies.limits;
+        let settings = holds::Settings {
+            max_entries: limits.holds,
+            restored_retention: i64::try_from(limits.hold_cold.as_micros()).unwrap_or(i64::MAX),
+        };
+        let (state, shared) = SharedFolder::open(shared_folder);
+        let mut coordinator = Coordinator {
+            dependencies,
+            shared,
+            stored_machine: Machine::new(settings, state),
+            pending: Vec::new(),
+            notified: Notified::default(),
+            others: OtherProcesses::default(),
+        };
+        // Before any endpoint list: an instance in maintenance is so from its first listing on.
+        let machine = coordinator.stored_machine.clone();
+        coordinator.notify(&machine);
+        coordinator
+    }
+
+    pub(super) fn limits(&self) -> Arc<Limits> {
+        self.dependencies.limits.clone()
+    }
+
+    /// Whether no other process of this router was alive at the last count.
+    pub(super) fn is_only_process(&self) -> bool {
+        self.others.alive == 0
+    }
+
+    /// The response to `STATUS`.
+    pub(super) fn status(&self) -> Response {
+        if !self.dependencies.accepting.load(Ordering::Acquire) {
+            return Response::Rejected(
+                "no clients are taken: wait until it is ready, or look whether it ends".into(),
+            );
+        }
+        let router = if self.notified.draining { "drained by PAUSE" } else { "taking clients" };
+        let in_maintenance = self.notified.mask.in_maintenance.len();
+        Response::Done(format!("{router}, {in_maintenance} instances held by hand"))
+    }
+
+    /// The response to `METRICS`.
+    pub(super) fn metrics(&self) -> Response {
+        Response::Metrics(self.dependencies.metrics.lines())
+    }
+
+    /// Runs a command that may change the state. If it cannot be stored, it is in effect here all the same, and storing
+    /// it is retried.
+    pub(super) fn run_command(&mut self, event: Event) -> Response {
+        self.update_endpoints();
+        self.pending.push(PendingCommand { received: self.dependencies.clock.now(), event });
+        let result = self.sync();
+        match (result.response, result.stored) {
+            (Some(Err(error)), _) => {
+                // A rejected command changes nothing and must not be retried.
+                self.pending.pop();
+                Response::Rejected(error.to_string())
+            }
+            (_, Ok(())) => Response::Done("done".into()),
+            (_, Err(error)) => {
+                tracing::error!(%error, "maintenance state not stored, retrying");
+                Response::Done(format!("done here, not kept yet for another process: {error}"))
+            }
+        }
+    }
+
+    /// Synchronises if another process has changed the stored state, or if commands are not stored yet.
+    pub(super) fn sync_if_needed(&mut self) {
+        let changed = self.shared.as_mut().is_some_and(|shared| shared.state_file.has_changed());
+        if !changed && self.pending.is_empty() {
+            return;
+        }
+        if let Err(error) = self.sync().stored {
+            tracing::warn!(%error, "maintenance state not synchronised, retrying");
+        }
+    }
+
+    /// Counts the router's other processes, and tells the core and the clients if their number has changed.
+    pub(super) fn update_process_count(&mut self) {
+        let Some(shared) = &mut self.shared else { return };
+        if self.dependencies.accepting.load(Ordering::Acquire) {
+            shared.mark_ready_once();
+        }
+        let others = shared.presence.count_others();
+        if others == self.others {
+            return;
+        }
+        tracing::info!("process: {} others of this router live, {} take clients", others.alive, others.ready);
+        self.others = others;
+        let processes = others.alive + 1;
+        (self.dependencies.set_process_count)(u32::try_from(processes).unwrap_or(u32::MAX));
+        let order = Order::Sharing { processes, successor: others.ready > 0 };
+        _ = self.dependencies.client_orders.send(order);
+    }
+
+    /// Marks this process as one that accepts no more clients.
+    pub(super) fn announce_shutdown(&mut self) {
+        if let Some(shared) = &mut self.shared {
+            shared.mark_shutting_down();
+        }
+    }
+
+    fn update_endpoints(&mut self) {
+        let ids = self.dependencies.endpoints.names();
+        let changes = ids.into_iter().map(|id| EndpointChange { id, listed: true }).collect();
+        let event = Event::EndpointsUpdated { complete: true, changes };
+        // No response is due, and masks are reported by `notify`.
+        self.stored_machine.handle(self.dependencies.clock.now(), event, &mut Vec::new());
+    }
+
+    /// Applies the pending commands on top of the stored state, stores the result, and reports changes to the other
+    /// parts of this process.
+    fn sync(&mut self) -> SyncResult {
+        let now = self.dependencies.clock.now();
+        let (mut next, mut actions) = (self.stored_machine.clone(), Vec::new());
+        let mut stored = Ok(());
+        let mut locked = self.shared.as_ref().map(|shared| shared.state_file.lock()).transpose();
+        if let Ok(Some(file)) = &mut locked {
+            match file.read() {
+                Ok(Some(state)) => next.handle(now, Event::StateRead(state), &mut actions),
+                Ok(None) => {}
+                Err(error) => stored = Err(error),
+            }
+        }
+        let stored_revision = next.state().revision;
+        for command in &self.pending {
+            next.handle(command.received, command.event.clone(), &mut actions);
+        }
+        let changed = next.state().revision != stored_revision;
+        match locked {
+            Ok(Some(mut file)) if changed => stored = file.write(next.state()),
+            Ok(_) => {}
+            Err(error) => stored = Err(error),
+        }
+        self.notify(&next);
+        if stored.is_ok() {
+            self.stored_machine = next;
+            self.pending.clear();
+        }
+        SyncResult { response: last_response(actions), stored }
+    }
+
+    /// Applies mask and drain to the endpoint list and the clients where they have changed.
+    fn notify(&mut self, machine: &Machine) {
+        let (mask, draining) = (machine.mask(), machine.draining());
+        if mask != self.notified.mask {
+            let shown = routing::Mask { held: mask.in_maintenance.clone(), cold: mask.restored.clone() };
+            _ = self.dependencies.endpoints.mask(shown);
+        }
+        if draining != self.notified.draining {
+            (self.dependencies.set_draining)(draining);
+            _ = self.dependencies.client_orders.send(Order::Drain(draining));
+        }
+        self.notified = Notified { mask, draining };
+    }
+}
+
+fn last_response(actions: Vec<Action>) -> Option<Result<(), MaintenanceError>> {
+    actions.into_iter().rev().find_map(|action| match action {
+        Action::Respond(response) => Some(response),
+        _ => None,
+    })
+}
--- /dev/null
+++ b/door/src/service/shared_folder.rs
@@ -0,0 +1,65 @@
+//! The folder that the processes of one router share: the stored state, and the presence of each process.
+use holds::{ProcessPresence, SharedFolderError, State, StateFile};
+use std::path::Path;
+
+/// This process's handles on the shared folder.
+pub(super) struct SharedFolder {
+    pub(super) state_file: StateFile,
+    pub(super) presence: ProcessPresence,
+    /// Whether this process has marked itself as ready, or as shutting down, after which it never becomes ready.
+    marked: bool,
+}
+
+impl SharedFolder {
+    /// Reads the stored state and registers this process. Problems are logged: the state then begins empty, or ends with
+    /// this process.
+    pub(super) fn open(folder: Option<&Path>) -> (State, Option<SharedFolder>) {
+        let Some(folder) = folder else {
+            tracing::warn!("no $TMPDIR: maintenance and drain end with this process");
+            return (State::default(), None);
+        };
+        let state_file = match StateFile::open(folder) {
+            Ok(file) => file,
+            Err(error) => return (State::default(), not_shared(&error)),
+        };
+        let state = read_or_default(&state_file);
+        match ProcessPresence::register(folder, std::process::id()) {
+            Ok(presence) => (state, Some(SharedFolder { state_file, presence, marked: false })),
+            Err(error) => (state, not_shared(&error)),
+        }
+    }
+
+    /// Marks this process as one that accepts clients, unless it has been marked before.
+    pub(super) fn mark_ready_once(&mut self) {
+        if self.marked {
+            return;
+        }
+        self.marked = true;
+        if let Err(error) = self.presence.mark_ready() {
+            tracing::error!(%error, "process not marked as ready");
+        }
+    }
+
+    /// Marks this process as one that accepts no more clients.
+    pub(super) fn mark_shutting_down(&mut self) {
+        self.marked = true;
+        if let Err(error) = self.presence.mark_not_ready() {
+            tracing::error!(%error, "process not marked as shutting down");
+        }
+    }
+}
+
+fn not_shared(error: &SharedFolderError) -> Option<SharedFolder> {
+    tracing::error!(%error, "maintenance and drain end with this process");
+    None
+}
+
+fn read_or_default(file: &StateFile) -> State {
+    match file.lock().and_then(|mut locked| locked.read()) {
+        Ok(state) => state.unwrap_or_default(),
+        Err(error) => {
+            tracing::error!(%error, "maintenance state not read, starting with none");
+            State::default()
+        }
+    }
+}
--- /dev/null
+++ b/door/tests/commands.rs
@@ -0,0 +1,42 @@
+//! The parser of commands, on random lines.
+use door::{Command, ParseError};
+use proptest::prelude::*;
+use proptest::test_runner::RngSeed;
+
+proptest! {
+    // The same lines in every run.
+    #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
+
+    #[test]
+    fn parse_error_of_any_line_is_printable(line: Vec<u8>, verb in "(suspend|RESTORE|PAUSE|) ?") {
+        for line in [&line[..], &[verb.as_bytes(), &line].concat()] {
+            if let Err(error) = Command::parse(line) {
+                prop_assert!(error.to_string().bytes().all(|b| (b' '..=b'~').contains(&b)));
+            }
+        }
+    }
+
+    #[test]
+    fn displayed_command_parses_to_itself(
+        id in "[!-~]{1,256}",
+        which in 0..6,
+        lower: bool,
+        line_end in prop::sample::select(vec!["", "\n", "\r\n"])
+    ) {
+        let command = match which {
+            0 => Command::Status,
+            1 => Command::Metrics,
+            2 => Command::Suspend(id.clone()),
+            3 => Command::Restore(id.clone()),
+            4 => Command::Pause,
+            _ => Command::Resume,
+        };
+        let mut line = command.to_string();
+        if lower && which != 2 && which != 3 {
+            line.make_ascii_lowercase();
+        }
+        prop_assert_eq!(Command::parse(format!("{line}{line_end}").as_bytes()), Ok(command));
+        let invalid = Command::parse(format!("SUSPEND {id}\u{7f}").as_bytes());
+        prop_assert_eq!(invalid, Err(ParseError::InvalidId("SUSPEND")));
+    }
+}
