--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -5,6 +5,9 @@
 use foca::{Header, State};
 use serde::{Deserialize, Serialize};
 
+#[cfg(test)]
+mod tests;
+
 /// Bytes before the body.
 pub(crate) const HEAD: usize = 12;
 const MARK: [u8; 2] = *b"dm";
