--- a/membership/examples/measure.rs
+++ b/membership/examples/measure.rs
@@ -1,9 +1,12 @@
-//! The figures of `docs/membership.md`, from the played network: `cargo run --release -p membership --example measure`.
-use membership::sim::Sim;
+//! The figures of `docs/membership.md`, from simulated networks:
+//! `cargo run --release -p membership --example measure`.
+use membership::simulation::Simulation;
 use membership::{Action, Settings};
 use std::time::Duration;
 
-const S: Duration = Duration::from_secs(1);
+const SECOND: Duration = Duration::from_secs(1);
+/// Failures and leaves that are averaged.
+const ROUNDS: usize = 20;
 
 fn main() {
     println!(
@@ -15,69 +18,105 @@
     }
 }
 
-fn fleet(size: usize, random: u64) -> (Sim, Duration) {
-    let mut sim = Sim::new(Settings::default(), random);
-    for i in 0..size {
-        sim.add(1 + i as u64, &[0, 1, 2]).expect("a router");
+/// A fleet that has joined, and how long that took.
+fn fleet(size: usize, seed: u64) -> (Simulation, Duration) {
+    let mut simulation = Simulation::new(Settings::default(), seed);
+    for router in 0..size {
+        simulation.add(1 + router as u64, &[0, 1, 2]).expect("a router");
     }
-    let joined = sim.until(120 * S, Sim::agree).expect("joined");
-    (sim, joined)
+    let joined = simulation.run_until(120 * SECOND, Simulation::all_agree).expect("joined");
+    (simulation, joined)
 }
 
-/// Bytes a second and router over this long.
-fn talk(sim: &mut Sim, time: Duration) -> u64 {
-    let (before, running) = (sim.bytes(), sim.running().count() as u64);
-    sim.run(time);
-    (sim.bytes() - before) / running / time.as_secs()
+/// Bytes a second and router over this time.
+fn sent_per_router(simulation: &mut Simulation, time: Duration) -> u64 {
+    let (before, running) = (simulation.sent_bytes(), simulation.running().count() as u64);
+    simulation.run(time);
+    (simulation.sent_bytes() - before) / running / time.as_secs()
 }
 
-fn row(size: usize) -> String {
-    let (mut first, mut all, mut left, mut failing) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-    let (mut sim, joined) = fleet(size, 1);
-    sim.run(30 * S);
-    let rest = talk(&mut sim, 30 * S);
-    for i in 0..20 {
-        let node = 3 + i % (size - 3);
-        let since = sim.now;
-        sim.kill(node);
-        all.push(sim.until(60 * S, Sim::agree).expect("seen to fail"));
-        let name = sim.nodes[node].machine.me().name().to_string();
-        let told = sim.told.iter().filter(|t| t.at >= since);
-        let down =
-            told.filter(|t| matches!(&t.action, Action::Down(m) if m.name() == name)).map(|t| t.at - since);
-        first.push(down.min().expect("told"));
-        sim.restart(node, 1_000 + i as u64, &[0, 1, 2]).expect("a router");
-        sim.until(60 * S, Sim::agree).expect("back");
-        sim.run(10 * S);
-        sim.leave(node);
-        left.push(sim.until(60 * S, |sim| sim.seen(node) == 0).expect("seen to leave"));
-        sim.restart(node, 2_000 + i as u64, &[0, 1, 2]).expect("a router");
-        sim.until(60 * S, Sim::agree).expect("back");
-        sim.run(10 * S);
+/// How long it took others to see one router fail or leave, each time.
+#[derive(Default)]
+struct Detection {
+    failure_first: Vec<Duration>,
+    failure_all: Vec<Duration>,
+    leave_all: Vec<Duration>,
+}
+
+impl Detection {
+    fn fail(&mut self, simulation: &mut Simulation, router: usize) {
+        let since = simulation.now;
+        simulation.kill(router);
+        let all = simulation.run_until(60 * SECOND, Simulation::all_agree).expect("seen to fail");
+        self.failure_all.push(all);
+        let name = simulation.routers[router].machine.local().name();
+        let reports = simulation.reports.iter().filter(|report| report.at >= since);
+        let first = reports
+            .filter(|report| matches!(&report.action, Action::Down(member) if member.name() == name))
+            .map(|report| report.at - since)
+            .min();
+        self.failure_first.push(first.expect("reported"));
     }
-    for i in 0..3 {
-        sim.kill(3 + i);
-        failing.push(talk(&mut sim, 10 * S));
+
+    fn leave(&mut self, simulation: &mut Simulation, router: usize) {
+        simulation.leave(router);
+        let gone = |simulation: &Simulation| simulation.count_listing(router) == 0;
+        self.leave_all.push(simulation.run_until(60 * SECOND, gone).expect("seen to leave"));
     }
-    let mean = |v: &[Duration]| v.iter().sum::<Duration>().as_secs_f64() / v.len() as f64;
-    let worst = all.iter().max().expect("some").as_secs_f64();
+}
+
+fn rejoin(simulation: &mut Simulation, router: usize, generation: u64) {
+    simulation.restart(router, generation, &[0, 1, 2]).expect("a router");
+    simulation.run_until(60 * SECOND, Simulation::all_agree).expect("back");
+    simulation.run(10 * SECOND);
+}
 
-    let (mut sim, _) = fleet(size, 2);
-    (0..size).filter(|i| i % 10 < 7).for_each(|i| sim.kill(i));
-    let many = sim.until(300 * S, Sim::agree).expect("survivors agree").as_secs_f64();
+fn mean(times: &[Duration]) -> f64 {
+    times.iter().sum::<Duration>().as_secs_f64() / times.len() as f64
+}
 
-    // A hundredth of all datagrams lost, nobody fails.
-    let (mut sim, _) = fleet(size, 3);
-    let before = sim.told.len();
-    sim.loss = 0.01;
-    sim.run(600 * S);
-    let false_downs = sim.told[before..].iter().filter(|t| matches!(t.action, Action::Down(_))).count();
+/// How long the survivors take to agree when 70 % are killed at once.
+fn mass_failure(size: usize) -> Duration {
+    let (mut simulation, _) = fleet(size, 2);
+    (0..size).filter(|router| router % 10 < 7).for_each(|router| simulation.kill(router));
+    simulation.run_until(300 * SECOND, Simulation::all_agree).expect("survivors agree")
+}
+
+/// Members reported down in ten minutes in which a hundredth of all datagrams is lost and nobody fails.
+fn false_downs(size: usize) -> usize {
+    let (mut simulation, _) = fleet(size, 3);
+    let before = simulation.reports.len();
+    simulation.loss = 0.01;
+    simulation.run(600 * SECOND);
+    simulation.reports[before..].iter().filter(|report| matches!(report.action, Action::Down(_))).count()
+}
+
+fn row(size: usize) -> String {
+    let (mut simulation, joined) = fleet(size, 1);
+    simulation.run(30 * SECOND);
+    let rest = sent_per_router(&mut simulation, 30 * SECOND);
+    let mut detection = Detection::default();
+    for round in 0..ROUNDS {
+        let router = 3 + round % (size - 3);
+        detection.fail(&mut simulation, router);
+        rejoin(&mut simulation, router, 1_000 + round as u64);
+        detection.leave(&mut simulation, router);
+        rejoin(&mut simulation, router, 2_000 + round as u64);
+    }
+    let mut failing = Vec::new();
+    for router in 3..6 {
+        simulation.kill(router);
+        failing.push(sent_per_router(&mut simulation, 10 * SECOND));
+    }
     let failing = failing.iter().sum::<u64>() / failing.len() as u64;
+    let worst = detection.failure_all.iter().max().expect("some").as_secs_f64();
     format!(
-        "| {size} | {:.1} s | {:.1} s | {:.1} s | {worst:.1} s | {:.2} s | {rest} | {failing} | {many:.1} s | {false_downs} |",
+        "| {size} | {:.1} s | {:.1} s | {:.1} s | {worst:.1} s | {:.2} s | {rest} | {failing} | {:.1} s | {} |",
         joined.as_secs_f64(),
-        mean(&first),
-        mean(&all),
-        mean(&left)
+        mean(&detection.failure_first),
+        mean(&detection.failure_all),
+        mean(&detection.leave_all),
+        mass_failure(size).as_secs_f64(),
+        false_downs(size),
     )
 }
--- /dev/null
+++ b/membership/src/machine/datagrams.rs
@@ -0,0 +1,120 @@
+//! Datagrams on their way to the core: limits, checks, and what concerns this router's own name.
+use super::{Action, Machine, Phase};
+use crate::member::Member;
+use crate::member_record::MemberRecord;
+use crate::wire::{self, Datagram, GossipDatagram, JoinMessage};
+use foca::{Message, State};
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
+impl Machine {
+    pub(super) fn handle_datagram(
+        &mut self,
+        now: Duration,
+        from: SocketAddrV4,
+        bytes: &[u8],
+        actions: &mut Vec<Action>,
+    ) {
+        self.counters.received += 1;
+        // A router that leaves must not hear that it is down, or it would rejoin.
+        if self.phase != Phase::Running {
+            return;
+        }
+        if !from.ip().is_loopback() {
+            self.counters.not_loopback += 1;
+            return;
+        }
+        if !self.datagram_budget.try_take(now) {
+            self.counters.rate_limited += 1;
+            return;
+        }
+        let datagram = match wire::decode(self.cluster_hash, bytes) {
+            Ok(datagram) => datagram,
+            Err(reason) => {
+                self.counters.count_rejected(reason);
+                return;
+            }
+        };
+        self.last_received = now;
+        match datagram {
+            Datagram::Gossip(gossip) => self.handle_gossip(now, &gossip, actions),
+            Datagram::Join(message) => self.handle_join_message(now, message, actions),
+        }
+    }
+
+    fn handle_gossip(&mut self, now: Duration, gossip: &GossipDatagram<'_>, actions: &mut Vec<Action>) {
+        let sender = &gossip.header.src;
+        let named = || std::iter::once(sender).chain(gossip.updates.iter().map(MemberRecord::id));
+        if !self.within_member_limit(named()) || self.yields_own_name(now, named(), actions) {
+            return;
+        }
+        // The holder of a name that a later start has taken elsewhere cannot find that out from being declared down.
+        let holder =
+            (self.core.iter_membership_state().map(MemberRecord::id)).find(|member| member.same_name(sender));
+        if let Some(later) = holder.filter(|h| h.is_later_than(sender) && h.addr() != sender.addr()) {
+            let reply = JoinMessage::JoinReply { from: self.local.clone(), known: Some(later.clone()) };
+            self.send_join_message(sender.addr(), &reply, actions);
+            return;
+        }
+        if self.is_declared_down_by(gossip) && !self.may_rejoin(now) {
+            return;
+        }
+        self.run_core(now, actions, |core, output| core.handle_data(gossip.body, output));
+    }
+
+    /// Whether the core will rejoin because of this datagram.
+    fn is_declared_down_by(&self, gossip: &GossipDatagram<'_>) -> bool {
+        let in_updates =
+            (gossip.updates.iter()).any(|record| *record.id() == self.local && record.state() == State::Down);
+        let directly = gossip.header.message == Message::TurnUndead && gossip.header.dst == self.local;
+        in_updates || directly
+    }
+
+    /// Whether these names fit beside the known ones.
+    pub(super) fn within_member_limit<'a>(
+        &mut self,
+        members: impl Iterator<Item = &'a Member> + Clone,
+    ) -> bool {
+        let known_count = self.core.iter_membership_state().len();
+        // The names of one datagram are few: they are only looked up when it could matter.
+        let fits = known_count + members.clone().count() <= self.settings.max_members || {
+            let is_known = |member: &Member| {
+                self.core.iter_membership_state().any(|record| record.id().name() == member.name())
+            };
+            members.filter(|member| member.name() != self.local.name()).all(is_known)
+        };
+        self.counters.over_member_limit += u64::from(!fits);
+        fits
+    }
+
+    /// Looks for a later holder of this router's name, and yields to it or rises past it. True when there is one: the
+    /// rest of the datagram speaks of what this router no longer is.
+    pub(super) fn yields_own_name<'a>(
+        &mut self,
+        now: Duration,
+        mut named: impl Iterator<Item = &'a Member>,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let is_later =
+            |member: &&Member| member.name() == self.local.name() && member.is_later_than(&self.local);
+        let Some(later) = named.find(is_later).cloned() else { return false };
+        if self.has_joined && later.addr() != self.local.addr() {
+            self.end(Action::Superseded(later), actions);
+            return true;
+        }
+        // A start of before under a clock that was ahead, or one not yet known to be over: the last start goes past it.
+        if self.may_rejoin(now) {
+            let renewed = self.local.supersede(later.incarnation());
+            self.run_core(now, actions, |core, output| core.change_identity(renewed, output));
+        }
+        true
+    }
+
+    /// Two rejoins must lie apart, so that a forger cannot keep a router rejoining without end.
+    pub(super) fn may_rejoin(&mut self, now: Duration) -> bool {
+        let may =
+            self.last_rejoin.is_none_or(|last| now.saturating_sub(last) >= self.settings.gossip_interval);
+        self.counters.unsolicited += u64::from(!may);
+        may
+    }
+}
--- /dev/null
+++ b/membership/src/machine/list_sync.rs
@@ -0,0 +1,112 @@
+//! Reading another member's list page by page, which heals what gossip lost.
+//!
+//! Pages are requested one each [`Settings::list_sync_interval`](crate::Settings::list_sync_interval) from a random
+//! member, and without pause after a join or a stall.
+use super::{Action, Machine};
+use crate::limits::MAX_DATAGRAM_BYTES;
+use crate::member::Member;
+use crate::member_record::{ListEntry, MemberRecord, MemberStatus};
+use crate::wire::{HEADER_BYTES, JoinMessage};
+use foca::State;
+use rand::RngExt;
+use rand::seq::IteratorRandom;
+use std::time::Duration;
+
+/// Bytes of a page besides its entries, at most: the sender's identity, the request's id, the count of entries.
+const PAGE_OVERHEAD_BYTES: usize = 128;
+/// Bytes of an entry besides the member's name, at most.
+const ENTRY_OVERHEAD_BYTES: usize = 24;
+
+/// How far this router has read another's list.
+#[derive(Default)]
+pub(super) struct ListSync {
+    /// The id of the page request that is not answered yet.
+    pending_request: Option<u64>,
+    /// The last name that was read; the next page begins past it.
+    cursor: Option<String>,
+    /// Pages are requested one after the other until the end of the list.
+    reading_full_list: bool,
+}
+
+impl Machine {
+    /// Reads another member's list from its beginning, page after page.
+    pub(super) fn read_full_list(&mut self, actions: &mut Vec<Action>) {
+        self.list_sync.reading_full_list = true;
+        self.list_sync.cursor = None;
+        self.request_page(actions);
+    }
+
+    pub(super) fn request_page(&mut self, actions: &mut Vec<Action>) {
+        let Some(to) = self.live.values().choose(&mut self.rng).map(Member::addr) else { return };
+        let request_id = self.rng.random();
+        self.list_sync.pending_request = Some(request_id);
+        let after = self.list_sync.cursor.clone();
+        let request = JoinMessage::PageRequest { from: self.local.clone(), request_id, after };
+        self.send_join_message(to, &request, actions);
+    }
+
+    pub(super) fn handle_page(
+        &mut self,
+        now: Duration,
+        from: &Member,
+        request_id: u64,
+        entries: Vec<ListEntry>,
+        more: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.list_sync.pending_request != Some(request_id) || self.live.get(from.name()) != Some(from) {
+            self.counters.unsolicited += 1;
+            return;
+        }
+        self.list_sync.pending_request = None;
+        let members = || entries.iter().map(|entry| &entry.member);
+        if !self.within_member_limit(members()) || self.yields_own_name(now, members(), actions) {
+            return;
+        }
+        self.list_sync.cursor = entries.last().map(|entry| entry.member.name().to_string()).filter(|_| more);
+        let declared_down =
+            (entries.iter()).any(|entry| entry.member == self.local && entry.status == MemberStatus::Down);
+        if declared_down && !self.may_rejoin(now) {
+            return;
+        }
+        // What a page brings, the fleet has heard already: it is applied, not passed on.
+        let records: Vec<MemberRecord> = entries.into_iter().map(MemberRecord::from).collect();
+        self.run_core(now, actions, |core, output| core.apply_many(records.into_iter(), false, output));
+        if !more {
+            self.list_sync.reading_full_list = false;
+        } else if self.list_sync.reading_full_list && !declared_down {
+            self.request_page(actions);
+        }
+    }
+
+    /// Sends what is known of the names past `after`, as many as fit, and first of all that the requester is held to
+    /// be suspect or down.
+    pub(super) fn send_page(
+        &self,
+        to: &Member,
+        request_id: u64,
+        after: Option<String>,
+        actions: &mut Vec<Action>,
+    ) {
+        let mut entries = Vec::new();
+        let requester = self.core.iter_membership_state().find(|record| record.id() == to);
+        entries.extend(requester.filter(|record| record.state() != State::Alive).map(ListEntry::from));
+        let is_past = |name: &str| after.as_deref().is_none_or(|after| name > after);
+        let mut rest: Vec<&MemberRecord> = (self.core.iter_membership_state())
+            .filter(|record| is_past(record.id().name()) && record.id() != to)
+            .collect();
+        rest.sort_unstable_by_key(|record| record.id().name());
+        let mut free_bytes = MAX_DATAGRAM_BYTES - HEADER_BYTES - PAGE_OVERHEAD_BYTES;
+        let mut more = false;
+        for record in rest {
+            let Some(left) = free_bytes.checked_sub(record.id().name().len() + ENTRY_OVERHEAD_BYTES) else {
+                more = true;
+                break;
+            };
+            free_bytes = left;
+            entries.push(record.into());
+        }
+        let page = JoinMessage::Page { from: self.local.clone(), request_id, entries, more };
+        self.send_join_message(to.addr(), &page, actions);
+    }
+}
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -1,143 +1,138 @@
-//! The datagrams: a head of [`HEAD`] bytes (mark, version, kind, the fleet's name hashed), then one body.
-use crate::machine::Known;
+//! The datagrams: a header of [`HEADER_BYTES`] (magic, version, kind, the fleet's name hashed), then one body.
+//!
+//! The body is the core's own gossip, or a [`JoinMessage`]. A datagram is read whole and checked before the core sees
+//! it. Bodies are postcard, which writes values in the order of declaration and no names: fields and variants may be
+//! renamed, but not reordered.
+use crate::limits::MAX_DATAGRAM_BYTES;
 use crate::member::Member;
-use crate::settings::MAX_DATAGRAM;
-use foca::{Header, State};
+use crate::member_record::{ListEntry, MemberRecord};
+use foca::Header;
 use serde::{Deserialize, Serialize};
 
 #[cfg(test)]
 mod tests;
 
 /// Bytes before the body.
-pub(crate) const HEAD: usize = 12;
-const MARK: [u8; 2] = *b"dm";
-const VERSION: u8 = 1;
+pub(crate) const HEADER_BYTES: usize = 12;
+const MAGIC: [u8; 2] = *b"dm";
+const PROTOCOL_VERSION: u8 = 1;
+const KIND_GOSSIP: u8 = 0;
+const KIND_JOIN: u8 = 1;
+/// Room for the header and a short body.
+const USUAL_DATAGRAM_BYTES: usize = 128;
 
-/// Why a datagram is refused.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Refusal {
-    Size,
-    Mark,
-    Version,
-    Cluster,
+/// Why a datagram is rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RejectReason {
+    WrongSize,
+    WrongMagic,
+    WrongVersion,
+    WrongCluster,
     Malformed,
 }
 
-/// What foca's datagram holds, read before foca does so that nothing unbounded reaches it.
-pub(crate) struct Gossip {
-    pub header: Header<Member>,
-    pub updates: Vec<Known>,
+/// What the core's datagram holds, read before the core reads it so that nothing unbounded reaches it.
+pub(crate) struct GossipDatagram<'a> {
+    pub(crate) header: Header<Member>,
+    pub(crate) updates: Vec<MemberRecord>,
+    /// The body as it came, for the core.
+    pub(crate) body: &'a [u8],
 }
 
-/// What is said besides foca's own datagrams.
-#[derive(Debug, Serialize, Deserialize)]
-pub(crate) enum Talk {
+/// What routers send besides the core's datagrams: how a start joins the fleet, and how lists are read page by page.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) enum JoinMessage {
     /// Sent to an address of which no name is known yet.
-    Hello(Member),
-    /// The answer: who hears here, and what is known under the greeter's name.
-    Here(Member, Option<Member>),
-    /// Asks for what the other knows of names past this one. The number comes back with the page.
-    Ask { from: Member, number: u64, past: Option<String> },
-    /// What is known, in the order of names; `more` when there is more.
-    Page { from: Member, number: u64, entries: Vec<(Member, u16, Standing)>, more: bool },
+    JoinRequest { from: Member },
+    /// The answer: who listens at that address, and what it knows under the requester's name.
+    JoinReply { from: Member, known: Option<Member> },
+    /// Asks for what the receiver knows of the names past `after`. The page carries the same `request_id`.
+    PageRequest { from: Member, request_id: u64, after: Option<String> },
+    /// What is known, in the order of names; `more` when the list goes on.
+    Page { from: Member, request_id: u64, entries: Vec<ListEntry>, more: bool },
 }
 
-/// A member's state on a page.
-#[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub(crate) enum Standing {
-    Alive,
-    Suspect,
-    Down,
+/// A datagram that was read.
+pub(crate) enum Datagram<'a> {
+    Gossip(GossipDatagram<'a>),
+    Join(JoinMessage),
 }
 
-impl Standing {
-    pub fn of(known: &Known) -> Standing {
-        match known.state() {
-            State::Alive => Standing::Alive,
-            State::Suspect => Standing::Suspect,
-            State::Down => Standing::Down,
-        }
-    }
-
-    pub fn known(self, member: Member, incarnation: u16) -> Known {
-        let state = match self {
-            Standing::Alive => State::Alive,
-            Standing::Suspect => State::Suspect,
-            Standing::Down => State::Down,
-        };
-        Known::new(member, incarnation, state)
-    }
-}
-
-/// A datagram's body.
-pub(crate) enum Body<'a> {
-    Gossip(Gossip, &'a [u8]),
-    Talk(Talk),
-}
-
-/// A fleet's name as it stands in the head.
-pub(crate) fn cluster(name: &str) -> u64 {
+/// A fleet's name as it stands in the header.
+pub(crate) fn cluster_hash(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
 
-fn head(kind: u8, cluster: u64) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(128);
-    bytes.extend_from_slice(&MARK);
-    bytes.extend_from_slice(&[VERSION, kind]);
-    bytes.extend_from_slice(&cluster.to_be_bytes());
+fn header(kind: u8, cluster_hash: u64) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(USUAL_DATAGRAM_BYTES);
+    bytes.extend_from_slice(&MAGIC);
+    bytes.extend_from_slice(&[PROTOCOL_VERSION, kind]);
+    bytes.extend_from_slice(&cluster_hash.to_be_bytes());
     bytes
 }
 
-pub(crate) fn gossip(cluster: u64, body: &[u8]) -> Vec<u8> {
-    let mut bytes = head(0, cluster);
+/// A datagram around what the core wants sent.
+pub(crate) fn encode_gossip(cluster_hash: u64, body: &[u8]) -> Vec<u8> {
+    let mut bytes = header(KIND_GOSSIP, cluster_hash);
     bytes.extend_from_slice(body);
     bytes
 }
 
-/// None when it is too long for one datagram.
-pub(crate) fn talk(cluster: u64, talk: &Talk) -> Option<Vec<u8>> {
-    let bytes = postcard::to_extend(talk, head(1, cluster)).ok()?;
-    (bytes.len() <= MAX_DATAGRAM).then_some(bytes)
+/// `None` when the message is too long for one datagram.
+pub(crate) fn encode_join_message(cluster_hash: u64, message: &JoinMessage) -> Option<Vec<u8>> {
+    let bytes = postcard::to_extend(message, header(KIND_JOIN, cluster_hash)).ok()?;
+    (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
-/// Reads all of a datagram, and refuses anything that is left over.
-pub(crate) fn read(cluster: u64, bytes: &[u8]) -> Result<Body<'_>, Refusal> {
-    if bytes.len() > MAX_DATAGRAM {
-        return Err(Refusal::Size);
+/// Reads all of a datagram; bytes that are left over make it malformed.
+pub(crate) fn decode(cluster_hash: u64, bytes: &[u8]) -> Result<Datagram<'_>, RejectReason> {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(RejectReason::WrongSize);
+    }
+    let Some((header, body)) = bytes.split_at_checked(HEADER_BYTES) else {
+        return Err(RejectReason::WrongSize);
+    };
+    if header[..2] != MAGIC {
+        return Err(RejectReason::WrongMagic);
     }
-    let Some((head, body)) = bytes.split_at_checked(HEAD) else { return Err(Refusal::Size) };
-    if head[..2] != MARK {
-        return Err(Refusal::Mark);
+    if header[2] != PROTOCOL_VERSION {
+        return Err(RejectReason::WrongVersion);
     }
-    if head[2] != VERSION {
-        return Err(Refusal::Version);
+    if header[4..] != cluster_hash.to_be_bytes() {
+        return Err(RejectReason::WrongCluster);
     }
-    if head[4..] != cluster.to_be_bytes() {
-        return Err(Refusal::Cluster);
+    match header[3] {
+        KIND_GOSSIP => decode_gossip(body).map(Datagram::Gossip),
+        KIND_JOIN => decode_join_message(body).map(Datagram::Join),
+        _ => Err(RejectReason::Malformed),
     }
-    let malformed = |_| Refusal::Malformed;
-    match head[3] {
-        0 => {
-            let (header, mut rest) = postcard::take_from_bytes(body).map_err(malformed)?;
-            let mut updates = Vec::new();
-            if let Some((count, members)) = rest.split_at_checked(2) {
-                rest = members;
-                for _ in 0..u16::from_be_bytes([count[0], count[1]]) {
-                    let (update, after) = postcard::take_from_bytes(rest).map_err(malformed)?;
-                    updates.push(update);
-                    rest = after;
-                }
-            }
-            // Nobody sends foca's custom broadcasts here: what is left over is not ours.
-            if !rest.is_empty() {
-                return Err(Refusal::Malformed);
-            }
-            Ok(Body::Gossip(Gossip { header, updates }, body))
+}
+
+fn malformed(_: postcard::Error) -> RejectReason {
+    RejectReason::Malformed
+}
+
+fn decode_gossip(body: &[u8]) -> Result<GossipDatagram<'_>, RejectReason> {
+    let (header, mut rest) = postcard::take_from_bytes(body).map_err(malformed)?;
+    let mut updates = Vec::new();
+    if let Some((count, records)) = rest.split_at_checked(2) {
+        rest = records;
+        for _ in 0..u16::from_be_bytes([count[0], count[1]]) {
+            let (update, after) = postcard::take_from_bytes(rest).map_err(malformed)?;
+            updates.push(update);
+            rest = after;
         }
-        1 => match postcard::take_from_bytes(body).map_err(malformed)? {
-            (talk, []) => Ok(Body::Talk(talk)),
-            _ => Err(Refusal::Malformed),
-        },
-        _ => Err(Refusal::Malformed),
+    }
+    // Nobody sends foca's custom broadcasts here: what is left over is not ours.
+    if !rest.is_empty() {
+        return Err(RejectReason::Malformed);
+    }
+    Ok(GossipDatagram { header, updates, body })
+}
+
+fn decode_join_message(body: &[u8]) -> Result<JoinMessage, RejectReason> {
+    match postcard::take_from_bytes(body).map_err(malformed)? {
+        (message, []) => Ok(message),
+        _ => Err(RejectReason::Malformed),
     }
 }
--- a/membership/src/wire/tests.rs
+++ b/membership/src/wire/tests.rs
@@ -1,12 +1,13 @@
 //! The bytes of every kind of datagram, as routers in service write them.
 use super::*;
-use foca::{Codec, Message, PostcardCodec};
+use crate::member_record::MemberStatus;
+use foca::{Codec, Message, PostcardCodec, State};
 use std::net::SocketAddrV4;
 
 const CLUSTER: &str = "orders";
 
-fn member(name: &str, port: u16, start: u64) -> Member {
-    Member::new(name, SocketAddrV4::new([127, 0, 0, 1].into(), port), start).expect("a member")
+fn member(name: &str, port: u16, generation: u64) -> Member {
+    Member::new(name, SocketAddrV4::new([127, 0, 0, 1].into(), port), generation).expect("a member")
 }
 
 fn ann() -> Member {
@@ -25,66 +26,73 @@
     Header { src: ann(), src_incarnation: 300, dst: ben(), message }
 }
 
-fn updates() -> Vec<Known> {
+fn updates() -> Vec<MemberRecord> {
     vec![
-        Known::new(ann(), 0, State::Alive),
-        Known::new(ben(), 1, State::Suspect),
-        Known::new(cat(), u16::MAX, State::Down),
+        MemberRecord::new(ann(), 0, State::Alive),
+        MemberRecord::new(ben(), 1, State::Suspect),
+        MemberRecord::new(cat(), u16::MAX, State::Down),
     ]
 }
 
-/// Every message of the core that routers send, with the news behind it where it carries any.
-fn gossip_datagrams() -> Vec<(&'static str, Header<Member>, Option<Vec<Known>>)> {
-    let probe_number = 200;
+/// A datagram of the core as it is recorded under this name.
+struct GossipCase {
+    name: &'static str,
+    header: Header<Member>,
+    /// The news behind the header, where the message carries any.
+    updates: Option<Vec<MemberRecord>>,
+}
+
+/// Every message of the core that routers send.
+fn gossip_cases() -> Vec<GossipCase> {
+    let case = |name, message, updates| GossipCase { name, header: header(message), updates };
+    let (target, origin, probe_number) = (cat(), cat(), 200);
+    let (none, some) = (Some(Vec::new()), Some(updates()));
     vec![
-        ("gossip-ping", header(Message::Ping(1)), Some(Vec::new())),
-        ("gossip-ack", header(Message::Ack(255)), Some(updates())),
-        ("gossip-ping-req", header(Message::PingReq { target: cat(), probe_number }), Some(Vec::new())),
-        (
-            "gossip-indirect-ping",
-            header(Message::IndirectPing { origin: cat(), probe_number }),
-            Some(updates()),
-        ),
-        (
-            "gossip-indirect-ack",
-            header(Message::IndirectAck { target: cat(), probe_number }),
-            Some(Vec::new()),
-        ),
-        (
-            "gossip-forwarded-ack",
-            header(Message::ForwardedAck { origin: cat(), probe_number }),
-            Some(updates()),
-        ),
-        ("gossip-announce", header(Message::Announce), None),
-        ("gossip-feed", header(Message::Feed), Some(updates())),
-        ("gossip-gossip", header(Message::Gossip), Some(updates())),
-        ("gossip-turn-undead", header(Message::TurnUndead), None),
+        case("gossip-ping", Message::Ping(1), none.clone()),
+        case("gossip-ack", Message::Ack(255), some.clone()),
+        case("gossip-ping-req", Message::PingReq { target: cat(), probe_number }, none.clone()),
+        case("gossip-indirect-ping", Message::IndirectPing { origin: cat(), probe_number }, some.clone()),
+        case("gossip-indirect-ack", Message::IndirectAck { target, probe_number }, none),
+        case("gossip-forwarded-ack", Message::ForwardedAck { origin, probe_number }, some.clone()),
+        case("gossip-announce", Message::Announce, None),
+        case("gossip-feed", Message::Feed, some.clone()),
+        case("gossip-gossip", Message::Gossip, some),
+        case("gossip-turn-undead", Message::TurnUndead, None),
     ]
 }
 
 /// Every message of our own.
-fn talk_datagrams() -> Vec<(&'static str, Talk)> {
-    let entries =
-        vec![(ann(), 0, Standing::Alive), (ben(), 300, Standing::Suspect), (cat(), u16::MAX, Standing::Down)];
+fn join_messages() -> Vec<(&'static str, JoinMessage)> {
+    let entries = vec![
+        ListEntry { member: ann(), refutation: 0, status: MemberStatus::Alive },
+        ListEntry { member: ben(), refutation: 300, status: MemberStatus::Suspect },
+        ListEntry { member: cat(), refutation: u16::MAX, status: MemberStatus::Down },
+    ];
     vec![
-        ("talk-hello", Talk::Hello(ann())),
-        ("talk-here-unknown", Talk::Here(ann(), None)),
-        ("talk-here-known", Talk::Here(ann(), Some(ben()))),
-        ("talk-ask-first", Talk::Ask { from: ann(), number: 5, past: None }),
-        ("talk-ask-next", Talk::Ask { from: ann(), number: u64::MAX, past: Some("ben.2".into()) }),
-        ("talk-page-empty", Talk::Page { from: ann(), number: 0, entries: Vec::new(), more: false }),
-        ("talk-page-full", Talk::Page { from: ann(), number: 1 << 40, entries, more: true }),
+        ("talk-hello", JoinMessage::JoinRequest { from: ann() }),
+        ("talk-here-unknown", JoinMessage::JoinReply { from: ann(), known: None }),
+        ("talk-here-known", JoinMessage::JoinReply { from: ann(), known: Some(ben()) }),
+        ("talk-ask-first", JoinMessage::PageRequest { from: ann(), request_id: 5, after: None }),
+        (
+            "talk-ask-next",
+            JoinMessage::PageRequest { from: ann(), request_id: u64::MAX, after: Some("ben.2".into()) },
+        ),
+        (
+            "talk-page-empty",
+            JoinMessage::Page { from: ann(), request_id: 0, entries: Vec::new(), more: false },
+        ),
+        ("talk-page-full", JoinMessage::Page { from: ann(), request_id: 1 << 40, entries, more: true }),
     ]
 }
 
-fn encode_gossip(header: &Header<Member>, updates: Option<&[Known]>) -> Vec<u8> {
+fn gossip_datagram(header: &Header<Member>, updates: Option<&[MemberRecord]>) -> Vec<u8> {
     let mut body = Vec::new();
     PostcardCodec.encode_header(header, &mut body).expect("a header");
     if let Some(updates) = updates {
         body.extend_from_slice(&(updates.len() as u16).to_be_bytes());
         updates.iter().for_each(|update| PostcardCodec.encode_member(update, &mut body).expect("an update"));
     }
-    gossip(cluster(CLUSTER), &body)
+    encode_gossip(cluster_hash(CLUSTER), &body)
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -104,28 +112,32 @@
 
 #[test]
 fn gossip_datagrams_keep_their_bytes() {
-    for (name, header, updates) in gossip_datagrams() {
+    for GossipCase { name, header, updates } in gossip_cases() {
         let bytes = recorded(name);
-        assert_eq!(hex(&encode_gossip(&header, updates.as_deref())), hex(&bytes), "{name}");
-        let Ok(Body::Gossip(gossip, body)) = read(cluster(CLUSTER), &bytes) else { panic!("{name}") };
+        assert_eq!(hex(&gossip_datagram(&header, updates.as_deref())), hex(&bytes), "{name}");
+        let Ok(Datagram::Gossip(gossip)) = decode(cluster_hash(CLUSTER), &bytes) else { panic!("{name}") };
         assert_eq!(gossip.header, header, "{name}");
         assert_eq!(gossip.updates, updates.unwrap_or_default(), "{name}");
-        assert_eq!(body, &bytes[HEAD..], "{name}");
+        assert_eq!(gossip.body, &bytes[HEADER_BYTES..], "{name}");
     }
 }
 
 #[test]
 fn join_messages_keep_their_bytes() {
-    for (name, message) in talk_datagrams() {
+    for (name, message) in join_messages() {
         let bytes = recorded(name);
-        assert_eq!(talk(cluster(CLUSTER), &message).map(|bytes| hex(&bytes)), Some(hex(&bytes)), "{name}");
-        let Ok(Body::Talk(read)) = read(cluster(CLUSTER), &bytes) else { panic!("{name}") };
-        assert_eq!(format!("{read:?}"), format!("{message:?}"), "{name}");
+        assert_eq!(
+            encode_join_message(cluster_hash(CLUSTER), &message).map(|bytes| hex(&bytes)),
+            Some(hex(&bytes)),
+            "{name}"
+        );
+        let Ok(Datagram::Join(decoded)) = decode(cluster_hash(CLUSTER), &bytes) else { panic!("{name}") };
+        assert_eq!(decoded, message, "{name}");
     }
 }
 
 #[test]
 fn recorded_datagrams_are_all_compared() {
     let all = include_str!("../../tests/fixtures/datagrams.txt");
-    assert_eq!(all.lines().count(), gossip_datagrams().len() + talk_datagrams().len());
+    assert_eq!(all.lines().count(), gossip_cases().len() + join_messages().len());
 }
--- /dev/null
+++ b/membership/tests/hostile_datagrams.rs
@@ -0,0 +1,147 @@
+//! Datagrams from anywhere: bounded, counted, never a panic.
+use membership::{Action, Counters, Event, MAX_DATAGRAM_BYTES, Machine, Member, Settings};
+use proptest::prelude::*;
+use rand::SeedableRng;
+use rand::rngs::StdRng;
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
+/// More than one datagram ever calls for.
+const MAX_ACTIONS: usize = 32;
+
+fn addr(port: u16) -> SocketAddrV4 {
+    SocketAddrV4::new([127, 0, 0, 1].into(), port)
+}
+
+/// A machine that has started at time zero, with port 1 as its seed.
+fn machine(settings: Settings, name: &str, port: u16) -> Machine {
+    let local = Member::new(name, addr(port), 1).expect("a member");
+    let mut machine = Machine::new(settings, local, StdRng::seed_from_u64(1)).expect("a machine");
+    machine.handle(Duration::ZERO, Event::Started { seeds: vec![addr(1)] }, &mut Vec::new());
+    machine
+}
+
+fn receive(machine: &mut Machine, at_ms: u64, from: SocketAddrV4, bytes: &[u8]) -> Vec<Action> {
+    let mut actions = Vec::new();
+    let bytes = bytes.to_vec();
+    machine.handle(Duration::from_millis(at_ms), Event::Datagram { from, bytes }, &mut actions);
+    actions
+}
+
+fn sent(actions: Vec<Action>) -> impl Iterator<Item = (SocketAddrV4, Vec<u8>)> {
+    actions.into_iter().filter_map(|action| match action {
+        Action::Send { to, bytes } => Some((to, bytes)),
+        _ => None,
+    })
+}
+
+/// What a machine sends at its first timer: join requests to its seeds.
+fn join_requests(machine: &mut Machine) -> Vec<(SocketAddrV4, Vec<u8>)> {
+    let mut actions = Vec::new();
+    machine.handle(Duration::ZERO, Event::Timer(0), &mut actions);
+    sent(actions).collect()
+}
+
+/// Datagrams that a real router sends: its join request, and what it sends to another that has joined it.
+fn real_datagrams() -> Vec<Vec<u8>> {
+    let mut one = machine(Settings::default(), "one", 1);
+    let mut two = machine(Settings::default(), "two", 2);
+    let mut all = Vec::new();
+    let mut queue = join_requests(&mut two);
+    for _ in 0..40 {
+        let mut next = Vec::new();
+        for (to, bytes) in queue.drain(..) {
+            all.push(bytes.clone());
+            let receiver = if to == addr(1) { &mut one } else { &mut two };
+            next.extend(sent(receive(receiver, 10, to, &bytes)));
+        }
+        queue = next;
+    }
+    assert_eq!((one.members().count(), two.members().count()), (1, 1));
+    all
+}
+
+proptest! {
+    #[test]
+    fn arbitrary_datagrams_cause_few_actions(
+        bytes in proptest::collection::vec(any::<u8>(), 0..2000),
+        after_header in any::<bool>(),
+    ) {
+        let mut machine = machine(Settings::default(), "three", 3);
+        let mut datagram = if after_header { real_datagrams()[0][..11].to_vec() } else { Vec::new() };
+        datagram.extend(bytes);
+        prop_assert!(receive(&mut machine, 10, addr(9), &datagram).len() < MAX_ACTIONS);
+    }
+
+    #[test]
+    fn changed_real_datagrams_cause_few_actions(
+        changes in proptest::collection::vec((any::<usize>(), any::<usize>(), any::<u8>()), 1..40),
+    ) {
+        let real = real_datagrams();
+        let mut machine = machine(Settings::default(), "one", 1);
+        for (which, at, byte) in changes {
+            let mut bytes = real[which % real.len()].clone();
+            let at = at % bytes.len();
+            bytes[at] = byte;
+            prop_assert!(receive(&mut machine, 10, addr(9), &bytes).len() < MAX_ACTIONS);
+            for member in machine.members() {
+                prop_assert!(member.addr().ip().is_loopback());
+            }
+        }
+    }
+}
+
+#[test]
+fn rejected_datagrams_are_counted_and_not_answered() {
+    let join_request = real_datagrams().swap_remove(0);
+    let mut machine = machine(Settings::default(), "one", 1);
+    let mut rejects = |change: &dyn Fn(&mut Vec<u8>), from: SocketAddrV4| {
+        let mut bytes = join_request.clone();
+        change(&mut bytes);
+        assert_eq!(receive(&mut machine, 10, from, &bytes), Vec::new());
+    };
+    rejects(&|_| (), SocketAddrV4::new([10, 0, 0, 1].into(), 9));
+    rejects(&|bytes| bytes.truncate(11), addr(9));
+    rejects(&|bytes| bytes.resize(MAX_DATAGRAM_BYTES + 1, 0), addr(9));
+    rejects(&|bytes| bytes[0] = 0, addr(9));
+    rejects(&|bytes| bytes[2] = 9, addr(9));
+    rejects(&|bytes| bytes[5] ^= 1, addr(9));
+    rejects(&|bytes| bytes.push(0), addr(9));
+    let expected = Counters {
+        received: 7,
+        not_loopback: 1,
+        wrong_size: 2,
+        wrong_magic: 1,
+        wrong_version: 1,
+        wrong_cluster: 1,
+        malformed: 1,
+        ..Default::default()
+    };
+    assert_eq!(machine.counters(), expected);
+}
+
+#[test]
+fn flood_is_rate_limited_and_ends_with_itself() {
+    let join_request = real_datagrams().swap_remove(0);
+    let settings = Settings { max_datagrams_per_s: 100, ..Settings::default() };
+    let mut machine = machine(settings, "one", 1);
+    let answers: usize = (0..1000).map(|_| receive(&mut machine, 10, addr(2), &join_request).len()).sum();
+    assert_eq!((answers, machine.counters().rate_limited), (100, 900));
+    assert_eq!(receive(&mut machine, 1010, addr(2), &join_request).len(), 1);
+}
+
+#[test]
+fn names_beyond_member_limit_are_rejected() {
+    let mut machine = machine(Settings { max_members: 2, ..Settings::default() }, "one", 1);
+    for port in 2..6 {
+        let mut other = self::machine(Settings::default(), &format!("other-{port}"), port);
+        let requests = join_requests(&mut other);
+        let [(_, join_request)] = &requests[..] else { panic!("one join request: {requests:?}") };
+        for (_, reply) in sent(receive(&mut machine, 10, addr(port), join_request)) {
+            for (_, announce) in sent(receive(&mut other, 10, addr(1), &reply)) {
+                receive(&mut machine, 10, addr(port), &announce);
+            }
+        }
+    }
+    assert_eq!((machine.members().count(), machine.counters().over_member_limit), (2, 2));
+}
--- a/membership/tests/recorded_runs.rs
+++ b/membership/tests/recorded_runs.rs
@@ -1,9 +1,9 @@
 //! Seeded runs of the state machines, compared action by action with runs recorded under `tests/fixtures`.
 mod common;
 use common::assert_fixture;
-use membership::drivers::{self, Drivers};
-use membership::sim::Sim;
-use membership::{Action, Counts, Event, MAX_DATAGRAM, Machine, Member, Settings};
+use membership::live_router_count::{self as router_count, LiveRouterCount, OtherRouters};
+use membership::simulation::Simulation;
+use membership::{Action, Counters, Event, MAX_DATAGRAM_BYTES, Machine, Member, Settings};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,25 +25,26 @@
     format!("{} {} {}", member.name(), member.addr(), member.incarnation())
 }
 
-fn describe_counts(c: Counts) -> String {
+/// Labels are those of the recorded run.
+fn describe_counters(c: Counters) -> String {
     format!(
         "received={} sent={} sent_bytes={} outside={} flood={} size={} mark={} version={} cluster={} malformed={} \
          crowd={} unasked={} stalls={} rejoins={} inner={}",
         c.received,
         c.sent,
         c.sent_bytes,
-        c.outside,
-        c.flood,
-        c.size,
-        c.mark,
-        c.version,
-        c.cluster,
+        c.not_loopback,
+        c.rate_limited,
+        c.wrong_size,
+        c.wrong_magic,
+        c.wrong_version,
+        c.wrong_cluster,
         c.malformed,
-        c.crowd,
-        c.unasked,
+        c.over_member_limit,
+        c.unsolicited,
         c.stalls,
         c.rejoins,
-        c.inner
+        c.core_errors
     )
 }
 
@@ -60,8 +61,8 @@
     machine: Machine,
     alive: bool,
     stopped: bool,
-    /// What came while it was stopped.
-    held: Vec<Event>,
+    /// Events that came while it was stopped.
+    queued: Vec<Event>,
     second: Second,
 }
 
@@ -71,7 +72,7 @@
     nodes: Vec<Node>,
     queue: BTreeMap<(Duration, u64), (usize, Event)>,
     sequence: u64,
-    cut: BTreeSet<(usize, usize)>,
+    blocked: BTreeSet<(usize, usize)>,
     rng: StdRng,
     record: String,
 }
@@ -83,7 +84,7 @@
             nodes: Vec::new(),
             queue: BTreeMap::new(),
             sequence: 0,
-            cut: BTreeSet::new(),
+            blocked: BTreeSet::new(),
             rng: StdRng::seed_from_u64(seed),
             record: String::new(),
         }
@@ -91,42 +92,42 @@
 
     fn settings() -> Settings {
         // Members that are down are forgotten within the run.
-        Settings { forget_after: ms(25_000), ..Settings::default() }
+        Settings { forget_down_after: ms(25_000), ..Settings::default() }
     }
 
-    fn node(name: &str, node: usize, start: u64, seed: u64) -> Node {
-        let me = Member::new(name, addr(node), start).expect("a member");
+    fn node(name: &str, node: usize, generation: u64, seed: u64) -> Node {
+        let me = Member::new(name, addr(node), generation).expect("a member");
         let machine =
             Machine::new(Recorder::settings(), me, StdRng::seed_from_u64(seed)).expect("settings that agree");
-        Node { machine, alive: true, stopped: false, held: Vec::new(), second: Second::default() }
+        Node { machine, alive: true, stopped: false, queued: Vec::new(), second: Second::default() }
     }
 
-    fn add(&mut self, name: &str, start: u64) {
+    fn add(&mut self, name: &str, generation: u64) {
         let node = self.nodes.len();
-        self.nodes.push(Recorder::node(name, node, start, 100 + node as u64));
-        self.give(node, Event::Started { seeds: vec![addr(0), addr(1)] });
+        self.nodes.push(Recorder::node(name, node, generation, 100 + node as u64));
+        self.handle(node, Event::Started { seeds: vec![addr(0), addr(1)] });
     }
 
-    fn restart(&mut self, node: usize, name: &str, start: u64) {
+    fn restart(&mut self, node: usize, name: &str, generation: u64) {
         self.queue.retain(|_, (to, event)| *to != node || matches!(event, Event::Datagram { .. }));
-        self.nodes[node] = Recorder::node(name, node, start, 200 + node as u64);
-        self.give(node, Event::Started { seeds: vec![addr(0), addr(1)] });
+        self.nodes[node] = Recorder::node(name, node, generation, 200 + node as u64);
+        self.handle(node, Event::Started { seeds: vec![addr(0), addr(1)] });
     }
 
     fn resume(&mut self, node: usize) {
         self.nodes[node].stopped = false;
-        let held = std::mem::take(&mut self.nodes[node].held);
+        let queued = std::mem::take(&mut self.nodes[node].queued);
         let (timers, datagrams): (Vec<_>, Vec<_>) =
-            held.into_iter().partition(|event| matches!(event, Event::Timer(_)));
-        timers.into_iter().chain(datagrams).for_each(|event| self.give(node, event));
+            queued.into_iter().partition(|event| matches!(event, Event::Timer(_)));
+        timers.into_iter().chain(datagrams).for_each(|event| self.handle(node, event));
     }
 
-    fn later(&mut self, after: Duration, node: usize, event: Event) {
+    fn schedule(&mut self, after: Duration, node: usize, event: Event) {
         self.sequence += 1;
         self.queue.insert((self.now + after, self.sequence), (node, event));
     }
 
-    fn give(&mut self, node: usize, event: Event) {
+    fn handle(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
         self.nodes[node].machine.handle(self.now, event, &mut actions);
         for action in actions {
@@ -145,33 +146,33 @@
                 let delay = Duration::from_micros(self.rng.random_range(50..2000));
                 let lost = self.rng.random::<f64>() < 0.02;
                 let to = usize::from(to.port() - FIRST_PORT);
-                if !lost && to < self.nodes.len() && !self.cut.contains(&(node, to)) {
-                    self.later(delay, to, Event::Datagram { from: addr(node), bytes });
+                if !lost && to < self.nodes.len() && !self.blocked.contains(&(node, to)) {
+                    self.schedule(delay, to, Event::Datagram { from: addr(node), bytes });
                 }
             }
             Action::SetTimer { after, token } => {
                 second.timers += 1;
                 writeln!(second.actions, "timer {after:?} {token}").expect("a string");
-                self.later(after, node, Event::Timer(token));
+                self.schedule(after, node, Event::Timer(token));
             }
-            Action::Up(member) => self.note(node, &format!("up {}", describe(&member))),
-            Action::Down(member) => self.note(node, &format!("down {}", describe(&member))),
-            Action::Rejoin(member) => self.note(node, &format!("rejoin {}", describe(&member))),
-            Action::Superseded(by) => self.note(node, &format!("superseded {}", describe(&by))),
+            Action::Up(member) => self.report(node, &format!("up {}", describe(&member))),
+            Action::Down(member) => self.report(node, &format!("down {}", describe(&member))),
+            Action::Rejoined(member) => self.report(node, &format!("rejoin {}", describe(&member))),
+            Action::Superseded(by) => self.report(node, &format!("superseded {}", describe(&by))),
             Action::Left => {
-                self.note(node, "left");
+                self.report(node, "left");
                 self.nodes[node].alive = false;
             }
         }
     }
 
-    fn note(&mut self, node: usize, text: &str) {
+    fn report(&mut self, node: usize, text: &str) {
         writeln!(self.record, "{} node {node}: {text}", self.now.as_micros()).expect("a string");
         writeln!(self.nodes[node].second.actions, "{text}").expect("a string");
     }
 
-    /// Plays until this time of the run, and sums up each node's actions at each whole second.
-    fn until(&mut self, end: Duration) {
+    /// Runs until this time, and summarizes each node's actions at each whole second.
+    fn run_until(&mut self, end: Duration) {
         while self.now < end {
             let stop = (self.now + ms(1000)).min(end);
             while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= stop) {
@@ -182,17 +183,17 @@
                     continue;
                 }
                 if to.stopped {
-                    to.held.push(event);
+                    to.queued.push(event);
                 } else {
-                    self.give(node, event);
+                    self.handle(node, event);
                 }
             }
             self.now = stop;
-            self.sum_up();
+            self.summarize();
         }
     }
 
-    fn sum_up(&mut self) {
+    fn summarize(&mut self) {
         for (n, node) in self.nodes.iter_mut().enumerate() {
             let Second { sends, bytes, timers, actions } = std::mem::take(&mut node.second);
             if !actions.is_empty() {
@@ -207,15 +208,15 @@
         }
     }
 
-    /// Datagrams of random bytes, half of them behind the head of a real one.
+    /// Datagrams of random bytes, half of them behind the header of a real one.
     fn garbage(&mut self, node: usize, count: usize) {
         for n in 0..count {
-            let length = self.rng.random_range(0..MAX_DATAGRAM + 2);
+            let length = self.rng.random_range(0..MAX_DATAGRAM_BYTES + 2);
             let mut bytes: Vec<u8> = (0..length).map(|_| self.rng.random()).collect();
             if n % 2 == 0 && length > 4 {
                 bytes[..4].copy_from_slice(b"dm\x01\x01");
             }
-            self.give(node, Event::Datagram { from: addr(9), bytes });
+            self.handle(node, Event::Datagram { from: addr(9), bytes });
         }
     }
 }
@@ -226,41 +227,41 @@
     for node in 0..5 {
         run.add(&format!("node-{node}"), 1_000 + node as u64);
     }
-    run.until(ms(8_000));
+    run.run_until(ms(8_000));
     // Killed, and started again with a clock that was set back.
     run.nodes[4].alive = false;
-    run.until(ms(14_000));
+    run.run_until(ms(14_000));
     run.restart(4, "node-4", 7);
-    run.until(ms(18_000));
+    run.run_until(ms(18_000));
     run.garbage(0, 40);
     run.nodes[3].stopped = true;
-    run.until(ms(32_000));
+    run.run_until(ms(32_000));
     run.resume(3);
-    run.until(ms(40_000));
+    run.run_until(ms(40_000));
     // Node 2 hears nobody for long enough to take the others for down by itself.
-    run.cut.extend([(0, 2), (1, 2), (3, 2), (4, 2)]);
-    run.until(ms(55_000));
-    run.cut.clear();
-    run.until(ms(65_000));
+    run.blocked.extend([(0, 2), (1, 2), (3, 2), (4, 2)]);
+    run.run_until(ms(55_000));
+    run.blocked.clear();
+    run.run_until(ms(65_000));
     for (one, other) in [(0, 2), (0, 3), (0, 4), (1, 2), (1, 3), (1, 4)] {
-        run.cut.extend([(one, other), (other, one)]);
+        run.blocked.extend([(one, other), (other, one)]);
     }
-    run.until(ms(85_000));
-    run.cut.clear();
-    run.until(ms(100_000));
+    run.run_until(ms(85_000));
+    run.blocked.clear();
+    run.run_until(ms(100_000));
     // A later start of a name elsewhere, more datagrams than are handled, and a farewell.
     run.add("node-3", 9_000);
-    run.until(ms(105_000));
+    run.run_until(ms(105_000));
     run.garbage(4, 2_200);
-    run.until(ms(108_000));
-    run.give(1, Event::Leave);
-    run.until(ms(115_000));
+    run.run_until(ms(108_000));
+    run.handle(1, Event::Leave);
+    run.run_until(ms(115_000));
     // Long enough for members that are down to be forgotten.
     run.nodes[0].alive = false;
-    run.until(ms(150_000));
+    run.run_until(ms(150_000));
     for node in &run.nodes {
-        let me = describe(node.machine.me());
-        writeln!(run.record, "end {me}: {}", describe_counts(node.machine.counts())).expect("a string");
+        let me = describe(node.machine.local());
+        writeln!(run.record, "end {me}: {}", describe_counters(node.machine.counters())).expect("a string");
         for member in node.machine.members() {
             writeln!(run.record, "  lists {}", describe(member)).expect("a string");
         }
@@ -270,67 +271,73 @@
 
 #[test]
 fn simulation_repeats_recorded_run() {
-    let mut sim = Sim::new(Settings::default(), 5);
+    let mut simulation = Simulation::new(Settings::default(), 5);
     for node in 0..20 {
-        sim.add(100 + node, &[0, 1, 2]).expect("a router");
+        simulation.add(100 + node, &[0, 1, 2]).expect("a router");
     }
-    sim.until(ms(15_000), Sim::agree).expect("all agree");
-    sim.loss = 0.02;
-    sim.kill(7);
-    sim.run(ms(10_000));
-    sim.restart(7, 500, &[0, 1]).expect("a router");
-    sim.stop(9);
-    sim.leave(11);
-    sim.run(ms(20_000));
-    sim.resume(9);
-    sim.cuts.insert((3, 4));
-    sim.side[5] = 1;
-    sim.run(ms(20_000));
-    sim.side[5] = 0;
-    sim.run(ms(20_000));
+    simulation.run_until(ms(15_000), Simulation::all_agree).expect("all agree");
+    simulation.loss = 0.02;
+    simulation.kill(7);
+    simulation.run(ms(10_000));
+    simulation.restart(7, 500, &[0, 1]).expect("a router");
+    simulation.stop(9);
+    simulation.leave(11);
+    simulation.run(ms(20_000));
+    simulation.resume(9);
+    simulation.blocked.insert((3, 4));
+    simulation.partition[5] = 1;
+    simulation.run(ms(20_000));
+    simulation.partition[5] = 0;
+    simulation.run(ms(20_000));
     let mut record = String::new();
-    for told in &sim.told {
-        let what = match &told.action {
+    for report in &simulation.reports {
+        let what = match &report.action {
             Action::Up(member) => format!("up {}", describe(member)),
             Action::Down(member) => format!("down {}", describe(member)),
-            Action::Rejoin(member) => format!("rejoin {}", describe(member)),
+            Action::Rejoined(member) => format!("rejoin {}", describe(member)),
             Action::Superseded(by) => format!("superseded {}", describe(by)),
-            other => panic!("{other:?} is not told"),
+            other => panic!("{other:?} is not reported"),
         };
-        writeln!(record, "{} node {}: {what}", told.at.as_micros(), told.by).expect("a string");
+        writeln!(record, "{} node {}: {what}", report.at.as_micros(), report.router).expect("a string");
     }
-    for (n, node) in sim.nodes.iter().enumerate() {
-        let counts = describe_counts(node.machine.counts());
-        writeln!(record, "end node {n}: listed by {}; {counts}", sim.seen(n)).expect("a string");
+    for (n, router) in simulation.routers.iter().enumerate() {
+        let counts = describe_counters(router.machine.counters());
+        writeln!(record, "end node {n}: listed by {}; {counts}", simulation.count_listing(n))
+            .expect("a string");
     }
-    writeln!(record, "end agree={} bytes={}", sim.agree(), sim.bytes()).expect("a string");
+    writeln!(record, "end agree={} bytes={}", simulation.all_agree(), simulation.sent_bytes())
+        .expect("a string");
     assert_fixture("simulation-run.txt", &record);
 }
 
 #[test]
 fn live_router_count_repeats_recorded_run() {
     let mut record = String::new();
-    for (run, (whole, least, expects)) in [(6, 1, true), (8, 4, true), (5, 2, false)].into_iter().enumerate()
+    for (run, (fleet_size, min_count, expects_others)) in
+        [(6, 1, true), (8, 4, true), (5, 2, false)].into_iter().enumerate()
     {
         let mut rng = StdRng::seed_from_u64(40 + run as u64);
-        let settings = drivers::Settings { whole, least, settle: ms(5_000), expects };
+        let settings =
+            router_count::Settings { fleet_size, min_count, settle_time: ms(5_000), expects_others };
         let mut now = ms(2_000);
-        let mut machine = Drivers::new(now, settings);
-        let mut due: Option<Duration> = None;
+        let mut machine = LiveRouterCount::new(now, settings);
+        let mut timer_at: Option<Duration> = None;
         for step in 0..250 {
             let next = now + ms(rng.random_range(0..3_000));
             let name = format!("r{}", rng.random_range(1..10));
             let kind = rng.random_range(0..100);
-            let timer = due.filter(|due| *due <= next);
+            let timer = timer_at.filter(|due| *due <= next);
             let event = match timer {
                 Some(_) => {
-                    due = None;
-                    drivers::Event::Timer
+                    timer_at = None;
+                    router_count::Event::Timer
                 }
-                None if step == 240 => drivers::Event::Lost,
-                None if kind < 5 => drivers::Event::All((1..=kind + 1).map(|n| format!("r{n}")).collect()),
-                None if kind < 52 => drivers::Event::Up(name),
-                None => drivers::Event::Down(name),
+                None if step == 240 => router_count::Event::ChangesLost,
+                None if kind < 5 => {
+                    router_count::Event::Snapshot((1..=kind + 1).map(|n| format!("r{n}")).collect())
+                }
+                None if kind < 52 => router_count::Event::Up(name),
+                None => router_count::Event::Down(name),
             };
             // Now and then a timer comes as late as in a process that stood still.
             now = timer.map_or(next, |at| if kind < 10 { at + ms(4_000) } else { at }).max(now);
@@ -338,14 +345,14 @@
             machine.handle(now, event, &mut actions);
             for action in actions {
                 let what = match action {
-                    drivers::Action::Drivers(count) => format!("count {count}"),
-                    drivers::Action::WakeAt(at) => {
-                        due = Some(at);
+                    router_count::Action::SetCount(count) => format!("count {count}"),
+                    router_count::Action::SetTimer(at) => {
+                        timer_at = Some(at);
                         format!("timer at {}", at.as_millis())
                     }
                 };
-                let (live, gone) = machine.counted();
-                writeln!(record, "run {run}, {} ms: {what}; {live} live, {gone} gone", now.as_millis())
+                let OtherRouters { live, settling } = machine.others();
+                writeln!(record, "run {run}, {} ms: {what}; {live} live, {settling} gone", now.as_millis())
                     .expect("a string");
             }
         }
--- a/membership/tests/sockets.rs
+++ b/membership/tests/sockets.rs
@@ -1,52 +1,69 @@
-//! The thread on real sockets, with ways between that can be cut. Rhythms of tens of milliseconds.
+//! The driver's thread on real sockets, behind proxies that can cut the way. Intervals of tens of milliseconds.
 use crossbeam_channel::Receiver;
-use membership::{Change, Error, Member, Members, Settings, Start};
+use membership::{Change, Config, Error, Member, Membership, Settings};
 use standins::udp::UdpProxy;
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
 /// Only a test that fails waits this long.
-const BOUND: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Start {
+    name: String,
+    generation: u64,
+    incarnation: u64,
+}
+
+impl From<Member> for Start {
+    fn from(member: Member) -> Start {
+        Start {
+            name: member.name().to_string(),
+            generation: member.generation(),
+            incarnation: member.incarnation(),
+        }
+    }
+}
+
+/// A router behind a proxy, and the list that its changes add up to.
 struct Router {
-    members: Members,
-    way: UdpProxy,
+    membership: Membership,
+    proxy: UdpProxy,
     changes: Receiver<Change>,
-    lives: BTreeSet<(String, u64, u64)>,
+    list: BTreeSet<Start>,
 }
 
-fn start(name: &str, nth: u64, seeds: Vec<SocketAddrV4>) -> Router {
-    let way = UdpProxy::start();
-    let members = Members::start(Start {
+fn start(name: &str, generation: u64, seeds: Vec<SocketAddrV4>) -> Router {
+    let proxy = UdpProxy::start();
+    let membership = Membership::start(Config {
         name: name.into(),
         listen: "127.0.0.1:0".parse().expect("an address"),
-        told: Some(way.addr),
-        start: nth,
+        advertise: Some(proxy.addr),
+        generation,
         seeds,
-        random: nth,
-        settings: Settings::faster(10),
+        random_seed: generation,
+        settings: Settings::sped_up(10),
     })
     .expect("started");
-    way.to(members.addr());
-    let changes = members.changes().expect("a reader");
-    Router { members, way, changes, lives: BTreeSet::new() }
+    proxy.to(membership.addr());
+    let changes = membership.subscribe().expect("a subscriber");
+    Router { membership, proxy, changes, list: BTreeSet::new() }
 }
 
 impl Router {
-    /// Takes changes until the list is so.
-    fn until(&mut self, what: &str, so: impl Fn(&BTreeSet<(String, u64, u64)>) -> bool) {
-        let end = Instant::now() + BOUND;
-        while !so(&self.lives) {
-            let key = |m: Member| (m.name().to_string(), m.start(), m.incarnation());
-            match self.changes.recv_deadline(end).unwrap_or_else(|e| panic!("{what}: {e}: {:?}", self.lives))
-            {
-                Change::All(all) => self.lives = all.into_iter().map(key).collect(),
-                Change::Up(m) => _ = self.lives.insert(key(m)),
-                Change::Down(m) => _ = self.lives.remove(&key(m)),
-                Change::Rejoined(me) => {
-                    self.lives.retain(|(name, ..)| name != me.name());
-                    self.lives.insert(key(me));
+    /// Applies changes until the list satisfies the condition.
+    fn wait_until(&mut self, what: &str, condition: impl Fn(&BTreeSet<Start>) -> bool) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        while !condition(&self.list) {
+            let change = self.changes.recv_deadline(deadline);
+            match change.unwrap_or_else(|error| panic!("{what}: {error}: {:?}", self.list)) {
+                Change::Snapshot(all) => self.list = all.into_iter().map(Start::from).collect(),
+                Change::Up(member) => _ = self.list.insert(member.into()),
+                Change::Down(member) => _ = self.list.remove(&member.into()),
+                Change::Rejoined(local) => {
+                    self.list.retain(|start| start.name != local.name());
+                    self.list.insert(local.into());
                 }
                 last => panic!("{what}: {last:?}"),
             }
@@ -54,109 +71,113 @@
     }
 
     /// The last change before the channel's end.
-    fn last(&self) -> Option<Change> {
-        let end = Instant::now() + BOUND;
-        std::iter::from_fn(|| self.changes.recv_deadline(end).ok()).last()
+    fn last_change(&self) -> Option<Change> {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        std::iter::from_fn(|| self.changes.recv_deadline(deadline).ok()).last()
     }
 
-    fn until_names(&mut self, names: &[&str]) {
-        let is = |lives: &BTreeSet<(String, u64, u64)>| {
-            lives.iter().map(|(n, ..)| n.as_str()).eq(names.iter().copied())
-        };
-        self.until(&format!("{names:?}"), is);
+    fn wait_until_names(&mut self, names: &[&str]) {
+        self.wait_until(&format!("{names:?}"), |list| {
+            list.iter().map(|start| start.name.as_str()).eq(names.iter().copied())
+        });
     }
 }
 
-fn four() -> Vec<Router> {
+/// Routers `a` to `d` that see each other.
+fn four_routers() -> Vec<Router> {
     let first = start("a", 1, Vec::new());
-    let seeds = vec![first.way.addr];
+    let seeds = vec![first.proxy.addr];
     let mut all = vec![first];
     all.extend(["b", "c", "d"].map(|name| start(name, 1, seeds.clone())));
-    all.iter_mut().for_each(|r| r.until_names(&["a", "b", "c", "d"]));
+    all.iter_mut().for_each(|router| router.wait_until_names(&["a", "b", "c", "d"]));
     all
 }
 
 #[test]
-fn one_cut_off_is_down_and_comes_back_by_itself_under_a_higher_incarnation() {
-    let mut all = four();
-    all[3].way.faults(|f| f.cut = true);
-    all[..3].iter_mut().for_each(|r| r.until_names(&["a", "b", "c"]));
-    all[3].way.faults(|f| f.cut = false);
+fn cut_off_router_is_down_and_rejoins_under_higher_incarnation() {
+    let mut all = four_routers();
+    all[3].proxy.faults(|faults| faults.cut = true);
+    all[..3].iter_mut().for_each(|router| router.wait_until_names(&["a", "b", "c"]));
+    all[3].proxy.faults(|faults| faults.cut = false);
     for router in &mut all {
-        router.until("d is back", |l| l.len() == 4 && l.iter().any(|(n, s, i)| n == "d" && *i > s << 16));
+        let has_rejoined = |start: &Start| start.name == "d" && start.incarnation > start.generation << 16;
+        router.wait_until("d is back", |list| list.len() == 4 && list.iter().any(has_rejoined));
     }
 }
 
 #[test]
-fn a_lossy_slow_way_that_is_cut_to_one_side_takes_nobody_down() {
-    let all = four();
-    let from = all[1].members.addr().into();
-    all[2].way.faults(|f| {
-        f.cut_from = vec![from];
-        f.delay = Duration::from_millis(2);
-        f.lose_one_in = 20;
+fn lossy_slow_link_cut_one_way_takes_nobody_down() {
+    let all = four_routers();
+    let from = all[1].membership.addr().into();
+    all[2].proxy.faults(|faults| {
+        faults.cut_from = vec![from];
+        faults.delay = Duration::from_millis(2);
+        faults.lose_one_in = 20;
     });
-    // Twenty answers asked of others and more: what b cannot say to c goes by way of a and d.
-    let lost = all[2].way.counts().1;
-    let end = Instant::now() + BOUND;
-    while all[2].way.counts().1 < lost + 20 {
-        let got = all[0].changes.recv_timeout(Duration::from_millis(50));
-        assert!(got.is_err(), "nothing changes: {got:?}");
-        assert!(Instant::now() < end, "the cut way was used");
+    // Twenty answers asked of others and more: what b cannot send to c goes by way of a and d.
+    let lost = all[2].proxy.counts().1;
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while all[2].proxy.counts().1 < lost + 20 {
+        let change = all[0].changes.recv_timeout(Duration::from_millis(50));
+        assert!(change.is_err(), "nothing changes: {change:?}");
+        assert!(Instant::now() < deadline, "the cut link was used");
     }
-    assert_eq!(all[0].members.list().len(), 4);
+    assert_eq!(all[0].membership.members().len(), 4);
 }
 
 #[test]
-fn leaving_ends_the_thread_and_its_channels_and_is_seen() {
-    let mut all = four();
+fn leave_ends_thread_and_channels_and_is_seen() {
+    let mut all = four_routers();
     let gone = all.pop().expect("d");
-    gone.members.leave().expect("told");
-    assert_eq!(gone.last(), Some(Change::Left));
-    assert!(matches!(gone.members.changes(), Err(Error::Ended)));
-    all.iter_mut().for_each(|r| r.until_names(&["a", "b", "c"]));
+    gone.membership.leave().expect("sent");
+    assert_eq!(gone.last_change(), Some(Change::Left));
+    assert!(matches!(gone.membership.subscribe(), Err(Error::Ended)));
+    all.iter_mut().for_each(|router| router.wait_until_names(&["a", "b", "c"]));
 }
 
 #[test]
-fn a_later_start_of_a_name_replaces_the_earlier_one_which_is_told() {
-    let mut all = four();
-    let seeds = vec![all[0].way.addr];
+fn later_start_of_name_supersedes_earlier_which_is_notified() {
+    let mut all = four_routers();
+    let seeds = vec![all[0].proxy.addr];
     let mut again = start("d", 2, seeds);
-    again.until_names(&["a", "b", "c", "d"]);
+    again.wait_until_names(&["a", "b", "c", "d"]);
     let old = all.pop().expect("d");
-    all.iter_mut()
-        .for_each(|r| r.until("d's second start", |l| l.contains(&("d".into(), 2, 2 << 16)) && l.len() == 4));
-    assert!(matches!(old.last(), Some(Change::Superseded(by)) if by.start() == 2));
+    let second_start = Start { name: "d".into(), generation: 2, incarnation: 2 << 16 };
+    for router in &mut all {
+        router.wait_until("d's second start", |list| list.contains(&second_start) && list.len() == 4);
+    }
+    assert!(matches!(old.last_change(), Some(Change::Superseded(by)) if by.generation() == 2));
 }
 
 #[test]
-fn a_reader_that_falls_behind_is_given_the_whole_list() {
+fn subscriber_that_falls_behind_gets_snapshot() {
     let first = start("a", 1, Vec::new());
-    let seeds = vec![first.way.addr];
+    let seeds = vec![first.proxy.addr];
     let mut others = Vec::new();
-    // More changes than the channel holds: each of these comes and is replaced many times.
-    for nth in 1..=40 {
-        let mut other = start("b", nth, seeds.clone());
-        other.until("joined", |l| l.len() == 2);
+    // More changes than the channel holds: each of these comes and is superseded many times.
+    for generation in 1..=40 {
+        let mut other = start("b", generation, seeds.clone());
+        other.wait_until("joined", |list| list.len() == 2);
         others.push(other);
         others.drain(..others.len() - 1);
     }
     let mut slow = first;
-    slow.until("the last start", |l| l.iter().any(|(n, s, _)| n == "b" && *s >= 40));
-    assert_eq!(slow.members.list().len(), 2);
+    let is_last = |start: &Start| start.name == "b" && start.generation >= 40;
+    slow.wait_until("the last start", |list| list.iter().any(is_last));
+    assert_eq!(slow.membership.members().len(), 2);
 }
 
 #[test]
-fn a_start_outside_loopback_is_refused_with_what_to_do() {
-    let start = Start {
+fn start_outside_loopback_is_refused_with_what_to_do() {
+    let config = Config {
         name: "a".into(),
         listen: "0.0.0.0:0".parse().expect("an address"),
-        told: None,
-        start: 1,
+        advertise: None,
+        generation: 1,
         seeds: Vec::new(),
-        random: 1,
+        random_seed: 1,
         settings: Settings::default(),
     };
-    let refused = Members::start(start).map(|_| ()).expect_err("refused");
-    assert!(refused.to_string().contains("127.0.0.0/8"), "{refused}");
+    let error = Membership::start(config).map(|_| ()).expect_err("refused");
+    assert!(error.to_string().contains("127.0.0.0/8"), "{error}");
 }
