--- a/routing/tests/placement/rules.rs
+++ b/routing/tests/placement/rules.rs
@@ -1,6 +1,8 @@
 //! What rules bind: requests, their attempts, and endpoints that move between sites.
 use crate::common::{TIMEOUT, addr};
-use crate::script::{ANY, Core, DEFAULT_HOLD_MICROS, GROUP, LATEST, Paused, WRITE, endpoint, four};
+use crate::script::{
+    ANY, Core, DEFAULT_HOLD_MICROS, GROUP, LATEST, Paused, Rule, WRITE, endpoint, four, preferred, strict,
+};
 use decision::{MemberState, Outcome};
 use routing::{Endpoint, FinalResponse, Refusal};
 use std::collections::BTreeSet;
@@ -9,7 +11,7 @@
 
 #[test]
 fn retries_of_strict_tenant_stay_inside() {
-    let core = Core::with(&four(), &[("t", &["a"], true)]);
+    let core = Core::with(&four(), &[strict("t", &["a"])]);
     for (n, end) in
         [Outcome::Reset, Outcome::Error, Outcome::Full, Outcome::ConnectFailed].into_iter().enumerate()
     {
@@ -31,7 +33,7 @@
     let mut core = Core::start(DEFAULT_HOLD_MICROS);
     assert_eq!(core.denied("t", ANY), Refusal::NoRules);
     core.script.with(addr(1), |e| e.primary = true);
-    core.rules(&[("t", &["a"], true), ("p", &["a"], false)]);
+    core.rules(&[strict("t", &["a"]), preferred("p", &["a"])]);
     core.list(four());
     assert_eq!(core.denied("t", ANY), Refusal::Unconfirmed { version: 1 });
     core.served_by("p", ANY);
@@ -41,7 +43,7 @@
 
 #[test]
 fn primary_outside_denies_writes_until_one_inside_is_found() {
-    let core = Core::with(&four(), &[("t", &["a"], true)]);
+    let core = Core::with(&four(), &[strict("t", &["a"])]);
     assert_eq!(core.served_by("t", WRITE), addr(1));
     core.script.with(addr(1), |e| e.primary = false);
     core.script.with(addr(3), |e| e.primary = true);
@@ -70,7 +72,7 @@
     let members = [endpoint("a1", 1, "a"), endpoint("b1", 3, "b")];
     let both: &[&str] = &["a", "b"];
     // Through the group itself, and through a subset that lives on for another tenant.
-    for before in [&[("u", both, true)][..], &[("u", both, true), ("t", both, true)][..]] {
+    for before in [&[strict("u", both)][..], &[strict("u", both), strict("t", both)][..]] {
         let mut core = Core::with(&members, before);
         // The replica is outside of the coming rule: reads go there.
         core.request_until_served_by("t", 3, "the replica is never asked");
@@ -82,7 +84,7 @@
         let unstarted = core.submit("t", ANY);
         // The second waits for its connection.
         core.script.wait_until(addr(3), |e| e.waiting == 2);
-        core.rules(&[("t", &["a"], true), ("u", both, true)]);
+        core.rules(&[strict("t", &["a"]), strict("u", both)]);
         // The backends actor handles commands in order: this comes behind the new rule.
         assert_eq!(core.served_by("t", ANY), addr(1));
         core.script.with(addr(3), |e| {
@@ -104,7 +106,7 @@
 #[test]
 fn site_change_reroutes_attempt_waiting_for_connection() {
     let stays = endpoint("a1", 1, "a");
-    let mut core = Core::with(&[stays.clone(), endpoint("m", 5, "a")], &[("t", &["a"], true)]);
+    let mut core = Core::with(&[stays.clone(), endpoint("m", 5, "a")], &[strict("t", &["a"])]);
     core.request_until_served_by("t", 5, "the replica is never asked");
     core.script.with(addr(5), |e| e.paused.connections = true);
     let waiting = core.submit("t", ANY);
@@ -127,7 +129,7 @@
     // The primary is not known yet, and the probes that search for it wait.
     let waiting = core.submit("t", LATEST);
     core.script.wait_until(addr(3), |e| e.probes == 1 && e.waiting == 1);
-    core.rules(&[("t", &["a"], true)]);
+    core.rules(&[strict("t", &["a"])]);
     core.barrier();
     core.script.with(addr(3), |e| e.paused.probes = false);
     let response = waiting.recv_timeout(TIMEOUT).unwrap();
@@ -141,7 +143,7 @@
 #[test]
 fn endpoint_returning_in_another_site_serves_only_that_site_after_hold() {
     let mut core = Core::start(300_000);
-    core.rules(&[("a", &["a"], true), ("b", &["b"], true)]);
+    core.rules(&[strict("a", &["a"]), strict("b", &["b"])]);
     core.confirm();
     let stays = [endpoint("a1", 1, "a"), endpoint("b1", 3, "b")];
     core.list([&stays[..], &[endpoint("m", 5, "a")]].concat());
@@ -165,7 +167,7 @@
 
 #[test]
 fn preferred_tenant_spills_over_and_returns() {
-    let mut core = Core::with(&four(), &[("p", &["b"], false)]);
+    let mut core = Core::with(&four(), &[preferred("p", &["b"])]);
     let inside = [addr(3), addr(4)];
     // The primary may take reads until the roles of the others are known.
     let started = Instant::now();
@@ -195,11 +197,10 @@
     let tenants: Vec<(String, Vec<String>)> =
         (0..8).map(|n| (format!("t{n}"), vec!["a".into(), "b".into(), format!("c{n}")])).collect();
     let sites: Vec<Vec<&str>> = tenants.iter().map(|(_, s)| s.iter().map(String::as_str).collect()).collect();
-    let listed: Vec<(&str, &[&str], bool)> =
-        tenants.iter().zip(&sites).map(|((n, _), s)| (n.as_str(), s.as_slice(), true)).collect();
-    let core = Core::with(&four(), &listed);
+    let rules: Vec<Rule<'_>> = tenants.iter().zip(&sites).map(|((n, _), s)| strict(n, s)).collect();
+    let core = Core::with(&four(), &rules);
     (1..=4).for_each(|n| core.script.with(addr(n), |e| e.paused.probes = true));
-    let waiting: Vec<_> = listed.iter().map(|(t, ..)| core.submit(t, LATEST)).collect();
+    let waiting: Vec<_> = rules.iter().map(|rule| core.submit(rule.tenant, LATEST)).collect();
     core.barrier();
     (1..=4).for_each(|n| core.script.wait_until(addr(n), |e| e.probes > 0));
     (1..=4).for_each(|n| core.script.with(addr(n), |e| e.paused.probes = false));
--- a/routing/tests/placement/script.rs
+++ b/routing/tests/placement/script.rs
@@ -153,13 +153,31 @@
     Endpoint { site: Some(site.into()), ..common::endpoint(id, port, GROUP) }
 }
 
-fn placement_rules(tenants: &[(&str, &[&str], bool)]) -> Arc<Fleet> {
-    let tenant = |(name, sites, strict): &(&str, &[&str], bool)| {
-        let sites = sites.iter().map(ToString::to_string).collect();
-        let places = vec![Place { sites, strict: *strict, classes: None }];
-        (name.to_string(), Tenant { places, ..Tenant::default() })
+/// A tenant's placement rule.
+#[derive(Clone, Copy)]
+pub(crate) struct Rule<'a> {
+    pub(crate) tenant: &'a str,
+    sites: &'a [&'a str],
+    strict: bool,
+}
+
+/// The tenant's data must not leave these sites.
+pub(crate) fn strict<'a>(tenant: &'a str, sites: &'a [&'a str]) -> Rule<'a> {
+    Rule { tenant, sites, strict: true }
+}
+
+/// The tenant's requests go to these sites if they can.
+pub(crate) fn preferred<'a>(tenant: &'a str, sites: &'a [&'a str]) -> Rule<'a> {
+    Rule { tenant, sites, strict: false }
+}
+
+fn fleet(rules: &[Rule<'_>]) -> Arc<Fleet> {
+    let tenant = |rule: &Rule<'_>| {
+        let sites = rule.sites.iter().map(ToString::to_string).collect();
+        let places = vec![Place { sites, strict: rule.strict, classes: None }];
+        (rule.tenant.to_string(), Tenant { places, ..Tenant::default() })
     };
-    Arc::new(Fleet { tenants: tenants.iter().map(tenant).collect(), ..Fleet::default() })
+    Arc::new(Fleet { tenants: rules.iter().map(tenant).collect(), ..Fleet::default() })
 }
 
 impl Core {
@@ -185,18 +203,18 @@
     }
 
     /// With endpoints, of which the first is the primary, and rules that are confirmed for good.
-    pub(crate) fn with(endpoints: &[Endpoint], tenants: &[(&str, &[&str], bool)]) -> Core {
+    pub(crate) fn with(endpoints: &[Endpoint], rules: &[Rule<'_>]) -> Core {
         let mut core = Core::start(DEFAULT_HOLD_MICROS);
         core.script.with(endpoints[0].addr, |e| e.primary = true);
-        core.rules(tenants);
+        core.rules(rules);
         core.confirm();
         core.list(endpoints.to_vec());
         core
     }
 
-    pub(crate) fn rules(&mut self, tenants: &[(&str, &[&str], bool)]) {
+    pub(crate) fn rules(&mut self, rules: &[Rule<'_>]) {
         self.version += 1;
-        self.handle.update_placement(News::Rules { version: self.version, fleet: placement_rules(tenants) });
+        self.handle.update_placement(News::Rules { version: self.version, fleet: fleet(rules) });
     }
 
     pub(crate) fn confirm(&self) {
