--- a/routing/src/backends/backend.rs
+++ b/routing/src/backends/backend.rs
@@ -86,7 +86,7 @@
     fn start(&mut self, task: Task<P>, guard: AttemptGuard) {
         // The router actor may have decided on it before it heard that the endpoint drains or the client left.
         if !guard.can_start() {
-            return self.context.report_outcome(&task, Outcome::Moot);
+            return self.context.report_outcome(&task, Outcome::NeverSent);
         }
         if let Some(idle) = self.take_idle() {
             return self.spawn_exchange(task, guard, idle);
@@ -95,7 +95,7 @@
         let (open, permit) = resources.connections.acquire();
         self.announce_near_limit(open);
         if open >= resources.limits.link_connections || self.busy >= resources.limits.links_per_peer {
-            return self.context.report_outcome(&task, Outcome::Moot);
+            return self.context.report_outcome(&task, Outcome::NeverSent);
         }
         let idle = IdleConnection { connection: None, since: Instant::now(), permit };
         self.spawn_exchange(task, guard, idle);
@@ -134,7 +134,7 @@
             Err(e) => {
                 tracing::error!("peer {}: no thread for a link: {e}", self.context.addr);
                 if let Ok((task, _)) = task_receiver.try_recv() {
-                    self.context.report_outcome(&task, Outcome::Moot);
+                    self.context.report_outcome(&task, Outcome::NeverSent);
                 }
             }
         }
--- a/routing/src/backends/exchange.rs
+++ b/routing/src/backends/exchange.rs
@@ -41,7 +41,7 @@
         // the old one.
         let about_old_address = matches!(task, Task::Probe) || result.outcome == Outcome::ConnectFailed;
         let result = if about_old_address && self.state.is_retired() {
-            ExchangeResult::from_outcome(Outcome::Moot)
+            ExchangeResult::from_outcome(Outcome::NeverSent)
         } else {
             result
         };
@@ -74,7 +74,7 @@
         catch_unwind(AssertUnwindSafe(|| execute(context, &mut connection, last_response, &task, guard)));
     let result = executed.unwrap_or_else(|_| ExchangeResult::from_outcome(Outcome::Reset));
     // The endpoint counts the idle time of a connection that carried nothing from its last response on.
-    let since = if result.outcome == Outcome::Moot { last_response } else { Instant::now() };
+    let since = if result.outcome == Outcome::NeverSent { last_response } else { Instant::now() };
     let can_carry_more = connection.is_some() && result.reusable;
     let connection = can_carry_more.then_some(IdleConnection { connection, since, permit });
     // The backend hears of it first: the router actor's next attempt finds this connection idle.
@@ -106,7 +106,7 @@
             // Its descriptor is free before another is opened.
             *connection = None;
             if !guard.can_start() {
-                return ExchangeResult::from_outcome(Outcome::Moot);
+                return ExchangeResult::from_outcome(Outcome::NeverSent);
             }
             *connection = match connect(context) {
                 Ok(opened) => Some(opened),
@@ -124,7 +124,7 @@
             Ok(result) => return result,
             // Nothing was written on it: it stays usable.
             Err(NotSent::Cancelled) => {
-                return ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(Outcome::Moot) };
+                return ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(Outcome::NeverSent) };
             }
             Err(NotSent::ConnectionBroken) => {
                 *connection = None;
--- a/routing/src/endpoints/actor.rs
+++ b/routing/src/endpoints/actor.rs
@@ -121,7 +121,7 @@
             self.drop_superseded(update, order);
         }
         for endpoint in &update.endpoints {
-            if endpoint.state == MemberState::Gone {
+            if endpoint.state == MemberState::Removed {
                 self.listed.remove(&endpoint.id);
             } else {
                 self.listed.insert(endpoint.id.clone(), endpoint.clone());
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -34,7 +34,7 @@
 
 pub use attempt_guard::AttemptGuard;
 pub use clock::Clock;
-pub use decision::{GroupId, MemberState, Outcome, Report, RequestId, SessionId, Settings, Time};
+pub use decision::{GroupId, MemberReport, MemberState, Outcome, RequestId, SessionId, Settings, Time};
 pub use endpoint::{Endpoint, EndpointUpdate, MaintenanceMask, UpdateOrder};
 pub use endpoint_state::EndpointState;
 pub use endpoints::EndpointsHandle;
--- a/routing/src/messages.rs
+++ b/routing/src/messages.rs
@@ -6,7 +6,7 @@
 use crate::protocol::{BackendProtocol, ExchangeResult};
 use crate::request::{AttemptId, ClientRequest};
 use crossbeam_channel::Sender;
-use decision::{GroupId, MemberId, Outcome, Report, RequestId};
+use decision::{GroupId, MemberId, MemberReport, Outcome, RequestId};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -41,7 +41,7 @@
         /// How it ended.
         outcome: Outcome,
         /// What the endpoint reported.
-        report: Report,
+        report: MemberReport,
     },
     /// Connections to endpoints have come close to their limit.
     ConnectionsNearLimit {
--- a/routing/src/placement_subsets.rs
+++ b/routing/src/placement_subsets.rs
@@ -74,7 +74,7 @@
     /// No subsets yet, for requests of these classes.
     pub(crate) fn new(settings: placement::Settings, classes: &[decision::Class]) -> Self {
         let needs_primary =
-            |class: &decision::Class| matches!(class.freshness, Freshness::Write | Freshness::Fresh);
+            |class: &decision::Class| matches!(class.freshness, Freshness::Write | Freshness::Latest);
         PlacementSubsets {
             places: Places::new(settings),
             needs_primary: classes.iter().map(needs_primary).collect(),
--- a/routing/src/placement_subsets/members.rs
+++ b/routing/src/placement_subsets/members.rs
@@ -62,7 +62,7 @@
 
     /// The entry of an alias that has left its subset.
     pub(super) fn gone_entry(&self, alias: MemberId, subset: GroupId) -> MemberEntry {
-        MemberEntry { id: alias, group: subset, state: MemberState::Gone, ..self.entry.clone() }
+        MemberEntry { id: alias, group: subset, state: MemberState::Removed, ..self.entry.clone() }
     }
 
     /// Takes its alias out of a subset; returns the alias's id.
@@ -116,7 +116,7 @@
             if let Some(endpoint) = self.endpoints.get_mut(&entry.id) {
                 endpoint.entry = entry.clone();
                 endpoint.own_id_removed = false;
-            } else if listed.state != MemberState::Gone {
+            } else if listed.state != MemberState::Removed {
                 self.own_ids.insert(name.clone(), entry.id);
                 self.endpoints.insert(entry.id, TrackedEndpoint::new(name, entry.clone()));
             }
@@ -127,7 +127,7 @@
     /// Endpoints that a complete list lacks are gone.
     pub(super) fn mark_missing_gone(&mut self, named: &BTreeSet<MemberId>) {
         for (_, endpoint) in self.endpoints.iter_mut().filter(|(id, _)| !named.contains(*id)) {
-            endpoint.entry.state = MemberState::Gone;
+            endpoint.entry.state = MemberState::Removed;
         }
     }
 
--- a/routing/src/placement_subsets/probes.rs
+++ b/routing/src/placement_subsets/probes.rs
@@ -1,7 +1,7 @@
 //! Probes of endpoints with several member ids: one probe serves all of them, and a primary outside of a subset is found
 //! by probing the whole group.
 use super::PlacementSubsets;
-use decision::{GroupId, MemberId, MemberState, Micros, Outcome, Report, Time};
+use decision::{GroupId, MemberId, MemberReport, MemberState, Micros, Outcome, Time};
 use std::sync::Arc;
 
 /// The least time between two probes of one endpoint, whichever of its members wants them: at half of the interval at
@@ -54,7 +54,7 @@
         own_id: MemberId,
         now: Time,
         outcome: Outcome,
-        report: Report,
+        report: MemberReport,
     ) -> Vec<MemberId> {
         let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return vec![own_id] };
         endpoint.probing = false;
--- a/routing/src/probe_spacing.rs
+++ b/routing/src/probe_spacing.rs
@@ -4,7 +4,7 @@
 //! A probe that comes too early for this process's share is answered with the last report, which is no older than the
 //! spacing, as long as no attempt has failed at the endpoint since. Otherwise it waits, and the decisions ask for no
 //! other until it has ended.
-use decision::{MemberId, Micros, Report, Settings, Time};
+use decision::{MemberId, MemberReport, Micros, Settings, Time};
 use std::collections::HashMap;
 
 #[cfg(test)]
@@ -25,14 +25,14 @@
     /// It is sent at this time.
     At(Time),
     /// It is not sent: the last report is recent enough.
-    Cached(Report),
+    Cached(MemberReport),
 }
 
 #[derive(Default)]
 struct ProbeHistory {
     last_sent: Option<Time>,
     /// The last report, unless an attempt has failed since its probe was sent.
-    report: Option<Report>,
+    report: Option<MemberReport>,
     /// An attempt has failed since the last probe was sent.
     attempt_failed: bool,
     /// Probes in a row that brought no report.
@@ -49,7 +49,7 @@
 impl ProbeSpacing {
     /// No endpoint has been probed, and this process is the only one.
     pub(crate) fn new(settings: &Settings) -> ProbeSpacing {
-        let interval = (MIN_INTERVAL_ROUNDS * settings.round).max(MIN_INTERVAL);
+        let interval = (MIN_INTERVAL_ROUNDS * settings.min_event_interval).max(MIN_INTERVAL);
         ProbeSpacing { interval, process_count: 1, histories: HashMap::new() }
     }
 
@@ -76,7 +76,7 @@
     }
 
     /// A probe has ended with this report.
-    pub(crate) fn probe_ended(&mut self, endpoint: MemberId, report: Report) {
+    pub(crate) fn probe_ended(&mut self, endpoint: MemberId, report: MemberReport) {
         if let Some(history) = self.histories.get_mut(&endpoint) {
             let reported = report.primary.is_some();
             history.consecutive_failures =
--- a/routing/src/probe_spacing/tests.rs
+++ b/routing/src/probe_spacing/tests.rs
@@ -1,7 +1,7 @@
 //! The spacing alone, and with the real decisions in simulated time.
 use super::{ProbeSpacing, ProbeTiming};
 use decision::{
-    Action, Event, GroupId, MemberEntry, MemberId, Micros, Outcome, Report, Request, RequestId, Router,
+    Action, Event, GroupId, MemberEntry, MemberId, MemberReport, Micros, Outcome, Request, RequestId, Router,
     Settings, Time,
 };
 
@@ -10,35 +10,35 @@
 fn settings() -> Settings {
     let class = decision::Class {
         freshness: decision::Freshness::Bounded(1000),
-        effect: decision::Effect::Safe,
-        aim: 1_000_000,
+        idempotency: decision::Idempotency::Idempotent,
+        latency_objective: 1_000_000,
         deadline: 2_000_000,
-        worth: 1.0,
-        late_worth: 0.5,
+        priority_weight: 1.0,
+        late_weight_share: 0.5,
     };
     Settings {
         classes: vec![class],
         tenant_rates: vec![],
-        over_share_worth: 1.0,
-        drivers: 1,
+        over_quota_weight: 1.0,
+        router_count: 1,
         zone: 0,
-        round: 5000,
-        when_behind: decision::WhenBehind::Answers,
-        tokens: decision::Tokens::Carried,
-        may_duplicate: true,
+        min_event_interval: 5000,
+        lagging_replica: decision::LaggingReplica::AnswersStale,
+        session_commit_source: decision::SessionCommitSource::CarriedByRequest,
+        hedging_allowed: true,
         max_attempts: 6,
-        may_cancel: true,
-        may_probe: true,
-        probe_price: 0.0,
-        max_come_back: None,
+        cancel_allowed: true,
+        probing_allowed: true,
+        probe_cost: 0.0,
+        max_retry_after: None,
         connect_timeout: 250_000,
         drain_grace: 500_000,
-        only_draining_binds: false,
-        cold_from: 0.3,
-        cold_time: 10_000_000,
+        missing_members_may_serve: false,
+        slow_start_initial_share: 0.3,
+        slow_start_duration: 10_000_000,
         overload_factor: 3.0,
-        tip_time: 3_000_000,
-        list_on_request: false,
+        overload_duration: 3_000_000,
+        list_requires_subscription: false,
     }
 }
 
@@ -70,9 +70,9 @@
             state: decision::MemberState::Ready,
             listed_primary: false,
             weight: 1.0,
-            started: None,
+            started_at: None,
         };
-        let event = Event::Members { complete: true, entries: vec![member] };
+        let event = Event::MemberListChanged { complete: true, entries: vec![member] };
         decisions.handle(Time(START), event, &mut Vec::new());
         Process { decisions, spacing, sent_at: None, ended: 0, delay: 0 }
     }
@@ -86,9 +86,10 @@
         self.ended += 1;
         // A member that is always a little too far behind, or one that reports nothing.
         let position = Time(now.0 - 2000);
-        let report = Report { primary: reports.then_some(false), position: reports.then_some(position) };
+        let report =
+            MemberReport { primary: reports.then_some(false), position: reports.then_some(position) };
         self.spacing.probe_ended(MEMBER, report);
-        let event = Event::Probed { member: MEMBER, outcome: Outcome::Ok, report };
+        let event = Event::ProbeEnded { member: MEMBER, outcome: Outcome::Ok, report };
         self.decisions.handle(now, event, actions);
     }
 
@@ -101,10 +102,10 @@
             session: None,
             group: GroupId(0),
             deadline: Time(now.0 + 2_000_000),
-            token: None,
+            session_commit: None,
         };
-        self.decisions.handle(now, Event::Request(request), actions);
-        self.decisions.handle(now, Event::ClientLeft { request: id }, actions);
+        self.decisions.handle(now, Event::RequestArrived(request), actions);
+        self.decisions.handle(now, Event::ClientDisconnected { request: id }, actions);
     }
 
     fn probe(&mut self, now: Time, member: MemberId) {
@@ -116,7 +117,7 @@
                 self.delay += at.0 - now.0;
             }
             ProbeTiming::Cached(report) => {
-                let event = Event::Probed { member, outcome: Outcome::Ok, report };
+                let event = Event::ProbeEnded { member, outcome: Outcome::Ok, report };
                 self.decisions.handle(now, event, &mut Vec::new());
             }
         }
@@ -160,7 +161,7 @@
 fn failed_attempt_invalidates_cached_report() {
     let mut spacing = ProbeSpacing::new(&settings());
     spacing.set_process_count(2);
-    let report = Report { primary: Some(true), position: Some(Time(5)) };
+    let report = MemberReport { primary: Some(true), position: Some(Time(5)) };
     assert_eq!(spacing.schedule(MEMBER, Time(0)), ProbeTiming::Now);
     spacing.probe_ended(MEMBER, report);
     assert_eq!(spacing.schedule(MEMBER, Time(100_000)), ProbeTiming::Cached(report));
--- a/routing/src/protocol.rs
+++ b/routing/src/protocol.rs
@@ -1,7 +1,7 @@
 //! What the core asks of a wire protocol between router and endpoints: connecting, and one exchange at a time on each
 //! connection.
 pub use crate::attempt_guard::AttemptGuard;
-use decision::{Outcome, Report, Time};
+use decision::{MemberReport, Outcome, Time};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,11 +22,11 @@
     pub response: Option<R>,
     /// What the response said of the endpoint itself. For a write that was served, its position is the commit if
     /// `commit` is absent.
-    pub response_report: Report,
+    pub response_report: MemberReport,
     /// When the write was committed; it says nothing of an endpoint that served a read.
     pub commit: Option<Time>,
     /// The load report that came with the response.
-    pub load_report: Report,
+    pub load_report: MemberReport,
     /// The connection can carry another exchange.
     pub reusable: bool,
 }
@@ -37,9 +37,9 @@
         ExchangeResult {
             outcome,
             response: None,
-            response_report: Report::default(),
+            response_report: MemberReport::default(),
             commit: None,
-            load_report: Report::default(),
+            load_report: MemberReport::default(),
             reusable: false,
         }
     }
--- a/routing/src/recorded_run.rs
+++ b/routing/src/recorded_run.rs
@@ -5,7 +5,8 @@
 use crate::placement_subsets::{MemberIds, PlacementSubsets, ProbeStart, StatedRole, SubsetChange};
 use crate::probe_spacing::{ProbeSpacing, ProbeTiming};
 use decision::{
-    Class, Effect, Freshness, GroupId, MemberEntry, MemberId, MemberState, Outcome, Report, Settings, Time,
+    Class, Freshness, GroupId, Idempotency, MemberEntry, MemberId, MemberReport, MemberState, Outcome,
+    Settings, Time,
 };
 use settings::fleet::{Fleet, Place, Tenant};
 use std::collections::BTreeMap;
@@ -33,15 +34,22 @@
 }
 
 fn class(freshness: Freshness) -> Class {
-    let (aim, deadline) = (1_000_000, 2_000_000);
-    Class { freshness, effect: Effect::Safe, aim, deadline, worth: 1.0, late_worth: 0.5 }
+    let (latency_objective, deadline) = (1_000_000, 2_000_000);
+    Class {
+        freshness,
+        idempotency: Idempotency::Idempotent,
+        latency_objective,
+        deadline,
+        priority_weight: 1.0,
+        late_weight_share: 0.5,
+    }
 }
 
 fn base_settings() -> Settings {
     settings::operator::read(include_str!("../../deploy/mysql.toml")).unwrap().settings
 }
 
-fn report_text(report: Option<Report>) -> String {
+fn report_text(report: Option<MemberReport>) -> String {
     report.map_or("nothing".into(), |r| format!("{:?}@{:?}", r.primary, r.position.map(|t| t.0)))
 }
 
@@ -53,14 +61,14 @@
     match state {
         MemberState::Ready => "ready",
         MemberState::Draining => "draining",
-        MemberState::Gone => "gone",
+        MemberState::Removed => "gone",
     }
 }
 
 /// Spaced probes of three members by a random number of processes.
 fn probe_spacing_run() -> String {
     let (mut random, mut text) = (Random(0x5eed_0001), String::new());
-    let mut spacing = ProbeSpacing::new(&Settings { round: 5_000, ..base_settings() });
+    let mut spacing = ProbeSpacing::new(&Settings { min_event_interval: 5_000, ..base_settings() });
     let mut now = 1_000_000_000;
     for _ in 0..400 {
         now += random.below(120_000) as i64;
@@ -81,7 +89,7 @@
             }
             2..=6 => {
                 let primary = (!random.chance(3)).then(|| random.chance(2));
-                let report = Report { primary, position: primary.map(|_| Time(now - 1_000)) };
+                let report = MemberReport { primary, position: primary.map(|_| Time(now - 1_000)) };
                 spacing.probe_ended(member, report);
                 writeln!(text, "end {} {}", member.0, report_text(Some(report))).unwrap();
             }
@@ -113,7 +121,7 @@
 
 impl World {
     fn new() -> World {
-        let classes = [Freshness::Any, Freshness::Write, Freshness::Fresh].map(class);
+        let classes = [Freshness::Any, Freshness::Write, Freshness::Latest].map(class);
         let names = ["any", "write", "fresh"].map(String::from).to_vec();
         World {
             subsets: PlacementSubsets::new(placement::Settings::new(names), &classes),
@@ -154,7 +162,7 @@
                 MemberState::Ready,
                 MemberState::Ready,
                 MemberState::Draining,
-                MemberState::Gone,
+                MemberState::Removed,
             ]),
             listed_primary: random.chance(4),
             weight: 1.0,
@@ -174,7 +182,7 @@
                 state: e.state,
                 listed_primary: e.listed_primary,
                 weight: e.weight,
-                started: e.started_at,
+                started_at: e.started_at,
             });
         }
         let update = EndpointUpdate { version: self.version, complete, endpoints };
@@ -236,7 +244,7 @@
         let base = self.subsets.own_id(member);
         let outcome = random.pick(&[Outcome::Ok, Outcome::Ok, Outcome::ConnectFailed, Outcome::TimedOut]);
         let primary = (outcome == Outcome::Ok && random.chance(2)).then(|| random.chance(2));
-        let report = Report { primary, position: None };
+        let report = MemberReport { primary, position: None };
         let to_notify = self.subsets.probe_ended(base, Time(self.now), outcome, report);
         format!("probed {}: [{}]", base.0, ids_text(&to_notify))
     }
--- a/routing/src/router/actor.rs
+++ b/routing/src/router/actor.rs
@@ -46,8 +46,9 @@
 impl ClassRules {
     /// As the decisions have it.
     fn new(class: &Class, settings: &Settings) -> ClassRules {
-        let retry_after =
-            settings.max_come_back.map(|max| Duration::from_micros(max.min(class.aim).max(0) as u64));
+        let retry_after = settings
+            .max_retry_after
+            .map(|max| Duration::from_micros(max.min(class.latency_objective).max(0) as u64));
         ClassRules { is_write: class.freshness == Freshness::Write, retry_after }
     }
 }
@@ -87,7 +88,7 @@
     pub(super) fn new(settings: Settings, seed: u64, clock: Clock, resources: BackendResources<P>) -> Self {
         RouterActor {
             classes: settings.classes.iter().map(|class| ClassRules::new(class, &settings)).collect(),
-            router_count: settings.drivers,
+            router_count: settings.router_count,
             probe_spacing: ProbeSpacing::new(&settings),
             decisions: Router::new(settings, seed),
             clock,
@@ -149,7 +150,7 @@
 
     fn fire(&mut self, timer: Timer) {
         match timer {
-            Timer::Decisions => self.decide(Event::Timer),
+            Timer::Decisions => self.decide(Event::TimerExpired),
             Timer::MemberMetrics => self.update_member_metrics(),
             Timer::Placement => self.handle_placement(placement::Event::Timer),
             Timer::Probe(endpoint) => self.schedule_probe(endpoint),
@@ -192,7 +193,7 @@
         if self.subsets.as_ref().is_some_and(|subsets| subsets.is_due(now)) {
             // The decisions must not act on a subset that has expired.
             self.handle_placement(placement::Event::Timer);
-            if matches!(&event, Event::Request(request) if !self.requests.contains_key(&request.id)) {
+            if matches!(&event, Event::RequestArrived(request) if !self.requests.contains_key(&request.id)) {
                 // Its placement has expired on the way here, and it was rejected.
                 return;
             }
@@ -208,8 +209,8 @@
 
     fn perform(&mut self, now: Time, action: Action) {
         match action {
-            Action::Send { request, member, timeout, within } => {
-                self.send_attempt(request, member, Time(now.0 + timeout), Time(now.0 + within));
+            Action::Send { request, member, timeout, start_timeout } => {
+                self.send_attempt(request, member, Time(now.0 + timeout), Time(now.0 + start_timeout));
             }
             Action::Cancel { request, attempt } => {
                 let attempt = AttemptId { request, number: attempt };
@@ -217,18 +218,18 @@
                     self.end_attempt_later(attempt, member, Outcome::Cancelled);
                 }
             }
-            Action::Refuse { request, come_back } => {
-                let retry_after = come_back.map(|micros| Duration::from_micros(micros.max(0) as u64));
+            Action::Reject { request, retry_after } => {
+                let retry_after = retry_after.map(|micros| Duration::from_micros(micros.max(0) as u64));
                 self.reject(request, retry_after);
             }
             Action::Fail { request } => self.fail(request),
             Action::Probe { member } => self.probe_member(member),
-            Action::Timer { after } => {
+            Action::SetTimer { after } => {
                 self.timers.push(Reverse((Time(self.clock.now().0 + after), Timer::Decisions)));
             }
             // The list's watch always runs.
             Action::Subscribe => {}
-            Action::Forget { member } => self.remove_member(member),
+            Action::Remove { member } => self.remove_member(member),
         }
     }
 
--- a/routing/src/router/attempts.rs
+++ b/routing/src/router/attempts.rs
@@ -37,7 +37,7 @@
         if self.send_to_backend(endpoint, command) {
             self.timers.push(Reverse((deadline, Timer::AttemptTimeout(attempt))));
         } else {
-            self.end_attempt_later(attempt, member, Outcome::Moot);
+            self.end_attempt_later(attempt, member, Outcome::NeverSent);
         }
     }
 
@@ -109,7 +109,7 @@
         let Some(in_flight) = self.take_in_flight(attempt) else { return };
         // The member id that the decisions sent it to, perhaps an alias of the endpoint.
         let member = in_flight.member;
-        if !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::Moot) {
+        if !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::NeverSent) {
             self.probe_spacing.attempt_failed(self.own_id(member));
         }
         let now = self.clock.now();
@@ -123,19 +123,19 @@
         if let Some(response) = response {
             record.respond(FinalResponse::Served(response, commit), now, self.metrics.as_deref());
         }
-        let ended = !record.awaits_response();
+        let request_ended = !record.awaits_response();
         if self.subsets.is_some() {
             self.record_placement_outcome(member, outcome, &response_report, true);
         }
-        self.decide(Event::Outcome {
+        self.decide(Event::AttemptEnded {
             request,
             attempt: number,
             member,
             outcome,
-            ended,
-            note: response_report,
+            request_ended,
+            response_report,
             commit,
-            report: load_report,
+            load_report,
         });
         self.reroute_after_attempt(request);
         self.remove_if_finished(request);
--- a/routing/src/router/capacity.rs
+++ b/routing/src/router/capacity.rs
@@ -27,7 +27,9 @@
 
     /// Each process of each router takes its share of the capacity.
     fn divide_capacity(&mut self) {
-        self.decide(Event::Drivers(self.router_count.max(1).saturating_mul(self.process_count.max(1))));
+        self.decide(Event::RouterCountChanged(
+            self.router_count.max(1).saturating_mul(self.process_count.max(1)),
+        ));
     }
 
     pub(super) fn trim_idle_connections(&self, max_idle: usize) {
@@ -40,7 +42,7 @@
     pub(super) fn update_member_metrics(&mut self) {
         let Some(metrics) = &self.metrics else { return };
         let now = self.clock.now();
-        let members = self.decisions.avoided();
+        let members = self.decisions.unavailable_member_count();
         let endpoints = self.subsets.as_ref().map_or(members, |s| s.unhealthy_endpoints(members));
         metrics.unhealthy_endpoints.set(endpoints as i64);
         self.timers.push(Reverse((Time(now.0 + MEMBER_METRICS_INTERVAL), Timer::MemberMetrics)));
--- a/routing/src/router/endpoint_updates.rs
+++ b/routing/src/router/endpoint_updates.rs
@@ -24,7 +24,7 @@
             self.cancel_unstarted_at(&change.departed);
             change.departed.clear();
         }
-        self.decide(Event::Members { complete: update.complete, entries });
+        self.decide(Event::MemberListChanged { complete: update.complete, entries });
         self.apply_subset_change(change);
     }
 
@@ -39,7 +39,7 @@
     /// Takes in an endpoint as listed; returns its entry for the decisions.
     fn member_entry(&mut self, endpoint: &Endpoint) -> MemberEntry {
         let id = self.own_member_id(endpoint);
-        if endpoint.state != MemberState::Gone {
+        if endpoint.state != MemberState::Removed {
             let record = || EndpointRecord::new(endpoint.id.clone(), endpoint.addr);
             self.endpoints.entry(id).or_insert_with(record);
         }
@@ -53,7 +53,7 @@
             state: endpoint.state,
             listed_primary: endpoint.listed_primary,
             weight: endpoint.weight,
-            started: endpoint.started_at,
+            started_at: endpoint.started_at,
         }
     }
 
--- a/routing/src/router/placement_routing.rs
+++ b/routing/src/router/placement_routing.rs
@@ -5,7 +5,7 @@
 use crate::placement_subsets::{StatedRole, SubsetChange};
 use crate::protocol::BackendProtocol;
 use crate::request::FinalResponse;
-use decision::{Event, GroupId, MemberId, Outcome, Report, Request, RequestId};
+use decision::{Event, GroupId, MemberId, MemberReport, Outcome, Request, RequestId};
 use placement::Refusal;
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -82,7 +82,10 @@
         }
         self.cancel_unstarted_at(&departed);
         if !entries.is_empty() {
-            self.decide(Event::Members { complete: false, entries: entries.into_values().collect() });
+            self.decide(Event::MemberListChanged {
+                complete: false,
+                entries: entries.into_values().collect(),
+            });
         }
         if reroute {
             self.reroute_all();
@@ -117,7 +120,7 @@
         &mut self,
         member: MemberId,
         outcome: Outcome,
-        report: &Report,
+        report: &MemberReport,
         with_response: bool,
     ) {
         let now = self.clock.now();
@@ -130,7 +133,7 @@
             return;
         }
         for member in to_notify {
-            self.decide(Event::Probed { member, outcome, report: *report });
+            self.decide(Event::ProbeEnded { member, outcome, report: *report });
         }
     }
 
@@ -168,7 +171,7 @@
         // Its attempts are numbered, so it can't be submitted anew; those under way end by themselves.
         if placed.stopped.is_none() {
             placed.stopped = Some(routed.map_or_else(Stopped::Denied, |_| Stopped::Rerouted));
-            self.decide(Event::Streaming { request: id });
+            self.decide(Event::ResponseStarted { request: id });
             self.cancel_unstarted_attempts(id);
             self.respond_to_stopped(id);
         }
@@ -179,7 +182,7 @@
         let routed_to = match routed {
             Ok(routed_to) => routed_to,
             Err(refusal) => {
-                self.decide(Event::ClientLeft { request: id });
+                self.decide(Event::ClientDisconnected { request: id });
                 return self.respond(id, FinalResponse::PlacementDenied(refusal));
             }
         };
@@ -188,8 +191,8 @@
         };
         placed.routed_to = routed_to;
         let request = Request { group: routed_to, ..placed.request.clone() };
-        self.decide(Event::ClientLeft { request: id });
-        self.decide(Event::Request(request));
+        self.decide(Event::ClientDisconnected { request: id });
+        self.decide(Event::RequestArrived(request));
     }
 
     /// The final response of a request whose route has changed under way, once none of its attempts is.
--- a/routing/src/router/probing.rs
+++ b/routing/src/router/probing.rs
@@ -4,7 +4,7 @@
 use crate::placement_subsets::ProbeStart;
 use crate::probe_spacing::ProbeTiming;
 use crate::protocol::BackendProtocol;
-use decision::{Event, GroupId, MemberId, Outcome, Report};
+use decision::{Event, GroupId, MemberId, MemberReport, Outcome};
 use std::cmp::Reverse;
 
 impl<P: BackendProtocol> RouterActor<P> {
@@ -42,17 +42,17 @@
 
     pub(super) fn send_probe(&mut self, endpoint: MemberId) {
         if !self.send_to_backend(endpoint, BackendCommand::Probe) {
-            self.end_probe_later(endpoint, Outcome::Moot, Report::default());
+            self.end_probe_later(endpoint, Outcome::NeverSent, MemberReport::default());
         }
     }
 
     /// Ends a probe that was not sent, after the current message.
-    fn end_probe_later(&mut self, endpoint: MemberId, outcome: Outcome, report: Report) {
+    fn end_probe_later(&mut self, endpoint: MemberId, outcome: Outcome, report: MemberReport) {
         self.defer(RouterMessage::ProbeEnded { member: endpoint, outcome, report });
     }
 
     /// The probe of an endpoint has ended, and so it has for all of its members that wait for it.
-    pub(super) fn probe_ended(&mut self, endpoint: MemberId, outcome: Outcome, report: Report) {
+    pub(super) fn probe_ended(&mut self, endpoint: MemberId, outcome: Outcome, report: MemberReport) {
         self.record_responded(endpoint, outcome);
         self.probe_spacing.probe_ended(endpoint, report);
         self.record_placement_outcome(endpoint, outcome, &report, false);
@@ -62,7 +62,7 @@
             Some(subsets) => subsets.probe_ended(endpoint, now, outcome, report),
         };
         for member in members {
-            self.decide(Event::Probed { member, outcome, report });
+            self.decide(Event::ProbeEnded { member, outcome, report });
         }
     }
 
--- a/routing/src/router/requests.rs
+++ b/routing/src/router/requests.rs
@@ -19,7 +19,7 @@
             payload,
             response_sender,
         } = arrived;
-        let mut request = Request { id, class, tenant: 0, session, group, deadline, token: session_commit };
+        let mut request = Request { id, class, tenant: 0, session, group, deadline, session_commit };
         let placed = self.place(tenant, &request);
         let mut record = RequestRecord {
             payload: Arc::new(payload),
@@ -50,7 +50,7 @@
             let retry_after = self.classes.get(class).and_then(|rules| rules.retry_after);
             return self.reject(id, retry_after);
         }
-        self.decide(Event::Request(request));
+        self.decide(Event::RequestArrived(request));
     }
 
     pub(super) fn client_disconnected(&mut self, id: RequestId) {
@@ -75,7 +75,7 @@
     /// connection.
     fn close(&mut self, id: RequestId) {
         self.cancel_unstarted_attempts(id);
-        self.decide(Event::ClientLeft { request: id });
+        self.decide(Event::ClientDisconnected { request: id });
         self.remove_if_finished(id);
     }
 
--- a/routing/tests/endpoints.rs
+++ b/routing/tests/endpoints.rs
@@ -160,7 +160,7 @@
 fn moved_and_reappearing_endpoints_reach_the_router() {
     let fixture = Fixture::start();
     fixture.notify(UpdateOrder::Consecutive, update(1, true, &[("a", READY)]));
-    for (version, state, port) in [(2, READY, 2), (3, MemberState::Gone, 2), (4, READY, 3)] {
+    for (version, state, port) in [(2, READY, 2), (3, MemberState::Removed, 2), (4, READY, 3)] {
         let moved = EndpointUpdate { version, complete: false, endpoints: vec![endpoint("a", state, port)] };
         assert!(fixture.endpoints.notify(moved));
         let Ok(RouterMessage::Endpoints(got)) = fixture.router.recv_timeout(TIMEOUT) else {
--- a/routing/tests/handover/script.rs
+++ b/routing/tests/handover/script.rs
@@ -1,7 +1,9 @@
 //! The core on a protocol that stops at a connect, a write, a response or a close until the test lets it go on.
 use crate::common::{self, Script, TIMEOUT, accepting_listener};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
-use decision::{Class, Effect, Freshness, GroupId, MemberState, Outcome, Report, RequestId, Settings, Time};
+use decision::{
+    Class, Freshness, GroupId, Idempotency, MemberReport, MemberState, Outcome, RequestId, Settings, Time,
+};
 use routing::{
     AttemptGuard, BackendProtocol, ClientRequest, Clock, Connection, Endpoint, EndpointUpdate,
     EndpointsHandle, Exchange, ExchangeResult, FinalResponse, Metrics, NotSent, RouterBuilder, RouterHandle,
@@ -159,7 +161,7 @@
         guard: &AttemptGuard,
     ) -> Result<ExchangeResult<SocketAddr>, NotSent> {
         let (script, addr) = (&self.script, self.addr);
-        let report = Report { primary: Some(true), position: Some(Time(1)) };
+        let report = MemberReport { primary: Some(true), position: Some(Time(1)) };
         let ok = ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(Outcome::Ok) };
         if let Exchange::Probe = exchange {
             if !guard.try_start() {
@@ -236,21 +238,28 @@
         let seconds = Duration::from_secs;
         let mut limits = Limits::new(4096, 64 << 20, seconds(10), seconds(600), seconds(600));
         adjust(&mut limits);
-        let class = |effect, deadline| {
-            let (freshness, aim) = (Freshness::Write, deadline);
-            Class { freshness, effect, aim, deadline, worth: 1.0, late_worth: 1.0 }
+        let class = |idempotency, deadline| {
+            let (freshness, latency_objective) = (Freshness::Write, deadline);
+            Class {
+                freshness,
+                idempotency,
+                latency_objective,
+                deadline,
+                priority_weight: 1.0,
+                late_weight_share: 1.0,
+            }
         };
-        let deduplicated = Effect::KeyedInGroup(WINDOW.as_micros() as i64);
+        let deduplicated = Idempotency::DeduplicatedInGroup(WINDOW.as_micros() as i64);
         let classes = vec![
-            class(Effect::Safe, 60_000_000),
+            class(Idempotency::Idempotent, 60_000_000),
             class(deduplicated, 60_000_000),
-            class(Effect::Safe, 1_000_000),
+            class(Idempotency::Idempotent, 1_000_000),
         ];
         let mysql = settings::operator::read(include_str!("../../../deploy/mysql.toml")).unwrap().settings;
         let metrics = Metrics::new(&["idempotent".into(), "deduplicated".into(), "short".into()]).unwrap();
         let (handle, endpoints) = RouterBuilder {
             protocol: ScriptedProtocol { script: script.clone(), listener: accepting_listener() },
-            settings: Settings { classes, round: 1_000, ..mysql },
+            settings: Settings { classes, min_event_interval: 1_000, ..mysql },
             seed: 7,
             limits: Arc::new(limits),
             clock: Clock::new(),
--- a/routing/tests/placement/rules.rs
+++ b/routing/tests/placement/rules.rs
@@ -13,7 +13,7 @@
 fn retries_of_strict_tenant_stay_inside() {
     let core = Core::with(&four(), &[strict("t", &["a"])]);
     for (n, end) in
-        [Outcome::Reset, Outcome::Error, Outcome::Full, Outcome::ConnectFailed].into_iter().enumerate()
+        [Outcome::Reset, Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed].into_iter().enumerate()
     {
         // Whichever is asked first fails, and the request is retried at the other.
         core.script.with(addr(1), |e| e.outcomes = [end].into());
--- a/routing/tests/placement/script.rs
+++ b/routing/tests/placement/script.rs
@@ -1,7 +1,7 @@
 //! The core with placement rules on a protocol that records what each endpoint is asked; how it responds is set by the test.
 use crate::common::{self, Script, TIMEOUT, accepting_listener, addr};
 use crossbeam_channel::{Receiver, bounded};
-use decision::{Class, Effect, Freshness, GroupId, Outcome, Report, Settings, Time};
+use decision::{Class, Freshness, GroupId, Idempotency, MemberReport, Outcome, Settings, Time};
 use placement::News;
 use routing::{
     AttemptGuard, BackendProtocol, ClientRequest, Clock, Connection, Endpoint, EndpointUpdate,
@@ -81,8 +81,8 @@
     }
 }
 
-pub(crate) fn report(endpoint: &ScriptedEndpoint) -> Report {
-    Report { primary: Some(endpoint.primary), position: Some(Time(1)) }
+pub(crate) fn report(endpoint: &ScriptedEndpoint) -> MemberReport {
+    MemberReport { primary: Some(endpoint.primary), position: Some(Time(1)) }
 }
 
 impl Connection<ScriptedProtocol> for ScriptedConnection {
@@ -116,7 +116,8 @@
                 guard.mark_sent();
                 wait_while(script, addr, |e| e.paused.attempts);
                 let (outcome, response_report) = script.with(addr, |e| (e.outcomes.pop_front(), report(e)));
-                let missed = (*write && response_report.primary == Some(false)).then_some(Outcome::Miss);
+                let missed =
+                    (*write && response_report.primary == Some(false)).then_some(Outcome::NotEligible);
                 Ok(match outcome.or(missed) {
                     Some(outcome) => {
                         ExchangeResult { response_report, ..ExchangeResult::from_outcome(outcome) }
@@ -136,17 +137,24 @@
 }
 
 pub(crate) fn settings() -> Settings {
-    let class = |freshness, effect| {
-        let (aim, deadline) = (10_000_000, 10_000_000);
-        Class { freshness, effect, aim, deadline, worth: 1.0, late_worth: 1.0 }
+    let class = |freshness, idempotency| {
+        let (latency_objective, deadline) = (10_000_000, 10_000_000);
+        Class {
+            freshness,
+            idempotency,
+            latency_objective,
+            deadline,
+            priority_weight: 1.0,
+            late_weight_share: 1.0,
+        }
     };
     let classes = vec![
-        class(Freshness::Any, Effect::Safe),
-        class(Freshness::Write, Effect::Unsafe),
-        class(Freshness::Fresh, Effect::Safe),
+        class(Freshness::Any, Idempotency::Idempotent),
+        class(Freshness::Write, Idempotency::NotIdempotent),
+        class(Freshness::Latest, Idempotency::Idempotent),
     ];
     let mysql = settings::operator::read(include_str!("../../../deploy/mysql.toml")).unwrap().settings;
-    Settings { classes, round: 1_000, ..mysql }
+    Settings { classes, min_event_interval: 1_000, ..mysql }
 }
 
 pub(crate) fn endpoint(id: &str, port: u16, site: &str) -> Endpoint {
