--- a/routing/src/attempt_guard.rs
+++ b/routing/src/attempt_guard.rs
@@ -17,7 +17,7 @@
     cancelled: bool,
     /// A start that has not happened yet is forbidden; what has started goes on.
     start_forbidden: bool,
-    /// Incremented once, when the exchange has been written whole.
+    /// Incremented once, when the exchange has been completely written.
     sent_counter: Option<IntCounter>,
 }
 
--- a/routing/src/backends/backend.rs
+++ b/routing/src/backends/backend.rs
@@ -84,7 +84,7 @@
 
     /// Starts an exchange on an idle connection, or else on a new one.
     fn start(&mut self, task: Task<P>, guard: AttemptGuard) {
-        // The router actor may have decided on it before it heard that the endpoint drains or the client left.
+        // The router actor may have decided on it before it knew that the endpoint drains or the client left.
         if !guard.can_start() {
             return self.context.report_outcome(&task, Outcome::NeverSent);
         }
--- a/routing/src/backends/exchange.rs
+++ b/routing/src/backends/exchange.rs
@@ -77,7 +77,7 @@
     let since = if result.outcome == Outcome::NeverSent { last_response } else { Instant::now() };
     let can_carry_more = connection.is_some() && result.reusable;
     let connection = can_carry_more.then_some(IdleConnection { connection, since, permit });
-    // The backend hears of it first: the router actor's next attempt finds this connection idle.
+    // The backend is notified first: the router actor's next attempt finds this connection idle.
     let command = BackendCommand::ExchangeEnded { connection };
     _ = context.backends.send(AddressedCommand { backend: context.id, command });
     context.report(&task, result);
@@ -102,16 +102,8 @@
 ) -> ExchangeResult<P::Response> {
     loop {
         let pooled = connection.as_mut().is_some_and(|c| c.is_usable(last_response.elapsed()));
-        if !pooled {
-            // Its descriptor is free before another is opened.
-            *connection = None;
-            if !guard.can_start() {
-                return ExchangeResult::from_outcome(Outcome::NeverSent);
-            }
-            *connection = match connect(context) {
-                Ok(opened) => Some(opened),
-                Err(outcome) => return ExchangeResult::from_outcome(outcome),
-            };
+        if !pooled && let Err(outcome) = reconnect(context, connection, guard) {
+            return ExchangeResult::from_outcome(outcome);
         }
         let Some(current) = connection.as_mut() else {
             return ExchangeResult::from_outcome(Outcome::ConnectFailed);
@@ -136,6 +128,21 @@
     }
 }
 
+/// Replaces a connection that is not usable by a new one.
+fn reconnect<P: BackendProtocol>(
+    context: &Context<P>,
+    connection: &mut Option<P::Connection>,
+    guard: &AttemptGuard,
+) -> Result<(), Outcome> {
+    // Its descriptor is free before another is opened.
+    *connection = None;
+    if !guard.can_start() {
+        return Err(Outcome::NeverSent);
+    }
+    *connection = Some(connect(context)?);
+    Ok(())
+}
+
 fn connect<P: BackendProtocol>(context: &Context<P>) -> Result<P::Connection, Outcome> {
     let started = Instant::now();
     let opened = context.resources.protocol.connect(context.addr);
--- a/routing/src/endpoint.rs
+++ b/routing/src/endpoint.rs
@@ -27,7 +27,7 @@
     pub started_at: Option<Time>,
 }
 
-/// An update of the endpoint list: the whole of it, or what has changed.
+/// An update of the endpoint list: all of it, or what has changed.
 #[derive(Clone, Debug)]
 pub struct EndpointUpdate {
     /// The list's version with this update applied.
--- a/routing/src/endpoint_state.rs
+++ b/routing/src/endpoint_state.rs
@@ -21,7 +21,7 @@
         self.0.out_of_service.swap(!in_service, Ordering::AcqRel) == in_service
     }
 
-    /// Marks the endpoint as removed from the router actor, for good.
+    /// Marks the endpoint as permanently removed from the router actor.
     pub fn retire(&self) {
         self.0.retired.store(true, Ordering::Release);
     }
--- a/routing/src/metrics.rs
+++ b/routing/src/metrics.rs
@@ -16,7 +16,7 @@
     pub rejected: IntCounter,
     /// Requests that failed, were cancelled or finished after their deadline; rendered as `errored`.
     pub failed: IntCounter,
-    /// Attempts written whole to an endpoint; rendered as `sends`.
+    /// Attempts completely written to an endpoint; rendered as `sends`.
     pub attempts_sent: IntCounter,
 }
 
--- a/routing/src/protocol.rs
+++ b/routing/src/protocol.rs
@@ -71,12 +71,12 @@
     /// or returns `false`.
     fn is_usable(&mut self, idle_for: Duration) -> bool;
 
-    /// Carries one exchange to its end. [`AttemptGuard::try_start`] has to be asked right before the first byte, also
+    /// Carries one exchange to its end. [`AttemptGuard::try_start`] has to be called right before the first byte, also
     /// of a preparatory message and of anything written after a response; [`AttemptGuard::mark_sent`] has to be called
     /// right after the last byte.
     ///
     /// # Errors
-    /// The exchange was not written whole, so it never ran.
+    /// The exchange was not completely written, so it never ran.
     fn execute(
         &mut self,
         exchange: Exchange<'_, P>,
@@ -84,7 +84,7 @@
     ) -> Result<ExchangeResult<P::Response>, NotSent>;
 }
 
-/// Why an exchange was not written whole. It never ran.
+/// Why an exchange was not completely written. It never ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotSent {
     /// The connection broke before the last byte was written.
--- a/routing/src/router/attempts.rs
+++ b/routing/src/router/attempts.rs
@@ -114,12 +114,8 @@
         }
         let now = self.clock.now();
         let Some(record) = self.requests.get_mut(&request) else { return };
-        record.last_outcome = Some(outcome);
-        if let Some(placed) = &mut record.placed {
-            placed.attempt_ended(outcome);
-        }
-        let committed = record.is_write && outcome == Outcome::Ok;
-        let commit = if committed { commit.or(response_report.position.take()) } else { None };
+        record.attempt_ended(outcome);
+        let commit = record.commit(outcome, commit, &mut response_report);
         if let Some(response) = response {
             record.respond(FinalResponse::Served(response, commit), now, self.metrics.as_deref());
         }
--- a/routing/src/router/request_record.rs
+++ b/routing/src/router/request_record.rs
@@ -5,7 +5,7 @@
 use crate::protocol::BackendProtocol;
 use crate::request::FinalResponse;
 use crossbeam_channel::Sender;
-use decision::{MemberId, Outcome, Time};
+use decision::{MemberId, MemberReport, Outcome, Time};
 use std::sync::Arc;
 
 /// An attempt under way.
@@ -37,6 +37,29 @@
         self.response_sender.is_some()
     }
 
+    /// One of its attempts has ended like this.
+    pub(super) fn attempt_ended(&mut self, outcome: Outcome) {
+        self.last_outcome = Some(outcome);
+        if let Some(placed) = &mut self.placed {
+            placed.attempt_ended(outcome);
+        }
+    }
+
+    /// When it was committed, if it is a write that was. A position in the response's report is then the commit's, and
+    /// is taken out of the report: it says nothing more of the endpoint.
+    pub(super) fn commit(
+        &self,
+        outcome: Outcome,
+        stated: Option<Time>,
+        response_report: &mut MemberReport,
+    ) -> Option<Time> {
+        if !self.is_write || outcome != Outcome::Ok {
+            return None;
+        }
+        let position = response_report.position.take();
+        stated.or(position)
+    }
+
     /// Gives the final response and counts the request, unless that was done before. A request whose client no longer
     /// waits has failed, whatever the response.
     pub(super) fn respond(
--- a/routing/src/router/requests.rs
+++ b/routing/src/router/requests.rs
@@ -3,6 +3,7 @@
 use super::request_record::RequestRecord;
 use crate::protocol::BackendProtocol;
 use crate::request::{ClientRequest, FinalResponse};
+use crossbeam_channel::Sender;
 use decision::{Event, Request, RequestId};
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,17 +22,7 @@
         } = arrived;
         let mut request = Request { id, class, tenant: 0, session, group, deadline, session_commit };
         let placed = self.place(tenant, &request);
-        let mut record = RequestRecord {
-            payload: Arc::new(payload),
-            class,
-            deadline,
-            is_write: self.classes.get(class).is_none_or(|rules| rules.is_write),
-            response_sender: Some(response_sender),
-            attempt_count: 0,
-            in_flight: Vec::new(),
-            last_outcome: None,
-            placed: None,
-        };
+        let mut record = self.new_record(&request, payload, response_sender);
         if let Some(metrics) = &self.metrics {
             metrics.requests_in_progress.inc();
         }
@@ -53,6 +44,25 @@
         self.decide(Event::RequestArrived(request));
     }
 
+    fn new_record(
+        &self,
+        request: &Request,
+        payload: P::Payload,
+        response_sender: Sender<FinalResponse<P::Response>>,
+    ) -> RequestRecord<P> {
+        RequestRecord {
+            payload: Arc::new(payload),
+            class: request.class,
+            deadline: request.deadline,
+            is_write: self.classes.get(request.class).is_none_or(|rules| rules.is_write),
+            response_sender: Some(response_sender),
+            attempt_count: 0,
+            in_flight: Vec::new(),
+            last_outcome: None,
+            placed: None,
+        }
+    }
+
     pub(super) fn client_disconnected(&mut self, id: RequestId) {
         let Some(record) = self.requests.get_mut(&id) else { return };
         if record.response_sender.take().is_none() {
--- a/routing/src/socket.rs
+++ b/routing/src/socket.rs
@@ -27,7 +27,7 @@
     SockRef::from(socket).recv_with_flags(&mut [MaybeUninit::uninit()], flags)
 }
 
-/// Reads from a socket until a deadline: a peer that sends a byte now and then must not occupy a thread for good.
+/// Reads from a socket until a deadline: a peer that sends a byte now and then must not occupy a thread indefinitely.
 pub struct DeadlineReader<'a> {
     socket: &'a TcpStream,
     deadline: Instant,
--- a/routing/tests/handover/mailbox.rs
+++ b/routing/tests/handover/mailbox.rs
@@ -50,7 +50,7 @@
         core.script.resume(addr(3), Pause::Start);
         core.script.wait_until(addr(3), |e| e.cancelled == 1 || e.written == 2);
         assert_eq!(core.script.written(addr(3)), 1, "event {event} was lost");
-        // And no actor waits for another for good.
+        // And no actor waits for another forever.
         core.script.resume(addr(1), Pause::Close);
         assert_eq!(core.submit(2, IDEMPOTENT).served_by(), addr(4));
         core.list(&[a, endpoint("e", 6, 1), d]);
--- a/routing/tests/handover/script.rs
+++ b/routing/tests/handover/script.rs
@@ -48,7 +48,7 @@
     pub(crate) write_failures: usize,
     /// This many attempts make the protocol panic.
     pub(crate) panics: usize,
-    /// How attempts written whole end; after that they are served.
+    /// How completely written attempts end; after that they are served.
     pub(crate) outcomes: VecDeque<Outcome>,
     /// How long the last connection that was looked at had been idle.
     pub(crate) idle_for: Duration,
@@ -56,7 +56,7 @@
     pub(crate) probes: usize,
     /// Attempts that were not allowed to start,
     pub(crate) cancelled: usize,
-    /// and such that were written whole.
+    /// and such that were completely written.
     pub(crate) written: usize,
 }
 
--- a/routing/tests/placement/rules.rs
+++ b/routing/tests/placement/rules.rs
@@ -61,7 +61,7 @@
     let served = loop {
         match core.request("t", WRITE) {
             FinalResponse::Served(at, _) => break at,
-            _ => assert!(started.elapsed() < TIMEOUT, "denied for good"),
+            _ => assert!(started.elapsed() < TIMEOUT, "still denied"),
         }
     };
     assert_eq!(served, addr(2));
--- a/routing/tests/placement/script.rs
+++ b/routing/tests/placement/script.rs
@@ -210,7 +210,7 @@
         Core { script, handle, endpoints, version: 0 }
     }
 
-    /// With endpoints, of which the first is the primary, and rules that are confirmed for good.
+    /// With endpoints, of which the first is the primary, and rules that are confirmed for the duration of the test.
     pub(crate) fn with(endpoints: &[Endpoint], rules: &[Rule<'_>]) -> Core {
         let mut core = Core::start(DEFAULT_HOLD_MICROS);
         core.script.with(endpoints[0].addr, |e| e.primary = true);
