--- /dev/null
+++ b/routing/src/probe_spacing/tests.rs
@@ -0,0 +1,177 @@
+//! The spacing alone, and with the real decisions in simulated time.
+use super::{ProbeSpacing, ProbeTiming};
+use decision::{
+    Action, Event, GroupId, MemberEntry, MemberId, MemberReport, Micros, Outcome, Request, RequestId, Router,
+    Settings, Time,
+};
+
+const MEMBER: MemberId = MemberId(1);
+
+fn settings() -> Settings {
+    let class = decision::Class {
+        freshness: decision::Freshness::Bounded(1000),
+        idempotency: decision::Idempotency::Idempotent,
+        latency_objective: 1_000_000,
+        deadline: 2_000_000,
+        priority_weight: 1.0,
+        late_weight_share: 0.5,
+    };
+    Settings {
+        classes: vec![class],
+        tenant_rates: vec![],
+        over_quota_weight: 1.0,
+        router_count: 1,
+        zone: 0,
+        min_event_interval: 5000,
+        lagging_replica: decision::LaggingReplica::AnswersStale,
+        session_commit_source: decision::SessionCommitSource::CarriedByRequest,
+        hedging_allowed: true,
+        max_attempts: 6,
+        cancel_allowed: true,
+        probing_allowed: true,
+        probe_cost: 0.0,
+        max_retry_after: None,
+        connect_timeout: 250_000,
+        drain_grace: 500_000,
+        missing_members_may_serve: false,
+        slow_start_initial_share: 0.3,
+        slow_start_duration: 10_000_000,
+        overload_factor: 3.0,
+        overload_duration: 3_000_000,
+        list_requires_subscription: false,
+    }
+}
+
+const START: i64 = 1_000_000_000;
+/// A probe ends this long after it is sent.
+const PROBE_DURATION: Micros = 2_000;
+
+/// One process with the real decisions, and the probe that it has under way.
+struct Process {
+    decisions: Router,
+    spacing: ProbeSpacing,
+    sent_at: Option<Time>,
+    /// How many probes have ended.
+    ended: u32,
+    /// For how long altogether probes waited for the process's turn.
+    delay: Micros,
+}
+
+impl Process {
+    fn new(process_count: u32) -> Process {
+        let settings = settings();
+        let mut spacing = ProbeSpacing::new(&settings);
+        spacing.set_process_count(process_count);
+        let mut decisions = Router::new(settings, 7);
+        let member = MemberEntry {
+            id: MEMBER,
+            group: GroupId(0),
+            zone: 0,
+            state: decision::MemberState::Ready,
+            listed_primary: false,
+            weight: 1.0,
+            started_at: None,
+        };
+        let event = Event::MemberListChanged { complete: true, entries: vec![member] };
+        decisions.handle(Time(START), event, &mut Vec::new());
+        Process { decisions, spacing, sent_at: None, ended: 0, delay: 0 }
+    }
+
+    /// Ends the probe under way when its time has come.
+    fn end_probe(&mut self, now: Time, reports: bool, actions: &mut Vec<Action>) {
+        if self.sent_at.is_none_or(|sent| sent.0 + PROBE_DURATION > now.0) {
+            return;
+        }
+        self.sent_at = None;
+        self.ended += 1;
+        // A member that is always a little too far behind, or one that reports nothing.
+        let position = Time(now.0 - 2000);
+        let report =
+            MemberReport { primary: reports.then_some(false), position: reports.then_some(position) };
+        self.spacing.probe_ended(MEMBER, report);
+        let event = Event::ProbeEnded { member: MEMBER, outcome: Outcome::Ok, report };
+        self.decisions.handle(now, event, actions);
+    }
+
+    /// A client asks for a read and leaves again.
+    fn request(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
+        let request = Request {
+            id,
+            class: 0,
+            tenant: 0,
+            session: None,
+            group: GroupId(0),
+            deadline: Time(now.0 + 2_000_000),
+            session_commit: None,
+        };
+        self.decisions.handle(now, Event::RequestArrived(request), actions);
+        self.decisions.handle(now, Event::ClientDisconnected { request: id }, actions);
+    }
+
+    fn probe(&mut self, now: Time, member: MemberId) {
+        assert!(self.sent_at.is_none(), "one at a time");
+        match self.spacing.schedule(member, now) {
+            ProbeTiming::Now => self.sent_at = Some(now),
+            ProbeTiming::At(at) => {
+                self.sent_at = Some(at);
+                self.delay += at.0 - now.0;
+            }
+            ProbeTiming::Cached(report) => {
+                let event = Event::ProbeEnded { member, outcome: Outcome::Ok, report };
+                self.decisions.handle(now, event, &mut Vec::new());
+            }
+        }
+    }
+}
+
+/// Reads without a pause for 20 s of simulated time at one of `process_count` processes: how often it has the member
+/// probed, and for how long altogether probes waited.
+fn probes(process_count: u32, reports: bool) -> (u32, Micros) {
+    let (mut process, mut actions) = (Process::new(process_count), Vec::new());
+    for n in 0..20_000 {
+        let now = Time(START + 1000 * n);
+        process.end_probe(now, reports, &mut actions);
+        process.request(now, RequestId(n as u64), &mut actions);
+        for action in actions.drain(..) {
+            if let Action::Probe { member } = action {
+                process.probe(now, member);
+            }
+        }
+    }
+    (process.ended, process.delay)
+}
+
+#[test]
+fn several_processes_probe_no_more_often_than_one() {
+    for reports in [true, false] {
+        let (alone, delay) = probes(1, reports);
+        assert!(delay == 0 && alone >= 20, "one process is as it was: {alone}, {delay}");
+        for process_count in [2, 3] {
+            let (each, delay) = probes(process_count, reports);
+            // The first probe of each is its own.
+            let all = process_count * each;
+            assert!(all <= alone + process_count, "{process_count} x {each}, {alone} alone");
+            assert!(process_count * (each + 2) * 5 >= alone * 4, "about its share: {each} of {alone}");
+            assert_eq!(delay == 0, reports, "a recent report is not waited for");
+        }
+    }
+}
+
+#[test]
+fn failed_attempt_invalidates_cached_report() {
+    let mut spacing = ProbeSpacing::new(&settings());
+    spacing.set_process_count(2);
+    let report = MemberReport { primary: Some(true), position: Some(Time(5)) };
+    assert_eq!(spacing.schedule(MEMBER, Time(0)), ProbeTiming::Now);
+    spacing.probe_ended(MEMBER, report);
+    assert_eq!(spacing.schedule(MEMBER, Time(100_000)), ProbeTiming::Cached(report));
+    spacing.attempt_failed(MEMBER);
+    assert_eq!(spacing.schedule(MEMBER, Time(150_000)), ProbeTiming::At(Time(200_000)));
+    // It failed while the probe was under way: the report may be from before.
+    spacing.attempt_failed(MEMBER);
+    spacing.probe_ended(MEMBER, report);
+    assert_eq!(spacing.schedule(MEMBER, Time(210_000)), ProbeTiming::At(Time(400_000)));
+    spacing.set_process_count(1);
+    spacing.probe_ended(MEMBER, report);
+    assert_eq!(spacing.schedule(MEMBER, Time(410_000)), ProbeTiming::Now);
+}
