--- /dev/null
+++ b/audit/tests/audit/recorded_run.rs
@@ -0,0 +1,270 @@
+//! A recorded run: seeded events in, what the leader's side and the routers' own fences say out, compared with what was
+//! recorded before any name of this package changed. One run is readable, many more are kept as hashes.
+use crate::encoding::to_json;
+use audit::{Action, Batch, Event, Guard, Ledger, News, SLOTS, Settings, Stamp, Why};
+use decision::{Micros, Time};
+use settings::fleet::Audit;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use std::fs;
+use std::path::Path;
+
+const MS: Micros = 1000;
+const ROUTERS: usize = 6;
+const SILENCE: Micros = 2000 * MS;
+const ROUTER_LEASE: Micros = 1960 * MS;
+const READABLE_STEPS: u32 = 400;
+const HASHED_STEPS: u32 = 3000;
+const HASHED_SEEDS: u64 = 40;
+
+/// splitmix64
+struct Random(u64);
+
+impl Random {
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
+        let mut z = self.0;
+        z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+        z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+        (z ^ (z >> 31)) % bound
+    }
+
+    fn one_in(&mut self, bound: u64) -> bool {
+        self.below(bound) == 0
+    }
+
+    fn span(&mut self, bound_ms: u64) -> Micros {
+        self.below(bound_ms * 1000) as Micros
+    }
+}
+
+fn fnv1a(text: &str) -> u64 {
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
+    })
+}
+
+/// The report's numbers in their order.
+fn report_text(report: &Stamp) -> String {
+    let Stamp { age, fenced, routes, members, epoch } = report;
+    format!("{age}/{fenced}/{routes}/{members}/{epoch}")
+}
+
+fn answer_text(answer: &News) -> String {
+    match answer {
+        News::Off => "none".into(),
+        News::Welcome { epoch } => format!("continue {epoch}"),
+        News::Refetch { epoch } => format!("refetch {epoch}"),
+        News::ShutOut { epoch } => format!("fence-out {epoch}"),
+    }
+}
+
+struct Router {
+    fence: Guard,
+    version: u64,
+    incarnation: u64,
+    /// It can't fetch the current version.
+    is_stuck: bool,
+}
+
+impl Router {
+    fn new(incarnation: u64) -> Router {
+        Router { fence: Guard::new(ROUTER_LEASE), version: 0, incarnation, is_stuck: false }
+    }
+}
+
+/// A leader, its store and the routers that report to it.
+struct Run {
+    random: Random,
+    now: Micros,
+    tracker: Ledger,
+    term: u64,
+    current: u64,
+    stored: BTreeMap<u64, Batch>,
+    unfinished: Vec<Batch>,
+    routers: Vec<Router>,
+    lines: String,
+    last_fences: String,
+}
+
+impl Run {
+    fn new(seed: u64) -> Run {
+        let tracker = Ledger::new(Settings::new(&Audit::default(), SILENCE, seed));
+        Run {
+            random: Random(seed),
+            now: 0,
+            tracker,
+            term: 0,
+            current: 5,
+            stored: BTreeMap::new(),
+            unfinished: Vec::new(),
+            routers: (0..ROUTERS).map(|_| Router::new(1)).collect(),
+            lines: String::new(),
+            last_fences: String::new(),
+        }
+    }
+
+    fn line(&mut self, text: &str) {
+        writeln!(self.lines, "{} {text}", self.now).unwrap();
+    }
+
+    fn handle(&mut self, event: Event) -> News {
+        let mut actions = Vec::new();
+        self.tracker.handle(Time(self.now), event, &mut actions);
+        let mut answer = News::Off;
+        for action in actions {
+            match action {
+                Action::Tell { router, news } => {
+                    self.line(&format!("  reply {router} {}", answer_text(&news)));
+                    answer = news;
+                }
+                Action::Record(entry) => self.line(&format!("  entry {}", to_json(&entry))),
+                Action::Write(batch) => {
+                    let hash = fnv1a(&to_json(&batch));
+                    let count = batch.entries.len();
+                    self.line(&format!(
+                        "  write {} of term {}, {count} entries, {hash:016x}",
+                        batch.seq, batch.term
+                    ));
+                    self.unfinished.push(batch);
+                }
+            }
+        }
+        answer
+    }
+
+    fn lead(&mut self) {
+        self.term += 1 + self.random.below(2);
+        let batches: Vec<Batch> = self.stored.values().cloned().collect();
+        self.line(&format!("term {} begins with {} batches", self.term, batches.len()));
+        self.unfinished.clear();
+        self.handle(Event::Began { term: self.term, kept: batches });
+        self.handle(Event::Current { version: self.current });
+    }
+
+    fn set_version(&mut self) {
+        self.current += 1 + self.random.below(3);
+        self.line(&format!("version {} is set", self.current));
+        for router in &mut self.routers {
+            router.is_stuck = self.random.one_in(3);
+        }
+        self.handle(Event::Current { version: self.current });
+    }
+
+    fn finish_write(&mut self) {
+        if self.unfinished.is_empty() {
+            return;
+        }
+        let batch = self.unfinished.remove(0);
+        let (seq, made) = (batch.seq, !self.random.one_in(4));
+        self.line(&format!("write {seq} ends, {made}"));
+        if made {
+            self.stored.insert(seq % SLOTS, batch);
+        }
+        self.handle(Event::Written { seq, made });
+    }
+
+    fn report(&mut self, i: usize, leaving: bool) {
+        let sent = Time(self.now);
+        let router = &self.routers[i];
+        let (report, version) = (router.fence.stamp(sent, 3), router.version);
+        // Now and then an earlier process of the same name still reports.
+        let stale = self.random.one_in(40);
+        let start = router.incarnation - u64::from(stale);
+        self.now += self.random.span(60);
+        self.line(&format!(
+            "router {i} reports {version} of start {start} {} leaving {leaving}",
+            report_text(&report)
+        ));
+        let event = Event::Seen { router: format!("router-{i}"), start, version, stamp: report, leaving };
+        let answer = self.handle(event);
+        // Answers are lost now and then, and late ones too.
+        if stale || self.random.one_in(6) {
+            return;
+        }
+        let longest_ms = if self.random.one_in(30) { 2500 } else { 20 };
+        self.now += self.random.span(longest_ms);
+        let router = &mut self.routers[i];
+        let changed = router.fence.answered(Time(self.now), sent, version, self.current, answer);
+        if version != self.current && !router.is_stuck && !self.random.one_in(3) {
+            router.version = self.current;
+            router.fence.took(Time(self.now), self.current);
+        }
+        self.line(&format!("  answer changes the fence: {changed}"));
+    }
+
+    fn restart(&mut self, i: usize) {
+        let incarnation = self.routers[i].incarnation + 1;
+        self.line(&format!("router {i} starts again"));
+        self.routers[i] = Router::new(incarnation);
+    }
+
+    fn check_fences(&mut self) {
+        let mut text = String::from("  routing by");
+        for router in &mut self.routers {
+            let found = match router.fence.check(Time(self.now)) {
+                Ok(version) => version.to_string(),
+                Err(fenced) => {
+                    let reason = match fenced.why {
+                        Why::Lease => "lease",
+                        Why::ShutOut => "shutout",
+                    };
+                    format!("{reason}/{}/{}/{}", fenced.version, fenced.epoch, fenced.at.0)
+                }
+            };
+            let until = router.fence.until().0;
+            write!(text, " {found}@{}", until.max(-1)).unwrap();
+        }
+        if text != self.last_fences {
+            self.line(&text);
+            self.last_fences = text;
+        }
+    }
+
+    fn step(&mut self) {
+        self.now += self.random.span(60);
+        let i = self.random.below(ROUTERS as u64) as usize;
+        match self.random.below(24) {
+            0 if self.random.one_in(4) => self.set_version(),
+            1 if self.random.one_in(4) => self.now += self.random.span(2500),
+            2..=5 => {
+                self.line("tick");
+                self.handle(Event::Tick);
+            }
+            6..=8 => self.finish_write(),
+            9 if self.random.one_in(4) => self.lead(),
+            10 if self.random.one_in(4) => self.restart(i),
+            11 if self.random.one_in(4) => self.report(i, true),
+            _ => self.report(i, false),
+        }
+        self.check_fences();
+    }
+}
+
+fn record(seed: u64, steps: u32) -> String {
+    let mut run = Run::new(seed);
+    run.lead();
+    (0..steps).for_each(|_| run.step());
+    run.lines
+}
+
+/// Fails with the place of the new text where it is not the recorded one.
+fn compare(name: &str, recorded: &str, found: &str) {
+    if recorded != found {
+        let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", env!("CARGO_PKG_NAME")));
+        fs::write(&path, found).unwrap();
+        panic!("the run is not the recorded one: compare tests/fixtures/{name} with {}", path.display());
+    }
+}
+
+#[test]
+fn readable_run_is_as_recorded() {
+    compare("run.txt", include_str!("../fixtures/run.txt"), &record(1, READABLE_STEPS));
+}
+
+#[test]
+fn hashed_runs_are_as_recorded() {
+    let hash = |seed| format!("{seed} {:016x}\n", fnv1a(&record(seed, HASHED_STEPS)));
+    let found: String = (0..HASHED_SEEDS).map(hash).collect();
+    compare("run-hashes.txt", include_str!("../fixtures/run-hashes.txt"), &found);
+}
--- /dev/null
+++ b/releases/tests/recorded_run.rs
@@ -0,0 +1,365 @@
+//! A recorded run: seeded events in, the actions and the stored state out, compared with what was recorded before any
+//! name of this package changed. One run is readable, many more are kept as hashes, and so are whole played releases.
+#[path = "../examples/fleet/sim.rs"]
+mod sim;
+
+use decision::{Micros, Time};
+use releases::{
+    Action, Budget, Event, Figures, Halt, Kind, Ledger, LedgerAction, LedgerEvent, Limit, Members, Refusal,
+    Release, Version,
+};
+use serde::Serialize;
+use sim::{Case, SECOND, World, good, limits, plan, settings, target, unit};
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use std::fs;
+use std::path::Path;
+
+const ROUTERS: u64 = 9;
+const ZONES: u64 = 3;
+const OWNERS: [&str; 2] = ["anna", "ben"];
+const READABLE_STEPS: u32 = 500;
+const HASHED_STEPS: u32 = 1000;
+const HASHED_SEEDS: u64 = 24;
+const PLAYED_SEEDS: u64 = 8;
+
+/// splitmix64
+struct Random(u64);
+
+impl Random {
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
+        let mut z = self.0;
+        z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+        z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+        (z ^ (z >> 31)) % bound
+    }
+
+    fn one_in(&mut self, bound: u64) -> bool {
+        self.below(bound) == 0
+    }
+
+    fn span(&mut self, bound: Micros) -> Micros {
+        self.below(bound as u64) as Micros
+    }
+
+    fn router(&mut self) -> String {
+        format!("r{}", self.below(ROUTERS))
+    }
+}
+
+fn fnv1a(text: &str) -> u64 {
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
+    })
+}
+
+fn json(value: &impl Serialize) -> String {
+    serde_json::to_string(value).unwrap()
+}
+
+fn hash_of(value: &impl Serialize) -> String {
+    format!("{:016x}", fnv1a(&json(value)))
+}
+
+fn refusal(reason: &Refusal) -> String {
+    match reason {
+        Refusal::Unknown(name) => format!("unknown {name}"),
+        Refusal::Held { unit, owner } => format!("{unit} held by {owner}"),
+        Refusal::Zone { zone, out, most } => format!("zone {zone} {out}/{most}"),
+        Refusal::All { out, most } => format!("fleet {out}/{most}"),
+    }
+}
+
+fn budget(all: u32, zone: u32) -> Budget {
+    let limits = limits(Limit::Count(all), Limit::Percent(zone));
+    Budget { routers: limits, instances: limits }
+}
+
+fn members(random: &mut Random) -> Members {
+    let mut members = Members::new();
+    for i in 0..ROUTERS {
+        if !random.one_in(12) {
+            members.insert(unit(Kind::Router, &format!("r{i}")), format!("z{}", i % ZONES));
+        }
+    }
+    members.insert(unit(Kind::Instance, "i0"), "z0".into());
+    members
+}
+
+/// A budget ledger under random events.
+fn record_ledger(seed: u64, steps: u32) -> String {
+    let mut random = Random(seed);
+    let mut members_now = members(&mut random);
+    let mut ledger = Ledger::new(budget(3, 50), 20 * SECOND, members_now.clone());
+    let (mut now, mut lines) = (0, String::new());
+    for ask in 0..u64::from(steps) {
+        now += random.span(2 * SECOND);
+        let router = unit(Kind::Router, &random.router());
+        let unit = if random.one_in(10) { unit(Kind::Instance, "i0") } else { router };
+        let number =
+            ledger.slots().map(|slot| slot.number).max().unwrap_or(0).saturating_sub(random.below(4));
+        let event = match random.below(12) {
+            0 => {
+                members_now = members(&mut random);
+                LedgerEvent::Members(members_now.clone())
+            }
+            1 => LedgerEvent::Budget(budget(1 + random.below(4) as u32, 10 + random.below(90) as u32)),
+            2..=6 => {
+                let owner = OWNERS[random.below(2) as usize].into();
+                LedgerEvent::Take { owner, unit, ask }
+            }
+            7 | 8 => LedgerEvent::Renew { unit, number },
+            9 | 10 => LedgerEvent::Return { unit, number },
+            _ => LedgerEvent::Tick,
+        };
+        let mut actions = Vec::new();
+        ledger.handle(Time(now), event, &mut actions);
+        for action in actions {
+            let text = match action {
+                LedgerAction::Record => "record".into(),
+                LedgerAction::Granted { owner, unit, ask, number } => {
+                    format!("grant {number} to {owner} for {}, request {ask}", unit.name)
+                }
+                LedgerAction::Refused { owner, unit, ask, why } => {
+                    format!("refuse {owner} {}, request {ask}: {}", unit.name, refusal(&why))
+                }
+                LedgerAction::Lost(slot) => format!("expired {}", json(&slot)),
+            };
+            writeln!(lines, "{now} {text}").unwrap();
+        }
+        writeln!(lines, "{now} state {}", hash_of(&ledger.kept())).unwrap();
+        if random.one_in(60) {
+            ledger = Ledger::rebuild(ledger.kept(), members_now.clone(), Time(now)).unwrap();
+            writeln!(lines, "{now} rebuilt").unwrap();
+        }
+    }
+    lines
+}
+
+/// A release under random events, with the requests that it has open.
+struct ReleaseRun {
+    random: Random,
+    now: Micros,
+    release: Release,
+    open: Vec<(String, u64)>,
+    next_slot: u64,
+    /// Updates that no router has answered.
+    updating: Vec<(String, Version)>,
+    lines: String,
+    last_state: String,
+}
+
+impl ReleaseRun {
+    fn new(seed: u64) -> ReleaseRun {
+        let routers: BTreeMap<String, String> =
+            (0..ROUTERS).map(|i| (format!("r{i}"), format!("z{}", i % ZONES))).collect();
+        let mut settings = settings();
+        settings.spare = (seed % 3) as u32;
+        let release = Release::begin(plan(&routers), settings).unwrap();
+        ReleaseRun {
+            random: Random(seed),
+            now: 0,
+            release,
+            open: Vec::new(),
+            next_slot: 1,
+            updating: Vec::new(),
+            lines: String::new(),
+            last_state: String::new(),
+        }
+    }
+
+    fn line(&mut self, text: &str) {
+        writeln!(self.lines, "{} {text}", self.now).unwrap();
+    }
+
+    fn halt_text(reason: &Halt) -> String {
+        match reason {
+            Halt::Operator => "operator".into(),
+            Halt::Worse(names) => format!("worse {names:?}"),
+            Halt::Unwell(names) => format!("unwell {names:?}"),
+            Halt::Lost(names) => format!("lost {names:?}"),
+        }
+    }
+
+    fn act(&mut self, actions: Vec<Action>) {
+        for action in actions {
+            let text = match action {
+                Action::Record => format!("record {}", hash_of(self.release.kept())),
+                Action::Take { router, ask } => {
+                    let text = format!("ask {ask} for {router}");
+                    self.open.push((router, ask));
+                    text
+                }
+                Action::Move { router, version, slot, within } => {
+                    self.updating.push((router.clone(), version.clone()));
+                    format!("move {router} to {version} by slot {slot} within {within}")
+                }
+                Action::Return { router, slot } => format!("return {slot} of {router}"),
+                Action::Halt { reason } => format!("halt {}", Self::halt_text(&reason)),
+                Action::Done => "done".into(),
+                Action::Undone => "undone".into(),
+            };
+            self.line(&text);
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.release.handle(Time(self.now), event, &mut actions);
+        self.act(actions);
+    }
+
+    fn answer(&mut self) -> Event {
+        let Some(last) = self.open.len().checked_sub(1) else { return Event::Tick };
+        let i = last - (self.random.below(3) as usize).min(last);
+        // An answer may come twice.
+        let (router, ask) =
+            if self.random.one_in(5) { self.open[i].clone() } else { self.open.swap_remove(i) };
+        if self.random.one_in(10) {
+            let why = match self.random.below(6) {
+                0 => Refusal::Unknown(router.clone()),
+                1 => Refusal::Held { unit: router.clone(), owner: "ben".into() },
+                _ => Refusal::All { out: 3, most: 3 },
+            };
+            return Event::Refused { router, ask, why };
+        }
+        self.next_slot += 1;
+        Event::Granted { router, ask, slot: self.next_slot }
+    }
+
+    /// A router is back: one of those told to update, or now and then another.
+    fn updated(&mut self) -> Event {
+        if self.updating.is_empty() || self.random.one_in(12) {
+            let version = if self.random.one_in(2) { good() } else { target() };
+            return Event::Moved { router: self.random.router(), version };
+        }
+        let i = self.random.below(self.updating.len() as u64) as usize;
+        let (router, version) = self.updating.swap_remove(i);
+        Event::Moved { router, version }
+    }
+
+    /// Figures of every router; those at the target are worse now and then.
+    fn figures(&mut self) {
+        let bad = self.random.one_in(25);
+        for i in 0..ROUTERS {
+            let requests = 100 + self.random.below(200);
+            let errors = if bad && i < 4 { requests / 4 } else { self.random.below(2) };
+            let figures = Figures { requests, errors, latency: requests * (900 + self.random.below(200)) };
+            self.handle(Event::Figures { router: format!("r{i}"), figures });
+        }
+    }
+
+    fn step(&mut self) {
+        let longest = if self.random.one_in(40) { 40 * SECOND } else { 2 * SECOND };
+        self.now += self.random.span(longest);
+        match self.random.below(160) {
+            0..=19 => self.figures(),
+            20..=69 => {
+                let event = self.answer();
+                self.handle(event);
+            }
+            70..=119 => {
+                let event = self.updated();
+                self.handle(event);
+            }
+            120 => self.handle(Event::Halt),
+            121..=126 => self.handle(Event::Resume),
+            127 if self.random.one_in(2) => self.handle(Event::Undo),
+            128 | 129 => {
+                let mut actions = Vec::new();
+                self.release = Release::rebuild(self.release.kept().clone(), &mut actions).unwrap();
+                self.line("rebuilt");
+                self.act(actions);
+            }
+            _ => self.handle(Event::Tick),
+        }
+        let text = format!("state {} {}", hash_of(self.release.kept()), json(self.release.phase()));
+        if text != self.last_state {
+            self.line(&text);
+            self.last_state = text;
+        }
+    }
+}
+
+/// Releases one after the other: an ended one is followed by another.
+fn record_releases(seed: u64, steps: u32) -> String {
+    let mut run = ReleaseRun::new(seed);
+    for step in 0..steps {
+        run.step();
+        if matches!(json(run.release.phase()).as_str(), "\"Done\"" | "\"Undone\"") && run.random.one_in(8) {
+            run.release = ReleaseRun::new(seed + u64::from(step)).release;
+            run.open.clear();
+            run.line("another release");
+        }
+    }
+    run.lines
+}
+
+/// A fleet played with faults on all sides.
+fn play(seed: u64) -> String {
+    let case = Case {
+        dropped: 0.02,
+        doubled: 0.05,
+        driver_killed: 0.01,
+        leader_lost: 0.02,
+        cut: 0.01,
+        drains: 0.3,
+        budgets: 0.02,
+        never_back: if seed % 2 == 0 { 0.0 } else { 0.03 },
+        bad: (seed % 4 == 0).then_some((5, None, 0.2)),
+        undo_at: (seed % 4 == 1).then_some(60 * SECOND),
+        until: 1200 * SECOND,
+        ..Case::calm(seed)
+    };
+    let world = World::new(case).run();
+    let outcome = &world.outcome;
+    format!(
+        "{seed} {} {} ended {:?} grants {} refused {} expired {} halts {} out {}/{}\n",
+        hash_of(&world.kept),
+        hash_of(&world.ledger_kept),
+        outcome.ended,
+        outcome.grants,
+        outcome.refused,
+        outcome.lost_slots,
+        outcome.halts.len(),
+        outcome.most_out,
+        outcome.most_instances
+    )
+}
+
+/// Fails with the place of the new text where it is not the recorded one.
+fn compare(name: &str, recorded: &str, found: &str) {
+    if recorded != found {
+        let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", env!("CARGO_PKG_NAME")));
+        fs::write(&path, found).unwrap();
+        panic!("the run is not the recorded one: compare tests/fixtures/{name} with {}", path.display());
+    }
+}
+
+#[test]
+fn readable_ledger_run_is_as_recorded() {
+    compare("ledger-run.txt", include_str!("fixtures/ledger-run.txt"), &record_ledger(1, READABLE_STEPS));
+}
+
+#[test]
+fn readable_release_run_is_as_recorded() {
+    compare("release-run.txt", include_str!("fixtures/release-run.txt"), &record_releases(1, READABLE_STEPS));
+}
+
+#[test]
+fn hashed_runs_are_as_recorded() {
+    let mut found = String::new();
+    for seed in 0..HASHED_SEEDS {
+        let ledger = fnv1a(&record_ledger(seed, HASHED_STEPS));
+        let releases = fnv1a(&record_releases(seed, HASHED_STEPS));
+        writeln!(found, "{seed} {ledger:016x} {releases:016x}").unwrap();
+    }
+    compare("run-hashes.txt", include_str!("fixtures/run-hashes.txt"), &found);
+}
+
+#[test]
+fn played_fleets_end_as_recorded() {
+    let found: String = (0..PLAYED_SEEDS).map(play).collect();
+    compare("played.txt", include_str!("fixtures/played.txt"), &found);
+}
