--- /dev/null
+++ b/audit/src/settings.rs
@@ -0,0 +1,62 @@
+//! Limits and intervals of the [`VersionTracker`](crate::VersionTracker).
+use crate::RING_SLOTS;
+use ::settings::fleet::Audit;
+use decision::Micros;
+
+const MICROS_PER_MS: Micros = 1000;
+/// Longest time between two notifications of one router.
+const NOTIFICATION_INTERVAL: Micros = 300 * MICROS_PER_MS;
+/// A router that has been silent for an hour is forgotten.
+const FORGET_AFTER: Micros = 3_600_000 * MICROS_PER_MS;
+/// At most one batch a second is written while there is something to write.
+const MIN_WRITE_INTERVAL: Micros = 1000 * MICROS_PER_MS;
+/// An empty batch is written this often while there is nothing to write.
+const HEARTBEAT_INTERVAL: Micros = 5000 * MICROS_PER_MS;
+const MAX_PENDING_PER_ROUTER: usize = 8;
+
+/// Limits and intervals of the tracker; all times in microseconds.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Settings {
+    /// A router that has lagged for this long is notified to fetch the current document.
+    pub max_lag: Micros,
+    /// A router that lags by more versions than this is notified at once.
+    pub max_lag_versions: u32,
+    /// Notifications before a router that still lags is fenced out.
+    pub max_notifications: u32,
+    /// Longest time between two notifications; each interval is drawn from its half to its whole.
+    pub notification_interval: Micros,
+    /// A router without a report for this long is silent. At least the lease's time, so that the router has fenced
+    /// itself by then.
+    pub silence_timeout: Micros,
+    /// A silent router is forgotten after this time.
+    pub forget_after: Micros,
+    /// Shortest time between two writes of the record.
+    pub min_write_interval: Micros,
+    /// A batch is written this often even with no new entry, so that readers see that the audit is alive.
+    pub heartbeat_interval: Micros,
+    /// Entries of one router that wait for a write, at most.
+    pub max_pending_per_router: usize,
+    /// Batches that the store keeps.
+    pub ring_slots: u64,
+    /// Seed of the notification intervals' jitter.
+    pub jitter_seed: u64,
+}
+
+impl Settings {
+    /// Settings from the operator's `[fleet.audit]` table. `silence_timeout` is the lease's time in microseconds.
+    pub fn new(audit: &Audit, silence_timeout: Micros, jitter_seed: u64) -> Settings {
+        Settings {
+            max_lag: audit.lag_ms as Micros * MICROS_PER_MS,
+            max_lag_versions: audit.lag_versions,
+            max_notifications: audit.refetches,
+            notification_interval: NOTIFICATION_INTERVAL,
+            silence_timeout,
+            forget_after: FORGET_AFTER,
+            min_write_interval: MIN_WRITE_INTERVAL,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
+            max_pending_per_router: MAX_PENDING_PER_ROUTER,
+            ring_slots: RING_SLOTS,
+            jitter_seed,
+        }
+    }
+}
--- /dev/null
+++ b/audit/src/tracker.rs
@@ -0,0 +1,202 @@
+//! The leader's side: follows the version of every router of a fleet.
+mod epochs;
+mod history;
+mod jitter;
+mod recorder;
+mod report;
+mod router;
+
+use crate::{Batch, Directive, Entry, EntryKind, Settings, VersionReport};
+use decision::Time;
+use epochs::EpochSource;
+use history::VersionHistory;
+use jitter::Jitter;
+use recorder::Recorder;
+use report::ReportHandler;
+use router::{Phase, RouterState};
+use settings::fleet::Version;
+use std::collections::{BTreeMap, btree_map};
+
+/// Routers that are followed, at most.
+const MAX_ROUTERS: usize = settings::fleet::ROUTERS as usize;
+
+/// Input of the tracker.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Event {
+    /// This node has become leader.
+    LeadershipGained {
+        /// Its term.
+        term: u64,
+        /// The batches in the store.
+        batches: Vec<Batch>,
+    },
+    /// The current version. A version that is not later than the last one changes nothing.
+    CurrentVersion {
+        /// The version.
+        version: Version,
+    },
+    /// A router has reported.
+    ReportReceived {
+        /// Name of the router.
+        router: String,
+        /// Incarnation of its process.
+        incarnation: u64,
+        /// Version that it holds.
+        version: Version,
+        /// The rest of its report.
+        report: VersionReport,
+        /// Whether it shuts down gracefully and this is its last report.
+        leaving: bool,
+    },
+    /// A write of a batch has completed.
+    WriteCompleted {
+        /// Sequence number of the batch.
+        seq: u64,
+        /// Whether it is known to be committed.
+        committed: bool,
+    },
+    /// Time has passed.
+    Tick,
+}
+
+/// What the driver must do.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Action {
+    /// Send this with the answer to the report; one for each [`Event::ReportReceived`]. Grants of a router that is fenced
+    /// out must not be renewed.
+    Reply {
+        /// Name of the router.
+        router: String,
+        /// The directive for it.
+        directive: Directive,
+    },
+    /// Log this entry, which the record gets too.
+    LogEntry(Entry),
+    /// Write this batch into its slot of the store, and answer with [`Event::WriteCompleted`].
+    WriteBatch(Batch),
+}
+
+/// A router's report while it is handled.
+struct ReceivedReport {
+    incarnation: u64,
+    version: Version,
+    details: VersionReport,
+    leaving: bool,
+}
+
+/// Follows the version of every router of a fleet; see the [crate].
+#[derive(Clone, Debug)]
+pub struct VersionTracker {
+    settings: Settings,
+    history: VersionHistory,
+    routers: BTreeMap<String, RouterState>,
+    recorder: Recorder,
+    epochs: EpochSource,
+    jitter: Jitter,
+}
+
+impl VersionTracker {
+    /// A tracker on a node that does not lead yet.
+    pub fn new(settings: Settings) -> VersionTracker {
+        VersionTracker {
+            history: VersionHistory::default(),
+            routers: BTreeMap::new(),
+            recorder: Recorder::new(settings.max_pending_per_router),
+            epochs: EpochSource::default(),
+            jitter: Jitter::new(settings.jitter_seed),
+            settings,
+        }
+    }
+
+    /// Handles an event and appends what the driver must do.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::LeadershipGained { term, batches } => self.leadership_gained(now, term, batches),
+            Event::CurrentVersion { version } => self.current_version(now, version, actions),
+            Event::ReportReceived { router, incarnation, version, report, leaving } => {
+                let report = ReceivedReport { incarnation, version, details: report, leaving };
+                let directive = self.report_received(now, &router, &report, actions);
+                actions.push(Action::Reply { router, directive });
+            }
+            Event::WriteCompleted { seq, committed } => {
+                self.recorder.writer.write_completed(seq, committed, self.settings.ring_slots);
+            }
+            Event::Tick => self.tick(now, actions),
+        }
+    }
+
+    /// Starts a term with what the record says of each router. Each has a lease's time to report before it is silent.
+    fn leadership_gained(&mut self, now: Time, term: u64, batches: Vec<Batch>) {
+        self.history = VersionHistory::default();
+        self.epochs = EpochSource::new(term);
+        self.recorder.start_term(term, batches, self.settings.ring_slots);
+        self.routers.clear();
+        for entry in self.recorder.writer.latest_entries() {
+            if let Some(state) = RouterState::from_entry(now, &entry) {
+                self.routers.insert(entry.router, state);
+            }
+        }
+    }
+
+    fn current_version(&mut self, now: Time, version: Version, actions: &mut Vec<Action>) {
+        if self.history.push(version, now) {
+            self.recorder.record_current(now, version, actions);
+        }
+    }
+
+    fn report_received(
+        &mut self,
+        now: Time,
+        name: &str,
+        report: &ReceivedReport,
+        actions: &mut Vec<Action>,
+    ) -> Directive {
+        let is_full = self.routers.len() >= MAX_ROUTERS;
+        let router = match self.routers.entry(name.into()) {
+            btree_map::Entry::Occupied(known) => known.into_mut(),
+            // It could not be followed, so it must not serve.
+            btree_map::Entry::Vacant(_) if is_full => {
+                return Directive::FenceOut { epoch: report.details.epoch };
+            }
+            btree_map::Entry::Vacant(unknown) => unknown.insert(RouterState::first_seen(now, report)),
+        };
+        let mut handler = ReportHandler {
+            now,
+            name,
+            report,
+            router,
+            settings: &self.settings,
+            history: &self.history,
+            recorder: &mut self.recorder,
+            epochs: &mut self.epochs,
+            jitter: &mut self.jitter,
+            actions,
+        };
+        if handler.is_superseded() {
+            return Directive::FenceOut { epoch: handler.router.epoch };
+        }
+        if !report.leaving {
+            return handler.handle();
+        }
+        let epoch = handler.leave();
+        self.routers.remove(name);
+        Directive::Continue { epoch }
+    }
+
+    fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let silence_timeout = self.settings.silence_timeout;
+        for (name, router) in &mut self.routers {
+            let serving = matches!(router.phase, Phase::Acting | Phase::Notified { .. });
+            if serving && router.is_silent_for(silence_timeout, now) {
+                router.phase = Phase::Silent;
+                let last_report = router.last_report;
+                self.recorder.record(name, router, last_report, EntryKind::Silent, actions);
+            }
+        }
+        self.routers.retain(|_, router| !router.is_silent_for(self.settings.forget_after, now));
+        let is_live = |name: &str| name.is_empty() || self.routers.contains_key(name);
+        let term = self.recorder.term();
+        let batch = self.recorder.writer.next_batch(now, term, &self.settings, is_live);
+        actions.extend(batch.map(Action::WriteBatch));
+    }
+}
--- /dev/null
+++ b/audit/tests/audit/harness.rs
@@ -0,0 +1,89 @@
+//! A tracker under test, with what it has recorded and written.
+use audit::{Action, Batch, Directive, Entry, EntryKind, Event, Settings, VersionReport, VersionTracker};
+use decision::{Micros, Time};
+use settings::fleet::{Audit, Version};
+
+/// Microseconds.
+pub(crate) const MS: Micros = 1000;
+/// A router without a report for this long is silent.
+pub(crate) const SILENCE_TIMEOUT: Micros = 2000 * MS;
+/// The version that is current when a harness starts.
+pub(crate) const FIRST_VERSION: Version = 5;
+
+/// A tracker that leads in term 1 from time 0 on; all times are in milliseconds.
+pub(crate) struct TrackerHarness {
+    tracker: VersionTracker,
+    /// Entries logged so far.
+    pub(crate) entries: Vec<Entry>,
+    /// Batches to write so far.
+    pub(crate) writes: Vec<Batch>,
+}
+
+impl TrackerHarness {
+    pub(crate) fn new() -> TrackerHarness {
+        let tracker = VersionTracker::new(Settings::new(&Audit::default(), SILENCE_TIMEOUT, 1));
+        let mut harness = TrackerHarness { tracker, entries: Vec::new(), writes: Vec::new() };
+        harness.lead(0, 1, Vec::new());
+        harness.set_version(0, FIRST_VERSION);
+        harness
+    }
+
+    /// Handles an event; returns the directive of a report.
+    pub(crate) fn handle(&mut self, at_ms: i64, event: Event) -> Directive {
+        let mut actions = Vec::new();
+        self.tracker.handle(Time(at_ms * MS), event, &mut actions);
+        let mut reply = Directive::AuditDisabled;
+        for action in actions {
+            match action {
+                Action::Reply { directive, .. } => reply = directive,
+                Action::LogEntry(entry) => self.entries.push(entry),
+                Action::WriteBatch(batch) => self.writes.push(batch),
+            }
+        }
+        reply
+    }
+
+    pub(crate) fn lead(&mut self, at_ms: i64, term: u64, batches: Vec<Batch>) {
+        self.handle(at_ms, Event::LeadershipGained { term, batches });
+    }
+
+    pub(crate) fn set_version(&mut self, at_ms: i64, version: Version) {
+        self.handle(at_ms, Event::CurrentVersion { version });
+    }
+
+    pub(crate) fn tick(&mut self, at_ms: i64) {
+        self.handle(at_ms, Event::Tick);
+    }
+
+    /// A report of a router that routes, with an age of 0.
+    pub(crate) fn report(&mut self, at_ms: i64, router: &str, version: Version, epoch: u64) -> Directive {
+        let report = VersionReport { epoch, routing: true, ..VersionReport::default() };
+        self.report_of(at_ms, router, 1, version, report)
+    }
+
+    pub(crate) fn report_of(
+        &mut self,
+        at_ms: i64,
+        router: &str,
+        incarnation: u64,
+        version: Version,
+        report: VersionReport,
+    ) -> Directive {
+        let router = router.into();
+        self.handle(at_ms, Event::ReportReceived { router, incarnation, version, report, leaving: false })
+    }
+
+    /// What was recorded of a router.
+    pub(crate) fn recorded(&self, router: &str) -> Vec<(EntryKind, Version)> {
+        let of_router = self.entries.iter().filter(|entry| entry.router == router);
+        of_router.map(|entry| (entry.kind, entry.version)).collect()
+    }
+
+    /// Ticks, and completes the write that this gives, if any.
+    pub(crate) fn tick_and_commit(&mut self, at_ms: i64) {
+        self.tick(at_ms);
+        if let Some(seq) = self.writes.last().map(|batch| batch.seq) {
+            self.handle(at_ms, Event::WriteCompleted { seq, committed: true });
+        }
+    }
+}
--- a/audit/tests/audit/main.rs
+++ b/audit/tests/audit/main.rs
@@ -1,4 +1,10 @@
 //! Tests of the audit through its public face.
 mod encoding;
+mod fence;
+mod harness;
+mod random;
+mod record;
 mod recorded_run;
 mod stored_forms;
+mod timeline;
+mod tracker;
--- /dev/null
+++ b/audit/tests/audit/record.rs
@@ -0,0 +1,39 @@
+//! The record in the store: bounded, and continued by the next leader.
+use crate::harness::TrackerHarness;
+use audit::{Batch, EntryKind, Event, MAX_BATCH_BYTES, RING_SLOTS};
+
+/// Upper bound of the size of a batch's entries as JSON.
+fn max_bytes(batch: &Batch) -> usize {
+    batch.entries.iter().map(|entry| 200 + entry.router.len()).sum()
+}
+
+#[test]
+fn record_is_bounded_and_continued_by_the_next_leader() {
+    let mut harness = TrackerHarness::new();
+    harness.report(1, "still", 5, 0);
+    for i in 0..600 {
+        let version = 6 + i as u64;
+        harness.set_version(1000 + i * 1000, version);
+        harness.report(1000 + i * 1000 + 1, "a", version, 0);
+        harness.report(1000 + i * 1000 + 2, "still", 5, 0);
+        harness.tick_and_commit(1000 + i * 1000 + 3);
+    }
+    assert!(harness.writes.len() <= 601 && harness.writes.iter().map(|batch| batch.seq).is_sorted());
+    let stored: Vec<Batch> = harness.writes[harness.writes.len() - RING_SLOTS as usize..].to_vec();
+    // Whatever its age, a router's latest entry is in the store.
+    let has_entry =
+        |router: &str| stored.iter().flat_map(|batch| &batch.entries).any(|entry| entry.router == router);
+    assert!(has_entry("still") && has_entry("a"));
+    assert!(stored.iter().all(|batch| max_bytes(batch) <= MAX_BATCH_BYTES));
+    let mut next = TrackerHarness::new();
+    next.lead(700_000, 2, stored);
+    next.set_version(700_000, 605);
+    next.tick(702_000);
+    assert_eq!(next.recorded("a"), [(EntryKind::Silent, 605)]);
+    assert!(next.writes[0].seq > harness.writes.last().unwrap().seq);
+    // A write that is not known to be committed is made again.
+    let first = next.writes[0].clone();
+    next.handle(702_001, Event::WriteCompleted { seq: first.seq, committed: false });
+    next.tick_and_commit(704_000);
+    assert_eq!((next.writes[1].seq, &next.writes[1].entries), (first.seq, &first.entries));
+}
--- a/audit/tests/audit/recorded_run.rs
+++ b/audit/tests/audit/recorded_run.rs
@@ -1,7 +1,10 @@
 //! A recorded run: seeded events in, what the leader's side and the routers' own fences say out, compared with what was
 //! recorded before any name of this package changed. One run is readable, many more are kept as hashes.
 use crate::encoding::to_json;
-use audit::{Action, Batch, Event, Guard, Ledger, News, SLOTS, Settings, Stamp, Why};
+use audit::{
+    Action, Batch, Directive, Event, FenceReason, LeaderAnswer, RING_SLOTS, Settings, VersionFence,
+    VersionReport, VersionTracker,
+};
 use decision::{Micros, Time};
 use settings::fleet::Audit;
 use std::collections::BTreeMap;
@@ -45,22 +48,22 @@
 }
 
 /// The report's numbers in their order.
-fn report_text(report: &Stamp) -> String {
-    let Stamp { age, fenced, routes, members, epoch } = report;
-    format!("{age}/{fenced}/{routes}/{members}/{epoch}")
+fn report_text(report: &VersionReport) -> String {
+    let VersionReport { version_age, last_fence_duration, routing, members_version, epoch } = report;
+    format!("{version_age}/{last_fence_duration}/{routing}/{members_version}/{epoch}")
 }
 
-fn answer_text(answer: &News) -> String {
-    match answer {
-        News::Off => "none".into(),
-        News::Welcome { epoch } => format!("continue {epoch}"),
-        News::Refetch { epoch } => format!("refetch {epoch}"),
-        News::ShutOut { epoch } => format!("fence-out {epoch}"),
+fn directive_text(directive: &Directive) -> String {
+    match directive {
+        Directive::AuditDisabled => "none".into(),
+        Directive::Continue { epoch } => format!("continue {epoch}"),
+        Directive::Refetch { epoch } => format!("refetch {epoch}"),
+        Directive::FenceOut { epoch } => format!("fence-out {epoch}"),
     }
 }
 
 struct Router {
-    fence: Guard,
+    fence: VersionFence,
     version: u64,
     incarnation: u64,
     /// It can't fetch the current version.
@@ -69,7 +72,7 @@
 
 impl Router {
     fn new(incarnation: u64) -> Router {
-        Router { fence: Guard::new(ROUTER_LEASE), version: 0, incarnation, is_stuck: false }
+        Router { fence: VersionFence::new(ROUTER_LEASE), version: 0, incarnation, is_stuck: false }
     }
 }
 
@@ -77,7 +80,7 @@
 struct Run {
     random: Random,
     now: Micros,
-    tracker: Ledger,
+    tracker: VersionTracker,
     term: u64,
     current: u64,
     stored: BTreeMap<u64, Batch>,
@@ -89,7 +92,7 @@
 
 impl Run {
     fn new(seed: u64) -> Run {
-        let tracker = Ledger::new(Settings::new(&Audit::default(), SILENCE, seed));
+        let tracker = VersionTracker::new(Settings::new(&Audit::default(), SILENCE, seed));
         Run {
             random: Random(seed),
             now: 0,
@@ -108,18 +111,18 @@
         writeln!(self.lines, "{} {text}", self.now).unwrap();
     }
 
-    fn handle(&mut self, event: Event) -> News {
+    fn handle(&mut self, event: Event) -> Directive {
         let mut actions = Vec::new();
         self.tracker.handle(Time(self.now), event, &mut actions);
-        let mut answer = News::Off;
+        let mut reply = Directive::AuditDisabled;
         for action in actions {
             match action {
-                Action::Tell { router, news } => {
-                    self.line(&format!("  reply {router} {}", answer_text(&news)));
-                    answer = news;
+                Action::Reply { router, directive } => {
+                    self.line(&format!("  reply {router} {}", directive_text(&directive)));
+                    reply = directive;
                 }
-                Action::Record(entry) => self.line(&format!("  entry {}", to_json(&entry))),
-                Action::Write(batch) => {
+                Action::LogEntry(entry) => self.line(&format!("  entry {}", to_json(&entry))),
+                Action::WriteBatch(batch) => {
                     let hash = fnv1a(&to_json(&batch));
                     let count = batch.entries.len();
                     self.line(&format!(
@@ -130,7 +133,7 @@
                 }
             }
         }
-        answer
+        reply
     }
 
     fn lead(&mut self) {
@@ -138,8 +141,8 @@
         let batches: Vec<Batch> = self.stored.values().cloned().collect();
         self.line(&format!("term {} begins with {} batches", self.term, batches.len()));
         self.unfinished.clear();
-        self.handle(Event::Began { term: self.term, kept: batches });
-        self.handle(Event::Current { version: self.current });
+        self.handle(Event::LeadershipGained { term: self.term, batches });
+        self.handle(Event::CurrentVersion { version: self.current });
     }
 
     fn set_version(&mut self) {
@@ -148,7 +151,7 @@
         for router in &mut self.routers {
             router.is_stuck = self.random.one_in(3);
         }
-        self.handle(Event::Current { version: self.current });
+        self.handle(Event::CurrentVersion { version: self.current });
     }
 
     fn finish_write(&mut self) {
@@ -156,28 +159,29 @@
             return;
         }
         let batch = self.unfinished.remove(0);
-        let (seq, made) = (batch.seq, !self.random.one_in(4));
-        self.line(&format!("write {seq} ends, {made}"));
-        if made {
-            self.stored.insert(seq % SLOTS, batch);
+        let (seq, committed) = (batch.seq, !self.random.one_in(4));
+        self.line(&format!("write {seq} ends, {committed}"));
+        if committed {
+            self.stored.insert(seq % RING_SLOTS, batch);
         }
-        self.handle(Event::Written { seq, made });
+        self.handle(Event::WriteCompleted { seq, committed });
     }
 
     fn report(&mut self, i: usize, leaving: bool) {
-        let sent = Time(self.now);
+        let report_sent_at = Time(self.now);
         let router = &self.routers[i];
-        let (report, version) = (router.fence.stamp(sent, 3), router.version);
+        let (report, version) = (router.fence.report(report_sent_at, 3), router.version);
         // Now and then an earlier process of the same name still reports.
         let stale = self.random.one_in(40);
-        let start = router.incarnation - u64::from(stale);
+        let incarnation = router.incarnation - u64::from(stale);
         self.now += self.random.span(60);
         self.line(&format!(
-            "router {i} reports {version} of start {start} {} leaving {leaving}",
+            "router {i} reports {version} of start {incarnation} {} leaving {leaving}",
             report_text(&report)
         ));
-        let event = Event::Seen { router: format!("router-{i}"), start, version, stamp: report, leaving };
-        let answer = self.handle(event);
+        let event =
+            Event::ReportReceived { router: format!("router-{i}"), incarnation, version, report, leaving };
+        let directive = self.handle(event);
         // Answers are lost now and then, and late ones too.
         if stale || self.random.one_in(6) {
             return;
@@ -185,10 +189,16 @@
         let longest_ms = if self.random.one_in(30) { 2500 } else { 20 };
         self.now += self.random.span(longest_ms);
         let router = &mut self.routers[i];
-        let changed = router.fence.answered(Time(self.now), sent, version, self.current, answer);
+        let answer = LeaderAnswer {
+            report_sent_at,
+            reported_version: version,
+            current_version: self.current,
+            directive,
+        };
+        let changed = router.fence.answer_received(Time(self.now), &answer);
         if version != self.current && !router.is_stuck && !self.random.one_in(3) {
             router.version = self.current;
-            router.fence.took(Time(self.now), self.current);
+            router.fence.version_applied(Time(self.now), self.current);
         }
         self.line(&format!("  answer changes the fence: {changed}"));
     }
@@ -205,14 +215,14 @@
             let found = match router.fence.check(Time(self.now)) {
                 Ok(version) => version.to_string(),
                 Err(fenced) => {
-                    let reason = match fenced.why {
-                        Why::Lease => "lease",
-                        Why::ShutOut => "shutout",
+                    let reason = match fenced.reason {
+                        FenceReason::LeaseExpired => "lease",
+                        FenceReason::FencedOut => "shutout",
                     };
-                    format!("{reason}/{}/{}/{}", fenced.version, fenced.epoch, fenced.at.0)
+                    format!("{reason}/{}/{}/{}", fenced.version, fenced.epoch, fenced.since.0)
                 }
             };
-            let until = router.fence.until().0;
+            let until = router.fence.lease_expires_at().0;
             write!(text, " {found}@{}", until.max(-1)).unwrap();
         }
         if text != self.last_fences {
