--- a/quotas/benches/pocket.rs
+++ b/quotas/benches/pocket.rs
@@ -1,7 +1,7 @@
 //! What an admission costs, by tenants of the configuration: admitted, refused, and without a quota.
 use criterion::{Criterion, criterion_group, criterion_main};
 use decision::Time;
-use quotas::{Action, Allocator, Event, Pocket, PocketSettings, Settings};
+use quotas::{Action, Allocator, Event, QuotaClient, QuotaClientSettings, Settings};
 use settings::fleet::{Fleet, OnLoss, Quota, Tenant};
 use std::hint::black_box;
 use std::sync::Arc;
@@ -20,22 +20,22 @@
     for tenants in [10, 1_000] {
         let fleet = fleet(tenants);
         let mut allocator = Allocator::new(Settings::default());
-        let mut pocket = Pocket::new(PocketSettings {
-            name: "r".into(),
-            start: 1,
+        let mut pocket = QuotaClient::new(QuotaClientSettings {
+            router: "r".into(),
+            incarnation: 1,
             slot: None,
             settings: Settings { ttl: 3_600_000_000, ..Settings::default() },
             seed: 1,
         });
         let mut actions = Vec::new();
-        allocator.handle(Time(0), Event::Began { term: 1 }, &mut actions);
+        allocator.handle(Time(0), Event::BecameLeader { term: 1 }, &mut actions);
         allocator.handle(Time(0), Event::Config { version: 1, fleet: fleet.clone() }, &mut actions);
-        pocket.config(Time(0), 1, fleet);
+        pocket.apply_config(Time(0), 1, &fleet);
         let begin = Time(10_000_000);
         let report = pocket.report(begin);
-        allocator.handle(begin, Event::Report { from: 0, report }, &mut actions);
-        for Action::Answer { answer, .. } in actions {
-            pocket.answered(begin, answer);
+        allocator.handle(begin, Event::Report { connection: 0, report }, &mut actions);
+        for Action::Respond { response: answer, .. } in actions {
+            pocket.handle_response(begin, answer);
         }
         let mut now = begin.0;
         for (what, name) in
--- /dev/null
+++ b/quotas/src/allocator/configuration.rs
@@ -0,0 +1,43 @@
+//! Following a new version of the fleet's configuration.
+use super::{Allocator, TenantQuota};
+use crate::equal_shares::EqualShares;
+use crate::time::after;
+use decision::Time;
+use settings::fleet::{Fleet, Version};
+
+impl Allocator {
+    /// Follows a newer version. Allocations by demand begin anew, from what the routers report to hold.
+    pub(super) fn apply_config(&mut self, now: Time, version: Version, fleet: &Fleet) {
+        let tenants: Vec<TenantQuota> = fleet
+            .tenants
+            .iter()
+            .map(|(name, tenant)| {
+                let quota = tenant.quota.as_ref();
+                let shares = quota.map(|quota| EqualShares::new(name, quota, fleet.routers));
+                TenantQuota { name: name.clone(), shares }
+            })
+            .collect();
+        // A router that this leader can't see may go on with a larger fixed share for as long as the others take to learn
+        // of the smaller one.
+        if tenants.iter().any(|tenant| self.frees_fixed_shares(tenant, fleet.routers)) {
+            self.old_fixed_shares_until = after(now, self.settings.settle_time);
+        }
+        self.tenant_index = tenants.iter().zip(0..).map(|(tenant, i)| (tenant.name.clone(), i)).collect();
+        self.tenants = tenants;
+        self.max_routers = fleet.routers;
+        self.version = version;
+        self.allocations.clear();
+        for router in self.routers.iter_mut().flatten() {
+            router.known = false;
+        }
+    }
+
+    /// Whether a tenant's fixed shares become smaller in all, while more becomes grantable.
+    fn frees_fixed_shares(&self, new: &TenantQuota, max_routers: u32) -> bool {
+        let old = self.tenant_index.get(&new.name).and_then(|&index| self.tenants[index as usize].shares);
+        let (Some(old), Some(new)) = (old, new.shares) else { return false };
+        let old_fixed = old.fixed.saturating_mul(self.max_routers.into());
+        let new_fixed = new.fixed.saturating_mul(max_routers.into());
+        !old_fixed.fits_within(new_fixed) && !new.grantable.fits_within(old.grantable)
+    }
+}
--- /dev/null
+++ b/quotas/src/allocator/report.rs
@@ -0,0 +1,266 @@
+//! The allocator's side of an exchange.
+use super::Allocator;
+use super::allocation::{DemandAllocation, Holding, ResponseContext};
+use super::router::{RouterRecord, ShareAssignment, ShareChange};
+use crate::messages::{
+    GrantChange, GrantResponse, HeldGrants, Report, ReservedShare, ResponseBody, TenantDemand,
+};
+use crate::settings::InjectedFault;
+use crate::time::{LONG_PAST, after};
+use decision::Time;
+
+/// What the allocator knows of the sender of a report.
+#[derive(Clone, Copy)]
+enum Sender {
+    /// Nothing.
+    New,
+    /// It is the incarnation with the record at this position.
+    Known(usize),
+    /// The record at this position is of an earlier incarnation.
+    Restarted(usize),
+}
+
+impl Allocator {
+    /// Responds to a report; `None` where it is invalid, of another term, or outdated.
+    pub(super) fn handle_report(&mut self, now: Time, report: Report) -> Option<GrantResponse> {
+        if !self.accepts(&report) {
+            return None;
+        }
+        let sender = self.sender_of(&report)?;
+        let (incarnation, seq) = (report.incarnation, report.seq);
+        let body = self.respond(now, sender, report);
+        Some(GrantResponse { term: self.term, incarnation, seq, version: self.version, body })
+    }
+
+    fn accepts(&self, report: &Report) -> bool {
+        let leads = self.term > 0;
+        leads && report.check().is_ok() && report.term <= self.term && report.version <= self.version
+    }
+
+    /// The sender of a report; `None` if the report is of an earlier incarnation, or has been received already. What was
+    /// sent twice must not be answered twice, because the router applies the first response.
+    fn sender_of(&self, report: &Report) -> Option<Sender> {
+        let position = self.router_index.get(&report.router).copied();
+        let Some((position, router)) = position.and_then(|p| Some((p, self.routers[p].as_ref()?))) else {
+            return Some(Sender::New);
+        };
+        if report.incarnation > router.incarnation {
+            return Some(Sender::Restarted(position));
+        }
+        let is_next = report.incarnation == router.incarnation && report.seq > router.seq;
+        is_next.then_some(Sender::Known(position))
+    }
+
+    fn respond(&mut self, now: Time, sender: Sender, report: Report) -> ResponseBody {
+        if self.version == 0 {
+            return ResponseBody::NotRenewed;
+        }
+        if report.leaving {
+            if let Sender::Known(position) = sender {
+                self.forget(position);
+            }
+            return ResponseBody::NotRenewed;
+        }
+        if report.held.is_none() && !self.knows_what_is_held(sender, &report) {
+            return ResponseBody::FullReportRequired;
+        }
+        // What is held by an older version must be gone one lifetime after the newer one: the router has this long to
+        // learn of it.
+        if report.version < self.version {
+            return ResponseBody::NotRenewed;
+        }
+        self.renew(now, sender, report)
+    }
+
+    fn knows_what_is_held(&self, sender: Sender, report: &Report) -> bool {
+        let Sender::Known(position) = sender else { return false };
+        self.routers[position].as_ref().is_some_and(|router| router.known && router.seq == report.applied_seq)
+    }
+
+    fn renew(&mut self, now: Time, sender: Sender, report: Report) -> ResponseBody {
+        let in_quiet_period = now < self.quiet_until;
+        let (position, has_record) = match sender {
+            Sender::Known(position) => (position, true),
+            Sender::Restarted(earlier) => {
+                self.supersede(earlier);
+                (self.add_router(&report), false)
+            }
+            Sender::New => (self.add_router(&report), false),
+        };
+        // After the quiet period, what a router without a record says it holds has expired: its report was delayed.
+        let skips_quiet_period = self.settings.injected_fault == InjectedFault::SkipQuietPeriod;
+        let trusts_held = has_record || in_quiet_period || skips_quiet_period;
+        let reset = self.settle_held(position, report.held, trusts_held);
+        self.report_demand(now, position, report.demand);
+        self.extend_record(now, position, report.seq);
+        let may_raise =
+            !in_quiet_period && now >= self.old_fixed_shares_until && self.all_hold_this_version();
+        let share = self.assign_share(position, may_raise);
+        let changes = self.next_changes(now, position, may_raise, share);
+        ResponseBody::Renewed { reset, reserved_share: share.after, changes }
+    }
+
+    /// Marks a record as one of an earlier incarnation. For all that is known, what that held may still be in use.
+    fn supersede(&mut self, position: usize) {
+        if let Some(router) = &mut self.routers[position] {
+            router.superseded = true;
+            self.router_index.remove(&router.name);
+            self.drop_demand(position);
+        }
+    }
+
+    /// Makes a record of a router that holds nothing; its position.
+    fn add_router(&mut self, report: &Report) -> usize {
+        let position = self.free_position();
+        self.routers[position] = Some(RouterRecord {
+            name: report.router.clone(),
+            incarnation: report.incarnation,
+            seq: report.seq,
+            expires: LONG_PAST,
+            superseded: false,
+            acknowledged: ShareAssignment { share: None, version: self.version },
+            sent: None,
+            known: false,
+        });
+        self.router_index.insert(report.router.clone(), position);
+        position
+    }
+
+    fn free_position(&mut self) -> usize {
+        if let Some(position) = self.routers.iter().position(Option::is_none) {
+            return position;
+        }
+        self.routers.push(None);
+        for allocation in self.allocations.values_mut() {
+            allocation.add_position();
+        }
+        self.routers.len() - 1
+    }
+
+    /// Settles what the router holds by its report; whether that is nothing.
+    fn settle_held(&mut self, position: usize, held: Option<HeldGrants>, trusted: bool) -> bool {
+        let Some(router) = &mut self.routers[position] else { return true };
+        let Some(held) = held else {
+            router.acknowledged = router.sent.take().unwrap_or(router.acknowledged);
+            for allocation in self.allocations.values_mut() {
+                allocation.acknowledge(position);
+            }
+            return false;
+        };
+        for allocation in self.allocations.values_mut() {
+            allocation.reset_router(position);
+        }
+        router.sent = None;
+        if held.is_empty() || !trusted {
+            router.acknowledged = ShareAssignment { share: None, version: self.version };
+            return true;
+        }
+        router.acknowledged = ShareAssignment { share: held.reserved_share, version: held.version };
+        for held in held.by_demand {
+            if let Some(allocation) = self.allocation_of(&held.tenant) {
+                allocation.parts[position].held = Holding::ByDemand(held.grant);
+            }
+        }
+        false
+    }
+
+    fn report_demand(&mut self, now: Time, position: usize, demand: Vec<TenantDemand>) {
+        for TenantDemand { tenant, rate } in demand {
+            let index = self.tenant_index.get(&tenant);
+            let is_allocated = index.is_some_and(|index| self.allocations.contains_key(index));
+            if rate == 0 && !is_allocated {
+                continue;
+            }
+            if let Some(allocation) = self.allocation_of(&tenant) {
+                allocation.report_demand(now, position, rate);
+            }
+        }
+    }
+
+    /// The tenant's allocation by demand, begun where there is none yet; `None` without a quota.
+    fn allocation_of(&mut self, tenant: &str) -> Option<&mut DemandAllocation> {
+        let index = *self.tenant_index.get(tenant)?;
+        self.tenants[index as usize].shares?;
+        let positions = self.routers.len();
+        Some(self.allocations.entry(index).or_insert_with(|| DemandAllocation::new(positions)))
+    }
+
+    /// Notes the exchange: what the router holds is valid for a further lifetime.
+    fn extend_record(&mut self, now: Time, position: usize, seq: u64) {
+        let expires = after(now, self.settings.lifetime_at_allocator());
+        if let Some(router) = &mut self.routers[position] {
+            router.expires = router.expires.max(expires);
+            router.seq = seq;
+            router.known = true;
+        }
+    }
+
+    /// Whether everything that may be held is by this version, and acknowledged.
+    fn all_hold_this_version(&self) -> bool {
+        self.routers.iter().flatten().all(|router| router.holds_only(self.version))
+    }
+
+    /// Assigns the router's reserved share, noted as sent.
+    fn assign_share(&mut self, position: usize, may_raise: bool) -> ShareChange {
+        let version = self.version;
+        let after = self.next_share(position, may_raise);
+        let Some(router) = &mut self.routers[position] else { return ShareChange { before: None, after } };
+        let held = router.acknowledged;
+        router.sent = Some(ShareAssignment { share: after, version });
+        ShareChange { before: held.share.filter(|_| held.version == version), after }
+    }
+
+    /// The router's reserved share from this response on: the one that it has, or a free one.
+    fn next_share(&self, position: usize, may_raise: bool) -> Option<ReservedShare> {
+        let ShareAssignment { share, version } = self.routers[position].as_ref()?.acknowledged;
+        let kept = share.filter(|share| share.index < self.max_routers);
+        if let Some(share) = kept {
+            let stays_full = share.full && version == self.version;
+            return Some(ReservedShare { full: stays_full || may_raise, ..share });
+        }
+        if !may_raise {
+            return None;
+        }
+        let index = self.free_share_index()?;
+        Some(ReservedShare { index, full: true })
+    }
+
+    fn free_share_index(&self) -> Option<u32> {
+        let mut used = vec![false; self.max_routers as usize];
+        for index in self.routers.iter().flatten().flat_map(RouterRecord::share_indices) {
+            if let Some(used) = used.get_mut(index as usize) {
+                *used = true;
+            }
+        }
+        let index = used.iter().position(|used| !used)?;
+        Some(index as u32)
+    }
+
+    /// Plans all allocations by demand and collects what changes for the router. Ends those that are restored.
+    fn next_changes(
+        &mut self,
+        now: Time,
+        position: usize,
+        may_raise: bool,
+        share: ShareChange,
+    ) -> Vec<GrantChange> {
+        let mut changes = Vec::new();
+        self.allocations.retain(|&index, allocation| {
+            let tenant = &self.tenants[index as usize];
+            let Some(shares) = &tenant.shares else { return true };
+            let context = ResponseContext {
+                shares,
+                settings: &self.settings,
+                routers: &self.routers,
+                may_raise,
+                share,
+            };
+            allocation.plan(now, &context);
+            if let Some(change) = allocation.next_change(position, &context) {
+                changes.push(GrantChange { tenant: tenant.name.clone(), grant: change.by_demand() });
+            }
+            !allocation.is_restored(&self.routers)
+        });
+        changes
+    }
+}
--- /dev/null
+++ b/quotas/src/client/metrics.rs
@@ -0,0 +1,59 @@
+//! Counts and grants of a client, for the router's metrics.
+use super::QuotaClient;
+use super::tenant::TenantState;
+use crate::grant::MICROTOKENS_PER_TOKEN;
+use settings::fleet::Version;
+
+/// A tenant's metrics at one router.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct TenantMetrics {
+    /// The tenant's name.
+    pub name: String,
+    /// Requests admitted since the start.
+    pub admitted: u64,
+    /// Requests shed since the start.
+    pub shed: u64,
+    /// Requests per second that this router may admit, granted and fixed together; `None` without a quota.
+    pub rate: Option<f64>,
+    /// Tokens that this router may hold, granted and fixed together; `None` without a quota.
+    pub capacity: Option<f64>,
+}
+
+/// A client's metrics.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct ClientMetrics {
+    /// The version of the configuration that the client follows.
+    pub version: Version,
+    /// The index of its reserved share, while it has one.
+    pub reserved_share: Option<u32>,
+    /// Whether the client holds grants that it has not found to have expired.
+    pub holds_grants: bool,
+    /// Each tenant of the configuration.
+    pub tenants: Vec<TenantMetrics>,
+}
+
+impl QuotaClient {
+    /// The present metrics. Rates and capacities count what is held, whether or not it has expired.
+    pub fn metrics(&self) -> ClientMetrics {
+        ClientMetrics {
+            version: self.version,
+            reserved_share: self.reserved_share.map(|share| share.index),
+            holds_grants: self.grants_expire.is_some() && !self.released,
+            tenants: self.tenants.iter().map(TenantState::metrics).collect(),
+        }
+    }
+}
+
+impl TenantState {
+    fn metrics(&self) -> TenantMetrics {
+        let held = self.shares.map(|_| self.granted_bucket.grant().saturating_add(self.fixed_bucket.grant()));
+        let tokens = |microtokens: u64| microtokens as f64 / MICROTOKENS_PER_TOKEN as f64;
+        TenantMetrics {
+            name: self.name.clone(),
+            admitted: self.admitted,
+            shed: self.shed,
+            rate: held.map(|grant| tokens(grant.rate)),
+            capacity: held.map(|grant| tokens(grant.capacity)),
+        }
+    }
+}
--- a/quotas/src/messages.rs
+++ b/quotas/src/messages.rs
@@ -1,217 +1,119 @@
-//! What travels between a pocket and the allocator. Tenants go by name: indices differ between versions.
+//! The messages of an exchange between a router and the leader.
+//!
+//! They go over the wire in the postcard format, which writes neither the names of types nor those of fields: the order
+//! and kind of fields and variants must stay. Tenants are named because their indices differ between versions of the
+//! configuration.
+use crate::grant::Grant;
 use serde::{Deserialize, Serialize};
 use settings::fleet::Version;
-use thiserror::Error;
 
-/// Entries in a list of a message, at most.
-const MOST: usize = 65_536;
-/// Bytes of a name, at most.
-const LONGEST: usize = 256;
-/// A billion requests a second, in millionths.
-pub(crate) const MOST_RATE: u64 = 1_000_000_000_000_000;
-/// The largest burst, in millionths.
-pub(crate) const MOST_CAP: u64 = u32::MAX as u64 * 1_000_000;
-/// Routers, at most.
-const MOST_PLACES: u32 = 1_000_000;
-
-/// A share of a tenant's quota.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Loan {
-    /// Tokens made a second, in millionths.
-    pub rate: u64,
-    /// Tokens held at most, in millionths.
-    pub cap: u64,
+/// The reserved shares of a router: one equal part of every tenant's quota, in use wherever no grant by demand replaces it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct ReservedShare {
+    /// Which of the equal parts, from 0 to below the fleet's number of routers.
+    pub index: u32,
+    /// Whether the shares are those of the present version in full. Otherwise each is the smaller of it and what the
+    /// router held before.
+    pub full: bool,
 }
 
-impl Loan {
-    /// Nothing.
-    pub const NONE: Loan = Loan { rate: 0, cap: 0 };
-
-    pub(crate) fn min(self, other: Loan) -> Loan {
-        Loan { rate: self.rate.min(other.rate), cap: self.cap.min(other.cap) }
-    }
-
-    pub(crate) fn max(self, other: Loan) -> Loan {
-        Loan { rate: self.rate.max(other.rate), cap: self.cap.max(other.cap) }
-    }
-
-    pub(crate) fn add(self, other: Loan) -> Loan {
-        Loan { rate: self.rate.saturating_add(other.rate), cap: self.cap.saturating_add(other.cap) }
-    }
-
-    pub(crate) fn less(self, other: Loan) -> Loan {
-        Loan { rate: self.rate.saturating_sub(other.rate), cap: self.cap.saturating_sub(other.cap) }
-    }
-
-    /// This share of `old` as the same share of `new`, where that is less.
-    pub(crate) fn scaled(self, old: Loan, new: Loan) -> Loan {
-        let cut = |part: u64, old: u64, new: u64| {
-            if new >= old { part } else { (u128::from(part) * u128::from(new) / u128::from(old)) as u64 }
-        };
-        Loan { rate: cut(self.rate, old.rate, new.rate), cap: cut(self.cap, old.cap, new.cap) }
-    }
+/// Everything that a router holds.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct HeldGrants {
+    /// The version of the configuration by which the grants were last renewed.
+    pub version: Version,
+    /// The router's reserved shares.
+    pub reserved_share: Option<ReservedShare>,
+    /// Grants by demand, each in place of the tenant's reserved share.
+    pub by_demand: Vec<TenantGrant>,
+}
 
-    pub(crate) fn within(self, other: Loan) -> bool {
-        self.rate <= other.rate && self.cap <= other.cap
+impl HeldGrants {
+    pub(crate) fn is_empty(&self) -> bool {
+        self.reserved_share.is_none() && self.by_demand.is_empty()
     }
 }
 
-/// The standing parts of all tenants that no loan of its own replaces: those of one place.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Standing {
-    /// The place, from 0.
-    pub place: u32,
-    /// Whether the parts are those of the version; otherwise each is the smaller of it and what was held before.
-    pub full: bool,
+/// A tenant's grant by demand.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct TenantGrant {
+    /// The tenant's name.
+    pub tenant: String,
+    /// What is granted.
+    pub grant: Grant,
 }
 
-/// All that a router holds.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Holding {
-    /// The version by which it was last lent.
-    pub basis: Version,
-    /// Its place.
-    pub standing: Option<Standing>,
-    /// What is lent by demand, in place of the standing part.
-    pub loans: Vec<(String, Loan)>,
+/// A tenant's demand at one router.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct TenantDemand {
+    /// The tenant's name.
+    pub tenant: String,
+    /// Requests per second, in millionths of a request; 0 where there is no demand beyond the reserved share.
+    pub rate: u64,
 }
 
-impl Holding {
-    pub(crate) fn is_empty(&self) -> bool {
-        self.standing.is_none() && self.loans.is_empty()
-    }
+/// A change of a tenant's grant.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct GrantChange {
+    /// The tenant's name.
+    pub tenant: String,
+    /// The grant by demand from now on; `None` returns to the reserved share.
+    pub grant: Option<Grant>,
 }
 
-/// A router's part of an exchange.
+/// What a router sends in an exchange.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The router.
-    pub name: String,
-    /// Its start; a later one replaces an earlier one.
-    pub start: u64,
-    /// Counts the exchanges of this start.
+    /// The router's name.
+    pub router: String,
+    /// The router's incarnation; a later one supersedes an earlier one.
+    pub incarnation: u64,
+    /// The exchange's sequence number within this incarnation.
     pub seq: u64,
-    /// The highest term that it has had an answer of.
+    /// The highest term of any response that the router has had.
     pub term: u64,
-    /// The exchange whose answer was the last to be applied; 0 for none.
-    pub applied: u64,
-    /// The version of the configuration that it follows.
+    /// The exchange whose response was the last to be applied; 0 for none.
+    pub applied_seq: u64,
+    /// The version of the configuration that the router follows.
     pub version: Version,
-    /// It has given everything back.
+    /// Whether the router shuts down and has released everything it held.
     pub leaving: bool,
-    /// All that it holds, where the allocator may not know.
-    pub whole: Option<Holding>,
-    /// Changes of what is asked for beyond the standing part, by tenant, in millionths of a request a second; all of
-    /// it with `whole`.
-    pub demand: Vec<(String, u64)>,
+    /// Everything the router holds, where the allocator may not know it; `None` where nothing has changed since the
+    /// response to `applied_seq`.
+    pub held: Option<HeldGrants>,
+    /// Changes of demand beyond the reserved shares; all of it where `held` is present.
+    pub demand: Vec<TenantDemand>,
 }
 
-/// The allocator's part of an exchange.
+/// What the leader sends back in an exchange.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
-    /// The term in which it is given.
+pub struct GrantResponse {
+    /// The term in which the leader responds.
     pub term: u64,
-    /// The router's start.
-    pub start: u64,
-    /// The exchange.
+    /// The router's incarnation, as in the report.
+    pub incarnation: u64,
+    /// The exchange's sequence number, as in the report.
     pub seq: u64,
     /// The version of the configuration at the leader.
     pub version: Version,
-    /// What it does.
-    pub body: Body,
+    /// What the response does.
+    pub body: ResponseBody,
 }
 
-/// What an answer does.
+/// What a response does.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Body {
-    /// Nothing is renewed: the next report must say all that is held.
-    Whole,
-    /// Nothing is renewed: the router must learn the leader's version first, or has left.
-    Wait,
-    /// All that is held holds for a further time, with these changes.
-    Lent {
-        /// What was held before is no more.
-        fresh: bool,
-        /// The place from now on.
-        standing: Option<Standing>,
-        /// The loans that change; `None` goes back to the standing part.
-        loans: Vec<(String, Option<Loan>)>,
-    },
-}
-
-/// A message that no machine of ours makes.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Absurd {
-    /// A name that is too long or empty.
-    #[error("a message of quotas has a name of {0} bytes: see that all routers and nodes run the same build")]
-    Name(usize),
-    /// A list that is too long.
-    #[error("a message of quotas lists {0} tenants: see that all routers and nodes run the same build")]
-    Long(usize),
-    /// A number out of any range.
-    #[error("a message of quotas has {what} {value}: see that all routers and nodes run the same build")]
-    Number {
-        /// Which.
-        what: &'static str,
-        /// Its value.
-        value: u64,
+pub enum ResponseBody {
+    /// Renews nothing: the next report must state everything the router holds.
+    FullReportRequired,
+    /// Renews nothing: the router must first learn the leader's version of the configuration, or is leaving.
+    NotRenewed,
+    /// Renews everything the router holds for a further lifetime, with these changes.
+    Renewed {
+        /// What the router held before is void.
+        reset: bool,
+        /// The reserved shares from now on.
+        reserved_share: Option<ReservedShare>,
+        /// The grants that change.
+        changes: Vec<GrantChange>,
     },
 }
-
-fn name(n: &str) -> Result<(), Absurd> {
-    if n.is_empty() || n.len() > LONGEST { Err(Absurd::Name(n.len())) } else { Ok(()) }
-}
-
-fn length(n: usize) -> Result<(), Absurd> {
-    if n > MOST { Err(Absurd::Long(n)) } else { Ok(()) }
-}
-
-fn most(what: &'static str, value: u64, most: u64) -> Result<(), Absurd> {
-    if value > most { Err(Absurd::Number { what, value }) } else { Ok(()) }
-}
-
-fn loan(l: &Loan) -> Result<(), Absurd> {
-    most("a rate of", l.rate, MOST_RATE)?;
-    most("a cap of", l.cap, MOST_CAP)
-}
-
-fn standing(s: &Option<Standing>) -> Result<(), Absurd> {
-    s.map_or(Ok(()), |s| most("a place of", s.place.into(), MOST_PLACES.into()))
-}
-
-impl Report {
-    /// Refuses what no pocket makes. Bounds what a message may make the allocator remember.
-    pub fn check(&self) -> Result<(), Absurd> {
-        name(&self.name)?;
-        most("an exchange of", self.seq, u64::MAX / 2)?;
-        length(self.demand.len())?;
-        for (tenant, demand) in &self.demand {
-            name(tenant)?;
-            most("a demand of", *demand, MOST_RATE)?;
-        }
-        if let Some(whole) = &self.whole {
-            length(whole.loans.len())?;
-            standing(&whole.standing)?;
-            for (tenant, l) in &whole.loans {
-                name(tenant)?;
-                loan(l)?;
-            }
-        }
-        Ok(())
-    }
-}
-
-impl Answer {
-    /// Refuses what no allocator makes.
-    pub fn check(&self) -> Result<(), Absurd> {
-        if let Body::Lent { standing: s, loans, .. } = &self.body {
-            length(loans.len())?;
-            standing(s)?;
-            for (tenant, l) in loans {
-                name(tenant)?;
-                l.as_ref().map_or(Ok(()), loan)?;
-            }
-        }
-        Ok(())
-    }
-}
--- /dev/null
+++ b/quotas/src/validate.rs
@@ -0,0 +1,97 @@
+//! Checks of received messages. They bound what a message may make the receiver remember.
+use crate::grant::{Grant, MAX_CAPACITY, MAX_RATE};
+use crate::messages::{GrantResponse, Report, ReservedShare, ResponseBody};
+use thiserror::Error;
+
+/// The highest number of entries in a list.
+const MAX_LIST_LENGTH: usize = 65_536;
+/// The highest number of bytes in a name.
+const MAX_NAME_BYTES: usize = 256;
+/// The highest index of a reserved share.
+const MAX_SHARE_INDEX: u32 = 1_000_000;
+/// The highest sequence number of an exchange.
+const MAX_SEQ: u64 = u64::MAX / 2;
+
+/// A message that neither a [`QuotaClient`](crate::QuotaClient) nor an [`Allocator`](crate::Allocator) of this build sends.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum InvalidMessage {
+    /// A name is empty or too long.
+    #[error("a message of quotas has a name of {0} bytes: see that all routers and nodes run the same build")]
+    NameLength(usize),
+    /// A list is too long.
+    #[error("a message of quotas lists {0} tenants: see that all routers and nodes run the same build")]
+    ListLength(usize),
+    /// A number is out of range.
+    #[error("a message of quotas has {field} {value}: see that all routers and nodes run the same build")]
+    OutOfRange {
+        /// The number's field, with its article.
+        field: &'static str,
+        /// Its value.
+        value: u64,
+    },
+}
+
+impl Report {
+    /// Checks that a client of this build may have sent this.
+    ///
+    /// # Errors
+    /// The first name, list or number that is out of bounds.
+    pub fn check(&self) -> Result<(), InvalidMessage> {
+        check_name(&self.router)?;
+        check_range("an exchange of", self.seq, MAX_SEQ)?;
+        check_list(self.demand.len())?;
+        for demand in &self.demand {
+            check_name(&demand.tenant)?;
+            check_range("a demand of", demand.rate, MAX_RATE)?;
+        }
+        let Some(held) = &self.held else { return Ok(()) };
+        check_list(held.by_demand.len())?;
+        check_share(held.reserved_share)?;
+        for held in &held.by_demand {
+            check_name(&held.tenant)?;
+            check_grant(held.grant)?;
+        }
+        Ok(())
+    }
+}
+
+impl GrantResponse {
+    /// Checks that an allocator of this build may have sent this.
+    ///
+    /// # Errors
+    /// The first name, list or number that is out of bounds.
+    pub fn check(&self) -> Result<(), InvalidMessage> {
+        let ResponseBody::Renewed { reserved_share, changes, .. } = &self.body else { return Ok(()) };
+        check_list(changes.len())?;
+        check_share(*reserved_share)?;
+        for change in changes {
+            check_name(&change.tenant)?;
+            change.grant.map_or(Ok(()), check_grant)?;
+        }
+        Ok(())
+    }
+}
+
+fn check_name(name: &str) -> Result<(), InvalidMessage> {
+    if name.is_empty() || name.len() > MAX_NAME_BYTES {
+        return Err(InvalidMessage::NameLength(name.len()));
+    }
+    Ok(())
+}
+
+fn check_list(length: usize) -> Result<(), InvalidMessage> {
+    if length > MAX_LIST_LENGTH { Err(InvalidMessage::ListLength(length)) } else { Ok(()) }
+}
+
+fn check_range(field: &'static str, value: u64, max: u64) -> Result<(), InvalidMessage> {
+    if value > max { Err(InvalidMessage::OutOfRange { field, value }) } else { Ok(()) }
+}
+
+fn check_grant(grant: Grant) -> Result<(), InvalidMessage> {
+    check_range("a rate of", grant.rate, MAX_RATE)?;
+    check_range("a capacity of", grant.capacity, MAX_CAPACITY)
+}
+
+fn check_share(share: Option<ReservedShare>) -> Result<(), InvalidMessage> {
+    share.map_or(Ok(()), |share| check_range("a share index of", share.index.into(), MAX_SHARE_INDEX.into()))
+}
--- a/quotas/tests/exchanged_forms.rs
+++ b/quotas/tests/exchanged_forms.rs
@@ -2,7 +2,10 @@
 //!
 //! The frames carry postcard, which writes neither the names of types nor those of fields: only order and kind matter.
 //! Instances of two builds run side by side during a release, so a difference here breaks an installation.
-use quotas::{Answer, Body, Holding, Loan, Report, Standing};
+use quotas::{
+    Grant, GrantChange, GrantResponse, HeldGrants, Report, ReservedShare, ResponseBody, TenantDemand,
+    TenantGrant,
+};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
@@ -34,20 +37,24 @@
 
 fn report() -> Report {
     Report {
-        name: "router-17".into(),
-        start: 1_700_000_000_123,
+        router: "router-17".into(),
+        incarnation: 1_700_000_000_123,
         seq: 4_711,
         term: 9,
-        applied: 4_710,
+        applied_seq: 4_710,
         version: 301,
         leaving: false,
-        whole: None,
+        held: None,
         demand: Vec::new(),
     }
 }
 
-fn answer(body: Body) -> Answer {
-    Answer { term: 9, start: 1_700_000_000_123, seq: 4_711, version: 301, body }
+fn demand(tenant: &str, rate: u64) -> TenantDemand {
+    TenantDemand { tenant: tenant.into(), rate }
+}
+
+fn response(body: ResponseBody) -> GrantResponse {
+    GrantResponse { term: 9, incarnation: 1_700_000_000_123, seq: 4_711, version: 301, body }
 }
 
 #[test]
@@ -57,48 +64,52 @@
 
 #[test]
 fn report_of_changed_demand_keeps_its_bytes() {
-    let demand = vec![("tills".into(), 12_500_000), ("batch".into(), 0)];
+    let demand = vec![demand("tills", 12_500_000), demand("batch", 0)];
     assert_form("report-of-changed-demand", &Report { demand, ..report() });
 }
 
 #[test]
 fn report_of_all_held_grants_keeps_its_bytes() {
-    let loans = vec![
-        ("tills".into(), Loan { rate: 40_000_000, cap: 3_000_000 }),
-        ("batch".into(), Loan { rate: 0, cap: 1_000_000 }),
+    let by_demand = vec![
+        TenantGrant { tenant: "tills".into(), grant: Grant { rate: 40_000_000, capacity: 3_000_000 } },
+        TenantGrant { tenant: "batch".into(), grant: Grant { rate: 0, capacity: 1_000_000 } },
     ];
-    let whole = Holding { basis: 300, standing: Some(Standing { place: 16, full: true }), loans };
-    let demand = vec![("tills".into(), 55_000_000)];
-    assert_form("report-of-all-held-grants", &Report { whole: Some(whole), demand, ..report() });
+    let reserved_share = Some(ReservedShare { index: 16, full: true });
+    let held = HeldGrants { version: 300, reserved_share, by_demand };
+    let demand = vec![demand("tills", 55_000_000)];
+    assert_form("report-of-all-held-grants", &Report { held: Some(held), demand, ..report() });
 }
 
 #[test]
 fn report_of_a_leaving_router_keeps_its_bytes() {
-    let whole = Some(Holding::default());
-    assert_form("report-of-a-leaving-router", &Report { leaving: true, whole, applied: 0, ..report() });
+    let held = Some(HeldGrants::default());
+    assert_form("report-of-a-leaving-router", &Report { leaving: true, held, applied_seq: 0, ..report() });
 }
 
 #[test]
 fn response_that_asks_for_a_full_report_keeps_its_bytes() {
-    assert_form("response-full-report-required", &answer(Body::Whole));
+    assert_form("response-full-report-required", &response(ResponseBody::FullReportRequired));
 }
 
 #[test]
 fn response_that_renews_nothing_keeps_its_bytes() {
-    assert_form("response-not-renewed", &answer(Body::Wait));
+    assert_form("response-not-renewed", &response(ResponseBody::NotRenewed));
 }
 
 #[test]
 fn response_that_renews_with_changes_keeps_its_bytes() {
-    let loans =
-        vec![("tills".into(), Some(Loan { rate: 60_000_000, cap: 5_000_000 })), ("batch".into(), None)];
-    let standing = Some(Standing { place: 16, full: false });
-    let body = Body::Lent { fresh: false, standing, loans };
-    assert_form("response-renewed-with-changes", &answer(body));
+    let grant = Grant { rate: 60_000_000, capacity: 5_000_000 };
+    let changes = vec![
+        GrantChange { tenant: "tills".into(), grant: Some(grant) },
+        GrantChange { tenant: "batch".into(), grant: None },
+    ];
+    let reserved_share = Some(ReservedShare { index: 16, full: false });
+    let body = ResponseBody::Renewed { reset: false, reserved_share, changes };
+    assert_form("response-renewed-with-changes", &response(body));
 }
 
 #[test]
 fn response_that_resets_a_router_keeps_its_bytes() {
-    let body = Body::Lent { fresh: true, standing: None, loans: Vec::new() };
-    assert_form("response-reset", &answer(body));
+    let body = ResponseBody::Renewed { reset: true, reserved_share: None, changes: Vec::new() };
+    assert_form("response-reset", &response(body));
 }
--- a/quotas/tests/recorded_run.rs
+++ b/quotas/tests/recorded_run.rs
@@ -5,7 +5,8 @@
 //! written next to the test's other temporary files becomes the new fixture, and the commit says why.
 use decision::Time;
 use quotas::{
-    Action, Admission, Allocator, Answer, Body, Event, Plant, Pocket, PocketSettings, Report, Settings,
+    Action, Admission, Allocator, AllocatorMetrics, Event, GrantResponse, InjectedFault, QuotaClient,
+    QuotaClientSettings, Report, ResponseBody, Settings,
 };
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -24,6 +25,7 @@
 const TURN: i64 = 20_000;
 const TURNS: usize = 1_250;
 const EXCHANGE_INTERVAL: i64 = 200_000;
+const CONNECTION: u64 = 7;
 
 /// FNV-1a: the same on all platforms and with all compilers.
 fn fnv(bytes: &[u8]) -> u64 {
@@ -47,15 +49,15 @@
 }
 
 struct Router {
-    pocket: Pocket,
-    start: u64,
+    client: QuotaClient,
+    incarnation: u64,
     clock_offset: i64,
     next_exchange: i64,
     last_exchange: i64,
     /// Requests a second, by tenant.
     demand: [f64; TENANTS.len()],
     /// Responses on their way, with the time at which they arrive.
-    late: Vec<(i64, Answer)>,
+    late: Vec<(i64, GrantResponse)>,
     admitted: u64,
     shed: u64,
     waits: i64,
@@ -79,9 +81,9 @@
 }
 
 impl Run {
-    fn new(seed: u64, plant: Plant) -> Run {
+    fn new(seed: u64, injected_fault: InjectedFault) -> Run {
         let mut random = SmallRng::seed_from_u64(seed);
-        let settings = Settings { plant, idle: 1_500_000, ..Settings::default() };
+        let settings = Settings { injected_fault, idle_timeout: 1_500_000, ..Settings::default() };
         let versions = vec![fleet(&mut random)];
         let allocator = Allocator::new(settings.clone());
         let mut run = Run {
@@ -102,20 +104,20 @@
         run
     }
 
-    fn start_router(&mut self, i: usize, start: u64) -> Router {
+    fn start_router(&mut self, i: usize, incarnation: u64) -> Router {
         let clock_offset = self.random.random_range(0..1 << 40);
-        let mut pocket = Pocket::new(PocketSettings {
-            name: format!("r{i}"),
-            start,
-            slot: (i % 2 == 0).then_some(i as u32 + 1),
+        let mut client = QuotaClient::new(QuotaClientSettings {
+            router: format!("r{i}"),
+            incarnation,
+            slot: i.is_multiple_of(2).then_some(i as u32 + 1),
             settings: self.settings.clone(),
-            seed: i as u64 * 1_000 + start,
+            seed: i as u64 * 1_000 + incarnation,
         });
         let version = self.versions.len();
-        pocket.config(Time(self.now + clock_offset), version as u64, self.versions[version - 1].clone());
+        client.apply_config(Time(self.now + clock_offset), version as u64, &self.versions[version - 1]);
         Router {
-            pocket,
-            start,
+            client,
+            incarnation,
             clock_offset,
             next_exchange: self.now + self.random.random_range(0..EXCHANGE_INTERVAL),
             last_exchange: i64::MIN / 2,
@@ -127,13 +129,13 @@
         }
     }
 
-    fn event(&mut self, event: Event) -> Option<Answer> {
+    fn event(&mut self, event: Event) -> Option<GrantResponse> {
         let mut actions = Vec::new();
         self.allocator.handle(Time(self.now), event, &mut actions);
         assert!(actions.len() <= 1);
-        actions.pop().map(|Action::Answer { to, answer }| {
-            assert_eq!(to, 7);
-            answer
+        actions.pop().map(|Action::Respond { connection, response }| {
+            assert_eq!(connection, CONNECTION);
+            response
         })
     }
 
@@ -150,12 +152,12 @@
         }
         self.configure();
         let term = self.term;
-        self.event(Event::Began { term });
+        self.event(Event::BecameLeader { term });
         writeln!(self.lines, "{} elected term={term}", self.now).unwrap();
     }
 
-    fn respond(&mut self, report: Report) -> Option<Answer> {
-        self.event(Event::Report { from: 7, report })
+    fn respond(&mut self, report: Report) -> Option<GrantResponse> {
+        self.event(Event::Report { connection: CONNECTION, report })
     }
 
     fn faults(&mut self) {
@@ -176,7 +178,7 @@
             writeln!(self.lines, "{} demand router={i} tenant={tenant} rate={rate}", self.now).unwrap();
         }
         if self.random.random_bool(0.003) {
-            self.event(Event::Left { name: format!("r{i}") });
+            self.event(Event::RouterLeft { router: format!("r{i}") });
             writeln!(self.lines, "{} left router={i}", self.now).unwrap();
         }
         if self.random.random_bool(0.02) {
@@ -185,14 +187,14 @@
         let leaves = self.random.random_bool(0.002);
         if leaves {
             let at = self.routers[i].clock(self.now);
-            let report = self.routers[i].pocket.leave(at);
+            let report = self.routers[i].client.release_all(at);
             self.exchanged(i, &report, None);
             self.respond(report);
         }
         if leaves || self.random.random_bool(0.002) {
             let demand = self.routers[i].demand;
-            let start = self.routers[i].start + 1;
-            self.routers[i] = Router { demand, ..self.start_router(i, start) };
+            let incarnation = self.routers[i].incarnation + 1;
+            self.routers[i] = Router { demand, ..self.start_router(i, incarnation) };
             writeln!(self.lines, "{} restarted router={i}", self.now).unwrap();
         }
     }
@@ -204,11 +206,11 @@
             let name = if *name == "b" && self.random.random_bool(0.2) { "unknown" } else { name };
             let router = &mut self.routers[i];
             for _ in 0..count {
-                match router.pocket.admit(router.clock(self.now), name) {
+                match router.client.admit(router.clock(self.now), name) {
                     Admission::Admitted => router.admitted += 1,
-                    Admission::Refused { come_back } => {
+                    Admission::Shed { retry_after } => {
                         router.shed += 1;
-                        router.waits += come_back;
+                        router.waits += retry_after;
                     }
                 }
             }
@@ -219,29 +221,29 @@
         let router = &mut self.routers[i];
         router.next_exchange = self.now + EXCHANGE_INTERVAL;
         router.last_exchange = self.now;
-        let report = router.pocket.report(router.clock(self.now));
-        let answer = if self.random.random_bool(0.04) { None } else { self.respond(report.clone()) };
+        let report = router.client.report(router.clock(self.now));
+        let response = if self.random.random_bool(0.04) { None } else { self.respond(report.clone()) };
         if self.random.random_bool(0.05) {
             // What arrives twice is answered once at most.
             let twice = self.respond(report.clone());
             assert!(
-                twice.is_none() || answer.is_none() || twice.as_ref().is_some_and(|a| is_refusal(&a.body))
+                twice.is_none() || response.is_none() || twice.as_ref().is_some_and(|a| is_refusal(&a.body))
             );
         }
-        self.exchanged(i, &report, answer.as_ref());
-        let Some(answer) = answer else { return self.routers[i].pocket.lost() };
+        self.exchanged(i, &report, response.as_ref());
+        let Some(response) = response else { return self.routers[i].client.exchange_failed() };
         match self.random.random_range(0..20) {
-            0 => self.routers[i].pocket.lost(),
+            0 => self.routers[i].client.exchange_failed(),
             1 | 2 => {
                 let at = self.now + self.random.random_range(0..2_500_000);
-                self.routers[i].late.push((at, answer));
+                self.routers[i].late.push((at, response));
                 if self.random.random_bool(0.5) {
-                    self.routers[i].pocket.lost();
+                    self.routers[i].client.exchange_failed();
                 }
             }
             _ => {
                 let at = self.routers[i].clock(self.now);
-                self.routers[i].pocket.answered(at, answer);
+                self.routers[i].client.handle_response(at, response);
             }
         }
     }
@@ -250,41 +252,41 @@
         let router = &mut self.routers[i];
         let (due, late) = router.late.drain(..).partition(|(at, _)| *at <= self.now);
         router.late = late;
-        let due: Vec<(i64, Answer)> = due;
-        for (_, answer) in due {
+        let due: Vec<(i64, GrantResponse)> = due;
+        for (_, response) in due {
             let at = router.clock(self.now);
-            router.pocket.answered(at, answer);
+            router.client.handle_response(at, response);
         }
     }
 
     fn learn(&mut self, i: usize) {
         let version = self.versions.len();
         let router = &mut self.routers[i];
-        if router.pocket.version() < version as u64 && self.random.random_bool(0.1) {
-            router.pocket.config(router.clock(self.now), version as u64, self.versions[version - 1].clone());
+        if router.client.version() < version as u64 && self.random.random_bool(0.1) {
+            router.client.apply_config(router.clock(self.now), version as u64, &self.versions[version - 1]);
         }
     }
 
     /// Writes one exchange and what the router has admitted until it.
-    fn exchanged(&mut self, i: usize, report: &Report, answer: Option<&Answer>) {
+    fn exchanged(&mut self, i: usize, report: &Report, response: Option<&GrantResponse>) {
         let router = &self.routers[i];
         let report_hash = fnv(&postcard::to_stdvec(report).unwrap());
-        let answer_hash = answer.map_or(0, |a| fnv(&postcard::to_stdvec(a).unwrap()));
-        let kind = match answer.map(|a| &a.body) {
+        let response_hash = response.map_or(0, |a| fnv(&postcard::to_stdvec(a).unwrap()));
+        let kind = match response.map(|a| &a.body) {
             None => "none",
-            Some(Body::Whole) => "full-report",
-            Some(Body::Wait) => "not-renewed",
-            Some(Body::Lent { fresh: true, .. }) => "reset",
-            Some(Body::Lent { fresh: false, .. }) => "renewed",
+            Some(ResponseBody::FullReportRequired) => "full-report",
+            Some(ResponseBody::NotRenewed) => "not-renewed",
+            Some(ResponseBody::Renewed { reset: true, .. }) => "reset",
+            Some(ResponseBody::Renewed { reset: false, .. }) => "renewed",
         };
         let (admitted, shed, waits) = (router.admitted, router.shed, router.waits);
         writeln!(
             self.lines,
-            "{} r{i} seq={} report={report_hash:016x} response={kind}:{answer_hash:016x} admitted={admitted} \
+            "{} r{i} seq={} report={report_hash:016x} response={kind}:{response_hash:016x} admitted={admitted} \
              shed={shed} waits={waits} metrics={:016x}",
             self.now,
             report.seq,
-            fnv(metrics(&router.pocket).as_bytes()),
+            fnv(metrics(&router.client).as_bytes()),
         )
         .unwrap();
     }
@@ -297,7 +299,7 @@
             self.learn(i);
             self.requests(i);
             let router = &self.routers[i];
-            let early = router.pocket.urgent() && self.now - router.last_exchange > 2 * TURN;
+            let early = router.client.wants_early_report() && self.now - router.last_exchange > 2 * TURN;
             if early || router.next_exchange <= self.now {
                 self.exchange(i);
             }
@@ -306,30 +308,38 @@
 
     fn end(mut self) -> String {
         for i in 0..ROUTERS {
-            let text = metrics(&self.routers[i].pocket);
+            let text = metrics(&self.routers[i].client);
             writeln!(self.lines, "{} r{i} {text}", self.now).unwrap();
         }
-        let (routers, tenants) = self.allocator.figures();
-        writeln!(self.lines, "{} allocator routers={routers} tenants={tenants}", self.now).unwrap();
+        let AllocatorMetrics { routers, tenants_by_demand } = self.allocator.metrics();
+        writeln!(self.lines, "{} allocator routers={routers} tenants={tenants_by_demand}", self.now).unwrap();
         self.lines
     }
 }
 
-fn is_refusal(body: &Body) -> bool {
-    matches!(body, Body::Whole | Body::Wait)
+fn is_refusal(body: &ResponseBody) -> bool {
+    matches!(body, ResponseBody::FullReportRequired | ResponseBody::NotRenewed)
 }
 
-fn metrics(pocket: &Pocket) -> String {
-    let figures = pocket.figures();
-    let mut text = format!("version={} share={:?} holds={}", figures.version, figures.place, figures.holds);
-    for t in figures.tenants {
-        write!(text, " {}:{}/{}/{:?}/{:?}", t.name, t.admitted, t.refused, t.rate, t.cap).unwrap();
+fn metrics(client: &QuotaClient) -> String {
+    let metrics = client.metrics();
+    let mut text = format!(
+        "version={} share={:?} holds={}",
+        metrics.version, metrics.reserved_share, metrics.holds_grants
+    );
+    for tenant in metrics.tenants {
+        write!(
+            text,
+            " {}:{}/{}/{:?}/{:?}",
+            tenant.name, tenant.admitted, tenant.shed, tenant.rate, tenant.capacity
+        )
+        .unwrap();
     }
     text
 }
 
-fn run(seed: u64, plant: Plant) -> String {
-    let mut run = Run::new(seed, plant);
+fn run(seed: u64, injected_fault: InjectedFault) -> String {
+    let mut run = Run::new(seed, injected_fault);
     for _ in 0..TURNS {
         run.turn();
     }
@@ -347,20 +357,27 @@
 
 #[test]
 fn run_of_one_seed_is_the_recorded_one() {
-    assert_same("recorded_run.txt", &run(1, Plant::None), FULL_RUN);
+    assert_same("recorded_run.txt", &run(1, InjectedFault::None), FULL_RUN);
 }
 
 #[test]
 fn runs_of_many_seeds_hash_to_the_recorded_ones() {
     let mut lines = String::new();
     for seed in 1..=40 {
-        writeln!(lines, "seed {seed}: {:016x}", fnv(run(seed, Plant::None).as_bytes())).unwrap();
+        writeln!(lines, "seed {seed}: {:016x}", fnv(run(seed, InjectedFault::None).as_bytes())).unwrap();
     }
-    for (n, plant) in
-        [Plant::LendTwice, Plant::SkipQuiet, Plant::Unchecked, Plant::TakeLate].into_iter().enumerate()
+    for (n, injected_fault) in [
+        InjectedFault::GrantTwice,
+        InjectedFault::SkipQuietPeriod,
+        InjectedFault::IgnoreExpiry,
+        InjectedFault::AcceptLateResponse,
+    ]
+    .into_iter()
+    .enumerate()
     {
         for seed in 1..=5 {
-            writeln!(lines, "fault {n}, seed {seed}: {:016x}", fnv(run(seed, plant).as_bytes())).unwrap();
+            writeln!(lines, "fault {n}, seed {seed}: {:016x}", fnv(run(seed, injected_fault).as_bytes()))
+                .unwrap();
         }
     }
     assert_same("recorded_run_hashes.txt", &lines, RUN_HASHES);
--- a/quotas/tests/rules.rs
+++ b/quotas/tests/rules.rs
@@ -2,7 +2,8 @@
 mod sim;
 use decision::Time;
 use quotas::{
-    Action, Admission, Allocator, Answer, Body, Event, Loan, Pocket, PocketSettings, Report, Settings,
+    Action, Admission, Allocator, AllocatorMetrics, Event, Grant, GrantChange, GrantResponse, QuotaClient,
+    QuotaClientSettings, Report, ResponseBody, Settings, TenantDemand,
 };
 use settings::fleet::{Fleet, OnLoss, Tenant};
 use sim::{Fault, World, fleet, quota};
@@ -11,8 +12,14 @@
 const SECOND: i64 = 1_000_000;
 const TTL: i64 = 2 * SECOND;
 
-fn pocket(name: &str, start: u64, slot: Option<u32>) -> Pocket {
-    Pocket::new(PocketSettings { name: name.into(), start, slot, settings: Settings::default(), seed: start })
+fn pocket(name: &str, start: u64, slot: Option<u32>) -> QuotaClient {
+    QuotaClient::new(QuotaClientSettings {
+        router: name.into(),
+        incarnation: start,
+        slot,
+        settings: Settings::default(),
+        seed: start,
+    })
 }
 
 /// An allocator past its quiet time, and pockets that exchange at once.
@@ -21,7 +28,7 @@
     version: u64,
     fleet: Arc<Fleet>,
     allocator: Allocator,
-    pockets: Vec<Pocket>,
+    pockets: Vec<QuotaClient>,
 }
 
 impl Small {
@@ -40,7 +47,7 @@
     }
 
     fn lead(&mut self, term: u64) {
-        self.allocator.handle(Time(self.now), Event::Began { term }, &mut Vec::new());
+        self.allocator.handle(Time(self.now), Event::BecameLeader { term }, &mut Vec::new());
     }
 
     fn config(&mut self, fleet: Fleet) {
@@ -52,24 +59,24 @@
     }
 
     fn learn(&mut self, i: usize) {
-        self.pockets[i].config(Time(self.now), self.version, self.fleet.clone());
+        self.pockets[i].apply_config(Time(self.now), self.version, &self.fleet);
     }
 
-    fn handle(&mut self, report: Report) -> Option<Answer> {
+    fn handle(&mut self, report: Report) -> Option<GrantResponse> {
         let mut actions = Vec::new();
-        self.allocator.handle(Time(self.now), Event::Report { from: 7, report }, &mut actions);
-        actions.pop().map(|Action::Answer { to, answer }| {
+        self.allocator.handle(Time(self.now), Event::Report { connection: 7, report }, &mut actions);
+        actions.pop().map(|Action::Respond { connection: to, response: answer }| {
             assert_eq!(to, 7);
             answer
         })
     }
 
-    fn exchange(&mut self, i: usize) -> Option<Body> {
+    fn exchange(&mut self, i: usize) -> Option<ResponseBody> {
         let report = self.pockets[i].report(Time(self.now));
         let answer = self.handle(report);
         match answer.clone() {
-            Some(answer) => self.pockets[i].answered(Time(self.now), answer),
-            None => self.pockets[i].lost(),
+            Some(answer) => self.pockets[i].handle_response(Time(self.now), answer),
+            None => self.pockets[i].exchange_failed(),
         }
         answer.map(|a| a.body)
     }
@@ -88,9 +95,9 @@
     }
 
     fn held(&self, i: usize, tenant: &str) -> (f64, f64) {
-        let figures = self.pockets[i].figures();
+        let figures = self.pockets[i].metrics();
         let t = figures.tenants.iter().find(|t| t.name == tenant).unwrap();
-        (t.rate.unwrap(), t.cap.unwrap())
+        (t.rate.unwrap(), t.capacity.unwrap())
     }
 }
 
@@ -98,9 +105,9 @@
     fleet(routers, &[("a".to_string(), quota(rate, burst, OnLoss::Closed))])
 }
 
-fn come_back(p: &mut Pocket, now: i64, tenant: &str) -> i64 {
+fn come_back(p: &mut QuotaClient, now: i64, tenant: &str) -> i64 {
     match p.admit(Time(now), tenant) {
-        Admission::Refused { come_back } => come_back,
+        Admission::Shed { retry_after: come_back } => come_back,
         Admission::Admitted => panic!("admitted"),
     }
 }
@@ -111,27 +118,27 @@
     assert_eq!(p.admit(Time(0), "a"), Admission::Admitted);
     let mut fleet = one(1, 0.0, 5);
     fleet.tenants.insert("free".into(), Tenant::default());
-    p.config(Time(0), 1, Arc::new(fleet));
+    p.apply_config(Time(0), 1, &fleet);
     assert_eq!(p.admit(Time(0), "free"), Admission::Admitted);
-    let never = Settings::default().never;
+    let never = Settings::default().zero_quota_retry_after;
     let wait = come_back(&mut p, 0, "who");
     assert!((never..=2 * never).contains(&wait), "{wait}");
-    let figures = p.figures();
-    assert_eq!((figures.tenants[0].refused, figures.tenants[1].admitted), (1, 1));
+    let figures = p.metrics();
+    assert_eq!((figures.tenants[0].shed, figures.tenants[1].admitted), (1, 1));
 }
 
 #[test]
 fn standing_parts_let_first_requests_pass_at_each_place_and_no_more_places_are_given() {
     let mut s = Small::new(one(4, 40.0, 8), 5);
     s.run(SECOND);
-    let places: Vec<_> = s.pockets.iter().map(|p| p.figures().place).collect();
+    let places: Vec<_> = s.pockets.iter().map(|p| p.metrics().reserved_share).collect();
     assert_eq!(places, [Some(0), Some(1), Some(2), Some(3), None]);
     for i in 0..4 {
         assert_eq!(s.held(i, "a"), (10.0, 2.0));
         assert!(s.admits(i, "a") && s.admits(i, "a") && !s.admits(i, "a"));
     }
     assert!(!s.admits(4, "a"));
-    assert!(s.pockets[4].urgent() && !s.pockets[0].urgent());
+    assert!(s.pockets[4].wants_early_report() && !s.pockets[0].wants_early_report());
     // By demand, it gets what it asks for.
     let passes = (0..10).any(|_| {
         s.run(SECOND / 5);
@@ -148,7 +155,7 @@
     s.now += SECOND;
     let answer = s.handle(report).unwrap();
     s.now += SECOND / 2;
-    s.pockets[0].answered(Time(s.now), answer);
+    s.pockets[0].handle_response(Time(s.now), answer);
     s.now = began + TTL * 98 / 100 - 1;
     assert!(s.admits(0, "a"));
     s.now += 1;
@@ -161,22 +168,22 @@
     let report = s.pockets[0].report(Time(s.now));
     let late = s.handle(report.clone()).unwrap();
     assert_eq!(s.handle(report), None, "what is sent twice is answered once");
-    s.pockets[0].lost();
-    s.pockets[0].answered(Time(s.now), late.clone());
+    s.pockets[0].exchange_failed();
+    s.pockets[0].handle_response(Time(s.now), late.clone());
     assert_eq!(s.held(0, "a"), (0.0, 0.0));
     let report = s.pockets[0].report(Time(s.now));
-    s.pockets[0].answered(Time(s.now), late);
+    s.pockets[0].handle_response(Time(s.now), late);
     assert_eq!(s.held(0, "a"), (0.0, 0.0));
     let mut answer = s.handle(report).unwrap();
     answer.term = 2;
-    s.pockets[0].answered(Time(s.now), answer);
+    s.pockets[0].handle_response(Time(s.now), answer);
     assert_eq!(s.held(0, "a"), (1_000.0, 10.0));
     // Term 1 is over for this router, and it tells the node so.
     let report = s.pockets[0].report(Time(s.now));
     assert_eq!(s.handle(report.clone()), None);
-    let body = Body::Lent { fresh: true, standing: None, loans: Vec::new() };
-    let old = Answer { term: 1, start: 1, seq: report.seq, version: 1, body };
-    s.pockets[0].answered(Time(s.now), old);
+    let body = ResponseBody::Renewed { reset: true, reserved_share: None, changes: Vec::new() };
+    let old = GrantResponse { term: 1, incarnation: 1, seq: report.seq, version: 1, body };
+    s.pockets[0].handle_response(Time(s.now), old);
     assert_eq!(s.held(0, "a"), (1_000.0, 10.0));
 }
 
@@ -188,7 +195,7 @@
     let report = s.pockets[0].report(Time(s.now));
     let answer = s.handle(report).unwrap();
     s.now += SECOND / 10;
-    s.pockets[0].answered(Time(s.now), answer);
+    s.pockets[0].handle_response(Time(s.now), answer);
     assert!(!s.admits(0, "a"));
 }
 
@@ -215,7 +222,7 @@
         let mut s = Small::new(one(1, 100.0, 20), 1);
         s.run(SECOND);
         if leaves {
-            let report = s.pockets[0].leave(Time(s.now));
+            let report = s.pockets[0].release_all(Time(s.now));
             s.handle(report).unwrap();
             assert!(!s.admits(0, "a"));
         }
@@ -284,18 +291,18 @@
     assert!((rates[1] - rates[2]).abs() < 1.0 && rates[1] > 37.0, "{rates:?}");
     s.run(8 * SECOND);
     assert!((0..4).all(|i| s.held(i, "a") == (25.0, 10.0)));
-    assert_eq!(s.allocator.figures(), (4, 0));
+    assert_eq!(s.allocator.metrics(), AllocatorMetrics { routers: 4, tenants_by_demand: 0 });
 }
 
 #[test]
 fn fixed_parts_begin_empty_after_settling_and_never_run_out() {
     let quotas = [("a".to_string(), quota(100.0, 40, OnLoss::Share(0.5)))];
     let mut s = Small::new(fleet(2, &quotas), 2);
-    let settle = Settings::default().settle;
+    let settle = Settings::default().settle_time;
     let mut p = pocket("alone", 1, Some(2));
-    p.config(Time(0), 1, s.fleet.clone());
+    p.apply_config(Time(0), 1, &s.fleet);
     let spends =
-        |p: &mut Pocket, at| (0..100).filter(|_| p.admit(Time(at), "a") == Admission::Admitted).count();
+        |p: &mut QuotaClient, at| (0..100).filter(|_| p.admit(Time(at), "a") == Admission::Admitted).count();
     assert_eq!(spends(&mut p, settle - 1), 0);
     assert_eq!(spends(&mut p, settle), 0);
     assert_eq!(spends(&mut p, settle + SECOND / 5), 4);
@@ -306,7 +313,7 @@
     s.run(SECOND);
     assert_eq!(s.held(0, "a"), (50.0, 20.0));
     let mut none = pocket("none", 1, Some(3));
-    none.config(Time(0), 1, s.fleet.clone());
+    none.apply_config(Time(0), 1, &s.fleet);
     assert_eq!(spends(&mut none, 900 * SECOND), 0);
 }
 
@@ -323,7 +330,7 @@
     s.pockets.push(cut);
     s.run(SECOND);
     assert_eq!(s.held(0, "a"), (5.0, 2.0));
-    assert_eq!(s.exchange(1), Some(Body::Wait));
+    assert_eq!(s.exchange(1), Some(ResponseBody::NotRenewed));
     s.run(2 * SECOND);
     assert!(!s.admits(1, "a"));
     assert_eq!(s.held(0, "a"), (100.0, 20.0));
@@ -352,24 +359,24 @@
     let frames = (postcard::to_stdvec(&report).unwrap(), postcard::to_stdvec(&answer).unwrap());
     assert!(frames.0.len() < 24 && frames.1.len() < 24, "{} {}", frames.0.len(), frames.1.len());
     assert_eq!(postcard::from_bytes::<Report>(&frames.0).unwrap(), report);
-    assert_eq!(postcard::from_bytes::<Answer>(&frames.1).unwrap(), answer);
+    assert_eq!(postcard::from_bytes::<GrantResponse>(&frames.1).unwrap(), answer);
 }
 
 #[test]
 fn absurd_messages_and_unfit_settings_are_refused() {
     let mut s = Small::new(one(1, 1.0, 1), 1);
     let mut report = s.pockets[0].report(Time(s.now));
-    report.demand = vec![("a".into(), u64::MAX)];
+    report.demand = vec![TenantDemand { tenant: "a".into(), rate: u64::MAX }];
     assert!(report.check().is_err());
     assert_eq!(s.handle(report), None);
-    let loans = vec![("a".to_string(), Some(Loan { rate: 1, cap: u64::MAX }))];
-    let body = Body::Lent { fresh: true, standing: None, loans };
-    assert!(Answer { term: 1, start: 1, seq: 1, version: 1, body }.check().is_err());
+    let loans = vec![GrantChange { tenant: "a".into(), grant: Some(Grant { rate: 1, capacity: u64::MAX }) }];
+    let body = ResponseBody::Renewed { reset: true, reserved_share: None, changes: loans };
+    assert!(GrantResponse { term: 1, incarnation: 1, seq: 1, version: 1, body }.check().is_err());
     assert!(Settings::default().check().is_ok());
     for settings in [
         Settings { ttl: 0, ..Settings::default() },
-        Settings { drift: f64::NAN, ..Settings::default() },
-        Settings { settle: TTL, ..Settings::default() },
+        Settings { max_clock_drift: f64::NAN, ..Settings::default() },
+        Settings { settle_time: TTL, ..Settings::default() },
     ] {
         assert!(settings.check().is_err(), "{settings:?}");
     }
--- a/quotas/tests/safety.rs
+++ b/quotas/tests/safety.rs
@@ -1,7 +1,7 @@
 //! Random schedules of a small fleet: every window of every tenant is checked.
 mod sim;
 use proptest::prelude::*;
-use quotas::{Plant, Settings};
+use quotas::{InjectedFault, Settings};
 use settings::fleet::OnLoss;
 use sim::{CALM, Fault, Net, World, fleet, quota};
 
@@ -32,7 +32,7 @@
 }
 
 /// Runs a schedule; the third tenant has a fixed share for each slot, in schedules that leave the places as they are.
-fn run(seed: u64, plant: Plant, faults: &[(i64, Fault)]) -> Result<(), String> {
+fn run(seed: u64, plant: InjectedFault, faults: &[(i64, Fault)]) -> Result<(), String> {
     let places = faults.iter().all(|(_, f)| !matches!(f, Fault::Quota(_, _, _, n) if *n > 0));
     let on_loss = if places { OnLoss::Share(0.4) } else { OnLoss::Closed };
     let quotas = [
@@ -40,7 +40,7 @@
         ("b".to_string(), quota(20.0, 3, OnLoss::Closed)),
         ("c".to_string(), quota(50.0, 10, on_loss)),
     ];
-    let settings = Settings { plant, idle: 1_000_000, ..Settings::default() };
+    let settings = Settings { injected_fault: plant, idle_timeout: 1_000_000, ..Settings::default() };
     settings.check().map_err(|e| e.to_string())?;
     let mut world = World::new(seed, 5, fleet(4, &quotas), settings, places);
     for r in 0..4 {
@@ -68,13 +68,13 @@
     /// Whatever happens, no window of any tenant has more than its quota.
     #[test]
     fn no_window_is_broken(seed in any::<u64>(), faults in schedule()) {
-        let outcome = run(seed, Plant::None, &faults);
+        let outcome = run(seed, InjectedFault::None, &faults);
         prop_assert!(outcome.is_ok(), "{outcome:?}");
     }
 }
 
 /// Each planted fault breaks a window within the schedules of one fixed seed.
-fn is_found(plant: Plant) {
+fn is_found(plant: InjectedFault) {
     use proptest::strategy::ValueTree;
     use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
     let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
@@ -88,20 +88,20 @@
 
 #[test]
 fn lending_twice_is_found() {
-    is_found(Plant::LendTwice);
+    is_found(InjectedFault::GrantTwice);
 }
 
 #[test]
 fn a_leader_that_lends_at_once_is_found() {
-    is_found(Plant::SkipQuiet);
+    is_found(InjectedFault::SkipQuietPeriod);
 }
 
 #[test]
 fn a_pocket_that_never_looks_at_its_time_is_found() {
-    is_found(Plant::Unchecked);
+    is_found(InjectedFault::IgnoreExpiry);
 }
 
 #[test]
 fn a_late_answer_that_is_taken_is_found() {
-    is_found(Plant::TakeLate);
+    is_found(InjectedFault::AcceptLateResponse);
 }
--- a/quotas/tests/search.rs
+++ b/quotas/tests/search.rs
@@ -1,7 +1,10 @@
 //! All orders of lending, spending, running out, changing leaders and starting anew, for two routers and one tenant in
 //! coarse time, to a bounded end and with a bounded number of faults.
 use decision::Time;
-use quotas::{Action, Admission, Allocator, Answer, Event, Plant, Pocket, PocketSettings, Settings};
+use quotas::{
+    Action, Admission, Allocator, Event, GrantResponse, InjectedFault, QuotaClient, QuotaClientSettings,
+    Settings,
+};
 use settings::fleet::{Fleet, OnLoss, Quota, Tenant};
 use stateright::{Checker, Model, Property};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -26,9 +29,9 @@
     elections: u8,
     starts: u8,
     faults: u8,
-    pockets: [Pocket; 2],
+    pockets: [QuotaClient; 2],
     /// Answers on their way from an earlier step.
-    late: [Option<Answer>; 2],
+    late: [Option<GrantResponse>; 2],
     /// Admissions by step of time.
     spent: Vec<i64>,
 }
@@ -83,19 +86,19 @@
 
 struct Search {
     faults: u8,
-    plant: Plant,
+    plant: InjectedFault,
 }
 
-fn settings(plant: Plant) -> Settings {
+fn settings(plant: InjectedFault) -> Settings {
     let ttl = 2 * STEP;
     Settings {
         ttl,
-        drift: 0.0,
-        settle: ttl + 1,
-        idle: STEP,
-        replan: 1_000,
-        rotate: 10 * STEP,
-        plant,
+        max_clock_drift: 0.0,
+        settle_time: ttl + 1,
+        idle_timeout: STEP,
+        min_plan_interval: 1_000,
+        rotation_interval: 10 * STEP,
+        injected_fault: plant,
         ..Settings::default()
     }
 }
@@ -106,15 +109,15 @@
     Arc::new(Fleet { routers: 2, unnamed: "a".into(), tenants, ..Fleet::default() })
 }
 
-fn pocket(i: usize, start: u64, now: i64, plant: Plant) -> Pocket {
-    let mut pocket = Pocket::new(PocketSettings {
-        name: format!("r{i}"),
-        start,
+fn pocket(i: usize, start: u64, now: i64, plant: InjectedFault) -> QuotaClient {
+    let mut pocket = QuotaClient::new(QuotaClientSettings {
+        router: format!("r{i}"),
+        incarnation: start,
         slot: None,
         settings: settings(plant),
         seed: 0,
     });
-    pocket.config(Time(now * STEP), 1, fleet());
+    pocket.apply_config(Time(now * STEP), 1, &fleet());
     pocket
 }
 
@@ -125,7 +128,7 @@
     fn init_states(&self) -> Vec<State> {
         let mut leader = Allocator::new(settings(self.plant));
         // The first leader's quiet time is over when the search begins.
-        leader.handle(Time(-3 * STEP), Event::Began { term: 1 }, &mut Vec::new());
+        leader.handle(Time(-3 * STEP), Event::BecameLeader { term: 1 }, &mut Vec::new());
         leader.handle(Time(-3 * STEP), Event::Config { version: 1, fleet: fleet() }, &mut Vec::new());
         let pockets = [0, 1].map(|i| pocket(i, 1, 0, self.plant));
         vec![State {
@@ -175,7 +178,7 @@
                 s.elections += 1;
                 s.leader = Allocator::new(settings(self.plant));
                 s.leader.handle(now, Event::Config { version: 1, fleet: fleet() }, &mut Vec::new());
-                s.leader.handle(now, Event::Began { term: s.term }, &mut Vec::new());
+                s.leader.handle(now, Event::BecameLeader { term: s.term }, &mut Vec::new());
             }
             Step::Start => {
                 s.starts += 1;
@@ -188,25 +191,25 @@
                 if step == Step::Cut {
                     s.faults += 1;
                     if let Some(answer) = late {
-                        s.pockets[i].answered(now, answer);
+                        s.pockets[i].handle_response(now, answer);
                     }
                 } else {
                     let report = s.pockets[i].report(now);
                     if let Some(answer) = late {
-                        s.pockets[i].answered(now, answer);
+                        s.pockets[i].handle_response(now, answer);
                     }
                     let mut actions = Vec::new();
-                    s.leader.handle(now, Event::Report { from: 0, report }, &mut actions);
-                    let answer = actions.pop().map(|Action::Answer { answer, .. }| answer);
+                    s.leader.handle(now, Event::Report { connection: 0, report }, &mut actions);
+                    let answer = actions.pop().map(|Action::Respond { response: answer, .. }| answer);
                     match (step, answer) {
-                        (Step::Exchange, Some(answer)) => s.pockets[i].answered(now, answer),
+                        (Step::Exchange, Some(answer)) => s.pockets[i].handle_response(now, answer),
                         (Step::Late, answer) => {
                             s.faults += 1;
                             s.late[i] = answer;
                         }
                         _ => {
                             s.faults += u8::from(step == Step::Lost);
-                            s.pockets[i].lost();
+                            s.pockets[i].exchange_failed();
                         }
                     }
                 }
@@ -229,13 +232,17 @@
 #[test]
 fn no_order_breaks_a_window() {
     let faults = std::env::var("SEARCH_FAULTS").ok().and_then(|n| n.parse().ok()).unwrap_or(FAULTS);
-    let checker = Search { faults, plant: Plant::None }.checker().threads(2).spawn_bfs().join();
+    let checker = Search { faults, plant: InjectedFault::None }.checker().threads(2).spawn_bfs().join();
     eprintln!("{} states", checker.unique_state_count());
     checker.assert_properties();
 }
 
 #[test]
 fn a_leader_that_lends_at_once_breaks_one() {
-    let checker = Search { faults: FAULTS, plant: Plant::SkipQuiet }.checker().threads(2).spawn_bfs().join();
+    let checker = Search { faults: FAULTS, plant: InjectedFault::SkipQuietPeriod }
+        .checker()
+        .threads(2)
+        .spawn_bfs()
+        .join();
     assert!(checker.discovery("no window is broken").is_some());
 }
--- a/quotas/tests/sim/mod.rs
+++ b/quotas/tests/sim/mod.rs
@@ -2,7 +2,9 @@
 //! the true time of each admission.
 #![allow(dead_code)]
 use decision::{Micros, Time};
-use quotas::{Action, Admission, Allocator, Answer, Event, Pocket, PocketSettings, Report, Settings};
+use quotas::{
+    Action, Admission, Allocator, Event, GrantResponse, QuotaClient, QuotaClientSettings, Report, Settings,
+};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use settings::fleet::{Fleet, OnLoss, Quota, Tenant};
@@ -57,7 +59,7 @@
     Exchange(usize, u64),
     Timeout(usize, u64, u64),
     ToNode(usize, usize, Report),
-    ToRouter(usize, Answer),
+    ToRouter(usize, GrantResponse),
     Ask(usize, usize, u64),
     Learn(usize, u64, u64),
     Start(usize),
@@ -76,7 +78,7 @@
 }
 
 pub struct Router {
-    pub pocket: Pocket,
+    pub pocket: QuotaClient,
     clock: Clock,
     start: u64,
     alive: bool,
@@ -126,7 +128,7 @@
 impl World {
     pub fn new(seed: u64, routers: usize, fleet: Fleet, settings: Settings, slots: bool) -> World {
         let mut random = SmallRng::seed_from_u64(seed);
-        let drift = (settings.drift * 1e6) as i64;
+        let drift = (settings.max_clock_drift * 1e6) as i64;
         let mut clock = || Clock {
             offset: random.random_range(0..1 << 40),
             ppm: 1_000_000 + random.random_range(-drift..=drift),
@@ -219,7 +221,7 @@
                     let r = &mut self.routers[i];
                     if r.alive && r.start == start && r.open == Some(seq) {
                         r.open = None;
-                        r.pocket.lost();
+                        r.pocket.exchange_failed();
                     }
                 }
             }
@@ -242,7 +244,7 @@
                     let r = &mut self.routers[i];
                     r.learning = 0;
                     let fleet = self.versions[version as usize - 1].1.clone();
-                    r.pocket.config(r.clock.at(self.now), version, fleet);
+                    r.pocket.apply_config(r.clock.at(self.now), version, &fleet);
                 }
             }
             Ev::Start(i) => self.start(i),
@@ -262,7 +264,7 @@
         r.timer += 1;
         // No router runs without a configuration here: that admits everything.
         let version = self.versions.len() as u64;
-        r.pocket.config(r.clock.at(self.now), version, self.versions[version as usize - 1].1.clone());
+        r.pocket.apply_config(r.clock.at(self.now), version, &self.versions[version as usize - 1].1);
         let timer = r.timer;
         let at = self.now + self.random.random_range(0..200_000);
         self.push(at, Ev::Exchange(i, timer));
@@ -321,14 +323,14 @@
         let mut actions = Vec::new();
         let (allocator, clock) = &mut self.nodes[node];
         let begin = std::time::Instant::now();
-        allocator.handle(clock.at(self.now), Event::Report { from: i as u64, report }, &mut actions);
+        allocator.handle(clock.at(self.now), Event::Report { connection: i as u64, report }, &mut actions);
         if self.measure {
             let spent = begin.elapsed();
             self.sums.reports += 1;
             self.sums.spent_handling += spent;
             self.sums.slowest = self.sums.slowest.max(spent);
         }
-        for Action::Answer { to, answer } in actions {
+        for Action::Respond { connection: to, response: answer } in actions {
             if self.measure {
                 self.sums.answer_bytes += postcard::to_stdvec(&answer).map_or(0, |b| b.len() as u64);
             }
@@ -338,18 +340,19 @@
         }
     }
 
-    fn answered(&mut self, i: usize, answer: Answer) {
+    fn answered(&mut self, i: usize, answer: GrantResponse) {
         let r = &mut self.routers[i];
         if !r.alive {
             return;
         }
-        if r.start == answer.start && r.open == Some(answer.seq) {
+        if r.start == answer.incarnation && r.open == Some(answer.seq) {
             r.open = None;
         }
-        let behind =
-            answer.start == r.start && answer.version > r.pocket.version() && r.learning < answer.version;
+        let behind = answer.incarnation == r.start
+            && answer.version > r.pocket.version()
+            && r.learning < answer.version;
         let version = answer.version;
-        r.pocket.answered(r.clock.at(self.now), answer);
+        r.pocket.handle_response(r.clock.at(self.now), answer);
         if behind {
             r.learning = version;
             let start = r.start;
@@ -368,12 +371,15 @@
         }
         match r.pocket.admit(r.clock.at(self.now), &self.names[t]) {
             Admission::Admitted => self.history[t].push((self.now, i)),
-            Admission::Refused { come_back } => {
-                assert!(come_back > 0 && come_back <= 2 * self.settings.never, "{come_back}");
+            Admission::Shed { retry_after: come_back } => {
+                assert!(
+                    come_back > 0 && come_back <= 2 * self.settings.zero_quota_retry_after,
+                    "{come_back}"
+                );
                 self.sums.refused += 1;
             }
         }
-        if r.pocket.urgent() && r.open.is_none() && self.now - r.hurried > 20_000 {
+        if r.pocket.wants_early_report() && r.open.is_none() && self.now - r.hurried > 20_000 {
             r.hurried = self.now;
             self.exchange(i);
         }
@@ -385,7 +391,7 @@
         let term = self.term;
         self.tell(node);
         let (allocator, clock) = &mut self.nodes[node];
-        allocator.handle(clock.at(self.now), Event::Began { term }, &mut Vec::new());
+        allocator.handle(clock.at(self.now), Event::BecameLeader { term }, &mut Vec::new());
     }
 
     /// The leader knows the newest version.
@@ -408,7 +414,7 @@
                     && self.routers[i].stopped <= self.now
                 {
                     let r = &mut self.routers[i];
-                    let report = r.pocket.leave(r.clock.at(self.now));
+                    let report = r.pocket.release_all(r.clock.at(self.now));
                     self.send(i, report);
                 }
                 self.routers[i].alive = false;
@@ -524,10 +530,10 @@
     }
 }
 
-fn pocket(i: usize, start: u64, slots: bool, settings: &Settings) -> Pocket {
-    Pocket::new(PocketSettings {
-        name: format!("r{i}"),
-        start,
+fn pocket(i: usize, start: u64, slots: bool, settings: &Settings) -> QuotaClient {
+    QuotaClient::new(QuotaClientSettings {
+        router: format!("r{i}"),
+        incarnation: start,
         slot: slots.then_some(i as u32 + 1),
         settings: settings.clone(),
         seed: i as u64 * 1_000 + start,
