--- /dev/null
+++ b/quotas/tests/recorded_run.rs
@@ -0,0 +1,384 @@
+//! Seeded runs of one allocator and five routers, compared with what an earlier build recorded: each report and response
+//! by the hash of its bytes, each admission decision and wait, and the metrics.
+//!
+//! A difference means that a decision, a limit or the order of random draws has changed. Where that is intended, the run
+//! written next to the test's other temporary files becomes the new fixture, and the commit says why.
+use decision::Time;
+use quotas::{
+    Action, Admission, Allocator, AllocatorMetrics, Event, GrantResponse, InjectedFault, QuotaClient,
+    QuotaClientSettings, Report, ResponseBody, Settings,
+};
+use rand::rngs::SmallRng;
+use rand::{RngExt, SeedableRng};
+use settings::fleet::{Fleet, OnLoss, Quota, Tenant};
+use std::fmt::Write;
+use std::sync::Arc;
+
+/// One run in full, so that a difference can be read.
+const FULL_RUN: &str = include_str!("fixtures/recorded_run.txt");
+/// The hashes of runs with other seeds and of those with an injected fault.
+const RUN_HASHES: &str = include_str!("fixtures/recorded_run_hashes.txt");
+
+const ROUTERS: usize = 5;
+const TENANTS: [&str; 4] = ["a", "b", "c", "free"];
+/// The time between two turns of a run, microseconds; up to a tenth more by chance.
+const TURN: i64 = 20_000;
+const TURNS: usize = 1_250;
+const EXCHANGE_INTERVAL: i64 = 200_000;
+const CONNECTION: u64 = 7;
+
+/// FNV-1a: the same on all platforms and with all compilers.
+fn fnv(bytes: &[u8]) -> u64 {
+    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
+    })
+}
+
+fn fleet(random: &mut SmallRng) -> Arc<Fleet> {
+    let quota = |rate: f64, burst: u32, on_loss: OnLoss| Some(Quota { rate, burst, on_loss });
+    let quotas = [
+        quota([60.0, 30.0, 90.5][random.random_range(0..3)], 25, OnLoss::Closed),
+        quota(20.0, [3, 6, 0][random.random_range(0..3)], OnLoss::Closed),
+        quota(50.0, 40, [OnLoss::Closed, OnLoss::Share(0.4)][random.random_range(0..2)]),
+        None,
+    ];
+    let tenants = TENANTS.iter().zip(quotas);
+    let tenants = tenants.map(|(name, quota)| (name.to_string(), Tenant { quota, ..Tenant::default() }));
+    let routers = random.random_range(4..=6);
+    Arc::new(Fleet { routers, unnamed: "b".into(), tenants: tenants.collect(), ..Fleet::default() })
+}
+
+struct Router {
+    client: QuotaClient,
+    incarnation: u64,
+    clock_offset: i64,
+    next_exchange: i64,
+    last_exchange: i64,
+    /// Requests a second, by tenant.
+    demand: [f64; TENANTS.len()],
+    /// Responses on their way, with the time at which they arrive.
+    late: Vec<(i64, GrantResponse)>,
+    admitted: u64,
+    shed: u64,
+    waits: i64,
+}
+
+impl Router {
+    fn clock(&self, now: i64) -> Time {
+        Time(now + self.clock_offset)
+    }
+}
+
+struct Run {
+    random: SmallRng,
+    settings: Settings,
+    now: i64,
+    allocator: Allocator,
+    term: u64,
+    versions: Vec<Arc<Fleet>>,
+    routers: Vec<Router>,
+    lines: String,
+}
+
+impl Run {
+    fn new(seed: u64, injected_fault: InjectedFault) -> Run {
+        let mut random = SmallRng::seed_from_u64(seed);
+        let settings = Settings { injected_fault, idle_timeout: 1_500_000, ..Settings::default() };
+        let versions = vec![fleet(&mut random)];
+        let allocator = Allocator::new(settings.clone());
+        let mut run = Run {
+            random,
+            settings,
+            now: 0,
+            allocator,
+            term: 0,
+            versions,
+            routers: Vec::new(),
+            lines: String::new(),
+        };
+        run.elect();
+        for i in 0..ROUTERS {
+            let router = run.start_router(i, 1);
+            run.routers.push(router);
+        }
+        run
+    }
+
+    fn start_router(&mut self, i: usize, incarnation: u64) -> Router {
+        let clock_offset = self.random.random_range(0..1 << 40);
+        let mut client = QuotaClient::new(QuotaClientSettings {
+            router: format!("r{i}"),
+            incarnation,
+            slot: i.is_multiple_of(2).then_some(i as u32 + 1),
+            settings: self.settings.clone(),
+            seed: i as u64 * 1_000 + incarnation,
+        });
+        let version = self.versions.len();
+        client.apply_config(Time(self.now + clock_offset), version as u64, &self.versions[version - 1]);
+        Router {
+            client,
+            incarnation,
+            clock_offset,
+            next_exchange: self.now + self.random.random_range(0..EXCHANGE_INTERVAL),
+            last_exchange: i64::MIN / 2,
+            demand: [0.0; TENANTS.len()],
+            late: Vec::new(),
+            admitted: 0,
+            shed: 0,
+            waits: 0,
+        }
+    }
+
+    fn event(&mut self, event: Event) -> Option<GrantResponse> {
+        let mut actions = Vec::new();
+        self.allocator.handle(Time(self.now), event, &mut actions);
+        assert!(actions.len() <= 1);
+        actions.pop().map(|Action::Respond { connection, response }| {
+            assert_eq!(connection, CONNECTION);
+            response
+        })
+    }
+
+    fn configure(&mut self) {
+        let version = self.versions.len() as u64;
+        let fleet = self.versions[version as usize - 1].clone();
+        self.event(Event::Config { version, fleet });
+    }
+
+    fn elect(&mut self) {
+        self.term += 1;
+        if self.random.random_bool(0.5) {
+            self.allocator = Allocator::new(self.settings.clone());
+        }
+        self.configure();
+        let term = self.term;
+        self.event(Event::BecameLeader { term });
+        writeln!(self.lines, "{} elected term={term}", self.now).unwrap();
+    }
+
+    fn respond(&mut self, report: Report) -> Option<GrantResponse> {
+        self.event(Event::Report { connection: CONNECTION, report })
+    }
+
+    fn faults(&mut self) {
+        let i = self.random.random_range(0..ROUTERS);
+        if self.random.random_bool(0.003) {
+            self.elect();
+        }
+        if self.random.random_bool(0.004) {
+            let fleet = fleet(&mut self.random);
+            self.versions.push(fleet);
+            self.configure();
+            writeln!(self.lines, "{} configured version={}", self.now, self.versions.len()).unwrap();
+        }
+        if self.random.random_bool(0.03) {
+            let tenant = self.random.random_range(0..TENANTS.len());
+            let rate = [0.0, 0.0, 1.0, 8.0, 40.0, 150.0][self.random.random_range(0..6)];
+            self.routers[i].demand[tenant] = rate;
+            writeln!(self.lines, "{} demand router={i} tenant={tenant} rate={rate}", self.now).unwrap();
+        }
+        if self.random.random_bool(0.003) {
+            self.event(Event::RouterLeft { router: format!("r{i}") });
+            writeln!(self.lines, "{} left router={i}", self.now).unwrap();
+        }
+        if self.random.random_bool(0.02) {
+            self.event(Event::Tick);
+        }
+        let leaves = self.random.random_bool(0.002);
+        if leaves {
+            let at = self.routers[i].clock(self.now);
+            let report = self.routers[i].client.release_all(at);
+            self.exchanged(i, &report, None);
+            self.respond(report);
+        }
+        if leaves || self.random.random_bool(0.002) {
+            let demand = self.routers[i].demand;
+            let incarnation = self.routers[i].incarnation + 1;
+            self.routers[i] = Router { demand, ..self.start_router(i, incarnation) };
+            writeln!(self.lines, "{} restarted router={i}", self.now).unwrap();
+        }
+    }
+
+    fn requests(&mut self, i: usize) {
+        for (tenant, name) in TENANTS.iter().enumerate() {
+            let expected = self.routers[i].demand[tenant] * TURN as f64 / 1e6;
+            let count = expected as u64 + u64::from(self.random.random_bool(expected.fract()));
+            let name = if *name == "b" && self.random.random_bool(0.2) { "unknown" } else { name };
+            let router = &mut self.routers[i];
+            for _ in 0..count {
+                match router.client.admit(router.clock(self.now), name) {
+                    Admission::Admitted => router.admitted += 1,
+                    Admission::Shed { retry_after } => {
+                        router.shed += 1;
+                        router.waits += retry_after;
+                    }
+                }
+            }
+        }
+    }
+
+    fn exchange(&mut self, i: usize) {
+        let router = &mut self.routers[i];
+        router.next_exchange = self.now + EXCHANGE_INTERVAL;
+        router.last_exchange = self.now;
+        let report = router.client.report(router.clock(self.now));
+        let response = if self.random.random_bool(0.04) { None } else { self.respond(report.clone()) };
+        if self.random.random_bool(0.05) {
+            // What arrives twice is answered once at most.
+            let twice = self.respond(report.clone());
+            assert!(
+                twice.is_none() || response.is_none() || twice.as_ref().is_some_and(|a| is_refusal(&a.body))
+            );
+        }
+        self.exchanged(i, &report, response.as_ref());
+        let Some(response) = response else { return self.routers[i].client.exchange_failed() };
+        match self.random.random_range(0..20) {
+            0 => self.routers[i].client.exchange_failed(),
+            1 | 2 => {
+                let at = self.now + self.random.random_range(0..2_500_000);
+                self.routers[i].late.push((at, response));
+                if self.random.random_bool(0.5) {
+                    self.routers[i].client.exchange_failed();
+                }
+            }
+            _ => {
+                let at = self.routers[i].clock(self.now);
+                self.routers[i].client.handle_response(at, response);
+            }
+        }
+    }
+
+    fn late_responses(&mut self, i: usize) {
+        let router = &mut self.routers[i];
+        let (due, late) = router.late.drain(..).partition(|(at, _)| *at <= self.now);
+        router.late = late;
+        let due: Vec<(i64, GrantResponse)> = due;
+        for (_, response) in due {
+            let at = router.clock(self.now);
+            router.client.handle_response(at, response);
+        }
+    }
+
+    fn learn(&mut self, i: usize) {
+        let version = self.versions.len();
+        let router = &mut self.routers[i];
+        if router.client.version() < version as u64 && self.random.random_bool(0.1) {
+            router.client.apply_config(router.clock(self.now), version as u64, &self.versions[version - 1]);
+        }
+    }
+
+    /// Writes one exchange and what the router has admitted until it.
+    fn exchanged(&mut self, i: usize, report: &Report, response: Option<&GrantResponse>) {
+        let router = &self.routers[i];
+        let report_hash = fnv(&postcard::to_stdvec(report).unwrap());
+        let response_hash = response.map_or(0, |a| fnv(&postcard::to_stdvec(a).unwrap()));
+        let kind = match response.map(|a| &a.body) {
+            None => "none",
+            Some(ResponseBody::FullReportRequired) => "full-report",
+            Some(ResponseBody::NotRenewed) => "not-renewed",
+            Some(ResponseBody::Renewed { reset: true, .. }) => "reset",
+            Some(ResponseBody::Renewed { reset: false, .. }) => "renewed",
+        };
+        let (admitted, shed, waits) = (router.admitted, router.shed, router.waits);
+        writeln!(
+            self.lines,
+            "{} r{i} seq={} report={report_hash:016x} response={kind}:{response_hash:016x} admitted={admitted} \
+             shed={shed} waits={waits} metrics={:016x}",
+            self.now,
+            report.seq,
+            fnv(metrics(&router.client).as_bytes()),
+        )
+        .unwrap();
+    }
+
+    fn turn(&mut self) {
+        self.now += TURN + self.random.random_range(0..TURN / 10);
+        self.faults();
+        for i in 0..ROUTERS {
+            self.late_responses(i);
+            self.learn(i);
+            self.requests(i);
+            let router = &self.routers[i];
+            let early = router.client.wants_early_report() && self.now - router.last_exchange > 2 * TURN;
+            if early || router.next_exchange <= self.now {
+                self.exchange(i);
+            }
+        }
+    }
+
+    fn end(mut self) -> String {
+        for i in 0..ROUTERS {
+            let text = metrics(&self.routers[i].client);
+            writeln!(self.lines, "{} r{i} {text}", self.now).unwrap();
+        }
+        let AllocatorMetrics { routers, tenants_by_demand } = self.allocator.metrics();
+        writeln!(self.lines, "{} allocator routers={routers} tenants={tenants_by_demand}", self.now).unwrap();
+        self.lines
+    }
+}
+
+fn is_refusal(body: &ResponseBody) -> bool {
+    matches!(body, ResponseBody::FullReportRequired | ResponseBody::NotRenewed)
+}
+
+fn metrics(client: &QuotaClient) -> String {
+    let metrics = client.metrics();
+    let mut text = format!(
+        "version={} share={:?} holds={}",
+        metrics.version, metrics.reserved_share, metrics.holds_grants
+    );
+    for tenant in metrics.tenants {
+        write!(
+            text,
+            " {}:{}/{}/{:?}/{:?}",
+            tenant.name, tenant.admitted, tenant.shed, tenant.rate, tenant.capacity
+        )
+        .unwrap();
+    }
+    text
+}
+
+fn run(seed: u64, injected_fault: InjectedFault) -> String {
+    let mut run = Run::new(seed, injected_fault);
+    for _ in 0..TURNS {
+        run.turn();
+    }
+    run.end()
+}
+
+/// Leaves what was run beside the test's temporary files, and compares it line by line.
+fn assert_same(name: &str, actual: &str, recorded: &str) {
+    std::fs::write(std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name), actual).unwrap();
+    for (n, (actual, recorded)) in actual.lines().zip(recorded.lines()).enumerate() {
+        assert_eq!(actual, recorded, "{name}, line {}", n + 1);
+    }
+    assert_eq!(actual.lines().count(), recorded.lines().count(), "{name}: number of lines");
+}
+
+#[test]
+fn run_of_one_seed_is_the_recorded_one() {
+    assert_same("recorded_run.txt", &run(1, InjectedFault::None), FULL_RUN);
+}
+
+#[test]
+fn runs_of_many_seeds_hash_to_the_recorded_ones() {
+    let mut lines = String::new();
+    for seed in 1..=40 {
+        writeln!(lines, "seed {seed}: {:016x}", fnv(run(seed, InjectedFault::None).as_bytes())).unwrap();
+    }
+    for (n, injected_fault) in [
+        InjectedFault::GrantTwice,
+        InjectedFault::SkipQuietPeriod,
+        InjectedFault::IgnoreExpiry,
+        InjectedFault::AcceptLateResponse,
+    ]
+    .into_iter()
+    .enumerate()
+    {
+        for seed in 1..=5 {
+            writeln!(lines, "fault {n}, seed {seed}: {:016x}", fnv(run(seed, injected_fault).as_bytes()))
+                .unwrap();
+        }
+    }
+    assert_same("recorded_run_hashes.txt", &lines, RUN_HASHES);
+}
