--- /dev/null
+++ b/fleet/src/client/connection.rs
@@ -0,0 +1,138 @@
+//! A router's connection to one of the store's nodes, and the choice of the node.
+use crate::wire::{self, Request, Response};
+use settings::fleet::Version;
+use std::collections::{BTreeSet, HashMap};
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::time::{Duration, Instant};
+use store::wire::WireError;
+use thiserror::Error;
+
+/// How long one node may take to connect, and to answer a report.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a node may take to send a whole document.
+const DOCUMENT_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Why an exchange with one node failed.
+#[derive(Debug, Error)]
+pub(super) enum ExchangeError {
+    #[error(transparent)]
+    Wire(#[from] WireError),
+    #[error("this node is not the leader")]
+    NotLeader {
+        /// The node that it takes for the leader.
+        leader: u64,
+    },
+    #[error("this node has its {max_connections} connections in use")]
+    Busy { max_connections: u64 },
+    #[error("this node sent an unexpected response; run the same version of the program on both sides")]
+    UnexpectedResponse,
+}
+
+impl From<io::Error> for ExchangeError {
+    fn from(error: io::Error) -> ExchangeError {
+        ExchangeError::Wire(error.into())
+    }
+}
+
+/// The text of a document as it was received.
+pub(super) struct ReceivedDocument {
+    pub(super) version: Version,
+    pub(super) bytes: Vec<u8>,
+}
+
+/// The nodes that may answer reports, and a connection to one of them at a time.
+pub(super) struct Connection {
+    nodes: Vec<SocketAddr>,
+    /// The index in `nodes` of each node that has said its number.
+    index_by_number: HashMap<u64, usize>,
+    current: usize,
+    socket: Option<TcpStream>,
+}
+
+impl Connection {
+    pub(super) fn new(nodes: Vec<SocketAddr>) -> Connection {
+        Connection { nodes, index_by_number: HashMap::new(), current: 0, socket: None }
+    }
+
+    pub(super) fn node_count(&self) -> usize {
+        self.nodes.len()
+    }
+
+    /// The address of the node in use.
+    pub(super) fn addr(&self) -> SocketAddr {
+        self.nodes[self.current]
+    }
+
+    /// Connects to the node in use, unless connected.
+    pub(super) fn open(&mut self) -> Result<&TcpStream, ExchangeError> {
+        let socket = match self.socket.take() {
+            Some(socket) => socket,
+            None => self.connect()?,
+        };
+        Ok(self.socket.insert(socket))
+    }
+
+    fn connect(&mut self) -> Result<TcpStream, ExchangeError> {
+        let socket = TcpStream::connect_timeout(&self.addr(), ATTEMPT_TIMEOUT)?;
+        if socket.local_addr()? == socket.peer_addr()? {
+            // Where nobody listens, a loopback connection may reach itself and keep the port from the node.
+            socket2::SockRef::from(&socket).set_linger(Some(Duration::ZERO))?;
+            return Err(WireError::Magic.into());
+        }
+        socket.set_nodelay(true)?;
+        socket.set_write_timeout(Some(ATTEMPT_TIMEOUT))?;
+        wire::send_hello(&socket)?;
+        wire::receive_hello(&socket, ATTEMPT_TIMEOUT)?;
+        match wire::receive(&socket, ATTEMPT_TIMEOUT, ATTEMPT_TIMEOUT)? {
+            Response::Welcome { node } => _ = self.index_by_number.insert(node, self.current),
+            Response::Busy { max_connections } => return Err(ExchangeError::Busy { max_connections }),
+            _ => return Err(ExchangeError::UnexpectedResponse),
+        }
+        Ok(socket)
+    }
+
+    /// Sends a request and receives its response.
+    pub(super) fn request(&mut self, request: &Request) -> Result<Response, ExchangeError> {
+        let socket = self.open()?;
+        wire::send(socket, request)?;
+        Ok(wire::receive(socket, ATTEMPT_TIMEOUT, ATTEMPT_TIMEOUT)?)
+    }
+
+    /// Asks for the document and receives all its parts.
+    pub(super) fn fetch_document(&mut self) -> Result<ReceivedDocument, ExchangeError> {
+        let socket = self.open()?;
+        wire::send(socket, &Request::Document)?;
+        let deadline = Instant::now() + DOCUMENT_TIMEOUT;
+        let mut text = Vec::new();
+        loop {
+            let left = deadline.saturating_duration_since(Instant::now());
+            let Response::DocumentPart { version, bytes, is_last } = wire::receive(socket, left, left)?
+            else {
+                return Err(ExchangeError::UnexpectedResponse);
+            };
+            text.extend(bytes);
+            if text.len() > settings::fleet::BYTES {
+                return Err(ExchangeError::UnexpectedResponse);
+            }
+            if is_last {
+                return Ok(ReceivedDocument { version, bytes: text });
+            }
+        }
+    }
+
+    /// Closes the connection after `error` and chooses the node to try next: the leader that this one named, else the
+    /// next in order. `silent` collects the nodes that failed otherwise in this round, because other nodes may still
+    /// name as the leader one that this router has just found silent.
+    pub(super) fn fail_over(&mut self, error: &ExchangeError, silent: &mut BTreeSet<usize>) {
+        let next = (self.current + 1) % self.nodes.len();
+        self.socket = None;
+        let ExchangeError::NotLeader { leader } = error else {
+            silent.insert(self.current);
+            self.current = next;
+            return;
+        };
+        let named = self.index_by_number.get(leader).copied();
+        self.current = named.filter(|i| *i != self.current && !silent.contains(i)).unwrap_or(next);
+    }
+}
--- /dev/null
+++ b/fleet/src/client/mod.rs
@@ -0,0 +1,194 @@
+//! A router's side of the fleet.
+//!
+//! A thread reports every 200 ms to the store node that leads, applies its answer and follows the fleet document
+//! (`exchange`). Requests never wait for it: they are admitted or rejected by state behind locks that are never held
+//! across I/O (`shared`).
+mod connection;
+mod exchange;
+mod shared;
+mod tenants;
+
+use audit::{Fenced, Guard};
+use crossbeam_channel::{Sender, bounded};
+use exchange::{Exchange, LeaveRequest};
+use placement::News;
+use quotas::{Admission, Pocket, PocketSettings};
+use routing::{Clock, Time, spawn};
+use settings::fleet::{Member, Version};
+use shared::Shared;
+use std::io;
+use std::sync::Arc;
+use std::time::Duration;
+use thiserror::Error;
+
+const STACK_BYTES: usize = 1 << 20;
+/// Until the router knows the fleet document, clients are told to retry after this.
+const RETRY_AFTER_START: Duration = Duration::from_millis(400);
+/// How long a request that was admitted under the audit's lease may still be sent after the lease's end, in
+/// microseconds.
+const GRACE_AFTER_LEASE_US: i64 = 200_000;
+/// How long [`FleetClient::leave`] waits for the exchange.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Why a request is rejected. Nothing of it has run.
+#[derive(Clone, Debug, Error)]
+pub enum AdmissionError {
+    /// The tenant is over its quota at this router.
+    #[error("quota of tenant '{tenant}'; come back in {} ms", retry_after.as_millis())]
+    QuotaExceeded {
+        /// The tenant.
+        tenant: Arc<str>,
+        /// When a token is likely to be available.
+        retry_after: Duration,
+    },
+    /// The router's version of the document is not in force, so no request may be routed.
+    #[error(transparent)]
+    Fenced(#[from] Fenced),
+    /// The router has just started and does not know the fleet document yet.
+    #[error(
+        "this router has not heard from the fleet's store yet; come back in {} ms",
+        retry_after.as_millis()
+    )]
+    NotConfigured {
+        /// When it may know it.
+        retry_after: Duration,
+    },
+}
+
+/// How a router takes part in its fleet.
+#[derive(Clone, Debug)]
+pub struct Settings {
+    /// The operator's `[fleet]` table.
+    pub member: Member,
+    /// This start of the router; higher with each start.
+    pub incarnation: u64,
+    /// The names of the request classes, to warn of placement rules for others.
+    pub classes: Vec<String>,
+    /// The constants of the quota state machines, the same on all routers and nodes.
+    pub quotas: quotas::Settings,
+    /// Seeds the draws of pauses.
+    pub seed: u64,
+}
+
+/// A router's membership in its fleet: resolves tenants and admits requests. Clones share their state.
+#[derive(Clone)]
+pub struct FleetClient {
+    shared: Arc<Shared>,
+    leave: Sender<LeaveRequest>,
+}
+
+impl FleetClient {
+    /// Starts the thread that reports to the leader.
+    ///
+    /// `on_placement_news` gets the placement rules of each version and each confirmation that they are current; it is
+    /// called on the exchange's thread. `member_list_version` says the version of the router's member list, for the
+    /// audit.
+    ///
+    /// # Errors
+    /// Where the thread cannot be started.
+    pub fn start(
+        settings: Settings,
+        clock: Clock,
+        on_placement_news: impl Fn(News) + Send + 'static,
+        member_list_version: impl Fn() -> u64 + Send + 'static,
+    ) -> io::Result<FleetClient> {
+        let member = settings.member;
+        let pocket = Pocket::new(PocketSettings {
+            name: member.name,
+            start: settings.incarnation,
+            slot: member.slot,
+            settings: settings.quotas.clone(),
+            seed: settings.seed,
+        });
+        // The leader counts the whole time; less here by what the two clocks may differ.
+        let lease_us = (settings.quotas.ttl as f64 * (1.0 - settings.quotas.drift)) as i64;
+        let guard = member.audit.map(|_| Guard::new(lease_us));
+        let (wakeup_sender, wakeups) = bounded(1);
+        let (leave, leave_requests) = bounded(1);
+        let shared = Arc::new(Shared::new(pocket, guard, clock, wakeup_sender));
+        let exchange = Exchange::new(
+            shared.clone(),
+            exchange::Settings {
+                nodes: member.allocators,
+                lease_us,
+                classes: settings.classes,
+                seed: settings.seed,
+            },
+            Box::new(on_placement_news),
+            Box::new(member_list_version),
+        );
+        spawn("fleet", STACK_BYTES, move || exchange.run(&wakeups, &leave_requests))?;
+        Ok(FleetClient { shared, leave })
+    }
+
+    /// The tenant of a request of the database user `user` that names the tenant `named`; `None` where the fleet has no
+    /// tenants. Takes no token of the tenant's quota.
+    ///
+    /// # Errors
+    /// [`AdmissionError::NotConfigured`] and [`AdmissionError::Fenced`]: the request must not be sent to any server.
+    pub fn resolve_tenant(
+        &self,
+        user: &str,
+        named: Option<&str>,
+    ) -> Result<Option<Arc<str>>, AdmissionError> {
+        self.resolve(user, named).map(|resolved| resolved.tenant)
+    }
+
+    fn resolve(&self, user: &str, named: Option<&str>) -> Result<Resolved, AdmissionError> {
+        let tenants = self.shared.tenants();
+        let Some(tenants) = &*tenants else {
+            return Err(AdmissionError::NotConfigured { retry_after: RETRY_AFTER_START });
+        };
+        let tenant = tenants.resolve(user, named).cloned();
+        Ok(Resolved { tenant, version_in_force: self.shared.check_fence()? })
+    }
+
+    /// The time by which a request that is admitted now must have been sent to a server: its deadline, or earlier.
+    /// Where the audit is on, it is at most a little after the end of the lease under which the request was admitted.
+    pub fn dispatch_deadline(&self, deadline: Time) -> Time {
+        let lease_end = self.shared.with_guard(|guard, _| guard.until());
+        lease_end.map_or(deadline, |end| deadline.min(Time(end.0.saturating_add(GRACE_AFTER_LEASE_US))))
+    }
+
+    /// Admits a request of the database user `user` that names the tenant `named`, and takes one token of its tenant's
+    /// quota. Returns the tenant, `None` where the fleet has no tenants.
+    ///
+    /// # Errors
+    /// [`AdmissionError`]: the request must not be sent to any server.
+    pub fn admit(&self, user: &str, named: Option<&str>) -> Result<Option<Arc<str>>, AdmissionError> {
+        let resolved = self.resolve(user, named)?;
+        let Some(tenant) = resolved.tenant else { return Ok(None) };
+        let (admission, urgent) =
+            self.shared.with_pocket(|pocket, now| (pocket.admit(now, &tenant), pocket.urgent()));
+        if urgent {
+            self.shared.wake_exchange();
+        }
+        match admission {
+            Admission::Admitted => {
+                tracing::trace!(version = resolved.version_in_force, %tenant, "request admitted");
+                Ok(Some(tenant))
+            }
+            Admission::Refused { come_back } => {
+                let retry_after = Duration::from_micros(come_back.max(0) as u64);
+                Err(AdmissionError::QuotaExceeded { tenant, retry_after })
+            }
+        }
+    }
+
+    /// Leaves the fleet and returns all quota grants, once no more requests come. Waits for the exchange for a second
+    /// at most; what is not returned expires.
+    pub fn leave(&self) {
+        let (done, left) = bounded(1);
+        if self.leave.try_send(LeaveRequest { done }).is_ok() {
+            _ = left.recv_timeout(LEAVE_TIMEOUT);
+        }
+    }
+}
+
+/// A request's tenant, and the version under which it is routed.
+struct Resolved {
+    /// `None` where the fleet has no tenants.
+    tenant: Option<Arc<str>>,
+    /// `None` where the audit is off.
+    version_in_force: Option<Version>,
+}
--- /dev/null
+++ b/fleet/src/client/shared.rs
@@ -0,0 +1,108 @@
+//! State that requests and the exchange share. No lock is held across I/O.
+//!
+//! Time is read under the lock that it is used with: a thread that stood still while it waited for the lock must not
+//! act on the time from before.
+use super::tenants::TenantDirectory;
+use audit::{Fenced, Guard};
+use crossbeam_channel::Sender;
+use quotas::Pocket;
+use routing::{Clock, Time};
+use settings::fleet::Version;
+use std::sync::{Mutex, MutexGuard, PoisonError, RwLock, RwLockReadGuard};
+
+/// Asks the exchange to report before its usual time.
+pub(super) struct Wakeup;
+
+/// The audit's fence, and its state that was logged last.
+struct Fence {
+    guard: Guard,
+    logged: Option<Result<Version, Fenced>>,
+}
+
+pub(super) struct Shared {
+    pocket: Mutex<Pocket>,
+    /// `None` where the audit is off.
+    fence: Option<Mutex<Fence>>,
+    /// `None` until the first document is known.
+    tenants: RwLock<Option<TenantDirectory>>,
+    clock: Clock,
+    wakeups: Sender<Wakeup>,
+}
+
+impl Shared {
+    pub(super) fn new(pocket: Pocket, guard: Option<Guard>, clock: Clock, wakeups: Sender<Wakeup>) -> Shared {
+        Shared {
+            pocket: Mutex::new(pocket),
+            fence: guard.map(|guard| Mutex::new(Fence { guard, logged: None })),
+            tenants: RwLock::default(),
+            clock,
+            wakeups,
+        }
+    }
+
+    /// Runs `act` on the quota client.
+    pub(super) fn with_pocket<T>(&self, act: impl FnOnce(&mut Pocket, Time) -> T) -> T {
+        let mut pocket = self.pocket.lock().unwrap_or_else(PoisonError::into_inner);
+        let now = self.clock.now();
+        act(&mut pocket, now)
+    }
+
+    /// Runs `act` on the audit's fence; `None` where the audit is off.
+    pub(super) fn with_guard<T>(&self, act: impl FnOnce(&mut Guard, Time) -> T) -> Option<T> {
+        let mut fence = self.lock_fence()?;
+        let now = self.clock.now();
+        Some(act(&mut fence.guard, now))
+    }
+
+    fn lock_fence(&self) -> Option<MutexGuard<'_, Fence>> {
+        self.fence.as_ref().map(|fence| fence.lock().unwrap_or_else(PoisonError::into_inner))
+    }
+
+    /// The version in force, `None` where the audit is off. Logs a change between in force and fenced.
+    pub(super) fn check_fence(&self) -> Result<Option<Version>, Fenced> {
+        let Some(mut fence) = self.lock_fence() else { return Ok(None) };
+        let now = self.clock.now();
+        let state = fence.guard.check(now);
+        // Before the first confirmation no version was in force: being fenced is no change then.
+        let unchanged = fence.logged == Some(state) || (fence.logged.is_none() && state.is_err());
+        if !unchanged {
+            fence.logged = Some(state);
+        }
+        drop(fence);
+        if !unchanged {
+            log_fence(&state);
+        }
+        state.map(Some)
+    }
+
+    pub(super) fn tenants(&self) -> RwLockReadGuard<'_, Option<TenantDirectory>> {
+        self.tenants.read().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    pub(super) fn set_tenants(&self, tenants: TenantDirectory) {
+        *self.tenants.write().unwrap_or_else(PoisonError::into_inner) = Some(tenants);
+    }
+
+    /// The version of the document that the router follows; `None` until the first one is known.
+    pub(super) fn followed_version(&self) -> Option<Version> {
+        self.tenants().as_ref().map(|tenants| tenants.version)
+    }
+
+    /// Makes the exchange report before its usual time. One wake-up is pending at most.
+    pub(super) fn wake_exchange(&self) {
+        _ = self.wakeups.try_send(Wakeup);
+    }
+}
+
+fn log_fence(state: &Result<Version, Fenced>) {
+    match state {
+        Ok(version) => tracing::info!(version, fenced = false, "fleet document in force"),
+        Err(fenced) => tracing::error!(
+            version = fenced.version,
+            fenced = true,
+            epoch = fenced.epoch,
+            error = %fenced,
+            "all requests are rejected"
+        ),
+    }
+}
--- /dev/null
+++ b/fleet/src/document/parts.rs
@@ -0,0 +1,87 @@
+//! The stored form of a document: its text in parts, and the pointer to them.
+use super::{DocumentError, Metadata, PreviousDocument};
+use serde::{Deserialize, Serialize};
+use settings::fleet::Version;
+use sha2::{Digest, Sha256};
+
+/// The prefix of the parts' keys; the content hash and the part's number follow.
+pub(super) const KEY_PREFIX: &str = "fleet/parts/";
+/// The most bytes of a part, within what a value of the store may have.
+const MAX_PART_BYTES: usize = 48 << 10;
+/// Bytes of the SHA-256 digest that name a text.
+const HASH_BYTES: usize = 16;
+
+/// The value of [`super::CURRENT_KEY`]. The serialized names are part of the stored form.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(super) struct Pointer {
+    #[serde(rename = "now")]
+    pub(super) current: Metadata,
+    /// The latest first.
+    #[serde(rename = "before")]
+    pub(super) previous: Vec<PreviousDocument>,
+}
+
+impl Pointer {
+    /// Parses the pointer that was set at `version`.
+    pub(super) fn parse(version: Version, text: &str) -> Result<Pointer, DocumentError> {
+        serde_json::from_str(text).map_err(|_| DocumentError::Damaged(version))
+    }
+}
+
+/// The key of part `index` of the text with this hash.
+pub(super) fn part_key(content_hash: &str, index: usize) -> String {
+    format!("{KEY_PREFIX}{content_hash}/{index:04}")
+}
+
+/// The content hash in a part's key.
+pub(super) fn hash_of_key(key: &str) -> &str {
+    key[KEY_PREFIX.len()..].split('/').next().unwrap_or_default()
+}
+
+/// Splits a text into parts between characters.
+pub(super) fn split(mut text: &str) -> Vec<&str> {
+    let mut parts = Vec::new();
+    while text.len() > MAX_PART_BYTES {
+        let (head, rest) = text.split_at(text.floor_char_boundary(MAX_PART_BYTES));
+        parts.push(head);
+        text = rest;
+    }
+    parts.push(text);
+    parts
+}
+
+fn content_hash(text: &str) -> String {
+    Sha256::digest(text).iter().take(HASH_BYTES).map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Describes a text of `part_count` parts.
+pub(super) fn describe(text: &str, part_count: usize, note: &str) -> Metadata {
+    Metadata {
+        content_hash: content_hash(text),
+        part_count,
+        length: text.len(),
+        crc32: crc32fast::hash(text.as_bytes()),
+        note: note.into(),
+    }
+}
+
+/// Puts a text together from its parts, which `get` finds by their keys; `None` where one is missing.
+///
+/// # Errors
+/// [`DocumentError::Damaged`] with `version` where the parts are not the text that was written.
+pub(super) fn join<'a>(
+    version: Version,
+    metadata: &Metadata,
+    get: impl Fn(&str) -> Option<&'a str>,
+) -> Result<Option<String>, DocumentError> {
+    let mut text = String::new();
+    for index in 0..metadata.part_count {
+        let Some(part) = get(&part_key(&metadata.content_hash, index)) else { return Ok(None) };
+        text.push_str(part);
+    }
+    let intact = text.len() == metadata.length && crc32fast::hash(text.as_bytes()) == metadata.crc32;
+    if intact { Ok(Some(text)) } else { Err(DocumentError::Damaged(version)) }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/fleet/src/document/parts/tests.rs
@@ -0,0 +1,18 @@
+//! Splitting and joining of texts.
+use super::*;
+
+#[test]
+fn text_is_split_between_characters_and_joined_again() {
+    let text = "\u{e9}".repeat(MAX_PART_BYTES) + "x";
+    let parts = split(&text);
+    assert!(parts.len() == 3 && parts.iter().all(|p| p.len() <= MAX_PART_BYTES));
+    let metadata = describe(&text, parts.len(), "");
+    let get = |key: &str| {
+        let index = (0..parts.len()).find(|i| part_key(&metadata.content_hash, *i) == key)?;
+        Some(parts[index])
+    };
+    assert_eq!(join(1, &metadata, get).unwrap().as_deref(), Some(text.as_str()));
+    assert_eq!(join(1, &metadata, |key| get(key).filter(|p| p.len() > 1)).unwrap(), None);
+    let damaged = Metadata { crc32: 0, ..metadata.clone() };
+    assert!(matches!(join(7, &damaged, get), Err(DocumentError::Damaged(7))));
+}
--- /dev/null
+++ b/fleet/src/document/write.rs
@@ -0,0 +1,167 @@
+//! Writing of the document: parts first, then the pointer, then parts that nothing points at are deleted.
+use super::parts::{self, Pointer};
+use super::read::{read_pointer, read_text};
+use super::{CURRENT_KEY, DocumentError, MAX_NOTE_BYTES, Metadata, PreviousDocument};
+use settings::fleet::{self, Version};
+use std::collections::BTreeSet;
+use std::iter;
+use store::Refused;
+use store::client::{Client, ClientError, With};
+use store::wire::How;
+
+/// Documents that are kept, the current one included, within [`MAX_KEPT_BYTES`].
+const MAX_KEPT_DOCUMENTS: usize = 8;
+/// Bytes of all kept documents together. The current one and the one before it are kept whatever they have.
+const MAX_KEPT_BYTES: usize = 3 << 20;
+/// The prefix of the keys under which the store lists servers.
+const SERVER_KEY_PREFIX: &str = "server/";
+
+/// The pointer as a writer found it.
+struct FoundPointer {
+    /// The version of the pointer's key, for compare-and-set; 0 where there is no key.
+    key_version: u64,
+    /// The document's version; 0 where there is none.
+    version: Version,
+    /// `None` where there is none, or where it cannot be read: it is replaced as any other then, but what it pointed at
+    /// is not kept.
+    pointer: Option<Pointer>,
+}
+
+fn find_pointer(client: &Client) -> Result<FoundPointer, DocumentError> {
+    let Some(value) = client.get(CURRENT_KEY, How::Linearizable)?.found else {
+        return Ok(FoundPointer { key_version: 0, version: 0, pointer: None });
+    };
+    let pointer = Pointer::parse(value.revision, &value.text).ok();
+    Ok(FoundPointer { key_version: value.version, version: value.revision, pointer })
+}
+
+/// Writes a document as the current one and returns its version.
+///
+/// `expected` is the version that must be current, 0 for none; without it, the one that is current when the write
+/// starts. The servers that the store lists must leave each strict placement rule at least one.
+///
+/// # Errors
+/// [`DocumentError::Invalid`] names the faulty key and [`DocumentError::VersionConflict`] the version that another
+/// writer has made; nothing has changed then, nor with [`DocumentError::NoteTooLong`]. [`DocumentError::Store`] as for
+/// any write to the store.
+pub fn write(
+    client: &Client,
+    text: &str,
+    expected: Option<Version>,
+    note: &str,
+) -> Result<Version, DocumentError> {
+    check(client, text, note)?;
+    let found = find_pointer(client)?;
+    if let Some(expected) = expected.filter(|e| *e != found.version) {
+        return Err(DocumentError::VersionConflict { expected, found: found.version });
+    }
+    let metadata = put_parts(client, text, note)?;
+    let previous = found.pointer.map_or_else(Vec::new, |p| kept_documents(&metadata, found.version, p));
+    let pointer = Pointer { current: metadata, previous };
+    let version = set_pointer(client, &pointer, found.key_version, expected)?;
+    // The document is current by now. Parts that remain only take space, and the next writer tries again.
+    if let Err(error) = delete_unreferenced_parts(client, &pointer, version) {
+        tracing::warn!(%error, "parts of old fleet documents remain in the store");
+    }
+    Ok(version)
+}
+
+fn check(client: &Client, text: &str, note: &str) -> Result<(), DocumentError> {
+    let fleet = fleet::read(text, None)?;
+    if note.len() > MAX_NOTE_BYTES {
+        return Err(DocumentError::NoteTooLong(note.len()));
+    }
+    if let Some(sites) = listed_sites(client)? {
+        fleet.has_members(&sites)?;
+    }
+    Ok(())
+}
+
+/// The sites of the servers that the store lists; `None` where it lists none, because a registry has the list then.
+fn listed_sites(client: &Client) -> Result<Option<BTreeSet<String>>, DocumentError> {
+    let listed = client.list(SERVER_KEY_PREFIX, How::Linearizable)?.found;
+    let site = |text: &str| {
+        let server: serde_json::Value = serde_json::from_str(text).ok()?;
+        Some(server.get("site")?.as_str()?.to_string())
+    };
+    Ok((!listed.is_empty()).then(|| listed.iter().filter_map(|(_, value)| site(&value.text)).collect()))
+}
+
+/// Writes all parts of a text, those that are stored already too: [`delete_unreferenced_parts`] sees by their revision
+/// that they are in use again.
+fn put_parts(client: &Client, text: &str, note: &str) -> Result<Metadata, DocumentError> {
+    let parts = parts::split(text);
+    let metadata = parts::describe(text, parts.len(), note);
+    for (index, part) in parts.iter().enumerate() {
+        client.put(&parts::part_key(&metadata.content_hash, index), part, With::default())?;
+    }
+    Ok(metadata)
+}
+
+/// The documents of the replaced pointer that are kept beside the new document, the latest first. The latest is kept
+/// whatever its length, because an undo goes back to it.
+fn kept_documents(new: &Metadata, replaced_version: Version, replaced: Pointer) -> Vec<PreviousDocument> {
+    let latest = PreviousDocument { version: replaced_version, metadata: replaced.current };
+    let mut total_bytes = new.length;
+    let mut kept = Vec::new();
+    for document in iter::once(latest).chain(replaced.previous) {
+        total_bytes += document.metadata.length;
+        let fits = kept.len() + 1 < MAX_KEPT_DOCUMENTS && total_bytes <= MAX_KEPT_BYTES;
+        if !kept.is_empty() && !fits {
+            break;
+        }
+        kept.push(document);
+    }
+    kept
+}
+
+/// Sets the pointer where its key still has `key_version`, and returns the document's version.
+fn set_pointer(
+    client: &Client,
+    pointer: &Pointer,
+    key_version: u64,
+    expected: Option<Version>,
+) -> Result<Version, DocumentError> {
+    let json = serde_json::to_string(pointer).unwrap_or_default();
+    match client.put(CURRENT_KEY, &json, With { expected: Some(key_version), ..With::default() }) {
+        Ok(changed) => Ok(changed.revision),
+        Err(ClientError::Refused(Refused::Version(_))) => {
+            let found = client.get(CURRENT_KEY, How::Linearizable)?.found.map_or(0, |value| value.revision);
+            Err(DocumentError::VersionConflict { expected: expected.unwrap_or(found), found })
+        }
+        Err(error) => Err(error.into()),
+    }
+}
+
+/// Deletes the parts of documents that are no longer kept. Parts that were written after this pointer, which has
+/// `version`, belong to a writer in progress; one that wrote its parts before will fail to set its pointer.
+fn delete_unreferenced_parts(
+    client: &Client,
+    pointer: &Pointer,
+    version: Version,
+) -> Result<(), ClientError> {
+    let previous = pointer.previous.iter().map(|document| &document.metadata);
+    let kept: BTreeSet<&str> =
+        previous.chain([&pointer.current]).map(|metadata| metadata.content_hash.as_str()).collect();
+    for (key, value) in client.list(parts::KEY_PREFIX, How::Linearizable)?.found {
+        if kept.contains(parts::hash_of_key(&key)) || value.revision > version {
+            continue;
+        }
+        match client.delete(&key, With { expected: Some(value.version), ..With::default() }) {
+            Ok(_) | Err(ClientError::Refused(Refused::Version(_))) => {}
+            Err(error) => return Err(error),
+        }
+    }
+    Ok(())
+}
+
+/// Makes the previous document the current one again, under a new version, and returns that version.
+///
+/// # Errors
+/// [`DocumentError::NoPrevious`] where none is kept, and the errors of [`write()`].
+pub fn undo(client: &Client, note: &str) -> Result<Version, DocumentError> {
+    let (pointer, current_version) = read_pointer(client)?.ok_or(DocumentError::NoPrevious)?;
+    let previous = pointer.previous.first().ok_or(DocumentError::NoPrevious)?;
+    let text = read_text(client, previous.version, &previous.metadata)?.ok_or(DocumentError::NoPrevious)?;
+    write(client, &text, Some(current_version), note)
+}
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,10 +1,19 @@
-//! One fleet's driver. [`document`] keeps the fleet's configuration in the store, as one versioned transaction.
-//! [`router`] reports to the node that leads and admits by what it is lent; [`service`] answers on the store's nodes;
-//! [`record`] keeps the audit's record in the store. [`wire`] is what they say to each other. It carries what the machines of `quotas` say and decides none of it.
+//! What joins the routers of one fleet: a common configuration, quotas for all of them together, and an audit.
+//!
+//! - [`document`] keeps the fleet's configuration in the replicated store as one versioned document.
+//! - [`client`] runs in each router. A thread reports to the store's leader every 200 ms and follows the document;
+//!   requests are admitted or rejected locally, without I/O.
+//! - [`service`] runs on each node of the store. While the node is the leader it answers the routers' reports with
+//!   quota grants, and writes the audit's record.
+//! - [`audit_record`] reads that record back.
+//! - [`wire`] holds the messages between the two sides.
+//!
+//! The decisions are made by the state machines of the packages `quotas`, `audit` and `placement`. This package owns
+//! the threads and sockets and carries their messages; it decides nothing by itself.
+pub mod audit_record;
+pub mod client;
 pub mod document;
-pub mod record;
-pub mod router;
 pub mod service;
 pub mod wire;
 
-pub use router::{Refused, Router};
+pub use client::{AdmissionError, FleetClient};
--- /dev/null
+++ b/fleet/src/service/leader.rs
@@ -0,0 +1,235 @@
+//! The actor that owns the quota allocator and the audit.
+//!
+//! In each round it reads its clock first, then has its leadership confirmed by a majority, and decides as of that
+//! time. So a node that stood still, or that another one has replaced meanwhile, decides nothing from what expired since.
+use super::auditor::Auditor;
+use crate::wire::{Response, UNKNOWN_LEADER};
+use crate::{audit_record, document};
+use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
+use quotas::{Action, Allocator, Body, Event};
+use routing::{Clock, Time};
+use settings::fleet::Version;
+use std::collections::HashMap;
+use std::io;
+use std::sync::Arc;
+use std::time::Duration;
+use store::{Refused, State, Store};
+
+/// Reports that one confirmation of the leadership serves.
+pub(super) const MAX_REPORTS_PER_ROUND: usize = 256;
+/// Without reports, the state machines learn the time this often.
+const IDLE_TICK: Duration = Duration::from_millis(200);
+
+/// A router's report whose response a connection waits for.
+pub(super) struct PendingReport {
+    pub(super) report: quotas::Report,
+    pub(super) audit_stamp: audit::Stamp,
+    pub(super) reply: Sender<Response>,
+}
+
+impl PendingReport {
+    fn respond(&self, response: Response) {
+        // The connection may have given up waiting, or ended.
+        _ = self.reply.try_send(response);
+    }
+}
+
+fn respond_not_leader(reports: &[PendingReport], leader: u64) {
+    for pending in reports {
+        pending.respond(Response::NotLeader { leader });
+    }
+}
+
+/// A report that the allocator decides on, until its answer is sent.
+struct AwaitedAnswer {
+    reply: Sender<Response>,
+    audit_news: audit::News,
+}
+
+/// A confirmed leadership: the store's state, and the term.
+struct Leadership {
+    state: State,
+    term: u64,
+}
+
+pub(super) struct LeaderActor {
+    store: Store,
+    clock: Clock,
+    allocator: Allocator,
+    /// `None` where the audit is off.
+    auditor: Option<Auditor>,
+    /// The last term in which this node led, 0 for none.
+    term: u64,
+    /// The version that the allocator has in this term, 0 for none.
+    version: Version,
+    /// The version whose document cannot be used, 0 for none.
+    unusable_version: Version,
+}
+
+impl LeaderActor {
+    pub(super) fn new(
+        store: Store,
+        clock: Clock,
+        quotas: quotas::Settings,
+        audit: Option<audit::Settings>,
+    ) -> io::Result<LeaderActor> {
+        let auditor = audit.map(|settings| Auditor::new(&store, settings)).transpose()?;
+        let allocator = Allocator::new(quotas);
+        Ok(LeaderActor { store, clock, allocator, auditor, term: 0, version: 0, unusable_version: 0 })
+    }
+
+    /// Decides on reports until no connection can send one any more.
+    pub(super) fn run(mut self, reports: &Receiver<PendingReport>) {
+        let mut actions = Vec::new();
+        while let Some(pending) = next_reports(reports) {
+            // Read before the confirmation; all decisions of this round are as of this time.
+            let mut now = self.clock.now();
+            let mut confirmed = self.confirm_leadership();
+            if let Ok(Some(leadership)) = &confirmed
+                && leadership.term != self.term
+            {
+                self.begin_term(leadership, &mut actions);
+                now = self.clock.now();
+                confirmed = self.confirm_leadership();
+            }
+            match confirmed {
+                Ok(Some(leadership)) => self.decide(now, &leadership, pending, &mut actions),
+                Ok(None) => respond_not_leader(&pending, self.store.leader().0),
+                // This node may be cut off from the present leader and not know it.
+                Err(_) => respond_not_leader(&pending, UNKNOWN_LEADER),
+            }
+        }
+    }
+
+    fn confirm_leadership(&self) -> Result<Option<Leadership>, Refused> {
+        let led = self.store.lead()?;
+        Ok(led.map(|(state, term)| Leadership { state, term }))
+    }
+
+    /// Starts a term of this node. The time that was read before its confirmation may be from before the election, and
+    /// the earlier leader may have granted quotas between the two: the term, and the time in which it grants nothing
+    /// new, start after both.
+    fn begin_term(&mut self, leadership: &Leadership, actions: &mut Vec<Action>) {
+        let term = leadership.term;
+        self.term = term;
+        self.version = 0;
+        tracing::info!(term, "this node answers fleet reports as the leader");
+        let now = self.clock.now();
+        self.allocator.handle(now, Event::Began { term }, actions);
+        if let Some(auditor) = &mut self.auditor {
+            let kept = audit_record::stored_batches(&leadership.state);
+            auditor.handle(now, audit::Event::Began { term, kept });
+        }
+    }
+
+    fn decide(
+        &mut self,
+        now: Time,
+        leadership: &Leadership,
+        reports: Vec<PendingReport>,
+        actions: &mut Vec<Action>,
+    ) {
+        // Elected again between the two confirmations: the next round begins the term.
+        let is_present_term = leadership.term == self.term;
+        if !is_present_term || !self.load_document(now, &leadership.state, actions) {
+            respond_not_leader(&reports, UNKNOWN_LEADER);
+            return;
+        }
+        if let Some(auditor) = &mut self.auditor {
+            auditor.handle(now, audit::Event::Current { version: self.version });
+        }
+        let mut awaited = HashMap::new();
+        for (from, pending) in (0..).zip(reports) {
+            if let Some(answer) = self.apply_report(now, from, pending, actions) {
+                awaited.insert(from, answer);
+            }
+        }
+        self.allocator.handle(now, Event::Tick, actions);
+        send_answers(actions, &mut awaited);
+        if let Some(auditor) = &mut self.auditor {
+            auditor.tick(now);
+        }
+    }
+
+    /// Gives the allocator the document where its version is new. Returns whether the allocator has the current version:
+    /// otherwise the configuration that binds is unknown, and an older one must not be confirmed in its place.
+    fn load_document(&mut self, now: Time, state: &State, actions: &mut Vec<Action>) -> bool {
+        let version = document::current_version(state);
+        if version != self.version && version != self.unusable_version {
+            match document::from_state(state) {
+                Ok(Some(document)) => {
+                    let fleet = Arc::new(document.fleet);
+                    self.allocator.handle(now, Event::Config { version, fleet }, actions);
+                    self.version = version;
+                }
+                Ok(None) => {}
+                Err(error) => {
+                    self.unusable_version = version;
+                    tracing::error!(version, %error, "fleet document unusable, no quotas are granted");
+                }
+            }
+        }
+        version == self.version
+    }
+
+    /// Gives one report to the audit and the allocator. Returns what the allocator's answer is to be sent with; `None`
+    /// where the report is rejected or answered already.
+    fn apply_report(
+        &mut self,
+        now: Time,
+        from: u64,
+        pending: PendingReport,
+        actions: &mut Vec<Action>,
+    ) -> Option<AwaitedAnswer> {
+        if let Err(error) = pending.report.check() {
+            tracing::warn!(%error, "router report rejected");
+            return None;
+        }
+        let audit_news = self.audit_report(now, &pending);
+        if matches!(audit_news, audit::News::ShutOut { .. }) {
+            // Nothing is renewed: the router's grants expire, and nobody else has them before.
+            let (start, seq) = (pending.report.start, pending.report.seq);
+            let answer =
+                quotas::Answer { term: self.term, start, seq, version: self.version, body: Body::Wait };
+            pending.respond(Response::Report { answer, audit_news });
+            return None;
+        }
+        self.allocator.handle(now, Event::Report { from, report: pending.report }, actions);
+        Some(AwaitedAnswer { reply: pending.reply, audit_news })
+    }
+
+    /// Gives a report to the audit; its news for the router.
+    fn audit_report(&mut self, now: Time, pending: &PendingReport) -> audit::News {
+        let Some(auditor) = &mut self.auditor else { return audit::News::Off };
+        let event = audit::Event::Seen {
+            router: pending.report.name.clone(),
+            start: pending.report.start,
+            version: pending.report.version,
+            stamp: pending.audit_stamp,
+            leaving: pending.report.leaving,
+        };
+        auditor.handle(now, event)
+    }
+}
+
+/// The reports of one round, after [`IDLE_TICK`] none; `None` where no more can come.
+fn next_reports(reports: &Receiver<PendingReport>) -> Option<Vec<PendingReport>> {
+    let mut round = Vec::new();
+    match reports.recv_timeout(IDLE_TICK) {
+        Ok(first) => round.push(first),
+        Err(RecvTimeoutError::Timeout) => {}
+        Err(RecvTimeoutError::Disconnected) => return None,
+    }
+    round.extend(reports.try_iter().take(MAX_REPORTS_PER_ROUND - 1));
+    Some(round)
+}
+
+/// Sends the allocator's answers with the audit's news.
+fn send_answers(actions: &mut Vec<Action>, awaited: &mut HashMap<u64, AwaitedAnswer>) {
+    for Action::Answer { to, answer } in actions.drain(..) {
+        if let Some(AwaitedAnswer { reply, audit_news }) = awaited.remove(&to) {
+            // The connection may have given up waiting, or ended.
+            _ = reply.try_send(Response::Report { answer, audit_news });
+        }
+    }
+}
--- a/fleet/src/wire.rs
+++ b/fleet/src/wire.rs
@@ -1,4 +1,8 @@
-//! What routers and the store's nodes say to each other: the store's frames under a hello of their own.
+//! Messages between routers and the nodes of the store.
+//!
+//! A connection starts with a hello each way (magic `DVFL` and a protocol version, six bytes). Messages follow in the
+//! store's frames: a length of four bytes, little-endian, then the message in the postcard format. Postcard encodes
+//! variants by their position and fields by their order, so both are part of the protocol; names are not.
 use serde::{Deserialize, Serialize};
 use settings::fleet::Version;
 use std::io;
@@ -8,47 +12,74 @@
 pub use store::wire::{receive, send};
 
 const MAGIC: [u8; 4] = *b"DVFL";
-const VERSION: u16 = 2;
-/// A document is sent in parts of this many bytes.
-pub const PART: usize = 256 << 10;
+const PROTOCOL_VERSION: u16 = 2;
+/// The most bytes of a document's text in one [`Response::DocumentPart`].
+pub const MAX_PART_BYTES: usize = 256 << 10;
+/// The leader's number in [`Response::NotLeader`] where the node knows of no leader. Nodes are numbered from 1.
+pub const UNKNOWN_LEADER: u64 = 0;
 
-/// What a router asks.
+/// A router's request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// Its report, and what the audit is told with it.
-    Report(quotas::Report, audit::Stamp),
-    /// The document that stands in the store.
+    /// A periodic report. The leader answers it with [`Response::Report`].
+    Report {
+        /// What the router's quota client reports.
+        report: quotas::Report,
+        /// What the audit learns with it.
+        audit_stamp: audit::Stamp,
+    },
+    /// Asks for the fleet document that the node has, whether or not it is the leader.
     Document,
 }
 
-/// What a node answers.
+/// A node's response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Answer {
-    /// The hello's: the node's number.
-    Welcome(u64),
-    /// Instead of a welcome: the node serves as many routers as it may.
-    Busy(u64),
-    /// To a report: this node does not lead. The one that it takes for the leader, 0 for none.
-    NotLeader(u64),
-    /// To a report: the leader's answer, and the audit's news.
-    Answered(quotas::Answer, audit::News),
-    /// A part of the document; without a document, an empty one of version 0.
-    Document {
-        /// Its version, the same in all parts.
+pub enum Response {
+    /// After the hello: the node accepts the connection.
+    Welcome {
+        /// The node's number.
+        node: u64,
+    },
+    /// After the hello: the node has as many connections as it may, and closes this one.
+    Busy {
+        /// How many connections that is.
+        max_connections: u64,
+    },
+    /// To a report: this node is not the leader, or could not confirm that it is.
+    NotLeader {
+        /// The node that it takes for the leader, or [`UNKNOWN_LEADER`].
+        leader: u64,
+    },
+    /// To a report: what the leader decided.
+    Report {
+        /// The quota allocator's answer.
+        answer: quotas::Answer,
+        /// What the audit tells the router.
+        audit_news: audit::News,
+    },
+    /// To [`Request::Document`]: a part of the text. Where the store has no document, one empty part of version 0.
+    DocumentPart {
+        /// The document's version, the same in all parts.
         version: Version,
-        /// The text's bytes.
-        part: Vec<u8>,
-        /// Whether all have come.
-        last: bool,
+        /// Bytes of the text. A part may end within a character.
+        bytes: Vec<u8>,
+        /// Whether this is the last part.
+        is_last: bool,
     },
 }
 
-/// Says hello.
-pub fn hello(to: &TcpStream) -> io::Result<()> {
-    store::wire::hello_of(to, MAGIC, VERSION)
+/// Sends this protocol's hello.
+///
+/// # Errors
+/// Where the connection fails or the write times out.
+pub fn send_hello(socket: &TcpStream) -> io::Result<()> {
+    store::wire::hello_of(socket, MAGIC, PROTOCOL_VERSION)
 }
 
-/// Takes the other side's hello.
-pub fn greeted(from: &TcpStream, patience: Duration) -> Result<(), WireError> {
-    store::wire::greeted_of(from, MAGIC, VERSION, patience)
+/// Receives the other side's hello and checks it, within `timeout`.
+///
+/// # Errors
+/// Where the connection fails, nothing comes in time, or the other side speaks another protocol or version.
+pub fn receive_hello(socket: &TcpStream, timeout: Duration) -> Result<(), WireError> {
+    store::wire::greeted_of(socket, MAGIC, PROTOCOL_VERSION, timeout)
 }
--- a/fleet/tests/router.rs
+++ b/fleet/tests/client.rs
@@ -1,9 +1,9 @@
 //! A router's side of the exchange against scripted nodes of the store.
 use audit::News as AuditNews;
 use crossbeam_channel::{Receiver, Sender, unbounded};
-use fleet::router::Settings;
-use fleet::wire::{self, Answer, Request};
-use fleet::{Refused, Router};
+use fleet::client::Settings;
+use fleet::wire::{self, Request, Response};
+use fleet::{AdmissionError, FleetClient};
 use placement::News;
 use quotas::{Body, Report};
 use routing::{Clock, Time};
@@ -23,11 +23,12 @@
 const VERSION: u64 = 5;
 
 /// What a scripted node says to a report.
-type Script = Box<dyn FnMut(&Report) -> Answer + Send>;
+type Script = Box<dyn FnMut(&Report) -> Response + Send>;
 
-fn answered(report: &Report, news: AuditNews) -> Answer {
+fn answered(report: &Report, audit_news: AuditNews) -> Response {
     let (start, seq) = (report.start, report.seq);
-    Answer::Answered(quotas::Answer { term: 1, start, seq, version: VERSION, body: Body::Wait }, news)
+    let answer = quotas::Answer { term: 1, start, seq, version: VERSION, body: Body::Wait };
+    Response::Report { answer, audit_news }
 }
 
 /// A node that serves one connection after another and hands on each request that it gets.
@@ -61,7 +62,7 @@
 
     fn next_report(&self) -> Report {
         match self.next() {
-            Request::Report(report, _) => report,
+            Request::Report { report, .. } => report,
             Request::Document => panic!("a document is asked for"),
         }
     }
@@ -72,25 +73,29 @@
     let mut hello = [0; 6];
     (&mut &*socket).read_exact(&mut hello).unwrap();
     assert_eq!(&hello, b"DVFL\x02\0");
-    wire::hello(socket).unwrap();
-    wire::send(socket, &Answer::Welcome(number)).unwrap();
+    wire::send_hello(socket).unwrap();
+    wire::send(socket, &Response::Welcome { node: number }).unwrap();
     while let Ok(request) = wire::receive::<Request>(socket, LONG, LONG) {
-        let answers = match &request {
-            Request::Report(report, _) => vec![script(report)],
+        let responses = match &request {
+            Request::Report { report, .. } => vec![script(report)],
             Request::Document => {
                 let (head, rest) = document.as_bytes().split_at(10);
-                let part = |part: &[u8], last| Answer::Document { version: VERSION, part: part.into(), last };
+                let part = |bytes: &[u8], is_last| Response::DocumentPart {
+                    version: VERSION,
+                    bytes: bytes.into(),
+                    is_last,
+                };
                 vec![part(head, false), part(rest, true)]
             }
         };
         _ = requests.send(request);
-        if answers.iter().any(|answer| wire::send(socket, answer).is_err()) {
+        if responses.iter().any(|response| wire::send(socket, response).is_err()) {
             return;
         }
     }
 }
 
-fn router(nodes: &[&Node], audit: Option<Audit>) -> (Router, Receiver<News>) {
+fn start_client(nodes: &[&Node], audit: Option<Audit>) -> (FleetClient, Receiver<News>) {
     let member = Member {
         name: "router-1".into(),
         slot: None,
@@ -100,11 +105,16 @@
         seed: None,
         audit,
     };
-    let settings =
-        Settings { member, start: 77, classes: vec!["read".into()], quotas: Default::default(), seed: 1 };
+    let settings = Settings {
+        member,
+        incarnation: 77,
+        classes: vec!["read".into()],
+        quotas: Default::default(),
+        seed: 1,
+    };
     let (to, news) = unbounded();
-    let router = Router::start(settings, Clock::new(), move |n| _ = to.send(n), || 9).unwrap();
-    (router, news)
+    let client = FleetClient::start(settings, Clock::new(), move |n| _ = to.send(n), || 9).unwrap();
+    (client, news)
 }
 
 fn next_news(news: &Receiver<News>) -> News {
@@ -116,11 +126,11 @@
 }
 
 #[test]
-fn router_follows_named_version_admits_and_leaves() {
+fn client_follows_reported_version_admits_and_leaves() {
     let node = Node::start(1, DOCUMENT, Box::new(|report| answered(report, AuditNews::Off)));
-    let (router, news) = router(&[&node], None);
-    let unknown = router.admit("till", None).unwrap_err();
-    assert!(matches!(unknown, Refused::Unknown { .. }), "{unknown}");
+    let (client, news) = start_client(&[&node], None);
+    let unknown = client.admit("till", None).unwrap_err();
+    assert!(matches!(unknown, AdmissionError::NotConfigured { .. }), "{unknown}");
     assert_eq!(
         unknown.to_string(),
         "this router has not heard from the fleet's store yet; come back in 400 ms"
@@ -137,19 +147,19 @@
     }
     assert!(matches!(next_news(&news), News::Confirmed { .. }));
 
-    assert_eq!(router.admit("till", Some("all")).unwrap(), named("tills"));
-    assert_eq!(router.tenant("guest", Some("nobody")).unwrap(), named("all"));
-    let over = router.admit("guest", None).unwrap_err();
+    assert_eq!(client.admit("till", Some("all")).unwrap(), named("tills"));
+    assert_eq!(client.resolve_tenant("guest", Some("nobody")).unwrap(), named("all"));
+    let over = client.admit("guest", None).unwrap_err();
     assert!(over.to_string().starts_with("quota of tenant 'all'; come back in "), "{over}");
-    assert_eq!(router.until(Time(5)), Time(5));
+    assert_eq!(client.dispatch_deadline(Time(5)), Time(5));
 
-    router.leave();
+    client.leave();
     while !node.next_report().leaving {}
     assert!(node.requests.try_recv().is_err());
 }
 
 #[test]
-fn router_that_is_shut_out_refuses_every_request() {
+fn shut_out_client_rejects_every_request() {
     let shut_out = Arc::new(AtomicBool::new(false));
     let switch = shut_out.clone();
     let script = move |report: &Report| {
@@ -161,51 +171,51 @@
     };
     let node = Node::start(1, DOCUMENT, Box::new(script));
     node.accept.send(()).unwrap();
-    let (router, news) = router(&[&node], Some(Audit::default()));
+    let (client, news) = start_client(&[&node], Some(Audit::default()));
     while !matches!(next_news(&news), News::Confirmed { .. }) {}
-    assert_eq!(router.admit("till", None).unwrap(), named("tills"));
+    assert_eq!(client.admit("till", None).unwrap(), named("tills"));
     // The deadline is cut to a little after the lease of about two seconds.
     let now = Clock::new().now().0;
-    let until = router.until(Time(i64::MAX)).0;
+    let until = client.dispatch_deadline(Time(i64::MAX)).0;
     assert!((now + 200_000..now + 2_200_000).contains(&until), "{}", until - now);
     shut_out.store(true, Ordering::Relaxed);
     let begun = Instant::now();
     let fenced = loop {
-        match router.tenant("till", None) {
+        match client.resolve_tenant("till", None) {
             Err(refused) => break refused,
             Ok(_) => assert!(begun.elapsed() < LONG, "it is never fenced"),
         }
     };
     assert!(fenced.to_string().contains("it is shut out under epoch 3 with version 5"), "{fenced}");
     let stamps = node.requests.try_iter().filter_map(|r| match r {
-        Request::Report(_, stamp) => Some(stamp),
+        Request::Report { audit_stamp, .. } => Some(audit_stamp),
         Request::Document => None,
     });
     assert!(stamps.map(|s| s.members).all(|members| members == 9));
 }
 
 #[test]
-fn router_goes_on_to_node_that_leads() {
-    let follower = Node::start(1, DOCUMENT, Box::new(|_| Answer::NotLeader(2)));
+fn client_fails_over_to_leader() {
+    let follower = Node::start(1, DOCUMENT, Box::new(|_| Response::NotLeader { leader: 2 }));
     let leader = Node::start(2, DOCUMENT, Box::new(|report| answered(report, AuditNews::Off)));
     follower.accept.send(()).unwrap();
     leader.accept.send(()).unwrap();
-    let (_router, news) = router(&[&follower, &leader], None);
+    let (_client, news) = start_client(&[&follower, &leader], None);
     while !matches!(next_news(&news), News::Confirmed { .. }) {}
     assert_eq!(follower.requests.try_iter().count(), 1);
-    assert!(matches!(leader.next(), Request::Report(..)));
+    assert!(matches!(leader.next(), Request::Report { .. }));
 }
 
 #[test]
-fn document_that_cannot_be_read_is_asked_for_once() {
+fn unreadable_document_is_fetched_once() {
     let node = Node::start(1, "routers = 'many'\n", Box::new(|report| answered(report, AuditNews::Off)));
     node.accept.send(()).unwrap();
-    let (router, news) = router(&[&node], None);
+    let (client, news) = start_client(&[&node], None);
     assert_eq!(node.next_report().version, 0);
     assert_eq!(node.next(), Request::Document);
     for _ in 0..3 {
         assert_eq!(node.next_report().version, 0);
     }
     assert!(news.try_recv().is_err());
-    assert!(matches!(router.admit("till", None), Err(Refused::Unknown { .. })));
+    assert!(matches!(client.admit("till", None), Err(AdmissionError::NotConfigured { .. })));
 }
--- a/fleet/tests/common/mod.rs
+++ b/fleet/tests/common/mod.rs
@@ -8,19 +8,19 @@
 use store::Store;
 
 /// A wait of this length ends only by a failure.
-pub const LONG: Duration = Duration::from_secs(20);
+pub(crate) const LONG: Duration = Duration::from_secs(20);
 
 /// One node of the store and the addresses that it listens on.
-pub struct Node {
-    pub store: Store,
+pub(crate) struct Node {
+    pub(crate) store: Store,
     /// Where it answers the store's clients.
-    pub client_addr: SocketAddr,
+    pub(crate) client_addr: SocketAddr,
     /// Where it answers routers.
-    pub fleet_addr: SocketAddr,
+    pub(crate) fleet_addr: SocketAddr,
 }
 
 /// Starts node number `node` of a store whose nodes hear each other at `peers`.
-pub fn start_node(
+pub(crate) fn start_node(
     node: u64,
     peers: BTreeMap<u64, SocketAddr>,
     audit: Option<audit::Settings>,
@@ -38,7 +38,7 @@
 }
 
 /// Free addresses that no other test takes before they are used: each call has a loopback address of its own.
-pub fn reserve_addrs(count: usize) -> Vec<SocketAddr> {
+pub(crate) fn reserve_addrs(count: usize) -> Vec<SocketAddr> {
     static NEXT_CALL: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
     let call = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
--- /dev/null
+++ b/fleet/tests/service.rs
@@ -0,0 +1,223 @@
+//! The service of the store's nodes, in one process on real sockets. Links between nodes can be cut.
+mod common;
+
+use common::{LONG, Node, reserve_addrs, start_node};
+use fleet::document;
+use fleet::service::Limits;
+use fleet::wire::{self, Request, Response, UNKNOWN_LEADER};
+use quotas::{Pocket, PocketSettings, Report};
+use routing::Clock;
+use standins::proxy::Proxy;
+use std::collections::BTreeMap;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::time::{Duration, Instant};
+use store::client::Client;
+
+const DOCUMENT: &str = "routers = 300\nunnamed = 'all'\n[[tenant]]\nname = 'all'\nrate = 3000.0\nburst = 3000\non_loss = 'closed'\n";
+
+/// The connection from one node to another.
+struct Link {
+    from: u64,
+    to: u64,
+    proxy: Proxy,
+}
+
+struct Cluster {
+    nodes: Vec<Node>,
+    links: Vec<Link>,
+}
+
+impl Cluster {
+    fn start(node_count: u64, limits: Limits) -> Cluster {
+        let addrs: BTreeMap<u64, SocketAddr> =
+            (1..=node_count).zip(reserve_addrs(node_count as usize)).collect();
+        let mut cluster = Cluster { nodes: vec![], links: vec![] };
+        for node in 1..=node_count {
+            let mut peers = addrs.clone();
+            for (other, addr) in peers.iter_mut().filter(|(other, _)| **other != node) {
+                let proxy = Proxy::start(*addr);
+                *addr = proxy.addr;
+                cluster.links.push(Link { from: node, to: *other, proxy });
+            }
+            cluster.nodes.push(start_node(node, peers, None, limits));
+        }
+        cluster
+    }
+
+    fn client(&self) -> Client {
+        let addrs = self.nodes.iter().map(|n| n.client_addr).collect();
+        Client::new(store::client::Settings::new(addrs, 1))
+    }
+
+    fn write_document(&self) -> u64 {
+        document::write(&self.client(), DOCUMENT, Some(0), "").unwrap()
+    }
+
+    /// The index of the leader, once there is one that is not `except`.
+    fn wait_for_leader(&self, except: Option<usize>) -> usize {
+        let begun = Instant::now();
+        loop {
+            let leads = |i: &usize| Some(*i) != except && matches!(self.nodes[*i].store.lead(), Ok(Some(_)));
+            if let Some(i) = (0..self.nodes.len()).find(leads) {
+                return i;
+            }
+            assert!(begun.elapsed() < LONG, "no leader");
+        }
+    }
+
+    fn connect(&self, index: usize) -> TcpStream {
+        let socket = TcpStream::connect(self.nodes[index].fleet_addr).unwrap();
+        wire::send_hello(&socket).unwrap();
+        wire::receive_hello(&socket, LONG).unwrap();
+        assert_eq!(receive(&socket), Response::Welcome { node: index as u64 + 1 });
+        socket
+    }
+
+    /// Connects to the only node; `None` where it rejects the connection.
+    fn try_connect(&self) -> Option<TcpStream> {
+        let socket = TcpStream::connect(self.nodes[0].fleet_addr).unwrap();
+        wire::receive_hello(&socket, LONG).unwrap();
+        wire::send_hello(&socket).ok()?;
+        let welcomed = matches!(wire::receive(&socket, LONG, LONG), Ok(Response::Welcome { node: 1 }));
+        welcomed.then_some(socket)
+    }
+
+    /// Cuts all links of a node.
+    fn isolate(&self, index: usize) {
+        let node = index as u64 + 1;
+        for link in self.links.iter().filter(|link| link.from == node || link.to == node) {
+            link.proxy.cut();
+        }
+    }
+}
+
+fn pocket(n: usize) -> Pocket {
+    let (name, settings) = (format!("router-{n}"), quotas::Settings::default());
+    Pocket::new(PocketSettings { name, start: 1, slot: None, settings, seed: n as u64 })
+}
+
+fn receive(socket: &TcpStream) -> Response {
+    wire::receive(socket, LONG, LONG).unwrap()
+}
+
+fn send_report(socket: &TcpStream, report: Report) -> Response {
+    wire::send(socket, &Request::Report { report, audit_stamp: Default::default() }).unwrap();
+    receive(socket)
+}
+
+/// Sends a report and returns the answer of the leader.
+fn expect_answer(socket: &TcpStream, report: Report) -> quotas::Answer {
+    match send_report(socket, report) {
+        Response::Report { answer, .. } => answer,
+        other => panic!("{other:?}"),
+    }
+}
+
+#[test]
+fn report_is_answered_only_by_confirmed_leader() {
+    let cluster = Cluster::start(3, Limits::default());
+    let leader = cluster.wait_for_leader(None);
+    let version = cluster.write_document();
+    let (clock, mut pocket) = (Clock::new(), pocket(0));
+    for node in (0..3).filter(|n| *n != leader) {
+        let response = send_report(&cluster.connect(node), pocket.report(clock.now()));
+        assert_eq!(response, Response::NotLeader { leader: leader as u64 + 1 });
+    }
+    let socket = cluster.connect(leader);
+    let first = expect_answer(&socket, pocket.report(clock.now()));
+    assert_eq!(first.version, version);
+    wire::send(&socket, &Request::Document).unwrap();
+    let bytes = DOCUMENT.as_bytes().to_vec();
+    assert_eq!(receive(&socket), Response::DocumentPart { version, bytes, is_last: true });
+    // Isolated, it takes itself for the leader for a while, and must not grant anything.
+    cluster.isolate(leader);
+    let response = send_report(&socket, pocket.report(clock.now()));
+    assert!(matches!(response, Response::NotLeader { .. }), "{response:?}");
+    let next = cluster.wait_for_leader(Some(leader));
+    let second = expect_answer(&cluster.connect(next), pocket.report(clock.now()));
+    assert!(second.term > first.term && second.version == version);
+}
+
+#[test]
+fn one_node_answers_300_routers() {
+    const ROUTERS: usize = 300;
+    let cluster = Cluster::start(3, Limits::default());
+    let leader = cluster.wait_for_leader(None);
+    cluster.write_document();
+    let begun = Instant::now();
+    let answered: usize = std::thread::scope(|scope| {
+        let router = |n| {
+            let cluster = &cluster;
+            let run = move || {
+                let (socket, clock, mut pocket) = (cluster.connect(leader), Clock::new(), pocket(n));
+                let mut is_answered = || {
+                    let response = send_report(&socket, pocket.report(clock.now()));
+                    matches!(response, Response::Report { .. })
+                };
+                // On a busy host the answer to a report may come too late.
+                (0..5).filter(|_| (0..20).any(|_| is_answered())).count()
+            };
+            std::thread::Builder::new().stack_size(256 << 10).spawn_scoped(scope, run).unwrap()
+        };
+        (0..ROUTERS).map(router).collect::<Vec<_>>().into_iter().map(|t| t.join().unwrap()).sum()
+    });
+    println!("{answered} reports in {:?}", begun.elapsed());
+    assert_eq!(answered, 5 * ROUTERS);
+}
+
+#[test]
+fn malformed_and_excess_connections_are_closed() {
+    let limits =
+        Limits { max_connections: 2, message_timeout: Duration::from_millis(200), ..Limits::default() };
+    let cluster = Cluster::start(1, limits);
+    _ = cluster.wait_for_leader(None);
+    let held = cluster.connect(0);
+    for bytes in [
+        &b"GET / HTTP/1.1\r\n\r\n"[..],
+        b"DVFL\x01\0\xff\xff\xff\xff",
+        b"DVFL\x01\0\x03\0\0\0\x00\xff\xff",
+        b"DV",
+    ] {
+        let begun = Instant::now();
+        let mut socket = loop {
+            // The previous connection may still be counted.
+            if let Some(socket) = cluster.try_connect() {
+                break socket;
+            }
+            assert!(begun.elapsed() < LONG);
+        };
+        _ = socket.write_all(bytes);
+        socket.set_read_timeout(Some(LONG)).unwrap();
+        // The connection ends without a response.
+        assert!(matches!(socket.read(&mut [0; 64]), Ok(0) | Err(_)));
+    }
+    let second = loop {
+        if let Some(socket) = cluster.try_connect() {
+            break socket;
+        }
+    };
+    let third = TcpStream::connect(cluster.nodes[0].fleet_addr).unwrap();
+    wire::receive_hello(&third, LONG).unwrap();
+    assert_eq!(receive(&third), Response::Busy { max_connections: 2 });
+    // The connections before are served all the same.
+    expect_answer(&held, pocket(1).report(Clock::new().now()));
+    drop(second);
+}
+
+#[test]
+fn damaged_document_is_neither_granted_by_nor_served() {
+    let cluster = Cluster::start(1, Limits::default());
+    _ = cluster.wait_for_leader(None);
+    let client = cluster.client();
+    client.put(document::CURRENT_KEY, "not a pointer", Default::default()).unwrap();
+    let (socket, mut pocket, clock) = (cluster.connect(0), pocket(0), Clock::new());
+    let response = send_report(&socket, pocket.report(clock.now()));
+    assert_eq!(response, Response::NotLeader { leader: UNKNOWN_LEADER });
+    wire::send(&socket, &Request::Document).unwrap();
+    assert!(wire::receive::<Response>(&socket, LONG, LONG).is_err());
+    // Written again, it is in use.
+    let version = document::write(&client, DOCUMENT, None, "").unwrap();
+    let answer = expect_answer(&cluster.connect(0), pocket.report(clock.now()));
+    assert_eq!(answer.version, version);
+}
--- a/fleet/tests/stored_forms.rs
+++ b/fleet/tests/stored_forms.rs
@@ -4,10 +4,10 @@
 
 use audit::{Batch, Entry, Kind, News, Stamp};
 use common::{LONG, Node, reserve_addrs, start_node};
-use fleet::document::{self, CURRENT, Document, Written};
-use fleet::record;
+use fleet::audit_record;
+use fleet::document::{self, CURRENT_KEY, Document, Metadata, PreviousDocument};
 use fleet::service::Limits;
-use fleet::wire::{self, Answer, Request};
+use fleet::wire::{self, Request, Response};
 use quotas::{Body, Holding, Loan, Report, Standing};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -83,45 +83,49 @@
     }
 }
 
-fn answer(body: Body) -> quotas::Answer {
-    quotas::Answer { term: 7, start: 1_700_000_000_000_000, seq: 300, version: 4_242, body }
+fn reported(body: Body, audit_news: News) -> Response {
+    let answer = quotas::Answer { term: 7, start: 1_700_000_000_000_000, seq: 300, version: 4_242, body };
+    Response::Report { answer, audit_news }
 }
 
 #[test]
 fn hello_bytes_match_fixture() {
     let stored = fixture("hello.bin");
-    assert_eq!(bytes_of(|socket| wire::hello(socket).unwrap()), stored);
+    assert_eq!(bytes_of(|socket| wire::send_hello(socket).unwrap()), stored);
     let (mut near, far) = connection();
     near.write_all(&stored).unwrap();
-    wire::greeted(&far, LONG).unwrap();
+    wire::receive_hello(&far, LONG).unwrap();
 }
 
 #[test]
 fn request_frames_match_fixtures() {
     let stamp = Stamp { age: 1_500_000, fenced: 250_000, routes: true, members: 99, epoch: (7 << 32) + 3 };
-    assert_frame("request_report_full.bin", &Request::Report(full_report(), stamp));
-    assert_frame("request_report_leaving.bin", &Request::Report(leaving_report(), Stamp::default()));
+    assert_frame("request_report_full.bin", &Request::Report { report: full_report(), audit_stamp: stamp });
+    assert_frame(
+        "request_report_leaving.bin",
+        &Request::Report { report: leaving_report(), audit_stamp: Stamp::default() },
+    );
     assert_frame("request_document.bin", &Request::Document);
 }
 
 #[test]
-fn answer_frames_match_fixtures() {
+fn response_frames_match_fixtures() {
     let lent = Body::Lent {
         fresh: true,
         standing: Some(Standing { place: 16, full: false }),
         loans: vec![("tills".into(), Some(Loan { rate: 1, cap: 2 })), ("all".into(), None)],
     };
-    let part = "# caf\u{e9}\nrouters = 1\n".as_bytes().to_vec();
+    let bytes = "# caf\u{e9}\nrouters = 1\n".as_bytes().to_vec();
     let frames = [
-        ("answer_welcome.bin", Answer::Welcome(3)),
-        ("answer_busy.bin", Answer::Busy(2048)),
-        ("answer_not_leader.bin", Answer::NotLeader(2)),
-        ("answer_lent.bin", Answer::Answered(answer(lent), News::Welcome { epoch: 0 })),
-        ("answer_whole.bin", Answer::Answered(answer(Body::Whole), News::Off)),
-        ("answer_wait.bin", Answer::Answered(answer(Body::Wait), News::ShutOut { epoch: (7 << 32) + 4 })),
-        ("answer_refetch.bin", Answer::Answered(answer(Body::Wait), News::Refetch { epoch: 5 })),
-        ("answer_document_part.bin", Answer::Document { version: 4_242, part, last: false }),
-        ("answer_no_document.bin", Answer::Document { version: 0, part: Vec::new(), last: true }),
+        ("answer_welcome.bin", Response::Welcome { node: 3 }),
+        ("answer_busy.bin", Response::Busy { max_connections: 2048 }),
+        ("answer_not_leader.bin", Response::NotLeader { leader: 2 }),
+        ("answer_lent.bin", reported(lent, News::Welcome { epoch: 0 })),
+        ("answer_whole.bin", reported(Body::Whole, News::Off)),
+        ("answer_wait.bin", reported(Body::Wait, News::ShutOut { epoch: (7 << 32) + 4 })),
+        ("answer_refetch.bin", reported(Body::Wait, News::Refetch { epoch: 5 })),
+        ("answer_document_part.bin", Response::DocumentPart { version: 4_242, bytes, is_last: false }),
+        ("answer_no_document.bin", Response::DocumentPart { version: 0, bytes: Vec::new(), is_last: true }),
     ];
     for (name, message) in &frames {
         assert_frame(name, message);
@@ -137,7 +141,7 @@
     let mut hello = [0; 6];
     socket.read_exact(&mut hello).unwrap();
     assert_eq!(hello.as_slice(), fixture("hello.bin"));
-    assert_eq!(wire::receive::<Answer>(&socket, LONG, LONG).unwrap(), Answer::Welcome(1));
+    assert_eq!(wire::receive::<Response>(&socket, LONG, LONG).unwrap(), Response::Welcome { node: 1 });
     let expected = fixture("answer_no_document.bin");
     let mut frame = vec![0; expected.len()];
     socket.read_exact(&mut frame).unwrap();
@@ -162,7 +166,7 @@
 #[test]
 fn audit_batch_text_matches_fixture() {
     let stored = text_fixture("audit_batch.json");
-    assert_eq!(record::batch(&stored).unwrap(), audit_batch());
+    assert_eq!(audit_record::parse_batch(&stored).unwrap(), audit_batch());
     assert_eq!(serde_json::to_string(&audit_batch()).unwrap(), stored);
 }
 
@@ -181,7 +185,7 @@
     document::write(&client, SHORT_DOCUMENT, Some(0), "").unwrap();
     let begun = Instant::now();
     let (key, text) = loop {
-        let mut found = client.list(record::PREFIX, How::Linearizable).unwrap().found;
+        let mut found = client.list(audit_record::KEY_PREFIX, How::Linearizable).unwrap().found;
         if !found.is_empty() {
             let (key, value) = found.remove(0);
             break (key, value.text);
@@ -189,7 +193,7 @@
         assert!(begun.elapsed() < LONG, "no batch is written");
     };
     assert_eq!(key, "fleet/audit/0000");
-    let batch = record::batch(&text).unwrap();
+    let batch = audit_record::parse_batch(&text).unwrap();
     assert_eq!(batch.seq, 0);
     assert_eq!(serde_json::to_string(&batch).unwrap(), text);
 }
@@ -220,22 +224,22 @@
     stored.replacen(&format!("[[{earlier},"), &format!("[[{version},"), 1)
 }
 
-fn short_written() -> Written {
-    Written {
-        hash: "57bb67ddc0fa0b75b59ed46dc85224a1".into(),
-        parts: 1,
-        bytes: SHORT_DOCUMENT.len(),
-        checksum: 0xc3adeed0,
+fn short_metadata() -> Metadata {
+    Metadata {
+        content_hash: "57bb67ddc0fa0b75b59ed46dc85224a1".into(),
+        part_count: 1,
+        length: SHORT_DOCUMENT.len(),
+        crc32: 0xc3adeed0,
         note: "first".into(),
     }
 }
 
-fn long_written() -> Written {
-    Written {
-        hash: "33b119d924a0c0f79efccdecb3029b0f".into(),
-        parts: 3,
-        bytes: 120_056,
-        checksum: 0x9a8ae61b,
+fn long_metadata() -> Metadata {
+    Metadata {
+        content_hash: "33b119d924a0c0f79efccdecb3029b0f".into(),
+        part_count: 3,
+        length: 120_056,
+        crc32: 0x9a8ae61b,
         note: "second, by \"ops\" \u{e9}".into(),
     }
 }
@@ -243,16 +247,16 @@
 #[test]
 fn document_is_written_under_keys_and_values_of_fixtures() {
     let (_node, client) = single_node(None);
-    let first = document::write(&client, SHORT_DOCUMENT, Some(0), &short_written().note).unwrap();
+    let first = document::write(&client, SHORT_DOCUMENT, Some(0), &short_metadata().note).unwrap();
     let mut keys = stored_keys(&client).into_iter();
-    assert_eq!(keys.next(), Some((CURRENT.into(), text_fixture("document_pointer_first.json"))));
+    assert_eq!(keys.next(), Some((CURRENT_KEY.into(), text_fixture("document_pointer_first.json"))));
     let listing = text_fixture("document_parts_first.txt");
     assert_eq!(keys.next(), Some((listed_part(listing.trim_end()).0.into(), SHORT_DOCUMENT.into())));
     assert_eq!(keys.next(), None);
 
-    document::write(&client, &long_document(), Some(first), &long_written().note).unwrap();
+    document::write(&client, &long_document(), Some(first), &long_metadata().note).unwrap();
     let keys = stored_keys(&client);
-    assert_eq!(keys[0], (CURRENT.into(), pointer_with_previous(first)));
+    assert_eq!(keys[0], (CURRENT_KEY.into(), pointer_with_previous(first)));
     let listed: String = keys[1..]
         .iter()
         .map(|(key, text)| format!("{key} {} {:08x}\n", text.len(), crc32fast::hash(text.as_bytes())))
@@ -266,16 +270,16 @@
     let put = |key: &str, text: &str| client.put(key, text, Default::default()).unwrap().revision;
     let listing = text_fixture("document_parts_first.txt");
     put(listed_part(listing.trim_end()).0, SHORT_DOCUMENT);
-    let first = put(CURRENT, &text_fixture("document_pointer_first.json"));
+    let first = put(CURRENT_KEY, &text_fixture("document_pointer_first.json"));
     let expected = Document {
         version: first,
         text: SHORT_DOCUMENT.into(),
         fleet: settings::fleet::read(SHORT_DOCUMENT, None).unwrap(),
-        written: short_written(),
-        before: Vec::new(),
+        metadata: short_metadata(),
+        previous: Vec::new(),
     };
     assert_eq!(document::read(&client).unwrap().as_ref(), Some(&expected));
-    assert_eq!(document::of(&node.store.state()).unwrap(), Some(expected));
+    assert_eq!(document::from_state(&node.store.state()).unwrap(), Some(expected));
 
     let text = long_document();
     let mut rest = text.as_str();
@@ -289,11 +293,11 @@
         put(key, part);
         rest = behind;
     }
-    let second = put(CURRENT, &pointer_with_previous(first));
+    let second = put(CURRENT_KEY, &pointer_with_previous(first));
     let found = document::read(&client).unwrap().unwrap();
     assert_eq!((found.version, found.text.as_str()), (second, text.as_str()));
-    assert_eq!(found.written, long_written());
-    assert_eq!(found.before, [(first, short_written())]);
+    assert_eq!(found.metadata, long_metadata());
+    assert_eq!(found.previous, [PreviousDocument { version: first, metadata: short_metadata() }]);
     // The one before is still whole: an undo goes back to it.
     document::undo(&client, "back").unwrap();
     assert_eq!(document::read(&client).unwrap().unwrap().text, SHORT_DOCUMENT);
