--- a/fleet/src/client/exchange.rs
+++ b/fleet/src/client/exchange.rs
@@ -134,7 +134,7 @@
                 }
                 Err(error) => error,
             };
-            self.shared.with_pocket(|pocket, _| pocket.lost());
+            self.shared.with_quota_client(|quotas, _| quotas.lost());
             last_failure = format!("{node}: {error}");
             self.connection.fail_over(&error, &mut silent);
         }
@@ -195,38 +195,43 @@
     fn report(&mut self) -> Result<Confirmation, ExchangeError> {
         // Connected first, so that a lease does not count the time that this takes.
         self.connection.open()?;
-        let (reported_at, report) = self.shared.with_pocket(|pocket, now| (now, pocket.report(now)));
-        let (seq, start, reported) = (report.seq, report.start, report.version);
+        let (reported_at, quota_report) =
+            self.shared.with_quota_client(|quotas, now| (now, quotas.report(now)));
+        let (seq, start, reported) = (quota_report.seq, quota_report.start, quota_report.version);
         let members = &self.member_list_version;
-        let audit_stamp =
-            self.shared.with_guard(|guard, _| guard.stamp(reported_at, members())).unwrap_or_default();
-        let (answer, audit_news) = match self.connection.request(&Request::Report { report, audit_stamp })? {
-            Response::Report { answer, audit_news } if answer.seq == seq && answer.start == start => {
-                (answer, audit_news)
+        let version_report =
+            self.shared.with_fence(|fence, _| fence.stamp(reported_at, members())).unwrap_or_default();
+        let request = Request::Report { quota_report, version_report };
+        let (response, directive) = match self.connection.request(&request)? {
+            Response::Report { quota_response: response, audit_directive: directive }
+                if response.seq == seq && response.start == start =>
+            {
+                (response, directive)
             }
             Response::NotLeader { leader } => return Err(ExchangeError::NotLeader { leader }),
             _ => return Err(ExchangeError::UnexpectedResponse),
         };
-        let current = answer.version;
-        self.shared.with_pocket(|pocket, now| pocket.answered(now, answer));
-        self.apply_audit_news(reported_at, reported, current, audit_news);
+        let current = response.version;
+        self.shared.with_quota_client(|quotas, now| quotas.answered(now, response));
+        self.apply_directive(reported_at, reported, current, directive);
         Ok(Confirmation { reported_at, current })
     }
 
-    /// Applies what the leader's audit says of this router.
-    fn apply_audit_news(
+    /// Applies what the leader's audit demands of this router.
+    fn apply_directive(
         &mut self,
         reported_at: Time,
         reported: Version,
         current: Version,
-        news: audit::News,
+        directive: audit::News,
     ) {
-        let answered =
-            self.shared.with_guard(|guard, now| guard.answered(now, reported_at, reported, current, news));
-        if answered.is_none() {
+        let changed = self
+            .shared
+            .with_fence(|fence, now| fence.answered(now, reported_at, reported, current, directive));
+        if changed.is_none() {
             return;
         }
-        if matches!(news, audit::News::Refetch { .. }) {
+        if matches!(directive, audit::News::Refetch { .. }) {
             // Even a version that could not be read: it may have been damaged in transit.
             self.unreadable_version = 0;
             tracing::warn!(
@@ -280,9 +285,9 @@
         // Rules before anything else: what is admitted by the new version must be bound by it.
         (self.on_placement_news)(News::Rules { version, fleet: fleet.clone() });
         if version > 0 {
-            self.shared.with_pocket(|pocket, now| pocket.config(now, version, fleet.clone()));
+            self.shared.with_quota_client(|quotas, now| quotas.config(now, version, fleet.clone()));
         }
-        self.shared.with_guard(|guard, now| guard.took(now, version));
+        self.shared.with_fence(|fence, now| fence.took(now, version));
         let directory = TenantDirectory::new(version, &fleet);
         let tenants = directory.count();
         self.shared.set_tenants(directory);
@@ -291,11 +296,11 @@
 
     /// Returns all grants. The answer says that the node has them; without it, they expire before others get them.
     fn leave(&mut self) {
-        let report = self.shared.with_pocket(Pocket::leave);
+        let quota_report = self.shared.with_quota_client(Pocket::leave);
         let members = &self.member_list_version;
-        let audit_stamp =
-            self.shared.with_guard(|guard, now| guard.stamp(now, members())).unwrap_or_default();
-        match self.connection.request(&Request::Report { report, audit_stamp }) {
+        let version_report =
+            self.shared.with_fence(|fence, now| fence.stamp(now, members())).unwrap_or_default();
+        match self.connection.request(&Request::Report { quota_report, version_report }) {
             Ok(_) => tracing::info!("left the fleet, quota grants returned"),
             Err(error) => {
                 tracing::info!(%error, "left the fleet, quota grants not returned and left to expire");
--- a/fleet/src/client/mod.rs
+++ b/fleet/src/client/mod.rs
@@ -93,7 +93,7 @@
         member_list_version: impl Fn() -> u64 + Send + 'static,
     ) -> io::Result<FleetClient> {
         let member = settings.member;
-        let pocket = Pocket::new(PocketSettings {
+        let quota_client = Pocket::new(PocketSettings {
             name: member.name,
             start: settings.incarnation,
             slot: member.slot,
@@ -102,10 +102,10 @@
         });
         // The leader counts the whole time; less here by what the two clocks may differ.
         let lease_us = (settings.quotas.ttl as f64 * (1.0 - settings.quotas.drift)) as i64;
-        let guard = member.audit.map(|_| Guard::new(lease_us));
+        let fence = member.audit.map(|_| Guard::new(lease_us));
         let (wakeup_sender, wakeups) = bounded(1);
         let (leave, leave_requests) = bounded(1);
-        let shared = Arc::new(Shared::new(pocket, guard, clock, wakeup_sender));
+        let shared = Arc::new(Shared::new(quota_client, fence, clock, wakeup_sender));
         let exchange = Exchange::new(
             shared.clone(),
             exchange::Settings {
@@ -146,7 +146,7 @@
     /// The time by which a request that is admitted now must have been sent to a server: its deadline, or earlier.
     /// Where the audit is on, it is at most a little after the end of the lease under which the request was admitted.
     pub fn dispatch_deadline(&self, deadline: Time) -> Time {
-        let lease_end = self.shared.with_guard(|guard, _| guard.until());
+        let lease_end = self.shared.with_fence(|fence, _| fence.until());
         lease_end.map_or(deadline, |end| deadline.min(Time(end.0.saturating_add(GRACE_AFTER_LEASE_US))))
     }
 
@@ -159,7 +159,7 @@
         let resolved = self.resolve(user, named)?;
         let Some(tenant) = resolved.tenant else { return Ok(None) };
         let (admission, urgent) =
-            self.shared.with_pocket(|pocket, now| (pocket.admit(now, &tenant), pocket.urgent()));
+            self.shared.with_quota_client(|quotas, now| (quotas.admit(now, &tenant), quotas.urgent()));
         if urgent {
             self.shared.wake_exchange();
         }
--- a/fleet/src/client/shared.rs
+++ b/fleet/src/client/shared.rs
@@ -14,15 +14,15 @@
 pub(super) struct Wakeup;
 
 /// The audit's fence, and its state that was logged last.
-struct Fence {
-    guard: Guard,
+struct LoggedFence {
+    fence: Guard,
     logged: Option<Result<Version, Fenced>>,
 }
 
 pub(super) struct Shared {
-    pocket: Mutex<Pocket>,
+    quota_client: Mutex<Pocket>,
     /// `None` where the audit is off.
-    fence: Option<Mutex<Fence>>,
+    fence: Option<Mutex<LoggedFence>>,
     /// `None` until the first document is known.
     tenants: RwLock<Option<TenantDirectory>>,
     clock: Clock,
@@ -30,10 +30,15 @@
 }
 
 impl Shared {
-    pub(super) fn new(pocket: Pocket, guard: Option<Guard>, clock: Clock, wakeups: Sender<Wakeup>) -> Shared {
+    pub(super) fn new(
+        quota_client: Pocket,
+        fence: Option<Guard>,
+        clock: Clock,
+        wakeups: Sender<Wakeup>,
+    ) -> Shared {
         Shared {
-            pocket: Mutex::new(pocket),
-            fence: guard.map(|guard| Mutex::new(Fence { guard, logged: None })),
+            quota_client: Mutex::new(quota_client),
+            fence: fence.map(|fence| Mutex::new(LoggedFence { fence, logged: None })),
             tenants: RwLock::default(),
             clock,
             wakeups,
@@ -41,34 +46,34 @@
     }
 
     /// Runs `act` on the quota client.
-    pub(super) fn with_pocket<T>(&self, act: impl FnOnce(&mut Pocket, Time) -> T) -> T {
-        let mut pocket = self.pocket.lock().unwrap_or_else(PoisonError::into_inner);
+    pub(super) fn with_quota_client<T>(&self, act: impl FnOnce(&mut Pocket, Time) -> T) -> T {
+        let mut quota_client = self.quota_client.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.clock.now();
-        act(&mut pocket, now)
+        act(&mut quota_client, now)
     }
 
     /// Runs `act` on the audit's fence; `None` where the audit is off.
-    pub(super) fn with_guard<T>(&self, act: impl FnOnce(&mut Guard, Time) -> T) -> Option<T> {
-        let mut fence = self.lock_fence()?;
+    pub(super) fn with_fence<T>(&self, act: impl FnOnce(&mut Guard, Time) -> T) -> Option<T> {
+        let mut locked = self.lock_fence()?;
         let now = self.clock.now();
-        Some(act(&mut fence.guard, now))
+        Some(act(&mut locked.fence, now))
     }
 
-    fn lock_fence(&self) -> Option<MutexGuard<'_, Fence>> {
+    fn lock_fence(&self) -> Option<MutexGuard<'_, LoggedFence>> {
         self.fence.as_ref().map(|fence| fence.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// The version in force, `None` where the audit is off. Logs a change between in force and fenced.
     pub(super) fn check_fence(&self) -> Result<Option<Version>, Fenced> {
-        let Some(mut fence) = self.lock_fence() else { return Ok(None) };
+        let Some(mut locked) = self.lock_fence() else { return Ok(None) };
         let now = self.clock.now();
-        let state = fence.guard.check(now);
+        let state = locked.fence.check(now);
         // Before the first confirmation no version was in force: being fenced is no change then.
-        let unchanged = fence.logged == Some(state) || (fence.logged.is_none() && state.is_err());
+        let unchanged = locked.logged == Some(state) || (locked.logged.is_none() && state.is_err());
         if !unchanged {
-            fence.logged = Some(state);
+            locked.logged = Some(state);
         }
-        drop(fence);
+        drop(locked);
         if !unchanged {
             log_fence(&state);
         }
--- a/fleet/src/service/auditor.rs
+++ b/fleet/src/service/auditor.rs
@@ -6,7 +6,7 @@
 use store::Store;
 
 pub(super) struct Auditor {
-    ledger: Ledger,
+    tracker: Ledger,
     recorder: Recorder,
     /// Kept for its allocation.
     actions: Vec<Action>,
@@ -15,17 +15,17 @@
 impl Auditor {
     pub(super) fn new(store: &Store, settings: audit::Settings) -> io::Result<Auditor> {
         let recorder = Recorder::start(store.clone())?;
-        Ok(Auditor { ledger: Ledger::new(settings), recorder, actions: Vec::new() })
+        Ok(Auditor { tracker: Ledger::new(settings), recorder, actions: Vec::new() })
     }
 
-    /// Handles an event and returns the news for the router whose report it was, if it was one.
+    /// Handles an event and returns the directive for the router whose report it was, if it was one.
     pub(super) fn handle(&mut self, now: Time, event: Event) -> News {
-        self.ledger.handle(now, event, &mut self.actions);
-        let mut reported = News::Off;
+        self.tracker.handle(now, event, &mut self.actions);
+        let mut directive = News::Off;
         let mut unwritten = None;
         for action in self.actions.drain(..) {
             match action {
-                Action::Tell { news, .. } => reported = news,
+                Action::Tell { news, .. } => directive = news,
                 Action::Record(entry) => log_entry(&entry),
                 Action::Write(batch) => {
                     let seq = batch.seq;
@@ -36,9 +36,9 @@
             }
         }
         if let Some(seq) = unwritten {
-            self.ledger.handle(now, Event::Written { seq, made: false }, &mut self.actions);
+            self.tracker.handle(now, Event::Written { seq, made: false }, &mut self.actions);
         }
-        reported
+        directive
     }
 
     /// Handles the writes that have ended, and the passing of time.
@@ -61,7 +61,7 @@
             tracing::warn!(version, router, epoch, "audit: router lags, asked to fetch the current version");
         }
         Kind::ShutOut => {
-            tracing::error!(version, router, epoch, "audit: router shut out; check that router's log");
+            tracing::error!(version, router, epoch, "audit: router fenced out; check that router's log");
         }
         Kind::Silent => tracing::warn!(
             version,
--- a/fleet/src/service/leader.rs
+++ b/fleet/src/service/leader.rs
@@ -22,8 +22,8 @@
 
 /// A router's report whose response a connection waits for.
 pub(super) struct PendingReport {
-    pub(super) report: quotas::Report,
-    pub(super) audit_stamp: audit::Stamp,
+    pub(super) quota_report: quotas::Report,
+    pub(super) version_report: audit::Stamp,
     pub(super) reply: Sender<Response>,
 }
 
@@ -40,10 +40,10 @@
     }
 }
 
-/// A report that the allocator decides on, until its answer is sent.
-struct AwaitedAnswer {
+/// A report that the allocator decides on, until its response is sent.
+struct AwaitedResponse {
     reply: Sender<Response>,
-    audit_news: audit::News,
+    audit_directive: audit::News,
 }
 
 /// A confirmed leadership: the store's state, and the term.
@@ -140,12 +140,12 @@
         }
         let mut awaited = HashMap::new();
         for (from, pending) in (0..).zip(reports) {
-            if let Some(answer) = self.apply_report(now, from, pending, actions) {
-                awaited.insert(from, answer);
+            if let Some(response) = self.apply_report(now, from, pending, actions) {
+                awaited.insert(from, response);
             }
         }
         self.allocator.handle(now, Event::Tick, actions);
-        send_answers(actions, &mut awaited);
+        send_responses(actions, &mut awaited);
         if let Some(auditor) = &mut self.auditor {
             auditor.tick(now);
         }
@@ -172,7 +172,7 @@
         version == self.version
     }
 
-    /// Gives one report to the audit and the allocator. Returns what the allocator's answer is to be sent with; `None`
+    /// Gives one report to the audit and the allocator. Returns what the allocator's response is to be sent with; `None`
     /// where the report is rejected or answered already.
     fn apply_report(
         &mut self,
@@ -180,33 +180,33 @@
         from: u64,
         pending: PendingReport,
         actions: &mut Vec<Action>,
-    ) -> Option<AwaitedAnswer> {
-        if let Err(error) = pending.report.check() {
+    ) -> Option<AwaitedResponse> {
+        if let Err(error) = pending.quota_report.check() {
             tracing::warn!(%error, "router report rejected");
             return None;
         }
-        let audit_news = self.audit_report(now, &pending);
-        if matches!(audit_news, audit::News::ShutOut { .. }) {
+        let audit_directive = self.audit_report(now, &pending);
+        if matches!(audit_directive, audit::News::ShutOut { .. }) {
             // Nothing is renewed: the router's grants expire, and nobody else has them before.
-            let (start, seq) = (pending.report.start, pending.report.seq);
-            let answer =
+            let (start, seq) = (pending.quota_report.start, pending.quota_report.seq);
+            let quota_response =
                 quotas::Answer { term: self.term, start, seq, version: self.version, body: Body::Wait };
-            pending.respond(Response::Report { answer, audit_news });
+            pending.respond(Response::Report { quota_response, audit_directive });
             return None;
         }
-        self.allocator.handle(now, Event::Report { from, report: pending.report }, actions);
-        Some(AwaitedAnswer { reply: pending.reply, audit_news })
+        self.allocator.handle(now, Event::Report { from, report: pending.quota_report }, actions);
+        Some(AwaitedResponse { reply: pending.reply, audit_directive })
     }
 
-    /// Gives a report to the audit; its news for the router.
+    /// Gives a report to the audit; its directive for the router.
     fn audit_report(&mut self, now: Time, pending: &PendingReport) -> audit::News {
         let Some(auditor) = &mut self.auditor else { return audit::News::Off };
         let event = audit::Event::Seen {
-            router: pending.report.name.clone(),
-            start: pending.report.start,
-            version: pending.report.version,
-            stamp: pending.audit_stamp,
-            leaving: pending.report.leaving,
+            router: pending.quota_report.name.clone(),
+            start: pending.quota_report.start,
+            version: pending.quota_report.version,
+            stamp: pending.version_report,
+            leaving: pending.quota_report.leaving,
         };
         auditor.handle(now, event)
     }
@@ -224,12 +224,12 @@
     Some(round)
 }
 
-/// Sends the allocator's answers with the audit's news.
-fn send_answers(actions: &mut Vec<Action>, awaited: &mut HashMap<u64, AwaitedAnswer>) {
-    for Action::Answer { to, answer } in actions.drain(..) {
-        if let Some(AwaitedAnswer { reply, audit_news }) = awaited.remove(&to) {
+/// Sends the allocator's responses with the audit's directives.
+fn send_responses(actions: &mut Vec<Action>, awaited: &mut HashMap<u64, AwaitedResponse>) {
+    for Action::Answer { to, answer: quota_response } in actions.drain(..) {
+        if let Some(AwaitedResponse { reply, audit_directive }) = awaited.remove(&to) {
             // The connection may have given up waiting, or ended.
-            _ = reply.try_send(Response::Report { answer, audit_news });
+            _ = reply.try_send(Response::Report { quota_response, audit_directive });
         }
     }
 }
--- a/fleet/src/service/mod.rs
+++ b/fleet/src/service/mod.rs
@@ -84,8 +84,8 @@
     wire::send(socket, &Response::Welcome { node: store.status().0 })?;
     loop {
         match wire::receive(socket, limits.idle_timeout, limits.message_timeout)? {
-            Request::Report { report, audit_stamp } => {
-                wire::send(socket, &answer_report(reports, report, audit_stamp))?;
+            Request::Report { quota_report, version_report } => {
+                wire::send(socket, &answer_report(reports, quota_report, version_report))?;
             }
             Request::Document => send_document(socket, store)?,
         }
@@ -95,11 +95,11 @@
 /// Has the actor decide on a report and waits for its response.
 fn answer_report(
     reports: &Sender<PendingReport>,
-    report: quotas::Report,
-    audit_stamp: audit::Stamp,
+    quota_report: quotas::Report,
+    version_report: audit::Stamp,
 ) -> Response {
     let (reply, response) = bounded(1);
-    let accepted = reports.try_send(PendingReport { report, audit_stamp, reply }).is_ok();
+    let accepted = reports.try_send(PendingReport { quota_report, version_report, reply }).is_ok();
     let response = accepted.then(|| response.recv_timeout(ANSWER_TIMEOUT).ok()).flatten();
     response.unwrap_or(Response::NotLeader { leader: UNKNOWN_LEADER })
 }
--- a/fleet/src/wire.rs
+++ b/fleet/src/wire.rs
@@ -24,9 +24,9 @@
     /// A periodic report. The leader answers it with [`Response::Report`].
     Report {
         /// What the router's quota client reports.
-        report: quotas::Report,
-        /// What the audit learns with it.
-        audit_stamp: audit::Stamp,
+        quota_report: quotas::Report,
+        /// Which version the router routes under, for the audit.
+        version_report: audit::Stamp,
     },
     /// Asks for the fleet document that the node has, whether or not it is the leader.
     Document,
@@ -52,10 +52,10 @@
     },
     /// To a report: what the leader decided.
     Report {
-        /// The quota allocator's answer.
-        answer: quotas::Answer,
-        /// What the audit tells the router.
-        audit_news: audit::News,
+        /// The quota allocator's response.
+        quota_response: quotas::Answer,
+        /// What the audit demands of the router.
+        audit_directive: audit::News,
     },
     /// To [`Request::Document`]: a part of the text. Where the store has no document, one empty part of version 0.
     DocumentPart {
--- a/fleet/tests/client.rs
+++ b/fleet/tests/client.rs
@@ -25,10 +25,10 @@
 /// What a scripted node says to a report.
 type Script = Box<dyn FnMut(&Report) -> Response + Send>;
 
-fn answered(report: &Report, audit_news: AuditNews) -> Response {
+fn answered(report: &Report, audit_directive: AuditNews) -> Response {
     let (start, seq) = (report.start, report.seq);
-    let answer = quotas::Answer { term: 1, start, seq, version: VERSION, body: Body::Wait };
-    Response::Report { answer, audit_news }
+    let quota_response = quotas::Answer { term: 1, start, seq, version: VERSION, body: Body::Wait };
+    Response::Report { quota_response, audit_directive }
 }
 
 /// A node that serves one connection after another and hands on each request that it gets.
@@ -62,7 +62,7 @@
 
     fn next_report(&self) -> Report {
         match self.next() {
-            Request::Report { report, .. } => report,
+            Request::Report { quota_report: report, .. } => report,
             Request::Document => panic!("a document is asked for"),
         }
     }
@@ -77,7 +77,7 @@
     wire::send(socket, &Response::Welcome { node: number }).unwrap();
     while let Ok(request) = wire::receive::<Request>(socket, LONG, LONG) {
         let responses = match &request {
-            Request::Report { report, .. } => vec![script(report)],
+            Request::Report { quota_report: report, .. } => vec![script(report)],
             Request::Document => {
                 let (head, rest) = document.as_bytes().split_at(10);
                 let part = |bytes: &[u8], is_last| Response::DocumentPart {
@@ -188,7 +188,7 @@
     };
     assert!(fenced.to_string().contains("it is shut out under epoch 3 with version 5"), "{fenced}");
     let stamps = node.requests.try_iter().filter_map(|r| match r {
-        Request::Report { audit_stamp, .. } => Some(audit_stamp),
+        Request::Report { version_report, .. } => Some(version_report),
         Request::Document => None,
     });
     assert!(stamps.map(|s| s.members).all(|members| members == 9));
--- a/fleet/tests/service.rs
+++ b/fleet/tests/service.rs
@@ -102,14 +102,15 @@
 }
 
 fn send_report(socket: &TcpStream, report: Report) -> Response {
-    wire::send(socket, &Request::Report { report, audit_stamp: Default::default() }).unwrap();
+    wire::send(socket, &Request::Report { quota_report: report, version_report: Default::default() })
+        .unwrap();
     receive(socket)
 }
 
 /// Sends a report and returns the answer of the leader.
 fn expect_answer(socket: &TcpStream, report: Report) -> quotas::Answer {
     match send_report(socket, report) {
-        Response::Report { answer, .. } => answer,
+        Response::Report { quota_response, .. } => quota_response,
         other => panic!("{other:?}"),
     }
 }
--- a/fleet/tests/stored_forms.rs
+++ b/fleet/tests/stored_forms.rs
@@ -83,9 +83,10 @@
     }
 }
 
-fn reported(body: Body, audit_news: News) -> Response {
-    let answer = quotas::Answer { term: 7, start: 1_700_000_000_000_000, seq: 300, version: 4_242, body };
-    Response::Report { answer, audit_news }
+fn reported(body: Body, audit_directive: News) -> Response {
+    let quota_response =
+        quotas::Answer { term: 7, start: 1_700_000_000_000_000, seq: 300, version: 4_242, body };
+    Response::Report { quota_response, audit_directive }
 }
 
 #[test]
@@ -100,10 +101,13 @@
 #[test]
 fn request_frames_match_fixtures() {
     let stamp = Stamp { age: 1_500_000, fenced: 250_000, routes: true, members: 99, epoch: (7 << 32) + 3 };
-    assert_frame("request_report_full.bin", &Request::Report { report: full_report(), audit_stamp: stamp });
+    assert_frame(
+        "request_report_full.bin",
+        &Request::Report { quota_report: full_report(), version_report: stamp },
+    );
     assert_frame(
         "request_report_leaving.bin",
-        &Request::Report { report: leaving_report(), audit_stamp: Stamp::default() },
+        &Request::Report { quota_report: leaving_report(), version_report: Stamp::default() },
     );
     assert_frame("request_document.bin", &Request::Document);
 }
