--- a/clients/src/lib.rs
+++ b/clients/src/lib.rs
@@ -10,7 +10,7 @@
 use in_flight::InFlight;
 use leaving::{Action, Event, Leaving, Step, Times};
 pub use listening::{Listening, PassedError, Waker};
-use routing::wire::{Until, idle_and_open, peek};
+use routing::socket::{DeadlineReader, is_idle_and_open, peek};
 use routing::{RequestId, spawn};
 use settings::Limits;
 use socket2::SockRef;
@@ -194,7 +194,7 @@
         let until = (ended + self.limits.client_linger).max(Instant::now() + LOOK);
         let (mut left, mut nobody) = (self.limits.client_linger_bytes, [0; 8192]);
         while left > 0 && !self.cut.load(Ordering::SeqCst) {
-            match Until(&self.socket, until).read(&mut nobody) {
+            match DeadlineReader::new(&self.socket, until).read(&mut nobody) {
                 Ok(0) => return,
                 Ok(n) => left = left.saturating_sub(n),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -299,7 +299,7 @@
 
     /// Nothing has come that waits to be read.
     fn silent(&self) -> bool {
-        idle_and_open(&self.socket)
+        is_idle_and_open(&self.socket)
     }
 
     /// Reads the startup, which has to be whole within [`Limits::client_start`] of connecting.
@@ -350,7 +350,7 @@
         self.of.reading.store(true, Ordering::SeqCst);
         let got = match self.of.over() {
             true => Ok(0),
-            false => Until(&self.of.socket, self.until).read(to),
+            false => DeadlineReader::new(&self.of.socket, self.until).read(to),
         };
         // It may have been ended while this waited: what came then is not for this process, nor what came before it of
         // the same command, and nobody is told that the rest is missing.
--- a/clients/tests/connections.rs
+++ b/clients/tests/connections.rs
@@ -3,7 +3,7 @@
 use clients::{Clients, Connection, Listening, Order, Standing, Talk};
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use routing::RequestId;
-use routing::wire::peek;
+use routing::socket::peek;
 use settings::Limits;
 use socket2::SockRef;
 use std::io::{Read, Write};
--- a/discovery/src/entries.rs
+++ b/discovery/src/entries.rs
@@ -1,5 +1,5 @@
 //! Discovery's lines of JSON as news for the list.
-use routing::{Entry, GroupId, ListNews, MemberState, Time};
+use routing::{Endpoint, GroupId, EndpointUpdate, MemberState, Time};
 use serde_json::Value;
 use settings::Error;
 use settings::fields::{array, count, flag, text, whole};
@@ -16,25 +16,25 @@
     }
 
     /// One line.
-    pub fn read(&mut self, line: &[u8]) -> Result<ListNews, Error> {
+    pub fn read(&mut self, line: &[u8]) -> Result<EndpointUpdate, Error> {
         let v: Value = serde_json::from_slice(line)?;
         self.news(&v)
     }
 
     /// A list or a change.
-    pub fn news(&mut self, v: &Value) -> Result<ListNews, Error> {
+    pub fn news(&mut self, v: &Value) -> Result<EndpointUpdate, Error> {
         let servers = array(v, "servers")?;
         let entries = servers.iter().map(|s| self.entry(s)).collect::<Result<_, _>>()?;
-        Ok(ListNews { version: whole(v, "version")?, complete: flag(v, "full")?, entries })
+        Ok(EndpointUpdate { version: whole(v, "version")?, complete: flag(v, "full")?, endpoints: entries })
     }
 
-    fn entry(&mut self, v: &Value) -> Result<Entry, Error> {
+    fn entry(&mut self, v: &Value) -> Result<Endpoint, Error> {
         let id = text(v, "id")?.to_string();
         let named = |e: Error| e.at(format!("server {id}"));
         let state = match text(v, "state").map_err(named)? {
             "in_service" => MemberState::Ready,
             "terminating" => MemberState::Draining,
-            "terminated" => MemberState::Gone,
+            "terminated" => MemberState::Removed,
             x => return Err(named(Error::here("a known 'state'", format_args!("'{x}'")))),
         };
         let addr = text(v, "addr").map_err(named)?;
@@ -42,15 +42,15 @@
             addr.parse().map_err(|_| named(Error::value("addr", "ip:port", format_args!("'{addr}'"))))?;
         let started = v.get("started_ms").and_then(Value::as_f64).filter(|ms| *ms > 0.0);
         let zone = self.zone(v.get("zone").and_then(Value::as_str).unwrap_or(""));
-        Ok(Entry {
+        Ok(Endpoint {
             addr,
             group: GroupId(count(v, "cell").map_err(named)?),
             zone,
             site: None,
             state,
-            primary: v.get("mode").and_then(Value::as_str) == Some("read-write"),
+            listed_primary: v.get("mode").and_then(Value::as_str) == Some("read-write"),
             weight: v.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
-            started: started.map(|ms| Time((ms * 1000.0) as i64)),
+            started_at: started.map(|ms| Time((ms * 1000.0) as i64)),
             id,
         })
     }
--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -9,7 +9,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use http1::Answer;
 use objects::{Objects, Piece, Unreadable};
-use routing::{ListHandle, ListNews, Order, spawn};
+use routing::{EndpointsHandle, EndpointUpdate, UpdateOrder, spawn};
 use settings::Limits;
 use silence::{Action, Event, Silence};
 use std::collections::HashMap;
@@ -95,13 +95,13 @@
 pub struct Watch {
     zones: Vec<String>,
     limits: Arc<Limits>,
-    list: ListHandle,
+    list: EndpointsHandle,
     shared: Arc<Shared>,
 }
 
 impl Watch {
     /// A watch that is nowhere yet. News goes to the list's actor, which holds the version to resume at.
-    pub fn new(zones: Vec<String>, limits: Arc<Limits>, list: ListHandle) -> Self {
+    pub fn new(zones: Vec<String>, limits: Arc<Limits>, list: EndpointsHandle) -> Self {
         let (to, from) = bounded(WAITING);
         let from = Mutex::new(Some(from));
         let (first, came, whole) = (Mutex::default(), Condvar::new(), AtomicBool::new(false));
@@ -226,19 +226,19 @@
             let Some(open) = self.open.get_mut(&connection) else { return true };
             let (told, of) = (std::mem::replace(&mut open.told, found), open.to);
             let order = self.order(connection, told, of, &news);
-            if !self.watch.list.tell_in(order, news) {
+            if !self.watch.list.notify_ordered(order, news) {
                 return false;
             }
-            if complete || (found >= told && order != Order::Gapped) {
+            if complete || (found >= told && order != UpdateOrder::AfterGap) {
                 self.teller = Some(of);
             }
-            if order == Order::Anew && told > 0 {
+            if order == UpdateOrder::VersionsRestarted && told > 0 {
                 // What else has changed since discovery began anew is not known: nothing builds on what is held.
                 tracing::warn!("discovery: version {found} came after {told}");
                 self.watch.shared.whole.store(true, Ordering::Release);
                 let all: Vec<u64> = self.open.keys().copied().collect();
                 all.iter().for_each(|number| self.ended(*number, &Broken::Anew));
-            } else if complete || order == Order::Anew {
+            } else if complete || order == UpdateOrder::VersionsRestarted {
                 self.watch.shared.whole.store(false, Ordering::Release);
             }
         }
@@ -248,20 +248,20 @@
     }
 
     /// How news of this connection, which was at the version `told`, follows what the list has.
-    fn order(&self, connection: u64, told: u64, of: SocketAddr, news: &ListNews) -> Order {
+    fn order(&self, connection: u64, told: u64, of: SocketAddr, news: &EndpointUpdate) -> UpdateOrder {
         let whole = self.watch.shared.whole.load(Ordering::Acquire);
         if news.complete {
             // It stands for itself, whatever came before.
-            Order::Next
+            UpdateOrder::Consecutive
         } else if (news.version < told && self.teller == Some(of)) || (whole && told == 0) {
             // Its own versions have gone back. Another agent's, after a move, may only be behind: what lies below the
             // version held is not taken then, until it brings a whole list.
-            Order::Anew
+            UpdateOrder::VersionsRestarted
         } else if self.silence.fell_silent(connection) {
             // It may have missed changes, and a new watch must still ask for these.
-            Order::Gapped
+            UpdateOrder::AfterGap
         } else {
-            Order::Next
+            UpdateOrder::Consecutive
         }
     }
 
@@ -331,7 +331,7 @@
     addr: SocketAddr,
     number: u64,
     limits: &Limits,
-    list: &ListHandle,
+    list: &EndpointsHandle,
     shared: &Shared,
 ) -> Result<(), Broken> {
     let to = &shared.to;
--- a/discovery/tests/watch.rs
+++ b/discovery/tests/watch.rs
@@ -2,9 +2,7 @@
 //! that silence is noticed in 200 ms. Each wait is for a message; only a failure reaches its bound.
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use discovery::Watch;
-use routing::messages::Message;
-use routing::wire::Unsent;
-use routing::{Link, ListNews, Outcome, Reply, Stop, Wire, Work};
+use routing::{NotSent, RouterMessage, Connection, EndpointUpdate, Outcome, ExchangeResult, AttemptGuard, BackendProtocol, Exchange};
 use settings::Limits;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,24 +15,24 @@
 struct NoWire;
 struct NoLink(Arc<TcpStream>);
 
-impl Wire for NoWire {
+impl BackendProtocol for NoWire {
     type Payload = ();
-    type Answer = ();
-    type Link = NoLink;
-    fn open(&self, _: SocketAddr) -> Result<NoLink, Outcome> {
+    type Response = ();
+    type Connection = NoLink;
+    fn connect(&self, _: SocketAddr) -> Result<NoLink, Outcome> {
         unreachable!("no instance is asked")
     }
 }
 
-impl Link<NoWire> for NoLink {
+impl Connection<NoWire> for NoLink {
     fn socket(&self) -> Arc<TcpStream> {
         self.0.clone()
     }
-    fn alive(&mut self, _: Duration) -> bool {
+    fn is_usable(&mut self, _: Duration) -> bool {
         false
     }
-    fn carry(&mut self, _: Work<'_, NoWire>, _: &Stop) -> Result<Reply<()>, Unsent> {
-        Err(Unsent::Broken)
+    fn execute(&mut self, _: Exchange<'_, NoWire>, _: &AttemptGuard) -> Result<ExchangeResult<()>, NotSent> {
+        Err(NotSent::ConnectionBroken)
     }
 }
 
@@ -106,9 +104,9 @@
 
 struct Site {
     watch: Watch,
-    list: routing::ListHandle,
-    news: Receiver<Message<NoWire>>,
-    _keep: Sender<Message<NoWire>>,
+    list: routing::EndpointsHandle,
+    news: Receiver<RouterMessage<NoWire>>,
+    _keep: Sender<RouterMessage<NoWire>>,
 }
 
 impl Site {
@@ -122,27 +120,27 @@
         // None has to give way, however slowly a test goes on.
         limits.watch_most = 64;
         let (to, news) = bounded(64);
-        let list = routing::list::start(&limits, to.clone(), None).unwrap();
+        let list = routing::endpoints::start(&limits, to.clone(), None).unwrap();
         let watch = Watch::new(vec!["a".into()], Arc::new(limits), list.clone());
         Site { watch, list, news, _keep: to }
     }
 
     /// Has a new watch that asks from this version tell this. On a busy machine one may have been given up before it
     /// could; then the next does.
-    fn hears(&self, agent: &Agent, from: &str, text: &str) -> (ListNews, TcpStream) {
+    fn hears(&self, agent: &Agent, from: &str, text: &str) -> (EndpointUpdate, TcpStream) {
         for _ in 0..16 {
             let socket = agent.asked(from);
             _ = (&socket).write_all((HEAD.to_string() + &chunk(text)).as_bytes());
-            if let Ok(Message::List(news)) = self.news.recv_timeout(Duration::from_secs(2)) {
+            if let Ok(RouterMessage::Endpoints(news)) = self.news.recv_timeout(Duration::from_secs(2)) {
                 return (news, socket);
             }
         }
         panic!("no new watch is heard");
     }
 
-    fn news(&self) -> ListNews {
+    fn news(&self) -> EndpointUpdate {
         match self.news.recv_timeout(LONG) {
-            Ok(Message::List(news)) => news,
+            Ok(RouterMessage::Endpoints(news)) => news,
             _ => panic!("no news"),
         }
     }
@@ -230,7 +228,7 @@
         say(&socket, &indented[..at]);
         say(&socket, &indented[at..]);
         let news = site.news();
-        assert_eq!((news.version, news.entries[0].id.as_str()), (7, "a\"}7"), "split at {at}");
+        assert_eq!((news.version, news.endpoints[0].id.as_str()), (7, "a\"}7"), "split at {at}");
     }
     // An object that is no list is not applied in part, and ends the watch; one that is nested deeply as well.
     say(&socket, &list(8).replace("in_service", "odd"));
@@ -294,12 +292,12 @@
     say(&old, &change(8, "a", "terminating"));
     assert_eq!(site.news().version, 8);
     // Those that are opened once the list has that ask for what was missed all the same.
-    assert!(site.list.taken(LONG));
+    assert!(site.list.wait_until_applied(LONG));
     for _ in 0..8 {
         assert_eq!(agent.next().0, "5");
     }
     let (news, new) = site.hears(&agent, "5", &change(8, "b", "terminating"));
-    assert_eq!((news.version, news.entries[0].id.as_str()), (8, "b"));
+    assert_eq!((news.version, news.endpoints[0].id.as_str()), (8, "b"));
     drop(new);
     // Nothing is missing any more.
     agent.asked("8");
@@ -322,10 +320,10 @@
     // What else has changed is not known.
     // Even now it gives changes alone.
     let (news, new) = site.hears(&agent, "0", &change(2, "b", "terminating"));
-    assert_eq!(news.entries[0].id, "b");
+    assert_eq!(news.endpoints[0].id, "b");
     say(&new, &change(3, "c", "terminating"));
     assert_eq!(site.news().version, 3);
-    assert!(site.list.taken(LONG));
+    assert!(site.list.wait_until_applied(LONG));
     drop(new);
     agent.asked("3");
 }
@@ -381,7 +379,7 @@
     let text = format!("{text}{}}}\n", " ".repeat(most - text.len() - 1));
     say(&socket, &text);
     let news = site.news();
-    assert_eq!((news.version, news.entries.len()), (5, 40_000));
+    assert_eq!((news.version, news.endpoints.len()), (5, 40_000));
     // An object that never ends: the reader gives it up, at a byte more than its bound.
     let mut endless = socket;
     endless.write_all(chunk("{\"version\":6,\"x\":\"").as_bytes()).unwrap();
--- a/door/src/service.rs
+++ b/door/src/service.rs
@@ -11,7 +11,7 @@
 use coordinator::Coordinator;
 use crossbeam_channel::Sender;
 use holds::Event;
-use routing::{Clock, Figures, ListHandle, spawn};
+use routing::{Clock, Metrics, EndpointsHandle, spawn};
 use settings::Limits;
 use std::io;
 use std::path::Path;
@@ -23,9 +23,9 @@
 /// What the commands act on.
 pub struct ServiceDependencies {
     /// The metrics that `METRICS` reports.
-    pub metrics: Arc<Figures>,
+    pub metrics: Arc<Metrics>,
     /// The endpoint list, which shows instances in maintenance as draining.
-    pub endpoints: ListHandle,
+    pub endpoints: EndpointsHandle,
     /// Orders to the clients' front: drains, and which other processes serve.
     pub client_orders: Sender<Order>,
     /// Sets whether the front answers its readiness probe as draining. It takes effect before `PAUSE` is answered.
--- a/door/src/service/coordinator.rs
+++ b/door/src/service/coordinator.rs
@@ -92,7 +92,7 @@
 
     /// The response to `METRICS`.
     pub(super) fn metrics(&self) -> Response {
-        Response::Metrics(self.dependencies.metrics.lines())
+        Response::Metrics(self.dependencies.metrics.render_text())
     }
 
     /// Runs a command that may change the state. If it cannot be stored, it is in effect here all the same, and storing
@@ -152,7 +152,7 @@
     }
 
     fn update_endpoints(&mut self) {
-        let ids = self.dependencies.endpoints.names();
+        let ids = self.dependencies.endpoints.ids();
         let changes = ids.into_iter().map(|id| EndpointChange { id, listed: true }).collect();
         let event = Event::EndpointsUpdated { complete: true, changes };
         // No response is due, and masks are reported by `notify`.
@@ -195,8 +195,8 @@
     fn notify(&mut self, machine: &Machine) {
         let (mask, draining) = (machine.mask(), machine.draining());
         if mask != self.notified.mask {
-            let shown = routing::Mask { held: mask.in_maintenance.clone(), cold: mask.restored.clone() };
-            _ = self.dependencies.endpoints.mask(shown);
+            let shown = routing::MaintenanceMask { in_maintenance: mask.in_maintenance.clone(), returned_at: mask.restored.clone() };
+            _ = self.dependencies.endpoints.set_maintenance(shown);
         }
         if draining != self.notified.draining {
             (self.dependencies.set_draining)(draining);
--- a/emulator/src/check.rs
+++ b/emulator/src/check.rs
@@ -174,7 +174,7 @@
     ) {
         let (rule, need) = match freshness {
             Freshness::Bounded(bound) => (Rule::NoStale, Some(Time(sent.0 - bound))),
-            Freshness::Fresh => (Rule::NoStale, Some(asked)),
+            Freshness::Latest => (Rule::NoStale, Some(asked)),
             Freshness::Session => (Rule::OwnWrites, owed),
             Freshness::Any | Freshness::Write => return,
         };
@@ -219,7 +219,7 @@
         c.read(Time(60), Freshness::Session, Time(55), Time(55), c.owed(9), Time(49));
         c.read(Time(60), Freshness::Session, Time(55), Time(55), c.owed(9), Time(50));
         c.read(Time(60), Freshness::Bounded(10), Time(55), Time(55), None, Time(44));
-        c.read(Time(60), Freshness::Fresh, Time(55), Time(56), None, Time(54));
+        c.read(Time(60), Freshness::Latest, Time(55), Time(56), None, Time(54));
         assert_eq!((broken(&c, Rule::OwnWrites), broken(&c, Rule::NoStale)), (1, 2));
         c.ran(Time(1), 77);
         c.ran(Time(2), 78);
--- a/emulator/src/plan.rs
+++ b/emulator/src/plan.rs
@@ -1,5 +1,5 @@
 //! What is played: the fleet, its load and its troubles, from a TOML file. Unknown keys are errors.
-use decision::{Class, Effect, Freshness, Settings, Tokens, WhenBehind};
+use decision::{Class, Idempotency, Freshness, Settings, SessionCommitSource, LaggingReplica};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -297,36 +297,36 @@
     pub fn settings(&self, hall: usize) -> Settings {
         let us = |ms: f64| (ms * 1000.0) as i64;
         let class = |c: &ClassPlan| Class {
-            freshness: c.freshness().unwrap_or(Freshness::Fresh),
-            effect: if c.safe { Effect::Safe } else { Effect::Unsafe },
-            aim: us(c.aim_ms),
+            freshness: c.freshness().unwrap_or(Freshness::Latest),
+            idempotency: if c.safe { Idempotency::Idempotent } else { Idempotency::NotIdempotent },
+            latency_objective: us(c.aim_ms),
             deadline: us(c.deadline_ms),
-            worth: 1.0,
-            late_worth: 0.5,
+            priority_weight: 1.0,
+            late_weight_share: 0.5,
         };
         Settings {
             classes: self.class.iter().map(class).collect(),
             tenant_rates: vec![],
-            over_share_worth: 1.0,
-            drivers: self.routers as u32,
+            over_quota_weight: 1.0,
+            router_count: self.routers as u32,
             zone: hall as u32,
-            round: 5000,
-            when_behind: WhenBehind::Answers,
-            tokens: Tokens::Carried,
-            may_duplicate: true,
+            min_event_interval: 5000,
+            lagging_replica: LaggingReplica::AnswersStale,
+            session_commit_source: SessionCommitSource::CarriedByRequest,
+            hedging_allowed: true,
             max_attempts: self.attempts,
-            may_cancel: true,
-            may_probe: true,
-            probe_price: 0.0,
-            max_come_back: (self.come_back_ms > 0.0).then(|| us(self.come_back_ms)),
+            cancel_allowed: true,
+            probing_allowed: true,
+            probe_cost: 0.0,
+            max_retry_after: (self.come_back_ms > 0.0).then(|| us(self.come_back_ms)),
             connect_timeout: 250_000,
             drain_grace: 250_000,
-            only_draining_binds: false,
-            cold_from: self.cold_from,
-            cold_time: us(self.cold_s * 1000.0),
+            missing_members_may_serve: false,
+            slow_start_initial_share: self.cold_from,
+            slow_start_duration: us(self.cold_s * 1000.0),
             overload_factor: self.overload_factor,
-            tip_time: 1_000_000,
-            list_on_request: false,
+            overload_duration: 1_000_000,
+            list_requires_subscription: false,
         }
     }
 
@@ -343,7 +343,7 @@
     pub fn freshness(&self) -> Result<Freshness, PlanError> {
         Ok(match self.freshness.as_str() {
             "write" => Freshness::Write,
-            "fresh" => Freshness::Fresh,
+            "fresh" => Freshness::Latest,
             "session" => Freshness::Session,
             "bounded" => Freshness::Bounded((self.bound_ms * 1000.0) as i64),
             "any" => Freshness::Any,
--- a/emulator/src/world/clients.rs
+++ b/emulator/src/world/clients.rs
@@ -51,7 +51,7 @@
         if !self.routers[r].up {
             return self.again(id, true, None);
         }
-        let freshness = self.plan.class[class].freshness().unwrap_or(Freshness::Fresh);
+        let freshness = self.plan.class[class].freshness().unwrap_or(Freshness::Latest);
         let key = Key(session);
         let now = self.session_now();
         let sim = &mut self.routers[r];
@@ -65,14 +65,14 @@
         self.check.taken(r, request, deadline, !self.plan.class[class].safe);
         self.feed(
             r,
-            Event::Request(Request {
+            Event::RequestArrived(Request {
                 id: RequestId(request),
                 class,
                 tenant: 0,
                 session: None,
                 group: GroupId(group as u32),
                 deadline,
-                token,
+                session_commit: token,
             }),
         );
     }
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -5,7 +5,7 @@
 use crate::result::{Counts, Results, Times};
 use crate::spread::Meter;
 use decision::{
-    Action, Event, Freshness, GroupId, MemberEntry, MemberId, MemberState, Outcome, Report, Request,
+    Action, Event, Freshness, GroupId, MemberEntry, MemberId, MemberState, Outcome, MemberReport, Request,
     RequestId, Router, Time,
 };
 use fastrand::Rng;
@@ -96,7 +96,7 @@
     TimeOut(Job),
     Cancelled(Job),
     Probe { router: usize, epoch: u32, node: usize },
-    Probed { router: usize, epoch: u32, node: usize, outcome: Outcome, report: Report },
+    Probed { router: usize, epoch: u32, node: usize, outcome: Outcome, report: MemberReport },
     Wake(usize, u32),
     Tick(usize, u32),
     Synced(usize, u32, u64, Key, Time),
@@ -337,10 +337,10 @@
                     if outcome == Outcome::Ok {
                         self.heard_of(router, node);
                     }
-                    self.feed(router, Event::Probed { member: MemberId(node as u32), outcome, report });
+                    self.feed(router, Event::ProbeEnded { member: MemberId(node as u32), outcome, report });
                 }
             }
-            Ev::Wake(r, epoch) if self.lives(r, epoch) => self.feed(r, Event::Timer),
+            Ev::Wake(r, epoch) if self.lives(r, epoch) => self.feed(r, Event::TimerExpired),
             Ev::Tick(r, epoch) if self.lives(r, epoch) => self.tick(r, epoch),
             Ev::Synced(r, epoch, seq, key, at) if self.lives(r, epoch) => {
                 self.routers[r].disk.push((key, at));
--- a/emulator/src/world/nodes.rs
+++ b/emulator/src/world/nodes.rs
@@ -21,7 +21,7 @@
         }
         if fresh {
             if n.connections >= self.plan.connections {
-                return self.refuse(job, node, Outcome::Full, false);
+                return self.refuse(job, node, Outcome::Rejected, false);
             }
             n.connections += 1;
         }
@@ -33,7 +33,7 @@
             return self.refuse(job, node, Outcome::Error, true);
         }
         if write && !n.primary {
-            return self.refuse(job, node, Outcome::Miss, true);
+            return self.refuse(job, node, Outcome::NotEligible, true);
         }
         if n.busy < self.plan.cores || n.waiting.len() < self.plan.queue {
             self.meter.started(self.now, node);
@@ -44,7 +44,7 @@
         } else if n.waiting.len() < self.plan.queue {
             n.waiting.push_back(job);
         } else {
-            self.refuse(job, node, Outcome::Full, true);
+            self.refuse(job, node, Outcome::Rejected, true);
         }
     }
 
--- a/emulator/src/world/routers.rs
+++ b/emulator/src/world/routers.rs
@@ -20,7 +20,7 @@
                 let job = Job { router: r, epoch, request: request.0, attempt, class: 0, client: 0 };
                 self.after(0, Ev::Cancelled(job));
             }
-            Action::Refuse { request, come_back } => self.finish(r, request.0, true, come_back),
+            Action::Reject { request, retry_after: come_back } => self.finish(r, request.0, true, come_back),
             Action::Fail { request } => self.finish(r, request.0, false, None),
             Action::Probe { member } => {
                 let node = member.0 as usize;
@@ -31,8 +31,8 @@
                 let way = self.way(self.routers[r].hall, self.nodes[node].hall);
                 self.after(way, Ev::Probe { router: r, epoch, node });
             }
-            Action::Timer { after } => self.after(after, Ev::Wake(r, epoch)),
-            Action::Subscribe | Action::Forget { .. } => {}
+            Action::SetTimer { after } => self.after(after, Ev::Wake(r, epoch)),
+            Action::Subscribe | Action::Remove { .. } => {}
         }
     }
 
@@ -155,7 +155,7 @@
             open.answered = true;
             ended = true;
             let class = self.clients.get(&client).map_or(0, |c| c.class);
-            let freshness = self.plan.class[class].freshness().unwrap_or(Freshness::Fresh);
+            let freshness = self.plan.class[class].freshness().unwrap_or(Freshness::Latest);
             if let Some(at) = commit {
                 let session = self.clients.get(&client).map_or(0, |c| c.session);
                 self.routers[r].tickets.insert(request, (client, session, at));
@@ -169,18 +169,18 @@
             }
         }
         let member = MemberId(node as u32);
-        let (note, report) = (Report::default(), Report::default());
+        let (note, report) = (MemberReport::default(), MemberReport::default());
         self.feed(
             r,
-            Event::Outcome {
+            Event::AttemptEnded {
                 request: RequestId(request),
                 attempt,
                 member,
                 outcome,
-                ended,
-                note,
+                request_ended: ended,
+                response_report: note,
                 commit,
-                report,
+                load_report: report,
             },
         );
         self.drop_if_done(r, request);
@@ -199,11 +199,11 @@
         let (apart, way) = (self.apart(hall, there), self.way(hall, there));
         let n = &mut self.nodes[node];
         let (outcome, report, after) = if apart || n.hung {
-            (Outcome::TimedOut, Report::default(), CONNECT)
+            (Outcome::TimedOut, MemberReport::default(), CONNECT)
         } else if !n.up {
-            (Outcome::ConnectFailed, Report::default(), way)
+            (Outcome::ConnectFailed, MemberReport::default(), way)
         } else {
-            let report = Report { primary: Some(n.primary), position: Some(n.position(now, ship)) };
+            let report = MemberReport { primary: Some(n.primary), position: Some(n.position(now, ship)) };
             (Outcome::Ok, report, way)
         };
         self.after(after, Ev::Probed { router: r, epoch, node, outcome, report });
@@ -314,7 +314,7 @@
             let state = match node.state {
                 State::InService => MemberState::Ready,
                 State::Draining => MemberState::Draining,
-                State::Gone => MemberState::Gone,
+                State::Gone => MemberState::Removed,
             };
             self.check.told(self.now, r, n, state == MemberState::Ready);
             entries.push(MemberEntry {
@@ -324,12 +324,12 @@
                 state,
                 listed_primary: false,
                 weight: node.weight,
-                started: None,
+                started_at: None,
             });
         }
         let deaf = self.plan.plant == Some(Plant::IgnoreDrains) && self.revision > 1;
         if !entries.is_empty() && !deaf {
-            self.feed(r, Event::Members { complete: false, entries });
+            self.feed(r, Event::MemberListChanged { complete: false, entries });
         }
     }
 }
--- a/fleet/src/client/connection.rs
+++ b/fleet/src/client/connection.rs
@@ -78,7 +78,7 @@
         if socket.local_addr()? == socket.peer_addr()? {
             // Where nobody listens, a loopback connection may reach itself and keep the port from the node.
             socket2::SockRef::from(&socket).set_linger(Some(Duration::ZERO))?;
-            return Err(WireError::Magic.into());
+            return Err(WireError::WrongProtocol.into());
         }
         socket.set_nodelay(true)?;
         socket.set_write_timeout(Some(ATTEMPT_TIMEOUT))?;
--- a/fleet/src/client/exchange.rs
+++ b/fleet/src/client/exchange.rs
@@ -5,7 +5,7 @@
 use crate::wire::{Request, Response};
 use crossbeam_channel::{Receiver, Sender, select};
 use placement::News;
-use quotas::Pocket;
+use quotas::QuotaClient;
 use routing::Time;
 use settings::fleet::{Fleet, Version};
 use std::collections::BTreeSet;
@@ -134,7 +134,7 @@
                 }
                 Err(error) => error,
             };
-            self.shared.with_quota_client(|quotas, _| quotas.lost());
+            self.shared.with_quota_client(|quotas, _| quotas.exchange_failed());
             last_failure = format!("{node}: {error}");
             self.connection.fail_over(&error, &mut silent);
         }
@@ -197,14 +197,14 @@
         self.connection.open()?;
         let (reported_at, quota_report) =
             self.shared.with_quota_client(|quotas, now| (now, quotas.report(now)));
-        let (seq, start, reported) = (quota_report.seq, quota_report.start, quota_report.version);
+        let (seq, start, reported) = (quota_report.seq, quota_report.incarnation, quota_report.version);
         let members = &self.member_list_version;
         let version_report =
-            self.shared.with_fence(|fence, _| fence.stamp(reported_at, members())).unwrap_or_default();
+            self.shared.with_fence(|fence, _| fence.report(reported_at, members())).unwrap_or_default();
         let request = Request::Report { quota_report, version_report };
         let (response, directive) = match self.connection.request(&request)? {
             Response::Report { quota_response: response, audit_directive: directive }
-                if response.seq == seq && response.start == start =>
+                if response.seq == seq && response.incarnation == start =>
             {
                 (response, directive)
             }
@@ -212,7 +212,7 @@
             _ => return Err(ExchangeError::UnexpectedResponse),
         };
         let current = response.version;
-        self.shared.with_quota_client(|quotas, now| quotas.answered(now, response));
+        self.shared.with_quota_client(|quotas, now| quotas.handle_response(now, response));
         self.apply_directive(reported_at, reported, current, directive);
         Ok(Confirmation { reported_at, current })
     }
@@ -223,15 +223,21 @@
         reported_at: Time,
         reported: Version,
         current: Version,
-        directive: audit::News,
+        directive: audit::Directive,
     ) {
+        let answer = audit::LeaderAnswer {
+            report_sent_at: reported_at,
+            reported_version: reported,
+            current_version: current,
+            directive,
+        };
         let changed = self
             .shared
-            .with_fence(|fence, now| fence.answered(now, reported_at, reported, current, directive));
+            .with_fence(|fence, now| fence.answer_received(now, &answer));
         if changed.is_none() {
             return;
         }
-        if matches!(directive, audit::News::Refetch { .. }) {
+        if matches!(directive, audit::Directive::Refetch { .. }) {
             // Even a version that could not be read: it may have been damaged in transit.
             self.unreadable_version = 0;
             tracing::warn!(
@@ -285,9 +291,9 @@
         // Rules before anything else: what is admitted by the new version must be bound by it.
         (self.on_placement_news)(News::Rules { version, fleet: fleet.clone() });
         if version > 0 {
-            self.shared.with_quota_client(|quotas, now| quotas.config(now, version, fleet.clone()));
+            self.shared.with_quota_client(|quotas, now| quotas.apply_config(now, version, &fleet));
         }
-        self.shared.with_fence(|fence, now| fence.took(now, version));
+        self.shared.with_fence(|fence, now| fence.version_applied(now, version));
         let directory = TenantDirectory::new(version, &fleet);
         let tenants = directory.count();
         self.shared.set_tenants(directory);
@@ -296,10 +302,10 @@
 
     /// Returns all grants. The answer says that the node has them; without it, they expire before others get them.
     fn leave(&mut self) {
-        let quota_report = self.shared.with_quota_client(Pocket::leave);
+        let quota_report = self.shared.with_quota_client(QuotaClient::release_all);
         let members = &self.member_list_version;
         let version_report =
-            self.shared.with_fence(|fence, now| fence.stamp(now, members())).unwrap_or_default();
+            self.shared.with_fence(|fence, now| fence.report(now, members())).unwrap_or_default();
         match self.connection.request(&Request::Report { quota_report, version_report }) {
             Ok(_) => tracing::info!("left the fleet, quota grants returned"),
             Err(error) => {
--- a/fleet/src/client/mod.rs
+++ b/fleet/src/client/mod.rs
@@ -8,11 +8,11 @@
 mod shared;
 mod tenants;
 
-use audit::{Fenced, Guard};
+use audit::{Fenced, VersionFence};
 use crossbeam_channel::{Sender, bounded};
 use exchange::{Exchange, LeaveRequest};
 use placement::News;
-use quotas::{Admission, Pocket, PocketSettings};
+use quotas::{Admission, QuotaClient, QuotaClientSettings};
 use routing::{Clock, Time, spawn};
 use settings::fleet::{Member, Version};
 use shared::Shared;
@@ -93,16 +93,16 @@
         member_list_version: impl Fn() -> u64 + Send + 'static,
     ) -> io::Result<FleetClient> {
         let member = settings.member;
-        let quota_client = Pocket::new(PocketSettings {
-            name: member.name,
-            start: settings.incarnation,
+        let quota_client = QuotaClient::new(QuotaClientSettings {
+            router: member.name,
+            incarnation: settings.incarnation,
             slot: member.slot,
             settings: settings.quotas.clone(),
             seed: settings.seed,
         });
         // The leader counts the whole time; less here by what the two clocks may differ.
-        let lease_us = (settings.quotas.ttl as f64 * (1.0 - settings.quotas.drift)) as i64;
-        let fence = member.audit.map(|_| Guard::new(lease_us));
+        let lease_us = (settings.quotas.ttl as f64 * (1.0 - settings.quotas.max_clock_drift)) as i64;
+        let fence = member.audit.map(|_| VersionFence::new(lease_us));
         let (wakeup_sender, wakeups) = bounded(1);
         let (leave, leave_requests) = bounded(1);
         let shared = Arc::new(Shared::new(quota_client, fence, clock, wakeup_sender));
@@ -146,7 +146,7 @@
     /// The time by which a request that is admitted now must have been sent to a server: its deadline, or earlier.
     /// Where the audit is on, it is at most a little after the end of the lease under which the request was admitted.
     pub fn dispatch_deadline(&self, deadline: Time) -> Time {
-        let lease_end = self.shared.with_fence(|fence, _| fence.until());
+        let lease_end = self.shared.with_fence(|fence, _| fence.lease_expires_at());
         lease_end.map_or(deadline, |end| deadline.min(Time(end.0.saturating_add(GRACE_AFTER_LEASE_US))))
     }
 
@@ -159,7 +159,7 @@
         let resolved = self.resolve(user, named)?;
         let Some(tenant) = resolved.tenant else { return Ok(None) };
         let (admission, urgent) =
-            self.shared.with_quota_client(|quotas, now| (quotas.admit(now, &tenant), quotas.urgent()));
+            self.shared.with_quota_client(|quotas, now| (quotas.admit(now, &tenant), quotas.wants_early_report()));
         if urgent {
             self.shared.wake_exchange();
         }
@@ -168,7 +168,7 @@
                 tracing::trace!(version = resolved.version_in_force, %tenant, "request admitted");
                 Ok(Some(tenant))
             }
-            Admission::Refused { come_back } => {
+            Admission::Shed { retry_after: come_back } => {
                 let retry_after = Duration::from_micros(come_back.max(0) as u64);
                 Err(AdmissionError::QuotaExceeded { tenant, retry_after })
             }
--- a/fleet/src/client/shared.rs
+++ b/fleet/src/client/shared.rs
@@ -3,9 +3,9 @@
 //! Time is read under the lock that it is used with: a thread that stood still while it waited for the lock must not
 //! act on the time from before.
 use super::tenants::TenantDirectory;
-use audit::{Fenced, Guard};
+use audit::{Fenced, VersionFence};
 use crossbeam_channel::Sender;
-use quotas::Pocket;
+use quotas::QuotaClient;
 use routing::{Clock, Time};
 use settings::fleet::Version;
 use std::sync::{Mutex, MutexGuard, PoisonError, RwLock, RwLockReadGuard};
@@ -15,12 +15,12 @@
 
 /// The audit's fence, and its state that was logged last.
 struct LoggedFence {
-    fence: Guard,
+    fence: VersionFence,
     logged: Option<Result<Version, Fenced>>,
 }
 
 pub(super) struct Shared {
-    quota_client: Mutex<Pocket>,
+    quota_client: Mutex<QuotaClient>,
     /// `None` where the audit is off.
     fence: Option<Mutex<LoggedFence>>,
     /// `None` until the first document is known.
@@ -31,8 +31,8 @@
 
 impl Shared {
     pub(super) fn new(
-        quota_client: Pocket,
-        fence: Option<Guard>,
+        quota_client: QuotaClient,
+        fence: Option<VersionFence>,
         clock: Clock,
         wakeups: Sender<Wakeup>,
     ) -> Shared {
@@ -46,14 +46,14 @@
     }
 
     /// Runs `act` on the quota client.
-    pub(super) fn with_quota_client<T>(&self, act: impl FnOnce(&mut Pocket, Time) -> T) -> T {
+    pub(super) fn with_quota_client<T>(&self, act: impl FnOnce(&mut QuotaClient, Time) -> T) -> T {
         let mut quota_client = self.quota_client.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.clock.now();
         act(&mut quota_client, now)
     }
 
     /// Runs `act` on the audit's fence; `None` where the audit is off.
-    pub(super) fn with_fence<T>(&self, act: impl FnOnce(&mut Guard, Time) -> T) -> Option<T> {
+    pub(super) fn with_fence<T>(&self, act: impl FnOnce(&mut VersionFence, Time) -> T) -> Option<T> {
         let mut locked = self.lock_fence()?;
         let now = self.clock.now();
         Some(act(&mut locked.fence, now))
--- a/fleet/src/document/read.rs
+++ b/fleet/src/document/read.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use store::State;
 use store::client::Client;
-use store::wire::How;
+use store::wire::Consistency;
 
 /// A reader that finds a part missing starts over, because another document has come meanwhile; at most this often.
 const MAX_READ_ATTEMPTS: usize = 8;
@@ -48,7 +48,7 @@
 
 /// The pointer, and the version of the document that it points at.
 pub(super) fn read_pointer(client: &Client) -> Result<Option<(Pointer, Version)>, DocumentError> {
-    let Some(found) = client.get(CURRENT_KEY, How::Linearizable)?.found else { return Ok(None) };
+    let Some(found) = client.get(CURRENT_KEY, Consistency::Linearizable)?.value else { return Ok(None) };
     Ok(Some((Pointer::parse(found.revision, &found.text)?, found.revision)))
 }
 
@@ -59,7 +59,7 @@
     metadata: &Metadata,
 ) -> Result<Option<String>, DocumentError> {
     let prefix = format!("{}{}/", parts::KEY_PREFIX, metadata.content_hash);
-    let found: BTreeMap<_, _> = client.list(&prefix, How::Linearizable)?.found.into_iter().collect();
+    let found: BTreeMap<_, _> = client.list(&prefix, Consistency::Linearizable)?.value.into_iter().collect();
     parts::join(version, metadata, |key| found.get(key).map(|value| value.text.as_str()))
 }
 
--- a/fleet/src/document/write.rs
+++ b/fleet/src/document/write.rs
@@ -5,9 +5,9 @@
 use settings::fleet::{self, Version};
 use std::collections::BTreeSet;
 use std::iter;
-use store::Refused;
-use store::client::{Client, ClientError, With};
-use store::wire::How;
+use store::Rejection;
+use store::client::{Client, ClientError, UpdateOptions};
+use store::wire::Consistency;
 
 /// Documents that are kept, the current one included, within [`MAX_KEPT_BYTES`].
 const MAX_KEPT_DOCUMENTS: usize = 8;
@@ -28,7 +28,7 @@
 }
 
 fn find_pointer(client: &Client) -> Result<FoundPointer, DocumentError> {
-    let Some(value) = client.get(CURRENT_KEY, How::Linearizable)?.found else {
+    let Some(value) = client.get(CURRENT_KEY, Consistency::Linearizable)?.value else {
         return Ok(FoundPointer { key_version: 0, version: 0, pointer: None });
     };
     let pointer = Pointer::parse(value.revision, &value.text).ok();
@@ -79,7 +79,7 @@
 
 /// The sites of the servers that the store lists; `None` where it lists none, because a registry has the list then.
 fn listed_sites(client: &Client) -> Result<Option<BTreeSet<String>>, DocumentError> {
-    let listed = client.list(SERVER_KEY_PREFIX, How::Linearizable)?.found;
+    let listed = client.list(SERVER_KEY_PREFIX, Consistency::Linearizable)?.value;
     let site = |text: &str| {
         let server: serde_json::Value = serde_json::from_str(text).ok()?;
         Some(server.get("site")?.as_str()?.to_string())
@@ -93,7 +93,7 @@
     let parts = parts::split(text);
     let metadata = parts::describe(text, parts.len(), note);
     for (index, part) in parts.iter().enumerate() {
-        client.put(&parts::part_key(&metadata.content_hash, index), part, With::default())?;
+        client.put(&parts::part_key(&metadata.content_hash, index), part, UpdateOptions::default())?;
     }
     Ok(metadata)
 }
@@ -123,10 +123,10 @@
     expected: Option<Version>,
 ) -> Result<Version, DocumentError> {
     let json = serde_json::to_string(pointer).unwrap_or_default();
-    match client.put(CURRENT_KEY, &json, With { expected: Some(key_version), ..With::default() }) {
+    match client.put(CURRENT_KEY, &json, UpdateOptions { expected_version: Some(key_version), ..UpdateOptions::default() }) {
         Ok(changed) => Ok(changed.revision),
-        Err(ClientError::Refused(Refused::Version(_))) => {
-            let found = client.get(CURRENT_KEY, How::Linearizable)?.found.map_or(0, |value| value.revision);
+        Err(ClientError::Rejected(Rejection::VersionMismatch { .. })) => {
+            let found = client.get(CURRENT_KEY, Consistency::Linearizable)?.value.map_or(0, |value| value.revision);
             Err(DocumentError::VersionConflict { expected: expected.unwrap_or(found), found })
         }
         Err(error) => Err(error.into()),
@@ -143,12 +143,12 @@
     let previous = pointer.previous.iter().map(|document| &document.metadata);
     let kept: BTreeSet<&str> =
         previous.chain([&pointer.current]).map(|metadata| metadata.content_hash.as_str()).collect();
-    for (key, value) in client.list(parts::KEY_PREFIX, How::Linearizable)?.found {
+    for (key, value) in client.list(parts::KEY_PREFIX, Consistency::Linearizable)?.value {
         if kept.contains(parts::hash_of_key(&key)) || value.revision > version {
             continue;
         }
-        match client.delete(&key, With { expected: Some(value.version), ..With::default() }) {
-            Ok(_) | Err(ClientError::Refused(Refused::Version(_))) => {}
+        match client.delete(&key, UpdateOptions { expected_version: Some(value.version), ..UpdateOptions::default() }) {
+            Ok(_) | Err(ClientError::Rejected(Rejection::VersionMismatch { .. })) => {}
             Err(error) => return Err(error),
         }
     }
--- a/fleet/src/service/audit_recorder.rs
+++ b/fleet/src/service/audit_recorder.rs
@@ -1,10 +1,10 @@
 //! Writes the audit's batches into the store, on a thread of its own: no answer to a router waits for a disk.
 use crate::audit_record::parse_batch;
-use audit::{Batch, slot};
+use audit::{Batch, slot_key};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use std::io;
-use store::state::Change;
-use store::{Refused, Store, Value};
+use store::state::Update;
+use store::{Rejection, Store, Value};
 
 const STACK_BYTES: usize = 512 << 10;
 /// Results that wait to be taken. One batch is written at a time, so this is more than there are.
@@ -59,9 +59,9 @@
 }
 
 /// Writes a batch into its slot. Returns false where a later term has written there.
-fn write_batch(store: &Store, batch: &Batch) -> Result<bool, Refused> {
+fn write_batch(store: &Store, batch: &Batch) -> Result<bool, Rejection> {
     let Ok(text) = serde_json::to_string(batch) else { return Ok(false) };
-    let key = slot(batch.seq % audit::SLOTS);
+    let key = slot_key(batch.seq % audit::RING_SLOTS);
     let state = store.state();
     let stored = state.get(&key);
     // A leader that was replaced must not overwrite what the next one has written.
@@ -69,7 +69,7 @@
         return Ok(false);
     }
     let expected = Some(stored.map_or(0, |value| value.version));
-    store.change(Change { key, text: Some(text), expected }).map(|_| true)
+    store.update(Update { key, text: Some(text), expected_version: expected }).map(|_| true)
 }
 
 fn is_of_later_term(stored: &Value, term: u64) -> bool {
--- a/fleet/src/service/auditor.rs
+++ b/fleet/src/service/auditor.rs
@@ -1,12 +1,12 @@
 //! The audit beside the quota allocator: carries out what its state machine decides.
 use super::audit_recorder::{Recorder, WriteResult};
-use audit::{Action, Entry, Event, Kind, Ledger, News};
+use audit::{Action, Entry, Event, EntryKind, VersionTracker, Directive};
 use routing::Time;
 use std::io;
 use store::Store;
 
 pub(super) struct Auditor {
-    tracker: Ledger,
+    tracker: VersionTracker,
     recorder: Recorder,
     /// Kept for its allocation.
     actions: Vec<Action>,
@@ -15,19 +15,19 @@
 impl Auditor {
     pub(super) fn new(store: &Store, settings: audit::Settings) -> io::Result<Auditor> {
         let recorder = Recorder::start(store.clone())?;
-        Ok(Auditor { tracker: Ledger::new(settings), recorder, actions: Vec::new() })
+        Ok(Auditor { tracker: VersionTracker::new(settings), recorder, actions: Vec::new() })
     }
 
     /// Handles an event and returns the directive for the router whose report it was, if it was one.
-    pub(super) fn handle(&mut self, now: Time, event: Event) -> News {
+    pub(super) fn handle(&mut self, now: Time, event: Event) -> Directive {
         self.tracker.handle(now, event, &mut self.actions);
-        let mut directive = News::Off;
+        let mut directive = Directive::AuditDisabled;
         let mut unwritten = None;
         for action in self.actions.drain(..) {
             match action {
-                Action::Tell { news, .. } => directive = news,
-                Action::Record(entry) => log_entry(&entry),
-                Action::Write(batch) => {
+                Action::Reply { directive: news, .. } => directive = news,
+                Action::LogEntry(entry) => log_entry(&entry),
+                Action::WriteBatch(batch) => {
                     let seq = batch.seq;
                     if !self.recorder.try_write(batch) {
                         unwritten = Some(seq);
@@ -36,7 +36,7 @@
             }
         }
         if let Some(seq) = unwritten {
-            self.tracker.handle(now, Event::Written { seq, made: false }, &mut self.actions);
+            self.tracker.handle(now, Event::WriteCompleted { seq, committed: false }, &mut self.actions);
         }
         directive
     }
@@ -44,7 +44,7 @@
     /// Handles the writes that have ended, and the passing of time.
     pub(super) fn tick(&mut self, now: Time) {
         while let Some(WriteResult { seq, is_written }) = self.recorder.next_result() {
-            self.handle(now, Event::Written { seq, made: is_written });
+            self.handle(now, Event::WriteCompleted { seq, committed: is_written });
         }
         self.handle(now, Event::Tick);
     }
@@ -55,20 +55,20 @@
     let Entry { version, epoch, .. } = *entry;
     let router = entry.router.as_str();
     match entry.kind {
-        Kind::Current => tracing::info!(version, "audit: version is current"),
-        Kind::Acting => tracing::info!(version, router, epoch, "audit: router acts on version"),
-        Kind::Told => {
+        EntryKind::Current => tracing::info!(version, "audit: version is current"),
+        EntryKind::Acting => tracing::info!(version, router, epoch, "audit: router acts on version"),
+        EntryKind::Notified => {
             tracing::warn!(version, router, epoch, "audit: router lags, asked to fetch the current version");
         }
-        Kind::ShutOut => {
+        EntryKind::FencedOut => {
             tracing::error!(version, router, epoch, "audit: router fenced out; check that router's log");
         }
-        Kind::Silent => tracing::warn!(
+        EntryKind::Silent => tracing::warn!(
             version,
             router,
             epoch,
             "audit: router silent; check that process and its connection to this node"
         ),
-        Kind::Left => tracing::info!(version, router, epoch, "audit: router left"),
+        EntryKind::Left => tracing::info!(version, router, epoch, "audit: router left"),
     }
 }
--- a/fleet/src/service/leader.rs
+++ b/fleet/src/service/leader.rs
@@ -6,14 +6,15 @@
 use crate::wire::{Response, UNKNOWN_LEADER};
 use crate::{audit_record, document};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
-use quotas::{Action, Allocator, Body, Event};
+use quotas::{Action, Allocator, ResponseBody, Event};
 use routing::{Clock, Time};
 use settings::fleet::Version;
 use std::collections::HashMap;
 use std::io;
 use std::sync::Arc;
 use std::time::Duration;
-use store::{Refused, State, Store};
+use store::node::ConfirmedRead;
+use store::{Rejection, State, Store};
 
 /// Reports that one confirmation of the leadership serves.
 pub(super) const MAX_REPORTS_PER_ROUND: usize = 256;
@@ -23,7 +24,7 @@
 /// A router's report whose response a connection waits for.
 pub(super) struct PendingReport {
     pub(super) quota_report: quotas::Report,
-    pub(super) version_report: audit::Stamp,
+    pub(super) version_report: audit::VersionReport,
     pub(super) reply: Sender<Response>,
 }
 
@@ -43,7 +44,7 @@
 /// A report that the allocator decides on, until its response is sent.
 struct AwaitedResponse {
     reply: Sender<Response>,
-    audit_directive: audit::News,
+    audit_directive: audit::Directive,
 }
 
 /// A confirmed leadership: the store's state, and the term.
@@ -94,16 +95,16 @@
             }
             match confirmed {
                 Ok(Some(leadership)) => self.decide(now, &leadership, pending, &mut actions),
-                Ok(None) => respond_not_leader(&pending, self.store.leader().0),
+                Ok(None) => respond_not_leader(&pending, self.store.known_leader().leader.unwrap_or(UNKNOWN_LEADER)),
                 // This node may be cut off from the present leader and not know it.
                 Err(_) => respond_not_leader(&pending, UNKNOWN_LEADER),
             }
         }
     }
 
-    fn confirm_leadership(&self) -> Result<Option<Leadership>, Refused> {
-        let led = self.store.lead()?;
-        Ok(led.map(|(state, term)| Leadership { state, term }))
+    fn confirm_leadership(&self) -> Result<Option<Leadership>, Rejection> {
+        let led = self.store.read_as_leader()?;
+        Ok(led.map(|ConfirmedRead { state, term }| Leadership { state, term }))
     }
 
     /// Starts a term of this node. The time that was read before its confirmation may be from before the election, and
@@ -115,10 +116,10 @@
         self.version = 0;
         tracing::info!(term, "this node answers fleet reports as the leader");
         let now = self.clock.now();
-        self.allocator.handle(now, Event::Began { term }, actions);
+        self.allocator.handle(now, Event::BecameLeader { term }, actions);
         if let Some(auditor) = &mut self.auditor {
             let kept = audit_record::stored_batches(&leadership.state);
-            auditor.handle(now, audit::Event::Began { term, kept });
+            auditor.handle(now, audit::Event::LeadershipGained { term, batches: kept });
         }
     }
 
@@ -136,7 +137,7 @@
             return;
         }
         if let Some(auditor) = &mut self.auditor {
-            auditor.handle(now, audit::Event::Current { version: self.version });
+            auditor.handle(now, audit::Event::CurrentVersion { version: self.version });
         }
         let mut awaited = HashMap::new();
         for (from, pending) in (0..).zip(reports) {
@@ -186,26 +187,26 @@
             return None;
         }
         let audit_directive = self.audit_report(now, &pending);
-        if matches!(audit_directive, audit::News::ShutOut { .. }) {
+        if matches!(audit_directive, audit::Directive::FenceOut { .. }) {
             // Nothing is renewed: the router's grants expire, and nobody else has them before.
-            let (start, seq) = (pending.quota_report.start, pending.quota_report.seq);
+            let (start, seq) = (pending.quota_report.incarnation, pending.quota_report.seq);
             let quota_response =
-                quotas::Answer { term: self.term, start, seq, version: self.version, body: Body::Wait };
+                quotas::GrantResponse { term: self.term, incarnation: start, seq, version: self.version, body: ResponseBody::NotRenewed };
             pending.respond(Response::Report { quota_response, audit_directive });
             return None;
         }
-        self.allocator.handle(now, Event::Report { from, report: pending.quota_report }, actions);
+        self.allocator.handle(now, Event::Report { connection: from, report: pending.quota_report }, actions);
         Some(AwaitedResponse { reply: pending.reply, audit_directive })
     }
 
     /// Gives a report to the audit; its directive for the router.
-    fn audit_report(&mut self, now: Time, pending: &PendingReport) -> audit::News {
-        let Some(auditor) = &mut self.auditor else { return audit::News::Off };
-        let event = audit::Event::Seen {
-            router: pending.quota_report.name.clone(),
-            start: pending.quota_report.start,
+    fn audit_report(&mut self, now: Time, pending: &PendingReport) -> audit::Directive {
+        let Some(auditor) = &mut self.auditor else { return audit::Directive::AuditDisabled };
+        let event = audit::Event::ReportReceived {
+            router: pending.quota_report.router.clone(),
+            incarnation: pending.quota_report.incarnation,
             version: pending.quota_report.version,
-            stamp: pending.version_report,
+            report: pending.version_report,
             leaving: pending.quota_report.leaving,
         };
         auditor.handle(now, event)
@@ -226,8 +227,8 @@
 
 /// Sends the allocator's responses with the audit's directives.
 fn send_responses(actions: &mut Vec<Action>, awaited: &mut HashMap<u64, AwaitedResponse>) {
-    for Action::Answer { to, answer: quota_response } in actions.drain(..) {
-        if let Some(AwaitedResponse { reply, audit_directive }) = awaited.remove(&to) {
+    for Action::Respond { connection, response: quota_response } in actions.drain(..) {
+        if let Some(AwaitedResponse { reply, audit_directive }) = awaited.remove(&connection) {
             // The connection may have given up waiting, or ended.
             _ = reply.try_send(Response::Report { quota_response, audit_directive });
         }
--- a/fleet/src/service/mod.rs
+++ b/fleet/src/service/mod.rs
@@ -66,7 +66,7 @@
         _ = wire::send(socket, &Response::Busy { max_connections: limits.max_connections });
     };
     let serve = move |socket: &TcpStream| serve_connection(socket, &store, &report_sender, &limits);
-    store::serve::accept(listener, "fleet", limits.max_connections, reject, serve)
+    store::acceptor::accept(listener, "fleet", limits.max_connections, reject, serve)
 }
 
 /// Serves one connection until it fails or stays idle.
@@ -81,7 +81,7 @@
     // Sent before the other side's hello is checked, so that a router of another version can tell why it is closed.
     wire::send_hello(socket)?;
     wire::receive_hello(socket, limits.message_timeout)?;
-    wire::send(socket, &Response::Welcome { node: store.status().0 })?;
+    wire::send(socket, &Response::Welcome { node: store.status().node })?;
     loop {
         match wire::receive(socket, limits.idle_timeout, limits.message_timeout)? {
             Request::Report { quota_report, version_report } => {
@@ -96,7 +96,7 @@
 fn answer_report(
     reports: &Sender<PendingReport>,
     quota_report: quotas::Report,
-    version_report: audit::Stamp,
+    version_report: audit::VersionReport,
 ) -> Response {
     let (reply, response) = bounded(1);
     let accepted = reports.try_send(PendingReport { quota_report, version_report, reply }).is_ok();
--- a/fleet/src/wire.rs
+++ b/fleet/src/wire.rs
@@ -8,11 +8,10 @@
 use std::io;
 use std::net::TcpStream;
 use std::time::Duration;
-use store::wire::WireError;
+use store::wire::{Protocol, WireError};
 pub use store::wire::{receive, send};
 
-const MAGIC: [u8; 4] = *b"DVFL";
-const PROTOCOL_VERSION: u16 = 2;
+const FLEET_PROTOCOL: Protocol = Protocol { magic: *b"DVFL", version: 2 };
 /// The most bytes of a document's text in one [`Response::DocumentPart`].
 pub const MAX_PART_BYTES: usize = 256 << 10;
 /// The leader's number in [`Response::NotLeader`] where the node knows of no leader. Nodes are numbered from 1.
@@ -26,7 +25,7 @@
         /// What the router's quota client reports.
         quota_report: quotas::Report,
         /// Which version the router routes under, for the audit.
-        version_report: audit::Stamp,
+        version_report: audit::VersionReport,
     },
     /// Asks for the fleet document that the node has, whether or not it is the leader.
     Document,
@@ -53,9 +52,9 @@
     /// To a report: what the leader decided.
     Report {
         /// The quota allocator's response.
-        quota_response: quotas::Answer,
+        quota_response: quotas::GrantResponse,
         /// What the audit demands of the router.
-        audit_directive: audit::News,
+        audit_directive: audit::Directive,
     },
     /// To [`Request::Document`]: a part of the text. Where the store has no document, one empty part of version 0.
     DocumentPart {
@@ -73,7 +72,7 @@
 /// # Errors
 /// Where the connection fails or the write times out.
 pub fn send_hello(socket: &TcpStream) -> io::Result<()> {
-    store::wire::hello_of(socket, MAGIC, PROTOCOL_VERSION)
+    store::wire::send_hello(socket, FLEET_PROTOCOL)
 }
 
 /// Receives the other side's hello and checks it, within `timeout`.
@@ -81,5 +80,5 @@
 /// # Errors
 /// Where the connection fails, nothing comes in time, or the other side speaks another protocol or version.
 pub fn receive_hello(socket: &TcpStream, timeout: Duration) -> Result<(), WireError> {
-    store::wire::greeted_of(socket, MAGIC, PROTOCOL_VERSION, timeout)
+    store::wire::receive_hello(socket, FLEET_PROTOCOL, timeout)
 }
--- a/fleet/tests/client.rs
+++ b/fleet/tests/client.rs
@@ -1,11 +1,11 @@
 //! A router's side of the exchange against scripted nodes of the store.
-use audit::News as AuditNews;
+use audit::Directive as AuditNews;
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use fleet::client::Settings;
 use fleet::wire::{self, Request, Response};
 use fleet::{AdmissionError, FleetClient};
 use placement::News;
-use quotas::{Body, Report};
+use quotas::{ResponseBody, Report};
 use routing::{Clock, Time};
 use settings::fleet::{Audit, Member};
 use std::io::Read;
@@ -26,8 +26,8 @@
 type Script = Box<dyn FnMut(&Report) -> Response + Send>;
 
 fn answered(report: &Report, audit_directive: AuditNews) -> Response {
-    let (start, seq) = (report.start, report.seq);
-    let quota_response = quotas::Answer { term: 1, start, seq, version: VERSION, body: Body::Wait };
+    let (start, seq) = (report.incarnation, report.seq);
+    let quota_response = quotas::GrantResponse { term: 1, incarnation: start, seq, version: VERSION, body: ResponseBody::NotRenewed };
     Response::Report { quota_response, audit_directive }
 }
 
@@ -127,7 +127,7 @@
 
 #[test]
 fn client_follows_reported_version_admits_and_leaves() {
-    let node = Node::start(1, DOCUMENT, Box::new(|report| answered(report, AuditNews::Off)));
+    let node = Node::start(1, DOCUMENT, Box::new(|report| answered(report, AuditNews::AuditDisabled)));
     let (client, news) = start_client(&[&node], None);
     let unknown = client.admit("till", None).unwrap_err();
     assert!(matches!(unknown, AdmissionError::NotConfigured { .. }), "{unknown}");
@@ -137,7 +137,7 @@
     );
     node.accept.send(()).unwrap();
     let first = node.next_report();
-    assert_eq!((first.name.as_str(), first.start, first.version), ("router-1", 77, 0));
+    assert_eq!((first.router.as_str(), first.incarnation, first.version), ("router-1", 77, 0));
     assert_eq!(node.next(), Request::Document);
     let second = node.next_report();
     assert_eq!((second.seq, second.version), (first.seq + 1, VERSION));
@@ -164,8 +164,8 @@
     let switch = shut_out.clone();
     let script = move |report: &Report| {
         let news = match switch.load(Ordering::Relaxed) {
-            false => AuditNews::Welcome { epoch: 0 },
-            true => AuditNews::ShutOut { epoch: 3 },
+            false => AuditNews::Continue { epoch: 0 },
+            true => AuditNews::FenceOut { epoch: 3 },
         };
         answered(report, news)
     };
@@ -191,13 +191,13 @@
         Request::Report { version_report, .. } => Some(version_report),
         Request::Document => None,
     });
-    assert!(stamps.map(|s| s.members).all(|members| members == 9));
+    assert!(stamps.map(|s| s.members_version).all(|members| members == 9));
 }
 
 #[test]
 fn client_fails_over_to_leader() {
     let follower = Node::start(1, DOCUMENT, Box::new(|_| Response::NotLeader { leader: 2 }));
-    let leader = Node::start(2, DOCUMENT, Box::new(|report| answered(report, AuditNews::Off)));
+    let leader = Node::start(2, DOCUMENT, Box::new(|report| answered(report, AuditNews::AuditDisabled)));
     follower.accept.send(()).unwrap();
     leader.accept.send(()).unwrap();
     let (_client, news) = start_client(&[&follower, &leader], None);
@@ -208,7 +208,7 @@
 
 #[test]
 fn unreadable_document_is_fetched_once() {
-    let node = Node::start(1, "routers = 'many'\n", Box::new(|report| answered(report, AuditNews::Off)));
+    let node = Node::start(1, "routers = 'many'\n", Box::new(|report| answered(report, AuditNews::AuditDisabled)));
     node.accept.send(()).unwrap();
     let (client, news) = start_client(&[&node], None);
     assert_eq!(node.next_report().version, 0);
--- a/fleet/tests/common/mod.rs
+++ b/fleet/tests/common/mod.rs
@@ -30,7 +30,7 @@
     let store = store::start(settings, |_| ()).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client_addr = listener.local_addr().unwrap();
-    store::serve::listen(listener, store.clone(), Default::default()).unwrap();
+    store::server::listen(listener, store.clone(), Default::default()).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let fleet_addr = listener.local_addr().unwrap();
     service::start(listener, store.clone(), Clock::new(), Default::default(), audit, limits).unwrap();
--- a/fleet/tests/service.rs
+++ b/fleet/tests/service.rs
@@ -5,7 +5,7 @@
 use fleet::document;
 use fleet::service::Limits;
 use fleet::wire::{self, Request, Response, UNKNOWN_LEADER};
-use quotas::{Pocket, PocketSettings, Report};
+use quotas::{QuotaClient, QuotaClientSettings, Report};
 use routing::Clock;
 use standins::proxy::Proxy;
 use std::collections::BTreeMap;
@@ -58,7 +58,7 @@
     fn wait_for_leader(&self, except: Option<usize>) -> usize {
         let begun = Instant::now();
         loop {
-            let leads = |i: &usize| Some(*i) != except && matches!(self.nodes[*i].store.lead(), Ok(Some(_)));
+            let leads = |i: &usize| Some(*i) != except && matches!(self.nodes[*i].store.read_as_leader(), Ok(Some(_)));
             if let Some(i) = (0..self.nodes.len()).find(leads) {
                 return i;
             }
@@ -92,9 +92,9 @@
     }
 }
 
-fn pocket(n: usize) -> Pocket {
+fn pocket(n: usize) -> QuotaClient {
     let (name, settings) = (format!("router-{n}"), quotas::Settings::default());
-    Pocket::new(PocketSettings { name, start: 1, slot: None, settings, seed: n as u64 })
+    QuotaClient::new(QuotaClientSettings { router: name, incarnation: 1, slot: None, settings, seed: n as u64 })
 }
 
 fn receive(socket: &TcpStream) -> Response {
@@ -108,7 +108,7 @@
 }
 
 /// Sends a report and returns the answer of the leader.
-fn expect_answer(socket: &TcpStream, report: Report) -> quotas::Answer {
+fn expect_answer(socket: &TcpStream, report: Report) -> quotas::GrantResponse {
     match send_report(socket, report) {
         Response::Report { quota_response, .. } => quota_response,
         other => panic!("{other:?}"),
--- a/fleet/tests/stored_forms.rs
+++ b/fleet/tests/stored_forms.rs
@@ -2,13 +2,13 @@
 //! written by the program before its names were revised: it must read them as it did, and write the same bytes.
 mod common;
 
-use audit::{Batch, Entry, Kind, News, Stamp};
+use audit::{Batch, Entry, EntryKind, Directive, VersionReport};
 use common::{LONG, Node, reserve_addrs, start_node};
 use fleet::audit_record;
 use fleet::document::{self, CURRENT_KEY, Document, Metadata, PreviousDocument};
 use fleet::service::Limits;
 use fleet::wire::{self, Request, Response};
-use quotas::{Body, Holding, Loan, Report, Standing};
+use quotas::{GrantChange, TenantDemand, TenantGrant, ResponseBody, HeldGrants, Grant, Report, ReservedShare};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
@@ -17,7 +17,7 @@
 use std::path::PathBuf;
 use std::time::Instant;
 use store::client::Client;
-use store::wire::How;
+use store::wire::Consistency;
 
 fn fixture(name: &str) -> Vec<u8> {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
@@ -54,38 +54,40 @@
 }
 
 fn full_report() -> Report {
-    let loans =
-        vec![("tills".into(), Loan { rate: 12_500_000, cap: 3_000_000 }), ("caf\u{e9}".into(), Loan::NONE)];
+    let by_demand = vec![
+        TenantGrant { tenant: "tills".into(), grant: Grant { rate: 12_500_000, capacity: 3_000_000 } },
+        TenantGrant { tenant: "caf\u{e9}".into(), grant: Grant::NONE },
+    ];
     Report {
-        name: "router-17".into(),
-        start: 1_700_000_000_000_000,
+        router: "router-17".into(),
+        incarnation: 1_700_000_000_000_000,
         seq: 300,
         term: 7,
-        applied: 299,
+        applied_seq: 299,
         version: 4_242,
         leaving: false,
-        whole: Some(Holding { basis: 4_241, standing: Some(Standing { place: 16, full: true }), loans }),
-        demand: vec![("tills".into(), 40_000_000), ("all".into(), 0)],
+        held: Some(HeldGrants { version: 4_241, reserved_share: Some(ReservedShare { index: 16, full: true }), by_demand }),
+        demand: vec![TenantDemand { tenant: "tills".into(), rate: 40_000_000 }, TenantDemand { tenant: "all".into(), rate: 0 }],
     }
 }
 
 fn leaving_report() -> Report {
     Report {
-        name: "r".into(),
-        start: 1,
+        router: "r".into(),
+        incarnation: 1,
         seq: 2,
         term: 0,
-        applied: 0,
+        applied_seq: 0,
         version: 0,
         leaving: true,
-        whole: None,
+        held: None,
         demand: Vec::new(),
     }
 }
 
-fn reported(body: Body, audit_directive: News) -> Response {
+fn reported(body: ResponseBody, audit_directive: Directive) -> Response {
     let quota_response =
-        quotas::Answer { term: 7, start: 1_700_000_000_000_000, seq: 300, version: 4_242, body };
+        quotas::GrantResponse { term: 7, incarnation: 1_700_000_000_000_000, seq: 300, version: 4_242, body };
     Response::Report { quota_response, audit_directive }
 }
 
@@ -100,34 +102,37 @@
 
 #[test]
 fn request_frames_match_fixtures() {
-    let stamp = Stamp { age: 1_500_000, fenced: 250_000, routes: true, members: 99, epoch: (7 << 32) + 3 };
+    let stamp = VersionReport { version_age: 1_500_000, last_fence_duration: 250_000, routing: true, members_version: 99, epoch: (7 << 32) + 3 };
     assert_frame(
         "request_report_full.bin",
         &Request::Report { quota_report: full_report(), version_report: stamp },
     );
     assert_frame(
         "request_report_leaving.bin",
-        &Request::Report { quota_report: leaving_report(), version_report: Stamp::default() },
+        &Request::Report { quota_report: leaving_report(), version_report: VersionReport::default() },
     );
     assert_frame("request_document.bin", &Request::Document);
 }
 
 #[test]
 fn response_frames_match_fixtures() {
-    let lent = Body::Lent {
-        fresh: true,
-        standing: Some(Standing { place: 16, full: false }),
-        loans: vec![("tills".into(), Some(Loan { rate: 1, cap: 2 })), ("all".into(), None)],
+    let lent = ResponseBody::Renewed {
+        reset: true,
+        reserved_share: Some(ReservedShare { index: 16, full: false }),
+        changes: vec![
+            GrantChange { tenant: "tills".into(), grant: Some(Grant { rate: 1, capacity: 2 }) },
+            GrantChange { tenant: "all".into(), grant: None },
+        ],
     };
     let bytes = "# caf\u{e9}\nrouters = 1\n".as_bytes().to_vec();
     let frames = [
         ("answer_welcome.bin", Response::Welcome { node: 3 }),
         ("answer_busy.bin", Response::Busy { max_connections: 2048 }),
         ("answer_not_leader.bin", Response::NotLeader { leader: 2 }),
-        ("answer_lent.bin", reported(lent, News::Welcome { epoch: 0 })),
-        ("answer_whole.bin", reported(Body::Whole, News::Off)),
-        ("answer_wait.bin", reported(Body::Wait, News::ShutOut { epoch: (7 << 32) + 4 })),
-        ("answer_refetch.bin", reported(Body::Wait, News::Refetch { epoch: 5 })),
+        ("answer_lent.bin", reported(lent, Directive::Continue { epoch: 0 })),
+        ("answer_whole.bin", reported(ResponseBody::FullReportRequired, Directive::AuditDisabled)),
+        ("answer_wait.bin", reported(ResponseBody::NotRenewed, Directive::FenceOut { epoch: (7 << 32) + 4 })),
+        ("answer_refetch.bin", reported(ResponseBody::NotRenewed, Directive::Refetch { epoch: 5 })),
         ("answer_document_part.bin", Response::DocumentPart { version: 4_242, bytes, is_last: false }),
         ("answer_no_document.bin", Response::DocumentPart { version: 0, bytes: Vec::new(), is_last: true }),
     ];
@@ -153,18 +158,18 @@
 }
 
 fn audit_batch() -> Batch {
-    let kinds = [Kind::Acting, Kind::Told, Kind::ShutOut, Kind::Silent, Kind::Left, Kind::Current];
-    let entry = |(i, kind): (u64, Kind)| Entry {
-        router: if kind == Kind::Current { String::new() } else { format!("router-{i}") },
-        start: 1_700_000_000_000_000 + i,
+    let kinds = [EntryKind::Acting, EntryKind::Notified, EntryKind::FencedOut, EntryKind::Silent, EntryKind::Left, EntryKind::Current];
+    let entry = |(i, kind): (u64, EntryKind)| Entry {
+        router: if kind == EntryKind::Current { String::new() } else { format!("router-{i}") },
+        incarnation: 1_700_000_000_000_000 + i,
         version: 4_242,
-        members: i,
-        from: 1_700_000_001_000_000,
+        members_version: i,
+        since: 1_700_000_001_000_000,
         kind,
         epoch: (7 << 32) + i,
         term: 7,
     };
-    Batch { seq: 71, term: 7, at: 1_700_000_002_000_000, entries: (0..).zip(kinds).map(entry).collect() }
+    Batch { seq: 71, term: 7, created_at: 1_700_000_002_000_000, entries: (0..).zip(kinds).map(entry).collect() }
 }
 
 #[test]
@@ -189,7 +194,7 @@
     document::write(&client, SHORT_DOCUMENT, Some(0), "").unwrap();
     let begun = Instant::now();
     let (key, text) = loop {
-        let mut found = client.list(audit_record::KEY_PREFIX, How::Linearizable).unwrap().found;
+        let mut found = client.list(audit_record::KEY_PREFIX, Consistency::Linearizable).unwrap().value;
         if !found.is_empty() {
             let (key, value) = found.remove(0);
             break (key, value.text);
@@ -216,7 +221,7 @@
 }
 
 fn stored_keys(client: &Client) -> Vec<(String, String)> {
-    let found = client.list("fleet/", How::Linearizable).unwrap().found;
+    let found = client.list("fleet/", Consistency::Linearizable).unwrap().value;
     found.into_iter().map(|(key, value)| (key, value.text)).collect()
 }
 
--- a/mysql/src/errors.rs
+++ b/mysql/src/errors.rs
@@ -12,7 +12,7 @@
 //!
 //! To a client, an end that is no server's answer is one of [`REFUSED`], [`TIMED_OUT`], [`RESET`], [`ERROR`],
 //! [`CANCELLED`].
-use routing::{Final, Outcome};
+use routing::{FinalResponse, Outcome};
 
 /// An error code with its SQLSTATE.
 pub type Code = (u16, &'static str);
@@ -71,8 +71,8 @@
 /// What a server's error code means.
 pub fn meaning(code: u16) -> Meaning {
     match code {
-        1290 | 1836 => Meaning::Outcome(Outcome::Miss),
-        1040 | 1203 | 1226 => Meaning::Outcome(Outcome::Full),
+        1290 | 1836 => Meaning::Outcome(Outcome::NotEligible),
+        1040 | 1203 | 1226 => Meaning::Outcome(Outcome::Rejected),
         1243 => Meaning::PrepareAnew,
         1026 | 1030 | 1037 | 1041 | 1053 | 1105 | 1158..=1161 | 1180 | 1317 | 1927 | 3024 => {
             Meaning::Outcome(Outcome::Error)
@@ -100,21 +100,21 @@
 }
 
 /// The ERR payload for a final answer that no server gave; `Err` with what a server did answer.
-pub fn worded<A>(answer: Final<A>) -> Result<Vec<u8>, A> {
+pub fn worded<A>(answer: FinalResponse<A>) -> Result<Vec<u8>, A> {
     Ok(match answer {
-        Final::Served(a, _) => return Err(a),
-        Final::Refused(Some(after)) => {
+        FinalResponse::Served(a, _) => return Err(a),
+        FinalResponse::Rejected(Some(after)) => {
             let text = format!("refused: trying again is harmless; come back after {} ms", after.as_millis());
             payload(REFUSED, &text)
         }
-        Final::Refused(None) => payload(REFUSED, "refused: trying again is harmless"),
-        Final::Cancelled => payload(CANCELLED, "cancelled by its client; what had begun may have run"),
-        Final::NoPlace(why) => payload(REFUSED, &format!("refused: nothing ran: {why}")),
-        Final::Failed(Some(Outcome::TimedOut)) => payload(TIMED_OUT, "no answer in time; it may have run"),
-        Final::Failed(Some(Outcome::Reset)) => {
+        FinalResponse::Rejected(None) => payload(REFUSED, "refused: trying again is harmless"),
+        FinalResponse::Cancelled => payload(CANCELLED, "cancelled by its client; what had begun may have run"),
+        FinalResponse::PlacementDenied(why) => payload(REFUSED, &format!("refused: nothing ran: {why}")),
+        FinalResponse::Failed(Some(Outcome::TimedOut)) => payload(TIMED_OUT, "no answer in time; it may have run"),
+        FinalResponse::Failed(Some(Outcome::Reset)) => {
             payload(RESET, "the server's connection broke; it may have run")
         }
-        Final::Failed(Some(Outcome::Error)) => payload(ERROR, "the server failed; it may have run"),
-        Final::Failed(_) => payload(ERROR, "it could not be served"),
+        FinalResponse::Failed(Some(Outcome::Error)) => payload(ERROR, "the server failed; it may have run"),
+        FinalResponse::Failed(_) => payload(ERROR, "it could not be served"),
     })
 }
--- a/mysql/src/front.rs
+++ b/mysql/src/front.rs
@@ -10,7 +10,7 @@
 use crate::{Tap, command};
 use clients::{Connection, Talk, timed_out};
 use crossbeam_channel::{Receiver, bounded};
-use routing::{Final, GroupId, Handle, Incoming, RequestId, Time, spawn};
+use routing::{FinalResponse, GroupId, RouterHandle, ClientRequest, RequestId, Time, spawn};
 use sessions::Key;
 use sessions::machine::Stopped;
 use sessions::node::{Sessions, Who};
@@ -22,23 +22,23 @@
 
 /// What all connections of the front share.
 pub struct Front {
-    handle: Handle<Mysql>,
+    handle: RouterHandle<Mysql>,
     settings: RwLock<Arc<Settings>>,
     limits: Arc<Limits>,
     tap: Option<Arc<dyn Tap>>,
     sessions: Arc<Sessions>,
-    fleet: Option<fleet::Router>,
+    fleet: Option<fleet::FleetClient>,
 }
 
 impl Front {
     /// A front for the users that the settings name; of a fleet, where there is one, requests are admitted by it.
     pub fn new(
-        handle: Handle<Mysql>,
+        handle: RouterHandle<Mysql>,
         settings: Arc<Settings>,
         limits: Arc<Limits>,
         tap: Option<Arc<dyn Tap>>,
         sessions: Arc<Sessions>,
-        fleet: Option<fleet::Router>,
+        fleet: Option<fleet::FleetClient>,
     ) -> Arc<Front> {
         Arc::new(Front { handle, settings: RwLock::new(settings), limits, tap, sessions, fleet })
     }
@@ -96,7 +96,7 @@
     }
 
     fn left(&self, request: RequestId) {
-        self.handle.left(request);
+        self.handle.client_disconnected(request);
     }
 }
 
@@ -215,7 +215,7 @@
                         _ => false,
                     };
                     if gone && !connection.let_go() {
-                        connection.depart(|id| handle.left(id));
+                        connection.depart(|id| handle.client_disconnected(id));
                     }
                 } else if !connection.owe(!reader.is_empty()) {
                     return;
@@ -367,22 +367,22 @@
         let tenant = match &self.front.fleet {
             None => Ok(None),
             // Preparing runs nothing: it costs its tenant nothing, and goes only where the tenant may go.
-            Some(fleet) if class == settings.prepare => fleet.tenant(&self.user, need.tenant.as_deref()),
+            Some(fleet) if class == settings.prepare => fleet.resolve_tenant(&self.user, need.tenant.as_deref()),
             Some(fleet) => fleet.admit(&self.user, need.tenant.as_deref()),
         };
         let tenant = tenant.map_err(|why| (errors::REFUSED, format!("refused: nothing ran: {why}")))?;
         let mut deadline = Time(now.0 + need.wait_ms as i64 * 1000);
         if let Some(fleet) = &self.front.fleet {
-            deadline = fleet.until(deadline);
+            deadline = fleet.dispatch_deadline(deadline);
         }
         let (answer, given) = bounded(1);
-        let incoming = Incoming { class, tenant, session: None, group, deadline, token, payload, answer };
+        let incoming = ClientRequest { class, tenant, session: None, group, deadline, session_commit: token, payload, response_sender: answer };
         // Nobody reads what a client is answered that has left meanwhile.
         let request = self.connection.submit(|| self.front.handle.submit(incoming));
-        let answer = given.recv().unwrap_or(Final::Failed(None));
+        let answer = given.recv().unwrap_or(FinalResponse::Failed(None));
         request.into_iter().for_each(|id| _ = self.connection.requests.end(id));
         // A write is told to the client once no read of its session can miss it any more.
-        if let Final::Served(_, Some(at)) = &answer
+        if let FinalResponse::Served(_, Some(at)) = &answer
             && !settings.reading[class]
             && !sessions.committed(who, *at, deadline)
         {
--- a/mysql/src/link.rs
+++ b/mysql/src/link.rs
@@ -5,8 +5,10 @@
 use crate::errors::{self, Meaning};
 use crate::packet::{Broken, Fields, Packet, Reader, push, write_command, write_ready};
 use crate::results::{State, text_row};
-use routing::wire::{Link, Reply, Stop, Unsent, Until, Wire, Work, connect, idle_and_open};
-use routing::{Clock, Outcome, Report, Time};
+use routing::socket::{DeadlineReader, connect_to_endpoint, is_idle_and_open};
+use routing::{
+    AttemptGuard, BackendProtocol, Clock, Connection, Exchange, ExchangeResult, MemberReport, NotSent, Outcome, Time,
+};
 use sessions::clocks::{Clocks, Offset};
 use settings::Limits;
 use settings::operator::Mysql as Settings;
@@ -107,17 +109,17 @@
     }
 }
 
-impl Wire for Mysql {
+impl BackendProtocol for Mysql {
     type Payload = Payload;
-    type Answer = Payloads;
-    type Link = MysqlLink;
+    type Response = Payloads;
+    type Connection = MysqlLink;
 
-    fn open(&self, addr: SocketAddr) -> Result<MysqlLink, Outcome> {
+    fn connect(&self, addr: SocketAddr) -> Result<MysqlLink, Outcome> {
         let until = Instant::now() + self.limits.connect;
-        let socket = connect(addr, &self.limits).map_err(|_| Outcome::ConnectFailed)?;
+        let socket = connect_to_endpoint(addr, &self.limits).map_err(|_| Outcome::ConnectFailed)?;
         let mut reader = Reader::new(self.limits.answer_bytes);
         login(&socket, &mut reader, &self.credentials, until).map_err(|e| match errors::meaning(e.0) {
-            Meaning::Outcome(Outcome::Full) => Outcome::Full,
+            Meaning::Outcome(Outcome::Rejected) => Outcome::Rejected,
             _ => {
                 tracing::warn!("server {addr}: no login: {}", e.1);
                 Outcome::ConnectFailed
@@ -143,7 +145,7 @@
     let own = |text: &str| (0, text.to_string());
     let next = |reader: &mut Reader| -> Result<Packet, (u16, String)> {
         let packet =
-            reader.next(Until(socket, until)).map_err(|e| (0, format!("the connection failed: {e:?}")))?;
+            reader.next(DeadlineReader::new(socket, until)).map_err(|e| (0, format!("the connection failed: {e:?}")))?;
         match errors::code(&packet.payload) {
             Some(code) => Err((code, format!("error {code}"))),
             None => Ok(packet),
@@ -194,56 +196,56 @@
     }
 }
 
-impl Link<Mysql> for MysqlLink {
+impl Connection<Mysql> for MysqlLink {
     fn socket(&self) -> Arc<TcpStream> {
         self.socket.clone()
     }
 
-    fn alive(&mut self, rested: Duration) -> bool {
-        rested < self.limits.link_trust && self.reader.is_empty() && idle_and_open(&self.socket)
+    fn is_usable(&mut self, rested: Duration) -> bool {
+        rested < self.limits.link_trust && self.reader.is_empty() && is_idle_and_open(&self.socket)
     }
 
-    fn carry(&mut self, work: Work<'_, Mysql>, stop: &Stop) -> Result<Reply<Payloads>, Unsent> {
+    fn execute(&mut self, work: Exchange<'_, Mysql>, stop: &AttemptGuard) -> Result<ExchangeResult<Payloads>, NotSent> {
         let wait = match &work {
-            Work::Attempt(_, at) => at.saturating_duration_since(Instant::now()) + self.limits.link_backstop,
-            Work::Probe => self.limits.probe,
+            Exchange::Attempt(_, at) => at.saturating_duration_since(Instant::now()) + self.limits.link_backstop,
+            Exchange::Probe => self.limits.probe,
         };
         self.until = Instant::now() + wait;
         match work {
-            Work::Probe => {
+            Exchange::Probe => {
                 let (probe, sent) = (self.settings.probe.clone(), self.clock.now());
                 self.begin(stop, &[&[command::QUERY], probe.as_bytes()])?;
                 Ok(self.probed(sent))
             }
-            Work::Attempt(Payload::Query(text), _) => {
+            Exchange::Attempt(Payload::Query(text), _) => {
                 self.begin(stop, &[&[command::QUERY], text])?;
                 let answer = self.answer();
                 Ok(self.reply(answer))
             }
-            Work::Attempt(Payload::Prepare(text), _) => {
-                if !stop.begin() {
-                    return Err(Unsent::Stopped);
+            Exchange::Attempt(Payload::Prepare(text), _) => {
+                if !stop.try_start() {
+                    return Err(NotSent::Cancelled);
                 }
                 match self.prepare(text) {
                     Ok(answer) => Ok(self.reply(Ok(answer))),
                     // Preparing runs nothing: a server that dies over it leaves the next one to ask.
-                    Err(Cut::Broken(_)) => Err(Unsent::Broken),
+                    Err(Cut::Broken(_)) => Err(NotSent::ConnectionBroken),
                     Err(cut) => Ok(self.reply(Err(cut))),
                 }
             }
-            Work::Attempt(Payload::Execute { text, body, long }, _) => self.execute(text, body, long, stop),
+            Exchange::Attempt(Payload::Execute { text, body, long }, _) => self.execute_statement(text, body, long, stop),
         }
     }
 }
 
 impl MysqlLink {
     /// Writes a command's only packet, unless it is stopped.
-    fn begin(&mut self, stop: &Stop, parts: &[&[u8]]) -> Result<(), Unsent> {
-        if !stop.begin() {
-            return Err(Unsent::Stopped);
+    fn begin(&mut self, stop: &AttemptGuard, parts: &[&[u8]]) -> Result<(), NotSent> {
+        if !stop.try_start() {
+            return Err(NotSent::Cancelled);
         }
-        write_command(&self.socket, parts).map_err(|_| Unsent::Broken)?;
-        stop.written();
+        write_command(&self.socket, parts).map_err(|_| NotSent::ConnectionBroken)?;
+        stop.mark_sent();
         Ok(())
     }
 
@@ -251,7 +253,7 @@
     fn prepare(&mut self, text: &Arc<[u8]>) -> Result<Payloads, Cut> {
         let gone = |_| Cut::Broken(Outcome::Reset);
         write_command(&self.socket, &[&[command::STMT_PREPARE], text]).map_err(gone)?;
-        let first = self.reader.next(Until(&self.socket, self.until))?.payload;
+        let first = self.reader.next(DeadlineReader::new(&self.socket, self.until))?.payload;
         let mut f = Fields(&first);
         let (Some(0), Some(id), Some(columns), Some(parameters)) =
             (f.number(1), f.number(4), f.number(2), f.number(2))
@@ -266,7 +268,7 @@
         let mut follow = [parameters, columns].iter().map(|n| if *n > 0 { n + 1 } else { 0 }).sum::<u64>();
         let mut answer = vec![first];
         while follow > 0 {
-            answer.push(self.reader.next(Until(&self.socket, self.until))?.payload);
+            answer.push(self.reader.next(DeadlineReader::new(&self.socket, self.until))?.payload);
             follow -= 1;
         }
         if self.prepared.len() >= self.limits.statements_per_link
@@ -287,42 +289,42 @@
         write_command(&self.socket, &[&[command::STMT_CLOSE], &id.to_le_bytes()])
     }
 
-    fn execute(
+    fn execute_statement(
         &mut self,
         text: &Arc<[u8]>,
         body: &[u8],
         long: &BTreeMap<u16, Vec<u8>>,
-        stop: &Stop,
-    ) -> Result<Reply<Payloads>, Unsent> {
+        stop: &AttemptGuard,
+    ) -> Result<ExchangeResult<Payloads>, NotSent> {
         let mut anew = false;
         loop {
             let known = self.prepared.iter().find(|(t, ..)| t == text).map(|(_, id, _)| *id);
             let id = match known {
                 Some(id) => id,
                 // Nothing new, not even this, to a server that drains.
-                None if !stop.begin() => return Err(Unsent::Stopped),
+                None if !stop.try_start() => return Err(NotSent::Cancelled),
                 None => match self.prepare(text) {
                     // Up to here nothing has run: whatever broke, the execution may go elsewhere.
-                    Err(_) => return Err(Unsent::Broken),
+                    Err(_) => return Err(NotSent::ConnectionBroken),
                     Ok(answer) if errors::code(&answer[0]).is_some() => return Ok(self.reply(Ok(answer))),
                     // A server that died over the preparing has closed by now as a rule: nothing is written to it.
-                    Ok(_) if !self.alive(Duration::ZERO) => return Err(Unsent::Broken),
+                    Ok(_) if !self.is_usable(Duration::ZERO) => return Err(NotSent::ConnectionBroken),
                     Ok(_) => continue,
                 },
             };
             // Asked before the first of them, and not again: a server keeps them for the next execution, so a link that
             // stays warm must not have sent any without theirs.
-            if !stop.begin() {
-                return Err(Unsent::Stopped);
+            if !stop.try_start() {
+                return Err(NotSent::Cancelled);
             }
             for (parameter, bytes) in long {
                 let head = [&[command::STMT_SEND_LONG_DATA][..], &id.to_le_bytes(), &parameter.to_le_bytes()]
                     .concat();
-                write_command(&self.socket, &[&head, bytes]).map_err(|_| Unsent::Broken)?;
+                write_command(&self.socket, &[&head, bytes]).map_err(|_| NotSent::ConnectionBroken)?;
             }
             let execution: &[&[u8]] = &[&[command::STMT_EXECUTE], &id.to_le_bytes(), body];
-            write_command(&self.socket, execution).map_err(|_| Unsent::Broken)?;
-            stop.written();
+            write_command(&self.socket, execution).map_err(|_| NotSent::ConnectionBroken)?;
+            stop.mark_sent();
             let answer = self.answer();
             let unknown = answer.as_ref().is_ok_and(|a| {
                 errors::code(&a[0]).is_some_and(|c| errors::meaning(c) == Meaning::PrepareAnew)
@@ -333,7 +335,7 @@
                 if !std::mem::replace(&mut anew, true) {
                     continue;
                 }
-                return Ok(Reply { reusable: true, ..Reply::bare(Outcome::Full) });
+                return Ok(ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(Outcome::Rejected) });
             }
             return Ok(self.reply(answer));
         }
@@ -343,7 +345,7 @@
     fn answer(&mut self) -> Result<Payloads, Cut> {
         let (mut state, mut answer, mut length, mut expected) = (State::Start, Vec::new(), 0, 1);
         loop {
-            let packet = self.reader.next(Until(&self.socket, self.until))?;
+            let packet = self.reader.next(DeadlineReader::new(&self.socket, self.until))?;
             // Out of sequence it belongs to something else, or to nothing.
             if packet.first != expected {
                 return Err(Cut::Broken(Outcome::Error));
@@ -364,33 +366,33 @@
     }
 
     /// An answer as an outcome. A result that breaks off in an error is the statement's own as well.
-    fn reply(&mut self, answer: Result<Payloads, Cut>) -> Reply<Payloads> {
-        let served = |answer, reusable| Reply { answer: Some(answer), reusable, ..Reply::bare(Outcome::Ok) };
+    fn reply(&mut self, answer: Result<Payloads, Cut>) -> ExchangeResult<Payloads> {
+        let served = |answer, reusable| ExchangeResult { response: Some(answer), reusable, ..ExchangeResult::from_outcome(Outcome::Ok) };
         match answer {
-            Err(Cut::Broken(outcome)) => Reply::bare(outcome),
+            Err(Cut::Broken(outcome)) => ExchangeResult::from_outcome(outcome),
             Err(Cut::TooLarge) => {
                 let text = format!("the answer is longer than {} bytes", self.limits.answer_bytes);
                 served(vec![errors::payload(errors::TOO_LARGE, &text)], false)
             }
             Ok(answer) => match answer.last().and_then(|p| errors::code(p)).map(errors::meaning) {
-                Some(Meaning::Outcome(outcome)) => Reply { reusable: true, ..Reply::bare(outcome) },
+                Some(Meaning::Outcome(outcome)) => ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(outcome) },
                 _ => {
                     // The commit is before the answer, by the server's own clock at the latest. Of a server that
                     // answered a read this says nothing: a replica stands where its heartbeat does.
                     let commit = Some(self.clocks.commit(self.addr, self.clock.now()));
-                    Reply { commit, ..served(answer, true) }
+                    ExchangeResult { commit, ..served(answer, true) }
                 }
             },
         }
     }
 
     /// The answer to the probe: read-only or not, the heartbeat, and the server's clock where it is told.
-    fn probed(&mut self, sent: Time) -> Reply<Payloads> {
+    fn probed(&mut self, sent: Time) -> ExchangeResult<Payloads> {
         let answer = match self.answer() {
             Ok(a) if errors::code(&a[0]).is_none() && a.len() >= 2 => a,
-            Ok(_) => return Reply { reusable: true, ..Reply::bare(Outcome::Error) },
-            Err(Cut::Broken(outcome)) => return Reply::bare(outcome),
-            Err(Cut::TooLarge) => return Reply::bare(Outcome::Error),
+            Ok(_) => return ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(Outcome::Error) },
+            Err(Cut::Broken(outcome)) => return ExchangeResult::from_outcome(outcome),
+            Err(Cut::TooLarge) => return ExchangeResult::from_outcome(Outcome::Error),
         };
         let row = text_row(&answer[answer.len() - 2]);
         let cell = |i: usize| row.get(i).copied().flatten().and_then(|b| std::str::from_utf8(b).ok());
@@ -403,6 +405,6 @@
         if let (true, Some(said)) = (self.settings.server_clock, time(2)) {
             self.clocks.learn(self.addr, Offset::sample(sent, self.clock.now(), said));
         }
-        Reply { report: Report { primary, position }, reusable: true, ..Reply::bare(Outcome::Ok) }
+        ExchangeResult { load_report: MemberReport { primary, position }, reusable: true, ..ExchangeResult::from_outcome(Outcome::Ok) }
     }
 }
--- a/mysql/src/packet.rs
+++ b/mysql/src/packet.rs
@@ -138,14 +138,14 @@
     if length >= MOST {
         let mut whole = Vec::with_capacity(length + 16);
         push(&mut whole, 0, &parts.concat());
-        return routing::wire::write_gathered(to, &mut [IoSlice::new(&whole)]);
+        return routing::socket::write_all_vectored(to, &mut [IoSlice::new(&whole)]);
     }
     let head = (length as u32).to_le_bytes();
     let head = [head[0], head[1], head[2], 0];
     let mut slices = Vec::with_capacity(parts.len() + 1);
     slices.push(IoSlice::new(&head));
     slices.extend(parts.iter().map(|p| IoSlice::new(p)));
-    routing::wire::write_gathered(to, &mut slices)
+    routing::socket::write_all_vectored(to, &mut slices)
 }
 
 /// Writes bytes that stand ready.
--- a/mysql/src/watch.rs
+++ b/mysql/src/watch.rs
@@ -1,7 +1,7 @@
 //! Asks the servers for their clocks, at the start and now and then: sessions have to know how far these are from the
 //! router's also while no request makes the module probe.
 use crate::link::Mysql;
-use routing::wire::{Link, Stop, Wire, Work};
+use routing::protocol::{Connection, AttemptGuard, BackendProtocol, Exchange};
 use routing::{Outcome, spawn};
 use settings::Limits;
 use std::io;
@@ -25,6 +25,6 @@
 }
 
 fn asked(wire: &Mysql, addr: SocketAddr) -> bool {
-    let Ok(mut link) = wire.open(addr) else { return false };
-    link.carry(Work::Probe, &Stop::default()).is_ok_and(|r| r.outcome == Outcome::Ok)
+    let Ok(mut link) = wire.connect(addr) else { return false };
+    link.execute(Exchange::Probe, &AttemptGuard::default()).is_ok_and(|r| r.outcome == Outcome::Ok)
 }
--- a/mysql/tests/trickle.rs
+++ b/mysql/tests/trickle.rs
@@ -1,6 +1,6 @@
 //! A server that brings a byte now and then, for ever, holds nobody beyond their time. Over real loopback sockets.
 use mysql_wire::link::Mysql;
-use routing::wire::{Link, Stop, Wire, Work};
+use routing::protocol::{Connection, AttemptGuard, BackendProtocol, Exchange};
 use routing::{Clock, Outcome};
 use settings::operator;
 use standins::wire::{greet, read};
@@ -39,7 +39,7 @@
 fn a_greeting_that_never_ends_is_given_up_by_the_time_of_a_connection() {
     let addr = server(trickle);
     let begun = Instant::now();
-    assert_eq!(wire().open(addr).err(), Some(Outcome::ConnectFailed));
+    assert_eq!(wire().connect_to_endpoint(addr).err(), Some(Outcome::ConnectFailed));
     assert!(begun.elapsed() < FAR, "{:?}", begun.elapsed());
 }
 
@@ -50,9 +50,9 @@
         read(socket).unwrap();
         trickle(socket);
     });
-    let mut link = wire().open(addr).ok().unwrap();
+    let mut link = wire().connect_to_endpoint(addr).ok().unwrap();
     let begun = Instant::now();
-    let reply = link.carry(Work::Probe, &Stop::default()).ok().unwrap();
+    let reply = link.carry(Exchange::Probe, &AttemptGuard::default()).ok().unwrap();
     assert_eq!((reply.outcome, reply.reusable), (Outcome::TimedOut, false));
     assert!(begun.elapsed() < FAR, "{:?}", begun.elapsed());
 }
--- a/mysql/tests/withdrawn.rs
+++ b/mysql/tests/withdrawn.rs
@@ -1,7 +1,7 @@
 //! What a server gets of an execution that was withdrawn, over real loopback sockets.
 use mysql_wire::command;
 use mysql_wire::link::{Mysql, MysqlLink, Payload};
-use routing::wire::{Link, Stop, Unsent, Wire, Work};
+use routing::protocol::{Connection, AttemptGuard, NotSent, BackendProtocol, Exchange};
 use routing::{Clock, Outcome};
 use settings::operator;
 use standins::wire::{OK, greet, packets, read};
@@ -37,7 +37,7 @@
     });
     let operator = operator::read(include_str!("../../deploy/mysql.toml")).unwrap();
     let wire = Mysql::new(Arc::new(operator.mysql), Arc::new(operator.limits), Clock::new());
-    (wire.open(addr).ok().unwrap(), hears)
+    (wire.connect_to_endpoint(addr).ok().unwrap(), hears)
 }
 
 fn execution(long: &[u8]) -> Payload {
@@ -48,23 +48,23 @@
     }
 }
 
-fn carry(link: &mut MysqlLink, long: &[u8], stop: &Stop) -> Result<Outcome, Unsent> {
+fn carry(link: &mut MysqlLink, long: &[u8], stop: &AttemptGuard) -> Result<Outcome, NotSent> {
     let payload = execution(long);
-    link.carry(Work::Attempt(&payload, Instant::now() + PATIENCE), stop).map(|reply| reply.outcome)
+    link.execute(Exchange::Attempt(&payload, Instant::now() + PATIENCE), stop).map(|reply| reply.outcome)
 }
 
-fn withdrawn() -> Stop {
-    let stop = Stop::default();
-    stop.withdraw();
+fn withdrawn() -> AttemptGuard {
+    let stop = AttemptGuard::default();
+    stop.cancel_if_unstarted();
     stop
 }
 
 #[test]
 fn a_withdrawn_execution_leaves_no_long_parameters_to_the_next_on_its_link() {
     let (mut link, hears) = link();
-    assert_eq!(carry(&mut link, b"first", &Stop::default()), Ok(Outcome::Ok));
-    assert_eq!(carry(&mut link, b"withdrawn", &withdrawn()), Err(Unsent::Stopped));
-    assert_eq!(carry(&mut link, b"third", &Stop::default()), Ok(Outcome::Ok));
+    assert_eq!(carry(&mut link, b"first", &AttemptGuard::default()), Ok(Outcome::Ok));
+    assert_eq!(carry(&mut link, b"withdrawn", &withdrawn()), Err(NotSent::Cancelled));
+    assert_eq!(carry(&mut link, b"third", &AttemptGuard::default()), Ok(Outcome::Ok));
     drop(link);
     let long = |c: &Vec<u8>| c[0] == command::STMT_SEND_LONG_DATA;
     let sent: Vec<Vec<u8>> = hears.into_iter().filter(long).map(|c| c[7..].to_vec()).collect();
@@ -74,7 +74,7 @@
 #[test]
 fn nothing_is_prepared_for_a_withdrawn_execution() {
     let (mut link, hears) = link();
-    assert_eq!(carry(&mut link, b"withdrawn", &withdrawn()), Err(Unsent::Stopped));
+    assert_eq!(carry(&mut link, b"withdrawn", &withdrawn()), Err(NotSent::Cancelled));
     drop(link);
     assert_eq!(hears.into_iter().count(), 0);
 }
--- a/postgres/src/answer.rs
+++ b/postgres/src/answer.rs
@@ -1,8 +1,8 @@
 //! One answer of an instance, taken message by message: no socket and no clock, so that every way in which an answer
 //! can stop or go wrong can be played through.
 use crate::message::{error, is_tag, one_column, one_value, parameter};
-use routing::wire::Reply;
-use routing::{Outcome, Report, Time};
+use routing::protocol::ExchangeResult;
+use routing::{Outcome, MemberReport, Time};
 
 /// What an answer may hold beside its value: its heads, notes and notices.
 pub const BESIDE: usize = 16 * 1024;
@@ -81,9 +81,9 @@
             (b'E', Come::Nothing) => {
                 let Some(e) = error(body) else { return Some(End::Spoilt) };
                 let outcome = match e.code {
-                    "25006" | "72000" => Outcome::Miss,
+                    "25006" | "72000" => Outcome::NotEligible,
                     // Both are refusals, whoever words them (PROTOCOL): nothing ran, and trying again is harmless.
-                    "53300" | "57P03" => Outcome::Full,
+                    "53300" | "57P03" => Outcome::Rejected,
                     _ => Outcome::Error,
                 };
                 self.come = Come::Error { outcome, fatal: e.fatal };
@@ -104,7 +104,7 @@
     }
 
     /// What the answer comes to, now that it has ended. `unread` is what came behind its last whole message.
-    pub fn end(self, end: End, unread: &[u8], now: Time) -> Reply<Vec<u8>> {
+    pub fn end(self, end: End, unread: &[u8], now: Time) -> ExchangeResult<Vec<u8>> {
         let more_of_it = match (end, unread.first()) {
             // Bytes behind the end are nobody's: what they follow may be nobody's, too.
             (End::Ready, Some(_)) => false,
@@ -137,9 +137,9 @@
         let said = if end == End::Spoilt { Said::default() } else { self.said };
         // A write's note may be among what is lost: it was committed by now, and its session must see it.
         let commit = (served && end != End::Ready && said.position.is_none()).then_some(now);
-        let note = Report { primary: said.primary, position: said.position };
+        let note = MemberReport { primary: said.primary, position: said.position };
         let answer = served.then_some(self.text);
-        Reply { outcome, answer, note, commit, report: said.report, reusable: end == End::Ready }
+        ExchangeResult { outcome, response: answer, response_report: note, commit, load_report: said.report, reusable: end == End::Ready }
     }
 }
 
@@ -155,7 +155,7 @@
 struct Said {
     primary: Option<bool>,
     position: Option<Time>,
-    report: Report,
+    report: MemberReport,
 }
 
 impl Said {
@@ -174,8 +174,8 @@
 
 /// A load report, `x0=1767225600.123,x1=1,...`: x0 is the position in seconds of Unix time, x1 tells the primary.
 /// `None` where any of it can't be read: the rest is not to be trusted then.
-fn report(fields: &str, now: Time) -> Option<Report> {
-    let mut said = Report::default();
+fn report(fields: &str, now: Time) -> Option<MemberReport> {
+    let mut said = MemberReport::default();
     for field in fields.split(',') {
         let (name, value) = field.split_once('=')?;
         let value: f64 = value.trim().parse().ok().filter(|x: &f64| x.is_finite())?;
--- a/postgres/src/front.rs
+++ b/postgres/src/front.rs
@@ -9,7 +9,7 @@
 use crate::statement::Statement;
 use clients::{Connection, Standing, Talk, timed_out};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
-use routing::{Final, GroupId, Handle, Incoming, Outcome, RequestId, SessionId, Settings, Time, spawn};
+use routing::{FinalResponse, GroupId, RouterHandle, ClientRequest, Outcome, RequestId, SessionId, Settings, Time, spawn};
 use settings::Limits;
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, HashSet};
@@ -28,7 +28,7 @@
 
 /// What all connections of the front share.
 pub struct Front {
-    handle: Handle<Postgres>,
+    handle: RouterHandle<Postgres>,
     limits: Arc<Limits>,
     /// Places and deadlines of the classes.
     classes: HashMap<Vec<u8>, (usize, i64)>,
@@ -64,7 +64,7 @@
 impl Drop for Opened {
     fn drop(&mut self) {
         if let Some(id) = self.request.take().filter(|id| self.connection.requests.end(*id)) {
-            self.front.handle.left(id);
+            self.front.handle.client_disconnected(id);
         }
         self.front.ids().remove(&self.id);
     }
@@ -91,7 +91,7 @@
 }
 
 /// Where a request's final answer comes out.
-type Given = Receiver<Final<Vec<u8>>>;
+type Given = Receiver<FinalResponse<Vec<u8>>>;
 
 /// Why a connection is read no further.
 enum End {
@@ -206,7 +206,7 @@
     }
 
     fn left(&self, request: RequestId) {
-        self.handle.left(request);
+        self.handle.client_disconnected(request);
     }
 }
 
@@ -230,7 +230,7 @@
 impl Front {
     /// A front whose clients name these classes.
     pub fn new(
-        handle: Handle<Postgres>,
+        handle: RouterHandle<Postgres>,
         limits: Arc<Limits>,
         names: &[String],
         settings: &Settings,
@@ -382,7 +382,7 @@
         let (class, longest) =
             *known.ok_or_else(|| refused("42601", "the comment names an unknown class"))?;
         if !held {
-            self.handle.refused(class);
+            self.handle.count_rejected(class);
             return Err(refused("53300", "refused: too much is under way"));
         }
         let id = statement.id().to_vec();
@@ -397,7 +397,7 @@
             SessionId(h.finish())
         });
         let (answer, given) = bounded(1);
-        let incoming = Incoming {
+        let incoming = ClientRequest {
             class,
             tenant: None,
             session,
@@ -405,9 +405,9 @@
             // Nobody waits longer than the class does, whatever is said.
             deadline: Time(now.0 + micros(statement.wait_ms).min(longest)),
             // What lies ahead of any clock is as far as what lies a day ahead, and can be reckoned with.
-            token: statement.after_ms.map(|ms| Time(ms.saturating_mul(1000).min(now.0 + DAY))),
+            session_commit: statement.after_ms.map(|ms| Time(ms.saturating_mul(1000).min(now.0 + DAY))),
             payload: statement,
-            answer,
+            response_sender: answer,
         };
         opened.request = opened.connection.submit(|| self.handle.submit(incoming));
         match opened.request {
@@ -430,7 +430,7 @@
 
     /// Nobody takes the answers to what is in flight on a connection any more.
     fn give_up(&self, connection: &Connection) {
-        connection.depart(|id| self.handle.left(id));
+        connection.depart(|id| self.handle.client_disconnected(id));
     }
 
     /// Answers a command on the reader's own thread: most clients ask one thing at a time, and a second thread for
@@ -502,23 +502,23 @@
 }
 
 /// A final answer in PostgreSQL's words.
-fn worded(answer: Final<Vec<u8>>) -> Vec<u8> {
+fn worded(answer: FinalResponse<Vec<u8>>) -> Vec<u8> {
     let mut text = match answer {
-        Final::Served(text, _) => text,
-        Final::Refused(come_back) => {
+        FinalResponse::Served(text, _) => text,
+        FinalResponse::Rejected(come_back) => {
             let ms = come_back.map(|c| c.as_millis().to_string());
             let mut text = Vec::new();
             push_error(&mut text, "ERROR", "53300", "refused: trying again is harmless", ms.as_deref());
             text
         }
-        Final::Cancelled => {
+        FinalResponse::Cancelled => {
             let mut text = Vec::new();
             push_error(&mut text, "ERROR", "57014", "canceling statement due to user request", None);
             text
         }
         // This protocol's clients are told no reasons.
-        Final::NoPlace(_) => return worded(Final::Refused(None)),
-        Final::Failed(last) => {
+        FinalResponse::PlacementDenied(_) => return worded(FinalResponse::Rejected(None)),
+        FinalResponse::Failed(last) => {
             let (code, said) = match last {
                 Some(Outcome::TimedOut) => ("57014", "no answer in time; it may have run"),
                 Some(Outcome::Reset) => ("08006", "the instance's connection broke; it may have run"),
--- a/postgres/src/link.rs
+++ b/postgres/src/link.rs
@@ -2,8 +2,10 @@
 use crate::answer::{BESIDE, End, Parser};
 use crate::message::{Buffer, error, push, write_gathered};
 use crate::statement::Statement;
-use routing::wire::{Link, Reply, Stop, Unsent, Until, Wire, Work, connect, idle_and_open};
-use routing::{Clock, Outcome};
+use routing::socket::{DeadlineReader, connect_to_endpoint, is_idle_and_open};
+use routing::{
+    AttemptGuard, BackendProtocol, Clock, Connection, Exchange, ExchangeResult, NotSent, Outcome,
+};
 use settings::Limits;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -31,23 +33,23 @@
     clock: Clock,
 }
 
-impl Wire for Postgres {
+impl BackendProtocol for Postgres {
     type Payload = Statement;
     /// RowDescription, DataRow and CommandComplete, as the instance wrote them.
-    type Answer = Vec<u8>;
-    type Link = PostgresLink;
+    type Response = Vec<u8>;
+    type Connection = PostgresLink;
 
-    fn open(&self, addr: SocketAddr) -> Result<PostgresLink, Outcome> {
+    fn connect(&self, addr: SocketAddr) -> Result<PostgresLink, Outcome> {
         let failed = |_: io::Error| Outcome::ConnectFailed;
         // As a whole: an instance that accepts late has less time for its greeting.
         let until = Instant::now() + self.limits.connect;
-        let socket = connect(addr, &self.limits).map_err(failed)?;
+        let socket = connect_to_endpoint(addr, &self.limits).map_err(failed)?;
         write_gathered(&socket, &[b"\0\0\0\x26\0\x03\0\0user\0worker\0database\0catalog\0\0"])
             .map_err(failed)?;
         let mut buffer = Buffer::new(BESIDE);
         let mut left = BESIDE;
         loop {
-            let Some(frame) = buffer.next(Until(&socket, until)).map_err(failed)? else {
+            let Some(frame) = buffer.next(DeadlineReader::new(&socket, until)).map_err(failed)? else {
                 return Err(Outcome::ConnectFailed);
             };
             let body = buffer.get(frame.body());
@@ -56,7 +58,7 @@
                 // What stands behind the greeting already would be taken for the first answer.
                 b'Z' if body == b"I" && buffer.is_empty() => break,
                 b'E' if error(body).is_some_and(|e| matches!(e.code, "53300" | "57P03")) => {
-                    return Err(Outcome::Full);
+                    return Err(Outcome::Rejected);
                 }
                 b'R' | b'S' | b'K' | b'N' => {}
                 _ => return Err(Outcome::ConnectFailed),
@@ -68,28 +70,28 @@
     }
 }
 
-impl Link<Postgres> for PostgresLink {
+impl Connection<Postgres> for PostgresLink {
     fn socket(&self) -> Arc<TcpStream> {
         self.socket.clone()
     }
 
-    fn alive(&mut self, rested: Duration) -> bool {
-        let quiet = self.buffer.is_empty() && idle_and_open(&self.socket);
+    fn is_usable(&mut self, rested: Duration) -> bool {
+        let quiet = self.buffer.is_empty() && is_idle_and_open(&self.socket);
         quiet && (rested < self.limits.link_trust || self.echoes())
     }
 
-    fn carry(&mut self, work: Work<'_, Postgres>, stop: &Stop) -> Result<Reply<Vec<u8>>, Unsent> {
+    fn execute(&mut self, work: Exchange<'_, Postgres>, stop: &AttemptGuard) -> Result<ExchangeResult<Vec<u8>>, NotSent> {
         let now = Instant::now();
         let (digits, at, until);
         let mut probe = Vec::new();
         let parts = match work {
-            Work::Attempt(statement, until_then) => {
+            Exchange::Attempt(statement, until_then) => {
                 let left = until_then.saturating_duration_since(now);
                 digits = left.as_millis().max(1).to_string();
                 (at, until) = (until_then, now + left + self.limits.link_backstop);
                 Some((statement, statement.with_wait(&digits)))
             }
-            Work::Probe => {
+            Exchange::Probe => {
                 push(&mut probe, b'Q', &[b"SHOW stats\0"]);
                 digits = String::new();
                 (at, until) = (now + self.limits.probe, now + self.limits.probe);
@@ -97,11 +99,11 @@
             }
         };
         // An error that comes as the instance ends the connection would be taken for this work's answer.
-        if !idle_and_open(&self.socket) {
-            return Err(Unsent::Broken);
+        if !is_idle_and_open(&self.socket) {
+            return Err(NotSent::ConnectionBroken);
         }
-        if !stop.begin() {
-            return Err(Unsent::Stopped);
+        if !stop.try_start() {
+            return Err(NotSent::Cancelled);
         }
         let written = match &parts {
             Some((_, (head, [before, after]))) => {
@@ -110,9 +112,9 @@
             None => write_gathered(&self.socket, &[&probe]),
         };
         if written.is_err() {
-            return Err(Unsent::Broken);
+            return Err(NotSent::ConnectionBroken);
         }
-        stop.written();
+        stop.mark_sent();
         Ok(self.reply(parts.is_none(), at, until))
     }
 }
@@ -127,7 +129,7 @@
         let until = Instant::now() + self.limits.link_check;
         let mut empty = false;
         loop {
-            let Ok(Some(frame)) = self.buffer.next(Until(&self.socket, until)) else { return false };
+            let Ok(Some(frame)) = self.buffer.next(DeadlineReader::new(&self.socket, until)) else { return false };
             match frame.tag {
                 b'I' => empty = true,
                 b'S' | b'N' => {}
@@ -138,10 +140,10 @@
     }
 
     /// Reads one answer. Of use is it up to `at`; listened for is it up to `until`.
-    fn reply(&mut self, probe: bool, at: Instant, mut until: Instant) -> Reply<Vec<u8>> {
+    fn reply(&mut self, probe: bool, at: Instant, mut until: Instant) -> ExchangeResult<Vec<u8>> {
         let (mut parser, mut settling) = (Parser::new(probe, self.limits.value_bytes), false);
         let end = loop {
-            let frame = match self.buffer.next(Until(&self.socket, until)) {
+            let frame = match self.buffer.next(DeadlineReader::new(&self.socket, until)) {
                 Ok(Some(f)) => f,
                 Ok(None) => break End::Closed,
                 Err(e) => match e.kind() {
--- a/postgres/src/message.rs
+++ b/postgres/src/message.rs
@@ -277,5 +277,5 @@
 /// Writes all parts, gathered into as few calls as the socket takes them in.
 pub fn write_gathered(to: &TcpStream, parts: &[&[u8]]) -> io::Result<()> {
     let mut slices: Vec<IoSlice<'_>> = parts.iter().map(|p| IoSlice::new(p)).collect();
-    routing::wire::write_gathered(to, &mut slices)
+    routing::socket::write_all_vectored(to, &mut slices)
 }
--- a/postgres/tests/answers.rs
+++ b/postgres/tests/answers.rs
@@ -1,7 +1,7 @@
 //! Answers of instances that are cut at every byte, in every way: what is told of them, and what their link is good for.
 mod common;
 use common::{CUTS, Cut, LONG, attempt, cut, error, heard, limits, link, message, probe, ready, row};
-use routing::wire::{Link, Reply};
+use routing::protocol::{Connection, ExchangeResult};
 use routing::{Outcome, Time};
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
@@ -40,10 +40,10 @@
         case("a probe", &[&report, end], true, None),
     ];
     for (code, outcome) in [
-        ("25006", Outcome::Miss),
-        ("72000", Outcome::Miss),
-        ("53300", Outcome::Full),
-        ("57P03", Outcome::Full),
+        ("25006", Outcome::NotEligible),
+        ("72000", Outcome::NotEligible),
+        ("53300", Outcome::Rejected),
+        ("57P03", Outcome::Rejected),
         ("XX000", Outcome::Error),
     ] {
         let told = [error("ERROR", code), message(b'S', b"mode\0read-write\0")];
@@ -101,7 +101,7 @@
 }
 
 /// Plays one cut, and says what came of it and when.
-fn play(case: &Case, at: usize, how: Cut, until: Instant) -> (Reply<Vec<u8>>, bool) {
+fn play(case: &Case, at: usize, how: Cut, until: Instant) -> (ExchangeResult<Vec<u8>>, bool) {
     let bytes = case.messages.concat()[..at].to_vec();
     let mut link = link(&limits(), move |socket| {
         heard(socket);
@@ -112,7 +112,7 @@
     if reply.reusable && how != Cut::Silent {
         // The end that follows is found before the link is used again.
         let begun = Instant::now();
-        while link.alive(Duration::ZERO) {
+        while link.is_usable(Duration::ZERO) {
             assert!(begun.elapsed() < LONG);
             std::thread::yield_now();
         }
@@ -120,17 +120,17 @@
     (reply, in_time)
 }
 
-fn check(case: &Case, at: usize, how: Cut, (reply, in_time): (Reply<Vec<u8>>, bool)) {
+fn check(case: &Case, at: usize, how: Cut, (reply, in_time): (ExchangeResult<Vec<u8>>, bool)) {
     let told = format!("{}, {how:?} after {at} bytes", case.name);
     let expected = expected(case, at, how);
     assert_eq!(reply.outcome, expected.outcome, "{told}");
     assert_eq!(reply.reusable, expected.reusable, "{told}");
-    assert_eq!((reply.note.primary, reply.note.position), (expected.mode, expected.position), "{told}");
-    assert_eq!(reply.report.position, expected.report, "{told}");
+    assert_eq!((reply.response_report.primary, reply.response_report.position), (expected.mode, expected.position), "{told}");
+    assert_eq!(reply.load_report.position, expected.report, "{told}");
     let served = reply.outcome == Outcome::Ok && !case.probe;
-    assert_eq!(reply.answer, served.then(|| row("value").concat()), "{told}");
+    assert_eq!(reply.response, served.then(|| row("value").concat()), "{told}");
     // A write's session must see it, also where its note is lost.
-    assert_eq!(reply.commit.is_some(), served && reply.note.position.is_none(), "{told}");
+    assert_eq!(reply.commit.is_some(), served && reply.response_report.position.is_none(), "{told}");
     let late = matches!(reply.outcome, Outcome::TimedOut);
     assert_eq!(in_time, !late, "{told}");
 }
@@ -182,14 +182,14 @@
                 });
                 let (reply, expected) = (probe(&mut link).unwrap(), expected(case, at, Cut::Silent));
                 assert_eq!((reply.outcome, reply.reusable), (expected.outcome, expected.reusable), "{at}");
-                assert_eq!(reply.report.position, expected.report, "{at}");
+                assert_eq!(reply.load_report.position, expected.report, "{at}");
             });
         }
     });
 }
 
 /// An answer whose connection stays open, with nobody to end it.
-fn answered(bytes: Vec<u8>) -> Reply<Vec<u8>> {
+fn answered(bytes: Vec<u8>) -> ExchangeResult<Vec<u8>> {
     let mut link = link(&limits(), move |socket| {
         heard(socket);
         cut(socket, &bytes, Cut::Silent);
@@ -235,10 +235,10 @@
         let notes = [&notes()[..], &messages].concat();
         let reply = answered(notes.concat());
         assert_eq!(reply.outcome, Outcome::Error, "{name}");
-        assert!(reply.answer.is_none() && !reply.reusable, "{name}");
+        assert!(reply.response.is_none() && !reply.reusable, "{name}");
         // Nor are the notes that came before.
-        assert_eq!((reply.note.primary, reply.note.position), (None, None), "{name}");
-        assert_eq!(reply.report.position, None, "{name}");
+        assert_eq!((reply.response_report.primary, reply.response_report.position), (None, None), "{name}");
+        assert_eq!(reply.load_report.position, None, "{name}");
     }
 }
 
@@ -257,9 +257,9 @@
     ] {
         let reply = answered([whole.clone(), behind].concat());
         assert_eq!(reply.outcome, Outcome::Ok, "{name}");
-        assert_eq!(reply.answer, Some(row("value").concat()), "{name}");
+        assert_eq!(reply.response, Some(row("value").concat()), "{name}");
         assert!(!reply.reusable, "{name}");
-        assert_eq!((reply.note.primary, reply.note.position), (None, None), "{name}");
+        assert_eq!((reply.response_report.primary, reply.response_report.position), (None, None), "{name}");
         assert!(reply.commit.is_some(), "{name}: a session must see its write all the same");
     }
 }
--- a/postgres/tests/common/mod.rs
+++ b/postgres/tests/common/mod.rs
@@ -3,7 +3,7 @@
 use postgres::link::{Postgres, PostgresLink};
 use postgres::statement::Statement;
 use routing::Outcome;
-use routing::wire::{Link, Reply, Stop, Unsent, Wire, Work};
+use routing::protocol::{Connection, ExchangeResult, AttemptGuard, NotSent, BackendProtocol, Exchange};
 use settings::Limits;
 use socket2::SockRef;
 use std::io::{Read, Write};
@@ -95,7 +95,7 @@
 }
 
 pub fn open(limits: &Limits, addr: SocketAddr) -> Result<PostgresLink, Outcome> {
-    Postgres::new(Arc::new(limits.clone())).open(addr)
+    Postgres::new(Arc::new(limits.clone())).connect_to_endpoint(addr)
 }
 
 /// A link to an instance that has greeted; the script goes on from there.
@@ -114,10 +114,10 @@
     Statement::parse(&message(b'Q', format!("{SELECT}\0").as_bytes())).unwrap()
 }
 
-pub fn attempt(link: &mut PostgresLink, until: Instant) -> Result<Reply<Vec<u8>>, Unsent> {
-    link.carry(Work::Attempt(&statement(), until), &Stop::default())
+pub fn attempt(link: &mut PostgresLink, until: Instant) -> Result<ExchangeResult<Vec<u8>>, NotSent> {
+    link.execute(Exchange::Attempt(&statement(), until), &AttemptGuard::default())
 }
 
-pub fn probe(link: &mut PostgresLink) -> Result<Reply<Vec<u8>>, Unsent> {
-    link.carry(Work::Probe, &Stop::default())
+pub fn probe(link: &mut PostgresLink) -> Result<ExchangeResult<Vec<u8>>, NotSent> {
+    link.execute(Exchange::Probe, &AttemptGuard::default())
 }
--- a/postgres/tests/fuzz.rs
+++ b/postgres/tests/fuzz.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use proptest::sample::{Index, select};
 use proptest::test_runner::RngSeed;
-use routing::wire::Reply;
+use routing::protocol::ExchangeResult;
 use routing::{Outcome, Time};
 use std::io::Read;
 use std::sync::Arc;
@@ -42,7 +42,7 @@
 }
 
 /// Reads an answer as a link does, and says how many bytes it held at most and how many had come by its end.
-fn read(bytes: &[u8], pieces: &[usize], end: End) -> (Reply<Vec<u8>>, usize, usize) {
+fn read(bytes: &[u8], pieces: &[usize], end: End) -> (ExchangeResult<Vec<u8>>, usize, usize) {
     let (mut buffer, mut parser) = (Buffer::new(VALUE + BESIDE), Parser::new(false, VALUE));
     let mut from = Pieces { bytes, pieces, next: 0, end };
     let mut held = 0;
@@ -181,16 +181,16 @@
     if reply.outcome == Outcome::Ok {
         prop_assert!(tags.starts_with(b"TDC"), "{tags:?}");
         let text: Vec<u8> = notable[..3].iter().flat_map(|m| m.iter().copied()).collect();
-        prop_assert_eq!(reply.answer.as_deref(), Some(&text[..]), "only what came is passed on");
+        prop_assert_eq!(reply.response.as_deref(), Some(&text[..]), "only what came is passed on");
         let value = &notable[1][5..];
         let length = u32::from_be_bytes([value[2], value[3], value[4], value[5]]) as usize;
         prop_assert!(value[..2] == [0, 1] && length == value.len() - 6, "one whole value");
     } else {
-        prop_assert!(reply.answer.is_none() && reply.commit.is_none());
+        prop_assert!(reply.response.is_none() && reply.commit.is_none());
     }
     if reply.outcome.never_ran() {
         let codes: &[&str] =
-            if reply.outcome == Outcome::Full { &["53300", "57P03"] } else { &["25006", "72000"] };
+            if reply.outcome == Outcome::Rejected { &["53300", "57P03"] } else { &["25006", "72000"] };
         let code = error(&notable[0][5..]).map(|e| e.code).unwrap_or_default();
         prop_assert!(tags[0] == b'E' && codes.contains(&code), "{tags:?} {code}");
         // Nothing but its notes and its end comes behind it.
@@ -202,7 +202,7 @@
         prop_assert_eq!(&messages.last().unwrap()[5..], b"I");
         prop_assert!(rest.is_empty());
     }
-    let told = (reply.note.primary, reply.note.position, reply.report.position);
+    let told = (reply.response_report.primary, reply.response_report.position, reply.load_report.position);
     if told != (None, None, None) {
         let notes = messages.iter().filter(|m| m[0] == b'S');
         prop_assert!(notes.clone().all(|m| parameter(&m[5..]).is_some()), "one is spoilt");
@@ -246,7 +246,7 @@
         let bytes = all.concat();
         let (whole, ..) = read(&bytes, &[], end);
         let (pieced, ..) = read(&bytes, &pieces, end);
-        prop_assert_eq!(whole.answer, pieced.answer);
+        prop_assert_eq!(whole.response, pieced.response);
         // A second answer that comes later than the first is found only when the link is looked at again.
         prop_assert!(whole.outcome == pieced.outcome || pieced.reusable);
     }
--- a/postgres/tests/leaving.rs
+++ b/postgres/tests/leaving.rs
@@ -1,10 +1,10 @@
 //! The front with bounds that the program never has: no look at its clients, no thread for a writer.
 use clients::{Clients, Listening};
 use crossbeam_channel::{Sender, bounded};
-use decision::{Class, Effect, Freshness};
+use decision::{Class, Idempotency, Freshness};
 use postgres::front::Front;
 use postgres::link::Postgres;
-use routing::{Clock, Figures, Settings, Start};
+use routing::{Clock, Metrics, Settings, RouterBuilder};
 use settings::Limits;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,16 +16,16 @@
 
 fn settings() -> Settings {
     let (aim, deadline) = (10_000_000, 10_000_000);
-    let (freshness, effect) = (Freshness::Write, Effect::Unsafe);
-    let classes = vec![Class { freshness, effect, aim, deadline, worth: 1.0, late_worth: 1.0 }];
+    let (freshness, effect) = (Freshness::Write, Idempotency::NotIdempotent);
+    let classes = vec![Class { freshness, idempotency: effect, latency_objective: aim, deadline, priority_weight: 1.0, late_weight_share: 1.0 }];
     let mysql = settings::operator::read(include_str!("../../deploy/mysql.toml")).unwrap().settings;
-    Settings { classes, round: 1_000, ..mysql }
+    Settings { classes, min_event_interval: 1_000, ..mysql }
 }
 
 /// A front that knows no instance: what is asked waits.
 struct Running {
     addr: SocketAddr,
-    figures: Arc<Figures>,
+    figures: Arc<Metrics>,
     _orders: Sender<clients::Order>,
 }
 
@@ -38,18 +38,18 @@
         change(&mut own);
         let (limits, own) = (Arc::new(limits), Arc::new(own));
         let names = ["order".to_string()];
-        let figures = Figures::new(&names).unwrap();
-        let start = Start {
-            wire: Postgres::new(limits.clone()),
+        let figures = Metrics::new(&names).unwrap();
+        let start = RouterBuilder {
+            protocol: Postgres::new(limits.clone()),
             settings: settings(),
             seed: 7,
             limits: limits.clone(),
             clock: Clock::new(),
-            answered: None,
-            figures: Some(figures.clone()),
-            places: None,
+            responded: None,
+            metrics: Some(figures.clone()),
+            placement: None,
         };
-        let (handle, _list) = start.run().unwrap();
+        let (handle, _list) = start.start().unwrap();
         let front = Front::new(handle, own, &names, &settings());
         let clients = Clients::new(front, limits);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -62,8 +62,8 @@
     /// Waits until so many requests are open.
     fn open(&self, n: i64) {
         let begun = Instant::now();
-        while self.figures.current.get() != n {
-            assert!(begun.elapsed() < PATIENCE, "{} are open", self.figures.current.get());
+        while self.figures.requests_in_progress.get() != n {
+            assert!(begun.elapsed() < PATIENCE, "{} are open", self.figures.requests_in_progress.get());
             std::thread::yield_now();
         }
     }
--- a/postgres/tests/links.rs
+++ b/postgres/tests/links.rs
@@ -6,7 +6,7 @@
 };
 use postgres::link::Postgres;
 use routing::Outcome;
-use routing::wire::{Link, Unsent, Wire};
+use routing::protocol::{Connection, NotSent, BackendProtocol};
 use settings::Limits;
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
@@ -39,17 +39,17 @@
 #[test]
 fn a_link_that_has_rested_for_long_is_asked_across_and_one_at_work_is_not() {
     let (mut l, hears) = answering(&[ECHO, ECHO]);
-    assert!(l.alive(Duration::ZERO));
-    assert!(l.alive(Duration::from_secs(5)), "the instance answers across it");
-    assert!(l.alive(Duration::from_secs(5)), "and may be asked again");
+    assert!(l.is_usable(Duration::ZERO));
+    assert!(l.is_usable(Duration::from_secs(5)), "the instance answers across it");
+    assert!(l.is_usable(Duration::from_secs(5)), "and may be asked again");
     assert_eq!(hears.try_iter().collect::<Vec<_>>(), [EMPTY, EMPTY], "the fresh one was taken as it is");
 }
 
 #[test]
 fn a_link_that_was_forgotten_or_answers_something_else_is_not_used() {
     let (mut l, _hears) = answering(&[]);
-    assert!(l.alive(Duration::ZERO), "nothing shows that it was forgotten");
-    assert!(!l.alive(Duration::from_secs(5)));
+    assert!(l.is_usable(Duration::ZERO), "nothing shows that it was forgotten");
+    assert!(!l.is_usable(Duration::from_secs(5)));
     let row_behind = Box::leak([ECHO, &row("x").concat()].concat().into_boxed_slice());
     for odd in [
         &b"Z\0\0\0\x05I"[..],
@@ -61,7 +61,7 @@
         row_behind,
     ] {
         let (mut l, _hears) = answering(Box::leak(Box::new([odd])));
-        assert!(!l.alive(Duration::from_secs(5)), "{odd:?}");
+        assert!(!l.is_usable(Duration::from_secs(5)), "{odd:?}");
     }
 }
 
@@ -79,7 +79,7 @@
                         heard(socket);
                         cut(socket, &bytes, how);
                     });
-                    assert_eq!(l.alive(LONG), at == all, "{how:?} after {at} bytes");
+                    assert_eq!(l.is_usable(LONG), at == all, "{how:?} after {at} bytes");
                 });
             }
         });
@@ -94,7 +94,7 @@
         heard(socket);
         while (&*socket).write_all(&message(b'N', &[b'x'; 8 * 1024])).is_ok() {}
     });
-    assert!(!l.alive(LONG));
+    assert!(!l.is_usable(LONG));
 }
 
 #[test]
@@ -109,7 +109,7 @@
 
 #[test]
 fn a_refusal_in_either_code_is_one_that_ran_nothing() {
-    for (code, outcome) in [("53300", Outcome::Full), ("57P03", Outcome::Full), ("XX000", Outcome::Error)] {
+    for (code, outcome) in [("53300", Outcome::Rejected), ("57P03", Outcome::Rejected), ("XX000", Outcome::Error)] {
         let answer = [error("ERROR", code), ready()].concat();
         let (mut l, _hears) = answering(Box::leak(Box::new([&*answer.leak()])));
         let reply = probe(&mut l).ok().unwrap();
@@ -136,11 +136,11 @@
             to.send(heard(socket)).unwrap();
         });
         // The look at the resting link comes first, the stray message right behind it.
-        assert!(l.alive(Duration::ZERO), "{name}");
+        assert!(l.is_usable(Duration::ZERO), "{name}");
         strike.send(()).unwrap();
         arrived(&l.socket());
         let until = Instant::now() + LONG;
-        assert_eq!(attempt(&mut l, until).err(), Some(Unsent::Broken), "{name}");
+        assert_eq!(attempt(&mut l, until).err(), Some(NotSent::ConnectionBroken), "{name}");
         drop(l);
         assert_eq!(hears.recv_timeout(LONG), Ok(None), "{name}: nothing was written");
     }
@@ -159,7 +159,7 @@
         ("a row follows", [error("ERROR", "53300"), row("value").concat(), ready()].concat(), Outcome::Error),
         ("nothing follows", error("ERROR", "53300"), Outcome::Error),
         ("half a row follows", [error("FATAL", "53300"), b"T\0\0".to_vec()].concat(), Outcome::Error),
-        ("the session ends with it", error("FATAL", "53300"), Outcome::Full),
+        ("the session ends with it", error("FATAL", "53300"), Outcome::Rejected),
     ] {
         let (mut l, _hears) = answering(Box::leak(Box::new([&*answer.leak()])));
         let until = Instant::now() + LONG;
@@ -194,9 +194,9 @@
     let whole = [good.clone(), ready()].concat();
     for (name, bytes, told) in [
         ("whole", whole.clone(), None),
-        ("too many", error("FATAL", "53300"), Some(Outcome::Full)),
-        ("starting", error("FATAL", "57P03"), Some(Outcome::Full)),
-        ("too many, late", [good, error("FATAL", "53300")].concat(), Some(Outcome::Full)),
+        ("too many", error("FATAL", "53300"), Some(Outcome::Rejected)),
+        ("starting", error("FATAL", "57P03"), Some(Outcome::Rejected)),
+        ("too many, late", [good, error("FATAL", "53300")].concat(), Some(Outcome::Rejected)),
         ("going", error("FATAL", "57P01"), Some(Outcome::ConnectFailed)),
     ] {
         for how in CUTS {
@@ -263,7 +263,7 @@
     limits.connect = Duration::from_millis(1600);
     let opening = std::thread::spawn(move || {
         let begun = Instant::now();
-        (Postgres::new(Arc::new(limits)).open(addr).err(), begun.elapsed())
+        (Postgres::new(Arc::new(limits)).connect_to_endpoint(addr).err(), begun.elapsed())
     });
     let begun = Instant::now();
     while !waits_for(addr) {
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -7,10 +7,10 @@
     Action as FleetAction, Event as FleetEvent, Fleet, Level, Node, Settings as FleetSettings, State,
 };
 use crate::http::{Bounds, Member};
-use crate::machine::{Action, Endpoint, Event, Item, Machine, Revision, Settings as MachineSettings};
+use crate::machine::{Action, EndpointIndex, Event, Item, Machine, Revision, Settings as MachineSettings};
 use crate::tls::Tls;
 use crate::{Error, Failed};
-use routing::{Answered, Clock, Entry, GroupId, ListHandle, ListNews, MemberState, spawn};
+use routing::{RespondedEndpoints, Clock, Endpoint, GroupId, EndpointsHandle, EndpointUpdate, MemberState, spawn};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use settings::Limits;
@@ -78,7 +78,7 @@
     }
 
     /// Speaks with a member; nothing is connected yet.
-    pub fn to(&self, endpoint: Endpoint) -> Asks {
+    pub fn to(&self, endpoint: EndpointIndex) -> Asks {
         let mut member = Member::new(self.settings.endpoints[endpoint], self.tls.clone(), self.bounds);
         match self.settings.kind {
             RegistryKind::Etcd => {
@@ -151,8 +151,8 @@
 struct Inner {
     fleet: Fleet,
     /// What the list knows, by id.
-    listed: HashMap<String, Entry>,
-    pending: Vec<Entry>,
+    listed: HashMap<String, Endpoint>,
+    pending: Vec<Endpoint>,
     urgent: bool,
     version: u64,
     routers: BTreeMap<String, Router>,
@@ -165,8 +165,8 @@
     way: Way,
     limits: Arc<Limits>,
     clock: Clock,
-    list: ListHandle,
-    answered: Arc<Answered>,
+    list: EndpointsHandle,
+    answered: Arc<RespondedEndpoints>,
     heeds: Arc<dyn Heeds>,
     inner: Mutex<Inner>,
     stopping: AtomicBool,
@@ -181,8 +181,8 @@
         settings: Settings,
         limits: &Arc<Limits>,
         clock: Clock,
-        list: ListHandle,
-        answered: Arc<Answered>,
+        list: EndpointsHandle,
+        answered: Arc<RespondedEndpoints>,
         heeds: Arc<dyn Heeds>,
     ) -> Result<Arc<Client>, Error> {
         let way = Way::new(&settings, limits)?;
@@ -306,7 +306,7 @@
     fn with(
         &self,
         machine: &mut Machine,
-        endpoint: Endpoint,
+        endpoint: EndpointIndex,
         asks: &mut Asks,
         worked: &mut dyn FnMut(),
     ) -> Result<String, Failed> {
@@ -350,7 +350,7 @@
     fn watch(
         &self,
         machine: &mut Machine,
-        endpoint: Endpoint,
+        endpoint: EndpointIndex,
         etcd: &mut Etcd,
         from: Revision,
     ) -> Result<Next, Failed> {
@@ -401,7 +401,7 @@
     fn query(
         &self,
         machine: &mut Machine,
-        endpoint: Endpoint,
+        endpoint: EndpointIndex,
         consul: &mut Consul,
         worked: &mut dyn FnMut(),
     ) -> Result<Next, Failed> {
@@ -569,7 +569,7 @@
                 FleetAction::Unlist(id) => {
                     if let Some(entry) = inner.listed.remove(&id) {
                         inner.urgent = true;
-                        inner.pending.push(Entry { state: MemberState::Gone, ..entry });
+                        inner.pending.push(Endpoint { state: MemberState::Removed, ..entry });
                     }
                 }
                 FleetAction::Faulty(name, why) => {
@@ -590,8 +590,8 @@
         }
     }
 
-    fn entry(&self, id: &str, node: &Node) -> Entry {
-        Entry {
+    fn entry(&self, id: &str, node: &Node) -> Endpoint {
+        Endpoint {
             id: id.to_string(),
             addr: node.addr,
             group: GroupId(node.group),
@@ -600,11 +600,11 @@
             state: match node.state {
                 State::InService => MemberState::Ready,
                 State::Draining => MemberState::Draining,
-                State::Gone => MemberState::Gone,
+                State::Gone => MemberState::Removed,
             },
-            primary: node.role.as_deref() == Some("primary"),
+            listed_primary: node.role.as_deref() == Some("primary"),
             weight: node.weight,
-            started: None,
+            started_at: None,
         }
     }
 
@@ -621,14 +621,14 @@
         }
         inner.version += 1;
         // Of one node only the newest counts.
-        let mut newest: BTreeMap<String, (usize, Entry)> = BTreeMap::new();
+        let mut newest: BTreeMap<String, (usize, Endpoint)> = BTreeMap::new();
         for (n, e) in std::mem::take(&mut inner.pending).into_iter().enumerate() {
             newest.insert(e.id.clone(), (n, e));
         }
-        let mut entries: Vec<(usize, Entry)> = newest.into_values().collect();
+        let mut entries: Vec<(usize, Endpoint)> = newest.into_values().collect();
         entries.sort_by_key(|(n, _)| *n);
         let entries = entries.into_iter().map(|(_, e)| e).collect();
-        self.list.tell(ListNews { version: inner.version, complete: false, entries });
+        self.list.notify(EndpointUpdate { version: inner.version, complete: false, endpoints: entries });
     }
 
     /// Hands gathered changes over, lets news grow old, and hears which nodes answer.
@@ -641,7 +641,7 @@
             if turns.is_multiple_of(5) {
                 let age = inner.heard.map_or(0, |h| self.clock.now().0 - h);
                 let asked = age > self.settings.fresh.as_micros() as i64 / 4;
-                for id in self.answered.take(asked) {
+                for id in self.answered.drain(asked) {
                     let name = id.rsplit_once('@').map_or(id.as_str(), |(n, _)| n).to_string();
                     self.fleet(&mut inner, FleetEvent::Answered(name));
                 }
--- a/registry/src/endpoints.rs
+++ b/registry/src/endpoints.rs
@@ -1,6 +1,6 @@
 //! Which member of the registry to ask next, and when: failing over with backoff and jitter, under a budget, so that
 //! routers that lost the same registry do not all come back at once.
-use crate::machine::Endpoint;
+use crate::machine::EndpointIndex;
 use decision::{Micros, Time};
 use fastrand::Rng;
 
@@ -31,7 +31,7 @@
     members: Vec<Member>,
     budget: f64,
     earned_at: Time,
-    last: Endpoint,
+    last: EndpointIndex,
     rng: Rng,
 }
 
@@ -45,7 +45,7 @@
     }
 
     /// The member to ask next, and how long to wait before.
-    pub fn next(&mut self, now: Time) -> (Endpoint, Micros) {
+    pub fn next(&mut self, now: Time) -> (EndpointIndex, Micros) {
         if self.earned_at != Time(0) {
             let earned = (now.0 - self.earned_at.0).max(0) as f64 / 1e6 * self.settings.earned_per_s;
             self.budget = (self.budget + earned).min(self.settings.saved);
@@ -66,7 +66,7 @@
     }
 
     /// A member failed, or must not be followed.
-    pub fn failed(&mut self, endpoint: Endpoint, now: Time) {
+    pub fn failed(&mut self, endpoint: EndpointIndex, now: Time) {
         let m = &mut self.members[endpoint];
         let most = self.settings.pause.saturating_mul(1 << m.failures.min(16)).min(self.settings.longest);
         m.failures += 1;
@@ -75,7 +75,7 @@
     }
 
     /// A member answers as it should.
-    pub fn worked(&mut self, endpoint: Endpoint) {
+    pub fn worked(&mut self, endpoint: EndpointIndex) {
         self.members[endpoint] = Member::default();
         self.last = (endpoint + self.members.len() - 1) % self.members.len();
     }
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -83,7 +83,7 @@
     type Out = Link;
 
     fn connect(&self, _: &ConnectionDetails, _: Option<()>) -> Result<Option<Link>, ureq::Error> {
-        let socket = routing::wire::dial(self.addr, self.bounds.connect)?;
+        let socket = routing::socket::connect(self.addr, self.bounds.connect)?;
         socket.set_nodelay(true)?;
         socket.set_write_timeout(Some(self.bounds.silent))?;
         // The handshake comes with the first bytes: it reads within this.
--- a/registry/src/machine.rs
+++ b/registry/src/machine.rs
@@ -9,7 +9,7 @@
 pub type Revision = u64;
 
 /// A member of the registry, by its place in the settings.
-pub type Endpoint = usize;
+pub type EndpointIndex = usize;
 
 /// A key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -58,7 +58,7 @@
     /// A member has been reached, and says whose it is and where it stands.
     Stands {
         /// The member.
-        endpoint: Endpoint,
+        endpoint: EndpointIndex,
         /// The cluster's id; 0 where the dialect has none.
         cluster: u64,
         /// Its revision.
@@ -67,7 +67,7 @@
     /// The whole list at one revision.
     Snapshot {
         /// The member.
-        endpoint: Endpoint,
+        endpoint: EndpointIndex,
         /// The cluster's id.
         cluster: u64,
         /// The revision.
@@ -76,11 +76,11 @@
         items: Vec<Item>,
     },
     /// What a watch brought.
-    Changes(Endpoint, Vec<Change>),
+    Changes(EndpointIndex, Vec<Change>),
     /// The watch has brought everything up to this revision.
-    Progress(Endpoint, Revision),
+    Progress(EndpointIndex, Revision),
     /// The revision to go on from is gone.
-    Compacted(Endpoint),
+    Compacted(EndpointIndex),
     /// Something has changed that no watch has brought: only a whole read tells what.
     Missed,
 }
@@ -108,11 +108,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Read everything from this member.
-    Read(Endpoint),
+    Read(EndpointIndex),
     /// Watch from this revision on.
-    Watch(Endpoint, Revision),
+    Watch(EndpointIndex, Revision),
     /// Go to another member.
-    Leave(Endpoint, Why),
+    Leave(EndpointIndex, Why),
     /// The registry was restored from a backup, or replaced: what follows is older than what was known.
     Restored,
     /// A key has this value now.
@@ -140,7 +140,7 @@
     /// Something has been read, ever.
     read: bool,
     /// Since when members stand behind, and which.
-    behind: Option<(Time, BTreeSet<Endpoint>)>,
+    behind: Option<(Time, BTreeSet<EndpointIndex>)>,
     /// The next whole list is taken although it is older.
     restoring: bool,
     /// Changes came out of order: until everything has been read, what is held is not what stood at any revision.
@@ -250,7 +250,7 @@
     fn admits(
         &mut self,
         now: Time,
-        endpoint: Endpoint,
+        endpoint: EndpointIndex,
         cluster: u64,
         revision: Revision,
         actions: &mut Vec<Action>,
@@ -329,7 +329,7 @@
         }
     }
 
-    fn changes(&mut self, endpoint: Endpoint, changes: Vec<Change>, actions: &mut Vec<Action>) {
+    fn changes(&mut self, endpoint: EndpointIndex, changes: Vec<Change>, actions: &mut Vec<Action>) {
         for change in changes {
             let revision = change.revision();
             let (key, known) = match &change {
--- a/sessions/src/node.rs
+++ b/sessions/src/node.rs
@@ -354,7 +354,7 @@
             self.feed_locked(&mut inner, Event::Commit(ticket, key, at));
             ticket
         };
-        let told = released.recv_deadline(self.clock.instant(until));
+        let told = released.recv_deadline(self.clock.instant_at(until));
         if told.is_err() {
             self.lock().writers.remove(&ticket);
         }
@@ -556,7 +556,7 @@
         };
         while self.listed(peer, addr) {
             let begun = self.clock.now();
-            match routing::wire::dial(addr, self.limits.connect) {
+            match routing::socket::connect(addr, self.limits.connect) {
                 Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => {
                     // Whoever may have moved is not proven gone by the address that it had.
                     if !self.settings.moves {
--- a/src/commands/ctl.rs
+++ b/src/commands/ctl.rs
@@ -73,7 +73,7 @@
 
 /// Asks, and prints the answer.
 pub fn run(arguments: &Arguments) -> Result<(), super::Error> {
-    let answer = store::control::command(&arguments.address, &command(&arguments.asked));
+    let answer = store::control::send_command(&arguments.address, &command(&arguments.asked));
     println!("{}", answer?);
     Ok(())
 }
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -1,7 +1,7 @@
 //! `fleet`: sets, shows and takes back the fleet's configuration, which is one document in the store.
 use super::error::Error;
-use ::fleet::{document, record};
-use audit::reading::{Asked, View, What, view};
+use ::fleet::{document, audit_record};
+use audit::timeline::{Query, Timeline, GapKind, build};
 use chrono::DateTime;
 use clap::{Args, Subcommand};
 use serde_json::json;
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::time::{SystemTime, UNIX_EPOCH};
 use store::client::{Client, Settings};
-use store::wire::How;
+use store::wire::Consistency;
 
 /// The store that is meant.
 #[derive(Args)]
@@ -77,37 +77,37 @@
     time.map_or_else(|| at.to_string(), |t| t.format("%Y-%m-%dT%H:%M:%S%.3f").to_string())
 }
 
-fn table(seen: &View) {
+fn table(seen: &Timeline) {
     let until = |u: Option<i64>| u.map_or("now".into(), shown);
     println!(
         "{:<24} {:>9} {:>9} {:<8} {:<23} {:<23} {:>12}",
         "router", "version", "members", "state", "from", "until", "epoch"
     );
-    for r in &seen.rows {
+    for r in &seen.intervals {
         let kind = format!("{:?}", r.kind).to_lowercase();
         println!(
             "{:<24} {:>9} {:>9} {kind:<8} {:<23} {:<23} {:>12}",
             r.router,
             r.version,
-            r.members,
-            shown(r.from),
+            r.members_version,
+            shown(r.since),
             until(r.until),
             r.epoch
         );
     }
     println!("gaps: {}", seen.gaps.len());
     for g in &seen.gaps {
-        let what = match &g.what {
-            What::TwoVersions(v) => {
+        let what = match &g.kind {
+            GapKind::ConcurrentVersions(v) => {
                 let v: Vec<String> = v.iter().map(u64::to_string).collect();
                 format!("two versions at once: {}", v.join(", "))
             }
-            What::NotCurrent(r, v) => format!("{r} acts on version {v}, which is not the current one"),
-            What::ShutOut(r, v) => format!("{r} is shut out with version {v}"),
-            What::Silent(r) => format!("{r} is silent"),
-            What::Stopped => "no record is written: see that a node leads and has [fleet.audit]".into(),
+            GapKind::OutdatedVersion(r, v) => format!("{r} acts on version {v}, which is not the current one"),
+            GapKind::FencedOut(r, v) => format!("{r} is shut out with version {v}"),
+            GapKind::Silent(r) => format!("{r} is silent"),
+            GapKind::RecordStopped => "no record is written: see that a node leads and has [fleet.audit]".into(),
         };
-        println!("{} to {}: {what}", shown(g.from), until(g.until));
+        println!("{} to {}: {what}", shown(g.since), until(g.until));
     }
 }
 
@@ -123,23 +123,23 @@
             println!("version {}", version.map_err(|source| Error::Set { path: file.clone(), source })?);
         }
         Command::Audit { at, since, router, json } => {
-            let found = client(at).list(record::PREFIX, How::Linearizable)?.found;
+            let found = client(at).list(audit_record::KEY_PREFIX, Consistency::Linearizable)?.value;
             let mut batches = Vec::new();
             for (key, value) in &found {
-                match record::batch(&value.text) {
+                match audit_record::parse_batch(&value.text) {
                     Ok(batch) => batches.push(batch),
                     Err(e) => eprintln!("{key} can't be read and is left out: {e}"),
                 }
             }
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as i64;
             let since = since.map_or(0, |s| now - i64::from(s) * 1_000_000);
-            let seen = view(&batches, now, &Asked { since, router: router.clone() });
+            let seen = build(&batches, now, &Query { since, router: router.clone() });
             if *json {
-                println!("{}", json!({"rows": seen.rows, "gaps": seen.gaps, "open": seen.open()}));
+                println!("{}", json!({"rows": seen.intervals, "gaps": seen.gaps, "open": seen.has_open_gap()}));
             } else {
                 table(&seen);
             }
-            if seen.open() {
+            if seen.has_open_gap() {
                 std::process::exit(2);
             }
         }
@@ -151,13 +151,13 @@
             let d = found.ok_or(Error::NoDocument)?;
             if *json {
                 let before: Vec<_> =
-                    d.before.iter().map(|(v, w)| json!({"version": v, "note": w.note})).collect();
-                let shown = json!({"version": d.version, "note": d.written.note, "text": d.text,
+                    d.previous.iter().map(|(v, w)| json!({"version": v, "note": w.note})).collect();
+                let shown = json!({"version": d.version, "note": d.metadata.note, "text": d.text,
                     "fleet": d.fleet, "before": before});
                 println!("{shown}");
             } else {
                 println!("# version {}", d.version);
-                d.written.note.lines().for_each(|l| println!("# {l}"));
+                d.metadata.note.lines().for_each(|l| println!("# {l}"));
                 print!("{}", d.text);
             }
         }
--- a/src/commands/platform.rs
+++ b/src/commands/platform.rs
@@ -3,8 +3,8 @@
 use crate::signals;
 use clients::{Clients, Listening, Order};
 use crossbeam_channel::{Sender, bounded};
-use door::{Bounds, Door, Operations, Parts};
-use routing::{Clock, Figures, Handle, ListHandle};
+use door::{AdminLimits, AdminServer, AdminService, ServiceDependencies};
+use routing::{Clock, Metrics, RouterHandle, EndpointsHandle};
 use settings::operator::Log;
 use settings::start::Start;
 use std::path::PathBuf;
@@ -15,22 +15,22 @@
 
 /// The operators' door, bound before anything else: a second process that can't have it must not come to serve.
 struct Operated {
-    door: Door,
-    figures: Arc<Figures>,
+    door: AdminServer,
+    figures: Arc<Metrics>,
 }
 
 impl Operated {
     fn open(start: &Start) -> Result<Option<Operated>, Error> {
         let Some(at) = start.admin else { return Ok(None) };
         let l = &start.limits;
-        let bounds = Bounds {
-            callers: l.door_callers,
-            line_bytes: l.door_line_bytes,
-            patience: l.door_patience,
-            stack_bytes: l.stack_bytes,
+        let bounds = AdminLimits {
+            max_connections: l.door_callers,
+            max_line_bytes: l.door_line_bytes,
+            io_timeout: l.door_patience,
+            thread_stack_bytes: l.stack_bytes,
         };
-        let door = Door::open(at, bounds)?;
-        let figures = Figures::new(&start.names.classes).map_err(|e| Error::Figures(e.into()))?;
+        let door = AdminServer::bind(at, bounds)?;
+        let figures = Metrics::new(&start.names.classes).map_err(|e| Error::Figures(e.into()))?;
         Ok(Some(Operated { door, figures }))
     }
 
@@ -38,22 +38,22 @@
     fn serve(
         self,
         start: &Start,
-        list: &ListHandle,
+        list: &EndpointsHandle,
         front: Arc<postgres::front::Front>,
-        handle: Handle<postgres::link::Postgres>,
+        handle: RouterHandle<postgres::link::Postgres>,
         orders: Sender<Order>,
         clients: &Arc<Clients<postgres::front::Front>>,
-    ) -> Result<Arc<Operations>, Error> {
+    ) -> Result<Arc<AdminService>, Error> {
         let (shared, drained) = (clients.clone(), clients.clone());
-        let parts = Parts {
-            figures: self.figures,
-            list: list.clone(),
-            orders,
-            drain: Box::new(move |yes| drained.drain(yes)),
+        let parts = ServiceDependencies {
+            metrics: self.figures,
+            endpoints: list.clone(),
+            client_orders: orders,
+            set_draining: Box::new(move |yes| drained.drain(yes)),
             accepting: clients.accepting(),
-            sharing: Box::new(move |n| {
+            set_process_count: Box::new(move |n| {
                 shared.sharing(n as usize);
-                handle.sharing(n);
+                handle.set_process_count(n);
                 front.sharing(n);
             }),
             clock: Clock::new(),
@@ -63,7 +63,7 @@
         let name: String =
             start.name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '-' }).collect();
         let folder = std::env::var_os("TMPDIR").map(|t| PathBuf::from(t).join(format!("damsonvale-{name}")));
-        let desk = Arc::new(Operations::open(parts, folder.as_deref()));
+        let desk = Arc::new(AdminService::open(parts, folder.as_deref()));
         self.door.serve(desk.clone())?;
         Ok(desk)
     }
@@ -87,17 +87,17 @@
     let passed = passed.map(|fd| Listening::passed(&fd)).transpose()?;
     let operated = Operated::open(&start)?;
 
-    let core = routing::Start {
-        wire: postgres::link::Postgres::new(limits.clone()),
+    let core = routing::RouterBuilder {
+        protocol: postgres::link::Postgres::new(limits.clone()),
         settings: start.settings.clone(),
         seed: start.seed,
         limits: limits.clone(),
         clock: Clock::new(),
-        answered: None,
-        figures: operated.as_ref().map(|o| o.figures.clone()),
-        places: None,
+        responded: None,
+        metrics: operated.as_ref().map(|o| o.figures.clone()),
+        placement: None,
     };
-    let (handle, list) = core.run().map_err(Error::Core)?;
+    let (handle, list) = core.start().map_err(Error::Core)?;
     let front =
         postgres::front::Front::new(handle.clone(), limits.clone(), &start.names.classes, &start.settings);
     let clients = Clients::new(front.clone(), limits.clone());
@@ -108,7 +108,7 @@
     if !start.known.is_null() {
         let mut known = reader.news(&start.known).map_err(|e| faulty(e.at("known")))?;
         known.complete = true;
-        list.tell(known);
+        list.notify(known);
     }
     let watch = discovery::Watch::new(start.names.zones.clone(), limits.clone(), list.clone());
     watch.follow(start.discovery).map_err(Error::Watch)?;
@@ -117,7 +117,7 @@
         tracing::warn!("discovery: nothing heard yet, starting with the list known from before");
     }
     // Where the machine is that busy, it starts all the same.
-    if !list.taken(limits.watch_first) {
+    if !list.wait_until_applied(limits.watch_first) {
         tracing::warn!("list: not taken yet, starting without it");
     }
     let listening = match passed {
@@ -141,13 +141,13 @@
     };
     let leaves = desk.clone();
     let end = move || {
-        leaves.iter().for_each(|desk| desk.leaving());
+        leaves.iter().for_each(|desk| desk.announce_shutdown());
         // Operators' orders may fill the queue while the program still starts: the end must not be lost with them.
         _ = to.send(Order::End);
     };
     signals::obey(signals, limits.module_stack_bytes, reload, end)?;
     if let Some(desk) = desk {
-        desk.follow().map_err(|source| Error::Thread { what: "holds", source })?;
+        desk.start_sync().map_err(|source| Error::Thread { what: "holds", source })?;
     }
     clients.serve(listening, &orders).map_err(Error::Front)
 }
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -7,7 +7,7 @@
 
 use ::sessions::node::Sessions;
 use registry::client::{Client, Heeds, Router};
-use routing::{Answered, Clock, Entry, GroupId, ListNews, MemberState};
+use routing::{RespondedEndpoints, Clock, EndpointEntry, GroupId, EndpointUpdate, MemberState};
 use serde_json::{Value, json};
 use settings::Error as Fault;
 use settings::fields::{number, text, whole};
@@ -19,7 +19,7 @@
 
 /// The member list as the store holds it, to a router at `own` site. A server that can't be read is left out and named
 /// in the log.
-fn members(state: &store::State, own: Option<&str>) -> ListNews {
+fn members(state: &store::State, own: Option<&str>) -> EndpointUpdate {
     // Where the router's own site is known, the servers of others are farther.
     let zone = |site: Option<&str>| u32::from(own.is_some() && site != own);
     let entry = |(key, value): (&str, &store::Value)| {
@@ -34,7 +34,7 @@
                 }
             };
             let site: Option<Arc<str>> = v.get("site").and_then(Value::as_str).map(Arc::from);
-            Ok(Entry {
+            Ok(EndpointEntry {
                 id: key.trim_start_matches("server/").to_string(),
                 addr: addr.parse().map_err(|_| Fault::value("addr", "ip:port", format_args!("'{addr}'")))?,
                 group: GroupId(whole(&v, "group")? as u32),
@@ -50,7 +50,7 @@
         read().map_err(|e: Fault| tracing::error!("list: {key}: {e}")).ok()
     };
     let entries = state.with_prefix("server/").filter_map(entry).collect();
-    ListNews { version: state.applied, complete: true, entries }
+    EndpointUpdate { version: state.applied_index, complete: true, endpoints: entries }
 }
 
 /// What a router that runs follows: its file, and what a registry says besides.
@@ -110,7 +110,7 @@
     }
 
     fn routers(&self, known: &BTreeMap<String, Router>) {
-        known.values().filter_map(|r| r.store).for_each(|(node, addr)| self.store.moved(node, addr));
+        known.values().filter_map(|r| r.store).for_each(|(node, addr)| self.store.set_peer_address(node, addr));
         let Some(sessions) = &self.operator.sessions else { return };
         let mut found = self.found();
         let before = found.peers.clone();
@@ -128,11 +128,11 @@
 fn fleet(
     member: &settings::fleet::Member,
     store: &store::Store,
-    handle: &routing::Handle<mysql_wire::link::Mysql>,
+    handle: &routing::RouterHandle<mysql_wire::link::Mysql>,
     classes: &[String],
     clock: Clock,
-    list: routing::ListHandle,
-) -> Result<::fleet::Router, Error> {
+    list: routing::EndpointsHandle,
+) -> Result<::fleet::FleetClient, Error> {
     let thread = |source| Error::Thread { what: "fleet", source };
     let quotas = quotas::Settings::default();
     if let Some(at) = member.listen {
@@ -151,17 +151,17 @@
         settings::fleet::read(&text, Some(classes))
             .map_err(|source| Error::Fleet { path: path.into(), source })?;
         let client = store::client::Client::new(store::client::Settings::new(member.nodes.clone(), seed));
-        ::fleet::router::seed(client, text).map_err(thread)?;
+        ::fleet::client::start_seeding(client, text).map_err(thread)?;
     }
-    let settings = ::fleet::router::Settings {
+    let settings = ::fleet::client::Settings {
         member: member.clone(),
-        start: clock.now().0 as u64,
+        incarnation: clock.now().0 as u64,
         classes: classes.to_vec(),
         quotas,
         seed,
     };
     let handle = handle.clone();
-    ::fleet::Router::start(settings, clock, move |news| handle.places(news), move || list.version())
+    ::fleet::FleetClient::start(settings, clock, move |news| handle.update_placement(news), move || list.version())
         .map_err(thread)
 }
 
@@ -175,7 +175,7 @@
     let signals = signals::note()?;
     let Operator { record, store: operator_store, mysql, settings, limits, .. } = operator.clone();
     let (mysql, limits) = (Arc::new(mysql), Arc::new(limits));
-    let clock = Clock::shifted(limits.clock_offset_us);
+    let clock = Clock::with_offset(limits.clock_offset_us);
     let seed = u64::from(std::process::id()) ^ clock.now().0 as u64;
     let wire = mysql_wire::link::Mysql::new(mysql.clone(), limits.clone(), clock);
     let clocks = wire.clocks.clone();
@@ -185,20 +185,20 @@
         Some(s) => Sessions::start(s, &limits, clock, clocks)?,
         None => Sessions::alone(&limits, clock, clocks),
     };
-    let routers = settings.drivers;
+    let routers = settings.router_count;
     let asks = mysql.server_clock.then(|| wire.clone());
-    let answered = operator.registry.as_ref().map(|_| Arc::new(Answered::default()));
-    let core = routing::Start {
-        wire,
+    let answered = operator.registry.as_ref().map(|_| Arc::new(RespondedEndpoints::default()));
+    let core = routing::RouterBuilder {
+        protocol: wire,
         settings,
         seed,
         limits: limits.clone(),
         clock,
-        answered: answered.clone(),
-        figures: None,
-        places: operator.fleet.as_ref().map(|_| placement::Settings::new(mysql.classes.clone())),
+        responded: answered.clone(),
+        metrics: None,
+        placement: operator.fleet.as_ref().map(|_| placement::Settings::new(mysql.classes.clone())),
     };
-    let (handle, list) = core.run().map_err(Error::Core)?;
+    let (handle, list) = core.start().map_err(Error::Core)?;
     let seed = |s: &Server| {
         let mut value = json!({"addr": s.addr, "group": s.group, "weight": s.weight, "state": "in_service"});
         if let Some(site) = &s.site {
@@ -218,7 +218,7 @@
     let site = operator.mysql.site.clone();
     let store = store::start(set_up, move |state| {
         if let Some(list) = &listed {
-            list.tell(members(state, site.as_deref()));
+            list.notify(members(state, site.as_deref()));
         }
     })?;
     let own_store = store.clone();
@@ -230,7 +230,7 @@
         let failed = |source| Error::Listen { key: "store.clients", addr: at.to_string(), source };
         let listener = TcpListener::bind(at).map_err(failed)?;
         let at = listener.local_addr().map_err(failed)?;
-        store::serve::listen(listener, store.clone(), store::serve::Limits::default())?;
+        store::server::listen(listener, store.clone(), store::server::Limits::default())?;
         tracing::info!("store: answering clients on {at}");
     }
     if let Some(at) = operator_store.control {
@@ -246,7 +246,7 @@
         None => None,
         Some(table) => {
             let handle = handle.clone();
-            Some(super::members::start(table, routers, move |n| handle.drivers(n))?)
+            Some(super::members::start(table, routers, move |n| handle.set_router_count(n))?)
         }
     };
     let listener = super::listen("mysql", &mysql.listen)?;
@@ -336,8 +336,8 @@
         let listed = states.iter().find(|s| s.with_prefix("server/").count() == 3);
         let state = listed.unwrap_or_default();
         let told = |own| {
-            let of = |e: Entry| (e.site.as_deref().map(str::to_string), e.zone);
-            members(&state, own).entries.into_iter().map(of).collect::<Vec<_>>()
+            let of = |e: EndpointEntry| (e.site.as_deref().map(str::to_string), e.zone);
+            members(&state, own).endpoints.into_iter().map(of).collect::<Vec<_>>()
         };
         let (north, south) = (Some("north".to_string()), Some("south".to_string()));
         assert_eq!(told(Some("north")), [(north.clone(), 0), (south.clone(), 1), (None, 1)]);
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -311,35 +311,35 @@
         let patience = Duration::from_secs(2);
         if socket.is_none() {
             let open = TcpStream::connect(all.lend[at]).unwrap();
-            fleet::wire::hello(&open).unwrap();
-            fleet::wire::greeted(&open, patience).unwrap();
-            let _: fleet::wire::Answer = fleet::wire::receive(&open, patience, patience).unwrap();
+            fleet::wire::send_hello(&open).unwrap();
+            fleet::wire::receive_hello(&open, patience).unwrap();
+            let _: fleet::wire::Response = fleet::wire::receive(&open, patience, patience).unwrap();
             socket = Some(open);
         }
         let to = socket.as_ref().unwrap();
         seq += 1;
         let report = quotas::Report {
-            name: "straggler".into(),
-            start: 1,
+            router: "straggler".into(),
+            incarnation: 1,
             seq,
             term: 0,
-            applied: 0,
+            applied_seq: 0,
             version: first,
             leaving: false,
-            whole: None,
+            held: None,
             demand: Vec::new(),
         };
-        let stamp = audit::Stamp::default();
-        fleet::wire::send(to, &fleet::wire::Request::Report(report, stamp)).unwrap();
+        let stamp = audit::VersionReport::default();
+        fleet::wire::send(to, &fleet::wire::Request::MemberReport(report, stamp)).unwrap();
         match fleet::wire::receive(to, patience, patience).unwrap() {
-            fleet::wire::Answer::NotLeader(_) => (at, socket) = ((at + 1) % 3, None),
-            fleet::wire::Answer::Answered(_, audit::News::Refetch { .. }) => told += 1,
-            fleet::wire::Answer::Answered(_, audit::News::ShutOut { epoch }) => break epoch,
-            fleet::wire::Answer::Answered(..) if changed.is_none() => {
+            fleet::protocol::Response::NotLeader(_) => (at, socket) = ((at + 1) % 3, None),
+            fleet::wire::Response::CommandResponse(_, audit::Directive::Refetch { .. }) => told += 1,
+            fleet::wire::Response::CommandResponse(_, audit::Directive::FenceOut { epoch }) => break epoch,
+            fleet::wire::Response::CommandResponse(..) if changed.is_none() => {
                 all.set(&document("rate = 0.0\nburst = 1\n"));
                 changed = Some(Instant::now());
             }
-            fleet::wire::Answer::Answered(..) => {}
+            fleet::wire::Response::CommandResponse(..) => {}
             odd => panic!("{odd:?}"),
         }
         // A router's pace, as good as.
--- a/tests/one_fleet.rs
+++ b/tests/one_fleet.rs
@@ -291,7 +291,7 @@
     (10..18).for_each(|rate| _ = version(all.set(&document(4, rate.into(), 9, ""), &[])));
     assert_eq!(all.show()["before"].as_array().unwrap().len(), 7);
     let store = store::client::Client::new(store::client::Settings::new(all.clients.clone(), 1));
-    assert_eq!(store.list("fleet/parts/", store::wire::How::Linearizable).unwrap().found.len(), 8);
+    assert_eq!(store.list("fleet/parts/", store::wire::Consistency::Linearizable).unwrap().value.len(), 8);
 }
 
 #[test]
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -7,9 +7,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
-use store::Refused;
-use store::client::{Client, ClientError, Seen, Settings, With};
-use store::wire::How;
+use store::Rejection;
+use store::client::{Client, ClientError, WatchEvent, Settings, UpdateOptions};
+use store::wire::Consistency;
 
 struct Cluster {
     folder: Folder,
@@ -50,7 +50,7 @@
     /// A client that asks these nodes, in this order.
     fn client(&self, nodes: &[usize]) -> Client {
         let addrs = nodes.iter().map(|i| self.clients[*i]).collect();
-        Client::new(Settings { patience: LONG, ..Settings::new(addrs, nodes[0] as u64) })
+        Client::new(Settings { call_timeout: LONG, ..Settings::new(addrs, nodes[0] as u64) })
     }
 
     /// The leader, and the others.
@@ -170,7 +170,7 @@
             scope.spawn(move || {
                 let write = |n| {
                     // The version that is expected lets each be made once and no more.
-                    let with = With { expected: Some(n), ..With::default() };
+                    let with = UpdateOptions { expected_version: Some(n), ..UpdateOptions::default() };
                     let changed = client.put(&format!("c/{i:02}"), &n.to_string(), with).unwrap();
                     made.fetch_add(1, Ordering::Relaxed);
                     (changed.revision, (format!("c/{i:02}"), changed.version))
@@ -183,7 +183,7 @@
             scope.spawn(move || {
                 let (mut from, mut had, mut changes) = (0, 0, Vec::new());
                 while had + changes.len() < all {
-                    match watch.seen.recv_timeout(LONG).expect("news") {
+                    match watch.events.recv_timeout(LONG).expect("news") {
                         Seen::All { place, compacted, keys } => {
                             assert!(!compacted && changes.is_empty());
                             from = place.revision;
@@ -214,13 +214,13 @@
         assert_eq!(changes, expected);
     }
     let versions = |client: &Client, how| -> Vec<u64> {
-        client.list("c/", how).unwrap().found.iter().map(|(_, v)| v.version).collect()
+        client.list("c/", how).unwrap().value.iter().map(|(_, v)| v.version).collect()
     };
-    assert_eq!(versions(&cluster.client(&others), How::Linearizable), [WRITES; CLIENTS]);
+    assert_eq!(versions(&cluster.client(&others), Consistency::Linearizable), [WRITES; CLIENTS]);
     // The one that was killed comes back with all of it.
     cluster.start(leader);
-    assert_eq!(versions(&cluster.client(&[leader]), How::Linearizable), [WRITES; CLIENTS]);
-    assert_eq!(versions(&cluster.client(&[leader]), How::Local), [WRITES; CLIENTS]);
+    assert_eq!(versions(&cluster.client(&[leader]), Consistency::Linearizable), [WRITES; CLIENTS]);
+    assert_eq!(versions(&cluster.client(&[leader]), Consistency::Local), [WRITES; CLIENTS]);
 }
 
 #[test]
@@ -229,29 +229,29 @@
     let (leader, others) = cluster.leader();
     let ttl = Duration::from_millis(800);
     let old = cluster.client(&[leader]);
-    old.put("a", "1", With::default()).unwrap();
+    old.put("a", "1", UpdateOptions::default()).unwrap();
     let lease = old.grant("shard", ttl).unwrap();
-    let on = With { fence: Some(lease.fence.clone()), lease: Some(lease.fence.epoch), ..With::default() };
+    let on = UpdateOptions { session_commit: Some(lease.token.clone()), lease_epoch: Some(lease.token.epoch), ..UpdateOptions::default() };
     old.put("owner", "old", on.clone()).unwrap();
     let addrs = vec![cluster.clients[leader]];
-    let asked = Client::new(Settings { attempt: LONG, patience: LONG, ..Settings::new(addrs, 9) });
-    asked.get("a", How::Linearizable).unwrap();
+    let asked = Client::new(Settings { attempt_timeout: LONG, call_timeout: LONG, ..Settings::new(addrs, 9) });
+    asked.get("a", Consistency::Linearizable).unwrap();
     let stopped = &cluster.nodes[leader].as_ref().unwrap().0;
     stopped.signal(Signal::SIGSTOP);
     let new = cluster.client(&others);
-    new.put("a", "2", With::default()).unwrap();
+    new.put("a", "2", UpdateOptions::default()).unwrap();
     // Asked of the stopped leader, and answered when it still takes itself for one.
-    let reads = std::thread::spawn(move || asked.get("a", How::Linearizable).unwrap());
+    let reads = std::thread::spawn(move || asked.get("a", Consistency::Linearizable).unwrap());
     let taken = loop {
         match new.grant("shard", ttl) {
             Ok(taken) => break taken,
-            Err(e) => assert!(matches!(e, ClientError::Refused(Refused::Held(_))), "{e}"),
+            Err(e) => assert!(matches!(e, ClientError::Rejected(Rejected::Held(_))), "{e}"),
         }
     };
-    assert!(!lease.held(Instant::now()));
+    assert!(!lease.is_valid(Instant::now()));
     stopped.signal(Signal::SIGCONT);
-    assert_eq!(reads.join().unwrap().found.unwrap().text, "2");
+    assert_eq!(reads.join().unwrap().value.unwrap().text, "2");
     let refused = old.put("owner", "old", on);
-    assert!(matches!(refused, Err(ClientError::Refused(Refused::Fenced(e))) if e == taken.fence.epoch));
-    assert_eq!(old.get("owner", How::Linearizable).unwrap().found, None);
+    assert!(matches!(refused, Err(ClientError::Rejected(Rejected::Fenced(e))) if e == taken.token.epoch));
+    assert_eq!(old.get("owner", Consistency::Linearizable).unwrap().value, None);
 }
