--- a/store/src/client/session.rs
+++ b/store/src/client/session.rs
@@ -18,10 +18,17 @@
 /// The response to a call.
 struct CallResponse<T> {
     value: T,
-    /// The request was not executed before this time: the start of the first attempt that may have executed it.
-    not_before: Instant,
-    /// Whether an earlier attempt than the one that got the response may have executed the request.
-    earlier_attempt_may_have_executed: bool,
+    /// The start of the attempt that got the response.
+    attempt_started: Instant,
+    /// The start of the first earlier attempt that may have executed the request.
+    may_have_executed_since: Option<Instant>,
+}
+
+impl<T> CallResponse<T> {
+    /// The request was not executed before this time.
+    fn not_before(&self) -> Instant {
+        self.may_have_executed_since.unwrap_or(self.attempt_started)
+    }
 }
 
 /// A call without a response.
@@ -69,13 +76,7 @@
             let attempt_started = Instant::now();
             let attempt = self.connection.send(request).and_then(|()| receive(&self.connection));
             let error = match attempt {
-                Ok(value) => {
-                    return Ok(CallResponse {
-                        value,
-                        not_before: may_have_executed_since.unwrap_or(attempt_started),
-                        earlier_attempt_may_have_executed: may_have_executed_since.is_some(),
-                    });
-                }
+                Ok(value) => return Ok(CallResponse { value, attempt_started, may_have_executed_since }),
                 Err(AttemptError::Rejected(rejection)) if !is_retryable(&rejection) => {
                     let may_have_executed = may_have_executed_since.is_some();
                     return Err(CallFailure { error: rejection.into(), may_have_executed });
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Prepares for the next attempt, and returns why this one failed. A reused connection that breaks says nothing of
-    /// its node, which is tried again.
+    /// Prepares for the next attempt, and returns why this one failed. A reused connection that breaks does
+    /// not count against its node, which is tried again.
     fn leave_failed_node(&mut self, error: AttemptError, reused: bool) -> String {
         match error {
             AttemptError::NoResponse(reason) if reused => {
@@ -147,15 +148,15 @@
             self.last_origin = Some(origin);
             let request = Request::Write { origin, operation: operation.clone() };
             let call = self.call(&request, receive_written).map_err(write_error)?;
+            let not_before = call.not_before();
             let WriteResponse { response, term } = call.value;
             match response.result {
                 Ok(effect) => {
-                    let not_before = call.not_before;
                     return Ok(Written { effect, revision: response.revision, term, not_before });
                 }
                 Err(Rejection::UnknownClient) => {
                     self.last_origin = None;
-                    if call.earlier_attempt_may_have_executed {
+                    if call.may_have_executed_since.is_some() {
                         return Err(ClientError::Unconfirmed(Rejection::UnknownClient.to_string()));
                     }
                     // Unknown at its first attempt: it has not been applied.
--- a/store/src/command.rs
+++ b/store/src/command.rs
@@ -55,7 +55,7 @@
 /// A command of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Gives a new store its id, so that its revisions are not taken for another store's.
+    /// Gives a new store its id, so that its revisions are not mistaken for those of another one.
     Initialize {
         /// The id, not 0.
         store_id: u64,
--- a/store/src/machine/clients.rs
+++ b/store/src/machine/clients.rs
@@ -9,7 +9,7 @@
 struct ClientRecord {
     /// The sequence number of its last write, 0 before its first.
     last_sequence: u64,
-    /// The log index of its last command: whoever has been silent for longest is evicted first.
+    /// The log index of its last command: the client that has been silent for longest is evicted first.
     last_active_index: u64,
     last_response: Option<CommandResponse>,
 }
--- a/store/src/node/actor.rs
+++ b/store/src/node/actor.rs
@@ -46,7 +46,7 @@
     pub(super) on_change: Box<dyn Fn(&State) + Send>,
     settings: Settings,
     next_request: u64,
-    /// The term in which this node, as its leader, has proposed what a new store begins with.
+    /// The term in which this node, as its leader, has proposed the id and the seeds of a new store.
     seeded_term: u64,
     /// The term that this node leads, and counts leases in.
     counting_term: Option<u64>,
@@ -71,7 +71,7 @@
             lease_timers: LeaseTimers::default(),
             on_change,
             settings,
-            // Ids of requests from before a restart may still come back: they must not be taken for new ones.
+            // Ids of requests from before a restart may still come back: they must not be mistaken for new ones.
             next_request: fastrand::u64(..1 << 63),
             seeded_term: 0,
             counting_term: None,
@@ -196,7 +196,7 @@
         self.propose_internal(&Command::Write { origin: None, operation });
     }
 
-    /// Proposes a command whose response nobody awaits; where it is lost, whoever leads then proposes it again.
+    /// Proposes a command whose response nobody awaits; where it is lost, the next leader proposes it again.
     fn propose_internal(&mut self, command: &Command) {
         if let Some(bytes) = command.encode() {
             _ = self.raft.propose(vec![], bytes);
--- a/store/src/node/reads.rs
+++ b/store/src/node/reads.rs
@@ -64,7 +64,7 @@
     }
 
     /// Notes that a request is sent while this node leads a term, or follows. A request that a follower sends is
-    /// answered by whoever leads: it proves nothing of this node.
+    /// answered by the leader, whichever node that is: it proves nothing of this node.
     pub(super) fn start_request(&mut self, id: Vec<u8>, leading_term: Option<u64>) {
         self.request = Some(ReadIndexRequest { id, sent: Instant::now(), leading_term });
         self.requested = std::mem::take(&mut self.waiting);
--- a/store/src/node/ready.rs
+++ b/store/src/node/ready.rs
@@ -86,7 +86,7 @@
         let state = machine.state().clone();
         let shared = &self.storage.shared;
         *shared.machine() = machine;
-        // After the keys: whoever finds the changes compacted must find the keys that replace them.
+        // After the keys: a watch that finds the changes compacted must find the keys that replace them.
         shared.change_log().reset(state.revision);
         shared.changed.notify_all();
         (self.on_change)(&state);
