--- /dev/null
+++ b/quotas/tests/recorded_distribution.rs
@@ -0,0 +1,76 @@
+//! Simulated fleets whose demand moves without faults: who admits which request when, compared with what an earlier build
+//! recorded. Demand is sparse, at one router, or spread, for longer than a run of `recorded_run.rs` lasts.
+mod recording;
+mod simulation;
+use decision::Micros;
+use quotas::Settings;
+use rand::rngs::SmallRng;
+use rand::{RngExt, SeedableRng};
+use recording::{assert_recorded, fnv};
+use settings::fleet::OnLoss;
+use simulation::{Fault, Simulation, fleet, quota};
+use std::fmt::Write;
+
+const RECORDED: &str = include_str!("fixtures/recorded_distribution.txt");
+const SECOND: Micros = 1_000_000;
+const SEEDS: u64 = 8;
+const ROUTERS: usize = 30;
+const TENANTS: usize = 3;
+const MOVES: i64 = 5;
+/// The time between two moves of demand, microseconds.
+const MOVE_INTERVAL: Micros = 16 * SECOND;
+
+/// A tenant's requests per second at each router, drawn anew for each move.
+fn demand(random: &mut SmallRng) -> Vec<f64> {
+    let pattern = random.random_range(0..5);
+    let busy = random.random_range(0..ROUTERS);
+    let rate = |router: usize| match pattern {
+        0 => 0.0,
+        1 => 1.0,
+        2 => 0.3,
+        3 => [0.0, 100.0][usize::from(router == busy)],
+        _ => [0.0, 4.0][usize::from(router % 3 == busy % 3)],
+    };
+    (0..ROUTERS).map(rate).collect()
+}
+
+fn simulate(seed: u64) -> Simulation {
+    let quotas = [
+        ("a".to_string(), quota(20.0, 150, OnLoss::Closed)),
+        ("b".to_string(), quota(60.0, 40, OnLoss::Closed)),
+        ("c".to_string(), quota(15.0, 12, OnLoss::Closed)),
+    ];
+    let fleet = fleet(ROUTERS as u32, &quotas);
+    let mut simulation = Simulation::new(seed, ROUTERS, fleet, Settings::default(), false);
+    let mut random = SmallRng::seed_from_u64(seed);
+    for begin in (0..MOVES).map(|i| 1 + i * MOVE_INTERVAL) {
+        for tenant in 0..TENANTS {
+            for (router, rate) in demand(&mut random).into_iter().enumerate() {
+                simulation.schedule(begin, Fault::SetDemand { router, tenant, rate });
+            }
+        }
+    }
+    simulation.run_until(MOVES * MOVE_INTERVAL);
+    simulation
+}
+
+/// The number of requests admitted and shed, and a hash of each admission's tenant, time and router.
+fn line(seed: u64, simulation: &Simulation) -> String {
+    let mut admissions = String::new();
+    for (tenant, requests) in simulation.history.iter().enumerate() {
+        for request in requests {
+            writeln!(admissions, "{tenant} {} {}", request.at, request.router).unwrap();
+        }
+    }
+    let (admitted, shed) = (admissions.lines().count(), simulation.totals.shed);
+    format!("seed {seed}: admitted={admitted} shed={shed} admissions={:016x}", fnv(admissions.as_bytes()))
+}
+
+#[test]
+fn moving_demand_is_admitted_as_recorded() {
+    let mut lines = String::new();
+    for seed in 1..=SEEDS {
+        writeln!(lines, "{}", line(seed, &simulate(seed))).unwrap();
+    }
+    assert_recorded("recorded_distribution.txt", &lines, RECORDED);
+}
--- a/quotas/tests/recorded_run.rs
+++ b/quotas/tests/recorded_run.rs
@@ -3,6 +3,7 @@
 //!
 //! A difference means that a decision, a limit or the order of random draws has changed. Where that is intended, the run
 //! written next to the test's other temporary files becomes the new fixture, and the commit says why.
+mod recording;
 use decision::Time;
 use quotas::{
     Action, Admission, Allocator, AllocatorMetrics, Event, GrantResponse, InjectedFault, QuotaClient,
@@ -10,6 +11,7 @@
 };
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
+use recording::{assert_recorded, fnv};
 use settings::fleet::{Fleet, OnLoss, Quota, Tenant};
 use std::fmt::Write;
 use std::sync::Arc;
@@ -27,13 +29,6 @@
 const EXCHANGE_INTERVAL: i64 = 200_000;
 const CONNECTION: u64 = 7;
 
-/// FNV-1a: the same on all platforms and with all compilers.
-fn fnv(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
-        (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
-    })
-}
-
 fn fleet(random: &mut SmallRng) -> Arc<Fleet> {
     let quota = |rate: f64, burst: u32, on_loss: OnLoss| Some(Quota { rate, burst, on_loss });
     let quotas = [
@@ -160,22 +155,17 @@
         self.event(Event::Report { connection: CONNECTION, report })
     }
 
+    /// Draws what goes wrong or changes in this turn. The order of the draws is part of the recorded runs.
     fn faults(&mut self) {
         let i = self.random.random_range(0..ROUTERS);
         if self.random.random_bool(0.003) {
             self.elect();
         }
         if self.random.random_bool(0.004) {
-            let fleet = fleet(&mut self.random);
-            self.versions.push(fleet);
-            self.configure();
-            writeln!(self.lines, "{} configured version={}", self.now, self.versions.len()).unwrap();
+            self.change_fleet();
         }
         if self.random.random_bool(0.03) {
-            let tenant = self.random.random_range(0..TENANTS.len());
-            let rate = [0.0, 0.0, 1.0, 8.0, 40.0, 150.0][self.random.random_range(0..6)];
-            self.routers[i].demand[tenant] = rate;
-            writeln!(self.lines, "{} demand router={i} tenant={tenant} rate={rate}", self.now).unwrap();
+            self.change_demand(i);
         }
         if self.random.random_bool(0.003) {
             self.event(Event::RouterLeft { router: format!("r{i}") });
@@ -184,21 +174,43 @@
         if self.random.random_bool(0.02) {
             self.event(Event::Tick);
         }
-        let leaves = self.random.random_bool(0.002);
-        if leaves {
-            let at = self.routers[i].clock(self.now);
-            let report = self.routers[i].client.release_all(at);
-            self.exchanged(i, &report, None);
-            self.respond(report);
+        let releases = self.random.random_bool(0.002);
+        if releases {
+            self.release_all(i);
         }
-        if leaves || self.random.random_bool(0.002) {
-            let demand = self.routers[i].demand;
-            let incarnation = self.routers[i].incarnation + 1;
-            self.routers[i] = Router { demand, ..self.start_router(i, incarnation) };
-            writeln!(self.lines, "{} restarted router={i}", self.now).unwrap();
+        if releases || self.random.random_bool(0.002) {
+            self.restart(i);
         }
     }
 
+    fn change_fleet(&mut self) {
+        let fleet = fleet(&mut self.random);
+        self.versions.push(fleet);
+        self.configure();
+        writeln!(self.lines, "{} configured version={}", self.now, self.versions.len()).unwrap();
+    }
+
+    fn change_demand(&mut self, i: usize) {
+        let tenant = self.random.random_range(0..TENANTS.len());
+        let rate = [0.0, 0.0, 1.0, 8.0, 40.0, 150.0][self.random.random_range(0..6)];
+        self.routers[i].demand[tenant] = rate;
+        writeln!(self.lines, "{} demand router={i} tenant={tenant} rate={rate}", self.now).unwrap();
+    }
+
+    fn release_all(&mut self, i: usize) {
+        let at = self.routers[i].clock(self.now);
+        let report = self.routers[i].client.release_all(at);
+        self.exchanged(i, &report, None);
+        self.respond(report);
+    }
+
+    fn restart(&mut self, i: usize) {
+        let demand = self.routers[i].demand;
+        let incarnation = self.routers[i].incarnation + 1;
+        self.routers[i] = Router { demand, ..self.start_router(i, incarnation) };
+        writeln!(self.lines, "{} restarted router={i}", self.now).unwrap();
+    }
+
     fn requests(&mut self, i: usize) {
         for (tenant, name) in TENANTS.iter().enumerate() {
             let expected = self.routers[i].demand[tenant] * TURN as f64 / 1e6;
@@ -346,18 +358,9 @@
     run.end()
 }
 
-/// Leaves what was run beside the test's temporary files, and compares it line by line.
-fn assert_same(name: &str, actual: &str, recorded: &str) {
-    std::fs::write(std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name), actual).unwrap();
-    for (n, (actual, recorded)) in actual.lines().zip(recorded.lines()).enumerate() {
-        assert_eq!(actual, recorded, "{name}, line {}", n + 1);
-    }
-    assert_eq!(actual.lines().count(), recorded.lines().count(), "{name}: number of lines");
-}
-
 #[test]
 fn run_of_one_seed_is_the_recorded_one() {
-    assert_same("recorded_run.txt", &run(1, InjectedFault::None), FULL_RUN);
+    assert_recorded("recorded_run.txt", &run(1, InjectedFault::None), FULL_RUN);
 }
 
 #[test]
@@ -380,5 +383,5 @@
                 .unwrap();
         }
     }
-    assert_same("recorded_run_hashes.txt", &lines, RUN_HASHES);
+    assert_recorded("recorded_run_hashes.txt", &lines, RUN_HASHES);
 }
