--- a/quotas/src/allocator/allocation.rs
+++ b/quotas/src/allocator/allocation.rs
@@ -170,6 +170,11 @@
         self.drop_demand(position);
     }
 
+    /// The router still holds a grant by demand, by its own full report.
+    pub(super) fn restore_grant(&mut self, position: usize, grant: Grant) {
+        self.parts[position].held = Holding::ByDemand(grant);
+    }
+
     /// Makes room for a further router.
     pub(super) fn add_position(&mut self) {
         self.parts.push(RouterPart::default());
--- a/quotas/src/allocator/change.rs
+++ b/quotas/src/allocator/change.rs
@@ -16,7 +16,11 @@
         let room = self.room(position, certain, target, context);
         let grant = target.min(room);
         let next = if grant == reserved { Holding::Reserved } else { Holding::ByDemand(grant) };
-        if is_left_as_it_is(held, next, target, room, reserved, context) {
+        let is_unchanged = next == held || stays_reserved(held, target, reserved, context);
+        // A reserved share that becomes full is not left alone where it would rise above the room there is.
+        let would_exceed_room =
+            held == Holding::Reserved && context.share.becomes_full() && !reserved.fits_within(room);
+        if is_unchanged && !would_exceed_room {
             return None;
         }
         self.parts[position].sent = Some(next);
@@ -77,21 +81,10 @@
     if is_certain { context.shares.reserved(context.share.before) } else { Grant::NONE }
 }
 
-/// Whether a response may say nothing of the tenant: nothing is gained by a change, and the reserved share itself would
-/// not rise above the room there is.
-fn is_left_as_it_is(
-    held: Holding,
-    next: Holding,
-    target: Grant,
-    room: Grant,
-    reserved: Grant,
-    context: &ResponseContext<'_>,
-) -> bool {
-    let by_reserved = held == Holding::Reserved;
-    let reserved_suffices =
-        by_reserved && !context.share.becomes_full() && !context.may_raise && reserved.fits_within(target);
-    let same = next == held || reserved_suffices;
-    same && (!by_reserved || !context.share.becomes_full() || reserved.fits_within(room))
+/// Whether the router may keep a reserved share that can't be raised yet: it is no more than the target.
+fn stays_reserved(held: Holding, target: Grant, reserved: Grant, context: &ResponseContext<'_>) -> bool {
+    let cannot_rise = !context.share.becomes_full() && !context.may_raise;
+    held == Holding::Reserved && cannot_rise && reserved.fits_within(target)
 }
 
 fn skip_small_raise(held: u64, target: u64) -> u64 {
--- a/quotas/src/allocator/report.rs
+++ b/quotas/src/allocator/report.rs
@@ -1,6 +1,6 @@
 //! The allocator's side of an exchange.
 use super::Allocator;
-use super::allocation::{DemandAllocation, Holding, ResponseContext};
+use super::allocation::{DemandAllocation, ResponseContext};
 use super::router::{RouterRecord, ShareAssignment, ShareChange};
 use crate::messages::{
     GrantChange, GrantResponse, HeldGrants, Report, ReservedShare, ResponseBody, TenantDemand,
@@ -32,6 +32,7 @@
         Some(GrantResponse { term: self.term, incarnation, seq, version: self.version, body })
     }
 
+    /// Whether this node leads and the report is valid, and of no later term or version than this node knows.
     fn accepts(&self, report: &Report) -> bool {
         let leads = self.term > 0;
         leads && report.check().is_ok() && report.term <= self.term && report.version <= self.version
@@ -51,6 +52,7 @@
         is_next.then_some(Sender::Known(position))
     }
 
+    /// What the response to an accepted report does.
     fn respond(&mut self, now: Time, sender: Sender, report: Report) -> ResponseBody {
         if self.version == 0 {
             return ResponseBody::NotRenewed;
@@ -72,11 +74,13 @@
         self.renew(now, sender, report)
     }
 
+    /// Whether a report of changes alone can be understood: it follows the response that was last applied.
     fn knows_what_is_held(&self, sender: Sender, report: &Report) -> bool {
         let Sender::Known(position) = sender else { return false };
         self.routers[position].as_ref().is_some_and(|router| router.known && router.seq == report.applied_seq)
     }
 
+    /// Renews what the sender holds, plans all allocations by demand and decides what changes for the sender.
     fn renew(&mut self, now: Time, sender: Sender, report: Report) -> ResponseBody {
         let in_quiet_period = now < self.quiet_until;
         let (position, has_record) = match sender {
@@ -158,7 +162,7 @@
         router.acknowledged = ShareAssignment { share: held.reserved_share, version: held.version };
         for held in held.by_demand {
             if let Some(allocation) = self.allocation_of(&held.tenant) {
-                allocation.parts[position].held = Holding::ByDemand(held.grant);
+                allocation.restore_grant(position, held.grant);
             }
         }
         false
