--- a/audit/src/record.rs
+++ b/audit/src/record.rs
@@ -61,7 +61,7 @@
     /// Since when, Unix time in microseconds on the leader's clock, with the age that the router reported subtracted.
     #[serde(rename = "from")]
     pub since: i64,
-    /// What begins at that time.
+    /// What the router does from that time on.
     pub kind: EntryKind,
     /// The router's epoch.
     pub epoch: u64,
--- a/audit/src/timeline/gaps.rs
+++ b/audit/src/timeline/gaps.rs
@@ -51,7 +51,7 @@
     let mut open: Option<(i64, BTreeSet<Version>)> = None;
     for change in serving_changes(intervals) {
         let routers = serving.entry(change.version).or_default();
-        *routers = if change.begins { *routers + 1 } else { routers.saturating_sub(1) };
+        *routers = if change.starts { *routers + 1 } else { routers.saturating_sub(1) };
         serving.retain(|_, routers| *routers > 0);
         if serving.len() > 1 {
             let (_, versions) = open.get_or_insert((change.at, BTreeSet::new()));
@@ -68,12 +68,12 @@
     Gap { kind: GapKind::ConcurrentVersions(versions.into_iter().collect()), since, until }
 }
 
-/// A router begins or ends to serve by a version. Of changes at one time the ends come first: a router that goes over to
+/// A router starts or stops serving by a version. Of changes at one time the stops come first: a router that switches to
 /// the next version serves by one at a time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ServingChange {
     at: i64,
-    begins: bool,
+    starts: bool,
     version: Version,
 }
 
@@ -81,8 +81,8 @@
     let mut changes = Vec::new();
     for interval in intervals.iter().filter(|interval| interval.kind == EntryKind::Acting) {
         let version = interval.version;
-        changes.push(ServingChange { at: interval.since, begins: true, version });
-        changes.extend(interval.until.map(|at| ServingChange { at, begins: false, version }));
+        changes.push(ServingChange { at: interval.since, starts: true, version });
+        changes.extend(interval.until.map(|at| ServingChange { at, starts: false, version }));
     }
     changes.sort_unstable();
     changes
--- a/audit/src/tracker/report.rs
+++ b/audit/src/tracker/report.rs
@@ -50,7 +50,7 @@
         }
         self.note_version();
         if self.history.is_later_than_all(self.report.version) {
-            // The version is of a store that stood here before. No router takes this answer as a confirmation.
+            // The version is of another store that was here before. No router takes this answer as a confirmation.
             return self.proceed();
         }
         match self.history.lag_of(self.report.version) {
--- a/audit/src/tracker/router.rs
+++ b/audit/src/tracker/router.rs
@@ -4,7 +4,7 @@
 use decision::{Micros, Time};
 use settings::fleet::Version;
 
-/// Where a router stands.
+/// State of a router towards the current version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Phase {
     /// It serves, or may do so for all that is known.
--- a/releases/examples/fleet/report.rs
+++ b/releases/examples/fleet/report.rs
@@ -47,7 +47,7 @@
 
 fn print_ends(simulations: &[Simulation]) {
     println!(
-        "ended: done {}, undone {}, not {}",
+        "ended: completed {}, rolled back {}, not {}",
         count(simulations, |s| s.snapshot.phase == Phase::Completed),
         count(simulations, |s| s.snapshot.phase == Phase::RolledBack),
         count(simulations, |s| s.outcome.ended_at.is_none())
--- a/releases/examples/fleet/sim/checker.rs
+++ b/releases/examples/fleet/sim/checker.rs
@@ -53,11 +53,11 @@
         }
     }
 
-    /// A router is told to update only after that is committed, and only if the wave before was healthy.
+    /// A router is instructed to update only after that is committed, and only if the wave before was healthy.
     pub(super) fn check_update(&mut self, router: &str, to_target_version: bool) {
         let step = self.snapshot.routers[router].step;
         if !matches!(step, RouterStep::Updating | RouterStep::RollingBack) {
-            self.add_violation(format!("{router} is told to update before that is committed"));
+            self.add_violation(format!("{router} is instructed to update before that is committed"));
         }
         if to_target_version {
             self.check_previous_wave(router);
--- a/releases/examples/fleet/sim/nodes.rs
+++ b/releases/examples/fleet/sim/nodes.rs
@@ -48,7 +48,7 @@
 }
 
 impl Simulation {
-    /// A router is told to update.
+    /// A router is instructed to update.
     pub(super) fn update_router(&mut self, router: &str, version: Version, deadline: Micros) {
         let duration = self.rng.random_range(5 * SECOND..15 * SECOND);
         let dies = self.happens(self.scenario.update_death);
--- a/releases/src/release.rs
+++ b/releases/src/release.rs
@@ -71,7 +71,7 @@
         /// Identifies the request.
         request: RequestId,
     },
-    /// Tell a router to go out of service and come back with this version; a router that runs it already is back at once.
+    /// Instruct a router to go out of service and come back with this version; a router that runs it already is back at once.
     Update {
         /// The router.
         router: String,
@@ -112,9 +112,9 @@
 struct DriverState {
     open_request: Option<OpenRequest>,
     grant: Option<GrantId>,
-    /// When it must be back; `None` if this driver has not told it to update.
+    /// When it must be back; `None` if this driver has not instructed it.
     due_at: Option<Time>,
-    /// When it was last told to update.
+    /// When it was last instructed.
     instructed_at: Time,
     stats: RequestStats,
 }
@@ -161,7 +161,7 @@
     }
 
     /// Restores a release from the store. Routers that were out of service get their reservations again before they are
-    /// told again, and the wave is observed anew.
+    /// instructed again, and the wave is observed anew.
     ///
     /// # Errors
     /// [`FormatError`] if another version of the program wrote the snapshot in another format.
--- a/releases/src/snapshot.rs
+++ b/releases/src/snapshot.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// How far a router is.
+/// Progress of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouterStep {
     /// Not updated yet.
@@ -36,7 +36,7 @@
     /// At the target version.
     #[serde(rename = "Moved")]
     Updated,
-    /// It was told to update and is not back in time, or has had too few requests since.
+    /// It was instructed to update and is not back in time, or has had too few requests since.
     Lost,
     /// Out of service, to return to the last good version.
     #[serde(rename = "Returning")]
@@ -44,7 +44,7 @@
     /// At the last good version again.
     #[serde(rename = "Back")]
     RolledBack,
-    /// It was told to roll back and is not back in time.
+    /// It was instructed to roll back and is not back in time.
     #[serde(rename = "Left")]
     RollbackFailed,
 }
@@ -61,7 +61,7 @@
 pub struct RouterState {
     /// Its zone.
     pub zone: String,
-    /// How far it is.
+    /// Its progress.
     pub step: RouterStep,
     /// The wave that it is part of, from 1; 0 before.
     pub wave: u32,
--- a/releases/tests/releases/recorded_run.rs
+++ b/releases/tests/releases/recorded_run.rs
@@ -227,7 +227,7 @@
         Event::Granted { router, request, grant: GrantId(self.last_grant) }
     }
 
-    /// A router is back: one of those told to update, or now and then another.
+    /// A router is back: one of those instructed to update, or now and then another.
     fn updated(&mut self) -> Event {
         if self.updating.is_empty() || self.random.one_in(12) {
             let version = if self.random.one_in(2) { last_good() } else { target_version() };
