--- a/releases/tests/releases/reservations.rs
+++ b/releases/tests/releases/reservations.rs
@@ -9,7 +9,8 @@
     let mut release = Release::new(plan(&routers), settings()).unwrap();
     let mut actions = Vec::new();
     release.handle(Time(0), Event::Tick, &mut actions);
-    (release, last_request(&actions))
+    let Some(Action::Acquire { request, .. }) = actions.last() else { panic!("{actions:?}") };
+    (release, *request)
 }
 
 fn last_request(actions: &[Action]) -> RequestId {
