--- a/door/src/handler.rs
+++ b/door/src/handler.rs
@@ -1,4 +1,4 @@
-//! The interface between the server and whoever carries commands out.
+//! The interface between the server and what carries commands out.
 use crate::command::Command;
 use crate::response::Response;
 use std::panic::{AssertUnwindSafe, catch_unwind};
--- a/door/src/lib.rs
+++ b/door/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' address of a router: each connection carries one line, a [`Command`], and receives one [`Response`].
 //!
 //! Responses are due within 1 s under any load, also beside connections that never send a complete line.
-//! [`AdminServer`] owns the address; whoever carries commands out implements [`AdminHandler`]. A router's handler is
+//! [`AdminServer`] owns the address; a type that carries commands out implements [`AdminHandler`]. A router's handler is
 //! [`AdminService`].
 //!
 //! One thread serves all connections, on non-blocking sockets, so that hundreds of them cost no threads. `mio` tells it
--- a/door/src/service/coordinator.rs
+++ b/door/src/service/coordinator.rs
@@ -1,5 +1,5 @@
 //! Keeps three things in agreement: the state machine, the state that the processes of this router share, and what the
-//! other parts of this process have been told.
+//! other parts of this process have been notified of.
 use super::ServiceDependencies;
 use super::shared_folder::SharedFolder;
 use crate::response::Response;
@@ -20,7 +20,7 @@
     event: Event,
 }
 
-/// What the other parts of this process were told last.
+/// What the other parts of this process were notified of last.
 #[derive(Default)]
 struct Notified {
     mask: MaintenanceMask,
--- a/door/tests/common/router.rs
+++ b/door/tests/common/router.rs
@@ -44,17 +44,17 @@
 /// What a command made the router do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Effect {
-    /// The front was told to answer as draining, or no longer.
+    /// The front was set to answer as draining, or no longer.
     Drain(bool),
     /// The clients were ordered to drain, or no longer.
     DrainOrder(bool),
-    /// The clients were told how many processes this router has.
+    /// The clients were notified how many processes this router has.
     Processes { count: usize, successor: bool },
-    /// The core was told the same.
+    /// The core was notified of the same.
     CoreProcesses(u32),
     /// The core was shown this endpoint in another state.
     Endpoint { id: String, draining: bool },
-    /// The core was told which groups have all their endpoints in maintenance.
+    /// The core was notified which groups have all their endpoints in maintenance.
     ClosedGroups(Vec<u32>),
 }
 
@@ -65,7 +65,7 @@
     accepting: Arc<AtomicBool>,
     core: Receiver<Message<NoWire>>,
     orders: Receiver<Order>,
-    calls: Receiver<Effect>,
+    callbacks: Receiver<Effect>,
 }
 
 fn limits() -> Limits {
@@ -104,21 +104,21 @@
         let (to_core, core) = unbounded();
         let list = routing::list::start::<NoWire>(&limits, to_core, Some(figures.clone())).unwrap();
         let (to_clients, orders) = bounded(64);
-        let (to_calls, calls): (Sender<Effect>, _) = unbounded();
+        let (to_callbacks, callbacks): (Sender<Effect>, _) = unbounded();
         let accepting = Arc::new(AtomicBool::new(false));
-        let drain_calls = to_calls.clone();
+        let drain_callbacks = to_callbacks.clone();
         let dependencies = ServiceDependencies {
             metrics: figures,
             endpoints: list.clone(),
             client_orders: to_clients,
-            set_draining: Box::new(move |draining| _ = drain_calls.send(Effect::Drain(draining))),
+            set_draining: Box::new(move |draining| _ = drain_callbacks.send(Effect::Drain(draining))),
             accepting: accepting.clone(),
-            set_process_count: Box::new(move |count| _ = to_calls.send(Effect::CoreProcesses(count))),
+            set_process_count: Box::new(move |count| _ = to_callbacks.send(Effect::CoreProcesses(count))),
             clock: Clock::new(),
             limits: Arc::new(limits),
         };
         let service = Arc::new(AdminService::open(dependencies, Some(&folder)));
-        TestRouter { service, folder, list, accepting, core, orders, calls }
+        TestRouter { service, folder, list, accepting, core, orders, callbacks }
     }
 
     /// The folder that this router's processes share.
@@ -143,10 +143,10 @@
         _ = self.core.try_iter().count();
     }
 
-    /// What the service has done since the last call, each kind in its order.
+    /// What the service has done since this was last asked, each kind in its order.
     pub(crate) fn effects(&self) -> Vec<Effect> {
         assert!(self.list.taken(LONG));
-        let mut effects: Vec<Effect> = self.calls.try_iter().collect();
+        let mut effects: Vec<Effect> = self.callbacks.try_iter().collect();
         effects.extend(self.orders.try_iter().filter_map(|order| match order {
             Order::Drain(draining) => Some(Effect::DrainOrder(draining)),
             Order::Sharing { processes, successor } => {
--- a/holds/src/presence.rs
+++ b/holds/src/presence.rs
@@ -77,7 +77,7 @@
             .map_err(SharedFolderError::io(FileOperation::Create, &temporary))?;
         file.try_lock().map_err(|e| SharedFolderError::io(FileOperation::Lock, &temporary)(e.into()))?;
         file.write_all_at(NOT_READY, 0).map_err(SharedFolderError::io(FileOperation::Write, &temporary))?;
-        // Unlike a rename, this fails if the name is taken.
+        // Unlike a rename, this fails if the name is in use.
         std::fs::hard_link(&temporary, &path).map_err(SharedFolderError::io(FileOperation::Link, &path))?;
         std::fs::remove_file(&temporary).map_err(SharedFolderError::io(FileOperation::Remove, &temporary))?;
         Ok(ProcessPresence { folder: folder.to_path_buf(), file_name: file_name.into(), path, file })
@@ -132,7 +132,7 @@
         let mut file = File::open(entry.path()).ok()?;
         match file.try_lock_shared() {
             Ok(()) => {
-                // If this fails the file is gone already, or the next call tries again.
+                // If this fails the file is gone already, or the next count tries again.
                 let _ = std::fs::remove_file(entry.path());
                 None
             }
--- a/holds/tests/presence.rs
+++ b/holds/tests/presence.rs
@@ -61,7 +61,7 @@
 /// Not a test by itself: the process that the next test kills.
 #[test]
 fn child_process() {
-    let Some(folder) = std::env::var_os("HOLDS_CHILD_FOLDER") else { return };
+    let Some(folder) = std::env::var_os("MAINTENANCE_CHILD_FOLDER") else { return };
     let file = StateFile::open(Path::new(&folder)).unwrap();
     let _locked = file.lock().unwrap();
     let mut presence = ProcessPresence::register(Path::new(&folder), std::process::id()).unwrap();
@@ -78,7 +78,7 @@
     // If this test fails, the end of its input ends the child.
     let mut child = Command::new(std::env::current_exe().unwrap())
         .args(["child_process", "--exact", "--nocapture"])
-        .env("HOLDS_CHILD_FOLDER", folder.path())
+        .env("MAINTENANCE_CHILD_FOLDER", folder.path())
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
--- a/holds/tests/two_processes.rs
+++ b/holds/tests/two_processes.rs
@@ -8,7 +8,7 @@
 
 type Response = Result<(), MaintenanceError>;
 
-/// One process: its machine, and what its endpoint list and its clients were told last.
+/// One process: its machine, and what its endpoint list and its clients were notified of last.
 struct Process {
     machine: Machine,
     mask: MaintenanceMask,
