--- a/door/tests/common/router.rs
+++ b/door/tests/common/router.rs
@@ -4,8 +4,10 @@
 use clients::Order;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use door::{AdminService, ServiceDependencies};
+use routing::messages::Message;
+use routing::wire::Unsent;
 use routing::{
-    Clock, Endpoint, Metrics, NotSent, RouterMessage, GroupId, Connection, EndpointsHandle, EndpointUpdate, MemberState, Outcome, ExchangeResult, AttemptGuard, BackendProtocol, Exchange,
+    Clock, Entry, Figures, GroupId, Link, ListHandle, ListNews, MemberState, Outcome, Reply, Stop, Wire, Work,
 };
 use settings::Limits;
 use std::net::{SocketAddr, TcpStream};
@@ -18,52 +20,52 @@
 struct NoWire;
 struct NoLink(Arc<TcpStream>);
 
-impl BackendProtocol for NoWire {
+impl Wire for NoWire {
     type Payload = ();
-    type Response = ();
-    type Connection = NoLink;
-    fn connect(&self, _: SocketAddr) -> Result<NoLink, Outcome> {
+    type Answer = ();
+    type Link = NoLink;
+    fn open(&self, _: SocketAddr) -> Result<NoLink, Outcome> {
         unreachable!("no instance is asked")
     }
 }
 
-impl Connection<NoWire> for NoLink {
+impl Link<NoWire> for NoLink {
     fn socket(&self) -> Arc<TcpStream> {
         self.0.clone()
     }
-    fn is_usable(&mut self, _: Duration) -> bool {
+    fn alive(&mut self, _: Duration) -> bool {
         false
     }
-    fn execute(&mut self, _: Exchange<'_, NoWire>, _: &AttemptGuard) -> Result<ExchangeResult<()>, NotSent> {
-        Err(NotSent::ConnectionBroken)
+    fn carry(&mut self, _: Work<'_, NoWire>, _: &Stop) -> Result<Reply<()>, Unsent> {
+        Err(Unsent::Broken)
     }
 }
 
 /// What a command made the router do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Effect {
-    /// The front was told to answer as draining, or no longer.
+    /// The front was set to answer as draining, or no longer.
     Drain(bool),
     /// The clients were ordered to drain, or no longer.
     DrainOrder(bool),
-    /// The clients were told how many processes this router has.
+    /// The clients were notified how many processes this router has.
     Processes { count: usize, successor: bool },
-    /// The core was told the same.
+    /// The core was notified of the same.
     CoreProcesses(u32),
     /// The core was shown this endpoint in another state.
     Endpoint { id: String, draining: bool },
-    /// The core was told which groups have all their endpoints in maintenance.
+    /// The core was notified which groups have all their endpoints in maintenance.
     ClosedGroups(Vec<u32>),
 }
 
 pub(crate) struct TestRouter {
     pub(crate) service: Arc<AdminService>,
     folder: PathBuf,
-    list: EndpointsHandle,
+    list: ListHandle,
     accepting: Arc<AtomicBool>,
-    core: Receiver<RouterMessage<NoWire>>,
+    core: Receiver<Message<NoWire>>,
     orders: Receiver<Order>,
-    calls: Receiver<Effect>,
+    callbacks: Receiver<Effect>,
 }
 
 fn limits() -> Limits {
@@ -72,17 +74,17 @@
     limits
 }
 
-fn endpoint(id: &str) -> Endpoint {
-    Endpoint {
+fn endpoint(id: &str) -> Entry {
+    Entry {
         id: id.into(),
         addr: SocketAddr::from(([127, 0, 0, 1], 9)),
         group: GroupId(1),
         zone: 0,
         site: None,
         state: MemberState::Ready,
-        listed_primary: false,
+        primary: false,
         weight: 1.0,
-        started_at: None,
+        started: None,
     }
 }
 
@@ -98,25 +100,25 @@
     /// A router whose processes share this folder.
     pub(crate) fn start_in(folder: PathBuf) -> TestRouter {
         let limits = limits();
-        let figures = Metrics::new(&["order".to_string()]).unwrap();
+        let figures = Figures::new(&["order".to_string()]).unwrap();
         let (to_core, core) = unbounded();
-        let list = routing::endpoints::start::<NoWire>(&limits, to_core, Some(figures.clone())).unwrap();
+        let list = routing::list::start::<NoWire>(&limits, to_core, Some(figures.clone())).unwrap();
         let (to_clients, orders) = bounded(64);
-        let (to_calls, calls): (Sender<Effect>, _) = unbounded();
+        let (to_callbacks, callbacks): (Sender<Effect>, _) = unbounded();
         let accepting = Arc::new(AtomicBool::new(false));
-        let drain_calls = to_calls.clone();
+        let drain_callbacks = to_callbacks.clone();
         let dependencies = ServiceDependencies {
             metrics: figures,
             endpoints: list.clone(),
             client_orders: to_clients,
-            set_draining: Box::new(move |draining| _ = drain_calls.send(Effect::Drain(draining))),
+            set_draining: Box::new(move |draining| _ = drain_callbacks.send(Effect::Drain(draining))),
             accepting: accepting.clone(),
-            set_process_count: Box::new(move |count| _ = to_calls.send(Effect::CoreProcesses(count))),
+            set_process_count: Box::new(move |count| _ = to_callbacks.send(Effect::CoreProcesses(count))),
             clock: Clock::new(),
             limits: Arc::new(limits),
         };
         let service = Arc::new(AdminService::open(dependencies, Some(&folder)));
-        TestRouter { service, folder, list, accepting, core, orders, calls }
+        TestRouter { service, folder, list, accepting, core, orders, callbacks }
     }
 
     /// The folder that this router's processes share.
@@ -136,15 +138,15 @@
     /// Replaces the endpoint list; it binds when this returns.
     pub(crate) fn list_endpoints(&self, ids: &[&str]) {
         let entries = ids.iter().map(|id| endpoint(id)).collect();
-        self.list.notify(EndpointUpdate { version: 1, complete: true, endpoints: entries });
-        assert!(self.list.wait_until_applied(LONG));
+        self.list.tell(ListNews { version: 1, complete: true, entries });
+        assert!(self.list.taken(LONG));
         _ = self.core.try_iter().count();
     }
 
-    /// What the service has done since the last call, each kind in its order.
+    /// What the service has done since this was last asked, each kind in its order.
     pub(crate) fn effects(&self) -> Vec<Effect> {
-        assert!(self.list.wait_until_applied(LONG));
-        let mut effects: Vec<Effect> = self.calls.try_iter().collect();
+        assert!(self.list.taken(LONG));
+        let mut effects: Vec<Effect> = self.callbacks.try_iter().collect();
         effects.extend(self.orders.try_iter().filter_map(|order| match order {
             Order::Drain(draining) => Some(Effect::DrainOrder(draining)),
             Order::Sharing { processes, successor } => {
@@ -154,10 +156,10 @@
         }));
         for message in self.core.try_iter() {
             match message {
-                RouterMessage::UnavailableGroups(groups) => {
+                Message::Shut(groups) => {
                     effects.push(Effect::ClosedGroups(groups.iter().map(|group| group.0).collect()));
                 }
-                RouterMessage::Endpoints(news) => effects.extend(news.endpoints.iter().map(|entry| Effect::Endpoint {
+                Message::List(news) => effects.extend(news.entries.iter().map(|entry| Effect::Endpoint {
                     id: entry.id.clone(),
                     draining: entry.state == MemberState::Draining,
                 })),
--- a/mysql/tests/withdrawn.rs
+++ b/mysql/tests/withdrawn.rs
@@ -37,7 +37,7 @@
     });
     let operator = operator::read(include_str!("../../deploy/mysql.toml")).unwrap();
     let wire = Mysql::new(Arc::new(operator.mysql), Arc::new(operator.limits), Clock::new());
-    (wire.connect_to_endpoint(addr).ok().unwrap(), hears)
+    (wire.connect(addr).ok().unwrap(), hears)
 }
 
 fn execution(long: &[u8]) -> Payload {
--- a/postgres/tests/common/mod.rs
+++ b/postgres/tests/common/mod.rs
@@ -95,7 +95,7 @@
 }
 
 pub fn open(limits: &Limits, addr: SocketAddr) -> Result<PostgresLink, Outcome> {
-    Postgres::new(Arc::new(limits.clone())).connect_to_endpoint(addr)
+    Postgres::new(Arc::new(limits.clone())).connect(addr)
 }
 
 /// A link to an instance that has greeted; the script goes on from there.
--- a/postgres/tests/links.rs
+++ b/postgres/tests/links.rs
@@ -263,7 +263,7 @@
     limits.connect = Duration::from_millis(1600);
     let opening = std::thread::spawn(move || {
         let begun = Instant::now();
-        (Postgres::new(Arc::new(limits)).connect_to_endpoint(addr).err(), begun.elapsed())
+        (Postgres::new(Arc::new(limits)).connect(addr).err(), begun.elapsed())
     });
     let begun = Instant::now();
     while !waits_for(addr) {
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -84,7 +84,7 @@
         "router", "version", "members", "state", "from", "until", "epoch"
     );
     for r in &seen.intervals {
-        let kind = format!("{:?}", r.kind).to_lowercase();
+        let kind = r.kind.as_str();
         println!(
             "{:<24} {:>9} {:>9} {kind:<8} {:<23} {:<23} {:>12}",
             r.router,
@@ -151,7 +151,7 @@
             let d = found.ok_or(Error::NoDocument)?;
             if *json {
                 let before: Vec<_> =
-                    d.previous.iter().map(|(v, w)| json!({"version": v, "note": w.note})).collect();
+                    d.previous.iter().map(|p| json!({"version": p.version, "note": p.metadata.note})).collect();
                 let shown = json!({"version": d.version, "note": d.metadata.note, "text": d.text,
                     "fleet": d.fleet, "before": before});
                 println!("{shown}");
--- a/src/commands/members.rs
+++ b/src/commands/members.rs
@@ -26,7 +26,12 @@
     })?;
     let expects = table.seeds.iter().any(|s| *s != table.told.unwrap_or(members.addr()));
     let settings =
-        router_count::Settings { whole: routers, least: table.least, settle: table.rhythm * SETTLE, expects };
+        live_router_count::Settings {
+            fleet_size: routers,
+            min_count: table.least,
+            settle_time: table.rhythm * SETTLE,
+            expects_others: expects,
+        };
     let seen = members.subscribe()?;
     membership::follow_router_count(&members, settings, tell)?;
     tracing::info!("members: '{}' of '{}' hears on {}", table.name, table.cluster, members.addr());
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -151,7 +151,7 @@
         settings::fleet::read(&text, Some(classes))
             .map_err(|source| Error::Fleet { path: path.into(), source })?;
         let client = store::client::Client::new(store::client::Settings::new(member.nodes.clone(), seed));
-        ::fleet::client::start_seeding(client, text).map_err(thread)?;
+        ::fleet::document::start_seeding(client, text).map_err(thread)?;
     }
     let settings = ::fleet::client::Settings {
         member: member.clone(),
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -184,14 +184,14 @@
                 let (mut from, mut had, mut changes) = (0, 0, Vec::new());
                 while had + changes.len() < all {
                     match watch.events.recv_timeout(LONG).expect("news") {
-                        Seen::All { place, compacted, keys } => {
+                        WatchEvent::Snapshot { position, compacted, entries } => {
                             assert!(!compacted && changes.is_empty());
-                            from = place.revision;
-                            had = keys.iter().map(|(_, v)| v.version as usize).sum();
+                            from = position.revision;
+                            had = entries.iter().map(|(_, v)| v.version as usize).sum();
                         }
-                        Seen::Changes(c) => {
-                            let key = |(k, v): (String, Option<store::Value>)| (k, v.unwrap().version);
-                            changes.extend(c.keys.into_iter().map(|k| (c.revision, key(k))));
+                        WatchEvent::Changes(c) => {
+                            let key = |change: store::command::KeyChange| (change.key, change.value.unwrap().version);
+                            changes.extend(c.changes.into_iter().map(|k| (c.revision, key(k))));
                         }
                     }
                 }
@@ -231,7 +231,7 @@
     let old = cluster.client(&[leader]);
     old.put("a", "1", UpdateOptions::default()).unwrap();
     let lease = old.grant("shard", ttl).unwrap();
-    let on = UpdateOptions { session_commit: Some(lease.token.clone()), lease_epoch: Some(lease.token.epoch), ..UpdateOptions::default() };
+    let on = UpdateOptions { fencing_token: Some(lease.token.clone()), lease_epoch: Some(lease.token.epoch), ..UpdateOptions::default() };
     old.put("owner", "old", on.clone()).unwrap();
     let addrs = vec![cluster.clients[leader]];
     let asked = Client::new(Settings { attempt_timeout: LONG, call_timeout: LONG, ..Settings::new(addrs, 9) });
@@ -245,13 +245,13 @@
     let taken = loop {
         match new.grant("shard", ttl) {
             Ok(taken) => break taken,
-            Err(e) => assert!(matches!(e, ClientError::Rejected(Rejected::Held(_))), "{e}"),
+            Err(e) => assert!(matches!(e, ClientError::Rejected(Rejection::LeaseHeld { .. })), "{e}"),
         }
     };
     assert!(!lease.is_valid(Instant::now()));
     stopped.signal(Signal::SIGCONT);
     assert_eq!(reads.join().unwrap().value.unwrap().text, "2");
     let refused = old.put("owner", "old", on);
-    assert!(matches!(refused, Err(ClientError::Rejected(Rejected::Fenced(e))) if e == taken.token.epoch));
+    assert!(matches!(refused, Err(ClientError::Rejected(Rejection::Fenced { highest_epoch })) if highest_epoch == taken.token.epoch));
     assert_eq!(old.get("owner", Consistency::Linearizable).unwrap().value, None);
 }
