--- a/membership/src/change.rs
+++ b/membership/src/change.rs
@@ -1,4 +1,4 @@
-//! What subscribers are told of membership, over bounded channels.
+//! Changes of membership, and their delivery to subscribers over bounded channels.
 use crate::member::Member;
 use crossbeam_channel::{Sender, TrySendError};
 
--- a/membership/src/driver.rs
+++ b/membership/src/driver.rs
@@ -1,7 +1,7 @@
 //! The thread that drives a [`Machine`] on one UDP socket.
 use crate::change::{Change, Subscribers};
 use crate::limits::MAX_DATAGRAM_BYTES;
-use crate::machine::{Action, Counters, Event, Machine};
+use crate::machine::{Action, Counters, Event, Machine, TimerToken};
 use crate::member::Member;
 use crossbeam_channel::{Receiver, Sender, TryRecvError};
 use std::cmp::Reverse;
@@ -52,7 +52,7 @@
     published: Arc<Mutex<Published>>,
     /// The machine's times count from here.
     started_at: Instant,
-    timers: BinaryHeap<Reverse<(Duration, u64)>>,
+    timers: BinaryHeap<Reverse<(Duration, TimerToken)>>,
     subscribers: Subscribers,
     /// Set when membership has ended.
     last_change: Option<Change>,
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -25,7 +25,7 @@
 pub use error::Error;
 pub use handle::{Config, Membership};
 pub use limits::{MAX_DATAGRAM_BYTES, MAX_GENERATION, MAX_INCARNATION, MAX_NAME_BYTES};
-pub use machine::{Action, Counters, Event, Machine};
+pub use machine::{Action, Counters, Event, Machine, TimerToken};
 pub use member::Member;
 pub use router_count_thread::follow_router_count;
 pub use settings::Settings;
--- a/membership/src/machine.rs
+++ b/membership/src/machine.rs
@@ -29,7 +29,7 @@
 use std::time::Duration;
 
 pub use counters::Counters;
-pub use event::{Action, Event};
+pub use event::{Action, Event, TimerToken};
 
 /// How often the news that this router leaves is repeated.
 const LEAVE_REPEATS: u8 = 3;
--- a/membership/src/machine/datagrams.rs
+++ b/membership/src/machine/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams on their way to the core: limits, checks, and what concerns this router's own name.
+//! Datagrams before they reach the core: limits, checks, and what concerns this router's own name.
 use super::{Action, Machine, Phase};
 use crate::member::Member;
 use crate::member_record::MemberRecord;
@@ -102,7 +102,7 @@
             self.end(Action::Superseded(later), actions);
             return true;
         }
-        // A start of before under a clock that was ahead, or one not yet known to be over: the last start goes past it.
+        // An earlier start whose clock was ahead, or whose end is not known yet: the last start supersedes it.
         if self.may_rejoin(now) {
             let renewed = self.local.supersede(later.incarnation());
             self.run_core(now, actions, |core, output| core.change_identity(renewed, output));
--- a/membership/src/machine/event.rs
+++ b/membership/src/machine/event.rs
@@ -3,6 +3,10 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
+/// Identifies one timer of a machine; given in [`Action::SetTimer`] and returned in [`Event::Timer`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TimerToken(pub u64);
+
 /// What happens to a router. Times are durations since any one start that never goes back.
 #[derive(Clone, Debug)]
 pub enum Event {
@@ -19,7 +23,7 @@
         bytes: Vec<u8>,
     },
     /// The time of [`Action::SetTimer`] has passed; the token is that action's.
-    Timer(u64),
+    Timer(TimerToken),
     /// The router is to leave; [`Action::Left`] follows.
     Leave,
 }
@@ -39,7 +43,7 @@
         /// The time from now.
         after: Duration,
         /// The token to give back.
-        token: u64,
+        token: TimerToken,
     },
     /// This member is alive; never this router itself.
     Up(Member),
--- a/membership/src/machine/timers.rs
+++ b/membership/src/machine/timers.rs
@@ -1,6 +1,6 @@
 //! The machine's timers: what is due when, and what a stopped process does to them.
 use super::swim_core::CoreTimer;
-use super::{Action, Machine, Phase};
+use super::{Action, Machine, Phase, TimerToken};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -21,13 +21,13 @@
 /// Timers that were set and have not come back.
 #[derive(Default)]
 pub(super) struct Timers {
-    pending: BTreeMap<u64, (Duration, Task)>,
+    pending: BTreeMap<TimerToken, (Duration, Task)>,
     next_token: u64,
 }
 
 impl Timers {
-    fn insert(&mut self, due: Duration, task: Task) -> u64 {
-        let token = self.next_token;
+    fn insert(&mut self, due: Duration, task: Task) -> TimerToken {
+        let token = TimerToken(self.next_token);
         self.next_token += 1;
         self.pending.insert(token, (due, task));
         token
@@ -53,7 +53,7 @@
         actions.push(Action::SetTimer { after, token });
     }
 
-    pub(super) fn handle_timer(&mut self, now: Duration, token: u64, actions: &mut Vec<Action>) {
+    pub(super) fn handle_timer(&mut self, now: Duration, token: TimerToken, actions: &mut Vec<Action>) {
         let Some((due, _)) = self.timers.pending.get(&token) else { return };
         let late = now.saturating_sub(*due);
         if late > self.settings.probe_interval {
--- a/membership/tests/hostile_datagrams.rs
+++ b/membership/tests/hostile_datagrams.rs
@@ -1,5 +1,5 @@
 //! Datagrams from anywhere: bounded, counted, never a panic.
-use membership::{Action, Counters, Event, MAX_DATAGRAM_BYTES, Machine, Member, Settings};
+use membership::{Action, Counters, Event, MAX_DATAGRAM_BYTES, Machine, Member, Settings, TimerToken};
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -8,6 +8,8 @@
 
 /// More than one datagram ever calls for.
 const MAX_ACTIONS: usize = 32;
+/// The timer that a start sets first.
+const FIRST_TIMER: TimerToken = TimerToken(0);
 
 fn addr(port: u16) -> SocketAddrV4 {
     SocketAddrV4::new([127, 0, 0, 1].into(), port)
@@ -38,7 +40,7 @@
 /// What a machine sends at its first timer: join requests to its seeds.
 fn join_requests(machine: &mut Machine) -> Vec<(SocketAddrV4, Vec<u8>)> {
     let mut actions = Vec::new();
-    machine.handle(Duration::ZERO, Event::Timer(0), &mut actions);
+    machine.handle(Duration::ZERO, Event::Timer(FIRST_TIMER), &mut actions);
     sent(actions).collect()
 }
 
--- a/membership/tests/recorded_runs.rs
+++ b/membership/tests/recorded_runs.rs
@@ -152,7 +152,7 @@
             }
             Action::SetTimer { after, token } => {
                 second.timers += 1;
-                writeln!(second.actions, "timer {after:?} {token}").expect("a string");
+                writeln!(second.actions, "timer {after:?} {}", token.0).expect("a string");
                 self.schedule(after, node, Event::Timer(token));
             }
             Action::Up(member) => self.report(node, &format!("up {}", describe(&member))),
@@ -310,52 +310,57 @@
     assert_fixture("simulation-run.txt", &record);
 }
 
+/// The event of one step: a random one, unless a timer is due before.
+fn router_count_event(step: usize, timer_due: bool, kind: i32, name: String) -> router_count::Event {
+    match kind {
+        _ if timer_due => router_count::Event::Timer,
+        _ if step == 240 => router_count::Event::ChangesLost,
+        0..5 => router_count::Event::Snapshot((1..=kind + 1).map(|n| format!("r{n}")).collect()),
+        5..52 => router_count::Event::Up(name),
+        _ => router_count::Event::Down(name),
+    }
+}
+
+/// Plays 250 random events and appends what each called for.
+fn record_router_count(run: u64, settings: router_count::Settings, record: &mut String) {
+    let mut rng = StdRng::seed_from_u64(40 + run);
+    let mut now = ms(2_000);
+    let mut machine = LiveRouterCount::new(now, settings);
+    let mut timer_at: Option<Duration> = None;
+    for step in 0..250 {
+        let next = now + ms(rng.random_range(0..3_000));
+        let name = format!("r{}", rng.random_range(1..10));
+        let kind = rng.random_range(0..100);
+        let timer = timer_at.take_if(|due| *due <= next);
+        let event = router_count_event(step, timer.is_some(), kind, name);
+        // Now and then a timer comes as late as in a process that stood still.
+        now = timer.map_or(next, |at| if kind < 10 { at + ms(4_000) } else { at }).max(now);
+        let mut actions = Vec::new();
+        machine.handle(now, event, &mut actions);
+        for action in actions {
+            let what = match action {
+                router_count::Action::SetCount(count) => format!("count {count}"),
+                router_count::Action::SetTimer(at) => {
+                    timer_at = Some(at);
+                    format!("timer at {}", at.as_millis())
+                }
+            };
+            let OtherRouters { live, settling } = machine.others();
+            let at = now.as_millis();
+            writeln!(record, "run {run}, {at} ms: {what}; {live} live, {settling} gone").expect("a string");
+        }
+    }
+}
+
 #[test]
 fn live_router_count_repeats_recorded_run() {
     let mut record = String::new();
+    let settle_time = ms(5_000);
     for (run, (fleet_size, min_count, expects_others)) in
         [(6, 1, true), (8, 4, true), (5, 2, false)].into_iter().enumerate()
     {
-        let mut rng = StdRng::seed_from_u64(40 + run as u64);
-        let settings =
-            router_count::Settings { fleet_size, min_count, settle_time: ms(5_000), expects_others };
-        let mut now = ms(2_000);
-        let mut machine = LiveRouterCount::new(now, settings);
-        let mut timer_at: Option<Duration> = None;
-        for step in 0..250 {
-            let next = now + ms(rng.random_range(0..3_000));
-            let name = format!("r{}", rng.random_range(1..10));
-            let kind = rng.random_range(0..100);
-            let timer = timer_at.filter(|due| *due <= next);
-            let event = match timer {
-                Some(_) => {
-                    timer_at = None;
-                    router_count::Event::Timer
-                }
-                None if step == 240 => router_count::Event::ChangesLost,
-                None if kind < 5 => {
-                    router_count::Event::Snapshot((1..=kind + 1).map(|n| format!("r{n}")).collect())
-                }
-                None if kind < 52 => router_count::Event::Up(name),
-                None => router_count::Event::Down(name),
-            };
-            // Now and then a timer comes as late as in a process that stood still.
-            now = timer.map_or(next, |at| if kind < 10 { at + ms(4_000) } else { at }).max(now);
-            let mut actions = Vec::new();
-            machine.handle(now, event, &mut actions);
-            for action in actions {
-                let what = match action {
-                    router_count::Action::SetCount(count) => format!("count {count}"),
-                    router_count::Action::SetTimer(at) => {
-                        timer_at = Some(at);
-                        format!("timer at {}", at.as_millis())
-                    }
-                };
-                let OtherRouters { live, settling } = machine.others();
-                writeln!(record, "run {run}, {} ms: {what}; {live} live, {settling} gone", now.as_millis())
-                    .expect("a string");
-            }
-        }
+        let settings = router_count::Settings { fleet_size, min_count, settle_time, expects_others };
+        record_router_count(run as u64, settings, &mut record);
     }
     assert_fixture("live-router-count-run.txt", &record);
 }
--- a/membership/tests/sockets.rs
+++ b/membership/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The driver's thread on real sockets, behind proxies that can cut the way. Intervals of tens of milliseconds.
+//! The driver's thread on real sockets, behind proxies that can cut the link. Intervals of tens of milliseconds.
 use crossbeam_channel::Receiver;
 use membership::{Change, Config, Error, Member, Membership, Settings};
 use standins::udp::UdpProxy;
@@ -114,7 +114,7 @@
         faults.delay = Duration::from_millis(2);
         faults.lose_one_in = 20;
     });
-    // Twenty answers asked of others and more: what b cannot send to c goes by way of a and d.
+    // Twenty answers asked of others and more: what b cannot send to c goes through a and d.
     let lost = all[2].proxy.counts().1;
     let deadline = Instant::now() + TEST_TIMEOUT;
     while all[2].proxy.counts().1 < lost + 20 {
