--- a/decision/src/router.rs
+++ b/decision/src/router.rs
@@ -165,7 +165,7 @@
             Event::RouterCountChanged(count) => self.on_router_count(count),
             Event::RequestArrived(request) => self.on_request(request),
             Event::ResponseStarted { request } | Event::ClientDisconnected { request } => {
-                self.finish(request)
+                self.finish(request);
             }
             Event::AttemptEnded { .. } => self.on_attempt_ended(event),
             Event::ProbeEnded { member, outcome, report } => self.on_probe_ended(member, outcome, report),
--- /dev/null
+++ b/decision/tests/admission.rs
@@ -0,0 +1,42 @@
+//! Requests that are rejected, and when.
+mod common;
+use common::{DEDUPLICATED, MS, TestRouter, is_rejected, sent_attempts, settings};
+use decision::{Action, Outcome};
+
+#[test]
+fn queued_read_is_rejected_once_with_retry_after() {
+    let mut router = TestRouter::new(settings(DEDUPLICATED));
+    let (read, _) = router.request(4, None);
+    let mut answers = 0;
+    for _ in 0..60 {
+        let actions = router.advance(10);
+        answers += actions
+            .iter()
+            .filter(|a| matches!(a, Action::Reject { request, retry_after: Some(_) } if *request == read))
+            .count();
+    }
+    assert_eq!(answers, 1);
+}
+
+#[test]
+fn client_retry_past_objective_is_rejected_first_try_is_not() {
+    let mut router = TestRouter::ready(settings(DEDUPLICATED));
+    let mut is_rejected_with = |timeout_ms: i64| {
+        let (id, actions) = router.request_with_timeout(4, None, timeout_ms);
+        for (request, member) in sent_attempts(&actions) {
+            router.now += MS;
+            router.end_attempt(request, 0, member, Outcome::Ok);
+        }
+        is_rejected(&actions, id)
+    };
+    // First tries wait 700 of 1200 ms; the latency objective is 400 ms. A last try may wait longer than a first one.
+    assert!((0..20).all(|_| !is_rejected_with(700)));
+    assert!(is_rejected_with(750), "450 ms have passed");
+    assert!(is_rejected_with(600), "600 ms have passed");
+    assert!(!is_rejected_with(1100), "100 ms have passed");
+    assert!(!is_rejected_with(700));
+    // Clients that wait less from some day on are known after a while, however long the old ones were there.
+    assert!((0..20_000).all(|_| !is_rejected_with(700)));
+    (0..2_000).for_each(|_| _ = is_rejected_with(600));
+    assert!(!is_rejected_with(600));
+}
--- /dev/null
+++ b/decision/tests/choice.rs
@@ -0,0 +1,176 @@
+//! Which member gets a request: the primary, a replica that is fresh enough, or nobody yet.
+mod common;
+use common::{
+    DEDUPLICATED, MS, TestRouter, entry, is_failed, is_rejected, probed_members, role, sent_attempts,
+    settings, settings_of_checking_members,
+};
+use decision::{
+    Event, MemberEntry, MemberId, MemberReport, Outcome, RequestId, SessionCommitSource, Settings, Time,
+};
+
+#[test]
+fn writes_and_latest_reads_use_primary_other_reads_replicas() {
+    let mut router = TestRouter::ready(settings(DEDUPLICATED));
+    for (class, on_primary) in [(0, true), (1, true), (2, false), (3, false), (4, false)] {
+        let (id, actions) = router.request(class, None);
+        let sent = sent_attempts(&actions);
+        assert_eq!(sent.len(), 1, "class {class}");
+        assert_eq!(sent[0].1 == MemberId(0), on_primary, "class {class}");
+        router.end_attempt(id, 0, sent[0].1, Outcome::Ok);
+    }
+}
+
+#[test]
+fn read_goes_to_replica_with_fewest_attempts_in_flight() {
+    let mut router = TestRouter::ready(settings(DEDUPLICATED));
+    let first = sent_attempts(&router.request(4, None).1)[0].1;
+    let second = sent_attempts(&router.request(4, None).1)[0].1;
+    assert_ne!(first, second);
+}
+
+#[test]
+fn reads_overflow_to_spare_primary_capacity_only() {
+    let mut router = TestRouter::ready(settings(DEDUPLICATED));
+    // Two places at each member: four reads fill the replicas.
+    for _ in 0..4 {
+        assert_ne!(sent_attempts(&router.request(4, None).1)[0].1, MemberId(0));
+    }
+    assert_eq!(sent_attempts(&router.request(4, None).1)[0].1, MemberId(0));
+    // Its last place is left for writes.
+    assert!(sent_attempts(&router.request(4, None).1).is_empty());
+    assert_eq!(sent_attempts(&router.request(0, None).1)[0].1, MemberId(0));
+}
+
+#[test]
+fn stale_replica_gets_no_bounded_read() {
+    let mut router = TestRouter::with_lagging_replicas(settings(DEDUPLICATED), [301, 299]);
+    assert_eq!(sent_attempts(&router.request(3, None).1), [(RequestId(0), MemberId(2))]);
+    router.now += 2 * MS;
+    let actions = router.request(3, None).1;
+    assert!(sent_attempts(&actions).iter().all(|s| s.1 == MemberId(0)));
+}
+
+#[test]
+fn session_read_sees_own_write() {
+    let remembered = SessionCommitSource::RememberedByRouter;
+    let settings = Settings { session_commit_source: remembered, ..settings(DEDUPLICATED) };
+    let mut router = TestRouter::ready(settings);
+    let (write, _) = router.request(0, None);
+    router.now += 10 * MS;
+    let commit = Some(Time(router.now));
+    router.end_attempt_with_report(write, 0, MemberId(0), Outcome::Ok, role(true), commit);
+    // The replicas were last seen before the commit.
+    assert!(sent_attempts(&router.request(2, None).1).iter().all(|s| s.1 == MemberId(0)));
+}
+
+#[test]
+fn lagging_replicas_do_not_flood_primary() {
+    let mut router = TestRouter::with_lagging_replicas(settings(DEDUPLICATED), [5000, 5000]);
+    let mut sent = 0;
+    for _ in 0..40 {
+        sent += sent_attempts(&router.request(3, None).1).len();
+    }
+    for _ in 0..10 {
+        sent += sent_attempts(&router.advance(10)).len();
+    }
+    assert!((1..=8).contains(&sent), "{sent} sent");
+}
+
+#[test]
+fn write_finds_primary_where_probes_fail() {
+    let mut router = TestRouter::new(settings(DEDUPLICATED));
+    router.list_members(3);
+    for member in (0..3).map(MemberId) {
+        router.probe_failed(member, Outcome::Error);
+    }
+    let (id, actions) = router.request(0, None);
+    let mut tried = sent_attempts(&actions);
+    for attempt in 0..2 {
+        let m = tried[attempt as usize].1;
+        let response_report = role(false);
+        tried.extend(sent_attempts(&router.end_attempt_with_report(
+            id,
+            attempt,
+            m,
+            Outcome::NotEligible,
+            response_report,
+            None,
+        )));
+    }
+    tried.sort();
+    assert_eq!(tried.iter().map(|s| s.1.0).collect::<Vec<_>>(), [0, 1, 2]);
+}
+
+/// A fresh router whose list names member 0 as the primary and two replicas.
+fn router_with_listed_primary() -> TestRouter {
+    let mut router = TestRouter::new(settings_of_checking_members());
+    let mut entries: Vec<MemberEntry> = (0..3).map(entry).collect();
+    entries[0].listed_primary = true;
+    router.handle(Event::MemberListChanged { complete: true, entries });
+    router
+}
+
+#[test]
+fn checking_members_are_learned_from_responses_without_probes() {
+    let mut router = router_with_listed_primary();
+    let (read, actions) = router.request(4, None);
+    let to = sent_attempts(&actions);
+    assert_eq!(
+        (to.len(), probed_members(&actions).len()),
+        (1, 0),
+        "a hundred routers would probe sixty members each"
+    );
+    assert_ne!(to[0].1, MemberId(0), "the listed primary is left to writes");
+    let response_report = MemberReport { primary: Some(false), position: Some(Time(router.now)) };
+    router.end_attempt_with_report(read, 0, to[0].1, Outcome::Ok, response_report, None);
+    // What it learned counts: a session read whose commit is older goes there and nowhere else.
+    assert_eq!(sent_attempts(&router.request(2, Some(10)).1)[0].1, to[0].1);
+    let (write, actions) = router.request(0, None);
+    assert_eq!((sent_attempts(&actions), probed_members(&actions)), (vec![(write, MemberId(0))], vec![]));
+}
+
+#[test]
+fn write_tries_each_member_once_then_waits() {
+    let mut router = router_with_listed_primary();
+    let (id, mut actions) = router.request(0, None);
+    let response_report = role(false);
+    let mut asked = Vec::new();
+    while let [(_, m)] = sent_attempts(&actions)[..] {
+        asked.push(m);
+        actions = router.end_attempt_with_report(
+            id,
+            asked.len() as u32 - 1,
+            m,
+            Outcome::NotEligible,
+            response_report,
+            None,
+        );
+    }
+    assert_eq!(asked[0], MemberId(0), "the listed one first");
+    asked.sort_unstable();
+    assert_eq!(asked, [MemberId(0), MemberId(1), MemberId(2)]);
+    assert!(!is_rejected(&actions, id) && !is_failed(&actions, id));
+    // The next write does not try those again that have just denied being the primary.
+    assert!(sent_attempts(&router.request(0, None).1).is_empty());
+    router.now += 500 * MS;
+    assert!(sent_attempts(&router.request(0, None).1).is_empty(), "their denial holds a second");
+    // A report says who took over, and what is queued goes there.
+    router.now += 20 * MS;
+    let actions = router.probe_ended(2, true, 0);
+    assert!(sent_attempts(&actions).is_empty(), "a response holds longer than a report");
+    router.now += 1000 * MS;
+    let actions = router.probe_ended(2, true, 0);
+    assert!(sent_attempts(&actions).iter().all(|s| s.1 == MemberId(2)));
+}
+
+#[test]
+fn any_read_is_sent_where_probing_is_not_allowed() {
+    let mut router = TestRouter::new(Settings { probing_allowed: false, ..settings(DEDUPLICATED) });
+    router.list_members(3);
+    // No member has reported yet, and none may be probed.
+    let (read, actions) = router.request(4, None);
+    assert_eq!(sent_attempts(&actions).iter().map(|(id, _)| *id).collect::<Vec<_>>(), [read]);
+    // One that needs proof gets none without a write that shows who is primary.
+    let (_, actions) = router.request(3, None);
+    assert!(sent_attempts(&actions).is_empty());
+}
--- a/decision/tests/cold_fleet.rs
+++ b/decision/tests/cold_fleet.rs
@@ -390,7 +390,7 @@
             class: client.class,
             tenant: 0,
             session: None,
-            group: common::G,
+            group: common::GROUP,
             deadline: Time(client.deadline),
             session_commit: None,
         };
--- a/decision/tests/common/mod.rs
+++ b/decision/tests/common/mod.rs
@@ -1,11 +1,19 @@
-//! A router with a clock and what it has done so far.
-#![allow(dead_code)]
-use decision::*;
-
-pub const MS: i64 = 1000;
-pub const G: GroupId = GroupId(7);
-
-pub fn class(freshness: Freshness, idempotency: Idempotency) -> Class {
+//! A router with a clock, settings to start from, and what to read out of its actions.
+#![allow(dead_code, reason = "each test file is a program of its own and uses a part of this")]
+use decision::{
+    Action, Class, Event, Freshness, GroupId, Idempotency, LaggingReplica, MemberEntry, MemberId,
+    MemberReport, MemberState, Micros, Outcome, Request, RequestId, Router, SessionCommitSource, SessionId,
+    Settings, Time,
+};
+
+/// A millisecond, in microseconds.
+pub(crate) const MS: Micros = 1000;
+/// The group of all members that [`entry`] makes.
+pub(crate) const GROUP: GroupId = GroupId(7);
+/// Writes that the members of the group drop when they are repeated within three seconds.
+pub(crate) const DEDUPLICATED: Idempotency = Idempotency::DeduplicatedInGroup(3000 * MS);
+
+pub(crate) fn class(freshness: Freshness, idempotency: Idempotency) -> Class {
     Class {
         freshness,
         idempotency,
@@ -16,17 +24,16 @@
     }
 }
 
-/// Classes: 0 write, 1 fresh, 2 session, 3 bounded (300 ms), 4 any.
-pub fn settings(write: Idempotency) -> Settings {
-    let mut w = class(Freshness::Write, write);
-    w.late_weight_share = 0.5;
+/// Classes: 0 write, 1 latest, 2 session, 3 bounded (300 ms), 4 any.
+pub(crate) fn settings(write: Idempotency) -> Settings {
+    let idempotent = |freshness| class(freshness, Idempotency::Idempotent);
     Settings {
         classes: vec![
-            w,
-            class(Freshness::Latest, Idempotency::Idempotent),
-            class(Freshness::Session, Idempotency::Idempotent),
-            class(Freshness::Bounded(300 * MS), Idempotency::Idempotent),
-            class(Freshness::Any, Idempotency::Idempotent),
+            Class { late_weight_share: 0.5, ..class(Freshness::Write, write) },
+            idempotent(Freshness::Latest),
+            idempotent(Freshness::Session),
+            idempotent(Freshness::Bounded(300 * MS)),
+            idempotent(Freshness::Any),
         ],
         tenant_rates: vec![],
         over_quota_weight: 1.0,
@@ -52,10 +59,21 @@
     }
 }
 
-pub fn entry(id: u32) -> MemberEntry {
+/// Settings of members that check positions themselves, as the fleet's do, and a router that acts every millisecond.
+pub(crate) fn settings_of_checking_members() -> Settings {
+    Settings {
+        lagging_replica: LaggingReplica::WaitsThenRejects(20 * MS),
+        min_event_interval: MS,
+        router_count: 100,
+        ..settings(Idempotency::NotIdempotent)
+    }
+}
+
+/// A member that is ready and of which nothing else is listed.
+pub(crate) fn entry(id: u32) -> MemberEntry {
     MemberEntry {
         id: MemberId(id),
-        group: G,
+        group: GROUP,
         zone: 0,
         state: MemberState::Ready,
         listed_primary: false,
@@ -64,84 +82,115 @@
     }
 }
 
-pub struct Bench {
-    pub router: Router,
-    pub now: i64,
-    pub next: u64,
+/// What a response states of its member's role alone.
+pub(crate) fn role(primary: bool) -> MemberReport {
+    MemberReport { primary: Some(primary), position: None }
+}
+
+/// A router, the time and the number of the next request.
+pub(crate) struct TestRouter {
+    pub(crate) inner: Router,
+    /// In microseconds.
+    pub(crate) now: Micros,
+    pub(crate) next_request: u64,
 }
 
-impl Bench {
-    pub fn new(settings: Settings) -> Self {
-        Bench { router: Router::new(settings, 1), now: 100_000 * MS, next: 0 }
+impl TestRouter {
+    pub(crate) fn new(settings: Settings) -> Self {
+        TestRouter::with_seed(settings, 1)
+    }
+
+    pub(crate) fn with_seed(settings: Settings, seed: u64) -> Self {
+        TestRouter { inner: Router::new(settings, seed), now: 100_000 * MS, next_request: 0 }
     }
 
     /// Members 0 (primary), 1 and 2, all probed and up to date.
-    pub fn ready(settings: Settings) -> Self {
-        Bench::behind(settings, [0, 0])
+    pub(crate) fn ready(settings: Settings) -> Self {
+        TestRouter::with_lagging_replicas(settings, [0, 0])
     }
 
     /// The same with replicas that are this many milliseconds behind.
-    pub fn behind(settings: Settings, replicas: [i64; 2]) -> Self {
-        let mut b = Bench::new(settings);
-        b.event(Event::MemberListChanged { complete: true, entries: (0..3).map(entry).collect() });
-        b.probed(0, true, 0);
-        b.probed(1, false, replicas[0]);
-        b.probed(2, false, replicas[1]);
-        b
+    pub(crate) fn with_lagging_replicas(settings: Settings, lags_ms: [i64; 2]) -> Self {
+        let mut router = TestRouter::new(settings);
+        router.list_members(3);
+        router.probe_ended(0, true, 0);
+        router.probe_ended(1, false, lags_ms[0]);
+        router.probe_ended(2, false, lags_ms[1]);
+        router
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.router.handle(Time(self.now), event, &mut out);
-        out
+    pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.inner.handle(Time(self.now), event, &mut actions);
+        actions
     }
 
-    pub fn wait(&mut self, ms: i64) -> Vec<Action> {
+    /// A complete list of members 0 and up, all ready.
+    pub(crate) fn list_members(&mut self, count: u32) -> Vec<Action> {
+        self.handle(Event::MemberListChanged { complete: true, entries: (0..count).map(entry).collect() })
+    }
+
+    /// A list of what has changed.
+    pub(crate) fn list_changes(&mut self, entries: Vec<MemberEntry>) -> Vec<Action> {
+        self.handle(Event::MemberListChanged { complete: false, entries })
+    }
+
+    /// Lets time pass, then the timer expire.
+    pub(crate) fn advance(&mut self, ms: i64) -> Vec<Action> {
         self.now += ms * MS;
-        self.event(Event::TimerExpired)
+        self.handle(Event::TimerExpired)
     }
 
-    pub fn probed(&mut self, id: u32, primary: bool, behind_ms: i64) -> Vec<Action> {
-        let report = MemberReport { primary: Some(primary), position: Some(Time(self.now - behind_ms * MS)) };
-        self.event(Event::ProbeEnded { member: MemberId(id), outcome: Outcome::Ok, report })
+    /// A probe that the member answered.
+    pub(crate) fn probe_ended(&mut self, id: u32, primary: bool, lag_ms: i64) -> Vec<Action> {
+        let position = Some(Time(self.now - lag_ms * MS));
+        let report = MemberReport { primary: Some(primary), position };
+        self.handle(Event::ProbeEnded { member: MemberId(id), outcome: Outcome::Ok, report })
     }
 
-    pub fn ask(&mut self, class: usize, token_ms: Option<i64>) -> (RequestId, Vec<Action>) {
-        self.ask_waiting(class, token_ms, 1200)
+    /// A probe that brought no report.
+    pub(crate) fn probe_failed(&mut self, member: MemberId, outcome: Outcome) -> Vec<Action> {
+        self.handle(Event::ProbeEnded { member, outcome, report: MemberReport::default() })
+    }
+
+    /// A request of this class; a session read must see a commit of so long ago.
+    pub(crate) fn request(&mut self, class: usize, commit_age_ms: Option<i64>) -> (RequestId, Vec<Action>) {
+        self.request_with_timeout(class, commit_age_ms, 1200)
     }
 
     /// The same from a client that waits this many milliseconds.
-    pub fn ask_waiting(
+    pub(crate) fn request_with_timeout(
         &mut self,
         class: usize,
-        token_ms: Option<i64>,
-        wait: i64,
+        commit_age_ms: Option<i64>,
+        timeout_ms: i64,
     ) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
         let request = Request {
             id,
             class,
             tenant: 0,
             session: Some(SessionId(1)),
-            group: G,
-            deadline: Time(self.now + wait * MS),
-            session_commit: token_ms.map(|t| Time(self.now - t * MS)),
+            group: GROUP,
+            deadline: Time(self.now + timeout_ms * MS),
+            session_commit: commit_age_ms.map(|age| Time(self.now - age * MS)),
         };
-        (id, self.event(Event::RequestArrived(request)))
+        (id, self.handle(Event::RequestArrived(request)))
     }
 
-    pub fn outcome(
+    /// An attempt whose response states nothing of its member.
+    pub(crate) fn end_attempt(
         &mut self,
         request: RequestId,
         attempt: u32,
         member: MemberId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.noted(request, attempt, member, outcome, MemberReport::default(), None)
+        self.end_attempt_with_report(request, attempt, member, outcome, MemberReport::default(), None)
     }
 
-    pub fn noted(
+    pub(crate) fn end_attempt_with_report(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -150,39 +199,41 @@
         response_report: MemberReport,
         commit: Option<Time>,
     ) -> Vec<Action> {
-        let (request_ended, load_report) = (outcome == Outcome::Ok, MemberReport::default());
-        self.event(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             request,
             attempt,
             member,
             outcome,
-            request_ended,
+            request_ended: outcome == Outcome::Ok,
             response_report,
             commit,
-            load_report,
+            load_report: MemberReport::default(),
         })
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<(RequestId, MemberId)> {
-    let pick = |a: &Action| match a {
+/// What the actions send, and where.
+pub(crate) fn sent_attempts(actions: &[Action]) -> Vec<(RequestId, MemberId)> {
+    let pick = |action: &Action| match action {
         Action::Send { request, member, .. } => Some((*request, *member)),
         _ => None,
     };
     actions.iter().filter_map(pick).collect()
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
+pub(crate) fn is_rejected(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
-pub fn failed(actions: &[Action], id: RequestId) -> bool {
+pub(crate) fn is_failed(actions: &[Action], id: RequestId) -> bool {
     actions.contains(&Action::Fail { request: id })
 }
 
-pub fn probes(actions: &[Action]) -> Vec<MemberId> {
-    actions
-        .iter()
-        .filter_map(|a| if let Action::Probe { member } = a { Some(*member) } else { None })
-        .collect()
+/// The members that the actions probe.
+pub(crate) fn probed_members(actions: &[Action]) -> Vec<MemberId> {
+    let pick = |action: &Action| match action {
+        Action::Probe { member } => Some(*member),
+        _ => None,
+    };
+    actions.iter().filter_map(pick).collect()
 }
