--- a/decision/src/router.rs
+++ b/decision/src/router.rs
@@ -65,7 +65,7 @@
     queued: Vec<RequestId>,
 }
 
-#[derive(Debug)]
+#[derive(Clone, Copy, Debug)]
 struct Attempt {
     member: MemberId,
     sent_at: Time,
@@ -164,9 +164,8 @@
             Event::ListUpdateFailed => self.subscribed = false,
             Event::RouterCountChanged(count) => self.on_router_count(count),
             Event::RequestArrived(request) => self.on_request(request),
-            Event::ResponseStarted { request } | Event::ClientDisconnected { request } => {
-                self.finish(request);
-            }
+            Event::ResponseStarted { request } => self.finish(request),
+            Event::ClientDisconnected { request } => self.finish(request),
             Event::AttemptEnded { .. } => self.on_attempt_ended(event),
             Event::ProbeEnded { member, outcome, report } => self.on_probe_ended(member, outcome, report),
             Event::TimerExpired => self.on_timer(),
@@ -193,7 +192,7 @@
     }
 
     /// Replicas reject what they are too stale for; where they don't, freshness needs proof beforehand.
-    fn replicas_check(&self) -> bool {
+    fn replicas_check_freshness(&self) -> bool {
         self.settings.lagging_replica != LaggingReplica::AnswersStale
     }
 }
--- a/decision/src/router/admission.rs
+++ b/decision/src/router/admission.rs
@@ -69,12 +69,12 @@
 
     fn decide(&mut self, id: RequestId) -> Decision {
         let Some(pending) = self.requests.get(&id) else { return Decision::Queue };
-        let first_attempt = pending.attempts.is_empty();
-        let usual = if first_attempt { self.latency_ewma[pending.request.class] as i64 } else { 0 };
+        let usual = self.latency_ewma[pending.request.class] as i64;
+        let usual = if pending.attempts.is_empty() { usual } else { 0 };
         if self.now.0 + usual >= self.useful_until(pending).0
             || pending.attempts.len() >= self.settings.max_attempts as usize
             || pending.count(Outcome::Error) >= MAX_ERRORS
-            || self.now >= self.may_run_until(pending)
+            || self.now >= self.may_start_until(pending)
         {
             return Decision::Reject;
         }
@@ -120,21 +120,21 @@
         self.timer_set = false;
         // Ejections of a group that nothing waits for end with its next outcome.
         let waiting = self.groups.iter().filter(|(_, g)| !g.queued.is_empty()).map(|(id, _)| *id);
-        waiting.collect::<Vec<GroupId>>().into_iter().for_each(|g| self.release(g));
+        waiting.collect::<Vec<GroupId>>().into_iter().for_each(|g| self.dispatch_queued(g));
     }
 
     /// Looks again at what is queued for a group.
-    pub(super) fn release(&mut self, id: GroupId) {
+    pub(super) fn dispatch_queued(&mut self, id: GroupId) {
         self.end_ejections(id);
         let Some(group) = self.groups.get(&id) else { return };
         // What earns most for its work goes first, the oldest among equals.
-        let mut ranked: Vec<_> = group.queued.iter().map(|id| (-self.rank(*id), *id)).collect();
+        let mut ranked: Vec<_> = group.queued.iter().map(|id| (-self.queue_priority(*id), *id)).collect();
         ranked.sort_unstable();
         ranked.into_iter().for_each(|(_, id)| self.dispatch(id));
     }
 
     /// Weight per time of work.
-    fn rank(&self, id: RequestId) -> i64 {
+    fn queue_priority(&self, id: RequestId) -> i64 {
         let pending = &self.requests[&id];
         let (class, usual) = (self.class(pending), self.latency_ewma[pending.request.class]);
         let late = self.now.0 + usual as i64 > pending.first_try_at.0 + class.latency_objective;
@@ -158,8 +158,7 @@
 
     /// Nothing more is sent for this request; it stays known until its attempts have ended.
     pub(super) fn finish(&mut self, id: RequestId) {
-        let Some(pending) = self.requests.get_mut(&id) else { return };
-        pending.finished = true;
+        self.requests.get_mut(&id).into_iter().for_each(|pending| pending.finished = true);
         self.unqueue(id);
         self.drop_if_done(id);
     }
--- a/decision/src/router/attempts.rs
+++ b/decision/src/router/attempts.rs
@@ -15,39 +15,38 @@
             _ => self.useful_until(pending).0 - self.now.0,
         };
         // A connect may lie before its first byte: what allows it now has to hold then.
-        let needs_proof = !self.replicas_check() && group.primary != Some(member);
+        let needs_proof = !self.replicas_check_freshness() && group.primary != Some(member);
         let proof = match class.freshness {
             Freshness::Bounded(bound) if needs_proof => self.members[&member].position.0 + bound,
             _ => i64::MAX,
         };
-        let start_timeout = proof.min(self.may_run_until(pending).0).min(self.now.0 + timeout) - self.now.0;
+        let start_timeout = proof.min(self.may_start_until(pending).0).min(self.now.0 + timeout) - self.now.0;
         if let Some(member) = self.members.get_mut(&member) {
             member.in_flight += 1;
             member.abandoned_attempts.retain(|t| *t > self.now);
         }
-        if let Some(pending) = self.requests.get_mut(&id) {
-            pending.attempts.push(Attempt { member, sent_at: self.now, outcome: None });
-        }
+        let attempt = Attempt { member, sent_at: self.now, outcome: None };
+        self.requests.get_mut(&id).into_iter().for_each(|pending| pending.attempts.push(attempt));
         self.unqueue(id);
         self.actions.push(Action::Send { request: id, member, timeout: timeout.max(1), start_timeout });
     }
 
     /// Until when another attempt may begin, by what a repeat would do.
-    pub(super) fn may_run_until(&self, pending: &PendingRequest) -> Time {
-        match (self.class(pending).idempotency, pending.may_have_run_since) {
-            (Idempotency::Idempotent, _) | (_, None) => Time(i64::MAX),
-            (
-                Idempotency::DeduplicatedInGroup(window) | Idempotency::DeduplicatedEverywhere(window),
-                Some(since),
-            ) => Time(since.0 + window - self.settings.min_event_interval),
-            (Idempotency::DeduplicatedInZone(_) | Idempotency::NotIdempotent, _) => LONG_AGO,
+    pub(super) fn may_start_until(&self, pending: &PendingRequest) -> Time {
+        let Some(since) = pending.may_have_run_since else { return Time(i64::MAX) };
+        match self.class(pending).idempotency {
+            Idempotency::Idempotent => Time(i64::MAX),
+            Idempotency::DeduplicatedInGroup(window) | Idempotency::DeduplicatedEverywhere(window) => {
+                Time(since.0 + window - self.settings.min_event_interval)
+            }
+            Idempotency::DeduplicatedInZone(_) | Idempotency::NotIdempotent => LONG_AGO,
         }
     }
 
     pub(super) fn on_attempt_ended(&mut self, event: Event) {
         let Event::AttemptEnded { member, response_report, commit, load_report, .. } = event else { return };
         let Event::AttemptEnded { request: id, attempt, outcome, request_ended, .. } = event else { return };
-        self.learn(member, response_report, commit);
+        self.learn_state(member, response_report, commit);
         let denies = response_report.primary == Some(false);
         if let Some(member) = self.members.get_mut(&member).filter(|_| denies) {
             member.denied_primary_at = Some(self.now);
@@ -71,8 +70,8 @@
         let is_primary = self.groups.get(&group).is_some_and(|g| g.primary == Some(member));
         match outcome {
             Outcome::Ok => self.on_served(id, member, commit),
-            Outcome::ConnectFailed => self.doubt_primary(member),
-            Outcome::NotEligible if freshness == Freshness::Write => self.doubt_primary(member),
+            Outcome::ConnectFailed => self.clear_primary(member),
+            Outcome::NotEligible if freshness == Freshness::Write => self.clear_primary(member),
             // One connection broke; a probe tells whether the process is gone, too.
             Outcome::Reset => {
                 self.members.get_mut(&member).into_iter().for_each(|m| m.reset_awaits_probe = true);
--- a/decision/src/router/health.rs
+++ b/decision/src/router/health.rs
@@ -25,10 +25,10 @@
     pub(super) fn learn_from_report(&mut self, id: MemberId, mut report: MemberReport) {
         let doubtful = self.recently_denied_primary(id);
         report.primary = report.primary.filter(|primary| !(*primary && doubtful));
-        self.learn(id, report, None);
+        self.learn_state(id, report, None);
     }
 
-    pub(super) fn learn(&mut self, id: MemberId, report: MemberReport, commit: Option<Time>) {
+    pub(super) fn learn_state(&mut self, id: MemberId, report: MemberReport, commit: Option<Time>) {
         let Some(member) = self.members.get_mut(&id) else { return };
         for position in [report.position, commit].into_iter().flatten() {
             member.position = member.position.max(position);
@@ -36,12 +36,11 @@
         }
         let Some(primary) = report.primary else { return };
         member.role_known = true;
-        if !primary {
-            return self.doubt_primary(id);
-        }
         let Some(group) = self.groups.get_mut(&member.listed.group) else { return };
-        if member.is_ready() && group.primary != Some(id) {
+        if primary && member.is_ready() && group.primary != Some(id) {
             (group.primary, group.searches) = (Some(id), 0);
+        } else if !primary {
+            self.clear_primary(id);
         }
     }
 
@@ -52,7 +51,7 @@
     }
 
     /// It can't be reached or is no primary: it is believed to be one only when it says so again.
-    pub(super) fn doubt_primary(&mut self, id: MemberId) {
+    pub(super) fn clear_primary(&mut self, id: MemberId) {
         self.groups.values_mut().filter(|g| g.primary == Some(id)).for_each(|g| g.primary = None);
     }
 
@@ -94,7 +93,7 @@
 
     fn observe_success(&mut self, id: MemberId, class: usize, took: f64, needed: Option<Time>) {
         let objective = self.settings.classes[class].latency_objective as f64;
-        let (quick, checked) = (took / objective < pool::GROW_BELOW, self.replicas_check());
+        let (quick, checked) = (took / objective < pool::GROW_BELOW, self.replicas_check_freshness());
         let (usual, took) = (self.latency_ewma[class], took.max(1.0));
         let gain = if took < usual { EWMA_GAIN } else { EWMA_GAIN / 8.0 };
         self.latency_ewma[class] += gain * (took - usual);
--- a/decision/src/router/member_list.rs
+++ b/decision/src/router/member_list.rs
@@ -55,7 +55,7 @@
         if group.members.is_empty() && group.queued.is_empty() {
             self.groups.remove(&id);
         }
-        self.release(id);
+        self.dispatch_queued(id);
     }
 
     /// What is learned of a member is shared with routers that join and grows with those that leave.
--- a/decision/src/router/pool.rs
+++ b/decision/src/router/pool.rs
@@ -18,7 +18,7 @@
 /// A cold member is open to this share of what overloads it at full load: about what it can do then.
 const SLOW_START_SHARE: f64 = 0.5;
 /// Requests that have waited count so much more there: a backlog comes on top, from all routers at once.
-pub(super) const BACKLOG_FACTOR: f64 = 2.0;
+pub(super) const MIN_BACKLOG_FACTOR: f64 = 2.0;
 /// Reads that find the replicas full may take this share of the primary's places.
 const SPARE_SHARE: f64 = 0.5;
 
@@ -26,20 +26,20 @@
     /// Its pool has room. A cold member takes the share of requests that it can carry: the draw is the
     /// request's own, so that neither many routers nor a queued backlog arrive in one instant, and asking
     /// again changes nothing.
-    pub(super) fn has_room(&self, id: MemberId, draw: f64, crowd: f64) -> bool {
+    pub(super) fn has_room(&self, id: MemberId, draw: f64, backlog: f64) -> bool {
         let member = &self.members[&id];
-        let (load, warmth) = (self.load(member), self.warmth(member));
-        let draw = if warmth < 1.0 { self.slow_start_draw(id, draw) } else { draw };
-        let share = warmth * SLOW_START_SHARE * self.settings.overload_factor;
+        let (load, capacity) = (self.load(member) as f64, self.capacity_share(member));
+        let draw = if capacity < 1.0 { self.slow_start_draw(id, draw) } else { draw };
+        let share = capacity * SLOW_START_SHARE * self.settings.overload_factor;
         // A pool below one takes a share of the requests, one at a time.
-        (warmth >= 1.0 || draw < 1.0 && draw * crowd < share)
-            && ((load as f64) < (member.pool_size * warmth).floor() || (load == 0 && draw < member.pool_size))
+        (capacity >= 1.0 || draw < 1.0 && draw * backlog < share)
+            && (load < (member.pool_size * capacity).floor() || (load == 0.0 && draw < member.pool_size))
     }
 
     /// A primary that is warm has places that its writes do not need.
     pub(super) fn has_spare_room(&self, id: MemberId, draw: f64) -> bool {
         let member = &self.members[&id];
-        let spare = (member.pool_size * self.warmth(member).floor() * SPARE_SHARE).floor();
+        let spare = (member.pool_size * self.capacity_share(member).floor() * SPARE_SHARE).floor();
         self.has_room(id, draw, 1.0) && self.is_available(id) && (self.load(member) as f64) < spare
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// The part of its full capacity that a member has for certain by now.
-    pub(super) fn warmth(&self, member: &Member) -> f64 {
+    pub(super) fn capacity_share(&self, member: &Member) -> f64 {
         let initial = self.settings.slow_start_initial_share;
         let duration = self.settings.slow_start_duration.max(1) as f64;
         let age = member.listed.started_at.map_or(duration, |t| (self.now.0 - t.0).max(0) as f64);
@@ -61,9 +61,9 @@
     }
 
     /// How much a request counts at a cold member: what a deadline gathers comes at once, on top of the rest.
-    pub(super) fn crowd(&self, pending: &PendingRequest) -> f64 {
+    pub(super) fn backlog(&self, pending: &PendingRequest) -> f64 {
         let gathered = self.class(pending).deadline as f64 / self.settings.overload_duration as f64;
-        if pending.queued { BACKLOG_FACTOR.max(1.0 + gathered) } else { 1.0 }
+        if pending.queued { MIN_BACKLOG_FACTOR.max(1.0 + gathered) } else { 1.0 }
     }
 
     /// Where a draw lies in a cold replica's own part, by listed size, of its group's reads, at most half of
--- a/decision/src/router/probes.rs
+++ b/decision/src/router/probes.rs
@@ -45,7 +45,7 @@
         // Responses outrank probes: one that failed says nothing of requests unless nothing could be reached.
         if outcome == Outcome::ConnectFailed {
             self.eject(id, outcome);
-            self.doubt_primary(id);
+            self.clear_primary(id);
         } else {
             self.learn_from_report(id, report);
         }
