--- a/routing/src/endpoint.rs
+++ b/routing/src/endpoint.rs
@@ -6,7 +6,7 @@
 
 /// One endpoint: a database server of a group.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Endpoint {
+pub struct EndpointEntry {
     /// Its id, the same after a restart.
     pub id: String,
     /// Where it listens.
@@ -35,7 +35,7 @@
     /// This is the complete list: endpoints that it lacks are gone.
     pub complete: bool,
     /// The endpoints.
-    pub endpoints: Vec<Endpoint>,
+    pub endpoints: Vec<EndpointEntry>,
 }
 
 /// How an update follows the ones before it.
@@ -62,7 +62,7 @@
 
 impl MaintenanceMask {
     /// The endpoint as it is shown under this mask.
-    pub(crate) fn apply(&self, endpoint: &Endpoint) -> Endpoint {
+    pub(crate) fn apply(&self, endpoint: &EndpointEntry) -> EndpointEntry {
         let mut shown = endpoint.clone();
         if shown.state == MemberState::Ready && self.in_maintenance.contains(&shown.id) {
             shown.state = MemberState::Draining;
@@ -73,7 +73,7 @@
 
     /// The groups in which no listed endpoint is ready and at least one is in maintenance: waiting changes nothing
     /// there.
-    pub(crate) fn unavailable_groups(&self, listed: &BTreeMap<String, Endpoint>) -> BTreeSet<GroupId> {
+    pub(crate) fn unavailable_groups(&self, listed: &BTreeMap<String, EndpointEntry>) -> BTreeSet<GroupId> {
         let in_maintenance = listed.values().filter(|e| self.in_maintenance.contains(&e.id));
         let mut groups: BTreeSet<GroupId> = in_maintenance.map(|e| e.group).collect();
         for ready in listed.values().filter(|e| self.apply(e).state == MemberState::Ready) {
--- a/routing/src/endpoints/actor.rs
+++ b/routing/src/endpoints/actor.rs
@@ -1,6 +1,6 @@
 //! The state behind the endpoint list, and one handler for each message.
 use super::{EndpointsMessage, Published};
-use crate::endpoint::{Endpoint, EndpointUpdate, MaintenanceMask, UpdateOrder};
+use crate::endpoint::{EndpointEntry, EndpointUpdate, MaintenanceMask, UpdateOrder};
 use crate::messages::RouterMessage;
 use crate::metrics::Metrics;
 use crate::protocol::BackendProtocol;
@@ -23,7 +23,7 @@
     published: Published,
     metrics: Option<Arc<Metrics>>,
     /// The endpoints by id, as listed.
-    listed: BTreeMap<String, Endpoint>,
+    listed: BTreeMap<String, EndpointEntry>,
     mask: MaintenanceMask,
     /// Endpoints of which an update after a gap has brought something newer than the version held, with its version.
     ahead: BTreeMap<String, u64>,
@@ -71,7 +71,7 @@
     fn set_maintenance(&mut self, mask: MaintenanceMask) -> Result<(), RouterEnded> {
         let old = std::mem::replace(&mut self.mask, mask);
         let changed = self.listed.values().filter(|e| old.apply(e) != self.mask.apply(e));
-        let endpoints: Vec<Endpoint> = changed.map(|e| self.mask.apply(e)).collect();
+        let endpoints: Vec<EndpointEntry> = changed.map(|e| self.mask.apply(e)).collect();
         tracing::info!("list: {} instances are held by hand", self.mask.in_maintenance.len());
         let version = self.published.version();
         self.pass_on(EndpointUpdate { version, complete: false, endpoints })
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -35,7 +35,7 @@
 pub use attempt_guard::AttemptGuard;
 pub use clock::Clock;
 pub use decision::{GroupId, MemberReport, MemberState, Outcome, RequestId, SessionId, Settings, Time};
-pub use endpoint::{Endpoint, EndpointUpdate, MaintenanceMask, UpdateOrder};
+pub use endpoint::{EndpointEntry, EndpointUpdate, MaintenanceMask, UpdateOrder};
 pub use endpoint_state::EndpointState;
 pub use endpoints::EndpointsHandle;
 pub use messages::RouterMessage;
--- a/routing/src/recorded_run.rs
+++ b/routing/src/recorded_run.rs
@@ -1,7 +1,7 @@
 //! Recorded runs of the two state machines inside this package: seeded events in, what they decide out, compared line by
 //! line with what the program decided before its names and files were revised. The text uses words of its own, so that
 //! a rename does not touch the record.
-use crate::endpoint::{Endpoint, EndpointUpdate};
+use crate::endpoint::{EndpointEntry, EndpointUpdate};
 use crate::placement_subsets::{MemberIds, PlacementSubsets, ProbeStart, StatedRole, SubsetChange};
 use crate::probe_spacing::{ProbeSpacing, ProbeTiming};
 use decision::{
@@ -151,7 +151,7 @@
         self.version += 1;
         let complete = random.chance(4);
         let names: Vec<u64> = (0..6).filter(|_| random.chance(if complete { 2 } else { 4 })).collect();
-        let endpoint = |n: u64, random: &mut Random| Endpoint {
+        let endpoint = |n: u64, random: &mut Random| EndpointEntry {
             id: format!("e{n}"),
             addr: std::net::SocketAddr::from(([127, 0, 0, 1], n as u16 + 1)),
             group: GroupId((n / 3) as u32),
@@ -168,7 +168,7 @@
             weight: 1.0,
             started_at: None,
         };
-        let endpoints: Vec<Endpoint> = names.into_iter().map(|n| endpoint(n, random)).collect();
+        let endpoints: Vec<EndpointEntry> = names.into_iter().map(|n| endpoint(n, random)).collect();
         let mut members = Vec::new();
         for e in &endpoints {
             let id = *self.numbers.entry(e.id.clone()).or_insert_with(|| self.ids.next());
--- a/routing/src/router/endpoint_updates.rs
+++ b/routing/src/router/endpoint_updates.rs
@@ -1,7 +1,7 @@
 //! Updates of the endpoint list, and the removal of members.
 use super::actor::RouterActor;
 use super::endpoint_record::EndpointRecord;
-use crate::endpoint::{Endpoint, EndpointUpdate};
+use crate::endpoint::{EndpointEntry, EndpointUpdate};
 use crate::placement_subsets::SubsetChange;
 use crate::protocol::BackendProtocol;
 use decision::{Event, MemberEntry, MemberId, MemberState};
@@ -37,7 +37,7 @@
     }
 
     /// Takes in an endpoint as listed; returns its entry for the decisions.
-    fn member_entry(&mut self, endpoint: &Endpoint) -> MemberEntry {
+    fn member_entry(&mut self, endpoint: &EndpointEntry) -> MemberEntry {
         let id = self.own_member_id(endpoint);
         if endpoint.state != MemberState::Removed {
             let record = || EndpointRecord::new(endpoint.id.clone(), endpoint.addr);
@@ -59,7 +59,7 @@
 
     /// The own member id of a listed endpoint. One that is listed under another address than before keeps its member id
     /// and gets a new record and backend; the old backend ends its exchanges.
-    fn own_member_id(&mut self, endpoint: &Endpoint) -> MemberId {
+    fn own_member_id(&mut self, endpoint: &EndpointEntry) -> MemberId {
         let Some(known) = self.members_by_id.get(&endpoint.id).copied() else {
             let id = self.member_ids.next();
             tracing::debug!("member {} is {}", id.0, endpoint.id);
--- a/routing/tests/common/mod.rs
+++ b/routing/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! What the tests of the whole core share: scripted endpoints behind a protocol that waits where the test wants it.
 use decision::{GroupId, MemberState};
-use routing::{Endpoint, spawn};
+use routing::{EndpointEntry, spawn};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Condvar, Mutex};
@@ -53,8 +53,8 @@
 }
 
 /// A ready endpoint.
-pub(crate) fn endpoint(id: &str, port: u16, group: GroupId) -> Endpoint {
-    Endpoint {
+pub(crate) fn endpoint(id: &str, port: u16, group: GroupId) -> EndpointEntry {
+    EndpointEntry {
         id: id.into(),
         addr: addr(port),
         group,
--- a/routing/tests/endpoints.rs
+++ b/routing/tests/endpoints.rs
@@ -2,7 +2,7 @@
 use crossbeam_channel::{Receiver, bounded, unbounded};
 use decision::{GroupId, MemberState};
 use routing::{
-    AttemptGuard, BackendProtocol, Connection, Endpoint, EndpointUpdate, EndpointsHandle, Exchange,
+    AttemptGuard, BackendProtocol, Connection, EndpointEntry, EndpointUpdate, EndpointsHandle, Exchange,
     ExchangeResult, NotSent, Outcome, RouterMessage, UpdateOrder,
 };
 use settings::Limits;
@@ -48,8 +48,8 @@
     Limits::new(256, 192 << 20, TIMEOUT, TIMEOUT, TIMEOUT)
 }
 
-fn endpoint(id: &str, state: MemberState, port: u16) -> Endpoint {
-    Endpoint {
+fn endpoint(id: &str, state: MemberState, port: u16) -> EndpointEntry {
+    EndpointEntry {
         id: id.into(),
         addr: SocketAddr::from(([127, 0, 0, 1], port)),
         group: GroupId(1),
--- a/routing/tests/handover/mailbox.rs
+++ b/routing/tests/handover/mailbox.rs
@@ -1,11 +1,11 @@
 //! The backends actor held up: what a full or slow mailbox must not lose.
 use crate::common::addr;
 use crate::script::{Core, IDEMPOTENT, Pause, Pauses, draining, endpoint};
-use routing::Endpoint;
+use routing::EndpointEntry;
 use std::time::Duration;
 
 /// Pauses the backends actor over the close of a connection to endpoint 1, in group 0.
-fn pause_backends_actor(core: &mut Core, others: &[Endpoint]) {
+fn pause_backends_actor(core: &mut Core, others: &[EndpointEntry]) {
     let all = [&[endpoint("a", 1, 0)], others].concat();
     core.list(&all);
     for listed in &all {
--- a/routing/tests/handover/script.rs
+++ b/routing/tests/handover/script.rs
@@ -5,7 +5,7 @@
     Class, Freshness, GroupId, Idempotency, MemberReport, MemberState, Outcome, RequestId, Settings, Time,
 };
 use routing::{
-    AttemptGuard, BackendProtocol, ClientRequest, Clock, Connection, Endpoint, EndpointUpdate,
+    AttemptGuard, BackendProtocol, ClientRequest, Clock, Connection, EndpointEntry, EndpointUpdate,
     EndpointsHandle, Exchange, ExchangeResult, FinalResponse, Metrics, NotSent, RouterBuilder, RouterHandle,
 };
 use settings::Limits;
@@ -224,12 +224,12 @@
 }
 
 /// The only endpoint of a group unless others are named.
-pub(crate) fn endpoint(id: &str, port: u16, group: u32) -> Endpoint {
+pub(crate) fn endpoint(id: &str, port: u16, group: u32) -> EndpointEntry {
     common::endpoint(id, port, GroupId(group))
 }
 
-pub(crate) fn draining(endpoint: Endpoint) -> Endpoint {
-    Endpoint { state: MemberState::Draining, ..endpoint }
+pub(crate) fn draining(endpoint: EndpointEntry) -> EndpointEntry {
+    EndpointEntry { state: MemberState::Draining, ..endpoint }
 }
 
 impl Core {
@@ -273,7 +273,7 @@
     }
 
     /// Sends a complete list, and waits until the router actor has applied it.
-    pub(crate) fn list(&mut self, endpoints: &[Endpoint]) {
+    pub(crate) fn list(&mut self, endpoints: &[EndpointEntry]) {
         self.version += 1;
         let endpoints = endpoints.to_vec();
         self.endpoints.notify(EndpointUpdate { version: self.version, complete: true, endpoints });
--- a/routing/tests/placement/rules.rs
+++ b/routing/tests/placement/rules.rs
@@ -4,7 +4,7 @@
     ANY, Core, DEFAULT_HOLD_MICROS, GROUP, LATEST, Paused, Rule, WRITE, endpoint, four, preferred, strict,
 };
 use decision::{MemberState, Outcome};
-use routing::{Endpoint, FinalResponse, Refusal};
+use routing::{EndpointEntry, FinalResponse, Refusal};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -177,8 +177,8 @@
     assert!((0..20).all(|_| inside.contains(&core.served_by("p", ANY))));
     // Its writes go to the primary wherever that is.
     assert_eq!(core.served_by("p", WRITE), addr(1));
-    let drained = |e: Endpoint| Endpoint { state: MemberState::Draining, ..e };
-    let [a1, a2, b1, b2] = <[Endpoint; 4]>::try_from(four()).unwrap();
+    let drained = |e: EndpointEntry| EndpointEntry { state: MemberState::Draining, ..e };
+    let [a1, a2, b1, b2] = <[EndpointEntry; 4]>::try_from(four()).unwrap();
     core.list(vec![a1, a2, drained(b1), drained(b2)]);
     assert!((0..20).all(|_| !inside.contains(&core.served_by("p", ANY))));
     core.list(four());
--- a/routing/tests/placement/script.rs
+++ b/routing/tests/placement/script.rs
@@ -4,7 +4,7 @@
 use decision::{Class, Freshness, GroupId, Idempotency, MemberReport, Outcome, Settings, Time};
 use placement::News;
 use routing::{
-    AttemptGuard, BackendProtocol, ClientRequest, Clock, Connection, Endpoint, EndpointUpdate,
+    AttemptGuard, BackendProtocol, ClientRequest, Clock, Connection, EndpointEntry, EndpointUpdate,
     EndpointsHandle, Exchange, ExchangeResult, FinalResponse, NotSent, Refusal, RouterBuilder, RouterHandle,
 };
 use settings::Limits;
@@ -157,8 +157,8 @@
     Settings { classes, min_event_interval: 1_000, ..mysql }
 }
 
-pub(crate) fn endpoint(id: &str, port: u16, site: &str) -> Endpoint {
-    Endpoint { site: Some(site.into()), ..common::endpoint(id, port, GROUP) }
+pub(crate) fn endpoint(id: &str, port: u16, site: &str) -> EndpointEntry {
+    EndpointEntry { site: Some(site.into()), ..common::endpoint(id, port, GROUP) }
 }
 
 /// A tenant's placement rule.
@@ -211,7 +211,7 @@
     }
 
     /// With endpoints, of which the first is the primary, and rules that are confirmed for the duration of the test.
-    pub(crate) fn with(endpoints: &[Endpoint], rules: &[Rule<'_>]) -> Core {
+    pub(crate) fn with(endpoints: &[EndpointEntry], rules: &[Rule<'_>]) -> Core {
         let mut core = Core::start(DEFAULT_HOLD_MICROS);
         core.script.with(endpoints[0].addr, |e| e.primary = true);
         core.rules(rules);
@@ -231,11 +231,11 @@
     }
 
     /// Sends a complete list, and waits until it binds: the list has an actor of its own, so a last endpoint shows it.
-    pub(crate) fn list(&mut self, mut endpoints: Vec<Endpoint>) {
+    pub(crate) fn list(&mut self, mut endpoints: Vec<EndpointEntry>) {
         self.version += 1;
         let site = format!("mark{}", self.version);
         let port = 60_000 + self.version as u16;
-        endpoints.push(Endpoint { group: GroupId(9), ..endpoint(&site, port, &site) });
+        endpoints.push(EndpointEntry { group: GroupId(9), ..endpoint(&site, port, &site) });
         self.endpoints.notify(EndpointUpdate { version: self.version, complete: true, endpoints });
         // Nobody has a rule here: it is served as soon as the list has arrived.
         let started = Instant::now();
@@ -308,6 +308,6 @@
 }
 
 /// Two at site a, the first of them the primary, and two at site b.
-pub(crate) fn four() -> Vec<Endpoint> {
+pub(crate) fn four() -> Vec<EndpointEntry> {
     vec![endpoint("a1", 1, "a"), endpoint("a2", 2, "a"), endpoint("b1", 3, "b"), endpoint("b2", 4, "b")]
 }
