--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -1,7 +1,7 @@
 //! Hosts the routers of one process: reads a batch, feeds each event to its router, writes the actions.
 use decision::{
-    Action, Event, GroupId, MemberEntry, MemberId, MemberState, Micros, Outcome, MemberReport, Request, RequestId,
-    Router, SessionId, Time,
+    Action, Event, GroupId, MemberEntry, MemberId, MemberReport, MemberState, Micros, Outcome, Request,
+    RequestId, Router, SessionId, Time,
 };
 use serde_json::{Value, json};
 use settings::Error;
@@ -285,7 +285,16 @@
             }
         }
         self.drop_if_done(request);
-        Ok(Some(Event::AttemptEnded { request, attempt, member, outcome, request_ended: ended, response_report: note, commit, load_report: report }))
+        Ok(Some(Event::AttemptEnded {
+            request,
+            attempt,
+            member,
+            outcome,
+            request_ended: ended,
+            response_report: note,
+            commit,
+            load_report: report,
+        }))
     }
 
     fn ended(&mut self, body: &Value) -> Result<(), Error> {
--- a/discovery/src/entries.rs
+++ b/discovery/src/entries.rs
@@ -1,5 +1,5 @@
 //! Discovery's lines of JSON as news for the list.
-use routing::{Endpoint, GroupId, EndpointUpdate, MemberState, Time};
+use routing::{EndpointEntry, EndpointUpdate, GroupId, MemberState, Time};
 use serde_json::Value;
 use settings::Error;
 use settings::fields::{array, count, flag, text, whole};
@@ -28,7 +28,7 @@
         Ok(EndpointUpdate { version: whole(v, "version")?, complete: flag(v, "full")?, endpoints: entries })
     }
 
-    fn entry(&mut self, v: &Value) -> Result<Endpoint, Error> {
+    fn entry(&mut self, v: &Value) -> Result<EndpointEntry, Error> {
         let id = text(v, "id")?.to_string();
         let named = |e: Error| e.at(format!("server {id}"));
         let state = match text(v, "state").map_err(named)? {
@@ -42,7 +42,7 @@
             addr.parse().map_err(|_| named(Error::value("addr", "ip:port", format_args!("'{addr}'"))))?;
         let started = v.get("started_ms").and_then(Value::as_f64).filter(|ms| *ms > 0.0);
         let zone = self.zone(v.get("zone").and_then(Value::as_str).unwrap_or(""));
-        Ok(Endpoint {
+        Ok(EndpointEntry {
             addr,
             group: GroupId(count(v, "cell").map_err(named)?),
             zone,
--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -9,7 +9,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use http1::Answer;
 use objects::{Objects, Piece, Unreadable};
-use routing::{EndpointsHandle, EndpointUpdate, UpdateOrder, spawn};
+use routing::{EndpointUpdate, EndpointsHandle, UpdateOrder, spawn};
 use settings::Limits;
 use silence::{Action, Event, Silence};
 use std::collections::HashMap;
--- a/discovery/tests/watch.rs
+++ b/discovery/tests/watch.rs
@@ -2,7 +2,10 @@
 //! that silence is noticed in 200 ms. Each wait is for a message; only a failure reaches its bound.
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use discovery::Watch;
-use routing::{NotSent, RouterMessage, Connection, EndpointUpdate, Outcome, ExchangeResult, AttemptGuard, BackendProtocol, Exchange};
+use routing::{
+    AttemptGuard, BackendProtocol, Connection, EndpointUpdate, Exchange, ExchangeResult, NotSent, Outcome,
+    RouterMessage,
+};
 use settings::Limits;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/door/src/service.rs
+++ b/door/src/service.rs
@@ -11,7 +11,7 @@
 use coordinator::Coordinator;
 use crossbeam_channel::Sender;
 use holds::Event;
-use routing::{Clock, Metrics, EndpointsHandle, spawn};
+use routing::{Clock, EndpointsHandle, Metrics, spawn};
 use settings::Limits;
 use std::io;
 use std::path::Path;
--- a/door/src/service/coordinator.rs
+++ b/door/src/service/coordinator.rs
@@ -195,7 +195,10 @@
     fn notify(&mut self, machine: &Machine) {
         let (mask, draining) = (machine.mask(), machine.draining());
         if mask != self.notified.mask {
-            let shown = routing::MaintenanceMask { in_maintenance: mask.in_maintenance.clone(), returned_at: mask.restored.clone() };
+            let shown = routing::MaintenanceMask {
+                in_maintenance: mask.in_maintenance.clone(),
+                returned_at: mask.restored.clone(),
+            };
             _ = self.dependencies.endpoints.set_maintenance(shown);
         }
         if draining != self.notified.draining {
--- a/door/tests/common/router.rs
+++ b/door/tests/common/router.rs
@@ -4,10 +4,11 @@
 use clients::Order;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use door::{AdminService, ServiceDependencies};
-use routing::messages::Message;
-use routing::wire::Unsent;
+use routing::NotSent;
+use routing::RouterMessage;
 use routing::{
-    Clock, Entry, Figures, GroupId, Link, ListHandle, ListNews, MemberState, Outcome, Reply, Stop, Wire, Work,
+    AttemptGuard, BackendProtocol, Clock, Connection, EndpointEntry, EndpointUpdate, EndpointsHandle,
+    Exchange, ExchangeResult, GroupId, MemberState, Metrics, Outcome,
 };
 use settings::Limits;
 use std::net::{SocketAddr, TcpStream};
@@ -20,24 +21,24 @@
 struct NoWire;
 struct NoLink(Arc<TcpStream>);
 
-impl Wire for NoWire {
+impl BackendProtocol for NoWire {
     type Payload = ();
-    type Answer = ();
-    type Link = NoLink;
-    fn open(&self, _: SocketAddr) -> Result<NoLink, Outcome> {
+    type Response = ();
+    type Connection = NoLink;
+    fn connect(&self, _: SocketAddr) -> Result<NoLink, Outcome> {
         unreachable!("no instance is asked")
     }
 }
 
-impl Link<NoWire> for NoLink {
+impl Connection<NoWire> for NoLink {
     fn socket(&self) -> Arc<TcpStream> {
         self.0.clone()
     }
-    fn alive(&mut self, _: Duration) -> bool {
+    fn is_usable(&mut self, _: Duration) -> bool {
         false
     }
-    fn carry(&mut self, _: Work<'_, NoWire>, _: &Stop) -> Result<Reply<()>, Unsent> {
-        Err(Unsent::Broken)
+    fn execute(&mut self, _: Exchange<'_, NoWire>, _: &AttemptGuard) -> Result<ExchangeResult<()>, NotSent> {
+        Err(NotSent::ConnectionBroken)
     }
 }
 
@@ -61,9 +62,9 @@
 pub(crate) struct TestRouter {
     pub(crate) service: Arc<AdminService>,
     folder: PathBuf,
-    list: ListHandle,
+    list: EndpointsHandle,
     accepting: Arc<AtomicBool>,
-    core: Receiver<Message<NoWire>>,
+    core: Receiver<RouterMessage<NoWire>>,
     orders: Receiver<Order>,
     callbacks: Receiver<Effect>,
 }
@@ -74,17 +75,17 @@
     limits
 }
 
-fn endpoint(id: &str) -> Entry {
-    Entry {
+fn endpoint(id: &str) -> EndpointEntry {
+    EndpointEntry {
         id: id.into(),
         addr: SocketAddr::from(([127, 0, 0, 1], 9)),
         group: GroupId(1),
         zone: 0,
         site: None,
         state: MemberState::Ready,
-        primary: false,
+        listed_primary: false,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -100,9 +101,9 @@
     /// A router whose processes share this folder.
     pub(crate) fn start_in(folder: PathBuf) -> TestRouter {
         let limits = limits();
-        let figures = Figures::new(&["order".to_string()]).unwrap();
+        let figures = Metrics::new(&["order".to_string()]).unwrap();
         let (to_core, core) = unbounded();
-        let list = routing::list::start::<NoWire>(&limits, to_core, Some(figures.clone())).unwrap();
+        let list = routing::endpoints::start::<NoWire>(&limits, to_core, Some(figures.clone())).unwrap();
         let (to_clients, orders) = bounded(64);
         let (to_callbacks, callbacks): (Sender<Effect>, _) = unbounded();
         let accepting = Arc::new(AtomicBool::new(false));
@@ -138,14 +139,14 @@
     /// Replaces the endpoint list; it binds when this returns.
     pub(crate) fn list_endpoints(&self, ids: &[&str]) {
         let entries = ids.iter().map(|id| endpoint(id)).collect();
-        self.list.tell(ListNews { version: 1, complete: true, entries });
-        assert!(self.list.taken(LONG));
+        self.list.notify(EndpointUpdate { version: 1, complete: true, endpoints: entries });
+        assert!(self.list.wait_until_applied(LONG));
         _ = self.core.try_iter().count();
     }
 
     /// What the service has done since this was last asked, each kind in its order.
     pub(crate) fn effects(&self) -> Vec<Effect> {
-        assert!(self.list.taken(LONG));
+        assert!(self.list.wait_until_applied(LONG));
         let mut effects: Vec<Effect> = self.callbacks.try_iter().collect();
         effects.extend(self.orders.try_iter().filter_map(|order| match order {
             Order::Drain(draining) => Some(Effect::DrainOrder(draining)),
@@ -156,12 +157,11 @@
         }));
         for message in self.core.try_iter() {
             match message {
-                Message::Shut(groups) => {
+                RouterMessage::UnavailableGroups(groups) => {
                     effects.push(Effect::ClosedGroups(groups.iter().map(|group| group.0).collect()));
                 }
-                Message::List(news) => effects.extend(news.entries.iter().map(|entry| Effect::Endpoint {
-                    id: entry.id.clone(),
-                    draining: entry.state == MemberState::Draining,
+                RouterMessage::Endpoints(news) => effects.extend(news.endpoints.iter().map(|entry| {
+                    Effect::Endpoint { id: entry.id.clone(), draining: entry.state == MemberState::Draining }
                 })),
                 _ => {}
             }
--- a/emulator/src/plan.rs
+++ b/emulator/src/plan.rs
@@ -1,5 +1,5 @@
 //! What is played: the fleet, its load and its troubles, from a TOML file. Unknown keys are errors.
-use decision::{Class, Idempotency, Freshness, Settings, SessionCommitSource, LaggingReplica};
+use decision::{Class, Freshness, Idempotency, LaggingReplica, SessionCommitSource, Settings};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -5,7 +5,7 @@
 use crate::result::{Counts, Results, Times};
 use crate::spread::Meter;
 use decision::{
-    Action, Event, Freshness, GroupId, MemberEntry, MemberId, MemberState, Outcome, MemberReport, Request,
+    Action, Event, Freshness, GroupId, MemberEntry, MemberId, MemberReport, MemberState, Outcome, Request,
     RequestId, Router, Time,
 };
 use fastrand::Rng;
--- a/fleet/src/client/exchange.rs
+++ b/fleet/src/client/exchange.rs
@@ -231,9 +231,7 @@
             current_version: current,
             directive,
         };
-        let changed = self
-            .shared
-            .with_fence(|fence, now| fence.answer_received(now, &answer));
+        let changed = self.shared.with_fence(|fence, now| fence.answer_received(now, &answer));
         if changed.is_none() {
             return;
         }
--- a/fleet/src/client/mod.rs
+++ b/fleet/src/client/mod.rs
@@ -158,8 +158,9 @@
     pub fn admit(&self, user: &str, named: Option<&str>) -> Result<Option<Arc<str>>, AdmissionError> {
         let resolved = self.resolve(user, named)?;
         let Some(tenant) = resolved.tenant else { return Ok(None) };
-        let (admission, urgent) =
-            self.shared.with_quota_client(|quotas, now| (quotas.admit(now, &tenant), quotas.wants_early_report()));
+        let (admission, urgent) = self
+            .shared
+            .with_quota_client(|quotas, now| (quotas.admit(now, &tenant), quotas.wants_early_report()));
         if urgent {
             self.shared.wake_exchange();
         }
--- a/fleet/src/document/write.rs
+++ b/fleet/src/document/write.rs
@@ -123,10 +123,15 @@
     expected: Option<Version>,
 ) -> Result<Version, DocumentError> {
     let json = serde_json::to_string(pointer).unwrap_or_default();
-    match client.put(CURRENT_KEY, &json, UpdateOptions { expected_version: Some(key_version), ..UpdateOptions::default() }) {
+    match client.put(
+        CURRENT_KEY,
+        &json,
+        UpdateOptions { expected_version: Some(key_version), ..UpdateOptions::default() },
+    ) {
         Ok(changed) => Ok(changed.revision),
         Err(ClientError::Rejected(Rejection::VersionMismatch { .. })) => {
-            let found = client.get(CURRENT_KEY, Consistency::Linearizable)?.value.map_or(0, |value| value.revision);
+            let found =
+                client.get(CURRENT_KEY, Consistency::Linearizable)?.value.map_or(0, |value| value.revision);
             Err(DocumentError::VersionConflict { expected: expected.unwrap_or(found), found })
         }
         Err(error) => Err(error.into()),
@@ -147,7 +152,9 @@
         if kept.contains(parts::hash_of_key(&key)) || value.revision > version {
             continue;
         }
-        match client.delete(&key, UpdateOptions { expected_version: Some(value.version), ..UpdateOptions::default() }) {
+        match client
+            .delete(&key, UpdateOptions { expected_version: Some(value.version), ..UpdateOptions::default() })
+        {
             Ok(_) | Err(ClientError::Rejected(Rejection::VersionMismatch { .. })) => {}
             Err(error) => return Err(error),
         }
--- a/fleet/src/service/auditor.rs
+++ b/fleet/src/service/auditor.rs
@@ -1,6 +1,6 @@
 //! The audit beside the quota allocator: carries out what its state machine decides.
 use super::audit_recorder::{Recorder, WriteResult};
-use audit::{Action, Entry, Event, EntryKind, VersionTracker, Directive};
+use audit::{Action, Directive, Entry, EntryKind, Event, VersionTracker};
 use routing::Time;
 use std::io;
 use store::Store;
--- a/fleet/src/service/leader.rs
+++ b/fleet/src/service/leader.rs
@@ -6,7 +6,7 @@
 use crate::wire::{Response, UNKNOWN_LEADER};
 use crate::{audit_record, document};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
-use quotas::{Action, Allocator, ResponseBody, Event};
+use quotas::{Action, Allocator, Event, ResponseBody};
 use routing::{Clock, Time};
 use settings::fleet::Version;
 use std::collections::HashMap;
@@ -95,7 +95,9 @@
             }
             match confirmed {
                 Ok(Some(leadership)) => self.decide(now, &leadership, pending, &mut actions),
-                Ok(None) => respond_not_leader(&pending, self.store.known_leader().leader.unwrap_or(UNKNOWN_LEADER)),
+                Ok(None) => {
+                    respond_not_leader(&pending, self.store.known_leader().leader.unwrap_or(UNKNOWN_LEADER))
+                }
                 // This node may be cut off from the present leader and not know it.
                 Err(_) => respond_not_leader(&pending, UNKNOWN_LEADER),
             }
@@ -190,8 +192,13 @@
         if matches!(audit_directive, audit::Directive::FenceOut { .. }) {
             // Nothing is renewed: the router's grants expire, and nobody else has them before.
             let (start, seq) = (pending.quota_report.incarnation, pending.quota_report.seq);
-            let quota_response =
-                quotas::GrantResponse { term: self.term, incarnation: start, seq, version: self.version, body: ResponseBody::NotRenewed };
+            let quota_response = quotas::GrantResponse {
+                term: self.term,
+                incarnation: start,
+                seq,
+                version: self.version,
+                body: ResponseBody::NotRenewed,
+            };
             pending.respond(Response::Report { quota_response, audit_directive });
             return None;
         }
--- a/fleet/tests/client.rs
+++ b/fleet/tests/client.rs
@@ -5,7 +5,7 @@
 use fleet::wire::{self, Request, Response};
 use fleet::{AdmissionError, FleetClient};
 use placement::News;
-use quotas::{ResponseBody, Report};
+use quotas::{Report, ResponseBody};
 use routing::{Clock, Time};
 use settings::fleet::{Audit, Member};
 use std::io::Read;
@@ -27,7 +27,13 @@
 
 fn answered(report: &Report, audit_directive: AuditNews) -> Response {
     let (start, seq) = (report.incarnation, report.seq);
-    let quota_response = quotas::GrantResponse { term: 1, incarnation: start, seq, version: VERSION, body: ResponseBody::NotRenewed };
+    let quota_response = quotas::GrantResponse {
+        term: 1,
+        incarnation: start,
+        seq,
+        version: VERSION,
+        body: ResponseBody::NotRenewed,
+    };
     Response::Report { quota_response, audit_directive }
 }
 
@@ -208,7 +214,8 @@
 
 #[test]
 fn unreadable_document_is_fetched_once() {
-    let node = Node::start(1, "routers = 'many'\n", Box::new(|report| answered(report, AuditNews::AuditDisabled)));
+    let node =
+        Node::start(1, "routers = 'many'\n", Box::new(|report| answered(report, AuditNews::AuditDisabled)));
     node.accept.send(()).unwrap();
     let (client, news) = start_client(&[&node], None);
     assert_eq!(node.next_report().version, 0);
--- a/fleet/tests/service.rs
+++ b/fleet/tests/service.rs
@@ -58,7 +58,9 @@
     fn wait_for_leader(&self, except: Option<usize>) -> usize {
         let begun = Instant::now();
         loop {
-            let leads = |i: &usize| Some(*i) != except && matches!(self.nodes[*i].store.read_as_leader(), Ok(Some(_)));
+            let leads = |i: &usize| {
+                Some(*i) != except && matches!(self.nodes[*i].store.read_as_leader(), Ok(Some(_)))
+            };
             if let Some(i) = (0..self.nodes.len()).find(leads) {
                 return i;
             }
@@ -94,7 +96,13 @@
 
 fn pocket(n: usize) -> QuotaClient {
     let (name, settings) = (format!("router-{n}"), quotas::Settings::default());
-    QuotaClient::new(QuotaClientSettings { router: name, incarnation: 1, slot: None, settings, seed: n as u64 })
+    QuotaClient::new(QuotaClientSettings {
+        router: name,
+        incarnation: 1,
+        slot: None,
+        settings,
+        seed: n as u64,
+    })
 }
 
 fn receive(socket: &TcpStream) -> Response {
--- a/fleet/tests/stored_forms.rs
+++ b/fleet/tests/stored_forms.rs
@@ -2,13 +2,15 @@
 //! written by the program before its names were revised: it must read them as it did, and write the same bytes.
 mod common;
 
-use audit::{Batch, Entry, EntryKind, Directive, VersionReport};
+use audit::{Batch, Directive, Entry, EntryKind, VersionReport};
 use common::{LONG, Node, reserve_addrs, start_node};
 use fleet::audit_record;
 use fleet::document::{self, CURRENT_KEY, Document, Metadata, PreviousDocument};
 use fleet::service::Limits;
 use fleet::wire::{self, Request, Response};
-use quotas::{GrantChange, TenantDemand, TenantGrant, ResponseBody, HeldGrants, Grant, Report, ReservedShare};
+use quotas::{
+    Grant, GrantChange, HeldGrants, Report, ReservedShare, ResponseBody, TenantDemand, TenantGrant,
+};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
@@ -66,8 +68,15 @@
         applied_seq: 299,
         version: 4_242,
         leaving: false,
-        held: Some(HeldGrants { version: 4_241, reserved_share: Some(ReservedShare { index: 16, full: true }), by_demand }),
-        demand: vec![TenantDemand { tenant: "tills".into(), rate: 40_000_000 }, TenantDemand { tenant: "all".into(), rate: 0 }],
+        held: Some(HeldGrants {
+            version: 4_241,
+            reserved_share: Some(ReservedShare { index: 16, full: true }),
+            by_demand,
+        }),
+        demand: vec![
+            TenantDemand { tenant: "tills".into(), rate: 40_000_000 },
+            TenantDemand { tenant: "all".into(), rate: 0 },
+        ],
     }
 }
 
@@ -102,7 +111,13 @@
 
 #[test]
 fn request_frames_match_fixtures() {
-    let stamp = VersionReport { version_age: 1_500_000, last_fence_duration: 250_000, routing: true, members_version: 99, epoch: (7 << 32) + 3 };
+    let stamp = VersionReport {
+        version_age: 1_500_000,
+        last_fence_duration: 250_000,
+        routing: true,
+        members_version: 99,
+        epoch: (7 << 32) + 3,
+    };
     assert_frame(
         "request_report_full.bin",
         &Request::Report { quota_report: full_report(), version_report: stamp },
@@ -158,7 +173,14 @@
 }
 
 fn audit_batch() -> Batch {
-    let kinds = [EntryKind::Acting, EntryKind::Notified, EntryKind::FencedOut, EntryKind::Silent, EntryKind::Left, EntryKind::Current];
+    let kinds = [
+        EntryKind::Acting,
+        EntryKind::Notified,
+        EntryKind::FencedOut,
+        EntryKind::Silent,
+        EntryKind::Left,
+        EntryKind::Current,
+    ];
     let entry = |(i, kind): (u64, EntryKind)| Entry {
         router: if kind == EntryKind::Current { String::new() } else { format!("router-{i}") },
         incarnation: 1_700_000_000_000_000 + i,
@@ -169,7 +191,12 @@
         epoch: (7 << 32) + i,
         term: 7,
     };
-    Batch { seq: 71, term: 7, created_at: 1_700_000_002_000_000, entries: (0..).zip(kinds).map(entry).collect() }
+    Batch {
+        seq: 71,
+        term: 7,
+        created_at: 1_700_000_002_000_000,
+        entries: (0..).zip(kinds).map(entry).collect(),
+    }
 }
 
 #[test]
--- a/lab/src/count.rs
+++ b/lab/src/count.rs
@@ -72,7 +72,8 @@
         } else if line.contains("event AttemptEnded") {
             into.add(second, format!("outcome {outcome}"));
         } else if line.contains("event ProbeEnded") {
-            let said = if line.contains("report: MemberReport { primary: None") { "no report" } else { "a report" };
+            let said =
+                if line.contains("report: MemberReport { primary: None") { "no report" } else { "a report" };
             let seen = format!("{outcome}, {said}");
             into.add(second, format!("probed {seen}"));
             looked.insert(member, seen);
--- a/mysql/src/errors.rs
+++ b/mysql/src/errors.rs
@@ -108,9 +108,13 @@
             payload(REFUSED, &text)
         }
         FinalResponse::Rejected(None) => payload(REFUSED, "refused: trying again is harmless"),
-        FinalResponse::Cancelled => payload(CANCELLED, "cancelled by its client; what had begun may have run"),
+        FinalResponse::Cancelled => {
+            payload(CANCELLED, "cancelled by its client; what had begun may have run")
+        }
         FinalResponse::PlacementDenied(why) => payload(REFUSED, &format!("refused: nothing ran: {why}")),
-        FinalResponse::Failed(Some(Outcome::TimedOut)) => payload(TIMED_OUT, "no answer in time; it may have run"),
+        FinalResponse::Failed(Some(Outcome::TimedOut)) => {
+            payload(TIMED_OUT, "no answer in time; it may have run")
+        }
         FinalResponse::Failed(Some(Outcome::Reset)) => {
             payload(RESET, "the server's connection broke; it may have run")
         }
--- a/mysql/src/front.rs
+++ b/mysql/src/front.rs
@@ -10,7 +10,7 @@
 use crate::{Tap, command};
 use clients::{Connection, Talk, timed_out};
 use crossbeam_channel::{Receiver, bounded};
-use routing::{FinalResponse, GroupId, RouterHandle, ClientRequest, RequestId, Time, spawn};
+use routing::{ClientRequest, FinalResponse, GroupId, RequestId, RouterHandle, Time, spawn};
 use sessions::Key;
 use sessions::machine::Stopped;
 use sessions::node::{Sessions, Who};
@@ -367,7 +367,9 @@
         let tenant = match &self.front.fleet {
             None => Ok(None),
             // Preparing runs nothing: it costs its tenant nothing, and goes only where the tenant may go.
-            Some(fleet) if class == settings.prepare => fleet.resolve_tenant(&self.user, need.tenant.as_deref()),
+            Some(fleet) if class == settings.prepare => {
+                fleet.resolve_tenant(&self.user, need.tenant.as_deref())
+            }
             Some(fleet) => fleet.admit(&self.user, need.tenant.as_deref()),
         };
         let tenant = tenant.map_err(|why| (errors::REFUSED, format!("refused: nothing ran: {why}")))?;
@@ -376,7 +378,16 @@
             deadline = fleet.dispatch_deadline(deadline);
         }
         let (answer, given) = bounded(1);
-        let incoming = ClientRequest { class, tenant, session: None, group, deadline, session_commit: token, payload, response_sender: answer };
+        let incoming = ClientRequest {
+            class,
+            tenant,
+            session: None,
+            group,
+            deadline,
+            session_commit: token,
+            payload,
+            response_sender: answer,
+        };
         // Nobody reads what a client is answered that has left meanwhile.
         let request = self.connection.submit(|| self.front.handle.submit(incoming));
         let answer = given.recv().unwrap_or(FinalResponse::Failed(None));
--- a/mysql/src/link.rs
+++ b/mysql/src/link.rs
@@ -7,7 +7,8 @@
 use crate::results::{State, text_row};
 use routing::socket::{DeadlineReader, connect_to_endpoint, is_idle_and_open};
 use routing::{
-    AttemptGuard, BackendProtocol, Clock, Connection, Exchange, ExchangeResult, MemberReport, NotSent, Outcome, Time,
+    AttemptGuard, BackendProtocol, Clock, Connection, Exchange, ExchangeResult, MemberReport, NotSent,
+    Outcome, Time,
 };
 use sessions::clocks::{Clocks, Offset};
 use settings::Limits;
@@ -144,8 +145,9 @@
 ) -> Result<(), (u16, String)> {
     let own = |text: &str| (0, text.to_string());
     let next = |reader: &mut Reader| -> Result<Packet, (u16, String)> {
-        let packet =
-            reader.next(DeadlineReader::new(socket, until)).map_err(|e| (0, format!("the connection failed: {e:?}")))?;
+        let packet = reader
+            .next(DeadlineReader::new(socket, until))
+            .map_err(|e| (0, format!("the connection failed: {e:?}")))?;
         match errors::code(&packet.payload) {
             Some(code) => Err((code, format!("error {code}"))),
             None => Ok(packet),
@@ -205,9 +207,15 @@
         rested < self.limits.link_trust && self.reader.is_empty() && is_idle_and_open(&self.socket)
     }
 
-    fn execute(&mut self, work: Exchange<'_, Mysql>, stop: &AttemptGuard) -> Result<ExchangeResult<Payloads>, NotSent> {
+    fn execute(
+        &mut self,
+        work: Exchange<'_, Mysql>,
+        stop: &AttemptGuard,
+    ) -> Result<ExchangeResult<Payloads>, NotSent> {
         let wait = match &work {
-            Exchange::Attempt(_, at) => at.saturating_duration_since(Instant::now()) + self.limits.link_backstop,
+            Exchange::Attempt(_, at) => {
+                at.saturating_duration_since(Instant::now()) + self.limits.link_backstop
+            }
             Exchange::Probe => self.limits.probe,
         };
         self.until = Instant::now() + wait;
@@ -233,7 +241,9 @@
                     Err(cut) => Ok(self.reply(Err(cut))),
                 }
             }
-            Exchange::Attempt(Payload::Execute { text, body, long }, _) => self.execute_statement(text, body, long, stop),
+            Exchange::Attempt(Payload::Execute { text, body, long }, _) => {
+                self.execute_statement(text, body, long, stop)
+            }
         }
     }
 }
@@ -335,7 +345,10 @@
                 if !std::mem::replace(&mut anew, true) {
                     continue;
                 }
-                return Ok(ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(Outcome::Rejected) });
+                return Ok(ExchangeResult {
+                    reusable: true,
+                    ..ExchangeResult::from_outcome(Outcome::Rejected)
+                });
             }
             return Ok(self.reply(answer));
         }
@@ -367,7 +380,11 @@
 
     /// An answer as an outcome. A result that breaks off in an error is the statement's own as well.
     fn reply(&mut self, answer: Result<Payloads, Cut>) -> ExchangeResult<Payloads> {
-        let served = |answer, reusable| ExchangeResult { response: Some(answer), reusable, ..ExchangeResult::from_outcome(Outcome::Ok) };
+        let served = |answer, reusable| ExchangeResult {
+            response: Some(answer),
+            reusable,
+            ..ExchangeResult::from_outcome(Outcome::Ok)
+        };
         match answer {
             Err(Cut::Broken(outcome)) => ExchangeResult::from_outcome(outcome),
             Err(Cut::TooLarge) => {
@@ -375,7 +392,9 @@
                 served(vec![errors::payload(errors::TOO_LARGE, &text)], false)
             }
             Ok(answer) => match answer.last().and_then(|p| errors::code(p)).map(errors::meaning) {
-                Some(Meaning::Outcome(outcome)) => ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(outcome) },
+                Some(Meaning::Outcome(outcome)) => {
+                    ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(outcome) }
+                }
                 _ => {
                     // The commit is before the answer, by the server's own clock at the latest. Of a server that
                     // answered a read this says nothing: a replica stands where its heartbeat does.
@@ -390,7 +409,9 @@
     fn probed(&mut self, sent: Time) -> ExchangeResult<Payloads> {
         let answer = match self.answer() {
             Ok(a) if errors::code(&a[0]).is_none() && a.len() >= 2 => a,
-            Ok(_) => return ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(Outcome::Error) },
+            Ok(_) => {
+                return ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(Outcome::Error) };
+            }
             Err(Cut::Broken(outcome)) => return ExchangeResult::from_outcome(outcome),
             Err(Cut::TooLarge) => return ExchangeResult::from_outcome(Outcome::Error),
         };
@@ -405,6 +426,10 @@
         if let (true, Some(said)) = (self.settings.server_clock, time(2)) {
             self.clocks.learn(self.addr, Offset::sample(sent, self.clock.now(), said));
         }
-        ExchangeResult { load_report: MemberReport { primary, position }, reusable: true, ..ExchangeResult::from_outcome(Outcome::Ok) }
+        ExchangeResult {
+            load_report: MemberReport { primary, position },
+            reusable: true,
+            ..ExchangeResult::from_outcome(Outcome::Ok)
+        }
     }
 }
--- a/mysql/src/watch.rs
+++ b/mysql/src/watch.rs
@@ -1,7 +1,7 @@
 //! Asks the servers for their clocks, at the start and now and then: sessions have to know how far these are from the
 //! router's also while no request makes the module probe.
 use crate::link::Mysql;
-use routing::protocol::{Connection, AttemptGuard, BackendProtocol, Exchange};
+use routing::protocol::{AttemptGuard, BackendProtocol, Connection, Exchange};
 use routing::{Outcome, spawn};
 use settings::Limits;
 use std::io;
--- a/mysql/tests/trickle.rs
+++ b/mysql/tests/trickle.rs
@@ -1,6 +1,6 @@
 //! A server that brings a byte now and then, for ever, holds nobody beyond their time. Over real loopback sockets.
 use mysql_wire::link::Mysql;
-use routing::protocol::{Connection, AttemptGuard, BackendProtocol, Exchange};
+use routing::protocol::{AttemptGuard, BackendProtocol, Connection, Exchange};
 use routing::{Clock, Outcome};
 use settings::operator;
 use standins::wire::{greet, read};
--- a/mysql/tests/withdrawn.rs
+++ b/mysql/tests/withdrawn.rs
@@ -1,7 +1,7 @@
 //! What a server gets of an execution that was withdrawn, over real loopback sockets.
 use mysql_wire::command;
 use mysql_wire::link::{Mysql, MysqlLink, Payload};
-use routing::protocol::{Connection, AttemptGuard, NotSent, BackendProtocol, Exchange};
+use routing::protocol::{AttemptGuard, BackendProtocol, Connection, Exchange, NotSent};
 use routing::{Clock, Outcome};
 use settings::operator;
 use standins::wire::{OK, greet, packets, read};
--- a/postgres/src/answer.rs
+++ b/postgres/src/answer.rs
@@ -2,7 +2,7 @@
 //! can stop or go wrong can be played through.
 use crate::message::{error, is_tag, one_column, one_value, parameter};
 use routing::protocol::ExchangeResult;
-use routing::{Outcome, MemberReport, Time};
+use routing::{MemberReport, Outcome, Time};
 
 /// What an answer may hold beside its value: its heads, notes and notices.
 pub const BESIDE: usize = 16 * 1024;
@@ -139,7 +139,14 @@
         let commit = (served && end != End::Ready && said.position.is_none()).then_some(now);
         let note = MemberReport { primary: said.primary, position: said.position };
         let answer = served.then_some(self.text);
-        ExchangeResult { outcome, response: answer, response_report: note, commit, load_report: said.report, reusable: end == End::Ready }
+        ExchangeResult {
+            outcome,
+            response: answer,
+            response_report: note,
+            commit,
+            load_report: said.report,
+            reusable: end == End::Ready,
+        }
     }
 }
 
--- a/postgres/src/front.rs
+++ b/postgres/src/front.rs
@@ -9,7 +9,9 @@
 use crate::statement::Statement;
 use clients::{Connection, Standing, Talk, timed_out};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
-use routing::{FinalResponse, GroupId, RouterHandle, ClientRequest, Outcome, RequestId, SessionId, Settings, Time, spawn};
+use routing::{
+    ClientRequest, FinalResponse, GroupId, Outcome, RequestId, RouterHandle, SessionId, Settings, Time, spawn,
+};
 use settings::Limits;
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, HashSet};
--- a/postgres/src/link.rs
+++ b/postgres/src/link.rs
@@ -3,9 +3,7 @@
 use crate::message::{Buffer, error, push, write_gathered};
 use crate::statement::Statement;
 use routing::socket::{DeadlineReader, connect_to_endpoint, is_idle_and_open};
-use routing::{
-    AttemptGuard, BackendProtocol, Clock, Connection, Exchange, ExchangeResult, NotSent, Outcome,
-};
+use routing::{AttemptGuard, BackendProtocol, Clock, Connection, Exchange, ExchangeResult, NotSent, Outcome};
 use settings::Limits;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -80,7 +78,11 @@
         quiet && (rested < self.limits.link_trust || self.echoes())
     }
 
-    fn execute(&mut self, work: Exchange<'_, Postgres>, stop: &AttemptGuard) -> Result<ExchangeResult<Vec<u8>>, NotSent> {
+    fn execute(
+        &mut self,
+        work: Exchange<'_, Postgres>,
+        stop: &AttemptGuard,
+    ) -> Result<ExchangeResult<Vec<u8>>, NotSent> {
         let now = Instant::now();
         let (digits, at, until);
         let mut probe = Vec::new();
@@ -129,7 +131,9 @@
         let until = Instant::now() + self.limits.link_check;
         let mut empty = false;
         loop {
-            let Ok(Some(frame)) = self.buffer.next(DeadlineReader::new(&self.socket, until)) else { return false };
+            let Ok(Some(frame)) = self.buffer.next(DeadlineReader::new(&self.socket, until)) else {
+                return false;
+            };
             match frame.tag {
                 b'I' => empty = true,
                 b'S' | b'N' => {}
--- a/postgres/tests/answers.rs
+++ b/postgres/tests/answers.rs
@@ -125,7 +125,11 @@
     let expected = expected(case, at, how);
     assert_eq!(reply.outcome, expected.outcome, "{told}");
     assert_eq!(reply.reusable, expected.reusable, "{told}");
-    assert_eq!((reply.response_report.primary, reply.response_report.position), (expected.mode, expected.position), "{told}");
+    assert_eq!(
+        (reply.response_report.primary, reply.response_report.position),
+        (expected.mode, expected.position),
+        "{told}"
+    );
     assert_eq!(reply.load_report.position, expected.report, "{told}");
     let served = reply.outcome == Outcome::Ok && !case.probe;
     assert_eq!(reply.response, served.then(|| row("value").concat()), "{told}");
--- a/postgres/tests/common/mod.rs
+++ b/postgres/tests/common/mod.rs
@@ -3,7 +3,7 @@
 use postgres::link::{Postgres, PostgresLink};
 use postgres::statement::Statement;
 use routing::Outcome;
-use routing::protocol::{Connection, ExchangeResult, AttemptGuard, NotSent, BackendProtocol, Exchange};
+use routing::protocol::{AttemptGuard, BackendProtocol, Connection, Exchange, ExchangeResult, NotSent};
 use settings::Limits;
 use socket2::SockRef;
 use std::io::{Read, Write};
--- a/postgres/tests/leaving.rs
+++ b/postgres/tests/leaving.rs
@@ -1,10 +1,10 @@
 //! The front with bounds that the program never has: no look at its clients, no thread for a writer.
 use clients::{Clients, Listening};
 use crossbeam_channel::{Sender, bounded};
-use decision::{Class, Idempotency, Freshness};
+use decision::{Class, Freshness, Idempotency};
 use postgres::front::Front;
 use postgres::link::Postgres;
-use routing::{Clock, Metrics, Settings, RouterBuilder};
+use routing::{Clock, Metrics, RouterBuilder, Settings};
 use settings::Limits;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,7 +17,14 @@
 fn settings() -> Settings {
     let (aim, deadline) = (10_000_000, 10_000_000);
     let (freshness, effect) = (Freshness::Write, Idempotency::NotIdempotent);
-    let classes = vec![Class { freshness, idempotency: effect, latency_objective: aim, deadline, priority_weight: 1.0, late_weight_share: 1.0 }];
+    let classes = vec![Class {
+        freshness,
+        idempotency: effect,
+        latency_objective: aim,
+        deadline,
+        priority_weight: 1.0,
+        late_weight_share: 1.0,
+    }];
     let mysql = settings::operator::read(include_str!("../../deploy/mysql.toml")).unwrap().settings;
     Settings { classes, min_event_interval: 1_000, ..mysql }
 }
--- a/postgres/tests/links.rs
+++ b/postgres/tests/links.rs
@@ -6,7 +6,7 @@
 };
 use postgres::link::Postgres;
 use routing::Outcome;
-use routing::protocol::{Connection, NotSent, BackendProtocol};
+use routing::protocol::{BackendProtocol, Connection, NotSent};
 use settings::Limits;
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
@@ -109,7 +109,9 @@
 
 #[test]
 fn a_refusal_in_either_code_is_one_that_ran_nothing() {
-    for (code, outcome) in [("53300", Outcome::Rejected), ("57P03", Outcome::Rejected), ("XX000", Outcome::Error)] {
+    for (code, outcome) in
+        [("53300", Outcome::Rejected), ("57P03", Outcome::Rejected), ("XX000", Outcome::Error)]
+    {
         let answer = [error("ERROR", code), ready()].concat();
         let (mut l, _hears) = answering(Box::leak(Box::new([&*answer.leak()])));
         let reply = probe(&mut l).ok().unwrap();
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -10,7 +10,9 @@
 use crate::machine::{Action, EndpointIndex, Event, Item, Machine, Revision, Settings as MachineSettings};
 use crate::tls::Tls;
 use crate::{Error, Failed};
-use routing::{RespondedEndpoints, Clock, Endpoint, GroupId, EndpointsHandle, EndpointUpdate, MemberState, spawn};
+use routing::{
+    Clock, EndpointEntry, EndpointUpdate, EndpointsHandle, GroupId, MemberState, RespondedEndpoints, spawn,
+};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use settings::Limits;
@@ -151,8 +153,8 @@
 struct Inner {
     fleet: Fleet,
     /// What the list knows, by id.
-    listed: HashMap<String, Endpoint>,
-    pending: Vec<Endpoint>,
+    listed: HashMap<String, EndpointEntry>,
+    pending: Vec<EndpointEntry>,
     urgent: bool,
     version: u64,
     routers: BTreeMap<String, Router>,
@@ -569,7 +571,7 @@
                 FleetAction::Unlist(id) => {
                     if let Some(entry) = inner.listed.remove(&id) {
                         inner.urgent = true;
-                        inner.pending.push(Endpoint { state: MemberState::Removed, ..entry });
+                        inner.pending.push(EndpointEntry { state: MemberState::Removed, ..entry });
                     }
                 }
                 FleetAction::Faulty(name, why) => {
@@ -590,8 +592,8 @@
         }
     }
 
-    fn entry(&self, id: &str, node: &Node) -> Endpoint {
-        Endpoint {
+    fn entry(&self, id: &str, node: &Node) -> EndpointEntry {
+        EndpointEntry {
             id: id.to_string(),
             addr: node.addr,
             group: GroupId(node.group),
@@ -621,11 +623,11 @@
         }
         inner.version += 1;
         // Of one node only the newest counts.
-        let mut newest: BTreeMap<String, (usize, Endpoint)> = BTreeMap::new();
+        let mut newest: BTreeMap<String, (usize, EndpointEntry)> = BTreeMap::new();
         for (n, e) in std::mem::take(&mut inner.pending).into_iter().enumerate() {
             newest.insert(e.id.clone(), (n, e));
         }
-        let mut entries: Vec<(usize, Endpoint)> = newest.into_values().collect();
+        let mut entries: Vec<(usize, EndpointEntry)> = newest.into_values().collect();
         entries.sort_by_key(|(n, _)| *n);
         let entries = entries.into_iter().map(|(_, e)| e).collect();
         self.list.notify(EndpointUpdate { version: inner.version, complete: false, endpoints: entries });
--- a/settings/src/operator.rs
+++ b/settings/src/operator.rs
@@ -3,7 +3,7 @@
 use crate::fields::{array, field, flag, number, text, whole};
 use crate::limits::Limits;
 use crate::start::changed;
-use decision::{Class, Idempotency, Freshness, Settings, SessionCommitSource, LaggingReplica};
+use decision::{Class, Freshness, Idempotency, LaggingReplica, SessionCommitSource, Settings};
 use ipnet::IpNet;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -353,7 +353,17 @@
         ));
     }
     let (worth, late_worth) = (or(v, "worth", 1.0, positive)?, or(v, "late_worth", 0.5, number)?);
-    Ok((owned(v, "name")?, Class { freshness, idempotency: effect, latency_objective: aim, deadline, priority_weight: worth, late_weight_share: late_worth }))
+    Ok((
+        owned(v, "name")?,
+        Class {
+            freshness,
+            idempotency: effect,
+            latency_objective: aim,
+            deadline,
+            priority_weight: worth,
+            late_weight_share: late_worth,
+        },
+    ))
 }
 
 fn mysql(v: &Value) -> Result<(Mysql, Settings, Limits), Error> {
@@ -399,8 +409,14 @@
     };
     let mut classes = each(v, "class", class)?;
     let deadline = (or(v, "deadline_ms", 2000.0, positive)? * 1000.0) as i64;
-    let own =
-        |freshness, effect| Class { freshness, idempotency: effect, latency_objective: deadline, deadline, priority_weight: 1.0, late_weight_share: 0.5 };
+    let own = |freshness, effect| Class {
+        freshness,
+        idempotency: effect,
+        latency_objective: deadline,
+        deadline,
+        priority_weight: 1.0,
+        late_weight_share: 0.5,
+    };
     let (unknown, prepare) = (classes.len(), classes.len() + 1);
     classes.push(("unknown".into(), own(Freshness::Write, Idempotency::NotIdempotent)));
     classes.push(("prepare".into(), own(Freshness::Any, Idempotency::Idempotent)));
--- a/settings/src/platform.rs
+++ b/settings/src/platform.rs
@@ -1,7 +1,7 @@
 //! Reads the settings object of a start message. Keys that are not named here are skipped.
 use crate::error::Error;
 use crate::fields::{amount, array, count, field, flag, moment, span, text};
-use decision::{Class, Idempotency, Freshness, Micros, Settings, SessionCommitSource, LaggingReplica};
+use decision::{Class, Freshness, Idempotency, LaggingReplica, Micros, SessionCommitSource, Settings};
 use serde_json::{Value, json};
 
 /// What the adapter itself needs to translate notes and reports.
--- a/settings/tests/customers.rs
+++ b/settings/tests/customers.rs
@@ -1,6 +1,6 @@
 //! Settings of customers that nobody has met: any number of classes and zones, of any name and in any order, and any
 //! value in any place.
-use decision::{Idempotency, Freshness};
+use decision::{Freshness, Idempotency};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use settings::Error;
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -1,7 +1,7 @@
 //! `fleet`: sets, shows and takes back the fleet's configuration, which is one document in the store.
 use super::error::Error;
-use ::fleet::{document, audit_record};
-use audit::timeline::{Query, Timeline, GapKind, build};
+use ::fleet::{audit_record, document};
+use audit::timeline::{GapKind, Query, Timeline, build};
 use chrono::DateTime;
 use clap::{Args, Subcommand};
 use serde_json::json;
@@ -102,10 +102,14 @@
                 let v: Vec<String> = v.iter().map(u64::to_string).collect();
                 format!("two versions at once: {}", v.join(", "))
             }
-            GapKind::OutdatedVersion(r, v) => format!("{r} acts on version {v}, which is not the current one"),
+            GapKind::OutdatedVersion(r, v) => {
+                format!("{r} acts on version {v}, which is not the current one")
+            }
             GapKind::FencedOut(r, v) => format!("{r} is shut out with version {v}"),
             GapKind::Silent(r) => format!("{r} is silent"),
-            GapKind::RecordStopped => "no record is written: see that a node leads and has [fleet.audit]".into(),
+            GapKind::RecordStopped => {
+                "no record is written: see that a node leads and has [fleet.audit]".into()
+            }
         };
         println!("{} to {}: {what}", shown(g.since), until(g.until));
     }
@@ -135,7 +139,10 @@
             let since = since.map_or(0, |s| now - i64::from(s) * 1_000_000);
             let seen = build(&batches, now, &Query { since, router: router.clone() });
             if *json {
-                println!("{}", json!({"rows": seen.intervals, "gaps": seen.gaps, "open": seen.has_open_gap()}));
+                println!(
+                    "{}",
+                    json!({"rows": seen.intervals, "gaps": seen.gaps, "open": seen.has_open_gap()})
+                );
             } else {
                 table(&seen);
             }
@@ -150,8 +157,11 @@
             let found = document::read(&client(at))?;
             let d = found.ok_or(Error::NoDocument)?;
             if *json {
-                let before: Vec<_> =
-                    d.previous.iter().map(|p| json!({"version": p.version, "note": p.metadata.note})).collect();
+                let before: Vec<_> = d
+                    .previous
+                    .iter()
+                    .map(|p| json!({"version": p.version, "note": p.metadata.note}))
+                    .collect();
                 let shown = json!({"version": d.version, "note": d.metadata.note, "text": d.text,
                     "fleet": d.fleet, "before": before});
                 println!("{shown}");
--- a/src/commands/members.rs
+++ b/src/commands/members.rs
@@ -1,7 +1,7 @@
 //! The fleet that a router of an operator's file is one of: who lives, and the share of the room that follows from it.
 use super::Error;
 use crossbeam_channel::Receiver;
-use membership::{Change, Membership, Config, live_router_count};
+use membership::{Change, Config, Membership, live_router_count};
 use settings::members::Members as Table;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -25,13 +25,12 @@
         settings: membership::Settings::with_probe_interval(&table.cluster, table.rhythm),
     })?;
     let expects = table.seeds.iter().any(|s| *s != table.told.unwrap_or(members.addr()));
-    let settings =
-        live_router_count::Settings {
-            fleet_size: routers,
-            min_count: table.least,
-            settle_time: table.rhythm * SETTLE,
-            expects_others: expects,
-        };
+    let settings = live_router_count::Settings {
+        fleet_size: routers,
+        min_count: table.least,
+        settle_time: table.rhythm * SETTLE,
+        expects_others: expects,
+    };
     let seen = members.subscribe()?;
     membership::follow_router_count(&members, settings, tell)?;
     tracing::info!("members: '{}' of '{}' hears on {}", table.name, table.cluster, members.addr());
--- a/src/commands/platform.rs
+++ b/src/commands/platform.rs
@@ -4,7 +4,7 @@
 use clients::{Clients, Listening, Order};
 use crossbeam_channel::{Sender, bounded};
 use door::{AdminLimits, AdminServer, AdminService, ServiceDependencies};
-use routing::{Clock, Metrics, RouterHandle, EndpointsHandle};
+use routing::{Clock, EndpointsHandle, Metrics, RouterHandle};
 use settings::operator::Log;
 use settings::start::Start;
 use std::path::PathBuf;
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -7,7 +7,7 @@
 
 use ::sessions::node::Sessions;
 use registry::client::{Client, Heeds, Router};
-use routing::{RespondedEndpoints, Clock, EndpointEntry, GroupId, EndpointUpdate, MemberState};
+use routing::{Clock, EndpointEntry, EndpointUpdate, GroupId, MemberState, RespondedEndpoints};
 use serde_json::{Value, json};
 use settings::Error as Fault;
 use settings::fields::{number, text, whole};
@@ -42,9 +42,9 @@
                 site,
                 state,
                 // Who is primary, the servers say themselves when they are probed.
-                primary: false,
+                listed_primary: false,
                 weight: number(&v, "weight")?,
-                started: None,
+                started_at: None,
             })
         };
         read().map_err(|e: Fault| tracing::error!("list: {key}: {e}")).ok()
@@ -110,7 +110,10 @@
     }
 
     fn routers(&self, known: &BTreeMap<String, Router>) {
-        known.values().filter_map(|r| r.store).for_each(|(node, addr)| self.store.set_peer_address(node, addr));
+        known
+            .values()
+            .filter_map(|r| r.store)
+            .for_each(|(node, addr)| self.store.set_peer_address(node, addr));
         let Some(sessions) = &self.operator.sessions else { return };
         let mut found = self.found();
         let before = found.peers.clone();
@@ -161,8 +164,13 @@
         seed,
     };
     let handle = handle.clone();
-    ::fleet::FleetClient::start(settings, clock, move |news| handle.update_placement(news), move || list.version())
-        .map_err(thread)
+    ::fleet::FleetClient::start(
+        settings,
+        clock,
+        move |news| handle.update_placement(news),
+        move || list.version(),
+    )
+    .map_err(thread)
 }
 
 /// Servers of a registry's list that are asked for their clocks: any few tell, they are near each other.
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -330,11 +330,16 @@
             demand: Vec::new(),
         };
         let version_report = audit::VersionReport::default();
-        fleet::wire::send(to, &fleet::wire::Request::Report { quota_report: report, version_report }).unwrap();
+        fleet::wire::send(to, &fleet::wire::Request::Report { quota_report: report, version_report })
+            .unwrap();
         match fleet::wire::receive(to, patience, patience).unwrap() {
             fleet::wire::Response::NotLeader { .. } => (at, socket) = ((at + 1) % 3, None),
-            fleet::wire::Response::Report { audit_directive: audit::Directive::Refetch { .. }, .. } => told += 1,
-            fleet::wire::Response::Report { audit_directive: audit::Directive::FenceOut { epoch }, .. } => break epoch,
+            fleet::wire::Response::Report { audit_directive: audit::Directive::Refetch { .. }, .. } => {
+                told += 1
+            }
+            fleet::wire::Response::Report {
+                audit_directive: audit::Directive::FenceOut { epoch }, ..
+            } => break epoch,
             fleet::wire::Response::Report { .. } if changed.is_none() => {
                 all.set(&document("rate = 0.0\nburst = 1\n"));
                 changed = Some(Instant::now());
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 use store::Rejection;
-use store::client::{Client, ClientError, WatchEvent, Settings, UpdateOptions};
+use store::client::{Client, ClientError, Settings, UpdateOptions, WatchEvent};
 use store::wire::Consistency;
 
 struct Cluster {
@@ -190,7 +190,9 @@
                             had = entries.iter().map(|(_, v)| v.version as usize).sum();
                         }
                         WatchEvent::Changes(c) => {
-                            let key = |change: store::command::KeyChange| (change.key, change.value.unwrap().version);
+                            let key = |change: store::command::KeyChange| {
+                                (change.key, change.value.unwrap().version)
+                            };
                             changes.extend(c.changes.into_iter().map(|k| (c.revision, key(k))));
                         }
                     }
@@ -231,10 +233,15 @@
     let old = cluster.client(&[leader]);
     old.put("a", "1", UpdateOptions::default()).unwrap();
     let lease = old.grant("shard", ttl).unwrap();
-    let on = UpdateOptions { fencing_token: Some(lease.token.clone()), lease_epoch: Some(lease.token.epoch), ..UpdateOptions::default() };
+    let on = UpdateOptions {
+        fencing_token: Some(lease.token.clone()),
+        lease_epoch: Some(lease.token.epoch),
+        ..UpdateOptions::default()
+    };
     old.put("owner", "old", on.clone()).unwrap();
     let addrs = vec![cluster.clients[leader]];
-    let asked = Client::new(Settings { attempt_timeout: LONG, call_timeout: LONG, ..Settings::new(addrs, 9) });
+    let asked =
+        Client::new(Settings { attempt_timeout: LONG, call_timeout: LONG, ..Settings::new(addrs, 9) });
     asked.get("a", Consistency::Linearizable).unwrap();
     let stopped = &cluster.nodes[leader].as_ref().unwrap().0;
     stopped.signal(Signal::SIGSTOP);
@@ -252,6 +259,8 @@
     stopped.signal(Signal::SIGCONT);
     assert_eq!(reads.join().unwrap().value.unwrap().text, "2");
     let refused = old.put("owner", "old", on);
-    assert!(matches!(refused, Err(ClientError::Rejected(Rejection::Fenced { highest_epoch })) if highest_epoch == taken.token.epoch));
+    assert!(
+        matches!(refused, Err(ClientError::Rejected(Rejection::Fenced { highest_epoch })) if highest_epoch == taken.token.epoch)
+    );
     assert_eq!(old.get("owner", Consistency::Linearizable).unwrap().value, None);
 }
