--- a/fleet/src/service/leader.rs
+++ b/fleet/src/service/leader.rs
@@ -96,7 +96,7 @@
             match confirmed {
                 Ok(Some(leadership)) => self.decide(now, &leadership, pending, &mut actions),
                 Ok(None) => {
-                    respond_not_leader(&pending, self.store.known_leader().leader.unwrap_or(UNKNOWN_LEADER))
+                    respond_not_leader(&pending, self.store.known_leader().leader.unwrap_or(UNKNOWN_LEADER));
                 }
                 // This node may be cut off from the present leader and not know it.
                 Err(_) => respond_not_leader(&pending, UNKNOWN_LEADER),
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -73,7 +73,7 @@
 
     /// Waits until this router says that the version is in force.
     fn in_force(&mut self, i: usize, version: u64) {
-        self.program(i).logged(&format!("fleet: version {version} is in force"));
+        self.program(i).logged(&format!("fleet document in force version={version} fenced=false"));
     }
 
     fn store(&self) -> String {
@@ -156,7 +156,7 @@
 
 /// The version that a line says is in force, and its second of the day.
 fn in_force(line: &str) -> Option<(u64, f64)> {
-    let version = line.split("fleet: version ").nth(1)?.split(" is in force").next()?.parse().ok()?;
+    let version = line.split("fleet document in force version=").nth(1)?.split(' ').next()?.parse().ok()?;
     let mut clock = line.split('T').nth(1)?.split('Z').next()?.split(':').map(|n| n.parse::<f64>().unwrap());
     Some((version, clock.next()? * 3600.0 + clock.next()? * 60.0 + clock.next()?))
 }
--- a/tests/one_fleet.rs
+++ b/tests/one_fleet.rs
@@ -115,7 +115,7 @@
 
     /// Waits until all follow this version.
     fn followed(&mut self, version: u64) {
-        let line = format!("fleet: version {version} is followed");
+        let line = format!("fleet document followed version={version} tenants=");
         self.running.iter_mut().flatten().for_each(|(program, _)| _ = program.logged(&line));
     }
 
@@ -365,7 +365,7 @@
     all.served(3, "tills");
     // One that ends when it is told to gives its part back.
     all.program(3).terminate();
-    all.program(3).logged("fleet: left; what was lent is given back");
+    all.program(3).logged("left the fleet, quota grants returned");
 }
 
 #[test]
@@ -378,7 +378,7 @@
     let load = Load::start(&all, &[3], tills);
     all.more(40);
     (0..3).for_each(|i| all.running[i] = None);
-    all.program(3).logged("no node lends, and what was lent runs out");
+    all.program(3).logged("no leader answers fleet reports, quota grants expire");
     std::thread::sleep(LOAN);
     load.turned();
     let before = all.writes();
