--- a/audit/tests/audit/fence.rs
+++ b/audit/tests/audit/fence.rs
@@ -65,3 +65,14 @@
     fence.version_applied(Time(11), 7);
     assert_eq!(fence.report(Time(11), 3).last_fence_duration, 0);
 }
+
+#[test]
+fn fence_lifted_in_the_instant_that_the_lease_expires_is_reported() {
+    let mut fence = VersionFence::new(LEASE);
+    fence.version_applied(Time(0), 5);
+    fence.answer_received(Time(10), &answer(0, 5, 5, Directive::Continue { epoch: 0 }));
+    fence.answer_received(Time(1000), &answer(900, 5, 5, Directive::Continue { epoch: 0 }));
+    assert_eq!(fence.check(Time(1000)), Ok(5));
+    // A duration of 0 would say that there was no fence.
+    assert_eq!(fence.report(Time(1000), 0).last_fence_duration, 1);
+}
--- a/audit/tests/audit/record.rs
+++ b/audit/tests/audit/record.rs
@@ -1,6 +1,6 @@
 //! The record in the store: bounded, and continued by the next leader.
 use crate::harness::TrackerHarness;
-use audit::{Batch, EntryKind, Event, MAX_BATCH_BYTES, RING_SLOTS};
+use audit::{Batch, EntryKind, Event, MAX_BATCH_BYTES, RING_SLOTS, VersionReport};
 
 /// Upper bound of the size of a batch's entries as JSON.
 fn max_bytes(batch: &Batch) -> usize {
@@ -37,3 +37,29 @@
     next.tick_and_commit(704_000);
     assert_eq!((next.writes[1].seq, &next.writes[1].entries), (first.seq, &first.entries));
 }
+
+#[test]
+fn router_that_left_is_not_carried_over() {
+    let mut harness = TrackerHarness::new();
+    harness.report(1, "still", 5, 0);
+    harness.report(1, "gone", 5, 0);
+    let leaving = Event::ReportReceived {
+        router: "gone".into(),
+        incarnation: 1,
+        version: 5,
+        report: VersionReport::default(),
+        leaving: true,
+    };
+    harness.handle(2, leaving);
+    // One heartbeat each 5 s, until every slot of the ring was replaced.
+    for i in 0..2 * RING_SLOTS as i64 {
+        harness.report(i * 5000, "still", 5, 0);
+        harness.report(i * 5000 + 1900, "still", 5, 0);
+        harness.report(i * 5000 + 3800, "still", 5, 0);
+        harness.tick_and_commit(i * 5000 + 4000);
+    }
+    let stored = &harness.writes[harness.writes.len() - RING_SLOTS as usize..];
+    let has_entry =
+        |router: &str| stored.iter().flat_map(|batch| &batch.entries).any(|entry| entry.router == router);
+    assert!(has_entry("still") && !has_entry("gone"));
+}
--- a/releases/tests/releases/reservations.rs
+++ b/releases/tests/releases/reservations.rs
@@ -75,6 +75,17 @@
     assert_eq!(release.snapshot().routers["r0"].step, RouterStep::Updated);
 }
 
+#[test]
+fn late_earlier_grant_does_not_replace_the_latest() {
+    let (mut release, request) = release_with_open_request();
+    let mut actions = Vec::new();
+    release.handle(Time(1), granted(request, 2), &mut actions);
+    release.handle(Time(2), granted(request, 1), &mut actions);
+    let updated = Event::Updated { router: "r0".into(), version: target_version() };
+    release.handle(Time(3), updated, &mut actions);
+    assert!(actions.contains(&returned(2)) && !actions.contains(&returned(1)), "{actions:?}");
+}
+
 #[test]
 fn reservation_granted_anew_to_a_router_that_is_out_stays_until_it_is_back() {
     let (mut release, request) = release_with_open_request();
