--- a/decision/tests/recorded_runs.rs
+++ b/decision/tests/recorded_runs/world.rs
@@ -1,32 +1,15 @@
-//! Recorded runs: what a router did in seeded random histories, as the fixtures keep it.
-//!
-//! Each history draws its settings and then its events from one seed: member lists, failovers, drains, restarts,
-//! outages of several kinds, requests of all classes, sessions, probes, timers and events out of order. Every event and
-//! every action is written as text. `fixtures/recorded_runs.txt` has the counts and the hash of each history's text,
-//! `fixtures/recorded_runs_with_resets.txt` and
-//! `fixtures/recorded_runs_with_sessions.txt` those of histories with much of one thing, and
-//! `fixtures/recorded_trace.txt` the whole text of a short one.
-//!
-//! A change that is to leave the decisions alone leaves both files alone. After one that changes decisions, the files
-//! that the failed test wrote replace them, and the commit says so.
-use decision::*;
+//! Members, clients and a network around one router, drawn from a seed.
+use crate::text::{action_text, event_text};
+use decision::{
+    Action, Class, Event, Freshness, GroupId, Idempotency, LaggingReplica, MemberEntry, MemberId,
+    MemberReport, MemberState, Micros, Outcome, Request, RequestId, Router, SessionCommitSource, SessionId,
+    Settings, Time,
+};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
-use std::path::Path;
 
-const MS: i64 = 1000;
-const HISTORIES: u64 = 48;
-/// Events drawn for each history, without those that follow from actions.
-const STEPS: usize = 1500;
-/// Every eighth history is so many times as long, with a session for each request.
-const LONG: usize = 5;
-/// Histories in which connections break often.
-const RESETS_HISTORIES: u64 = 8;
-const RESETS_STEPS: usize = 12_000;
-/// Histories with more sessions than a router remembers one by one.
-const SESSIONS_HISTORIES: u64 = 6;
-const SESSIONS_STEPS: usize = 12_000;
-const TRACE_STEPS: usize = 150;
+/// A millisecond, in microseconds.
+const MS: Micros = 1000;
 
 /// What a member does with the work that it gets.
 #[derive(Clone, Copy, PartialEq)]
@@ -44,7 +27,7 @@
 
 /// What a history has much of.
 #[derive(Clone, Copy, PartialEq)]
-enum Mix {
+pub(crate) enum Mix {
     Ordinary,
     /// Connections break often, and clients bring timeouts of many kinds.
     Resets,
@@ -52,39 +35,40 @@
     Sessions,
 }
 
-struct Server {
+struct Member {
     id: u32,
     group: u32,
     primary: bool,
-    lag: i64,
+    lag: Micros,
     health: Health,
     started_at: Option<Time>,
 }
 
 /// An attempt or a probe that has not ended yet.
 struct Pending {
-    at: i64,
+    ends_at: Micros,
     event: Event,
 }
 
-struct World {
+pub(crate) struct World {
     settings: Settings,
     router: Router,
     rng: fastrand::Rng,
-    now: i64,
-    servers: Vec<Server>,
+    now: Micros,
+    members: Vec<Member>,
     pending: Vec<Pending>,
-    timer: Option<i64>,
+    timer: Option<Micros>,
     next_request: u64,
     /// Class, session, group and number of attempts of each request.
     requests: BTreeMap<u64, (usize, u32, u32)>,
     sessions: u64,
     mix: Mix,
-    text: String,
-    counts: BTreeMap<&'static str, usize>,
+    /// Every event and action so far.
+    pub(crate) text: String,
+    pub(crate) counts: BTreeMap<&'static str, usize>,
 }
 
-fn draw<T: Copy>(rng: &mut fastrand::Rng, from: &[T]) -> T {
+fn pick<T: Copy>(rng: &mut fastrand::Rng, from: &[T]) -> T {
     from[rng.usize(..from.len())]
 }
 
@@ -96,7 +80,7 @@
         Freshness::Bounded(300 * MS),
         Freshness::Any,
     ];
-    let effects = [
+    let idempotencies = [
         Idempotency::Idempotent,
         Idempotency::NotIdempotent,
         Idempotency::DeduplicatedInGroup(400 * MS),
@@ -106,7 +90,7 @@
     let classes = (0..7)
         .map(|n| Class {
             freshness: freshness[n % freshness.len()],
-            idempotency: draw(rng, &effects),
+            idempotency: pick(rng, &idempotencies),
             latency_objective: rng.i64(60..500) * MS,
             deadline: rng.i64(500..2000) * MS,
             priority_weight: f64::from(rng.u32(1..9)),
@@ -117,10 +101,10 @@
         classes,
         tenant_rates: vec![],
         over_quota_weight: 1.0,
-        router_count: draw(rng, &[0, 1, 3, 8, 300]),
+        router_count: pick(rng, &[0, 1, 3, 8, 300]),
         zone: rng.u32(..3),
-        min_event_interval: draw(rng, &[0, 1, 5, 10]) * MS,
-        lagging_replica: draw(
+        min_event_interval: pick(rng, &[0, 1, 5, 10]) * MS,
+        lagging_replica: pick(
             rng,
             &[
                 LaggingReplica::AnswersStale,
@@ -128,7 +112,7 @@
                 LaggingReplica::WaitsThenRejects(20 * MS),
             ],
         ),
-        session_commit_source: draw(
+        session_commit_source: pick(
             rng,
             &[SessionCommitSource::CarriedByRequest, SessionCommitSource::RememberedByRouter],
         ),
@@ -138,13 +122,13 @@
         probing_allowed: rng.u8(..6) > 0,
         probe_cost: 0.02,
         max_retry_after: rng.bool().then_some(200 * MS),
-        connect_timeout: draw(rng, &[100, 250]) * MS,
+        connect_timeout: pick(rng, &[100, 250]) * MS,
         drain_grace: 500 * MS,
         missing_members_may_serve: rng.bool(),
-        slow_start_initial_share: draw(rng, &[0.15, 0.3, 1.0]),
-        slow_start_duration: draw(rng, &[0, 4_000, 18_000]) * MS,
-        overload_factor: draw(rng, &[1.5, 2.5, 3.0]),
-        overload_duration: draw(rng, &[500, 1000, 3000]) * MS,
+        slow_start_initial_share: pick(rng, &[0.15, 0.3, 1.0]),
+        slow_start_duration: pick(rng, &[0, 4_000, 18_000]) * MS,
+        overload_factor: pick(rng, &[1.5, 2.5, 3.0]),
+        overload_duration: pick(rng, &[500, 1000, 3000]) * MS,
         list_requires_subscription: rng.bool(),
     }
 }
@@ -157,7 +141,7 @@
             (settings.session_commit_source, settings.router_count) =
                 (SessionCommitSource::RememberedByRouter, 1);
         }
-        let server = |id: u32| Server {
+        let member = |id: u32| Member {
             id,
             group: u32::from(id >= 5),
             primary: id == 0 || id == 5,
@@ -170,7 +154,7 @@
             settings,
             rng,
             now: 50_000 * MS,
-            servers: (0..8).map(server).collect(),
+            members: (0..8).map(member).collect(),
             pending: vec![],
             timer: None,
             next_request: 0,
@@ -182,9 +166,9 @@
         }
     }
 
-    fn play(seed: u64, steps: usize, sessions: u64, mix: Mix) -> World {
+    pub(crate) fn play(seed: u64, steps: usize, sessions: u64, mix: Mix) -> World {
         let mut world = World::new(seed, sessions, mix);
-        world.list(true);
+        world.list_members(true);
         (0..steps).for_each(|_| world.step());
         world
     }
@@ -210,14 +194,14 @@
         match action {
             Action::Send { request, member, timeout, .. } => {
                 self.count("sends");
-                self.attempt(request, member, timeout);
+                self.begin_attempt(request, member, timeout);
             }
             Action::Cancel { .. } => self.count("cancels"),
             Action::Reject { .. } => self.count("rejects"),
             Action::Fail { .. } => self.count("fails"),
             Action::Probe { member } => {
                 self.count("probes");
-                self.probe(member);
+                self.begin_probe(member);
             }
             Action::SetTimer { after } => {
                 self.count("timers");
@@ -228,14 +212,14 @@
         }
     }
 
-    fn server(&self, id: MemberId) -> Option<&Server> {
-        self.servers.iter().find(|s| s.id == id.0)
+    fn member(&self, id: MemberId) -> Option<&Member> {
+        self.members.iter().find(|s| s.id == id.0)
     }
 
-    /// What a member says of itself.
+    /// What a member reports of itself.
     fn report(&mut self, id: MemberId) -> MemberReport {
         let (now, bare) = (self.now, self.rng.u8(..12) == 0);
-        match self.server(id) {
+        match self.member(id) {
             Some(s) if !bare => MemberReport {
                 primary: Some(s.primary),
                 position: Some(Time(now - if s.primary { 0 } else { s.lag })),
@@ -245,14 +229,14 @@
     }
 
     /// Decides how an attempt will end and when.
-    fn attempt(&mut self, request: RequestId, member: MemberId, timeout: i64) {
+    fn begin_attempt(&mut self, request: RequestId, member: MemberId, timeout: Micros) {
         let (class, group, attempts) = self.requests.get_mut(&request.0).expect("a request that was sent");
         let (class, group, attempt) = (*class, *group, *attempts);
         self.requests.insert(request.0, (class, group, attempt + 1));
         let freshness = self.settings.classes[class].freshness;
         let checks = self.settings.lagging_replica != LaggingReplica::AnswersStale;
         let (health, primary, lag) =
-            self.server(member).map_or((Health::Unreachable, false, 0), |s| (s.health, s.primary, s.lag));
+            self.member(member).map_or((Health::Unreachable, false, 0), |s| (s.health, s.primary, s.lag));
         let stale = match freshness {
             Freshness::Write | Freshness::Latest => !primary,
             Freshness::Bounded(bound) => checks && !primary && lag > bound,
@@ -281,11 +265,11 @@
             },
         };
         let (after, outcome) = if after < timeout { (after, outcome) } else { (timeout, Outcome::TimedOut) };
-        let speaks =
+        let responds =
             matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected | Outcome::NotEligible);
-        let response_report = if speaks { self.report(member) } else { MemberReport::default() };
+        let response_report = if responds { self.report(member) } else { MemberReport::default() };
         let load_report =
-            if speaks && self.rng.u8(..4) == 0 { self.report(member) } else { MemberReport::default() };
+            if responds && self.rng.u8(..4) == 0 { self.report(member) } else { MemberReport::default() };
         let ok = outcome == Outcome::Ok;
         let commit = (ok && freshness == Freshness::Write).then_some(Time(self.now + after));
         let request_ended = ok || outcome == Outcome::Error && self.rng.u8(..20) == 0;
@@ -299,12 +283,12 @@
             commit,
             load_report,
         };
-        self.pending.push(Pending { at: self.now + after, event });
+        self.pending.push(Pending { ends_at: self.now + after, event });
     }
 
-    fn probe(&mut self, member: MemberId) {
+    fn begin_probe(&mut self, member: MemberId) {
         let quick = self.rng.i64(1..20) * MS;
-        let (after, outcome) = match self.server(member).map_or(Health::Unreachable, |s| s.health) {
+        let (after, outcome) = match self.member(member).map_or(Health::Unreachable, |s| s.health) {
             Health::RefusesConnections => (MS, Outcome::ConnectFailed),
             Health::Unreachable => (self.settings.connect_timeout, Outcome::ConnectFailed),
             Health::Hangs => (250 * MS, Outcome::TimedOut),
@@ -312,14 +296,16 @@
             _ => (quick, Outcome::Ok),
         };
         let report = if outcome == Outcome::Ok { self.report(member) } else { MemberReport::default() };
-        self.pending
-            .push(Pending { at: self.now + after, event: Event::ProbeEnded { member, outcome, report } });
+        self.pending.push(Pending {
+            ends_at: self.now + after,
+            event: Event::ProbeEnded { member, outcome, report },
+        });
     }
 
     /// Ends what is due, then lets one thing happen.
     fn step(&mut self) {
         self.now += if self.rng.u8(..50) == 0 { self.rng.i64(100..1500) } else { self.rng.i64(0..8) } * MS;
-        while let Some(at) = self.pending.iter().position(|p| p.at <= self.now) {
+        while let Some(at) = self.pending.iter().position(|p| p.ends_at <= self.now) {
             let ended = self.pending.remove(at);
             self.handle(ended.event);
         }
@@ -330,14 +316,14 @@
         match self.rng.u8(..100) {
             0..2 => {
                 let complete = self.rng.bool();
-                self.list(complete);
+                self.list_members(complete);
             }
             2 => self.handle(Event::ListUpdateFailed),
             3 => {
-                let router_count = draw(&mut self.rng, &[0, 1, 2, 8, 300]);
+                let router_count = pick(&mut self.rng, &[0, 1, 2, 8, 300]);
                 self.handle(Event::RouterCountChanged(router_count));
             }
-            4..8 if self.mix == Mix::Sessions => self.list(true),
+            4..8 if self.mix == Mix::Sessions => self.list_members(true),
             4..7 => self.change_health(),
             7 => self.fail_over(),
             8 => {
@@ -348,13 +334,13 @@
                 let request = self.some_request();
                 self.handle(Event::ClientDisconnected { request });
             }
-            11 => self.stray(),
+            11 => self.stray_event(),
             12 => {
-                let server = self.rng.usize(..self.servers.len());
-                self.servers[server].lag = draw(&mut self.rng, &[0, 40, 150, 299, 301, 900, 6000]) * MS;
+                let server = self.rng.usize(..self.members.len());
+                self.members[server].lag = pick(&mut self.rng, &[0, 40, 150, 299, 301, 900, 6000]) * MS;
             }
             13..15 => {}
-            _ => self.ask(),
+            _ => self.request(),
         }
     }
 
@@ -362,7 +348,7 @@
         RequestId(self.next_request.saturating_sub(self.rng.u64(..8)))
     }
 
-    fn ask(&mut self) {
+    fn request(&mut self) {
         let class = match self.mix {
             Mix::Sessions => [0, 0, 2][self.rng.usize(..3)],
             Mix::Ordinary | Mix::Resets => self.rng.usize(..self.settings.classes.len()),
@@ -395,7 +381,7 @@
     }
 
     fn change_health(&mut self) {
-        let at = self.rng.usize(..self.servers.len());
+        let at = self.rng.usize(..self.members.len());
         let all = [
             Health::Slow,
             Health::RefusesConnections,
@@ -404,8 +390,8 @@
             Health::Errs,
             Health::Full,
         ];
-        let (sick, to) = (draw(&mut self.rng, &all), self.rng.u8(..4));
-        let server = &mut self.servers[at];
+        let (sick, to) = (pick(&mut self.rng, &all), self.rng.u8(..4));
+        let server = &mut self.members[at];
         if server.health == Health::RefusesConnections && to < 3 {
             // Its process comes back, and the list may say so.
             server.started_at = Some(Time(self.now));
@@ -415,17 +401,17 @@
 
     fn fail_over(&mut self) {
         let group = self.rng.u32(..2);
-        let new = self.rng.usize(..self.servers.len());
-        let ids: Vec<u32> = self.servers.iter().filter(|s| s.group == group).map(|s| s.id).collect();
+        let new = self.rng.usize(..self.members.len());
+        let ids: Vec<u32> = self.members.iter().filter(|s| s.group == group).map(|s| s.id).collect();
         let Some(new) = ids.get(new % ids.len().max(1)).copied() else { return };
-        self.servers.iter_mut().filter(|s| s.group == group).for_each(|s| s.primary = s.id == new);
+        self.members.iter_mut().filter(|s| s.group == group).for_each(|s| s.primary = s.id == new);
     }
 
     /// An event about something that the router does not know or has seen before.
-    fn stray(&mut self) {
+    fn stray_event(&mut self) {
         let (request, member) = (self.some_request(), MemberId(self.rng.u32(..12)));
         let (attempt, report) = (self.rng.u32(..3), self.report(member));
-        let outcome = draw(
+        let outcome = pick(
             &mut self.rng,
             &[Outcome::Ok, Outcome::TimedOut, Outcome::NotEligible, Outcome::ConnectFailed],
         );
@@ -448,22 +434,22 @@
     }
 
     /// A list, whole or in part; now and then a server has been replaced by a new one.
-    fn list(&mut self, complete: bool) {
+    fn list_members(&mut self, complete: bool) {
         if self.rng.u8(..6) == 0 {
-            let at = self.rng.usize(..self.servers.len());
+            let at = self.rng.usize(..self.members.len());
             let id = 8 + self.rng.u32(..24);
-            if self.servers.iter().all(|s| s.id != id) {
+            if self.members.iter().all(|s| s.id != id) {
                 let started_at = Some(Time(self.now));
-                self.servers[at] = Server { id, health: Health::Well, started_at, ..self.servers[at] };
+                self.members[at] = Member { id, health: Health::Well, started_at, ..self.members[at] };
             }
         }
         let mut entries = Vec::new();
-        for at in 0..self.servers.len() {
+        for at in 0..self.members.len() {
             if self.rng.u8(..8) == 0 || !complete && self.rng.bool() {
                 continue;
             }
             let (state, lie, weight) = (self.rng.u8(..14), self.rng.u8(..9) == 0, self.rng.usize(..7));
-            let server = &self.servers[at];
+            let server = &self.members[at];
             entries.push(MemberEntry {
                 id: MemberId(server.id),
                 group: GroupId(server.group),
@@ -481,166 +467,3 @@
         self.handle(Event::MemberListChanged { complete, entries });
     }
 }
-
-// Text in words of its own, so that a renamed variant or field leaves the fixtures as they are.
-
-fn optional(time: Option<Time>) -> String {
-    time.map_or("-".into(), |t| t.0.to_string())
-}
-
-fn outcome_text(outcome: Outcome) -> &'static str {
-    match outcome {
-        Outcome::Ok => "ok",
-        Outcome::Error => "error",
-        Outcome::Rejected => "rejected",
-        Outcome::TimedOut => "timed-out",
-        Outcome::ConnectFailed => "connect-failed",
-        Outcome::Reset => "reset",
-        Outcome::Cancelled => "cancelled",
-        Outcome::NeverSent => "never-sent",
-        Outcome::NotEligible => "not-eligible",
-    }
-}
-
-fn report_text(report: MemberReport) -> String {
-    let role = report.primary.map_or("-", |p| if p { "primary" } else { "replica" });
-    format!("{role}/{}", optional(report.position))
-}
-
-fn entry_text(entry: &MemberEntry) -> String {
-    let state = match entry.state {
-        MemberState::Ready => "ready",
-        MemberState::Draining => "draining",
-        MemberState::Removed => "removed",
-    };
-    let MemberEntry { id, group, zone, listed_primary, weight, started_at, .. } = entry;
-    let (id, group, started_at) = (id.0, group.0, optional(*started_at));
-    format!(" [m{id} g{group} z{zone} {state} primary={listed_primary} weight={weight} start={started_at}]")
-}
-
-fn event_text(event: &Event) -> String {
-    match event {
-        Event::MemberListChanged { complete, entries } => {
-            let entries: String = entries.iter().map(entry_text).collect();
-            format!("member-list complete={complete}{entries}")
-        }
-        Event::ListUpdateFailed => "list-update-failed".into(),
-        Event::RouterCountChanged(count) => format!("router-count {count}"),
-        Event::RequestArrived(r) => {
-            let session = r.session.map_or("-".into(), |s| s.0.to_string());
-            let (id, class, group, deadline, commit) =
-                (r.id.0, r.class, r.group.0, r.deadline.0, optional(r.session_commit));
-            format!(
-                "request r{id} class={class} g{group} session={session} deadline={deadline} commit={commit}"
-            )
-        }
-        Event::ResponseStarted { request } => format!("response-begun r{}", request.0),
-        Event::AttemptEnded {
-            request,
-            attempt,
-            member,
-            outcome,
-            request_ended,
-            response_report,
-            commit,
-            load_report,
-        } => {
-            let (outcome, commit) = (outcome_text(*outcome), optional(*commit));
-            let (response, load) = (report_text(*response_report), report_text(*load_report));
-            format!(
-                "attempt-ended r{}.{attempt} m{} {outcome} final={request_ended} response={response} commit={commit} load={load}",
-                request.0, member.0
-            )
-        }
-        Event::ProbeEnded { member, outcome, report } => {
-            format!("probe-ended m{} {} {}", member.0, outcome_text(*outcome), report_text(*report))
-        }
-        Event::ClientDisconnected { request } => format!("client-disconnected r{}", request.0),
-        Event::TimerExpired => "timer".into(),
-    }
-}
-
-fn action_text(action: &Action) -> String {
-    match action {
-        Action::Send { request, member, timeout, start_timeout } => {
-            format!("send r{} m{} timeout={timeout} start={start_timeout}", request.0, member.0)
-        }
-        Action::Cancel { request, attempt } => format!("cancel r{}.{attempt}", request.0),
-        Action::Reject { request, retry_after } => {
-            let after = retry_after.map_or("-".into(), |after| after.to_string());
-            format!("reject r{} retry-after={after}", request.0)
-        }
-        Action::Fail { request } => format!("fail r{}", request.0),
-        Action::Probe { member } => format!("probe m{}", member.0),
-        Action::SetTimer { after } => format!("set-timer {after}"),
-        Action::Subscribe => "subscribe".into(),
-        Action::Remove { member } => format!("remove m{}", member.0),
-    }
-}
-
-/// FNV-1a, 64 bits.
-fn hash(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
-    })
-}
-
-/// Compares with a fixture; what was found instead is written beside the build for a look at the difference.
-fn check(name: &str, found: &str) {
-    let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
-    let kept = std::fs::read_to_string(&fixture).unwrap_or_default();
-    if kept == found {
-        return;
-    }
-    let beside = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&beside, found).expect("the build's folder can be written to");
-    let line = kept.lines().zip(found.lines()).take_while(|(kept, found)| kept == found).count() + 1;
-    panic!("the run differs from {} at line {line}; it is in {}", fixture.display(), beside.display());
-}
-
-/// A line for each history: its seed, the hash of its text and its counts.
-fn summary(histories: impl Iterator<Item = (u64, World)>) -> String {
-    let mut found = String::new();
-    let mut totals: BTreeMap<&str, usize> = BTreeMap::new();
-    for (seed, world) in histories {
-        write!(found, "history={seed} hash={:016x}", hash(&world.text)).expect("a string takes it");
-        for (what, count) in &world.counts {
-            write!(found, " {what}={count}").expect("a string takes it");
-            *totals.entry(what).or_default() += count;
-        }
-        found.push('\n');
-    }
-    for what in ["sends", "rejects", "fails", "probes", "timers", "subscriptions", "removals"] {
-        assert!(totals.get(what).is_some_and(|count| *count > 100), "{what}: {totals:?}");
-    }
-    found
-}
-
-#[test]
-fn actions_of_seeded_histories_match_recorded_hashes() {
-    let play = |seed| match seed % 8 {
-        7 => World::play(seed, LONG * STEPS, 1 << 40, Mix::Ordinary),
-        _ => World::play(seed, STEPS, 30, Mix::Ordinary),
-    };
-    let found = summary((0..HISTORIES).map(|seed| (seed, play(seed))));
-    check("recorded_runs.txt", &found);
-}
-
-#[test]
-fn actions_under_resets_and_mixed_timeouts_match_recorded_hashes() {
-    let play = |seed| World::play(seed, RESETS_STEPS, 30, Mix::Resets);
-    let found = summary((100..100 + RESETS_HISTORIES).map(|seed| (seed, play(seed))));
-    check("recorded_runs_with_resets.txt", &found);
-}
-
-#[test]
-fn actions_with_many_sessions_match_recorded_hashes() {
-    let play = |seed| World::play(seed, SESSIONS_STEPS, 1 << 40, Mix::Sessions);
-    let found = summary((200..200 + SESSIONS_HISTORIES).map(|seed| (seed, play(seed))));
-    check("recorded_runs_with_sessions.txt", &found);
-}
-
-#[test]
-fn actions_of_short_history_match_recorded_trace() {
-    check("recorded_trace.txt", &World::play(3, TRACE_STEPS, 30, Mix::Ordinary).text);
-}
