--- a/decision/src/router/admission.rs
+++ b/decision/src/router/admission.rs
@@ -2,7 +2,7 @@
 use super::{Action, Freshness, GroupId, Idempotency, MemberId, Micros, Outcome, PendingRequest, Request};
 use super::{RequestId, Router, SessionCommitSource, Time};
 
-/// Errors after which a request is held to be bad itself: at another member where there is one.
+/// Errors after which a request counts as bad itself: at another member where there is one.
 const MAX_ERRORS: usize = 2;
 /// A late response is waited for where it earns at least this share of the weight.
 const MIN_LATE_WEIGHT_SHARE: f64 = 0.4;
--- a/decision/src/router/choice.rs
+++ b/decision/src/router/choice.rs
@@ -28,10 +28,10 @@
         let searching = pending.attempts.len() == misses && misses + 1 < self.settings.max_attempts as usize;
         let untried = group.members.iter().filter(|m| pending.attempts.iter().all(|a| a.member != **m));
         let likeliest = untried
-            .filter(|m| self.is_available(**m) && self.has_room(**m, draw, backlog))
+            .filter(|m| checked && searching && self.is_available(**m) && self.has_room(**m, draw, backlog))
             .filter(|m| !self.recently_denied_primary(**m))
             .max_by_key(|m| (self.members[m].listed.listed_primary, self.members[m].position));
-        if let Some(member) = likeliest.filter(|_| checked && searching) {
+        if let Some(member) = likeliest {
             return Decision::Forward(*member);
         }
         self.search_primary(group_id);
--- a/decision/tests/recorded_runs/main.rs
+++ b/decision/tests/recorded_runs/main.rs
@@ -19,7 +19,7 @@
 const HISTORIES: u64 = 48;
 /// Events drawn for each history, without those that follow from actions.
 const STEPS: usize = 1500;
-/// Every eighth history is so many times as long, with a session for each request.
+/// Every eighth history is this many times as long, with a session for each request.
 const LONG: usize = 5;
 const SESSIONS: u64 = 30;
 /// So many that hardly any two requests share one.
