--- a/routing/src/endpoints.rs
+++ b/routing/src/endpoints.rs
@@ -16,7 +16,10 @@
 use std::time::Duration;
 
 enum EndpointsMessage {
-    Update(EndpointUpdate, UpdateOrder),
+    Update {
+        update: EndpointUpdate,
+        order: UpdateOrder,
+    },
     SetMaintenance(MaintenanceMask),
     /// Answered once everything before it has been passed on.
     Barrier(Sender<()>),
@@ -62,7 +65,7 @@
 
     /// Hands over an update that follows the ones before it in this way; `false` if the program is ending.
     pub fn notify_ordered(&self, order: UpdateOrder, update: EndpointUpdate) -> bool {
-        self.sender.send(EndpointsMessage::Update(update, order)).is_ok()
+        self.sender.send(EndpointsMessage::Update { update, order }).is_ok()
     }
 
     /// Replaces the maintenance mask, for what is listed already and for all that comes; `false` if the program is
--- a/routing/src/endpoints/actor.rs
+++ b/routing/src/endpoints/actor.rs
@@ -58,7 +58,7 @@
 
     fn handle(&mut self, message: EndpointsMessage) -> Result<(), RouterEnded> {
         match message {
-            EndpointsMessage::Update(update, order) => self.update(update, order),
+            EndpointsMessage::Update { update, order } => self.update(update, order),
             EndpointsMessage::SetMaintenance(mask) => self.set_maintenance(mask),
             EndpointsMessage::Barrier(done) => {
                 _ = done.try_send(());
