--- a/discovery/src/silence.rs
+++ b/discovery/src/silence.rs
@@ -19,7 +19,7 @@
     pub silent: Duration,
     /// How long a connection whose head has come may take for its first line before another is opened beside it.
     pub answer: Duration,
-    /// Least and longest time between two openings. It is a [`PART`] of the time without a watch, within these.
+    /// Least and longest time between two openings. It is a fixed part of the time without a watch, within these.
     pub retry: (Duration, Duration),
     /// After a move, how long the connection to the old address is listened to beside the new one.
     pub former: Duration,
