--- a/door/tests/common/router.rs
+++ b/door/tests/common/router.rs
@@ -4,11 +4,9 @@
 use clients::Order;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use door::{AdminService, ServiceDependencies};
-use routing::NotSent;
-use routing::RouterMessage;
 use routing::{
     AttemptGuard, BackendProtocol, Clock, Connection, EndpointEntry, EndpointUpdate, EndpointsHandle,
-    Exchange, ExchangeResult, GroupId, MemberState, Metrics, Outcome,
+    Exchange, ExchangeResult, GroupId, MemberState, Metrics, NotSent, Outcome, RouterMessage,
 };
 use settings::Limits;
 use std::net::{SocketAddr, TcpStream};
@@ -17,27 +15,31 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// A wire that carries nothing: only the endpoint list's actor runs.
-struct NoWire;
-struct NoLink(Arc<TcpStream>);
+/// A protocol that connects to nothing: only the endpoint list's actor runs.
+struct UnusedProtocol;
+struct UnusedConnection(Arc<TcpStream>);
 
-impl BackendProtocol for NoWire {
+impl BackendProtocol for UnusedProtocol {
     type Payload = ();
     type Response = ();
-    type Connection = NoLink;
-    fn connect(&self, _: SocketAddr) -> Result<NoLink, Outcome> {
+    type Connection = UnusedConnection;
+    fn connect(&self, _: SocketAddr) -> Result<UnusedConnection, Outcome> {
         unreachable!("no instance is asked")
     }
 }
 
-impl Connection<NoWire> for NoLink {
+impl Connection<UnusedProtocol> for UnusedConnection {
     fn socket(&self) -> Arc<TcpStream> {
         self.0.clone()
     }
     fn is_usable(&mut self, _: Duration) -> bool {
         false
     }
-    fn execute(&mut self, _: Exchange<'_, NoWire>, _: &AttemptGuard) -> Result<ExchangeResult<()>, NotSent> {
+    fn execute(
+        &mut self,
+        _: Exchange<'_, UnusedProtocol>,
+        _: &AttemptGuard,
+    ) -> Result<ExchangeResult<()>, NotSent> {
         Err(NotSent::ConnectionBroken)
     }
 }
@@ -62,9 +64,9 @@
 pub(crate) struct TestRouter {
     pub(crate) service: Arc<AdminService>,
     folder: PathBuf,
-    list: EndpointsHandle,
+    endpoints: EndpointsHandle,
     accepting: Arc<AtomicBool>,
-    core: Receiver<RouterMessage<NoWire>>,
+    core: Receiver<RouterMessage<UnusedProtocol>>,
     orders: Receiver<Order>,
     callbacks: Receiver<Effect>,
 }
@@ -101,16 +103,17 @@
     /// A router whose processes share this folder.
     pub(crate) fn start_in(folder: PathBuf) -> TestRouter {
         let limits = limits();
-        let figures = Metrics::new(&["order".to_string()]).unwrap();
+        let metrics = Metrics::new(&["order".to_string()]).unwrap();
         let (to_core, core) = unbounded();
-        let list = routing::endpoints::start::<NoWire>(&limits, to_core, Some(figures.clone())).unwrap();
+        let endpoints =
+            routing::endpoints::start::<UnusedProtocol>(&limits, to_core, Some(metrics.clone())).unwrap();
         let (to_clients, orders) = bounded(64);
         let (to_callbacks, callbacks): (Sender<Effect>, _) = unbounded();
         let accepting = Arc::new(AtomicBool::new(false));
         let drain_callbacks = to_callbacks.clone();
         let dependencies = ServiceDependencies {
-            metrics: figures,
-            endpoints: list.clone(),
+            metrics,
+            endpoints: endpoints.clone(),
             client_orders: to_clients,
             set_draining: Box::new(move |draining| _ = drain_callbacks.send(Effect::Drain(draining))),
             accepting: accepting.clone(),
@@ -119,7 +122,7 @@
             limits: Arc::new(limits),
         };
         let service = Arc::new(AdminService::open(dependencies, Some(&folder)));
-        TestRouter { service, folder, list, accepting, core, orders, callbacks }
+        TestRouter { service, folder, endpoints, accepting, core, orders, callbacks }
     }
 
     /// The folder that this router's processes share.
@@ -138,15 +141,15 @@
 
     /// Replaces the endpoint list; it binds when this returns.
     pub(crate) fn list_endpoints(&self, ids: &[&str]) {
-        let entries = ids.iter().map(|id| endpoint(id)).collect();
-        self.list.notify(EndpointUpdate { version: 1, complete: true, endpoints: entries });
-        assert!(self.list.wait_until_applied(LONG));
+        let endpoints = ids.iter().map(|id| endpoint(id)).collect();
+        self.endpoints.notify(EndpointUpdate { version: 1, complete: true, endpoints });
+        assert!(self.endpoints.wait_until_applied(LONG));
         _ = self.core.try_iter().count();
     }
 
     /// What the service has done since this was last asked, each kind in its order.
     pub(crate) fn effects(&self) -> Vec<Effect> {
-        assert!(self.list.wait_until_applied(LONG));
+        assert!(self.endpoints.wait_until_applied(LONG));
         let mut effects: Vec<Effect> = self.callbacks.try_iter().collect();
         effects.extend(self.orders.try_iter().filter_map(|order| match order {
             Order::Drain(draining) => Some(Effect::DrainOrder(draining)),
@@ -160,7 +163,7 @@
                 RouterMessage::UnavailableGroups(groups) => {
                     effects.push(Effect::ClosedGroups(groups.iter().map(|group| group.0).collect()));
                 }
-                RouterMessage::Endpoints(news) => effects.extend(news.endpoints.iter().map(|entry| {
+                RouterMessage::Endpoints(update) => effects.extend(update.endpoints.iter().map(|entry| {
                     Effect::Endpoint { id: entry.id.clone(), draining: entry.state == MemberState::Draining }
                 })),
                 _ => {}
