--- a/store/src/node/reads.rs
+++ b/store/src/node/reads.rs
@@ -109,3 +109,6 @@
         });
     }
 }
+
+#[cfg(test)]
+mod tests;
