--- /dev/null
+++ b/placement/tests/recorded_run.rs
@@ -0,0 +1,192 @@
+//! A recorded run: random events of fixed seeds, and every action and decision that they had. The record under
+//! `fixtures/` was written by the state machine before its names were revised.
+use decision::{GroupId, MemberState, Time};
+use placement::{Action, Event, Member, News, Places, Settings};
+use settings::fleet::{Fleet, Place, Tenant};
+use std::fmt::Write;
+use std::path::PathBuf;
+use std::sync::Arc;
+
+const SEEDS: u64 = 20;
+const EVENTS: usize = 2_000;
+/// Lines of the first seed's run that the fixture has as text.
+const READABLE_LINES: usize = 200;
+const SITES: [&str; 4] = ["", "a", "b", "c"];
+const TENANTS: [&str; 3] = ["t", "u", "anyone"];
+const CLASSES: [&str; 2] = ["read", "write"];
+
+/// The generator splitmix64.
+struct Random(u64);
+
+impl Random {
+    /// A number from 0 to below `bound`.
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut x = self.0;
+        x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        (x ^ (x >> 31)) % bound
+    }
+
+    fn coin(&mut self) -> bool {
+        self.below(2) == 0
+    }
+
+    fn pick(&mut self, of: &[&str]) -> String {
+        of[self.below(of.len() as u64) as usize].to_string()
+    }
+}
+
+fn random_place(random: &mut Random) -> Place {
+    let sites = SITES[1..].iter().filter(|_| random.coin()).map(ToString::to_string).collect();
+    let classes = random.coin().then(|| [random.pick(&CLASSES)].into());
+    Place { sites, strict: random.below(3) > 0, classes }
+}
+
+fn random_fleet(random: &mut Random) -> Fleet {
+    let tenants = TENANTS.map(|name| {
+        let places = (0..random.below(3)).map(|_| random_place(random)).collect();
+        (name.to_string(), Tenant { places, ..Tenant::default() })
+    });
+    Fleet { unnamed: "anyone".into(), tenants: tenants.into(), ..Fleet::default() }
+}
+
+fn random_name(random: &mut Random) -> Arc<str> {
+    format!("m{}", random.below(6)).into()
+}
+
+fn random_member(random: &mut Random) -> Member {
+    let site = random.pick(&SITES);
+    Member {
+        name: random_name(random),
+        group: GroupId(random.below(2) as u32),
+        site: (!site.is_empty()).then(|| site.as_str().into()),
+        state: match random.below(6) {
+            0 => MemberState::Draining,
+            1 => MemberState::Removed,
+            _ => MemberState::Ready,
+        },
+        primary: random.below(4) == 0,
+    }
+}
+
+struct Run {
+    random: Random,
+    places: Places,
+    now: Time,
+    version: u64,
+    timers: Vec<Time>,
+    record: String,
+}
+
+impl Run {
+    fn new(seed: u64) -> Run {
+        let places = Places::new(Settings::new(CLASSES.map(String::from).to_vec()));
+        let now = Time(1_000_000);
+        Run { random: Random(seed), places, now, version: 0, timers: Vec::new(), record: String::new() }
+    }
+
+    fn record_actions(&mut self, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Show { view, base, members } => {
+                    writeln!(self.record, "  show {} of {}: {}", view.0, base.0, members.join(" ")).unwrap();
+                }
+                Action::Recheck => writeln!(self.record, "  recheck").unwrap(),
+                Action::Timer { at } => {
+                    self.timers.push(at);
+                    writeln!(self.record, "  timer {}", at.0).unwrap();
+                }
+            }
+        }
+    }
+
+    fn handle(&mut self, label: &str, event: Event) {
+        writeln!(self.record, "{} {label}", self.now.0).unwrap();
+        let mut actions = Vec::new();
+        self.places.handle(self.now, event, &mut actions);
+        self.record_actions(actions);
+    }
+
+    fn wait(&mut self) {
+        self.now.0 += self.random.below(900_000) as i64;
+        let now = self.now;
+        let is_due = self.timers.iter().any(|at| *at <= now);
+        self.timers.retain(|at| *at > now);
+        if is_due {
+            self.handle("time", Event::Timer);
+        }
+    }
+
+    fn route(&mut self) {
+        let tenant = self.random.pick(&TENANTS);
+        let class = self.random.below(3) as usize;
+        let group = GroupId(self.random.below(2) as u32);
+        let needs_primary = self.random.coin();
+        let mut actions = Vec::new();
+        let tenant = (tenant != "anyone").then_some(tenant.as_str());
+        let routed = self.places.route(self.now, tenant, class, group, needs_primary, &mut actions);
+        let result = routed.map_or_else(|refusal| refusal.to_string(), |to| to.0.to_string());
+        let question = format!("{tenant:?} {class} {} {needs_primary}", group.0);
+        writeln!(self.record, "{} route {question}: {result}", self.now.0).unwrap();
+        self.record_actions(actions);
+    }
+
+    fn step(&mut self) {
+        match self.random.below(16) {
+            0 => {
+                self.version += 1;
+                let fleet = Arc::new(random_fleet(&mut self.random));
+                self.handle("rules", Event::News(News::Rules { version: self.version, fleet }));
+            }
+            1 | 2 => {
+                let until = Time(self.now.0 + self.random.below(3_000_000) as i64);
+                self.handle("confirmed", Event::News(News::Confirmed { until }));
+            }
+            3..=5 => {
+                let complete = self.random.coin();
+                let count = self.random.below(5);
+                let entries = (0..count).map(|_| random_member(&mut self.random)).collect();
+                self.handle("members", Event::Members { complete, entries });
+            }
+            6 | 7 => {
+                let member = random_name(&mut self.random);
+                let (primary, note) = (self.random.coin(), self.random.coin());
+                self.handle("role", Event::Said { member, primary, note });
+            }
+            8 => {
+                let member = random_name(&mut self.random);
+                let reached = self.random.coin();
+                self.handle("reach", Event::Reach { member, reached });
+            }
+            9..=11 => self.wait(),
+            _ => self.route(),
+        }
+    }
+}
+
+/// FNV-1a.
+fn hash(text: &str) -> u64 {
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, byte| (h ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
+}
+
+#[test]
+fn actions_and_decisions_match_recorded_run() {
+    let mut found = String::new();
+    for seed in 1..=SEEDS {
+        let mut run = Run::new(seed);
+        (0..EVENTS).for_each(|_| run.step());
+        writeln!(found, "seed {seed}: {} lines, hash {:016x}", run.record.lines().count(), hash(&run.record))
+            .unwrap();
+        if seed == 1 {
+            for line in run.record.lines().take(READABLE_LINES) {
+                writeln!(found, "{line}").unwrap();
+            }
+        }
+    }
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/recorded_run.txt");
+    let expected = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+    let different = found.lines().zip(expected.lines()).find(|(found, expected)| found != expected);
+    assert_eq!(different, None);
+    assert_eq!(found.len(), expected.len());
+}
