--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -1,10 +1,10 @@
-//! Keeps a tenant's data inside its sites: for each group and each boundary that a rule draws, which members a request
-//! may meet.
+//! Keeps a tenant's data inside its sites: which members a request may be sent to, for each group and each boundary
+//! that a placement rule draws.
 //!
-//! [`Places`] does no I/O and reads no clock. A boundary is a set of sites, strict or preferred; rules of different
-//! tenants that draw the same one share it. A boundary's part of a group is a *view*: a group number of its own, made
-//! when the first request asks for it, whose members are told with [`Action::Show`]. `docs/placement.md` has the
-//! guarantees.
+//! A *boundary* is a set of sites, strict or preferred; rules of different tenants that draw the same one share it. A
+//! *view* is a boundary's part of a group: a group number of its own, made when the first request asks for it. The
+//! state machine [`Places`] does no I/O and reads no clock. Its driver hands it [`Event`]s, carries out its [`Action`]s,
+//! and asks [`Places::route`] for the group of each request. `docs/placement.md` has the guarantees.
 mod machine;
 mod refusal;
 mod rules;
@@ -16,67 +16,73 @@
 use settings::fleet::{Fleet, Version};
 use std::sync::Arc;
 
-/// The bounds of the machine.
+/// How long a member whose site has changed is outside of every boundary, in microseconds.
+const DEFAULT_HOLD: Micros = 2_000_000;
+/// How long an answer that denies the role of primary prevails over probes, in microseconds.
+const DEFAULT_DENIAL: Micros = 1_000_000;
+
+/// Settings of the state machine.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The names of the classes, in the order of their numbers.
+    /// The names of the request classes, in the order of their numbers.
     pub classes: Vec<String>,
-    /// A member whose site has changed is outside of every boundary for this long: longer than connections to where it
-    /// was live on unused, and than answers from there are on their way.
+    /// A member whose site has changed is outside of every boundary for this long: longer than idle connections to its
+    /// old site live, and than answers from there are in transit.
     pub hold: Micros,
-    /// A probe that contradicts an answer's note counts only this long after it: probes are older news.
+    /// A probe that names a member as the primary is ignored for this long after an answer of that member denied it: the
+    /// probe's result may be older.
     pub denial: Micros,
 }
 
 impl Settings {
-    /// For these classes; the rest as is usual.
+    /// The settings for these classes, with the default times.
     pub fn new(classes: Vec<String>) -> Self {
-        Settings { classes, hold: 2_000_000, denial: 1_000_000 }
+        Settings { classes, hold: DEFAULT_HOLD, denial: DEFAULT_DENIAL }
     }
 }
 
-/// What the fleet's store says of rules.
+/// What the fleet's store says of the rules.
 #[derive(Clone, Debug)]
 pub enum News {
-    /// A configuration was read; one that is not newer than that held is left alone.
+    /// A configuration was read. It is ignored unless it is newer than the present one.
     Rules {
         /// Its version.
         version: Version,
-        /// What it says.
+        /// The configuration.
         fleet: Arc<Fleet>,
     },
-    /// The configuration held is confirmed to be current until this time.
+    /// The present configuration is confirmed to be the current one until this time.
     Confirmed {
-        /// On the clock that the machine is told.
+        /// On the clock of the events.
         until: Time,
     },
 }
 
-/// A member as the list has it.
+/// An entry of the member list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// Its name, the same after a restart.
     pub name: Arc<str>,
     /// Its group.
     pub group: GroupId,
-    /// Where it is; not known is outside of every boundary.
+    /// Its site. A member of an unknown site is outside of every boundary.
     pub site: Option<Arc<str>>,
     /// Its state.
     pub state: MemberState,
-    /// The list takes it for its group's primary.
+    /// Whether the list names it as its group's primary.
     pub primary: bool,
 }
 
-/// What happens to the machine.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the rules.
+    /// The rules have changed or were confirmed.
     News(News),
-    /// News of the list.
+    /// The member list has changed.
     Members {
-        /// It is the whole list: what it lacks is gone.
+        /// Whether the entries are the whole list: a member that it lacks has left.
         complete: bool,
-        /// The entries.
+        /// New and changed entries, or all.
         entries: Vec<Member>,
     },
     /// A member has said whether it is its group's primary.
@@ -85,36 +91,36 @@
         member: Arc<str>,
         /// Whether it is.
         primary: bool,
-        /// With an answer; otherwise to a probe.
+        /// With the answer to a request; otherwise to a probe.
         note: bool,
     },
-    /// A member could or could not be reached.
+    /// A member turned out to be reachable or not.
     Reach {
         /// Its name.
         member: Arc<str>,
-        /// Whether it could.
+        /// Whether it could be reached.
         reached: bool,
     },
-    /// A time set with [`Action::Timer`] has come.
+    /// A time that was asked for with [`Action::Timer`] has come.
     Timer,
 }
 
 /// What the driver must do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A view has exactly these members from now on. Nothing more may go through it to others, what was not begun yet
-    /// included; what was begun ends by itself.
+    /// A view has exactly these members from now on. No attempt may be sent through it to any other member, those that
+    /// are queued included; attempts in flight end by themselves.
     Show {
         /// The view's number.
         view: GroupId,
         /// The group that it is a part of.
         base: GroupId,
-        /// Names, in order.
+        /// The members' names, in order.
         members: Vec<Arc<str>>,
     },
-    /// What [`Places::route`] says may have changed: requests that wait are asked for anew.
+    /// What [`Places::route`] returns may have changed: ask it again for each queued request.
     Recheck,
-    /// Bring [`Event::Timer`] at this time.
+    /// Hand in [`Event::Timer`] at this time.
     Timer {
         /// When.
         at: Time,
--- /dev/null
+++ b/placement/src/machine/mod.rs
@@ -0,0 +1,167 @@
+//! The state machine: rules and members come in as events, the members of each view go out as actions.
+//!
+//! `members` has what is known of each member, `views` the groups and views that follow from it, `time` what changes
+//! by time alone.
+mod members;
+mod time;
+mod views;
+
+use crate::rules::{Boundary, BoundaryId, Rules};
+use crate::{Action, Event, News, Refusal, Settings};
+use decision::{GroupId, Time};
+use members::MemberRecord;
+use settings::fleet::{Fleet, Version};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use views::{Group, View};
+
+/// The lowest number of a view: no request may name a group of this number or a higher one.
+pub const FIRST_VIEW: u32 = 1 << 31;
+
+/// Which members a request may be sent to.
+#[derive(Debug)]
+pub struct Places {
+    settings: Settings,
+    rules: Option<Rules>,
+    last_boundary: BoundaryId,
+    members: BTreeMap<Arc<str>, MemberRecord>,
+    groups: BTreeMap<GroupId, Group>,
+    views: BTreeMap<(GroupId, BoundaryId), View>,
+    next_view: u32,
+    /// The rules are confirmed until then.
+    confirmed_until: Option<Time>,
+    /// Whether they were at the last event: strict views are empty while they are not.
+    is_confirmed: bool,
+    /// Times at which a member's site is settled or a member is forgotten.
+    member_deadlines: BTreeSet<Time>,
+    /// The earliest time that was asked for with [`Action::Timer`] and has not come.
+    timer: Option<Time>,
+}
+
+impl Places {
+    /// A state machine without rules and members.
+    pub fn new(settings: Settings) -> Self {
+        Places {
+            settings,
+            rules: None,
+            last_boundary: 0,
+            members: BTreeMap::new(),
+            groups: BTreeMap::new(),
+            views: BTreeMap::new(),
+            next_view: FIRST_VIEW,
+            confirmed_until: None,
+            is_confirmed: false,
+            member_deadlines: BTreeSet::new(),
+            timer: None,
+        }
+    }
+
+    /// Handles one event and appends the actions that follow from it, in order.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::News(News::Rules { version, fleet }) => self.on_rules(version, &fleet, actions),
+            Event::News(News::Confirmed { until }) => {
+                self.confirmed_until = self.confirmed_until.max(Some(until));
+            }
+            Event::Members { complete, entries } => self.on_members(now, complete, entries, actions),
+            Event::Said { member, primary, note } => self.on_role(now, &member, primary, note, actions),
+            Event::Reach { member, reached } => self.on_reachability(&member, reached, actions),
+            Event::Timer => {}
+        }
+        self.on_time(now, actions);
+    }
+
+    /// Whether a timer is due: [`Event::Timer`] must be handled before any other event.
+    pub fn is_due(&self, now: Time) -> bool {
+        self.timer.is_some_and(|t| t <= now)
+    }
+
+    /// The group that a request is to be decided in: the view of its tenant's rule for its class, or `group` itself
+    /// where there is no such rule. A view that is asked for the first time is shown in `actions`; they must be carried
+    /// out before the request goes on.
+    ///
+    /// # Errors
+    /// Where the request has no place, and why: nothing of it may leave the router.
+    pub fn route(
+        &mut self,
+        now: Time,
+        tenant: Option<&str>,
+        class: usize,
+        group: GroupId,
+        needs_primary: bool,
+        actions: &mut Vec<Action>,
+    ) -> Result<GroupId, Refusal> {
+        if group.0 >= FIRST_VIEW {
+            return Err(Refusal::Reserved { group });
+        }
+        if self.is_due(now) {
+            self.on_time(now, actions);
+        }
+        let rules = self.rules.as_ref().ok_or(Refusal::NoRules)?;
+        let Some(id) = rules.boundary(tenant, class) else { return Ok(group) };
+        let is_strict = rules.boundaries[&id].strict;
+        if is_strict && self.confirmed_until.is_none_or(|until| until <= now) {
+            return Err(Refusal::Unconfirmed { version: rules.version });
+        }
+        self.ensure_view((group, id), actions);
+        let (rules, view) = (self.rules.as_ref().ok_or(Refusal::NoRules)?, &self.views[&(group, id)]);
+        if is_strict {
+            self.check_strict(group, view, &rules.boundaries[&id], needs_primary)?;
+        }
+        Ok(view.number)
+    }
+
+    /// Whether a strict view can serve a request: one inside is ready and, where a primary is needed, it is inside.
+    fn check_strict(
+        &self,
+        group: GroupId,
+        view: &View,
+        boundary: &Boundary,
+        needs_primary: bool,
+    ) -> Result<(), Refusal> {
+        if !view.has_ready_member {
+            return Err(Refusal::NoneInside { group, sites: boundary.describe_sites() });
+        }
+        match self.primary(group) {
+            Some(primary) if needs_primary && !view.members.contains(primary) => {
+                let site = self.members[primary].describe_site();
+                let sites = boundary.describe_sites();
+                Err(Refusal::PrimaryOutside { group, primary: primary.clone(), site, sites })
+            }
+            _ => Ok(()),
+        }
+    }
+
+    /// A group's primary: the last member that said so itself, else the listed one.
+    pub fn primary(&self, group: GroupId) -> Option<&Arc<str>> {
+        self.groups.get(&group)?.primary.as_ref()
+    }
+
+    /// The names of a group's members, whatever their sites.
+    pub fn members(&self, group: GroupId) -> impl Iterator<Item = &Arc<str>> {
+        self.groups.get(&group).into_iter().flat_map(|g| &g.members)
+    }
+
+    /// All views: their numbers, groups and members.
+    pub fn views(&self) -> impl Iterator<Item = (GroupId, GroupId, &BTreeSet<Arc<str>>)> {
+        self.views.iter().map(|((base, _), view)| (view.number, *base, &view.members))
+    }
+
+    /// Takes the rules of a newer version, and closes the views whose boundaries no rule draws any more.
+    fn on_rules(&mut self, version: Version, fleet: &Fleet, actions: &mut Vec<Action>) {
+        if self.rules.as_ref().is_some_and(|rules| rules.version >= version) {
+            return;
+        }
+        let replaced = self.rules.as_ref();
+        let rules = Rules::read(version, fleet, &self.settings.classes, replaced, &mut self.last_boundary);
+        self.views.retain(|(base, id), view| {
+            let is_used = rules.boundaries.contains_key(id);
+            if !is_used {
+                actions.push(Action::Show { view: view.number, base: *base, members: Vec::new() });
+            }
+            is_used
+        });
+        self.rules = Some(rules);
+        actions.push(Action::Recheck);
+    }
+}
--- a/placement/tests/machine.rs
+++ b/placement/tests/machine.rs
@@ -1,4 +1,4 @@
-//! The machine's rules one by one, and over random events: no view has a member outside its boundary.
+//! The state machine's rules one by one, and over random events: no view has a member outside its boundary.
 use decision::{GroupId, MemberState, Time};
 use placement::{Action, Event, FIRST_VIEW, Member, News, Places, Refusal, Settings};
 use proptest::prelude::*;
@@ -8,8 +8,10 @@
 
 const READ: usize = 0;
 const WRITE: usize = 1;
+/// The default hold, in microseconds.
 const HOLD: i64 = 2_000_000;
-const FAR: Time = Time(1 << 50);
+/// Later than any time of a test.
+const FAR_FUTURE: Time = Time(1 << 50);
 const BASE: GroupId = GroupId(0);
 
 fn place(sites: &[&str], strict: bool, classes: Option<&[&str]>) -> Place {
@@ -28,8 +30,8 @@
     Member { name: name.into(), group: BASE, site, state: MemberState::Ready, primary: false }
 }
 
-/// A machine with what its actions have shown.
-struct Driven {
+/// Drives a state machine and keeps what its actions have shown.
+struct Driver {
     places: Places,
     now: Time,
     shown: BTreeMap<GroupId, Vec<Arc<str>>>,
@@ -37,22 +39,22 @@
     rechecks: usize,
 }
 
-impl Driven {
+impl Driver {
     fn new() -> Self {
         let places = Places::new(Settings::new(vec!["read".into(), "write".into()]));
-        Driven { places, now: Time(1_000_000), shown: BTreeMap::new(), timers: Vec::new(), rechecks: 0 }
+        Driver { places, now: Time(1_000_000), shown: BTreeMap::new(), timers: Vec::new(), rechecks: 0 }
     }
 
-    /// Rules, confirmed for good, and members.
-    fn with(tenants: Vec<(&str, Vec<Place>)>, members: &[(&str, &str)]) -> Self {
-        let mut d = Driven::new();
+    /// Starts with rules that stay confirmed, and members.
+    fn with_rules(tenants: Vec<(&str, Vec<Place>)>, members: &[(&str, &str)]) -> Self {
+        let mut d = Driver::new();
         d.rules(1, tenants);
-        d.handle(Event::News(News::Confirmed { until: FAR }));
+        d.handle(Event::News(News::Confirmed { until: FAR_FUTURE }));
         d.members(true, members.iter().map(|(n, s)| member(n, s)).collect());
         d
     }
 
-    fn take(&mut self, actions: Vec<Action>) {
+    fn apply(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Show { view, base, members } => {
@@ -68,7 +70,7 @@
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.places.handle(self.now, event, &mut actions);
-        self.take(actions);
+        self.apply(actions);
     }
 
     fn rules(&mut self, version: u64, tenants: Vec<(&str, Vec<Place>)>) {
@@ -79,12 +81,12 @@
         self.handle(Event::Members { complete, entries });
     }
 
-    fn said(&mut self, name: &str, primary: bool, note: bool) {
+    fn report_role(&mut self, name: &str, primary: bool, note: bool) {
         self.handle(Event::Said { member: name.into(), primary, note });
     }
 
-    /// Goes on to a time; timers come when they are due.
-    fn until(&mut self, at: Time) {
+    /// Advances to a time; timers fire when they are due.
+    fn advance_to(&mut self, at: Time) {
         self.now = at;
         let due = self.timers.iter().any(|t| *t <= at);
         self.timers.retain(|t| *t > at);
@@ -96,11 +98,11 @@
     fn route(&mut self, tenant: &str, class: usize) -> Result<GroupId, Refusal> {
         let mut actions = Vec::new();
         let to = self.places.route(self.now, Some(tenant), class, BASE, class == WRITE, &mut actions);
-        self.take(actions);
+        self.apply(actions);
         to
     }
 
-    fn names(&mut self, tenant: &str, class: usize) -> Vec<String> {
+    fn routed_members(&mut self, tenant: &str, class: usize) -> Vec<String> {
         let view = self.route(tenant, class).unwrap();
         self.shown[&view].iter().map(ToString::to_string).collect()
     }
@@ -115,49 +117,51 @@
 }
 
 #[test]
-fn strict_views_have_the_named_sites_only_and_are_shared_by_equal_boundaries() {
+fn strict_views_have_only_named_sites_and_equal_boundaries_share_them() {
     let sites = [("a1", "a"), ("a2", "a"), ("b1", "b"), ("x", "")];
-    let mut d =
-        Driven::with(vec![("t", strict(&["a"])), ("u", strict(&["a"])), ("v", strict(&["b", "c"]))], &sites);
-    assert_eq!(d.names("t", READ), ["a1", "a2"]);
-    assert_eq!(d.names("v", READ), ["b1"]);
+    let mut d = Driver::with_rules(
+        vec![("t", strict(&["a"])), ("u", strict(&["a"])), ("v", strict(&["b", "c"]))],
+        &sites,
+    );
+    assert_eq!(d.routed_members("t", READ), ["a1", "a2"]);
+    assert_eq!(d.routed_members("v", READ), ["b1"]);
     assert_eq!(d.route("t", READ), d.route("u", WRITE));
     assert_eq!(d.places.views().count(), 2);
-    // Whom no rule binds goes by the group itself, and costs no view; so does one that nobody has named.
+    // A tenant without a rule is routed to the group itself and makes no view; so is an unknown tenant.
     assert_eq!(d.route("nobody", READ), Ok(BASE));
     assert_eq!(d.places.views().count(), 2);
 }
 
 #[test]
-fn a_rule_for_a_class_comes_before_the_one_for_the_rest() {
+fn rule_for_class_precedes_rule_for_the_rest() {
     let rules = vec![place(&["a"], true, None), place(&["b"], true, Some(&["write"]))];
-    let mut d = Driven::with(vec![("t", rules)], &[("a1", "a"), ("b1", "b")]);
-    assert_eq!(d.names("t", READ), ["a1"]);
-    assert_eq!(d.names("t", WRITE), ["b1"]);
-    // A class that is not known falls under the rule for the rest.
-    assert_eq!(d.names("t", 99), ["a1"]);
-    // Without a rule for the rest, the others go anywhere.
+    let mut d = Driver::with_rules(vec![("t", rules)], &[("a1", "a"), ("b1", "b")]);
+    assert_eq!(d.routed_members("t", READ), ["a1"]);
+    assert_eq!(d.routed_members("t", WRITE), ["b1"]);
+    // An unknown class is bound by the rule for the rest.
+    assert_eq!(d.routed_members("t", 99), ["a1"]);
+    // Without a rule for the rest, other classes are routed anywhere.
     d.rules(2, vec![("t", vec![place(&["b"], true, Some(&["write"]))])]);
     assert_eq!(d.route("t", READ), Ok(BASE));
-    assert_eq!(d.names("t", WRITE), ["b1"]);
-    // A request of nobody or of an unknown tenant falls under the unnamed one's rules.
+    assert_eq!(d.routed_members("t", WRITE), ["b1"]);
+    // An unknown tenant is bound by the rules of the unnamed one.
     d.rules(3, vec![("anyone", strict(&["b"]))]);
-    assert_eq!(d.names("who", READ), ["b1"]);
+    assert_eq!(d.routed_members("who", READ), ["b1"]);
 }
 
 #[test]
-fn each_refusal_has_its_reason() {
-    let mut d = Driven::new();
+fn refusals_name_their_reason() {
+    let mut d = Driver::new();
     assert_eq!(d.route("t", READ), Err(Refusal::NoRules));
     d.rules(7, vec![("t", strict(&["a"])), ("p", preferred(&["a"]))]);
     d.members(true, vec![member("a1", "a"), member("b1", "b")]);
     assert_eq!(d.route("t", READ), Err(Refusal::Unconfirmed { version: 7 }));
-    // Only strict tenants depend on that.
+    // Only strict rules depend on the confirmation.
     assert!(d.route("p", READ).is_ok());
     assert_eq!(d.route("nobody", READ), Ok(BASE));
-    d.handle(Event::News(News::Confirmed { until: FAR }));
+    d.handle(Event::News(News::Confirmed { until: FAR_FUTURE }));
     assert!(d.route("t", WRITE).is_ok());
-    d.said("b1", true, true);
+    d.report_role("b1", true, true);
     let outside = |site: &str| Refusal::PrimaryOutside {
         group: BASE,
         primary: "b1".into(),
@@ -166,13 +170,13 @@
     };
     assert_eq!(d.route("t", WRITE), Err(outside("b")));
     assert!(d.route("t", READ).is_ok(), "reads need no primary");
-    let said = outside("b").to_string();
-    assert!(said.contains("'b1'") && said.contains("at b, outside of a"), "{said}");
+    let text = outside("b").to_string();
+    assert!(text.contains("'b1'") && text.contains("at b, outside of a"), "{text}");
     d.members(false, vec![Member { state: MemberState::Draining, ..member("a1", "a") }]);
     assert_eq!(d.route("t", READ), Err(Refusal::NoneInside { group: BASE, sites: "a".into() }));
     let mut actions = Vec::new();
     let group = GroupId(FIRST_VIEW);
-    // A view's number can't be asked for, whoever asks.
+    // No request may name a view's number.
     assert_eq!(
         d.places.route(d.now, None, READ, group, false, &mut actions),
         Err(Refusal::Reserved { group })
@@ -180,96 +184,99 @@
 }
 
 #[test]
-fn the_primary_is_who_said_so_last_and_else_the_listed_one() {
-    let mut d = Driven::with(vec![("t", strict(&["a"]))], &[("a1", "a"), ("b1", "b")]);
+fn last_claimed_primary_precedes_listed_one() {
+    let mut d = Driver::with_rules(vec![("t", strict(&["a"]))], &[("a1", "a"), ("b1", "b")]);
     d.members(false, vec![Member { primary: true, ..member("b1", "b") }]);
     assert!(matches!(d.route("t", WRITE), Err(Refusal::PrimaryOutside { .. })));
-    d.said("a1", true, false);
+    d.report_role("a1", true, false);
     assert!(d.route("t", WRITE).is_ok());
-    // A probe that began before the answer's note must not bring it back.
-    d.said("a1", false, true);
-    d.said("b1", false, false);
-    d.said("a1", true, false);
+    // A probe that began before the answer's note must not restore it.
+    d.report_role("a1", false, true);
+    d.report_role("b1", false, false);
+    d.report_role("a1", true, false);
     assert_eq!(d.places.primary(BASE), None);
-    d.until(Time(d.now.0 + 1_000_000));
-    d.said("a1", true, false);
+    d.advance_to(Time(d.now.0 + 1_000_000));
+    d.report_role("a1", true, false);
     assert_eq!(d.places.primary(BASE).map(|p| &**p), Some("a1"));
     d.handle(Event::Reach { member: "a1".into(), reached: false });
-    assert_eq!(d.places.primary(BASE), None, "one that can't be reached is looked for anew");
+    assert_eq!(d.places.primary(BASE), None, "an unreachable primary is none");
 }
 
 #[test]
-fn a_member_whose_site_changes_is_nowhere_for_the_hold() {
-    let mut d = Driven::with(
+fn member_with_changed_site_is_outside_for_the_hold() {
+    let mut d = Driver::with_rules(
         vec![("a", strict(&["a"])), ("b", strict(&["b"]))],
         &[("m", "a"), ("b1", "b"), ("a1", "a")],
     );
-    assert_eq!(d.names("a", READ), ["a1", "m"]);
+    assert_eq!(d.routed_members("a", READ), ["a1", "m"]);
     let moved = d.now;
     d.members(false, vec![member("m", "b")]);
-    assert_eq!((d.names("a", READ), d.names("b", READ)), (vec!["a1".to_string()], vec!["b1".to_string()]));
-    d.until(Time(moved.0 + HOLD - 1));
-    assert_eq!(d.names("b", READ), ["b1"]);
-    d.until(Time(moved.0 + HOLD));
-    assert_eq!(d.names("b", READ), ["b1", "m"]);
-    // So is one that leaves the list and returns elsewhere, and one whose site is told for the first time.
+    assert_eq!(
+        (d.routed_members("a", READ), d.routed_members("b", READ)),
+        (vec!["a1".to_string()], vec!["b1".to_string()])
+    );
+    d.advance_to(Time(moved.0 + HOLD - 1));
+    assert_eq!(d.routed_members("b", READ), ["b1"]);
+    d.advance_to(Time(moved.0 + HOLD));
+    assert_eq!(d.routed_members("b", READ), ["b1", "m"]);
+    // So is a member that leaves the list and returns at another site, and one whose site becomes known.
     d.members(true, vec![member("b1", "b"), member("a1", "a")]);
     d.members(true, vec![member("b1", "b"), member("a1", "a"), member("m", "a"), member("n", "")]);
     d.members(false, vec![member("n", "a")]);
-    assert_eq!(d.names("a", READ), ["a1"]);
-    d.until(Time(d.now.0 + HOLD));
-    assert_eq!(d.names("a", READ), ["a1", "m", "n"]);
+    assert_eq!(d.routed_members("a", READ), ["a1"]);
+    d.advance_to(Time(d.now.0 + HOLD));
+    assert_eq!(d.routed_members("a", READ), ["a1", "m", "n"]);
 }
 
 #[test]
-fn a_preferred_boundary_spills_over_while_none_inside_serves_and_has_the_primary_wherever_it_is() {
-    let mut d = Driven::with(vec![("p", preferred(&["a"]))], &[("a1", "a"), ("b1", "b"), ("b2", "b")]);
-    assert_eq!(d.names("p", READ), ["a1"]);
-    d.said("b2", true, true);
-    assert_eq!(d.names("p", WRITE), ["a1", "b2"]);
+fn preferred_view_spills_over_without_inside_members_and_has_any_primary() {
+    let mut d = Driver::with_rules(vec![("p", preferred(&["a"]))], &[("a1", "a"), ("b1", "b"), ("b2", "b")]);
+    assert_eq!(d.routed_members("p", READ), ["a1"]);
+    d.report_role("b2", true, true);
+    assert_eq!(d.routed_members("p", WRITE), ["a1", "b2"]);
     d.handle(Event::Reach { member: "a1".into(), reached: false });
-    assert_eq!(d.names("p", READ), ["a1", "b1", "b2"]);
+    assert_eq!(d.routed_members("p", READ), ["a1", "b1", "b2"]);
     d.handle(Event::Reach { member: "a1".into(), reached: true });
-    assert_eq!(d.names("p", READ), ["a1", "b2"]);
+    assert_eq!(d.routed_members("p", READ), ["a1", "b2"]);
     d.members(false, vec![Member { state: MemberState::Draining, ..member("a1", "a") }]);
-    assert_eq!(d.names("p", READ), ["a1", "b1", "b2"]);
+    assert_eq!(d.routed_members("p", READ), ["a1", "b1", "b2"]);
 }
 
 #[test]
-fn a_newer_version_binds_at_once_an_older_one_never_and_numbers_are_not_used_again() {
-    let mut d = Driven::with(
+fn newer_rules_bind_at_once_and_view_numbers_are_not_reused() {
+    let mut d = Driver::with_rules(
         vec![("t", strict(&["a", "b"])), ("u", strict(&["a", "b"]))],
         &[("a1", "a"), ("b1", "b")],
     );
     let first = d.route("t", READ).unwrap();
     let rechecks = d.rechecks;
     d.rules(2, vec![("t", strict(&["a"])), ("u", strict(&["a", "b"]))]);
-    assert!(d.rechecks > rechecks, "what waits has to be looked at");
-    assert_eq!(d.names("t", READ), ["a1"]);
-    assert_eq!(d.route("u", READ), Ok(first), "a boundary that stays keeps its view");
+    assert!(d.rechecks > rechecks, "queued requests must be checked again");
+    assert_eq!(d.routed_members("t", READ), ["a1"]);
+    assert_eq!(d.route("u", READ), Ok(first), "a boundary that remains keeps its view");
     d.rules(1, vec![]);
-    assert_eq!(d.names("t", READ), ["a1"]);
+    assert_eq!(d.routed_members("t", READ), ["a1"]);
     d.rules(3, vec![("t", strict(&["a"]))]);
-    assert!(d.shown[&first].is_empty(), "a boundary that nobody has any more loses its members");
+    assert!(d.shown[&first].is_empty(), "a boundary that no rule draws any more loses its members");
     d.rules(4, vec![("t", strict(&["b", "a"]))]);
     assert_ne!(d.route("t", READ), Ok(first));
 }
 
 #[test]
-fn strict_views_are_empty_from_the_moment_that_the_rules_are_not_confirmed() {
-    let mut d = Driven::new();
+fn strict_views_are_empty_without_confirmation() {
+    let mut d = Driver::new();
     d.rules(1, vec![("t", strict(&["a"])), ("p", preferred(&["a"]))]);
     d.members(true, vec![member("a1", "a")]);
     let ends = Time(d.now.0 + 500);
     d.handle(Event::News(News::Confirmed { until: ends }));
     let (view, other) = (d.route("t", READ).unwrap(), d.route("p", READ).unwrap());
-    d.until(Time(ends.0 - 1));
+    d.advance_to(Time(ends.0 - 1));
     assert_eq!(d.shown[&view].len(), 1);
     assert!(!d.places.is_due(d.now));
-    d.until(ends);
+    d.advance_to(ends);
     assert!(d.shown[&view].is_empty() && !d.shown[&other].is_empty());
     assert_eq!(d.route("t", READ), Err(Refusal::Unconfirmed { version: 1 }));
-    // An older confirmation says nothing; a newer one brings the members back.
+    // An older confirmation changes nothing; a newer one restores the members.
     d.handle(Event::News(News::Confirmed { until: Time(ends.0 - 1) }));
     assert!(d.shown[&view].is_empty());
     d.handle(Event::News(News::Confirmed { until: Time(ends.0 + 500) }));
@@ -306,9 +313,9 @@
     ]
 }
 
-/// What the events say of members, kept the plain way: the present site of each, and when it last became another.
+/// A simple model of the members: the present site of each, and when it last changed.
 #[derive(Default)]
-struct Oracle {
+struct Model {
     sites: BTreeMap<String, (String, Option<Time>)>,
     listed: BTreeMap<String, MemberState>,
     left: BTreeMap<String, Time>,
@@ -316,11 +323,11 @@
     fleet: Option<Arc<Fleet>>,
 }
 
-impl Oracle {
-    fn list(&mut self, now: Time, complete: bool, entries: &[Member]) {
-        let leave = |o: &mut Oracle, name: &str| {
-            if o.listed.remove(name).is_some() {
-                o.left.insert(name.to_string(), now);
+impl Model {
+    fn apply_list(&mut self, now: Time, complete: bool, entries: &[Member]) {
+        let leave = |model: &mut Model, name: &str| {
+            if model.listed.remove(name).is_some() {
+                model.left.insert(name.to_string(), now);
             }
         };
         if complete {
@@ -329,7 +336,7 @@
         }
         for e in entries {
             let (name, site) = (e.name.to_string(), e.site.as_deref().unwrap_or("").to_string());
-            // Long after it has left, nothing of a member's old place is alive.
+            // Long after a member has left, no connection to its old site is alive.
             let forgotten =
                 !self.listed.contains_key(&name) && self.left.get(&name).is_none_or(|t| now.0 - t.0 >= HOLD);
             match self.sites.get(&name).filter(|_| !forgotten) {
@@ -365,8 +372,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
     #[test]
-    fn no_view_has_a_member_outside_its_boundary(steps in prop::collection::vec(step(), 1..60)) {
-        let (mut d, mut o) = (Driven::new(), Oracle::default());
+    fn views_never_have_members_outside_their_boundary(steps in prop::collection::vec(step(), 1..60)) {
+        let (mut d, mut model) = (Driver::new(), Model::default());
         let mut boundaries: BTreeMap<GroupId, (BTreeSet<String>, bool)> = BTreeMap::new();
         for (n, step) in steps.into_iter().enumerate() {
             match step {
@@ -379,12 +386,12 @@
                     };
                     let of = |places: Vec<_>| places.into_iter().map(place).collect();
                     let fleet = fleet(TENANTS.into_iter().zip(tenants.into_iter().map(of)).collect());
-                    o.fleet = Some(fleet.clone());
+                    model.fleet = Some(fleet.clone());
                     d.handle(Event::News(News::Rules { version: n as u64 + 1, fleet }));
                 }
                 Step::Confirmed(by) => {
                     let until = Time(d.now.0 + by);
-                    o.until = o.until.max(until);
+                    model.until = model.until.max(until);
                     d.handle(Event::News(News::Confirmed { until }));
                 }
                 Step::List(complete, entries) => {
@@ -395,24 +402,24 @@
                     };
                     let entries: BTreeMap<u8, Member> = entries.into_iter().map(|e| (e.0, entry(e))).collect();
                     let entries: Vec<Member> = entries.into_values().collect();
-                    o.list(d.now, complete, &entries);
+                    model.apply_list(d.now, complete, &entries);
                     d.members(complete, entries);
                 }
-                Step::Said(m, primary, note) => d.said(&format!("m{m}"), primary, note),
+                Step::Said(m, primary, note) => d.report_role(&format!("m{m}"), primary, note),
                 Step::Reach(m, reached) => d.handle(Event::Reach { member: format!("m{m}").into(), reached }),
-                Step::Wait(by) => d.until(Time(d.now.0 + by)),
+                Step::Wait(by) => d.advance_to(Time(d.now.0 + by)),
                 Step::Route(t, class) => {
                     let tenant = TENANTS[t as usize];
                     let to = d.route(tenant, class);
-                    let rule = o.rule(tenant, ["read", "write"][class]);
+                    let rule = model.rule(tenant, ["read", "write"][class]);
                     match (&to, rule) {
-                        (Err(Refusal::NoRules), _) => prop_assert!(o.fleet.is_none()),
+                        (Err(Refusal::NoRules), _) => prop_assert!(model.fleet.is_none()),
                         (to, None) => prop_assert_eq!(to, &Ok(BASE)),
                         (Ok(view), Some(rule)) => {
                             prop_assert!(view.0 >= FIRST_VIEW);
-                            prop_assert!(!rule.strict || d.now < o.until);
+                            prop_assert!(!rule.strict || d.now < model.until);
                             let b = (rule.sites, rule.strict);
-                            // A number stands for one boundary for good.
+                            // A view's number is never given to another boundary.
                             prop_assert_eq!(boundaries.entry(*view).or_insert(b.clone()), &b);
                         }
                         (Err(_), Some(rule)) => prop_assert!(rule.strict),
@@ -423,15 +430,15 @@
                 let Some((sites, strict)) = boundaries.get(view) else { continue };
                 for m in members {
                     if *strict {
-                        prop_assert!(d.now < o.until, "a view outlives its rules");
-                        prop_assert!(o.inside(d.now, m, sites), "{} is outside of {:?}", m, sites);
+                        prop_assert!(d.now < model.until, "a strict view has members after the confirmation");
+                        prop_assert!(model.inside(d.now, m, sites), "{} is outside of {:?}", m, sites);
                     }
                 }
-                // Nobody that could serve is left out, either.
-                if d.places.views().any(|(v, ..)| v == *view) && (!strict || d.now < o.until) {
-                    let all = o.listed.keys().filter(|n| o.inside(d.now, n, sites));
+                // No member inside is missing either.
+                if d.places.views().any(|(v, ..)| v == *view) && (!strict || d.now < model.until) {
+                    let all = model.listed.keys().filter(|n| model.inside(d.now, n, sites));
                     for name in all {
-                        prop_assert!(members.iter().any(|m| **m == **name), "{} is left out", name);
+                        prop_assert!(members.iter().any(|m| **m == **name), "{} is missing", name);
                     }
                 }
             }
