--- a/door/src/service.rs
+++ b/admin/src/service.rs
@@ -1,6 +1,6 @@
 //! Carries the operators' commands out: it connects the server with what the commands are about, the endpoint list, the
 //! metrics, the clients, and the state that the processes of this router share. What a command means is decided by
-//! [`holds::Machine`].
+//! [`maintenance::Machine`].
 mod coordinator;
 mod shared_folder;
 
@@ -10,7 +10,7 @@
 use clients::Order;
 use coordinator::Coordinator;
 use crossbeam_channel::Sender;
-use holds::Event;
+use maintenance::Event;
 use routing::{Clock, EndpointsHandle, Metrics, spawn};
 use settings::Limits;
 use std::io;
--- a/door/src/service/coordinator.rs
+++ b/admin/src/service/coordinator.rs
@@ -4,7 +4,7 @@
 use super::shared_folder::SharedFolder;
 use crate::response::Response;
 use clients::Order;
-use holds::{
+use maintenance::{
     Action, EndpointChange, Event, Machine, MaintenanceError, MaintenanceMask, OtherProcesses,
     SharedFolderError,
 };
@@ -50,7 +50,7 @@
     /// Continues from the stored state and applies it to the endpoint list and the clients.
     pub(super) fn open(dependencies: ServiceDependencies, shared_folder: Option<&Path>) -> Coordinator {
         let limits = &dependencies.limits;
-        let settings = holds::Settings {
+        let settings = maintenance::Settings {
             max_entries: limits.holds,
             restored_retention: i64::try_from(limits.hold_cold.as_micros()).unwrap_or(i64::MAX),
         };
@@ -197,7 +197,7 @@
         if mask != self.notified.mask {
             let shown = routing::MaintenanceMask {
                 in_maintenance: mask.in_maintenance.clone(),
-                returned_at: mask.restored.clone(),
+                restored_at: mask.restored_at.clone(),
             };
             _ = self.dependencies.endpoints.set_maintenance(shown);
         }
--- a/door/src/service/shared_folder.rs
+++ b/admin/src/service/shared_folder.rs
@@ -1,5 +1,5 @@
 //! The folder that the processes of one router share: the stored state, and the presence of each process.
-use holds::{ProcessPresence, SharedFolderError, State, StateFile};
+use maintenance::{ProcessPresence, SharedFolderError, State, StateFile};
 use std::path::Path;
 
 /// This process's handles on the shared folder.
--- a/door/tests/commands.rs
+++ b/admin/tests/commands.rs
@@ -1,5 +1,5 @@
 //! The parser of commands, on random lines.
-use door::{Command, ParseError};
+use admin::{Command, ParseError};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/door/tests/common/mod.rs
+++ b/admin/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test file uses a part of these helpers")]
 pub(crate) mod router;
 
-use door::{AdminHandler, AdminLimits, AdminServer, Command, Response};
+use admin::{AdminHandler, AdminLimits, AdminServer, Command, Response};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::path::Path;
--- a/door/tests/common/router.rs
+++ b/admin/tests/common/router.rs
@@ -3,7 +3,7 @@
 use super::{LONG, serve_handler};
 use clients::Order;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
-use door::{AdminService, ServiceDependencies};
+use admin::{AdminService, ServiceDependencies};
 use routing::{
     AttemptGuard, BackendProtocol, Clock, Connection, EndpointEntry, EndpointUpdate, EndpointsHandle,
     Exchange, ExchangeResult, GroupId, MemberState, Metrics, NotSent, Outcome, RouterMessage,
--- a/door/tests/server.rs
+++ b/admin/tests/server.rs
@@ -4,7 +4,7 @@
 use common::{
     HOLD, LONG, METRIC_LINE, RESPONSE_DUE, ask, ask_with_half_close, connect, read_to_close, serve,
 };
-use door::{AdminLimits, AdminServer};
+use admin::{AdminLimits, AdminServer};
 use std::io::Write;
 use std::time::{Duration, Instant};
 
--- a/door/tests/service.rs
+++ b/admin/tests/service.rs
@@ -2,8 +2,8 @@
 mod common;
 
 use common::router::{Effect, TestRouter};
-use door::{AdminHandler, Command, Response};
-use holds::ProcessPresence;
+use admin::{AdminHandler, Command, Response};
+use maintenance::ProcessPresence;
 use std::time::Instant;
 
 #[test]
--- a/holds/src/interface.rs
+++ b/maintenance/src/interface.rs
@@ -66,7 +66,7 @@
     /// Ids that receive nothing new.
     pub in_maintenance: BTreeSet<String>,
     /// Ids in use again, each with the time from which it counts as freshly started.
-    pub restored: BTreeMap<String, Time>,
+    pub restored_at: BTreeMap<String, Time>,
 }
 
 /// Why a command is rejected. Operators read these texts at the admin address.
--- a/holds/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -14,7 +14,7 @@
 //!
 //! ```
 //! use decision::Time;
-//! use holds::{Action, EndpointChange, Event, Machine, Settings, SharedFolderError, State, StateFile};
+//! use maintenance::{Action, EndpointChange, Event, Machine, Settings, SharedFolderError, State, StateFile};
 //!
 //! fn apply(
 //!     file: &StateFile,
--- a/holds/src/machine.rs
+++ b/maintenance/src/machine.rs
@@ -63,7 +63,7 @@
     pub fn mask(&self) -> MaintenanceMask {
         MaintenanceMask {
             in_maintenance: self.state.in_maintenance.keys().cloned().collect(),
-            restored: self.state.restored.clone(),
+            restored_at: self.state.restored.clone(),
         }
     }
 
--- a/holds/tests/common/mod.rs
+++ b/maintenance/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Helpers shared by the tests of this package.
 #![allow(dead_code, reason = "each test file uses a part of these helpers")]
 use decision::Time;
-use holds::{Action, EndpointChange, Event, Machine, MaintenanceMask, Settings};
+use maintenance::{Action, EndpointChange, Event, Machine, MaintenanceMask, Settings};
 use std::path::{Path, PathBuf};
 
 pub(crate) const SECOND: i64 = 1_000_000;
@@ -23,7 +23,7 @@
 pub(crate) fn mask(in_maintenance: &[&str], restored: &[(&str, i64)]) -> MaintenanceMask {
     MaintenanceMask {
         in_maintenance: in_maintenance.iter().map(ToString::to_string).collect(),
-        restored: restored.iter().map(|(id, at)| (id.to_string(), Time(*at))).collect(),
+        restored_at: restored.iter().map(|(id, at)| (id.to_string(), Time(*at))).collect(),
     }
 }
 
--- a/holds/tests/machine.rs
+++ b/maintenance/tests/machine.rs
@@ -3,7 +3,7 @@
 
 use common::{SECOND, SETTINGS, endpoints, handle, mask};
 use decision::Time;
-use holds::{Action, Event, Machine, MaintenanceEntry, MaintenanceError, State};
+use maintenance::{Action, Event, Machine, MaintenanceEntry, MaintenanceError, State};
 
 fn suspend(machine: &mut Machine, now: i64, id: &str) -> Vec<Action> {
     handle(machine, now, Event::Suspend(id.into()))
--- a/holds/tests/presence.rs
+++ b/maintenance/tests/presence.rs
@@ -1,5 +1,5 @@
 //! Which processes are seen as alive: files of live, dead and killed processes.
-use holds::{OtherProcesses, ProcessPresence, SharedFolderError, StateFile};
+use maintenance::{OtherProcesses, ProcessPresence, SharedFolderError, StateFile};
 use std::io::{BufRead, BufReader};
 use std::path::Path;
 use std::process::{Command, Stdio};
--- a/holds/tests/recorded_run.rs
+++ b/maintenance/tests/recorded_run.rs
@@ -4,7 +4,7 @@
 
 use common::{SECOND, SETTINGS, assert_fixture};
 use decision::Time;
-use holds::{Action, EndpointChange, Event, Machine, MaintenanceMask, State};
+use maintenance::{Action, EndpointChange, Event, Machine, MaintenanceMask, State};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -65,7 +65,7 @@
 
 fn mask_text(mask: &MaintenanceMask) -> String {
     let ids = mask.in_maintenance.iter().cloned().collect::<Vec<_>>().join(",");
-    format!("maintenance=[{ids}] restored=[{}]", times_text(&mask.restored))
+    format!("maintenance=[{ids}] restored=[{}]", times_text(&mask.restored_at))
 }
 
 fn event_text(event: &Event) -> String {
--- a/holds/tests/state_file.rs
+++ b/maintenance/tests/state_file.rs
@@ -1,6 +1,6 @@
 //! The state file: interrupted writes, foreign content, several handles, and its lock.
 use decision::Time;
-use holds::{MaintenanceEntry, SharedFolderError, State, StateFile, UnusableReason};
+use maintenance::{MaintenanceEntry, SharedFolderError, State, StateFile, UnusableReason};
 use std::path::PathBuf;
 use tempfile::TempDir;
 
--- a/holds/tests/stored_forms.rs
+++ b/maintenance/tests/stored_forms.rs
@@ -4,7 +4,7 @@
 
 use common::assert_fixture;
 use decision::Time;
-use holds::{
+use maintenance::{
     FileOperation, MaintenanceEntry, MaintenanceError, OtherProcesses, ProcessPresence, SharedFolderError,
     State, StateFile, UnusableReason,
 };
--- a/holds/tests/two_processes.rs
+++ b/maintenance/tests/two_processes.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{SECOND, SETTINGS, handle};
-use holds::{Action, EndpointChange, Event, Machine, MaintenanceError, MaintenanceMask, State};
+use maintenance::{Action, EndpointChange, Event, Machine, MaintenanceError, MaintenanceMask, State};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
--- a/routing/src/endpoint.rs
+++ b/routing/src/endpoint.rs
@@ -57,7 +57,7 @@
     pub in_maintenance: BTreeSet<String>,
     /// Returned from maintenance at these times, perhaps after a restart that the list does not mention: warming up at
     /// least from then on.
-    pub returned_at: BTreeMap<String, Time>,
+    pub restored_at: BTreeMap<String, Time>,
 }
 
 impl MaintenanceMask {
@@ -67,7 +67,7 @@
         if shown.state == MemberState::Ready && self.in_maintenance.contains(&shown.id) {
             shown.state = MemberState::Draining;
         }
-        shown.started_at = shown.started_at.max(self.returned_at.get(&shown.id).copied());
+        shown.started_at = shown.started_at.max(self.restored_at.get(&shown.id).copied());
         shown
     }
 
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -59,7 +59,7 @@
     Core(io::Error),
     /// The operators' address can't be opened.
     #[error("admin_addr: {0}")]
-    Door(#[from] door::AdminServerError),
+    Door(#[from] admin::AdminServerError),
     /// The figures can't be set up: names of classes that no figure can carry.
     #[error("figures: {0}")]
     Figures(Box<dyn std::error::Error + Send + Sync>),
--- a/src/commands/platform.rs
+++ b/src/commands/platform.rs
@@ -3,7 +3,7 @@
 use crate::signals;
 use clients::{Clients, Listening, Order};
 use crossbeam_channel::{Sender, bounded};
-use door::{AdminLimits, AdminServer, AdminService, ServiceDependencies};
+use admin::{AdminLimits, AdminServer, AdminService, ServiceDependencies};
 use routing::{Clock, EndpointsHandle, Metrics, RouterHandle};
 use settings::operator::Log;
 use settings::start::Start;
