--- a/store/tests/recorded/main.rs
+++ b/store/tests/recorded/main.rs
@@ -3,6 +3,7 @@
 mod control_lines;
 mod fixtures;
 mod frames;
+mod limits;
 mod log_forms;
 mod machine_run;
 mod samples;
