--- a/decision/src/router.rs
+++ b/decision/src/router.rs
@@ -97,7 +97,7 @@
     }
 
     /// Its ejection ends: one attempt at a time until it has shown that it is well.
-    fn half_open(&mut self) {
+    fn end_ejection(&mut self) {
         (self.ejected_until, self.half_open) = (None, true);
     }
 }
--- a/decision/src/router/attempts.rs
+++ b/decision/src/router/attempts.rs
@@ -66,7 +66,7 @@
         }
         let (class, group, finished) = (pending.request.class, pending.request.group, pending.finished);
         let freshness = self.settings.classes[class].freshness;
-        self.observe_attempt(member, id, (self.now.0 - sent_at.0) as f64, outcome);
+        self.rate_attempt(member, id, (self.now.0 - sent_at.0) as f64, outcome);
         let is_primary = self.groups.get(&group).is_some_and(|g| g.primary == Some(member));
         match outcome {
             Outcome::Ok => self.on_served(id, member, commit),
--- a/decision/src/router/health.rs
+++ b/decision/src/router/health.rs
@@ -56,10 +56,10 @@
     }
 
     /// What an ended attempt says of its member's health, speed and lag.
-    pub(super) fn observe_attempt(&mut self, id: MemberId, request: RequestId, took: f64, outcome: Outcome) {
+    pub(super) fn rate_attempt(&mut self, id: MemberId, request: RequestId, latency: f64, outcome: Outcome) {
         let pending = &self.requests[&request];
         let (class, needed) = (pending.request.class, self.required_position(pending));
-        self.adjust_pool(id, class, took, outcome);
+        self.adjust_pool(id, class, latency, outcome);
         let Some(member) = self.members.get_mut(&id) else { return };
         member.in_flight = member.in_flight.saturating_sub(1);
         if matches!(outcome, Outcome::Error | Outcome::Rejected | Outcome::TimedOut) {
@@ -68,7 +68,7 @@
             member.abandoned_attempts.push(Time(self.now.0 + self.latency_ewma[class] as i64));
         }
         match (outcome, needed) {
-            (Outcome::Ok, _) => self.observe_success(id, class, took, needed),
+            (Outcome::Ok, _) => self.rate_success(id, class, latency, needed),
             (Outcome::TimedOut, _) => {
                 // When many time out together the load is to blame: ejections would only move it to the rest.
                 let members = self.groups.get(&member.listed.group).map_or(&[][..], |g| &g.members);
@@ -78,7 +78,7 @@
                 }
             }
             (Outcome::ConnectFailed, _) => {
-                let refused = 2.0 * took < self.settings.connect_timeout as f64;
+                let refused = 2.0 * latency < self.settings.connect_timeout as f64;
                 member.consecutive_connect_failures += u32::from(refused);
                 self.eject(id, outcome);
             }
@@ -91,12 +91,12 @@
         }
     }
 
-    fn observe_success(&mut self, id: MemberId, class: usize, took: f64, needed: Option<Time>) {
+    fn rate_success(&mut self, id: MemberId, class: usize, latency: f64, needed: Option<Time>) {
         let objective = self.settings.classes[class].latency_objective as f64;
-        let (quick, checked) = (took / objective < pool::GROW_BELOW, self.replicas_check_freshness());
-        let (usual, took) = (self.latency_ewma[class], took.max(1.0));
-        let gain = if took < usual { EWMA_GAIN } else { EWMA_GAIN / 8.0 };
-        self.latency_ewma[class] += gain * (took - usual);
+        let (quick, checked) = (latency / objective < pool::GROW_BELOW, self.replicas_check_freshness());
+        let (usual, latency) = (self.latency_ewma[class], latency.max(1.0));
+        let gain = if latency < usual { EWMA_GAIN } else { EWMA_GAIN / 8.0 };
+        self.latency_ewma[class] += gain * (latency - usual);
         let Some(member) = self.members.get_mut(&id) else { return };
         if member.consecutive_connect_failures < RESTART_CONNECT_FAILURES {
             member.consecutive_connect_failures = 0;
@@ -146,7 +146,7 @@
             // It was the connection's end, not the member's.
             member.ejected_until = None;
         } else if !unreached && member.ejected_until.is_some_and(|t| t <= self.now || none_left || reached) {
-            member.half_open();
+            member.end_ejection();
         }
     }
 
@@ -156,7 +156,7 @@
         for id in group.members.clone() {
             let over = self.members[&id].ejected_until.is_some_and(|t| t <= self.now);
             if over && !self.probe(id) && !self.settings.probing_allowed {
-                self.members.get_mut(&id).into_iter().for_each(Member::half_open);
+                self.members.get_mut(&id).into_iter().for_each(Member::end_ejection);
             }
         }
     }
--- a/decision/src/router/pool.rs
+++ b/decision/src/router/pool.rs
@@ -77,20 +77,20 @@
     }
 
     /// Grows the pool after a quick response in full use, shrinks it after a late or a missing one.
-    pub(super) fn adjust_pool(&mut self, id: MemberId, class: usize, took: f64, outcome: Outcome) {
+    pub(super) fn adjust_pool(&mut self, id: MemberId, class: usize, latency: f64, outcome: Outcome) {
         // How slow it was, as a share of the slowdown that the class with least room can bear.
         let classes = self.settings.classes.iter().zip(&self.latency_ewma);
         let slowdowns = classes.map(|(c, ewma)| c.latency_objective as f64 / ewma.max(1.0));
         let bearable = self.latency_ewma[class] * slowdowns.fold(f64::MAX, f64::min);
         let objective = self.settings.classes[class].latency_objective as f64;
         let answered = matches!(outcome, Outcome::Ok | Outcome::TimedOut);
-        let late = answered && took / objective > SHRINK_ABOVE;
+        let late = answered && latency / objective > SHRINK_ABOVE;
         let Some(member) = self.members.get_mut(&id) else { return };
         let full = f64::from(member.in_flight) + 1.0 > member.pool_size;
         if late || outcome == Outcome::Rejected {
             member.pool_size = (member.pool_size * SHRINK_FACTOR).max(MIN_SIZE);
             member.late_response_at = Some(self.now);
-        } else if outcome == Outcome::Ok && took / bearable < GROW_BELOW && full {
+        } else if outcome == Outcome::Ok && latency / bearable < GROW_BELOW && full {
             member.pool_size += GROWTH / member.pool_size.max(1.0);
         }
     }
