--- a/sessions/benches/machine.rs
+++ b/sessions/benches/machine.rs
@@ -2,8 +2,8 @@
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use decision::{GroupId, Time};
 use sessions::Key;
+use sessions::commit_cache::CommitCache;
 use sessions::journal::{self, Record, Whole};
-use sessions::kept::Kept;
 use sessions::machine::{Event, Machine, Now, Settings};
 use std::hint::black_box;
 
@@ -12,24 +12,24 @@
 }
 
 fn memory(c: &mut Criterion) {
-    let mut kept = Kept::new(1_000_000);
-    (0..1_000_000).for_each(|n| kept.add(key(n), Time(n as i64)));
+    let mut cache = CommitCache::new(1_000_000);
+    (0..1_000_000).for_each(|n| cache.add(key(n), Time(n as i64)));
     let mut n = 0;
     c.bench_function("need of one of a million sessions", |b| {
         b.iter(|| {
             n += 1;
-            black_box(kept.need(key(n % 1_000_000)))
+            black_box(cache.required_position(key(n % 1_000_000)))
         });
     });
     let mut n = 1_000_000u64;
     c.bench_function("add a commit, folding the oldest", |b| {
         b.iter(|| {
             n += 1;
-            kept.add(key(n), Time(n as i64));
+            cache.add(key(n), Time(n as i64));
         });
     });
     c.bench_function("key of a session's name", |b| {
-        b.iter(|| Key::named(GroupId(3), black_box("member-4711")))
+        b.iter(|| Key::named(GroupId(3), black_box("member-4711")));
     });
 }
 
@@ -70,9 +70,9 @@
     group.bench_function("restore a million sessions", |b| {
         b.iter(|| {
             let (_, found) = journal::newest(folder).expect("a folder").expect("a file");
-            let mut kept = Kept::new(SESSIONS as usize);
-            found.expect("a whole file").entries.into_iter().for_each(|(k, t)| kept.add(k, t));
-            black_box(kept.len())
+            let mut cache = CommitCache::new(SESSIONS as usize);
+            found.expect("a whole file").entries.into_iter().for_each(|(k, t)| cache.add(k, t));
+            black_box(cache.len())
         });
     });
     for together in [1usize, 16, 256] {
--- a/sessions/src/error.rs
+++ b/sessions/src/error.rs
@@ -1,20 +1,20 @@
-//! Why an instance does not start, and why one can't be asked.
+//! Why an instance does not start, and why a running one can't be asked for its status.
 use crate::journal::JournalError;
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why an instance does not start.
+/// Why an instance does not start; each message says what an operator can do.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// Peers can't be listened for.
+    /// The address for peers can't be bound.
     #[error(
         "sessions: {addr}: {source}; see who else listens there, or name another address in sessions.listen"
     )]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// Why not.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The folder can't be used.
@@ -25,7 +25,7 @@
     Thread(io::Error),
 }
 
-/// Why an instance that runs could not be asked.
+/// Why a running instance could not be asked for its status.
 #[derive(Debug, Error)]
 pub enum AskError {
     /// It can't be reached, or did not answer in time.
@@ -33,7 +33,7 @@
     Away {
         /// The address.
         addr: SocketAddr,
-        /// Why not.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// Something else listens there.
--- a/sessions/src/frames.rs
+++ b/sessions/src/frames.rs
@@ -1,15 +1,19 @@
 //! The wire between instances: frames of a length and a body (postcard) over TCP on loopback.
 //!
-//! An instance that has commits to bring connects and says [`Frame::Hello`]; the other answers with
-//! [`Frame::Welcome`] or [`Frame::Refused`]. From then on pushes go one way; confirmations and asks the other way.
+//! An instance that has commits to send connects and sends [`Frame::Hello`]; the other answers with
+//! [`Frame::Welcome`] or [`Frame::Refused`]. From then on pushes go one way; confirmations and lease requests the
+//! other way. Postcard writes values in the order of declaration and no names: fields and variants may be renamed, but
+//! not reordered.
 use crate::machine::{Instance, Push, Why};
 use serde::{Deserialize, Serialize};
 use std::io::{self, Read, Write};
 
 /// Version of the protocol; both sides must speak the same.
 pub const VERSION: u16 = 1;
+/// Bytes of the length before a body.
+const LENGTH_BYTES: usize = 4;
 
-/// What goes over a connection between instances.
+/// What is sent over a connection between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     /// The first frame of whoever connects.
@@ -22,31 +26,34 @@
         from: Instance,
         /// Its start.
         incarnation: u64,
-        /// Whom it looks for.
+        /// The instance that it looks for.
         to: Instance,
     },
-    /// Its commits are taken.
+    /// Its commits are accepted.
     Welcome {
         /// Of which start some are held.
         incarnation: u64,
         /// Up to which.
         holds: u64,
     },
-    /// They are not.
+    /// Its commits are not accepted.
     Refused(Why),
-    /// What it brings.
+    /// What it sends.
     Push(Push),
     /// Commits up to this one are held.
     Confirm(u64),
-    /// A lease is wanted, by the asker's clock.
+    /// A lease request, by the requester's clock, in microseconds.
     Ask(i64),
-    /// Someone wants to look: the first and only frame of a connection.
+    /// An operator asks for the status: the first and only frame of a connection.
     Show,
-    /// What there is to see, as JSON.
+    /// The status, as JSON.
     Shown(String),
 }
 
-/// Adds a frame to what goes out.
+/// Appends a frame to bytes that are to be sent.
+///
+/// # Errors
+/// Where the frame can't be encoded.
 pub fn push(to: &mut Vec<u8>, frame: &Frame) -> io::Result<()> {
     let body = postcard::to_stdvec(frame).map_err(io::Error::other)?;
     to.extend_from_slice(&(body.len() as u32).to_le_bytes());
@@ -55,50 +62,31 @@
 }
 
 /// Writes one frame.
+///
+/// # Errors
+/// Where the frame can't be written.
 pub fn write(mut to: impl Write, frame: &Frame) -> io::Result<()> {
     let mut bytes = Vec::new();
     push(&mut bytes, frame)?;
     to.write_all(&bytes)
 }
 
-/// Reads one frame of at most this many bytes.
-pub fn read(mut from: impl Read, most: usize) -> io::Result<Frame> {
-    let mut head = [0; 4];
-    from.read_exact(&mut head)?;
-    let length = u32::from_le_bytes(head) as usize;
-    if length > most {
-        return Err(io::Error::other(format!("a frame of {length} bytes, {most} at most are taken")));
+/// Reads one frame with a body of at most `max_bytes`.
+///
+/// # Errors
+/// Where the connection ends, the body is longer, or it is no frame.
+pub fn read(mut from: impl Read, max_bytes: usize) -> io::Result<Frame> {
+    let mut header = [0; LENGTH_BYTES];
+    from.read_exact(&mut header)?;
+    let length = u32::from_le_bytes(header) as usize;
+    if length > max_bytes {
+        return Err(io::Error::other(format!("a frame of {length} bytes, {max_bytes} at most are taken")));
     }
-    // Room is made as bytes come: a length alone must not cost memory.
+    // Memory is allocated as bytes come: a length alone must not cost any.
     let mut body = Vec::new();
     if from.take(length as u64).read_to_end(&mut body)? < length {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
-    postcard::from_bytes(&body).map_err(|e| io::Error::other(format!("a frame that can't be read: {e}")))
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::Key;
-
-    #[test]
-    fn frames_come_back_as_they_went_and_long_or_foreign_ones_do_not_pass() {
-        let frames = [
-            Frame::Hello { version: VERSION, cluster: "orders".into(), from: 1, incarnation: 9, to: 2 },
-            Frame::Refused(Why::Older { newest: 3 }),
-            Frame::Push(Push::Commits { first: 4, entries: vec![(Key(u64::MAX), i64::MAX)] }),
-            Frame::Ask(-1),
-        ];
-        let mut bytes = Vec::new();
-        frames.iter().for_each(|f| push(&mut bytes, f).unwrap());
-        let mut rest = &bytes[..];
-        for f in &frames {
-            assert_eq!(read(&mut rest, 1000).unwrap(), *f);
-        }
-        assert_eq!(read(&mut rest, 1000).unwrap_err().kind(), io::ErrorKind::UnexpectedEof);
-        assert!(read(&b"\xff\xff\xff\xff"[..], 1000).is_err());
-        assert!(read(&b"\x01\0\0\0\xee"[..], 1000).is_err());
-        assert!(read(&bytes[..bytes.len() - 1], 1000).is_ok());
-    }
+    postcard::from_bytes(&body)
+        .map_err(|error| io::Error::other(format!("a frame that can't be read: {error}")))
 }
--- /dev/null
+++ b/sessions/src/node/connection.rs
@@ -0,0 +1,90 @@
+//! One connection between instances: its socket, and the bounded queue of frames that are to be sent on it.
+use super::Sessions;
+use crate::frames::{self, Frame};
+use crate::machine::Push;
+use crossbeam_channel::{Receiver, Sender, bounded};
+use std::io::{self, Write};
+use std::net::{Shutdown, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+
+/// Frames are written together up to about this many bytes.
+const MAX_WRITE_BYTES: usize = 1 << 20;
+
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
+
+/// A connection to or from a peer. What is sent on it waits in a bounded queue.
+pub(super) struct Connection {
+    /// Tells this connection from older ones with the same peer.
+    pub(super) number: u64,
+    pub(super) socket: Arc<TcpStream>,
+    queue: Sender<Frame>,
+}
+
+impl Connection {
+    /// Queues a frame. A peer that reads too slowly loses the connection: it resumes, or begins anew.
+    pub(super) fn send(&self, frame: Frame) {
+        if self.queue.try_send(frame).is_err() {
+            self.close();
+        }
+    }
+
+    pub(super) fn close(&self) {
+        close(&self.socket);
+    }
+}
+
+/// A socket that is closed already needs no closing.
+pub(super) fn close(socket: &TcpStream) {
+    _ = socket.shutdown(Shutdown::Both);
+}
+
+impl Sessions {
+    /// A connection on this socket, and the frames that are to be written to it.
+    pub(super) fn connection(&self, socket: TcpStream) -> io::Result<(Connection, Receiver<Frame>)> {
+        socket.set_nodelay(true)?;
+        socket.set_read_timeout(Some(self.limits.session_silent))?;
+        socket.set_write_timeout(Some(self.limits.session_silent))?;
+        let (queue, queued) = bounded(self.limits.session_queue);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+        Ok((Connection { number, socket: Arc::new(socket), queue }, queued))
+    }
+}
+
+/// Writes what is queued, as much at a time as is there, until the queue closes or the socket fails.
+pub(super) fn write_queued(
+    mut socket: &TcpStream,
+    queued: &Receiver<Frame>,
+    max_entries: usize,
+) -> io::Result<()> {
+    for first in queued {
+        let mut bytes = Vec::new();
+        let mut next = Some(first);
+        while let Some(mut frame) = next {
+            next = queued.try_recv().ok();
+            while merge_commits(&mut frame, &mut next, max_entries) {
+                next = queued.try_recv().ok();
+            }
+            frames::push(&mut bytes, &frame)?;
+            if bytes.len() > MAX_WRITE_BYTES && next.is_some() {
+                socket.write_all(&bytes)?;
+                bytes.clear();
+            }
+        }
+        socket.write_all(&bytes)?;
+    }
+    Ok(())
+}
+
+/// Appends the commits of the next frame to those of this one, so that commits that follow each other go as one
+/// frame. Whether it did so.
+fn merge_commits(frame: &mut Frame, next: &mut Option<Frame>, max_entries: usize) -> bool {
+    if let Frame::Push(Push::Commits { entries, .. }) = frame
+        && entries.len() < max_entries
+        && let Some(Frame::Push(Push::Commits { entries: more, .. })) = next
+    {
+        entries.append(more);
+        return true;
+    }
+    false
+}
--- /dev/null
+++ b/sessions/tests/frames.rs
@@ -0,0 +1,28 @@
+//! Frames between instances, whole and damaged.
+use sessions::Key;
+use sessions::frames::{self, Frame, VERSION, read};
+use sessions::machine::{Push, Why};
+use std::io;
+
+/// The longest frame that these tests accept.
+const MAX_BYTES: usize = 1000;
+
+#[test]
+fn frames_round_trip_and_long_or_foreign_ones_are_errors() {
+    let frames = [
+        Frame::Hello { version: VERSION, cluster: "orders".into(), from: 1, incarnation: 9, to: 2 },
+        Frame::Refused(Why::Older { newest: 3 }),
+        Frame::Push(Push::Commits { first: 4, entries: vec![(Key(u64::MAX), i64::MAX)] }),
+        Frame::Ask(-1),
+    ];
+    let mut bytes = Vec::new();
+    frames.iter().for_each(|frame| frames::push(&mut bytes, frame).unwrap());
+    let mut rest = &bytes[..];
+    for frame in &frames {
+        assert_eq!(read(&mut rest, MAX_BYTES).unwrap(), *frame);
+    }
+    assert_eq!(read(&mut rest, MAX_BYTES).unwrap_err().kind(), io::ErrorKind::UnexpectedEof);
+    assert!(read(&b"\xff\xff\xff\xff"[..], MAX_BYTES).is_err());
+    assert!(read(&b"\x01\0\0\0\xee"[..], MAX_BYTES).is_err());
+    assert!(read(&bytes[..bytes.len() - 1], MAX_BYTES).is_ok());
+}
--- a/sessions/tests/recorded_run.rs
+++ b/sessions/tests/recorded_run.rs
@@ -77,7 +77,7 @@
     }
 
     fn push(&mut self, machine: &Machine, peer: u64) -> Push {
-        let statuses = machine.standings(Time(self.now));
+        let statuses = machine.peer_statuses(Time(self.now));
         let held = statuses.iter().find(|status| status.instance == peer).map_or(0, |status| status.heard);
         match self.rng.u8(0..10) {
             0..=4 => {
@@ -160,7 +160,7 @@
                 machine.durable(),
                 machine.floor().map(|t| t.0),
                 machine.floor_due(),
-                machine.relies(now.at),
+                machine.peers_up_to_date(now.at),
                 machine.stopped().map_or_else(|| "no".to_string(), |why| why.to_string()),
             )
             .expect("a string");
@@ -168,7 +168,7 @@
         source.now += source.rng.i64(0..20_000);
         event = source.event(&machine);
     }
-    let statuses = serde_json::to_string(&machine.standings(Time(source.now))).expect("JSON");
+    let statuses = serde_json::to_string(&machine.peer_statuses(Time(source.now))).expect("JSON");
     writeln!(record, "{seed} end: {statuses}").expect("a string");
 }
 
--- a/sessions/tests/simulation.rs
+++ b/sessions/tests/simulation.rs
@@ -1,6 +1,6 @@
 //! Three instances of the state machine in simulated time, with links that delay, cut off and break, processes that
 //! are killed, paused and started again, disks that sync late, lose their folder or fail, and clocks that differ.
-//! After every step it is checked that no session's read at any instance would see less than its clients were told.
+//! After every step it is checked that no session's read at any instance would see less than was acknowledged to its clients.
 use decision::Time;
 use fastrand::Rng;
 use sessions::machine::{Action, Event, Instance, Machine, Now, Push, Settings};
@@ -22,18 +22,26 @@
     incomplete: bool,
 }
 
+/// Appended to the journal and not synced yet.
+struct UnsyncedCommit {
+    /// When the sync ends.
+    synced_at: i64,
+    seq: u64,
+    key: Key,
+    at: Time,
+}
+
 struct Process {
     machine: Machine,
-    /// Appended and not synced yet, with the time at which the sync ends.
-    unsynced: VecDeque<(i64, u64, Key, Time)>,
+    unsynced: VecDeque<UnsyncedCommit>,
     paused_until: i64,
     /// The servers' clocks are known from then on.
     knows_from: i64,
     disk_fails: bool,
 }
 
-/// A message on its way.
-enum Wire {
+/// A message in flight.
+enum Message {
     Hello(u64),
     Welcome(u64, u64),
     Refused(sessions::machine::Why),
@@ -45,8 +53,8 @@
 /// The connection on which one instance brings its commits to another.
 #[derive(Default)]
 struct Link {
-    there: VecDeque<(i64, Wire)>,
-    back: VecDeque<(i64, Wire)>,
+    pushes: VecDeque<(i64, Message)>,
+    replies: VecDeque<(i64, Message)>,
     welcomed: bool,
 }
 
@@ -61,7 +69,7 @@
     clocks: BTreeMap<Instance, (i64, i64)>,
     next_ticket: u64,
     tickets: HashMap<(Instance, u64), (Key, Time)>,
-    told: HashMap<Key, Time>,
+    acknowledged: HashMap<Key, Time>,
     exact_reads: u64,
     reads: u64,
     released: u64,
@@ -72,47 +80,49 @@
 impl World {
     fn new(seed: u64, size: u64, durable: bool) -> World {
         let mut rng = Rng::with_seed(seed);
-        let clocks = (1..=size).map(|n| (n, (rng.i64(-3_000_000..3_000_000), rng.i64(-20..20)))).collect();
+        let clocks = (1..=size)
+            .map(|instance| (instance, (rng.i64(-3_000_000..3_000_000), rng.i64(-20..20))))
+            .collect();
         let mut world = World {
             rng,
             now: 1_000_000_000,
-            processes: (1..=size).map(|n| (n, None)).collect(),
-            disks: (1..=size).map(|n| (n, Disk::default())).collect(),
+            processes: (1..=size).map(|instance| (instance, None)).collect(),
+            disks: (1..=size).map(|instance| (instance, Disk::default())).collect(),
             links: HashMap::new(),
             cut: HashMap::new(),
             clocks,
             next_ticket: 0,
             tickets: HashMap::new(),
-            told: HashMap::new(),
+            acknowledged: HashMap::new(),
             exact_reads: 0,
             reads: 0,
             released: 0,
             durable,
             size,
         };
-        (1..=size).for_each(|n| world.start(n));
+        (1..=size).for_each(|instance| world.start(instance));
         world
     }
 
-    fn clock(&self, n: Instance) -> i64 {
-        let (offset, rate) = self.clocks[&n];
+    fn clock(&self, instance: Instance) -> i64 {
+        let (offset, rate) = self.clocks[&instance];
         self.now + offset + (self.now - 1_000_000_000) * rate / 1000
     }
 
     /// The servers' clock is the true one; an instance knows it within a bound.
-    fn at(&mut self, n: Instance) -> Now {
+    fn now_at(&mut self, instance: Instance) -> Now {
         let late = self.rng.i64(0..500);
-        let known = self.processes[&n].as_ref().is_none_or(|p| p.knows_from <= self.now);
-        Now { at: Time(self.clock(n)), present: known.then_some(Time(self.now + late)) }
+        let known = self.processes[&instance].as_ref().is_none_or(|process| process.knows_from <= self.now);
+        Now { at: Time(self.clock(instance)), present: known.then_some(Time(self.now + late)) }
     }
 
-    fn start(&mut self, n: Instance) {
-        let disk = self.disks[&n].clone();
+    fn start(&mut self, instance: Instance) {
+        let disk = self.disks[&instance].clone();
         let incarnation = (disk.incarnation + 1).max(self.now as u64);
         let believed = self.durable && disk.valid;
         let incomplete = !believed || disk.incomplete;
         let settings = Settings {
-            instance: n,
+            instance,
             incarnation,
             lease: LEASE,
             resume: 20,
@@ -124,52 +134,53 @@
         let floor = disk.floor.filter(|_| believed);
         if self.durable {
             let (entries, valid) = (entries.clone(), true);
-            self.disks.insert(n, Disk { valid, incarnation, entries, floor, incomplete });
+            self.disks.insert(instance, Disk { valid, incarnation, entries, floor, incomplete });
         }
         let machine = Machine::new(settings, entries, floor);
         let knows_from = self.now + self.rng.i64(0..150 * MS);
         let unsynced = VecDeque::new();
         let process = Process { machine, unsynced, paused_until: 0, knows_from, disk_fails: false };
-        self.processes.insert(n, Some(process));
-        self.feed(n, Event::Peers((1..=self.size).collect()));
+        self.processes.insert(instance, Some(process));
+        self.handle(instance, Event::Peers((1..=self.size).collect()));
     }
 
-    fn kill(&mut self, n: Instance) {
-        let Some(p) = self.processes.get_mut(&n).and_then(Option::take) else { return };
+    fn kill(&mut self, instance: Instance) {
+        let Some(process) = self.processes.get_mut(&instance).and_then(Option::take) else { return };
         // Part of what was being synced may have reached the disk.
-        let reached = self.rng.usize(0..=p.unsynced.len());
-        let disk = self.disks.get_mut(&n).unwrap();
-        disk.entries.extend(p.unsynced.iter().take(reached).map(|u| (u.2, u.3)));
+        let reached = self.rng.usize(0..=process.unsynced.len());
+        let disk = self.disks.get_mut(&instance).unwrap();
+        disk.entries.extend(process.unsynced.iter().take(reached).map(|write| (write.key, write.at)));
         if self.rng.u8(0..6) == 0 {
             *disk = Disk { incarnation: disk.incarnation, ..Disk::default() };
         }
-        self.tickets.retain(|(i, _), _| *i != n);
+        self.tickets.retain(|(i, _), _| *i != instance);
         for (pair, link) in &mut self.links {
             // What it sent may still arrive; what was sent to it will not.
-            if pair.0 == n && self.rng.bool() {
-                link.there.clear();
+            if pair.0 == instance && self.rng.bool() {
+                link.pushes.clear();
             }
         }
-        let broken: Vec<_> = self.links.keys().copied().filter(|(a, b)| *a == n || *b == n).collect();
+        let broken: Vec<_> =
+            self.links.keys().copied().filter(|(a, b)| *a == instance || *b == instance).collect();
         for (a, b) in broken {
             let mut link = self.links.remove(&(a, b)).unwrap();
-            while let Some((_, Wire::Push(push))) = link.there.pop_front() {
-                if b != n && link.welcomed {
-                    self.feed(b, Event::Pushed(a, push));
+            while let Some((_, Message::Push(push))) = link.pushes.pop_front() {
+                if b != instance && link.welcomed {
+                    self.handle(b, Event::Pushed(a, push));
                 }
             }
-            self.feed(b, Event::Left(a));
-            self.feed(a, Event::Unlinked(b));
+            self.handle(b, Event::Left(a));
+            self.handle(a, Event::Unlinked(b));
         }
     }
 
-    fn feed(&mut self, n: Instance, event: Event) {
-        let now = self.at(n);
-        let Some(Some(p)) = self.processes.get_mut(&n) else { return };
+    fn handle(&mut self, instance: Instance, event: Event) {
+        let now = self.now_at(instance);
+        let Some(Some(process)) = self.processes.get_mut(&instance) else { return };
         let mut actions = Vec::new();
-        p.machine.handle(now, event, &mut actions);
+        process.machine.handle(now, event, &mut actions);
         for a in actions {
-            self.act(n, a);
+            self.carry_out(instance, a);
         }
     }
 
@@ -180,71 +191,72 @@
         (self.now + self.rng.i64(0..most)).max(queue_end.unwrap_or(0))
     }
 
-    fn there(&mut self, from: Instance, to: Instance, wire: Wire) {
-        let end = self.links.get(&(from, to)).and_then(|l| l.there.back().map(|m| m.0));
+    fn send(&mut self, from: Instance, to: Instance, message: Message) {
+        let end = self.links.get(&(from, to)).and_then(|link| link.pushes.back().map(|m| m.0));
         let at = self.delay(end);
-        if let Some(l) = self.links.get_mut(&(from, to)) {
-            l.there.push_back((at, wire));
+        if let Some(link) = self.links.get_mut(&(from, to)) {
+            link.pushes.push_back((at, message));
         }
     }
 
-    fn back(&mut self, from: Instance, to: Instance, wire: Wire) {
-        let end = self.links.get(&(from, to)).and_then(|l| l.back.back().map(|m| m.0));
+    fn reply(&mut self, from: Instance, to: Instance, message: Message) {
+        let end = self.links.get(&(from, to)).and_then(|link| link.replies.back().map(|m| m.0));
         let at = self.delay(end);
-        if let Some(l) = self.links.get_mut(&(from, to)) {
-            l.back.push_back((at, wire));
+        if let Some(link) = self.links.get_mut(&(from, to)) {
+            link.replies.push_back((at, message));
         }
     }
 
-    fn act(&mut self, n: Instance, action: Action) {
+    fn carry_out(&mut self, instance: Instance, action: Action) {
         match action {
             Action::Append(seq, key, at) => {
-                let done = self.now + self.rng.i64(0..60 * MS);
-                let p = self.processes.get_mut(&n).and_then(Option::as_mut).unwrap();
-                let done = p.unsynced.back().map_or(done, |u| done.max(u.0));
-                p.unsynced.push_back((done, seq, key, at));
+                let synced_at = self.now + self.rng.i64(0..60 * MS);
+                let process = self.processes.get_mut(&instance).and_then(Option::as_mut).unwrap();
+                let synced_at =
+                    process.unsynced.back().map_or(synced_at, |write| synced_at.max(write.synced_at));
+                process.unsynced.push_back(UnsyncedCommit { synced_at, seq, key, at });
             }
             Action::AppendFloor(at) => {
-                let disk = self.disks.get_mut(&n).unwrap();
+                let disk = self.disks.get_mut(&instance).unwrap();
                 disk.floor = disk.floor.max(Some(at));
                 disk.incomplete = false;
             }
-            Action::Push(to, push) => self.there(n, to, Wire::Push(push)),
+            Action::Push(to, push) => self.send(instance, to, Message::Push(push)),
             Action::PushAll(to, seq) => {
-                let m = &self.processes[&n].as_ref().unwrap().machine;
+                let m = &self.processes[&instance].as_ref().unwrap().machine;
                 let mut entries: Vec<(Key, i64)> = m.kept().iter().map(|(k, t)| (k, t.0)).collect();
                 let floor = m.floor().filter(|_| !m.floor_due()).map(|t| t.0);
                 entries.reverse();
-                self.there(n, to, Wire::Push(Push::All { entries }));
-                self.there(n, to, Wire::Push(Push::Whole { seq, floor }));
+                self.send(instance, to, Message::Push(Push::All { entries }));
+                self.send(instance, to, Message::Push(Push::Whole { seq, floor }));
             }
             Action::Welcome(peer, incarnation, holds) => {
-                self.back(peer, n, Wire::Welcome(incarnation, holds))
+                self.reply(peer, instance, Message::Welcome(incarnation, holds));
             }
-            Action::Refuse(peer, why) => self.back(peer, n, Wire::Refused(why)),
-            Action::Confirm(peer, seq) => self.back(peer, n, Wire::Confirm(seq)),
-            Action::Ask(peer, at) => self.back(peer, n, Wire::Ask(at)),
-            Action::Drop(peer) => self.unlink(peer, n),
+            Action::Refuse(peer, why) => self.reply(peer, instance, Message::Refused(why)),
+            Action::Confirm(peer, seq) => self.reply(peer, instance, Message::Confirm(seq)),
+            Action::Ask(peer, at) => self.reply(peer, instance, Message::Ask(at)),
+            Action::Drop(peer) => self.unlink(peer, instance),
             Action::Release(ticket) => {
-                let (key, at) = self.tickets.remove(&(n, ticket)).unwrap();
-                let told = self.told.entry(key).or_insert(at);
-                *told = (*told).max(at);
+                let (key, at) = self.tickets.remove(&(instance, ticket)).unwrap();
+                let acknowledged = self.acknowledged.entry(key).or_insert(at);
+                *acknowledged = (*acknowledged).max(at);
                 self.released += 1;
             }
-            Action::Fail(ticket) => _ = self.tickets.remove(&(n, ticket)),
+            Action::Fail(ticket) => _ = self.tickets.remove(&(instance, ticket)),
             Action::Reincarnate(_) | Action::Superseded(_) => {}
         }
     }
 
     fn unlink(&mut self, from: Instance, to: Instance) {
         if self.links.remove(&(from, to)).is_some() {
-            self.feed(to, Event::Left(from));
-            self.feed(from, Event::Unlinked(to));
+            self.handle(to, Event::Left(from));
+            self.handle(from, Event::Unlinked(to));
         }
     }
 
-    fn awake(&self, n: Instance) -> bool {
-        self.processes[&n].as_ref().is_some_and(|p| p.paused_until <= self.now)
+    fn awake(&self, instance: Instance) -> bool {
+        self.processes[&instance].as_ref().is_some_and(|process| process.paused_until <= self.now)
     }
 
     fn is_cut(&self, a: Instance, b: Instance) -> bool {
@@ -252,9 +264,9 @@
     }
 
     /// Delivers, dials, syncs and ticks as far as time has come.
-    fn run(&mut self) {
+    fn advance(&mut self) {
         for from in 1..=self.size {
-            for to in (1..=self.size).filter(|n| *n != from) {
+            for to in (1..=self.size).filter(|instance| *instance != from) {
                 if self.awake(from) && !self.links.contains_key(&(from, to)) && self.rng.u8(0..4) == 0 {
                     self.dial(from, to);
                 }
@@ -264,22 +276,23 @@
                 self.deliver(from, to);
             }
         }
-        for n in 1..=self.size {
-            if !self.awake(n) {
+        for instance in 1..=self.size {
+            if !self.awake(instance) {
                 continue;
             }
             let now = self.now;
-            let p = self.processes.get_mut(&n).and_then(Option::as_mut).unwrap();
+            let process = self.processes.get_mut(&instance).and_then(Option::as_mut).unwrap();
             let mut synced = None;
-            while !p.disk_fails && p.unsynced.front().is_some_and(|u| u.0 <= now) {
-                let (_, seq, key, at) = p.unsynced.pop_front().unwrap();
-                self.disks.get_mut(&n).unwrap().entries.push((key, at));
+            while !process.disk_fails && process.unsynced.front().is_some_and(|write| write.synced_at <= now)
+            {
+                let UnsyncedCommit { seq, key, at, .. } = process.unsynced.pop_front().unwrap();
+                self.disks.get_mut(&instance).unwrap().entries.push((key, at));
                 synced = Some(seq);
             }
             if let Some(seq) = synced {
-                self.feed(n, Event::Synced(seq));
+                self.handle(instance, Event::Synced(seq));
             }
-            self.feed(n, Event::Tick);
+            self.handle(instance, Event::Tick);
         }
     }
 
@@ -290,116 +303,121 @@
         match &self.processes[&to] {
             None => {
                 let begun = Time(self.clock(from));
-                self.feed(from, Event::Down(to, begun));
+                self.handle(from, Event::Down(to, begun));
             }
             Some(_) => {
                 self.links.insert((from, to), Link::default());
                 let incarnation = self.processes[&from].as_ref().unwrap().machine.incarnation();
-                self.there(from, to, Wire::Hello(incarnation));
+                self.send(from, to, Message::Hello(incarnation));
             }
         }
     }
 
     fn deliver(&mut self, from: Instance, to: Instance) {
         while self.awake(to)
-            && let Some(l) = self.links.get_mut(&(from, to))
-            && l.there.front().is_some_and(|m| m.0 <= self.now)
+            && let Some(link) = self.links.get_mut(&(from, to))
+            && link.pushes.front().is_some_and(|m| m.0 <= self.now)
         {
-            match l.there.pop_front().unwrap().1 {
-                Wire::Hello(incarnation) => self.feed(to, Event::Introduced(from, incarnation)),
-                Wire::Push(push) => self.feed(to, Event::Pushed(from, push)),
+            match link.pushes.pop_front().unwrap().1 {
+                Message::Hello(incarnation) => self.handle(to, Event::Introduced(from, incarnation)),
+                Message::Push(push) => self.handle(to, Event::Pushed(from, push)),
                 _ => {}
             }
         }
         while self.awake(from)
-            && let Some(l) = self.links.get_mut(&(from, to))
-            && l.back.front().is_some_and(|m| m.0 <= self.now)
+            && let Some(link) = self.links.get_mut(&(from, to))
+            && link.replies.front().is_some_and(|m| m.0 <= self.now)
         {
-            match l.back.pop_front().unwrap().1 {
-                Wire::Welcome(incarnation, holds) => {
-                    l.welcomed = true;
-                    self.feed(from, Event::Accepted { peer: to, incarnation, holds });
+            match link.replies.pop_front().unwrap().1 {
+                Message::Welcome(incarnation, holds) => {
+                    link.welcomed = true;
+                    self.handle(from, Event::Accepted { peer: to, incarnation, holds });
                 }
-                Wire::Refused(why) => {
-                    self.feed(from, Event::Refused(to, why));
+                Message::Refused(why) => {
+                    self.handle(from, Event::Refused(to, why));
                     self.unlink(from, to);
                 }
-                Wire::Confirm(seq) => self.feed(from, Event::Confirmed(to, seq)),
-                Wire::Ask(at) => self.feed(from, Event::Asked(to, at)),
+                Message::Confirm(seq) => self.handle(from, Event::Confirmed(to, seq)),
+                Message::Ask(at) => self.handle(from, Event::Asked(to, at)),
                 _ => {}
             }
         }
     }
 
-    fn write(&mut self, n: Instance) {
+    fn write(&mut self, instance: Instance) {
         let key = Key(self.rng.u64(0..KEYS));
         self.next_ticket += 1;
         // Every commit has its own time, none later than what an instance takes for the present.
         let at = Time(self.now);
-        self.tickets.insert((n, self.next_ticket), (key, at));
-        self.feed(n, Event::Commit(self.next_ticket, key, at));
+        self.tickets.insert((instance, self.next_ticket), (key, at));
+        self.handle(instance, Event::Commit(self.next_ticket, key, at));
     }
 
-    fn read(&mut self, n: Instance) {
-        let now = self.at(n);
-        let Some(Some(p)) = self.processes.get(&n) else { return };
+    fn read(&mut self, instance: Instance) {
+        let now = self.now_at(instance);
+        let Some(Some(process)) = self.processes.get(&instance) else { return };
         for k in 0..KEYS {
-            let need = p.machine.need(Key(k), now);
+            let need = process.machine.need(Key(k), now);
             self.reads += 1;
-            self.exact_reads += u64::from(now.present.is_none_or(|p| need < Some(p)) && need != Some(FAR));
-            let told = self.told.get(&Key(k)).copied();
-            assert!(need >= told, "instance {n}, key {k} at {}: {need:?} is less than {told:?}", self.now);
+            self.exact_reads +=
+                u64::from(now.present.is_none_or(|process| need < Some(process)) && need != Some(FAR));
+            let acknowledged = self.acknowledged.get(&Key(k)).copied();
+            assert!(
+                need >= acknowledged,
+                "instance {instance}, key {k} at {}: {need:?} is less than {acknowledged:?}",
+                self.now
+            );
         }
     }
 
-    fn fail_disk(&mut self, n: Instance) {
-        let Some(Some(p)) = self.processes.get_mut(&n) else { return };
+    fn fail_disk(&mut self, instance: Instance) {
+        let Some(Some(process)) = self.processes.get_mut(&instance) else { return };
         if !self.durable {
             return;
         }
-        p.disk_fails = !p.disk_fails;
-        let disk = self.disks.get_mut(&n).unwrap();
-        if p.disk_fails {
+        process.disk_fails = !process.disk_fails;
+        let disk = self.disks.get_mut(&instance).unwrap();
+        if process.disk_fails {
             // The driver deletes the file before it says so.
             *disk = Disk { incarnation: disk.incarnation, ..Disk::default() };
-            p.unsynced.clear();
-            self.feed(n, Event::JournalLost);
+            process.unsynced.clear();
+            self.handle(instance, Event::JournalLost);
         } else {
-            let m = &p.machine;
+            let m = &process.machine;
             let mut entries: Vec<(Key, Time)> = m.kept().iter().collect();
             entries.reverse();
             let (floor, incomplete, seq) = (m.floor(), m.floor_due(), m.seq());
             *disk = Disk { valid: true, incarnation: m.incarnation(), entries, floor, incomplete };
-            self.feed(n, Event::JournalBack(seq));
+            self.handle(instance, Event::JournalBack(seq));
         }
     }
 
     fn step(&mut self) {
         self.now += self.rng.i64(0..10 * MS);
-        self.run();
-        let n = self.rng.u64(1..=self.size);
-        let up = self.awake(n);
+        self.advance();
+        let instance = self.rng.u64(1..=self.size);
+        let up = self.awake(instance);
         match self.rng.u8(0..=255) {
-            0..=89 if up => self.write(n),
-            90..=199 if up => self.read(n),
-            200..=201 => self.kill(n),
-            203..=207 if self.processes[&n].is_none() => self.start(n),
+            0..=89 if up => self.write(instance),
+            90..=199 if up => self.read(instance),
+            200..=201 => self.kill(instance),
+            203..=207 if self.processes[&instance].is_none() => self.start(instance),
             216..=218 if up => {
                 let until = self.now + self.rng.i64(0..900 * MS);
-                self.processes.get_mut(&n).unwrap().as_mut().unwrap().paused_until = until;
+                self.processes.get_mut(&instance).unwrap().as_mut().unwrap().paused_until = until;
             }
             219..=222 => {
-                let other = n % self.size + 1;
-                let cut = self.cut.entry((n.min(other), n.max(other))).or_default();
+                let other = instance % self.size + 1;
+                let cut = self.cut.entry((instance.min(other), instance.max(other))).or_default();
                 *cut = !*cut;
                 if self.rng.bool() {
-                    self.unlink(n, other);
+                    self.unlink(instance, other);
                 }
             }
-            223..=224 if up => self.fail_disk(n),
+            223..=224 if up => self.fail_disk(instance),
             225 => {
-                let other = n % self.size + 1;
-                self.unlink(n, other);
+                let other = instance % self.size + 1;
+                self.unlink(instance, other);
             }
             _ => {}
         }
@@ -407,7 +425,7 @@
 }
 
 #[test]
-fn no_read_misses_what_a_client_was_told() {
+fn no_read_misses_acknowledged_write() {
     let (mut exact, mut reads, mut released) = (0, 0, 0);
     for seed in 0..60 {
         let mut world = World::new(seed, if seed % 4 == 1 { 1 } else { 3 }, seed % 3 != 0);
@@ -417,7 +435,7 @@
         (exact, reads, released) =
             (exact + world.exact_reads, reads + world.reads, released + world.released);
     }
-    // Enough was told, and not by making every read see the present.
-    assert!(released > 20_000, "{released} writes were told");
+    // Enough was acknowledged, and not by making every read see the present.
+    assert!(released > 20_000, "{released} writes were acknowledged");
     assert!(exact * 8 > reads, "{exact} of {reads} reads needed less than the present");
 }
--- a/sessions/tests/stored_forms.rs
+++ b/sessions/tests/stored_forms.rs
@@ -6,7 +6,7 @@
 use sessions::Key;
 use sessions::frames::{self, Frame};
 use sessions::journal::{self, Found, Record, Whole};
-use sessions::machine::{Push, Standing, Why};
+use sessions::machine::{PeerStatus, Push, Why};
 use std::fmt::Write as _;
 
 fn hex(bytes: &[u8]) -> String {
@@ -135,7 +135,7 @@
 
 #[test]
 fn peer_status_keeps_its_words() {
-    let standing = Standing {
+    let status = PeerStatus {
         instance: 2,
         incarnation: 1 << 50,
         heard: 12,
@@ -144,6 +144,6 @@
         relied_on: false,
         down: true,
     };
-    let words = serde_json::to_string_pretty(&standing).expect("JSON");
+    let words = serde_json::to_string_pretty(&status).expect("JSON");
     assert_fixture("peer-status.json", &format!("{words}\n"));
 }
