--- a/fleet/src/client/exchange.rs
+++ b/fleet/src/client/exchange.rs
@@ -197,14 +197,14 @@
         self.connection.open()?;
         let (reported_at, quota_report) =
             self.shared.with_quota_client(|quotas, now| (now, quotas.report(now)));
-        let (seq, start, reported) = (quota_report.seq, quota_report.incarnation, quota_report.version);
+        let (seq, incarnation, reported) = (quota_report.seq, quota_report.incarnation, quota_report.version);
         let members = &self.member_list_version;
         let version_report =
             self.shared.with_fence(|fence, _| fence.report(reported_at, members())).unwrap_or_default();
         let request = Request::Report { quota_report, version_report };
         let (response, directive) = match self.connection.request(&request)? {
             Response::Report { quota_response: response, audit_directive: directive }
-                if response.seq == seq && response.incarnation == start =>
+                if response.seq == seq && response.incarnation == incarnation =>
             {
                 (response, directive)
             }
--- a/fleet/src/client/mod.rs
+++ b/fleet/src/client/mod.rs
@@ -158,10 +158,10 @@
     pub fn admit(&self, user: &str, named: Option<&str>) -> Result<Option<Arc<str>>, AdmissionError> {
         let resolved = self.resolve(user, named)?;
         let Some(tenant) = resolved.tenant else { return Ok(None) };
-        let (admission, urgent) = self
+        let (admission, report_early) = self
             .shared
             .with_quota_client(|quotas, now| (quotas.admit(now, &tenant), quotas.wants_early_report()));
-        if urgent {
+        if report_early {
             self.shared.wake_exchange();
         }
         match admission {
@@ -169,8 +169,8 @@
                 tracing::trace!(version = resolved.version_in_force, %tenant, "request admitted");
                 Ok(Some(tenant))
             }
-            Admission::Shed { retry_after: come_back } => {
-                let retry_after = Duration::from_micros(come_back.max(0) as u64);
+            Admission::Shed { retry_after } => {
+                let retry_after = Duration::from_micros(retry_after.max(0) as u64);
                 Err(AdmissionError::QuotaExceeded { tenant, retry_after })
             }
         }
--- a/fleet/src/service/leader.rs
+++ b/fleet/src/service/leader.rs
@@ -6,7 +6,7 @@
 use crate::wire::{Response, UNKNOWN_LEADER};
 use crate::{audit_record, document};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
-use quotas::{Action, Allocator, Event, ResponseBody};
+use quotas::{Action, Allocator, Event, GrantResponse, ResponseBody};
 use routing::{Clock, Time};
 use settings::fleet::Version;
 use std::collections::HashMap;
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use store::node::ConfirmedRead;
-use store::{Rejection, State, Store};
+use store::{State, Store};
 
 /// Reports that one confirmation of the leadership serves.
 pub(super) const MAX_REPORTS_PER_ROUND: usize = 256;
@@ -47,12 +47,6 @@
     audit_directive: audit::Directive,
 }
 
-/// A confirmed leadership: the store's state, and the term.
-struct Leadership {
-    state: State,
-    term: u64,
-}
-
 pub(super) struct LeaderActor {
     store: Store,
     clock: Clock,
@@ -85,18 +79,19 @@
         while let Some(pending) = next_reports(reports) {
             // Read before the confirmation; all decisions of this round are as of this time.
             let mut now = self.clock.now();
-            let mut confirmed = self.confirm_leadership();
+            let mut confirmed = self.store.read_as_leader();
             if let Ok(Some(leadership)) = &confirmed
                 && leadership.term != self.term
             {
                 self.begin_term(leadership, &mut actions);
                 now = self.clock.now();
-                confirmed = self.confirm_leadership();
+                confirmed = self.store.read_as_leader();
             }
             match confirmed {
                 Ok(Some(leadership)) => self.decide(now, &leadership, pending, &mut actions),
                 Ok(None) => {
-                    respond_not_leader(&pending, self.store.known_leader().leader.unwrap_or(UNKNOWN_LEADER));
+                    let leader = self.store.known_leader().leader.unwrap_or(UNKNOWN_LEADER);
+                    respond_not_leader(&pending, leader);
                 }
                 // This node may be cut off from the present leader and not know it.
                 Err(_) => respond_not_leader(&pending, UNKNOWN_LEADER),
@@ -104,15 +99,10 @@
         }
     }
 
-    fn confirm_leadership(&self) -> Result<Option<Leadership>, Rejection> {
-        let led = self.store.read_as_leader()?;
-        Ok(led.map(|ConfirmedRead { state, term }| Leadership { state, term }))
-    }
-
     /// Starts a term of this node. The time that was read before its confirmation may be from before the election, and
     /// the earlier leader may have granted quotas between the two: the term, and the time in which it grants nothing
     /// new, start after both.
-    fn begin_term(&mut self, leadership: &Leadership, actions: &mut Vec<Action>) {
+    fn begin_term(&mut self, leadership: &ConfirmedRead, actions: &mut Vec<Action>) {
         let term = leadership.term;
         self.term = term;
         self.version = 0;
@@ -120,15 +110,15 @@
         let now = self.clock.now();
         self.allocator.handle(now, Event::BecameLeader { term }, actions);
         if let Some(auditor) = &mut self.auditor {
-            let kept = audit_record::stored_batches(&leadership.state);
-            auditor.handle(now, audit::Event::LeadershipGained { term, batches: kept });
+            let batches = audit_record::stored_batches(&leadership.state);
+            auditor.handle(now, audit::Event::LeadershipGained { term, batches });
         }
     }
 
     fn decide(
         &mut self,
         now: Time,
-        leadership: &Leadership,
+        leadership: &ConfirmedRead,
         reports: Vec<PendingReport>,
         actions: &mut Vec<Action>,
     ) {
@@ -142,9 +132,9 @@
             auditor.handle(now, audit::Event::CurrentVersion { version: self.version });
         }
         let mut awaited = HashMap::new();
-        for (from, pending) in (0..).zip(reports) {
-            if let Some(response) = self.apply_report(now, from, pending, actions) {
-                awaited.insert(from, response);
+        for (connection, pending) in (0..).zip(reports) {
+            if let Some(response) = self.apply_report(now, connection, pending, actions) {
+                awaited.insert(connection, response);
             }
         }
         self.allocator.handle(now, Event::Tick, actions);
@@ -180,7 +170,7 @@
     fn apply_report(
         &mut self,
         now: Time,
-        from: u64,
+        connection: u64,
         pending: PendingReport,
         actions: &mut Vec<Action>,
     ) -> Option<AwaitedResponse> {
@@ -191,18 +181,17 @@
         let audit_directive = self.audit_report(now, &pending);
         if matches!(audit_directive, audit::Directive::FenceOut { .. }) {
             // Nothing is renewed: the router's grants expire, and nobody else has them before.
-            let (start, seq) = (pending.quota_report.incarnation, pending.quota_report.seq);
-            let quota_response = quotas::GrantResponse {
+            let quota_response = GrantResponse {
                 term: self.term,
-                incarnation: start,
-                seq,
+                incarnation: pending.quota_report.incarnation,
+                seq: pending.quota_report.seq,
                 version: self.version,
                 body: ResponseBody::NotRenewed,
             };
             pending.respond(Response::Report { quota_response, audit_directive });
             return None;
         }
-        self.allocator.handle(now, Event::Report { connection: from, report: pending.quota_report }, actions);
+        self.allocator.handle(now, Event::Report { connection, report: pending.quota_report }, actions);
         Some(AwaitedResponse { reply: pending.reply, audit_directive })
     }
 
--- a/fleet/tests/client.rs
+++ b/fleet/tests/client.rs
@@ -1,5 +1,5 @@
 //! A router's side of the exchange against scripted nodes of the store.
-use audit::Directive as AuditNews;
+use audit::Directive;
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use fleet::client::Settings;
 use fleet::wire::{self, Request, Response};
@@ -25,12 +25,11 @@
 /// What a scripted node says to a report.
 type Script = Box<dyn FnMut(&Report) -> Response + Send>;
 
-fn answered(report: &Report, audit_directive: AuditNews) -> Response {
-    let (start, seq) = (report.incarnation, report.seq);
+fn answered(report: &Report, audit_directive: Directive) -> Response {
     let quota_response = quotas::GrantResponse {
         term: 1,
-        incarnation: start,
-        seq,
+        incarnation: report.incarnation,
+        seq: report.seq,
         version: VERSION,
         body: ResponseBody::NotRenewed,
     };
@@ -38,28 +37,28 @@
 }
 
 /// A node that serves one connection after another and hands on each request that it gets.
-struct Node {
+struct ScriptedNode {
     addr: SocketAddr,
     requests: Receiver<Request>,
     /// The node accepts connections once something comes here.
     accept: Sender<()>,
 }
 
-impl Node {
-    fn start(number: u64, document: &'static str, mut script: Script) -> Node {
+impl ScriptedNode {
+    fn start(number: u64, document: &'static str, mut script: Script) -> ScriptedNode {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let (requests_to, requests) = unbounded();
+        let (request_sender, requests) = unbounded();
         let (accept, accepting) = unbounded();
         std::thread::spawn(move || {
             if accepting.recv().is_err() {
                 return;
             }
             for socket in listener.incoming().map_while(Result::ok) {
-                serve(&socket, number, document, &mut script, &requests_to);
+                serve(&socket, number, document, &mut script, &request_sender);
             }
         });
-        Node { addr, requests, accept }
+        ScriptedNode { addr, requests, accept }
     }
 
     fn next(&self) -> Request {
@@ -101,7 +100,7 @@
     }
 }
 
-fn start_client(nodes: &[&Node], audit: Option<Audit>) -> (FleetClient, Receiver<News>) {
+fn start_client(nodes: &[&ScriptedNode], audit: Option<Audit>) -> (FleetClient, Receiver<News>) {
     let member = Member {
         name: "router-1".into(),
         slot: None,
@@ -133,7 +132,8 @@
 
 #[test]
 fn client_follows_reported_version_admits_and_leaves() {
-    let node = Node::start(1, DOCUMENT, Box::new(|report| answered(report, AuditNews::AuditDisabled)));
+    let node =
+        ScriptedNode::start(1, DOCUMENT, Box::new(|report| answered(report, Directive::AuditDisabled)));
     let (client, news) = start_client(&[&node], None);
     let unknown = client.admit("till", None).unwrap_err();
     assert!(matches!(unknown, AdmissionError::NotConfigured { .. }), "{unknown}");
@@ -170,12 +170,12 @@
     let switch = shut_out.clone();
     let script = move |report: &Report| {
         let news = match switch.load(Ordering::Relaxed) {
-            false => AuditNews::Continue { epoch: 0 },
-            true => AuditNews::FenceOut { epoch: 3 },
+            false => Directive::Continue { epoch: 0 },
+            true => Directive::FenceOut { epoch: 3 },
         };
         answered(report, news)
     };
-    let node = Node::start(1, DOCUMENT, Box::new(script));
+    let node = ScriptedNode::start(1, DOCUMENT, Box::new(script));
     node.accept.send(()).unwrap();
     let (client, news) = start_client(&[&node], Some(Audit::default()));
     while !matches!(next_news(&news), News::Confirmed { .. }) {}
@@ -193,17 +193,18 @@
         }
     };
     assert!(fenced.to_string().contains("it is shut out under epoch 3 with version 5"), "{fenced}");
-    let stamps = node.requests.try_iter().filter_map(|r| match r {
+    let version_reports = node.requests.try_iter().filter_map(|r| match r {
         Request::Report { version_report, .. } => Some(version_report),
         Request::Document => None,
     });
-    assert!(stamps.map(|s| s.members_version).all(|members| members == 9));
+    assert!(version_reports.map(|report| report.members_version).all(|version| version == 9));
 }
 
 #[test]
 fn client_fails_over_to_leader() {
-    let follower = Node::start(1, DOCUMENT, Box::new(|_| Response::NotLeader { leader: 2 }));
-    let leader = Node::start(2, DOCUMENT, Box::new(|report| answered(report, AuditNews::AuditDisabled)));
+    let follower = ScriptedNode::start(1, DOCUMENT, Box::new(|_| Response::NotLeader { leader: 2 }));
+    let leader =
+        ScriptedNode::start(2, DOCUMENT, Box::new(|report| answered(report, Directive::AuditDisabled)));
     follower.accept.send(()).unwrap();
     leader.accept.send(()).unwrap();
     let (_client, news) = start_client(&[&follower, &leader], None);
@@ -214,8 +215,11 @@
 
 #[test]
 fn unreadable_document_is_fetched_once() {
-    let node =
-        Node::start(1, "routers = 'many'\n", Box::new(|report| answered(report, AuditNews::AuditDisabled)));
+    let node = ScriptedNode::start(
+        1,
+        "routers = 'many'\n",
+        Box::new(|report| answered(report, Directive::AuditDisabled)),
+    );
     node.accept.send(()).unwrap();
     let (client, news) = start_client(&[&node], None);
     assert_eq!(node.next_report().version, 0);
--- a/fleet/tests/service.rs
+++ b/fleet/tests/service.rs
@@ -94,7 +94,7 @@
     }
 }
 
-fn pocket(n: usize) -> QuotaClient {
+fn quota_client(n: usize) -> QuotaClient {
     let (name, settings) = (format!("router-{n}"), quotas::Settings::default());
     QuotaClient::new(QuotaClientSettings {
         router: name,
@@ -128,23 +128,23 @@
     let cluster = Cluster::start(3, Limits::default());
     let leader = cluster.wait_for_leader(None);
     let version = cluster.write_document();
-    let (clock, mut pocket) = (Clock::new(), pocket(0));
+    let (clock, mut quota_client) = (Clock::new(), quota_client(0));
     for node in (0..3).filter(|n| *n != leader) {
-        let response = send_report(&cluster.connect(node), pocket.report(clock.now()));
+        let response = send_report(&cluster.connect(node), quota_client.report(clock.now()));
         assert_eq!(response, Response::NotLeader { leader: leader as u64 + 1 });
     }
     let socket = cluster.connect(leader);
-    let first = expect_answer(&socket, pocket.report(clock.now()));
+    let first = expect_answer(&socket, quota_client.report(clock.now()));
     assert_eq!(first.version, version);
     wire::send(&socket, &Request::Document).unwrap();
     let bytes = DOCUMENT.as_bytes().to_vec();
     assert_eq!(receive(&socket), Response::DocumentPart { version, bytes, is_last: true });
     // Isolated, it takes itself for the leader for a while, and must not grant anything.
     cluster.isolate(leader);
-    let response = send_report(&socket, pocket.report(clock.now()));
+    let response = send_report(&socket, quota_client.report(clock.now()));
     assert!(matches!(response, Response::NotLeader { .. }), "{response:?}");
     let next = cluster.wait_for_leader(Some(leader));
-    let second = expect_answer(&cluster.connect(next), pocket.report(clock.now()));
+    let second = expect_answer(&cluster.connect(next), quota_client.report(clock.now()));
     assert!(second.term > first.term && second.version == version);
 }
 
@@ -159,9 +159,10 @@
         let router = |n| {
             let cluster = &cluster;
             let run = move || {
-                let (socket, clock, mut pocket) = (cluster.connect(leader), Clock::new(), pocket(n));
+                let (socket, clock, mut quota_client) =
+                    (cluster.connect(leader), Clock::new(), quota_client(n));
                 let mut is_answered = || {
-                    let response = send_report(&socket, pocket.report(clock.now()));
+                    let response = send_report(&socket, quota_client.report(clock.now()));
                     matches!(response, Response::Report { .. })
                 };
                 // On a busy host the answer to a report may come too late.
@@ -210,7 +211,7 @@
     wire::receive_hello(&third, LONG).unwrap();
     assert_eq!(receive(&third), Response::Busy { max_connections: 2 });
     // The connections before are served all the same.
-    expect_answer(&held, pocket(1).report(Clock::new().now()));
+    expect_answer(&held, quota_client(1).report(Clock::new().now()));
     drop(second);
 }
 
@@ -220,13 +221,13 @@
     _ = cluster.wait_for_leader(None);
     let client = cluster.client();
     client.put(document::CURRENT_KEY, "not a pointer", Default::default()).unwrap();
-    let (socket, mut pocket, clock) = (cluster.connect(0), pocket(0), Clock::new());
-    let response = send_report(&socket, pocket.report(clock.now()));
+    let (socket, mut quota_client, clock) = (cluster.connect(0), quota_client(0), Clock::new());
+    let response = send_report(&socket, quota_client.report(clock.now()));
     assert_eq!(response, Response::NotLeader { leader: UNKNOWN_LEADER });
     wire::send(&socket, &Request::Document).unwrap();
     assert!(wire::receive::<Response>(&socket, LONG, LONG).is_err());
     // Written again, it is in use.
     let version = document::write(&client, DOCUMENT, None, "").unwrap();
-    let answer = expect_answer(&cluster.connect(0), pocket.report(clock.now()));
+    let answer = expect_answer(&cluster.connect(0), quota_client.report(clock.now()));
     assert_eq!(answer.version, version);
 }
--- a/fleet/tests/stored_forms.rs
+++ b/fleet/tests/stored_forms.rs
@@ -111,17 +111,14 @@
 
 #[test]
 fn request_frames_match_fixtures() {
-    let stamp = VersionReport {
+    let version_report = VersionReport {
         version_age: 1_500_000,
         last_fence_duration: 250_000,
         routing: true,
         members_version: 99,
         epoch: (7 << 32) + 3,
     };
-    assert_frame(
-        "request_report_full.bin",
-        &Request::Report { quota_report: full_report(), version_report: stamp },
-    );
+    assert_frame("request_report_full.bin", &Request::Report { quota_report: full_report(), version_report });
     assert_frame(
         "request_report_leaving.bin",
         &Request::Report { quota_report: leaving_report(), version_report: VersionReport::default() },
