--- a/fleet/src/client/connection.rs
+++ b/fleet/src/client/connection.rs
@@ -20,7 +20,7 @@
     Wire(#[from] WireError),
     #[error("this node is not the leader")]
     NotLeader {
-        /// The node that it takes for the leader.
+        /// The node that it believes to be the leader.
         leader: u64,
     },
     #[error("this node has its {max_connections} connections in use")]
--- a/fleet/src/client/exchange.rs
+++ b/fleet/src/client/exchange.rs
@@ -17,7 +17,7 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// The shortest time between two reports.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest pause after all nodes have failed; each is drawn from its half to its whole.
+/// The longest pause after all nodes have failed; each pause is drawn between half of it and all of it.
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
 /// Reports of one round: the second one follows the version that the answer to the first has named.
 const REPORTS_PER_ROUND: usize = 2;
@@ -124,7 +124,7 @@
     fn round(&mut self) -> bool {
         let mut last_failure = String::new();
         let mut silent = BTreeSet::new();
-        // One more than there are nodes: the first one may name one that was tried before it.
+        // One more than there are nodes: a node may name as the leader one that was tried before it.
         for _ in 0..=self.connection.node_count() {
             let node = self.connection.addr();
             let error = match self.report_and_follow() {
--- a/fleet/src/client/mod.rs
+++ b/fleet/src/client/mod.rs
@@ -22,7 +22,7 @@
 use thiserror::Error;
 
 const STACK_BYTES: usize = 1 << 20;
-/// Until the router knows the fleet document, clients are told to retry after this.
+/// What clients get as the time to retry after until the router knows the fleet document.
 const RETRY_AFTER_START: Duration = Duration::from_millis(400);
 /// How long a request that was admitted under the audit's lease may still be sent after the lease's end, in
 /// microseconds.
--- a/fleet/src/client/shared.rs
+++ b/fleet/src/client/shared.rs
@@ -1,6 +1,6 @@
 //! State that requests and the exchange share. No lock is held across I/O.
 //!
-//! Time is read under the lock that it is used with: a thread that stood still while it waited for the lock must not
+//! Time is read under the lock that it is used with: a thread that was paused while it waited for the lock must not
 //! act on the time from before.
 use super::tenants::TenantDirectory;
 use audit::{Fenced, VersionFence};
--- a/fleet/src/service/audit_recorder.rs
+++ b/fleet/src/service/audit_recorder.rs
@@ -7,7 +7,7 @@
 use store::{Rejection, Store, Value};
 
 const STACK_BYTES: usize = 512 << 10;
-/// Results that wait to be taken. One batch is written at a time, so this is more than there are.
+/// Results that wait to be read. One batch is written at a time, so there are never as many.
 const MAX_PENDING_RESULTS: usize = 4;
 
 /// How the write of a batch ended.
--- a/fleet/src/service/leader.rs
+++ b/fleet/src/service/leader.rs
@@ -1,7 +1,7 @@
 //! The actor that owns the quota allocator and the audit.
 //!
 //! In each round it reads its clock first, then has its leadership confirmed by a majority, and decides as of that
-//! time. So a node that stood still, or that another one has replaced meanwhile, decides nothing from what expired since.
+//! time. So a node that was paused, or that another one has replaced meanwhile, decides nothing from what expired since.
 use super::auditor::Auditor;
 use crate::wire::{Response, UNKNOWN_LEADER};
 use crate::{audit_record, document};
--- a/fleet/src/service/mod.rs
+++ b/fleet/src/service/mod.rs
@@ -31,7 +31,7 @@
     pub max_connections: u64,
     /// A connection without a request for this long is closed; the router connects again.
     pub idle_timeout: Duration,
-    /// A message must have been received, or a response taken, within this time of its first byte.
+    /// A message must have been received, and a response accepted by the router, within this time of its first byte.
     pub message_timeout: Duration,
 }
 
--- a/fleet/src/wire.rs
+++ b/fleet/src/wire.rs
@@ -46,7 +46,7 @@
     },
     /// To a report: this node is not the leader, or could not confirm that it is.
     NotLeader {
-        /// The node that it takes for the leader, or [`UNKNOWN_LEADER`].
+        /// The node that it believes to be the leader, or [`UNKNOWN_LEADER`].
         leader: u64,
     },
     /// To a report: what the leader decided.
--- a/fleet/tests/service.rs
+++ b/fleet/tests/service.rs
@@ -139,7 +139,7 @@
     wire::send(&socket, &Request::Document).unwrap();
     let bytes = DOCUMENT.as_bytes().to_vec();
     assert_eq!(receive(&socket), Response::DocumentPart { version, bytes, is_last: true });
-    // Isolated, it takes itself for the leader for a while, and must not grant anything.
+    // Isolated, it believes for a while that it leads, and must not grant anything.
     cluster.isolate(leader);
     let response = send_report(&socket, quota_client.report(clock.now()));
     assert!(matches!(response, Response::NotLeader { .. }), "{response:?}");
--- a/fleet/tests/stored_forms.rs
+++ b/fleet/tests/stored_forms.rs
@@ -128,7 +128,7 @@
 
 #[test]
 fn response_frames_match_fixtures() {
-    let lent = ResponseBody::Renewed {
+    let renewed = ResponseBody::Renewed {
         reset: true,
         reserved_share: Some(ReservedShare { index: 16, full: false }),
         changes: vec![
@@ -141,7 +141,7 @@
         ("answer_welcome.bin", Response::Welcome { node: 3 }),
         ("answer_busy.bin", Response::Busy { max_connections: 2048 }),
         ("answer_not_leader.bin", Response::NotLeader { leader: 2 }),
-        ("answer_lent.bin", reported(lent, Directive::Continue { epoch: 0 })),
+        ("answer_lent.bin", reported(renewed, Directive::Continue { epoch: 0 })),
         ("answer_whole.bin", reported(ResponseBody::FullReportRequired, Directive::AuditDisabled)),
         ("answer_wait.bin", reported(ResponseBody::NotRenewed, Directive::FenceOut { epoch: (7 << 32) + 4 })),
         ("answer_refetch.bin", reported(ResponseBody::NotRenewed, Directive::Refetch { epoch: 5 })),
@@ -331,7 +331,7 @@
     assert_eq!((found.version, found.text.as_str()), (second, text.as_str()));
     assert_eq!(found.metadata, long_metadata());
     assert_eq!(found.previous, [PreviousDocument { version: first, metadata: short_metadata() }]);
-    // The one before is still whole: an undo goes back to it.
+    // The previous document is still stored: an undo makes it current again.
     document::undo(&client, "back").unwrap();
     assert_eq!(document::read(&client).unwrap().unwrap().text, SHORT_DOCUMENT);
 }
