--- a/admin/tests/common/router.rs
+++ b/admin/tests/common/router.rs
@@ -1,9 +1,9 @@
 //! A router without instances around the real service: its endpoint list's actor runs, and what the service makes the
 //! other parts do is recorded.
 use super::{LONG, serve_handler};
+use admin::{AdminService, ServiceDependencies};
 use clients::Order;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
-use admin::{AdminService, ServiceDependencies};
 use routing::{
     AttemptGuard, BackendProtocol, Clock, Connection, EndpointEntry, EndpointUpdate, EndpointsHandle,
     Exchange, ExchangeResult, GroupId, MemberState, Metrics, NotSent, Outcome, RouterMessage,
--- a/admin/tests/server.rs
+++ b/admin/tests/server.rs
@@ -1,10 +1,10 @@
 //! The server with real clients: complete, malformed and partial lines, many connections, slow and vanished clients.
 mod common;
 
+use admin::{AdminLimits, AdminServer};
 use common::{
     HOLD, LONG, METRIC_LINE, RESPONSE_DUE, ask, ask_with_half_close, connect, read_to_close, serve,
 };
-use admin::{AdminLimits, AdminServer};
 use std::io::Write;
 use std::time::{Duration, Instant};
 
--- a/admin/tests/service.rs
+++ b/admin/tests/service.rs
@@ -1,8 +1,8 @@
 //! The router's service: what it reports to the other parts of the process, and how processes see each other.
 mod common;
 
-use common::router::{Effect, TestRouter};
 use admin::{AdminHandler, Command, Response};
+use common::router::{Effect, TestRouter};
 use maintenance::ProcessPresence;
 use std::time::Instant;
 
--- a/src/commands/platform.rs
+++ b/src/commands/platform.rs
@@ -1,9 +1,9 @@
 //! One of the platform's routers, told by the environment.
 use super::Error;
 use crate::signals;
+use admin::{AdminLimits, AdminServer, AdminService, ServiceDependencies};
 use clients::{Clients, Listening, Order};
 use crossbeam_channel::{Sender, bounded};
-use admin::{AdminLimits, AdminServer, AdminService, ServiceDependencies};
 use routing::{Clock, EndpointsHandle, Metrics, RouterHandle};
 use settings::operator::Log;
 use settings::start::Start;
