--- a/routing/src/endpoints/actor.rs
+++ b/routing/src/endpoints/actor.rs
@@ -72,7 +72,7 @@
         let old = std::mem::replace(&mut self.mask, mask);
         let changed = self.listed.values().filter(|e| old.apply(e) != self.mask.apply(e));
         let endpoints: Vec<EndpointEntry> = changed.map(|e| self.mask.apply(e)).collect();
-        tracing::info!("list: {} instances are held by hand", self.mask.in_maintenance.len());
+        tracing::info!("list: {} instances are in maintenance", self.mask.in_maintenance.len());
         let version = self.published.version();
         self.pass_on(EndpointUpdate { version, complete: false, endpoints })
     }
