--- /dev/null
+++ b/clients/src/connection.rs
@@ -0,0 +1,141 @@
+//! One client's connection: the commands in flight on it, and what its handler reports.
+mod closing;
+mod idle;
+mod reader;
+
+pub use reader::{CommandReader, SocketState, is_timeout};
+
+use crate::in_flight_commands::InFlightCommands;
+use crate::in_flight_requests::InFlightRequests;
+use crate::shared_state::SharedState;
+use settings::Limits;
+use socket2::SockRef;
+use std::net::TcpStream;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::time::Instant;
+
+/// Shortest time that a read waits for a client. Even after its deadline a whole command may already lie in the
+/// socket, and is then read.
+const MIN_READ_WAIT: std::time::Duration = std::time::Duration::from_millis(1);
+
+/// Value of `Connection::write_shutdown_ms` while the sending side is open.
+const WRITE_OPEN: u64 = u64::MAX;
+
+/// A client's connection.
+///
+/// Its handler calls [`Connection::begin_command`] for each command it has read, [`Connection::prepare_response`]
+/// before it writes a response, and [`Connection::finish_command`] after it.
+pub struct Connection {
+    /// The client's socket.
+    pub socket: TcpStream,
+    /// Identifies the connection; never reused within a server.
+    pub id: u64,
+    /// Requests without a response, and whether the client has disconnected.
+    pub in_flight_requests: InFlightRequests,
+    opened_at: Instant,
+    limits: Arc<Limits>,
+    /// Commands that were read and have no response yet, and whether more are accepted.
+    in_flight_commands: InFlightCommands,
+    /// A command has been read.
+    has_read_command: AtomicBool,
+    /// A request has been made, not only commands that are answered without one.
+    has_made_request: AtomicBool,
+    /// The last command could not be parsed.
+    last_command_malformed: AtomicBool,
+    /// When the last command in flight finished, in milliseconds since the connection was opened.
+    idle_since_ms: AtomicU64,
+    /// Part of a command has been read.
+    command_started: AtomicBool,
+    /// The reader waits for the socket, so it holds less than a whole command.
+    reader_waiting: AtomicBool,
+    /// When the sending side was shut down, in milliseconds since the connection was opened.
+    write_shutdown_ms: AtomicU64,
+    /// Both sides have been shut down.
+    closed: AtomicBool,
+    shared: Arc<SharedState>,
+}
+
+impl Connection {
+    /// A connection that was opened now.
+    pub(crate) fn new(
+        socket: TcpStream,
+        id: u64,
+        limits: Arc<Limits>,
+        shared: Arc<SharedState>,
+    ) -> Connection {
+        Connection {
+            socket,
+            id,
+            in_flight_requests: InFlightRequests::default(),
+            opened_at: Instant::now(),
+            limits,
+            in_flight_commands: InFlightCommands::default(),
+            has_read_command: AtomicBool::new(false),
+            has_made_request: AtomicBool::new(false),
+            last_command_malformed: AtomicBool::new(false),
+            idle_since_ms: AtomicU64::new(0),
+            command_started: AtomicBool::new(false),
+            reader_waiting: AtomicBool::new(false),
+            write_shutdown_ms: AtomicU64::new(WRITE_OPEN),
+            closed: AtomicBool::new(false),
+            shared,
+        }
+    }
+
+    /// Counts a command that has been read as in flight; the connection stays open until
+    /// [`Connection::finish_command`]. `next_started` says whether part of the next command was read with it.
+    ///
+    /// Returns `false` if the connection is closed to commands. The command must not be carried out then: its client
+    /// sends it elsewhere.
+    #[must_use]
+    pub fn begin_command(&self, next_started: bool) -> bool {
+        self.has_read_command.store(true, Ordering::SeqCst);
+        self.command_started.store(next_started, Ordering::SeqCst);
+        self.in_flight_commands.try_begin()
+    }
+
+    /// Has to be called right before a response is written. While connections close, the response that leaves nothing
+    /// in flight is the connection's last. Its last bytes are held back until [`Connection::finish_command`] shuts the
+    /// sending side down and leave together with that end of stream, so that no client that has the whole response
+    /// takes the connection for a usable one.
+    pub fn prepare_response(&self) {
+        if self.may_close_when_idle() && self.in_flight_commands.close_if_last() {
+            // Without the option, the end of stream follows right behind the response.
+            _ = SockRef::from(&self.socket).set_tcp_cork(true);
+        }
+    }
+
+    /// A command has its response, or needs none. Closes the connection if that is due.
+    pub fn finish_command(&self) {
+        self.idle_since_ms.store(self.opened_at.elapsed().as_millis() as u64, Ordering::Relaxed);
+        if self.in_flight_commands.finish() {
+            return self.shut_down_write();
+        }
+        if self.may_close_when_idle() {
+            self.shut_down_write_if_idle();
+        }
+    }
+
+    /// Whether operators drain the router: health checks of clients fail then.
+    pub fn is_draining(&self) -> bool {
+        self.shared.is_draining()
+    }
+
+    /// A request has been made: this client is expected to make more.
+    pub fn record_request(&self) {
+        if !self.has_made_request.swap(true, Ordering::Relaxed) {
+            self.shared.add_connection_with_requests();
+        }
+    }
+
+    /// Whether [`Connection::record_request`] was called.
+    pub(crate) fn has_made_request(&self) -> bool {
+        self.has_made_request.load(Ordering::Relaxed)
+    }
+
+    /// Sets whether the last command could not be parsed; such a connection may be evicted at once when idle.
+    pub fn set_last_command_malformed(&self, malformed: bool) {
+        self.last_command_malformed.store(malformed, Ordering::Relaxed);
+    }
+}
--- /dev/null
+++ b/clients/src/connection/idle.rs
@@ -0,0 +1,81 @@
+//! How long a connection may be idle, and which idle connections are evicted first.
+use super::Connection;
+use std::sync::atomic::Ordering;
+use std::time::{Duration, Instant};
+
+/// How readily a connection is evicted: the lowest comes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct EvictionRank {
+    /// How long it has to be idle before it may be evicted.
+    min_idle: Duration,
+    idle_since: Instant,
+}
+
+impl EvictionRank {
+    /// Whether the connection has been idle for long enough.
+    pub(crate) fn is_due(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.idle_since) >= self.min_idle
+    }
+}
+
+impl Connection {
+    /// Closes the connection and returns `true` if it has been idle for as long as it may. A command that has arrived
+    /// by now, after the reader's deadline, is still read.
+    pub fn close_if_idle_timed_out(&self) -> bool {
+        let timeout = if self.has_read_command.load(Ordering::Relaxed) {
+            self.idle_timeout()
+        } else {
+            self.limits.client_first.saturating_sub(self.idle_since() - self.opened_at)
+        };
+        self.idle_since().elapsed() >= timeout && self.close_if_silent()
+    }
+
+    /// How long the connection may be idle between commands. The platform assigns each router a share of the
+    /// descriptors: where clients that made one request and keep their connection hold most of that share, others are
+    /// refused by the platform and never get here.
+    pub(super) fn idle_timeout(&self) -> Duration {
+        let crowded = 4 * self.shared.connections_with_requests() > 3 * self.limits.client_share;
+        if crowded { self.limits.client_idle_crowded } else { self.limits.client_idle }
+    }
+
+    /// When the last command in flight finished; when the connection was opened if there was none.
+    pub(super) fn idle_since(&self) -> Instant {
+        self.opened_at + Duration::from_millis(self.idle_since_ms.load(Ordering::Relaxed))
+    }
+
+    /// Its place among those that may be evicted; `None` while commands are in flight or once it is closed.
+    pub(crate) fn eviction_rank(&self) -> Option<EvictionRank> {
+        let evictable = self.in_flight_commands.count() == 0 && !self.closed.load(Ordering::SeqCst);
+        evictable.then(|| EvictionRank { min_idle: self.min_idle(), idle_since: self.idle_since() })
+    }
+
+    /// Closes the connection to make room; `false` if a command has arrived on it.
+    pub(crate) fn evict(&self) -> bool {
+        if self.in_flight_commands.is_closed() {
+            self.shut_down_both();
+            return true;
+        }
+        self.close_if_silent()
+    }
+
+    /// How long the connection has to be idle before it may be evicted.
+    fn min_idle(&self) -> Duration {
+        let malformed = self.last_command_malformed.load(Ordering::Relaxed);
+        if self.in_flight_commands.is_closed() || malformed {
+            return Duration::ZERO;
+        }
+        // One that has made no request, an empty query at most, is not kept like one that will make more: a few
+        // hundred of these a second would keep everybody else out.
+        if self.has_made_request() { self.limits.client_idle_least } else { self.limits.client_start_least }
+    }
+
+    /// Closes the connection at once if nothing is in flight and nothing has arrived: its last response was received
+    /// long ago.
+    fn close_if_silent(&self) -> bool {
+        let closed = self.is_silent() && self.in_flight_commands.close_if_idle();
+        if closed {
+            self.shut_down_both();
+        }
+        closed
+    }
+}
--- /dev/null
+++ b/clients/src/listener.rs
@@ -0,0 +1,154 @@
+//! The listening socket for clients: one of this process's own, or one that the platform holds and every process of
+//! the router inherits, so that two may serve side by side.
+use socket2::{SockAddr, Socket, Type};
+use std::io;
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::os::fd::{FromRawFd, OwnedFd, RawFd};
+use std::time::Duration;
+
+/// How long an accept on an inherited listener blocks before the caller checks whether it still accepts. Such a
+/// listener must not be woken by a connection to it, which another process might accept.
+const INHERITED_ACCEPT_TIMEOUT: Duration = Duration::from_millis(50);
+
+/// How long the connection that wakes an accept may take.
+const WAKE_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// The highest descriptor that is standard input, output or error.
+const LAST_STANDARD_DESCRIPTOR: RawFd = 2;
+
+/// Why an inherited socket can't be listened on.
+#[derive(Debug, thiserror::Error)]
+pub enum InheritedSocketError {
+    /// The text names no descriptor.
+    #[error(
+        "expected the number of a descriptor above 2, found '{0}': unset the variable to listen on `listen`"
+    )]
+    InvalidDescriptor(String),
+    /// The descriptor is not open, or no TCP listener.
+    #[error("descriptor {0} is no listening TCP socket: let the platform pass it, or unset the variable")]
+    NotListening(RawFd),
+    /// A system call on the descriptor failed.
+    #[error("descriptor {0} can't be used ({1}): start the process again with the socket passed anew")]
+    System(RawFd, io::Error),
+}
+
+/// A listening socket for clients.
+#[derive(Debug)]
+pub enum ClientListener {
+    /// Held by this process alone.
+    Exclusive(TcpListener),
+    /// Shared with other processes of this router.
+    Inherited(TcpListener),
+}
+
+impl ClientListener {
+    /// Takes over the listener at this descriptor; it is closed when this process ends.
+    ///
+    /// # Errors
+    /// If there is no listener. The descriptor is left as it is then.
+    pub fn from_inherited_descriptor(descriptor: &str) -> Result<ClientListener, InheritedSocketError> {
+        let number = descriptor.trim().parse().ok().filter(|n: &RawFd| *n > LAST_STANDARD_DESCRIPTOR);
+        let fd = number.ok_or_else(|| InheritedSocketError::InvalidDescriptor(descriptor.to_string()))?;
+        // SAFETY: F_GETFD accepts any number and changes nothing.
+        if unsafe { libc::fcntl(fd, libc::F_GETFD) } < 0 {
+            return Err(InheritedSocketError::NotListening(fd));
+        }
+        // SAFETY: the descriptor is open, and the platform has passed it to this process for this use alone.
+        let socket = Socket::from(unsafe { OwnedFd::from_raw_fd(fd) });
+        let address = socket.local_addr().ok().and_then(|a| a.as_socket());
+        if !socket.is_listener().unwrap_or(false) || address.is_none() {
+            // It belongs to somebody else, so it stays open.
+            std::mem::forget(socket);
+            return Err(InheritedSocketError::NotListening(fd));
+        }
+        socket
+            .set_read_timeout(Some(INHERITED_ACCEPT_TIMEOUT))
+            .map_err(|e| InheritedSocketError::System(fd, e))?;
+        Ok(ClientListener::Inherited(socket.into()))
+    }
+
+    fn listener(&self) -> &TcpListener {
+        match self {
+            ClientListener::Exclusive(listener) | ClientListener::Inherited(listener) => listener,
+        }
+    }
+
+    /// The address that it listens on.
+    ///
+    /// # Errors
+    /// The system's, if it does not know the socket's address.
+    pub fn local_addr(&self) -> io::Result<SocketAddr> {
+        self.listener().local_addr()
+    }
+
+    /// Another handle of the same listener.
+    ///
+    /// # Errors
+    /// The system's, among others if the process is out of descriptors.
+    pub fn try_clone(&self) -> io::Result<ClientListener> {
+        Ok(match self {
+            ClientListener::Exclusive(listener) => ClientListener::Exclusive(listener.try_clone()?),
+            ClientListener::Inherited(listener) => ClientListener::Inherited(listener.try_clone()?),
+        })
+    }
+
+    /// Waits for the next connection; `None` if the caller should check whether it still accepts.
+    ///
+    /// # Errors
+    /// The system's, among others if the process is out of descriptors or the client has disconnected already.
+    pub fn accept(&self) -> io::Result<Option<(TcpStream, SocketAddr)>> {
+        match (self.listener().accept(), self) {
+            (Ok(accepted), ClientListener::Exclusive(_)) => Ok(Some(accepted)),
+            (Ok((socket, address)), ClientListener::Inherited(_)) => {
+                // The listener's timeout is not the connection's.
+                socket.set_read_timeout(None)?;
+                Ok(Some((socket, address)))
+            }
+            (Err(e), ClientListener::Inherited(_)) if e.kind() == io::ErrorKind::WouldBlock => Ok(None),
+            (Err(e), _) => Err(e),
+        }
+    }
+
+    /// A waker for the thread that blocks in [`ClientListener::accept`].
+    ///
+    /// # Errors
+    /// The system's, among others if the process is out of descriptors.
+    pub fn waker(&self) -> io::Result<AcceptWaker> {
+        let target = match self {
+            ClientListener::Exclusive(listener) => {
+                let address = SockAddr::from(listener.local_addr()?);
+                Some((Socket::new(address.domain(), Type::STREAM, None)?, address))
+            }
+            ClientListener::Inherited(_) => None,
+        };
+        Ok(AcceptWaker { target })
+    }
+
+    /// Connections that the kernel has accepted and this process has not.
+    pub fn into_backlog(self) -> impl Iterator<Item = (TcpStream, SocketAddr)> {
+        let never_blocks = match &self {
+            ClientListener::Exclusive(listener) => listener.set_nonblocking(true).is_ok(),
+            ClientListener::Inherited(_) => true,
+        };
+        std::iter::from_fn(move || if never_blocks { self.accept().ok().flatten() } else { None })
+    }
+}
+
+/// Wakes the thread that waits for connections. It keeps a descriptor ready: when clients hold all others, shutdown
+/// must not wait for a free one.
+#[derive(Debug)]
+pub struct AcceptWaker {
+    /// An unconnected socket and the listener's address; `None` where an accept wakes by itself.
+    target: Option<(Socket, SockAddr)>,
+}
+
+impl AcceptWaker {
+    /// Wakes the thread, once.
+    pub fn wake(&self) {
+        if let Some((socket, address)) = &self.target {
+            // Only a connection wakes an accept. Where this one fails, the queue is full of others that wake it too.
+            _ = socket.connect_timeout(address, WAKE_TIMEOUT);
+            _ = socket.shutdown(Shutdown::Both);
+        }
+    }
+}
--- /dev/null
+++ b/clients/src/server/command_loop.rs
@@ -0,0 +1,186 @@
+//! The loop that takes commands and drives the shutdown state machine.
+use super::{ClientServer, ConnectionHandler, ServerCommand};
+use crate::listener::{AcceptWaker, ClientListener};
+use crate::shutdown::{Action, Event, GracefulShutdown, ShutdownTimes};
+use crossbeam_channel::{Receiver, RecvTimeoutError, bounded};
+use routing::spawn;
+use settings::Limits;
+use std::io;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::{Duration, Instant};
+
+/// Time between two ticks of the state machine during drain and shutdown.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
+
+/// How long to wait for the accept thread to stop.
+const ACCEPT_STOP_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// What is left to do after an action.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Progress {
+    Serving,
+    Complete,
+}
+
+/// The thread that accepts connections, and the listener that it shares.
+struct AcceptThread {
+    listener: ClientListener,
+    /// Disconnected when the thread has stopped.
+    stopped: Receiver<()>,
+}
+
+/// Takes commands and drives the shutdown state machine of a server.
+pub(super) struct CommandLoop<'a, H> {
+    server: &'a Arc<ClientServer<H>>,
+    machine: GracefulShutdown,
+    /// The state machine's times count from here.
+    started_at: Instant,
+    successor: bool,
+    accept_thread: Option<AcceptThread>,
+    /// Created at the start: at shutdown there may be no descriptor left for it.
+    waker: AcceptWaker,
+}
+
+impl<'a, H: ConnectionHandler> CommandLoop<'a, H> {
+    /// Starts the threads that accept connections and watch for disconnects.
+    pub(super) fn start(server: &'a Arc<ClientServer<H>>, listener: ClientListener) -> io::Result<Self> {
+        let accept_listener = listener.try_clone()?;
+        let waker = listener.waker()?;
+        server.accepting.store(true, Ordering::Release);
+        spawn_disconnect_thread(server)?;
+        let stopped = spawn_accept_thread(server, accept_listener)?;
+        Ok(CommandLoop {
+            server,
+            machine: GracefulShutdown::new(shutdown_times(&server.limits)),
+            started_at: Instant::now(),
+            successor: false,
+            accept_thread: Some(AcceptThread { listener, stopped }),
+            waker,
+        })
+    }
+
+    /// Runs until shutdown is complete.
+    pub(super) fn run(mut self, commands: &Receiver<ServerCommand>) {
+        let mut actions = Vec::new();
+        loop {
+            let event = self.next_event(commands);
+            self.machine.handle(self.started_at.elapsed(), event, &mut actions);
+            for action in actions.drain(..) {
+                if self.carry_out(action) == Progress::Complete {
+                    return;
+                }
+            }
+        }
+    }
+
+    /// Waits for the next command, or for the next tick while one is needed. Without either it waits forever.
+    fn next_event(&mut self, commands: &Receiver<ServerCommand>) -> Event {
+        if !self.machine.needs_ticks() {
+            return match commands.recv() {
+                Ok(command) => self.command_event(command),
+                Err(_) => park_forever(),
+            };
+        }
+        match commands.recv_timeout(TICK_INTERVAL) {
+            Ok(command) => self.command_event(command),
+            Err(RecvTimeoutError::Timeout) => {
+                self.server.connections().values().for_each(|connection| connection.apply_close_policy());
+                self.tick()
+            }
+            Err(RecvTimeoutError::Disconnected) => {
+                std::thread::sleep(TICK_INTERVAL);
+                self.tick()
+            }
+        }
+    }
+
+    fn tick(&self) -> Event {
+        Event::Tick { open_connections: self.server.connections().len() }
+    }
+
+    fn command_event(&mut self, command: ServerCommand) -> Event {
+        match command {
+            ServerCommand::Shutdown => {
+                let grace = if self.successor { Duration::ZERO } else { self.server.limits.shutdown_grace };
+                tracing::info!("shutdown: taking requests for {grace:?} more");
+                Event::Shutdown { successor: self.successor }
+            }
+            ServerCommand::SetDraining(draining) => Event::SetDraining(draining),
+            ServerCommand::SetProcessCount { processes, successor } => {
+                self.successor = successor;
+                self.server.set_process_count(processes);
+                Event::SetSuccessor(successor)
+            }
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) -> Progress {
+        match action {
+            Action::ReportDraining(true) => tracing::info!("drain: the router says no"),
+            Action::ReportDraining(false) => tracing::info!("drain: over"),
+            Action::SetClosePolicy(policy) => self.server.shared.set_close_policy(policy),
+            Action::StopAccepting => self.stop_accepting(),
+            Action::Complete => {
+                let open = self.server.connections().len();
+                tracing::info!("shutdown: ended with {open} connections left");
+                return Progress::Complete;
+            }
+        }
+        Progress::Serving
+    }
+
+    fn stop_accepting(&mut self) {
+        let Some(AcceptThread { listener, stopped }) = self.accept_thread.take() else { return };
+        self.server.accepting.store(false, Ordering::Release);
+        self.waker.wake();
+        _ = stopped.recv_timeout(ACCEPT_STOP_TIMEOUT);
+        // What the kernel has accepted is served here, unless another process accepts from the same queue.
+        if !self.successor {
+            for (socket, address) in listener.into_backlog() {
+                self.server.start_connection(socket, address);
+            }
+        }
+    }
+}
+
+fn shutdown_times(limits: &Limits) -> ShutdownTimes {
+    ShutdownTimes {
+        grace: limits.shutdown_grace,
+        stop_reading: limits.shutdown_last,
+        deadline: limits.shutdown_most,
+        drain_close_when_idle: limits.drain_quiet,
+        drain_stop_reading: limits.drain_last,
+    }
+}
+
+fn spawn_disconnect_thread<H: ConnectionHandler>(server: &Arc<ClientServer<H>>) -> io::Result<()> {
+    let server = server.clone();
+    let stack_bytes = server.limits.stack_bytes;
+    spawn("departures", stack_bytes, move || {
+        server.disconnect_watcher.run(|connection_id| server.handle_disconnect(connection_id));
+    })
+}
+
+/// Starts the thread that accepts connections; the receiver is disconnected once it has stopped.
+fn spawn_accept_thread<H: ConnectionHandler>(
+    server: &Arc<ClientServer<H>>,
+    listener: ClientListener,
+) -> io::Result<Receiver<()>> {
+    let server = server.clone();
+    let stack_bytes = server.limits.stack_bytes;
+    let (stopping, stopped) = bounded::<()>(0);
+    spawn("accept", stack_bytes, move || {
+        server.accept_loop(&listener);
+        // The listener is closed before the thread counts as stopped.
+        drop(listener);
+        drop(stopping);
+    })?;
+    Ok(stopped)
+}
+
+fn park_forever() -> ! {
+    loop {
+        std::thread::park();
+    }
+}
--- /dev/null
+++ b/clients/tests/connections/closing.rs
@@ -0,0 +1,135 @@
+//! How a connection closes: no command is accepted after it, no response is lost, and no reset discards one.
+use super::support::{
+    LONG, TestServer, assert_closed_without_reset, test_limits, wait_until, wait_until_dropped,
+    wait_until_readable,
+};
+use clients::Connection;
+use socket2::SockRef;
+use std::io::{Read, Write};
+use std::net::{Shutdown, TcpStream};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// A way to close a connection.
+type Close = fn(&Connection);
+
+#[test]
+fn no_command_is_accepted_after_connection_closes() {
+    let mut limits = test_limits();
+    limits.client_idle = Duration::ZERO;
+    let ends: [(&str, Close); 3] = [
+        ("close", Connection::close),
+        ("finish", Connection::shut_down_write),
+        ("idle timeout", |connection| {
+            // One command has been read and answered.
+            assert!(connection.begin_command(false));
+            connection.finish_command();
+            assert!(connection.close_if_idle_timed_out());
+        }),
+    ];
+    let (server, handed_over) = TestServer::handing_over(limits);
+    for (name, end) in ends {
+        let mut client = server.connect();
+        let (connection, _release) = handed_over.recv_timeout(LONG).unwrap();
+        if name != "idle timeout" {
+            client.write_all(b"request").unwrap();
+            wait_until_readable(&connection);
+        }
+        end(&connection);
+        // Linux still returns what had arrived before both sides were shut down.
+        let mut buffer = [0; 16];
+        assert_eq!(
+            connection.command_reader(false).read(&mut buffer).unwrap(),
+            0,
+            "{name}: read after the close"
+        );
+        assert!(!connection.begin_command(false), "{name}: accepted after the close");
+    }
+}
+
+#[test]
+fn commands_in_flight_finish_after_close_and_none_follows() {
+    let (server, handed_over) = TestServer::handing_over(test_limits());
+    let mut client = server.connect();
+    let (connection, release) = handed_over.recv_timeout(LONG).unwrap();
+    assert!(connection.begin_command(false) && connection.begin_command(false));
+    connection.shut_down_write();
+    assert!(!connection.begin_command(false));
+    // The sending side is shut down; both commands finish all the same, and the connection closes like any other.
+    connection.finish_command();
+    connection.finish_command();
+    drop((connection, release));
+    assert_closed_without_reset(&client);
+    client.write_all(b"crosses").unwrap();
+    assert_closed_without_reset(&client);
+}
+
+#[test]
+fn response_arrives_complete_despite_unread_bytes_and_late_reader() {
+    const RESPONSE_BYTES: usize = 200_000;
+    let mut limits = test_limits();
+    // It has passed before the client reads at all.
+    limits.client_linger = Duration::from_millis(50);
+    let (server, handed_over) = TestServer::handing_over(limits);
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    // Most of the response stays on our side.
+    socket.set_recv_buffer_size(4096).unwrap();
+    socket.connect(&server.address.into()).unwrap();
+    let mut client = TcpStream::from(socket);
+    client.set_read_timeout(Some(LONG)).unwrap();
+    let (connection, release) = handed_over.recv_timeout(LONG).unwrap();
+    SockRef::from(&connection.socket).set_send_buffer_size(RESPONSE_BYTES).unwrap();
+    client.write_all(&[b'x'; 10_000]).unwrap();
+    wait_until_readable(&connection);
+    (&connection.socket).write_all(&[b'a'; RESPONSE_BYTES]).unwrap();
+    let weak = Arc::downgrade(&connection);
+    drop((connection, release));
+    wait_until_dropped(&weak);
+    let mut received = Vec::new();
+    client.read_to_end(&mut received).expect("no reset before the end of the response");
+    assert_eq!(received.len(), RESPONSE_BYTES);
+}
+
+#[test]
+fn bytes_crossing_close_cause_no_reset_until_client_closes() {
+    let (server, handed_over) = TestServer::handing_over(test_limits());
+    let mut client = server.connect();
+    let (connection, release) = handed_over.recv_timeout(LONG).unwrap();
+    client.write_all(b"unread").unwrap();
+    wait_until_readable(&connection);
+    (&connection.socket).write_all(b"answer").unwrap();
+    let weak = Arc::downgrade(&connection);
+    drop((connection, release));
+    let mut received = [0; 6];
+    client.read_exact(&mut received).unwrap();
+    assert_eq!(&received, b"answer");
+    assert_closed_without_reset(&client);
+    client.write_all(b"on its way when the end came").unwrap();
+    client.shutdown(Shutdown::Write).unwrap();
+    wait_until_dropped(&weak);
+    assert_closed_without_reset(&client);
+}
+
+#[test]
+fn linger_is_limited_in_time_and_bytes() {
+    // Silent: limited by time.
+    let mut limits = test_limits();
+    limits.client_linger = Duration::from_millis(50);
+    let (server, handed_over) = TestServer::handing_over(limits);
+    let client = server.connect();
+    let (connection, release) = handed_over.recv_timeout(LONG).unwrap();
+    let weak = Arc::downgrade(&connection);
+    drop((connection, release));
+    wait_until_dropped(&weak);
+    assert_closed_without_reset(&client);
+    // Sending on: limited by bytes.
+    let mut limits = test_limits();
+    limits.client_linger_bytes = 64 << 10;
+    let (server, handed_over) = TestServer::handing_over(limits);
+    let mut client = server.connect();
+    let (connection, release) = handed_over.recv_timeout(LONG).unwrap();
+    let weak = Arc::downgrade(&connection);
+    drop((connection, release));
+    wait_until("the connection is closed", || client.write_all(&[0; 4096]).is_err());
+    wait_until_dropped(&weak);
+}
--- /dev/null
+++ b/clients/tests/connections/limits.rs
@@ -0,0 +1,56 @@
+//! The idle timeout and the limit on open connections.
+use super::support::{
+    LONG, TestServer, assert_closed_without_reset, respond, test_limits, wait_until_readable,
+};
+use std::io::{Read, Write};
+use std::net::TcpStream;
+use std::time::Duration;
+
+#[test]
+fn request_in_socket_at_idle_timeout_is_read() {
+    let mut limits = test_limits();
+    limits.client_idle = Duration::ZERO;
+    let (server, handed_over) = TestServer::handing_over(limits);
+    let mut client = server.connect();
+    let (connection, _release) = handed_over.recv_timeout(LONG).unwrap();
+    assert!(connection.begin_command(false));
+    connection.finish_command();
+    client.write_all(b"request").unwrap();
+    wait_until_readable(&connection);
+    // The reader ran late: the timeout has passed and the request is there.
+    assert!(!connection.close_if_idle_timed_out());
+    let mut buffer = [0; 16];
+    assert_eq!(connection.command_reader(false).read(&mut buffer).unwrap(), 7);
+    assert!(connection.begin_command(false));
+    connection.finish_command();
+    assert!(connection.close_if_idle_timed_out(), "idle timeout passed and nothing has arrived");
+    assert_closed_without_reset(&client);
+}
+
+#[test]
+fn connection_limit_evicts_closing_and_idle_connections_only() {
+    let mut limits = test_limits();
+    limits.client_connections = 1;
+    limits.client_start_least = Duration::ZERO;
+    let (server, handed_over) = TestServer::handing_over(limits);
+    // It lingers for a client that does not close.
+    let lingering = server.connect();
+    let (connection, release) = handed_over.recv_timeout(LONG).unwrap();
+    drop((connection, release));
+    assert_closed_without_reset(&lingering);
+    let idle = server.connect();
+    let (connection, release) = handed_over.recv_timeout(LONG).expect("room where one lingered");
+    let mut next = server.connect();
+    assert_closed_without_reset(&idle);
+    assert!(!connection.begin_command(false), "accepted after the close");
+    drop((connection, release));
+    let (connection, _release) = handed_over.recv_timeout(LONG).expect("room where one was idle");
+    next.write_all(b"request").unwrap();
+    wait_until_readable(&connection);
+    // A connection with a command in flight is not evicted, however many connect.
+    let _more: Vec<TcpStream> = (0..3).map(|_| server.connect()).collect();
+    assert!(connection.begin_command(false));
+    respond(&connection, b"one");
+    let mut received = [0; 3];
+    next.read_exact(&mut received).unwrap();
+}
--- a/clients/tests/recorded_run.rs
+++ b/clients/tests/recorded_run.rs
@@ -1,17 +1,17 @@
 //! A recorded run of the shutdown state machine: seeded events in, actions out. The file under `fixtures/` was written
 //! by the program before its types were renamed; the present code has to take the same actions at the same moments.
-use clients::leaving::{Action, Event, Leaving, Step, Times};
+use clients::shutdown::{Action, ClosePolicy, Event, GracefulShutdown, ShutdownTimes};
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Independent fronts in the run, each with its own events.
-const FRONTS: u64 = 24;
+/// Independent servers in the run, each with its own events.
+const SERVERS: u64 = 24;
 
-/// Events that each front gets, at most.
-const EVENTS_PER_FRONT: u64 = 60;
+/// Events that each server gets, at most.
+const EVENTS_PER_SERVER: u64 = 60;
 
-/// Events that each front gets after it has ended.
-const EVENTS_AFTER_END: u64 = 3;
+/// Events that each server gets after its shutdown is complete.
+const EVENTS_AFTER_COMPLETION: u64 = 3;
 
 /// A linear congruential generator: the run needs nothing but the same numbers each time.
 struct Random(u64);
@@ -29,66 +29,66 @@
     /// Drains and ticks often, a shutdown seldom: most of a run happens before it.
     fn event(&mut self) -> Event {
         match self.below(40) {
-            0..5 => Event::Drain(self.coin()),
-            5 => Event::End { successor: self.coin() },
-            6..8 => Event::Successor(self.coin()),
-            _ => Event::Look { open: self.below(20) as usize },
+            0..5 => Event::SetDraining(self.coin()),
+            5 => Event::Shutdown { successor: self.coin() },
+            6..8 => Event::SetSuccessor(self.coin()),
+            _ => Event::Tick { open_connections: self.below(20) as usize },
         }
     }
 }
 
-fn times() -> Times {
-    Times {
+fn times() -> ShutdownTimes {
+    ShutdownTimes {
         grace: Duration::from_millis(600),
-        last: Duration::from_millis(850),
-        most: Duration::from_millis(3600),
-        drain_quiet: Duration::from_millis(500),
-        drain_last: Duration::from_millis(1500),
+        stop_reading: Duration::from_millis(850),
+        deadline: Duration::from_millis(3600),
+        drain_close_when_idle: Duration::from_millis(500),
+        drain_stop_reading: Duration::from_millis(1500),
     }
 }
 
 fn event_text(event: Event) -> String {
     match event {
-        Event::Drain(draining) => format!("drain {draining}"),
-        Event::End { successor } => format!("shutdown successor={successor}"),
-        Event::Successor(successor) => format!("successor {successor}"),
-        Event::Look { open } => format!("tick open={open}"),
+        Event::SetDraining(draining) => format!("drain {draining}"),
+        Event::Shutdown { successor } => format!("shutdown successor={successor}"),
+        Event::SetSuccessor(successor) => format!("successor {successor}"),
+        Event::Tick { open_connections } => format!("tick open={open_connections}"),
     }
 }
 
 fn action_text(action: Action) -> String {
     match action {
-        Action::SayNo(draining) => format!("report draining {draining}"),
-        Action::Treat(Step::Open) => "connections stay open".to_string(),
-        Action::Treat(Step::Quiet) => "connections close when idle".to_string(),
-        Action::Treat(Step::Last) => "connections stop reading".to_string(),
+        Action::ReportDraining(draining) => format!("report draining {draining}"),
+        Action::SetClosePolicy(ClosePolicy::KeepOpen) => "connections stay open".to_string(),
+        Action::SetClosePolicy(ClosePolicy::CloseWhenIdle) => "connections close when idle".to_string(),
+        Action::SetClosePolicy(ClosePolicy::StopReading) => "connections stop reading".to_string(),
         Action::StopAccepting => "stop accepting".to_string(),
-        Action::Ended => "shutdown complete".to_string(),
+        Action::Complete => "shutdown complete".to_string(),
     }
 }
 
-/// Plays all fronts and gives a line for each event: milliseconds, event, whether ticks are wanted, actions.
+/// Plays all servers and gives a line for each event: milliseconds, event, whether ticks are wanted, actions.
 fn run() -> String {
     let mut random = Random(20);
     let mut text = String::new();
-    for front in 0..FRONTS {
-        writeln!(text, "front {front}").unwrap();
-        let mut machine = Leaving::new(times());
+    for server in 0..SERVERS {
+        writeln!(text, "front {server}").unwrap();
+        let mut machine = GracefulShutdown::new(times());
         let mut now = 0;
-        let mut events_after_end = 0;
-        for _ in 0..EVENTS_PER_FRONT {
+        let mut events_after_completion = 0;
+        for _ in 0..EVENTS_PER_SERVER {
             now += random.below(260);
             let event = random.event();
             let mut actions = Vec::new();
             machine.handle(Duration::from_millis(now), event, &mut actions);
-            let ended = events_after_end > 0 || actions.contains(&Action::Ended);
+            let complete = events_after_completion > 0 || actions.contains(&Action::Complete);
             let actions: Vec<String> = actions.into_iter().map(action_text).collect();
-            let ticks = if machine.under_way() { "ticks" } else { "waits" };
+            let ticks = if machine.needs_ticks() { "ticks" } else { "waits" };
             writeln!(text, "{now} {} | {ticks} | {}", event_text(event), actions.join(", ")).unwrap();
-            if ended && events_after_end == EVENTS_AFTER_END {
+            if complete && events_after_completion == EVENTS_AFTER_COMPLETION {
                 break;
             }
-            events_after_end += u64::from(ended);
+            events_after_completion += u64::from(complete);
         }
     }
     text
--- /dev/null
+++ b/clients/tests/shutdown.rs
@@ -0,0 +1,154 @@
+//! The shutdown state machine: when its stages begin, and what holds in any order of events.
+use clients::shutdown::{Action, ClosePolicy, Event, GracefulShutdown, ShutdownTimes};
+use proptest::prelude::*;
+use std::time::Duration;
+
+const fn ms(n: u64) -> Duration {
+    Duration::from_millis(n)
+}
+
+fn new_server() -> GracefulShutdown {
+    GracefulShutdown::new(ShutdownTimes {
+        grace: ms(600),
+        stop_reading: ms(850),
+        deadline: ms(3600),
+        drain_close_when_idle: ms(500),
+        drain_stop_reading: ms(1500),
+    })
+}
+
+fn handle(server: &mut GracefulShutdown, at: u64, event: Event) -> Vec<Action> {
+    let mut actions = Vec::new();
+    server.handle(ms(at), event, &mut actions);
+    actions
+}
+
+fn tick(server: &mut GracefulShutdown, at: u64, open_connections: usize) -> Vec<Action> {
+    handle(server, at, Event::Tick { open_connections })
+}
+
+#[test]
+fn drain_is_reported_at_once_closes_in_stages_and_can_be_ended() {
+    let mut server = new_server();
+    assert_eq!(handle(&mut server, 100, Event::SetDraining(true)), [Action::ReportDraining(true)]);
+    assert_eq!(
+        handle(&mut server, 300, Event::SetDraining(true)),
+        [],
+        "a second command changes nothing, not the start either"
+    );
+    assert_eq!(tick(&mut server, 599, 9), []);
+    assert_eq!(tick(&mut server, 600, 9), [Action::SetClosePolicy(ClosePolicy::CloseWhenIdle)]);
+    assert_eq!(tick(&mut server, 1600, 2), [Action::SetClosePolicy(ClosePolicy::StopReading)]);
+    assert_eq!(tick(&mut server, 9000, 0), [], "the process goes on with nobody connected");
+    assert_eq!(
+        handle(&mut server, 9001, Event::SetDraining(false)),
+        [Action::ReportDraining(false), Action::SetClosePolicy(ClosePolicy::KeepOpen)]
+    );
+    assert!(!server.needs_ticks());
+}
+
+#[test]
+fn shutdown_accepts_through_grace_and_completes_when_all_closed_or_at_deadline() {
+    let mut server = new_server();
+    assert_eq!(handle(&mut server, 0, Event::Shutdown { successor: false }), []);
+    assert_eq!(tick(&mut server, 599, 0), [], "clients may still connect");
+    assert_eq!(
+        tick(&mut server, 600, 3),
+        [Action::StopAccepting, Action::SetClosePolicy(ClosePolicy::CloseWhenIdle)]
+    );
+    assert_eq!(tick(&mut server, 850, 3), [Action::SetClosePolicy(ClosePolicy::StopReading)]);
+    assert_eq!(tick(&mut server, 900, 0), [Action::Complete]);
+    assert_eq!(tick(&mut server, 901, 0), []);
+    let mut server = new_server();
+    handle(&mut server, 0, Event::Shutdown { successor: false });
+    tick(&mut server, 850, 3);
+    assert_eq!(tick(&mut server, 3600, 3), [Action::Complete]);
+}
+
+#[test]
+fn shutdown_with_successor_stops_accepting_at_once_also_with_late_successor() {
+    let mut server = new_server();
+    let actions = handle(&mut server, 0, Event::Shutdown { successor: true });
+    assert_eq!(actions, [Action::StopAccepting, Action::SetClosePolicy(ClosePolicy::CloseWhenIdle)]);
+    let mut server = new_server();
+    handle(&mut server, 0, Event::Shutdown { successor: false });
+    let actions = handle(&mut server, 200, Event::SetSuccessor(true));
+    assert_eq!(actions, [Action::StopAccepting, Action::SetClosePolicy(ClosePolicy::CloseWhenIdle)]);
+    let mut server = new_server();
+    assert_eq!(handle(&mut server, 0, Event::SetSuccessor(true)), [], "a successor alone starts no shutdown");
+}
+
+#[test]
+fn drain_and_shutdown_apply_the_stricter_policy_in_any_order() {
+    let mut server = new_server();
+    handle(&mut server, 0, Event::SetDraining(true));
+    assert_eq!(tick(&mut server, 1500, 4), [Action::SetClosePolicy(ClosePolicy::StopReading)]);
+    assert_eq!(handle(&mut server, 1600, Event::Shutdown { successor: false }), []);
+    assert_eq!(tick(&mut server, 2200, 1), [Action::StopAccepting]);
+    let actions = handle(&mut server, 2300, Event::SetDraining(false));
+    assert_eq!(actions, [Action::ReportDraining(false)], "the shutdown goes on and relaxes nothing");
+    assert_eq!(tick(&mut server, 2450, 1), [], "reading stays stopped");
+    assert_eq!(tick(&mut server, 2451, 0), [Action::Complete]);
+    let mut server = new_server();
+    handle(&mut server, 0, Event::Shutdown { successor: true });
+    assert_eq!(handle(&mut server, 10, Event::SetDraining(true)), [Action::ReportDraining(true)]);
+    assert_eq!(tick(&mut server, 850, 1), [Action::SetClosePolicy(ClosePolicy::StopReading)]);
+    assert_eq!(tick(&mut server, 851, 0), [Action::Complete]);
+}
+
+/// The milliseconds until the next event, and that event.
+fn event() -> impl Strategy<Value = (u64, Event)> {
+    let event = prop_oneof![
+        any::<bool>().prop_map(Event::SetDraining),
+        any::<bool>().prop_map(|successor| Event::Shutdown { successor }),
+        any::<bool>().prop_map(Event::SetSuccessor),
+        (0_usize..3).prop_map(|open_connections| Event::Tick { open_connections }),
+        (0_usize..3).prop_map(|open_connections| Event::Tick { open_connections }),
+    ];
+    (0_u64..900, event)
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
+    #[test]
+    fn shutdown_completes_in_time_and_never_relaxes_in_any_order_of_events(events in prop::collection::vec(event(), 1..60)) {
+        let mut server = new_server();
+        let (mut now, mut shutdown_at) = (0, None);
+        let (mut policy, mut stopped, mut complete) = (ClosePolicy::KeepOpen, false, false);
+        // However it went before, the last ticks come after the deadline.
+        let late = [(4000, Event::Shutdown { successor: false }), (4000, Event::Tick { open_connections: 1 }), (1, Event::Tick { open_connections: 0 })];
+        for (later, event) in events.into_iter().chain(late) {
+            now += later;
+            if matches!(event, Event::Shutdown { .. }) {
+                shutdown_at.get_or_insert(now);
+            }
+            let since = shutdown_at.map(|at| now - at);
+            let actions = handle(&mut server, now, event);
+            prop_assert!(!complete || actions.is_empty(), "{actions:?} after completion");
+            for action in actions {
+                match action {
+                    Action::StopAccepting => {
+                        prop_assert!(!stopped && shutdown_at.is_some());
+                        stopped = true;
+                    }
+                    Action::SetClosePolicy(to) => {
+                        prop_assert!(to != policy, "{to:?} once more");
+                        prop_assert!(shutdown_at.is_none() || to > policy, "from {policy:?} back to {to:?}");
+                        policy = to;
+                    }
+                    Action::Complete => {
+                        let nobody = matches!(event, Event::Tick { open_connections: 0 });
+                        prop_assert!(stopped && (nobody || since >= Some(3600)), "{event:?} at {since:?}");
+                        complete = true;
+                    }
+                    Action::ReportDraining(_) => {}
+                }
+            }
+            prop_assert!(complete || since < Some(600) || (stopped && policy > ClosePolicy::KeepOpen));
+            prop_assert!(complete || since < Some(850) || policy == ClosePolicy::StopReading);
+            prop_assert!(complete || since < Some(3600), "not complete at {since:?}");
+            prop_assert!(server.needs_ticks() || complete || shutdown_at.is_none(), "no tick would follow");
+        }
+        prop_assert!(complete);
+    }
+}
