--- /dev/null
+++ b/clients/tests/recorded_run.rs
@@ -0,0 +1,105 @@
+//! A recorded run of the shutdown state machine: seeded events in, actions out. The file under `fixtures/` was written
+//! by the program before its types were renamed; the present code has to take the same actions at the same moments.
+use clients::shutdown::{Action, ClosePolicy, Event, GracefulShutdown, ShutdownTimes};
+use std::fmt::Write;
+use std::time::Duration;
+
+/// Independent servers in the run, each with its own events.
+const SERVERS: u64 = 24;
+
+/// Events that each server gets, at most.
+const EVENTS_PER_SERVER: u64 = 60;
+
+/// Events that each server gets after its shutdown is complete.
+const EVENTS_AFTER_COMPLETION: u64 = 3;
+
+/// A linear congruential generator: the run needs nothing but the same numbers each time.
+struct Random(u64);
+
+impl Random {
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (self.0 >> 33) % bound
+    }
+
+    fn coin(&mut self) -> bool {
+        self.below(2) == 0
+    }
+
+    /// Drains and ticks often, a shutdown seldom: most of a run happens before it.
+    fn event(&mut self) -> Event {
+        match self.below(40) {
+            0..5 => Event::SetDraining(self.coin()),
+            5 => Event::Shutdown { successor: self.coin() },
+            6..8 => Event::SetSuccessor(self.coin()),
+            _ => Event::Tick { open_connections: self.below(20) as usize },
+        }
+    }
+}
+
+fn times() -> ShutdownTimes {
+    ShutdownTimes {
+        grace: Duration::from_millis(600),
+        stop_reading: Duration::from_millis(850),
+        deadline: Duration::from_millis(3600),
+        drain_close_when_idle: Duration::from_millis(500),
+        drain_stop_reading: Duration::from_millis(1500),
+    }
+}
+
+fn event_text(event: Event) -> String {
+    match event {
+        Event::SetDraining(draining) => format!("drain {draining}"),
+        Event::Shutdown { successor } => format!("shutdown successor={successor}"),
+        Event::SetSuccessor(successor) => format!("successor {successor}"),
+        Event::Tick { open_connections } => format!("tick open={open_connections}"),
+    }
+}
+
+fn action_text(action: Action) -> String {
+    match action {
+        Action::ReportDraining(draining) => format!("report draining {draining}"),
+        Action::SetClosePolicy(ClosePolicy::KeepOpen) => "connections stay open".to_string(),
+        Action::SetClosePolicy(ClosePolicy::CloseWhenIdle) => "connections close when idle".to_string(),
+        Action::SetClosePolicy(ClosePolicy::StopReading) => "connections stop reading".to_string(),
+        Action::StopAccepting => "stop accepting".to_string(),
+        Action::Complete => "shutdown complete".to_string(),
+    }
+}
+
+/// Plays all servers and gives a line for each event: milliseconds, event, whether ticks are wanted, actions.
+fn run() -> String {
+    let mut random = Random(20);
+    let mut text = String::new();
+    for server in 0..SERVERS {
+        writeln!(text, "front {server}").unwrap();
+        let mut machine = GracefulShutdown::new(times());
+        let mut now = 0;
+        let mut events_after_completion = 0;
+        for _ in 0..EVENTS_PER_SERVER {
+            now += random.below(260);
+            let event = random.event();
+            let mut actions = Vec::new();
+            machine.handle(Duration::from_millis(now), event, &mut actions);
+            let complete = events_after_completion > 0 || actions.contains(&Action::Complete);
+            let actions: Vec<String> = actions.into_iter().map(action_text).collect();
+            let ticks = if machine.needs_ticks() { "ticks" } else { "waits" };
+            writeln!(text, "{now} {} | {ticks} | {}", event_text(event), actions.join(", ")).unwrap();
+            if complete && events_after_completion == EVENTS_AFTER_COMPLETION {
+                break;
+            }
+            events_after_completion += u64::from(complete);
+        }
+    }
+    text
+}
+
+#[test]
+fn shutdown_state_machine_repeats_recorded_run() {
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/shutdown_run.txt");
+    let recorded = std::fs::read_to_string(path).expect("the recorded run");
+    for (number, (recorded, present)) in recorded.lines().zip(run().lines()).enumerate() {
+        assert_eq!(present, recorded, "line {}", number + 1);
+    }
+    assert_eq!(run(), recorded);
+}
