--- a/admin/src/service.rs
+++ b/admin/src/service.rs
@@ -7,7 +7,7 @@
 use crate::command::Command;
 use crate::handler::AdminHandler;
 use crate::response::Response;
-use clients::Order;
+use clients::ServerCommand;
 use coordinator::Coordinator;
 use crossbeam_channel::Sender;
 use maintenance::Event;
@@ -27,7 +27,7 @@
     /// The endpoint list, which shows instances in maintenance as draining.
     pub endpoints: EndpointsHandle,
     /// Orders to the clients' front: drains, and which other processes serve.
-    pub client_orders: Sender<Order>,
+    pub client_orders: Sender<ServerCommand>,
     /// Sets whether the front answers its readiness probe as draining. It takes effect before `PAUSE` is answered.
     pub set_draining: Box<dyn Fn(bool) + Send>,
     /// Whether clients are accepted.
--- a/admin/src/service/coordinator.rs
+++ b/admin/src/service/coordinator.rs
@@ -3,7 +3,7 @@
 use super::ServiceDependencies;
 use super::shared_folder::SharedFolder;
 use crate::response::Response;
-use clients::Order;
+use clients::ServerCommand;
 use maintenance::{
     Action, EndpointChange, Event, Machine, MaintenanceError, MaintenanceMask, OtherProcesses,
     SharedFolderError,
@@ -140,7 +140,7 @@
         self.others = others;
         let processes = others.alive + 1;
         (self.dependencies.set_process_count)(u32::try_from(processes).unwrap_or(u32::MAX));
-        let order = Order::Sharing { processes, successor: others.ready > 0 };
+        let order = ServerCommand::SetProcessCount { processes, successor: others.ready > 0 };
         _ = self.dependencies.client_orders.send(order);
     }
 
@@ -203,7 +203,7 @@
         }
         if draining != self.notified.draining {
             (self.dependencies.set_draining)(draining);
-            _ = self.dependencies.client_orders.send(Order::Drain(draining));
+            _ = self.dependencies.client_orders.send(ServerCommand::SetDraining(draining));
         }
         self.notified = Notified { mask, draining };
     }
--- a/admin/tests/common/router.rs
+++ b/admin/tests/common/router.rs
@@ -2,7 +2,7 @@
 //! other parts do is recorded.
 use super::{LONG, serve_handler};
 use admin::{AdminService, ServiceDependencies};
-use clients::Order;
+use clients::ServerCommand;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use routing::{
     AttemptGuard, BackendProtocol, Clock, Connection, EndpointEntry, EndpointUpdate, EndpointsHandle,
@@ -67,7 +67,7 @@
     endpoints: EndpointsHandle,
     accepting: Arc<AtomicBool>,
     core: Receiver<RouterMessage<UnusedProtocol>>,
-    orders: Receiver<Order>,
+    orders: Receiver<ServerCommand>,
     callbacks: Receiver<Effect>,
 }
 
@@ -152,11 +152,11 @@
         assert!(self.endpoints.wait_until_applied(LONG));
         let mut effects: Vec<Effect> = self.callbacks.try_iter().collect();
         effects.extend(self.orders.try_iter().filter_map(|order| match order {
-            Order::Drain(draining) => Some(Effect::DrainOrder(draining)),
-            Order::Sharing { processes, successor } => {
+            ServerCommand::SetDraining(draining) => Some(Effect::DrainOrder(draining)),
+            ServerCommand::SetProcessCount { processes, successor } => {
                 Some(Effect::Processes { count: processes, successor })
             }
-            Order::End => None,
+            ServerCommand::Shutdown => None,
         }));
         for message in self.core.try_iter() {
             match message {
--- a/mysql/src/front.rs
+++ b/mysql/src/front.rs
@@ -8,7 +8,7 @@
 use crate::results::{AUTOCOMMIT, OK, eof, one_row};
 use crate::statement::{Need, Scan, need, scan};
 use crate::{Tap, command};
-use clients::{Connection, Talk, timed_out};
+use clients::{Connection, ConnectionHandler, is_timeout};
 use crossbeam_channel::{Receiver, bounded};
 use routing::{ClientRequest, FinalResponse, GroupId, RequestId, RouterHandle, Time, spawn};
 use sessions::Key;
@@ -72,8 +72,8 @@
 /// A command's answer: payloads, or an error.
 type Answered = Result<Payloads, (Code, String)>;
 
-impl Talk for Front {
-    fn talk(self: &Arc<Self>, connection: &Arc<Connection>) {
+impl ConnectionHandler for Front {
+    fn handle(self: &Arc<Self>, connection: &Arc<Connection>) {
         let Ok(from) = connection.socket.peer_addr() else { return };
         let mut client = Client {
             front: self,
@@ -87,15 +87,15 @@
         let mut reader = Reader::new(self.limits.message_bytes);
         if client.greet(&mut reader).is_ok() {
             // Who has proved a password comes to ask.
-            connection.requested();
+            connection.record_request();
             client.serve(reader, connection.clone());
         }
         if let Some(tap) = &self.tap {
-            tap.ended(connection.number);
+            tap.ended(connection.id);
         }
     }
 
-    fn left(&self, request: RequestId) {
+    fn client_disconnected(&self, request: RequestId) {
         self.handle.client_disconnected(request);
     }
 }
@@ -103,7 +103,7 @@
 impl Client<'_> {
     fn tapped(&self, from_client: bool, bytes: &[u8]) {
         if let Some(tap) = &self.front.tap {
-            tap.bytes(self.connection.number, self.from, from_client, bytes);
+            tap.bytes(self.connection.id, self.from, from_client, bytes);
         }
     }
 
@@ -150,8 +150,9 @@
 
     fn greet(&mut self, reader: &mut Reader) -> Step {
         let Ok(nonce) = auth::nonce() else { return Err(End) };
-        self.write(255, &[auth::greeting(self.connection.number as u32, &nonce)])?;
-        let next = |client: &Self, reader: &mut Reader| match reader.next(client.connection.startup()) {
+        self.write(255, &[auth::greeting(self.connection.id as u32, &nonce)])?;
+        let next = |client: &Self, reader: &mut Reader| match reader.next(client.connection.startup_reader())
+        {
             Ok(p) => {
                 client.took(&p);
                 Ok(p)
@@ -199,8 +200,8 @@
         let handle = self.front.handle.clone();
         let read = move || {
             loop {
-                let next = reader.next(connection.command(!reader.is_empty()));
-                if matches!(next, Err(Broken::Silent)) && !connection.retire_if_spent() {
+                let next = reader.next(connection.command_reader(!reader.is_empty()));
+                if matches!(next, Err(Broken::Silent)) && !connection.close_if_idle_timed_out() {
                     continue;
                 }
                 let end = next.is_err();
@@ -211,13 +212,13 @@
                     // socket says so.
                     let gone = match &next {
                         Err(Broken::Ended) => true,
-                        Err(Broken::Failed(e)) => !timed_out(e),
+                        Err(Broken::Failed(e)) => !is_timeout(e),
                         _ => false,
                     };
-                    if gone && !connection.let_go() {
-                        connection.depart(|id| handle.client_disconnected(id));
+                    if gone && !connection.reading_stopped() {
+                        connection.mark_disconnected(|id| handle.client_disconnected(id));
                     }
-                } else if !connection.owe(!reader.is_empty()) {
+                } else if !connection.begin_command(!reader.is_empty()) {
                     return;
                 }
                 if to.send(next).is_err() || end {
@@ -229,7 +230,7 @@
             return;
         }
         self.work(&commands);
-        self.connection.finish();
+        self.connection.shut_down_write();
         // The reader ends with its client, or where the connection is cut; what it still hands over is nobody's.
         while commands.recv_timeout(self.front.limits.client_linger).is_ok() {}
     }
@@ -237,14 +238,14 @@
     fn work(&mut self, commands: &Receiver<Result<Packet, Broken>>) {
         for next in commands {
             // What a client wrote before its end is not carried out after it.
-            if self.connection.requests.departed() {
+            if self.connection.in_flight_requests.is_disconnected() {
                 return;
             }
             let step = match next {
                 Ok(packet) => {
                     self.took(&packet);
                     let step = self.command(&packet);
-                    self.connection.paid();
+                    self.connection.finish_command();
                     step
                 }
                 Err(broken) => self.broken(0, &broken),
@@ -355,7 +356,7 @@
         let who = match &need.session {
             Some(named) => Who::Named(Key::named(group, named)),
             // A connection is a session of its own: it sees its own writes.
-            None => Who::Own(Key::own(group, self.connection.number)),
+            None => Who::Own(Key::own(group, self.connection.id)),
         };
         let refused = |why: Stopped| (errors::REFUSED, format!("refused: nothing ran: {why}"));
         let token = if settings.sessions[class] {
@@ -391,7 +392,7 @@
         // Nobody reads what a client is answered that has left meanwhile.
         let request = self.connection.submit(|| self.front.handle.submit(incoming));
         let answer = given.recv().unwrap_or(FinalResponse::Failed(None));
-        request.into_iter().for_each(|id| _ = self.connection.requests.end(id));
+        request.into_iter().for_each(|id| _ = self.connection.in_flight_requests.finish(id));
         // A write is told to the client once no read of its session can miss it any more.
         if let FinalResponse::Served(_, Some(at)) = &answer
             && !settings.reading[class]
--- a/postgres/src/front.rs
+++ b/postgres/src/front.rs
@@ -7,7 +7,7 @@
     write_gathered,
 };
 use crate::statement::Statement;
-use clients::{Connection, Standing, Talk, timed_out};
+use clients::{Connection, ConnectionHandler, SocketState, is_timeout};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
 use routing::{
     ClientRequest, FinalResponse, GroupId, Outcome, RequestId, RouterHandle, SessionId, Settings, Time, spawn,
@@ -59,13 +59,13 @@
 impl Opened {
     /// It has its answer.
     fn answered(mut self) {
-        self.request.take().into_iter().for_each(|id| _ = self.connection.requests.end(id));
+        self.request.take().into_iter().for_each(|id| _ = self.connection.in_flight_requests.finish(id));
     }
 }
 
 impl Drop for Opened {
     fn drop(&mut self) {
-        if let Some(id) = self.request.take().filter(|id| self.connection.requests.end(*id)) {
+        if let Some(id) = self.request.take().filter(|id| self.connection.in_flight_requests.finish(*id)) {
             self.front.handle.client_disconnected(id);
         }
         self.front.ids().remove(&self.id);
@@ -113,9 +113,9 @@
     Departed,
 }
 
-impl Talk for Front {
+impl ConnectionHandler for Front {
     /// Reads one connection to its end.
-    fn talk(self: &Arc<Self>, connection: &Arc<Connection>) {
+    fn handle(self: &Arc<Self>, connection: &Arc<Connection>) {
         let socket = &connection.socket;
         let mut buffer = Buffer::pooled(self.limits.message_bytes, &self.pool);
         let _key = match self.greet(&mut buffer, connection) {
@@ -125,35 +125,35 @@
         };
         let (mut skip_to_sync, mut writer) = (false, None::<Writer>);
         let end = loop {
-            let frame = match buffer.next(connection.command(!buffer.is_empty())) {
+            let frame = match buffer.next(connection.command_reader(!buffer.is_empty())) {
                 Ok(Some(f)) if f.tag != b'X' => f,
                 Ok(Some(_)) => break End::Left,
-                Err(e) if timed_out(&e) && !buffer.is_empty() => {
+                Err(e) if is_timeout(&e) && !buffer.is_empty() => {
                     break End::Broken(invalid("half a message"));
                 }
-                Err(e) if timed_out(&e) && !connection.retire_if_spent() => continue,
-                Err(e) if timed_out(&e) => break End::LetGo,
+                Err(e) if is_timeout(&e) && !connection.close_if_idle_timed_out() => continue,
+                Err(e) if is_timeout(&e) => break End::LetGo,
                 Err(e) if e.kind() == io::ErrorKind::InvalidData => break End::Broken(e),
                 // Where the client has left, too, whoever watches its socket says so.
-                Ok(None) | Err(_) if connection.let_go() => break End::LetGo,
+                Ok(None) | Err(_) if connection.reading_stopped() => break End::LetGo,
                 Ok(None) | Err(_) => break End::Left,
             };
             // What it wrote before its end is not carried out after it.
-            if connection.requests.departed() {
+            if connection.in_flight_requests.is_disconnected() {
                 break End::Left;
             }
             // A request is not taken where its answer has no place in the row.
             if frame.tag == b'Q' && writer.as_ref().is_some_and(|w| w.owe.is_full()) {
                 break End::Broken(invalid(TOO_MANY));
             }
-            if !connection.owe(!buffer.is_empty()) {
+            if !connection.begin_command(!buffer.is_empty()) {
                 break End::LetGo;
             }
-            connection.faulty(false);
+            connection.set_last_command_malformed(false);
             let next = self.command(connection, &buffer, &frame, &mut skip_to_sync);
             match &next {
-                Some(Owed::Error(_)) => connection.faulty(true),
-                Some(Owed::Answer(..)) => connection.requested(),
+                Some(Owed::Error(_)) => connection.set_last_command_malformed(true),
+                Some(Owed::Answer(..)) => connection.record_request(),
                 _ => {}
             }
             let next = match next {
@@ -166,7 +166,7 @@
                 next => next,
             };
             let Some(next) = next else {
-                connection.paid();
+                connection.finish_command();
                 continue;
             };
             if writer.is_none() {
@@ -186,7 +186,7 @@
             }
         };
         if let End::Broken(e) = &end {
-            tracing::debug!("client {}: {e}", connection.number);
+            tracing::debug!("client {}: {e}", connection.id);
         }
         match (end, &writer) {
             (End::LetGo, _) => {}
@@ -195,7 +195,7 @@
             (End::Broken(e), Some(w)) => {
                 let mut text = Vec::new();
                 push_error(&mut text, "FATAL", "08P01", &e.to_string(), None);
-                if connection.owe(false) {
+                if connection.begin_command(false) {
                     _ = w.owe.send(Owed::Ready(text));
                 }
             }
@@ -207,7 +207,7 @@
         }
     }
 
-    fn left(&self, request: RequestId) {
+    fn client_disconnected(&self, request: RequestId) {
         self.handle.client_disconnected(request);
     }
 }
@@ -276,7 +276,7 @@
     /// Cancels what the connection of this key waits for now, if there is one and if it waits.
     fn cancel(&self, key: &CancelKey) {
         let connection = self.keys().get(key).cloned();
-        if let Some(id) = connection.and_then(|c| c.requests.oldest()) {
+        if let Some(id) = connection.and_then(|c| c.in_flight_requests.oldest()) {
             self.handle.cancel(id);
         }
     }
@@ -296,7 +296,7 @@
         const GSS: u32 = 80_877_104;
         let socket = &connection.socket;
         loop {
-            match buffer.startup(connection.startup())? {
+            match buffer.startup(connection.startup_reader())? {
                 Some(Startup { code: SSL | GSS, .. }) => write_gathered(socket, &[b"N"])?,
                 Some(Startup { code, .. }) if code >> 16 == 3 => break,
                 // No answer tells whether the key was right.
@@ -348,7 +348,7 @@
         let text = body.strip_suffix(b"\0").unwrap_or(body).trim_ascii();
         let mut ready = Vec::new();
         let word = text.split(|b| !b.is_ascii_alphabetic()).next().unwrap_or(b"").to_ascii_uppercase();
-        if text.is_empty() && connection.drained() {
+        if text.is_empty() && connection.is_draining() {
             // The platform's front asks so whether clients may come.
             push_error(&mut ready, "ERROR", "57P03", "the router is drained by its operators", None);
         } else if text.is_empty() {
@@ -432,7 +432,7 @@
 
     /// Nobody takes the answers to what is in flight on a connection any more.
     fn give_up(&self, connection: &Connection) {
-        connection.depart(|id| self.handle.client_disconnected(id));
+        connection.mark_disconnected(|id| self.handle.client_disconnected(id));
     }
 
     /// Answers a command on the reader's own thread: most clients ask one thing at a time, and a second thread for
@@ -449,10 +449,10 @@
                         opened.answered();
                         break worded(answer);
                     }
-                    Err(RecvTimeoutError::Timeout) => match connection.standing() {
-                        Standing::Quiet => {}
-                        Standing::Asking => return Step::Ahead(Owed::Answer(given, opened)),
-                        Standing::Gone => {
+                    Err(RecvTimeoutError::Timeout) => match connection.socket_state() {
+                        SocketState::Idle => {}
+                        SocketState::Readable => return Step::Ahead(Owed::Answer(given, opened)),
+                        SocketState::Disconnected => {
                             self.give_up(connection);
                             return Step::Gone;
                         }
@@ -497,9 +497,9 @@
 
 /// Writes an answer, which pays for its command; `false` where the client takes no more.
 fn hand_out(connection: &Connection, text: &[u8]) -> bool {
-    connection.part_with();
+    connection.prepare_response();
     let written = write_gathered(&connection.socket, &[text]);
-    connection.paid();
+    connection.finish_command();
     written.is_ok()
 }
 
--- a/postgres/tests/leaving.rs
+++ b/postgres/tests/leaving.rs
@@ -1,5 +1,5 @@
 //! The front with bounds that the program never has: no look at its clients, no thread for a writer.
-use clients::{Clients, Listening};
+use clients::{ClientListener, ClientServer};
 use crossbeam_channel::{Sender, bounded};
 use decision::{Class, Freshness, Idempotency};
 use postgres::front::Front;
@@ -33,7 +33,7 @@
 struct Running {
     addr: SocketAddr,
     figures: Arc<Metrics>,
-    _orders: Sender<clients::Order>,
+    _orders: Sender<clients::ServerCommand>,
 }
 
 impl Running {
@@ -58,11 +58,11 @@
         };
         let (handle, _list) = start.start().unwrap();
         let front = Front::new(handle, own, &names, &settings());
-        let clients = Clients::new(front, limits);
+        let clients = ClientServer::new(front, limits);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
         let (to, orders) = bounded(1);
-        std::thread::spawn(move || clients.serve(Listening::Own(listener), &orders).unwrap());
+        std::thread::spawn(move || clients.serve(ClientListener::Exclusive(listener), &orders).unwrap());
         Running { addr, figures, _orders: to }
     }
 
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -29,7 +29,7 @@
     NoConfig,
     /// The socket that the platform passed can't be used.
     #[error("BALANCER_PASSED_SOCKET: {0}")]
-    Passed(#[from] clients::PassedError),
+    Passed(#[from] clients::InheritedSocketError),
     /// The passed socket does not say where it listens.
     #[error("BALANCER_PASSED_SOCKET: {0}; let the platform pass it anew")]
     PassedAddress(io::Error),
--- a/src/commands/platform.rs
+++ b/src/commands/platform.rs
@@ -2,7 +2,7 @@
 use super::Error;
 use crate::signals;
 use admin::{AdminLimits, AdminServer, AdminService, ServiceDependencies};
-use clients::{Clients, Listening, Order};
+use clients::{ClientListener, ClientServer, ServerCommand};
 use crossbeam_channel::{Sender, bounded};
 use routing::{Clock, EndpointsHandle, Metrics, RouterHandle};
 use settings::operator::Log;
@@ -41,18 +41,18 @@
         list: &EndpointsHandle,
         front: Arc<postgres::front::Front>,
         handle: RouterHandle<postgres::link::Postgres>,
-        orders: Sender<Order>,
-        clients: &Arc<Clients<postgres::front::Front>>,
+        orders: Sender<ServerCommand>,
+        clients: &Arc<ClientServer<postgres::front::Front>>,
     ) -> Result<Arc<AdminService>, Error> {
         let (shared, drained) = (clients.clone(), clients.clone());
         let parts = ServiceDependencies {
             metrics: self.figures,
             endpoints: list.clone(),
             client_orders: orders,
-            set_draining: Box::new(move |yes| drained.drain(yes)),
+            set_draining: Box::new(move |yes| drained.set_draining(yes)),
             accepting: clients.accepting(),
             set_process_count: Box::new(move |n| {
-                shared.sharing(n as usize);
+                shared.set_process_count(n as usize);
                 handle.set_process_count(n);
                 front.sharing(n);
             }),
@@ -84,7 +84,7 @@
     tracing::debug!("settings {:?}", start.settings);
     tracing::debug!("said {}", start.said);
     let passed = env("BALANCER_PASSED_SOCKET").filter(|x| !x.is_empty());
-    let passed = passed.map(|fd| Listening::passed(&fd)).transpose()?;
+    let passed = passed.map(|fd| ClientListener::from_inherited_descriptor(&fd)).transpose()?;
     let operated = Operated::open(&start)?;
 
     let core = routing::RouterBuilder {
@@ -100,7 +100,7 @@
     let (handle, list) = core.start().map_err(Error::Core)?;
     let front =
         postgres::front::Front::new(handle.clone(), limits.clone(), &start.names.classes, &start.settings);
-    let clients = Clients::new(front.clone(), limits.clone());
+    let clients = ClientServer::new(front.clone(), limits.clone());
     let (to, orders) = bounded(ORDERS);
     // What is held by hand stands before the first list does.
     let desk = operated.map(|o| o.serve(&start, &list, front, handle, to.clone(), &clients)).transpose()?;
@@ -126,7 +126,7 @@
             tracing::info!("{}: listening on {at}", start.name);
             passed
         }
-        None => Listening::Own(super::listen(&start.name, &start.listen)?),
+        None => ClientListener::Exclusive(super::listen(&start.name, &start.listen)?),
     };
     let mut at = start.discovery;
     let reload = move || {
@@ -143,7 +143,7 @@
     let end = move || {
         leaves.iter().for_each(|desk| desk.announce_shutdown());
         // Operators' orders may fill the queue while the program still starts: the end must not be lost with them.
-        _ = to.send(Order::End);
+        _ = to.send(ServerCommand::Shutdown);
     };
     signals::obey(signals, limits.module_stack_bytes, reload, end)?;
     if let Some(desk) = desk {
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -1,7 +1,7 @@
 //! `serve`: the MySQL front, its store, its sessions, its fleet and its recording, as an operator's file says.
 use super::Error;
 use crate::signals;
-use clients::{Listening, Order};
+use clients::{ClientListener, ServerCommand};
 use crossbeam_channel::bounded;
 use mysql_wire::front::Front;
 
@@ -290,7 +290,7 @@
         }
     };
     let (to, stop) = bounded(1);
-    let end = move || _ = to.try_send(Order::End);
+    let end = move || _ = to.try_send(ServerCommand::Shutdown);
     signals::obey(signals, limits.module_stack_bytes, move || follows.reload(), end)?;
     if let Some(wire) = asks {
         let (listed, client) = (mysql_servers, registry.clone());
@@ -315,7 +315,7 @@
             ended
         }
     };
-    let ended = clients::Clients::new(front, limits).serve(Listening::Own(listener), &stop);
+    let ended = clients::ClientServer::new(front, limits).serve(ClientListener::Exclusive(listener), &stop);
     sessions.stop();
     // Nothing is admitted any more.
     if let Some(fleet) = fleet {
