--- a/fleet/src/document/parts/tests.rs
+++ b/fleet/src/document/parts/tests.rs
@@ -6,7 +6,14 @@
     let text = "\u{e9}".repeat(MAX_PART_BYTES) + "x";
     let parts = split(&text);
     assert!(parts.len() == 3 && parts.iter().all(|p| p.len() <= MAX_PART_BYTES));
-    let metadata = describe(&text, parts.len(), "");
+    let metadata = Metadata {
+        content_hash: content_hash(&text),
+        part_count: parts.len(),
+        length: text.len(),
+        crc32: crc32fast::hash(text.as_bytes()),
+        note: String::new(),
+    };
+    assert_eq!(describe(&text, parts.len(), ""), metadata);
     let get = |key: &str| {
         let index = (0..parts.len()).find(|i| part_key(&metadata.content_hash, *i) == key)?;
         Some(parts[index])
--- a/quotas/tests/shares.rs
+++ b/quotas/tests/shares.rs
@@ -20,6 +20,8 @@
     let mut client = client("r", 1, None);
     let mut fleet = fleet(1, 0.0, 5, OnLoss::Closed);
     fleet.tenants.insert("free".into(), Tenant::default());
+    // What is admitted before the first configuration counts for no tenant.
+    assert_eq!(client.admit(Time(0), "a"), Admission::Admitted);
     client.apply_config(Time(0), 1, &fleet);
     assert_eq!(client.admit(Time(0), "free"), Admission::Admitted);
     let zero_quota = Settings::default().zero_quota_retry_after;
