--- a/store/src/node/reads.rs
+++ b/store/src/node/reads.rs
@@ -7,18 +7,20 @@
 use crate::state::State;
 use std::time::{Duration, Instant};
 
-/// A read index request is sent again after this time: a new leader drops it.
+/// After this time a read index request is given up and a new one sent. A leader that has not committed an entry of its
+/// term yet drops requests without an answer.
 const READ_INDEX_RETRY: Duration = Duration::from_millis(200);
 
+/// A reader that waits for its answer.
 struct Reader {
     reply: ReadReply,
-    since: Instant,
+    added_at: Instant,
 }
 
 impl Reader {
-    /// Rejects a reader that has waited too long, or has no leader to wait for; `true` where it waits on.
+    /// Rejects a reader that has waited too long, or has no leader to wait for. Returns whether it still waits.
     fn keep_waiting(&self, no_leader: bool, timeout: Duration) -> bool {
-        let lost = no_leader || self.since.elapsed() > timeout;
+        let lost = no_leader || self.added_at.elapsed() > timeout;
         if lost {
             _ = self.reply.try_send(Err(Rejection::NoQuorum));
         }
@@ -28,9 +30,10 @@
 
 /// The read index request in flight.
 struct ReadIndexRequest {
+    /// Raft returns it with the read index.
     id: Vec<u8>,
-    sent: Instant,
-    /// The term that this node led when it sent the request.
+    sent_at: Instant,
+    /// The term that this node led when it sent the request; `None` where it followed.
     leading_term: Option<u64>,
 }
 
@@ -39,53 +42,57 @@
     reader: Reader,
     /// The read is answered as soon as this index is applied.
     index: u64,
-    /// The term that this node was confirmed to lead.
+    /// The term that this node was confirmed to lead; `None` where another node leads.
     leading_term: Option<u64>,
 }
 
+/// The readers that wait for an answer. A reader moves from `waiting` to `requested` when a read index request is sent,
+/// and to `confirmed` when the read index comes; it is answered when that index is applied.
 #[derive(Default)]
 pub(super) struct PendingReads {
-    /// For the next read index request.
+    /// Readers for the next read index request.
     waiting: Vec<Reader>,
-    request: Option<ReadIndexRequest>,
-    /// Those that the request in flight is for.
+    in_flight: Option<ReadIndexRequest>,
+    /// Readers that the request in flight is for.
     requested: Vec<Reader>,
     confirmed: Vec<ConfirmedReader>,
 }
 
 impl PendingReads {
     pub(super) fn add(&mut self, reply: ReadReply) {
-        self.waiting.push(Reader { reply, since: Instant::now() });
+        self.waiting.push(Reader { reply, added_at: Instant::now() });
     }
 
     /// Whether a read index request is to be sent.
     pub(super) fn needs_request(&self) -> bool {
-        self.request.is_none() && !self.waiting.is_empty()
+        self.in_flight.is_none() && !self.waiting.is_empty()
     }
 
-    /// Notes that a request is sent while this node leads a term, or follows. A request that a follower sends is
-    /// answered by the leader, whichever node that is: it proves nothing of this node.
+    /// Notes that a request is sent. `leading_term` is the term that this node leads, if it does: a request of a follower
+    /// is answered by the leader, whichever node that is, and proves nothing of this node.
     pub(super) fn start_request(&mut self, id: Vec<u8>, leading_term: Option<u64>) {
-        self.request = Some(ReadIndexRequest { id, sent: Instant::now(), leading_term });
+        self.in_flight = Some(ReadIndexRequest { id, sent_at: Instant::now(), leading_term });
         self.requested = std::mem::take(&mut self.waiting);
     }
 
-    /// Rejects readers that have waited too long, and gives up a request that has.
+    /// Rejects readers that have waited longer than `timeout`, or all of them with `no_leader`. Gives up a request that
+    /// has no answer after [`READ_INDEX_RETRY`]: its readers wait for the next one.
     pub(super) fn expire(&mut self, no_leader: bool, timeout: Duration) {
-        let is_lost = |request: &ReadIndexRequest| no_leader || request.sent.elapsed() > READ_INDEX_RETRY;
-        if self.request.as_ref().is_some_and(is_lost) {
-            self.request = None;
+        let is_lost = |request: &ReadIndexRequest| no_leader || request.sent_at.elapsed() > READ_INDEX_RETRY;
+        if self.in_flight.as_ref().is_some_and(is_lost) {
+            self.in_flight = None;
             self.waiting.append(&mut self.requested);
         }
         self.waiting.retain(|reader| reader.keep_waiting(no_leader, timeout));
-        // A node that is cut off once it knows the index may never apply the log up to it.
+        // A node that is partitioned after it has learned the index may never apply the log up to it.
         self.confirmed.retain(|confirmed| confirmed.reader.keep_waiting(no_leader, timeout));
     }
 
-    /// The answer to a request: a read index, received while this node leads a term, or follows.
+    /// Handles the answer to a request: its read index. `leading_term` is the term that this node leads now, if it does.
+    /// The answer to a request that was given up is ignored.
     pub(super) fn confirm(&mut self, id: &[u8], index: u64, leading_term: Option<u64>) {
-        let Some(request) = self.request.take_if(|request| request.id == id) else { return };
-        // Still the term that the request was sent in: otherwise it may be another leader's answer.
+        let Some(request) = self.in_flight.take_if(|request| request.id == id) else { return };
+        // If the term is another than when the request was sent, this may be the answer of another leader.
         let leading_term = leading_term.filter(|term| request.leading_term == Some(*term));
         let confirmed =
             self.requested.drain(..).map(|reader| ConfirmedReader { reader, index, leading_term });
@@ -96,7 +103,7 @@
         !self.confirmed.is_empty()
     }
 
-    /// Answers the readers whose read index is applied.
+    /// Answers the readers whose read index is applied in `state`. `term` is this node's present one.
     pub(super) fn answer(&mut self, state: &State, term: u64) {
         self.confirmed.retain(|confirmed| {
             let is_applied = confirmed.index <= state.applied_index;
--- a/store/src/wire.rs
+++ b/store/src/wire.rs
@@ -24,13 +24,16 @@
 /// The protocol between the store's nodes and their clients.
 pub const STORE_PROTOCOL: Protocol = Protocol { magic: *b"DVST", version: 1 };
 
-/// The longest message, in bytes: many times what the keys of one lease come to.
+/// The longest message, in bytes. The longest one that can't be split is the change that removes all keys of an ended
+/// lease; it stays far below.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// Keys are sent in parts of about this many bytes.
+/// A list of keys is sent in parts. A part ends with the entry that takes it above this number of bytes.
 pub const PART_BYTES: usize = 256 << 10;
-/// The buffer grows by this many bytes at a time, as they come.
+/// The receive buffer grows by this many bytes at a time, once those before have come.
 const BUFFER_STEP_BYTES: usize = 64 << 10;
+/// The length at the start of a frame, which does not count itself.
 const LENGTH_BYTES: usize = 4;
+/// A hello: four bytes of magic, and the version in two, little-endian.
 const HELLO_BYTES: usize = 6;
 
 /// Why a connection can't be used any more.
@@ -84,7 +87,7 @@
     Ok(())
 }
 
-/// Sends a message.
+/// Sends a message. How long it may take is the write timeout of the socket, which is the caller's.
 ///
 /// # Errors
 /// [`WireError::TooLong`] and [`WireError::Malformed`] where nothing was sent, [`WireError::Io`] where the connection
@@ -119,16 +122,19 @@
     let mut body = Vec::new();
     while body.len() < length {
         let filled = body.len();
-        // A length alone must not cost memory.
+        // A peer must not make this side allocate more than it sends.
         body.resize(length.min(filled + BUFFER_STEP_BYTES), 0);
         read_exact_until(socket, &mut body[filled..], deadline)?;
     }
     match postcard::take_from_bytes(&body)? {
         (message, []) => Ok(message),
+        // Postcard has no error of its own for bytes after the message.
         _ => Err(WireError::Malformed(postcard::Error::SerdeDeCustom)),
     }
 }
 
+/// Fills the buffer by the deadline. The socket's own timeout would begin again with each read, which a peer that sends
+/// one byte at a time could use to hold the connection for ever.
 fn read_exact_until(mut socket: &TcpStream, buffer: &mut [u8], deadline: Instant) -> io::Result<()> {
     let mut filled = 0;
     while filled < buffer.len() {
