--- a/fleet/src/audit_record.rs
+++ b/fleet/src/audit_record.rs
@@ -13,7 +13,8 @@
     serde_json::from_str(text)
 }
 
-/// All batches in a state of the store. One that cannot be read is logged and skipped.
+/// All batches in a state of the store, in the order of their slots, which is not that of their age: the slots are used
+/// in a ring. A batch that cannot be read is logged and skipped, so that it does not hide the others.
 pub fn stored_batches(state: &State) -> Vec<Batch> {
     let parse = |(key, value): (&str, &Value)| match parse_batch(&value.text) {
         Ok(batch) => Some(batch),
--- a/fleet/src/client/exchange.rs
+++ b/fleet/src/client/exchange.rs
@@ -1,4 +1,7 @@
 //! The thread that reports to the leader and applies its answers.
+//!
+//! In a round the router reports to one node after another until one answers as the leader. Where the answer names a newer
+//! version of the fleet document, the router fetches that document and reports once more, for the new version.
 use super::connection::{Connection, ExchangeError, ReceivedDocument};
 use super::shared::{Shared, Wakeup};
 use super::tenants::TenantDirectory;
@@ -13,29 +16,31 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The usual time between two reports.
+/// The usual time between two rounds.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// The shortest time between two reports.
+/// The shortest time between two rounds, even where requests wake the exchange again and again.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(20);
 /// The longest pause after all nodes have failed; each pause is drawn between half of it and all of it.
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
-/// Reports of one round: the second one follows the version that the answer to the first has named.
+/// The most reports to one node in a round: the first may find a newer version, the second confirms it once it is
+/// applied.
 const REPORTS_PER_ROUND: usize = 2;
 
 /// Asks the exchange to return all grants and to end.
 pub(super) struct LeaveRequest {
-    /// Gets a message once that has been tried.
+    /// Gets a message once the exchange has tried to return the grants, whether or not a node has answered.
     pub(super) done: Sender<()>,
 }
 
+/// What the exchange has to know of this router and its fleet.
 pub(super) struct Settings {
     /// Where the store's nodes answer reports.
     pub(super) nodes: Vec<SocketAddr>,
     /// How long a confirmation of the rules holds, in microseconds from before the report was sent.
     pub(super) lease_us: i64,
-    /// The names of the request classes.
+    /// The names of the request classes in this router's own settings.
     pub(super) classes: Vec<String>,
-    /// Seeds the draws of pauses.
+    /// The seed of the backoff's jitter.
     pub(super) seed: u64,
 }
 
@@ -47,22 +52,25 @@
     Lost,
 }
 
-/// What an answered report says.
-struct Confirmation {
+/// A report that the leader has answered.
+struct AnsweredReport {
     /// When the report was made: a lease counts from here.
     reported_at: Time,
     /// The version that is current at the leader.
     current: Version,
 }
 
+/// The state of the exchange's thread.
 pub(super) struct Exchange {
     shared: Arc<Shared>,
     connection: Connection,
+    /// Gets each document's placement rules, and each confirmation that they are the current ones.
     on_placement_news: Box<dyn Fn(News) + Send>,
+    /// The version of the router's member list, which the audit records.
     member_list_version: Box<dyn Fn() -> u64 + Send>,
     lease_us: i64,
     classes: Vec<String>,
-    contact: LeaderContact,
+    logged_contact: LeaderContact,
     /// The version of a store that is behind what this router follows, as it was logged last; 0 for none.
     stale_store_version: Version,
     /// The version whose document this router cannot read, 0 for none: it is not asked for again.
@@ -84,7 +92,7 @@
             member_list_version,
             lease_us: settings.lease_us,
             classes: settings.classes,
-            contact: LeaderContact::NeverTried,
+            logged_contact: LeaderContact::NeverTried,
             stale_store_version: 0,
             unreadable_version: 0,
             random: fastrand::Rng::with_seed(settings.seed),
@@ -93,8 +101,8 @@
 
     /// Reports until a leave request comes or all clients of the fleet are dropped.
     pub(super) fn run(mut self, wakeups: &Receiver<Wakeup>, leave_requests: &Receiver<LeaveRequest>) {
-        let mut last = Instant::now();
-        let mut due = last;
+        let mut round_began = Instant::now();
+        let mut due = round_began;
         loop {
             select! {
                 recv(leave_requests) -> request => {
@@ -103,13 +111,14 @@
                     return;
                 }
                 recv(wakeups) -> _ => {
-                    std::thread::sleep((last + MIN_REPORT_INTERVAL).saturating_duration_since(Instant::now()));
+                    let earliest = round_began + MIN_REPORT_INTERVAL;
+                    std::thread::sleep(earliest.saturating_duration_since(Instant::now()));
                 }
                 default(due.saturating_duration_since(Instant::now())) => {}
             }
-            last = Instant::now();
-            due = last + REPORT_INTERVAL;
-            if !self.round() {
+            round_began = Instant::now();
+            due = round_began + REPORT_INTERVAL;
+            if !self.run_round() {
                 due = Instant::now() + self.draw_backoff();
             }
         }
@@ -120,9 +129,10 @@
         Duration::from_micros(self.random.u64(longest_us / 2..=longest_us))
     }
 
-    /// Tries the nodes in turn, first the one that answered last. Returns whether one answered.
-    fn round(&mut self) -> bool {
+    /// Tries the nodes in turn, first the one that answered last. Returns whether one answered as the leader.
+    fn run_round(&mut self) -> bool {
         let mut last_failure = String::new();
+        // Nodes that have failed in this round, other than by naming another leader.
         let mut silent = BTreeSet::new();
         // One more than there are nodes: a node may name as the leader one that was tried before it.
         for _ in 0..=self.connection.node_count() {
@@ -138,20 +148,20 @@
             last_failure = format!("{node}: {error}");
             self.connection.fail_over(&error, &mut silent);
         }
-        // The lease may be over by now, whether or not a request asks.
+        // The lease may be over by now. The check logs it, even where no request comes that would be rejected.
         _ = self.shared.check_fence();
         self.log_lost(&last_failure);
         false
     }
 
     fn log_reached(&mut self, node: SocketAddr) {
-        if std::mem::replace(&mut self.contact, LeaderContact::Reached) != LeaderContact::Reached {
+        if std::mem::replace(&mut self.logged_contact, LeaderContact::Reached) != LeaderContact::Reached {
             tracing::info!(%node, "leader answers fleet reports");
         }
     }
 
     fn log_lost(&mut self, last_failure: &str) {
-        if std::mem::replace(&mut self.contact, LeaderContact::Lost) != LeaderContact::Lost {
+        if std::mem::replace(&mut self.logged_contact, LeaderContact::Lost) != LeaderContact::Lost {
             tracing::warn!(
                 error = last_failure,
                 "no leader answers fleet reports, quota grants expire; check that a majority of the store runs"
@@ -162,11 +172,10 @@
     /// Reports to the node in use, and follows the version that its answer names.
     fn report_and_follow(&mut self) -> Result<(), ExchangeError> {
         for _ in 0..REPORTS_PER_ROUND {
-            let Confirmation { reported_at, current } = self.report()?;
+            let AnsweredReport { reported_at, current } = self.report()?;
             match self.shared.followed_version() {
                 Some(followed) if followed == current => {
-                    let until = Time(reported_at.0.saturating_add(self.lease_us));
-                    (self.on_placement_news)(News::Confirmed { until });
+                    self.confirm_placement(reported_at);
                     return Ok(());
                 }
                 Some(followed) if followed > current => {
@@ -174,12 +183,19 @@
                     return Ok(());
                 }
                 _ if current > 0 && current == self.unreadable_version => return Ok(()),
+                // The router follows an older version or none.
                 _ => self.follow()?,
             }
         }
         Ok(())
     }
 
+    /// The placement rules are the current ones for a lease from the report on.
+    fn confirm_placement(&self, reported_at: Time) {
+        let until = Time(reported_at.0.saturating_add(self.lease_us));
+        (self.on_placement_news)(News::Confirmed { until });
+    }
+
     fn log_stale_store(&mut self, version: Version, followed: Version) {
         if std::mem::replace(&mut self.stale_store_version, version) != version {
             tracing::error!(
@@ -191,16 +207,19 @@
         }
     }
 
-    /// One report and its answer.
-    fn report(&mut self) -> Result<Confirmation, ExchangeError> {
-        // Connected first, so that a lease does not count the time that this takes.
+    /// Sends one report and applies its answer.
+    fn report(&mut self) -> Result<AnsweredReport, ExchangeError> {
+        // Connected first: a lease counts from the report, and must not lose the time that connecting takes.
         self.connection.open()?;
         let (reported_at, quota_report) =
             self.shared.with_quota_client(|quotas, now| (now, quotas.report(now)));
         let (seq, incarnation, reported) = (quota_report.seq, quota_report.incarnation, quota_report.version);
-        let members = &self.member_list_version;
-        let version_report =
-            self.shared.with_fence(|fence, _| fence.report(reported_at, members())).unwrap_or_default();
+        let member_list_version = &self.member_list_version;
+        // A router without the audit's fence reports default values.
+        let version_report = self
+            .shared
+            .with_fence(|fence, _| fence.report(reported_at, member_list_version()))
+            .unwrap_or_default();
         let request = Request::Report { quota_report, version_report };
         let (response, directive) = match self.connection.request(&request)? {
             Response::Report { quota_response: response, audit_directive: directive }
@@ -213,51 +232,52 @@
         };
         let current = response.version;
         self.shared.with_quota_client(|quotas, now| quotas.handle_response(now, response));
-        self.apply_directive(reported_at, reported, current, directive);
-        Ok(Confirmation { reported_at, current })
-    }
-
-    /// Applies what the leader's audit demands of this router.
-    fn apply_directive(
-        &mut self,
-        reported_at: Time,
-        reported: Version,
-        current: Version,
-        directive: audit::Directive,
-    ) {
-        let answer = audit::LeaderAnswer {
+        self.apply_audit_answer(&audit::LeaderAnswer {
             report_sent_at: reported_at,
             reported_version: reported,
             current_version: current,
             directive,
-        };
-        let changed = self.shared.with_fence(|fence, now| fence.answer_received(now, &answer));
-        if changed.is_none() {
+        });
+        Ok(AnsweredReport { reported_at, current })
+    }
+
+    /// Applies what the leader's audit demands of this router, if the audit is on.
+    fn apply_audit_answer(&mut self, answer: &audit::LeaderAnswer) {
+        let is_audited = self.shared.with_fence(|fence, now| fence.answer_received(now, answer)).is_some();
+        if !is_audited {
             return;
         }
-        if matches!(directive, audit::Directive::Refetch { .. }) {
-            // Even a version that could not be read: it may have been damaged in transit.
+        if matches!(answer.directive, audit::Directive::Refetch { .. }) {
+            // A version that could not be read is fetched again too: it may have been damaged in transit.
             self.unreadable_version = 0;
             tracing::warn!(
-                version = reported,
-                current,
+                version = answer.reported_version,
+                current = answer.current_version,
                 "the leader asks to fetch the fleet document again, this router lags; check the log lines before"
             );
         }
+        // Logs where the answer has fenced the router or lifted its fence.
         _ = self.shared.check_fence();
     }
 
-    /// Fetches the document and applies it where it is newer than the one followed.
+    /// Fetches the document and applies it where it is newer than the one followed. One that this router cannot read is
+    /// logged, and not fetched again unless the audit asks for it.
     fn follow(&mut self) -> Result<(), ExchangeError> {
         let ReceivedDocument { version, bytes } = self.connection.fetch_document()?;
         if self.shared.followed_version().is_some_and(|followed| followed >= version) {
             return Ok(());
         }
         let text = String::from_utf8(bytes).map_err(|_| ExchangeError::UnexpectedResponse)?;
-        let fleet = match settings::fleet::read(&text, None) {
-            // Without a document there are no tenants, and nothing is limited.
-            _ if version == 0 => Fleet::default(),
-            Ok(fleet) => fleet,
+        if version == 0 {
+            // The store has no document: there are no tenants, and nothing is limited.
+            self.apply(version, Arc::new(Fleet::default()));
+            return Ok(());
+        }
+        match settings::fleet::read(&text, None) {
+            Ok(fleet) => {
+                self.warn_of_unknown_class(version, &fleet);
+                self.apply(version, Arc::new(fleet));
+            }
             Err(error) => {
                 self.unreadable_version = version;
                 tracing::error!(
@@ -265,18 +285,17 @@
                     %error,
                     "fleet document unreadable, quota grants expire; update this router"
                 );
-                return Ok(());
             }
-        };
-        self.warn_of_unknown_class(version, &fleet);
-        self.apply(version, Arc::new(fleet));
+        }
         Ok(())
     }
 
+    /// Logs a request class in the document's placement rules that this router does not have: a rule for it never applies
+    /// here.
     fn warn_of_unknown_class(&self, version: Version, fleet: &Fleet) {
-        let rules = fleet.tenants.values().flat_map(|tenant| &tenant.places);
-        let mut named = rules.filter_map(|rule| rule.classes.as_ref()).flatten();
-        if let Some(class) = named.find(|class| !self.classes.contains(class)) {
+        let placement_rules = fleet.tenants.values().flat_map(|tenant| &tenant.places);
+        let mut named_classes = placement_rules.filter_map(|rule| rule.classes.as_ref()).flatten();
+        if let Some(class) = named_classes.find(|class| !self.classes.contains(class)) {
             tracing::warn!(
                 version,
                 class,
@@ -285,8 +304,9 @@
         }
     }
 
+    /// Makes a document the one that this router follows.
     fn apply(&self, version: Version, fleet: Arc<Fleet>) {
-        // Rules before anything else: what is admitted by the new version must be bound by it.
+        // Placement rules first: a request that is admitted under the new version must be placed by its rules.
         (self.on_placement_news)(News::Rules { version, fleet: fleet.clone() });
         if version > 0 {
             self.shared.with_quota_client(|quotas, now| quotas.apply_config(now, version, &fleet));
@@ -298,12 +318,13 @@
         tracing::info!(version, tenants, "fleet document followed");
     }
 
-    /// Returns all grants. The answer says that the node has them; without it, they expire before others get them.
+    /// Returns all grants, so that the leader may grant them to other routers at once. Where no answer comes, the leader
+    /// waits until they have expired.
     fn leave(&mut self) {
         let quota_report = self.shared.with_quota_client(QuotaClient::release_all);
-        let members = &self.member_list_version;
+        let member_list_version = &self.member_list_version;
         let version_report =
-            self.shared.with_fence(|fence, now| fence.report(now, members())).unwrap_or_default();
+            self.shared.with_fence(|fence, now| fence.report(now, member_list_version())).unwrap_or_default();
         match self.connection.request(&Request::Report { quota_report, version_report }) {
             Ok(_) => tracing::info!("left the fleet, quota grants returned"),
             Err(error) => {
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,8 +1,9 @@
-//! What joins the routers of one fleet: a common configuration, quotas for all of them together, and an audit.
+//! What joins the routers of one fleet: a common configuration, quotas for all of them together, and an audit of which
+//! version of the configuration each router serves by.
 //!
 //! - [`document`] keeps the fleet's configuration in the replicated store as one versioned document.
-//! - [`client`] runs in each router. A thread reports to the store's leader every 200 ms and follows the document;
-//!   requests are admitted or rejected locally, without I/O.
+//! - [`client`] runs in each router. A thread reports to the store's leader every 200 ms, and fetches and applies each new
+//!   version of the document; requests are admitted or rejected locally, without I/O.
 //! - [`service`] runs on each node of the store. While the node is the leader it answers the routers' reports with
 //!   quota grants, and writes the audit's record.
 //! - [`audit_record`] reads that record back.
