--- a/quotas/src/allocator/silence.rs
+++ b/quotas/src/allocator/silence.rs
@@ -1,18 +1,24 @@
 //! When the silence of routers with sparse demand means that their demand has ended.
+//!
+//! A router reports no demand once it has had no request for about a second. Where its demand is a request in a few
+//! seconds, that is often chance, and to end the demand each time would take its grant away again and again. Requests are
+//! modelled as a Poisson process: the probability that a router has none for a time is `exp(-rate * time)`.
 use super::allocation::{DemandAllocation, RouterPart};
 use crate::grant::MICROTOKENS_PER_TOKEN;
 use crate::time::{after, elapsed};
 use decision::{Micros, Time};
 
-/// How long a router that reports no demand has been silent at least, microseconds, unless reports before their usual
-/// time have shortened it.
+/// How long a router has had no request at least when it first reports no demand, microseconds. The client counts five
+/// intervals of about 200 ms; early reports may make them a little shorter than this.
 const MIN_SILENCE: Micros = 900_000;
-/// How often silence is checked, microseconds.
+/// The shortest time between two checks for silence, microseconds.
 const CHECK_INTERVAL: Micros = MIN_SILENCE / 8;
-/// For how long all silent routers are taken to have no demand, microseconds.
+/// For how long, after too many routers were found silent, the demand of each silent router ends, microseconds.
 const END_DURATION: Micros = MIN_SILENCE / 2 * 3;
-/// A router's demand has ended once this many requests were expected in its silence.
+/// A router's demand has ended once more requests than this were expected in its silence.
 const MAX_EXPECTED_IN_SILENCE: f64 = 4.0;
+/// More silent routers than expected by this many standard deviations and one are too many for chance.
+const TOO_MANY_DEVIATIONS: f64 = 4.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
 impl DemandAllocation {
@@ -26,7 +32,8 @@
         if self.too_many_silent() {
             self.silence_ends_demand_until = after(now, END_DURATION);
         }
-        // The last of those that fall silent are too few to tell by themselves.
+        // Routers whose demand ends together are found silent one after another. Once the demand of the first ones is
+        // ended, the last ones would be too few to be more than chance.
         let all_end = now < self.silence_ends_demand_until;
         for position in 0..self.parts.len() {
             let part = &self.parts[position];
@@ -38,7 +45,8 @@
         }
     }
 
-    /// Whether more routers are silent than chance explains: four standard deviations above the expected number, and one.
+    /// Whether more routers are silent than chance explains. The expected number is the sum of each router's probability to
+    /// be silent, and its variance the sum of theirs.
     fn too_many_silent(&self) -> bool {
         let (mut expected, mut variance) = (0.0, 0.0);
         for part in self.parts.iter().filter(|part| part.demand > 0) {
@@ -47,7 +55,7 @@
             variance += probability * (1.0 - probability);
         }
         let silent = self.parts.iter().filter(|part| part.silent_since.is_some()).count() as f64;
-        silent > expected + 4.0 * f64::sqrt(variance) + 1.0
+        silent > expected + TOO_MANY_DEVIATIONS * f64::sqrt(variance) + 1.0
     }
 }
 
--- a/quotas/src/client/demand.rs
+++ b/quotas/src/client/demand.rs
@@ -1,7 +1,10 @@
 //! How a client measures demand, and which of it a report states.
 //!
-//! Requests are counted in intervals; one ends with the first report after [`MIN_INTERVAL`]. Demand is averaged over all
-//! intervals since it last changed by more than chance explains, at most over [`INTERVALS`].
+//! Requests are counted in intervals. An interval ends with the first report that is made [`MIN_INTERVAL`] or more after it
+//! began: usually each report, 200 ms after the one before. Demand is averaged over all intervals since it last changed by
+//! more than chance explains, at most over [`INTERVALS`].
+//!
+//! Chance means that of a Poisson process, whose count has the expected count as its variance.
 use super::QuotaClient;
 use super::tenant::TenantState;
 use crate::grant::{MAX_RATE, MICROTOKENS_PER_TOKEN};
@@ -9,26 +12,34 @@
 use crate::time::{LONG_PAST, elapsed};
 use decision::{Micros, Time};
 
-/// Intervals in the longest time over which demand is averaged, about 8 s.
+/// The number of intervals in the longest time over which demand is averaged, about 8 s.
 pub(super) const INTERVALS: usize = 40;
 /// The numbers of latest intervals in which a change of demand is looked for, the shortest first.
 const RECENT_INTERVALS: [usize; 4] = [2, 5, 10, 20];
 /// The number of latest intervals, about 1 s, without a request of which a tenant is reported as silent.
 const SILENT_INTERVALS: usize = RECENT_INTERVALS[1];
-/// The shortest interval, microseconds: reports before their usual time do not end one.
+/// The shortest interval, microseconds: an early report does not end one.
 const MIN_INTERVAL: Micros = 150_000;
-/// Above this expected count of requests, their absence is a change of demand.
+/// Above this expected count of requests, their absence is a change of demand: by chance a Poisson count that is expected
+/// to be 4 is 0 in fewer than one of 50 cases.
 const MIN_EXPECTED_FOR_SILENCE: f64 = 4.0;
-/// A change of reported demand by more than one part in this many is reported.
+/// A rise of demand is a change above this many standard deviations and [`MIN_RISE`].
+const RISE_DEVIATIONS: f64 = 4.0;
+/// Requests, so that one or two more are no change where hardly any are expected.
+const MIN_RISE: f64 = 2.0;
+/// A count differs by chance by at most this many standard deviations and one request.
+const CHANCE_DEVIATIONS: f64 = 3.0;
+/// Demand is reported again once it differs from the reported one by more than one part in this many.
 const REPORTED_CHANGE_PARTS: u64 = 4;
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// A rate of one microtoken per second over one microsecond, as parts of a token.
-const RATE_UNITS_PER_TOKEN: f64 = 1e12;
+/// A rate in microtokens per second, times a duration in microseconds, gives picotokens.
+const PICOTOKENS_PER_TOKEN: f64 = 1e12;
 
-/// When the intervals began. They form a ring, the same for all tenants.
+/// When the latest intervals began. They form a ring, the same for all tenants.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct DemandWindow {
     begins: [Time; INTERVALS],
+    /// The position in the ring of the interval that is counted in now.
     current: usize,
 }
 
@@ -49,15 +60,17 @@
         (self.current + INTERVALS + 1 - age) % INTERVALS
     }
 
+    /// The position of the oldest interval, which the next one replaces.
     fn next(&self) -> usize {
         (self.current + 1) % INTERVALS
     }
 
-    /// The time covered by the latest `count` intervals.
+    /// The time covered by the latest `count` intervals, microseconds, at least [`MIN_INTERVAL`]: rates are divided by it.
     fn duration(&self, now: Time, count: usize) -> Micros {
         elapsed(self.begins[self.position(count)], now).max(MIN_INTERVAL)
     }
 
+    /// At the first report, lets all intervals begin a shortest interval ago.
     fn begin_if_new(&mut self, now: Time) {
         if self.begins[self.current] == LONG_PAST {
             self.begins = [Time(now.0.saturating_sub(MIN_INTERVAL)); INTERVALS];
@@ -121,18 +134,19 @@
         self.averaged_intervals = self.intervals_since_change(context);
         let rate = self.reportable_demand(context);
         let starts_or_ends = (rate == 0) != (self.reported_demand == 0);
-        let changed = rate.abs_diff(self.reported_demand) > self.reported_demand / REPORTED_CHANGE_PARTS;
-        // The allocator forgets a tenant that has gone back to reserved shares.
-        let forgotten = self.shed_since_report && self.by_demand.is_none() && rate > 0;
-        let restated = context.full && self.reported_demand > 0;
+        let has_changed = rate.abs_diff(self.reported_demand) > self.reported_demand / REPORTED_CHANGE_PARTS;
+        // The allocator has forgotten the demand of a tenant that went back to reserved shares.
+        let is_forgotten = self.shed_since_report && self.by_demand.is_none() && rate > 0;
+        let is_full_report = context.full && self.reported_demand > 0;
         self.shed_since_report = false;
-        if !(starts_or_ends || changed || forgotten || restated) {
+        if !(starts_or_ends || has_changed || is_forgotten || is_full_report) {
             return None;
         }
         self.reported_demand = rate;
         Some(TenantDemand { tenant: self.name.clone(), rate })
     }
 
+    /// Begins to count in the interval at a position of the ring.
     fn begin_interval(&mut self, position: usize) {
         self.averaged_intervals += 1;
         self.request_counts[position] = 0;
@@ -143,15 +157,16 @@
         (1..=count).map(|age| u64::from(self.request_counts[window.position(age)])).sum()
     }
 
-    /// The number of intervals over which demand has not changed by more than chance.
+    /// The number of latest intervals over which demand has not changed by more than chance explains: those averaged so
+    /// far, or the fewest recent ones whose count is not what the longer average lets expect.
     fn intervals_since_change(&self, context: ReportContext<'_>) -> usize {
         let ReportContext { now, window, .. } = context;
         let steady = self.averaged_intervals.clamp(RECENT_INTERVALS[0], INTERVALS);
         let steady_requests = self.requests(window, steady) as f64;
         let has_changed = |recent: usize| {
-            let usual =
+            let expected =
                 steady_requests * window.duration(now, recent) as f64 / window.duration(now, steady) as f64;
-            is_change(usual, self.requests(window, recent))
+            is_change(expected, self.requests(window, recent))
         };
         RECENT_INTERVALS.into_iter().find(|&recent| recent < steady && has_changed(recent)).unwrap_or(steady)
     }
@@ -161,19 +176,19 @@
     fn reportable_demand(&self, context: ReportContext<'_>) -> u64 {
         let ReportContext { now, window, .. } = context;
         let rate = self.average_rate(now, window);
-        let lacks_token = self.shed_since_report && self.reserved.capacity < MICROTOKENS_PER_TOKEN;
+        let never_holds_token = self.shed_since_report && self.reserved.capacity < MICROTOKENS_PER_TOKEN;
         let is_short = self.shed_since_report || !self.granted_bucket.has_token();
         let exceeds = |count| self.exceeds_reserved_share(now, window, count);
-        let beyond = self.by_demand.is_some()
-            || lacks_token
+        let is_beyond_share = self.by_demand.is_some()
+            || never_holds_token
             || (self.reported_demand > 0 && rate > self.reserved.rate)
             || (is_short && (exceeds(SILENT_INTERVALS) || exceeds(INTERVALS)));
-        // The allocator knows from how many routers are silent whether this is chance.
-        let silent = self.requests(window, SILENT_INTERVALS) == 0;
-        if beyond && !context.released && !silent { rate } else { 0 }
+        // Silence is reported even where it may be chance: the allocator, which sees all routers, decides that.
+        let is_silent = self.requests(window, SILENT_INTERVALS) == 0;
+        if is_beyond_share && !context.released && !is_silent { rate } else { 0 }
     }
 
-    /// Requests per second, in microtokens, averaged since demand last changed.
+    /// The demand averaged since it last changed, microtokens per second: a request takes a whole token.
     fn average_rate(&self, now: Time, window: &DemandWindow) -> u64 {
         let requests = u128::from(self.requests(window, self.averaged_intervals));
         let micros = window.duration(now, self.averaged_intervals) as u128;
@@ -183,21 +198,21 @@
 
     /// Whether the requests of the latest `count` intervals exceed the reserved share by more than chance.
     fn exceeds_reserved_share(&self, now: Time, window: &DemandWindow, count: usize) -> bool {
-        let expected = self.reserved.rate as f64 * window.duration(now, count) as f64 / RATE_UNITS_PER_TOKEN;
+        let expected = self.reserved.rate as f64 * window.duration(now, count) as f64 / PICOTOKENS_PER_TOKEN;
         self.requests(window, count) as f64 > expected + chance_deviation(expected)
     }
 }
 
-/// Whether `recent` requests, where `usual` are expected, are a change rather than chance.
-fn is_change(usual: f64, recent: u64) -> bool {
-    let stops = recent == 0 && usual > MIN_EXPECTED_FOR_SILENCE;
-    let recent = recent as f64;
-    let rises = recent > usual + 4.0 * usual.sqrt() + 2.0;
-    let falls = usual > recent + chance_deviation(usual);
+/// Whether `counted` requests, where `expected` are expected, are a change of demand rather than chance.
+fn is_change(expected: f64, counted: u64) -> bool {
+    let stops = counted == 0 && expected > MIN_EXPECTED_FOR_SILENCE;
+    let counted = counted as f64;
+    let rises = counted > expected + RISE_DEVIATIONS * expected.sqrt() + MIN_RISE;
+    let falls = expected > counted + chance_deviation(expected);
     stops || rises || falls
 }
 
-/// By how much a count may differ from the expected one by chance: three standard deviations of a Poisson count and one.
+/// By how many requests a count may differ from the expected one by chance.
 fn chance_deviation(expected: f64) -> f64 {
-    3.0 * expected.sqrt() + 1.0
+    CHANCE_DEVIATIONS * expected.sqrt() + 1.0
 }
--- a/quotas/src/lib.rs
+++ b/quotas/src/lib.rs
@@ -1,6 +1,6 @@
 //! Tenants' quotas for a whole fleet of routers: two state machines and the messages between them.
 //!
-//! Each router has a [`QuotaClient`], which admits or sheds requests from local token buckets, without asking anyone.
+//! Each router has a [`QuotaClient`], which admits or sheds requests from local token buckets, without I/O.
 //! One node, the leader of the store, has the [`Allocator`], which grants the clients shares of each tenant's rate and
 //! burst. A client sends a [`Report`] every 200 ms and gets a [`GrantResponse`]; nothing of it is stored on disk.
 //!
@@ -28,12 +28,16 @@
 //!
 //! # Distribution
 //!
+//! A quota with [`OnLoss::Share`](::settings::fleet::OnLoss::Share) first gives a part of itself to fixed shares, one for
+//! each slot that a router may have in its settings. A router uses its fixed share without a grant, so also while the store
+//! is lost. The rest of the quota is granted as follows.
+//!
 //! Each router has a reserved share of every quota: an equal part ([`ReservedShare`]). A tenant with demand beyond it at
-//! some router is allocated by demand. Where there is capacity, the reserved shares stay. Otherwise those of routers
-//! without demand are reclaimed in eighths, as many as are needed, and the quota is shared max-min fair among the routers
-//! with demand. Each router keeps the capacity of its reserved share except for what others need for rates far above
-//! theirs, and one token where there is one for each. Once no router has demand beyond its reserved share, the shares
-//! return.
+//! some router is allocated by demand. Where what such routers want fits beside the reserved shares of the others, those
+//! stay. Otherwise the reserved shares of routers without demand are reclaimed in eighths, as many as are needed, and the
+//! quota is shared max-min fair among the routers with demand. Each router keeps the capacity of its reserved share except for what others need for rates far
+//! above theirs. Where the burst has a token for each router, each keeps at least one. Once no router has demand beyond its
+//! reserved share, the reserved shares return.
 //!
 //! # Demand
 //!
@@ -60,7 +64,6 @@
 mod messages;
 mod settings;
 mod time;
-
 mod validate;
 
 pub use self::settings::{InjectedFault, InvalidSettings, Settings};
