--- a/audit/src/exchange.rs
+++ b/audit/src/exchange.rs
@@ -1,5 +1,9 @@
 //! Messages between routers and the leader. They travel in postcard, which carries neither field nor variant names: their
 //! order and types are the wire format.
+//!
+//! An epoch is a number that the leader gives a router when it fences it out. The router returns the highest epoch that it
+//! has received with each report, so that the leader can tell whether the router knows of its latest fencing. A router that
+//! was never fenced out has epoch 0.
 use decision::Micros;
 use serde::{Deserialize, Serialize};
 
--- a/audit/src/settings.rs
+++ b/audit/src/settings.rs
@@ -1,23 +1,25 @@
-//! Limits and intervals of the [`VersionTracker`](crate::VersionTracker).
+//! Limits and intervals of the [`VersionTracker`](crate::VersionTracker). The operator sets how far a router may lag; the
+//! constants here are the same for every fleet.
 use crate::RING_SLOTS;
 use ::settings::fleet::Audit;
 use decision::Micros;
 
 const MICROS_PER_MS: Micros = 1000;
-/// Longest time between two notifications of one router.
+/// Longest time between two notifications of one router, in microseconds like all times here.
 const NOTIFICATION_INTERVAL: Micros = 300 * MICROS_PER_MS;
-/// A router that has been silent for an hour is forgotten.
+/// After this time, an hour, a silent router is forgotten: its entries are no longer carried over in the record.
 const FORGET_AFTER: Micros = 3_600_000 * MICROS_PER_MS;
-/// At most one batch a second is written while there is something to write.
+/// Shortest time between two writes of the record while there is something to write.
 const MIN_WRITE_INTERVAL: Micros = 1000 * MICROS_PER_MS;
 /// An empty batch is written this often while there is nothing to write.
 const HEARTBEAT_INTERVAL: Micros = 5000 * MICROS_PER_MS;
+/// The most entries of one router that wait for a write: a router whose state changes all the time must not fill the queue.
 const MAX_PENDING_PER_ROUTER: usize = 8;
 
 /// Limits and intervals of the tracker; all times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// A router that has lagged for this long is notified to fetch the current document.
+    /// A router that has held another than the current version for this long is notified to fetch the current document.
     pub max_lag: Micros,
     /// A router that lags by more versions than this is notified at once.
     pub max_lag_versions: u32,
@@ -34,9 +36,9 @@
     pub min_write_interval: Micros,
     /// A batch is written this often even with no new entry, so that readers see that the audit is alive.
     pub heartbeat_interval: Micros,
-    /// Entries of one router that wait for a write, at most.
+    /// The most entries of one router that wait for a write; the oldest one makes room for another.
     pub max_pending_per_router: usize,
-    /// Batches that the store keeps.
+    /// Number of batches that the store keeps: each new one replaces the oldest.
     pub ring_slots: u64,
     /// Seed of the notification intervals' jitter.
     pub jitter_seed: u64,
