--- a/maintenance/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -1,13 +1,16 @@
 //! Instances that operators put in maintenance, and the drain of the router.
 //!
+//! An instance is a database server, named by its id in the endpoint list. While it is in maintenance it receives nothing
+//! new; once restored it warms up like one that has just started. A drain ends the whole router's service gracefully.
+//!
 //! - [`Machine`] is the state machine: it decides which instances are in maintenance, whether the router drains, and how
 //!   each command is answered. It does no I/O and reads no clock.
 //! - [`StateFile`] stores that [`State`] across a kill and an upgrade. The old and the new process of one router share
 //!   it.
-//! - [`ProcessPresence`] tells how many of these processes are alive.
+//! - [`ProcessPresence`] counts how many of these processes are alive, and how many of them are ready for clients.
 //!
-//! All times in the file must come from one clock that both processes share: the wall clock, or one that counts from the
-//! start of the host.
+//! All times are in microseconds. Those in the file must come from one clock that both processes share: the wall clock,
+//! or one that counts from the start of the host.
 //!
 //! A command is applied while the file is locked, and to a copy of the machine. If the write fails the copy is dropped:
 //! a revision that was never stored must not hide the one that the other process stores under the same number.
--- a/maintenance/src/state_file.rs
+++ b/maintenance/src/state_file.rs
@@ -15,6 +15,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
+/// The package's former name. It stays: a process of an earlier version may share the folder during an upgrade.
 const FILE_NAME: &str = "damsonvale-holds";
 /// Readable and writable by the router's user alone.
 const FILE_MODE: u32 = 0o600;
@@ -22,6 +23,7 @@
 pub(crate) const MAX_FILE_BYTES: usize = 1 << 20;
 /// How long a lock is waited for. Its holder needs a few syncs; a holder that is stopped must not stop this process too.
 pub(crate) const LOCK_TIMEOUT: Duration = Duration::from_millis(200);
+/// `flock` waits without a time limit or not at all, so a lock that is taken is tried again at this interval.
 const LOCK_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Identifies one version of the file on the disk.
@@ -58,6 +60,8 @@
     folder: PathBuf,
     path: PathBuf,
     lock_path: PathBuf,
+    /// In a cell, as [`LockedStateFile`] changes it through a shared reference. `None` before the first
+    /// read, while there is no file, and after a failed read or write.
     known: RefCell<Option<KnownVersion>>,
 }
 
@@ -188,6 +192,8 @@
         Ok(())
     }
 
+    /// Renames a file that cannot be used, so that an operator can look at it; one moved aside before is replaced. The
+    /// result says which of the two happened: moved aside, or that this failed too.
     fn move_aside(&self, reason: UnusableReason) -> SharedFolderError {
         let path = self.file.path.clone();
         let moved_to = self.file.folder.join(format!("{FILE_NAME}.refused"));
--- a/maintenance/src/state_file/encoding.rs
+++ b/maintenance/src/state_file/encoding.rs
@@ -6,11 +6,12 @@
 use std::cmp::Ordering;
 use std::path::Path;
 
+/// Marks a state file. The word is the package's former name, which every stored file begins with.
 const MAGIC: &[u8; 8] = b"dvholds\n";
 /// The version that this program writes, and the only one that it reads.
 pub(crate) const FORMAT_VERSION: u32 = 1;
 /// Magic, version, length and checksum.
-const HEADER_BYTES: usize = 20;
+const HEADER_BYTES: usize = MAGIC.len() + 3 * size_of::<u32>();
 
 /// The bytes of the file at `path` for this state.
 pub(super) fn encode(state: &State, path: &Path) -> Result<Vec<u8>, SharedFolderError> {
@@ -22,6 +23,7 @@
     }
     let mut encoded = Vec::with_capacity(file_bytes);
     encoded.extend_from_slice(MAGIC);
+    // The length fits: it is below `MAX_FILE_BYTES`.
     for number in [FORMAT_VERSION, body.len() as u32, crc32fast::hash(&body)] {
         encoded.extend_from_slice(&number.to_le_bytes());
     }
@@ -29,7 +31,8 @@
     Ok(encoded)
 }
 
-/// The state in the bytes of a file.
+/// The state in the bytes of a file. A file that ends early is `Truncated`, also one that ends within the magic; one
+/// that goes on behind its body was not written by this package.
 pub(super) fn decode(bytes: &[u8]) -> Result<State, UnusableReason> {
     let (magic, rest) = bytes.split_at(bytes.len().min(MAGIC.len()));
     if !MAGIC.starts_with(magic) {
@@ -55,6 +58,7 @@
     }
 }
 
+/// Splits a 32-bit little-endian number off the front.
 fn split_number(bytes: &[u8]) -> Result<(u32, &[u8]), UnusableReason> {
     let (number, rest) = bytes.split_first_chunk::<4>().ok_or(UnusableReason::Truncated)?;
     Ok((u32::from_le_bytes(*number), rest))
