--- a/admin/src/handler.rs
+++ b/admin/src/handler.rs
@@ -10,7 +10,8 @@
     fn handle(&self, command: Command) -> Response;
 }
 
-/// A command that panics in its handler fails alone and does not end the server.
+/// Hands a command to its handler. If the handler panics, that command alone is rejected: the server's only thread goes
+/// on.
 pub(crate) fn handle_or_report_panic(handler: &dyn AdminHandler, command: Command) -> Response {
     catch_unwind(AssertUnwindSafe(|| handler.handle(command))).unwrap_or_else(|_| {
         Response::Rejected(
--- a/admin/src/response.rs
+++ b/admin/src/response.rs
@@ -1,13 +1,13 @@
-//! The answer to a command.
+//! The response to a command, and its bytes.
 
-/// What is sent back.
+/// What is sent back to the operator; the server closes the connection after it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
     /// The command was carried out: `200 text`.
     Done(String),
     /// The command was not carried out, and why: `400 text`.
     Rejected(String),
-    /// Metrics, one a line; a line `EOF` follows them.
+    /// The text of the metrics, one a line, without a status line before them; a line `EOF` follows them.
     Metrics(String),
 }
 
@@ -29,6 +29,7 @@
     }
 }
 
+/// One line: the code, with the space behind it, and the escaped text.
 fn status_line(code: &str, text: &str) -> Vec<u8> {
     let mut line = String::from(code);
     for c in text.chars() {
--- a/admin/src/service.rs
+++ b/admin/src/service.rs
@@ -26,15 +26,16 @@
     pub metrics: Arc<Metrics>,
     /// The endpoint list, which shows instances in maintenance as draining.
     pub endpoints: EndpointsHandle,
-    /// Orders to the clients' front: drains, and which other processes serve.
+    /// Orders to the client listener: to drain, and how many processes of this router there are.
     pub client_orders: Sender<Order>,
-    /// Sets whether the front answers its readiness probe as draining. It takes effect before `PAUSE` is answered.
+    /// Sets whether the client listener answers readiness probes as draining (`true`). It takes effect before `PAUSE` is
+    /// answered.
     pub set_draining: Box<dyn Fn(bool) + Send>,
-    /// Whether clients are accepted.
+    /// Whether this process accepts clients; without it `STATUS` is rejected.
     pub accepting: Arc<AtomicBool>,
-    /// Tells the core how many processes serve as this router.
+    /// Sets how many processes, this one included, share what this router may use.
     pub set_process_count: Box<dyn Fn(u32) + Send>,
-    /// The clock of maintenance times, the same in all processes: Unix time.
+    /// The clock of maintenance times, the same in all processes of this router: Unix time.
     pub clock: Clock,
     /// The router's limits.
     pub limits: Arc<Limits>,
@@ -68,6 +69,8 @@
         };
         let interval = limits.holds_look;
         if !alone {
+            // The others count the processes once an interval: two give them the time to see this one and to reduce
+            // their use.
             std::thread::sleep(2 * interval);
         }
         spawn(SYNC_THREAD_NAME, limits.stack_bytes, move || {
@@ -96,6 +99,7 @@
         let mut coordinator = self.coordinator();
         let text = command.to_string();
         let event = match command {
+            // These two change nothing, so they are not logged.
             Command::Status => return coordinator.status(),
             Command::Metrics => return coordinator.metrics(),
             Command::Suspend(id) => Event::Suspend(id),
--- a/admin/src/service/coordinator.rs
+++ b/admin/src/service/coordinator.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Counts the router's other processes, and tells the core and the clients if their number has changed.
+    /// Counts the router's other processes, and notifies the core and the client listener if their number has changed.
     pub(super) fn update_process_count(&mut self) {
         let Some(shared) = &mut self.shared else { return };
         if self.dependencies.accepting.load(Ordering::Acquire) {
