--- a/decision/src/interface.rs
+++ b/decision/src/interface.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct GroupId(pub u32);
 
-/// How fresh the data has to be that a class of requests meets.
+/// Which data a class of requests needs, and with that which members may serve it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
     /// A write: only the primary accepts it.
@@ -46,11 +46,11 @@
 pub enum Idempotency {
     /// Nothing: the request may be repeated without limit.
     Idempotent,
-    /// The members of its group drop it for this long after the first attempt that may have run was sent.
+    /// Nothing in its group, whose members drop a repeat for this long after the first attempt that may have run was sent.
     DeduplicatedInGroup(Micros),
-    /// Every member drops it for this long after the first attempt that may have run was sent.
+    /// Nothing anywhere: every member drops a repeat for this long after the first attempt that may have run was sent.
     DeduplicatedEverywhere(Micros),
-    /// The members of its zone drop it for this long after the first attempt that may have run was sent.
+    /// Nothing in its zone, whose members drop a repeat for this long after the first attempt that may have run was sent.
     DeduplicatedInZone(Micros),
     /// It would take effect twice.
     NotIdempotent,
@@ -65,9 +65,9 @@
     pub idempotency: Idempotency,
     /// A response within this time earns the full weight.
     pub latency_objective: Micros,
-    /// How long a client waits at most.
+    /// How long a client waits at most, from its first try.
     pub deadline: Micros,
-    /// Weight of a response within the latency objective.
+    /// Weight of a response within the latency objective, relative to the other classes'.
     pub priority_weight: f64,
     /// The share of the weight that a late response earns, from 0 to 1.
     pub late_weight_share: f64,
@@ -98,48 +98,51 @@
 pub struct Settings {
     /// The classes; requests name them by position.
     pub classes: Vec<Class>,
-    /// For each tenant, the rate (requests per second, all routers together) within its quota.
+    /// For each tenant, the rate (requests per second, all routers together) within its quota. No decision
+    /// reads this.
     pub tenant_rates: Vec<f64>,
-    /// The weight of traffic beyond a tenant's quota, as a share of the usual.
+    /// The weight of traffic beyond a tenant's quota, as a share of the usual, from 0 to 1. No decision reads this.
     pub over_quota_weight: f64,
     /// How many routers there are, this one included; 0 where that is not known.
     pub router_count: u32,
     /// The zone of this router.
     pub zone: u32,
-    /// The shortest time between two batches of events.
+    /// The shortest time between two batches of events; decisions leave this much time before a window ends.
     pub min_event_interval: Micros,
     /// What a replica that is too far behind does.
     pub lagging_replica: LaggingReplica,
     /// Where the commits that session reads must see are known from.
     pub session_commit_source: SessionCommitSource,
-    /// Two attempts of one request may be in flight together.
+    /// Two attempts of one request may be in flight together. No decision makes use of it: each request has one attempt in
+    /// flight at most.
     pub hedging_allowed: bool,
-    /// Attempts that one request may have.
+    /// Attempts that one request may have, the first included.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Attempts may be cancelled. No decision makes use of it.
     pub cancel_allowed: bool,
     /// Members may be probed.
     pub probing_allowed: bool,
-    /// What one probe for each request costs, as a share of the weight of all requests.
+    /// What one probe for each request costs, as a share of the weight of all requests. No decision reads this.
     pub probe_cost: f64,
     /// The longest retry-after time that clients follow; `None` where they follow none.
     pub max_retry_after: Option<Micros>,
     /// A connection not made within this time has failed.
     pub connect_timeout: Micros,
-    /// New work to a draining or removed member must end this long after the router was notified.
+    /// New work to a draining or removed member must end this long after the router was notified. No decision reads this:
+    /// such a member gets nothing new from the notification on.
     pub drain_grace: Micros,
     /// A ready member that a complete list lacks may be up and goes on serving; only an entry listed as draining or
     /// removed takes it out.
     pub missing_members_may_serve: bool,
-    /// The share of its capacity with which a member starts.
+    /// The share of its full capacity with which a member starts, from 0 to 1.
     pub slow_start_initial_share: f64,
-    /// A started member has its full capacity after this time.
+    /// A started member has its full capacity after this time; until then its share rises evenly.
     pub slow_start_duration: Micros,
-    /// A warming-up member that gets more than this multiple of its present capacity
+    /// A warming-up member is overloaded by more than this multiple of its present capacity.
     pub overload_factor: f64,
-    /// for this time fails.
+    /// A warming-up member that is overloaded for this time fails.
     pub overload_duration: Micros,
-    /// The driver brings no list unless the router subscribes to it.
+    /// The driver brings no list unless the router subscribes to it ([`Action::Subscribe`]).
     pub list_requires_subscription: bool,
 }
 
@@ -181,13 +184,13 @@
     pub id: RequestId,
     /// Its class, a position in [`Settings::classes`].
     pub class: usize,
-    /// Its tenant, a position in [`Settings::tenant_rates`].
+    /// Its tenant, a position in [`Settings::tenant_rates`]. No decision reads it.
     pub tenant: usize,
     /// Its session, if it has one.
     pub session: Option<SessionId>,
     /// Its group.
     pub group: GroupId,
-    /// The client gives up then.
+    /// When the client gives up.
     pub deadline: Time,
     /// The commit that its session must see, where requests carry it ([`SessionCommitSource::CarriedByRequest`]).
     pub session_commit: Option<Time>,
@@ -263,7 +266,7 @@
         member: MemberId,
         /// How it ended.
         outcome: Outcome,
-        /// The request has its final answer.
+        /// The driver has given the request its final answer, or it needs none any more: nothing more is sent for it.
         request_ended: bool,
         /// The role and the position that the response itself states.
         response_report: MemberReport,
@@ -301,25 +304,25 @@
         member: MemberId,
         /// Give it up after this time.
         timeout: Micros,
-        /// Its first byte must be written within this time, or it must not begin: what allows it holds no longer. Never
-        /// more than the timeout.
+        /// Its first byte must be written within this time, or it must not begin: by then the member's proof of freshness
+        /// or the time in which repeats are dropped is over. Never more than the timeout.
         start_timeout: Micros,
     },
-    /// Stop waiting for an attempt.
+    /// Stop waiting for an attempt. No decision asks for this at present.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: u32,
     },
-    /// Final answer: not served, a retry does no harm.
+    /// Final answer: not served; a retry does no harm.
     Reject {
         /// The request.
         request: RequestId,
         /// When the client should retry, from now.
         retry_after: Option<Micros>,
     },
-    /// Final answer: not served, nothing is promised.
+    /// Final answer: not served, but an attempt may have run, so that a retry may take effect twice.
     Fail {
         /// The request.
         request: RequestId,
--- a/decision/src/router.rs
+++ b/decision/src/router.rs
@@ -35,7 +35,7 @@
     in_flight: u32,
     /// When a response of it was last late or missing; a quick one clears it.
     late_response_at: Option<Time>,
-    /// How many attempts may be in flight from here: the pool size of the post, learned.
+    /// How many attempts may be in flight from here, learned from its latency (`pool.rs`).
     pool_size: f64,
     probes_in_flight: u32,
     last_probe_at: Option<Time>,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done, in order.
+    /// Handles one event and appends the actions that follow, in order.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
--- a/decision/src/router/admission.rs
+++ b/decision/src/router/admission.rs
@@ -2,15 +2,15 @@
 use super::{Action, Freshness, GroupId, Idempotency, MemberId, Micros, Outcome, PendingRequest, Request};
 use super::{RequestId, Router, SessionCommitSource, Time};
 
-/// Errors after which a request counts as bad itself: at another member where there is one.
+/// Errors, at different members if there are, after which a request counts as bad itself: no more retries.
 const MAX_ERRORS: usize = 2;
-/// A late response is waited for where it earns at least this share of the weight.
+/// Late responses are waited for in classes whose `late_weight_share` is at least this.
 const MIN_LATE_WEIGHT_SHARE: f64 = 0.4;
 /// Retries that each accepted request earns; a retry storm can't exceed this share of traffic.
 const RETRY_BUDGET_RATIO: f64 = 0.2;
-/// Retries that may be saved up.
+/// Retries that may be saved up for a time with more failures.
 pub(super) const MAX_RETRY_BUDGET: f64 = 20.0;
-/// Different timeouts that are counted to tell first tries from later ones.
+/// Different timeouts, as shares of the deadline, that are counted to tell first tries from later ones.
 const MAX_TIMEOUT_RATIOS: usize = 16;
 /// Their counts are halved at this many of one kind, so that clients may change in the long run.
 const MAX_TIMEOUT_COUNT: u32 = 1000;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// After this a response earns nothing.
+    /// After this a response earns too little to be waited for.
     pub(super) fn useful_until(&self, pending: &PendingRequest) -> Time {
         let (class, deadline) = (self.class(pending), pending.request.deadline);
         let in_time = Time(pending.first_try_at.0 + class.latency_objective);
@@ -133,7 +133,7 @@
         ranked.into_iter().for_each(|(_, id)| self.dispatch(id));
     }
 
-    /// Weight per time of work.
+    /// Weight that a response would earn, per time of work: the usual latency of its class.
     fn queue_priority(&self, id: RequestId) -> i64 {
         let pending = &self.requests[&id];
         let (class, usual) = (self.class(pending), self.latency_ewma[pending.request.class]);
--- a/decision/src/router/choice.rs
+++ b/decision/src/router/choice.rs
@@ -50,7 +50,7 @@
         let Some(group) = self.groups.get(&group_id) else { return Decision::Queue };
         let (primary, members) = (group.primary, group.members.clone());
         let (fresh, behind) = self.replicas_by_freshness(pending);
-        // A first probe may have brought no report: who has not said its role is asked again.
+        // A first probe may have brought no report: who has not reported its role is probed again.
         for m in &members {
             if !self.replicas_check_freshness() && !self.members[m].role_known && self.is_available(*m) {
                 self.probe(*m);
--- a/decision/src/router/health.rs
+++ b/decision/src/router/health.rs
@@ -15,7 +15,7 @@
 const RESTART_CONNECT_FAILURES: u32 = 2;
 /// Resets in a row, no request served between them, after which a member is ejected though its probes answer.
 const MAX_EXCUSED_RESETS: u32 = 3;
-/// Connect timeouts after which a report may contradict a response on the primary: reports are old news.
+/// Connect timeouts after which a report may contradict a response on the primary: it may be older.
 const DENIAL_CONNECT_TIMEOUTS: i64 = 4;
 /// Weight of a new observation in running means.
 const EWMA_GAIN: f64 = 0.1;
--- a/decision/src/router/probes.rs
+++ b/decision/src/router/probes.rs
@@ -1,11 +1,11 @@
 //! Health checks: when members are probed, and what the end of a probe says.
 use super::{Action, GroupId, MemberId, MemberReport, Micros, Outcome, Router, Settings, elapsed};
 
-/// Event intervals between two probes of one member that look for the primary or for a position,
+/// Shortest time between two probes of a member, in units of [`Settings::min_event_interval`].
 const MIN_EVENT_INTERVALS: i64 = 20;
-/// and the least time between them: reports are as old as that, and every router asks.
+/// It is never shorter than this: reports are as old as that, and every router probes.
 const MIN_INTERVAL: Micros = 100_000;
-/// Doublings of that time while a search or a member's probes bring nothing.
+/// Doublings of that time, at most, while searches find no primary or a member's probes bring no report.
 const MAX_DOUBLINGS: u32 = 3;
 
 fn probe_interval(settings: &Settings, failures: u32) -> Micros {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Probes a member, unless it was probed a moment ago; says whether it did.
+    /// Probes a member, unless it was probed a moment ago; returns whether it did.
     pub(super) fn probe(&mut self, id: MemberId) -> bool {
         let Some(member) = self.members.get_mut(&id) else { return false };
         let interval = probe_interval(&self.settings, member.consecutive_failed_probes);
