--- a/membership/src/driver.rs
+++ b/membership/src/driver.rs
@@ -13,14 +13,14 @@
 
 /// Datagrams handled before timers are looked at again, at most.
 const MAX_DATAGRAM_BATCH: usize = 32;
-/// A socket that fails this often in a row is given up.
+/// A socket that fails this often in a row is given up: membership ends with [`Change::Failed`].
 const MAX_SOCKET_ERRORS: u32 = 100;
-/// Stands in for the next timer, as a time since the start, while none is set.
+/// Stands in for the next timer, as a time since the start, while none is set. A machine that has started always has one.
 const NO_TIMER_DUE: Duration = Duration::from_secs(1);
 /// A socket's timeout may not be zero.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// What handles ask of the thread.
+/// What handles ask of the thread. Each is followed by an empty datagram from the waker, which ends its wait.
 pub(crate) enum Command {
     Subscribe(Sender<Change>),
     Leave,
@@ -54,7 +54,7 @@
     started_at: Instant,
     timers: BinaryHeap<Reverse<(Duration, TimerToken)>>,
     subscribers: Subscribers,
-    /// Set when membership has ended.
+    /// Set when membership has ended: what subscribers receive last.
     last_change: Option<Change>,
     /// All handles are gone, and the router leaves because of it.
     handles_gone: bool,
@@ -87,11 +87,13 @@
         self.handle(Event::Started { seeds });
         let mut socket_errors = 0;
         while self.last_change.is_none() {
-            // Timers first: after a stop they make the machine notice it before old datagrams are handled.
+            // Timers first: if the process stood still, late timers show the machine that before it handles the datagrams
+            // that have been waiting since.
             self.handle_due_timers();
             self.handle_commands();
             self.send_snapshots();
             self.publish_counters();
+            // A timer or a command has ended membership.
             if self.last_change.is_some() {
                 break;
             }
@@ -109,6 +111,7 @@
         self.finish();
     }
 
+    /// Publishes the end: the last counters, the log line, and the last change to all subscribers.
     fn finish(mut self) {
         self.publish_counters();
         let last = self.last_change.take().unwrap_or(Change::Left);
--- a/membership/src/handle.rs
+++ b/membership/src/handle.rs
@@ -113,7 +113,7 @@
         Ok(changes)
     }
 
-    /// Leaves; [`Change::Left`] follows when the news of it has been sent.
+    /// Leaves; [`Change::Left`] follows when the announcement of it has been sent.
     ///
     /// # Errors
     /// [`Error::Ended`] when the thread has ended.
--- a/membership/src/live_router_count.rs
+++ b/membership/src/live_router_count.rs
@@ -9,14 +9,14 @@
 /// What the count is bounded by.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// The size of the whole fleet, as its operator has it; counts until others have been heard.
+    /// The size of the whole fleet, as its operator has configured it; it is the count until other routers are seen.
     pub fleet_size: u32,
     /// The count is never lower: the parts of a split fleet together use at most (routers alive) / `min_count` of the
     /// capacity.
     pub min_count: u32,
     /// How long a router that has gone still counts.
     pub settle_time: Duration,
-    /// Other routers are expected: until one is heard, `fleet_size` counts.
+    /// Other routers are expected: until one is seen, the count is `fleet_size`.
     pub expects_others: bool,
 }
 
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Whether the start ends by time alone: until an expected other router is heard, it does not.
+    /// Whether the start ends by time alone: until an expected other router is seen, it does not.
     fn start_may_end(&self) -> bool {
         self.heard_others || !self.settings.expects_others
     }
--- a/membership/src/machine.rs
+++ b/membership/src/machine.rs
@@ -31,7 +31,7 @@
 pub use counters::Counters;
 pub use event::{Action, Event, TimerToken};
 
-/// How often the news that this router leaves is repeated.
+/// How often the announcement that this router leaves is repeated.
 const LEAVE_REPEATS: u8 = 3;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
--- a/membership/src/machine/datagrams.rs
+++ b/membership/src/machine/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams before they reach the core: limits, checks, and what concerns this router's own name.
+//! Datagrams before they reach the SWIM core: limits, checks, and one name that two routers claim.
 use super::{Action, Machine, Phase};
 use crate::member::Member;
 use crate::member_record::MemberRecord;
@@ -8,6 +8,7 @@
 use std::time::Duration;
 
 impl Machine {
+    /// Checks a datagram and handles its message. What is rejected is counted and not answered.
     pub(super) fn handle_datagram(
         &mut self,
         now: Duration,
@@ -42,13 +43,15 @@
         }
     }
 
+    /// Hands gossip to the core, unless it would exceed a limit or concerns a name that two routers claim.
     fn handle_gossip(&mut self, now: Duration, gossip: &GossipDatagram<'_>, actions: &mut Vec<Action>) {
         let sender = &gossip.header.src;
         let named = || std::iter::once(sender).chain(gossip.updates.iter().map(MemberRecord::id));
-        if !self.within_member_limit(named()) || self.yields_own_name(now, named(), actions) {
+        if !self.within_member_limit(named()) || self.resolve_name_conflict(now, named(), actions) {
             return;
         }
-        // The holder of a name that a later start has taken elsewhere cannot find that out from being declared down.
+        // A later start has taken the sender's name at another address. The sender cannot learn that from being declared
+        // down, so it is sent the later start.
         let holder =
             (self.core.iter_membership_state().map(MemberRecord::id)).find(|member| member.same_name(sender));
         if let Some(later) = holder.filter(|h| h.is_later_than(sender) && h.addr() != sender.addr()) {
@@ -62,7 +65,8 @@
         self.run_core(now, actions, |core, output| core.handle_data(gossip.body, output));
     }
 
-    /// Whether the core will rejoin because of this datagram.
+    /// Whether the core will rejoin because of this datagram: an update in it says that this router is down, or its sender
+    /// answers so directly (`TurnUndead`).
     fn is_declared_down_by(&self, gossip: &GossipDatagram<'_>) -> bool {
         let in_updates =
             (gossip.updates.iter()).any(|record| *record.id() == self.local && record.state() == State::Down);
@@ -70,7 +74,7 @@
         in_updates || directly
     }
 
-    /// Whether these names fit beside the known ones.
+    /// Whether these names fit beside the known ones; counts the datagram as over the limit if not.
     pub(super) fn within_member_limit<'a>(
         &mut self,
         members: impl Iterator<Item = &'a Member> + Clone,
@@ -87,9 +91,11 @@
         fits
     }
 
-    /// Looks for a later holder of this router's name, and yields to it or rises past it. True when there is one: the
-    /// rest of the datagram speaks of what this router no longer is.
-    pub(super) fn yields_own_name<'a>(
+    /// Looks among the named members for a later holder of this router's name. One that has taken the name at another
+    /// address since this router joined ends membership here; any other is superseded by a higher incarnation, unless
+    /// the last rejoin was a moment ago. Returns whether there was one: the rest of the datagram is then about an outdated
+    /// identity and must not be handled.
+    pub(super) fn resolve_name_conflict<'a>(
         &mut self,
         now: Duration,
         mut named: impl Iterator<Item = &'a Member>,
@@ -110,7 +116,8 @@
         true
     }
 
-    /// Two rejoins must lie apart, so that a forger cannot keep a router rejoining without end.
+    /// Whether a gossip interval has passed since the last rejoin, so that a forger cannot keep a router rejoining without
+    /// end; counts the datagram as unsolicited if not.
     pub(super) fn may_rejoin(&mut self, now: Duration) -> bool {
         let may =
             self.last_rejoin.is_none_or(|last| now.saturating_sub(last) >= self.settings.gossip_interval);
--- a/membership/src/machine/join.rs
+++ b/membership/src/machine/join.rs
@@ -54,7 +54,7 @@
             JoinMessage::JoinRequest { from } => self.handle_join_request(now, &from, actions),
             JoinMessage::JoinReply { from, known } => self.handle_join_reply(now, from, known, actions),
             JoinMessage::PageRequest { from, request_id, after } => {
-                if !self.yields_own_name(now, std::iter::once(&from), actions)
+                if !self.resolve_name_conflict(now, std::iter::once(&from), actions)
                     && from.name() != self.local.name()
                 {
                     self.send_page(&from, request_id, after, actions);
@@ -67,7 +67,8 @@
     }
 
     fn handle_join_request(&mut self, now: Duration, from: &Member, actions: &mut Vec<Action>) {
-        if self.yields_own_name(now, std::iter::once(from), actions) || from.name() == self.local.name() {
+        if self.resolve_name_conflict(now, std::iter::once(from), actions) || from.name() == self.local.name()
+        {
             return;
         }
         let known = (self.core.iter_membership_state().map(MemberRecord::id))
@@ -85,7 +86,7 @@
         actions: &mut Vec<Action>,
     ) {
         let named = known.iter().chain([&from]);
-        if self.yields_own_name(now, named, actions) || from.name() == self.local.name() {
+        if self.resolve_name_conflict(now, named, actions) || from.name() == self.local.name() {
             // Asked again in the next round, under the new incarnation.
             return;
         }
--- a/membership/src/machine/list_sync.rs
+++ b/membership/src/machine/list_sync.rs
@@ -60,7 +60,7 @@
         }
         self.list_sync.pending_request = None;
         let members = || entries.iter().map(|entry| &entry.member);
-        if !self.within_member_limit(members()) || self.yields_own_name(now, members(), actions) {
+        if !self.within_member_limit(members()) || self.resolve_name_conflict(now, members(), actions) {
             return;
         }
         self.list_sync.cursor = entries.last().map(|entry| entry.member.name().to_string()).filter(|_| more);
--- a/membership/src/machine/suspicion.rs
+++ b/membership/src/machine/suspicion.rs
@@ -37,8 +37,8 @@
         })
     }
 
-    /// A router that receives nothing may itself be unreachable: its news that others are down would reach them, and
-    /// each would turn away and rejoin. It waits until the others have found it down and ignore its news, and then
+    /// A router that receives nothing may itself be unreachable: its updates that others are down would reach them, and
+    /// each would reject that and rejoin. It waits until the others have found it down and ignore its updates, and then
     /// reports to its own host alone.
     fn end_suspicion_while_isolated(&mut self, now: Duration, timer: CoreTimer, actions: &mut Vec<Action>) {
         if now - self.last_received < self.settings.suspicion_timeout * ISOLATED_WAIT_SUSPICIONS {
--- a/membership/src/machine/timers.rs
+++ b/membership/src/machine/timers.rs
@@ -12,13 +12,13 @@
     ContactSeeds,
     /// Request a page of another member's list.
     SyncList,
-    /// Forget who has been down for long.
+    /// Forget members that have been down for long.
     ForgetDown,
-    /// Repeat the news that this router leaves.
+    /// Repeat the announcement that this router leaves.
     RepeatLeave,
 }
 
-/// Timers that were set and have not come back.
+/// Timers that were set and have not expired, with the time at which each is due.
 #[derive(Default)]
 pub(super) struct Timers {
     pending: BTreeMap<TimerToken, (Duration, Task)>,
@@ -42,6 +42,7 @@
         self.pending.clear();
     }
 
+    /// Drops the core's timers: a core that connects again ignores those that it set before.
     pub(super) fn clear_core(&mut self) {
         self.pending.retain(|_, (_, task)| !matches!(task, Task::Core(_)));
     }
@@ -53,6 +54,8 @@
         actions.push(Action::SetTimer { after, token });
     }
 
+    /// Runs the task of a timer, unless it was dropped meanwhile. One that expires more than a probe interval late shows
+    /// that the process stood still.
     pub(super) fn handle_timer(&mut self, now: Duration, token: TimerToken, actions: &mut Vec<Action>) {
         let Some((due, _)) = self.timers.pending.get(&token) else { return };
         let late = now.saturating_sub(*due);
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -16,7 +16,7 @@
     name: String,
     addr: SocketAddrV4,
     incarnation: u64,
-    /// The name hashed: foca compares it with every member for every piece of news.
+    /// The name hashed: foca compares it with every member for every update.
     #[serde(skip_serializing)]
     name_hash: u128,
 }
--- a/membership/src/router_count_thread.rs
+++ b/membership/src/router_count_thread.rs
@@ -10,7 +10,7 @@
 const STACK_BYTES: usize = 128 * 1024;
 
 /// Follows membership on a thread and calls `set_count` with each new count; the first call comes at once, with the
-/// count that holds until others are heard.
+/// count that holds until other routers are seen.
 ///
 /// # Errors
 /// [`Error::Ended`] when membership has ended, [`Error::SpawnThread`] when the thread cannot be started.
--- a/membership/src/settings.rs
+++ b/membership/src/settings.rs
@@ -16,11 +16,11 @@
     pub indirect_probes: usize,
     /// How long a suspected member has to refute the suspicion.
     pub suspicion_timeout: Duration,
-    /// Interval between gossip rounds besides the probes, while there is news.
+    /// Interval between gossip rounds besides the probes, while there are updates to pass on.
     pub gossip_interval: Duration,
     /// To how many members one gossip round sends.
     pub gossip_fanout: usize,
-    /// How often one router passes on one piece of news.
+    /// How often one router passes on one update.
     pub max_transmissions: u8,
     /// Interval between page requests: one page of another member's list is read each time, which heals what gossip
     /// lost.
@@ -31,7 +31,7 @@
     pub join_retry_interval: Duration,
     /// Interval between announcements to two members that are down, which heals a split.
     pub down_contact_interval: Duration,
-    /// How long a member that is down is remembered; must be longer than news of it can travel.
+    /// How long a member that is down is remembered; must be longer than an update about it can travel.
     pub forget_down_after: Duration,
     /// Names remembered at most, those of down members too; datagrams that would bring more are rejected.
     pub max_members: usize,
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -58,7 +58,7 @@
     Join(JoinMessage),
 }
 
-/// A fleet's name as it stands in the header.
+/// The hash of a fleet's name, as sent in the header.
 pub(crate) fn cluster_hash(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
