--- a/membership/tests/common/mod.rs
+++ b/membership/tests/common/mod.rs
@@ -1,12 +1,14 @@
 //! Shared by the tests that compare with a file of `tests/fixtures`.
 use std::path::PathBuf;
 
-/// Compares with a file of `tests/fixtures`. One that is missing is written, and the test fails until it is committed.
+/// Compares with a file of `tests/fixtures`. A run for which there is none is written to the build's folder for temporary
+/// files, never among the fixtures: the test fails until somebody has read it and put it there.
 pub(crate) fn assert_fixture(name: &str, produced: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
     let Ok(recorded) = std::fs::read_to_string(&path) else {
-        std::fs::write(&path, produced).expect("the fixture's folder can be written");
-        panic!("{name} was missing and has been written: read it and commit it");
+        let written = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+        std::fs::write(&written, produced).expect("the build's folder can be written");
+        panic!("{name} is missing; the run is in {}", written.display());
     };
     let first = recorded.lines().zip(produced.lines()).position(|(old, new)| old != new);
     if let Some(n) = first {
