--- a/routing/src/router/capacity.rs
+++ b/routing/src/router/capacity.rs
@@ -9,7 +9,8 @@
 const MEMBER_METRICS_INTERVAL: Micros = 100_000;
 
 impl<P: BackendProtocol> RouterActor<P> {
-    /// The processes of this router share its capacity at endpoints, its probes and its descriptors.
+    /// The processes of this router share its capacity at endpoints, its probes and its descriptors. Connections beyond
+    /// this process's share count as reserved for the others.
     pub(super) fn set_process_count(&mut self, processes: u32) {
         let all = self.resources.limits.link_connections;
         let reserved = all - all / processes.max(1) as usize;
@@ -20,6 +21,7 @@
         self.divide_capacity();
     }
 
+    /// The routers of the fleet share the capacity of endpoints.
     pub(super) fn set_router_count(&mut self, routers: u32) {
         self.router_count = routers;
         self.divide_capacity();
@@ -32,6 +34,7 @@
         ));
     }
 
+    /// Has every endpoint close its idle connections beyond `max_idle`: this process is near its limit of connections.
     pub(super) fn trim_idle_connections(&self, max_idle: usize) {
         for endpoint in self.endpoints.values() {
             endpoint.send(BackendCommand::TrimIdle { max_idle });
@@ -42,6 +45,7 @@
     pub(super) fn update_member_metrics(&mut self) {
         let Some(metrics) = &self.metrics else { return };
         let now = self.clock.now();
+        // With placement an endpoint may be several members, one in each subset; a draining one is counted once.
         let members = self.decisions.unavailable_member_count();
         let endpoints = self.subsets.as_ref().map_or(members, |s| s.unhealthy_endpoints(members));
         metrics.unhealthy_endpoints.set(endpoints as i64);
--- a/routing/src/router/requests.rs
+++ b/routing/src/router/requests.rs
@@ -9,6 +9,8 @@
 use std::time::Duration;
 
 impl<P: BackendProtocol> RouterActor<P> {
+    /// Records a request and has the decisions decide on it, unless its tenant's data may be nowhere that it could go to, or
+    /// its group is unavailable as a whole.
     pub(super) fn request_arrived(&mut self, id: RequestId, arrived: ClientRequest<P>) {
         let ClientRequest {
             class,
@@ -20,6 +22,7 @@
             payload,
             response_sender,
         } = arrived;
+        // The decisions do not tell tenants apart; placement does, by name.
         let mut request = Request { id, class, tenant: 0, session, group, deadline, session_commit };
         let placed = self.place(tenant, &request);
         let mut record = self.new_record(&request, payload, response_sender);
@@ -37,6 +40,7 @@
             request.group = placed.routed_to();
         }
         self.requests.insert(id, record);
+        // By the group that the client named, whatever subset of it the request is routed to.
         if self.unavailable_groups.contains(&group) {
             let retry_after = self.classes.get(class).and_then(|rules| rules.retry_after);
             return self.reject(id, retry_after);
@@ -63,6 +67,7 @@
         }
     }
 
+    /// The client has gone: the request is owed no response, and counts as neither served nor failed.
     pub(super) fn client_disconnected(&mut self, id: RequestId) {
         let Some(record) = self.requests.get_mut(&id) else { return };
         if record.response_sender.take().is_none() {
@@ -74,6 +79,7 @@
         self.close(id);
     }
 
+    /// The client asked to cancel the request: it gets that as its final response, unless it has one.
     pub(super) fn request_cancelled(&mut self, id: RequestId) {
         let now = self.clock.now();
         let Some(record) = self.requests.get_mut(&id).filter(|r| r.awaits_response()) else { return };
@@ -89,10 +95,12 @@
         self.remove_if_finished(id);
     }
 
+    /// The final response that the request was not served and may be retried, after this time if there is one.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: Option<Duration>) {
         self.respond(id, FinalResponse::Rejected(retry_after));
     }
 
+    /// The final response that the request may have run, with the outcome of its last attempt.
     pub(super) fn fail(&mut self, id: RequestId) {
         let last_outcome = self.requests.get(&id).and_then(|record| record.last_outcome);
         self.respond(id, FinalResponse::Failed(last_outcome));
@@ -107,6 +115,7 @@
         }
     }
 
+    /// Forgets a request that has its final response and no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         let finished = |record: &RequestRecord<P>| !record.awaits_response() && record.in_flight.is_empty();
         if self.requests.get(&id).is_some_and(finished) {
--- a/routing/src/socket.rs
+++ b/routing/src/socket.rs
@@ -1,5 +1,5 @@
-//! Blocking socket operations that the wire protocols share: connecting, reading up to a deadline, peeking and writing
-//! several parts.
+//! Socket operations that the wire protocols share: connecting, reading up to a deadline and writing several parts, all
+//! blocking, and a look at what has arrived, which does not block.
 use settings::Limits;
 use socket2::SockRef;
 use std::io::{self, IoSlice, Read, Write};
@@ -18,7 +18,8 @@
     peek(socket).is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// How many bytes, one at most, could be read without blocking; they stay in the socket's buffer.
+/// How many bytes, one at most, could be read without blocking; they stay in the socket's buffer. 0 is the end of the
+/// stream.
 ///
 /// # Errors
 /// [`io::ErrorKind::WouldBlock`] if nothing has arrived; any other error of the connection.
@@ -27,7 +28,8 @@
     SockRef::from(socket).recv_with_flags(&mut [MaybeUninit::uninit()], flags)
 }
 
-/// Reads from a socket until a deadline: a peer that sends a byte now and then must not occupy a thread indefinitely.
+/// Reads from a socket until a deadline: a peer that sends a byte now and then must not occupy a thread indefinitely. The
+/// socket keeps the read timeout of the last read.
 pub struct DeadlineReader<'a> {
     socket: &'a TcpStream,
     deadline: Instant,
@@ -77,7 +79,8 @@
 }
 
 /// Connects to an endpoint without Nagle's algorithm. What remains of `limits.connect` becomes the read timeout, for
-/// the endpoint's greeting.
+/// the endpoint's greeting; the write timeout is `limits.connect`. Unlike [`connect`] it does not look for a connection to
+/// itself.
 ///
 /// # Errors
 /// The connection could not be made or set up within `limits.connect`.
@@ -91,7 +94,7 @@
     Ok(socket)
 }
 
-/// Writes all parts, gathered into as few system calls as the socket takes them in.
+/// Writes all parts in order, with as few system calls as the socket allows.
 ///
 /// # Errors
 /// The write failed or timed out. Then the last byte has not been delivered.
