--- a/admin/src/connection.rs
+++ b/admin/src/connection.rs
@@ -9,7 +9,8 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// How long a client may take to close after its response. Enough to send the rest of 60 MB.
+/// How long a client may take to close after its response. Enough to send the rest of a line of 60 MB, which is rejected
+/// long before its end.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(5);
 /// How much is discarded after the line before the connection is closed regardless, in bytes.
 const MAX_DISCARDED_BYTES: usize = 64 << 20;
@@ -52,7 +53,7 @@
 pub(crate) struct AdminConnection {
     socket: TcpStream,
     state: ConnectionState,
-    /// The present state ends by then, or the connection does.
+    /// The connection is closed then, unless it has reached its next state.
     deadline: Instant,
     /// There may be something to read: set by an event, cleared by a read that would block.
     readable: bool,
@@ -99,7 +100,7 @@
         self.readable && !self.peer_closed
     }
 
-    /// When this connection is closed to make room.
+    /// How early this connection is closed to make room for others.
     pub(crate) fn eviction_order(&self) -> EvictionOrder {
         match self.state {
             ConnectionState::Lingering if !self.readable => EvictionOrder::Finished,
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -1,4 +1,5 @@
-//! The datagrams: a header of [`HEADER_BYTES`] (magic, version, kind, the fleet's name hashed), then one body.
+//! The datagrams: a header of [`HEADER_BYTES`] (magic in 2 bytes, version and kind in 1 each, the hash of the fleet's name
+//! in 8, big-endian), then one body.
 //!
 //! The body is the core's own gossip, or a [`JoinMessage`]. A datagram is read whole and checked before the core sees
 //! it. Bodies are postcard, which writes values in the order of declaration and no names: fields and variants may be
@@ -21,7 +22,7 @@
 /// Room for the header and a short body.
 const USUAL_DATAGRAM_BYTES: usize = 128;
 
-/// Why a datagram is rejected.
+/// Why a datagram is rejected; [`Counters`](crate::Counters) has a counter for each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RejectReason {
     WrongSize,
@@ -78,7 +79,7 @@
     bytes
 }
 
-/// `None` when the message is too long for one datagram.
+/// A datagram with this message; `None` when the message is too long for one datagram.
 pub(crate) fn encode_join_message(cluster_hash: u64, message: &JoinMessage) -> Option<Vec<u8>> {
     let bytes = postcard::to_extend(message, header(KIND_JOIN, cluster_hash)).ok()?;
     (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
@@ -112,6 +113,8 @@
     RejectReason::Malformed
 }
 
+/// The core's header, then the number of updates in 2 bytes, big-endian, and the updates; a message without updates may
+/// end behind the header.
 fn decode_gossip(body: &[u8]) -> Result<GossipDatagram<'_>, RejectReason> {
     let (header, mut rest) = postcard::take_from_bytes(body).map_err(malformed)?;
     let mut updates = Vec::new();
--- a/routing/src/backends.rs
+++ b/routing/src/backends.rs
@@ -58,6 +58,7 @@
 
 struct BackendsActor<P: BackendProtocol> {
     resources: BackendResources<P>,
+    /// For the backends: their exchanges report to this actor's own mailbox.
     own_sender: BackendSender<P>,
     backends: HashMap<BackendId, Backend<P>>,
 }
--- a/routing/src/endpoints.rs
+++ b/routing/src/endpoints.rs
@@ -82,7 +82,7 @@
         self.sender.send(EndpointsMessage::Barrier(done_sender)).is_ok() && done.recv_timeout(timeout).is_ok()
     }
 
-    /// The ids in the list; empty in a router without metrics.
+    /// The ids in the list. They are published together with the number of endpoints: a router without metrics shows none.
     pub fn ids(&self) -> BTreeSet<String> {
         self.published.ids()
     }
