--- a/settings/src/fields.rs
+++ b/settings/src/fields.rs
@@ -23,6 +23,13 @@
     x.as_str().ok_or_else(|| Error::value(name, "text", shape(x)))
 }
 
+/// An array of texts.
+pub(crate) fn texts(v: &Value, name: &str) -> Result<Vec<String>, Error> {
+    let item =
+        |x: &Value| x.as_str().map(str::to_string).ok_or_else(|| Error::value(name, "texts", shape(x)));
+    array(v, name)?.iter().map(item).collect()
+}
+
 pub fn number(v: &Value, name: &str) -> Result<f64, Error> {
     let x = field(v, name)?;
     let x = x.as_f64().ok_or_else(|| Error::value(name, "a number", shape(x)))?;
--- /dev/null
+++ b/settings/src/operator/mysql.rs
@@ -0,0 +1,295 @@
+//! The table `[mysql]`: the MySQL front, its users, classes, rules and servers, and the bounds and decision settings
+//! that follow from it.
+use super::table::{each, only, optional, or, owned, positive};
+use crate::error::Error;
+use crate::fields::{flag, number, text, whole};
+use crate::limits::Limits;
+use decision::{Class, Freshness, Idempotency, LaggingReplica, Micros, SessionCommitSource, Settings};
+use serde_json::Value;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// The keys of the table.
+const KEYS: [&str; 22] = [
+    "listen",
+    "site",
+    "database",
+    "user",
+    "server_user",
+    "server_password",
+    "probe",
+    "group",
+    "deadline_ms",
+    "connect_ms",
+    "idle_s",
+    "sockets",
+    "memory_mb",
+    "routers",
+    "clock_skew_ms",
+    "clock_offset_ms",
+    "server_clock",
+    "message_bytes",
+    "answer_bytes",
+    "class",
+    "rule",
+    "server",
+];
+
+/// The deadline, in milliseconds, of statements that no rule names.
+const DEFAULT_DEADLINE_MS: f64 = 2000.0;
+/// A class's priority weight where the file sets none.
+const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
+/// The share of it that a late answer keeps, where the file sets none.
+const DEFAULT_LATE_WEIGHT_SHARE: f64 = 0.5;
+/// The longest time to connect and the largest clock skew, in milliseconds; higher ones count as this.
+const MAX_SHORT_MS: f64 = 60_000.0;
+/// The longest time that a server may leave a connection idle, in seconds: a day. Longer ones count as this.
+const MAX_IDLE_S: f64 = 86_400.0;
+/// The largest offset of the clock, in milliseconds: a day. Larger ones count as this.
+const MAX_CLOCK_OFFSET_MS: f64 = 86_400_000.0;
+/// Least and most memory in MiB; figures beyond count as these.
+const MEMORY_MB: (u64, u64) = (16, 1 << 20);
+/// How long MySQL clients may stay idle: they keep sessions with prepared statements, and servers let them for as long.
+const CLIENT_IDLE: Duration = Duration::from_secs(8 * 3600);
+
+/// A rule that gives statements their class and group by their beginning.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Rule {
+    /// The beginning, in lower case with single spaces.
+    pub starts: String,
+    /// Position of the class in [`Mysql::classes`].
+    pub class: usize,
+    /// The group of servers.
+    pub group: u32,
+}
+
+/// A server of the list at the first start.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Server {
+    /// Its id.
+    pub id: String,
+    /// Where it listens.
+    pub addr: SocketAddr,
+    /// Its group.
+    pub group: u32,
+    /// Its capacity in proportion to others; above 0.
+    pub weight: f64,
+    /// Its site, where the file names one.
+    pub site: Option<String>,
+}
+
+/// The MySQL front and its connections to servers.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Mysql {
+    /// Where clients connect.
+    pub listen: String,
+    /// The router's own site: servers of the same site are preferred.
+    pub site: Option<String>,
+    /// The one database.
+    pub database: String,
+    /// Names and passwords of the clients' users.
+    pub users: Vec<(String, String)>,
+    /// The router's user at the servers.
+    pub server_user: String,
+    /// The password of `server_user`; empty where the file sets none.
+    pub server_password: String,
+    /// The health check's statement: whether a server is read-only, and its heartbeat in Unix milliseconds.
+    pub probe: String,
+    /// The names of all classes: those of the file, then `unknown` and `prepare`.
+    pub classes: Vec<String>,
+    /// Which of them only read.
+    pub reading: Vec<bool>,
+    /// Their deadlines in milliseconds.
+    pub deadlines_ms: Vec<u64>,
+    /// Position of the class of statements that no rule names: a write that must not run twice.
+    pub unknown: usize,
+    /// Position of the class for preparing a statement, which runs nothing.
+    pub prepare: usize,
+    /// The group of statements whose rule names none.
+    pub group: u32,
+    /// The rules; the first that matches counts.
+    pub rules: Vec<Rule>,
+    /// The servers at the first start.
+    pub servers: Vec<Server>,
+    /// Health checks return the server's clock as their third cell.
+    pub server_clock: bool,
+    /// Which classes' reads must see what their session has written.
+    pub sessions: Vec<bool>,
+}
+
+/// A class with its name.
+type NamedClass = (String, Class);
+
+/// Reads the table, and what follows from it for the decision logic and the program's bounds.
+pub(super) fn read_mysql(v: &Value) -> Result<(Mysql, Settings, Limits), Error> {
+    only(v, &KEYS)?;
+    let classes = read_classes(v)?;
+    let mysql = read_front(v, &classes)?;
+    let connect = Duration::from_secs_f64(or(v, "connect_ms", 250.0, positive)?.min(MAX_SHORT_MS) / 1000.0);
+    let limits = read_limits(v, connect, &mysql.deadlines_ms)?;
+    let router_count = or(v, "routers", 1, whole)?.max(1) as u32;
+    let classes = classes.into_iter().map(|(_, class)| class).collect();
+    Ok((mysql, decision_settings(classes, router_count, connect), limits))
+}
+
+/// The classes of the file, and behind them the two of the program: `unknown` and `prepare`.
+fn read_classes(v: &Value) -> Result<Vec<NamedClass>, Error> {
+    let mut classes = each(v, "class", read_class)?;
+    let deadline = micros(or(v, "deadline_ms", DEFAULT_DEADLINE_MS, positive)?);
+    let own = |freshness, idempotency| Class {
+        freshness,
+        idempotency,
+        latency_objective: deadline,
+        deadline,
+        priority_weight: DEFAULT_PRIORITY_WEIGHT,
+        late_weight_share: DEFAULT_LATE_WEIGHT_SHARE,
+    };
+    classes.push(("unknown".into(), own(Freshness::Write, Idempotency::NotIdempotent)));
+    classes.push(("prepare".into(), own(Freshness::Any, Idempotency::Idempotent)));
+    Ok(classes)
+}
+
+/// Microseconds, cut off below.
+fn micros(ms: f64) -> Micros {
+    (ms * 1000.0) as Micros
+}
+
+fn read_class(v: &Value) -> Result<NamedClass, Error> {
+    only(v, &["name", "freshness", "bound_ms", "effect", "aim_ms", "deadline_ms", "worth", "late_worth"])?;
+    let freshness = read_freshness(v)?;
+    let idempotency = match text(v, "effect")? {
+        "safe" => Idempotency::Idempotent,
+        "unsafe" => Idempotency::NotIdempotent,
+        x => return Err(Error::value("effect", "safe or unsafe", format_args!("'{x}'"))),
+    };
+    let latency_objective = micros(positive(v, "aim_ms")?);
+    let deadline = micros(positive(v, "deadline_ms")?);
+    if latency_objective > deadline {
+        return Err(Error::here(
+            "'aim_ms' to be at most 'deadline_ms'",
+            format_args!("{} above {}", latency_objective / 1000, deadline / 1000),
+        ));
+    }
+    let priority_weight = or(v, "worth", DEFAULT_PRIORITY_WEIGHT, positive)?;
+    let late_weight_share = or(v, "late_worth", DEFAULT_LATE_WEIGHT_SHARE, number)?;
+    let name = owned(v, "name")?;
+    Ok((
+        name,
+        Class { freshness, idempotency, latency_objective, deadline, priority_weight, late_weight_share },
+    ))
+}
+
+fn read_freshness(v: &Value) -> Result<Freshness, Error> {
+    let known = "write, fresh, session, bounded or any";
+    Ok(match text(v, "freshness")? {
+        "write" => Freshness::Write,
+        "fresh" => Freshness::Latest,
+        "session" => Freshness::Session,
+        "bounded" => Freshness::Bounded(micros(positive(v, "bound_ms")?)),
+        "any" => Freshness::Any,
+        x => return Err(Error::value("freshness", known, format_args!("'{x}'"))),
+    })
+}
+
+/// `classes` end in the two of the program.
+fn read_front(v: &Value, classes: &[NamedClass]) -> Result<Mysql, Error> {
+    let group = or(v, "group", 0, whole)? as u32;
+    let of_each = |is: fn(Freshness) -> bool| classes.iter().map(|(_, class)| is(class.freshness)).collect();
+    Ok(Mysql {
+        listen: owned(v, "listen")?,
+        site: optional(v, "site", owned)?,
+        database: owned(v, "database")?,
+        users: each(v, "user", read_user)?,
+        server_user: owned(v, "server_user")?,
+        server_password: or(v, "server_password", String::new(), owned)?,
+        probe: owned(v, "probe")?,
+        rules: each(v, "rule", |rule| read_rule(rule, classes, group))?,
+        servers: each(v, "server", read_server)?,
+        server_clock: flag(v, "server_clock")?,
+        sessions: of_each(|freshness| freshness == Freshness::Session),
+        reading: of_each(|freshness| freshness != Freshness::Write),
+        deadlines_ms: classes.iter().map(|(_, class)| (class.deadline / 1000) as u64).collect(),
+        classes: classes.iter().map(|(name, _)| name.clone()).collect(),
+        unknown: classes.len() - 2,
+        prepare: classes.len() - 1,
+        group,
+    })
+}
+
+fn read_user(v: &Value) -> Result<(String, String), Error> {
+    only(v, &["name", "password"])?;
+    Ok((owned(v, "name")?, owned(v, "password")?))
+}
+
+fn read_rule(v: &Value, classes: &[NamedClass], default_group: u32) -> Result<Rule, Error> {
+    only(v, &["starts", "class", "group"])?;
+    let class = text(v, "class")?;
+    let position = classes.iter().position(|(name, _)| name == class);
+    let starts = text(v, "starts")?.split_whitespace().collect::<Vec<_>>().join(" ").to_lowercase();
+    Ok(Rule {
+        starts,
+        class: position.ok_or_else(|| Error::value("class", "a listed class", format_args!("'{class}'")))?,
+        group: or(v, "group", u64::from(default_group), whole)? as u32,
+    })
+}
+
+fn read_server(v: &Value) -> Result<Server, Error> {
+    only(v, &["id", "addr", "group", "weight", "site"])?;
+    let addr = text(v, "addr")?;
+    let addr = addr.parse().map_err(|_| Error::value("addr", "ip:port", format_args!("'{addr}'")))?;
+    let group = or(v, "group", 0, whole)? as u32;
+    let weight = or(v, "weight", 1.0, positive)?;
+    let site = optional(v, "site", owned)?;
+    Ok(Server { id: owned(v, "id")?, addr, group, weight, site })
+}
+
+fn read_limits(v: &Value, connect: Duration, deadlines_ms: &[u64]) -> Result<Limits, Error> {
+    let idle = Duration::from_secs_f64(or(v, "idle_s", 60.0, positive)?.min(MAX_IDLE_S));
+    let longest_deadline = Duration::from_millis(deadlines_ms.iter().max().copied().unwrap_or(2000));
+    let sockets = or(v, "sockets", 1024, whole)? as usize;
+    let memory_mb = or(v, "memory_mb", 256, whole)?.clamp(MEMORY_MB.0, MEMORY_MB.1) as usize;
+    let mut limits = Limits::new(sockets, memory_mb << 20, connect, idle, longest_deadline);
+    limits.message_bytes = or(v, "message_bytes", 512 * 1024, whole)? as usize;
+    limits.answer_bytes = or(v, "answer_bytes", limits.answer_bytes as u64, whole)? as usize;
+    limits.client_idle = CLIENT_IDLE;
+    limits.client_idle_crowded = CLIENT_IDLE;
+    limits.client_first = CLIENT_IDLE;
+    // These connections are not checked before use: one that is stale must not keep a server's place.
+    limits.link_idle = limits.link_trust;
+    let clock_skew_ms = or(v, "clock_skew_ms", 50.0, positive)?.min(MAX_SHORT_MS);
+    limits.clock_skew = Duration::from_secs_f64(clock_skew_ms / 1000.0);
+    let clock_offset_ms = or(v, "clock_offset_ms", 0.0, number)?;
+    limits.clock_offset_us =
+        (clock_offset_ms.clamp(-MAX_CLOCK_OFFSET_MS, MAX_CLOCK_OFFSET_MS) * 1000.0) as i64;
+    Ok(limits)
+}
+
+/// Times are in microseconds.
+fn decision_settings(classes: Vec<Class>, router_count: u32, connect: Duration) -> Settings {
+    Settings {
+        classes,
+        tenant_rates: vec![],
+        over_quota_weight: 1.0,
+        router_count,
+        zone: 0,
+        min_event_interval: 5_000,
+        // A replica answers from the state that it has: a read goes only where it is proved to be fresh enough.
+        lagging_replica: LaggingReplica::AnswersStale,
+        // The front carries what a session must see: it may come from another instance, or from before a restart.
+        session_commit_source: SessionCommitSource::CarriedByRequest,
+        hedging_allowed: true,
+        max_attempts: 6,
+        cancel_allowed: true,
+        probing_allowed: true,
+        probe_cost: 0.0,
+        max_retry_after: Some(500_000),
+        connect_timeout: connect.as_micros() as i64,
+        drain_grace: 250_000,
+        missing_members_may_serve: false,
+        slow_start_initial_share: 0.25,
+        slow_start_duration: 15_000_000,
+        overload_factor: 2.5,
+        overload_duration: 1_000_000,
+        list_requires_subscription: false,
+    }
+}
--- /dev/null
+++ b/settings/src/operator/sessions.rs
@@ -0,0 +1,101 @@
+//! The table `[sessions]`: session commits that outlive a restart and are shared between router instances.
+use super::table::{each, loopback, only, optional, or, owned, peer, positive};
+use crate::error::Error;
+use crate::fields::whole;
+use serde_json::Value;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+use std::time::Duration;
+
+/// The lease, in milliseconds, where the file sets none.
+const DEFAULT_LEASE_MS: f64 = 300.0;
+/// What the lease may be, in milliseconds.
+const LEASE_MS: RangeInclusive<f64> = 50.0..=5000.0;
+/// How many sessions are remembered where the file does not say.
+const DEFAULT_REMEMBERED: u64 = 1_000_000;
+/// How many sessions may be remembered.
+const REMEMBERED: RangeInclusive<usize> = 1..=100_000_000;
+
+/// Sessions that live on across restarts and instances.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Sessions {
+    /// This instance's number.
+    pub instance: u64,
+    /// The cluster's name, the same at all its instances.
+    pub cluster: String,
+    /// Where peers send their commits.
+    pub listen: SocketAddr,
+    /// The addresses of the other instances by number.
+    pub peers: BTreeMap<u64, SocketAddr>,
+    /// Folder of the journal; without it nothing is written to disk.
+    pub folder: Option<String>,
+    /// How many sessions are remembered one by one.
+    pub remembered: usize,
+    /// How long one instance relies on a peer's commits without hearing from it.
+    pub lease: Duration,
+    /// A registry may give peers other addresses than the file: a refused connection is then no proof that a peer is
+    /// down.
+    pub moves: bool,
+    /// After a start without a journal, reads are served without the commits of before. Only for measuring what the
+    /// safe way costs.
+    pub trust_after_start: bool,
+}
+
+pub(super) fn read_sessions(v: &Value) -> Result<Sessions, Error> {
+    only(v, &["instance", "cluster", "listen", "folder", "remembered", "lease_ms", "after_start", "peer"])?;
+    let instance = whole(v, "instance")?;
+    let peers = read_peers(v, instance)?;
+    let folder = optional(v, "folder", owned)?;
+    let lease = read_lease(v)?;
+    let remembered = or(v, "remembered", DEFAULT_REMEMBERED, whole)? as usize;
+    if !REMEMBERED.contains(&remembered) {
+        let expected = format!("{} to {}", REMEMBERED.start(), REMEMBERED.end());
+        return Err(Error::value("remembered", expected, remembered));
+    }
+    let trust_after_start = read_trust_after_start(v, folder.as_deref())?;
+    Ok(Sessions {
+        instance,
+        cluster: or(v, "cluster", "damsonvale".to_string(), owned)?,
+        listen: loopback(v, "listen")?,
+        peers,
+        folder,
+        remembered,
+        lease,
+        moves: false,
+        trust_after_start,
+    })
+}
+
+fn read_peers(v: &Value, own_instance: u64) -> Result<BTreeMap<u64, SocketAddr>, Error> {
+    let listed = each(v, "peer", |p| peer(p, "instance"))?;
+    let mut peers: BTreeMap<u64, SocketAddr> = listed.iter().copied().collect();
+    if peers.len() < listed.len() {
+        return Err(Error::here("each 'peer' once", "an instance twice"));
+    }
+    // The same list may stand in the files of all instances.
+    peers.remove(&own_instance);
+    Ok(peers)
+}
+
+fn read_lease(v: &Value) -> Result<Duration, Error> {
+    let lease_ms = or(v, "lease_ms", DEFAULT_LEASE_MS, positive)?;
+    if !LEASE_MS.contains(&lease_ms) {
+        let expected = format!("{} to {}", LEASE_MS.start(), LEASE_MS.end());
+        return Err(Error::value("lease_ms", expected, lease_ms));
+    }
+    Ok(Duration::from_secs_f64(lease_ms / 1000.0))
+}
+
+/// Whether reads after a start are served without the commits of before; a journal would make that pointless.
+fn read_trust_after_start(v: &Value, folder: Option<&str>) -> Result<bool, Error> {
+    let after_start = or(v, "after_start", "floor".to_string(), owned)?;
+    match (after_start.as_str(), folder) {
+        ("floor", _) => Ok(false),
+        ("trust", None) => Ok(true),
+        ("trust", Some(folder)) => {
+            Err(Error::here("no 'folder' beside after_start = \"trust\"", format_args!("'{folder}'")))
+        }
+        (x, _) => Err(Error::value("after_start", "floor or trust", format_args!("'{x}'"))),
+    }
+}
--- /dev/null
+++ b/settings/src/operator/store.rs
@@ -0,0 +1,44 @@
+//! The table `[store]`: this node of the replicated store and its peers.
+use super::table::{each, loopback, only, optional, owned, peer};
+use crate::error::Error;
+use crate::fields::whole;
+use serde_json::Value;
+use std::collections::BTreeMap;
+use std::net::{Ipv4Addr, SocketAddr};
+
+/// The replicated store.
+#[derive(Clone, Debug, PartialEq, Default)]
+pub struct Store {
+    /// This node's number, above 0.
+    pub node: u64,
+    /// The addresses of all nodes by number, this one included.
+    pub peers: BTreeMap<u64, SocketAddr>,
+    /// Folder of the log; without it the log is in memory alone.
+    pub folder: Option<String>,
+    /// Address of the control commands, as `ip:port`; without it there are none.
+    pub control: Option<String>,
+    /// Address at which clients that are not nodes are answered.
+    pub clients: Option<SocketAddr>,
+}
+
+impl Store {
+    /// A store of one node, in memory, as a router without `[store]` has it.
+    pub(super) fn single_node() -> Store {
+        const NODE: u64 = 1;
+        let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        Store { node: NODE, peers: BTreeMap::from([(NODE, any_port)]), ..Store::default() }
+    }
+}
+
+pub(super) fn read_store(v: &Value) -> Result<Store, Error> {
+    only(v, &["node", "folder", "control", "clients", "peer"])?;
+    let node = whole(v, "node")?;
+    let peers: BTreeMap<u64, SocketAddr> = each(v, "peer", |p| peer(p, "node"))?.into_iter().collect();
+    if node == 0 || !peers.contains_key(&node) {
+        return Err(Error::here("'node' to be one of the peers and not 0", node));
+    }
+    let folder = optional(v, "folder", owned)?;
+    let control = optional(v, "control", loopback)?.map(|addr| addr.to_string());
+    let clients = optional(v, "clients", loopback)?;
+    Ok(Store { node, peers, folder, control, clients })
+}
--- a/settings/src/start.rs
+++ b/settings/src/start.rs
@@ -1,6 +1,6 @@
 //! What the platform tells a router at its start: `$BALANCER_CONFIG` and the variables beside it.
-use crate::error::{Error, shape};
-use crate::fields::{array, count, field, span, text, whole};
+use crate::error::Error;
+use crate::fields::{array, count, field, span, text, texts, whole};
 use crate::limits::Limits;
 use crate::platform;
 use decision::Settings;
@@ -97,11 +97,6 @@
     }
 }
 
-fn words(v: &Value, key: &str) -> Result<Vec<String>, Error> {
-    let word = |x: &Value| x.as_str().map(str::to_string).ok_or_else(|| Error::value(key, "texts", shape(x)));
-    array(v, key)?.iter().map(word).collect()
-}
-
 /// The classes' names: each stands for one class, since a request names it by nothing else, and on one line of the
 /// operators' figures.
 fn classes(settings: &Value) -> Result<Vec<String>, Error> {
@@ -138,7 +133,7 @@
     let (mut settings, _) = platform::read(inner).map_err(|e| e.at("settings"))?;
     let names = Names {
         classes: classes(inner).map_err(|e| e.at("settings"))?,
-        zones: words(inner, "failureDomains").map_err(|e| e.at("settings"))?,
+        zones: texts(inner, "failureDomains").map_err(|e| e.at("settings"))?,
     };
     // Zones of the list that have no name here are numbered behind those that have: this router stands in none of them.
     if settings.zone as usize >= names.zones.len() {
