--- a/settings/src/fields.rs
+++ b/settings/src/fields.rs
@@ -1,16 +1,20 @@
-//! Fields of JSON objects, with errors that name what is at fault.
+//! Reading the fields of JSON objects. Each reader takes the object and the field's name; errors name the field, what may
+//! stand there and what does.
 use crate::error::{Error, shape};
 use decision::Micros;
 use serde_json::Value;
 
-/// Longest time that a figure may stand for, three years in milliseconds: small multiples of it, added to the present,
+/// The longest duration that a field may set, in milliseconds (three years): small multiples of it, added to the present,
 /// stay far from the end of the clock.
-const LONGEST_MS: f64 = 1e11;
+const MAX_DURATION_MS: f64 = 1e11;
 
-/// Farthest moment from a clock's zero, three thousand years in milliseconds.
-const FARTHEST_MS: f64 = 1e14;
+/// The time farthest from a clock's zero, in milliseconds (three thousand years).
+const MAX_TIME_MS: f64 = 1e14;
 
-/// A field, or an error that names what is missing.
+/// A field of any kind; null counts as missing.
+///
+/// # Errors
+/// An [`Error`] that names the field: it is missing.
 pub fn field<'a>(v: &'a Value, name: &str) -> Result<&'a Value, Error> {
     match v.get(name) {
         Some(Value::Null) | None => Err(Error::missing(name)),
@@ -18,6 +22,10 @@
     }
 }
 
+/// A text.
+///
+/// # Errors
+/// An [`Error`] that names the field: it is missing or not a text.
 pub fn text<'a>(v: &'a Value, name: &str) -> Result<&'a str, Error> {
     let x = field(v, name)?;
     x.as_str().ok_or_else(|| Error::value(name, "text", shape(x)))
@@ -30,21 +38,33 @@
     array(v, name)?.iter().map(item).collect()
 }
 
+/// A finite number.
+///
+/// # Errors
+/// An [`Error`] that names the field: it is missing or not a finite number.
 pub fn number(v: &Value, name: &str) -> Result<f64, Error> {
     let x = field(v, name)?;
     let x = x.as_f64().ok_or_else(|| Error::value(name, "a number", shape(x)))?;
     if x.is_finite() { Ok(x) } else { Err(Error::value(name, "a finite number", x)) }
 }
 
+/// A whole number that is not negative, also where it is written with a decimal point.
+///
+/// # Errors
+/// An [`Error`] that names the field: it is missing or not such a number.
 pub fn whole(v: &Value, name: &str) -> Result<u64, Error> {
     let x = field(v, name)?;
-    let fraction_free = |f: f64| (f >= 0.0 && f.fract() == 0.0 && f < 9e15).then_some(f as u64);
-    x.as_u64().or_else(|| x.as_f64().and_then(fraction_free)).ok_or_else(|| match x {
+    let without_fraction = |f: f64| (f >= 0.0 && f.fract() == 0.0 && f < 9e15).then_some(f as u64);
+    x.as_u64().or_else(|| x.as_f64().and_then(without_fraction)).ok_or_else(|| match x {
         Value::Number(n) => Error::value(name, "a whole number", n),
         other => Error::value(name, "a whole number", shape(other)),
     })
 }
 
+/// True or false; false where the field is missing.
+///
+/// # Errors
+/// An [`Error`] that names the field: it is neither true nor false.
 pub fn flag(v: &Value, name: &str) -> Result<bool, Error> {
     match v.get(name) {
         None | Some(Value::Null) => Ok(false),
@@ -52,40 +72,57 @@
     }
 }
 
-/// A whole number of 32 bits: what it counts or names must not become something else by being cut.
+/// A whole number of 32 bits; a larger one is refused, never truncated.
+///
+/// # Errors
+/// An [`Error`] that names the field: it is missing, not a whole number, or above `u32::MAX`.
 pub fn count(v: &Value, name: &str) -> Result<u32, Error> {
     let x = whole(v, name)?;
     u32::try_from(x).map_err(|_| Error::value(name, "at most 4294967295", x))
 }
 
-/// A number that is none below 0.
+/// A finite number that is not negative.
+///
+/// # Errors
+/// An [`Error`] that names the field: it is missing, not a number, or below 0.
 pub fn amount(v: &Value, name: &str) -> Result<f64, Error> {
     let x = number(v, name)?;
     if x >= 0.0 { Ok(x) } else { Err(Error::value(name, "a number not below 0", x)) }
 }
 
-/// A length of time, given in milliseconds.
+/// A duration that the field gives in milliseconds.
+///
+/// # Errors
+/// An [`Error`] that names the field: it is missing, not a number, negative, or longer than three years.
 pub fn span(v: &Value, name: &str) -> Result<Micros, Error> {
     let ms = number(v, name)?;
-    if (0.0..=LONGEST_MS).contains(&ms) {
+    if (0.0..=MAX_DURATION_MS).contains(&ms) {
         return Ok(micros(ms));
     }
-    Err(Error::value(name, format!("0 to {LONGEST_MS} milliseconds"), ms))
+    Err(Error::value(name, format!("0 to {MAX_DURATION_MS} milliseconds"), ms))
 }
 
-/// A moment on a clock, given in milliseconds.
+/// A time on a clock that the field gives in milliseconds from the clock's zero.
+///
+/// # Errors
+/// An [`Error`] that names the field: it is missing, not a number, or farther than three thousand years from 0.
 pub fn moment(v: &Value, name: &str) -> Result<Micros, Error> {
     let ms = number(v, name)?;
-    if ms.abs() <= FARTHEST_MS {
+    if ms.abs() <= MAX_TIME_MS {
         return Ok(micros(ms));
     }
-    Err(Error::value(name, format!("at most {FARTHEST_MS} milliseconds from 0"), ms))
+    Err(Error::value(name, format!("at most {MAX_TIME_MS} milliseconds from 0"), ms))
 }
 
+/// Milliseconds as microseconds, rounded to the nearest.
 pub fn micros(ms: f64) -> Micros {
     (ms * 1000.0).round() as Micros
 }
 
+/// An array.
+///
+/// # Errors
+/// An [`Error`] that names the field: it is missing or not an array.
 pub fn array<'a>(v: &'a Value, name: &str) -> Result<&'a Vec<Value>, Error> {
     let x = field(v, name)?;
     x.as_array().ok_or_else(|| Error::value(name, "an array", shape(x)))
--- a/settings/src/members.rs
+++ b/settings/src/members.rs
@@ -2,64 +2,70 @@
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::{SocketAddr, SocketAddrV4};
+use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The rhythm where the file says none, in milliseconds.
-const RHYTHM_MS: u64 = 500;
+/// The protocol period, in milliseconds, where the file sets none.
+const DEFAULT_RHYTHM_MS: u64 = 500;
+/// What the protocol period may be, in milliseconds.
+const RHYTHM_MS: RangeInclusive<u64> = 20..=5000;
+/// The longest name, in bytes.
+const MAX_NAME_BYTES: usize = 64;
 
-/// What can be wrong with the table; each message names the key and what it may be.
+/// What can be wrong with the table; each message names the key and what may stand there.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// A key is missing, not known, or of another kind; the reader's words name it.
+    /// A key is missing, not known, or of another kind; the text of the deserializer names it.
     #[error("{0}")]
     Table(String),
-    /// The name cannot be one.
+    /// The name is empty, too long, or holds a character that names may not hold.
     #[error("expected 1 to 64 letters, digits, '.', '_' or '-' in 'name', found '{0}'")]
     Name(String),
-    /// The address is none that members can have.
+    /// The address is not one that members can have.
     #[error("expected ip:port of 127.0.0.0/8 in '{key}', found '{found}'")]
     Address {
-        /// Which key.
+        /// The key.
         key: &'static str,
         /// What stands there.
         found: String,
     },
-    /// Another fleet's datagrams are told by its name.
+    /// The cluster's name, by which datagrams of other fleets are recognized, is empty.
     #[error("expected something in 'cluster'")]
     Cluster,
-    /// The rhythm is out of its range.
+    /// The protocol period is out of its range.
     #[error("expected 20 to 5000 in 'rhythm_ms', found {0}")]
     Rhythm(u64),
-    /// The least number of routers is out of its range.
+    /// The smallest number of routers to count with is out of its range.
     #[error("expected 1 to 'mysql.routers' ({routers}) in 'least', found {found}")]
     Least {
-        /// What the file says of the whole fleet.
+        /// The highest that may stand there: the size of the whole fleet.
         routers: u32,
         /// What stands there.
         found: u32,
     },
 }
 
-/// How a router takes part.
+/// How a router takes part in the membership protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Members {
-    /// Its name, one at a time in the fleet.
+    /// Its name; no two routers of the fleet share one at a time.
     pub name: String,
-    /// Where it hears (UDP).
+    /// Where it receives datagrams (UDP).
     pub listen: SocketAddrV4,
-    /// What the others send to, when that is not where it hears.
+    /// The address that the others send to, where that is not `listen`.
     pub told: Option<SocketAddrV4>,
-    /// Any routers of the fleet; none for the first.
+    /// Addresses of any routers of the fleet to join by; none for the first.
     pub seeds: Vec<SocketAddrV4>,
-    /// The fleet's name.
+    /// The fleet's name; not empty.
     pub cluster: String,
-    /// One member is probed each time this passes; every other time of membership is in proportion.
+    /// The protocol period (20 ms to 5 s): one member is probed in each; every other time of membership is in proportion.
     pub rhythm: Duration,
-    /// The routers' share of the room is never cut by fewer than so many, however few are seen.
+    /// Shares of the capacity are computed for at least this many routers, however few are alive.
     pub least: u32,
 }
 
-/// The table as it stands in the file.
+/// The table as it stands in the file, before it is checked. Messages of errors contain its name,
+/// which therefore stays.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Raw {
@@ -80,68 +86,36 @@
     }
 }
 
-/// Reads the table. `routers` is the whole fleet as `mysql.routers` has it; `least` is half of it where it is not set.
+/// Reads the table. `routers` is the size of the whole fleet, as `mysql.routers` has it; `least` is half of it where it
+/// is not set.
+///
+/// # Errors
+/// An [`Error`] that names the faulty key.
 pub fn read(v: &Value, routers: u32) -> Result<Members, Error> {
-    let raw: Raw = serde_json::from_value(v.clone()).map_err(|e| Error::Table(e.to_string()))?;
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
-    if !(1..=64).contains(&raw.name.len()) || !raw.name.bytes().all(plain) {
-        return Err(Error::Name(raw.name));
+    let table: Raw = serde_json::from_value(v.clone()).map_err(|e| Error::Table(e.to_string()))?;
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
+    if !(1..=MAX_NAME_BYTES).contains(&table.name.len()) || !table.name.bytes().all(allowed) {
+        return Err(Error::Name(table.name));
     }
-    if raw.cluster.is_empty() {
+    if table.cluster.is_empty() {
         return Err(Error::Cluster);
     }
-    let rhythm = raw.rhythm_ms.unwrap_or(RHYTHM_MS);
-    if !(20..=5000).contains(&rhythm) {
+    let rhythm = table.rhythm_ms.unwrap_or(DEFAULT_RHYTHM_MS);
+    if !RHYTHM_MS.contains(&rhythm) {
         return Err(Error::Rhythm(rhythm));
     }
     let routers = routers.max(1);
-    let least = raw.least.unwrap_or(routers.div_ceil(2));
+    let least = table.least.unwrap_or(routers.div_ceil(2));
     if !(1..=routers).contains(&least) {
         return Err(Error::Least { routers, found: least });
     }
     Ok(Members {
-        listen: address("listen", &raw.listen, true)?,
-        told: raw.told.map(|a| address("told", &a, false)).transpose()?,
-        seeds: raw.seeds.iter().map(|a| address("seeds", a, false)).collect::<Result<_, _>>()?,
-        name: raw.name,
-        cluster: raw.cluster,
+        listen: address("listen", &table.listen, true)?,
+        told: table.told.map(|a| address("told", &a, false)).transpose()?,
+        seeds: table.seeds.iter().map(|a| address("seeds", a, false)).collect::<Result<_, _>>()?,
+        name: table.name,
+        cluster: table.cluster,
         rhythm: Duration::from_millis(rhythm),
         least,
     })
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn of(more: &str) -> Result<Members, Error> {
-        let table = format!("name = 'r1'\nlisten = '127.0.0.1:7301'\ncluster = 'shop'\n{more}");
-        read(&toml::from_str(&table).expect("TOML"), 7)
-    }
-
-    #[test]
-    fn what_is_left_out_is_half_a_second_and_half_the_fleet() {
-        let m = of("").expect("good");
-        assert_eq!((m.rhythm, m.least, m.told, m.seeds.len()), (Duration::from_millis(500), 4, None, 0));
-    }
-
-    #[test]
-    fn what_cannot_be_is_refused_by_its_key() {
-        let cases = [
-            ("seeds = ['10.0.0.1:7']", "'seeds'"),
-            ("told = '127.0.0.1:0'", "'told'"),
-            ("rhythm_ms = 5", "'rhythm_ms'"),
-            ("least = 8", "'least'"),
-            ("least = 0", "'least'"),
-            ("sedes = []", "sedes"),
-        ];
-        for (more, key) in cases {
-            let e = of(more).expect_err(more).to_string();
-            assert!(e.contains(key), "{e}");
-        }
-        let e = read(&serde_json::json!({"name": "a b", "listen": "x", "cluster": "c"}), 1);
-        assert_eq!(e, Err(Error::Name("a b".into())));
-        let e = read(&serde_json::json!({"name": "a", "cluster": "c"}), 1).expect_err("no address");
-        assert!(e.to_string().contains("listen"), "{e}");
-    }
-}
--- a/settings/src/operator.rs
+++ b/settings/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's TOML file: the MySQL front, its classes, rules and servers, and the tables beside it. A key that is
+//! The operator's TOML file: the `MySQL` front, its classes, rules and servers, and the tables beside it. A key that is
 //! not known is an error.
 mod log;
 mod mysql;
@@ -39,7 +39,7 @@
     pub sessions: Option<Sessions>,
     /// The store; a single node in memory where the file has no `[store]`.
     pub store: Store,
-    /// The MySQL front.
+    /// The `MySQL` front.
     pub mysql: Mysql,
     /// The settings of the decision logic.
     pub settings: Settings,
--- a/settings/src/operator/mysql.rs
+++ b/settings/src/operator/mysql.rs
@@ -1,4 +1,4 @@
-//! The table `[mysql]`: the MySQL front, its users, classes, rules and servers, and the bounds and decision settings
+//! The table `[mysql]`: the `MySQL` front, its users, classes, rules and servers, and the bounds and decision settings
 //! that follow from it.
 use super::table::{each, only, optional, or, owned, positive};
 use crate::error::Error;
@@ -49,7 +49,7 @@
 const MAX_CLOCK_OFFSET_MS: f64 = 86_400_000.0;
 /// Least and most memory in MiB; figures beyond count as these.
 const MEMORY_MB: (u64, u64) = (16, 1 << 20);
-/// How long MySQL clients may stay idle: they keep sessions with prepared statements, and servers let them for as long.
+/// How long `MySQL` clients may stay idle: they keep sessions with prepared statements, and servers let them for as long.
 const CLIENT_IDLE: Duration = Duration::from_secs(8 * 3600);
 
 /// A rule that gives statements their class and group by their beginning.
@@ -78,7 +78,7 @@
     pub site: Option<String>,
 }
 
-/// The MySQL front and its connections to servers.
+/// The `MySQL` front and its connections to servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Mysql {
     /// Where clients connect.
--- a/settings/src/operator/reload.rs
+++ b/settings/src/operator/reload.rs
@@ -18,7 +18,7 @@
 /// What a file that is read while the program runs changes.
 #[derive(Clone, Debug)]
 pub struct Reload {
-    /// The MySQL front's settings; only users, rules and the default group may differ from those of the start.
+    /// The `MySQL` front's settings; only users, rules and the default group may differ from those of the start.
     pub mysql: Mysql,
     /// The peers of sessions, where the file has `[sessions]` at all.
     pub session_peers: Option<BTreeMap<u64, SocketAddr>>,
