--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -7,7 +7,7 @@
 /// What is wrong with a configuration. The message begins with the keys that lead to the fault, the outermost first:
 /// `mysql: class[2]: expected safe or unsafe in 'effect', found 'odd'`.
 #[derive(Debug, Error)]
-#[error("{}{fault}", led(.path))]
+#[error("{}{fault}", path_prefix(.path))]
 pub struct Error {
     /// The keys around the fault, the innermost first.
     path: Vec<String>,
@@ -30,7 +30,7 @@
         /// What stands there; never the value of a key that takes a secret.
         found: String,
     },
-    /// What stands under the innermost key of the path can't be used, or its keys don't fit together.
+    /// What stands under the innermost key of the path can't be used, or its keys contradict each other.
     #[error("expected {expected}, found {found}")]
     Here {
         /// What may stand there.
@@ -38,7 +38,7 @@
         /// What stands there.
         found: String,
     },
-    /// A key that nothing reads: most often a slip of the pen.
+    /// A key that nothing reads: most often a misspelling.
     #[error("the key '{key}' is not known; known are {}", known.join(", "))]
     Unknown {
         /// The key.
@@ -46,28 +46,29 @@
         /// The keys that may stand beside it.
         known: Vec<String>,
     },
-    /// The fleet's table can't be used.
+    /// The table `[fleet]` can't be used.
     #[error(transparent)]
     Fleet(#[from] crate::fleet::FleetError),
-    /// The table of a fleet's members can't be used.
+    /// The table `[members]` can't be used.
     #[error(transparent)]
     Members(#[from] crate::members::Error),
-    /// The bounds of discovery's watch don't go together.
+    /// The bounds of discovery's watch are inconsistent.
     #[error(transparent)]
     Watch(#[from] crate::limits::WatchError),
-    /// The text is no JSON.
+    /// The text is not JSON.
     #[error("expected JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// The text is no TOML.
+    /// The text is not TOML.
     #[error("expected TOML: {0}")]
     Toml(#[from] toml::de::Error),
 }
 
-fn led(path: &[String]) -> String {
+/// The keys before the message, the outermost first.
+fn path_prefix(path: &[String]) -> String {
     path.iter().rev().map(|key| format!("{key}: ")).collect()
 }
 
-/// What a value is, without the value: it may be a secret.
+/// The kind of a value, for messages; not the value itself, which may be a secret.
 pub fn shape(v: &Value) -> &'static str {
     match v {
         Value::Null => "nothing",
@@ -80,17 +81,17 @@
 }
 
 impl Error {
-    /// A key that must be set and is not.
+    /// The error for a key that must be set and is not.
     pub fn missing(key: &str) -> Error {
         Fault::Missing(key.into()).into()
     }
 
-    /// A key whose value can't be used: what may stand there, and what does.
+    /// The error for a key whose value can't be used: what may stand there, and what does.
     pub fn value(key: &str, expected: impl Into<Cow<'static, str>>, found: impl Display) -> Error {
         Fault::Value { key: key.into(), expected: expected.into(), found: found.to_string() }.into()
     }
 
-    /// What can't be used as a whole: the message names it by [`Error::at`], or in `expected`.
+    /// The error for what can't be used as a whole: [`Error::at`] names it, or `expected` does.
     pub fn here(expected: impl Into<Cow<'static, str>>, found: impl Display) -> Error {
         Fault::Here { expected: expected.into(), found: found.to_string() }.into()
     }
--- a/settings/src/platform.rs
+++ b/settings/src/platform.rs
@@ -1,141 +1,177 @@
-//! Reads the settings object of a start message. Keys that are not named here are skipped.
+//! Reads the settings object of the platform's configuration and of the simulator's start message. Keys that are not
+//! named here are skipped.
 use crate::error::Error;
 use crate::fields::{amount, array, count, field, flag, moment, span, text};
 use decision::{Class, Freshness, Idempotency, LaggingReplica, Micros, SessionCommitSource, Settings};
 use serde_json::{Value, json};
 
-/// What the adapter itself needs to translate notes and reports.
+/// What the simulator's adapter needs to translate its messages and reports.
 #[derive(Clone, Debug)]
 pub struct Translation {
-    /// The clock time from which positions are counted.
+    /// The time from which positions are counted, in microseconds of the simulator's clock.
     pub zero: Micros,
-    /// Which classes are writes.
+    /// Which classes are writes, by position.
     pub writes: Vec<bool>,
     /// How many tenants are listed.
     pub tenants: usize,
 }
 
-/// The age that a class bears of the data it reads.
-fn age(bounds: &Value, at: usize) -> Result<Micros, Error> {
-    const KEY: &str = "oldestDataMs";
-    let bound = bounds.get(at).filter(|b| b.is_number());
-    let missing = || {
-        let found = bounds.get(at).unwrap_or(&Value::Null);
-        Error::value(KEY, "a bound for each lag_bound class", found)
-    };
-    span(&json!({ KEY: bound.ok_or_else(missing)? }), KEY)
+/// A table of the settings object; faults in it are reported under its key.
+struct Section<'a> {
+    key: &'static str,
+    table: &'a Value,
 }
 
-fn class(c: &Value, need: &Value, bounds: &Value, at: usize) -> Result<Class, Error> {
-    let window = || span(c, "repeatWindowMs");
-    let effect = match text(c, "semantics")? {
-        "read_like" => Idempotency::Idempotent,
-        "non_idempotent" => Idempotency::NotIdempotent,
-        "idempotency_key" => match text(c, "group")? {
-            "cell" => Idempotency::DeduplicatedInGroup(window()?),
-            "all" => Idempotency::DeduplicatedEverywhere(window()?),
-            "zone" => Idempotency::DeduplicatedInZone(window()?),
-            x => return Err(Error::value("group", "cell, all or zone", format_args!("'{x}'"))),
-        },
-        x => {
-            let known = "read_like, non_idempotent or idempotency_key";
-            return Err(Error::value("semantics", known, format_args!("'{x}'")));
-        }
-    };
-    let freshness = match need.as_str() {
-        Some("mutate") => Freshness::Write,
-        Some("strong") => Freshness::Latest,
-        Some("causal") => Freshness::Session,
-        Some("eventual") => Freshness::Any,
-        Some("lag_bound") => Freshness::Bounded(age(bounds, at)?),
-        _ => return Err(Error::value("freshness", "mutate, strong, causal, eventual or lag_bound", need)),
-    };
-    Ok(Class {
-        freshness,
-        idempotency: effect,
-        latency_objective: span(c, "objectiveMs")?,
-        deadline: span(c, "deadlineMs")?,
-        priority_weight: amount(c, "worth")?,
-        late_weight_share: amount(c, "lateWorth")?,
-    })
-}
+impl<'a> Section<'a> {
+    fn of(v: &'a Value, key: &'static str) -> Result<Section<'a>, Error> {
+        Ok(Section { key, table: field(v, key)? })
+    }
 
-/// Names the table around a fault.
-fn under(key: &'static str) -> impl Fn(Error) -> Error {
-    move |e| e.at(key)
+    /// A field of the table, by one of the readers of [`crate::fields`].
+    fn read<T>(
+        &self,
+        read: impl FnOnce(&'a Value, &str) -> Result<T, Error>,
+        name: &str,
+    ) -> Result<T, Error> {
+        read(self.table, name).map_err(|e| e.at(self.key))
+    }
+
+    fn value_error(&self, name: &str, expected: &'static str, found: &str) -> Error {
+        Error::value(name, expected, format_args!("'{found}'")).at(self.key)
+    }
 }
 
-/// The router's settings and the adapter's.
+/// Reads the settings object: the settings of the decision logic, and what the adapter needs beside them.
+///
+/// # Errors
+/// An [`Error`] that names the faulty field and the tables around it.
 pub fn read(v: &Value) -> Result<(Settings, Translation), Error> {
-    let (extra, limits, rules) = (field(v, "extra")?, field(v, "limits")?, field(v, "contract")?);
-    let needs = array(extra, "freshness").map_err(under("extra"))?;
-    let bounds = extra.get("oldestDataMs").unwrap_or(&Value::Null);
-    let listed = array(v, "classes")?;
-    if needs.len() != listed.len() {
-        let expected = format!("one word for each of {} classes", listed.len());
-        return Err(Error::value("freshness", expected, needs.len()).at("extra"));
-    }
-    let classes = listed
-        .iter()
-        .zip(needs)
-        .enumerate()
-        .map(|(i, (c, need))| class(c, need, bounds, i).map_err(|e| e.at(format!("classes[{i}]"))))
-        .collect::<Result<Vec<_>, _>>()?;
-    let when_behind = match text(extra, "whenBehind").map_err(under("extra"))? {
-        "silent" => LaggingReplica::AnswersStale,
-        "bounce" => LaggingReplica::Rejects,
-        "await" => LaggingReplica::WaitsThenRejects(span(extra, "patienceMs").map_err(under("extra"))?),
-        x => {
-            return Err(
-                Error::value("whenBehind", "silent, bounce or await", format_args!("'{x}'")).at("extra")
-            );
-        }
-    };
-    let tokens = match text(extra, "writeMarks").map_err(under("extra"))? {
-        "brought" => SessionCommitSource::CarriedByRequest,
-        "kept" => SessionCommitSource::RememberedByRouter,
-        x => return Err(Error::value("writeMarks", "brought or kept", format_args!("'{x}'")).at("extra")),
-    };
-    let tenants = match v.get("tenants") {
-        Some(Value::Array(a)) => a
-            .iter()
-            .map(|t| amount(t, "quotaRps"))
-            .collect::<Result<Vec<_>, _>>()
-            .map_err(under("tenants"))?,
-        _ => Vec::new(),
-    };
+    let extra = Section::of(v, "extra")?;
+    let limits = Section::of(v, "limits")?;
+    let contract = Section::of(v, "contract")?;
+    let classes = read_classes(v, &extra)?;
+    let lagging_replica = read_lagging_replica(&extra)?;
+    let session_commit_source = read_session_commit_source(&extra)?;
+    let tenant_rates = read_tenant_rates(v)?;
     let translation = Translation {
-        zero: moment(extra, "positionZeroMs").map_err(under("extra"))?,
+        zero: extra.read(moment, "positionZeroMs")?,
         writes: classes.iter().map(|c| c.freshness == Freshness::Write).collect(),
-        tenants: tenants.len(),
+        tenants: tenant_rates.len(),
     };
-    let come_back = flag(limits, "retryAfter").map_err(under("limits"))?;
+    let retry_after_allowed = limits.read(flag, "retryAfter")?;
     let settings = Settings {
         classes,
-        tenant_rates: tenants,
+        tenant_rates,
         over_quota_weight: v.get("overShareWorth").and_then(Value::as_f64).unwrap_or(1.0),
         router_count: count(v, "replicasOfMe")?.max(1),
         zone: count(v, "zone")?,
         min_event_interval: span(v, "roundMs")?,
-        lagging_replica: when_behind,
-        session_commit_source: tokens,
-        hedging_allowed: flag(limits, "mayDuplicate").map_err(under("limits"))?,
-        max_attempts: count(limits, "mostTries").map_err(under("limits"))?,
-        cancel_allowed: flag(limits, "cancel").map_err(under("limits"))?,
-        probing_allowed: flag(limits, "probes").map_err(under("limits"))?,
+        lagging_replica,
+        session_commit_source,
+        hedging_allowed: limits.read(flag, "mayDuplicate")?,
+        max_attempts: limits.read(count, "mostTries")?,
+        cancel_allowed: limits.read(flag, "cancel")?,
+        probing_allowed: limits.read(flag, "probes")?,
         probe_cost: v.get("prices").and_then(|p| p.get("probe")).and_then(Value::as_f64).unwrap_or(0.0),
-        max_retry_after: come_back
-            .then(|| span(limits, "maxRetryAfterMs"))
-            .transpose()
-            .map_err(under("limits"))?,
-        connect_timeout: span(limits, "dialTimeoutMs").map_err(under("limits"))?,
-        drain_grace: span(rules, "drainGraceMs").map_err(under("contract"))?,
-        missing_members_may_serve: flag(rules, "drainBindsAlone").map_err(under("contract"))?,
-        slow_start_initial_share: amount(rules, "coldFrom").map_err(under("contract"))?,
-        slow_start_duration: span(rules, "coldMs").map_err(under("contract"))?,
-        overload_factor: amount(rules, "overloadFactor").map_err(under("contract"))?,
-        overload_duration: span(rules, "tipAfterMs").map_err(under("contract"))?,
+        max_retry_after: retry_after_allowed.then(|| limits.read(span, "maxRetryAfterMs")).transpose()?,
+        connect_timeout: limits.read(span, "dialTimeoutMs")?,
+        drain_grace: contract.read(span, "drainGraceMs")?,
+        missing_members_may_serve: contract.read(flag, "drainBindsAlone")?,
+        slow_start_initial_share: contract.read(amount, "coldFrom")?,
+        slow_start_duration: contract.read(span, "coldMs")?,
+        overload_factor: contract.read(amount, "overloadFactor")?,
+        overload_duration: contract.read(span, "tipAfterMs")?,
         list_requires_subscription: text(v, "membershipMode")? == "subscribe",
     };
     Ok((settings, translation))
 }
+
+/// The classes; the word for the freshness of each stands at its position in a list of `extra`.
+fn read_classes(v: &Value, extra: &Section) -> Result<Vec<Class>, Error> {
+    let freshness_words = extra.read(array, "freshness")?;
+    let bounds = extra.table.get("oldestDataMs").unwrap_or(&Value::Null);
+    let listed = array(v, "classes")?;
+    if freshness_words.len() != listed.len() {
+        let expected = format!("one word for each of {} classes", listed.len());
+        return Err(Error::value("freshness", expected, freshness_words.len()).at(extra.key));
+    }
+    let read =
+        |(i, (class, word))| read_class(class, word, bounds, i).map_err(|e| e.at(format!("classes[{i}]")));
+    listed.iter().zip(freshness_words).enumerate().map(read).collect()
+}
+
+fn read_class(v: &Value, freshness_word: &Value, bounds: &Value, position: usize) -> Result<Class, Error> {
+    let idempotency = read_idempotency(v)?;
+    let freshness = match freshness_word.as_str() {
+        Some("mutate") => Freshness::Write,
+        Some("strong") => Freshness::Latest,
+        Some("causal") => Freshness::Session,
+        Some("eventual") => Freshness::Any,
+        Some("lag_bound") => Freshness::Bounded(read_bound(bounds, position)?),
+        _ => {
+            let known = "mutate, strong, causal, eventual or lag_bound";
+            return Err(Error::value("freshness", known, freshness_word));
+        }
+    };
+    Ok(Class {
+        freshness,
+        idempotency,
+        latency_objective: span(v, "objectiveMs")?,
+        deadline: span(v, "deadlineMs")?,
+        priority_weight: amount(v, "worth")?,
+        late_weight_share: amount(v, "lateWorth")?,
+    })
+}
+
+fn read_idempotency(v: &Value) -> Result<Idempotency, Error> {
+    let window = || span(v, "repeatWindowMs");
+    match text(v, "semantics")? {
+        "read_like" => Ok(Idempotency::Idempotent),
+        "non_idempotent" => Ok(Idempotency::NotIdempotent),
+        "idempotency_key" => match text(v, "group")? {
+            "cell" => Ok(Idempotency::DeduplicatedInGroup(window()?)),
+            "all" => Ok(Idempotency::DeduplicatedEverywhere(window()?)),
+            "zone" => Ok(Idempotency::DeduplicatedInZone(window()?)),
+            x => Err(Error::value("group", "cell, all or zone", format_args!("'{x}'"))),
+        },
+        x => {
+            let known = "read_like, non_idempotent or idempotency_key";
+            Err(Error::value("semantics", known, format_args!("'{x}'")))
+        }
+    }
+}
+
+/// The oldest data that the class at this position may read.
+fn read_bound(bounds: &Value, position: usize) -> Result<Micros, Error> {
+    const KEY: &str = "oldestDataMs";
+    let bound = bounds.get(position).filter(|bound| bound.is_number());
+    let missing = || {
+        let found = bounds.get(position).unwrap_or(&Value::Null);
+        Error::value(KEY, "a bound for each lag_bound class", found)
+    };
+    span(&json!({ KEY: bound.ok_or_else(missing)? }), KEY)
+}
+
+fn read_lagging_replica(extra: &Section) -> Result<LaggingReplica, Error> {
+    match extra.read(text, "whenBehind")? {
+        "silent" => Ok(LaggingReplica::AnswersStale),
+        "bounce" => Ok(LaggingReplica::Rejects),
+        "await" => Ok(LaggingReplica::WaitsThenRejects(extra.read(span, "patienceMs")?)),
+        x => Err(extra.value_error("whenBehind", "silent, bounce or await", x)),
+    }
+}
+
+fn read_session_commit_source(extra: &Section) -> Result<SessionCommitSource, Error> {
+    match extra.read(text, "writeMarks")? {
+        "brought" => Ok(SessionCommitSource::CarriedByRequest),
+        "kept" => Ok(SessionCommitSource::RememberedByRouter),
+        x => Err(extra.value_error("writeMarks", "brought or kept", x)),
+    }
+}
+
+/// The tenants' rates in requests a second; none where `tenants` is no array.
+fn read_tenant_rates(v: &Value) -> Result<Vec<f64>, Error> {
+    let Some(tenants) = v.get("tenants").and_then(Value::as_array) else { return Ok(Vec::new()) };
+    let rates: Result<_, _> = tenants.iter().map(|tenant| amount(tenant, "quotaRps")).collect();
+    rates.map_err(|e: Error| e.at("tenants"))
+}
--- a/settings/src/start.rs
+++ b/settings/src/start.rs
@@ -1,23 +1,31 @@
-//! What the platform tells a router at its start: `$BALANCER_CONFIG` and the variables beside it.
+//! What the platform starts a router with: `$BALANCER_CONFIG` and the variables beside it.
 use crate::error::Error;
 use crate::fields::{array, count, field, span, text, texts, whole};
 use crate::limits::Limits;
 use crate::platform;
-use decision::Settings;
+use decision::{Micros, Settings};
 use serde_json::Value;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The names that positions of classes and zones stand for.
+/// The fewest file descriptors that the program can run with.
+const MIN_SOCKETS: usize = 64;
+/// What `memory_mb` may be, in MiB.
+const MEMORY_MB: RangeInclusive<usize> = 16..=(1 << 20) - 1;
+/// The longest time that an instance leaves a connection idle: a day. Longer ones count as this.
+const MAX_KEEPALIVE: Duration = Duration::from_secs(86_400);
+
+/// The names of classes and zones, which are numbers elsewhere.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     /// Class names in the order of [`Settings::classes`].
     pub classes: Vec<String>,
-    /// Zone names; entries of the list name their zone.
+    /// Zone names in the order of their numbers; entries of the endpoint list name their zone.
     pub zones: Vec<String>,
 }
 
-/// One router's start on the platform.
+/// All that one router is started with on the platform.
 #[derive(Clone, Debug)]
 pub struct Start {
     /// The router's name, the same after a restart.
@@ -26,23 +34,23 @@
     pub listen: String,
     /// Where discovery answers.
     pub discovery: SocketAddr,
-    /// Where operators call; nowhere where it is not given.
+    /// Where the admin listener is bound; without it there is none.
     pub admin: Option<SocketAddr>,
     /// Seed of the random numbers.
     pub seed: u64,
-    /// The list as the router held it last, in discovery's form.
+    /// The endpoint list as the router had it last, in discovery's form.
     pub known: Value,
-    /// What the module is told.
+    /// The settings of the decision logic.
     pub settings: Settings,
     /// Names of classes and zones.
     pub names: Names,
     /// Every bound of the program.
     pub limits: Limits,
-    /// What the file said, to tell what a later one changes.
+    /// The file as it was parsed, without `known`, for [`reload`] to compare a later one with.
     pub said: Value,
 }
 
-/// What a configuration file that is read while the program runs brings.
+/// What a configuration file that is read while the program runs changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reload {
     /// Where discovery answers from now on.
@@ -51,8 +59,13 @@
     pub restart: Vec<String>,
 }
 
-/// The value of a variable, or the config's field of the same meaning.
-fn told(env: &dyn Fn(&str) -> Option<String>, variable: &str, v: &Value, key: &str) -> Result<String, Error> {
+/// The value of a variable, or the config's field of the same meaning where it is not set or empty.
+fn env_or_field(
+    env: &dyn Fn(&str) -> Option<String>,
+    variable: &str,
+    v: &Value,
+    key: &str,
+) -> Result<String, Error> {
     match env(variable).filter(|x| !x.is_empty()) {
         Some(x) => Ok(x),
         None => text(v, key).map(str::to_string),
@@ -63,15 +76,15 @@
     addr.parse().map_err(|_| Error::here("ip:port", format_args!("'{addr}'")).at(key))
 }
 
-/// The operators' address, where one is given.
+/// The admin listener's address, where one is given.
 fn admin(env: &dyn Fn(&str) -> Option<String>, v: &Value) -> Result<Option<SocketAddr>, Error> {
     let given = env("BALANCER_ADMIN_ADDR").is_some_and(|x| !x.is_empty())
         || v.get("admin_addr").is_some_and(|a| !a.is_null() && a.as_str() != Some(""));
-    let at = given.then(|| told(env, "BALANCER_ADMIN_ADDR", v, "admin_addr"));
-    at.map(|a| address("admin_addr", &a?)).transpose()
+    let addr = given.then(|| env_or_field(env, "BALANCER_ADMIN_ADDR", v, "admin_addr"));
+    addr.map(|a| address("admin_addr", &a?)).transpose()
 }
 
-/// Keys of two tables that differ, but for `but`.
+/// The keys whose values differ between two tables, sorted, without those in `but`.
 pub fn changed(old: &Value, new: &Value, but: &[&str]) -> Vec<String> {
     let keys = |v: &Value| v.as_object().into_iter().flat_map(|o| o.keys().cloned()).collect::<Vec<_>>();
     let mut all = [keys(old), keys(new)].concat();
@@ -81,8 +94,11 @@
     all
 }
 
-/// Reads the text of a later file against the start. Its own `discovery` counts: the variable is as it was when
-/// the program began.
+/// Reads the text of a later file against the start. Its own `discovery` counts: the variable is still what it was when
+/// the program started.
+///
+/// # Errors
+/// An [`Error`] that names the faulty key; nothing of the file is used then.
 pub fn reload(config: &str, start: &Start) -> Result<Reload, Error> {
     let new = read(config, &|_| None)?;
     let restart = changed(&start.said, &new.said, &["discovery", "known", "seed"]);
@@ -97,8 +113,8 @@
     }
 }
 
-/// The classes' names: each stands for one class, since a request names it by nothing else, and on one line of the
-/// operators' figures.
+/// The classes' names. Each is unique, since requests name their class by it, and without control characters, since
+/// metrics have it on one line.
 fn classes(settings: &Value) -> Result<Vec<String>, Error> {
     let name = |c: &Value| text(c, "name").map(str::to_string);
     let names = array(settings, "classes")?.iter().map(name).collect::<Result<Vec<_>, _>>();
@@ -107,16 +123,16 @@
         let found = format!("{:?}", names[i]);
         return Err(Error::value("name", "no control characters", found).at(format!("classes[{i}]")));
     }
-    let again = (1..names.len()).find(|i| names[..*i].contains(&names[*i]));
-    if let Some(i) = again {
+    let repeated = (1..names.len()).find(|i| names[..*i].contains(&names[*i]));
+    if let Some(i) = repeated {
         let found = format!("'{}' a second time", names[i]);
         return Err(Error::value("name", "a name that no other class has", found).at(format!("classes[{i}]")));
     }
     Ok(names)
 }
 
-/// How long a connection to an instance may rest; beside it stands what an instance can't be asked without.
-fn keepalive(limits: &Value, settings: &Settings) -> Result<i64, Error> {
+/// For how long an instance leaves a connection idle. Beside it, what no instance could be reached without is checked.
+fn keepalive(limits: &Value, settings: &Settings) -> Result<Micros, Error> {
     if settings.connect_timeout == 0 {
         return Err(Error::value("dialTimeoutMs", "more than 0", 0));
     }
@@ -127,43 +143,23 @@
 }
 
 /// Reads the config's text; `env` looks up a variable.
+///
+/// # Errors
+/// An [`Error`] that names the faulty key and the tables around it.
 pub fn read(config: &str, env: &dyn Fn(&str) -> Option<String>) -> Result<Start, Error> {
     let mut v: Value = serde_json::from_str(config)?;
-    let inner = field(&v, "settings")?;
-    let (mut settings, _) = platform::read(inner).map_err(|e| e.at("settings"))?;
-    let names = Names {
-        classes: classes(inner).map_err(|e| e.at("settings"))?,
-        zones: texts(inner, "failureDomains").map_err(|e| e.at("settings"))?,
-    };
-    // Zones of the list that have no name here are numbered behind those that have: this router stands in none of them.
-    if settings.zone as usize >= names.zones.len() {
-        settings.zone = u32::MAX;
-    }
-    let bounds = field(inner, "limits").map_err(|e| e.at("settings"))?;
-    let keepalive = keepalive(bounds, &settings).map_err(|e| e.at("limits").at("settings"))?;
-    let given = field(&v, "limits")?;
-    let sockets = count(given, "sockets").map_err(|e| e.at("limits"))? as usize;
-    if sockets < 64 {
-        return Err(Error::value("sockets", "at least 64", sockets).at("limits"));
-    }
-    let memory = whole(given, "memory_mb").map_err(|e| e.at("limits"))? as usize;
-    if !(16..1 << 20).contains(&memory) {
-        return Err(Error::value("memory_mb", "16 to 1048575", memory).at("limits"));
-    }
-    let micros = |m: i64| Duration::from_micros(m.max(0) as u64);
-    let longest = settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-    let keepalive = micros(keepalive).min(Duration::from_secs(86_400));
-    let mut limits =
-        Limits::new(sockets, memory << 20, micros(settings.connect_timeout), keepalive, micros(longest));
+    let (settings, names, keepalive) = read_settings(field(&v, "settings")?).map_err(|e| e.at("settings"))?;
+    let resources = read_resources(field(&v, "limits")?).map_err(|e| e.at("limits"))?;
+    let mut limits = limits(&settings, keepalive, &resources);
     limits.check_watch().map_err(|e| Error::from(e).at("limits"))?;
     let admin = admin(env, &v)?;
     if admin.is_some() {
-        limits.open_door(sockets);
+        limits.open_door(resources.sockets);
     }
     Ok(Start {
-        name: told(env, "BALANCER_NAME", &v, "name")?,
-        listen: told(env, "BALANCER_LISTEN", &v, "listen")?,
-        discovery: address("discovery", &told(env, "BALANCER_DISCOVERY", &v, "discovery")?)?,
+        name: env_or_field(env, "BALANCER_NAME", &v, "name")?,
+        listen: env_or_field(env, "BALANCER_LISTEN", &v, "listen")?,
+        discovery: address("discovery", &env_or_field(env, "BALANCER_DISCOVERY", &v, "discovery")?)?,
         admin,
         seed: seed(&v)?,
         known: v.get_mut("known").map(Value::take).unwrap_or_default(),
@@ -173,3 +169,48 @@
         said: v,
     })
 }
+
+/// The settings of the decision logic, the names in them, and for how long an instance leaves a connection idle.
+fn read_settings(v: &Value) -> Result<(Settings, Names, Micros), Error> {
+    let (mut settings, _) = platform::read(v)?;
+    let names = Names { classes: classes(v)?, zones: texts(v, "failureDomains")? };
+    // Zones of the endpoint list without a name here get the numbers behind these: this router is in none of them.
+    if settings.zone as usize >= names.zones.len() {
+        settings.zone = u32::MAX;
+    }
+    let keepalive = keepalive(field(v, "limits")?, &settings).map_err(|e| e.at("limits"))?;
+    Ok((settings, names, keepalive))
+}
+
+/// What the process may use.
+struct Resources {
+    /// File descriptors.
+    sockets: usize,
+    /// Memory in bytes.
+    memory: usize,
+}
+
+fn read_resources(v: &Value) -> Result<Resources, Error> {
+    let sockets = count(v, "sockets")? as usize;
+    if sockets < MIN_SOCKETS {
+        return Err(Error::value("sockets", format!("at least {MIN_SOCKETS}"), sockets));
+    }
+    let memory_mb = whole(v, "memory_mb")? as usize;
+    if !MEMORY_MB.contains(&memory_mb) {
+        let expected = format!("{} to {}", MEMORY_MB.start(), MEMORY_MB.end());
+        return Err(Error::value("memory_mb", expected, memory_mb));
+    }
+    Ok(Resources { sockets, memory: memory_mb << 20 })
+}
+
+fn limits(settings: &Settings, keepalive: Micros, resources: &Resources) -> Limits {
+    let duration = |micros: Micros| Duration::from_micros(micros.max(0) as u64);
+    let longest_deadline = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+    Limits::new(
+        resources.sockets,
+        resources.memory,
+        duration(settings.connect_timeout),
+        duration(keepalive).min(MAX_KEEPALIVE),
+        duration(longest_deadline),
+    )
+}
