--- a/settings/src/fleet/member.rs
+++ b/settings/src/fleet/member.rs
@@ -27,16 +27,16 @@
     pub audit: Option<Audit>,
 }
 
-/// An operator's `[fleet.audit]`: when a router that lags behind the current version is told to fetch it, and when it
+/// An operator's `[fleet.audit]`: when a router that lags behind the current version is asked to fetch it, and when it
 /// is fenced. On the routers it makes each fence itself; on the store's nodes it makes the leader keep the record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Audit {
-    /// A router that has lagged for this long, in milliseconds (100 to 60000), is told to fetch the current version.
+    /// A router that has lagged for this long, in milliseconds (100 to 60000), is asked to fetch the current version.
     pub lag_ms: u64,
     /// So is one that lags by more versions than this (1 to 200).
     pub lag_versions: u32,
-    /// How often it is told to before it is fenced (1 to 100).
+    /// How often it is asked to before it is fenced (1 to 100).
     pub refetches: u32,
 }
 
--- a/settings/src/operator/sessions.rs
+++ b/settings/src/operator/sessions.rs
@@ -32,7 +32,7 @@
     pub folder: Option<String>,
     /// How many sessions are remembered one by one.
     pub remembered: usize,
-    /// How long one instance relies on a peer's commits without hearing from it.
+    /// How long one instance relies on a peer's commits without receiving anything from it.
     pub lease: Duration,
     /// A registry may give peers other addresses than the file: a refused connection is then no proof that a peer is
     /// down.
--- a/settings/tests/customers.rs
+++ b/settings/tests/customers.rs
@@ -1,5 +1,4 @@
-//! Settings of customers that nobody has met: any number of classes and zones, of any name and in any order, and any
-//! value in any place.
+//! Generated configurations: any number of classes and zones, of any name and in any order, and any value in any place.
 use decision::{Freshness, Idempotency};
 use proptest::prelude::*;
 use serde_json::{Value, json};
@@ -82,7 +81,7 @@
 
 proptest! {
     #[test]
-    fn names_and_order_of_classes_change_nothing_of_what_is_read(
+    fn class_names_and_order_do_not_change_settings(
         (names, others) in names(70).prop_flat_map(|n| {
             let others = names(2 * n.len().max(1) + 70);
             (Just(n), others)
@@ -119,7 +118,7 @@
     }
 
     #[test]
-    fn zones_are_names_alone_and_a_router_in_none_of_them_is_near_to_nobody(
+    fn zone_without_name_is_shared_with_no_member(
         zones in names(12),
         zone in prop_oneof![0u32..14, any::<u32>()],
     ) {
@@ -132,7 +131,7 @@
     }
 
     #[test]
-    fn any_value_in_any_place_is_read_or_refused_by_its_key(place in any::<prop::sample::Index>(), value in any_value()) {
+    fn any_value_is_read_or_refused_with_its_key(place in any::<prop::sample::Index>(), value in any_value()) {
         let listed: Vec<_> = (0..4).map(|i| class(format!("class {i}"), i)).collect();
         let good = config(&listed, &["a".into(), "b".into()], 0);
         let mut all = Vec::new();
@@ -176,7 +175,7 @@
 }
 
 #[test]
-fn links_to_instances_are_trusted_no_longer_than_half_of_their_keep_alive_however_short() {
+fn link_trust_is_at_most_half_of_keepalive() {
     for keepalive_ms in [0, 1, 20, 99, 100, 3000, 30_000, 60_000] {
         let mut c = config(&[class("only".into(), 4)], &["a".into()], 0);
         c["settings"]["limits"]["keepaliveMs"] = json!(keepalive_ms);
@@ -190,7 +189,7 @@
 }
 
 #[test]
-fn what_asks_across_a_rested_link_is_waited_for_as_the_time_to_connect_allows() {
+fn link_check_follows_connect_timeout() {
     for (dial_ms, check_ms) in [(150, 40), (250, 40), (600, 96), (3000, 480)] {
         let mut c = config(&[class("only".into(), 4)], &["a".into()], 0);
         c["settings"]["limits"]["dialTimeoutMs"] = json!(dial_ms);
--- a/settings/tests/faults.rs
+++ b/settings/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Faulty files, and what is said of each: the keys that lead to the fault, what was expected and what was found.
+//! Faulty files and their error texts: the keys that lead to the fault, what was expected and what was found.
 use serde_json::{Value, json};
 
 const MYSQL: &str =
@@ -10,7 +10,7 @@
 const REGISTRY: &str = "[registry]\nkind = 'etcd'\nprefix = 'a'\nendpoints = ['127.0.0.1:1']\n";
 
 #[test]
-fn faults_of_an_operators_file_are_named() {
+fn faulty_operator_file_is_refused_with_the_key() {
     let with = |more: &str| format!("{MYSQL}{more}");
     let listen = |x: &str| MYSQL.replace("'127.0.0.1:0'", x);
     let class = |from: &str, to: &str| format!("{MYSQL}{CLASS}{}", CLASS.replace(from, to));
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn faults_of_what_a_registry_says_in_place_of_the_file_are_named() {
+fn faulty_registry_overlay_is_refused_with_the_key() {
     let start = settings::operator::read(MYSQL).unwrap();
     for (overlay, message) in [
         ("[[mysql.user]]\nname = 7\n", "mysql: user[0]: expected text in 'name', found a number"),
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn faults_of_the_platforms_configuration_are_named() {
+fn faulty_platform_configuration_is_refused_with_the_key() {
     settings::start::read(&platform().to_string(), &|_| None).unwrap();
     for (place, value, message) in [
         ("/name", json!(null), "expected the field 'name', found none"),
--- a/settings/tests/limits.rs
+++ b/settings/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds that have to go together, each broken in turn.
+//! Bounds that have to be consistent, each broken in turn.
 use settings::Limits;
 use settings::limits::WatchError;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_bounds_of_discoverys_watch_leave_a_second_of_the_six() {
+fn watch_bounds_leave_one_second_of_six() {
     let limits = limits();
     assert_eq!(limits.check_watch(), Ok(()));
     // Silence, the pause between two openings, a connection and its first line.
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn each_bound_of_discoverys_watch_that_is_too_long_or_too_short_is_an_error_that_says_what_to_do() {
+fn inconsistent_watch_bound_is_refused_with_a_remedy() {
     type Break = fn(&mut Limits);
     let late: [(&str, Break); 5] = [
         ("silent", |l| l.watch_silent = ms(2901)),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn clients_links_and_all_else_fit_into_the_descriptors_from_the_least_on() {
+fn connections_and_reserve_fit_into_descriptors() {
     let long = Duration::from_secs(20);
     for sockets in 64..=4096 {
         let mut limits = Limits::new(sockets, 192 << 20, long, long, long);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn the_watch_has_descriptors_for_all_that_it_may_open() {
+fn watch_has_descriptors_for_all_its_connections() {
     let limits = limits();
     // Those that wait, a silent one and a former one, each a second time while it is being closed.
     assert!(limits.set_aside > 2 * (limits.watch_most + 2) + 3 + 2 + 2);
--- a/settings/tests/shutdown.rs
+++ b/settings/tests/shutdown.rs
@@ -1,9 +1,9 @@
-//! Bounds that have to go together.
+//! The bounds after SIGTERM, which have to be consistent.
 use settings::Limits;
 use std::time::Duration;
 
 #[test]
-fn whatever_is_read_last_has_its_whole_time_before_the_end_and_clients_fall_quiet_before_they_are_cut() {
+fn last_request_keeps_its_deadline_during_shutdown() {
     for ms in (0..=10_000).step_by(50) {
         let longest = Duration::from_millis(ms);
         let l = Limits::new(256, 64 << 20, longest, longest, longest);
--- a/settings/tests/sites.rs
+++ b/settings/tests/sites.rs
@@ -1,4 +1,4 @@
-//! The deployments of our own, `deploy/sites/`: what the tests start routers with is what the site files say.
+//! The deployments under `deploy/sites/`: the settings that tests start routers with lie within the site files.
 use serde_json::{Value, json};
 use toml::Table;
 
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_settings_that_routers_are_started_with_are_draws_of_the_site_files() {
+fn site_settings_lie_within_their_site_files() {
     for (name, site, settings) in SITES {
         let site: Table = site.parse().expect("TOML");
         let settings: Value = serde_json::from_str(settings).expect("JSON");
