--- /dev/null
+++ b/discovery/tests/recorded_run.rs
@@ -0,0 +1,131 @@
+//! Recorded runs of the state machine: seeded events in, actions out. The fixture was written by the code as it stood
+//! before its names and files changed; the present code has to give the same text.
+use discovery::silence::{Action, Event, Settings, Silence};
+use std::fmt::Write;
+use std::time::Duration;
+
+const FIXTURE: &str = include_str!("fixtures/recorded_runs.txt");
+
+/// Steps of a run that the fixture holds as text.
+const READABLE_STEPS: usize = 200;
+/// Steps of a run of which the fixture holds the hash alone.
+const HASHED_STEPS: usize = 4000;
+/// Runs of which the fixture holds the hash alone, for each settings.
+const HASHED_SEEDS: u64 = 24;
+
+fn ms(n: u64) -> Duration {
+    Duration::from_millis(n)
+}
+
+/// The limits of production, and tight ones whose bounds for retries are swapped.
+fn all_settings() -> [(&'static str, Settings); 2] {
+    let usual = Settings {
+        silent: ms(2600),
+        answer: ms(600),
+        retry: (ms(250), ms(1000)),
+        former: ms(4000),
+        most: 6,
+        chance: ms(1100),
+        patience: ms(10_000),
+    };
+    let tight = Settings { silent: ms(300), retry: (ms(100), ms(50)), former: ms(200), most: 1, ..usual };
+    [("usual", usual), ("tight", tight)]
+}
+
+/// A fixed generator (SplitMix64), so that the runs depend on nothing but their seed.
+struct Random(u64);
+
+impl Random {
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut z = self.0;
+        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        (z ^ (z >> 31)) % bound
+    }
+}
+
+/// The next event and its text. Half of the events with a number are for the newest connection, and some for
+/// connections that are closed or were never opened.
+fn next_event(random: &mut Random, newest: u64) -> (Event, String) {
+    let number = if random.below(2) == 0 { newest } else { (newest + 1).saturating_sub(random.below(9)) };
+    match random.below(100) {
+        0..3 => (Event::Follow, "follow".into()),
+        3..23 => (Event::Head(number), format!("head {number}")),
+        23..35 => (Event::Line { connection: number, news: false }, format!("empty line {number}")),
+        35..45 => (Event::Line { connection: number, news: true }, format!("news {number}")),
+        45..60 => (Event::Ended(number), format!("end {number}")),
+        _ => (Event::Due, "due".into()),
+    }
+}
+
+fn action_text(action: Action) -> String {
+    match action {
+        Action::Open(number) => format!("open {number}"),
+        Action::Close(number) => format!("close {number}"),
+        Action::Silent(number) => format!("silent {number}"),
+        Action::Back(without) => format!("back after {} ms", without.as_millis()),
+    }
+}
+
+fn run(settings: Settings, seed: u64, steps: usize) -> String {
+    let (mut machine, mut random, mut text) = (Silence::new(settings), Random(seed), String::new());
+    let (mut now, mut newest, mut actions) = (Duration::ZERO, 0, Vec::new());
+    for step in 0..steps {
+        let (event, said) = match step {
+            0 => (Event::Due, "due".to_string()),
+            1 => (Event::Follow, "follow".to_string()),
+            _ => next_event(&mut random, newest),
+        };
+        machine.handle(now, event, &mut actions);
+        let mut done = Vec::new();
+        for action in actions.drain(..) {
+            if let Action::Open(number) = action {
+                newest = number;
+            }
+            done.push(action_text(action));
+        }
+        let known = newest.saturating_sub(12)..=newest;
+        let listened: Vec<u64> = known.clone().filter(|n| machine.listens_to(*n)).collect();
+        let silent: Vec<u64> = known.filter(|n| machine.fell_silent(*n)).collect();
+        let due = machine.due().map_or("never".to_string(), |due| due.as_millis().to_string());
+        let done = done.join(", ");
+        let at = now.as_millis();
+        writeln!(text, "{at} {said}: [{done}] due {due} listened {listened:?} silent {silent:?}").unwrap();
+        now += ms([0, 0, 10, 30, 100, 250, 700, 2700][random.below(8) as usize]);
+        // As the driver does it, mostly: no later than what is due.
+        if random.below(4) > 0 {
+            now = machine.due().map_or(now, |due| now.min(due.max(ms(at as u64))));
+        }
+    }
+    text
+}
+
+/// FNV-1a, 64 bits.
+fn hash(text: &str) -> u64 {
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+}
+
+fn record() -> String {
+    let mut text = String::new();
+    for (name, settings) in all_settings() {
+        writeln!(text, "# settings {name}, seed 1, {READABLE_STEPS} steps").unwrap();
+        text += &run(settings, 1, READABLE_STEPS);
+    }
+    for (name, settings) in all_settings() {
+        writeln!(text, "# settings {name}, {HASHED_STEPS} steps, seed and hash").unwrap();
+        for seed in 1..=HASHED_SEEDS {
+            writeln!(text, "{seed} {:016x}", hash(&run(settings, seed, HASHED_STEPS))).unwrap();
+        }
+    }
+    text
+}
+
+#[test]
+fn recorded_events_give_the_recorded_actions() {
+    let record = record();
+    for (number, (found, expected)) in record.lines().zip(FIXTURE.lines()).enumerate() {
+        assert_eq!(found, expected, "line {}", number + 1);
+    }
+    assert_eq!(record, FIXTURE);
+}
