--- /dev/null
+++ b/discovery/src/watch.rs
@@ -0,0 +1,50 @@
+//! The handle of a watch.
+
+use crate::driver::Driver;
+use crate::shared::{Message, Shared, lock};
+use routing::{EndpointsHandle, spawn};
+use settings::Limits;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Handle of the watch. The watch goes on without handles, until the actor of the list has ended.
+#[derive(Clone)]
+pub struct Watch {
+    shared: Arc<Shared>,
+}
+
+impl Watch {
+    /// A watch that follows no address yet. `zones` are the names of the configured zones, whose places are their
+    /// numbers. Updates go to `list`, which also holds the version to resume from.
+    pub fn new(zones: Vec<String>, limits: Arc<Limits>, list: EndpointsHandle) -> Self {
+        Watch { shared: Arc::new(Shared::new(zones, limits, list)) }
+    }
+
+    /// Watches this address from now on. Until it has brought something, updates from the previous one still count.
+    ///
+    /// # Errors
+    /// No thread can be started; raise the limit of processes of the user that the router runs as.
+    pub fn follow(&self, addr: SocketAddr) -> io::Result<()> {
+        let mut queue = lock(&self.shared.driver_queue);
+        if let Some(messages) = queue.as_ref().cloned() {
+            let driver = Driver::new(self.shared.clone(), addr);
+            spawn("discovery", self.shared.limits.stack_bytes, move || driver.run(&messages))?;
+            *queue = None;
+        }
+        // An error means that the driver has ended, and so has the program's list.
+        _ = self.shared.driver.send(Message::Follow(addr));
+        Ok(())
+    }
+
+    /// Waits until the agent has sent what it has, at most for `timeout`. Gives `true` once its first update was handed
+    /// to the list, or once it said by an empty line that it has none.
+    ///
+    /// Whatever the agent has counts as known from the first moment of a new process, so call this before clients are
+    /// accepted. An agent that opens the answer and sends no line while it has no update can't be told from a silent
+    /// one: then the whole `timeout` passes.
+    pub fn wait_for_first_line(&self, timeout: Duration) -> bool {
+        self.shared.first_line.wait(timeout)
+    }
+}
--- a/discovery/tests/entries.rs
+++ b/discovery/tests/endpoint_list.rs
@@ -1,5 +1,5 @@
 //! Entries of lists: what a router of another customer may meet in them.
-use discovery::entries::Reader;
+use discovery::endpoint_list::EndpointListParser;
 use serde_json::{Value, json};
 
 fn list(entry: Value) -> Value {
@@ -13,19 +13,19 @@
 
 #[test]
 fn a_cell_that_no_request_can_name_is_refused_and_never_taken_for_another() {
-    let mut reader = Reader::new(vec![]);
-    let read = reader.news(&list(entry(json!(u32::MAX), json!("a")))).unwrap();
+    let mut reader = EndpointListParser::new(vec![]);
+    let read = reader.parse_value(&list(entry(json!(u32::MAX), json!("a")))).unwrap();
     assert_eq!(read.endpoints[0].group.0, u32::MAX);
     for cell in [json!((1u64 << 32) + 3), json!(-1), json!(0.5), json!("3"), json!(null)] {
-        let said = reader.news(&list(entry(cell.clone(), json!("a")))).unwrap_err().to_string();
+        let said = reader.parse_value(&list(entry(cell.clone(), json!("a")))).unwrap_err().to_string();
         assert!(said.starts_with("server s-1: ") && said.contains("'cell'"), "{cell}: {said}");
     }
 }
 
 #[test]
 fn zones_beyond_those_of_the_settings_get_numbers_behind_them_each_its_own() {
-    let mut reader = Reader::new(vec!["a".into(), "b".into()]);
-    let mut zone = |name: Value| reader.news(&list(entry(json!(3), name))).unwrap().endpoints[0].zone;
+    let mut reader = EndpointListParser::new(vec!["a".into(), "b".into()]);
+    let mut zone = |name: Value| reader.parse_value(&list(entry(json!(3), name))).unwrap().endpoints[0].zone;
     let seen =
         [json!("b"), json!("new"), json!("a"), json!("newer"), json!("new"), json!(null)].map(&mut zone);
     assert_eq!(seen, [1, 2, 0, 3, 2, 4]);
--- /dev/null
+++ b/discovery/tests/json_objects.rs
@@ -0,0 +1,49 @@
+//! Streams cut into objects, however their bytes come.
+use discovery::json_objects::{MAX_NESTING, ObjectSplitter, StreamError, StreamItem};
+
+fn cut(text: &str, at: usize) -> Vec<StreamItem> {
+    let (mut objects, mut pieces) = (ObjectSplitter::new(100), Vec::new());
+    let (a, b) = text.as_bytes().split_at(at);
+    objects.push(a, &mut pieces).unwrap();
+    objects.push(b, &mut pieces).unwrap();
+    pieces
+}
+
+#[test]
+fn objects_and_empty_lines_are_told_apart_wherever_the_stream_is_split() {
+    let first = "{\r\n  \"a\": \"}\\\"{\\\\\",\n\n\n  \"b\": [ {} ]\n}";
+    let text = format!("\n{first}  \n \t\r\n{{}}{{\"c\":\"\\\\\\\"]\"}}\n\n");
+    let object = |t: &str| StreamItem::Object(t.as_bytes().to_vec());
+    let expected = [
+        StreamItem::EmptyLine,
+        object(first),
+        StreamItem::EmptyLine,
+        object("{}"),
+        object("{\"c\":\"\\\\\\\"]\"}"),
+        StreamItem::EmptyLine,
+    ];
+    for at in 0..=text.len() {
+        assert_eq!(cut(&text, at), expected, "split at {at}");
+    }
+}
+
+#[test]
+fn an_object_ends_at_its_brace_and_never_grows_beyond_its_bound() {
+    assert_eq!(cut("{\"a\":1}", 3).len(), 1);
+    let long = format!("{{\"a\":\"{}\"}}", "x".repeat(100));
+    for step in [1, 7, 200] {
+        let (mut objects, mut pieces) = (ObjectSplitter::new(100), Vec::new());
+        let end = long.as_bytes().chunks(step).find_map(|c| objects.push(c, &mut pieces).err());
+        assert_eq!(end, Some(StreamError::ObjectTooLong(100)));
+        assert!(pieces.is_empty() && objects.buffered_bytes() <= 100);
+    }
+    let deep = "{\"a\":".to_string() + &"[".repeat(MAX_NESTING - 1);
+    assert_eq!(ObjectSplitter::new(100).push(deep.as_bytes(), &mut Vec::new()), Ok(()));
+    let deeper = deep + "[";
+    let end = ObjectSplitter::new(100).push(deeper.as_bytes(), &mut Vec::new());
+    assert_eq!(end, Err(StreamError::NestedTooDeep(MAX_NESTING)));
+    assert_eq!(
+        ObjectSplitter::new(9).push(b"\n nonsense", &mut Vec::new()),
+        Err(StreamError::UnexpectedCharacter('n'))
+    );
+}
--- a/discovery/tests/silence.rs
+++ b/discovery/tests/liveness.rs
@@ -1,5 +1,5 @@
 //! An agent in virtual time: what its connections bring decides what the state machine opens and closes.
-use discovery::silence::{Action, Event, Settings, Silence};
+use discovery::liveness::{Action, ConnectionId, Event, Settings, WatchLiveness};
 use std::time::Duration;
 
 const STEP: u64 = 10;
@@ -8,15 +8,16 @@
     Duration::from_millis(n)
 }
 
-fn machine() -> Silence {
-    Silence::new(Settings {
-        silent: ms(2600),
-        answer: ms(600),
-        retry: (ms(250), ms(1000)),
-        former: ms(4000),
-        most: 6,
-        chance: ms(1100),
-        patience: ms(10_000),
+fn machine() -> WatchLiveness {
+    WatchLiveness::new(Settings {
+        stale_after: ms(2600),
+        first_line_timeout: ms(600),
+        min_open_interval: ms(250),
+        max_open_interval: ms(1000),
+        previous_address_grace: ms(4000),
+        max_pending: 6,
+        min_pending_time: ms(1100),
+        oldest_pending_time: ms(10_000),
     })
 }
 
@@ -45,8 +46,8 @@
 }
 
 /// Plays it step by step; the watch is told to follow at these moments.
-fn play_with(silence: &mut Silence, agent: Agent, follow: &[u64], until: u64) -> Seen {
-    let (mut seen, mut actions, mut open) = (Seen::default(), Vec::new(), Vec::<(u64, u64)>::new());
+fn play_with(silence: &mut WatchLiveness, agent: Agent, follow: &[u64], until: u64) -> Seen {
+    let (mut seen, mut actions, mut open) = (Seen::default(), Vec::new(), Vec::<(ConnectionId, u64)>::new());
     for now in (0..until).step_by(STEP as usize) {
         let mut events = vec![];
         if follow.contains(&now) {
@@ -54,14 +55,14 @@
         }
         for (number, opened) in &open {
             events.extend(agent(*opened, now).map(|said| match said {
-                Said::Head => Event::Head(*number),
-                Said::Blank => Event::Line { connection: *number, news: false },
-                Said::News => Event::Line { connection: *number, news: true },
+                Said::Head => Event::ResponseHead(*number),
+                Said::Blank => Event::Line { connection: *number, has_update: false },
+                Said::News => Event::Line { connection: *number, has_update: true },
                 Said::End => Event::Ended(*number),
             }));
         }
-        if silence.due().is_some_and(|due| due <= ms(now)) {
-            events.push(Event::Due);
+        if silence.next_deadline().is_some_and(|due| due <= ms(now)) {
+            events.push(Event::Deadline);
         }
         for event in events {
             if let Event::Line { connection, .. } = event
@@ -80,7 +81,7 @@
                         seen.opened.push(now);
                     }
                     Action::Close(number) => open.retain(|(n, _)| *n != number),
-                    Action::Silent(_) | Action::Back(_) => {}
+                    Action::ReportStale(_) | Action::ReportLive { .. } => {}
                 }
             }
         }
@@ -233,13 +234,13 @@
 fn a_line_that_ends_a_silence_does_not_hide_it_from_a_late_driver() {
     let (mut silence, mut actions) = (machine(), Vec::new());
     silence.handle(ms(0), Event::Follow, &mut actions);
-    silence.handle(ms(10), Event::Line { connection: 1, news: true }, &mut actions);
+    silence.handle(ms(10), Event::Line { connection: ConnectionId(1), has_update: true }, &mut actions);
     actions.clear();
     // Due at 2610; the driver comes to it only now, and finds the line first.
-    silence.handle(ms(2700), Event::Line { connection: 1, news: true }, &mut actions);
-    assert_eq!(actions, [Action::Silent(1), Action::Open(2)]);
-    assert!(silence.fell_silent(1) && !silence.fell_silent(2));
-    assert!(silence.listens_to(1), "it counts until another one speaks");
+    silence.handle(ms(2700), Event::Line { connection: ConnectionId(1), has_update: true }, &mut actions);
+    assert_eq!(actions, [Action::ReportStale(ConnectionId(1)), Action::Open(ConnectionId(2))]);
+    assert!(silence.was_stale(ConnectionId(1)) && !silence.was_stale(ConnectionId(2)));
+    assert!(silence.is_tracked(ConnectionId(1)), "it counts until another one speaks");
 }
 
 #[test]
--- a/discovery/tests/outages.rs
+++ b/discovery/tests/liveness_outages.rs
@@ -1,7 +1,7 @@
 //! Random histories of outages played through the state machine in virtual time, against a modelled agent: whatever
 //! the agent does before, a change is heard within the bound that the limits state, counted from the moment from which
 //! discovery has it and answers new connections.
-use discovery::silence::{Action, Event, Settings, Silence};
+use discovery::liveness::{Action, ConnectionId, Event, Settings, WatchLiveness};
 use proptest::prelude::*;
 use settings::Limits;
 use std::collections::BTreeSet;
@@ -17,15 +17,16 @@
     Limits::new(256, 192 << 20, long, long, long)
 }
 
-fn machine(l: &Limits) -> Silence {
-    Silence::new(Settings {
-        silent: l.watch_silent,
-        answer: l.watch_answer,
-        retry: l.watch_retry,
-        former: l.watch_former,
-        most: l.watch_most,
-        chance: l.watch_chance(),
-        patience: l.watch_patience,
+fn machine(l: &Limits) -> WatchLiveness {
+    WatchLiveness::new(Settings {
+        stale_after: l.watch_silent,
+        first_line_timeout: l.watch_answer,
+        min_open_interval: l.watch_retry.0,
+        max_open_interval: l.watch_retry.1,
+        previous_address_grace: l.watch_former,
+        max_pending: l.watch_most,
+        min_pending_time: l.watch_chance(),
+        oldest_pending_time: l.watch_patience,
     })
 }
 
@@ -97,7 +98,7 @@
 
 #[derive(Debug)]
 struct Connection {
-    number: u64,
+    number: ConnectionId,
     addr: usize,
     opened: u64,
     stage: Stage,
@@ -110,7 +111,7 @@
 
 struct World {
     history: History,
-    silence: Silence,
+    silence: WatchLiveness,
     open: Vec<Connection>,
     addr: usize,
     /// The version a new connection asks from, as the driver and the list keep it.
@@ -219,23 +220,23 @@
                     self.open.retain(|c| c.number != number);
                     assert_eq!(self.open.len() + 1, before, "closed one that is not open");
                 }
-                Action::Silent(_) | Action::Back(_) => {}
+                Action::ReportStale(_) | Action::ReportLive { .. } => {}
             }
         }
     }
 
-    fn said(&mut self, now: u64, connection: u64, said: Said) {
+    fn said(&mut self, now: u64, connection: ConnectionId, said: Said) {
         match said {
-            Said::Head => self.handle(now, Event::Head(connection)),
+            Said::Head => self.handle(now, Event::ResponseHead(connection)),
             Said::End => {
                 self.open.retain(|c| c.number != connection);
                 self.handle(now, Event::Ended(connection));
             }
             Said::Line(after, version) => {
-                self.handle(now, Event::Line { connection, news: version > after });
+                self.handle(now, Event::Line { connection, has_update: version > after });
                 self.heard.extend(after + 1..=version);
                 // As the driver does it.
-                if !self.silence.fell_silent(connection) {
+                if !self.silence.was_stale(connection) {
                     self.resume = self.resume.max(version);
                 }
             }
@@ -278,8 +279,8 @@
                 world.said(now, number, said);
             }
         }
-        if world.silence.due().is_some_and(|due| due <= Duration::from_millis(now)) {
-            world.handle(now, Event::Due);
+        if world.silence.next_deadline().is_some_and(|due| due <= Duration::from_millis(now)) {
+            world.handle(now, Event::Deadline);
         }
         let waiting = world.open.iter().filter(|c| !matches!(c.stage, Stage::Watching(..))).count();
         assert!(waiting <= most, "{waiting} wait at {now}");
--- a/discovery/tests/recorded_run.rs
+++ b/discovery/tests/recorded_run.rs
@@ -1,6 +1,6 @@
 //! Recorded runs of the state machine: seeded events in, actions out. The fixture was written by the code as it stood
 //! before its names and files changed; the present code has to give the same text.
-use discovery::silence::{Action, Event, Settings, Silence};
+use discovery::liveness::{Action, ConnectionId, Event, Settings, WatchLiveness};
 use std::fmt::Write;
 use std::time::Duration;
 
@@ -20,19 +20,27 @@
 /// The limits of production, and tight ones whose bounds for retries are swapped.
 fn all_settings() -> [(&'static str, Settings); 2] {
     let usual = Settings {
-        silent: ms(2600),
-        answer: ms(600),
-        retry: (ms(250), ms(1000)),
-        former: ms(4000),
-        most: 6,
-        chance: ms(1100),
-        patience: ms(10_000),
+        stale_after: ms(2600),
+        first_line_timeout: ms(600),
+        min_open_interval: ms(250),
+        max_open_interval: ms(1000),
+        previous_address_grace: ms(4000),
+        max_pending: 6,
+        min_pending_time: ms(1100),
+        oldest_pending_time: ms(10_000),
+    };
+    let tight = Settings {
+        stale_after: ms(300),
+        min_open_interval: ms(100),
+        max_open_interval: ms(50),
+        previous_address_grace: ms(200),
+        max_pending: 1,
+        ..usual
     };
-    let tight = Settings { silent: ms(300), retry: (ms(100), ms(50)), former: ms(200), most: 1, ..usual };
     [("usual", usual), ("tight", tight)]
 }
 
-/// A fixed generator (SplitMix64), so that the runs depend on nothing but their seed.
+/// A fixed generator (`SplitMix64`), so that the runs depend on nothing but their seed.
 struct Random(u64);
 
 impl Random {
@@ -49,53 +57,54 @@
 /// connections that are closed or were never opened.
 fn next_event(random: &mut Random, newest: u64) -> (Event, String) {
     let number = if random.below(2) == 0 { newest } else { (newest + 1).saturating_sub(random.below(9)) };
+    let id = ConnectionId(number);
     match random.below(100) {
         0..3 => (Event::Follow, "follow".into()),
-        3..23 => (Event::Head(number), format!("head {number}")),
-        23..35 => (Event::Line { connection: number, news: false }, format!("empty line {number}")),
-        35..45 => (Event::Line { connection: number, news: true }, format!("news {number}")),
-        45..60 => (Event::Ended(number), format!("end {number}")),
-        _ => (Event::Due, "due".into()),
+        3..23 => (Event::ResponseHead(id), format!("head {number}")),
+        23..35 => (Event::Line { connection: id, has_update: false }, format!("empty line {number}")),
+        35..45 => (Event::Line { connection: id, has_update: true }, format!("news {number}")),
+        45..60 => (Event::Ended(id), format!("end {number}")),
+        _ => (Event::Deadline, "due".into()),
     }
 }
 
 fn action_text(action: Action) -> String {
     match action {
-        Action::Open(number) => format!("open {number}"),
-        Action::Close(number) => format!("close {number}"),
-        Action::Silent(number) => format!("silent {number}"),
-        Action::Back(without) => format!("back after {} ms", without.as_millis()),
+        Action::Open(ConnectionId(number)) => format!("open {number}"),
+        Action::Close(ConnectionId(number)) => format!("close {number}"),
+        Action::ReportStale(ConnectionId(number)) => format!("silent {number}"),
+        Action::ReportLive { outage } => format!("back after {} ms", outage.as_millis()),
     }
 }
 
 fn run(settings: Settings, seed: u64, steps: usize) -> String {
-    let (mut machine, mut random, mut text) = (Silence::new(settings), Random(seed), String::new());
+    let (mut machine, mut random, mut text) = (WatchLiveness::new(settings), Random(seed), String::new());
     let (mut now, mut newest, mut actions) = (Duration::ZERO, 0, Vec::new());
     for step in 0..steps {
         let (event, said) = match step {
-            0 => (Event::Due, "due".to_string()),
+            0 => (Event::Deadline, "due".to_string()),
             1 => (Event::Follow, "follow".to_string()),
             _ => next_event(&mut random, newest),
         };
         machine.handle(now, event, &mut actions);
         let mut done = Vec::new();
         for action in actions.drain(..) {
-            if let Action::Open(number) = action {
+            if let Action::Open(ConnectionId(number)) = action {
                 newest = number;
             }
             done.push(action_text(action));
         }
         let known = newest.saturating_sub(12)..=newest;
-        let listened: Vec<u64> = known.clone().filter(|n| machine.listens_to(*n)).collect();
-        let silent: Vec<u64> = known.filter(|n| machine.fell_silent(*n)).collect();
-        let due = machine.due().map_or("never".to_string(), |due| due.as_millis().to_string());
+        let listened: Vec<u64> = known.clone().filter(|n| machine.is_tracked(ConnectionId(*n))).collect();
+        let silent: Vec<u64> = known.filter(|n| machine.was_stale(ConnectionId(*n))).collect();
+        let due = machine.next_deadline().map_or("never".to_string(), |due| due.as_millis().to_string());
         let done = done.join(", ");
         let at = now.as_millis();
         writeln!(text, "{at} {said}: [{done}] due {due} listened {listened:?} silent {silent:?}").unwrap();
         now += ms([0, 0, 10, 30, 100, 250, 700, 2700][random.below(8) as usize]);
         // As the driver does it, mostly: no later than what is due.
         if random.below(4) > 0 {
-            now = machine.due().map_or(now, |due| now.min(due.max(ms(at as u64))));
+            now = machine.next_deadline().map_or(now, |due| now.min(due.max(ms(at as u64))));
         }
     }
     text
--- a/discovery/tests/stored_forms.rs
+++ b/discovery/tests/stored_forms.rs
@@ -2,8 +2,8 @@
 //! The fixtures were written before the code's names and files changed.
 use crossbeam_channel::bounded;
 use discovery::Watch;
-use discovery::entries::Reader;
-use discovery::objects::{Objects, Piece};
+use discovery::endpoint_list::EndpointListParser;
+use discovery::json_objects::{ObjectSplitter, StreamItem};
 use routing::{
     AttemptGuard, BackendProtocol, Connection, EndpointEntry, EndpointUpdate, Exchange, ExchangeResult,
     GroupId, MemberState, NotSent, Outcome, RouterMessage, Time,
@@ -21,8 +21,8 @@
 const REQUEST: &str = include_str!("fixtures/request.txt");
 const REFUSED: &str = include_str!("fixtures/refused_objects.txt");
 
-fn reader() -> Reader {
-    Reader::new(vec!["a".into(), "b".into()])
+fn reader() -> EndpointListParser {
+    EndpointListParser::new(vec!["a".into(), "b".into()])
 }
 
 fn plain(id: &str, addr: &str, group: u32, zone: u32, state: MemberState) -> EndpointEntry {
@@ -51,25 +51,31 @@
 
 #[test]
 fn complete_list_is_read_to_the_recorded_entries() {
-    assert_same(&reader().read(COMPLETE_LIST).unwrap(), &complete_list());
+    assert_same(&reader().parse(COMPLETE_LIST).unwrap(), &complete_list());
     // From a value, as the configuration's own list is read.
     let value: Value = serde_json::from_slice(COMPLETE_LIST).unwrap();
-    assert_same(&reader().news(&value).unwrap(), &complete_list());
+    assert_same(&reader().parse_value(&value).unwrap(), &complete_list());
 }
 
 #[test]
 fn change_without_optional_keys_is_read_with_their_defaults() {
     let gone = plain("s-2", "10.0.0.2:5432", 7, 2, MemberState::Removed);
     let expected = EndpointUpdate { version: 46, complete: false, endpoints: vec![gone] };
-    assert_same(&reader().read(CHANGE).unwrap(), &expected);
+    assert_same(&reader().parse(CHANGE).unwrap(), &expected);
 }
 
 #[test]
 fn stream_is_cut_into_the_recorded_objects() {
-    let (mut objects, mut pieces) = (Objects::new(4096), Vec::new());
-    objects.take(STREAM, &mut pieces).unwrap();
-    let trimmed = |bytes: &[u8]| Piece::Object(bytes.trim_ascii_end().to_vec());
-    let expected = [Piece::Blank, trimmed(COMPLETE_LIST), Piece::Blank, trimmed(CHANGE), Piece::Blank];
+    let (mut objects, mut pieces) = (ObjectSplitter::new(4096), Vec::new());
+    objects.push(STREAM, &mut pieces).unwrap();
+    let trimmed = |bytes: &[u8]| StreamItem::Object(bytes.trim_ascii_end().to_vec());
+    let expected = [
+        StreamItem::EmptyLine,
+        trimmed(COMPLETE_LIST),
+        StreamItem::EmptyLine,
+        trimmed(CHANGE),
+        StreamItem::EmptyLine,
+    ];
     assert_eq!(pieces, expected);
 }
 
@@ -79,7 +85,7 @@
     assert_eq!(REFUSED.lines().count(), 22);
     for line in REFUSED.lines() {
         let (object, expected) = line.split_once(" => ").unwrap();
-        let said = reader().read(object.as_bytes()).unwrap_err().to_string();
+        let said = reader().parse(object.as_bytes()).unwrap_err().to_string();
         assert_eq!(said, expected, "{object}");
     }
 }
--- a/discovery/tests/watch.rs
+++ b/discovery/tests/watch.rs
@@ -246,21 +246,21 @@
 #[test]
 fn the_first_news_is_waited_for() {
     let (agent, site) = (Agent::start(), Site::start(300, 50));
-    assert!(!site.watch.first(Duration::ZERO));
+    assert!(!site.watch.wait_for_first_line(Duration::ZERO));
     site.watch.follow(agent.addr).unwrap();
     // Silent at first.
     let silent = agent.next();
-    assert!(!site.watch.first(Duration::from_millis(30)));
+    assert!(!site.watch.wait_for_first_line(Duration::from_millis(30)));
     let socket = agent.watch();
     say(&socket, &list(5));
-    assert!(site.watch.first(LONG));
+    assert!(site.watch.wait_for_first_line(LONG));
     assert_eq!(site.news().version, 5);
     drop(silent);
     // An empty line says that there is no news.
     let (agent, site) = (Agent::start(), Site::start(300, 50));
     site.watch.follow(agent.addr).unwrap();
     say(&agent.watch(), "\n");
-    assert!(site.watch.first(LONG));
+    assert!(site.watch.wait_for_first_line(LONG));
 }
 
 #[test]
