--- a/discovery/tests/endpoint_list.rs
+++ b/discovery/tests/endpoint_list.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_cell_that_no_request_can_name_is_refused_and_never_taken_for_another() {
+fn cell_outside_32_bits_is_rejected_with_server_and_key() {
     let mut reader = EndpointListParser::new(vec![]);
     let read = reader.parse_value(&list(entry(json!(u32::MAX), json!("a")))).unwrap();
     assert_eq!(read.endpoints[0].group.0, u32::MAX);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn zones_beyond_those_of_the_settings_get_numbers_behind_them_each_its_own() {
+fn unknown_zones_get_numbers_of_their_own_after_the_configured_ones() {
     let mut reader = EndpointListParser::new(vec!["a".into(), "b".into()]);
     let mut zone = |name: Value| reader.parse_value(&list(entry(json!(3), name))).unwrap().endpoints[0].zone;
     let seen =
--- a/discovery/tests/json_objects.rs
+++ b/discovery/tests/json_objects.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn objects_and_empty_lines_are_told_apart_wherever_the_stream_is_split() {
+fn objects_and_empty_lines_are_split_wherever_the_bytes_are_cut() {
     let first = "{\r\n  \"a\": \"}\\\"{\\\\\",\n\n\n  \"b\": [ {} ]\n}";
     let text = format!("\n{first}  \n \t\r\n{{}}{{\"c\":\"\\\\\\\"]\"}}\n\n");
     let object = |t: &str| StreamItem::Object(t.as_bytes().to_vec());
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_object_ends_at_its_brace_and_never_grows_beyond_its_bound() {
+fn object_ends_at_its_brace_and_stays_within_its_bounds() {
     assert_eq!(cut("{\"a\":1}", 3).len(), 1);
     let long = format!("{{\"a\":\"{}\"}}", "x".repeat(100));
     for step in [1, 7, 200] {
--- a/discovery/tests/liveness.rs
+++ b/discovery/tests/liveness.rs
@@ -95,8 +95,22 @@
     (now > opened && (now - opened - STEP).is_multiple_of(2000)).then_some(Said::Blank)
 }
 
+/// Never says anything.
+fn mute(_: u64, _: u64) -> Option<Said> {
+    None
+}
+
+/// A head at once, and the first line only when an empty line is due.
+fn late_first_line(opened: u64, now: u64) -> Option<Said> {
+    match now.checked_sub(opened) {
+        Some(STEP) => Some(Said::Head),
+        Some(since) if since > 0 && since.is_multiple_of(2000) => Some(Said::Blank),
+        _ => None,
+    }
+}
+
 /// When a connection that was opened after the last line of the first one was heard.
-fn known(agent: Agent, until: u64) -> u64 {
+fn first_heard_after_outage(agent: Agent, until: u64) -> u64 {
     let seen = play(agent, until);
     assert!(seen.most <= 7, "{seen:?}");
     seen.heard.iter().find(|(_, opened)| *opened > 0).map_or(u64::MAX, |(now, _)| *now)
@@ -104,7 +118,7 @@
 
 // The first connection's last line comes at 10 ms in each of these.
 #[test]
-fn whenever_new_connections_are_answered_again_the_news_is_known_250_ms_later() {
+fn agent_that_answers_new_connections_again_is_heard_250_ms_later() {
     // Old connections stay mute for good, and so do those that were opened before the agent was back.
     fn back<const AT: u64>(opened: u64, now: u64) -> Option<Said> {
         if opened == 0 {
@@ -112,27 +126,27 @@
         }
         if opened >= AT { good(opened, now) } else { None }
     }
-    assert!(known(back::<0>, 9000) <= 2700);
-    assert!(known(back::<2700>, 9000) <= 2700 + 280);
-    assert!(known(back::<4000>, 9000) <= 4000 + 280);
-    assert!(known(back::<5700>, 9000) <= 5700 + 280);
+    assert!(first_heard_after_outage(back::<0>, 9000) <= 2700);
+    assert!(first_heard_after_outage(back::<2700>, 9000) <= 2700 + 280);
+    assert!(first_heard_after_outage(back::<4000>, 9000) <= 4000 + 280);
+    assert!(first_heard_after_outage(back::<5700>, 9000) <= 5700 + 280);
     // Long after, within the longest pause.
-    assert!(known(back::<60000>, 70000) <= 60000 + 1030);
+    assert!(first_heard_after_outage(back::<60000>, 70000) <= 60000 + 1030);
 }
 
 #[test]
-fn an_agent_that_answers_what_waits_once_it_is_back_is_heard_at_once() {
+fn agent_that_answers_waiting_connections_once_it_is_back_is_heard_at_once() {
     fn back(opened: u64, now: u64) -> Option<Said> {
         match opened {
             0 => (now == STEP).then_some(Said::Blank),
             _ => (now == 5500).then_some(Said::News),
         }
     }
-    assert_eq!(known(back, 9000), 5500);
+    assert_eq!(first_heard_after_outage(back, 9000), 5500);
 }
 
 #[test]
-fn heads_without_a_line_and_refusals_do_not_hold_up_the_next_attempt() {
+fn heads_without_a_line_do_not_delay_the_next_attempt() {
     fn heads(opened: u64, now: u64) -> Option<Said> {
         match opened {
             0 => (now == STEP).then_some(Said::Blank),
@@ -140,7 +154,11 @@
             _ => good(opened, now),
         }
     }
-    assert!(known(heads, 9000) <= 4000 + 630);
+    assert!(first_heard_after_outage(heads, 9000) <= 4000 + 630);
+}
+
+#[test]
+fn refused_connections_do_not_delay_the_next_attempt() {
     fn refused(opened: u64, now: u64) -> Option<Said> {
         match opened {
             0 if now == STEP => Some(Said::Blank),
@@ -149,8 +167,11 @@
             _ => good(opened, now),
         }
     }
-    assert!(known(refused, 9000) <= 4000 + 280);
-    // Answered with a head and closed: no first line is waited for any more.
+    assert!(first_heard_after_outage(refused, 9000) <= 4000 + 280);
+}
+
+#[test]
+fn connection_closed_after_its_head_is_not_waited_for() {
     fn closed(opened: u64, now: u64) -> Option<Said> {
         match now - opened {
             STEP => Some(Said::Head),
@@ -159,36 +180,32 @@
         }
     }
     assert_eq!(play(closed, 1000).opened, [0, 250, 500, 750]);
-    // At most four a second, and one a second in the end.
-    fn never(_: u64, _: u64) -> Option<Said> {
-        None
-    }
-    let opened = play(never, 60_000).opened;
+}
+
+#[test]
+fn mute_agent_is_asked_four_times_a_second_at_first_and_once_a_second_in_the_end() {
+    let opened = play(mute, 60_000).opened;
     assert!(opened.windows(5).all(|w| w[4] - w[0] >= 1000), "{opened:?}");
     assert!(opened.iter().filter(|at| **at >= 50_000).count() <= 10);
 }
 
 #[test]
-fn an_agent_whose_first_line_comes_only_after_two_seconds_is_waited_for() {
-    fn late(opened: u64, now: u64) -> Option<Said> {
-        match now.checked_sub(opened) {
-            Some(STEP) => Some(Said::Head),
-            Some(since) if since > 0 && since.is_multiple_of(2000) => Some(Said::Blank),
-            _ => None,
-        }
-    }
-    let seen = play(late, 20_000);
+fn first_line_that_comes_after_two_seconds_is_waited_for() {
+    let seen = play(late_first_line, 20_000);
     assert_eq!(seen.heard.iter().map(|(now, _)| *now).collect::<Vec<_>>()[..3], [2000, 4000, 6000]);
     assert_eq!(seen.opened.len(), 4, "none once it has spoken: {seen:?}");
-    // The same where the eldest stays mute for good: the others live long enough for their first line.
-    fn mute(opened: u64, now: u64) -> Option<Said> {
-        if opened == 0 { (now == STEP).then_some(Said::Head) } else { late(opened, now) }
+}
+
+#[test]
+fn late_first_line_is_waited_for_beside_an_oldest_connection_that_stays_mute() {
+    fn mute_at_first(opened: u64, now: u64) -> Option<Said> {
+        if opened == 0 { (now == STEP).then_some(Said::Head) } else { late_first_line(opened, now) }
     }
-    assert!(known(mute, 9000) <= 600 + 2010);
+    assert!(first_heard_after_outage(mute_at_first, 9000) <= 600 + 2010);
 }
 
 #[test]
-fn a_silent_new_connection_does_not_end_an_old_one_that_speaks_again() {
+fn mute_new_connections_do_not_end_a_stale_one_that_speaks_again() {
     // The old one speaks again at 4 s, those beside it never.
     fn old(opened: u64, now: u64) -> Option<Said> {
         (opened == 0 && (now == STEP || (now >= 4000 && now.is_multiple_of(2000)))).then_some(Said::News)
@@ -200,7 +217,7 @@
 }
 
 #[test]
-fn a_move_is_heard_in_time_and_the_old_address_counts_until_the_new_one_brings_news() {
+fn previous_address_counts_until_the_new_one_brings_an_update() {
     // Moves at 5000. The new agent answers only what is opened from 7000 on, with an empty line at first; the old
     // one speaks on.
     fn moves(opened: u64, now: u64) -> Option<Said> {
@@ -214,14 +231,20 @@
     let new = seen.heard.iter().find(|(_, opened)| *opened >= 7000).unwrap();
     assert!(new.0 <= 7000 + 280, "{seen:?}");
     let old = seen.heard.iter().rfind(|(_, opened)| *opened < 5000).unwrap();
-    assert!(old.0 >= 8000 && old.0 <= 9020, "until the news at about 9100 or 4 s after the move: {seen:?}");
-    // Where the new one never speaks, the old one goes on.
-    fn mute(opened: u64, now: u64) -> Option<Said> {
+    assert!(old.0 >= 8000 && old.0 <= 9020, "until the update at about 9100 or 4 s after the move: {seen:?}");
+}
+
+#[test]
+fn previous_address_goes_on_while_the_new_one_never_speaks() {
+    fn new_is_mute(opened: u64, now: u64) -> Option<Said> {
         if opened < 5000 { good(opened, now) } else { None }
     }
-    let seen = play_with(&mut machine(), mute, &[0, 5000], 20_000);
+    let seen = play_with(&mut machine(), new_is_mute, &[0, 5000], 20_000);
     assert!(seen.heard.last().unwrap().0 > 18_000);
-    // Moved before anything spoke: the older attempt stands in, without keeping the new one back.
+}
+
+#[test]
+fn move_before_any_line_keeps_the_newest_attempt_without_delaying_the_new_address() {
     fn first(opened: u64, now: u64) -> Option<Said> {
         if opened < 300 { (now == 1000).then_some(Said::News) } else { None }
     }
@@ -231,7 +254,7 @@
 }
 
 #[test]
-fn a_line_that_ends_a_silence_does_not_hide_it_from_a_late_driver() {
+fn line_that_ends_a_silence_does_not_hide_it_from_a_late_driver() {
     let (mut silence, mut actions) = (machine(), Vec::new());
     silence.handle(ms(0), Event::Follow, &mut actions);
     silence.handle(ms(10), Event::Line { connection: ConnectionId(1), has_update: true }, &mut actions);
@@ -244,7 +267,7 @@
 }
 
 #[test]
-fn an_eldest_that_stays_mute_gives_way_to_an_agent_that_needs_long_for_its_first_line() {
+fn oldest_mute_connection_makes_room_for_an_agent_whose_first_line_is_slow() {
     fn slow(opened: u64, now: u64) -> Option<Said> {
         match now.checked_sub(opened) {
             Some(STEP) => Some(Said::Head),
@@ -252,16 +275,13 @@
             _ => None,
         }
     }
-    assert!(known(slow, 30_000) <= 10_000 + 6000);
+    assert!(first_heard_after_outage(slow, 30_000) <= 10_000 + 6000);
 }
 
 #[test]
-fn moves_that_come_fast_open_no_more_than_an_outage_does() {
-    fn never(_: u64, _: u64) -> Option<Said> {
-        None
-    }
+fn fast_moves_open_no_more_connections_than_an_outage_does() {
     let moves: Vec<u64> = (0..100).map(|n| n * STEP).collect();
-    let seen = play_with(&mut machine(), never, &moves, 1000);
+    let seen = play_with(&mut machine(), mute, &moves, 1000);
     assert_eq!(seen.opened, [0, 250, 500, 750]);
     assert!(seen.most <= 2, "{seen:?}");
 }
--- a/discovery/tests/liveness_outages.rs
+++ b/discovery/tests/liveness_outages.rs
@@ -368,7 +368,7 @@
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_discovery_does_a_change_is_heard_within_the_bound_and_one_watch_stays(history in history()) {
+    fn any_outage_leaves_one_watch_and_each_change_is_heard_within_the_bound(history in history()) {
         play(history);
     }
 }
@@ -382,7 +382,7 @@
 }
 
 #[test]
-fn a_watch_that_loses_what_it_missed_and_speaks_again_first_loses_nothing_for_good() {
+fn changes_lost_by_a_stale_watch_that_speaks_again_come_on_a_new_one() {
     // The old watch misses the change and speaks again at once; the next change comes on it before any new one does.
     let outage = Outage { from: 2010, to: 7000, kind: Kind::Swallowed, fate: Fate::Loses };
     let history = History {
@@ -395,7 +395,7 @@
 }
 
 #[test]
-fn a_slow_agent_is_heard_though_older_connections_with_heads_stay_mute() {
+fn slow_agent_is_heard_beside_older_connections_with_heads_that_stay_mute() {
     // Each new connection needs longer for its head than the shortest time between two openings.
     let outage = Outage { from: 10, to: 8000, kind: Kind::Heads, fate: Fate::Dead };
     let agent = Agent { up: 490, head: 300, line: 290, late: false };
@@ -403,7 +403,7 @@
 }
 
 #[test]
-fn the_worst_that_is_found_stands_in_the_sum() {
+fn worst_case_reaches_the_stated_bound_within_100_ms() {
     // A watch that fell mute right after a line, while new connections are answered by a slow agent.
     let outage = Outage { from: 20, to: 30, kind: Kind::Swallowed, fate: Fate::Dead };
     let agent = Agent { up: 490, head: 300, line: 290, late: false };
--- a/discovery/tests/watch.rs
+++ b/discovery/tests/watch.rs
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn every_kind_of_silence_ends_in_a_new_watch_that_resumes_where_the_old_one_was() {
+fn each_kind_of_silence_leads_to_a_watch_that_resumes_at_the_held_version() {
     type Silent = fn(&Agent);
     let kinds: [(&str, Silent); 5] = [
         ("accepts and says nothing", |agent| hold(agent.asked("5"))),
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn bytes_that_never_end_a_line_are_silence() {
+fn bytes_that_never_end_a_line_make_the_watch_stale() {
     let (agent, site) = (Agent::start(), Site::start(200, 50));
     site.watch.follow(agent.addr).unwrap();
     let old = agent.watch();
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn an_old_watch_still_tells_while_new_ones_are_silent() {
+fn stale_watch_still_counts_while_new_ones_are_silent() {
     let (agent, site) = (Agent::start(), Site::start(100, 50));
     site.watch.follow(agent.addr).unwrap();
     let old = agent.watch();
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn lists_may_be_indented_and_split_at_any_byte() {
+fn indented_list_split_at_any_byte_is_applied() {
     let indented = list(7).replace(',', ",\n\n  ").replace('[', "[\r\n\t");
     let (agent, site) = (Agent::start(), Site::start(5000, 5000));
     site.watch.follow(agent.addr).unwrap();
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn the_first_news_is_waited_for() {
+fn wait_for_first_line_ends_with_an_update_or_an_empty_line() {
     let (agent, site) = (Agent::start(), Site::start(300, 50));
     assert!(!site.watch.wait_for_first_line(Duration::ZERO));
     site.watch.follow(agent.addr).unwrap();
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn a_move_reaches_an_agent_that_is_silent_at_first_while_the_old_one_ends() {
+fn new_address_that_is_silent_at_first_takes_over() {
     let (old, new, site) = (Agent::start(), Agent::start(), Site::start(60_000, 50));
     site.watch.follow(old.addr).unwrap();
     let before = old.watch();
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn what_an_old_watch_tells_after_its_silence_counts_and_new_ones_still_ask_for_what_it_missed() {
+fn update_of_a_stale_watch_is_applied_but_does_not_move_the_resume_version() {
     let (agent, site) = (Agent::start(), Site::start(100, 50));
     site.watch.follow(agent.addr).unwrap();
     let old = agent.watch();
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn versions_counted_anew_are_taken_and_the_whole_list_is_asked_for() {
+fn restarted_versions_are_applied_and_the_complete_list_is_requested() {
     let (agent, site) = (Agent::start(), Site::start(60_000, 60_000));
     site.watch.follow(agent.addr).unwrap();
     let old = agent.watch();
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn a_whole_list_of_the_same_version_or_a_lower_one_counts_after_a_move() {
+fn complete_list_of_the_same_or_a_lower_version_is_applied_after_a_move() {
     for version in [45, 7] {
         let (old, new, site) = (Agent::start(), Agent::start(), Site::start(60_000, 60_000));
         site.watch.follow(old.addr).unwrap();
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn an_agent_that_gives_a_byte_at_a_time_is_heard() {
+fn agent_that_sends_one_byte_at_a_time_is_heard() {
     let (agent, site) = (Agent::start(), Site::start(60_000, 60_000));
     site.watch.follow(agent.addr).unwrap();
     let (_, socket) = agent.next();
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn the_longest_list_is_taken_and_one_that_never_ends_breaks_the_watch_at_its_bound() {
+fn longest_list_is_applied_and_an_endless_one_ends_the_connection() {
     let (agent, site) = (Agent::start(), Site::start(60_000, 60_000));
     site.watch.follow(agent.addr).unwrap();
     let socket = agent.watch();
@@ -401,7 +401,7 @@
 }
 
 #[test]
-fn an_agent_that_lags_behind_the_old_one_takes_nothing_back_by_its_changes() {
+fn changes_of_a_lagging_new_address_below_the_held_version_are_ignored() {
     let (old, new, site) = (Agent::start(), Agent::start(), Site::start(60_000, 60_000));
     site.watch.follow(old.addr).unwrap();
     let before = old.watch();
