--- /dev/null
+++ b/discovery/tests/watch/stream.rs
@@ -0,0 +1,79 @@
+//! How the answer comes: indented, in single bytes, too long or endless.
+use crate::support::{HEAD, ScriptedAgent, Timing, WatchedList, chunk, complete_list, limits};
+use std::io::Write;
+
+#[test]
+fn indented_list_split_at_any_byte_is_applied() {
+    let indented = complete_list(7).replace(',', ",\n\n  ").replace('[', "[\r\n\t");
+    let agent = ScriptedAgent::start();
+    let watched = WatchedList::following(&agent, Timing::from_millis(5000, 5000));
+    let connection = agent.next_with_head();
+    for at in 1..indented.len() {
+        connection.send_chunk(&indented[..at]);
+        connection.send_chunk(&indented[at..]);
+        let update = watched.next_update();
+        assert_eq!((update.version, update.endpoints[0].id.as_str()), (7, "a\"}7"), "split at {at}");
+    }
+    // An object that is no list is not applied in part, and ends the watch; one that is nested deeply as well.
+    connection.send_chunk(&complete_list(8).replace("in_service", "odd"));
+    let connection = agent.next();
+    assert_eq!(connection.index(), "7");
+    connection.send_head();
+    connection.send_chunk(&format!("{{\"servers\":{}{}}}", "[".repeat(100_000), "]".repeat(100_000)));
+    assert_eq!(agent.next().index(), "7");
+    assert!(watched.updates.is_empty());
+}
+
+#[test]
+fn agent_that_sends_one_byte_at_a_time_is_heard() {
+    let agent = ScriptedAgent::start();
+    let watched = WatchedList::following(&agent, Timing::NEVER_STALE);
+    let connection = agent.next();
+    let indented = complete_list(5).replace(',', ",\n  ") + "\n";
+    let next = complete_list(6) + "\n";
+    let answer = [HEAD.to_string(), chunk(&indented), chunk("\n"), chunk(&next)].concat();
+    for byte in answer.as_bytes() {
+        connection.send_raw(&[*byte]).unwrap();
+    }
+    assert_eq!([watched.next_update().version, watched.next_update().version], [5, 6]);
+}
+
+/// An indented list of `bytes` bytes, with this many servers.
+fn long_list(bytes: usize, servers: usize) -> String {
+    let entry = |n: usize| {
+        format!(
+            "\n    {{\"id\": \"i{n}\", \"addr\": \"127.0.0.1:1\", \"zone\": \"a\", \"cell\": 1, \"state\": \"in_service\"}}"
+        )
+    };
+    let servers: Vec<String> = (0..servers).map(entry).collect();
+    let text = format!("{{\n  \"version\": 5, \"full\": true, \"servers\": [{}]", servers.join(","));
+    format!("{text}{}}}\n", " ".repeat(bytes - text.len() - 1))
+}
+
+#[test]
+fn longest_list_is_applied_and_an_endless_one_ends_the_connection() {
+    let agent = ScriptedAgent::start();
+    let watched = WatchedList::following(&agent, Timing::NEVER_STALE);
+    let connection = agent.next_with_head();
+    // 4 MB, all of it in one chunk.
+    let max_list_bytes = limits().list_bytes;
+    assert_eq!(max_list_bytes, 4 << 20);
+    connection.send_chunk(&long_list(max_list_bytes, 40_000));
+    let update = watched.next_update();
+    assert_eq!((update.version, update.endpoints.len()), (5, 40_000));
+    // An object that never ends: the reader gives it up, at a byte more than its bound.
+    let mut endless = connection.socket;
+    endless.write_all(chunk("{\"version\":6,\"x\":\"").as_bytes()).unwrap();
+    let more = chunk(&"a".repeat(1 << 16));
+    let taken = (0..1024).take_while(|_| endless.write_all(more.as_bytes()).is_ok()).count();
+    // What the kernel holds on both sides comes on top.
+    assert!((64..512).contains(&taken), "{taken} pieces of 64 KiB were taken");
+    let connection = agent.next_from("5");
+    // So it does with a head and with a chunk's size that never end.
+    _ = connection.send_raw(&[HEAD.as_bytes(), &[b'0'; 100]].concat());
+    let connection = agent.next();
+    _ = connection.send_raw(format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(20_000)).as_bytes());
+    let connection = agent.next_with_head();
+    connection.send_chunk(&complete_list(7));
+    assert_eq!(watched.next_update().version, 7);
+}
--- /dev/null
+++ b/discovery/tests/watch/support.rs
@@ -0,0 +1,264 @@
+//! An agent that a test scripts, and a watch whose updates the test receives.
+use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
+use discovery::Watch;
+use routing::{
+    AttemptGuard, BackendProtocol, Connection, EndpointUpdate, EndpointsHandle, Exchange, ExchangeResult,
+    NotSent, Outcome, RouterMessage,
+};
+use settings::Limits;
+use std::io::{self, BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// The bound of each wait; only a failure reaches it.
+pub(crate) const LONG: Duration = Duration::from_secs(20);
+
+/// The head of an answer whose body follows in chunks.
+pub(crate) const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+/// Text as one chunk of a body.
+pub(crate) fn chunk(text: &str) -> String {
+    format!("{:x}\r\n{text}\r\n", text.len())
+}
+
+/// A complete list of one server, whose id holds a quote and a brace.
+pub(crate) fn complete_list(version: u64) -> String {
+    format!(
+        r#"{{"version":{version},"full":true,"servers":[{{"id":"a\"}}{version}","addr":"127.0.0.1:1","zone":"a","cell":1,"state":"in_service"}}]}}"#
+    )
+}
+
+/// A change of one server.
+pub(crate) fn change(version: u64, id: &str, state: &str) -> String {
+    format!(
+        r#"{{"version":{version},"full":false,"servers":[{{"id":"{id}","addr":"127.0.0.1:1","zone":"a","cell":1,"state":"{state}"}}]}}"#
+    )
+}
+
+/// Limits of which a test changes some.
+pub(crate) fn limits() -> Limits {
+    Limits::new(256, 192 << 20, LONG, LONG, LONG)
+}
+
+/// One connection of the watch, as the agent has it: its request is read, nothing is written yet.
+pub(crate) struct AgentConnection {
+    pub(crate) request: String,
+    pub(crate) socket: TcpStream,
+}
+
+impl AgentConnection {
+    fn accept(socket: TcpStream) -> AgentConnection {
+        socket.set_nodelay(true).unwrap();
+        let mut request = String::new();
+        let mut reader = BufReader::new(socket.try_clone().unwrap());
+        while !request.ends_with("\r\n\r\n") && reader.read_line(&mut request).is_ok_and(|n| n > 0) {}
+        AgentConnection { request, socket }
+    }
+
+    /// The version that it resumes from.
+    pub(crate) fn index(&self) -> &str {
+        self.request.split("index=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap_or("")
+    }
+
+    pub(crate) fn send_head(&self) {
+        self.send_raw(HEAD.as_bytes()).unwrap();
+    }
+
+    pub(crate) fn send_chunk(&self, text: &str) {
+        self.send_raw(chunk(text).as_bytes()).unwrap();
+    }
+
+    pub(crate) fn send_raw(&self, bytes: &[u8]) -> io::Result<()> {
+        (&self.socket).write_all(bytes)
+    }
+
+    /// Writes this and nothing more, and stays open. On a busy machine the connection may have been given up.
+    pub(crate) fn send_and_hold(self, text: &str) {
+        _ = self.send_raw(text.as_bytes());
+        self.hold();
+    }
+
+    /// Keeps the connection open for good.
+    pub(crate) fn hold(self) {
+        std::mem::forget(self.socket);
+    }
+
+    #[track_caller]
+    pub(crate) fn assert_closed(&self) {
+        self.socket.set_read_timeout(Some(LONG)).unwrap();
+        assert_eq!((&self.socket).read(&mut [0; 1]).unwrap_or(0), 0, "closed");
+    }
+}
+
+/// An agent whose connections the test writes to.
+pub(crate) struct ScriptedAgent {
+    pub(crate) addr: SocketAddr,
+    pub(crate) connections: Receiver<AgentConnection>,
+}
+
+impl ScriptedAgent {
+    pub(crate) fn start() -> ScriptedAgent {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let addr = listener.local_addr().unwrap();
+        let (sender, connections) = unbounded();
+        std::thread::spawn(move || {
+            for socket in listener.incoming() {
+                if sender.send(AgentConnection::accept(socket.unwrap())).is_err() {
+                    return;
+                }
+            }
+        });
+        ScriptedAgent { addr, connections }
+    }
+
+    pub(crate) fn next(&self) -> AgentConnection {
+        self.connections.recv_timeout(LONG).expect("a connection")
+    }
+
+    /// The next connection that resumes from this version. On a busy machine others may have been opened before it.
+    pub(crate) fn next_from(&self, index: &str) -> AgentConnection {
+        let mut next = (0..64).map(|_| self.next());
+        next.find(|connection| connection.index() == index).expect("a watch that resumes from there")
+    }
+
+    /// The next connection, its head written.
+    pub(crate) fn next_with_head(&self) -> AgentConnection {
+        let connection = self.next();
+        connection.send_head();
+        connection
+    }
+}
+
+/// When a watch is stale, and how long it waits for a first line.
+#[derive(Clone, Copy)]
+pub(crate) struct Timing {
+    pub(crate) stale_after: Duration,
+    pub(crate) first_line_timeout: Duration,
+}
+
+impl Timing {
+    /// For tests that staleness is no part of.
+    pub(crate) const NEVER_STALE: Timing = Timing::from_millis(60_000, 60_000);
+    /// No watch is stale, yet others are opened soon beside one without a first line.
+    pub(crate) const SHORT_FIRST_LINE: Timing = Timing::from_millis(60_000, 50);
+
+    pub(crate) const fn from_millis(stale_after: u64, first_line_timeout: u64) -> Timing {
+        Timing {
+            stale_after: Duration::from_millis(stale_after),
+            first_line_timeout: Duration::from_millis(first_line_timeout),
+        }
+    }
+
+    /// Shortest and longest time between two openings. Where staleness is no part of a test, a second connection beside
+    /// one that is about to speak isn't either.
+    fn retry(self) -> (Duration, Duration) {
+        let retry = if self.stale_after < Duration::from_secs(1) { (20, 100) } else { (1000, 1000) };
+        (Duration::from_millis(retry.0), Duration::from_millis(retry.1))
+    }
+}
+
+/// A watch, and the updates that its list has applied.
+pub(crate) struct WatchedList {
+    pub(crate) watch: Watch,
+    pub(crate) list: EndpointsHandle,
+    pub(crate) updates: Receiver<RouterMessage<NoProtocol>>,
+    _sender: Sender<RouterMessage<NoProtocol>>,
+}
+
+impl WatchedList {
+    /// A watch that follows no address yet.
+    pub(crate) fn start(timing: Timing) -> WatchedList {
+        let mut limits = limits();
+        limits.watch_silent = timing.stale_after;
+        limits.watch_answer = timing.first_line_timeout;
+        limits.watch_retry = timing.retry();
+        // None has to make room, however slowly a test goes on.
+        limits.watch_most = 64;
+        let (sender, updates) = bounded(64);
+        let list = routing::endpoints::start(&limits, sender.clone(), None).unwrap();
+        let watch = Watch::new(vec!["a".into()], Arc::new(limits), list.clone());
+        WatchedList { watch, list, updates, _sender: sender }
+    }
+
+    /// A watch that follows this agent.
+    pub(crate) fn following(agent: &ScriptedAgent, timing: Timing) -> WatchedList {
+        let watched = WatchedList::start(timing);
+        watched.watch.follow(agent.addr).unwrap();
+        watched
+    }
+
+    /// A watch that follows this agent and has applied a complete list of this version, and the connection that it came
+    /// on.
+    pub(crate) fn holding(
+        agent: &ScriptedAgent,
+        timing: Timing,
+        version: u64,
+    ) -> (WatchedList, AgentConnection) {
+        let watched = WatchedList::following(agent, timing);
+        let connection = agent.next_with_head();
+        connection.send_chunk(&complete_list(version));
+        assert_eq!(watched.next_update().version, version);
+        (watched, connection)
+    }
+
+    pub(crate) fn next_update(&self) -> EndpointUpdate {
+        match self.updates.recv_timeout(LONG) {
+            Ok(RouterMessage::Endpoints(update)) => update,
+            _ => panic!("no update"),
+        }
+    }
+
+    /// Has a new connection that resumes from this version bring this, and gives the update that is applied. On a busy
+    /// machine one may have been given up before it could; then the next does.
+    pub(crate) fn update_resumed_from(
+        &self,
+        agent: &ScriptedAgent,
+        index: &str,
+        text: &str,
+    ) -> (EndpointUpdate, AgentConnection) {
+        for _ in 0..16 {
+            let connection = agent.next_from(index);
+            _ = connection.send_raw((HEAD.to_string() + &chunk(text)).as_bytes());
+            let update = self.updates.recv_timeout(Duration::from_secs(2));
+            if let Ok(RouterMessage::Endpoints(update)) = update {
+                return (update, connection);
+            }
+        }
+        panic!("no new watch is heard");
+    }
+}
+
+/// A protocol that carries nothing: only the actor of the list is wanted here.
+pub(crate) struct NoProtocol;
+
+/// A connection that is never made.
+pub(crate) struct NoConnection(Arc<TcpStream>);
+
+impl BackendProtocol for NoProtocol {
+    type Payload = ();
+    type Response = ();
+    type Connection = NoConnection;
+
+    fn connect(&self, _: SocketAddr) -> Result<NoConnection, Outcome> {
+        unreachable!("no instance is asked")
+    }
+}
+
+impl Connection<NoProtocol> for NoConnection {
+    fn socket(&self) -> Arc<TcpStream> {
+        self.0.clone()
+    }
+
+    fn is_usable(&mut self, _: Duration) -> bool {
+        false
+    }
+
+    fn execute(
+        &mut self,
+        _: Exchange<'_, NoProtocol>,
+        _: &AttemptGuard,
+    ) -> Result<ExchangeResult<()>, NotSent> {
+        Err(NotSent::ConnectionBroken)
+    }
+}
