--- a/discovery/src/driver.rs
+++ b/discovery/src/driver.rs
@@ -175,8 +175,8 @@
             // It stands for itself, whatever came before.
             return UpdateOrder::Consecutive;
         }
-        // Another agent's versions, after a move, may only be behind: what lies below the version held is not taken
-        // then, until that agent brings a complete list.
+        // Another agent's versions, after a move, may only be behind: its changes below the version held are ignored
+        // until it brings a complete list.
         let went_back = update.version < previous_version && self.version_source == Some(addr);
         let begins_anew = previous_version == 0 && self.shared.resumes_from_zero();
         if went_back || begins_anew {
--- a/discovery/src/watch.rs
+++ b/discovery/src/watch.rs
@@ -39,11 +39,11 @@
     }
 
     /// Waits until the agent has sent what it has, at most for `timeout`. Gives `true` once its first update was handed
-    /// to the list, or once it said by an empty line that it has none.
+    /// to the list, or once it stated by an empty line that it has none.
     ///
     /// Whatever the agent has counts as known from the first moment of a new process, so call this before clients are
-    /// accepted. An agent that opens the answer and sends no line while it has no update can't be told from a silent
-    /// one: then the whole `timeout` passes.
+    /// accepted. An agent that opens the answer and sends no line while it has no update can't be distinguished from a
+    /// silent one: then the whole `timeout` passes.
     pub fn wait_for_first_line(&self, timeout: Duration) -> bool {
         self.shared.first_line.wait(timeout)
     }
--- a/discovery/tests/endpoint_list.rs
+++ b/discovery/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Entries of lists: what a router of another customer may meet in them.
+//! Entries of lists: values that a router at another customer may meet.
 use discovery::endpoint_list::EndpointListParser;
 use serde_json::{Value, json};
 
@@ -13,19 +13,19 @@
 
 #[test]
 fn cell_outside_32_bits_is_rejected_with_server_and_key() {
-    let mut reader = EndpointListParser::new(vec![]);
-    let read = reader.parse_value(&list(entry(json!(u32::MAX), json!("a")))).unwrap();
-    assert_eq!(read.endpoints[0].group.0, u32::MAX);
+    let mut parser = EndpointListParser::new(vec![]);
+    let update = parser.parse_value(&list(entry(json!(u32::MAX), json!("a")))).unwrap();
+    assert_eq!(update.endpoints[0].group.0, u32::MAX);
     for cell in [json!((1u64 << 32) + 3), json!(-1), json!(0.5), json!("3"), json!(null)] {
-        let said = reader.parse_value(&list(entry(cell.clone(), json!("a")))).unwrap_err().to_string();
+        let said = parser.parse_value(&list(entry(cell.clone(), json!("a")))).unwrap_err().to_string();
         assert!(said.starts_with("server s-1: ") && said.contains("'cell'"), "{cell}: {said}");
     }
 }
 
 #[test]
 fn unknown_zones_get_numbers_of_their_own_after_the_configured_ones() {
-    let mut reader = EndpointListParser::new(vec!["a".into(), "b".into()]);
-    let mut zone = |name: Value| reader.parse_value(&list(entry(json!(3), name))).unwrap().endpoints[0].zone;
+    let mut parser = EndpointListParser::new(vec!["a".into(), "b".into()]);
+    let mut zone = |name: Value| parser.parse_value(&list(entry(json!(3), name))).unwrap().endpoints[0].zone;
     let seen =
         [json!("b"), json!("new"), json!("a"), json!("newer"), json!("new"), json!(null)].map(&mut zone);
     assert_eq!(seen, [1, 2, 0, 3, 2, 4]);
--- a/discovery/tests/json_objects.rs
+++ b/discovery/tests/json_objects.rs
@@ -1,12 +1,12 @@
-//! Streams cut into objects, however their bytes come.
+//! Streams split into objects, however their bytes come.
 use discovery::json_objects::{MAX_NESTING, ObjectSplitter, StreamError, StreamItem};
 
 fn cut(text: &str, at: usize) -> Vec<StreamItem> {
-    let (mut objects, mut pieces) = (ObjectSplitter::new(100), Vec::new());
+    let (mut splitter, mut items) = (ObjectSplitter::new(100), Vec::new());
     let (a, b) = text.as_bytes().split_at(at);
-    objects.push(a, &mut pieces).unwrap();
-    objects.push(b, &mut pieces).unwrap();
-    pieces
+    splitter.push(a, &mut items).unwrap();
+    splitter.push(b, &mut items).unwrap();
+    items
 }
 
 #[test]
@@ -32,10 +32,10 @@
     assert_eq!(cut("{\"a\":1}", 3).len(), 1);
     let long = format!("{{\"a\":\"{}\"}}", "x".repeat(100));
     for step in [1, 7, 200] {
-        let (mut objects, mut pieces) = (ObjectSplitter::new(100), Vec::new());
-        let end = long.as_bytes().chunks(step).find_map(|c| objects.push(c, &mut pieces).err());
+        let (mut splitter, mut items) = (ObjectSplitter::new(100), Vec::new());
+        let end = long.as_bytes().chunks(step).find_map(|c| splitter.push(c, &mut items).err());
         assert_eq!(end, Some(StreamError::ObjectTooLong(100)));
-        assert!(pieces.is_empty() && objects.buffered_bytes() <= 100);
+        assert!(items.is_empty() && splitter.buffered_bytes() <= 100);
     }
     let deep = "{\"a\":".to_string() + &"[".repeat(MAX_NESTING - 1);
     assert_eq!(ObjectSplitter::new(100).push(deep.as_bytes(), &mut Vec::new()), Ok(()));
--- a/discovery/tests/liveness.rs
+++ b/discovery/tests/liveness.rs
@@ -21,108 +21,137 @@
     })
 }
 
-/// What an agent does on a connection opened at `opened`, at `now`, `None` for nothing.
-type Agent = fn(opened: u64, now: u64) -> Option<Said>;
+/// What an agent does at `now` on a connection opened at `opened`, `None` for nothing.
+type Agent = fn(opened: u64, now: u64) -> Option<AgentEvent>;
 
 #[derive(Clone, Copy)]
-enum Said {
-    Head,
-    Blank,
-    News,
-    End,
+enum AgentEvent {
+    ResponseHead,
+    EmptyLine,
+    Update,
+    Ended,
 }
 
+impl AgentEvent {
+    fn on(self, connection: ConnectionId) -> Event {
+        match self {
+            AgentEvent::ResponseHead => Event::ResponseHead(connection),
+            AgentEvent::EmptyLine => Event::Line { connection, has_update: false },
+            AgentEvent::Update => Event::Line { connection, has_update: true },
+            AgentEvent::Ended => Event::Ended(connection),
+        }
+    }
+}
+
+/// What has happened in a run, in milliseconds of virtual time.
 #[derive(Default, Debug)]
-struct Seen {
+struct Record {
     /// When each connection was opened.
     opened: Vec<u64>,
-    /// When lines came on the connections that were listened to: when, opened when.
+    /// When a line came on a connection that was open, and when that one was opened.
     heard: Vec<(u64, u64)>,
-    most: usize,
+    /// The most connections that were open at a time.
+    max_open: usize,
 }
 
-fn play(agent: Agent, until: u64) -> Seen {
-    play_with(&mut machine(), agent, &[0], until)
+/// A run of the state machine.
+struct Run {
+    liveness: WatchLiveness,
+    /// The open connections and when they were opened.
+    open: Vec<(ConnectionId, u64)>,
+    record: Record,
 }
 
-/// Plays it step by step; the watch is told to follow at these moments.
-fn play_with(silence: &mut WatchLiveness, agent: Agent, follow: &[u64], until: u64) -> Seen {
-    let (mut seen, mut actions, mut open) = (Seen::default(), Vec::new(), Vec::<(ConnectionId, u64)>::new());
-    for now in (0..until).step_by(STEP as usize) {
-        let mut events = vec![];
-        if follow.contains(&now) {
+impl Run {
+    /// The events of one step, in the order in which they are handled.
+    fn events(&self, now: u64, agent: Agent, is_followed_now: bool) -> Vec<Event> {
+        let mut events = Vec::new();
+        if is_followed_now {
             events.push(Event::Follow);
         }
-        for (number, opened) in &open {
-            events.extend(agent(*opened, now).map(|said| match said {
-                Said::Head => Event::ResponseHead(*number),
-                Said::Blank => Event::Line { connection: *number, has_update: false },
-                Said::News => Event::Line { connection: *number, has_update: true },
-                Said::End => Event::Ended(*number),
-            }));
+        for (id, opened) in &self.open {
+            events.extend(agent(*opened, now).map(|event| event.on(*id)));
         }
-        if silence.next_deadline().is_some_and(|due| due <= ms(now)) {
+        if self.liveness.next_deadline().is_some_and(|deadline| deadline <= ms(now)) {
             events.push(Event::Deadline);
         }
-        for event in events {
-            if let Event::Line { connection, .. } = event
-                && let Some((_, at)) = open.iter().find(|(n, _)| *n == connection)
-            {
-                seen.heard.push((now, *at));
-            }
-            if let Event::Ended(number) = event {
-                open.retain(|(n, _)| *n != number);
-            }
-            silence.handle(ms(now), event, &mut actions);
-            for action in actions.drain(..) {
-                match action {
-                    Action::Open(number) => {
-                        open.push((number, now));
-                        seen.opened.push(now);
-                    }
-                    Action::Close(number) => open.retain(|(n, _)| *n != number),
-                    Action::ReportStale(_) | Action::ReportLive { .. } => {}
+        events
+    }
+
+    fn handle(&mut self, now: u64, event: Event) {
+        if let Event::Line { connection, .. } = event
+            && let Some((_, opened)) = self.open.iter().find(|(id, _)| *id == connection)
+        {
+            self.record.heard.push((now, *opened));
+        }
+        if let Event::Ended(ended) = event {
+            self.open.retain(|(id, _)| *id != ended);
+        }
+        let mut actions = Vec::new();
+        self.liveness.handle(ms(now), event, &mut actions);
+        for action in actions {
+            match action {
+                Action::Open(id) => {
+                    self.open.push((id, now));
+                    self.record.opened.push(now);
                 }
+                Action::Close(closed) => self.open.retain(|(id, _)| *id != closed),
+                Action::ReportStale(_) | Action::ReportLive { .. } => {}
             }
         }
-        seen.most = seen.most.max(open.len());
     }
-    seen
+}
+
+/// Plays an agent step by step; the watch follows an address from 0 on.
+fn play(agent: Agent, until: u64) -> Record {
+    play_with_moves(agent, &[0], until)
+}
+
+/// Plays an agent step by step; the watch follows an address, or another one, from each of these moments on.
+fn play_with_moves(agent: Agent, follow_at: &[u64], until: u64) -> Record {
+    let mut run = Run { liveness: machine(), open: Vec::new(), record: Record::default() };
+    for now in (0..until).step_by(STEP as usize) {
+        for event in run.events(now, agent, follow_at.contains(&now)) {
+            run.handle(now, event);
+        }
+        run.record.max_open = run.record.max_open.max(run.open.len());
+    }
+    run.record
 }
 
 /// Head and first line at once, an empty line every 2 s: an agent as it should be, on connections from `opened` on.
-fn good(opened: u64, now: u64) -> Option<Said> {
-    (now > opened && (now - opened - STEP).is_multiple_of(2000)).then_some(Said::Blank)
+fn good(opened: u64, now: u64) -> Option<AgentEvent> {
+    (now > opened && (now - opened - STEP).is_multiple_of(2000)).then_some(AgentEvent::EmptyLine)
 }
 
 /// Never says anything.
-fn mute(_: u64, _: u64) -> Option<Said> {
+fn mute(_: u64, _: u64) -> Option<AgentEvent> {
     None
 }
 
 /// A head at once, and the first line only when an empty line is due.
-fn late_first_line(opened: u64, now: u64) -> Option<Said> {
+fn late_first_line(opened: u64, now: u64) -> Option<AgentEvent> {
     match now.checked_sub(opened) {
-        Some(STEP) => Some(Said::Head),
-        Some(since) if since > 0 && since.is_multiple_of(2000) => Some(Said::Blank),
+        Some(STEP) => Some(AgentEvent::ResponseHead),
+        Some(since) if since > 0 && since.is_multiple_of(2000) => Some(AgentEvent::EmptyLine),
         _ => None,
     }
 }
 
 /// When a connection that was opened after the last line of the first one was heard.
 fn first_heard_after_outage(agent: Agent, until: u64) -> u64 {
-    let seen = play(agent, until);
-    assert!(seen.most <= 7, "{seen:?}");
-    seen.heard.iter().find(|(_, opened)| *opened > 0).map_or(u64::MAX, |(now, _)| *now)
+    let record = play(agent, until);
+    assert!(record.max_open <= 7, "{record:?}");
+    record.heard.iter().find(|(_, opened)| *opened > 0).map_or(u64::MAX, |(now, _)| *now)
 }
 
 // The first connection's last line comes at 10 ms in each of these.
 #[test]
 fn agent_that_answers_new_connections_again_is_heard_250_ms_later() {
     // Old connections stay mute for good, and so do those that were opened before the agent was back.
-    fn back<const AT: u64>(opened: u64, now: u64) -> Option<Said> {
+    fn back<const AT: u64>(opened: u64, now: u64) -> Option<AgentEvent> {
         if opened == 0 {
-            return (now == STEP).then_some(Said::Blank);
+            return (now == STEP).then_some(AgentEvent::EmptyLine);
         }
         if opened >= AT { good(opened, now) } else { None }
     }
@@ -136,10 +165,10 @@
 
 #[test]
 fn agent_that_answers_waiting_connections_once_it_is_back_is_heard_at_once() {
-    fn back(opened: u64, now: u64) -> Option<Said> {
+    fn back(opened: u64, now: u64) -> Option<AgentEvent> {
         match opened {
-            0 => (now == STEP).then_some(Said::Blank),
-            _ => (now == 5500).then_some(Said::News),
+            0 => (now == STEP).then_some(AgentEvent::EmptyLine),
+            _ => (now == 5500).then_some(AgentEvent::Update),
         }
     }
     assert_eq!(first_heard_after_outage(back, 9000), 5500);
@@ -147,10 +176,10 @@
 
 #[test]
 fn heads_without_a_line_do_not_delay_the_next_attempt() {
-    fn heads(opened: u64, now: u64) -> Option<Said> {
+    fn heads(opened: u64, now: u64) -> Option<AgentEvent> {
         match opened {
-            0 => (now == STEP).then_some(Said::Blank),
-            1..4000 => (now == opened + STEP).then_some(Said::Head),
+            0 => (now == STEP).then_some(AgentEvent::EmptyLine),
+            1..4000 => (now == opened + STEP).then_some(AgentEvent::ResponseHead),
             _ => good(opened, now),
         }
     }
@@ -159,10 +188,10 @@
 
 #[test]
 fn refused_connections_do_not_delay_the_next_attempt() {
-    fn refused(opened: u64, now: u64) -> Option<Said> {
+    fn refused(opened: u64, now: u64) -> Option<AgentEvent> {
         match opened {
-            0 if now == STEP => Some(Said::Blank),
-            ..4000 if now > opened + STEP => Some(Said::End),
+            0 if now == STEP => Some(AgentEvent::EmptyLine),
+            ..4000 if now > opened + STEP => Some(AgentEvent::Ended),
             ..4000 => None,
             _ => good(opened, now),
         }
@@ -172,10 +201,10 @@
 
 #[test]
 fn connection_closed_after_its_head_is_not_waited_for() {
-    fn closed(opened: u64, now: u64) -> Option<Said> {
+    fn closed(opened: u64, now: u64) -> Option<AgentEvent> {
         match now - opened {
-            STEP => Some(Said::Head),
-            20 => Some(Said::End),
+            STEP => Some(AgentEvent::ResponseHead),
+            20 => Some(AgentEvent::Ended),
             _ => None,
         }
     }
@@ -191,15 +220,19 @@
 
 #[test]
 fn first_line_that_comes_after_two_seconds_is_waited_for() {
-    let seen = play(late_first_line, 20_000);
-    assert_eq!(seen.heard.iter().map(|(now, _)| *now).collect::<Vec<_>>()[..3], [2000, 4000, 6000]);
-    assert_eq!(seen.opened.len(), 4, "none once it has spoken: {seen:?}");
+    let record = play(late_first_line, 20_000);
+    assert_eq!(record.heard.iter().map(|(now, _)| *now).collect::<Vec<_>>()[..3], [2000, 4000, 6000]);
+    assert_eq!(record.opened.len(), 4, "none once it has spoken: {record:?}");
 }
 
 #[test]
 fn late_first_line_is_waited_for_beside_an_oldest_connection_that_stays_mute() {
-    fn mute_at_first(opened: u64, now: u64) -> Option<Said> {
-        if opened == 0 { (now == STEP).then_some(Said::Head) } else { late_first_line(opened, now) }
+    fn mute_at_first(opened: u64, now: u64) -> Option<AgentEvent> {
+        if opened == 0 {
+            (now == STEP).then_some(AgentEvent::ResponseHead)
+        } else {
+            late_first_line(opened, now)
+        }
     }
     assert!(first_heard_after_outage(mute_at_first, 9000) <= 600 + 2010);
 }
@@ -207,71 +240,76 @@
 #[test]
 fn mute_new_connections_do_not_end_a_stale_one_that_speaks_again() {
     // The old one speaks again at 4 s, those beside it never.
-    fn old(opened: u64, now: u64) -> Option<Said> {
-        (opened == 0 && (now == STEP || (now >= 4000 && now.is_multiple_of(2000)))).then_some(Said::News)
+    fn old(opened: u64, now: u64) -> Option<AgentEvent> {
+        (opened == 0 && (now == STEP || (now >= 4000 && now.is_multiple_of(2000))))
+            .then_some(AgentEvent::Update)
     }
-    let seen = play(old, 20_010);
-    assert_eq!(seen.heard.last(), Some(&(20_000, 0)));
+    let record = play(old, 20_010);
+    assert_eq!(record.heard.last(), Some(&(20_000, 0)));
     // What it missed may never come on it, so others are opened all the same.
-    assert!(seen.opened.iter().any(|at| *at > 15_000));
+    assert!(record.opened.iter().any(|at| *at > 15_000));
 }
 
 #[test]
 fn previous_address_counts_until_the_new_one_brings_an_update() {
     // Moves at 5000. The new agent answers only what is opened from 7000 on, with an empty line at first; the old
     // one speaks on.
-    fn moves(opened: u64, now: u64) -> Option<Said> {
+    fn moves(opened: u64, now: u64) -> Option<AgentEvent> {
         match opened {
             ..5000 => good(opened, now),
             5000..7000 => None,
-            _ => good(opened, now).map(|_| if now < opened + 1000 { Said::Blank } else { Said::News }),
+            _ => good(opened, now)
+                .map(|_| if now < opened + 1000 { AgentEvent::EmptyLine } else { AgentEvent::Update }),
         }
     }
-    let seen = play_with(&mut machine(), moves, &[0, 5000], 20_000);
-    let new = seen.heard.iter().find(|(_, opened)| *opened >= 7000).unwrap();
-    assert!(new.0 <= 7000 + 280, "{seen:?}");
-    let old = seen.heard.iter().rfind(|(_, opened)| *opened < 5000).unwrap();
-    assert!(old.0 >= 8000 && old.0 <= 9020, "until the update at about 9100 or 4 s after the move: {seen:?}");
+    let record = play_with_moves(moves, &[0, 5000], 20_000);
+    let new = record.heard.iter().find(|(_, opened)| *opened >= 7000).unwrap();
+    assert!(new.0 <= 7000 + 280, "{record:?}");
+    let old = record.heard.iter().rfind(|(_, opened)| *opened < 5000).unwrap();
+    assert!(
+        old.0 >= 8000 && old.0 <= 9020,
+        "until the update at about 9100 or 4 s after the move: {record:?}"
+    );
 }
 
 #[test]
 fn previous_address_goes_on_while_the_new_one_never_speaks() {
-    fn new_is_mute(opened: u64, now: u64) -> Option<Said> {
+    fn new_is_mute(opened: u64, now: u64) -> Option<AgentEvent> {
         if opened < 5000 { good(opened, now) } else { None }
     }
-    let seen = play_with(&mut machine(), new_is_mute, &[0, 5000], 20_000);
-    assert!(seen.heard.last().unwrap().0 > 18_000);
+    let record = play_with_moves(new_is_mute, &[0, 5000], 20_000);
+    assert!(record.heard.last().unwrap().0 > 18_000);
 }
 
 #[test]
 fn move_before_any_line_keeps_the_newest_attempt_without_delaying_the_new_address() {
-    fn first(opened: u64, now: u64) -> Option<Said> {
-        if opened < 300 { (now == 1000).then_some(Said::News) } else { None }
+    fn first(opened: u64, now: u64) -> Option<AgentEvent> {
+        if opened < 300 { (now == 1000).then_some(AgentEvent::Update) } else { None }
     }
-    let seen = play_with(&mut machine(), first, &[0, 300], 3000);
-    assert_eq!(seen.heard, [(1000, 250)]);
-    assert!(seen.opened.iter().filter(|at| **at > 1000).count() >= 6);
+    let record = play_with_moves(first, &[0, 300], 3000);
+    assert_eq!(record.heard, [(1000, 250)]);
+    assert!(record.opened.iter().filter(|at| **at > 1000).count() >= 6);
 }
 
 #[test]
 fn line_that_ends_a_silence_does_not_hide_it_from_a_late_driver() {
-    let (mut silence, mut actions) = (machine(), Vec::new());
-    silence.handle(ms(0), Event::Follow, &mut actions);
-    silence.handle(ms(10), Event::Line { connection: ConnectionId(1), has_update: true }, &mut actions);
+    let (mut liveness, mut actions) = (machine(), Vec::new());
+    liveness.handle(ms(0), Event::Follow, &mut actions);
+    liveness.handle(ms(10), Event::Line { connection: ConnectionId(1), has_update: true }, &mut actions);
     actions.clear();
     // Due at 2610; the driver comes to it only now, and finds the line first.
-    silence.handle(ms(2700), Event::Line { connection: ConnectionId(1), has_update: true }, &mut actions);
+    liveness.handle(ms(2700), Event::Line { connection: ConnectionId(1), has_update: true }, &mut actions);
     assert_eq!(actions, [Action::ReportStale(ConnectionId(1)), Action::Open(ConnectionId(2))]);
-    assert!(silence.was_stale(ConnectionId(1)) && !silence.was_stale(ConnectionId(2)));
-    assert!(silence.is_tracked(ConnectionId(1)), "it counts until another one speaks");
+    assert!(liveness.was_stale(ConnectionId(1)) && !liveness.was_stale(ConnectionId(2)));
+    assert!(liveness.is_tracked(ConnectionId(1)), "it counts until another one speaks");
 }
 
 #[test]
 fn oldest_mute_connection_makes_room_for_an_agent_whose_first_line_is_slow() {
-    fn slow(opened: u64, now: u64) -> Option<Said> {
+    fn slow(opened: u64, now: u64) -> Option<AgentEvent> {
         match now.checked_sub(opened) {
-            Some(STEP) => Some(Said::Head),
-            Some(6000) if opened > 0 => Some(Said::News),
+            Some(STEP) => Some(AgentEvent::ResponseHead),
+            Some(6000) if opened > 0 => Some(AgentEvent::Update),
             _ => None,
         }
     }
@@ -281,7 +319,7 @@
 #[test]
 fn fast_moves_open_no_more_connections_than_an_outage_does() {
     let moves: Vec<u64> = (0..100).map(|n| n * STEP).collect();
-    let seen = play_with(&mut machine(), mute, &moves, 1000);
-    assert_eq!(seen.opened, [0, 250, 500, 750]);
-    assert!(seen.most <= 2, "{seen:?}");
+    let record = play_with_moves(mute, &moves, 1000);
+    assert_eq!(record.opened, [0, 250, 500, 750]);
+    assert!(record.max_open <= 2, "{record:?}");
 }
