--- /dev/null
+++ b/discovery/tests/recorded_run.rs
@@ -0,0 +1,140 @@
+//! Recorded runs of the state machine: seeded events in, actions out. The fixture was written by the code as it stood
+//! before its names and files changed; the present code has to give the same text.
+use discovery::liveness::{Action, ConnectionId, Event, Settings, WatchLiveness};
+use std::fmt::Write;
+use std::time::Duration;
+
+const FIXTURE: &str = include_str!("fixtures/recorded_runs.txt");
+
+/// Steps of a run that the fixture holds as text.
+const READABLE_STEPS: usize = 200;
+/// Steps of a run of which the fixture holds the hash alone.
+const HASHED_STEPS: usize = 4000;
+/// Runs of which the fixture holds the hash alone, for each settings.
+const HASHED_SEEDS: u64 = 24;
+
+fn ms(n: u64) -> Duration {
+    Duration::from_millis(n)
+}
+
+/// The limits of production, and tight ones whose bounds for retries are swapped.
+fn all_settings() -> [(&'static str, Settings); 2] {
+    let usual = Settings {
+        stale_after: ms(2600),
+        first_line_timeout: ms(600),
+        min_open_interval: ms(250),
+        max_open_interval: ms(1000),
+        previous_address_grace: ms(4000),
+        max_pending: 6,
+        min_pending_time: ms(1100),
+        oldest_pending_time: ms(10_000),
+    };
+    let tight = Settings {
+        stale_after: ms(300),
+        min_open_interval: ms(100),
+        max_open_interval: ms(50),
+        previous_address_grace: ms(200),
+        max_pending: 1,
+        ..usual
+    };
+    [("usual", usual), ("tight", tight)]
+}
+
+/// A fixed generator (`SplitMix64`), so that the runs depend on nothing but their seed.
+struct Random(u64);
+
+impl Random {
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut z = self.0;
+        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        (z ^ (z >> 31)) % bound
+    }
+}
+
+/// The next event and its text. Half of the events with a number are for the newest connection, and some for
+/// connections that are closed or were never opened.
+fn next_event(random: &mut Random, newest: u64) -> (Event, String) {
+    let number = if random.below(2) == 0 { newest } else { (newest + 1).saturating_sub(random.below(9)) };
+    let id = ConnectionId(number);
+    match random.below(100) {
+        0..3 => (Event::Follow, "follow".into()),
+        3..23 => (Event::ResponseHead(id), format!("head {number}")),
+        23..35 => (Event::Line { connection: id, has_update: false }, format!("empty line {number}")),
+        35..45 => (Event::Line { connection: id, has_update: true }, format!("news {number}")),
+        45..60 => (Event::Ended(id), format!("end {number}")),
+        _ => (Event::Deadline, "due".into()),
+    }
+}
+
+fn action_text(action: Action) -> String {
+    match action {
+        Action::Open(ConnectionId(number)) => format!("open {number}"),
+        Action::Close(ConnectionId(number)) => format!("close {number}"),
+        Action::ReportStale(ConnectionId(number)) => format!("silent {number}"),
+        Action::ReportLive { outage } => format!("back after {} ms", outage.as_millis()),
+    }
+}
+
+fn run(settings: Settings, seed: u64, steps: usize) -> String {
+    let (mut machine, mut random, mut text) = (WatchLiveness::new(settings), Random(seed), String::new());
+    let (mut now, mut newest, mut actions) = (Duration::ZERO, 0, Vec::new());
+    for step in 0..steps {
+        let (event, said) = match step {
+            0 => (Event::Deadline, "due".to_string()),
+            1 => (Event::Follow, "follow".to_string()),
+            _ => next_event(&mut random, newest),
+        };
+        machine.handle(now, event, &mut actions);
+        let mut done = Vec::new();
+        for action in actions.drain(..) {
+            if let Action::Open(ConnectionId(number)) = action {
+                newest = number;
+            }
+            done.push(action_text(action));
+        }
+        let known = newest.saturating_sub(12)..=newest;
+        let listened: Vec<u64> = known.clone().filter(|n| machine.is_tracked(ConnectionId(*n))).collect();
+        let silent: Vec<u64> = known.filter(|n| machine.was_stale(ConnectionId(*n))).collect();
+        let due = machine.next_deadline().map_or("never".to_string(), |due| due.as_millis().to_string());
+        let done = done.join(", ");
+        let at = now.as_millis();
+        writeln!(text, "{at} {said}: [{done}] due {due} listened {listened:?} silent {silent:?}").unwrap();
+        now += ms([0, 0, 10, 30, 100, 250, 700, 2700][random.below(8) as usize]);
+        // As the driver does it, mostly: no later than what is due.
+        if random.below(4) > 0 {
+            now = machine.next_deadline().map_or(now, |due| now.min(due.max(ms(at as u64))));
+        }
+    }
+    text
+}
+
+/// FNV-1a, 64 bits.
+fn hash(text: &str) -> u64 {
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+}
+
+fn record() -> String {
+    let mut text = String::new();
+    for (name, settings) in all_settings() {
+        writeln!(text, "# settings {name}, seed 1, {READABLE_STEPS} steps").unwrap();
+        text += &run(settings, 1, READABLE_STEPS);
+    }
+    for (name, settings) in all_settings() {
+        writeln!(text, "# settings {name}, {HASHED_STEPS} steps, seed and hash").unwrap();
+        for seed in 1..=HASHED_SEEDS {
+            writeln!(text, "{seed} {:016x}", hash(&run(settings, seed, HASHED_STEPS))).unwrap();
+        }
+    }
+    text
+}
+
+#[test]
+fn recorded_events_give_the_recorded_actions() {
+    let record = record();
+    for (number, (found, expected)) in record.lines().zip(FIXTURE.lines()).enumerate() {
+        assert_eq!(found, expected, "line {}", number + 1);
+    }
+    assert_eq!(record, FIXTURE);
+}
