--- /dev/null
+++ b/registry/tests/recorded_runs.rs
@@ -0,0 +1,246 @@
+//! Recorded runs of the state machines: the same events, from one seed, give the same actions as when the fixture was
+//! written. A fixture shows the first steps in clear and a hash of the whole run.
+//!
+//! With `RECORD_FIXTURES` set, the runs are written instead of compared: only for a change of behaviour that is meant.
+use decision::Time;
+use fastrand::Rng;
+use registry::endpoints::{Endpoints, Settings as EndpointSettings};
+use registry::fleet::{Action as FleetAction, Event as FleetEvent, Fleet, Level, Settings as FleetSettings};
+use registry::machine::{Action, Change, Event, Item, Machine, Settings, Why};
+use std::fmt::Write;
+use xxhash_rust::xxh3::xxh3_64;
+
+const SECOND_US: i64 = 1_000_000;
+const STEPS: usize = 20_000;
+const STEPS_IN_CLEAR: usize = 300;
+
+/// The lines of a run, joined to what its fixture holds.
+fn fixture_text(lines: &[String]) -> String {
+    let hash = xxh3_64(lines.join("\n").as_bytes());
+    let clear = lines[..STEPS_IN_CLEAR].join("\n");
+    format!("{clear}\nxxh3 of all {} steps: {hash:016x}\n", lines.len())
+}
+
+fn assert_recorded(name: &str, lines: &[String]) {
+    let path = format!("{}/tests/fixtures/{name}", env!("CARGO_MANIFEST_DIR"));
+    let text = fixture_text(lines);
+    if std::env::var_os("RECORD_FIXTURES").is_some() {
+        std::fs::write(&path, &text).unwrap();
+    }
+    let recorded = std::fs::read_to_string(&path).unwrap();
+    for (step, (expected, found)) in recorded.lines().zip(text.lines()).enumerate() {
+        assert_eq!(found, expected, "{name}: step {step}");
+    }
+    assert_eq!(text, recorded, "{name}");
+}
+
+fn item_text(item: &Item) -> String {
+    let value = String::from_utf8_lossy(&item.value);
+    format!("{}={value} created {} modified {}", item.key, item.created, item.modified)
+}
+
+fn action_text(action: &Action) -> String {
+    match action {
+        Action::Read(endpoint) => format!("read from {endpoint}"),
+        Action::Watch(endpoint, from) => format!("watch {endpoint} from {from}"),
+        Action::Leave(endpoint, Why::Behind { theirs, ours }) => {
+            format!("leave {endpoint}: behind {theirs} < {ours}")
+        }
+        Action::Leave(endpoint, Why::OtherCluster { theirs, ours }) => {
+            format!("leave {endpoint}: cluster {theirs} != {ours}")
+        }
+        Action::Restored => "restored".into(),
+        Action::Put(item) => format!("put {}", item_text(item)),
+        Action::Gone(key) => format!("deleted {key}"),
+        Action::Settled(revision) => format!("settled {revision}"),
+    }
+}
+
+/// Events for the machine, most of them near the revision it stands at.
+struct MachineEvents {
+    rng: Rng,
+    revision: u64,
+}
+
+impl MachineEvents {
+    fn item(&mut self, modified: u64) -> Item {
+        let key = format!("k{}", self.rng.u8(0..8));
+        let value = self.rng.u8(0..4).to_string().into_bytes();
+        let created = if self.rng.u8(0..4) == 0 { modified } else { 1 };
+        Item { key, value, created, modified }
+    }
+
+    fn nearby_revision(&mut self) -> u64 {
+        (self.revision + self.rng.u64(0..6)).saturating_sub(self.rng.u64(0..4)).max(1)
+    }
+
+    fn changes(&mut self) -> Vec<Change> {
+        let mut changes = Vec::new();
+        for _ in 0..self.rng.u8(0..4) {
+            self.revision += 1;
+            let revision = if self.rng.u8(0..8) == 0 { self.nearby_revision() } else { self.revision };
+            let item = self.item(revision);
+            changes.push(match self.rng.u8(0..3) {
+                0 => Change::Delete(item.key, revision),
+                _ => Change::Put(item),
+            });
+        }
+        changes
+    }
+
+    fn snapshot(&mut self, endpoint: usize, cluster: u64) -> Event {
+        let revision = self.nearby_revision();
+        let mut items: Vec<Item> = (0..self.rng.u8(0..6)).map(|_| self.item(revision)).collect();
+        items.sort_by(|a, b| a.key.cmp(&b.key));
+        items.dedup_by(|a, b| a.key == b.key);
+        Event::Snapshot { endpoint, cluster, revision, items }
+    }
+
+    fn next(&mut self) -> Event {
+        let endpoint = self.rng.usize(0..3);
+        let cluster = if self.rng.u8(0..20) == 0 { 8 } else { 7 };
+        match self.rng.u8(0..20) {
+            0..=3 => Event::Stands { endpoint, cluster, revision: self.nearby_revision() },
+            4..=6 => self.snapshot(endpoint, cluster),
+            7..=14 => Event::Changes(endpoint, self.changes()),
+            15..=17 => Event::Progress(endpoint, self.nearby_revision()),
+            18 => Event::Compacted(endpoint),
+            _ => Event::Missed,
+        }
+    }
+}
+
+#[test]
+fn machine_run_matches_its_recording() {
+    let mut events = MachineEvents { rng: Rng::with_seed(41), revision: 20 };
+    let mut machine = Machine::new(Settings { restored_after: 2 * SECOND_US, tombstones: 4 });
+    let (mut now, mut lines) = (0, Vec::new());
+    for _ in 0..STEPS {
+        now += events.rng.i64(0..SECOND_US);
+        let (event, mut actions) = (events.next(), Vec::new());
+        machine.handle(Time(now), event, &mut actions);
+        let actions: Vec<String> = actions.iter().map(action_text).collect();
+        let mut line = actions.join("; ");
+        write!(line, " | {} keys at {} of {}", machine.len(), machine.revision(), machine.cluster()).unwrap();
+        lines.push(line);
+    }
+    let held: Vec<String> = machine.all().map(|item| item_text(&item)).collect();
+    lines.push(held.join("; "));
+    assert_recorded("machine-run.txt", &lines);
+}
+
+fn level_text(level: Level) -> &'static str {
+    match level {
+        Level::Fresh => "fresh",
+        Level::KnownGood => "known good",
+        Level::TooOld => "too old",
+    }
+}
+
+fn fleet_action_text(action: &FleetAction) -> String {
+    match action {
+        FleetAction::List(id, node) => format!("list {id} {}", serde_json::to_string(node).unwrap()),
+        FleetAction::Unlist(id) => format!("unlist {id}"),
+        FleetAction::Faulty(name, why) => format!("faulty {name}: {why}"),
+        FleetAction::Holding(nodes) => format!("holding {nodes}"),
+        FleetAction::Released(nodes) => format!("released {nodes}"),
+        FleetAction::Now(level) => format!("now {}", level_text(*level)),
+    }
+}
+
+/// Events for the fleet, with the revisions of a registry that only goes back when it was restored.
+struct FleetEvents {
+    rng: Rng,
+    revision: u64,
+}
+
+impl FleetEvents {
+    fn value(&mut self) -> String {
+        let port = 100 + self.rng.u16(0..3);
+        let state = ["in_service", "in_service", "in_service", "draining", "gone"][self.rng.usize(0..5)];
+        match self.rng.u8(0..24) {
+            0 => r#"{"addr":"10.0.0.1:1"}"#.into(),
+            1 => r#"{"addr":"127.0.0.1:1","weight":-1}"#.into(),
+            2 => r#"{"addr":"127.0.0.1:1","role":"leader"}"#.into(),
+            3 => "{".into(),
+            4 => format!(r#"{{"addr":"127.0.0.1:{port}","role":"primary","group":2,"zone":"hall-a"}}"#),
+            _ => format!(r#"{{"addr":"127.0.0.1:{port}","state":"{state}"}}"#),
+        }
+    }
+
+    fn next(&mut self) -> FleetEvent {
+        let name = format!("n{}", self.rng.u8(0..10));
+        match self.rng.u8(0..40) {
+            0..=15 => {
+                self.revision += 1;
+                let created = if self.rng.u8(0..5) == 0 { self.revision } else { 1 };
+                let value = self.value().into_bytes();
+                let item = Item { key: name.clone(), value, created, modified: self.revision };
+                FleetEvent::Put { name, item }
+            }
+            16..=23 => FleetEvent::Gone(name),
+            24..=28 => FleetEvent::Answered(name),
+            29..=32 => FleetEvent::Heard,
+            33 => {
+                self.revision = self.revision.saturating_sub(self.rng.u64(0..10));
+                FleetEvent::Restored
+            }
+            34 => FleetEvent::LetGo,
+            _ => FleetEvent::Tick,
+        }
+    }
+}
+
+#[test]
+fn fleet_run_matches_its_recording() {
+    let mut events = FleetEvents { rng: Rng::with_seed(42), revision: 20 };
+    let mut fleet = Fleet::new(FleetSettings {
+        allow: vec!["127.0.0.0/8".parse().unwrap()],
+        deny: vec!["127.9.0.0/16".parse().unwrap()],
+        fresh: 5 * SECOND_US,
+        last: Some(15 * SECOND_US),
+        held_share: 0.5,
+        window: 5 * SECOND_US,
+        held: 30 * SECOND_US,
+    });
+    let (mut now, mut lines) = (0, Vec::new());
+    for _ in 0..STEPS {
+        now += events.rng.i64(0..2 * SECOND_US);
+        let (event, mut actions) = (events.next(), Vec::new());
+        fleet.handle(Time(now), event, &mut actions);
+        let actions: Vec<String> = actions.iter().map(fleet_action_text).collect();
+        let faulty: Vec<&str> = fleet.faulty().collect();
+        let mut line = actions.join("; ");
+        let (nodes, held) = (fleet.nodes().count(), fleet.held());
+        write!(line, " | {} with {nodes} nodes, {held} held, faulty {faulty:?}", level_text(fleet.level()))
+            .unwrap();
+        lines.push(line);
+    }
+    assert_recorded("fleet-run.txt", &lines);
+}
+
+#[test]
+fn endpoint_selection_matches_its_recording() {
+    let settings = EndpointSettings {
+        endpoints: 3,
+        pause: SECOND_US / 10,
+        longest: 2 * SECOND_US,
+        saved: 5.0,
+        earned_per_s: 2.0,
+    };
+    let mut endpoints = Endpoints::new(settings, 43);
+    let (mut rng, mut now, mut lines) = (Rng::with_seed(43), 1, Vec::new());
+    for _ in 0..STEPS {
+        let (endpoint, wait) = endpoints.next(Time(now));
+        now += wait + rng.i64(0..SECOND_US / 5);
+        let failed = rng.u8(0..3) != 0;
+        if failed {
+            endpoints.failed(endpoint, Time(now));
+        } else {
+            endpoints.worked(endpoint);
+        }
+        lines
+            .push(format!("member {endpoint} after {wait} us, {}", if failed { "failed" } else { "worked" }));
+    }
+    assert_recorded("endpoint-selection.txt", &lines);
+}
--- /dev/null
+++ b/registry/tests/stored_forms.rs
@@ -0,0 +1,58 @@
+//! The bytes of what is stored: the node list on disk, and this router's entry in the registry.
+use registry::cache::{self, Kept};
+use registry::client::Router;
+use std::path::PathBuf;
+
+fn fixture(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+fn record(name: &str, bytes: &[u8]) {
+    if std::env::var_os("RECORD_FIXTURES").is_some() {
+        std::fs::write(fixture(name), bytes).unwrap();
+    }
+}
+
+fn list() -> Kept {
+    let node = br#"{"addr":"127.0.0.1:3311","state":"draining"}"#;
+    Kept {
+        at: 1_764_656_000_123_456,
+        revision: 70_000,
+        items: vec![
+            ("/damsonvale/nodes/a".into(), node.to_vec(), 3, 69_999),
+            ("/damsonvale/nodes/b".into(), vec![0, 255, 128], 300, 300),
+            ("/damsonvale/nodes/c".into(), Vec::new(), u64::MAX, 0),
+        ],
+    }
+}
+
+#[test]
+fn list_on_disk_is_read_and_written_byte_for_byte() {
+    let folder = tempfile::tempdir().unwrap();
+    cache::write(folder.path(), &list()).unwrap();
+    let written = std::fs::read(folder.path().join("registry")).unwrap();
+    record("node-list.bin", &written);
+    let recorded = std::fs::read(fixture("node-list.bin")).unwrap();
+    assert_eq!(written, recorded);
+    std::fs::write(folder.path().join("registry"), &recorded).unwrap();
+    assert_eq!(cache::read(folder.path()).unwrap(), Some(list()));
+}
+
+#[test]
+fn router_entry_is_read_and_written_byte_for_byte() {
+    let router = Router {
+        addr: "127.0.0.1:3306".parse().unwrap(),
+        sessions: Some((2, "127.0.0.1:7000".parse().unwrap())),
+        store: Some((3, "[::1]:7100".parse().unwrap())),
+        incarnation: 1_764_656_000_123_456,
+    };
+    // As the client writes it: the keys in the order of their names.
+    let written = serde_json::json!(router).to_string();
+    record("router-entry.json", written.as_bytes());
+    let recorded = std::fs::read_to_string(fixture("router-entry.json")).unwrap();
+    assert_eq!(written, recorded);
+    assert_eq!(serde_json::from_str::<Router>(&recorded).unwrap(), router);
+    let without_store = r#"{"addr":"127.0.0.1:3306","sessions":null,"incarnation":7}"#;
+    let router: Router = serde_json::from_str(without_store).unwrap();
+    assert_eq!((router.sessions, router.store, router.incarnation), (None, None, 7));
+}
