--- a/registry/src/cache.rs
+++ b/registry/src/cache.rs
@@ -1,4 +1,4 @@
-//! The last node list on disk, for a start while no registry answers: whole or refused, never half written.
+//! The last node list on disk, for a start while no registry answers. A file that is incomplete or damaged is refused.
 use crate::machine::Item;
 use serde::{Deserialize, Serialize};
 use std::fs::File;
@@ -7,20 +7,26 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
+/// Begins the file; names its version.
 const MAGIC: &[u8; 8] = b"DVREGI\x01\n";
+/// The size of the checksum behind it.
+const CHECKSUM_BYTES: usize = 8;
+const FILE_NAME: &str = "registry";
+/// The file while it is written.
+const NEW_FILE_NAME: &str = "registry.new";
 
-/// What is kept.
+/// What the file holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Default)]
-pub struct Kept {
+pub struct CachedList {
     /// When it was current, in microseconds of Unix time.
     pub at: i64,
-    /// The revision it was read at.
+    /// The revision at which it was read.
     pub revision: u64,
     /// Keys: name, value, created, modified.
     pub items: Vec<(String, Vec<u8>, u64, u64)>,
 }
 
-impl Kept {
+impl CachedList {
     /// The keys as a registry would give them.
     pub fn items(self) -> impl Iterator<Item = Item> {
         let item = |(key, value, created, modified)| Item { key, value, created, modified };
@@ -39,65 +45,49 @@
         /// Why not.
         source: io::Error,
     },
-    /// It is not whole, or of another version.
+    /// It is incomplete, damaged, or of another version.
     #[error("{}: it is not whole, or of another version", .0.display())]
-    Foreign(PathBuf),
+    Invalid(PathBuf),
 }
 
-fn path(folder: &Path) -> PathBuf {
-    folder.join("registry")
+fn file_path(folder: &Path) -> PathBuf {
+    folder.join(FILE_NAME)
 }
 
-/// Writes the list in place of the one before.
-pub fn write(folder: &Path, kept: &Kept) -> io::Result<()> {
+/// Replaces the list on disk; a crash leaves the old one or the new one.
+///
+/// # Errors
+/// The folder or the file can't be written; the old list stays.
+pub fn write(folder: &Path, list: &CachedList) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
-    let body = postcard::to_stdvec(kept).map_err(io::Error::other)?;
-    let new = folder.join("registry.new");
+    let body = postcard::to_stdvec(list).map_err(io::Error::other)?;
+    let new = folder.join(NEW_FILE_NAME);
     let mut file = File::create(&new)?;
     file.write_all(&[&MAGIC[..], &xxh3_64(&body).to_le_bytes(), &body].concat())?;
     file.sync_all()?;
-    std::fs::rename(&new, path(folder))?;
+    std::fs::rename(&new, file_path(folder))?;
     File::open(folder)?.sync_all()
 }
 
-/// Reads it; `None` where there is none, an error where it is not whole.
-pub fn read(folder: &Path) -> Result<Option<Kept>, CacheError> {
-    let path = path(folder);
+/// Reads the list on disk; `None` where there is none.
+///
+/// # Errors
+/// It can't be read, or is incomplete, damaged, or of another version.
+pub fn read(folder: &Path) -> Result<Option<CachedList>, CacheError> {
+    let path = file_path(folder);
     let bytes = match std::fs::read(&path) {
         Ok(b) => b,
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(source) => return Err(CacheError::Read { path, source }),
     };
-    let body = bytes.strip_prefix(MAGIC).and_then(|b| b.split_at_checked(8));
-    let whole = body.filter(|(sum, body)| xxh3_64(body).to_le_bytes() == **sum);
-    let kept = whole.and_then(|(_, body)| postcard::from_bytes(body).ok());
-    kept.map(Some).ok_or(CacheError::Foreign(path))
+    decode(&bytes).map(Some).ok_or(CacheError::Invalid(path))
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_list_comes_back_whole_or_not_at_all() {
-        let kept_in = tempfile::tempdir().unwrap();
-        let folder = kept_in.path();
-        assert_eq!(read(folder).unwrap(), None);
-        let kept = Kept { at: 5, revision: 9, items: vec![("/a".into(), b"1".to_vec(), 2, 3)] };
-        write(folder, &kept).unwrap();
-        assert_eq!(read(folder).unwrap(), Some(kept.clone()));
-        let whole = std::fs::read(path(folder)).unwrap();
-        for at in 0..whole.len() {
-            std::fs::write(path(folder), &whole[..at]).unwrap();
-            assert!(read(folder).is_err());
-            let mut bad = whole.clone();
-            bad[at] ^= 1;
-            std::fs::write(path(folder), bad).unwrap();
-            assert!(read(folder).is_err());
-        }
-        // A write that stopped midway has not got the name yet.
-        write(folder, &kept).unwrap();
-        std::fs::write(folder.join("registry.new"), b"DVR").unwrap();
-        assert_eq!(read(folder).unwrap(), Some(kept));
+/// The list, if the checksum fits.
+fn decode(bytes: &[u8]) -> Option<CachedList> {
+    let (checksum, body) = bytes.strip_prefix(MAGIC)?.split_at_checked(CHECKSUM_BYTES)?;
+    if xxh3_64(body).to_le_bytes() != *checksum {
+        return None;
     }
+    postcard::from_bytes(body).ok()
 }
--- /dev/null
+++ b/registry/src/client/consul_poll.rs
@@ -0,0 +1,94 @@
+//! Consul's blocking queries, one after the other: each brings the whole list at an index.
+use super::Client;
+use super::follow::NextStep;
+use crate::RequestError;
+use crate::consul::{Consul, IndexedItems};
+use crate::machine::{EndpointIndex, Event, Machine, Revision};
+use crossbeam_channel::Receiver;
+use routing::spawn;
+use std::time::Duration;
+
+/// A service's health, queried on a thread and a connection of its own.
+struct HealthQueries {
+    results: Receiver<Result<IndexedItems, RequestError>>,
+    /// The newest result; `None` before the first.
+    newest: Option<IndexedItems>,
+}
+
+impl HealthQueries {
+    /// Begins to query; ends with the first failure, or when this is dropped.
+    fn start(mut consul: Consul, prefix: String, wait: Duration, stack_bytes: usize) -> HealthQueries {
+        let (sender, results) = crossbeam_channel::bounded(1);
+        let query = move || {
+            let mut after = None;
+            loop {
+                let result = consul.health(&prefix, after);
+                after = result.as_ref().ok().map(|(index, _)| (*index, wait));
+                let failed = result.is_err();
+                if sender.send(result).is_err() || failed {
+                    return;
+                }
+            }
+        };
+        // Without the thread there is no first result, which `update` reports.
+        _ = spawn("registry-health", stack_bytes, query);
+        HealthQueries { results, newest: None }
+    }
+
+    /// The newest result. Waits for the first one; later on what has not come yet is not waited for.
+    fn update(&mut self) -> Result<IndexedItems, RequestError> {
+        let result = match self.newest {
+            None => self.results.recv().ok(),
+            Some(_) => self.results.try_iter().last(),
+        };
+        if let Some(result) = result {
+            self.newest = Some(result?);
+        }
+        self.newest.clone().ok_or_else(|| RequestError::Broken("no health of the service".into()))
+    }
+}
+
+impl Client {
+    fn start_health_queries(&self, consul: &Consul) -> Option<HealthQueries> {
+        let service = consul.service.clone()?;
+        let consul = Consul { member: consul.member.new_connection(), service: Some(service) };
+        let (prefix, wait) = (self.settings.prefix.clone(), self.connector.query_wait);
+        Some(HealthQueries::start(consul, prefix, wait, self.limits.module_stack_bytes))
+    }
+
+    /// Follows a member of Consul until it fails or must be left.
+    pub(super) fn poll(
+        &self,
+        machine: &mut Machine,
+        endpoint: EndpointIndex,
+        consul: &mut Consul,
+        worked: &mut dyn FnMut(),
+    ) -> Result<NextStep, RequestError> {
+        let mut health = self.start_health_queries(consul);
+        // With a service its own query waits meanwhile: the keys are asked for in short turns.
+        let wait = if health.is_some() { self.connector.max_quiet } else { self.connector.query_wait };
+        let (mut last_index, mut is_following): (Option<Revision>, bool) = (None, false);
+        while !self.is_stopping() {
+            let after = last_index.map(|index| (index, wait));
+            let (index, mut items) = consul.read(&self.settings.prefix, after)?;
+            // An index that went back is not waited on: the next query asks for everything at once.
+            last_index = last_index.is_none_or(|last| index >= last).then_some(index);
+            let (health_index, nodes) = match &mut health {
+                Some(health) => health.update()?,
+                None => (0, Vec::new()),
+            };
+            items.extend(nodes);
+            let revision = index.max(health_index);
+            let event = Event::Snapshot { endpoint, cluster: 0, revision, items };
+            if let leave @ NextStep::Leave(_) = self.apply(machine, event) {
+                return Ok(leave);
+            }
+            if !std::mem::replace(&mut is_following, true) {
+                let addr = self.settings.endpoints[endpoint];
+                tracing::info!("registry: following {addr} from revision {revision} on");
+            }
+            worked();
+        }
+        Ok(NextStep::None)
+    }
+}
--- /dev/null
+++ b/registry/src/client/endpoint_list.rs
@@ -0,0 +1,161 @@
+//! What the fleet's state machine decides, passed on to the routers' endpoint list.
+use super::{Client, Router, micros};
+use crate::fleet::{Action as FleetAction, Event as FleetEvent, Fleet, Level, Node, State};
+use routing::{EndpointEntry, EndpointUpdate, GroupId, MemberState};
+use std::collections::{BTreeMap, HashMap};
+
+/// The fleet's timer runs once in so many rounds of gathering changes.
+const ROUNDS_PER_TICK: u32 = 5;
+/// Responses of nodes are asked for once the registry has been silent for this part of `fresh_s`.
+const RESPONSES_AFTER_FRESH_DIVISOR: i64 = 4;
+
+/// The fleet, and what the endpoint list has been notified of.
+pub(super) struct ListState {
+    pub(super) fleet: Fleet,
+    /// What the endpoint list holds, by id.
+    listed: HashMap<String, EndpointEntry>,
+    /// Changes that the endpoint list has not been notified of, in order.
+    pending: Vec<EndpointEntry>,
+    /// One of the pending changes must not wait for others.
+    urgent: bool,
+    /// The version of the last update.
+    version: u64,
+    /// Routers that are registered, by name.
+    pub(super) routers: BTreeMap<String, Router>,
+    /// When the registry last answered, in microseconds of the clock.
+    pub(super) last_contact: Option<i64>,
+}
+
+impl ListState {
+    pub(super) fn new(fleet: Fleet) -> ListState {
+        ListState {
+            fleet,
+            listed: HashMap::new(),
+            pending: Vec::new(),
+            urgent: false,
+            version: 0,
+            routers: BTreeMap::new(),
+            last_contact: None,
+        }
+    }
+
+    fn list(&mut self, entry: EndpointEntry, urgent: bool) {
+        self.urgent |= urgent;
+        self.listed.insert(entry.id.clone(), entry.clone());
+        self.pending.push(entry);
+    }
+
+    fn unlist(&mut self, id: &str) {
+        if let Some(entry) = self.listed.remove(id) {
+            self.urgent = true;
+            self.pending.push(EndpointEntry { state: MemberState::Removed, ..entry });
+        }
+    }
+
+    /// Takes the pending changes, the newest of each endpoint, in the order in which those came.
+    fn take_newest(&mut self) -> Vec<EndpointEntry> {
+        let mut newest: BTreeMap<String, (usize, EndpointEntry)> = BTreeMap::new();
+        for (position, entry) in std::mem::take(&mut self.pending).into_iter().enumerate() {
+            newest.insert(entry.id.clone(), (position, entry));
+        }
+        let mut entries: Vec<(usize, EndpointEntry)> = newest.into_values().collect();
+        entries.sort_by_key(|(position, _)| *position);
+        entries.into_iter().map(|(_, entry)| entry).collect()
+    }
+}
+
+impl Client {
+    pub(super) fn handle_fleet_event(&self, list: &mut ListState, event: FleetEvent) {
+        let mut actions = Vec::new();
+        list.fleet.handle(self.clock.now(), event, &mut actions);
+        self.apply_fleet_actions(list, actions);
+    }
+
+    pub(super) fn apply_fleet_actions(&self, list: &mut ListState, actions: Vec<FleetAction>) {
+        for action in actions {
+            match action {
+                FleetAction::List(id, node) => {
+                    list.list(self.endpoint_entry(&id, &node), node.state != State::InService);
+                }
+                FleetAction::Unlist(id) => list.unlist(&id),
+                FleetAction::Faulty(name, error) => {
+                    tracing::error!("registry: nodes/{name}: {error}; what it said before holds");
+                }
+                FleetAction::Holding(nodes) => tracing::error!(
+                    "registry: most of {nodes} nodes in service vanished at once: they are held for {:?}",
+                    self.settings.held
+                ),
+                FleetAction::Released(nodes) => {
+                    tracing::warn!("registry: {nodes} nodes that had vanished are let go");
+                }
+                FleetAction::LevelChanged(Level::Fresh) => {
+                    tracing::info!("registry: the list is fresh again");
+                }
+                FleetAction::LevelChanged(level) => {
+                    tracing::error!("registry: no news for long: the list is used as {level:?} only");
+                }
+            }
+        }
+    }
+
+    fn endpoint_entry(&self, id: &str, node: &Node) -> EndpointEntry {
+        EndpointEntry {
+            id: id.to_string(),
+            addr: node.addr,
+            group: GroupId(node.group),
+            zone: u32::from(node.zone != self.settings.zone),
+            site: (!node.zone.is_empty()).then(|| node.zone.as_str().into()),
+            state: match node.state {
+                State::InService => MemberState::Ready,
+                State::Draining => MemberState::Draining,
+                State::Gone => MemberState::Removed,
+            },
+            listed_primary: node.role.as_deref() == Some("primary"),
+            weight: node.weight,
+            started_at: None,
+        }
+    }
+
+    /// Notifies the endpoint list of all pending changes, if one of them is urgent.
+    pub(super) fn flush_if_urgent(&self, list: &mut ListState) {
+        if std::mem::take(&mut list.urgent) {
+            self.flush(list);
+        }
+    }
+
+    /// Notifies the endpoint list of all pending changes.
+    pub(super) fn flush(&self, list: &mut ListState) {
+        if list.pending.is_empty() {
+            return;
+        }
+        list.version += 1;
+        let endpoints = list.take_newest();
+        self.endpoint_list.notify(EndpointUpdate { version: list.version, complete: false, endpoints });
+    }
+
+    /// Passes gathered changes on, lets the list grow old, and collects which nodes respond.
+    pub(super) fn run_timer(&self) {
+        let mut rounds = 0u32;
+        while !self.is_stopping() {
+            std::thread::sleep(self.limits.registry_gather);
+            rounds += 1;
+            let mut list = self.list();
+            if rounds.is_multiple_of(ROUNDS_PER_TICK) {
+                self.tick(&mut list);
+            }
+            self.flush(&mut list);
+            list.urgent = false;
+        }
+    }
+
+    fn tick(&self, list: &mut ListState) {
+        let age = list.last_contact.map_or(0, |at| self.clock.now().0 - at);
+        let wants_responses = age > micros(self.settings.fresh) / RESPONSES_AFTER_FRESH_DIVISOR;
+        for id in self.responded.drain(wants_responses) {
+            // An endpoint's id is the node's name with the revision at which it was created.
+            let name = id.rsplit_once('@').map_or(id.as_str(), |(name, _)| name).to_string();
+            self.handle_fleet_event(list, FleetEvent::Answered(name));
+        }
+        self.handle_fleet_event(list, FleetEvent::Tick);
+    }
+}
--- /dev/null
+++ b/registry/src/client/list_file.rs
@@ -0,0 +1,65 @@
+//! Keeps the node list on disk, for a start at which no member of the registry answers.
+use super::{Client, Key, lock, micros};
+use crate::cache::{self, CachedList};
+use crate::fleet::Event as FleetEvent;
+use crate::machine::{Item, Machine, Revision};
+use std::path::Path;
+
+/// The list as it was last written to disk.
+#[derive(Default)]
+pub(super) struct SavedList {
+    /// When, in microseconds of the clock.
+    at: i64,
+    /// The revision it had.
+    revision: Revision,
+}
+
+impl Client {
+    /// Begins with the last list on disk.
+    pub(super) fn load_list(&self, machine: &mut Machine) {
+        let Some(folder) = &self.settings.folder else { return };
+        let cached = match cache::read(Path::new(folder)) {
+            Ok(Some(cached)) => cached,
+            Ok(None) => return,
+            Err(e) => return tracing::error!("registry: the last list is not used: {e}"),
+        };
+        let age_s = (self.clock.now().0 - cached.at).max(0) / 1_000_000;
+        let (at, keys) = (cached.at, cached.items.len());
+        let items: Vec<Item> = cached.items().collect();
+        let mut list = self.list();
+        for item in &items {
+            if let Key::Node(name) = self.classify(&item.key) {
+                self.handle_fleet_event(&mut list, FleetEvent::Put { name: name.into(), item: item.clone() });
+            }
+        }
+        machine.begin_with(items);
+        list.last_contact = Some(at);
+        let mut actions = Vec::new();
+        // The time of the file, not of now: the list is as old as it is, and the settings say what that allows.
+        list.fleet.handle(decision::Time(at), FleetEvent::Heard, &mut actions);
+        self.apply_fleet_actions(&mut list, actions);
+        self.flush(&mut list);
+        tracing::warn!(
+            "registry: using the last list of {keys} keys, {age_s} s old, until the registry answers"
+        );
+    }
+
+    /// Writes the list to disk, if it has changed and the last write is long enough ago.
+    pub(super) fn save_list_if_due(&self, machine: &Machine) {
+        let Some(folder) = &self.settings.folder else { return };
+        let now = self.clock.now().0;
+        let mut last_saved = lock(&self.last_saved);
+        let is_recent = now - last_saved.at < micros(self.limits.registry_keep);
+        if is_recent || last_saved.revision == machine.revision() {
+            return;
+        }
+        // Also where the write fails: it is not retried before the next one is due.
+        *last_saved = SavedList { at: now, revision: machine.revision() };
+        let nodes = machine.all().filter(|item| matches!(self.classify(&item.key), Key::Node(_)));
+        let items = nodes.map(|i| (i.key, i.value, i.created, i.modified)).collect();
+        let cached = CachedList { at: now, revision: machine.revision(), items };
+        if let Err(e) = cache::write(Path::new(folder), &cached) {
+            tracing::error!("registry: the list can't be kept in {folder}: {e}");
+        }
+    }
+}
--- /dev/null
+++ b/registry/src/client/registration.rs
@@ -0,0 +1,79 @@
+//! Keeps this router's entry in the registry, under a lease.
+use super::{Client, MemberClient, Router, lock};
+use crate::{Error, RequestError};
+use routing::spawn;
+use serde_json::json;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+
+/// A lease is renewed this often within its time to live.
+const RENEWALS_PER_TTL: u32 = 3;
+/// A failed registration is retried after this many of the shortest pauses between attempts.
+const RETRY_PAUSES: u32 = 4;
+
+impl Client {
+    /// Registers this router, and keeps it registered until [`Client::stop`].
+    ///
+    /// # Errors
+    /// No thread can be started.
+    pub fn register(self: &Arc<Self>, router: Router) -> Result<(), Error> {
+        let Some(name) = self.settings.register.clone() else { return Ok(()) };
+        let client = self.clone();
+        let stack = self.limits.module_stack_bytes;
+        spawn("registry-lease", stack, move || client.stay_registered(&name, &router)).map_err(Error::Thread)
+    }
+
+    fn stay_registered(&self, name: &str, router: &Router) {
+        let key = format!("{}routers/{name}", self.settings.prefix);
+        let value = json!(router).to_string();
+        let (mut endpoint, mut last_logged) = (0, String::new());
+        while !self.is_stopping() {
+            let mut member = self.connector.client_for(endpoint);
+            let ended = match self.hold_lease(&mut member, &key, value.as_bytes()) {
+                Ok(()) => {
+                    last_logged.clear();
+                    "the lease was lost; registering anew".to_string()
+                }
+                Err(e) => {
+                    endpoint = (endpoint + 1) % self.settings.endpoints.len();
+                    e.to_string()
+                }
+            };
+            if self.is_stopping() {
+                return;
+            }
+            if ended != last_logged {
+                tracing::warn!("registry: {key}: {ended}");
+                last_logged = ended;
+            }
+            std::thread::sleep(self.limits.registry_retry.0 * RETRY_PAUSES);
+        }
+    }
+
+    /// Registers, and renews the lease until it is lost or this router stops.
+    fn hold_lease(&self, member: &mut MemberClient, key: &str, value: &[u8]) -> Result<(), RequestError> {
+        let lease = member.grant_lease(self.settings.ttl)?;
+        member.put(key, value, Some(&lease))?;
+        *lock(&self.lease) = Some(lease.clone());
+        tracing::info!("registry: registered as {key}");
+        loop {
+            std::thread::sleep(self.settings.ttl / RENEWALS_PER_TTL);
+            if self.is_stopping() || !member.keep_alive(&lease)? {
+                return Ok(());
+            }
+        }
+    }
+
+    /// Gives the registration up at once, and follows no more.
+    pub fn stop(&self) {
+        self.stopping.store(true, Ordering::Release);
+        let lease = lock(&self.lease).take();
+        let Some(lease) = lease else { return };
+        let mut members = 0..self.settings.endpoints.len();
+        if members.any(|member| self.connector.client_for(member).revoke_lease(&lease).is_ok()) {
+            tracing::info!("registry: registration given up");
+        } else {
+            tracing::warn!("registry: the registration stays until its lease ends: no member answers");
+        }
+    }
+}
--- a/registry/src/etcd.rs
+++ b/registry/src/etcd.rs
@@ -1,318 +1,228 @@
-//! etcd's JSON gateway, version 3 of its interface: bytes as base64, numbers of 64 bits as text.
-use crate::Failed;
-use crate::http::{Member, Whole};
-use crate::machine::{Change, Item, Revision};
-use base64::Engine;
-use base64::engine::general_purpose::STANDARD;
+//! etcd's JSON gateway, version 3 of its interface.
+mod watch;
+mod wire;
+
+pub use watch::WatchEvent;
+
+use crate::RequestError;
+use crate::http::{Member, Response};
+use crate::machine::{Item, Revision};
 use serde_json::{Value, json};
-use std::time::Duration;
+use wire::{elements, encoded, item, number, prefix_end};
 
-/// What an etcd is asked with.
+/// A client of one member of etcd.
 pub struct Etcd {
-    /// The member.
+    /// The member; its token is the header that authenticates.
     pub member: Member,
-    /// User and password, where it wants them.
+    /// User and password, where etcd wants them.
     pub user: Option<(String, String)>,
     /// Keys in one page of a read.
     pub page: usize,
 }
 
-/// What a watch brings.
-pub enum Heard {
-    /// Changes, in order.
-    Changes(Vec<Change>),
-    /// Everything up to here was brought.
-    Progress(Revision),
-    /// Nothing for a while.
-    Silence,
-}
-
-/// Where a member stands.
-pub struct Standing {
-    /// The cluster.
+/// A cluster, and a revision in it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ClusterPosition {
+    /// The cluster's id; 0 where the dialect has none.
     pub cluster: u64,
-    /// Its revision.
+    /// The revision.
     pub revision: Revision,
 }
 
-fn encoded(bytes: impl AsRef<[u8]>) -> String {
-    STANDARD.encode(bytes)
-}
-
-/// The first key behind all that begin so.
-fn behind(prefix: &str) -> Vec<u8> {
-    let mut end = prefix.as_bytes().to_vec();
-    while let Some(last) = end.last_mut() {
-        if *last < 0xff {
-            *last += 1;
-            return end;
-        }
-        end.pop();
-    }
-    vec![0]
+/// One page of a read.
+struct Page {
+    position: ClusterPosition,
+    items: Vec<Item>,
+    /// There are keys behind the last one.
+    has_more: bool,
 }
 
-/// A number of 64 bits: text, or a plain number; 0 where it is left out, as the gateway does with zeros.
-fn number(v: &Value, name: &str) -> u64 {
-    let v = &v[name];
-    v.as_u64().or_else(|| v.as_str().and_then(|s| s.parse().ok())).unwrap_or(0)
+/// The position in a response's header.
+fn position(response: &Value) -> ClusterPosition {
+    let header = &response["header"];
+    ClusterPosition { cluster: number(header, "cluster_id"), revision: number(header, "revision") }
 }
 
-fn item(kv: &Value) -> Result<Item, Failed> {
-    let bytes = |name: &str| {
-        let text = kv[name].as_str().unwrap_or("");
-        STANDARD.decode(text).map_err(|e| Failed::Broken(format!("'{name}' is no base64: {e}")))
-    };
-    let key = String::from_utf8(bytes("key")?).map_err(|_| Failed::Broken("a key is no UTF-8".into()))?;
-    Ok(Item {
-        key,
-        value: bytes("value")?,
-        created: number(kv, "create_revision"),
-        modified: number(kv, "mod_revision"),
-    })
+fn refusal(response: &Response) -> RequestError {
+    let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
+    let text = body["message"].as_str().or(body["error"].as_str()).unwrap_or("").to_string();
+    if text.contains("compacted") {
+        return RequestError::Compacted;
+    }
+    RequestError::Refused(response.code, if text.is_empty() { response.text() } else { text })
 }
 
 impl Etcd {
-    fn failed(&self, whole: &Whole) -> Failed {
-        let v: Value = serde_json::from_slice(&whole.body).unwrap_or_default();
-        let text = v["message"].as_str().or(v["error"].as_str()).unwrap_or("").to_string();
-        if text.contains("compacted") {
-            return Failed::Compacted;
-        }
-        Failed::Refused(whole.code, if text.is_empty() { whole.text() } else { text })
-    }
-
-    fn login(&mut self) -> Result<bool, Failed> {
+    /// Gets a token for the user; `false` where there is no user.
+    fn log_in(&mut self) -> Result<bool, RequestError> {
         let Some((name, password)) = self.user.clone() else { return Ok(false) };
         let body = json!({"name": name, "password": password}).to_string();
-        self.member.proof = None;
-        let answer = self.member.whole("POST", "/v3/auth/authenticate", body.as_bytes())?;
-        if answer.code != 200 {
-            return Err(self.failed(&answer));
+        self.member.auth_header = None;
+        let response = self.member.request("POST", "/v3/auth/authenticate", body.as_bytes())?;
+        if response.code != 200 {
+            return Err(refusal(&response));
         }
-        let token = answer.json()?["token"].as_str().map(str::to_string);
-        self.member.proof = Some(("Authorization", token.ok_or(Failed::Broken("no token".into()))?));
+        let token = response.json()?["token"].as_str().map(str::to_string);
+        let token = token.ok_or_else(|| RequestError::Broken("no token".into()))?;
+        self.member.auth_header = Some(("Authorization", token));
         Ok(true)
     }
 
-    fn ask(&mut self, path: &str, body: &Value) -> Result<Value, Failed> {
-        if self.user.is_some() && self.member.proof.is_none() {
-            self.login()?;
+    fn log_in_if_needed(&mut self) -> Result<(), RequestError> {
+        if self.user.is_some() && self.member.auth_header.is_none() {
+            self.log_in()?;
         }
+        Ok(())
+    }
+
+    fn post(&mut self, path: &str, body: &Value) -> Result<Value, RequestError> {
+        self.log_in_if_needed()?;
         let body = body.to_string();
-        let mut answer = self.member.whole("POST", path, body.as_bytes())?;
-        // A token lasts for a while only.
-        if answer.code == 401 && self.login()? {
-            answer = self.member.whole("POST", path, body.as_bytes())?;
+        let mut response = self.member.request("POST", path, body.as_bytes())?;
+        // A token expires after a while.
+        if response.code == 401 && self.log_in()? {
+            response = self.member.request("POST", path, body.as_bytes())?;
         }
-        if answer.code != 200 {
-            return Err(self.failed(&answer));
+        if response.code != 200 {
+            return Err(refusal(&response));
         }
-        answer.json()
+        response.json()
     }
 
-    /// Where it stands. The read goes through the cluster's leader: a member that is cut off can't answer it.
-    pub fn stands(&mut self, prefix: &str) -> Result<Standing, Failed> {
-        let v =
-            self.ask("/v3/kv/range", &json!({"key": encoded(prefix), "limit": "1", "keys_only": true}))?;
-        Ok(Standing {
-            cluster: number(&v["header"], "cluster_id"),
-            revision: number(&v["header"], "revision"),
-        })
+    /// The member's position. The read goes through the cluster's leader: a member that is cut off can't answer it.
+    ///
+    /// # Errors
+    /// The request failed or was refused.
+    pub fn position(&mut self, prefix: &str) -> Result<ClusterPosition, RequestError> {
+        let body = json!({"key": encoded(prefix), "limit": "1", "keys_only": true});
+        Ok(position(&self.post("/v3/kv/range", &body)?))
     }
 
     /// Everything under a prefix at one revision, page by page.
-    pub fn read(&mut self, prefix: &str) -> Result<(Standing, Vec<Item>), Failed> {
-        'anew: loop {
-            let (mut items, mut from, mut standing): (Vec<Item>, Vec<u8>, Option<Standing>) =
-                (Vec::new(), prefix.as_bytes().to_vec(), None);
-            loop {
-                let mut body = json!({"key": encoded(&from), "range_end": encoded(behind(prefix)),
-                    "limit": self.page.to_string()});
-                if let Some(s) = &standing {
-                    body["revision"] = json!(s.revision.to_string());
-                }
-                let v = match self.ask("/v3/kv/range", &body) {
-                    Ok(v) => v,
-                    // What the first page was read at has been compacted meanwhile.
-                    Err(Failed::Compacted) if standing.is_some() => continue 'anew,
-                    Err(e) => return Err(e),
-                };
-                let header = &v["header"];
-                let at = standing.get_or_insert_with(|| Standing {
-                    cluster: number(header, "cluster_id"),
-                    revision: number(header, "revision"),
-                });
-                if number(header, "cluster_id") != at.cluster {
-                    return Err(Failed::Broken("another cluster answers in the middle of a read".into()));
-                }
-                let kvs = v["kvs"].as_array().map(Vec::as_slice).unwrap_or_default();
-                for kv in kvs {
-                    items.push(item(kv)?);
-                }
-                let last = items.last().filter(|_| v["more"] == true && !kvs.is_empty());
-                match (last, standing.take()) {
-                    (Some(last), s) => {
-                        from = [last.key.as_bytes(), b"\0"].concat();
-                        standing = s;
-                    }
-                    (None, Some(s)) => return Ok((s, items)),
-                    (None, None) => return Err(Failed::Broken("no header".into())),
-                }
+    ///
+    /// # Errors
+    /// The request failed or was refused.
+    pub fn read(&mut self, prefix: &str) -> Result<(ClusterPosition, Vec<Item>), RequestError> {
+        loop {
+            if let Some(read) = self.read_pages(prefix)? {
+                return Ok(read);
             }
         }
     }
 
-    /// Whether anything under the prefix has changed behind this revision, by a read beside the watch; where nothing
-    /// has, the revision up to which that is so. Deletions show in the count.
-    pub fn changed_since(
-        &mut self,
-        prefix: &str,
-        revision: Revision,
-        held: usize,
-    ) -> Result<Option<Revision>, Failed> {
-        let end = encoded(behind(prefix));
-        let newer = json!({"key": encoded(prefix), "range_end": end, "keys_only": true, "limit": "1",
-            "min_mod_revision": (revision + 1).to_string()});
-        let v = self.ask("/v3/kv/range", &newer)?;
-        if v["kvs"].as_array().is_some_and(|a| !a.is_empty()) {
-            return Ok(None);
+    /// All pages; `None` where the revision of the first has been compacted away before the last.
+    fn read_pages(&mut self, prefix: &str) -> Result<Option<(ClusterPosition, Vec<Item>)>, RequestError> {
+        let first = self.read_page(prefix, prefix.as_bytes(), None)?;
+        let (position, mut items, mut has_more) = (first.position, first.items, first.has_more);
+        while let Some(last) = items.last().filter(|_| has_more) {
+            let from = [last.key.as_bytes(), b"\0"].concat();
+            let page = match self.read_page(prefix, &from, Some(position)) {
+                Err(RequestError::Compacted) => return Ok(None),
+                page => page?,
+            };
+            items.extend(page.items);
+            has_more = page.has_more;
         }
-        let at = number(&v["header"], "revision");
-        let count =
-            json!({"key": encoded(prefix), "range_end": end, "count_only": true, "revision": at.to_string()});
-        let count = number(&self.ask("/v3/kv/range", &count)?, "count");
-        Ok((count as usize == held).then_some(at))
+        Ok(Some((position, items)))
     }
 
-    /// Follows a prefix from a revision on until the watch breaks or `take` wants no more.
-    pub fn watch(
+    /// The page that begins at a key, at the position of the first page or, for that one, at the newest.
+    fn read_page(
         &mut self,
         prefix: &str,
-        from: Revision,
-        quiet: Duration,
-        mut take: impl FnMut(Heard) -> bool,
-    ) -> Result<(), Failed> {
-        if self.user.is_some() && self.member.proof.is_none() {
-            self.login()?;
+        from: &[u8],
+        first: Option<ClusterPosition>,
+    ) -> Result<Page, RequestError> {
+        let mut body = json!({"key": encoded(from), "range_end": encoded(prefix_end(prefix)),
+            "limit": self.page.to_string()});
+        if let Some(first) = first {
+            body["revision"] = json!(first.revision.to_string());
         }
-        let create = json!({"create_request": {"key": encoded(prefix), "range_end": encoded(behind(prefix)),
-            "start_revision": from.to_string(), "progress_notify": true}});
-        let head = quiet.max(Duration::from_secs(1));
-        let mut lines = self.member.lines("/v3/watch", create.to_string().as_bytes(), head, quiet)?;
-        if lines.code != 200 {
-            self.member.proof = None;
-            return Err(Failed::Refused(lines.code, "no watch".into()));
+        let response = self.post("/v3/kv/range", &body)?;
+        let position = position(&response);
+        if first.is_some_and(|first| first.cluster != position.cluster) {
+            return Err(RequestError::Broken("another cluster answers in the middle of a read".into()));
         }
-        let mut line = Vec::new();
-        loop {
-            let more = match lines.line(&mut line) {
-                Ok(more) => more,
-                Err(e)
-                    if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) =>
-                {
-                    // What has come of a line stays there; nothing of it may be lost.
-                    if !take(Heard::Silence) {
-                        return Ok(());
-                    }
-                    continue;
-                }
-                Err(e) => return Err(e.into()),
-            };
-            if !more {
-                return Err(Failed::Broken("the watch has ended".into()));
-            }
-            if line.trim_ascii().is_empty() {
-                continue;
-            }
-            let v: Value =
-                serde_json::from_slice(&line).map_err(|e| Failed::Broken(format!("no JSON: {e}")))?;
-            let result = &v["result"];
-            if number(result, "compact_revision") > 0 {
-                return Err(Failed::Compacted);
-            }
-            if result["canceled"] == true || v.get("error").is_some() {
-                let why = result["cancel_reason"].as_str().unwrap_or("the watch was cancelled");
-                return Err(if why.contains("compacted") {
-                    Failed::Compacted
-                } else {
-                    Failed::Broken(why.into())
-                });
-            }
-            let events = result["events"].as_array().map(Vec::as_slice).unwrap_or_default();
-            let heard = if events.is_empty() {
-                if result["created"] == true {
-                    continue;
-                }
-                Heard::Progress(number(&result["header"], "revision"))
-            } else {
-                let change = |e: &Value| {
-                    let item = item(&e["kv"])?;
-                    Ok(match e["type"].as_str() {
-                        Some("DELETE") => Change::Delete(item.key, item.modified),
-                        _ => Change::Put(item),
-                    })
-                };
-                Heard::Changes(events.iter().map(change).collect::<Result<_, Failed>>()?)
-            };
-            if !take(heard) {
-                return Ok(());
-            }
+        let items = elements(&response, "kvs").iter().map(item).collect::<Result<Vec<_>, _>>()?;
+        let has_more = response["more"] == true && !items.is_empty();
+        Ok(Page { position, items, has_more })
+    }
+
+    /// Where nothing under the prefix has changed behind this revision, the revision up to which that is so; `None` where
+    /// something has. `keys` is the number of keys at the revision: deletions show in the count alone.
+    ///
+    /// # Errors
+    /// The request failed or was refused.
+    pub fn unchanged_up_to(
+        &mut self,
+        prefix: &str,
+        revision: Revision,
+        keys: usize,
+    ) -> Result<Option<Revision>, RequestError> {
+        let end = encoded(prefix_end(prefix));
+        let newer = json!({"key": encoded(prefix), "range_end": end, "keys_only": true, "limit": "1",
+            "min_mod_revision": (revision + 1).to_string()});
+        let response = self.post("/v3/kv/range", &newer)?;
+        if !elements(&response, "kvs").is_empty() {
+            return Ok(None);
         }
+        let now = position(&response).revision;
+        let count = json!({"key": encoded(prefix), "range_end": end, "count_only": true,
+            "revision": now.to_string()});
+        let count = number(&self.post("/v3/kv/range", &count)?, "count");
+        Ok((count as usize == keys).then_some(now))
     }
 
-    /// Sets a key, under a lease where one is named.
-    pub fn put(&mut self, key: &str, value: &[u8], lease: Option<&str>) -> Result<Revision, Failed> {
+    /// Sets a key, under a lease where one is named; its new revision.
+    ///
+    /// # Errors
+    /// The request failed or was refused.
+    pub fn put(&mut self, key: &str, value: &[u8], lease: Option<&str>) -> Result<Revision, RequestError> {
         let mut body = json!({"key": encoded(key), "value": encoded(value)});
         if let Some(lease) = lease {
             body["lease"] = json!(lease);
         }
-        Ok(number(&self.ask("/v3/kv/put", &body)?["header"], "revision"))
+        Ok(position(&self.post("/v3/kv/put", &body)?).revision)
     }
 
     /// Sets a key if it is still at this revision; `false` where it is not.
-    pub fn put_if(&mut self, key: &str, value: &[u8], modified: Revision) -> Result<bool, Failed> {
-        let compare = json!({"key": encoded(key), "target": "MOD", "result": "EQUAL", "mod_revision": modified.to_string()});
+    ///
+    /// # Errors
+    /// The request failed or was refused.
+    pub fn put_if(&mut self, key: &str, value: &[u8], modified: Revision) -> Result<bool, RequestError> {
+        let compare = json!({"key": encoded(key), "target": "MOD", "result": "EQUAL",
+            "mod_revision": modified.to_string()});
         let put = json!({"request_put": {"key": encoded(key), "value": encoded(value)}});
-        let v = self.ask("/v3/kv/txn", &json!({"compare": [compare], "success": [put]}))?;
-        Ok(v["succeeded"] == true)
-    }
-
-    /// A lease.
-    pub fn grant(&mut self, ttl_s: u64) -> Result<String, Failed> {
-        let v = self.ask("/v3/lease/grant", &json!({"TTL": ttl_s.to_string()}))?;
-        let id = number(&v, "ID");
-        if id == 0 { Err(Failed::Broken("no lease".into())) } else { Ok(id.to_string()) }
+        let response = self.post("/v3/kv/txn", &json!({"compare": [compare], "success": [put]}))?;
+        Ok(response["succeeded"] == true)
     }
 
-    /// Keeps a lease; `false` where it is lost.
-    pub fn keep(&mut self, lease: &str) -> Result<bool, Failed> {
-        let v = self.ask("/v3/lease/keepalive", &json!({"ID": lease}))?;
-        Ok(number(&v["result"], "TTL") > 0)
-    }
-
-    /// Gives a lease up: its keys go at once.
-    pub fn revoke(&mut self, lease: &str) -> Result<(), Failed> {
-        self.ask("/v3/lease/revoke", &json!({"ID": lease})).map(|_| ())
+    /// Grants a lease for this many seconds; its id.
+    ///
+    /// # Errors
+    /// The request failed or was refused.
+    pub fn grant_lease(&mut self, ttl_s: u64) -> Result<String, RequestError> {
+        let response = self.post("/v3/lease/grant", &json!({"TTL": ttl_s.to_string()}))?;
+        match number(&response, "ID") {
+            0 => Err(RequestError::Broken("no lease".into())),
+            id => Ok(id.to_string()),
+        }
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    #[test]
-    fn a_prefix_ends_where_the_next_one_begins() {
-        assert_eq!(behind("/a/"), b"/a0");
-        assert_eq!(behind("\u{7f}"), [0x80]);
-        assert_eq!(behind(""), [0]);
+    /// Renews a lease; `false` where it is lost.
+    ///
+    /// # Errors
+    /// The request failed or was refused.
+    pub fn keep_alive(&mut self, lease: &str) -> Result<bool, RequestError> {
+        let response = self.post("/v3/lease/keepalive", &json!({"ID": lease}))?;
+        Ok(number(&response["result"], "TTL") > 0)
     }
 
-    #[test]
-    fn numbers_come_as_text_or_not_at_all() {
-        let v = json!({"a": "18446744073709551615", "b": 7, "c": "x"});
-        assert_eq!([number(&v, "a"), number(&v, "b"), number(&v, "c"), number(&v, "d")], [u64::MAX, 7, 0, 0]);
-        assert!(item(&json!({"key": "!"})).is_err());
-        assert_eq!(item(&json!({"key": "YQ==", "mod_revision": "4"})).unwrap().modified, 4);
+    /// Revokes a lease: its keys are deleted at once.
+    ///
+    /// # Errors
+    /// The request failed or was refused.
+    pub fn revoke_lease(&mut self, lease: &str) -> Result<(), RequestError> {
+        self.post("/v3/lease/revoke", &json!({"ID": lease})).map(|_| ())
     }
 }
--- /dev/null
+++ b/registry/src/etcd/watch.rs
@@ -0,0 +1,108 @@
+//! etcd's watch: one response that goes on, a message a line.
+use super::Etcd;
+use super::wire::{change, elements, encoded, number, prefix_end};
+use crate::RequestError;
+use crate::http::LineStream;
+use crate::machine::{Change, Revision};
+use serde_json::{Value, json};
+use std::io;
+use std::time::Duration;
+
+/// The head of a watch's response is waited for at least this long, however soon silence is reported later on.
+const MIN_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// What a watch brings.
+pub enum WatchEvent {
+    /// Changes, in order.
+    Changes(Vec<Change>),
+    /// Everything up to this revision has been brought.
+    Progress(Revision),
+    /// Nothing has come for a while.
+    Silence,
+}
+
+impl Etcd {
+    /// Follows a prefix from a revision on, until the watch fails or `handle` returns `false`. Where nothing comes for
+    /// `max_quiet`, `handle` gets [`WatchEvent::Silence`], and the watch goes on.
+    ///
+    /// # Errors
+    /// The watch failed, was cancelled or refused, or the revision has been compacted away.
+    pub fn watch(
+        &mut self,
+        prefix: &str,
+        from: Revision,
+        max_quiet: Duration,
+        mut handle: impl FnMut(WatchEvent) -> bool,
+    ) -> Result<(), RequestError> {
+        let mut lines = self.open_watch(prefix, from, max_quiet)?;
+        let mut line = Vec::new();
+        loop {
+            let event = match lines.read_line(&mut line) {
+                Ok(true) => parse(&line)?,
+                Ok(false) => return Err(RequestError::Broken("the watch has ended".into())),
+                // What has come of a line stays with the stream.
+                Err(e) if is_timeout(&e) => Some(WatchEvent::Silence),
+                Err(e) => return Err(e.into()),
+            };
+            if event.is_some_and(|event| !handle(event)) {
+                return Ok(());
+            }
+        }
+    }
+
+    fn open_watch(
+        &mut self,
+        prefix: &str,
+        from: Revision,
+        max_quiet: Duration,
+    ) -> Result<LineStream, RequestError> {
+        self.log_in_if_needed()?;
+        let create = json!({"create_request": {
+            "key": encoded(prefix),
+            "range_end": encoded(prefix_end(prefix)),
+            "start_revision": from.to_string(),
+            "progress_notify": true,
+        }});
+        let head_timeout = max_quiet.max(MIN_HEAD_TIMEOUT);
+        let body = create.to_string();
+        let lines = self.member.stream_lines("/v3/watch", body.as_bytes(), head_timeout, max_quiet)?;
+        if lines.code != 200 {
+            // The token may have expired: the next request logs in again.
+            self.member.auth_header = None;
+            return Err(RequestError::Refused(lines.code, "no watch".into()));
+        }
+        Ok(lines)
+    }
+}
+
+fn is_timeout(e: &io::Error) -> bool {
+    matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
+}
+
+/// What a line says; `None` where that is nothing of interest.
+fn parse(line: &[u8]) -> Result<Option<WatchEvent>, RequestError> {
+    if line.trim_ascii().is_empty() {
+        return Ok(None);
+    }
+    let message: Value =
+        serde_json::from_slice(line).map_err(|e| RequestError::Broken(format!("no JSON: {e}")))?;
+    let result = &message["result"];
+    if number(result, "compact_revision") > 0 {
+        return Err(RequestError::Compacted);
+    }
+    if result["canceled"] == true || message.get("error").is_some() {
+        let reason = result["cancel_reason"].as_str().unwrap_or("the watch was cancelled");
+        return Err(if reason.contains("compacted") {
+            RequestError::Compacted
+        } else {
+            RequestError::Broken(reason.into())
+        });
+    }
+    let events = elements(result, "events");
+    if !events.is_empty() {
+        let changes = events.iter().map(change).collect::<Result<_, RequestError>>()?;
+        return Ok(Some(WatchEvent::Changes(changes)));
+    }
+    let is_confirmation = result["created"] == true;
+    Ok((!is_confirmation).then(|| WatchEvent::Progress(number(&result["header"], "revision"))))
+}
--- /dev/null
+++ b/registry/src/etcd/wire.rs
@@ -0,0 +1,61 @@
+//! The JSON of etcd's gateway: bytes are base64, numbers of 64 bits are text, zeros and empty values are left out.
+use crate::RequestError;
+use crate::machine::{Change, Item};
+use base64::Engine;
+use base64::engine::general_purpose::STANDARD;
+use serde_json::Value;
+
+pub(super) fn encoded(bytes: impl AsRef<[u8]>) -> String {
+    STANDARD.encode(bytes)
+}
+
+/// The first key behind all that begin with the prefix, as etcd's `range_end` wants it.
+pub(super) fn prefix_end(prefix: &str) -> Vec<u8> {
+    let mut end = prefix.as_bytes().to_vec();
+    while let Some(last) = end.last_mut() {
+        if *last < 0xff {
+            *last += 1;
+            return end;
+        }
+        end.pop();
+    }
+    // All keys.
+    vec![0]
+}
+
+/// A number of 64 bits: text, or a plain number; 0 where it is left out.
+pub(super) fn number(object: &Value, name: &str) -> u64 {
+    let value = &object[name];
+    value.as_u64().or_else(|| value.as_str().and_then(|s| s.parse().ok())).unwrap_or(0)
+}
+
+/// A list's elements; none where it is left out.
+pub(super) fn elements<'a>(object: &'a Value, name: &str) -> &'a [Value] {
+    object[name].as_array().map(Vec::as_slice).unwrap_or_default()
+}
+
+pub(super) fn item(kv: &Value) -> Result<Item, RequestError> {
+    let bytes = |name: &str| {
+        let text = kv[name].as_str().unwrap_or("");
+        STANDARD.decode(text).map_err(|e| RequestError::Broken(format!("'{name}' is no base64: {e}")))
+    };
+    let key =
+        String::from_utf8(bytes("key")?).map_err(|_| RequestError::Broken("a key is no UTF-8".into()))?;
+    Ok(Item {
+        key,
+        value: bytes("value")?,
+        created: number(kv, "create_revision"),
+        modified: number(kv, "mod_revision"),
+    })
+}
+
+pub(super) fn change(event: &Value) -> Result<Change, RequestError> {
+    let item = item(&event["kv"])?;
+    Ok(match event["type"].as_str() {
+        Some("DELETE") => Change::Delete(item.key, item.modified),
+        _ => Change::Put(item),
+    })
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/registry/src/fleet/listing.rs
@@ -0,0 +1,59 @@
+//! What the endpoint list has of each node, by the node's state and by how long the registry has been silent.
+use super::{Action, Entry, Fleet, Level, Node, State};
+use decision::{Micros, Time};
+
+impl Fleet {
+    /// The state that the endpoint list is to have of a node.
+    fn effective_state(&self, entry: &Entry) -> State {
+        if entry.node.state != State::InService {
+            return entry.node.state;
+        }
+        let last_contact = self.last_contact.unwrap_or(Time(0));
+        let is_usable = match self.level {
+            Level::Fresh => true,
+            Level::KnownGood => entry.answered >= last_contact,
+            Level::TooOld => false,
+        };
+        if is_usable && !entry.is_fenced { State::InService } else { State::Draining }
+    }
+
+    /// Brings the endpoint list up to date with a node; where only its state there counts, `has_changed` is `false`.
+    pub(super) fn update_listing(&mut self, name: &str, has_changed: bool, actions: &mut Vec<Action>) {
+        let Some(state) = self.nodes.get(name).map(|entry| self.effective_state(entry)) else { return };
+        let Some(entry) = self.nodes.get_mut(name) else { return };
+        if !has_changed && entry.listed_state == Some(state) {
+            return;
+        }
+        let listed_before = entry.listed_state.replace(state);
+        if state != State::Gone {
+            actions.push(Action::List(entry.id.clone(), Node { state, ..entry.node.clone() }));
+        } else if listed_before.is_some_and(|before| before != State::Gone) {
+            actions.push(Action::Unlist(entry.id.clone()));
+        }
+    }
+
+    /// Decides what the list may be used for at its age, and updates the nodes for which that makes a difference.
+    pub(super) fn update_level(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let Some(last_contact) = self.last_contact else { return };
+        let level = self.level_at_age(now.0 - last_contact.0);
+        if std::mem::replace(&mut self.level, level) != level {
+            actions.push(Action::LevelChanged(level));
+        } else if level == Level::Fresh {
+            return;
+        }
+        let names: Vec<String> = self.nodes.keys().cloned().collect();
+        for name in &names {
+            self.update_listing(name, false, actions);
+        }
+    }
+
+    fn level_at_age(&self, age: Micros) -> Level {
+        if self.settings.last.is_some_and(|last| age > last) {
+            Level::TooOld
+        } else if age > self.settings.fresh {
+            Level::KnownGood
+        } else {
+            Level::Fresh
+        }
+    }
+}
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -1,143 +1,36 @@
-//! Requests to one member of the registry, one after the other on a connection that is kept: `ureq` speaks HTTP on it.
-//! Connecting, TLS and patience are ours, by the transport that `ureq` lets its users put below it.
-use crate::Failed;
+//! Requests to one member of the registry, one after the other on a connection that is reused: `ureq` speaks HTTP on it.
+//! Connecting, TLS and timeouts are ours, by the transport that `ureq` lets its users put below it.
+mod transport;
+
+use crate::RequestError;
 use crate::tls::Tls;
-use rustls::{ClientConnection, StreamOwned};
 use serde_json::Value;
-use std::io::{self, BufRead, BufReader, Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::io::{self, BufRead, BufReader, Read};
+use std::net::SocketAddr;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
+use transport::{Shared, SocketConnector};
 use ureq::unversioned::resolver::DefaultResolver;
-use ureq::unversioned::transport::{
-    Buffers, ConnectionDetails, Connector, LazyBuffers, NextTimeout, Transport,
-};
 use ureq::{Agent, BodyReader};
 
-/// The longest head of an answer.
-const HEAD: usize = 16 * 1024;
-/// Bytes that are read at once.
-const PIECE: usize = 16 * 1024;
-
-/// A connection, with TLS or without.
-#[derive(Debug)]
-enum Stream {
-    Plain(TcpStream),
-    Tls(Box<StreamOwned<ClientConnection, TcpStream>>),
-}
-
-impl Stream {
-    fn socket(&self) -> &TcpStream {
-        match self {
-            Stream::Plain(s) => s,
-            Stream::Tls(t) => &t.sock,
-        }
-    }
-
-    fn read(&mut self, to: &mut [u8]) -> io::Result<usize> {
-        match self {
-            Stream::Plain(s) => s.read(to),
-            Stream::Tls(t) => t.read(to),
-        }
-    }
-
-    fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
-        match self {
-            Stream::Plain(s) => s.write_all(bytes),
-            Stream::Tls(t) => t.write_all(bytes).and_then(|()| t.flush()),
-        }
-    }
-}
+/// The longest head of a response.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The size of each buffer of a connection.
+const BUFFER_BYTES: usize = 16 * 1024;
+/// An idle connection is reused up to this age.
+const MAX_IDLE: Duration = Duration::from_secs(3600);
+/// Characters of a body that a message may quote.
+const MAX_QUOTED_CHARS: usize = 200;
 
 /// The bounds of a member's connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// A connection that is not made within this time has failed.
-    pub connect: Duration,
-    /// An answer that brings nothing for this long has failed.
-    pub silent: Duration,
-    /// The longest answer, or line of one that goes on.
-    pub most: usize,
-}
-
-/// What a member's connections share with whoever asks.
-#[derive(Debug, Default)]
-struct Shared {
-    /// How long a read may bring nothing, in microseconds; it holds from the next read on.
-    patience: AtomicU64,
-    /// Connections made so far.
-    made: AtomicU64,
-}
-
-/// Makes connections for `ureq`.
-#[derive(Debug)]
-struct Dial {
-    addr: SocketAddr,
-    tls: Option<Arc<Tls>>,
-    bounds: Bounds,
-    shared: Arc<Shared>,
-}
-
-impl Connector for Dial {
-    type Out = Link;
-
-    fn connect(&self, _: &ConnectionDetails, _: Option<()>) -> Result<Option<Link>, ureq::Error> {
-        let socket = routing::socket::connect(self.addr, self.bounds.connect)?;
-        socket.set_nodelay(true)?;
-        socket.set_write_timeout(Some(self.bounds.silent))?;
-        // The handshake comes with the first bytes: it reads within this.
-        socket.set_read_timeout(Some(self.bounds.silent))?;
-        let stream = match &self.tls {
-            None => Stream::Plain(socket),
-            Some(tls) => Stream::Tls(tls.connect(socket, self.addr.ip())?),
-        };
-        self.shared.made.fetch_add(1, Ordering::Relaxed);
-        Ok(Some(Link { stream, buffers: LazyBuffers::new(PIECE, PIECE), shared: self.shared.clone() }))
-    }
-}
-
-/// A connection as `ureq` uses it. The times that it gives are not ours: bounds are set on the socket.
-#[derive(Debug)]
-struct Link {
-    stream: Stream,
-    buffers: LazyBuffers,
-    shared: Arc<Shared>,
-}
-
-impl Transport for Link {
-    fn buffers(&mut self) -> &mut dyn Buffers {
-        &mut self.buffers
-    }
-
-    fn transmit_output(&mut self, amount: usize, _: NextTimeout) -> Result<(), ureq::Error> {
-        Ok(self.stream.write(&self.buffers.output()[..amount])?)
-    }
-
-    fn await_input(&mut self, _: NextTimeout) -> Result<bool, ureq::Error> {
-        let patience = Duration::from_micros(self.shared.patience.load(Ordering::Relaxed).max(1));
-        self.stream.socket().set_read_timeout(Some(patience))?;
-        let read = loop {
-            match self.stream.read(self.buffers.input_append_buf()) {
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                read => break read?,
-            }
-        };
-        self.buffers.input_appended(read);
-        Ok(read > 0)
-    }
-
-    /// A kept connection that has something to read was closed, or brings what nobody asked for.
-    fn is_open(&mut self) -> bool {
-        let socket = self.stream.socket();
-        let quiet = socket.set_nonblocking(true).is_ok()
-            && matches!(socket.peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
-        socket.set_nonblocking(false).is_ok() && quiet
-    }
-
-    fn is_tls(&self) -> bool {
-        matches!(self.stream, Stream::Tls(_))
-    }
+    pub connect_timeout: Duration,
+    /// A response that brings nothing for this long has failed.
+    pub read_timeout: Duration,
+    /// The longest body of a response, and the longest line of one that goes on.
+    pub max_bytes: usize,
 }
 
 /// One member.
@@ -148,164 +41,185 @@
     bounds: Bounds,
     agent: Agent,
     shared: Arc<Shared>,
-    /// A header that proves who asks.
-    pub proof: Option<(&'static str, String)>,
+    /// The name and value of a header that authenticates each request.
+    pub auth_header: Option<(&'static str, String)>,
 }
 
 impl Member {
-    /// A member that nothing is connected to yet.
+    /// A member; nothing is connected yet.
     pub fn new(addr: SocketAddr, tls: Option<Arc<Tls>>, bounds: Bounds) -> Member {
         let shared = Arc::new(Shared::default());
         let config = Agent::config_builder()
-            // Neither the environment nor an answer sends us elsewhere, and a refusal is an answer.
+            // Neither the environment nor a response sends us elsewhere, and a refusal is a response.
             .proxy(None)
             .max_redirects(0)
             .http_status_as_error(false)
-            .max_response_header_size(HEAD)
+            .max_response_header_size(MAX_HEAD_BYTES)
             .max_idle_connections(1)
-            .max_idle_age(Duration::from_secs(3600))
+            .max_idle_age(MAX_IDLE)
             .build();
-        let dial = Dial { addr, tls: tls.clone(), bounds, shared: shared.clone() };
-        let agent = Agent::with_parts(config, dial, DefaultResolver::default());
-        Member { addr, tls, bounds, agent, shared, proof: None }
+        let connector = SocketConnector { addr, tls: tls.clone(), bounds, shared: shared.clone() };
+        let agent = Agent::with_parts(config, connector, DefaultResolver::default());
+        Member { addr, tls, bounds, agent, shared, auth_header: None }
     }
 
     /// The same member, on a connection of its own.
-    pub fn beside(&self) -> Member {
-        let mut beside = Member::new(self.addr, self.tls.clone(), self.bounds);
-        beside.proof = self.proof.clone();
-        beside
-    }
-
-    fn patience(&self, silent: Duration) {
-        self.shared.patience.store(silent.as_micros() as u64, Ordering::Relaxed);
+    pub fn new_connection(&self) -> Member {
+        let mut member = Member::new(self.addr, self.tls.clone(), self.bounds);
+        member.auth_header = self.auth_header.clone();
+        member
     }
 
-    /// Asks, and gives the answer with its body unread. A kept connection that had been closed is made anew.
-    fn ask(
+    /// Sends a request, again on a new connection where a reused one had been closed; the response's body is unread.
+    fn send(
         &self,
         method: &str,
         path: &str,
         body: &[u8],
-        silent: Duration,
+        read_timeout: Duration,
     ) -> Result<ureq::http::Response<ureq::Body>, ureq::Error> {
-        self.patience(silent);
-        let once = || {
-            let mut request = ureq::http::Request::builder()
-                .method(method)
-                .uri(format!("http://{}{path}", self.addr))
-                .header("Content-Type", "application/json");
-            if let Some((name, value)) = &self.proof {
-                request = request.header(*name, value);
-            }
-            match method {
-                "GET" => self.agent.run(request.body(())?),
-                _ => self.agent.run(request.body(body)?),
-            }
-        };
-        let before = self.shared.made.load(Ordering::Relaxed);
-        match once() {
-            // It had been closed while it was kept: every request here may be made twice.
+        self.shared.set_read_timeout(read_timeout);
+        let connections = self.shared.connections();
+        match self.send_once(method, path, body) {
+            // Only a reused connection may have been closed before the request; every request here may be sent twice.
             Err(ureq::Error::Io(e))
-                if self.shared.made.load(Ordering::Relaxed) == before
-                    && before > 0
-                    && !matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) =>
+                if self.shared.connections() == connections && connections > 0 && !is_timeout(&e) =>
             {
-                once()
+                self.send_once(method, path, body)
             }
-            answer => answer,
+            result => result,
         }
     }
 
-    /// Asks, and reads the whole answer.
-    pub fn whole(&mut self, method: &str, path: &str, body: &[u8]) -> Result<Whole, Failed> {
-        self.whole_within(method, path, body, self.bounds.silent)
+    fn send_once(
+        &self,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) -> Result<ureq::http::Response<ureq::Body>, ureq::Error> {
+        let mut request = ureq::http::Request::builder()
+            .method(method)
+            .uri(format!("http://{}{path}", self.addr))
+            .header("Content-Type", "application/json");
+        if let Some((name, value)) = &self.auth_header {
+            request = request.header(*name, value);
+        }
+        match method {
+            "GET" => self.agent.run(request.body(())?),
+            _ => self.agent.run(request.body(body)?),
+        }
+    }
+
+    /// Sends a request, and reads the whole response.
+    ///
+    /// # Errors
+    /// The connection failed, or the response is cut off, too long, or silent for longer than the bounds allow. A status
+    /// code that refuses is no error here: see [`Response::json`].
+    pub fn request(&mut self, method: &str, path: &str, body: &[u8]) -> Result<Response, RequestError> {
+        self.request_with_timeout(method, path, body, self.bounds.read_timeout)
     }
 
-    /// The same with another patience.
-    pub fn whole_within(
+    /// The same with another read timeout than that of the bounds.
+    ///
+    /// # Errors
+    /// As for [`Member::request`].
+    pub fn request_with_timeout(
         &mut self,
         method: &str,
         path: &str,
         body: &[u8],
-        silent: Duration,
-    ) -> Result<Whole, Failed> {
-        let mut answer = self.ask(method, path, body, silent)?;
-        let body = answer.body_mut().with_config().limit(self.bounds.most as u64).read_to_vec()?;
-        let header = |name: &str| answer.headers().get(name).and_then(|v| v.to_str().ok());
+        read_timeout: Duration,
+    ) -> Result<Response, RequestError> {
+        let mut response = self.send(method, path, body, read_timeout)?;
+        let max_bytes = self.bounds.max_bytes as u64;
+        let body = response.body_mut().with_config().limit(max_bytes).read_to_vec()?;
+        let header = |name: &str| response.headers().get(name).and_then(|v| v.to_str().ok());
         let index = header("x-consul-index").and_then(|i| i.parse().ok());
-        let leader = header("x-consul-knownleader") != Some("false");
-        Ok(Whole { code: answer.status().as_u16(), body, index, leader })
+        let knows_leader = header("x-consul-knownleader") != Some("false");
+        Ok(Response { code: response.status().as_u16(), body, index, knows_leader })
     }
 
-    /// Asks for an answer that goes on, line by line: its head within `head`, then nothing longer than `quiet` without
-    /// an error of patience.
-    pub fn lines(
+    /// Sends a request for a response that goes on, line by line: its head must come within `head_timeout`, and a read
+    /// that brings nothing for `read_timeout` ends in an error after which reading may go on.
+    ///
+    /// # Errors
+    /// As for [`Member::request`].
+    pub fn stream_lines(
         &mut self,
         path: &str,
         body: &[u8],
-        head: Duration,
-        quiet: Duration,
-    ) -> Result<Lines, Failed> {
-        let answer = self.ask("POST", path, body, head)?;
-        self.patience(quiet);
-        let code = answer.status().as_u16();
-        let from = BufReader::with_capacity(PIECE, answer.into_body().into_reader());
-        Ok(Lines { code, from, most: self.bounds.most, partial: Vec::new() })
+        head_timeout: Duration,
+        read_timeout: Duration,
+    ) -> Result<LineStream, RequestError> {
+        let response = self.send("POST", path, body, head_timeout)?;
+        self.shared.set_read_timeout(read_timeout);
+        let code = response.status().as_u16();
+        let reader = BufReader::with_capacity(BUFFER_BYTES, response.into_body().into_reader());
+        Ok(LineStream { code, reader, max_bytes: self.bounds.max_bytes, partial: Vec::new() })
     }
 }
 
-/// An answer that goes on.
-pub struct Lines {
+fn is_timeout(e: &io::Error) -> bool {
+    matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
+}
+
+/// A response that goes on.
+pub struct LineStream {
     /// The status code.
     pub code: u16,
-    from: BufReader<BodyReader<'static>>,
-    most: usize,
-    /// Of a line that has not come whole before the patience was over.
+    reader: BufReader<BodyReader<'static>>,
+    max_bytes: usize,
+    /// The beginning of a line whose end had not come when a read timed out.
     partial: Vec<u8>,
 }
 
-impl Lines {
-    /// Reads one line, its end left out; `false` when the answer has ended. After an error of patience it can be called
-    /// again, and nothing is lost.
-    pub fn line(&mut self, line: &mut Vec<u8>) -> io::Result<bool> {
+impl LineStream {
+    /// Reads one line, without its end; `false` when the response has ended.
+    ///
+    /// # Errors
+    /// The connection failed, the response is cut off, or the line is too long. After a timeout (`WouldBlock` or
+    /// `TimedOut`) this can be called again, and nothing is lost.
+    pub fn read_line(&mut self, line: &mut Vec<u8>) -> io::Result<bool> {
         line.clear();
-        let room = (self.most + 1).saturating_sub(self.partial.len()) as u64;
-        (&mut self.from).take(room).read_until(b'\n', &mut self.partial)?;
+        let room = (self.max_bytes + 1).saturating_sub(self.partial.len()) as u64;
+        (&mut self.reader).take(room).read_until(b'\n', &mut self.partial)?;
         std::mem::swap(line, &mut self.partial);
-        let ended = line.last() != Some(&b'\n');
-        if ended && line.len() > self.most {
+        let is_cut = line.last() != Some(&b'\n');
+        if is_cut && line.len() > self.max_bytes {
             return Err(io::Error::new(io::ErrorKind::InvalidData, "a line is too long"));
         }
-        line.truncate(line.len() - usize::from(!ended));
-        Ok(!ended || !line.is_empty())
+        line.truncate(line.len() - usize::from(!is_cut));
+        Ok(!is_cut || !line.is_empty())
     }
 }
 
-/// An answer, read whole.
-pub struct Whole {
+/// A response with its whole body.
+pub struct Response {
     /// The status code.
     pub code: u16,
     /// The body.
     pub body: Vec<u8>,
-    /// Consul's index.
+    /// Consul's index, where the response has one.
     pub index: Option<u64>,
-    /// Consul knows a leader.
-    pub leader: bool,
+    /// Whether Consul knows a leader; also `true` where the response doesn't say.
+    pub knows_leader: bool,
 }
 
-impl Whole {
-    /// The body as JSON; anything but a success is a refusal.
-    pub fn json(&self) -> Result<Value, Failed> {
+impl Response {
+    /// The body as JSON.
+    ///
+    /// # Errors
+    /// The status code is no success, or the body is not JSON.
+    pub fn json(&self) -> Result<Value, RequestError> {
         if !(200..300).contains(&self.code) {
-            return Err(Failed::Refused(self.code, self.text()));
+            return Err(RequestError::Refused(self.code, self.text()));
         }
-        serde_json::from_slice(&self.body).map_err(|e| Failed::Broken(format!("no JSON: {e}")))
+        serde_json::from_slice(&self.body).map_err(|e| RequestError::Broken(format!("no JSON: {e}")))
     }
 
     /// The beginning of the body, for messages.
     pub fn text(&self) -> String {
         let text = String::from_utf8_lossy(&self.body);
-        text.trim().chars().take(200).collect()
+        text.trim().chars().take(MAX_QUOTED_CHARS).collect()
     }
 }
--- a/registry/src/lib.rs
+++ b/registry/src/lib.rs
@@ -1,9 +1,12 @@
 //! Follows a key-value registry that has revisions, watches and compaction, and registers this router there.
 //!
-//! [`machine`] turns what a registry says into changes in order, once each, whatever breaks, repeats or goes back.
-//! [`fleet`] makes a node list of them and decides what still holds when the registry is silent or loses half of it.
-//! [`endpoints`] picks the member to ask. None of these does I/O or reads a clock. [`etcd`] and [`consul`] are the
-//! dialects, [`http`] and [`tls`] the connection, and [`client`] drives all of it. `docs/registry.md` gives the reasons.
+//! State machines, without I/O or a clock:
+//! - [`machine`] turns what a registry says into changes in order, once each, whatever breaks, repeats or goes back.
+//! - [`fleet`] makes a node list of them and decides what still holds when the registry is silent or loses half of it.
+//! - [`endpoints`] picks the member to ask next.
+//!
+//! Around them: [`etcd`] and [`consul`] are the dialects, [`http`] and [`tls`] the connection, [`cache`] is the list on
+//! disk, and [`client`] drives all of it. `docs/registry.md` gives the reasons.
 pub mod cache;
 pub mod client;
 pub mod consul;
@@ -27,31 +30,33 @@
     Thread(std::io::Error),
 }
 
-/// Why a registry could not be asked.
+/// Why a request to a registry has failed.
 #[derive(Debug, Error)]
-pub enum Failed {
-    /// The connection failed, or brought what is no answer.
+pub enum RequestError {
+    /// The connection failed, or the response is not a valid one.
     #[error("{0}")]
     Broken(String),
     /// The revision asked for has been compacted away.
     #[error("the revision has been compacted away")]
     Compacted,
-    /// It refused: its code and text.
+    /// The registry refused: its status code and text.
     #[error("refused with {0}: {1}")]
     Refused(u16, String),
 }
 
-impl From<ureq::Error> for Failed {
+impl From<ureq::Error> for RequestError {
     fn from(e: ureq::Error) -> Self {
-        Failed::Broken(match e {
-            ureq::Error::BodyExceedsLimit(most) => format!("the answer is longer than {most} bytes"),
+        RequestError::Broken(match e {
+            ureq::Error::BodyExceedsLimit(max_bytes) => {
+                format!("the answer is longer than {max_bytes} bytes")
+            }
             other => other.into_io().to_string(),
         })
     }
 }
 
-impl From<std::io::Error> for Failed {
+impl From<std::io::Error> for RequestError {
     fn from(e: std::io::Error) -> Self {
-        Failed::Broken(e.to_string())
+        RequestError::Broken(e.to_string())
     }
 }
--- a/registry/src/machine.rs
+++ b/registry/src/machine.rs
@@ -14,13 +14,13 @@
 /// A key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// The key, whole.
+    /// The key, with its prefix.
     pub key: String,
     /// The value's bytes.
     pub value: Vec<u8>,
-    /// The revision at which it came to be; another one means that it was deleted in between.
+    /// The revision at which it was created; another one than before means that it was deleted in between.
     pub created: Revision,
-    /// The revision of its newest change.
+    /// The revision at which it was last modified.
     pub modified: Revision,
 }
 
@@ -34,6 +34,14 @@
 }
 
 impl Change {
+    /// The key that changes.
+    pub fn key(&self) -> &str {
+        match self {
+            Change::Put(item) => &item.key,
+            Change::Delete(key, _) => key,
+        }
+    }
+
     /// The revision of the change.
     pub fn revision(&self) -> Revision {
         match self {
@@ -43,20 +51,20 @@
     }
 }
 
-/// How it is set up.
+/// Settings of a [`Machine`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// A registry whose members all stand behind what is held here, for this long, was restored from a backup.
+    /// A registry whose members have all been behind the revision here for this long was restored from a backup.
     pub restored_after: Micros,
-    /// Deletions that are remembered, to tell a repeated change from a late one.
+    /// The most deletions that are remembered, to tell a repeated change from a late one.
     pub tombstones: usize,
 }
 
-/// What happens.
+/// An input of the machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A member has been reached, and says whose it is and where it stands.
-    Stands {
+    /// A member has been reached, and has named its cluster and revision.
+    MemberReached {
         /// The member.
         endpoint: EndpointIndex,
         /// The cluster's id; 0 where the dialect has none.
@@ -75,20 +83,20 @@
         /// Everything under the prefix.
         items: Vec<Item>,
     },
-    /// What a watch brought.
+    /// Changes that a watch brought.
     Changes(EndpointIndex, Vec<Change>),
     /// The watch has brought everything up to this revision.
     Progress(EndpointIndex, Revision),
-    /// The revision to go on from is gone.
+    /// The revision to resume from has been compacted away.
     Compacted(EndpointIndex),
-    /// Something has changed that no watch has brought: only a whole read tells what.
-    Missed,
+    /// Something has changed that no watch has brought: only a full read says what.
+    ChangesMissed,
 }
 
 /// Why a member is not followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    /// It stands before what is held here.
+pub enum LeaveReason {
+    /// Its revision is older than the one here.
     Behind {
         /// Its revision.
         theirs: Revision,
@@ -104,7 +112,7 @@
     },
 }
 
-/// What is to be done, in order.
+/// An output of the machine, to be carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Read everything from this member.
@@ -112,18 +120,19 @@
     /// Watch from this revision on.
     Watch(EndpointIndex, Revision),
     /// Go to another member.
-    Leave(EndpointIndex, Why),
+    Leave(EndpointIndex, LeaveReason),
     /// The registry was restored from a backup, or replaced: what follows is older than what was known.
     Restored,
     /// A key has this value now.
     Put(Item),
-    /// A key is gone.
+    /// A key was deleted.
     Gone(String),
-    /// What is held is what the registry held at this revision.
+    /// The keys are now those of the registry at this revision.
     Settled(Revision),
 }
 
-struct Held {
+/// What is known of a key.
+struct Entry {
     created: Revision,
     modified: Revision,
     value: Vec<u8>,
@@ -134,37 +143,39 @@
     settings: Settings,
     cluster: u64,
     revision: Revision,
-    held: BTreeMap<String, Held>,
-    deleted: HashMap<String, Revision>,
-    deletions: VecDeque<(String, Revision)>,
-    /// Something has been read, ever.
-    read: bool,
-    /// Since when members stand behind, and which.
-    behind: Option<(Time, BTreeSet<EndpointIndex>)>,
-    /// The next whole list is taken although it is older.
-    restoring: bool,
-    /// Changes came out of order: until everything has been read, what is held is not what stood at any revision.
-    doubts: bool,
+    entries: BTreeMap<String, Entry>,
+    /// Keys that were deleted, and at which revision.
+    tombstones: HashMap<String, Revision>,
+    /// The same in the order of deletion; may name keys that were deleted again since.
+    tombstone_order: VecDeque<(String, Revision)>,
+    /// A snapshot has been taken since the start.
+    has_snapshot: bool,
+    /// Since when every member that was reached has been behind or of another cluster.
+    behind_since: Option<Time>,
+    /// The next snapshot is taken although it is older.
+    is_restoring: bool,
+    /// Changes are missing or came out of order: the keys are those of no revision until the next snapshot.
+    needs_snapshot: bool,
 }
 
 impl Machine {
-    /// One that holds nothing.
+    /// A machine without keys.
     pub fn new(settings: Settings) -> Machine {
         Machine {
             settings,
             cluster: 0,
             revision: 0,
-            held: BTreeMap::new(),
-            deleted: HashMap::new(),
-            deletions: VecDeque::new(),
-            read: false,
-            behind: None,
-            restoring: false,
-            doubts: false,
+            entries: BTreeMap::new(),
+            tombstones: HashMap::new(),
+            tombstone_order: VecDeque::new(),
+            has_snapshot: false,
+            behind_since: None,
+            is_restoring: false,
+            needs_snapshot: false,
         }
     }
 
-    /// What is held is what the registry held at this revision.
+    /// The revision at which the registry had the keys that are held here.
     pub fn revision(&self) -> Revision {
         self.revision
     }
@@ -174,79 +185,74 @@
         self.cluster
     }
 
-    /// Keys that are held, with their values.
+    /// All keys with their values.
     pub fn items(&self) -> impl Iterator<Item = (&str, &[u8])> {
-        self.held.iter().map(|(k, h)| (k.as_str(), h.value.as_slice()))
+        self.entries.iter().map(|(key, entry)| (key.as_str(), entry.value.as_slice()))
     }
 
-    /// How many keys are held.
+    /// The number of keys.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.entries.len()
     }
 
-    /// Whether none is held.
+    /// Whether there is no key.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Everything that is held.
+    /// All keys with their values and revisions.
     pub fn all(&self) -> impl Iterator<Item = Item> {
-        let item = |(k, h): (&String, &Held)| Item {
-            key: k.clone(),
-            value: h.value.clone(),
-            created: h.created,
-            modified: h.modified,
+        let item = |(key, entry): (&String, &Entry)| Item {
+            key: key.clone(),
+            value: entry.value.clone(),
+            created: entry.created,
+            modified: entry.modified,
         };
-        self.held.iter().map(item)
+        self.entries.iter().map(item)
     }
 
-    /// Begins with what an earlier start held: the first whole list says what has become of it.
+    /// Begins with the keys of an earlier start: the first snapshot says what has become of them.
     pub fn begin_with(&mut self, items: impl IntoIterator<Item = Item>) {
         for Item { key, value, created, modified } in items {
-            self.held.insert(key, Held { created, modified, value });
+            self.entries.insert(key, Entry { created, modified, value });
         }
     }
 
-    /// Takes an event.
+    /// Handles an event at a time, and appends what is to be done to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Stands { endpoint, cluster, revision } => {
-                if !self.admits(now, endpoint, cluster, revision, actions) {
-                    return;
-                }
-                if self.restoring || self.doubts || !self.read {
-                    actions.push(Action::Read(endpoint));
-                } else {
-                    actions.push(Action::Watch(endpoint, self.revision + 1));
+            Event::MemberReached { endpoint, cluster, revision } => {
+                if self.admits(now, endpoint, cluster, revision, actions) {
+                    actions.push(self.resume(endpoint));
                 }
             }
             Event::Snapshot { endpoint, cluster, revision, items } => {
                 if self.admits(now, endpoint, cluster, revision, actions) {
-                    self.snapshot(cluster, revision, items, actions);
+                    self.apply_snapshot(cluster, revision, items, actions);
                     actions.push(Action::Watch(endpoint, self.revision + 1));
                 }
             }
-            Event::Changes(endpoint, changes) => self.changes(endpoint, changes, actions),
-            Event::Progress(..) if self.doubts => {}
-            Event::Progress(endpoint, revision) => {
-                if revision < self.revision {
-                    // It says that all came that it has, and it has less.
-                    let (theirs, ours) = (revision, self.revision);
-                    return actions.push(Action::Leave(endpoint, Why::Behind { theirs, ours }));
-                }
-                self.revision = revision;
-                actions.push(Action::Settled(revision));
-            }
+            Event::Changes(endpoint, changes) => self.apply_changes(endpoint, changes, actions),
+            Event::Progress(endpoint, revision) => self.progress(endpoint, revision, actions),
             Event::Compacted(endpoint) => {
-                self.doubts = true;
+                self.needs_snapshot = true;
                 actions.push(Action::Read(endpoint));
             }
-            Event::Missed => self.doubts = true,
+            Event::ChangesMissed => self.needs_snapshot = true,
         }
     }
 
-    /// Whether a member that stands there may be followed. One that stands behind may lag; where all do, for long
-    /// enough, the registry itself has gone back.
+    /// How to go on with a member that may be followed.
+    fn resume(&self, endpoint: EndpointIndex) -> Action {
+        if self.is_restoring || self.needs_snapshot || !self.has_snapshot {
+            Action::Read(endpoint)
+        } else {
+            Action::Watch(endpoint, self.revision + 1)
+        }
+    }
+
+    /// Whether a member at that revision may be followed. One that is behind may lag; where all are, for long enough,
+    /// the registry itself has gone back.
     fn admits(
         &mut self,
         now: Time,
@@ -255,48 +261,63 @@
         revision: Revision,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let other = self.read && cluster != self.cluster;
-        if !self.read || self.restoring || (!other && revision >= self.revision) {
-            if !self.restoring {
-                self.behind = None;
-            }
+        if self.is_restoring {
             return true;
         }
-        let (since, members) = self.behind.get_or_insert_with(|| (now, BTreeSet::new()));
-        members.insert(endpoint);
-        // Nobody has shown what is held here since then: each one that stands where it should clears this.
+        let is_other_cluster = self.has_snapshot && cluster != self.cluster;
+        let is_behind = self.has_snapshot && revision < self.revision;
+        if !is_other_cluster && !is_behind {
+            self.behind_since = None;
+            return true;
+        }
+        // No member has been up to date since then: each one that is clears this.
+        let since = *self.behind_since.get_or_insert(now);
         if now.0 - since.0 >= self.settings.restored_after {
-            self.restoring = true;
+            self.is_restoring = true;
             return true;
         }
-        let why = if other {
-            Why::OtherCluster { theirs: cluster, ours: self.cluster }
+        let reason = if is_other_cluster {
+            LeaveReason::OtherCluster { theirs: cluster, ours: self.cluster }
         } else {
-            Why::Behind { theirs: revision, ours: self.revision }
+            LeaveReason::Behind { theirs: revision, ours: self.revision }
         };
-        actions.push(Action::Leave(endpoint, why));
+        actions.push(Action::Leave(endpoint, reason));
         false
     }
 
-    fn snapshot(&mut self, cluster: u64, revision: Revision, items: Vec<Item>, actions: &mut Vec<Action>) {
-        if std::mem::take(&mut self.restoring) {
-            actions.push(Action::Restored);
-            (self.behind, self.revision) = (None, 0);
-            // What it holds is taken as new, whatever its numbers.
-            self.held.values_mut().for_each(|h| (h.created, h.modified) = (0, 0));
-            self.deleted.clear();
-            self.deletions.clear();
+    fn progress(&mut self, endpoint: EndpointIndex, revision: Revision, actions: &mut Vec<Action>) {
+        if self.needs_snapshot {
+            return;
         }
-        (self.cluster, self.read, self.doubts) = (cluster, true, false);
-        let named: BTreeSet<&str> = items.iter().map(|i| i.key.as_str()).collect();
-        let gone: Vec<String> = self.held.keys().filter(|k| !named.contains(k.as_str())).cloned().collect();
-        for key in gone {
-            self.delete(key, revision, actions);
+        if revision < self.revision {
+            // It claims to have brought everything it has, and has less than there is here.
+            let reason = LeaveReason::Behind { theirs: revision, ours: self.revision };
+            return actions.push(Action::Leave(endpoint, reason));
+        }
+        self.revision = revision;
+        actions.push(Action::Settled(revision));
+    }
+
+    fn apply_snapshot(
+        &mut self,
+        cluster: u64,
+        revision: Revision,
+        items: Vec<Item>,
+        actions: &mut Vec<Action>,
+    ) {
+        if std::mem::take(&mut self.is_restoring) {
+            actions.push(Action::Restored);
+            self.forget_revisions();
         }
+        self.cluster = cluster;
+        self.has_snapshot = true;
+        self.needs_snapshot = false;
+        self.delete_missing(&items, revision, actions);
         for item in items {
-            let same =
-                |h: &Held| h.modified >= item.modified && h.created == item.created && h.value == item.value;
-            if !self.held.get(&item.key).is_some_and(same) {
+            let is_known = |entry: &Entry| {
+                entry.modified >= item.modified && entry.created == item.created && entry.value == item.value
+            };
+            if !self.entries.get(&item.key).is_some_and(is_known) {
                 self.put(item, actions);
             }
         }
@@ -304,50 +325,68 @@
         actions.push(Action::Settled(self.revision));
     }
 
+    /// After a restore all that is read counts as new, whatever its revisions.
+    fn forget_revisions(&mut self) {
+        self.behind_since = None;
+        self.revision = 0;
+        for entry in self.entries.values_mut() {
+            entry.created = 0;
+            entry.modified = 0;
+        }
+        self.tombstones.clear();
+        self.tombstone_order.clear();
+    }
+
+    /// Deletes the keys that a snapshot doesn't have.
+    fn delete_missing(&mut self, items: &[Item], revision: Revision, actions: &mut Vec<Action>) {
+        let present: BTreeSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
+        let missing: Vec<String> =
+            self.entries.keys().filter(|key| !present.contains(key.as_str())).cloned().collect();
+        for key in missing {
+            self.delete(key, revision, actions);
+        }
+    }
+
     fn put(&mut self, item: Item, actions: &mut Vec<Action>) {
         let Item { key, value, created, modified } = item.clone();
-        let reborn = |h: &Held| h.created != created && h.created != 0;
-        if self.held.get(&key).is_some_and(reborn) {
-            // Deleted and made again while nobody looked: not the same thing under the same name.
+        let is_recreated = |entry: &Entry| entry.created != created && entry.created != 0;
+        if self.entries.get(&key).is_some_and(is_recreated) {
+            // Deleted and created again in between: another thing under the same name.
             actions.push(Action::Gone(key.clone()));
         }
-        self.held.insert(key, Held { created, modified, value });
+        self.entries.insert(key, Entry { created, modified, value });
         actions.push(Action::Put(item));
     }
 
     fn delete(&mut self, key: String, revision: Revision, actions: &mut Vec<Action>) {
-        if self.held.remove(&key).is_some() {
+        if self.entries.remove(&key).is_some() {
             actions.push(Action::Gone(key.clone()));
         }
-        self.deleted.insert(key.clone(), revision);
-        self.deletions.push_back((key, revision));
-        if self.deletions.len() > self.settings.tombstones
-            && let Some((key, revision)) = self.deletions.pop_front()
-            && self.deleted.get(&key) == Some(&revision)
+        self.tombstones.insert(key.clone(), revision);
+        self.tombstone_order.push_back((key, revision));
+        if self.tombstone_order.len() > self.settings.tombstones
+            && let Some((key, revision)) = self.tombstone_order.pop_front()
+            && self.tombstones.get(&key) == Some(&revision)
         {
-            self.deleted.remove(&key);
+            self.tombstones.remove(&key);
         }
     }
 
-    fn changes(&mut self, endpoint: EndpointIndex, changes: Vec<Change>, actions: &mut Vec<Action>) {
+    fn apply_changes(&mut self, endpoint: EndpointIndex, changes: Vec<Change>, actions: &mut Vec<Action>) {
         for change in changes {
             let revision = change.revision();
-            let (key, known) = match &change {
-                Change::Put(i) => (&i.key, self.held.get(&i.key).map(|h| h.modified)),
-                Change::Delete(k, _) => (k, self.held.get(k).map(|h| h.modified)),
-            };
-            let known = known.max(self.deleted.get(key).copied());
-            if known.is_some_and(|k| k >= revision) {
-                // It came twice, or something newer of the same key has come already.
+            if self.newest_change(change.key()).is_some_and(|newest| newest >= revision) {
+                // A repeated change, or something newer of the same key has come already.
                 continue;
             }
             if revision < self.revision {
-                let absent = matches!(&change, Change::Delete(k, _) if !self.held.contains_key(k));
-                if absent {
+                let deletes_nothing =
+                    matches!(&change, Change::Delete(key, _) if !self.entries.contains_key(key));
+                if deletes_nothing {
                     continue;
                 }
-                // Something later has been acted on: what order the rest had is not known any more.
-                self.doubts = true;
+                // Something later has been acted on: the order of the rest is unknown.
+                self.needs_snapshot = true;
                 return actions.push(Action::Read(endpoint));
             }
             match change {
@@ -358,4 +397,10 @@
         }
         actions.push(Action::Settled(self.revision));
     }
+
+    /// The revision of the newest change of a key that is known.
+    fn newest_change(&self, key: &str) -> Option<Revision> {
+        let modified = self.entries.get(key).map(|entry| entry.modified);
+        modified.max(self.tombstones.get(key).copied())
+    }
 }
--- a/registry/src/tls.rs
+++ b/registry/src/tls.rs
@@ -1,15 +1,15 @@
-//! TLS to the registry: an own authority, a client's certificate, and both read anew when their files change.
+//! TLS to the registry: a private authority, a client certificate, and both read again when their files change.
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
 use rustls::{ClientConfig, ClientConnection, RootCertStore, StreamOwned};
 use settings::operator::RegistryTls;
 use std::io;
 use std::net::{IpAddr, TcpStream};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, PoisonError};
 use std::time::SystemTime;
 use thiserror::Error;
 
-/// Why the files can't be used; each names the one at fault.
+/// Why the files can't be used; each error names the file at fault.
 #[derive(Debug, Error)]
 pub enum TlsError {
     /// The authority's file can't be read, or holds none.
@@ -60,30 +60,43 @@
     Versions(rustls::Error),
 }
 
-type Stamp = Vec<Option<SystemTime>>;
+/// When each of the files was last modified; `None` where that can't be read.
+type ModificationTimes = Vec<Option<SystemTime>>;
 
-/// What connections to the registry are made with.
+/// The configuration that new connections use, and the files' times when it was read.
+#[derive(Debug)]
+struct Loaded {
+    modified: ModificationTimes,
+    config: Arc<ClientConfig>,
+}
+
+/// Makes TLS connections to the registry.
 #[derive(Debug)]
 pub struct Tls {
     files: RegistryTls,
-    held: Mutex<(Stamp, Arc<ClientConfig>)>,
+    loaded: Mutex<Loaded>,
 }
 
-fn stamp(files: &RegistryTls) -> Stamp {
+fn modification_times(files: &RegistryTls) -> ModificationTimes {
     let names = [Some(&files.ca), files.cert.as_ref(), files.key.as_ref()];
     names.into_iter().flatten().map(|f| std::fs::metadata(f).and_then(|m| m.modified()).ok()).collect()
 }
 
-fn config(files: &RegistryTls) -> Result<ClientConfig, TlsError> {
+fn read_roots(files: &RegistryTls) -> Result<RootCertStore, TlsError> {
     let mut roots = RootCertStore::empty();
     let unread = |source| TlsError::Authority { path: files.ca.clone(), source };
-    for c in CertificateDer::pem_file_iter(&files.ca).map_err(unread)? {
-        let added = roots.add(c.map_err(unread)?);
+    for certificate in CertificateDer::pem_file_iter(&files.ca).map_err(unread)? {
+        let added = roots.add(certificate.map_err(unread)?);
         added.map_err(|source| TlsError::Root { path: files.ca.clone(), source })?;
     }
     if roots.is_empty() {
         return Err(TlsError::Empty(files.ca.clone()));
     }
+    Ok(roots)
+}
+
+fn read_config(files: &RegistryTls) -> Result<ClientConfig, TlsError> {
+    let roots = read_roots(files)?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let builder = ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
     let builder = builder.map_err(TlsError::Versions)?.with_root_certificates(roots);
@@ -98,33 +111,38 @@
 }
 
 impl Tls {
-    /// Reads the files; what can't be read is named.
+    /// Reads the files.
+    ///
+    /// # Errors
+    /// One of them can't be used.
     pub fn new(files: RegistryTls) -> Result<Tls, TlsError> {
-        let held = (stamp(&files), Arc::new(config(&files)?));
-        Ok(Tls { files, held: Mutex::new(held) })
+        let modified = modification_times(&files);
+        let loaded = Loaded { modified, config: Arc::new(read_config(&files)?) };
+        Ok(Tls { files, loaded: Mutex::new(loaded) })
     }
 
-    /// What new connections use: files that have changed are read anew; faulty ones leave the old ones in force.
-    fn config(&self) -> Arc<ClientConfig> {
-        let mut held = self.held.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        let now = stamp(&self.files);
-        if held.0 != now {
-            match config(&self.files) {
+    /// What new connections use. Files that have changed are read again; faulty ones leave the old ones in force.
+    fn current_config(&self) -> Arc<ClientConfig> {
+        let mut loaded = self.loaded.lock().unwrap_or_else(PoisonError::into_inner);
+        let modified = modification_times(&self.files);
+        if loaded.modified != modified {
+            // Also where the files are faulty: each change is reported once.
+            loaded.modified = modified;
+            match read_config(&self.files) {
                 Ok(config) => {
-                    *held = (now, Arc::new(config));
+                    loaded.config = Arc::new(config);
                     tracing::info!("registry: certificates read anew");
                 }
-                Err(e) => {
-                    // Said once for each change.
-                    held.0 = now;
-                    tracing::error!("registry: the old certificates stay: {e}");
-                }
+                Err(e) => tracing::error!("registry: the old certificates stay: {e}"),
             }
         }
-        held.1.clone()
+        loaded.config.clone()
     }
 
     /// A connection on a socket; the handshake comes with the first bytes.
+    ///
+    /// # Errors
+    /// The name to verify is no DNS name.
     pub fn connect(
         &self,
         socket: TcpStream,
@@ -134,7 +152,7 @@
             Some(n) => ServerName::try_from(n.clone()).map_err(io::Error::other)?,
             None => ServerName::from(ip),
         };
-        let connection = ClientConnection::new(self.config(), name).map_err(io::Error::other)?;
+        let connection = ClientConnection::new(self.current_config(), name).map_err(io::Error::other)?;
         Ok(Box::new(StreamOwned::new(connection, socket)))
     }
 }
--- a/registry/tests/dialect_requests.rs
+++ b/registry/tests/dialect_requests.rs
@@ -1,7 +1,7 @@
 //! What the dialects send, request by request, and what they make of recorded answers.
-use registry::Failed;
+use registry::RequestError;
 use registry::consul::Consul;
-use registry::etcd::{Etcd, Heard};
+use registry::etcd::{Etcd, WatchEvent};
 use registry::http::{Bounds, Member};
 use registry::machine::{Change, Item};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -9,8 +9,11 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
-const BOUNDS: Bounds =
-    Bounds { connect: Duration::from_secs(5), silent: Duration::from_secs(20), most: 1 << 16 };
+const BOUNDS: Bounds = Bounds {
+    connect_timeout: Duration::from_secs(5),
+    read_timeout: Duration::from_secs(20),
+    max_bytes: 1 << 16,
+};
 
 /// An answer: its status and headers, and its body.
 type Answer = (&'static str, &'static str);
@@ -68,7 +71,7 @@
 
 fn consul(service: Option<&str>, answers: Vec<Answer>) -> (Consul, Receiver<String>) {
     let (mut member, requests) = member(answers);
-    member.proof = Some(("X-Consul-Token", "secret".into()));
+    member.auth_header = Some(("X-Consul-Token", "secret".into()));
     (Consul { member, service: service.map(str::to_string) }, requests)
 }
 
@@ -118,15 +121,15 @@
             ("400 Bad", r#"{"error":"no"}"#),
         ],
     );
-    assert_eq!(etcd.stands("/a/").unwrap().revision, 40);
-    assert_eq!(etcd.changed_since("/a/", 30, 3).unwrap(), Some(40));
+    assert_eq!(etcd.position("/a/").unwrap().revision, 40);
+    assert_eq!(etcd.unchanged_up_to("/a/", 30, 3).unwrap(), Some(40));
     assert_eq!(etcd.put("/a/k", b"v", Some("99")).unwrap(), 40);
     assert!(etcd.put_if("/a/k", b"v", 12).unwrap());
-    assert_eq!(etcd.grant(15).unwrap(), "99");
-    assert!(!etcd.keep("99").unwrap());
-    etcd.revoke("99").unwrap();
-    assert!(matches!(etcd.put("/a/k", b"v", None), Err(Failed::Compacted)));
-    assert!(matches!(etcd.put("/a/k", b"v", None), Err(Failed::Refused(400, text)) if text == "no"));
+    assert_eq!(etcd.grant_lease(15).unwrap(), "99");
+    assert!(!etcd.keep_alive("99").unwrap());
+    etcd.revoke_lease("99").unwrap();
+    assert!(matches!(etcd.put("/a/k", b"v", None), Err(RequestError::Compacted)));
+    assert!(matches!(etcd.put("/a/k", b"v", None), Err(RequestError::Refused(400, text)) if text == "no"));
     assert_eq!(
         sent(&requests),
         [
@@ -155,7 +158,7 @@
             ("200 OK", r#"{"ID":"5"}"#),
         ],
     );
-    assert_eq!(etcd.grant(1).unwrap(), "5");
+    assert_eq!(etcd.grant_lease(1).unwrap(), "5");
     assert_eq!(
         sent(&requests),
         [
@@ -183,13 +186,13 @@
     let mut seen = Vec::new();
     let ended = etcd.watch("/a/", 41, Duration::from_secs(20), |event| {
         match event {
-            Heard::Changes(changes) => seen.extend(changes),
-            Heard::Progress(revision) => seen.push(Change::Delete("progress".into(), revision)),
-            Heard::Silence => {}
+            WatchEvent::Changes(changes) => seen.extend(changes),
+            WatchEvent::Progress(revision) => seen.push(Change::Delete("progress".into(), revision)),
+            WatchEvent::Silence => {}
         }
         true
     });
-    assert!(matches!(ended, Err(Failed::Broken(text)) if text == "not the leader"));
+    assert!(matches!(ended, Err(RequestError::Broken(text)) if text == "not the leader"));
     let changes = [
         Change::Put(item("/a/1", "x", 41, 41)),
         Change::Delete("/a/2".into(), 42),
@@ -212,7 +215,7 @@
     ] {
         let (mut etcd, _requests) = etcd(None, vec![("200 OK", line)]);
         let ended = etcd.watch("/a/", 1, Duration::from_secs(20), |_| true);
-        assert!(matches!(ended, Err(Failed::Compacted)), "{line}");
+        assert!(matches!(ended, Err(RequestError::Compacted)), "{line}");
     }
 }
 
@@ -238,15 +241,17 @@
     let read = consul.read("/a/", None).unwrap();
     assert_eq!(read, (12, vec![item("/a/1", "x", 3, 9), item("/a/2", "", 4, 4)]));
     assert_eq!(consul.read("/a b/", Some((12, Duration::from_millis(500)))).unwrap(), (1, vec![]));
-    assert!(matches!(consul.read("/a/", None), Err(Failed::Broken(text)) if text == "it knows no leader"));
+    assert!(
+        matches!(consul.read("/a/", None), Err(RequestError::Broken(text)) if text == "it knows no leader")
+    );
     assert!(consul.put("/a/k", b"v", Some("s-1")).unwrap());
     assert!(!consul.put("/a/k", b"v", None).unwrap());
     assert!(consul.put_if("/a/k", b"v", 9).unwrap());
-    assert_eq!(consul.grant(10).unwrap(), "s-1");
-    assert!(consul.keep("s-1").unwrap());
-    assert!(!consul.keep("s-1").unwrap());
-    assert!(matches!(consul.keep("s-1"), Err(Failed::Refused(500, text)) if text == "why"));
-    consul.revoke("s-1").unwrap();
+    assert_eq!(consul.create_session(10).unwrap(), "s-1");
+    assert!(consul.renew_session("s-1").unwrap());
+    assert!(!consul.renew_session("s-1").unwrap());
+    assert!(matches!(consul.renew_session("s-1"), Err(RequestError::Refused(500, text)) if text == "why"));
+    consul.destroy_session("s-1").unwrap();
     let with_token = |line: &str| line.replacen("HTTP/1.1", "HTTP/1.1 [x-consul-token: secret]", 1);
     let expected = [
         "GET /v1/kv/a/?recurse=true&consistent HTTP/1.1",
--- a/registry/tests/http.rs
+++ b/registry/tests/http.rs
@@ -1,12 +1,13 @@
 //! What the connection to a member does with slow, cut, overlong and closed answers.
-use registry::Failed;
-use registry::http::{Bounds, Lines, Member};
+use registry::RequestError;
+use registry::http::{Bounds, LineStream, Member};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
-const BOUNDS: Bounds = Bounds { connect: Duration::from_secs(5), silent: Duration::from_secs(20), most: 40 };
+const BOUNDS: Bounds =
+    Bounds { connect_timeout: Duration::from_secs(5), read_timeout: Duration::from_secs(20), max_bytes: 40 };
 const SHORT: Duration = Duration::from_millis(1);
 
 /// Accepts connections, and hands each over behind its first request.
@@ -46,9 +47,9 @@
 }
 
 /// The next line, however often the patience ends before it.
-fn next(lines: &mut Lines, line: &mut Vec<u8>) -> std::io::Result<bool> {
+fn next(lines: &mut LineStream, line: &mut Vec<u8>) -> std::io::Result<bool> {
     loop {
-        match lines.line(line) {
+        match lines.read_line(line) {
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             read => return read,
         }
@@ -69,14 +70,14 @@
 #[test]
 fn lines_come_whole_over_ends_of_patience_and_chunks_and_a_cut_is_an_error() {
     let (member, connections) = member();
-    let asked = asking(member, |m| m.lines("/v3/watch", b"{}", BOUNDS.silent, SHORT).unwrap());
+    let asked = asking(member, |m| m.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, SHORT).unwrap());
     let socket = connections.recv().unwrap();
     assert_eq!(request(&socket), ("POST /v3/watch HTTP/1.1".into(), "{}".into()));
     send(&socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
     let (_member, mut lines) = asked.join().unwrap();
     let mut line = Vec::new();
-    let silence = |lines: &mut Lines, line: &mut Vec<u8>| {
-        let e = lines.line(line).unwrap_err();
+    let silence = |lines: &mut LineStream, line: &mut Vec<u8>| {
+        let e = lines.read_line(line).unwrap_err();
         assert!(matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut), "{e}");
     };
     // However often nothing comes, what has come of a line stays.
@@ -98,31 +99,31 @@
 fn what_is_longer_than_its_bound_is_an_error() {
     let (member, connections) = member();
     let asked = asking(member, |m| {
-        let mut lines = m.lines("/v3/watch", b"{}", BOUNDS.silent, BOUNDS.silent).unwrap();
+        let mut lines = m.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, BOUNDS.read_timeout).unwrap();
         let mut line = Vec::new();
-        let fits = lines.line(&mut line).map(|more| (more, line.len()));
-        let whole = m.whole("GET", "/long", b"").map(|w| w.code);
-        (fits.unwrap(), lines.line(&mut line).unwrap_err().kind(), whole)
+        let fits = lines.read_line(&mut line).map(|more| (more, line.len()));
+        let whole = m.request("GET", "/long", b"").map(|w| w.code);
+        (fits.unwrap(), lines.read_line(&mut line).unwrap_err().kind(), whole)
     });
     let socket = connections.recv().unwrap();
     request(&socket);
-    let (fits, long) = ("a".repeat(BOUNDS.most), "b".repeat(BOUNDS.most + 1));
+    let (fits, long) = ("a".repeat(BOUNDS.max_bytes), "b".repeat(BOUNDS.max_bytes + 1));
     send(&socket, &format!("HTTP/1.1 200 OK\r\n\r\n{fits}\n{long}\n"));
     let other = connections.recv().unwrap();
     assert_eq!(request(&other).0, "GET /long HTTP/1.1");
     send(&other, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{long}", long.len()));
     let (_, (fits, too_long, whole)) = asked.join().unwrap();
-    assert_eq!((fits, too_long), ((true, BOUNDS.most), ErrorKind::InvalidData));
-    assert!(matches!(whole, Err(Failed::Broken(_))), "{whole:?}");
+    assert_eq!((fits, too_long), ((true, BOUNDS.max_bytes), ErrorKind::InvalidData));
+    assert!(matches!(whole, Err(RequestError::Broken(_))), "{whole:?}");
 }
 
 #[test]
 fn a_connection_is_kept_and_made_anew_once_it_was_closed() {
     let (mut member, connections) = member();
-    member.proof = Some(("X-Consul-Token", "t".into()));
+    member.auth_header = Some(("X-Consul-Token", "t".into()));
     let whole = |m: &mut Member| {
-        let whole = m.whole("PUT", "/v1/kv/a?cas=1", b"x").unwrap();
-        (whole.code, String::from_utf8(whole.body).unwrap(), whole.index, whole.leader)
+        let whole = m.request("PUT", "/v1/kv/a?cas=1", b"x").unwrap();
+        (whole.code, String::from_utf8(whole.body).unwrap(), whole.index, whole.knows_leader)
     };
     let answer =
         "HTTP/1.1 404 No\r\nX-Consul-Index: 7\r\nX-Consul-KnownLeader: false\r\nContent-Length: 2\r\n\r\nno";
@@ -159,17 +160,17 @@
         ["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", "nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nCont"]
     {
         let (member, connections) = member();
-        let asked = asking(member, |m| m.whole("GET", "/a", b"").map(|w| w.code));
+        let asked = asking(member, |m| m.request("GET", "/a", b"").map(|w| w.code));
         let socket = connections.recv().unwrap();
         request(&socket);
         send(&socket, answer);
         drop(socket);
         let (_, got) = asked.join().unwrap();
-        assert!(matches!(got, Err(Failed::Broken(_))), "{answer}: {got:?}");
+        assert!(matches!(got, Err(RequestError::Broken(_))), "{answer}: {got:?}");
     }
     // One that brings nothing is given up when the patience is over.
     let (member, connections) = member();
-    let asked = asking(member, |m| m.whole_within("GET", "/a", b"", SHORT).map(|w| w.code));
+    let asked = asking(member, |m| m.request_with_timeout("GET", "/a", b"", SHORT).map(|w| w.code));
     let _socket = connections.recv().unwrap();
-    assert!(matches!(asked.join().unwrap().1, Err(Failed::Broken(_))));
+    assert!(matches!(asked.join().unwrap().1, Err(RequestError::Broken(_))));
 }
--- a/registry/tests/machine.rs
+++ b/registry/tests/machine.rs
@@ -6,7 +6,7 @@
 use registry::fleet::{
     Action as FleetAction, Event as FleetEvent, Fleet, Level, Node, Settings as FleetSettings, State,
 };
-use registry::machine::{Action, Change, Event, Item, Machine, Settings, Why};
+use registry::machine::{Action, Change, Event, Item, LeaveReason, Machine, Settings};
 use std::collections::BTreeMap;
 
 const S: i64 = 1_000_000;
@@ -26,7 +26,7 @@
 }
 
 fn stands(endpoint: usize, revision: u64) -> Event {
-    Event::Stands { endpoint, cluster: 7, revision }
+    Event::MemberReached { endpoint, cluster: 7, revision }
 }
 
 fn snapshot(endpoint: usize, revision: u64, items: &[Item]) -> Event {
@@ -86,10 +86,10 @@
 #[test]
 fn a_member_that_lags_or_is_another_clusters_is_left() {
     let mut m = following();
-    let behind = Why::Behind { theirs: 9, ours: 10 };
+    let behind = LeaveReason::Behind { theirs: 9, ours: 10 };
     assert_eq!(on(&mut m, 0, stands(1, 9)), [Action::Leave(1, behind)]);
-    let other = Event::Stands { endpoint: 2, cluster: 8, revision: 99 };
-    assert_eq!(on(&mut m, 0, other), [Action::Leave(2, Why::OtherCluster { theirs: 8, ours: 7 })]);
+    let other = Event::MemberReached { endpoint: 2, cluster: 8, revision: 99 };
+    assert_eq!(on(&mut m, 0, other), [Action::Leave(2, LeaveReason::OtherCluster { theirs: 8, ours: 7 })]);
     assert_eq!(on(&mut m, 0, snapshot(1, 9, &[])), [Action::Leave(1, behind)]);
     // Two that disagree: one that stands where it should clears the suspicion each time.
     for n in 1..20 {
@@ -225,7 +225,7 @@
     assert_eq!(f.held(), 1);
     assert_eq!(
         does(&mut f, at + 59 * S, FleetEvent::Tick),
-        [FleetAction::Now(Level::TooOld)]
+        [FleetAction::LevelChanged(Level::TooOld)]
             .into_iter()
             .chain(["n5", "n6", "n8", "n9"].into_iter().map(|n| FleetAction::List(format!("{n}@1"), node(n))))
             .collect::<Vec<_>>()
@@ -245,7 +245,7 @@
     put(&mut f, 0, "n0", &json(100, "in_service"), 1, 1);
     does(&mut f, 0, FleetEvent::Heard);
     assert_eq!(does(&mut f, S, FleetEvent::Gone("n0".into())), [FleetAction::Holding(1)]);
-    let gone = does(&mut f, 2 * S, FleetEvent::LetGo);
+    let gone = does(&mut f, 2 * S, FleetEvent::ReleaseHeld);
     assert_eq!(gone, [FleetAction::Unlist("n0@1".into()), FleetAction::Released(1)]);
 }
 
@@ -255,7 +255,7 @@
     assert_eq!(does(&mut f, 10 * S, FleetEvent::Tick), []);
     does(&mut f, 10 * S, FleetEvent::Answered("n4".into()));
     let old = does(&mut f, 10 * S + 1, FleetEvent::Tick);
-    assert_eq!(old[0], FleetAction::Now(Level::KnownGood));
+    assert_eq!(old[0], FleetAction::LevelChanged(Level::KnownGood));
     // All had been put on the list when the registry was last heard; from then on only those that answer stay.
     assert_eq!(listed(&old), []);
     does(&mut f, 11 * S, FleetEvent::Heard);
@@ -267,7 +267,7 @@
     assert_eq!(listed(&does(&mut f, 31 * S, FleetEvent::Tick)), [("n4@1".into(), State::InService)]);
     assert_eq!(listed(&does(&mut f, 72 * S, FleetEvent::Tick)), [("n4@1".into(), State::Draining)]);
     let fresh = does(&mut f, 80 * S, FleetEvent::Heard);
-    assert_eq!((fresh[0].clone(), listed(&fresh).len()), (FleetAction::Now(Level::Fresh), 10));
+    assert_eq!((fresh[0].clone(), listed(&fresh).len()), (FleetAction::LevelChanged(Level::Fresh), 10));
 }
 
 #[test]
@@ -435,7 +435,7 @@
 #[test]
 fn what_a_watch_has_missed_is_read_wherever_it_goes_on() {
     let mut m = following();
-    on(&mut m, 0, Event::Missed);
+    on(&mut m, 0, Event::ChangesMissed);
     assert_eq!(on(&mut m, 0, stands(1, 10)), [Action::Read(1)]);
     let a = item("a", "1", 3, 9);
     assert_eq!(on(&mut m, 0, snapshot(1, 12, &[a])), [Action::Settled(12), Action::Watch(1, 13)]);
--- a/registry/tests/recorded_runs.rs
+++ b/registry/tests/recorded_runs.rs
@@ -6,7 +6,7 @@
 use fastrand::Rng;
 use registry::endpoints::{Endpoints, Settings as EndpointSettings};
 use registry::fleet::{Action as FleetAction, Event as FleetEvent, Fleet, Level, Settings as FleetSettings};
-use registry::machine::{Action, Change, Event, Item, Machine, Settings, Why};
+use registry::machine::{Action, Change, Event, Item, LeaveReason, Machine, Settings};
 use std::fmt::Write;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -43,10 +43,10 @@
     match action {
         Action::Read(endpoint) => format!("read from {endpoint}"),
         Action::Watch(endpoint, from) => format!("watch {endpoint} from {from}"),
-        Action::Leave(endpoint, Why::Behind { theirs, ours }) => {
+        Action::Leave(endpoint, LeaveReason::Behind { theirs, ours }) => {
             format!("leave {endpoint}: behind {theirs} < {ours}")
         }
-        Action::Leave(endpoint, Why::OtherCluster { theirs, ours }) => {
+        Action::Leave(endpoint, LeaveReason::OtherCluster { theirs, ours }) => {
             format!("leave {endpoint}: cluster {theirs} != {ours}")
         }
         Action::Restored => "restored".into(),
@@ -100,12 +100,12 @@
         let endpoint = self.rng.usize(0..3);
         let cluster = if self.rng.u8(0..20) == 0 { 8 } else { 7 };
         match self.rng.u8(0..20) {
-            0..=3 => Event::Stands { endpoint, cluster, revision: self.nearby_revision() },
+            0..=3 => Event::MemberReached { endpoint, cluster, revision: self.nearby_revision() },
             4..=6 => self.snapshot(endpoint, cluster),
             7..=14 => Event::Changes(endpoint, self.changes()),
             15..=17 => Event::Progress(endpoint, self.nearby_revision()),
             18 => Event::Compacted(endpoint),
-            _ => Event::Missed,
+            _ => Event::ChangesMissed,
         }
     }
 }
@@ -144,7 +144,7 @@
         FleetAction::Faulty(name, why) => format!("faulty {name}: {why}"),
         FleetAction::Holding(nodes) => format!("holding {nodes}"),
         FleetAction::Released(nodes) => format!("released {nodes}"),
-        FleetAction::Now(level) => format!("now {}", level_text(*level)),
+        FleetAction::LevelChanged(level) => format!("now {}", level_text(*level)),
     }
 }
 
@@ -185,7 +185,7 @@
                 self.revision = self.revision.saturating_sub(self.rng.u64(0..10));
                 FleetEvent::Restored
             }
-            34 => FleetEvent::LetGo,
+            34 => FleetEvent::ReleaseHeld,
             _ => FleetEvent::Tick,
         }
     }
@@ -223,10 +223,10 @@
 fn endpoint_selection_matches_its_recording() {
     let settings = EndpointSettings {
         endpoints: 3,
-        pause: SECOND_US / 10,
-        longest: 2 * SECOND_US,
-        saved: 5.0,
-        earned_per_s: 2.0,
+        first_backoff: SECOND_US / 10,
+        max_backoff: 2 * SECOND_US,
+        max_saved_attempts: 5.0,
+        attempts_per_s: 2.0,
     };
     let mut endpoints = Endpoints::new(settings, 43);
     let (mut rng, mut now, mut lines) = (Rng::with_seed(43), 1, Vec::new());
--- a/registry/tests/stored_forms.rs
+++ b/registry/tests/stored_forms.rs
@@ -1,5 +1,5 @@
 //! The bytes of what is stored: the node list on disk, and this router's entry in the registry.
-use registry::cache::{self, Kept};
+use registry::cache::{self, CachedList};
 use registry::client::Router;
 use std::path::PathBuf;
 
@@ -13,9 +13,9 @@
     }
 }
 
-fn list() -> Kept {
+fn list() -> CachedList {
     let node = br#"{"addr":"127.0.0.1:3311","state":"draining"}"#;
-    Kept {
+    CachedList {
         at: 1_764_656_000_123_456,
         revision: 70_000,
         items: vec![
