--- a/registry/src/client/endpoint_list.rs
+++ b/registry/src/client/endpoint_list.rs
@@ -4,7 +4,7 @@
 use routing::{EndpointEntry, EndpointUpdate, GroupId, MemberState};
 use std::collections::{BTreeMap, HashMap};
 
-/// The fleet's timer runs once in so many rounds of gathering changes.
+/// The fleet gets a tick once in this many rounds of gathering changes.
 const ROUNDS_PER_TICK: u32 = 5;
 /// Responses of nodes are asked for once the registry has been silent for this part of `fresh_s`.
 const RESPONSES_AFTER_FRESH_DIVISOR: i64 = 4;
--- a/registry/tests/http.rs
+++ b/registry/tests/http.rs
@@ -1,4 +1,4 @@
-//! What the connection to a member does with slow, cut, overlong and closed answers.
+//! What the connection to a member does with slow, cut, overlong and closed responses.
 use registry::RequestError;
 use registry::http::{Bounds, LineStream, Member};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -8,16 +8,17 @@
 
 const BOUNDS: Bounds =
     Bounds { connect_timeout: Duration::from_secs(5), read_timeout: Duration::from_secs(20), max_bytes: 40 };
+/// A read timeout that ends at once.
 const SHORT: Duration = Duration::from_millis(1);
 
 /// Accepts connections, and hands each over behind its first request.
 fn member() -> (Member, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr: SocketAddr = listener.local_addr().unwrap();
-    let (to, connections) = channel();
+    let (sender, connections) = channel();
     std::thread::spawn(move || {
         for socket in listener.incoming().map_while(Result::ok) {
-            if to.send(socket).is_err() {
+            if sender.send(socket).is_err() {
                 return;
             }
         }
@@ -46,7 +47,7 @@
     socket.write_all(text.as_bytes()).unwrap();
 }
 
-/// The next line, however often the patience ends before it.
+/// The next line, however often a read times out before it.
 fn next(lines: &mut LineStream, line: &mut Vec<u8>) -> std::io::Result<bool> {
     loop {
         match lines.read_line(line) {
@@ -56,21 +57,22 @@
     }
 }
 
-/// Asks on a thread of its own.
-fn asking<T: Send + 'static>(
+/// Sends requests on a thread of its own.
+fn on_thread<T: Send + 'static>(
     mut member: Member,
-    ask: impl FnOnce(&mut Member) -> T + Send + 'static,
+    send: impl FnOnce(&mut Member) -> T + Send + 'static,
 ) -> std::thread::JoinHandle<(Member, T)> {
     std::thread::spawn(move || {
-        let answer = ask(&mut member);
+        let answer = send(&mut member);
         (member, answer)
     })
 }
 
 #[test]
-fn lines_come_whole_over_ends_of_patience_and_chunks_and_a_cut_is_an_error() {
+fn lines_are_complete_over_timeouts_and_chunks_and_cut_line_is_error() {
     let (member, connections) = member();
-    let asked = asking(member, |m| m.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, SHORT).unwrap());
+    let asked =
+        on_thread(member, |m| m.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, SHORT).unwrap());
     let socket = connections.recv().unwrap();
     assert_eq!(request(&socket), ("POST /v3/watch HTTP/1.1".into(), "{}".into()));
     send(&socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
@@ -96,9 +98,9 @@
 }
 
 #[test]
-fn what_is_longer_than_its_bound_is_an_error() {
+fn overlong_line_or_body_is_error() {
     let (member, connections) = member();
-    let asked = asking(member, |m| {
+    let asked = on_thread(member, |m| {
         let mut lines = m.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, BOUNDS.read_timeout).unwrap();
         let mut line = Vec::new();
         let fits = lines.read_line(&mut line).map(|more| (more, line.len()));
@@ -118,7 +120,7 @@
 }
 
 #[test]
-fn a_connection_is_kept_and_made_anew_once_it_was_closed() {
+fn connection_is_reused_and_replaced_after_close() {
     let (mut member, connections) = member();
     member.auth_header = Some(("X-Consul-Token", "t".into()));
     let whole = |m: &mut Member| {
@@ -127,7 +129,7 @@
     };
     let answer =
         "HTTP/1.1 404 No\r\nX-Consul-Index: 7\r\nX-Consul-KnownLeader: false\r\nContent-Length: 2\r\n\r\nno";
-    let asked = asking(member, move |m| (whole(m), whole(m)));
+    let asked = on_thread(member, move |m| (whole(m), whole(m)));
     let socket = connections.recv().unwrap();
     for _ in 0..2 {
         assert_eq!(request(&socket), ("PUT /v1/kv/a?cas=1 HTTP/1.1".into(), "x".into()));
@@ -136,16 +138,16 @@
     let (member, (first, second)) = asked.join().unwrap();
     assert_eq!(first, (404, "no".into(), Some(7), false));
     assert_eq!(second, first);
-    // It is closed while it rests: the next request goes out on another, and nobody hears of it.
+    // Closed while idle: the next request is sent on another connection, without an error.
     drop(socket);
-    let asked = asking(member, whole);
+    let asked = on_thread(member, whole);
     let socket = connections.recv().unwrap();
     request(&socket);
     send(&socket, answer);
     let (member, third) = asked.join().unwrap();
     assert_eq!(third, first);
-    // It is closed with the request under way: once more on another.
-    let asked = asking(member, whole);
+    // Closed while a request is in flight: sent again on another connection.
+    let asked = on_thread(member, whole);
     request(&socket);
     drop(socket);
     let socket = connections.recv().unwrap();
@@ -155,12 +157,12 @@
 }
 
 #[test]
-fn an_answer_that_is_cut_off_or_none_at_all_is_an_error() {
+fn cut_invalid_or_silent_response_is_error() {
     for answer in
         ["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", "nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nCont"]
     {
         let (member, connections) = member();
-        let asked = asking(member, |m| m.request("GET", "/a", b"").map(|w| w.code));
+        let asked = on_thread(member, |m| m.request("GET", "/a", b"").map(|w| w.code));
         let socket = connections.recv().unwrap();
         request(&socket);
         send(&socket, answer);
@@ -168,9 +170,9 @@
         let (_, got) = asked.join().unwrap();
         assert!(matches!(got, Err(RequestError::Broken(_))), "{answer}: {got:?}");
     }
-    // One that brings nothing is given up when the patience is over.
+    // A response that brings nothing fails after the timeout.
     let (member, connections) = member();
-    let asked = asking(member, |m| m.request_with_timeout("GET", "/a", b"", SHORT).map(|w| w.code));
+    let asked = on_thread(member, |m| m.request_with_timeout("GET", "/a", b"", SHORT).map(|w| w.code));
     let _socket = connections.recv().unwrap();
     assert!(matches!(asked.join().unwrap().1, Err(RequestError::Broken(_))));
 }
--- /dev/null
+++ b/registry/tests/support/mod.rs
@@ -0,0 +1,30 @@
+//! What the tests of the machine share.
+use decision::Time;
+use registry::machine::{Action, Event, Item, Machine, Settings};
+
+/// One second of the machine's time, in microseconds.
+pub(crate) const SECOND: i64 = 1_000_000;
+
+pub(crate) fn item(key: &str, value: &str, created: u64, modified: u64) -> Item {
+    Item { key: key.into(), value: value.into(), created, modified }
+}
+
+/// A machine that takes a registry which is behind for ten seconds for a restored one.
+pub(crate) fn machine() -> Machine {
+    Machine::new(Settings { restored_after: 10 * SECOND, tombstones: 16 })
+}
+
+/// Handles an event, and returns the actions.
+pub(crate) fn handle(machine: &mut Machine, at: i64, event: Event) -> Vec<Action> {
+    let mut actions = Vec::new();
+    machine.handle(Time(at), event, &mut actions);
+    actions
+}
+
+pub(crate) fn member_reached(endpoint: usize, revision: u64) -> Event {
+    Event::MemberReached { endpoint, cluster: 7, revision }
+}
+
+pub(crate) fn snapshot(endpoint: usize, revision: u64, items: &[Item]) -> Event {
+    Event::Snapshot { endpoint, cluster: 7, revision, items: items.to_vec() }
+}
