--- a/registry/src/machine.rs
+++ b/registry/src/machine.rs
@@ -1,9 +1,12 @@
 //! The state machine that follows a registry: the whole list at one revision, then changes from there, in order and
-//! once each. A break resumes where it ended; a revision that is gone is read anew; an older one is never acted on.
+//! once each. A break resumes where it ended, or with everything where that revision is gone; an older one is never acted
+//! on.
 //!
 //! No I/O, no clock, no threads: the same events at the same times give the same actions.
+mod snapshot;
+
 use decision::{Micros, Time};
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// A registry's revision (etcd) or index (Consul). Rises with each change.
 pub type Revision = u64;
@@ -298,55 +301,6 @@
         actions.push(Action::Settled(revision));
     }
 
-    fn apply_snapshot(
-        &mut self,
-        cluster: u64,
-        revision: Revision,
-        items: Vec<Item>,
-        actions: &mut Vec<Action>,
-    ) {
-        if std::mem::take(&mut self.is_restoring) {
-            actions.push(Action::Restored);
-            self.forget_revisions();
-        }
-        self.cluster = cluster;
-        self.has_snapshot = true;
-        self.needs_snapshot = false;
-        self.delete_missing(&items, revision, actions);
-        for item in items {
-            let is_known = |entry: &Entry| {
-                entry.modified >= item.modified && entry.created == item.created && entry.value == item.value
-            };
-            if !self.entries.get(&item.key).is_some_and(is_known) {
-                self.put(item, actions);
-            }
-        }
-        self.revision = self.revision.max(revision);
-        actions.push(Action::Settled(self.revision));
-    }
-
-    /// After a restore all that is read counts as new, whatever its revisions.
-    fn forget_revisions(&mut self) {
-        self.behind_since = None;
-        self.revision = 0;
-        for entry in self.entries.values_mut() {
-            entry.created = 0;
-            entry.modified = 0;
-        }
-        self.tombstones.clear();
-        self.tombstone_order.clear();
-    }
-
-    /// Deletes the keys that a snapshot doesn't have.
-    fn delete_missing(&mut self, items: &[Item], revision: Revision, actions: &mut Vec<Action>) {
-        let present: BTreeSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
-        let missing: Vec<String> =
-            self.entries.keys().filter(|key| !present.contains(key.as_str())).cloned().collect();
-        for key in missing {
-            self.delete(key, revision, actions);
-        }
-    }
-
     fn put(&mut self, item: Item, actions: &mut Vec<Action>) {
         let Item { key, value, created, modified } = item.clone();
         let is_recreated = |entry: &Entry| entry.created != created && entry.created != 0;
