--- a/registry/tests/http.rs
+++ b/registry/tests/http.rs
@@ -1,22 +1,24 @@
-//! What the connection to a member does with slow, cut, overlong and closed answers.
-use registry::Failed;
-use registry::http::{Bounds, Lines, Member};
+//! What the connection to a member does with slow, cut, overlong and closed responses.
+use registry::RequestError;
+use registry::http::{Bounds, LineStream, Member};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
-const BOUNDS: Bounds = Bounds { connect: Duration::from_secs(5), silent: Duration::from_secs(20), most: 40 };
+const BOUNDS: Bounds =
+    Bounds { connect_timeout: Duration::from_secs(5), read_timeout: Duration::from_secs(20), max_bytes: 40 };
+/// A read timeout that ends at once.
 const SHORT: Duration = Duration::from_millis(1);
 
 /// Accepts connections, and hands each over behind its first request.
 fn member() -> (Member, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr: SocketAddr = listener.local_addr().unwrap();
-    let (to, connections) = channel();
+    let (sender, connections) = channel();
     std::thread::spawn(move || {
         for socket in listener.incoming().map_while(Result::ok) {
-            if to.send(socket).is_err() {
+            if sender.send(socket).is_err() {
                 return;
             }
         }
@@ -45,38 +47,39 @@
     socket.write_all(text.as_bytes()).unwrap();
 }
 
-/// The next line, however often the patience ends before it.
-fn next(lines: &mut Lines, line: &mut Vec<u8>) -> std::io::Result<bool> {
+/// The next line, however often a read times out before it.
+fn next(lines: &mut LineStream, line: &mut Vec<u8>) -> std::io::Result<bool> {
     loop {
-        match lines.line(line) {
+        match lines.read_line(line) {
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             read => return read,
         }
     }
 }
 
-/// Asks on a thread of its own.
-fn asking<T: Send + 'static>(
+/// Sends requests on a thread of its own.
+fn on_thread<T: Send + 'static>(
     mut member: Member,
-    ask: impl FnOnce(&mut Member) -> T + Send + 'static,
+    send: impl FnOnce(&mut Member) -> T + Send + 'static,
 ) -> std::thread::JoinHandle<(Member, T)> {
     std::thread::spawn(move || {
-        let answer = ask(&mut member);
+        let answer = send(&mut member);
         (member, answer)
     })
 }
 
 #[test]
-fn lines_come_whole_over_ends_of_patience_and_chunks_and_a_cut_is_an_error() {
+fn lines_are_complete_over_timeouts_and_chunks_and_cut_line_is_error() {
     let (member, connections) = member();
-    let asked = asking(member, |m| m.lines("/v3/watch", b"{}", BOUNDS.silent, SHORT).unwrap());
+    let asked =
+        on_thread(member, |m| m.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, SHORT).unwrap());
     let socket = connections.recv().unwrap();
     assert_eq!(request(&socket), ("POST /v3/watch HTTP/1.1".into(), "{}".into()));
     send(&socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
     let (_member, mut lines) = asked.join().unwrap();
     let mut line = Vec::new();
-    let silence = |lines: &mut Lines, line: &mut Vec<u8>| {
-        let e = lines.line(line).unwrap_err();
+    let silence = |lines: &mut LineStream, line: &mut Vec<u8>| {
+        let e = lines.read_line(line).unwrap_err();
         assert!(matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut), "{e}");
     };
     // However often nothing comes, what has come of a line stays.
@@ -95,38 +98,38 @@
 }
 
 #[test]
-fn what_is_longer_than_its_bound_is_an_error() {
+fn overlong_line_or_body_is_error() {
     let (member, connections) = member();
-    let asked = asking(member, |m| {
-        let mut lines = m.lines("/v3/watch", b"{}", BOUNDS.silent, BOUNDS.silent).unwrap();
+    let asked = on_thread(member, |m| {
+        let mut lines = m.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, BOUNDS.read_timeout).unwrap();
         let mut line = Vec::new();
-        let fits = lines.line(&mut line).map(|more| (more, line.len()));
-        let whole = m.whole("GET", "/long", b"").map(|w| w.code);
-        (fits.unwrap(), lines.line(&mut line).unwrap_err().kind(), whole)
+        let fits = lines.read_line(&mut line).map(|more| (more, line.len()));
+        let whole = m.request("GET", "/long", b"").map(|w| w.code);
+        (fits.unwrap(), lines.read_line(&mut line).unwrap_err().kind(), whole)
     });
     let socket = connections.recv().unwrap();
     request(&socket);
-    let (fits, long) = ("a".repeat(BOUNDS.most), "b".repeat(BOUNDS.most + 1));
+    let (fits, long) = ("a".repeat(BOUNDS.max_bytes), "b".repeat(BOUNDS.max_bytes + 1));
     send(&socket, &format!("HTTP/1.1 200 OK\r\n\r\n{fits}\n{long}\n"));
     let other = connections.recv().unwrap();
     assert_eq!(request(&other).0, "GET /long HTTP/1.1");
     send(&other, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{long}", long.len()));
     let (_, (fits, too_long, whole)) = asked.join().unwrap();
-    assert_eq!((fits, too_long), ((true, BOUNDS.most), ErrorKind::InvalidData));
-    assert!(matches!(whole, Err(Failed::Broken(_))), "{whole:?}");
+    assert_eq!((fits, too_long), ((true, BOUNDS.max_bytes), ErrorKind::InvalidData));
+    assert!(matches!(whole, Err(RequestError::Broken(_))), "{whole:?}");
 }
 
 #[test]
-fn a_connection_is_kept_and_made_anew_once_it_was_closed() {
+fn connection_is_reused_and_replaced_after_close() {
     let (mut member, connections) = member();
-    member.proof = Some(("X-Consul-Token", "t".into()));
+    member.auth_header = Some(("X-Consul-Token", "t".into()));
     let whole = |m: &mut Member| {
-        let whole = m.whole("PUT", "/v1/kv/a?cas=1", b"x").unwrap();
-        (whole.code, String::from_utf8(whole.body).unwrap(), whole.index, whole.leader)
+        let whole = m.request("PUT", "/v1/kv/a?cas=1", b"x").unwrap();
+        (whole.code, String::from_utf8(whole.body).unwrap(), whole.index, whole.knows_leader)
     };
     let answer =
         "HTTP/1.1 404 No\r\nX-Consul-Index: 7\r\nX-Consul-KnownLeader: false\r\nContent-Length: 2\r\n\r\nno";
-    let asked = asking(member, move |m| (whole(m), whole(m)));
+    let asked = on_thread(member, move |m| (whole(m), whole(m)));
     let socket = connections.recv().unwrap();
     for _ in 0..2 {
         assert_eq!(request(&socket), ("PUT /v1/kv/a?cas=1 HTTP/1.1".into(), "x".into()));
@@ -135,16 +138,16 @@
     let (member, (first, second)) = asked.join().unwrap();
     assert_eq!(first, (404, "no".into(), Some(7), false));
     assert_eq!(second, first);
-    // It is closed while it rests: the next request goes out on another, and nobody hears of it.
+    // Closed while idle: the next request is sent on another connection, without an error.
     drop(socket);
-    let asked = asking(member, whole);
+    let asked = on_thread(member, whole);
     let socket = connections.recv().unwrap();
     request(&socket);
     send(&socket, answer);
     let (member, third) = asked.join().unwrap();
     assert_eq!(third, first);
-    // It is closed with the request under way: once more on another.
-    let asked = asking(member, whole);
+    // Closed while a request is in flight: sent again on another connection.
+    let asked = on_thread(member, whole);
     request(&socket);
     drop(socket);
     let socket = connections.recv().unwrap();
@@ -154,22 +157,22 @@
 }
 
 #[test]
-fn an_answer_that_is_cut_off_or_none_at_all_is_an_error() {
+fn cut_invalid_or_silent_response_is_error() {
     for answer in
         ["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", "nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nCont"]
     {
         let (member, connections) = member();
-        let asked = asking(member, |m| m.whole("GET", "/a", b"").map(|w| w.code));
+        let asked = on_thread(member, |m| m.request("GET", "/a", b"").map(|w| w.code));
         let socket = connections.recv().unwrap();
         request(&socket);
         send(&socket, answer);
         drop(socket);
         let (_, got) = asked.join().unwrap();
-        assert!(matches!(got, Err(Failed::Broken(_))), "{answer}: {got:?}");
+        assert!(matches!(got, Err(RequestError::Broken(_))), "{answer}: {got:?}");
     }
-    // One that brings nothing is given up when the patience is over.
+    // A response that brings nothing fails after the timeout.
     let (member, connections) = member();
-    let asked = asking(member, |m| m.whole_within("GET", "/a", b"", SHORT).map(|w| w.code));
+    let asked = on_thread(member, |m| m.request_with_timeout("GET", "/a", b"", SHORT).map(|w| w.code));
     let _socket = connections.recv().unwrap();
-    assert!(matches!(asked.join().unwrap().1, Err(Failed::Broken(_))));
+    assert!(matches!(asked.join().unwrap().1, Err(RequestError::Broken(_))));
 }
