--- a/src/commands/ctl.rs
+++ b/src/commands/ctl.rs
@@ -77,3 +77,6 @@
     println!("{}", answer?);
     Ok(())
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/main.rs
+++ b/src/main.rs
@@ -79,3 +79,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
