--- a/src/commands/capture.rs
+++ b/src/commands/capture.rs
@@ -1,12 +1,15 @@
-//! `requests` and `replay`: what a capture file holds, and its requests sent again.
+//! `requests` and `replay`: lists the requests of a capture file, or sends them again.
 use super::Error;
 use clap::Args;
+use mysql_wire::link::Credentials;
+use pcap::conversations::{Found, Request};
+use std::borrow::Cow;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 /// `replay`'s arguments.
 #[derive(Args)]
-pub struct Replay {
+pub(crate) struct ReplayArguments {
     /// The capture.
     file: PathBuf,
     /// The router's address.
@@ -20,37 +23,68 @@
     writes: bool,
 }
 
-type Capture = (pcap::conversations::Found, Result<(), Error>);
+/// What a capture file holds.
+struct Capture {
+    /// The requests up to the end of the file or the first fault in it.
+    requests: Vec<Request>,
+    /// The fault at which reading ended, if it ended early.
+    ended: Result<(), Error>,
+}
 
+/// Reads a capture file. What could not be read in full is reported on standard error.
 fn read(path: &Path) -> Result<Capture, Error> {
     let name = path.display();
-    let file = std::fs::File::open(path).map_err(|source| Error::Read { path: path.into(), source })?;
-    let (found, ended) = pcap::conversations::read(file);
-    found.remarks.iter().for_each(|r| eprintln!("{name}: {r}"));
-    Ok((found, ended.map_err(|source| Error::Capture { path: path.into(), source })))
+    let file = std::fs::File::open(path).map_err(|source| Error::ReadFile { path: path.into(), source })?;
+    let (Found { requests, remarks }, ended) = pcap::conversations::read(file);
+    for remark in &remarks {
+        eprintln!("{name}: {remark}");
+    }
+    let ended = ended.map_err(|source| Error::Capture { path: path.into(), source });
+    Ok(Capture { requests, ended })
 }
 
-/// Lists a capture's requests. What comes before a fault in the file is listed all the same.
-pub fn requests(path: &Path) -> Result<(), Error> {
-    let (found, ended) = read(path)?;
-    for r in &found.requests {
-        let text = String::from_utf8_lossy(r.asked.text());
-        println!("{:.6}\t{}\t{:?}\t{}", r.at.as_secs_f64(), r.client, r.ended, text.escape_debug());
+fn request_text(request: &Request) -> Cow<'_, str> {
+    String::from_utf8_lossy(request.asked.text())
+}
+
+/// Lists a capture's requests. Those before a fault in the file are listed all the same.
+pub(crate) fn list_requests(path: &Path) -> Result<(), Error> {
+    let capture = read(path)?;
+    for request in &capture.requests {
+        let text = request_text(request);
+        println!(
+            "{:.6}\t{}\t{:?}\t{}",
+            request.at.as_secs_f64(),
+            request.client,
+            request.ended,
+            text.escape_debug()
+        );
     }
-    ended
+    capture.ended
 }
 
-/// Replays a whole capture through a router.
-pub fn replay(asked: &Replay) -> Result<(), Error> {
-    let (found, ended) = read(&asked.file)?;
-    ended?;
-    let password = std::env::var("DAMSONVALE_PASSWORD").unwrap_or_default();
-    let (user, database) = (asked.user.clone(), asked.database.clone());
-    let credentials = mysql_wire::link::Credentials { user, password, database };
-    let told = |r: &pcap::conversations::Request, how: &str| {
-        println!("{how}\t{}", String::from_utf8_lossy(r.asked.text()).escape_debug());
+/// Sends a capture's requests through a router, unless the capture has a fault.
+pub(crate) fn replay(arguments: &ReplayArguments) -> Result<(), Error> {
+    let capture = read(&arguments.file)?;
+    capture.ended?;
+    let credentials = Credentials {
+        user: arguments.user.clone(),
+        password: std::env::var("DAMSONVALE_PASSWORD").unwrap_or_default(),
+        database: arguments.database.clone(),
+    };
+    let print_result = |request: &Request, result: &str| {
+        println!("{result}\t{}", request_text(request).escape_debug());
     };
-    let done = pcap::replay::replay(&found.requests, asked.router, &credentials, asked.writes, told)?;
-    println!("{} answered, {} errors, {} writes left out", done.answered, done.errors, done.left_out);
+    let replayed = pcap::replay::replay(
+        &capture.requests,
+        arguments.router,
+        &credentials,
+        arguments.writes,
+        print_result,
+    )?;
+    println!(
+        "{} answered, {} errors, {} writes left out",
+        replayed.answered, replayed.errors, replayed.left_out
+    );
     Ok(())
 }
--- a/src/commands/ctl.rs
+++ b/src/commands/ctl.rs
@@ -1,18 +1,19 @@
-//! `ctl`: reads or changes the store of a router that runs.
+//! `ctl`: reads or changes the store of a running router, through its control address.
+use super::Error;
 use clap::{Args, Subcommand};
 use serde_json::{Value, json};
 
 /// `ctl`'s arguments.
 #[derive(Args)]
-pub struct Arguments {
+pub(crate) struct Arguments {
     /// Where the router answers commands (`store.control` in its file).
     address: String,
     #[command(subcommand)]
-    asked: Asked,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Asked {
+enum Command {
     /// The node, its leader and the term.
     Status,
     /// Keys with their values.
@@ -53,28 +54,30 @@
     },
 }
 
-/// A command as the store's control takes it.
-fn command(asked: &Asked) -> Value {
-    let mut v = match asked {
-        Asked::Status => json!({"do": "status"}),
-        Asked::List { prefix: None } => json!({"do": "list"}),
-        Asked::List { prefix: Some(prefix) } => json!({"do": "list", "prefix": prefix}),
-        Asked::Get { key } => json!({"do": "get", "key": key}),
-        Asked::Set { key, text, .. } => json!({"do": "set", "key": key, "text": text}),
-        Asked::Delete { key, .. } => json!({"do": "delete", "key": key}),
-        Asked::Drain { server } => json!({"do": "drain", "server": server}),
-        Asked::Undrain { server } => json!({"do": "undrain", "server": server}),
+/// The command as the control address receives it: one JSON object.
+fn encode(command: &Command) -> Value {
+    let mut encoded = match command {
+        Command::Status => json!({"do": "status"}),
+        Command::List { prefix: None } => json!({"do": "list"}),
+        Command::List { prefix: Some(prefix) } => json!({"do": "list", "prefix": prefix}),
+        Command::Get { key } => json!({"do": "get", "key": key}),
+        Command::Set { key, text, .. } => json!({"do": "set", "key": key, "text": text}),
+        Command::Delete { key, .. } => json!({"do": "delete", "key": key}),
+        Command::Drain { server } => json!({"do": "drain", "server": server}),
+        Command::Undrain { server } => json!({"do": "undrain", "server": server}),
     };
-    if let Asked::Set { version: Some(n), .. } | Asked::Delete { version: Some(n), .. } = asked {
-        v["expected"] = json!(n);
+    if let Command::Set { version: Some(version), .. } | Command::Delete { version: Some(version), .. } =
+        command
+    {
+        encoded["expected"] = json!(version);
     }
-    v
+    encoded
 }
 
-/// Asks, and prints the answer.
-pub fn run(arguments: &Arguments) -> Result<(), super::Error> {
-    let answer = store::control::send_command(&arguments.address, &command(&arguments.asked));
-    println!("{}", answer?);
+/// Sends the command, and prints the response.
+pub(crate) fn run(arguments: &Arguments) -> Result<(), Error> {
+    let response = store::control::send_command(&arguments.address, &encode(&arguments.command))?;
+    println!("{response}");
     Ok(())
 }
 
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -1,19 +1,19 @@
-//! Why a command ends without having done what it was asked for.
+//! Errors that end a command.
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a command ends without having done what it was asked for. Each message names the file, the key or the address
-/// at fault.
+/// An error that ends a command. Each message names the file, the key or the address at fault and, where an operator can
+/// do something about it, what.
 #[derive(Debug, Error)]
-pub enum Error {
+pub(crate) enum Error {
     /// A file can't be read.
     #[error("{}: cannot be read: {source}", .path.display())]
-    Read {
+    ReadFile {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
     /// A configuration can't be used.
@@ -24,77 +24,77 @@
         /// The key and what is wrong with it.
         source: settings::Error,
     },
-    /// Nothing says where the platform's configuration is.
+    /// The environment does not name the platform's configuration.
     #[error("BALANCER_CONFIG: expected the path of the configuration")]
-    NoConfig,
+    NoPlatformConfiguration,
     /// The socket that the platform passed can't be used.
     #[error("BALANCER_PASSED_SOCKET: {0}")]
-    Passed(#[from] clients::PassedError),
-    /// The passed socket does not say where it listens.
+    InheritedSocket(#[from] clients::PassedError),
+    /// The address of the passed socket can't be read.
     #[error("BALANCER_PASSED_SOCKET: {0}; let the platform pass it anew")]
-    PassedAddress(io::Error),
+    InheritedSocketAddress(io::Error),
     /// An address can't be listened on.
     #[error("{key}: {addr}: {source}; see who else listens there")]
     Listen {
-        /// What names the address.
+        /// The configuration key that gives the address.
         key: &'static str,
         /// The address.
         addr: String,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// Signals can't be taken.
+    /// Signals can't be handled.
     #[error("no signals: {0}")]
     Signals(io::Error),
     /// No thread could be started.
     #[error("{what}: no thread: {source}; raise the limit of processes of this user")]
     Thread {
-        /// What it was for.
+        /// What the thread is for.
         what: &'static str,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// The module's threads don't start.
+    /// The threads of the routing core don't start.
     #[error("the core does not start: {0}; raise the limit of processes of this user")]
     Core(io::Error),
-    /// The operators' address can't be opened.
+    /// The operators' address can't be listened on.
     #[error("admin_addr: {0}")]
-    Door(#[from] admin::AdminServerError),
-    /// The figures can't be set up: names of classes that no figure can carry.
+    AdminListen(#[from] admin::AdminServerError),
+    /// The metrics can't be set up: a class has a name that no metric can have.
     #[error("figures: {0}")]
-    Figures(Box<dyn std::error::Error + Send + Sync>),
+    Metrics(Box<dyn std::error::Error + Send + Sync>),
     /// Discovery can't be watched.
     #[error("no watch: {0}; raise the limit of processes of this user")]
-    Watch(io::Error),
-    /// Clients are no longer taken.
+    DiscoveryWatch(io::Error),
+    /// Client connections can no longer be accepted.
     #[error("the front ended: {0}")]
-    Front(io::Error),
+    ClientListener(io::Error),
     /// The store does not start.
     #[error(transparent)]
     Store(#[from] store::Error),
-    /// A store that runs was not asked, or said no.
+    /// A command did not reach a running store, or was rejected by it.
     #[error(transparent)]
-    Command(#[from] store::control::CommandError),
+    StoreCommand(#[from] store::control::CommandError),
     /// Sessions don't start.
     #[error(transparent)]
     Sessions(#[from] sessions::Error),
-    /// An instance of sessions was not asked.
+    /// The status of a sessions instance could not be requested.
     #[error(transparent)]
-    Ask(#[from] sessions::error::AskError),
-    /// A folder of sessions holds no journal.
+    SessionStatus(#[from] sessions::error::AskError),
+    /// A sessions folder holds no journal.
     #[error("{}: there is no journal", .0.display())]
-    NoJournal(PathBuf),
-    /// A journal can't be believed.
+    NoSessionJournal(PathBuf),
+    /// A sessions journal is damaged.
     #[error("{}: {fault}", .path.display())]
-    Journal {
+    SessionJournal {
         /// Its file.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         fault: sessions::journal::Fault,
     },
-    /// No recording begins.
+    /// A recording can't be started.
     #[error(transparent)]
-    Record(#[from] pcap::record::RecordError),
+    Recording(#[from] pcap::record::RecordError),
     /// A capture can't be read to its end.
     #[error("{}: {source}", .path.display())]
     Capture {
@@ -103,7 +103,7 @@
         /// Where, and why.
         source: pcap::capture::CaptureError,
     },
-    /// A replay broke off.
+    /// A replay ended early.
     #[error(transparent)]
     Replay(#[from] pcap::replay::ReplayError),
     /// The registry can't be followed.
@@ -112,54 +112,54 @@
     /// The fleet's members can't be joined.
     #[error("members: {0}")]
     Membership(#[from] membership::Error),
-    /// The fleet's document in a file can't be used.
+    /// A file holds a fleet document that can't be used.
     #[error("{}: {source}", .path.display())]
-    Fleet {
+    FleetFile {
         /// The file.
         path: PathBuf,
         /// The key and what is wrong with it.
         source: settings::fleet::FleetError,
     },
-    /// The fleet's document can't be read or written in the store.
+    /// The fleet document can't be read from the store or written to it.
     #[error("fleet: {0}")]
-    Document(#[from] fleet::document::DocumentError),
-    /// The document of a file can't be written in the store.
+    FleetDocument(#[from] fleet::document::DocumentError),
+    /// A file's fleet document can't be written to the store.
     #[error("{}: {source}", .path.display())]
-    Set {
+    FleetDocumentFile {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         source: fleet::document::DocumentError,
     },
     /// The store does not answer its client.
     #[error("store: {0}")]
-    Client(#[from] store::client::ClientError),
-    /// The store has no document of the fleet.
+    StoreClient(#[from] store::client::ClientError),
+    /// The store holds no fleet document.
     #[error("there is no document yet; set one with `fleet set`")]
-    NoDocument,
-    /// The file names no registry.
+    NoFleetDocument,
+    /// The operator's file names no registry.
     #[error("{}: expected a table 'registry' in the file", .0.display())]
     NoRegistry(PathBuf),
-    /// The registry was not asked, or said no.
+    /// A request did not reach the registry, or was rejected by it.
     #[error(transparent)]
-    Asked(#[from] registry::Failed),
-    /// No member of the registry did what was asked; the last one that was tried, and why it did not.
+    RegistryRequest(#[from] registry::Failed),
+    /// Every member of the registry failed; this is the error of the member that was tried last.
     #[error("{addr}: {why}")]
-    Members {
+    RegistryMember {
         /// The member.
         addr: SocketAddr,
-        /// Why not.
+        /// The cause.
         why: Box<Error>,
     },
-    /// A key of the registry is not there.
+    /// The registry does not hold a key.
     #[error("there is no {0}; `registry FILE get` lists what there is")]
-    NoKey(String),
-    /// A node's value in the registry can't be used.
+    NoRegistryKey(String),
+    /// A node's value can't be read, or can't be put into the registry.
     #[error("{key}: {source}; `docs/registry.md` has the form")]
-    Node {
+    RegistryNode {
         /// Its key.
         key: String,
-        /// Why not.
+        /// The cause.
         source: serde_json::Error,
     },
 }
--- a/src/commands/members.rs
+++ b/src/commands/members.rs
@@ -1,21 +1,50 @@
-//! The fleet that a router of an operator's file is one of: who lives, and the share of the room that follows from it.
+//! The fleet that a router of an operator's file is a member of: which routers are alive, and the share of the capacity
+//! that follows from their number.
 use super::Error;
 use crossbeam_channel::Receiver;
 use membership::{Change, Config, Membership, live_router_count};
 use settings::members::Members as Table;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// One that has gone counts on for this many rhythms: longer than a member that was wrongly taken for dead needs to return.
-const SETTLE: u32 = 10;
-/// A start waits this many rhythms for an answer of the fleet: its first client finds the share of one that has joined.
-const JOIN: u32 = 4;
-/// A farewell takes a quarter of a second at the default rhythm.
-const FAREWELL: Duration = Duration::from_secs(1);
+/// A router that is no longer heard counts on for this many probe intervals: longer than a member that was wrongly
+/// taken for dead needs to return.
+const SETTLE_INTERVALS: u32 = 10;
+/// A start waits at most this many probe intervals for another router, so that the first client finds the share of a
+/// router that has joined.
+const JOIN_INTERVALS: u32 = 4;
+/// How long a leaving router waits at most until its departure is spread; at the default interval that takes a quarter
+/// of a second.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Joins the fleet and follows it; `tell` is given the number of routers that share the room.
-pub fn start(table: &Table, routers: u32, tell: impl Fn(u32) + Send + 'static) -> Result<Membership, Error> {
+/// Joins the fleet and follows it. `on_router_count` is given the number of routers that share the capacity, at once and
+/// at each change; `router_count` is the fleet's size that the file gives.
+pub(super) fn start(
+    table: &Table,
+    router_count: u32,
+    on_router_count: impl Fn(u32) + Send + 'static,
+) -> Result<Membership, Error> {
+    let members = Membership::start(config(table))?;
+    let own_address = table.told.unwrap_or(members.addr());
+    let expects_others = table.seeds.iter().any(|seed| *seed != own_address);
+    let settings = live_router_count::Settings {
+        fleet_size: router_count,
+        min_count: table.least,
+        settle_time: table.rhythm * SETTLE_INTERVALS,
+        expects_others,
+    };
+    let changes = members.subscribe()?;
+    membership::follow_router_count(&members, settings, on_router_count)?;
+    tracing::info!("members: '{}' of '{}' hears on {}", table.name, table.cluster, members.addr());
+    if expects_others && !wait_for_other_router(&changes, table.rhythm * JOIN_INTERVALS) {
+        tracing::warn!("members: nobody has answered yet; serving with the share of one in {router_count}");
+    }
+    Ok(members)
+}
+
+/// This router's membership. The generation tells it from an earlier process of the same name.
+fn config(table: &Table) -> Config {
     let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let members = Membership::start(Config {
+    Config {
         name: table.name.clone(),
         listen: table.listen,
         advertise: table.told,
@@ -23,29 +52,15 @@
         seeds: table.seeds.clone(),
         random_seed: u64::from(std::process::id()) << 32 ^ started.as_nanos() as u64,
         settings: membership::Settings::with_probe_interval(&table.cluster, table.rhythm),
-    })?;
-    let expects = table.seeds.iter().any(|s| *s != table.told.unwrap_or(members.addr()));
-    let settings = live_router_count::Settings {
-        fleet_size: routers,
-        min_count: table.least,
-        settle_time: table.rhythm * SETTLE,
-        expects_others: expects,
-    };
-    let seen = members.subscribe()?;
-    membership::follow_router_count(&members, settings, tell)?;
-    tracing::info!("members: '{}' of '{}' hears on {}", table.name, table.cluster, members.addr());
-    if expects && !answered(&seen, table.rhythm * JOIN) {
-        tracing::warn!("members: nobody has answered yet; serving with the share of one in {routers}");
     }
-    Ok(members)
 }
 
-/// Whether any other router was heard within this time.
-fn answered(seen: &Receiver<Change>, within: Duration) -> bool {
-    let until = Instant::now() + within;
+/// Whether another router is heard before the timeout.
+fn wait_for_other_router(changes: &Receiver<Change>, timeout: Duration) -> bool {
+    let deadline = Instant::now() + timeout;
     loop {
-        match seen.recv_deadline(until) {
-            Ok(Change::Snapshot(all)) if all.len() > 1 => return true,
+        match changes.recv_deadline(deadline) {
+            Ok(Change::Snapshot(members)) if members.len() > 1 => return true,
             Ok(Change::Up(_)) => return true,
             Ok(_) => {}
             Err(_) => return false,
@@ -53,9 +68,10 @@
     }
 }
 
-/// Leaves, so that the others need not find it out.
-pub fn leave(members: &Membership) {
-    let (Ok(seen), Ok(())) = (members.subscribe(), members.leave()) else { return };
-    let until = Instant::now() + FAREWELL;
-    while seen.recv_deadline(until).is_ok() {}
+/// Leaves the fleet, so that the others need not find out by their probes.
+pub(super) fn leave(members: &Membership) {
+    let (Ok(changes), Ok(())) = (members.subscribe(), members.leave()) else { return };
+    let deadline = Instant::now() + LEAVE_TIMEOUT;
+    // The changes end when the departure has been spread.
+    while changes.recv_deadline(deadline).is_ok() {}
 }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,34 +1,36 @@
-//! The sub-commands, a file each.
-pub mod capture;
-pub mod check;
-pub mod ctl;
-pub mod error;
-pub mod fleet;
-pub mod members;
-pub mod platform;
-pub mod registry;
-pub mod serve;
-pub mod sessions;
+//! The sub-commands, one file each, and what several of them use.
+pub(crate) mod capture;
+pub(crate) mod check;
+pub(crate) mod ctl;
+mod error;
+pub(crate) mod fleet;
+mod members;
+pub(crate) mod platform;
+pub(crate) mod registry;
+pub(crate) mod serve;
+pub(crate) mod sessions;
 
-pub use error::Error;
+pub(crate) use error::Error;
 
+use settings::operator::Operator;
 use std::net::TcpListener;
 use std::path::Path;
 
-/// A file's text, or what is wrong with it.
-pub fn read(path: &Path) -> Result<String, Error> {
-    std::fs::read_to_string(path).map_err(|source| Error::Read { path: path.into(), source })
+/// Reads a file as text.
+fn read_file(path: &Path) -> Result<String, Error> {
+    std::fs::read_to_string(path).map_err(|source| Error::ReadFile { path: path.into(), source })
 }
 
-/// An operator's file.
-pub fn operator(path: &Path) -> Result<settings::operator::Operator, Error> {
-    settings::operator::read(&read(path)?).map_err(|source| Error::Settings { path: path.into(), source })
+/// Reads an operator's file.
+fn read_operator_file(path: &Path) -> Result<Operator, Error> {
+    let text = read_file(path)?;
+    settings::operator::read(&text).map_err(|source| Error::Settings { path: path.into(), source })
 }
 
-/// Listens for clients, and says where.
-pub fn listen(name: &str, at: &str) -> Result<TcpListener, Error> {
-    let failed = |source| Error::Listen { key: "listen", addr: at.into(), source };
-    let listener = TcpListener::bind(at).map_err(failed)?;
+/// Listens for clients at the configured `address`, and logs under `name` where.
+fn listen(name: &str, address: &str) -> Result<TcpListener, Error> {
+    let failed = |source| Error::Listen { key: "listen", addr: address.into(), source };
+    let listener = TcpListener::bind(address).map_err(failed)?;
     tracing::info!("{name}: listening on {}", listener.local_addr().map_err(failed)?);
     Ok(listener)
 }
--- a/src/commands/platform.rs
+++ b/src/commands/platform.rs
@@ -1,153 +1,187 @@
-//! One of the platform's routers, told by the environment.
+//! One of the platform's routers: `PostgreSQL`, configured by the file that `$BALANCER_CONFIG` names.
+//!
+//! [`run`] binds the operators' address first and accepts clients last. In between it starts the routing core, applies
+//! what operators and the file say about endpoints, and gives discovery a short time to bring its list.
+mod admin;
+
 use super::Error;
 use crate::signals;
-use admin::{AdminLimits, AdminServer, AdminService, ServiceDependencies};
+use ::admin::AdminService;
+use admin::AdminListener;
 use clients::{Clients, Listening, Order};
-use crossbeam_channel::{Sender, bounded};
+use crossbeam_channel::{Receiver, Sender, bounded};
+use discovery::Watch;
+use postgres::front::Front;
+use postgres::link::Postgres;
 use routing::{Clock, EndpointsHandle, Metrics, RouterHandle};
+use settings::Limits;
 use settings::operator::Log;
 use settings::start::Start;
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Orders to the clients that wait: few come at a time.
-const ORDERS: usize = 64;
+/// How many orders to the client listener may wait; few come at a time.
+const MAX_PENDING_ORDERS: usize = 64;
 
-/// The operators' door, bound before anything else: a second process that can't have it must not come to serve.
-struct Operated {
-    door: AdminServer,
-    figures: Arc<Metrics>,
+fn environment(name: &str) -> Option<String> {
+    std::env::var(name).ok()
 }
 
-impl Operated {
-    fn open(start: &Start) -> Result<Option<Operated>, Error> {
-        let Some(at) = start.admin else { return Ok(None) };
-        let l = &start.limits;
-        let bounds = AdminLimits {
-            max_connections: l.door_callers,
-            max_line_bytes: l.door_line_bytes,
-            io_timeout: l.door_patience,
-            thread_stack_bytes: l.stack_bytes,
-        };
-        let door = AdminServer::bind(at, bounds)?;
-        let figures = Metrics::new(&start.names.classes).map_err(|e| Error::Figures(e.into()))?;
-        Ok(Some(Operated { door, figures }))
-    }
+/// Serves the platform until SIGTERM.
+pub(crate) fn run() -> Result<(), Error> {
+    start_log();
+    let path = PathBuf::from(environment("BALANCER_CONFIG").ok_or(Error::NoPlatformConfiguration)?);
+    let signals = signals::register()?;
+    let configuration = Configuration::read(path)?;
+    let inherited = inherited_listener()?;
+    let admin = AdminListener::bind(&configuration.start)?;
 
-    /// The desk behind the door; calls are answered from now on.
-    fn serve(
-        self,
-        start: &Start,
-        list: &EndpointsHandle,
-        front: Arc<postgres::front::Front>,
-        handle: RouterHandle<postgres::link::Postgres>,
-        orders: Sender<Order>,
-        clients: &Arc<Clients<postgres::front::Front>>,
-    ) -> Result<Arc<AdminService>, Error> {
-        let (shared, drained) = (clients.clone(), clients.clone());
-        let parts = ServiceDependencies {
-            metrics: self.figures,
-            endpoints: list.clone(),
-            client_orders: orders,
-            set_draining: Box::new(move |yes| drained.drain(yes)),
-            accepting: clients.accepting(),
-            set_process_count: Box::new(move |n| {
-                shared.sharing(n as usize);
-                handle.set_process_count(n);
-                front.sharing(n);
-            }),
-            clock: Clock::new(),
-            limits: Arc::new(start.limits.clone()),
-        };
-        // What outlives a process, in a folder of this router's own: several may share one $TMPDIR.
-        let name: String =
-            start.name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '-' }).collect();
-        let folder = std::env::var_os("TMPDIR").map(|t| PathBuf::from(t).join(format!("damsonvale-{name}")));
-        let desk = Arc::new(AdminService::open(parts, folder.as_deref()));
-        self.door.serve(desk.clone())?;
-        Ok(desk)
+    let router = Router::start(&configuration.start, admin.as_ref().map(|admin| admin.metrics.clone()))?;
+    let (order_sender, orders) = bounded(MAX_PENDING_ORDERS);
+    // What operators have put in maintenance is known before the first endpoint list.
+    let admin = admin.map(|admin| admin.serve(&configuration.start, &router, order_sender.clone()));
+    let admin = admin.transpose()?;
+    configuration.apply_known_endpoints(&router.endpoints)?;
+    let watch = start_discovery(&configuration.start, &router)?;
+    let listener = match inherited {
+        Some(listener) => announce_inherited(listener, &configuration.start.name)?,
+        None => Listening::Own(super::listen(&configuration.start.name, &configuration.start.listen)?),
+    };
+    let stack_bytes = router.limits.module_stack_bytes;
+    let reload = configuration.into_reload(watch);
+    signals::handle(signals, stack_bytes, reload, shut_down(admin.clone(), order_sender))?;
+    if let Some(admin) = admin {
+        admin.start_sync().map_err(|source| Error::Thread { what: "holds", source })?;
     }
+    router.serve(listener, &orders)
 }
 
-/// Serves the platform until SIGTERM.
-pub fn run() -> Result<(), Error> {
-    let env = |name: &str| std::env::var(name).ok();
-    // Unset, the log is as it always was: lines for the pager, nothing for each request.
-    let level = env("DAMSONVALE_LOG").unwrap_or_else(|| Log::default().level);
+/// Starts the log. Without `$DAMSONVALE_LOG` it has the default level: lines for whoever is on call, none for each
+/// request.
+fn start_log() {
+    let level = environment("DAMSONVALE_LOG").unwrap_or_else(|| Log::default().level);
     crate::log::start(&Log { level, ..Log::default() });
-    let path = env("BALANCER_CONFIG").ok_or(Error::NoConfig)?;
-    let file = PathBuf::from(&path);
-    let signals = signals::note()?;
-    let faulty = |source| Error::Settings { path: PathBuf::from(&path), source };
-    let start = settings::start::read(&super::read(&file)?, &env).map_err(faulty)?;
-    let limits = Arc::new(start.limits.clone());
-    tracing::debug!("settings {:?}", start.settings);
-    tracing::debug!("said {}", start.said);
-    let passed = env("BALANCER_PASSED_SOCKET").filter(|x| !x.is_empty());
-    let passed = passed.map(|fd| Listening::passed(&fd)).transpose()?;
-    let operated = Operated::open(&start)?;
-
-    let core = routing::RouterBuilder {
-        protocol: postgres::link::Postgres::new(limits.clone()),
-        settings: start.settings.clone(),
-        seed: start.seed,
-        limits: limits.clone(),
-        clock: Clock::new(),
-        responded: None,
-        metrics: operated.as_ref().map(|o| o.figures.clone()),
-        placement: None,
-    };
-    let (handle, list) = core.start().map_err(Error::Core)?;
-    let front =
-        postgres::front::Front::new(handle.clone(), limits.clone(), &start.names.classes, &start.settings);
-    let clients = Clients::new(front.clone(), limits.clone());
-    let (to, orders) = bounded(ORDERS);
-    // What is held by hand stands before the first list does.
-    let desk = operated.map(|o| o.serve(&start, &list, front, handle, to.clone(), &clients)).transpose()?;
-    let mut reader = discovery::entries::Reader::new(start.names.zones.clone());
-    if !start.known.is_null() {
-        let mut known = reader.news(&start.known).map_err(|e| faulty(e.at("known")))?;
+}
+
+/// The configuration as it was at the start, and the file that it is read from.
+struct Configuration {
+    path: PathBuf,
+    start: Start,
+}
+
+impl Configuration {
+    fn read(path: PathBuf) -> Result<Configuration, Error> {
+        let text = super::read_file(&path)?;
+        let start = settings::start::read(&text, &environment)
+            .map_err(|source| Error::Settings { path: path.clone(), source })?;
+        tracing::debug!("settings {:?}", start.settings);
+        tracing::debug!("said {}", start.said);
+        Ok(Configuration { path, start })
+    }
+
+    /// Gives the router the endpoints that the file lists, with which it serves until discovery brings others.
+    fn apply_known_endpoints(&self, endpoints: &EndpointsHandle) -> Result<(), Error> {
+        if self.start.known.is_null() {
+            return Ok(());
+        }
+        let mut reader = discovery::entries::Reader::new(self.start.names.zones.clone());
+        let mut known = reader
+            .news(&self.start.known)
+            .map_err(|e| Error::Settings { path: self.path.clone(), source: e.at("known") })?;
         known.complete = true;
-        list.notify(known);
+        endpoints.notify(known);
+        Ok(())
+    }
+
+    /// What SIGHUP runs: reads the file anew, moves the watch where discovery's address has changed, and returns the
+    /// keys that need a restart.
+    fn into_reload(self, watch: Watch) -> impl FnMut() -> Result<Vec<String>, Error> + Send + 'static {
+        let mut watched: SocketAddr = self.start.discovery;
+        move || {
+            let reload = settings::start::reload(&super::read_file(&self.path)?, &self.start)
+                .map_err(|source| Error::Settings { path: self.path.clone(), source })?;
+            if reload.discovery != watched {
+                watch.follow(reload.discovery).map_err(Error::DiscoveryWatch)?;
+                watched = reload.discovery;
+                tracing::info!("discovery: the watch moves to {watched}");
+            }
+            Ok(reload.restart)
+        }
+    }
+}
+
+/// The running core with its `PostgreSQL` front.
+struct Router {
+    handle: RouterHandle<Postgres>,
+    endpoints: EndpointsHandle,
+    front: Arc<Front>,
+    clients: Arc<Clients<Front>>,
+    limits: Arc<Limits>,
+}
+
+impl Router {
+    /// Starts the core; `metrics` are counted where operators can ask for them.
+    fn start(start: &Start, metrics: Option<Arc<Metrics>>) -> Result<Router, Error> {
+        let limits = Arc::new(start.limits.clone());
+        let builder = routing::RouterBuilder {
+            protocol: Postgres::new(limits.clone()),
+            settings: start.settings.clone(),
+            seed: start.seed,
+            limits: limits.clone(),
+            clock: Clock::new(),
+            responded: None,
+            metrics,
+            placement: None,
+        };
+        let (handle, endpoints) = builder.start().map_err(Error::Core)?;
+        let front = Front::new(handle.clone(), limits.clone(), &start.names.classes, &start.settings);
+        let clients = Clients::new(front.clone(), limits.clone());
+        Ok(Router { handle, endpoints, front, clients, limits })
+    }
+
+    /// Serves clients until an order to shut down.
+    fn serve(self, listener: Listening, orders: &Receiver<Order>) -> Result<(), Error> {
+        self.clients.serve(listener, orders).map_err(Error::ClientListener)
     }
-    let watch = discovery::Watch::new(start.names.zones.clone(), limits.clone(), list.clone());
-    watch.follow(start.discovery).map_err(Error::Watch)?;
-    // What the agent has binds from the first moment, whatever `known` says; one that is silent is not waited for long.
+}
+
+/// Starts to watch discovery. A list of the agent's is in force before the first client, whatever the file says; an
+/// agent that is silent delays the start only for a short time.
+fn start_discovery(start: &Start, router: &Router) -> Result<Watch, Error> {
+    let limits = &router.limits;
+    let watch = Watch::new(start.names.zones.clone(), limits.clone(), router.endpoints.clone());
+    watch.follow(start.discovery).map_err(Error::DiscoveryWatch)?;
     if !watch.first(limits.watch_first) {
         tracing::warn!("discovery: nothing heard yet, starting with the list known from before");
     }
-    // Where the machine is that busy, it starts all the same.
-    if !list.wait_until_applied(limits.watch_first) {
+    // A machine that is too busy to apply the list in time does not keep the router from starting.
+    if !router.endpoints.wait_until_applied(limits.watch_first) {
         tracing::warn!("list: not taken yet, starting without it");
     }
-    let listening = match passed {
-        Some(passed) => {
-            let at = passed.local_addr().map_err(Error::PassedAddress)?;
-            tracing::info!("{}: listening on {at}", start.name);
-            passed
-        }
-        None => Listening::Own(super::listen(&start.name, &start.listen)?),
-    };
-    let mut at = start.discovery;
-    let reload = move || {
-        let reload = settings::start::reload(&super::read(&file)?, &start)
-            .map_err(|source| Error::Settings { path: file.clone(), source })?;
-        if reload.discovery != at {
-            watch.follow(reload.discovery).map_err(Error::Watch)?;
-            at = reload.discovery;
-            tracing::info!("discovery: the watch moves to {at}");
+    Ok(watch)
+}
+
+/// The listening socket that the platform has passed, if it has.
+fn inherited_listener() -> Result<Option<Listening>, Error> {
+    let descriptor = environment("BALANCER_PASSED_SOCKET").filter(|text| !text.is_empty());
+    Ok(descriptor.map(|descriptor| Listening::passed(&descriptor)).transpose()?)
+}
+
+/// Logs where an inherited socket listens, as is logged of one that the router opens itself.
+fn announce_inherited(listener: Listening, name: &str) -> Result<Listening, Error> {
+    let address = listener.local_addr().map_err(Error::InheritedSocketAddress)?;
+    tracing::info!("{name}: listening on {address}");
+    Ok(listener)
+}
+
+/// What SIGTERM runs: announces the shutdown to the router's other processes, and orders it.
+fn shut_down(admin: Option<Arc<AdminService>>, orders: Sender<Order>) -> impl Fn() + Send + 'static {
+    move || {
+        if let Some(admin) = &admin {
+            admin.announce_shutdown();
         }
-        Ok(reload.restart)
-    };
-    let leaves = desk.clone();
-    let end = move || {
-        leaves.iter().for_each(|desk| desk.announce_shutdown());
-        // Operators' orders may fill the queue while the program still starts: the end must not be lost with them.
-        _ = to.send(Order::End);
-    };
-    signals::obey(signals, limits.module_stack_bytes, reload, end)?;
-    if let Some(desk) = desk {
-        desk.start_sync().map_err(|source| Error::Thread { what: "holds", source })?;
+        // Waits where operators' orders fill the queue while the program still starts: the shutdown must not be lost.
+        _ = orders.send(Order::End);
     }
-    clients.serve(listening, &orders).map_err(Error::Front)
 }
--- a/src/commands/registry.rs
+++ b/src/commands/registry.rs
@@ -1,25 +1,31 @@
-//! `registry`: looks at the registry that an operator's file names, and changes what stands there.
+//! `registry`: reads the registry that an operator's file names, and changes what it holds.
+mod watch;
+
 use super::Error;
 use ::registry::client::{Asks, Way};
-use ::registry::etcd::Heard;
 use ::registry::fleet::{Node, State};
-use ::registry::machine::{Change, Item};
+use ::registry::machine::Item;
 use clap::{Args, Subcommand};
 use settings::operator::Operator;
 use std::path::{Path, PathBuf};
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// What the keys of nodes begin with, behind the registry's own prefix.
+const NODE_PREFIX: &str = "nodes/";
+/// The key, behind the prefix, whose value is the time in milliseconds at which held nodes were released.
+const RELEASE_KEY: &str = "control/let-go";
 
 /// `registry`'s arguments.
 #[derive(Args)]
-pub struct Arguments {
+pub(crate) struct Arguments {
     /// The operator's file whose `[registry]` is meant.
     file: PathBuf,
     #[command(subcommand)]
-    asked: Asked,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Asked {
+enum Command {
     /// Prints what is there, then each change as it comes, until it is stopped.
     Watch {
         /// Only this many changes.
@@ -54,120 +60,106 @@
 }
 
 /// The registry that a file names.
-struct Named {
+struct NamedRegistry {
     file: PathBuf,
     operator: Operator,
-    registry: settings::operator::Registry,
+    settings: settings::operator::Registry,
 }
 
-impl Named {
-    fn read(file: &Path) -> Result<Named, Error> {
-        let operator = super::operator(file)?;
-        let registry = operator.registry.clone().ok_or_else(|| Error::NoRegistry(file.into()))?;
-        Ok(Named { file: file.into(), operator, registry })
+impl NamedRegistry {
+    fn read(file: &Path) -> Result<NamedRegistry, Error> {
+        let operator = super::read_operator_file(file)?;
+        let settings = operator.registry.clone().ok_or_else(|| Error::NoRegistry(file.into()))?;
+        Ok(NamedRegistry { file: file.into(), operator, settings })
+    }
+
+    /// The whole key of what is called `key` behind the prefix.
+    fn key(&self, key: &str) -> String {
+        format!("{}{key}", self.settings.prefix)
     }
 
-    /// Tries every member in turn, until one does what is asked.
-    fn any<T>(&self, mut ask: impl FnMut(&mut Asks) -> Result<T, Error>) -> Result<T, Error> {
-        let way = Way::new(&self.registry, &self.operator.limits)?;
-        // Settings name one at least.
+    fn node_key(&self, node: &str) -> String {
+        self.key(&format!("{NODE_PREFIX}{node}"))
+    }
+
+    /// Tries every member in turn, until a request succeeds. The error is that of the last member.
+    fn try_members<T>(&self, mut request: impl FnMut(&mut Asks) -> Result<T, Error>) -> Result<T, Error> {
+        let connector = Way::new(&self.settings, &self.operator.limits)?;
+        // Never returned: the settings have at least one member.
         let mut failed = Error::NoRegistry(self.file.clone());
-        for (n, &addr) in self.registry.endpoints.iter().enumerate() {
-            match ask(&mut way.to(n)) {
-                Ok(answer) => return Ok(answer),
-                Err(why) => failed = Error::Members { addr, why: Box::new(why) },
+        for (index, &addr) in self.settings.endpoints.iter().enumerate() {
+            match request(&mut connector.to(index)) {
+                Ok(response) => return Ok(response),
+                Err(why) => failed = Error::RegistryMember { addr, why: Box::new(why) },
             }
         }
         Err(failed)
     }
-}
 
-fn shown(item: &Item) -> String {
-    format!("{}\t{}\t{}", item.modified, item.key, String::from_utf8_lossy(&item.value))
-}
+    fn get(&self, key: &str) -> Result<Vec<Item>, Error> {
+        let key = self.key(key);
+        let (_, items) = self.try_members(|member| Ok(member.read(&key)?))?;
+        Ok(items)
+    }
 
-fn watch(named: &Named, prefix: &str, most: Option<usize>) -> Result<(), Error> {
-    named.any(|asks| {
-        let (standing, items) = asks.read(prefix)?;
-        items.iter().for_each(|i| println!("{}", shown(i)));
-        println!("-- revision {}", standing.revision);
-        let mut left = most;
-        let mut said = |line: String| {
-            println!("{line}");
-            left = left.map(|n| n.saturating_sub(1));
-            left != Some(0)
-        };
-        match asks {
-            Asks::Etcd(e) => {
-                let quiet = Duration::from_secs(1);
-                let each = |c: &Change| match c {
-                    Change::Put(i) => shown(i),
-                    Change::Delete(k, at) => format!("{at}\t{k}\tdeleted"),
-                };
-                Ok(e.watch(prefix, standing.revision + 1, quiet, |heard| match heard {
-                    Heard::Changes(changes) => changes.iter().all(|c| said(each(c))),
-                    _ => true,
-                })?)
-            }
-            Asks::Consul(c) => {
-                let (mut held, mut index) = (items, standing.revision);
-                loop {
-                    let (at, now) = c.read(prefix, Some((index, Duration::from_secs(5))))?;
-                    let gone = held.iter().filter(|h| !now.iter().any(|n| n.key == h.key));
-                    let mut lines: Vec<String> = gone.map(|h| format!("{at}\t{}\tdeleted", h.key)).collect();
-                    lines.extend(now.iter().filter(|n| !held.contains(n)).map(shown));
-                    if !lines.into_iter().all(&mut said) {
-                        return Ok(());
-                    }
-                    (held, index) = (now, at);
+    fn put(&self, key: &str, value: &[u8]) -> Result<(), Error> {
+        let key = self.key(key);
+        self.try_members(|member| Ok(member.put(&key, value, None)?))
+    }
+
+    /// Changes a node's state. A change by somebody else in between makes it read the node again.
+    fn set_node_state(&self, node: &str, state: State) -> Result<(), Error> {
+        let key = self.node_key(node);
+        let faulty = |source| Error::RegistryNode { key: key.clone(), source };
+        self.try_members(|member| {
+            loop {
+                let (_, items) = member.read(&key)?;
+                let item = items.into_iter().find(|item| item.key == key);
+                let item = item.ok_or_else(|| Error::NoRegistryKey(key.clone()))?;
+                let mut node: Node = serde_json::from_slice(&item.value).map_err(faulty)?;
+                node.state = state;
+                let value = serde_json::to_vec(&node).map_err(faulty)?;
+                if member.put_if(&key, &value, item.modified)? {
+                    return Ok(());
                 }
             }
-        }
-    })
+        })
+    }
 }
 
-/// Changes a node's state, whatever else changes it meanwhile.
-fn set_state(named: &Named, key: &str, state: State) -> Result<(), Error> {
-    let faulty = |source| Error::Node { key: key.into(), source };
-    named.any(|asks| {
-        loop {
-            let (_, items) = asks.read(key)?;
-            let item = items.into_iter().find(|i| i.key == key).ok_or_else(|| Error::NoKey(key.into()))?;
-            let mut node: Node = serde_json::from_slice(&item.value).map_err(faulty)?;
-            node.state = state;
-            let value = serde_json::to_vec(&node).map_err(faulty)?;
-            if asks.put_if(key, &value, item.modified)? {
-                return Ok(());
-            }
-        }
-    })
+/// One line for a key: the revision of its newest change, the key and the value.
+fn format_item(item: &Item) -> String {
+    format!("{}\t{}\t{}", item.modified, item.key, String::from_utf8_lossy(&item.value))
 }
 
 /// Carries a command out.
-pub fn run(arguments: &Arguments) -> Result<(), Error> {
-    let named = Named::read(&arguments.file)?;
-    let prefix = &named.registry.prefix;
-    let put =
-        |key: &str, value: &[u8]| named.any(|asks| Ok(asks.put(&format!("{prefix}{key}"), value, None)?));
-    match &arguments.asked {
-        Asked::Watch { changes } => watch(&named, prefix, *changes),
-        Asked::Get { key } => {
-            let (_, items) = named.any(|asks| Ok(asks.read(&format!("{prefix}{key}"))?))?;
-            items.iter().for_each(|i| println!("{}", shown(i)));
+pub(crate) fn run(arguments: &Arguments) -> Result<(), Error> {
+    let registry = NamedRegistry::read(&arguments.file)?;
+    match &arguments.command {
+        Command::Watch { changes } => watch::run(&registry, *changes),
+        Command::Get { key } => {
+            registry.get(key)?.iter().for_each(|item| println!("{}", format_item(item)));
             Ok(())
         }
-        Asked::Put { key, value } => {
-            if key.starts_with("nodes/") {
-                serde_json::from_str::<Node>(value)
-                    .map_err(|source| Error::Node { key: key.clone(), source })?;
-            }
-            put(key, value.as_bytes())
-        }
-        Asked::Drain { node } => set_state(&named, &format!("{prefix}nodes/{node}"), State::Draining),
-        Asked::Undrain { node } => set_state(&named, &format!("{prefix}nodes/{node}"), State::InService),
-        Asked::LetGo => {
-            let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
-            put("control/let-go", now.to_string().as_bytes())
+        Command::Put { key, value } => {
+            check_node(key, value)?;
+            registry.put(key, value.as_bytes())
         }
+        Command::Drain { node } => registry.set_node_state(node, State::Draining),
+        Command::Undrain { node } => registry.set_node_state(node, State::InService),
+        Command::LetGo => registry.put(RELEASE_KEY, unix_milliseconds().to_string().as_bytes()),
+    }
+}
+
+/// Checks the value of a key before it is put, where it is a node's.
+fn check_node(key: &str, value: &str) -> Result<(), Error> {
+    if !key.starts_with(NODE_PREFIX) {
+        return Ok(());
     }
+    let node: Result<Node, serde_json::Error> = serde_json::from_str(value);
+    node.map(|_| ()).map_err(|source| Error::RegistryNode { key: key.into(), source })
+}
+
+fn unix_milliseconds() -> u128 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis()
 }
--- /dev/null
+++ b/src/commands/serve/endpoints.rs
@@ -0,0 +1,74 @@
+//! Servers as the store holds them: one JSON document for each, read as the router's endpoint list.
+use routing::{EndpointEntry, EndpointUpdate, GroupId, MemberState};
+use serde_json::{Value, json};
+use settings::Error as Fault;
+use settings::fields::{number, text, whole};
+use settings::operator::Server;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// What the store's keys of servers begin with.
+const KEY_PREFIX: &str = "server/";
+const IN_SERVICE: &str = "in_service";
+const DRAINING: &str = "draining";
+
+/// Key and document of a server that the file lists, as a new store is filled with them.
+pub(super) fn server_document(server: &Server) -> (String, String) {
+    let mut document =
+        json!({"addr": server.addr, "group": server.group, "weight": server.weight, "state": IN_SERVICE});
+    if let Some(site) = &server.site {
+        document["site"] = json!(site);
+    }
+    (store::control::server_key(&server.id), document.to_string())
+}
+
+/// The endpoint list as the store holds it, to a router at `own_site`. A server whose document can't be read is left
+/// out and named in the log.
+pub(super) fn endpoint_update(state: &store::State, own_site: Option<&str>) -> EndpointUpdate {
+    let entry = |(key, value): (&str, &store::Value)| {
+        let entry = endpoint_entry(key, &value.text, own_site);
+        entry.map_err(|fault| tracing::error!("list: {key}: {fault}")).ok()
+    };
+    let entries = state.with_prefix(KEY_PREFIX).filter_map(entry).collect();
+    EndpointUpdate { version: state.applied_index, complete: true, endpoints: entries }
+}
+
+/// Reads one server's document.
+fn endpoint_entry(key: &str, document: &str, own_site: Option<&str>) -> Result<EndpointEntry, Fault> {
+    let document: Value = serde_json::from_str(document)?;
+    let address = text(&document, "addr")?;
+    let state = member_state(text(&document, "state")?)?;
+    let site: Option<Arc<str>> = document.get("site").and_then(Value::as_str).map(Arc::from);
+    Ok(EndpointEntry {
+        id: key.trim_start_matches(KEY_PREFIX).to_string(),
+        addr: parse_address(address)?,
+        group: GroupId(whole(&document, "group")? as u32),
+        zone: zone_distance(site.as_deref(), own_site),
+        site,
+        state,
+        // Servers say themselves which is primary, when they are probed.
+        listed_primary: false,
+        weight: number(&document, "weight")?,
+        started_at: None,
+    })
+}
+
+fn member_state(state: &str) -> Result<MemberState, Fault> {
+    match state {
+        IN_SERVICE => Ok(MemberState::Ready),
+        DRAINING => Ok(MemberState::Draining),
+        other => Err(Fault::value("state", "in_service or draining", format_args!("'{other}'"))),
+    }
+}
+
+fn parse_address(address: &str) -> Result<SocketAddr, Fault> {
+    address.parse().map_err(|_| Fault::value("addr", "ip:port", format_args!("'{address}'")))
+}
+
+/// Distance to a server: where the router's own site is known, servers of other sites and of none are farther.
+fn zone_distance(site: Option<&str>, own_site: Option<&str>) -> u32 {
+    u32::from(own_site.is_some() && site != own_site)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/commands/serve/endpoints/tests.rs
@@ -0,0 +1,48 @@
+//! The stored form of servers, and the endpoint list that is read from it.
+use super::{endpoint_update, server_document};
+use crossbeam_channel::bounded;
+use routing::EndpointEntry;
+use settings::operator::Server;
+use std::net::SocketAddr;
+
+/// What the store holds after a first start with servers `a` (of site `north`) and `b` (of none), one a line.
+const STORED_SERVERS: &str = include_str!("../../../../tests/fixtures/stored_servers.txt");
+
+fn loopback(port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+#[test]
+fn server_document_keeps_its_stored_form() {
+    let servers = [
+        Server { id: "a".into(), addr: loopback(9), group: 0, weight: 1.0, site: Some("north".into()) },
+        Server { id: "b".into(), addr: loopback(10), group: 3, weight: 0.5, site: None },
+    ];
+    let lines: Vec<String> =
+        servers.iter().map(server_document).map(|(key, document)| format!("{key}\t{document}")).collect();
+    assert_eq!(lines, STORED_SERVERS.lines().collect::<Vec<_>>());
+}
+
+#[test]
+fn servers_of_own_site_are_near_and_servers_without_site_are_far() {
+    let seed = |(id, site): (&str, &str)| {
+        let text = format!(r#"{{"addr":"127.0.0.1:1","group":0,"weight":1{site},"state":"in_service"}}"#);
+        (store::control::server_key(id), text)
+    };
+    let seeds = [("a", r#","site":"north""#), ("b", r#","site":"south""#), ("c", "")].map(seed).to_vec();
+    let (sender, states) = bounded(16);
+    let peers = [(1, loopback(0))].into();
+    let settings = store::Settings { node: 1, peers, seeds, ..store::Settings::default() };
+    let store = store::start(settings, move |state| _ = sender.send(state.clone()));
+    let store = store.unwrap_or_else(|e| panic!("no store: {e}"));
+    let listed = states.iter().find(|s| s.with_prefix("server/").count() == 3);
+    let state = listed.unwrap_or_default();
+    let zones = |own_site| {
+        let site_and_zone = |e: EndpointEntry| (e.site.as_deref().map(str::to_string), e.zone);
+        endpoint_update(&state, own_site).endpoints.into_iter().map(site_and_zone).collect::<Vec<_>>()
+    };
+    let (north, south) = (Some("north".to_string()), Some("south".to_string()));
+    assert_eq!(zones(Some("north")), [(north.clone(), 0), (south.clone(), 1), (None, 1)]);
+    assert_eq!(zones(None), [(north, 0), (south, 0), (None, 0)]);
+    drop(store);
+}
--- /dev/null
+++ b/src/commands/serve/fleet.rs
@@ -0,0 +1,74 @@
+//! Membership in a fleet whose quotas and placement come from its store.
+use super::{Core, Environment, bind};
+use crate::commands::Error;
+use ::fleet::FleetClient;
+use settings::fleet::Member;
+use std::net::SocketAddr;
+use std::path::Path;
+use store::Store;
+
+fn no_thread(source: std::io::Error) -> Error {
+    Error::Thread { what: "fleet", source }
+}
+
+/// Joins the fleet. Where the file says so, this node of the store answers the fleet's routers, and the store is given
+/// a first document.
+pub(super) fn join(
+    member: &Member,
+    environment: &Environment,
+    store: &Store,
+    core: &Core,
+) -> Result<FleetClient, Error> {
+    let clock = environment.clock;
+    let classes = &environment.mysql.classes;
+    let quotas = quotas::Settings::default();
+    if let Some(address) = member.listen {
+        serve_routers(member, address, environment, store, &quotas)?;
+    }
+    let random_seed = clock.now().0 as u64 ^ u64::from(std::process::id());
+    if let Some(path) = &member.seed {
+        seed_document(member, Path::new(path), classes, random_seed)?;
+    }
+    let settings = ::fleet::client::Settings {
+        member: member.clone(),
+        incarnation: clock.now().0 as u64,
+        classes: classes.clone(),
+        quotas,
+        seed: random_seed,
+    };
+    let (handle, endpoints) = (core.handle.clone(), core.endpoints.clone());
+    FleetClient::start(
+        settings,
+        clock,
+        move |update| handle.update_placement(update),
+        move || endpoints.version(),
+    )
+    .map_err(no_thread)
+}
+
+/// Answers the fleet's routers at `address`.
+fn serve_routers(
+    member: &Member,
+    address: SocketAddr,
+    environment: &Environment,
+    store: &Store,
+    quotas: &quotas::Settings,
+) -> Result<(), Error> {
+    let clock = environment.clock;
+    let (listener, address) = bind("fleet.listen", address)?;
+    let random_seed = clock.now().0 as u64;
+    let audit = member.audit.as_ref().map(|table| audit::Settings::new(table, quotas.ttl, random_seed));
+    ::fleet::service::start(listener, store.clone(), clock, quotas.clone(), audit, Default::default())
+        .map_err(no_thread)?;
+    tracing::info!("fleet: answering routers on {address}");
+    Ok(())
+}
+
+/// Writes the document of a file into the store, unless there is one already.
+fn seed_document(member: &Member, path: &Path, classes: &[String], client_seed: u64) -> Result<(), Error> {
+    let text = crate::commands::read_file(path)?;
+    settings::fleet::read(&text, Some(classes))
+        .map_err(|source| Error::FleetFile { path: path.into(), source })?;
+    let settings = store::client::Settings::new(member.nodes.clone(), client_seed);
+    ::fleet::document::start_seeding(store::client::Client::new(settings), text).map_err(no_thread)
+}
--- /dev/null
+++ b/src/commands/serve/registry.rs
@@ -0,0 +1,32 @@
+//! The registry that names the servers, and in which this router registers itself.
+use super::Environment;
+use super::configuration::LiveConfiguration;
+use crate::commands::Error;
+use ::registry::client::{Client, Router};
+use routing::{EndpointsHandle, RespondedEndpoints};
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// Follows the registry that the file names, and registers this router, which serves clients at `address`. `None`
+/// where the file names no registry.
+pub(super) fn start(
+    environment: &Environment,
+    address: SocketAddr,
+    endpoints: EndpointsHandle,
+    responded: Option<Arc<RespondedEndpoints>>,
+    observer: Arc<LiveConfiguration>,
+) -> Result<Option<Arc<Client>>, Error> {
+    let operator = &environment.operator;
+    let Some((settings, responded)) = operator.registry.clone().zip(responded) else { return Ok(None) };
+    let clock = environment.clock;
+    let client = Client::start(settings, &environment.limits, clock, endpoints, responded, observer)?;
+    // A port that the system chose is not known here: such a node of the store is not registered.
+    let store = operator.store.peers.get(&operator.store.node).filter(|a| a.port() != 0);
+    client.register(Router {
+        addr: address,
+        sessions: operator.sessions.as_ref().map(|s| (s.instance, s.listen)),
+        store: store.map(|address| (operator.store.node, *address)),
+        incarnation: clock.now().0 as u64,
+    })?;
+    Ok(Some(client))
+}
--- /dev/null
+++ b/src/commands/serve/store.rs
@@ -0,0 +1,43 @@
+//! The store's node in this router: its start, and the addresses at which it answers.
+use super::{Environment, bind, endpoints};
+use crate::commands::Error;
+use ::store::Store;
+use routing::EndpointsHandle;
+
+/// Starts this router's node. Where no registry is followed, the store's servers are the endpoint list.
+pub(super) fn start(environment: &Environment, list: &EndpointsHandle) -> Result<Store, Error> {
+    let operator = &environment.operator;
+    let node = operator.store.clone();
+    let settings = ::store::Settings {
+        node: node.node,
+        peers: node.peers,
+        folder: node.folder.map(Into::into),
+        seeds: environment.mysql.servers.iter().map(endpoints::server_document).collect(),
+        ..::store::Settings::default()
+    };
+    // A registry is the only source of the list where it is followed.
+    let list = operator.registry.is_none().then(|| list.clone());
+    let own_site = operator.mysql.site.clone();
+    let store = ::store::start(settings, move |state| {
+        if let Some(list) = &list {
+            list.notify(endpoints::endpoint_update(state, own_site.as_deref()));
+        }
+    })?;
+    Ok(store)
+}
+
+/// Answers the store's clients and the commands of `ctl`, each where the file gives it an address.
+pub(super) fn listen(node: &settings::operator::Store, store: &Store) -> Result<(), Error> {
+    if let Some(address) = node.clients {
+        let (listener, address) = bind("store.clients", address)?;
+        ::store::server::listen(listener, store.clone(), ::store::server::Limits::default())?;
+        tracing::info!("store: answering clients on {address}");
+    }
+    if let Some(address) = &node.control {
+        let (listener, address) = bind("store.control", address)?;
+        ::store::control::listen(listener, store.clone())
+            .map_err(|source| Error::Thread { what: "store.control", source })?;
+        tracing::info!("control: answering on {address}");
+    }
+    Ok(())
+}
--- a/src/commands/sessions.rs
+++ b/src/commands/sessions.rs
@@ -1,15 +1,16 @@
-//! `sessions`: what a folder holds, read without touching it, and what an instance that runs says of itself.
+//! `sessions`: what a folder of session journals holds, read without changing it, and the status of a running instance.
 use super::Error;
 use clap::Subcommand;
 use serde_json::json;
 use sessions::journal;
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 /// What is asked.
 #[derive(Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// Shows a summary of a folder, or of the instance that listens for its peers at an address.
     Show {
         /// A folder, or ip:port of `sessions.listen`.
@@ -27,53 +28,79 @@
     },
 }
 
-fn newest(folder: &Path) -> Result<(PathBuf, journal::Found), Error> {
-    let found = journal::newest(folder).map_err(|source| Error::Read { path: folder.into(), source })?;
-    let (path, read) = found.ok_or_else(|| Error::NoJournal(folder.into()))?;
-    match read {
-        Ok(found) => Ok((path, found)),
-        Err(fault) => Err(Error::Journal { path, fault }),
+/// How long an instance may take to answer with its status.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// The newest journal of a folder.
+struct NewestJournal {
+    path: PathBuf,
+    contents: journal::Found,
+}
+
+impl NewestJournal {
+    fn read(folder: &Path) -> Result<NewestJournal, Error> {
+        let newest =
+            journal::newest(folder).map_err(|source| Error::ReadFile { path: folder.into(), source })?;
+        let (path, read) = newest.ok_or_else(|| Error::NoSessionJournal(folder.into()))?;
+        match read {
+            Ok(contents) => Ok(NewestJournal { path, contents }),
+            Err(fault) => Err(Error::SessionJournal { path, fault }),
+        }
     }
 }
 
 /// Carries a command out.
-pub fn run(command: Command) -> Result<(), Error> {
+pub(crate) fn run(command: &Command) -> Result<(), Error> {
     match command {
         Command::Show { what } => match what.parse::<SocketAddr>() {
-            Ok(addr) => println!("{}", sessions::node::ask(addr, Duration::from_secs(3))?),
-            Err(_) => {
-                let (path, f) = newest(Path::new(&what))?;
-                let summary = json!({
-                    "file": path.display().to_string(),
-                    "instance": f.instance,
-                    "incarnation": f.incarnation,
-                    "records": f.records,
-                    "commits": f.entries.len(),
-                    "floor_us": f.floor.map(|t| t.0),
-                    "incomplete": f.incomplete,
-                    "torn_bytes": f.torn,
-                });
-                println!("{summary}");
-            }
+            Ok(address) => show_instance(address),
+            Err(_) => show_folder(Path::new(what)),
         },
-        Command::Dump { folder } => {
-            let (_, f) = newest(&folder)?;
-            // The newest commit of each, as a start would hold it.
-            let mut held = std::collections::BTreeMap::new();
-            for (key, at) in f.entries {
-                let newest = held.entry(key).or_insert(at);
-                *newest = (*newest).max(at);
-            }
-            held.iter().for_each(|(key, at)| println!("{:016x}\t{}", key.0, at.0));
-        }
-        Command::Verify { folder } => {
-            let (path, f) = newest(&folder)?;
-            let torn = match f.torn {
-                0 => String::new(),
-                n => format!(", then a torn tail of {n} bytes that a start cuts off"),
-            };
-            println!("{}: {} whole records in {} bytes{torn}", path.display(), f.records, f.whole);
-        }
+        Command::Dump { folder } => dump(folder),
+        Command::Verify { folder } => verify(folder),
     }
+}
+
+fn show_instance(address: SocketAddr) -> Result<(), Error> {
+    println!("{}", sessions::node::ask(address, STATUS_TIMEOUT)?);
+    Ok(())
+}
+
+fn show_folder(folder: &Path) -> Result<(), Error> {
+    let NewestJournal { path, contents } = NewestJournal::read(folder)?;
+    let summary = json!({
+        "file": path.display().to_string(),
+        "instance": contents.instance,
+        "incarnation": contents.incarnation,
+        "records": contents.records,
+        "commits": contents.entries.len(),
+        "floor_us": contents.floor.map(|time| time.0),
+        "incomplete": contents.incomplete,
+        "torn_bytes": contents.torn,
+    });
+    println!("{summary}");
+    Ok(())
+}
+
+/// Lists the newest commit of each session, as a start would restore it.
+fn dump(folder: &Path) -> Result<(), Error> {
+    let mut newest_commits = BTreeMap::new();
+    for (session, commit) in NewestJournal::read(folder)?.contents.entries {
+        let newest = newest_commits.entry(session).or_insert(commit);
+        *newest = (*newest).max(commit);
+    }
+    for (session, commit) in &newest_commits {
+        println!("{:016x}\t{}", session.0, commit.0);
+    }
+    Ok(())
+}
+
+fn verify(folder: &Path) -> Result<(), Error> {
+    let NewestJournal { path, contents } = NewestJournal::read(folder)?;
+    let torn = match contents.torn {
+        0 => String::new(),
+        bytes => format!(", then a torn tail of {bytes} bytes that a start cuts off"),
+    };
+    println!("{}: {} whole records in {} bytes{torn}", path.display(), contents.records, contents.whole);
     Ok(())
 }
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,24 +1,24 @@
-//! The log: lines on standard error, as text or as JSON, written by whichever thread has something to say.
+//! The log: lines on standard error, as text or as JSON.
 use settings::operator::Log;
 use tracing_subscriber::filter::LevelFilter;
 
-/// Starts the log as an operator's file says.
-pub fn start(log: &Log) {
+/// Starts the log with the level and the format that the configuration gives.
+pub(crate) fn start(log: &Log) {
     let level: LevelFilter = log.level.parse().unwrap_or(LevelFilter::INFO);
-    let lines = tracing_subscriber::fmt()
+    let subscriber = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .with_target(false)
         .with_max_level(level);
-    // A second start is no harm: the first one's settings stay.
-    _ = if log.json { lines.json().flatten_event(true).try_init() } else { lines.try_init() };
+    // A second start does no harm: the settings of the first one stay.
+    _ = if log.json { subscriber.json().flatten_event(true).try_init() } else { subscriber.try_init() };
 }
 
-/// The line that says why the program ends: in the log where it has begun, plainly where it has not.
-pub fn last(why: &str) {
+/// Reports why the program ends: in the log once it has been started, as a plain line before that.
+pub(crate) fn report_exit(reason: &str) {
     if tracing::dispatcher::has_been_set() {
-        tracing::error!("damsonvale: {why}");
+        tracing::error!("damsonvale: {reason}");
     } else {
-        eprintln!("damsonvale: {why}");
+        eprintln!("damsonvale: {reason}");
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,8 @@
-//! The router's program: one file for each sub-command under `commands`, wiring only.
+//! The program `damsonvale`: it reads the command line and starts one of the sub-commands.
 //!
-//! Without arguments it is one of the platform's routers; `serve FILE` (or the file alone) serves MySQL as an
-//! operator's file says. `--help` lists the rest.
+//! Without arguments it is one of the platform's routers; `serve FILE` (or the file alone) serves `MySQL` as an
+//! operator's file says. `--help` lists the rest. Each sub-command has a file under `commands`; they build the parts
+//! that the other packages bring, and decide nothing about requests themselves.
 mod commands;
 mod log;
 mod signals;
@@ -11,11 +12,17 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A router in front of database primaries and their replicas.
-///
-/// Without arguments it is a router of the platform, told by $BALANCER_CONFIG.
+/// The command line. Help is given as text instead of a doc comment where a doc comment would have to put a word into
+/// backticks, which the help would show.
 #[derive(Parser)]
-#[command(name = "damsonvale", version, args_conflicts_with_subcommands = true)]
+#[command(
+    name = "damsonvale",
+    about = "A router in front of database primaries and their replicas",
+    long_about = "A router in front of database primaries and their replicas.\n\n\
+                  Without arguments it is a router of the platform, told by $BALANCER_CONFIG.",
+    version,
+    args_conflicts_with_subcommands = true
+)]
 struct Cli {
     /// An operator's file to serve, as `serve FILE` does.
     file: Option<PathBuf>,
@@ -25,19 +32,19 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves MySQL as an operator's file says.
-    Serve(File),
+    #[command(about = "Serves MySQL as an operator's file says")]
+    Serve(FileArgument),
     /// Checks an operator's file and says what it sets up; exit code 1 and the faulty key where it can't be used.
-    Check(File),
+    Check(FileArgument),
     /// Reads or changes the store of a router that runs.
     Ctl(ctl::Arguments),
     /// Sets, shows and takes back the fleet's configuration in the store.
     #[command(subcommand)]
     Fleet(fleet::Command),
-    /// Lists the MySQL requests of a capture file.
-    Requests(File),
-    /// Sends a capture's requests through a router; the password is in $DAMSONVALE_PASSWORD.
-    Replay(capture::Replay),
+    #[command(about = "Lists the MySQL requests of a capture file")]
+    Requests(FileArgument),
+    #[command(about = "Sends a capture's requests through a router; the password is in $DAMSONVALE_PASSWORD")]
+    Replay(capture::ReplayArguments),
     /// Looks at the registry that an operator's file names, and changes what stands there.
     Registry(registry::Arguments),
     /// Looks at what sessions must see: a folder offline, or an instance that runs.
@@ -46,27 +53,28 @@
 }
 
 #[derive(Args)]
-struct File {
+struct FileArgument {
     /// The file.
     file: PathBuf,
 }
 
+/// Runs the sub-command that the arguments name.
 fn run() -> Result<(), commands::Error> {
-    // The platform's call: what reads arguments need not even be paged in there.
+    // How the platform starts a router: it saves the memory of the code that reads arguments.
     if std::env::args_os().len() == 1 {
         return platform::run();
     }
     let cli = Cli::parse();
     match cli.command {
         None => cli.file.map_or_else(platform::run, |file| serve::run(&file)),
-        Some(Command::Serve(f)) => serve::run(&f.file),
-        Some(Command::Check(f)) => check::run(&f.file),
+        Some(Command::Serve(argument)) => serve::run(&argument.file),
+        Some(Command::Check(argument)) => check::run(&argument.file),
         Some(Command::Ctl(arguments)) => ctl::run(&arguments),
         Some(Command::Fleet(command)) => fleet::run(&command),
-        Some(Command::Requests(f)) => capture::requests(&f.file),
-        Some(Command::Replay(asked)) => capture::replay(&asked),
+        Some(Command::Requests(argument)) => capture::list_requests(&argument.file),
+        Some(Command::Replay(arguments)) => capture::replay(&arguments),
         Some(Command::Registry(arguments)) => registry::run(&arguments),
-        Some(Command::Sessions(command)) => sessions::run(command),
+        Some(Command::Sessions(command)) => sessions::run(&command),
     }
 }
 
@@ -74,7 +82,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            log::last(&e.to_string());
+            log::report_exit(&e.to_string());
             ExitCode::FAILURE
         }
     }
