--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -85,12 +85,12 @@
     #[error("{}: there is no journal", .0.display())]
     NoSessionJournal(PathBuf),
     /// A sessions journal is damaged.
-    #[error("{}: {fault}", .path.display())]
+    #[error("{}: {source}", .path.display())]
     SessionJournal {
         /// Its file.
         path: PathBuf,
         /// The cause.
-        fault: sessions::journal::Fault,
+        source: sessions::journal::Fault,
     },
     /// A recording can't be started.
     #[error(transparent)]
@@ -144,12 +144,12 @@
     #[error(transparent)]
     RegistryRequest(#[from] registry::Failed),
     /// Every member of the registry failed; this is the error of the member that was tried last.
-    #[error("{addr}: {why}")]
+    #[error("{addr}: {source}")]
     RegistryMember {
         /// The member.
         addr: SocketAddr,
         /// The cause.
-        why: Box<Error>,
+        source: Box<Error>,
     },
     /// The registry does not hold a key.
     #[error("there is no {0}; `registry FILE get` lists what there is")]
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -97,7 +97,7 @@
 
 fn set(client: &Client, file: &Path, expected_version: Option<u64>, note: &str) -> Result<(), Error> {
     let text = super::read_file(file)?;
-    // Before the store is asked: a faulty file is reported as one even where the store does not answer.
+    // Checked before the store is contacted: a faulty file is reported as one even where the store does not answer.
     settings::fleet::read(&text, None).map_err(|source| Error::FleetFile { path: file.into(), source })?;
     let version = document::write(client, &text, expected_version, note)
         .map_err(|source| Error::FleetDocumentFile { path: file.into(), source })?;
--- a/src/commands/registry.rs
+++ b/src/commands/registry.rs
@@ -90,7 +90,7 @@
         for (index, &addr) in self.settings.endpoints.iter().enumerate() {
             match request(&mut connector.to(index)) {
                 Ok(response) => return Ok(response),
-                Err(why) => failed = Error::RegistryMember { addr, why: Box::new(why) },
+                Err(error) => failed = Error::RegistryMember { addr, source: Box::new(error) },
             }
         }
         Err(failed)
--- a/src/commands/registry/watch.rs
+++ b/src/commands/registry/watch.rs
@@ -7,7 +7,7 @@
 use ::registry::machine::{Change, Item, Revision};
 use std::time::Duration;
 
-/// How long etcd may be silent until the watch is told so; nothing follows from it here.
+/// How often a silent etcd watch calls back. Nothing is done then: a command that is watched by a person has no timeout.
 const ETCD_SILENCE: Duration = Duration::from_secs(1);
 /// How long Consul holds one request for changes.
 const CONSUL_WAIT: Duration = Duration::from_secs(5);
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -16,6 +16,7 @@
 use clients::{Clients, Listening, Order};
 use configuration::LiveConfiguration;
 use crossbeam_channel::bounded;
+use membership::Membership;
 use mysql_wire::front::Front;
 use mysql_wire::link::Mysql;
 use routing::{Clock, EndpointsHandle, RespondedEndpoints, RouterHandle};
@@ -50,7 +51,7 @@
 struct Core {
     handle: RouterHandle<Mysql>,
     endpoints: EndpointsHandle,
-    /// Which endpoints have responded to a request: set where a registry is followed, which weighs its news by that.
+    /// Which endpoints have responded to a request: set where a registry is followed, which judges its updates by that.
     responded: Option<Arc<RespondedEndpoints>>,
 }
 
@@ -67,38 +68,20 @@
     let clock_probes = environment.mysql.server_clock.then(|| protocol.clone());
     let core = start_core(&environment, protocol, random_seed)?;
     let store = store::start(&environment, &core.endpoints)?;
-    let fleet = match &environment.operator.fleet {
-        None => None,
-        Some(member) => Some(fleet::join(member, &environment, &store, &core)?),
-    };
+    let fleet = environment.operator.fleet.as_ref();
+    let fleet = fleet.map(|member| fleet::join(member, &environment, &store, &core)).transpose()?;
     store::listen(&environment.operator.store, &store)?;
     // The fleet comes before the first client, so that it finds a share and not the capacity of a router that is alone.
-    let members = match &environment.operator.members {
-        None => None,
-        Some(table) => {
-            let handle = core.handle.clone();
-            let router_count = environment.operator.settings.router_count;
-            Some(super::members::start(table, router_count, move |n| handle.set_router_count(n))?)
-        }
-    };
+    let members = join_members(&environment.operator, &core.handle)?;
     let listener = super::listen("mysql", &environment.mysql.listen)?;
     let address = local_address(&listener, &environment.mysql.listen)?;
     let Core { handle, endpoints, responded } = core;
-    let front = Front::new(
-        handle,
-        environment.mysql.clone(),
-        environment.limits.clone(),
-        start_recording(&environment.operator, address)?,
-        sessions.clone(),
-        fleet.clone(),
-    );
-    let configuration = Arc::new(LiveConfiguration::new(
-        path,
-        environment.operator.clone(),
-        front.clone(),
-        sessions.clone(),
-        store,
-    ));
+    let recording = start_recording(&environment.operator, address)?;
+    let (mysql, limits) = (environment.mysql.clone(), environment.limits.clone());
+    let front = Front::new(handle, mysql, limits, recording, sessions.clone(), fleet.clone());
+    let operator = environment.operator.clone();
+    let configuration = LiveConfiguration::new(path, operator, front.clone(), sessions.clone(), store);
+    let configuration = Arc::new(configuration);
     let registry = registry::start(&environment, address, endpoints, responded, configuration.clone())?;
     let (shutdown_sender, shutdown_orders) = bounded(1);
     let shut_down = move || _ = shutdown_sender.try_send(Order::End);
@@ -149,6 +132,15 @@
     Ok(Core { handle, endpoints, responded })
 }
 
+/// Joins the fleet whose members share the capacity, where the file names one, and follows their number.
+fn join_members(operator: &Operator, handle: &RouterHandle<Mysql>) -> Result<Option<Membership>, Error> {
+    let Some(table) = &operator.members else { return Ok(None) };
+    let handle = handle.clone();
+    let on_router_count = move |count| handle.set_router_count(count);
+    let router_count = operator.settings.router_count;
+    super::members::start(table, router_count, on_router_count).map(Some)
+}
+
 /// Starts to record requests, where the file asks for it.
 fn start_recording(
     operator: &Operator,
--- a/src/commands/serve/endpoints.rs
+++ b/src/commands/serve/endpoints.rs
@@ -1,7 +1,7 @@
 //! Servers as the store holds them: one JSON document for each, read as the router's endpoint list.
 use routing::{EndpointEntry, EndpointUpdate, GroupId, MemberState};
 use serde_json::{Value, json};
-use settings::Error as Fault;
+use settings::Error as SettingsError;
 use settings::fields::{number, text, whole};
 use settings::operator::Server;
 use std::net::SocketAddr;
@@ -27,14 +27,14 @@
 pub(super) fn endpoint_update(state: &store::State, own_site: Option<&str>) -> EndpointUpdate {
     let entry = |(key, value): (&str, &store::Value)| {
         let entry = endpoint_entry(key, &value.text, own_site);
-        entry.map_err(|fault| tracing::error!("list: {key}: {fault}")).ok()
+        entry.map_err(|error| tracing::error!("list: {key}: {error}")).ok()
     };
     let entries = state.with_prefix(KEY_PREFIX).filter_map(entry).collect();
     EndpointUpdate { version: state.applied_index, complete: true, endpoints: entries }
 }
 
 /// Reads one server's document.
-fn endpoint_entry(key: &str, document: &str, own_site: Option<&str>) -> Result<EndpointEntry, Fault> {
+fn endpoint_entry(key: &str, document: &str, own_site: Option<&str>) -> Result<EndpointEntry, SettingsError> {
     let document: Value = serde_json::from_str(document)?;
     let address = text(&document, "addr")?;
     let state = member_state(text(&document, "state")?)?;
@@ -53,16 +53,16 @@
     })
 }
 
-fn member_state(state: &str) -> Result<MemberState, Fault> {
+fn member_state(state: &str) -> Result<MemberState, SettingsError> {
     match state {
         IN_SERVICE => Ok(MemberState::Ready),
         DRAINING => Ok(MemberState::Draining),
-        other => Err(Fault::value("state", "in_service or draining", format_args!("'{other}'"))),
+        other => Err(SettingsError::value("state", "in_service or draining", format_args!("'{other}'"))),
     }
 }
 
-fn parse_address(address: &str) -> Result<SocketAddr, Fault> {
-    address.parse().map_err(|_| Fault::value("addr", "ip:port", format_args!("'{address}'")))
+fn parse_address(address: &str) -> Result<SocketAddr, SettingsError> {
+    address.parse().map_err(|_| SettingsError::value("addr", "ip:port", format_args!("'{address}'")))
 }
 
 /// Distance to a server: where the router's own site is known, servers of other sites and of none are farther.
--- a/src/commands/serve/endpoints/tests.rs
+++ b/src/commands/serve/endpoints/tests.rs
@@ -1,7 +1,7 @@
 //! The stored form of servers, and the endpoint list that is read from it.
-use super::{endpoint_update, server_document};
+use super::{endpoint_entry, endpoint_update, server_document};
 use crossbeam_channel::bounded;
-use routing::EndpointEntry;
+use routing::{EndpointEntry, GroupId, MemberState};
 use settings::operator::Server;
 use std::net::SocketAddr;
 
@@ -23,6 +23,22 @@
     assert_eq!(lines, STORED_SERVERS.lines().collect::<Vec<_>>());
 }
 
+#[test]
+fn stored_server_is_read_to_its_endpoint() {
+    let entry = |line: &str| {
+        let (key, document) = line.split_once('\t').expect("a key, a tab and a document");
+        endpoint_entry(key, document, Some("north")).expect("a document that can be read")
+    };
+    let [near, far] = STORED_SERVERS.lines().map(entry).collect::<Vec<_>>().try_into().expect("two servers");
+    assert_eq!((near.id.as_str(), near.addr, near.group), ("a", loopback(9), GroupId(0)));
+    assert_eq!((near.site.as_deref(), near.zone, near.weight), (Some("north"), 0, 1.0));
+    assert_eq!((far.id.as_str(), far.addr, far.group), ("b", loopback(10), GroupId(3)));
+    assert_eq!((far.site.as_deref(), far.zone, far.weight), (None, 1, 0.5));
+    for entry in [near, far] {
+        assert_eq!((entry.state, entry.listed_primary), (MemberState::Ready, false));
+    }
+}
+
 #[test]
 fn servers_of_own_site_are_near_and_servers_without_site_are_far() {
     let seed = |(id, site): (&str, &str)| {
--- a/src/commands/sessions.rs
+++ b/src/commands/sessions.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What is asked.
+/// `sessions`' commands.
 #[derive(Subcommand)]
 pub(crate) enum Command {
     /// Shows a summary of a folder, or of the instance that listens for its peers at an address.
@@ -44,7 +44,7 @@
         let (path, read) = newest.ok_or_else(|| Error::NoSessionJournal(folder.into()))?;
         match read {
             Ok(contents) => Ok(NewestJournal { path, contents }),
-            Err(fault) => Err(Error::SessionJournal { path, fault }),
+            Err(source) => Err(Error::SessionJournal { path, source }),
         }
     }
 }
