--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -29,7 +29,7 @@
     NoPlatformConfiguration,
     /// The socket that the platform passed can't be used.
     #[error("BALANCER_PASSED_SOCKET: {0}")]
-    InheritedSocket(#[from] clients::PassedError),
+    InheritedSocket(#[from] clients::InheritedSocketError),
     /// The address of the passed socket can't be read.
     #[error("BALANCER_PASSED_SOCKET: {0}; let the platform pass it anew")]
     InheritedSocketAddress(io::Error),
@@ -142,7 +142,7 @@
     NoRegistry(PathBuf),
     /// A request did not reach the registry, or was rejected by it.
     #[error(transparent)]
-    RegistryRequest(#[from] registry::Failed),
+    RegistryRequest(#[from] registry::RequestError),
     /// Every member of the registry failed; this is the error of the member that was tried last.
     #[error("{addr}: {source}")]
     RegistryMember {
--- a/src/commands/platform.rs
+++ b/src/commands/platform.rs
@@ -8,7 +8,7 @@
 use crate::signals;
 use ::admin::AdminService;
 use admin::AdminListener;
-use clients::{Clients, Listening, Order};
+use clients::{ClientListener, ClientServer, ServerCommand};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use discovery::Watch;
 use postgres::front::Front;
@@ -46,7 +46,9 @@
     let watch = start_discovery(&configuration.start, &router)?;
     let listener = match inherited {
         Some(listener) => announce_inherited(listener, &configuration.start.name)?,
-        None => Listening::Own(super::listen(&configuration.start.name, &configuration.start.listen)?),
+        None => {
+            ClientListener::Exclusive(super::listen(&configuration.start.name, &configuration.start.listen)?)
+        }
     };
     let stack_bytes = router.limits.module_stack_bytes;
     let reload = configuration.into_reload(watch);
@@ -85,9 +87,9 @@
         if self.start.known.is_null() {
             return Ok(());
         }
-        let mut reader = discovery::entries::Reader::new(self.start.names.zones.clone());
+        let mut reader = discovery::endpoint_list::EndpointListParser::new(self.start.names.zones.clone());
         let mut known = reader
-            .news(&self.start.known)
+            .parse_value(&self.start.known)
             .map_err(|e| Error::Settings { path: self.path.clone(), source: e.at("known") })?;
         known.complete = true;
         endpoints.notify(known);
@@ -116,7 +118,7 @@
     handle: RouterHandle<Postgres>,
     endpoints: EndpointsHandle,
     front: Arc<Front>,
-    clients: Arc<Clients<Front>>,
+    clients: Arc<ClientServer<Front>>,
     limits: Arc<Limits>,
 }
 
@@ -136,12 +138,12 @@
         };
         let (handle, endpoints) = builder.start().map_err(Error::Core)?;
         let front = Front::new(handle.clone(), limits.clone(), &start.names.classes, &start.settings);
-        let clients = Clients::new(front.clone(), limits.clone());
+        let clients = ClientServer::new(front.clone(), limits.clone());
         Ok(Router { handle, endpoints, front, clients, limits })
     }
 
     /// Serves clients until an order to shut down.
-    fn serve(self, listener: Listening, orders: &Receiver<Order>) -> Result<(), Error> {
+    fn serve(self, listener: ClientListener, orders: &Receiver<ServerCommand>) -> Result<(), Error> {
         self.clients.serve(listener, orders).map_err(Error::ClientListener)
     }
 }
@@ -152,7 +154,7 @@
     let limits = &router.limits;
     let watch = Watch::new(start.names.zones.clone(), limits.clone(), router.endpoints.clone());
     watch.follow(start.discovery).map_err(Error::DiscoveryWatch)?;
-    if !watch.first(limits.watch_first) {
+    if !watch.wait_for_first_line(limits.watch_first) {
         tracing::warn!("discovery: nothing heard yet, starting with the list known from before");
     }
     // A machine that is too busy to apply the list in time does not keep the router from starting.
@@ -163,25 +165,25 @@
 }
 
 /// The listening socket that the platform has passed, if it has.
-fn inherited_listener() -> Result<Option<Listening>, Error> {
+fn inherited_listener() -> Result<Option<ClientListener>, Error> {
     let descriptor = environment("BALANCER_PASSED_SOCKET").filter(|text| !text.is_empty());
-    Ok(descriptor.map(|descriptor| Listening::passed(&descriptor)).transpose()?)
+    Ok(descriptor.map(|descriptor| ClientListener::from_inherited_descriptor(&descriptor)).transpose()?)
 }
 
 /// Logs where an inherited socket listens, as is logged of one that the router opens itself.
-fn announce_inherited(listener: Listening, name: &str) -> Result<Listening, Error> {
+fn announce_inherited(listener: ClientListener, name: &str) -> Result<ClientListener, Error> {
     let address = listener.local_addr().map_err(Error::InheritedSocketAddress)?;
     tracing::info!("{name}: listening on {address}");
     Ok(listener)
 }
 
 /// What SIGTERM runs: announces the shutdown to the router's other processes, and orders it.
-fn shut_down(admin: Option<Arc<AdminService>>, orders: Sender<Order>) -> impl Fn() + Send + 'static {
+fn shut_down(admin: Option<Arc<AdminService>>, orders: Sender<ServerCommand>) -> impl Fn() + Send + 'static {
     move || {
         if let Some(admin) = &admin {
             admin.announce_shutdown();
         }
         // Waits where operators' orders fill the queue while the program still starts: the shutdown must not be lost.
-        _ = orders.send(Order::End);
+        _ = orders.send(ServerCommand::Shutdown);
     }
 }
--- a/src/commands/platform/admin.rs
+++ b/src/commands/platform/admin.rs
@@ -2,7 +2,7 @@
 use super::Router;
 use crate::commands::Error;
 use ::admin::{AdminLimits, AdminServer, AdminService, ServiceDependencies};
-use clients::Order;
+use clients::ServerCommand;
 use crossbeam_channel::Sender;
 use routing::{Clock, Metrics};
 use settings::start::Start;
@@ -38,7 +38,7 @@
         self,
         start: &Start,
         router: &Router,
-        client_orders: Sender<Order>,
+        client_orders: Sender<ServerCommand>,
     ) -> Result<Arc<AdminService>, Error> {
         let draining_clients = router.clients.clone();
         let (clients, front, handle) = (router.clients.clone(), router.front.clone(), router.handle.clone());
@@ -46,10 +46,10 @@
             metrics: self.metrics,
             endpoints: router.endpoints.clone(),
             client_orders,
-            set_draining: Box::new(move |draining| draining_clients.drain(draining)),
+            set_draining: Box::new(move |draining| draining_clients.set_draining(draining)),
             accepting: router.clients.accepting(),
             set_process_count: Box::new(move |count| {
-                clients.sharing(count as usize);
+                clients.set_process_count(count as usize);
                 handle.set_process_count(count);
                 front.sharing(count);
             }),
--- a/src/commands/registry.rs
+++ b/src/commands/registry.rs
@@ -2,7 +2,7 @@
 mod watch;
 
 use super::Error;
-use ::registry::client::{Asks, Way};
+use ::registry::client::{MemberClient, MemberConnector};
 use ::registry::fleet::{Node, State};
 use ::registry::machine::Item;
 use clap::{Args, Subcommand};
@@ -83,12 +83,15 @@
     }
 
     /// Tries every member in turn, until a request succeeds. The error is that of the last member.
-    fn try_members<T>(&self, mut request: impl FnMut(&mut Asks) -> Result<T, Error>) -> Result<T, Error> {
-        let connector = Way::new(&self.settings, &self.operator.limits)?;
+    fn try_members<T>(
+        &self,
+        mut request: impl FnMut(&mut MemberClient) -> Result<T, Error>,
+    ) -> Result<T, Error> {
+        let connector = MemberConnector::new(&self.settings, &self.operator.limits)?;
         // Never returned: the settings have at least one member.
         let mut failed = Error::NoRegistry(self.file.clone());
         for (index, &addr) in self.settings.endpoints.iter().enumerate() {
-            match request(&mut connector.to(index)) {
+            match request(&mut connector.client_for(index)) {
                 Ok(response) => return Ok(response),
                 Err(error) => failed = Error::RegistryMember { addr, source: Box::new(error) },
             }
--- a/src/commands/registry/watch.rs
+++ b/src/commands/registry/watch.rs
@@ -1,9 +1,9 @@
 //! `registry FILE watch`: prints what the registry holds, then each change.
 use super::{NamedRegistry, format_item};
 use crate::commands::Error;
-use ::registry::client::Asks;
+use ::registry::client::MemberClient;
 use ::registry::consul::Consul;
-use ::registry::etcd::{Etcd, Heard};
+use ::registry::etcd::{Etcd, WatchEvent};
 use ::registry::machine::{Change, Item, Revision};
 use std::time::Duration;
 
@@ -46,8 +46,8 @@
         let contents = Contents { revision: position.revision, items };
         let mut printer = ChangePrinter { remaining: max_changes };
         match member {
-            Asks::Etcd(etcd) => watch_etcd(etcd, prefix, &contents, &mut printer),
-            Asks::Consul(consul) => watch_consul(consul, prefix, contents, &mut printer),
+            MemberClient::Etcd(etcd) => watch_etcd(etcd, prefix, &contents, &mut printer),
+            MemberClient::Consul(consul) => watch_consul(consul, prefix, contents, &mut printer),
         }
     })
 }
@@ -64,7 +64,7 @@
         Change::Delete(key, revision) => deletion(*revision, key),
     };
     etcd.watch(prefix, contents.revision + 1, ETCD_SILENCE, |event| match event {
-        Heard::Changes(changes) => changes.iter().all(|change| printer.print(&line(change))),
+        WatchEvent::Changes(changes) => changes.iter().all(|change| printer.print(&line(change))),
         _ => true,
     })?;
     Ok(())
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -13,7 +13,7 @@
 use super::Error;
 use crate::signals;
 use ::sessions::node::Sessions;
-use clients::{Clients, Listening, Order};
+use clients::{ClientListener, ClientServer, ServerCommand};
 use configuration::LiveConfiguration;
 use crossbeam_channel::bounded;
 use membership::Membership;
@@ -84,7 +84,7 @@
     let configuration = Arc::new(configuration);
     let registry = registry::start(&environment, address, endpoints, responded, configuration.clone())?;
     let (shutdown_sender, shutdown_orders) = bounded(1);
-    let shut_down = move || _ = shutdown_sender.try_send(Order::End);
+    let shut_down = move || _ = shutdown_sender.try_send(ServerCommand::Shutdown);
     let stack_bytes = environment.limits.module_stack_bytes;
     signals::handle(signals, stack_bytes, move || configuration.reload(), shut_down)?;
     if let Some(protocol) = clock_probes {
@@ -94,7 +94,8 @@
         None => shutdown_orders,
         Some(client) => shutdown::deregister_on_shutdown(client, shutdown_orders, stack_bytes)?,
     };
-    let served = Clients::new(front, environment.limits).serve(Listening::Own(listener), &orders);
+    let served =
+        ClientServer::new(front, environment.limits).serve(ClientListener::Exclusive(listener), &orders);
     sessions.stop();
     // No request is admitted any more, so the fleet may give this router's share to the others.
     if let Some(fleet) = fleet {
--- a/src/commands/serve/configuration.rs
+++ b/src/commands/serve/configuration.rs
@@ -1,7 +1,7 @@
 //! The configuration while the router runs: the operator's file, and what a registry says besides.
 use crate::commands::Error;
 use mysql_wire::front::Front;
-use registry::client::{Heeds, Router};
+use registry::client::{RegistryObserver, Router};
 use sessions::node::Sessions;
 use settings::operator::{Operator, Reload};
 use std::collections::BTreeMap;
@@ -77,7 +77,7 @@
     }
 }
 
-impl Heeds for LiveConfiguration {
+impl RegistryObserver for LiveConfiguration {
     fn config(&self, text: Option<&str>) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
         let mut registered = self.registered();
         let reload = self.read(text)?;
--- a/src/commands/serve/shutdown.rs
+++ b/src/commands/serve/shutdown.rs
@@ -1,6 +1,6 @@
 //! The order of a graceful shutdown where this router is registered.
 use crate::commands::Error;
-use clients::Order;
+use clients::ServerCommand;
 use crossbeam_channel::{Receiver, bounded};
 use registry::client::Client;
 use std::sync::Arc;
@@ -9,9 +9,9 @@
 /// the orders that the client listener is to follow instead of `shutdown_orders`.
 pub(super) fn deregister_on_shutdown(
     client: Arc<Client>,
-    shutdown_orders: Receiver<Order>,
+    shutdown_orders: Receiver<ServerCommand>,
     stack_bytes: usize,
-) -> Result<Receiver<Order>, Error> {
+) -> Result<Receiver<ServerCommand>, Error> {
     let (sender, forwarded_orders) = bounded(1);
     let forward = move || {
         // The listener's grace period begins before the lease is given up, which takes less time than that.
