--- a/clients/tests/connections/shutdown.rs
+++ b/clients/tests/connections/shutdown.rs
@@ -90,11 +90,15 @@
     let server = TestServer::start(test_limits(), move |connection| {
         let mut reader = connection.command_reader(false);
         let mut byte = [0];
-        assert!(connection.begin_command(false));
-        // The connection that wakes the accept thread sends nothing.
+        let begun = connection.begin_command(false);
+        // The connection that wakes the accept thread sends nothing, and may be closed before its thread runs.
         if reader.read_exact(&mut byte).is_err() {
-            return connection.finish_command();
+            if begun {
+                connection.finish_command();
+            }
+            return;
         }
+        assert!(begun);
         half_read.send(connection.clone()).unwrap();
         // The second half, which arrives too late.
         reader_ended.send(reader.read(&mut byte).map_err(|e| e.kind())).unwrap();
--- a/store/tests/cluster/writes.rs
+++ b/store/tests/cluster/writes.rs
@@ -40,7 +40,10 @@
     let attempt_timeout = Duration::from_millis(300);
     let client = Client::new(Settings { attempt_timeout, call_timeout: LONG, ..Settings::new(nodes, 1) });
     client.put("a", "1", expecting(0)).unwrap();
-    let watch = cluster.client(2).watch("", None).unwrap();
+    // A majority has applied it, perhaps without the node that is watched: its watch must not start before it.
+    let watched = cluster.client(2);
+    assert_eq!(watched.get("a", Consistency::Linearizable).unwrap().value.unwrap().text, "1");
+    let watch = watched.watch("", None).unwrap();
     let before = next_snapshot(&watch).position;
     // Nothing comes back from the first node any more: the write is applied there, and retried at the second.
     link.faults(|f| f.deaf_back = true);
