--- a/admin/src/lib.rs
+++ b/admin/src/lib.rs
@@ -7,7 +7,7 @@
 //! One thread serves all connections, on non-blocking sockets, so that hundreds of them cost no threads. `mio` tells it
 //! which sockets are ready. The alternatives were `polling`, whose registrations are `unsafe` and must be undone by hand
 //! before a socket is dropped (this workspace has no `unsafe`); `poll(2)` by hand, which repeats what a library does; and
-//! a thread for each connection, as [`clients`](../clients/index.html) has, where a thousand idle connections cost a
+//! a thread for each connection, as [`client_listener`](../client_listener/index.html) has, where a thousand idle connections cost a
 //! thousand stacks and their scheduling.
 mod command;
 mod connection;
--- a/admin/src/service.rs
+++ b/admin/src/service.rs
@@ -7,7 +7,7 @@
 use crate::command::Command;
 use crate::handler::AdminHandler;
 use crate::response::Response;
-use clients::ServerCommand;
+use client_listener::ServerCommand;
 use coordinator::Coordinator;
 use crossbeam_channel::Sender;
 use maintenance::Event;
--- a/admin/src/service/coordinator.rs
+++ b/admin/src/service/coordinator.rs
@@ -3,7 +3,7 @@
 use super::ServiceDependencies;
 use super::shared_folder::SharedFolder;
 use crate::response::Response;
-use clients::ServerCommand;
+use client_listener::ServerCommand;
 use maintenance::{
     Action, EndpointChange, Event, Machine, MaintenanceError, MaintenanceMask, OtherProcesses,
     SharedFolderError,
--- a/admin/tests/common/router.rs
+++ b/admin/tests/common/router.rs
@@ -2,7 +2,7 @@
 //! other parts do is recorded.
 use super::{LONG, serve_handler};
 use admin::{AdminService, ServiceDependencies};
-use clients::ServerCommand;
+use client_listener::ServerCommand;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use routing::{
     AttemptGuard, BackendProtocol, Clock, Connection, ConnectionPermit, EndpointEntry, EndpointUpdate,
--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -7,12 +7,12 @@
 use hdrhistogram::Histogram;
 use mysql::prelude::Queryable;
 use mysql::{Conn, OptsBuilder};
-use standins::fleet::Fleet;
-use standins::registry::Registry;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
+use test_servers::fleet::Fleet;
+use test_servers::registry::Registry;
 
 const PREFIX: &str = "/damsonvale/shop/";
 
--- a/benches/sessions.rs
+++ b/benches/sessions.rs
@@ -11,11 +11,11 @@
 use mysql::prelude::Queryable;
 use sessions::Key;
 use sessions::journal::{self, Whole};
-use standins::fleet::Fleet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
+use test_servers::fleet::Fleet;
 
 const HEARTBEAT: Duration = Duration::from_millis(5);
 
--- a/clients/tests/connections/closing.rs
+++ b/client-listener/tests/connections/closing.rs
@@ -3,7 +3,7 @@
     LONG, TestServer, assert_closed_without_reset, test_limits, wait_until, wait_until_dropped,
     wait_until_readable,
 };
-use clients::Connection;
+use client_listener::Connection;
 use socket2::SockRef;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
--- a/clients/tests/connections/shutdown.rs
+++ b/client-listener/tests/connections/shutdown.rs
@@ -3,7 +3,7 @@
     ByteCommands, LONG, TestServer, assert_closed_without_reset, byte_commands, receiving_side_ended,
     respond, test_limits, wait_until, wait_until_dropped,
 };
-use clients::{Connection, SocketState};
+use client_listener::{Connection, SocketState};
 use crossbeam_channel::{bounded, unbounded};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
--- a/clients/tests/connections/support.rs
+++ b/client-listener/tests/connections/support.rs
@@ -1,5 +1,5 @@
 //! Servers on loopback sockets whose handlers do as a test says, and checks of what their clients see.
-use clients::{ClientListener, ClientServer, Connection, ConnectionHandler, ServerCommand};
+use client_listener::{ClientListener, ClientServer, Connection, ConnectionHandler, ServerCommand};
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use routing::RequestId;
 use routing::socket::peek;
--- a/clients/tests/in_flight_requests.rs
+++ b/client-listener/tests/in_flight_requests.rs
@@ -1,5 +1,5 @@
 //! The requests in flight on a connection and the disconnect of its client, in any order.
-use clients::in_flight_requests::InFlightRequests;
+use client_listener::in_flight_requests::InFlightRequests;
 use routing::RequestId;
 use std::sync::{Barrier, Mutex};
 
--- a/clients/tests/recorded_run.rs
+++ b/client-listener/tests/recorded_run.rs
@@ -1,6 +1,6 @@
 //! A recorded run of the shutdown state machine: seeded events in, actions out. The file under `fixtures/` was written
 //! by the program before its types were renamed; the present code has to take the same actions at the same moments.
-use clients::shutdown::{Action, ClosePolicy, Event, GracefulShutdown, ShutdownTimes};
+use client_listener::shutdown::{Action, ClosePolicy, Event, GracefulShutdown, ShutdownTimes};
 use std::fmt::Write;
 use std::time::Duration;
 
--- a/clients/tests/shutdown.rs
+++ b/client-listener/tests/shutdown.rs
@@ -1,5 +1,5 @@
 //! The shutdown state machine: when its stages begin, and what holds in any order of events.
-use clients::shutdown::{Action, ClosePolicy, Event, GracefulShutdown, ShutdownTimes};
+use client_listener::shutdown::{Action, ClosePolicy, Event, GracefulShutdown, ShutdownTimes};
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/fleet/tests/service.rs
+++ b/fleet/tests/service.rs
@@ -7,12 +7,12 @@
 use fleet::wire::{self, Request, Response, UNKNOWN_LEADER};
 use quotas::{QuotaClient, QuotaClientSettings, Report};
 use routing::Clock;
-use standins::proxy::Proxy;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 use store::client::Client;
+use test_servers::proxy::Proxy;
 
 const DOCUMENT: &str = "routers = 300\nunnamed = 'all'\n[[tenant]]\nname = 'all'\nrate = 3000.0\nburst = 3000\non_loss = 'closed'\n";
 
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -35,7 +35,7 @@
         /// Its file.
         path: PathBuf,
         /// The key and what is wrong with it.
-        source: emulator::PlanError,
+        source: simulator::PlanError,
     },
     /// Results are none.
     #[error("{}: {source}; give a folder that `run --out` or `sweep --out` wrote", .path.display())]
@@ -93,14 +93,14 @@
         /// Its file.
         path: PathBuf,
         /// The key and what is wrong with it.
-        source: processes::plan::PlanError,
+        source: multiprocess::plan::PlanError,
     },
     /// There is no router to start.
     #[error("no program 'damsonvale' beside this one: build it, or name it with --program")]
     NoProgram,
     /// Processes did not start, or did not end.
     #[error(transparent)]
-    Played(processes::run::RunError),
+    Played(multiprocess::run::RunError),
     /// What the servers and clients recorded breaks a bound.
     #[error("the checker found what must not be")]
     Found,
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -63,7 +63,7 @@
         Command::Life(asked) => life::run(&asked),
         Command::Soak(asked) => soak::run(&asked),
         Command::Plan => {
-            toml::to_string(&emulator::Plan::default()).map_err(Into::into).map(|text| print!("{text}"))
+            toml::to_string(&simulator::Plan::default()).map_err(Into::into).map(|text| print!("{text}"))
         }
     };
     match done {
--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -1,7 +1,7 @@
 //! `processes`: hundreds of real routers on this machine, by a plan.
 use crate::error::Error;
 use clap::Args;
-use processes::{check::Bounds, plan, run};
+use multiprocess::{check::Bounds, plan, run};
 use std::path::PathBuf;
 
 /// `processes`' arguments.
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -2,7 +2,7 @@
 use crate::error::Error;
 use crate::{chart, spread, table};
 use clap::Args;
-use emulator::{Plan, Results, play};
+use simulator::{Plan, Results, play};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
--- a/lab/src/spread.rs
+++ b/lab/src/spread.rs
@@ -1,7 +1,7 @@
 //! How evenly replicas were given work, over the seeds of a case, with bootstrap intervals.
 use crate::run::Case;
-use emulator::spread::{Ratio, Spread};
 use fastrand::Rng;
+use simulator::spread::{Ratio, Spread};
 use std::fmt::Write;
 
 /// Draws of a bootstrap.
--- a/lab/src/table.rs
+++ b/lab/src/table.rs
@@ -1,12 +1,12 @@
 //! Tables of results: as text, as JSON, and as parquet for other tools.
 use crate::error::Error;
 use crate::run::Case;
-use emulator::Results;
-use emulator::result::Counts;
 use parquet::data_type::{ByteArray, ByteArrayType, Int64Type};
 use parquet::file::properties::WriterProperties;
 use parquet::file::writer::SerializedFileWriter;
 use parquet::schema::parser::parse_message_type;
+use simulator::Results;
+use simulator::result::Counts;
 use std::fmt::Write;
 use std::path::Path;
 use std::sync::Arc;
@@ -175,9 +175,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use emulator::{Plan, play};
     use parquet::file::reader::{FileReader, SerializedFileReader};
     use parquet::record::RowAccessor;
+    use simulator::{Plan, play};
 
     #[test]
     fn what_is_written_is_read_again() {
--- a/lab/tests/tool.rs
+++ b/lab/tests/tool.rs
@@ -60,7 +60,7 @@
     for plan in std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("plans")).unwrap() {
         let text = std::fs::read_to_string(plan.unwrap().path()).unwrap();
         // Of the emulator, or of real processes.
-        let read = emulator::Plan::read(&text).is_ok() || processes::plan::read(&text).is_ok();
+        let read = simulator::Plan::read(&text).is_ok() || multiprocess::plan::read(&text).is_ok();
         assert!(read, "{text}");
     }
 }
@@ -68,7 +68,7 @@
 #[test]
 fn a_load_counts_a_stall_from_when_requests_were_due() {
     use std::time::Duration;
-    let fleet = standins::fleet::Fleet::start(&[], Duration::from_millis(5));
+    let fleet = test_servers::fleet::Fleet::start(&[], Duration::from_millis(5));
     let at = fleet.servers()[0].1.to_string();
     let load = |connections: &str| {
         lab(&[
--- a/membership/tests/sockets.rs
+++ b/membership/tests/sockets.rs
@@ -1,10 +1,10 @@
 //! The driver's thread on real sockets, behind proxies that can cut the link. Intervals of tens of milliseconds.
 use crossbeam_channel::Receiver;
 use membership::{Change, Config, Error, Member, Membership, Settings};
-use standins::udp::UdpProxy;
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
+use test_servers::udp::UdpProxy;
 
 /// Only a test that fails waits this long.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
--- a/processes/src/load.rs
+++ b/multiprocess/src/load.rs
@@ -176,7 +176,7 @@
     let flags: u32 = 1 << 3 | 1 << 9 | 1 << 13 | 1 << 15 | 1 << 19;
     let texts = b"load\0\0shop\0mysql_native_password\0";
     let login = [&flags.to_le_bytes()[..], &(1u32 << 24).to_le_bytes(), &[45], &[0; 23], texts].concat();
-    standins::wire::packets(1, &[&login])
+    test_servers::wire::packets(1, &[&login])
 }
 
 /// What an answer's packets say so far: `None` where more follows, else an error's code, and the id of a row.
@@ -290,7 +290,7 @@
     fn send(&mut self, n: usize, due: Due, now: Instant) {
         let conn = &mut self.conns[n];
         let command = [&[3], due.text.as_bytes()].concat();
-        conn.write.extend(standins::wire::packets(0, &[&command]));
+        conn.write.extend(test_servers::wire::packets(0, &[&command]));
         conn.state = State::Busy(due, now);
         if !conn.stream.as_mut().is_some_and(|s| write_some(s, &mut conn.write)) {
             self.drop_conn(n, Outcome::Lost);
--- a/processes/src/run.rs
+++ b/multiprocess/src/run.rs
@@ -7,7 +7,6 @@
 use crate::report::{Costs, Report};
 use crate::servers::Servers;
 use nix::sys::signal::Signal;
-use standins::proxy::Proxy;
 use std::fmt::Write;
 use std::io;
 use std::net::SocketAddr;
@@ -16,6 +15,7 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
+use test_servers::proxy::Proxy;
 use thiserror::Error;
 
 /// A process may take this long to start: hundreds start at once.
--- a/processes/src/servers.rs
+++ b/multiprocess/src/servers.rs
@@ -7,7 +7,6 @@
 use mio::event::Event;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
-use standins::wire::{OK, error, greeting, packets, row};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::io::{self, ErrorKind, Read, Write};
@@ -15,6 +14,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
+use test_servers::wire::{OK, error, greeting, packets, row};
 
 /// Whole packets at the front of a buffer are taken out of it.
 pub(crate) fn take_packet(buffer: &mut Vec<u8>) -> Option<Vec<u8>> {
@@ -217,7 +217,7 @@
     fn asked(&mut self, conn: &mut Conn, token: Token, sql: &str) {
         let read_only = !self.server.primary;
         if sql.starts_with("SELECT probe") {
-            let beat = (standins::fleet::now() / 1000).to_string();
+            let beat = (test_servers::fleet::now() / 1000).to_string();
             return conn.write.extend(row(&[if read_only { "1" } else { "0" }, &beat]));
         }
         let (reads, id) = (sql.starts_with("SELECT"), sql.split('\'').nth(1).and_then(|id| id.parse().ok()));
--- a/processes/tests/check.rs
+++ b/multiprocess/tests/check.rs
@@ -1,6 +1,6 @@
 //! The checker on histories made by hand: each fault of one is found, and a good one is accepted.
-use processes::check::{Bounds, Verdict, Violation, check};
-use processes::history::{
+use multiprocess::check::{Bounds, Verdict, Violation, check};
+use multiprocess::history::{
     Bound, Down, History, Micros, Outcome, Request, Server, Sites, Statement, Step, Tenant,
 };
 
--- a/mysql/src/front.rs
+++ b/mysql/src/front.rs
@@ -8,7 +8,7 @@
 use crate::results::{AUTOCOMMIT, OK, eof, one_row};
 use crate::statement::{Need, Scan, need, scan};
 use crate::{Tap, command};
-use clients::{Connection, ConnectionHandler, is_timeout};
+use client_listener::{Connection, ConnectionHandler, is_timeout};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use routing::reasons::CloseReason;
 use routing::{ClientRequest, FinalResponse, GroupId, RequestId, RouterHandle, Time, spawn_within};
--- a/mysql/src/packet.rs
+++ b/mysql/src/packet.rs
@@ -63,7 +63,7 @@
             if self.is_empty() {
                 let got = match from.read(&mut self.bytes) {
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-                    Err(e) if !any && clients::is_timeout(&e) => return Err(Broken::Silent),
+                    Err(e) if !any && client_listener::is_timeout(&e) => return Err(Broken::Silent),
                     got => got?,
                 };
                 (self.start, self.end) = (0, got);
--- a/mysql/tests/trickle.rs
+++ b/mysql/tests/trickle.rs
@@ -3,11 +3,11 @@
 use routing::protocol::{AttemptGuard, BackendProtocol, Connection, ConnectionPermit, Exchange};
 use routing::{Clock, Outcome};
 use settings::operator;
-use standins::wire::{greet, read};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use test_servers::wire::{greet, read};
 
 /// A server that goes on like this with its first connection.
 fn server(mut act: impl FnMut(&mut TcpStream) + Send + 'static) -> SocketAddr {
--- a/mysql/tests/withdrawn.rs
+++ b/mysql/tests/withdrawn.rs
@@ -5,13 +5,13 @@
 use routing::protocol::{AttemptGuard, BackendProtocol, Connection, ConnectionPermit, Exchange, NotSent};
 use routing::{Clock, Outcome};
 use settings::operator;
-use standins::wire::{OK, greet, packets, read};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::TcpListener;
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
+use test_servers::wire::{OK, greet, packets, read};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
--- a/postgres/src/front.rs
+++ b/postgres/src/front.rs
@@ -7,7 +7,7 @@
     write_gathered,
 };
 use crate::statement::Statement;
-use clients::{Connection, ConnectionHandler, SocketState, is_timeout};
+use client_listener::{Connection, ConnectionHandler, SocketState, is_timeout};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
 use routing::reasons::CloseReason;
 use routing::{
--- a/postgres/tests/leaving.rs
+++ b/postgres/tests/leaving.rs
@@ -1,5 +1,5 @@
 //! The front with bounds that the program never has: no look at its clients, no thread for a writer.
-use clients::{ClientListener, ClientServer};
+use client_listener::{ClientListener, ClientServer};
 use crossbeam_channel::{Sender, bounded};
 use decision::{Class, Freshness, Idempotency};
 use postgres::front::Front;
@@ -33,7 +33,7 @@
 struct Running {
     addr: SocketAddr,
     figures: Arc<Metrics>,
-    _orders: Sender<clients::ServerCommand>,
+    _orders: Sender<client_listener::ServerCommand>,
 }
 
 impl Running {
--- a/emulator/tests/play.rs
+++ b/simulator/tests/play.rs
@@ -1,7 +1,7 @@
 //! Whole plays: the same again from the same seed, and the rules kept through each trouble.
-use emulator::check::Rule;
-use emulator::plan::{Kind, Plant, Trouble};
-use emulator::{Plan, Results, play};
+use simulator::check::Rule;
+use simulator::plan::{Kind, Plant, Trouble};
+use simulator::{Plan, Results, play};
 
 fn plan(kind: Option<(Kind, f64)>) -> Plan {
     let trouble = kind.map(|(kind, by)| Trouble { kind, at_s: 2.0, for_s: 2.0, count: 2, by });
--- a/soak/src/serve.rs
+++ b/soak/src/serve.rs
@@ -12,8 +12,6 @@
 use load::Load;
 use nix::sys::signal::Signal;
 use settings::{Addresses, STORE_NODES, file};
-use standins::fleet::Fleet;
-use standins::proxy::Proxy;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::TcpStream;
@@ -21,6 +19,8 @@
 use std::process::Command;
 use std::time::Duration;
 use tempfile::TempDir;
+use test_servers::fleet::Fleet;
+use test_servers::proxy::Proxy;
 
 /// A process has to accept clients by then.
 const READY_TIMEOUT: Micros = 30 * SECOND;
--- a/soak/src/serve/load.rs
+++ b/soak/src/serve/load.rs
@@ -4,13 +4,13 @@
 use crate::world::clock::WorldClock;
 use mysql::prelude::Queryable;
 use mysql::{Conn, OptsBuilder};
-use standins::fleet::Fleet;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::JoinHandle;
 use std::time::Duration;
+use test_servers::fleet::Fleet;
 
 /// Reads that follow each write.
 const READS: usize = 4;
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -29,7 +29,7 @@
     NoPlatformConfiguration,
     /// The socket that the platform passed can't be used.
     #[error("BALANCER_PASSED_SOCKET: {0}")]
-    InheritedSocket(#[from] clients::InheritedSocketError),
+    InheritedSocket(#[from] client_listener::InheritedSocketError),
     /// The address of the passed socket can't be read.
     #[error("BALANCER_PASSED_SOCKET: {0}; let the platform pass it anew")]
     InheritedSocketAddress(io::Error),
--- a/src/commands/platform.rs
+++ b/src/commands/platform.rs
@@ -8,7 +8,7 @@
 use crate::signals;
 use ::admin::AdminService;
 use admin::AdminListener;
-use clients::{ClientListener, ClientServer, ServerCommand};
+use client_listener::{ClientListener, ClientServer, ServerCommand};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use discovery::Watch;
 use postgres::front::Front;
--- a/src/commands/platform/admin.rs
+++ b/src/commands/platform/admin.rs
@@ -2,7 +2,7 @@
 use super::Router;
 use crate::commands::Error;
 use ::admin::{AdminLimits, AdminServer, AdminService, ServiceDependencies};
-use clients::ServerCommand;
+use client_listener::ServerCommand;
 use crossbeam_channel::Sender;
 use routing::{Clock, Metrics};
 use settings::start::Start;
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -13,7 +13,7 @@
 use super::Error;
 use crate::signals;
 use ::sessions::node::Sessions;
-use clients::{ClientListener, ClientServer, ServerCommand};
+use client_listener::{ClientListener, ClientServer, ServerCommand};
 use configuration::LiveConfiguration;
 use crossbeam_channel::bounded;
 use membership::Membership;
--- a/src/commands/serve/shutdown.rs
+++ b/src/commands/serve/shutdown.rs
@@ -1,6 +1,6 @@
 //! The order of a graceful shutdown where this router is registered.
 use crate::commands::Error;
-use clients::ServerCommand;
+use client_listener::ServerCommand;
 use crossbeam_channel::{Receiver, bounded};
 use registry::client::Client;
 use std::sync::Arc;
--- a/store/tests/cluster/support.rs
+++ b/store/tests/cluster/support.rs
@@ -1,5 +1,4 @@
 //! A cluster, and what its tests share.
-use standins::proxy::Proxy;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -9,6 +8,7 @@
 use store::server::Limits;
 use store::wire::WatchPosition;
 use store::{Store, Value};
+use test_servers::proxy::Proxy;
 
 /// Reached only by a failure.
 pub(crate) const LONG: Duration = Duration::from_secs(20);
--- a/store/tests/cluster/writes.rs
+++ b/store/tests/cluster/writes.rs
@@ -1,11 +1,11 @@
 //! Reads and writes through any node.
 use crate::support::{Cluster, LONG, expecting, next_changes, next_snapshot, unconditional};
-use standins::proxy::Proxy;
 use std::time::Duration;
 use store::Rejection;
 use store::change_log::RetentionLimits;
 use store::client::{Client, ClientError, Settings};
 use store::wire::Consistency;
+use test_servers::proxy::Proxy;
 
 #[test]
 fn any_node_accepts_writes_and_linearizable_reads() {
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -6,10 +6,10 @@
 use mysql::Conn;
 use mysql::prelude::Queryable;
 use serde_json::Value;
-use standins::fleet::Fleet;
-use standins::proxy::Proxy;
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
+use test_servers::fleet::Fleet;
+use test_servers::proxy::Proxy;
 
 const ROUTERS: usize = 6;
 /// A router that hears of no leader has fenced itself after this time.
--- a/tests/common/installation.rs
+++ b/tests/common/installation.rs
@@ -1,8 +1,8 @@
 //! What installations of one fleet have in common: the pieces of an operator's file, and a client.
 use super::LONG;
 use mysql::{Conn, OptsBuilder};
-use standins::fleet::Fleet;
 use std::net::SocketAddr;
+use test_servers::fleet::Fleet;
 
 /// Addresses as a list of TOML has them.
 pub fn list(addrs: &[SocketAddr]) -> String {
--- a/tests/common/instances.rs
+++ b/tests/common/instances.rs
@@ -3,12 +3,12 @@
 use crate::common::{Folder, LONG, Program};
 use mysql::prelude::Queryable;
 use mysql::{Conn, OptsBuilder};
-use standins::fleet::Fleet;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
+use test_servers::fleet::Fleet;
 
 pub use crate::common::ports;
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,11 +5,11 @@
 use common::front::*;
 use common::{Discovery, Folder, LONG, Program, Signal};
 use serde_json::Value;
-use standins::proxy::Proxy;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
+use test_servers::proxy::Proxy;
 
 /// A primary and two replicas behind `routers` processes; the second replica is reached through a proxy by all.
 struct Fleet {
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -5,11 +5,11 @@
 mod instances;
 use common::{Folder, LONG, Program, Signal, ports};
 use instances::{connect, read};
-use standins::fleet::Fleet;
-use standins::udp::UdpProxy;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
+use test_servers::fleet::Fleet;
+use test_servers::udp::UdpProxy;
 
 /// Detection takes some 6 of these, the settle time 10. Short enough for a test, long enough for a busy host.
 const RHYTHM: Duration = Duration::from_millis(200);
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -4,13 +4,13 @@
 use common::{Folder, LONG, Program, take};
 use mysql::prelude::Queryable;
 use mysql::{Conn, OptsBuilder, Value};
-use standins::wire::{self, EOF, OK, column, packets, text};
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
+use test_servers::wire::{self, EOF, OK, column, packets, text};
 
 /// What a server does with its next executions.
 #[derive(Clone, Copy, PartialEq, Debug)]
--- a/tests/one_fleet.rs
+++ b/tests/one_fleet.rs
@@ -5,12 +5,12 @@
 use common::{Folder, LONG, Program, Signal, ports};
 use mysql::Conn;
 use mysql::prelude::Queryable;
-use standins::fleet::Fleet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
+use test_servers::fleet::Fleet;
 
 /// What a router is lent ends within this time after the last exchange.
 const LOAN: Duration = Duration::from_millis(2100);
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -1,8 +1,8 @@
 //! A hundred real routers at once, with a store, quotas and places, while parts of them fail. What holds is told by the
 //! records of servers and clients, never by how fast this machine is.
-use processes::check::{Bounds, Violation, check};
-use processes::history::{Bound, Outcome};
-use processes::{plan, run};
+use multiprocess::check::{Bounds, Violation, check};
+use multiprocess::history::{Bound, Outcome};
+use multiprocess::{plan, run};
 use std::path::Path;
 
 const PLAN: &str = include_str!("processes.toml");
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -3,12 +3,12 @@
 use common::{Folder, LONG, Program, Signal};
 use mysql::prelude::Queryable;
 use mysql::{Conn, OptsBuilder};
-use standins::fleet::Fleet;
-use standins::registry::Registry;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
+use test_servers::fleet::Fleet;
+use test_servers::registry::Registry;
 
 const PREFIX: &str = "/damsonvale/shop/";
 
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -5,9 +5,9 @@
 mod instances;
 use common::{LONG, Program, Signal};
 use instances::{Instances, Keeping, read, restart_loop, write};
-use standins::fleet::Fleet;
-use standins::proxy::Proxy;
 use std::time::Duration;
+use test_servers::fleet::Fleet;
+use test_servers::proxy::Proxy;
 
 const HEARTBEAT: Duration = Duration::from_millis(5);
 /// A replica that shows nothing of what a test does.
