--- a/admin/tests/common/mod.rs
+++ b/admin/tests/common/mod.rs
@@ -5,9 +5,11 @@
 use admin::{AdminHandler, AdminLimits, AdminServer, Command, Response};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
-use std::path::Path;
 use std::sync::{Arc, Barrier};
 use std::time::Duration;
+use testkit::fixture::Fixtures;
+
+pub(crate) const FIXTURES: Fixtures = testkit::fixtures!();
 
 /// No read waits for longer: a test that would hang fails.
 pub(crate) const READ_TIMEOUT: Duration = Duration::from_secs(20);
@@ -86,15 +88,3 @@
     socket.shutdown(Shutdown::Write).unwrap();
     read_to_close(&socket)
 }
-
-/// Asserts that `actual` is the fixture byte for byte. On a difference it leaves `actual` in the build's folder for
-/// temporary files, so that the two can be compared.
-pub(crate) fn assert_fixture(name: &str, actual: &[u8]) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
-    if std::fs::read(path).is_ok_and(|expected| expected == actual) {
-        return;
-    }
-    let written = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&written, actual).unwrap();
-    panic!("{name} differs from its fixture; compare it with {}", written.display());
-}
--- a/admin/tests/common/router.rs
+++ b/admin/tests/common/router.rs
@@ -4,46 +4,13 @@
 use admin::{AdminService, ServiceDependencies};
 use client_listener::ServerCommand;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
-use routing::{
-    AttemptGuard, BackendProtocol, Clock, Connection, ConnectionPermit, EndpointEntry, EndpointUpdate,
-    EndpointsHandle, Exchange, ExchangeResult, GroupId, MemberState, Metrics, NotSent, Outcome,
-    RouterMessage, ServerSocket, WallClock,
-};
+use routing::{Clock, EndpointUpdate, EndpointsHandle, GroupId, MemberState, Metrics, RouterMessage};
 use settings::Limits;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::time::Duration;
-
-/// A protocol that connects to nothing: only the endpoint list's actor runs.
-struct UnusedProtocol;
-struct UnusedConnection(ServerSocket);
-
-impl BackendProtocol for UnusedProtocol {
-    type Payload = ();
-    type Response = ();
-    type Connection = UnusedConnection;
-    fn connect(&self, _: SocketAddr, _: ConnectionPermit) -> Result<UnusedConnection, Outcome> {
-        unreachable!("no instance is asked")
-    }
-}
-
-impl Connection<UnusedProtocol> for UnusedConnection {
-    fn socket(&self) -> ServerSocket {
-        self.0.clone()
-    }
-    fn is_usable(&mut self, _: Duration, _: ConnectionPermit) -> bool {
-        false
-    }
-    fn execute(
-        &mut self,
-        _: Exchange<'_, UnusedProtocol>,
-        _: &AttemptGuard,
-    ) -> Result<ExchangeResult<()>, NotSent> {
-        Err(NotSent::ConnectionBroken)
-    }
-}
+use testkit::routing::{NoProtocol, endpoint, start_endpoints};
 
 /// What a command made the router do.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -67,31 +34,20 @@
     folder: PathBuf,
     endpoints: EndpointsHandle,
     accepting: Arc<AtomicBool>,
-    core: Receiver<RouterMessage<UnusedProtocol>>,
+    core: Receiver<RouterMessage<NoProtocol>>,
     orders: Receiver<ServerCommand>,
     callbacks: Receiver<Effect>,
 }
 
+/// Nothing connects to the listed endpoints.
+const UNUSED_PORT: u16 = 9;
+
 fn limits() -> Limits {
-    let mut limits = Limits::new(256, 192 << 20, LONG, LONG, LONG);
+    let mut limits = testkit::routing::limits(LONG);
     limits.holds = 2;
     limits
 }
 
-fn endpoint(id: &str) -> EndpointEntry {
-    EndpointEntry {
-        id: id.into(),
-        addr: SocketAddr::from(([127, 0, 0, 1], 9)),
-        group: GroupId(1),
-        zone: 0,
-        site: None,
-        state: MemberState::Ready,
-        listed_primary: false,
-        weight: 1.0,
-        started_at: None,
-    }
-}
-
 impl TestRouter {
     /// A router whose processes share an empty folder of this name.
     pub(crate) fn start(name: &str) -> TestRouter {
@@ -106,13 +62,7 @@
         let limits = limits();
         let metrics = Metrics::new(&["order".to_string()]).unwrap();
         let (to_core, core) = unbounded();
-        let endpoints = routing::endpoints::start::<UnusedProtocol>(
-            &limits,
-            to_core,
-            Some(metrics.clone()),
-            WallClock::new(Clock::new()),
-        )
-        .unwrap();
+        let endpoints = start_endpoints(&limits, to_core, Some(metrics.clone()));
         let (to_clients, orders) = bounded(64);
         let (to_callbacks, callbacks): (Sender<Effect>, _) = unbounded();
         let accepting = Arc::new(AtomicBool::new(false));
@@ -147,7 +97,7 @@
 
     /// Replaces the endpoint list; it binds when this returns.
     pub(crate) fn list_endpoints(&self, ids: &[&str]) {
-        let endpoints = ids.iter().map(|id| endpoint(id)).collect();
+        let endpoints = ids.iter().map(|id| endpoint(id, UNUSED_PORT, GroupId(1))).collect();
         self.endpoints.notify(EndpointUpdate { version: 1, complete: true, endpoints });
         assert!(self.endpoints.wait_until_applied(LONG));
         _ = self.core.try_iter().count();
--- a/admin/tests/exchanges.rs
+++ b/admin/tests/exchanges.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::router::{Effect, TestRouter};
-use common::{ask, assert_fixture};
+use common::{FIXTURES, ask};
 use std::fmt::Write;
 use std::fs::File;
 use std::net::SocketAddr;
@@ -140,5 +140,5 @@
     send_valid_commands(&mut t);
     send_invalid_lines(&mut t);
     send_with_state_file_faults(&mut t);
-    assert_fixture("exchanges.txt", t.text.as_bytes());
+    FIXTURES.assert_same("exchanges.txt", t.text);
 }
--- a/audit/examples/stragglers/simulation.rs
+++ b/audit/examples/stragglers/simulation.rs
@@ -7,6 +7,7 @@
 use settings::fleet::{Audit, Version};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
+use testkit::random::{Random, SplitMix64};
 
 const ROUTERS: usize = 100;
 const STRAGGLERS: usize = 5;
@@ -40,25 +41,8 @@
     Disconnected,
 }
 
-/// splitmix64
-struct Random(u64);
-
-impl Random {
-    fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-        (z ^ (z >> 31)) % bound
-    }
-
-    fn time_below(&mut self, bound: Micros) -> Micros {
-        self.below(bound as u64) as Micros
-    }
-
-    fn message_delay(&mut self) -> Micros {
-        200 + self.time_below(1800)
-    }
+fn message_delay(random: &mut SplitMix64) -> Micros {
+    200 + random.time_below(1800)
 }
 
 struct Router {
@@ -79,7 +63,7 @@
 }
 
 impl Router {
-    fn new(random: &mut Random, straggling: Option<Straggling>) -> Router {
+    fn new(random: &mut SplitMix64, straggling: Option<Straggling>) -> Router {
         let clock_offset = random.time_below(10_000_000) - 5_000_000;
         let mut router = Router {
             fence: VersionFence::new(ROUTER_LEASE),
@@ -127,7 +111,7 @@
 
 pub(crate) struct Simulation {
     straggling: Straggling,
-    random: Random,
+    random: SplitMix64,
     tracker: VersionTracker,
     actions: Vec<Action>,
     current: Version,
@@ -139,7 +123,7 @@
     pub(crate) fn new(seed: u64, straggling: Straggling) -> Simulation {
         let mut simulation = Simulation {
             straggling,
-            random: Random(seed.wrapping_mul(77) + 1),
+            random: SplitMix64::new(seed.wrapping_mul(77) + 1),
             tracker: VersionTracker::new(Settings::new(&Audit::default(), LEASE, seed)),
             actions: Vec::new(),
             current: FIRST_VERSION,
@@ -252,7 +236,7 @@
             if self.current == SECOND_VERSION && at < router.fetches_from {
                 break;
             }
-            at += self.random.message_delay();
+            at += message_delay(&mut self.random);
             router.version = self.current;
             let clock = router.clock(at);
             router.fence.version_applied(clock, self.current);
@@ -265,9 +249,9 @@
         let report_sent_at = router.clock(sent_at);
         let report = router.fence.report(report_sent_at, 1);
         let reported_version = router.version;
-        let received_at = sent_at + self.random.message_delay();
+        let received_at = sent_at + message_delay(&mut self.random);
         let directive = self.leader_answer(received_at, i, reported_version, report);
-        let answered_at = received_at + self.random.message_delay();
+        let answered_at = received_at + message_delay(&mut self.random);
         let router = &mut self.routers[i];
         let clock = router.clock(answered_at);
         let current_version = self.current;
--- a/audit/tests/audit/random.rs
+++ b/audit/tests/audit/random.rs
@@ -3,6 +3,7 @@
 use audit::{EntryKind, LeaderAnswer, VersionFence};
 use decision::{Micros, Time};
 use settings::fleet::Version;
+use testkit::random::{Random, XorShift64};
 
 const SEEDS: u64 = 200;
 const STEPS: u32 = 400;
@@ -10,18 +11,6 @@
 /// The tracker's silence timeout less what clocks may differ by.
 const LEASE: Micros = 1960 * MS;
 
-/// xorshift64
-struct Random(u64);
-
-impl Random {
-    fn below(&mut self, bound: u64) -> u64 {
-        self.0 ^= self.0 << 13;
-        self.0 ^= self.0 >> 7;
-        self.0 ^= self.0 << 17;
-        self.0 % bound
-    }
-}
-
 struct Router {
     fence: VersionFence,
     version: Version,
@@ -29,7 +18,7 @@
 }
 
 struct Run {
-    random: Random,
+    random: XorShift64,
     harness: TrackerHarness,
     routers: Vec<Router>,
     now_ms: i64,
@@ -40,7 +29,7 @@
     fn new(seed: u64) -> Run {
         let router = || Router { fence: VersionFence::new(LEASE), version: 0, recorded_silent: false };
         Run {
-            random: Random(seed + 1),
+            random: XorShift64::new(seed + 1),
             harness: TrackerHarness::new(),
             routers: (0..ROUTERS).map(|_| router()).collect(),
             now_ms: 0,
--- a/audit/tests/audit/recorded_run.rs
+++ b/audit/tests/audit/recorded_run.rs
@@ -9,9 +9,11 @@
 use settings::fleet::Audit;
 use std::collections::BTreeMap;
 use std::fmt::Write;
-use std::fs;
-use std::path::Path;
+use testkit::fixture::Fixtures;
+use testkit::hash::fnv1a;
+use testkit::random::{Random, SplitMix64};
 
+const FIXTURES: Fixtures = testkit::fixtures!();
 const MS: Micros = 1000;
 const ROUTERS: usize = 6;
 const SILENCE: Micros = 2000 * MS;
@@ -20,33 +22,6 @@
 const HASHED_STEPS: u32 = 3000;
 const HASHED_SEEDS: u64 = 40;
 
-/// splitmix64
-struct Random(u64);
-
-impl Random {
-    fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-        (z ^ (z >> 31)) % bound
-    }
-
-    fn one_in(&mut self, bound: u64) -> bool {
-        self.below(bound) == 0
-    }
-
-    fn span(&mut self, bound_ms: u64) -> Micros {
-        self.below(bound_ms * 1000) as Micros
-    }
-}
-
-fn fnv1a(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
-    })
-}
-
 /// The report's numbers in their order.
 fn report_text(report: &VersionReport) -> String {
     let VersionReport { version_age, last_fence_duration, routing, members_version, epoch } = report;
@@ -78,7 +53,7 @@
 
 /// A leader, its store and the routers that report to it.
 struct Run {
-    random: Random,
+    random: SplitMix64,
     now: Micros,
     tracker: VersionTracker,
     term: u64,
@@ -94,7 +69,7 @@
     fn new(seed: u64) -> Run {
         let tracker = VersionTracker::new(Settings::new(&Audit::default(), SILENCE, seed));
         Run {
-            random: Random(seed),
+            random: SplitMix64::new(seed),
             now: 0,
             tracker,
             term: 0,
@@ -107,6 +82,10 @@
         }
     }
 
+    fn pass_time(&mut self, bound_ms: Micros) {
+        self.now += self.random.time_below(bound_ms * MS);
+    }
+
     fn line(&mut self, text: &str) {
         writeln!(self.lines, "{} {text}", self.now).unwrap();
     }
@@ -123,7 +102,7 @@
                 }
                 Action::LogEntry(entry) => self.line(&format!("  entry {}", to_json(&entry))),
                 Action::WriteBatch(batch) => {
-                    let hash = fnv1a(&to_json(&batch));
+                    let hash = fnv1a(to_json(&batch));
                     let count = batch.entries.len();
                     self.line(&format!(
                         "  write {} of term {}, {count} entries, {hash:016x}",
@@ -174,7 +153,7 @@
         // Now and then an earlier process of the same name still reports.
         let stale = self.random.one_in(40);
         let incarnation = router.incarnation - u64::from(stale);
-        self.now += self.random.span(60);
+        self.pass_time(60);
         self.line(&format!(
             "router {i} reports {version} of start {incarnation} {} leaving {leaving}",
             report_text(&report)
@@ -187,7 +166,7 @@
             return;
         }
         let longest_ms = if self.random.one_in(30) { 2500 } else { 20 };
-        self.now += self.random.span(longest_ms);
+        self.pass_time(longest_ms);
         let router = &mut self.routers[i];
         let answer = LeaderAnswer {
             report_sent_at,
@@ -232,11 +211,11 @@
     }
 
     fn step(&mut self) {
-        self.now += self.random.span(60);
+        self.pass_time(60);
         let i = self.random.below(ROUTERS as u64) as usize;
         match self.random.below(24) {
             0 if self.random.one_in(4) => self.set_version(),
-            1 if self.random.one_in(4) => self.now += self.random.span(2500),
+            1 if self.random.one_in(4) => self.pass_time(2500),
             2..=5 => {
                 self.line("tick");
                 self.handle(Event::Tick);
@@ -258,23 +237,14 @@
     run.lines
 }
 
-/// Fails with the place of the new text where it is not the recorded one.
-fn compare(name: &str, recorded: &str, found: &str) {
-    if recorded != found {
-        let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", env!("CARGO_PKG_NAME")));
-        fs::write(&path, found).unwrap();
-        panic!("the run is not the recorded one: compare tests/fixtures/{name} with {}", path.display());
-    }
-}
-
 #[test]
 fn readable_run_is_as_recorded() {
-    compare("run.txt", include_str!("../fixtures/run.txt"), &record(1, READABLE_STEPS));
+    FIXTURES.assert_same("run.txt", record(1, READABLE_STEPS));
 }
 
 #[test]
 fn hashed_runs_are_as_recorded() {
-    let hash = |seed| format!("{seed} {:016x}\n", fnv1a(&record(seed, HASHED_STEPS)));
+    let hash = |seed| format!("{seed} {:016x}\n", fnv1a(record(seed, HASHED_STEPS)));
     let found: String = (0..HASHED_SEEDS).map(hash).collect();
-    compare("run-hashes.txt", include_str!("../fixtures/run-hashes.txt"), &found);
+    FIXTURES.assert_same("run-hashes.txt", &found);
 }
--- a/audit/tests/audit/stored_forms.rs
+++ b/audit/tests/audit/stored_forms.rs
@@ -4,7 +4,10 @@
 use audit::timeline::{Query, build};
 use audit::{Batch, Directive, Entry, EntryKind, FenceReason, Fenced, VersionReport, slot_key};
 use decision::Time;
+use testkit::fixture::Fixtures;
+use testkit::hex;
 
+const FIXTURES: Fixtures = testkit::fixtures!();
 const SECOND: i64 = 1_000_000;
 
 fn entry(router: &str, version: u64, since: i64, kind: EntryKind) -> Entry {
@@ -55,10 +58,7 @@
 
 /// The bytes of one line of `exchanged.txt`: a name and hexadecimal digits.
 fn exchanged(name: &str) -> Vec<u8> {
-    let lines = include_str!("../fixtures/exchanged.txt").lines();
-    let digits = lines.filter_map(|line| line.split_once(' ')).find(|(found, _)| *found == name).unwrap().1;
-    let byte = |i| u8::from_str_radix(&digits[i..i + 2], 16).unwrap();
-    (0..digits.len()).step_by(2).map(byte).collect()
+    hex::decode_line(&FIXTURES.text("exchanged.txt"), &format!("{name} "))
 }
 
 #[test]
--- a/client-listener/tests/recorded_run.rs
+++ b/client-listener/tests/recorded_run.rs
@@ -3,6 +3,10 @@
 use client_listener::shutdown::{Action, ClosePolicy, Event, GracefulShutdown, ShutdownTimes};
 use std::fmt::Write;
 use std::time::Duration;
+use testkit::fixture::Fixtures;
+use testkit::random::{LinearCongruential, Random};
+
+const FIXTURES: Fixtures = testkit::fixtures!();
 
 /// Independent servers in the run, each with its own events.
 const SERVERS: u64 = 24;
@@ -13,27 +17,13 @@
 /// Events that each server gets after its shutdown is complete.
 const EVENTS_AFTER_COMPLETION: u64 = 3;
 
-/// A linear congruential generator: the run needs nothing but the same numbers each time.
-struct Random(u64);
-
-impl Random {
-    fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % bound
-    }
-
-    fn coin(&mut self) -> bool {
-        self.below(2) == 0
-    }
-
-    /// Drains and ticks often, a shutdown seldom: most of a run happens before it.
-    fn event(&mut self) -> Event {
-        match self.below(40) {
-            0..5 => Event::SetDraining(self.coin()),
-            5 => Event::Shutdown { successor: self.coin() },
-            6..8 => Event::SetSuccessor(self.coin()),
-            _ => Event::Tick { open_connections: self.below(20) as usize },
-        }
+/// Drains and ticks often, a shutdown seldom: most of a run happens before it.
+fn random_event(random: &mut LinearCongruential) -> Event {
+    match random.below(40) {
+        0..5 => Event::SetDraining(random.coin()),
+        5 => Event::Shutdown { successor: random.coin() },
+        6..8 => Event::SetSuccessor(random.coin()),
+        _ => Event::Tick { open_connections: random.below(20) as usize },
     }
 }
 
@@ -69,7 +59,7 @@
 
 /// Plays all servers and gives a line for each event: milliseconds, event, whether ticks are wanted, actions.
 fn run() -> String {
-    let mut random = Random(20);
+    let mut random = LinearCongruential::new(20);
     let mut text = String::new();
     for server in 0..SERVERS {
         writeln!(text, "front {server}").unwrap();
@@ -78,7 +68,7 @@
         let mut events_after_completion = 0;
         for _ in 0..EVENTS_PER_SERVER {
             now += random.below(260);
-            let event = random.event();
+            let event = random_event(&mut random);
             let mut actions = Vec::new();
             machine.handle(Duration::from_millis(now), event, &mut actions);
             let complete = events_after_completion > 0 || actions.contains(&Action::Complete);
@@ -96,10 +86,5 @@
 
 #[test]
 fn shutdown_state_machine_repeats_recorded_run() {
-    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/shutdown_run.txt");
-    let recorded = std::fs::read_to_string(path).expect("the recorded run");
-    for (number, (recorded, present)) in recorded.lines().zip(run().lines()).enumerate() {
-        assert_eq!(present, recorded, "line {}", number + 1);
-    }
-    assert_eq!(run(), recorded);
+    FIXTURES.assert_same("shutdown_run.txt", run());
 }
--- a/decision/tests/recorded_runs/main.rs
+++ b/decision/tests/recorded_runs/main.rs
@@ -13,9 +13,11 @@
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
-use std::path::Path;
+use testkit::fixture::Fixtures;
+use testkit::hash::fnv1a;
 use world::{Mix, World};
 
+const FIXTURES: Fixtures = testkit::fixtures!();
 const HISTORIES: u64 = 48;
 /// Events drawn for each history, without those that follow from actions.
 const STEPS: usize = 1500;
@@ -32,32 +34,12 @@
 const SESSIONS_STEPS: usize = 12_000;
 const TRACE_STEPS: usize = 150;
 
-/// FNV-1a, 64 bits.
-fn hash(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
-    })
-}
-
-/// Compares with a fixture; what was found instead is written beside the build for a look at the difference.
-fn check(name: &str, found: &str) {
-    let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
-    let kept = std::fs::read_to_string(&fixture).unwrap_or_default();
-    if kept == found {
-        return;
-    }
-    let beside = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&beside, found).expect("the build's folder can be written to");
-    let line = kept.lines().zip(found.lines()).take_while(|(kept, found)| kept == found).count() + 1;
-    panic!("the run differs from {} at line {line}; it is in {}", fixture.display(), beside.display());
-}
-
 /// A line for each history: its seed, the hash of its text and its counts.
 fn summary(histories: impl Iterator<Item = (u64, World)>) -> String {
     let mut found = String::new();
     let mut totals: BTreeMap<&str, usize> = BTreeMap::new();
     for (seed, world) in histories {
-        write!(found, "history={seed} hash={:016x}", hash(&world.text)).expect("a string takes it");
+        write!(found, "history={seed} hash={:016x}", fnv1a(&world.text)).expect("a string takes it");
         for (what, count) in &world.counts {
             write!(found, " {what}={count}").expect("a string takes it");
             *totals.entry(what).or_default() += count;
@@ -77,24 +59,24 @@
         _ => World::play(seed, STEPS, SESSIONS, Mix::Ordinary),
     };
     let found = summary((0..HISTORIES).map(|seed| (seed, play(seed))));
-    check("recorded_runs.txt", &found);
+    FIXTURES.assert_same("recorded_runs.txt", &found);
 }
 
 #[test]
 fn actions_under_resets_and_mixed_timeouts_match_recorded_hashes() {
     let play = |seed| World::play(seed, RESETS_STEPS, SESSIONS, Mix::Resets);
     let found = summary((100..100 + RESETS_HISTORIES).map(|seed| (seed, play(seed))));
-    check("recorded_runs_with_resets.txt", &found);
+    FIXTURES.assert_same("recorded_runs_with_resets.txt", &found);
 }
 
 #[test]
 fn actions_with_many_sessions_match_recorded_hashes() {
     let play = |seed| World::play(seed, SESSIONS_STEPS, UNBOUNDED_SESSIONS, Mix::Sessions);
     let found = summary((200..200 + SESSIONS_HISTORIES).map(|seed| (seed, play(seed))));
-    check("recorded_runs_with_sessions.txt", &found);
+    FIXTURES.assert_same("recorded_runs_with_sessions.txt", &found);
 }
 
 #[test]
 fn actions_of_short_history_match_recorded_trace() {
-    check("recorded_trace.txt", &World::play(3, TRACE_STEPS, SESSIONS, Mix::Ordinary).text);
+    FIXTURES.assert_same("recorded_trace.txt", &World::play(3, TRACE_STEPS, SESSIONS, Mix::Ordinary).text);
 }
--- a/discovery/tests/recorded_run.rs
+++ b/discovery/tests/recorded_run.rs
@@ -3,8 +3,11 @@
 use discovery::liveness::{Action, ConnectionId, Event, Settings, WatchLiveness};
 use std::fmt::Write;
 use std::time::Duration;
+use testkit::fixture::Fixtures;
+use testkit::hash::fnv1a;
+use testkit::random::{Random, SplitMix64};
 
-const FIXTURE: &str = include_str!("fixtures/recorded_runs.txt");
+const FIXTURES: Fixtures = testkit::fixtures!();
 
 /// Steps of a run that the fixture holds as text.
 const READABLE_STEPS: usize = 200;
@@ -40,22 +43,9 @@
     [("usual", usual), ("tight", tight)]
 }
 
-/// A fixed generator (`SplitMix64`), so that the runs depend on nothing but their seed.
-struct Random(u64);
-
-impl Random {
-    fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        (z ^ (z >> 31)) % bound
-    }
-}
-
 /// The next event and its text. Half of the events with a number are for the newest connection, and some for
 /// connections that are closed or were never opened.
-fn next_event(random: &mut Random, newest: u64) -> (Event, String) {
+fn next_event(random: &mut SplitMix64, newest: u64) -> (Event, String) {
     let number = if random.below(2) == 0 { newest } else { (newest + 1).saturating_sub(random.below(9)) };
     let id = ConnectionId(number);
     match random.below(100) {
@@ -78,7 +68,8 @@
 }
 
 fn run(settings: Settings, seed: u64, steps: usize) -> String {
-    let (mut machine, mut random, mut text) = (WatchLiveness::new(settings), Random(seed), String::new());
+    let (mut machine, mut random, mut text) =
+        (WatchLiveness::new(settings), SplitMix64::new(seed), String::new());
     let (mut now, mut newest, mut actions) = (Duration::ZERO, 0, Vec::new());
     for step in 0..steps {
         let (event, said) = match step {
@@ -110,11 +101,6 @@
     text
 }
 
-/// FNV-1a, 64 bits.
-fn hash(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
-}
-
 fn record() -> String {
     let mut text = String::new();
     for (name, settings) in all_settings() {
@@ -124,7 +110,7 @@
     for (name, settings) in all_settings() {
         writeln!(text, "# settings {name}, {HASHED_STEPS} steps, seed and hash").unwrap();
         for seed in 1..=HASHED_SEEDS {
-            writeln!(text, "{seed} {:016x}", hash(&run(settings, seed, HASHED_STEPS))).unwrap();
+            writeln!(text, "{seed} {:016x}", fnv1a(run(settings, seed, HASHED_STEPS))).unwrap();
         }
     }
     text
@@ -132,9 +118,5 @@
 
 #[test]
 fn recorded_events_give_the_recorded_actions() {
-    let record = record();
-    for (number, (found, expected)) in record.lines().zip(FIXTURE.lines()).enumerate() {
-        assert_eq!(found, expected, "line {}", number + 1);
-    }
-    assert_eq!(record, FIXTURE);
+    FIXTURES.assert_same("recorded_runs.txt", record());
 }
--- a/discovery/tests/watch/staleness.rs
+++ b/discovery/tests/watch/staleness.rs
@@ -1,6 +1,7 @@
 //! Silence of all kinds, and what the previous connection or address still counts for.
-use crate::support::{HEAD, LONG, ScriptedAgent, Timing, WatchedList, change, chunk, complete_list};
+use crate::support::{HEAD, ScriptedAgent, Timing, WatchedList, change, chunk, complete_list};
 use std::time::Duration;
+use testkit::routing::TIMEOUT;
 
 #[test]
 fn each_kind_of_silence_leads_to_a_watch_that_resumes_at_the_held_version() {
@@ -72,7 +73,7 @@
     assert!(!watched.watch.wait_for_first_line(Duration::from_millis(30)));
     let connection = agent.next_with_head();
     connection.send_chunk(&complete_list(5));
-    assert!(watched.watch.wait_for_first_line(LONG));
+    assert!(watched.watch.wait_for_first_line(TIMEOUT));
     assert_eq!(watched.next_update().version, 5);
     drop(silent);
 }
@@ -83,7 +84,7 @@
     let watched = WatchedList::following(&agent, Timing::from_millis(300, 50));
     let connection = agent.next_with_head();
     connection.send_chunk("\n");
-    assert!(watched.watch.wait_for_first_line(LONG));
+    assert!(watched.watch.wait_for_first_line(TIMEOUT));
 }
 
 #[test]
@@ -112,7 +113,7 @@
     old.send_chunk(&change(8, "a", "terminating"));
     assert_eq!(watched.next_update().version, 8);
     // Those that are opened once the list has that ask for what was missed all the same.
-    assert!(watched.list.wait_until_applied(LONG));
+    assert!(watched.list.wait_until_applied(TIMEOUT));
     for _ in 0..8 {
         assert_eq!(agent.next().index(), "5");
     }
--- a/discovery/tests/watch/support.rs
+++ b/discovery/tests/watch/support.rs
@@ -1,18 +1,13 @@
 //! An agent that a test scripts, and a watch whose updates the test receives.
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use discovery::Watch;
-use routing::{
-    AttemptGuard, BackendProtocol, Clock, Connection, ConnectionPermit, EndpointUpdate, EndpointsHandle,
-    Exchange, ExchangeResult, NotSent, Outcome, RouterMessage, ServerSocket, WallClock,
-};
+use routing::{EndpointUpdate, EndpointsHandle, RouterMessage};
 use settings::Limits;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::time::Duration;
-
-/// The bound of each wait; only a failure reaches it.
-pub(crate) const LONG: Duration = Duration::from_secs(20);
+use testkit::routing::{NoProtocol, TIMEOUT, start_endpoints};
 
 /// The head of an answer whose body follows in chunks.
 pub(crate) const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -38,7 +33,7 @@
 
 /// Limits of which a test changes some.
 pub(crate) fn limits() -> Limits {
-    Limits::new(256, 192 << 20, LONG, LONG, LONG)
+    testkit::routing::limits(TIMEOUT)
 }
 
 /// One connection of the watch, as the agent has it: its request is read, nothing is written yet.
@@ -86,7 +81,7 @@
 
     #[track_caller]
     pub(crate) fn assert_closed(&self) {
-        self.socket.set_read_timeout(Some(LONG)).unwrap();
+        self.socket.set_read_timeout(Some(TIMEOUT)).unwrap();
         assert_eq!((&self.socket).read(&mut [0; 1]).unwrap_or(0), 0, "closed");
     }
 }
@@ -113,7 +108,7 @@
     }
 
     pub(crate) fn next(&self) -> AgentConnection {
-        self.connections.recv_timeout(LONG).expect("a connection")
+        self.connections.recv_timeout(TIMEOUT).expect("a connection")
     }
 
     /// The next connection that resumes from this version. On a busy machine others may have been opened before it.
@@ -176,8 +171,7 @@
         // None has to make room, however slowly a test goes on.
         limits.watch_most = 64;
         let (sender, updates) = bounded(64);
-        let list =
-            routing::endpoints::start(&limits, sender.clone(), None, WallClock::new(Clock::new())).unwrap();
+        let list = start_endpoints(&limits, sender.clone(), None);
         let watch = Watch::new(vec!["a".into()], Arc::new(limits), list.clone());
         WatchedList { watch, list, updates, _sender: sender }
     }
@@ -204,7 +198,7 @@
     }
 
     pub(crate) fn next_update(&self) -> EndpointUpdate {
-        match self.updates.recv_timeout(LONG) {
+        match self.updates.recv_timeout(TIMEOUT) {
             Ok(RouterMessage::Endpoints(update)) => update,
             _ => panic!("no update"),
         }
@@ -229,37 +223,3 @@
         panic!("no new watch is heard");
     }
 }
-
-/// A protocol that carries nothing: only the actor of the list is wanted here.
-pub(crate) struct NoProtocol;
-
-/// A connection that is never made.
-pub(crate) struct NoConnection(ServerSocket);
-
-impl BackendProtocol for NoProtocol {
-    type Payload = ();
-    type Response = ();
-    type Connection = NoConnection;
-
-    fn connect(&self, _: SocketAddr, _: ConnectionPermit) -> Result<NoConnection, Outcome> {
-        unreachable!("no instance is asked")
-    }
-}
-
-impl Connection<NoProtocol> for NoConnection {
-    fn socket(&self) -> ServerSocket {
-        self.0.clone()
-    }
-
-    fn is_usable(&mut self, _: Duration, _: ConnectionPermit) -> bool {
-        false
-    }
-
-    fn execute(
-        &mut self,
-        _: Exchange<'_, NoProtocol>,
-        _: &AttemptGuard,
-    ) -> Result<ExchangeResult<()>, NotSent> {
-        Err(NotSent::ConnectionBroken)
-    }
-}
--- a/discovery/tests/watch/versions.rs
+++ b/discovery/tests/watch/versions.rs
@@ -1,5 +1,6 @@
 //! Versions that go back: an agent that counts anew, and an address whose agent is at another version.
-use crate::support::{LONG, ScriptedAgent, Timing, WatchedList, change, complete_list};
+use crate::support::{ScriptedAgent, Timing, WatchedList, change, complete_list};
+use testkit::routing::TIMEOUT;
 
 #[test]
 fn restarted_versions_are_applied_and_the_complete_list_is_requested() {
@@ -18,7 +19,7 @@
     assert_eq!(update.endpoints[0].id, "b");
     new.send_chunk(&change(3, "c", "terminating"));
     assert_eq!(watched.next_update().version, 3);
-    assert!(watched.list.wait_until_applied(LONG));
+    assert!(watched.list.wait_until_applied(TIMEOUT));
     drop(new);
     agent.next_from("3");
 }
--- a/fleet/tests/stored_forms.rs
+++ b/fleet/tests/stored_forms.rs
@@ -16,19 +16,12 @@
 use std::fmt::Debug;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
-use std::path::PathBuf;
 use std::time::Instant;
 use store::client::Client;
 use store::wire::Consistency;
+use testkit::fixture::Fixtures;
 
-fn fixture(name: &str) -> Vec<u8> {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
-    std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
-}
-
-fn text_fixture(name: &str) -> String {
-    String::from_utf8(fixture(name)).unwrap()
-}
+const FIXTURES: Fixtures = testkit::fixtures!();
 
 /// Both ends of a connection.
 fn connection() -> (TcpStream, TcpStream) {
@@ -48,7 +41,7 @@
 }
 
 fn assert_frame<T: Serialize + DeserializeOwned + Debug + PartialEq>(name: &str, message: &T) {
-    let stored = fixture(name);
+    let stored = FIXTURES.bytes(name);
     let (mut near, far) = connection();
     near.write_all(&stored).unwrap();
     assert_eq!(&wire::receive::<T>(&far, LONG, LONG).unwrap(), message, "{name} is read");
@@ -102,7 +95,7 @@
 
 #[test]
 fn hello_bytes_match_fixture() {
-    let stored = fixture("hello.bin");
+    let stored = FIXTURES.bytes("hello.bin");
     assert_eq!(bytes_of(|socket| wire::send_hello(socket).unwrap()), stored);
     let (mut near, far) = connection();
     near.write_all(&stored).unwrap();
@@ -157,13 +150,13 @@
 fn service_answers_frames_of_fixtures() {
     let (node, _client) = single_node(None);
     let mut socket = TcpStream::connect(node.fleet_addr).unwrap();
-    socket.write_all(&fixture("hello.bin")).unwrap();
-    socket.write_all(&fixture("request_document.bin")).unwrap();
+    socket.write_all(&FIXTURES.bytes("hello.bin")).unwrap();
+    socket.write_all(&FIXTURES.bytes("request_document.bin")).unwrap();
     let mut hello = [0; 6];
     socket.read_exact(&mut hello).unwrap();
-    assert_eq!(hello.as_slice(), fixture("hello.bin"));
+    assert_eq!(hello.as_slice(), FIXTURES.bytes("hello.bin"));
     assert_eq!(wire::receive::<Response>(&socket, LONG, LONG).unwrap(), Response::Welcome { node: 1 });
-    let expected = fixture("answer_no_document.bin");
+    let expected = FIXTURES.bytes("answer_no_document.bin");
     let mut frame = vec![0; expected.len()];
     socket.read_exact(&mut frame).unwrap();
     assert_eq!(frame, expected);
@@ -198,7 +191,7 @@
 
 #[test]
 fn audit_batch_text_matches_fixture() {
-    let stored = text_fixture("audit_batch.json");
+    let stored = FIXTURES.text("audit_batch.json");
     assert_eq!(audit_record::parse_batch(&stored).unwrap(), audit_batch());
     assert_eq!(serde_json::to_string(&audit_batch()).unwrap(), stored);
 }
@@ -251,7 +244,7 @@
 
 /// The pointer's fixture with the version of the earlier document replaced by that of this run.
 fn pointer_with_previous(version: u64) -> String {
-    let stored = text_fixture("document_pointer_second.json");
+    let stored = FIXTURES.text("document_pointer_second.json");
     let parsed: serde_json::Value = serde_json::from_str(&stored).unwrap();
     let earlier = parsed["before"][0][0].as_u64().unwrap();
     stored.replacen(&format!("[[{earlier},"), &format!("[[{version},"), 1)
@@ -282,8 +275,8 @@
     let (_node, client) = single_node(None);
     let first = document::write(&client, SHORT_DOCUMENT, Some(0), &short_metadata().note).unwrap();
     let mut keys = stored_keys(&client).into_iter();
-    assert_eq!(keys.next(), Some((CURRENT_KEY.into(), text_fixture("document_pointer_first.json"))));
-    let listing = text_fixture("document_parts_first.txt");
+    assert_eq!(keys.next(), Some((CURRENT_KEY.into(), FIXTURES.text("document_pointer_first.json"))));
+    let listing = FIXTURES.text("document_parts_first.txt");
     assert_eq!(keys.next(), Some((listed_part(listing.trim_end()).0.into(), SHORT_DOCUMENT.into())));
     assert_eq!(keys.next(), None);
 
@@ -294,16 +287,16 @@
         .iter()
         .map(|(key, text)| format!("{key} {} {:08x}\n", text.len(), crc32fast::hash(text.as_bytes())))
         .collect();
-    assert_eq!(listed, text_fixture("document_parts_second.txt"));
+    assert_eq!(listed, FIXTURES.text("document_parts_second.txt"));
 }
 
 #[test]
 fn stored_documents_of_fixtures_are_read() {
     let (node, client) = single_node(None);
     let put = |key: &str, text: &str| client.put(key, text, Default::default()).unwrap().revision;
-    let listing = text_fixture("document_parts_first.txt");
+    let listing = FIXTURES.text("document_parts_first.txt");
     put(listed_part(listing.trim_end()).0, SHORT_DOCUMENT);
-    let first = put(CURRENT_KEY, &text_fixture("document_pointer_first.json"));
+    let first = put(CURRENT_KEY, &FIXTURES.text("document_pointer_first.json"));
     let expected = Document {
         version: first,
         text: SHORT_DOCUMENT.into(),
@@ -316,7 +309,7 @@
 
     let text = long_document();
     let mut rest = text.as_str();
-    for line in text_fixture("document_parts_second.txt").lines() {
+    for line in FIXTURES.text("document_parts_second.txt").lines() {
         let (key, length, checksum) = listed_part(line);
         if key == listed_part(listing.trim_end()).0 {
             continue;
--- a/maintenance/tests/common/mod.rs
+++ b/maintenance/tests/common/mod.rs
@@ -2,8 +2,9 @@
 #![allow(dead_code, reason = "each test file uses a part of these helpers")]
 use decision::Time;
 use maintenance::{Action, EndpointChange, Event, Machine, MaintenanceMask, Settings};
-use std::path::{Path, PathBuf};
+use testkit::fixture::Fixtures;
 
+pub(crate) const FIXTURES: Fixtures = testkit::fixtures!();
 pub(crate) const SECOND: i64 = 1_000_000;
 pub(crate) const SETTINGS: Settings = Settings { max_entries: 3, restored_retention: 30 * SECOND };
 
@@ -26,24 +27,3 @@
         restored_at: restored.iter().map(|(id, at)| (id.to_string(), Time(*at))).collect(),
     }
 }
-
-fn fixture_path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
-}
-
-/// The bytes of a fixture.
-pub(crate) fn fixture(name: &str) -> Vec<u8> {
-    let path = fixture_path(name);
-    std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
-}
-
-/// Asserts that `actual` is the fixture byte for byte. On a difference it leaves `actual` in the build's folder for
-/// temporary files, so that the two can be compared.
-pub(crate) fn assert_fixture(name: &str, actual: &[u8]) {
-    if std::fs::read(fixture_path(name)).is_ok_and(|expected| expected == actual) {
-        return;
-    }
-    let written = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&written, actual).unwrap();
-    panic!("{name} differs from its fixture; compare it with {}", written.display());
-}
--- a/maintenance/tests/recorded_run.rs
+++ b/maintenance/tests/recorded_run.rs
@@ -2,41 +2,29 @@
 //! two processes of one router do. The record was written by the program before its names were revised.
 mod common;
 
-use common::{SECOND, SETTINGS, assert_fixture};
+use common::{FIXTURES, SECOND, SETTINGS};
 use decision::Time;
 use maintenance::{Action, EndpointChange, Event, Machine, MaintenanceMask, State};
 use std::collections::BTreeMap;
 use std::fmt::Write;
+use testkit::random::{Random, SplitMix64};
 
 const EVENTS: usize = 260;
 
-/// The `SplitMix64` generator: the same numbers in every run.
-struct Random(u64);
-
-impl Random {
-    fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        (z ^ (z >> 31)) % bound
-    }
-
-    fn id(&mut self) -> String {
-        format!("db-{}", self.below(6))
-    }
+fn random_id(random: &mut SplitMix64) -> String {
+    format!("db-{}", random.below(6))
 }
 
-fn random_event(random: &mut Random) -> Event {
+fn random_event(random: &mut SplitMix64) -> Event {
     match random.below(14) {
-        0..=4 => Event::Suspend(random.id()),
-        5..=8 => Event::Restore(random.id()),
+        0..=4 => Event::Suspend(random_id(random)),
+        5..=8 => Event::Restore(random_id(random)),
         9 => Event::Pause,
         10 => Event::Resume,
         _ => {
             let complete = random.below(3) == 0;
             let count = random.below(5);
-            let mut change = || EndpointChange { id: random.id(), listed: random.below(4) > 0 };
+            let mut change = || EndpointChange { id: random_id(random), listed: random.below(4) > 0 };
             let changes = (0..count).map(|_| change()).collect();
             Event::EndpointsUpdated { complete, changes }
         }
@@ -44,11 +32,11 @@
 }
 
 /// Mostly forward by up to 12 s; now and then the clock is set back, or far ahead.
-fn next_time(random: &mut Random, now: i64) -> i64 {
+fn next_time(random: &mut SplitMix64, now: i64) -> i64 {
     match random.below(40) {
         0 => now - 40 * SECOND,
         1 => now + 90 * SECOND,
-        _ => now + random.below(12 * SECOND as u64) as i64,
+        _ => now + random.time_below(12 * SECOND),
     }
 }
 
@@ -123,7 +111,7 @@
 
 #[test]
 fn recorded_run_of_two_machines_is_unchanged() {
-    let mut random = Random(2026);
+    let mut random = SplitMix64::new(2026);
     let machine = || Machine::new(SETTINGS, State::default());
     let mut run = Run { machines: [machine(), machine()], stored: State::default(), record: String::new() };
     let mut now = 0;
@@ -144,5 +132,5 @@
         let line = state_text(run.machines[which].state());
         writeln!(run.record, "{which} end {line}").unwrap();
     }
-    assert_fixture("recorded_run.txt", run.record.as_bytes());
+    FIXTURES.assert_same("recorded_run.txt", run.record);
 }
--- a/maintenance/tests/stored_forms.rs
+++ b/maintenance/tests/stored_forms.rs
@@ -2,7 +2,7 @@
 //! operator. The fixtures were written by the program before its names were revised; they must never change.
 mod common;
 
-use common::assert_fixture;
+use common::FIXTURES;
 use decision::Time;
 use maintenance::{
     FileOperation, MaintenanceEntry, MaintenanceError, OtherProcesses, ProcessPresence, SharedFolderError,
@@ -34,10 +34,10 @@
     let path = folder.path().join(STATE_FILE_NAME);
     let file = StateFile::open(folder.path()).unwrap();
     file.lock().unwrap().write(state).unwrap();
-    assert_fixture(fixture, &std::fs::read(&path).unwrap());
+    FIXTURES.assert_same(fixture, std::fs::read(&path).unwrap());
     assert_eq!(std::fs::metadata(&path).unwrap().permissions().mode() & 0o777, 0o600);
 
-    std::fs::write(&path, common::fixture(fixture)).unwrap();
+    std::fs::write(&path, FIXTURES.bytes(fixture)).unwrap();
     let reader = StateFile::open(folder.path()).unwrap();
     assert_eq!(reader.lock().unwrap().read().unwrap().as_ref(), Some(state));
 }
@@ -68,11 +68,11 @@
     assert!(u128::from_str_radix(moment, 16).is_ok(), "{name}");
     assert_eq!(std::fs::metadata(path).unwrap().permissions().mode() & 0o777, 0o600);
 
-    assert_fixture("presence_starting.txt", &std::fs::read(path).unwrap());
+    FIXTURES.assert_same("presence_starting.txt", std::fs::read(path).unwrap());
     own.mark_ready().unwrap();
-    assert_fixture("presence_ready.txt", &std::fs::read(path).unwrap());
+    FIXTURES.assert_same("presence_ready.txt", std::fs::read(path).unwrap());
     own.mark_not_ready().unwrap();
-    assert_fixture("presence_starting.txt", &std::fs::read(path).unwrap());
+    FIXTURES.assert_same("presence_starting.txt", std::fs::read(path).unwrap());
 }
 
 #[test]
@@ -81,7 +81,7 @@
     let own = ProcessPresence::register(folder.path(), 1).unwrap();
     let locked = |name: &str, fixture: &str| {
         let path = folder.path().join(name);
-        std::fs::write(&path, common::fixture(fixture)).unwrap();
+        std::fs::write(&path, FIXTURES.bytes(fixture)).unwrap();
         let file = File::open(path).unwrap();
         file.lock().unwrap();
         file
@@ -128,5 +128,5 @@
         MaintenanceError::NotInMaintenance { id: id(), entry_count: 2 }.to_string(),
         MaintenanceError::TooManyEntries { max_entries: 1024 }.to_string(),
     ];
-    assert_fixture("error_texts.txt", (texts.join("\n") + "\n").as_bytes());
+    FIXTURES.assert_same("error_texts.txt", texts.join("\n") + "\n");
 }
--- a/membership/tests/recorded_runs.rs
+++ b/membership/tests/recorded_runs.rs
@@ -1,6 +1,4 @@
 //! Seeded runs of the state machines, compared action by action with runs recorded under `tests/fixtures`.
-mod common;
-use common::assert_fixture;
 use membership::live_router_count::{self as router_count, LiveRouterCount, OtherRouters};
 use membership::simulation::Simulation;
 use membership::{Action, Counters, Event, MAX_DATAGRAM_BYTES, Machine, Member, Settings};
@@ -10,7 +8,9 @@
 use std::fmt::Write as _;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
+use testkit::fixture::Fixtures;
 
+const FIXTURES: Fixtures = testkit::fixtures!();
 const FIRST_PORT: u16 = 20_000;
 
 fn ms(milliseconds: u64) -> Duration {
@@ -266,7 +266,7 @@
             writeln!(run.record, "  lists {}", describe(member)).expect("a string");
         }
     }
-    assert_fixture("machine-run.txt", &run.record);
+    FIXTURES.assert_same("machine-run.txt", &run.record);
 }
 
 #[test]
@@ -307,7 +307,7 @@
     }
     writeln!(record, "end agree={} bytes={}", simulation.all_agree(), simulation.sent_bytes())
         .expect("a string");
-    assert_fixture("simulation-run.txt", &record);
+    FIXTURES.assert_same("simulation-run.txt", &record);
 }
 
 /// The event of one step: a random one, unless a timer is due before.
@@ -362,5 +362,5 @@
         let settings = router_count::Settings { fleet_size, min_count, settle_time, expects_others };
         record_router_count(run as u64, settings, &mut record);
     }
-    assert_fixture("live-router-count-run.txt", &record);
+    FIXTURES.assert_same("live-router-count-run.txt", &record);
 }
--- a/placement/tests/recorded_run.rs
+++ b/placement/tests/recorded_run.rs
@@ -4,9 +4,12 @@
 use placement::{Action, Event, Member, News, Places, Settings};
 use settings::fleet::{Fleet, Place, Tenant};
 use std::fmt::Write;
-use std::path::PathBuf;
 use std::sync::Arc;
+use testkit::fixture::Fixtures;
+use testkit::hash::fnv1a;
+use testkit::random::{Random, SplitMix64};
 
+const FIXTURES: Fixtures = testkit::fixtures!();
 const SEEDS: u64 = 20;
 const EVENTS: usize = 2_000;
 /// Lines of the first seed's run that the fixture has as text.
@@ -15,35 +18,17 @@
 const TENANTS: [&str; 3] = ["t", "u", "anyone"];
 const CLASSES: [&str; 2] = ["read", "write"];
 
-/// The generator splitmix64.
-struct Random(u64);
-
-impl Random {
-    /// A number from 0 to below `bound`.
-    fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut x = self.0;
-        x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        (x ^ (x >> 31)) % bound
-    }
-
-    fn coin(&mut self) -> bool {
-        self.below(2) == 0
-    }
-
-    fn pick(&mut self, of: &[&str]) -> String {
-        of[self.below(of.len() as u64) as usize].to_string()
-    }
+fn pick(random: &mut SplitMix64, names: &[&str]) -> String {
+    random.pick(names).to_string()
 }
 
-fn random_place(random: &mut Random) -> Place {
+fn random_place(random: &mut SplitMix64) -> Place {
     let sites = SITES[1..].iter().filter(|_| random.coin()).map(ToString::to_string).collect();
-    let classes = random.coin().then(|| [random.pick(&CLASSES)].into());
+    let classes = random.coin().then(|| [pick(random, &CLASSES)].into());
     Place { sites, strict: random.below(3) > 0, classes }
 }
 
-fn random_fleet(random: &mut Random) -> Fleet {
+fn random_fleet(random: &mut SplitMix64) -> Fleet {
     let tenants = TENANTS.map(|name| {
         let places = (0..random.below(3)).map(|_| random_place(random)).collect();
         (name.to_string(), Tenant { places, ..Tenant::default() })
@@ -51,12 +36,12 @@
     Fleet { unnamed: "anyone".into(), tenants: tenants.into(), ..Fleet::default() }
 }
 
-fn random_name(random: &mut Random) -> Arc<str> {
+fn random_name(random: &mut SplitMix64) -> Arc<str> {
     format!("m{}", random.below(6)).into()
 }
 
-fn random_member(random: &mut Random) -> Member {
-    let site = random.pick(&SITES);
+fn random_member(random: &mut SplitMix64) -> Member {
+    let site = pick(random, &SITES);
     Member {
         name: random_name(random),
         group: GroupId(random.below(2) as u32),
@@ -71,7 +56,7 @@
 }
 
 struct Run {
-    random: Random,
+    random: SplitMix64,
     places: Places,
     now: Time,
     version: u64,
@@ -83,7 +68,14 @@
     fn new(seed: u64) -> Run {
         let places = Places::new(Settings::new(CLASSES.map(String::from).to_vec()));
         let now = Time(1_000_000);
-        Run { random: Random(seed), places, now, version: 0, timers: Vec::new(), record: String::new() }
+        Run {
+            random: SplitMix64::new(seed),
+            places,
+            now,
+            version: 0,
+            timers: Vec::new(),
+            record: String::new(),
+        }
     }
 
     fn record_actions(&mut self, actions: Vec<Action>) {
@@ -119,7 +111,7 @@
     }
 
     fn route(&mut self) {
-        let tenant = self.random.pick(&TENANTS);
+        let tenant = pick(&mut self.random, &TENANTS);
         let class = self.random.below(3) as usize;
         let group = GroupId(self.random.below(2) as u32);
         let needs_primary = self.random.coin();
@@ -165,28 +157,24 @@
     }
 }
 
-/// FNV-1a.
-fn hash(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, byte| (h ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
-}
-
 #[test]
 fn actions_and_decisions_match_recorded_run() {
     let mut found = String::new();
     for seed in 1..=SEEDS {
         let mut run = Run::new(seed);
         (0..EVENTS).for_each(|_| run.step());
-        writeln!(found, "seed {seed}: {} lines, hash {:016x}", run.record.lines().count(), hash(&run.record))
-            .unwrap();
+        writeln!(
+            found,
+            "seed {seed}: {} lines, hash {:016x}",
+            run.record.lines().count(),
+            fnv1a(&run.record)
+        )
+        .unwrap();
         if seed == 1 {
             for line in run.record.lines().take(READABLE_LINES) {
                 writeln!(found, "{line}").unwrap();
             }
         }
     }
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/recorded_run.txt");
-    let expected = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
-    let different = found.lines().zip(expected.lines()).find(|(found, expected)| found != expected);
-    assert_eq!(different, None);
-    assert_eq!(found.len(), expected.len());
+    FIXTURES.assert_same("recorded_run.txt", found);
 }
--- a/quotas/tests/exchanged_forms.rs
+++ b/quotas/tests/exchanged_forms.rs
@@ -9,26 +9,19 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
+use testkit::fixture::Fixtures;
+use testkit::hex;
 
-const FIXTURE: &str = include_str!("fixtures/exchanged_forms.txt");
-
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|b| format!("{b:02x}")).collect()
-}
-
-fn unhex(text: &str) -> Vec<u8> {
-    (0..text.len()).step_by(2).map(|i| u8::from_str_radix(&text[i..i + 2], 16).unwrap()).collect()
-}
+const FIXTURES: Fixtures = testkit::fixtures!();
 
 fn recorded(name: &str) -> Vec<u8> {
-    let line = FIXTURE.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
-    unhex(line.unwrap_or_else(|| panic!("the fixture has no line {name}")))
+    hex::decode_line(&FIXTURES.text("exchanged_forms.txt"), &format!("{name}: "))
 }
 
 /// Reads the recorded bytes to `expected`, and writes it to the same bytes again.
 fn assert_form<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, expected: &T) {
     let written = postcard::to_stdvec(expected).unwrap();
-    assert_eq!(hex(&written), hex(&recorded(name)), "{name} is written differently");
+    assert_eq!(hex::encode(&written), hex::encode(&recorded(name)), "{name} is written differently");
     let bytes = recorded(name);
     let (read, rest) = postcard::take_from_bytes::<T>(&bytes).unwrap();
     assert_eq!(&read, expected, "{name} is read differently");
--- a/quotas/tests/recorded_distribution.rs
+++ b/quotas/tests/recorded_distribution.rs
@@ -1,17 +1,17 @@
 //! Simulated fleets whose demand moves without faults: who admits which request when, compared with what an earlier build
 //! recorded. Demand is sparse, at one router, or spread, for longer than a run of `recorded_run.rs` lasts.
-mod recording;
 mod simulation;
 use decision::Micros;
 use quotas::Settings;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use recording::{assert_recorded, fnv};
 use settings::fleet::OnLoss;
 use simulation::{Fault, Simulation, fleet, quota};
 use std::fmt::Write;
+use testkit::fixture::Fixtures;
+use testkit::hash::fnv1a;
 
-const RECORDED: &str = include_str!("fixtures/recorded_distribution.txt");
+const FIXTURES: Fixtures = testkit::fixtures!();
 const SECOND: Micros = 1_000_000;
 const SEEDS: u64 = 8;
 const ROUTERS: usize = 30;
@@ -63,7 +63,7 @@
         }
     }
     let (admitted, shed) = (admissions.lines().count(), simulation.totals.shed);
-    format!("seed {seed}: admitted={admitted} shed={shed} admissions={:016x}", fnv(admissions.as_bytes()))
+    format!("seed {seed}: admitted={admitted} shed={shed} admissions={:016x}", fnv1a(admissions))
 }
 
 #[test]
@@ -72,5 +72,5 @@
     for seed in 1..=SEEDS {
         writeln!(lines, "{}", line(seed, &simulate(seed))).unwrap();
     }
-    assert_recorded("recorded_distribution.txt", &lines, RECORDED);
+    FIXTURES.assert_same("recorded_distribution.txt", lines);
 }
--- a/quotas/tests/recorded_run.rs
+++ b/quotas/tests/recorded_run.rs
@@ -3,7 +3,6 @@
 //!
 //! A difference means that a decision, a limit or the order of random draws has changed. Where that is intended, the run
 //! written next to the test's other temporary files becomes the new fixture, and the commit says why.
-mod recording;
 use decision::Time;
 use quotas::{
     Action, Admission, Allocator, AllocatorMetrics, Event, GrantResponse, InjectedFault, QuotaClient,
@@ -11,15 +10,13 @@
 };
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use recording::{assert_recorded, fnv};
 use settings::fleet::{Fleet, OnLoss, Quota, Tenant};
 use std::fmt::Write;
 use std::sync::Arc;
+use testkit::fixture::Fixtures;
+use testkit::hash::fnv1a;
 
-/// One run in full, so that a difference can be read.
-const FULL_RUN: &str = include_str!("fixtures/recorded_run.txt");
-/// The hashes of runs with other seeds and of those with an injected fault.
-const RUN_HASHES: &str = include_str!("fixtures/recorded_run_hashes.txt");
+const FIXTURES: Fixtures = testkit::fixtures!();
 
 const ROUTERS: usize = 5;
 const TENANTS: [&str; 4] = ["a", "b", "c", "free"];
@@ -282,8 +279,8 @@
     /// Writes one exchange and what the router has admitted until it.
     fn exchanged(&mut self, i: usize, report: &Report, response: Option<&GrantResponse>) {
         let router = &self.routers[i];
-        let report_hash = fnv(&postcard::to_stdvec(report).unwrap());
-        let response_hash = response.map_or(0, |a| fnv(&postcard::to_stdvec(a).unwrap()));
+        let report_hash = fnv1a(postcard::to_stdvec(report).unwrap());
+        let response_hash = response.map_or(0, |a| fnv1a(postcard::to_stdvec(a).unwrap()));
         let kind = match response.map(|a| &a.body) {
             None => "none",
             Some(ResponseBody::FullReportRequired) => "full-report",
@@ -298,7 +295,7 @@
              shed={shed} waits={waits} metrics={:016x}",
             self.now,
             report.seq,
-            fnv(metrics(&router.client).as_bytes()),
+            fnv1a(metrics(&router.client)),
         )
         .unwrap();
     }
@@ -360,14 +357,14 @@
 
 #[test]
 fn run_of_one_seed_is_the_recorded_one() {
-    assert_recorded("recorded_run.txt", &run(1, InjectedFault::None), FULL_RUN);
+    FIXTURES.assert_same("recorded_run.txt", run(1, InjectedFault::None));
 }
 
 #[test]
 fn runs_of_many_seeds_hash_to_the_recorded_ones() {
     let mut lines = String::new();
     for seed in 1..=40 {
-        writeln!(lines, "seed {seed}: {:016x}", fnv(run(seed, InjectedFault::None).as_bytes())).unwrap();
+        writeln!(lines, "seed {seed}: {:016x}", fnv1a(run(seed, InjectedFault::None))).unwrap();
     }
     for (n, injected_fault) in [
         InjectedFault::GrantTwice,
@@ -379,9 +376,8 @@
     .enumerate()
     {
         for seed in 1..=5 {
-            writeln!(lines, "fault {n}, seed {seed}: {:016x}", fnv(run(seed, injected_fault).as_bytes()))
-                .unwrap();
+            writeln!(lines, "fault {n}, seed {seed}: {:016x}", fnv1a(run(seed, injected_fault))).unwrap();
         }
     }
-    assert_recorded("recorded_run_hashes.txt", &lines, RUN_HASHES);
+    FIXTURES.assert_same("recorded_run_hashes.txt", lines);
 }
--- a/registry/tests/recorded_runs.rs
+++ b/registry/tests/recorded_runs.rs
@@ -1,15 +1,15 @@
 //! Recorded runs of the state machines: the same events, from one seed, give the same actions as when the fixture was
 //! written. A fixture shows the first steps in clear and a hash of the whole run.
-//!
-//! With `RECORD_FIXTURES` set, the runs are written instead of compared: only for a change of behaviour that is meant.
 use decision::Time;
 use fastrand::Rng;
 use registry::endpoints::{Endpoints, Settings as EndpointSettings};
 use registry::fleet::{Action as FleetAction, Event as FleetEvent, Fleet, Level, Settings as FleetSettings};
 use registry::machine::{Action, Change, Event, Item, LeaveReason, Machine, Settings};
 use std::fmt::Write;
+use testkit::fixture::Fixtures;
 use xxhash_rust::xxh3::xxh3_64;
 
+const FIXTURES: Fixtures = testkit::fixtures!();
 const SECOND_US: i64 = 1_000_000;
 const STEPS: usize = 20_000;
 const STEPS_IN_CLEAR: usize = 300;
@@ -22,16 +22,7 @@
 }
 
 fn assert_recorded(name: &str, lines: &[String]) {
-    let path = format!("{}/tests/fixtures/{name}", env!("CARGO_MANIFEST_DIR"));
-    let text = fixture_text(lines);
-    if std::env::var_os("RECORD_FIXTURES").is_some() {
-        std::fs::write(&path, &text).unwrap();
-    }
-    let recorded = std::fs::read_to_string(&path).unwrap();
-    for (step, (expected, found)) in recorded.lines().zip(text.lines()).enumerate() {
-        assert_eq!(found, expected, "{name}: step {step}");
-    }
-    assert_eq!(text, recorded, "{name}");
+    FIXTURES.assert_same(name, fixture_text(lines));
 }
 
 fn item_text(item: &Item) -> String {
--- a/registry/tests/stored_forms.rs
+++ b/registry/tests/stored_forms.rs
@@ -1,17 +1,9 @@
 //! The bytes of what is stored: the node list on disk, and this router's entry in the registry.
 use registry::cache::{self, CachedList};
 use registry::client::Router;
-use std::path::PathBuf;
+use testkit::fixture::Fixtures;
 
-fn fixture(name: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
-}
-
-fn record(name: &str, bytes: &[u8]) {
-    if std::env::var_os("RECORD_FIXTURES").is_some() {
-        std::fs::write(fixture(name), bytes).unwrap();
-    }
-}
+const FIXTURES: Fixtures = testkit::fixtures!();
 
 fn list() -> CachedList {
     let node = br#"{"addr":"127.0.0.1:3311","state":"draining"}"#;
@@ -31,10 +23,8 @@
     let folder = tempfile::tempdir().unwrap();
     cache::write(folder.path(), &list()).unwrap();
     let written = std::fs::read(folder.path().join("registry")).unwrap();
-    record("node-list.bin", &written);
-    let recorded = std::fs::read(fixture("node-list.bin")).unwrap();
-    assert_eq!(written, recorded);
-    std::fs::write(folder.path().join("registry"), &recorded).unwrap();
+    FIXTURES.assert_same("node-list.bin", written);
+    std::fs::write(folder.path().join("registry"), FIXTURES.bytes("node-list.bin")).unwrap();
     assert_eq!(cache::read(folder.path()).unwrap(), Some(list()));
 }
 
@@ -48,9 +38,8 @@
     };
     // As the client writes it: the keys in the order of their names.
     let written = serde_json::json!(router).to_string();
-    record("router-entry.json", written.as_bytes());
-    let recorded = std::fs::read_to_string(fixture("router-entry.json")).unwrap();
-    assert_eq!(written, recorded);
+    FIXTURES.assert_same("router-entry.json", written);
+    let recorded = FIXTURES.text("router-entry.json");
     assert_eq!(serde_json::from_str::<Router>(&recorded).unwrap(), router);
     let without_store = r#"{"addr":"127.0.0.1:3306","sessions":null,"incarnation":7}"#;
     let router: Router = serde_json::from_str(without_store).unwrap();
--- a/releases/tests/releases/recorded_run.rs
+++ b/releases/tests/releases/recorded_run.rs
@@ -11,9 +11,11 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt::Write;
-use std::fs;
-use std::path::Path;
+use testkit::fixture::Fixtures;
+use testkit::hash::fnv1a;
+use testkit::random::{Random, SplitMix64};
 
+const FIXTURES: Fixtures = testkit::fixtures!();
 const ROUTERS: u64 = 9;
 const ZONES: u64 = 3;
 const OWNERS: [&str; 2] = ["anna", "ben"];
@@ -22,35 +24,8 @@
 const HASHED_SEEDS: u64 = 24;
 const PLAYED_SEEDS: u64 = 8;
 
-/// splitmix64
-struct Random(u64);
-
-impl Random {
-    fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-        (z ^ (z >> 31)) % bound
-    }
-
-    fn one_in(&mut self, bound: u64) -> bool {
-        self.below(bound) == 0
-    }
-
-    fn span(&mut self, bound: Micros) -> Micros {
-        self.below(bound as u64) as Micros
-    }
-
-    fn router(&mut self) -> String {
-        format!("r{}", self.below(ROUTERS))
-    }
-}
-
-fn fnv1a(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
-    })
+fn router_name(random: &mut SplitMix64) -> String {
+    format!("r{}", random.below(ROUTERS))
 }
 
 fn json(value: &impl Serialize) -> String {
@@ -58,7 +33,7 @@
 }
 
 fn hash_of(value: &impl Serialize) -> String {
-    format!("{:016x}", fnv1a(&json(value)))
+    format!("{:016x}", fnv1a(json(value)))
 }
 
 fn denial_text(reason: &ReservationError) -> String {
@@ -75,7 +50,7 @@
     DisruptionBudget { routers: limits, instances: limits }
 }
 
-fn members(random: &mut Random) -> Members {
+fn members(random: &mut SplitMix64) -> Members {
     let mut members = Members::new();
     for i in 0..ROUTERS {
         if !random.one_in(12) {
@@ -88,13 +63,13 @@
 
 /// A budget ledger under random events.
 fn record_ledger(seed: u64, steps: u32) -> String {
-    let mut random = Random(seed);
+    let mut random = SplitMix64::new(seed);
     let mut members_now = members(&mut random);
     let mut ledger = BudgetLedger::new(budget(3, 50), 20 * SECOND, members_now.clone());
     let (mut now, mut lines) = (0, String::new());
     for request in (0..u64::from(steps)).map(RequestId) {
-        now += random.span(2 * SECOND);
-        let router = target(TargetKind::Router, &random.router());
+        now += random.time_below(2 * SECOND);
+        let router = target(TargetKind::Router, &router_name(&mut random));
         let target = if random.one_in(10) { target(TargetKind::Instance, "i0") } else { router };
         let latest = ledger.reservations().map(|found| found.grant).max().unwrap_or(GrantId(0));
         let grant = GrantId(latest.0.saturating_sub(random.below(4)));
@@ -138,7 +113,7 @@
 
 /// A release under random events, with the requests that it has open.
 struct ReleaseRun {
-    random: Random,
+    random: SplitMix64,
     now: Micros,
     release: Release,
     open: Vec<(String, RequestId)>,
@@ -157,7 +132,7 @@
         settings.max_lost_routers = (seed % 3) as u32;
         let release = Release::new(plan(&routers), settings).unwrap();
         ReleaseRun {
-            random: Random(seed),
+            random: SplitMix64::new(seed),
             now: 0,
             release,
             open: Vec::new(),
@@ -231,7 +206,7 @@
     fn updated(&mut self) -> Event {
         if self.updating.is_empty() || self.random.one_in(12) {
             let version = if self.random.one_in(2) { last_good() } else { target_version() };
-            return Event::Updated { router: self.random.router(), version };
+            return Event::Updated { router: router_name(&mut self.random), version };
         }
         let i = self.random.below(self.updating.len() as u64) as usize;
         let (router, version) = self.updating.swap_remove(i);
@@ -252,7 +227,7 @@
 
     fn step(&mut self) {
         let longest = if self.random.one_in(40) { 40 * SECOND } else { 2 * SECOND };
-        self.now += self.random.span(longest);
+        self.now += self.random.time_below(longest);
         match self.random.below(160) {
             0..=19 => self.report_stats(),
             20..=69 => {
@@ -322,42 +297,29 @@
     )
 }
 
-/// Fails with the place of the new text where it is not the recorded one.
-fn compare(name: &str, recorded: &str, found: &str) {
-    if recorded != found {
-        let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", env!("CARGO_PKG_NAME")));
-        fs::write(&path, found).unwrap();
-        panic!("the run is not the recorded one: compare tests/fixtures/{name} with {}", path.display());
-    }
-}
-
 #[test]
 fn readable_ledger_run_is_as_recorded() {
-    compare("ledger-run.txt", include_str!("../fixtures/ledger-run.txt"), &record_ledger(1, READABLE_STEPS));
+    FIXTURES.assert_same("ledger-run.txt", record_ledger(1, READABLE_STEPS));
 }
 
 #[test]
 fn readable_release_run_is_as_recorded() {
-    compare(
-        "release-run.txt",
-        include_str!("../fixtures/release-run.txt"),
-        &record_releases(1, READABLE_STEPS),
-    );
+    FIXTURES.assert_same("release-run.txt", record_releases(1, READABLE_STEPS));
 }
 
 #[test]
 fn hashed_runs_are_as_recorded() {
     let mut found = String::new();
     for seed in 0..HASHED_SEEDS {
-        let ledger = fnv1a(&record_ledger(seed, HASHED_STEPS));
-        let releases = fnv1a(&record_releases(seed, HASHED_STEPS));
+        let ledger = fnv1a(record_ledger(seed, HASHED_STEPS));
+        let releases = fnv1a(record_releases(seed, HASHED_STEPS));
         writeln!(found, "{seed} {ledger:016x} {releases:016x}").unwrap();
     }
-    compare("run-hashes.txt", include_str!("../fixtures/run-hashes.txt"), &found);
+    FIXTURES.assert_same("run-hashes.txt", &found);
 }
 
 #[test]
 fn played_fleets_end_as_recorded() {
     let found: String = (0..PLAYED_SEEDS).map(play).collect();
-    compare("played.txt", include_str!("../fixtures/played.txt"), &found);
+    FIXTURES.assert_same("played.txt", &found);
 }
--- a/routing/tests/common/mod.rs
+++ b/routing/tests/common/mod.rs
@@ -1,14 +1,11 @@
 //! What the tests of the whole core share: scripted endpoints behind a protocol that waits where the test wants it.
-use decision::{GroupId, MemberState};
-use routing::{EndpointEntry, spawn};
+use routing::spawn;
 use settings::Limits;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Condvar, Mutex};
-use std::time::Duration;
+use testkit::routing::TIMEOUT;
 
-/// Longest wait for anything that has to happen.
-pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 const ACCEPTOR_STACK_BYTES: usize = 64 * 1024;
 
 /// The state of all scripted endpoints, changed by the test and by the protocol.
@@ -53,22 +50,3 @@
     .unwrap();
     listener
 }
-
-pub(crate) fn addr(port: u16) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], port))
-}
-
-/// A ready endpoint.
-pub(crate) fn endpoint(id: &str, port: u16, group: GroupId) -> EndpointEntry {
-    EndpointEntry {
-        id: id.into(),
-        addr: addr(port),
-        group,
-        zone: 0,
-        site: None,
-        state: MemberState::Ready,
-        listed_primary: false,
-        weight: 1.0,
-        started_at: None,
-    }
-}
--- a/routing/tests/endpoints.rs
+++ b/routing/tests/endpoints.rs
@@ -1,65 +1,11 @@
 //! The endpoints actor: in which order updates count, whichever connection of a watch they arrived on.
 use crossbeam_channel::{Receiver, bounded, unbounded};
 use decision::{GroupId, MemberState};
-use routing::{
-    AttemptGuard, BackendProtocol, Clock, Connection, ConnectionPermit, EndpointEntry, EndpointUpdate,
-    EndpointsHandle, Exchange, ExchangeResult, NotSent, Outcome, RouterMessage, ServerSocket, UpdateOrder,
-    WallClock,
-};
-use settings::Limits;
-use std::net::SocketAddr;
-use std::time::Duration;
-
-const TIMEOUT: Duration = Duration::from_secs(20);
-
-/// A protocol that carries nothing: only the endpoints actor is wanted here.
-struct NoProtocol;
-struct NoConnection(ServerSocket);
-
-impl BackendProtocol for NoProtocol {
-    type Payload = ();
-    type Response = ();
-    type Connection = NoConnection;
-
-    fn connect(&self, _: SocketAddr, _: ConnectionPermit) -> Result<NoConnection, Outcome> {
-        unreachable!("no endpoint is asked")
-    }
-}
-
-impl Connection<NoProtocol> for NoConnection {
-    fn socket(&self) -> ServerSocket {
-        self.0.clone()
-    }
-
-    fn is_usable(&mut self, _: Duration, _: ConnectionPermit) -> bool {
-        false
-    }
-
-    fn execute(
-        &mut self,
-        _: Exchange<'_, NoProtocol>,
-        _: &AttemptGuard,
-    ) -> Result<ExchangeResult<()>, NotSent> {
-        Err(NotSent::ConnectionBroken)
-    }
-}
-
-fn limits() -> Limits {
-    Limits::new(256, 192 << 20, TIMEOUT, TIMEOUT, TIMEOUT)
-}
+use routing::{EndpointEntry, EndpointUpdate, EndpointsHandle, RouterMessage, UpdateOrder};
+use testkit::routing::{NoProtocol, TIMEOUT, limits, start_endpoints};
 
 fn endpoint(id: &str, state: MemberState, port: u16) -> EndpointEntry {
-    EndpointEntry {
-        id: id.into(),
-        addr: SocketAddr::from(([127, 0, 0, 1], port)),
-        group: GroupId(1),
-        zone: 0,
-        site: None,
-        state,
-        listed_primary: false,
-        weight: 1.0,
-        started_at: None,
-    }
+    EndpointEntry { state, ..testkit::routing::endpoint(id, port, GroupId(1)) }
 }
 
 const READY: MemberState = MemberState::Ready;
@@ -78,11 +24,7 @@
 impl Fixture {
     fn start() -> Fixture {
         let (sender, router) = unbounded();
-        Fixture {
-            endpoints: routing::endpoints::start(&limits(), sender, None, WallClock::new(Clock::new()))
-                .unwrap(),
-            router,
-        }
+        Fixture { endpoints: start_endpoints(&limits(TIMEOUT), sender, None), router }
     }
 
     /// What the router actor gets of an update, and the version that a watch resumes from then.
@@ -180,7 +122,7 @@
 #[test]
 fn updates_wait_in_order_for_a_busy_router() {
     let (sender, router) = bounded::<RouterMessage<NoProtocol>>(1);
-    let endpoints = routing::endpoints::start(&limits(), sender, None, WallClock::new(Clock::new())).unwrap();
+    let endpoints = start_endpoints(&limits(TIMEOUT), sender, None);
     let notifier = endpoints.clone();
     let notified = std::thread::spawn(move || {
         (1..=10_000).all(|version| notifier.notify(update(version, version == 1, &[("a", READY)])))
--- a/routing/tests/handover/cancellation.rs
+++ b/routing/tests/handover/cancellation.rs
@@ -1,11 +1,11 @@
 //! What cancels an attempt before its first byte: a drain, a removal, its client, its deadline, its deduplication window.
-use crate::common::addr;
 use crate::script::{
     Core, DEDUPLICATED, IDEMPOTENT, Pause, Pauses, SHORT, Submitted, WINDOW, draining, endpoint,
 };
 use decision::Outcome;
 use routing::FinalResponse;
 use std::time::{Duration, Instant};
+use testkit::routing::addr;
 
 /// One request is written on an idle connection, which breaks before the last byte, after `event`.
 fn break_connection_after(event: impl FnOnce(&mut Core, &Submitted)) -> (Core, Submitted) {
--- a/routing/tests/handover/connections.rs
+++ b/routing/tests/handover/connections.rs
@@ -1,8 +1,8 @@
 //! Connections between exchanges: their slots, their addresses and their idle time.
-use crate::common::{TIMEOUT, addr};
 use crate::script::{Core, IDEMPOTENT, Pause, Pauses, endpoint};
 use routing::FinalResponse;
 use std::time::{Duration, Instant};
+use testkit::routing::{TIMEOUT, addr};
 
 #[test]
 fn panicking_protocol_ends_attempt_and_frees_connection_slot() {
--- a/routing/tests/handover/mailbox.rs
+++ b/routing/tests/handover/mailbox.rs
@@ -1,8 +1,8 @@
 //! The backends actor held up: what a full or slow mailbox must not lose.
-use crate::common::addr;
 use crate::script::{Core, IDEMPOTENT, Pause, Pauses, draining, endpoint};
 use routing::EndpointEntry;
 use std::time::Duration;
+use testkit::routing::addr;
 
 /// Pauses the backends actor over the close of a connection to endpoint 1, in group 0.
 fn pause_backends_actor(core: &mut Core, others: &[EndpointEntry]) {
--- a/routing/tests/handover/script.rs
+++ b/routing/tests/handover/script.rs
@@ -1,5 +1,5 @@
 //! The core on a protocol that stops at a connect, a write, a response or a close until the test lets it go on.
-use crate::common::{self, Script, TIMEOUT, accepting_listener};
+use crate::common::{self, Script, accepting_listener};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use decision::{
     Class, Freshness, GroupId, Idempotency, MemberReport, MemberState, Outcome, RequestId, Settings, Time,
@@ -15,6 +15,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::time::Duration;
+use testkit::routing::TIMEOUT;
 
 /// A class whose requests may be retried anywhere, and one whose requests may within a window.
 pub(crate) const IDEMPOTENT: usize = 0;
@@ -229,7 +230,7 @@
 
 /// The only endpoint of a group unless others are named.
 pub(crate) fn endpoint(id: &str, port: u16, group: u32) -> EndpointEntry {
-    common::endpoint(id, port, GroupId(group))
+    testkit::routing::endpoint(id, port, GroupId(group))
 }
 
 pub(crate) fn draining(endpoint: EndpointEntry) -> EndpointEntry {
--- a/routing/tests/placement/rules.rs
+++ b/routing/tests/placement/rules.rs
@@ -1,5 +1,4 @@
 //! What rules bind: requests, their attempts, and endpoints that move between sites.
-use crate::common::{TIMEOUT, addr};
 use crate::script::{
     ANY, Core, DEFAULT_HOLD_MICROS, GROUP, LATEST, Paused, Rule, WRITE, endpoint, four, preferred, strict,
 };
@@ -8,6 +7,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
+use testkit::routing::{TIMEOUT, addr};
 
 #[test]
 fn retries_of_strict_tenant_stay_inside() {
--- a/routing/tests/placement/script.rs
+++ b/routing/tests/placement/script.rs
@@ -1,5 +1,5 @@
 //! The core with placement rules on a protocol that records what each endpoint is asked; how it responds is set by the test.
-use crate::common::{self, Script, TIMEOUT, accepting_listener, addr};
+use crate::common::{self, Script, accepting_listener};
 use crossbeam_channel::{Receiver, bounded};
 use decision::{Class, Freshness, GroupId, Idempotency, MemberReport, Outcome, Settings, Time};
 use placement::News;
@@ -15,6 +15,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use testkit::routing::{TIMEOUT, addr};
 
 pub(crate) const ANY: usize = 0;
 pub(crate) const WRITE: usize = 1;
@@ -160,7 +161,7 @@
 }
 
 pub(crate) fn endpoint(id: &str, port: u16, site: &str) -> EndpointEntry {
-    EndpointEntry { site: Some(site.into()), ..common::endpoint(id, port, GROUP) }
+    EndpointEntry { site: Some(site.into()), ..testkit::routing::endpoint(id, port, GROUP) }
 }
 
 /// A tenant's placement rule.
--- a/store/tests/recorded/control_lines.rs
+++ b/store/tests/recorded/control_lines.rs
@@ -1,5 +1,5 @@
 //! Lines of the control address, and the texts of rejections, which are part of them.
-use crate::fixtures::assert_recorded;
+use crate::fixtures::FIXTURES;
 use crate::samples::{LONG, rejections, single_node};
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Write};
@@ -49,7 +49,7 @@
         writeln!(&socket, "{line}").unwrap();
         writeln!(now, "> {line}\n< {}", lines.next().unwrap().unwrap()).unwrap();
     }
-    assert_recorded("control_lines.txt", &now);
+    FIXTURES.assert_same("control_lines.txt", &now);
     assert_eq!(store::control::server_key("stock-a"), "server/stock-a");
 }
 
@@ -57,5 +57,5 @@
 fn rejection_texts_keep_their_wording() {
     let mut now = String::new();
     rejections().iter().for_each(|rejection| writeln!(now, "{rejection}").unwrap());
-    assert_recorded("rejection_texts.txt", &now);
+    FIXTURES.assert_same("rejection_texts.txt", &now);
 }
--- a/store/tests/recorded/frames.rs
+++ b/store/tests/recorded/frames.rs
@@ -1,5 +1,5 @@
 //! What is exchanged with other processes: frames between nodes and clients, and between nodes.
-use crate::fixtures::{assert_recorded, fixture, hex, recorded_bytes, unhex};
+use crate::fixtures::{FIXTURES, recorded_bytes};
 use crate::samples::{LONG, raft_message, requests, responses};
 use protobuf::Message as _;
 use raft::eraftpb::Message;
@@ -7,6 +7,7 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use store::wire::{self, Protocol, Request, Response, STORE_PROTOCOL, WireError};
+use testkit::hex;
 
 /// Two ends of one connection.
 fn connection() -> (TcpStream, TcpStream) {
@@ -36,17 +37,17 @@
 
 #[test]
 fn client_frames_keep_their_bytes() {
-    let mut now = format!("hello {}\n", hex(&sent(|s| wire::send_hello(s, STORE_PROTOCOL).unwrap())));
+    let mut now = format!("hello {}\n", hex::encode(&sent(|s| wire::send_hello(s, STORE_PROTOCOL).unwrap())));
     for (name, request) in requests() {
         let frame = sent(|s| wire::send(s, &request).unwrap());
-        writeln!(now, "request:{name} {}", hex(&frame)).unwrap();
+        writeln!(now, "request:{name} {}", hex::encode(&frame)).unwrap();
     }
     for (name, response) in responses() {
         let frame = sent(|s| wire::send(s, &response).unwrap());
-        writeln!(now, "answer:{name} {}", hex(&frame)).unwrap();
+        writeln!(now, "answer:{name} {}", hex::encode(&frame)).unwrap();
     }
-    assert_recorded("client_frames.txt", &now);
-    let recorded = fixture("client_frames.txt");
+    FIXTURES.assert_same("client_frames.txt", &now);
+    let recorded = FIXTURES.text("client_frames.txt");
     wire::receive_hello(&receiving(&recorded_bytes(&recorded, "hello")), STORE_PROTOCOL, LONG).unwrap();
     for (name, request) in requests() {
         let far = receiving(&recorded_bytes(&recorded, &format!("request:{name}")));
@@ -80,14 +81,14 @@
     socket.set_read_timeout(Some(LONG)).unwrap();
     let mut frame = Vec::new();
     socket.read_to_end(&mut frame).unwrap();
-    assert_recorded("peer_frame.hex", &(hex(&frame) + "\n"));
+    FIXTURES.assert_same("peer_frame.hex", &(hex::encode(&frame) + "\n"));
     assert_eq!(Message::parse_from_bytes(&frame[4..]).unwrap(), raft_message());
 
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let (received, messages) = crossbeam_channel::unbounded();
     store::peers::listen(listener, move |message| received.send(message).is_ok()).unwrap();
-    let recorded = unhex(&fixture("peer_frame.hex"));
+    let recorded = hex::decode(&FIXTURES.text("peer_frame.hex"));
     TcpStream::connect(addr).unwrap().write_all(&[&recorded[..], &recorded].concat()).unwrap();
     for _ in 0..2 {
         assert_eq!(messages.recv_timeout(LONG).unwrap(), raft_message());
--- a/store/tests/recorded/limits.rs
+++ b/store/tests/recorded/limits.rs
@@ -1,10 +1,11 @@
 //! Rejections by limits. They carry texts, which are sent to clients and stored in snapshots.
-use crate::fixtures::{assert_recorded, hex};
+use crate::fixtures::FIXTURES;
 use crate::samples::{set, update};
 use std::fmt::Write;
 use store::command::{Command, CommandResponse, Operation};
 use store::limits::StoreLimits;
 use store::machine::StateMachine;
+use testkit::hex;
 
 fn limits() -> StoreLimits {
     StoreLimits {
@@ -56,7 +57,7 @@
     ];
     let mut now = String::new();
     for (name, response) in responses {
-        writeln!(now, "{name} {}", hex(&postcard::to_allocvec(&response).unwrap())).unwrap();
+        writeln!(now, "{name} {}", hex::encode(&postcard::to_allocvec(&response).unwrap())).unwrap();
     }
-    assert_recorded("limit_rejections.txt", &now);
+    FIXTURES.assert_same("limit_rejections.txt", &now);
 }
--- a/store/tests/recorded/log_forms.rs
+++ b/store/tests/recorded/log_forms.rs
@@ -1,5 +1,5 @@
 //! What is stored: commands in the log, snapshots, and the log file.
-use crate::fixtures::{assert_recorded, fixture, hex, recorded_bytes, unhex};
+use crate::fixtures::{FIXTURES, recorded_bytes};
 use crate::samples::{
     commands, entry, hard_state, log_entries, populated_limits, populated_machine, raft_snapshot, set,
     single_node, update, value,
@@ -9,15 +9,16 @@
 use store::limits::StoreLimits;
 use store::log_file::LogFile;
 use store::machine::StateMachine;
+use testkit::hex;
 
 #[test]
 fn log_commands_keep_their_bytes() {
     let mut now = String::new();
     for (name, command) in commands() {
-        writeln!(now, "{name} {}", hex(&command.encode().unwrap())).unwrap();
+        writeln!(now, "{name} {}", hex::encode(&command.encode().unwrap())).unwrap();
     }
-    assert_recorded("log_commands.txt", &now);
-    let recorded = fixture("log_commands.txt");
+    FIXTURES.assert_same("log_commands.txt", &now);
+    let recorded = FIXTURES.text("log_commands.txt");
     for (name, command) in commands() {
         assert_eq!(Command::decode(&recorded_bytes(&recorded, &name)), Some(command), "{name}");
     }
@@ -25,7 +26,7 @@
 
 #[test]
 fn legacy_json_commands_are_read() {
-    let recorded = fixture("legacy_commands.txt");
+    let recorded = FIXTURES.text("legacy_commands.txt");
     let read: Vec<_> = recorded.lines().map(|line| Command::decode(line.as_bytes())).collect();
     let expected = [
         update("a", Some("2"), Some(1)),
@@ -39,7 +40,7 @@
 #[test]
 fn legacy_json_snapshot_is_read() {
     let machine =
-        StateMachine::decode(fixture("legacy_snapshot.json").trim().as_bytes(), StoreLimits::default())
+        StateMachine::decode(FIXTURES.text("legacy_snapshot.json").trim().as_bytes(), StoreLimits::default())
             .unwrap();
     let state = machine.state();
     assert_eq!((state.store_id, state.applied_index, state.revision), (0, 9, 9));
@@ -53,8 +54,8 @@
 #[test]
 fn snapshot_keeps_its_bytes() {
     let machine = populated_machine();
-    assert_recorded("snapshot.hex", &(hex(&machine.encode().unwrap()) + "\n"));
-    let recorded = unhex(&fixture("snapshot.hex"));
+    FIXTURES.assert_same("snapshot.hex", &(hex::encode(&machine.encode().unwrap()) + "\n"));
+    let recorded = hex::decode(&FIXTURES.text("snapshot.hex"));
     let read = StateMachine::decode(&recorded, populated_limits()).unwrap();
     assert_eq!(read, machine);
     assert_eq!(read.encode().unwrap(), recorded);
@@ -68,20 +69,20 @@
     let (mut log_file, contents) = LogFile::open(folder.path()).unwrap();
     assert!(contents.entries.is_empty() && contents.torn_bytes == 0);
     log_file.rewrite(&raft_snapshot(), &entries[..2], &hard_state(2, 3, 21)).unwrap();
-    assert_recorded("log_rewritten.hex", &(hex(&std::fs::read(&path).unwrap()) + "\n"));
+    FIXTURES.assert_same("log_rewritten.hex", &(hex::encode(&std::fs::read(&path).unwrap()) + "\n"));
     log_file.append(&entries[2..], Some(&hard_state(3, 1, 24))).unwrap();
     log_file.append(&[], Some(&hard_state(4, 0, 24))).unwrap();
     // A new leader's entry takes the place of what stood there and of all behind it.
     log_file.append(&[entry(25, 4, b"{}")], None).unwrap();
     log_file.append(&[], None).unwrap();
-    assert_recorded("log_appended.hex", &(hex(&std::fs::read(&path).unwrap()) + "\n"));
+    FIXTURES.assert_same("log_appended.hex", &(hex::encode(&std::fs::read(&path).unwrap()) + "\n"));
 }
 
 #[test]
 fn recorded_log_file_is_read_and_its_torn_tail_is_cut() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("log");
-    let recorded = unhex(&fixture("log_appended.hex"));
+    let recorded = hex::decode(&FIXTURES.text("log_appended.hex"));
     for torn in [&b""[..], b"\x50\0\0\0torn off"] {
         std::fs::write(&path, [&recorded[..], torn].concat()).unwrap();
         let (_, contents) = LogFile::open(folder.path()).unwrap();
@@ -98,7 +99,7 @@
 fn damage_before_a_confirmed_record_is_an_error_and_the_file_stays() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("log");
-    let recorded = unhex(&fixture("log_appended.hex"));
+    let recorded = hex::decode(&FIXTURES.text("log_appended.hex"));
     let (_, last_record) = record_bounds(&recorded).pop().unwrap();
     for (first, end) in record_bounds(&recorded) {
         // One byte of a body; the length of a record; a record of a kind that a later version writes.
@@ -156,14 +157,14 @@
         // The store's id and the counter of request ids are random; everything else is recorded.
         let context = match &entry.context[..] {
             [] => "none".to_string(),
-            [node @ .., _, _, _, _, _, _, _, _] => format!("node {} and 8 bytes", hex(node)),
-            short => hex(short),
+            [node @ .., _, _, _, _, _, _, _, _] => format!("node {} and 8 bytes", hex::encode(node)),
+            short => hex::encode(short),
         };
-        let random = hex(&postcard::to_allocvec(&store_id).unwrap());
-        let data = hex(&entry.data).replace(&random, "STORE");
+        let random = hex::encode(&postcard::to_allocvec(&store_id).unwrap());
+        let data = hex::encode(&entry.data).replace(&random, "STORE");
         let (index, term, kind) = (entry.index, entry.term, entry.entry_type);
         writeln!(now, "{index} term {term} type {kind:?} context {context} data {data}").unwrap();
     }
     writeln!(now, "term {} vote {}", contents.hard_state.term, contents.hard_state.vote).unwrap();
-    assert_recorded("new_store_log.txt", &now);
+    FIXTURES.assert_same("new_store_log.txt", &now);
 }
--- a/store/tests/recorded/machine_run.rs
+++ b/store/tests/recorded/machine_run.rs
@@ -1,6 +1,6 @@
 //! A recorded run of the state machine and of the leader's lease timers: seeded commands in; responses, changes, lease
 //! events and proposals out. Small limits let the run reach many rejections.
-use crate::fixtures::{assert_recorded, hex};
+use crate::fixtures::FIXTURES;
 use std::fmt::Write as _;
 use store::Update;
 use store::change_log::{ChangeLog, Compacted, RetentionLimits};
@@ -8,6 +8,7 @@
 use store::lease_timers::{LeaseEvent, LeaseTimer, LeaseTimerEvent, LeaseTimers};
 use store::limits::StoreLimits;
 use store::machine::StateMachine;
+use testkit::hex;
 
 const SEED: u64 = 17;
 const STEPS: u64 = 600;
@@ -108,14 +109,15 @@
     fn apply(&mut self, command: Command) {
         self.index += 1;
         let applied = self.machine.apply(self.index, command.clone());
-        let response = hex(&postcard::to_allocvec(&applied.response).unwrap());
-        let changes = applied.changes.as_ref().map(|set| hex(&postcard::to_allocvec(&**set).unwrap()));
+        let response = hex::encode(&postcard::to_allocvec(&applied.response).unwrap());
+        let changes =
+            applied.changes.as_ref().map(|set| hex::encode(&postcard::to_allocvec(&**set).unwrap()));
         let lease = match &applied.lease_event {
             None => "-".to_string(),
             Some(LeaseEvent::Started(timer)) => format!("begun {}", describe(timer)),
             Some(LeaseEvent::Ended { epoch }) => format!("ended {epoch}"),
         };
-        let command_bytes = hex(&command.encode().unwrap());
+        let command_bytes = hex::encode(&command.encode().unwrap());
         let changes_bytes = changes.as_deref().unwrap_or("-");
         writeln!(
             self.lines,
@@ -146,7 +148,7 @@
         let mut proposals = Vec::new();
         self.lease_timers.handle(event, &mut proposals);
         for command in proposals {
-            writeln!(self.lines, "  proposed {}", hex(&command.encode().unwrap())).unwrap();
+            writeln!(self.lines, "  proposed {}", hex::encode(&command.encode().unwrap())).unwrap();
             // Some proposals are lost.
             if self.random.u8(..3) > 0 {
                 self.apply(command);
@@ -206,5 +208,5 @@
         }
     }
     run.restart();
-    assert_recorded("state_machine_run.txt", &run.lines);
+    FIXTURES.assert_same("state_machine_run.txt", &run.lines);
 }
--- /dev/null
+++ b/testkit/src/routing.rs
@@ -0,0 +1,89 @@
+//! An endpoint list that runs without backends: its actor applies updates, and the test receives what the router's actor
+//! would.
+use crossbeam_channel::Sender;
+use routing::{
+    AttemptGuard, BackendProtocol, Clock, Connection, ConnectionPermit, EndpointEntry, EndpointsHandle,
+    Exchange, ExchangeResult, GroupId, MemberState, Metrics, NotSent, Outcome, RouterMessage, ServerSocket,
+    WallClock,
+};
+use settings::Limits;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// The longest that a test waits for what has to happen; only a failure reaches it.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
+
+const MAX_SOCKETS: usize = 256;
+const MEMORY_BYTES: usize = 192 << 20;
+
+/// A protocol that connects to nothing.
+pub struct NoProtocol;
+
+/// A connection that is never made.
+pub struct NoConnection(ServerSocket);
+
+impl BackendProtocol for NoProtocol {
+    type Payload = ();
+    type Response = ();
+    type Connection = NoConnection;
+
+    fn connect(&self, _: SocketAddr, _: ConnectionPermit) -> Result<NoConnection, Outcome> {
+        unreachable!("no endpoint is asked")
+    }
+}
+
+impl Connection<NoProtocol> for NoConnection {
+    fn socket(&self) -> ServerSocket {
+        self.0.clone()
+    }
+
+    fn is_usable(&mut self, _: Duration, _: ConnectionPermit) -> bool {
+        false
+    }
+
+    fn execute(
+        &mut self,
+        _: Exchange<'_, NoProtocol>,
+        _: &AttemptGuard,
+    ) -> Result<ExchangeResult<()>, NotSent> {
+        Err(NotSent::ConnectionBroken)
+    }
+}
+
+/// Limits that no test reaches, with this bound for each wait.
+pub fn limits(timeout: Duration) -> Limits {
+    Limits::new(MAX_SOCKETS, MEMORY_BYTES, timeout, timeout, timeout)
+}
+
+/// The address of this port on loopback.
+pub fn addr(port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+/// A ready replica on loopback, without a site and started long ago.
+pub fn endpoint(id: &str, port: u16, group: GroupId) -> EndpointEntry {
+    EndpointEntry {
+        id: id.into(),
+        addr: addr(port),
+        group,
+        zone: 0,
+        site: None,
+        state: MemberState::Ready,
+        listed_primary: false,
+        weight: 1.0,
+        started_at: None,
+    }
+}
+
+/// Starts the actor of an endpoint list. `router` gets what the router's actor would.
+///
+/// # Panics
+/// If the system starts no thread.
+pub fn start_endpoints(
+    limits: &Limits,
+    router: Sender<RouterMessage<NoProtocol>>,
+    metrics: Option<Arc<Metrics>>,
+) -> EndpointsHandle {
+    routing::endpoints::start(limits, router, metrics, WallClock::new(Clock::new())).expect("a thread")
+}
