--- a/audit/src/lib.rs
+++ b/audit/src/lib.rs
@@ -9,7 +9,7 @@
 //!   rejects it once the version's lease has expired or the leader has fenced the router out.
 //! - [`timeline`] turns the record into an operator's view: intervals and gaps.
 //!
-//! `docs/audit.md` has the guarantees and their limits.
+//! `docs/design/audit.md` has the guarantees and their limits.
 mod exchange;
 mod fence;
 mod record;
--- a/membership/examples/measure.rs
+++ b/membership/examples/measure.rs
@@ -1,4 +1,4 @@
-//! The figures of `docs/membership.md`, from simulated networks:
+//! The figures of `docs/design/membership.md`, from simulated networks:
 //! `cargo run --release -p membership --example measure`.
 use membership::simulation::Simulation;
 use membership::{Action, Settings};
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -5,7 +5,7 @@
 //! those changes into the number by which a router's capacity share is divided, and [`follow_router_count`] runs it
 //! on a thread. [`simulation`] plays many machines in virtual time.
 //!
-//! Membership says who is alive and nothing else: shared state has one owner, the store. `docs/membership.md` has the
+//! Membership says who is alive and nothing else: shared state has one owner, the store. `docs/design/membership.md` has the
 //! choices, the guarantees and the figures.
 mod change;
 mod driver;
--- a/membership/src/live_router_count.rs
+++ b/membership/src/live_router_count.rs
@@ -2,7 +2,7 @@
 //!
 //! [`LiveRouterCount`] is a state machine fed with changes of membership. A router that comes counts at once. One that
 //! goes still counts for a settle time, since it may only be unreachable from here and still send.
-//! `docs/membership.md` has what a split costs.
+//! `docs/design/membership.md` has what a split costs.
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/membership/src/settings.rs
+++ b/membership/src/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Protocol timing and limits. All routers of a fleet must have the same. The defaults are for up to 300 routers on
-/// loopback; `docs/membership.md` has what they cost.
+/// loopback; `docs/design/membership.md` has what they cost.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The fleet's name; datagrams of another fleet are rejected.
--- a/membership/src/simulation.rs
+++ b/membership/src/simulation.rs
@@ -1,5 +1,5 @@
 //! Many [`Machine`]s on a simulated network: virtual time, a seed, delays, loss, blocked links, stopped processes. The
-//! same seed and calls give the same run. For tests, for the figures of `docs/membership.md`, and for the emulator.
+//! same seed and calls give the same run. For tests, for the figures of `docs/design/membership.md`, and for the emulator.
 use crate::error::Error;
 use crate::machine::{Action, Event, Machine};
 use crate::member::Member;
--- a/membership/tests/simulated_fleet.rs
+++ b/membership/tests/simulated_fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets on a simulated network, in virtual time. The bounds are the ones that `docs/membership.md` states.
+//! Fleets on a simulated network, in virtual time. The bounds are the ones that `docs/design/membership.md` states.
 use membership::simulation::Simulation;
 use membership::{Action, Settings};
 use std::time::Duration;
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -4,7 +4,7 @@
 //! A *boundary* is a set of sites, strict or preferred; rules of different tenants that draw the same one share it. A
 //! *view* is a boundary's part of a group: a group number of its own, made when the first request asks for it. The
 //! state machine [`Places`] does no I/O and reads no clock. Its driver hands it [`Event`]s, carries out its [`Action`]s,
-//! and asks [`Places::route`] for the group of each request. `docs/placement.md` has the guarantees.
+//! and asks [`Places::route`] for the group of each request. `docs/design/placement.md` has the guarantees.
 mod machine;
 mod refusal;
 mod rules;
--- a/registry/src/lib.rs
+++ b/registry/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`endpoints`] picks the member to ask next.
 //!
 //! Around them: [`etcd`] and [`consul`] are the dialects, [`http`] and [`tls`] the connection, [`cache`] is the list on
-//! disk, and [`client`] drives all of it. `docs/registry.md` gives the reasons.
+//! disk, and [`client`] drives all of it. `docs/design/registry.md` gives the reasons.
 pub mod cache;
 pub mod client;
 pub mod consul;
--- a/releases/src/lib.rs
+++ b/releases/src/lib.rs
@@ -5,7 +5,7 @@
 //!   it.
 //!
 //! Neither does I/O or reads a clock. An owner commits the snapshot that a `Persist` action asks for before it carries out
-//! the actions that follow. `docs/releases.md` has the guarantees and their limits.
+//! the actions that follow. `docs/design/releases.md` has the guarantees and their limits.
 mod budget;
 mod health;
 mod ledger;
--- a/routing/src/router/actor.rs
+++ b/routing/src/router/actor.rs
@@ -216,7 +216,7 @@
                 return;
             }
         }
-        // What a fleet does is counted from these two lines of each router: docs/operate-fleet.md.
+        // What a fleet does is counted from these two lines of each router: docs/operate/fleet.md.
         tracing::debug!(at = now.0, "event {event:?}");
         self.decisions.handle(now, event, &mut actions);
         for action in actions {
--- a/soak/src/oracle/mod.rs
+++ b/soak/src/oracle/mod.rs
@@ -11,7 +11,7 @@
 /// What the machine's scheduling may add to any time.
 pub const SLACK: Micros = 200_000;
 
-/// A promise of `docs/promises.md` that an oracle watches.
+/// A promise of `docs/design/promises.md` that an oracle watches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Promise {
     /// A request that was taken gets its final answer.
@@ -55,7 +55,7 @@
 }
 
 impl Promise {
-    /// Its name in reports and in `docs/promises.md`.
+    /// Its name in reports and in `docs/design/promises.md`.
     pub fn name(self) -> &'static str {
         match self {
             Promise::Lost => "lost",
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -155,7 +155,7 @@
     #[error("there is no {0}; `registry FILE get` lists what there is")]
     NoRegistryKey(String),
     /// A node's value can't be read, or can't be put into the registry.
-    #[error("{key}: {source}; `docs/registry.md` has the form")]
+    #[error("{key}: {source}; `docs/design/registry.md` has the form")]
     RegistryNode {
         /// Its key.
         key: String,
