--- a/decision/src/router.rs
+++ b/decision/src/router.rs
@@ -98,7 +98,8 @@
 
     /// Its ejection ends: one attempt at a time until it has shown that it is well.
     fn end_ejection(&mut self) {
-        (self.ejected_until, self.half_open) = (None, true);
+        self.ejected_until = None;
+        self.half_open = true;
     }
 }
 
@@ -107,6 +108,10 @@
         self.attempts.iter().all(|a| a.outcome.is_some())
     }
 
+    fn has_tried(&self, member: MemberId) -> bool {
+        self.attempts.iter().any(|a| a.member == member)
+    }
+
     fn count(&self, outcome: Outcome) -> usize {
         self.attempts.iter().filter(|a| a.outcome == Some(outcome)).count()
     }
@@ -118,7 +123,7 @@
     settings: Settings,
     rng: fastrand::Rng,
     now: Time,
-    /// What the event at hand has led to so far.
+    /// What the current event has led to.
     actions: Vec<Action>,
     members: BTreeMap<MemberId, Member>,
     groups: BTreeMap<GroupId, Group>,
--- a/decision/src/router/admission.rs
+++ b/decision/src/router/admission.rs
@@ -29,10 +29,15 @@
             request.session_commit = own.max(self.minimum_position);
         }
         let waited = self.time_since_first_try(request.class, request.deadline.0 - self.now.0);
-        let (first_try_at, arrived_at) = (Time(self.now.0 - waited), self.now);
-        let (id, admission_draw) = (request.id, self.rng.f64());
-        let new = PendingRequest { request, arrived_at, first_try_at, admission_draw, ..Default::default() };
-        self.requests.insert(id, new);
+        let id = request.id;
+        let pending = PendingRequest {
+            request,
+            arrived_at: self.now,
+            first_try_at: Time(self.now.0 - waited),
+            admission_draw: self.rng.f64(),
+            ..Default::default()
+        };
+        self.requests.insert(id, pending);
         self.dispatch(id);
     }
 
@@ -69,9 +74,9 @@
 
     fn decide(&mut self, id: RequestId) -> Decision {
         let Some(pending) = self.requests.get(&id) else { return Decision::Queue };
-        let usual = self.latency_ewma[pending.request.class] as i64;
-        let usual = if pending.attempts.is_empty() { usual } else { 0 };
-        if self.now.0 + usual >= self.useful_until(pending).0
+        let usual_latency = self.latency_ewma[pending.request.class] as i64;
+        let expected_latency = if pending.attempts.is_empty() { usual_latency } else { 0 };
+        if self.now.0 + expected_latency >= self.useful_until(pending).0
             || pending.attempts.len() >= self.settings.max_attempts as usize
             || pending.count(Outcome::Error) >= MAX_ERRORS
             || self.now >= self.may_start_until(pending)
@@ -86,7 +91,8 @@
 
     /// After this a response earns too little to be waited for.
     pub(super) fn useful_until(&self, pending: &PendingRequest) -> Time {
-        let (class, deadline) = (self.class(pending), pending.request.deadline);
+        let class = self.class(pending);
+        let deadline = pending.request.deadline;
         let in_time = Time(pending.first_try_at.0 + class.latency_objective);
         if class.late_weight_share >= MIN_LATE_WEIGHT_SHARE { deadline } else { deadline.min(in_time) }
     }
@@ -120,7 +126,9 @@
         self.timer_set = false;
         // Ejections of a group that nothing waits for end with its next outcome.
         let waiting = self.groups.iter().filter(|(_, g)| !g.queued.is_empty()).map(|(id, _)| *id);
-        waiting.collect::<Vec<GroupId>>().into_iter().for_each(|g| self.dispatch_queued(g));
+        for group in waiting.collect::<Vec<GroupId>>() {
+            self.dispatch_queued(group);
+        }
     }
 
     /// Looks again at what is queued for a group.
@@ -130,16 +138,19 @@
         // What earns most for its work goes first, the oldest among equals.
         let mut ranked: Vec<_> = group.queued.iter().map(|id| (-self.queue_priority(*id), *id)).collect();
         ranked.sort_unstable();
-        ranked.into_iter().for_each(|(_, id)| self.dispatch(id));
+        for (_, id) in ranked {
+            self.dispatch(id);
+        }
     }
 
     /// Weight that a response would earn, per time of work: the usual latency of its class.
     fn queue_priority(&self, id: RequestId) -> i64 {
         let pending = &self.requests[&id];
-        let (class, usual) = (self.class(pending), self.latency_ewma[pending.request.class]);
-        let late = self.now.0 + usual as i64 > pending.first_try_at.0 + class.latency_objective;
-        let share = if late { class.late_weight_share } else { 1.0 };
-        (class.priority_weight * share * 1e9 / usual.max(1.0)) as i64
+        let class = self.class(pending);
+        let usual_latency = self.latency_ewma[pending.request.class];
+        let is_late = self.now.0 + usual_latency as i64 > pending.first_try_at.0 + class.latency_objective;
+        let share = if is_late { class.late_weight_share } else { 1.0 };
+        (class.priority_weight * share * 1e9 / usual_latency.max(1.0)) as i64
     }
 
     /// The final answer of a request that is not served, given at once.
@@ -158,7 +169,9 @@
 
     /// Nothing more is sent for this request; it stays known until its attempts have ended.
     pub(super) fn finish(&mut self, id: RequestId) {
-        self.requests.get_mut(&id).into_iter().for_each(|pending| pending.finished = true);
+        if let Some(pending) = self.requests.get_mut(&id) {
+            pending.finished = true;
+        }
         self.unqueue(id);
         self.drop_if_done(id);
     }
--- a/decision/src/router/attempts.rs
+++ b/decision/src/router/attempts.rs
@@ -1,6 +1,9 @@
 //! Attempts: what is sent with which time limits, and what the end of an attempt leads to.
-use super::{Action, Event, Freshness, Idempotency, MemberId, Outcome, Time};
-use super::{Attempt, LONG_AGO, PendingRequest, RequestId, Router, SessionCommitSource};
+use super::{
+    Action, Event, Freshness, GroupId, Idempotency, MemberId, MemberReport, Outcome, RequestId, SessionId,
+    Time,
+};
+use super::{Attempt, LONG_AGO, PendingRequest, Router, SessionCommitSource};
 
 /// Sessions remembered one by one; older ones fold into one minimum position.
 const MAX_SESSIONS: usize = 4096;
@@ -8,27 +11,39 @@
 impl Router {
     pub(super) fn send(&mut self, id: RequestId, member: MemberId) {
         let pending = &self.requests[&id];
-        let (class, group) = (self.class(pending), &self.groups[&pending.request.group]);
-        // No early timeout: where work given up goes on, a second try costs more than it saves.
-        let timeout = match class.idempotency {
-            Idempotency::NotIdempotent => pending.request.deadline.0 - self.now.0,
-            _ => self.useful_until(pending).0 - self.now.0,
+        // No early timeout: where abandoned work goes on, a second attempt costs more than it saves.
+        let ends_by = match self.class(pending).idempotency {
+            Idempotency::NotIdempotent => pending.request.deadline,
+            _ => self.useful_until(pending),
         };
         // A connect may lie before its first byte: what allows it now has to hold then.
-        let needs_proof = !self.replicas_check_freshness() && group.primary != Some(member);
-        let proof = match class.freshness {
-            Freshness::Bounded(bound) if needs_proof => self.members[&member].position.0 + bound,
-            _ => i64::MAX,
-        };
-        let start_timeout = proof.min(self.may_start_until(pending).0).min(self.now.0 + timeout) - self.now.0;
+        let starts_by =
+            ends_by.min(self.may_start_until(pending)).min(self.proven_fresh_until(pending, member));
         if let Some(member) = self.members.get_mut(&member) {
             member.in_flight += 1;
             member.abandoned_attempts.retain(|t| *t > self.now);
         }
         let attempt = Attempt { member, sent_at: self.now, outcome: None };
-        self.requests.get_mut(&id).into_iter().for_each(|pending| pending.attempts.push(attempt));
+        if let Some(pending) = self.requests.get_mut(&id) {
+            pending.attempts.push(attempt);
+        }
         self.unqueue(id);
-        self.actions.push(Action::Send { request: id, member, timeout: timeout.max(1), start_timeout });
+        self.actions.push(Action::Send {
+            request: id,
+            member,
+            timeout: (ends_by.0 - self.now.0).max(1),
+            start_timeout: starts_by.0 - self.now.0,
+        });
+    }
+
+    /// Until when the member is proven to be fresh enough for a read of bounded age.
+    fn proven_fresh_until(&self, pending: &PendingRequest, member: MemberId) -> Time {
+        let primary = self.groups[&pending.request.group].primary;
+        let needs_proof = !self.replicas_check_freshness() && primary != Some(member);
+        match self.class(pending).freshness {
+            Freshness::Bounded(bound) if needs_proof => Time(self.members[&member].position.0 + bound),
+            _ => Time(i64::MAX),
+        }
     }
 
     /// Until when another attempt may begin, by what a repeat would do.
@@ -44,62 +59,110 @@
     }
 
     pub(super) fn on_attempt_ended(&mut self, event: Event) {
-        let Event::AttemptEnded { member, response_report, commit, load_report, .. } = event else { return };
-        let Event::AttemptEnded { request: id, attempt, outcome, request_ended, .. } = event else { return };
-        self.learn_state(member, response_report, commit);
-        let denies = response_report.primary == Some(false);
-        if let Some(member) = self.members.get_mut(&member).filter(|_| denies) {
-            member.denied_primary_at = Some(self.now);
-        }
+        let Event::AttemptEnded {
+            request: id,
+            attempt,
+            member,
+            outcome,
+            request_ended,
+            response_report,
+            commit,
+            load_report,
+        } = event
+        else {
+            return;
+        };
+        self.learn_from_response(member, response_report, commit);
         self.learn_from_report(member, load_report);
         if request_ended || outcome == Outcome::Ok {
             self.finish(id);
         }
-        let Some(pending) = self.requests.get_mut(&id) else { return };
-        let Some(ended) = pending.attempts.get_mut(attempt as usize) else { return };
+        let Some(sent_at) = self.record_outcome(id, attempt, outcome) else { return };
+        let pending = &self.requests[&id];
+        let group = pending.request.group;
+        let finished = pending.finished;
+        self.rate_attempt(member, id, (self.now.0 - sent_at.0) as f64, outcome);
+        self.act_on_outcome(id, member, outcome, commit);
+        if !finished && self.requests[&id].no_attempt_in_flight() {
+            self.retry(id, outcome);
+        }
+        self.drop_if_done(id);
+        self.review_group(group);
+    }
+
+    /// Takes in what the response itself says of its member.
+    fn learn_from_response(&mut self, id: MemberId, report: MemberReport, commit: Option<Time>) {
+        self.learn_state(id, report, commit);
+        if report.primary != Some(false) {
+            return;
+        }
+        if let Some(member) = self.members.get_mut(&id) {
+            member.denied_primary_at = Some(self.now);
+        }
+    }
+
+    /// Notes how an attempt ended. Returns when it was sent; `None` if the request or the attempt is not
+    /// known, or if the attempt had ended before.
+    fn record_outcome(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Option<Time> {
+        let pending = self.requests.get_mut(&id)?;
+        let ended = pending.attempts.get_mut(attempt as usize)?;
         let sent_at = ended.sent_at;
         if ended.outcome.replace(outcome).is_some() {
-            return;
+            return None;
         }
         if !outcome.never_ran() && outcome != Outcome::Ok {
-            pending.may_have_run_since = Some(pending.may_have_run_since.map_or(sent_at, |t| t.min(sent_at)));
+            let since = pending.may_have_run_since.map_or(sent_at, |earlier| earlier.min(sent_at));
+            pending.may_have_run_since = Some(since);
         }
-        let (class, group, finished) = (pending.request.class, pending.request.group, pending.finished);
-        let freshness = self.settings.classes[class].freshness;
-        self.rate_attempt(member, id, (self.now.0 - sent_at.0) as f64, outcome);
-        let is_primary = self.groups.get(&group).is_some_and(|g| g.primary == Some(member));
+        Some(sent_at)
+    }
+
+    /// What an outcome leads to at once: a commit to remember, a primary to doubt, a member to probe.
+    fn act_on_outcome(&mut self, id: RequestId, member: MemberId, outcome: Outcome, commit: Option<Time>) {
+        let pending = &self.requests[&id];
+        let is_write = self.class(pending).freshness == Freshness::Write;
+        let is_primary =
+            self.groups.get(&pending.request.group).is_some_and(|group| group.primary == Some(member));
         match outcome {
             Outcome::Ok => self.on_served(id, member, commit),
             Outcome::ConnectFailed => self.clear_primary(member),
-            Outcome::NotEligible if freshness == Freshness::Write => self.clear_primary(member),
-            // One connection broke; a probe tells whether the process is gone, too.
-            Outcome::Reset => {
-                self.members.get_mut(&member).into_iter().for_each(|m| m.reset_awaits_probe = true);
-                self.probe(member);
-            }
+            Outcome::NotEligible if is_write => self.clear_primary(member),
+            Outcome::Reset => self.probe_after_reset(member),
             Outcome::TimedOut if is_primary => _ = self.probe(member),
             _ => {}
         }
-        if !finished && self.requests[&id].no_attempt_in_flight() {
-            self.retry(id, outcome);
+    }
+
+    /// One connection broke; a probe shows whether the process is gone, too.
+    fn probe_after_reset(&mut self, id: MemberId) {
+        if let Some(member) = self.members.get_mut(&id) {
+            member.reset_awaits_probe = true;
         }
-        self.drop_if_done(id);
-        self.review_group(group);
+        self.probe(id);
     }
 
     /// Remembers a write's commit. An error is the member's only when another has served the same request:
     /// errors that follow the request eject nobody, however many there are.
     fn on_served(&mut self, id: RequestId, member: MemberId, commit: Option<Time>) {
         let pending = &self.requests[&id];
-        let erred = |a: &&Attempt| a.outcome == Some(Outcome::Error) && a.member != member;
-        let blamed: Vec<MemberId> = pending.attempts.iter().filter(erred).map(|a| a.member).collect();
-        let remember = self.settings.session_commit_source == SessionCommitSource::RememberedByRouter;
-        if let (true, Some(session), Some(commit)) = (remember, pending.request.session, commit) {
-            let latest = self.session_commits.entry((pending.request.group, session)).or_insert(commit);
-            *latest = commit.max(*latest);
-            self.forget_old_sessions();
-        }
-        blamed.into_iter().for_each(|m| self.eject(m, Outcome::Error));
+        let failed_elsewhere = |a: &&Attempt| a.outcome == Some(Outcome::Error) && a.member != member;
+        let blamed: Vec<MemberId> =
+            pending.attempts.iter().filter(failed_elsewhere).map(|a| a.member).collect();
+        if let (Some(session), Some(commit)) = (pending.request.session, commit) {
+            self.remember_commit(pending.request.group, session, commit);
+        }
+        for member in blamed {
+            self.eject(member, Outcome::Error);
+        }
+    }
+
+    fn remember_commit(&mut self, group: GroupId, session: SessionId, commit: Time) {
+        if self.settings.session_commit_source != SessionCommitSource::RememberedByRouter {
+            return;
+        }
+        let latest = self.session_commits.entry((group, session)).or_insert(commit);
+        *latest = commit.max(*latest);
+        self.forget_old_sessions();
     }
 
     /// When too many sessions are remembered, the older half folds into the minimum position.
--- a/decision/src/router/choice.rs
+++ b/decision/src/router/choice.rs
@@ -1,6 +1,8 @@
 //! Where a request goes: to the primary, to a replica that is fresh enough, or into the queue.
-use super::{Freshness, Member, MemberId, Outcome, PendingRequest, RequestId, Router, Time};
-use super::{admission::Decision, elapsed, health::MAX_EJECTION, pool::MIN_BACKLOG_FACTOR};
+use super::{
+    Freshness, Group, GroupId, Member, MemberId, Micros, Outcome, PendingRequest, RequestId, Router,
+};
+use super::{Time, admission::Decision, elapsed, health::MAX_EJECTION, pool::MIN_BACKLOG_FACTOR};
 
 /// Probes that one read may buy to prove a replica fresh; after these it is the primary's.
 const MAX_FRESHNESS_PROBES: u32 = 2;
@@ -10,83 +12,168 @@
 const CATCH_UP_FACTOR: i64 = 4;
 /// A member of the own zone counts this much more in ties: crossing has a price, jamming a zone a higher one.
 const OWN_ZONE_FACTOR: f64 = 2.0;
+/// A read waits for a probe under way only during this part of its latency objective: one in so many.
+const PROOF_WAIT_DIVISOR: Micros = 8;
+
+/// What a read asks of the member that serves it.
+#[derive(Clone, Copy)]
+struct ReadRequirements {
+    group: GroupId,
+    /// The position that the member must have applied, if any.
+    position: Option<Time>,
+    /// It may still pay for a probe that proves a replica fresh enough.
+    may_buy_proof: bool,
+    /// It arrived so recently that it can wait for a probe that is under way.
+    may_wait_for_proof: bool,
+    /// It may try a replica that is perhaps too far behind, which then says so itself.
+    may_try_unproven: bool,
+    admission_draw: f64,
+    /// How much it counts at a member that is warming up.
+    backlog: f64,
+}
+
+/// The available replicas that a read has not tried yet.
+struct UntriedReplicas {
+    /// Fresh enough for the read.
+    fresh: Vec<MemberId>,
+    /// Not known to be fresh enough.
+    behind: Vec<MemberId>,
+}
 
 impl Router {
     pub(super) fn choose_primary(&mut self, id: RequestId) -> Decision {
         let pending = &self.requests[&id];
-        let (group_id, draw, backlog) =
-            (pending.request.group, pending.admission_draw, self.backlog(pending));
+        let group_id = pending.request.group;
         let Some(group) = self.groups.get(&group_id) else { return Decision::Queue };
         if let Some(primary) = group.primary {
-            let room = self.has_room(primary, draw, backlog);
-            return if room { Decision::Forward(primary) } else { Decision::Queue };
+            let has_room = self.has_room(primary, pending.admission_draw, self.backlog(pending));
+            return if has_room { Decision::Forward(primary) } else { Decision::Queue };
         }
-        // It goes round the members itself, the likeliest first, past those that have just said that they are
-        // none; after one round of misses the search is left to probes. Reads do so only where members check.
-        let misses = pending.count(Outcome::NotEligible);
-        let checked = self.replicas_check_freshness() || self.class(pending).freshness == Freshness::Write;
-        let searching = pending.attempts.len() == misses && misses + 1 < self.settings.max_attempts as usize;
-        let untried = group.members.iter().filter(|m| pending.attempts.iter().all(|a| a.member != **m));
-        let likeliest = untried
-            .filter(|m| checked && searching && self.is_available(**m) && self.has_room(**m, draw, backlog))
-            .filter(|m| !self.recently_denied_primary(**m))
-            .max_by_key(|m| (self.members[m].listed.listed_primary, self.members[m].position));
-        if let Some(member) = likeliest {
-            return Decision::Forward(*member);
+        if let Some(member) = self.likeliest_primary(pending, group) {
+            return Decision::Forward(member);
         }
         self.search_primary(group_id);
         Decision::Queue
     }
 
+    /// While no primary is known, a request goes round the members itself, the likeliest first, past those
+    /// that have just said that they are none. After one round the search is left to probes. Reads do so
+    /// only where members check what they may serve.
+    fn likeliest_primary(&self, pending: &PendingRequest, group: &Group) -> Option<MemberId> {
+        let misses = pending.count(Outcome::NotEligible);
+        let only_missed = pending.attempts.len() == misses;
+        let round_over = misses + 1 >= self.settings.max_attempts as usize;
+        let checked = self.replicas_check_freshness() || self.class(pending).freshness == Freshness::Write;
+        if !checked || !only_missed || round_over {
+            return None;
+        }
+        let backlog = self.backlog(pending);
+        let candidates = group.members.iter().copied().filter(|m| {
+            !pending.has_tried(*m)
+                && self.is_available(*m)
+                && self.has_room(*m, pending.admission_draw, backlog)
+                && !self.recently_denied_primary(*m)
+        });
+        candidates.max_by_key(|m| (self.members[m].listed.listed_primary, self.members[m].position))
+    }
+
     /// Chooses for a read that a replica may serve, or looks for the proof that one is fresh enough.
     pub(super) fn choose_replica(&mut self, id: RequestId) -> Decision {
         let pending = &self.requests[&id];
-        let (group_id, draw, backlog) =
-            (pending.request.group, pending.admission_draw, self.backlog(pending));
-        let (needed, misses) = (self.required_position(pending), pending.count(Outcome::NotEligible));
-        let just_arrived = self.now.0 - pending.arrived_at.0 < self.class(pending).latency_objective / 8;
-        let needs_proof = needed.is_some() && !self.replicas_check_freshness();
-        let buys_proof = needs_proof && pending.freshness_probes < MAX_FRESHNESS_PROBES;
-        let Some(group) = self.groups.get(&group_id) else { return Decision::Queue };
-        let (primary, members) = (group.primary, group.members.clone());
-        let (fresh, behind) = self.replicas_by_freshness(pending);
-        // A first probe may have brought no report: who has not reported its role is probed again.
-        for m in &members {
-            if !self.replicas_check_freshness() && !self.members[m].role_known && self.is_available(*m) {
-                self.probe(*m);
-            }
+        let read = self.read_requirements(pending);
+        let Some(group) = self.groups.get(&read.group) else { return Decision::Queue };
+        let primary = group.primary;
+        let members = group.members.clone();
+        let replicas = self.untried_replicas(pending);
+        self.probe_unknown_roles(&members);
+        let mut maybe_fresh = self.maybe_fresh_replicas(&replicas, &read);
+        if read.may_buy_proof {
+            self.buy_proof(id, &mut maybe_fresh);
         }
-        // Of those behind, the ones that may have caught up by now and are less busy than the fresh ones.
-        let least = fresh.iter().map(|m| self.load(&self.members[m])).min();
-        let mut maybe_fresh = behind.clone();
-        maybe_fresh.retain(|m| least.is_none_or(|l| self.load(&self.members[m]) + 1 < l));
-        maybe_fresh.retain(|m| self.has_room(*m, draw, backlog) && self.may_have_caught_up(*m, needed));
-        if buys_proof && maybe_fresh.iter().all(|m| self.members[m].probes_in_flight == 0) {
-            // Proof is bought when it is wanted: none at hand, or those at hand are busier than others.
-            self.rng.shuffle(&mut maybe_fresh);
-            let bought = maybe_fresh.iter().any(|m| self.probe(*m));
-            self.requests.get_mut(&id).into_iter().for_each(|p| p.freshness_probes += u32::from(bought));
-        }
-        if let Some(replica) = self.least_loaded(&fresh, draw, backlog) {
+        if let Some(replica) = self.least_loaded(&replicas.fresh, &read) {
             return Decision::Forward(replica);
         }
-        if !fresh.is_empty() {
+        if !replicas.fresh.is_empty() {
             // Replicas enough, but all their places taken: the primary's spare ones are better than waiting.
-            let spare = primary.filter(|p| self.has_spare_room(*p, draw));
+            let spare = primary.filter(|p| self.has_spare_room(*p, read.admission_draw));
             return spare.map_or(Decision::Queue, Decision::Forward);
         }
-        // Waits for the proof that is under way.
-        if needs_proof && just_arrived && behind.iter().any(|m| self.members[m].probes_in_flight > 0) {
+        if read.may_wait_for_proof && replicas.behind.iter().any(|m| self.members[m].probes_in_flight > 0) {
             return Decision::Queue;
         }
-        maybe_fresh.retain(|_| !needs_proof && misses < MAX_MISSES);
+        if !read.may_try_unproven {
+            maybe_fresh.clear();
+        }
+        self.choose_without_fresh_replica(&read, primary, &members, maybe_fresh)
+    }
+
+    fn read_requirements(&self, pending: &PendingRequest) -> ReadRequirements {
+        let position = self.required_position(pending);
+        let needs_proof = position.is_some() && !self.replicas_check_freshness();
+        let waited = self.now.0 - pending.arrived_at.0;
+        let just_arrived = waited < self.class(pending).latency_objective / PROOF_WAIT_DIVISOR;
+        ReadRequirements {
+            group: pending.request.group,
+            position,
+            may_buy_proof: needs_proof && pending.freshness_probes < MAX_FRESHNESS_PROBES,
+            may_wait_for_proof: needs_proof && just_arrived,
+            may_try_unproven: !needs_proof && pending.count(Outcome::NotEligible) < MAX_MISSES,
+            admission_draw: pending.admission_draw,
+            backlog: self.backlog(pending),
+        }
+    }
+
+    /// A first probe may have brought no report: a member that has not reported its role is probed again.
+    fn probe_unknown_roles(&mut self, members: &[MemberId]) {
+        if self.replicas_check_freshness() {
+            return;
+        }
+        for id in members {
+            if !self.members[id].role_known && self.is_available(*id) {
+                self.probe(*id);
+            }
+        }
+    }
+
+    /// Of the replicas that are behind, those that may have caught up by now and are less busy than the
+    /// fresh ones.
+    fn maybe_fresh_replicas(&self, replicas: &UntriedReplicas, read: &ReadRequirements) -> Vec<MemberId> {
+        let min_load = replicas.fresh.iter().map(|m| self.load(&self.members[m])).min();
+        let less_busy = |m: &MemberId| min_load.is_none_or(|min| self.load(&self.members[m]) + 1 < min);
+        let candidates = replicas.behind.iter().copied().filter(less_busy);
+        let with_room = candidates.filter(|m| self.has_room(*m, read.admission_draw, read.backlog));
+        with_room.filter(|m| self.may_have_caught_up(*m, read.position)).collect()
+    }
+
+    /// Proof is bought when it is wanted: none is at hand, or the members known to be fresh are busier than
+    /// others. Leaves the candidates in the random order in which they were asked.
+    fn buy_proof(&mut self, id: RequestId, candidates: &mut [MemberId]) {
+        if candidates.iter().any(|m| self.members[m].probes_in_flight > 0) {
+            return;
+        }
+        self.rng.shuffle(candidates);
+        let bought = candidates.iter().any(|m| self.probe(*m));
+        if let Some(pending) = self.requests.get_mut(&id) {
+            pending.freshness_probes += u32::from(bought);
+        }
+    }
+
+    /// The nearest replica that may be fresh enough, or else the primary.
+    fn choose_without_fresh_replica(
+        &mut self,
+        read: &ReadRequirements,
+        primary: Option<MemberId>,
+        members: &[MemberId],
+        maybe_fresh: Vec<MemberId>,
+    ) -> Decision {
         let nearest = maybe_fresh.into_iter().max_by_key(|m| self.estimated_position(&self.members[m]));
-        let backlog = MIN_BACKLOG_FACTOR * backlog * members.len().max(2) as f64;
-        if let Some(member) = nearest.or(primary.filter(|p| self.has_room(*p, draw, backlog))) {
+        let backlog = MIN_BACKLOG_FACTOR * read.backlog * members.len().max(2) as f64;
+        let open_primary = primary.filter(|p| self.has_room(*p, read.admission_draw, backlog));
+        if let Some(member) = nearest.or(open_primary) {
             return Decision::Forward(member);
         }
         if primary.is_none() || !members.iter().any(|m| self.is_available(*m)) {
-            self.search_primary(group_id);
+            self.search_primary(read.group);
         }
         Decision::Queue
     }
@@ -111,44 +198,63 @@
 
     /// A replica that was far behind needs time to catch up: it is asked again the later, the farther.
     fn may_have_caught_up(&self, id: MemberId, needed: Option<Time>) -> bool {
-        let (member, gap) = (&self.members[&id], self.now.0 - needed.unwrap_or(self.now).0);
-        needed.is_none() || elapsed(self.now, member.lag_observed_at) >= (member.lag - gap) / CATCH_UP_FACTOR
+        let Some(needed) = needed else { return true };
+        let member = &self.members[&id];
+        let allowed_lag = self.now.0 - needed.0;
+        elapsed(self.now, member.lag_observed_at) >= (member.lag - allowed_lag) / CATCH_UP_FACTOR
     }
 
-    /// The replicas that may serve a read and were not tried for it: those fresh enough, and those behind.
-    fn replicas_by_freshness(&self, pending: &PendingRequest) -> (Vec<MemberId>, Vec<MemberId>) {
-        let (group, needed) = (&self.groups[&pending.request.group], self.required_position(pending));
-        // Where members check, their first response tells as much as a probe. Where they don't, one whose
-        // probes fail, or that may not be probed, may serve a class that bears any age.
+    fn untried_replicas(&self, pending: &PendingRequest) -> UntriedReplicas {
+        let group = &self.groups[&pending.request.group];
+        let needed = self.required_position(pending);
+        let candidates = group.members.iter().copied().filter(|m| {
+            group.primary != Some(*m)
+                && self.is_available(*m)
+                && !pending.has_tried(*m)
+                && self.counts_as_replica(&self.members[m], needed)
+        });
+        let is_fresh = |m: &MemberId| needed.is_none_or(|n| self.estimated_position(&self.members[m]) >= n);
+        let (fresh, behind) = candidates.partition(is_fresh);
+        UntriedReplicas { fresh, behind }
+    }
+
+    /// Whether a member that is not the known primary is taken for a replica. Where members check, their
+    /// first response tells as much as a probe. Where they don't, one whose probes fail, or that may not be
+    /// probed, may serve a class that bears any age.
+    fn counts_as_replica(&self, member: &Member, needed: Option<Time>) -> bool {
         let checked = self.replicas_check_freshness();
-        let unproven = |m: &Member| m.consecutive_failed_probes > 0 || !self.settings.probing_allowed;
-        let likely = |m: &Member| unproven(m) || checked && !m.listed.listed_primary;
-        let known = |m: &Member| m.role_known || ((checked || needed.is_none()) && likely(m));
-        let replicas = group.members.iter().filter(|m| group.primary != Some(**m) && self.is_available(**m));
-        let untried = replicas.filter(|m| pending.attempts.iter().all(|a| a.member != **m));
-        let known = untried.copied().filter(|m| known(&self.members[m]));
-        known.partition(|m| needed.is_none_or(|n| self.estimated_position(&self.members[m]) >= n))
-    }
-
-    /// The one with the fewest attempts in flight among those that may get more. Ties go to a cold one,
-    /// whose part it is, or at random by size, to the own zone first: with hundreds of routers most are ties.
-    fn least_loaded(&mut self, among: &[MemberId], draw: f64, backlog: f64) -> Option<MemberId> {
-        let mut left = self.rng.f64();
-        // A late response counts as one in flight for a while: routers with little traffic hold hardly any.
-        let late = |m: &Member| elapsed(self.now, m.late_response_at) < MAX_EJECTION;
-        let warm = |m: &Member| usize::from(self.capacity_share(m) >= 1.0);
-        let busy = |m: &Member| 2 * (self.load(m) + usize::from(late(m))) + warm(m);
-        let open = among.iter().filter(|m| self.has_room(**m, draw, backlog)).map(|m| (*m, &self.members[m]));
-        let mut open: Vec<(MemberId, &Member)> = open.collect();
-        let least = open.iter().map(|m| busy(m.1)).min()?;
-        open.retain(|m| busy(m.1) == least);
-        let own_zone = |m: &Member| if m.listed.zone == self.settings.zone { OWN_ZONE_FACTOR } else { 1.0 };
-        let size = |m: &Member| m.listed.weight * own_zone(m);
-        left *= open.iter().map(|m| size(m.1)).sum::<f64>();
-        let drawn = open.iter().find(|m| {
-            left -= size(m.1);
+        let cannot_be_proven = member.consecutive_failed_probes > 0 || !self.settings.probing_allowed;
+        let is_likely = cannot_be_proven || checked && !member.listed.listed_primary;
+        member.role_known || ((checked || needed.is_none()) && is_likely)
+    }
+
+    /// The one with the fewest attempts in flight among those that may get more. Ties go to a member that
+    /// is warming up, whose part it is, or at random by size, to the own zone first: with hundreds of
+    /// routers most are ties.
+    fn least_loaded(&mut self, candidates: &[MemberId], read: &ReadRequirements) -> Option<MemberId> {
+        let draw = self.rng.f64();
+        let with_room = candidates.iter().filter(|m| self.has_room(**m, read.admission_draw, read.backlog));
+        let mut open: Vec<(MemberId, &Member)> = with_room.map(|m| (*m, &self.members[m])).collect();
+        let min_rank = open.iter().map(|(_, member)| self.load_rank(member)).min()?;
+        open.retain(|(_, member)| self.load_rank(member) == min_rank);
+        let mut left = draw * open.iter().map(|(_, member)| self.tie_weight(member)).sum::<f64>();
+        let drawn = open.iter().find(|(_, member)| {
+            left -= self.tie_weight(member);
             left < 0.0
         });
-        drawn.or(open.first()).map(|m| m.0)
+        drawn.or(open.first()).map(|(id, _)| *id)
+    }
+
+    /// Orders members by their load; of two with the same load the one that is warming up comes first. A
+    /// late response counts as one in flight for a while: routers with little traffic hold hardly any.
+    fn load_rank(&self, member: &Member) -> usize {
+        let is_late = elapsed(self.now, member.late_response_at) < MAX_EJECTION;
+        let is_warm = self.capacity_share(member) >= 1.0;
+        2 * (self.load(member) + usize::from(is_late)) + usize::from(is_warm)
+    }
+
+    fn tie_weight(&self, member: &Member) -> f64 {
+        let in_own_zone = member.listed.zone == self.settings.zone;
+        member.listed.weight * if in_own_zone { OWN_ZONE_FACTOR } else { 1.0 }
     }
 }
--- a/decision/src/router/health.rs
+++ b/decision/src/router/health.rs
@@ -19,6 +19,8 @@
 const DENIAL_CONNECT_TIMEOUTS: i64 = 4;
 /// Weight of a new observation in running means.
 const EWMA_GAIN: f64 = 0.1;
+/// An observation above the running mean has this much less weight.
+const SLOW_RISE_DIVISOR: f64 = 8.0;
 
 impl Router {
     /// Takes in a role and a position that may be a little old: a response outranks them for a while.
@@ -32,13 +34,15 @@
         let Some(member) = self.members.get_mut(&id) else { return };
         for position in [report.position, commit].into_iter().flatten() {
             member.position = member.position.max(position);
-            (member.lag, member.lag_observed_at) = (self.now.0 - position.0, Some(self.now));
+            member.lag = self.now.0 - position.0;
+            member.lag_observed_at = Some(self.now);
         }
         let Some(primary) = report.primary else { return };
         member.role_known = true;
         let Some(group) = self.groups.get_mut(&member.listed.group) else { return };
         if primary && member.is_ready() && group.primary != Some(id) {
-            (group.primary, group.searches) = (Some(id), 0);
+            group.primary = Some(id);
+            group.searches = 0;
         } else if !primary {
             self.clear_primary(id);
         }
@@ -58,7 +62,8 @@
     /// What an ended attempt says of its member's health, speed and lag.
     pub(super) fn rate_attempt(&mut self, id: MemberId, request: RequestId, latency: f64, outcome: Outcome) {
         let pending = &self.requests[&request];
-        let (class, needed) = (pending.request.class, self.required_position(pending));
+        let class = pending.request.class;
+        let needed = self.required_position(pending);
         self.adjust_pool(id, class, latency, outcome);
         let Some(member) = self.members.get_mut(&id) else { return };
         member.in_flight = member.in_flight.saturating_sub(1);
@@ -67,41 +72,45 @@
             // fails quickly must not look idle.
             member.abandoned_attempts.push(Time(self.now.0 + self.latency_ewma[class] as i64));
         }
-        match (outcome, needed) {
-            (Outcome::Ok, _) => self.rate_success(id, class, latency, needed),
-            (Outcome::TimedOut, _) => {
-                // When many time out together the load is to blame: ejections would only move it to the rest.
-                let members = self.groups.get(&member.listed.group).map_or(&[][..], |g| &g.members);
-                let ejected = members.iter().filter(|m| self.members[m].ejected_until.is_some()).count();
-                if 3 * (ejected + 1) <= members.len() + 1 {
-                    self.eject(id, outcome);
-                }
-            }
-            (Outcome::ConnectFailed, _) => {
+        match outcome {
+            Outcome::Ok => self.rate_success(id, class, latency, needed),
+            Outcome::TimedOut => self.eject_after_timeout(id),
+            Outcome::ConnectFailed => {
                 let refused = 2.0 * latency < self.settings.connect_timeout as f64;
                 member.consecutive_connect_failures += u32::from(refused);
                 self.eject(id, outcome);
             }
-            (Outcome::Reset, _) => self.eject(id, outcome),
-            (Outcome::NotEligible, Some(needed)) => {
-                member.lag = member.lag.max((self.now.0 - needed.0) * 3 / 2);
-                member.lag_observed_at = Some(self.now);
+            Outcome::Reset => self.eject(id, outcome),
+            Outcome::NotEligible => {
+                if let Some(needed) = needed {
+                    member.lag = member.lag.max((self.now.0 - needed.0) * 3 / 2);
+                    member.lag_observed_at = Some(self.now);
+                }
             }
-            _ => {}
+            Outcome::Error | Outcome::Rejected | Outcome::Cancelled | Outcome::NeverSent => {}
+        }
+    }
+
+    /// When many time out together the load is to blame: ejections would only move it to the rest.
+    fn eject_after_timeout(&mut self, id: MemberId) {
+        let group = self.groups.get(&self.members[&id].listed.group);
+        let members = group.map_or(&[][..], |g| &g.members);
+        let ejected = members.iter().filter(|m| self.members[m].ejected_until.is_some()).count();
+        if 3 * (ejected + 1) <= members.len() + 1 {
+            self.eject(id, Outcome::TimedOut);
         }
     }
 
     fn rate_success(&mut self, id: MemberId, class: usize, latency: f64, needed: Option<Time>) {
         let objective = self.settings.classes[class].latency_objective as f64;
-        let (quick, checked) = (latency / objective < pool::GROW_BELOW, self.replicas_check_freshness());
-        let (usual, latency) = (self.latency_ewma[class], latency.max(1.0));
-        let gain = if latency < usual { EWMA_GAIN } else { EWMA_GAIN / 8.0 };
-        self.latency_ewma[class] += gain * (latency - usual);
+        let is_quick = latency / objective < pool::GROW_BELOW;
+        let checked = self.replicas_check_freshness();
+        self.adjust_latency_ewma(class, latency.max(1.0));
         let Some(member) = self.members.get_mut(&id) else { return };
         if member.consecutive_connect_failures < RESTART_CONNECT_FAILURES {
             member.consecutive_connect_failures = 0;
         }
-        if quick {
+        if is_quick {
             member.consecutive_ejections = 0;
             member.late_response_at = None;
             member.half_open = false;
@@ -112,6 +121,13 @@
         }
     }
 
+    /// The running mean falls quickly and rises slowly.
+    fn adjust_latency_ewma(&mut self, class: usize, latency: f64) {
+        let ewma = &mut self.latency_ewma[class];
+        let gain = if latency < *ewma { EWMA_GAIN } else { EWMA_GAIN / SLOW_RISE_DIVISOR };
+        *ewma += gain * (latency - *ewma);
+    }
+
     /// A failure signal: ejects the member, longer each time in a row.
     pub(super) fn eject(&mut self, id: MemberId, signal: Outcome) {
         let jitter = 0.75 + 0.5 * self.rng.f64();
@@ -129,7 +145,8 @@
 
     /// What the end of a probe says of its member's health.
     pub(super) fn review_ejection(&mut self, id: MemberId, outcome: Outcome) {
-        let (ok, unreached) = (outcome == Outcome::Ok, outcome == Outcome::ConnectFailed);
+        let ok = outcome == Outcome::Ok;
+        let unreached = outcome == Outcome::ConnectFailed;
         // Ejections never empty a group: with nobody else left, a member that may be well gets its trial now.
         let group = self.groups.get(&self.members[&id].listed.group);
         let none_left = group.is_some_and(|g| !g.members.iter().any(|m| self.is_available(*m)));
--- a/decision/src/router/pool.rs
+++ b/decision/src/router/pool.rs
@@ -28,7 +28,8 @@
     /// again changes nothing.
     pub(super) fn has_room(&self, id: MemberId, draw: f64, backlog: f64) -> bool {
         let member = &self.members[&id];
-        let (load, capacity) = (self.load(member) as f64, self.capacity_share(member));
+        let load = self.load(member) as f64;
+        let capacity = self.capacity_share(member);
         let draw = if capacity < 1.0 { self.slow_start_draw(id, draw) } else { draw };
         let share = capacity * SLOW_START_SHARE * self.settings.overload_factor;
         // A pool below one takes a share of the requests, one at a time.
@@ -69,7 +70,8 @@
     /// Where a draw lies in a cold replica's own part, by listed size, of its group's reads, at most half of
     /// them; one and more is outside. It never stands in for peers that are ejected or full.
     fn slow_start_draw(&self, id: MemberId, draw: f64) -> f64 {
-        let (listed, group) = (&self.members[&id].listed, &self.groups[&self.members[&id].listed.group]);
+        let listed = &self.members[&id].listed;
+        let group = &self.groups[&listed.group];
         let size = |m: &MemberId| if group.primary == Some(*m) { 0.0 } else { self.members[m].listed.weight };
         let all = group.members.iter().map(size).sum::<f64>().max(2.0 * listed.weight);
         let before: f64 = group.members.iter().take_while(|m| **m != id).map(size).sum();
--- a/decision/src/router/probes.rs
+++ b/decision/src/router/probes.rs
@@ -17,8 +17,11 @@
     pub(super) fn search_primary(&mut self, group: GroupId) {
         let Some(group) = self.groups.get_mut(&group) else { return };
         if self.now.0 - group.last_search_at.0 >= probe_interval(&self.settings, group.searches) {
-            (group.last_search_at, group.searches) = (self.now, group.searches + 1);
-            group.members.clone().into_iter().for_each(|m| _ = self.probe(m));
+            group.last_search_at = self.now;
+            group.searches += 1;
+            for member in group.members.clone() {
+                self.probe(member);
+            }
         }
     }
 
@@ -38,7 +41,8 @@
 
     pub(super) fn on_probe_ended(&mut self, id: MemberId, outcome: Outcome, report: MemberReport) {
         let Some(member) = self.members.get_mut(&id) else { return };
-        let (group, failures) = (member.listed.group, member.consecutive_failed_probes + 1);
+        let group = member.listed.group;
+        let failures = member.consecutive_failed_probes + 1;
         member.probes_in_flight = member.probes_in_flight.saturating_sub(1);
         member.consecutive_failed_probes = if report.primary.is_some() { 0 } else { failures };
         self.review_ejection(id, outcome);
