--- a/store/src/client.rs
+++ b/store/src/client.rs
@@ -5,72 +5,27 @@
 //! where the monotonic clocks of this process and of the leader drift apart by no more than that, it always ends here
 //! first.
 mod connection;
+mod error;
 mod lease;
 mod session;
+mod settings;
 mod watch;
 
+pub use error::ClientError;
 pub use lease::{Lease, LeaseKeeper, MAX_CLOCK_DRIFT};
+pub use settings::Settings;
 pub use watch::{Watch, WatchEvent};
 
 use crate::command::{CommandEffect, FencingToken, Operation};
-use crate::rejection::Rejection;
 use crate::state::{Update, Value};
 use crate::wire::{Consistency, ReadHeader, Request, Response};
 use connection::{AttemptError, Connection};
 use session::Session;
-use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use std::time::Duration;
-use thiserror::Error;
 
 /// Bytes of keys and texts that one listing may have: more than a store can hold.
 const MAX_LISTING_BYTES: usize = 64 << 20;
 
-/// How a client works.
-#[derive(Clone, Debug)]
-pub struct Settings {
-    /// Where the nodes answer clients (`store.clients`); the first is tried first.
-    pub nodes: Vec<SocketAddr>,
-    /// How long a call makes attempts. The last one may take [`Settings::attempt_timeout`] longer.
-    pub call_timeout: Duration,
-    /// How long one node may take to connect, or to respond.
-    pub attempt_timeout: Duration,
-    /// Seeds the draws of backoff.
-    pub backoff_seed: u64,
-}
-
-impl Settings {
-    /// The usual timeouts.
-    pub fn new(nodes: Vec<SocketAddr>, backoff_seed: u64) -> Settings {
-        let call_timeout = Duration::from_secs(10);
-        let attempt_timeout = Duration::from_millis(1500);
-        Settings { nodes, call_timeout, attempt_timeout, backoff_seed }
-    }
-}
-
-/// Why a call has no result.
-#[derive(Debug, Error)]
-pub enum ClientError {
-    /// The store has rejected the request.
-    #[error(transparent)]
-    Rejected(#[from] Rejection),
-    /// No node has responded in time, and nothing has changed.
-    #[error("no node of the store has answered in time: {0}; look whether a majority runs and listens there")]
-    Unavailable(String),
-    /// The write may have been applied.
-    #[error("the write is not confirmed and may have been made: {0}; read before writing again")]
-    Unconfirmed(String),
-    /// The settings name no node.
-    #[error("no node of the store is named; list where they answer clients")]
-    NoNodes,
-    /// A node has responded something else than was requested.
-    #[error("a node has answered something else than was asked for; run the same program on both sides")]
-    UnexpectedResponse,
-    /// No thread could be started.
-    #[error("no thread: {0}; raise the limit of processes of this user")]
-    SpawnThread(#[from] std::io::Error),
-}
-
 /// The result of a read, and what it stands for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Read<T> {
--- a/store/src/client/connection.rs
+++ b/store/src/client/connection.rs
@@ -1,5 +1,5 @@
 //! A connection to one node at a time, and the backoff between attempts.
-use super::Settings;
+use super::settings::Settings;
 use crate::loopback::is_connected_to_itself;
 use crate::rejection::Rejection;
 use crate::wire::{self, Request, Response, STORE_PROTOCOL, WireError};
--- a/store/src/client/session.rs
+++ b/store/src/client/session.rs
@@ -1,6 +1,7 @@
 //! Calls with retries, and writes that are applied once.
 use super::connection::{AttemptError, Connection};
-use super::{ClientError, Settings};
+use super::error::ClientError;
+use super::settings::Settings;
 use crate::command::{CommandEffect, CommandResponse, Operation, RequestOrigin};
 use crate::rejection::Rejection;
 use crate::wire::{Request, Response};
--- a/store/src/limits.rs
+++ b/store/src/limits.rs
@@ -49,3 +49,8 @@
     }
     Err(Rejection::OutOfBounds { what: what.into(), min, max })
 }
+
+/// The rejection of what would exceed a limit.
+pub(crate) fn limit_reached(what: &str, max: usize) -> Rejection {
+    Rejection::LimitReached { what: what.into(), max: max as u64 }
+}
--- a/store/src/machine.rs
+++ b/store/src/machine.rs
@@ -8,7 +8,7 @@
     ChangeSet, Command, CommandEffect, CommandResponse, FencingToken, KeyChange, Operation,
 };
 use crate::lease_timers::{LeaseEvent, LeaseTimer};
-use crate::limits::{MAX_TTL_MS, MIN_TTL_MS, StoreLimits, check_bounds};
+use crate::limits::{MAX_TTL_MS, MIN_TTL_MS, StoreLimits, check_bounds, limit_reached};
 use crate::rejection::Rejection;
 use crate::state::{State, Update, Value};
 use clients::{Admission, ClientTable};
@@ -249,7 +249,3 @@
         effects.lease_event = Some(LeaseEvent::Ended { epoch: lease.epoch });
     }
 }
-
-fn limit_reached(what: &str, max: usize) -> Rejection {
-    Rejection::LimitReached { what: what.into(), max: max as u64 }
-}
--- a/store/src/machine/leases.rs
+++ b/store/src/machine/leases.rs
@@ -1,8 +1,7 @@
 //! Leases: names, who holds them, and the keys attached to each.
-use super::limit_reached;
 use crate::command::FencingToken;
 use crate::lease_timers::LeaseTimer;
-use crate::limits::TICK_MS;
+use crate::limits::{TICK_MS, limit_reached};
 use crate::rejection::Rejection;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/store/src/node/actor.rs
+++ b/store/src/node/actor.rs
@@ -1,9 +1,9 @@
 //! The actor of a node: one thread that owns the raft state and the log file. This file has its state, its loop and a
 //! handler for each command. What the raft library has ready is handled in `ready.rs`.
-use super::Settings;
 use super::commands::{NodeCommand, ReadReply, WriteReply};
-use super::handle::KnownLeader;
 use super::reads::PendingReads;
+use super::responses::KnownLeader;
+use super::settings::Settings;
 use super::storage::RaftStorage;
 use crate::command::{Command, Operation};
 use crate::lease_timers::{LeaseTimerEvent, LeaseTimers};
--- a/store/src/node/commands.rs
+++ b/store/src/node/commands.rs
@@ -1,5 +1,5 @@
 //! What handles and peers request of the actor.
-use super::handle::{CommittedWrite, ConfirmedRead, KnownLeader};
+use super::responses::{CommittedWrite, ConfirmedRead, KnownLeader};
 use crate::command::Command;
 use crate::rejection::Rejection;
 use crossbeam_channel::Sender;
--- a/store/src/node/handle.rs
+++ b/store/src/node/handle.rs
@@ -1,9 +1,10 @@
 //! The handle to a node. Its clones share the node; requests go through the actor's bounded queue, and reads of what
 //! this node has do not.
 use super::commands::{NodeCommand, ReadResult};
+use super::responses::{CommittedWrite, ConfirmedRead, KnownLeader, NodeStatus};
 use super::shared::Shared;
 use crate::change_log::{ChangeLog, Compacted};
-use crate::command::{ChangeSet, Command, CommandEffect, CommandResponse, Operation, RequestOrigin};
+use crate::command::{ChangeSet, Command, CommandEffect, Operation, RequestOrigin};
 use crate::rejection::Rejection;
 use crate::state::{State, Update};
 use crossbeam_channel::{Sender, bounded};
@@ -11,51 +12,6 @@
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
 
-/// A write that was committed and applied.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CommittedWrite {
-    /// The response of the state machine, which may be a rejection.
-    pub response: CommandResponse,
-    /// The leader's term, as far as this node knows.
-    pub term: u64,
-}
-
-/// A linearizable read.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ConfirmedRead {
-    /// The keys.
-    pub state: State,
-    /// The leader's term.
-    pub term: u64,
-}
-
-/// The leader that a node knows.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KnownLeader {
-    /// Its id; `None` where no leader is known.
-    pub leader: Option<u64>,
-    /// The term.
-    pub term: u64,
-}
-
-impl KnownLeader {
-    /// From the raft library's id of the leader.
-    pub(super) fn new(leader: u64, term: u64) -> KnownLeader {
-        KnownLeader { leader: Some(leader).filter(|id| *id != raft::INVALID_ID), term }
-    }
-}
-
-/// The status of a node.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NodeStatus {
-    /// Its id.
-    pub node: u64,
-    /// The leader's id; `None` where no leader is known.
-    pub leader: Option<u64>,
-    /// The term.
-    pub term: u64,
-}
-
 /// The handle to a node.
 #[derive(Clone)]
 pub struct Store {
--- a/store/src/node/reads.rs
+++ b/store/src/node/reads.rs
@@ -2,7 +2,7 @@
 //! applied the log up to it. One read index request serves all readers that wait when it is sent. Readers that come
 //! later wait for the next one, for this one may be answered with an index from before they came.
 use super::commands::{ReadReply, ReadResult};
-use super::handle::ConfirmedRead;
+use super::responses::ConfirmedRead;
 use crate::rejection::Rejection;
 use crate::state::State;
 use std::time::{Duration, Instant};
--- a/store/src/node/ready.rs
+++ b/store/src/node/ready.rs
@@ -1,7 +1,7 @@
 //! What the raft library has ready: entries and hard states to store, messages to send, committed entries to apply,
 //! confirmed reads to answer.
 use super::actor::Node;
-use super::handle::CommittedWrite;
+use super::responses::CommittedWrite;
 use crate::command::Command;
 use crate::error::Error;
 use crate::lease_timers::LeaseTimerEvent;
--- a/store/src/node/recovery.rs
+++ b/store/src/node/recovery.rs
@@ -1,5 +1,5 @@
 //! What a node begins with: what its log file contains, or an empty store.
-use super::Settings;
+use super::settings::Settings;
 use crate::command::Command;
 use crate::error::Error;
 use crate::limits::StoreLimits;
--- a/store/src/node/shared.rs
+++ b/store/src/node/shared.rs
@@ -1,5 +1,5 @@
 //! What the actor shares with the handles.
-use super::handle::KnownLeader;
+use super::responses::KnownLeader;
 use crate::change_log::ChangeLog;
 use crate::machine::StateMachine;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/store/src/node/start.rs
+++ b/store/src/node/start.rs
@@ -1,9 +1,9 @@
 //! Starts a node.
-use super::Settings;
 use super::actor::Node;
 use super::commands::NodeCommand;
 use super::handle::Store;
 use super::recovery::Recovered;
+use super::settings::Settings;
 use super::shared::Shared;
 use super::storage::RaftStorage;
 use crate::change_log::ChangeLog;
