--- a/membership/src/machine.rs
+++ b/membership/src/machine.rs
@@ -1,20 +1,23 @@
 //! Decides who is alive: the SWIM core of `foca`, and around it what the core leaves open.
 //!
 //! The core probes, suspects, refutes and gossips. The machine adds joining through seeds that are addresses alone
-//! (`join`), reading of lists page by page (`list_sync`), stopped processes (`timers`), the end of suspicions and of
+//! (`join`), reading of lists page by page (`list_sync`), stopped processes (`timer_tasks`), the end of suspicions and of
 //! the memory of down members (`suspicion`), one name held twice and limits on all that is received (`datagrams`).
+mod core_calls;
 mod counters;
 mod datagram_budget;
 mod datagrams;
 mod event;
 mod join;
+mod list_progress;
 mod list_sync;
 mod suspicion;
 mod swim_core;
+mod timer_tasks;
 mod timers;
 
 use self::datagram_budget::DatagramBudget;
-use self::list_sync::ListSync;
+use self::list_progress::ListProgress;
 use self::swim_core::Core;
 use self::timers::{Task, Timers};
 use crate::error::Error;
@@ -56,7 +59,7 @@
     /// Who is alive, as reported; by name, without this router.
     live: BTreeMap<String, Member>,
     timers: Timers,
-    list_sync: ListSync,
+    list_progress: ListProgress,
     /// When this router last took a new incarnation.
     last_rejoin: Option<Duration>,
     /// When a datagram of the fleet was last accepted.
@@ -87,7 +90,7 @@
             has_joined: false,
             live: BTreeMap::new(),
             timers: Timers::default(),
-            list_sync: ListSync::default(),
+            list_progress: ListProgress::default(),
             last_rejoin: None,
             last_received: Duration::ZERO,
             down_since: BTreeMap::new(),
--- a/membership/src/machine/list_sync.rs
+++ b/membership/src/machine/list_sync.rs
@@ -17,30 +17,19 @@
 /// Bytes of an entry besides the member's name, at most.
 const ENTRY_OVERHEAD_BYTES: usize = 24;
 
-/// How far this router has read another's list.
-#[derive(Default)]
-pub(super) struct ListSync {
-    /// The id of the page request that is not answered yet.
-    pending_request: Option<u64>,
-    /// The last name that was read; the next page begins past it.
-    cursor: Option<String>,
-    /// Pages are requested one after the other until the end of the list.
-    reading_full_list: bool,
-}
-
 impl Machine {
     /// Reads another member's list from its beginning, page after page.
     pub(super) fn read_full_list(&mut self, actions: &mut Vec<Action>) {
-        self.list_sync.reading_full_list = true;
-        self.list_sync.cursor = None;
+        self.list_progress.reading_full_list = true;
+        self.list_progress.cursor = None;
         self.request_page(actions);
     }
 
     pub(super) fn request_page(&mut self, actions: &mut Vec<Action>) {
         let Some(to) = self.live.values().choose(&mut self.rng).map(Member::addr) else { return };
         let request_id = self.rng.random();
-        self.list_sync.pending_request = Some(request_id);
-        let after = self.list_sync.cursor.clone();
+        self.list_progress.pending_request = Some(request_id);
+        let after = self.list_progress.cursor.clone();
         let request = JoinMessage::PageRequest { from: self.local.clone(), request_id, after };
         self.send_join_message(to, &request, actions);
     }
@@ -54,16 +43,18 @@
         more: bool,
         actions: &mut Vec<Action>,
     ) {
-        if self.list_sync.pending_request != Some(request_id) || self.live.get(from.name()) != Some(from) {
+        if self.list_progress.pending_request != Some(request_id) || self.live.get(from.name()) != Some(from)
+        {
             self.counters.unsolicited += 1;
             return;
         }
-        self.list_sync.pending_request = None;
+        self.list_progress.pending_request = None;
         let members = || entries.iter().map(|entry| &entry.member);
         if !self.within_member_limit(members()) || self.resolve_name_conflict(now, members(), actions) {
             return;
         }
-        self.list_sync.cursor = entries.last().map(|entry| entry.member.name().to_string()).filter(|_| more);
+        self.list_progress.cursor =
+            entries.last().map(|entry| entry.member.name().to_string()).filter(|_| more);
         let declared_down =
             (entries.iter()).any(|entry| entry.member == self.local && entry.status == MemberStatus::Down);
         if declared_down && !self.may_rejoin(now) {
@@ -73,8 +64,8 @@
         let records: Vec<MemberRecord> = entries.into_iter().map(MemberRecord::from).collect();
         self.run_core(now, actions, |core, output| core.apply_many(records.into_iter(), false, output));
         if !more {
-            self.list_sync.reading_full_list = false;
-        } else if self.list_sync.reading_full_list && !declared_down {
+            self.list_progress.reading_full_list = false;
+        } else if self.list_progress.reading_full_list && !declared_down {
             self.request_page(actions);
         }
     }
--- a/membership/src/machine/swim_core.rs
+++ b/membership/src/machine/swim_core.rs
@@ -1,11 +1,8 @@
-//! The `foca` core: how it is set up, called, and what becomes of what it wants done.
-use super::timers::Task;
-use super::{Action, Machine, Phase};
+//! The `foca` core: how it is set up, and what it wants done.
 use crate::limits::MAX_DATAGRAM_BYTES;
 use crate::member::Member;
-use crate::member_record::MemberRecord;
 use crate::settings::Settings;
-use crate::wire::{self, HEADER_BYTES};
+use crate::wire::HEADER_BYTES;
 use foca::{Foca, Notification, PeriodicParams, PostcardCodec, Runtime};
 use rand::rngs::StdRng;
 use std::net::SocketAddrV4;
@@ -42,11 +39,14 @@
 /// What the core wants done, gathered over one call.
 #[derive(Default)]
 pub(super) struct CoreOutput {
-    sends: Vec<(SocketAddrV4, Vec<u8>)>,
-    timers: Vec<(CoreTimer, Duration)>,
-    /// Members that may have come, gone or been superseded.
-    changed: Vec<Member>,
-    became_active: bool,
+    /// Datagrams to send, each with the address of its receiver.
+    pub(super) sends: Vec<(SocketAddrV4, Vec<u8>)>,
+    /// Timers to set, each with the time until it expires.
+    pub(super) timers: Vec<(CoreTimer, Duration)>,
+    /// Members that may have joined, left or been superseded.
+    pub(super) changed: Vec<Member>,
+    /// The first other member has become known.
+    pub(super) became_active: bool,
 }
 
 impl CoreOutput {
@@ -75,82 +75,3 @@
         self.timers.push((timer, after));
     }
 }
-
-impl Machine {
-    /// Calls the core once and does what it wants done.
-    pub(super) fn run_core(
-        &mut self,
-        now: Duration,
-        actions: &mut Vec<Action>,
-        call: impl FnOnce(&mut Core, &mut CoreOutput) -> Result<(), foca::Error>,
-    ) {
-        let output = self.call_core(call);
-        self.apply_core_output(now, output, actions);
-    }
-
-    /// Calls the core once. Its errors are counted and passed over: it keeps itself in order.
-    pub(super) fn call_core(
-        &mut self,
-        call: impl FnOnce(&mut Core, &mut CoreOutput) -> Result<(), foca::Error>,
-    ) -> CoreOutput {
-        let mut output = CoreOutput::default();
-        match call(&mut self.core, &mut output) {
-            // Our own datagrams can come back (an old address of ours): no error.
-            Ok(()) | Err(foca::Error::DataFromOurselves) => {}
-            Err(_) => self.counters.core_errors += 1,
-        }
-        output
-    }
-
-    pub(super) fn apply_core_output(&mut self, now: Duration, output: CoreOutput, actions: &mut Vec<Action>) {
-        for (to, body) in output.sends {
-            if to != self.local.addr() {
-                actions.push(Action::Send { to, bytes: wire::encode_gossip(self.cluster_hash, &body) });
-            }
-        }
-        if output.became_active {
-            // A core that connects begins its timers anew, and would ignore those set before.
-            self.timers.clear_core();
-        }
-        for (timer, after) in output.timers {
-            self.schedule(now, after, Task::Core(timer), actions);
-        }
-        self.note_rejoin(now, actions);
-        if self.phase == Phase::Running {
-            for member in &output.changed {
-                self.report_member_change(member.name(), actions);
-            }
-        }
-        if output.became_active {
-            self.has_joined = true;
-            self.read_full_list(actions);
-        }
-    }
-
-    /// Follows the core where it has taken a new incarnation.
-    fn note_rejoin(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if *self.core.identity() == self.local {
-            return;
-        }
-        self.local = self.core.identity().clone();
-        self.last_rejoin = Some(now);
-        self.counters.rejoins += 1;
-        actions.push(Action::Rejoined(self.local.clone()));
-        self.read_full_list(actions);
-    }
-
-    /// Reports what has become of the holder of this name in the core's list.
-    fn report_member_change(&mut self, name: &str, actions: &mut Vec<Action>) {
-        let current = self.core.iter_members().map(MemberRecord::id).find(|member| member.name() == name);
-        let reported = self.live.get(name);
-        if current == reported {
-            return;
-        }
-        actions.extend(reported.cloned().map(Action::Down));
-        actions.extend(current.cloned().map(Action::Up));
-        match current {
-            Some(member) => _ = self.live.insert(name.to_string(), member.clone()),
-            None => _ = self.live.remove(name),
-        }
-    }
-}
--- a/membership/src/machine/timers.rs
+++ b/membership/src/machine/timers.rs
@@ -1,6 +1,6 @@
-//! The machine's timers: what is due when, and what a stopped process does to them.
+//! The machine's timers that have not expired: what is due when.
+use super::event::TimerToken;
 use super::swim_core::CoreTimer;
-use super::{Action, Machine, Phase, TimerToken};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -18,6 +18,16 @@
     RepeatLeave,
 }
 
+/// What a timer is at when its time was set to pass.
+pub(super) enum Expiry {
+    /// It was dropped meanwhile.
+    NotPending,
+    /// It was delayed since it was set, and is due after this time.
+    NotDue { after: Duration },
+    /// It has expired.
+    Expired(Task),
+}
+
 /// Timers that were set and have not expired, with the time at which each is due.
 #[derive(Default)]
 pub(super) struct Timers {
@@ -26,90 +36,42 @@
 }
 
 impl Timers {
-    fn insert(&mut self, due: Duration, task: Task) -> TimerToken {
+    /// Adds a timer that is due at this time.
+    pub(super) fn insert(&mut self, due: Duration, task: Task) -> TimerToken {
         let token = TimerToken(self.next_token);
         self.next_token += 1;
         self.pending.insert(token, (due, task));
         token
     }
 
-    /// Moves all that is pending by this time.
-    fn delay_all(&mut self, by: Duration) {
-        self.pending.values_mut().for_each(|(due, _)| *due += by);
-    }
-
-    pub(super) fn clear(&mut self) {
-        self.pending.clear();
+    /// When a pending timer is due; `None` if it is not pending.
+    pub(super) fn due(&self, token: TimerToken) -> Option<Duration> {
+        self.pending.get(&token).map(|(due, _)| *due)
     }
 
-    /// Drops the core's timers: a core that connects again ignores those that it set before.
-    pub(super) fn clear_core(&mut self) {
-        self.pending.retain(|_, (_, task)| !matches!(task, Task::Core(_)));
-    }
-}
-
-impl Machine {
-    pub(super) fn schedule(&mut self, now: Duration, after: Duration, task: Task, actions: &mut Vec<Action>) {
-        let token = self.timers.insert(now + after, task);
-        actions.push(Action::SetTimer { after, token });
-    }
-
-    /// Runs the task of a timer, unless it was dropped meanwhile. One that expires more than a probe interval late shows
-    /// that the process stood still.
-    pub(super) fn handle_timer(&mut self, now: Duration, token: TimerToken, actions: &mut Vec<Action>) {
-        let Some((due, _)) = self.timers.pending.get(&token) else { return };
-        let late = now.saturating_sub(*due);
-        if late > self.settings.probe_interval {
-            self.make_up_for_stall(late, actions);
-        }
-        match self.timers.pending.remove(&token) {
-            None => {}
+    /// Takes out a timer if it is due.
+    pub(super) fn expire(&mut self, now: Duration, token: TimerToken) -> Expiry {
+        match self.pending.remove(&token) {
+            None => Expiry::NotPending,
             Some((due, task)) if due > now => {
-                // Delayed by a stall since it was set.
-                self.timers.pending.insert(token, (due, task));
-                actions.push(Action::SetTimer { after: due - now, token });
+                self.pending.insert(token, (due, task));
+                Expiry::NotDue { after: due - now }
             }
-            Some((_, task)) => self.run_task(now, task, actions),
+            Some((_, task)) => Expiry::Expired(task),
         }
     }
 
-    /// The process was stopped, or the host had no time for it. Answers may lie unread in the socket: nobody is to be
-    /// declared down by the time that passed here alone.
-    fn make_up_for_stall(&mut self, late: Duration, actions: &mut Vec<Action>) {
-        self.counters.stalls += 1;
-        self.timers.delay_all(late);
-        self.last_received += late;
-        self.read_full_list(actions);
+    /// Moves all that is pending by this time.
+    pub(super) fn delay_all(&mut self, by: Duration) {
+        self.pending.values_mut().for_each(|(due, _)| *due += by);
     }
 
-    fn run_task(&mut self, now: Duration, task: Task, actions: &mut Vec<Action>) {
-        match task {
-            Task::Core(timer) => self.run_core_timer(now, timer, actions),
-            Task::ContactSeeds => {
-                let after = self.contact_seeds(actions);
-                self.schedule(now, after, Task::ContactSeeds, actions);
-            }
-            Task::SyncList => {
-                // A request that was not answered by now goes to another member, from the same name on.
-                self.request_page(actions);
-                self.schedule(now, self.settings.list_sync_interval, Task::SyncList, actions);
-            }
-            Task::ForgetDown => {
-                self.forget_down_members(now, actions);
-                self.schedule(now, self.forget_down_interval(), Task::ForgetDown, actions);
-            }
-            Task::RepeatLeave => self.repeat_leave(now, actions),
-        }
+    pub(super) fn clear(&mut self) {
+        self.pending.clear();
     }
 
-    fn repeat_leave(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let Phase::Leaving { repeats_left } = self.phase else { return };
-        self.run_core(now, actions, |core, output| core.gossip(output));
-        if repeats_left == 0 {
-            self.end(Action::Left, actions);
-        } else {
-            self.phase = Phase::Leaving { repeats_left: repeats_left - 1 };
-            self.schedule(now, self.leave_repeat_interval(), Task::RepeatLeave, actions);
-        }
+    /// Drops the core's timers: a core that connects again ignores those that it set before.
+    pub(super) fn clear_core(&mut self) {
+        self.pending.retain(|_, (_, task)| !matches!(task, Task::Core(_)));
     }
 }
