--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -8,18 +8,21 @@
 mod etcd_watch;
 mod follow;
 mod list_file;
+mod list_state;
 mod member;
 mod registration;
+mod router;
+mod saved_list;
 
 pub use member::{MemberClient, MemberConnector};
+pub use router::Router;
 
 use crate::Error;
 use crate::fleet::{Fleet, Settings as FleetSettings, State};
 use crate::machine::{Machine, Settings as MachineSettings};
-use endpoint_list::ListState;
-use list_file::SavedList;
+use list_state::ListState;
 use routing::{Clock, EndpointsHandle, RespondedEndpoints};
-use serde::{Deserialize, Serialize};
+use saved_list::SavedList;
 use settings::Limits;
 use settings::operator::Registry as Settings;
 use std::collections::BTreeMap;
@@ -33,20 +36,6 @@
 /// Nodes that vanish within this part of the time for which they would be held count as vanished at once.
 const HOLD_TIME_PER_WINDOW: i64 = 6;
 
-/// A router, as it registers itself.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Router {
-    /// Where its clients connect.
-    pub addr: SocketAddr,
-    /// Its number among the instances that share sessions, and the address at which it accepts peers.
-    pub sessions: Option<(u64, SocketAddr)>,
-    /// Its node of the store, and the address at which that listens.
-    #[serde(default)]
-    pub store: Option<(u64, SocketAddr)>,
-    /// Identifies this start of the router.
-    pub incarnation: u64,
-}
-
 /// Is notified of what the registry holds besides the nodes.
 pub trait RegistryObserver: Send + Sync {
     /// The text of the configuration key, or `None` where there is none.
--- a/registry/src/client/endpoint_list.rs
+++ b/registry/src/client/endpoint_list.rs
@@ -1,69 +1,14 @@
 //! What the fleet's state machine decides, passed on to the routers' endpoint list.
-use super::{Client, Router, micros};
-use crate::fleet::{Action as FleetAction, Event as FleetEvent, Fleet, Level, Node, State};
+use super::list_state::ListState;
+use super::{Client, micros};
+use crate::fleet::{Action as FleetAction, Event as FleetEvent, Level, Node, State};
 use routing::{EndpointEntry, EndpointUpdate, GroupId, MemberState};
-use std::collections::{BTreeMap, HashMap};
 
 /// The fleet gets a tick once in this many rounds of gathering changes.
 const ROUNDS_PER_TICK: u32 = 5;
 /// Responses of nodes are asked for once the registry has been silent for this part of `fresh_s`.
 const RESPONSES_AFTER_FRESH_DIVISOR: i64 = 4;
 
-/// The fleet, and what the endpoint list has been notified of.
-pub(super) struct ListState {
-    pub(super) fleet: Fleet,
-    /// What the endpoint list holds, by id.
-    listed: HashMap<String, EndpointEntry>,
-    /// Changes that the endpoint list has not been notified of, in order.
-    pending: Vec<EndpointEntry>,
-    /// One of the pending changes must not wait for others.
-    urgent: bool,
-    /// The version of the last update.
-    version: u64,
-    /// Routers that are registered, by name.
-    pub(super) routers: BTreeMap<String, Router>,
-    /// When the registry last answered, in microseconds of the clock.
-    pub(super) last_contact: Option<i64>,
-}
-
-impl ListState {
-    pub(super) fn new(fleet: Fleet) -> ListState {
-        ListState {
-            fleet,
-            listed: HashMap::new(),
-            pending: Vec::new(),
-            urgent: false,
-            version: 0,
-            routers: BTreeMap::new(),
-            last_contact: None,
-        }
-    }
-
-    fn list(&mut self, entry: EndpointEntry, urgent: bool) {
-        self.urgent |= urgent;
-        self.listed.insert(entry.id.clone(), entry.clone());
-        self.pending.push(entry);
-    }
-
-    fn unlist(&mut self, id: &str) {
-        if let Some(entry) = self.listed.remove(id) {
-            self.urgent = true;
-            self.pending.push(EndpointEntry { state: MemberState::Removed, ..entry });
-        }
-    }
-
-    /// Takes the pending changes, the newest of each endpoint, in the order in which those came.
-    fn take_newest(&mut self) -> Vec<EndpointEntry> {
-        let mut newest: BTreeMap<String, (usize, EndpointEntry)> = BTreeMap::new();
-        for (position, entry) in std::mem::take(&mut self.pending).into_iter().enumerate() {
-            newest.insert(entry.id.clone(), (position, entry));
-        }
-        let mut entries: Vec<(usize, EndpointEntry)> = newest.into_values().collect();
-        entries.sort_by_key(|(position, _)| *position);
-        entries.into_iter().map(|(_, entry)| entry).collect()
-    }
-}
-
 impl Client {
     pub(super) fn handle_fleet_event(&self, list: &mut ListState, event: FleetEvent) {
         let mut actions = Vec::new();
--- a/registry/src/client/follow.rs
+++ b/registry/src/client/follow.rs
@@ -1,5 +1,5 @@
 //! Follows one member of the registry after the other, and applies what the state machine makes of it.
-use super::endpoint_list::ListState;
+use super::list_state::ListState;
 use super::{Client, Key, MemberClient, micros};
 use crate::RequestError;
 use crate::endpoints::{Endpoints, Settings as EndpointSettings};
--- a/registry/src/client/list_file.rs
+++ b/registry/src/client/list_file.rs
@@ -1,19 +1,11 @@
 //! Keeps the node list on disk, for a start at which no member of the registry answers.
+use super::saved_list::SavedList;
 use super::{Client, Key, lock, micros};
 use crate::cache::{self, CachedList};
 use crate::fleet::Event as FleetEvent;
-use crate::machine::{Item, Machine, Revision};
+use crate::machine::{Item, Machine};
 use std::path::Path;
 
-/// The list as it was last written to disk.
-#[derive(Default)]
-pub(super) struct SavedList {
-    /// When, in microseconds of the clock.
-    at: i64,
-    /// The revision it had.
-    revision: Revision,
-}
-
 impl Client {
     /// Begins with the last list on disk.
     pub(super) fn load_list(&self, machine: &mut Machine) {
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -1,9 +1,13 @@
 //! Requests to one member of the registry, one after the other on a connection that is reused: `ureq` speaks HTTP on it.
 //! Connecting, TLS and timeouts are ours, by the transport that `ureq` lets its users put below it.
+mod bounds;
 mod transport;
 
+pub use bounds::Bounds;
+
 use crate::RequestError;
 use crate::tls::Tls;
+use bounds::BUFFER_BYTES;
 use serde_json::Value;
 use std::io::{self, BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -15,24 +19,11 @@
 
 /// The longest head of a response.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The size of each buffer of a connection.
-const BUFFER_BYTES: usize = 16 * 1024;
 /// An idle connection is reused up to this age.
 const MAX_IDLE: Duration = Duration::from_secs(3600);
 /// Characters of a body that a message may quote.
 const MAX_QUOTED_CHARS: usize = 200;
 
-/// The bounds of a member's connection.
-#[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// A connection that is not made within this time has failed.
-    pub connect_timeout: Duration,
-    /// A response that brings nothing for this long has failed.
-    pub read_timeout: Duration,
-    /// The longest body of a response, and the longest line of one that goes on.
-    pub max_bytes: usize,
-}
-
 /// One member.
 pub struct Member {
     /// Where it listens.
--- a/registry/src/http/transport.rs
+++ b/registry/src/http/transport.rs
@@ -1,5 +1,5 @@
 //! The transport below `ureq`: connecting, TLS and timeouts of our own.
-use super::{BUFFER_BYTES, Bounds};
+use super::bounds::{BUFFER_BYTES, Bounds};
 use crate::tls::Tls;
 use rustls::{ClientConnection, StreamOwned};
 use std::io::{self, Read, Write};
