--- a/client-listener/src/server.rs
+++ b/client-listener/src/server.rs
@@ -4,14 +4,10 @@
 
 use crate::connection::Connection;
 use crate::disconnects::DisconnectWatcher;
-use crate::listener::ClientListener;
 use crate::shared_state::SharedState;
-use command_loop::CommandLoop;
-use crossbeam_channel::Receiver;
 use routing::{Metrics, RequestId};
 use settings::Limits;
 use std::collections::HashMap;
-use std::io;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -92,21 +88,6 @@
         self.max_connections.store(max_connections, Ordering::Relaxed);
     }
 
-    /// Accepts and serves connections until [`ServerCommand::Shutdown`] has come and the last connection has closed,
-    /// or [`Limits::shutdown_most`] has passed since. If all senders of commands are dropped before, it serves on
-    /// and never returns.
-    ///
-    /// # Errors
-    /// The system's, if there is no descriptor or no thread left to start with.
-    pub fn serve(
-        self: &Arc<Self>,
-        listener: ClientListener,
-        commands: &Receiver<ServerCommand>,
-    ) -> io::Result<()> {
-        CommandLoop::start(self, listener)?.run(commands);
-        Ok(())
-    }
-
     fn connections(&self) -> MutexGuard<'_, HashMap<u64, Arc<Connection>>> {
         self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/client-listener/src/server/command_loop.rs
+++ b/client-listener/src/server/command_loop.rs
@@ -16,6 +16,23 @@
 /// How long to wait for the accept thread to stop.
 const ACCEPT_STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
+impl<H: ConnectionHandler> ClientServer<H> {
+    /// Accepts and serves connections until [`ServerCommand::Shutdown`] has come and the last connection has closed,
+    /// or [`Limits::shutdown_most`] has passed since. If all senders of commands are dropped before, it serves on
+    /// and never returns.
+    ///
+    /// # Errors
+    /// The system's, if there is no descriptor or no thread left to start with.
+    pub fn serve(
+        self: &Arc<Self>,
+        listener: ClientListener,
+        commands: &Receiver<ServerCommand>,
+    ) -> io::Result<()> {
+        CommandLoop::start(self, listener)?.run(commands);
+        Ok(())
+    }
+}
+
 /// What is left to do after an action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
@@ -31,7 +48,7 @@
 }
 
 /// Takes commands and drives the shutdown state machine of a server.
-pub(super) struct CommandLoop<'a, H> {
+struct CommandLoop<'a, H> {
     server: &'a Arc<ClientServer<H>>,
     machine: GracefulShutdown,
     /// The state machine's times count from here.
@@ -44,7 +61,7 @@
 
 impl<'a, H: ConnectionHandler> CommandLoop<'a, H> {
     /// Starts the threads that accept connections and watch for disconnects.
-    pub(super) fn start(server: &'a Arc<ClientServer<H>>, listener: ClientListener) -> io::Result<Self> {
+    fn start(server: &'a Arc<ClientServer<H>>, listener: ClientListener) -> io::Result<Self> {
         let accept_listener = listener.try_clone()?;
         let waker = listener.waker()?;
         server.accepting.store(true, Ordering::Release);
@@ -61,7 +78,7 @@
     }
 
     /// Runs until shutdown is complete.
-    pub(super) fn run(mut self, commands: &Receiver<ServerCommand>) {
+    fn run(mut self, commands: &Receiver<ServerCommand>) {
         let mut actions = Vec::new();
         loop {
             let event = self.next_event(commands);
