--- a/quotas/src/allocator/fair_share.rs
+++ b/quotas/src/allocator/fair_share.rs
@@ -1,6 +1,6 @@
 //! Max-min fair division of a quota among routers with demand.
 use super::allocation::{DemandAllocation, RECLAIM_PARTS};
-use super::plan::Candidate;
+use super::candidate::{Candidate, kept_capacity};
 use crate::grant::{Grant, MICROTOKENS_PER_TOKEN};
 
 /// A router's rate is far above its reserved share if it is more than this many times as high.
@@ -71,10 +71,6 @@
         .fold(0, u64::saturating_add)
 }
 
-fn kept_capacity(reserved: Grant, parts: u64) -> u64 {
-    (reserved.capacity / RECLAIM_PARTS * parts).max(MICROTOKENS_PER_TOKEN)
-}
-
 /// The part of `amount` that `part` is of `whole`.
 fn proportion(amount: u64, part: u64, whole: u64) -> u64 {
     (u128::from(amount) * u128::from(part) / u128::from(whole)) as u64
--- a/quotas/src/allocator/mod.rs
+++ b/quotas/src/allocator/mod.rs
@@ -4,6 +4,7 @@
 //! reserved shares has a [`DemandAllocation`](allocation::DemandAllocation): `silence` ends sparse demand, `plan` decides
 //! what each router should have, and `change` what the next response may change towards it.
 mod allocation;
+mod candidate;
 mod change;
 mod configuration;
 mod fair_share;
--- a/quotas/src/allocator/plan.rs
+++ b/quotas/src/allocator/plan.rs
@@ -1,5 +1,6 @@
 //! What each router should have of a tenant's quota.
 use super::allocation::{DemandAllocation, RECLAIM_PARTS, ResponseContext};
+use super::candidate::{Candidate, candidates, keep_parts, one_token_each, sum_reserved};
 use super::fair_share::distribute_capacity;
 use crate::grant::{Grant, MICROTOKENS_PER_TOKEN};
 use crate::time::after;
@@ -10,13 +11,6 @@
 /// Targets do not move for a smaller change of rate, microtokens per second.
 const MIN_RATE_CHANGE: u64 = MICROTOKENS_PER_TOKEN / 100;
 
-/// A router that may be granted something: its position, and its reserved share at most.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct Candidate {
-    pub(super) position: usize,
-    pub(super) reserved: Grant,
-}
-
 impl DemandAllocation {
     /// Distributes the quota over the routers with demand, if it is time to and enough has changed.
     pub(super) fn plan(&mut self, now: Time, context: &ResponseContext<'_>) {
@@ -173,37 +167,6 @@
     }
 }
 
-fn candidates(context: &ResponseContext<'_>) -> Vec<Candidate> {
-    let routers = context.routers.iter().enumerate();
-    routers
-        .filter_map(|(position, router)| {
-            let router = router.as_ref().filter(|router| !router.superseded)?;
-            Some(Candidate { position, reserved: router.max_reserved(context.shares) })
-        })
-        .collect()
-}
-
-fn keep_parts(idle: &[Candidate], parts: u64) -> Vec<Candidate> {
-    idle.iter()
-        .map(|router| Candidate { reserved: keep_parts_of(router.reserved, parts), ..*router })
-        .collect()
-}
-
-fn keep_parts_of(reserved: Grant, parts: u64) -> Grant {
-    let lacks_token = reserved.capacity < MICROTOKENS_PER_TOKEN;
-    let kept_capacity = (reserved.capacity / RECLAIM_PARTS * parts).max(MICROTOKENS_PER_TOKEN);
-    let capacity = if lacks_token { 0 } else { kept_capacity };
-    Grant { rate: reserved.rate / RECLAIM_PARTS * parts, capacity }
-}
-
-fn sum_reserved(routers: &[Candidate]) -> Grant {
-    routers.iter().fold(Grant::NONE, |sum, router| sum.saturating_add(router.reserved))
-}
-
-fn one_token_each(routers: &[Candidate]) -> u64 {
-    routers.len() as u64 * MICROTOKENS_PER_TOKEN
-}
-
 /// The highest rate that demand of `rate` may seem to have by chance, where it is counted over [`DEMAND_WINDOW_SECONDS`].
 fn max_by_chance(rate: u64) -> u64 {
     let token = MICROTOKENS_PER_TOKEN as f64;
--- a/quotas/src/client/demand.rs
+++ b/quotas/src/client/demand.rs
@@ -1,25 +1,21 @@
 //! How a client measures demand, and which of it a report states.
 //!
-//! Requests are counted in intervals. An interval ends with the first report that is made [`MIN_INTERVAL`] or more after it
+//! Requests are counted in intervals. An interval ends with the first report that is made [`MIN_INTERVAL`](super::demand_window::MIN_INTERVAL) or more after it
 //! began: usually each report, 200 ms after the one before. Demand is averaged over all intervals since it last changed by
 //! more than chance explains, at most over [`INTERVALS`].
 //!
 //! Chance means that of a Poisson process, whose count has the expected count as its variance.
 use super::QuotaClient;
+use super::demand_window::{DemandWindow, INTERVALS};
 use super::tenant::TenantState;
 use crate::grant::{MAX_RATE, MICROTOKENS_PER_TOKEN};
 use crate::messages::TenantDemand;
-use crate::time::{LONG_PAST, elapsed};
-use decision::{Micros, Time};
+use decision::Time;
 
-/// The number of intervals in the longest time over which demand is averaged, about 8 s.
-pub(super) const INTERVALS: usize = 40;
 /// The numbers of latest intervals in which a change of demand is looked for, the shortest first.
 const RECENT_INTERVALS: [usize; 4] = [2, 5, 10, 20];
 /// The number of latest intervals, about 1 s, without a request of which a tenant is reported as silent.
 const SILENT_INTERVALS: usize = RECENT_INTERVALS[1];
-/// The shortest interval, microseconds: an early report does not end one.
-const MIN_INTERVAL: Micros = 150_000;
 /// Above this expected count of requests, their absence is a change of demand: by chance a Poisson count that is expected
 /// to be 4 is 0 in fewer than one of 50 cases.
 const MIN_EXPECTED_FOR_SILENCE: f64 = 4.0;
@@ -35,58 +31,6 @@
 /// A rate in microtokens per second, times a duration in microseconds, gives picotokens.
 const PICOTOKENS_PER_TOKEN: f64 = 1e12;
 
-/// When the latest intervals began. They form a ring, the same for all tenants.
-#[derive(Clone, Debug, Hash)]
-pub(super) struct DemandWindow {
-    begins: [Time; INTERVALS],
-    /// The position in the ring of the interval that is counted in now.
-    current: usize,
-}
-
-impl Default for DemandWindow {
-    fn default() -> DemandWindow {
-        DemandWindow { begins: [LONG_PAST; INTERVALS], current: 0 }
-    }
-}
-
-impl DemandWindow {
-    /// The position in the ring of the interval that is counted in now.
-    pub(super) fn current(&self) -> usize {
-        self.current
-    }
-
-    /// The position of the `age`-th latest interval; the current one has age 1.
-    fn position(&self, age: usize) -> usize {
-        (self.current + INTERVALS + 1 - age) % INTERVALS
-    }
-
-    /// The position of the oldest interval, which the next one replaces.
-    fn next(&self) -> usize {
-        (self.current + 1) % INTERVALS
-    }
-
-    /// The time covered by the latest `count` intervals, microseconds, at least [`MIN_INTERVAL`]: rates are divided by it.
-    fn duration(&self, now: Time, count: usize) -> Micros {
-        elapsed(self.begins[self.position(count)], now).max(MIN_INTERVAL)
-    }
-
-    /// At the first report, lets all intervals begin a shortest interval ago.
-    fn begin_if_new(&mut self, now: Time) {
-        if self.begins[self.current] == LONG_PAST {
-            self.begins = [Time(now.0.saturating_sub(MIN_INTERVAL)); INTERVALS];
-        }
-    }
-
-    fn is_interval_over(&self, now: Time) -> bool {
-        elapsed(self.begins[self.current], now) >= MIN_INTERVAL
-    }
-
-    fn begin_next_interval(&mut self, now: Time) {
-        self.current = self.next();
-        self.begins[self.current] = now;
-    }
-}
-
 /// What a report is about to state demand for.
 #[derive(Clone, Copy)]
 struct ReportContext<'a> {
--- a/quotas/src/client/exchange.rs
+++ b/quotas/src/client/exchange.rs
@@ -1,5 +1,6 @@
 //! The client's side of the exchange with the leader.
 use super::QuotaClient;
+use super::open_exchange::OpenExchange;
 use crate::messages::{
     GrantChange, GrantResponse, HeldGrants, Report, ReservedShare, ResponseBody, TenantGrant,
 };
@@ -7,14 +8,6 @@
 use crate::time::after;
 use decision::Time;
 
-/// An exchange whose response is still expected.
-#[derive(Clone, Copy, Debug, Hash)]
-pub(super) struct OpenExchange {
-    seq: u64,
-    /// When the report was made: the lifetime of what is granted in it counts from here.
-    started: Time,
-}
-
 impl QuotaClient {
     /// Begins an exchange; an open one is given up. What is granted in it counts from `now`, so the report must be sent
     /// after `now` was read.
--- a/quotas/src/client/tenant.rs
+++ b/quotas/src/client/tenant.rs
@@ -1,6 +1,6 @@
 //! What a client keeps for one tenant.
 use super::bucket::TokenBucket;
-use super::demand::INTERVALS;
+use super::demand_window::INTERVALS;
 use crate::equal_shares::EqualShares;
 use crate::grant::Grant;
 use crate::messages::ReservedShare;
