--- a/maintenance/src/error.rs
+++ b/maintenance/src/error.rs
@@ -1,5 +1,5 @@
 //! What can go wrong with the files in the shared folder. Operators read these texts at the admin address and in the log.
-use crate::state_file::{FORMAT_VERSION, LOCK_TIMEOUT, MAX_FILE_BYTES};
+use crate::limits::{FORMAT_VERSION, LOCK_TIMEOUT, MAX_FILE_BYTES};
 use std::fmt::{self, Display, Formatter};
 use std::io;
 use std::path::{Path, PathBuf};
--- a/maintenance/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -57,6 +57,7 @@
 //! ```
 mod error;
 mod interface;
+mod limits;
 mod machine;
 mod presence;
 mod state;
--- a/maintenance/src/state_file.rs
+++ b/maintenance/src/state_file.rs
@@ -6,8 +6,8 @@
 mod encoding;
 
 use crate::error::{FileOperation, SharedFolderError, UnusableReason};
+use crate::limits::{LOCK_TIMEOUT, MAX_FILE_BYTES};
 use crate::state::State;
-pub(crate) use encoding::FORMAT_VERSION;
 use std::cell::RefCell;
 use std::fs::{File, Metadata, OpenOptions, TryLockError};
 use std::io::{ErrorKind, Read, Write};
@@ -19,10 +19,6 @@
 const FILE_NAME: &str = "damsonvale-holds";
 /// Readable and writable by the router's user alone.
 const FILE_MODE: u32 = 0o600;
-/// No file is larger: enough for some thousand entries with long ids.
-pub(crate) const MAX_FILE_BYTES: usize = 1 << 20;
-/// How long a lock is waited for. Its holder needs a few syncs; a holder that is stopped must not stop this process too.
-pub(crate) const LOCK_TIMEOUT: Duration = Duration::from_millis(200);
 /// `flock` waits without a time limit or not at all, so a lock that is taken is tried again at this interval.
 const LOCK_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
--- a/maintenance/src/state_file/encoding.rs
+++ b/maintenance/src/state_file/encoding.rs
@@ -1,15 +1,13 @@
 //! The bytes of the state file: 8 bytes of magic; then version, length of the body and checksum (CRC-32) of the body as
 //! 32-bit little-endian numbers; then the body, the [`State`] in postcard's encoding.
-use super::MAX_FILE_BYTES;
 use crate::error::{SharedFolderError, UnusableReason};
+use crate::limits::{FORMAT_VERSION, MAX_FILE_BYTES};
 use crate::state::State;
 use std::cmp::Ordering;
 use std::path::Path;
 
 /// Marks a state file. The word is the package's former name, which every stored file begins with.
 const MAGIC: &[u8; 8] = b"dvholds\n";
-/// The version that this program writes, and the only one that it reads.
-pub(crate) const FORMAT_VERSION: u32 = 1;
 /// Magic, version, length and checksum.
 const HEADER_BYTES: usize = MAGIC.len() + 3 * size_of::<u32>();
 
