--- a/audit/src/settings.rs
+++ b/audit/src/settings.rs
@@ -1,6 +1,6 @@
 //! Limits and intervals of the [`VersionTracker`](crate::VersionTracker). The operator sets how far a router may lag; the
 //! constants here are the same for every fleet.
-use crate::RING_SLOTS;
+use crate::record::RING_SLOTS;
 use ::settings::fleet::Audit;
 use decision::Micros;
 
--- a/audit/src/tracker.rs
+++ b/audit/src/tracker.rs
@@ -1,16 +1,23 @@
 //! The leader's side: follows the version of every router of a fleet.
 mod epochs;
+mod event;
 mod history;
 mod jitter;
+mod received_report;
 mod recorder;
 mod report;
 mod router;
 
-use crate::{Batch, Directive, Entry, EntryKind, Settings, VersionReport};
+pub use event::{Action, Event};
+
+use crate::exchange::Directive;
+use crate::record::{Batch, EntryKind};
+use crate::settings::Settings;
 use decision::Time;
 use epochs::EpochSource;
 use history::VersionHistory;
 use jitter::Jitter;
+use received_report::ReceivedReport;
 use recorder::Recorder;
 use report::ReportHandler;
 use router::{Phase, RouterState};
@@ -20,70 +27,6 @@
 /// Routers that are followed, at most.
 const MAX_ROUTERS: usize = settings::fleet::ROUTERS as usize;
 
-/// Input of the tracker.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Event {
-    /// This node has become leader.
-    LeadershipGained {
-        /// Its term.
-        term: u64,
-        /// The batches in the store.
-        batches: Vec<Batch>,
-    },
-    /// The current version. A version that is not later than the last one changes nothing.
-    CurrentVersion {
-        /// The version.
-        version: Version,
-    },
-    /// A router has reported.
-    ReportReceived {
-        /// Name of the router.
-        router: String,
-        /// Incarnation of its process.
-        incarnation: u64,
-        /// Version that it holds.
-        version: Version,
-        /// The rest of its report.
-        report: VersionReport,
-        /// Whether it shuts down gracefully and this is its last report.
-        leaving: bool,
-    },
-    /// A write of a batch has completed.
-    WriteCompleted {
-        /// Sequence number of the batch.
-        seq: u64,
-        /// Whether it is known to be committed.
-        committed: bool,
-    },
-    /// Time has passed.
-    Tick,
-}
-
-/// What the driver must do.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Action {
-    /// Send this with the answer to the report; one for each [`Event::ReportReceived`]. Grants of a router that is fenced
-    /// out must not be renewed.
-    Reply {
-        /// Name of the router.
-        router: String,
-        /// The directive for it.
-        directive: Directive,
-    },
-    /// Log this entry, which the record gets too.
-    LogEntry(Entry),
-    /// Write this batch into its slot of the store, and answer with [`Event::WriteCompleted`].
-    WriteBatch(Batch),
-}
-
-/// A router's report while it is handled.
-struct ReceivedReport {
-    incarnation: u64,
-    version: Version,
-    details: VersionReport,
-    leaving: bool,
-}
-
 /// Follows the version of every router of a fleet; see the [crate].
 #[derive(Clone, Debug)]
 pub struct VersionTracker {
--- a/audit/src/tracker/recorder.rs
+++ b/audit/src/tracker/recorder.rs
@@ -1,8 +1,8 @@
 //! Makes entries of the record: each is queued for the store and logged.
-use super::Action;
+use super::event::Action;
 use super::router::RouterState;
+use crate::record::{Batch, Entry, EntryKind};
 use crate::record_writer::RecordWriter;
-use crate::{Batch, Entry, EntryKind};
 use decision::Time;
 use settings::fleet::Version;
 
--- a/audit/src/tracker/report.rs
+++ b/audit/src/tracker/report.rs
@@ -1,11 +1,14 @@
 //! Handling of one router's report.
 use super::epochs::EpochSource;
+use super::event::Action;
 use super::history::{VersionHistory, VersionLag};
 use super::jitter::Jitter;
+use super::received_report::ReceivedReport;
 use super::recorder::Recorder;
 use super::router::{Phase, RouterState};
-use super::{Action, ReceivedReport};
-use crate::{Directive, EntryKind, Settings};
+use crate::exchange::Directive;
+use crate::record::EntryKind;
+use crate::settings::Settings;
 use decision::{Micros, Time};
 
 /// Two starts of a version that are this near are the same one, seen in two reports.
--- a/audit/src/tracker/router.rs
+++ b/audit/src/tracker/router.rs
@@ -1,6 +1,6 @@
 //! What the tracker knows of one router.
-use super::ReceivedReport;
-use crate::{Entry, EntryKind};
+use super::received_report::ReceivedReport;
+use crate::record::{Entry, EntryKind};
 use decision::{Micros, Time};
 use settings::fleet::Version;
 
