--- a/releases/src/lib.rs
+++ b/releases/src/lib.rs
@@ -10,20 +10,24 @@
 mod health;
 mod ledger;
 mod plan;
+mod plan_error;
 mod release;
 mod reservation;
 mod settings;
 mod snapshot;
 mod stats;
+mod version;
 
 pub use self::settings::Settings;
 pub use budget::{BudgetError, DisruptionBudget, Limit, Limits};
 pub use health::HealthSettings;
 pub use ledger::{BudgetLedger, BudgetUsage, LedgerAction, LedgerEvent, LedgerSnapshot};
-pub use plan::{Plan, PlanError, Version};
+pub use plan::Plan;
+pub use plan_error::PlanError;
 pub use release::{Action, Event, Release};
 pub use reservation::{GrantId, Members, RequestId, Reservation, ReservationError, Target, TargetKind};
 pub use snapshot::{
     FormatError, HaltReason, Phase, ReleaseSnapshot, RouterState, RouterStep, SNAPSHOT_FORMAT,
 };
 pub use stats::RequestStats;
+pub use version::Version;
--- a/releases/src/settings.rs
+++ b/releases/src/settings.rs
@@ -1,5 +1,6 @@
 //! How a release is carried out.
-use crate::{HealthSettings, PlanError};
+use crate::health::HealthSettings;
+use crate::plan_error::PlanError;
 use decision::Micros;
 use serde::{Deserialize, Serialize};
 
