--- a/client-listener/src/disconnects.rs
+++ b/client-listener/src/disconnects.rs
@@ -28,7 +28,7 @@
     /// request is submitted from here on.
     pub fn mark_disconnected(&self, cancel: impl FnMut(RequestId)) {
         if let Some(requests) = self.in_flight_requests.disconnect(cancel) {
-            self.set_close_reason(CloseReason::ClientLeft);
+            self.set_close_reason(CloseReason::ClientDisconnected);
             tracing::debug!("clients: {} has left {requests} requests", self.id);
         }
     }
--- a/client-listener/src/server/accept.rs
+++ b/client-listener/src/server/accept.rs
@@ -4,7 +4,7 @@
 use crate::connection::Connection;
 use crate::listener::ClientListener;
 use routing::reasons::CloseReason;
-use routing::spawn_within;
+use routing::spawn_with_retry;
 use std::collections::HashMap;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -132,7 +132,7 @@
     /// Starts a connection's thread; returns the connection if none can be had now.
     fn try_start(&self, waiting: WithoutThread) -> Option<WithoutThread> {
         let WithoutThread { connection, address, serve, since } = waiting;
-        let started = spawn_within("client", self.limits.stack_bytes, Duration::ZERO, serve);
+        let started = spawn_with_retry("client", self.limits.stack_bytes, Duration::ZERO, serve);
         let Err(failed) = started else { return None };
         if since.elapsed() < THREAD_PATIENCE {
             return Some(WithoutThread { connection, address, serve: failed.run, since });
--- a/mysql/src/front.rs
+++ b/mysql/src/front.rs
@@ -11,7 +11,7 @@
 use client_listener::{Connection, ConnectionHandler, is_timeout};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use routing::reasons::CloseReason;
-use routing::{ClientRequest, FinalResponse, GroupId, RequestId, RouterHandle, Time, spawn_within};
+use routing::{ClientRequest, FinalResponse, GroupId, RequestId, RouterHandle, Time, spawn_with_retry};
 use sessions::Key;
 use sessions::machine::Stopped;
 use sessions::node::{Sessions, Who};
@@ -133,7 +133,7 @@
                 read_commands(&own, reader, &to, |id| handle.client_disconnected(id));
             }
         };
-        let started = spawn_within("commands", self.limits.stack_bytes, THREAD_PATIENCE, read);
+        let started = spawn_with_retry("commands", self.limits.stack_bytes, THREAD_PATIENCE, read);
         if started.is_err() {
             connection.set_close_reason(CloseReason::NoThread);
             self.reject(connection);
--- a/mysql/tests/withdrawn.rs
+++ b/mysql/tests/withdrawn.rs
@@ -56,7 +56,7 @@
 
 fn withdrawn() -> AttemptGuard {
     let stop = AttemptGuard::default();
-    stop.cancel_if_unstarted(Denial::ClientLeft);
+    stop.cancel_if_unstarted(Denial::ClientDisconnected);
     stop
 }
 
--- a/routing/benches/observer.rs
+++ b/routing/benches/observer.rs
@@ -1,7 +1,7 @@
 //! What the observer costs: the transitions of one request with an attempt and a retry, with and without it.
 //! `cargo bench -p routing`
 use decision::{Idempotency, Outcome, RequestId, Time};
-use routing::observer::{Ending, Observer, Transition};
+use routing::observer::{AttemptEnd, Ending, Observer, Transition};
 use routing::permit::{RepeatRule, RepeatState};
 use std::hint::black_box;
 use std::time::Instant;
@@ -19,19 +19,19 @@
             observer.observe(now, request, transition, &mut found);
         }
     };
-    observe(Transition::Taken { class: 0, deadline: Time(now.0 + 1_000_000) });
+    observe(Transition::Accepted { class: 0, deadline: Time(now.0 + 1_000_000) });
     let mut repeats = RepeatState::default();
     for (attempt, outcome) in [(0, Outcome::Reset), (1, Outcome::Ok)] {
         _ = black_box(repeats.permit_attempt(now, rule));
-        observe(Transition::Handed { attempt, until: Time(now.0 + 1_000_000) });
+        observe(Transition::AttemptDispatched { attempt, deadline: Time(now.0 + 1_000_000) });
         repeats.attempt_ended(Some(now), outcome);
-        observe(Transition::AttemptEnded {
+        observe(Transition::AttemptEnded(AttemptEnd {
             attempt,
             permitted_at: Some(now),
             sent: true,
             endpoint_left_at: None,
             outcome,
-        });
+        }));
     }
     observe(Transition::Ended(Ending::Served));
     black_box(found);
@@ -43,7 +43,7 @@
     // As many as are open at a time in a router under load.
     if let Some(observer) = &mut observer {
         for id in 0..OPEN {
-            let open = Transition::Taken { class: 0, deadline: Time(i64::MAX / 2) };
+            let open = Transition::Accepted { class: 0, deadline: Time(i64::MAX / 2) };
             observer.observe(Time(0), RequestId(u64::MAX - id), open, &mut Vec::new());
         }
     }
--- /dev/null
+++ b/routing/src/attempt_id.rs
@@ -0,0 +1,11 @@
+//! The id of an attempt.
+use decision::RequestId;
+
+/// One attempt of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
+    /// The request.
+    pub request: RequestId,
+    /// Its number among the request's attempts, from 0.
+    pub number: u32,
+}
--- a/routing/src/backends/backend.rs
+++ b/routing/src/backends/backend.rs
@@ -1,12 +1,12 @@
 //! One backend: the idle connections to one endpoint, and the start of exchanges on them or on new ones.
-use super::BackendResources;
 use super::exchange::{Context, Task, run};
-use crate::endpoint_state::EndpointState;
+use super::resources::BackendResources;
 use crate::idle_connection::IdleConnection;
 use crate::messages::{BackendCommand, BackendId, BackendSender, RouterMessage};
 use crate::permit::AttemptGuard;
+use crate::permit::EndpointState;
 use crate::protocol::BackendProtocol;
-use crate::spawn;
+use crate::threads::spawn;
 use crossbeam_channel::bounded;
 use decision::{MemberId, Outcome};
 use std::net::SocketAddr;
@@ -92,12 +92,12 @@
             return self.spawn_exchange(task, guard, idle);
         }
         let resources = &self.context.resources;
-        let (open, permit) = resources.connections.acquire();
+        let (open, slot) = resources.connections.acquire();
         self.announce_near_limit(open);
         if open >= resources.limits.link_connections || self.busy >= resources.limits.links_per_peer {
             return self.context.report_outcome(&task, Outcome::NeverSent);
         }
-        let idle = IdleConnection { connection: None, since: Instant::now(), permit };
+        let idle = IdleConnection { connection: None, since: Instant::now(), slot };
         self.spawn_exchange(task, guard, idle);
     }
 
--- a/routing/src/backends/exchange.rs
+++ b/routing/src/backends/exchange.rs
@@ -1,11 +1,11 @@
 //! One exchange, on the thread of its connection.
-use super::BackendResources;
-use crate::endpoint_state::EndpointState;
+use super::resources::BackendResources;
+use crate::attempt_id::AttemptId;
 use crate::idle_connection::IdleConnection;
 use crate::messages::{AddressedCommand, BackendCommand, BackendId, BackendSender, RouterMessage};
+use crate::permit::EndpointState;
 use crate::permit::{AttemptGuard, ConnectionPermit, Verdict};
 use crate::protocol::{BackendProtocol, Connection, Exchange, ExchangeResult, NotSent};
-use crate::request::AttemptId;
 use decision::{MemberId, Outcome};
 use std::net::SocketAddr;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -65,7 +65,7 @@
     guard: &AttemptGuard,
     idle: IdleConnection<P>,
 ) {
-    let IdleConnection { mut connection, since: last_response, permit } = idle;
+    let IdleConnection { mut connection, since: last_response, slot } = idle;
     if connection.is_some() {
         wait_until_settled(context.resources.limits.link_settle, last_response);
     }
@@ -76,7 +76,7 @@
     // The endpoint counts the idle time of a connection that carried nothing from its last response on.
     let since = if result.outcome == Outcome::NeverSent { last_response } else { Instant::now() };
     let can_carry_more = connection.is_some() && result.reusable;
-    let connection = can_carry_more.then_some(IdleConnection { connection, since, permit });
+    let connection = can_carry_more.then_some(IdleConnection { connection, since, slot });
     // The backend is notified first: the router actor's next attempt finds this connection idle.
     let command = BackendCommand::ExchangeEnded { connection };
     _ = context.backends.send(AddressedCommand { backend: context.id, command });
--- /dev/null
+++ b/routing/src/backends/resources.rs
@@ -0,0 +1,28 @@
+//! What the backends of a router share.
+use crate::idle_connection::ConnectionCount;
+use crate::messages::RouterMessage;
+use crate::protocol::BackendProtocol;
+use crossbeam_channel::Sender;
+use settings::Limits;
+use std::sync::Arc;
+
+/// What every backend needs, whatever its endpoint.
+pub(crate) struct BackendResources<P: BackendProtocol> {
+    pub(crate) protocol: Arc<P>,
+    pub(crate) limits: Arc<Limits>,
+    /// The router actor's mailbox.
+    pub(crate) router: Sender<RouterMessage<P>>,
+    /// Connections of all backends together.
+    pub(crate) connections: ConnectionCount,
+}
+
+impl<P: BackendProtocol> Clone for BackendResources<P> {
+    fn clone(&self) -> Self {
+        BackendResources {
+            protocol: self.protocol.clone(),
+            limits: self.limits.clone(),
+            router: self.router.clone(),
+            connections: self.connections.clone(),
+        }
+    }
+}
--- a/routing/src/endpoints.rs
+++ b/routing/src/endpoints.rs
@@ -1,56 +1,24 @@
 //! The actor that holds the endpoint list: it applies complete lists and changes in order, lays the operators' maintenance
 //! mask over them and passes on what is new.
 mod actor;
+mod message;
+mod published;
 
 use crate::endpoint::{EndpointUpdate, MaintenanceMask, UpdateOrder};
 use crate::messages::RouterMessage;
 use crate::metrics::Metrics;
 use crate::protocol::BackendProtocol;
-use crate::spawn_needed;
+use crate::threads::spawn_needed;
 use crate::wall_clock::WallClock;
 use actor::EndpointsActor;
 use crossbeam_channel::{Sender, bounded};
+use message::EndpointsMessage;
+use published::Published;
 use settings::Limits;
 use std::collections::BTreeSet;
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::Arc;
 use std::time::Duration;
 
-enum EndpointsMessage {
-    Update {
-        update: EndpointUpdate,
-        order: UpdateOrder,
-    },
-    SetMaintenance(MaintenanceMask),
-    /// Answered once everything before it has been passed on.
-    Barrier(Sender<()>),
-}
-
-/// What the actor publishes for readers on other threads.
-#[derive(Clone, Default)]
-struct Published {
-    version: Arc<AtomicU64>,
-    ids: Arc<Mutex<BTreeSet<String>>>,
-}
-
-impl Published {
-    fn version(&self) -> u64 {
-        self.version.load(Ordering::Acquire)
-    }
-
-    fn set_version(&self, version: u64) {
-        self.version.store(version, Ordering::Release);
-    }
-
-    fn ids(&self) -> BTreeSet<String> {
-        self.ids.lock().unwrap_or_else(PoisonError::into_inner).clone()
-    }
-
-    fn set_ids(&self, ids: BTreeSet<String>) {
-        *self.ids.lock().unwrap_or_else(PoisonError::into_inner) = ids;
-    }
-}
-
 /// Hands updates to the endpoint list. Copies reach the same list.
 #[derive(Clone)]
 pub struct EndpointsHandle {
--- a/routing/src/endpoints/actor.rs
+++ b/routing/src/endpoints/actor.rs
@@ -1,5 +1,6 @@
 //! The state behind the endpoint list, and one handler for each message.
-use super::{EndpointsMessage, Published};
+use super::message::EndpointsMessage;
+use super::published::Published;
 use crate::endpoint::{EndpointEntry, EndpointUpdate, MaintenanceMask, UpdateOrder};
 use crate::messages::RouterMessage;
 use crate::metrics::Metrics;
--- /dev/null
+++ b/routing/src/endpoints/published.rs
@@ -0,0 +1,29 @@
+//! What other threads read of the endpoint list without asking its actor.
+use std::collections::BTreeSet;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, PoisonError};
+
+/// What the actor publishes for readers on other threads.
+#[derive(Clone, Default)]
+pub(super) struct Published {
+    version: Arc<AtomicU64>,
+    ids: Arc<Mutex<BTreeSet<String>>>,
+}
+
+impl Published {
+    pub(super) fn version(&self) -> u64 {
+        self.version.load(Ordering::Acquire)
+    }
+
+    pub(super) fn set_version(&self, version: u64) {
+        self.version.store(version, Ordering::Release);
+    }
+
+    pub(super) fn ids(&self) -> BTreeSet<String> {
+        self.ids.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    }
+
+    pub(super) fn set_ids(&self, ids: BTreeSet<String>) {
+        *self.ids.lock().unwrap_or_else(PoisonError::into_inner) = ids;
+    }
+}
--- a/routing/src/idle_connection.rs
+++ b/routing/src/idle_connection.rs
@@ -11,7 +11,7 @@
     /// Since its last response.
     pub(crate) since: Instant,
     /// Its place among all connections.
-    pub(crate) permit: ConnectionPermit,
+    pub(crate) slot: ConnectionSlot,
 }
 
 impl<P: BackendProtocol> IdleConnection<P> {
@@ -26,10 +26,10 @@
 pub(crate) struct ConnectionCount(Arc<AtomicUsize>);
 
 impl ConnectionCount {
-    /// Counts one more connection until the permit is dropped; returns the count before it.
-    pub(crate) fn acquire(&self) -> (usize, ConnectionPermit) {
+    /// Counts one more connection until the slot is dropped; returns the count before it.
+    pub(crate) fn acquire(&self) -> (usize, ConnectionSlot) {
         let before = self.0.fetch_add(1, Ordering::Relaxed);
-        (before, ConnectionPermit(self.clone()))
+        (before, ConnectionSlot(self.clone()))
     }
 
     /// Replaces a number of places set aside for other processes by another.
@@ -40,9 +40,9 @@
 }
 
 /// Counts a connection while it lives.
-pub(crate) struct ConnectionPermit(ConnectionCount);
+pub(crate) struct ConnectionSlot(ConnectionCount);
 
-impl Drop for ConnectionPermit {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -16,18 +16,19 @@
 //! None waits for another in a cycle: the router actor never blocks on the backends actor. What must not be lost if that
 //! one's mailbox is full is shared state, [`AttemptGuard`] and
 //! [`EndpointState`], read where it binds.
+mod attempt_id;
 mod backends;
 mod clock;
 mod endpoint;
-mod endpoint_state;
 pub mod endpoints;
+mod final_response;
 mod idle_connection;
 mod messages;
 mod metrics;
 pub mod observer;
 pub mod permit;
-mod placement_subsets;
-mod probe_spacing;
+pub mod placement_subsets;
+pub mod probe_spacing;
 pub mod protocol;
 pub mod reasons;
 mod request;
@@ -37,21 +38,21 @@
 pub mod threads;
 pub mod wall_clock;
 
-#[cfg(test)]
-mod recorded_run;
-
+pub use attempt_id::AttemptId;
 pub use clock::Clock;
 pub use decision::{GroupId, MemberReport, MemberState, Outcome, RequestId, SessionId, Settings, Time};
 pub use endpoint::{EndpointEntry, EndpointUpdate, MaintenanceMask, UpdateOrder};
-pub use endpoint_state::EndpointState;
 pub use endpoints::EndpointsHandle;
+pub use final_response::FinalResponse;
 pub use messages::RouterMessage;
 pub use metrics::{ClassMetrics, Metrics, ReasonCounters};
-pub use permit::{AttemptGuard, ConnectionPermit, Denial, Handshake, ServerSocket, Verdict, WritePermit};
+pub use permit::{
+    AttemptGuard, ConnectionPermit, Denial, EndpointState, Handshake, ServerSocket, Verdict, WritePermit,
+};
 pub use placement::Refusal;
 pub use protocol::{BackendProtocol, Connection, Exchange, ExchangeResult, NotSent};
-pub use request::{AttemptId, ClientRequest, FinalResponse};
+pub use request::ClientRequest;
 pub use responded_endpoints::RespondedEndpoints;
 pub use router::{RouterBuilder, RouterHandle};
-pub use threads::{NoThread, spawn, spawn_needed, spawn_within};
+pub use threads::{SpawnError, spawn, spawn_needed, spawn_with_retry};
 pub use wall_clock::WallClock;
--- a/routing/src/messages.rs
+++ b/routing/src/messages.rs
@@ -1,10 +1,11 @@
 //! The messages between the core's actors. The actors depend on this file and not on each other's insides.
+use crate::attempt_id::AttemptId;
 use crate::endpoint::EndpointUpdate;
-use crate::endpoint_state::EndpointState;
 use crate::idle_connection::IdleConnection;
 use crate::permit::AttemptGuard;
+use crate::permit::EndpointState;
 use crate::protocol::{BackendProtocol, ExchangeResult};
-use crate::request::{AttemptId, ClientRequest};
+use crate::request::ClientRequest;
 use crossbeam_channel::Sender;
 use decision::{GroupId, MemberId, MemberReport, Outcome, RequestId};
 use std::collections::BTreeSet;
--- a/routing/src/metrics/reasons.rs
+++ b/routing/src/metrics/reasons.rs
@@ -56,7 +56,7 @@
         for outcome in OUTCOMES {
             self.retried.with_label_values(&[outcome_name(outcome)]);
         }
-        for reason in [EndReason::ClientLeft, EndReason::ClientCancelled] {
+        for reason in [EndReason::ClientDisconnected, EndReason::ClientCancelled] {
             self.dropped.with_label_values(&[reason.name()]);
         }
         for denial in Denial::ALL {
--- a/routing/src/observer/invariant.rs
+++ b/routing/src/observer/invariant.rs
@@ -1,11 +1,11 @@
 //! The invariants, and what is reported where one is violated.
 use decision::RequestId;
 
-/// A promise that is checked at run time. The names are a closed set: the log and the counter
-/// `invariant_violations_total` use them.
+/// A promise that is checked at run time. The names are a closed set, which the log and the counter
+/// `damsonvale_invariant_violations_total` use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Invariant {
-    /// A request has one end.
+    /// A request ends once.
     OneFinalResponse,
     /// The final response is given by the deadline, with half a second of slack.
     ResponseInTime,
@@ -13,22 +13,22 @@
     RequestForgotten,
     /// No attempt begins 0.1 s or more after its request has ended.
     StartAfterEnd,
-    /// What must not run twice is not sent again once it may have run.
+    /// A request that must not run twice is not sent again once it may have run.
     UnsafeRepeat,
-    /// A repeat begins within its class's window.
+    /// A retry begins within the deduplication window of its class.
     RepeatWindow,
     /// One attempt of a request is in flight at a time, where no two may be.
     OneAttemptInFlight,
-    /// A rejected request has not run, unless a repeat does no harm.
+    /// A rejected request has not run, unless running it again does no harm.
     HarmlessRejection,
-    /// Nothing begins at an endpoint after the grace of its drain.
+    /// No attempt begins at an endpoint later than the grace period after it left service.
     Drain,
-    /// A server is told no more time than the client has left, with 0.15 s of slack.
-    ToldTime,
+    /// A server gets no later deadline than the client's, with 0.15 s of slack.
+    ServerDeadline,
 }
 
 impl Invariant {
-    /// All of them.
+    /// All invariants.
     pub const ALL: [Invariant; 10] = [
         Invariant::OneFinalResponse,
         Invariant::ResponseInTime,
@@ -39,7 +39,7 @@
         Invariant::OneAttemptInFlight,
         Invariant::HarmlessRejection,
         Invariant::Drain,
-        Invariant::ToldTime,
+        Invariant::ServerDeadline,
     ];
 
     /// The name in the log and in metrics.
@@ -54,21 +54,21 @@
             Invariant::OneAttemptInFlight => "one_attempt_in_flight",
             Invariant::HarmlessRejection => "harmless_rejection",
             Invariant::Drain => "drain",
-            Invariant::ToldTime => "told_time",
+            Invariant::ServerDeadline => "told_time",
         }
     }
 
-    /// Whether a process that was stopped for a while, or got no processor time, may violate it without a fault of the
+    /// Whether a process that was stopped for a while, or got no processor time, may violate it without a fault in the
     /// program.
     pub fn depends_on_scheduling(self) -> bool {
         matches!(self, Invariant::ResponseInTime | Invariant::RequestForgotten | Invariant::RepeatWindow)
     }
 }
 
-/// A promise that was broken.
+/// An invariant that was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which one.
+    /// The invariant.
     pub invariant: Invariant,
     /// The request.
     pub request: RequestId,
--- a/routing/src/observer/trace.rs
+++ b/routing/src/observer/trace.rs
@@ -1,26 +1,64 @@
-//! What is kept of one request, and the checks on it.
+//! The record of one open request, and the checks of its transitions.
 use super::invariant::Invariant;
-use super::{Ending, HOLD_UP, RESPONSE_SLACK, START_SLACK};
+use super::transition::{AttemptEnd, Ending};
 use crate::permit::RepeatRule;
 use decision::{Idempotency, Micros, Outcome, Time};
 
-/// What is kept of an attempt.
+/// A final response later than this after the deadline breaks its promise.
+const RESPONSE_SLACK: Micros = 500_000;
+/// An attempt that begins later than this after its request has ended breaks its promise.
+const START_SLACK: Micros = 100_000;
+/// The operating system may suspend the process for this long between reading its clock and writing.
+const SCHEDULING_SLACK: Micros = 150_000;
+
+/// A broken promise of a known request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Finding {
+    pub(super) invariant: Invariant,
+    /// The attempt, where it concerns one.
+    pub(super) attempt: Option<u32>,
+}
+
+impl Finding {
+    fn of_request(invariant: Invariant) -> Finding {
+        Finding { invariant, attempt: None }
+    }
+
+    fn of_attempt(invariant: Invariant, attempt: u32) -> Finding {
+        Finding { invariant, attempt: Some(attempt) }
+    }
+}
+
+/// The record of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct AttemptTrace {
-    pub(super) number: u32,
-    pub(super) permitted_at: Option<Time>,
-    pub(super) sent: bool,
+struct AttemptTrace {
+    number: u32,
+    permitted_at: Option<Time>,
+    sent: bool,
     /// `None` while it is in flight.
-    pub(super) outcome: Option<Outcome>,
+    outcome: Option<Outcome>,
 }
 
 impl AttemptTrace {
+    fn in_flight(number: u32) -> AttemptTrace {
+        AttemptTrace { number, permitted_at: None, sent: false, outcome: None }
+    }
+
+    fn ended(end: &AttemptEnd) -> AttemptTrace {
+        AttemptTrace {
+            number: end.attempt,
+            permitted_at: end.permitted_at,
+            sent: end.sent,
+            outcome: Some(end.outcome),
+        }
+    }
+
     fn may_have_run(&self) -> bool {
         self.sent && self.outcome.is_some_and(|outcome| !outcome.never_ran() && outcome != Outcome::Ok)
     }
 }
 
-/// What is kept of a request.
+/// The record of a request.
 #[derive(Debug)]
 pub(super) struct RequestTrace {
     pub(super) class: usize,
@@ -29,90 +67,109 @@
     attempts: Vec<AttemptTrace>,
 }
 
-type Found = Vec<(Invariant, Option<u32>)>;
-
 impl RequestTrace {
     pub(super) fn new(class: usize, deadline: Time) -> RequestTrace {
         RequestTrace { class, deadline, ended_at: None, attempts: Vec::new() }
     }
 
-    /// Nothing more can happen to it.
+    /// Whether nothing more can happen to the request.
     pub(super) fn is_over(&self) -> bool {
         self.ended_at.is_some() && self.attempts.iter().all(|attempt| attempt.outcome.is_some())
     }
 
-    pub(super) fn handed(&mut self, number: u32, until: Time, rule: RepeatRule) -> Found {
-        let mut found = Found::new();
-        if until.0 > self.deadline.0.saturating_add(HOLD_UP) {
-            found.push((Invariant::ToldTime, Some(number)));
+    /// Checks and records that an attempt was dispatched whose server gets `deadline`.
+    pub(super) fn attempt_dispatched(
+        &mut self,
+        number: u32,
+        deadline: Time,
+        rule: RepeatRule,
+    ) -> Vec<Finding> {
+        let mut findings = Vec::new();
+        if deadline.0 > self.deadline.0.saturating_add(SCHEDULING_SLACK) {
+            findings.push(Finding::of_attempt(Invariant::ServerDeadline, number));
         }
         if !rule.hedging_allowed && self.attempts.iter().any(|attempt| attempt.outcome.is_none()) {
-            found.push((Invariant::OneAttemptInFlight, Some(number)));
+            findings.push(Finding::of_attempt(Invariant::OneAttemptInFlight, number));
         }
-        self.attempts.push(AttemptTrace { number, permitted_at: None, sent: false, outcome: None });
-        found
+        self.attempts.push(AttemptTrace::in_flight(number));
+        findings
     }
 
+    /// Checks and records that an attempt has ended.
     pub(super) fn attempt_ended(
         &mut self,
-        ended: &AttemptTrace,
-        endpoint_left_at: Option<Time>,
+        end: &AttemptEnd,
         drain_grace: Micros,
         rule: RepeatRule,
-    ) -> Found {
-        let mut found = Found::new();
-        if let Some(permitted_at) = ended.permitted_at.filter(|_| ended.sent) {
-            let left_long_ago = |at: Time| permitted_at.0 > at.0.saturating_add(drain_grace);
-            if endpoint_left_at.is_some_and(left_long_ago) {
-                found.push((Invariant::Drain, Some(ended.number)));
-            }
-            if self.ended_at.is_some_and(|at| permitted_at.0 > at.0.saturating_add(START_SLACK)) {
-                found.push((Invariant::StartAfterEnd, Some(ended.number)));
-            }
-            found.extend(self.check_repeat(ended.number, permitted_at, rule));
+    ) -> Vec<Finding> {
+        let sent_at = end.permitted_at.filter(|_| end.sent);
+        let findings = sent_at.map(|permitted_at| self.check_start(end, permitted_at, drain_grace, rule));
+        if let Some(attempt) = self.attempts.iter_mut().find(|attempt| attempt.number == end.attempt) {
+            *attempt = AttemptTrace::ended(end);
         }
-        if let Some(attempt) = self.attempts.iter_mut().find(|attempt| attempt.number == ended.number) {
-            *attempt = *ended;
-        }
-        found
+        findings.unwrap_or_default()
     }
 
-    /// Whether an attempt that was sent may follow the ones before it.
-    fn check_repeat(
+    /// Whether an attempt that was sent was allowed to start when it did.
+    fn check_start(
         &self,
-        number: u32,
+        end: &AttemptEnd,
         permitted_at: Time,
+        drain_grace: Micros,
         rule: RepeatRule,
-    ) -> Option<(Invariant, Option<u32>)> {
+    ) -> Vec<Finding> {
+        let is_later = |at: Time, slack: Micros| permitted_at.0 > at.0.saturating_add(slack);
+        let mut findings = Vec::new();
+        if end.endpoint_left_at.is_some_and(|left_at| is_later(left_at, drain_grace)) {
+            findings.push(Finding::of_attempt(Invariant::Drain, end.attempt));
+        }
+        if self.ended_at.is_some_and(|ended_at| is_later(ended_at, START_SLACK)) {
+            findings.push(Finding::of_attempt(Invariant::StartAfterEnd, end.attempt));
+        }
+        let broken_by_repeat = self.check_repeat(end.attempt, permitted_at, rule);
+        findings.extend(broken_by_repeat.map(|invariant| Finding::of_attempt(invariant, end.attempt)));
+        findings
+    }
+
+    /// Whether an attempt that was sent may follow the ones before it; the invariant that it breaks if not.
+    fn check_repeat(&self, number: u32, permitted_at: Time, rule: RepeatRule) -> Option<Invariant> {
         let earlier = self.attempts.iter().filter(|attempt| attempt.number < number);
-        let since = earlier.filter(|attempt| attempt.may_have_run()).filter_map(|a| a.permitted_at).min()?;
+        let may_have_run = earlier.filter(|attempt| attempt.may_have_run());
+        let since = may_have_run.filter_map(|attempt| attempt.permitted_at).min()?;
         match rule.idempotency {
             Idempotency::Idempotent => None,
-            Idempotency::NotIdempotent => Some((Invariant::UnsafeRepeat, Some(number))),
+            Idempotency::NotIdempotent => Some(Invariant::UnsafeRepeat),
             Idempotency::DeduplicatedInGroup(window)
             | Idempotency::DeduplicatedEverywhere(window)
             | Idempotency::DeduplicatedInZone(window) => {
-                let latest = since.0.saturating_add(window).saturating_add(HOLD_UP);
-                (permitted_at.0 > latest).then_some((Invariant::RepeatWindow, Some(number)))
+                let latest = since.0.saturating_add(window).saturating_add(SCHEDULING_SLACK);
+                (permitted_at.0 > latest).then_some(Invariant::RepeatWindow)
             }
         }
     }
 
-    pub(super) fn ended(&mut self, now: Time, ending: Ending, rule: RepeatRule) -> Found {
+    /// Checks and records that the request has ended.
+    pub(super) fn ended(&mut self, now: Time, ending: Ending, rule: RepeatRule) -> Vec<Finding> {
         if self.ended_at.is_some() {
-            return vec![(Invariant::OneFinalResponse, None)];
+            return vec![Finding::of_request(Invariant::OneFinalResponse)];
         }
         self.ended_at = Some(now);
-        let mut found = Found::new();
-        if ending != Ending::ClientLeft && now.0 > self.deadline.0.saturating_add(RESPONSE_SLACK) {
-            found.push((Invariant::ResponseInTime, None));
+        let mut findings = Vec::new();
+        let is_late = now.0 > self.deadline.0.saturating_add(RESPONSE_SLACK);
+        if is_late && ending != Ending::ClientDisconnected {
+            findings.push(Finding::of_request(Invariant::ResponseInTime));
+        }
+        if ending == Ending::Rejected {
+            findings.extend(self.check_rejection(rule));
         }
+        findings
+    }
+
+    /// Whether a rejected request may be retried by its client without harm.
+    fn check_rejection(&self, rule: RepeatRule) -> Option<Finding> {
         let harmless =
             matches!(rule.idempotency, Idempotency::Idempotent | Idempotency::DeduplicatedEverywhere(_));
-        if ending == Ending::Rejected && !harmless {
-            let ran = self.attempts.iter().find(|attempt| attempt.may_have_run());
-            found.extend(ran.map(|attempt| (Invariant::HarmlessRejection, Some(attempt.number))));
-        }
-        found
+        let ran = self.attempts.iter().find(|attempt| !harmless && attempt.may_have_run())?;
+        Some(Finding::of_attempt(Invariant::HarmlessRejection, ran.number))
     }
 }
--- a/routing/src/permit/attempt.rs
+++ b/routing/src/permit/attempt.rs
@@ -4,9 +4,9 @@
 //! and read right before the first byte: the same through a mailbox could arrive too late, or be lost where that is
 //! full.
 use super::denial::{Denial, Verdict};
+use super::endpoint_state::EndpointState;
 use super::server_socket::ServerSocket;
-use crate::endpoint_state::EndpointState;
-use crate::request::AttemptId;
+use crate::attempt_id::AttemptId;
 use prometheus::IntCounter;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -75,7 +75,9 @@
             counter.inc();
         }
         drop(progress);
-        self.0.log("sent");
+        if let Some(AttemptId { request, number }) = self.0.0.attempt {
+            tracing::debug!(request = request.0, attempt = number, "attempt sent");
+        }
     }
 }
 
@@ -105,12 +107,6 @@
         self
     }
 
-    fn log(&self, transition: &str) {
-        if let Some(AttemptId { request, number }) = self.0.attempt {
-            tracing::debug!(request = request.0, attempt = number, "attempt {transition}");
-        }
-    }
-
     fn progress(&self) -> MutexGuard<'_, Progress> {
         self.0.progress.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -162,7 +158,9 @@
         progress.times.permitted_at = Some(now);
         progress.times.endpoint_left_at = self.0.endpoint.left_at();
         drop(progress);
-        self.log("permitted");
+        if let Some(AttemptId { request, number }) = self.0.attempt {
+            tracing::debug!(request = request.0, attempt = number, "attempt permitted");
+        }
         Ok(WritePermit(self.clone()))
     }
 
--- a/routing/src/permit/denial.rs
+++ b/routing/src/permit/denial.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Denial {
     /// The client has disconnected.
-    ClientLeft,
+    ClientDisconnected,
     /// The client has cancelled the request.
     ClientCancelled,
     /// The request has its final response.
@@ -39,7 +39,7 @@
 impl Denial {
     /// All of them.
     pub const ALL: [Denial; 14] = [
-        Denial::ClientLeft,
+        Denial::ClientDisconnected,
         Denial::ClientCancelled,
         Denial::AlreadyAnswered,
         Denial::AttemptTimedOut,
@@ -58,7 +58,7 @@
     /// The name in log lines and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Denial::ClientLeft => "client_left",
+            Denial::ClientDisconnected => "client_left",
             Denial::ClientCancelled => "client_cancelled",
             Denial::AlreadyAnswered => "already_answered",
             Denial::AttemptTimedOut => "attempt_timed_out",
--- a/routing/src/endpoint_state.rs
+++ b/routing/src/permit/endpoint_state.rs
@@ -1,6 +1,6 @@
 //! Whether an endpoint accepts new exchanges, shared between the router actor, which knows, and whoever is about to
 //! start one.
-use crate::permit::{Denial, Verdict};
+use super::denial::{Denial, Verdict};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
--- a/routing/src/permit/repeat.rs
+++ b/routing/src/permit/repeat.rs
@@ -11,6 +11,12 @@
     pub hedging_allowed: bool,
 }
 
+impl RepeatRule {
+    /// The rule for a request of a class that the settings do not have: it runs once.
+    pub(crate) const STRICTEST: RepeatRule =
+        RepeatRule { idempotency: Idempotency::NotIdempotent, hedging_allowed: false };
+}
+
 /// What the attempts of one request may have done so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RepeatState {
--- a/routing/src/permit/response.rs
+++ b/routing/src/permit/response.rs
@@ -1,6 +1,6 @@
 //! The slot of a request's one final response.
 use super::denial::{Denial, Verdict};
-use crate::request::FinalResponse;
+use crate::final_response::FinalResponse;
 use crossbeam_channel::Sender;
 
 /// Gives one final response to whoever waits for it.
--- a/routing/src/placement_subsets/probes.rs
+++ b/routing/src/placement_subsets/probes.rs
@@ -1,8 +1,8 @@
 //! Probes of endpoints with several member ids: one probe serves all of them, and a primary outside of a subset is found
 //! by probing the whole group.
-use super::PlacementSubsets;
+use super::primary_search::PrimarySearch;
+use super::subsets::PlacementSubsets;
 use decision::{GroupId, MemberId, MemberReport, MemberState, Micros, Outcome, Time};
-use std::sync::Arc;
 
 /// The least time between two probes of one endpoint, whichever of its members wants them: at half of the interval at
 /// which a single group asks for them at most.
@@ -12,18 +12,9 @@
 /// How often the interval between searches doubles while they find nothing.
 const MAX_SEARCH_DOUBLINGS: u32 = 3;
 
-/// The searches for a group's primary since that last changed.
-#[derive(Default)]
-pub(super) struct PrimarySearch {
-    last_at: Option<Time>,
-    count: u32,
-    /// The group's known primary at the time.
-    primary: Option<Arc<str>>,
-}
-
 /// What to do about a probe.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum ProbeStart {
+pub enum ProbeStart {
     /// Probe the endpoint with this own member id.
     Now(MemberId),
     /// Probe it at this time.
@@ -34,7 +25,7 @@
 
 impl PlacementSubsets {
     /// A member wants its endpoint probed.
-    pub(crate) fn request_probe(&mut self, member: MemberId, now: Time) -> ProbeStart {
+    pub fn request_probe(&mut self, member: MemberId, now: Time) -> ProbeStart {
         let own_id = self.own_id(member);
         let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return ProbeStart::Now(own_id) };
         endpoint.probe_waiters.push(member);
@@ -49,7 +40,7 @@
     }
 
     /// The probe of an endpoint has ended. Returns the member ids that have to be notified.
-    pub(crate) fn probe_ended(
+    pub fn probe_ended(
         &mut self,
         own_id: MemberId,
         now: Time,
@@ -74,7 +65,7 @@
     }
 
     /// The group of a subset's member, if no primary of that group is known.
-    pub(crate) fn group_without_primary(&self, alias: MemberId) -> Option<GroupId> {
+    pub fn group_without_primary(&self, alias: MemberId) -> Option<GroupId> {
         let group = self.endpoints.get(self.own_id_of_alias.get(&alias)?)?.entry.group;
         self.places.primary(group).is_none().then_some(group)
     }
@@ -82,7 +73,7 @@
     /// The endpoints of a group to probe in search of its primary, inside and outside of all subsets: a subset's own
     /// search meets only its members, and a request that was rejected because of the primary probes none. Empty while
     /// the last search is too recent.
-    pub(crate) fn primary_search_targets(&mut self, group: GroupId, now: Time) -> Vec<MemberId> {
+    pub fn primary_search_targets(&mut self, group: GroupId, now: Time) -> Vec<MemberId> {
         if !self.primary_search_due(group, now) {
             return Vec::new();
         }
--- /dev/null
+++ b/routing/src/placement_subsets/subsets.rs
@@ -0,0 +1,195 @@
+//! The subsets of one router: routing, changes of the rules and of the endpoint list, and what members have stated.
+use super::change::{StatedRole, SubsetChange};
+use super::member_ids::MemberIds;
+use super::primary_search::PrimarySearch;
+use super::tracked_endpoint::TrackedEndpoint;
+use crate::endpoint::EndpointUpdate;
+use decision::{Freshness, GroupId, MemberEntry, MemberId, Outcome, Time};
+use placement::{Action, Event, Places, Refusal};
+use std::collections::{BTreeSet, HashMap};
+use std::sync::Arc;
+
+/// The subsets of one router.
+pub struct PlacementSubsets {
+    pub(super) places: Places,
+    /// By class.
+    pub(super) needs_primary: Vec<bool>,
+    /// By the endpoint's own member id.
+    pub(super) endpoints: HashMap<MemberId, TrackedEndpoint>,
+    pub(super) own_ids: HashMap<Arc<str>, MemberId>,
+    /// The endpoint's own member id, by alias.
+    pub(super) own_id_of_alias: HashMap<MemberId, MemberId>,
+    /// The members of each subset, by the endpoints' own ids.
+    pub(super) subsets: HashMap<GroupId, BTreeSet<MemberId>>,
+    pub(super) primary_searches: HashMap<GroupId, PrimarySearch>,
+}
+
+impl PlacementSubsets {
+    /// No subsets yet, for requests of these classes.
+    pub fn new(settings: placement::Settings, classes: &[decision::Class]) -> Self {
+        let needs_primary =
+            |class: &decision::Class| matches!(class.freshness, Freshness::Write | Freshness::Latest);
+        PlacementSubsets {
+            places: Places::new(settings),
+            needs_primary: classes.iter().map(needs_primary).collect(),
+            endpoints: HashMap::new(),
+            own_ids: HashMap::new(),
+            own_id_of_alias: HashMap::new(),
+            subsets: HashMap::new(),
+            primary_searches: HashMap::new(),
+        }
+    }
+
+    /// The own member id of the endpoint that a member id stands for.
+    pub fn own_id(&self, member: MemberId) -> MemberId {
+        self.own_id_of_alias.get(&member).copied().unwrap_or(member)
+    }
+
+    /// Whether [`Event::Timer`] is due.
+    pub fn is_due(&self, now: Time) -> bool {
+        self.places.is_due(now)
+    }
+
+    /// The group, perhaps a subset's, whose members may serve a request.
+    pub fn route(
+        &mut self,
+        now: Time,
+        tenant: Option<&str>,
+        class: usize,
+        group: GroupId,
+        ids: &mut MemberIds,
+    ) -> (Result<GroupId, Refusal>, SubsetChange) {
+        let needs_primary = self.needs_primary.get(class).copied().unwrap_or(true);
+        let mut actions = Vec::new();
+        let routed = self.places.route(now, tenant, class, group, needs_primary, &mut actions);
+        let mut change = SubsetChange::default();
+        self.apply(actions, &mut change, ids);
+        (routed, change)
+    }
+
+    /// Handles an update of the rules, or a timer.
+    pub fn handle(&mut self, now: Time, event: Event, ids: &mut MemberIds) -> SubsetChange {
+        let mut change = SubsetChange::default();
+        self.handle_into(now, event, &mut change, ids);
+        change
+    }
+
+    fn handle_into(&mut self, now: Time, event: Event, change: &mut SubsetChange, ids: &mut MemberIds) {
+        let mut actions = Vec::new();
+        self.places.handle(now, event, &mut actions);
+        self.apply(actions, change, ids);
+    }
+
+    /// Handles an update of the endpoint list; `entries` has the member entry of each of its endpoints.
+    pub fn update_endpoints(
+        &mut self,
+        now: Time,
+        update: &EndpointUpdate,
+        entries: &[MemberEntry],
+        ids: &mut MemberIds,
+    ) -> SubsetChange {
+        let members = self.track(update, entries);
+        let named: BTreeSet<MemberId> = entries.iter().map(|entry| entry.id).collect();
+        if update.complete {
+            self.mark_missing_gone(&named);
+        }
+        let mut change = SubsetChange::default();
+        let event = Event::Members { complete: update.complete, entries: members };
+        self.handle_into(now, event, &mut change, ids);
+        for endpoint in named.iter().filter_map(|id| self.endpoints.get(id)) {
+            let shown = endpoint.shown_aliases();
+            change.entries.extend(shown.map(|alias| (alias.id, endpoint.alias_entry(alias))));
+        }
+        change
+    }
+
+    /// Records what a member has stated about its role and whether it was reachable. Returns also the other member ids
+    /// of its endpoint that have to be notified.
+    pub fn record_outcome(
+        &mut self,
+        now: Time,
+        member: MemberId,
+        outcome: Outcome,
+        stated: Option<StatedRole>,
+        ids: &mut MemberIds,
+    ) -> (SubsetChange, Vec<MemberId>) {
+        let (own_id, mut change) = (self.own_id(member), SubsetChange::default());
+        let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return (change, Vec::new()) };
+        let (name, group) = (endpoint.name.clone(), endpoint.entry.group);
+        let mut changed = endpoint.record_reachability(outcome);
+        if let Some(role) = stated {
+            changed |= endpoint.stated_primary.replace(role.primary) != Some(role.primary);
+        }
+        let reached = endpoint.reachable;
+        let primary_before = self.places.primary(group).cloned();
+        if changed {
+            self.handle_into(now, Event::Reach { member: name.clone(), reached }, &mut change, ids);
+        }
+        if let Some(StatedRole { primary, with_response }) = stated {
+            let event = Event::Said { member: name, primary, note: with_response };
+            self.handle_into(now, event, &mut change, ids);
+        }
+        changed |= self.places.primary(group) != primary_before.as_ref();
+        let to_notify = if changed { self.ids_in_use(own_id, &[member]) } else { Vec::new() };
+        (change, to_notify)
+    }
+
+    /// Of this many unavailable members, how many endpoints that may be: a draining endpoint is counted once. Ejections
+    /// are made for each member id apart and can't be told apart here.
+    pub fn unhealthy_endpoints(&self, unavailable_members: usize) -> usize {
+        let draining = self.endpoints.values().filter(|e| e.is_draining());
+        let counted_again: usize = draining.map(|e| e.shown_aliases().count()).sum();
+        unavailable_members.saturating_sub(counted_again).min(self.endpoints.len())
+    }
+
+    fn apply(&mut self, actions: Vec<Action>, change: &mut SubsetChange, ids: &mut MemberIds) {
+        for action in actions {
+            match action {
+                Action::Show { view, members, .. } => self.show(view, &members, change, ids),
+                Action::Recheck => change.reroute = true,
+                Action::Timer { at } => change.timer = Some(change.timer.map_or(at, |t| t.min(at))),
+            }
+        }
+    }
+
+    /// Gives a subset exactly these members.
+    fn show(&mut self, subset: GroupId, names: &[Arc<str>], change: &mut SubsetChange, ids: &mut MemberIds) {
+        let members: BTreeSet<MemberId> =
+            names.iter().filter_map(|name| self.own_ids.get(name)).copied().collect();
+        let before = self.subsets.remove(&subset).unwrap_or_default();
+        for own_id in before.difference(&members) {
+            self.hide_member(subset, *own_id, change);
+        }
+        for own_id in &members {
+            self.show_member(subset, *own_id, change, ids);
+        }
+        if !members.is_empty() {
+            self.subsets.insert(subset, members);
+        }
+    }
+
+    fn hide_member(&mut self, subset: GroupId, own_id: MemberId, change: &mut SubsetChange) {
+        let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return };
+        let Some(alias) = endpoint.hide_alias(subset) else { return };
+        change.entries.insert(alias, endpoint.gone_entry(alias, subset));
+        change.departed.push(alias);
+    }
+
+    fn show_member(
+        &mut self,
+        subset: GroupId,
+        own_id: MemberId,
+        change: &mut SubsetChange,
+        ids: &mut MemberIds,
+    ) {
+        let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return };
+        let alias = endpoint.show_alias(subset, || {
+            let id = ids.allocate();
+            self.own_id_of_alias.insert(id, own_id);
+            id
+        });
+        change.departed.retain(|departed| *departed != alias.id);
+        let entry = endpoint.alias_entry(&alias);
+        change.entries.insert(alias.id, entry);
+    }
+}
--- a/routing/src/probe_spacing.rs
+++ b/routing/src/probe_spacing.rs
@@ -7,9 +7,6 @@
 use decision::{MemberId, MemberReport, Micros, Settings, Time};
 use std::collections::HashMap;
 
-#[cfg(test)]
-mod tests;
-
 /// The least time between two probes of one member, as the decisions have it, in rounds of events.
 const MIN_INTERVAL_ROUNDS: i64 = 20;
 /// The least time between two probes of one member, as the decisions have it.
@@ -19,7 +16,7 @@
 
 /// What becomes of a probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum ProbeTiming {
+pub enum ProbeTiming {
     /// It is sent now.
     Now,
     /// It is sent at this time.
@@ -40,7 +37,7 @@
 }
 
 /// When each endpoint was last probed, and what it reported.
-pub(crate) struct ProbeSpacing {
+pub struct ProbeSpacing {
     interval: Micros,
     process_count: u32,
     histories: HashMap<MemberId, ProbeHistory>,
@@ -48,18 +45,18 @@
 
 impl ProbeSpacing {
     /// No endpoint has been probed, and this process is the only one.
-    pub(crate) fn new(settings: &Settings) -> ProbeSpacing {
+    pub fn new(settings: &Settings) -> ProbeSpacing {
         let interval = (MIN_INTERVAL_ROUNDS * settings.min_event_interval).max(MIN_INTERVAL);
         ProbeSpacing { interval, process_count: 1, histories: HashMap::new() }
     }
 
     /// This many processes serve as one router from now on.
-    pub(crate) fn set_process_count(&mut self, process_count: u32) {
+    pub fn set_process_count(&mut self, process_count: u32) {
         self.process_count = process_count.max(1);
     }
 
     /// Decides on a probe that is wanted now.
-    pub(crate) fn schedule(&mut self, endpoint: MemberId, now: Time) -> ProbeTiming {
+    pub fn schedule(&mut self, endpoint: MemberId, now: Time) -> ProbeTiming {
         let history = self.histories.entry(endpoint).or_default();
         let doublings = history.consecutive_failures.min(MAX_DOUBLINGS);
         let interval = (self.interval << doublings) * i64::from(self.process_count);
@@ -76,7 +73,7 @@
     }
 
     /// A probe has ended with this report.
-    pub(crate) fn probe_ended(&mut self, endpoint: MemberId, report: MemberReport) {
+    pub fn probe_ended(&mut self, endpoint: MemberId, report: MemberReport) {
         if let Some(history) = self.histories.get_mut(&endpoint) {
             let reported = report.primary.is_some();
             history.consecutive_failures =
@@ -86,7 +83,7 @@
     }
 
     /// An attempt has failed at the endpoint: its last report is out of date.
-    pub(crate) fn attempt_failed(&mut self, endpoint: MemberId) {
+    pub fn attempt_failed(&mut self, endpoint: MemberId) {
         if let Some(history) = self.histories.get_mut(&endpoint) {
             history.report = None;
             history.attempt_failed = true;
@@ -94,7 +91,7 @@
     }
 
     /// The endpoint is gone.
-    pub(crate) fn remove(&mut self, endpoint: MemberId) {
+    pub fn remove(&mut self, endpoint: MemberId) {
         self.histories.remove(&endpoint);
     }
 }
--- a/routing/src/reasons.rs
+++ b/routing/src/reasons.rs
@@ -44,7 +44,7 @@
     /// Its client cancelled it.
     ClientCancelled,
     /// Its client disconnected.
-    ClientLeft,
+    ClientDisconnected,
 }
 
 impl EndReason {
@@ -56,7 +56,7 @@
             EndReason::NotForwarded => "not_forwarded",
             EndReason::After(outcome) => outcome_name(outcome),
             EndReason::ClientCancelled => "client_cancelled",
-            EndReason::ClientLeft => "client_left",
+            EndReason::ClientDisconnected => "client_left",
         }
     }
 }
@@ -66,7 +66,7 @@
 #[repr(u8)]
 pub enum CloseReason {
     /// The client has disconnected.
-    ClientLeft = 1,
+    ClientDisconnected = 1,
     /// The client took no response for too long.
     ClientStalled = 2,
     /// The client sent what can't be read, or only a part of a command.
@@ -86,7 +86,7 @@
 impl CloseReason {
     /// All of them.
     pub const ALL: [CloseReason; 8] = [
-        CloseReason::ClientLeft,
+        CloseReason::ClientDisconnected,
         CloseReason::ClientStalled,
         CloseReason::Malformed,
         CloseReason::IdleTimeout,
@@ -99,7 +99,7 @@
     /// The name in log lines and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            CloseReason::ClientLeft => "client_left",
+            CloseReason::ClientDisconnected => "client_left",
             CloseReason::ClientStalled => "client_stalled",
             CloseReason::Malformed => "malformed",
             CloseReason::IdleTimeout => "idle_timeout",
--- a/routing/src/router/actor.rs
+++ b/routing/src/router/actor.rs
@@ -1,6 +1,7 @@
 //! The state of the router actor, its loop, and the exchange of events and actions with the decisions.
 use super::endpoint_record::EndpointRecord;
 use super::request_record::RequestRecord;
+use crate::attempt_id::AttemptId;
 use crate::backends::BackendResources;
 use crate::clock::Clock;
 use crate::messages::{BackendSender, RouterMessage};
@@ -10,7 +11,6 @@
 use crate::placement_subsets::{MemberIds, PlacementSubsets};
 use crate::probe_spacing::ProbeSpacing;
 use crate::protocol::{BackendProtocol, ExchangeResult};
-use crate::request::AttemptId;
 use crate::responded_endpoints::RespondedEndpoints;
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use decision::{
@@ -166,7 +166,7 @@
         match timer {
             Timer::Decisions => {
                 self.decide(Event::TimerExpired);
-                self.look_for_forgotten();
+                self.find_forgotten_requests();
             }
             Timer::MemberMetrics => self.update_member_metrics(),
             Timer::Placement => self.handle_placement(placement::Event::Timer),
@@ -177,7 +177,7 @@
                 if let Some((member, outcome)) = cancelled {
                     self.attempt_ended(attempt, member, ExchangeResult::from_outcome(outcome));
                 }
-                self.look_for_forgotten();
+                self.find_forgotten_requests();
             }
         }
     }
--- a/routing/src/router/attempts.rs
+++ b/routing/src/router/attempts.rs
@@ -2,19 +2,16 @@
 use super::actor::{RouterActor, Timer};
 use super::endpoint_record::BackendRef;
 use super::request_record::InFlightAttempt;
+use crate::attempt_id::AttemptId;
 use crate::backends;
+use crate::final_response::FinalResponse;
 use crate::messages::{BackendCommand, BackendId, RouterMessage};
 use crate::permit::{AttemptGuard, AttemptTimes, Denial, RepeatRule};
 use crate::protocol::{BackendProtocol, ExchangeResult};
 use crate::reasons::EndReason;
-use crate::request::{AttemptId, FinalResponse};
-use decision::{Event, Idempotency, MemberId, Outcome, RequestId, Time};
+use decision::{Event, MemberId, Outcome, RequestId, Time};
 use std::cmp::Reverse;
 
-/// What holds for a request of a class that the settings do not have.
-const UNKNOWN_CLASS: RepeatRule =
-    RepeatRule { idempotency: Idempotency::NotIdempotent, hedging_allowed: false };
-
 impl<P: BackendProtocol> RouterActor<P> {
     /// Sends an attempt, which starts by `latest_start` or not at all and times out at `deadline`.
     pub(super) fn send_attempt(
@@ -30,7 +27,7 @@
         let Some(record) = self.requests.get_mut(&request) else { return };
         let attempt = AttemptId { request, number: record.attempt_count };
         record.attempt_count += 1;
-        let rule = self.classes.get(record.class).map_or(UNKNOWN_CLASS, |class| class.repeat);
+        let rule = self.classes.get(record.class).map_or(RepeatRule::STRICTEST, |class| class.repeat);
         let verdict = match record.response.is_open() {
             true => record.repeats.permit_attempt(now, rule),
             false => Err(Denial::AlreadyAnswered),
@@ -41,20 +38,20 @@
         let latest_start = repeat_until.map_or(latest_start, |until| until.min(latest_start));
         let latest_start = self.clock.instant_at(latest_start);
         let guard = AttemptGuard::for_attempt(state, latest_start, sent_counter).identified(attempt);
-        let handed_over = verdict.is_ok();
+        let dispatched = verdict.is_ok();
         record.in_flight.push(InFlightAttempt {
             number: attempt.number,
             member,
             guard: guard.clone(),
-            handed_over,
+            dispatched,
         });
         let payload = record.payload.clone();
         if let Err(denial) = verdict {
             guard.cancel_if_unstarted(denial);
-            self.note_denied(attempt, denial);
+            self.record_denied(attempt, denial);
             return self.end_attempt_later(attempt, member, Outcome::NeverSent);
         }
-        self.note_handed(attempt, member, deadline);
+        self.record_dispatched(attempt, member, deadline);
         let deadline_instant = self.clock.instant_at(deadline);
         let command = BackendCommand::Attempt { attempt, payload, deadline: deadline_instant, guard };
         if self.send_to_backend(endpoint, command) {
@@ -153,12 +150,12 @@
         }
         let Some(record) = self.requests.get_mut(&request) else { return };
         record.attempt_ended(outcome);
-        if in_flight.handed_over {
+        if in_flight.dispatched {
             let permitted_at = times.permitted_at.map(|at| self.clock.time_at(at));
             record.repeats.attempt_ended(permitted_at, outcome);
         }
         let commit = record.commit(outcome, commit, &mut response_report);
-        self.note_attempt_ended(attempt, member, &times, outcome);
+        self.record_attempt_ended(attempt, member, &times, outcome);
         if let Some(response) = response {
             self.give_response(request, FinalResponse::Served(response, commit), EndReason::After(outcome));
         }
--- a/routing/src/router/endpoint_record.rs
+++ b/routing/src/router/endpoint_record.rs
@@ -1,6 +1,6 @@
 //! What the router actor keeps of each endpoint.
-use crate::endpoint_state::EndpointState;
 use crate::messages::{AddressedCommand, BackendCommand, BackendId, BackendSender};
+use crate::permit::EndpointState;
 use crate::protocol::BackendProtocol;
 use std::net::SocketAddr;
 
--- a/routing/src/router/endpoint_updates.rs
+++ b/routing/src/router/endpoint_updates.rs
@@ -62,7 +62,7 @@
     /// and gets a new record and backend; the old backend ends its exchanges.
     fn own_member_id(&mut self, endpoint: &EndpointEntry) -> MemberId {
         let Some(known) = self.members_by_id.get(&endpoint.id).copied() else {
-            let id = self.member_ids.next();
+            let id = self.member_ids.allocate();
             tracing::debug!("member {} is {}", id.0, endpoint.id);
             self.members_by_id.insert(endpoint.id.clone(), id);
             return id;
--- a/routing/src/router/placement_routing.rs
+++ b/routing/src/router/placement_routing.rs
@@ -1,51 +1,18 @@
 //! Routing of requests by their tenants' placement rules: a request goes to the subset of its tenant, and waiting requests
 //! are routed again when subsets change. Without placement settings nothing here has any effect.
 use super::actor::{RouterActor, Timer};
+use super::placed_request::{PlacedRequest, Stopped};
 use super::request_record::RequestRecord;
+use crate::final_response::FinalResponse;
 use crate::permit::Denial;
 use crate::placement_subsets::{StatedRole, SubsetChange};
 use crate::protocol::BackendProtocol;
 use crate::reasons::EndReason;
-use crate::request::FinalResponse;
 use decision::{Event, GroupId, MemberId, MemberReport, Outcome, Request, RequestId};
 use placement::Refusal;
 use std::cmp::Reverse;
 use std::sync::Arc;
 
-/// Why no further attempt of a request is sent.
-#[derive(Clone)]
-enum Stopped {
-    /// Its tenant's subset is another by now.
-    Rerouted,
-    /// Its tenant's data may not be anywhere that it could go to.
-    Denied(Refusal),
-}
-
-/// What is kept of a request that is routed by placement rules.
-pub(super) struct PlacedRequest {
-    tenant: Option<Arc<str>>,
-    /// As it arrived, in its own group.
-    request: Request,
-    /// The group, perhaps a subset's, that it was routed to.
-    routed_to: GroupId,
-    /// One of its attempts may have run.
-    may_have_run: bool,
-    /// Set when its route has changed after its first attempt.
-    stopped: Option<Stopped>,
-}
-
-impl PlacedRequest {
-    /// The group, perhaps a subset's, that it was routed to.
-    pub(super) fn routed_to(&self) -> GroupId {
-        self.routed_to
-    }
-
-    /// One of its attempts has ended like this.
-    pub(super) fn attempt_ended(&mut self, outcome: Outcome) {
-        self.may_have_run |= !outcome.never_ran();
-    }
-}
-
 impl<P: BackendProtocol> RouterActor<P> {
     /// Routes a request that has arrived; `None` without placement rules.
     ///
--- a/routing/src/router/request_record.rs
+++ b/routing/src/router/request_record.rs
@@ -1,9 +1,9 @@
 //! What the router actor keeps of each request.
-use super::placement_routing::PlacedRequest;
+use super::placed_request::PlacedRequest;
+use crate::final_response::FinalResponse;
 use crate::metrics::Metrics;
 use crate::permit::{AttemptGuard, Denial, RepeatState, ResponseSlot, Verdict};
 use crate::protocol::BackendProtocol;
-use crate::request::FinalResponse;
 use decision::{MemberId, MemberReport, Outcome, Time};
 use std::sync::Arc;
 
@@ -13,8 +13,8 @@
     /// Where the decisions sent it; perhaps an alias of an endpoint.
     pub(super) member: MemberId,
     pub(super) guard: AttemptGuard,
-    /// Whether it was handed over; one that was not permitted ends by itself.
-    pub(super) handed_over: bool,
+    /// It was dispatched to its endpoint's connections; one that was not permitted ends by itself.
+    pub(super) dispatched: bool,
 }
 
 pub(super) struct RequestRecord<P: BackendProtocol> {
--- a/routing/src/router/requests.rs
+++ b/routing/src/router/requests.rs
@@ -1,12 +1,12 @@
 //! Requests from their arrival to their final response.
 use super::actor::RouterActor;
 use super::request_record::RequestRecord;
-use super::transitions::ending;
+use crate::final_response::FinalResponse;
 use crate::observer::Ending;
 use crate::permit::{Denial, RepeatState, ResponseSlot};
 use crate::protocol::BackendProtocol;
 use crate::reasons::EndReason;
-use crate::request::{ClientRequest, FinalResponse};
+use crate::request::ClientRequest;
 use crossbeam_channel::Sender;
 use decision::{Event, Request, RequestId};
 use std::sync::Arc;
@@ -43,7 +43,7 @@
             request.group = placed.routed_to();
         }
         self.requests.insert(id, record);
-        self.note_taken(id, connection, class, deadline);
+        self.record_accepted(id, connection, class, deadline);
         if let Some(refusal) = refused {
             return self.respond(id, FinalResponse::PlacementDenied(refusal), EndReason::PlacementDenied);
         }
@@ -80,14 +80,14 @@
     /// The client has gone: the request is owed no response, and counts as neither served nor failed.
     pub(super) fn client_disconnected(&mut self, id: RequestId) {
         let Some(record) = self.requests.get_mut(&id) else { return };
-        if record.response.close(Denial::ClientLeft).is_err() {
+        if record.response.close(Denial::ClientDisconnected).is_err() {
             return;
         }
         if let Some(metrics) = &self.metrics {
             metrics.requests_in_progress.dec();
         }
-        self.note_ended(id, Ending::ClientLeft, "dropped", Some(EndReason::ClientLeft));
-        self.close(id, Denial::ClientLeft);
+        self.record_request_ended(id, Ending::ClientDisconnected, Some(EndReason::ClientDisconnected));
+        self.close(id, Denial::ClientDisconnected);
     }
 
     /// The client asked to cancel the request: it gets that as its final response, unless it has one.
@@ -139,11 +139,11 @@
         reason: EndReason,
     ) {
         let now = self.clock.now();
-        let (ending, name) = ending(&response);
+        let ending = Ending::from(&response);
         let Some(record) = self.requests.get_mut(&id) else { return };
         if record.respond(response, now, self.metrics.as_deref()).is_ok() {
             let reason = (ending != Ending::Served).then_some(reason);
-            self.note_ended(id, ending, name, reason);
+            self.record_request_ended(id, ending, reason);
         }
     }
 
--- a/routing/src/router/transitions.rs
+++ b/routing/src/router/transitions.rs
@@ -1,62 +1,73 @@
-//! Each transition of a request: one line of the log, the counters by reason, and the observer's check.
+//! The record of each transition of a request: a log line, the counters by reason, and the observer's check.
 use super::actor::RouterActor;
+use crate::attempt_id::AttemptId;
+use crate::final_response::FinalResponse;
 use crate::metrics::ReasonCounters;
-use crate::observer::{Ending, Transition, Violation};
+use crate::observer::{AttemptEnd, Ending, Transition, Violation};
 use crate::permit::{AttemptTimes, Denial};
 use crate::protocol::BackendProtocol;
 use crate::reasons::{EndReason, outcome_name};
-use crate::request::{AttemptId, FinalResponse};
 use decision::{MemberId, Outcome, RequestId, Time};
 
-/// How a final response is told to the observer, and its name in the log.
-pub(super) fn ending<R>(response: &FinalResponse<R>) -> (Ending, &'static str) {
-    match response {
-        FinalResponse::Served(..) => (Ending::Served, "served"),
-        FinalResponse::Rejected(_) => (Ending::Rejected, "rejected"),
-        FinalResponse::PlacementDenied(_) => (Ending::Rejected, "rejected"),
-        FinalResponse::Failed(_) => (Ending::Failed, "failed"),
-        FinalResponse::Cancelled => (Ending::Cancelled, "cancelled"),
+/// The value of the field `reason` where a request was served.
+const NO_REASON: &str = "none";
+
+impl<R> From<&FinalResponse<R>> for Ending {
+    fn from(response: &FinalResponse<R>) -> Ending {
+        match response {
+            FinalResponse::Served(..) => Ending::Served,
+            FinalResponse::Rejected(_) | FinalResponse::PlacementDenied(_) => Ending::Rejected,
+            FinalResponse::Failed(_) => Ending::Failed,
+            FinalResponse::Cancelled => Ending::Cancelled,
+        }
     }
 }
 
 impl<P: BackendProtocol> RouterActor<P> {
-    fn reasons(&self) -> Option<&ReasonCounters> {
-        self.metrics.as_ref().map(|metrics| &metrics.reasons)
-    }
-
-    /// A request was taken from a connection.
-    pub(super) fn note_taken(&mut self, request: RequestId, connection: u64, class: usize, deadline: Time) {
-        tracing::debug!(request = request.0, connection, class, deadline = deadline.0, "request taken");
-        self.observe(request, Transition::Taken { class, deadline });
+    /// Records that a request was accepted from a connection.
+    pub(super) fn record_accepted(
+        &mut self,
+        request: RequestId,
+        connection: u64,
+        class: usize,
+        deadline: Time,
+    ) {
+        tracing::debug!(request = request.0, connection, class, deadline = deadline.0, "request accepted");
+        self.observe(request, Transition::Accepted { class, deadline });
     }
 
-    /// An attempt was handed to its endpoint's connections.
-    pub(super) fn note_handed(&mut self, attempt: AttemptId, endpoint: MemberId, until: Time) {
+    /// Records that an attempt was dispatched to its endpoint's connections.
+    pub(super) fn record_dispatched(&mut self, attempt: AttemptId, endpoint: MemberId, deadline: Time) {
         let AttemptId { request, number } = attempt;
-        let (connection, name) = (self.connection_of(request), self.endpoint_name(endpoint));
         tracing::debug!(
             request = request.0,
             attempt = number,
-            connection,
-            endpoint = name,
-            until = until.0,
-            "attempt handed over"
+            connection = self.connection_of(request),
+            endpoint = self.endpoint_name(endpoint),
+            deadline = deadline.0,
+            "attempt dispatched"
         );
-        let before = self.requests.get(&request).and_then(|record| record.last_outcome);
-        if let (Some(reasons), Some(outcome)) = (self.reasons(), before.filter(|_| number > 0)) {
+        if number > 0 {
+            self.count_retry(request);
+        }
+        self.observe(request, Transition::AttemptDispatched { attempt: number, deadline });
+    }
+
+    /// Counts a retry by the outcome of the request's last attempt that has ended, if one has.
+    fn count_retry(&self, request: RequestId) {
+        let last_outcome = self.requests.get(&request).and_then(|record| record.last_outcome);
+        if let (Some(reasons), Some(outcome)) = (self.reasons(), last_outcome) {
             reasons.retried.with_label_values(&[outcome_name(outcome)]).inc();
         }
-        self.observe(request, Transition::Handed { attempt: number, until });
     }
 
-    /// An attempt was not permitted.
-    pub(super) fn note_denied(&self, attempt: AttemptId, denial: Denial) {
+    /// Records that an attempt was not permitted.
+    pub(super) fn record_denied(&self, attempt: AttemptId, denial: Denial) {
         let AttemptId { request, number } = attempt;
-        let connection = self.connection_of(request);
         tracing::debug!(
             request = request.0,
             attempt = number,
-            connection,
+            connection = self.connection_of(request),
             reason = denial.name(),
             "attempt denied"
         );
@@ -65,8 +76,8 @@
         }
     }
 
-    /// An attempt has ended.
-    pub(super) fn note_attempt_ended(
+    /// Records that an attempt has ended.
+    pub(super) fn record_attempt_ended(
         &mut self,
         attempt: AttemptId,
         endpoint: MemberId,
@@ -74,95 +85,96 @@
         outcome: Outcome,
     ) {
         let AttemptId { request, number } = attempt;
-        let (connection, name) = (self.connection_of(request), self.endpoint_name(endpoint));
         tracing::debug!(
             request = request.0,
             attempt = number,
-            connection,
-            endpoint = name,
+            connection = self.connection_of(request),
+            endpoint = self.endpoint_name(endpoint),
             outcome = outcome_name(outcome),
             "attempt ended"
         );
         if let Some(denial) = times.denied.filter(|_| outcome == Outcome::NeverSent) {
-            self.note_denied(attempt, denial);
+            self.record_denied(attempt, denial);
         }
-        let ended = Transition::AttemptEnded {
+        let end = AttemptEnd {
             attempt: number,
             permitted_at: times.permitted_at.map(|at| self.clock.time_at(at)),
             sent: times.sent_at.is_some(),
             endpoint_left_at: times.endpoint_left_at.map(|at| self.clock.time_at(at)),
             outcome,
         };
-        self.observe(request, ended);
+        self.observe(request, Transition::AttemptEnded(end));
     }
 
-    /// A request has its final response, or is owed none any more.
-    pub(super) fn note_ended(
+    /// Records that a request has its final response, or is owed none any more.
+    pub(super) fn record_request_ended(
         &mut self,
         request: RequestId,
         ending: Ending,
-        name: &'static str,
         reason: Option<EndReason>,
     ) {
-        let connection = self.connection_of(request);
-        let reason_name = reason.map_or("none", EndReason::name);
+        let reason = reason.map_or(NO_REASON, EndReason::name);
         tracing::debug!(
             request = request.0,
-            connection,
-            ending = name,
-            reason = reason_name,
+            connection = self.connection_of(request),
+            ending = ending.name(),
+            reason,
             "request ended"
         );
-        if let Some(reasons) = self.reasons() {
-            let family = match ending {
-                Ending::Served => None,
-                Ending::Rejected => Some(&reasons.rejected),
-                Ending::Failed => Some(&reasons.failed),
-                Ending::Cancelled | Ending::ClientLeft => Some(&reasons.dropped),
-            };
-            family.into_iter().for_each(|family| family.with_label_values(&[reason_name]).inc());
-        }
+        self.count_end(ending, reason);
         self.observe(request, Transition::Ended(ending));
     }
 
-    /// Looks for requests that nobody has ended.
-    pub(super) fn look_for_forgotten(&mut self) {
+    /// Counts a request that was not served, by its reason.
+    fn count_end(&self, ending: Ending, reason: &'static str) {
+        let Some(reasons) = self.reasons() else { return };
+        let family = match ending {
+            Ending::Served => return,
+            Ending::Rejected => &reasons.rejected,
+            Ending::Failed => &reasons.failed,
+            Ending::Cancelled | Ending::ClientDisconnected => &reasons.dropped,
+        };
+        family.with_label_values(&[reason]).inc();
+    }
+
+    /// Looks for requests that were never ended.
+    pub(super) fn find_forgotten_requests(&mut self) {
         let mut violations = Vec::new();
-        self.observer.look_for_forgotten(self.clock.now(), &mut violations);
-        self.report(&violations);
+        self.observer.find_forgotten(self.clock.now(), &mut violations);
+        self.report_all(&violations);
     }
 
     fn observe(&mut self, request: RequestId, transition: Transition) {
         let mut violations = Vec::new();
         self.observer.observe(self.clock.now(), request, transition, &mut violations);
-        if !violations.is_empty() {
-            self.report(&violations);
-        }
+        self.report_all(&violations);
     }
 
-    /// A violation is a fault of this program: an error line and a counter; in debug builds, which tests are, a panic,
-    /// unless a process that merely got no processor time violates it too.
-    fn report(&self, violations: &[Violation]) {
-        for Violation { invariant, request, attempt } in violations {
-            let connection = self.connection_of(*request);
-            let name = invariant.name();
-            tracing::error!(
-                invariant = name,
-                request = request.0,
-                attempt = attempt.map(tracing::field::display),
-                connection,
-                "invariant violated"
-            );
-            if let Some(reasons) = self.reasons() {
-                reasons.invariant_violations.with_label_values(&[name]).inc();
-            }
-            let is_fault = !invariant.depends_on_scheduling();
-            assert!(
-                !(cfg!(debug_assertions) && is_fault),
-                "invariant {name} violated by request {}",
-                request.0
-            );
+    fn report_all(&self, violations: &[Violation]) {
+        violations.iter().for_each(|violation| self.report(violation));
+    }
+
+    /// Reports a violation, which is a fault of this program: an error line and a counter. In debug builds, which tests
+    /// are, it is also a panic, unless the process may have violated it merely for want of processor time.
+    fn report(&self, violation: &Violation) {
+        let Violation { invariant, request, attempt } = violation;
+        let name = invariant.name();
+        tracing::error!(
+            invariant = name,
+            request = request.0,
+            attempt = attempt.map(tracing::field::display),
+            connection = self.connection_of(*request),
+            "invariant violated"
+        );
+        if let Some(reasons) = self.reasons() {
+            reasons.invariant_violations.with_label_values(&[name]).inc();
         }
+        let is_fault = !invariant.depends_on_scheduling();
+        assert!(!(cfg!(debug_assertions) && is_fault), "invariant {name} violated by request {}", request.0);
+    }
+
+    fn reasons(&self) -> Option<&ReasonCounters> {
+        self.metrics.as_ref().map(|metrics| &metrics.reasons)
     }
 
     fn connection_of(&self, request: RequestId) -> u64 {
--- a/routing/tests/attempt_guard.rs
+++ b/routing/tests/attempt_guard.rs
@@ -67,7 +67,7 @@
     let guard = AttemptGuard::default();
     guard.attach_socket(near.clone());
     assert!(starts(&guard));
-    guard.cancel_if_unstarted(Denial::ClientLeft);
+    guard.cancel_if_unstarted(Denial::ClientDisconnected);
     assert!(near.is_idle_and_open() && is_open_and_silent(&far), "a started exchange goes on");
     guard.detach_socket();
     assert!(guard.check_start().is_err() && !starts(&guard));
--- a/routing/tests/observer.rs
+++ b/routing/tests/observer.rs
@@ -1,6 +1,6 @@
 //! The observer on histories that break each promise once, and on random ones that break none.
 use decision::{Idempotency, Outcome, RequestId, Time};
-use routing::observer::{Ending, Invariant, MAX_TRACKED, Observer, Transition, Violation};
+use routing::observer::{AttemptEnd, Ending, Invariant, MAX_TRACKED, Observer, Transition, Violation};
 use routing::permit::{RepeatRule, RepeatState};
 
 const S: i64 = 1_000_000;
@@ -22,37 +22,43 @@
 fn violations(class: usize, history: &[(i64, Transition)]) -> Vec<Invariant> {
     let mut observer = Observer::new(rules(), S / 4);
     let mut found: Vec<Violation> = Vec::new();
-    let taken = Transition::Taken { class, deadline: Time(2 * S) };
-    observer.observe(Time(0), REQUEST, taken, &mut found);
+    let accepted = Transition::Accepted { class, deadline: Time(2 * S) };
+    observer.observe(Time(0), REQUEST, accepted, &mut found);
     for (at, transition) in history {
-        observer.look_for_forgotten(Time(*at), &mut found);
+        observer.find_forgotten(Time(*at), &mut found);
         observer.observe(Time(*at), REQUEST, *transition, &mut found);
     }
     found.into_iter().map(|violation| violation.invariant).collect()
 }
 
-fn handed(attempt: u32) -> Transition {
-    Transition::Handed { attempt, until: Time(2 * S) }
+fn dispatched(attempt: u32) -> Transition {
+    Transition::AttemptDispatched { attempt, deadline: Time(2 * S) }
 }
 
 fn ended(attempt: u32, permitted_at: i64, outcome: Outcome) -> Transition {
     let permitted_at = Some(Time(permitted_at));
-    Transition::AttemptEnded { attempt, permitted_at, sent: true, endpoint_left_at: None, outcome }
+    Transition::AttemptEnded(AttemptEnd {
+        attempt,
+        permitted_at,
+        sent: true,
+        endpoint_left_at: None,
+        outcome,
+    })
 }
 
 #[test]
 fn ordinary_lives_violate_nothing() {
-    let served = [(0, handed(0)), (S, ended(0, 10, Outcome::Ok)), (S, Transition::Ended(Ending::Served))];
+    let served = [(0, dispatched(0)), (S, ended(0, 10, Outcome::Ok)), (S, Transition::Ended(Ending::Served))];
     let retried = [
-        (0, handed(0)),
+        (0, dispatched(0)),
         (S / 2, ended(0, 10, Outcome::Reset)),
-        (S / 2, handed(1)),
+        (S / 2, dispatched(1)),
         (S, ended(1, S / 2 + 10, Outcome::Ok)),
         (S, Transition::Ended(Ending::Served)),
     ];
     let left = [
-        (0, handed(0)),
-        (S / 2, Transition::Ended(Ending::ClientLeft)),
+        (0, dispatched(0)),
+        (S / 2, Transition::Ended(Ending::ClientDisconnected)),
         (3 * S, ended(0, 10, Outcome::TimedOut)),
     ];
     for class in [IDEMPOTENT, UNSAFE, WINDOW] {
@@ -68,65 +74,73 @@
     let end = Transition::Ended;
     let twice = [(S, end(Ending::Rejected)), (S, end(Ending::Failed))];
     // An attempt is out, so the request is still known when its second end comes.
-    let twice = [[(0, handed(0))].as_slice(), &twice].concat();
+    let twice = [[(0, dispatched(0))].as_slice(), &twice].concat();
     assert_eq!(violations(IDEMPOTENT, &twice), [Invariant::OneFinalResponse]);
     assert_eq!(
         violations(IDEMPOTENT, &[(2 * S + S / 2 + 1, end(Ending::Failed))]),
         [Invariant::ResponseInTime]
     );
     assert_eq!(
-        violations(IDEMPOTENT, &[(3 * S + 1, end(Ending::ClientLeft))]),
+        violations(IDEMPOTENT, &[(3 * S + 1, end(Ending::ClientDisconnected))]),
         [Invariant::RequestForgotten]
     );
-    let late_start =
-        [(0, handed(0)), (S, end(Ending::ClientLeft)), (2 * S, ended(0, S + S / 10 + 1, Outcome::Reset))];
+    let late_start = [
+        (0, dispatched(0)),
+        (S, end(Ending::ClientDisconnected)),
+        (2 * S, ended(0, S + S / 10 + 1, Outcome::Reset)),
+    ];
     assert_eq!(violations(IDEMPOTENT, &late_start), [Invariant::StartAfterEnd]);
     let repeated = [
-        (0, handed(0)),
+        (0, dispatched(0)),
         (S / 2, ended(0, 10, Outcome::Reset)),
-        (S / 2, handed(1)),
+        (S / 2, dispatched(1)),
         (S, ended(1, S / 2, Outcome::Ok)),
     ];
     assert_eq!(violations(UNSAFE, &repeated), [Invariant::UnsafeRepeat]);
     let after_window = [
-        (0, handed(0)),
+        (0, dispatched(0)),
         (S / 2, ended(0, 10, Outcome::TimedOut)),
-        (S / 2, handed(1)),
+        (S / 2, dispatched(1)),
         (2 * S, ended(1, S + 150_011, Outcome::Ok)),
     ];
     assert_eq!(violations(WINDOW, &after_window), [Invariant::RepeatWindow]);
-    assert_eq!(violations(IDEMPOTENT, &[(0, handed(0)), (1, handed(1))]), [Invariant::OneAttemptInFlight]);
-    let refused = [(0, handed(0)), (S, ended(0, 10, Outcome::TimedOut)), (S, end(Ending::Rejected))];
+    assert_eq!(
+        violations(IDEMPOTENT, &[(0, dispatched(0)), (1, dispatched(1))]),
+        [Invariant::OneAttemptInFlight]
+    );
+    let refused = [(0, dispatched(0)), (S, ended(0, 10, Outcome::TimedOut)), (S, end(Ending::Rejected))];
     assert_eq!(violations(UNSAFE, &refused), [Invariant::HarmlessRejection]);
     assert_eq!(violations(WINDOW, &refused), [Invariant::HarmlessRejection]);
     assert_eq!(violations(IDEMPOTENT, &refused), []);
-    let drained = Transition::AttemptEnded {
+    let drained = Transition::AttemptEnded(AttemptEnd {
         attempt: 0,
         permitted_at: Some(Time(S)),
         sent: true,
         endpoint_left_at: Some(Time(S - S / 4 - 1)),
         outcome: Outcome::Ok,
-    };
-    assert_eq!(violations(IDEMPOTENT, &[(0, handed(0)), (S, drained)]), [Invariant::Drain]);
-    let told = Transition::Handed { attempt: 0, until: Time(2 * S + 150_001) };
-    assert_eq!(violations(IDEMPOTENT, &[(0, told)]), [Invariant::ToldTime]);
+    });
+    assert_eq!(violations(IDEMPOTENT, &[(0, dispatched(0)), (S, drained)]), [Invariant::Drain]);
+    let late_deadline = Transition::AttemptDispatched { attempt: 0, deadline: Time(2 * S + 150_001) };
+    assert_eq!(violations(IDEMPOTENT, &[(0, late_deadline)]), [Invariant::ServerDeadline]);
 }
 
 #[test]
 fn attempts_that_were_never_sent_are_no_repeats() {
-    let unsent = |attempt, outcome| Transition::AttemptEnded {
-        attempt,
-        permitted_at: Some(Time(10)),
-        sent: false,
-        endpoint_left_at: None,
-        outcome,
+    let unsent = |attempt, outcome| {
+        Transition::AttemptEnded(AttemptEnd {
+            attempt,
+            permitted_at: Some(Time(10)),
+            sent: false,
+            endpoint_left_at: None,
+            outcome,
+        })
     };
     let history = [
-        (0, handed(0)),
+        (0, dispatched(0)),
         (1, unsent(0, Outcome::ConnectFailed)),
-        (1, handed(1)),
+        (1, dispatched(1)),
         (2, unsent(1, Outcome::NeverSent)),
-        (2, handed(2)),
+        (2, dispatched(2)),
         (S, ended(2, 20, Outcome::Rejected)),
         (S, Transition::Ended(Ending::Rejected)),
     ];
@@ -137,16 +151,16 @@
 fn memory_is_bounded_and_what_is_over_is_forgotten() {
     let mut observer = Observer::new(rules(), 0);
     let mut found = Vec::new();
-    let taken = Transition::Taken { class: IDEMPOTENT, deadline: Time(S) };
+    let accepted = Transition::Accepted { class: IDEMPOTENT, deadline: Time(S) };
     for id in 0..MAX_TRACKED as u64 + 5 {
-        observer.observe(Time(0), RequestId(id), taken, &mut found);
+        observer.observe(Time(0), RequestId(id), accepted, &mut found);
     }
     assert_eq!((observer.tracked(), observer.untracked()), (MAX_TRACKED, 5));
     for id in 0..MAX_TRACKED as u64 + 5 {
         observer.observe(Time(1), RequestId(id), Transition::Ended(Ending::Rejected), &mut found);
     }
     assert_eq!(observer.tracked(), 0);
-    observer.look_for_forgotten(Time(100 * S), &mut found);
+    observer.find_forgotten(Time(100 * S), &mut found);
     assert_eq!(found, []);
 }
 
--- a/routing/src/probe_spacing/tests.rs
+++ b/routing/tests/probe_spacing.rs
@@ -1,9 +1,9 @@
 //! The spacing alone, and with the real decisions in simulated time.
-use super::{ProbeSpacing, ProbeTiming};
 use decision::{
     Action, Event, GroupId, MemberEntry, MemberId, MemberReport, Micros, Outcome, Request, RequestId, Router,
     Settings, Time,
 };
+use routing::probe_spacing::{ProbeSpacing, ProbeTiming};
 
 const MEMBER: MemberId = MemberId(1);
 
--- a/routing/tests/reason_counters.rs
+++ b/routing/tests/reason_counters.rs
@@ -45,7 +45,11 @@
     count(&reasons.rejected, 101, &ends);
     count(&reasons.failed, 201, &ends);
     count(&reasons.retried, 301, &OUTCOMES.map(outcome_name));
-    count(&reasons.dropped, 401, &[EndReason::ClientLeft, EndReason::ClientCancelled].map(EndReason::name));
+    count(
+        &reasons.dropped,
+        401,
+        &[EndReason::ClientDisconnected, EndReason::ClientCancelled].map(EndReason::name),
+    );
     count(&reasons.denied, 501, &Denial::ALL.map(Denial::name));
     count(&reasons.closed, 601, &CloseReason::ALL.map(CloseReason::name));
     count(&reasons.invariant_violations, 701, &Invariant::ALL.map(Invariant::name));
--- a/routing/src/recorded_run.rs
+++ b/routing/tests/recorded_run.rs
@@ -1,13 +1,13 @@
 //! Recorded runs of the two state machines inside this package: seeded events in, what they decide out, compared line by
 //! line with what the program decided before its names and files were revised. The text uses words of its own, so that
 //! a rename does not touch the record.
-use crate::endpoint::{EndpointEntry, EndpointUpdate};
-use crate::placement_subsets::{MemberIds, PlacementSubsets, ProbeStart, StatedRole, SubsetChange};
-use crate::probe_spacing::{ProbeSpacing, ProbeTiming};
 use decision::{
     Class, Freshness, GroupId, Idempotency, MemberEntry, MemberId, MemberReport, MemberState, Outcome,
     Settings, Time,
 };
+use routing::placement_subsets::{MemberIds, PlacementSubsets, ProbeStart, StatedRole, SubsetChange};
+use routing::probe_spacing::{ProbeSpacing, ProbeTiming};
+use routing::{EndpointEntry, EndpointUpdate};
 use settings::fleet::{Fleet, Place, Tenant};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -171,7 +171,7 @@
         let endpoints: Vec<EndpointEntry> = names.into_iter().map(|n| endpoint(n, random)).collect();
         let mut members = Vec::new();
         for e in &endpoints {
-            let id = *self.numbers.entry(e.id.clone()).or_insert_with(|| self.ids.next());
+            let id = *self.numbers.entry(e.id.clone()).or_insert_with(|| self.ids.allocate());
             if !self.in_use.contains(&id) {
                 self.in_use.push(id);
             }
@@ -300,10 +300,10 @@
 
 #[test]
 fn probe_spacing_decides_as_recorded() {
-    assert_eq!(probe_spacing_run(), include_str!("../tests/fixtures/probe_spacing.txt"));
+    assert_eq!(probe_spacing_run(), include_str!("fixtures/probe_spacing.txt"));
 }
 
 #[test]
 fn placement_subsets_decide_as_recorded() {
-    assert_eq!(subsets_run(), include_str!("../tests/fixtures/placement_subsets.txt"));
+    assert_eq!(subsets_run(), include_str!("fixtures/placement_subsets.txt"));
 }
--- a/routing/tests/wall_clock.rs
+++ b/routing/tests/wall_clock.rs
@@ -1,46 +1,50 @@
 //! What stated times mean after the wall clock was stepped.
 use decision::Time;
-use routing::wall_clock::Axes;
+use routing::wall_clock::{ClockOffsets, StatedBy};
 
 const S: i64 = 1_000_000;
 const HOUR: i64 = 3600 * S;
 
-/// Axes after a step at 100 s, and the router's time some seconds later.
-fn stepped(step: i64) -> Axes {
-    let mut axes = Axes::default();
-    assert_eq!(axes.observe(Time(99 * S), Time(99 * S)), None);
-    assert_eq!(axes.observe(Time(100 * S), Time(100 * S + step)), Some(step));
-    assert_eq!(axes.observe(Time(101 * S), Time(101 * S + step)), None, "a step is noticed once");
-    axes
+/// Offsets after a step at 100 s, and the router's time some seconds later.
+fn stepped(step: i64) -> ClockOffsets {
+    let mut offsets = ClockOffsets::default();
+    assert_eq!(offsets.observe(Time(99 * S), Time(99 * S)), None);
+    assert_eq!(offsets.observe(Time(100 * S), Time(100 * S + step)), Some(step));
+    assert_eq!(offsets.observe(Time(101 * S), Time(101 * S + step)), None, "a step is noticed once");
+    offsets
 }
 
 #[test]
 fn without_a_step_times_mean_what_they_say() {
-    let axes = Axes::default();
+    let offsets = ClockOffsets::default();
     let (now, stated) = (Time(100 * S), Time(90 * S));
-    assert_eq!(axes.start(now, stated), stated);
-    assert_eq!(axes.commit(now, stated), stated);
-    assert_eq!(axes.position(now, stated, false), Some(stated));
-    assert_eq!(axes.start(now, Time(5 * HOUR)), now, "nothing starts in the future");
-    assert_eq!(axes.position(now, Time(102 * S), false), None, "nobody is ahead of the present");
+    assert_eq!(offsets.start(now, stated), stated);
+    assert_eq!(offsets.commit(now, stated), stated);
+    assert_eq!(offsets.position(now, stated, StatedBy::UnknownClock), Some(stated));
+    assert_eq!(offsets.start(now, Time(5 * HOUR)), now, "nothing starts in the future");
+    assert_eq!(
+        offsets.position(now, Time(102 * S), StatedBy::UnknownClock),
+        None,
+        "nobody is ahead of the present"
+    );
 }
 
 #[test]
 fn small_differences_and_slow_readings_are_no_steps() {
-    let mut axes = Axes::default();
-    assert_eq!(axes.observe(Time(S), Time(S + 19_999)), None);
-    assert_eq!(axes.observe(Time(S), Time(S - 19_999)), None);
+    let mut offsets = ClockOffsets::default();
+    assert_eq!(offsets.observe(Time(S), Time(S + 19_999)), None);
+    assert_eq!(offsets.observe(Time(S), Time(S - 19_999)), None);
 }
 
 #[test]
 fn starts_after_a_step_are_cold_for_as_long_as_without_it() {
     let now = Time(103 * S);
     for step in [-HOUR, -5 * S, 5 * S, HOUR] {
-        let axes = stepped(step);
+        let offsets = stepped(step);
         // Started at 102 s, as the clock shows since the step.
-        assert_eq!(axes.start(now, Time(102 * S + step)), Time(102 * S), "{step}");
+        assert_eq!(offsets.start(now, Time(102 * S + step)), Time(102 * S), "{step}");
         // Started at 98 s, before the step: never taken for earlier.
-        let start = axes.start(now, Time(98 * S));
+        let start = offsets.start(now, Time(98 * S));
         assert!((Time(98 * S)..=now).contains(&start), "{step}: {start:?}");
     }
 }
@@ -49,26 +53,30 @@
 fn commits_are_never_taken_for_earlier_than_they_were() {
     let now = Time(103 * S);
     for step in [-HOUR, -5 * S, 5 * S, HOUR] {
-        let axes = stepped(step);
+        let offsets = stepped(step);
         for (made_at, stated) in [(98 * S, 98 * S), (102 * S, 102 * S + step)] {
-            let commit = axes.commit(now, Time(stated));
+            let commit = offsets.commit(now, Time(stated));
             assert!(commit >= Time(made_at) && commit <= Time(now.0 + S), "{step}: {commit:?}");
         }
     }
     // What lies ahead of every clock can still be reckoned with.
-    assert!(Axes::default().commit(now, Time(i64::MAX)) <= Time(now.0 + 24 * HOUR));
+    assert!(ClockOffsets::default().commit(now, Time(i64::MAX)) <= Time(now.0 + 24 * HOUR));
 }
 
 #[test]
 fn positions_are_never_taken_for_later_than_they_are() {
     for step in [-HOUR, -5 * S, 5 * S, HOUR] {
-        let axes = stepped(step);
+        let offsets = stepped(step);
         for now in [Time(103 * S), Time(108 * S)] {
             // A replica that stands at 95 s, which it read off the clock before the step.
-            let before = axes.position(now, Time(95 * S), false);
+            let before = offsets.position(now, Time(95 * S), StatedBy::UnknownClock);
             assert!(before.is_none_or(|position| position <= Time(95 * S)), "{step}: {before:?}");
             // One that stands at 102 s, and has shown that it goes by the clock as it is.
-            assert_eq!(axes.position(now, Time(102 * S + step), true), Some(Time(102 * S)), "{step}");
+            assert_eq!(
+                offsets.position(now, Time(102 * S + step), StatedBy::CurrentClock),
+                Some(Time(102 * S)),
+                "{step}"
+            );
         }
     }
 }
@@ -76,19 +84,23 @@
 #[test]
 fn replicas_count_as_fresh_again_soon_after_a_step() {
     for step in [-HOUR, -5 * S, 5 * S, HOUR] {
-        let axes = stepped(step);
+        let offsets = stepped(step);
         let now = Time(111 * S);
-        assert_eq!(axes.position(now, Time(now.0 + step - 1000), false), Some(Time(now.0 - 1000)), "{step}");
+        assert_eq!(
+            offsets.position(now, Time(now.0 + step - 1000), StatedBy::UnknownClock),
+            Some(Time(now.0 - 1000)),
+            "{step}"
+        );
     }
 }
 
 #[test]
 fn a_step_back_to_where_the_clock_was_is_a_step_too() {
-    let mut axes = stepped(HOUR);
-    assert_eq!(axes.observe(Time(110 * S), Time(110 * S)), Some(-HOUR));
+    let mut offsets = stepped(HOUR);
+    assert_eq!(offsets.observe(Time(110 * S), Time(110 * S)), Some(-HOUR));
     let now = Time(120 * S + S);
-    assert_eq!(axes.position(now, Time(120 * S), false), Some(Time(120 * S)));
-    assert_eq!(axes.start(now, Time(120 * S)), Time(120 * S));
+    assert_eq!(offsets.position(now, Time(120 * S), StatedBy::UnknownClock), Some(Time(120 * S)));
+    assert_eq!(offsets.start(now, Time(120 * S)), Time(120 * S));
     // Started between the steps.
-    assert_eq!(axes.start(now, Time(105 * S + HOUR)), Time(105 * S));
+    assert_eq!(offsets.start(now, Time(105 * S + HOUR)), Time(105 * S));
 }
