--- a/soak/src/platform.rs
+++ b/soak/src/platform.rs
@@ -1,5 +1,5 @@
 //! One run of the platform's front: routers, servers, agents and clients, and the troubles at their times.
-mod settings;
+pub mod settings;
 mod troubles;
 
 use crate::history::{Absence, Absent, History, Micros, Recorder, SECOND, Start};
--- a/soak/src/platform/settings.rs
+++ b/soak/src/platform/settings.rs
@@ -48,7 +48,7 @@
 }
 
 /// The configuration of one router.
-pub(super) fn config(
+pub fn config(
     router: usize,
     listen: SocketAddr,
     admin: SocketAddr,
--- a/soak/src/serve.rs
+++ b/soak/src/serve.rs
@@ -1,7 +1,7 @@
 //! One run of `serve`: routers with sessions on disk and among peers, three of them nodes of a replicated store, one fleet
 //! by membership, in front of stand-in servers behind proxies.
 mod load;
-mod settings;
+pub mod settings;
 
 use crate::history::{Absence, Absent, History, Micros, Recorder, SECOND, StoreRecord};
 use crate::plan::Plan;
--- a/soak/src/serve/settings.rs
+++ b/soak/src/serve/settings.rs
@@ -5,21 +5,30 @@
 use std::path::Path;
 
 /// Nodes of the store: the first routers.
-pub(super) const STORE_NODES: usize = 3;
+pub const STORE_NODES: usize = 3;
 
 /// Every address of a run, by router.
-pub(super) struct Addresses {
-    pub(super) clients: Vec<SocketAddr>,
-    pub(super) controls: Vec<SocketAddr>,
-    sessions: Vec<SocketAddr>,
-    members: Vec<SocketAddr>,
-    store_peers: Vec<SocketAddr>,
-    store_clients: Vec<SocketAddr>,
+pub struct Addresses {
+    /// Where clients connect.
+    pub clients: Vec<SocketAddr>,
+    /// Where operators' commands are taken.
+    pub controls: Vec<SocketAddr>,
+    /// Where peers exchange sessions.
+    pub sessions: Vec<SocketAddr>,
+    /// Where members gossip.
+    pub members: Vec<SocketAddr>,
+    /// Where the store's nodes talk to each other.
+    pub store_peers: Vec<SocketAddr>,
+    /// Where the store's clients connect.
+    pub store_clients: Vec<SocketAddr>,
 }
 
 impl Addresses {
     /// Addresses that nobody else listens on: on loopback addresses of this run's own.
-    pub(super) fn free(routers: usize) -> io::Result<Addresses> {
+    ///
+    /// # Errors
+    /// Where no port can be had.
+    pub fn free(routers: usize) -> io::Result<Addresses> {
         let id = std::process::id();
         let mut last = 10;
         let mut free = |count: usize| -> io::Result<Vec<SocketAddr>> {
@@ -41,12 +50,7 @@
 }
 
 /// One router's file.
-pub(super) fn file(
-    router: usize,
-    addresses: &Addresses,
-    servers: &[(String, SocketAddr)],
-    folder: &Path,
-) -> String {
+pub fn file(router: usize, addresses: &Addresses, servers: &[(String, SocketAddr)], folder: &Path) -> String {
     let number = router + 1;
     let routers = addresses.clients.len();
     let mut text = format!(
