--- a/faults/control/src/lib.rs
+++ b/faults/control/src/lib.rs
@@ -1,4 +1,5 @@
-//! The file that tells the preloaded library of the package `faults` what to do: 8-byte words in the machine's order.
+//! The file that controls the preloaded library of the package `faults`: 8-byte words in the machine's order.
+//!
 //! It is a package of its own, since whoever links that library replaces the C library's functions in itself.
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -9,8 +10,10 @@
 pub const CONTROL_VARIABLE: &str = "DAMSONVALE_FAULTS";
 /// Probabilities are out of so many.
 pub const SCALE: u64 = 1_000_000;
+/// Bytes of a word.
+pub const WORD_BYTES: usize = 8;
 /// Bytes of the file.
-pub const FILE_BYTES: usize = 32 * 8;
+pub const FILE_BYTES: usize = 32 * WORD_BYTES;
 /// The word with the wall clock's offset in microseconds.
 pub const CLOCK_WORD: usize = 0;
 /// The first of the words with the faults' probabilities.
@@ -28,43 +31,45 @@
     /// A call on a socket or a poll is interrupted: EINTR.
     Interrupt = 3,
     /// A socket is read or written by one byte only.
-    Short = 4,
-    /// A connection that this process made breaks: ETIMEDOUT, EHOSTUNREACH, ECONNRESET.
-    Break = 5,
+    ShortTransfer = 4,
+    /// A connection that this process opened breaks: ETIMEDOUT, EHOSTUNREACH, ECONNRESET.
+    ConnectionLoss = 5,
     /// A thread can't be started: EAGAIN.
-    Thread = 6,
+    ThreadStart = 6,
     /// A write to a file fails: ENOSPC, EIO; half of the bytes may have been written.
     FileWrite = 7,
     /// A file can't be synced: EIO, ENOSPC.
     FileSync = 8,
     /// A file can't be opened: EMFILE, ENFILE, EACCES.
-    Open = 9,
+    FileOpen = 9,
 }
 
 impl Fault {
-    /// All of them.
+    /// All of them, in the order of the file.
     pub const ALL: [Fault; 10] = [
         Fault::Accept,
         Fault::Socket,
         Fault::Connect,
         Fault::Interrupt,
-        Fault::Short,
-        Fault::Break,
-        Fault::Thread,
+        Fault::ShortTransfer,
+        Fault::ConnectionLoss,
+        Fault::ThreadStart,
         Fault::FileWrite,
         Fault::FileSync,
-        Fault::Open,
+        Fault::FileOpen,
     ];
 
-    /// The word that holds its probability.
+    /// The word with its probability.
     pub fn word(self) -> usize {
         FIRST_FAULT_WORD + self as usize
     }
 }
 
-/// Tells the processes that map a file what to do.
+/// A file that controls the faults of the processes that map it.
 #[derive(Debug)]
-pub struct ControlFile(File);
+pub struct ControlFile {
+    file: File,
+}
 
 impl ControlFile {
     /// Creates the file, without any fault.
@@ -74,7 +79,7 @@
     pub fn create(path: &Path) -> io::Result<ControlFile> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
         file.write_all_at(&[0; FILE_BYTES], 0)?;
-        Ok(ControlFile(file))
+        Ok(ControlFile { file })
     }
 
     /// Opens a file that was created before.
@@ -82,11 +87,8 @@
     /// # Errors
     /// Where it can't be opened.
     pub fn open(path: &Path) -> io::Result<ControlFile> {
-        OpenOptions::new().read(true).write(true).open(path).map(ControlFile)
-    }
-
-    fn set(&self, word: usize, value: u64) -> io::Result<()> {
-        self.0.write_all_at(&value.to_ne_bytes(), 8 * word as u64)
+        let file = OpenOptions::new().read(true).write(true).open(path)?;
+        Ok(ControlFile { file })
     }
 
     /// Moves the wall clock by so many microseconds against the system's.
@@ -94,22 +96,26 @@
     /// # Errors
     /// Where the file can't be written.
     pub fn set_clock_offset(&self, micros: i64) -> io::Result<()> {
-        self.set(CLOCK_WORD, micros as u64)
+        self.write_word(CLOCK_WORD, micros as u64)
     }
 
-    /// Lets a call fail so many times out of a million; 0 ends it.
+    /// Lets a call fail so many times out of a million ([`SCALE`]) on average; 0 ends the fault.
     ///
     /// # Errors
     /// Where the file can't be written.
-    pub fn set_fault(&self, fault: Fault, per_million: u64) -> io::Result<()> {
-        self.set(fault.word(), per_million.min(SCALE))
+    pub fn set_fault_rate(&self, fault: Fault, per_million: u64) -> io::Result<()> {
+        self.write_word(fault.word(), per_million.min(SCALE))
     }
 
-    /// Ends all faults; the clock stays where it is.
+    /// Ends all faults; the clock's offset stays.
     ///
     /// # Errors
     /// Where the file can't be written.
     pub fn clear_faults(&self) -> io::Result<()> {
-        Fault::ALL.iter().try_for_each(|fault| self.set_fault(*fault, 0))
+        Fault::ALL.iter().try_for_each(|fault| self.set_fault_rate(*fault, 0))
+    }
+
+    fn write_word(&self, word: usize, value: u64) -> io::Result<()> {
+        self.file.write_all_at(&value.to_ne_bytes(), (WORD_BYTES * word) as u64)
     }
 }
--- a/faults/control/tests/control_file.rs
+++ b/faults/control/tests/control_file.rs
@@ -13,7 +13,7 @@
     let control = ControlFile::create(&path).unwrap();
     control.set_clock_offset(-1_000_000).unwrap();
     for (place, fault) in Fault::ALL.into_iter().enumerate() {
-        control.set_fault(fault, 1000 + place as u64).unwrap();
+        control.set_fault_rate(fault, 1000 + place as u64).unwrap();
     }
     assert_eq!(std::fs::read(&path).unwrap(), EVERY_FAULT);
 }
@@ -28,12 +28,12 @@
         Fault::Socket,
         Fault::Connect,
         Fault::Interrupt,
-        Fault::Short,
-        Fault::Break,
-        Fault::Thread,
+        Fault::ShortTransfer,
+        Fault::ConnectionLoss,
+        Fault::ThreadStart,
         Fault::FileWrite,
         Fault::FileSync,
-        Fault::Open,
+        Fault::FileOpen,
     ];
     assert_eq!(Fault::ALL, in_order);
 }
@@ -44,7 +44,7 @@
     let path = folder.path().join("n0.faults");
     let control = ControlFile::create(&path).unwrap();
     control.set_clock_offset(5).unwrap();
-    control.set_fault(Fault::Open, SCALE + 1).unwrap();
+    control.set_fault_rate(Fault::FileOpen, SCALE + 1).unwrap();
     let capped = std::fs::read(&path).unwrap();
     assert_eq!(capped[80..88], SCALE.to_ne_bytes());
     ControlFile::open(&path).unwrap().clear_faults().unwrap();
--- a/faults/src/interpose.rs
+++ b/faults/src/interpose.rs
@@ -1,384 +1,239 @@
-//! The functions of the C library that are replaced. Each draws whether it fails, and calls the real one otherwise.
-#![allow(clippy::missing_safety_doc, unreachable_pub, missing_docs)]
-use fault_control::{CLOCK_WORD, CONTROL_VARIABLE, FILE_BYTES, Fault, SCALE};
+//! The functions of the C library that are replaced. Each draws whether it fails, and calls the C library's otherwise.
+//!
+//! Their safety contracts are those of the C library's functions, which POSIX and Linux document.
+use crate::control_map::{is_drawn, is_enabled, random, word};
+use crate::descriptor::{is_opened_here, is_regular_file, is_stream_socket, set_opened_here};
+use crate::libc_function::replace;
+use fault_control::{CLOCK_WORD, Fault};
 use libc::{c_char, c_int, c_void, msghdr, size_t, sockaddr, socklen_t, ssize_t, timespec, timeval};
-use std::cell::Cell;
-use std::sync::atomic::{AtomicU8, AtomicU64, AtomicUsize, Ordering};
 
-/// The control file's map: 0 before it was looked for, 1 where there is none, else its address.
-static MAP: AtomicUsize = AtomicUsize::new(0);
-const NO_MAP: usize = 1;
+/// What a function of the C library returns when it fails.
+const FAILED: c_int = -1;
+const NANOS_PER_SECOND: i128 = 1_000_000_000;
+const NANOS_PER_MICRO: i128 = 1_000;
 
-/// By descriptor, whether this process made the connection: 1 for yes. Descriptors beyond it count as no.
-static CONNECTED: [AtomicU8; 4096] = [const { AtomicU8::new(0) }; 4096];
-
-thread_local! {
-    static RANDOM: Cell<u64> = const { Cell::new(0) };
-}
-
-/// Maps the control file, without any function that is replaced here.
-fn map() -> usize {
-    let known = MAP.load(Ordering::Acquire);
-    if known != 0 {
-        return known;
-    }
-    let mut name = [0u8; 64];
-    name[..CONTROL_VARIABLE.len()].copy_from_slice(CONTROL_VARIABLE.as_bytes());
-    // SAFETY: the name ends with a zero; the path that getenv returns does too; the map is checked before its use and
-    // never unmapped.
-    let found = unsafe {
-        let path = libc::getenv(name.as_ptr().cast::<c_char>());
-        if path.is_null() {
-            NO_MAP
-        } else {
-            let fd =
-                libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path, libc::O_RDONLY | libc::O_CLOEXEC, 0);
-            let fd = fd as c_int;
-            let at = libc::mmap(std::ptr::null_mut(), FILE_BYTES, libc::PROT_READ, libc::MAP_SHARED, fd, 0);
-            libc::syscall(libc::SYS_close, fd);
-            if fd < 0 || at == libc::MAP_FAILED { NO_MAP } else { at as usize }
-        }
-    };
-    MAP.store(found, Ordering::Release);
-    found
-}
-
-fn word(index: usize) -> u64 {
-    match map() {
-        NO_MAP => 0,
-        // SAFETY: the map has FILE_BYTES bytes, every index is below that, and a word is aligned.
-        at => unsafe { (*((at + 8 * index) as *const AtomicU64)).load(Ordering::Relaxed) },
-    }
-}
-
-fn random() -> u64 {
-    RANDOM.with(|state| {
-        let mut x = state.get();
-        if x == 0 {
-            // SAFETY: gettid has no arguments and can't fail.
-            let thread = unsafe { libc::syscall(libc::SYS_gettid) } as u64;
-            x = thread.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
-        }
-        x ^= x << 13;
-        x ^= x >> 7;
-        x ^= x << 17;
-        state.set(x);
-        x
-    })
-}
-
-fn strikes(fault: Fault) -> bool {
-    let probability = word(fault.word());
-    probability > 0 && random() % SCALE < probability
-}
-
-fn pick(errors: &[c_int]) -> c_int {
-    errors[(random() % errors.len() as u64) as usize]
-}
+const ACCEPT_ERRORS: [c_int; 6] =
+    [libc::ECONNABORTED, libc::ENFILE, libc::EMFILE, libc::ENOBUFS, libc::ENOMEM, libc::EPROTO];
+const SOCKET_ERRORS: [c_int; 4] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
+const CONNECT_ERRORS: [c_int; 4] =
+    [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EHOSTUNREACH, libc::ETIMEDOUT];
+const CONNECTION_LOSS_ERRORS: [c_int; 3] = [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET];
+const INTERRUPT_ERRORS: [c_int; 1] = [libc::EINTR];
+const WRITE_ERRORS: [c_int; 2] = [libc::ENOSPC, libc::EIO];
+const SYNC_ERRORS: [c_int; 2] = [libc::EIO, libc::ENOSPC];
+const OPEN_ERRORS: [c_int; 3] = [libc::EMFILE, libc::ENFILE, libc::EACCES];
 
-fn fail<T: From<i8>>(errors: &[c_int]) -> T {
+/// Sets one of these error numbers, drawn at random, and returns [`FAILED`].
+fn fail(errors: &[c_int]) -> c_int {
+    let drawn = errors[(random() % errors.len() as u64) as usize];
     // SAFETY: errno is this thread's own.
-    unsafe { *libc::__errno_location() = pick(errors) };
-    T::from(-1)
-}
-
-/// The C library's function of this name, looked up once.
-macro_rules! real {
-    ($name:literal, $type:ty) => {{
-        static ADDRESS: AtomicUsize = AtomicUsize::new(0);
-        let mut address = ADDRESS.load(Ordering::Relaxed);
-        if address == 0 {
-            address = libc::dlsym(libc::RTLD_NEXT, concat!($name, "\0").as_ptr().cast::<c_char>()) as usize;
-            ADDRESS.store(address, Ordering::Relaxed);
-        }
-        std::mem::transmute::<usize, $type>(address)
-    }};
-}
-
-fn is_socket(fd: c_int) -> bool {
-    let (mut kind, mut length) = (0 as c_int, size_of::<c_int>() as socklen_t);
-    // SAFETY: both out-parameters are valid for the call.
-    let found = unsafe {
-        libc::getsockopt(fd, libc::SOL_SOCKET, libc::SO_TYPE, (&raw mut kind).cast::<c_void>(), &mut length)
-    };
-    found == 0 && kind == libc::SOCK_STREAM
-}
-
-fn is_file(fd: c_int) -> bool {
-    // SAFETY: a zeroed stat is valid, and fstat fills it in.
-    let mut status: libc::stat = unsafe { std::mem::zeroed() };
-    let found = unsafe { libc::fstat(fd, &mut status) };
-    found == 0 && status.st_mode & libc::S_IFMT == libc::S_IFREG
-}
-
-fn made_here(fd: c_int) -> bool {
-    usize::try_from(fd).ok().and_then(|fd| CONNECTED.get(fd)).is_some_and(|c| c.load(Ordering::Relaxed) == 1)
+    unsafe { *libc::__errno_location() = drawn };
+    FAILED
 }
 
-fn set_made_here(fd: c_int, value: bool) {
-    if let Some(connected) = usize::try_from(fd).ok().and_then(|fd| CONNECTED.get(fd)) {
-        connected.store(u8::from(value), Ordering::Relaxed);
-    }
-}
-
-/// Whether a call on a connected socket fails now; the error number is set.
+/// Draws whether a call on a connected socket fails now; the error number is set then.
 fn socket_call_fails(fd: c_int) -> bool {
-    if word(Fault::Interrupt.word()) == 0 && word(Fault::Break.word()) == 0 {
+    if !is_enabled(Fault::Interrupt) && !is_enabled(Fault::ConnectionLoss) {
         return false;
     }
-    if !is_socket(fd) {
+    if !is_stream_socket(fd) {
         return false;
     }
-    if strikes(Fault::Interrupt) {
-        return fail::<i32>(&[libc::EINTR]) < 0;
+    if is_drawn(Fault::Interrupt) {
+        return fail(&INTERRUPT_ERRORS) == FAILED;
     }
-    if made_here(fd) && strikes(Fault::Break) {
+    if is_opened_here(fd) && is_drawn(Fault::ConnectionLoss) {
         // The connection is broken from here on, for the other side too.
         // SAFETY: shutting a socket down has no preconditions.
         unsafe { libc::shutdown(fd, libc::SHUT_RDWR) };
-        return fail::<i32>(&[libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET]) < 0;
+        return fail(&CONNECTION_LOSS_ERRORS) == FAILED;
     }
     false
 }
 
 /// How many bytes of a call on a socket are passed on.
-fn shortened(fd: c_int, length: size_t) -> size_t {
-    if length > 1 && strikes(Fault::Short) && is_socket(fd) { 1 } else { length }
+fn passed_length(fd: c_int, length: size_t) -> size_t {
+    if length > 1 && is_drawn(Fault::ShortTransfer) && is_stream_socket(fd) { 1 } else { length }
 }
 
-type ClockGettime = unsafe extern "C" fn(libc::clockid_t, *mut timespec) -> c_int;
+/// A time, moved by an offset in microseconds.
+fn moved(at: timespec, offset_micros: i64) -> timespec {
+    let total = i128::from(at.tv_sec) * NANOS_PER_SECOND
+        + i128::from(at.tv_nsec)
+        + i128::from(offset_micros) * NANOS_PER_MICRO;
+    timespec {
+        tv_sec: total.div_euclid(NANOS_PER_SECOND) as libc::time_t,
+        tv_nsec: total.rem_euclid(NANOS_PER_SECOND) as libc::c_long,
+    }
+}
 
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, at: *mut timespec) -> c_int {
-    unsafe {
-        let result = real!("clock_gettime", ClockGettime)(clock, at);
+replace! {
+    fn clock_gettime(clock: libc::clockid_t, at: *mut timespec) -> c_int as original {
+        let result = original(clock, at);
         let is_wall = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE);
-        let offset = if is_wall && result == 0 { word(CLOCK_WORD) as i64 } else { 0 };
-        if offset != 0 {
-            let total = i128::from((*at).tv_sec) * 1_000_000_000
-                + i128::from((*at).tv_nsec)
-                + i128::from(offset) * 1000;
-            (*at).tv_sec = total.div_euclid(1_000_000_000) as libc::time_t;
-            (*at).tv_nsec = total.rem_euclid(1_000_000_000) as libc::c_long;
+        let offset_micros = if is_wall && result == 0 { word(CLOCK_WORD) as i64 } else { 0 };
+        if offset_micros != 0 {
+            // SAFETY: the call has succeeded, so that the caller's pointer is valid and filled in.
+            unsafe { *at = moved(*at, offset_micros) };
         }
         result
     }
 }
 
+/// Replaced by way of `clock_gettime`, so that both show the same time.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn gettimeofday(at: *mut timeval, _zone: *mut c_void) -> c_int {
-    unsafe {
-        let mut now = timespec { tv_sec: 0, tv_nsec: 0 };
-        let result = clock_gettime(libc::CLOCK_REALTIME, &mut now);
-        if !at.is_null() {
-            *at = timeval { tv_sec: now.tv_sec, tv_usec: now.tv_nsec / 1000 };
-        }
-        result
+unsafe extern "C" fn gettimeofday(at: *mut timeval, _zone: *mut c_void) -> c_int {
+    let mut now = timespec { tv_sec: 0, tv_nsec: 0 };
+    // SAFETY: the out-parameter is valid for the call.
+    let result = unsafe { clock_gettime(libc::CLOCK_REALTIME, &mut now) };
+    if !at.is_null() {
+        // SAFETY: a pointer that is not null is valid by the function's contract.
+        unsafe { *at = timeval { tv_sec: now.tv_sec, tv_usec: now.tv_nsec / 1000 } };
     }
+    result
 }
 
-type Accept4 = unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int;
-const ACCEPT_ERRORS: [c_int; 6] =
-    [libc::ECONNABORTED, libc::ENFILE, libc::EMFILE, libc::ENOBUFS, libc::ENOMEM, libc::EPROTO];
-
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn accept4(
-    fd: c_int,
-    address: *mut sockaddr,
-    length: *mut socklen_t,
-    flags: c_int,
-) -> c_int {
-    unsafe {
-        if strikes(Fault::Accept) {
+replace! {
+    fn accept4(fd: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int) -> c_int as original {
+        if is_drawn(Fault::Accept) {
             return fail(&ACCEPT_ERRORS);
         }
-        if strikes(Fault::Interrupt) {
-            return fail(&[libc::EINTR]);
+        if is_drawn(Fault::Interrupt) {
+            return fail(&INTERRUPT_ERRORS);
         }
-        let accepted = real!("accept4", Accept4)(fd, address, length, flags);
-        set_made_here(accepted, false);
+        let accepted = original(fd, address, length, flags);
+        set_opened_here(accepted, false);
         accepted
     }
 }
 
-type Socket = unsafe extern "C" fn(c_int, c_int, c_int) -> c_int;
-
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    unsafe {
-        if domain == libc::AF_INET && strikes(Fault::Socket) {
-            return fail(&[libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM]);
+replace! {
+    fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int as original {
+        if domain == libc::AF_INET && is_drawn(Fault::Socket) {
+            return fail(&SOCKET_ERRORS);
         }
-        let made = real!("socket", Socket)(domain, kind, protocol);
-        set_made_here(made, false);
-        made
+        let created = original(domain, kind, protocol);
+        set_opened_here(created, false);
+        created
     }
 }
 
-type Connect = unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int;
-
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    unsafe {
-        if strikes(Fault::Connect) && is_socket(fd) {
-            return fail(&[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EHOSTUNREACH, libc::ETIMEDOUT]);
+replace! {
+    fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int as original {
+        if is_drawn(Fault::Connect) && is_stream_socket(fd) {
+            return fail(&CONNECT_ERRORS);
         }
-        set_made_here(fd, true);
-        real!("connect", Connect)(fd, address, length)
+        set_opened_here(fd, true);
+        original(fd, address, length)
     }
 }
 
-type Recv = unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t;
-
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    unsafe {
+replace! {
+    fn recv(fd: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t as original {
         if socket_call_fails(fd) {
-            return -1;
+            return FAILED as ssize_t;
         }
-        real!("recv", Recv)(fd, buffer, shortened(fd, length), flags)
+        original(fd, buffer, passed_length(fd, length), flags)
     }
 }
 
-type Recvmsg = unsafe extern "C" fn(c_int, *mut msghdr, c_int) -> ssize_t;
-
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn recvmsg(fd: c_int, message: *mut msghdr, flags: c_int) -> ssize_t {
-    unsafe {
+replace! {
+    fn recvmsg(fd: c_int, message: *mut msghdr, flags: c_int) -> ssize_t as original {
         if socket_call_fails(fd) {
-            return -1;
+            return FAILED as ssize_t;
         }
-        real!("recvmsg", Recvmsg)(fd, message, flags)
+        original(fd, message, flags)
     }
 }
 
-type Send = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
-
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn send(fd: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    unsafe {
+replace! {
+    fn send(fd: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t as original {
         if socket_call_fails(fd) {
-            return -1;
+            return FAILED as ssize_t;
         }
-        real!("send", Send)(fd, buffer, shortened(fd, length), flags)
+        original(fd, buffer, passed_length(fd, length), flags)
     }
 }
 
-type Writev = unsafe extern "C" fn(c_int, *const libc::iovec, c_int) -> ssize_t;
-
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn writev(fd: c_int, parts: *const libc::iovec, count: c_int) -> ssize_t {
-    unsafe {
+replace! {
+    fn writev(fd: c_int, parts: *const libc::iovec, count: c_int) -> ssize_t as original {
         if socket_call_fails(fd) {
-            return -1;
-        }
-        let first_byte_only = count > 0 && (*parts).iov_len > 0 && shortened(fd, 2) == 1;
-        if first_byte_only {
-            let short = libc::iovec { iov_base: (*parts).iov_base, iov_len: 1 };
-            return real!("writev", Writev)(fd, &short, 1);
+            return FAILED as ssize_t;
+        }
+        // SAFETY: by the function's contract, there are as many parts as the count says.
+        let first = if count > 0 { unsafe { parts.as_ref() } } else { None };
+        match first {
+            // Two bytes stand for all that there may be: whether the call is cut short does not depend on the length.
+            Some(first) if first.iov_len > 0 && passed_length(fd, 2) == 1 => {
+                let first_byte = libc::iovec { iov_base: first.iov_base, iov_len: 1 };
+                original(fd, &first_byte, 1)
+            }
+            _ => original(fd, parts, count),
         }
-        real!("writev", Writev)(fd, parts, count)
     }
 }
 
-type Write = unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t;
-const WRITE_ERRORS: [c_int; 2] = [libc::ENOSPC, libc::EIO];
-
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn write(fd: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
-    unsafe {
-        let real = real!("write", Write);
-        if strikes(Fault::FileWrite) && is_file(fd) {
+replace! {
+    fn write(fd: c_int, buffer: *const c_void, length: size_t) -> ssize_t as original {
+        if is_drawn(Fault::FileWrite) && is_regular_file(fd) {
             // Half of the time some of it is on the disk all the same.
             if length > 1 && random().is_multiple_of(2) {
-                real(fd, buffer, length / 2);
+                original(fd, buffer, length / 2);
             }
-            return fail::<i32>(&WRITE_ERRORS) as ssize_t;
+            return fail(&WRITE_ERRORS) as ssize_t;
         }
-        real(fd, buffer, length)
+        original(fd, buffer, length)
     }
 }
 
-type Fsync = unsafe extern "C" fn(c_int) -> c_int;
-
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
-    unsafe {
-        if strikes(Fault::FileSync) { fail(&[libc::EIO, libc::ENOSPC]) } else { real!("fsync", Fsync)(fd) }
+replace! {
+    fn fsync(fd: c_int) -> c_int as original {
+        if is_drawn(Fault::FileSync) { fail(&SYNC_ERRORS) } else { original(fd) }
     }
 }
 
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
-    unsafe {
-        if strikes(Fault::FileSync) {
-            fail(&[libc::EIO, libc::ENOSPC])
-        } else {
-            real!("fdatasync", Fsync)(fd)
-        }
+replace! {
+    fn fdatasync(fd: c_int) -> c_int as original {
+        if is_drawn(Fault::FileSync) { fail(&SYNC_ERRORS) } else { original(fd) }
     }
 }
 
-type Open64 = unsafe extern "C" fn(*const c_char, c_int, libc::mode_t) -> c_int;
-
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: libc::mode_t) -> c_int {
-    unsafe {
-        if strikes(Fault::Open) {
-            return fail(&[libc::EMFILE, libc::ENFILE, libc::EACCES]);
-        }
-        real!("open64", Open64)(path, flags, mode)
+replace! {
+    fn open64(path: *const c_char, flags: c_int, mode: libc::mode_t) -> c_int as original {
+        if is_drawn(Fault::FileOpen) { fail(&OPEN_ERRORS) } else { original(path, flags, mode) }
     }
 }
 
-type PthreadCreate = unsafe extern "C" fn(
-    *mut libc::pthread_t,
-    *const libc::pthread_attr_t,
-    extern "C" fn(*mut c_void) -> *mut c_void,
-    *mut c_void,
-) -> c_int;
-
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn pthread_create(
-    thread: *mut libc::pthread_t,
-    attributes: *const libc::pthread_attr_t,
-    run: extern "C" fn(*mut c_void) -> *mut c_void,
-    argument: *mut c_void,
-) -> c_int {
-    unsafe {
-        if strikes(Fault::Thread) {
+replace! {
+    fn pthread_create(
+        thread: *mut libc::pthread_t,
+        attributes: *const libc::pthread_attr_t,
+        run: extern "C" fn(*mut c_void) -> *mut c_void,
+        argument: *mut c_void,
+    ) -> c_int as original {
+        if is_drawn(Fault::ThreadStart) {
             return libc::EAGAIN;
         }
-        real!("pthread_create", PthreadCreate)(thread, attributes, run, argument)
+        original(thread, attributes, run, argument)
     }
 }
 
-type Poll = unsafe extern "C" fn(*mut libc::pollfd, libc::nfds_t, c_int) -> c_int;
-
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn poll(fds: *mut libc::pollfd, count: libc::nfds_t, timeout: c_int) -> c_int {
-    unsafe {
-        if strikes(Fault::Interrupt) {
-            fail(&[libc::EINTR])
-        } else {
-            real!("poll", Poll)(fds, count, timeout)
-        }
+replace! {
+    fn poll(fds: *mut libc::pollfd, count: libc::nfds_t, timeout: c_int) -> c_int as original {
+        if is_drawn(Fault::Interrupt) { fail(&INTERRUPT_ERRORS) } else { original(fds, count, timeout) }
     }
 }
 
-type EpollWait = unsafe extern "C" fn(c_int, *mut libc::epoll_event, c_int, c_int) -> c_int;
-
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn epoll_wait(
-    epoll: c_int,
-    events: *mut libc::epoll_event,
-    most: c_int,
-    timeout: c_int,
-) -> c_int {
-    unsafe {
-        if strikes(Fault::Interrupt) {
-            return fail(&[libc::EINTR]);
+replace! {
+    fn epoll_wait(
+        epoll: c_int,
+        events: *mut libc::epoll_event,
+        max_events: c_int,
+        timeout: c_int,
+    ) -> c_int as original {
+        if is_drawn(Fault::Interrupt) {
+            return fail(&INTERRUPT_ERRORS);
         }
-        real!("epoll_wait", EpollWait)(epoll, events, most, timeout)
+        original(epoll, events, max_events, timeout)
     }
 }
--- a/faults/tests/preload.rs
+++ b/faults/tests/preload.rs
@@ -1,5 +1,5 @@
 //! The library in processes of its own: this test program, started anew with the library preloaded, does one thing that
-//! the library may disturb and says what came of it.
+//! the library may disturb and prints the result.
 use fault_control::{CONTROL_VARIABLE, ControlFile, Fault, SCALE};
 use std::fs::File;
 use std::io::{Read, Write};
@@ -10,6 +10,10 @@
 
 /// What the started process is to do.
 const TASK_VARIABLE: &str = "DAMSONVALE_FAULTS_TASK";
+/// A folder for the files of the started process.
+const FOLDER_VARIABLE: &str = "DAMSONVALE_FAULTS_FOLDER";
+/// Precedes the result in the started process's output.
+const RESULT_MARK: &str = "result: ";
 
 fn library() -> PathBuf {
     let program = std::env::current_exe().unwrap();
@@ -25,12 +29,12 @@
         .env("LD_PRELOAD", library())
         .env(CONTROL_VARIABLE, control)
         .env(TASK_VARIABLE, task)
-        .env("DAMSONVALE_FAULTS_FOLDER", control.parent().unwrap())
+        .env(FOLDER_VARIABLE, control.parent().unwrap())
         .output()
         .unwrap();
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
-    let said = text.split("said: ").nth(1).and_then(|rest| rest.lines().next());
-    said.unwrap_or_else(|| panic!("{task}: {text} {}", String::from_utf8_lossy(&output.stderr))).to_string()
+    let result = text.split(RESULT_MARK).nth(1).and_then(|rest| rest.lines().next());
+    result.unwrap_or_else(|| panic!("{task}: {text} {}", String::from_utf8_lossy(&output.stderr))).to_string()
 }
 
 fn control() -> (tempfile::TempDir, PathBuf, ControlFile) {
@@ -48,7 +52,7 @@
 #[test]
 fn task_of_a_started_process() {
     let Ok(task) = std::env::var(TASK_VARIABLE) else { return };
-    let said = match task.as_str() {
+    let result = match task.as_str() {
         "clock" => {
             let monotonic = Instant::now();
             format!("{} {}", unix_seconds(), monotonic.elapsed() < Duration::from_secs(5))
@@ -58,7 +62,7 @@
             // Only now: the test harness of this process has started a thread of its own.
             let path = std::env::var(CONTROL_VARIABLE).unwrap();
             let control = ControlFile::open(Path::new(&path)).unwrap();
-            control.set_fault(Fault::Thread, SCALE).unwrap();
+            control.set_fault_rate(Fault::ThreadStart, SCALE).unwrap();
             let failed = start();
             control.clear_faults().unwrap();
             format!("{failed:?} {:?}", start())
@@ -83,13 +87,13 @@
             format!("{written} {read}")
         }
         "file" => {
-            let folder = PathBuf::from(std::env::var("DAMSONVALE_FAULTS_FOLDER").unwrap());
+            let folder = PathBuf::from(std::env::var(FOLDER_VARIABLE).unwrap());
             let mut file = File::create(folder.join("written")).unwrap();
             format!("{} {}", file.write_all(b"abcdef").is_err(), file.sync_all().is_err())
         }
         other => panic!("no task {other}"),
     };
-    println!("said: {said}");
+    println!("{RESULT_MARK}{result}");
 }
 
 #[test]
@@ -98,10 +102,10 @@
     assert!(run("clock", &path).ends_with("true"));
     for hours in [-1i64, 1] {
         control.set_clock_offset(hours * 3_600_000_000).unwrap();
-        let said = run("clock", &path);
-        let seconds: u64 = said.split(' ').next().unwrap().parse().unwrap();
+        let result = run("clock", &path);
+        let seconds: u64 = result.split(' ').next().unwrap().parse().unwrap();
         let expected = unix_seconds().checked_add_signed(hours * 3600).unwrap();
-        assert!(seconds.abs_diff(expected) <= 2, "{said}");
+        assert!(seconds.abs_diff(expected) <= 2, "{result}");
     }
 }
 
@@ -111,12 +115,12 @@
     let cases = [
         (Fault::Accept, "accept", "true", "false"),
         (Fault::Connect, "connect", "true", "false"),
-        (Fault::Short, "short", "1 1", "3 3"),
+        (Fault::ShortTransfer, "short", "1 1", "3 3"),
         (Fault::FileWrite, "file", "true false", "false false"),
         (Fault::FileSync, "file", "false true", "false false"),
     ];
     for (fault, task, failing, working) in cases {
-        control.set_fault(fault, SCALE).unwrap();
+        control.set_fault_rate(fault, SCALE).unwrap();
         assert_eq!(run(task, &path), failing, "{fault:?}");
         control.clear_faults().unwrap();
         assert_eq!(run(task, &path), working, "{fault:?}");
--- a/soak/src/platform/troubles.rs
+++ b/soak/src/platform/troubles.rs
@@ -131,15 +131,15 @@
             Kind::ClockOne => self.routers[router].control.set_clock_offset(trouble.amount * 1_000_000)?,
             Kind::Syscalls => {
                 let control = &self.routers[router].control;
-                control.set_fault(Fault::Accept, 50_000)?;
-                control.set_fault(Fault::Socket, 50_000)?;
-                control.set_fault(Fault::Connect, 50_000)?;
-                control.set_fault(Fault::Interrupt, 20_000)?;
-                control.set_fault(Fault::Short, 100_000)?;
-                control.set_fault(Fault::Break, 5_000)?;
+                control.set_fault_rate(Fault::Accept, 50_000)?;
+                control.set_fault_rate(Fault::Socket, 50_000)?;
+                control.set_fault_rate(Fault::Connect, 50_000)?;
+                control.set_fault_rate(Fault::Interrupt, 20_000)?;
+                control.set_fault_rate(Fault::ShortTransfer, 100_000)?;
+                control.set_fault_rate(Fault::ConnectionLoss, 5_000)?;
             }
-            Kind::Threads => self.routers[router].control.set_fault(Fault::Thread, 600_000)?,
-            Kind::Disk => self.routers[router].control.set_fault(Fault::FileWrite, 500_000)?,
+            Kind::Threads => self.routers[router].control.set_fault_rate(Fault::ThreadStart, 600_000)?,
+            Kind::Disk => self.routers[router].control.set_fault_rate(Fault::FileWrite, 500_000)?,
             Kind::Maintenance => self.take_out_by_hand(trouble),
         }
         Ok(())
--- a/soak/src/serve.rs
+++ b/soak/src/serve.rs
@@ -207,14 +207,14 @@
             }
             (Kind::Syscalls, true) => {
                 let control = &self.routers[router].control;
-                control.set_fault(Fault::Interrupt, 20_000)?;
-                control.set_fault(Fault::Short, 100_000)?;
-                control.set_fault(Fault::Connect, 50_000)?;
+                control.set_fault_rate(Fault::Interrupt, 20_000)?;
+                control.set_fault_rate(Fault::ShortTransfer, 100_000)?;
+                control.set_fault_rate(Fault::Connect, 50_000)?;
             }
             (Kind::Disk, true) => {
                 let control = &self.routers[router].control;
-                control.set_fault(Fault::FileWrite, 300_000)?;
-                control.set_fault(Fault::FileSync, 300_000)?;
+                control.set_fault_rate(Fault::FileWrite, 300_000)?;
+                control.set_fault_rate(Fault::FileSync, 300_000)?;
             }
             (Kind::Syscalls | Kind::Disk, false) => self.routers[router].control.clear_faults()?,
             _ => {}
