--- /dev/null
+++ b/lab/tests/recorded_output.rs
@@ -0,0 +1,151 @@
+//! What the commands print and write, recorded as text: neither a line nor a flag moves.
+use parquet::file::reader::{FileReader, SerializedFileReader};
+use std::path::Path;
+use std::process::Command;
+use tempfile::TempDir;
+
+const PLAN: &str = "name = 'small'\nseconds = 4\nwarmup_s = 1\nrate = 300\nsessions = 30\nship_ms = 200\n\
+                    [[trouble]]\nkind = 'crash_replica'\nat_s = 1.5\nfor_s = 0.5\n";
+
+const LOG: &str = "\
+0.10 event RequestArrived { id: RequestId(7), class: 2, .. }
+0.20 event RequestArrived { id: RequestId(8), class: 1, .. }
+0.25 event RequestArrived { id: RequestId(9), class: 0, .. }
+0.30 action Send { request: RequestId(7), member: MemberId(3) }
+0.40 link: None member=3
+0.45 link: Some(Refused) member=4
+1.20 event AttemptEnded { request: RequestId(7), member: MemberId(3), outcome: Reset, .. }
+1.50 action Reject { request: RequestId(7) }
+1.60 action Reject { request: RequestId(8) }
+1.65 action Fail { request: RequestId(9) }
+1.70 event ProbeEnded { member: MemberId(3), outcome: Reset, report: MemberReport { primary: None } }
+1.80 event ProbeEnded { member: MemberId(4), outcome: Ok, report: MemberReport { primary: Some(true) } }
+2.00 action Probe { member: MemberId(3) }
+2.10 action Probe { member: MemberId(4) }
+2.20 action Probe { member: MemberId(5) }
+a line of something else
+";
+
+/// The tool's exit code and all that it prints, with the folder's path left out.
+fn printed(folder: &TempDir, arguments: &[&str]) -> String {
+    let output = Command::new(env!("CARGO_BIN_EXE_damsonvale-lab"))
+        .current_dir(folder)
+        .env("COLUMNS", "100")
+        .args(arguments)
+        .output()
+        .unwrap();
+    let (stdout, stderr) =
+        (String::from_utf8(output.stdout).unwrap(), String::from_utf8(output.stderr).unwrap());
+    let own = folder.path().display().to_string();
+    format!("$ {}\n{stdout}{stderr}exit {:?}\n\n", arguments.join(" "), output.status.code())
+        .replace(&own, "FOLDER")
+}
+
+/// Compares with a recorded text; `DAMSONVALE_RECORD=1` writes it anew.
+fn assert_recorded(name: &str, text: &str) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    if std::env::var_os("DAMSONVALE_RECORD").is_some() {
+        std::fs::write(&path, text).unwrap();
+    }
+    assert_eq!(text, std::fs::read_to_string(&path).unwrap(), "{name}");
+}
+
+fn folder_with(files: &[(&str, &str)]) -> TempDir {
+    let folder = tempfile::tempdir().unwrap();
+    for (name, text) in files {
+        std::fs::write(folder.path().join(name), text).unwrap();
+    }
+    folder
+}
+
+fn written(folder: &TempDir, name: &str) -> String {
+    std::fs::read_to_string(folder.path().join(name)).unwrap()
+}
+
+#[test]
+fn runs_sweeps_and_comparisons_print_and_write_as_recorded() {
+    let folder = folder_with(&[("plan.toml", PLAN)]);
+    let text = [
+        printed(&folder, &["run", "plan.toml"]),
+        printed(&folder, &["run", "plan.toml", "--seeds", "3", "--threads", "2", "--out", "before"]),
+        printed(
+            &folder,
+            &["sweep", "plan.toml", "--key", "trouble.0.count", "--values", "1,4", "--out", "sweep"],
+        ),
+        printed(
+            &folder,
+            &["sweep", "plan.toml", "--key", "name", "--values", "small", "--seeds", "2", "--out", "named"],
+        ),
+        printed(&folder, &["compare", "before", "sweep"]),
+        printed(&folder, &["run", "plan.toml", "--seeds", "2", "--out", "after"]),
+        printed(&folder, &["compare", "before", "after", "--spread", "spread.svg"]),
+    ]
+    .concat();
+    assert_recorded("runs.txt", &text);
+    assert_recorded("results.json", &written(&folder, "after/results.json"));
+    assert_recorded("seconds.svg", &written(&folder, "after/seconds.svg"));
+    assert_recorded("spread.svg", &written(&folder, "spread.svg"));
+    let file = std::fs::File::open(folder.path().join("after/seconds.parquet")).unwrap();
+    let reader = SerializedFileReader::new(file).unwrap();
+    let rows: Vec<String> = reader.get_row_iter(None).unwrap().map(|row| row.unwrap().to_string()).collect();
+    assert_recorded("seconds.txt", &(rows.join("\n") + "\n"));
+}
+
+#[test]
+fn broken_rules_are_printed_as_recorded() {
+    let plan = format!("plant = 'forget_sessions'\n{PLAN}");
+    let folder = folder_with(&[("plan.toml", &plan)]);
+    let text = [
+        printed(&folder, &["run", "plan.toml", "--out", "broken"]),
+        printed(&folder, &["compare", "broken", "broken"]),
+    ];
+    assert_recorded("broken.txt", &text.concat());
+}
+
+#[test]
+fn counts_of_a_log_are_printed_as_recorded() {
+    let folder = folder_with(&[("a.log", LOG), ("b.log", LOG), ("c.txt", LOG)]);
+    assert_recorded("counts.txt", &printed(&folder, &["count", "."]));
+}
+
+#[test]
+fn commands_and_flags_are_listed_as_recorded() {
+    let folder = folder_with(&[]);
+    let commands = ["run", "sweep", "load", "processes", "compare", "plan", "soak", "life", "count"];
+    let mut text = printed(&folder, &["--help"]);
+    commands.iter().for_each(|command| text += &printed(&folder, &[command, "--help"]));
+    assert_recorded("help.txt", &text);
+    assert_recorded("plan.txt", &printed(&folder, &["plan"]));
+}
+
+#[test]
+fn faulty_arguments_and_files_are_refused_as_recorded() {
+    let folder = folder_with(&[
+        ("plan.toml", PLAN),
+        ("no.toml", "= ="),
+        ("bad.toml", "rates = 1\n"),
+        ("no.pcap", "none"),
+    ]);
+    std::fs::create_dir(folder.path().join("empty")).unwrap();
+    std::fs::write(folder.path().join("empty/results.json"), "{}").unwrap();
+    std::fs::write(folder.path().join("empty/log"), "nothing\n").unwrap();
+    let load = ["load", "127.0.0.1:1", "--user", "u", "--database", "d"];
+    let with = |more: &[&str]| printed(&folder, &[&load[..], more].concat());
+    let text = [
+        printed(&folder, &["run", "none.toml"]),
+        printed(&folder, &["run", "no.toml"]),
+        printed(&folder, &["run", "bad.toml"]),
+        printed(&folder, &["run", "plan.toml", "--out", "plan.toml/x"]),
+        printed(&folder, &["sweep", "plan.toml", "--key", "trouble.7.count", "--values", "1"]),
+        printed(&folder, &["sweep", "plan.toml", "--key", "rate", "--values", "a'b"]),
+        printed(&folder, &["compare", "none", "none"]),
+        printed(&folder, &["compare", "empty", "empty"]),
+        printed(&folder, &["count", "none"]),
+        printed(&folder, &["life", "empty/log", "--request", "2"]),
+        printed(&folder, &["processes", "bad.toml"]),
+        with(&["--statement", "x"]),
+        with(&[]),
+        with(&["--pcap", "no.pcap"]),
+    ];
+    assert_recorded("errors.txt", &text.concat());
+}
--- /dev/null
+++ b/simulator/tests/recorded_runs.rs
@@ -0,0 +1,150 @@
+//! Runs and plans recorded as text: what a plan and a seed give, and the keys of a plan's file, never change.
+use simulator::plan::{Kind, Plant, Trouble};
+use simulator::{Plan, Results, play};
+use std::path::Path;
+
+const KINDS: [(Kind, f64); 14] = [
+    (Kind::CrashPrimary, 1.0),
+    (Kind::CrashReplica, 1.0),
+    (Kind::CrashHall, 1.0),
+    (Kind::Hang, 1.0),
+    (Kind::FastErrors, 1.0),
+    (Kind::Slow, 5.0),
+    (Kind::Gray, 0.3),
+    (Kind::SlowDisk, 20.0),
+    (Kind::Partition, 1.0),
+    (Kind::RegistryOutage, 1.0),
+    (Kind::Drain, 1.0),
+    (Kind::RestartRouters, 1.0),
+    (Kind::Reconnect, 1.0),
+    (Kind::Surge, 4.0),
+];
+
+/// Compares with a recorded text; `DAMSONVALE_RECORD=1` writes it anew.
+fn assert_recorded(name: &str, text: &str) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    if std::env::var_os("DAMSONVALE_RECORD").is_some() {
+        std::fs::write(&path, text).unwrap();
+    }
+    assert_eq!(text, std::fs::read_to_string(&path).unwrap(), "{name}");
+}
+
+fn short_plan(name: &str) -> Plan {
+    Plan { name: name.into(), seed: 7, seconds: 5.0, warmup_s: 1.0, rate: 500.0, ..Plan::default() }
+}
+
+fn fnv1a(text: &str) -> u64 {
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
+    })
+}
+
+fn summary_line(results: &Results) -> String {
+    let json = serde_json::to_string(results).unwrap();
+    let total = serde_json::to_string(&results.total()).unwrap();
+    format!("{}: hash {:016x}, total {total}\n", results.plan, fnv1a(&json))
+}
+
+#[test]
+fn run_of_each_fault_kind_matches_recording() {
+    let mut lines = summary_line(&play(&short_plan("calm")));
+    for (kind, by) in KINDS {
+        let trouble = Trouble { kind, at_s: 1.5, for_s: 1.5, count: 2, by };
+        let plan = Plan { trouble: vec![trouble], ..short_plan(&format!("{kind:?}")) };
+        lines += &summary_line(&play(&plan));
+    }
+    assert_recorded("runs.txt", &lines);
+}
+
+#[test]
+fn run_with_all_faults_at_once_matches_recording() {
+    let trouble = KINDS
+        .iter()
+        .enumerate()
+        .map(|(n, (kind, by))| Trouble {
+            kind: *kind,
+            at_s: 1.0 + 0.2 * n as f64,
+            for_s: 0.7,
+            count: 1,
+            by: *by,
+        })
+        .collect();
+    let plan = Plan { trouble, ..short_plan("all") };
+    assert_recorded("all.json", &(serde_json::to_string_pretty(&play(&plan)).unwrap() + "\n"));
+}
+
+#[test]
+fn run_with_injected_bug_matches_recording() {
+    let drain = Trouble { kind: Kind::Drain, at_s: 2.0, for_s: 2.0, count: 2, by: 1.0 };
+    for (plant, name) in [
+        (Plant::ForgetSessions, "forget_sessions"),
+        (Plant::IgnoreDrains, "ignore_drains"),
+        (Plant::DenyResets, "deny_resets"),
+    ] {
+        let reset = |n| Trouble {
+            kind: Kind::Reconnect,
+            at_s: 1.0 + f64::from(n) * 0.2,
+            for_s: 0.0,
+            count: 0,
+            by: 1.0,
+        };
+        let mut trouble = vec![drain.clone()];
+        if plant == Plant::DenyResets {
+            trouble.extend((0..10).map(reset));
+        }
+        let mut plan = Plan { trouble, plant: Some(plant), sessions: 30, ship_ms: 200.0, ..short_plan(name) };
+        plan.class.last_mut().unwrap().share = 30.0;
+        let results = play(&plan);
+        assert!(!results.broken.is_empty(), "{name}");
+        let text = serde_json::to_string_pretty(&results).unwrap() + "\n";
+        assert_recorded(&format!("{name}.json"), &text);
+        // Numbers with a fraction are read again to within their last digit.
+        let read: Results = serde_json::from_str(&text).unwrap();
+        assert_eq!(Results { spread: results.spread.clone(), ..read }, results, "{name}");
+    }
+}
+
+#[test]
+fn default_plan_is_written_with_recorded_keys() {
+    assert_recorded("default.toml", &toml::to_string(&Plan::default()).unwrap());
+}
+
+#[test]
+fn plan_with_every_fault_kind_and_bug_is_read_and_written_as_recorded() {
+    let text = |plan: &Plan| toml::to_string(plan).unwrap();
+    let trouble =
+        KINDS.iter().map(|(kind, by)| Trouble { kind: *kind, at_s: 1.0, for_s: 2.0, count: 3, by: *by });
+    let mut plan = Plan { trouble: trouble.collect(), ..Plan::default() };
+    let mut written = String::new();
+    for plant in [Plant::ForgetSessions, Plant::IgnoreDrains, Plant::DenyResets] {
+        plan.plant = Some(plant);
+        written += &text(&plan);
+        written += "# next\n";
+    }
+    assert_recorded("plans.toml", &written);
+    for one in written.split("# next\n").filter(|one| !one.is_empty()) {
+        assert_eq!(text(&Plan::read(one).unwrap()), one);
+    }
+}
+
+#[test]
+fn faulty_plan_is_refused_with_recorded_message() {
+    let class = "[[class]]\nname='a'\n";
+    let rest = "work_ms=1\nshare=1\n";
+    let mut messages = String::new();
+    for text in [
+        "ratee = 1".to_string(),
+        "rate = 0".into(),
+        "warmup_s = 99".into(),
+        "class = []".into(),
+        "[[trouble]]\nkind = 'fire'\nat_s = 1".into(),
+        "[[trouble]]\nkind = 'hang'\nat = 1".into(),
+        "plant = 'weed'".into(),
+        format!("{class}freshness='x'\naim_ms=1\ndeadline_ms=2\n{rest}"),
+        format!("{class}freshness='any'\naim_ms=3\ndeadline_ms=2\n{rest}"),
+        format!("{class}freshness='write'\nsafe=true\naim_ms=1\ndeadline_ms=2\n{rest}"),
+    ] {
+        messages += &format!("{}\n\n", Plan::read(&text).unwrap_err().to_string().trim_end());
+    }
+    assert_recorded("plan_errors.txt", &messages);
+}
