--- a/lab/src/chart.rs
+++ b/lab/src/chart.rs
@@ -49,7 +49,7 @@
     area.fill(&WHITE)?;
     let mut series = Vec::new();
     for (of, label, colour) in [(&before, "before", RED), (&after, "after", BLUE)] {
-        let over = |c: &&Case| c.results.spread.fleet_10s.mean - c.results.spread.fleet_10s.chance;
+        let over = |c: &&Case| c.results.spread.fleet_10s.mean - c.results.spread.fleet_10s.random_mean;
         let all = names.iter().enumerate().filter_map(|(n, name)| {
             let (_, cases) = of.iter().find(|(b, _)| b == name)?;
             Some((n as f64, interval(&cases.iter().map(over).collect::<Vec<_>>())))
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -123,15 +123,21 @@
     (0..how.seeds.max(1)).map(seeded).collect()
 }
 
+/// The rules that a run violated, and how often.
+fn violated_rules(results: &Results) -> String {
+    let rules = results.violations.iter().map(|(rule, count)| format!("{rule}: {count}"));
+    format!("{{{}}}", rules.collect::<Vec<_>>().join(", "))
+}
+
 fn told(cases: &[Case], out: Option<&Path>, title: &str) -> Result<(), Error> {
     print!("{}", table::summary(cases));
     if let [only] = cases {
         print!("\n{}", table::classes(&only.results));
     }
     print!("\n{}", spread::summary(cases));
-    for c in cases.iter().filter(|c| !c.results.broken.is_empty()) {
-        println!("{}: RULES BROKEN: {:?}", c.name, c.results.broken);
-        c.results.first_broken.iter().for_each(|b| println!("  {b}"));
+    for c in cases.iter().filter(|c| !c.results.violations.is_empty()) {
+        println!("{}: RULES BROKEN: {}", c.name, violated_rules(&c.results));
+        c.results.first_violations.iter().for_each(|b| println!("  {b}"));
     }
     if let Some(out) = out {
         std::fs::create_dir_all(out).map_err(|e| Error::write(out, e))?;
@@ -140,7 +146,7 @@
         println!("\nresults.json, seconds.parquet and seconds.svg are in {}", out.display());
     }
     // A broken rule is a failed experiment, whatever its figures are.
-    let broken = cases.iter().filter(|c| !c.results.broken.is_empty()).count();
+    let broken = cases.iter().filter(|c| !c.results.violations.is_empty()).count();
     if broken > 0 { Err(Error::Broken { broken, cases: cases.len() }) } else { Ok(()) }
 }
 
@@ -184,7 +190,7 @@
         set(&mut t, "name", "a b").unwrap();
         set(&mut t, "trouble.0.count", "3").unwrap();
         let p = Plan::read(&toml::to_string(&t).unwrap()).unwrap();
-        assert_eq!((p.rate, p.name.as_str(), p.trouble[0].count), (250.0, "a b", 3));
+        assert_eq!((p.request_rate, p.name.as_str(), p.faults[0].count), (250.0, "a b", 3));
         assert!(set(&mut t, "trouble.7.count", "3").is_err());
         assert!(set(&mut t, "rate.x", "3").is_err());
         assert!(set(&mut t, "nothing.x", "3").is_err());
@@ -192,7 +198,7 @@
 
     #[test]
     fn cases_come_back_in_order_and_do_not_depend_on_threads() {
-        let plan = Plan { seconds: 2.0, warmup_s: 0.5, rate: 200.0, ..Plan::default() };
+        let plan = Plan { duration_s: 2.0, warmup_s: 0.5, request_rate: 200.0, ..Plan::default() };
         let how = How { seeds: 5, threads: 1, out: None };
         let of = |threads| play_all(seeds("x", &plan, &how), threads);
         let (one, four) = (of(1), of(4));
--- a/lab/src/spread.rs
+++ b/lab/src/spread.rs
@@ -1,7 +1,7 @@
 //! How evenly replicas were given work, over the seeds of a case, with bootstrap intervals.
 use crate::run::Case;
 use fastrand::Rng;
-use simulator::spread::{Ratio, Spread};
+use simulator::load_spread::{Imbalance, LoadSpread};
 use std::fmt::Write;
 
 /// Draws of a bootstrap.
@@ -19,10 +19,10 @@
     (mean, means[DRAWS / 40], means[DRAWS - 1 - DRAWS / 40])
 }
 
-type Figure = (&'static str, fn(&Spread) -> f64);
+type Figure = (&'static str, fn(&LoadSpread) -> f64);
 
-fn over(r: &Ratio) -> f64 {
-    r.mean - r.chance
+fn over(r: &Imbalance) -> f64 {
+    r.mean - r.random_mean
 }
 
 /// What is told of each case; `over` is most against mean beyond what chance alone gives.
@@ -30,15 +30,15 @@
     ("group 10 s, most/mean", |s| s.group_10s.mean),
     ("over", |s| over(&s.group_10s)),
     ("worst", |s| s.group_10s.worst),
-    ("of chance", |s| s.group_10s.chance_worst),
+    ("of chance", |s| s.group_10s.random_worst),
     ("fleet 10 s", |s| s.fleet_10s.mean),
     ("over", |s| over(&s.fleet_10s)),
     ("group 1 s", |s| s.group_1s.mean),
     ("over", |s| over(&s.group_1s)),
-    ("after, worst 10 s", |s| s.after_10s.worst),
-    ("after, worst 1 s", |s| s.after_1s.worst),
-    ("of chance", |s| s.after_1s.chance_worst),
-    ("idle %", |s| 100.0 * s.idle),
+    ("after, worst 10 s", |s| s.after_fault_10s.worst),
+    ("after, worst 1 s", |s| s.after_fault_1s.worst),
+    ("of chance", |s| s.after_fault_1s.random_worst),
+    ("idle %", |s| 100.0 * s.idle_share),
 ];
 
 /// Cases without their seeds, each with the results of all of its seeds, in order.
@@ -68,8 +68,9 @@
         for (what, of) in FIGURES {
             told(what, all.iter().map(|c| of(&c.results.spread)).collect());
         }
-        let p99 =
-            |c: &&Case| c.results.classes.values().map(|(_, l)| l.p99).max().unwrap_or(0) as f64 / 1000.0;
+        let p99 = |c: &&Case| {
+            c.results.classes.values().map(|class| class.latency.p99).max().unwrap_or(0) as f64 / 1000.0
+        };
         told("slowest class, p99 ms", all.iter().map(p99).collect());
         told("in time %", all.iter().map(|c| 100.0 * c.results.total().goodput()).collect());
     }
--- a/lab/src/table.rs
+++ b/lab/src/table.rs
@@ -6,7 +6,7 @@
 use parquet::file::writer::SerializedFileWriter;
 use parquet::schema::parser::parse_message_type;
 use simulator::Results;
-use simulator::result::Counts;
+use simulator::results::Counts;
 use std::fmt::Write;
 use std::path::Path;
 use std::sync::Arc;
@@ -40,13 +40,13 @@
             t.offered,
             share(t.in_time, t.offered),
             share(t.late, t.offered),
-            share(t.refused, t.offered),
+            share(t.rejected, t.offered),
             share(t.failed, t.offered),
             100.0 * r.worst_second(),
             t.attempts as f64 / t.offered.max(1) as f64,
-            share(t.at_primary, t.attempts),
-            share(t.crossings, t.attempts),
-            if r.broken.is_empty() { "kept" } else { "BROKEN" }
+            share(t.primary_attempts, t.attempts),
+            share(t.cross_zone_attempts, t.attempts),
+            if r.violations.is_empty() { "kept" } else { "BROKEN" }
         );
     }
     text
@@ -58,7 +58,8 @@
         "{:<20}{:>10}{:>9}{:>8}{:>9}{:>8}{:>10}{:>10}{:>10}\n",
         "class", "offered", "in time", "late", "refused", "failed", "p50 ms", "p99 ms", "max ms"
     );
-    for (name, (c, l)) in &r.classes {
+    for (name, class) in &r.classes {
+        let (c, l) = (&class.counts, &class.latency);
         let ms = |us: u64| us as f64 / 1000.0;
         _ = writeln!(
             text,
@@ -66,7 +67,7 @@
             c.offered,
             share(c.in_time, c.offered),
             share(c.late, c.offered),
-            share(c.refused, c.offered),
+            share(c.rejected, c.offered),
             share(c.failed, c.offered),
             ms(l.p50),
             ms(l.p99),
@@ -98,7 +99,7 @@
         for n in 0..3 {
             _ = write!(text, "{:>9.2} {:>+8.2}", y[n], y[n] - x[n]);
         }
-        _ = writeln!(text, "{}", if a.results.broken.is_empty() { "" } else { "  RULES BROKEN" });
+        _ = writeln!(text, "{}", if a.results.violations.is_empty() { "" } else { "  RULES BROKEN" });
     }
     for b in before.iter().filter(|b| !after.iter().any(|a| a.name == b.name)) {
         _ = writeln!(text, "{:<34}{:>18}", b.name, "gone");
@@ -131,11 +132,11 @@
     ("offered", |c| c.offered),
     ("in_time", |c| c.in_time),
     ("late", |c| c.late),
-    ("refused", |c| c.refused),
+    ("refused", |c| c.rejected),
     ("failed", |c| c.failed),
     ("attempts", |c| c.attempts),
-    ("at_primary", |c| c.at_primary),
-    ("crossings", |c| c.crossings),
+    ("at_primary", |c| c.primary_attempts),
+    ("crossings", |c| c.cross_zone_attempts),
     ("handshakes", |c| c.handshakes),
     ("probes", |c| c.probes),
     ("retries", |c| c.retries),
@@ -181,7 +182,7 @@
 
     #[test]
     fn what_is_written_is_read_again() {
-        let results = play(&Plan { seconds: 3.0, warmup_s: 1.0, rate: 200.0, ..Plan::default() });
+        let results = play(&Plan { duration_s: 3.0, warmup_s: 1.0, request_rate: 200.0, ..Plan::default() });
         let cases = [Case { name: "a".into(), results }];
         let out = tempfile::tempdir().unwrap();
         write(out.path(), &cases).unwrap();
--- a/simulator/src/node.rs
+++ b/simulator/src/node.rs
@@ -1,163 +1,143 @@
-//! A server: cores, a queue, connections, a log that it writes or applies, and what can be wrong with it.
+//! A simulated server: cores, a queue, connections, the replication log that it writes or applies, and its faults.
 use decision::Time;
 use std::collections::VecDeque;
 
-/// What a node is asked to do.
+/// An attempt as a node works on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// The router that asked, and its start.
+    /// The router that sent it.
     pub router: usize,
-    /// The start of the router.
+    /// The router's epoch, which rises with each restart.
     pub epoch: u32,
-    /// The request at that router.
+    /// The request's number at that router.
     pub request: u64,
-    /// The attempt.
+    /// The attempt's index within the request.
     pub attempt: u32,
-    /// The class.
+    /// Index of the request's class.
     pub class: usize,
-    /// The client whose request it is.
+    /// The client that made the request.
     pub client: u64,
 }
 
+/// A commit that a replica has received and not yet applied.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReceivedCommit {
+    /// When the primary committed it.
+    pub committed_at: Time,
+    /// When the replica will have applied it.
+    pub applied_at: Time,
+}
+
 /// A server.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Its group.
+    /// Its replication group.
     pub group: usize,
-    /// Its hall.
-    pub hall: usize,
-    /// It takes writes.
+    /// Its zone.
+    pub zone: usize,
+    /// Whether it accepts writes.
     pub primary: bool,
-    /// Its process runs.
+    /// Whether its process runs.
     pub up: bool,
-    /// It answers nothing.
+    /// Whether it answers nothing.
     pub hung: bool,
-    /// It answers with errors at once.
-    pub errs: bool,
-    /// It is slower by this.
-    pub slow: f64,
-    /// This share of its work takes ten times as long.
-    pub gray: f64,
-    /// Its disk is slower by this.
-    pub disk: f64,
-    /// Its process's start.
+    /// Whether it answers with errors at once.
+    pub failing: bool,
+    /// Factor by which it is slower.
+    pub slowdown: f64,
+    /// Share of its requests that take ten times as long.
+    pub gray_share: f64,
+    /// Factor by which its disk is slower.
+    pub disk_slowdown: f64,
+    /// Rises with each crash.
     pub epoch: u32,
-    /// When it started; long ago for the first.
-    pub started: Option<Time>,
-    /// Work on its cores.
-    pub busy: usize,
-    /// Work that waits.
-    pub waiting: VecDeque<Job>,
+    /// When its process started; `None` for one that has run since long before the simulation.
+    pub started_at: Option<Time>,
+    /// Cores that serve a request.
+    pub busy_cores: usize,
+    /// Requests that wait for a core.
+    pub queue: VecDeque<Job>,
     /// Connections open to it.
     pub connections: usize,
-    /// Commits that have come and are not applied: when they were made, and when they will be.
-    pub applying: VecDeque<(Time, Time)>,
-    /// It has applied everything up to here.
-    pub applied: Time,
-    /// Requests that came of late, while it was cold.
-    pub recent: VecDeque<Time>,
-    /// It has been pushed over.
-    pub fallen: bool,
+    /// Commits received and not applied, oldest first.
+    pub unapplied: VecDeque<ReceivedCommit>,
+    /// Position up to which it has applied every commit.
+    pub applied_position: Time,
+    /// When it received the requests of the last second, while it warms up.
+    pub recent_arrivals: VecDeque<Time>,
 }
 
 impl Node {
-    /// One that has run for long.
-    pub fn new(group: usize, hall: usize, primary: bool) -> Node {
+    /// A node that has run since long before the simulation.
+    pub fn new(group: usize, zone: usize, primary: bool) -> Node {
         Node {
             group,
-            hall,
+            zone,
             primary,
             up: true,
             hung: false,
-            errs: false,
-            slow: 1.0,
-            gray: 0.0,
-            disk: 1.0,
+            failing: false,
+            slowdown: 1.0,
+            gray_share: 0.0,
+            disk_slowdown: 1.0,
             epoch: 0,
-            started: None,
-            busy: 0,
-            waiting: VecDeque::new(),
+            started_at: None,
+            busy_cores: 0,
+            queue: VecDeque::new(),
             connections: 0,
-            applying: VecDeque::new(),
-            applied: Time(0),
-            recent: VecDeque::new(),
-            fallen: false,
+            unapplied: VecDeque::new(),
+            applied_position: Time(0),
+            recent_arrivals: VecDeque::new(),
         }
     }
 
-    /// The share of its capacity that it has.
-    pub fn warmth(&self, now: Time, from: f64, time: i64) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
-        let age = (now.0 - started.0).max(0) as f64 / time.max(1) as f64;
-        from + (1.0 - from) * age.min(1.0)
+    /// The share of its full capacity that it has: rises from `initial_share` to 1 in `duration` microseconds after
+    /// its start.
+    pub fn capacity_share(&self, now: Time, initial_share: f64, duration: i64) -> f64 {
+        let Some(started_at) = self.started_at else { return 1.0 };
+        let progress = (now.0 - started_at.0).max(0) as f64 / duration.max(1) as f64;
+        initial_share + (1.0 - initial_share) * progress.min(1.0)
     }
 
-    /// A commit has come: its single thread applies one after the other.
-    pub fn ship(&mut self, now: Time, committed: Time, apply: i64) {
-        let free = self.applying.back().map_or(now, |(_, done)| (*done).max(now));
-        let done = Time(free.0 + (apply as f64 * self.disk) as i64);
-        self.applying.push_back((committed, done));
+    /// Receives a commit, which its single thread applies after those before it in `apply_time` microseconds.
+    pub fn receive_commit(&mut self, now: Time, committed_at: Time, apply_time: i64) {
+        let begin = self.unapplied.back().map_or(now, |last| last.applied_at.max(now));
+        let applied_at = Time(begin.0 + (apply_time as f64 * self.disk_slowdown) as i64);
+        self.unapplied.push_back(ReceivedCommit { committed_at, applied_at });
     }
 
-    /// Up to where it shows every commit. A primary stands at the present; a replica behind the heartbeats that have
-    /// come, as far as it has applied what lies before them.
-    pub fn position(&mut self, now: Time, ship: i64) -> Time {
+    /// The position up to which it shows every commit. A primary's is the present; a replica's is just before the
+    /// oldest commit that it has not applied, or `replication_delay` microseconds ago if it has applied all.
+    pub fn position(&mut self, now: Time, replication_delay: i64) -> Time {
         if self.primary {
             return now;
         }
-        while let Some((committed, _)) = self.applying.front().copied().filter(|(_, done)| *done <= now) {
-            self.applied = self.applied.max(committed);
-            self.applying.pop_front();
+        while let Some(applied) = self.unapplied.pop_front_if(|commit| commit.applied_at <= now) {
+            self.applied_position = self.applied_position.max(applied.committed_at);
         }
-        let stands = match self.applying.front() {
-            Some((committed, _)) => Time(committed.0 - 1),
-            None => Time(now.0 - ship),
+        let position = match self.unapplied.front() {
+            Some(oldest) => Time(oldest.committed_at.0 - 1),
+            None => Time(now.0 - replication_delay),
         };
-        self.applied = self.applied.max(stands);
-        self.applied
+        self.applied_position = self.applied_position.max(position);
+        self.applied_position
     }
 
-    /// Its process ends: whatever it had is gone.
+    /// Its process ends, and all of its work and connections with it.
     pub fn stop(&mut self) {
-        (self.up, self.busy, self.connections) = (false, 0, 0);
+        self.up = false;
+        self.busy_cores = 0;
+        self.connections = 0;
         self.epoch += 1;
-        self.waiting.clear();
-        self.recent.clear();
+        self.queue.clear();
+        self.recent_arrivals.clear();
     }
 
-    /// Its process starts, cold.
+    /// Its process starts and begins to warm up.
     pub fn start(&mut self, now: Time) {
-        (self.up, self.started, self.fallen) = (true, Some(now), false);
-        (self.hung, self.errs) = (false, false);
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_replica_stands_before_the_first_commit_that_it_has_not_applied() {
-        let mut n = Node::new(0, 0, false);
-        assert_eq!(n.position(Time(1000), 100), Time(900));
-        n.ship(Time(1100), Time(1000), 50);
-        n.ship(Time(1100), Time(1010), 50);
-        assert_eq!(n.position(Time(1149), 100), Time(999));
-        assert_eq!(n.position(Time(1150), 100), Time(1009));
-        assert_eq!(n.position(Time(1200), 100), Time(1100));
-        // A slow disk, and it never goes back.
-        n.disk = 10.0;
-        n.ship(Time(1300), Time(1250), 50);
-        assert_eq!(n.position(Time(1700), 100), Time(1249));
-    }
-
-    #[test]
-    fn a_started_node_warms_up() {
-        let mut n = Node::new(0, 0, false);
-        assert_eq!(n.warmth(Time(5), 0.25, 100), 1.0);
-        n.stop();
-        n.start(Time(1000));
-        assert_eq!([n.warmth(Time(1000), 0.25, 100), n.warmth(Time(1050), 0.25, 100)], [0.25, 0.625]);
-        assert_eq!(n.warmth(Time(9000), 0.25, 100), 1.0);
+        self.up = true;
+        self.started_at = Some(now);
+        self.hung = false;
+        self.failing = false;
     }
 }
--- /dev/null
+++ b/simulator/src/plan_validation.rs
@@ -0,0 +1,107 @@
+//! Reading of plans, and the checks that a plan must pass before it is played.
+use crate::plan::{ClassPlan, Plan, WRITE};
+use crate::times::from_milliseconds;
+use decision::Freshness;
+use thiserror::Error;
+
+/// Why a plan can't be played; each message names the key.
+#[derive(Debug, Error)]
+pub enum PlanError {
+    /// The text is not TOML, or has a key or a value that no plan has.
+    #[error("{0}")]
+    Toml(#[from] toml::de::Error),
+    /// A key that must be above 0 is not.
+    #[error("expected more than 0 in '{0}', found {1}")]
+    NotPositive(&'static str, f64),
+    /// No second is left to be counted after the warm-up.
+    #[error("expected 'warmup_s' to be less than 'seconds', found {0} and {1}")]
+    WarmupTooLong(f64, f64),
+    /// There is no request class.
+    #[error("expected a class: give a [[class]]")]
+    NoClass,
+    /// The work, share or times of the named class are out of range.
+    #[error("class {0}: expected work_ms > 0, share >= 0, 0 < aim_ms <= deadline_ms")]
+    ClassOutOfRange(String),
+    /// The named class writes and is marked idempotent.
+    #[error("class {0}: expected safe = false with writes")]
+    IdempotentWrite(String),
+    /// The named class has an unknown freshness, the second value.
+    #[error("class {0}: expected write, fresh, session, bounded or any in 'freshness', found '{1}'")]
+    UnknownFreshness(String, String),
+}
+
+impl Plan {
+    /// Parses a plan from TOML, and checks it.
+    ///
+    /// # Errors
+    /// The text is no plan, or [`Plan::check`] fails.
+    pub fn read(text: &str) -> Result<Plan, PlanError> {
+        let plan: Plan = toml::from_str(text)?;
+        plan.check()?;
+        Ok(plan)
+    }
+
+    /// Checks that the plan can be played.
+    ///
+    /// # Errors
+    /// The first key whose value is out of range.
+    pub fn check(&self) -> Result<(), PlanError> {
+        self.check_positive_values()?;
+        if self.warmup_s >= self.duration_s {
+            return Err(PlanError::WarmupTooLong(self.warmup_s, self.duration_s));
+        }
+        if self.classes.is_empty() {
+            return Err(PlanError::NoClass);
+        }
+        self.classes.iter().try_for_each(ClassPlan::check)
+    }
+
+    fn check_positive_values(&self) -> Result<(), PlanError> {
+        let values = [
+            ("seconds", self.duration_s),
+            ("rate", self.request_rate),
+            ("routers", self.routers as f64),
+            ("groups", self.groups as f64),
+            ("halls", self.zones as f64),
+            ("cores", self.cores as f64),
+            ("cluster", self.cluster_size as f64),
+            ("sessions", self.session_count as f64),
+            ("near_ms", self.same_zone_delay_ms),
+            ("far_ms", self.cross_zone_delay_ms),
+        ];
+        match values.iter().find(|(_, value)| !(value.is_finite() && *value > 0.0)) {
+            Some((key, value)) => Err(PlanError::NotPositive(key, *value)),
+            None => Ok(()),
+        }
+    }
+}
+
+impl ClassPlan {
+    /// What its requests require of the data that they read.
+    ///
+    /// # Errors
+    /// The freshness has an unknown name.
+    pub fn required_freshness(&self) -> Result<Freshness, PlanError> {
+        match self.freshness.as_str() {
+            WRITE => Ok(Freshness::Write),
+            "fresh" => Ok(Freshness::Latest),
+            "session" => Ok(Freshness::Session),
+            "bounded" => Ok(Freshness::Bounded(from_milliseconds(self.max_staleness_ms))),
+            "any" => Ok(Freshness::Any),
+            other => Err(PlanError::UnknownFreshness(self.name.clone(), other.into())),
+        }
+    }
+
+    fn check(&self) -> Result<(), PlanError> {
+        self.required_freshness()?;
+        let latency_objective_fits =
+            self.latency_objective_ms > 0.0 && self.latency_objective_ms <= self.deadline_ms;
+        if !(self.service_ms > 0.0 && self.load_share >= 0.0 && latency_objective_fits) {
+            return Err(PlanError::ClassOutOfRange(self.name.clone()));
+        }
+        if self.idempotent && self.is_write() {
+            return Err(PlanError::IdempotentWrite(self.name.clone()));
+        }
+        Ok(())
+    }
+}
--- a/simulator/src/world/clients.rs
+++ b/simulator/src/world/clients.rs
@@ -1,105 +1,146 @@
-//! Clients: when they come, whom they ask, and what they do with the answer.
-use super::*;
+//! Clients: when they arrive, which router they ask, and what they do with the answer.
+use super::events::SimulationEvent;
+use super::state::{Client, OpenRequest, World};
+use crate::checker::RouterRequest;
+use crate::fault::InjectedBug;
+use crate::results::Counts;
+use crate::times::{RUN_BEGIN, SECOND, from_milliseconds, from_seconds};
+use decision::{Event, Freshness, GroupId, Request, RequestId, Time};
+use sessions::Key;
+
+/// Retries after which a client's backoff stops to double.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
+/// Jitter of a client's backoff, as a fraction of it.
+const BACKOFF_JITTER_DIVISOR: i64 = 4;
 
 impl World<'_> {
-    pub(super) fn arrive(&mut self) {
+    pub(super) fn handle_client_arrival(&mut self) {
         if self.now >= self.end() {
             return;
         }
-        let gap = -(1.0 - self.rng.f64()).ln() / (self.plan.rate * self.surge) * 1e6;
-        self.after(gap as i64 + 1, Ev::Arrive);
-        let mut pick = self.rng.f64() * self.shares;
-        let mut class = 0;
-        for (n, c) in self.plan.class.iter().enumerate() {
-            class = n;
-            pick -= c.share;
-            if pick < 0.0 {
-                break;
-            }
-        }
-        let session = self.rng.u64(0..self.plan.sessions);
+        let rate = self.plan.request_rate * self.load_factor;
+        let gap = -(1.0 - self.rng.f64()).ln() / rate * SECOND as f64;
+        self.schedule_after(gap as i64 + 1, SimulationEvent::ClientArrived);
+        let class = self.draw_class();
+        let session = self.rng.u64(0..self.plan.session_count);
         let group = (session % self.plan.groups as u64) as usize;
-        let deadline = Time(self.now.0 + us(self.plan.class[class].deadline_ms));
-        self.next_client += 1;
-        let client = Client { class, group, session, first: self.now, deadline, tries: 0 };
-        self.clients.insert(self.next_client, client);
-        self.count(self.next_client, |c| c.offered += 1);
-        self.ask(self.next_client);
+        let deadline = Time(self.now.0 + from_milliseconds(self.class(class).deadline_ms));
+        self.last_client += 1;
+        let client = Client { class, group, session, arrived_at: self.now, deadline, retries: 0 };
+        self.clients.insert(self.last_client, client);
+        self.count_for_client(self.last_client, |counts| counts.offered += 1);
+        self.send_client_request(self.last_client);
+    }
+
+    fn draw_class(&mut self) -> usize {
+        let mut draw = self.rng.f64() * self.total_load_share;
+        let drawn = self.plan.classes.iter().position(|class| {
+            draw -= class.load_share;
+            draw < 0.0
+        });
+        drawn.unwrap_or(self.plan.classes.len() - 1)
     }
 
-    /// Counts for a client's class and second, once the warm-up is over.
-    pub(super) fn count(&mut self, client: u64, how: impl Fn(&mut Counts)) {
-        let Some(c) = self.clients.get(&client) else { return };
-        let since = c.first.0 - 1_000_000;
-        if since < us(self.plan.warmup_s * 1000.0) {
+    /// Counts for a client's class and second, unless it arrived in the warm-up.
+    pub(super) fn count_for_client(&mut self, client: u64, update: impl Fn(&mut Counts)) {
+        let Some(client) = self.clients.get(&client) else { return };
+        let since_begin = client.arrived_at.0 - RUN_BEGIN.0;
+        if since_begin < from_seconds(self.plan.warmup_s) {
             return;
         }
-        how(&mut self.classes[c.class].0);
-        if let Some(s) = self.seconds.get_mut((since / 1_000_000) as usize) {
-            how(s);
+        update(&mut self.class_recorders[client.class].counts);
+        if let Some(second) = self.second_counts.get_mut((since_begin / SECOND) as usize) {
+            update(second);
         }
     }
 
-    pub(super) fn ask(&mut self, id: u64) {
-        let Some(c) = self.clients.get(&id) else { return };
-        let (class, group, session, deadline) = (c.class, c.group, c.session, c.deadline);
-        // Sessions wander: each request goes to any router of the cluster that its session is at home in.
-        let cluster = self.plan.cluster.max(1).min(self.plan.routers);
-        let clusters = self.plan.routers.div_ceil(cluster) as u64;
-        let first = (session / self.plan.groups as u64 % clusters) as usize * cluster;
-        let r = first + self.rng.usize(0..cluster.min(self.plan.routers - first));
-        if !self.routers[r].up {
-            return self.again(id, true, None);
+    /// The router that a client asks: any of the cluster that its session belongs to.
+    fn draw_router(&mut self, session: u64) -> usize {
+        let cluster_size = self.plan.cluster_size.max(1).min(self.plan.routers);
+        let clusters = self.plan.routers.div_ceil(cluster_size) as u64;
+        let first = (session / self.plan.groups as u64 % clusters) as usize * cluster_size;
+        first + self.rng.usize(0..cluster_size.min(self.plan.routers - first))
+    }
+
+    pub(super) fn send_client_request(&mut self, client_id: u64) {
+        let Some(client) = self.clients.get(&client_id) else { return };
+        let (class, group, session, deadline) = (client.class, client.group, client.session, client.deadline);
+        let router = self.draw_router(session);
+        if !self.routers[router].up {
+            return self.retry_or_give_up(client_id, None);
+        }
+        let session_commit = self.required_session_commit(router, class, session);
+        let acknowledged_commit = self.checker.acknowledged_commit(session);
+        let accepted_at = self.now;
+        let simulated = &mut self.routers[router];
+        simulated.last_request += 1;
+        let request = simulated.last_request;
+        let open = OpenRequest {
+            client: client_id,
+            accepted_at,
+            acknowledged_commit,
+            attempts: Vec::new(),
+            answered: false,
+        };
+        simulated.open_requests.insert(request, open);
+        let idempotent = self.class(class).idempotent;
+        self.checker.request_accepted(RouterRequest { router, request }, deadline, idempotent);
+        let arrived = Request {
+            id: RequestId(request),
+            class,
+            tenant: 0,
+            session: None,
+            group: GroupId(group as u32),
+            deadline,
+            session_commit,
+        };
+        self.handle_router_event(router, Event::RequestArrived(arrived));
+    }
+
+    /// The commit that a session's read must include, as far as the router's sessions know.
+    fn required_session_commit(&mut self, router: usize, class: usize, session: u64) -> Option<Time> {
+        if self.required_freshness(class) != Freshness::Session
+            || self.plan.injected_bug == Some(InjectedBug::IgnoreSessionCommits)
+        {
+            return None;
         }
-        let freshness = self.plan.class[class].freshness().unwrap_or(Freshness::Latest);
-        let key = Key(session);
         let now = self.session_now();
-        let sim = &mut self.routers[r];
-        let reads = freshness == Freshness::Session && self.plan.plant != Some(Plant::ForgetSessions);
-        let token = reads.then(|| sim.sessions.need(key, now)).flatten();
-        let owed = self.check.owed(session);
-        sim.next += 1;
-        let request = sim.next;
-        let open = Open { client: id, asked: self.now, owed, attempts: Vec::new(), answered: false };
-        sim.open.insert(request, open);
-        self.check.taken(r, request, deadline, !self.plan.class[class].safe);
-        self.feed(
-            r,
-            Event::RequestArrived(Request {
-                id: RequestId(request),
-                class,
-                tenant: 0,
-                session: None,
-                group: GroupId(group as u32),
-                deadline,
-                session_commit: token,
-            }),
-        );
+        self.routers[router].sessions.need(Key(session), now)
     }
 
-    /// A client was refused, or found no router: it asks again while it has time and patience.
-    pub(super) fn again(&mut self, id: u64, harmless: bool, after: Option<i64>) {
-        let Some(c) = self.clients.get_mut(&id) else { return };
-        let pause = after.unwrap_or(us(self.plan.client_pause_ms) << c.tries.min(6));
-        c.tries += 1;
-        let (tries, at, deadline) =
-            (c.tries, Time(self.now.0 + pause + self.rng.i64(0..=pause / 4 + 1)), c.deadline);
-        if harmless && tries <= self.plan.client_tries && at < deadline {
-            self.count(id, |c| c.retries += 1);
-            return self.at(at, Ev::Ask(id));
+    /// A client was rejected, or found no router: it retries while it has time and retries left.
+    pub(super) fn retry_or_give_up(&mut self, client_id: u64, retry_after: Option<i64>) {
+        let Some(client) = self.clients.get_mut(&client_id) else { return };
+        let doublings = client.retries.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff = retry_after.unwrap_or(from_milliseconds(self.plan.client_backoff_ms) << doublings);
+        client.retries += 1;
+        let jitter = self.rng.i64(0..=backoff / BACKOFF_JITTER_DIVISOR + 1);
+        let retry_at = Time(self.now.0 + backoff + jitter);
+        if client.retries <= self.plan.client_retries && retry_at < client.deadline {
+            self.count_for_client(client_id, |counts| counts.retries += 1);
+            return self.schedule_at(retry_at, SimulationEvent::ClientRetried { client: client_id });
         }
-        self.count(id, |c| c.refused += 1);
-        self.clients.remove(&id);
+        self.count_for_client(client_id, |counts| counts.rejected += 1);
+        self.clients.remove(&client_id);
     }
 
-    pub(super) fn served(&mut self, id: u64) {
-        let Some(c) = self.clients.get(&id) else { return };
-        let (took, class, first) = (self.now.0 - c.first.0, c.class, c.first);
-        let aim = us(self.plan.class[class].aim_ms);
-        if first.0 - 1_000_000 >= us(self.plan.warmup_s * 1000.0) {
-            self.classes[class].1.record(took);
+    pub(super) fn record_success(&mut self, client_id: u64) {
+        let Some(client) = self.clients.get(&client_id) else { return };
+        let latency = self.now.0 - client.arrived_at.0;
+        let objective = from_milliseconds(self.class(client.class).latency_objective_ms);
+        if client.arrived_at.0 - RUN_BEGIN.0 >= from_seconds(self.plan.warmup_s) {
+            self.class_recorders[client.class].latency.record(latency);
         }
-        self.count(id, |c| if took <= aim { c.in_time += 1 } else { c.late += 1 });
-        self.clients.remove(&id);
+        let in_time = latency <= objective;
+        self.count_for_client(
+            client_id,
+            |counts| if in_time { counts.in_time += 1 } else { counts.late += 1 },
+        );
+        self.clients.remove(&client_id);
+    }
+
+    pub(super) fn record_failure(&mut self, client_id: u64) {
+        self.count_for_client(client_id, |counts| counts.failed += 1);
+        self.clients.remove(&client_id);
     }
 }
--- a/simulator/src/world/network.rs
+++ b/simulator/src/world/network.rs
@@ -1,52 +1,95 @@
-//! The network: what a way takes, who is apart, and what routers tell each other.
-use super::*;
+//! The network: delays, partitions, and the connections between the sessions of routers.
+use super::events::{PeerMessage, RouterProcess, SimulationEvent};
+use super::state::{PeerConnection, World};
+use crate::times::from_milliseconds;
+use sessions::machine::{Event as SessionEvent, Instance};
 
 impl World<'_> {
-    pub(super) fn apart(&self, a: usize, b: usize) -> bool {
-        self.cut.is_some_and(|hall| a != b && (a == hall || b == hall))
+    pub(super) fn is_partitioned(&self, zone: usize, other: usize) -> bool {
+        self.partitioned_zone.is_some_and(|cut| zone != other && (zone == cut || other == cut))
     }
 
-    pub(super) fn way(&mut self, a: usize, b: usize) -> i64 {
-        let ms = if a == b { self.plan.near_ms } else { self.plan.far_ms };
-        (ms * 1000.0 * (0.9 + 0.2 * self.rng.f64())) as i64
+    fn base_delay_ms(&self, from_zone: usize, to_zone: usize) -> f64 {
+        if from_zone == to_zone { self.plan.same_zone_delay_ms } else { self.plan.cross_zone_delay_ms }
     }
 
-    /// One router tells another something, in order: the way between two takes the same time always.
-    pub(super) fn tell(&mut self, from: usize, to: usize, message: Peer) {
-        let (a, b) = (self.routers[from].hall, self.routers[to].hall);
-        let ms = if a == b { self.plan.near_ms } else { self.plan.far_ms };
-        let epochs = (self.routers[from].epoch, self.routers[to].epoch);
-        self.after(us(ms), Ev::Peer { from, to, epochs, message });
+    /// A one-way delay in microseconds, drawn from 90 to 110 % of the plan's.
+    pub(super) fn draw_delay(&mut self, from_zone: usize, to_zone: usize) -> i64 {
+        (self.base_delay_ms(from_zone, to_zone) * 1000.0 * (0.9 + 0.2 * self.rng.f64())) as i64
     }
 
-    pub(super) fn peer(&mut self, from: usize, to: usize, epochs: (u32, u32), message: Peer) {
-        let (there, back) = (self.linked.contains(&(from, to)), self.linked.contains(&(to, from)));
-        if !self.lives(to, epochs.1) || self.routers[from].epoch != epochs.0 {
+    /// Sends a message between the sessions of two routers. The delay has no jitter, so that messages stay in order.
+    pub(super) fn send_to_peer(&mut self, from: usize, to: usize, message: PeerMessage) {
+        let delay_ms = self.base_delay_ms(self.routers[from].zone, self.routers[to].zone);
+        let (from, to) = (self.process(from), self.process(to));
+        let event = SimulationEvent::PeerMessageArrived { from, to, message };
+        self.schedule_after(from_milliseconds(delay_ms), event);
+    }
+
+    pub(super) fn handle_peer_message(
+        &mut self,
+        from: RouterProcess,
+        to: RouterProcess,
+        message: PeerMessage,
+    ) {
+        if !self.is_running(to) || self.routers[from.router].epoch != from.epoch {
             return;
         }
+        let (from, to) = (from.router, to.router);
+        let sender_connected = self.peer_connections.contains(&PeerConnection { from, to });
+        let receiver_connected = self.peer_connections.contains(&PeerConnection { from: to, to: from });
         let peer = from as Instance;
-        match message {
-            Peer::Hello(incarnation) if there => {
-                self.session(to, SessionEvent::Introduced(peer, incarnation))
+        let event = match message {
+            PeerMessage::Hello { incarnation } if sender_connected => {
+                SessionEvent::Introduced(peer, incarnation)
             }
-            Peer::Push(push) if there => self.session(to, SessionEvent::Pushed(peer, push)),
-            Peer::Welcome(incarnation, holds) if back => {
-                self.session(to, SessionEvent::Accepted { peer, incarnation, holds });
+            PeerMessage::Push(push) if sender_connected => SessionEvent::Pushed(peer, push),
+            PeerMessage::Welcome { incarnation, position } if receiver_connected => {
+                SessionEvent::Accepted { peer, incarnation, holds: position }
             }
-            Peer::Confirm(seq) if back => self.session(to, SessionEvent::Confirmed(peer, seq)),
-            Peer::Ask(at) if back => self.session(to, SessionEvent::Asked(peer, at)),
-            _ => {}
+            PeerMessage::Confirm { sequence } if receiver_connected => {
+                SessionEvent::Confirmed(peer, sequence)
+            }
+            PeerMessage::Ask { at } if receiver_connected => SessionEvent::Asked(peer, at),
+            _ => return,
+        };
+        self.handle_session_event(to, event);
+    }
+
+    /// A router opens a connection to a peer that it has none to, if it can reach it.
+    pub(super) fn connect_peer(&mut self, from: usize, to: usize) {
+        let connection = PeerConnection { from, to };
+        if self.peer_connections.contains(&connection)
+            || self.is_partitioned(self.routers[from].zone, self.routers[to].zone)
+        {
+            return;
+        }
+        if self.routers[to].up {
+            self.peer_connections.insert(connection);
+            let incarnation = self.routers[from].sessions.incarnation();
+            self.send_to_peer(from, to, PeerMessage::Hello { incarnation });
+        } else {
+            self.handle_session_event(from, SessionEvent::Down(to as Instance, self.now));
         }
     }
 
-    pub(super) fn unlink(&mut self, from: usize, to: usize) {
-        if self.linked.remove(&(from, to)) {
-            if self.routers[to].up {
-                self.session(to, SessionEvent::Left(from as Instance));
-            }
-            if self.routers[from].up {
-                self.session(from, SessionEvent::Unlinked(to as Instance));
-            }
+    pub(super) fn disconnect_peer(&mut self, connection: PeerConnection) {
+        if !self.peer_connections.remove(&connection) {
+            return;
+        }
+        let PeerConnection { from, to } = connection;
+        if self.routers[to].up {
+            self.handle_session_event(to, SessionEvent::Left(from as Instance));
         }
+        if self.routers[from].up {
+            self.handle_session_event(from, SessionEvent::Unlinked(to as Instance));
+        }
+    }
+
+    /// Closes every connection between sessions that the predicate is true for.
+    pub(super) fn disconnect_peers_where(&mut self, predicate: impl Fn(&Self, &PeerConnection) -> bool) {
+        let closed: Vec<PeerConnection> =
+            self.peer_connections.iter().copied().filter(|connection| predicate(self, connection)).collect();
+        closed.into_iter().for_each(|connection| self.disconnect_peer(connection));
     }
 }
--- a/simulator/src/world/nodes.rs
+++ b/simulator/src/world/nodes.rs
@@ -1,176 +1,275 @@
-//! Nodes: what comes to them, what they serve, how they fall and who follows.
-use super::*;
+//! Nodes: the attempts that they receive, serve and reject, their crashes, and promotions.
+use super::events::{
+    AttemptConnection, ConnectionState, FleetChange, ProcessEvent, Response, RouterProcess, SimulationEvent,
+};
+use super::state::{Attempt, World};
+use crate::fault::InjectedBug;
+use crate::node::Job;
+use crate::times::{CONNECT_TIMEOUT, SECOND, from_milliseconds, from_seconds};
+use decision::{MemberReport, Outcome, Time};
+use std::cmp::Reverse;
+
+/// Requests by which a second may exceed a warming-up node's limit, as small counts scatter.
+const COLD_OVERLOAD_SLACK: f64 = 10.0;
+/// Service time that every request has, as a share of its class's mean.
+const FIXED_SERVICE_SHARE: f64 = 0.4;
+/// Mean of the exponentially distributed rest of the service time.
+const RANDOM_SERVICE_SHARE: f64 = 0.6;
+/// Factor by which a gray failure delays the requests that it affects.
+const GRAY_SLOWDOWN: f64 = 10.0;
 
 impl World<'_> {
-    pub(super) fn refuse(&mut self, job: Job, node: usize, outcome: Outcome, link: bool) {
-        let lies = self.plan.plant == Some(Plant::DenyResets) && outcome == Outcome::Reset;
-        let outcome = if lies { Outcome::ConnectFailed } else { outcome };
-        let way = self.way(self.nodes[node].hall, self.routers[job.router].hall);
-        self.after(way, Ev::Back { job, node, outcome, commit: None, from: Time(0), link });
+    /// Ends an attempt without serving it.
+    pub(super) fn reject_attempt(
+        &mut self,
+        job: Job,
+        node: usize,
+        outcome: Outcome,
+        connection: ConnectionState,
+    ) {
+        let misreported = outcome == Outcome::Reset
+            && self.plan.injected_bug == Some(InjectedBug::ReportResetsAsConnectFailures);
+        let outcome = if misreported { Outcome::ConnectFailed } else { outcome };
+        let delay = self.draw_delay(self.nodes[node].zone, self.routers[job.router].zone);
+        let response = Response { job, node, outcome, commit: None, data_position: Time(0), connection };
+        self.schedule_after(delay, SimulationEvent::ResponseArrived(response));
     }
 
-    pub(super) fn at_node(&mut self, job: Job, node: usize, node_epoch: u32, fresh: bool) {
-        let write = self.plan.class[job.class].freshness == "write";
-        let n = &mut self.nodes[node];
-        if !n.up || (!fresh && n.epoch != node_epoch) {
-            let outcome = if fresh { Outcome::ConnectFailed } else { Outcome::Reset };
-            return self.refuse(job, node, outcome, false);
+    pub(super) fn receive_attempt(&mut self, job: Job, index: usize, connection: AttemptConnection) {
+        let node = &mut self.nodes[index];
+        match connection {
+            AttemptConnection::New if !node.up => {
+                return self.reject_attempt(job, index, Outcome::ConnectFailed, ConnectionState::Closed);
+            }
+            AttemptConnection::Reused { node_epoch } if !node.up || node.epoch != node_epoch => {
+                return self.reject_attempt(job, index, Outcome::Reset, ConnectionState::Closed);
+            }
+            _ => {}
         }
-        if n.hung {
+        if node.hung {
             return;
         }
-        if fresh {
-            if n.connections >= self.plan.connections {
-                return self.refuse(job, node, Outcome::Rejected, false);
+        if connection == AttemptConnection::New {
+            if node.connections >= self.plan.max_connections {
+                return self.reject_attempt(job, index, Outcome::Rejected, ConnectionState::Closed);
             }
-            n.connections += 1;
+            node.connections += 1;
         }
-        if self.tips(node) {
-            return self.refuse(job, node, Outcome::Reset, false);
+        if self.overloads_cold_node(index) {
+            return self.reject_attempt(job, index, Outcome::Reset, ConnectionState::Closed);
         }
-        let n = &mut self.nodes[node];
-        if n.errs {
-            return self.refuse(job, node, Outcome::Error, true);
-        }
-        if write && !n.primary {
-            return self.refuse(job, node, Outcome::NotEligible, true);
+        self.admit_job(job, index);
+    }
+
+    /// Serves a request, queues it, or rejects it on its connection.
+    fn admit_job(&mut self, job: Job, index: usize) {
+        let write = self.class(job.class).is_write();
+        let node = &mut self.nodes[index];
+        if node.failing {
+            return self.reject_attempt(job, index, Outcome::Error, ConnectionState::Open);
         }
-        if n.busy < self.plan.cores || n.waiting.len() < self.plan.queue {
-            self.meter.started(self.now, node);
+        if write && !node.primary {
+            return self.reject_attempt(job, index, Outcome::NotEligible, ConnectionState::Open);
         }
-        if n.busy < self.plan.cores {
-            n.busy += 1;
-            self.serve(job, node);
-        } else if n.waiting.len() < self.plan.queue {
-            n.waiting.push_back(job);
+        if node.busy_cores < self.plan.cores {
+            node.busy_cores += 1;
+            self.spread_meter.request_started(self.now, index);
+            self.start_job(job, index);
+        } else if node.queue.len() < self.plan.queue_capacity {
+            node.queue.push_back(job);
+            self.spread_meter.request_started(self.now, index);
         } else {
-            self.refuse(job, node, Outcome::Rejected, true);
+            self.reject_attempt(job, index, Outcome::Rejected, ConnectionState::Open);
         }
     }
 
-    /// Counts what comes to a cold node; whether it falls over.
-    pub(super) fn tips(&mut self, node: usize) -> bool {
-        let cold = us(self.plan.cold_s * 1000.0);
-        let (now, from) = (self.now, self.plan.cold_from);
-        let each = self.plan.capacity() / self.nodes.len() as f64;
-        let n = &mut self.nodes[node];
-        let warmth = n.warmth(now, from, cold);
-        if warmth >= 1.0 {
+    fn capacity_share(&self, node: usize) -> f64 {
+        let duration = from_seconds(self.plan.slow_start_s);
+        self.nodes[node].capacity_share(self.now, self.plan.slow_start_initial_share, duration)
+    }
+
+    /// Counts an arrival at a node that warms up, and crashes it if there are too many: whether it did.
+    fn overloads_cold_node(&mut self, index: usize) -> bool {
+        let capacity_share = self.capacity_share(index);
+        if capacity_share >= 1.0 {
             return false;
         }
-        n.recent.push_back(now);
-        while n.recent.front().is_some_and(|t| now.0 - t.0 > 1_000_000) {
-            n.recent.pop_front();
-        }
-        // A little slack for chance, as small counts scatter.
-        if (n.recent.len() as f64) <= self.plan.overload_factor * each * warmth + 10.0 {
+        let now = self.now;
+        let arrivals = &mut self.nodes[index].recent_arrivals;
+        arrivals.push_back(now);
+        while arrivals.pop_front_if(|arrived_at| now.0 - arrived_at.0 > SECOND).is_some() {}
+        let arrivals = arrivals.len() as f64;
+        let node_capacity = self.plan.capacity() / self.nodes.len() as f64;
+        let limit = self.plan.overload_factor * node_capacity * capacity_share + COLD_OVERLOAD_SLACK;
+        if arrivals <= limit {
             return false;
         }
-        self.check.tipped(now, node);
-        self.crash(node);
-        self.nodes[node].fallen = true;
-        self.seats();
+        self.checker.cold_node_overloaded(now, index);
+        self.crash_node(index);
+        self.update_replicas_in_service();
         true
     }
 
-    pub(super) fn serve(&mut self, job: Job, node: usize) {
-        let write = self.plan.class[job.class].freshness == "write";
-        let spread = 0.4 - 0.6 * (1.0 - self.rng.f64()).max(1e-9).ln();
-        let mut work = self.plan.class[job.class].work_ms * 1000.0 * spread;
-        let gray = self.rng.f64();
-        let (now, from, cold) = (self.now, self.plan.cold_from, us(self.plan.cold_s * 1000.0));
-        let n = &self.nodes[node];
-        work *= n.slow / n.warmth(now, from, cold);
-        if gray < n.gray {
-            work *= 10.0;
+    fn start_job(&mut self, job: Job, index: usize) {
+        let exponential = -(1.0 - self.rng.f64()).max(1e-9).ln();
+        let spread = FIXED_SERVICE_SHARE + RANDOM_SERVICE_SHARE * exponential;
+        let gray_draw = self.rng.f64();
+        let class = self.class(job.class);
+        let node = &self.nodes[index];
+        let mut service_time = class.service_ms * 1000.0 * spread;
+        service_time *= node.slowdown / self.capacity_share(index);
+        if gray_draw < node.gray_share {
+            service_time *= GRAY_SLOWDOWN;
         }
-        if write {
-            work *= n.disk;
+        if class.is_write() {
+            service_time *= node.disk_slowdown;
         }
-        let epoch = n.epoch;
-        self.after(work as i64, Ev::Done { node, epoch, job });
+        let finished = SimulationEvent::JobFinished { job, node: index, node_epoch: node.epoch };
+        self.schedule_after(service_time as i64, finished);
     }
 
-    pub(super) fn done(&mut self, node: usize, epoch: u32, job: Job) {
-        if self.nodes[node].epoch != epoch {
+    pub(super) fn finish_job(&mut self, job: Job, index: usize, node_epoch: u32) {
+        if self.nodes[index].epoch != node_epoch {
             return;
         }
-        let (now, ship) = (self.now, us(self.plan.ship_ms));
-        self.meter.ended(now, node);
-        let n = &mut self.nodes[node];
-        n.busy -= 1;
-        if let Some(next) = n.waiting.pop_front() {
-            n.busy += 1;
-            self.serve(next, node);
-        }
-        let n = &mut self.nodes[node];
-        if n.hung {
+        self.spread_meter.request_ended(self.now, index);
+        self.start_next_job(index);
+        if self.nodes[index].hung {
             return;
         }
-        let (group, hall) = (n.group, n.hall);
-        let write = self.plan.class[job.class].freshness == "write";
-        let from = n.position(now, ship);
-        let commit = write.then_some(now);
-        if write {
-            self.check.ran(now, job.client);
-        }
-        if write {
-            for r in group * (self.plan.replicas + 1)..(group + 1) * (self.plan.replicas + 1) {
-                if r != node {
-                    self.after(ship, Ev::Ship(r, now));
-                }
-            }
+        let replication_delay = from_milliseconds(self.plan.replication_delay_ms);
+        let data_position = self.nodes[index].position(self.now, replication_delay);
+        let commit = self.class(job.class).is_write().then_some(self.now);
+        if commit.is_some() {
+            self.checker.write_executed(self.now, job.client);
+            self.replicate_commit(index);
         }
-        if self.apart(hall, self.routers[job.router].hall) {
+        let (node_zone, router_zone) = (self.nodes[index].zone, self.routers[job.router].zone);
+        if self.is_partitioned(node_zone, router_zone) {
             return;
         }
-        let way = self.way(hall, self.routers[job.router].hall);
-        self.after(way, Ev::Back { job, node, outcome: Outcome::Ok, commit, from, link: true });
-    }
-
-    /// A node's process dies: what it had is told to the routers by resets.
-    pub(super) fn crash(&mut self, node: usize) {
-        self.nodes[node].stop();
-        self.reset(node);
-    }
-
-    /// Every connection to a node breaks.
-    pub(super) fn reset(&mut self, node: usize) {
-        self.nodes[node].connections = 0;
-        let mut broken = Vec::new();
-        for (r, sim) in self.routers.iter_mut().enumerate() {
-            sim.idle.remove(&node);
-            for (request, open) in &sim.open {
-                for (attempt, _) in open.attempts.iter().enumerate().filter(|(_, a)| a.node == node && a.out)
-                {
-                    let job = Job {
-                        router: r,
-                        epoch: sim.epoch,
-                        request: *request,
-                        attempt: attempt as u32,
-                        class: 0,
-                        client: 0,
-                    };
-                    broken.push(job);
-                }
+        let delay = self.draw_delay(node_zone, router_zone);
+        let response = Response {
+            job,
+            node: index,
+            outcome: Outcome::Ok,
+            commit,
+            data_position,
+            connection: ConnectionState::Open,
+        };
+        self.schedule_after(delay, SimulationEvent::ResponseArrived(response));
+    }
+
+    /// A core has become free.
+    fn start_next_job(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
+        node.busy_cores -= 1;
+        if let Some(next) = node.queue.pop_front() {
+            node.busy_cores += 1;
+            self.start_job(next, index);
+        }
+    }
+
+    fn replicate_commit(&mut self, primary: usize) {
+        let delay = from_milliseconds(self.plan.replication_delay_ms);
+        let commit = self.now;
+        for node in self.group_members(self.nodes[primary].group).filter(|node| *node != primary) {
+            self.schedule_after(delay, SimulationEvent::CommitReachedReplica { node, commit });
+        }
+    }
+
+    pub(super) fn receive_commit(&mut self, node: usize, commit: Time) {
+        let node = &mut self.nodes[node];
+        if !node.primary {
+            node.receive_commit(self.now, commit, self.plan.apply_us as i64);
+        }
+    }
+
+    pub(super) fn answer_probe(&mut self, process: RouterProcess, index: usize) {
+        let (router_zone, node_zone) = (self.routers[process.router].zone, self.nodes[index].zone);
+        let partitioned = self.is_partitioned(router_zone, node_zone);
+        let network_delay = self.draw_delay(router_zone, node_zone);
+        let replication_delay = from_milliseconds(self.plan.replication_delay_ms);
+        let node = &mut self.nodes[index];
+        let mut report = MemberReport::default();
+        let (outcome, delay) = if partitioned || node.hung {
+            (Outcome::TimedOut, CONNECT_TIMEOUT)
+        } else if !node.up {
+            (Outcome::ConnectFailed, network_delay)
+        } else {
+            let position = node.position(self.now, replication_delay);
+            report = MemberReport { primary: Some(node.primary), position: Some(position) };
+            (Outcome::Ok, network_delay)
+        };
+        let ended = ProcessEvent::ProbeEnded { node: index, outcome, report };
+        self.schedule_after(delay, SimulationEvent::Process(process, ended));
+    }
+
+    /// A node's process ends, and its connections are reset.
+    pub(super) fn crash_node(&mut self, index: usize) {
+        self.nodes[index].stop();
+        self.reset_connections(index);
+    }
+
+    /// Resets every connection to a node.
+    pub(super) fn reset_connections(&mut self, index: usize) {
+        self.nodes[index].connections = 0;
+        self.routers.iter_mut().for_each(|router| _ = router.idle_connections.remove(&index));
+        for job in self.attempts_in_flight_to(index) {
+            self.reject_attempt(job, index, Outcome::Reset, ConnectionState::Closed);
+        }
+    }
+
+    /// In order of router, request and attempt, as the iteration order of hash maps is arbitrary.
+    fn attempts_in_flight_to(&self, index: usize) -> Vec<Job> {
+        let mut jobs = Vec::new();
+        for (router, simulated) in self.routers.iter().enumerate() {
+            for (request, open) in &simulated.open_requests {
+                let to_node = |attempt: &Attempt| attempt.node == index && attempt.in_flight;
+                let attempts = open.attempts.iter().enumerate().filter(|(_, attempt)| to_node(attempt));
+                jobs.extend(attempts.map(|(attempt, _)| Job {
+                    router,
+                    epoch: simulated.epoch,
+                    request: *request,
+                    attempt: attempt as u32,
+                    class: 0,
+                    client: 0,
+                }));
             }
         }
-        // The order in which a table of the standard library lies must not matter.
-        broken.sort_unstable_by_key(|j| (j.router, j.request, j.attempt));
-        broken.into_iter().for_each(|job| self.refuse(job, node, Outcome::Reset, false));
+        jobs.sort_unstable_by_key(|job| (job.router, job.request, job.attempt));
+        jobs
     }
 
-    pub(super) fn promote(&mut self, group: usize) {
-        let members = group * (self.plan.replicas + 1)..(group + 1) * (self.plan.replicas + 1);
-        if members.clone().any(|n| self.nodes[n].primary && self.nodes[n].up) {
+    /// Promotes the most advanced replica of a group without a running primary, or tries again later.
+    pub(super) fn promote_replica(&mut self, group: usize) {
+        let members = self.group_members(group);
+        if members.clone().any(|node| self.nodes[node].primary && self.nodes[node].up) {
             return;
         }
-        let next = members.clone().filter(|n| self.nodes[*n].up && !self.nodes[*n].hung);
-        let Some(next) = next.max_by_key(|n| (self.nodes[*n].applied, Reverse(*n))) else {
-            return self.after(us(self.plan.handover_ms), Ev::Promote(group));
-        };
-        members.for_each(|n| self.nodes[n].primary = false);
-        self.nodes[next].primary = true;
-        self.nodes[next].applying.clear();
+        let candidates = members.clone().filter(|node| self.nodes[*node].up && !self.nodes[*node].hung);
+        let most_advanced =
+            candidates.max_by_key(|node| (self.nodes[*node].applied_position, Reverse(*node)));
+        let Some(promoted) = most_advanced else { return self.schedule_promotion(group) };
+        members.for_each(|node| self.nodes[node].primary = false);
+        self.nodes[promoted].primary = true;
+        self.nodes[promoted].unapplied.clear();
+    }
+
+    pub(super) fn schedule_promotion(&mut self, group: usize) {
+        let promotion = SimulationEvent::Fleet(FleetChange::PrimaryPromotionDue { group });
+        self.schedule_after(from_milliseconds(self.plan.failover_ms), promotion);
+    }
+
+    /// A crashed node starts again, unless it has crashed once more meanwhile.
+    pub(super) fn restart_node(&mut self, index: usize, epoch: u32) {
+        let node = &mut self.nodes[index];
+        if node.up || node.epoch != epoch {
+            return;
+        }
+        // It catches up with the log before it serves.
+        node.unapplied.clear();
+        node.applied_position = Time(self.now.0 - from_milliseconds(self.plan.replication_delay_ms));
+        node.start(self.now);
     }
 }
--- a/simulator/src/world/routers.rs
+++ b/simulator/src/world/routers.rs
@@ -1,335 +1,281 @@
-//! Routers: what their state machines are told, what they ask for, and what they know of the fleet.
-use super::*;
+//! Routers: the events and actions of their decision, and the attempts that they have in flight.
+use super::events::{
+    AttemptConnection, ConnectionState, ProcessEvent, Response, RouterProcess, SimulationEvent,
+};
+use super::state::{Attempt, UnacknowledgedWrite, World};
+use crate::checker::{FinalAnswer, RouterRequest, ServedRead};
+use crate::node::Job;
+use crate::times::{CONNECT_TIMEOUT, RUN_BEGIN, SECOND, TICK_INTERVAL, from_milliseconds};
+use decision::{Action, Event, MemberId, MemberReport, Outcome, RequestId, Time};
+use registry::fleet::Event as FleetEvent;
+use sessions::Key;
+use sessions::machine::Event as SessionEvent;
 
 impl World<'_> {
-    pub(super) fn feed(&mut self, r: usize, event: Event) {
+    pub(super) fn handle_router_event(&mut self, router: usize, event: Event) {
         let mut actions = Vec::new();
-        self.routers[r].decision.handle(self.now, event, &mut actions);
+        self.routers[router].decision.handle(self.now, event, &mut actions);
         for action in actions {
-            self.act(r, action);
+            self.apply_router_action(router, action);
         }
     }
 
-    pub(super) fn act(&mut self, r: usize, action: Action) {
-        let epoch = self.routers[r].epoch;
+    fn apply_router_action(&mut self, router: usize, action: Action) {
         match action {
             Action::Send { request, member, timeout, .. } => {
-                self.send(r, request.0, member.0 as usize, timeout);
+                self.send_attempt(RouterRequest { router, request: request.0 }, member.0 as usize, timeout);
             }
             Action::Cancel { request, attempt } => {
-                let job = Job { router: r, epoch, request: request.0, attempt, class: 0, client: 0 };
-                self.after(0, Ev::Cancelled(job));
+                let epoch = self.routers[router].epoch;
+                let job = Job { router, epoch, request: request.0, attempt, class: 0, client: 0 };
+                self.schedule_after(0, SimulationEvent::AttemptCancelled(job));
             }
-            Action::Reject { request, retry_after: come_back } => self.finish(r, request.0, true, come_back),
-            Action::Fail { request } => self.finish(r, request.0, false, None),
-            Action::Probe { member } => {
-                let node = member.0 as usize;
-                let client = self.seconds_now();
-                if let Some(s) = client {
-                    self.seconds[s].probes += 1;
-                }
-                let way = self.way(self.routers[r].hall, self.nodes[node].hall);
-                self.after(way, Ev::Probe { router: r, epoch, node });
+            Action::Reject { request, retry_after } => self.reject_request(router, request, retry_after),
+            Action::Fail { request } => self.fail_request(router, request),
+            Action::Probe { member } => self.send_probe(router, member.0 as usize),
+            Action::SetTimer { after } => {
+                let expired =
+                    SimulationEvent::Process(self.process(router), ProcessEvent::DecisionTimerExpired);
+                self.schedule_after(after, expired);
             }
-            Action::SetTimer { after } => self.after(after, Ev::Wake(r, epoch)),
             Action::Subscribe | Action::Remove { .. } => {}
         }
     }
 
-    pub(super) fn seconds_now(&self) -> Option<usize> {
-        let second = ((self.now.0 - 1_000_000) / 1_000_000) as usize;
-        (second < self.seconds.len() && second as f64 >= self.plan.warmup_s).then_some(second)
+    fn send_probe(&mut self, router: usize, node: usize) {
+        self.count_probe();
+        let delay = self.draw_delay(self.routers[router].zone, self.nodes[node].zone);
+        let process = self.process(router);
+        self.schedule_after(delay, SimulationEvent::ProbeReachedNode { process, node });
     }
 
-    pub(super) fn send(&mut self, r: usize, request: u64, node: usize, timeout: i64) {
-        self.check.sent(self.now, r, request, node);
-        let (now, idle_for) = (self.now, us(self.plan.link_idle_ms));
-        let sim = &mut self.routers[r];
-        let (hall, epoch) = (sim.hall, sim.epoch);
-        let Some(open) = sim.open.get_mut(&request) else { return };
-        let (client, attempt) = (open.client, open.attempts.len() as u32);
-        open.attempts.push(Attempt { node, sent: now, out: true });
-        let idle = sim.idle.entry(node).or_default();
-        let before = idle.len();
-        idle.retain(|t| now.0 - t.0 < idle_for);
-        let (expired, warm) = (before - idle.len(), idle.pop().is_some());
-        let n = &mut self.nodes[node];
-        n.connections = n.connections.saturating_sub(expired);
-        let (there, primary, node_epoch) = (n.hall, n.primary, n.epoch);
-        let class = self.clients.get(&client).map_or(0, |c| c.class);
-        let crosses = hall != there;
-        self.count(client, |c| {
-            c.attempts += 1;
-            c.at_primary += u64::from(primary);
-            c.crossings += u64::from(crosses);
-            c.handshakes += u64::from(!warm);
-        });
-        let job = Job { router: r, epoch, request, attempt, class, client };
-        self.after(timeout, Ev::TimeOut(job));
-        let way = self.way(hall, there);
-        if self.apart(hall, there) {
-            // On a connection that stood it is silent; a new one never comes up.
-            if !warm {
-                let (outcome, from) = (Outcome::ConnectFailed, Time(0));
-                self.after(CONNECT, Ev::Back { job, node, outcome, commit: None, from, link: false });
-            }
-            return;
-        }
-        let shake = if warm { 0 } else { 2 * way + us(self.plan.handshake_ms) };
-        self.after(way + shake, Ev::AtNode { job, node, node_epoch, fresh: !warm });
-    }
-
-    /// A router's final answer that is no server's.
-    pub(super) fn finish(&mut self, r: usize, request: u64, refused: bool, come_back: Option<i64>) {
-        let Some(open) = self.routers[r].open.get_mut(&request) else { return };
-        if std::mem::replace(&mut open.answered, true) {
-            return;
-        }
-        let client = open.client;
-        self.check.answered(self.now, r, request, refused);
-        self.drop_if_done(r, request);
-        if refused {
-            self.again(client, true, come_back);
-        } else {
-            self.count(client, |c| c.failed += 1);
-            self.clients.remove(&client);
+    /// Counts a probe in its second, unless that belongs to the warm-up or comes after the run.
+    fn count_probe(&mut self) {
+        let second = ((self.now.0 - RUN_BEGIN.0) / SECOND) as usize;
+        if second as f64 >= self.plan.warmup_s
+            && let Some(counts) = self.second_counts.get_mut(second)
+        {
+            counts.probes += 1;
         }
     }
 
-    pub(super) fn drop_if_done(&mut self, r: usize, request: u64) {
-        let open = &mut self.routers[r].open;
-        if open.get(&request).is_some_and(|o| o.answered && o.attempts.iter().all(|a| !a.out)) {
-            open.remove(&request);
-        }
-    }
-
-    /// An attempt's answer, or its connection's end, has come back.
-    pub(super) fn back(
+    pub(super) fn handle_probe_end(
         &mut self,
-        job: Job,
+        router: usize,
         node: usize,
         outcome: Outcome,
-        commit: Option<Time>,
-        from: Time,
-        link: bool,
+        report: MemberReport,
     ) {
-        if !self.lives(job.router, job.epoch) {
-            let n = &mut self.nodes[node];
-            n.connections = n.connections.saturating_sub(usize::from(link));
-            return;
+        if outcome == Outcome::Ok {
+            self.confirm_endpoint(router, node);
         }
-        let now = self.now;
-        let known = self.routers[job.router].open.get(&job.request);
-        let waits = known.and_then(|o| o.attempts.get(job.attempt as usize)).is_some_and(|a| a.out);
-        if link && waits {
-            self.routers[job.router].idle.entry(node).or_default().push(now);
-        } else if link {
-            // It was given up: its connection is closed.
-            let n = &mut self.nodes[node];
-            n.connections = n.connections.saturating_sub(1);
-        }
-        if waits {
-            if outcome == Outcome::Ok {
-                self.heard_of(job.router, node);
-            }
-            self.outcome(job, outcome, commit, Some(from));
+        self.handle_router_event(
+            router,
+            Event::ProbeEnded { member: MemberId(node as u32), outcome, report },
+        );
+    }
+
+    fn send_attempt(&mut self, key: RouterRequest, node: usize, timeout: i64) {
+        let RouterRequest { router, request } = key;
+        self.checker.attempt_sent(self.now, key, node);
+        let process = self.process(router);
+        let Some(open) = self.routers[router].open_requests.get_mut(&request) else { return };
+        let (client, attempt) = (open.client, open.attempts.len() as u32);
+        open.attempts.push(Attempt { node, sent_at: self.now, in_flight: true });
+        let connection = self.take_connection(router, node);
+        let (router_zone, node_zone) = (self.routers[router].zone, self.nodes[node].zone);
+        self.count_attempt(client, router_zone, node, connection);
+        let class = self.clients.get(&client).map_or(0, |client| client.class);
+        let job = Job { router, epoch: process.epoch, request, attempt, class, client };
+        self.schedule_after(timeout, SimulationEvent::AttemptTimedOut(job));
+        let delay = self.draw_delay(router_zone, node_zone);
+        if self.is_partitioned(router_zone, node_zone) {
+            return self.lose_attempt(job, node, connection);
         }
+        let handshake = match connection {
+            AttemptConnection::New => 2 * delay + from_milliseconds(self.plan.handshake_ms),
+            AttemptConnection::Reused { .. } => 0,
+        };
+        let reached = SimulationEvent::AttemptReachedNode { job, node, connection };
+        self.schedule_after(delay + handshake, reached);
     }
 
-    /// An attempt has ended as a router sees it.
-    pub(super) fn outcome(&mut self, job: Job, outcome: Outcome, commit: Option<Time>, from: Option<Time>) {
-        let Job { router: r, request, attempt, .. } = job;
-        if !self.lives(r, job.epoch) {
+    /// Closes a router's expired idle connections to a node, and takes the last used of the others.
+    fn take_connection(&mut self, router: usize, node: usize) -> AttemptConnection {
+        let (now, idle_timeout) = (self.now, from_milliseconds(self.plan.idle_connection_timeout_ms));
+        let idle = self.routers[router].idle_connections.entry(node).or_default();
+        let before = idle.len();
+        idle.retain(|last_used| now.0 - last_used.0 < idle_timeout);
+        let expired = before - idle.len();
+        let reused = idle.pop().is_some();
+        let node = &mut self.nodes[node];
+        node.connections = node.connections.saturating_sub(expired);
+        if reused { AttemptConnection::Reused { node_epoch: node.epoch } } else { AttemptConnection::New }
+    }
+
+    fn count_attempt(&mut self, client: u64, router_zone: usize, node: usize, connection: AttemptConnection) {
+        let to_primary = self.nodes[node].primary;
+        let cross_zone = router_zone != self.nodes[node].zone;
+        self.count_for_client(client, |counts| {
+            counts.attempts += 1;
+            counts.primary_attempts += u64::from(to_primary);
+            counts.cross_zone_attempts += u64::from(cross_zone);
+            counts.handshakes += u64::from(connection == AttemptConnection::New);
+        });
+    }
+
+    /// An attempt is sent into a partition: a new connection fails, and one that stood before stays silent.
+    fn lose_attempt(&mut self, job: Job, node: usize, connection: AttemptConnection) {
+        if connection != AttemptConnection::New {
             return;
         }
-        let Some(open) = self.routers[r].open.get_mut(&request) else { return };
-        let Some(a) = open.attempts.get_mut(attempt as usize).filter(|a| a.out) else { return };
-        a.out = false;
-        let (node, sent) = (a.node, a.sent);
-        if outcome.never_ran() {
-            self.check.never_ran(r, request);
+        let response = Response {
+            job,
+            node,
+            outcome: Outcome::ConnectFailed,
+            commit: None,
+            data_position: Time(0),
+            connection: ConnectionState::Closed,
+        };
+        self.schedule_after(CONNECT_TIMEOUT, SimulationEvent::ResponseArrived(response));
+    }
+
+    fn reject_request(&mut self, router: usize, request: RequestId, retry_after: Option<i64>) {
+        if let Some(client) = self.answer_without_node(router, request.0, FinalAnswer::Rejected) {
+            self.retry_or_give_up(client, retry_after);
         }
-        let (client, asked, owed) = (open.client, open.asked, open.owed);
-        let mut ended = open.answered;
-        if outcome == Outcome::Ok && !ended {
-            open.answered = true;
-            ended = true;
-            let class = self.clients.get(&client).map_or(0, |c| c.class);
-            let freshness = self.plan.class[class].freshness().unwrap_or(Freshness::Latest);
-            if let Some(at) = commit {
-                let session = self.clients.get(&client).map_or(0, |c| c.session);
-                self.routers[r].tickets.insert(request, (client, session, at));
-                // The client hears of it once its session can rely on it.
-                self.session(r, SessionEvent::Commit(request, Key(session), at));
-            } else {
-                let data = from.unwrap_or(self.now);
-                self.check.read(self.now, freshness, asked, sent, owed, data);
-                self.check.answered(self.now, r, request, false);
-                self.served(client);
-            }
+    }
+
+    fn fail_request(&mut self, router: usize, request: RequestId) {
+        if let Some(client) = self.answer_without_node(router, request.0, FinalAnswer::Other) {
+            self.record_failure(client);
         }
-        let member = MemberId(node as u32);
-        let (note, report) = (MemberReport::default(), MemberReport::default());
-        self.feed(
-            r,
-            Event::AttemptEnded {
-                request: RequestId(request),
-                attempt,
-                member,
-                outcome,
-                request_ended: ended,
-                response_report: note,
-                commit,
-                load_report: report,
-            },
-        );
-        self.drop_if_done(r, request);
     }
 
-    pub(super) fn heard_of(&mut self, r: usize, node: usize) {
-        if self.routers[r].fleet.level() != Level::Fresh {
-            self.fleet(r, FleetEvent::Answered(format!("n{node}")));
+    /// The router gives a final answer of its own. Returns the client, unless it has been answered before.
+    fn answer_without_node(&mut self, router: usize, request: u64, answer: FinalAnswer) -> Option<u64> {
+        let open = self.routers[router].open_requests.get_mut(&request)?;
+        if std::mem::replace(&mut open.answered, true) {
+            return None;
         }
+        let client = open.client;
+        self.checker.request_answered(self.now, RouterRequest { router, request }, answer);
+        self.remove_if_finished(router, request);
+        Some(client)
     }
 
-    pub(super) fn probe_at(&mut self, r: usize, epoch: u32, node: usize) {
-        let hall = self.routers[r].hall;
-        let there = self.nodes[node].hall;
-        let (now, ship) = (self.now, us(self.plan.ship_ms));
-        let (apart, way) = (self.apart(hall, there), self.way(hall, there));
-        let n = &mut self.nodes[node];
-        let (outcome, report, after) = if apart || n.hung {
-            (Outcome::TimedOut, MemberReport::default(), CONNECT)
-        } else if !n.up {
-            (Outcome::ConnectFailed, MemberReport::default(), way)
-        } else {
-            let report = MemberReport { primary: Some(n.primary), position: Some(n.position(now, ship)) };
-            (Outcome::Ok, report, way)
-        };
-        self.after(after, Ev::Probed { router: r, epoch, node, outcome, report });
+    fn remove_if_finished(&mut self, router: usize, request: u64) {
+        let requests = &mut self.routers[router].open_requests;
+        let finished = requests
+            .get(&request)
+            .is_some_and(|open| open.answered && open.attempts.iter().all(|attempt| !attempt.in_flight));
+        if finished {
+            requests.remove(&request);
+        }
     }
 
-    pub(super) fn tick(&mut self, r: usize, epoch: u32) {
-        if !self.outage {
-            self.fleet(r, FleetEvent::Heard);
+    pub(super) fn handle_response(&mut self, response: Response) {
+        let Response { job, node, outcome, commit, data_position, connection } = response;
+        let open = connection == ConnectionState::Open;
+        let running = self.is_running(RouterProcess { router: job.router, epoch: job.epoch });
+        let awaited = running && self.is_in_flight(job);
+        if open && awaited {
+            let idle = &mut self.routers[job.router].idle_connections;
+            idle.entry(node).or_default().push(self.now);
+        } else if open {
+            // Nobody waits for the response: its connection is closed.
+            let node = &mut self.nodes[node];
+            node.connections = node.connections.saturating_sub(1);
         }
-        self.fleet(r, FleetEvent::Tick);
-        self.session(r, SessionEvent::Tick);
-        let cluster = self.plan.cluster.max(1);
-        let first = r / cluster * cluster;
-        for p in (first..(first + cluster).min(self.plan.routers)).filter(|p| *p != r) {
-            if self.linked.contains(&(r, p)) || self.apart(self.routers[r].hall, self.routers[p].hall) {
-                continue;
-            }
-            if self.routers[p].up {
-                self.linked.insert((r, p));
-                let incarnation = self.routers[r].sessions.incarnation();
-                self.tell(r, p, Peer::Hello(incarnation));
-            } else {
-                let begun = self.now;
-                self.session(r, SessionEvent::Down(p as Instance, begun));
+        if awaited {
+            if outcome == Outcome::Ok {
+                self.confirm_endpoint(job.router, node);
             }
+            self.end_attempt(job, outcome, commit, Some(data_position));
         }
-        self.after(TICK, Ev::Tick(r, epoch));
     }
 
-    pub(super) fn session_now(&self) -> Now {
-        // The servers' clock is the one clock here, known a little late.
-        Now { at: self.now, present: Some(Time(self.now.0 + 500)) }
+    fn is_in_flight(&self, job: Job) -> bool {
+        let open = self.routers[job.router].open_requests.get(&job.request);
+        open.and_then(|open| open.attempts.get(job.attempt as usize)).is_some_and(|attempt| attempt.in_flight)
     }
 
-    pub(super) fn session(&mut self, r: usize, event: SessionEvent) {
-        let now = self.session_now();
-        let mut actions = Vec::new();
-        self.routers[r].sessions.handle(now, event, &mut actions);
-        for action in actions {
-            self.session_act(r, action);
+    /// An attempt has ended at its router.
+    pub(super) fn end_attempt(
+        &mut self,
+        job: Job,
+        outcome: Outcome,
+        commit: Option<Time>,
+        data_position: Option<Time>,
+    ) {
+        let Job { router, request, attempt, epoch, .. } = job;
+        if !self.is_running(RouterProcess { router, epoch }) || !self.is_in_flight(job) {
+            return;
         }
-    }
-
-    pub(super) fn session_act(&mut self, r: usize, action: SessionAction) {
-        let epoch = self.routers[r].epoch;
-        match action {
-            SessionAction::Append(seq, key, at) => self.after(SYNC, Ev::Synced(r, epoch, seq, key, at)),
-            SessionAction::Push(p, push) => self.tell(r, p as usize, Peer::Push(push)),
-            SessionAction::PushAll(p, seq) => {
-                let m = &self.routers[r].sessions;
-                let mut entries: Vec<(Key, i64)> = m.kept().iter().map(|(k, t)| (k, t.0)).collect();
-                // Tables of the standard library have no order of their own.
-                entries.sort_unstable_by_key(|(k, t)| (*t, *k));
-                let floor = m.floor().filter(|_| !m.floor_due()).map(|t| t.0);
-                self.tell(r, p as usize, Peer::Push(Push::All { entries }));
-                self.tell(r, p as usize, Peer::Push(Push::Whole { seq, floor }));
-            }
-            SessionAction::Welcome(p, incarnation, holds) => {
-                self.tell(r, p as usize, Peer::Welcome(incarnation, holds));
-            }
-            SessionAction::Confirm(p, seq) => self.tell(r, p as usize, Peer::Confirm(seq)),
-            SessionAction::Ask(p, at) => self.tell(r, p as usize, Peer::Ask(at)),
-            SessionAction::Drop(p) => self.unlink(p as usize, r),
-            SessionAction::Release(request) => {
-                let Some((client, session, commit)) = self.routers[r].tickets.remove(&request) else {
-                    return;
-                };
-                self.check.acknowledged(session, commit);
-                self.check.answered(self.now, r, request, false);
-                self.served(client);
-            }
-            SessionAction::Fail(request) => {
-                let Some((client, ..)) = self.routers[r].tickets.remove(&request) else { return };
-                self.check.answered(self.now, r, request, false);
-                self.count(client, |c| c.failed += 1);
-                self.clients.remove(&client);
-            }
-            SessionAction::AppendFloor(_)
-            | SessionAction::Refuse(..)
-            | SessionAction::Reincarnate(_)
-            | SessionAction::Superseded(_) => {}
+        let Some(open) = self.routers[router].open_requests.get_mut(&request) else { return };
+        let ended = &mut open.attempts[attempt as usize];
+        ended.in_flight = false;
+        let node = ended.node;
+        let key = RouterRequest { router, request };
+        if outcome.never_ran() {
+            self.checker.attempt_not_executed(key);
         }
+        let succeeds = outcome == Outcome::Ok && !open.answered;
+        open.answered |= succeeds;
+        let request_ended = open.answered;
+        if succeeds {
+            self.record_response(job, commit, data_position.unwrap_or(self.now));
+        }
+        let event = Event::AttemptEnded {
+            request: RequestId(request),
+            attempt,
+            member: MemberId(node as u32),
+            outcome,
+            request_ended,
+            response_report: MemberReport::default(),
+            commit,
+            load_report: MemberReport::default(),
+        };
+        self.handle_router_event(router, event);
+        self.remove_if_finished(router, request);
     }
 
-    pub(super) fn news(&mut self, r: usize, event: NewsEvent) {
-        let mut actions = Vec::new();
-        self.routers[r].follower.handle(self.now, event, &mut actions);
-        for action in actions {
-            match action {
-                NewsAction::Put(item) => self.fleet(r, FleetEvent::Put { name: item.key.clone(), item }),
-                NewsAction::Gone(name) => self.fleet(r, FleetEvent::Gone(name)),
-                NewsAction::Settled(_) => self.fleet(r, FleetEvent::Heard),
-                _ => {}
-            }
+    /// A response is passed on to the client; that of a write once its session's commit is acknowledged by peers.
+    fn record_response(&mut self, job: Job, commit: Option<Time>, data_position: Time) {
+        let key = RouterRequest { router: job.router, request: job.request };
+        let Some(open) = self.routers[key.router].open_requests.get(&key.request) else { return };
+        let client_id = open.client;
+        let client = self.clients.get(&client_id);
+        let (class, session) = client.map_or((0, 0), |client| (client.class, client.session));
+        if let Some(commit) = commit {
+            let write = UnacknowledgedWrite { client: client_id, session, commit };
+            self.routers[key.router].unacknowledged_writes.insert(key.request, write);
+            let committed = SessionEvent::Commit(key.request, Key(session), commit);
+            return self.handle_session_event(key.router, committed);
         }
+        let read = ServedRead {
+            freshness: self.required_freshness(class),
+            accepted_at: open.accepted_at,
+            sent_at: open.attempts[job.attempt as usize].sent_at,
+            acknowledged_commit: open.acknowledged_commit,
+            data_position,
+        };
+        self.checker.read_served(self.now, read);
+        self.checker.request_answered(self.now, key, FinalAnswer::Other);
+        self.record_success(client_id);
     }
 
-    pub(super) fn fleet(&mut self, r: usize, event: FleetEvent) {
-        let mut actions = Vec::new();
-        self.routers[r].fleet.handle(self.now, event, &mut actions);
-        let mut entries = Vec::new();
-        for action in actions {
-            let FleetAction::List(id, node) = action else { continue };
-            let Some(n) = id.strip_prefix('n').and_then(|i| i.split('@').next()?.parse::<usize>().ok())
-            else {
-                continue;
-            };
-            let state = match node.state {
-                State::InService => MemberState::Ready,
-                State::Draining => MemberState::Draining,
-                State::Gone => MemberState::Removed,
-            };
-            self.check.told(self.now, r, n, state == MemberState::Ready);
-            entries.push(MemberEntry {
-                id: MemberId(n as u32),
-                group: GroupId(node.group),
-                zone: node.zone.parse().unwrap_or(0),
-                state,
-                listed_primary: false,
-                weight: node.weight,
-                started_at: None,
-            });
+    /// Lets the endpoint list and the sessions handle the passing of time, and connects to peers.
+    pub(super) fn tick(&mut self, process: RouterProcess) {
+        let router = process.router;
+        if !self.registry_outage {
+            self.handle_endpoint_event(router, FleetEvent::Heard);
         }
-        let deaf = self.plan.plant == Some(Plant::IgnoreDrains) && self.revision > 1;
-        if !entries.is_empty() && !deaf {
-            self.feed(r, Event::MemberListChanged { complete: false, entries });
+        self.handle_endpoint_event(router, FleetEvent::Tick);
+        self.handle_session_event(router, SessionEvent::Tick);
+        for peer in self.session_cluster(router).filter(|peer| *peer != router) {
+            self.connect_peer(router, peer);
         }
+        self.schedule_after(TICK_INTERVAL, SimulationEvent::Process(process, ProcessEvent::Ticked));
     }
 }
--- /dev/null
+++ b/simulator/src/world/sessions.rs
@@ -0,0 +1,84 @@
+//! Sessions of the routers: their events and actions, their journals, and the acknowledgement of writes.
+use super::events::{PeerMessage, ProcessEvent, SimulationEvent};
+use super::state::{JournalEntry, PeerConnection, UnacknowledgedWrite, World};
+use crate::checker::{FinalAnswer, RouterRequest};
+use crate::times::{CLOCK_UNCERTAINTY, JOURNAL_SYNC};
+use decision::Time;
+use sessions::Key;
+use sessions::machine::{Action as SessionAction, Event as SessionEvent, Now, Push};
+
+impl World<'_> {
+    /// The simulation's clock, which routers take for the servers' with some uncertainty.
+    pub(super) fn session_now(&self) -> Now {
+        Now { at: self.now, present: Some(Time(self.now.0 + CLOCK_UNCERTAINTY)) }
+    }
+
+    pub(super) fn handle_session_event(&mut self, router: usize, event: SessionEvent) {
+        let now = self.session_now();
+        let mut actions = Vec::new();
+        self.routers[router].sessions.handle(now, event, &mut actions);
+        for action in actions {
+            self.apply_session_action(router, action);
+        }
+    }
+
+    fn apply_session_action(&mut self, router: usize, action: SessionAction) {
+        match action {
+            SessionAction::Append(sequence, session, commit) => {
+                let synced = ProcessEvent::JournalSynced { sequence, session, commit };
+                self.schedule_after(JOURNAL_SYNC, SimulationEvent::Process(self.process(router), synced));
+            }
+            SessionAction::Push(peer, push) => {
+                self.send_to_peer(router, peer as usize, PeerMessage::Push(push));
+            }
+            SessionAction::PushAll(peer, sequence) => self.push_all(router, peer as usize, sequence),
+            SessionAction::Welcome(peer, incarnation, position) => {
+                self.send_to_peer(router, peer as usize, PeerMessage::Welcome { incarnation, position });
+            }
+            SessionAction::Confirm(peer, sequence) => {
+                self.send_to_peer(router, peer as usize, PeerMessage::Confirm { sequence });
+            }
+            SessionAction::Ask(peer, at) => self.send_to_peer(router, peer as usize, PeerMessage::Ask { at }),
+            SessionAction::Drop(peer) => {
+                self.disconnect_peer(PeerConnection { from: peer as usize, to: router });
+            }
+            SessionAction::Release(request) => self.acknowledge_write(router, request),
+            SessionAction::Fail(request) => self.fail_write(router, request),
+            SessionAction::AppendFloor(_)
+            | SessionAction::Refuse(..)
+            | SessionAction::Reincarnate(_)
+            | SessionAction::Superseded(_) => {}
+        }
+    }
+
+    /// Sends the whole cache of commits to a peer.
+    fn push_all(&mut self, router: usize, peer: usize, sequence: u64) {
+        let sessions = &self.routers[router].sessions;
+        let mut entries: Vec<(Key, i64)> =
+            sessions.kept().iter().map(|(session, commit)| (session, commit.0)).collect();
+        // The iteration order of hash maps is arbitrary.
+        entries.sort_unstable_by_key(|(session, commit)| (*commit, *session));
+        let floor = sessions.floor().filter(|_| !sessions.floor_due()).map(|floor| floor.0);
+        self.send_to_peer(router, peer, PeerMessage::Push(Push::All { entries }));
+        self.send_to_peer(router, peer, PeerMessage::Push(Push::Whole { seq: sequence, floor }));
+    }
+
+    pub(super) fn handle_journal_sync(&mut self, router: usize, sequence: u64, entry: JournalEntry) {
+        self.routers[router].journal.push(entry);
+        self.handle_session_event(router, SessionEvent::Synced(sequence));
+    }
+
+    fn acknowledge_write(&mut self, router: usize, request: u64) {
+        let write = self.routers[router].unacknowledged_writes.remove(&request);
+        let Some(UnacknowledgedWrite { client, session, commit }) = write else { return };
+        self.checker.write_acknowledged(session, commit);
+        self.checker.request_answered(self.now, RouterRequest { router, request }, FinalAnswer::Other);
+        self.record_success(client);
+    }
+
+    fn fail_write(&mut self, router: usize, request: u64) {
+        let Some(write) = self.routers[router].unacknowledged_writes.remove(&request) else { return };
+        self.checker.request_answered(self.now, RouterRequest { router, request }, FinalAnswer::Other);
+        self.record_failure(write.client);
+    }
+}
--- a/simulator/tests/recorded_runs.rs
+++ b/simulator/tests/recorded_runs.rs
@@ -1,23 +1,23 @@
 //! Runs and plans recorded as text: what a plan and a seed give, and the keys of a plan's file, never change.
-use simulator::plan::{Kind, Plant, Trouble};
-use simulator::{Plan, Results, play};
+use simulator::{Fault, FaultKind, InjectedBug, Plan, Results, play};
 use std::path::Path;
 
-const KINDS: [(Kind, f64); 14] = [
-    (Kind::CrashPrimary, 1.0),
-    (Kind::CrashReplica, 1.0),
-    (Kind::CrashHall, 1.0),
-    (Kind::Hang, 1.0),
-    (Kind::FastErrors, 1.0),
-    (Kind::Slow, 5.0),
-    (Kind::Gray, 0.3),
-    (Kind::SlowDisk, 20.0),
-    (Kind::Partition, 1.0),
-    (Kind::RegistryOutage, 1.0),
-    (Kind::Drain, 1.0),
-    (Kind::RestartRouters, 1.0),
-    (Kind::Reconnect, 1.0),
-    (Kind::Surge, 4.0),
+/// Each kind with its name and severity in the recordings.
+const KINDS: [(FaultKind, &str, f64); 14] = [
+    (FaultKind::CrashPrimary, "CrashPrimary", 1.0),
+    (FaultKind::CrashReplica, "CrashReplica", 1.0),
+    (FaultKind::CrashZone, "CrashHall", 1.0),
+    (FaultKind::Hang, "Hang", 1.0),
+    (FaultKind::FastErrors, "FastErrors", 1.0),
+    (FaultKind::Slow, "Slow", 5.0),
+    (FaultKind::Gray, "Gray", 0.3),
+    (FaultKind::SlowDisk, "SlowDisk", 20.0),
+    (FaultKind::Partition, "Partition", 1.0),
+    (FaultKind::RegistryOutage, "RegistryOutage", 1.0),
+    (FaultKind::Drain, "Drain", 1.0),
+    (FaultKind::RestartRouters, "RestartRouters", 1.0),
+    (FaultKind::ResetConnections, "Reconnect", 1.0),
+    (FaultKind::LoadSurge, "Surge", 4.0),
 ];
 
 /// Compares with a recorded text; `DAMSONVALE_RECORD=1` writes it anew.
@@ -30,7 +30,14 @@
 }
 
 fn short_plan(name: &str) -> Plan {
-    Plan { name: name.into(), seed: 7, seconds: 5.0, warmup_s: 1.0, rate: 500.0, ..Plan::default() }
+    Plan {
+        name: name.into(),
+        seed: 7,
+        duration_s: 5.0,
+        warmup_s: 1.0,
+        request_rate: 500.0,
+        ..Plan::default()
+    }
 }
 
 fn fnv1a(text: &str) -> u64 {
@@ -48,9 +55,9 @@
 #[test]
 fn run_of_each_fault_kind_matches_recording() {
     let mut lines = summary_line(&play(&short_plan("calm")));
-    for (kind, by) in KINDS {
-        let trouble = Trouble { kind, at_s: 1.5, for_s: 1.5, count: 2, by };
-        let plan = Plan { trouble: vec![trouble], ..short_plan(&format!("{kind:?}")) };
+    for (kind, name, severity) in KINDS {
+        let fault = Fault { kind, start_s: 1.5, duration_s: 1.5, count: 2, severity };
+        let plan = Plan { faults: vec![fault], ..short_plan(name) };
         lines += &summary_line(&play(&plan));
     }
     assert_recorded("runs.txt", &lines);
@@ -58,44 +65,50 @@
 
 #[test]
 fn run_with_all_faults_at_once_matches_recording() {
-    let trouble = KINDS
+    let faults = KINDS
         .iter()
         .enumerate()
-        .map(|(n, (kind, by))| Trouble {
+        .map(|(n, (kind, _, severity))| Fault {
             kind: *kind,
-            at_s: 1.0 + 0.2 * n as f64,
-            for_s: 0.7,
+            start_s: 1.0 + 0.2 * n as f64,
+            duration_s: 0.7,
             count: 1,
-            by: *by,
+            severity: *severity,
         })
         .collect();
-    let plan = Plan { trouble, ..short_plan("all") };
+    let plan = Plan { faults, ..short_plan("all") };
     assert_recorded("all.json", &(serde_json::to_string_pretty(&play(&plan)).unwrap() + "\n"));
 }
 
 #[test]
 fn run_with_injected_bug_matches_recording() {
-    let drain = Trouble { kind: Kind::Drain, at_s: 2.0, for_s: 2.0, count: 2, by: 1.0 };
-    for (plant, name) in [
-        (Plant::ForgetSessions, "forget_sessions"),
-        (Plant::IgnoreDrains, "ignore_drains"),
-        (Plant::DenyResets, "deny_resets"),
+    let drain = Fault { kind: FaultKind::Drain, start_s: 2.0, duration_s: 2.0, count: 2, severity: 1.0 };
+    for (bug, name) in [
+        (InjectedBug::IgnoreSessionCommits, "forget_sessions"),
+        (InjectedBug::IgnoreDrains, "ignore_drains"),
+        (InjectedBug::ReportResetsAsConnectFailures, "deny_resets"),
     ] {
-        let reset = |n| Trouble {
-            kind: Kind::Reconnect,
-            at_s: 1.0 + f64::from(n) * 0.2,
-            for_s: 0.0,
+        let reset = |n| Fault {
+            kind: FaultKind::ResetConnections,
+            start_s: 1.0 + f64::from(n) * 0.2,
+            duration_s: 0.0,
             count: 0,
-            by: 1.0,
+            severity: 1.0,
         };
-        let mut trouble = vec![drain.clone()];
-        if plant == Plant::DenyResets {
-            trouble.extend((0..10).map(reset));
+        let mut faults = vec![drain.clone()];
+        if bug == InjectedBug::ReportResetsAsConnectFailures {
+            faults.extend((0..10).map(reset));
         }
-        let mut plan = Plan { trouble, plant: Some(plant), sessions: 30, ship_ms: 200.0, ..short_plan(name) };
-        plan.class.last_mut().unwrap().share = 30.0;
+        let mut plan = Plan {
+            faults,
+            injected_bug: Some(bug),
+            session_count: 30,
+            replication_delay_ms: 200.0,
+            ..short_plan(name)
+        };
+        plan.classes.last_mut().unwrap().load_share = 30.0;
         let results = play(&plan);
-        assert!(!results.broken.is_empty(), "{name}");
+        assert!(!results.violations.is_empty(), "{name}");
         let text = serde_json::to_string_pretty(&results).unwrap() + "\n";
         assert_recorded(&format!("{name}.json"), &text);
         // Numbers with a fraction are read again to within their last digit.
@@ -112,12 +125,21 @@
 #[test]
 fn plan_with_every_fault_kind_and_bug_is_read_and_written_as_recorded() {
     let text = |plan: &Plan| toml::to_string(plan).unwrap();
-    let trouble =
-        KINDS.iter().map(|(kind, by)| Trouble { kind: *kind, at_s: 1.0, for_s: 2.0, count: 3, by: *by });
-    let mut plan = Plan { trouble: trouble.collect(), ..Plan::default() };
+    let faults = KINDS.iter().map(|(kind, _, severity)| Fault {
+        kind: *kind,
+        start_s: 1.0,
+        duration_s: 2.0,
+        count: 3,
+        severity: *severity,
+    });
+    let mut plan = Plan { faults: faults.collect(), ..Plan::default() };
     let mut written = String::new();
-    for plant in [Plant::ForgetSessions, Plant::IgnoreDrains, Plant::DenyResets] {
-        plan.plant = Some(plant);
+    for bug in [
+        InjectedBug::IgnoreSessionCommits,
+        InjectedBug::IgnoreDrains,
+        InjectedBug::ReportResetsAsConnectFailures,
+    ] {
+        plan.injected_bug = Some(bug);
         written += &text(&plan);
         written += "# next\n";
     }
