--- a/lab/src/life.rs
+++ b/lab/src/life.rs
@@ -36,7 +36,8 @@
 
 /// The number of the request that a client gave this id.
 pub(crate) fn request_of(log: &[String], id: &str) -> Option<u64> {
-    let named = log.iter().find(|line| line.contains("request named") && field(line, "id") == Some(id))?;
+    let named =
+        log.iter().find(|line| line.contains("request submitted") && field(line, "id") == Some(id))?;
     field(named, "request")?.parse().ok()
 }
 
--- a/lab/tests/tool.rs
+++ b/lab/tests/tool.rs
@@ -145,7 +145,7 @@
     let log = place(&folder, "router.log");
     let own = [
         "T DEBUG request taken request=12 connection=3 class=0 deadline=9",
-        "T DEBUG request named request=12 connection=3 id=9b1f",
+        "T DEBUG request submitted request=12 connection=3 id=9b1f",
         "T DEBUG attempt handed over request=12 attempt=0 connection=3 endpoint=\"a\" until=9",
         "T DEBUG request ended request=12 connection=3 ending=\"served\" reason=\"none\"",
         "T DEBUG client connection closed connection=3 reason=\"idle_timeout\"",
--- /dev/null
+++ b/postgres/src/front/command.rs
@@ -0,0 +1,104 @@
+//! How a client's message is answered.
+use super::response;
+use super::shared::Front;
+use super::submission::{PendingRequest, submit};
+use crate::buffer::{Frame, MessageBuffer};
+use crate::encode::{READY, push_message};
+use client_listener::Connection;
+use std::sync::Arc;
+
+/// The response that a command gets.
+pub(super) enum CommandResponse {
+    /// One that the front gives by itself.
+    Immediate(Vec<u8>),
+    /// One that says why the command can't be carried out.
+    Error(Vec<u8>),
+    /// The response to a request, once the routing core has it.
+    Pending(PendingRequest),
+}
+
+/// Whether messages are skipped up to the next Sync, as the extended protocol does behind an error.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) enum SyncState {
+    #[default]
+    Ready,
+    SkippingToSync,
+}
+
+/// Carries a message out as far as its response; `None` if it gets none.
+pub(super) fn handle_message(
+    front: &Arc<Front>,
+    connection: &Arc<Connection>,
+    buffer: &MessageBuffer,
+    frame: &Frame,
+    sync: &mut SyncState,
+) -> Option<CommandResponse> {
+    match frame.tag {
+        b'Q' => handle_query(front, connection, buffer, frame),
+        b'S' => {
+            *sync = SyncState::Ready;
+            Some(CommandResponse::Immediate(READY.to_vec()))
+        }
+        _ if *sync == SyncState::SkippingToSync => None,
+        // Flush: nothing is ever held back.
+        b'H' => None,
+        tag => Some(reject_message(tag, sync)),
+    }
+}
+
+/// Only simple queries are supported.
+fn reject_message(tag: u8, sync: &mut SyncState) -> CommandResponse {
+    let mut response = response::error("0A000", "only simple queries are spoken here");
+    // Parse, Bind, Describe, Execute and Close belong to the extended protocol.
+    if matches!(tag, b'P' | b'B' | b'D' | b'E' | b'C') {
+        *sync = SyncState::SkippingToSync;
+    } else {
+        response.extend_from_slice(READY);
+    }
+    CommandResponse::Error(response)
+}
+
+fn handle_query(
+    front: &Arc<Front>,
+    connection: &Arc<Connection>,
+    buffer: &MessageBuffer,
+    frame: &Frame,
+) -> Option<CommandResponse> {
+    let body = buffer.get(frame.body());
+    let text = body.strip_suffix(b"\0").unwrap_or(body).trim_ascii();
+    if text.is_empty() {
+        return Some(CommandResponse::Immediate(answer_empty_query(connection)));
+    }
+    let first_word = text.split(|b| !b.is_ascii_alphabetic()).next().unwrap_or(b"").to_ascii_uppercase();
+    if matches!(&first_word[..], b"SET" | b"RESET" | b"DISCARD") {
+        return Some(CommandResponse::Immediate(acknowledge(&first_word)));
+    }
+    match submit(front, connection, buffer.get(frame.range.clone())) {
+        Ok(pending) => Some(CommandResponse::Pending(pending)),
+        Err(error) => {
+            let mut response = response::submit_error(&error)?;
+            response.extend_from_slice(READY);
+            Some(CommandResponse::Error(response))
+        }
+    }
+}
+
+/// An empty query is the platform's health check: it asks whether clients may connect.
+fn answer_empty_query(connection: &Connection) -> Vec<u8> {
+    let mut response = Vec::new();
+    if connection.is_draining() {
+        response = response::error("57P03", "the router is drained by its operators");
+    } else {
+        push_message(&mut response, b'I', &[]);
+    }
+    response.extend_from_slice(READY);
+    response
+}
+
+/// Session settings are accepted and have no effect.
+fn acknowledge(command: &[u8]) -> Vec<u8> {
+    let mut response = Vec::new();
+    push_message(&mut response, b'C', &[command, b"\0"]);
+    response.extend_from_slice(READY);
+    response
+}
--- /dev/null
+++ b/postgres/src/front/open_request.rs
@@ -0,0 +1,61 @@
+//! A request without a response yet, and what it occupies.
+use super::shared::Front;
+use crate::memory_pool::MemoryReservation;
+use client_listener::Connection;
+use routing::RequestId;
+use std::sync::Arc;
+
+/// An open request's id and the memory of its statement; both are released when this is dropped. A request that has no
+/// response by then is abandoned: nobody waits for it.
+pub(super) struct OpenRequest {
+    front: Arc<Front>,
+    pub(super) connection: Arc<Connection>,
+    /// `None` before it has been submitted.
+    submitted: Option<RequestId>,
+    /// The id that its client gave it.
+    pub(super) client_id: Vec<u8>,
+    _memory: MemoryReservation,
+}
+
+impl OpenRequest {
+    /// Registers the client's id; `None` if a request of this id is open.
+    pub(super) fn register(
+        front: &Arc<Front>,
+        connection: &Arc<Connection>,
+        client_id: &[u8],
+        memory: MemoryReservation,
+    ) -> Option<OpenRequest> {
+        let client_id = client_id.to_vec();
+        if !front.request_ids().insert(client_id.clone()) {
+            return None;
+        }
+        Some(OpenRequest {
+            front: front.clone(),
+            connection: connection.clone(),
+            submitted: None,
+            client_id,
+            _memory: memory,
+        })
+    }
+
+    /// It has been submitted to the routing core, which gave it this id.
+    pub(super) fn set_submitted(&mut self, id: RequestId) {
+        self.submitted = Some(id);
+    }
+
+    /// It has its response.
+    pub(super) fn finish(mut self) {
+        if let Some(id) = self.submitted.take() {
+            self.connection.in_flight_requests.finish(id);
+        }
+    }
+}
+
+impl Drop for OpenRequest {
+    fn drop(&mut self) {
+        if let Some(id) = self.submitted.take().filter(|id| self.connection.in_flight_requests.finish(*id)) {
+            self.front.handle.client_disconnected(id);
+        }
+        self.front.request_ids().remove(&self.client_id);
+    }
+}
--- /dev/null
+++ b/postgres/src/front/response.rs
@@ -0,0 +1,93 @@
+//! Encoding of the responses that clients get. Codes and texts are part of the protocol that the platform describes.
+use super::submission::SubmitError;
+use crate::buffer::{CancelKey, ProtocolError};
+use crate::encode::{READY, Severity, push_error, push_message, push_parameter};
+use routing::{FinalResponse, Outcome};
+
+/// Parameters that each client is told at its start.
+const PARAMETERS: [(&str, &str); 6] = [
+    ("server_version", "16.0 (damsonvale)"),
+    ("server_encoding", "UTF8"),
+    ("client_encoding", "UTF8"),
+    ("DateStyle", "ISO, MDY"),
+    ("integer_datetimes", "on"),
+    ("standard_conforming_strings", "on"),
+];
+
+/// The greeting behind a startup message.
+pub(super) fn greeting(key: &CancelKey) -> Vec<u8> {
+    let mut greeting = Vec::with_capacity(256);
+    push_message(&mut greeting, b'R', &[&[0, 0, 0, 0]]);
+    for (name, value) in PARAMETERS {
+        push_parameter(&mut greeting, name, value);
+    }
+    push_message(&mut greeting, b'K', &[key]);
+    greeting.extend_from_slice(READY);
+    greeting
+}
+
+/// An error that leaves the session open, without `ReadyForQuery`.
+pub(super) fn error(code: &str, text: &str) -> Vec<u8> {
+    let mut response = Vec::new();
+    push_error(&mut response, Severity::Error, code, text, None);
+    response
+}
+
+/// The error behind which the connection of a client that broke the protocol is closed.
+pub(super) fn protocol_violation(violation: ProtocolError) -> Vec<u8> {
+    let mut response = Vec::new();
+    push_error(&mut response, Severity::Fatal, "08P01", &violation.to_string(), None);
+    response
+}
+
+/// The error for a client that can't be served for lack of a thread.
+pub(super) fn no_thread() -> Vec<u8> {
+    let mut response = Vec::new();
+    let text = "refused: no thread is to be had; trying again is harmless";
+    push_error(&mut response, Severity::Fatal, "53300", text, None);
+    response
+}
+
+/// The error for a query that was not submitted, without `ReadyForQuery`; `None` where nobody is to be answered.
+pub(super) fn submit_error(submit_error: &SubmitError) -> Option<Vec<u8>> {
+    match submit_error {
+        SubmitError::Malformed(malformed) => Some(error("42601", malformed.text())),
+        SubmitError::OutOfMemory => Some(error("53300", "refused: too much is under way")),
+        SubmitError::DuplicateId => Some(error("42710", "a request of this id is open")),
+        SubmitError::Disconnected => None,
+    }
+}
+
+/// A final response, with `ReadyForQuery`.
+pub(super) fn encode(response: FinalResponse<Vec<u8>>) -> Vec<u8> {
+    let mut encoded = match response {
+        FinalResponse::Served(messages, _) => messages,
+        FinalResponse::Rejected(retry_after) => {
+            let retry_after_ms = retry_after.map(|after| after.as_millis().to_string());
+            rejected(retry_after_ms.as_deref())
+        }
+        FinalResponse::Cancelled => error("57014", "canceling statement due to user request"),
+        // This protocol has no field for the reason.
+        FinalResponse::PlacementDenied(_) => rejected(None),
+        FinalResponse::Failed(last) => failed(last),
+    };
+    encoded.extend_from_slice(READY);
+    encoded
+}
+
+/// `detail` says after how many milliseconds to retry.
+fn rejected(detail: Option<&str>) -> Vec<u8> {
+    let mut response = Vec::new();
+    push_error(&mut response, Severity::Error, "53300", "refused: trying again is harmless", detail);
+    response
+}
+
+/// `last` is how the last attempt ended.
+fn failed(last: Option<Outcome>) -> Vec<u8> {
+    match last {
+        Some(Outcome::TimedOut) => error("57014", "no answer in time; it may have run"),
+        Some(Outcome::Reset) => error("08006", "the instance's connection broke; it may have run"),
+        Some(Outcome::Error) => error("XX000", "the instance failed; it may have run"),
+        _ => error("58000", "it could not be served"),
+    }
+}
--- /dev/null
+++ b/postgres/src/front/submission.rs
@@ -0,0 +1,87 @@
+//! Submission of a query to the routing core.
+use super::open_request::OpenRequest;
+use super::shared::{Front, FrontClass};
+use crate::memory_pool::MemoryReservation;
+use crate::statement::{Statement, StatementError};
+use client_listener::Connection;
+use crossbeam_channel::{Receiver, bounded};
+use routing::{ClientRequest, FinalResponse, GroupId, SessionId, Time};
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::sync::Arc;
+
+/// A submitted request: its final response arrives at the receiver.
+pub(super) struct PendingRequest {
+    pub(super) receiver: Receiver<FinalResponse<Vec<u8>>>,
+    pub(super) request: OpenRequest,
+}
+
+/// Why a query was not submitted.
+pub(super) enum SubmitError {
+    /// It is no request.
+    Malformed(StatementError),
+    /// There is no memory left for it.
+    OutOfMemory,
+    /// A request of its id is open.
+    DuplicateId,
+    /// Its client has disconnected meanwhile: nobody is to be answered.
+    Disconnected,
+}
+
+impl From<StatementError> for SubmitError {
+    fn from(error: StatementError) -> Self {
+        SubmitError::Malformed(error)
+    }
+}
+
+/// Submits a whole Query message.
+pub(super) fn submit(
+    front: &Arc<Front>,
+    connection: &Arc<Connection>,
+    message: &[u8],
+) -> Result<PendingRequest, SubmitError> {
+    let now = front.handle.clock.now();
+    let mut memory = MemoryReservation::new(&front.memory);
+    let has_memory = memory.grow_to(message.len());
+    let statement = Statement::parse(message)?;
+    let class = front.class(statement.class()).ok_or(StatementError::UnknownClass)?;
+    if !has_memory {
+        front.handle.count_rejected(class.index);
+        return Err(SubmitError::OutOfMemory);
+    }
+    let mut request =
+        OpenRequest::register(front, connection, statement.id(), memory).ok_or(SubmitError::DuplicateId)?;
+    let (sender, receiver) = bounded(1);
+    let deadline = deadline(now, &statement, class, connection);
+    let client_request = ClientRequest {
+        connection: connection.id,
+        class: class.index,
+        tenant: None,
+        session: statement.key().map(session_id),
+        group: GroupId(statement.group),
+        deadline,
+        session_commit: statement
+            .after_ms
+            .map(|ms| front.handle.wall_clock.commit(Time(ms.saturating_mul(1000)))),
+        payload: statement,
+        response_sender: sender,
+    };
+    let submitted = connection.submit(|| front.handle.submit(client_request));
+    let id = submitted.ok_or(SubmitError::Disconnected)?;
+    request.set_submitted(id);
+    let client_id = request.client_id.escape_ascii();
+    tracing::debug!(request = id.0, connection = connection.id, id = %client_id, "request submitted");
+    Ok(PendingRequest { receiver, request })
+}
+
+/// No client waits longer than its class allows, whatever its query says. Its time runs from when it sent the query.
+fn deadline(now: Time, statement: &Statement, class: FrontClass, connection: &Connection) -> Time {
+    let age = connection.take_command_age().as_micros() as i64;
+    let wait = i64::try_from(statement.wait_ms).unwrap_or(i64::MAX).saturating_mul(1000);
+    Time(now.0 + wait.min(class.deadline_us) - age)
+}
+
+fn session_id(key: &[u8]) -> SessionId {
+    let mut hasher = DefaultHasher::new();
+    key.hash(&mut hasher);
+    SessionId(hasher.finish())
+}
--- a/postgres/src/lib.rs
+++ b/postgres/src/lib.rs
@@ -1,9 +1,15 @@
-//! The platform's wire: PostgreSQL's protocol, version 3, simple queries only.
+//! The platform's wire protocol: `PostgreSQL`'s, version 3, with simple queries only.
 //!
-//! [`front`] speaks with clients and [`link`] with instances, whose answers [`answer`] takes in; all stand on [`message`]
-//! for framing and on [`statement`] for what a query's comment says.
-pub mod answer;
+//! [`front`] serves clients and [`backend`] connects to instances, whose responses [`response`] parses. Both read
+//! messages from a [`buffer`], which takes the memory of long ones out of a [`memory_pool`]; [`decode`] and [`encode`]
+//! know what single messages hold, [`statement`] parses a query's comment and [`instance_report`] what an instance
+//! reports about itself.
+pub mod backend;
+pub mod buffer;
+pub mod decode;
+pub mod encode;
 pub mod front;
-pub mod link;
-pub mod message;
+pub mod instance_report;
+pub mod memory_pool;
+pub mod response;
 pub mod statement;
--- a/postgres/tests/fuzz.rs
+++ b/postgres/tests/fuzz.rs
@@ -1,7 +1,9 @@
-//! Random bytes, and random changes of good ones, into all that reads them: nothing panics, nothing is taken for more
-//! than it is, and what is held stays bounded.
-use postgres::answer::{BESIDE, End, Parser};
-use postgres::message::{Buffer, Pool, error, parameter};
+//! Random bytes, and random changes of well-formed ones, into all parsers: nothing panics, nothing counts for more than it
+//! is, and memory stays bounded.
+use postgres::buffer::{MessageBuffer, ReadError};
+use postgres::decode::{error_fields, parameter_status};
+use postgres::memory_pool::MemoryPool;
+use postgres::response::{MAX_OVERHEAD_BYTES, ResponseEnd, ResponseKind, ResponseParser};
 use postgres::statement::Statement;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -10,28 +12,29 @@
 use routing::protocol::ExchangeResult;
 use routing::{Outcome, Time};
 use std::io::Read;
-use std::sync::Arc;
-use std::sync::atomic::{AtomicIsize, Ordering};
 
-const VALUE: usize = 2048;
+const MAX_VALUE_BYTES: usize = 2048;
+const POOL_BYTES: usize = 1 << 20;
 const NOW: Time = Time(1_800_000_000_000_000);
 
-/// Bytes that come in pieces, and then an end.
-struct Pieces<'a> {
+/// A connection that returns its bytes in reads of these sizes, and then ends.
+struct ChunkedSource<'a> {
     bytes: &'a [u8],
-    pieces: &'a [usize],
-    next: usize,
-    end: End,
+    /// Used in turn; none of them means one read.
+    read_sizes: &'a [usize],
+    read_count: usize,
+    end: ResponseEnd,
 }
 
-impl Read for &mut Pieces<'_> {
+impl Read for &mut ChunkedSource<'_> {
     fn read(&mut self, to: &mut [u8]) -> std::io::Result<usize> {
-        let piece = self.pieces.get(self.next % self.pieces.len().max(1)).copied().unwrap_or(usize::MAX);
-        self.next += 1;
-        let n = piece.max(1).min(to.len()).min(self.bytes.len());
+        let size = self.read_sizes.get(self.read_count % self.read_sizes.len().max(1));
+        let size = size.copied().unwrap_or(usize::MAX);
+        self.read_count += 1;
+        let n = size.max(1).min(to.len()).min(self.bytes.len());
         if n == 0 {
             return match self.end {
-                End::Silent => Err(std::io::ErrorKind::WouldBlock.into()),
+                ResponseEnd::TimedOut => Err(std::io::ErrorKind::WouldBlock.into()),
                 _ => Ok(0),
             };
         }
@@ -41,42 +44,57 @@
     }
 }
 
-/// Reads an answer as a link does, and says how many bytes it held at most and how many had come by its end.
-fn read(bytes: &[u8], pieces: &[usize], end: End) -> (ExchangeResult<Vec<u8>>, usize, usize) {
-    let (mut buffer, mut parser) = (Buffer::new(VALUE + BESIDE), Parser::new(false, VALUE));
-    let mut from = Pieces { bytes, pieces, next: 0, end };
-    let mut held = 0;
+/// A response that was read as a connection to an instance reads it.
+struct ReadResponse {
+    result: ExchangeResult<Vec<u8>>,
+    /// The most memory that the buffer took.
+    peak_buffer_bytes: usize,
+    /// The bytes that were read by the end of the response.
+    read_bytes: usize,
+}
+
+fn read_response(bytes: &[u8], read_sizes: &[usize], end: ResponseEnd) -> ReadResponse {
+    let mut buffer = MessageBuffer::new(MAX_VALUE_BYTES + MAX_OVERHEAD_BYTES);
+    let mut parser = ResponseParser::new(ResponseKind::Statement, MAX_VALUE_BYTES);
+    let mut source = ChunkedSource { bytes, read_sizes, read_count: 0, end };
+    let mut peak_buffer_bytes = 0;
     let end = loop {
-        let frame = match buffer.next(&mut from) {
-            Ok(Some(f)) => f,
-            Ok(None) => break End::Closed,
-            Err(e) => match e.kind() {
-                std::io::ErrorKind::WouldBlock => break End::Silent,
-                std::io::ErrorKind::InvalidData => break End::Spoilt,
-                _ => break End::Closed,
-            },
+        let frame = match buffer.read_message(&mut source) {
+            Ok(Some(frame)) => frame,
+            Ok(None) => break ResponseEnd::Closed,
+            Err(ReadError::Protocol(_)) => break ResponseEnd::Malformed,
+            Err(ReadError::Io(e)) if e.kind() == std::io::ErrorKind::WouldBlock => {
+                break ResponseEnd::TimedOut;
+            }
+            Err(ReadError::Io(_)) => break ResponseEnd::Closed,
         };
-        held = held.max(buffer.held());
-        if let Some(end) = parser.take(buffer.get(frame.whole), NOW) {
+        peak_buffer_bytes = peak_buffer_bytes.max(buffer.allocated_bytes());
+        if let Some(end) = parser.push_message(buffer.get(frame.range), NOW) {
             break end;
         }
     };
-    (parser.end(end, buffer.ahead(), NOW), held.max(buffer.held()), bytes.len() - from.bytes.len())
+    ReadResponse {
+        result: parser.finish(end, buffer.read_ahead(), NOW),
+        peak_buffer_bytes: peak_buffer_bytes.max(buffer.allocated_bytes()),
+        read_bytes: bytes.len() - source.bytes.len(),
+    }
 }
 
 fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     [&[tag][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
-/// A message as one might come, in or out of its place.
+/// Codes of errors, of each outcome.
+const ERROR_CODES: [&str; 6] = ["53300", "57P03", "25006", "72000", "XX000", "57P01"];
+
+/// A message that an instance might send, in or out of its place.
 fn any_message() -> impl Strategy<Value = Vec<u8>> {
     let column = [&[0, 1][..], b"body\0", &[0; 18]].concat();
     let value = |v: Vec<u8>| {
         let cell = [&[0, 1][..], &(v.len() as u32).to_be_bytes(), &v].concat();
         message(b'D', &cell)
     };
-    const CODES: [&str; 6] = ["53300", "57P03", "25006", "72000", "XX000", "57P01"];
-    let failed = (select(&["ERROR", "FATAL"][..]), select(&CODES[..]))
+    let failed = (select(&["ERROR", "FATAL"][..]), select(&ERROR_CODES[..]))
         .prop_map(|(severity, code)| message(b'E', format!("S{severity}\0C{code}\0Mno\0\0").as_bytes()));
     prop_oneof![
         4 => Just(message(b'T', &column)),
@@ -94,17 +112,18 @@
     ]
 }
 
-/// A good answer: a row or an error among notes, and its end.
-fn good() -> impl Strategy<Value = Vec<u8>> {
+/// A well-formed response: a row or an error, parameters, and its end.
+fn well_formed_response() -> impl Strategy<Value = Vec<u8>> {
     (vec(any::<u8>(), 0..200), any::<bool>(), select(&["53300", "57P03", "25006", "XX000"][..])).prop_map(
         |(value, fails, code)| {
             let cell = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), &value].concat();
             let column = [&[0, 1][..], b"body\0", &[0; 18]].concat();
             let served = [message(b'T', &column), message(b'D', &cell), message(b'C', b"SELECT 1\0")];
             let failed = message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes());
-            let notes = [message(b'S', b"mode\0read-only\0"), message(b'S', b"wal_time\x001000000000250\0")];
-            let answer = if fails { failed } else { served.concat() };
-            [answer, notes.concat(), message(b'Z', b"I")].concat()
+            let parameters =
+                [message(b'S', b"mode\0read-only\0"), message(b'S', b"wal_time\x001000000000250\0")];
+            let response = if fails { failed } else { served.concat() };
+            [response, parameters.concat(), message(b'Z', b"I")].concat()
         },
     )
 }
@@ -158,140 +177,148 @@
     bytes
 }
 
-/// The whole messages of these bytes, by a reading of their own, and what is left.
-fn split(mut bytes: &[u8]) -> (Vec<&[u8]>, &[u8]) {
+/// Splits bytes into complete messages and the rest, independently of the code under test.
+fn split_messages(mut bytes: &[u8]) -> (Vec<&[u8]>, &[u8]) {
     let mut all = Vec::new();
     while let Some(head) = bytes.get(..5) {
         let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
-        let Some(whole) = (length >= 4).then(|| bytes.get(..length + 1)).flatten() else { break };
-        all.push(whole);
-        bytes = &bytes[whole.len()..];
+        let Some(complete) = (length >= 4).then(|| bytes.get(..length + 1)).flatten() else { break };
+        all.push(complete);
+        bytes = &bytes[complete.len()..];
     }
     (all, bytes)
 }
 
-/// What must hold of any reading of any bytes.
-fn check(bytes: &[u8], pieces: &[usize], end: End) -> Result<(), TestCaseError> {
-    let (reply, held, come) = read(bytes, pieces, end);
-    prop_assert!(held <= VALUE + BESIDE + 2048, "{held} bytes held");
-    // What comes later than the end of an answer is found when the link is looked at again.
-    let (messages, rest) = split(&bytes[..come]);
-    let notable: Vec<&&[u8]> = messages.iter().filter(|m| !matches!(m[0], b'S' | b'N')).collect();
-    let tags: Vec<u8> = notable.iter().map(|m| m[0]).collect();
-    if reply.outcome == Outcome::Ok {
+/// What must hold for any bytes.
+fn check(bytes: &[u8], read_sizes: &[usize], end: ResponseEnd) -> Result<(), TestCaseError> {
+    let ReadResponse { result, peak_buffer_bytes, read_bytes } = read_response(bytes, read_sizes, end);
+    prop_assert!(
+        peak_buffer_bytes <= MAX_VALUE_BYTES + MAX_OVERHEAD_BYTES + 2048,
+        "the buffer took {peak_buffer_bytes} bytes"
+    );
+    // What comes later than the end of a response is found when the connection is checked again.
+    let (messages, rest) = split_messages(&bytes[..read_bytes]);
+    let ordered: Vec<&&[u8]> = messages.iter().filter(|m| !matches!(m[0], b'S' | b'N')).collect();
+    let tags: Vec<u8> = ordered.iter().map(|m| m[0]).collect();
+    if result.outcome == Outcome::Ok {
         prop_assert!(tags.starts_with(b"TDC"), "{tags:?}");
-        let text: Vec<u8> = notable[..3].iter().flat_map(|m| m.iter().copied()).collect();
-        prop_assert_eq!(reply.response.as_deref(), Some(&text[..]), "only what came is passed on");
-        let value = &notable[1][5..];
+        let text: Vec<u8> = ordered[..3].iter().flat_map(|m| m.iter().copied()).collect();
+        prop_assert_eq!(result.response.as_deref(), Some(&text[..]), "only what came is forwarded");
+        let value = &ordered[1][5..];
         let length = u32::from_be_bytes([value[2], value[3], value[4], value[5]]) as usize;
-        prop_assert!(value[..2] == [0, 1] && length == value.len() - 6, "one whole value");
+        prop_assert!(value[..2] == [0, 1] && length == value.len() - 6, "one complete value");
     } else {
-        prop_assert!(reply.response.is_none() && reply.commit.is_none());
+        prop_assert!(result.response.is_none() && result.commit.is_none());
     }
-    if reply.outcome.never_ran() {
+    if result.outcome.never_ran() {
         let codes: &[&str] =
-            if reply.outcome == Outcome::Rejected { &["53300", "57P03"] } else { &["25006", "72000"] };
-        let code = error(&notable[0][5..]).map(|e| e.code).unwrap_or_default();
+            if result.outcome == Outcome::Rejected { &["53300", "57P03"] } else { &["25006", "72000"] };
+        let code = error_fields(&ordered[0][5..]).map(|e| e.code).unwrap_or_default();
         prop_assert!(tags[0] == b'E' && codes.contains(&code), "{tags:?} {code}");
-        // Nothing but its notes and its end comes behind it.
+        // Nothing but parameters and its end comes behind it.
         prop_assert!(tags[1..].is_empty() || tags[1..] == *b"Z", "{tags:?}");
         prop_assert!(rest.is_empty() || tags.len() == 1 && matches!(rest[0], b'S' | b'N' | b'Z'), "{rest:?}");
     }
-    if reply.reusable {
+    if result.reusable {
         prop_assert!(tags == b"TDCZ" || tags == b"EZ", "{tags:?}");
         prop_assert_eq!(&messages.last().unwrap()[5..], b"I");
         prop_assert!(rest.is_empty());
     }
-    let told = (reply.response_report.primary, reply.response_report.position, reply.load_report.position);
-    if told != (None, None, None) {
-        let notes = messages.iter().filter(|m| m[0] == b'S');
-        prop_assert!(notes.clone().all(|m| parameter(&m[5..]).is_some()), "one is spoilt");
-        prop_assert!(notes.count() > 0);
+    let reported =
+        (result.response_report.primary, result.response_report.position, result.load_report.position);
+    if reported != (None, None, None) {
+        let parameters = messages.iter().filter(|m| m[0] == b'S');
+        prop_assert!(parameters.clone().all(|m| parameter_status(&m[5..]).is_some()), "one is malformed");
+        prop_assert!(parameters.count() > 0);
     }
     Ok(())
 }
 
-fn ends() -> impl Strategy<Value = End> {
-    select(&[End::Closed, End::Silent][..])
+fn connection_end() -> impl Strategy<Value = ResponseEnd> {
+    select(&[ResponseEnd::Closed, ResponseEnd::TimedOut][..])
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, rng_seed: RngSeed::Fixed(31), ..ProptestConfig::default() })]
 
     #[test]
-    fn random_bytes_serve_nobody(bytes in vec(any::<u8>(), 0..300), pieces in vec(1..40_usize, 1..8), end in ends()) {
-        check(&bytes, &pieces, end)?;
+    fn random_bytes_are_never_served(bytes in vec(any::<u8>(), 0..300), read_sizes in vec(1..40_usize, 1..8), end in connection_end()) {
+        check(&bytes, &read_sizes, end)?;
     }
 
     #[test]
-    fn messages_in_any_order_serve_only_as_a_whole_row(
-        all in vec(any_message(), 0..9), cut in any::<Index>(), pieces in vec(1..40_usize, 1..8), end in ends(),
+    fn messages_in_any_order_are_served_only_as_a_complete_row(
+        all in vec(any_message(), 0..9), cut in any::<Index>(), read_sizes in vec(1..40_usize, 1..8), end in connection_end(),
     ) {
         let bytes = all.concat();
-        check(&bytes, &pieces, end)?;
-        check(&bytes[..cut.index(bytes.len() + 1)], &pieces, end)?;
+        check(&bytes, &read_sizes, end)?;
+        check(&bytes[..cut.index(bytes.len() + 1)], &read_sizes, end)?;
     }
 
     #[test]
-    fn changed_answers_serve_only_as_a_whole_row(
-        good in good(), changes in vec(change(), 0..4), pieces in vec(1..40_usize, 1..8), end in ends(),
+    fn changed_responses_are_served_only_as_a_complete_row(
+        response in well_formed_response(), changes in vec(change(), 0..4), read_sizes in vec(1..40_usize, 1..8), end in connection_end(),
     ) {
-        check(&changed(good, &changes), &pieces, end)?;
+        check(&changed(response, &changes), &read_sizes, end)?;
     }
 
     #[test]
-    fn pieces_change_nothing_of_an_answer(
-        all in vec(any_message(), 0..9), pieces in vec(1..40_usize, 1..8), end in ends(),
+    fn read_sizes_do_not_change_the_response(
+        all in vec(any_message(), 0..9), read_sizes in vec(1..40_usize, 1..8), end in connection_end(),
     ) {
         let bytes = all.concat();
-        let (whole, ..) = read(&bytes, &[], end);
-        let (pieced, ..) = read(&bytes, &pieces, end);
-        prop_assert_eq!(whole.response, pieced.response);
-        // A second answer that comes later than the first is found only when the link is looked at again.
-        prop_assert!(whole.outcome == pieced.outcome || pieced.reusable);
+        let at_once = read_response(&bytes, &[], end).result;
+        let chunked = read_response(&bytes, &read_sizes, end).result;
+        prop_assert_eq!(at_once.response, chunked.response);
+        // A second response that comes later than the first is found only when the connection is checked again.
+        prop_assert!(at_once.outcome == chunked.outcome || chunked.reusable);
     }
 
     #[test]
-    fn a_buffer_gives_the_same_messages_however_they_are_cut(
-        all in vec((any::<u8>(), vec(any::<u8>(), 0..3000)), 0..6), pieces in vec(1..5000_usize, 1..9),
+    fn buffer_returns_the_same_messages_for_any_read_sizes(
+        all in vec((any::<u8>(), vec(any::<u8>(), 0..3000)), 0..6), read_sizes in vec(1..5000_usize, 1..9),
     ) {
-        let pool = Pool::new(AtomicIsize::new(1 << 20));
+        let pool = MemoryPool::new(POOL_BYTES);
         let bytes: Vec<u8> = all.iter().flat_map(|(tag, body)| message(*tag, body)).collect();
         {
-            let mut buffer = Buffer::pooled(4096, &pool);
-            let mut from = Pieces { bytes: &bytes, pieces: &pieces, next: 0, end: End::Closed };
+            let mut buffer = MessageBuffer::pooled(4096, &pool);
+            let mut source = ChunkedSource {
+                bytes: &bytes, read_sizes: &read_sizes, read_count: 0, end: ResponseEnd::Closed,
+            };
             for (tag, body) in &all {
-                let frame = buffer.next(&mut from).unwrap().unwrap();
+                let frame = buffer.read_message(&mut source).unwrap().unwrap();
                 prop_assert_eq!(frame.tag, *tag);
                 prop_assert_eq!(buffer.get(frame.body()), &body[..]);
             }
-            prop_assert!(buffer.next(&mut from).unwrap().is_none() && buffer.is_empty());
+            prop_assert!(buffer.read_message(&mut source).unwrap().is_none() && buffer.is_empty());
         }
-        prop_assert_eq!(pool.load(Ordering::Relaxed), 1 << 20, "what it took is given back");
+        prop_assert_eq!(pool.available_bytes(), POOL_BYTES as isize, "all memory is given back");
     }
 
     #[test]
-    fn a_buffer_takes_no_more_than_its_bound_whatever_comes(
-        bytes in vec(any::<u8>(), 0..6000), pieces in vec(1..5000_usize, 1..9), startup in any::<bool>(),
+    fn buffer_memory_stays_bounded_for_random_bytes(
+        bytes in vec(any::<u8>(), 0..6000), read_sizes in vec(1..5000_usize, 1..9), startup in any::<bool>(),
     ) {
-        let pool = Arc::new(AtomicIsize::new(1 << 20));
-        let mut buffer = Buffer::pooled(4096, &pool);
-        let mut from = Pieces { bytes: &bytes, pieces: &pieces, next: 0, end: End::Closed };
+        let pool = MemoryPool::new(POOL_BYTES);
+        let mut buffer = MessageBuffer::pooled(4096, &pool);
+        let mut source = ChunkedSource {
+                bytes: &bytes, read_sizes: &read_sizes, read_count: 0, end: ResponseEnd::Closed,
+            };
         if startup {
-            _ = buffer.startup(&mut from);
+            _ = buffer.read_startup(&mut source);
         }
-        while matches!(buffer.next(&mut from), Ok(Some(_))) {}
-        prop_assert!(buffer.held() <= 16 * 1024, "{}", buffer.held());
+        while matches!(buffer.read_message(&mut source), Ok(Some(_))) {}
+        prop_assert!(buffer.allocated_bytes() <= 16 * 1024, "{}", buffer.allocated_bytes());
     }
 
     #[test]
-    fn a_statement_is_read_without_harm_and_names_only_what_it_holds(
+    fn statement_parser_never_panics_and_fields_stand_in_the_message(
         changes in vec(change(), 0..5), random in vec(any::<u8>(), 0..80), digits in 0..100_000_u32,
     ) {
-        const GOOD: &[u8] =
+        const WELL_FORMED: &[u8] =
             b"SELECT body FROM objects WHERE oid = 'k1' /* id=a1,c=read,d=480,cluster=3,after=17 */\0";
         _ = Statement::parse(&random);
-        let message = changed(message(b'Q', GOOD), &changes);
+        let message = changed(message(b'Q', WELL_FORMED), &changes);
         if let Ok(s) = Statement::parse(&message) {
             prop_assert!((1..=64).contains(&s.id().len()));
             prop_assert!(message.windows(s.class().len().max(1)).any(|w| w.starts_with(s.class())));
@@ -309,13 +336,13 @@
 }
 
 #[test]
-fn a_length_alone_reserves_nothing() {
-    let pool = Pool::new(AtomicIsize::new(1 << 20));
-    let mut buffer = Buffer::pooled(160 * 1024, &pool);
+fn stated_length_alone_reserves_no_memory() {
+    let pool = MemoryPool::new(POOL_BYTES);
+    let mut buffer = MessageBuffer::pooled(160 * 1024, &pool);
     let bytes = b"Q\0\x02\0\0begun";
-    let mut from = Pieces { bytes, pieces: &[], next: 0, end: End::Silent };
-    assert!(buffer.next(&mut from).is_err());
-    assert!(buffer.held() <= 2048, "{}", buffer.held());
-    assert_eq!(buffer.ahead(), bytes);
-    assert_eq!(pool.load(Ordering::Relaxed), 1 << 20);
+    let mut source = ChunkedSource { bytes, read_sizes: &[], read_count: 0, end: ResponseEnd::TimedOut };
+    assert!(buffer.read_message(&mut source).is_err());
+    assert!(buffer.allocated_bytes() <= 2048, "{}", buffer.allocated_bytes());
+    assert_eq!(buffer.read_ahead(), bytes);
+    assert_eq!(pool.available_bytes(), POOL_BYTES as isize);
 }
--- a/src/commands/platform/admin.rs
+++ b/src/commands/platform/admin.rs
@@ -51,7 +51,7 @@
             set_process_count: Box::new(move |count| {
                 clients.set_process_count(count as usize);
                 handle.set_process_count(count);
-                front.sharing(count);
+                front.set_process_count(count);
             }),
             clock: Clock::new(),
             limits: router.limits.clone(),
