--- a/adapter/tests/sites.rs
+++ b/adapter/tests/sites.rs
@@ -1,8 +1,11 @@
 //! The adapter under the settings of customers it has never met: `deploy/sites/`.
+mod common;
+
+use common::spawn_adapter;
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
-use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
+use std::process::{Child, ChildStdin, ChildStdout};
 
 const SITES: [(&str, &str); 2] = [
     ("hafnarfjordur-lager", include_str!("../../deploy/sites/hafnarfjordur-lager/settings.json")),
@@ -19,12 +22,7 @@
 
 impl Adapter {
     fn start() -> Adapter {
-        let mut child = Command::new(env!("CARGO_BIN_EXE_damsonvale-adapter"))
-            .stdin(Stdio::piped())
-            .stdout(Stdio::piped())
-            .stderr(Stdio::piped())
-            .spawn()
-            .expect("the adapter starts");
+        let mut child = spawn_adapter();
         let to = child.stdin.take().expect("standard input");
         let from = BufReader::new(child.stdout.take().expect("standard output"));
         Adapter { child, to, from, turn: 0 }
--- a/adapter/tests/transcript.rs
+++ b/adapter/tests/transcript.rs
@@ -1,15 +1,13 @@
 //! A hand-written transcript: what goes in, line by line, and what must come out.
+mod common;
+
+use common::spawn_adapter;
 use serde_json::{Value, json};
 use std::io::Write;
-use std::process::{Command, Output, Stdio};
+use std::process::Output;
 
 fn run(lines: &[String]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_damsonvale-adapter"))
-        .stdin(Stdio::piped())
-        .stdout(Stdio::piped())
-        .stderr(Stdio::piped())
-        .spawn()
-        .expect("the adapter starts");
+    let mut child = spawn_adapter();
     let mut input = child.stdin.take().expect("standard input");
     let text = lines.join("\n") + "\n";
     // The adapter may stop reading at a malformed line.
--- a/decision/tests/common/mod.rs
+++ b/decision/tests/common/mod.rs
@@ -24,6 +24,18 @@
     }
 }
 
+/// One idempotency of each kind. The windows are those of deduplication in the group, everywhere and in the zone.
+pub(crate) fn idempotencies(windows: [Micros; 3]) -> [Idempotency; 5] {
+    let [in_group, everywhere, in_zone] = windows;
+    [
+        Idempotency::Idempotent,
+        Idempotency::NotIdempotent,
+        Idempotency::DeduplicatedInGroup(in_group),
+        Idempotency::DeduplicatedEverywhere(everywhere),
+        Idempotency::DeduplicatedInZone(in_zone),
+    ]
+}
+
 /// Classes: 0 write, 1 latest, 2 session, 3 bounded (300 ms), 4 any.
 pub(crate) fn settings(write: Idempotency) -> Settings {
     let idempotent = |freshness| class(freshness, Idempotency::Idempotent);
--- a/decision/tests/invariants.rs
+++ b/decision/tests/invariants.rs
@@ -338,13 +338,7 @@
 
 #[test]
 fn random_legal_events_keep_all_rules() {
-    let idempotencies = [
-        Idempotency::Idempotent,
-        Idempotency::NotIdempotent,
-        Idempotency::DeduplicatedInGroup(300 * MS),
-        Idempotency::DeduplicatedEverywhere(300 * MS),
-        Idempotency::DeduplicatedInZone(300 * MS),
-    ];
+    let idempotencies = common::idempotencies([300 * MS; 3]);
     let lagging_replicas =
         [LaggingReplica::AnswersStale, LaggingReplica::Rejects, LaggingReplica::WaitsThenRejects(50 * MS)];
     let sources = [SessionCommitSource::CarriedByRequest, SessionCommitSource::RememberedByRouter];
--- a/decision/tests/recorded_runs/main.rs
+++ b/decision/tests/recorded_runs/main.rs
@@ -8,6 +8,8 @@
 //!
 //! A change that is to leave the decisions alone leaves these files alone. After one that changes decisions, the files
 //! that the failed test wrote replace them, and the commit says so.
+#[path = "../common/mod.rs"]
+mod common;
 mod text;
 mod world;
 
--- a/decision/tests/recorded_runs/world.rs
+++ b/decision/tests/recorded_runs/world.rs
@@ -1,4 +1,5 @@
 //! Members, clients and a network around one router, drawn from a seed.
+use crate::common::{self, MS};
 use crate::text::{action_text, event_text};
 use decision::{
     Action, Class, Event, Freshness, GroupId, Idempotency, LaggingReplica, MemberEntry, MemberId,
@@ -8,9 +9,6 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// A millisecond, in microseconds.
-const MS: Micros = 1000;
-
 /// What a member does with the work that it gets.
 #[derive(Clone, Copy, PartialEq)]
 enum Health {
@@ -80,13 +78,7 @@
         Freshness::Bounded(300 * MS),
         Freshness::Any,
     ];
-    let idempotencies = [
-        Idempotency::Idempotent,
-        Idempotency::NotIdempotent,
-        Idempotency::DeduplicatedInGroup(400 * MS),
-        Idempotency::DeduplicatedEverywhere(700 * MS),
-        Idempotency::DeduplicatedInZone(500 * MS),
-    ];
+    let idempotencies = common::idempotencies([400 * MS, 700 * MS, 500 * MS]);
     let classes = (0..7)
         .map(|n| Class {
             freshness: freshness[n % freshness.len()],
@@ -99,8 +91,6 @@
         .collect();
     Settings {
         classes,
-        tenant_rates: vec![],
-        over_quota_weight: 1.0,
         router_count: pick(rng, &[0, 1, 3, 8, 300]),
         zone: rng.u32(..3),
         min_event_interval: pick(rng, &[0, 1, 5, 10]) * MS,
@@ -120,16 +110,15 @@
         max_attempts: rng.u32(1..7),
         cancel_allowed: rng.bool(),
         probing_allowed: rng.u8(..6) > 0,
-        probe_cost: 0.02,
         max_retry_after: rng.bool().then_some(200 * MS),
         connect_timeout: pick(rng, &[100, 250]) * MS,
-        drain_grace: 500 * MS,
         missing_members_may_serve: rng.bool(),
         slow_start_initial_share: pick(rng, &[0.15, 0.3, 1.0]),
         slow_start_duration: pick(rng, &[0, 4_000, 18_000]) * MS,
         overload_factor: pick(rng, &[1.5, 2.5, 3.0]),
         overload_duration: pick(rng, &[500, 1000, 3000]) * MS,
         list_requires_subscription: rng.bool(),
+        ..common::settings(Idempotency::NotIdempotent)
     }
 }
 
@@ -418,17 +407,15 @@
         if self.rng.bool() {
             self.handle(Event::ProbeEnded { member, outcome, report });
         } else {
-            let (response_report, commit, load_report) = (report, None, MemberReport::default());
-            let request_ended = outcome == Outcome::Ok;
             self.handle(Event::AttemptEnded {
                 request,
                 attempt,
                 member,
                 outcome,
-                request_ended,
-                response_report,
-                commit,
-                load_report,
+                request_ended: outcome == Outcome::Ok,
+                response_report: report,
+                commit: None,
+                load_report: MemberReport::default(),
             });
         }
     }
--- a/decision/tests/scale_invariance.rs
+++ b/decision/tests/scale_invariance.rs
@@ -74,49 +74,32 @@
     }
 
     fn event(&self, event: &Event) -> Event {
-        match event.clone() {
-            Event::MemberListChanged { complete, entries } => {
-                let entry = |e: MemberEntry| MemberEntry {
-                    zone: self.zones[e.zone as usize],
-                    started_at: e.started_at.map(|t| self.time(t)),
-                    ..e
-                };
-                Event::MemberListChanged { complete, entries: entries.into_iter().map(entry).collect() }
-            }
-            Event::RequestArrived(r) => Event::RequestArrived(Request {
-                class: self.classes[r.class],
-                deadline: self.time(r.deadline),
-                session_commit: r.session_commit.map(|t| self.time(t)),
-                ..r
-            }),
-            Event::AttemptEnded {
-                request,
-                attempt,
-                member,
-                outcome,
-                request_ended,
-                response_report,
-                commit,
-                load_report,
-            } => {
-                let (response_report, load_report) = (self.report(response_report), self.report(load_report));
-                let commit = commit.map(|t| self.time(t));
-                Event::AttemptEnded {
-                    request,
-                    attempt,
-                    member,
-                    outcome,
-                    request_ended,
-                    response_report,
-                    commit,
-                    load_report,
+        let mut event = event.clone();
+        match &mut event {
+            Event::MemberListChanged { entries, .. } => {
+                for entry in entries {
+                    entry.zone = self.zones[entry.zone as usize];
+                    entry.started_at = entry.started_at.map(|t| self.time(t));
                 }
             }
-            Event::ProbeEnded { member, outcome, report } => {
-                Event::ProbeEnded { member, outcome, report: self.report(report) }
+            Event::RequestArrived(request) => {
+                request.class = self.classes[request.class];
+                request.deadline = self.time(request.deadline);
+                request.session_commit = request.session_commit.map(|t| self.time(t));
             }
-            other => other,
+            Event::AttemptEnded { response_report, commit, load_report, .. } => {
+                *response_report = self.report(*response_report);
+                *commit = commit.map(|t| self.time(t));
+                *load_report = self.report(*load_report);
+            }
+            Event::ProbeEnded { report, .. } => *report = self.report(*report),
+            Event::ListUpdateFailed
+            | Event::RouterCountChanged(_)
+            | Event::ResponseStarted { .. }
+            | Event::ClientDisconnected { .. }
+            | Event::TimerExpired => {}
         }
+        event
     }
 
     fn action(&self, action: &Action) -> Action {
@@ -329,13 +312,7 @@
         Freshness::Bounded(400 * MS),
         Freshness::Latest,
     ];
-    let idempotencies = [
-        Idempotency::Idempotent,
-        Idempotency::NotIdempotent,
-        Idempotency::DeduplicatedInGroup(900 * MS),
-        Idempotency::DeduplicatedEverywhere(1500 * MS),
-        Idempotency::DeduplicatedInZone(700 * MS),
-    ];
+    let idempotencies = common::idempotencies([900 * MS, 1500 * MS, 700 * MS]);
     let mut class = |n: usize| {
         let latency_objective = 80 * rng.i64(3..20) * MS;
         Class {
@@ -352,31 +329,21 @@
         [LaggingReplica::AnswersStale, LaggingReplica::Rejects, LaggingReplica::WaitsThenRejects(20 * MS)];
     Settings {
         classes,
-        tenant_rates: vec![],
-        over_quota_weight: 1.0,
         router_count: 1 + rng.u32(..4),
         zone: rng.u32(..3),
-        min_event_interval: 5 * MS,
         lagging_replica: lagging_replicas[rng.usize(..3)],
         session_commit_source: if rng.bool() {
             SessionCommitSource::CarriedByRequest
         } else {
             SessionCommitSource::RememberedByRouter
         },
-        hedging_allowed: false,
         max_attempts: 1 + rng.u32(2..6),
-        cancel_allowed: true,
-        probing_allowed: true,
-        probe_cost: 0.02,
         max_retry_after: rng.bool().then_some(1000 * MS),
         connect_timeout: 200 * MS,
-        drain_grace: 500 * MS,
         missing_members_may_serve: rng.bool(),
-        slow_start_initial_share: 0.2,
         slow_start_duration: 16_000 * MS,
-        overload_factor: 3.0,
-        overload_duration: 2000 * MS,
         list_requires_subscription: rng.bool(),
+        ..common::settings(Idempotency::NotIdempotent)
     }
 }
 
--- a/discovery/src/driver.rs
+++ b/discovery/src/driver.rs
@@ -67,7 +67,7 @@
             poll,
             addr,
             started: Instant::now(),
-            liveness: WatchLiveness::new(liveness_settings(&shared.limits)),
+            liveness: WatchLiveness::new(Settings::from(&*shared.limits)),
             parser: EndpointListParser::new(shared.zones.clone()),
             connections: BTreeMap::new(),
             ready: BTreeSet::new(),
@@ -317,15 +317,17 @@
     }
 }
 
-fn liveness_settings(limits: &Limits) -> Settings {
-    Settings {
-        stale_after: limits.watch_silent,
-        first_line_timeout: limits.watch_answer,
-        min_open_interval: limits.watch_retry.0,
-        max_open_interval: limits.watch_retry.1,
-        previous_address_grace: limits.watch_former,
-        max_pending: limits.watch_most,
-        min_pending_time: limits.watch_chance(),
-        oldest_pending_time: limits.watch_patience,
+impl From<&Limits> for Settings {
+    fn from(limits: &Limits) -> Settings {
+        Settings {
+            stale_after: limits.watch_silent,
+            first_line_timeout: limits.watch_answer,
+            min_open_interval: limits.watch_retry.0,
+            max_open_interval: limits.watch_retry.1,
+            previous_address_grace: limits.watch_former,
+            max_pending: limits.watch_most,
+            min_pending_time: limits.watch_chance(),
+            oldest_pending_time: limits.watch_patience,
+        }
     }
 }
--- a/discovery/tests/liveness.rs
+++ b/discovery/tests/liveness.rs
@@ -1,25 +1,10 @@
 //! An agent in virtual time: what its connections bring decides what the state machine opens and closes.
-use discovery::liveness::{Action, ConnectionId, Event, Settings, WatchLiveness};
-use std::time::Duration;
+mod common;
 
-const STEP: u64 = 10;
-
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
-}
+use common::{ms, production_settings};
+use discovery::liveness::{Action, ConnectionId, Event, WatchLiveness};
 
-fn machine() -> WatchLiveness {
-    WatchLiveness::new(Settings {
-        stale_after: ms(2600),
-        first_line_timeout: ms(600),
-        min_open_interval: ms(250),
-        max_open_interval: ms(1000),
-        previous_address_grace: ms(4000),
-        max_pending: 6,
-        min_pending_time: ms(1100),
-        oldest_pending_time: ms(10_000),
-    })
-}
+const STEP: u64 = 10;
 
 /// What an agent does at `now` on a connection opened at `opened`, `None` for nothing.
 type Agent = fn(opened: u64, now: u64) -> Option<AgentEvent>;
@@ -109,7 +94,11 @@
 
 /// Plays an agent step by step; the watch follows an address, or another one, from each of these moments on.
 fn play_with_moves(agent: Agent, follow_at: &[u64], until: u64) -> Record {
-    let mut run = Run { liveness: machine(), open: Vec::new(), record: Record::default() };
+    let mut run = Run {
+        liveness: WatchLiveness::new(production_settings()),
+        open: Vec::new(),
+        record: Record::default(),
+    };
     for now in (0..until).step_by(STEP as usize) {
         for event in run.events(now, agent, follow_at.contains(&now)) {
             run.handle(now, event);
@@ -293,7 +282,7 @@
 
 #[test]
 fn line_that_ends_a_silence_does_not_hide_it_from_a_late_driver() {
-    let (mut liveness, mut actions) = (machine(), Vec::new());
+    let (mut liveness, mut actions) = (WatchLiveness::new(production_settings()), Vec::new());
     liveness.handle(ms(0), Event::Follow, &mut actions);
     liveness.handle(ms(10), Event::Line { connection: ConnectionId(1), has_update: true }, &mut actions);
     actions.clear();
--- a/discovery/tests/liveness_outages/world.rs
+++ b/discovery/tests/liveness_outages/world.rs
@@ -15,16 +15,7 @@
 }
 
 fn machine(limits: &Limits) -> WatchLiveness {
-    WatchLiveness::new(Settings {
-        stale_after: limits.watch_silent,
-        first_line_timeout: limits.watch_answer,
-        min_open_interval: limits.watch_retry.0,
-        max_open_interval: limits.watch_retry.1,
-        previous_address_grace: limits.watch_former,
-        max_pending: limits.watch_most,
-        min_pending_time: limits.watch_chance(),
-        oldest_pending_time: limits.watch_patience,
-    })
+    WatchLiveness::new(Settings::from(limits))
 }
 
 struct World {
--- a/discovery/tests/recorded_run.rs
+++ b/discovery/tests/recorded_run.rs
@@ -1,5 +1,8 @@
 //! Recorded runs of the state machine: seeded events in, actions out. The fixture was written by the code as it stood
 //! before its names and files changed; the present code has to give the same text.
+mod common;
+
+use common::{ms, production_settings};
 use discovery::liveness::{Action, ConnectionId, Event, Settings, WatchLiveness};
 use std::fmt::Write;
 use std::time::Duration;
@@ -16,22 +19,9 @@
 /// Runs of which the fixture holds the hash alone, for each settings.
 const HASHED_SEEDS: u64 = 24;
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
-}
-
 /// The limits of production, and tight ones whose bounds for retries are swapped.
 fn all_settings() -> [(&'static str, Settings); 2] {
-    let usual = Settings {
-        stale_after: ms(2600),
-        first_line_timeout: ms(600),
-        min_open_interval: ms(250),
-        max_open_interval: ms(1000),
-        previous_address_grace: ms(4000),
-        max_pending: 6,
-        min_pending_time: ms(1100),
-        oldest_pending_time: ms(10_000),
-    };
+    let usual = production_settings();
     let tight = Settings {
         stale_after: ms(300),
         min_open_interval: ms(100),
--- a/releases/examples/fleet/main.rs
+++ b/releases/examples/fleet/main.rs
@@ -4,6 +4,7 @@
 mod sim;
 
 use releases::{DisruptionBudget, Limit};
+use sim::scenario::{FleetSize, Incidents, MessageFaults};
 use sim::{BadVersion, SECOND, Scenario, Simulation, limits, settings};
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -53,22 +54,22 @@
         let mut settings = settings();
         settings.max_lost_routers = 12;
         Scenario {
-            zones: 3,
-            routers: 300,
-            instances: 120,
+            size: FleetSize { zones: 3, routers: 300, instances: 120 },
             budget: DisruptionBudget {
                 routers: limits(Limit::Percent(10), Limit::Count(12)),
                 instances: limits(Limit::Percent(5), Limit::Count(3)),
             },
             settings,
             bad_version: self.bad_version(seed),
-            message_loss: 0.005,
-            message_duplication: 0.01,
+            message_faults: MessageFaults { loss: 0.005, duplication: 0.01 },
+            incidents: Incidents {
+                leader_loss: 0.005,
+                disconnection: 0.002,
+                router_death: 0.002,
+                drain: 0.2,
+                budget_change: 0.0,
+            },
             driver_kill: 0.001,
-            leader_loss: 0.005,
-            disconnection: 0.002,
-            router_death: 0.002,
-            drain: 0.2,
             roll_back_at: rolls_back.then_some((seed as i64 * 53 % 1000 + 30) * SECOND),
             until: 7200 * SECOND,
             ..Scenario::calm(seed)
--- a/releases/examples/fleet/sim/checker.rs
+++ b/releases/examples/fleet/sim/checker.rs
@@ -17,7 +17,7 @@
     }
 
     pub(super) fn checks_snapshots(&self) -> bool {
-        self.scenario.routers < MAX_ROUTERS_WITH_SNAPSHOT_CHECK
+        self.scenario.size.routers < MAX_ROUTERS_WITH_SNAPSHOT_CHECK
     }
 
     /// A member that has just been granted is within the budget, counted from the reservations alone.
--- a/releases/examples/fleet/sim/faults.rs
+++ b/releases/examples/fleet/sim/faults.rs
@@ -12,7 +12,7 @@
         if self.now % SECOND != 0 {
             return;
         }
-        if self.ledger.is_some() && self.happens(self.scenario.leader_loss) {
+        if self.ledger.is_some() && self.happens(self.scenario.incidents.leader_loss) {
             self.lose_leader();
         }
         self.disturb_router();
@@ -25,16 +25,16 @@
         let name = &names[self.rng.random_range(0..names.len())];
         let duration = self.rng.random_range(SECOND..90 * SECOND);
         let now = self.now;
-        if self.happens(self.scenario.disconnection) {
+        if self.happens(self.scenario.incidents.disconnection) {
             self.nodes.get_mut(name).unwrap().disconnected_until = now + duration;
         }
-        if self.happens(self.scenario.router_death) {
+        if self.happens(self.scenario.incidents.router_death) {
             self.nodes.get_mut(name).unwrap().is_dead = true;
         }
     }
 
     fn maybe_drain(&mut self) {
-        if self.happens(self.scenario.drain) {
+        if self.happens(self.scenario.incidents.drain) {
             // A router that the release has taken out is denied.
             let targets: Vec<Target> = self.members.keys().cloned().collect();
             let target = targets[self.rng.random_range(0..targets.len())].clone();
@@ -66,7 +66,7 @@
     }
 
     fn maybe_change_budget(&mut self) {
-        if self.happens(self.scenario.budget_change) && self.ledger.is_some() {
+        if self.happens(self.scenario.incidents.budget_change) && self.ledger.is_some() {
             let fleet = self.rng.random_range(1..8);
             let zone = self.rng.random_range(1..5);
             let limits = limits(Limit::Count(fleet), Limit::Percent(zone * 10));
--- a/releases/examples/fleet/sim/mod.rs
+++ b/releases/examples/fleet/sim/mod.rs
@@ -4,7 +4,7 @@
 mod faults;
 mod machines;
 mod nodes;
-mod scenario;
+pub(crate) mod scenario;
 
 pub(crate) use nodes::RouterNode;
 pub(crate) use scenario::{
@@ -108,27 +108,27 @@
 
 impl Simulation {
     pub(crate) fn new(scenario: Scenario) -> Simulation {
-        let zone = |i: usize| format!("z{}", i % scenario.zones);
+        let zone = |i: usize| format!("z{}", i % scenario.size.zones);
         let routers: BTreeMap<String, String> =
-            (0..scenario.routers).map(|i| (format!("r{i:03}"), zone(i))).collect();
+            (0..scenario.size.routers).map(|i| (format!("r{i:03}"), zone(i))).collect();
         let mut members: Members =
             routers.iter().map(|(name, zone)| (target(TargetKind::Router, name), zone.clone())).collect();
         let instance = |i: usize| (target(TargetKind::Instance, &format!("i{i:03}")), zone(i));
-        members.extend((0..scenario.instances).map(instance));
+        members.extend((0..scenario.size.instances).map(instance));
         let ledger = BudgetLedger::new(scenario.budget, scenario.settings.lease, members.clone());
         let mut settings = scenario.settings;
         if scenario.injected_fault == InjectedFault::HealthIgnored {
             (settings.health.observation_time, settings.health.min_requests) = (1, 1);
         }
         let driver = Release::new(plan(&routers), settings).unwrap();
-        let node = |i: usize| (format!("r{i:03}"), RouterNode::new(i % scenario.zones));
+        let node = |i: usize| (format!("r{i:03}"), RouterNode::new(i % scenario.size.zones));
         Simulation {
             now: 0,
             ledger_snapshot: ledger.snapshot(),
             ledger: Some(ledger),
             snapshot: driver.snapshot().clone(),
             driver: Some(driver),
-            nodes: (0..scenario.routers).map(node).collect(),
+            nodes: (0..scenario.size.routers).map(node).collect(),
             outcome: Outcome::default(),
             drains: BTreeMap::new(),
             drains_requested: BTreeMap::new(),
@@ -150,10 +150,10 @@
 
     /// Sends a message, which may be lost or arrive twice.
     fn send(&mut self, message: Message) {
-        if self.happens(self.scenario.message_loss) {
+        if self.happens(self.scenario.message_faults.loss) {
             return;
         }
-        let copies = 1 + usize::from(self.happens(self.scenario.message_duplication));
+        let copies = 1 + usize::from(self.happens(self.scenario.message_faults.duplication));
         for _ in 0..copies {
             self.messages_sent += 1;
             let delay = self.rng.random_range(1_000..50_000);
--- a/releases/examples/fleet/sim/scenario.rs
+++ b/releases/examples/fleet/sim/scenario.rs
@@ -32,27 +32,43 @@
     pub(crate) error_rate: f64,
 }
 
+/// How large a fleet is.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct FleetSize {
+    pub(crate) zones: usize,
+    pub(crate) routers: usize,
+    pub(crate) instances: usize,
+}
+
+/// What happens to messages; probabilities for each message.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct MessageFaults {
+    pub(crate) loss: f64,
+    pub(crate) duplication: f64,
+}
+
+/// What happens to a fleet by itself; probabilities for each second.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct Incidents {
+    pub(crate) leader_loss: f64,
+    pub(crate) disconnection: f64,
+    pub(crate) router_death: f64,
+    pub(crate) drain: f64,
+    pub(crate) budget_change: f64,
+}
+
 /// What a simulation is run with.
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
     pub(crate) seed: u64,
-    pub(crate) zones: usize,
-    pub(crate) routers: usize,
-    pub(crate) instances: usize,
+    pub(crate) size: FleetSize,
     pub(crate) budget: DisruptionBudget,
     pub(crate) settings: Settings,
     pub(crate) bad_version: Option<BadVersion>,
-    /// Probabilities for each message.
-    pub(crate) message_loss: f64,
-    pub(crate) message_duplication: f64,
+    pub(crate) message_faults: MessageFaults,
+    pub(crate) incidents: Incidents,
     /// Probability that the driver is killed, for each event that makes it act.
     pub(crate) driver_kill: f64,
-    /// Probabilities for each second.
-    pub(crate) leader_loss: f64,
-    pub(crate) disconnection: f64,
-    pub(crate) router_death: f64,
-    pub(crate) drain: f64,
-    pub(crate) budget_change: f64,
     /// Probability that a router does not come back, for each update.
     pub(crate) update_death: f64,
     /// When the operator rolls back.
@@ -68,23 +84,16 @@
     pub(crate) fn calm(seed: u64) -> Scenario {
         Scenario {
             seed,
-            zones: 3,
-            routers: 15,
-            instances: 9,
+            size: FleetSize { zones: 3, routers: 15, instances: 9 },
             budget: DisruptionBudget {
                 routers: limits(Limit::Count(4), Limit::Count(2)),
                 instances: limits(Limit::Count(3), Limit::Count(1)),
             },
             settings: settings(),
             bad_version: None,
-            message_loss: 0.0,
-            message_duplication: 0.0,
+            message_faults: MessageFaults::default(),
+            incidents: Incidents::default(),
             driver_kill: 0.0,
-            leader_loss: 0.0,
-            disconnection: 0.0,
-            router_death: 0.0,
-            drain: 0.0,
-            budget_change: 0.0,
             update_death: 0.0,
             roll_back_at: None,
             operator_reacts: true,
@@ -96,13 +105,15 @@
     /// A small fleet with faults of all kinds.
     pub(crate) fn stormy(seed: u64) -> Scenario {
         Scenario {
-            message_loss: 0.02,
-            message_duplication: 0.05,
+            message_faults: MessageFaults { loss: 0.02, duplication: 0.05 },
+            incidents: Incidents {
+                leader_loss: 0.02,
+                disconnection: 0.01,
+                router_death: 0.0,
+                drain: 0.3,
+                budget_change: 0.02,
+            },
             driver_kill: 0.01,
-            leader_loss: 0.02,
-            disconnection: 0.01,
-            drain: 0.3,
-            budget_change: 0.02,
             ..Scenario::calm(seed)
         }
     }
--- a/releases/tests/releases/stored_forms.rs
+++ b/releases/tests/releases/stored_forms.rs
@@ -1,18 +1,16 @@
 //! Forms that are kept in the store, as they were written before any name of this package changed: they are read to the
 //! same values and written again byte for byte.
-use decision::Micros;
+use crate::sim::{self, SECOND};
 use releases::{
-    DisruptionBudget, GrantId, HaltReason, HealthSettings, LedgerSnapshot, Limit, Limits, Phase,
-    ReleaseSnapshot, RequestStats, Reservation, RouterState, RouterStep, SNAPSHOT_FORMAT, Settings, Target,
-    TargetKind, Version,
+    DisruptionBudget, GrantId, HaltReason, LedgerSnapshot, Limit, Limits, Phase, ReleaseSnapshot,
+    RequestStats, Reservation, RouterState, RouterStep, SNAPSHOT_FORMAT, Settings, Target, TargetKind,
+    Version,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::collections::BTreeSet;
 use std::fmt::Debug;
 
-const SECOND: Micros = 1_000_000;
-
 fn is_stored_as<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, stored: &str) {
     let stored = stored.trim_end();
     assert_eq!(serde_json::from_str::<T>(stored).unwrap(), *value);
@@ -48,21 +46,7 @@
 }
 
 fn settings() -> Settings {
-    Settings {
-        wave_growth: 2,
-        max_wave_size: 32,
-        lease: 60 * SECOND,
-        update_timeout: 30 * SECOND,
-        retry_interval: SECOND,
-        max_lost_routers: 1,
-        health: HealthSettings {
-            min_requests: 500,
-            max_error_rate_increase: 0.01,
-            max_latency_factor: 1.5,
-            observation_time: 15 * SECOND,
-            health_timeout: 90 * SECOND,
-        },
-    }
+    Settings { max_lost_routers: 1, ..sim::settings() }
 }
 
 fn release(phase: Phase, last_good: Version, target_version: Version) -> ReleaseSnapshot {
