--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -1,10 +1,10 @@
 //! Sessions across restarts and instances: the real program over stand-in servers whose replicas lag. A read that is
 //! routed by less than its session was told shows an older item, since the lag is longer than any test.
 mod common;
-#[path = "common/instances.rs"]
-mod instances;
-use common::{LONG, Program, Signal};
-use instances::{Instances, Keeping, read, restart_loop, write};
+use common::TIMEOUT;
+use common::instances::{Instances, SessionRetention, read, write};
+use common::program::{Program, Signal};
+use common::restart_loop::{SessionRoute, restart_loop};
 use std::time::Duration;
 use test_servers::fleet::Fleet;
 use test_servers::proxy::Proxy;
@@ -24,40 +24,40 @@
 
 #[test]
 fn a_kill_between_acknowledgement_and_read_loses_nothing() {
-    for keeping in [Keeping::Disk, Keeping::Floor] {
+    for keeping in [SessionRetention::JournalOnly, SessionRetention::MinimumPositionOnly] {
         let mut one = Instances::started(1, level(2), keeping);
-        one.settle();
+        one.stop_replication_once_replicas_serve();
         write(&mut one.client(0), "ann", 7).unwrap();
         one.kill(0);
         one.start(0);
         assert_eq!(read(&mut one.client(0), "ann").unwrap(), (7, "primary".into()), "{keeping:?}");
-        if keeping == Keeping::Disk {
+        if keeping == SessionRetention::JournalOnly {
             // What was restored is exact: a session that has written nothing is a replica's.
             let begun = std::time::Instant::now();
             while !read(&mut one.client(0), "bob").unwrap().1.starts_with("replica") {
-                assert!(begun.elapsed() < LONG);
+                assert!(begun.elapsed() < TIMEOUT);
             }
         }
     }
     // The same without keeping anything misses it, or this test could not fail.
-    let mut one = Instances::started(1, behind(2), Keeping::Nothing);
+    let mut one = Instances::started(1, behind(2), SessionRetention::Forgotten);
     write(&mut one.client(0), "ann", 7).unwrap();
     one.kill(0);
     one.start(0);
     let (mut client, begun) = (one.client(0), std::time::Instant::now());
     while read(&mut client, "ann").unwrap().0 == 7 {
-        assert!(begun.elapsed() < LONG);
+        assert!(begun.elapsed() < TIMEOUT);
     }
 }
 
 #[test]
 fn a_kill_between_commit_and_acknowledgement_leaves_what_was_told_before() {
-    let mut one = Instances::started(1, behind(2), Keeping::Disk);
+    let mut one = Instances::started(1, behind(2), SessionRetention::JournalOnly);
     write(&mut one.client(0), "ann", 1).unwrap();
     one.fleet.hold_answers(0, true);
     let mut client = one.client(0);
     let second = std::thread::spawn(move || write(&mut client, "ann", 2));
-    assert!(one.fleet.wait_for_held(1, LONG));
+    assert!(one.fleet.wait_for_held(1, TIMEOUT));
     one.kill(0);
     assert!(second.join().unwrap().is_err());
     one.fleet.hold_answers(0, false);
@@ -69,7 +69,7 @@
 #[test]
 fn a_hung_replica_that_alone_is_up_to_date_leaves_the_read_to_the_primary() {
     let fleet = Fleet::start(&[Duration::ZERO, FAR_BEHIND], HEARTBEAT);
-    let mut one = Instances::started(1, fleet, Keeping::Disk);
+    let mut one = Instances::started(1, fleet, SessionRetention::JournalOnly);
     write(&mut one.client(0), "ann", 1).unwrap();
     one.kill(0);
     one.fleet.hang(1, true);
@@ -83,14 +83,14 @@
                 assert_eq!(seen, (1, "primary".into()));
                 served += 1;
             }
-            Err(e) => assert!(begun.elapsed() < 2 * LONG, "{e}"),
+            Err(e) => assert!(begun.elapsed() < 2 * TIMEOUT, "{e}"),
         }
     }
 }
 
 #[test]
 fn a_handover_between_write_and_read_keeps_the_write() {
-    let mut two = Instances::started(2, behind(2), Keeping::Whole);
+    let mut two = Instances::started(2, behind(2), SessionRetention::JournalAndPeers);
     write(&mut two.client(0), "ann", 1).unwrap();
     two.fleet.hand_over(2);
     for i in [1, 0] {
@@ -99,7 +99,7 @@
             match read(&mut two.client(i), "ann") {
                 Ok(seen) => break assert_eq!(seen, (1, "replica-2".into())),
                 // Refused while the new primary is looked for.
-                Err(e) => assert!(begun.elapsed() < LONG, "{e}"),
+                Err(e) => assert!(begun.elapsed() < TIMEOUT, "{e}"),
             }
         }
     }
@@ -110,10 +110,10 @@
 
 #[test]
 fn a_session_that_alternates_sees_its_writes_and_others_stay_on_replicas() {
-    for keeping in [Keeping::Whole, Keeping::Peers] {
+    for keeping in [SessionRetention::JournalAndPeers, SessionRetention::PeersOnly] {
         let mut two = Instances::started(2, level(2), keeping);
-        two.settle();
-        let before = two.shown(1)["reads_of_the_present"].as_u64();
+        two.stop_replication_once_replicas_serve();
+        let before = two.status(1)["reads_of_the_present"].as_u64();
         let mut clients = [two.client(0), two.client(1)];
         for n in 1..=40 {
             let (here, there) = (n as usize % 2, (n as usize + 1) % 2);
@@ -124,19 +124,19 @@
             assert!(other.starts_with("replica"), "{other}");
         }
         // Held one by one at both, and none of it by making every read see the present.
-        assert_eq!(two.shown(1)["reads_of_the_present"].as_u64(), before);
+        assert_eq!(two.status(1)["reads_of_the_present"].as_u64(), before);
     }
 }
 
 #[test]
 fn instances_cut_off_from_each_other_read_the_present_until_they_are_healed() {
-    let mut two = Instances::new(2, level(2), Keeping::Whole);
-    let ways = [Proxy::start(two.listen[1]), Proxy::start(two.listen[0])];
-    two.finds[0][1] = ways[0].addr;
-    two.finds[1][0] = ways[1].addr;
+    let mut two = Instances::new(2, level(2), SessionRetention::JournalAndPeers);
+    let ways = [Proxy::start(two.peer_listeners[1]), Proxy::start(two.peer_listeners[0])];
+    two.peer_addresses[0][1] = ways[0].addr;
+    two.peer_addresses[1][0] = ways[1].addr;
     (0..2).for_each(|i| two.start(i));
-    (0..2).for_each(|i| two.relied(i));
-    two.settle();
+    (0..2).for_each(|i| two.wait_until_peers_up_to_date(i));
+    two.stop_replication_once_replicas_serve();
     let mut clients = [two.client(0), two.client(1)];
     write(&mut clients[0], "ann", 1).unwrap();
     assert_eq!(read(&mut clients[1], "ann").unwrap(), (1, "primary".into()));
@@ -146,10 +146,10 @@
         write(&mut clients[0], "ann", n).unwrap();
         assert_eq!(read(&mut clients[1], "ann").unwrap(), (n, "primary".into()));
     }
-    assert_eq!(two.shown(1)["relies_on_all"], false);
+    assert_eq!(two.status(1)["relies_on_all"], false);
     ways.iter().for_each(Proxy::heal);
     for i in 0..2 {
-        two.until(i, |s| s["relies_on_all"] == true);
+        two.wait_for_status(i, |s| s["relies_on_all"] == true);
     }
     assert_eq!(read(&mut clients[1], "ann").unwrap(), (12, "primary".into()));
     assert!(read(&mut clients[1], "bob").unwrap().1.starts_with("replica"));
@@ -160,10 +160,10 @@
     for off in [-2000, 2000] {
         // Half a second of lag: by a clock that is behind, a fresh write would look two seconds old.
         let fleet = Fleet::start(&[Duration::from_millis(500); 2], HEARTBEAT);
-        let mut two = Instances::new(2, fleet, Keeping::Whole);
-        two.more[0].0 = format!("clock_offset_ms = {off}");
+        let mut two = Instances::new(2, fleet, SessionRetention::JournalAndPeers);
+        two.extra_settings[0].0 = format!("clock_offset_ms = {off}");
         (0..2).for_each(|i| two.start(i));
-        (0..2).for_each(|i| two.relied(i));
+        (0..2).for_each(|i| two.wait_until_peers_up_to_date(i));
         let mut clients = [two.client(0), two.client(1)];
         for n in 1..=30 {
             let (here, there) = (n as usize % 2, (n as usize + 1) % 2);
@@ -175,7 +175,7 @@
         for client in &mut clients {
             let begun = std::time::Instant::now();
             while !read(client, "ann").unwrap().1.starts_with("replica") {
-                assert!(begun.elapsed() < LONG, "{off} ms off");
+                assert!(begun.elapsed() < TIMEOUT, "{off} ms off");
             }
         }
     }
@@ -183,15 +183,15 @@
 
 #[test]
 fn a_lost_folder_costs_reads_of_replicas_and_no_write() {
-    let mut two = Instances::started(2, behind(1), Keeping::Whole);
+    let mut two = Instances::started(2, behind(1), SessionRetention::JournalAndPeers);
     write(&mut two.client(0), "ann", 3).unwrap();
     // Both are gone, so nobody holds it in memory, and the one that knew it has lost its disk.
     (0..2).for_each(|i| two.kill(i));
-    std::fs::remove_dir_all(two.kept_in(0)).unwrap();
+    std::fs::remove_dir_all(two.journal_folder(0)).unwrap();
     two.start(1);
     assert_eq!(read(&mut two.client(1), "ann").unwrap(), (3, "primary".into()));
     two.start(0);
-    (0..2).for_each(|i| two.relied(i));
+    (0..2).for_each(|i| two.wait_until_peers_up_to_date(i));
     for i in 0..2 {
         assert_eq!(read(&mut two.client(i), "ann").unwrap(), (3, "primary".into()));
     }
@@ -199,23 +199,23 @@
 
 #[test]
 fn a_journal_cut_at_every_byte_of_its_last_record_keeps_the_ones_before() {
-    let mut one = Instances::started(1, behind(1), Keeping::Disk);
+    let mut one = Instances::started(1, behind(1), SessionRetention::JournalOnly);
     let mut client = one.client(0);
     write(&mut client, "ann", 1).unwrap();
-    let file = std::fs::read_dir(one.kept_in(0)).unwrap().map(|f| f.unwrap().path());
+    let file = std::fs::read_dir(one.journal_folder(0)).unwrap().map(|f| f.unwrap().path());
     let file = file.into_iter().find(|f| f.to_string_lossy().contains("sessions.")).unwrap();
     let before = std::fs::read(&file).unwrap();
     write(&mut client, "bob", 1).unwrap();
     let whole = std::fs::read(&file).unwrap();
     one.kill(0);
     assert_eq!(&whole[..before.len()], &before[..]);
-    let folder = one.kept_in(0);
+    let folder = one.journal_folder(0);
     let asked = |verb: &str, bytes: &[u8]| {
         std::fs::write(&file, bytes).unwrap();
         let mut program = Program::start(&["sessions", verb, folder.to_str().unwrap()], &[]);
         let ok = program.child.wait().unwrap().success();
         let said = program.log.iter().collect::<Vec<_>>().join("\n");
-        (ok, program.ended().1 + &said)
+        (ok, program.wait_for_exit().1 + &said)
     };
     for cut in before.len()..whole.len() {
         let (ok, said) = asked("dump", &whole[..cut]);
@@ -229,7 +229,7 @@
     let (ok, said) = asked("verify", &bad);
     assert!(!ok && said.contains("at offset"), "{said}");
     one.start(0);
-    one.program(0).logged("refused");
+    one.program(0).wait_for_log("refused");
     assert_eq!(read(&mut one.client(0), "ann").unwrap(), (1, "primary".into()));
     one.kill(0);
     // A tail that was torn off: what stood before it counts, and what may have been in it is covered.
@@ -237,7 +237,7 @@
     let newest = newest.into_iter().find(|f| f.to_string_lossy().contains("/sessions.")).unwrap();
     std::fs::write(&newest, &whole[..whole.len() - 1]).unwrap();
     one.start(0);
-    one.program(0).logged("torn tail");
+    one.program(0).wait_for_log("torn tail");
     for key in ["ann", "bob"] {
         assert_eq!(read(&mut one.client(0), key).unwrap(), (1, "primary".into()));
     }
@@ -245,14 +245,14 @@
 
 #[test]
 fn sessions_beyond_the_bound_fold_into_the_floor() {
-    let mut one = Instances::new(1, behind(1), Keeping::Disk);
-    one.more[0].1 = "remembered = 8".into();
+    let mut one = Instances::new(1, behind(1), SessionRetention::JournalOnly);
+    one.extra_settings[0].1 = "remembered = 8".into();
     one.start(0);
     let mut client = one.client(0);
     for n in 0..60 {
         write(&mut client, &format!("member-{n}"), 1).unwrap();
     }
-    assert!(one.shown(0)["sessions"].as_u64().unwrap() <= 16);
+    assert!(one.status(0)["sessions"].as_u64().unwrap() <= 16);
     for restarted in [false, true] {
         if restarted {
             one.kill(0);
@@ -270,7 +270,7 @@
     const SESSIONS: usize = 2000;
     let fleet = Fleet::start(&[Duration::from_millis(20); 3], HEARTBEAT);
     // With the floor alone, so that every one of them needs what was committed before the start.
-    let mut one = Instances::started(1, fleet, Keeping::Floor);
+    let mut one = Instances::started(1, fleet, SessionRetention::MinimumPositionOnly);
     write(&mut one.client(0), "member-0", 1).unwrap();
     one.kill(0);
     let before: Vec<_> = (0..4).map(|s| one.fleet.counts(s)).collect();
@@ -279,7 +279,7 @@
     let threads: Vec<_> = (0..20)
         .map(|t| {
             std::thread::spawn(move || {
-                let mut client = instances::connect(addr).unwrap();
+                let mut client = common::instances::connect(addr).unwrap();
                 let keys = (0..SESSIONS / 20).map(|n| format!("member-{}", n * 20 + t));
                 keys.filter(|k| read(&mut client, k).is_err()).count()
             })
@@ -298,21 +298,21 @@
 
 #[test]
 fn a_full_disk_degrades_to_the_floor_and_says_so() {
-    let mut one = Instances::new(1, behind(1), Keeping::Disk);
+    let mut one = Instances::new(1, behind(1), SessionRetention::JournalOnly);
     // The shell sets the limit: whatever would make a file longer than a few blocks fails from then on.
-    let path = one.file(0, &[0]);
+    let path = one.write_settings(0, &[0]);
     let line = format!(
         "trap '' XFSZ; ulimit -f 2; exec {} serve {}",
         env!("CARGO_BIN_EXE_damsonvale"),
         path.display()
     );
     let mut program = Program::shell(&line);
-    let addr = program.listening();
-    let mut client = instances::connect(addr).unwrap();
+    let addr = program.listening_address();
+    let mut client = common::instances::connect(addr).unwrap();
     for n in 1..=100 {
         write(&mut client, "ann", n).unwrap();
     }
-    program.logged("the journal can't be kept");
+    program.wait_for_log("the journal can't be kept");
     assert_eq!(read(&mut client, "ann").unwrap(), (100, "primary".into()));
     drop(program);
     one.start(0);
@@ -321,40 +321,41 @@
 
 #[test]
 fn instances_join_leave_and_are_told_apart() {
-    let mut three = Instances::new(3, behind(1), Keeping::Whole);
+    let mut three = Instances::new(3, behind(1), SessionRetention::JournalAndPeers);
     // Two that know nothing of the third.
     for i in 0..2 {
-        let path = three.file(i, &[0, 1]);
-        let mut program = Program::start(&["serve", path.to_str().unwrap()], &[]);
-        let addr = program.listening();
+        let path = three.write_settings(i, &[0, 1]);
+        let mut program = Program::serve(&path);
+        let addr = program.listening_address();
         three.running[i] = Some((program, addr));
     }
-    (0..2).for_each(|i| three.relied(i));
+    (0..2).for_each(|i| three.wait_until_peers_up_to_date(i));
     // The third takes no named session before all that it names list it.
     three.start(2);
-    three.program(2).logged("takes nothing from here: NotListed");
+    three.program(2).wait_for_log("takes nothing from here: NotListed");
     let refused = write(&mut three.client(2), "ann", 1).unwrap_err().to_string();
     assert!(refused.contains("does not list this one"), "{refused}");
     for i in 0..2 {
-        three.file(i, &[0, 1, 2]);
+        three.write_settings(i, &[0, 1, 2]);
         three.program(i).signal(Signal::SIGHUP);
-        three.program(i).logs_next("the configuration is followed");
+        three.program(i).wait_for_next_log("the configuration is followed");
     }
-    (0..3).for_each(|i| _ = three.until(i, |s| s["relies_on_all"] == true && s["stopped"].is_null()));
+    (0..3)
+        .for_each(|i| _ = three.wait_for_status(i, |s| s["relies_on_all"] == true && s["stopped"].is_null()));
     write(&mut three.client(2), "ann", 1).unwrap();
     for i in 0..3 {
         assert_eq!(read(&mut three.client(i), "ann").unwrap(), (1, "primary".into()));
     }
     // It dies: its address refuses, so the others rely on each other, and what it told is seen.
     three.kill(2);
-    three.until(0, |s| s["peers"][1]["down"] == true && s["relies_on_all"] == true);
+    three.wait_for_status(0, |s| s["peers"][1]["down"] == true && s["relies_on_all"] == true);
     assert_eq!(read(&mut three.client(0), "ann").unwrap(), (1, "primary".into()));
     // It leaves for good.
     for i in 0..2 {
-        three.file(i, &[0, 1]);
+        three.write_settings(i, &[0, 1]);
         three.program(i).signal(Signal::SIGHUP);
-        three.program(i).logs_next("the configuration is followed");
-        assert_eq!(three.shown(i)["peers"].as_array().unwrap().len(), 1);
+        three.program(i).wait_for_next_log("the configuration is followed");
+        assert_eq!(three.status(i)["peers"].as_array().unwrap().len(), 1);
     }
     write(&mut three.client(0), "ann", 2).unwrap();
     assert_eq!(read(&mut three.client(1), "ann").unwrap(), (2, "primary".into()));
@@ -362,41 +363,42 @@
 
 #[test]
 fn the_same_instance_started_twice_is_stopped_by_folder_address_or_peers() {
-    let mut two = Instances::started(2, behind(1), Keeping::Whole);
+    let mut two = Instances::started(2, behind(1), SessionRetention::JournalAndPeers);
     let twice = |path: &std::path::Path| {
-        let mut program = Program::start(&["serve", path.to_str().unwrap()], &[]);
+        let mut program = Program::serve(path);
         assert!(!program.child.wait().unwrap().success());
         program.log.iter().collect::<Vec<_>>().join("\n")
     };
-    let first = two.listen[0];
-    assert!(twice(&two.file(0, &[0, 1])).contains("in use"));
-    two.listen[0] = instances::ports(1)[0];
-    assert!(twice(&two.file(0, &[0, 1])).contains("another process uses this folder"));
+    let first = two.peer_listeners[0];
+    assert!(twice(&two.write_settings(0, &[0, 1])).contains("in use"));
+    two.peer_listeners[0] = common::environment::unused_addresses(1)[0];
+    assert!(twice(&two.write_settings(0, &[0, 1])).contains("another process uses this folder"));
     // A copy with a folder and an address of its own: the newer one serves, and the older one is told.
-    let text = std::fs::read_to_string(two.file(0, &[0, 1])).unwrap().replace("kept-0", "kept-copy");
+    let text =
+        std::fs::read_to_string(two.write_settings(0, &[0, 1])).unwrap().replace("journal-0", "journal-copy");
     let path = two.folder.write("copy.toml", &text);
-    let mut copy = Program::start(&["serve", path.to_str().unwrap()], &[]);
-    let addr = copy.listening();
-    copy.logged("peer 2 takes our commits");
-    two.program(0).logged("was started again elsewhere");
+    let mut copy = Program::serve(&path);
+    let addr = copy.listening_address();
+    copy.wait_for_log("peer 2 takes our commits");
+    two.program(0).wait_for_log("was started again elsewhere");
     let refused = write(&mut two.client(0), "ann", 1).unwrap_err().to_string();
     assert!(refused.contains("a newer start of this instance serves"), "{refused}");
-    write(&mut instances::connect(addr).unwrap(), "ann", 2).unwrap();
+    write(&mut common::instances::connect(addr).unwrap(), "ann", 2).unwrap();
     assert_eq!(read(&mut two.client(1), "ann").unwrap(), (2, "primary".into()));
-    assert_ne!(first, two.listen[0]);
+    assert_ne!(first, two.peer_listeners[0]);
 }
 
 #[test]
 fn strangers_on_the_peers_port_end_their_own_connection_only() {
     use std::io::{Read, Write};
-    let one = Instances::started(1, behind(1), Keeping::Disk);
+    let one = Instances::started(1, behind(1), SessionRetention::JournalOnly);
     write(&mut one.client(0), "ann", 1).unwrap();
     for bytes in
         [&b"GET / HTTP/1.1\r\n\r\n"[..], b"\xff\xff\xff\xff", b"\x02\0\0\0\x09\x09", b"\x01\0\0\0\x04"]
     {
-        let mut socket = std::net::TcpStream::connect(one.listen[0]).unwrap();
+        let mut socket = std::net::TcpStream::connect(one.peer_listeners[0]).unwrap();
         socket.write_all(bytes).unwrap();
-        socket.set_read_timeout(Some(LONG)).unwrap();
+        socket.set_read_timeout(Some(TIMEOUT)).unwrap();
         _ = socket.shutdown(std::net::Shutdown::Write);
         let mut rest = Vec::new();
         _ = socket.read_to_end(&mut rest);
@@ -408,13 +410,13 @@
 #[test]
 fn a_loop_of_kills_finds_no_read_that_missed_its_write_and_would_find_them() {
     let lag = [Duration::from_secs(1), Duration::from_secs(2)];
-    let mut three = Instances::started(3, Fleet::start(&lag, HEARTBEAT), Keeping::Whole);
-    let found = restart_loop(&mut three, 30, 6, true);
+    let mut three = Instances::started(3, Fleet::start(&lag, HEARTBEAT), SessionRetention::JournalAndPeers);
+    let found = restart_loop(&mut three, 30, 6, SessionRoute::Alternating);
     assert!(found.reads > 100 && found.writes > 50, "{found:?}");
-    assert_eq!(found.missed, 0, "{found:?}");
+    assert_eq!(found.stale_reads, 0, "{found:?}");
     drop(three);
     // Switched off, and each session true to one instance: only restarts are left to blame.
-    let mut three = Instances::started(3, Fleet::start(&lag, HEARTBEAT), Keeping::Nothing);
-    let found = restart_loop(&mut three, 6, 6, false);
-    assert!(found.missed > 0, "{found:?}");
+    let mut three = Instances::started(3, Fleet::start(&lag, HEARTBEAT), SessionRetention::Forgotten);
+    let found = restart_loop(&mut three, 6, 6, SessionRoute::Sticky);
+    assert!(found.stale_reads > 0, "{found:?}");
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,8 +1,14 @@
 //! How the program ends under clients that go on: whatever a client sent is answered whole, or it never reached an
 //! instance and the client's connection has ended.
 mod common;
-use common::front::*;
-use common::{Discovery, Folder, LONG, Program, Signal, ports};
+use common::TIMEOUT;
+use common::client::{Client, Response, insert, served};
+use common::discovery::Discovery;
+use common::environment::{TestFolder, unused_addresses};
+use common::platform::config;
+use common::program::{Program, Signal};
+use common::scripted_instance::{Behavior, ScriptedInstance};
+use common::wire::{message, read_message};
 use serde_json::json;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,39 +21,39 @@
     router: Program,
     addr: SocketAddr,
     _discovery: Discovery,
-    instance: (Instance, Receiver<String>),
-    folder: Folder,
+    instance: (ScriptedInstance, Receiver<String>),
+    folder: TestFolder,
 }
 
 impl Site {
     fn start() -> Site {
-        let instance = Instance::start("primary", true);
-        let (discovery, folder) = (Discovery::start(), Folder::new());
+        let instance = ScriptedInstance::start("primary", true);
+        let (discovery, folder) = (Discovery::start(), TestFolder::new());
         let text = config(discovery.addr, vec![instance.0.entry("in_service")]).to_string();
         let path = folder.write("config.json", &text);
-        let mut router = Program::start(&[], &[("BALANCER_CONFIG", path.to_str().unwrap())]);
-        let addr = router.listening();
-        Client::connect(addr).until(&insert("warm", 1900), "primary");
+        let mut router = Program::serve_platform(&path);
+        let addr = router.listening_address();
+        Client::connect(addr).query_until_served_by(&insert("warm", 1900), "primary");
         while instance.1.try_recv().is_ok() {}
         Site { router, addr, _discovery: discovery, instance, folder }
     }
 
     fn ran(&self, id: &str) -> usize {
-        self.instance.0.ran(id)
+        self.instance.0.executions_of(id)
     }
 
     /// The process ends by itself, and says that all went well.
     fn ends(self) {
-        assert_eq!(self.router.ended().0, Some(0));
+        assert_eq!(self.router.wait_for_exit().0, Some(0));
     }
 }
 
 /// The next answer; `None` at an orderly end between two answers.
-fn next(client: &Client) -> Option<Answer> {
+fn next(client: &Client) -> Option<Response> {
     let mut byte = [0];
     match client.0.peek(&mut byte) {
         Ok(0) => None,
-        Ok(_) => Some(client.answer()),
+        Ok(_) => Some(client.response()),
         Err(e) => panic!("no orderly end: {e}"),
     }
 }
@@ -65,11 +71,11 @@
         let site = Site::start();
         let client = Client::connect(site.addr);
         if before {
-            client.write(&insert("beside", 1900));
+            client.send(&insert("beside", 1900));
         }
         site.router.terminate();
         if !before {
-            client.write(&insert("beside", 1900));
+            client.send(&insert("beside", 1900));
         }
         assert_eq!(next(&client), Some(served("primary")), "{before}");
         ended_in_order(&client);
@@ -86,7 +92,7 @@
     site.router.terminate();
     let mut asked = 0;
     loop {
-        client.write(&insert(&format!("loop{asked}"), 1900));
+        client.send(&insert(&format!("loop{asked}"), 1900));
         let answer = next(&client);
         if answer.is_none() {
             break;
@@ -113,7 +119,7 @@
     let site = Site::start();
     let client = Client::connect(site.addr);
     let id = |n: usize| format!("ahead{n}");
-    (0..4).for_each(|n| client.write(&insert(&id(n), 1900)));
+    (0..4).for_each(|n| client.send(&insert(&id(n), 1900)));
     site.router.terminate();
     let (mut asked, mut answered) = (4, 0);
     while let Some(answer) = next(&client) {
@@ -136,7 +142,7 @@
 fn half_a_command_whose_rest_comes_after_the_end_is_not_run() {
     let site = Site::start();
     let client = Client::connect(site.addr);
-    assert_eq!(client.ask(&insert("whole", 1900)), served("primary"));
+    assert_eq!(client.query(&insert("whole", 1900)), served("primary"));
     let halved = message(b'Q', format!("{}\0", insert("halved", 1900)).as_bytes());
     (&client.0).write_all(&halved[..30]).unwrap();
     site.router.terminate();
@@ -147,38 +153,38 @@
     let instance = site.instance.0.clone();
     drop(client);
     site.ends();
-    assert_eq!((instance.ran("whole"), instance.ran("halved")), (1, 0));
+    assert_eq!((instance.executions_of("whole"), instance.executions_of("halved")), (1, 0));
 }
 
 #[test]
 fn a_client_that_rests_until_it_is_ended_sees_an_end_and_no_reset_whatever_it_sends_into_it() {
     let site = Site::start();
     let client = Client::connect(site.addr);
-    assert_eq!(client.ask(&insert("before", 1900)), served("primary"));
+    assert_eq!(client.query(&insert("before", 1900)), served("primary"));
     site.router.terminate();
     ended_in_order(&client);
-    client.write(&insert("into", 1900));
+    client.send(&insert("into", 1900));
     ended_in_order(&client);
     let instance = site.instance.0.clone();
     // It never ends its own side: the process does not wait for it.
     site.ends();
-    assert_eq!(instance.ran("into"), 0);
+    assert_eq!(instance.executions_of("into"), 0);
 }
 
 #[test]
 fn an_answer_that_is_owed_at_the_last_step_comes_whole_before_the_end() {
     let site = Site::start();
     let client = Client::connect(site.addr);
-    site.instance.0.act(Act::Silent);
-    client.write(&insert("slow", 1200));
-    site.instance.1.recv_timeout(LONG).unwrap();
+    site.instance.0.set_behavior(Behavior::Silent);
+    client.send(&insert("slow", 1200));
+    site.instance.1.recv_timeout(TIMEOUT).unwrap();
     let idle = Client::connect(site.addr);
-    assert_eq!(idle.ask(""), Answer::Empty);
+    assert_eq!(idle.query(""), Response::Empty);
     site.router.terminate();
     // Once those that rest have ended, a half comes behind it.
     ended_in_order(&idle);
     (&client.0).write_all(b"Q\0\0\0\x40SELECT").unwrap();
-    assert!(matches!(next(&client), Some(Answer::Error(code, None)) if code == "57014"));
+    assert!(matches!(next(&client), Some(Response::Error(code, None)) if code == "57014"));
     ended_in_order(&client);
     assert_eq!(site.ran("slow"), 1);
     drop((client, idle));
@@ -190,14 +196,14 @@
     let site = Site::start();
     site.router.signal(Signal::SIGSTOP);
     let mut socket = TcpStream::connect(site.addr).unwrap();
-    socket.set_read_timeout(Some(LONG)).unwrap();
+    socket.set_read_timeout(Some(TIMEOUT)).unwrap();
     let body = b"\0\x03\0\0user\0worker\0database\0catalog\0\0";
     socket.write_all(&[&(body.len() as u32 + 4).to_be_bytes()[..], body].concat()).unwrap();
     site.router.terminate();
     site.router.signal(Signal::SIGCONT);
-    while read(&socket).unwrap().0 != b'Z' {}
+    while read_message(&socket).unwrap().0 != b'Z' {}
     let client = Client(socket);
-    assert_eq!(client.ask(&insert("late", 1900)), served("primary"));
+    assert_eq!(client.query(&insert("late", 1900)), served("primary"));
     ended_in_order(&client);
     assert_eq!(site.ran("late"), 1);
     drop(client);
@@ -208,14 +214,14 @@
 fn too_many_commands_ahead_are_answered_and_told_why_the_connection_ends() {
     let site = Site::start();
     let client = Client::connect(site.addr);
-    site.instance.0.act(Act::Silent);
+    site.instance.0.set_behavior(Behavior::Silent);
     let ahead: Vec<u8> = (0..300)
         .flat_map(|n| message(b'Q', format!("{}\0", insert(&format!("m{n}"), 600)).as_bytes()))
         .collect();
     (&client.0).write_all(&ahead).unwrap();
     let mut last = None;
     let end = loop {
-        match read(&client.0) {
+        match read_message(&client.0) {
             Ok(message) => last = Some(message),
             Err(e) => break e.kind(),
         }
@@ -229,12 +235,12 @@
 fn a_second_signal_to_end_changes_nothing() {
     let site = Site::start();
     let client = Client::connect(site.addr);
-    site.instance.0.act(Act::Silent);
-    client.write(&insert("slow", 900));
-    site.instance.1.recv_timeout(LONG).unwrap();
+    site.instance.0.set_behavior(Behavior::Silent);
+    client.send(&insert("slow", 900));
+    site.instance.1.recv_timeout(TIMEOUT).unwrap();
     site.router.terminate();
     site.router.terminate();
-    assert!(matches!(next(&client), Some(Answer::Error(code, None)) if code == "57014"));
+    assert!(matches!(next(&client), Some(Response::Error(code, None)) if code == "57014"));
     site.router.signal(Signal::SIGINT);
     ended_in_order(&client);
     drop(client);
@@ -251,7 +257,7 @@
         site.router.signal(Signal::SIGHUP);
         site.router.terminate();
         let client = Client::connect(site.addr);
-        assert_eq!(client.ask(&insert("after", 1900)), served("primary"));
+        assert_eq!(client.query(&insert("after", 1900)), served("primary"));
         drop(client);
         site.ends();
     }
@@ -267,9 +273,9 @@
     // Opened for writing, which waits for a reader: the router waits in its read now.
     let writer = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
     site.router.terminate();
-    site.router.logged("shutdown: taking requests");
+    site.router.wait_for_log("shutdown: taking requests");
     let client = Client::connect(site.addr);
-    assert_eq!(client.ask(&insert("after", 1900)), served("primary"));
+    assert_eq!(client.query(&insert("after", 1900)), served("primary"));
     drop(client);
     let mut child = site.router;
     assert_eq!(child.child.wait().unwrap().code(), Some(0));
@@ -278,50 +284,50 @@
 
 #[test]
 fn a_signal_to_end_before_clients_are_taken_ends_in_order() {
-    let instance = Instance::start("primary", true);
+    let instance = ScriptedInstance::start("primary", true);
     // Accepted and mute: the start waits for news.
     let mute = TcpListener::bind("127.0.0.1:0").unwrap();
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let text = config(mute.local_addr().unwrap(), vec![instance.0.entry("in_service")]).to_string();
     let path = folder.write("config.json", &text);
-    let mut router = Program::start(&[], &[("BALANCER_CONFIG", path.to_str().unwrap())]);
+    let mut router = Program::serve_platform(&path);
     let watch = mute.accept().unwrap();
-    assert!(router.so_far().iter().all(|l| !l.contains("listening on")), "before clients are taken");
+    assert!(router.log_lines().iter().all(|l| !l.contains("listening on")), "before clients are taken");
     router.terminate();
-    router.logged("shutdown: taking requests");
-    assert_eq!(router.ended().0, Some(0));
+    router.wait_for_log("shutdown: taking requests");
+    assert_eq!(router.wait_for_exit().0, Some(0));
     drop(watch);
 }
 
 #[test]
 fn where_every_descriptor_is_taken_a_client_that_asks_finds_a_place_and_the_end_a_way() {
-    let instance = Instance::start("primary", true);
-    let (discovery, folder) = (Discovery::start(), Folder::new());
+    let instance = ScriptedInstance::start("primary", true);
+    let (discovery, folder) = (Discovery::start(), TestFolder::new());
     let text = config(discovery.addr, vec![instance.0.entry("in_service")]).to_string();
     let path = folder.write("config.json", &text);
     let program = env!("CARGO_BIN_EXE_damsonvale");
     // So few that clients take them all, though the settings would let more in.
     let line = format!("ulimit -n 40; BALANCER_CONFIG='{}' exec '{program}'", path.display());
     let mut router = Program::shell(&line);
-    let addr = router.listening();
+    let addr = router.listening_address();
     let idle: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(addr).unwrap()).collect();
     let begun = Instant::now();
-    router.logged("cannot accept");
+    router.wait_for_log("cannot accept");
     // Those that say nothing give way long before their time is up.
-    assert_eq!(Client::connect(addr).ask(""), Answer::Empty);
+    assert_eq!(Client::connect(addr).query(""), Response::Empty);
     assert!(begun.elapsed().as_millis() < 1500, "{:?}", begun.elapsed());
     router.terminate();
-    router.logged("shutdown: taking requests");
-    router.logged("shutdown: ended");
-    assert_eq!(router.ended().0, Some(0));
+    router.wait_for_log("shutdown: taking requests");
+    router.wait_for_log("shutdown: ended");
+    assert_eq!(router.wait_for_exit().0, Some(0));
     drop((idle, discovery));
 }
 
 #[test]
 fn a_signal_to_end_is_not_lost_behind_the_operators_calls_of_a_start() {
-    let instance = Instance::start("primary", true);
+    let instance = ScriptedInstance::start("primary", true);
     let mute = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (door, folder) = (ports(1)[0], Folder::new());
+    let (door, folder) = (unused_addresses(1)[0], TestFolder::new());
     let mut text = config(mute.local_addr().unwrap(), vec![instance.0.entry("in_service")]);
     text["admin_addr"] = json!(door.to_string());
     let path = folder.write("config.json", &text.to_string());
@@ -331,14 +337,14 @@
     let watch = mute.accept().unwrap();
     for line in ["PAUSE", "RESUME"].iter().cycle().take(64) {
         let mut call = TcpStream::connect(door).unwrap();
-        call.set_read_timeout(Some(LONG)).unwrap();
+        call.set_read_timeout(Some(TIMEOUT)).unwrap();
         call.write_all(format!("{line}\n").as_bytes()).unwrap();
         let mut answer = String::new();
         call.read_to_string(&mut answer).unwrap();
         assert!(answer.starts_with("200"), "{line}: {answer}");
     }
     router.terminate();
-    router.logged("shutdown: taking requests");
-    assert_eq!(router.ended().0, Some(0));
+    router.wait_for_log("shutdown: taking requests");
+    assert_eq!(router.wait_for_exit().0, Some(0));
     drop(watch);
 }
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -1,8 +1,13 @@
 //! The platform's router under the settings of customers it has never met: `deploy/sites/`. Names, number and order of
 //! classes, deadlines, freshness, tokens and refusals all come from the settings.
 mod common;
-use common::front::{Act, Answer, Client, Instance, config, served};
-use common::{Discovery, Folder, LONG, Program};
+use common::TIMEOUT;
+use common::client::{Client, Response, served};
+use common::discovery::Discovery;
+use common::environment::TestFolder;
+use common::platform::config;
+use common::program::Program;
+use common::scripted_instance::{Behavior, ScriptedInstance};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -21,19 +26,20 @@
 /// A router with a primary and a replica, started with these settings.
 struct Site {
     addr: SocketAddr,
-    primary: (Instance, Receiver<String>),
-    replica: (Instance, Receiver<String>),
+    primary: (ScriptedInstance, Receiver<String>),
+    replica: (ScriptedInstance, Receiver<String>),
     settings: Value,
     _router: Program,
     _discovery: Discovery,
-    _folder: Folder,
+    _folder: TestFolder,
 }
 
 impl Site {
     fn start(settings: &Value) -> Site {
-        let (primary, replica) = (Instance::start("primary", true), Instance::start("replica", false));
+        let (primary, replica) =
+            (ScriptedInstance::start("primary", true), ScriptedInstance::start("replica", false));
         let discovery = Discovery::start();
-        let folder = Folder::new();
+        let folder = TestFolder::new();
         let mut known = vec![primary.0.entry("in_service"), replica.0.entry("in_service")];
         // Instances may stand in zones and be of kinds that the settings don't name.
         known[0]["zone"] = settings["failureDomains"][0].clone();
@@ -42,8 +48,8 @@
         let mut file = config(discovery.addr, known);
         file["settings"] = settings.clone();
         let path = folder.write("config.json", &file.to_string());
-        let mut router = Program::start(&[], &[("BALANCER_CONFIG", path.to_str().unwrap())]);
-        let addr = router.listening();
+        let mut router = Program::serve_platform(&path);
+        let addr = router.listening_address();
         let settings = settings.clone();
         Site { addr, primary, replica, settings, _router: router, _discovery: discovery, _folder: folder }
     }
@@ -100,8 +106,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()
 }
 
-fn failed(answer: &Answer) -> bool {
-    matches!(answer, Answer::Error(..))
+fn failed(answer: &Response) -> bool {
+    matches!(answer, Response::Error(..))
 }
 
 #[test]
@@ -109,18 +115,18 @@
     for (name, settings) in sites() {
         let site = Site::start(&settings);
         let client = Client::connect(site.addr);
-        assert_eq!(client.ask(""), Answer::Empty, "{name}: ready");
+        assert_eq!(client.query(""), Response::Empty, "{name}: ready");
         for (n, class) in site.classes().enumerate() {
             // A read may meet the router before it knows who is who; from its first answer on it is served at once.
             let (who, by) = match class.freshness.as_str() {
                 "mutate" | "strong" => (&site.primary, "primary"),
                 _ => (&site.replica, "replica"),
             };
-            client.until(&class.ask(&format!("first{n}"), "k", PATIENT_MS), by);
+            client.query_until_served_by(&class.ask(&format!("first{n}"), "k", PATIENT_MS), by);
             while who.1.try_recv().is_ok() {}
             let asked = class.ask(&format!("then{n}"), "k", PATIENT_MS);
-            assert_eq!(client.ask(&asked), served(by), "{name}: {}", class.name);
-            let sent = who.1.recv_timeout(LONG).unwrap();
+            assert_eq!(client.query(&asked), served(by), "{name}: {}", class.name);
+            let sent = who.1.recv_timeout(TIMEOUT).unwrap();
             let told = told_ms(&sent);
             assert_eq!(sent, class.ask(&format!("then{n}"), "k", told), "{name}: only d changes on the way");
             assert!(
@@ -135,15 +141,15 @@
         let unknown = others.map(|c| c.name).chain(["", "0", "1", "read"].map(String::from));
         for unknown in unknown.collect::<Vec<_>>() {
             let class = Class { name: unknown, write: false, freshness: "eventual".into(), deadline_ms: 100 };
-            let answer = client.ask(&class.ask("u", "k", 100));
+            let answer = client.query(&class.ask("u", "k", 100));
             assert!(
-                matches!(&answer, Answer::Error(code, _) if code == "42601"),
+                matches!(&answer, Response::Error(code, _) if code == "42601"),
                 "{name}: {}: {answer:?}",
                 class.name
             );
         }
         // The connection goes on.
-        assert_eq!(client.ask(""), Answer::Empty);
+        assert_eq!(client.query(""), Response::Empty);
     }
 }
 
@@ -155,9 +161,9 @@
         for class in site.classes() {
             let by =
                 if matches!(class.freshness.as_str(), "mutate" | "strong") { "primary" } else { "replica" };
-            warm.until(&class.ask(&format!("warm-{}", class.name), "k", PATIENT_MS), by);
+            warm.query_until_served_by(&class.ask(&format!("warm-{}", class.name), "k", PATIENT_MS), by);
         }
-        [&site.primary, &site.replica].iter().for_each(|i| i.0.act(Act::Silent));
+        [&site.primary, &site.replica].iter().for_each(|i| i.0.set_behavior(Behavior::Silent));
         // All at once: each waits for its own time.
         let asked: Vec<_> = site
             .classes()
@@ -167,7 +173,7 @@
                 let own = class.deadline_ms;
                 let wait = std::thread::spawn(move || {
                     let begun = Instant::now();
-                    let answer = client.ask(&sql);
+                    let answer = client.query(&sql);
                     (answer, begun.elapsed())
                 });
                 (class.name, own, wait)
@@ -189,8 +195,8 @@
         let site = Site::start(&settings);
         let class = site.classes().find(|c| !c.write).unwrap();
         // Nothing can be served within a millisecond.
-        let answer = Client::connect(site.addr).ask(&class.ask("r", "k", 1));
-        let Answer::Error(code, come_back) = answer else { panic!("{name}: {answer:?}") };
+        let answer = Client::connect(site.addr).query(&class.ask("r", "k", 1));
+        let Response::Error(code, come_back) = answer else { panic!("{name}: {answer:?}") };
         assert_eq!(code, "53300", "{name}");
         let limits = &settings["limits"];
         let most = limits["maxRetryAfterMs"].as_f64().unwrap();
@@ -214,19 +220,19 @@
         site.classes().find(|c| c.write).unwrap(),
     );
     // The replica is known, and stands far behind from now on.
-    client.until(&read.ask("first", "other", PATIENT_MS), "replica");
+    client.query_until_served_by(&read.ask("first", "other", PATIENT_MS), "replica");
     let told = unix_ms();
-    site.replica.0.behind.store(60_000, Ordering::SeqCst);
+    site.replica.0.lag_ms.store(60_000, Ordering::SeqCst);
     // Positions are whole milliseconds: the commit is to be of a later one than what the replica has told.
     while unix_ms() <= told {
         std::hint::spin_loop();
     }
-    client.until(&write.ask("w", "mine", PATIENT_MS), "primary");
+    client.query_until_served_by(&write.ask("w", "mine", PATIENT_MS), "primary");
     // Its position is as of before the write: only the primary proves that it has it. Positions only rise, so what
     // the replica says from here on proves nothing.
-    assert_eq!(client.ask(&read.ask("r", "mine", PATIENT_MS)), served("primary"), "{name}");
+    assert_eq!(client.query(&read.ask("r", "mine", PATIENT_MS)), served("primary"), "{name}");
     // A session that has written nothing is served by either.
-    assert!(!failed(&client.ask(&read.ask("s", "other", PATIENT_MS))), "{name}");
+    assert!(!failed(&client.query(&read.ask("s", "other", PATIENT_MS))), "{name}");
 }
 
 #[test]
@@ -238,26 +244,27 @@
         site.classes().find(|c| c.freshness == "causal").unwrap(),
         site.classes().find(|c| c.freshness == "lag_bound").unwrap(),
     );
-    client.until(&other.ask("first", "k", PATIENT_MS), "replica");
+    client.query_until_served_by(&other.ask("first", "k", PATIENT_MS), "replica");
     // Whoever it goes to is too far behind, and says so.
-    [&site.primary, &site.replica].iter().for_each(|i| i.0.act(Act::Error("72000")));
+    [&site.primary, &site.replica].iter().for_each(|i| i.0.set_behavior(Behavior::Error("72000")));
     let ahead =
         read.ask("far", "k", PATIENT_MS).replace(",cluster=", &format!(",after={},cluster=", i64::MAX));
-    assert!(failed(&client.ask(&ahead)), "{name}");
-    [&site.primary, &site.replica].iter().for_each(|i| i.0.act(Act::Serve));
-    client.until(&other.ask("then", "k", PATIENT_MS), "replica");
+    assert!(failed(&client.query(&ahead)), "{name}");
+    [&site.primary, &site.replica].iter().for_each(|i| i.0.set_behavior(Behavior::Serve));
+    client.query_until_served_by(&other.ask("then", "k", PATIENT_MS), "replica");
 }
 
+const THREE_DAYS_MS: u64 = 3 * 86_400_000;
+
 #[test]
 fn a_deadline_of_days_is_held_and_not_cut_to_one() {
     let (name, mut settings) = sites().next().unwrap();
-    const THREE_DAYS_MS: u64 = 3 * 86_400_000;
     let at = classes(&settings).position(|c| c.write).unwrap();
     settings["classes"][at]["deadlineMs"] = json!(THREE_DAYS_MS);
     let site = Site::start(&settings);
     let write = site.classes().nth(at).unwrap();
-    Client::connect(site.addr).until(&write.ask("w", "k", THREE_DAYS_MS - 1000), "primary");
-    let sent = site.primary.1.recv_timeout(LONG).unwrap();
+    Client::connect(site.addr).query_until_served_by(&write.ask("w", "k", THREE_DAYS_MS - 1000), "primary");
+    let sent = site.primary.1.recv_timeout(TIMEOUT).unwrap();
     assert!((2 * 86_400_000..THREE_DAYS_MS).contains(&told_ms(&sent)), "{name}: {sent}");
 }
 
@@ -279,11 +286,12 @@
         settings["extra"]["oldestDataMs"] = json!(vec![0.0; n]);
         let site = Site::start(&settings);
         let client = Client::connect(site.addr);
-        assert_eq!(client.ask(""), Answer::Empty);
-        site.classes().for_each(|class| client.until(&class.ask("r", "k", PATIENT_MS), "replica"));
+        assert_eq!(client.query(""), Response::Empty);
+        site.classes()
+            .for_each(|class| client.query_until_served_by(&class.ask("r", "k", PATIENT_MS), "replica"));
         let unknown =
             Class { name: "none".into(), write: false, freshness: "eventual".into(), deadline_ms: 1 };
-        let answer = client.ask(&unknown.ask("u", "k", 100));
-        assert!(matches!(&answer, Answer::Error(code, _) if code == "42601"), "{n} classes: {answer:?}");
+        let answer = client.query(&unknown.ask("u", "k", 100));
+        assert!(matches!(&answer, Response::Error(code, _) if code == "42601"), "{n} classes: {answer:?}");
     }
 }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,7 +1,9 @@
 //! The replicated store: three daemons of the real program on loopback, read and changed by its own commands, and by
 //! clients that are no nodes.
 mod common;
-use common::{Folder, LONG, Program, Signal, ports};
+use common::TIMEOUT;
+use common::environment::{TestFolder, unused_addresses};
+use common::program::{Program, Signal};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpStream};
@@ -12,7 +14,7 @@
 use store::wire::Consistency;
 
 struct Cluster {
-    folder: Folder,
+    folder: TestFolder,
     peers: Vec<SocketAddr>,
     clients: Vec<SocketAddr>,
     nodes: Vec<Option<(Program, String)>>,
@@ -20,9 +22,9 @@
 
 impl Cluster {
     fn new(n: usize) -> Cluster {
-        let (peers, clients) = (ports(n), ports(n));
+        let (peers, clients) = (unused_addresses(n), unused_addresses(n));
         let mut cluster =
-            Cluster { folder: Folder::new(), peers, clients, nodes: (0..n).map(|_| None).collect() };
+            Cluster { folder: TestFolder::new(), peers, clients, nodes: (0..n).map(|_| None).collect() };
         (0..n).for_each(|i| cluster.start(i));
         cluster
     }
@@ -43,14 +45,14 @@
         );
         let path = self.folder.write(&format!("node-{i}.toml"), &text);
         let mut program = Program::start(&[path.to_str().unwrap()], &[]);
-        let control = program.logged("control: answering on ").rsplit(' ').next().unwrap().to_string();
+        let control = program.wait_for_log("control: answering on ").rsplit(' ').next().unwrap().to_string();
         self.nodes[i] = Some((program, control));
     }
 
     /// A client that asks these nodes, in this order.
     fn client(&self, nodes: &[usize]) -> Client {
         let addrs = nodes.iter().map(|i| self.clients[*i]).collect();
-        Client::new(Settings { call_timeout: LONG, ..Settings::new(addrs, nodes[0] as u64) })
+        Client::new(Settings { call_timeout: TIMEOUT, ..Settings::new(addrs, nodes[0] as u64) })
     }
 
     /// The leader, and the others.
@@ -66,7 +68,7 @@
         let mut program = Program::start(&[&["ctl", control], words].concat(), &[]);
         let status = program.child.wait().unwrap();
         if status.success() {
-            return Ok(serde_json::from_str(&program.ended().1).unwrap());
+            return Ok(serde_json::from_str(&program.wait_for_exit().1).unwrap());
         }
         Err(program.log.iter().collect::<Vec<_>>().join("\n"))
     }
@@ -84,7 +86,7 @@
             if is(&answer) {
                 return answer;
             }
-            assert!(begun.elapsed() < LONG, "{words:?}: {answer:?}");
+            assert!(begun.elapsed() < TIMEOUT, "{words:?}: {answer:?}");
         }
     }
 
@@ -119,7 +121,7 @@
     let kept = std::fs::read(&log).unwrap();
     std::fs::write(&log, [&kept[..], b"\x50\0\0\0torn off"].concat()).unwrap();
     (0..3).for_each(|i| cluster.start(i));
-    cluster.nodes[left[1]].as_mut().unwrap().0.logged("torn tail of 12 bytes");
+    cluster.nodes[left[1]].as_mut().unwrap().0.wait_for_log("torn tail of 12 bytes");
     for i in 0..3 {
         cluster.reads(i, "a", "2");
         cluster.reads(i, "b", "1");
@@ -131,7 +133,7 @@
     let mut cluster = Cluster::new(3);
     _ = cluster.until(0, &["drain", "stock-a"], Result::is_ok);
     for i in 0..3 {
-        cluster.nodes[i].as_mut().unwrap().0.logged("names 1 instances, 0 in service");
+        cluster.nodes[i].as_mut().unwrap().0.wait_for_log("names 1 instances, 0 in service");
     }
     _ = cluster.until(2, &["undrain", "stock-a"], Result::is_ok);
     assert!(cluster.ctl(0, &["drain", "none"]).unwrap_err().contains("no server 'none'"));
@@ -183,7 +185,7 @@
             scope.spawn(move || {
                 let (mut from, mut had, mut changes) = (0, 0, Vec::new());
                 while had + changes.len() < all {
-                    match watch.events.recv_timeout(LONG).expect("news") {
+                    match watch.events.recv_timeout(TIMEOUT).expect("news") {
                         WatchEvent::Snapshot { position, compacted, entries } => {
                             assert!(!compacted && changes.is_empty());
                             from = position.revision;
@@ -241,7 +243,7 @@
     old.put("owner", "old", on.clone()).unwrap();
     let addrs = vec![cluster.clients[leader]];
     let asked =
-        Client::new(Settings { attempt_timeout: LONG, call_timeout: LONG, ..Settings::new(addrs, 9) });
+        Client::new(Settings { attempt_timeout: TIMEOUT, call_timeout: TIMEOUT, ..Settings::new(addrs, 9) });
     asked.get("a", Consistency::Linearizable).unwrap();
     let stopped = &cluster.nodes[leader].as_ref().unwrap().0;
     stopped.signal(Signal::SIGSTOP);
