--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -1,10 +1,15 @@
-//! `processes`: hundreds of real routers on this machine, by a plan.
+//! The `processes` command: hundreds of real routers on this machine, as a plan says.
 use crate::error::Error;
 use clap::Args;
-use multiprocess::{check::Bounds, plan, run};
+use multiprocess::check::CheckSettings;
+use multiprocess::plan::{self, Plan};
+use multiprocess::run;
 use std::path::PathBuf;
 
-/// `processes`' arguments.
+/// Name of the router's program, which is built beside this one.
+const ROUTER_PROGRAM: &str = "damsonvale";
+
+/// The arguments of `processes`.
 #[derive(Args)]
 pub struct Processes {
     /// The plan, TOML.
@@ -20,19 +25,36 @@
     seed: Option<u64>,
 }
 
-/// Plays a plan and prints its figures; fails where the checker finds what must not be.
-pub fn run(asked: &Processes) -> Result<(), Error> {
-    let path = &asked.plan;
-    let faulty = |source| Error::Processes { path: path.clone(), source };
-    let text = std::fs::read_to_string(path).map_err(|source| Error::Read { path: path.clone(), source })?;
-    let mut plan = plan::read(&text).map_err(faulty)?;
-    plan.routers = asked.routers.unwrap_or(plan.routers);
-    plan.seed = asked.seed.unwrap_or(plan.seed);
-    plan.check().map_err(faulty)?;
-    let beside = || std::env::current_exe().ok().map(|own| own.with_file_name("damsonvale"));
-    let program = asked.program.clone().or_else(beside).filter(|p| p.is_file());
-    let program = program.ok_or(Error::NoProgram)?;
-    let report = run::run(&program, &plan, &Bounds::default()).map_err(Error::Played)?;
+impl Processes {
+    /// Reads the plan, with the arguments' values in place of its own.
+    fn read_plan(&self) -> Result<Plan, Error> {
+        let path = &self.plan;
+        let invalid = |source| Error::Processes { path: path.clone(), source };
+        let text =
+            std::fs::read_to_string(path).map_err(|source| Error::Read { path: path.clone(), source })?;
+        let mut plan = plan::read(&text).map_err(invalid)?;
+        plan.routers = self.routers.unwrap_or(plan.routers);
+        plan.seed = self.seed.unwrap_or(plan.seed);
+        plan.check().map_err(invalid)?;
+        Ok(plan)
+    }
+
+    /// The router's program: the one that is named, else the one beside this program.
+    fn router_program(&self) -> Result<PathBuf, Error> {
+        let beside = || std::env::current_exe().ok().map(|own| own.with_file_name(ROUTER_PROGRAM));
+        let program = self.program.clone().or_else(beside).filter(|path| path.is_file());
+        program.ok_or(Error::NoProgram)
+    }
+}
+
+/// Plays a plan and prints its figures.
+///
+/// # Errors
+/// The plan can't be played, or the checker has found a broken guarantee.
+pub fn run(arguments: &Processes) -> Result<(), Error> {
+    let plan = arguments.read_plan()?;
+    let program = arguments.router_program()?;
+    let report = run::run(&program, &plan, &CheckSettings::default()).map_err(Error::Played)?;
     print!("{report}");
-    if report.good() { Ok(()) } else { Err(Error::Found) }
+    if report.is_good() { Ok(()) } else { Err(Error::Found) }
 }
--- /dev/null
+++ b/multiprocess/src/check/placement.rs
@@ -0,0 +1,57 @@
+//! Placement: statements run only at the sites of a strict rule that is in force.
+use super::configuration::values_in_force;
+use super::settings::CheckSettings;
+use super::verdict::Verdict;
+use super::violation::Violation;
+use crate::history::{AllowedSites, History, Micros, Statement, Tenant};
+use std::collections::BTreeMap;
+
+/// Indexes of a tenant and a server.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct TenantAtServer {
+    tenant: usize,
+    server: usize,
+}
+
+/// Statements that ran outside the rule.
+#[derive(Default)]
+struct Misplaced {
+    statements: usize,
+    /// How long after the rule's commit the last one ran.
+    latest: Micros,
+}
+
+pub(super) fn check(history: &History, settings: &CheckSettings, verdict: &mut Verdict) {
+    let mut misplaced: BTreeMap<TenantAtServer, Misplaced> = BTreeMap::new();
+    for statement in &history.statements {
+        let Some(tenant) = history.tenants.get(statement.tenant) else { continue };
+        let site = &history.servers[statement.server].site;
+        if is_allowed(statement, tenant, site, settings.placement_settle_time) {
+            continue;
+        }
+        let key = TenantAtServer { tenant: statement.tenant, server: statement.server };
+        let found = misplaced.entry(key).or_default();
+        found.statements += 1;
+        found.latest = found.latest.max(statement.at - rule_committed(tenant, statement.at));
+    }
+    for (TenantAtServer { tenant, server }, Misplaced { statements, latest }) in misplaced {
+        let (tenant, server) = (history.tenants[tenant].name.clone(), history.servers[server].name.clone());
+        verdict.violations.push(Violation::OutsidePlacement { tenant, server, statements, latest });
+    }
+}
+
+/// Whether one of the rules in force allows the site; without a rule in force every site is allowed.
+fn is_allowed(statement: &Statement, tenant: &Tenant, site: &str, settle_time: Micros) -> bool {
+    let mut rules = values_in_force(&tenant.placements, statement.at, settle_time).peekable();
+    let allows = |rule: &AllowedSites| {
+        let sites = if statement.write { &rule.writes } else { &rule.reads };
+        sites.as_ref().is_none_or(|sites| sites.contains(site))
+    };
+    rules.peek().is_none() || rules.any(allows)
+}
+
+/// When the last rule before `at` was committed.
+fn rule_committed(tenant: &Tenant, at: Micros) -> Micros {
+    let rule = tenant.placements.iter().rev().find(|rule| rule.committed <= at);
+    rule.map_or(0, |rule| rule.committed)
+}
--- a/multiprocess/src/history.rs
+++ b/multiprocess/src/history.rs
@@ -1,47 +1,47 @@
-//! What a run leaves: everything that clients asked and servers ran, by one monotonic clock. All of it is recorded in
-//! the process that plays clients and servers, so that times of both sides can be compared.
+//! The record of a run: every request of the clients and every statement of the servers, by one monotonic clock. All of
+//! it is recorded in the process that plays clients and servers, so that times of both sides can be compared.
 use std::collections::BTreeSet;
 
 /// Microseconds since the run began.
 pub type Micros = u64;
 
-/// What came of a request.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// The server's answer came.
+    /// The server's answer arrived.
     Served,
-    /// Refused: nothing ran, or a repeat is harmless.
-    Refused,
+    /// Rejected: nothing ran, or a retry is harmless.
+    Rejected,
     /// Failed: it may have run.
     Failed,
-    /// The connection ended while it was under way.
+    /// The connection ended while the request was in flight.
     Lost,
-    /// No answer came for as long as the client waited.
+    /// No answer arrived before the client's timeout.
     Unanswered,
-    /// It never went out: its router took no connection in time.
+    /// It was never sent: its router accepted no connection in time.
     Unsent,
 }
 
 /// One request of a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its number, of this run alone.
+    /// Its number, unique in the run.
     pub id: u64,
     /// When it was to be sent.
     pub due: Micros,
-    /// When it was written to the router, where it was.
+    /// When it was written to the router; `None` where it never was.
     pub sent: Option<Micros>,
     /// When it ended for the client.
     pub ended: Micros,
-    /// The router that was asked.
+    /// Index of the router that it was for.
     pub router: usize,
-    /// Its tenant.
+    /// Index of its tenant.
     pub tenant: usize,
-    /// It must not run twice.
+    /// Whether it is a write, which must not run twice.
     pub write: bool,
     /// How it ended.
     pub outcome: Outcome,
-    /// The code of the answer, where it was an error.
+    /// The answer's error code; 0 for none.
     pub code: u16,
 }
 
@@ -50,13 +50,13 @@
 pub struct Statement {
     /// The request's number.
     pub id: u64,
-    /// When the server had read it whole.
+    /// When the server had read all of it.
     pub at: Micros,
-    /// The server.
+    /// Index of the server.
     pub server: usize,
-    /// The tenant that its comment names.
+    /// Index of the tenant that its comment names.
     pub tenant: usize,
-    /// It was a write.
+    /// Whether it was a write.
     pub write: bool,
 }
 
@@ -69,36 +69,37 @@
     pub site: String,
     /// Its group.
     pub group: u32,
-    /// Its group's primary.
+    /// Whether it is its group's primary.
     pub primary: bool,
 }
 
-/// A state of a tenant's configuration, in force from the beginning of its own change until the next one has settled.
+/// One value of a tenant's configuration. It is in force from the moment when it was requested until the next value has
+/// been committed and the time for it to settle has passed.
 #[derive(Clone, Debug)]
-pub struct Step<T> {
-    /// The change was asked for.
-    pub begun: Micros,
-    /// The store had confirmed it.
+pub struct ConfigVersion<T> {
+    /// When the change was requested.
+    pub requested: Micros,
+    /// When the store had confirmed it.
     pub committed: Micros,
-    /// What holds.
-    pub is: T,
+    /// The value.
+    pub value: T,
 }
 
-/// What a quota allows over every window.
+/// The number of requests that a quota admits: `rate` for each second of any window, and `burst` beyond.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct QuotaLimit {
     /// Requests a second.
     pub rate: f64,
-    /// Requests beyond.
+    /// Requests beyond the rate.
     pub burst: f64,
 }
 
-/// Where statements may run; `None`: anywhere.
+/// The sites at which statements may run; `None` for any site.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Sites {
-    /// Reads.
+pub struct AllowedSites {
+    /// Sites for reads.
     pub reads: Option<BTreeSet<String>>,
-    /// Writes.
+    /// Sites for writes.
     pub writes: Option<BTreeSet<String>>,
 }
 
@@ -107,28 +108,37 @@
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Its quotas in time; `None`: unbounded.
-    pub quotas: Vec<Step<Option<Bound>>>,
-    /// Its strict rules in time.
-    pub places: Vec<Step<Sites>>,
+    /// Its quotas, in the order of their commits; `None` for a tenant without a limit.
+    pub quotas: Vec<ConfigVersion<Option<QuotaLimit>>>,
+    /// Its strict placement rules, in the order of their commits.
+    pub placements: Vec<ConfigVersion<AllowedSites>>,
 }
 
-/// A router that was killed, stopped or ended on purpose.
+/// A time in which a router was killed, stopped or restarted on purpose and could not answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Down {
-    /// The router.
+pub struct Outage {
+    /// Index of the router.
     pub router: usize,
-    /// From here on
+    /// Its begin.
     pub from: Micros,
-    /// to here it could not answer.
-    pub to: Micros,
+    /// Its end; [`Micros::MAX`] while it lasts.
+    pub until: Micros,
 }
 
-/// All of it.
+/// An answer that no request waited for, or another request's answer.
+#[derive(Clone, Copy, Debug)]
+pub struct UnexpectedAnswer {
+    /// Index of the router that sent it.
+    pub router: usize,
+    /// When it arrived.
+    pub at: Micros,
+}
+
+/// Everything that was recorded in a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// When the load began.
-    pub begun: Micros,
+    pub load_started: Micros,
     /// Requests, each once.
     pub requests: Vec<Request>,
     /// Statements.
@@ -137,8 +147,8 @@
     pub servers: Vec<Server>,
     /// Tenants.
     pub tenants: Vec<Tenant>,
-    /// Routers that were down.
-    pub downs: Vec<Down>,
-    /// Routers that sent more than the one answer, or another request's.
-    pub strays: Vec<(usize, Micros)>,
+    /// Outages of routers.
+    pub outages: Vec<Outage>,
+    /// Answers that should not have been sent.
+    pub unexpected_answers: Vec<UnexpectedAnswer>,
 }
--- /dev/null
+++ b/multiprocess/src/load/router_ports.rs
@@ -0,0 +1,36 @@
+//! Where the routers listen, shared between the load and what starts and ends routers.
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU16, Ordering};
+
+/// The port of a router that is down.
+const DOWN: u16 = 0;
+
+/// The ports on 127.0.0.1 at which the routers listen. Clones share them.
+#[derive(Clone, Debug)]
+pub struct RouterPorts(Arc<Vec<AtomicU16>>);
+
+impl RouterPorts {
+    /// Ports of this many routers, all of them down.
+    pub fn new(routers: usize) -> RouterPorts {
+        RouterPorts(Arc::new((0..routers).map(|_| AtomicU16::new(DOWN)).collect()))
+    }
+
+    /// Where a router listens; `None` while it is down.
+    pub fn address(&self, router: usize) -> Option<SocketAddr> {
+        match self.0[router].load(Ordering::Relaxed) {
+            DOWN => None,
+            port => Some(SocketAddr::from(([127, 0, 0, 1], port))),
+        }
+    }
+
+    /// Sets the port at which a router listens.
+    pub fn set(&self, router: usize, port: u16) {
+        self.0[router].store(port, Ordering::Relaxed);
+    }
+
+    /// Marks a router as down.
+    pub fn set_down(&self, router: usize) {
+        self.set(router, DOWN);
+    }
+}
--- /dev/null
+++ b/multiprocess/src/servers/server_thread.rs
@@ -0,0 +1,186 @@
+//! The thread of one server: it accepts connections, runs statements, and answers them when their time is over.
+use super::shared::Shared;
+use crate::history::{Server, Statement};
+use crate::packet_io::{ConnectionState, read_available, take_packet, write_available};
+use mio::event::Event;
+use mio::net::{TcpListener, TcpStream};
+use mio::{Events, Interest, Poll, Token};
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, HashMap};
+use std::io::{self, ErrorKind};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use test_servers::wire::{OK, error, greeting, packets, row};
+
+const LISTENER: Token = Token(0);
+const FIRST_CONNECTION: usize = 1;
+const EVENT_CAPACITY: usize = 256;
+/// How often the thread checks whether it is to end.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+const COMMAND_QUIT: u8 = 1;
+const COMMAND_QUERY: u8 = 3;
+const ERROR_SYNTAX: u16 = 1064;
+const ERROR_READ_ONLY: u16 = 1290;
+
+struct Connection {
+    stream: TcpStream,
+    read_buffer: Vec<u8>,
+    write_buffer: Vec<u8>,
+    /// The client's login has been answered.
+    logged_in: bool,
+}
+
+/// An answer that is sent later. The order is by time, then by connection.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct PendingAnswer {
+    due: Instant,
+    connection: Token,
+    bytes: Vec<u8>,
+}
+
+pub(super) struct ServerThread {
+    index: usize,
+    server: Server,
+    listener: TcpListener,
+    shared: Arc<Shared>,
+    poll: Poll,
+    connections: HashMap<Token, Connection>,
+    next_token: usize,
+    pending_answers: BinaryHeap<Reverse<PendingAnswer>>,
+}
+
+impl ServerThread {
+    pub(super) fn new(
+        index: usize,
+        server: Server,
+        mut listener: TcpListener,
+        shared: Arc<Shared>,
+    ) -> io::Result<ServerThread> {
+        let poll = Poll::new()?;
+        poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
+        Ok(ServerThread {
+            index,
+            server,
+            listener,
+            shared,
+            poll,
+            connections: HashMap::new(),
+            next_token: FIRST_CONNECTION,
+            pending_answers: BinaryHeap::new(),
+        })
+    }
+
+    /// Serves until the servers are stopped.
+    pub(super) fn run(mut self) {
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
+        while !self.shared.is_stopped() {
+            if let Err(e) = self.poll.poll(&mut events, Some(self.poll_timeout()))
+                && e.kind() != ErrorKind::Interrupted
+            {
+                return;
+            }
+            for event in &events {
+                if event.token() == LISTENER { self.accept() } else { self.handle_readiness(event) }
+            }
+            self.send_due_answers();
+        }
+    }
+
+    /// The time until the next answer is due, or until it is to be checked whether the thread ends.
+    fn poll_timeout(&self) -> Duration {
+        let now = Instant::now();
+        let next = self.pending_answers.peek();
+        let wait = next.map_or(STOP_CHECK_INTERVAL, |Reverse(a)| a.due.saturating_duration_since(now));
+        wait.min(STOP_CHECK_INTERVAL)
+    }
+
+    fn accept(&mut self) {
+        while let Ok((mut stream, _)) = self.listener.accept() {
+            let token = Token(self.next_token);
+            self.next_token += 1;
+            _ = stream.set_nodelay(true);
+            let interest = Interest::READABLE | Interest::WRITABLE;
+            if self.poll.registry().register(&mut stream, token, interest).is_err() {
+                continue;
+            }
+            let mut write_buffer = greeting();
+            if write_available(&mut stream, &mut write_buffer) == ConnectionState::Open {
+                let read_buffer = Vec::new();
+                let connection = Connection { stream, read_buffer, write_buffer, logged_in: false };
+                self.connections.insert(token, connection);
+            }
+        }
+    }
+
+    /// Reads and writes what a connection is ready for; it is dropped where it has ended.
+    fn handle_readiness(&mut self, event: &Event) {
+        let token = event.token();
+        let Some(mut connection) = self.connections.remove(&token) else { return };
+        let state = read_available(&mut connection.stream, &mut connection.read_buffer);
+        while let Some(packet) = take_packet(&mut connection.read_buffer) {
+            if !std::mem::replace(&mut connection.logged_in, true) {
+                connection.write_buffer.extend(packets(2, &[OK]));
+                continue;
+            }
+            match packet.split_first() {
+                Some((&COMMAND_QUERY, sql)) => {
+                    self.run_statement(&mut connection, token, &String::from_utf8_lossy(sql));
+                }
+                Some((&COMMAND_QUIT, _)) | None => return,
+                _ => connection.write_buffer.extend(packets(1, &[OK])),
+            }
+        }
+        if state == ConnectionState::Open
+            && write_available(&mut connection.stream, &mut connection.write_buffer) == ConnectionState::Open
+        {
+            self.connections.insert(token, connection);
+        }
+    }
+
+    /// Answers a probe or an error at once; runs and records any other statement, which is answered later.
+    fn run_statement(&mut self, connection: &mut Connection, token: Token, sql: &str) {
+        if sql.starts_with("SELECT probe") {
+            return connection.write_buffer.extend(self.probe_answer());
+        }
+        let write = !sql.starts_with("SELECT");
+        let Some(id) = sql.split('\'').nth(1).and_then(|id| id.parse().ok()) else {
+            return connection.write_buffer.extend(error(ERROR_SYNTAX, "not known here"));
+        };
+        if write && !self.server.primary {
+            return connection.write_buffer.extend(error(ERROR_READ_ONLY, "read-only"));
+        }
+        let at = self.shared.now();
+        let tenant = self.shared.tenant_index(tenant_of(sql));
+        self.shared.record(Statement { id, at, server: self.index, tenant, write });
+        let bytes = if write { packets(1, &[OK]) } else { row(&[&id.to_string(), &self.server.name]) };
+        let due = Instant::now() + self.shared.service_time;
+        self.pending_answers.push(Reverse(PendingAnswer { due, connection: token, bytes }));
+    }
+
+    /// Whether this server is read-only, and its heartbeat in milliseconds of Unix time.
+    fn probe_answer(&self) -> Vec<u8> {
+        let read_only = if self.server.primary { "0" } else { "1" };
+        let heartbeat = (test_servers::fleet::now() / 1000).to_string();
+        row(&[read_only, &heartbeat])
+    }
+
+    fn send_due_answers(&mut self) {
+        let now = Instant::now();
+        while self.pending_answers.peek().is_some_and(|Reverse(answer)| answer.due <= now) {
+            let Some(Reverse(answer)) = self.pending_answers.pop() else { break };
+            let Some(connection) = self.connections.get_mut(&answer.connection) else { continue };
+            connection.write_buffer.extend(answer.bytes);
+            if write_available(&mut connection.stream, &mut connection.write_buffer)
+                == ConnectionState::Closed
+            {
+                self.connections.remove(&answer.connection);
+            }
+        }
+    }
+}
+
+/// The tenant that a statement's comment names; empty for none.
+fn tenant_of(sql: &str) -> &str {
+    sql.split("t=").nth(1).and_then(|rest| rest.split([',', ' ', '*']).next()).unwrap_or("")
+}
--- a/multiprocess/tests/check.rs
+++ b/multiprocess/tests/check.rs
@@ -1,10 +1,16 @@
-//! The checker on histories made by hand: each fault of one is found, and a good one is accepted.
-use multiprocess::check::{Bounds, Verdict, Violation, check};
+//! The checker on histories made by hand: each broken guarantee is found, and a good history is accepted.
+use multiprocess::check::{CheckSettings, Verdict, Violation, check};
 use multiprocess::history::{
-    Bound, Down, History, Micros, Outcome, Request, Server, Sites, Statement, Step, Tenant,
+    AllowedSites, ConfigVersion, History, Micros, Outage, Outcome, QuotaLimit, Request, Server, Statement,
+    Tenant, UnexpectedAnswer,
 };
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
+
+/// A value that is in force from the begin on.
+fn from_start<T>(value: T) -> ConfigVersion<T> {
+    ConfigVersion { requested: 0, committed: 0, value }
+}
 
 fn server(name: &str, site: &str, primary: bool) -> Server {
     Server { name: name.into(), site: site.into(), group: 0, primary }
@@ -12,11 +18,11 @@
 
 /// A tenant with 10 a second and a burst of 5 whose reads stay in hall-a; a primary and a replica in each hall.
 fn empty() -> History {
-    let sites = |names: &[&str]| Some(names.iter().map(|s| s.to_string()).collect());
+    let sites = |names: &[&str]| Some(names.iter().copied().map(String::from).collect());
     let tenant = Tenant {
         name: "tills".into(),
-        quotas: vec![Step { begun: 0, committed: 0, is: Some(Bound { rate: 10.0, burst: 5.0 }) }],
-        places: vec![Step { begun: 0, committed: 0, is: Sites { reads: sites(&["hall-a"]), writes: None } }],
+        quotas: vec![from_start(Some(QuotaLimit { rate: 10.0, burst: 5.0 }))],
+        placements: vec![from_start(AllowedSites { reads: sites(&["hall-a"]), writes: None })],
     };
     History {
         servers: vec![
@@ -29,13 +35,13 @@
     }
 }
 
-trait Played {
+trait WithRequest {
     /// Adds a request that was sent and run at these times.
-    fn play(self, sent: Micros, ran: Micros, write: bool, server: usize) -> History;
+    fn with_request(self, sent: Micros, ran: Micros, write: bool, server: usize) -> History;
 }
 
-impl Played for History {
-    fn play(mut self, sent: Micros, ran: Micros, write: bool, server: usize) -> History {
+impl WithRequest for History {
+    fn with_request(mut self, sent: Micros, ran: Micros, write: bool, server: usize) -> History {
         let h = &mut self;
         let id = h.requests.len() as u64 + 1;
         let (outcome, code) = (Outcome::Served, 0);
@@ -56,110 +62,125 @@
     }
 }
 
-/// So many reads within one second of `from`, each run 1 ms after it was sent.
-fn burst(h: History, from: Micros, n: u64) -> History {
+/// Adds this many reads within one second of `from`, each run 1 ms after it was sent.
+fn with_reads(h: History, from: Micros, n: u64) -> History {
     (0..n).fold(h, |h, i| {
-        let at = from + i * S / n;
-        h.play(at, at + 1000, false, 1)
+        let at = from + i * SECOND / n;
+        h.with_request(at, at + 1000, false, 1)
     })
 }
 
-fn found(h: &History) -> Verdict {
-    check(h, &Bounds::default())
+fn check_history(history: &History) -> Verdict {
+    check(history, &CheckSettings::default())
 }
 
 #[test]
-fn what_is_within_the_bound_is_accepted_and_one_more_is_not() {
+fn quota_is_exceeded_in_any_window_beyond_rate_and_burst() {
     // Within 0.93 s: 5 and 9.3 more.
-    let good = burst(empty(), S, 14);
-    assert_eq!(found(&good).violations, []);
-    let lent_twice = burst(empty(), S, 30);
-    let verdict = found(&lent_twice);
-    let [Violation::Quota { tenant, worst }] = &verdict.violations[..] else { panic!("{verdict:?}") };
-    assert!(tenant == "tills" && worst.over > 14.0 && worst.from == S, "{worst}");
+    let good = with_reads(empty(), SECOND, 14);
+    assert_eq!(check_history(&good).violations, []);
+    let granted_twice = with_reads(empty(), SECOND, 30);
+    let verdict = check_history(&granted_twice);
+    let [Violation::QuotaExceeded { tenant, worst }] = &verdict.violations[..] else { panic!("{verdict:?}") };
+    assert!(tenant == "tills" && worst.excess > 14.0 && worst.from == SECOND, "{worst}");
     // The bound is over every window: a later burst beside a quiet time is as wrong.
-    let later = burst(burst(empty(), S, 3), 60 * S, 17);
+    let later = with_reads(with_reads(empty(), SECOND, 3), 60 * SECOND, 17);
     assert!(
-        matches!(&found(&later).violations[..], [Violation::Quota { worst, .. }] if worst.from >= 60 * S)
+        matches!(&check_history(&later).violations[..], [Violation::QuotaExceeded { worst, .. }] if worst.from >= 60 * SECOND)
     );
 }
 
 #[test]
-fn what_waited_on_the_way_counts_when_it_may_have_been_admitted() {
+fn delayed_requests_count_when_they_may_have_been_admitted() {
     // Admitted one by one, and all run at once: by arrival alone it is too many.
-    let h = (0..20).fold(empty(), |h, i| h.play(S + i * S / 10, 4 * S, false, 1));
-    let verdict = found(&h);
+    let h = (0..20).fold(empty(), |h, i| h.with_request(SECOND + i * SECOND / 10, 4 * SECOND, false, 1));
+    let verdict = check_history(&h);
     assert_eq!(verdict.violations, []);
-    assert!(verdict.spent[0].by_arrival.unwrap().over > 14.0 && verdict.spent[0].certain.unwrap().over < 0.0);
+    assert!(
+        verdict.quota_usage[0].by_arrival.unwrap().excess > 14.0
+            && verdict.quota_usage[0].certain.unwrap().excess < 0.0
+    );
     // A further attempt of one request costs nothing.
-    let mut again = burst(empty(), S, 14);
+    let mut again = with_reads(empty(), SECOND, 14);
     again.statements.extend_from_within(..);
-    assert_eq!(found(&again).violations, []);
+    assert_eq!(check_history(&again).violations, []);
 }
 
 #[test]
-fn a_lowered_quota_binds_once_it_has_settled() {
+fn lowered_quota_applies_after_settle_time() {
     let with_change = |at: Micros| {
-        let mut h = burst(empty(), at, 14);
-        let lower = Some(Bound { rate: 1.0, burst: 1.0 });
-        h.tenants[0].quotas.push(Step { begun: 10 * S, committed: 10 * S + 5000, is: lower });
-        found(&h).violations
+        let mut h = with_reads(empty(), at, 14);
+        let lower = Some(QuotaLimit { rate: 1.0, burst: 1.0 });
+        h.tenants[0].quotas.push(ConfigVersion {
+            requested: 10 * SECOND,
+            committed: 10 * SECOND + 5000,
+            value: lower,
+        });
+        check_history(&h).violations
     };
-    assert_eq!(with_change(11 * S), []);
-    assert!(matches!(with_change(13 * S)[..], [Violation::Quota { .. }]));
+    assert_eq!(with_change(11 * SECOND), []);
+    assert!(matches!(with_change(13 * SECOND)[..], [Violation::QuotaExceeded { .. }]));
     // One that is raised may be used from the begin of its change.
-    let mut h = burst(empty(), 10 * S, 40);
-    let higher = Some(Bound { rate: 100.0, burst: 5.0 });
-    h.tenants[0].quotas.push(Step { begun: 10 * S, committed: 11 * S, is: higher });
-    assert_eq!(found(&h).violations, []);
+    let mut h = with_reads(empty(), 10 * SECOND, 40);
+    let higher = Some(QuotaLimit { rate: 100.0, burst: 5.0 });
+    h.tenants[0].quotas.push(ConfigVersion { requested: 10 * SECOND, committed: 11 * SECOND, value: higher });
+    assert_eq!(check_history(&h).violations, []);
 }
 
 #[test]
-fn a_strict_rule_holds_for_reads_it_names_and_not_before_it_has_settled() {
-    let outside = empty().play(S, S + 1000, false, 2);
-    let [Violation::Outside { server, statements: 1, .. }] = &found(&outside).violations[..] else {
-        panic!("{:?}", found(&outside).violations)
+fn strict_placement_applies_to_its_classes_after_settle_time() {
+    let outside = empty().with_request(SECOND, SECOND + 1000, false, 2);
+    let [Violation::OutsidePlacement { server, statements: 1, .. }] = &check_history(&outside).violations[..]
+    else {
+        panic!("{:?}", check_history(&outside).violations)
     };
     assert_eq!(server, "b");
-    assert_eq!(found(&empty().play(S, S + 1000, true, 0)).violations, []);
+    assert_eq!(check_history(&empty().with_request(SECOND, SECOND + 1000, true, 0)).violations, []);
     let tightened = |at: Micros| {
-        let mut h = empty().play(at, at + 1000, false, 1);
-        let is = Sites { reads: Some(["hall-b".to_string()].into()), writes: None };
-        h.tenants[0].places.push(Step { begun: 10 * S, committed: 10 * S + 5000, is });
-        found(&h).violations
+        let mut h = empty().with_request(at, at + 1000, false, 1);
+        let value = AllowedSites { reads: Some(["hall-b".to_string()].into()), writes: None };
+        h.tenants[0].placements.push(ConfigVersion {
+            requested: 10 * SECOND,
+            committed: 10 * SECOND + 5000,
+            value,
+        });
+        check_history(&h).violations
     };
-    assert_eq!(tightened(12 * S), []);
-    assert!(matches!(&tightened(13 * S)[..], [Violation::Outside { latest, .. }] if *latest > 2_900_000));
+    assert_eq!(tightened(12 * SECOND), []);
+    assert!(
+        matches!(&tightened(13 * SECOND)[..], [Violation::OutsidePlacement { latest, .. }] if *latest > 2_900_000)
+    );
 }
 
 #[test]
-fn a_write_that_ran_twice_a_missing_answer_and_a_second_one_are_found() {
-    let mut twice = empty().play(S, S + 1000, true, 0);
-    twice.statements.push(Statement { at: 2 * S, ..twice.statements[0] });
-    assert_eq!(found(&twice).violations, [Violation::Twice { id: 1, times: 2 }]);
-    let mut never = empty().play(S, S + 1000, true, 0);
+fn repeated_writes_and_missing_or_extra_answers_are_found() {
+    let mut twice = empty().with_request(SECOND, SECOND + 1000, true, 0);
+    twice.statements.push(Statement { at: 2 * SECOND, ..twice.statements[0] });
+    assert_eq!(check_history(&twice).violations, [Violation::WriteRepeated { id: 1, times: 2 }]);
+    let mut never = empty().with_request(SECOND, SECOND + 1000, true, 0);
     never.statements.clear();
-    assert_eq!(found(&never).violations, [Violation::NeverRan { id: 1 }]);
-    let mut refused = empty().play(S, S + 1000, true, 0);
-    refused.requests[0].outcome = Outcome::Refused;
-    assert_eq!(found(&refused).violations, [Violation::RanRefused { id: 1 }]);
+    assert_eq!(check_history(&never).violations, [Violation::ServedNeverRan { id: 1 }]);
+    let mut refused = empty().with_request(SECOND, SECOND + 1000, true, 0);
+    refused.requests[0].outcome = Outcome::Rejected;
+    assert_eq!(check_history(&refused).violations, [Violation::RejectedWriteRan { id: 1 }]);
     let mut stray = empty();
-    stray.strays = vec![(7, S), (7, 2 * S)];
-    assert_eq!(found(&stray).violations, [Violation::Stray { router: 7, answers: 2 }]);
-    let mut lost = empty().play(S, S + 1000, true, 0);
+    stray.unexpected_answers = [SECOND, 2 * SECOND].map(|at| UnexpectedAnswer { router: 7, at }).to_vec();
+    assert_eq!(check_history(&stray).violations, [Violation::UnexpectedAnswers { router: 7, answers: 2 }]);
+    let mut lost = empty().with_request(SECOND, SECOND + 1000, true, 0);
     lost.requests[0].outcome = Outcome::Lost;
-    assert!(matches!(found(&lost).violations[..], [Violation::NoAnswer { id: 1, .. }]));
+    assert!(matches!(check_history(&lost).violations[..], [Violation::NoAnswer { id: 1, .. }]));
     // Its router was killed meanwhile.
-    lost.downs = vec![Down { router: 0, from: S + 500, to: 3 * S }];
-    assert_eq!(found(&lost).violations, []);
+    lost.outages = vec![Outage { router: 0, from: SECOND + 500, until: 3 * SECOND }];
+    assert_eq!(check_history(&lost).violations, []);
 }
 
 #[test]
-fn spread_is_told_beside_chance() {
-    let even = (0..200).fold(empty(), |h, i| h.play(S + i, S + i, false, 1 + i as usize % 2));
-    let spread = found(&even).spread[0];
+fn spread_is_measured_beside_random_spread() {
+    let even =
+        (0..200).fold(empty(), |h, i| h.with_request(SECOND + i, SECOND + i, false, 1 + i as usize % 2));
+    let spread = check_history(&even).spread[0];
     assert_eq!((spread.replicas, spread.max_by_mean, spread.idle), (2, 1.0, 0));
-    assert!(spread.chance > 1.02 && spread.chance < 1.12, "{spread:?}");
-    let one = (0..200).fold(empty(), |h, i| h.play(S + i, S + i, false, 1));
-    assert!(matches!(found(&one).spread[0], s if s.worst == 2.0 && s.idle == 1));
+    assert!(spread.random_max_by_mean > 1.02 && spread.random_max_by_mean < 1.12, "{spread:?}");
+    let one = (0..200).fold(empty(), |h, i| h.with_request(SECOND + i, SECOND + i, false, 1));
+    assert!(matches!(check_history(&one).spread[0], s if s.worst == 2.0 && s.idle == 1));
 }
--- a/multiprocess/tests/report.rs
+++ b/multiprocess/tests/report.rs
@@ -1,15 +1,15 @@
 //! The report of a run as text, and the figures that it is made of.
-use multiprocess::check::{Spent, Spread, Verdict, Violation, Window};
-use multiprocess::child::Cost;
-use multiprocess::history::{Down, History, Outcome, Request, Server, Statement, Tenant};
-use multiprocess::report::{Costs, Report};
+use multiprocess::check::{QuotaUsage, QuotaWindow, ReplicaSpread, Verdict, Violation};
+use multiprocess::history::{History, Outage, Outcome, Request, Server, Statement, Tenant};
+use multiprocess::process::ResourceUsage;
+use multiprocess::report::{Report, ResourceFigures, UnexpectedExit};
 use std::time::Duration;
 
 const REPORT: &str = include_str!("fixtures/report.txt");
 const OUTCOMES: [(Outcome, u16); 7] = [
     (Outcome::Served, 0),
     (Outcome::Served, 0),
-    (Outcome::Refused, 1040),
+    (Outcome::Rejected, 1040),
     (Outcome::Failed, 1105),
     (Outcome::Lost, 0),
     (Outcome::Unanswered, 0),
@@ -32,69 +32,78 @@
         statements: vec![Statement { id: 1, at: 12_000, server: 1, tenant: 1, write: false }],
         servers: vec![server("g0-primary", true), server("g0-replica-1", false)],
         tenants: vec![tenant("everyone"), tenant("tills")],
-        downs: vec![Down { router: 1, from: 5, to: 9 }, Down { router: 1, from: 15, to: 19 }],
+        outages: vec![Outage { router: 1, from: 5, until: 9 }, Outage { router: 1, from: 15, until: 19 }],
         ..History::default()
     }
 }
 
 fn violations() -> Vec<Violation> {
-    let worst = Window { from: 1_000_000, to: 2_500_000, over: 3.25 };
+    let worst = QuotaWindow { from: 1_000_000, until: 2_500_000, excess: 3.25 };
     vec![
-        Violation::Quota { tenant: "tills".into(), worst },
-        Violation::Outside {
+        Violation::QuotaExceeded { tenant: "tills".into(), worst },
+        Violation::OutsidePlacement {
             tenant: "books".into(),
             server: "g0-primary".into(),
             statements: 3,
             latest: 2_400_000,
         },
-        Violation::Twice { id: 4, times: 2 },
+        Violation::WriteRepeated { id: 4, times: 2 },
         Violation::NoAnswer { id: 5, router: 1, outcome: Outcome::Lost },
-        Violation::Stray { router: 2, answers: 6 },
-        Violation::RanRefused { id: 7 },
-        Violation::NeverRan { id: 8 },
+        Violation::UnexpectedAnswers { router: 2, answers: 6 },
+        Violation::RejectedWriteRan { id: 7 },
+        Violation::ServedNeverRan { id: 8 },
     ]
 }
 
 fn verdict() -> Verdict {
-    let window = |over| Some(Window { from: 0, to: 1_500_000, over });
-    let bounded = Spent {
+    let window = |excess| Some(QuotaWindow { from: 0, until: 1_500_000, excess });
+    let bounded = QuotaUsage {
         tenant: "tills".into(),
         ran: 31,
-        made: Some(400.4),
+        allowed_by_rate: Some(400.4),
         certain: window(-2.5),
         by_arrival: window(14.0),
     };
-    let unbounded = Spent { tenant: "everyone".into(), ran: 5, made: None, certain: None, by_arrival: None };
-    let spread = Spread {
+    let unbounded = QuotaUsage {
+        tenant: "everyone".into(),
+        ran: 5,
+        allowed_by_rate: None,
+        certain: None,
+        by_arrival: None,
+    };
+    let spread = ReplicaSpread {
         group: 0,
         replicas: 4,
         windows: 9,
         max_by_mean: 1.254,
         worst: 1.5,
         idle: 1,
-        chance: 1.21,
-        chance_idle: 0.35,
+        random_max_by_mean: 1.21,
+        random_idle: 0.35,
     };
     Verdict {
         violations: violations(),
-        spent: vec![unbounded, bounded],
+        quota_usage: vec![unbounded, bounded],
         spread: vec![spread],
-        longest_way: 12_340,
+        max_time_to_server: 12_340,
     }
 }
 
 fn report() -> Report {
-    let cost = |threads, resident_kb, own_kb| Cost { threads, resident_kb, own_kb };
+    let usage = |threads, resident_kb, private_kb| ResourceUsage { threads, resident_kb, private_kb };
     Report {
         routers: 2,
-        started: Duration::from_millis(1_250),
-        took: Duration::from_millis(9_870),
-        costs: Costs {
-            routers: vec![cost(7, 10_240, 4_096), cost(8, 12_288, 4_608)],
-            nodes: vec![cost(9, 20_480, 8_192)],
-            talk_bytes_per_s: Some(1_234.4),
+        startup_time: Duration::from_millis(1_250),
+        total_time: Duration::from_millis(9_870),
+        resources: ResourceFigures {
+            routers: vec![usage(7, 10_240, 4_096), usage(8, 12_288, 4_608)],
+            store_nodes: vec![usage(9, 20_480, 8_192)],
+            store_bytes_per_s: Some(1_234.4),
         },
-        dead: vec![(1, vec!["first line".into(), "last line".into()])],
+        unexpected_exits: vec![UnexpectedExit {
+            router: 1,
+            log_lines: vec!["first line".into(), "last line".into()],
+        }],
         history: history(),
         verdict: verdict(),
     }
@@ -108,30 +117,30 @@
 
 #[test]
 fn outcomes_are_counted_by_tenant_in_plan_order() {
-    let ended = report().ended();
-    let names: Vec<&str> = ended.iter().map(|(name, _)| name.as_str()).collect();
+    let outcomes = report().outcomes();
+    let names: Vec<&str> = outcomes.iter().map(|o| o.tenant.as_str()).collect();
     assert_eq!(names, ["everyone", "tills"]);
-    assert_eq!(ended.iter().map(|(_, e)| e.asked).collect::<Vec<_>>(), [3, 4]);
-    assert_eq!(ended[0].1.count(Outcome::Served), 1);
-    assert_eq!(ended[0].1.count(Outcome::Refused), 0);
-    assert_eq!(ended[1].1.count(Outcome::Refused), 1);
-    assert_eq!(ended[1].1.count(Outcome::Unsent), 1);
+    assert_eq!(outcomes.iter().map(|o| o.counts.requests).collect::<Vec<_>>(), [3, 4]);
+    assert_eq!(outcomes[0].counts.count(Outcome::Served), 1);
+    assert_eq!(outcomes[0].counts.count(Outcome::Rejected), 0);
+    assert_eq!(outcomes[1].counts.count(Outcome::Rejected), 1);
+    assert_eq!(outcomes[1].counts.count(Outcome::Unsent), 1);
 }
 
 #[test]
-fn report_is_good_only_without_violations_and_dead_routers() {
+fn report_is_good_only_without_violations_and_unexpected_exits() {
     let mut report = report();
-    assert!(!report.good());
+    assert!(!report.is_good());
     report.verdict.violations.clear();
-    assert!(!report.good());
-    report.dead.clear();
-    assert!(report.good());
+    assert!(!report.is_good());
+    report.unexpected_exits.clear();
+    assert!(report.is_good());
 }
 
 #[test]
 fn report_lists_at_most_twenty_violations() {
     let mut report = report();
-    report.verdict.violations = (0..25).map(|id| Violation::NeverRan { id }).collect();
+    report.verdict.violations = (0..25).map(|id| Violation::ServedNeverRan { id }).collect();
     let text = report.to_string();
     assert!(text.contains("\n25 violations\n"), "{text}");
     assert_eq!(text.matches("no server ran it").count(), 20);
