--- /dev/null
+++ b/test-servers/tests/registry_wire.rs
@@ -0,0 +1,187 @@
+//! What the registry answers on the wire, to a client of etcd's gateway and to one of Consul's interface.
+use base64::Engine;
+use base64::engine::general_purpose::STANDARD;
+use serde_json::{Value, json};
+use std::fmt::Write as _;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::TcpStream;
+use std::time::Duration;
+use test_servers::registry::Registry;
+
+const ETCD: &str = include_str!("fixtures/etcd.txt");
+const ETCD_WATCH: &str = include_str!("fixtures/etcd_watch.txt");
+const CONSUL: &str = include_str!("fixtures/consul.txt");
+
+/// A client that records requests and what they were answered.
+struct Client {
+    stream: BufReader<TcpStream>,
+    transcript: String,
+}
+
+impl Client {
+    fn connect(registry: &Registry) -> Client {
+        let stream = TcpStream::connect(registry.addrs()[0]).unwrap();
+        stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+        Client { stream: BufReader::new(stream), transcript: String::new() }
+    }
+
+    fn send(&mut self, method: &str, target: &str, headers: &str, body: &str) {
+        let length = body.len();
+        let request =
+            format!("{method} {target} HTTP/1.1\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
+        self.stream.get_mut().write_all(request.as_bytes()).unwrap();
+        writeln!(self.transcript, "> {method} {target} {headers:?} {body}").unwrap();
+    }
+
+    fn read_line(&mut self) -> String {
+        let mut line = String::new();
+        self.stream.read_line(&mut line).unwrap();
+        writeln!(self.transcript, "{line:?}").unwrap();
+        line
+    }
+
+    /// Reads an answer with a content length.
+    fn read_answer(&mut self) -> Value {
+        let mut length = 0;
+        loop {
+            let line = self.read_line();
+            if let Some(value) = line.strip_prefix("Content-Length: ") {
+                length = value.trim().parse().unwrap();
+            }
+            if line == "\r\n" {
+                break;
+            }
+        }
+        let mut body = vec![0; length];
+        self.stream.read_exact(&mut body).unwrap();
+        let body = String::from_utf8(body).unwrap();
+        writeln!(self.transcript, "{body}").unwrap();
+        serde_json::from_str(&body).unwrap_or_default()
+    }
+
+    fn ask(&mut self, method: &str, target: &str, headers: &str, body: &str) -> Value {
+        self.send(method, target, headers, body);
+        self.read_answer()
+    }
+
+    fn post(&mut self, path: &str, body: &Value) -> Value {
+        self.ask("POST", path, "", &body.to_string())
+    }
+}
+
+fn key(text: &str) -> String {
+    STANDARD.encode(text)
+}
+
+#[test]
+fn etcd_answers_keep_their_form() {
+    let registry = Registry::start(1, None);
+    let mut client = Client::connect(&registry);
+    let all = json!({"key": key("/a"), "range_end": key("/b")});
+    client.post("/v3/kv/range", &all);
+    client.post("/v3/kv/put", &json!({"key": key("/a/1"), "value": key("one")}));
+    client.post("/v3/kv/put", &json!({"key": key("/a/2"), "value": key("two")}));
+    client.post("/v3/kv/put", &json!({"key": key("/a/2"), "value": key("second")}));
+    client.post("/v3/kv/range", &all);
+    client.post("/v3/kv/range", &json!({"key": key("/a"), "range_end": key("/b"), "limit": 1}));
+    client.post("/v3/kv/range", &json!({"key": key("/a"), "range_end": key("/b"), "count_only": true}));
+    client.post("/v3/kv/range", &json!({"key": key("/a"), "range_end": key("/b"), "revision": "2"}));
+    client.post("/v3/kv/range", &json!({"key": key("/a"), "range_end": key("/b"), "min_mod_revision": 4}));
+    client.post("/v3/kv/range", &json!({"key": key("/a/1")}));
+    client.post("/v3/kv/range", &json!({"key": key("/"), "range_end": key("\0")}));
+    for revision in [2, 3] {
+        let compare = json!([{"key": key("/a/1"), "mod_revision": revision}]);
+        let put = json!([{"request_put": {"key": key("/a/1"), "value": key("new")}}]);
+        client.post("/v3/kv/txn", &json!({"compare": compare, "success": put}));
+    }
+    client.post("/v3/kv/put", &json!({"key": key("/a/3"), "value": "", "lease": "5"}));
+    let lease = client.post("/v3/lease/grant", &json!({"TTL": "60"}))["ID"].clone();
+    client.post("/v3/kv/put", &json!({"key": key("/a/3"), "value": "", "lease": lease}));
+    client.post("/v3/lease/keepalive", &json!({"ID": lease}));
+    client.post("/v3/lease/revoke", &json!({"ID": lease}));
+    client.post("/v3/lease/keepalive", &json!({"ID": lease}));
+    client.post("/v3/kv/deleterange", &json!({"key": key("/a/1")}));
+    client.post("/v3/kv/range", &all);
+    client.post("/v3/nothing", &json!({}));
+    registry.compact();
+    client.post("/v3/kv/range", &json!({"key": key("/a"), "range_end": key("/b"), "revision": "2"}));
+    registry.faults(0, |f| (f.stands_at, f.cluster) = (Some(4), Some(9)));
+    client.post("/v3/kv/range", &json!({"key": key("/c")}));
+    registry.faults(0, |f| f.leaderless = true);
+    client.post("/v3/kv/range", &all);
+    registry.faults(0, |f| *f = Default::default());
+    registry.wants_user("router", "secret");
+    client.post("/v3/kv/range", &all);
+    client.post("/v3/auth/authenticate", &json!({"name": "router", "password": "wrong"}));
+    let token = client.post("/v3/auth/authenticate", &json!({"name": "router", "password": "secret"}));
+    let headers = format!("Authorization: {}\r\n", token["token"].as_str().unwrap());
+    client.ask("POST", "/v3/kv/range", &headers, &all.to_string());
+    assert_eq!(client.transcript, ETCD);
+}
+
+#[test]
+fn etcd_watch_events_keep_their_form() {
+    let registry = Registry::start(1, None);
+    registry.put("/a/1", "one");
+    let mut client = Client::connect(&registry);
+    let create =
+        json!({"create_request": {"key": key("/a/"), "range_end": key("/a0"), "start_revision": "2"}});
+    client.send("POST", "/v3/watch", "", &create.to_string());
+    // The head, `created` and the first event, each a chunk of two lines and an empty one.
+    (0..4 + 2 * 3).for_each(|_| drop(client.read_line()));
+    registry.put("/elsewhere", "x");
+    registry.delete("/a/1");
+    (0..3).for_each(|_| drop(client.read_line()));
+    registry.faults(0, |f| f.twice = true);
+    registry.put("/a/2", "two");
+    (0..3).for_each(|_| drop(client.read_line()));
+    registry.faults(0, |f| (f.twice, f.reorder) = (false, true));
+    registry.together(|contents| {
+        contents.put("/a/3", b"three".to_vec(), None);
+        contents.put("/a/4", b"four".to_vec(), None);
+    });
+    (0..3).for_each(|_| drop(client.read_line()));
+    registry.faults(0, |f| f.cut_line = true);
+    registry.put("/a/5", "five");
+    (0..2).for_each(|_| drop(client.read_line()));
+    assert_eq!(client.read_line(), "");
+    registry.compact();
+    let mut late = Client::connect(&registry);
+    late.send("POST", "/v3/watch", "", &create.to_string());
+    (0..4 + 2 * 3).for_each(|_| drop(late.read_line()));
+    assert_eq!(late.read_line(), "");
+    let transcript = client.transcript + &late.transcript;
+    assert_eq!(transcript, ETCD_WATCH);
+}
+
+#[test]
+fn consul_answers_keep_their_form() {
+    let registry = Registry::start(1, None);
+    let mut client = Client::connect(&registry);
+    client.ask("GET", "/v1/kv/a/?recurse", "", "");
+    client.ask("PUT", "/v1/kv/a/1", "", "one");
+    client.ask("PUT", "/v1/kv/a/1?cas=0", "", "late");
+    client.ask("PUT", "/v1/kv/a/1?cas=2", "", "two");
+    client.ask("GET", "/v1/kv/a/?recurse", "", "");
+    client.ask("GET", "/v1/kv/a/?recurse&index=3&wait=10ms", "", "");
+    client.ask("GET", "/v1/kv/a/?recurse&index=99&wait=60000ms", "", "");
+    let session = client.ask("PUT", "/v1/session/create", "", "{\"TTL\":\"60s\"}");
+    let session = session["ID"].as_str().unwrap().to_string();
+    client.ask("PUT", &format!("/v1/kv/a/2?acquire={session}"), "", "held");
+    client.ask("PUT", "/v1/kv/a/2?acquire=5", "", "unknown session");
+    let other = client.ask("PUT", "/v1/session/create", "", "{}")["ID"].as_str().unwrap().to_string();
+    client.ask("PUT", &format!("/v1/kv/a/2?acquire={other}"), "", "another session");
+    client.ask("PUT", &format!("/v1/session/renew/{session}"), "", "");
+    client.ask("PUT", &format!("/v1/session/destroy/{session}"), "", "");
+    client.ask("PUT", &format!("/v1/session/renew/{session}"), "", "");
+    client.ask("GET", "/v1/kv/a/?recurse", "", "");
+    client.ask("DELETE", "/v1/kv/a/1", "", "");
+    client.ask("GET", "/v1/health/service/db", "", "");
+    registry.service("db", json!([{"Service": {"ID": "db-1", "Port": 3306}}]));
+    client.ask("GET", "/v1/health/service/db", "X-Consul-Token: t\r\n", "");
+    client.ask("PUT", "/v1/session/other/1", "", "");
+    client.ask("GET", "/v1/nothing", "", "");
+    registry.faults(0, |f| (f.stands_at, f.leaderless) = (Some(2), true));
+    client.ask("GET", "/v1/health/service/db", "", "");
+    assert_eq!(client.transcript, CONSUL);
+}
