--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
-use test_servers::fleet::Fleet;
 use test_servers::registry::Registry;
+use test_servers::replication_group::ReplicationGroup;
 
 const PREFIX: &str = "/damsonvale/shop/";
 
@@ -51,7 +51,7 @@
     println!("{:<34}{:>8}{:>8}{:>8}{:>8}", "", "p50", "p90", "p99", "max");
     for kind in ["etcd", "consul"] {
         let registry = Registry::start(1, None);
-        let fleet = Fleet::start(&[Duration::ZERO; 2], Duration::from_millis(5));
+        let fleet = ReplicationGroup::start(&[Duration::ZERO; 2], Duration::from_millis(5));
         let set = |s: usize, state: &str| {
             let (name, addr) = fleet.servers()[s].clone();
             registry.put(&format!("{PREFIX}nodes/{name}"), &node(addr, 0, state, 1.0));
@@ -80,7 +80,7 @@
                     assert!(begun.elapsed() < LONG);
                 }
                 if breaks {
-                    registry.faults(0, |f| f.down = true);
+                    registry.update_faults(0, |f| f.down = true);
                     registry.break_connections(0);
                     std::thread::sleep(Duration::from_millis(30));
                 }
@@ -88,9 +88,9 @@
                 if breaks {
                     registry.compact();
                     // The router can know from its next connection on.
-                    let seen = registry.watches(0) + registry.reads();
-                    registry.faults(0, |f| f.down = false);
-                    while registry.watches(0) + registry.reads() == seen {
+                    let seen = registry.watch_count(0) + registry.read_count();
+                    registry.update_faults(0, |f| f.down = false);
+                    while registry.watch_count(0) + registry.read_count() == seen {
                         assert!(begun.elapsed() < LONG);
                     }
                 }
@@ -131,14 +131,14 @@
     );
     for nodes in [100usize, 1000, 10_000] {
         let registry = Registry::start(1, None);
-        let fleet = Fleet::start(&[Duration::ZERO; 2], Duration::from_millis(5));
+        let fleet = ReplicationGroup::start(&[Duration::ZERO; 2], Duration::from_millis(5));
         let key = |n: usize| format!("{PREFIX}nodes/extra-{n:05}");
         // Ports from a range that nothing listens on here: nobody asks those groups for anything.
         let other = |n: usize, weight: f64| {
             let addr = ([127, 1, (n / 250) as u8, (n % 250) as u8 + 1], 3306).into();
             node(addr, 1 + n / 3, "in_service", weight)
         };
-        registry.together(|c| {
+        registry.apply_together(|c| {
             for (name, addr) in fleet.servers() {
                 c.put(&format!("{PREFIX}nodes/{name}"), node(addr, 0, "in_service", 1.0).into_bytes(), None);
             }
--- a/benches/sessions.rs
+++ b/benches/sessions.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
-use test_servers::fleet::Fleet;
+use test_servers::replication_group::ReplicationGroup;
 
 const HEARTBEAT: Duration = Duration::from_millis(5);
 
@@ -34,7 +34,8 @@
         ("nothing, staying", Keeping::Nothing, false, 60),
     ];
     for (name, keeping, wander, kills) in arms {
-        let mut three = Instances::started(3, Fleet::start(&lag(&[1000, 2000]), HEARTBEAT), keeping);
+        let mut three =
+            Instances::started(3, ReplicationGroup::start(&lag(&[1000, 2000]), HEARTBEAT), keeping);
         let f = restart_loop(&mut three, kills, 9, wander);
         println!("{name:<28}{:>7}{:>9}{:>9}{:>9}{:>14}", f.kills, f.writes, f.reads, f.missed, f.by_replicas);
     }
@@ -95,7 +96,7 @@
         ];
         for (name, keeping, class) in arms {
             let n = if keeping == Keeping::Whole { 3 } else { 1 };
-            let mut all = Instances::new(n, Fleet::start(&lag(&lags), HEARTBEAT), keeping);
+            let mut all = Instances::new(n, ReplicationGroup::start(&lag(&lags), HEARTBEAT), keeping);
             for m in &mut all.more {
                 m.0 = "[[mysql.class]]\nname = 'basket-fresh'\nfreshness = 'fresh'\neffect = 'safe'\n\
                        aim_ms = 2000\ndeadline_ms = 4000\n"
@@ -132,7 +133,7 @@
     let mut running: Vec<(&str, Instances, Histogram<u64>)> = arms
         .into_iter()
         .map(|(name, keeping, n)| {
-            let all = Instances::started(n, Fleet::start(&lag(&[20]), HEARTBEAT), keeping);
+            let all = Instances::started(n, ReplicationGroup::start(&lag(&[20]), HEARTBEAT), keeping);
             (name, all, Histogram::new(3).expect("three digits"))
         })
         .collect();
@@ -186,7 +187,7 @@
     println!("{:<16}{:>12}{:>12}{:>16}{:>14}", "sessions", "start ms", "RSS MB", "bytes/session", "peer ms");
     let mut empty = 0;
     for sessions in [0u64, 10_000, 100_000, 1_000_000] {
-        let mut two = Instances::new(2, Fleet::start(&lag(&[20]), HEARTBEAT), Keeping::Whole);
+        let mut two = Instances::new(2, ReplicationGroup::start(&lag(&[20]), HEARTBEAT), Keeping::Whole);
         let entries: Vec<(Key, decision::Time)> = (0..sessions)
             .map(|n| (Key(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)), decision::Time(n as i64 + 1)))
             .collect();
--- a/lab/tests/tool.rs
+++ b/lab/tests/tool.rs
@@ -68,7 +68,7 @@
 #[test]
 fn a_load_counts_a_stall_from_when_requests_were_due() {
     use std::time::Duration;
-    let fleet = test_servers::fleet::Fleet::start(&[], Duration::from_millis(5));
+    let fleet = test_servers::replication_group::ReplicationGroup::start(&[], Duration::from_millis(5));
     let at = fleet.servers()[0].1.to_string();
     let load = |connections: &str| {
         lab(&[
@@ -101,9 +101,9 @@
         while stalls.counts(0).reads < before + 40 {
             std::thread::yield_now();
         }
-        stalls.hang(0, true);
+        stalls.set_hung(0, true);
         std::thread::sleep(Duration::from_millis(400));
-        stalls.hang(0, false);
+        stalls.set_hung(0, false);
     });
     let (code, text) = load("1");
     stall.join().unwrap();
--- a/membership/tests/sockets.rs
+++ b/membership/tests/sockets.rs
@@ -46,7 +46,7 @@
         settings: Settings::sped_up(10),
     })
     .expect("started");
-    proxy.to(membership.addr());
+    proxy.set_target(membership.addr());
     let changes = membership.subscribe().expect("a subscriber");
     Router { membership, proxy, changes, list: BTreeSet::new() }
 }
@@ -96,9 +96,9 @@
 #[test]
 fn cut_off_router_is_down_and_rejoins_under_higher_incarnation() {
     let mut all = four_routers();
-    all[3].proxy.faults(|faults| faults.cut = true);
+    all[3].proxy.update_faults(|faults| faults.cut = true);
     all[..3].iter_mut().for_each(|router| router.wait_until_names(&["a", "b", "c"]));
-    all[3].proxy.faults(|faults| faults.cut = false);
+    all[3].proxy.update_faults(|faults| faults.cut = false);
     for router in &mut all {
         let has_rejoined = |start: &Start| start.name == "d" && start.incarnation > start.generation << 16;
         router.wait_until("d is back", |list| list.len() == 4 && list.iter().any(has_rejoined));
@@ -109,15 +109,15 @@
 fn lossy_slow_link_cut_one_way_takes_nobody_down() {
     let all = four_routers();
     let from = all[1].membership.addr().into();
-    all[2].proxy.faults(|faults| {
+    all[2].proxy.update_faults(|faults| {
         faults.cut_from = vec![from];
         faults.delay = Duration::from_millis(2);
         faults.lose_one_in = 20;
     });
     // Twenty answers asked of others and more: what b cannot send to c goes through a and d.
-    let lost = all[2].proxy.counts().1;
+    let lost = all[2].proxy.counts().lost;
     let deadline = Instant::now() + TEST_TIMEOUT;
-    while all[2].proxy.counts().1 < lost + 20 {
+    while all[2].proxy.counts().lost < lost + 20 {
         let change = all[0].changes.recv_timeout(Duration::from_millis(50));
         assert!(change.is_err(), "nothing changes: {change:?}");
         assert!(Instant::now() < deadline, "the cut link was used");
--- a/multiprocess/src/run/links.rs
+++ b/multiprocess/src/run/links.rs
@@ -81,7 +81,8 @@
 
     /// Delays data between the first `routers` and a site's servers.
     pub(super) fn delay_servers(&self, routers: usize, site: &str, delay: Duration) {
-        self.server_proxies(routers, site).for_each(|proxy| proxy.faults(|faults| faults.delay = delay));
+        self.server_proxies(routers, site)
+            .for_each(|proxy| proxy.update_faults(|faults| faults.delay = delay));
     }
 
     /// Resets connections between the first `routers` and a site's servers.
@@ -101,7 +102,7 @@
 
     /// Bytes that the first router and the store have exchanged, both ways together.
     pub(super) fn store_bytes(&self) -> u64 {
-        self.store_proxies(1).map(Proxy::passed).sum()
+        self.store_proxies(1).map(Proxy::bytes_forwarded).sum()
     }
 
     fn store_proxies(&self, routers: usize) -> impl Iterator<Item = &Proxy> {
@@ -129,9 +130,9 @@
 }
 
 fn cut(proxy: &Proxy, direction: LinkDirection) {
-    proxy.faults(|faults| match direction {
+    proxy.update_faults(|faults| match direction {
         LinkDirection::Both => faults.cut = true,
-        LinkDirection::ToTarget => faults.deaf_there = true,
-        LinkDirection::FromTarget => faults.deaf_back = true,
+        LinkDirection::ToTarget => faults.drop_to_target = true,
+        LinkDirection::FromTarget => faults.drop_from_target = true,
     });
 }
--- a/multiprocess/src/servers/server_thread.rs
+++ b/multiprocess/src/servers/server_thread.rs
@@ -161,7 +161,7 @@
     /// Whether this server is read-only, and its heartbeat in milliseconds of Unix time.
     fn probe_answer(&self) -> Vec<u8> {
         let read_only = if self.server.primary { "0" } else { "1" };
-        let heartbeat = (test_servers::fleet::now() / 1000).to_string();
+        let heartbeat = (test_servers::replication_group::unix_micros() / 1000).to_string();
         row(&[read_only, &heartbeat])
     }
 
--- a/soak/src/serve.rs
+++ b/soak/src/serve.rs
@@ -19,8 +19,8 @@
 use std::process::Command;
 use std::time::Duration;
 use tempfile::TempDir;
-use test_servers::fleet::Fleet;
 use test_servers::proxy::Proxy;
+use test_servers::replication_group::ReplicationGroup;
 
 /// A process has to accept clients by then.
 const READY_TIMEOUT: Micros = 30 * SECOND;
@@ -56,7 +56,7 @@
     folder: TempDir,
     clock: WorldClock,
     recorder: Recorder,
-    fleet: Fleet,
+    fleet: ReplicationGroup,
     addresses: Addresses,
     routers: Vec<Router>,
     store: StoreRecord,
@@ -86,7 +86,7 @@
     fn prepare(plan: &'a Plan, programs: &'a Programs) -> io::Result<Run<'a>> {
         let folder = tempfile::Builder::new().prefix("damsonvale-soak-").tempdir()?;
         let lags = vec![Duration::from_millis(5); plan.replicas];
-        let fleet = Fleet::start(&lags, Duration::from_millis(5));
+        let fleet = ReplicationGroup::start(&lags, Duration::from_millis(5));
         let addresses = Addresses::free(plan.routers)?;
         let mut routers = Vec::new();
         for router in 0..plan.routers {
@@ -193,12 +193,12 @@
             (Kind::ServerLag, _) => {
                 let lag = if begins { 800 } else { 5 };
                 if server > 0 {
-                    self.fleet.lag(server, Duration::from_millis(lag));
+                    self.fleet.set_lag(server, Duration::from_millis(lag));
                 }
             }
             (Kind::LinkCut, true) => self.routers[router].proxies[server].cut(),
             (Kind::LinkDelay, true) => {
-                self.routers[router].proxies[server].faults(|f| f.delay = Duration::from_millis(100));
+                self.routers[router].proxies[server].update_faults(|f| f.delay = Duration::from_millis(100));
             }
             (Kind::LinkCut | Kind::LinkDelay, false) => self.routers[router].proxies[server].heal(),
             (Kind::ClockOne, _) => {
--- a/soak/src/serve/load.rs
+++ b/soak/src/serve/load.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::JoinHandle;
 use std::time::Duration;
-use test_servers::fleet::Fleet;
+use test_servers::replication_group::ReplicationGroup;
 
 /// Reads that follow each write.
 const READS: usize = 4;
@@ -50,7 +50,7 @@
         routers: &[SocketAddr],
         clock: &WorldClock,
         recorder: &Recorder,
-        _fleet: &Fleet,
+        _fleet: &ReplicationGroup,
     ) -> io::Result<Load> {
         let stop = Arc::new(AtomicBool::new(false));
         let mut threads = Vec::new();
--- a/store/tests/cluster/writes.rs
+++ b/store/tests/cluster/writes.rs
@@ -46,7 +46,7 @@
     let watch = watched.watch("", None).unwrap();
     let before = next_snapshot(&watch).position;
     // Nothing comes back from the first node any more: the write is applied there, and retried at the second.
-    link.faults(|f| f.deaf_back = true);
+    link.update_faults(|f| f.drop_from_target = true);
     let retried = client.put("a", "2", expecting(1)).unwrap();
     assert_eq!(retried.version, 2);
     let next = client.put("a", "3", expecting(2)).unwrap();
--- a/test-servers/src/proxy.rs
+++ b/test-servers/src/proxy.rs
@@ -13,9 +13,9 @@
     /// Nothing gets through.
     pub cut: bool,
     /// Nothing gets through to the far side; answers do.
-    pub deaf_there: bool,
+    pub drop_to_target: bool,
     /// Nothing comes back from the far side.
-    pub deaf_back: bool,
+    pub drop_from_target: bool,
     /// Each piece takes this long, either way.
     pub delay: Duration,
     /// Bytes a second, either way; 0 for as many as there are.
@@ -59,24 +59,24 @@
     }
 
     /// Bytes that got through so far, both ways together.
-    pub fn passed(&self) -> u64 {
+    pub fn bytes_forwarded(&self) -> u64 {
         self.passed.load(Ordering::Relaxed)
     }
 
     /// Changes what is wrong; what waits looks again.
-    pub fn faults(&self, how: impl FnOnce(&mut Faults)) {
+    pub fn update_faults(&self, how: impl FnOnce(&mut Faults)) {
         how(&mut self.state().faults);
         self.state.1.notify_all();
     }
 
     /// Cuts it: nothing gets through.
     pub fn cut(&self) {
-        self.faults(|f| f.cut = true);
+        self.update_faults(|f| f.cut = true);
     }
 
     /// Heals it; connections from before are closed.
     pub fn heal(&self) {
-        self.faults(|f| *f = Faults::default());
+        self.update_faults(|f| *f = Faults::default());
         self.each(|near, far| {
             _ = near.shutdown(Shutdown::Both);
             _ = far.shutdown(Shutdown::Both);
@@ -112,8 +112,8 @@
         far.set_nodelay(true)?;
         self.state().open.push((near.try_clone()?, far.try_clone()?));
         let (own, near_again, far_again) = (self.clone(), near.try_clone()?, far.try_clone()?);
-        std::thread::spawn(move || own.copy(&far_again, &near_again, |f| f.cut || f.deaf_back));
-        self.copy(&near, &far, |f| f.cut || f.deaf_there);
+        std::thread::spawn(move || own.copy(&far_again, &near_again, |f| f.cut || f.drop_from_target));
+        self.copy(&near, &far, |f| f.cut || f.drop_to_target);
         Ok(())
     }
 
--- a/test-servers/src/registry.rs
+++ b/test-servers/src/registry.rs
@@ -42,25 +42,25 @@
     /// Connections are closed at once.
     pub down: bool,
     /// Nothing is answered any more, and connections stay open.
-    pub silent: bool,
+    pub unresponsive: bool,
     /// Watches bring nothing, reads are answered.
-    pub mute: bool,
+    pub stalled_watches: bool,
     /// Reads are answered from this revision, as a member does that lags.
-    pub stands_at: Option<u64>,
+    pub stale_at_revision: Option<u64>,
     /// It says that it belongs to this cluster.
-    pub cluster: Option<u64>,
+    pub cluster_id: Option<u64>,
     /// The next watch line is cut in the middle, and its connection closed.
-    pub cut_line: bool,
+    pub truncate_next_event: bool,
     /// Each change is brought twice.
-    pub twice: bool,
+    pub duplicated_events: bool,
     /// Changes that wait together are brought in the wrong order.
-    pub reorder: bool,
+    pub reversed_events: bool,
     /// It knows no leader: reads are refused, and watches bring nothing.
     pub leaderless: bool,
     /// Each answer takes this long.
-    pub slow: Duration,
+    pub response_delay: Duration,
     /// The history is forgotten behind the first page of the next read.
-    pub compact_midway: bool,
+    pub compact_after_first_page: bool,
 }
 
 struct Member {
@@ -161,7 +161,7 @@
     }
 
     /// Changes how a member behaves; what waits looks again.
-    pub fn faults(&self, member: usize, how: impl FnOnce(&mut Faults)) {
+    pub fn update_faults(&self, member: usize, how: impl FnOnce(&mut Faults)) {
         how(&mut self.state().members[member].faults);
         self.changed.notify_all();
     }
@@ -179,17 +179,17 @@
     }
 
     /// How many watches a member has taken so far.
-    pub fn watches(&self, member: usize) -> usize {
+    pub fn watch_count(&self, member: usize) -> usize {
         self.state().members[member].watches
     }
 
     /// Reads answered so far, by all members.
-    pub fn reads(&self) -> usize {
+    pub fn read_count(&self) -> usize {
         self.state().reads
     }
 
     /// Wants a user and a password from now on; tokens given before are worth nothing.
-    pub fn wants_user(&self, name: &str, password: &str) {
+    pub fn require_user(&self, name: &str, password: &str) {
         let mut state = self.state();
         state.user = Some((name.into(), password.into()));
         state.tokens += 1;
@@ -210,7 +210,7 @@
     }
 
     /// Several changes that no watch sees apart.
-    pub fn together(&self, changes: impl FnOnce(&mut Contents)) {
+    pub fn apply_together(&self, changes: impl FnOnce(&mut Contents)) {
         changes(&mut self.state().contents);
         self.changed.notify_all();
     }
@@ -234,7 +234,7 @@
     }
 
     /// Keys and values as they are now.
-    pub fn all(&self) -> BTreeMap<String, String> {
+    pub fn entries(&self) -> BTreeMap<String, String> {
         let text = |h: &Held| String::from_utf8_lossy(&h.value).into_owned();
         self.state().contents.held.iter().map(|(k, h)| (k.clone(), text(h))).collect()
     }
@@ -245,7 +245,7 @@
     }
 
     /// Sets a service's instances, as Consul's health endpoint gives them.
-    pub fn service(&self, name: &str, instances: Value) {
+    pub fn set_service(&self, name: &str, instances: Value) {
         let mut state = self.state();
         state.contents.revision += 1;
         state.services_at = state.contents.revision;
@@ -255,7 +255,7 @@
     }
 
     /// Ends every lease at once.
-    pub fn end_leases(&self) {
+    pub fn expire_leases(&self) {
         let ended: Vec<u64> = self.state().leases.keys().copied().collect();
         self.end(&ended);
     }
@@ -304,7 +304,7 @@
             if request.path == "/v3/watch" {
                 return self.watch(member, &request, stream.get_mut());
             }
-            let slow = self.state().members[member].faults.slow;
+            let slow = self.state().members[member].faults.response_delay;
             std::thread::sleep(slow);
             let (code, headers, body) = self.answer(member, &request);
             // It may have fallen silent over the answer.
@@ -323,7 +323,7 @@
 
     /// Waits while a member is silent; `None` when it is down.
     fn awake(&self, member: usize) -> Option<MutexGuard<'_, State>> {
-        let silent = |s: &mut State| s.members[member].faults.silent && !s.members[member].faults.down;
+        let silent = |s: &mut State| s.members[member].faults.unresponsive && !s.members[member].faults.down;
         let state = self.changed.wait_while(self.state(), silent).unwrap_or_else(|p| p.into_inner());
         (!state.members[member].faults.down).then_some(state)
     }
@@ -354,15 +354,15 @@
         if faults.leaderless {
             return (503, String::new(), refusal("etcdserver: no leader", 14));
         }
-        let revision = faults.stands_at.unwrap_or(state.contents.revision);
-        let header = json!({"cluster_id": faults.cluster.unwrap_or(CLUSTER).to_string(),
+        let revision = faults.stale_at_revision.unwrap_or(state.contents.revision);
+        let header = json!({"cluster_id": faults.cluster_id.unwrap_or(CLUSTER).to_string(),
             "member_id": (member + 1).to_string(), "revision": revision.to_string(), "raft_term": "2"});
         let answer = match r.path.as_str() {
             "/v3/kv/range" => {
                 state.reads += 1;
                 let answer = state.contents.range(&asked, revision);
                 let paged = answer.as_ref().is_ok_and(|v| v["more"] == true);
-                if paged && std::mem::take(&mut state.members[member].faults.compact_midway) {
+                if paged && std::mem::take(&mut state.members[member].faults.compact_after_first_page) {
                     // Someone writes, and someone compacts, before the next page is asked for.
                     state.contents.put("/elsewhere", vec![], None);
                     state.contents.compacted = state.contents.revision;
@@ -448,7 +448,7 @@
                     let f = &s.members[member].faults;
                     let quiet =
                         s.contents.compacted < next && !s.contents.history.iter().any(|h| h.revision >= next);
-                    !f.down && (f.silent || f.mute || f.leaderless || quiet)
+                    !f.down && (f.unresponsive || f.stalled_watches || f.leaderless || quiet)
                 };
                 let mut state =
                     self.changed.wait_while(self.state(), waits).unwrap_or_else(|p| p.into_inner());
@@ -468,7 +468,7 @@
                 let steps: Vec<Step> =
                     state.contents.history.iter().filter(|s| s.revision >= next).cloned().collect();
                 let faults = state.members[member].faults.clone();
-                state.members[member].faults.cut_line = false;
+                state.members[member].faults.truncate_next_event = false;
                 (steps, faults, state.contents.revision)
             };
             next = revision + 1;
@@ -476,10 +476,10 @@
             if steps.is_empty() {
                 continue;
             }
-            if faults.reorder {
+            if faults.reversed_events {
                 steps.reverse();
             }
-            if faults.twice {
+            if faults.duplicated_events {
                 steps.extend(steps.clone());
             }
             let event = |s: &Step| match &s.held {
@@ -489,7 +489,7 @@
             };
             let events: Vec<Value> = steps.iter().map(event).collect();
             let v = json!({"result": {"header": {"revision": revision.to_string()}, "events": events}});
-            if faults.cut_line {
+            if faults.truncate_next_event {
                 let text = v.to_string();
                 to.write_all(format!("{:x}\r\n{}", text.len() + 1, &text[..text.len() / 2]).as_bytes())?;
                 to.flush()?;
@@ -583,7 +583,7 @@
         let waited = self.changed.wait_timeout_while(state, Duration::from_millis(ms), waits);
         let (state, _) = waited.unwrap_or_else(|p| p.into_inner());
         let (mut at, items) = list(&state);
-        at = state.members[member].faults.stands_at.unwrap_or(at);
+        at = state.members[member].faults.stale_at_revision.unwrap_or(at);
         let leads = !state.members[member].faults.leaderless;
         let headers =
             format!("X-Consul-Index: {at}\r\nX-Consul-KnownLeader: {leads}\r\nX-Consul-LastContact: 0\r\n");
--- a/test-servers/src/fleet.rs
+++ b/test-servers/src/replication_group.rs
@@ -14,7 +14,7 @@
 pub type Micros = i64;
 
 /// The time by the servers' clock.
-pub fn now() -> Micros {
+pub fn unix_micros() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
 }
 
@@ -60,7 +60,7 @@
 
 /// The servers.
 #[derive(Clone)]
-pub struct Fleet {
+pub struct ReplicationGroup {
     world: Arc<Mutex<World>>,
     changed: Arc<Condvar>,
     /// Heartbeats are written this often.
@@ -78,16 +78,16 @@
     pub probes: usize,
 }
 
-impl Fleet {
+impl ReplicationGroup {
     /// Starts `primary` and this many replicas, `replica-1` and so on, with a lag each.
-    pub fn start(lags: &[Duration], heartbeat: Duration) -> Fleet {
+    pub fn start(lags: &[Duration], heartbeat: Duration) -> ReplicationGroup {
         let heartbeat = (heartbeat.as_micros() as Micros).max(1);
-        let fleet = Fleet { world: Arc::default(), changed: Arc::default(), heartbeat };
-        fleet.add("primary".into(), false, Duration::ZERO);
+        let group = ReplicationGroup { world: Arc::default(), changed: Arc::default(), heartbeat };
+        group.add("primary".into(), false, Duration::ZERO);
         for (n, lag) in lags.iter().enumerate() {
-            fleet.add(format!("replica-{}", n + 1), true, *lag);
+            group.add(format!("replica-{}", n + 1), true, *lag);
         }
-        fleet
+        group
     }
 
     fn world(&self) -> MutexGuard<'_, World> {
@@ -140,45 +140,45 @@
     }
 
     /// Sets how far a replica lags.
-    pub fn lag(&self, server: usize, lag: Duration) {
+    pub fn set_lag(&self, server: usize, lag: Duration) {
         self.change(server, |s| {
             // What is applied is never undone, however far behind it is from now on.
-            s.applied_before = s.applied(now());
+            s.applied_before = s.applied(unix_micros());
             s.lag = lag.as_micros() as Micros;
         });
     }
 
     /// Stops replication at all replicas: they show what was committed by now and nothing else.
     pub fn stop_replication(&self) {
-        let at = now();
+        let at = unix_micros();
         let mut world = self.world();
         world.servers.iter_mut().filter(|s| s.read_only).for_each(|s| s.stopped_at = Some(at - s.lag));
     }
 
     /// Makes a server answer probes only, or lets it go on.
-    pub fn hang(&self, server: usize, hung: bool) {
+    pub fn set_hung(&self, server: usize, hung: bool) {
         self.change(server, |s| s.hung = hung);
     }
 
     /// Statements at a server that hangs: the places that routers hold there.
-    pub fn waiting(&self, server: usize) -> usize {
+    pub fn blocked_statements(&self, server: usize) -> usize {
         self.world().servers[server].waiting
     }
 
     /// Keeps the answers of writes back, which run all the same.
-    pub fn hold_answers(&self, server: usize, held: bool) {
+    pub fn withhold_write_answers(&self, server: usize, held: bool) {
         self.change(server, |s| s.holds_answers = held);
     }
 
     /// Waits until this many writes have run whose answers were kept back.
-    pub fn wait_for_held(&self, writes: usize, at_most: Duration) -> bool {
+    pub fn wait_for_withheld_answers(&self, writes: usize, at_most: Duration) -> bool {
         let world = self.world();
         let waited = self.changed.wait_timeout_while(world, at_most, |w| w.held < writes);
         waited.is_ok_and(|(w, _)| w.held >= writes)
     }
 
     /// The primary is gone for good; a replica that has all its commits takes over.
-    pub fn hand_over(&self, to: usize) {
+    pub fn promote(&self, to: usize) {
         let mut world = self.world();
         for s in world.servers.iter_mut().filter(|s| !s.read_only) {
             s.read_only = true;
@@ -242,7 +242,7 @@
             let mut world = self.until(index, |_| false)?;
             let s = &mut world.servers[index];
             s.probes += 1;
-            let at = now();
+            let at = unix_micros();
             let applied = s.applied(at) / self.heartbeat * self.heartbeat;
             let cells = [(applied / 1000).to_string(), (at / 1000).to_string()];
             return Some(row(&[if s.read_only { "1" } else { "0" }, &cells[0], &cells[1]]));
@@ -264,7 +264,7 @@
             let s = &mut world.servers[index];
             s.reads += 1;
             s.last_read = Some(Instant::now());
-            let (name, shown) = (s.name.clone(), s.applied(now()));
+            let (name, shown) = (s.name.clone(), s.applied(unix_micros()));
             let items = world.log.get(*key).map(Vec::as_slice).unwrap_or_default();
             let newest = items.iter().filter(|(at, _)| *at <= shown).map(|(_, n)| *n).max().unwrap_or(0);
             return Some(row(&[&newest.to_string(), &name]));
@@ -277,7 +277,7 @@
         let held = s.holds_answers;
         let n = rest.trim_matches(|c: char| !c.is_ascii_digit());
         let n = n.split(|c: char| !c.is_ascii_digit()).next().and_then(|n| n.parse().ok()).unwrap_or(0);
-        world.log.entry(key.to_string()).or_default().push((now(), n));
+        world.log.entry(key.to_string()).or_default().push((unix_micros(), n));
         if held {
             world.held += 1;
             drop(world);
--- a/test-servers/src/udp.rs
+++ b/test-servers/src/udp.rs
@@ -30,6 +30,15 @@
     over: bool,
 }
 
+/// How many datagrams a proxy has handled since its start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DatagramCounts {
+    /// Datagrams sent on to the target.
+    pub forwarded: u64,
+    /// Datagrams dropped, by faults or for lack of a target.
+    pub lost: u64,
+}
+
 /// Passes datagrams on to one address. The receiver sees the proxy as their sender.
 pub struct UdpProxy {
     /// Where it hears.
@@ -53,19 +62,19 @@
     }
 
     /// Where datagrams go from now on.
-    pub fn to(&self, to: SocketAddrV4) {
+    pub fn set_target(&self, to: SocketAddrV4) {
         locked(&self.state).to = Some(to.into());
     }
 
     /// Changes what is wrong.
-    pub fn faults(&self, how: impl FnOnce(&mut UdpFaults)) {
+    pub fn update_faults(&self, how: impl FnOnce(&mut UdpFaults)) {
         how(&mut locked(&self.state).faults);
     }
 
     /// Datagrams passed on and lost since the start.
-    pub fn counts(&self) -> (u64, u64) {
+    pub fn counts(&self) -> DatagramCounts {
         let state = locked(&self.state);
-        (state.passed, state.lost)
+        DatagramCounts { forwarded: state.passed, lost: state.lost }
     }
 }
 
--- a/test-servers/tests/proxy.rs
+++ b/test-servers/tests/proxy.rs
@@ -31,9 +31,9 @@
 fn delay_and_throttle_slow_both_directions() {
     let (proxy, client) = echo();
     echoed(&client, 10).unwrap();
-    proxy.faults(|f| f.delay = Duration::from_millis(30));
+    proxy.update_faults(|f| f.delay = Duration::from_millis(30));
     assert!(echoed(&client, 10).unwrap() >= Duration::from_millis(60));
-    proxy.faults(|f| *f = Faults { bytes_per_s: 10_000, ..Faults::default() });
+    proxy.update_faults(|f| *f = Faults { bytes_per_s: 10_000, ..Faults::default() });
     assert!(echoed(&client, 1000).unwrap() >= Duration::from_millis(200));
 }
 
@@ -42,13 +42,13 @@
     for deaf in [false, true] {
         let (proxy, client) = echo();
         echoed(&client, 10).unwrap();
-        proxy.faults(|f| (f.cut, f.deaf_back) = (!deaf, deaf));
+        proxy.update_faults(|f| (f.cut, f.drop_from_target) = (!deaf, deaf));
         (&client).write_all(b"x").unwrap();
         client.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
         let silent = (&client).read(&mut [0; 1]).unwrap_err().kind();
         assert!(matches!(silent, io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut));
         client.set_read_timeout(Some(LONG)).unwrap();
-        proxy.faults(|f| *f = Faults::default());
+        proxy.update_faults(|f| *f = Faults::default());
         (&client).read_exact(&mut [0; 1]).unwrap();
     }
 }
--- a/test-servers/tests/registry_wire.rs
+++ b/test-servers/tests/registry_wire.rs
@@ -105,12 +105,12 @@
     client.post("/v3/nothing", &json!({}));
     registry.compact();
     client.post("/v3/kv/range", &json!({"key": key("/a"), "range_end": key("/b"), "revision": "2"}));
-    registry.faults(0, |f| (f.stands_at, f.cluster) = (Some(4), Some(9)));
+    registry.update_faults(0, |f| (f.stale_at_revision, f.cluster_id) = (Some(4), Some(9)));
     client.post("/v3/kv/range", &json!({"key": key("/c")}));
-    registry.faults(0, |f| f.leaderless = true);
+    registry.update_faults(0, |f| f.leaderless = true);
     client.post("/v3/kv/range", &all);
-    registry.faults(0, |f| *f = Default::default());
-    registry.wants_user("router", "secret");
+    registry.update_faults(0, |f| *f = Default::default());
+    registry.require_user("router", "secret");
     client.post("/v3/kv/range", &all);
     client.post("/v3/auth/authenticate", &json!({"name": "router", "password": "wrong"}));
     let token = client.post("/v3/auth/authenticate", &json!({"name": "router", "password": "secret"}));
@@ -132,16 +132,16 @@
     registry.put("/elsewhere", "x");
     registry.delete("/a/1");
     (0..3).for_each(|_| drop(client.read_line()));
-    registry.faults(0, |f| f.twice = true);
+    registry.update_faults(0, |f| f.duplicated_events = true);
     registry.put("/a/2", "two");
     (0..3).for_each(|_| drop(client.read_line()));
-    registry.faults(0, |f| (f.twice, f.reorder) = (false, true));
-    registry.together(|contents| {
+    registry.update_faults(0, |f| (f.duplicated_events, f.reversed_events) = (false, true));
+    registry.apply_together(|contents| {
         contents.put("/a/3", b"three".to_vec(), None);
         contents.put("/a/4", b"four".to_vec(), None);
     });
     (0..3).for_each(|_| drop(client.read_line()));
-    registry.faults(0, |f| f.cut_line = true);
+    registry.update_faults(0, |f| f.truncate_next_event = true);
     registry.put("/a/5", "five");
     (0..2).for_each(|_| drop(client.read_line()));
     assert_eq!(client.read_line(), "");
@@ -177,11 +177,11 @@
     client.ask("GET", "/v1/kv/a/?recurse", "", "");
     client.ask("DELETE", "/v1/kv/a/1", "", "");
     client.ask("GET", "/v1/health/service/db", "", "");
-    registry.service("db", json!([{"Service": {"ID": "db-1", "Port": 3306}}]));
+    registry.set_service("db", json!([{"Service": {"ID": "db-1", "Port": 3306}}]));
     client.ask("GET", "/v1/health/service/db", "X-Consul-Token: t\r\n", "");
     client.ask("PUT", "/v1/session/other/1", "", "");
     client.ask("GET", "/v1/nothing", "", "");
-    registry.faults(0, |f| (f.stands_at, f.leaderless) = (Some(2), true));
+    registry.update_faults(0, |f| (f.stale_at_revision, f.leaderless) = (Some(2), true));
     client.ask("GET", "/v1/health/service/db", "", "");
     assert_eq!(client.transcript, CONSUL);
 }
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -8,8 +8,8 @@
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use test_servers::fleet::Fleet;
 use test_servers::proxy::Proxy;
+use test_servers::replication_group::ReplicationGroup;
 
 const ROUTERS: usize = 6;
 /// A router that hears of no leader has fenced itself after this time.
@@ -18,7 +18,7 @@
 const AFTER: Duration = Duration::from_millis(250);
 
 struct Installation {
-    servers: Fleet,
+    servers: ReplicationGroup,
     folder: Folder,
     peers: Vec<SocketAddr>,
     clients: Vec<SocketAddr>,
@@ -30,7 +30,7 @@
 
 impl Installation {
     fn start(document: &str) -> (Installation, u64) {
-        let servers = Fleet::start(&[Duration::ZERO], Duration::from_millis(1));
+        let servers = ReplicationGroup::start(&[Duration::ZERO], Duration::from_millis(1));
         let (peers, clients, lend) = (ports(3), ports(3), ports(3));
         let ways = (3..ROUTERS).map(|_| lend.iter().map(|a| Proxy::start(*a)).collect()).collect();
         let running = (0..ROUTERS).map(|_| None).collect();
--- a/tests/common/installation.rs
+++ b/tests/common/installation.rs
@@ -2,7 +2,7 @@
 use super::LONG;
 use mysql::{Conn, OptsBuilder};
 use std::net::SocketAddr;
-use test_servers::fleet::Fleet;
+use test_servers::replication_group::ReplicationGroup;
 
 /// Addresses as a list of TOML has them.
 pub fn list(addrs: &[SocketAddr]) -> String {
@@ -15,7 +15,7 @@
 }
 
 /// The stand-in servers, with what `more` says of each.
-pub fn servers(fleet: &Fleet, more: impl Fn(&str) -> String) -> String {
+pub fn servers(fleet: &ReplicationGroup, more: impl Fn(&str) -> String) -> String {
     let server = |(id, a): (String, _)| format!("[[mysql.server]]\nid = '{id}'\naddr = '{a}'\n{}", more(&id));
     fleet.servers().into_iter().map(server).collect()
 }
--- a/tests/common/instances.rs
+++ b/tests/common/instances.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
-use test_servers::fleet::Fleet;
+use test_servers::replication_group::ReplicationGroup;
 
 pub use crate::common::ports;
 
@@ -28,7 +28,7 @@
 }
 
 pub struct Instances {
-    pub fleet: Fleet,
+    pub fleet: ReplicationGroup,
     pub folder: Folder,
     pub keeping: Keeping,
     /// Where each one listens for its peers.
@@ -53,7 +53,7 @@
 
 impl Instances {
     /// Instances that are set up, not started yet.
-    pub fn new(n: usize, fleet: Fleet, keeping: Keeping) -> Instances {
+    pub fn new(n: usize, fleet: ReplicationGroup, keeping: Keeping) -> Instances {
         let listen = ports(n);
         Instances {
             fleet,
@@ -66,7 +66,7 @@
         }
     }
 
-    pub fn started(n: usize, fleet: Fleet, keeping: Keeping) -> Instances {
+    pub fn started(n: usize, fleet: ReplicationGroup, keeping: Keeping) -> Instances {
         let mut all = Instances::new(n, fleet, keeping);
         (0..n).for_each(|i| all.start(i));
         (0..n).for_each(|i| all.relied(i));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -188,7 +188,7 @@
     }
     // Slowed, the link serves again; every router comes back to it.
     fleet.link.heal();
-    fleet.link.faults(|f| f.delay = Duration::from_millis(30));
+    fleet.link.update_faults(|f| f.delay = Duration::from_millis(30));
     for n in 0..3 {
         fleet.client(n).until(&select(&format!("healed{n}"), 1900), "r2");
     }
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -8,14 +8,14 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use test_servers::fleet::Fleet;
+use test_servers::replication_group::ReplicationGroup;
 use test_servers::udp::UdpProxy;
 
 /// Detection takes some 6 of these, the settle time 10. Short enough for a test, long enough for a busy host.
 const RHYTHM: Duration = Duration::from_millis(200);
 
 struct Routers {
-    server: Fleet,
+    server: ReplicationGroup,
     folder: Folder,
     listen: Vec<SocketAddrV4>,
     /// Each one's way in, where the ways can be cut.
@@ -35,11 +35,11 @@
         let listen: Vec<SocketAddrV4> = ports(n).into_iter().map(v4).collect();
         let ways = listen.iter().filter(|_| cut).map(|l| {
             let way = UdpProxy::start();
-            way.to(*l);
+            way.set_target(*l);
             way
         });
         Routers {
-            server: Fleet::start(&[], Duration::from_millis(5)),
+            server: ReplicationGroup::start(&[], Duration::from_millis(5)),
             folder: Folder::new(),
             ways: ways.collect(),
             listen,
@@ -127,21 +127,21 @@
                 assert!(begun.elapsed() < LONG);
             }
         }
-        self.server.hang(0, true);
+        self.server.set_hung(0, true);
         let ask =
             |addr: SocketAddr| std::thread::spawn(move || _ = read(&mut connect(addr).unwrap(), "held"));
         let asking: Vec<_> = addrs.iter().flat_map(|a| (0..72 / routers.len()).map(|_| ask(*a))).collect();
         let (begun, mut most) = (Instant::now(), 0);
         let mut enough = None;
         while enough.is_none_or(|e: Instant| e.elapsed() < Duration::from_millis(300)) {
-            most = most.max(self.server.waiting(0));
+            most = most.max(self.server.blocked_statements(0));
             if most >= at_least {
                 enough.get_or_insert_with(Instant::now);
             }
             assert!(begun.elapsed() < LONG, "{most} places held where {at_least} were to be");
             std::thread::yield_now();
         }
-        self.server.hang(0, false);
+        self.server.set_hung(0, false);
         asking.into_iter().for_each(|t| t.join().unwrap());
         most
     }
@@ -213,15 +213,15 @@
 fn a_way_that_is_cut_in_one_direction_takes_nobody_down() {
     let mut all = Routers::started(5, 1, true);
     let from = SocketAddr::from(all.listen[1]);
-    all.ways[2].faults(|f| f.cut_from = vec![from]);
+    all.ways[2].update_faults(|f| f.cut_from = vec![from]);
     let begun = Instant::now();
-    while all.ways[2].counts().1 < 15 {
-        assert!(begun.elapsed() < LONG * 3, "the cut way was used {} times", all.ways[2].counts().1);
+    while all.ways[2].counts().lost < 15 {
+        assert!(begun.elapsed() < LONG * 3, "the cut way was used {} times", all.ways[2].counts().lost);
         std::thread::park_timeout(RHYTHM / 4);
     }
     (0..5).for_each(|i| assert_eq!(all.said(i, "membership: Down("), None));
     // The same way cut for all is a router that nobody reaches, or this test could not fail.
-    all.ways[2].faults(|f| f.cut = true);
+    all.ways[2].update_faults(|f| f.cut = true);
     all.program(0).logged("membership: Down(Member { name: \"r2\"");
 }
 
@@ -232,14 +232,14 @@
     let listen = all.listen.clone();
     for (i, way) in all.ways.iter().enumerate() {
         let others = (0..8).filter(|o| side(*o) != side(i)).map(|o| SocketAddr::from(listen[o]));
-        way.faults(|f| f.cut_from = others.collect());
+        way.update_faults(|f| f.cut_from = others.collect());
     }
     (0..8).for_each(|i| _ = all.program(i).logs_next(&share(4)));
-    all.ways.iter().for_each(|w| w.faults(|f| f.cut_from.clear()));
+    all.ways.iter().for_each(|w| w.update_faults(|f| f.cut_from.clear()));
     (0..8).for_each(|i| _ = all.program(i).logs_next(&share(8)));
     // A part below the least goes no further: one that is alone takes a quarter.
-    all.ways[0].faults(|f| f.cut = true);
-    (1..8).for_each(|i| all.ways[i].faults(|f| f.cut_from = vec![listen[0].into()]));
+    all.ways[0].update_faults(|f| f.cut = true);
+    (1..8).for_each(|i| all.ways[i].update_faults(|f| f.cut_from = vec![listen[0].into()]));
     all.program(0).logs_next(&share(4));
     all.program(1).logs_next(&share(7));
     assert!((1..4).all(|n| all.said(0, &share(n)).is_none()));
--- a/tests/one_fleet.rs
+++ b/tests/one_fleet.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
-use test_servers::fleet::Fleet;
+use test_servers::replication_group::ReplicationGroup;
 
 /// What a router is lent ends within this time after the last exchange.
 const LOAN: Duration = Duration::from_millis(2100);
@@ -30,7 +30,7 @@
 
 /// Three nodes of the store that route, and routers that are no nodes.
 struct Installation {
-    servers: Fleet,
+    servers: ReplicationGroup,
     folder: Folder,
     peers: Vec<SocketAddr>,
     clients: Vec<SocketAddr>,
@@ -43,7 +43,7 @@
 impl Installation {
     /// Without a document.
     fn bare(routers: usize, seed: String, folder: Folder) -> Installation {
-        let servers = Fleet::start(&[Duration::ZERO, Duration::ZERO], Duration::from_millis(1));
+        let servers = ReplicationGroup::start(&[Duration::ZERO, Duration::ZERO], Duration::from_millis(1));
         let (peers, clients, lend) = (ports(3), ports(3), ports(3));
         let running = (0..3 + routers).map(|_| None).collect();
         let mut all = Installation { servers, folder, peers, clients, lend, seed, running };
@@ -444,7 +444,7 @@
     };
     let mut all = Installation::start(1, &reads_in("a"));
     // Replicas show a commit so much later: a read that goes to one at once would miss it.
-    (1..3).for_each(|replica| all.servers.lag(replica, Duration::from_millis(30)));
+    (1..3).for_each(|replica| all.servers.set_lag(replica, Duration::from_millis(30)));
     let (stop, seen) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let clients: Vec<JoinHandle<()>> = (0..4)
         .map(|i| {
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -7,14 +7,14 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
-use test_servers::fleet::Fleet;
 use test_servers::registry::Registry;
+use test_servers::replication_group::ReplicationGroup;
 
 const PREFIX: &str = "/damsonvale/shop/";
 
 struct Site {
     registry: Registry,
-    fleet: Fleet,
+    fleet: ReplicationGroup,
     folder: Folder,
     more: String,
     sessions: String,
@@ -32,7 +32,7 @@
     }
 
     fn over(registry: Registry, replicas: usize) -> Site {
-        let fleet = Fleet::start(&vec![Duration::ZERO; replicas], Duration::from_millis(5));
+        let fleet = ReplicationGroup::start(&vec![Duration::ZERO; replicas], Duration::from_millis(5));
         let site = Site {
             registry,
             fleet,
@@ -186,13 +186,13 @@
     let site = Site::new(1, 2);
     let (mut router, addr) = site.ready("etcd");
     let load = Load::start(addr);
-    site.registry.faults(0, |f| f.down = true);
+    site.registry.update_faults(0, |f| f.down = true);
     site.registry.break_connections(0);
     router.logged("registry: 127.0.0.1");
     site.state(1, "draining");
     site.registry.put("/elsewhere", "x");
     site.registry.compact();
-    site.registry.faults(0, |f| f.down = false);
+    site.registry.update_faults(0, |f| f.down = false);
     router.logged("has been compacted away: reading everything anew");
     router.logged("names 3 instances, 2 in service");
     gets_nothing_new(&site, 1, 2);
@@ -203,7 +203,7 @@
 fn a_node_made_again_under_its_name_is_another_one() {
     let site = Site::new(1, 2);
     let (mut router, addr) = site.ready("etcd");
-    site.registry.faults(0, |f| f.down = true);
+    site.registry.update_faults(0, |f| f.down = true);
     site.registry.break_connections(0);
     // The name of the first replica, now at an address that serves nothing for it: the second one's.
     let (key, value) = (site.key(1), node(site.fleet.servers()[2].1, "in_service"));
@@ -212,7 +212,7 @@
     site.registry.delete(&site.key(2));
     site.registry.compact();
     let load = Load::start(addr);
-    site.registry.faults(0, |f| f.down = false);
+    site.registry.update_faults(0, |f| f.down = false);
     router.logged("names 2 instances, 2 in service");
     gets_nothing_new(&site, 1, 2);
     drop(load);
@@ -223,14 +223,14 @@
     let site = Site::new(2, 2);
     let (mut router, addr) = site.ready("etcd");
     let load = Load::start(addr);
-    (0..2).for_each(|m| site.registry.faults(m, |f| f.mute = true));
+    (0..2).for_each(|m| site.registry.update_faults(m, |f| f.stalled_watches = true));
     site.state(1, "draining");
     router.logged("the watch is silent about changes that are there");
     router.logged("names 3 instances, 2 in service");
     gets_nothing_new(&site, 1, 2);
     // A member that answers nothing at all is left for the other one.
-    site.registry.faults(1, |f| f.mute = false);
-    site.registry.faults(0, |f| f.silent = true);
+    site.registry.update_faults(1, |f| f.stalled_watches = false);
+    site.registry.update_faults(0, |f| f.unresponsive = true);
     site.state(1, "in_service");
     until_by(&mut connect(addr).unwrap(), "replica-1");
     drop(load);
@@ -244,14 +244,14 @@
     site.state(1, "draining");
     router.logged("names 3 instances, 2 in service");
     // Two of three say what was so before the drain, or what another cluster says; the third has it right.
-    site.registry.faults(0, |f| f.stands_at = Some(at));
-    site.registry.faults(1, |f| f.cluster = Some(4));
+    site.registry.update_faults(0, |f| f.stale_at_revision = Some(at));
+    site.registry.update_faults(1, |f| f.cluster_id = Some(4));
     let load = Load::start(addr);
     for _ in 0..3 {
-        let watches = site.registry.watches(2);
+        let watches = site.registry.watch_count(2);
         (0..3).for_each(|m| site.registry.break_connections(m));
         let begun = Instant::now();
-        while site.registry.watches(2) == watches {
+        while site.registry.watch_count(2) == watches {
             assert!(begun.elapsed() < LONG);
         }
     }
@@ -292,23 +292,25 @@
     let site = Site::new(2, 2);
     let (mut router, addr) = site.ready("etcd");
     let many = |from: u16, n: u16| {
-        site.registry.together(|c| {
+        site.registry.apply_together(|c| {
             for k in from..from + n {
                 let value = node(([127, 0, 0, 1], k).into(), "draining");
                 c.put(&format!("{PREFIX}nodes/extra-{k}"), value.into_bytes(), None);
             }
         });
     };
-    (0..2).for_each(|m| site.registry.faults(m, |f| f.cut_line = true));
+    (0..2).for_each(|m| site.registry.update_faults(m, |f| f.truncate_next_event = true));
     many(1, 10);
     router.logged("names 13 instances, 3 in service");
-    (0..2).for_each(|m| site.registry.faults(m, |f| f.twice = true));
+    (0..2).for_each(|m| site.registry.update_faults(m, |f| f.duplicated_events = true));
     many(11, 10);
     router.logged("names 23 instances, 3 in service");
-    (0..2).for_each(|m| site.registry.faults(m, |f| (f.twice, f.reorder) = (false, true)));
+    (0..2).for_each(|m| {
+        site.registry.update_faults(m, |f| (f.duplicated_events, f.reversed_events) = (false, true))
+    });
     many(21, 10);
     router.logged("names 33 instances, 3 in service");
-    (0..2).for_each(|m| site.registry.faults(m, |f| f.reorder = false));
+    (0..2).for_each(|m| site.registry.update_faults(m, |f| f.reversed_events = false));
     until_by(&mut connect(addr).unwrap(), "replica-2");
 }
 
@@ -334,7 +336,7 @@
 fn a_registry_that_empties_is_held_back_until_an_operator_says_so() {
     let site = Site::new(1, 3);
     let (mut router, addr) = site.ready("etcd");
-    site.registry.together(|c| {
+    site.registry.apply_together(|c| {
         for s in site.fleet.servers() {
             c.delete(&format!("{PREFIX}nodes/{}", s.0));
         }
@@ -352,12 +354,12 @@
     site.more = "fresh_s = 0.6\nlast_s = 60".into();
     let (mut router, addr) = site.ready("etcd");
     let load = Load::start(addr);
-    site.registry.faults(0, |f| f.down = true);
+    site.registry.update_faults(0, |f| f.down = true);
     site.registry.break_connections(0);
     router.logged("used as KnownGood only");
     // Those that answer go on; the primary, which nobody asked, gets nothing new until the registry is back.
     gets_nothing_new(&site, 0, 1);
-    site.registry.faults(0, |f| f.down = false);
+    site.registry.update_faults(0, |f| f.down = false);
     router.logged("the list is fresh again");
     drop(load);
 }
@@ -373,14 +375,14 @@
         assert!(begun.elapsed() < LONG);
     }
     drop(router);
-    site.registry.faults(0, |f| f.down = true);
+    site.registry.update_faults(0, |f| f.down = true);
     site.registry.break_connections(0);
     let (mut router, addr) = site.start("etcd");
     router.logged("using the last list of 2 keys");
     until_by(&mut connect(addr).unwrap(), "replica-1");
     // What has gone meanwhile goes as soon as the registry answers.
     site.registry.delete(&site.key(1));
-    site.registry.faults(0, |f| f.down = false);
+    site.registry.update_faults(0, |f| f.down = false);
     router.logged("names 1 instances, 1 in service");
     drop(router);
     // A file that is not whole is refused, and the start goes on without it.
@@ -399,15 +401,15 @@
         let key = format!("{PREFIX}routers/router-1");
         let registered = |wanted: bool| {
             let begun = Instant::now();
-            while site.registry.all().contains_key(&key) != wanted {
+            while site.registry.entries().contains_key(&key) != wanted {
                 assert!(begun.elapsed() < LONG, "registered: {}", !wanted);
             }
         };
         registered(true);
-        assert!(site.registry.all()[&key].contains(&addr.to_string()));
+        assert!(site.registry.entries()[&key].contains(&addr.to_string()));
         // Paused for longer than its lease, it is gone; going on, it hears of the drain and registers anew.
         router.signal(Signal::SIGSTOP);
-        site.registry.end_leases();
+        site.registry.expire_leases();
         registered(false);
         site.state(1, "draining");
         router.signal(Signal::SIGCONT);
@@ -485,13 +487,13 @@
         let site = Site::new(2, 2);
         let (mut router, addr) = site.ready(kind);
         let load = Load::start(addr);
-        (0..2).for_each(|m| site.registry.faults(m, |f| f.leaderless = true));
+        (0..2).for_each(|m| site.registry.update_faults(m, |f| f.leaderless = true));
         (0..2).for_each(|m| site.registry.break_connections(m));
         router.logged(if kind == "etcd" { "no leader" } else { "knows no leader" });
         // Another leads, and what it has taken meanwhile counts; the other member is slow beyond patience.
         site.state(1, "draining");
-        site.registry.faults(0, |f| (f.leaderless, f.slow) = (false, LONG));
-        site.registry.faults(1, |f| f.leaderless = false);
+        site.registry.update_faults(0, |f| (f.leaderless, f.response_delay) = (false, LONG));
+        site.registry.update_faults(1, |f| f.leaderless = false);
         router.logged("names 3 instances, 2 in service");
         gets_nothing_new(&site, 1, 2);
         drop(load);
@@ -501,13 +503,13 @@
 #[test]
 fn a_read_whose_revision_is_compacted_between_two_pages_begins_anew() {
     let site = Site::new(1, 1);
-    site.registry.together(|c| {
+    site.registry.apply_together(|c| {
         for n in 0..2500 {
             let value = node(([127, 1, (n / 250) as u8, (n % 250) as u8 + 1], 3306).into(), "draining");
             c.put(&format!("{PREFIX}nodes/extra-{n}"), value.into_bytes(), None);
         }
     });
-    site.registry.faults(0, |f| f.compact_midway = true);
+    site.registry.update_faults(0, |f| f.compact_after_first_page = true);
     let (mut router, _) = site.start("etcd");
     router.logged("names 2502 instances, 2 in service");
 }
@@ -528,14 +530,14 @@
 #[test]
 fn a_token_that_has_run_out_is_asked_for_anew() {
     let mut site = Site::new(1, 1);
-    site.registry.wants_user("router", "secret");
+    site.registry.require_user("router", "secret");
     site.more = "user = 'router'\npassword = 'secret'".into();
     let (mut router, _) = site.ready("etcd");
-    site.registry.wants_user("router", "secret");
-    let watches = site.registry.watches(0);
+    site.registry.require_user("router", "secret");
+    let watches = site.registry.watch_count(0);
     site.registry.break_connections(0);
     let begun = Instant::now();
-    while site.registry.watches(0) == watches {
+    while site.registry.watch_count(0) == watches {
         assert!(begun.elapsed() < LONG);
     }
     site.state(1, "draining");
@@ -565,13 +567,13 @@
         let all: Vec<String> = servers.iter().enumerate().map(one).collect();
         serde_json::from_str(&format!("[{}]", all.join(","))).unwrap()
     };
-    site.registry.service("shop-db", instances(9));
+    site.registry.set_service("shop-db", instances(9));
     let (mut router, addr) = site.ready("consul");
     let load = Load::start(addr);
-    site.registry.service("shop-db", instances(1));
+    site.registry.set_service("shop-db", instances(1));
     router.logged("names 3 instances, 2 in service");
     gets_nothing_new(&site, 1, 2);
-    site.registry.service("shop-db", instances(9));
+    site.registry.set_service("shop-db", instances(9));
     until_by(&mut connect(addr).unwrap(), "replica-1");
     drop(load);
 }
@@ -583,17 +585,17 @@
         let (code, out, _) = site.command(kind, &["get", "nodes/"]);
         assert!(code == Some(0) && out.lines().count() == 2, "{out}");
         assert_eq!(site.command(kind, &["drain", "replica-1"]).0, Some(0));
-        assert!(site.registry.all()[&site.key(1)].contains("draining"));
+        assert!(site.registry.entries()[&site.key(1)].contains("draining"));
         assert_eq!(site.command(kind, &["undrain", "replica-1"]).0, Some(0));
-        assert!(site.registry.all()[&site.key(1)].contains("in_service"));
+        assert!(site.registry.entries()[&site.key(1)].contains("in_service"));
         assert!(site.command(kind, &["drain", "none"]).2.contains("there is no"));
         assert!(site.command(kind, &["put", "nodes/x", "{}"]).2.contains("missing field `addr`"));
         assert_eq!(site.command(kind, &["put", "nodes/x", "{\"addr\":\"127.0.0.1:5\"}"]).0, Some(0));
-        assert!(site.registry.all().contains_key(&format!("{PREFIX}nodes/x")));
+        assert!(site.registry.entries().contains_key(&format!("{PREFIX}nodes/x")));
         let mut watch = Program::start(&["registry", &site.file(kind), "watch", "--changes", "1"], &[]);
         if kind == "etcd" {
             let begun = Instant::now();
-            while site.registry.watches(0) == 0 {
+            while site.registry.watch_count(0) == 0 {
                 assert!(begun.elapsed() < LONG);
             }
         }
@@ -685,7 +687,7 @@
     };
     let key = |n: u64| format!("{PREFIX}nodes/extra-{n}");
     // More than one page of a read.
-    site.registry.together(|c| {
+    site.registry.apply_together(|c| {
         (0..KEYS).for_each(|n| _ = c.put(&key(n), value(n, "in_service").into_bytes(), None));
     });
     let (mut router, addr) = site.ready("etcd");
@@ -703,7 +705,7 @@
             site.registry.compact();
         }
     }
-    let all = site.registry.all();
+    let all = site.registry.entries();
     let serving = all.values().filter(|v| v.contains("in_service")).count();
     router.logged(&format!("names {} instances, {serving} in service", all.len()));
     until_by(&mut connect(addr).unwrap(), "replica-1");
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -6,20 +6,20 @@
 use common::{LONG, Program, Signal};
 use instances::{Instances, Keeping, read, restart_loop, write};
 use std::time::Duration;
-use test_servers::fleet::Fleet;
 use test_servers::proxy::Proxy;
+use test_servers::replication_group::ReplicationGroup;
 
 const HEARTBEAT: Duration = Duration::from_millis(5);
 /// A replica that shows nothing of what a test does.
 const FAR_BEHIND: Duration = Duration::from_secs(600);
 
-fn behind(replicas: usize) -> Fleet {
-    Fleet::start(&vec![FAR_BEHIND; replicas], HEARTBEAT)
+fn behind(replicas: usize) -> ReplicationGroup {
+    ReplicationGroup::start(&vec![FAR_BEHIND; replicas], HEARTBEAT)
 }
 
 /// Replicas that keep up until replication is stopped.
-fn level(replicas: usize) -> Fleet {
-    Fleet::start(&vec![Duration::ZERO; replicas], HEARTBEAT)
+fn level(replicas: usize) -> ReplicationGroup {
+    ReplicationGroup::start(&vec![Duration::ZERO; replicas], HEARTBEAT)
 }
 
 #[test]
@@ -54,13 +54,13 @@
 fn a_kill_between_commit_and_acknowledgement_leaves_what_was_told_before() {
     let mut one = Instances::started(1, behind(2), Keeping::Disk);
     write(&mut one.client(0), "ann", 1).unwrap();
-    one.fleet.hold_answers(0, true);
+    one.fleet.withhold_write_answers(0, true);
     let mut client = one.client(0);
     let second = std::thread::spawn(move || write(&mut client, "ann", 2));
-    assert!(one.fleet.wait_for_held(1, LONG));
+    assert!(one.fleet.wait_for_withheld_answers(1, LONG));
     one.kill(0);
     assert!(second.join().unwrap().is_err());
-    one.fleet.hold_answers(0, false);
+    one.fleet.withhold_write_answers(0, false);
     one.start(0);
     assert!(read(&mut one.client(0), "ann").unwrap().0 >= 1);
     assert_eq!(one.fleet.counts(0).writes, 2);
@@ -68,11 +68,11 @@
 
 #[test]
 fn a_hung_replica_that_alone_is_up_to_date_leaves_the_read_to_the_primary() {
-    let fleet = Fleet::start(&[Duration::ZERO, FAR_BEHIND], HEARTBEAT);
+    let fleet = ReplicationGroup::start(&[Duration::ZERO, FAR_BEHIND], HEARTBEAT);
     let mut one = Instances::started(1, fleet, Keeping::Disk);
     write(&mut one.client(0), "ann", 1).unwrap();
     one.kill(0);
-    one.fleet.hang(1, true);
+    one.fleet.set_hung(1, true);
     one.start(0);
     let (mut client, begun) = (one.client(0), std::time::Instant::now());
     // Refused at worst while it is found out, never answered by the one that lags.
@@ -92,7 +92,7 @@
 fn a_handover_between_write_and_read_keeps_the_write() {
     let mut two = Instances::started(2, behind(2), Keeping::Whole);
     write(&mut two.client(0), "ann", 1).unwrap();
-    two.fleet.hand_over(2);
+    two.fleet.promote(2);
     for i in [1, 0] {
         let begun = std::time::Instant::now();
         loop {
@@ -159,7 +159,7 @@
 fn a_clock_that_is_two_seconds_off_misses_nothing() {
     for off in [-2000, 2000] {
         // Half a second of lag: by a clock that is behind, a fresh write would look two seconds old.
-        let fleet = Fleet::start(&[Duration::from_millis(500); 2], HEARTBEAT);
+        let fleet = ReplicationGroup::start(&[Duration::from_millis(500); 2], HEARTBEAT);
         let mut two = Instances::new(2, fleet, Keeping::Whole);
         two.more[0].0 = format!("clock_offset_ms = {off}");
         (0..2).for_each(|i| two.start(i));
@@ -268,7 +268,7 @@
 #[test]
 fn a_crowd_after_a_restart_does_not_storm_the_primary() {
     const SESSIONS: usize = 2000;
-    let fleet = Fleet::start(&[Duration::from_millis(20); 3], HEARTBEAT);
+    let fleet = ReplicationGroup::start(&[Duration::from_millis(20); 3], HEARTBEAT);
     // With the floor alone, so that every one of them needs what was committed before the start.
     let mut one = Instances::started(1, fleet, Keeping::Floor);
     write(&mut one.client(0), "member-0", 1).unwrap();
@@ -408,13 +408,13 @@
 #[test]
 fn a_loop_of_kills_finds_no_read_that_missed_its_write_and_would_find_them() {
     let lag = [Duration::from_secs(1), Duration::from_secs(2)];
-    let mut three = Instances::started(3, Fleet::start(&lag, HEARTBEAT), Keeping::Whole);
+    let mut three = Instances::started(3, ReplicationGroup::start(&lag, HEARTBEAT), Keeping::Whole);
     let found = restart_loop(&mut three, 30, 6, true);
     assert!(found.reads > 100 && found.writes > 50, "{found:?}");
     assert_eq!(found.missed, 0, "{found:?}");
     drop(three);
     // Switched off, and each session true to one instance: only restarts are left to blame.
-    let mut three = Instances::started(3, Fleet::start(&lag, HEARTBEAT), Keeping::Nothing);
+    let mut three = Instances::started(3, ReplicationGroup::start(&lag, HEARTBEAT), Keeping::Nothing);
     let found = restart_loop(&mut three, 6, 6, false);
     assert!(found.missed > 0, "{found:?}");
 }
