--- a/test-servers/src/lib.rs
+++ b/test-servers/src/lib.rs
@@ -1,6 +1,9 @@
-//! Stand-ins for what lies outside: MySQL servers that replicate among themselves ([`fleet`]), and a network that can
-//! be cut ([`proxy`], and [`udp`] for datagrams), and a key-value registry ([`registry`]). Scripted, on loopback, and
-//! deterministic where a test needs it.
+//! Fake servers and fault proxies for tests and benches, all on loopback and scripted.
+//!
+//! - [`replication_group`]: `MySQL` servers that replicate among themselves.
+//! - [`registry`]: a key-value registry that speaks etcd's and Consul's interfaces.
+//! - [`proxy`] and [`udp`]: connections and datagrams that can be cut, delayed or lost.
+//! - [`wire`]: the server's side of `MySQL`'s protocol.
 pub mod proxy;
 pub mod registry;
 pub mod replication_group;
--- /dev/null
+++ b/test-servers/src/registry/contents.rs
@@ -0,0 +1,131 @@
+//! The registry's keys and values with their revisions.
+use std::collections::BTreeMap;
+
+/// The revision of an empty registry.
+const FIRST_REVISION: u64 = 1;
+
+/// The id of a lease.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct LeaseId(pub u64);
+
+/// A key's value.
+#[derive(Clone, Debug)]
+pub(super) struct Entry {
+    pub(super) value: Vec<u8>,
+    /// The revision that created the key.
+    pub(super) created: u64,
+    /// The revision that changed it last.
+    pub(super) modified: u64,
+    /// The key is deleted when this lease ends.
+    pub(super) lease: Option<LeaseId>,
+}
+
+/// One change: at this revision a key got this value, or was deleted.
+#[derive(Clone, Debug)]
+pub(super) struct Change {
+    pub(super) revision: u64,
+    pub(super) key: String,
+    pub(super) entry: Option<Entry>,
+}
+
+/// The registry's contents; a copy is a backup.
+#[derive(Clone)]
+pub struct Contents {
+    revision: u64,
+    entries: BTreeMap<String, Entry>,
+    history: Vec<Change>,
+    /// Revisions before this one can't be read.
+    compacted: u64,
+}
+
+impl Default for Contents {
+    fn default() -> Self {
+        Contents { revision: FIRST_REVISION, entries: BTreeMap::new(), history: Vec::new(), compacted: 0 }
+    }
+}
+
+impl Contents {
+    /// Sets a key; returns its revision.
+    pub fn put(&mut self, key: &str, value: Vec<u8>, lease: Option<LeaseId>) -> u64 {
+        self.revision += 1;
+        let created = self.entries.get(key).map_or(self.revision, |entry| entry.created);
+        let entry = Entry { value, created, modified: self.revision, lease };
+        self.entries.insert(key.into(), entry.clone());
+        self.history.push(Change { revision: self.revision, key: key.into(), entry: Some(entry) });
+        self.revision
+    }
+
+    /// Deletes a key; returns the registry's revision, which is a new one only where there was such a key.
+    pub fn delete(&mut self, key: &str) -> u64 {
+        if self.entries.remove(key).is_some() {
+            self.revision += 1;
+            self.history.push(Change { revision: self.revision, key: key.into(), entry: None });
+        }
+        self.revision
+    }
+
+    pub(super) fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// Begins a new revision without a change of a key.
+    pub(super) fn advance_revision(&mut self) -> u64 {
+        self.revision += 1;
+        self.revision
+    }
+
+    pub(super) fn compacted(&self) -> u64 {
+        self.compacted
+    }
+
+    pub(super) fn compact(&mut self) {
+        self.compacted = self.revision;
+        self.history.clear();
+    }
+
+    pub(super) fn entry(&self, key: &str) -> Option<&Entry> {
+        self.entries.get(key)
+    }
+
+    pub(super) fn with_prefix<'a>(
+        &'a self,
+        prefix: &'a str,
+    ) -> impl Iterator<Item = (&'a String, &'a Entry)> {
+        self.entries.iter().filter(move |(key, _)| key.starts_with(prefix))
+    }
+
+    /// The changes from this revision on.
+    pub(super) fn changes_from(&self, revision: u64) -> impl Iterator<Item = &Change> {
+        self.history.iter().filter(move |change| change.revision >= revision)
+    }
+
+    /// Keys and values as of a revision, as far as the history goes back.
+    pub(super) fn entries_at(&self, revision: u64) -> BTreeMap<String, Entry> {
+        let mut entries = self.entries.clone();
+        if revision >= self.revision {
+            return entries;
+        }
+        for change in self.history.iter().rev().filter(|change| change.revision > revision) {
+            let earlier = self.history.iter().rev().find(|e| e.key == change.key && e.revision <= revision);
+            match earlier.and_then(|earlier| earlier.entry.clone()) {
+                Some(entry) => _ = entries.insert(change.key.clone(), entry),
+                None => _ = entries.remove(&change.key),
+            }
+        }
+        entries
+    }
+
+    /// Deletes the keys of these leases.
+    pub(super) fn delete_leased(&mut self, leases: &[LeaseId]) {
+        let is_leased = |entry: &Entry| entry.lease.is_some_and(|lease| leases.contains(&lease));
+        let leased = self.entries.iter().filter(|(_, entry)| is_leased(entry));
+        let keys: Vec<String> = leased.map(|(key, _)| key.clone()).collect();
+        keys.iter().for_each(|key| _ = self.delete(key));
+    }
+
+    /// The keys with their values as text.
+    pub(super) fn texts(&self) -> BTreeMap<String, String> {
+        let text = |entry: &Entry| String::from_utf8_lossy(&entry.value).into_owned();
+        self.entries.iter().map(|(key, entry)| (key.clone(), text(entry))).collect()
+    }
+}
--- a/test-servers/src/wire.rs
+++ b/test-servers/src/wire.rs
@@ -1,67 +1,97 @@
-//! The server's side of MySQL's client/server protocol (handshake 10, protocol 4.1), as far as a router uses it. Any
-//! user is let in.
+//! The server's side of `MySQL`'s client/server protocol (handshake 10, protocol 4.1), as far as a router uses it. Any
+//! user is accepted.
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
-/// An OK payload.
+/// The payload of an OK packet.
 pub const OK: &[u8] = &[0, 1, 0, 2, 0, 0, 0];
-/// An EOF payload.
+/// The payload of an EOF packet.
 pub const EOF: &[u8] = &[0xfe, 0, 0, 2, 0];
 
+const ERROR_HEADER: u8 = 0xff;
+/// The general SQL state, which follows an error's code.
+const GENERAL_SQL_STATE: &[u8] = b"#HY000";
+/// `utf8mb4_general_ci`.
+const CHARACTER_SET: u8 = 45;
+const COLUMN_TYPE_VAR_STRING: u8 = 0xfd;
+
+const CLIENT_CONNECT_WITH_DB: u32 = 1 << 3;
+const CLIENT_PROTOCOL_41: u32 = 1 << 9;
+const CLIENT_TRANSACTIONS: u32 = 1 << 13;
+const CLIENT_SECURE_CONNECTION: u32 = 1 << 15;
+const CLIENT_MULTI_RESULTS: u32 = 1 << 17;
+const CLIENT_PS_MULTI_RESULTS: u32 = 1 << 18;
+const CLIENT_PLUGIN_AUTH: u32 = 1 << 19;
+
 /// Payloads as packets, numbered from `first` on.
 pub fn packets(first: u8, payloads: &[&[u8]]) -> Vec<u8> {
-    let framed = payloads.iter().enumerate().flat_map(|(i, p)| {
-        [&(p.len() as u32).to_le_bytes()[..3], &[first.wrapping_add(i as u8)], p].concat()
+    let framed = payloads.iter().enumerate().flat_map(|(index, payload)| {
+        let length = (payload.len() as u32).to_le_bytes();
+        let number = first.wrapping_add(index as u8);
+        [&length[..3], &[number], payload].concat()
     });
     framed.collect()
 }
 
 /// A text with its length in front.
-pub fn text(s: &str) -> Vec<u8> {
-    [&[s.len() as u8][..], s.as_bytes()].concat()
+pub fn text(text: &str) -> Vec<u8> {
+    [&[text.len() as u8][..], text.as_bytes()].concat()
 }
 
-/// A column's definition.
+/// The payload of a column's definition.
 pub fn column(name: &str) -> Vec<u8> {
     let names = ["def", "", "", "", name, ""].map(text).concat();
-    [&names[..], &[0x0c, 45, 0, 0, 1, 0, 0, 0xfd, 0, 0, 0, 0, 0]].concat()
+    let types = [0x0c, CHARACTER_SET, 0, 0, 1, 0, 0, COLUMN_TYPE_VAR_STRING, 0, 0, 0, 0, 0];
+    [&names[..], &types].concat()
 }
 
-/// A result of one row of text.
+/// A result of one row of text, as packets.
 pub fn row(cells: &[&str]) -> Vec<u8> {
     let columns: Vec<Vec<u8>> = cells.iter().map(|_| column("c")).collect();
-    let (count, cells) = ([cells.len() as u8], cells.iter().map(|c| text(c)).collect::<Vec<_>>().concat());
-    let mut all: Vec<&[u8]> = vec![&count];
-    all.extend(columns.iter().map(Vec::as_slice));
-    all.extend([EOF, &cells, EOF]);
-    packets(1, &all)
+    let count = [cells.len() as u8];
+    let cells: Vec<u8> = cells.iter().flat_map(|cell| text(cell)).collect();
+    let mut payloads: Vec<&[u8]> = vec![&count];
+    payloads.extend(columns.iter().map(Vec::as_slice));
+    payloads.extend([EOF, &cells, EOF]);
+    packets(1, &payloads)
 }
 
-/// An ERR payload.
+/// An error, as a packet.
 pub fn error(code: u16, text: &str) -> Vec<u8> {
-    packets(1, &[&[&[0xff][..], &code.to_le_bytes(), b"#HY000", text.as_bytes()].concat()])
+    let payload = [&[ERROR_HEADER][..], &code.to_le_bytes(), GENERAL_SQL_STATE, text.as_bytes()].concat();
+    packets(1, &[&payload])
 }
 
-/// Reads one packet.
+/// Reads one packet; returns its payload.
+///
+/// # Errors
+/// The connection has failed or ended.
 pub fn read(mut socket: &TcpStream) -> io::Result<Vec<u8>> {
-    let mut head = [0; 4];
-    socket.read_exact(&mut head)?;
-    let mut payload = vec![0; u32::from_le_bytes([head[0], head[1], head[2], 0]) as usize];
+    let mut header = [0; 4];
+    socket.read_exact(&mut header)?;
+    let length = u32::from_le_bytes([header[0], header[1], header[2], 0]);
+    let mut payload = vec![0; length as usize];
     socket.read_exact(&mut payload)?;
     Ok(payload)
 }
 
 /// The server's greeting, as a packet.
 pub fn greeting() -> Vec<u8> {
-    let flags: u32 = 1 << 3 | 1 << 9 | 1 << 13 | 1 << 15 | 1 << 17 | 1 << 18 | 1 << 19;
-    let (low, nonce) = (flags.to_le_bytes(), [7u8; 20]);
+    let capabilities = CLIENT_CONNECT_WITH_DB
+        | CLIENT_PROTOCOL_41
+        | CLIENT_TRANSACTIONS
+        | CLIENT_SECURE_CONNECTION
+        | CLIENT_MULTI_RESULTS
+        | CLIENT_PS_MULTI_RESULTS
+        | CLIENT_PLUGIN_AUTH;
+    let (capabilities, nonce) = (capabilities.to_le_bytes(), [7u8; 20]);
     let greeting = [
         &b"\x0a8.0.1\0\x01\0\0\0"[..],
         &nonce[..8],
         &[0],
-        &low[..2],
-        &[45, 2, 0],
-        &low[2..],
+        &capabilities[..2],
+        &[CHARACTER_SET, 2, 0],
+        &capabilities[2..],
         &[21],
         &[0; 10],
         &nonce[8..],
@@ -72,7 +102,10 @@
     packets(0, &[&greeting])
 }
 
-/// Greets a client and lets it in.
+/// Greets a client and accepts its login.
+///
+/// # Errors
+/// The connection has failed or ended.
 pub fn greet(mut socket: &TcpStream) -> io::Result<()> {
     socket.write_all(&greeting())?;
     read(socket)?;
--- /dev/null
+++ b/test-servers/tests/wire.rs
@@ -0,0 +1,22 @@
+//! The bytes of `MySQL` packets.
+use std::fmt::Write;
+use test_servers::wire;
+
+const PACKETS: &str = include_str!("fixtures/mysql_packets.txt");
+
+#[test]
+fn packets_keep_their_bytes() {
+    let packets = [
+        ("greeting", wire::greeting()),
+        ("row", wire::row(&["1", "replica-1"])),
+        ("error", wire::error(1290, "read-only")),
+        ("column", wire::column("name")),
+        ("text", wire::text("text")),
+        ("numbered", wire::packets(255, &[wire::OK, wire::EOF])),
+    ];
+    let mut found = String::new();
+    for (name, bytes) in packets {
+        writeln!(found, "{name} {bytes:02x?}").unwrap();
+    }
+    assert_eq!(found, PACKETS);
+}
