--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -5,8 +5,8 @@
 };
 use serde_json::{Value, json};
 use settings::Error;
-use settings::fields::{array, count, field, flag, micros, moment, text, whole};
-use settings::platform::{self, Translation};
+use settings::fields::{array, boolean, count, field, ms_to_micros, string, time_from_ms, unsigned_integer};
+use settings::platform::{self, AdapterSettings};
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -27,7 +27,7 @@
 /// One router with the names that its ids stand for.
 struct Instance {
     router: Router,
-    translation: Translation,
+    translation: AdapterSettings,
     member_ids: HashMap<String, MemberId>,
     member_names: HashMap<MemberId, String>,
     request_ids: HashMap<String, RequestId>,
@@ -47,29 +47,30 @@
     /// Answers one line of input with one line of output.
     pub fn batch(&mut self, line: &str) -> Result<String, Error> {
         let batch: Value = serde_json::from_str(line)?;
-        let now = Time(moment(&batch, "simTimeMs")?);
+        let now = Time(time_from_ms(&batch, "simTimeMs")?);
         let mut replies = Vec::new();
         for event in array(&batch, "arrivals")? {
             let one = match event.as_object() {
                 Some(o) if o.len() == 1 => o.iter().next(),
                 _ => None,
             };
-            let (name, body) =
-                one.ok_or_else(|| Error::here("an object with one key as event", event).at("arrivals"))?;
-            self.event(now, name, body, &mut replies).map_err(|e| e.at(name))?;
+            let (name, body) = one.ok_or_else(|| {
+                Error::invalid("an object with one key as event", event).under_key("arrivals")
+            })?;
+            self.event(now, name, body, &mut replies).map_err(|e| e.under_key(name))?;
         }
-        Ok(json!({ "turn": whole(&batch, "turn")?, "cmds": replies }).to_string())
+        Ok(json!({ "turn": unsigned_integer(&batch, "turn")?, "cmds": replies }).to_string())
     }
 
     fn event(&mut self, now: Time, name: &str, body: &Value, replies: &mut Vec<Value>) -> Result<(), Error> {
         if name == "SNAPSHOT_ROWS" {
-            self.lists.insert(whole(body, "slot")?, array(body, "members")?.clone());
+            self.lists.insert(unsigned_integer(body, "slot")?, array(body, "members")?.clone());
             return Ok(());
         }
-        let driver = text(body, "driver")?;
+        let driver = string(body, "driver")?;
         match name {
             "UP" => {
-                let seed = whole(body, "nonce64")?;
+                let seed = unsigned_integer(body, "nonce64")?;
                 let instance = Instance::new(field(body, "settings")?, seed)?;
                 self.instances.insert(driver.to_string(), instance);
                 return Ok(());
@@ -96,7 +97,7 @@
 }
 
 fn not_started(driver: &str) -> Error {
-    Error::value("driver", "a started instance", format_args!("'{driver}'"))
+    Error::invalid_value("driver", "a started instance", format_args!("'{driver}'"))
 }
 
 fn outcome(code: u64) -> Result<Outcome, Error> {
@@ -110,7 +111,7 @@
         6 => Outcome::Cancelled,
         7 => Outcome::NeverSent,
         8 => Outcome::NotEligible,
-        x => return Err(Error::value("ending", "0 to 8", x)),
+        x => return Err(Error::invalid_value("ending", "0 to 8", x)),
     })
 }
 
@@ -145,21 +146,21 @@
     }
 
     fn entry(&mut self, v: &Value) -> Result<MemberEntry, Error> {
-        let state = match whole(v, "status")? {
+        let state = match unsigned_integer(v, "status")? {
             0 => MemberState::Removed,
             1 => MemberState::Ready,
             2 => MemberState::Draining,
-            x => return Err(Error::value("status", "0, 1 or 2", x)),
+            x => return Err(Error::invalid_value("status", "0, 1 or 2", x)),
         };
         let started = v.get("startTimeMs").and_then(Value::as_f64).filter(|s| *s > 0.0);
         Ok(MemberEntry {
-            id: self.member(text(v, "member")?),
+            id: self.member(string(v, "member")?),
             group: GroupId(count(v, "shard")?),
             zone: count(v, "hall")?,
             state,
             listed_primary: v.get("leads").and_then(Value::as_f64) == Some(1.0),
             weight: v.get("powerHint").and_then(Value::as_f64).unwrap_or(1.0),
-            started_at: started.map(|s| Time(micros(s))),
+            started_at: started.map(|s| Time(ms_to_micros(s))),
         })
     }
 
@@ -169,7 +170,7 @@
             primary: of("x1").map(|x| x == 1.0),
             position: of("x0")
                 .filter(|s| s.abs() <= FARTHEST_S)
-                .map(|s| Time(self.translation.zero + (s * 1e6).round() as Micros)),
+                .map(|s| Time(self.translation.position_zero + (s * 1e6).round() as Micros)),
         }
     }
 
@@ -183,69 +184,69 @@
     ) -> Result<Option<Event>, Error> {
         Ok(Some(match name {
             "TARGETS" => {
-                let scope = whole(body, "scope")?;
+                let scope = unsigned_integer(body, "scope")?;
                 if scope == 3 {
                     return Ok(Some(Event::ListUpdateFailed));
                 }
                 if scope > 3 {
-                    return Err(Error::value("scope", "0 to 3", scope));
+                    return Err(Error::invalid_value("scope", "0 to 3", scope));
                 }
-                let slot = whole(body, "slot")?;
+                let slot = unsigned_integer(body, "slot")?;
                 let rows = lists.get(&slot).ok_or_else(|| {
-                    Error::value("slot", "a list that came before", format_args!("list {slot}"))
+                    Error::invalid_value("slot", "a list that came before", format_args!("list {slot}"))
                 })?;
                 let entries = rows.iter().map(|r| self.entry(r)).collect::<Result<Vec<_>, _>>()?;
                 Event::MemberListChanged { complete: scope != 1, entries }
             }
             "ACCEPT" => self.accept(now, body)?,
-            "UNDER_WAY" => match self.request_ids.get(text(body, "req")?) {
+            "UNDER_WAY" => match self.request_ids.get(string(body, "req")?) {
                 Some(&request) => Event::ResponseStarted { request },
                 None => return Ok(None),
             },
             "OUTCOME" => return self.outcome(body),
-            "CLIENT_LEFT" => match self.request_ids.get(text(body, "req")?) {
+            "CLIENT_LEFT" => match self.request_ids.get(string(body, "req")?) {
                 Some(&request) => Event::ClientDisconnected { request },
                 None => return Ok(None),
             },
             "WAKE" => Event::TimerExpired,
             "PING_RESULT" => {
-                let outcome = outcome(whole(body, "ending")?)?;
+                let outcome = outcome(unsigned_integer(body, "ending")?)?;
                 let report = self.report(body);
-                match self.member_ids.get(text(body, "member")?) {
+                match self.member_ids.get(string(body, "member")?) {
                     Some(&member) => Event::ProbeEnded { member, outcome, report },
                     None => return Ok(None),
                 }
             }
             "HEARD" => return Ok(None),
-            _ => return Err(Error::value("arrivals", "a known event", format_args!("'{name}'"))),
+            _ => return Err(Error::invalid_value("arrivals", "a known event", format_args!("'{name}'"))),
         }))
     }
 
     fn accept(&mut self, now: Time, body: &Value) -> Result<Event, Error> {
-        let name = text(body, "req")?;
-        let class = whole(body, "tierClass")? as usize;
+        let name = string(body, "req")?;
+        let class = unsigned_integer(body, "tierClass")? as usize;
         let write = *self
             .translation
-            .writes
+            .class_is_write
             .get(class)
-            .ok_or_else(|| Error::value("tierClass", "a listed class", class))?;
-        let tenant = body.get("customer").map_or(Ok(0), |_| whole(body, "customer"))? as usize;
-        if tenant >= self.translation.tenants.max(1) {
-            return Err(Error::value("customer", "a listed tenant", tenant));
+            .ok_or_else(|| Error::invalid_value("tierClass", "a listed class", class))?;
+        let tenant = body.get("customer").map_or(Ok(0), |_| unsigned_integer(body, "customer"))? as usize;
+        if tenant >= self.translation.tenant_count.max(1) {
+            return Err(Error::invalid_value("customer", "a listed tenant", tenant));
         }
         let session = body.get("key").and_then(Value::as_str).map(|k| {
             let mut h = DefaultHasher::new();
             k.hash(&mut h);
             SessionId(h.finish())
         });
-        let last_write = body.get("lastWriteMs").map_or(Ok(0), |_| moment(body, "lastWriteMs"))?;
+        let last_write = body.get("lastWriteMs").map_or(Ok(0), |_| time_from_ms(body, "lastWriteMs"))?;
         let request = Request {
             id: RequestId(self.next_request),
             class,
             tenant,
             session,
             group: GroupId(count(body, "cluster")?),
-            deadline: Time(now.0 + moment(body, "expiresInMs")?),
+            deadline: Time(now.0 + time_from_ms(body, "expiresInMs")?),
             session_commit: (last_write > 0).then(|| Time(now.0 - last_write)),
         };
         self.next_request += 1;
@@ -256,20 +257,20 @@
     }
 
     fn outcome(&mut self, body: &Value) -> Result<Option<Event>, Error> {
-        let outcome = outcome(whole(body, "ending")?)?;
-        let attempt = whole(body, "attempt")? as u32;
-        let ended = flag(body, "over")?;
+        let outcome = outcome(unsigned_integer(body, "ending")?)?;
+        let attempt = unsigned_integer(body, "attempt")? as u32;
+        let ended = boolean(body, "over")?;
         let report = self.report(body);
-        let (name, member) = (text(body, "req")?, text(body, "member")?);
+        let (name, member) = (string(body, "req")?, string(body, "member")?);
         let (Some(&request), Some(&member)) = (self.request_ids.get(name), self.member_ids.get(member))
         else {
             return Ok(None);
         };
-        let mark = body.get("mark").map_or(Ok(0), |_| whole(body, "mark"))?;
+        let mark = body.get("mark").map_or(Ok(0), |_| unsigned_integer(body, "mark"))?;
         if mark > MOST_MARK {
-            return Err(Error::value("mark", format!("at most {MOST_MARK}"), mark));
+            return Err(Error::invalid_value("mark", format!("at most {MOST_MARK}"), mark));
         }
-        let at = (mark >= 4).then(|| Time(self.translation.zero + (mark / 4) as Micros * 1000));
+        let at = (mark >= 4).then(|| Time(self.translation.position_zero + (mark / 4) as Micros * 1000));
         let primary = match mark % 4 {
             1 => Some(true),
             2 => Some(false),
@@ -298,7 +299,7 @@
     }
 
     fn ended(&mut self, body: &Value) -> Result<(), Error> {
-        if let Some(&id) = self.request_ids.get(text(body, "req")?) {
+        if let Some(&id) = self.request_ids.get(string(body, "req")?) {
             self.finish(id);
         }
         Ok(())
--- a/admin/src/service.rs
+++ b/admin/src/service.rs
@@ -67,13 +67,13 @@
             coordinator.update_process_count();
             (coordinator.limits(), coordinator.is_only_process())
         };
-        let interval = limits.holds_look;
+        let interval = limits.maintenance_poll_interval;
         if !alone {
             // The others count the processes once an interval: two give them the time to see this one and to reduce
             // their use.
             std::thread::sleep(2 * interval);
         }
-        spawn_needed(SYNC_THREAD_NAME, limits.stack_bytes, move || {
+        spawn_needed(SYNC_THREAD_NAME, limits.socket_thread_stack_bytes, move || {
             loop {
                 // On an overloaded host the checks become fewer instead of queueing up.
                 std::thread::sleep(interval);
--- a/admin/src/service/coordinator.rs
+++ b/admin/src/service/coordinator.rs
@@ -51,8 +51,9 @@
     pub(super) fn open(dependencies: ServiceDependencies, shared_folder: Option<&Path>) -> Coordinator {
         let limits = &dependencies.limits;
         let settings = maintenance::Settings {
-            max_entries: limits.holds,
-            restored_retention: i64::try_from(limits.hold_cold.as_micros()).unwrap_or(i64::MAX),
+            max_entries: limits.max_maintenance_entries,
+            restored_retention: i64::try_from(limits.maintenance_warmup_duration.as_micros())
+                .unwrap_or(i64::MAX),
         };
         let (state, shared) = SharedFolder::open(shared_folder);
         let mut coordinator = Coordinator {
--- a/admin/tests/common/router.rs
+++ b/admin/tests/common/router.rs
@@ -74,7 +74,7 @@
 
 fn limits() -> Limits {
     let mut limits = Limits::new(256, 192 << 20, LONG, LONG, LONG);
-    limits.holds = 2;
+    limits.max_maintenance_entries = 2;
     limits
 }
 
--- a/audit/examples/stragglers/simulation.rs
+++ b/audit/examples/stragglers/simulation.rs
@@ -4,7 +4,7 @@
     Action, Directive, EntryKind, Event, LeaderAnswer, Settings, VersionFence, VersionReport, VersionTracker,
 };
 use decision::{Micros, Time};
-use settings::fleet::{Audit, Version};
+use settings::fleet::{AuditConfig, Version};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -140,7 +140,7 @@
         let mut simulation = Simulation {
             straggling,
             random: Random(seed.wrapping_mul(77) + 1),
-            tracker: VersionTracker::new(Settings::new(&Audit::default(), LEASE, seed)),
+            tracker: VersionTracker::new(Settings::new(&AuditConfig::default(), LEASE, seed)),
             actions: Vec::new(),
             current: FIRST_VERSION,
             routers: Vec::new(),
--- a/audit/src/settings.rs
+++ b/audit/src/settings.rs
@@ -1,7 +1,7 @@
 //! Limits and intervals of the [`VersionTracker`](crate::VersionTracker). The operator sets how far a router may lag; the
 //! constants here are the same for every fleet.
 use crate::RING_SLOTS;
-use ::settings::fleet::Audit;
+use ::settings::fleet::AuditConfig;
 use decision::Micros;
 
 const MICROS_PER_MS: Micros = 1000;
@@ -46,11 +46,11 @@
 
 impl Settings {
     /// Settings from the operator's `[fleet.audit]` table. `silence_timeout` is the lease's time in microseconds.
-    pub fn new(audit: &Audit, silence_timeout: Micros, jitter_seed: u64) -> Settings {
+    pub fn new(audit: &AuditConfig, silence_timeout: Micros, jitter_seed: u64) -> Settings {
         Settings {
-            max_lag: audit.lag_ms as Micros * MICROS_PER_MS,
-            max_lag_versions: audit.lag_versions,
-            max_notifications: audit.refetches,
+            max_lag: audit.max_lag_ms as Micros * MICROS_PER_MS,
+            max_lag_versions: audit.max_lag_versions,
+            max_notifications: audit.max_refetches,
             notification_interval: NOTIFICATION_INTERVAL,
             silence_timeout,
             forget_after: FORGET_AFTER,
--- a/audit/src/tracker.rs
+++ b/audit/src/tracker.rs
@@ -18,7 +18,7 @@
 use std::collections::{BTreeMap, btree_map};
 
 /// Routers that are followed, at most.
-const MAX_ROUTERS: usize = settings::fleet::ROUTERS as usize;
+const MAX_ROUTERS: usize = settings::fleet::MAX_ROUTERS as usize;
 
 /// Input of the tracker.
 #[derive(Clone, Debug, PartialEq)]
--- a/audit/tests/audit/harness.rs
+++ b/audit/tests/audit/harness.rs
@@ -1,7 +1,7 @@
 //! A tracker under test, with what it has recorded and written.
 use audit::{Action, Batch, Directive, Entry, EntryKind, Event, Settings, VersionReport, VersionTracker};
 use decision::{Micros, Time};
-use settings::fleet::{Audit, Version};
+use settings::fleet::{AuditConfig, Version};
 
 /// Microseconds.
 pub(crate) const MS: Micros = 1000;
@@ -21,7 +21,7 @@
 
 impl TrackerHarness {
     pub(crate) fn new() -> TrackerHarness {
-        let tracker = VersionTracker::new(Settings::new(&Audit::default(), SILENCE_TIMEOUT, 1));
+        let tracker = VersionTracker::new(Settings::new(&AuditConfig::default(), SILENCE_TIMEOUT, 1));
         let mut harness = TrackerHarness { tracker, entries: Vec::new(), writes: Vec::new() };
         harness.lead(0, 1, Vec::new());
         harness.set_version(0, FIRST_VERSION);
--- a/audit/tests/audit/recorded_run.rs
+++ b/audit/tests/audit/recorded_run.rs
@@ -6,7 +6,7 @@
     VersionReport, VersionTracker,
 };
 use decision::{Micros, Time};
-use settings::fleet::Audit;
+use settings::fleet::AuditConfig;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::fs;
@@ -92,7 +92,7 @@
 
 impl Run {
     fn new(seed: u64) -> Run {
-        let tracker = VersionTracker::new(Settings::new(&Audit::default(), SILENCE, seed));
+        let tracker = VersionTracker::new(Settings::new(&AuditConfig::default(), SILENCE, seed));
         Run {
             random: Random(seed),
             now: 0,
--- a/client-listener/src/connection/closing.rs
+++ b/client-listener/src/connection/closing.rs
@@ -51,7 +51,7 @@
     pub(crate) fn close_after_rejection(&self) {
         self.shut_down_write();
         let mut discarded = [0; DISCARD_BUFFER_BYTES];
-        let mut bytes_left = self.limits.client_linger_bytes;
+        let mut bytes_left = self.limits.max_client_linger_bytes;
         if self.socket.set_nonblocking(true).is_err() {
             return;
         }
@@ -74,13 +74,13 @@
     }
 
     /// Shuts the sending side down, then reads and discards until the client closes too, up to
-    /// [`settings::Limits::client_linger`] and [`settings::Limits::client_linger_bytes`]. Closed over unread bytes the
+    /// [`settings::Limits::client_linger_timeout`] and [`settings::Limits::max_client_linger_bytes`]. Closed over unread bytes the
     /// connection would be reset, and a reset may discard the last response.
     pub(crate) fn linger(&self) {
         self.shut_down_write();
         let shutdown_at = self.write_shutdown_at().unwrap_or_else(Instant::now);
-        let deadline = (shutdown_at + self.limits.client_linger).max(Instant::now() + MIN_READ_WAIT);
-        let mut bytes_left = self.limits.client_linger_bytes;
+        let deadline = (shutdown_at + self.limits.client_linger_timeout).max(Instant::now() + MIN_READ_WAIT);
+        let mut bytes_left = self.limits.max_client_linger_bytes;
         let mut discarded = [0; DISCARD_BUFFER_BYTES];
         while bytes_left > 0 && !self.closed.load(Ordering::SeqCst) {
             match DeadlineReader::new(&self.socket, deadline).read(&mut discarded) {
@@ -100,7 +100,7 @@
             return self.end_linger();
         }
         let expects_first_command = !self.has_read_command.load(Ordering::SeqCst)
-            && self.opened_at.elapsed() < self.limits.client_greeted;
+            && self.opened_at.elapsed() < self.limits.draining_first_request_timeout;
         if !expects_first_command && self.may_close_when_idle() {
             self.shut_down_write_if_idle();
         }
@@ -108,7 +108,8 @@
 
     /// Shuts both sides down once the reader of a closed connection has waited long enough for the client to close.
     fn end_linger(&self) {
-        let lingered = self.write_shutdown_at().is_some_and(|at| at.elapsed() >= self.limits.client_linger);
+        let lingered =
+            self.write_shutdown_at().is_some_and(|at| at.elapsed() >= self.limits.client_linger_timeout);
         if lingered && self.commands.count() == 0 {
             self.shut_down_both();
         }
--- a/client-listener/src/connection/idle.rs
+++ b/client-listener/src/connection/idle.rs
@@ -26,7 +26,7 @@
         let timeout = if self.has_read_command.load(Ordering::Relaxed) {
             self.idle_timeout()
         } else {
-            self.limits.client_first.saturating_sub(self.idle_since() - self.opened_at)
+            self.limits.client_first_request_timeout.saturating_sub(self.idle_since() - self.opened_at)
         };
         self.idle_since().elapsed() >= timeout && self.close_if_silent(CloseReason::IdleTimeout)
     }
@@ -35,8 +35,9 @@
     /// descriptors: where clients that made one request and keep their connection hold most of that share, others are
     /// refused by the platform and never get here.
     pub(super) fn idle_timeout(&self) -> Duration {
-        let crowded = 4 * self.shared.connections_with_requests() > 3 * self.limits.client_share;
-        if crowded { self.limits.client_idle_crowded } else { self.limits.client_idle }
+        let crowded =
+            4 * self.shared.connections_with_requests() > 3 * self.limits.expected_request_connections;
+        if crowded { self.limits.client_idle_timeout_when_crowded } else { self.limits.client_idle_timeout }
     }
 
     /// When the last command in flight finished; when the connection was opened if there was none.
@@ -67,7 +68,11 @@
         }
         // One that has made no request, an empty query at most, is not kept like one that will make more: a few
         // hundred of these a second would keep everybody else out.
-        if self.has_made_request() { self.limits.client_idle_least } else { self.limits.client_start_least }
+        if self.has_made_request() {
+            self.limits.client_idle_timeout_when_full
+        } else {
+            self.limits.client_startup_timeout_when_full
+        }
     }
 
     /// Closes the connection at once if nothing is in flight and nothing has arrived: its last response was received
--- a/client-listener/src/connection/reader.rs
+++ b/client-listener/src/connection/reader.rs
@@ -34,24 +34,24 @@
         }
     }
 
-    /// Reads the startup exchange, which has to be complete within [`settings::Limits::client_start`] of connecting.
+    /// Reads the startup exchange, which has to be complete within [`settings::Limits::client_startup_timeout`] of connecting.
     pub fn startup_reader(&self) -> CommandReader<'_> {
         CommandReader {
             connection: self,
-            deadline: self.opened_at + self.limits.client_start,
+            deadline: self.opened_at + self.limits.client_startup_timeout,
             started: true,
             command_timeout: Duration::ZERO,
         }
     }
 
     /// Reads one command. It may take the idle timeout to start; once started it has to be complete within
-    /// [`settings::Limits::client_message`]. `started` says whether part of it has been read already.
+    /// [`settings::Limits::client_message_timeout`]. `started` says whether part of it has been read already.
     pub fn command_reader(&self, started: bool) -> CommandReader<'_> {
         let now = Instant::now();
-        let command_timeout = self.limits.client_message;
+        let command_timeout = self.limits.client_message_timeout;
         let deadline = match (started, self.has_read_command.load(Ordering::Relaxed)) {
             (true, _) => now + command_timeout,
-            (false, false) => self.opened_at + self.limits.client_first,
+            (false, false) => self.opened_at + self.limits.client_first_request_timeout,
             // Idle time counts from the last response, which may be written while this waits.
             (false, true) if self.commands.count() == 0 => self.idle_since() + self.idle_timeout(),
             (false, true) => now + self.idle_timeout(),
--- a/client-listener/src/server.rs
+++ b/client-listener/src/server.rs
@@ -60,7 +60,7 @@
 impl<H: ConnectionHandler> ClientServer<H> {
     /// A server without connections; [`ClientServer::serve`] accepts them. `metrics` count why they close.
     pub fn new(handler: Arc<H>, limits: Arc<Limits>, metrics: Option<Arc<Metrics>>) -> Arc<Self> {
-        let max_connections = AtomicUsize::new(limits.client_connections);
+        let max_connections = AtomicUsize::new(limits.max_client_connections);
         Arc::new(ClientServer {
             handler,
             limits,
@@ -88,12 +88,12 @@
     /// Sets how many processes serve as this router: each gets an equal part of the connection limit. A count that is
     /// known before [`ClientServer::serve`] applies from the first connection on.
     pub fn set_process_count(&self, processes: usize) {
-        let max_connections = self.limits.client_connections / processes.max(1);
+        let max_connections = self.limits.max_client_connections / processes.max(1);
         self.max_connections.store(max_connections, Ordering::Relaxed);
     }
 
     /// Accepts and serves connections until [`ServerCommand::Shutdown`] has come and the last connection has closed,
-    /// or [`Limits::shutdown_most`] has passed since. If all senders of commands are dropped before, it serves on
+    /// or [`Limits::shutdown_timeout`] has passed since. If all senders of commands are dropped before, it serves on
     /// and never returns.
     ///
     /// # Errors
--- a/client-listener/src/server/accept.rs
+++ b/client-listener/src/server/accept.rs
@@ -82,7 +82,7 @@
             if self.has_room_or_evicts() {
                 return;
             }
-            std::thread::sleep(self.limits.client_room);
+            std::thread::sleep(self.limits.client_capacity_retry_delay);
         }
     }
 
@@ -132,7 +132,7 @@
     /// Starts a connection's thread; returns the connection if none can be had now.
     fn try_start(&self, waiting: WithoutThread) -> Option<WithoutThread> {
         let WithoutThread { connection, address, serve, since } = waiting;
-        let started = spawn_within("client", self.limits.stack_bytes, Duration::ZERO, serve);
+        let started = spawn_within("client", self.limits.socket_thread_stack_bytes, Duration::ZERO, serve);
         let Err(failed) = started else { return None };
         if since.elapsed() < THREAD_PATIENCE {
             return Some(WithoutThread { connection, address, serve: failed.run, since });
@@ -168,7 +168,7 @@
     fn configure(&self, socket: &TcpStream) -> io::Result<()> {
         socket.set_nonblocking(false)?;
         socket.set_nodelay(true)?;
-        socket.set_write_timeout(Some(self.limits.client_write))
+        socket.set_write_timeout(Some(self.limits.client_write_timeout))
     }
 
     /// Runs on the connection's thread from its start to its end.
--- a/client-listener/src/server/command_loop.rs
+++ b/client-listener/src/server/command_loop.rs
@@ -102,7 +102,8 @@
     fn command_event(&mut self, command: ServerCommand) -> Event {
         match command {
             ServerCommand::Shutdown => {
-                let grace = if self.successor { Duration::ZERO } else { self.server.limits.shutdown_grace };
+                let grace =
+                    if self.successor { Duration::ZERO } else { self.server.limits.shutdown_grace_period };
                 tracing::info!("shutdown: taking requests for {grace:?} more");
                 Event::Shutdown { successor: self.successor }
             }
@@ -144,17 +145,17 @@
 
 fn shutdown_times(limits: &Limits) -> ShutdownTimes {
     ShutdownTimes {
-        grace: limits.shutdown_grace,
-        stop_reading: limits.shutdown_last,
-        deadline: limits.shutdown_most,
-        drain_close_when_idle: limits.drain_quiet,
-        drain_stop_reading: limits.drain_last,
+        grace: limits.shutdown_grace_period,
+        stop_reading: limits.shutdown_read_timeout,
+        deadline: limits.shutdown_timeout,
+        drain_close_when_idle: limits.drain_idle_close_delay,
+        drain_stop_reading: limits.drain_read_timeout,
     }
 }
 
 fn spawn_disconnect_thread<H: ConnectionHandler>(server: &Arc<ClientServer<H>>) -> io::Result<()> {
     let server = server.clone();
-    let stack_bytes = server.limits.stack_bytes;
+    let stack_bytes = server.limits.socket_thread_stack_bytes;
     spawn_needed("departures", stack_bytes, move || {
         server.disconnect_watcher.run(|connection_id| server.handle_disconnect(connection_id));
     })
@@ -166,7 +167,7 @@
     listener: ClientListener,
 ) -> io::Result<Receiver<()>> {
     let server = server.clone();
-    let stack_bytes = server.limits.stack_bytes;
+    let stack_bytes = server.limits.socket_thread_stack_bytes;
     let (stopping, stopped) = bounded::<()>(0);
     spawn_needed("accept", stack_bytes, move || {
         server.accept_loop(&listener);
--- a/client-listener/tests/connections/closing.rs
+++ b/client-listener/tests/connections/closing.rs
@@ -16,7 +16,7 @@
 #[test]
 fn no_command_is_accepted_after_connection_closes() {
     let mut limits = test_limits();
-    limits.client_idle = Duration::ZERO;
+    limits.client_idle_timeout = Duration::ZERO;
     let ends: [(&str, Close); 3] = [
         ("close", Connection::close),
         ("finish", Connection::shut_down_write),
@@ -69,7 +69,7 @@
     const RESPONSE_BYTES: usize = 200_000;
     let mut limits = test_limits();
     // It has passed before the client reads at all.
-    limits.client_linger = Duration::from_millis(50);
+    limits.client_linger_timeout = Duration::from_millis(50);
     let (server, handed_over) = TestServer::handing_over(limits);
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     // Most of the response stays on our side.
@@ -114,7 +114,7 @@
 fn linger_is_limited_in_time_and_bytes() {
     // Silent: limited by time.
     let mut limits = test_limits();
-    limits.client_linger = Duration::from_millis(50);
+    limits.client_linger_timeout = Duration::from_millis(50);
     let (server, handed_over) = TestServer::handing_over(limits);
     let client = server.connect();
     let (connection, release) = handed_over.recv_timeout(LONG).unwrap();
@@ -124,7 +124,7 @@
     assert_closed_without_reset(&client);
     // Sending on: limited by bytes.
     let mut limits = test_limits();
-    limits.client_linger_bytes = 64 << 10;
+    limits.max_client_linger_bytes = 64 << 10;
     let (server, handed_over) = TestServer::handing_over(limits);
     let mut client = server.connect();
     let (connection, release) = handed_over.recv_timeout(LONG).unwrap();
--- a/client-listener/tests/connections/limits.rs
+++ b/client-listener/tests/connections/limits.rs
@@ -9,7 +9,7 @@
 #[test]
 fn request_in_socket_at_idle_timeout_is_read() {
     let mut limits = test_limits();
-    limits.client_idle = Duration::ZERO;
+    limits.client_idle_timeout = Duration::ZERO;
     let (server, handed_over) = TestServer::handing_over(limits);
     let mut client = server.connect();
     let (connection, _release) = handed_over.recv_timeout(LONG).unwrap();
@@ -30,8 +30,8 @@
 #[test]
 fn connection_limit_evicts_closing_and_idle_connections_only() {
     let mut limits = test_limits();
-    limits.client_connections = 1;
-    limits.client_start_least = Duration::ZERO;
+    limits.max_client_connections = 1;
+    limits.client_startup_timeout_when_full = Duration::ZERO;
     let (server, handed_over) = TestServer::handing_over(limits);
     // It lingers for a client that does not close.
     let lingering = server.connect();
--- a/client-listener/tests/connections/shutdown.rs
+++ b/client-listener/tests/connections/shutdown.rs
@@ -38,7 +38,7 @@
 #[test]
 fn reader_does_not_wait_for_idle_client_after_shutdown() {
     let mut limits = test_limits();
-    limits.client_linger = Duration::from_millis(50);
+    limits.client_linger_timeout = Duration::from_millis(50);
     let ByteCommands { server, commands, readers_ended, keep_open } = byte_commands(limits);
     let mut client = server.connect();
     client.write_all(b"1").unwrap();
@@ -55,7 +55,7 @@
 #[test]
 fn stop_reading_answers_commands_in_flight_and_accepts_no_later_ones() {
     let mut limits = test_limits();
-    limits.client_linger = Duration::from_millis(50);
+    limits.client_linger_timeout = Duration::from_millis(50);
     let ByteCommands { server, commands, readers_ended, keep_open } = byte_commands(limits);
     let mut client = server.connect();
     client.write_all(b"12").unwrap();
@@ -124,8 +124,8 @@
 #[test]
 fn listen_backlog_is_served_at_shutdown() {
     let mut limits = test_limits();
-    limits.client_connections = 1;
-    limits.client_greeted = LONG;
+    limits.max_client_connections = 1;
+    limits.draining_first_request_timeout = LONG;
     let ByteCommands { server, commands, readers_ended, keep_open } = byte_commands(limits);
     let mut clients: Vec<TcpStream> = (0..4).map(|_| server.connect()).collect();
     clients[0].write_all(b"0").unwrap();
--- a/client-listener/tests/connections/support.rs
+++ b/client-listener/tests/connections/support.rs
@@ -37,11 +37,15 @@
 pub(crate) fn test_limits() -> Limits {
     let mut limits = Limits::new(64, 64 << 20, LONG, LONG, LONG);
     // No timeout passes unless a test sets it.
-    (limits.client_first, limits.client_idle, limits.client_message, limits.client_linger) =
-        (LONG, LONG, LONG, LONG);
-    (limits.shutdown_grace, limits.shutdown_last, limits.shutdown_most) =
+    (
+        limits.client_first_request_timeout,
+        limits.client_idle_timeout,
+        limits.client_message_timeout,
+        limits.client_linger_timeout,
+    ) = (LONG, LONG, LONG, LONG);
+    (limits.shutdown_grace_period, limits.shutdown_read_timeout, limits.shutdown_timeout) =
         (Duration::ZERO, Duration::ZERO, LONG);
-    limits.client_greeted = Duration::ZERO;
+    limits.draining_first_request_timeout = Duration::ZERO;
     limits
 }
 
--- a/discovery/src/connection.rs
+++ b/discovery/src/connection.rs
@@ -92,9 +92,9 @@
             addr,
             version: None,
             state: State::Connecting,
-            step_deadline: Instant::now() + limits.watch_connect,
-            head_timeout: limits.watch_silent,
-            max_object_bytes: limits.list_bytes,
+            step_deadline: Instant::now() + limits.watch_connect_timeout,
+            head_timeout: limits.watch_silence_timeout,
+            max_object_bytes: limits.max_discovery_line_bytes,
         })
     }
 
--- a/discovery/src/driver.rs
+++ b/discovery/src/driver.rs
@@ -290,7 +290,7 @@
                 Action::Open(id) => self.open(id),
                 Action::Close(id) => self.close(id),
                 Action::ReportStale(_) => {
-                    let silent = self.shared.limits.watch_silent;
+                    let silent = self.shared.limits.watch_silence_timeout;
                     tracing::warn!("discovery: no whole line for {silent:?}, the watch is opened anew");
                 }
                 Action::ReportLive { outage } => {
@@ -319,13 +319,13 @@
 
 fn liveness_settings(limits: &Limits) -> Settings {
     Settings {
-        stale_after: limits.watch_silent,
-        first_line_timeout: limits.watch_answer,
-        min_open_interval: limits.watch_retry.0,
-        max_open_interval: limits.watch_retry.1,
-        previous_address_grace: limits.watch_former,
-        max_pending: limits.watch_most,
-        min_pending_time: limits.watch_chance(),
-        oldest_pending_time: limits.watch_patience,
+        stale_after: limits.watch_silence_timeout,
+        first_line_timeout: limits.watch_first_line_timeout,
+        min_open_interval: limits.watch_backoff.min,
+        max_open_interval: limits.watch_backoff.max,
+        previous_address_grace: limits.watch_previous_address_duration,
+        max_pending: limits.max_pending_watches,
+        min_pending_time: limits.new_watch_timeout(),
+        oldest_pending_time: limits.pending_watch_timeout,
     }
 }
--- a/discovery/src/endpoint_list.rs
+++ b/discovery/src/endpoint_list.rs
@@ -3,7 +3,7 @@
 use routing::{EndpointEntry, EndpointUpdate, GroupId, MemberState, Time};
 use serde_json::Value;
 use settings::Error;
-use settings::fields::{array, count, flag, text, whole};
+use settings::fields::{array, boolean, count, string, unsigned_integer};
 
 /// Microseconds in a millisecond, the unit in which discovery gives times.
 const MICROS_PER_MS: f64 = 1000.0;
@@ -37,16 +37,21 @@
     pub fn parse_value(&mut self, value: &Value) -> Result<EndpointUpdate, Error> {
         let servers = array(value, "servers")?;
         let endpoints = servers.iter().map(|server| self.entry(server)).collect::<Result<_, _>>()?;
-        Ok(EndpointUpdate { version: whole(value, "version")?, complete: flag(value, "full")?, endpoints })
+        Ok(EndpointUpdate {
+            version: unsigned_integer(value, "version")?,
+            complete: boolean(value, "full")?,
+            endpoints,
+        })
     }
 
     fn entry(&mut self, server: &Value) -> Result<EndpointEntry, Error> {
-        let id = text(server, "id")?.to_string();
-        let in_server = |error: Error| error.at(format!("server {id}"));
+        let id = string(server, "id")?.to_string();
+        let in_server = |error: Error| error.under_key(format!("server {id}"));
         let state = state(server).map_err(in_server)?;
-        let addr = text(server, "addr").map_err(in_server)?;
-        let addr =
-            addr.parse().map_err(|_| in_server(Error::value("addr", "ip:port", format_args!("'{addr}'"))))?;
+        let addr = string(server, "addr").map_err(in_server)?;
+        let addr = addr
+            .parse()
+            .map_err(|_| in_server(Error::invalid_value("addr", "ip:port", format_args!("'{addr}'"))))?;
         let started_ms = server.get("started_ms").and_then(Value::as_f64).filter(|ms| *ms > 0.0);
         let zone = self.zone(server.get("zone").and_then(Value::as_str).unwrap_or(""));
         Ok(EndpointEntry {
@@ -73,10 +78,10 @@
 }
 
 fn state(server: &Value) -> Result<MemberState, Error> {
-    match text(server, "state")? {
+    match string(server, "state")? {
         "in_service" => Ok(MemberState::Ready),
         "terminating" => Ok(MemberState::Draining),
         "terminated" => Ok(MemberState::Removed),
-        other => Err(Error::here("a known 'state'", format_args!("'{other}'"))),
+        other => Err(Error::invalid("a known 'state'", format_args!("'{other}'"))),
     }
 }
--- a/discovery/src/watch.rs
+++ b/discovery/src/watch.rs
@@ -44,7 +44,9 @@
     fn start_driver(&self, addr: SocketAddr) -> io::Result<Waker> {
         let (driver, waker) = Driver::new(self.shared.clone(), addr)?;
         let addresses = self.shared.address_queue.clone();
-        spawn_needed("discovery", self.shared.limits.stack_bytes, move || driver.run(&addresses))?;
+        spawn_needed("discovery", self.shared.limits.socket_thread_stack_bytes, move || {
+            driver.run(&addresses)
+        })?;
         Ok(waker)
     }
 
--- a/discovery/tests/liveness_outages/agent.rs
+++ b/discovery/tests/liveness_outages/agent.rs
@@ -88,8 +88,8 @@
         let moment = Moment {
             now,
             resume_version,
-            connect_timeout: limits.watch_connect.as_millis() as u64,
-            stale_after: limits.watch_silent.as_millis() as u64,
+            connect_timeout: limits.watch_connect_timeout.as_millis() as u64,
+            stale_after: limits.watch_silence_timeout.as_millis() as u64,
         };
         let outages = &history.outages[self.address];
         if let Some(place) = history.outage(self.address, now) {
--- a/discovery/tests/liveness_outages/main.rs
+++ b/discovery/tests/liveness_outages/main.rs
@@ -58,7 +58,7 @@
     let outage = Outage { from: 1100, to: 1110, kind: OutageKind::Unreachable, fate: ConnectionFate::Mute };
     let limits = limits();
     let worst = play_outage(outage, SLOW, 1110);
-    let sum = limits.watch_silent + limits.watch_chance();
+    let sum = limits.watch_silence_timeout + limits.new_watch_timeout();
     assert!(Duration::from_millis(worst) + Duration::from_millis(100) >= sum, "{worst}");
-    assert!(Duration::from_millis(worst) <= limits.worst_silence());
+    assert!(Duration::from_millis(worst) <= limits.max_delay_after_silence());
 }
--- a/discovery/tests/liveness_outages/world.rs
+++ b/discovery/tests/liveness_outages/world.rs
@@ -16,14 +16,14 @@
 
 fn machine(limits: &Limits) -> WatchLiveness {
     WatchLiveness::new(Settings {
-        stale_after: limits.watch_silent,
-        first_line_timeout: limits.watch_answer,
-        min_open_interval: limits.watch_retry.0,
-        max_open_interval: limits.watch_retry.1,
-        previous_address_grace: limits.watch_former,
-        max_pending: limits.watch_most,
-        min_pending_time: limits.watch_chance(),
-        oldest_pending_time: limits.watch_patience,
+        stale_after: limits.watch_silence_timeout,
+        first_line_timeout: limits.watch_first_line_timeout,
+        min_open_interval: limits.watch_backoff.min,
+        max_open_interval: limits.watch_backoff.max,
+        previous_address_grace: limits.watch_previous_address_duration,
+        max_pending: limits.max_pending_watches,
+        min_pending_time: limits.new_watch_timeout(),
+        oldest_pending_time: limits.pending_watch_timeout,
     })
 }
 
@@ -115,7 +115,7 @@
     }
 
     fn assert_connections_bounded(&self, now: u64) {
-        let max_pending = self.limits.watch_most;
+        let max_pending = self.limits.max_pending_watches;
         let pending = self.connections.iter().filter(|c| !c.is_watching()).count();
         assert!(pending <= max_pending, "{pending} wait at {now}");
         // The one that is stale and, after a move, the old address's.
@@ -124,7 +124,7 @@
     }
 
     fn assert_heard_in_time(&mut self, now: u64) {
-        let bound = self.limits.worst_silence().as_millis() as u64;
+        let bound = self.limits.max_delay_after_silence().as_millis() as u64;
         let is_away = self.history.outage(self.address, now).is_some();
         for version in 1..=self.history.version(now) {
             let since = &mut self.unheard_since[version as usize];
--- a/discovery/tests/watch/stream.rs
+++ b/discovery/tests/watch/stream.rs
@@ -56,7 +56,7 @@
     let watched = WatchedList::following(&agent, Timing::NEVER_STALE);
     let connection = agent.next_with_head();
     // 4 MB, all of it in one chunk.
-    let max_list_bytes = limits().list_bytes;
+    let max_list_bytes = limits().max_discovery_line_bytes;
     assert_eq!(max_list_bytes, 4 << 20);
     connection.send_chunk(&long_list(max_list_bytes, 40_000));
     let update = watched.next_update();
--- a/discovery/tests/watch/support.rs
+++ b/discovery/tests/watch/support.rs
@@ -6,6 +6,7 @@
     Exchange, ExchangeResult, NotSent, Outcome, RouterMessage, ServerSocket, WallClock,
 };
 use settings::Limits;
+use settings::limits::Backoff;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -152,9 +153,10 @@
 
     /// Shortest and longest time between two openings. Where staleness is no part of a test, a second connection beside
     /// one that is about to speak isn't either.
-    fn retry(self) -> (Duration, Duration) {
-        let retry = if self.stale_after < Duration::from_secs(1) { (20, 100) } else { (1000, 1000) };
-        (Duration::from_millis(retry.0), Duration::from_millis(retry.1))
+    fn backoff(self) -> Backoff {
+        let (min_ms, max_ms) =
+            if self.stale_after < Duration::from_secs(1) { (20, 100) } else { (1000, 1000) };
+        Backoff { min: Duration::from_millis(min_ms), max: Duration::from_millis(max_ms) }
     }
 }
 
@@ -170,11 +172,11 @@
     /// A watch that follows no address yet.
     pub(crate) fn start(timing: Timing) -> WatchedList {
         let mut limits = limits();
-        limits.watch_silent = timing.stale_after;
-        limits.watch_answer = timing.first_line_timeout;
-        limits.watch_retry = timing.retry();
+        limits.watch_silence_timeout = timing.stale_after;
+        limits.watch_first_line_timeout = timing.first_line_timeout;
+        limits.watch_backoff = timing.backoff();
         // None has to make room, however slowly a test goes on.
-        limits.watch_most = 64;
+        limits.max_pending_watches = 64;
         let (sender, updates) = bounded(64);
         let list =
             routing::endpoints::start(&limits, sender.clone(), None, WallClock::new(Clock::new())).unwrap();
--- a/fleet/src/client/connection.rs
+++ b/fleet/src/client/connection.rs
@@ -112,7 +112,7 @@
                 return Err(ExchangeError::UnexpectedResponse);
             };
             text.extend(bytes);
-            if text.len() > settings::fleet::BYTES {
+            if text.len() > settings::fleet::MAX_DOCUMENT_BYTES {
                 return Err(ExchangeError::UnexpectedResponse);
             }
             if is_last {
--- a/fleet/src/client/exchange.rs
+++ b/fleet/src/client/exchange.rs
@@ -293,7 +293,7 @@
     /// Logs a request class in the document's placement rules that this router does not have: a rule for it never applies
     /// here.
     fn warn_of_unknown_class(&self, version: Version, fleet: &Fleet) {
-        let placement_rules = fleet.tenants.values().flat_map(|tenant| &tenant.places);
+        let placement_rules = fleet.tenants.values().flat_map(|tenant| &tenant.placement_rules);
         let mut named_classes = placement_rules.filter_map(|rule| rule.classes.as_ref()).flatten();
         if let Some(class) = named_classes.find(|class| !self.classes.contains(class)) {
             tracing::warn!(
--- a/fleet/src/client/mod.rs
+++ b/fleet/src/client/mod.rs
@@ -14,7 +14,7 @@
 use placement::News;
 use quotas::{Admission, QuotaClient, QuotaClientSettings};
 use routing::{Clock, Time};
-use settings::fleet::{Member, Version};
+use settings::fleet::{FleetMemberConfig, Version};
 use shared::Shared;
 use std::io;
 use std::sync::Arc;
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The operator's `[fleet]` table.
-    pub member: Member,
+    pub member: FleetMemberConfig,
     /// This start of the router; higher with each start.
     pub incarnation: u64,
     /// The names of the request classes, to warn of placement rules for others.
@@ -109,7 +109,7 @@
         let exchange = Exchange::new(
             shared.clone(),
             exchange::Settings {
-                nodes: member.allocators,
+                nodes: member.allocator_addresses,
                 lease_us,
                 classes: settings.classes,
                 seed: settings.seed,
--- a/fleet/src/client/tenants.rs
+++ b/fleet/src/client/tenants.rs
@@ -20,7 +20,7 @@
             let Some(name) = names.get(name.as_str()) else { continue };
             by_user.extend(tenant.users.iter().map(|user| (user.clone(), name.clone())));
         }
-        let unnamed = names.get(fleet.unnamed.as_str()).cloned();
+        let unnamed = names.get(fleet.default_tenant.as_str()).cloned();
         TenantDirectory { version, names, by_user, unnamed }
     }
 
--- a/fleet/tests/client.rs
+++ b/fleet/tests/client.rs
@@ -7,7 +7,7 @@
 use placement::News;
 use quotas::{Report, ResponseBody};
 use routing::{Clock, Time};
-use settings::fleet::{Audit, Member};
+use settings::fleet::{AuditConfig, FleetMemberConfig};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -100,14 +100,14 @@
     }
 }
 
-fn start_client(nodes: &[&ScriptedNode], audit: Option<Audit>) -> (FleetClient, Receiver<News>) {
-    let member = Member {
+fn start_client(nodes: &[&ScriptedNode], audit: Option<AuditConfig>) -> (FleetClient, Receiver<News>) {
+    let member = FleetMemberConfig {
         name: "router-1".into(),
         slot: None,
-        nodes: Vec::new(),
-        allocators: nodes.iter().map(|n| n.addr).collect(),
-        listen: None,
-        seed: None,
+        store_addresses: Vec::new(),
+        allocator_addresses: nodes.iter().map(|n| n.addr).collect(),
+        allocator_listen: None,
+        seed_document_path: None,
         audit,
     };
     let settings = Settings {
@@ -177,7 +177,7 @@
     };
     let node = ScriptedNode::start(1, DOCUMENT, Box::new(script));
     node.accept.send(()).unwrap();
-    let (client, news) = start_client(&[&node], Some(Audit::default()));
+    let (client, news) = start_client(&[&node], Some(AuditConfig::default()));
     while !matches!(next_news(&news), News::Confirmed { .. }) {}
     assert_eq!(client.admit("till", None).unwrap(), named("tills"));
     // The deadline is cut to a little after the lease of about two seconds.
--- a/fleet/tests/stored_forms.rs
+++ b/fleet/tests/stored_forms.rs
@@ -213,7 +213,7 @@
 
 #[test]
 fn audit_batches_are_stored_under_slot_keys() {
-    let audit = audit::Settings::new(&settings::fleet::Audit::default(), 2_000_000, 1);
+    let audit = audit::Settings::new(&settings::fleet::AuditConfig::default(), 2_000_000, 1);
     let (_node, client) = single_node(Some(audit));
     document::write(&client, SHORT_DOCUMENT, Some(0), "").unwrap();
     let begun = Instant::now();
--- a/mysql/src/front.rs
+++ b/mysql/src/front.rs
@@ -16,7 +16,7 @@
 use sessions::machine::Stopped;
 use sessions::node::{Sessions, Who};
 use settings::Limits;
-use settings::operator::Mysql as Settings;
+use settings::operator::MysqlConfig as Settings;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, RwLock};
@@ -91,7 +91,7 @@
         };
         // The thread that reads commands is had before the client is let in: what it sends after that is owed an answer.
         let Some(command_reader) = self.start_command_reader(connection) else { return };
-        let mut reader = Reader::new(self.limits.message_bytes);
+        let mut reader = Reader::new(self.limits.max_message_bytes);
         if client.greet(&mut reader).is_ok() {
             // Who has proved a password comes to ask.
             connection.record_request();
@@ -125,7 +125,7 @@
 impl Front {
     /// Starts the thread that reads commands; `None` where none was to be had, which the client is told.
     fn start_command_reader(&self, connection: &Arc<Connection>) -> Option<CommandReader> {
-        let (to, commands) = bounded(self.limits.pipelined);
+        let (to, commands) = bounded(self.limits.max_pipelined_requests);
         let (start, reader) = bounded::<Reader>(1);
         let (handle, own) = (self.handle.clone(), connection.clone());
         let read = move || {
@@ -133,7 +133,7 @@
                 read_commands(&own, reader, &to, |id| handle.client_disconnected(id));
             }
         };
-        let started = spawn_within("commands", self.limits.stack_bytes, THREAD_PATIENCE, read);
+        let started = spawn_within("commands", self.limits.socket_thread_stack_bytes, THREAD_PATIENCE, read);
         if started.is_err() {
             connection.set_close_reason(CloseReason::NoThread);
             self.reject(connection);
@@ -218,7 +218,7 @@
     fn broken<T>(&self, after: u8, broken: &Broken) -> Step<T> {
         match broken {
             Broken::TooLong => {
-                let text = format!("a packet is longer than {} bytes", self.front.limits.message_bytes);
+                let text = format!("a packet is longer than {} bytes", self.front.limits.max_message_bytes);
                 self.refuse(after, errors::TOO_LARGE, &text)
             }
             Broken::OutOfOrder => self.refuse(after, errors::OUT_OF_ORDER, "packets came out of order"),
@@ -253,8 +253,8 @@
             (login.plugin, login.proof, last) = (auth::NATIVE.into(), packet.payload, packet.last);
         }
         let settings = self.front.settings();
-        let known = settings.users.iter().find(|(name, _)| *name == login.user);
-        let right = known.and_then(|(_, password)| auth::proof(&login.plugin, password, &nonce));
+        let known = settings.users.iter().find(|known| known.user == login.user);
+        let right = known.and_then(|known| auth::proof(&login.plugin, &known.password, &nonce));
         if !right.is_some_and(|right| auth::same(&right, &login.proof)) {
             tracing::warn!("mysql: {}: access denied for user '{}'", self.from, login.user);
             let text = format!("access denied for user '{}'", login.user);
@@ -281,7 +281,7 @@
         self.work(&commands);
         self.connection.shut_down_write();
         // The reader ends with its client, or where the connection is cut; what it still hands over is nobody's.
-        while commands.recv_timeout(self.front.limits.client_linger).is_ok() {}
+        while commands.recv_timeout(self.front.limits.client_linger_timeout).is_ok() {}
     }
 
     fn work(&mut self, commands: &Receiver<Result<Packet, Broken>>) {
@@ -384,7 +384,7 @@
         if let Some(name) = plain.plain.strip_prefix("use ") {
             return Ok(self.use_database(name));
         }
-        if let Some(values) = plain.variables(self.front.limits.message_bytes) {
+        if let Some(values) = plain.variables(self.front.limits.max_message_bytes) {
             return Err(one_row(&values));
         }
         if plain.sets_what_is_set() {
@@ -408,7 +408,7 @@
             None => Who::Own(Key::own(group, self.connection.id)),
         };
         let refused = |why: Stopped| (errors::REFUSED, format!("refused: nothing ran: {why}"));
-        let token = if settings.sessions[class] {
+        let token = if settings.class_uses_session[class] {
             sessions.need(who).map_err(refused)?
         } else {
             sessions.admits(who).map_err(refused)?;
@@ -417,7 +417,7 @@
         let tenant = match &self.front.fleet {
             None => Ok(None),
             // Preparing runs nothing: it costs its tenant nothing, and goes only where the tenant may go.
-            Some(fleet) if class == settings.prepare => {
+            Some(fleet) if class == settings.prepare_class => {
                 fleet.resolve_tenant(&self.user, need.tenant.as_deref())
             }
             Some(fleet) => fleet.admit(&self.user, need.tenant.as_deref()),
@@ -445,7 +445,7 @@
         request.into_iter().for_each(|id| _ = self.connection.in_flight_requests.finish(id));
         // A write is told to the client once no read of its session can miss it any more.
         if let FinalResponse::Served(_, Some(at)) = &answer
-            && !settings.reading[class]
+            && !settings.class_is_read[class]
             && !sessions.committed(who, *at, deadline)
         {
             return Err((errors::TIMED_OUT, "it has run, but its session can't rely on it".into()));
@@ -455,15 +455,16 @@
 
     fn prepare(&mut self, body: &[u8]) -> Answered {
         let (_, need) = self.admitted(body)?;
-        if self.statements.len() >= self.front.limits.statements_per_client {
-            let most = self.front.limits.statements_per_client;
+        if self.statements.len() >= self.front.limits.max_statements_per_client {
+            let most = self.front.limits.max_statements_per_client;
             return Err((
                 errors::TOO_MANY_STATEMENTS,
                 format!("one client may hold {most} prepared statements"),
             ));
         }
         let text: Arc<[u8]> = body.into();
-        let mut answer = self.ask(&need, self.front.settings().prepare, Payload::Prepare(text.clone()))?;
+        let mut answer =
+            self.ask(&need, self.front.settings().prepare_class, Payload::Prepare(text.clone()))?;
         let mut f = Fields(&answer[0]);
         if let (Some(0), Some(_), Some(_), Some(parameters)) =
             (f.number(1), f.number(4), f.number(2), f.number(2))
@@ -516,7 +517,7 @@
 
     /// Keeps a part of a long parameter. There is no answer: what is wrong shows at the execution.
     fn long_data(&mut self, body: &[u8]) {
-        let most = self.front.limits.message_bytes;
+        let most = self.front.limits.max_message_bytes;
         let Ok((statement, rest)) = self.statement(body) else { return };
         let mut f = Fields(rest);
         let Some(parameter) = f.number(2).filter(|p| (*p as usize) < statement.parameters.count) else {
--- a/mysql/src/link.rs
+++ b/mysql/src/link.rs
@@ -12,7 +12,7 @@
 };
 use sessions::clocks::{Clocks, Offset};
 use settings::Limits;
-use settings::operator::Mysql as Settings;
+use settings::operator::MysqlConfig as Settings;
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, IoSlice};
 use std::net::{SocketAddr, TcpStream};
@@ -69,7 +69,10 @@
             password: settings.server_password.clone(),
             database: settings.database.clone(),
         };
-        let clocks = Arc::new(Clocks::new(settings.server_clock, limits.clock_skew.as_micros() as i64));
+        let clocks = Arc::new(Clocks::new(
+            settings.health_check_returns_clock,
+            limits.max_clock_skew.as_micros() as i64,
+        ));
         Mysql { credentials, settings, limits, clock, clocks }
     }
 }
@@ -116,9 +119,9 @@
     type Connection = MysqlLink;
 
     fn connect(&self, addr: SocketAddr, permit: ConnectionPermit) -> Result<MysqlLink, Outcome> {
-        let until = Instant::now() + self.limits.connect;
+        let until = Instant::now() + self.limits.backend_connect_timeout;
         let handshake = Handshake::connect(permit, addr, &self.limits)?;
-        let mut reader = Reader::new(self.limits.answer_bytes);
+        let mut reader = Reader::new(self.limits.max_response_bytes);
         login(&handshake, &mut reader, &self.credentials, until).map_err(|e| match errors::meaning(e.0) {
             Meaning::Outcome(Outcome::Rejected) => Outcome::Rejected,
             _ => {
@@ -239,7 +242,7 @@
     }
 
     fn is_usable(&mut self, rested: Duration, _permit: ConnectionPermit) -> bool {
-        rested < self.limits.link_trust && self.is_quiet()
+        rested < self.limits.max_unchecked_idle_time && self.is_quiet()
     }
 
     fn execute(
@@ -249,14 +252,14 @@
     ) -> Result<ExchangeResult<Payloads>, NotSent> {
         let wait = match &work {
             Exchange::Attempt(_, at) => {
-                at.saturating_duration_since(Instant::now()) + self.limits.link_backstop
+                at.saturating_duration_since(Instant::now()) + self.limits.abandoned_response_timeout
             }
-            Exchange::Probe => self.limits.probe,
+            Exchange::Probe => self.limits.health_check_timeout,
         };
         self.until = Instant::now() + wait;
         match work {
             Exchange::Probe => {
-                let (probe, sent) = (self.settings.probe.clone(), self.clock.now());
+                let (probe, sent) = (self.settings.health_check_statement.clone(), self.clock.now());
                 self.begin(stop, &[&[command::QUERY], probe.as_bytes()])?;
                 Ok(self.probed(sent))
             }
@@ -317,7 +320,7 @@
             answer.push(self.reader.next(self.socket.reader(self.until))?.payload);
             follow -= 1;
         }
-        if self.prepared.len() >= self.limits.statements_per_link
+        if self.prepared.len() >= self.limits.max_statements_per_connection
             && let Some((_, old, _)) = self.prepared.pop_front()
         {
             self.close(old, permit).map_err(gone)?;
@@ -407,7 +410,7 @@
             expected = packet.last.wrapping_add(1);
             state.take(&packet.payload);
             length += packet.payload.len() + 4;
-            if length > self.limits.answer_bytes {
+            if length > self.limits.max_response_bytes {
                 return Err(Cut::TooLarge);
             }
             answer.push(packet.payload);
@@ -429,7 +432,7 @@
         match answer {
             Err(Cut::Broken(outcome)) => ExchangeResult::from_outcome(outcome),
             Err(Cut::TooLarge) => {
-                let text = format!("the answer is longer than {} bytes", self.limits.answer_bytes);
+                let text = format!("the answer is longer than {} bytes", self.limits.max_response_bytes);
                 served(vec![errors::payload(errors::TOO_LARGE, &text)], false)
             }
             Ok(answer) => match answer.last().and_then(|p| errors::code(p)).map(errors::meaning) {
@@ -464,7 +467,7 @@
             ms.map(|ms| Time((ms * 1000.0) as i64))
         };
         let position = time(1);
-        if let (true, Some(said)) = (self.settings.server_clock, time(2)) {
+        if let (true, Some(said)) = (self.settings.health_check_returns_clock, time(2)) {
             self.clocks.learn(self.addr, Offset::sample(sent, self.clock.now(), said));
         }
         ExchangeResult {
--- a/mysql/src/statement.rs
+++ b/mysql/src/statement.rs
@@ -1,7 +1,7 @@
 //! What a statement's text asks for: what its comment says, whether it may be carried at all, and which rule of
 //! the configuration it falls under.
 use crate::errors::{Code, NOT_CARRIED};
-use settings::operator::Mysql;
+use settings::operator::MysqlConfig;
 
 /// A statement's text, taken apart.
 #[derive(Debug, Default)]
@@ -178,15 +178,15 @@
 }
 
 /// What a statement needs. What nobody has named is a write that must not run twice.
-pub fn need(scan: &Scan, mysql: &Mysql) -> Result<Need, (Code, String)> {
-    let rule = mysql.rules.iter().find(|r| scan.plain.starts_with(&r.starts));
+pub fn need(scan: &Scan, mysql: &MysqlConfig) -> Result<Need, (Code, String)> {
+    let rule = mysql.rules.iter().find(|r| scan.plain.starts_with(&r.prefix));
     let named = match scan.says("c") {
-        Some(name) => mysql.classes.iter().position(|c| c == name),
+        Some(name) => mysql.class_names.iter().position(|c| c == name),
         None => rule.map(|r| r.class),
     };
-    let class = named.unwrap_or(mysql.unknown);
-    if mysql.reading[class] && !scan.reads() {
-        let text = format!("class '{}' only reads, and this statement may write", mysql.classes[class]);
+    let class = named.unwrap_or(mysql.unknown_class);
+    if mysql.class_is_read[class] && !scan.reads() {
+        let text = format!("class '{}' only reads, and this statement may write", mysql.class_names[class]);
         return Err((NOT_CARRIED, text));
     }
     let number = |name: &str| match scan.says(name) {
@@ -196,12 +196,12 @@
             .map_err(|_| (NOT_CARRIED, format!("the comment's {name} is no number"))),
         None => Ok(None),
     };
-    let group = number("cluster")?.unwrap_or(u64::from(rule.map_or(mysql.group, |r| r.group)));
+    let group = number("cluster")?.unwrap_or(u64::from(rule.map_or(mysql.default_group, |r| r.group)));
     Ok(Need {
         class,
         group: group as u32,
         session: scan.says("s").map(str::to_string),
         tenant: scan.says("t").map(str::to_string),
-        wait_ms: number("d")?.unwrap_or(mysql.deadlines_ms[class]).min(86_400_000),
+        wait_ms: number("d")?.unwrap_or(mysql.class_deadlines_ms[class]).min(86_400_000),
     })
 }
--- a/mysql/src/watch.rs
+++ b/mysql/src/watch.rs
@@ -13,8 +13,8 @@
     servers: impl Fn() -> Vec<SocketAddr> + Send + 'static,
     limits: &Limits,
 ) -> io::Result<()> {
-    let (pause, retry) = (limits.clock_pause, limits.clock_retry);
-    routing::spawn_needed("clocks", limits.stack_bytes, move || {
+    let (pause, retry) = (limits.clock_poll_interval, limits.clock_poll_retry_delay);
+    routing::spawn_needed("clocks", limits.socket_thread_stack_bytes, move || {
         loop {
             // A server that can't be asked leaves the others' clocks, and is asked again soon.
             let servers = servers();
--- a/mysql/tests/trickle.rs
+++ b/mysql/tests/trickle.rs
@@ -28,7 +28,8 @@
 fn wire() -> Mysql {
     let operator = operator::read(include_str!("../../deploy/mysql.toml")).unwrap();
     let mut limits = operator.limits;
-    (limits.connect, limits.probe) = (Duration::from_millis(150), Duration::from_millis(150));
+    (limits.backend_connect_timeout, limits.health_check_timeout) =
+        (Duration::from_millis(150), Duration::from_millis(150));
     Mysql::new(Arc::new(operator.mysql), Arc::new(limits), Clock::new())
 }
 
--- a/placement/src/rules.rs
+++ b/placement/src/rules.rs
@@ -1,5 +1,5 @@
 //! The rules of tenants by class, and the boundaries that they draw.
-use settings::fleet::{Fleet, Place, Tenant, Version};
+use settings::fleet::{Fleet, PlacementRule, Tenant, Version};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Where data may be.
@@ -50,7 +50,7 @@
         let mut numbers: BTreeMap<Boundary, BoundaryId> =
             replaced.iter().flat_map(|rules| &rules.boundaries).map(|(id, b)| (b.clone(), *id)).collect();
         let mut boundaries = BTreeMap::new();
-        let mut number = |place: &Place| {
+        let mut number = |place: &PlacementRule| {
             let boundary = Boundary { sites: place.sites.clone(), strict: place.strict };
             let id = *numbers.entry(boundary.clone()).or_insert_with(|| {
                 *last_boundary += 1;
@@ -64,7 +64,7 @@
         };
         let tenants: HashMap<String, BoundariesByClass> =
             fleet.tenants.iter().map(|(name, tenant)| (name.clone(), by_class(tenant))).collect();
-        let unnamed = tenants.get(&fleet.unnamed).cloned().unwrap_or_default();
+        let unnamed = tenants.get(&fleet.default_tenant).cloned().unwrap_or_default();
         Rules { version, boundaries, tenants, unnamed }
     }
 
@@ -77,10 +77,16 @@
 
 /// A tenant's rule for each class, and last the one for classes that are not known. The first rule that names the class
 /// counts, else the first that names none.
-fn places_by_class<'a>(tenant: &'a Tenant, classes: &'a [String]) -> impl Iterator<Item = Option<&'a Place>> {
-    let rest = tenant.places.iter().find(|place| place.classes.is_none());
+fn places_by_class<'a>(
+    tenant: &'a Tenant,
+    classes: &'a [String],
+) -> impl Iterator<Item = Option<&'a PlacementRule>> {
+    let rest = tenant.placement_rules.iter().find(|place| place.classes.is_none());
     let named = |class: &String| {
-        tenant.places.iter().find(|place| place.classes.as_ref().is_some_and(|names| names.contains(class)))
+        tenant
+            .placement_rules
+            .iter()
+            .find(|place| place.classes.as_ref().is_some_and(|names| names.contains(class)))
     };
     classes.iter().map(move |class| named(class).or(rest)).chain([rest])
 }
--- a/placement/tests/machine.rs
+++ b/placement/tests/machine.rs
@@ -2,7 +2,7 @@
 use decision::{GroupId, MemberState, Time};
 use placement::{Action, Event, FIRST_VIEW, Member, News, Places, Refusal, Settings};
 use proptest::prelude::*;
-use settings::fleet::{Fleet, Place, Tenant};
+use settings::fleet::{Fleet, PlacementRule, Tenant};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -14,15 +14,16 @@
 const FAR_FUTURE: Time = Time(1 << 50);
 const BASE: GroupId = GroupId(0);
 
-fn place(sites: &[&str], strict: bool, classes: Option<&[&str]>) -> Place {
+fn place(sites: &[&str], strict: bool, classes: Option<&[&str]>) -> PlacementRule {
     let set = |names: &[&str]| names.iter().map(ToString::to_string).collect();
-    Place { sites: set(sites), strict, classes: classes.map(set) }
+    PlacementRule { sites: set(sites), strict, classes: classes.map(set) }
 }
 
-fn fleet(tenants: Vec<(&str, Vec<Place>)>) -> Arc<Fleet> {
-    let tenants =
-        tenants.into_iter().map(|(n, places)| (n.to_string(), Tenant { places, ..Tenant::default() }));
-    Arc::new(Fleet { unnamed: "anyone".into(), tenants: tenants.collect(), ..Fleet::default() })
+fn fleet(tenants: Vec<(&str, Vec<PlacementRule>)>) -> Arc<Fleet> {
+    let tenants = tenants
+        .into_iter()
+        .map(|(n, places)| (n.to_string(), Tenant { placement_rules: places, ..Tenant::default() }));
+    Arc::new(Fleet { default_tenant: "anyone".into(), tenants: tenants.collect(), ..Fleet::default() })
 }
 
 fn member(name: &str, site: &str) -> Member {
@@ -46,7 +47,7 @@
     }
 
     /// Starts with rules that stay confirmed, and members.
-    fn with_rules(tenants: Vec<(&str, Vec<Place>)>, members: &[(&str, &str)]) -> Self {
+    fn with_rules(tenants: Vec<(&str, Vec<PlacementRule>)>, members: &[(&str, &str)]) -> Self {
         let mut d = Driver::new();
         d.rules(1, tenants);
         d.handle(Event::News(News::Confirmed { until: FAR_FUTURE }));
@@ -73,7 +74,7 @@
         self.apply(actions);
     }
 
-    fn rules(&mut self, version: u64, tenants: Vec<(&str, Vec<Place>)>) {
+    fn rules(&mut self, version: u64, tenants: Vec<(&str, Vec<PlacementRule>)>) {
         self.handle(Event::News(News::Rules { version, fleet: fleet(tenants) }));
     }
 
@@ -108,11 +109,11 @@
     }
 }
 
-fn strict(sites: &[&str]) -> Vec<Place> {
+fn strict(sites: &[&str]) -> Vec<PlacementRule> {
     vec![place(sites, true, None)]
 }
 
-fn preferred(sites: &[&str]) -> Vec<Place> {
+fn preferred(sites: &[&str]) -> Vec<PlacementRule> {
     vec![place(sites, false, None)]
 }
 
@@ -362,8 +363,8 @@
             })
     }
 
-    fn rule(&self, tenant: &str, class: &str) -> Option<Place> {
-        let places = &self.fleet.as_ref()?.tenants[tenant].places;
+    fn rule(&self, tenant: &str, class: &str) -> Option<PlacementRule> {
+        let places = &self.fleet.as_ref()?.tenants[tenant].placement_rules;
         let named = places.iter().find(|p| p.classes.as_ref().is_some_and(|c| c.contains(class)));
         named.or_else(|| places.iter().find(|p| p.classes.is_none())).cloned()
     }
@@ -379,7 +380,7 @@
             match step {
                 Step::Rules(tenants) => {
                     let set = |bits: u8| SITES[1..].iter().enumerate().filter(move |(i, _)| bits >> i & 1 == 1);
-                    let place = |(bits, strict, class): (u8, bool, u8)| Place {
+                    let place = |(bits, strict, class): (u8, bool, u8)| PlacementRule {
                         sites: set(bits).map(|(_, s)| s.to_string()).collect(),
                         strict,
                         classes: [None, Some("read"), Some("write")][class as usize].map(|c| [c.to_string()].into()),
--- a/placement/tests/recorded_run.rs
+++ b/placement/tests/recorded_run.rs
@@ -2,7 +2,7 @@
 //! `fixtures/` was written by the state machine before its names were revised.
 use decision::{GroupId, MemberState, Time};
 use placement::{Action, Event, Member, News, Places, Settings};
-use settings::fleet::{Fleet, Place, Tenant};
+use settings::fleet::{Fleet, PlacementRule, Tenant};
 use std::fmt::Write;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -37,18 +37,18 @@
     }
 }
 
-fn random_place(random: &mut Random) -> Place {
+fn random_place(random: &mut Random) -> PlacementRule {
     let sites = SITES[1..].iter().filter(|_| random.coin()).map(ToString::to_string).collect();
     let classes = random.coin().then(|| [random.pick(&CLASSES)].into());
-    Place { sites, strict: random.below(3) > 0, classes }
+    PlacementRule { sites, strict: random.below(3) > 0, classes }
 }
 
 fn random_fleet(random: &mut Random) -> Fleet {
     let tenants = TENANTS.map(|name| {
         let places = (0..random.below(3)).map(|_| random_place(random)).collect();
-        (name.to_string(), Tenant { places, ..Tenant::default() })
+        (name.to_string(), Tenant { placement_rules: places, ..Tenant::default() })
     });
-    Fleet { unnamed: "anyone".into(), tenants: tenants.into(), ..Fleet::default() }
+    Fleet { default_tenant: "anyone".into(), tenants: tenants.into(), ..Fleet::default() }
 }
 
 fn random_name(random: &mut Random) -> Arc<str> {
--- a/postgres/src/front.rs
+++ b/postgres/src/front.rs
@@ -115,7 +115,7 @@
     /// Reads one connection to its end.
     fn handle(self: &Arc<Self>, connection: &Arc<Connection>) {
         let socket = &connection.socket;
-        let mut buffer = Buffer::pooled(self.limits.message_bytes, &self.pool);
+        let mut buffer = Buffer::pooled(self.limits.max_message_bytes, &self.pool);
         let _key = match self.greet(&mut buffer, connection) {
             Ok(Some(key)) => key,
             Ok(None) => return,
@@ -256,14 +256,14 @@
         let deadlines = settings.classes.iter().map(|c| c.deadline);
         let places = names.iter().map(|c| c.clone().into_bytes()).zip(deadlines.enumerate());
         let (classes, ids, keys) = (places.collect(), Mutex::default(), Mutex::default());
-        let pool = Pool::new(AtomicIsize::new(limits.client_bytes as isize));
+        let pool = Pool::new(AtomicIsize::new(limits.max_client_memory_bytes as isize));
         Arc::new(Front { handle, limits, classes, ids, keys, pool, set_aside: Mutex::default() })
     }
 
     /// So many processes serve as this router from now on: each takes its part of the memory for clients. What is held
     /// beyond it is kept until it is let go.
     pub fn sharing(&self, processes: u32) {
-        let all = self.limits.client_bytes as isize;
+        let all = self.limits.max_client_memory_bytes as isize;
         let aside = all - all / processes.max(1) as isize;
         let mut before = self.set_aside.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         self.pool.fetch_add(std::mem::replace(&mut *before, aside) - aside, Ordering::Relaxed);
@@ -441,14 +441,14 @@
     }
 
     fn writer(self: &Arc<Self>, connection: &Arc<Connection>) -> Option<Writer> {
-        let (owe, owed) = bounded(self.limits.pipelined);
+        let (owe, owed) = bounded(self.limits.max_pipelined_requests);
         let (front, own) = (self.clone(), connection.clone());
         let (done, ended) = bounded::<()>(0);
         let write = move || {
             front.write(&own, &owed);
             drop(done);
         };
-        spawn("answers", self.limits.stack_bytes, write).ok()?;
+        spawn("answers", self.limits.socket_thread_stack_bytes, write).ok()?;
         Some(Writer { owe, ended })
     }
 
@@ -466,7 +466,7 @@
                 if !buffer.is_empty() {
                     return Step::Ahead(Owed::Answer(given, opened));
                 }
-                match given.recv_timeout(self.limits.client_watch) {
+                match given.recv_timeout(self.limits.client_poll_interval) {
                     Ok(answer) => {
                         opened.answered();
                         break worded(answer);
--- a/postgres/src/link.rs
+++ b/postgres/src/link.rs
@@ -43,7 +43,7 @@
     fn connect(&self, addr: SocketAddr, permit: ConnectionPermit) -> Result<PostgresLink, Outcome> {
         let failed = |_: io::Error| Outcome::ConnectFailed;
         // As a whole: an instance that accepts late has less time for its greeting.
-        let until = Instant::now() + self.limits.connect;
+        let until = Instant::now() + self.limits.backend_connect_timeout;
         let handshake = Handshake::connect(permit, addr, &self.limits)?;
         handshake
             .write(&mut slices(&[b"\0\0\0\x26\0\x03\0\0user\0worker\0database\0catalog\0\0"]))
@@ -67,7 +67,7 @@
                 _ => return Err(Outcome::ConnectFailed),
             }
         }
-        let buffer = Buffer::new(self.limits.value_bytes + BESIDE);
+        let buffer = Buffer::new(self.limits.max_value_bytes + BESIDE);
         let (limits, wall_clock) = (self.limits.clone(), self.wall_clock.clone());
         let socket = handshake.finish().map_err(failed)?;
         Ok(PostgresLink { socket, buffer, limits, wall_clock, addr })
@@ -81,7 +81,7 @@
 
     fn is_usable(&mut self, rested: Duration, permit: ConnectionPermit) -> bool {
         let quiet = self.buffer.is_empty() && self.socket.is_idle_and_open();
-        quiet && (rested < self.limits.link_trust || self.echoes(permit))
+        quiet && (rested < self.limits.max_unchecked_idle_time || self.echoes(permit))
     }
 
     fn execute(
@@ -102,13 +102,14 @@
                 let digits = left.as_millis().max(1).to_string();
                 let (head, [before, after]) = statement.with_wait(&digits);
                 let parts = &mut slices(&[&head, before, digits.as_bytes(), after]);
-                let until = Deadlines { useful: at, listen: now + left + self.limits.link_backstop };
+                let until =
+                    Deadlines { useful: at, listen: now + left + self.limits.abandoned_response_timeout };
                 (false, until, self.socket.write_last(permit, parts))
             }
             Exchange::Probe => {
                 let mut probe = Vec::new();
                 push(&mut probe, b'Q', &[b"SHOW stats\0"]);
-                let at = now + self.limits.probe;
+                let at = now + self.limits.health_check_timeout;
                 let written = self.socket.write_last(permit, &mut slices(&[&probe]));
                 (true, Deadlines { useful: at, listen: at }, written)
             }
@@ -133,7 +134,7 @@
         if self.socket.write_check(permit, &mut slices(&[b"Q\0\0\0\x05\0"])).is_err() {
             return false;
         }
-        let until = Instant::now() + self.limits.link_check;
+        let until = Instant::now() + self.limits.backend_check_timeout;
         let mut empty = false;
         loop {
             let Ok(Some(frame)) = self.buffer.next(self.socket.reader(until)) else {
@@ -151,7 +152,7 @@
     /// Reads one answer.
     fn reply(&mut self, probe: bool, deadlines: &Deadlines) -> ExchangeResult<Vec<u8>> {
         let mut until = deadlines.listen;
-        let (mut parser, mut settling) = (Parser::new(probe, self.limits.value_bytes), false);
+        let (mut parser, mut settling) = (Parser::new(probe, self.limits.max_value_bytes), false);
         let end = loop {
             let frame = match self.buffer.next(self.socket.reader(until)) {
                 Ok(Some(f)) => f,
@@ -171,7 +172,7 @@
                 settling = true;
                 let now = Instant::now();
                 let left = deadlines.useful.saturating_duration_since(now) / 2;
-                until = until.min(now + left.min(self.limits.answer_settle));
+                until = until.min(now + left.min(self.limits.response_end_timeout));
             }
         };
         let result = parser.end(end, self.buffer.ahead(), self.wall_clock.now());
--- a/postgres/tests/answers.rs
+++ b/postgres/tests/answers.rs
@@ -175,7 +175,7 @@
     let case = cases().into_iter().find(|c| c.probe).unwrap();
     let bytes = case.messages.concat();
     let mut short = limits();
-    short.probe = Duration::from_millis(500);
+    short.health_check_timeout = Duration::from_millis(500);
     std::thread::scope(|s| {
         for at in 0..=bytes.len() {
             let (case, short, bytes) = (&case, &short, bytes[..at].to_vec());
--- a/postgres/tests/common/mod.rs
+++ b/postgres/tests/common/mod.rs
@@ -91,9 +91,9 @@
 
 pub fn limits() -> Limits {
     let mut limits = Limits::new(256, 32 << 20, LONG, LONG, LONG);
-    limits.link_check = LONG;
-    limits.answer_settle = Duration::from_millis(10);
-    limits.link_backstop = Duration::ZERO;
+    limits.backend_check_timeout = LONG;
+    limits.response_end_timeout = Duration::from_millis(10);
+    limits.abandoned_response_timeout = Duration::ZERO;
     limits
 }
 
--- a/postgres/tests/leaving.rs
+++ b/postgres/tests/leaving.rs
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_client_that_leaves_is_noticed_without_a_look_at_it() {
-    let front = Running::start(|limits| limits.client_watch = Duration::from_secs(3600));
+    let front = Running::start(|limits| limits.client_poll_interval = Duration::from_secs(3600));
     let socket = connect(front.addr);
     (&socket).write_all(&query("w1", 9000)).unwrap();
     front.open(1);
@@ -119,7 +119,7 @@
 
 #[test]
 fn without_a_thread_for_a_writer_what_was_taken_is_answered_in_order() {
-    let front = Running::start(|limits| limits.stack_bytes = usize::MAX >> 2);
+    let front = Running::start(|limits| limits.socket_thread_stack_bytes = usize::MAX >> 2);
     let socket = connect(front.addr);
     (&socket).write_all(&[query("w1", 300), query("w2", 300), query("w3", 300)].concat()).unwrap();
     for _ in 0..3 {
--- a/postgres/tests/links.rs
+++ b/postgres/tests/links.rs
@@ -23,7 +23,7 @@
 fn answering(answers: &'static [&'static [u8]]) -> (postgres::link::PostgresLink, Receiver<Vec<u8>>) {
     let (to, hears) = channel();
     let mut limits = limits();
-    limits.link_check = Duration::from_millis(500);
+    limits.backend_check_timeout = Duration::from_millis(500);
     let link = link(&limits, move |socket| {
         for answer in answers {
             let Some(got) = heard(socket) else { return };
@@ -69,7 +69,7 @@
 fn the_answer_across_a_resting_link_counts_only_whole_and_is_not_waited_for_without_end() {
     let whole = [message(b'S', b"mode\0read-only\0"), message(b'N', b"SNOTICE\0\0"), ECHO.to_vec()].concat();
     let mut limits = limits();
-    limits.link_check = Duration::from_secs(1);
+    limits.backend_check_timeout = Duration::from_secs(1);
     for how in CUTS {
         std::thread::scope(|s| {
             for at in 0..=whole.len() {
@@ -89,7 +89,7 @@
 #[test]
 fn notices_without_end_across_a_resting_link_end_with_its_check() {
     let mut limits = limits();
-    limits.link_check = Duration::from_millis(100);
+    limits.backend_check_timeout = Duration::from_millis(100);
     let mut l = link(&limits, |socket| {
         heard(socket);
         while (&*socket).write_all(&message(b'N', &[b'x'; 8 * 1024])).is_ok() {}
@@ -101,10 +101,13 @@
 fn links_rest_far_longer_than_the_time_in_which_a_router_of_many_meets_an_instance_again() {
     let (thirty, limit) = (Duration::from_secs(30), Duration::from_secs(10));
     let limits = Limits::new(384, 48 << 20, Duration::from_millis(250), thirty, thirty);
-    assert!(limits.link_idle > limit && limits.link_idle < thirty);
+    assert!(limits.backend_idle_timeout > limit && limits.backend_idle_timeout < thirty);
     // An instance that closes early is left early.
     let short = Limits::new(384, 48 << 20, Duration::from_millis(250), Duration::from_secs(2), thirty);
-    assert!(short.link_idle < Duration::from_secs(2) && short.link_trust <= short.link_idle);
+    assert!(
+        short.backend_idle_timeout < Duration::from_secs(2)
+            && short.max_unchecked_idle_time <= short.backend_idle_timeout
+    );
 }
 
 #[test]
@@ -188,7 +191,7 @@
 #[test]
 fn a_greeting_that_is_cut_at_any_byte_opens_no_link_and_a_refusal_counts_whole() {
     let mut limits = limits();
-    limits.connect = Duration::from_millis(800);
+    limits.backend_connect_timeout = Duration::from_millis(800);
     let good = [
         message(b'R', &[0; 4]),
         message(b'S', b"server_version\x0016\0"),
@@ -229,7 +232,7 @@
         while (&socket).write_all(&message(b'S', &[b'x'; 4096])).is_ok() {}
     });
     assert_eq!(open(&limits, endless).err(), Some(Outcome::ConnectFailed), "bounded by its bytes");
-    limits.connect = Duration::from_millis(300);
+    limits.backend_connect_timeout = Duration::from_millis(300);
     let slow = instance(|mut socket| {
         startup(&socket);
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
@@ -265,7 +268,7 @@
     let addr = listener.local_addr().unwrap().as_socket().unwrap();
     let first = TcpStream::connect(addr).unwrap();
     let mut limits = limits();
-    limits.connect = Duration::from_millis(1600);
+    limits.backend_connect_timeout = Duration::from_millis(1600);
     let opening = std::thread::spawn(move || {
         let begun = Instant::now();
         (Postgres::new(Arc::new(limits), Clock::new()).connect(addr, permit()).err(), begun.elapsed())
--- a/quotas/benches/admission.rs
+++ b/quotas/benches/admission.rs
@@ -20,7 +20,7 @@
         (format!("tenant-{i:04}"), Tenant { quota, ..Tenant::default() })
     };
     let tenants = (0..tenants).map(tenant).collect();
-    Arc::new(Fleet { routers: 1, unnamed: ADMITTED.into(), tenants, ..Fleet::default() })
+    Arc::new(Fleet { max_routers: 1, default_tenant: ADMITTED.into(), tenants, ..Fleet::default() })
 }
 
 /// A client with its reserved shares of all quotas, for an hour.
--- a/quotas/src/allocator/configuration.rs
+++ b/quotas/src/allocator/configuration.rs
@@ -13,18 +13,18 @@
             .iter()
             .map(|(name, tenant)| {
                 let quota = tenant.quota.as_ref();
-                let shares = quota.map(|quota| EqualShares::new(name, quota, fleet.routers));
+                let shares = quota.map(|quota| EqualShares::new(name, quota, fleet.max_routers));
                 TenantQuota { name: name.clone(), shares }
             })
             .collect();
         // A router that this leader can't see may go on with a larger fixed share for as long as the others take to learn
         // of the smaller one.
-        if tenants.iter().any(|tenant| self.frees_fixed_shares(tenant, fleet.routers)) {
+        if tenants.iter().any(|tenant| self.frees_fixed_shares(tenant, fleet.max_routers)) {
             self.old_fixed_shares_until = after(now, self.settings.settle_time);
         }
         self.tenant_index = tenants.iter().zip(0..).map(|(tenant, i)| (tenant.name.clone(), i)).collect();
         self.tenants = tenants;
-        self.max_routers = fleet.routers;
+        self.max_routers = fleet.max_routers;
         self.version = version;
         self.allocations.clear();
         for router in self.routers.iter_mut().flatten() {
--- a/quotas/src/client/configuration.rs
+++ b/quotas/src/client/configuration.rs
@@ -38,10 +38,11 @@
     fn follow_tenants(&mut self, now: Time, fleet: &Fleet) {
         let mut known: HashMap<String, TenantState> =
             self.tenants.drain(..).map(|tenant| (tenant.name.clone(), tenant)).collect();
-        let has_slot = self.slot.is_some_and(|slot| (1..=fleet.routers).contains(&slot));
+        let has_slot = self.slot.is_some_and(|slot| (1..=fleet.max_routers).contains(&slot));
         let ppm = self.clock_drift_ppm;
         for (name, settings) in &fleet.tenants {
-            let shares = settings.quota.as_ref().map(|quota| EqualShares::new(name, quota, fleet.routers));
+            let shares =
+                settings.quota.as_ref().map(|quota| EqualShares::new(name, quota, fleet.max_routers));
             let mut tenant = match known.remove(name) {
                 Some(known) => {
                     TenantState { was_unlimited: known.was_unlimited || known.shares.is_none(), ..known }
@@ -61,7 +62,7 @@
 
     fn index_tenants(&mut self, fleet: &Fleet) {
         self.index = self.tenants.iter().zip(0..).map(|(tenant, i)| (tenant.name.clone(), i)).collect();
-        self.unnamed = self.index.get(&fleet.unnamed).copied();
+        self.unnamed = self.index.get(&fleet.default_tenant).copied();
         // Reserved for all tenants: admission must not allocate.
         self.active = Vec::with_capacity(self.tenants.len());
         for (tenant, i) in self.tenants.iter_mut().zip(0..) {
--- a/quotas/tests/common/mod.rs
+++ b/quotas/tests/common/mod.rs
@@ -34,7 +34,7 @@
 pub(crate) fn fleet_of(routers: u32, tenants: &[&str], quota: &Quota) -> Fleet {
     let tenant = Tenant { quota: Some(quota.clone()), ..Tenant::default() };
     let all = tenants.iter().map(|name| ((*name).to_string(), tenant.clone())).collect();
-    Fleet { routers, unnamed: tenants[0].into(), tenants: all, ..Fleet::default() }
+    Fleet { max_routers: routers, default_tenant: tenants[0].into(), tenants: all, ..Fleet::default() }
 }
 
 /// The retry time of a request that must be shed.
--- a/quotas/tests/model_check.rs
+++ b/quotas/tests/model_check.rs
@@ -171,7 +171,7 @@
 fn fleet() -> Arc<Fleet> {
     let quota = Some(Quota { rate: RATE as f64, burst: BURST as u32, on_loss: OnLoss::Closed });
     let tenants = [("a".to_string(), Tenant { quota, ..Tenant::default() })].into();
-    Arc::new(Fleet { routers: 2, unnamed: "a".into(), tenants, ..Fleet::default() })
+    Arc::new(Fleet { max_routers: 2, default_tenant: "a".into(), tenants, ..Fleet::default() })
 }
 
 fn client(router: usize, incarnation: u64, now: Time, injected_fault: InjectedFault) -> QuotaClient {
--- a/quotas/tests/recorded_run.rs
+++ b/quotas/tests/recorded_run.rs
@@ -40,7 +40,12 @@
     let tenants = TENANTS.iter().zip(quotas);
     let tenants = tenants.map(|(name, quota)| (name.to_string(), Tenant { quota, ..Tenant::default() }));
     let routers = random.random_range(4..=6);
-    Arc::new(Fleet { routers, unnamed: "b".into(), tenants: tenants.collect(), ..Fleet::default() })
+    Arc::new(Fleet {
+        max_routers: routers,
+        default_tenant: "b".into(),
+        tenants: tenants.collect(),
+        ..Fleet::default()
+    })
 }
 
 struct Router {
--- a/quotas/tests/simulation/fault.rs
+++ b/quotas/tests/simulation/fault.rs
@@ -119,7 +119,7 @@
             (quota.rate, quota.burst) = (rate, burst);
         }
         if routers > 0 {
-            fleet.routers = routers;
+            fleet.max_routers = routers;
         }
         self.versions.push(ConfigVersion { committed_at: self.now, fleet: Arc::new(fleet) });
         self.commit_config(self.leader);
--- a/quotas/tests/simulation/mod.rs
+++ b/quotas/tests/simulation/mod.rs
@@ -37,7 +37,7 @@
 pub(crate) fn fleet(routers: u32, quotas: &[(String, Quota)]) -> Fleet {
     let tenant = |quota: &Quota| Tenant { quota: Some(quota.clone()), ..Tenant::default() };
     let tenants = quotas.iter().map(|(name, quota)| (name.clone(), tenant(quota))).collect();
-    Fleet { routers, unnamed: quotas[0].0.clone(), tenants, ..Fleet::default() }
+    Fleet { max_routers: routers, default_tenant: quotas[0].0.clone(), tenants, ..Fleet::default() }
 }
 
 /// A committed version of the configuration.
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -21,7 +21,7 @@
 use routing::{Clock, EndpointsHandle, RespondedEndpoints};
 use serde::{Deserialize, Serialize};
 use settings::Limits;
-use settings::operator::Registry as Settings;
+use settings::operator::RegistryConfig as Settings;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -103,15 +103,17 @@
             settings,
         });
         let mut machine = Machine::new(MachineSettings {
-            restored_after: micros(client.settings.restored_after),
+            restored_after: micros(client.settings.restore_detection_delay),
             tombstones: MAX_TOMBSTONES,
         });
         client.load_list(&mut machine);
         let follower = client.clone();
-        routing::spawn_needed("registry", limits.module_stack_bytes, move || follower.follow(machine))
-            .map_err(Error::Thread)?;
+        routing::spawn_needed("registry", limits.routing_thread_stack_bytes, move || {
+            follower.follow(machine)
+        })
+        .map_err(Error::Thread)?;
         let timer = client.clone();
-        routing::spawn_needed("registry-time", limits.stack_bytes, move || timer.run_timer())
+        routing::spawn_needed("registry-time", limits.socket_thread_stack_bytes, move || timer.run_timer())
             .map_err(Error::Thread)?;
         Ok(client)
     }
@@ -163,13 +165,13 @@
 
 fn fleet_settings(settings: &Settings) -> FleetSettings {
     FleetSettings {
-        allow: settings.allow.clone(),
-        deny: settings.deny.clone(),
-        fresh: micros(settings.fresh),
-        last: settings.last.map(micros),
-        held_share: settings.held_share,
-        window: micros(settings.held) / HOLD_TIME_PER_WINDOW,
-        held: micros(settings.held),
+        allow: settings.allowed_networks.clone(),
+        deny: settings.denied_networks.clone(),
+        fresh: micros(settings.max_fresh_age),
+        last: settings.max_usable_age.map(micros),
+        held_share: settings.mass_removal_share,
+        window: micros(settings.mass_removal_delay) / HOLD_TIME_PER_WINDOW,
+        held: micros(settings.mass_removal_delay),
     }
 }
 
--- a/registry/src/client/consul_poll.rs
+++ b/registry/src/client/consul_poll.rs
@@ -53,7 +53,7 @@
         let service = consul.service.clone()?;
         let consul = Consul { member: consul.member.new_connection(), service: Some(service) };
         let (prefix, wait) = (self.settings.prefix.clone(), self.connector.query_wait);
-        Some(HealthQueries::start(consul, prefix, wait, self.limits.module_stack_bytes))
+        Some(HealthQueries::start(consul, prefix, wait, self.limits.routing_thread_stack_bytes))
     }
 
     /// Follows a member of Consul until it fails or must be left.
--- a/registry/src/client/endpoint_list.rs
+++ b/registry/src/client/endpoint_list.rs
@@ -83,7 +83,7 @@
                 }
                 FleetAction::Holding(nodes) => tracing::error!(
                     "registry: most of {nodes} nodes in service vanished at once: they are held for {:?}",
-                    self.settings.held
+                    self.settings.mass_removal_delay
                 ),
                 FleetAction::Released(nodes) => {
                     tracing::warn!("registry: {nodes} nodes that had vanished are let go");
@@ -137,7 +137,7 @@
     pub(super) fn run_timer(&self) {
         let mut rounds = 0u32;
         while !self.is_stopping() {
-            std::thread::sleep(self.limits.registry_gather);
+            std::thread::sleep(self.limits.registry_debounce_delay);
             rounds += 1;
             let mut list = self.list();
             if rounds.is_multiple_of(ROUNDS_PER_TICK) {
@@ -150,7 +150,7 @@
 
     fn tick(&self, list: &mut ListState) {
         let age = list.last_contact.map_or(0, |at| self.clock.now().0 - at);
-        let wants_responses = age > micros(self.settings.fresh) / RESPONSES_AFTER_FRESH_DIVISOR;
+        let wants_responses = age > micros(self.settings.max_fresh_age) / RESPONSES_AFTER_FRESH_DIVISOR;
         for id in self.responded.drain(wants_responses) {
             // An endpoint's id is the node's name with the revision at which it was created.
             let name = id.rsplit_once('@').map_or(id.as_str(), |(name, _)| name).to_string();
--- a/registry/src/client/etcd_watch.rs
+++ b/registry/src/client/etcd_watch.rs
@@ -73,7 +73,11 @@
         etcd: &mut Etcd,
         from: Revision,
     ) -> Result<NextStep, RequestError> {
-        let probe = Etcd { member: etcd.member.new_connection(), user: etcd.user.clone(), page: etcd.page };
+        let probe = Etcd {
+            member: etcd.member.new_connection(),
+            credentials: etcd.credentials.clone(),
+            page: etcd.page,
+        };
         let mut watch = EtcdWatch {
             client: self,
             machine: &mut *machine,
--- a/registry/src/client/follow.rs
+++ b/registry/src/client/follow.rs
@@ -57,11 +57,11 @@
     }
 
     fn endpoint_settings(&self) -> EndpointSettings {
-        let (first_backoff, max_backoff) = self.limits.registry_retry;
+        let backoff = self.limits.registry_backoff;
         EndpointSettings {
             endpoints: self.settings.endpoints.len(),
-            first_backoff: micros(first_backoff),
-            max_backoff: micros(max_backoff),
+            first_backoff: micros(backoff.min),
+            max_backoff: micros(backoff.max),
             max_saved_attempts: MAX_SAVED_ATTEMPTS,
             attempts_per_s: ATTEMPTS_PER_S,
         }
--- a/registry/src/client/list_file.rs
+++ b/registry/src/client/list_file.rs
@@ -17,7 +17,7 @@
 impl Client {
     /// Begins with the last list on disk.
     pub(super) fn load_list(&self, machine: &mut Machine) {
-        let Some(folder) = &self.settings.folder else { return };
+        let Some(folder) = &self.settings.list_folder else { return };
         let cached = match cache::read(Path::new(folder)) {
             Ok(Some(cached)) => cached,
             Ok(None) => return,
@@ -46,10 +46,10 @@
 
     /// Writes the list to disk, if it has changed and the last write is long enough ago.
     pub(super) fn save_list_if_due(&self, machine: &Machine) {
-        let Some(folder) = &self.settings.folder else { return };
+        let Some(folder) = &self.settings.list_folder else { return };
         let now = self.clock.now().0;
         let mut last_saved = lock(&self.last_saved);
-        let is_recent = now - last_saved.at < micros(self.limits.registry_keep);
+        let is_recent = now - last_saved.at < micros(self.limits.registry_save_interval);
         if is_recent || last_saved.revision == machine.revision() {
             return;
         }
--- a/registry/src/client/member.rs
+++ b/registry/src/client/member.rs
@@ -6,7 +6,7 @@
 use crate::tls::Tls;
 use crate::{Error, RequestError};
 use settings::Limits;
-use settings::operator::{Registry as Settings, RegistryKind};
+use settings::operator::{RegistryConfig as Settings, RegistryKind};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -41,13 +41,13 @@
             settings: settings.clone(),
             tls: settings.tls.clone().map(Tls::new).transpose()?.map(Arc::new),
             bounds: Bounds {
-                connect_timeout: limits.connect.max(MIN_CONNECT_TIMEOUT),
-                read_timeout: limits.registry_silent,
-                max_bytes: limits.registry_bytes,
+                connect_timeout: limits.backend_connect_timeout.max(MIN_CONNECT_TIMEOUT),
+                read_timeout: limits.registry_read_timeout,
+                max_bytes: limits.max_registry_response_bytes,
             },
-            page: limits.registry_page,
-            query_wait: limits.registry_wait,
-            max_quiet: limits.registry_quiet,
+            page: limits.registry_page_size,
+            query_wait: limits.registry_blocking_query_timeout,
+            max_quiet: limits.registry_watch_check_delay,
         })
     }
 
@@ -58,11 +58,13 @@
     pub fn client_for(&self, endpoint: EndpointIndex) -> MemberClient {
         let mut member = Member::new(self.settings.endpoints[endpoint], self.tls.clone(), self.bounds);
         match self.settings.kind {
-            RegistryKind::Etcd => {
-                MemberClient::Etcd(Etcd { member, user: self.settings.user.clone(), page: self.page })
-            }
+            RegistryKind::Etcd => MemberClient::Etcd(Etcd {
+                member,
+                credentials: self.settings.credentials.clone(),
+                page: self.page,
+            }),
             RegistryKind::Consul => {
-                member.auth_header = self.settings.token.clone().map(|t| ("X-Consul-Token", t));
+                member.auth_header = self.settings.access_token.clone().map(|t| ("X-Consul-Token", t));
                 MemberClient::Consul(Consul { member, service: self.settings.service.clone() })
             }
         }
--- a/registry/src/client/registration.rs
+++ b/registry/src/client/registration.rs
@@ -16,9 +16,9 @@
     /// # Errors
     /// No thread can be started.
     pub fn register(self: &Arc<Self>, router: Router) -> Result<(), Error> {
-        let Some(name) = self.settings.register.clone() else { return Ok(()) };
+        let Some(name) = self.settings.registration_name.clone() else { return Ok(()) };
         let client = self.clone();
-        let stack = self.limits.module_stack_bytes;
+        let stack = self.limits.routing_thread_stack_bytes;
         routing::spawn_needed("registry-lease", stack, move || client.stay_registered(&name, &router))
             .map_err(Error::Thread)
     }
@@ -46,18 +46,18 @@
                 tracing::warn!("registry: {key}: {ended}");
                 last_logged = ended;
             }
-            std::thread::sleep(self.limits.registry_retry.0 * RETRY_PAUSES);
+            std::thread::sleep(self.limits.registry_backoff.min * RETRY_PAUSES);
         }
     }
 
     /// Registers, and renews the lease until it is lost or this router stops.
     fn hold_lease(&self, member: &mut MemberClient, key: &str, value: &[u8]) -> Result<(), RequestError> {
-        let lease = member.grant_lease(self.settings.ttl)?;
+        let lease = member.grant_lease(self.settings.registration_ttl)?;
         member.put(key, value, Some(&lease))?;
         *lock(&self.lease) = Some(lease.clone());
         tracing::info!("registry: registered as {key}");
         loop {
-            std::thread::sleep(self.settings.ttl / RENEWALS_PER_TTL);
+            std::thread::sleep(self.settings.registration_ttl / RENEWALS_PER_TTL);
             if self.is_stopping() || !member.keep_alive(&lease)? {
                 return Ok(());
             }
--- a/registry/src/etcd.rs
+++ b/registry/src/etcd.rs
@@ -8,6 +8,7 @@
 use crate::http::{Member, Response};
 use crate::machine::{Item, Revision};
 use serde_json::{Value, json};
+use settings::operator::Credentials;
 use wire::{elements, encoded, item, number, prefix_end};
 
 /// A client of one member of etcd.
@@ -15,7 +16,7 @@
     /// The member; its token is the header that authenticates.
     pub member: Member,
     /// User and password, where etcd wants them.
-    pub user: Option<(String, String)>,
+    pub credentials: Option<Credentials>,
     /// Keys in one page of a read.
     pub page: usize,
 }
@@ -55,8 +56,8 @@
 impl Etcd {
     /// Gets a token for the user; `false` where there is no user.
     fn log_in(&mut self) -> Result<bool, RequestError> {
-        let Some((name, password)) = self.user.clone() else { return Ok(false) };
-        let body = json!({"name": name, "password": password}).to_string();
+        let Some(Credentials { user, password }) = self.credentials.clone() else { return Ok(false) };
+        let body = json!({"name": user, "password": password}).to_string();
         self.member.auth_header = None;
         let response = self.member.request("POST", "/v3/auth/authenticate", body.as_bytes())?;
         if response.code != 200 {
@@ -69,7 +70,7 @@
     }
 
     fn log_in_if_needed(&mut self) -> Result<(), RequestError> {
-        if self.user.is_some() && self.member.auth_header.is_none() {
+        if self.credentials.is_some() && self.member.auth_header.is_none() {
             self.log_in()?;
         }
         Ok(())
--- a/registry/src/tls.rs
+++ b/registry/src/tls.rs
@@ -78,19 +78,19 @@
 }
 
 fn modification_times(files: &RegistryTls) -> ModificationTimes {
-    let names = [Some(&files.ca), files.cert.as_ref(), files.key.as_ref()];
+    let names = [Some(&files.ca_path), files.cert_path.as_ref(), files.key_path.as_ref()];
     names.into_iter().flatten().map(|f| std::fs::metadata(f).and_then(|m| m.modified()).ok()).collect()
 }
 
 fn read_roots(files: &RegistryTls) -> Result<RootCertStore, TlsError> {
     let mut roots = RootCertStore::empty();
-    let unread = |source| TlsError::Authority { path: files.ca.clone(), source };
-    for certificate in CertificateDer::pem_file_iter(&files.ca).map_err(unread)? {
+    let unread = |source| TlsError::Authority { path: files.ca_path.clone(), source };
+    for certificate in CertificateDer::pem_file_iter(&files.ca_path).map_err(unread)? {
         let added = roots.add(certificate.map_err(unread)?);
-        added.map_err(|source| TlsError::Root { path: files.ca.clone(), source })?;
+        added.map_err(|source| TlsError::Root { path: files.ca_path.clone(), source })?;
     }
     if roots.is_empty() {
-        return Err(TlsError::Empty(files.ca.clone()));
+        return Err(TlsError::Empty(files.ca_path.clone()));
     }
     Ok(roots)
 }
@@ -100,7 +100,9 @@
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let builder = ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
     let builder = builder.map_err(TlsError::Versions)?.with_root_certificates(roots);
-    let (Some(cert), Some(key)) = (&files.cert, &files.key) else { return Ok(builder.with_no_client_auth()) };
+    let (Some(cert), Some(key)) = (&files.cert_path, &files.key_path) else {
+        return Ok(builder.with_no_client_auth());
+    };
     let chain = CertificateDer::pem_file_iter(cert).and_then(Iterator::collect);
     let chain: Vec<CertificateDer> =
         chain.map_err(|source| TlsError::Certificate { path: cert.clone(), source })?;
--- a/registry/tests/dialect_requests.rs
+++ b/registry/tests/dialect_requests.rs
@@ -4,6 +4,7 @@
 use registry::etcd::{Etcd, WatchEvent};
 use registry::http::{Bounds, Member};
 use registry::machine::{Change, Item};
+use settings::operator::Credentials;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
@@ -66,7 +67,9 @@
 
 fn etcd(user: Option<(&str, &str)>, answers: Vec<Answer>) -> (Etcd, Receiver<String>) {
     let (member, requests) = member(answers);
-    (Etcd { member, user: user.map(|(name, password)| (name.into(), password.into())), page: 2 }, requests)
+    let credentials =
+        user.map(|(user, password)| Credentials { user: user.into(), password: password.into() });
+    (Etcd { member, credentials, page: 2 }, requests)
 }
 
 fn consul(service: Option<&str>, answers: Vec<Answer>) -> (Consul, Receiver<String>) {
--- a/routing/src/backends.rs
+++ b/routing/src/backends.rs
@@ -48,8 +48,8 @@
 
 /// Starts the actor and returns its mailbox.
 pub(crate) fn start<P: BackendProtocol>(resources: BackendResources<P>) -> std::io::Result<BackendSender<P>> {
-    let (own_sender, mailbox) = bounded(resources.limits.mailbox);
-    let (sender, stack) = (own_sender.clone(), resources.limits.stack_bytes);
+    let (own_sender, mailbox) = bounded(resources.limits.mailbox_capacity);
+    let (sender, stack) = (own_sender.clone(), resources.limits.socket_thread_stack_bytes);
     spawn("peer", stack, move || {
         BackendsActor { resources, own_sender, backends: HashMap::new() }.run(&mailbox);
     })?;
@@ -65,7 +65,7 @@
 
 impl<P: BackendProtocol> BackendsActor<P> {
     fn run(mut self, mailbox: &Receiver<AddressedCommand<P>>) {
-        let interval = self.resources.limits.link_idle / IDLE_CHECKS_PER_LIFETIME;
+        let interval = self.resources.limits.backend_idle_timeout / IDLE_CHECKS_PER_LIFETIME;
         let mut last_check = Instant::now();
         loop {
             match mailbox.recv_timeout(interval.saturating_sub(last_check.elapsed())) {
--- a/routing/src/backends/backend.rs
+++ b/routing/src/backends/backend.rs
@@ -66,14 +66,14 @@
 
     /// Closes connections that have been idle for too long, and all idle ones of an endpoint out of service.
     pub(super) fn close_expired(&mut self) {
-        let max_age = self.context.resources.limits.link_idle;
+        let max_age = self.context.resources.limits.backend_idle_timeout;
         let in_service = self.context.state.accepts_exchanges();
         self.idle.retain(|idle| in_service && idle.idle_for() < max_age);
     }
 
     /// Closes all but the `max_idle` most recently used idle connections, except for those used a moment ago.
     fn trim_idle(&mut self, max_idle: usize) {
-        let min_age = self.context.resources.limits.link_idle_least;
+        let min_age = self.context.resources.limits.backend_idle_timeout_when_full;
         let mut surplus = self.idle.len().saturating_sub(max_idle);
         self.idle.retain(|idle| {
             let closes = surplus > 0 && idle.idle_for() >= min_age;
@@ -94,7 +94,9 @@
         let resources = &self.context.resources;
         let (open, permit) = resources.connections.acquire();
         self.announce_near_limit(open);
-        if open >= resources.limits.link_connections || self.busy >= resources.limits.links_per_peer {
+        if open >= resources.limits.max_backend_connections
+            || self.busy >= resources.limits.max_connections_per_backend
+        {
             return self.context.report_outcome(&task, Outcome::NeverSent);
         }
         let idle = IdleConnection { connection: None, since: Instant::now(), permit };
@@ -103,7 +105,7 @@
 
     /// The most recently used connection that has settled since its response, or else the one that will have soonest.
     fn take_idle(&mut self) -> Option<IdleConnection<P>> {
-        let settle_time = self.context.resources.limits.link_settle;
+        let settle_time = self.context.resources.limits.backend_reuse_delay;
         let settled = self.idle.iter().rposition(|idle| idle.idle_for() >= settle_time);
         (!self.idle.is_empty()).then(|| self.idle.remove(settled.unwrap_or(0)))
     }
@@ -112,8 +114,8 @@
     /// are idle.
     fn announce_near_limit(&self, open: usize) {
         let BackendResources { limits, router, .. } = &self.context.resources;
-        if 16 * open >= NEAR_LIMIT_SIXTEENTHS * limits.link_connections {
-            let max_idle = usize::from(16 * open < CRITICAL_SIXTEENTHS * limits.link_connections);
+        if 16 * open >= NEAR_LIMIT_SIXTEENTHS * limits.max_backend_connections {
+            let max_idle = usize::from(16 * open < CRITICAL_SIXTEENTHS * limits.max_backend_connections);
             _ = router.try_send(RouterMessage::ConnectionsNearLimit { max_idle });
         }
     }
@@ -124,7 +126,7 @@
         let (task_sender, task_receiver) = bounded(1);
         _ = task_sender.send((task, guard));
         let (context, receiver) = (self.context.clone(), task_receiver.clone());
-        let started = spawn("link", self.context.resources.limits.stack_bytes, move || {
+        let started = spawn("link", self.context.resources.limits.socket_thread_stack_bytes, move || {
             if let Ok((task, guard)) = receiver.try_recv() {
                 run(&context, task, &guard, idle);
             }
--- a/routing/src/backends/exchange.rs
+++ b/routing/src/backends/exchange.rs
@@ -67,7 +67,7 @@
 ) {
     let IdleConnection { mut connection, since: last_response, permit } = idle;
     if connection.is_some() {
-        wait_until_settled(context.resources.limits.link_settle, last_response);
+        wait_until_settled(context.resources.limits.backend_reuse_delay, last_response);
     }
     // Whatever fails in the protocol's code, the task gets its end and the connection's place is free again.
     let executed =
--- a/routing/src/endpoints.rs
+++ b/routing/src/endpoints.rs
@@ -104,10 +104,10 @@
     metrics: Option<Arc<Metrics>>,
     wall_clock: WallClock,
 ) -> std::io::Result<EndpointsHandle> {
-    let (sender, mailbox) = bounded(limits.mailbox);
+    let (sender, mailbox) = bounded(limits.mailbox_capacity);
     let handle = EndpointsHandle { sender, published: Published::default() };
     let published = handle.published.clone();
     let actor = EndpointsActor::new(router, published, metrics, wall_clock);
-    spawn_needed("list", limits.stack_bytes, move || actor.run(&mailbox))?;
+    spawn_needed("list", limits.socket_thread_stack_bytes, move || actor.run(&mailbox))?;
     Ok(handle)
 }
--- a/routing/src/recorded_run.rs
+++ b/routing/src/recorded_run.rs
@@ -8,7 +8,7 @@
     Class, Freshness, GroupId, Idempotency, MemberEntry, MemberId, MemberReport, MemberState, Outcome,
     Settings, Time,
 };
-use settings::fleet::{Fleet, Place, Tenant};
+use settings::fleet::{Fleet, PlacementRule, Tenant};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::Arc;
@@ -198,8 +198,8 @@
         {
             let sites = if random.chance(4) { vec!["c"] } else { sites };
             let sites = sites.into_iter().map(String::from).collect();
-            let places = vec![Place { sites, strict, classes: None }];
-            tenants.insert(name.to_string(), Tenant { places, ..Tenant::default() });
+            let places = vec![PlacementRule { sites, strict, classes: None }];
+            tenants.insert(name.to_string(), Tenant { placement_rules: places, ..Tenant::default() });
         }
         let fleet = Arc::new(Fleet { tenants: tenants.into_iter().collect(), ..Fleet::default() });
         let rules = placement::News::Rules { version: self.version, fleet };
--- a/routing/src/router.rs
+++ b/routing/src/router.rs
@@ -57,12 +57,12 @@
     /// # Errors
     /// A thread could not be started.
     pub fn start(self) -> std::io::Result<(RouterHandle<P>, EndpointsHandle)> {
-        let (sender, mailbox) = bounded(self.limits.mailbox);
+        let (sender, mailbox) = bounded(self.limits.mailbox_capacity);
         let wall_clock = WallClock::new(self.clock);
         let endpoints =
             endpoints::start(&self.limits, sender.clone(), self.metrics.clone(), wall_clock.clone())?;
         let handle = RouterHandle::new(sender.clone(), self.metrics.clone(), wall_clock);
-        let stack_bytes = self.limits.module_stack_bytes;
+        let stack_bytes = self.limits.routing_thread_stack_bytes;
         let subsets = |settings| Box::new(PlacementSubsets::new(settings, &self.settings.classes));
         let subsets = self.placement.map(subsets);
         let resources = BackendResources {
--- a/routing/src/router/attempts.rs
+++ b/routing/src/router/attempts.rs
@@ -116,7 +116,7 @@
     /// How an attempt has ended that was cancelled before its first byte: it never ran. Where its connection had most of
     /// its time and did not come up, that is held against the endpoint.
     fn unsent_outcome(&self, times: &AttemptTimes) -> Outcome {
-        let connect_timeout = self.resources.limits.connect;
+        let connect_timeout = self.resources.limits.backend_connect_timeout;
         let is_overdue = times.connecting_since.is_some_and(|since| 2 * since.elapsed() >= connect_timeout);
         if is_overdue { Outcome::ConnectFailed } else { Outcome::NeverSent }
     }
--- a/routing/src/router/capacity.rs
+++ b/routing/src/router/capacity.rs
@@ -12,7 +12,7 @@
     /// The processes of this router share its capacity at endpoints, its probes and its descriptors. Connections beyond
     /// this process's share count as reserved for the others.
     pub(super) fn set_process_count(&mut self, processes: u32) {
-        let all = self.resources.limits.link_connections;
+        let all = self.resources.limits.max_backend_connections;
         let reserved = all - all / processes.max(1) as usize;
         self.resources.connections.replace_reserved(self.reserved_connections, reserved);
         self.reserved_connections = reserved;
--- a/routing/src/socket.rs
+++ b/routing/src/socket.rs
@@ -99,11 +99,12 @@
 /// The connection could not be made or set up within `limits.connect`.
 pub fn connect_to_endpoint(addr: SocketAddr, limits: &Limits) -> io::Result<TcpStream> {
     let started = Instant::now();
-    let socket = TcpStream::connect_timeout(&addr, limits.connect)?;
+    let socket = TcpStream::connect_timeout(&addr, limits.backend_connect_timeout)?;
     socket.set_nodelay(true)?;
-    let remaining = limits.connect.saturating_sub(started.elapsed()).max(MIN_GREETING_TIMEOUT);
+    let remaining =
+        limits.backend_connect_timeout.saturating_sub(started.elapsed()).max(MIN_GREETING_TIMEOUT);
     socket.set_read_timeout(Some(remaining))?;
-    socket.set_write_timeout(Some(limits.connect))?;
+    socket.set_write_timeout(Some(limits.backend_connect_timeout))?;
     Ok(socket)
 }
 
--- a/routing/tests/handover/connections.rs
+++ b/routing/tests/handover/connections.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn panicking_protocol_ends_attempt_and_frees_connection_slot() {
-    let mut core = Core::start(|limits| limits.links_per_peer = 1);
+    let mut core = Core::start(|limits| limits.max_connections_per_backend = 1);
     core.list(&[endpoint("a", 1, 0)]);
     core.script.with(addr(1), |e| e.panics = 1);
     let started = Instant::now();
--- a/routing/tests/handover/mailbox.rs
+++ b/routing/tests/handover/mailbox.rs
@@ -20,7 +20,7 @@
 fn full_mailbox_loses_no_drain_removal_or_disconnect() {
     // A drain, a removal, a client that disconnects.
     for event in 0..3 {
-        let mut core = Core::start(|limits| limits.mailbox = 16);
+        let mut core = Core::start(|limits| limits.mailbox_capacity = 16);
         let (a, c, d) = (draining(endpoint("a", 1, 0)), endpoint("c", 3, 1), endpoint("d", 4, 2));
         core.list(std::slice::from_ref(&c));
         assert_eq!(core.submit(1, IDEMPOTENT).served_by(), addr(3));
--- a/routing/tests/placement/script.rs
+++ b/routing/tests/placement/script.rs
@@ -9,7 +9,7 @@
     RouterBuilder, RouterHandle, ServerSocket,
 };
 use settings::Limits;
-use settings::fleet::{Fleet, Place, Tenant};
+use settings::fleet::{Fleet, PlacementRule, Tenant};
 use std::collections::VecDeque;
 use std::io::IoSlice;
 use std::net::{SocketAddr, TcpListener};
@@ -184,8 +184,8 @@
 fn fleet(rules: &[Rule<'_>]) -> Arc<Fleet> {
     let tenant = |rule: &Rule<'_>| {
         let sites = rule.sites.iter().map(ToString::to_string).collect();
-        let places = vec![Place { sites, strict: rule.strict, classes: None }];
-        (rule.tenant.to_string(), Tenant { places, ..Tenant::default() })
+        let places = vec![PlacementRule { sites, strict: rule.strict, classes: None }];
+        (rule.tenant.to_string(), Tenant { placement_rules: places, ..Tenant::default() })
     };
     Arc::new(Fleet { tenants: rules.iter().map(tenant).collect(), ..Fleet::default() })
 }
--- a/sessions/src/node.rs
+++ b/sessions/src/node.rs
@@ -22,7 +22,7 @@
 use decision::Time;
 use routing::{Clock, spawn};
 use settings::Limits;
-use settings::operator::Sessions as Settings;
+use settings::operator::SessionsConfig as Settings;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -187,7 +187,7 @@
         for (peer, addr) in new {
             let own = self.clone();
             let run = move || own.run_outbound(peer, addr);
-            if let Err(error) = spawn("peer-to", self.limits.module_stack_bytes, run) {
+            if let Err(error) = spawn("peer-to", self.limits.routing_thread_stack_bytes, run) {
                 tracing::error!("sessions: no thread for peer {peer}: {error}");
             }
         }
--- a/sessions/src/node/actions.rs
+++ b/sessions/src/node/actions.rs
@@ -70,7 +70,7 @@
         let mut entries: Vec<(Key, i64)> = machine.kept().iter().map(|(key, at)| (key, at.0)).collect();
         // Oldest first: the peer's oldest generations are to be ours.
         entries.reverse();
-        for part in entries.chunks(self.limits.session_chunk) {
+        for part in entries.chunks(self.limits.max_sessions_per_frame) {
             connection.send(Frame::Push(Push::All { entries: part.to_vec() }));
         }
         let floor = machine.floor().filter(|_| !machine.floor_due()).map(|at| at.0);
--- a/sessions/src/node/connection.rs
+++ b/sessions/src/node/connection.rs
@@ -43,9 +43,9 @@
     /// A connection on this socket, and the frames that are to be written to it.
     pub(super) fn connection(&self, socket: TcpStream) -> io::Result<(Connection, Receiver<Frame>)> {
         socket.set_nodelay(true)?;
-        socket.set_read_timeout(Some(self.limits.session_silent))?;
-        socket.set_write_timeout(Some(self.limits.session_silent))?;
-        let (queue, queued) = bounded(self.limits.session_queue);
+        socket.set_read_timeout(Some(self.limits.session_peer_timeout))?;
+        socket.set_write_timeout(Some(self.limits.session_peer_timeout))?;
+        let (queue, queued) = bounded(self.limits.max_queued_session_frames);
         let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         Ok((Connection { number, socket: Arc::new(socket), queue }, queued))
     }
--- a/sessions/src/node/inbound.rs
+++ b/sessions/src/node/inbound.rs
@@ -29,7 +29,7 @@
                     tracing::debug!("sessions: a peer's connection has ended: {error}");
                 }
             };
-            if let Err(error) = spawn("peer-from", self.limits.module_stack_bytes, run) {
+            if let Err(error) = spawn("peer-from", self.limits.routing_thread_stack_bytes, run) {
                 tracing::error!("sessions: no thread for a peer: {error}");
             }
         }
@@ -39,7 +39,7 @@
     fn run_inbound(self: &Arc<Self>, socket: TcpStream) -> io::Result<()> {
         let (connection, queued) = self.connection(socket)?;
         let (socket, number) = (connection.socket.clone(), connection.number);
-        let hello = match frames::read(&*socket, self.limits.session_frame_bytes)? {
+        let hello = match frames::read(&*socket, self.limits.max_session_frame_bytes)? {
             Frame::Hello { version, cluster, from, incarnation, to } => {
                 Hello { version, cluster, from, incarnation, to }
             }
@@ -52,13 +52,13 @@
             tracing::warn!("sessions: instance {from} (incarnation {incarnation}) is not taken: {why:?}");
             return frames::write(&*socket, &Frame::Refused(why));
         }
-        let (to_peer, max_entries) = (socket.clone(), self.limits.session_chunk);
+        let (to_peer, max_entries) = (socket.clone(), self.limits.max_sessions_per_frame);
         let write = move || {
             // A socket that fails ends the reader too, which says why.
             _ = write_queued(&to_peer, &queued, max_entries);
             close(&to_peer);
         };
-        let ended = spawn("peer-told", self.limits.stack_bytes, write)
+        let ended = spawn("peer-told", self.limits.socket_thread_stack_bytes, write)
             .and_then(|()| self.receive_pushes(from, number, &socket));
         self.end_inbound(from, number);
         ended
@@ -98,7 +98,7 @@
 
     fn receive_pushes(&self, from: Instance, number: u64, socket: &TcpStream) -> io::Result<()> {
         loop {
-            let Frame::Push(push) = frames::read(socket, self.limits.session_frame_bytes)? else {
+            let Frame::Push(push) = frames::read(socket, self.limits.max_session_frame_bytes)? else {
                 return Err(io::Error::other("no push"));
             };
             let mut state = self.lock();
--- a/sessions/src/node/journal_thread.rs
+++ b/sessions/src/node/journal_thread.rs
@@ -48,7 +48,7 @@
     pub(super) fn run_journal(&self, mut journal: Journal, woken: &Receiver<()>) {
         let mut state = JournalState::Written;
         loop {
-            let woken = woken.recv_timeout(self.limits.session_disk_retry);
+            let woken = woken.recv_timeout(self.limits.session_disk_retry_delay);
             if woken == Err(RecvTimeoutError::Disconnected) || self.stopping.load(Ordering::Acquire) {
                 return;
             }
@@ -122,7 +122,7 @@
             self.syncs.fetch_add(1, Ordering::Relaxed);
             self.handle(Event::Synced(last_seq));
         }
-        if journal.wants_rewrite(self.limits.session_compact_bytes) {
+        if journal.wants_rewrite(self.limits.min_session_compaction_bytes) {
             let seq = self.rewrite(journal, |_| None)?;
             self.handle(Event::Synced(seq));
         }
--- a/sessions/src/node/outbound.rs
+++ b/sessions/src/node/outbound.rs
@@ -59,10 +59,10 @@
         let mut log = PeerLog { peer, last: String::new() };
         while self.is_listed(peer, addr) {
             let begun = self.clock.now();
-            match routing::socket::connect(addr, self.limits.connect) {
+            match routing::socket::connect(addr, self.limits.backend_connect_timeout) {
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
                     // A peer that may have moved is not proven gone by the address that it had.
-                    if !self.settings.moves {
+                    if !self.settings.peer_addresses_may_change {
                         self.handle(Event::Down(peer, begun));
                     }
                     log.warn("is down: its address refuses connections".into());
@@ -96,7 +96,7 @@
         let incarnation = self.lock().machine.incarnation();
         let (cluster, from) = (self.settings.cluster.clone(), self.settings.instance);
         frames::write(socket, &Frame::Hello { version: VERSION, cluster, from, incarnation, to: peer })?;
-        match frames::read(socket, self.limits.session_frame_bytes)? {
+        match frames::read(socket, self.limits.max_session_frame_bytes)? {
             Frame::Welcome { incarnation, holds } => Ok(Answer::Welcome { incarnation, holds }),
             Frame::Refused(why) => Ok(Answer::Refused(why)),
             _ => Err(io::Error::other("no answer to a hello")),
@@ -123,11 +123,11 @@
         tracing::info!("sessions: peer {peer} takes our commits, from {holds} on");
         let (own, from_peer) = (self.clone(), socket.clone());
         let read = move || own.read_confirmations(peer, number, &from_peer);
-        if let Err(error) = spawn("peer-says", self.limits.stack_bytes, read) {
+        if let Err(error) = spawn("peer-says", self.limits.socket_thread_stack_bytes, read) {
             self.unlink(peer, number);
             return Err(error);
         }
-        let ended = write_queued(&socket, queued, self.limits.session_chunk);
+        let ended = write_queued(&socket, queued, self.limits.max_sessions_per_frame);
         close(&socket);
         self.unlink(peer, number);
         ended.map(|()| None)
@@ -135,7 +135,7 @@
 
     fn read_confirmations(&self, peer: Instance, number: u64, socket: &TcpStream) {
         loop {
-            match frames::read(socket, self.limits.session_frame_bytes) {
+            match frames::read(socket, self.limits.max_session_frame_bytes) {
                 Ok(Frame::Confirm(seq)) => self.handle_of(peer, number, Event::Confirmed(peer, seq)),
                 Ok(Frame::Ask(at)) => self.handle_of(peer, number, Event::Asked(peer, at)),
                 _ => break,
--- a/sessions/src/node/start.rs
+++ b/sessions/src/node/start.rs
@@ -7,7 +7,7 @@
 use crossbeam_channel::{Sender, bounded};
 use routing::Clock;
 use settings::Limits;
-use settings::operator::Sessions as Settings;
+use settings::operator::SessionsConfig as Settings;
 use std::collections::BTreeMap;
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, AtomicU64};
@@ -30,12 +30,12 @@
         instance: settings.instance,
         incarnation: clock.now().0.max(1) as u64,
         lease: settings.lease.as_micros() as i64,
-        resume: limits.session_resume,
-        sessions: settings.remembered,
+        resume: limits.max_buffered_session_commits,
+        sessions: settings.max_sessions,
         durable: false,
         incomplete: !settings.trust_after_start,
     };
-    let Some(folder) = &settings.folder else {
+    let Some(folder) = &settings.journal_folder else {
         return Ok(Beginning { journal: None, machine: Machine::new(machine, [], None) });
     };
     let opened = journal::open(folder.as_ref(), settings.instance)?;
@@ -95,14 +95,17 @@
         if let Some(journal) = journal {
             let own = sessions.clone();
             let run = move || own.run_journal(journal, &woken);
-            routing::spawn_needed("journal", limits.module_stack_bytes, run).map_err(Error::Thread)?;
+            routing::spawn_needed("journal", limits.routing_thread_stack_bytes, run)
+                .map_err(Error::Thread)?;
         }
         sessions.list(settings.peers.clone());
         let own = sessions.clone();
-        routing::spawn_needed("sessions", limits.stack_bytes, move || own.accept_all(&listener))
-            .map_err(Error::Thread)?;
+        routing::spawn_needed("sessions", limits.socket_thread_stack_bytes, move || {
+            own.accept_all(&listener)
+        })
+        .map_err(Error::Thread)?;
         let own = sessions.clone();
-        routing::spawn_needed("leases", limits.stack_bytes, move || own.run_ticks())
+        routing::spawn_needed("leases", limits.socket_thread_stack_bytes, move || own.run_ticks())
             .map_err(Error::Thread)?;
         tracing::info!("sessions: instance {} takes peers on {addr}", settings.instance);
         Ok(sessions)
@@ -115,10 +118,10 @@
             cluster: String::new(),
             listen: ([127, 0, 0, 1], 0).into(),
             peers: BTreeMap::new(),
-            folder: None,
-            remembered: limits.sessions_alone,
+            journal_folder: None,
+            max_sessions: limits.max_local_sessions,
             lease: LEASE_ALONE,
-            moves: false,
+            peer_addresses_may_change: false,
             trust_after_start: false,
         };
         let machine = MachineSettings {
@@ -126,7 +129,7 @@
             incarnation: 0,
             lease: settings.lease.as_micros() as i64,
             resume: 0,
-            sessions: settings.remembered,
+            sessions: settings.max_sessions,
             durable: false,
             incomplete: true,
         };
--- a/sessions/src/node/status.rs
+++ b/sessions/src/node/status.rs
@@ -22,7 +22,7 @@
             "incarnation": machine.incarnation(),
             "stopped": machine.stopped().map(|why| why.to_string()),
             "sessions": machine.kept().len(),
-            "sessions_bytes_most": CommitCache::bound_bytes(self.settings.remembered),
+            "sessions_bytes_most": CommitCache::bound_bytes(self.settings.max_sessions),
             "folded": machine.kept().folded(),
             "floor_us": machine.floor().map(|at| at.0),
             "floor_due": machine.floor_due(),
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -19,10 +19,10 @@
 pub enum Fault {
     /// A key that must be set is not.
     #[error("expected the field '{0}', found none")]
-    Missing(String),
+    MissingKey(String),
     /// A key's value can't be used.
     #[error("expected {expected} in '{key}', found {found}")]
-    Value {
+    InvalidValue {
         /// The key.
         key: String,
         /// What may stand there.
@@ -32,7 +32,7 @@
     },
     /// What stands under the innermost key of the path can't be used, or its keys contradict each other.
     #[error("expected {expected}, found {found}")]
-    Here {
+    Invalid {
         /// What may stand there.
         expected: Cow<'static, str>,
         /// What stands there.
@@ -40,7 +40,7 @@
     },
     /// A key that nothing reads: most often a misspelling.
     #[error("the key '{key}' is not known; known are {}", known.join(", "))]
-    Unknown {
+    UnknownKey {
         /// The key.
         key: String,
         /// The keys that may stand beside it.
@@ -69,7 +69,7 @@
 }
 
 /// The kind of a value, for messages; not the value itself, which may be a secret.
-pub fn shape(v: &Value) -> &'static str {
+pub fn json_kind(v: &Value) -> &'static str {
     match v {
         Value::Null => "nothing",
         Value::Bool(_) => "true or false",
@@ -83,21 +83,21 @@
 impl Error {
     /// The error for a key that must be set and is not.
     pub fn missing(key: &str) -> Error {
-        Fault::Missing(key.into()).into()
+        Fault::MissingKey(key.into()).into()
     }
 
     /// The error for a key whose value can't be used: what may stand there, and what does.
-    pub fn value(key: &str, expected: impl Into<Cow<'static, str>>, found: impl Display) -> Error {
-        Fault::Value { key: key.into(), expected: expected.into(), found: found.to_string() }.into()
+    pub fn invalid_value(key: &str, expected: impl Into<Cow<'static, str>>, found: impl Display) -> Error {
+        Fault::InvalidValue { key: key.into(), expected: expected.into(), found: found.to_string() }.into()
     }
 
-    /// The error for what can't be used as a whole: [`Error::at`] names it, or `expected` does.
-    pub fn here(expected: impl Into<Cow<'static, str>>, found: impl Display) -> Error {
-        Fault::Here { expected: expected.into(), found: found.to_string() }.into()
+    /// The error for what can't be used as a whole: [`Error::under_key`] names it, or `expected` does.
+    pub fn invalid(expected: impl Into<Cow<'static, str>>, found: impl Display) -> Error {
+        Fault::Invalid { expected: expected.into(), found: found.to_string() }.into()
     }
 
     /// The same fault, under this key.
-    pub fn at(mut self, key: impl Into<String>) -> Error {
+    pub fn under_key(mut self, key: impl Into<String>) -> Error {
         self.path.push(key.into());
         self
     }
--- a/settings/src/fields.rs
+++ b/settings/src/fields.rs
@@ -1,6 +1,6 @@
 //! Reading the fields of JSON objects. Each reader takes the object and the field's name; errors name the field, what may
 //! stand there and what does.
-use crate::error::{Error, shape};
+use crate::error::{Error, json_kind};
 use decision::Micros;
 use serde_json::Value;
 
@@ -26,15 +26,16 @@
 ///
 /// # Errors
 /// An [`Error`] that names the field: it is missing or not a text.
-pub fn text<'a>(v: &'a Value, name: &str) -> Result<&'a str, Error> {
+pub fn string<'a>(v: &'a Value, name: &str) -> Result<&'a str, Error> {
     let x = field(v, name)?;
-    x.as_str().ok_or_else(|| Error::value(name, "text", shape(x)))
+    x.as_str().ok_or_else(|| Error::invalid_value(name, "text", json_kind(x)))
 }
 
 /// An array of texts.
-pub(crate) fn texts(v: &Value, name: &str) -> Result<Vec<String>, Error> {
-    let item =
-        |x: &Value| x.as_str().map(str::to_string).ok_or_else(|| Error::value(name, "texts", shape(x)));
+pub(crate) fn strings(v: &Value, name: &str) -> Result<Vec<String>, Error> {
+    let item = |x: &Value| {
+        x.as_str().map(str::to_string).ok_or_else(|| Error::invalid_value(name, "texts", json_kind(x)))
+    };
     array(v, name)?.iter().map(item).collect()
 }
 
@@ -44,20 +45,20 @@
 /// An [`Error`] that names the field: it is missing or not a finite number.
 pub fn number(v: &Value, name: &str) -> Result<f64, Error> {
     let x = field(v, name)?;
-    let x = x.as_f64().ok_or_else(|| Error::value(name, "a number", shape(x)))?;
-    if x.is_finite() { Ok(x) } else { Err(Error::value(name, "a finite number", x)) }
+    let x = x.as_f64().ok_or_else(|| Error::invalid_value(name, "a number", json_kind(x)))?;
+    if x.is_finite() { Ok(x) } else { Err(Error::invalid_value(name, "a finite number", x)) }
 }
 
 /// A whole number that is not negative, also where it is written with a decimal point.
 ///
 /// # Errors
 /// An [`Error`] that names the field: it is missing or not such a number.
-pub fn whole(v: &Value, name: &str) -> Result<u64, Error> {
+pub fn unsigned_integer(v: &Value, name: &str) -> Result<u64, Error> {
     let x = field(v, name)?;
     let without_fraction = |f: f64| (f >= 0.0 && f.fract() == 0.0 && f < 9e15).then_some(f as u64);
     x.as_u64().or_else(|| x.as_f64().and_then(without_fraction)).ok_or_else(|| match x {
-        Value::Number(n) => Error::value(name, "a whole number", n),
-        other => Error::value(name, "a whole number", shape(other)),
+        Value::Number(n) => Error::invalid_value(name, "a whole number", n),
+        other => Error::invalid_value(name, "a whole number", json_kind(other)),
     })
 }
 
@@ -65,10 +66,10 @@
 ///
 /// # Errors
 /// An [`Error`] that names the field: it is neither true nor false.
-pub fn flag(v: &Value, name: &str) -> Result<bool, Error> {
+pub fn boolean(v: &Value, name: &str) -> Result<bool, Error> {
     match v.get(name) {
         None | Some(Value::Null) => Ok(false),
-        Some(x) => x.as_bool().ok_or_else(|| Error::value(name, "true or false", shape(x))),
+        Some(x) => x.as_bool().ok_or_else(|| Error::invalid_value(name, "true or false", json_kind(x))),
     }
 }
 
@@ -77,45 +78,45 @@
 /// # Errors
 /// An [`Error`] that names the field: it is missing, not a whole number, or above `u32::MAX`.
 pub fn count(v: &Value, name: &str) -> Result<u32, Error> {
-    let x = whole(v, name)?;
-    u32::try_from(x).map_err(|_| Error::value(name, "at most 4294967295", x))
+    let x = unsigned_integer(v, name)?;
+    u32::try_from(x).map_err(|_| Error::invalid_value(name, "at most 4294967295", x))
 }
 
 /// A finite number that is not negative.
 ///
 /// # Errors
 /// An [`Error`] that names the field: it is missing, not a number, or below 0.
-pub fn amount(v: &Value, name: &str) -> Result<f64, Error> {
+pub fn non_negative_number(v: &Value, name: &str) -> Result<f64, Error> {
     let x = number(v, name)?;
-    if x >= 0.0 { Ok(x) } else { Err(Error::value(name, "a number not below 0", x)) }
+    if x >= 0.0 { Ok(x) } else { Err(Error::invalid_value(name, "a number not below 0", x)) }
 }
 
 /// A duration that the field gives in milliseconds.
 ///
 /// # Errors
 /// An [`Error`] that names the field: it is missing, not a number, negative, or longer than three years.
-pub fn span(v: &Value, name: &str) -> Result<Micros, Error> {
+pub fn duration_from_ms(v: &Value, name: &str) -> Result<Micros, Error> {
     let ms = number(v, name)?;
     if (0.0..=MAX_DURATION_MS).contains(&ms) {
-        return Ok(micros(ms));
+        return Ok(ms_to_micros(ms));
     }
-    Err(Error::value(name, format!("0 to {MAX_DURATION_MS} milliseconds"), ms))
+    Err(Error::invalid_value(name, format!("0 to {MAX_DURATION_MS} milliseconds"), ms))
 }
 
 /// A time on a clock that the field gives in milliseconds from the clock's zero.
 ///
 /// # Errors
 /// An [`Error`] that names the field: it is missing, not a number, or farther than three thousand years from 0.
-pub fn moment(v: &Value, name: &str) -> Result<Micros, Error> {
+pub fn time_from_ms(v: &Value, name: &str) -> Result<Micros, Error> {
     let ms = number(v, name)?;
     if ms.abs() <= MAX_TIME_MS {
-        return Ok(micros(ms));
+        return Ok(ms_to_micros(ms));
     }
-    Err(Error::value(name, format!("at most {MAX_TIME_MS} milliseconds from 0"), ms))
+    Err(Error::invalid_value(name, format!("at most {MAX_TIME_MS} milliseconds from 0"), ms))
 }
 
 /// Milliseconds as microseconds, rounded to the nearest.
-pub fn micros(ms: f64) -> Micros {
+pub fn ms_to_micros(ms: f64) -> Micros {
     (ms * 1000.0).round() as Micros
 }
 
@@ -125,5 +126,5 @@
 /// An [`Error`] that names the field: it is missing or not an array.
 pub fn array<'a>(v: &'a Value, name: &str) -> Result<&'a Vec<Value>, Error> {
     let x = field(v, name)?;
-    x.as_array().ok_or_else(|| Error::value(name, "an array", shape(x)))
+    x.as_array().ok_or_else(|| Error::invalid_value(name, "an array", json_kind(x)))
 }
--- a/settings/src/fleet/document.rs
+++ b/settings/src/fleet/document.rs
@@ -1,20 +1,20 @@
-//! The fleet's document as the store keeps it and routers follow it.
+//! The fleet's document as the store keeps it and routers follow it. As JSON, commands print it with the keys of the file.
 use super::error::FleetError;
-use serde::{Deserialize, Serialize};
+use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The longest document, in bytes.
-pub const BYTES: usize = 1 << 20;
+pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 /// The most tenants of a document.
-pub const TENANTS: usize = 10_000;
+pub const MAX_TENANTS: usize = 10_000;
 /// The most routers that a fleet may have.
-pub const ROUTERS: u32 = 10_000;
+pub const MAX_ROUTERS: u32 = 10_000;
 
 /// A version of the configuration: the store's revision at which it was committed; 0 where there is none yet.
 pub type Version = u64;
 
 /// What a router without the store may go on admitting.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub enum OnLoss {
     /// Nothing, once its grants have run out.
     #[default]
@@ -24,7 +24,7 @@
 }
 
 /// How much a tenant may ask of all routers together.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Quota {
     /// Requests a second; 0 rejects all.
     pub rate: f64,
@@ -35,8 +35,8 @@
 }
 
 /// Where a tenant's data may be read and written.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Place {
+#[derive(Clone, Debug, PartialEq, Serialize)]
+pub struct PlacementRule {
     /// The sites; at least one.
     pub sites: BTreeSet<String>,
     /// Nowhere else. Otherwise elsewhere where none of the sites serves.
@@ -46,26 +46,29 @@
 }
 
 /// A tenant.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Tenant {
     /// The `MySQL` users that are this tenant's.
     pub users: BTreeSet<String>,
     /// Its quota; without one its requests are not limited.
     pub quota: Option<Quota>,
     /// Its placement rules; without any its data may be anywhere.
-    pub places: Vec<Place>,
+    #[serde(rename = "places")]
+    pub placement_rules: Vec<PlacementRule>,
 }
 
 /// The whole document.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Fleet {
     /// The most routers that the fleet has: reserved shares of quotas are divided by it.
-    pub routers: u32,
+    #[serde(rename = "routers")]
+    pub max_routers: u32,
     /// The sites that rules may name.
     pub sites: BTreeSet<String>,
     /// The tenant of requests that name none, or one that is not known.
-    pub unnamed: String,
-    /// The tenants by name; `unnamed` is one of them.
+    #[serde(rename = "unnamed")]
+    pub default_tenant: String,
+    /// The tenants by name; `default_tenant` is one of them.
     pub tenants: BTreeMap<String, Tenant>,
 }
 
@@ -76,9 +79,9 @@
     /// [`FleetError::NoMember`] names the first rule that does not.
     pub fn has_members(&self, has: &BTreeSet<String>) -> Result<(), FleetError> {
         for (name, tenant) in &self.tenants {
-            let without_server = |place: &Place| place.strict && place.sites.is_disjoint(has);
-            if let Some(i) = tenant.places.iter().position(without_server) {
-                let sites = tenant.places[i].sites.iter().cloned().collect::<Vec<_>>().join(", ");
+            let without_server = |place: &PlacementRule| place.strict && place.sites.is_disjoint(has);
+            if let Some(i) = tenant.placement_rules.iter().position(without_server) {
+                let sites = tenant.placement_rules[i].sites.iter().cloned().collect::<Vec<_>>().join(", ");
                 return Err(FleetError::NoMember { key: format!("tenant '{name}'.place[{i}]"), sites });
             }
         }
--- a/settings/src/fleet/text.rs
+++ b/settings/src/fleet/text.rs
@@ -1,5 +1,7 @@
 //! Reading a document from TOML, with a check of each key and of what the keys say together.
-use super::document::{BYTES, Fleet, OnLoss, Place, Quota, ROUTERS, TENANTS, Tenant};
+use super::document::{
+    Fleet, MAX_DOCUMENT_BYTES, MAX_ROUTERS, MAX_TENANTS, OnLoss, PlacementRule, Quota, Tenant,
+};
 use super::error::{FleetError, value};
 use super::names::{check_name, name_set};
 use serde::Deserialize;
@@ -54,15 +56,15 @@
 /// # Errors
 /// A [`FleetError`] that names the faulty key; nothing of the document is used then.
 pub fn read(text: &str, classes: Option<&[String]>) -> Result<Fleet, FleetError> {
-    if text.len() > BYTES {
-        return Err(value("document", format!("at most {BYTES} bytes"), text.len()));
+    if text.len() > MAX_DOCUMENT_BYTES {
+        return Err(value("document", format!("at most {MAX_DOCUMENT_BYTES} bytes"), text.len()));
     }
     let document: DocumentText = toml::from_str(text)?;
-    if !(1..=ROUTERS).contains(&document.routers) {
-        return Err(value("routers", format!("1 to {ROUTERS}"), document.routers));
+    if !(1..=MAX_ROUTERS).contains(&document.routers) {
+        return Err(value("routers", format!("1 to {MAX_ROUTERS}"), document.routers));
     }
-    if document.tenant.len() > TENANTS {
-        return Err(value("tenant", format!("at most {TENANTS} tenants"), document.tenant.len()));
+    if document.tenant.len() > MAX_TENANTS {
+        return Err(value("tenant", format!("at most {MAX_TENANTS} tenants"), document.tenant.len()));
     }
     let sites = name_set("sites", &document.sites)?;
     let tenants = read_tenants(&document.tenant, &sites, classes)?;
@@ -70,7 +72,7 @@
         let found = format!("'{}'", document.unnamed);
         return Err(value("unnamed", "the name of one of the tenants", found));
     }
-    Ok(Fleet { routers: document.routers, sites, unnamed: document.unnamed, tenants })
+    Ok(Fleet { max_routers: document.routers, sites, default_tenant: document.unnamed, tenants })
 }
 
 /// The tenants by name. Neither a tenant nor a user may stand twice.
@@ -87,7 +89,7 @@
         let key = format!("tenant '{name}'");
         let tenant = read_tenant(&key, text, sites)?;
         claim_users(&key, name, &tenant.users, &mut tenant_of_user)?;
-        check_classes(&key, &tenant.places, classes)?;
+        check_classes(&key, &tenant.placement_rules, classes)?;
         if tenants.insert(name.clone(), tenant).is_some() {
             let key = format!("tenant[{i}].name");
             return Err(FleetError::Twice { key, name: name.clone(), before: "an earlier tenant".into() });
@@ -113,7 +115,7 @@
 }
 
 /// Refuses a rule for a class that the front does not have, where its classes are known.
-fn check_classes(key: &str, places: &[Place], classes: Option<&[String]>) -> Result<(), FleetError> {
+fn check_classes(key: &str, places: &[PlacementRule], classes: Option<&[String]>) -> Result<(), FleetError> {
     let Some(known) = classes else { return Ok(()) };
     for (i, place) in places.iter().enumerate() {
         if let Some(unknown) = place.classes.iter().flatten().find(|class| !known.contains(class)) {
@@ -143,7 +145,7 @@
         }
         places.push(place);
     }
-    Ok(Tenant { users, quota: read_quota(key, text)?, places })
+    Ok(Tenant { users, quota: read_quota(key, text)?, placement_rules: places })
 }
 
 /// The error for a second rule for a class, or for all that no rule names.
@@ -155,7 +157,7 @@
     FleetError::Overlap { key, class }
 }
 
-fn read_place(key: &str, text: &PlaceText, listed: &BTreeSet<String>) -> Result<Place, FleetError> {
+fn read_place(key: &str, text: &PlaceText, listed: &BTreeSet<String>) -> Result<PlacementRule, FleetError> {
     let sites_key = format!("{key}.sites");
     let sites = name_set(&sites_key, &text.sites)?;
     if sites.is_empty() {
@@ -175,7 +177,7 @@
     if classes.as_ref().is_some_and(BTreeSet::is_empty) {
         return Err(value(classes_key, "at least one class, or no such key", "none"));
     }
-    Ok(Place { sites, strict, classes })
+    Ok(PlacementRule { sites, strict, classes })
 }
 
 fn read_quota(key: &str, text: &TenantText) -> Result<Option<Quota>, FleetError> {
--- a/settings/src/members.rs
+++ b/settings/src/members.rs
@@ -47,21 +47,21 @@
 
 /// How a router takes part in the membership protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Members {
+pub struct MembershipConfig {
     /// Its name; no two routers of the fleet share one at a time.
     pub name: String,
     /// Where it receives datagrams (UDP).
     pub listen: SocketAddrV4,
     /// The address that the others send to, where that is not `listen`.
-    pub told: Option<SocketAddrV4>,
+    pub advertised_address: Option<SocketAddrV4>,
     /// Addresses of any routers of the fleet to join by; none for the first.
     pub seeds: Vec<SocketAddrV4>,
     /// The fleet's name; not empty.
     pub cluster: String,
     /// The protocol period (20 ms to 5 s): one member is probed in each; every other time of membership is in proportion.
-    pub rhythm: Duration,
+    pub protocol_period: Duration,
     /// Shares of the capacity are computed for at least this many routers, however few are alive.
-    pub least: u32,
+    pub min_counted_routers: u32,
 }
 
 /// The table as it stands in the file, before it is checked. Messages of errors contain its name,
@@ -91,7 +91,7 @@
 ///
 /// # Errors
 /// An [`Error`] that names the faulty key.
-pub fn read(v: &Value, routers: u32) -> Result<Members, Error> {
+pub fn read(v: &Value, routers: u32) -> Result<MembershipConfig, Error> {
     let table: Raw = serde_json::from_value(v.clone()).map_err(|e| Error::Table(e.to_string()))?;
     let allowed = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
     if !(1..=MAX_NAME_BYTES).contains(&table.name.len()) || !table.name.bytes().all(allowed) {
@@ -109,13 +109,13 @@
     if !(1..=routers).contains(&least) {
         return Err(Error::Least { routers, found: least });
     }
-    Ok(Members {
+    Ok(MembershipConfig {
         listen: address("listen", &table.listen, true)?,
-        told: table.told.map(|a| address("told", &a, false)).transpose()?,
+        advertised_address: table.told.map(|a| address("told", &a, false)).transpose()?,
         seeds: table.seeds.iter().map(|a| address("seeds", a, false)).collect::<Result<_, _>>()?,
         name: table.name,
         cluster: table.cluster,
-        rhythm: Duration::from_millis(rhythm),
-        least,
+        protocol_period: Duration::from_millis(rhythm),
+        min_counted_routers: least,
     })
 }
--- a/settings/src/operator/registry.rs
+++ b/settings/src/operator/registry.rs
@@ -1,7 +1,8 @@
 //! The table `[registry]`: the key-value registry from which the node list is followed.
+use super::credentials::Credentials;
 use super::table::{only, optional, optional_table, or, owned, positive, seconds};
 use crate::error::Error;
-use crate::fields::{text, texts};
+use crate::fields::{string, strings};
 use ipnet::IpNet;
 use serde_json::Value;
 use std::net::{IpAddr, SocketAddr};
@@ -46,18 +47,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegistryTls {
     /// The certificate authority of the registry's certificate.
-    pub ca: String,
+    pub ca_path: String,
     /// This router's certificate; set together with `key`.
-    pub cert: Option<String>,
+    pub cert_path: Option<String>,
     /// The private key of `cert`.
-    pub key: Option<String>,
+    pub key_path: Option<String>,
     /// The name in the registry's certificate; the address of the endpoint where it is not set.
     pub server_name: Option<String>,
 }
 
 /// A key-value registry that is followed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Registry {
+pub struct RegistryConfig {
     /// Its interface.
     pub kind: RegistryKind,
     /// The addresses of its members; at least one.
@@ -67,103 +68,103 @@
     /// Consul: the service whose instances are nodes.
     pub service: Option<String>,
     /// etcd: user and password.
-    pub user: Option<(String, String)>,
+    pub credentials: Option<Credentials>,
     /// Consul: the access token.
-    pub token: Option<String>,
+    pub access_token: Option<String>,
     /// TLS to the registry; without it connections are plain.
     pub tls: Option<RegistryTls>,
     /// Networks that nodes may be in; any where the list is empty.
-    pub allow: Vec<IpNet>,
+    pub allowed_networks: Vec<IpNet>,
     /// Networks that nodes may not be in.
-    pub deny: Vec<IpNet>,
+    pub denied_networks: Vec<IpNet>,
     /// While the list is not older than this, every node gets new requests.
-    pub fresh: Duration,
+    pub max_fresh_age: Duration,
     /// Once the list is older than this, no node gets new requests; without it there is no such age. Not below `fresh`.
-    pub last: Option<Duration>,
+    pub max_usable_age: Option<Duration>,
     /// Where more than this share (above 0, at most 1) of the nodes vanishes at once, they stay listed for `held`.
-    pub held_share: f64,
+    pub mass_removal_share: f64,
     /// How long nodes that vanished together stay listed.
-    pub held: Duration,
+    pub mass_removal_delay: Duration,
     /// A registry whose revision is behind for this long counts as restored from a backup.
-    pub restored_after: Duration,
+    pub restore_detection_delay: Duration,
     /// Folder of the last list, for a start without the registry.
-    pub folder: Option<String>,
+    pub list_folder: Option<String>,
     /// The name under which this router registers itself; without it, it does not.
-    pub register: Option<String>,
+    pub registration_name: Option<String>,
     /// How long a registration outlives this router; at least 1 s.
-    pub ttl: Duration,
+    pub registration_ttl: Duration,
     /// This router's zone; empty where the file sets none.
     pub zone: String,
 }
 
-pub(super) fn read_registry(v: &Value) -> Result<Registry, Error> {
+pub(super) fn read_registry(v: &Value) -> Result<RegistryConfig, Error> {
     only(v, &KEYS)?;
     let kind = read_kind(v)?;
     let endpoints = read_endpoints(v)?;
     let prefix = read_prefix(v)?;
     let held_share = or(v, "held_share", 0.5, positive)?;
     if held_share > 1.0 {
-        return Err(Error::value("held_share", "at most 1", held_share));
+        return Err(Error::invalid_value("held_share", "at most 1", held_share));
     }
-    let user = read_user(v)?;
+    let credentials = read_credentials(v)?;
     let (fresh, last) = read_list_ages(v)?;
     if kind == RegistryKind::Etcd && v.get("service").is_some() {
-        return Err(Error::here("'service' with consul only", "it with etcd"));
+        return Err(Error::invalid("'service' with consul only", "it with etcd"));
     }
-    Ok(Registry {
+    Ok(RegistryConfig {
         kind,
         endpoints,
         prefix,
         service: optional(v, "service", owned)?,
-        user,
-        token: optional(v, "token", owned)?,
+        credentials,
+        access_token: optional(v, "token", owned)?,
         tls: optional_table(v, "tls", read_tls)?,
-        allow: read_networks(v, "allow")?,
-        deny: read_networks(v, "deny")?,
-        fresh,
-        last,
-        held_share,
-        held: seconds(v, "held_s", 60.0)?,
-        restored_after: seconds(v, "restored_after_s", 10.0)?,
-        folder: optional(v, "folder", owned)?,
-        register: optional(v, "register", owned)?,
-        ttl: seconds(v, "ttl_s", 10.0)?.max(MIN_TTL),
+        allowed_networks: read_networks(v, "allow")?,
+        denied_networks: read_networks(v, "deny")?,
+        max_fresh_age: fresh,
+        max_usable_age: last,
+        mass_removal_share: held_share,
+        mass_removal_delay: seconds(v, "held_s", 60.0)?,
+        restore_detection_delay: seconds(v, "restored_after_s", 10.0)?,
+        list_folder: optional(v, "folder", owned)?,
+        registration_name: optional(v, "register", owned)?,
+        registration_ttl: seconds(v, "ttl_s", 10.0)?.max(MIN_TTL),
         zone: or(v, "zone", String::new(), owned)?,
     })
 }
 
 fn read_kind(v: &Value) -> Result<RegistryKind, Error> {
-    match text(v, "kind")? {
+    match string(v, "kind")? {
         "etcd" => Ok(RegistryKind::Etcd),
         "consul" => Ok(RegistryKind::Consul),
-        x => Err(Error::value("kind", "etcd or consul", format_args!("'{x}'"))),
+        x => Err(Error::invalid_value("kind", "etcd or consul", format_args!("'{x}'"))),
     }
 }
 
 fn read_endpoints(v: &Value) -> Result<Vec<SocketAddr>, Error> {
     let address = |a: String| {
-        let invalid = |_| Error::value("endpoints", "ip:port", format_args!("'{a}'"));
+        let invalid = |_| Error::invalid_value("endpoints", "ip:port", format_args!("'{a}'"));
         a.parse().map_err(invalid)
     };
     let endpoints: Vec<SocketAddr> =
-        or(v, "endpoints", Vec::new(), texts)?.into_iter().map(address).collect::<Result<_, _>>()?;
+        or(v, "endpoints", Vec::new(), strings)?.into_iter().map(address).collect::<Result<_, _>>()?;
     if endpoints.is_empty() {
-        return Err(Error::value("endpoints", "an address", "none"));
+        return Err(Error::invalid_value("endpoints", "an address", "none"));
     }
     Ok(endpoints)
 }
 
 fn read_prefix(v: &Value) -> Result<String, Error> {
-    let prefix = text(v, "prefix")?.trim_matches('/');
+    let prefix = string(v, "prefix")?.trim_matches('/');
     if prefix.is_empty() {
-        return Err(Error::value("prefix", "something", "nothing but slashes"));
+        return Err(Error::invalid_value("prefix", "something", "nothing but slashes"));
     }
     Ok(format!("/{prefix}/"))
 }
 
-fn read_user(v: &Value) -> Result<Option<(String, String)>, Error> {
+fn read_credentials(v: &Value) -> Result<Option<Credentials>, Error> {
     let Some(user) = optional(v, "user", owned)? else { return Ok(None) };
-    Ok(Some((user, owned(v, "password")?)))
+    Ok(Some(Credentials { user, password: owned(v, "password")? }))
 }
 
 /// The ages `fresh_s` and `last_s`.
@@ -173,7 +174,7 @@
     match last {
         Some(last) if last < fresh => {
             let found = format!("{} below {}", last.as_secs_f64(), fresh.as_secs_f64());
-            Err(Error::here("'last_s' to be at least 'fresh_s'", found))
+            Err(Error::invalid("'last_s' to be at least 'fresh_s'", found))
         }
         _ => Ok((fresh, last)),
     }
@@ -182,14 +183,14 @@
 fn read_tls(v: &Value) -> Result<RegistryTls, Error> {
     only(v, &["ca", "cert", "key", "server_name"])?;
     let tls = RegistryTls {
-        ca: owned(v, "ca")?,
-        cert: optional(v, "cert", owned)?,
-        key: optional(v, "key", owned)?,
+        ca_path: owned(v, "ca")?,
+        cert_path: optional(v, "cert", owned)?,
+        key_path: optional(v, "key", owned)?,
         server_name: optional(v, "server_name", owned)?,
     };
-    match (&tls.cert, &tls.key) {
-        (Some(_), None) => Err(Error::here("'cert' and 'key' together", "'cert' alone")),
-        (None, Some(_)) => Err(Error::here("'cert' and 'key' together", "'key' alone")),
+    match (&tls.cert_path, &tls.key_path) {
+        (Some(_), None) => Err(Error::invalid("'cert' and 'key' together", "'cert' alone")),
+        (None, Some(_)) => Err(Error::invalid("'cert' and 'key' together", "'key' alone")),
         _ => Ok(tls),
     }
 }
@@ -199,7 +200,7 @@
     let network = |a: String| {
         let single_address = || a.parse::<IpAddr>().ok().map(IpNet::from);
         let parsed: Option<IpNet> = a.parse().ok().or_else(single_address);
-        parsed.ok_or_else(|| Error::value(key, "a network or an address", format_args!("'{a}'")))
+        parsed.ok_or_else(|| Error::invalid_value(key, "a network or an address", format_args!("'{a}'")))
     };
-    or(v, key, Vec::new(), texts)?.into_iter().map(network).collect()
+    or(v, key, Vec::new(), strings)?.into_iter().map(network).collect()
 }
--- a/settings/src/operator/reload.rs
+++ b/settings/src/operator/reload.rs
@@ -1,10 +1,10 @@
 //! What a later file may change while the program runs, and which of its keys need a restart.
-use super::mysql::Mysql;
+use super::mysql::MysqlConfig;
 use super::table::only;
-use super::{Operator, from_value, parse};
+use super::{OperatorConfig, from_value, parse};
 use crate::error::Error;
 use crate::fields::field;
-use crate::start::changed;
+use crate::start::changed_keys;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,11 +19,11 @@
 #[derive(Clone, Debug)]
 pub struct Reload {
     /// The `MySQL` front's settings; only users, rules and the default group may differ from those of the start.
-    pub mysql: Mysql,
+    pub mysql: MysqlConfig,
     /// The peers of sessions, where the file has `[sessions]` at all.
     pub session_peers: Option<BTreeMap<u64, SocketAddr>>,
     /// Keys that differ and are followed only by a restart.
-    pub restart: Vec<String>,
+    pub keys_needing_restart: Vec<String>,
 }
 
 /// Reads the text of a later file against the start. `overlay` is TOML from a registry, whose users, rules and default
@@ -31,38 +31,39 @@
 ///
 /// # Errors
 /// An [`Error`] that names the faulty key of the file or of the overlay.
-pub fn reload(toml: &str, overlay: Option<&str>, start: &Operator) -> Result<Reload, Error> {
+pub fn reload(toml: &str, overlay: Option<&str>, start: &OperatorConfig) -> Result<Reload, Error> {
     let mut value = parse(toml)?;
     if let Some(overlay) = overlay {
         apply_overlay(&mut value, &parse(overlay)?)?;
     }
     let new = from_value(value)?;
-    let mut restart = changed(&start.said, &new.said, &["mysql", "sessions"]);
-    let (old_sessions, new_sessions) = (table(&start.said, "sessions"), table(&new.said, "sessions"));
+    let mut restart = changed_keys(&start.parsed_file, &new.parsed_file, &["mysql", "sessions"]);
+    let (old_sessions, new_sessions) =
+        (table(&start.parsed_file, "sessions"), table(&new.parsed_file, "sessions"));
     restart.extend(changed_session_keys(old_sessions, new_sessions));
     // Peers of another instance number or cluster must not meet a process that still has the old ones.
     let same = |key: &str| old_sessions.get(key) == new_sessions.get(key);
     let session_peers =
         new.sessions.filter(|_| start.sessions.is_some() && same("instance") && same("cluster"));
-    let (old_mysql, new_mysql) = (table(&start.said, "mysql"), table(&new.said, "mysql"));
+    let (old_mysql, new_mysql) = (table(&start.parsed_file, "mysql"), table(&new.parsed_file, "mysql"));
     // Rules name classes by their positions: with other classes they would mean something else to the router.
     let same_classes = old_mysql.get("class") == new_mysql.get("class");
     let live_keys: &[&str] =
         if same_classes { &LIVE_MYSQL_KEYS } else { &LIVE_MYSQL_KEYS_WITH_OTHER_CLASSES };
-    restart.extend(changed(old_mysql, new_mysql, live_keys).iter().map(|key| format!("mysql.{key}")));
+    restart.extend(changed_keys(old_mysql, new_mysql, live_keys).iter().map(|key| format!("mysql.{key}")));
     let mut mysql = start.mysql.clone();
     mysql.users = new.mysql.users;
     if same_classes {
-        (mysql.rules, mysql.group) = (new.mysql.rules, new.mysql.group);
+        (mysql.rules, mysql.default_group) = (new.mysql.rules, new.mysql.default_group);
     }
-    Ok(Reload { mysql, session_peers: session_peers.map(|s| s.peers), restart })
+    Ok(Reload { mysql, session_peers: session_peers.map(|s| s.peers), keys_needing_restart: restart })
 }
 
 /// Puts what a registry sets in place of what the file does.
 fn apply_overlay(file: &mut Value, overlay: &Value) -> Result<(), Error> {
     only(overlay, &["mysql"])?;
     let overlay = field(overlay, "mysql")?;
-    only(overlay, &LIVE_MYSQL_KEYS).map_err(|e| e.at("mysql"))?;
+    only(overlay, &LIVE_MYSQL_KEYS).map_err(|e| e.under_key("mysql"))?;
     let mysql =
         file.get_mut("mysql").and_then(Value::as_object_mut).ok_or_else(|| Error::missing("mysql"))?;
     for (key, value) in overlay.as_object().into_iter().flatten() {
@@ -82,5 +83,5 @@
         return vec!["sessions".into()];
     }
     // Of two nulls no key differs.
-    changed(old, new, &["peer"]).iter().map(|key| format!("sessions.{key}")).collect()
+    changed_keys(old, new, &["peer"]).iter().map(|key| format!("sessions.{key}")).collect()
 }
--- a/settings/src/operator/sessions.rs
+++ b/settings/src/operator/sessions.rs
@@ -1,7 +1,7 @@
 //! The table `[sessions]`: session commits that outlive a restart and are shared between router instances.
 use super::table::{each, loopback, only, optional, or, owned, peer, positive};
 use crate::error::Error;
-use crate::fields::whole;
+use crate::fields::unsigned_integer;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 
 /// Sessions that live on across restarts and instances.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sessions {
+pub struct SessionsConfig {
     /// This instance's number.
     pub instance: u64,
     /// The cluster's name, the same at all its instances.
@@ -29,40 +29,40 @@
     /// The addresses of the other instances by number.
     pub peers: BTreeMap<u64, SocketAddr>,
     /// Folder of the journal; without it nothing is written to disk.
-    pub folder: Option<String>,
+    pub journal_folder: Option<String>,
     /// How many sessions are remembered one by one.
-    pub remembered: usize,
+    pub max_sessions: usize,
     /// How long one instance relies on a peer's commits without receiving anything from it.
     pub lease: Duration,
     /// A registry may give peers other addresses than the file: a refused connection is then no proof that a peer is
     /// down.
-    pub moves: bool,
+    pub peer_addresses_may_change: bool,
     /// After a start without a journal, reads are served without the commits of before. Only for measuring what the
     /// safe way costs.
     pub trust_after_start: bool,
 }
 
-pub(super) fn read_sessions(v: &Value) -> Result<Sessions, Error> {
+pub(super) fn read_sessions(v: &Value) -> Result<SessionsConfig, Error> {
     only(v, &["instance", "cluster", "listen", "folder", "remembered", "lease_ms", "after_start", "peer"])?;
-    let instance = whole(v, "instance")?;
+    let instance = unsigned_integer(v, "instance")?;
     let peers = read_peers(v, instance)?;
     let folder = optional(v, "folder", owned)?;
     let lease = read_lease(v)?;
-    let remembered = or(v, "remembered", DEFAULT_REMEMBERED, whole)? as usize;
+    let remembered = or(v, "remembered", DEFAULT_REMEMBERED, unsigned_integer)? as usize;
     if !REMEMBERED.contains(&remembered) {
         let expected = format!("{} to {}", REMEMBERED.start(), REMEMBERED.end());
-        return Err(Error::value("remembered", expected, remembered));
+        return Err(Error::invalid_value("remembered", expected, remembered));
     }
     let trust_after_start = read_trust_after_start(v, folder.as_deref())?;
-    Ok(Sessions {
+    Ok(SessionsConfig {
         instance,
         cluster: or(v, "cluster", "damsonvale".to_string(), owned)?,
         listen: loopback(v, "listen")?,
         peers,
-        folder,
-        remembered,
+        journal_folder: folder,
+        max_sessions: remembered,
         lease,
-        moves: false,
+        peer_addresses_may_change: false,
         trust_after_start,
     })
 }
@@ -71,7 +71,7 @@
     let listed = each(v, "peer", |p| peer(p, "instance"))?;
     let mut peers: BTreeMap<u64, SocketAddr> = listed.iter().copied().collect();
     if peers.len() < listed.len() {
-        return Err(Error::here("each 'peer' once", "an instance twice"));
+        return Err(Error::invalid("each 'peer' once", "an instance twice"));
     }
     // The same list may stand in the files of all instances.
     peers.remove(&own_instance);
@@ -82,7 +82,7 @@
     let lease_ms = or(v, "lease_ms", DEFAULT_LEASE_MS, positive)?;
     if !LEASE_MS.contains(&lease_ms) {
         let expected = format!("{} to {}", LEASE_MS.start(), LEASE_MS.end());
-        return Err(Error::value("lease_ms", expected, lease_ms));
+        return Err(Error::invalid_value("lease_ms", expected, lease_ms));
     }
     Ok(Duration::from_secs_f64(lease_ms / 1000.0))
 }
@@ -94,8 +94,8 @@
         ("floor", _) => Ok(false),
         ("trust", None) => Ok(true),
         ("trust", Some(folder)) => {
-            Err(Error::here("no 'folder' beside after_start = \"trust\"", format_args!("'{folder}'")))
+            Err(Error::invalid("no 'folder' beside after_start = \"trust\"", format_args!("'{folder}'")))
         }
-        (x, _) => Err(Error::value("after_start", "floor or trust", format_args!("'{x}'"))),
+        (x, _) => Err(Error::invalid_value("after_start", "floor or trust", format_args!("'{x}'"))),
     }
 }
--- a/settings/src/operator/store.rs
+++ b/settings/src/operator/store.rs
@@ -1,44 +1,54 @@
 //! The table `[store]`: this node of the replicated store and its peers.
 use super::table::{each, loopback, only, optional, owned, peer};
 use crate::error::Error;
-use crate::fields::whole;
+use crate::fields::unsigned_integer;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// The replicated store.
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct Store {
+pub struct StoreConfig {
     /// This node's number, above 0.
-    pub node: u64,
+    pub node_id: u64,
     /// The addresses of all nodes by number, this one included.
-    pub peers: BTreeMap<u64, SocketAddr>,
+    pub node_addresses: BTreeMap<u64, SocketAddr>,
     /// Folder of the log; without it the log is in memory alone.
-    pub folder: Option<String>,
+    pub log_folder: Option<String>,
     /// Address of the control commands, as `ip:port`; without it there are none.
-    pub control: Option<String>,
+    pub control_address: Option<String>,
     /// Address at which clients that are not nodes are answered.
-    pub clients: Option<SocketAddr>,
+    pub client_address: Option<SocketAddr>,
 }
 
-impl Store {
+impl StoreConfig {
     /// A store of one node, in memory, as a router without `[store]` has it.
-    pub(super) fn single_node() -> Store {
+    pub(super) fn single_node() -> StoreConfig {
         const NODE: u64 = 1;
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        Store { node: NODE, peers: BTreeMap::from([(NODE, any_port)]), ..Store::default() }
+        StoreConfig {
+            node_id: NODE,
+            node_addresses: BTreeMap::from([(NODE, any_port)]),
+            ..StoreConfig::default()
+        }
     }
 }
 
-pub(super) fn read_store(v: &Value) -> Result<Store, Error> {
+pub(super) fn read_store(v: &Value) -> Result<StoreConfig, Error> {
     only(v, &["node", "folder", "control", "clients", "peer"])?;
-    let node = whole(v, "node")?;
+    let node = unsigned_integer(v, "node")?;
     let peers: BTreeMap<u64, SocketAddr> = each(v, "peer", |p| peer(p, "node"))?.into_iter().collect();
     if node == 0 || !peers.contains_key(&node) {
-        return Err(Error::here("'node' to be one of the peers and not 0", node));
+        return Err(Error::invalid("'node' to be one of the peers and not 0", node));
     }
     let folder = optional(v, "folder", owned)?;
     let control = optional(v, "control", loopback)?.map(|addr| addr.to_string());
     let clients = optional(v, "clients", loopback)?;
-    Ok(Store { node, peers, folder, control, clients })
+    Ok(StoreConfig {
+        node_id: node,
+        node_addresses: peers,
+        log_folder: folder,
+        control_address: control,
+        client_address: clients,
+    })
 }
--- a/settings/src/operator/table.rs
+++ b/settings/src/operator/table.rs
@@ -1,6 +1,6 @@
 //! Reading the tables of the operator's file: known keys, defaults, lists of tables and addresses.
-use crate::error::{Error, Fault, shape};
-use crate::fields::{array, number, text, whole};
+use crate::error::{Error, Fault, json_kind};
+use crate::fields::{array, number, string, unsigned_integer};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 
 /// Refuses what is no table, and a table with a key that is not one of `keys`.
 pub(super) fn only(v: &Value, keys: &[&str]) -> Result<(), Error> {
-    let table = v.as_object().ok_or_else(|| Error::here("a table", shape(v)))?;
+    let table = v.as_object().ok_or_else(|| Error::invalid("a table", json_kind(v)))?;
     match table.keys().find(|key| !keys.contains(&key.as_str())) {
         Some(key) => {
             let known = keys.iter().map(|known| (*known).to_string()).collect();
-            Err(Fault::Unknown { key: key.clone(), known }.into())
+            Err(Fault::UnknownKey { key: key.clone(), known }.into())
         }
         None => Ok(()),
     }
@@ -45,7 +45,7 @@
     key: &str,
     read: impl Fn(&Value) -> Result<T, Error>,
 ) -> Result<Option<T>, Error> {
-    v.get(key).map(read).transpose().map_err(|e| e.at(key))
+    v.get(key).map(read).transpose().map_err(|e| e.under_key(key))
 }
 
 /// Each table of an array, none where the key is missing. Errors name the position.
@@ -57,19 +57,19 @@
     if v.get(key).is_none() {
         return Ok(Vec::new());
     }
-    let at = |(i, item)| read(item).map_err(|e| e.at(format!("{key}[{i}]")));
+    let at = |(i, item)| read(item).map_err(|e| e.under_key(format!("{key}[{i}]")));
     array(v, key)?.iter().enumerate().map(at).collect()
 }
 
 /// A text as a `String` of its own.
 pub(super) fn owned(v: &Value, key: &str) -> Result<String, Error> {
-    text(v, key).map(str::to_string)
+    string(v, key).map(str::to_string)
 }
 
 /// A number above 0.
 pub(super) fn positive(v: &Value, key: &str) -> Result<f64, Error> {
     let x = number(v, key)?;
-    if x > 0.0 { Ok(x) } else { Err(Error::value(key, "a positive number", x)) }
+    if x > 0.0 { Ok(x) } else { Err(Error::invalid_value(key, "a positive number", x)) }
 }
 
 /// A length of time given in seconds, `default` where the key is missing, at most a day.
@@ -79,13 +79,13 @@
 
 /// A socket address of this machine's loopback networks.
 pub(super) fn loopback(v: &Value, key: &str) -> Result<SocketAddr, Error> {
-    let addr = text(v, key)?;
+    let addr = string(v, key)?;
     let parsed: Option<SocketAddr> = addr.parse().ok().filter(|a: &SocketAddr| a.ip().is_loopback());
-    parsed.ok_or_else(|| Error::value(key, "ip:port on loopback", format_args!("'{addr}'")))
+    parsed.ok_or_else(|| Error::invalid_value(key, "ip:port on loopback", format_args!("'{addr}'")))
 }
 
 /// A peer's table: its number, under `id_key`, and its address.
 pub(super) fn peer(v: &Value, id_key: &str) -> Result<(u64, SocketAddr), Error> {
     only(v, &[id_key, "addr"])?;
-    Ok((whole(v, id_key)?, loopback(v, "addr")?))
+    Ok((unsigned_integer(v, id_key)?, loopback(v, "addr")?))
 }
--- a/settings/src/platform.rs
+++ b/settings/src/platform.rs
@@ -1,19 +1,21 @@
 //! Reads the settings object of the platform's configuration and of the simulator's start message. Keys that are not
 //! named here are skipped.
 use crate::error::Error;
-use crate::fields::{amount, array, count, field, flag, moment, span, text};
+use crate::fields::{
+    array, boolean, count, duration_from_ms, field, non_negative_number, string, time_from_ms,
+};
 use decision::{Class, Freshness, Idempotency, LaggingReplica, Micros, SessionCommitSource, Settings};
 use serde_json::{Value, json};
 
 /// What the simulator's adapter needs to translate its messages and reports.
 #[derive(Clone, Debug)]
-pub struct Translation {
+pub struct AdapterSettings {
     /// The time from which positions are counted, in microseconds of the simulator's clock.
-    pub zero: Micros,
+    pub position_zero: Micros,
     /// Which classes are writes, by position.
-    pub writes: Vec<bool>,
+    pub class_is_write: Vec<bool>,
     /// How many tenants are listed.
-    pub tenants: usize,
+    pub tenant_count: usize,
 }
 
 /// A table of the settings object; faults in it are reported under its key.
@@ -33,11 +35,11 @@
         read: impl FnOnce(&'a Value, &str) -> Result<T, Error>,
         name: &str,
     ) -> Result<T, Error> {
-        read(self.table, name).map_err(|e| e.at(self.key))
+        read(self.table, name).map_err(|e| e.under_key(self.key))
     }
 
     fn value_error(&self, name: &str, expected: &'static str, found: &str) -> Error {
-        Error::value(name, expected, format_args!("'{found}'")).at(self.key)
+        Error::invalid_value(name, expected, format_args!("'{found}'")).under_key(self.key)
     }
 }
 
@@ -45,7 +47,7 @@
 ///
 /// # Errors
 /// An [`Error`] that names the faulty field and the tables around it.
-pub fn read(v: &Value) -> Result<(Settings, Translation), Error> {
+pub fn read(v: &Value) -> Result<(Settings, AdapterSettings), Error> {
     let extra = Section::of(v, "extra")?;
     let limits = Section::of(v, "limits")?;
     let contract = Section::of(v, "contract")?;
@@ -53,35 +55,37 @@
     let lagging_replica = read_lagging_replica(&extra)?;
     let session_commit_source = read_session_commit_source(&extra)?;
     let tenant_rates = read_tenant_rates(v)?;
-    let translation = Translation {
-        zero: extra.read(moment, "positionZeroMs")?,
-        writes: classes.iter().map(|c| c.freshness == Freshness::Write).collect(),
-        tenants: tenant_rates.len(),
+    let translation = AdapterSettings {
+        position_zero: extra.read(time_from_ms, "positionZeroMs")?,
+        class_is_write: classes.iter().map(|c| c.freshness == Freshness::Write).collect(),
+        tenant_count: tenant_rates.len(),
     };
-    let retry_after_allowed = limits.read(flag, "retryAfter")?;
+    let retry_after_allowed = limits.read(boolean, "retryAfter")?;
     let settings = Settings {
         classes,
         tenant_rates,
         over_quota_weight: v.get("overShareWorth").and_then(Value::as_f64).unwrap_or(1.0),
         router_count: count(v, "replicasOfMe")?.max(1),
         zone: count(v, "zone")?,
-        min_event_interval: span(v, "roundMs")?,
+        min_event_interval: duration_from_ms(v, "roundMs")?,
         lagging_replica,
         session_commit_source,
-        hedging_allowed: limits.read(flag, "mayDuplicate")?,
+        hedging_allowed: limits.read(boolean, "mayDuplicate")?,
         max_attempts: limits.read(count, "mostTries")?,
-        cancel_allowed: limits.read(flag, "cancel")?,
-        probing_allowed: limits.read(flag, "probes")?,
+        cancel_allowed: limits.read(boolean, "cancel")?,
+        probing_allowed: limits.read(boolean, "probes")?,
         probe_cost: v.get("prices").and_then(|p| p.get("probe")).and_then(Value::as_f64).unwrap_or(0.0),
-        max_retry_after: retry_after_allowed.then(|| limits.read(span, "maxRetryAfterMs")).transpose()?,
-        connect_timeout: limits.read(span, "dialTimeoutMs")?,
-        drain_grace: contract.read(span, "drainGraceMs")?,
-        missing_members_may_serve: contract.read(flag, "drainBindsAlone")?,
-        slow_start_initial_share: contract.read(amount, "coldFrom")?,
-        slow_start_duration: contract.read(span, "coldMs")?,
-        overload_factor: contract.read(amount, "overloadFactor")?,
-        overload_duration: contract.read(span, "tipAfterMs")?,
-        list_requires_subscription: text(v, "membershipMode")? == "subscribe",
+        max_retry_after: retry_after_allowed
+            .then(|| limits.read(duration_from_ms, "maxRetryAfterMs"))
+            .transpose()?,
+        connect_timeout: limits.read(duration_from_ms, "dialTimeoutMs")?,
+        drain_grace: contract.read(duration_from_ms, "drainGraceMs")?,
+        missing_members_may_serve: contract.read(boolean, "drainBindsAlone")?,
+        slow_start_initial_share: contract.read(non_negative_number, "coldFrom")?,
+        slow_start_duration: contract.read(duration_from_ms, "coldMs")?,
+        overload_factor: contract.read(non_negative_number, "overloadFactor")?,
+        overload_duration: contract.read(duration_from_ms, "tipAfterMs")?,
+        list_requires_subscription: string(v, "membershipMode")? == "subscribe",
     };
     Ok((settings, translation))
 }
@@ -93,10 +97,11 @@
     let listed = array(v, "classes")?;
     if freshness_words.len() != listed.len() {
         let expected = format!("one word for each of {} classes", listed.len());
-        return Err(Error::value("freshness", expected, freshness_words.len()).at(extra.key));
+        return Err(Error::invalid_value("freshness", expected, freshness_words.len()).under_key(extra.key));
     }
-    let read =
-        |(i, (class, word))| read_class(class, word, bounds, i).map_err(|e| e.at(format!("classes[{i}]")));
+    let read = |(i, (class, word))| {
+        read_class(class, word, bounds, i).map_err(|e| e.under_key(format!("classes[{i}]")))
+    };
     listed.iter().zip(freshness_words).enumerate().map(read).collect()
 }
 
@@ -110,33 +115,33 @@
         Some("lag_bound") => Freshness::Bounded(read_bound(bounds, position)?),
         _ => {
             let known = "mutate, strong, causal, eventual or lag_bound";
-            return Err(Error::value("freshness", known, freshness_word));
+            return Err(Error::invalid_value("freshness", known, freshness_word));
         }
     };
     Ok(Class {
         freshness,
         idempotency,
-        latency_objective: span(v, "objectiveMs")?,
-        deadline: span(v, "deadlineMs")?,
-        priority_weight: amount(v, "worth")?,
-        late_weight_share: amount(v, "lateWorth")?,
+        latency_objective: duration_from_ms(v, "objectiveMs")?,
+        deadline: duration_from_ms(v, "deadlineMs")?,
+        priority_weight: non_negative_number(v, "worth")?,
+        late_weight_share: non_negative_number(v, "lateWorth")?,
     })
 }
 
 fn read_idempotency(v: &Value) -> Result<Idempotency, Error> {
-    let window = || span(v, "repeatWindowMs");
-    match text(v, "semantics")? {
+    let window = || duration_from_ms(v, "repeatWindowMs");
+    match string(v, "semantics")? {
         "read_like" => Ok(Idempotency::Idempotent),
         "non_idempotent" => Ok(Idempotency::NotIdempotent),
-        "idempotency_key" => match text(v, "group")? {
+        "idempotency_key" => match string(v, "group")? {
             "cell" => Ok(Idempotency::DeduplicatedInGroup(window()?)),
             "all" => Ok(Idempotency::DeduplicatedEverywhere(window()?)),
             "zone" => Ok(Idempotency::DeduplicatedInZone(window()?)),
-            x => Err(Error::value("group", "cell, all or zone", format_args!("'{x}'"))),
+            x => Err(Error::invalid_value("group", "cell, all or zone", format_args!("'{x}'"))),
         },
         x => {
             let known = "read_like, non_idempotent or idempotency_key";
-            Err(Error::value("semantics", known, format_args!("'{x}'")))
+            Err(Error::invalid_value("semantics", known, format_args!("'{x}'")))
         }
     }
 }
@@ -147,22 +152,22 @@
     let bound = bounds.get(position).filter(|bound| bound.is_number());
     let missing = || {
         let found = bounds.get(position).unwrap_or(&Value::Null);
-        Error::value(KEY, "a bound for each lag_bound class", found)
+        Error::invalid_value(KEY, "a bound for each lag_bound class", found)
     };
-    span(&json!({ KEY: bound.ok_or_else(missing)? }), KEY)
+    duration_from_ms(&json!({ KEY: bound.ok_or_else(missing)? }), KEY)
 }
 
 fn read_lagging_replica(extra: &Section) -> Result<LaggingReplica, Error> {
-    match extra.read(text, "whenBehind")? {
+    match extra.read(string, "whenBehind")? {
         "silent" => Ok(LaggingReplica::AnswersStale),
         "bounce" => Ok(LaggingReplica::Rejects),
-        "await" => Ok(LaggingReplica::WaitsThenRejects(extra.read(span, "patienceMs")?)),
+        "await" => Ok(LaggingReplica::WaitsThenRejects(extra.read(duration_from_ms, "patienceMs")?)),
         x => Err(extra.value_error("whenBehind", "silent, bounce or await", x)),
     }
 }
 
 fn read_session_commit_source(extra: &Section) -> Result<SessionCommitSource, Error> {
-    match extra.read(text, "writeMarks")? {
+    match extra.read(string, "writeMarks")? {
         "brought" => Ok(SessionCommitSource::CarriedByRequest),
         "kept" => Ok(SessionCommitSource::RememberedByRouter),
         x => Err(extra.value_error("writeMarks", "brought or kept", x)),
@@ -172,6 +177,6 @@
 /// The tenants' rates in requests a second; none where `tenants` is no array.
 fn read_tenant_rates(v: &Value) -> Result<Vec<f64>, Error> {
     let Some(tenants) = v.get("tenants").and_then(Value::as_array) else { return Ok(Vec::new()) };
-    let rates: Result<_, _> = tenants.iter().map(|tenant| amount(tenant, "quotaRps")).collect();
-    rates.map_err(|e: Error| e.at("tenants"))
+    let rates: Result<_, _> = tenants.iter().map(|tenant| non_negative_number(tenant, "quotaRps")).collect();
+    rates.map_err(|e: Error| e.under_key("tenants"))
 }
--- a/settings/src/start.rs
+++ b/settings/src/start.rs
@@ -1,6 +1,6 @@
 //! What the platform starts a router with: `$BALANCER_CONFIG` and the variables beside it.
 use crate::error::Error;
-use crate::fields::{array, count, field, span, text, texts, whole};
+use crate::fields::{array, count, duration_from_ms, field, string, strings, unsigned_integer};
 use crate::limits::Limits;
 use crate::platform;
 use decision::{Micros, Settings};
@@ -27,19 +27,19 @@
 
 /// All that one router is started with on the platform.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct PlatformConfig {
     /// The router's name, the same after a restart.
     pub name: String,
     /// Where clients connect.
     pub listen: String,
     /// Where discovery answers.
-    pub discovery: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// Where the admin listener is bound; without it there is none.
-    pub admin: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// Seed of the random numbers.
     pub seed: u64,
     /// The endpoint list as the router had it last, in discovery's form.
-    pub known: Value,
+    pub initial_endpoints: Value,
     /// The settings of the decision logic.
     pub settings: Settings,
     /// Names of classes and zones.
@@ -47,16 +47,16 @@
     /// Every bound of the program.
     pub limits: Limits,
     /// The file as it was parsed, without `known`, for [`reload`] to compare a later one with.
-    pub said: Value,
+    pub parsed_file: Value,
 }
 
 /// What a configuration file that is read while the program runs changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reload {
     /// Where discovery answers from now on.
-    pub discovery: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// Keys that differ and are followed only by a restart.
-    pub restart: Vec<String>,
+    pub keys_needing_restart: Vec<String>,
 }
 
 /// The value of a variable, or the config's field of the same meaning where it is not set or empty.
@@ -68,12 +68,12 @@
 ) -> Result<String, Error> {
     match env(variable).filter(|x| !x.is_empty()) {
         Some(x) => Ok(x),
-        None => text(v, key).map(str::to_string),
+        None => string(v, key).map(str::to_string),
     }
 }
 
 fn address(key: &str, addr: &str) -> Result<SocketAddr, Error> {
-    addr.parse().map_err(|_| Error::here("ip:port", format_args!("'{addr}'")).at(key))
+    addr.parse().map_err(|_| Error::invalid("ip:port", format_args!("'{addr}'")).under_key(key))
 }
 
 /// The admin listener's address, where one is given.
@@ -85,7 +85,7 @@
 }
 
 /// The keys whose values differ between two tables, sorted, without those in `but`.
-pub fn changed(old: &Value, new: &Value, but: &[&str]) -> Vec<String> {
+pub fn changed_keys(old: &Value, new: &Value, but: &[&str]) -> Vec<String> {
     let keys = |v: &Value| v.as_object().into_iter().flat_map(|o| o.keys().cloned()).collect::<Vec<_>>();
     let mut all = [keys(old), keys(new)].concat();
     all.sort();
@@ -99,34 +99,38 @@
 ///
 /// # Errors
 /// An [`Error`] that names the faulty key; nothing of the file is used then.
-pub fn reload(config: &str, start: &Start) -> Result<Reload, Error> {
+pub fn reload(config: &str, start: &PlatformConfig) -> Result<Reload, Error> {
     let new = read(config, &|_| None)?;
-    let restart = changed(&start.said, &new.said, &["discovery", "known", "seed"]);
-    Ok(Reload { discovery: new.discovery, restart })
+    let restart = changed_keys(&start.parsed_file, &new.parsed_file, &["discovery", "known", "seed"]);
+    Ok(Reload { discovery_address: new.discovery_address, keys_needing_restart: restart })
 }
 
 fn seed(v: &Value) -> Result<u64, Error> {
     match field(v, "seed")? {
-        Value::String(s) => u64::from_str_radix(s, 16)
-            .map_err(|_| Error::value("seed", "a hexadecimal number of 64 bits", format_args!("'{s}'"))),
-        _ => whole(v, "seed"),
+        Value::String(s) => u64::from_str_radix(s, 16).map_err(|_| {
+            Error::invalid_value("seed", "a hexadecimal number of 64 bits", format_args!("'{s}'"))
+        }),
+        _ => unsigned_integer(v, "seed"),
     }
 }
 
 /// The classes' names. Each is unique, since requests name their class by it, and without control characters, since
 /// metrics have it on one line.
 fn classes(settings: &Value) -> Result<Vec<String>, Error> {
-    let name = |c: &Value| text(c, "name").map(str::to_string);
+    let name = |c: &Value| string(c, "name").map(str::to_string);
     let names = array(settings, "classes")?.iter().map(name).collect::<Result<Vec<_>, _>>();
-    let names = names.map_err(|e| e.at("classes"))?;
+    let names = names.map_err(|e| e.under_key("classes"))?;
     if let Some(i) = names.iter().position(|n| n.contains(char::is_control)) {
         let found = format!("{:?}", names[i]);
-        return Err(Error::value("name", "no control characters", found).at(format!("classes[{i}]")));
+        return Err(
+            Error::invalid_value("name", "no control characters", found).under_key(format!("classes[{i}]"))
+        );
     }
     let repeated = (1..names.len()).find(|i| names[..*i].contains(&names[*i]));
     if let Some(i) = repeated {
         let found = format!("'{}' a second time", names[i]);
-        return Err(Error::value("name", "a name that no other class has", found).at(format!("classes[{i}]")));
+        return Err(Error::invalid_value("name", "a name that no other class has", found)
+            .under_key(format!("classes[{i}]")));
     }
     Ok(names)
 }
@@ -134,51 +138,52 @@
 /// For how long an instance leaves a connection idle. Beside it, what no instance could be reached without is checked.
 fn keepalive(limits: &Value, settings: &Settings) -> Result<Micros, Error> {
     if settings.connect_timeout == 0 {
-        return Err(Error::value("dialTimeoutMs", "more than 0", 0));
+        return Err(Error::invalid_value("dialTimeoutMs", "more than 0", 0));
     }
     if settings.max_attempts == 0 {
-        return Err(Error::value("mostTries", "more than 0", 0));
+        return Err(Error::invalid_value("mostTries", "more than 0", 0));
     }
-    span(limits, "keepaliveMs")
+    duration_from_ms(limits, "keepaliveMs")
 }
 
 /// Reads the config's text; `env` looks up a variable.
 ///
 /// # Errors
 /// An [`Error`] that names the faulty key and the tables around it.
-pub fn read(config: &str, env: &dyn Fn(&str) -> Option<String>) -> Result<Start, Error> {
+pub fn read(config: &str, env: &dyn Fn(&str) -> Option<String>) -> Result<PlatformConfig, Error> {
     let mut v: Value = serde_json::from_str(config)?;
-    let (settings, names, keepalive) = read_settings(field(&v, "settings")?).map_err(|e| e.at("settings"))?;
-    let resources = read_resources(field(&v, "limits")?).map_err(|e| e.at("limits"))?;
+    let (settings, names, keepalive) =
+        read_settings(field(&v, "settings")?).map_err(|e| e.under_key("settings"))?;
+    let resources = read_resources(field(&v, "limits")?).map_err(|e| e.under_key("limits"))?;
     let mut limits = limits(&settings, keepalive, &resources);
-    limits.check_watch().map_err(|e| Error::from(e).at("limits"))?;
+    limits.check_watch().map_err(|e| Error::from(e).under_key("limits"))?;
     let admin = admin(env, &v)?;
     if admin.is_some() {
-        limits.open_door(resources.sockets);
+        limits.reserve_admin_descriptors(resources.sockets);
     }
-    Ok(Start {
+    Ok(PlatformConfig {
         name: env_or_field(env, "BALANCER_NAME", &v, "name")?,
         listen: env_or_field(env, "BALANCER_LISTEN", &v, "listen")?,
-        discovery: address("discovery", &env_or_field(env, "BALANCER_DISCOVERY", &v, "discovery")?)?,
-        admin,
+        discovery_address: address("discovery", &env_or_field(env, "BALANCER_DISCOVERY", &v, "discovery")?)?,
+        admin_address: admin,
         seed: seed(&v)?,
-        known: v.get_mut("known").map(Value::take).unwrap_or_default(),
+        initial_endpoints: v.get_mut("known").map(Value::take).unwrap_or_default(),
         settings,
         names,
         limits,
-        said: v,
+        parsed_file: v,
     })
 }
 
 /// The settings of the decision logic, the names in them, and for how long an instance leaves a connection idle.
 fn read_settings(v: &Value) -> Result<(Settings, Names, Micros), Error> {
     let (mut settings, _) = platform::read(v)?;
-    let names = Names { classes: classes(v)?, zones: texts(v, "failureDomains")? };
+    let names = Names { classes: classes(v)?, zones: strings(v, "failureDomains")? };
     // Zones of the endpoint list without a name here get the numbers behind these: this router is in none of them.
     if settings.zone as usize >= names.zones.len() {
         settings.zone = u32::MAX;
     }
-    let keepalive = keepalive(field(v, "limits")?, &settings).map_err(|e| e.at("limits"))?;
+    let keepalive = keepalive(field(v, "limits")?, &settings).map_err(|e| e.under_key("limits"))?;
     Ok((settings, names, keepalive))
 }
 
@@ -193,12 +198,12 @@
 fn read_resources(v: &Value) -> Result<Resources, Error> {
     let sockets = count(v, "sockets")? as usize;
     if sockets < MIN_SOCKETS {
-        return Err(Error::value("sockets", format!("at least {MIN_SOCKETS}"), sockets));
+        return Err(Error::invalid_value("sockets", format!("at least {MIN_SOCKETS}"), sockets));
     }
-    let memory_mb = whole(v, "memory_mb")? as usize;
+    let memory_mb = unsigned_integer(v, "memory_mb")? as usize;
     if !MEMORY_MB.contains(&memory_mb) {
         let expected = format!("{} to {}", MEMORY_MB.start(), MEMORY_MB.end());
-        return Err(Error::value("memory_mb", expected, memory_mb));
+        return Err(Error::invalid_value("memory_mb", expected, memory_mb));
     }
     Ok(Resources { sockets, memory: memory_mb << 20 })
 }
--- a/settings/tests/customers.rs
+++ b/settings/tests/customers.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use settings::Error;
-use settings::start::{Start, read};
+use settings::start::{PlatformConfig, read};
 use std::time::Duration;
 
 /// A class, and its word and bound in the lists beside the classes.
@@ -35,12 +35,12 @@
             "failureDomains": zones, "membershipMode": "automatic", "replicasOfMe": 3, "roundMs": 5.0, "zone": zone}})
 }
 
-fn start(config: &Value) -> Result<Start, Error> {
+fn start(config: &Value) -> Result<PlatformConfig, Error> {
     read(&config.to_string(), &|_| None)
 }
 
 /// What is read of a class, but for its name.
-fn of(start: &Start, at: usize) -> String {
+fn of(start: &PlatformConfig, at: usize) -> String {
     format!("{:?}", start.settings.classes[at])
 }
 
@@ -160,8 +160,8 @@
                 }
                 prop_assert!(s.connect_timeout > 0 && s.max_attempts > 0 && s.router_count > 0);
                 prop_assert_eq!(read.names.classes.len(), s.classes.len());
-                prop_assert!(read.limits.client_connections > 0 && read.limits.link_connections > 0);
-                prop_assert!(read.limits.link_trust <= read.limits.link_idle);
+                prop_assert!(read.limits.max_client_connections > 0 && read.limits.max_backend_connections > 0);
+                prop_assert!(read.limits.max_unchecked_idle_time <= read.limits.backend_idle_timeout);
             }
             Err(e) => {
                 // The innermost name of the place, or one that it holds or is held by, stands in the message.
@@ -181,10 +181,10 @@
         c["settings"]["limits"]["keepaliveMs"] = json!(keepalive_ms);
         let limits = start(&c).unwrap().limits;
         assert!(
-            limits.link_trust <= Duration::from_millis(keepalive_ms) / 2,
+            limits.max_unchecked_idle_time <= Duration::from_millis(keepalive_ms) / 2,
             "{keepalive_ms} ms: {limits:?}"
         );
-        assert!(limits.link_idle >= Duration::from_millis(keepalive_ms) / 2);
+        assert!(limits.backend_idle_timeout >= Duration::from_millis(keepalive_ms) / 2);
     }
 }
 
@@ -194,7 +194,7 @@
         let mut c = config(&[class("only".into(), 4)], &["a".into()], 0);
         c["settings"]["limits"]["dialTimeoutMs"] = json!(dial_ms);
         let limits = start(&c).unwrap().limits;
-        assert_eq!(limits.link_check, Duration::from_millis(check_ms), "{dial_ms} ms to connect");
-        assert_eq!(limits.connect, Duration::from_millis(dial_ms));
+        assert_eq!(limits.backend_check_timeout, Duration::from_millis(check_ms), "{dial_ms} ms to connect");
+        assert_eq!(limits.backend_connect_timeout, Duration::from_millis(dial_ms));
     }
 }
--- a/settings/tests/fleet_documents.rs
+++ b/settings/tests/fleet_documents.rs
@@ -1,6 +1,6 @@
 //! The fleet's document and an operator's `[fleet]`: what is read of good ones, and which key a faulty one is refused by.
 use serde_json::Value;
-use settings::fleet::{Audit, OnLoss, Quota, TENANTS, member, read};
+use settings::fleet::{AuditConfig, MAX_TENANTS, OnLoss, Quota, read, read_member};
 use std::collections::BTreeSet;
 
 const GOOD: &str = r#"
@@ -29,8 +29,12 @@
     let fleet = read(GOOD, Some(&["basket-read".into()])).unwrap();
     let tills = &fleet.tenants["tills"];
     assert_eq!(tills.quota, Some(Quota { rate: 500.0, burst: 600, on_loss: OnLoss::Share(0.2) }));
-    assert!(tills.places[0].strict && !tills.places[1].strict && tills.places[1].classes.is_none());
-    assert!(tills.users.contains("till") && fleet.unnamed == "everyone");
+    assert!(
+        tills.placement_rules[0].strict
+            && !tills.placement_rules[1].strict
+            && tills.placement_rules[1].classes.is_none()
+    );
+    assert!(tills.users.contains("till") && fleet.default_tenant == "everyone");
     let has = BTreeSet::from(["hall-b".to_string()]);
     fleet.has_members(&has).unwrap();
     assert!(fleet.has_members(&BTreeSet::new()).unwrap_err().to_string().contains("tenant 'tills'.place[0]"));
@@ -43,18 +47,21 @@
     // The table stands there as a comment.
     let table = text.split("#   [fleet]").nth(1).unwrap().replace("#   ", "");
     let table: Value = toml::from_str(&table).unwrap();
-    assert_eq!(member(&table).unwrap().slot, Some(17));
+    assert_eq!(read_member(&table).unwrap().slot, Some(17));
     let audited: Value = toml::from_str("audit = { lag_ms = 900 }").unwrap();
     let mut with = table.clone();
     with["audit"] = audited["audit"].clone();
-    assert_eq!(member(&with).unwrap().audit, Some(Audit { lag_ms: 900, ..Audit::default() }));
+    assert_eq!(
+        read_member(&with).unwrap().audit,
+        Some(AuditConfig { max_lag_ms: 900, ..AuditConfig::default() })
+    );
     with["audit"]["lag_ms"] = 1.into();
-    assert!(member(&with).unwrap_err().to_string().starts_with("audit.lag_ms: expected 100 to 60000"));
+    assert!(read_member(&with).unwrap_err().to_string().starts_with("audit.lag_ms: expected 100 to 60000"));
     let faults = [("name", "no name"), ("slot", "0"), ("nodes", "x"), ("lists", "1")];
     for (key, found) in faults {
         let mut faulty = table.clone();
         faulty[key] = found.into();
-        assert!(member(&faulty).is_err(), "{key}");
+        assert!(read_member(&faulty).is_err(), "{key}");
     }
 }
 
@@ -92,7 +99,7 @@
         let error = read(&text, Some(&["basket-read".into()])).unwrap_err().to_string();
         assert!(error.contains(says), "{bad}: {error}");
     }
-    let many: String = (0..=TENANTS).map(|i| format!("[[tenant]]\nname='t{i}'\n")).collect();
+    let many: String = (0..=MAX_TENANTS).map(|i| format!("[[tenant]]\nname='t{i}'\n")).collect();
     let many = read(&format!("routers = 1\nunnamed = 't0'\n{many}"), None).unwrap_err().to_string();
     assert!(many.starts_with("tenant: expected at most 10000"), "{many}");
 }
--- a/settings/tests/members.rs
+++ b/settings/tests/members.rs
@@ -1,8 +1,8 @@
 //! The table `[members]`: its defaults, and which key a faulty one is refused by.
-use settings::members::{Error, Members, read};
+use settings::members::{Error, MembershipConfig, read};
 use std::time::Duration;
 
-fn read_with(more: &str) -> Result<Members, Error> {
+fn read_with(more: &str) -> Result<MembershipConfig, Error> {
     let table = format!("name = 'r1'\nlisten = '127.0.0.1:7301'\ncluster = 'shop'\n{more}");
     read(&toml::from_str(&table).expect("TOML"), 7)
 }
@@ -10,7 +10,10 @@
 #[test]
 fn defaults_are_half_a_second_and_half_the_fleet() {
     let m = read_with("").expect("good");
-    assert_eq!((m.rhythm, m.least, m.told, m.seeds.len()), (Duration::from_millis(500), 4, None, 0));
+    assert_eq!(
+        (m.protocol_period, m.min_counted_routers, m.advertised_address, m.seeds.len()),
+        (Duration::from_millis(500), 4, None, 0)
+    );
 }
 
 #[test]
