--- a/settings/tests/operator_files.rs
+++ b/settings/tests/operator_files.rs
@@ -6,7 +6,7 @@
 #[test]
 fn unchecked_connections_idle_no_longer_than_they_are_trusted() {
     let limits = read(SHIPPED).unwrap().limits;
-    assert_eq!(limits.link_idle, limits.link_trust);
+    assert_eq!(limits.backend_idle_timeout, limits.max_unchecked_idle_time);
 }
 
 #[test]
--- a/settings/tests/recorded_readings.rs
+++ b/settings/tests/recorded_readings.rs
@@ -1,6 +1,6 @@
 //! What the shipped files and a file with every table are read to, and what is said of each of them with one place
 //! changed, against recordings under `fixtures/`. The recordings hold Debug texts and error messages; they were
-//! written by the code as it stood before its modules were split.
+//! written by the code as it stood before its modules were split, and follow the names of types and fields.
 use serde_json::{Value, json};
 use settings::{fleet, operator, platform, start};
 use std::fmt::{Debug, Write};
@@ -47,7 +47,7 @@
         writeln!(found, "{name} = {:#?}", operator::read(text)).unwrap();
     }
     writeln!(found, "fleet = {:#?}", fleet::read(FLEET, None)).unwrap();
-    writeln!(found, "member = {:#?}", fleet::member(&fleet_member_table())).unwrap();
+    writeln!(found, "member = {:#?}", fleet::read_member(&fleet_member_table())).unwrap();
     for (name, text) in [("akureyri-skjol", AKUREYRI), ("hafnarfjordur-lager", HAFNARFJORDUR)] {
         let config = platform_config(text);
         writeln!(found, "{name} = {:#?}", start::read(&config.to_string(), &|_| None)).unwrap();
@@ -56,6 +56,17 @@
     assert_recorded("shipped_files", include_str!("fixtures/shipped_files.txt"), &found);
 }
 
+#[test]
+fn document_is_printed_with_the_recorded_keys() {
+    let document = fleet::read(FLEET, None).expect("a good document");
+    let printed = serde_json::to_string_pretty(&document).expect("JSON");
+    assert_recorded(
+        "printed_document",
+        include_str!("fixtures/printed_document.json"),
+        &format!("{printed}\n"),
+    );
+}
+
 /// Every place in a value as a JSON pointer; of arrays only the first item.
 fn places(value: &Value, at: String, all: &mut Vec<String>) {
     match value {
@@ -126,16 +137,16 @@
     )
 }
 
-fn read_operator(text: &str) -> Result<operator::Operator, settings::Error> {
-    operator::read(text).map(|read| operator::Operator { said: Value::Null, ..read })
+fn read_operator(text: &str) -> Result<operator::OperatorConfig, settings::Error> {
+    operator::read(text).map(|read| operator::OperatorConfig { parsed_file: Value::Null, ..read })
 }
 
 /// What a later file changes while the program runs, but for the keys that stay as they were.
-fn reload_outcome(text: &str, start: &operator::Operator) -> String {
+fn reload_outcome(text: &str, start: &operator::OperatorConfig) -> String {
     match operator::reload(text, None, start) {
         Ok(reload) => {
-            let mysql = (&reload.mysql.users, &reload.mysql.rules, reload.mysql.group);
-            format!("restart {:?}, peers {:?}, {mysql:?}", reload.restart, reload.session_peers)
+            let mysql = (&reload.mysql.users, &reload.mysql.rules, reload.mysql.default_group);
+            format!("restart {:?}, peers {:?}, {mysql:?}", reload.keys_needing_restart, reload.session_peers)
         }
         Err(_) => "refused".into(),
     }
@@ -172,9 +183,9 @@
             .unwrap();
     }
     let table = fleet_member_table();
-    let unchanged = fleet::member(&table).expect("a good table");
+    let unchanged = fleet::read_member(&table).expect("a good table");
     for (change, value) in changes(&table) {
-        writeln!(found, "member {change}: {}", outcome(&unchanged, fleet::member(&value))).unwrap();
+        writeln!(found, "member {change}: {}", outcome(&unchanged, fleet::read_member(&value))).unwrap();
     }
     assert_recorded("fleet_changes", include_str!("fixtures/fleet_changes.txt"), &found);
 }
@@ -182,7 +193,8 @@
 #[test]
 fn changed_platform_configurations_are_read_or_refused_as_recorded() {
     let read = |config: &Value| {
-        start::read(&config.to_string(), &|_| None).map(|read| start::Start { said: Value::Null, ..read })
+        start::read(&config.to_string(), &|_| None)
+            .map(|read| start::PlatformConfig { parsed_file: Value::Null, ..read })
     };
     let config = platform_config(AKUREYRI);
     let unchanged = read(&config).expect("a good configuration");
--- a/src/commands/members.rs
+++ b/src/commands/members.rs
@@ -3,7 +3,7 @@
 use super::Error;
 use crossbeam_channel::Receiver;
 use membership::{Change, Config, Membership, live_router_count};
-use settings::members::Members as Table;
+use settings::members::MembershipConfig as Table;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// A router that is no longer heard counts on for this many probe intervals: longer than a member that was wrongly
@@ -24,18 +24,18 @@
     on_router_count: impl Fn(u32) + Send + 'static,
 ) -> Result<Membership, Error> {
     let members = Membership::start(config(table))?;
-    let own_address = table.told.unwrap_or(members.addr());
+    let own_address = table.advertised_address.unwrap_or(members.addr());
     let expects_others = table.seeds.iter().any(|seed| *seed != own_address);
     let settings = live_router_count::Settings {
         fleet_size: router_count,
-        min_count: table.least,
-        settle_time: table.rhythm * SETTLE_INTERVALS,
+        min_count: table.min_counted_routers,
+        settle_time: table.protocol_period * SETTLE_INTERVALS,
         expects_others,
     };
     let changes = members.subscribe()?;
     membership::follow_router_count(&members, settings, on_router_count)?;
     tracing::info!("members: '{}' of '{}' hears on {}", table.name, table.cluster, members.addr());
-    if expects_others && !wait_for_other_router(&changes, table.rhythm * JOIN_INTERVALS) {
+    if expects_others && !wait_for_other_router(&changes, table.protocol_period * JOIN_INTERVALS) {
         tracing::warn!("members: nobody has answered yet; serving with the share of one in {router_count}");
     }
     Ok(members)
@@ -47,11 +47,11 @@
     Config {
         name: table.name.clone(),
         listen: table.listen,
-        advertise: table.told,
+        advertise: table.advertised_address,
         generation: started.as_millis() as u64,
         seeds: table.seeds.clone(),
         random_seed: u64::from(std::process::id()) << 32 ^ started.as_nanos() as u64,
-        settings: membership::Settings::with_probe_interval(&table.cluster, table.rhythm),
+        settings: membership::Settings::with_probe_interval(&table.cluster, table.protocol_period),
     }
 }
 
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -12,7 +12,7 @@
 
 pub(crate) use error::Error;
 
-use settings::operator::Operator;
+use settings::operator::OperatorConfig;
 use std::net::TcpListener;
 use std::path::Path;
 
@@ -22,7 +22,7 @@
 }
 
 /// Reads an operator's file.
-fn read_operator_file(path: &Path) -> Result<Operator, Error> {
+fn read_operator_file(path: &Path) -> Result<OperatorConfig, Error> {
     let text = read_file(path)?;
     settings::operator::read(&text).map_err(|source| Error::Settings { path: path.into(), source })
 }
--- a/src/commands/platform.rs
+++ b/src/commands/platform.rs
@@ -15,8 +15,8 @@
 use postgres::link::Postgres;
 use routing::{Clock, EndpointsHandle, Metrics, RouterHandle};
 use settings::Limits;
-use settings::operator::Log;
-use settings::start::Start;
+use settings::operator::LogConfig;
+use settings::start::PlatformConfig;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -50,7 +50,7 @@
             ClientListener::Exclusive(super::listen(&configuration.start.name, &configuration.start.listen)?)
         }
     };
-    let stack_bytes = router.limits.module_stack_bytes;
+    let stack_bytes = router.limits.routing_thread_stack_bytes;
     let reload = configuration.into_reload(watch);
     signals::handle(signals, stack_bytes, reload, shut_down(admin.clone(), order_sender))?;
     if let Some(admin) = admin {
@@ -62,14 +62,14 @@
 /// Starts the log. Without `$DAMSONVALE_LOG` it has the default level: lines for whoever is on call, none for each
 /// request.
 fn start_log() {
-    let level = environment("DAMSONVALE_LOG").unwrap_or_else(|| Log::default().level);
-    crate::log::start(&Log { level, ..Log::default() });
+    let level = environment("DAMSONVALE_LOG").unwrap_or_else(|| LogConfig::default().level);
+    crate::log::start(&LogConfig { level, ..LogConfig::default() });
 }
 
 /// The configuration as it was at the start, and the file that it is read from.
 struct Configuration {
     path: PathBuf,
-    start: Start,
+    start: PlatformConfig,
 }
 
 impl Configuration {
@@ -78,19 +78,19 @@
         let start = settings::start::read(&text, &environment)
             .map_err(|source| Error::Settings { path: path.clone(), source })?;
         tracing::debug!("settings {:?}", start.settings);
-        tracing::debug!("said {}", start.said);
+        tracing::debug!("said {}", start.parsed_file);
         Ok(Configuration { path, start })
     }
 
     /// Gives the router the endpoints that the file lists, with which it serves until discovery brings others.
     fn apply_known_endpoints(&self, endpoints: &EndpointsHandle) -> Result<(), Error> {
-        if self.start.known.is_null() {
+        if self.start.initial_endpoints.is_null() {
             return Ok(());
         }
         let mut reader = discovery::endpoint_list::EndpointListParser::new(self.start.names.zones.clone());
         let mut known = reader
-            .parse_value(&self.start.known)
-            .map_err(|e| Error::Settings { path: self.path.clone(), source: e.at("known") })?;
+            .parse_value(&self.start.initial_endpoints)
+            .map_err(|e| Error::Settings { path: self.path.clone(), source: e.under_key("known") })?;
         known.complete = true;
         endpoints.notify(known);
         Ok(())
@@ -99,16 +99,16 @@
     /// What SIGHUP runs: reads the file anew, moves the watch where discovery's address has changed, and returns the
     /// keys that need a restart.
     fn into_reload(self, watch: Watch) -> impl FnMut() -> Result<Vec<String>, Error> + Send + 'static {
-        let mut watched: SocketAddr = self.start.discovery;
+        let mut watched: SocketAddr = self.start.discovery_address;
         move || {
             let reload = settings::start::reload(&super::read_file(&self.path)?, &self.start)
                 .map_err(|source| Error::Settings { path: self.path.clone(), source })?;
-            if reload.discovery != watched {
-                watch.follow(reload.discovery).map_err(Error::DiscoveryWatch)?;
-                watched = reload.discovery;
+            if reload.discovery_address != watched {
+                watch.follow(reload.discovery_address).map_err(Error::DiscoveryWatch)?;
+                watched = reload.discovery_address;
                 tracing::info!("discovery: the watch moves to {watched}");
             }
-            Ok(reload.restart)
+            Ok(reload.keys_needing_restart)
         }
     }
 }
@@ -124,7 +124,7 @@
 
 impl Router {
     /// Starts the core; `metrics` are counted where operators can ask for them.
-    fn start(start: &Start, metrics: Option<Arc<Metrics>>) -> Result<Router, Error> {
+    fn start(start: &PlatformConfig, metrics: Option<Arc<Metrics>>) -> Result<Router, Error> {
         let limits = Arc::new(start.limits.clone());
         let clock = Clock::new();
         let builder = routing::RouterBuilder {
@@ -151,15 +151,15 @@
 
 /// Starts to watch discovery. A list of the agent's is in force before the first client, whatever the file says; an
 /// agent that is silent delays the start only for a short time.
-fn start_discovery(start: &Start, router: &Router) -> Result<Watch, Error> {
+fn start_discovery(start: &PlatformConfig, router: &Router) -> Result<Watch, Error> {
     let limits = &router.limits;
     let watch = Watch::new(start.names.zones.clone(), limits.clone(), router.endpoints.clone());
-    watch.follow(start.discovery).map_err(Error::DiscoveryWatch)?;
-    if !watch.wait_for_first_line(limits.watch_first) {
+    watch.follow(start.discovery_address).map_err(Error::DiscoveryWatch)?;
+    if !watch.wait_for_first_line(limits.watch_first_event_timeout) {
         tracing::warn!("discovery: nothing heard yet, starting with the list known from before");
     }
     // A machine that is too busy to apply the list in time does not keep the router from starting.
-    if !router.endpoints.wait_until_applied(limits.watch_first) {
+    if !router.endpoints.wait_until_applied(limits.watch_first_event_timeout) {
         tracing::warn!("list: not taken yet, starting without it");
     }
     Ok(watch)
--- a/src/commands/platform/admin.rs
+++ b/src/commands/platform/admin.rs
@@ -5,7 +5,7 @@
 use client_listener::ServerCommand;
 use crossbeam_channel::Sender;
 use routing::{Clock, Metrics};
-use settings::start::Start;
+use settings::start::PlatformConfig;
 use std::path::PathBuf;
 use std::sync::Arc;
 
@@ -19,14 +19,14 @@
 
 impl AdminListener {
     /// Binds the address that the configuration gives; `None` where it gives none.
-    pub(super) fn bind(start: &Start) -> Result<Option<AdminListener>, Error> {
-        let Some(address) = start.admin else { return Ok(None) };
+    pub(super) fn bind(start: &PlatformConfig) -> Result<Option<AdminListener>, Error> {
+        let Some(address) = start.admin_address else { return Ok(None) };
         let limits = &start.limits;
         let limits = AdminLimits {
-            max_connections: limits.door_callers,
-            max_line_bytes: limits.door_line_bytes,
-            io_timeout: limits.door_patience,
-            thread_stack_bytes: limits.stack_bytes,
+            max_connections: limits.max_admin_connections,
+            max_line_bytes: limits.max_admin_line_bytes,
+            io_timeout: limits.admin_io_timeout,
+            thread_stack_bytes: limits.socket_thread_stack_bytes,
         };
         let server = AdminServer::bind(address, limits)?;
         let metrics = Metrics::new(&start.names.classes).map_err(|e| Error::Metrics(e.into()))?;
@@ -36,7 +36,7 @@
     /// Answers operators' commands from now on. Orders to the client listener go to `client_orders`.
     pub(super) fn serve(
         self,
-        start: &Start,
+        start: &PlatformConfig,
         router: &Router,
         client_orders: Sender<ServerCommand>,
     ) -> Result<Arc<AdminService>, Error> {
--- a/src/commands/registry.rs
+++ b/src/commands/registry.rs
@@ -6,7 +6,7 @@
 use ::registry::fleet::{Node, State};
 use ::registry::machine::Item;
 use clap::{Args, Subcommand};
-use settings::operator::Operator;
+use settings::operator::OperatorConfig;
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -62,8 +62,8 @@
 /// The registry that a file names.
 struct NamedRegistry {
     file: PathBuf,
-    operator: Operator,
-    settings: settings::operator::Registry,
+    operator: OperatorConfig,
+    settings: settings::operator::RegistryConfig,
 }
 
 impl NamedRegistry {
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -21,7 +21,7 @@
 use mysql_wire::link::Mysql;
 use routing::{Clock, EndpointsHandle, RespondedEndpoints, RouterHandle};
 use settings::Limits;
-use settings::operator::Operator;
+use settings::operator::OperatorConfig;
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 use std::sync::Arc;
@@ -32,14 +32,14 @@
 
 /// What every part of the router is built from.
 struct Environment {
-    operator: Operator,
-    mysql: Arc<settings::operator::Mysql>,
+    operator: OperatorConfig,
+    mysql: Arc<settings::operator::MysqlConfig>,
     limits: Arc<Limits>,
     clock: Clock,
 }
 
 impl Environment {
-    fn new(operator: Operator) -> Environment {
+    fn new(operator: OperatorConfig) -> Environment {
         let mysql = Arc::new(operator.mysql.clone());
         let limits = Arc::new(operator.limits.clone());
         let clock = Clock::with_offset(limits.clock_offset_us);
@@ -65,7 +65,7 @@
     let protocol = Mysql::new(environment.mysql.clone(), environment.limits.clone(), environment.clock);
     // The peers' listener comes before any client's: a refused connection proves that nothing is served here.
     let sessions = start_sessions(&environment, &protocol)?;
-    let clock_probes = environment.mysql.server_clock.then(|| protocol.clone());
+    let clock_probes = environment.mysql.health_check_returns_clock.then(|| protocol.clone());
     let core = start_core(&environment, protocol, random_seed)?;
     let store = store::start(&environment, &core.endpoints)?;
     let fleet = environment.operator.fleet.as_ref();
@@ -85,7 +85,7 @@
     let registry = registry::start(&environment, address, endpoints, responded, configuration.clone())?;
     let (shutdown_sender, shutdown_orders) = bounded(1);
     let shut_down = move || _ = shutdown_sender.try_send(ServerCommand::Shutdown);
-    let stack_bytes = environment.limits.module_stack_bytes;
+    let stack_bytes = environment.limits.routing_thread_stack_bytes;
     signals::handle(signals, stack_bytes, move || configuration.reload(), shut_down)?;
     if let Some(protocol) = clock_probes {
         watch_server_clocks(&environment, protocol, registry.clone())?;
@@ -127,14 +127,17 @@
         clock: environment.clock,
         responded: responded.clone(),
         metrics: None,
-        placement: placement.map(|_| placement::Settings::new(environment.mysql.classes.clone())),
+        placement: placement.map(|_| placement::Settings::new(environment.mysql.class_names.clone())),
     };
     let (handle, endpoints) = builder.start().map_err(Error::Core)?;
     Ok(Core { handle, endpoints, responded })
 }
 
 /// Joins the fleet whose members share the capacity, where the file names one, and follows their number.
-fn join_members(operator: &Operator, handle: &RouterHandle<Mysql>) -> Result<Option<Membership>, Error> {
+fn join_members(
+    operator: &OperatorConfig,
+    handle: &RouterHandle<Mysql>,
+) -> Result<Option<Membership>, Error> {
     let Some(table) = &operator.members else { return Ok(None) };
     let handle = handle.clone();
     let on_router_count = move |count| handle.set_router_count(count);
@@ -144,11 +147,11 @@
 
 /// Starts to record requests, where the file asks for it.
 fn start_recording(
-    operator: &Operator,
+    operator: &OperatorConfig,
     address: SocketAddr,
 ) -> Result<Option<Arc<dyn mysql_wire::Tap>>, Error> {
-    let Some(record) = &operator.record else { return Ok(None) };
-    let recorder = pcap::record::Recorder::start(record.file.as_ref(), record.capacity, address)?;
+    let Some(record) = &operator.recording else { return Ok(None) };
+    let recorder = pcap::record::Recorder::start(record.file.as_ref(), record.max_bytes, address)?;
     Ok(Some(Arc::new(recorder)))
 }
 
--- a/src/commands/serve/configuration.rs
+++ b/src/commands/serve/configuration.rs
@@ -3,7 +3,7 @@
 use mysql_wire::front::Front;
 use registry::client::{RegistryObserver, Router};
 use sessions::node::Sessions;
-use settings::operator::{Operator, Reload};
+use settings::operator::{OperatorConfig, Reload};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 pub(super) struct LiveConfiguration {
     path: PathBuf,
     /// The file as it was at the start; some keys can only be changed by a restart.
-    operator: Operator,
+    operator: OperatorConfig,
     front: Arc<Front>,
     sessions: Arc<Sessions>,
     store: store::Store,
@@ -35,7 +35,7 @@
     /// The configuration at `path`, which was read as `operator` at the start.
     pub(super) fn new(
         path: &Path,
-        operator: Operator,
+        operator: OperatorConfig,
         front: Arc<Front>,
         sessions: Arc<Sessions>,
         store: store::Store,
@@ -73,7 +73,7 @@
             }
             self.sessions.list(peers);
         }
-        reload.restart
+        reload.keys_needing_restart
     }
 }
 
--- a/src/commands/serve/endpoints.rs
+++ b/src/commands/serve/endpoints.rs
@@ -2,7 +2,7 @@
 use routing::{EndpointEntry, EndpointUpdate, GroupId, MemberState};
 use serde_json::{Value, json};
 use settings::Error as SettingsError;
-use settings::fields::{number, text, whole};
+use settings::fields::{number, string, unsigned_integer};
 use settings::operator::Server;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -36,13 +36,13 @@
 /// Reads one server's document.
 fn endpoint_entry(key: &str, document: &str, own_site: Option<&str>) -> Result<EndpointEntry, SettingsError> {
     let document: Value = serde_json::from_str(document)?;
-    let address = text(&document, "addr")?;
-    let state = member_state(text(&document, "state")?)?;
+    let address = string(&document, "addr")?;
+    let state = member_state(string(&document, "state")?)?;
     let site: Option<Arc<str>> = document.get("site").and_then(Value::as_str).map(Arc::from);
     Ok(EndpointEntry {
         id: key.trim_start_matches(KEY_PREFIX).to_string(),
         addr: parse_address(address)?,
-        group: GroupId(whole(&document, "group")? as u32),
+        group: GroupId(unsigned_integer(&document, "group")? as u32),
         zone: zone_distance(site.as_deref(), own_site),
         site,
         state,
@@ -57,12 +57,14 @@
     match state {
         IN_SERVICE => Ok(MemberState::Ready),
         DRAINING => Ok(MemberState::Draining),
-        other => Err(SettingsError::value("state", "in_service or draining", format_args!("'{other}'"))),
+        other => {
+            Err(SettingsError::invalid_value("state", "in_service or draining", format_args!("'{other}'")))
+        }
     }
 }
 
 fn parse_address(address: &str) -> Result<SocketAddr, SettingsError> {
-    address.parse().map_err(|_| SettingsError::value("addr", "ip:port", format_args!("'{address}'")))
+    address.parse().map_err(|_| SettingsError::invalid_value("addr", "ip:port", format_args!("'{address}'")))
 }
 
 /// Distance to a server: where the router's own site is known, servers of other sites and of none are farther.
--- a/src/commands/serve/fleet.rs
+++ b/src/commands/serve/fleet.rs
@@ -2,7 +2,7 @@
 use super::{Core, Environment, bind};
 use crate::commands::Error;
 use ::fleet::FleetClient;
-use settings::fleet::Member;
+use settings::fleet::FleetMemberConfig;
 use std::net::SocketAddr;
 use std::path::Path;
 use store::Store;
@@ -14,19 +14,19 @@
 /// Joins the fleet. Where the file says so, this node of the store answers the fleet's routers, and the store is given
 /// a first document.
 pub(super) fn join(
-    member: &Member,
+    member: &FleetMemberConfig,
     environment: &Environment,
     store: &Store,
     core: &Core,
 ) -> Result<FleetClient, Error> {
     let clock = environment.clock;
-    let classes = &environment.mysql.classes;
+    let classes = &environment.mysql.class_names;
     let quotas = quotas::Settings::default();
-    if let Some(address) = member.listen {
+    if let Some(address) = member.allocator_listen {
         serve_routers(member, address, environment, store, &quotas)?;
     }
     let random_seed = clock.now().0 as u64 ^ u64::from(std::process::id());
-    if let Some(path) = &member.seed {
+    if let Some(path) = &member.seed_document_path {
         seed_document(member, Path::new(path), classes, random_seed)?;
     }
     let settings = ::fleet::client::Settings {
@@ -48,7 +48,7 @@
 
 /// Answers the fleet's routers at `address`.
 fn serve_routers(
-    member: &Member,
+    member: &FleetMemberConfig,
     address: SocketAddr,
     environment: &Environment,
     store: &Store,
@@ -65,10 +65,15 @@
 }
 
 /// Writes the document of a file into the store, unless there is one already.
-fn seed_document(member: &Member, path: &Path, classes: &[String], client_seed: u64) -> Result<(), Error> {
+fn seed_document(
+    member: &FleetMemberConfig,
+    path: &Path,
+    classes: &[String],
+    client_seed: u64,
+) -> Result<(), Error> {
     let text = crate::commands::read_file(path)?;
     settings::fleet::read(&text, Some(classes))
         .map_err(|source| Error::FleetFile { path: path.into(), source })?;
-    let settings = store::client::Settings::new(member.nodes.clone(), client_seed);
+    let settings = store::client::Settings::new(member.store_addresses.clone(), client_seed);
     ::fleet::document::start_seeding(store::client::Client::new(settings), text).map_err(no_thread)
 }
--- a/src/commands/serve/registry.rs
+++ b/src/commands/serve/registry.rs
@@ -21,11 +21,11 @@
     let clock = environment.clock;
     let client = Client::start(settings, &environment.limits, clock, endpoints, responded, observer)?;
     // A port that the system chose is not known here: such a node of the store is not registered.
-    let store = operator.store.peers.get(&operator.store.node).filter(|a| a.port() != 0);
+    let store = operator.store.node_addresses.get(&operator.store.node_id).filter(|a| a.port() != 0);
     client.register(Router {
         addr: address,
         sessions: operator.sessions.as_ref().map(|s| (s.instance, s.listen)),
-        store: store.map(|address| (operator.store.node, *address)),
+        store: store.map(|address| (operator.store.node_id, *address)),
         incarnation: clock.now().0 as u64,
     })?;
     Ok(Some(client))
--- a/src/commands/serve/store.rs
+++ b/src/commands/serve/store.rs
@@ -9,9 +9,9 @@
     let operator = &environment.operator;
     let node = operator.store.clone();
     let settings = ::store::Settings {
-        node: node.node,
-        peers: node.peers,
-        folder: node.folder.map(Into::into),
+        node: node.node_id,
+        peers: node.node_addresses,
+        folder: node.log_folder.map(Into::into),
         seeds: environment.mysql.servers.iter().map(endpoints::server_document).collect(),
         ..::store::Settings::default()
     };
@@ -27,13 +27,13 @@
 }
 
 /// Answers the store's clients and the commands of `ctl`, each where the file gives it an address.
-pub(super) fn listen(node: &settings::operator::Store, store: &Store) -> Result<(), Error> {
-    if let Some(address) = node.clients {
+pub(super) fn listen(node: &settings::operator::StoreConfig, store: &Store) -> Result<(), Error> {
+    if let Some(address) = node.client_address {
         let (listener, address) = bind("store.clients", address)?;
         ::store::server::listen(listener, store.clone(), ::store::server::Limits::default())?;
         tracing::info!("store: answering clients on {address}");
     }
-    if let Some(address) = &node.control {
+    if let Some(address) = &node.control_address {
         let (listener, address) = bind("store.control", address)?;
         ::store::control::listen(listener, store.clone())
             .map_err(|source| Error::Thread { what: "store.control", source })?;
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,9 +1,9 @@
 //! The log: lines on standard error, as text or as JSON.
-use settings::operator::Log;
+use settings::operator::LogConfig;
 use tracing_subscriber::filter::LevelFilter;
 
 /// Starts the log with the level and the format that the configuration gives.
-pub(crate) fn start(log: &Log) {
+pub(crate) fn start(log: &LogConfig) {
     let level: LevelFilter = log.level.parse().unwrap_or(LevelFilter::INFO);
     let subscriber = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
