--- a/client-listener/src/server/command_loop.rs
+++ b/client-listener/src/server/command_loop.rs
@@ -18,7 +18,7 @@
 
 impl<H: ConnectionHandler> ClientServer<H> {
     /// Accepts and serves connections until [`ServerCommand::Shutdown`] has come and the last connection has closed,
-    /// or [`Limits::shutdown_most`] has passed since. If all senders of commands are dropped before, it serves on
+    /// or [`Limits::shutdown_timeout`] has passed since. If all senders of commands are dropped before, it serves on
     /// and never returns.
     ///
     /// # Errors
