--- a/audit/src/tracker.rs
+++ b/audit/src/tracker.rs
@@ -25,7 +25,7 @@
 use std::collections::{BTreeMap, btree_map};
 
 /// Routers that are followed, at most.
-const MAX_ROUTERS: usize = settings::fleet::ROUTERS as usize;
+const MAX_ROUTERS: usize = settings::fleet::MAX_ROUTERS as usize;
 
 /// Follows the version of every router of a fleet; see the [crate].
 #[derive(Clone, Debug)]
