--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -83,7 +83,7 @@
     SoakPlan(#[from] soak::plan::PlanError),
     /// A soak could not be played: a port, a folder, a thread or a process was not to be had.
     #[error("the soak could not be played: {0}")]
-    Soak(std::io::Error),
+    Soak(soak::error::RunError),
     /// A time is beyond what is counted.
     #[error("a time can't be counted: {0}")]
     Counted(Box<dyn std::error::Error>),
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -1,11 +1,12 @@
 //! `soak`: real routers under overlapping troubles, for many seeds.
 use crate::error::Error;
 use clap::Args;
+use soak::draw::draw;
+use soak::fault::{FaultKind, PlannedFault};
 use soak::oracle::{self, Promise};
 use soak::plan::{Front, Plan};
 use soak::report::Report;
 use soak::router::Programs;
-use soak::trouble::{Kind, Trouble, draw};
 use soak::{platform, reduce, serve};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -23,7 +24,7 @@
     seeds: u64,
     /// Only these troubles are drawn.
     #[arg(long, value_delimiter = ',')]
-    only: Vec<Kind>,
+    only: Vec<FaultKind>,
     /// Goes on with further seeds until so many minutes are over.
     #[arg(long)]
     minutes: Option<u64>,
@@ -41,7 +42,7 @@
     troubles: bool,
 }
 
-fn play(plan: &Plan, seed: u64, troubles: &[Trouble], programs: &Programs) -> Result<Report, Error> {
+fn play(plan: &Plan, seed: u64, troubles: &[PlannedFault], programs: &Programs) -> Result<Report, Error> {
     let history = match plan.front {
         Front::Platform => platform::play(plan, seed, troubles, programs),
         Front::Serve => serve::play(plan, seed, troubles, programs),
@@ -73,7 +74,7 @@
     loop {
         let troubles = draw(&plan, seed, &asked.only);
         if asked.troubles {
-            troubles.iter().for_each(|trouble| println!("  {trouble:?}"));
+            troubles.iter().for_each(|fault| println!("  {fault}"));
         }
         let report = play(&plan, seed, &troubles, &programs)?;
         print!("{report}");
@@ -115,12 +116,12 @@
 /// Reduces a failing run and prints it as a plan.
 fn print_reduced(plan: &Plan, report: &Report, programs: &Programs) -> Result<(), Error> {
     let promise = report.breaches[0].promise;
-    println!("reducing {} troubles that break '{}'", report.troubles.len(), promise.name());
-    let still_breaks = |troubles: &[Trouble], promise: Promise| {
+    println!("reducing {} troubles that break '{}'", report.faults.len(), promise.name());
+    let still_breaks = |troubles: &[PlannedFault], promise: Promise| {
         play(plan, report.seed, troubles, programs)
             .is_ok_and(|report| oracle::promises(&report.breaches).contains(&promise))
     };
-    let left = reduce::reduce(&report.troubles, promise, still_breaks);
-    println!("{}", toml::to_string(&Plan { trouble: left, ..plan.clone() })?);
+    let left = reduce::reduce(&report.faults, promise, still_breaks);
+    println!("{}", toml::to_string(&Plan { faults: left, ..plan.clone() })?);
     Err(Error::Found)
 }
--- /dev/null
+++ b/soak/src/environment/clients/commits.rs
@@ -0,0 +1,59 @@
+//! The commits that sessions have been notified of, which their later reads have to see.
+use crate::history::{History, Outcome, Request};
+use crate::time::Micros;
+use std::collections::HashMap;
+
+/// A session's commits in one group.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct SessionGroup {
+    session: u64,
+    group: usize,
+}
+
+/// The last commits by session and group, read from the history.
+#[derive(Default)]
+pub(super) struct SessionCommits {
+    last_commits: HashMap<SessionGroup, Micros>,
+    /// Writes by request, with their session.
+    writers: HashMap<u64, u64>,
+    /// Requests of the history that need not be read again.
+    read: usize,
+}
+
+impl SessionCommits {
+    /// Notes that a session sends a write.
+    pub(super) fn add_write(&mut self, request: u64, session: u64) {
+        self.writers.insert(request, session);
+    }
+
+    /// The last commit of a session in a group that its client was notified of.
+    pub(super) fn last_commit(&mut self, session: u64, group: usize, history: &History) -> Option<Micros> {
+        self.read(history);
+        self.last_commits.get(&SessionGroup { session, group }).copied()
+    }
+
+    fn read(&mut self, history: &History) {
+        let unread = &history.requests[self.read..];
+        for request in unread {
+            if let Some(ran_at) = ran_at(request, history) {
+                self.add_commit(request, ran_at);
+            }
+        }
+        // Those that are pending may still end: they are read again.
+        self.read += unread.iter().take_while(|request| request.outcome != Outcome::Pending).count();
+    }
+
+    fn add_commit(&mut self, request: &Request, ran_at: Micros) {
+        let Some(session) = self.writers.get(&request.id).copied() else { return };
+        let key = SessionGroup { session, group: request.group };
+        let last = self.last_commits.entry(key).or_insert(ran_at);
+        *last = ran_at.max(*last);
+    }
+}
+
+/// When the attempt ran that a request was answered from: the value ends with the attempt's index.
+fn ran_at(request: &Request, history: &History) -> Option<Micros> {
+    let Outcome::Served(value) = &request.outcome else { return None };
+    let index: usize = value.rsplit('.').next()?.parse().ok()?;
+    history.attempts.get(index)?.ran_at
+}
--- /dev/null
+++ b/soak/src/environment/clients/connection.rs
@@ -0,0 +1,232 @@
+//! One connection of a client, and the requests that await their answers on it.
+use super::requests::DrawnRequest;
+use crate::environment::clock::RunClock;
+use crate::environment::socket::{ReadEnd, read_available, write_pending};
+use crate::environment::wire::{
+    FATAL, KEY_BYTES, Message, error_field, error_fields, message, query, startup, tag, take_message, value,
+};
+use crate::history::{History, Outcome, Recorder, Request, Stall, UnexpectedAnswer};
+use crate::time::Micros;
+use mio::net::TcpStream;
+use std::collections::VecDeque;
+
+/// A client waits this long after its request's time before it gives up on the connection.
+const GIVE_UP_AFTER: Micros = 3_500_000;
+/// The body of the command in whose middle clients stall.
+const STALLED_BODY: [u8; 100] = [b'x'; 100];
+/// How much of that command is sent.
+const STALLED_BYTES: usize = 40;
+/// The code that stands for an answer without a row or an error.
+const EMPTY_ANSWER: &str = "empty";
+
+/// A request that awaits its answer.
+pub(super) struct PendingRequest {
+    /// Its index in the history.
+    pub(super) index: usize,
+    pub(super) give_up_at: Micros,
+    pub(super) disconnect_at: Option<Micros>,
+    pub(super) cancel_at: Option<Micros>,
+}
+
+/// A client's connection to a router.
+pub(super) struct Connection {
+    pub(super) router: usize,
+    pub(super) token: usize,
+    /// Its number in the run.
+    number: u64,
+    opened_at: Micros,
+    stream: TcpStream,
+    inbound: Vec<u8>,
+    outbound: Vec<u8>,
+    /// The key that cancels its requests; empty before the router has sent it.
+    key: Vec<u8>,
+    greeted: bool,
+    /// How many requests were sent on it.
+    sent: usize,
+    pending: VecDeque<PendingRequest>,
+    /// Requests, by their index, whose last byte the system has not taken.
+    unsent: VecDeque<usize>,
+    stalled_since: Option<Micros>,
+}
+
+impl Connection {
+    /// A connection that sends its startup message first.
+    pub(super) fn new(
+        router: usize,
+        stream: TcpStream,
+        token: usize,
+        number: u64,
+        now: Micros,
+    ) -> Connection {
+        Connection {
+            router,
+            token,
+            number,
+            opened_at: now,
+            stream,
+            inbound: Vec::new(),
+            outbound: startup(),
+            key: Vec::new(),
+            greeted: false,
+            sent: 0,
+            pending: VecDeque::new(),
+            unsent: VecDeque::new(),
+            stalled_since: None,
+        }
+    }
+
+    pub(super) fn has_sent(&self) -> bool {
+        self.sent > 0
+    }
+
+    pub(super) fn pending_requests(&self) -> usize {
+        self.pending.len()
+    }
+
+    /// The request that awaits the next answer.
+    pub(super) fn first_pending(&mut self) -> Option<&mut PendingRequest> {
+        self.pending.front_mut()
+    }
+
+    /// The key that cancels its requests, once the router has sent it.
+    pub(super) fn cancel_key(&self) -> Option<&[u8]> {
+        (self.key.len() == KEY_BYTES).then_some(&self.key)
+    }
+
+    pub(super) fn is_stalled(&self) -> bool {
+        self.stalled_since.is_some()
+    }
+
+    /// Whether it has been stalled for longer than this.
+    pub(super) fn is_stalled_longer_than(&self, limit: Micros, now: Micros) -> bool {
+        self.stalled_since.is_some_and(|since| now > since + limit)
+    }
+
+    /// Sends a part of a command, and nothing more.
+    pub(super) fn stall(&mut self, now: Micros) {
+        self.outbound.extend(&message(tag::QUERY, &STALLED_BODY)[..STALLED_BYTES]);
+        self.stalled_since = Some(now);
+    }
+
+    /// Adds a request to what is written, and to the history.
+    pub(super) fn add_request(
+        &mut self,
+        request: &DrawnRequest,
+        statement: &str,
+        now: Micros,
+        history: &mut History,
+    ) {
+        let index = history.requests.len();
+        history.requests.push(Request {
+            id: request.id,
+            router: self.router,
+            connection: self.number,
+            connected_at: self.opened_at,
+            sequence: self.sent,
+            class: request.class,
+            group: request.group,
+            sent_at: Micros::MAX,
+            timeout: request.timeout,
+            required_commit: request.required_commit,
+            outcome: Outcome::Pending,
+            ended_at: 0,
+            cancelled_at: None,
+        });
+        self.sent += 1;
+        self.outbound.extend(query(statement));
+        self.unsent.push_back(index);
+        self.pending.push_back(PendingRequest {
+            index,
+            give_up_at: now + request.timeout + GIVE_UP_AFTER,
+            disconnect_at: request.disconnect_at,
+            cancel_at: request.cancel_at,
+        });
+    }
+
+    /// Writes and reads what can be; `false` where the connection is over.
+    pub(super) fn transfer(&mut self, now: Micros, recorder: &Recorder) -> bool {
+        let writable = write_pending(&mut self.stream, &mut self.outbound);
+        if writable && self.outbound.is_empty() && !self.unsent.is_empty() {
+            let mut history = recorder.lock();
+            for index in self.unsent.drain(..) {
+                history.requests[index].sent_at = now;
+            }
+        }
+        let inbound = &mut self.inbound;
+        let receive = |bytes: &[u8]| {
+            inbound.extend_from_slice(bytes);
+            true
+        };
+        let readable = read_available(&mut self.stream, receive) == ReadEnd::Drained;
+        writable && readable
+    }
+
+    /// Records the answers that have arrived.
+    pub(super) fn take_answers(&mut self, clock: &RunClock, recorder: &Recorder) {
+        let mut answer = None;
+        while let Some(Message { tag, body }) = take_message(&mut self.inbound) {
+            match tag {
+                tag::BACKEND_KEY if !self.greeted => self.key = body,
+                tag::READY if !self.greeted => self.greeted = true,
+                tag::DATA_ROW => answer = Some(Outcome::Served(value(&body))),
+                tag::ERROR => {
+                    let code = error_field(&body, error_fields::CODE).unwrap_or_default();
+                    answer = Some(Outcome::Error(code));
+                    // No ReadyForQuery follows a fatal error.
+                    if error_field(&body, error_fields::SEVERITY).is_some_and(|severity| severity == FATAL) {
+                        self.record_answer(answer.take(), clock.now(), &mut recorder.lock());
+                    }
+                }
+                tag::READY => self.record_answer(answer.take(), clock.now(), &mut recorder.lock()),
+                _ => {}
+            }
+        }
+    }
+
+    /// The oldest request has its answer.
+    fn record_answer(&mut self, answer: Option<Outcome>, now: Micros, history: &mut History) {
+        let Some(pending) = self.pending.pop_front() else {
+            if !self.is_stalled() {
+                let unsolicited = UnexpectedAnswer::Unsolicited { connection: self.number, answer };
+                history.unexpected_answers.push(unsolicited);
+            }
+            return;
+        };
+        let request = &mut history.requests[pending.index];
+        request.outcome = answer.unwrap_or(Outcome::Error(EMPTY_ANSWER.into()));
+        request.ended_at = now;
+        let id = request.id;
+        if let Outcome::Served(value) = &request.outcome
+            && !value.starts_with(&format!("{id:x}."))
+        {
+            let foreign = UnexpectedAnswer::Foreign { request: id, value: value.clone() };
+            history.unexpected_answers.push(foreign);
+        }
+    }
+
+    /// Records that the client has disconnected with its requests pending.
+    pub(super) fn record_disconnect(&self, now: Micros, history: &mut History) {
+        for pending in &self.pending {
+            let request = &mut history.requests[pending.index];
+            (request.outcome, request.ended_at) = (Outcome::Disconnected, now);
+        }
+    }
+
+    /// Records that the router has closed the connection with its requests pending.
+    pub(super) fn record_close(&self, now: Micros, history: &mut History) {
+        for pending in &self.pending {
+            let request = &mut history.requests[pending.index];
+            // Where its last byte was never taken, it was not sent.
+            let was_sent = request.sent_at < Micros::MAX;
+            request.outcome = if was_sent { Outcome::Closed } else { Outcome::Disconnected };
+            request.ended_at = now;
+        }
+    }
+
+    /// Records the end of a stall, if there is one.
+    pub(super) fn record_stall(&self, closed_by_router: bool, now: Micros, history: &mut History) {
+        if let Some(from) = self.stalled_since {
+            history.stalls.push(Stall { router: self.router, from, to: now, closed_by_router });
+        }
+    }
+}
--- /dev/null
+++ b/soak/src/environment/clients/event_loop.rs
@@ -0,0 +1,371 @@
+//! The thread of the clients.
+use super::commits::SessionCommits;
+use super::connection::Connection;
+use super::requests::DrawnRequest;
+use super::settings::{ClientFaults, ClientSettings, PROBABILITY_SCALE};
+use crate::class::Class;
+use crate::environment::acceptor::Poller;
+use crate::environment::clock::RunClock;
+use crate::environment::service_thread::StopSignal;
+use crate::environment::wire::cancel;
+use crate::history::Recorder;
+use crate::time::{MILLISECOND, Micros, SECOND};
+use fastrand::Rng;
+use mio::Events;
+use mio::net::TcpStream;
+use std::collections::HashMap;
+use std::io::{self, Write};
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+/// The loop checks at least this often for changes.
+const TICK: Duration = Duration::from_millis(2);
+/// Events that are handled at once.
+const MAX_EVENTS: usize = 512;
+/// Tells the seed of the clients' random numbers from that of the faults.
+const SEED_MASK: u64 = 0xc11e_4775;
+/// How long a stalled client stays before it closes its connection itself.
+const STALL_LIMIT: Micros = 6 * SECOND;
+/// How long a connect may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long the connect of a request to cancel may take.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(50);
+/// How long after a failed connect a client tries another router.
+const RECONNECT_DELAY: Micros = 100 * MILLISECOND;
+/// A client that waits for its greeting sends its first request within this time.
+const MAX_FIRST_DELAY: Micros = 20 * MILLISECOND;
+/// Sessions of a flood's clients have numbers from this one on.
+const FLOOD_SESSIONS: u64 = 10_000;
+
+/// What the clients' thread shares with their handle.
+#[derive(Clone, Default)]
+pub(super) struct SharedState {
+    faults: Arc<Mutex<ClientFaults>>,
+    load_ended: Arc<AtomicBool>,
+    pending: Arc<AtomicU64>,
+}
+
+impl SharedState {
+    fn lock_faults(&self) -> MutexGuard<'_, ClientFaults> {
+        self.faults.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn faults(&self) -> ClientFaults {
+        *self.lock_faults()
+    }
+
+    pub(super) fn change_faults(&self, change: impl FnOnce(&mut ClientFaults)) {
+        change(&mut self.lock_faults());
+    }
+
+    pub(super) fn end_load(&self) {
+        self.load_ended.store(true, Ordering::Relaxed);
+    }
+
+    fn has_load_ended(&self) -> bool {
+        self.load_ended.load(Ordering::Relaxed)
+    }
+
+    fn set_pending_requests(&self, count: u64) {
+        self.pending.store(count, Ordering::Relaxed);
+    }
+
+    pub(super) fn pending_requests(&self) -> u64 {
+        self.pending.load(Ordering::Relaxed)
+    }
+}
+
+/// How many requests a client sends.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Lifetime {
+    /// As many as the load lasts.
+    WholeLoad,
+    /// One; it closes its connection after that, and never connects again.
+    OneRequest,
+}
+
+struct Client {
+    connection: Option<Connection>,
+    next_action_at: Micros,
+    /// The session that it stands for.
+    session: u64,
+    lifetime: Lifetime,
+    /// The router that it connects to next.
+    router: usize,
+}
+
+/// The thread's state.
+pub(super) struct EventLoop {
+    settings: ClientSettings,
+    poller: Poller,
+    rng: Rng,
+    clock: RunClock,
+    recorder: Recorder,
+    shared: SharedState,
+    clients: Vec<Client>,
+    /// Clients, by their index, by their connection's token.
+    by_token: HashMap<usize, usize>,
+    connections_opened: u64,
+    /// The size of the flood whose clients were added.
+    started_flood: usize,
+    commits: SessionCommits,
+}
+
+impl EventLoop {
+    pub(super) fn new(
+        settings: ClientSettings,
+        clock: RunClock,
+        recorder: Recorder,
+        shared: SharedState,
+    ) -> io::Result<EventLoop> {
+        Ok(EventLoop {
+            poller: Poller::new()?,
+            rng: Rng::with_seed(settings.seed ^ SEED_MASK),
+            settings,
+            clock,
+            recorder,
+            shared,
+            clients: Vec::new(),
+            by_token: HashMap::new(),
+            connections_opened: 0,
+            started_flood: 0,
+            commits: SessionCommits::default(),
+        })
+    }
+
+    pub(super) fn run(&mut self, stop: &StopSignal) {
+        self.add_clients();
+        let mut events = Events::with_capacity(MAX_EVENTS);
+        while !stop.is_set() {
+            if self.poller.wait(&mut events, TICK).is_err() {
+                continue;
+            }
+            for event in &events {
+                if let Some(client) = self.by_token.get(&event.token().0).copied() {
+                    self.transfer(client);
+                }
+            }
+            let faults = self.shared.faults();
+            self.start_flood(faults);
+            for client in 0..self.clients.len() {
+                self.advance(client, faults);
+            }
+            self.count_pending();
+        }
+    }
+
+    fn add_clients(&mut self) {
+        for session in 0..self.settings.clients as u64 {
+            let next_action_at = self.clock.now() + self.rng.i64(0..self.settings.think.max(1));
+            let router = session as usize % self.settings.routers.len();
+            let lifetime = Lifetime::WholeLoad;
+            self.clients.push(Client { connection: None, next_action_at, session, lifetime, router });
+        }
+    }
+
+    fn count_pending(&self) {
+        let connections = self.clients.iter().filter_map(|client| client.connection.as_ref());
+        let pending: usize = connections.map(Connection::pending_requests).sum();
+        self.shared.set_pending_requests(pending as u64);
+    }
+
+    /// Adds the clients of a flood, each of which sends one request.
+    fn start_flood(&mut self, faults: ClientFaults) {
+        if faults.flood == self.started_flood {
+            return;
+        }
+        self.started_flood = faults.flood;
+        for _ in 0..faults.flood {
+            let session = FLOOD_SESSIONS + self.clients.len() as u64;
+            let router = self.draw_router();
+            let (next_action_at, lifetime) = (self.clock.now(), Lifetime::OneRequest);
+            self.clients.push(Client { connection: None, next_action_at, session, lifetime, router });
+        }
+    }
+
+    fn draw_router(&mut self) -> usize {
+        self.rng.usize(..self.settings.routers.len())
+    }
+
+    fn draw_pause(&mut self) -> Micros {
+        self.rng.i64(0..2 * self.settings.think.max(1))
+    }
+
+    fn advance(&mut self, client: usize, faults: ClientFaults) {
+        let now = self.clock.now();
+        let load_ended = self.shared.has_load_ended();
+        self.check_times(client, now);
+        let state = &self.clients[client];
+        if load_ended || now < state.next_action_at {
+            return;
+        }
+        let is_done = |connection: &Connection| connection.has_sent() && connection.pending_requests() == 0;
+        match &state.connection {
+            None => self.connect(client),
+            Some(connection) if state.lifetime == Lifetime::OneRequest && is_done(connection) => {
+                self.close(client);
+            }
+            Some(connection) if connection.is_stalled() || connection.pending_requests() > 0 => {}
+            Some(_) => self.send(client, faults),
+        }
+    }
+
+    /// What a client does when its times are over: it closes a stalled connection, cancels, disconnects, or gives a request
+    /// up.
+    fn check_times(&mut self, client: usize, now: Micros) {
+        let Some(connection) = &mut self.clients[client].connection else { return };
+        if connection.is_stalled_longer_than(STALL_LIMIT, now) {
+            return self.close(client);
+        }
+        let Some(first) = connection.first_pending() else { return };
+        if first.cancel_at.is_some_and(|at| now >= at) {
+            first.cancel_at = None;
+            let index = first.index;
+            return self.cancel(client, index, now);
+        }
+        if first.disconnect_at.is_some_and(|at| now >= at) {
+            return self.disconnect(client, now);
+        }
+        if now > first.give_up_at {
+            self.give_up(client, now);
+        }
+    }
+
+    /// Cancels the requests of a client's connection, once the router has sent the key for it.
+    fn cancel(&self, client: usize, index: usize, now: Micros) {
+        let Some(connection) = &self.clients[client].connection else { return };
+        let Some(key) = connection.cancel_key() else { return };
+        if self.send_cancel(connection.router, key) {
+            self.recorder.lock().requests[index].cancelled_at = Some(now);
+        }
+    }
+
+    /// Sends a request to cancel on a connection of its own; `true` where it was written.
+    fn send_cancel(&self, router: usize, key: &[u8]) -> bool {
+        let address = self.settings.routers[router];
+        let connected = std::net::TcpStream::connect_timeout(&address, CANCEL_TIMEOUT);
+        connected.and_then(|mut socket| socket.write_all(&cancel(key))).is_ok()
+    }
+
+    /// The record shows that nothing arrived; the connection is of no use any more.
+    fn give_up(&mut self, client: usize, now: Micros) {
+        self.take_connection(client);
+        self.clients[client].next_action_at = now + RECONNECT_DELAY;
+    }
+
+    /// The client closes its connection with requests pending.
+    fn disconnect(&mut self, client: usize, now: Micros) {
+        let Some(connection) = self.take_connection(client) else { return };
+        connection.record_disconnect(now, &mut self.recorder.lock());
+        self.clients[client].next_action_at = now + self.draw_pause();
+    }
+
+    /// The client closes its connection without requests pending.
+    fn close(&mut self, client: usize) {
+        if let Some(connection) = self.take_connection(client) {
+            connection.record_stall(false, self.clock.now(), &mut self.recorder.lock());
+        }
+        self.clients[client].next_action_at = match self.clients[client].lifetime {
+            Lifetime::OneRequest => Micros::MAX,
+            Lifetime::WholeLoad => self.clock.now() + self.draw_pause(),
+        };
+    }
+
+    fn take_connection(&mut self, client: usize) -> Option<Connection> {
+        let connection = self.clients[client].connection.take()?;
+        self.by_token.remove(&connection.token);
+        Some(connection)
+    }
+
+    fn connect(&mut self, client: usize) {
+        let now = self.clock.now();
+        let Ok(connection) = self.open_connection(self.clients[client].router, now) else {
+            // Another router, as the platform's front would choose.
+            self.clients[client].router = self.draw_router();
+            self.clients[client].next_action_at = now + RECONNECT_DELAY;
+            return;
+        };
+        self.by_token.insert(connection.token, client);
+        self.clients[client].connection = Some(connection);
+        // Some send their first request right behind the startup message.
+        if self.rng.bool() {
+            let faults = self.shared.faults();
+            self.add_request(client, faults);
+            self.transfer(client);
+        } else {
+            self.clients[client].next_action_at = now + self.rng.i64(0..MAX_FIRST_DELAY);
+        }
+    }
+
+    /// Connects to a router. On loopback that takes no time: what is written next is on its way before the router has
+    /// accepted the connection.
+    fn open_connection(&mut self, router: usize, now: Micros) -> io::Result<Connection> {
+        let address = self.settings.routers[router];
+        let socket = std::net::TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
+        socket.set_nonblocking(true)?;
+        let mut stream = TcpStream::from_std(socket);
+        let token = self.poller.add_stream(&mut stream)?;
+        _ = stream.set_nodelay(true);
+        self.connections_opened += 1;
+        Ok(Connection::new(router, stream, token, self.connections_opened, now))
+    }
+
+    fn send(&mut self, client: usize, faults: ClientFaults) {
+        let now = self.clock.now();
+        if self.rng.u32(..PROBABILITY_SCALE) < faults.stall {
+            let Some(connection) = &mut self.clients[client].connection else { return };
+            connection.stall(now);
+        } else {
+            for _ in 0..faults.pipelined.max(1) {
+                self.add_request(client, faults);
+            }
+        }
+        self.transfer(client);
+    }
+
+    fn add_request(&mut self, client: usize, faults: ClientFaults) {
+        let now = self.clock.now();
+        let session = self.clients[client].session;
+        let (commits, recorder) = (&mut self.commits, &self.recorder);
+        let last_commit = |group| commits.last_commit(session, group, &recorder.lock());
+        let request = DrawnRequest::draw(&mut self.rng, self.settings.groups, faults, now, last_commit);
+        let statement = request.statement(session, &self.clock);
+        if request.class == Class::Write {
+            self.commits.add_write(request.id, session);
+        }
+        let Some(connection) = &mut self.clients[client].connection else { return };
+        connection.add_request(&request, &statement, now, &mut self.recorder.lock());
+    }
+
+    /// Writes and reads what can be on a client's connection.
+    fn transfer(&mut self, client: usize) {
+        let now = self.clock.now();
+        let Some(connection) = &mut self.clients[client].connection else { return };
+        let is_open = connection.transfer(now, &self.recorder);
+        connection.take_answers(&self.clock, &self.recorder);
+        let is_idle = connection.pending_requests() == 0;
+        if is_idle && self.clients[client].next_action_at <= self.clock.now() {
+            self.clients[client].next_action_at = self.clock.now() + self.draw_pause();
+        }
+        if !is_open {
+            self.handle_close(client);
+        }
+    }
+
+    /// The router has closed the connection.
+    fn handle_close(&mut self, client: usize) {
+        let now = self.clock.now();
+        let Some(connection) = self.take_connection(client) else { return };
+        let mut history = self.recorder.lock();
+        connection.record_close(now, &mut history);
+        connection.record_stall(true, self.clock.now(), &mut history);
+        drop(history);
+        let delay = if connection.has_sent() { 0 } else { RECONNECT_DELAY };
+        self.clients[client].router = self.draw_router();
+        self.clients[client].next_action_at = match self.clients[client].lifetime {
+            Lifetime::OneRequest => Micros::MAX,
+            Lifetime::WholeLoad => now + delay,
+        };
+    }
+}
--- /dev/null
+++ b/soak/src/environment/clock.rs
@@ -0,0 +1,59 @@
+//! A run's clocks: a monotonic one, and the wall clock that all machines read, which may be stepped.
+use crate::time::Micros;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
+
+/// From when on the wall clock had which offset.
+#[derive(Clone, Copy)]
+struct WallClockStep {
+    from: Micros,
+    offset: Micros,
+}
+
+/// A run's clocks. Copies are the same clocks.
+#[derive(Clone)]
+pub struct RunClock {
+    start: Instant,
+    unix_at_start: Micros,
+    steps: Arc<Mutex<Vec<WallClockStep>>>,
+}
+
+impl RunClock {
+    /// Clocks that start now.
+    pub fn start() -> RunClock {
+        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let steps = vec![WallClockStep { from: 0, offset: 0 }];
+        RunClock {
+            start: Instant::now(),
+            unix_at_start: unix.as_micros() as Micros,
+            steps: Arc::new(Mutex::new(steps)),
+        }
+    }
+
+    /// The time since the start.
+    pub fn now(&self) -> Micros {
+        self.start.elapsed().as_micros() as Micros
+    }
+
+    /// Sets the wall clock's offset from now on.
+    pub fn set_offset(&self, offset: Micros) {
+        let from = self.now();
+        self.lock().push(WallClockStep { from, offset });
+    }
+
+    /// What the wall clock showed at a moment, in microseconds since 1970.
+    pub fn wall(&self, at: Micros) -> Micros {
+        let steps = self.lock();
+        let offset = steps.iter().rev().find(|step| step.from <= at).map_or(0, |step| step.offset);
+        self.unix_at_start + at + offset
+    }
+
+    /// The same in whole milliseconds, rounded down.
+    pub fn wall_ms(&self, at: Micros) -> i64 {
+        self.wall(at).div_euclid(1000)
+    }
+
+    fn lock(&self) -> MutexGuard<'_, Vec<WallClockStep>> {
+        self.steps.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
--- /dev/null
+++ b/soak/src/environment/servers/connection.rs
@@ -0,0 +1,125 @@
+//! One connection between a router and a server, through their link.
+use super::state::ServersState;
+use crate::environment::link::{ArrivedMessage, InboundBuffer, LinkFault, LinkId};
+use crate::environment::socket::{ReadEnd, read_available, reset};
+use crate::environment::wire::{greeting, message_length, startup_length};
+use crate::time::{MILLISECOND, Micros};
+use mio::net::TcpStream;
+use std::io::{ErrorKind, Write};
+use std::net::Shutdown;
+
+/// How long a link that trickles waits between two bytes.
+const TRICKLE_INTERVAL: Micros = MILLISECOND;
+
+/// A connection between a router and a server.
+pub(super) struct Connection {
+    pub(super) link: LinkId,
+    pub(super) opened_at: Micros,
+    stream: TcpStream,
+    inbound: InboundBuffer,
+    outbound: Vec<u8>,
+    /// Its startup message was answered.
+    started: bool,
+    /// When trickled bytes are written next.
+    next_trickle_at: Micros,
+}
+
+impl Connection {
+    pub(super) fn new(link: LinkId, stream: TcpStream, now: Micros) -> Connection {
+        Connection {
+            link,
+            opened_at: now,
+            stream,
+            inbound: InboundBuffer::default(),
+            outbound: Vec::new(),
+            started: false,
+            next_trickle_at: 0,
+        }
+    }
+
+    /// Reads what there is; `false` where the connection is over.
+    pub(super) fn read(&mut self, state: &ServersState, now: Micros) -> bool {
+        let delay = state.link_fault(self.link).request_delay;
+        let forgotten = state.is_forgotten(self.link, self.opened_at);
+        let inbound = &mut self.inbound;
+        let receive = |bytes: &[u8]| {
+            if !forgotten {
+                inbound.push(bytes, now, delay);
+            }
+            !forgotten
+        };
+        let end = read_available(&mut self.stream, receive);
+        if end == ReadEnd::Refused {
+            self.reset();
+        }
+        end == ReadEnd::Drained
+    }
+
+    /// Takes the startup message, and answers it; `false` where it has not arrived yet.
+    pub(super) fn start(&mut self, now: Micros) -> bool {
+        if !self.started && self.inbound.take(now, startup_length).is_some() {
+            self.started = true;
+            self.answer(&greeting());
+        }
+        self.started
+    }
+
+    /// Takes the next message that has reached the server.
+    pub(super) fn take_message(&mut self, now: Micros) -> Option<ArrivedMessage> {
+        self.inbound.take(now, message_length)
+    }
+
+    /// When bytes reach the server that are on their way.
+    pub(super) fn next_available_at(&self, now: Micros) -> Option<Micros> {
+        self.inbound.next_available_at(now)
+    }
+
+    /// Adds bytes that are written to the router as soon as the link lets them through.
+    pub(super) fn answer(&mut self, bytes: &[u8]) {
+        self.outbound.extend_from_slice(bytes);
+    }
+
+    /// Lets the connection end with a reset.
+    pub(super) fn reset(&self) {
+        reset(&self.stream);
+    }
+
+    /// Adds the first half of an answer, writes what can be written at once, and resets the connection.
+    pub(super) fn reset_under(&mut self, answer: &[u8]) {
+        self.answer(&answer[..answer.len() / 2]);
+        _ = self.stream.write(&self.outbound);
+        self.reset();
+    }
+
+    /// Writes what the link lets through; `false` where the connection is over.
+    pub(super) fn write(&mut self, fault: &LinkFault, now: Micros) -> bool {
+        if self.outbound.is_empty() || fault.blocks_answers {
+            return true;
+        }
+        if let Some(length) = fault.reset_after.filter(|length| self.outbound.len() > *length) {
+            _ = self.stream.write(&self.outbound[..length]);
+            self.reset();
+            return false;
+        }
+        if fault.trickles && now < self.next_trickle_at {
+            return true;
+        }
+        self.next_trickle_at = now + TRICKLE_INTERVAL;
+        let length = if fault.trickles { 1 } else { self.outbound.len() };
+        self.write_first(length)
+    }
+
+    fn write_first(&mut self, length: usize) -> bool {
+        match self.stream.write(&self.outbound[..length]) {
+            Ok(written) => {
+                self.outbound.drain(..written);
+                true
+            }
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => true,
+            Err(_) => {
+                _ = self.stream.shutdown(Shutdown::Both);
+                false
+            }
+        }
+    }
+}
--- /dev/null
+++ b/soak/src/environment/servers/event_loop.rs
@@ -0,0 +1,316 @@
+//! The thread of the servers and their links.
+use super::connection::Connection;
+use super::state::{ServersState, lock};
+use super::statement::{RequestStatement, Statement};
+use crate::environment::acceptor::Acceptor;
+use crate::environment::clock::RunClock;
+use crate::environment::link::{ArrivedMessage, LinkId};
+use crate::environment::service_thread::StopSignal;
+use crate::environment::socket::reset;
+use crate::environment::wire::{error, message, parameter, ready, row, tag};
+use crate::history::{Attempt, Recorder};
+use crate::time::{Micros, SECOND};
+use mio::Events;
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, HashMap};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+/// The loop checks at least this often for changes.
+const TICK: Duration = Duration::from_millis(3);
+/// Events that are handled at once.
+const MAX_EVENTS: usize = 512;
+/// When a link that lets no requests through is checked again.
+const BLOCKED_RECHECK: Micros = 50_000;
+/// The head of a statement's message: its tag and length.
+const HEAD_BYTES: usize = 5;
+/// How much of a row a server writes that answers garbage, and what follows it.
+const GARBAGE_ROW_BYTES: usize = 40;
+/// See [`GARBAGE_ROW_BYTES`].
+const GARBAGE: &[u8] = b"\x15\x07 noise";
+
+/// The code of an error about a message that can't be read.
+const PROTOCOL_VIOLATION: &str = "08P01";
+/// The code of a write at a replica.
+const READ_ONLY: &str = "25006";
+/// The code of a server without room.
+const TOO_MANY_CONNECTIONS: &str = "53300";
+
+/// What is due at a time.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+enum Due {
+    /// A request is through its work.
+    Answer {
+        /// Its connection's token.
+        token: usize,
+        /// The index of its attempt in the history.
+        attempt: usize,
+    },
+    /// A connection is checked for messages again.
+    Recheck {
+        /// The connection's token.
+        token: usize,
+    },
+}
+
+/// The thread's state.
+pub(super) struct EventLoop {
+    state: Arc<Mutex<ServersState>>,
+    acceptor: Acceptor<LinkId>,
+    connections: HashMap<usize, Connection>,
+    due: BinaryHeap<Reverse<(Micros, Due)>>,
+    clock: RunClock,
+    recorder: Recorder,
+}
+
+impl EventLoop {
+    pub(super) fn new(
+        state: Arc<Mutex<ServersState>>,
+        acceptor: Acceptor<LinkId>,
+        clock: RunClock,
+        recorder: Recorder,
+    ) -> EventLoop {
+        let (connections, due) = (HashMap::new(), BinaryHeap::new());
+        EventLoop { state, acceptor, connections, due, clock, recorder }
+    }
+
+    pub(super) fn run(&mut self, stop: &StopSignal) {
+        let mut events = Events::with_capacity(MAX_EVENTS);
+        while !stop.is_set() {
+            let timeout = self.poll_timeout();
+            if self.acceptor.wait(&mut events, timeout).is_err() {
+                continue;
+            }
+            let state = self.state.clone();
+            let mut state = lock(&state);
+            state.advance_replication(self.clock.now());
+            self.reset_connections(&state);
+            for event in &events {
+                let token = event.token().0;
+                if self.acceptor.is_listener(token) {
+                    self.accept(token, &state);
+                } else {
+                    self.read(token, &mut state);
+                }
+            }
+            self.handle_due(&mut state);
+            self.write_all(&state);
+        }
+    }
+
+    fn poll_timeout(&self) -> Duration {
+        let now = self.clock.now();
+        let until_due = self.due.peek().map_or(Micros::MAX, |Reverse((at, _))| (*at - now).max(0));
+        Duration::from_micros(until_due as u64).min(TICK)
+    }
+
+    /// Resets the connections of processes that have crashed.
+    fn reset_connections(&mut self, state: &ServersState) {
+        self.connections.retain(|_, connection| {
+            let ends = state.servers[connection.link.server].was_reset_since(connection.opened_at);
+            if ends {
+                connection.reset();
+            }
+            !ends
+        });
+    }
+
+    fn accept(&mut self, listener: usize, state: &ServersState) {
+        while let Some((link, mut stream)) = self.acceptor.accept(listener) {
+            if !state.servers[link.server].alive {
+                reset(&stream);
+                continue;
+            }
+            _ = stream.set_nodelay(true);
+            if let Ok(token) = self.acceptor.add_stream(&mut stream) {
+                self.connections.insert(token, Connection::new(link, stream, self.clock.now()));
+            }
+        }
+    }
+
+    fn read(&mut self, token: usize, state: &mut ServersState) {
+        let Some(mut connection) = self.connections.remove(&token) else { return };
+        let now = self.clock.now();
+        if connection.read(state, now) && self.take_messages(token, &mut connection, state) {
+            self.connections.insert(token, connection);
+        }
+    }
+
+    /// Gives the server what has reached it; `false` where the connection is over.
+    fn take_messages(&mut self, token: usize, connection: &mut Connection, state: &mut ServersState) -> bool {
+        let now = self.clock.now();
+        if state.link_fault(connection.link).blocks_requests {
+            self.due.push(Reverse((now + BLOCKED_RECHECK, Due::Recheck { token })));
+            return true;
+        }
+        if !connection.start(now) {
+            return true;
+        }
+        while let Some(message) = connection.take_message(now) {
+            if message.bytes[0] != tag::QUERY {
+                return false;
+            }
+            self.handle_statement(token, &message, connection, state);
+        }
+        if let Some(at) = connection.next_available_at(now) {
+            self.due.push(Reverse((at, Due::Recheck { token })));
+        }
+        true
+    }
+
+    fn handle_statement(
+        &mut self,
+        token: usize,
+        message: &ArrivedMessage,
+        connection: &mut Connection,
+        state: &mut ServersState,
+    ) {
+        let text = String::from_utf8_lossy(&message.bytes[HEAD_BYTES..]);
+        match Statement::parse(text.trim_end_matches('\0')) {
+            Statement::Empty => connection.answer(&empty_answer()),
+            Statement::Stats => self.answer_stats(connection, state),
+            Statement::WithoutId => connection.answer(&error_answer(PROTOCOL_VIOLATION)),
+            Statement::Request(request) => {
+                let attempt = self.record_attempt(&request, message, connection.link, state);
+                self.handle_request(token, &request, attempt, connection, state);
+            }
+        }
+    }
+
+    fn answer_stats(&self, connection: &mut Connection, state: &ServersState) {
+        let server = &state.servers[connection.link.server];
+        if server.faults.hangs {
+            return;
+        }
+        let position = self.clock.wall(server.position()) as f64 / SECOND as f64;
+        let stats = format!("x0={position:.6},x1={},util=0.1,queue=0", u8::from(server.primary));
+        connection.answer(&[row(&stats), ready()].concat());
+    }
+
+    /// Records an attempt that has reached its server; its index in the history.
+    fn record_attempt(
+        &self,
+        request: &RequestStatement,
+        message: &ArrivedMessage,
+        link: LinkId,
+        state: &ServersState,
+    ) -> usize {
+        let now = self.clock.now();
+        let server = &state.servers[link.server];
+        let mut history = self.recorder.lock();
+        history.attempts.push(Attempt {
+            id: request.id,
+            router: link.router,
+            server: link.server,
+            first_byte_at: message.first_byte_at,
+            last_byte_at: message.last_byte_at,
+            reached_at: Some(now),
+            timeout_ms: request.timeout_ms,
+            ran_at: None,
+            position: server.position(),
+            was_primary: server.was_primary(now),
+        });
+        history.attempts.len() - 1
+    }
+
+    /// Rejects a request or lets it begin. A server that hangs takes work all the same, and runs it: only its answers are
+    /// missing.
+    fn handle_request(
+        &mut self,
+        token: usize,
+        request: &RequestStatement,
+        attempt: usize,
+        connection: &mut Connection,
+        state: &mut ServersState,
+    ) {
+        let server = &mut state.servers[connection.link.server];
+        let rejection = if request.is_write() && !server.primary {
+            Some([error(READ_ONLY), parameter("mode", "read-only"), ready()].concat())
+        } else if server.has_room() {
+            None
+        } else {
+            Some(error_answer(TOO_MANY_CONNECTIONS))
+        };
+        match rejection {
+            Some(_) if server.faults.hangs => {}
+            Some(rejection) => connection.answer(&rejection),
+            None => {
+                let done_at = server.begin_request(self.clock.now());
+                self.due.push(Reverse((done_at, Due::Answer { token, attempt })));
+            }
+        }
+    }
+
+    fn handle_due(&mut self, state: &mut ServersState) {
+        while self.due.peek().is_some_and(|Reverse((at, _))| *at <= self.clock.now()) {
+            let Some(Reverse((_, due))) = self.due.pop() else { return };
+            match due {
+                Due::Recheck { token } => self.recheck(token, state),
+                Due::Answer { token, attempt } => self.finish_request(token, attempt, state),
+            }
+        }
+    }
+
+    fn recheck(&mut self, token: usize, state: &mut ServersState) {
+        let Some(mut connection) = self.connections.remove(&token) else { return };
+        if self.take_messages(token, &mut connection, state) {
+            self.connections.insert(token, connection);
+        }
+    }
+
+    /// A request is through its work: it has run, whether or not its answer arrives anywhere.
+    fn finish_request(&mut self, token: usize, attempt: usize, state: &mut ServersState) {
+        let Some(value) = self.run_request(token, attempt, state) else { return };
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let server = &state.servers[connection.link.server];
+        let mode = if server.primary { "read-write" } else { "read-only" };
+        // Positions are rounded down, commits up.
+        let position_ms = self.clock.wall_ms(server.position()) + i64::from(server.primary);
+        let parameters = [parameter("mode", mode), parameter("wal_time", &position_ms.to_string())].concat();
+        let answer = [row(&value), parameters, ready()].concat();
+        if server.faults.answers_garbage {
+            connection.answer(&[&row("nobody's")[..GARBAGE_ROW_BYTES], GARBAGE].concat());
+        } else if server.faults.resets_connections {
+            connection.reset_under(&answer);
+            self.connections.remove(&token);
+        } else {
+            connection.answer(&answer);
+        }
+    }
+
+    /// Runs a request, unless its process or its connection is gone; the value of its answer, unless the server hangs.
+    fn run_request(&self, token: usize, index: usize, state: &mut ServersState) -> Option<String> {
+        let now = self.clock.now();
+        let mut history = self.recorder.lock();
+        let attempt = &mut history.attempts[index];
+        let server = &mut state.servers[attempt.server];
+        server.end_request();
+        // A process that died meanwhile has run nothing; one whose caller gave up stops the work.
+        if !server.alive || attempt.reached_at.is_some_and(|at| server.was_reset_since(at)) {
+            return None;
+        }
+        if !self.connections.contains_key(&token) {
+            return None;
+        }
+        attempt.ran_at = Some(now);
+        attempt.position = server.position();
+        let value = format!("{:x}.{}.{index}", attempt.id, attempt.server);
+        (!server.faults.hangs).then_some(value)
+    }
+
+    fn write_all(&mut self, state: &ServersState) {
+        let now = self.clock.now();
+        self.connections.retain(|_, connection| {
+            let fault = state.link_fault(connection.link);
+            connection.write(&fault, now)
+        });
+    }
+}
+
+fn empty_answer() -> Vec<u8> {
+    [message(tag::EMPTY_QUERY, &[]), ready()].concat()
+}
+
+fn error_answer(code: &str) -> Vec<u8> {
+    [error(code), ready()].concat()
+}
--- /dev/null
+++ b/soak/src/environment/service_thread.rs
@@ -0,0 +1,49 @@
+//! Threads that run until their handle is dropped.
+use std::io;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread::JoinHandle;
+
+/// Asks threads to end. Copies are the same signal.
+#[derive(Clone, Default)]
+pub(crate) struct StopSignal(Arc<AtomicBool>);
+
+impl StopSignal {
+    pub(crate) fn set(&self) {
+        self.0.store(true, Ordering::Relaxed);
+    }
+
+    pub(crate) fn is_set(&self) -> bool {
+        self.0.load(Ordering::Relaxed)
+    }
+}
+
+/// A thread that is stopped and joined when this is dropped.
+pub(super) struct ServiceThread {
+    stop: StopSignal,
+    thread: Option<JoinHandle<()>>,
+}
+
+impl ServiceThread {
+    /// Starts a thread whose work ends soon after its signal is set.
+    pub(super) fn spawn(
+        name: &str,
+        run: impl FnOnce(&StopSignal) + Send + 'static,
+    ) -> io::Result<ServiceThread> {
+        let stop = StopSignal::default();
+        let own_stop = stop.clone();
+        let builder = std::thread::Builder::new().name(name.into());
+        let thread = builder.spawn(move || run(&own_stop))?;
+        Ok(ServiceThread { stop, thread: Some(thread) })
+    }
+}
+
+impl Drop for ServiceThread {
+    fn drop(&mut self) {
+        self.stop.set();
+        if let Some(thread) = self.thread.take() {
+            // A panic of the thread has been printed by it.
+            _ = thread.join();
+        }
+    }
+}
--- /dev/null
+++ b/soak/src/environment/socket.rs
@@ -0,0 +1,57 @@
+//! Sockets that don't block: reading and writing what can be, and closing with a reset.
+use mio::net::TcpStream;
+use socket2::SockRef;
+use std::io::{ErrorKind, Read, Write};
+use std::time::Duration;
+
+/// How many bytes are read at once.
+const READ_BYTES: usize = 4096;
+
+/// How reading what there is has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReadEnd {
+    /// There is nothing more at the moment.
+    Drained,
+    /// The connection is over.
+    Closed,
+    /// The receiver wants no more.
+    Refused,
+}
+
+/// Lets a connection end with a reset when it is dropped.
+pub(super) fn reset(stream: &TcpStream) {
+    _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
+}
+
+/// Reads what there is, until `receive` returns `false`.
+pub(super) fn read_available(stream: &mut TcpStream, mut receive: impl FnMut(&[u8]) -> bool) -> ReadEnd {
+    let mut bytes = [0; READ_BYTES];
+    loop {
+        match stream.read(&mut bytes) {
+            Ok(0) => return ReadEnd::Closed,
+            Ok(count) if receive(&bytes[..count]) => {}
+            Ok(_) => return ReadEnd::Refused,
+            Err(error) if is_pending(error.kind()) => return ReadEnd::Drained,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(_) => return ReadEnd::Closed,
+        }
+    }
+}
+
+/// Writes what the system takes, and removes it; `false` where the connection is over.
+pub(super) fn write_pending(stream: &mut TcpStream, outbound: &mut Vec<u8>) -> bool {
+    while !outbound.is_empty() {
+        match stream.write(outbound) {
+            Ok(count) => drop(outbound.drain(..count)),
+            Err(error) if is_pending(error.kind()) => return true,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(_) => return false,
+        }
+    }
+    true
+}
+
+/// Whether an operation may succeed later on the same connection, which may not be established yet.
+fn is_pending(kind: ErrorKind) -> bool {
+    matches!(kind, ErrorKind::WouldBlock | ErrorKind::NotConnected)
+}
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -1,62 +1,12 @@
-//! What servers, clients and discovery have recorded, and what was done to the routers. Times are microseconds of the
-//! monotonic clock since the start of the run.
+//! What servers, clients and discovery have recorded, and what was done to the routers.
+use crate::class::Class;
+use crate::time::Micros;
+use std::fmt::{self, Display, Formatter};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Microseconds since the start of the run.
-pub type Micros = i64;
-
-/// One second.
-pub const SECOND: Micros = 1_000_000;
-
-/// A class of requests, as the plan's settings have it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Class {
-    /// A read of data of any age; safe to repeat.
-    Any,
-    /// A read of data of [`BOUND`] at most; safe to repeat.
-    Bounded,
-    /// A read that sees its session's writes; safe to repeat.
-    Session,
-    /// A write that must not run twice.
-    Write,
-    /// A write whose repeats are dropped in its group for [`REPEAT_WINDOW`].
-    Keyed,
-}
-
-/// The oldest data that a read of [`Class::Bounded`] may see.
-pub const BOUND: Micros = SECOND;
-/// How long repeats of [`Class::Keyed`] are dropped.
-pub const REPEAT_WINDOW: Micros = 600_000;
-
-impl Class {
-    /// All of them, in the order of the settings.
-    pub const ALL: [Class; 5] = [Class::Any, Class::Bounded, Class::Session, Class::Write, Class::Keyed];
-
-    /// Its name in the settings and in statements.
-    pub fn name(self) -> &'static str {
-        match self {
-            Class::Any => "any",
-            Class::Bounded => "bounded",
-            Class::Session => "session",
-            Class::Write => "write",
-            Class::Keyed => "keyed",
-        }
-    }
-
-    /// Whether it changes data.
-    pub fn is_write(self) -> bool {
-        matches!(self, Class::Write | Class::Keyed)
-    }
-
-    /// Its longest deadline.
-    pub fn deadline(self) -> Micros {
-        if self.is_write() { 2 * SECOND } else { 1_200_000 }
-    }
-}
-
 /// How a request ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum Outcome {
     /// With this value.
     Served(String),
     /// With an error of this code.
@@ -64,12 +14,22 @@
     /// The connection ended without an answer.
     Closed,
     /// The client closed its connection.
-    Left,
-    /// Nothing yet.
-    Open,
+    Disconnected,
+    /// Not at all so far.
+    Pending,
+}
+
+/// Error codes with which a router rejects a request that it has not forwarded.
+const REJECTION_CODES: [&str; 2] = ["53300", "57P03"];
+
+impl Outcome {
+    /// Whether the router has rejected the request.
+    pub fn is_rejection(&self) -> bool {
+        matches!(self, Outcome::Error(code) if REJECTION_CODES.contains(&code.as_str()))
+    }
 }
 
-/// One request, as its client has it.
+/// One request, as its client observed it.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Its id, unique in a run.
@@ -79,44 +39,44 @@
     /// Its client's connection, unique in a run.
     pub connection: u64,
     /// When its connection was opened.
-    pub opened_at: Micros,
-    /// Its place among the requests of its connection.
-    pub place: usize,
+    pub connected_at: Micros,
+    /// How many requests its connection has carried before it.
+    pub sequence: usize,
     /// Its class.
     pub class: Class,
     /// Its group.
     pub group: usize,
-    /// When its last byte was written.
+    /// When its last byte was written; [`Micros::MAX`] before.
     pub sent_at: Micros,
     /// How long its client waits.
-    pub wait: Micros,
+    pub timeout: Micros,
     /// The commit that it must see.
-    pub after: Option<Micros>,
+    pub required_commit: Option<Micros>,
     /// How it ended.
-    pub ending: Ending,
-    /// When.
+    pub outcome: Outcome,
+    /// When it ended.
     pub ended_at: Micros,
-    /// Whether its client cancelled it, and when.
+    /// When its client cancelled it, if it did.
     pub cancelled_at: Option<Micros>,
 }
 
-/// An attempt, as a server's link and the server have it.
+/// An attempt at a request, as a server and its link observed it.
 #[derive(Clone, Debug)]
-pub struct Arrival {
+pub struct Attempt {
     /// The request's id.
     pub id: u64,
     /// The router that sent it.
     pub router: usize,
     /// The server.
     pub server: usize,
-    /// When its first byte came to the link.
+    /// When its first byte arrived at the link.
     pub first_byte_at: Micros,
-    /// When its last byte came to the link.
+    /// When its last byte arrived at the link.
     pub last_byte_at: Micros,
-    /// When it reached the server whole; `None` where it was lost on the way.
+    /// When all of it reached the server.
     pub reached_at: Option<Micros>,
-    /// The time to wait that it tells, in milliseconds.
-    pub told_ms: i64,
+    /// The timeout that it carries, in milliseconds.
+    pub timeout_ms: i64,
     /// When it ran; `None` where it never did.
     pub ran_at: Option<Micros>,
     /// What the server had applied then.
@@ -125,79 +85,79 @@
     pub was_primary: bool,
 }
 
-/// A router's process that is not there, or does not run.
+/// Why a router's process does not serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Absence {
+pub enum AbsenceReason {
     /// Killed, until the next one is ready.
     Killed,
-    /// Told to end, until the next one is ready.
-    Ended,
-    /// Stopped.
+    /// Shut down by SIGTERM, until the next one is ready.
+    ShutDown,
+    /// Stopped by SIGSTOP.
     Paused,
 }
 
-/// When a router was absent.
+/// A span in which a router did not serve.
 #[derive(Clone, Copy, Debug)]
-pub struct Absent {
+pub struct Absence {
     /// Which router.
     pub router: usize,
     /// Why.
-    pub why: Absence,
+    pub reason: AbsenceReason,
     /// From then.
     pub from: Micros,
-    /// Until then.
+    /// Until then; [`Micros::MAX`] while it lasts.
     pub to: Micros,
 }
 
 /// A server that must get nothing new any more.
 #[derive(Clone, Copy, Debug)]
-pub struct Withdrawn {
+pub struct Withdrawal {
     /// Which server.
     pub server: usize,
-    /// Which router was told; `None` for all, by the list.
+    /// Which router was notified; `None` for all, by the list.
     pub router: Option<usize>,
     /// When its agent had it, or the operator's call was answered.
-    pub told_at: Micros,
-    /// Until when it holds.
+    pub notified_at: Micros,
+    /// Until when it holds; [`Micros::MAX`] while it does.
     pub until: Micros,
 }
 
 /// A server's start.
 #[derive(Clone, Copy, Debug)]
-pub struct Start {
+pub struct ServerStart {
     /// Which server.
     pub server: usize,
     /// When it started.
     pub at: Micros,
 }
 
-/// Times in which discovery's agent told a router nothing, or late.
+/// A span in which discovery's agent sent a router nothing, or late.
 #[derive(Clone, Copy, Debug)]
-pub struct Untold {
+pub struct DiscoveryOutage {
     /// Which router.
     pub router: usize,
     /// From then.
     pub from: Micros,
-    /// Until then.
+    /// Until then; [`Micros::MAX`] while it lasts.
     pub to: Micros,
 }
 
-/// A sample of a child process.
+/// What a router's process used at some moment.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
     /// Which router.
     pub router: usize,
     /// When.
     pub at: Micros,
-    /// Descriptors.
+    /// Open descriptors.
     pub descriptors: usize,
     /// Threads.
     pub threads: usize,
     /// Resident memory in KiB.
     pub resident_kb: usize,
-    /// Processor time so far.
+    /// Processor time since its start.
     pub cpu: Micros,
-    /// Which of the router's processes it is, counted from 0.
+    /// Which of the router's processes it is.
     pub incarnation: usize,
 }
 
@@ -208,10 +168,68 @@
     pub router: usize,
     /// When it stalled.
     pub from: Micros,
-    /// When the router ended it, or the run did.
+    /// When the connection was closed.
     pub to: Micros,
-    /// Whether the router ended it.
-    pub ended: bool,
+    /// Whether it was the router that closed it.
+    pub closed_by_router: bool,
+}
+
+/// Answers that arrived out of order, twice or for nobody.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum UnexpectedAnswer {
+    /// No request of the connection waited for an answer.
+    Unsolicited {
+        /// The connection.
+        connection: u64,
+        /// What arrived; `None` for the end of a command without any.
+        answer: Option<Outcome>,
+    },
+    /// The value belongs to another request.
+    Foreign {
+        /// The request's id.
+        request: u64,
+        /// The value that it got.
+        value: String,
+    },
+}
+
+impl Display for UnexpectedAnswer {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        match self {
+            UnexpectedAnswer::Unsolicited { connection, answer } => {
+                write!(f, "connection {connection}: {answer:?}")
+            }
+            UnexpectedAnswer::Foreign { request, value } => {
+                write!(f, "request {request:x} got the answer '{value}'")
+            }
+        }
+    }
+}
+
+/// A router's process that ended by itself or did not start, with what is known of the cause.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RouterFailure {
+    /// Which router.
+    pub router: usize,
+    /// Lines of its log, or the system's error.
+    pub detail: String,
+}
+
+impl Display for RouterFailure {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        write!(f, "router {}: {}", self.router, self.detail)
+    }
+}
+
+/// The program's own count of one violated invariant.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct InvariantViolations {
+    /// Which router.
+    pub router: usize,
+    /// The invariant's name on `/metrics`.
+    pub invariant: String,
+    /// How often it was violated.
+    pub count: u64,
 }
 
 /// A read of a session (`serve`).
@@ -219,23 +237,32 @@
 pub struct SessionRead {
     /// The session.
     pub session: String,
-    /// The newest write of the session that its client had been told of before.
-    pub told: u64,
-    /// What the read showed.
-    pub seen: u64,
+    /// The newest write of the session that was confirmed before the read was sent.
+    pub confirmed: u64,
+    /// The newest write that the read showed.
+    pub observed: u64,
     /// When it was sent.
     pub at: Micros,
 }
 
-/// What was confirmed of the store, and what it held at the end (`serve`).
+/// The writes of a session that the servers have run (`serve`).
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SessionWrites {
+    /// The session.
+    pub session: String,
+    /// Their numbers, in the order of their commits.
+    pub numbers: Vec<u64>,
+}
+
+/// What was confirmed of the store, and what it had at the end (`serve`).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreRecord {
     /// The last number that was confirmed.
     pub confirmed: u64,
-    /// What the key held at the end.
+    /// The key's number at the end.
     pub found: Option<u64>,
-    /// Whether the store took changes again at the end.
-    pub came_back: bool,
+    /// Whether the store accepted changes again at the end.
+    pub recovered: bool,
 }
 
 /// What was recorded in one run.
@@ -244,38 +271,38 @@
     /// Requests.
     pub requests: Vec<Request>,
     /// Attempts.
-    pub arrivals: Vec<Arrival>,
-    /// Routers that were absent.
-    pub absent: Vec<Absent>,
+    pub attempts: Vec<Attempt>,
+    /// Spans in which routers did not serve.
+    pub absences: Vec<Absence>,
     /// Servers that were withdrawn.
-    pub withdrawn: Vec<Withdrawn>,
+    pub withdrawals: Vec<Withdrawal>,
     /// Starts of servers.
-    pub starts: Vec<Start>,
-    /// Discovery's troubles.
-    pub untold: Vec<Untold>,
+    pub server_starts: Vec<ServerStart>,
+    /// Spans in which discovery did not notify routers in time.
+    pub discovery_outages: Vec<DiscoveryOutage>,
     /// Samples of processes.
     pub samples: Vec<Sample>,
     /// Stalled clients.
     pub stalls: Vec<Stall>,
-    /// Answers that came out of order, twice or for nobody: a description of each.
-    pub unexpected_answers: Vec<String>,
-    /// Processes that ended by themselves, and what they wrote last.
-    pub crashes: Vec<String>,
+    /// Answers that arrived out of order, twice or for nobody.
+    pub unexpected_answers: Vec<UnexpectedAnswer>,
+    /// Processes that ended by themselves, and the last lines of their logs.
+    pub crashes: Vec<RouterFailure>,
     /// Processes that were not ready in time.
-    pub failed_starts: Vec<String>,
-    /// The program's own count of violated invariants, by router and name.
-    pub invariant_violations: Vec<(usize, String, u64)>,
+    pub failed_starts: Vec<RouterFailure>,
+    /// The program's own counts of violated invariants.
+    pub invariant_violations: Vec<InvariantViolations>,
     /// Reads of sessions (`serve`).
     pub session_reads: Vec<SessionRead>,
-    /// The writes that the servers have run, by session, in the order of their commits (`serve`).
-    pub writes_run: Vec<(String, Vec<u64>)>,
+    /// The writes that the servers have run, by session (`serve`).
+    pub session_writes: Vec<SessionWrites>,
     /// The store (`serve`).
     pub store: Option<StoreRecord>,
     /// When the load ended.
     pub load_ended_at: Micros,
 }
 
-/// The history while it is written.
+/// The history while it is written. Copies write the same one.
 #[derive(Clone, Default)]
 pub struct Recorder(Arc<Mutex<History>>);
 
@@ -285,7 +312,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What was recorded.
+    /// Takes what was recorded, and leaves nothing.
     pub fn take(&self) -> History {
         std::mem::take(&mut self.lock())
     }
--- /dev/null
+++ b/soak/src/oracle/processes.rs
@@ -0,0 +1,85 @@
+//! Oracles on processes: ends, starts, what they use, and the violations that they count themselves.
+use super::promise::{Breach, Promise};
+use super::spans::{absences_of, seconds};
+use crate::history::{AbsenceReason, History, Sample};
+use crate::platform::settings::{MAX_SOCKETS, MEMORY_MB};
+use crate::time::{Micros, SECOND};
+use std::collections::HashMap;
+
+/// Most threads of one process: a thread for each descriptor, and a few for the process itself.
+const MAX_THREADS: usize = MAX_SOCKETS + 32;
+/// Invariants that a stopped process violates without a fault of its own.
+const TIMING_INVARIANTS: [&str; 3] = ["response_in_time", "request_forgotten", "repeat_window"];
+/// A router has to bear pauses up to this length.
+const BEARABLE_PAUSE: Micros = 300_000;
+/// A process that uses this share of a core for [`SPIN_TIME`] spins.
+const SPIN_SHARE: f64 = 0.95;
+/// See [`SPIN_SHARE`].
+const SPIN_TIME: Micros = 6 * SECOND;
+
+/// One process of a router.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct ProcessId {
+    router: usize,
+    incarnation: usize,
+}
+
+pub(super) fn check(history: &History) -> Vec<Breach> {
+    let crashes = history.crashes.iter().map(|crash| Breach::new(Promise::Crash, crash.to_string()));
+    let mut breaches: Vec<Breach> = crashes.collect();
+    let starts = history.failed_starts.iter().map(|start| Breach::new(Promise::Start, start.to_string()));
+    breaches.extend(starts);
+    breaches.extend(check_invariants(history));
+    breaches.extend(check_limits(history));
+    breaches.extend(check_cpu(history));
+    breaches
+}
+
+fn check_invariants(history: &History) -> Vec<Breach> {
+    let mut breaches = Vec::new();
+    for violations in &history.invariant_violations {
+        let (router, name, count) = (violations.router, violations.invariant.as_str(), violations.count);
+        // A process that was stopped for long has answered nothing meanwhile: the other oracles allow for it.
+        if TIMING_INVARIANTS.contains(&name) && was_paused_for_long(history, router) {
+            continue;
+        }
+        let text = format!("router {router} counts {name} {count} times");
+        breaches.push(Breach::new(Promise::Invariant, text));
+    }
+    breaches
+}
+
+fn was_paused_for_long(history: &History, router: usize) -> bool {
+    absences_of(history, router).any(|a| a.reason == AbsenceReason::Paused && a.to - a.from > BEARABLE_PAUSE)
+}
+
+fn check_limits(history: &History) -> Vec<Breach> {
+    let exceeds = |sample: &&Sample| {
+        sample.descriptors > MAX_SOCKETS
+            || sample.threads > MAX_THREADS
+            || sample.resident_kb > MEMORY_MB * 1024
+    };
+    let exceeding = history.samples.iter().filter(exceeds);
+    exceeding.map(|sample| Breach::new(Promise::Limits, format!("{sample:?}"))).collect()
+}
+
+fn check_cpu(history: &History) -> Vec<Breach> {
+    let mut by_process: HashMap<ProcessId, Vec<&Sample>> = HashMap::new();
+    for sample in &history.samples {
+        let process = ProcessId { router: sample.router, incarnation: sample.incarnation };
+        by_process.entry(process).or_default().push(sample);
+    }
+    let spins = by_process.into_iter().filter_map(|(process, samples)| find_spin(process, &samples));
+    spins.collect()
+}
+
+/// The first time that a process spins.
+fn find_spin(process: ProcessId, samples: &[&Sample]) -> Option<Breach> {
+    samples.iter().enumerate().find_map(|(index, first)| {
+        let last = samples[index..].iter().find(|later| later.at >= first.at + SPIN_TIME)?;
+        let share = (last.cpu - first.cpu) as f64 / (last.at - first.at) as f64;
+        let (router, from) = (process.router, seconds(first.at));
+        let text = || format!("router {router} used {share:.2} of a core from {from} on");
+        (share > SPIN_SHARE).then(|| Breach::new(Promise::Cpu, text()))
+    })
+}
--- a/soak/src/oracle/requests.rs
+++ b/soak/src/oracle/requests.rs
@@ -1,185 +1,225 @@
 //! Oracles on requests: answers, repeats, times.
-use super::{Breach, Promise, SLACK, paused, seconds, was_absent};
-use crate::history::{Absence, Arrival, Class, Ending, History, Micros, REPEAT_WINDOW, Request, SECOND};
+use super::promise::{Breach, Promise};
+use super::spans::{SLACK, absences_of, paused_time, seconds, was_absent};
+use crate::class::{Class, REPEAT_WINDOW};
+use crate::history::{AbsenceReason, Attempt, History, Outcome, Request, Stall};
+use crate::time::{MILLISECOND, Micros, SECOND};
 use std::collections::HashMap;
 
 /// A final answer later than this after the client's time is lost.
 const LOST_AFTER: Micros = 500_000;
-/// An attempt must not begin later than this after its client left.
-const START_AFTER_LEAVING: Micros = 100_000;
+/// An attempt must not begin later than this after its client disconnected.
+const START_AFTER_DISCONNECT: Micros = 100_000;
 /// What scheduling may add to that: clients and servers are recorded by one process, so only the router's counts.
-const LEAVING_SLACK: Micros = 100_000;
-/// A server may be told so much more than the client has left.
-const TOLD_SLACK: Micros = 150_000;
+const DISCONNECT_SLACK: Micros = 100_000;
+/// A server's timeout may be so much longer than what the client has left.
+const TIMEOUT_SLACK: Micros = 150_000;
 /// A connection that the router ends may cross a request that was sent this short a time before.
-const CROSSING: Micros = 150_000;
+const CROSSING_TIME: Micros = 150_000;
 /// From so long after SIGTERM on, a router may close connections with unread requests.
 const SERVED_AFTER_TERM: Micros = 500_000;
-/// A stalled client has to be ended within this time.
+/// A stalled client has to be disconnected within this time.
 const STALL_TIMEOUT: Micros = 3 * SECOND;
 
 pub(super) fn check(history: &History) -> Vec<Breach> {
-    let mut by_id: HashMap<u64, Vec<&Arrival>> = HashMap::new();
-    for arrival in &history.arrivals {
-        by_id.entry(arrival.id).or_default().push(arrival);
+    let mut attempts_by_id: HashMap<u64, Vec<&Attempt>> = HashMap::new();
+    for attempt in &history.attempts {
+        attempts_by_id.entry(attempt.id).or_default().push(attempt);
     }
     let mut breaches = Vec::new();
     for request in history.requests.iter().filter(|request| request.sent_at < Micros::MAX) {
-        let arrivals = by_id.get(&request.id).map_or(&[][..], Vec::as_slice);
-        let mut found = |promise, text: String| {
-            let Request { id, router, connection, class, sent_at, .. } = request;
-            let about = format!(
-                "request {id:x} ({class:?}) of connection {connection} at router {router}, sent at {}: {text}",
-                seconds(*sent_at)
-            );
-            breaches.push(Breach { promise, text: about });
-        };
-        check_answer(history, request, arrivals, &mut found);
-        check_repeats(request, arrivals, &mut found);
-        check_times(history, request, arrivals, &mut found);
-    }
-    let foreign = |text: &String| Breach { promise: Promise::ForeignAnswer, text: text.clone() };
-    breaches.extend(history.unexpected_answers.iter().map(foreign));
-    for stall in &history.stalls {
-        let held = stall.to - stall.from - paused(history, stall.router, stall.from, stall.to);
-        let gone = [Absence::Killed, Absence::Ended];
-        if !stall.ended
-            && held > STALL_TIMEOUT + SLACK
-            && !was_absent(history, stall.router, &gone, stall.from, stall.to)
-        {
-            let text =
-                format!("router {} held a client that stalled at {}", stall.router, seconds(stall.from));
-            breaches.push(Breach { promise: Promise::BadClientHeld, text });
-        }
+        let attempts = attempts_by_id.get(&request.id).map_or(&[][..], Vec::as_slice);
+        breaches.extend(RequestOracle { history, request, attempts }.check());
     }
+    let foreign = history.unexpected_answers.iter();
+    breaches.extend(foreign.map(|answer| Breach::new(Promise::ForeignAnswer, answer.to_string())));
+    breaches.extend(history.stalls.iter().filter_map(|stall| check_stall(history, stall)));
     breaches
 }
 
-fn check_answer(
-    history: &History,
-    request: &Request,
-    arrivals: &[&Arrival],
-    found: &mut impl FnMut(Promise, String),
-) {
-    let Request { router, sent_at, wait, ended_at, .. } = *request;
-    let deadline = sent_at + wait;
-    let killed = |to| was_absent(history, router, &[Absence::Killed], sent_at, to);
-    match request.ending {
-        Ending::Left => {}
-        Ending::Served(_) | Ending::Error(_) => {
-            let late = ended_at - deadline - paused(history, router, sent_at, ended_at);
-            // Time spent behind the answers before it does not count: those had theirs.
-            if late > LOST_AFTER + SLACK && request.place == 0 {
-                found(Promise::Late, format!("answered {} after its time", seconds(late)));
-            }
+/// A client that stalls has to be disconnected, unless its router was gone.
+fn check_stall(history: &History, stall: &Stall) -> Option<Breach> {
+    let Stall { router, from, to, closed_by_router } = *stall;
+    let open_time = to - from - paused_time(history, router, from, to);
+    let gone = [AbsenceReason::Killed, AbsenceReason::ShutDown];
+    let is_breach = !closed_by_router
+        && open_time > STALL_TIMEOUT + SLACK
+        && !was_absent(history, router, &gone, from, to);
+    let text = || format!("router {router} held a client that stalled at {}", seconds(from));
+    is_breach.then(|| Breach::new(Promise::StalledClientNotClosed, text()))
+}
+
+/// One request, with its attempts.
+struct RequestOracle<'a> {
+    history: &'a History,
+    request: &'a Request,
+    attempts: &'a [&'a Attempt],
+}
+
+impl RequestOracle<'_> {
+    fn check(&self) -> Vec<Breach> {
+        let mut breaches: Vec<Breach> = self.check_outcome().into_iter().collect();
+        breaches.extend(self.check_rejection());
+        breaches.extend(self.check_repeats());
+        for attempt in self.attempts {
+            breaches.extend(self.check_start(attempt));
+            breaches.extend(self.check_timeout(attempt));
         }
-        Ending::Open => {
-            let until = history.load_ended_at.max(deadline + LOST_AFTER);
-            if !killed(until) && !was_absent(history, router, &[Absence::Ended], sent_at, until) {
-                found(Promise::Lost, "no answer, and the connection stands".into());
-            }
+        breaches
+    }
+
+    fn breach(&self, promise: Promise, text: &str) -> Breach {
+        let Request { id, router, connection, class, sent_at, .. } = self.request;
+        let sent_at = seconds(*sent_at);
+        let text = format!(
+            "request {id:x} ({class:?}) of connection {connection} at router {router}, sent at {sent_at}: {text}"
+        );
+        Breach::new(promise, text)
+    }
+
+    /// For how long the router was stopped since the request was sent.
+    fn paused_until(&self, to: Micros) -> Micros {
+        paused_time(self.history, self.request.router, self.request.sent_at, to)
+    }
+
+    fn was_absent_until(&self, reason: AbsenceReason, to: Micros) -> bool {
+        was_absent(self.history, self.request.router, &[reason], self.request.sent_at, to)
+    }
+
+    fn deadline(&self) -> Micros {
+        self.request.sent_at + self.request.timeout
+    }
+
+    fn check_outcome(&self) -> Option<Breach> {
+        match self.request.outcome {
+            Outcome::Disconnected => None,
+            Outcome::Served(_) | Outcome::Error(_) => self.check_lateness(),
+            Outcome::Pending => self.check_pending(),
+            Outcome::Closed => self.check_closed(),
         }
-        Ending::Closed => {
-            if killed(ended_at + SLACK) || process_gone(history, request) {
-                return;
-            }
-            let reached = arrivals.iter().any(|arrival| arrival.first_byte_at <= ended_at);
-            let ending_since = ending_since(history, router, ended_at);
-            let crossed = ended_at - sent_at < CROSSING + paused(history, router, sent_at, ended_at);
-            let excused = match ending_since {
-                // The platform's front deals out no connections any more, and clients resend what crosses an end.
-                Some(since) => sent_at > since + SERVED_AFTER_TERM - SLACK,
-                None => request.place > 0 && crossed,
-            };
-            if reached || !excused {
-                let place = request.place;
-                found(
-                    Promise::Lost,
-                    format!(
-                        "closed without an answer after {} (request {place} of its connection, which was opened at {}, forwarded: {reached})",
-                        seconds(ended_at - sent_at),
-                        seconds(request.opened_at)
-                    ),
-                );
-            }
+    }
+
+    fn check_lateness(&self) -> Option<Breach> {
+        let ended_at = self.request.ended_at;
+        let late = ended_at - self.deadline() - self.paused_until(ended_at);
+        // Time spent behind the answers before it does not count: those had theirs.
+        let is_late = late > LOST_AFTER + SLACK && self.request.sequence == 0;
+        let text = || format!("answered {} after its time", seconds(late));
+        is_late.then(|| self.breach(Promise::Late, &text()))
+    }
+
+    fn check_pending(&self) -> Option<Breach> {
+        let until = self.history.load_ended_at.max(self.deadline() + LOST_AFTER);
+        let router_was_gone = self.was_absent_until(AbsenceReason::Killed, until)
+            || self.was_absent_until(AbsenceReason::ShutDown, until);
+        let text = "no answer, and the connection stands";
+        (!router_was_gone).then(|| self.breach(Promise::Lost, text))
+    }
+
+    fn check_closed(&self) -> Option<Breach> {
+        let Request { connected_at, sequence, sent_at, ended_at, .. } = *self.request;
+        if self.was_absent_until(AbsenceReason::Killed, ended_at + SLACK) || self.is_process_gone() {
+            return None;
         }
+        let forwarded = self.attempts.iter().any(|attempt| attempt.first_byte_at <= ended_at);
+        if !forwarded && self.is_close_excused() {
+            return None;
+        }
+        let text = format!(
+            "closed without an answer after {} (request {sequence} of its connection, which was opened at {}, forwarded: {forwarded})",
+            seconds(ended_at - sent_at),
+            seconds(connected_at)
+        );
+        Some(self.breach(Promise::Lost, &text))
     }
-    let refused = matches!(&request.ending, Ending::Error(code) if code == "53300" || code == "57P03");
-    let ran = arrivals.iter().find(|arrival| arrival.ran_at.is_some());
-    if let (true, Class::Write, Some(ran)) = (refused, request.class, ran) {
-        found(Promise::RefusedButRan, format!("refused, and server {} ran it", ran.server));
+
+    /// Whether the router may have closed the connection without having read the request.
+    fn is_close_excused(&self) -> bool {
+        let Request { sequence, sent_at, ended_at, .. } = *self.request;
+        match self.shutting_down_since(ended_at) {
+            // The platform's front deals out no connections any more, and clients resend what crosses an end.
+            Some(since) => sent_at > since + SERVED_AFTER_TERM - SLACK,
+            None => sequence > 0 && ended_at - sent_at < CROSSING_TIME + self.paused_until(ended_at),
+        }
     }
-}
 
-/// Whether the request came to a connection whose process is no more: killed, or ended after it had served its clients for the
-/// time it owes them. The process there is now never took that connection.
-fn process_gone(history: &History, request: &Request) -> bool {
-    let of_router = history.absent.iter().filter(|absent| absent.router == request.router);
-    let mut gone =
-        of_router.filter(|absent| request.opened_at <= absent.from && absent.to <= request.ended_at + SLACK);
-    gone.any(|absent| match absent.why {
-        Absence::Killed => true,
-        Absence::Ended => request.sent_at > absent.from + SERVED_AFTER_TERM - SLACK,
-        Absence::Paused => false,
-    })
-}
+    /// Whether the request was sent on a connection whose process is no more: killed, or ended after it had served its
+    /// clients for the time it owes them. The process there is now never accepted that connection.
+    fn is_process_gone(&self) -> bool {
+        let Request { router, connected_at, sent_at, ended_at, .. } = *self.request;
+        absences_of(self.history, router)
+            .filter(|absence| connected_at <= absence.from && absence.to <= ended_at + SLACK)
+            .any(|absence| match absence.reason {
+                AbsenceReason::Killed => true,
+                AbsenceReason::ShutDown => sent_at > absence.from + SERVED_AFTER_TERM - SLACK,
+                AbsenceReason::Paused => false,
+            })
+    }
 
-/// When the router was told to end, where it is ending at this moment.
-fn ending_since(history: &History, router: usize, at: Micros) -> Option<Micros> {
-    let ended = history.absent.iter().filter(|a| a.router == router && a.why == Absence::Ended);
-    ended.into_iter().find(|a| a.from <= at && at <= a.to + SLACK).map(|a| a.from)
-}
+    /// When the router got SIGTERM, where it is shutting down at this moment.
+    fn shutting_down_since(&self, at: Micros) -> Option<Micros> {
+        absences_of(self.history, self.request.router)
+            .filter(|absence| absence.reason == AbsenceReason::ShutDown)
+            .find(|absence| absence.from <= at && at <= absence.to + SLACK)
+            .map(|absence| absence.from)
+    }
 
-fn check_repeats(request: &Request, arrivals: &[&Arrival], found: &mut impl FnMut(Promise, String)) {
-    let mut ran: Vec<&&Arrival> = arrivals.iter().filter(|arrival| arrival.ran_at.is_some()).collect();
-    ran.sort_by_key(|arrival| arrival.first_byte_at);
-    let (Some(first), Some(last)) = (ran.first(), ran.last()) else { return };
-    if ran.len() < 2 {
-        return;
-    }
-    let servers: Vec<usize> = ran.iter().map(|arrival| arrival.server).collect();
-    match request.class {
-        Class::Write => found(Promise::RanTwice, format!("ran at servers {servers:?}")),
-        Class::Keyed => {
-            let apart = last.first_byte_at - first.last_byte_at;
-            if apart > REPEAT_WINDOW + SLACK {
-                found(Promise::RanOutsideWindow, format!("ran again {} later", seconds(apart)));
+    fn check_rejection(&self) -> Option<Breach> {
+        if !self.request.outcome.is_rejection() || self.request.class != Class::Write {
+            return None;
+        }
+        let ran = self.attempts.iter().find(|attempt| attempt.ran_at.is_some())?;
+        let text = format!("refused, and server {} ran it", ran.server);
+        Some(self.breach(Promise::RejectedButRan, &text))
+    }
+
+    fn check_repeats(&self) -> Option<Breach> {
+        let mut ran: Vec<&Attempt> = self.attempts.iter().copied().filter(|a| a.ran_at.is_some()).collect();
+        ran.sort_by_key(|attempt| attempt.first_byte_at);
+        let [first, .., last] = ran.as_slice() else { return None };
+        match self.request.class {
+            Class::Write => {
+                let servers: Vec<usize> = ran.iter().map(|attempt| attempt.server).collect();
+                Some(self.breach(Promise::RanTwice, &format!("ran at servers {servers:?}")))
             }
+            Class::Keyed => {
+                let apart = last.first_byte_at - first.last_byte_at;
+                let text = || format!("ran again {} later", seconds(apart));
+                let is_breach = apart > REPEAT_WINDOW + SLACK;
+                is_breach.then(|| self.breach(Promise::RanOutsideWindow, &text()))
+            }
+            Class::Any | Class::Bounded | Class::Session => None,
         }
-        _ => {}
     }
-}
 
-fn check_times(
-    history: &History,
-    request: &Request,
-    arrivals: &[&Arrival],
-    found: &mut impl FnMut(Promise, String),
-) {
-    let Request { router, sent_at, wait, .. } = *request;
-    let left_at = match (&request.ending, request.cancelled_at) {
-        (Ending::Left, _) => Some(request.ended_at),
-        (_, cancelled_at) => cancelled_at,
-    };
-    for arrival in arrivals {
-        let at = arrival.first_byte_at;
-        let held_up = paused(history, router, sent_at, at);
-        if let Some(left_at) = left_at
-            && at > left_at + START_AFTER_LEAVING + LEAVING_SLACK + held_up
-        {
-            let after = seconds(at - left_at);
-            found(
-                Promise::SentAfterLeaving,
-                format!("sent to {} {after} after its client left", arrival.server),
-            );
+    /// When the client disconnected or cancelled.
+    fn abandoned_at(&self) -> Option<Micros> {
+        match self.request.outcome {
+            Outcome::Disconnected => Some(self.request.ended_at),
+            _ => self.request.cancelled_at,
         }
-        let left = sent_at + wait - arrival.last_byte_at;
-        let over = arrival.told_ms * 1000 - left;
-        if over > TOLD_SLACK + SLACK + held_up {
-            found(
-                Promise::ToldTooLong,
-                format!("server {} was told {} more than was left", arrival.server, seconds(over)),
-            );
+    }
+
+    /// No attempt begins once the client has disconnected or cancelled.
+    fn check_start(&self, attempt: &Attempt) -> Option<Breach> {
+        let abandoned_at = self.abandoned_at()?;
+        let at = attempt.first_byte_at;
+        if at <= abandoned_at + START_AFTER_DISCONNECT + DISCONNECT_SLACK + self.paused_until(at) {
+            return None;
+        }
+        let after = seconds(at - abandoned_at);
+        let text = format!("sent to {} {after} after its client left", attempt.server);
+        Some(self.breach(Promise::SentAfterDisconnect, &text))
+    }
+
+    /// No server gets a longer timeout than the client has left.
+    fn check_timeout(&self, attempt: &Attempt) -> Option<Breach> {
+        let remaining = self.deadline() - attempt.last_byte_at;
+        let excess = attempt.timeout_ms * MILLISECOND - remaining;
+        if excess <= TIMEOUT_SLACK + SLACK + self.paused_until(attempt.first_byte_at) {
+            return None;
         }
+        let text = format!("server {} was told {} more than was left", attempt.server, seconds(excess));
+        Some(self.breach(Promise::TimeoutTooLong, &text))
     }
 }
--- a/soak/src/oracle/serve.rs
+++ b/soak/src/oracle/serve.rs
@@ -1,35 +1,46 @@
 //! Oracles on `serve`: sessions, writes that must not run twice, the store.
-use super::{Breach, Promise, seconds};
-use crate::history::History;
+use super::promise::{Breach, Promise};
+use super::spans::seconds;
+use crate::history::{History, SessionRead, SessionWrites, StoreRecord};
 use std::collections::HashSet;
 
 pub(super) fn check(history: &History) -> Vec<Breach> {
-    let mut breaches = Vec::new();
-    for read in history.session_reads.iter().filter(|read| read.seen < read.told) {
-        let text = format!(
-            "session {} was told of {} and a read sent at {} showed {}",
-            read.session,
-            read.told,
-            seconds(read.at),
-            read.seen
-        );
-        breaches.push(Breach { promise: Promise::SessionStale, text });
-    }
-    for (session, numbers) in &history.writes_run {
-        let mut seen = HashSet::new();
-        if let Some(twice) = numbers.iter().find(|number| !seen.insert(**number)) {
-            let text = format!("write {twice} of session {session} ran twice");
-            breaches.push(Breach { promise: Promise::RanTwice, text });
-        }
+    let mut breaches: Vec<Breach> = history.session_reads.iter().filter_map(check_read).collect();
+    breaches.extend(history.session_writes.iter().filter_map(check_writes));
+    breaches.extend(history.store.as_ref().and_then(check_store));
+    breaches
+}
+
+fn check_read(read: &SessionRead) -> Option<Breach> {
+    if read.observed >= read.confirmed {
+        return None;
     }
-    if let Some(store) = &history.store {
-        if !store.came_back {
-            let text = "the store took no change again after the last trouble".to_string();
-            breaches.push(Breach { promise: Promise::StoreLost, text });
-        } else if store.found < Some(store.confirmed) && store.confirmed > 0 {
-            let text = format!("{} was confirmed, and the store holds {:?}", store.confirmed, store.found);
-            breaches.push(Breach { promise: Promise::StoreLost, text });
-        }
+    let text = format!(
+        "session {} was told of {} and a read sent at {} showed {}",
+        read.session,
+        read.confirmed,
+        seconds(read.at),
+        read.observed
+    );
+    Some(Breach::new(Promise::SessionStale, text))
+}
+
+fn check_writes(writes: &SessionWrites) -> Option<Breach> {
+    let mut distinct = HashSet::new();
+    let repeated = writes.numbers.iter().find(|number| !distinct.insert(**number))?;
+    let text = format!("write {repeated} of session {} ran twice", writes.session);
+    Some(Breach::new(Promise::RanTwice, text))
+}
+
+fn check_store(store: &StoreRecord) -> Option<Breach> {
+    let StoreRecord { confirmed, found, recovered } = *store;
+    if !recovered {
+        return Some(Breach::new(
+            Promise::StoreLost,
+            "the store took no change again after the last trouble",
+        ));
     }
-    breaches
+    let is_lost = found < Some(confirmed) && confirmed > 0;
+    let text = || format!("{confirmed} was confirmed, and the store holds {found:?}");
+    is_lost.then(|| Breach::new(Promise::StoreLost, text()))
 }
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,14 +1,23 @@
-//! What is played, as a TOML file.
-use crate::trouble::Trouble;
+//! Plans: what a run plays, as a TOML file.
+use crate::fault::PlannedFault;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use thiserror::Error;
 
+/// Most routers of a plan.
+const MAX_ROUTERS: usize = 40;
+/// Most servers of a plan.
+const MAX_SERVERS: usize = 30;
+/// Longest load of a plan, in seconds.
+const MAX_SECONDS: u64 = 3600;
+/// Most clients of a plan.
+const MAX_CLIENTS: usize = 400;
+
 /// Which front the routers run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Front {
-    /// The platform's front, with discovery and stand-in servers of the platform.
+    /// The platform's front, with discovery and simulated servers of the platform.
     Platform,
     /// `serve`: the `MySQL` front with sessions and a replicated store.
     Serve,
@@ -26,16 +35,18 @@
     pub groups: usize,
     /// Replicas of each group.
     pub replicas: usize,
-    /// How long the load and the troubles last, in seconds.
+    /// How long the load and the faults last, in seconds.
     pub seconds: u64,
     /// Clients of all routers together.
     pub clients: usize,
     /// A client's pause between two requests, in milliseconds on average.
     pub think_ms: u64,
-    /// Troubles that are drawn for each ten seconds.
-    pub troubles_per_ten_seconds: usize,
-    /// Troubles to play instead of drawn ones.
-    pub trouble: Vec<Trouble>,
+    /// Faults that are drawn for each ten seconds.
+    #[serde(rename = "troubles_per_ten_seconds")]
+    pub faults_per_ten_seconds: usize,
+    /// Faults to play instead of drawn ones.
+    #[serde(rename = "trouble")]
+    pub faults: Vec<PlannedFault>,
 }
 
 impl Default for Plan {
@@ -48,8 +59,8 @@
             seconds: 20,
             clients: 60,
             think_ms: 150,
-            troubles_per_ten_seconds: 6,
-            trouble: Vec::new(),
+            faults_per_ten_seconds: 6,
+            faults: Vec::new(),
         }
     }
 }
@@ -62,7 +73,7 @@
     Read {
         /// The file.
         path: String,
-        /// Why not.
+        /// The system's error.
         source: std::io::Error,
     },
     /// It is no plan.
@@ -70,7 +81,7 @@
     Toml {
         /// The file.
         path: String,
-        /// What is wrong.
+        /// What is wrong, with the line.
         source: Box<toml::de::Error>,
     },
     /// A value is out of its bounds.
@@ -84,29 +95,39 @@
     /// # Errors
     /// [`PlanError`], which names the file and the key.
     pub fn read(path: &Path) -> Result<Plan, PlanError> {
-        let named = path.display().to_string();
+        let shown = path.display().to_string();
         let text = std::fs::read_to_string(path)
-            .map_err(|source| PlanError::Read { path: named.clone(), source })?;
+            .map_err(|source| PlanError::Read { path: shown.clone(), source })?;
         let plan: Plan = toml::from_str(&text)
-            .map_err(|source| PlanError::Toml { path: named, source: Box::new(source) })?;
+            .map_err(|source| PlanError::Toml { path: shown, source: Box::new(source) })?;
         plan.check()?;
         Ok(plan)
     }
 
-    /// Whether it can be played.
+    /// Checks that it can be played.
     ///
     /// # Errors
     /// Which value is out of its bounds.
     pub fn check(&self) -> Result<(), PlanError> {
-        if !(1..=40).contains(&self.routers) {
+        if !(1..=MAX_ROUTERS).contains(&self.routers) {
             return Err(PlanError::OutOfBounds("1 to 40 routers"));
         }
-        if self.groups == 0 || self.groups * (self.replicas + 1) > 30 {
+        if self.groups == 0 || self.servers() > MAX_SERVERS {
             return Err(PlanError::OutOfBounds("1 to 30 servers"));
         }
-        if !(1..=3600).contains(&self.seconds) || self.clients > 400 {
+        if !(1..=MAX_SECONDS).contains(&self.seconds) || self.clients > MAX_CLIENTS {
             return Err(PlanError::OutOfBounds("1 to 3600 seconds and at most 400 clients"));
         }
         Ok(())
     }
+
+    /// Servers of each group.
+    pub fn servers_per_group(&self) -> usize {
+        self.replicas + 1
+    }
+
+    /// Servers of all groups.
+    pub fn servers(&self) -> usize {
+        self.groups * self.servers_per_group()
+    }
 }
--- /dev/null
+++ b/soak/src/platform/faults.rs
@@ -0,0 +1,356 @@
+//! What each fault does to the platform's routers and to their environment, at its beginning and at its end.
+use super::run::{Run, server_id};
+use super::schedule::{Effect, Schedule, Step};
+use crate::environment::clients::ClientFaults;
+use crate::environment::discovery::{ADDRESSES, AgentFault, Endpoint, EndpointState};
+use crate::environment::link::{LinkFault, LinkId};
+use crate::environment::servers::ServerFaults;
+use crate::fault::{FaultKind, PlannedFault};
+use crate::history::{AbsenceReason, DiscoveryOutage, Withdrawal};
+use crate::time::{MILLISECOND, Micros, SECOND};
+use fault_control::{ControlFile, Fault};
+use nix::sys::signal::Signal;
+use std::io;
+
+/// How long after the end of discovery's fault a change may still be unknown to a router.
+const OUTAGE_AFTER_FAULT: Micros = 6 * SECOND;
+/// The same after a configuration that moves a router to another address.
+const OUTAGE_AFTER_MOVE: Micros = 4 * SECOND;
+/// A server's process that starts is listed this much later.
+const LIST_LAG: Micros = 200 * MILLISECOND;
+/// A replica takes over this long after its primary began to hang.
+const ELECTION_DELAY: Micros = 700 * MILLISECOND;
+/// The time between two configurations that are read in succession.
+const RELOAD_INTERVAL: Micros = 30 * MILLISECOND;
+/// The last of those configurations, counted from 0.
+const LAST_RELOAD: u8 = 5;
+/// A configuration that can't be read.
+const FAULTY_CONFIG: &str = "{\"name\": \"n";
+/// How long a slow agent takes for a line.
+const SLOW_LINE: Micros = 400 * MILLISECOND;
+/// How long a slow link takes.
+const LINK_DELAY: Micros = 120 * MILLISECOND;
+/// After how many bytes of an answer a link resets its connection.
+const LINK_RESET_AFTER: usize = 37;
+/// How many requests clients send at once.
+const PIPELINED_REQUESTS: usize = 4;
+/// How many clients a flood has.
+const FLOOD_CLIENTS: usize = 80;
+/// Out of a thousand requests, those in which clients disconnect.
+const DISCONNECT_PROBABILITY: u32 = 150;
+/// Out of a thousand requests, those that clients cancel.
+const CANCEL_PROBABILITY: u32 = 50;
+/// Out of a thousand requests, those in whose middle clients stall.
+const STALL_PROBABILITY: u32 = 60;
+/// The rates of failing system calls, out of a million.
+const SYSCALL_RATES: [(Fault, u64); 6] = [
+    (Fault::Accept, 50_000),
+    (Fault::Socket, 50_000),
+    (Fault::Connect, 50_000),
+    (Fault::Interrupt, 20_000),
+    (Fault::ShortTransfer, 100_000),
+    (Fault::ConnectionLoss, 5_000),
+];
+/// The rate of threads that can't be started, out of a million.
+const THREAD_RATE: u64 = 600_000;
+/// The rate of writes that fail, out of a million.
+const DISK_RATE: u64 = 500_000;
+
+impl Run<'_> {
+    /// Takes a step of the schedule.
+    pub(super) fn take_step(&mut self, step: &Step, schedule: &mut Schedule) -> io::Result<()> {
+        match step {
+            Step::Begin(fault) => self.begin(fault, schedule),
+            Step::End(fault) => self.end(fault, schedule),
+            Step::Effect(effect, fault) => self.apply_effect(*effect, fault, schedule),
+        }
+    }
+
+    fn begin(&mut self, fault: &PlannedFault, schedule: &mut Schedule) -> io::Result<()> {
+        let PlannedFault { router, server, .. } = *fault;
+        let now = self.clock.now();
+        match fault.kind {
+            FaultKind::Term => self.end_router(router, Signal::SIGTERM, AbsenceReason::ShutDown),
+            FaultKind::Kill => self.end_router(router, Signal::SIGKILL, AbsenceReason::Killed),
+            FaultKind::PauseShort | FaultKind::PauseLong => self.pause(router),
+            FaultKind::Reload => self.reload(0, fault, schedule)?,
+            FaultKind::DiscoverySilent => {
+                self.set_agent_fault(fault, AgentFault::SilentBefore(now), now + OUTAGE_AFTER_FAULT);
+            }
+            FaultKind::DiscoveryDown => self.set_agent_fault(fault, AgentFault::Down, Micros::MAX),
+            FaultKind::DiscoverySlow => self.set_agent_fault(fault, AgentFault::Slow(SLOW_LINE), Micros::MAX),
+            FaultKind::Drain => self.withdraw(server),
+            FaultKind::ServerRestart => self.servers.crash(server, now),
+            FaultKind::ServerHang => self.change_server(server, |faults| faults.hangs = true),
+            FaultKind::ServerReset => self.change_server(server, |faults| faults.resets_connections = true),
+            FaultKind::ServerGarbage => self.change_server(server, |faults| faults.answers_garbage = true),
+            FaultKind::ServerLag => self.change_server(server, |faults| faults.replication_stopped = true),
+            FaultKind::Failover => {
+                self.change_server(server, |faults| faults.hangs = true);
+                schedule.add(now + ELECTION_DELAY, Step::Effect(Effect::ElectPrimary, *fault));
+            }
+            FaultKind::LinkCut => self.change_links(fault, |link| {
+                link.blocks_requests = true;
+                link.blocks_answers = true;
+            }),
+            FaultKind::LinkDeaf => self.change_links(fault, |link| link.blocks_answers = true),
+            FaultKind::LinkDelay => self.change_links(fault, |link| link.request_delay = LINK_DELAY),
+            FaultKind::LinkReset => {
+                self.change_links(fault, |link| link.reset_after = Some(LINK_RESET_AFTER));
+            }
+            FaultKind::LinkTrickle => self.change_links(fault, |link| link.trickles = true),
+            FaultKind::LinkForget => self.forget_connections(fault),
+            FaultKind::ClientsLeave => self.change_clients(|clients| {
+                clients.disconnect = DISCONNECT_PROBABILITY;
+                clients.cancel = CANCEL_PROBABILITY;
+            }),
+            FaultKind::ClientsStall => self.change_clients(|clients| clients.stall = STALL_PROBABILITY),
+            FaultKind::ClientsPipeline => {
+                self.change_clients(|clients| clients.pipelined = PIPELINED_REQUESTS);
+            }
+            FaultKind::ClientsFlood => self.change_clients(|clients| clients.flood = FLOOD_CLIENTS),
+            FaultKind::ClockAll => self.step_all_clocks(fault.clock_step_seconds * SECOND)?,
+            FaultKind::ClockOne => {
+                self.control(router).set_clock_offset(fault.clock_step_seconds * SECOND)?;
+            }
+            FaultKind::Syscalls => self.fail_system_calls(router)?,
+            FaultKind::Threads => self.control(router).set_fault_rate(Fault::ThreadStart, THREAD_RATE)?,
+            FaultKind::Disk => self.control(router).set_fault_rate(Fault::FileWrite, DISK_RATE)?,
+            FaultKind::Maintenance => self.put_in_maintenance(fault),
+        }
+        Ok(())
+    }
+
+    fn end(&mut self, fault: &PlannedFault, schedule: &mut Schedule) -> io::Result<()> {
+        let PlannedFault { router, server, .. } = *fault;
+        let now = self.clock.now();
+        match fault.kind {
+            FaultKind::PauseShort | FaultKind::PauseLong => self.resume(router),
+            FaultKind::DiscoveryDown | FaultKind::DiscoverySlow => {
+                self.set_agent_fault(fault, AgentFault::None, now + OUTAGE_AFTER_FAULT);
+            }
+            FaultKind::Drain => self.replace(server),
+            FaultKind::ServerRestart => {
+                self.servers.revive(server);
+                self.record_server_start(server);
+                schedule.add(now + LIST_LAG, Step::Effect(Effect::ListStart, *fault));
+            }
+            FaultKind::ServerHang | FaultKind::Failover => {
+                self.change_server(server, |faults| faults.hangs = false);
+            }
+            FaultKind::ServerReset => self.change_server(server, |faults| faults.resets_connections = false),
+            FaultKind::ServerGarbage => self.change_server(server, |faults| faults.answers_garbage = false),
+            FaultKind::ServerLag => self.change_server(server, |faults| faults.replication_stopped = false),
+            FaultKind::LinkCut
+            | FaultKind::LinkDeaf
+            | FaultKind::LinkDelay
+            | FaultKind::LinkReset
+            | FaultKind::LinkTrickle => self.change_links(fault, |link| *link = LinkFault::default()),
+            FaultKind::ClientsLeave => self.change_clients(|clients| {
+                clients.disconnect = 0;
+                clients.cancel = 0;
+            }),
+            FaultKind::ClientsStall => self.change_clients(|clients| clients.stall = 0),
+            FaultKind::ClientsPipeline => self.change_clients(|clients| clients.pipelined = 0),
+            FaultKind::ClientsFlood => self.change_clients(|clients| clients.flood = 0),
+            FaultKind::ClockAll => self.step_all_clocks(0)?,
+            FaultKind::ClockOne => self.control(router).set_clock_offset(0)?,
+            FaultKind::Syscalls | FaultKind::Threads | FaultKind::Disk => {
+                self.control(router).clear_faults()?;
+            }
+            FaultKind::Maintenance => self.end_maintenance(fault),
+            // Silent connections stay silent: a router has to open others.
+            FaultKind::Term
+            | FaultKind::Kill
+            | FaultKind::Reload
+            | FaultKind::LinkForget
+            | FaultKind::DiscoverySilent => {}
+        }
+        Ok(())
+    }
+
+    fn apply_effect(
+        &mut self,
+        effect: Effect,
+        fault: &PlannedFault,
+        schedule: &mut Schedule,
+    ) -> io::Result<()> {
+        match effect {
+            Effect::ListStart => self.list_start(fault.server),
+            Effect::ElectPrimary => {
+                self.servers.fail_over(fault.server, self.clock.now());
+                self.list_roles(fault.server);
+            }
+            Effect::ReloadAgain { round } => self.reload(round, fault, schedule)?,
+        }
+        Ok(())
+    }
+
+    fn control(&self, router: usize) -> &ControlFile {
+        self.routers[router].instance.control()
+    }
+
+    fn pause(&mut self, router: usize) {
+        let own = &mut self.routers[router];
+        if own.is_running() {
+            own.instance.set_absent(AbsenceReason::Paused);
+            own.instance.signal(Signal::SIGSTOP);
+        }
+    }
+
+    fn resume(&mut self, router: usize) {
+        let own = &mut self.routers[router];
+        own.instance.signal(Signal::SIGCONT);
+        if own.is_running() {
+            own.instance.set_present();
+        }
+    }
+
+    /// The routers that a fault of a link or an agent concerns.
+    fn concerned_routers(&self, fault: &PlannedFault) -> Vec<usize> {
+        if fault.concerns_all_routers() { (0..self.routers.len()).collect() } else { vec![fault.router] }
+    }
+
+    /// Sets the fault of the agents concerned, and records the outage that it means for their routers.
+    fn set_agent_fault(&self, fault: &PlannedFault, agent_fault: AgentFault, outage_to: Micros) {
+        let now = self.clock.now();
+        for router in self.concerned_routers(fault) {
+            self.agents.set_fault(router, agent_fault);
+            let mut history = self.recorder.lock();
+            let outages = history.discovery_outages.iter_mut();
+            let lasting = outages.filter(|outage| outage.router == router && outage.to == Micros::MAX);
+            lasting.for_each(|outage| outage.to = now + OUTAGE_AFTER_FAULT);
+            history.discovery_outages.push(DiscoveryOutage { router, from: now, to: outage_to });
+        }
+    }
+
+    fn change_server(&self, server: usize, change: impl FnOnce(&mut ServerFaults)) {
+        change(&mut self.servers.lock().servers[server].faults);
+    }
+
+    fn change_links(&self, fault: &PlannedFault, change: impl Fn(&mut LinkFault)) {
+        let mut state = self.servers.lock();
+        for router in self.concerned_routers(fault) {
+            change(state.link_fault_mut(LinkId { router, server: fault.server }));
+        }
+    }
+
+    fn forget_connections(&self, fault: &PlannedFault) {
+        let now = self.clock.now();
+        for router in self.concerned_routers(fault) {
+            self.servers.lock().forget_connections(router, now);
+        }
+    }
+
+    fn change_clients(&self, change: impl FnOnce(&mut ClientFaults)) {
+        if let Some(clients) = &self.clients {
+            clients.change_faults(change);
+        }
+    }
+
+    fn step_all_clocks(&self, offset: Micros) -> io::Result<()> {
+        self.clock.set_offset(offset);
+        self.routers.iter().try_for_each(|router| router.instance.control().set_clock_offset(offset))
+    }
+
+    fn fail_system_calls(&self, router: usize) -> io::Result<()> {
+        let control = self.control(router);
+        SYSCALL_RATES.iter().try_for_each(|(fault, rate)| control.set_fault_rate(*fault, *rate))
+    }
+
+    /// A server's entry shows that it terminates, and it is to get nothing new.
+    fn withdraw(&self, server: usize) {
+        let Some(listed) = self.agents.endpoint_of(server) else { return };
+        let notified_at = self.agents.change(Endpoint { state: EndpointState::Terminating, ..listed });
+        let withdrawal = Withdrawal { server, router: None, notified_at, until: Micros::MAX };
+        self.recorder.lock().withdrawals.push(withdrawal);
+    }
+
+    /// The drained server is gone; a cold one takes its place under another id.
+    fn replace(&mut self, server: usize) {
+        let Some(listed) = self.agents.endpoint_of(server) else { return };
+        let now = self.clock.now();
+        let was_primary = self.servers.lock().servers[server].primary;
+        if was_primary {
+            self.servers.fail_over(server, now);
+            self.list_roles(server);
+        }
+        self.agents.change(Endpoint { state: EndpointState::Terminated, ..listed.clone() });
+        self.servers.crash(server, now);
+        self.servers.revive(server);
+        self.record_server_start(server);
+        let replaced_at = self.list_replacement(server, listed);
+        let mut history = self.recorder.lock();
+        let withdrawals = history.withdrawals.iter_mut().filter(|w| w.server == server && w.router.is_none());
+        withdrawals.filter(|w| w.until == Micros::MAX).for_each(|w| w.until = replaced_at);
+    }
+
+    /// Lists a server that has started in the place of another; returns the moment.
+    fn list_replacement(&mut self, server: usize, replaced: Endpoint) -> Micros {
+        self.generations[server] += 1;
+        let primary = self.servers.lock().servers[server].primary;
+        self.agents.change(Endpoint {
+            id: server_id(server, self.generations[server]),
+            state: EndpointState::InService,
+            primary,
+            started_ms: self.last_start_ms(server),
+            ..replaced
+        })
+    }
+
+    fn list_start(&self, server: usize) {
+        let started_ms = self.last_start_ms(server);
+        if let Some(listed) = self.agents.endpoint_of(server) {
+            self.agents.change(Endpoint { started_ms, ..listed });
+        }
+    }
+
+    /// When a server last started, in milliseconds of the wall clock; 0 where it never did.
+    fn last_start_ms(&self, server: usize) -> i64 {
+        let history = self.recorder.lock();
+        let start = history.server_starts.iter().rev().find(|start| start.server == server);
+        start.map_or(0, |start| self.clock.wall(start.at) / MILLISECOND)
+    }
+
+    /// The list shows the roles of a server's group as they are.
+    fn list_roles(&self, server: usize) {
+        let servers = self.servers.lock().servers.clone();
+        let group = servers[server].group;
+        for (index, member) in servers.iter().enumerate().filter(|(_, member)| member.group == group) {
+            let Some(listed) = self.agents.endpoint_of(index) else { continue };
+            if listed.primary != member.primary {
+                self.agents.change(Endpoint { primary: member.primary, ..listed });
+            }
+        }
+    }
+
+    /// Writes a configuration, each second one faulty, and sends SIGHUP. The last one is good, and names the other address
+    /// of the router's agent.
+    fn reload(&mut self, round: u8, fault: &PlannedFault, schedule: &mut Schedule) -> io::Result<()> {
+        let (router, now) = (fault.router, self.clock.now());
+        let is_good = !round.is_multiple_of(2);
+        if is_good {
+            self.move_to_other_agent_address(router, now)?;
+        } else {
+            std::fs::write(&self.routers[router].config, FAULTY_CONFIG)?;
+        }
+        let own = &mut self.routers[router];
+        if own.is_running() {
+            own.instance.signal(Signal::SIGHUP);
+        }
+        if round < LAST_RELOAD {
+            let again = Effect::ReloadAgain { round: round + 1 };
+            schedule.add(now + RELOAD_INTERVAL, Step::Effect(again, *fault));
+        }
+        Ok(())
+    }
+
+    fn move_to_other_agent_address(&mut self, router: usize, now: Micros) -> io::Result<()> {
+        let own = &mut self.routers[router];
+        own.agent_address = (own.agent_address + 1) % ADDRESSES;
+        self.write_config(router)?;
+        let outage = DiscoveryOutage { router, from: now, to: now + OUTAGE_AFTER_MOVE };
+        self.recorder.lock().discovery_outages.push(outage);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/soak/src/platform/maintenance.rs
@@ -0,0 +1,43 @@
+//! Operators put servers in maintenance at a router, and back.
+use super::probe::admin_call;
+use super::run::{Run, server_id};
+use crate::fault::PlannedFault;
+use crate::history::Withdrawal;
+use crate::time::Micros;
+use std::time::Duration;
+
+/// An operator's call is answered within this time.
+const ADMIN_TIMEOUT: Duration = Duration::from_secs(1);
+/// How the answer to a call begins that was carried out.
+const SUCCESS: &str = "200";
+
+impl Run<'_> {
+    /// Puts a server in maintenance at one router.
+    pub(super) fn put_in_maintenance(&self, fault: &PlannedFault) {
+        let PlannedFault { router, server, .. } = *fault;
+        let Some(listed) = self.agents.endpoint_of(server) else { return };
+        let admin = self.routers[router].admin;
+        let answer = admin_call(admin, &format!("SUSPEND {}", listed.id), ADMIN_TIMEOUT);
+        if answer.is_ok_and(|answer| answer.starts_with(SUCCESS)) {
+            let notified_at = self.clock.now();
+            let withdrawal = Withdrawal { server, router: Some(router), notified_at, until: Micros::MAX };
+            self.recorder.lock().withdrawals.push(withdrawal);
+        }
+    }
+
+    /// Puts a server back, under each id that it has had.
+    pub(super) fn end_maintenance(&self, fault: &PlannedFault) {
+        let PlannedFault { router, server, .. } = *fault;
+        let admin = self.routers[router].admin;
+        let now = self.clock.now();
+        for generation in 0..=self.generations[server] {
+            let id = server_id(server, generation);
+            // Most ids are in no maintenance, and a router that is absent keeps it: the oracle then only checks less.
+            _ = admin_call(admin, &format!("RESTORE {id}"), ADMIN_TIMEOUT);
+        }
+        let mut history = self.recorder.lock();
+        let withdrawals = history.withdrawals.iter_mut();
+        let by_operator = withdrawals.filter(|w| w.server == server && w.router == Some(router));
+        by_operator.for_each(|withdrawal| withdrawal.until = withdrawal.until.min(now));
+    }
+}
--- /dev/null
+++ b/soak/src/platform/probe.rs
@@ -0,0 +1,53 @@
+//! Calls to a router from outside: operators' commands, and the platform's readiness probe.
+use crate::environment::wire::{message, startup, tag};
+use std::io::{self, ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::time::{Duration, Instant};
+
+/// How the answer to an empty query begins.
+const EMPTY_QUERY_ANSWER: [u8; 5] = [tag::EMPTY_QUERY, 0, 0, 0, 4];
+
+/// Sends a line to an admin address and returns the whole answer.
+///
+/// # Errors
+/// The system's, or a time-out.
+pub(super) fn admin_call(address: SocketAddr, line: &str, timeout: Duration) -> io::Result<String> {
+    let deadline = Instant::now() + timeout;
+    let mut socket = connect(address, timeout)?;
+    socket.write_all(format!("{line}\n").as_bytes())?;
+    let mut answer = String::new();
+    let mut bytes = [0; 8192];
+    while Instant::now() < deadline {
+        match socket.read(&mut bytes)? {
+            0 => return Ok(answer),
+            count => answer.push_str(&String::from_utf8_lossy(&bytes[..count])),
+        }
+    }
+    Err(ErrorKind::TimedOut.into())
+}
+
+/// Whether a router answers the platform's empty query.
+pub(super) fn is_ready(address: SocketAddr, timeout: Duration) -> bool {
+    answers_empty_query(address, timeout).unwrap_or(false)
+}
+
+fn answers_empty_query(address: SocketAddr, timeout: Duration) -> io::Result<bool> {
+    let mut socket = connect(address, timeout)?;
+    socket.write_all(&startup())?;
+    socket.write_all(&message(tag::QUERY, b"\0"))?;
+    let mut received = Vec::new();
+    let mut bytes = [0; 1024];
+    while !received.windows(EMPTY_QUERY_ANSWER.len()).any(|window| window == EMPTY_QUERY_ANSWER) {
+        match socket.read(&mut bytes)? {
+            0 => return Ok(false),
+            count => received.extend_from_slice(&bytes[..count]),
+        }
+    }
+    Ok(true)
+}
+
+fn connect(address: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
+    let socket = TcpStream::connect_timeout(&address, timeout)?;
+    socket.set_read_timeout(Some(timeout))?;
+    Ok(socket)
+}
--- /dev/null
+++ b/soak/src/platform/run.rs
@@ -0,0 +1,315 @@
+//! A run: its start, its load, the life of its processes, its end.
+use super::probe::{admin_call, is_ready};
+use super::router::{Phase, Router};
+use super::schedule::Schedule;
+use super::settings::RouterSettings;
+use crate::environment::clients::{ClientSettings, Clients};
+use crate::environment::clock::RunClock;
+use crate::environment::discovery::{DiscoveryAgents, Endpoint, EndpointState};
+use crate::environment::servers::Servers;
+use crate::error::{LateRouter, RunError};
+use crate::fault::PlannedFault;
+use crate::history::{AbsenceReason, History, InvariantViolations, Recorder, ServerStart};
+use crate::plan::Plan;
+use crate::router::{AddressBlock, Programs, RouterInstance, free_addresses};
+use crate::time::{MILLISECOND, Micros, SECOND};
+use nix::sys::signal::Signal;
+use std::io;
+use std::time::Duration;
+use tempfile::TempDir;
+
+/// A process has to be ready by then.
+const READY_TIMEOUT: Micros = 30 * SECOND;
+/// How long one readiness probe may take.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
+/// After SIGTERM a process is killed: the longest deadline (3 s at least) and 0.7 s later.
+const KILL_AFTER: Micros = 3_700_000;
+/// A process that has ended as it was asked to is replaced after this time.
+const RESTART_DELAY: Micros = 100 * MILLISECOND;
+/// A process that has crashed is replaced after this time.
+const CRASH_RESTART_DELAY: Micros = SECOND;
+/// How often a process is checked.
+const CHECK_INTERVAL: Micros = 10 * MILLISECOND;
+/// Processes are sampled this often.
+const SAMPLE_INTERVAL: Micros = SECOND;
+/// How long pending requests are awaited once the load has ended.
+const DRAIN_TIMEOUT: Micros = 5 * SECOND;
+/// How long the last answers may take to be recorded.
+const RECORDING_TIME: Duration = Duration::from_millis(50);
+/// How long a router may take for its figures.
+const METRICS_TIMEOUT: Duration = Duration::from_secs(2);
+/// The main loop's step.
+const STEP: Duration = Duration::from_millis(2);
+/// The addresses of the routers.
+const ROUTER_ADDRESSES: AddressBlock = AddressBlock(9);
+/// Lines of a router's log that are shown where it is not ready.
+const SHOWN_LINES: usize = 3;
+/// The name of the figure that counts violated invariants.
+const VIOLATIONS_FIGURE: &str = "invariant_violations_total{";
+
+/// A run of the platform's front.
+pub(super) struct Run<'a> {
+    pub(super) plan: &'a Plan,
+    programs: &'a Programs,
+    folder: TempDir,
+    pub(super) clock: RunClock,
+    pub(super) recorder: Recorder,
+    pub(super) servers: Servers,
+    pub(super) agents: DiscoveryAgents,
+    pub(super) clients: Option<Clients>,
+    pub(super) routers: Vec<Router>,
+    /// How often each server was replaced, which its id shows.
+    pub(super) generations: Vec<usize>,
+}
+
+/// The id of a server in discovery's list.
+pub(super) fn server_id(server: usize, generation: usize) -> String {
+    format!("s{server}-{generation}")
+}
+
+impl<'a> Run<'a> {
+    /// Starts everything but the routers' processes and the clients.
+    pub(super) fn prepare(plan: &'a Plan, programs: &'a Programs) -> io::Result<Run<'a>> {
+        let folder = tempfile::Builder::new().prefix("damsonvale-soak-").tempdir()?;
+        let (clock, recorder) = (RunClock::start(), Recorder::default());
+        let servers = Servers::start(plan, &clock, &recorder)?;
+        let agents = DiscoveryAgents::start(servers.addresses.clone(), &clock)?;
+        list_servers(plan, &agents);
+        let routers = create_routers(plan, &folder, &clock, &recorder)?;
+        let generations = vec![0; plan.servers()];
+        let clients = None;
+        Ok(Run { plan, programs, folder, clock, recorder, servers, agents, clients, routers, generations })
+    }
+
+    /// Writes a router's configuration with the endpoint list as it is.
+    pub(super) fn write_config(&self, router: usize) -> io::Result<()> {
+        let own = &self.routers[router];
+        let settings = RouterSettings {
+            router,
+            listen: own.listen,
+            admin: own.admin,
+            discovery: self.agents.addresses[router][own.agent_address],
+            endpoints: self.agents.list_json(&self.servers.addresses[router]),
+            routers: self.plan.routers,
+        };
+        std::fs::write(&own.config, settings.to_json().to_string())
+    }
+
+    fn start_router(&mut self, router: usize) -> io::Result<()> {
+        self.write_config(router)?;
+        let temporary = self.folder.path().join(format!("n{router}.tmp"));
+        std::fs::create_dir_all(&temporary)?;
+        let temporary = temporary.display().to_string();
+        let own = &mut self.routers[router];
+        let config = own.config.display().to_string();
+        let variables = [("BALANCER_CONFIG", config.as_str()), ("TMPDIR", temporary.as_str())];
+        own.instance.start(self.programs, &[], &variables)?;
+        own.phase = Phase::Starting { since: self.clock.now() };
+        Ok(())
+    }
+
+    /// Starts the routers, and waits until each is ready.
+    pub(super) fn start_routers(&mut self) -> Result<(), RunError> {
+        (0..self.routers.len()).try_for_each(|router| self.start_router(router))?;
+        let started_at = self.clock.now();
+        while !self.routers.iter().all(Router::is_running) {
+            self.advance_routers();
+            if self.clock.now() > started_at + READY_TIMEOUT {
+                return Err(RunError::PlatformNotReady(self.late_routers()));
+            }
+            std::thread::sleep(STEP);
+        }
+        Ok(())
+    }
+
+    fn late_routers(&self) -> Vec<LateRouter> {
+        let late = self.routers.iter().enumerate().filter(|(_, router)| !router.is_running());
+        let described = late.map(|(index, router)| LateRouter {
+            router: index,
+            listen: router.listen,
+            last_lines: router.instance.last_lines(SHOWN_LINES),
+        });
+        described.collect()
+    }
+
+    /// Plays the load and the faults.
+    pub(super) fn play(&mut self, seed: u64, faults: &[PlannedFault]) -> io::Result<()> {
+        let settings = ClientSettings {
+            routers: self.routers.iter().map(|router| router.listen).collect(),
+            clients: self.plan.clients,
+            groups: self.plan.groups,
+            think: self.plan.think_ms as Micros * MILLISECOND,
+            seed,
+        };
+        self.clients = Some(Clients::start(settings, &self.clock, &self.recorder)?);
+        let load_start = self.clock.now();
+        let load_end = load_start + self.plan.seconds as Micros * SECOND;
+        let mut schedule = Schedule::new(faults, load_start);
+        let mut next_sample_at = load_start;
+        while self.clock.now() < load_end || !schedule.is_over() {
+            let now = self.clock.now();
+            for step in schedule.take_due(now) {
+                self.take_step(&step, &mut schedule)?;
+            }
+            self.advance_routers();
+            if now >= next_sample_at {
+                next_sample_at = now + SAMPLE_INTERVAL;
+                self.sample();
+            }
+            std::thread::sleep(STEP);
+        }
+        Ok(())
+    }
+
+    fn advance_routers(&mut self) {
+        (0..self.routers.len()).for_each(|router| self.advance_router(router));
+    }
+
+    /// Checks a router's process: whether it is ready, has ended, or is to be started again.
+    fn advance_router(&mut self, router: usize) {
+        let now = self.clock.now();
+        let own = &mut self.routers[router];
+        if now < own.next_check_at {
+            return;
+        }
+        own.next_check_at = now + CHECK_INTERVAL;
+        let has_ended = own.instance.has_ended();
+        match own.phase {
+            Phase::Gone { start_at } if now >= start_at => self.restart_router(router),
+            Phase::Ending { since } if has_ended || now > since + KILL_AFTER => {
+                own.instance.discard_process();
+                own.phase = Phase::Gone { start_at: now + RESTART_DELAY };
+            }
+            Phase::Starting { .. } | Phase::Running if has_ended => {
+                own.instance.record_crash();
+                own.phase = Phase::Gone { start_at: now + CRASH_RESTART_DELAY };
+            }
+            Phase::Starting { since } => self.check_readiness(router, since, now),
+            Phase::Gone { .. } | Phase::Ending { .. } | Phase::Running => {}
+        }
+    }
+
+    fn restart_router(&mut self, router: usize) {
+        if let Err(error) = self.start_router(router) {
+            self.routers[router].instance.record_failed_start(error.to_string());
+        }
+    }
+
+    fn check_readiness(&mut self, router: usize, since: Micros, now: Micros) {
+        let own = &mut self.routers[router];
+        if is_ready(own.listen, PROBE_TIMEOUT) {
+            own.phase = Phase::Running;
+            own.instance.set_present();
+        } else if now > since + READY_TIMEOUT {
+            own.instance.record_failed_start("not ready in time".into());
+            own.phase = Phase::Running;
+        }
+    }
+
+    /// Records that a server's process has started.
+    pub(super) fn record_server_start(&self, server: usize) {
+        let at = self.clock.now();
+        self.recorder.lock().server_starts.push(ServerStart { server, at });
+    }
+
+    fn sample(&self) {
+        let at = self.clock.now();
+        let running = self.routers.iter().filter(|router| router.is_running());
+        running.for_each(|router| router.instance.record_sample(at));
+    }
+
+    /// Sends a router a signal that ends it, unless it is absent already.
+    pub(super) fn end_router(&mut self, router: usize, signal: Signal, reason: AbsenceReason) {
+        let own = &mut self.routers[router];
+        if !own.is_running() || own.instance.is_absent() {
+            return;
+        }
+        own.instance.set_absent(reason);
+        own.instance.signal(signal);
+        own.phase = Phase::Ending { since: self.clock.now() };
+    }
+
+    /// Ends the load, waits for pending requests, reads the routers' own counts, and ends every process.
+    pub(super) fn finish(mut self) -> History {
+        if let Some(clients) = &self.clients {
+            clients.end_load();
+        }
+        let until = self.clock.now() + DRAIN_TIMEOUT;
+        self.recorder.lock().load_ended_at = self.clock.now();
+        while self.has_pending_requests() && self.clock.now() < until {
+            self.advance_routers();
+            std::thread::sleep(STEP);
+        }
+        std::thread::sleep(RECORDING_TIME);
+        self.clients = None;
+        self.sample();
+        for router in 0..self.routers.len() {
+            self.read_violations(router);
+            self.routers[router].instance.record_panics();
+        }
+        for router in &mut self.routers {
+            router.instance.signal(Signal::SIGKILL);
+        }
+        self.recorder.take()
+    }
+
+    fn has_pending_requests(&self) -> bool {
+        self.clients.as_ref().is_some_and(|clients| clients.pending_requests() > 0)
+    }
+
+    /// Records the program's own count of violated invariants.
+    fn read_violations(&self, router: usize) {
+        let admin = self.routers[router].admin;
+        let figures = admin_call(admin, "GET /metrics HTTP/1.1", METRICS_TIMEOUT).unwrap_or_default();
+        let violations = figures.lines().filter_map(|line| parse_violations(router, line));
+        self.recorder.lock().invariant_violations.extend(violations);
+    }
+}
+
+/// A figure of violated invariants, unless it is 0.
+fn parse_violations(router: usize, line: &str) -> Option<InvariantViolations> {
+    if !line.contains(VIOLATIONS_FIGURE) {
+        return None;
+    }
+    let invariant = line.split('"').nth(1).unwrap_or("").to_string();
+    let count = line.rsplit(' ').next().and_then(|count| count.parse().ok()).unwrap_or(0);
+    (count > 0).then_some(InvariantViolations { router, invariant, count })
+}
+
+/// Lists every server, the first of each group as its primary.
+fn list_servers(plan: &Plan, agents: &DiscoveryAgents) {
+    let members = plan.servers_per_group();
+    for server in 0..plan.servers() {
+        agents.change(Endpoint {
+            server,
+            id: server_id(server, 0),
+            group: server / members,
+            state: EndpointState::InService,
+            primary: server.is_multiple_of(members),
+            started_ms: 0,
+        });
+    }
+}
+
+fn create_routers(
+    plan: &Plan,
+    folder: &TempDir,
+    clock: &RunClock,
+    recorder: &Recorder,
+) -> io::Result<Vec<Router>> {
+    let addresses = free_addresses(ROUTER_ADDRESSES, 2 * plan.routers)?;
+    let mut routers = Vec::new();
+    for (index, pair) in addresses.chunks_exact(2).enumerate() {
+        let name = format!("n{index}");
+        routers.push(Router {
+            instance: RouterInstance::create(index, folder.path(), &name, clock, recorder)?,
+            listen: pair[0],
+            admin: pair[1],
+            config: folder.path().join(format!("{name}.json")),
+            phase: Phase::Gone { start_at: 0 },
+            agent_address: 0,
+            next_check_at: 0,
+        });
+    }
+    Ok(routers)
+}
--- a/soak/src/platform/settings.rs
+++ b/soak/src/platform/settings.rs
@@ -1,43 +1,92 @@
-//! The configuration of the platform's routers.
-use crate::history::{BOUND, Class, Micros, REPEAT_WINDOW};
+//! The configuration of the platform's routers, and the contract that it states.
+use crate::class::{Class, MAX_DATA_AGE, REPEAT_WINDOW};
+use crate::time::{MILLISECOND, Micros};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
 /// The share of its capacity with which a server starts.
-pub const COLD_FROM: f64 = 0.1;
+pub const COLD_CAPACITY: f64 = 0.1;
 /// A started server has its full capacity after this many milliseconds.
 pub const COLD_MS: f64 = 6000.0;
-/// A cold server falls when it gets more than this multiple of its capacity
+/// A cold server is overloaded when it gets more than this multiple of its capacity over [`OVERLOAD_WINDOW`].
 pub const OVERLOAD_FACTOR: f64 = 2.0;
-/// over this time.
+/// See [`OVERLOAD_FACTOR`].
 pub const OVERLOAD_WINDOW: Micros = 1_000_000;
-/// How long after the notice a drained server may still get something new.
+/// How long after the notice a draining server may still get something new.
 pub const DRAIN_GRACE: Micros = 250_000;
-/// The limit on a router's memory.
+/// The limit on a router's memory, in MiB.
 pub const MEMORY_MB: usize = 64;
 /// The limit on a router's descriptors.
-pub const SOCKETS: usize = 256;
+pub const MAX_SOCKETS: usize = 256;
 
-fn class(class: Class) -> Value {
-    let semantics = match class {
-        Class::Write => "non_idempotent",
-        Class::Keyed => "idempotency_key",
-        _ => "read_like",
-    };
-    let deadline = class.deadline() as f64 / 1000.0;
+/// What differs between the configurations of a run's routers.
+pub struct RouterSettings {
+    /// The router's index.
+    pub router: usize,
+    /// Where its clients connect.
+    pub listen: SocketAddr,
+    /// Where operators connect.
+    pub admin: SocketAddr,
+    /// Its agent of discovery.
+    pub discovery: SocketAddr,
+    /// The endpoint list that it starts with.
+    pub endpoints: Value,
+    /// How many routers there are.
+    pub routers: usize,
+}
+
+impl RouterSettings {
+    /// The configuration.
+    pub fn to_json(&self) -> Value {
+        json!({
+            "name": format!("n{}", self.router),
+            "listen": self.listen.to_string(),
+            "admin_addr": self.admin.to_string(),
+            "discovery": self.discovery.to_string(),
+            "seed": format!("8c1f30d27a5be9{:02x}", self.router),
+            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": MAX_SOCKETS},
+            "known": self.endpoints,
+            "settings": {
+                "classes": Class::ALL.map(class_json),
+                "extra": extra_json(),
+                "limits": {"cancel": true, "dialTimeoutMs": 250.0, "keepaliveMs": 30000.0,
+                    "maxRetryAfterMs": 500.0, "mayDuplicate": false, "mostTries": 6, "probes": true,
+                    "retryAfter": true},
+                "contract": contract_json(),
+                "failureDomains": ["a"], "membershipMode": "automatic", "prices": {"probe": 0.03},
+                "replicasOfMe": self.routers, "roundMs": 5.0, "zone": 0,
+            },
+        })
+    }
+}
+
+fn milliseconds(time: Micros) -> f64 {
+    time as f64 / MILLISECOND as f64
+}
+
+fn class_json(class: Class) -> Value {
+    let deadline_ms = milliseconds(class.deadline());
     json!({
         "name": class.name(),
-        "semantics": semantics,
+        "semantics": semantics(class),
         "group": "cell",
-        "repeatWindowMs": REPEAT_WINDOW as f64 / 1000.0,
-        "deadlineMs": deadline,
-        "objectiveMs": deadline / 2.0,
+        "repeatWindowMs": milliseconds(REPEAT_WINDOW),
+        "deadlineMs": deadline_ms,
+        "objectiveMs": deadline_ms / 2.0,
         "worth": 1.0,
         "lateWorth": 0.5,
         "streaming": false,
     })
 }
 
+fn semantics(class: Class) -> &'static str {
+    match class {
+        Class::Write => "non_idempotent",
+        Class::Keyed => "idempotency_key",
+        Class::Any | Class::Bounded | Class::Session => "read_like",
+    }
+}
+
 fn freshness(class: Class) -> &'static str {
     match class {
         Class::Any => "eventual",
@@ -47,35 +96,27 @@
     }
 }
 
-/// The configuration of one router.
-pub fn config(
-    router: usize,
-    listen: SocketAddr,
-    admin: SocketAddr,
-    discovery: SocketAddr,
-    known: Value,
-    routers: usize,
-) -> Value {
-    let bounds = Class::ALL.map(|c| if c == Class::Bounded { BOUND as f64 / 1000.0 } else { 0.0 });
+fn max_data_age(class: Class) -> Micros {
+    if class == Class::Bounded { MAX_DATA_AGE } else { 0 }
+}
+
+fn extra_json() -> Value {
+    json!({
+        "freshness": Class::ALL.map(freshness),
+        "oldestDataMs": Class::ALL.map(|class| milliseconds(max_data_age(class))),
+        "whenBehind": "silent",
+        "positionZeroMs": 0.0,
+        "writeMarks": "brought",
+    })
+}
+
+fn contract_json() -> Value {
     json!({
-        "name": format!("n{router}"),
-        "listen": listen.to_string(),
-        "admin_addr": admin.to_string(),
-        "discovery": discovery.to_string(),
-        "seed": format!("8c1f30d27a5be9{router:02x}"),
-        "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
-        "known": known,
-        "settings": {
-            "classes": Class::ALL.map(class),
-            "extra": {"freshness": Class::ALL.map(freshness), "oldestDataMs": bounds, "whenBehind": "silent",
-                "positionZeroMs": 0.0, "writeMarks": "brought"},
-            "limits": {"cancel": true, "dialTimeoutMs": 250.0, "keepaliveMs": 30000.0, "maxRetryAfterMs": 500.0,
-                "mayDuplicate": false, "mostTries": 6, "probes": true, "retryAfter": true},
-            "contract": {"drainGraceMs": DRAIN_GRACE as f64 / 1000.0, "coldFrom": COLD_FROM, "coldMs": COLD_MS,
-                "overloadFactor": OVERLOAD_FACTOR, "tipAfterMs": OVERLOAD_WINDOW as f64 / 1000.0,
-                "drainBindsAlone": false},
-            "failureDomains": ["a"], "membershipMode": "automatic", "prices": {"probe": 0.03},
-            "replicasOfMe": routers, "roundMs": 5.0, "zone": 0,
-        },
+        "drainGraceMs": milliseconds(DRAIN_GRACE),
+        "coldFrom": COLD_CAPACITY,
+        "coldMs": COLD_MS,
+        "overloadFactor": OVERLOAD_FACTOR,
+        "tipAfterMs": milliseconds(OVERLOAD_WINDOW),
+        "drainBindsAlone": false,
     })
 }
--- a/soak/src/reduce.rs
+++ b/soak/src/reduce.rs
@@ -1,28 +1,28 @@
-//! Leaves out troubles of a failing run, as long as it still breaks the same promise.
+//! Leaves out faults of a failing run, as long as it still breaks the same promise.
+use crate::fault::PlannedFault;
 use crate::oracle::Promise;
-use crate::trouble::Trouble;
 
-/// The troubles that matter: of each it was tried to leave it out, and `still_breaks` was told what was left.
+/// The faults that matter: each was left out for a trial, and `still_breaks` was called with the remaining ones.
 pub fn reduce(
-    troubles: &[Trouble],
+    faults: &[PlannedFault],
     promise: Promise,
-    mut still_breaks: impl FnMut(&[Trouble], Promise) -> bool,
-) -> Vec<Trouble> {
-    let mut left = troubles.to_vec();
-    // Halves first: most troubles have nothing to do with it.
-    let mut size = left.len().div_ceil(2);
+    mut still_breaks: impl FnMut(&[PlannedFault], Promise) -> bool,
+) -> Vec<PlannedFault> {
+    let mut remaining = faults.to_vec();
+    // Halves first: most faults have nothing to do with it.
+    let mut size = remaining.len().div_ceil(2);
     while size > 0 {
-        let mut at = 0;
-        while at < left.len() {
-            let mut fewer = left.clone();
-            fewer.drain(at..(at + size).min(left.len()));
+        let mut first = 0;
+        while first < remaining.len() {
+            let mut fewer = remaining.clone();
+            fewer.drain(first..(first + size).min(remaining.len()));
             if !fewer.is_empty() && still_breaks(&fewer, promise) {
-                left = fewer;
+                remaining = fewer;
             } else {
-                at += size;
+                first += size;
             }
         }
         size = if size == 1 { 0 } else { size.div_ceil(2) };
     }
-    left
+    remaining
 }
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -1,98 +1,157 @@
-//! What came of a run, in figures.
-use crate::history::{Ending, History};
+//! The figures of a run.
+use crate::fault::PlannedFault;
+use crate::history::{History, Outcome, Request};
 use crate::oracle::Breach;
-use crate::trouble::Trouble;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::fmt::{self, Display, Formatter};
 
+/// Breaches of one promise that a report shows.
+const SHOWN_BREACHES: usize = 3;
+/// The error code of a request that was cancelled.
+const CANCELLED_CODE: &str = "57014";
+
+/// How a request ended, as reports count it; in the order in which they do.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum OutcomeKind {
+    /// Cancelled by its client.
+    Cancelled,
+    /// The connection ended without an answer.
+    Closed,
+    /// An error other than a rejection.
+    Failed,
+    /// Its client disconnected.
+    Disconnected,
+    /// Without an answer at the end of the run.
+    Pending,
+    /// Rejected by the router.
+    Rejected,
+    /// Served.
+    Served,
+}
+
+impl OutcomeKind {
+    /// How a request ended.
+    pub fn of(request: &Request) -> OutcomeKind {
+        match &request.outcome {
+            Outcome::Served(_) => OutcomeKind::Served,
+            rejection if rejection.is_rejection() => OutcomeKind::Rejected,
+            Outcome::Error(code) if code == CANCELLED_CODE && request.cancelled_at.is_some() => {
+                OutcomeKind::Cancelled
+            }
+            Outcome::Error(_) => OutcomeKind::Failed,
+            Outcome::Closed => OutcomeKind::Closed,
+            Outcome::Disconnected => OutcomeKind::Disconnected,
+            Outcome::Pending => OutcomeKind::Pending,
+        }
+    }
+
+    /// Its name in reports.
+    pub fn name(self) -> &'static str {
+        match self {
+            OutcomeKind::Cancelled => "cancelled",
+            OutcomeKind::Closed => "closed",
+            OutcomeKind::Failed => "failed",
+            OutcomeKind::Disconnected => "left",
+            OutcomeKind::Pending => "open",
+            OutcomeKind::Rejected => "refused",
+            OutcomeKind::Served => "served",
+        }
+    }
+}
+
 /// The figures of one run.
 #[derive(Clone, Debug)]
 pub struct Report {
     /// The seed.
     pub seed: u64,
-    /// The troubles that were played.
-    pub troubles: Vec<Trouble>,
+    /// The faults that were played.
+    pub faults: Vec<PlannedFault>,
     /// Requests by how they ended.
-    pub endings: BTreeMap<&'static str, usize>,
-    /// Attempts that reached a server's link.
+    pub outcomes: BTreeMap<OutcomeKind, usize>,
+    /// Attempts that arrived at a server's link.
     pub attempts: usize,
-    /// Requests that no server has seen and that were answered as failed.
+    /// Requests that were answered as failed although no server has seen them.
     pub never_forwarded_but_failed: usize,
     /// Processes of routers.
     pub processes: usize,
-    /// Most threads and descriptors of one process.
-    pub most: (usize, usize),
+    /// The highest count of threads of one process.
+    pub max_threads: usize,
+    /// The highest count of descriptors of one process.
+    pub max_descriptors: usize,
     /// Broken promises.
     pub breaches: Vec<Breach>,
 }
 
 impl Report {
     /// The report on a history.
-    pub fn new(seed: u64, troubles: &[Trouble], history: &History, breaches: Vec<Breach>) -> Report {
-        let mut endings: BTreeMap<&'static str, usize> = BTreeMap::new();
-        let forwarded: std::collections::HashSet<u64> = history.arrivals.iter().map(|a| a.id).collect();
+    pub fn new(seed: u64, faults: &[PlannedFault], history: &History, breaches: Vec<Breach>) -> Report {
+        let forwarded: HashSet<u64> = history.attempts.iter().map(|attempt| attempt.id).collect();
+        let mut outcomes: BTreeMap<OutcomeKind, usize> = BTreeMap::new();
         let mut never_forwarded_but_failed = 0;
         for request in &history.requests {
-            let name = match &request.ending {
-                Ending::Served(_) => "served",
-                Ending::Error(code) if code == "53300" || code == "57P03" => "refused",
-                Ending::Error(code) if code == "57014" && request.cancelled_at.is_some() => "cancelled",
-                Ending::Error(_) => "failed",
-                Ending::Closed => "closed",
-                Ending::Left => "left",
-                Ending::Open => "open",
-            };
-            *endings.entry(name).or_default() += 1;
-            never_forwarded_but_failed += usize::from(name == "failed" && !forwarded.contains(&request.id));
+            let kind = OutcomeKind::of(request);
+            *outcomes.entry(kind).or_default() += 1;
+            let unforwarded = kind == OutcomeKind::Failed && !forwarded.contains(&request.id);
+            never_forwarded_but_failed += usize::from(unforwarded);
         }
-        let processes: std::collections::BTreeSet<(usize, usize)> =
-            history.samples.iter().map(|s| (s.router, s.incarnation)).collect();
-        let threads = history.samples.iter().map(|s| s.threads).max().unwrap_or(0);
-        let descriptors = history.samples.iter().map(|s| s.descriptors).max().unwrap_or(0);
+        let samples = &history.samples;
+        let processes: BTreeSet<(usize, usize)> = samples.iter().map(|s| (s.router, s.incarnation)).collect();
         Report {
             seed,
-            troubles: troubles.to_vec(),
-            endings,
-            attempts: history.arrivals.len(),
+            faults: faults.to_vec(),
+            outcomes,
+            attempts: history.attempts.len(),
             never_forwarded_but_failed,
             processes: processes.len(),
-            most: (threads, descriptors),
+            max_threads: samples.iter().map(|sample| sample.threads).max().unwrap_or(0),
+            max_descriptors: samples.iter().map(|sample| sample.descriptors).max().unwrap_or(0),
             breaches,
         }
     }
 
     /// How many requests were sent.
     pub fn requests(&self) -> usize {
-        self.endings.values().sum()
+        self.outcomes.values().sum()
     }
-}
 
-impl Display for Report {
-    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        let Report { seed, processes, attempts, most, .. } = self;
-        let endings: Vec<String> = self.endings.iter().map(|(name, n)| format!("{name} {n}")).collect();
+    fn write_summary(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        let outcomes: Vec<String> =
+            self.outcomes.iter().map(|(kind, count)| format!("{} {count}", kind.name())).collect();
         writeln!(
             f,
-            "seed {seed}: {} troubles, {processes} processes, {} requests ({}), {attempts} attempts, \
+            "seed {}: {} troubles, {} processes, {} requests ({}), {} attempts, \
              {} failed though never forwarded, at most {} threads and {} descriptors in one process, {} breaches",
-            self.troubles.len(),
+            self.seed,
+            self.faults.len(),
+            self.processes,
             self.requests(),
-            endings.join(", "),
+            outcomes.join(", "),
+            self.attempts,
             self.never_forwarded_but_failed,
-            most.0,
-            most.1,
+            self.max_threads,
+            self.max_descriptors,
             self.breaches.len()
-        )?;
+        )
+    }
+
+    fn write_breaches(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let mut by_promise: BTreeMap<&str, Vec<&Breach>> = BTreeMap::new();
         for breach in &self.breaches {
             by_promise.entry(breach.promise.name()).or_default().push(breach);
         }
         for (name, breaches) in by_promise {
             writeln!(f, "  {name}: {}", breaches.len())?;
-            for breach in breaches.iter().take(3) {
+            for breach in breaches.iter().take(SHOWN_BREACHES) {
                 writeln!(f, "    {}", breach.text)?;
             }
         }
         Ok(())
     }
 }
+
+impl Display for Report {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        self.write_summary(f)?;
+        self.write_breaches(f)
+    }
+}
--- /dev/null
+++ b/soak/src/serve/faults.rs
@@ -0,0 +1,86 @@
+//! What each fault does to the routers of `serve` and to their environment, at its beginning and at its end.
+use super::run::{Edge, Run, USUAL_LAG};
+use crate::fault::{FaultKind, PlannedFault};
+use crate::history::AbsenceReason;
+use crate::time::SECOND;
+use fault_control::{ControlFile, Fault};
+use nix::sys::signal::Signal;
+use std::io;
+use std::time::Duration;
+use test_servers::proxy::Proxy;
+
+/// How far a replica is behind whose replication is slow.
+const SLOW_LAG: Duration = Duration::from_millis(800);
+/// How long a slow link takes.
+const LINK_DELAY: Duration = Duration::from_millis(100);
+/// The rates of failing system calls, out of a million.
+const SYSCALL_RATES: [(Fault, u64); 3] =
+    [(Fault::Interrupt, 20_000), (Fault::ShortTransfer, 100_000), (Fault::Connect, 50_000)];
+/// The rates of writes and syncs that fail, out of a million.
+const DISK_RATES: [(Fault, u64); 2] = [(Fault::FileWrite, 300_000), (Fault::FileSync, 300_000)];
+
+impl Run<'_> {
+    /// Begins or ends a fault. Kinds that are not drawn for `serve` do nothing.
+    pub(super) fn apply(&mut self, fault: &PlannedFault, edge: Edge) -> io::Result<()> {
+        let router = fault.router;
+        let server = fault.server % self.routers[router].proxies.len();
+        match (fault.kind, edge) {
+            (FaultKind::Term, Edge::Begin) => {
+                self.end_router(router, Signal::SIGTERM, AbsenceReason::ShutDown);
+            }
+            (FaultKind::Kill, Edge::Begin) => self.end_router(router, Signal::SIGKILL, AbsenceReason::Killed),
+            (FaultKind::PauseShort | FaultKind::PauseLong, Edge::Begin) => self.pause(router),
+            (FaultKind::PauseShort | FaultKind::PauseLong, Edge::End) => self.resume(router),
+            (FaultKind::ServerLag, Edge::Begin) => self.set_lag(server, SLOW_LAG),
+            (FaultKind::ServerLag, Edge::End) => self.set_lag(server, USUAL_LAG),
+            (FaultKind::LinkCut, Edge::Begin) => self.proxy(router, server).cut(),
+            (FaultKind::LinkDelay, Edge::Begin) => {
+                self.proxy(router, server).faults(|faults| faults.delay = LINK_DELAY);
+            }
+            (FaultKind::LinkCut | FaultKind::LinkDelay, Edge::End) => self.proxy(router, server).heal(),
+            (FaultKind::ClockOne, Edge::Begin) => {
+                self.control(router).set_clock_offset(fault.clock_step_seconds * SECOND)?;
+            }
+            (FaultKind::ClockOne, Edge::End) => self.control(router).set_clock_offset(0)?,
+            (FaultKind::Syscalls, Edge::Begin) => self.set_rates(router, &SYSCALL_RATES)?,
+            (FaultKind::Disk, Edge::Begin) => self.set_rates(router, &DISK_RATES)?,
+            (FaultKind::Syscalls | FaultKind::Disk, Edge::End) => self.control(router).clear_faults()?,
+            _ => {}
+        }
+        Ok(())
+    }
+
+    fn control(&self, router: usize) -> &ControlFile {
+        self.routers[router].instance.control()
+    }
+
+    fn proxy(&self, router: usize, server: usize) -> &Proxy {
+        &self.routers[router].proxies[server]
+    }
+
+    fn set_rates(&self, router: usize, rates: &[(Fault, u64)]) -> io::Result<()> {
+        let control = self.control(router);
+        rates.iter().try_for_each(|(fault, rate)| control.set_fault_rate(*fault, *rate))
+    }
+
+    fn pause(&mut self, router: usize) {
+        let own = &mut self.routers[router];
+        own.instance.set_absent(AbsenceReason::Paused);
+        own.instance.signal(Signal::SIGSTOP);
+    }
+
+    fn resume(&mut self, router: usize) {
+        let own = &mut self.routers[router];
+        own.instance.signal(Signal::SIGCONT);
+        if !own.is_ending() {
+            own.instance.set_present();
+        }
+    }
+
+    /// Sets how far a replica is behind; the first server is the primary.
+    fn set_lag(&self, server: usize, lag: Duration) {
+        if server > 0 {
+            self.fleet.lag(server, lag);
+        }
+    }
+}
--- a/soak/src/serve/load.rs
+++ b/soak/src/serve/load.rs
@@ -1,69 +1,61 @@
-//! The clients of `serve`: each stands for a session that wanders between the routers, adds to its basket and reads it.
-use crate::history::{Class, Ending, Micros, Recorder, Request, SECOND, SessionRead};
+//! The clients of `serve`: each stands for a session that changes between the routers, adds to its basket and reads it.
+use super::settings::{CLIENT_PASSWORD, CLIENT_USER, DATABASE, READ_CLASS, WRITE_CLASS};
+use crate::class::Class;
+use crate::environment::clock::RunClock;
+use crate::environment::service_thread::StopSignal;
+use crate::history::{Outcome, Recorder, Request, SessionRead};
 use crate::plan::Plan;
-use crate::world::clock::WorldClock;
+use crate::time::{MILLISECOND, Micros, SECOND};
+use fastrand::Rng;
 use mysql::prelude::Queryable;
 use mysql::{Conn, OptsBuilder};
 use std::io;
 use std::net::SocketAddr;
-use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::JoinHandle;
 use std::time::Duration;
-use test_servers::fleet::Fleet;
 
 /// Reads that follow each write.
 const READS: usize = 4;
 /// A client waits this long for an answer.
-const TIMEOUT: Duration = Duration::from_secs(8);
-/// A connection that was not used for this long may be ended by the router as a request is on its way.
-const IDLE: Micros = 1_500_000;
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
+/// How long a connect may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The time within which a router owes an answer.
+const REQUEST_TIMEOUT: Micros = 3 * SECOND;
+/// A connection that was not used for this long may be closed by the router as a request is on its way.
+const IDLE_TIME: Micros = 1_500_000;
+/// Tells the seeds of a run's sessions from each other.
+const SESSIONS_PER_SEED: u64 = 1000;
+/// Request ids of a session start at its index, shifted by so many bits.
+const SESSION_ID_SHIFT: u32 = 32;
 
 /// The clients' threads; they end with [`Load::end`].
 pub(super) struct Load {
-    stop: Arc<AtomicBool>,
+    stop: StopSignal,
     threads: Vec<JoinHandle<()>>,
 }
 
-struct Open {
-    conn: Conn,
-    opened_at: Micros,
-    used_at: Micros,
-}
-
-struct Session {
-    name: String,
-    rng: fastrand::Rng,
-    routers: Vec<SocketAddr>,
-    /// A connection to each router.
-    open: Vec<Option<Open>>,
-    clock: WorldClock,
-    recorder: Recorder,
-    think: Micros,
-    next_id: u64,
-}
-
 impl Load {
+    /// Starts a thread for each client of the plan.
     pub(super) fn start(
         plan: &Plan,
         seed: u64,
         routers: &[SocketAddr],
-        clock: &WorldClock,
+        clock: &RunClock,
         recorder: &Recorder,
-        _fleet: &Fleet,
     ) -> io::Result<Load> {
-        let stop = Arc::new(AtomicBool::new(false));
+        let stop = StopSignal::default();
         let mut threads = Vec::new();
-        for client in 0..plan.clients {
+        for client in 0..plan.clients as u64 {
             let mut session = Session {
                 name: format!("member-{client}"),
-                rng: fastrand::Rng::with_seed(seed * 1000 + client as u64),
+                rng: Rng::with_seed(seed * SESSIONS_PER_SEED + client),
                 routers: routers.to_vec(),
-                open: routers.iter().map(|_| None).collect(),
+                connections: routers.iter().map(|_| None).collect(),
                 clock: clock.clone(),
                 recorder: recorder.clone(),
-                think: plan.think_ms as Micros * 1000,
-                next_id: (client as u64) << 32,
+                think: plan.think_ms as Micros * MILLISECOND,
+                last_request: client << SESSION_ID_SHIFT,
             };
             let stop = stop.clone();
             let thread = std::thread::Builder::new().name("session".into());
@@ -74,7 +66,7 @@
 
     /// Ends the load and waits for the clients.
     pub(super) fn end(&mut self) {
-        self.stop.store(true, Ordering::Relaxed);
+        self.stop.set();
         self.threads.drain(..).for_each(|thread| _ = thread.join());
     }
 }
@@ -85,74 +77,120 @@
     }
 }
 
+struct Connection {
+    client: Conn,
+    opened_at: Micros,
+    used_at: Micros,
+}
+
+/// What a request gave.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Answer {
+    /// No router served it.
+    NotServed,
+    /// It was served without a number.
+    Done,
+    /// It was served with this number.
+    Number(u64),
+}
+
+struct Session {
+    name: String,
+    rng: Rng,
+    routers: Vec<SocketAddr>,
+    /// A connection to each router.
+    connections: Vec<Option<Connection>>,
+    clock: RunClock,
+    recorder: Recorder,
+    think: Micros,
+    /// The id of its last request.
+    last_request: u64,
+}
+
 impl Session {
-    fn run(&mut self, stop: &AtomicBool) {
-        let (mut told, mut next) = (0, 0);
-        while !stop.load(Ordering::Relaxed) {
-            next += 1;
-            let name = self.name.clone();
-            let statement =
-                format!("INSERT INTO basket VALUES ('{name}', {next}) /* c=basket-add,s={name} */");
-            if self.request(Class::Write, &statement) == Some(None) {
-                told = next;
+    fn run(&mut self, stop: &StopSignal) {
+        let mut confirmed = 0;
+        let mut last_write = 0;
+        while !stop.is_set() {
+            last_write += 1;
+            if self.write(last_write) == Answer::Done {
+                confirmed = last_write;
             }
             for _ in 0..READS {
-                let statement =
-                    format!("SELECT n FROM basket WHERE k = '{name}' /* c=basket-read,s={name} */");
-                let at = self.clock.now();
-                if let Some(Some(seen)) = self.request(Class::Session, &statement) {
-                    let read = SessionRead { session: name.clone(), told, seen, at };
-                    self.recorder.lock().session_reads.push(read);
-                }
+                self.read(confirmed);
             }
             let pause = self.rng.i64(0..2 * self.think.max(1));
             std::thread::sleep(Duration::from_micros(pause as u64));
         }
     }
 
-    /// Makes a request at some router: `None` where it was not served, else the number that a read gave.
-    fn request(&mut self, class: Class, statement: &str) -> Option<Option<u64>> {
+    fn write(&mut self, number: u64) -> Answer {
+        let name = &self.name;
+        let statement =
+            format!("INSERT INTO basket VALUES ('{name}', {number}) /* c={WRITE_CLASS},s={name} */");
+        self.request(Class::Write, &statement)
+    }
+
+    /// Reads the basket, and records what it showed; `confirmed` is the newest write that was confirmed before.
+    fn read(&mut self, confirmed: u64) {
+        let name = &self.name;
+        let statement = format!("SELECT n FROM basket WHERE k = '{name}' /* c={READ_CLASS},s={name} */");
+        let at = self.clock.now();
+        if let Answer::Number(observed) = self.request(Class::Session, &statement) {
+            let read = SessionRead { session: self.name.clone(), confirmed, observed, at };
+            self.recorder.lock().session_reads.push(read);
+        }
+    }
+
+    /// Makes a request at some router, and records it unless no connection is to be had.
+    fn request(&mut self, class: Class, statement: &str) -> Answer {
         let router = self.rng.usize(..self.routers.len());
         let now = self.clock.now();
-        let fresh = self.open[router].is_none();
-        if fresh {
-            let address = self.routers[router];
-            self.open[router] = connect(address).ok().map(|conn| Open { conn, opened_at: now, used_at: now });
+        if self.connections[router].is_none() {
+            let client = connect(self.routers[router]).ok();
+            self.connections[router] =
+                client.map(|client| Connection { client, opened_at: now, used_at: now });
         }
-        let Open { conn, opened_at, used_at } = self.open[router].as_mut()?;
-        let opened_at = *opened_at;
-        let rested = now - std::mem::replace(used_at, now) > IDLE;
+        let Some(connection) = &mut self.connections[router] else { return Answer::NotServed };
+        let connected_at = connection.opened_at;
+        let was_idle = now - std::mem::replace(&mut connection.used_at, now) > IDLE_TIME;
         let sent_at = self.clock.now();
-        let answer = conn.query_first::<(String, String), _>(statement);
+        let answer = connection.client.query_first::<(String, String), _>(statement);
         let ended_at = self.clock.now();
-        let ending = match &answer {
-            Ok(row) => Ending::Served(row.as_ref().map(|(n, _)| n.clone()).unwrap_or_default()),
-            Err(mysql::Error::MySqlError(error)) => Ending::Error(error.code.to_string()),
-            Err(_) => Ending::Closed,
-        };
-        self.next_id += 1;
-        if ending == Ending::Closed {
-            self.open[router] = None;
+        let outcome = outcome_of(&answer);
+        if outcome == Outcome::Closed {
+            self.connections[router] = None;
         }
-        let served = matches!(ending, Ending::Served(_));
+        self.last_request += 1;
         self.recorder.lock().requests.push(Request {
-            id: self.next_id,
+            id: self.last_request,
             router,
             connection: 0,
-            opened_at,
-            // A connection that rested may be ended as a request is on its way.
-            place: usize::from(rested),
+            connected_at,
+            // A connection that was idle may be closed as a request is on its way, as on the platform any but the first.
+            sequence: usize::from(was_idle),
             class,
             group: 0,
             sent_at,
-            wait: 3 * SECOND,
-            after: None,
-            ending,
+            timeout: REQUEST_TIMEOUT,
+            required_commit: None,
+            outcome: outcome.clone(),
             ended_at,
             cancelled_at: None,
         });
-        let seen = answer.ok().flatten().and_then(|(n, _)| n.parse().ok());
-        served.then_some(seen)
+        match outcome {
+            Outcome::Served(value) => value.parse().map_or(Answer::Done, Answer::Number),
+            _ => Answer::NotServed,
+        }
+    }
+}
+
+/// How a request ended; the value is that of the first column.
+fn outcome_of(answer: &mysql::Result<Option<(String, String)>>) -> Outcome {
+    match answer {
+        Ok(row) => Outcome::Served(row.as_ref().map(|(value, _)| value.clone()).unwrap_or_default()),
+        Err(mysql::Error::MySqlError(error)) => Outcome::Error(error.code.to_string()),
+        Err(_) => Outcome::Closed,
     }
 }
 
@@ -161,10 +199,10 @@
         .ip_or_hostname(Some(address.ip().to_string()))
         .tcp_port(address.port())
         .prefer_socket(false)
-        .user(Some("till"))
-        .pass(Some("secret"))
-        .db_name(Some("shop"))
-        .tcp_connect_timeout(Some(Duration::from_millis(500)))
-        .read_timeout(Some(TIMEOUT));
+        .user(Some(CLIENT_USER))
+        .pass(Some(CLIENT_PASSWORD))
+        .db_name(Some(DATABASE))
+        .tcp_connect_timeout(Some(CONNECT_TIMEOUT))
+        .read_timeout(Some(ANSWER_TIMEOUT));
     Conn::new(options)
 }
--- /dev/null
+++ b/soak/src/serve/mod.rs
@@ -0,0 +1,31 @@
+//! One run of `serve`: routers with sessions on disk and among peers, three of them nodes of a replicated store, one fleet
+//! by membership, in front of simulated servers behind proxies.
+mod faults;
+mod load;
+mod router;
+mod run;
+pub mod settings;
+mod store;
+
+use crate::error::RunError;
+use crate::fault::PlannedFault;
+use crate::history::History;
+use crate::plan::Plan;
+use crate::router::Programs;
+use run::Run;
+
+/// Plays a plan with these faults and returns what was recorded.
+///
+/// # Errors
+/// Where no port, folder or process can be had, or where a router does not become ready.
+pub fn play(
+    plan: &Plan,
+    seed: u64,
+    faults: &[PlannedFault],
+    programs: &Programs,
+) -> Result<History, RunError> {
+    let mut run = Run::prepare(plan, programs)?;
+    run.start_routers()?;
+    run.play(seed, faults)?;
+    Ok(run.finish()?)
+}
--- /dev/null
+++ b/soak/src/serve/run.rs
@@ -0,0 +1,267 @@
+//! A run: its start, its load, the life of its processes, its end.
+use super::load::Load;
+use super::router::{Phase, Router};
+use super::settings::{Addresses, NamedServer, config_text};
+use super::store::StoreProbe;
+use crate::environment::clock::RunClock;
+use crate::error::RunError;
+use crate::fault::PlannedFault;
+use crate::history::{AbsenceReason, History, Recorder, SessionWrites};
+use crate::plan::Plan;
+use crate::router::{Programs, RouterInstance};
+use crate::time::{MILLISECOND, Micros, SECOND};
+use nix::sys::signal::Signal;
+use std::io;
+use std::net::TcpStream;
+use std::time::Duration;
+use tempfile::TempDir;
+use test_servers::fleet::Fleet;
+use test_servers::proxy::Proxy;
+
+/// A process has to accept clients by then.
+const READY_TIMEOUT: Micros = 30 * SECOND;
+/// How long one connect to a router may take that checks its readiness.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
+/// After SIGTERM a process is killed then: the longest deadline and some.
+const KILL_AFTER: Micros = 5 * SECOND;
+/// The store has to accept changes again this long after the last fault.
+const STORE_RECOVERY_TIMEOUT: Micros = 15 * SECOND;
+/// The pause between two attempts to change the store at the end.
+const STORE_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// The main loop's step.
+const STEP: Duration = Duration::from_millis(5);
+/// Processes are sampled this often.
+const SAMPLE_INTERVAL: Micros = SECOND;
+/// A change of the store is made this often.
+const STORE_INTERVAL: Micros = 150 * MILLISECOND;
+/// How far the servers' replicas are behind as a rule.
+pub(super) const USUAL_LAG: Duration = Duration::from_millis(5);
+/// The interval of the servers' heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(5);
+
+/// A fault begins or ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Edge {
+    /// It begins.
+    Begin,
+    /// It ends.
+    End,
+}
+
+#[derive(Clone, Copy)]
+struct ScheduledEdge {
+    at: Micros,
+    edge: Edge,
+    fault: PlannedFault,
+}
+
+/// A run of `serve`.
+pub(super) struct Run<'a> {
+    plan: &'a Plan,
+    programs: &'a Programs,
+    folder: TempDir,
+    clock: RunClock,
+    recorder: Recorder,
+    pub(super) fleet: Fleet,
+    addresses: Addresses,
+    pub(super) routers: Vec<Router>,
+    store: StoreProbe,
+}
+
+impl<'a> Run<'a> {
+    /// Starts everything but the routers' processes and the clients.
+    pub(super) fn prepare(plan: &'a Plan, programs: &'a Programs) -> io::Result<Run<'a>> {
+        let folder = tempfile::Builder::new().prefix("damsonvale-soak-").tempdir()?;
+        let lags = vec![USUAL_LAG; plan.replicas];
+        let fleet = Fleet::start(&lags, HEARTBEAT_INTERVAL);
+        let addresses = Addresses::free(plan.routers)?;
+        let store = StoreProbe::new(&programs.router, &addresses.controls);
+        let (clock, recorder) = (RunClock::start(), Recorder::default());
+        let mut run =
+            Run { plan, programs, folder, clock, recorder, fleet, addresses, routers: Vec::new(), store };
+        for index in 0..plan.routers {
+            let router = run.create_router(index)?;
+            run.routers.push(router);
+        }
+        Ok(run)
+    }
+
+    /// A router without a process, its proxies and its file.
+    fn create_router(&self, index: usize) -> io::Result<Router> {
+        let (folder, name) = (self.folder.path(), format!("r{index}"));
+        let instance = RouterInstance::create(index, folder, &name, &self.clock, &self.recorder)?;
+        let mut servers = Vec::new();
+        let mut proxies = Vec::new();
+        for (id, address) in self.fleet.servers() {
+            let proxy = Proxy::start(address);
+            servers.push(NamedServer { id, address: proxy.addr });
+            proxies.push(proxy);
+        }
+        let config = folder.join(format!("{name}.toml"));
+        std::fs::write(&config, config_text(index, &self.addresses, &servers, folder))?;
+        Ok(Router { instance, config, phase: Phase::Running, proxies })
+    }
+
+    fn start_router(&mut self, router: usize) -> io::Result<()> {
+        let now = self.clock.now();
+        let own = &mut self.routers[router];
+        let config = own.config.display().to_string();
+        let temporary = self.folder.path().display().to_string();
+        let variables = [("TMPDIR", temporary.as_str())];
+        own.instance.start(self.programs, &["serve", &config], &variables)?;
+        own.phase = Phase::Starting { since: now };
+        Ok(())
+    }
+
+    /// Starts the routers, and waits until each accepts clients.
+    pub(super) fn start_routers(&mut self) -> Result<(), RunError> {
+        (0..self.routers.len()).try_for_each(|router| self.start_router(router))?;
+        let started_at = self.clock.now();
+        while self.routers.iter().any(|router| matches!(router.phase, Phase::Starting { .. })) {
+            self.advance_routers();
+            if self.clock.now() > started_at + READY_TIMEOUT {
+                return Err(RunError::ServeNotReady);
+            }
+            std::thread::sleep(STEP);
+        }
+        Ok(())
+    }
+
+    /// Plays the load and the faults.
+    pub(super) fn play(&mut self, seed: u64, faults: &[PlannedFault]) -> io::Result<()> {
+        let mut load = Load::start(self.plan, seed, &self.addresses.clients, &self.clock, &self.recorder)?;
+        let load_start = self.clock.now();
+        let load_end = load_start + self.plan.seconds as Micros * SECOND;
+        let mut edges = schedule(faults, load_start);
+        let (mut next_change_at, mut next_sample_at) = (load_start, load_start);
+        while self.clock.now() < load_end || !edges.is_empty() {
+            let now = self.clock.now();
+            while edges.first().is_some_and(|scheduled| scheduled.at <= now) {
+                let scheduled = edges.remove(0);
+                self.apply(&scheduled.fault, scheduled.edge)?;
+            }
+            self.advance_routers();
+            if now >= next_change_at {
+                next_change_at = now + STORE_INTERVAL;
+                self.change_store();
+            }
+            if now >= next_sample_at {
+                next_sample_at = now + SAMPLE_INTERVAL;
+                self.sample();
+            }
+            std::thread::sleep(STEP);
+        }
+        load.end();
+        self.recorder.lock().load_ended_at = self.clock.now();
+        Ok(())
+    }
+
+    /// Sends a router a signal that ends it, unless it is absent already.
+    pub(super) fn end_router(&mut self, router: usize, signal: Signal, reason: AbsenceReason) {
+        let own = &mut self.routers[router];
+        if own.instance.is_absent() || own.phase != Phase::Running {
+            return;
+        }
+        own.instance.set_absent(reason);
+        own.instance.signal(signal);
+        own.phase = Phase::Ending { since: self.clock.now() };
+    }
+
+    fn sample(&self) {
+        let at = self.clock.now();
+        let serving = self.routers.iter().filter(|router| !router.is_ending());
+        serving.for_each(|router| router.instance.record_sample(at));
+    }
+
+    fn advance_routers(&mut self) {
+        (0..self.routers.len()).for_each(|router| self.advance_router(router));
+    }
+
+    /// Checks a router's process: whether it accepts clients, has ended, or is to be started again.
+    fn advance_router(&mut self, router: usize) {
+        let now = self.clock.now();
+        let own = &mut self.routers[router];
+        let has_ended = own.instance.has_ended();
+        match own.phase {
+            Phase::Ending { since } if has_ended || now > since + KILL_AFTER => {
+                own.instance.discard_process();
+                self.restart_router(router);
+            }
+            Phase::Starting { .. } | Phase::Running if has_ended => {
+                own.instance.record_crash();
+                self.restart_router(router);
+            }
+            Phase::Starting { since } => self.check_readiness(router, since, now),
+            Phase::Ending { .. } | Phase::Running => {}
+        }
+    }
+
+    fn restart_router(&mut self, router: usize) {
+        if let Err(error) = self.start_router(router) {
+            self.routers[router].instance.record_failed_start(error.to_string());
+        }
+    }
+
+    fn check_readiness(&mut self, router: usize, since: Micros, now: Micros) {
+        let own = &mut self.routers[router];
+        if TcpStream::connect_timeout(&self.addresses.clients[router], PROBE_TIMEOUT).is_ok() {
+            own.phase = Phase::Running;
+            own.instance.set_present();
+        } else if now > since + READY_TIMEOUT {
+            own.phase = Phase::Running;
+            own.instance.record_failed_start("not ready in time".into());
+        }
+    }
+
+    /// Makes the next change of the store, at the node whose turn it is.
+    fn change_store(&mut self) {
+        let node = self.store.next_node();
+        let is_present = !self.routers[node].instance.is_absent();
+        self.store.change(node, is_present);
+    }
+
+    /// Waits until the store accepts changes again, and reads it then.
+    fn recover_store(&mut self) {
+        let until = self.clock.now() + STORE_RECOVERY_TIMEOUT;
+        while self.clock.now() < until {
+            self.advance_routers();
+            if self.store.read_back() {
+                return;
+            }
+            std::thread::sleep(STORE_RETRY_PAUSE);
+        }
+    }
+
+    /// Ends all faults, reads the store and what the servers have run, and ends every process.
+    pub(super) fn finish(mut self) -> io::Result<History> {
+        for router in &self.routers {
+            router.instance.control().clear_faults()?;
+        }
+        self.recover_store();
+        for router in &self.routers {
+            router.instance.record_panics();
+        }
+        let mut history = self.recorder.take();
+        history.store = Some(self.store.record());
+        let writes = self.fleet.writes_by_session().into_iter();
+        history.session_writes =
+            writes.map(|(session, numbers)| SessionWrites { session, numbers }).collect();
+        for router in &mut self.routers {
+            router.instance.signal(Signal::SIGKILL);
+        }
+        Ok(history)
+    }
+}
+
+/// The beginnings and ends of faults in the order of their times, for a load that starts at this moment.
+fn schedule(faults: &[PlannedFault], load_start: Micros) -> Vec<ScheduledEdge> {
+    let mut edges = Vec::new();
+    for fault in faults {
+        let begin_at = load_start + fault.start_ms as Micros * MILLISECOND;
+        let end_at = begin_at + fault.duration_ms as Micros * MILLISECOND;
+        edges.push(ScheduledEdge { at: begin_at, edge: Edge::Begin, fault: *fault });
+        edges.push(ScheduledEdge { at: end_at, edge: Edge::End, fault: *fault });
+    }
+    edges.sort_by_key(|scheduled| scheduled.at);
+    edges
+}
--- a/soak/src/serve/settings.rs
+++ b/soak/src/serve/settings.rs
@@ -1,23 +1,35 @@
 //! The operators' files of a run of `serve`.
+use crate::router::{AddressBlock, free_addresses};
 use std::fmt::Write;
 use std::io;
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::path::Path;
 
 /// Nodes of the store: the first routers.
 pub const STORE_NODES: usize = 3;
 
-/// Every address of a run, by router.
+/// The user of the sessions' clients.
+pub(super) const CLIENT_USER: &str = "till";
+/// That user's password.
+pub(super) const CLIENT_PASSWORD: &str = "secret";
+/// The database that the sessions' clients use.
+pub(super) const DATABASE: &str = "shop";
+/// The class of a session's reads.
+pub(super) const READ_CLASS: &str = "basket-read";
+/// The class of a session's writes.
+pub(super) const WRITE_CLASS: &str = "basket-add";
+
+/// Every address of a run, by router or by node of the store.
 pub struct Addresses {
     /// Where clients connect.
     pub clients: Vec<SocketAddr>,
-    /// Where operators' commands are taken.
+    /// Where operators' commands are accepted.
     pub controls: Vec<SocketAddr>,
     /// Where peers exchange sessions.
     pub sessions: Vec<SocketAddr>,
     /// Where members gossip.
     pub members: Vec<SocketAddr>,
-    /// Where the store's nodes talk to each other.
+    /// Where the store's nodes connect to each other.
     pub store_peers: Vec<SocketAddr>,
     /// Where the store's clients connect.
     pub store_clients: Vec<SocketAddr>,
@@ -29,71 +41,91 @@
     /// # Errors
     /// Where no port can be had.
     pub fn free(routers: usize) -> io::Result<Addresses> {
-        let id = std::process::id();
-        let mut last = 10;
-        let mut free = |count: usize| -> io::Result<Vec<SocketAddr>> {
-            last += 1;
-            let ip = [127, 1 + (id / 250 % 250) as u8, (id % 250) as u8, last];
-            let bind = |_| TcpListener::bind(SocketAddr::from((ip, 0)));
-            let held = (0..count).map(bind).collect::<io::Result<Vec<_>>>()?;
-            held.iter().map(TcpListener::local_addr).collect()
-        };
         Ok(Addresses {
-            clients: free(routers)?,
-            controls: free(routers)?,
-            sessions: free(routers)?,
-            members: free(routers)?,
-            store_peers: free(STORE_NODES)?,
-            store_clients: free(STORE_NODES)?,
+            clients: free_addresses(AddressBlock(11), routers)?,
+            controls: free_addresses(AddressBlock(12), routers)?,
+            sessions: free_addresses(AddressBlock(13), routers)?,
+            members: free_addresses(AddressBlock(14), routers)?,
+            store_peers: free_addresses(AddressBlock(15), STORE_NODES)?,
+            store_clients: free_addresses(AddressBlock(16), STORE_NODES)?,
         })
     }
 }
 
+/// A server, as a router's file names it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NamedServer {
+    /// Its id.
+    pub id: String,
+    /// Where this router reaches it.
+    pub address: SocketAddr,
+}
+
 /// One router's file.
-pub fn file(router: usize, addresses: &Addresses, servers: &[(String, SocketAddr)], folder: &Path) -> String {
-    let number = router + 1;
-    let routers = addresses.clients.len();
+pub fn config_text(router: usize, addresses: &Addresses, servers: &[NamedServer], folder: &Path) -> String {
+    let mut text = mysql_section(addresses.clients[router], addresses.clients.len(), servers);
+    text += &sessions_section(router, addresses, folder);
+    text += &members_section(router, addresses);
+    if router < STORE_NODES {
+        text += &store_section(router, addresses, folder);
+    }
+    text
+}
+
+/// The number of a router among sessions' peers and the store's nodes, which count from 1.
+fn number(router: usize) -> usize {
+    router + 1
+}
+
+fn mysql_section(listen: SocketAddr, routers: usize, servers: &[NamedServer]) -> String {
     let mut text = format!(
-        "[mysql]\nlisten = '{}'\ndatabase = 'shop'\nserver_user = 'router'\nprobe = 'SELECT probe'\n\
+        "[mysql]\nlisten = '{listen}'\ndatabase = '{DATABASE}'\nserver_user = 'router'\nprobe = 'SELECT probe'\n\
          server_clock = true\nclock_skew_ms = 1\nrouters = {routers}\n\
-         [[mysql.user]]\nname = 'till'\npassword = 'secret'\n",
-        addresses.clients[router]
+         [[mysql.user]]\nname = '{CLIENT_USER}'\npassword = '{CLIENT_PASSWORD}'\n"
     );
-    for (name, freshness, effect) in [("basket-read", "session", "safe"), ("basket-add", "write", "unsafe")] {
-        _ = write!(
-            text,
-            "[[mysql.class]]\nname = '{name}'\nfreshness = '{freshness}'\neffect = '{effect}'\naim_ms = 1000\n\
-             deadline_ms = 3000\n"
-        );
-    }
-    for (id, address) in servers {
+    text += &class_section(READ_CLASS, "session", "safe");
+    text += &class_section(WRITE_CLASS, "write", "unsafe");
+    for NamedServer { id, address } in servers {
         _ = write!(text, "[[mysql.server]]\nid = '{id}'\naddr = '{address}'\n");
     }
-    _ = write!(
-        text,
-        "[sessions]\ninstance = {number}\nlisten = '{}'\nfolder = '{}'\n",
+    text
+}
+
+fn class_section(name: &str, freshness: &str, effect: &str) -> String {
+    format!(
+        "[[mysql.class]]\nname = '{name}'\nfreshness = '{freshness}'\neffect = '{effect}'\naim_ms = 1000\n\
+         deadline_ms = 3000\n"
+    )
+}
+
+fn sessions_section(router: usize, addresses: &Addresses, folder: &Path) -> String {
+    let mut text = format!(
+        "[sessions]\ninstance = {}\nlisten = '{}'\nfolder = '{}'\n",
+        number(router),
         addresses.sessions[router],
         folder.join(format!("sessions-{router}")).display()
     );
     for (peer, address) in addresses.sessions.iter().enumerate() {
-        _ = write!(text, "[[sessions.peer]]\ninstance = {}\naddr = '{address}'\n", peer + 1);
+        _ = write!(text, "[[sessions.peer]]\ninstance = {}\naddr = '{address}'\n", number(peer));
     }
-    _ = write!(
-        text,
-        "[members]\nname = 'r{router}'\nlisten = '{}'\nseeds = ['{}']\ncluster = 'soak'\n",
-        addresses.members[router], addresses.members[0]
+    text
+}
+
+fn members_section(router: usize, addresses: &Addresses) -> String {
+    let (listen, seed) = (addresses.members[router], addresses.members[0]);
+    format!("[members]\nname = 'r{router}'\nlisten = '{listen}'\nseeds = ['{seed}']\ncluster = 'soak'\n")
+}
+
+fn store_section(router: usize, addresses: &Addresses, folder: &Path) -> String {
+    let mut text = format!(
+        "[store]\nnode = {}\nfolder = '{}'\ncontrol = '{}'\nclients = '{}'\n",
+        number(router),
+        folder.join(format!("store-{router}")).display(),
+        addresses.controls[router],
+        addresses.store_clients[router]
     );
-    if router < STORE_NODES {
-        _ = write!(
-            text,
-            "[store]\nnode = {number}\nfolder = '{}'\ncontrol = '{}'\nclients = '{}'\n",
-            folder.join(format!("store-{router}")).display(),
-            addresses.controls[router],
-            addresses.store_clients[router]
-        );
-        for (peer, address) in addresses.store_peers.iter().enumerate() {
-            _ = write!(text, "[[store.peer]]\nnode = {}\naddr = '{address}'\n", peer + 1);
-        }
+    for (peer, address) in addresses.store_peers.iter().enumerate() {
+        _ = write!(text, "[[store.peer]]\nnode = {}\naddr = '{address}'\n", number(peer));
     }
     text
 }
--- /dev/null
+++ b/soak/src/serve/store.rs
@@ -0,0 +1,71 @@
+//! Changes of the replicated store by operators' commands, and what it has at the end.
+use super::settings::STORE_NODES;
+use crate::history::StoreRecord;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::Command;
+
+/// The key that is changed.
+const KEY: &str = "soak";
+/// The key whose change shows at the end that the store accepts changes.
+const END_KEY: &str = "soak-end";
+
+/// Changes the store at its nodes in turn, and remembers what was confirmed.
+pub(super) struct StoreProbe {
+    program: PathBuf,
+    controls: Vec<SocketAddr>,
+    /// The number of the last change.
+    last_change: u64,
+    record: StoreRecord,
+}
+
+impl StoreProbe {
+    /// A probe that runs this program at the nodes' control addresses.
+    pub(super) fn new(program: &Path, controls: &[SocketAddr]) -> StoreProbe {
+        StoreProbe {
+            program: program.to_path_buf(),
+            controls: controls.to_vec(),
+            last_change: 0,
+            record: StoreRecord::default(),
+        }
+    }
+
+    /// What was confirmed and found.
+    pub(super) fn record(&self) -> StoreRecord {
+        self.record
+    }
+
+    /// The node at which the next change is made.
+    pub(super) fn next_node(&self) -> usize {
+        (self.last_change + 1) as usize % STORE_NODES
+    }
+
+    /// Sets the key to the next number at a node, if that is present. It counts as confirmed where the command succeeds.
+    pub(super) fn change(&mut self, node: usize, is_present: bool) {
+        self.last_change += 1;
+        let number = self.last_change;
+        if is_present && self.run(node, &["set", KEY, &number.to_string()]).is_some() {
+            self.record.confirmed = number;
+        }
+    }
+
+    /// Reads the key at the first node that accepts a change; `false` where none does.
+    pub(super) fn read_back(&mut self) -> bool {
+        let accepting = (0..STORE_NODES).find(|node| self.run(*node, &["set", END_KEY, "1"]).is_some());
+        let Some(node) = accepting else { return false };
+        let text = self.run(node, &["get", KEY]).unwrap_or_default();
+        let value: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
+        self.record.found = value["text"].as_str().and_then(|text| text.parse().ok());
+        self.record.recovered = true;
+        true
+    }
+
+    /// Runs a command at a node's control address; its output where it succeeds.
+    fn run(&self, node: usize, words: &[&str]) -> Option<String> {
+        let address = self.controls[node].to_string();
+        let mut command = Command::new(&self.program);
+        command.arg("ctl").arg(address).args(words).env_clear();
+        let output = command.output().ok()?;
+        output.status.success().then(|| String::from_utf8_lossy(&output.stdout).into_owned())
+    }
+}
--- a/soak/tests/exchanged_forms.rs
+++ b/soak/tests/exchanged_forms.rs
@@ -4,17 +4,20 @@
 
 use fixture::assert_fixture;
 use soak::history::{
-    Absence, Absent, Arrival, Class, Ending, History, Request, SECOND, Sample, SessionRead, Stall, Start,
-    StoreRecord, Withdrawn,
+    Absence, AbsenceReason, Attempt, History, InvariantViolations, Outcome, Request, RouterFailure, Sample,
+    ServerStart, SessionRead, SessionWrites, Stall, StoreRecord, UnexpectedAnswer, Withdrawal,
 };
 use soak::oracle::check;
-use soak::platform;
+use soak::platform::settings::RouterSettings;
 use soak::report::Report;
-use soak::serve::settings::{Addresses, file};
-use soak::trouble::{Kind, Trouble};
-use soak::world::agents::{Agents, Entry};
-use soak::world::clock::WorldClock;
-use soak::world::wire;
+use soak::serve::settings::{Addresses, NamedServer, config_text};
+
+use soak::class::Class;
+use soak::environment::clock::RunClock;
+use soak::environment::discovery::{DiscoveryAgents, Endpoint, EndpointState};
+use soak::environment::wire;
+use soak::fault::{FaultKind, PlannedFault};
+use soak::time::SECOND;
 use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -25,22 +28,29 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn entry(server: usize, primary: bool) -> Entry {
-    Entry { server, id: format!("s{server}-0"), group: 0, state: "in_service", primary, started_ms: 0 }
+fn endpoint(server: usize, primary: bool) -> Endpoint {
+    Endpoint {
+        server,
+        id: format!("s{server}-0"),
+        group: 0,
+        state: EndpointState::InService,
+        primary,
+        started_ms: 0,
+    }
 }
 
-/// Agents of one router with three servers in their list, one of them replaced by a cold one.
-fn agents() -> (Agents, Vec<SocketAddr>) {
+/// The agents of one router with three servers in their list, one of them replaced by a cold one.
+fn agents() -> (DiscoveryAgents, Vec<SocketAddr>) {
     let servers: Vec<SocketAddr> = (7001..7004).map(address).collect();
-    let agents = Agents::start(vec![servers.clone()], &WorldClock::start()).unwrap();
-    (0..3).for_each(|server| _ = agents.change(entry(server, server == 0)));
-    agents.change(Entry { state: "terminated", ..entry(2, false) });
-    agents.change(Entry { id: "s2-1".into(), started_ms: 1_700_000_000_123, ..entry(2, false) });
+    let agents = DiscoveryAgents::start(vec![servers.clone()], &RunClock::start()).unwrap();
+    (0..3).for_each(|server| _ = agents.change(endpoint(server, server == 0)));
+    agents.change(Endpoint { state: EndpointState::Terminated, ..endpoint(2, false) });
+    agents.change(Endpoint { id: "s2-1".into(), started_ms: 1_700_000_000_123, ..endpoint(2, false) });
     (agents, servers)
 }
 
 /// What an agent answers to a request for changes after a version, up to the last whole line.
-fn watch(agents: &Agents, version: u64, lines: usize) -> String {
+fn watch(agents: &DiscoveryAgents, version: u64, lines: usize) -> String {
     let mut socket = TcpStream::connect(agents.addresses[0][0]).unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     write!(socket, "GET /v1/watch?index={version} HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
@@ -57,8 +67,16 @@
 #[test]
 fn platform_configuration_is_written_as_before() {
     let (agents, servers) = agents();
-    let known = agents.known(&servers);
-    let config = platform::settings::config(3, address(1), address(2), address(3), known, 12);
+    let endpoints = agents.list_json(&servers);
+    let settings = RouterSettings {
+        router: 3,
+        listen: address(1),
+        admin: address(2),
+        discovery: address(3),
+        endpoints,
+        routers: 12,
+    };
+    let config = settings.to_json();
     assert_fixture("platform_config.json", &format!("{config}\n"));
 }
 
@@ -73,13 +91,14 @@
         store_peers: numbered(5000, 3),
         store_clients: numbered(6000, 3),
     };
-    let servers = [("db1".to_string(), address(3306)), ("db2".to_string(), address(3307))];
+    let server = |id: &str, port| NamedServer { id: id.into(), address: address(port) };
+    let servers = [server("db1", 3306), server("db2", 3307)];
     let mut text = String::new();
     for router in [0, 3] {
         _ = writeln!(
             text,
             "## router {router}\n{}",
-            file(router, &addresses, &servers, Path::new("/run/soak"))
+            config_text(router, &addresses, &servers, Path::new("/run/soak"))
         );
     }
     assert_fixture("serve_config.txt", &text);
@@ -113,80 +132,85 @@
     }
     assert_fixture("messages.txt", &text);
     let mut row = wire::row("2a.1.7");
-    assert_eq!(wire::take_message(&mut row).unwrap().0, b'T');
-    assert_eq!(wire::value(&wire::take_message(&mut row).unwrap().1), "2a.1.7");
-    let (tag, body) = wire::take_message(&mut wire::error("53300")).unwrap();
+    assert_eq!(wire::take_message(&mut row).unwrap().tag, b'T');
+    assert_eq!(wire::value(&wire::take_message(&mut row).unwrap().body), "2a.1.7");
+    let wire::Message { tag, body } = wire::take_message(&mut wire::error("53300")).unwrap();
     assert_eq!((tag, wire::error_field(&body, 'C').as_deref()), (b'E', Some("53300")));
     assert_eq!(wire::pair("SELECT 1 /* id=2a,c=any */", "c"), Some("any"));
 }
 
-fn request(id: u64, class: Class, ending: Ending) -> Request {
+fn request(id: u64, class: Class, outcome: Outcome) -> Request {
     Request {
         id,
         router: 1,
         connection: 4,
-        opened_at: SECOND,
-        place: 0,
+        connected_at: SECOND,
+        sequence: 0,
         class,
         group: 0,
         sent_at: 10 * SECOND,
-        wait: SECOND,
-        after: None,
-        ending,
+        timeout: SECOND,
+        required_commit: None,
+        outcome,
         ended_at: 10 * SECOND + 50_000,
         cancelled_at: None,
     }
 }
 
-fn arrival(id: u64, server: usize) -> Arrival {
-    Arrival {
+fn arrival(id: u64, server: usize) -> Attempt {
+    Attempt {
         id,
         router: 1,
         server,
         first_byte_at: 10 * SECOND + 10_000,
         last_byte_at: 10 * SECOND + 10_000,
         reached_at: Some(10 * SECOND + 10_000),
-        told_ms: 985,
+        timeout_ms: 985,
         ran_at: Some(10 * SECOND + 30_000),
         position: 10 * SECOND,
         was_primary: false,
     }
 }
 
+fn violations(router: usize, invariant: &str, count: u64) -> InvariantViolations {
+    InvariantViolations { router, invariant: invariant.into(), count }
+}
+
 /// A history that breaks every promise.
 fn broken_history() -> History {
     let late_answer =
-        Request { ended_at: 14 * SECOND, ..request(0xa2, Class::Any, Ending::Served("a2.2.9".into())) };
-    let left = Request { ended_at: 10 * SECOND - 500_000, ..request(0xa3, Class::Any, Ending::Left) };
+        Request { ended_at: 14 * SECOND, ..request(0xa2, Class::Any, Outcome::Served("a2.2.9".into())) };
+    let left =
+        Request { ended_at: 10 * SECOND - 500_000, ..request(0xa3, Class::Any, Outcome::Disconnected) };
     let cancelled = Request {
         cancelled_at: Some(10 * SECOND + 40_000),
-        ..request(0xa9, Class::Any, Ending::Error("57014".into()))
+        ..request(0xa9, Class::Any, Outcome::Error("57014".into()))
     };
     let requests = vec![
-        request(0xa0, Class::Any, Ending::Open),
-        request(0xa1, Class::Any, Ending::Closed),
+        request(0xa0, Class::Any, Outcome::Pending),
+        request(0xa1, Class::Any, Outcome::Closed),
         late_answer,
         left,
-        request(0xa4, Class::Write, Ending::Served("a4.0.3".into())),
-        request(0xa5, Class::Keyed, Ending::Served("a5.0.5".into())),
-        request(0xa6, Class::Write, Ending::Error("53300".into())),
-        request(0xa7, Class::Bounded, Ending::Served("a7.3.8".into())),
-        request(0xa8, Class::Any, Ending::Error("08006".into())),
+        request(0xa4, Class::Write, Outcome::Served("a4.0.3".into())),
+        request(0xa5, Class::Keyed, Outcome::Served("a5.0.5".into())),
+        request(0xa6, Class::Write, Outcome::Error("53300".into())),
+        request(0xa7, Class::Bounded, Outcome::Served("a7.3.8".into())),
+        request(0xa8, Class::Any, Outcome::Error("08006".into())),
         cancelled,
     ];
-    let second_run = Arrival { first_byte_at: 12 * SECOND, told_ms: 1, ..arrival(0xa5, 2) };
+    let second_run = Attempt { first_byte_at: 12 * SECOND, timeout_ms: 1, ..arrival(0xa5, 2) };
     let arrivals = vec![
         arrival(0xa1, 0),
-        Arrival { told_ms: 1600, ..arrival(0xa2, 1) },
+        Attempt { timeout_ms: 1600, ..arrival(0xa2, 1) },
         arrival(0xa3, 1),
         arrival(0xa4, 0),
         arrival(0xa4, 2),
         arrival(0xa5, 0),
         second_run,
         arrival(0xa6, 1),
-        Arrival { position: 8 * SECOND, ..arrival(0xa7, 3) },
+        Attempt { position: 8 * SECOND, ..arrival(0xa7, 3) },
     ];
-    let crowd = (0..120).map(|n| Arrival {
+    let crowd = (0..120).map(|n| Attempt {
         id: 0x1000 + n,
         first_byte_at: 21 * SECOND + n as i64 * 1000,
         ..arrival(0, 5)
@@ -202,19 +226,29 @@
     };
     History {
         requests,
-        arrivals: arrivals.into_iter().chain(crowd).collect(),
-        absent: vec![Absent { router: 3, why: Absence::Paused, from: SECOND, to: 2 * SECOND }],
-        withdrawn: vec![Withdrawn { server: 3, router: None, told_at: 9 * SECOND, until: 20 * SECOND }],
-        starts: vec![Start { server: 5, at: 20 * SECOND }],
+        attempts: arrivals.into_iter().chain(crowd).collect(),
+        absences: vec![Absence { router: 3, reason: AbsenceReason::Paused, from: SECOND, to: 2 * SECOND }],
+        withdrawals: vec![Withdrawal {
+            server: 3,
+            router: None,
+            notified_at: 9 * SECOND,
+            until: 20 * SECOND,
+        }],
+        server_starts: vec![ServerStart { server: 5, at: 20 * SECOND }],
         samples: (0..8).map(|second| sample(second, if second == 4 { 300 } else { 30 })).collect(),
-        stalls: vec![Stall { router: 1, from: SECOND, to: 6 * SECOND, ended: false }],
-        unexpected_answers: vec!["request a2 got the answer 'b1.0.0'".into()],
-        crashes: vec!["router 4: panicked".into()],
-        failed_starts: vec!["router 5: not ready in time".into()],
-        invariant_violations: vec![(0, "drain".into(), 2), (3, "repeat_window".into(), 1)],
-        session_reads: vec![SessionRead { session: "member-1".into(), told: 3, seen: 2, at: 5 * SECOND }],
-        writes_run: vec![("member-2".into(), vec![1, 2, 2])],
-        store: Some(StoreRecord { confirmed: 5, found: Some(4), came_back: true }),
+        stalls: vec![Stall { router: 1, from: SECOND, to: 6 * SECOND, closed_by_router: false }],
+        unexpected_answers: vec![UnexpectedAnswer::Foreign { request: 0xa2, value: "b1.0.0".into() }],
+        crashes: vec![RouterFailure { router: 4, detail: "panicked".into() }],
+        failed_starts: vec![RouterFailure { router: 5, detail: "not ready in time".into() }],
+        invariant_violations: vec![violations(0, "drain", 2), violations(3, "repeat_window", 1)],
+        session_reads: vec![SessionRead {
+            session: "member-1".into(),
+            confirmed: 3,
+            observed: 2,
+            at: 5 * SECOND,
+        }],
+        session_writes: vec![SessionWrites { session: "member-2".into(), numbers: vec![1, 2, 2] }],
+        store: Some(StoreRecord { confirmed: 5, found: Some(4), recovered: true }),
         load_ended_at: 30 * SECOND,
         ..History::default()
     }
@@ -224,11 +258,18 @@
 fn report_and_breaches_are_printed_as_before() {
     let mut history = broken_history();
     let breaches = check(&history);
-    let fault = Trouble { kind: Kind::LinkDeaf, at_ms: 1500, for_ms: 700, router: 1, server: 2, amount: 0 };
+    let fault = PlannedFault {
+        kind: FaultKind::LinkDeaf,
+        start_ms: 1500,
+        duration_ms: 700,
+        router: 1,
+        server: 2,
+        clock_step_seconds: 0,
+    };
     let mut text: String = breaches.iter().map(|breach| format!("{breach}\n")).collect();
     _ = write!(text, "## report\n{}", Report::new(7, &[fault], &history, breaches));
     _ = writeln!(text, "## a store that takes no change");
-    history.store = Some(StoreRecord { confirmed: 5, found: None, came_back: false });
+    history.store = Some(StoreRecord { confirmed: 5, found: None, recovered: false });
     text.extend(
         check(&history).iter().filter(|b| b.promise.name() == "store_lost").map(|b| format!("{b}\n")),
     );
