--- a/soak/tests/oracle.rs
+++ b/soak/tests/oracle.rs
@@ -1,9 +1,12 @@
 //! The oracles have to bite: for each, a history that keeps its promise passes and one that breaks it is refused.
+use soak::class::Class;
 use soak::history::{
-    Absence, Absent, Arrival, Class, Ending, History, Request, SECOND, Sample, SessionRead, Stall, Start,
-    StoreRecord, Untold, Withdrawn,
+    Absence, AbsenceReason, Attempt, DiscoveryOutage, History, InvariantViolations, Outcome, Request,
+    RouterFailure, Sample, ServerStart, SessionRead, SessionWrites, Stall, StoreRecord, UnexpectedAnswer,
+    Withdrawal,
 };
 use soak::oracle::{Promise, check};
+use soak::time::SECOND;
 
 /// A request that was served in 50 ms, and its attempt.
 fn history() -> History {
@@ -11,32 +14,32 @@
         id: 1,
         router: 0,
         connection: 1,
-        opened_at: 0,
-        place: 0,
+        connected_at: 0,
+        sequence: 0,
         class: Class::Write,
         group: 0,
         sent_at: 10 * SECOND,
-        wait: SECOND,
-        after: None,
-        ending: Ending::Served("1.0.0".into()),
+        timeout: SECOND,
+        required_commit: None,
+        outcome: Outcome::Served("1.0.0".into()),
         ended_at: 10 * SECOND + 50_000,
         cancelled_at: None,
     };
-    let arrival = Arrival {
+    let arrival = Attempt {
         id: 1,
         router: 0,
         server: 0,
         first_byte_at: 10 * SECOND + 10_000,
         last_byte_at: 10 * SECOND + 10_000,
         reached_at: Some(10 * SECOND + 10_000),
-        told_ms: 985,
+        timeout_ms: 985,
         ran_at: Some(10 * SECOND + 30_000),
         position: 10 * SECOND,
         was_primary: false,
     };
     History {
         requests: vec![request],
-        arrivals: vec![arrival],
+        attempts: vec![arrival],
         load_ended_at: 30 * SECOND,
         ..History::default()
     }
@@ -50,8 +53,8 @@
     found
 }
 
-fn absent(why: Absence, from: i64, to: i64) -> Absent {
-    Absent { router: 0, why, from, to }
+fn absence(reason: AbsenceReason, from: i64, to: i64) -> Absence {
+    Absence { router: 0, reason, from, to }
 }
 
 #[test]
@@ -61,35 +64,35 @@
 
 #[test]
 fn requests_without_their_answer_are_lost() {
-    let open = |h: &mut History| h.requests[0].ending = Ending::Open;
-    let closed = |h: &mut History| (h.requests[0].ending, h.arrivals) = (Ending::Closed, Vec::new());
+    let open = |h: &mut History| h.requests[0].outcome = Outcome::Pending;
+    let closed = |h: &mut History| (h.requests[0].outcome, h.attempts) = (Outcome::Closed, Vec::new());
     assert_eq!(broken(open), [Promise::Lost]);
     assert_eq!(broken(closed), [Promise::Lost]);
     // Its process was killed under it.
     let killed = |h: &mut History| {
         closed(h);
-        h.absent.push(absent(Absence::Killed, 10 * SECOND + 20_000, 11 * SECOND));
+        h.absences.push(absence(AbsenceReason::Killed, 10 * SECOND + 20_000, 11 * SECOND));
     };
     assert_eq!(broken(killed), []);
     // A connection that rested, ended as the request was on its way: the client sends it again elsewhere.
     let crossed = |h: &mut History| {
         closed(h);
-        h.requests[0].place = 3;
+        h.requests[0].sequence = 3;
     };
     assert_eq!(broken(crossed), []);
     // But not where a server has seen it.
-    let forwarded = |h: &mut History| (h.requests[0].ending, h.requests[0].place) = (Ending::Closed, 3);
+    let forwarded = |h: &mut History| (h.requests[0].outcome, h.requests[0].sequence) = (Outcome::Closed, 3);
     assert_eq!(broken(forwarded), [Promise::Lost]);
     // Late in a shutdown clients send elsewhere what is not answered.
     let ending = |h: &mut History| {
         closed(h);
-        h.absent.push(absent(Absence::Ended, 9 * SECOND, 12 * SECOND));
+        h.absences.push(absence(AbsenceReason::ShutDown, 9 * SECOND, 12 * SECOND));
     };
     assert_eq!(broken(ending), []);
     // But early in it they are served as before, also where the process ends with the connection.
     let cut = |h: &mut History| {
         closed(h);
-        h.absent.push(absent(Absence::Ended, 10 * SECOND - 100_000, 10 * SECOND + 60_000));
+        h.absences.push(absence(AbsenceReason::ShutDown, 10 * SECOND - 100_000, 10 * SECOND + 60_000));
     };
     assert_eq!(broken(cut), [Promise::Lost]);
 }
@@ -99,60 +102,61 @@
     assert_eq!(broken(|h| h.requests[0].ended_at = 12 * SECOND), [Promise::Late]);
     let paused = |h: &mut History| {
         h.requests[0].ended_at = 12 * SECOND;
-        h.absent.push(absent(Absence::Paused, 10 * SECOND + 100_000, 11 * SECOND + 900_000));
+        h.absences.push(absence(AbsenceReason::Paused, 10 * SECOND + 100_000, 11 * SECOND + 900_000));
     };
     assert_eq!(broken(paused), []);
-    assert_eq!(broken(|h| h.unexpected_answers.push("twice".into())), [Promise::ForeignAnswer]);
+    let unsolicited = UnexpectedAnswer::Unsolicited { connection: 1, answer: None };
+    assert_eq!(broken(|h| h.unexpected_answers.push(unsolicited.clone())), [Promise::ForeignAnswer]);
 }
 
 #[test]
 fn attempts_that_must_not_be_are_found() {
     let left = |h: &mut History| {
-        (h.requests[0].ending, h.requests[0].ended_at) = (Ending::Left, 10 * SECOND);
-        h.arrivals[0].first_byte_at = 10 * SECOND + 210_000;
-        h.arrivals[0].told_ms = 700;
+        (h.requests[0].outcome, h.requests[0].ended_at) = (Outcome::Disconnected, 10 * SECOND);
+        h.attempts[0].first_byte_at = 10 * SECOND + 210_000;
+        h.attempts[0].timeout_ms = 700;
     };
-    assert_eq!(broken(left), [Promise::SentAfterLeaving]);
+    assert_eq!(broken(left), [Promise::SentAfterDisconnect]);
     let again = |h: &mut History| {
-        let mut second = h.arrivals[0].clone();
+        let mut second = h.attempts[0].clone();
         (second.server, second.first_byte_at) = (1, 10 * SECOND + 20_000);
-        h.arrivals.push(second);
+        h.attempts.push(second);
     };
     assert_eq!(broken(again), [Promise::RanTwice]);
     let outside_window = |h: &mut History| {
         again(h);
         h.requests[0].class = Class::Keyed;
         let late = 11 * SECOND;
-        (h.arrivals[1].first_byte_at, h.arrivals[1].last_byte_at, h.arrivals[1].told_ms) = (late, late, 1);
+        (h.attempts[1].first_byte_at, h.attempts[1].last_byte_at, h.attempts[1].timeout_ms) = (late, late, 1);
     };
     assert_eq!(broken(outside_window), [Promise::RanOutsideWindow]);
-    assert_eq!(broken(|h| h.requests[0].ending = Ending::Error("53300".into())), [Promise::RefusedButRan]);
-    assert_eq!(broken(|h| h.arrivals[0].told_ms = 1400), [Promise::ToldTooLong]);
+    assert_eq!(broken(|h| h.requests[0].outcome = Outcome::Error("53300".into())), [Promise::RejectedButRan]);
+    assert_eq!(broken(|h| h.attempts[0].timeout_ms = 1400), [Promise::TimeoutTooLong]);
 }
 
 #[test]
 fn withdrawn_servers_must_get_nothing_new() {
-    let withdrawn = Withdrawn { server: 0, router: None, told_at: 9 * SECOND, until: 20 * SECOND };
-    assert_eq!(broken(|h| h.withdrawn.push(withdrawn)), [Promise::Drain]);
+    let withdrawal = Withdrawal { server: 0, router: None, notified_at: 9 * SECOND, until: 20 * SECOND };
+    assert_eq!(broken(|h| h.withdrawals.push(withdrawal)), [Promise::Drain]);
     // Discovery could not tell it.
     let untold = |h: &mut History| {
-        h.withdrawn.push(withdrawn);
-        h.untold.push(Untold { router: 0, from: 8 * SECOND, to: 11 * SECOND });
+        h.withdrawals.push(withdrawal);
+        h.discovery_outages.push(DiscoveryOutage { router: 0, from: 8 * SECOND, to: 11 * SECOND });
     };
     assert_eq!(broken(untold), []);
-    let by_hand = Withdrawn { router: Some(1), ..withdrawn };
-    assert_eq!(broken(|h| h.withdrawn.push(by_hand)), [], "another router was told");
+    let by_hand = Withdrawal { router: Some(1), ..withdrawal };
+    assert_eq!(broken(|h| h.withdrawals.push(by_hand)), [], "another router was told");
 }
 
 #[test]
 fn cold_servers_must_not_be_overloaded() {
     let crowd = |count: usize| {
         move |h: &mut History| {
-            h.starts.push(Start { server: 0, at: 10 * SECOND });
-            let one = h.arrivals[0].clone();
+            h.server_starts.push(ServerStart { server: 0, at: 10 * SECOND });
+            let one = h.attempts[0].clone();
             for n in 0..count {
                 let at = 10 * SECOND + 500_000 + n as i64 * 1000;
-                h.arrivals.push(Arrival { id: 100 + n as u64, first_byte_at: at, ..one.clone() });
+                h.attempts.push(Attempt { id: 100 + n as u64, first_byte_at: at, ..one.clone() });
             }
         }
     };
@@ -164,16 +168,16 @@
 fn reads_must_be_fresh_enough() {
     let bounded = |h: &mut History| {
         h.requests[0].class = Class::Bounded;
-        h.arrivals[0].position = 8 * SECOND;
+        h.attempts[0].position = 8 * SECOND;
     };
     assert_eq!(broken(bounded), [Promise::Stale]);
     let session = |h: &mut History| {
-        (h.requests[0].class, h.requests[0].after) = (Class::Session, Some(10 * SECOND + 1));
+        (h.requests[0].class, h.requests[0].required_commit) = (Class::Session, Some(10 * SECOND + 1));
     };
     assert_eq!(broken(session), [Promise::Stale]);
     let excused = |h: &mut History| {
         session(h);
-        h.arrivals[0].was_primary = true;
+        h.attempts[0].was_primary = true;
     };
     assert_eq!(broken(excused), []);
 }
@@ -192,20 +196,23 @@
     assert_eq!(broken(|h| h.samples.push(sample(0, 0, 300))), [Promise::Limits]);
     let spins = |h: &mut History| h.samples.extend((0..8).map(|s| sample(s * SECOND, s * SECOND, 20)));
     assert_eq!(broken(spins), [Promise::Cpu]);
-    assert_eq!(broken(|h| h.crashes.push("router 0".into())), [Promise::Crash]);
-    assert_eq!(broken(|h| h.failed_starts.push("router 0".into())), [Promise::Start]);
-    assert_eq!(broken(|h| h.invariant_violations.push((0, "drain".into(), 1))), [Promise::Invariant]);
-    let stall = Stall { router: 0, from: SECOND, to: 6 * SECOND, ended: false };
-    assert_eq!(broken(|h| h.stalls.push(stall)), [Promise::BadClientHeld]);
+    let failure = RouterFailure { router: 0, detail: String::new() };
+    assert_eq!(broken(|h| h.crashes.push(failure.clone())), [Promise::Crash]);
+    assert_eq!(broken(|h| h.failed_starts.push(failure.clone())), [Promise::Start]);
+    let violations = InvariantViolations { router: 0, invariant: "drain".into(), count: 1 };
+    assert_eq!(broken(|h| h.invariant_violations.push(violations.clone())), [Promise::Invariant]);
+    let stall = Stall { router: 0, from: SECOND, to: 6 * SECOND, closed_by_router: false };
+    assert_eq!(broken(|h| h.stalls.push(stall)), [Promise::StalledClientNotClosed]);
 }
 
 #[test]
 fn sessions_and_the_store_keep_what_was_confirmed() {
-    let read = |told, seen| SessionRead { session: "ann".into(), told, seen, at: SECOND };
+    let read = |confirmed, observed| SessionRead { session: "ann".into(), confirmed, observed, at: SECOND };
     assert_eq!(broken(|h| h.session_reads.push(read(3, 3))), []);
     assert_eq!(broken(|h| h.session_reads.push(read(3, 2))), [Promise::SessionStale]);
-    assert_eq!(broken(|h| h.writes_run.push(("ann".into(), vec![1, 2, 2]))), [Promise::RanTwice]);
-    let store = |confirmed, found, came_back| Some(StoreRecord { confirmed, found, came_back });
+    let repeated = SessionWrites { session: "ann".into(), numbers: vec![1, 2, 2] };
+    assert_eq!(broken(|h| h.session_writes.push(repeated.clone())), [Promise::RanTwice]);
+    let store = |confirmed, found, recovered| Some(StoreRecord { confirmed, found, recovered });
     assert_eq!(broken(|h| h.store = store(5, Some(6), true)), []);
     assert_eq!(broken(|h| h.store = store(5, Some(4), true)), [Promise::StoreLost]);
     assert_eq!(broken(|h| h.store = store(5, None, false)), [Promise::StoreLost]);
--- a/soak/tests/plans.rs
+++ b/soak/tests/plans.rs
@@ -2,9 +2,10 @@
 mod fixture;
 
 use fixture::assert_fixture;
+use soak::draw::draw;
+use soak::fault::{FaultKind, PlannedFault};
 use soak::plan::{Front, Plan};
 use soak::reduce::reduce;
-use soak::trouble::{Kind, Trouble, draw};
 use std::fmt::Write;
 use std::path::PathBuf;
 
@@ -24,46 +25,46 @@
 ];
 
 /// Every kind, with the name that plans and the command line give it.
-const KINDS: [(&str, Kind); 31] = [
-    ("term", Kind::Term),
-    ("kill", Kind::Kill),
-    ("pause_short", Kind::PauseShort),
-    ("pause_long", Kind::PauseLong),
-    ("reload", Kind::Reload),
-    ("discovery_silent", Kind::DiscoverySilent),
-    ("discovery_down", Kind::DiscoveryDown),
-    ("discovery_slow", Kind::DiscoverySlow),
-    ("drain", Kind::Drain),
-    ("server_restart", Kind::ServerRestart),
-    ("server_hang", Kind::ServerHang),
-    ("server_reset", Kind::ServerReset),
-    ("server_garbage", Kind::ServerGarbage),
-    ("server_lag", Kind::ServerLag),
-    ("failover", Kind::Failover),
-    ("link_cut", Kind::LinkCut),
-    ("link_deaf", Kind::LinkDeaf),
-    ("link_delay", Kind::LinkDelay),
-    ("link_reset", Kind::LinkReset),
-    ("link_trickle", Kind::LinkTrickle),
-    ("link_forget", Kind::LinkForget),
-    ("clients_leave", Kind::ClientsLeave),
-    ("clients_stall", Kind::ClientsStall),
-    ("clients_pipeline", Kind::ClientsPipeline),
-    ("clients_flood", Kind::ClientsFlood),
-    ("clock_all", Kind::ClockAll),
-    ("clock_one", Kind::ClockOne),
-    ("syscalls", Kind::Syscalls),
-    ("threads", Kind::Threads),
-    ("disk", Kind::Disk),
-    ("maintenance", Kind::Maintenance),
+const KINDS: [(&str, FaultKind); 31] = [
+    ("term", FaultKind::Term),
+    ("kill", FaultKind::Kill),
+    ("pause_short", FaultKind::PauseShort),
+    ("pause_long", FaultKind::PauseLong),
+    ("reload", FaultKind::Reload),
+    ("discovery_silent", FaultKind::DiscoverySilent),
+    ("discovery_down", FaultKind::DiscoveryDown),
+    ("discovery_slow", FaultKind::DiscoverySlow),
+    ("drain", FaultKind::Drain),
+    ("server_restart", FaultKind::ServerRestart),
+    ("server_hang", FaultKind::ServerHang),
+    ("server_reset", FaultKind::ServerReset),
+    ("server_garbage", FaultKind::ServerGarbage),
+    ("server_lag", FaultKind::ServerLag),
+    ("failover", FaultKind::Failover),
+    ("link_cut", FaultKind::LinkCut),
+    ("link_deaf", FaultKind::LinkDeaf),
+    ("link_delay", FaultKind::LinkDelay),
+    ("link_reset", FaultKind::LinkReset),
+    ("link_trickle", FaultKind::LinkTrickle),
+    ("link_forget", FaultKind::LinkForget),
+    ("clients_leave", FaultKind::ClientsLeave),
+    ("clients_stall", FaultKind::ClientsStall),
+    ("clients_pipeline", FaultKind::ClientsPipeline),
+    ("clients_flood", FaultKind::ClientsFlood),
+    ("clock_all", FaultKind::ClockAll),
+    ("clock_one", FaultKind::ClockOne),
+    ("syscalls", FaultKind::Syscalls),
+    ("threads", FaultKind::Threads),
+    ("disk", FaultKind::Disk),
+    ("maintenance", FaultKind::Maintenance),
 ];
 
 fn read(name: &str) -> Plan {
     Plan::read(&PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("plans").join(name)).unwrap()
 }
 
-fn fault(kind: Kind, at_ms: u64, for_ms: u64) -> Trouble {
-    Trouble { kind, at_ms, for_ms, router: 0, server: 0, amount: 0 }
+fn fault(kind: FaultKind, start_ms: u64, duration_ms: u64) -> PlannedFault {
+    PlannedFault { kind, start_ms, duration_ms, router: 0, server: 0, clock_step_seconds: 0 }
 }
 
 #[test]
@@ -88,8 +89,8 @@
         seconds: 20,
         clients: 90,
         think_ms: 120,
-        troubles_per_ten_seconds: 6,
-        trouble: Vec::new(),
+        faults_per_ten_seconds: 6,
+        faults: Vec::new(),
     };
     assert_eq!(read("platform.toml"), platform);
     let clock_step = Plan {
@@ -100,11 +101,11 @@
         seconds: 11,
         clients: 34,
         think_ms: 50,
-        troubles_per_ten_seconds: 6,
-        trouble: vec![
-            Trouble { amount: -3600, ..fault(Kind::ClockAll, 1500, 9000) },
-            Trouble { server: 1, ..fault(Kind::ServerRestart, 2500, 800) },
-            Trouble { server: 2, ..fault(Kind::ServerRestart, 5500, 800) },
+        faults_per_ten_seconds: 6,
+        faults: vec![
+            PlannedFault { clock_step_seconds: -3600, ..fault(FaultKind::ClockAll, 1500, 9000) },
+            PlannedFault { server: 1, ..fault(FaultKind::ServerRestart, 2500, 800) },
+            PlannedFault { server: 2, ..fault(FaultKind::ServerRestart, 5500, 800) },
         ],
     };
     assert_eq!(read("regressions/slow_start_after_clock_step.toml"), clock_step);
@@ -116,8 +117,11 @@
         seconds: 9,
         clients: 4,
         think_ms: 50,
-        troubles_per_ten_seconds: 6,
-        trouble: vec![fault(Kind::Disk, 2000, 2000), Trouble { router: 1, ..fault(Kind::Disk, 2300, 2500) }],
+        faults_per_ten_seconds: 6,
+        faults: vec![
+            fault(FaultKind::Disk, 2000, 2000),
+            PlannedFault { router: 1, ..fault(FaultKind::Disk, 2300, 2500) },
+        ],
     };
     assert_eq!(read("regressions/store_disk_fails_for_a_while.toml"), disk);
 }
@@ -147,9 +151,9 @@
 fn kinds_have_the_same_name_in_plans_and_on_the_command_line() {
     for (name, kind) in KINDS {
         assert_eq!(serde_json::to_value(kind).unwrap(), name);
-        assert_eq!(name.parse::<Kind>().unwrap(), kind);
+        assert_eq!(name.parse::<FaultKind>().unwrap(), kind);
     }
-    let unknown = "rain".parse::<Kind>().unwrap_err().to_string();
+    let unknown = "rain".parse::<FaultKind>().unwrap_err().to_string();
     assert!(unknown.starts_with("there is no trouble 'rain'; the names are those of soak/src/"), "{unknown}");
 }
 
@@ -160,16 +164,16 @@
         let plan = read(name);
         for seed in [1, 7, 31] {
             _ = writeln!(drawn, "## {name}, seed {seed}");
-            for trouble in draw(&plan, seed, &[]) {
-                _ = writeln!(drawn, "  {trouble:?}");
+            for fault in draw(&plan, seed, &[]) {
+                _ = writeln!(drawn, "  {fault}");
             }
         }
     }
-    let only = [Kind::ClockOne, Kind::Drain, Kind::Disk];
+    let only = [FaultKind::ClockOne, FaultKind::Drain, FaultKind::Disk];
     for name in ["platform.toml", "serve.toml"] {
         _ = writeln!(drawn, "## {name}, seed 5, only {only:?}");
-        for trouble in draw(&read(name), 5, &only) {
-            _ = writeln!(drawn, "  {trouble:?}");
+        for fault in draw(&read(name), 5, &only) {
+            _ = writeln!(drawn, "  {fault}");
         }
     }
     assert_fixture("draws.txt", &drawn);
@@ -182,13 +186,13 @@
     let mut tried = 0;
     // The breach needs the third and the last fault.
     let needed = [drawn[2], drawn[drawn.len() - 1]];
-    let still_breaks = |left: &[Trouble], promise| {
+    let still_breaks = |left: &[PlannedFault], promise| {
         assert_eq!(promise, soak::oracle::Promise::Lost);
         tried += 1;
         needed.iter().all(|fault| left.contains(fault))
     };
     let left = reduce(&drawn, soak::oracle::Promise::Lost, still_breaks);
     assert_eq!(left, needed);
-    let text = toml::to_string(&Plan { trouble: left, ..plan }).unwrap();
+    let text = toml::to_string(&Plan { faults: left, ..plan }).unwrap();
     assert_fixture("reduced_plan.toml", &format!("# tried {tried} times\n{text}"));
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,9 +1,10 @@
 //! The soak's short form, and the reduced plans of failures that it has found, each played against the real program.
+use soak::draw::draw;
 use soak::oracle::{self, Breach, Promise};
 use soak::plan::{Front, Plan};
 use soak::report::Report;
 use soak::router::Programs;
-use soak::trouble::draw;
+
 use soak::{platform, serve};
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, PoisonError};
@@ -21,14 +22,14 @@
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let programs = Programs::beside(Path::new(env!("CARGO_BIN_EXE_damsonvale")));
     assert!(programs.library.is_some(), "the package faults is built with the tests");
-    let troubles = draw(plan, seed, &[]);
+    let faults = draw(plan, seed, &[]);
     let history = match plan.front {
-        Front::Platform => platform::play(plan, seed, &troubles, &programs),
-        Front::Serve => serve::play(plan, seed, &troubles, &programs),
+        Front::Platform => platform::play(plan, seed, &faults, &programs),
+        Front::Serve => serve::play(plan, seed, &faults, &programs),
     };
     let history = history.unwrap();
     let breaches = oracle::check(&history);
-    println!("{}", Report::new(seed, &troubles, &history, breaches.clone()));
+    println!("{}", Report::new(seed, &faults, &history, breaches.clone()));
     breaches
 }
 
