--- a/postgres/tests/connections.rs
+++ b/postgres/tests/connections.rs
@@ -23,7 +23,7 @@
 fn connect_answering(responses: &'static [&'static [u8]]) -> (PostgresConnection, Receiver<Vec<u8>>) {
     let (sender, received) = channel();
     let mut limits = limits();
-    limits.link_check = Duration::from_millis(500);
+    limits.backend_check_timeout = Duration::from_millis(500);
     let connection = connect(&limits, move |socket| {
         for response in responses {
             let Some(message) = read_message(socket) else { return };
@@ -75,7 +75,7 @@
         [message(b'S', b"mode\0read-only\0"), message(b'N', b"SNOTICE\0\0"), EMPTY_QUERY_RESPONSE.to_vec()]
             .concat();
     let mut limits = limits();
-    limits.link_check = Duration::from_secs(1);
+    limits.backend_check_timeout = Duration::from_secs(1);
     for cut in CUTS {
         std::thread::scope(|s| {
             for sent in 0..=complete.len() {
@@ -99,7 +99,7 @@
 #[test]
 fn endless_notices_end_with_the_check_timeout() {
     let mut limits = limits();
-    limits.link_check = Duration::from_millis(100);
+    limits.backend_check_timeout = Duration::from_millis(100);
     let mut connection = connect(&limits, |socket| {
         read_message(socket);
         while (&*socket).write_all(&message(b'N', &[b'x'; 8 * 1024])).is_ok() {}
@@ -111,10 +111,13 @@
 fn idle_timeout_exceeds_reconnect_interval_and_stays_below_the_instance_timeout() {
     let (thirty, limit) = (Duration::from_secs(30), Duration::from_secs(10));
     let limits = Limits::new(384, 48 << 20, Duration::from_millis(250), thirty, thirty);
-    assert!(limits.link_idle > limit && limits.link_idle < thirty);
+    assert!(limits.backend_idle_timeout > limit && limits.backend_idle_timeout < thirty);
     // An instance that closes early is left early.
     let short = Limits::new(384, 48 << 20, Duration::from_millis(250), Duration::from_secs(2), thirty);
-    assert!(short.link_idle < Duration::from_secs(2) && short.link_trust <= short.link_idle);
+    assert!(
+        short.backend_idle_timeout < Duration::from_secs(2)
+            && short.max_unchecked_idle_time <= short.backend_idle_timeout
+    );
 }
 
 #[test]
@@ -196,7 +199,7 @@
 #[test]
 fn greeting_cut_at_any_byte_fails_and_a_complete_rejection_counts() {
     let mut limits = limits();
-    limits.connect = Duration::from_millis(800);
+    limits.backend_connect_timeout = Duration::from_millis(800);
     let good = [
         message(b'R', &[0; 4]),
         message(b'S', b"server_version\x0016\0"),
@@ -237,7 +240,7 @@
         while (&socket).write_all(&message(b'S', &[b'x'; 4096])).is_ok() {}
     });
     assert_eq!(connect_to(&limits, endless).err(), Some(Outcome::ConnectFailed), "bounded by its bytes");
-    limits.connect = Duration::from_millis(300);
+    limits.backend_connect_timeout = Duration::from_millis(300);
     let slow = start_instance(|mut socket| {
         read_startup(&socket);
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
@@ -273,7 +276,7 @@
     let addr = listener.local_addr().unwrap().as_socket().unwrap();
     let first = TcpStream::connect(addr).unwrap();
     let mut limits = limits();
-    limits.connect = Duration::from_millis(1600);
+    limits.backend_connect_timeout = Duration::from_millis(1600);
     let connecting = std::thread::spawn(move || {
         let started = Instant::now();
         (Postgres::new(Arc::new(limits), Clock::new()).connect(addr, permit()).err(), started.elapsed())
--- a/routing/src/backends.rs
+++ b/routing/src/backends.rs
@@ -23,8 +23,8 @@
 /// # Errors
 /// Its thread could not be started.
 pub(crate) fn start<P: BackendProtocol>(resources: BackendResources<P>) -> std::io::Result<BackendSender<P>> {
-    let (own_sender, mailbox) = bounded(resources.limits.mailbox);
-    let (sender, stack_bytes) = (own_sender.clone(), resources.limits.stack_bytes);
+    let (own_sender, mailbox) = bounded(resources.limits.mailbox_capacity);
+    let (sender, stack_bytes) = (own_sender.clone(), resources.limits.socket_thread_stack_bytes);
     spawn("peer", stack_bytes, move || BackendsActor::new(resources, own_sender).run(&mailbox))?;
     Ok(sender)
 }
