--- a/src/commands/ctl.rs
+++ b/src/commands/ctl.rs
@@ -12,8 +12,9 @@
     command: Command,
 }
 
+/// A command to a router's store node.
 #[derive(Subcommand)]
-enum Command {
+pub enum Command {
     /// The node, its leader and the term.
     Status,
     /// Keys with their values.
@@ -55,7 +56,7 @@
 }
 
 /// The command as the control address receives it: one JSON object.
-fn encode(command: &Command) -> Value {
+pub fn encode(command: &Command) -> Value {
     let mut encoded = match command {
         Command::Status => json!({"do": "status"}),
         Command::List { prefix: None } => json!({"do": "list"}),
@@ -80,6 +81,3 @@
     println!("{response}");
     Ok(())
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -1,6 +1,6 @@
 //! `fleet`: sets, shows and takes back the fleet's configuration, which is one document in the store, and reports which
 //! router acted on which version of it.
-mod timeline;
+pub mod timeline;
 
 use super::Error;
 use ::fleet::{audit_record, document};
--- a/src/commands/fleet/timeline.rs
+++ b/src/commands/fleet/timeline.rs
@@ -48,12 +48,9 @@
 }
 
 /// Date and time of day, UTC, of a Unix time in microseconds; the number itself where no calendar has it.
-fn format_time(unix_microseconds: i64) -> String {
+pub fn format_time(unix_microseconds: i64) -> String {
     match DateTime::from_timestamp_micros(unix_microseconds) {
         Some(time) => time.format("%Y-%m-%dT%H:%M:%S%.3f").to_string(),
         None => unix_microseconds.to_string(),
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,13 +1,13 @@
 //! The sub-commands, one file each, and what several of them use.
 pub(crate) mod capture;
 pub(crate) mod check;
-pub(crate) mod ctl;
+pub mod ctl;
 mod error;
-pub(crate) mod fleet;
+pub mod fleet;
 mod members;
 pub(crate) mod platform;
 pub(crate) mod registry;
-pub(crate) mod serve;
+pub mod serve;
 pub(crate) mod sessions;
 
 pub(crate) use error::Error;
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -4,7 +4,7 @@
 //! fleet and its members, the client listener, the registry. Each part has a file of its own below this one. Clients
 //! are accepted last, when everything that decides about their requests is there.
 mod configuration;
-mod endpoints;
+pub mod endpoints;
 mod fleet;
 mod registry;
 mod shutdown;
--- a/src/commands/serve/endpoints.rs
+++ b/src/commands/serve/endpoints.rs
@@ -13,7 +13,7 @@
 const DRAINING: &str = "draining";
 
 /// Key and document of a server that the file lists, as a new store is filled with them.
-pub(super) fn server_document(server: &Server) -> (String, String) {
+pub fn server_document(server: &Server) -> (String, String) {
     let mut document =
         json!({"addr": server.addr, "group": server.group, "weight": server.weight, "state": IN_SERVICE});
     if let Some(site) = &server.site {
@@ -24,7 +24,7 @@
 
 /// The endpoint list as the store holds it, to a router at `own_site`. A server whose document can't be read is left
 /// out and named in the log.
-pub(super) fn endpoint_update(state: &store::State, own_site: Option<&str>) -> EndpointUpdate {
+pub fn endpoint_update(state: &store::State, own_site: Option<&str>) -> EndpointUpdate {
     let entry = |(key, value): (&str, &store::Value)| {
         let entry = endpoint_entry(key, &value.text, own_site);
         entry.map_err(|error| tracing::error!("list: {key}: {error}")).ok()
@@ -33,8 +33,15 @@
     EndpointUpdate { version: state.applied_index, complete: true, endpoints: entries }
 }
 
-/// Reads one server's document.
-fn endpoint_entry(key: &str, document: &str, own_site: Option<&str>) -> Result<EndpointEntry, SettingsError> {
+/// Reads the document of a server that stands under `key`.
+///
+/// # Errors
+/// The document is no JSON object, or one of its fields is missing or can't be used.
+pub fn endpoint_entry(
+    key: &str,
+    document: &str,
+    own_site: Option<&str>,
+) -> Result<EndpointEntry, SettingsError> {
     let document: Value = serde_json::from_str(document)?;
     let address = string(&document, "addr")?;
     let state = member_state(string(&document, "state")?)?;
@@ -71,6 +78,3 @@
 fn zone_distance(site: Option<&str>, own_site: Option<&str>) -> u32 {
     u32::from(own_site.is_some() && site != own_site)
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/commands/serve/endpoints/tests.rs
+++ b/tests/stored_servers.rs
@@ -1,12 +1,12 @@
 //! The stored form of servers, and the endpoint list that is read from it.
-use super::{endpoint_entry, endpoint_update, server_document};
 use crossbeam_channel::bounded;
+use damsonvale::commands::serve::endpoints::{endpoint_entry, endpoint_update, server_document};
 use routing::{EndpointEntry, GroupId, MemberState};
 use settings::operator::Server;
 use std::net::SocketAddr;
 
 /// What the store holds after a first start with servers `a` (of site `north`) and `b` (of none), one a line.
-const STORED_SERVERS: &str = include_str!("../../../../tests/fixtures/stored_servers.txt");
+const STORED_SERVERS: &str = include_str!("fixtures/stored_servers.txt");
 
 fn loopback(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
