--- a/routing/src/backends/backend.rs
+++ b/routing/src/backends/backend.rs
@@ -1,7 +1,7 @@
 //! One backend: the idle connections to one endpoint, and the start of exchanges on them or on new ones.
 use super::exchange::{Context, Task, run};
 use super::resources::BackendResources;
-use crate::idle_connection::IdleConnection;
+use crate::idle_connection::{AcquiredSlot, IdleConnection};
 use crate::messages::{BackendCommand, BackendId, BackendSender, RouterMessage};
 use crate::permit::AttemptGuard;
 use crate::permit::EndpointState;
@@ -95,7 +95,7 @@
             return self.spawn_exchange(task, guard, idle);
         }
         let resources = &self.context.resources;
-        let (open, slot) = resources.connections.acquire();
+        let AcquiredSlot { open_before: open, slot } = resources.connections.acquire();
         self.announce_near_limit(open);
         if open >= resources.limits.link_connections || self.busy >= resources.limits.links_per_peer {
             return self.context.report_outcome(&task, Outcome::NeverSent);
--- a/routing/src/idle_connection.rs
+++ b/routing/src/idle_connection.rs
@@ -1,4 +1,4 @@
-//! Connections between exchanges, and the count of all connections that the limit goes by.
+//! Idle connections, and the count of all connections, which the limit applies to.
 use crate::protocol::BackendProtocol;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,7 +10,7 @@
     pub(crate) connection: Option<P::Connection>,
     /// Since its last response.
     pub(crate) since: Instant,
-    /// Its place among all connections.
+    /// Counts it among all connections.
     pub(crate) slot: ConnectionSlot,
 }
 
@@ -26,10 +26,10 @@
 pub(crate) struct ConnectionCount(Arc<AtomicUsize>);
 
 impl ConnectionCount {
-    /// Counts one more connection until the slot is dropped; returns the count before it.
-    pub(crate) fn acquire(&self) -> (usize, ConnectionSlot) {
-        let before = self.0.fetch_add(1, Ordering::Relaxed);
-        (before, ConnectionSlot(self.clone()))
+    /// Counts one more connection until its slot is dropped.
+    pub(crate) fn acquire(&self) -> AcquiredSlot {
+        let open_before = self.0.fetch_add(1, Ordering::Relaxed);
+        AcquiredSlot { open_before, slot: ConnectionSlot(self.clone()) }
     }
 
     /// Replaces a number of places set aside for other processes by another.
@@ -39,7 +39,13 @@
     }
 }
 
-/// Counts a connection while it lives.
+/// A slot, and the number of connections that were open before it.
+pub(crate) struct AcquiredSlot {
+    pub(crate) open_before: usize,
+    pub(crate) slot: ConnectionSlot,
+}
+
+/// Counts a connection until it is dropped.
 pub(crate) struct ConnectionSlot(ConnectionCount);
 
 impl Drop for ConnectionSlot {
--- a/routing/src/permit/response.rs
+++ b/routing/src/permit/response.rs
@@ -3,11 +3,11 @@
 use crate::final_response::FinalResponse;
 use crossbeam_channel::Sender;
 
-/// Gives one final response to whoever waits for it.
+/// Sends one final response to the thread that waits for it.
 pub struct ResponseSlot<R> {
-    /// Taken by the response, or by the end of the client's interest.
+    /// `None` once the response is sent, or once nobody waits for it any more.
     sender: Option<Sender<FinalResponse<R>>>,
-    /// Why there is none any more.
+    /// Why the slot is closed.
     closed_by: Denial,
 }
 
@@ -22,21 +22,21 @@
         self.sender.is_some()
     }
 
-    /// Gives the response.
+    /// Sends the response and closes the slot.
     ///
     /// # Errors
-    /// One was given before, or nobody waits for it any more.
-    pub fn give(&mut self, response: FinalResponse<R>) -> Verdict {
+    /// The reason that the slot is closed for.
+    pub fn send(&mut self, response: FinalResponse<R>) -> Verdict {
         let sender = self.sender.take().ok_or(self.closed_by)?;
-        // The front's channel has room for its one response; a closed one means that the client is gone.
+        // The front's channel has room for its one response; a closed one means that the client has disconnected.
         _ = sender.try_send(response);
         Ok(())
     }
 
-    /// Nobody waits for the response any more.
+    /// Closes the slot without a response: nobody waits for it any more.
     ///
     /// # Errors
-    /// It was given before, or nobody waited for it.
+    /// The reason that the slot is closed for.
     pub fn close(&mut self, reason: Denial) -> Verdict {
         self.sender.take().map(drop).ok_or(self.closed_by)?;
         self.closed_by = reason;
--- a/routing/src/placement_subsets.rs
+++ b/routing/src/placement_subsets.rs
@@ -14,7 +14,7 @@
 mod subsets;
 mod tracked_endpoint;
 
-pub use change::{StatedRole, SubsetChange};
+pub use change::{OutcomeRecorded, ReportSource, Routed, StatedRole, SubsetChange};
 pub use member_ids::MemberIds;
 pub use probes::ProbeStart;
 pub use subsets::PlacementSubsets;
--- a/routing/src/placement_subsets/change.rs
+++ b/routing/src/placement_subsets/change.rs
@@ -1,5 +1,6 @@
-//! What goes in and out of the subsets: roles that endpoints state, and the changes that follow.
-use decision::{MemberEntry, MemberId, Time};
+//! Input and output of the subsets: the roles that endpoints state, and the changes that follow.
+use decision::{GroupId, MemberEntry, MemberId, Time};
+use placement::Refusal;
 use std::collections::BTreeMap;
 
 /// What the router actor has to do after a change.
@@ -15,11 +16,37 @@
     pub timer: Option<Time>,
 }
 
+/// What a report of an endpoint came with.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReportSource {
+    /// The response to a request.
+    Response,
+    /// The answer to a probe.
+    Probe,
+}
+
 /// An endpoint's role as it has stated it itself.
 #[derive(Clone, Copy, Debug)]
 pub struct StatedRole {
     /// It is its group's primary.
     pub primary: bool,
-    /// Stated with a response; otherwise in answer to a probe.
-    pub with_response: bool,
+    /// What it was stated in.
+    pub source: ReportSource,
+}
+
+/// How a request is routed.
+pub struct Routed {
+    /// The group, perhaps a subset's, whose members may serve the request; or why none may.
+    pub group: Result<GroupId, Refusal>,
+    /// What routing it has changed.
+    pub change: SubsetChange,
+}
+
+/// What follows from the outcome of an attempt or a probe.
+#[derive(Default)]
+pub struct OutcomeRecorded {
+    /// What it has changed.
+    pub change: SubsetChange,
+    /// The other member ids of the endpoint, which have to be notified.
+    pub to_notify: Vec<MemberId>,
 }
--- a/routing/src/placement_subsets/subsets.rs
+++ b/routing/src/placement_subsets/subsets.rs
@@ -1,11 +1,11 @@
 //! The subsets of one router: routing, changes of the rules and of the endpoint list, and what members have stated.
-use super::change::{StatedRole, SubsetChange};
+use super::change::{OutcomeRecorded, ReportSource, Routed, StatedRole, SubsetChange};
 use super::member_ids::MemberIds;
 use super::primary_search::PrimarySearch;
 use super::tracked_endpoint::TrackedEndpoint;
 use crate::endpoint::EndpointUpdate;
 use decision::{Freshness, GroupId, MemberEntry, MemberId, Outcome, Time};
-use placement::{Action, Event, Places, Refusal};
+use placement::{Action, Event, Places};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -50,7 +50,7 @@
         self.places.is_due(now)
     }
 
-    /// The group, perhaps a subset's, whose members may serve a request.
+    /// Routes a request to the group, perhaps a subset's, whose members may serve it.
     pub fn route(
         &mut self,
         now: Time,
@@ -58,13 +58,13 @@
         class: usize,
         group: GroupId,
         ids: &mut MemberIds,
-    ) -> (Result<GroupId, Refusal>, SubsetChange) {
+    ) -> Routed {
         let needs_primary = self.needs_primary.get(class).copied().unwrap_or(true);
         let mut actions = Vec::new();
-        let routed = self.places.route(now, tenant, class, group, needs_primary, &mut actions);
+        let group = self.places.route(now, tenant, class, group, needs_primary, &mut actions);
         let mut change = SubsetChange::default();
         self.apply(actions, &mut change, ids);
-        (routed, change)
+        Routed { group, change }
     }
 
     /// Handles an update of the rules, or a timer.
@@ -103,8 +103,7 @@
         change
     }
 
-    /// Records what a member has stated about its role and whether it was reachable. Returns also the other member ids
-    /// of its endpoint that have to be notified.
+    /// Records what a member has stated about its role and whether it was reachable.
     pub fn record_outcome(
         &mut self,
         now: Time,
@@ -112,9 +111,9 @@
         outcome: Outcome,
         stated: Option<StatedRole>,
         ids: &mut MemberIds,
-    ) -> (SubsetChange, Vec<MemberId>) {
+    ) -> OutcomeRecorded {
         let (own_id, mut change) = (self.own_id(member), SubsetChange::default());
-        let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return (change, Vec::new()) };
+        let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return OutcomeRecorded::default() };
         let (name, group) = (endpoint.name.clone(), endpoint.entry.group);
         let mut changed = endpoint.record_reachability(outcome);
         if let Some(role) = stated {
@@ -125,13 +124,14 @@
         if changed {
             self.handle_into(now, Event::Reach { member: name.clone(), reached }, &mut change, ids);
         }
-        if let Some(StatedRole { primary, with_response }) = stated {
-            let event = Event::Said { member: name, primary, note: with_response };
+        if let Some(StatedRole { primary, source }) = stated {
+            let note = source == ReportSource::Response;
+            let event = Event::Said { member: name, primary, note };
             self.handle_into(now, event, &mut change, ids);
         }
         changed |= self.places.primary(group) != primary_before.as_ref();
         let to_notify = if changed { self.ids_in_use(own_id, &[member]) } else { Vec::new() };
-        (change, to_notify)
+        OutcomeRecorded { change, to_notify }
     }
 
     /// Of this many unavailable members, how many endpoints that may be: a draining endpoint is counted once. Ejections
--- a/routing/src/reasons.rs
+++ b/routing/src/reasons.rs
@@ -18,7 +18,7 @@
 }
 
 /// All outcomes.
-pub(crate) const OUTCOMES: [Outcome; 9] = [
+pub const OUTCOMES: [Outcome; 9] = [
     Outcome::Ok,
     Outcome::Error,
     Outcome::Rejected,
--- a/routing/src/router/attempts.rs
+++ b/routing/src/router/attempts.rs
@@ -6,11 +6,25 @@
 use crate::backends;
 use crate::final_response::FinalResponse;
 use crate::messages::{BackendCommand, BackendId, RouterMessage};
-use crate::permit::{AttemptGuard, AttemptTimes, Denial, RepeatRule};
+use crate::permit::{AttemptGuard, AttemptTimes, Denial, RepeatRule, Verdict};
+use crate::placement_subsets::ReportSource;
 use crate::protocol::{BackendProtocol, ExchangeResult};
 use crate::reasons::EndReason;
 use decision::{Event, MemberId, Outcome, RequestId, Time};
 use std::cmp::Reverse;
+use std::sync::Arc;
+
+/// An attempt that is recorded as in flight and not dispatched yet.
+struct NewAttempt<P: BackendProtocol> {
+    id: AttemptId,
+    /// The member that the decisions chose.
+    member: MemberId,
+    /// The own member id of that member's endpoint.
+    endpoint: MemberId,
+    payload: Arc<P::Payload>,
+    guard: AttemptGuard,
+    verdict: Verdict,
+}
 
 impl<P: BackendProtocol> RouterActor<P> {
     /// Sends an attempt, which starts by `latest_start` or not at all and times out at `deadline`.
@@ -21,43 +35,58 @@
         deadline: Time,
         latest_start: Time,
     ) {
+        let Some(new) = self.new_attempt(request, member, latest_start) else { return };
+        match new.verdict {
+            Ok(()) => self.dispatch_attempt(new, deadline),
+            Err(denial) => {
+                new.guard.cancel_if_unstarted(denial);
+                self.record_denied(new.id, denial);
+                self.end_attempt_later(new.id, member, Outcome::NeverSent);
+            }
+        }
+    }
+
+    /// Numbers an attempt of a known request, asks for its permit and records it as in flight.
+    fn new_attempt(
+        &mut self,
+        request: RequestId,
+        member: MemberId,
+        latest_start: Time,
+    ) -> Option<NewAttempt<P>> {
         let endpoint = self.own_id(member);
         let now = self.clock.now();
         let state = self.endpoints.get(&endpoint).map(|e| e.state.clone()).unwrap_or_default();
-        let Some(record) = self.requests.get_mut(&request) else { return };
-        let attempt = AttemptId { request, number: record.attempt_count };
+        let record = self.requests.get_mut(&request)?;
+        let id = AttemptId { request, number: record.attempt_count };
         record.attempt_count += 1;
         let rule = self.classes.get(record.class).map_or(RepeatRule::STRICTEST, |class| class.repeat);
-        let verdict = match record.response.is_open() {
-            true => record.repeats.permit_attempt(now, rule),
-            false => Err(Denial::AlreadyAnswered),
-        };
-        let class_metrics = self.metrics.as_ref().and_then(|metrics| metrics.classes.get(record.class));
-        let sent_counter = class_metrics.map(|class| class.attempts_sent.clone());
+        let verdict = record.permit_attempt(now, rule);
         let repeat_until = verdict.ok().flatten();
         let latest_start = repeat_until.map_or(latest_start, |until| until.min(latest_start));
+        let class_metrics = self.metrics.as_ref().and_then(|metrics| metrics.classes.get(record.class));
+        let sent_counter = class_metrics.map(|class| class.attempts_sent.clone());
         let latest_start = self.clock.instant_at(latest_start);
-        let guard = AttemptGuard::for_attempt(state, latest_start, sent_counter).identified(attempt);
-        let dispatched = verdict.is_ok();
+        let guard = AttemptGuard::for_attempt(state, latest_start, sent_counter).identified(id);
         record.in_flight.push(InFlightAttempt {
-            number: attempt.number,
+            number: id.number,
             member,
             guard: guard.clone(),
-            dispatched,
+            dispatched: verdict.is_ok(),
         });
         let payload = record.payload.clone();
-        if let Err(denial) = verdict {
-            guard.cancel_if_unstarted(denial);
-            self.record_denied(attempt, denial);
-            return self.end_attempt_later(attempt, member, Outcome::NeverSent);
-        }
-        self.record_dispatched(attempt, member, deadline);
+        Some(NewAttempt { id, member, endpoint, payload, guard, verdict: verdict.map(drop) })
+    }
+
+    /// Hands a permitted attempt to its endpoint's backend.
+    fn dispatch_attempt(&mut self, new: NewAttempt<P>, deadline: Time) {
+        let NewAttempt { id, member, endpoint, payload, guard, .. } = new;
+        self.record_dispatched(id, member, deadline);
         let deadline_instant = self.clock.instant_at(deadline);
-        let command = BackendCommand::Attempt { attempt, payload, deadline: deadline_instant, guard };
+        let command = BackendCommand::Attempt { attempt: id, payload, deadline: deadline_instant, guard };
         if self.send_to_backend(endpoint, command) {
-            self.timers.push(Reverse((deadline, Timer::AttemptTimeout(attempt))));
+            self.timers.push(Reverse((deadline, Timer::AttemptTimeout(id))));
         } else {
-            self.end_attempt_later(attempt, member, Outcome::NeverSent);
+            self.end_attempt_later(id, member, Outcome::NeverSent);
         }
     }
 
@@ -133,7 +162,7 @@
         self.defer(RouterMessage::AttemptEnded { attempt, member, result });
     }
 
-    /// An attempt has ended. After its time-out nobody waits for it any more.
+    /// Handles the end of an attempt; one that has timed out before is not in flight any more.
     pub(super) fn attempt_ended(
         &mut self,
         attempt: AttemptId,
@@ -143,27 +172,25 @@
         let ExchangeResult { outcome, response, mut response_report, commit, load_report, .. } = result;
         let AttemptId { request, number } = attempt;
         self.record_responded(endpoint, outcome);
-        let Some(in_flight) = self.take_in_flight(attempt) else { return };
-        let times = in_flight.guard.times();
+        let Some(in_flight) = self.remove_in_flight(attempt) else { return };
         // The member id that the decisions sent it to, perhaps an alias of the endpoint.
         let member = in_flight.member;
+        let times = in_flight.guard.times();
         if !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::NeverSent) {
             self.probe_spacing.attempt_failed(self.own_id(member));
         }
         let Some(record) = self.requests.get_mut(&request) else { return };
-        record.attempt_ended(outcome);
-        if in_flight.dispatched {
-            let permitted_at = times.permitted_at.map(|at| self.clock.time_at(at));
-            record.repeats.attempt_ended(permitted_at, outcome);
-        }
+        let permitted_at = times.permitted_at.map(|at| self.clock.time_at(at));
+        record.attempt_ended(&in_flight, permitted_at, outcome);
         let commit = record.commit(outcome, commit, &mut response_report);
         self.record_attempt_ended(attempt, member, &times, outcome);
         if let Some(response) = response {
-            self.give_response(request, FinalResponse::Served(response, commit), EndReason::After(outcome));
+            let response = FinalResponse::Served(response, commit);
+            self.send_response(request, response, EndReason::After(outcome));
         }
         let request_ended = self.requests.get(&request).is_none_or(|record| !record.awaits_response());
         if self.subsets.is_some() {
-            self.record_placement_outcome(member, outcome, &response_report, true);
+            self.record_placement_outcome(member, outcome, &response_report, ReportSource::Response);
         }
         self.decide(Event::AttemptEnded {
             request,
@@ -179,7 +206,7 @@
         self.remove_if_finished(request);
     }
 
-    fn take_in_flight(&mut self, attempt: AttemptId) -> Option<InFlightAttempt> {
+    fn remove_in_flight(&mut self, attempt: AttemptId) -> Option<InFlightAttempt> {
         let record = self.requests.get_mut(&attempt.request)?;
         let index = record.in_flight.iter().position(|a| a.number == attempt.number)?;
         Some(record.in_flight.swap_remove(index))
--- a/routing/src/router/placement_routing.rs
+++ b/routing/src/router/placement_routing.rs
@@ -5,7 +5,7 @@
 use super::request_record::RequestRecord;
 use crate::final_response::FinalResponse;
 use crate::permit::Denial;
-use crate::placement_subsets::{StatedRole, SubsetChange};
+use crate::placement_subsets::{OutcomeRecorded, ReportSource, Routed, StatedRole, SubsetChange};
 use crate::protocol::BackendProtocol;
 use crate::reasons::EndReason;
 use decision::{Event, GroupId, MemberId, MemberReport, Outcome, Request, RequestId};
@@ -35,7 +35,7 @@
     fn route(&mut self, tenant: Option<&str>, class: usize, group: GroupId) -> Result<GroupId, Refusal> {
         let now = self.clock.now();
         let Some(subsets) = &mut self.subsets else { return Ok(group) };
-        let (routed, change) = subsets.route(now, tenant, class, group, &mut self.member_ids);
+        let Routed { group: routed, change } = subsets.route(now, tenant, class, group, &mut self.member_ids);
         self.apply_subset_change(change);
         if let Err(Refusal::PrimaryOutside { group, .. }) = &routed {
             self.probe_for_primary(*group);
@@ -90,14 +90,15 @@
         member: MemberId,
         outcome: Outcome,
         report: &MemberReport,
-        with_response: bool,
+        source: ReportSource,
     ) {
         let now = self.clock.now();
         let Some(subsets) = &mut self.subsets else { return };
-        let stated = report.primary.map(|primary| StatedRole { primary, with_response });
-        let (change, to_notify) = subsets.record_outcome(now, member, outcome, stated, &mut self.member_ids);
+        let stated = report.primary.map(|primary| StatedRole { primary, source });
+        let OutcomeRecorded { change, to_notify } =
+            subsets.record_outcome(now, member, outcome, stated, &mut self.member_ids);
         self.apply_subset_change(change);
-        if !with_response {
+        if source == ReportSource::Probe {
             // The end of a probe notifies all members itself.
             return;
         }
--- a/routing/src/router/probing.rs
+++ b/routing/src/router/probing.rs
@@ -1,7 +1,7 @@
 //! Probes of endpoints: when they are sent, and whom their reports concern.
 use super::actor::{RouterActor, Timer};
 use crate::messages::{BackendCommand, RouterMessage};
-use crate::placement_subsets::ProbeStart;
+use crate::placement_subsets::{ProbeStart, ReportSource};
 use crate::probe_spacing::ProbeTiming;
 use crate::protocol::BackendProtocol;
 use decision::{Event, GroupId, MemberId, MemberReport, Outcome};
@@ -55,7 +55,7 @@
     pub(super) fn probe_ended(&mut self, endpoint: MemberId, outcome: Outcome, report: MemberReport) {
         self.record_responded(endpoint, outcome);
         self.probe_spacing.probe_ended(endpoint, report);
-        self.record_placement_outcome(endpoint, outcome, &report, false);
+        self.record_placement_outcome(endpoint, outcome, &report, ReportSource::Probe);
         let now = self.clock.now();
         let members = match &mut self.subsets {
             None => vec![endpoint],
--- a/routing/src/router/request_record.rs
+++ b/routing/src/router/request_record.rs
@@ -1,13 +1,13 @@
-//! What the router actor keeps of each request.
+//! The record of each open request, and of its attempts in flight.
 use super::placed_request::PlacedRequest;
 use crate::final_response::FinalResponse;
 use crate::metrics::Metrics;
-use crate::permit::{AttemptGuard, Denial, RepeatState, ResponseSlot, Verdict};
+use crate::permit::{AttemptGuard, Denial, RepeatRule, RepeatState, ResponseSlot, Verdict};
 use crate::protocol::BackendProtocol;
 use decision::{MemberId, MemberReport, Outcome, Time};
 use std::sync::Arc;
 
-/// An attempt under way.
+/// An attempt in flight.
 pub(super) struct InFlightAttempt {
     pub(super) number: u32,
     /// Where the decisions sent it; perhaps an alias of an endpoint.
@@ -23,17 +23,17 @@
     /// Its client stops waiting at this time.
     pub(super) deadline: Time,
     pub(super) is_write: bool,
-    /// The connection that it came on, for the log.
+    /// The number of the connection that it arrived on, for the log.
     pub(super) connection: u64,
-    /// Gives the one final response.
+    /// Sends the one final response.
     pub(super) response: ResponseSlot<P::Response>,
-    /// What its attempts may have done.
+    /// What its attempts may have done; a retry is permitted by this.
     pub(super) repeats: RepeatState,
-    /// Attempts so far, under way or ended.
+    /// The number of its attempts, in flight or ended.
     pub(super) attempt_count: u32,
     pub(super) in_flight: Vec<InFlightAttempt>,
     pub(super) last_outcome: Option<Outcome>,
-    /// How it is routed, where tenants' data is kept in its place.
+    /// Its route, if placement rules apply.
     pub(super) placed: Option<Box<PlacedRequest>>,
 }
 
@@ -42,16 +42,36 @@
         self.response.is_open()
     }
 
-    /// One of its attempts has ended like this.
-    pub(super) fn attempt_ended(&mut self, outcome: Outcome) {
+    /// Permits one more attempt; `Ok` holds the time after which it must not start, if there is one.
+    ///
+    /// # Errors
+    /// Why it must not be sent.
+    pub(super) fn permit_attempt(&mut self, now: Time, rule: RepeatRule) -> Verdict<Option<Time>> {
+        if self.response.is_open() {
+            self.repeats.permit_attempt(now, rule)
+        } else {
+            Err(Denial::AlreadyAnswered)
+        }
+    }
+
+    /// Records that one of its attempts, whose first byte was permitted at `permitted_at` if ever, has ended.
+    pub(super) fn attempt_ended(
+        &mut self,
+        attempt: &InFlightAttempt,
+        permitted_at: Option<Time>,
+        outcome: Outcome,
+    ) {
         self.last_outcome = Some(outcome);
         if let Some(placed) = &mut self.placed {
             placed.attempt_ended(outcome);
         }
+        if attempt.dispatched {
+            self.repeats.attempt_ended(permitted_at, outcome);
+        }
     }
 
     /// When it was committed, if it is a write that was. A position in the response's report is then the commit's, and
-    /// is taken out of the report: it says nothing more of the endpoint.
+    /// is taken out of the report: it is no position of the endpoint.
     pub(super) fn commit(
         &self,
         outcome: Outcome,
@@ -65,7 +85,7 @@
         stated.or(position)
     }
 
-    /// Gives the final response and counts the request. A request whose client no longer waits has failed, whatever the
+    /// Sends the final response and counts the request. A request past its deadline counts as failed, whatever the
     /// response.
     ///
     /// # Errors
@@ -82,7 +102,7 @@
         if let Some(metrics) = metrics {
             self.count(&response, now, metrics);
         }
-        self.response.give(response)
+        self.response.send(response)
     }
 
     fn count(&self, response: &FinalResponse<P::Response>, now: Time, metrics: &Metrics) {
--- a/routing/src/router/requests.rs
+++ b/routing/src/router/requests.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 impl<P: BackendProtocol> RouterActor<P> {
-    /// Records a request and has the decisions decide on it, unless its tenant's data may be nowhere that it could go to, or
-    /// its group is unavailable as a whole.
+    /// Records a request and has the decisions decide on it. It is rejected at once if placement denies it, or if its
+    /// group is unavailable as a whole.
     pub(super) fn request_arrived(&mut self, id: RequestId, arrived: ClientRequest<P>) {
         let ClientRequest {
             connection,
@@ -47,7 +47,7 @@
         if let Some(refusal) = refused {
             return self.respond(id, FinalResponse::PlacementDenied(refusal), EndReason::PlacementDenied);
         }
-        // By the group that the client named, whatever subset of it the request is routed to.
+        // By the group that the client named, whichever subset of it the request is routed to.
         if self.unavailable_groups.contains(&group) {
             let retry_after = self.classes.get(class).and_then(|rules| rules.retry_after);
             return self.respond(id, FinalResponse::Rejected(retry_after), EndReason::GroupUnavailable);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The client has gone: the request is owed no response, and counts as neither served nor failed.
+    /// Handles that the client has disconnected: its request gets no response, and counts as neither served nor failed.
     pub(super) fn client_disconnected(&mut self, id: RequestId) {
         let Some(record) = self.requests.get_mut(&id) else { return };
         if record.response.close(Denial::ClientDisconnected).is_err() {
@@ -90,29 +90,29 @@
         self.close(id, Denial::ClientDisconnected);
     }
 
-    /// The client asked to cancel the request: it gets that as its final response, unless it has one.
+    /// Handles that the client has cancelled the request, which ends with that response unless it has one.
     pub(super) fn request_cancelled(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(RequestRecord::awaits_response) {
-            self.give_response(id, FinalResponse::Cancelled, EndReason::ClientCancelled);
+            self.send_response(id, FinalResponse::Cancelled, EndReason::ClientCancelled);
             self.close(id, Denial::ClientCancelled);
         }
     }
 
-    /// Nobody waits for a request any more: no further attempt is sent for it, nor one that still waits for a
-    /// connection.
+    /// Stops the work for a request that nobody waits for any more: no further attempt is sent for it, nor one that
+    /// still waits for a connection.
     fn close(&mut self, id: RequestId, reason: Denial) {
         self.cancel_unstarted_attempts(id, reason);
         self.decide(Event::ClientDisconnected { request: id });
         self.remove_if_finished(id);
     }
 
-    /// The final response that the request was not served and may be retried, after this time if there is one.
+    /// Ends a request as not served; it may be retried, after `retry_after` if there is one.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: Option<Duration>) {
         let reason = self.end_reason(id);
         self.respond(id, FinalResponse::Rejected(retry_after), reason);
     }
 
-    /// The final response that the request may have run, with the outcome of its last attempt.
+    /// Ends a request that may have run, with the outcome of its last attempt.
     pub(super) fn fail(&mut self, id: RequestId) {
         let last_outcome = self.requests.get(&id).and_then(|record| record.last_outcome);
         let reason = self.end_reason(id);
@@ -125,14 +125,14 @@
         last_outcome.map_or(EndReason::NotForwarded, EndReason::After)
     }
 
-    /// Gives a request its final response, unless it has one.
+    /// Sends a request its final response, unless it has one, and removes it once it is finished.
     pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse<P::Response>, reason: EndReason) {
-        self.give_response(id, response, reason);
+        self.send_response(id, response, reason);
         self.remove_if_finished(id);
     }
 
-    /// The same; the request stays known until [`Self::remove_if_finished`] is called.
-    pub(super) fn give_response(
+    /// Sends a request its final response, unless it has one. The request is not removed.
+    pub(super) fn send_response(
         &mut self,
         id: RequestId,
         response: FinalResponse<P::Response>,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Forgets a request that has its final response and no attempt in flight.
+    /// Removes a request that has its final response and no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         let finished = |record: &RequestRecord<P>| !record.awaits_response() && record.in_flight.is_empty();
         if self.requests.get(&id).is_some_and(finished) {
--- a/routing/tests/reason_counters.rs
+++ b/routing/tests/reason_counters.rs
@@ -1,27 +1,14 @@
 //! The counters by reason as `GET /metrics` prints them: operators' dashboards and alerts read each line, so none may
 //! move.
-use decision::Outcome;
 use prometheus::IntCounterVec;
 use routing::observer::Invariant;
-use routing::reasons::{CloseReason, EndReason, outcome_name};
+use routing::reasons::{CloseReason, EndReason, OUTCOMES, outcome_name};
 use routing::{Denial, Metrics};
 
 /// Written by the program before the names of its permits and its observer were revised; lines in sorted order, as the
 /// labels of a family come in no fixed order.
 const EXPECTED: &str = include_str!("fixtures/reason_counters.txt");
 
-const OUTCOMES: [Outcome; 9] = [
-    Outcome::Ok,
-    Outcome::Error,
-    Outcome::Rejected,
-    Outcome::TimedOut,
-    Outcome::ConnectFailed,
-    Outcome::Reset,
-    Outcome::Cancelled,
-    Outcome::NeverSent,
-    Outcome::NotEligible,
-];
-
 /// Gives each label of a family a value of its own, from `first` on.
 fn count(family: &IntCounterVec, first: u64, labels: &[&str]) {
     for (value, label) in (first..).zip(labels) {
--- a/routing/tests/recorded_run.rs
+++ b/routing/tests/recorded_run.rs
@@ -5,7 +5,9 @@
     Class, Freshness, GroupId, Idempotency, MemberEntry, MemberId, MemberReport, MemberState, Outcome,
     Settings, Time,
 };
-use routing::placement_subsets::{MemberIds, PlacementSubsets, ProbeStart, StatedRole, SubsetChange};
+use routing::placement_subsets::{
+    MemberIds, OutcomeRecorded, PlacementSubsets, ProbeStart, ReportSource, Routed, StatedRole, SubsetChange,
+};
 use routing::probe_spacing::{ProbeSpacing, ProbeTiming};
 use routing::{EndpointEntry, EndpointUpdate};
 use settings::fleet::{Fleet, Place, Tenant};
@@ -57,6 +59,10 @@
     ids.iter().map(|id| id.0.to_string()).collect::<Vec<_>>().join(",")
 }
 
+fn source(with_response: bool) -> ReportSource {
+    if with_response { ReportSource::Response } else { ReportSource::Probe }
+}
+
 fn state_text(state: MemberState) -> &'static str {
     match state {
         MemberState::Ready => "ready",
@@ -213,7 +219,8 @@
     fn route(&mut self, random: &mut Random) -> String {
         let (tenant, class) = (random.pick(&TENANTS), random.below(4) as usize);
         let group = GroupId(random.below(2) as u32);
-        let (to, change) = self.subsets.route(Time(self.now), tenant, class, group, &mut self.ids);
+        let Routed { group: to, change } =
+            self.subsets.route(Time(self.now), tenant, class, group, &mut self.ids);
         let to = to.map_or("refused".into(), |g| g.0.to_string());
         format!("route {tenant:?} {class} {}: {to}{}", group.0, self.note(&change))
     }
@@ -221,8 +228,9 @@
     fn record_outcome(&mut self, member: MemberId, random: &mut Random) -> String {
         let outcome = random.pick(&[Outcome::Ok, Outcome::Ok, Outcome::ConnectFailed, Outcome::TimedOut]);
         let role = (outcome == Outcome::Ok).then(|| (random.chance(2), random.chance(2)));
-        let stated = role.map(|(primary, with_response)| StatedRole { primary, with_response });
-        let (change, to_notify) =
+        let stated =
+            role.map(|(primary, with_response)| StatedRole { primary, source: source(with_response) });
+        let OutcomeRecorded { change, to_notify } =
             self.subsets.record_outcome(Time(self.now), member, outcome, stated, &mut self.ids);
         let ok = outcome == Outcome::Ok;
         format!("heard {} {ok} {role:?}: [{}]{}", member.0, ids_text(&to_notify), self.note(&change))
