--- a/routing/src/attempt_id.rs
+++ b/routing/src/attempt_id.rs
@@ -6,6 +6,6 @@
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// Its number among the request's attempts, from 0.
+    /// The number of the attempt among those of its request, from 0.
     pub number: u32,
 }
--- a/routing/src/backends.rs
+++ b/routing/src/backends.rs
@@ -1,10 +1,9 @@
-//! The actor of all backends. Each backend owns the connections to one endpoint, reuses the most recently used ones and
-//! closes idle ones before the endpoint would. One thread does this for all: a router of a large fleet meets most
-//! endpoints seldom.
+//! The backends actor. A backend owns the connections to one endpoint, reuses the most recently used ones and closes idle
+//! ones before the endpoint would. One thread serves all backends, since a router of a large fleet uses most endpoints
+//! seldom.
 //!
-//! A connection has a thread only while it carries an exchange; an idle one is kept here without. A router keeps an idle
-//! connection to most endpoints it meets, and hundreds of routers on one host with a thread for each of them would run
-//! the host out of threads.
+//! A connection has a thread only while it carries an exchange. Idle connections have none: hundreds of routers on one
+//! host, with a thread for each idle connection, would use up the threads of the host.
 mod actor;
 mod backend;
 mod exchange;
--- a/routing/src/backends/actor.rs
+++ b/routing/src/backends/actor.rs
@@ -1,4 +1,4 @@
-//! The actor of all backends: it creates and removes them, passes commands on, and closes idle connections in time.
+//! The actor of all backends: it creates and removes them, forwards commands, and closes idle connections in time.
 use super::backend::Backend;
 use super::resources::BackendResources;
 use crate::messages::{AddressedCommand, BackendCommand, BackendId, BackendSender};
@@ -10,12 +10,12 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Idle connections are looked at this many times within the time that they may be idle.
+/// The number of checks of idle connections during the time that a connection may be idle.
 const IDLE_CHECKS_PER_LIFETIME: u32 = 4;
 
 pub(super) struct BackendsActor<P: BackendProtocol> {
     resources: BackendResources<P>,
-    /// For the backends: their exchanges report to this actor's own mailbox.
+    /// Sends to this actor's own mailbox; the exchanges of the backends report there.
     own_sender: BackendSender<P>,
     backends: HashMap<BackendId, Backend<P>>,
 }
@@ -45,7 +45,7 @@
         match command {
             BackendCommand::Create { member, addr, state } => self.create(id, member, addr, state),
             BackendCommand::Remove => _ = self.backends.remove(&id),
-            // What still comes for a removed backend is the end of one of its exchanges.
+            // A removed backend may still get the end of one of its exchanges, which is dropped.
             command => {
                 if let Some(backend) = self.backends.get_mut(&id) {
                     backend.handle(command);
@@ -59,11 +59,11 @@
         self.backends.insert(id, backend);
     }
 
-    /// Closes expired idle connections, and finds what a full mailbox has lost: endpoints out of service and removed
-    /// backends.
+    /// Closes expired idle connections, and makes up for commands that a full mailbox has lost: endpoints out of service
+    /// and removed backends.
     fn close_expired(&mut self, mailbox: &Receiver<AddressedCommand<P>>) {
         self.backends.values_mut().for_each(Backend::close_expired);
-        // Read before the mailbox is looked at: nothing is sent to a retired backend, but attempts that were sent before
+        // Read before the mailbox is checked: nothing is sent to a retired backend, but attempts that were sent before
         // still have to be reported.
         let retired: Vec<BackendId> =
             self.backends.iter().filter(|(_, backend)| backend.is_retired()).map(|(id, _)| *id).collect();
--- a/routing/src/backends/backend.rs
+++ b/routing/src/backends/backend.rs
@@ -13,9 +13,11 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// From 12/16 of the connection limit on, idle connections are closed everywhere.
+/// The unit of the two thresholds below: this many parts make up the connection limit.
+const LIMIT_PARTS: usize = 16;
+/// From 12/16 of the connection limit on, surplus idle connections of all endpoints are closed.
 const NEAR_LIMIT_SIXTEENTHS: usize = 12;
-/// Below 15/16, the last idle connection to each endpoint stays: with many endpoints each is met seldom.
+/// Below 15/16, the last idle connection to each endpoint stays.
 const CRITICAL_SIXTEENTHS: usize = 15;
 
 /// The name of the threads that carry exchanges.
@@ -23,9 +25,9 @@
 
 pub(super) struct Backend<P: BackendProtocol> {
     context: Arc<Context<P>>,
-    /// Connections that carry an exchange.
+    /// The number of connections that carry an exchange.
     busy: usize,
-    /// The most recently used last.
+    /// Idle connections, the most recently used last.
     idle: Vec<IdleConnection<P>>,
 }
 
@@ -61,7 +63,7 @@
             }
             BackendCommand::TrimIdle { max_idle } => self.trim_idle(max_idle),
             BackendCommand::CloseIdle => {}
-            // The actor of all backends handles these itself.
+            // The backends actor handles these itself.
             BackendCommand::Create { .. } | BackendCommand::Remove => {}
         }
         self.close_expired();
@@ -87,7 +89,7 @@
 
     /// Starts an exchange on an idle connection, or else on a new one.
     fn start(&mut self, task: Task<P>, guard: AttemptGuard) {
-        // The router actor may have decided on it before it knew that the endpoint drains or the client left.
+        // The router actor may have sent it before the endpoint was draining or the client disconnected.
         if guard.check_start().is_err() {
             return self.context.report_outcome(&task, Outcome::NeverSent);
         }
@@ -104,26 +106,27 @@
         self.spawn_exchange(task, guard, idle);
     }
 
-    /// The most recently used connection that has settled since its response, or else the one that will have soonest.
+    /// Removes the most recently used idle connection that has settled since its response, or else the one that settles
+    /// first.
     fn take_idle(&mut self) -> Option<IdleConnection<P>> {
         let settle_time = self.context.resources.limits.link_settle;
         let settled = self.idle.iter().rposition(|idle| idle.idle_for() >= settle_time);
         (!self.idle.is_empty()).then(|| self.idle.remove(settled.unwrap_or(0)))
     }
 
-    /// Asks for idle connections to be closed in time, before attempts meet the limit while other backends' connections
-    /// are idle.
+    /// Requests that idle connections be closed before attempts reach the limit while other backends' connections are
+    /// idle.
     fn announce_near_limit(&self, open: usize) {
         let BackendResources { limits, router, .. } = &self.context.resources;
-        if 16 * open >= NEAR_LIMIT_SIXTEENTHS * limits.link_connections {
-            let max_idle = usize::from(16 * open < CRITICAL_SIXTEENTHS * limits.link_connections);
+        if LIMIT_PARTS * open >= NEAR_LIMIT_SIXTEENTHS * limits.link_connections {
+            let max_idle = usize::from(LIMIT_PARTS * open < CRITICAL_SIXTEENTHS * limits.link_connections);
             _ = router.try_send(RouterMessage::ConnectionsNearLimit { max_idle });
         }
     }
 
     /// Runs an exchange on a thread of its own.
     fn spawn_exchange(&mut self, task: Task<P>, guard: AttemptGuard, idle: IdleConnection<P>) {
-        // The task goes through a channel, so that it is still here if no thread can be started.
+        // The task is passed through a channel, so that it can be reported if no thread can be started.
         let (task_sender, task_receiver) = bounded(1);
         _ = task_sender.send((task, guard));
         let (context, receiver) = (self.context.clone(), task_receiver.clone());
--- a/routing/src/backends/exchange.rs
+++ b/routing/src/backends/exchange.rs
@@ -12,20 +12,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What an exchange is for.
+/// The purpose of an exchange.
 pub(super) enum Task<P: BackendProtocol> {
     Attempt { attempt: AttemptId, payload: Arc<P::Payload>, deadline: Instant },
     Probe,
 }
 
-/// What a backend and its exchanges share.
+/// The state that a backend shares with its exchanges.
 pub(super) struct Context<P: BackendProtocol> {
     pub(super) id: BackendId,
     pub(super) member: MemberId,
     pub(super) addr: SocketAddr,
     pub(super) state: EndpointState,
     pub(super) resources: BackendResources<P>,
-    /// The mailbox of the backends' actor.
+    /// The mailbox of the backends actor.
     pub(super) backends: BackendSender<P>,
 }
 
@@ -37,8 +37,7 @@
 
     /// Reports the end of a task to the router actor.
     fn report(&self, task: &Task<P>, result: ExchangeResult<P::Response>) {
-        // An endpoint that is listed under another address by now: what could not be reached, or was only probed, was
-        // the old one.
+        // The endpoint may be listed under another address by now: a failed connection or a probe was about the old one.
         let about_old_address = matches!(task, Task::Probe) || result.outcome == Outcome::ConnectFailed;
         let result = if about_old_address && self.state.is_retired() {
             ExchangeResult::from_outcome(Outcome::NeverSent)
@@ -58,7 +57,7 @@
     }
 }
 
-/// Carries one task on the given connection or a new one, then returns a connection that can carry more to its backend.
+/// Carries one task on the given connection or a new one, then returns a reusable connection to its backend.
 pub(super) fn run<P: BackendProtocol>(
     context: &Context<P>,
     task: Task<P>,
@@ -69,11 +68,11 @@
     if connection.is_some() {
         wait_until_settled(context.resources.limits.link_settle, last_response);
     }
-    // Whatever fails in the protocol's code, the task gets its end and the connection's place is free again.
+    // Even if the protocol's code panics, the task ends and the connection's slot is released.
     let executed =
         catch_unwind(AssertUnwindSafe(|| execute(context, &mut connection, last_response, &task, guard)));
     let result = executed.unwrap_or_else(|_| ExchangeResult::from_outcome(Outcome::Reset));
-    // The endpoint counts the idle time of a connection that carried nothing from its last response on.
+    // The endpoint counts idle time from the last response, also if nothing was sent since.
     let since = if result.outcome == Outcome::NeverSent { last_response } else { Instant::now() };
     let can_carry_more = connection.is_some() && result.reusable;
     let connection = can_carry_more.then_some(IdleConnection { connection, since, slot });
@@ -83,7 +82,7 @@
     context.report(&task, result);
 }
 
-/// What comes right behind a response has to be there before the connection is looked at.
+/// Waits until anything that the endpoint sent right after its last response has arrived.
 fn wait_until_settled(settle_time: Duration, last_response: Instant) {
     let remaining = settle_time.saturating_sub(last_response.elapsed());
     if !remaining.is_zero() {
@@ -91,8 +90,8 @@
     }
 }
 
-/// One task on the connection at hand, or on a new one. A pooled connection that broke before the last byte was written
-/// has carried nothing, so the task is executed once more on a new one, if it may still start by then.
+/// Carries one task on the pooled connection, or on a new one. If a pooled connection breaks before the last byte was
+/// written, nothing ran, so the task is carried again on a new one, if it may still start by then.
 fn execute<P: BackendProtocol>(
     context: &Context<P>,
     connection: &mut Option<P::Connection>,
@@ -102,7 +101,7 @@
 ) -> ExchangeResult<P::Response> {
     loop {
         let Ok(pooled) = is_usable::<P>(connection.as_mut(), last_response, guard) else {
-            // Nothing was written on it: it stays as it is.
+            // Nothing was written on the connection, so it stays usable.
             return ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(Outcome::NeverSent) };
         };
         if !pooled && let Err(outcome) = reconnect(context, connection, guard) {
@@ -112,12 +111,12 @@
             return ExchangeResult::from_outcome(Outcome::ConnectFailed);
         };
         match execute_guarded(current, task, guard) {
-            // A pooled connection that breaks under a probe says nothing of the endpoint: a new one does.
+            // A pooled connection that breaks under a probe is no failure of the endpoint; a new one is.
             Ok(result) if result.outcome == Outcome::Reset && pooled && matches!(task, Task::Probe) => {
                 *connection = None;
             }
             Ok(result) => return result,
-            // Nothing was written on it: it stays usable.
+            // Nothing was written on the connection, so it stays usable.
             Err(NotSent::Cancelled) => {
                 return ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(Outcome::NeverSent) };
             }
@@ -131,7 +130,7 @@
     }
 }
 
-/// Whether the connection at hand can carry the task.
+/// Whether the pooled connection, if there is one, can carry the task.
 fn is_usable<P: BackendProtocol>(
     connection: Option<&mut P::Connection>,
     last_response: Instant,
@@ -148,7 +147,7 @@
     connection: &mut Option<P::Connection>,
     guard: &AttemptGuard,
 ) -> Result<(), Outcome> {
-    // Its descriptor is free before another is opened.
+    // Closed first, so that its descriptor is free for the new one.
     *connection = None;
     let permit = guard.permit_connection().map_err(|_| Outcome::NeverSent)?;
     *connection = Some(connect(context, permit)?);
@@ -177,7 +176,7 @@
         Task::Probe => Exchange::Probe,
     };
     let result = connection.execute(exchange, guard);
-    // Whoever cancels this task late must not shut down what carries the next.
+    // A late cancellation of this task must not shut down the connection under the next one.
     guard.detach_socket();
     result
 }
--- a/routing/src/backends/resources.rs
+++ b/routing/src/backends/resources.rs
@@ -1,4 +1,4 @@
-//! What the backends of a router share.
+//! The dependencies that the backends of a router share.
 use crate::idle_connection::ConnectionCount;
 use crate::messages::RouterMessage;
 use crate::protocol::BackendProtocol;
@@ -6,13 +6,13 @@
 use settings::Limits;
 use std::sync::Arc;
 
-/// What every backend needs, whatever its endpoint.
+/// The dependencies of every backend, whatever its endpoint.
 pub(crate) struct BackendResources<P: BackendProtocol> {
     pub(crate) protocol: Arc<P>,
     pub(crate) limits: Arc<Limits>,
     /// The router actor's mailbox.
     pub(crate) router: Sender<RouterMessage<P>>,
-    /// Connections of all backends together.
+    /// The number of connections of all backends.
     pub(crate) connections: ConnectionCount,
 }
 
--- a/routing/src/clock.rs
+++ b/routing/src/clock.rs
@@ -2,11 +2,11 @@
 use decision::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Longest distance into the future that [`Clock::instant_at`] represents; a later time is as good as never.
+/// The longest distance into the future that [`Clock::instant_at`] represents; later times are cut to it.
 const MAX_DISTANCE: Duration = Duration::from_secs(86_400 * 365);
 
-/// Unix time as it was at the start, continued by the monotonic clock: a step of the system's clock must not fire or
-/// delay every timer at once.
+/// Unix time as it was at the start, continued by the monotonic clock, so that a step of the system's clock neither fires
+/// nor delays timers.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -14,13 +14,13 @@
 }
 
 impl Clock {
-    /// A clock set by the system's.
+    /// A clock that starts with the system's time.
     pub fn new() -> Self {
         let unix_at_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), unix_at_start }
     }
 
-    /// A clock set by the system's and moved by `offset_micros` microseconds (backwards if negative).
+    /// A clock that starts with the system's time plus `offset_micros` microseconds.
     pub fn with_offset(offset_micros: i64) -> Self {
         let mut clock = Clock::new();
         let distance = Duration::from_micros(offset_micros.unsigned_abs());
@@ -37,7 +37,7 @@
         self.time_at(Instant::now())
     }
 
-    /// What the system's wall clock shows now, as Unix time in microseconds. It may be stepped at any time.
+    /// The system's wall clock as Unix time in microseconds; it may be stepped at any time.
     pub fn wall_now() -> Time {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Time(unix.as_micros() as i64)
@@ -49,7 +49,7 @@
         Time((self.unix_at_start + since_start).as_micros() as i64)
     }
 
-    /// The moment of the monotonic clock at which `time` comes; the clock's start for a time before that.
+    /// `time` as a moment of the monotonic clock; the clock's start for a time before that.
     pub fn instant_at(&self, time: Time) -> Instant {
         let since_start = time.0.saturating_sub(self.unix_at_start.as_micros() as i64).max(0) as u64;
         self.start + Duration::from_micros(since_start).min(MAX_DISTANCE)
--- a/routing/src/endpoint.rs
+++ b/routing/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as the list of a router has them, and how that list is updated.
+//! The entries of the endpoint list, its updates, and the operators' maintenance mask.
 use decision::{GroupId, MemberState, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
     pub started_at: Option<Time>,
 }
 
-/// An update of the endpoint list: all of it, or what has changed.
+/// An update of the endpoint list: the complete list, or changes.
 #[derive(Clone, Debug)]
 pub struct EndpointUpdate {
     /// The list's version with this update applied.
@@ -46,11 +46,11 @@
     Consecutive,
     /// Updates may be missing before it. It is applied, but a watch still resumes from before it.
     AfterGap,
-    /// Its source counts versions anew: whatever its version, it is newer than what is held.
+    /// Its source has restarted its version numbers: the update is newer than the list whatever its version.
     VersionsRestarted,
 }
 
-/// What operators have said about endpoints, laid over whatever the list says.
+/// Maintenance that operators have requested, applied on top of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MaintenanceMask {
     /// In maintenance: shown as draining while they are listed as ready.
@@ -71,8 +71,8 @@
         shown
     }
 
-    /// The groups in which no listed endpoint is ready and at least one is in maintenance: waiting changes nothing
-    /// there.
+    /// The groups in which no listed endpoint is ready and at least one is in maintenance: requests need not wait for
+    /// an endpoint there.
     pub(crate) fn unavailable_groups(&self, listed: &BTreeMap<String, EndpointEntry>) -> BTreeSet<GroupId> {
         let in_maintenance = listed.values().filter(|e| self.in_maintenance.contains(&e.id));
         let mut groups: BTreeSet<GroupId> = in_maintenance.map(|e| e.group).collect();
--- a/routing/src/endpoints.rs
+++ b/routing/src/endpoints.rs
@@ -1,5 +1,5 @@
-//! The actor that holds the endpoint list: it applies complete lists and changes in order, lays the operators' maintenance
-//! mask over them and passes on what is new.
+//! The actor that owns the endpoint list: it applies complete lists and changes in order, applies the operators'
+//! maintenance mask to them, and forwards what has changed to the router actor.
 mod actor;
 mod message;
 mod published;
@@ -22,7 +22,7 @@
 /// The name of the actor's thread.
 const THREAD_NAME: &str = "endpoints";
 
-/// Hands updates to the endpoint list. Copies reach the same list.
+/// Sends updates to the endpoint list. Copies reach the same list.
 #[derive(Clone)]
 pub struct EndpointsHandle {
     sender: Sender<EndpointsMessage>,
@@ -30,23 +30,22 @@
 }
 
 impl EndpointsHandle {
-    /// Hands over an update that follows the ones before it; `false` if the program is ending.
+    /// Sends an update that follows the ones before it; `false` if the program is ending.
     pub fn notify(&self, update: EndpointUpdate) -> bool {
         self.notify_ordered(UpdateOrder::Consecutive, update)
     }
 
-    /// Hands over an update that follows the ones before it in this way; `false` if the program is ending.
+    /// Sends an update that follows the ones before it in this order; `false` if the program is ending.
     pub fn notify_ordered(&self, order: UpdateOrder, update: EndpointUpdate) -> bool {
         self.sender.send(EndpointsMessage::Update { update, order }).is_ok()
     }
 
-    /// Replaces the maintenance mask, for what is listed already and for all that comes; `false` if the program is
-    /// ending.
+    /// Replaces the maintenance mask, for the current list and for all later updates; `false` if the program is ending.
     pub fn set_maintenance(&self, mask: MaintenanceMask) -> bool {
         self.sender.send(EndpointsMessage::SetMaintenance(mask)).is_ok()
     }
 
-    /// Waits until everything handed over before is applied and passed on to the router actor: from then on
+    /// Waits until everything sent before is applied and forwarded to the router actor: from then on
     /// [`EndpointsHandle::ids`] shows it, and every later request is decided with it. Returns `false` after `timeout`, or
     /// if the program is ending.
     pub fn wait_until_applied(&self, timeout: Duration) -> bool {
@@ -65,7 +64,8 @@
     }
 }
 
-/// Starts the actor, which passes updates on to `router`. Starts that updates state are put on the router's own clock.
+/// Starts the actor, which forwards updates to `router`. Starts that updates state are converted to the router's own
+/// clock.
 ///
 /// # Errors
 /// Its thread could not be started.
--- a/routing/src/endpoints/actor.rs
+++ b/routing/src/endpoints/actor.rs
@@ -1,4 +1,4 @@
-//! The state behind the endpoint list, and one handler for each message.
+//! The endpoints actor: its state, its loop, and one handler for each message.
 use super::message::EndpointsMessage;
 use super::published::Published;
 use crate::endpoint::{EndpointEntry, EndpointUpdate, MaintenanceMask, UpdateOrder};
@@ -27,21 +27,21 @@
     /// The endpoints by id, as listed.
     listed: BTreeMap<String, EndpointEntry>,
     mask: MaintenanceMask,
-    /// Endpoints of which an update after a gap has brought something newer than the version held, with its version.
+    /// Versions of endpoints that an update after a gap has brought ahead of the published version.
     ahead: BTreeMap<String, u64>,
-    /// As last passed on.
+    /// The groups that the router actor was last notified of as unavailable.
     unavailable_groups: BTreeSet<GroupId>,
     wall_clock: WallClock,
-    /// By endpoint, the start that was stated last, and the moment that it was taken for: it stays that moment, whatever
-    /// the wall clock does later.
+    /// The last start that each endpoint has stated, by id. It is converted once: later steps of the wall clock do not
+    /// change the result.
     starts: BTreeMap<String, StatedStart>,
 }
 
-/// A start as stated, and the moment that it was taken for.
+/// A start as stated, and as converted to the router's own clock.
 #[derive(Clone, Copy)]
 struct StatedStart {
     stated: Time,
-    at: Time,
+    converted: Time,
 }
 
 impl<P: BackendProtocol> EndpointsActor<P> {
@@ -83,27 +83,27 @@
         }
     }
 
-    /// Passes on the endpoints that the new mask shows differently.
+    /// Replaces the mask and forwards the endpoints that it changes.
     fn set_maintenance(&mut self, mask: MaintenanceMask) -> Result<(), RouterEnded> {
         let old = std::mem::replace(&mut self.mask, mask);
         let changed = self.listed.values().filter(|e| old.apply(e) != self.mask.apply(e));
         let endpoints: Vec<EndpointEntry> = changed.map(|e| self.mask.apply(e)).collect();
         tracing::info!(in_maintenance = self.mask.in_maintenance.len(), "maintenance mask applied");
         let version = self.published.version();
-        self.pass_on(EndpointUpdate { version, complete: false, endpoints })
+        self.forward(EndpointUpdate { version, complete: false, endpoints })
     }
 
     fn update(&mut self, mut update: EndpointUpdate, order: UpdateOrder) -> Result<(), RouterEnded> {
         if self.is_stale(&update, order) {
             return Ok(());
         }
-        self.read_starts(&mut update);
+        self.convert_starts(&mut update);
         self.apply(&mut update, order);
         if order != UpdateOrder::AfterGap || update.complete {
             self.published.set_version(update.version);
         }
         if let Some(metrics) = &self.metrics {
-            // Only operators ask for ids.
+            // Only the admin address needs the ids.
             self.published.set_ids(self.listed.keys().cloned().collect());
             metrics.endpoints.set(self.listed.len() as i64);
         }
@@ -111,15 +111,15 @@
             update.endpoints = update.endpoints.iter().map(|e| self.mask.apply(e)).collect();
         }
         let EndpointUpdate { version, complete, .. } = update;
-        self.pass_on(update)?;
+        self.forward(update)?;
         let ready = self.listed.values().filter(|e| e.state == MemberState::Ready).count();
-        // After this line is logged, every request is decided with the update.
+        // Every request after this line is decided with the update.
         tracing::info!(version, endpoints = self.listed.len(), ready, complete, "endpoint list applied");
         Ok(())
     }
 
-    /// Puts stated starts on the router's own clock.
-    fn read_starts(&mut self, update: &mut EndpointUpdate) {
+    /// Converts stated starts to the router's own clock.
+    fn convert_starts(&mut self, update: &mut EndpointUpdate) {
         if update.complete {
             let listed: BTreeSet<&str> = update.endpoints.iter().map(|e| e.id.as_str()).collect();
             self.starts.retain(|id, _| listed.contains(id.as_str()));
@@ -127,26 +127,26 @@
         for endpoint in &mut update.endpoints {
             let Some(stated) = endpoint.started_at else { continue };
             let known = self.starts.get(&endpoint.id).filter(|known| known.stated == stated);
-            let at = known.map_or_else(|| self.wall_clock.start(stated), |known| known.at);
-            endpoint.started_at = Some(at);
+            let converted = known.map_or_else(|| self.wall_clock.start(stated), |known| known.converted);
+            endpoint.started_at = Some(converted);
             if endpoint.state == MemberState::Removed {
                 self.starts.remove(&endpoint.id);
             } else {
-                self.starts.insert(endpoint.id.clone(), StatedStart { stated, at });
+                self.starts.insert(endpoint.id.clone(), StatedStart { stated, converted });
             }
         }
     }
 
-    /// Whether it is a change that is held already, repeated by a watch that was opened anew.
+    /// Whether the update was applied before and is repeated by a watch that was reopened.
     fn is_stale(&self, update: &EndpointUpdate, order: UpdateOrder) -> bool {
         let may_be_older = !update.complete && order != UpdateOrder::VersionsRestarted;
         may_be_older && update.version < self.published.version()
     }
 
-    /// Applies an update to the list, and drops from the update what is older than what is held.
+    /// Applies an update to the list, and drops the endpoints from it that the list has in a newer version.
     fn apply(&mut self, update: &mut EndpointUpdate, order: UpdateOrder) {
         if update.complete {
-            // A complete list replaces what is held even if its version is lower: discovery has started anew.
+            // A complete list replaces the current one even if its version is lower: discovery has restarted.
             self.listed = update.endpoints.iter().map(|e| (e.id.clone(), e.clone())).collect();
             self.ahead.clear();
             return;
@@ -165,7 +165,7 @@
         }
     }
 
-    /// What an update after a gap has brought must not be undone by what comes late from inside the gap.
+    /// Drops the endpoints from an update that an update after a gap has already brought in a newer version.
     fn drop_superseded(&mut self, update: &mut EndpointUpdate, order: UpdateOrder) {
         let version = update.version;
         update.endpoints.retain(|e| self.ahead.get(&e.id).is_none_or(|newer| version >= *newer));
@@ -176,9 +176,9 @@
         }
     }
 
-    /// Passes on which groups are unavailable, if that has changed, and then the update it follows from: whoever sees
-    /// the update applied finds the groups unavailable.
-    fn pass_on(&mut self, update: EndpointUpdate) -> Result<(), RouterEnded> {
+    /// Forwards which groups are unavailable, if that has changed, and then the update it follows from: once the update
+    /// is applied, requests for these groups are rejected.
+    fn forward(&mut self, update: EndpointUpdate) -> Result<(), RouterEnded> {
         let groups = self.mask.unavailable_groups(&self.listed);
         if groups != self.unavailable_groups {
             self.unavailable_groups.clone_from(&groups);
--- a/routing/src/endpoints/message.rs
+++ b/routing/src/endpoints/message.rs
@@ -2,7 +2,7 @@
 use crate::endpoint::{EndpointUpdate, MaintenanceMask, UpdateOrder};
 use crossbeam_channel::Sender;
 
-/// What the endpoints actor's mailbox takes.
+/// The messages to the endpoints actor.
 pub(super) enum EndpointsMessage {
     /// An update of the endpoint list.
     Update {
@@ -13,6 +13,6 @@
     },
     /// A new maintenance mask, which replaces the one before.
     SetMaintenance(MaintenanceMask),
-    /// Answered once everything before it has been passed on.
+    /// Answered once everything before it has been forwarded.
     Barrier(Sender<()>),
 }
--- a/routing/src/endpoints/published.rs
+++ b/routing/src/endpoints/published.rs
@@ -1,9 +1,9 @@
-//! What other threads read of the endpoint list without asking its actor.
+//! The version and ids of the endpoint list, which other threads read without a message to the actor.
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// What the actor publishes for readers on other threads.
+/// The state that the actor publishes for other threads.
 #[derive(Clone, Default)]
 pub(super) struct Published {
     version: Arc<AtomicU64>,
--- a/routing/src/final_response.rs
+++ b/routing/src/final_response.rs
@@ -6,13 +6,13 @@
 /// The one final response of a request.
 #[derive(Debug)]
 pub enum FinalResponse<R> {
-    /// What an endpoint responded; of a write also when it was committed, if that is known.
+    /// An endpoint's response; for a write also the time of its commit, if known.
     Served(R, Option<Time>),
-    /// Not served, and it may safely be retried, after this time if one is given.
+    /// Not served, and its client may safely retry it, after this time if one is given.
     Rejected(Option<Duration>),
-    /// Not served, and it may have run; how its last attempt ended, if it had any.
+    /// Not served, and it may have run; the outcome of its last attempt, if it had one.
     Failed(Option<Outcome>),
-    /// Not served: its tenant's data may not be where the request would have to go. Nothing ran.
+    /// Not served: its tenant's placement rules allow no endpoint that could serve it. Nothing ran.
     PlacementDenied(Refusal),
     /// Cancelled by its client; what had started by then may have run.
     Cancelled,
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -1,6 +1,6 @@
-//! The core of the router: requests arrive, attempts are sent to endpoints, outcomes come back, and each request gets
-//! one final response. It knows no wire: a [`BackendProtocol`] opens connections to endpoints and carries one exchange
-//! at a time on each.
+//! The core of the router: requests arrive, attempts are sent to endpoints, their outcomes are handled, and each request
+//! gets one final response. The core is independent of the wire protocol: a [`BackendProtocol`] opens connections to
+//! endpoints and carries one exchange at a time on each.
 //!
 //! Three kinds of actors, each a thread with a bounded mailbox:
 //!
@@ -10,12 +10,12 @@
 //!   ([`EndpointsHandle`]);
 //! - the *backends actor* owns the connections to the endpoints; an exchange runs on a thread of its own.
 //!
-//! [`permit`] is the one place that permits something to be sent, repeated, closed or answered; [`observer`] checks the
-//! promises again from what was done.
+//! Everything that is sent, repeated, closed or answered needs a permit of [`permit`]; [`observer`] checks the same
+//! promises a second time, from the transitions that requests have made.
 //!
-//! None waits for another in a cycle: the router actor never blocks on the backends actor. What must not be lost if that
-//! one's mailbox is full is shared state, [`AttemptGuard`] and
-//! [`EndpointState`], read where it binds.
+//! The actors can't deadlock, since the router actor never waits for the backends actor. What must not be lost when that
+//! actor's mailbox is full is shared state, [`AttemptGuard`] and [`EndpointState`], which is read right before an
+//! exchange starts.
 mod attempt_id;
 mod backends;
 mod clock;
--- a/routing/src/messages.rs
+++ b/routing/src/messages.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// What the router actor's mailbox takes.
+/// The messages to the router actor.
 pub enum RouterMessage<P: BackendProtocol> {
     /// A request has arrived.
     RequestArrived {
@@ -24,7 +24,7 @@
     },
     /// The client of this request has disconnected.
     ClientDisconnected(RequestId),
-    /// The client of this request waits for the final response, but wants nothing done any more.
+    /// The client has cancelled this request and waits for its final response.
     RequestCancelled(RequestId),
     /// An attempt has ended.
     AttemptEnded {
@@ -44,7 +44,7 @@
         /// What the endpoint reported.
         report: MemberReport,
     },
-    /// Connections to endpoints have come close to their limit.
+    /// The number of connections to endpoints is close to its limit.
     ConnectionsNearLimit {
         /// Idle connections that each endpoint may keep.
         max_idle: usize,
@@ -62,8 +62,8 @@
     RouterCount(u32),
 }
 
-/// Which backend a command is for: a number that no later backend gets, even though an endpoint that is listed under
-/// another address keeps its member id.
+/// The id of a backend, which is never reused: an endpoint that is listed under another address keeps its member id,
+/// but gets a new backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct BackendId(pub(crate) u64);
 
@@ -76,7 +76,7 @@
 /// The mailbox of the backends' actor.
 pub(crate) type BackendSender<P> = Sender<AddressedCommand<P>>;
 
-/// What a backend is asked to do.
+/// The commands to a backend.
 ///
 /// A full mailbox may lose a command that has no effect of its own or whose failure the sender answers for: whether an
 /// exchange may start is read from its [`AttemptGuard`] and the [`EndpointState`].
@@ -96,21 +96,21 @@
         attempt: AttemptId,
         /// What to send.
         payload: Arc<P::Payload>,
-        /// The router stops waiting at this moment.
+        /// The router stops waiting for it at this moment.
         deadline: Instant,
         /// Cancels it.
         guard: AttemptGuard,
     },
     /// Ask the endpoint for its load report.
     Probe,
-    /// The endpoint is out of service: close its idle connections. If this is lost, the next regular look finds it.
+    /// The endpoint is out of service: close its idle connections. If this is lost, the next periodic check does so.
     CloseIdle,
-    /// File descriptors run short: close idle connections.
+    /// The process is near its limit of connections: close idle ones.
     TrimIdle {
-        /// How many to keep; the most recently used stay.
+        /// The number to keep; the most recently used ones stay.
         max_idle: usize,
     },
-    /// The router actor has no more use for the backend.
+    /// The router actor does not need the backend any more.
     Remove,
     /// An exchange has ended.
     ExchangeEnded {
--- a/routing/src/metrics.rs
+++ b/routing/src/metrics.rs
@@ -1,6 +1,7 @@
-//! What the router counts of itself for its operators, by class and as a whole.
+//! The router's metrics, by class and as a whole.
 //!
-//! Whoever counts holds the counter itself, an atomic number: rendering reads the counters and never delays a request.
+//! The code that counts holds the counter itself, an atomic number: rendering reads the counters and never delays a
+//! request.
 //! A router without an admin address has no metrics and counts nothing.
 mod reasons;
 
--- a/routing/src/metrics/reasons.rs
+++ b/routing/src/metrics/reasons.rs
@@ -13,14 +13,13 @@
     pub failed: IntCounterVec,
     /// `retried_total`: attempts after the first, by how the one before ended.
     pub retried: IntCounterVec,
-    /// `dropped_total`: requests that were owed no response any more.
+    /// `dropped_total`: requests whose clients no longer waited for a response.
     pub dropped: IntCounterVec,
     /// `denied_total`: attempts that were not permitted.
     pub denied: IntCounterVec,
     /// `closed_total`: client connections closed.
     pub closed: IntCounterVec,
-    /// `invariant_violations_total`: promises broken, by the observer's account. Anything but 0 is a fault of the
-    /// program.
+    /// `invariant_violations_total`: violations that the observer found. Anything but 0 is a fault in the program.
     pub invariant_violations: IntCounterVec,
 }
 
--- a/routing/src/permit.rs
+++ b/routing/src/permit.rs
@@ -1,17 +1,17 @@
-//! The one place that permits: whether something may be sent, repeated, closed, answered or started now.
+//! The permits: whether something may be sent, repeated, closed, answered or started now.
 //!
 //! Every first byte to a server, every retry, probe and connection attempt, every close of a client's connection and every
-//! final response asks here, whoever causes it: the fronts, the endpoint list of discovery or the registry, operators at the
-//! admin address, a configuration that is read anew, or shutdown. The answer is a [`Verdict`]: permitted, with a token, or
+//! final response needs a permit, whatever causes it: a front, the endpoint list of discovery or the registry, operators at
+//! the admin address, a reload of the configuration, or shutdown. The answer is a [`Verdict`]: permitted, with a token, or
 //! denied, with a [`Denial`] that names the reason.
 //!
-//! The tokens keep other code from going past this module:
+//! The tokens enforce this:
 //!
 //! - [`ServerSocket`] writes to a server only for a [`WritePermit`] or a [`ConnectionPermit`]. Both come from an
 //!   [`AttemptGuard`] alone, neither can be copied, and the last write of a request consumes its permit;
 //! - [`RepeatState`] decides on retries from what earlier attempts may have done;
-//! - [`CommandGate`] decides whether a client's command is taken, and whether its connection may close;
-//! - [`ResponseSlot`] gives one final response and is gone then.
+//! - [`CommandGate`] decides whether a client's command is accepted, and whether its connection may close;
+//! - [`ResponseSlot`] sends one final response and is closed then.
 //!
 //! [`crate::observer`] checks the same promises again, from the transitions that were made.
 mod attempt;
--- a/routing/src/permit/attempt.rs
+++ b/routing/src/permit/attempt.rs
@@ -1,8 +1,8 @@
 //! Permits of one exchange with a server, and its cancellation token.
 //!
-//! What forbids an exchange to start (its client left, its endpoint drains, its time is over) is written to the guard
-//! and read right before the first byte: the same through a mailbox could arrive too late, or be lost where that is
-//! full.
+//! What forbids an exchange to start (its client has disconnected, its endpoint is draining, its time is over) is written
+//! to the guard and read right before the first byte. A message to the thread could arrive too late, or be lost if the
+//! mailbox is full.
 use super::denial::{Denial, Verdict};
 use super::endpoint_state::EndpointState;
 use super::server_socket::ServerSocket;
@@ -16,27 +16,27 @@
     /// The connection that carries the exchange, while one does.
     socket: Option<ServerSocket>,
     started: bool,
-    /// Why it is cancelled, started or not.
+    /// The reason for which it is cancelled, whether started or not.
     cancelled: Option<Denial>,
-    /// Why a start that has not happened yet is forbidden; what has started goes on.
+    /// The reason for which it must not start any more; an exchange that has started continues.
     start_forbidden: Option<Denial>,
     times: AttemptTimes,
     /// Incremented once, when the exchange has been completely written.
     sent_counter: Option<IntCounter>,
 }
 
-/// When an attempt passed its steps, for those that it has.
+/// The times of the steps that an attempt has passed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptTimes {
-    /// A connection was permitted, and the exchange has not started on it yet.
+    /// When a connection was first permitted, while the exchange has not started on it.
     pub connecting_since: Option<Instant>,
-    /// The first byte was permitted for the last time.
+    /// When the first byte was last permitted.
     pub permitted_at: Option<Instant>,
-    /// When its endpoint had left service by then.
+    /// When its endpoint left service, if it had by then.
     pub endpoint_left_at: Option<Instant>,
-    /// The last byte was written.
+    /// When the last byte was written.
     pub sent_at: Option<Instant>,
-    /// Why it was denied for the last time.
+    /// The last denial, unless a permit has followed.
     pub denied: Option<Denial>,
 }
 
@@ -62,7 +62,7 @@
 #[must_use]
 pub struct WritePermit(AttemptGuard);
 
-/// The permission to use a connection for what is no request: to open it and log in, or to check that it still stands.
+/// The permission to open a connection and log in, or to check that an idle one still works.
 #[must_use]
 pub struct ConnectionPermit(());
 
@@ -98,7 +98,7 @@
         AttemptGuard(Arc::new(Shared { attempt: None, endpoint, latest_start: Some(latest_start), progress }))
     }
 
-    /// Names the attempt in the log. To be called before the guard is copied.
+    /// Adds the id of the attempt for the log. Has no effect once the guard has been cloned.
     #[must_use]
     pub fn identified(mut self, attempt: AttemptId) -> AttemptGuard {
         if let Some(shared) = Arc::get_mut(&mut self.0) {
@@ -121,10 +121,10 @@
         self.0.endpoint.permits_exchange()
     }
 
-    /// Whether the exchange could start now. A denial is remembered for the end of the attempt.
+    /// Whether the exchange could start now. A denial is recorded in [`AttemptTimes::denied`].
     ///
     /// # Errors
-    /// Why it could not.
+    /// The reason for which it could not.
     pub fn check_start(&self) -> Verdict {
         let mut progress = self.progress();
         let verdict = self.may_start(&progress, Instant::now());
@@ -132,10 +132,10 @@
         verdict
     }
 
-    /// Permits to open or check a connection for the exchange: none is for one that could not start.
+    /// Permits to open or check a connection for the exchange, if the exchange could start now.
     ///
     /// # Errors
-    /// Why it could not.
+    /// The reason for which it could not.
     pub fn permit_connection(&self) -> Verdict<ConnectionPermit> {
         self.check_start()?;
         let mut progress = self.progress();
@@ -143,10 +143,10 @@
         Ok(ConnectionPermit(()))
     }
 
-    /// Permits the exchange's first byte. To be asked right before it is written, each time that it is written.
+    /// Permits the exchange's first byte. Must be called right before each time that it is written.
     ///
     /// # Errors
-    /// Why it must not be written.
+    /// The reason for which it must not be written.
     pub fn permit_write(&self) -> Verdict<WritePermit> {
         let mut progress = self.progress();
         let now = Instant::now();
@@ -164,19 +164,19 @@
         Ok(WritePermit(self.clone()))
     }
 
-    /// When the exchange passed its steps.
+    /// The times of the steps that the exchange has passed.
     pub fn times(&self) -> AttemptTimes {
         self.progress().times
     }
 
-    /// Names the connection that carries the exchange from now on.
+    /// Sets the connection that carries the exchange from now on.
     pub fn attach_socket(&self, socket: ServerSocket) {
         self.progress().socket = Some(socket);
     }
 
-    /// The exchange is through with its connection, which may carry another from now on and must not be shut down any
-    /// more. An exchange that broke before its last byte has not started: what forbids a start binds its next
-    /// connection.
+    /// Detaches the exchange from its connection, which may carry another from now on and must not be shut down any
+    /// more. An exchange that broke before its last byte has not started: what forbids a start applies to its next
+    /// connection too.
     pub fn detach_socket(&self) {
         let mut progress = self.progress();
         progress.socket = None;
@@ -190,11 +190,11 @@
         if let Some(socket) = progress.socket.take().filter(|_| progress.started) {
             socket.shut_down();
         }
-        // One that is through with its connection was sent, though its result is not known here yet.
+        // A detached exchange was sent, though its result is not known here yet.
         progress.started || progress.times.sent_at.is_some()
     }
 
-    /// Forbids any further start; an exchange that has started goes on to its end.
+    /// Forbids any further start; an exchange that has started continues to its end.
     pub fn cancel_if_unstarted(&self, reason: Denial) {
         self.progress().start_forbidden.get_or_insert(reason);
     }
--- a/routing/src/permit/command.rs
+++ b/routing/src/permit/command.rs
@@ -1,6 +1,6 @@
-//! Whether a client's connection takes one more command, and whether it may close. Count and closed mark share one
-//! atomic word: a command is either accepted before the connection closes to it, or never. So none is carried out
-//! whose client retries it elsewhere, and none that was accepted loses its response to a close in between.
+//! Whether a client's connection accepts one more command, and whether it may close. The count of commands and the closed
+//! flag share one atomic word: a command is accepted before the connection closes, or never. So no command runs that its
+//! client retries elsewhere, and no accepted command loses its response to a concurrent close.
 use super::denial::{Denial, Verdict};
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 
@@ -23,13 +23,14 @@
         self.word.fetch_update(SeqCst, SeqCst, one_more).map(|_| ()).map_err(|_| Denial::ConnectionClosed)
     }
 
-    /// An accepted command has its response, or needs none; `true` if it was the last one and no more are accepted.
+    /// Records that an accepted command has its response, or needs none. Returns `true` if it was the last one and no
+    /// more are accepted.
     #[must_use]
     pub fn finish(&self) -> bool {
         self.word.fetch_sub(1, SeqCst) == CLOSED | 1
     }
 
-    /// Permits to close a connection on which nothing is in flight; it takes no more commands then.
+    /// Permits to close a connection without commands in flight, which accepts no more from then on.
     ///
     /// # Errors
     /// [`Denial::CommandsInFlight`], and [`Denial::ConnectionClosed`] if it was closed before.
@@ -53,12 +54,12 @@
         }
     }
 
-    /// Closes, whatever is in flight: what was accepted still gets its response.
+    /// Closes the connection to new commands; those in flight still get their responses.
     pub fn close(&self) {
         self.word.fetch_or(CLOSED, SeqCst);
     }
 
-    /// How many commands are in flight.
+    /// The number of commands in flight.
     pub fn count(&self) -> usize {
         self.word.load(SeqCst) & !CLOSED
     }
--- a/routing/src/permit/denial.rs
+++ b/routing/src/permit/denial.rs
@@ -1,6 +1,7 @@
-//! Why something is not permitted.
+//! The reasons of denied permits.
 
-/// Why something may not be done now. The names are a closed set: log lines and the counter `denied_total` use them.
+/// The reason for which something may not be done now. The names are a closed set, which log lines and the counter
+/// `damsonvale_denied_total` use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Denial {
     /// The client has disconnected.
@@ -13,31 +14,31 @@
     AttemptTimedOut,
     /// The decisions have cancelled the attempt.
     AttemptCancelled,
-    /// The time within which the attempt may start is over.
+    /// The latest start of the attempt has passed.
     StartTooLate,
-    /// The endpoint drains, is in maintenance, or is not listed any more.
+    /// The endpoint is draining, in maintenance, or not listed any more.
     EndpointOutOfService,
-    /// The router has no more use for the endpoint, or it is listed under another address.
+    /// The router has removed the endpoint, or it is listed under another address.
     EndpointRemoved,
-    /// The tenant's data may not be at this endpoint any more.
+    /// The tenant's placement rules do not allow this endpoint any more.
     PlacementChanged,
     /// An earlier attempt may have run, and the request must not run twice.
     UnsafeRepeat,
-    /// An earlier attempt may have run, and the time in which repeats are dropped is over.
+    /// An earlier attempt may have run, and the deduplication window of the class is over.
     RepeatWindowOver,
-    /// An earlier attempt is still in flight, and no two may be at a time.
+    /// An earlier attempt is still in flight, and hedging is not allowed.
     AttemptInFlight,
-    /// The connection takes no more commands.
+    /// The connection accepts no more commands.
     ConnectionClosed,
     /// Commands are in flight on the connection.
     CommandsInFlight,
 }
 
-/// Permitted, or why not.
+/// A permit, or the reason of its denial.
 pub type Verdict<T = ()> = Result<T, Denial>;
 
 impl Denial {
-    /// All of them.
+    /// All denials.
     pub const ALL: [Denial; 14] = [
         Denial::ClientDisconnected,
         Denial::ClientCancelled,
--- a/routing/src/permit/endpoint_state.rs
+++ b/routing/src/permit/endpoint_state.rs
@@ -1,11 +1,10 @@
-//! Whether an endpoint accepts new exchanges, shared between the router actor, which knows, and whoever is about to
-//! start one.
+//! Whether an endpoint accepts new exchanges: written by the router actor, read by the threads that start exchanges.
 use super::denial::{Denial, Verdict};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 
-/// Whether an endpoint accepts new exchanges, as the router actor knows it now. Copies share one state.
+/// Whether an endpoint accepts new exchanges now. Copies share one state.
 ///
 /// A new state is in service.
 #[derive(Clone, Debug, Default)]
@@ -20,7 +19,7 @@
 }
 
 impl EndpointState {
-    /// Records whether the endpoint list has the endpoint in service; returns `true` if that is a change.
+    /// Records whether the endpoint is in service by the endpoint list; returns `true` if that is a change.
     pub fn set_in_service(&self, in_service: bool) -> bool {
         let changed = self.0.out_of_service.swap(!in_service, Ordering::AcqRel) == in_service;
         if changed {
@@ -54,7 +53,7 @@
     /// Whether a new exchange may start: the endpoint is in service and not removed.
     ///
     /// # Errors
-    /// Which of the two it is not.
+    /// [`Denial::EndpointRemoved`] or [`Denial::EndpointOutOfService`].
     pub fn permits_exchange(&self) -> Verdict {
         if self.is_retired() {
             Err(Denial::EndpointRemoved)
@@ -65,7 +64,7 @@
         }
     }
 
-    /// The same as a flag.
+    /// Whether [`EndpointState::permits_exchange`] does.
     pub fn accepts_exchanges(&self) -> bool {
         self.permits_exchange().is_ok()
     }
--- a/routing/src/permit/handshake.rs
+++ b/routing/src/permit/handshake.rs
@@ -70,8 +70,8 @@
 }
 
 impl Drop for Handshake {
-    /// Where nobody listens on a loopback port of the range for outgoing connections, the system may connect a socket to
-    /// itself. No login succeeds on it; it is reset, so that the port is free for the server at once.
+    /// If nobody listens on a loopback port of the ephemeral range, the operating system may connect a socket to itself.
+    /// No login succeeds on it; it is reset, so that the port is free for the server at once.
     fn drop(&mut self) {
         if let Some(socket) = &self.socket
             && socket::is_self_connection(socket).unwrap_or(false)
--- a/routing/src/permit/repeat.rs
+++ b/routing/src/permit/repeat.rs
@@ -1,11 +1,11 @@
-//! Whether a request may be sent once more, from what its earlier attempts may have done.
+//! Whether a request may be sent again, by what its earlier attempts may have done.
 use super::denial::{Denial, Verdict};
 use decision::{Idempotency, Outcome, Time};
 
-/// What a class allows of retries.
+/// The retries and hedged attempts that a class allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RepeatRule {
-    /// What a second execution would do.
+    /// Whether the request may run a second time.
     pub idempotency: Idempotency,
     /// Two attempts of a request may be in flight at a time.
     pub hedging_allowed: bool,
@@ -17,7 +17,7 @@
         RepeatRule { idempotency: Idempotency::NotIdempotent, hedging_allowed: false };
 }
 
-/// What the attempts of one request may have done so far.
+/// The record of what the attempts of one request may have done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RepeatState {
     in_flight: u32,
@@ -29,7 +29,7 @@
     /// Permits one more attempt; `Ok` holds the time after which it must not start, if there is one.
     ///
     /// # Errors
-    /// Why it must not be sent.
+    /// The reason for which it must not be sent.
     pub fn permit_attempt(&mut self, now: Time, rule: RepeatRule) -> Verdict<Option<Time>> {
         if self.in_flight > 0 && !rule.hedging_allowed {
             return Err(Denial::AttemptInFlight);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A permitted attempt has ended; it was permitted its first byte at `permitted_at`, if ever.
+    /// Records that a permitted attempt has ended, whose first byte was permitted at `permitted_at`, if ever.
     pub fn attempt_ended(&mut self, permitted_at: Option<Time>, outcome: Outcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(at) = permitted_at.filter(|_| !outcome.never_ran()) {
--- a/routing/src/placement_subsets.rs
+++ b/routing/src/placement_subsets.rs
@@ -1,11 +1,11 @@
-//! The subsets of groups that tenants' placement rules draw, as the decisions see them. [`placement`] calls them views.
+//! The subsets of groups that tenants' placement rules define, as groups of the decisions. [`placement`] calls them views.
 //!
 //! Each subset is a group of its own to the decisions, and its members are further member ids (*aliases*) of endpoints
 //! that the list names once, under the endpoint's *own* member id. An endpoint has one backend with its connections,
 //! however many aliases it has.
 //!
-//! Here is the bookkeeping between [`placement`] and the router actor: which alias belongs to which endpoint, what the
-//! decisions have to be notified of when a subset changes, and what one alias has learned that the others need to know.
+//! This module keeps the state between [`placement`] and the router actor: which alias belongs to which endpoint, which
+//! entries of members change with a subset, and which reports of one alias the others need.
 mod change;
 mod member_ids;
 mod members;
--- a/routing/src/placement_subsets/change.rs
+++ b/routing/src/placement_subsets/change.rs
@@ -3,20 +3,20 @@
 use placement::Refusal;
 use std::collections::BTreeMap;
 
-/// What the router actor has to do after a change.
+/// The actions of the router actor after a change.
 #[derive(Default)]
 pub struct SubsetChange {
-    /// Members whose entries are new; by id, each once.
+    /// The changed entries of members, by id.
     pub entries: BTreeMap<MemberId, MemberEntry>,
     /// Aliases that have left their subsets: an attempt that has not started there must not start.
     pub departed: Vec<MemberId>,
-    /// Requests without an attempt under way have to be routed again.
+    /// Requests without an attempt in flight have to be routed again.
     pub reroute: bool,
-    /// When [`placement::Event::Timer`] is due.
+    /// The time at which [`placement::Event::Timer`] is due.
     pub timer: Option<Time>,
 }
 
-/// What a report of an endpoint came with.
+/// The message that contained an endpoint's report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
     /// The response to a request.
@@ -25,27 +25,27 @@
     Probe,
 }
 
-/// An endpoint's role as it has stated it itself.
+/// The role that an endpoint has stated itself.
 #[derive(Clone, Copy, Debug)]
 pub struct StatedRole {
     /// It is its group's primary.
     pub primary: bool,
-    /// What it was stated in.
+    /// The message in which it was stated.
     pub source: ReportSource,
 }
 
-/// How a request is routed.
+/// The route of a request.
 pub struct Routed {
-    /// The group, perhaps a subset's, whose members may serve the request; or why none may.
+    /// The group, perhaps a subset's, whose members may serve the request; or the reason for which none may.
     pub group: Result<GroupId, Refusal>,
-    /// What routing it has changed.
+    /// The actions that follow from routing it.
     pub change: SubsetChange,
 }
 
-/// What follows from the outcome of an attempt or a probe.
+/// The effects of the outcome of an attempt or a probe.
 #[derive(Default)]
 pub struct OutcomeRecorded {
-    /// What it has changed.
+    /// The actions that follow from it.
     pub change: SubsetChange,
     /// The other member ids of the endpoint, which have to be notified.
     pub to_notify: Vec<MemberId>,
--- a/routing/src/placement_subsets/member_ids.rs
+++ b/routing/src/placement_subsets/member_ids.rs
@@ -1,14 +1,14 @@
-//! The numbering of members.
+//! Allocation of member ids.
 use decision::MemberId;
 
-/// Hands out the member ids of endpoints and aliases, each once.
+/// Allocates the member ids of endpoints and aliases, each once.
 #[derive(Default)]
 pub struct MemberIds {
     last: u32,
 }
 
 impl MemberIds {
-    /// An id that nobody has had.
+    /// An id that was never used before.
     pub fn allocate(&mut self) -> MemberId {
         self.last += 1;
         MemberId(self.last)
--- a/routing/src/placement_subsets/members.rs
+++ b/routing/src/placement_subsets/members.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 impl PlacementSubsets {
-    /// Takes an update's endpoints in; returns them as [`placement`] has them.
+    /// Records an update's endpoints; returns them as members for [`placement`].
     pub(super) fn track(
         &mut self,
         update: &EndpointUpdate,
@@ -35,7 +35,7 @@
         members
     }
 
-    /// Endpoints that a complete list lacks are gone.
+    /// Marks the endpoints as removed that a complete list lacks.
     pub(super) fn mark_missing_gone(&mut self, named: &BTreeSet<MemberId>) {
         for (_, endpoint) in self.endpoints.iter_mut().filter(|(id, _)| !named.contains(*id)) {
             endpoint.entry.state = MemberState::Removed;
@@ -50,8 +50,8 @@
         own.into_iter().chain(aliases).filter(|id| !except.contains(id)).collect()
     }
 
-    /// The decisions have no more use for a member id. Returns the own id of its endpoint if nobody has any use for that
-    /// any more.
+    /// Removes a member id that the decisions do not need any more. Returns the own id of its endpoint if none of the
+    /// endpoint's member ids is needed any more.
     pub fn remove_member(&mut self, member: MemberId) -> Option<MemberId> {
         let own_id = match self.own_id_of_alias.remove(&member) {
             Some(own_id) => {
--- a/routing/src/placement_subsets/probes.rs
+++ b/routing/src/placement_subsets/probes.rs
@@ -4,12 +4,12 @@
 use super::subsets::PlacementSubsets;
 use decision::{GroupId, MemberId, MemberReport, MemberState, Micros, Outcome, Time};
 
-/// The least time between two probes of one endpoint, whichever of its members wants them: at half of the interval at
-/// which a single group asks for them at most.
+/// The shortest time between two probes of one endpoint, whichever of its members requests them: half of the shortest
+/// interval at which a single group requests them.
 const MIN_PROBE_INTERVAL: Micros = 50_000;
-/// The least time between two searches of a whole group for its primary.
+/// The shortest time between two searches of a whole group for its primary.
 const MIN_SEARCH_INTERVAL: Micros = 100_000;
-/// How often the interval between searches doubles while they find nothing.
+/// The limit of how often the interval between searches doubles while they find nothing.
 const MAX_SEARCH_DOUBLINGS: u32 = 3;
 
 /// What to do about a probe.
@@ -19,12 +19,12 @@
     Now(MemberId),
     /// Probe it at this time.
     At(MemberId, Time),
-    /// A probe of it is under way.
+    /// A probe of it is in flight or scheduled.
     UnderWay,
 }
 
 impl PlacementSubsets {
-    /// A member wants its endpoint probed.
+    /// Requests a probe of a member's endpoint.
     pub fn request_probe(&mut self, member: MemberId, now: Time) -> ProbeStart {
         let own_id = self.own_id(member);
         let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return ProbeStart::Now(own_id) };
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The probe of an endpoint has ended. Returns the member ids that have to be notified.
+    /// Records the end of an endpoint's probe. Returns the member ids that have to be notified.
     pub fn probe_ended(
         &mut self,
         own_id: MemberId,
@@ -51,7 +51,7 @@
         endpoint.probing = false;
         endpoint.probed_at = Some(now);
         let mut to_notify = std::mem::take(&mut endpoint.probe_waiters);
-        // A report or an unreachable endpoint concerns all members; a probe without a report only those who asked.
+        // A report or an unreachable endpoint concerns all members; a probe without a report only those that requested it.
         let concerns_all = match outcome {
             Outcome::ConnectFailed => true,
             Outcome::Ok => report.primary.is_some(),
@@ -70,8 +70,8 @@
         self.places.primary(group).is_none().then_some(group)
     }
 
-    /// The endpoints of a group to probe in search of its primary, inside and outside of all subsets: a subset's own
-    /// search meets only its members, and a request that was rejected because of the primary probes none. Empty while
+    /// The endpoints of a group to probe in search of its primary, inside and outside of all subsets: the search
+    /// of a subset probes only its members, and a request that was rejected because of the primary probes none. Empty while
     /// the last search is too recent.
     pub fn primary_search_targets(&mut self, group: GroupId, now: Time) -> Vec<MemberId> {
         if !self.primary_search_due(group, now) {
--- a/routing/src/placement_subsets/subsets.rs
+++ b/routing/src/placement_subsets/subsets.rs
@@ -12,9 +12,9 @@
 /// The subsets of one router.
 pub struct PlacementSubsets {
     pub(super) places: Places,
-    /// By class.
+    /// Whether a request of the class needs the primary, by class.
     pub(super) needs_primary: Vec<bool>,
-    /// By the endpoint's own member id.
+    /// The endpoints, by their own member ids.
     pub(super) endpoints: HashMap<MemberId, TrackedEndpoint>,
     pub(super) own_ids: HashMap<Arc<str>, MemberId>,
     /// The endpoint's own member id, by alias.
@@ -134,8 +134,8 @@
         OutcomeRecorded { change, to_notify }
     }
 
-    /// Of this many unavailable members, how many endpoints that may be: a draining endpoint is counted once. Ejections
-    /// are made for each member id apart and can't be told apart here.
+    /// An estimate of the number of unavailable endpoints from the number of unavailable members: a draining endpoint is
+    /// counted once. Ejections are made for each member id and are not distinguished here.
     pub fn unhealthy_endpoints(&self, unavailable_members: usize) -> usize {
         let draining = self.endpoints.values().filter(|e| e.is_draining());
         let counted_again: usize = draining.map(|e| e.shown_aliases().count()).sum();
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Gives a subset exactly these members.
+    /// Sets the members of a subset.
     fn show(&mut self, subset: GroupId, names: &[Arc<str>], change: &mut SubsetChange, ids: &mut MemberIds) {
         let members: BTreeSet<MemberId> =
             names.iter().filter_map(|name| self.own_ids.get(name)).copied().collect();
--- a/routing/src/placement_subsets/tracked_endpoint.rs
+++ b/routing/src/placement_subsets/tracked_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint as the subsets know it, and its aliases.
+//! The record of an endpoint in the subsets, and its aliases.
 use decision::{GroupId, MemberEntry, MemberId, MemberState, Outcome, Time};
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 pub(super) struct Alias {
     pub(super) subset: GroupId,
     pub(super) id: MemberId,
-    /// It is a member of its subset; otherwise it exists until its attempts under way have ended.
+    /// It is a member of its subset; otherwise it exists until its attempts in flight have ended.
     pub(super) shown: bool,
 }
 
@@ -17,16 +17,16 @@
     /// Its entry under its own member id.
     pub(super) entry: MemberEntry,
     pub(super) aliases: Vec<Alias>,
-    /// A probe is under way or waits for its time.
+    /// A probe is in flight or scheduled.
     pub(super) probing: bool,
     /// When the last probe ended.
     pub(super) probed_at: Option<Time>,
-    /// The member ids that asked for the probe under way.
+    /// The member ids that requested the probe.
     pub(super) probe_waiters: Vec<MemberId>,
     pub(super) reachable: bool,
     /// Whether it last stated that it is the primary.
     pub(super) stated_primary: Option<bool>,
-    /// The decisions have no more use for its own member id; its aliases may still have attempts under way.
+    /// The decisions have removed its own member id; its aliases may still have attempts in flight.
     pub(super) own_id_removed: bool,
 }
 
@@ -63,7 +63,7 @@
         MemberEntry { id: alias, group: subset, state: MemberState::Removed, ..self.entry.clone() }
     }
 
-    /// Takes its alias out of a subset; returns the alias's id.
+    /// Removes its alias from a subset; returns the alias's id.
     pub(super) fn hide_alias(&mut self, subset: GroupId) -> Option<MemberId> {
         let alias = self.aliases.iter_mut().find(|alias| alias.subset == subset)?;
         alias.shown = false;
@@ -87,7 +87,7 @@
         alias
     }
 
-    /// Returns whether that has changed whether it is reachable.
+    /// Records whether it was reachable by this outcome; returns `true` if that is a change.
     pub(super) fn record_reachability(&mut self, outcome: Outcome) -> bool {
         let reachable = match outcome {
             Outcome::Ok => true,
--- a/routing/src/probe_spacing.rs
+++ b/routing/src/probe_spacing.rs
@@ -1,20 +1,20 @@
 //! Spaces the probes of each endpoint while several processes serve as one router, so that together they probe no more
-//! often than one would. The decisions space probes for one router and know nothing of processes.
+//! often than one would. The decisions space the probes of one router, without regard to its processes.
 //!
-//! A probe that comes too early for this process's share is answered with the last report, which is no older than the
-//! spacing, as long as no attempt has failed at the endpoint since. Otherwise it waits, and the decisions ask for no
-//! other until it has ended.
+//! A probe that is too early for this process's share is answered with the last report, which is no older than the
+//! spacing, unless an attempt has failed at the endpoint since. Otherwise the probe is delayed, and the decisions request
+//! no other until it has ended.
 use decision::{MemberId, MemberReport, Micros, Settings, Time};
 use std::collections::HashMap;
 
-/// The least time between two probes of one member, as the decisions have it, in rounds of events.
+/// The shortest time between two probes of one member, as in `decision`, in rounds of events.
 const MIN_INTERVAL_ROUNDS: i64 = 20;
-/// The least time between two probes of one member, as the decisions have it.
+/// The shortest time between two probes of one member, as in `decision`.
 const MIN_INTERVAL: Micros = 100_000;
-/// How often the interval doubles while a member's probes bring no report.
+/// The limit of how often the interval doubles while a member's probes return no report.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// What becomes of a probe.
+/// What to do about a requested probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProbeTiming {
     /// It is sent now.
@@ -32,11 +32,11 @@
     report: Option<MemberReport>,
     /// An attempt has failed since the last probe was sent.
     attempt_failed: bool,
-    /// Probes in a row that brought no report.
+    /// Probes in a row that returned no report.
     consecutive_failures: u32,
 }
 
-/// When each endpoint was last probed, and what it reported.
+/// The times of each endpoint's probes, and its last report.
 pub struct ProbeSpacing {
     interval: Micros,
     process_count: u32,
@@ -50,12 +50,12 @@
         ProbeSpacing { interval, process_count: 1, histories: HashMap::new() }
     }
 
-    /// This many processes serve as one router from now on.
+    /// Sets the number of processes that serve as one router.
     pub fn set_process_count(&mut self, process_count: u32) {
         self.process_count = process_count.max(1);
     }
 
-    /// Decides on a probe that is wanted now.
+    /// Decides on a probe that is requested at `now`.
     pub fn schedule(&mut self, endpoint: MemberId, now: Time) -> ProbeTiming {
         let history = self.histories.entry(endpoint).or_default();
         let doublings = history.consecutive_failures.min(MAX_DOUBLINGS);
@@ -72,7 +72,7 @@
         delayed_until.map_or(ProbeTiming::Now, ProbeTiming::At)
     }
 
-    /// A probe has ended with this report.
+    /// Records that a probe has ended with this report.
     pub fn probe_ended(&mut self, endpoint: MemberId, report: MemberReport) {
         if let Some(history) = self.histories.get_mut(&endpoint) {
             let reported = report.primary.is_some();
@@ -82,7 +82,7 @@
         }
     }
 
-    /// An attempt has failed at the endpoint: its last report is out of date.
+    /// Records that an attempt has failed at the endpoint, which invalidates its last report.
     pub fn attempt_failed(&mut self, endpoint: MemberId) {
         if let Some(history) = self.histories.get_mut(&endpoint) {
             history.report = None;
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The endpoint is gone.
+    /// Removes an endpoint.
     pub fn remove(&mut self, endpoint: MemberId) {
         self.histories.remove(&endpoint);
     }
--- a/routing/src/protocol.rs
+++ b/routing/src/protocol.rs
@@ -1,15 +1,14 @@
-//! What the core asks of a wire protocol between router and endpoints: connecting, and one exchange at a time on each
-//! connection.
+//! The interface of a wire protocol to endpoints: connecting, and one exchange at a time on each connection.
 pub use crate::permit::{AttemptGuard, ConnectionPermit, Handshake, ServerSocket, WritePermit};
 use decision::{MemberReport, Outcome, Time};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// One exchange with an endpoint: something sent, and what comes back for it.
+/// One exchange with an endpoint: a message and its response.
 pub enum Exchange<'a, P: BackendProtocol> {
     /// A request's payload, and the moment at which the router stops waiting for its response.
     Attempt(&'a P::Payload, Instant),
-    /// A health check: the endpoint is asked for its load report.
+    /// A health check, which asks the endpoint for its load report.
     Probe,
 }
 
@@ -17,12 +16,12 @@
 pub struct ExchangeResult<R> {
     /// How it ended.
     pub outcome: Outcome,
-    /// What the client gets, if the request was served.
+    /// The response for the client, if the request was served.
     pub response: Option<R>,
-    /// What the response said of the endpoint itself. For a write that was served, its position is the commit if
+    /// What the response states about the endpoint itself. For a write that was served, its position is the commit if
     /// `commit` is absent.
     pub response_report: MemberReport,
-    /// When the write was committed; it says nothing of an endpoint that served a read.
+    /// When the write was committed; `None` for a read.
     pub commit: Option<Time>,
     /// The load report that came with the response.
     pub load_report: MemberReport,
@@ -62,17 +61,17 @@
 
 /// A connection that carries one exchange at a time.
 pub trait Connection<P: BackendProtocol> {
-    /// The socket, for whoever has to cancel an exchange.
+    /// The socket, which is shut down to cancel an exchange.
     fn socket(&self) -> ServerSocket;
 
     /// Whether a connection that has been idle for this long is still usable; nothing may be written to one that is
-    /// not. Whatever lies between may have dropped a long idle connection silently: a protocol checks the round trip,
-    /// or returns `false`. What it writes for that takes the permit.
+    /// not. A firewall or proxy may have dropped a long idle connection silently, so a protocol checks the round trip,
+    /// for which it uses the permit, or returns `false`.
     fn is_usable(&mut self, idle_for: Duration, permit: ConnectionPermit) -> bool;
 
-    /// Carries one exchange to its end. [`AttemptGuard::permit_write`] is asked right before the first byte, also of a
-    /// preparatory message and of anything written after a response. The socket takes the permit with the request's last
-    /// byte.
+    /// Carries one exchange to its end. [`AttemptGuard::permit_write`] must be called right before the first byte, also of
+    /// a preparatory message and of anything written after a response. The write of the request's last byte consumes the
+    /// permit.
     ///
     /// # Errors
     /// The exchange was not completely written, so it never ran.
@@ -83,7 +82,7 @@
     ) -> Result<ExchangeResult<P::Response>, NotSent>;
 }
 
-/// Why an exchange was not completely written. It never ran.
+/// The reason for which an exchange was not completely written. It never ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotSent {
     /// The connection broke before the last byte was written.
--- a/routing/src/reasons.rs
+++ b/routing/src/reasons.rs
@@ -1,5 +1,5 @@
-//! Why a request was rejected, failed or retried, and why a client's connection was closed: closed sets of names, which
-//! log lines and metrics share.
+//! The reasons for which a request was rejected, failed or retried, and for which a client's connection was closed. They
+//! are closed sets of names that log lines and metrics share.
 use decision::Outcome;
 
 /// The name of an outcome in log lines and metrics.
@@ -33,13 +33,13 @@
 /// Why a request ended without being served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// Every endpoint of its group is in maintenance or gone.
+    /// Every endpoint of its group is in maintenance or removed.
     GroupUnavailable,
-    /// Its tenant's data may not be where it would have to go.
+    /// Its tenant's placement rules allow no endpoint that could serve it.
     PlacementDenied,
-    /// No attempt was made: no endpoint had room, or its time was over.
+    /// No attempt was made: no endpoint had capacity, or its deadline had passed.
     NotForwarded,
-    /// After its last attempt ended like this.
+    /// Its last attempt ended with this outcome.
     After(Outcome),
     /// Its client cancelled it.
     ClientCancelled,
@@ -67,24 +67,24 @@
 pub enum CloseReason {
     /// The client has disconnected.
     ClientDisconnected = 1,
-    /// The client took no response for too long.
+    /// The client did not read its responses for too long.
     ClientStalled = 2,
-    /// The client sent what can't be read, or only a part of a command.
+    /// The client sent a message that can't be decoded, or only a part of one.
     Malformed = 3,
-    /// It was idle for as long as it may be.
+    /// It was idle for longer than the limit.
     IdleTimeout = 4,
-    /// Room was needed for another one.
+    /// Its place was needed for a new connection.
     Evicted = 5,
     /// The router shuts down, or operators drain it.
     ShuttingDown = 6,
     /// No thread could be started for it.
     NoThread = 7,
-    /// Its handler ended it in order: a cancel request, a rejected login.
+    /// Its handler ended it regularly, after a cancel request or a rejected login.
     Finished = 8,
 }
 
 impl CloseReason {
-    /// All of them.
+    /// All close reasons.
     pub const ALL: [CloseReason; 8] = [
         CloseReason::ClientDisconnected,
         CloseReason::ClientStalled,
--- a/routing/src/request.rs
+++ b/routing/src/request.rs
@@ -7,7 +7,7 @@
 
 /// A request as a front hands it over.
 pub struct ClientRequest<P: BackendProtocol> {
-    /// The connection that it came on, for the log.
+    /// The number of the connection that it arrived on, for the log.
     pub connection: u64,
     /// Its class, an index into the settings.
     pub class: usize,
@@ -21,8 +21,8 @@
     pub deadline: Time,
     /// The commit of its session that it must see.
     pub session_commit: Option<Time>,
-    /// What is sent to an endpoint.
+    /// The message for an endpoint.
     pub payload: P::Payload,
-    /// Gets the final response; must have room for it.
+    /// Receives the final response; its channel must have capacity for it.
     pub response_sender: Sender<FinalResponse<P::Response>>,
 }
--- a/routing/src/responded_endpoints.rs
+++ b/routing/src/responded_endpoints.rs
@@ -1,9 +1,10 @@
-//! Which endpoints have responded, for whoever watches over their liveness.
+//! The endpoints that have responded, for the check of their liveness.
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The ids of endpoints that have responded, while somebody wants to know. Nothing is recorded at first.
+/// The ids of endpoints that have responded since the last call of [`RespondedEndpoints::drain`]. Nothing is recorded
+/// before the first call.
 #[derive(Debug, Default)]
 pub struct RespondedEndpoints {
     recording: AtomicBool,
--- a/routing/src/router.rs
+++ b/routing/src/router.rs
@@ -1,5 +1,5 @@
 //! The router actor: it feeds the decisions ([`decision::Router`]) with events and carries out the actions they return.
-//! It owns the clock and the timers, never waits for a socket, and gives each request its single final response.
+//! It owns the clock and the timers, never waits for a socket, and sends each request its single final response.
 mod actor;
 mod attempts;
 mod capacity;
@@ -34,24 +34,24 @@
 /// The name of the actor's thread.
 const THREAD_NAME: &str = "router";
 
-/// What the core starts with.
+/// The dependencies and settings of the core.
 pub struct RouterBuilder<P: BackendProtocol> {
     /// The wire protocol to endpoints.
     pub protocol: P,
-    /// What the decisions go by.
+    /// The settings of the decisions.
     pub settings: Settings,
     /// Seed of the random numbers.
     pub seed: u64,
     /// The program's limits.
     pub limits: Arc<Limits>,
-    /// The clock that everything here goes by.
+    /// The clock of the core's times and deadlines.
     pub clock: Clock,
-    /// Records which endpoints respond, if somebody wants to know.
+    /// Records which endpoints respond; `None` if that is not needed.
     pub responded: Option<Arc<RespondedEndpoints>>,
-    /// Counts for operators, if they want to know.
+    /// The metrics; `None` for a router without an admin address.
     pub metrics: Option<Arc<Metrics>>,
-    /// Keeps tenants' data in its place, by the rules of [`RouterHandle::update_placement`]; until the first of them
-    /// every request is rejected. Without these settings tenants and sites have no effect.
+    /// The settings of placement, whose rules come with [`RouterHandle::update_placement`]; until the first update every
+    /// request is rejected. Without these settings tenants and sites have no effect.
     pub placement: Option<placement::Settings>,
 }
 
--- a/routing/src/router/actor.rs
+++ b/routing/src/router/actor.rs
@@ -24,7 +24,7 @@
 /// A timer's purpose. Timers of the same time fire in the order of the variants.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The decisions asked to be woken.
+    /// The decisions have set this timer.
     Decisions,
     /// The metrics of members are due.
     MemberMetrics,
@@ -38,17 +38,17 @@
     ProbeTurn(MemberId),
 }
 
-/// What the router actor knows of a request class.
+/// The rules of a request class.
 pub(super) struct ClassRules {
     pub(super) is_write: bool,
-    /// What it allows of retries.
+    /// Which retries and hedged attempts it allows.
     pub(super) repeat: RepeatRule,
-    /// When a client of an unavailable group is asked to retry.
+    /// The time after which a client of an unavailable group is asked to retry.
     pub(super) retry_after: Option<Duration>,
 }
 
 impl ClassRules {
-    /// As the decisions have it.
+    /// The rules of a class by the settings of the decisions.
     fn new(class: &Class, settings: &Settings) -> ClassRules {
         let retry_after = settings
             .max_retry_after
@@ -62,34 +62,34 @@
     pub(super) decisions: Router,
     pub(super) clock: Clock,
     pub(super) resources: BackendResources<P>,
-    /// The actor of all backends, which starts with the first of them.
+    /// The mailbox of the backends actor, which starts with the first backend.
     pub(super) backends: Option<BackendSender<P>>,
     pub(super) last_backend: u64,
     pub(super) classes: Vec<ClassRules>,
     pub(super) member_ids: MemberIds,
-    /// The endpoints' own member ids by their ids in the list.
+    /// The endpoints' own member ids, by their ids in the endpoint list.
     pub(super) members_by_id: HashMap<String, MemberId>,
     pub(super) endpoints: HashMap<MemberId, EndpointRecord<P>>,
     pub(super) requests: HashMap<RequestId, RequestRecord<P>>,
     pub(super) timers: BinaryHeap<Reverse<(Time, Timer)>>,
-    /// Messages to itself, handled after the current one.
+    /// The actor's messages to itself, handled after the current one.
     pub(super) deferred: VecDeque<RouterMessage<P>>,
     pub(super) responded: Option<Arc<RespondedEndpoints>>,
     pub(super) metrics: Option<Arc<Metrics>>,
-    /// Routers that share the endpoints: as the settings say until membership says otherwise.
+    /// The number of routers that share the endpoints: by the settings until membership updates it.
     pub(super) router_count: u32,
-    /// Processes that serve as this router.
+    /// The number of processes that serve as this router.
     pub(super) process_count: u32,
-    /// Places for connections that belong to other processes of this router.
+    /// The number of connections that are reserved for other processes of this router.
     pub(super) reserved_connections: usize,
     pub(super) probe_spacing: ProbeSpacing,
-    /// Groups without an available endpoint, at least partly because of maintenance.
+    /// Groups without an available endpoint where at least one is in maintenance.
     pub(super) unavailable_groups: BTreeSet<GroupId>,
-    /// Endpoints that a complete list lacks go on serving, unless they were listed as draining.
+    /// Endpoints that a complete list lacks continue to serve, unless they were listed as draining.
     pub(super) missing_members_may_serve: bool,
-    /// Checks the promises again from what was done.
+    /// Checks the promises a second time, from the transitions of requests.
     pub(super) observer: Observer,
-    /// Where tenants' data is kept in its place.
+    /// The subsets of tenants' placement rules; `None` without placement settings.
     pub(super) subsets: Option<Box<PlacementSubsets>>,
 }
 
@@ -133,12 +133,12 @@
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             self.handle_deferred();
-            // A message never keeps a timer waiting for more than one of them.
+            // A due timer waits for one message at most.
             self.fire_due_timers();
         }
     }
 
-    /// The next message, or a time-out when the next timer is due.
+    /// Waits for the next message, or until the next timer is due.
     fn receive(&self, mailbox: &Receiver<RouterMessage<P>>) -> Result<RouterMessage<P>, RecvTimeoutError> {
         match self.timers.peek() {
             Some(Reverse((at, _))) => mailbox.recv_deadline(self.clock.instant_at(*at)),
@@ -212,11 +212,11 @@
             // The decisions must not act on a subset that has expired.
             self.handle_placement(placement::Event::Timer);
             if matches!(&event, Event::RequestArrived(request) if !self.requests.contains_key(&request.id)) {
-                // Its placement has expired on the way here, and it was rejected.
+                // Its placement expired before this event, and it was rejected.
                 return;
             }
         }
-        // What a fleet does is counted from these two lines of each router: docs/operate/fleet.md.
+        // `damsonvale-lab count` reads these two lines of each router's log: docs/operate/fleet.md.
         tracing::debug!(at = now.0, "event {event:?}");
         self.decisions.handle(now, event, &mut actions);
         for action in actions {
@@ -246,13 +246,13 @@
             Action::SetTimer { after } => {
                 self.timers.push(Reverse((Time(self.clock.now().0 + after), Timer::Decisions)));
             }
-            // The list's watch always runs.
+            // The watch of the endpoint list always runs.
             Action::Subscribe => {}
             Action::Remove { member } => self.remove_member(member),
         }
     }
 
-    /// Handles a message after the current one: the decisions are not entered from within their own actions.
+    /// Handles a message after the current one: the decisions are not re-entered while their actions are performed.
     pub(super) fn defer(&mut self, message: RouterMessage<P>) {
         self.deferred.push_back(message);
     }
--- a/routing/src/router/attempts.rs
+++ b/routing/src/router/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests from their start to their end.
+//! Attempts of requests, from their start to their end.
 use super::actor::{RouterActor, Timer};
 use super::endpoint_record::BackendRef;
 use super::request_record::InFlightAttempt;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Cancels an attempt under way, whose connection is shut down; returns its member, and how it has ended.
+    /// Cancels an attempt in flight, whose connection is shut down; returns its member and its outcome.
     pub(super) fn cancel_attempt(
         &self,
         attempt: AttemptId,
@@ -141,22 +141,22 @@
         Some((in_flight.member, outcome))
     }
 
-    /// How an attempt has ended that was cancelled before its first byte: it never ran. Where its connection had most of
-    /// its time and did not come up, that is held against the endpoint.
+    /// The outcome of an attempt that was cancelled before its first byte and never ran. If its connection did not open
+    /// within half of the connect timeout or longer, that counts as a failure of the endpoint.
     fn unsent_outcome(&self, times: &AttemptTimes) -> Outcome {
         let connect_timeout = self.resources.limits.connect;
         let is_overdue = times.connecting_since.is_some_and(|since| 2 * since.elapsed() >= connect_timeout);
         if is_overdue { Outcome::ConnectFailed } else { Outcome::NeverSent }
     }
 
-    /// What has not started of a request does not start.
+    /// Forbids the start of a request's attempts that have not started.
     pub(super) fn cancel_unstarted_attempts(&self, id: RequestId, reason: Denial) {
         if let Some(record) = self.requests.get(&id) {
             record.in_flight.iter().for_each(|attempt| attempt.guard.cancel_if_unstarted(reason));
         }
     }
 
-    /// Ends an attempt that carried nothing back, after the current message.
+    /// Ends an attempt without a response, after the current message.
     pub(super) fn end_attempt_later(&mut self, attempt: AttemptId, member: MemberId, outcome: Outcome) {
         let result = ExchangeResult::from_outcome(outcome);
         self.defer(RouterMessage::AttemptEnded { attempt, member, result });
--- a/routing/src/router/capacity.rs
+++ b/routing/src/router/capacity.rs
@@ -1,4 +1,4 @@
-//! What this process may use of the capacity at endpoints, and what operators see of the endpoints.
+//! The share of this process in the capacity at endpoints, and the metrics of the endpoints.
 use super::actor::{RouterActor, Timer};
 use crate::messages::BackendCommand;
 use crate::protocol::BackendProtocol;
@@ -9,8 +9,8 @@
 const MEMBER_METRICS_INTERVAL: Micros = 100_000;
 
 impl<P: BackendProtocol> RouterActor<P> {
-    /// The processes of this router share its capacity at endpoints, its probes and its descriptors. Connections beyond
-    /// this process's share count as reserved for the others.
+    /// Sets the number of processes that share this router's capacity at endpoints, its probes and its descriptors.
+    /// Connections beyond this process's share count as reserved for the others.
     pub(super) fn set_process_count(&mut self, processes: u32) {
         let all = self.resources.limits.link_connections;
         let reserved = all - all / processes.max(1) as usize;
@@ -21,27 +21,27 @@
         self.divide_capacity();
     }
 
-    /// The routers of the fleet share the capacity of endpoints.
+    /// Sets the number of routers that share the capacity of endpoints.
     pub(super) fn set_router_count(&mut self, routers: u32) {
         self.router_count = routers;
         self.divide_capacity();
     }
 
-    /// Each process of each router takes its share of the capacity.
+    /// Notifies the decisions of the number of processes of all routers, which share the capacity equally.
     fn divide_capacity(&mut self) {
         self.decide(Event::RouterCountChanged(
             self.router_count.max(1).saturating_mul(self.process_count.max(1)),
         ));
     }
 
-    /// Has every endpoint close its idle connections beyond `max_idle`: this process is near its limit of connections.
+    /// Closes idle connections beyond `max_idle` of each endpoint: this process is near its limit of connections.
     pub(super) fn trim_idle_connections(&self, max_idle: usize) {
         for endpoint in self.endpoints.values() {
             endpoint.send(BackendCommand::TrimIdle { max_idle });
         }
     }
 
-    /// Updates what operators see of the members, now and at an interval from now on.
+    /// Updates the metrics of members, now and periodically.
     pub(super) fn update_member_metrics(&mut self) {
         let Some(metrics) = &self.metrics else { return };
         let now = self.clock.now();
--- a/routing/src/router/endpoint_record.rs
+++ b/routing/src/router/endpoint_record.rs
@@ -1,10 +1,10 @@
-//! What the router actor keeps of each endpoint.
+//! The record of each listed endpoint.
 use crate::messages::{AddressedCommand, BackendCommand, BackendId, BackendSender};
 use crate::permit::EndpointState;
 use crate::protocol::BackendProtocol;
 use std::net::SocketAddr;
 
-/// A backend that exists, and the mailbox of the actor that runs it.
+/// The id of a backend, and the mailbox of the actor that runs it.
 pub(super) struct BackendRef<P: BackendProtocol> {
     pub(super) id: BackendId,
     pub(super) sender: BackendSender<P>,
@@ -14,9 +14,9 @@
     /// Its id in the endpoint list.
     pub(super) id: String,
     pub(super) addr: SocketAddr,
-    /// Read by its attempts before they start.
+    /// Whether it accepts exchanges, which its attempts read before they start.
     pub(super) state: EndpointState,
-    /// Created with the first exchange: of a long list, most endpoints are never asked here.
+    /// Created with the first exchange: a router sends nothing to most endpoints of a long list.
     pub(super) backend: Option<BackendRef<P>>,
 }
 
@@ -25,8 +25,8 @@
         EndpointRecord { id, addr, state: EndpointState::default(), backend: None }
     }
 
-    /// Sends a command to its backend, if that exists; `false` if it can't be sent. The actor of all backends may be
-    /// waiting for the router actor, so the router actor never waits for it. What must not be lost is written to the
+    /// Sends a command to its backend, if that exists; `false` if it can't be sent. The backends actor may be waiting for
+    /// the router actor, so the router actor never waits for it. What must not be lost is written to the
     /// [`EndpointState`] or to an attempt's guard.
     pub(super) fn send(&self, command: BackendCommand<P>) -> bool {
         let Some(BackendRef { id, sender }) = &self.backend else { return false };
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The router actor has no more use for the endpoint.
+    /// Removes the endpoint's backend for good.
     pub(super) fn retire(&self) {
         self.state.retire();
         self.send(BackendCommand::Remove);
--- a/routing/src/router/endpoint_updates.rs
+++ b/routing/src/router/endpoint_updates.rs
@@ -12,7 +12,7 @@
         if self.subsets.is_some() {
             drop_reserved_groups(&mut update);
         }
-        // Where missing members may serve, the decisions go on choosing them.
+        // Where missing members may serve, the decisions continue to choose them.
         if update.complete && !self.missing_members_may_serve {
             self.take_missing_out_of_service(&update);
         }
@@ -29,7 +29,7 @@
         self.apply_subset_change(change);
     }
 
-    /// Endpoints that a complete list lacks get no new exchanges.
+    /// Takes endpoints out of service that a complete list lacks.
     fn take_missing_out_of_service(&self, update: &EndpointUpdate) {
         let listed: HashSet<&str> = update.endpoints.iter().map(|endpoint| endpoint.id.as_str()).collect();
         for missing in self.endpoints.values().filter(|record| !listed.contains(record.id.as_str())) {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Takes in an endpoint as listed; returns its entry for the decisions.
+    /// Records an endpoint as listed; returns its entry for the decisions.
     fn member_entry(&mut self, endpoint: &EndpointEntry) -> MemberEntry {
         let id = self.own_member_id(endpoint);
         if endpoint.state != MemberState::Removed {
@@ -58,8 +58,8 @@
         }
     }
 
-    /// The own member id of a listed endpoint. One that is listed under another address than before keeps its member id
-    /// and gets a new record and backend; the old backend ends its exchanges.
+    /// The own member id of a listed endpoint. An endpoint whose address has changed keeps its member id and gets a new
+    /// record and backend; the old backend ends its exchanges.
     fn own_member_id(&mut self, endpoint: &EndpointEntry) -> MemberId {
         let Some(known) = self.members_by_id.get(&endpoint.id).copied() else {
             let id = self.member_ids.allocate();
@@ -75,7 +75,7 @@
         known
     }
 
-    /// The decisions have no more use for a member.
+    /// Removes a member that the decisions do not need any more.
     pub(super) fn remove_member(&mut self, member: MemberId) {
         let endpoint = match &mut self.subsets {
             Some(subsets) => subsets.remove_member(member),
--- a/routing/src/router/handle.rs
+++ b/routing/src/router/handle.rs
@@ -1,4 +1,4 @@
-//! How fronts and drivers reach the router actor.
+//! The handle through which fronts and other subsystems reach the router actor.
 use crate::clock::Clock;
 use crate::messages::RouterMessage;
 use crate::metrics::Metrics;
@@ -12,15 +12,14 @@
 
 /// Hands requests and updates to the router actor. Copies reach the same actor.
 ///
-/// When the program is ending, nobody takes what is handed over; the channel of a request's response then closes without
-/// one.
+/// While the program is ending, messages are dropped; the channel of a request's response then closes without one.
 pub struct RouterHandle<P: BackendProtocol> {
     sender: Sender<RouterMessage<P>>,
     next_request: Arc<AtomicU64>,
     metrics: Option<Arc<Metrics>>,
-    /// The clock that deadlines are read on.
+    /// The clock of deadlines.
     pub clock: Clock,
-    /// Puts times that others state on that clock.
+    /// Converts times that other programs state to that clock.
     pub wall_clock: WallClock,
 }
 
@@ -66,26 +65,27 @@
         self.send(RouterMessage::RequestCancelled(id));
     }
 
-    /// Counts a request of this class that was rejected before it came here.
+    /// Counts a request of this class that was rejected before it reached the router actor.
     pub fn count_rejected(&self, class: usize) {
         if let Some(class) = self.metrics.as_ref().and_then(|metrics| metrics.classes.get(class)) {
             class.rejected.inc();
         }
     }
 
-    /// This many processes serve as this router from now on: each takes its share of the capacity at endpoints.
+    /// Sets the number of processes that serve as this router, each of which uses an equal share of the capacity at
+    /// endpoints.
     pub fn set_process_count(&self, processes: u32) {
         self.send(RouterMessage::ProcessCount(processes));
     }
 
-    /// This many routers share the capacity at endpoints from now on, this one included; the processes of
+    /// Sets the number of routers that share the capacity at endpoints, this one included. The processes of
     /// [`RouterHandle::set_process_count`] divide it further.
     pub fn set_router_count(&self, routers: u32) {
         self.send(RouterMessage::RouterCount(routers));
     }
 
-    /// Updates where tenants' data may be. It binds requests that arrive later and those that wait; without placement
-    /// settings it has no effect.
+    /// Updates the placement rules. They apply to requests that arrive later and to those that wait; without placement
+    /// settings they have no effect.
     pub fn update_placement(&self, update: placement::News) {
         self.send(RouterMessage::Placement(update));
     }
--- a/routing/src/router/placed_request.rs
+++ b/routing/src/router/placed_request.rs
@@ -1,21 +1,21 @@
-//! A request that is routed by its tenant's placement rules, and why its route may have ended.
+//! The route of a request by its tenant's placement rules.
 use decision::{GroupId, Outcome, Request};
 use placement::Refusal;
 use std::sync::Arc;
 
-/// Why no further attempt of a request is sent.
+/// The reason for which no further attempt of a request is sent.
 #[derive(Clone)]
 pub(super) enum Stopped {
-    /// Its tenant's subset is another by now.
+    /// The request is routed to another group now.
     Rerouted,
-    /// Its tenant's data may not be anywhere that it could go to.
+    /// Its tenant's placement rules allow no endpoint that could serve it.
     Denied(Refusal),
 }
 
 /// The route of a request by placement rules.
 pub(super) struct PlacedRequest {
     pub(super) tenant: Option<Arc<str>>,
-    /// As it arrived, in its own group.
+    /// The request as it arrived, in its own group.
     pub(super) request: Request,
     /// The group, perhaps a subset's, that it was routed to.
     pub(super) routed_to: GroupId,
@@ -31,7 +31,7 @@
         self.routed_to
     }
 
-    /// One of its attempts has ended like this.
+    /// Records the outcome of one of its attempts.
     pub(super) fn attempt_ended(&mut self, outcome: Outcome) {
         self.may_have_run |= !outcome.never_ran();
     }
--- a/routing/src/router/placement_routing.rs
+++ b/routing/src/router/placement_routing.rs
@@ -17,7 +17,7 @@
     /// Routes a request that has arrived; `None` without placement rules.
     ///
     /// # Errors
-    /// Its tenant's data may not be anywhere that it could go to.
+    /// Its tenant's placement rules allow no endpoint that could serve it.
     pub(super) fn place(
         &mut self,
         tenant: Option<Arc<str>>,
@@ -43,7 +43,7 @@
         routed
     }
 
-    /// Notifies the decisions of a change, and cancels attempts that may not start any more.
+    /// Notifies the decisions of a change, and forbids the start of attempts at members that have left their subset.
     pub(super) fn apply_subset_change(&mut self, change: SubsetChange) {
         let SubsetChange { entries, departed, reroute, timer } = change;
         if let Some(at) = timer {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// What has not started at these members does not start.
+    /// Forbids the start of attempts at these members.
     pub(super) fn cancel_unstarted_at(&self, departed: &[MemberId]) {
         if departed.is_empty() {
             return;
@@ -84,7 +84,7 @@
         self.apply_subset_change(change);
     }
 
-    /// Records what a response or a probe says of a member's role, and whether the member was reachable.
+    /// Records the role that a member has stated, and whether the member was reachable.
     pub(super) fn record_placement_outcome(
         &mut self,
         member: MemberId,
@@ -99,7 +99,7 @@
             subsets.record_outcome(now, member, outcome, stated, &mut self.member_ids);
         self.apply_subset_change(change);
         if source == ReportSource::Probe {
-            // The end of a probe notifies all members itself.
+            // `probe_ended` notifies all members itself.
             return;
         }
         for member in to_notify {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Routes all requests again that wait for their response.
+    /// Routes all requests again that await their response.
     fn reroute_all(&mut self) {
         let waits = |record: &RequestRecord<P>| record.awaits_response() && record.placed.is_some();
         let mut waiting: Vec<RequestId> =
@@ -116,7 +116,7 @@
         waiting.into_iter().for_each(|id| self.reroute(id));
     }
 
-    /// Routes a request again that waits for its response.
+    /// Routes a request again that awaits its response.
     fn reroute(&mut self, id: RequestId) {
         let Some(record) = self.requests.get(&id).filter(|record| record.awaits_response()) else { return };
         let Some(placed) = &record.placed else { return };
@@ -129,7 +129,7 @@
         if routed == Ok(before) {
             return;
         }
-        // Routing may have come back here for the same request and dealt with it.
+        // `route` may have re-entered this function for the same request and ended it.
         let Some(record) = self.requests.get_mut(&id).filter(|record| record.awaits_response()) else {
             return;
         };
@@ -138,7 +138,7 @@
         if !has_attempts {
             return self.submit_rerouted(id, routed);
         }
-        // Its attempts are numbered, so it can't be submitted anew; those under way end by themselves.
+        // Its attempts are numbered, so it can't be submitted again; those in flight end by themselves.
         if placed.stopped.is_none() {
             placed.stopped = Some(routed.map_or_else(Stopped::Denied, |_| Stopped::Rerouted));
             self.decide(Event::ResponseStarted { request: id });
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Submits a request without attempts to the decisions anew, in the group that it is routed to now.
+    /// Submits a request without attempts to the decisions again, in the group that it is routed to now.
     fn submit_rerouted(&mut self, id: RequestId, routed: Result<GroupId, Refusal>) {
         let routed_to = match routed {
             Ok(routed_to) => routed_to,
@@ -165,7 +165,7 @@
         self.decide(Event::RequestArrived(request));
     }
 
-    /// The final response of a request whose route has changed under way, once none of its attempts is.
+    /// Sends the final response of a request whose route has changed after its first attempt, once none is in flight.
     fn respond_to_stopped(&mut self, id: RequestId) {
         let Some(record) = self.requests.get(&id).filter(|record| record.in_flight.is_empty()) else {
             return;
@@ -180,7 +180,7 @@
         self.respond(id, response, EndReason::PlacementDenied);
     }
 
-    /// Routes a request again of which the last attempt under way has ended.
+    /// Routes a request again whose last attempt in flight has ended.
     pub(super) fn reroute_after_attempt(&mut self, id: RequestId) {
         let idle = |record: &RequestRecord<P>| record.in_flight.is_empty();
         if self.subsets.is_some() && self.requests.get(&id).is_some_and(idle) {
--- a/routing/src/router/probing.rs
+++ b/routing/src/router/probing.rs
@@ -1,4 +1,4 @@
-//! Probes of endpoints: when they are sent, and whom their reports concern.
+//! Probes of endpoints: when they are sent, and which members their reports are for.
 use super::actor::{RouterActor, Timer};
 use crate::messages::{BackendCommand, RouterMessage};
 use crate::placement_subsets::{ProbeStart, ReportSource};
@@ -8,7 +8,7 @@
 use std::cmp::Reverse;
 
 impl<P: BackendProtocol> RouterActor<P> {
-    /// The decisions want a member probed.
+    /// Probes a member, as the decisions have requested.
     pub(super) fn probe_member(&mut self, member: MemberId) {
         let now = self.clock.now();
         let Some(subsets) = &mut self.subsets else { return self.schedule_probe(member) };
@@ -51,7 +51,7 @@
         self.defer(RouterMessage::ProbeEnded { member: endpoint, outcome, report });
     }
 
-    /// The probe of an endpoint has ended, and so it has for all of its members that wait for it.
+    /// Handles the end of an endpoint's probe, for all of its members that wait for it.
     pub(super) fn probe_ended(&mut self, endpoint: MemberId, outcome: Outcome, report: MemberReport) {
         self.record_responded(endpoint, outcome);
         self.probe_spacing.probe_ended(endpoint, report);
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Records that an endpoint has responded, if somebody wants to know.
+    /// Records that an endpoint has responded, where responses are recorded.
     pub(super) fn record_responded(&self, endpoint: MemberId, outcome: Outcome) {
         if let Some(responded) = self.responded.as_ref().filter(|_| outcome == Outcome::Ok)
             && let Some(record) = self.endpoints.get(&endpoint)
--- a/routing/src/socket.rs
+++ b/routing/src/socket.rs
@@ -1,5 +1,5 @@
 //! Socket operations that the wire protocols share: connecting, reading up to a deadline and writing several parts, all
-//! blocking, and a look at what has arrived, which does not block.
+//! blocking, and a non-blocking peek.
 use settings::Limits;
 use socket2::SockRef;
 use std::io::{self, IoSlice, Read, Write};
@@ -7,18 +7,18 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Shortest read timeout that is set: the system takes zero for "no timeout".
+/// The shortest read timeout that is set: the operating system reads zero as "no timeout".
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
-/// Shortest time that a connection's greeting gets, however long connecting took.
+/// The shortest read timeout for a server's greeting, however long connecting took.
 const MIN_GREETING_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Whether an idle connection is still open and silent: the other side has nothing to say on one, so bytes or an end
-/// of stream mean that it is not usable any more.
+/// Whether an idle connection is open and nothing has arrived on it. The server sends nothing unasked, so bytes or an end
+/// of stream mean that the connection is not usable any more.
 pub fn is_idle_and_open(socket: &TcpStream) -> bool {
     peek(socket).is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// How many bytes, one at most, could be read without blocking; they stay in the socket's buffer. 0 is the end of the
+/// The number of bytes, 0 or 1, that can be read without blocking; they stay in the socket's buffer. 0 is the end of the
 /// stream.
 ///
 /// # Errors
@@ -33,16 +33,16 @@
     }
 }
 
-/// Whether a connection failed for lack of this host's own resources, which says nothing of the endpoint: descriptors,
-/// memory, ports, buffers.
+/// Whether a connection failed for lack of this host's own descriptors, memory, ports or buffers, which is no failure of
+/// the endpoint.
 pub fn is_local_shortage(error: &io::Error) -> bool {
     const SHORTAGES: [i32; 6] =
         [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EADDRNOTAVAIL, libc::EAGAIN];
     error.raw_os_error().is_some_and(|code| SHORTAGES.contains(&code))
 }
 
-/// Reads from a socket until a deadline: a peer that sends a byte now and then must not occupy a thread indefinitely. The
-/// socket keeps the read timeout of the last read.
+/// Reads from a socket until a deadline, so that a peer that sends a byte now and then can't occupy a thread indefinitely.
+/// The socket keeps the read timeout of the last read.
 pub struct DeadlineReader<'a> {
     socket: &'a TcpStream,
     deadline: Instant,
@@ -67,9 +67,9 @@
     }
 }
 
-/// Connects, and never to itself: where nobody listens on a loopback port of the range for outgoing connections, the
-/// system may choose that very port for this end. Such a connection would read what it writes and keep the port from
-/// the server that is to listen there.
+/// Connects, and never to itself: if nobody listens on a loopback port of the ephemeral range, the operating system may
+/// choose that very port for this end. Such a connection would read what it writes, and the server could not listen on
+/// the port.
 ///
 /// # Errors
 /// The connection could not be made within `timeout`; [`io::ErrorKind::ConnectionRefused`] also if it was one to itself.
@@ -92,7 +92,7 @@
 }
 
 /// Connects to an endpoint without Nagle's algorithm. What remains of `limits.connect` becomes the read timeout, for
-/// the endpoint's greeting; the write timeout is `limits.connect`. Unlike [`connect`] it does not look for a connection to
+/// the endpoint's greeting; the write timeout is `limits.connect`. Unlike [`connect`] it does not check for a connection to
 /// itself.
 ///
 /// # Errors
