--- a/routing/tests/attempt_guard.rs
+++ b/routing/tests/attempt_guard.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn cancel_if_unstarted_spares_a_started_exchange_and_forbids_its_restart() {
+fn cancel_if_unstarted_forbids_only_later_starts() {
     let (near, far) = connected_pair();
     let guard = AttemptGuard::default();
     guard.attach_socket(near.clone());
--- a/routing/tests/handover/connections.rs
+++ b/routing/tests/handover/connections.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn member_missing_from_a_complete_list_goes_on_serving_where_it_may() {
+fn member_missing_from_complete_list_serves_where_allowed() {
     let mut core = Core::start_with(|_| (), |settings| settings.missing_members_may_serve = true);
     core.list(&[endpoint("a", 1, 0), endpoint("b", 2, 1)]);
     assert_eq!(core.submit(0, IDEMPOTENT).served_by(), addr(1));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn member_missing_from_a_complete_list_gets_nothing_elsewhere() {
+fn member_missing_from_complete_list_gets_nothing_elsewhere() {
     let mut core = Core::start(|_| ());
     core.list(&[endpoint("a", 1, 0), endpoint("b", 2, 1)]);
     assert_eq!(core.submit(0, IDEMPOTENT).served_by(), addr(1));
--- a/routing/tests/metrics.rs
+++ b/routing/tests/metrics.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn every_class_and_the_router_have_their_lines_from_the_start() {
+fn every_class_has_its_lines_from_the_start() {
     let metrics = Metrics::new(&["stock-read".into(), "order".into()]).unwrap();
     metrics.classes[1].served.inc_by(812);
     metrics.classes[0].attempts_sent.inc();
--- a/routing/tests/observer.rs
+++ b/routing/tests/observer.rs
@@ -1,4 +1,4 @@
-//! The observer on histories that break each promise once, and on random ones that break none.
+//! The observer on histories that break each promise once and on regular ones, and the permits of repeats.
 use decision::{Idempotency, Outcome, RequestId, Time};
 use routing::observer::{AttemptEnd, Ending, Invariant, MAX_TRACKED, Observer, Transition, Violation};
 use routing::permit::{RepeatRule, RepeatState};
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn ordinary_lives_violate_nothing() {
+fn regular_histories_violate_nothing() {
     let served = [(0, dispatched(0)), (S, ended(0, 10, Outcome::Ok)), (S, Transition::Ended(Ending::Served))];
     let retried = [
         (0, dispatched(0)),
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn each_broken_promise_is_named() {
+fn each_broken_promise_reports_its_invariant() {
     let end = Transition::Ended;
     let twice = [(S, end(Ending::Rejected)), (S, end(Ending::Failed))];
     // An attempt is out, so the request is still known when its second end comes.
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn attempts_that_were_never_sent_are_no_repeats() {
+fn unsent_attempts_do_not_count_as_repeats() {
     let unsent = |attempt, outcome| {
         Transition::AttemptEnded(AttemptEnd {
             attempt,
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn memory_is_bounded_and_what_is_over_is_forgotten() {
+fn tracked_requests_are_bounded_and_removed_at_their_end() {
     let mut observer = Observer::new(rules(), 0);
     let mut found = Vec::new();
     let accepted = Transition::Accepted { class: IDEMPOTENT, deadline: Time(S) };
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn repeats_are_permitted_as_the_class_allows() {
+fn permit_attempt_follows_idempotency_of_class() {
     let [idempotent, not_idempotent, window] = rules().try_into().unwrap();
     let after = |outcome| {
         let mut state = RepeatState::default();
--- a/routing/tests/wall_clock.rs
+++ b/routing/tests/wall_clock.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn without_a_step_times_mean_what_they_say() {
+fn stated_times_are_unchanged_without_a_step() {
     let offsets = ClockOffsets::default();
     let (now, stated) = (Time(100 * S), Time(90 * S));
     assert_eq!(offsets.start(now, stated), stated);
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn small_differences_and_slow_readings_are_no_steps() {
+fn small_differences_are_no_steps() {
     let mut offsets = ClockOffsets::default();
     assert_eq!(offsets.observe(Time(S), Time(S + 19_999)), None);
     assert_eq!(offsets.observe(Time(S), Time(S - 19_999)), None);
 }
 
 #[test]
-fn starts_after_a_step_are_cold_for_as_long_as_without_it() {
+fn starts_are_not_converted_to_earlier_times() {
     let now = Time(103 * S);
     for step in [-HOUR, -5 * S, 5 * S, HOUR] {
         let offsets = stepped(step);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn commits_are_never_taken_for_earlier_than_they_were() {
+fn commits_are_not_converted_to_earlier_times() {
     let now = Time(103 * S);
     for step in [-HOUR, -5 * S, 5 * S, HOUR] {
         let offsets = stepped(step);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn positions_are_never_taken_for_later_than_they_are() {
+fn positions_are_not_converted_to_later_times() {
     for step in [-HOUR, -5 * S, 5 * S, HOUR] {
         let offsets = stepped(step);
         for now in [Time(103 * S), Time(108 * S)] {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn replicas_count_as_fresh_again_soon_after_a_step() {
+fn replica_positions_are_current_soon_after_a_step() {
     for step in [-HOUR, -5 * S, 5 * S, HOUR] {
         let offsets = stepped(step);
         let now = Time(111 * S);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_step_back_to_where_the_clock_was_is_a_step_too() {
+fn step_back_to_previous_offset_is_detected() {
     let mut offsets = stepped(HOUR);
     assert_eq!(offsets.observe(Time(110 * S), Time(110 * S)), Some(-HOUR));
     let now = Time(120 * S + S);
