--- a/routing/src/placement_subsets/members.rs
+++ b/routing/src/placement_subsets/members.rs
@@ -36,7 +36,7 @@
     }
 
     /// Marks the endpoints as removed that a complete list lacks.
-    pub(super) fn mark_missing_gone(&mut self, named: &BTreeSet<MemberId>) {
+    pub(super) fn mark_missing_removed(&mut self, named: &BTreeSet<MemberId>) {
         for (_, endpoint) in self.endpoints.iter_mut().filter(|(id, _)| !named.contains(*id)) {
             endpoint.entry.state = MemberState::Removed;
         }
--- a/routing/src/placement_subsets/subsets.rs
+++ b/routing/src/placement_subsets/subsets.rs
@@ -91,7 +91,7 @@
         let members = self.track(update, entries);
         let named: BTreeSet<MemberId> = entries.iter().map(|entry| entry.id).collect();
         if update.complete {
-            self.mark_missing_gone(&named);
+            self.mark_missing_removed(&named);
         }
         let mut change = SubsetChange::default();
         let event = Event::Members { complete: update.complete, entries: members };
@@ -171,7 +171,7 @@
     fn hide_member(&mut self, subset: GroupId, own_id: MemberId, change: &mut SubsetChange) {
         let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return };
         let Some(alias) = endpoint.hide_alias(subset) else { return };
-        change.entries.insert(alias, endpoint.gone_entry(alias, subset));
+        change.entries.insert(alias, endpoint.removed_entry(alias, subset));
         change.departed.push(alias);
     }
 
--- a/routing/src/placement_subsets/tracked_endpoint.rs
+++ b/routing/src/placement_subsets/tracked_endpoint.rs
@@ -59,7 +59,7 @@
     }
 
     /// The entry of an alias that has left its subset.
-    pub(super) fn gone_entry(&self, alias: MemberId, subset: GroupId) -> MemberEntry {
+    pub(super) fn removed_entry(&self, alias: MemberId, subset: GroupId) -> MemberEntry {
         MemberEntry { id: alias, group: subset, state: MemberState::Removed, ..self.entry.clone() }
     }
 
