--- a/postgres/src/front/session.rs
+++ b/postgres/src/front/session.rs
@@ -15,7 +15,7 @@
 
 /// Serves a connection until it ends.
 pub(super) fn serve(front: &Arc<Front>, connection: &Arc<Connection>) {
-    let mut buffer = MessageBuffer::pooled(front.limits.message_bytes, &front.memory);
+    let mut buffer = MessageBuffer::pooled(front.limits.max_message_bytes, &front.memory);
     let _cancel_key = match start_up(front, &mut buffer, connection) {
         Ok(Some(key)) => key,
         Ok(None) | Err(ReadError::Io(_)) => return,
--- a/postgres/tests/responses.rs
+++ b/postgres/tests/responses.rs
@@ -198,7 +198,7 @@
     let case = cases().into_iter().find(|c| c.probe).unwrap();
     let bytes = case.messages.concat();
     let mut limits = limits();
-    limits.probe = Duration::from_millis(500);
+    limits.health_check_timeout = Duration::from_millis(500);
     std::thread::scope(|s| {
         for sent in 0..=bytes.len() {
             let (case, limits, bytes) = (&case, &limits, bytes[..sent].to_vec());
--- a/routing/src/backends.rs
+++ b/routing/src/backends.rs
@@ -25,8 +25,8 @@
 /// # Errors
 /// Its thread could not be started.
 pub(crate) fn start<P: BackendProtocol>(resources: BackendResources<P>) -> std::io::Result<BackendSender<P>> {
-    let (own_sender, mailbox) = bounded(resources.limits.mailbox);
-    let (sender, stack_bytes) = (own_sender.clone(), resources.limits.stack_bytes);
+    let (own_sender, mailbox) = bounded(resources.limits.mailbox_capacity);
+    let (sender, stack_bytes) = (own_sender.clone(), resources.limits.socket_thread_stack_bytes);
     spawn(THREAD_NAME, stack_bytes, move || BackendsActor::new(resources, own_sender).run(&mailbox))?;
     Ok(sender)
 }
--- a/routing/src/backends/backend.rs
+++ b/routing/src/backends/backend.rs
@@ -71,14 +71,14 @@
 
     /// Closes connections that have been idle for too long, and all idle ones of an endpoint out of service.
     pub(super) fn close_expired(&mut self) {
-        let max_age = self.context.resources.limits.link_idle;
+        let max_age = self.context.resources.limits.backend_idle_timeout;
         let in_service = self.context.state.accepts_exchanges();
         self.idle.retain(|idle| in_service && idle.idle_for() < max_age);
     }
 
     /// Closes all but the `max_idle` most recently used idle connections, except for those used a moment ago.
     fn trim_idle(&mut self, max_idle: usize) {
-        let min_age = self.context.resources.limits.link_idle_least;
+        let min_age = self.context.resources.limits.backend_idle_timeout_when_full;
         let mut surplus = self.idle.len().saturating_sub(max_idle);
         self.idle.retain(|idle| {
             let closes = surplus > 0 && idle.idle_for() >= min_age;
@@ -99,7 +99,9 @@
         let resources = &self.context.resources;
         let AcquiredSlot { open_before: open, slot } = resources.connections.acquire();
         self.announce_near_limit(open);
-        if open >= resources.limits.link_connections || self.busy >= resources.limits.links_per_peer {
+        if open >= resources.limits.max_backend_connections
+            || self.busy >= resources.limits.max_connections_per_backend
+        {
             return self.context.report_outcome(&task, Outcome::NeverSent);
         }
         let idle = IdleConnection { connection: None, since: Instant::now(), slot };
@@ -109,7 +111,7 @@
     /// Removes the most recently used idle connection that has settled since its response, or else the one that settles
     /// first.
     fn take_idle(&mut self) -> Option<IdleConnection<P>> {
-        let settle_time = self.context.resources.limits.link_settle;
+        let settle_time = self.context.resources.limits.backend_reuse_delay;
         let settled = self.idle.iter().rposition(|idle| idle.idle_for() >= settle_time);
         (!self.idle.is_empty()).then(|| self.idle.remove(settled.unwrap_or(0)))
     }
@@ -118,8 +120,9 @@
     /// idle.
     fn announce_near_limit(&self, open: usize) {
         let BackendResources { limits, router, .. } = &self.context.resources;
-        if LIMIT_PARTS * open >= NEAR_LIMIT_SIXTEENTHS * limits.link_connections {
-            let max_idle = usize::from(LIMIT_PARTS * open < CRITICAL_SIXTEENTHS * limits.link_connections);
+        if LIMIT_PARTS * open >= NEAR_LIMIT_SIXTEENTHS * limits.max_backend_connections {
+            let max_idle =
+                usize::from(LIMIT_PARTS * open < CRITICAL_SIXTEENTHS * limits.max_backend_connections);
             _ = router.try_send(RouterMessage::ConnectionsNearLimit { max_idle });
         }
     }
@@ -130,11 +133,12 @@
         let (task_sender, task_receiver) = bounded(1);
         _ = task_sender.send((task, guard));
         let (context, receiver) = (self.context.clone(), task_receiver.clone());
-        let started = spawn(THREAD_NAME, self.context.resources.limits.stack_bytes, move || {
-            if let Ok((task, guard)) = receiver.try_recv() {
-                run(&context, task, &guard, idle);
-            }
-        });
+        let started =
+            spawn(THREAD_NAME, self.context.resources.limits.socket_thread_stack_bytes, move || {
+                if let Ok((task, guard)) = receiver.try_recv() {
+                    run(&context, task, &guard, idle);
+                }
+            });
         match started {
             Ok(()) => self.busy += 1,
             Err(error) => {
--- a/routing/src/backends/exchange.rs
+++ b/routing/src/backends/exchange.rs
@@ -66,7 +66,7 @@
 ) {
     let IdleConnection { mut connection, since: last_response, slot } = idle;
     if connection.is_some() {
-        wait_until_settled(context.resources.limits.link_settle, last_response);
+        wait_until_settled(context.resources.limits.backend_reuse_delay, last_response);
     }
     // Even if the protocol's code panics, the task ends and the connection's slot is released.
     let executed =
--- a/routing/src/router/attempts.rs
+++ b/routing/src/router/attempts.rs
@@ -144,7 +144,7 @@
     /// The outcome of an attempt that was cancelled before its first byte and never ran. If its connection did not open
     /// within half of the connect timeout or longer, that counts as a failure of the endpoint.
     fn unsent_outcome(&self, times: &AttemptTimes) -> Outcome {
-        let connect_timeout = self.resources.limits.connect;
+        let connect_timeout = self.resources.limits.backend_connect_timeout;
         let is_overdue = times.connecting_since.is_some_and(|since| 2 * since.elapsed() >= connect_timeout);
         if is_overdue { Outcome::ConnectFailed } else { Outcome::NeverSent }
     }
