--- a/routing/src/placement_subsets/subsets.rs
+++ b/routing/src/placement_subsets/subsets.rs
@@ -1,20 +1,20 @@
 //! The subsets of one router: routing, changes of the rules and of the endpoint list, and what members have stated.
-use super::change::{StatedRole, SubsetChange};
+use super::change::{OutcomeRecorded, ReportSource, Routed, StatedRole, SubsetChange};
 use super::member_ids::MemberIds;
 use super::primary_search::PrimarySearch;
 use super::tracked_endpoint::TrackedEndpoint;
 use crate::endpoint::EndpointUpdate;
 use decision::{Freshness, GroupId, MemberEntry, MemberId, Outcome, Time};
-use placement::{Action, Event, Places, Refusal};
+use placement::{Action, Event, Places};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
 /// The subsets of one router.
 pub struct PlacementSubsets {
     pub(super) places: Places,
-    /// By class.
+    /// Whether a request of the class needs the primary, by class.
     pub(super) needs_primary: Vec<bool>,
-    /// By the endpoint's own member id.
+    /// The endpoints, by their own member ids.
     pub(super) endpoints: HashMap<MemberId, TrackedEndpoint>,
     pub(super) own_ids: HashMap<Arc<str>, MemberId>,
     /// The endpoint's own member id, by alias.
@@ -50,7 +50,7 @@
         self.places.is_due(now)
     }
 
-    /// The group, perhaps a subset's, whose members may serve a request.
+    /// Routes a request to the group, perhaps a subset's, whose members may serve it.
     pub fn route(
         &mut self,
         now: Time,
@@ -58,13 +58,13 @@
         class: usize,
         group: GroupId,
         ids: &mut MemberIds,
-    ) -> (Result<GroupId, Refusal>, SubsetChange) {
+    ) -> Routed {
         let needs_primary = self.needs_primary.get(class).copied().unwrap_or(true);
         let mut actions = Vec::new();
-        let routed = self.places.route(now, tenant, class, group, needs_primary, &mut actions);
+        let group = self.places.route(now, tenant, class, group, needs_primary, &mut actions);
         let mut change = SubsetChange::default();
         self.apply(actions, &mut change, ids);
-        (routed, change)
+        Routed { group, change }
     }
 
     /// Handles an update of the rules, or a timer.
@@ -91,7 +91,7 @@
         let members = self.track(update, entries);
         let named: BTreeSet<MemberId> = entries.iter().map(|entry| entry.id).collect();
         if update.complete {
-            self.mark_missing_gone(&named);
+            self.mark_missing_removed(&named);
         }
         let mut change = SubsetChange::default();
         let event = Event::Members { complete: update.complete, entries: members };
@@ -103,8 +103,7 @@
         change
     }
 
-    /// Records what a member has stated about its role and whether it was reachable. Returns also the other member ids
-    /// of its endpoint that have to be notified.
+    /// Records what a member has stated about its role and whether it was reachable.
     pub fn record_outcome(
         &mut self,
         now: Time,
@@ -112,9 +111,9 @@
         outcome: Outcome,
         stated: Option<StatedRole>,
         ids: &mut MemberIds,
-    ) -> (SubsetChange, Vec<MemberId>) {
+    ) -> OutcomeRecorded {
         let (own_id, mut change) = (self.own_id(member), SubsetChange::default());
-        let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return (change, Vec::new()) };
+        let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return OutcomeRecorded::default() };
         let (name, group) = (endpoint.name.clone(), endpoint.entry.group);
         let mut changed = endpoint.record_reachability(outcome);
         if let Some(role) = stated {
@@ -125,17 +124,18 @@
         if changed {
             self.handle_into(now, Event::Reach { member: name.clone(), reached }, &mut change, ids);
         }
-        if let Some(StatedRole { primary, with_response }) = stated {
-            let event = Event::Said { member: name, primary, note: with_response };
+        if let Some(StatedRole { primary, source }) = stated {
+            let note = source == ReportSource::Response;
+            let event = Event::Said { member: name, primary, note };
             self.handle_into(now, event, &mut change, ids);
         }
         changed |= self.places.primary(group) != primary_before.as_ref();
         let to_notify = if changed { self.ids_in_use(own_id, &[member]) } else { Vec::new() };
-        (change, to_notify)
+        OutcomeRecorded { change, to_notify }
     }
 
-    /// Of this many unavailable members, how many endpoints that may be: a draining endpoint is counted once. Ejections
-    /// are made for each member id apart and can't be told apart here.
+    /// An estimate of the number of unavailable endpoints from the number of unavailable members: a draining endpoint is
+    /// counted once. Ejections are made for each member id and are not distinguished here.
     pub fn unhealthy_endpoints(&self, unavailable_members: usize) -> usize {
         let draining = self.endpoints.values().filter(|e| e.is_draining());
         let counted_again: usize = draining.map(|e| e.shown_aliases().count()).sum();
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Gives a subset exactly these members.
+    /// Sets the members of a subset.
     fn show(&mut self, subset: GroupId, names: &[Arc<str>], change: &mut SubsetChange, ids: &mut MemberIds) {
         let members: BTreeSet<MemberId> =
             names.iter().filter_map(|name| self.own_ids.get(name)).copied().collect();
@@ -171,7 +171,7 @@
     fn hide_member(&mut self, subset: GroupId, own_id: MemberId, change: &mut SubsetChange) {
         let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return };
         let Some(alias) = endpoint.hide_alias(subset) else { return };
-        change.entries.insert(alias, endpoint.gone_entry(alias, subset));
+        change.entries.insert(alias, endpoint.removed_entry(alias, subset));
         change.departed.push(alias);
     }
 
