--- /dev/null
+++ b/mysql/src/backend.rs
@@ -0,0 +1,113 @@
+//! Connections to servers: one command at a time on a connection that stays open. A statement is prepared on one when an
+//! execution first needs it there.
+mod connection;
+mod probe;
+mod statement_cache;
+
+pub use connection::MysqlConnection;
+
+use crate::errors::{self, ServerErrorMeaning};
+use crate::login::{Credentials, LoginError, login};
+use crate::packet::PacketReader;
+use crate::request::{Request, ResponsePayloads};
+use connection::ConnectionContext;
+use routing::{
+    AttemptGuard, BackendProtocol, Clock, Connection, ConnectionPermit, Exchange, ExchangeResult, Handshake,
+    NotSent, Outcome, ServerSocket,
+};
+use sessions::clocks::Clocks;
+use settings::Limits;
+use settings::operator::Mysql as Settings;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// The `MySQL` wire protocol towards servers.
+#[derive(Clone)]
+pub struct Mysql {
+    credentials: Credentials,
+    settings: Arc<Settings>,
+    limits: Arc<Limits>,
+    clock: Clock,
+    /// How far the servers' clocks are from this router's, from their responses to probes.
+    pub clocks: Arc<Clocks>,
+}
+
+impl Mysql {
+    /// The protocol with the login that the settings name.
+    pub fn new(settings: Arc<Settings>, limits: Arc<Limits>, clock: Clock) -> Self {
+        let credentials = Credentials {
+            user: settings.server_user.clone(),
+            password: settings.server_password.clone(),
+            database: settings.database.clone(),
+        };
+        let clocks = Arc::new(Clocks::new(settings.server_clock, limits.clock_skew.as_micros() as i64));
+        Mysql { credentials, settings, limits, clock, clocks }
+    }
+}
+
+impl BackendProtocol for Mysql {
+    type Payload = Request;
+    type Response = ResponsePayloads;
+    type Connection = MysqlConnection;
+
+    fn connect(&self, addr: SocketAddr, permit: ConnectionPermit) -> Result<MysqlConnection, Outcome> {
+        let deadline = Instant::now() + self.limits.connect;
+        let handshake = Handshake::connect(permit, addr, &self.limits)?;
+        let mut reader = PacketReader::new(self.limits.answer_bytes);
+        login(&handshake, &mut reader, &self.credentials, deadline)
+            .map_err(|error| login_outcome(addr, &error))?;
+        let context = ConnectionContext {
+            settings: self.settings.clone(),
+            limits: self.limits.clone(),
+            clock: self.clock,
+            clocks: self.clocks.clone(),
+            addr,
+        };
+        let socket = handshake.finish().map_err(|_| Outcome::ConnectFailed)?;
+        Ok(MysqlConnection::new(socket, reader, deadline, context))
+    }
+}
+
+fn login_outcome(addr: SocketAddr, error: &LoginError) -> Outcome {
+    if let LoginError::Server(number) = error
+        && errors::meaning(*number) == ServerErrorMeaning::Outcome(Outcome::Rejected)
+    {
+        return Outcome::Rejected;
+    }
+    tracing::warn!(server = %addr, %error, "login at server failed");
+    Outcome::ConnectFailed
+}
+
+impl Connection<Mysql> for MysqlConnection {
+    fn socket(&self) -> ServerSocket {
+        self.server_socket()
+    }
+
+    fn is_usable(&mut self, idle: Duration, _permit: ConnectionPermit) -> bool {
+        self.is_usable_after(idle)
+    }
+
+    fn execute(
+        &mut self,
+        exchange: Exchange<'_, Mysql>,
+        guard: &AttemptGuard,
+    ) -> Result<ExchangeResult<ResponsePayloads>, NotSent> {
+        match exchange {
+            Exchange::Probe => {
+                self.begin_probe();
+                self.probe(guard)
+            }
+            Exchange::Attempt(request, deadline) => {
+                self.begin_attempt(deadline);
+                match request {
+                    Request::Query(text) => self.query(text, guard),
+                    Request::Prepare(text) => self.describe(text, guard),
+                    Request::Execute { text, body, long_parameters } => {
+                        self.execute_statement(text, body, long_parameters, guard)
+                    }
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/mysql/src/backend/connection.rs
@@ -0,0 +1,364 @@
+//! One connection to a server, behind its login: its commands and their responses.
+use super::probe::ProbeRow;
+use super::statement_cache::{ServerStatementId, StatementCache};
+use crate::command;
+use crate::errors::{self, ServerErrorMeaning};
+use crate::fields::FieldReader;
+use crate::packet::{HEAD_BYTES, PacketReader, ReadError, with_command};
+use crate::request::{LongParameters, ResponsePayloads};
+use crate::results::ResponseState;
+use routing::{
+    AttemptGuard, Clock, ExchangeResult, MemberReport, NotSent, Outcome, ServerSocket, Time, WritePermit,
+};
+use sessions::clocks::{Clocks, Offset};
+use settings::Limits;
+use settings::operator::Mysql as Settings;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// The result of one exchange with a server.
+pub(super) type ServerResult = ExchangeResult<ResponsePayloads>;
+
+/// What a connection has from the protocol that opened it.
+pub(super) struct ConnectionContext {
+    pub(super) settings: Arc<Settings>,
+    pub(super) limits: Arc<Limits>,
+    pub(super) clock: Clock,
+    pub(super) clocks: Arc<Clocks>,
+    pub(super) addr: SocketAddr,
+}
+
+/// A connection to a server.
+pub struct MysqlConnection {
+    socket: ServerSocket,
+    reader: PacketReader,
+    /// The current exchange is given up at this moment, however slowly its response comes.
+    deadline: Instant,
+    context: ConnectionContext,
+    statements: StatementCache,
+}
+
+/// Why a command has no response.
+enum ResponseError {
+    /// The connection broke, brought nothing in time, or something that is no response.
+    Failed(Outcome),
+    /// The response is longer than what is accepted.
+    TooLarge,
+}
+
+impl From<ReadError> for ResponseError {
+    fn from(error: ReadError) -> Self {
+        match error {
+            ReadError::Io(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
+                ResponseError::Failed(Outcome::TimedOut)
+            }
+            ReadError::IdleTimeout => ResponseError::Failed(Outcome::TimedOut),
+            ReadError::TooLong => ResponseError::TooLarge,
+            ReadError::Io(_) | ReadError::Closed | ReadError::OutOfOrder => {
+                ResponseError::Failed(Outcome::Reset)
+            }
+        }
+    }
+}
+
+/// What became of preparing a statement.
+enum Prepared {
+    /// It is prepared under this id; the response describes parameters and columns.
+    Ready { id: ServerStatementId, response: ResponsePayloads },
+    /// The server's error, as its only payload.
+    Error(ResponsePayloads),
+}
+
+impl MysqlConnection {
+    pub(super) fn new(
+        socket: ServerSocket,
+        reader: PacketReader,
+        deadline: Instant,
+        context: ConnectionContext,
+    ) -> MysqlConnection {
+        MysqlConnection { socket, reader, deadline, context, statements: StatementCache::default() }
+    }
+
+    pub(super) fn server_socket(&self) -> ServerSocket {
+        self.socket.clone()
+    }
+
+    pub(super) fn is_usable_after(&self, idle: Duration) -> bool {
+        idle < self.context.limits.link_trust && self.is_silent()
+    }
+
+    /// Whether it is open and has brought nothing that was not asked for.
+    fn is_silent(&self) -> bool {
+        self.reader.is_empty() && self.socket.is_idle_and_open()
+    }
+
+    /// Begins an exchange whose client waits until the deadline.
+    pub(super) fn begin_attempt(&mut self, deadline: Instant) {
+        let now = Instant::now();
+        self.deadline = now + deadline.saturating_duration_since(now) + self.context.limits.link_backstop;
+    }
+
+    /// Begins a probe.
+    pub(super) fn begin_probe(&mut self) {
+        self.deadline = Instant::now() + self.context.limits.probe;
+    }
+
+    /// Sends the probe's statement and reads what the server says about itself.
+    pub(super) fn probe(&mut self, guard: &AttemptGuard) -> Result<ServerResult, NotSent> {
+        let (context, sent_at) = (&self.context, self.context.clock.now());
+        self.write_command(guard, &[&[command::QUERY], context.settings.probe.as_bytes()])?;
+        Ok(self.read_probe(sent_at))
+    }
+
+    /// Runs a statement as text.
+    pub(super) fn query(&mut self, text: &[u8], guard: &AttemptGuard) -> Result<ServerResult, NotSent> {
+        self.write_command(guard, &[&[command::QUERY], text])?;
+        let response = self.read_response();
+        Ok(self.exchange_result(response))
+    }
+
+    /// Prepares a statement for what the response says about it.
+    pub(super) fn describe(
+        &mut self,
+        text: &Arc<[u8]>,
+        guard: &AttemptGuard,
+    ) -> Result<ServerResult, NotSent> {
+        let permit = guard.permit_write().map_err(|_| NotSent::Cancelled)?;
+        match self.prepare(text, &permit) {
+            Ok(Prepared::Ready { response, .. } | Prepared::Error(response)) => {
+                Ok(self.exchange_result(Ok(response)))
+            }
+            // Preparing runs nothing: if a server dies over it, another one can be asked.
+            Err(ResponseError::Failed(_)) => Err(NotSent::ConnectionBroken),
+            Err(error @ ResponseError::TooLarge) => Ok(self.exchange_result(Err(error))),
+        }
+    }
+
+    /// Executes a statement, which is prepared first if it is not yet. If the server has forgotten it, that is done
+    /// again, once.
+    pub(super) fn execute_statement(
+        &mut self,
+        text: &Arc<[u8]>,
+        body: &[u8],
+        long_parameters: &LongParameters,
+        guard: &AttemptGuard,
+    ) -> Result<ServerResult, NotSent> {
+        let mut was_unknown = false;
+        loop {
+            let id = match self.statements.id_of(text) {
+                Some(id) => id,
+                None => match self.prepare_for_execution(text, guard)? {
+                    Ok(id) => id,
+                    Err(error) => return Ok(error),
+                },
+            };
+            self.write_execution(id, body, long_parameters, guard)?;
+            let response = self.read_response();
+            if !is_unknown_statement(&response) {
+                return Ok(self.exchange_result(response));
+            }
+            // The server has forgotten the statement and says so instead of running it.
+            self.statements.remove(text);
+            if was_unknown {
+                return Ok(reusable(Outcome::Rejected));
+            }
+            was_unknown = true;
+        }
+    }
+
+    /// The inner error is the exchange's result where the server rejects the statement.
+    fn prepare_for_execution(
+        &mut self,
+        text: &Arc<[u8]>,
+        guard: &AttemptGuard,
+    ) -> Result<Result<ServerStatementId, ServerResult>, NotSent> {
+        // Nothing new, not even this, goes to a server that is draining.
+        let permit = guard.permit_write().map_err(|_| NotSent::Cancelled)?;
+        match self.prepare(text, &permit) {
+            // Nothing has run so far: however the connection broke, the execution may go elsewhere.
+            Err(_) => Err(NotSent::ConnectionBroken),
+            Ok(Prepared::Error(response)) => Ok(Err(self.exchange_result(Ok(response)))),
+            // A server that died over it has closed by now as a rule: nothing is written to it.
+            Ok(Prepared::Ready { .. }) if !self.is_silent() => Err(NotSent::ConnectionBroken),
+            Ok(Prepared::Ready { id, .. }) => Ok(Ok(id)),
+        }
+    }
+
+    /// Writes a command's only packet, unless the attempt is cancelled.
+    fn write_command(&self, guard: &AttemptGuard, parts: &[&[u8]]) -> Result<(), NotSent> {
+        let permit = guard.permit_write().map_err(|_| NotSent::Cancelled)?;
+        with_command(parts, |slices| self.socket.write_last(permit, slices))
+            .map_err(|_| NotSent::ConnectionBroken)
+    }
+
+    /// Writes a packet behind which more of the exchange follows.
+    fn write_part(&self, permit: &WritePermit, parts: &[&[u8]]) -> io::Result<()> {
+        with_command(parts, |slices| self.socket.write_part(permit, slices))
+    }
+
+    /// Writes long parameters and the execution. The permit is asked for before the first of them, and not again: a
+    /// server keeps them for the next execution, so a connection that stays open must not have sent any without theirs.
+    fn write_execution(
+        &self,
+        ServerStatementId(id): ServerStatementId,
+        body: &[u8],
+        long_parameters: &LongParameters,
+        guard: &AttemptGuard,
+    ) -> Result<(), NotSent> {
+        let id = id.to_le_bytes();
+        let permit = guard.permit_write().map_err(|_| NotSent::Cancelled)?;
+        for (index, bytes) in long_parameters {
+            let head = [&[command::STMT_SEND_LONG_DATA][..], &id, &index.to_le_bytes()].concat();
+            self.write_part(&permit, &[&head, bytes]).map_err(|_| NotSent::ConnectionBroken)?;
+        }
+        let execution: &[&[u8]] = &[&[command::STMT_EXECUTE], &id, body];
+        with_command(execution, |slices| self.socket.write_last(permit, slices))
+            .map_err(|_| NotSent::ConnectionBroken)
+    }
+
+    /// Prepares a statement, also if it is prepared here already.
+    fn prepare(&mut self, text: &Arc<[u8]>, permit: &WritePermit) -> Result<Prepared, ResponseError> {
+        let broken = |_| ResponseError::Failed(Outcome::Reset);
+        self.write_part(permit, &[&[command::STMT_PREPARE], text]).map_err(broken)?;
+        let first = self.read_payload()?;
+        let Some(prepared) = PrepareOk::parse(&first) else {
+            return match errors::error_number(&first) {
+                Some(_) => Ok(Prepared::Error(vec![first])),
+                None => Err(ResponseError::Failed(Outcome::Error)),
+            };
+        };
+        let mut response = vec![first];
+        for _ in 0..prepared.following_payloads() {
+            response.push(self.read_payload()?);
+        }
+        let evicted = self.statements.evict_if_full(self.context.limits.statements_per_link);
+        let replaced = self.statements.remove(text);
+        for id in [evicted, replaced].into_iter().flatten() {
+            self.close_statement(id, permit).map_err(broken)?;
+        }
+        self.statements.insert(text.clone(), prepared.id);
+        Ok(Prepared::Ready { id: prepared.id, response })
+    }
+
+    fn close_statement(
+        &self,
+        ServerStatementId(id): ServerStatementId,
+        permit: &WritePermit,
+    ) -> io::Result<()> {
+        self.write_part(permit, &[&[command::STMT_CLOSE], &id.to_le_bytes()])
+    }
+
+    fn read_payload(&mut self) -> Result<Vec<u8>, ReadError> {
+        let packet = self.reader.read_packet(self.socket.reader(self.deadline))?;
+        Ok(packet.payload)
+    }
+
+    /// Reads a response to its end.
+    fn read_response(&mut self) -> Result<ResponsePayloads, ResponseError> {
+        let mut state = ResponseState::Start;
+        let mut response = Vec::new();
+        let (mut bytes, mut expected_sequence) = (0, 1);
+        loop {
+            let packet = self.reader.read_packet(self.socket.reader(self.deadline))?;
+            // Out of sequence it belongs to something else, or to nothing.
+            if packet.first != expected_sequence {
+                return Err(ResponseError::Failed(Outcome::Error));
+            }
+            expected_sequence = packet.last.wrapping_add(1);
+            state.advance(&packet.payload);
+            bytes += packet.payload.len() + HEAD_BYTES;
+            if bytes > self.context.limits.answer_bytes {
+                return Err(ResponseError::TooLarge);
+            }
+            response.push(packet.payload);
+            match state {
+                ResponseState::Done | ResponseState::Failed => return Ok(response),
+                ResponseState::Malformed => return Err(ResponseError::Failed(Outcome::Error)),
+                ResponseState::Start | ResponseState::Columns(_) | ResponseState::Rows => {}
+            }
+        }
+    }
+
+    /// The result of an exchange with this response. A result that breaks off in an error is the statement's own as well.
+    fn exchange_result(&self, response: Result<ResponsePayloads, ResponseError>) -> ServerResult {
+        match response {
+            Err(ResponseError::Failed(outcome)) => ExchangeResult::from_outcome(outcome),
+            Err(ResponseError::TooLarge) => {
+                let text = format!("the answer is longer than {} bytes", self.context.limits.answer_bytes);
+                let response = vec![errors::encode(errors::TOO_LARGE, &text)];
+                ExchangeResult { response: Some(response), ..ExchangeResult::from_outcome(Outcome::Ok) }
+            }
+            Ok(response) => match last_error(&response).map(errors::meaning) {
+                Some(ServerErrorMeaning::Outcome(outcome)) => reusable(outcome),
+                _ => ExchangeResult {
+                    response: Some(response),
+                    // The commit is before the response, by the server's own clock at the latest. Of a server that
+                    // answered a read this says nothing: a replica is where its heartbeat is.
+                    commit: Some(self.context.clocks.commit(self.context.addr, self.context.clock.now())),
+                    ..reusable(Outcome::Ok)
+                },
+            },
+        }
+    }
+
+    /// Reads the response to a probe that was sent at this time.
+    fn read_probe(&mut self, sent_at: Time) -> ServerResult {
+        let response = match self.read_response() {
+            Ok(response) if errors::error_number(&response[0]).is_none() && response.len() >= 2 => response,
+            Ok(_) => return reusable(Outcome::Error),
+            Err(ResponseError::Failed(outcome)) => return ExchangeResult::from_outcome(outcome),
+            Err(ResponseError::TooLarge) => return ExchangeResult::from_outcome(Outcome::Error),
+        };
+        // The last row stands before the end of the rows.
+        let row = ProbeRow::parse(&response[response.len() - 2]);
+        let context = &self.context;
+        if let (true, Some(server_time)) = (context.settings.server_clock, row.clock) {
+            context.clocks.learn(context.addr, Offset::sample(sent_at, context.clock.now(), server_time));
+        }
+        ExchangeResult {
+            load_report: MemberReport { primary: row.primary, position: row.position },
+            ..reusable(Outcome::Ok)
+        }
+    }
+}
+
+/// The first payload of the response to a successful prepare.
+struct PrepareOk {
+    id: ServerStatementId,
+    columns: u64,
+    parameters: u64,
+}
+
+impl PrepareOk {
+    fn parse(payload: &[u8]) -> Option<PrepareOk> {
+        let mut fields = FieldReader::new(payload);
+        if fields.integer(1)? != 0 {
+            return None;
+        }
+        let id = ServerStatementId(fields.integer(4)? as u32);
+        Some(PrepareOk { id, columns: fields.integer(2)?, parameters: fields.integer(2)? })
+    }
+
+    /// Definitions of parameters, then of columns; each kind that is there is ended by an EOF.
+    fn following_payloads(&self) -> u64 {
+        let with_end = |definitions: u64| if definitions > 0 { definitions + 1 } else { 0 };
+        with_end(self.parameters) + with_end(self.columns)
+    }
+}
+
+fn last_error(response: &ResponsePayloads) -> Option<u16> {
+    response.last().and_then(|payload| errors::error_number(payload))
+}
+
+fn is_unknown_statement(response: &Result<ResponsePayloads, ResponseError>) -> bool {
+    let Ok(response) = response else { return false };
+    let number = errors::error_number(&response[0]);
+    number.is_some_and(|number| errors::meaning(number) == ServerErrorMeaning::UnknownStatement)
+}
+
+/// The result of an exchange behind which the connection can be used again.
+fn reusable(outcome: Outcome) -> ServerResult {
+    ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(outcome) }
+}
--- /dev/null
+++ b/mysql/src/front/client_link.rs
@@ -0,0 +1,85 @@
+//! The sending side of one client's connection, and the recording of both sides.
+use super::shared::Front;
+use crate::errors::{self, ErrorCode};
+use crate::packet::{Packet, ReadError, push_packets, write_packets};
+use client_listener::Connection;
+use std::io;
+use std::net::SocketAddr;
+
+/// The connection can't go on.
+#[derive(Debug)]
+pub(super) struct ConnectionEnded;
+
+/// A client's connection.
+pub(super) struct ClientLink<'a> {
+    pub(super) front: &'a Front,
+    pub(super) connection: &'a Connection,
+    pub(super) addr: SocketAddr,
+}
+
+impl<'a> ClientLink<'a> {
+    /// Fails if the client has disconnected already.
+    pub(super) fn new(front: &'a Front, connection: &'a Connection) -> io::Result<ClientLink<'a>> {
+        Ok(ClientLink { front, connection, addr: connection.socket.peer_addr()? })
+    }
+
+    /// Writes payloads behind a packet of this sequence number.
+    pub(super) fn write_after(
+        &self,
+        sequence: u8,
+        payloads: &[impl AsRef<[u8]>],
+    ) -> Result<(), ConnectionEnded> {
+        let mut packets = Vec::new();
+        let mut next = sequence.wrapping_add(1);
+        for payload in payloads {
+            next = push_packets(&mut packets, next, payload.as_ref());
+        }
+        self.write_packets(&packets)
+    }
+
+    pub(super) fn write_packets(&self, packets: &[u8]) -> Result<(), ConnectionEnded> {
+        // Before the write: a response that the client has seen must be in the recording.
+        self.record_bytes(false, packets);
+        write_packets(&self.connection.socket, packets).map_err(|_| ConnectionEnded)
+    }
+
+    /// Writes an error behind which the connection ends.
+    pub(super) fn close_with_error<T>(
+        &self,
+        sequence: u8,
+        code: ErrorCode,
+        text: &str,
+    ) -> Result<T, ConnectionEnded> {
+        self.write_after(sequence, &[errors::encode(code, text)])?;
+        Err(ConnectionEnded)
+    }
+
+    /// Tells the client why its connection ends, where it broke the protocol.
+    pub(super) fn close_after_read_error<T>(&self, error: &ReadError) -> Result<T, ConnectionEnded> {
+        match error {
+            ReadError::TooLong => {
+                let text = format!("a packet is longer than {} bytes", self.front.limits.message_bytes);
+                self.close_with_error(0, errors::TOO_LARGE, &text)
+            }
+            ReadError::OutOfOrder => {
+                self.close_with_error(0, errors::OUT_OF_ORDER, "packets came out of order")
+            }
+            ReadError::Closed | ReadError::IdleTimeout | ReadError::Io(_) => Err(ConnectionEnded),
+        }
+    }
+
+    /// Shows the recording a packet of the client.
+    pub(super) fn record_packet(&self, packet: &Packet) {
+        if self.front.tap.is_some() {
+            let mut bytes = Vec::new();
+            push_packets(&mut bytes, packet.first, &packet.payload);
+            self.record_bytes(true, &bytes);
+        }
+    }
+
+    fn record_bytes(&self, from_client: bool, bytes: &[u8]) {
+        if let Some(tap) = &self.front.tap {
+            tap.bytes(self.connection.id, self.addr, from_client, bytes);
+        }
+    }
+}
--- /dev/null
+++ b/mysql/src/front/login.rs
@@ -0,0 +1,109 @@
+//! The login of a client.
+use super::client_link::{ClientLink, ConnectionEnded};
+use crate::auth::{
+    CACHING_SHA2_PASSWORD, NATIVE_PASSWORD, NONCE_BYTES, constant_time_eq, is_supported, random_nonce,
+    scramble,
+};
+use crate::capability;
+use crate::errors;
+use crate::handshake::{HandshakeResponse, encode_greeting};
+use crate::packet::{Packet, PacketReader};
+use crate::results::OK;
+
+/// The sequence number before the first packet of a connection.
+const BEFORE_FIRST: u8 = 255;
+/// Further data of `caching_sha2_password`: the proof was enough.
+const FAST_AUTH_SUCCESS: &[u8] = &[1, 3];
+/// The first byte of a request to switch to another plugin.
+const AUTH_SWITCH: u8 = 0xfe;
+
+/// A client that has logged in.
+pub(super) struct LoggedIn {
+    pub(super) user: String,
+    /// It accepts several results for one command.
+    pub(super) accepts_multi_results: bool,
+}
+
+/// Greets the client and checks its user, password and database.
+pub(super) fn log_in(
+    client: &ClientLink<'_>,
+    reader: &mut PacketReader,
+) -> Result<LoggedIn, ConnectionEnded> {
+    let nonce = random_nonce().map_err(|_| ConnectionEnded)?;
+    client.write_after(BEFORE_FIRST, &[encode_greeting(client.connection.id as u32, &nonce)])?;
+    let packet = read_packet(client, reader)?;
+    let Some(mut response) = HandshakeResponse::parse(&packet.payload) else {
+        let text = "the answer to the greeting can't be read";
+        return client.close_with_error(packet.last, errors::BAD_HANDSHAKE, text);
+    };
+    let mut sequence = packet.last;
+    if !is_supported(&response.plugin) {
+        let packet = switch_to_native_password(client, reader, &nonce, sequence)?;
+        response.plugin = NATIVE_PASSWORD.into();
+        response.proof = packet.payload;
+        sequence = packet.last;
+    }
+    check_password(client, &response, &nonce, sequence)?;
+    check_database(client, &response, sequence)?;
+    if response.plugin == CACHING_SHA2_PASSWORD && !response.proof.is_empty() {
+        client.write_after(sequence, &[FAST_AUTH_SUCCESS])?;
+        sequence = sequence.wrapping_add(1);
+    }
+    client.write_after(sequence, &[OK])?;
+    let accepts_multi_results = response.capabilities & capability::MULTI_RESULTS != 0;
+    Ok(LoggedIn { user: response.user, accepts_multi_results })
+}
+
+fn read_packet(client: &ClientLink<'_>, reader: &mut PacketReader) -> Result<Packet, ConnectionEnded> {
+    match reader.read_packet(client.connection.startup_reader()) {
+        Ok(packet) => {
+            client.record_packet(&packet);
+            Ok(packet)
+        }
+        Err(error) => client.close_after_read_error(&error),
+    }
+}
+
+/// Asks for a proof by the older plugin, and returns the packet that brings it.
+fn switch_to_native_password(
+    client: &ClientLink<'_>,
+    reader: &mut PacketReader,
+    nonce: &[u8; NONCE_BYTES],
+    sequence: u8,
+) -> Result<Packet, ConnectionEnded> {
+    let request = [&[AUTH_SWITCH][..], NATIVE_PASSWORD.as_bytes(), b"\0", nonce, b"\0"].concat();
+    client.write_after(sequence, &[request])?;
+    read_packet(client, reader)
+}
+
+fn check_password(
+    client: &ClientLink<'_>,
+    response: &HandshakeResponse,
+    nonce: &[u8; NONCE_BYTES],
+    sequence: u8,
+) -> Result<(), ConnectionEnded> {
+    let settings = client.front.settings();
+    let user = settings.users.iter().find(|(name, _)| *name == response.user);
+    let expected = user.and_then(|(_, password)| scramble(&response.plugin, password, nonce));
+    if expected.is_some_and(|expected| constant_time_eq(&expected, &response.proof)) {
+        return Ok(());
+    }
+    tracing::warn!(client = %client.addr, user = %response.user, "client login denied");
+    let text = format!("access denied for user '{}'", response.user);
+    client.close_with_error(sequence, errors::ACCESS_DENIED, &text)
+}
+
+fn check_database(
+    client: &ClientLink<'_>,
+    response: &HandshakeResponse,
+    sequence: u8,
+) -> Result<(), ConnectionEnded> {
+    let settings = client.front.settings();
+    match &response.database {
+        Some(database) if *database != settings.database => {
+            let text = "there is no such database here";
+            client.close_with_error(sequence, errors::UNKNOWN_DATABASE, text)
+        }
+        _ => Ok(()),
+    }
+}
--- a/mysql/src/prepared.rs
+++ b/mysql/src/prepared.rs
@@ -1,33 +1,37 @@
-//! What clients have prepared. The ids are the router's own; where a statement is prepared on a server is the
-//! link's affair.
-use crate::link::Payloads;
-use crate::packet::Fields;
-use crate::results::{AUTOCOMMIT, CURSOR_EXISTS, LAST_ROW_SENT, State, eof, eof_status};
-use crate::statement::Need;
-use std::collections::{BTreeMap, VecDeque};
+//! Statements that clients have prepared. The ids are the router's own; where a statement is prepared on a server is the
+//! server connection's concern.
+use crate::cursor::Cursor;
+use crate::fields::FieldReader;
+use crate::request::LongParameters;
+use crate::requirements::Requirements;
 use std::sync::Arc;
 
+/// The flag of an execution whose rows are fetched through a cursor; the only one that is supported.
+const READ_ONLY_CURSOR: u64 = 1;
+/// Bytes of a parameter's type.
+const TYPE_BYTES: usize = 2;
+
 /// A statement that a client has prepared.
-pub struct Prepared {
+pub struct PreparedStatement {
     /// Its text.
     pub text: Arc<[u8]>,
-    /// What it needs.
-    pub need: Need,
+    /// What its executions require.
+    pub requirements: Requirements,
     /// Its parameters.
     pub parameters: Parameters,
-    /// Long parameters sent ahead.
-    pub long: BTreeMap<u16, Vec<u8>>,
-    /// They grew beyond what is taken.
-    pub long_too_large: bool,
+    /// Long parameters for the next execution.
+    pub long_parameters: LongParameters,
+    /// The long parameters could not be accepted: the next execution fails.
+    pub long_parameters_rejected: bool,
     /// Rows not fetched yet.
     pub cursor: Option<Cursor>,
 }
 
 /// A statement's parameters.
 pub struct Parameters {
-    /// How many it takes.
+    /// How many it has.
     pub count: usize,
-    /// Their types as the client last sent them.
+    /// Their types as the client last sent them, two bytes each; empty before.
     pub types: Vec<u8>,
 }
 
@@ -36,89 +40,69 @@
 pub struct Execution {
     /// Flags, count and parameters.
     pub body: Vec<u8>,
-    /// The client wants to fetch the rows.
-    pub cursor: bool,
+    /// The client wants to fetch the rows through a cursor.
+    pub wants_cursor: bool,
 }
 
-impl Prepared {
-    /// A statement just prepared.
-    pub fn new(text: Arc<[u8]>, need: Need, parameters: usize) -> Self {
-        let parameters = Parameters { count: parameters, types: Vec::new() };
-        Prepared { text, need, parameters, long: BTreeMap::new(), long_too_large: false, cursor: None }
+impl PreparedStatement {
+    /// A statement that has just been prepared.
+    pub fn new(text: Arc<[u8]>, requirements: Requirements, parameter_count: usize) -> Self {
+        PreparedStatement {
+            text,
+            requirements,
+            parameters: Parameters { count: parameter_count, types: Vec::new() },
+            long_parameters: LongParameters::new(),
+            long_parameters_rejected: false,
+            cursor: None,
+        }
     }
 
-    /// Drops what a reset drops.
+    /// Drops long parameters and the cursor.
     pub fn reset(&mut self) {
-        self.long.clear();
-        self.long_too_large = false;
+        self.long_parameters.clear();
+        self.long_parameters_rejected = false;
         self.cursor = None;
     }
+
+    /// Adds a part of a long parameter, whose index comes first. There is no response: what is wrong fails the next
+    /// execution. All parts together may have `max_bytes`.
+    pub fn add_long_parameter_part(&mut self, part: &[u8], max_bytes: usize) {
+        let mut fields = FieldReader::new(part);
+        let index = fields.integer(2).filter(|index| (*index as usize) < self.parameters.count);
+        let bytes: usize = self.long_parameters.values().map(Vec::len).sum();
+        match index {
+            Some(index) if bytes + fields.rest().len() <= max_bytes => {
+                self.long_parameters.entry(index as u16).or_default().extend_from_slice(fields.rest());
+            }
+            _ => self.long_parameters_rejected = true,
+        }
+    }
 }
 
 impl Parameters {
-    /// Reads the client's execution. Its types are always sent on: the server connection may be another one
-    /// each time.
+    /// Reads the client's execution; `None` where it is malformed. The types are always forwarded: the server connection
+    /// may be another one each time.
     pub fn execution(&mut self, payload: &[u8]) -> Option<Execution> {
-        let mut f = Fields(payload);
-        let (flags, count) = (f.number(1)?, f.number(4)?);
-        if flags > 1 || count != 1 {
+        let mut fields = FieldReader::new(payload);
+        let (flags, iterations) = (fields.integer(1)?, fields.integer(4)?);
+        if flags > READ_ONLY_CURSOR || iterations != 1 {
             return None;
         }
         let mut body = vec![0, 1, 0, 0, 0];
         if self.count > 0 {
-            body.extend_from_slice(f.bytes(self.count.div_ceil(8))?);
-            if f.number(1)? == 1 {
-                self.types = f.bytes(2 * self.count)?.to_vec();
+            let null_bitmap = fields.bytes(self.count.div_ceil(8))?;
+            let has_types = fields.integer(1)? == 1;
+            if has_types {
+                self.types = fields.bytes(TYPE_BYTES * self.count)?.to_vec();
             }
-            if self.types.len() != 2 * self.count {
+            if self.types.len() != TYPE_BYTES * self.count {
                 return None;
             }
+            body.extend_from_slice(null_bitmap);
             body.push(1);
             body.extend_from_slice(&self.types);
-            body.extend_from_slice(f.0);
+            body.extend_from_slice(fields.rest());
         }
-        Some(Execution { body, cursor: flags == 1 })
-    }
-}
-
-/// Rows that a client fetches a few at a time. They stand in the router: server connections are shared.
-pub struct Cursor {
-    rows: VecDeque<Vec<u8>>,
-}
-
-impl Cursor {
-    /// Opens a cursor on an answer's payloads: what the client gets at once, and the rows. `None` where the
-    /// answer is not one result with rows; then the client gets all of it at once.
-    pub fn open(payloads: Payloads) -> Result<(Payloads, Cursor), Payloads> {
-        let (mut state, mut first_row) = (State::Start, None);
-        for (i, p) in payloads.iter().enumerate() {
-            state.take(p);
-            if state == State::Rows && first_row.is_none() {
-                first_row = Some(i + 1);
-            }
-        }
-        let (Some(at), State::Done) = (first_row, state) else { return Err(payloads) };
-        let mut head = payloads;
-        let mut rows: VecDeque<Vec<u8>> = head.split_off(at).into();
-        rows.pop_back();
-        // Several results do not go through a cursor.
-        if rows.iter().any(|r| eof_status(r).is_some()) {
-            head.extend(rows);
-            head.push(eof(AUTOCOMMIT).to_vec());
-            return Err(head);
-        }
-        if let Some(end) = head.last_mut() {
-            *end = eof(AUTOCOMMIT | CURSOR_EXISTS).to_vec();
-        }
-        Ok((head, Cursor { rows }))
-    }
-
-    /// The next rows and their end.
-    pub fn fetch(&mut self, n: usize) -> Vec<Vec<u8>> {
-        let n = n.min(self.rows.len());
-        let mut payloads: Vec<Vec<u8>> = self.rows.drain(..n).collect();
-        let left = if self.rows.is_empty() { LAST_ROW_SENT } else { CURSOR_EXISTS };
-        payloads.push(eof(AUTOCOMMIT | left).to_vec());
-        payloads
+        Some(Execution { body, wants_cursor: flags == READ_ONLY_CURSOR })
     }
 }
--- /dev/null
+++ b/mysql/src/requirements.rs
@@ -0,0 +1,58 @@
+//! What a request requires, from its statement's comment or from the first rule of the configuration that its text begins
+//! with.
+use crate::errors::{CommandError, UNSUPPORTED};
+use crate::statement::ScannedStatement;
+use settings::operator::Mysql;
+
+/// The longest that a client may wait, in milliseconds: a day.
+const MAX_WAIT_MS: u64 = 86_400_000;
+
+/// What a request requires.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Requirements {
+    /// Its class.
+    pub class: usize,
+    /// Its group.
+    pub group: u32,
+    /// The name of its session; `None` if the connection is its session.
+    pub session: Option<String>,
+    /// The tenant that its comment names.
+    pub tenant: Option<String>,
+    /// How long the client waits, in milliseconds.
+    pub wait_ms: u64,
+}
+
+impl Requirements {
+    /// What a statement requires. One that no comment and no rule gives a class is a write that must not run twice.
+    ///
+    /// # Errors
+    /// The statement may write though its class only reads, or its comment has a malformed number.
+    pub fn of(statement: &ScannedStatement, mysql: &Mysql) -> Result<Requirements, CommandError> {
+        let rule = mysql.rules.iter().find(|rule| statement.normalized.starts_with(&rule.starts));
+        let named_class = match statement.comment_field("c") {
+            Some(name) => mysql.classes.iter().position(|class| class == name),
+            None => rule.map(|rule| rule.class),
+        };
+        let class = named_class.unwrap_or(mysql.unknown);
+        if mysql.reading[class] && !statement.is_read_only() {
+            let text = format!("class '{}' only reads, and this statement may write", mysql.classes[class]);
+            return Err(CommandError::new(UNSUPPORTED, text));
+        }
+        let default_group = rule.map_or(mysql.group, |rule| rule.group);
+        let group = comment_number(statement, "cluster")?.unwrap_or(u64::from(default_group));
+        let wait_ms = comment_number(statement, "d")?.unwrap_or(mysql.deadlines_ms[class]);
+        Ok(Requirements {
+            class,
+            group: group as u32,
+            session: statement.comment_field("s").map(str::to_string),
+            tenant: statement.comment_field("t").map(str::to_string),
+            wait_ms: wait_ms.min(MAX_WAIT_MS),
+        })
+    }
+}
+
+fn comment_number(statement: &ScannedStatement, name: &str) -> Result<Option<u64>, CommandError> {
+    let Some(value) = statement.comment_field(name) else { return Ok(None) };
+    let number = value.parse();
+    number.map(Some).map_err(|_| CommandError::new(UNSUPPORTED, format!("the comment's {name} is no number")))
+}
--- a/mysql/src/results.rs
+++ b/mysql/src/results.rs
@@ -1,5 +1,7 @@
-//! Results: reading a server's answer packet by packet, and the few that the router gives itself.
-use crate::packet::{Fields, push, push_packed_bytes};
+//! Results: following a server's response payload by payload, and the few that the router gives itself.
+use crate::fields::{FieldReader, NULL, push_length_encoded_bytes};
+use crate::packet::push_packets;
+use crate::protocol::UTF8MB4_GENERAL_CI;
 
 /// The status flag of a session that commits each statement by itself.
 pub const AUTOCOMMIT: u16 = 2;
@@ -15,35 +17,35 @@
 
 /// An EOF payload with these status flags.
 pub fn eof(status: u16) -> [u8; 5] {
-    let s = status.to_le_bytes();
-    [0xfe, 0, 0, s[0], s[1]]
+    let status = status.to_le_bytes();
+    [0xfe, 0, 0, status[0], status[1]]
 }
 
 /// The status flags of an EOF payload; `None` for any other payload.
 pub fn eof_status(payload: &[u8]) -> Option<u16> {
     match payload {
-        [0xfe, _, _, a, b] => Some(u16::from_le_bytes([*a, *b])),
+        [0xfe, _, _, low, high] => Some(u16::from_le_bytes([*low, *high])),
         _ => None,
     }
 }
 
 fn ok_status(payload: &[u8]) -> Option<u16> {
-    let mut f = Fields(payload.get(1..)?);
-    f.packed()?;
-    f.packed()?;
-    f.number(2).map(|n| n as u16)
+    let mut fields = FieldReader::new(payload.get(1..)?);
+    let _affected_rows = fields.length_encoded_integer()?;
+    let _last_insert_id = fields.length_encoded_integer()?;
+    fields.integer(2).map(|status| status as u16)
 }
 
-/// Where an answer stands that is read payload by payload.
+/// Where a response stands that is read payload by payload.
 #[derive(Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ResponseState {
     /// The first payload of a result comes next.
     Start,
     /// So many column definitions come next, and then the end of them.
     Columns(u64),
     /// Rows come next.
     Rows,
-    /// The answer is whole.
+    /// The response is complete.
     Done,
     /// It ended in an error.
     Failed,
@@ -51,67 +53,87 @@
     Malformed,
 }
 
-impl State {
+impl ResponseState {
     /// Takes the next payload.
-    pub fn take(&mut self, payload: &[u8]) {
-        let more = |status: Option<u16>| match status {
-            Some(s) if s & MORE_RESULTS != 0 => State::Start,
-            Some(_) => State::Done,
-            None => State::Malformed,
-        };
+    pub fn advance(&mut self, payload: &[u8]) {
         *self = match (&*self, payload) {
-            (State::Start | State::Rows, [0xff, _, _, ..]) => State::Failed,
-            (State::Start, [0, ..]) => more(ok_status(payload)),
-            // A server that asks for a local file: the router offers none.
-            (State::Start, [0xfb, ..]) => State::Malformed,
-            (State::Start, _) => match Fields(payload).packed() {
-                Some(n) if n > 0 => State::Columns(n),
-                _ => State::Malformed,
+            (ResponseState::Start | ResponseState::Rows, [0xff, _, _, ..]) => ResponseState::Failed,
+            (ResponseState::Start, [0, ..]) => ResponseState::behind_result(ok_status(payload)),
+            // The server asks for a local file: the router offers none.
+            (ResponseState::Start, [0xfb, ..]) => ResponseState::Malformed,
+            (ResponseState::Start, _) => match FieldReader::new(payload).length_encoded_integer() {
+                Some(columns) if columns > 0 => ResponseState::Columns(columns),
+                _ => ResponseState::Malformed,
+            },
+            (ResponseState::Columns(0), _) => match eof_status(payload) {
+                Some(_) => ResponseState::Rows,
+                None => ResponseState::Malformed,
             },
-            (State::Columns(0), _) => eof_status(payload).map_or(State::Malformed, |_| State::Rows),
-            (State::Columns(n), _) => State::Columns(n - 1),
-            (State::Rows, _) if eof_status(payload).is_some() => more(eof_status(payload)),
-            (State::Rows, _) => State::Rows,
-            _ => State::Malformed,
+            (ResponseState::Columns(remaining), _) => ResponseState::Columns(remaining - 1),
+            (ResponseState::Rows, _) => match eof_status(payload) {
+                Some(status) => ResponseState::behind_result(Some(status)),
+                None => ResponseState::Rows,
+            },
+            (ResponseState::Done | ResponseState::Failed | ResponseState::Malformed, _) => {
+                ResponseState::Malformed
+            }
         };
     }
+
+    /// The state behind a result with these status flags.
+    fn behind_result(status: Option<u16>) -> ResponseState {
+        match status {
+            Some(status) if status & MORE_RESULTS != 0 => ResponseState::Start,
+            Some(_) => ResponseState::Done,
+            None => ResponseState::Malformed,
+        }
+    }
+}
+
+/// A column with its value in a result of one row.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NamedValue {
+    /// The column's name.
+    pub name: String,
+    /// The value.
+    pub value: String,
 }
 
-/// A column definition of a text.
-fn column(name: &str) -> Vec<u8> {
-    let mut b = Vec::new();
+/// The definition of a column of texts.
+fn column_definition(name: &str) -> Vec<u8> {
+    let mut definition = Vec::new();
     for part in ["def", "", "", "", name, ""] {
-        push_packed_bytes(&mut b, part.as_bytes());
+        push_length_encoded_bytes(&mut definition, part.as_bytes());
     }
-    b.extend_from_slice(&[0x0c, crate::auth::CHARSET, 0, 0, 1, 0, 0, 0xfd, 0, 0, 0x1f, 0, 0]);
-    b
+    definition.extend_from_slice(&[0x0c, UTF8MB4_GENERAL_CI, 0, 0, 1, 0, 0, 0xfd, 0, 0, 0x1f, 0, 0]);
+    definition
 }
 
-/// A result of one row of texts, as packets after a command.
-pub fn one_row(cells: &[(String, String)]) -> Vec<u8> {
-    let mut to = Vec::new();
-    let mut next = push(&mut to, 1, &[cells.len() as u8]);
-    for (name, _) in cells {
-        next = push(&mut to, next, &column(name));
+/// A result of one row, as packets that answer a command.
+pub fn encode_single_row(row: &[NamedValue]) -> Vec<u8> {
+    let mut packets = Vec::new();
+    let mut sequence = push_packets(&mut packets, 1, &[row.len() as u8]);
+    for column in row {
+        sequence = push_packets(&mut packets, sequence, &column_definition(&column.name));
     }
-    next = push(&mut to, next, &eof(AUTOCOMMIT));
-    let mut row = Vec::new();
-    cells.iter().for_each(|(_, value)| push_packed_bytes(&mut row, value.as_bytes()));
-    next = push(&mut to, next, &row);
-    push(&mut to, next, &eof(AUTOCOMMIT));
-    to
+    sequence = push_packets(&mut packets, sequence, &eof(AUTOCOMMIT));
+    let mut values = Vec::new();
+    row.iter().for_each(|column| push_length_encoded_bytes(&mut values, column.value.as_bytes()));
+    sequence = push_packets(&mut packets, sequence, &values);
+    push_packets(&mut packets, sequence, &eof(AUTOCOMMIT));
+    packets
 }
 
-/// The cells of a text row; NULL is `None`.
+/// The cells of a text row up to the first malformed one; NULL is `None`.
 pub fn text_row(payload: &[u8]) -> Vec<Option<&[u8]>> {
-    let mut f = Fields(payload);
+    let mut fields = FieldReader::new(payload);
     let mut cells = Vec::new();
-    while !f.0.is_empty() {
-        if f.0[0] == 0xfb {
-            f.0 = &f.0[1..];
+    while let Some(first) = fields.rest().first() {
+        if *first == NULL {
+            fields.bytes(1);
             cells.push(None);
-        } else if let Some(b) = f.packed_bytes() {
-            cells.push(Some(b));
+        } else if let Some(cell) = fields.length_encoded_bytes() {
+            cells.push(Some(cell));
         } else {
             break;
         }
--- a/mysql/src/statement.rs
+++ b/mysql/src/statement.rs
@@ -1,207 +1,220 @@
-//! What a statement's text asks for: what its comment says, whether it may be carried at all, and which rule of
-//! the configuration it falls under.
-use crate::errors::{Code, NOT_CARRIED};
-use settings::operator::Mysql;
+//! A statement's text: its words without quoted texts and comments, what its comments say, and whether it can be carried
+//! out on connections that clients share.
+use crate::errors::{CommandError, UNSUPPORTED};
+use crate::protocol::SERVER_VERSION;
+use crate::results::NamedValue;
+use std::iter::Peekable;
+use std::str::CharIndices;
+
+const TRANSACTIONS_UNSUPPORTED: &str =
+    "transactions are not carried: each statement is routed and committed by itself";
+const SESSION_STATE_UNSUPPORTED: &str =
+    "statements that set session state are not carried: server connections are shared";
+const FILES_UNSUPPORTED: &str = "files are not carried";
+const SESSION_FUNCTIONS_UNSUPPORTED: &str =
+    "functions of the server's session are not carried: server connections are shared";
+
+/// Functions whose result depends on the server's session.
+const SESSION_FUNCTIONS: [&str; 6] =
+    ["last_insert_id", "found_rows", "row_count", "get_lock", "release_lock", "connection_id"];
+
+/// A pair in a comment.
+#[derive(Debug)]
+struct CommentField {
+    name: String,
+    value: String,
+}
 
 /// A statement's text, taken apart.
 #[derive(Debug, Default)]
-pub struct Scan {
-    /// The text in small letters with single spaces, without comments; quoted texts stand as `''`.
-    pub plain: String,
-    /// Places for parameters.
+pub struct ScannedStatement {
+    /// The text in lower case with single spaces, without comments; quoted texts stand as `''`.
+    pub normalized: String,
+    /// How many parameters it has, up to the largest count.
     pub parameters: u16,
-    /// Names and values of its comments.
-    pub said: Vec<(String, String)>,
+    comment_fields: Vec<CommentField>,
 }
 
-/// Takes a text apart. What stands in quotes or comments is never taken for a word or for a parameter.
-pub fn scan(text: &str) -> Scan {
-    let mut scan = Scan::default();
-    let mut rest = text.char_indices().peekable();
-    let mut comment = String::new();
-    while let Some((at, c)) = rest.next() {
-        let ahead = &text[at..];
+/// Takes a text apart. What stands in quotes or comments never counts as a word or a parameter.
+pub fn scan(text: &str) -> ScannedStatement {
+    let mut scanner = Scanner {
+        text,
+        rest: text.char_indices().peekable(),
+        statement: ScannedStatement::default(),
+        comments: String::new(),
+    };
+    while let Some((at, c)) = scanner.rest.next() {
+        scanner.scan_char(at, c);
+    }
+    scanner.finish()
+}
+
+struct Scanner<'a> {
+    text: &'a str,
+    rest: Peekable<CharIndices<'a>>,
+    statement: ScannedStatement,
+    /// The contents of all comments, each followed by a comma.
+    comments: String,
+}
+
+impl Scanner<'_> {
+    fn scan_char(&mut self, at: usize, c: char) {
+        let ahead = &self.text[at..];
         match c {
-            '\'' | '"' | '`' => {
-                scan.plain.push(c);
-                while let Some((_, q)) = rest.next() {
-                    if q == '\\' && c != '`' {
-                        rest.next();
-                    } else if q == c {
-                        // A doubled quote stands for itself and does not end the text.
-                        if rest.next_if(|(_, n)| *n == c).is_none() {
-                            break;
-                        }
-                    } else if c == '`' {
-                        scan.plain.extend(q.to_lowercase());
-                    }
-                }
-                scan.plain.push(c);
-            }
-            '/' if ahead.starts_with("/*") && !ahead.starts_with("/*!") => {
-                let length = ahead.find("*/").map_or(ahead.len(), |n| n + 2);
-                comment.push_str(ahead[2..length].trim_end_matches("*/"));
-                comment.push(',');
-                while rest.next_if(|(n, _)| *n < at + length).is_some() {}
-                scan.space();
-            }
-            '#' => while rest.next_if(|(_, n)| *n != '\n').is_some() {},
-            '-' if ahead.starts_with("-- ") || ahead.starts_with("--\n") => {
-                while rest.next_if(|(_, n)| *n != '\n').is_some() {}
-            }
-            c if c.is_whitespace() => scan.space(),
+            '\'' | '"' | '`' => self.skip_quoted(c),
+            // `/*!` begins text that servers execute.
+            '/' if ahead.starts_with("/*") && !ahead.starts_with("/*!") => self.scan_comment(at),
+            '#' => self.skip_line(),
+            '-' if ahead.starts_with("-- ") || ahead.starts_with("--\n") => self.skip_line(),
+            c if c.is_whitespace() => self.push_space(),
             '?' => {
-                scan.parameters = scan.parameters.saturating_add(1);
-                scan.plain.push('?');
+                self.statement.parameters = self.statement.parameters.saturating_add(1);
+                self.statement.normalized.push('?');
             }
-            c => scan.plain.extend(c.to_lowercase()),
+            c => self.statement.normalized.extend(c.to_lowercase()),
         }
     }
-    scan.plain.truncate(scan.plain.trim_end_matches([' ', ';']).len());
-    let pairs = comment.split(',').filter_map(|p| p.split_once('='));
-    scan.said = pairs.map(|(n, v)| (n.trim().to_string(), v.trim().to_string())).collect();
-    scan
-}
 
-impl Scan {
-    fn space(&mut self) {
-        if !self.plain.is_empty() && !self.plain.ends_with(' ') {
-            self.plain.push(' ');
+    /// Leaves the quotes, and between backticks the name.
+    fn skip_quoted(&mut self, quote: char) {
+        self.statement.normalized.push(quote);
+        while let Some((_, c)) = self.rest.next() {
+            if c == '\\' && quote != '`' {
+                self.rest.next();
+            } else if c == quote {
+                // A doubled quote stands for itself and does not end the text.
+                if self.rest.next_if(|(_, next)| *next == quote).is_none() {
+                    break;
+                }
+            } else if quote == '`' {
+                self.statement.normalized.extend(c.to_lowercase());
+            }
+        }
+        self.statement.normalized.push(quote);
+    }
+
+    fn scan_comment(&mut self, at: usize) {
+        let ahead = &self.text[at..];
+        let length = ahead.find("*/").map_or(ahead.len(), |end| end + 2);
+        self.comments.push_str(ahead[2..length].trim_end_matches("*/"));
+        self.comments.push(',');
+        while self.rest.next_if(|(next, _)| *next < at + length).is_some() {}
+        self.push_space();
+    }
+
+    fn skip_line(&mut self) {
+        while self.rest.next_if(|(_, c)| *c != '\n').is_some() {}
+    }
+
+    fn push_space(&mut self) {
+        let normalized = &mut self.statement.normalized;
+        if !normalized.is_empty() && !normalized.ends_with(' ') {
+            normalized.push(' ');
         }
     }
 
-    /// What a comment says under a name.
-    pub fn says(&self, name: &str) -> Option<&str> {
-        self.said.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+    fn finish(mut self) -> ScannedStatement {
+        let normalized = &mut self.statement.normalized;
+        normalized.truncate(normalized.trim_end_matches([' ', ';']).len());
+        let pairs = self.comments.split(',').filter_map(|pair| pair.split_once('='));
+        let fields = pairs.map(|(name, value)| CommentField {
+            name: name.trim().to_string(),
+            value: value.trim().to_string(),
+        });
+        self.statement.comment_fields = fields.collect();
+        self.statement
+    }
+}
+
+impl ScannedStatement {
+    /// The first value that a comment gives to a name.
+    pub fn comment_field(&self, name: &str) -> Option<&str> {
+        let field = self.comment_fields.iter().find(|field| field.name == name);
+        field.map(|field| field.value.as_str())
     }
 
     fn words(&self) -> impl Iterator<Item = &str> {
-        self.plain.split(|c: char| !(c.is_alphanumeric() || matches!(c, '_' | '@'))).filter(|w| !w.is_empty())
+        let is_separator = |c: char| !(c.is_alphanumeric() || matches!(c, '_' | '@'));
+        self.normalized.split(is_separator).filter(|word| !word.is_empty())
     }
 
     /// Whether it only reads: any other is never sent anywhere but to a primary, and never twice.
-    pub fn reads(&self) -> bool {
-        let first = self.words().next().unwrap_or("");
-        let changes = ["insert", "update", "delete", "replace"];
-        match first {
+    pub fn is_read_only(&self) -> bool {
+        match self.words().next().unwrap_or("") {
             "select" | "show" | "describe" | "desc" | "explain" | "table" | "values" => true,
-            "with" => !self.words().any(|w| changes.contains(&w)),
+            "with" => !self.words().any(|word| matches!(word, "insert" | "update" | "delete" | "replace")),
             _ => false,
         }
     }
 
-    /// Why it can't be carried: connections to servers are shared, so nothing may be left on one of them.
-    pub fn refused(&self) -> Option<(Code, &'static str)> {
-        const TRANSACTION: &str =
-            "transactions are not carried: each statement is routed and committed by itself";
-        const SESSION: &str =
-            "statements that set session state are not carried: server connections are shared";
+    /// Checks that it can be carried out: connections to servers are shared, so it must not leave anything on one.
+    ///
+    /// # Errors
+    /// It needs or changes the state of a server's session, or files.
+    pub fn check_supported(&self) -> Result<(), CommandError> {
+        match self.unsupported_feature() {
+            Some(text) => Err(CommandError::new(UNSUPPORTED, text)),
+            None => Ok(()),
+        }
+    }
+
+    fn unsupported_feature(&self) -> Option<&'static str> {
         let mut words = self.words();
         let (first, second) = (words.next().unwrap_or(""), words.next().unwrap_or(""));
-        let why = match (first, second) {
+        match (first, second) {
             ("begin" | "commit" | "rollback" | "savepoint" | "release" | "xa", _)
-            | ("start", "transaction") => TRANSACTION,
-            ("set", _) if self.sets_what_is_set() => return None,
-            ("set" | "use" | "lock" | "unlock" | "prepare" | "execute" | "deallocate" | "handler", _) => {
-                SESSION
-            }
-            ("create", "temporary") | ("drop", "temporary") => SESSION,
-            ("load", _) => "files are not carried",
-            _ if self.plain.contains(":=")
-                || self.words().any(|w| w.starts_with('@') && !w.starts_with("@@")) =>
-            {
-                SESSION
-            }
-            _ if self.words().any(|w| {
-                let own = [
-                    "last_insert_id",
-                    "found_rows",
-                    "row_count",
-                    "get_lock",
-                    "release_lock",
-                    "connection_id",
-                ];
-                own.contains(&w) && self.plain.contains(&format!("{w}("))
-            }) =>
-            {
-                "functions of the server's session are not carried: server connections are shared"
-            }
-            _ => return None,
-        };
-        Some((NOT_CARRIED, why))
+            | ("start", "transaction") => Some(TRANSACTIONS_UNSUPPORTED),
+            ("set", _) if self.sets_default_state() => None,
+            ("set" | "use" | "lock" | "unlock" | "prepare" | "execute" | "deallocate" | "handler", _)
+            | ("create" | "drop", "temporary") => Some(SESSION_STATE_UNSUPPORTED),
+            ("load", _) => Some(FILES_UNSUPPORTED),
+            _ if self.uses_user_variables() => Some(SESSION_STATE_UNSUPPORTED),
+            _ if self.calls_session_function() => Some(SESSION_FUNCTIONS_UNSUPPORTED),
+            _ => None,
+        }
+    }
+
+    fn uses_user_variables(&self) -> bool {
+        let is_user_variable = |word: &str| word.starts_with('@') && !word.starts_with("@@");
+        self.normalized.contains(":=") || self.words().any(is_user_variable)
     }
 
-    /// A SET of what every connection has anyway: drivers send these when they connect.
-    pub fn sets_what_is_set(&self) -> bool {
-        let plain = self.plain.replace(" = ", "=").replace("session ", "").replace("@@", "");
-        let same = ["set names utf8mb4", "set autocommit=1", "set autocommit=on"];
-        same.contains(&plain.as_str())
+    fn calls_session_function(&self) -> bool {
+        self.words()
+            .any(|word| SESSION_FUNCTIONS.contains(&word) && self.normalized.contains(&format!("{word}(")))
     }
 
-    /// The system variables that a SELECT of nothing else asks for, with the router's own values.
-    pub fn variables(&self, max_allowed_packet: usize) -> Option<Vec<(String, String)>> {
-        let list = self.plain.strip_prefix("select ")?;
+    /// Whether it is a SET of what each connection has anyway: drivers send these when they connect.
+    pub fn sets_default_state(&self) -> bool {
+        let assignment = self.normalized.replace(" = ", "=").replace("session ", "").replace("@@", "");
+        matches!(assignment.as_str(), "set names utf8mb4" | "set autocommit=1" | "set autocommit=on")
+    }
+
+    /// The system variables that a SELECT of nothing else asks for, with the router's own values; `None` for any other
+    /// statement.
+    pub fn selected_system_variables(&self, max_allowed_packet: usize) -> Option<Vec<NamedValue>> {
+        let list = self.normalized.strip_prefix("select ")?;
         let list = list.strip_suffix(" limit 1").unwrap_or(list);
         list.split(',')
-            .map(|name| {
-                let name = name.trim().strip_prefix("@@")?;
-                let value = match name.trim_start_matches("session.").trim_start_matches("global.") {
-                    "max_allowed_packet" => max_allowed_packet.to_string(),
-                    "wait_timeout" | "interactive_timeout" => "28800".into(),
-                    "version" => "8.0.36-damsonvale".into(),
-                    "version_comment" => "damsonvale".into(),
-                    "autocommit" => "1".into(),
-                    "character_set_client" | "character_set_connection" | "character_set_results" => {
-                        "utf8mb4".into()
-                    }
-                    _ => return None,
-                };
-                Some((format!("@@{name}"), value))
+            .map(|item| {
+                let name = item.trim().strip_prefix("@@")?;
+                let value = system_variable(name, max_allowed_packet)?;
+                Some(NamedValue { name: format!("@@{name}"), value })
             })
             .collect()
     }
 }
 
-/// What a request needs, from its comment or from the first rule that its text begins with.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Need {
-    /// Its class.
-    pub class: usize,
-    /// Its group.
-    pub group: u32,
-    /// What names its session; `None` leaves it to the connection.
-    pub session: Option<String>,
-    /// The tenant that its comment names.
-    pub tenant: Option<String>,
-    /// How long the client waits, in milliseconds.
-    pub wait_ms: u64,
-}
-
-/// What a statement needs. What nobody has named is a write that must not run twice.
-pub fn need(scan: &Scan, mysql: &Mysql) -> Result<Need, (Code, String)> {
-    let rule = mysql.rules.iter().find(|r| scan.plain.starts_with(&r.starts));
-    let named = match scan.says("c") {
-        Some(name) => mysql.classes.iter().position(|c| c == name),
-        None => rule.map(|r| r.class),
-    };
-    let class = named.unwrap_or(mysql.unknown);
-    if mysql.reading[class] && !scan.reads() {
-        let text = format!("class '{}' only reads, and this statement may write", mysql.classes[class]);
-        return Err((NOT_CARRIED, text));
-    }
-    let number = |name: &str| match scan.says(name) {
-        Some(v) => v
-            .parse::<u64>()
-            .map(Some)
-            .map_err(|_| (NOT_CARRIED, format!("the comment's {name} is no number"))),
-        None => Ok(None),
-    };
-    let group = number("cluster")?.unwrap_or(u64::from(rule.map_or(mysql.group, |r| r.group)));
-    Ok(Need {
-        class,
-        group: group as u32,
-        session: scan.says("s").map(str::to_string),
-        tenant: scan.says("t").map(str::to_string),
-        wait_ms: number("d")?.unwrap_or(mysql.deadlines_ms[class]).min(86_400_000),
-    })
+fn system_variable(name: &str, max_allowed_packet: usize) -> Option<String> {
+    match name.trim_start_matches("session.").trim_start_matches("global.") {
+        "max_allowed_packet" => Some(max_allowed_packet.to_string()),
+        "wait_timeout" | "interactive_timeout" => Some("28800".into()),
+        "version" => Some(SERVER_VERSION.into()),
+        "version_comment" => Some("damsonvale".into()),
+        "autocommit" => Some("1".into()),
+        "character_set_client" | "character_set_connection" | "character_set_results" => {
+            Some("utf8mb4".into())
+        }
+        _ => None,
+    }
 }
--- a/mysql/tests/errors.rs
+++ b/mysql/tests/errors.rs
@@ -1,9 +1,9 @@
-//! The words for ends that are no server's answer.
+//! Errors for final responses that no server gave.
 use mysql_wire::errors;
 use routing::FinalResponse;
 
 #[test]
-fn a_cancelled_statement_ends_as_an_interrupted_one() {
-    let told = errors::worded::<()>(FinalResponse::Cancelled).unwrap();
-    assert_eq!((errors::code(&told), &told[3..9]), (Some(1317), &b"#70100"[..]));
+fn cancelled_statement_gets_the_error_of_an_interrupted_one() {
+    let payload = errors::encode_final_response::<()>(FinalResponse::Cancelled).unwrap();
+    assert_eq!((errors::error_number(&payload), &payload[3..9]), (Some(1317), &b"#70100"[..]));
 }
--- a/pcap/src/conversations.rs
+++ b/pcap/src/conversations.rs
@@ -1,9 +1,10 @@
 //! The MySQL conversations of a capture, and the requests in them.
 use crate::capture::{self, CaptureError};
 use crate::streams::{Stream, segment};
-use mysql_wire::auth::{Answer as Login, Greeting};
-use mysql_wire::packet::{Fields, Packet, Reader};
-use mysql_wire::results::{State, eof_status};
+use mysql_wire::fields::FieldReader;
+use mysql_wire::handshake::{Greeting, HandshakeResponse};
+use mysql_wire::packet::{HEAD_BYTES, MAX_PACKET_PAYLOAD, Packet, PacketReader};
+use mysql_wire::results::{ResponseState, eof_status};
 use mysql_wire::{command, errors};
 use std::collections::{BTreeMap, HashMap};
 use std::io::Read;
@@ -95,8 +96,9 @@
         let (Some(clients), Some(servers)) = (streams.get(&way), streams.get(&(to, from))) else { continue };
         for (client, server) in clients.iter().zip(servers) {
             // The server speaks first, with a greeting.
-            let mut reader = Reader::new(MOST);
-            let greeted = reader.next(&server.bytes[..]).is_ok_and(|p| Greeting::parse(&p.payload).is_some());
+            let mut reader = PacketReader::new(MOST);
+            let greeted =
+                reader.read_packet(&server.bytes[..]).is_ok_and(|p| Greeting::parse(&p.payload).is_some());
             if greeted {
                 conversation(from, client, server, &mut found);
             } else if client.late && server.late && from.port() > to.port() {
@@ -110,19 +112,20 @@
 
 /// Payloads of one direction, with the place behind each.
 struct Payloads<'a> {
-    reader: Reader,
+    reader: PacketReader,
     left: &'a [u8],
     place: usize,
 }
 
 impl<'a> Payloads<'a> {
     fn of(stream: &'a Stream) -> Self {
-        Payloads { reader: Reader::new(MOST), left: &stream.bytes, place: 0 }
+        Payloads { reader: PacketReader::new(MOST), left: &stream.bytes, place: 0 }
     }
 
     fn next(&mut self) -> Option<Packet> {
-        let packet = self.reader.next(&mut self.left).ok()?;
-        self.place += packet.payload.len() + 4 * (1 + packet.payload.len() / mysql_wire::packet::MOST);
+        let packet = self.reader.read_packet(&mut self.left).ok()?;
+        let bytes = packet.payload.len();
+        self.place += bytes + HEAD_BYTES * (1 + bytes / MAX_PACKET_PAYLOAD);
         Some(packet)
     }
 }
@@ -137,7 +140,7 @@
 fn conversation(from: SocketAddr, client: &Stream, server: &Stream, found: &mut Found) {
     let (mut asks, mut answers) = (Payloads::of(client), Payloads::of(server));
     // The login: whatever the server sends up to its OK or its error.
-    let login = asks.next().and_then(|p| Login::parse(&p.payload));
+    let login = asks.next().and_then(|p| HandshakeResponse::parse(&p.payload));
     if login.is_none() {
         return found.remarks.push(format!("{from}: the login can't be read"));
     }
@@ -154,14 +157,14 @@
         let at = client.at(asks.place);
         // Answers to a switch of the proof come before the first command.
         let (0, Some((&name, body))) = (ask.first, ask.payload.split_first()) else { continue };
-        let mut f = Fields(body);
-        let statement = f.number(4).map(|id| id as u32);
+        let mut f = FieldReader::new(body);
+        let statement = f.integer(4).map(|id| id as u32);
         match name {
             command::QUIT => return,
             command::STMT_CLOSE => _ = statement.map(|id| known.remove(&id)),
             command::STMT_SEND_LONG_DATA => {
-                if let (Some(k), Some(n)) = (statement.and_then(|id| known.get_mut(&id)), f.number(2)) {
-                    k.long.entry(n as u16).or_default().extend_from_slice(f.0);
+                if let (Some(k), Some(n)) = (statement.and_then(|id| known.get_mut(&id)), f.integer(2)) {
+                    k.long.entry(n as u16).or_default().extend_from_slice(f.rest());
                 }
             }
             command::STMT_PREPARE => {
@@ -174,7 +177,7 @@
                 let asked = if name == command::QUERY {
                     Some(Asked::Query(body.to_vec()))
                 } else {
-                    statement.and_then(|id| known.get_mut(&id)).and_then(|k| execution(k, f.0))
+                    statement.and_then(|id| known.get_mut(&id)).and_then(|k| execution(k, f.rest()))
                 };
                 let ended = answer(&mut answers);
                 match asked {
@@ -183,11 +186,9 @@
                 }
             }
             command::STMT_FETCH => {
-                while answers
-                    .next()
-                    .is_some_and(|p| eof_status(&p.payload).is_none() && errors::code(&p.payload).is_none())
-                {
-                }
+                while answers.next().is_some_and(|p| {
+                    eof_status(&p.payload).is_none() && errors::error_number(&p.payload).is_none()
+                }) {}
             }
             _ => _ = answers.next(),
         }
@@ -200,11 +201,11 @@
 /// The id and the count of parameters that a server gave to a statement.
 fn prepared(answers: &mut Payloads<'_>) -> Option<(u32, usize)> {
     let first = answers.next()?;
-    let mut f = Fields(&first.payload);
-    if f.number(1)? != 0 {
+    let mut f = FieldReader::new(&first.payload);
+    if f.integer(1)? != 0 {
         return None;
     }
-    let (id, columns, parameters) = (f.number(4)? as u32, f.number(2)?, f.number(2)?);
+    let (id, columns, parameters) = (f.integer(4)? as u32, f.integer(2)?, f.integer(2)?);
     for n in [parameters, columns].into_iter().filter(|n| *n > 0) {
         for _ in 0..=n {
             answers.next();
@@ -224,15 +225,15 @@
 }
 
 fn answer(answers: &mut Payloads<'_>) -> Ended {
-    let mut state = State::Start;
+    let mut state = ResponseState::Start;
     while let Some(p) = answers.next() {
-        state.take(&p.payload);
+        state.advance(&p.payload);
         match state {
-            State::Done => return Ended::Answered,
-            State::Failed => return Ended::Error(errors::code(&p.payload).unwrap_or(0)),
-            State::Malformed => return Ended::Cut,
+            ResponseState::Done => return Ended::Answered,
+            ResponseState::Failed => return Ended::Error(errors::error_number(&p.payload).unwrap_or(0)),
+            ResponseState::Malformed => return Ended::Cut,
             // A cursor's columns end the answer; its rows are fetched.
-            State::Rows
+            ResponseState::Rows
                 if eof_status(&p.payload).is_some_and(|s| s & mysql_wire::results::CURSOR_EXISTS != 0) =>
             {
                 return Ended::Answered;
--- a/pcap/src/record.rs
+++ b/pcap/src/record.rs
@@ -3,7 +3,7 @@
 use crossbeam_channel::{Receiver, Sender, bounded};
 use etherparse::PacketBuilder;
 use etherparse::err::packet::BuildWriteError;
-use mysql_wire::Tap;
+use mysql_wire::tap::Tap;
 use pcap_file::pcap::{PcapHeader, PcapPacket, PcapWriter};
 use pcap_file::{DataLink, Endianness, PcapError, TsResolution};
 use std::collections::HashMap;
--- a/pcap/src/replay.rs
+++ b/pcap/src/replay.rs
@@ -1,9 +1,10 @@
 //! Sends a capture's requests through a router, in order and one at a time, each conversation on a connection of
 //! its own. Writes go out only where they are asked for.
 use crate::conversations::{Asked, Request};
-use mysql_wire::link::{Credentials, login};
-use mysql_wire::packet::{Fields, Reader, write_command};
-use mysql_wire::results::State;
+use mysql_wire::fields::FieldReader;
+use mysql_wire::login::{Credentials, login};
+use mysql_wire::packet::{PacketReader, write_command};
+use mysql_wire::results::ResponseState;
 use mysql_wire::statement::scan;
 use mysql_wire::{command, errors};
 use std::collections::HashMap;
@@ -52,7 +53,7 @@
 
 struct Connection {
     socket: TcpStream,
-    reader: Reader,
+    reader: PacketReader,
     prepared: HashMap<Vec<u8>, u32>,
 }
 
@@ -67,7 +68,7 @@
     let mut connections: HashMap<SocketAddr, Connection> = HashMap::new();
     let mut done = Replayed::default();
     for r in requests {
-        let reads = std::str::from_utf8(r.asked.text()).is_ok_and(|t| scan(t).reads());
+        let reads = std::str::from_utf8(r.asked.text()).is_ok_and(|t| scan(t).is_read_only());
         if !reads && !writes {
             done.left_out += 1;
             told(r, "left out: it may write");
@@ -96,16 +97,16 @@
         let failed = |e| ReplayError { router, why: Why::Away(e) };
         let socket = TcpStream::connect_timeout(&router, Duration::from_secs(5)).map_err(failed)?;
         socket.set_nodelay(true).map_err(failed)?;
-        let mut reader = Reader::new(MOST);
+        let mut reader = PacketReader::new(MOST);
         let patience = Duration::from_secs(60);
         let login = login(&socket, &mut reader, credentials, Instant::now() + patience);
-        login.map_err(|(_, e)| ReplayError { router, why: Why::Login(e) })?;
+        login.map_err(|e| ReplayError { router, why: Why::Login(e.to_string()) })?;
         socket.set_read_timeout(Some(patience)).map_err(failed)?;
         Ok(Connection { socket, reader, prepared: HashMap::new() })
     }
 
     fn payload(&mut self) -> Result<Vec<u8>, Why> {
-        self.reader.next(&self.socket).map(|p| p.payload).map_err(|e| Why::Answer(format!("{e:?}")))
+        self.reader.read_packet(&self.socket).map(|p| p.payload).map_err(|e| Why::Answer(format!("{e:?}")))
     }
 
     /// Sends a request and reads its answer: the code of an error, if it was one.
@@ -119,12 +120,12 @@
                     None => {
                         sent(write_command(&self.socket, &[&[command::STMT_PREPARE], text]))?;
                         let first = self.payload()?;
-                        if let Some(code) = errors::code(&first) {
+                        if let Some(code) = errors::error_number(&first) {
                             return Ok(Some(code));
                         }
-                        let mut f = Fields(first.get(1..).unwrap_or(&[]));
+                        let mut f = FieldReader::new(first.get(1..).unwrap_or(&[]));
                         let (Some(id), Some(columns), Some(parameters)) =
-                            (f.number(4), f.number(2), f.number(2))
+                            (f.integer(4), f.integer(2), f.integer(2))
                         else {
                             return Err(Why::Unreadable("the answer to a prepare"));
                         };
@@ -145,14 +146,14 @@
                 sent(write_command(&self.socket, &[&[command::STMT_EXECUTE], &id.to_le_bytes(), body]))?;
             }
         }
-        let mut state = State::Start;
+        let mut state = ResponseState::Start;
         loop {
             let p = self.payload()?;
-            state.take(&p);
+            state.advance(&p);
             match state {
-                State::Done => return Ok(None),
-                State::Failed => return Ok(errors::code(&p)),
-                State::Malformed => return Err(Why::Unreadable("an answer")),
+                ResponseState::Done => return Ok(None),
+                ResponseState::Failed => return Ok(errors::error_number(&p)),
+                ResponseState::Malformed => return Err(Why::Unreadable("an answer")),
                 _ => {}
             }
         }
--- a/src/commands/capture.rs
+++ b/src/commands/capture.rs
@@ -1,7 +1,7 @@
 //! `requests` and `replay`: lists the requests of a capture file, or sends them again.
 use super::Error;
 use clap::Args;
-use mysql_wire::link::Credentials;
+use mysql_wire::login::Credentials;
 use pcap::conversations::{Found, Request};
 use std::borrow::Cow;
 use std::net::SocketAddr;
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -17,8 +17,8 @@
 use configuration::LiveConfiguration;
 use crossbeam_channel::bounded;
 use membership::Membership;
+use mysql_wire::backend::Mysql;
 use mysql_wire::front::Front;
-use mysql_wire::link::Mysql;
 use routing::{Clock, EndpointsHandle, RespondedEndpoints, RouterHandle};
 use settings::Limits;
 use settings::operator::Operator;
@@ -146,7 +146,7 @@
 fn start_recording(
     operator: &Operator,
     address: SocketAddr,
-) -> Result<Option<Arc<dyn mysql_wire::Tap>>, Error> {
+) -> Result<Option<Arc<dyn mysql_wire::tap::Tap>>, Error> {
     let Some(record) = &operator.record else { return Ok(None) };
     let recorder = pcap::record::Recorder::start(record.file.as_ref(), record.capacity, address)?;
     Ok(Some(Arc::new(recorder)))
@@ -163,7 +163,7 @@
         None => configured.clone(),
         Some(client) => client.some_addresses(MAX_CLOCK_SOURCES),
     };
-    mysql_wire::watch::start(protocol, servers, &environment.limits)
+    mysql_wire::clock_sampler::start(protocol, servers, &environment.limits)
         .map_err(|source| Error::Thread { what: "clocks", source })
 }
 
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -482,7 +482,7 @@
         (&socket).write_all(&packets(1, &[&login])).unwrap();
         let (_, switch) = read(&socket).unwrap();
         let nonce = switch[switch.len() - 21..switch.len() - 1].to_vec();
-        let proof = mysql_wire::auth::proof(mysql_wire::auth::NATIVE, "secret", &nonce).unwrap();
+        let proof = mysql_wire::auth::scramble(mysql_wire::auth::NATIVE_PASSWORD, "secret", &nonce).unwrap();
         (&socket).write_all(&packets(3, &[&proof])).unwrap();
         assert_eq!(read(&socket).unwrap().1[0], 0);
         Raw(socket)
