--- a/mysql/src/front/command_reader.rs
+++ b/mysql/src/front/command_reader.rs
@@ -3,7 +3,7 @@
 use crate::packet::{Packet, PacketReader, ReadError};
 use client_listener::{Connection, is_timeout};
 use crossbeam_channel::{Receiver, Sender, bounded};
-use routing::{RequestId, spawn_within};
+use routing::{RequestId, spawn_with_retry};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
                 read_commands(&connection, reader, &sender, |id| handle.client_disconnected(id));
             }
         };
-        spawn_within("commands", front.limits.stack_bytes, THREAD_START_TIMEOUT, run).ok()?;
+        spawn_with_retry("commands", front.limits.stack_bytes, THREAD_START_TIMEOUT, run).ok()?;
         Some(CommandReader { reader_sender, commands })
     }
 
--- a/mysql/tests/cancelled_attempts.rs
+++ b/mysql/tests/cancelled_attempts.rs
@@ -63,7 +63,7 @@
 
 fn cancelled() -> AttemptGuard {
     let guard = AttemptGuard::default();
-    guard.cancel_if_unstarted(Denial::ClientLeft);
+    guard.cancel_if_unstarted(Denial::ClientDisconnected);
     guard
 }
 
