--- a/discovery/src/connection.rs
+++ b/discovery/src/connection.rs
@@ -5,7 +5,7 @@
 
 use crate::error::ConnectionError;
 use crate::json_objects::{ObjectSplitter, StreamItem};
-use http1::{Answer, Body, MAX_HEAD_BYTES};
+use http1::{Body, MAX_HEAD_BYTES, Response};
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use settings::Limits;
@@ -174,11 +174,11 @@
         let State::ReadingHead(head) = &mut self.state else { return Err(ConnectionError::Closed) };
         let read_so_far = Cursor::new(std::mem::take(head));
         let rest = read_so_far.chain(SharedSocket(self.socket.clone()));
-        let answer = Answer::read(BufReader::with_capacity(READ_BUFFER_BYTES, rest))?;
-        if answer.code != 200 {
-            return Err(ConnectionError::UnexpectedStatus(answer.code));
+        let response = Response::read(BufReader::with_capacity(READ_BUFFER_BYTES, rest))?;
+        if response.status != 200 {
+            return Err(ConnectionError::UnexpectedStatus(response.status));
         }
-        Ok(State::Streaming(Box::new((answer.body, ObjectSplitter::new(self.max_object_bytes)))))
+        Ok(State::Streaming(Box::new((response.body, ObjectSplitter::new(self.max_object_bytes)))))
     }
 }
 
@@ -206,7 +206,7 @@
     let (mut bytes, mut items) = (Vec::new(), Vec::new());
     let mut total = 0;
     while total < MAX_BYTES_PER_TURN {
-        if !body.some(&mut bytes)? {
+        if body.read_available(&mut bytes)? == 0 {
             return Err(ConnectionError::Closed);
         }
         total += bytes.len();
--- a/http1/tests/recorded_responses.rs
+++ b/http1/tests/recorded_responses.rs
@@ -1,6 +1,6 @@
 //! Well-formed, truncated, oversized and malformed responses, with the results that were recorded before the parser was
 //! last reworked: each file in `fixtures` has a line for each response.
-use http1::{Answer, MAX_HEAD_BYTES};
+use http1::{MAX_HEAD_BYTES, Response};
 use std::io::{self, BufReader, Read};
 
 /// One response and what reading it gives.
@@ -212,20 +212,20 @@
 /// Reads a response, and describes its status and body or the error.
 fn read(case: &Case, delivery: Delivery) -> String {
     let source = Source { head: &case.head, body: &case.body, delivery, timed_out: false };
-    let mut response = match Answer::read(BufReader::with_capacity(2 * MAX_HEAD_BYTES, source)) {
+    let mut response = match Response::read(BufReader::with_capacity(2 * MAX_HEAD_BYTES, source)) {
         Ok(response) => response,
         Err(error) => return format!("{:?}: {error}", error.kind()),
     };
     let mut body = Vec::new();
     let end = loop {
-        match response.body.some(&mut body) {
-            Ok(true) => {}
-            Ok(false) => break "end".to_string(),
+        match response.body.read_available(&mut body) {
+            Ok(0) => break "end".to_string(),
+            Ok(_) => {}
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             Err(error) => break format!("{:?}: {error}", error.kind()),
         }
     };
-    format!("{} '{}' {end}", response.code, body.escape_ascii())
+    format!("{} '{}' {end}", response.status, body.escape_ascii())
 }
 
 fn check(delivery: Delivery, recorded: &str) {
