--- a/admin/src/event_loop.rs
+++ b/admin/src/event_loop.rs
@@ -74,10 +74,10 @@
     }
 
     fn wait(&mut self, events: &mut Events, schedule: &AcceptSchedule) {
-        if let Err(e) = self.poll.poll(events, self.timeout(schedule))
-            && e.kind() != ErrorKind::Interrupted
+        if let Err(error) = self.poll.poll(events, self.timeout(schedule))
+            && error.kind() != ErrorKind::Interrupted
         {
-            tracing::warn!(error = %e, "the operators' address can't wait for callers; it tries again");
+            tracing::warn!(%error, "admin connections not polled, retrying");
             // Not a busy loop: whatever is wrong, the connections are tried again at this pace.
             std::thread::sleep(ACCEPT_RETRY_DELAY);
         }
@@ -129,9 +129,9 @@
     fn accept_due(&mut self, schedule: &mut AcceptSchedule) {
         match self.accept() {
             Ok(next) => *schedule = AcceptSchedule { next, failing: false },
-            Err(e) => {
+            Err(error) => {
                 if !schedule.failing {
-                    tracing::warn!(error = %e, "the operators' address can't accept; it tries again");
+                    tracing::warn!(%error, "admin connection not accepted, retrying");
                 }
                 let next = Some(Instant::now() + ACCEPT_RETRY_DELAY);
                 *schedule = AcceptSchedule { next, failing: true };
--- a/admin/src/service.rs
+++ b/admin/src/service.rs
@@ -2,45 +2,23 @@
 //! metrics, the clients, and the state that the processes of this router share. What a command means is decided by
 //! [`maintenance::Machine`].
 mod coordinator;
+mod dependencies;
 mod shared_folder;
 
+pub use dependencies::ServiceDependencies;
+
 use crate::command::Command;
 use crate::handler::AdminHandler;
 use crate::response::Response;
-use client_listener::ServerCommand;
 use coordinator::Coordinator;
-use crossbeam_channel::Sender;
 use maintenance::Event;
-use routing::{Clock, EndpointsHandle, Metrics, spawn_needed};
-use settings::Limits;
+use routing::spawn_needed;
 use std::io;
 use std::path::Path;
-use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 const SYNC_THREAD_NAME: &str = "maintenance";
 
-/// What the commands act on.
-pub struct ServiceDependencies {
-    /// The metrics that `METRICS` reports.
-    pub metrics: Arc<Metrics>,
-    /// The endpoint list, which shows instances in maintenance as draining.
-    pub endpoints: EndpointsHandle,
-    /// Orders to the client listener: to drain, and how many processes of this router there are.
-    pub client_orders: Sender<ServerCommand>,
-    /// Sets whether the client listener answers readiness probes as draining (`true`). It takes effect before `PAUSE` is
-    /// answered.
-    pub set_draining: Box<dyn Fn(bool) + Send>,
-    /// Whether this process accepts clients; without it `STATUS` is rejected.
-    pub accepting: Arc<AtomicBool>,
-    /// Sets how many processes, this one included, share what this router may use.
-    pub set_process_count: Box<dyn Fn(u32) + Send>,
-    /// The clock of maintenance times, the same in all processes of this router: Unix time.
-    pub clock: Clock,
-    /// The router's limits.
-    pub limits: Arc<Limits>,
-}
-
 /// The command handler of one router.
 pub struct AdminService(Mutex<Coordinator>);
 
--- a/admin/src/service/coordinator.rs
+++ b/admin/src/service/coordinator.rs
@@ -1,12 +1,12 @@
 //! Keeps three things in agreement: the state machine, the state that the processes of this router share, and what the
 //! other parts of this process have been notified of.
-use super::ServiceDependencies;
-use super::shared_folder::SharedFolder;
+use super::dependencies::ServiceDependencies;
+use super::shared_folder::{SharedFolder, StoredState};
 use crate::response::Response;
 use client_listener::ServerCommand;
 use maintenance::{
-    Action, EndpointChange, Event, Machine, MaintenanceError, MaintenanceMask, OtherProcesses,
-    SharedFolderError,
+    Action, EndpointChange, Event, LockedStateFile, Machine, MaintenanceError, MaintenanceMask,
+    OtherProcesses, SharedFolderError,
 };
 use routing::Time;
 use settings::Limits;
@@ -35,7 +35,7 @@
     stored: Result<(), SharedFolderError>,
 }
 
-/// See the module.
+/// The service's state; see the module.
 pub(super) struct Coordinator {
     dependencies: ServiceDependencies,
     shared: Option<SharedFolder>,
@@ -54,7 +54,7 @@
             max_entries: limits.holds,
             restored_retention: i64::try_from(limits.hold_cold.as_micros()).unwrap_or(i64::MAX),
         };
-        let (state, shared) = SharedFolder::open(shared_folder);
+        let StoredState { state, shared } = SharedFolder::open(shared_folder);
         let mut coordinator = Coordinator {
             dependencies,
             shared,
@@ -144,7 +144,11 @@
         if others == self.others {
             return;
         }
-        tracing::info!("process: {} others of this router live, {} take clients", others.alive, others.ready);
+        tracing::info!(
+            other_processes = others.alive,
+            other_ready_processes = others.ready,
+            "process count of this router changed"
+        );
         self.others = others;
         let processes = others.alive + 1;
         (self.dependencies.set_process_count)(u32::try_from(processes).unwrap_or(u32::MAX));
@@ -172,15 +176,11 @@
     fn sync(&mut self) -> SyncResult {
         let now = self.dependencies.clock.now();
         let (mut next, mut actions) = (self.stored_machine.clone(), Vec::new());
-        let mut stored = Ok(());
         let mut locked = self.shared.as_ref().map(|shared| shared.state_file.lock()).transpose();
-        if let Ok(Some(file)) = &mut locked {
-            match file.read() {
-                Ok(Some(state)) => next.handle(now, Event::StateRead(state), &mut actions),
-                Ok(None) => {}
-                Err(error) => stored = Err(error),
-            }
-        }
+        let mut stored = match &mut locked {
+            Ok(Some(file)) => apply_stored_state(file, &mut next, now, &mut actions),
+            Ok(None) | Err(_) => Ok(()),
+        };
         let stored_revision = next.state().revision;
         for command in &self.pending {
             next.handle(command.received, command.event.clone(), &mut actions);
@@ -217,6 +217,18 @@
     }
 }
 
+fn apply_stored_state(
+    file: &mut LockedStateFile<'_>,
+    machine: &mut Machine,
+    now: Time,
+    actions: &mut Vec<Action>,
+) -> Result<(), SharedFolderError> {
+    if let Some(state) = file.read()? {
+        machine.handle(now, Event::StateRead(state), actions);
+    }
+    Ok(())
+}
+
 fn last_response(actions: Vec<Action>) -> Option<Result<(), MaintenanceError>> {
     actions.into_iter().rev().find_map(|action| match action {
         Action::Respond(response) => Some(response),
--- a/admin/src/service/shared_folder.rs
+++ b/admin/src/service/shared_folder.rs
@@ -2,6 +2,13 @@
 use maintenance::{ProcessPresence, SharedFolderError, State, StateFile};
 use std::path::Path;
 
+/// What a process begins with.
+pub(super) struct StoredState {
+    pub(super) state: State,
+    /// `None` if the state ends with this process.
+    pub(super) shared: Option<SharedFolder>,
+}
+
 /// This process's handles on the shared folder.
 pub(super) struct SharedFolder {
     pub(super) state_file: StateFile,
@@ -13,20 +20,21 @@
 impl SharedFolder {
     /// Reads the stored state and registers this process. Problems are logged: the state then begins empty, or ends with
     /// this process.
-    pub(super) fn open(folder: Option<&Path>) -> (State, Option<SharedFolder>) {
+    pub(super) fn open(folder: Option<&Path>) -> StoredState {
         let Some(folder) = folder else {
-            tracing::warn!("no $TMPDIR: maintenance and drain end with this process");
-            return (State::default(), None);
+            tracing::warn!("maintenance state not shared, it ends with this process; set $TMPDIR");
+            return StoredState { state: State::default(), shared: None };
         };
         let state_file = match StateFile::open(folder) {
             Ok(file) => file,
-            Err(error) => return (State::default(), not_shared(&error)),
+            Err(error) => return StoredState { state: State::default(), shared: not_shared(&error) },
         };
         let state = read_or_default(&state_file);
-        match ProcessPresence::register(folder, std::process::id()) {
-            Ok(presence) => (state, Some(SharedFolder { state_file, presence, marked: false })),
-            Err(error) => (state, not_shared(&error)),
-        }
+        let shared = match ProcessPresence::register(folder, std::process::id()) {
+            Ok(presence) => Some(SharedFolder { state_file, presence, marked: false }),
+            Err(error) => not_shared(&error),
+        };
+        StoredState { state, shared }
     }
 
     /// Marks this process as one that accepts clients, unless it has been marked before.
@@ -50,7 +58,7 @@
 }
 
 fn not_shared(error: &SharedFolderError) -> Option<SharedFolder> {
-    tracing::error!(%error, "maintenance and drain end with this process");
+    tracing::error!(%error, "maintenance state not shared, it ends with this process");
     None
 }
 
