--- a/mysql/src/backend.rs
+++ b/mysql/src/backend.rs
@@ -17,7 +17,7 @@
 };
 use sessions::clocks::Clocks;
 use settings::Limits;
-use settings::operator::Mysql as Settings;
+use settings::operator::MysqlConfig as Settings;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -41,7 +41,10 @@
             password: settings.server_password.clone(),
             database: settings.database.clone(),
         };
-        let clocks = Arc::new(Clocks::new(settings.server_clock, limits.clock_skew.as_micros() as i64));
+        let clocks = Arc::new(Clocks::new(
+            settings.health_check_returns_clock,
+            limits.max_clock_skew.as_micros() as i64,
+        ));
         Mysql { credentials, settings, limits, clock, clocks }
     }
 }
@@ -52,9 +55,9 @@
     type Connection = MysqlConnection;
 
     fn connect(&self, addr: SocketAddr, permit: ConnectionPermit) -> Result<MysqlConnection, Outcome> {
-        let deadline = Instant::now() + self.limits.connect;
+        let deadline = Instant::now() + self.limits.backend_connect_timeout;
         let handshake = Handshake::connect(permit, addr, &self.limits)?;
-        let mut reader = PacketReader::new(self.limits.answer_bytes);
+        let mut reader = PacketReader::new(self.limits.max_response_bytes);
         login(&handshake, &mut reader, &self.credentials, deadline)
             .map_err(|error| login_outcome(addr, &error))?;
         let context = ConnectionContext {
--- a/mysql/src/backend/connection.rs
+++ b/mysql/src/backend/connection.rs
@@ -12,7 +12,7 @@
 };
 use sessions::clocks::{Clocks, Offset};
 use settings::Limits;
-use settings::operator::Mysql as Settings;
+use settings::operator::MysqlConfig as Settings;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -86,7 +86,7 @@
     }
 
     pub(super) fn is_usable_after(&self, idle: Duration) -> bool {
-        idle < self.context.limits.link_trust && self.is_silent()
+        idle < self.context.limits.max_unchecked_idle_time && self.is_silent()
     }
 
     /// Whether it is open and has brought nothing that was not asked for.
@@ -97,18 +97,19 @@
     /// Begins an exchange whose client waits until the deadline.
     pub(super) fn begin_attempt(&mut self, deadline: Instant) {
         let now = Instant::now();
-        self.deadline = now + deadline.saturating_duration_since(now) + self.context.limits.link_backstop;
+        self.deadline =
+            now + deadline.saturating_duration_since(now) + self.context.limits.abandoned_response_timeout;
     }
 
     /// Begins a probe.
     pub(super) fn begin_probe(&mut self) {
-        self.deadline = Instant::now() + self.context.limits.probe;
+        self.deadline = Instant::now() + self.context.limits.health_check_timeout;
     }
 
     /// Sends the probe's statement and reads what the server says about itself.
     pub(super) fn probe(&mut self, guard: &AttemptGuard) -> Result<ServerResult, NotSent> {
         let (context, sent_at) = (&self.context, self.context.clock.now());
-        self.write_command(guard, &[&[command::QUERY], context.settings.probe.as_bytes()])?;
+        self.write_command(guard, &[&[command::QUERY], context.settings.health_check_statement.as_bytes()])?;
         Ok(self.read_probe(sent_at))
     }
 
@@ -233,7 +234,7 @@
         for _ in 0..prepared.following_payloads() {
             response.push(self.read_payload()?);
         }
-        let evicted = self.statements.evict_if_full(self.context.limits.statements_per_link);
+        let evicted = self.statements.evict_if_full(self.context.limits.max_statements_per_connection);
         let replaced = self.statements.remove(text);
         for id in [evicted, replaced].into_iter().flatten() {
             self.close_statement(id, permit).map_err(broken)?;
@@ -269,7 +270,7 @@
             expected_sequence = packet.last.wrapping_add(1);
             state.advance(&packet.payload);
             bytes += packet.payload.len() + HEAD_BYTES;
-            if bytes > self.context.limits.answer_bytes {
+            if bytes > self.context.limits.max_response_bytes {
                 return Err(ResponseError::TooLarge);
             }
             response.push(packet.payload);
@@ -286,7 +287,8 @@
         match response {
             Err(ResponseError::Failed(outcome)) => ExchangeResult::from_outcome(outcome),
             Err(ResponseError::TooLarge) => {
-                let text = format!("the answer is longer than {} bytes", self.context.limits.answer_bytes);
+                let text =
+                    format!("the answer is longer than {} bytes", self.context.limits.max_response_bytes);
                 let response = vec![errors::encode(errors::TOO_LARGE, &text)];
                 ExchangeResult { response: Some(response), ..ExchangeResult::from_outcome(Outcome::Ok) }
             }
@@ -314,7 +316,7 @@
         // The last row stands before the end of the rows.
         let row = ProbeRow::parse(&response[response.len() - 2]);
         let context = &self.context;
-        if let (true, Some(server_time)) = (context.settings.server_clock, row.clock) {
+        if let (true, Some(server_time)) = (context.settings.health_check_returns_clock, row.clock) {
             context.clocks.learn(context.addr, Offset::sample(sent_at, context.clock.now(), server_time));
         }
         ExchangeResult {
--- a/mysql/src/clock_sampler.rs
+++ b/mysql/src/clock_sampler.rs
@@ -16,8 +16,8 @@
     servers: impl Fn() -> Vec<SocketAddr> + Send + 'static,
     limits: &Limits,
 ) -> io::Result<()> {
-    let (interval, retry_interval) = (limits.clock_pause, limits.clock_retry);
-    routing::spawn_needed("clocks", limits.stack_bytes, move || {
+    let (interval, retry_interval) = (limits.clock_poll_interval, limits.clock_poll_retry_delay);
+    routing::spawn_needed("clocks", limits.socket_thread_stack_bytes, move || {
         loop {
             let all_sampled = sample_all(&protocol, &servers());
             std::thread::sleep(if all_sampled { interval } else { retry_interval });
--- a/mysql/src/front.rs
+++ b/mysql/src/front.rs
@@ -33,7 +33,7 @@
             connection.set_close_reason(CloseReason::NoThread);
             return self.reject(connection);
         };
-        let mut reader = PacketReader::new(self.limits.message_bytes);
+        let mut reader = PacketReader::new(self.limits.max_message_bytes);
         if let Ok(login) = login::log_in(&client, &mut reader) {
             // A client that has proved a password is expected to make requests.
             connection.record_request();
--- a/mysql/src/front/client_link.rs
+++ b/mysql/src/front/client_link.rs
@@ -58,7 +58,7 @@
     pub(super) fn close_after_read_error<T>(&self, error: &ReadError) -> Result<T, ConnectionEnded> {
         match error {
             ReadError::TooLong => {
-                let text = format!("a packet is longer than {} bytes", self.front.limits.message_bytes);
+                let text = format!("a packet is longer than {} bytes", self.front.limits.max_message_bytes);
                 self.close_with_error(0, errors::TOO_LARGE, &text)
             }
             ReadError::OutOfOrder => {
--- a/mysql/src/front/command_reader.rs
+++ b/mysql/src/front/command_reader.rs
@@ -19,7 +19,7 @@
 impl CommandReader {
     /// Starts the thread; `None` where the system has none.
     pub(super) fn start(front: &Front, connection: &Arc<Connection>) -> Option<CommandReader> {
-        let (sender, commands) = bounded(front.limits.pipelined);
+        let (sender, commands) = bounded(front.limits.max_pipelined_requests);
         let (reader_sender, readers) = bounded::<PacketReader>(1);
         let (handle, connection) = (front.handle.clone(), connection.clone());
         let run = move || {
@@ -27,7 +27,8 @@
                 read_commands(&connection, reader, &sender, |id| handle.client_disconnected(id));
             }
         };
-        spawn_with_retry("commands", front.limits.stack_bytes, THREAD_START_TIMEOUT, run).ok()?;
+        spawn_with_retry("commands", front.limits.socket_thread_stack_bytes, THREAD_START_TIMEOUT, run)
+            .ok()?;
         Some(CommandReader { reader_sender, commands })
     }
 
--- a/mysql/src/front/login.rs
+++ b/mysql/src/front/login.rs
@@ -83,8 +83,8 @@
     sequence: u8,
 ) -> Result<(), ConnectionEnded> {
     let settings = client.front.settings();
-    let user = settings.users.iter().find(|(name, _)| *name == response.user);
-    let expected = user.and_then(|(_, password)| scramble(&response.plugin, password, nonce));
+    let user = settings.users.iter().find(|user| user.user == response.user);
+    let expected = user.and_then(|user| scramble(&response.plugin, &user.password, nonce));
     if expected.is_some_and(|expected| constant_time_eq(&expected, &response.proof)) {
         return Ok(());
     }
--- a/mysql/src/front/session.rs
+++ b/mysql/src/front/session.rs
@@ -56,7 +56,7 @@
         self.run_commands(&commands);
         self.client.connection.shut_down_write();
         // The reader ends with its client, or where the connection is closed; what it still brings is not carried out.
-        while commands.recv_timeout(self.client.front.limits.client_linger).is_ok() {}
+        while commands.recv_timeout(self.client.front.limits.client_linger_timeout).is_ok() {}
     }
 
     fn run_commands(&mut self, commands: &Receiver<Result<Packet, ReadError>>) {
@@ -156,7 +156,7 @@
         if let Some(database) = statement.normalized.strip_prefix("use ") {
             return self.use_database(database);
         }
-        let max_allowed_packet = self.client.front.limits.message_bytes;
+        let max_allowed_packet = self.client.front.limits.max_message_bytes;
         if let Some(variables) = statement.selected_system_variables(max_allowed_packet) {
             return Ok(Reply::Packets(encode_single_row(&variables)));
         }
@@ -180,13 +180,13 @@
 
     fn prepare(&mut self, body: &[u8]) -> Result<ResponsePayloads, CommandError> {
         let requirements = self.requirements(body)?;
-        let max_statements = self.client.front.limits.statements_per_client;
+        let max_statements = self.client.front.limits.max_statements_per_client;
         if self.statements.len() >= max_statements {
             let text = format!("one client may hold {max_statements} prepared statements");
             return Err(CommandError::new(errors::TOO_MANY_STATEMENTS, text));
         }
         let text: Arc<[u8]> = body.into();
-        let class = self.client.front.settings().prepare;
+        let class = self.client.front.settings().prepare_class;
         let mut response = self.submit(&requirements, class, Request::Prepare(text.clone()))?;
         if let Some(parameter_count) = prepared_parameter_count(&response[0]) {
             self.last_statement_id = self.last_statement_id.wrapping_add(1).max(1);
@@ -251,7 +251,7 @@
 
     /// There is no response, also where the statement is unknown.
     fn add_long_data(&mut self, body: &[u8]) -> Reply {
-        let max_bytes = self.client.front.limits.message_bytes;
+        let max_bytes = self.client.front.limits.max_message_bytes;
         if let Ok(NamedStatement { statement, rest }) = self.statement(body) {
             statement.add_long_parameter_part(rest, max_bytes);
         }
--- a/mysql/src/front/shared.rs
+++ b/mysql/src/front/shared.rs
@@ -4,7 +4,7 @@
 use routing::RouterHandle;
 use sessions::node::Sessions;
 use settings::Limits;
-use settings::operator::Mysql as Settings;
+use settings::operator::MysqlConfig as Settings;
 use std::sync::{Arc, PoisonError, RwLock};
 
 /// The front for `MySQL` clients: the routing core that it submits requests to, and what its connections share.
--- a/mysql/src/front/submission.rs
+++ b/mysql/src/front/submission.rs
@@ -31,13 +31,13 @@
         let sessions = &self.front.sessions;
         let group = GroupId(requirements.group);
         let session = self.session(requirements, group);
-        let session_commit = if settings.sessions[class] {
+        let session_commit = if settings.class_uses_session[class] {
             sessions.need(session).map_err(rejected)?
         } else {
             sessions.admits(session).map_err(rejected)?;
             None
         };
-        let tenant = self.tenant(requirements, class == settings.prepare)?;
+        let tenant = self.tenant(requirements, class == settings.prepare_class)?;
         let deadline = self.deadline(now, requirements.wait_ms);
         let (sender, receiver) = bounded(1);
         let client_request = ClientRequest {
@@ -59,7 +59,7 @@
         }
         // The client gets the response to a write once no read of its session can miss the write any more.
         if let FinalResponse::Served(_, Some(commit)) = &response
-            && !settings.reading[class]
+            && !settings.class_is_read[class]
             && !sessions.committed(session, *commit, deadline)
         {
             let text = "it has run, but its session can't rely on it";
--- a/mysql/src/requirements.rs
+++ b/mysql/src/requirements.rs
@@ -2,7 +2,7 @@
 //! with.
 use crate::errors::{CommandError, UNSUPPORTED};
 use crate::statement::ScannedStatement;
-use settings::operator::Mysql;
+use settings::operator::MysqlConfig;
 
 /// The longest that a client may wait, in milliseconds: a day.
 const MAX_WAIT_MS: u64 = 86_400_000;
@@ -27,20 +27,21 @@
     ///
     /// # Errors
     /// The statement may write though its class only reads, or its comment has a malformed number.
-    pub fn of(statement: &ScannedStatement, mysql: &Mysql) -> Result<Requirements, CommandError> {
-        let rule = mysql.rules.iter().find(|rule| statement.normalized.starts_with(&rule.starts));
+    pub fn of(statement: &ScannedStatement, mysql: &MysqlConfig) -> Result<Requirements, CommandError> {
+        let rule = mysql.rules.iter().find(|rule| statement.normalized.starts_with(&rule.prefix));
         let named_class = match statement.comment_field("c") {
-            Some(name) => mysql.classes.iter().position(|class| class == name),
+            Some(name) => mysql.class_names.iter().position(|class| class == name),
             None => rule.map(|rule| rule.class),
         };
-        let class = named_class.unwrap_or(mysql.unknown);
-        if mysql.reading[class] && !statement.is_read_only() {
-            let text = format!("class '{}' only reads, and this statement may write", mysql.classes[class]);
+        let class = named_class.unwrap_or(mysql.unknown_class);
+        if mysql.class_is_read[class] && !statement.is_read_only() {
+            let text =
+                format!("class '{}' only reads, and this statement may write", mysql.class_names[class]);
             return Err(CommandError::new(UNSUPPORTED, text));
         }
-        let default_group = rule.map_or(mysql.group, |rule| rule.group);
+        let default_group = rule.map_or(mysql.default_group, |rule| rule.group);
         let group = comment_number(statement, "cluster")?.unwrap_or(u64::from(default_group));
-        let wait_ms = comment_number(statement, "d")?.unwrap_or(mysql.deadlines_ms[class]);
+        let wait_ms = comment_number(statement, "d")?.unwrap_or(mysql.class_deadlines_ms[class]);
         Ok(Requirements {
             class,
             group: group as u32,
--- a/postgres/src/front/shared.rs
+++ b/postgres/src/front/shared.rs
@@ -49,7 +49,7 @@
             classes: names.zip(classes).collect(),
             request_ids: Mutex::default(),
             cancel_keys: Mutex::default(),
-            memory: MemoryPool::new(limits.client_bytes),
+            memory: MemoryPool::new(limits.max_client_memory_bytes),
             other_processes_bytes: Mutex::default(),
             limits,
         })
@@ -58,7 +58,7 @@
     /// Sets how many processes serve as this router: each gets its share of the memory for clients. What is in use
     /// beyond the share stays so until it is released.
     pub fn set_process_count(&self, processes: u32) {
-        let total = self.limits.client_bytes as isize;
+        let total = self.limits.max_client_memory_bytes as isize;
         let others = total - total / processes.max(1) as isize;
         let mut current = lock(&self.other_processes_bytes);
         let previous = std::mem::replace(&mut *current, others);
--- a/postgres/tests/front.rs
+++ b/postgres/tests/front.rs
@@ -106,7 +106,7 @@
 
 #[test]
 fn disconnect_is_noticed_without_polling_the_client() {
-    let front = TestFront::start(|limits| limits.client_watch = Duration::from_secs(3600));
+    let front = TestFront::start(|limits| limits.client_poll_interval = Duration::from_secs(3600));
     let socket = connect(front.addr);
     (&socket).write_all(&query("w1", 9000)).unwrap();
     front.wait_for_requests(1);
@@ -118,7 +118,7 @@
 
 #[test]
 fn pipelined_requests_are_answered_in_order_without_a_writer_thread() {
-    let front = TestFront::start(|limits| limits.stack_bytes = usize::MAX >> 2);
+    let front = TestFront::start(|limits| limits.socket_thread_stack_bytes = usize::MAX >> 2);
     let socket = connect(front.addr);
     (&socket).write_all(&[query("w1", 300), query("w2", 300), query("w3", 300)].concat()).unwrap();
     for _ in 0..3 {
--- a/routing/src/backends/actor.rs
+++ b/routing/src/backends/actor.rs
@@ -26,7 +26,7 @@
     }
 
     pub(super) fn run(mut self, mailbox: &Receiver<AddressedCommand<P>>) {
-        let interval = self.resources.limits.link_idle / IDLE_CHECKS_PER_LIFETIME;
+        let interval = self.resources.limits.backend_idle_timeout / IDLE_CHECKS_PER_LIFETIME;
         let mut last_check = Instant::now();
         loop {
             match mailbox.recv_timeout(interval.saturating_sub(last_check.elapsed())) {
