--- a/routing/tests/observer.rs
+++ b/routing/tests/observer.rs
@@ -3,7 +3,7 @@
 use routing::observer::{AttemptEnd, Ending, Invariant, MAX_TRACKED, Observer, Transition, Violation};
 use routing::permit::{RepeatRule, RepeatState};
 
-const S: i64 = 1_000_000;
+const SECOND: i64 = 1_000_000;
 const IDEMPOTENT: usize = 0;
 const UNSAFE: usize = 1;
 const WINDOW: usize = 2;
@@ -14,15 +14,15 @@
     vec![
         rule(Idempotency::Idempotent),
         rule(Idempotency::NotIdempotent),
-        rule(Idempotency::DeduplicatedInGroup(S)),
+        rule(Idempotency::DeduplicatedInGroup(SECOND)),
     ]
 }
 
 /// What a history of one request, with a deadline of 2 s, violates.
 fn violations(class: usize, history: &[(i64, Transition)]) -> Vec<Invariant> {
-    let mut observer = Observer::new(rules(), S / 4);
+    let mut observer = Observer::new(rules(), SECOND / 4);
     let mut found: Vec<Violation> = Vec::new();
-    let accepted = Transition::Accepted { class, deadline: Time(2 * S) };
+    let accepted = Transition::Accepted { class, deadline: Time(2 * SECOND) };
     observer.observe(Time(0), REQUEST, accepted, &mut found);
     for (at, transition) in history {
         observer.find_forgotten(Time(*at), &mut found);
@@ -32,7 +32,7 @@
 }
 
 fn dispatched(attempt: u32) -> Transition {
-    Transition::AttemptDispatched { attempt, deadline: Time(2 * S) }
+    Transition::AttemptDispatched { attempt, deadline: Time(2 * SECOND) }
 }
 
 fn ended(attempt: u32, permitted_at: i64, outcome: Outcome) -> Transition {
@@ -48,18 +48,22 @@
 
 #[test]
 fn regular_histories_violate_nothing() {
-    let served = [(0, dispatched(0)), (S, ended(0, 10, Outcome::Ok)), (S, Transition::Ended(Ending::Served))];
+    let served = [
+        (0, dispatched(0)),
+        (SECOND, ended(0, 10, Outcome::Ok)),
+        (SECOND, Transition::Ended(Ending::Served)),
+    ];
     let retried = [
         (0, dispatched(0)),
-        (S / 2, ended(0, 10, Outcome::Reset)),
-        (S / 2, dispatched(1)),
-        (S, ended(1, S / 2 + 10, Outcome::Ok)),
-        (S, Transition::Ended(Ending::Served)),
+        (SECOND / 2, ended(0, 10, Outcome::Reset)),
+        (SECOND / 2, dispatched(1)),
+        (SECOND, ended(1, SECOND / 2 + 10, Outcome::Ok)),
+        (SECOND, Transition::Ended(Ending::Served)),
     ];
     let left = [
         (0, dispatched(0)),
-        (S / 2, Transition::Ended(Ending::ClientDisconnected)),
-        (3 * S, ended(0, 10, Outcome::TimedOut)),
+        (SECOND / 2, Transition::Ended(Ending::ClientDisconnected)),
+        (3 * SECOND, ended(0, 10, Outcome::TimedOut)),
     ];
     for class in [IDEMPOTENT, UNSAFE, WINDOW] {
         assert_eq!(violations(class, &served), []);
@@ -72,55 +76,56 @@
 #[test]
 fn each_broken_promise_reports_its_invariant() {
     let end = Transition::Ended;
-    let twice = [(S, end(Ending::Rejected)), (S, end(Ending::Failed))];
+    let twice = [(SECOND, end(Ending::Rejected)), (SECOND, end(Ending::Failed))];
     // An attempt is out, so the request is still known when its second end comes.
     let twice = [[(0, dispatched(0))].as_slice(), &twice].concat();
     assert_eq!(violations(IDEMPOTENT, &twice), [Invariant::OneFinalResponse]);
     assert_eq!(
-        violations(IDEMPOTENT, &[(2 * S + S / 2 + 1, end(Ending::Failed))]),
+        violations(IDEMPOTENT, &[(2 * SECOND + SECOND / 2 + 1, end(Ending::Failed))]),
         [Invariant::ResponseInTime]
     );
     assert_eq!(
-        violations(IDEMPOTENT, &[(3 * S + 1, end(Ending::ClientDisconnected))]),
+        violations(IDEMPOTENT, &[(3 * SECOND + 1, end(Ending::ClientDisconnected))]),
         [Invariant::RequestForgotten]
     );
     let late_start = [
         (0, dispatched(0)),
-        (S, end(Ending::ClientDisconnected)),
-        (2 * S, ended(0, S + S / 10 + 1, Outcome::Reset)),
+        (SECOND, end(Ending::ClientDisconnected)),
+        (2 * SECOND, ended(0, SECOND + SECOND / 10 + 1, Outcome::Reset)),
     ];
     assert_eq!(violations(IDEMPOTENT, &late_start), [Invariant::StartAfterEnd]);
     let repeated = [
         (0, dispatched(0)),
-        (S / 2, ended(0, 10, Outcome::Reset)),
-        (S / 2, dispatched(1)),
-        (S, ended(1, S / 2, Outcome::Ok)),
+        (SECOND / 2, ended(0, 10, Outcome::Reset)),
+        (SECOND / 2, dispatched(1)),
+        (SECOND, ended(1, SECOND / 2, Outcome::Ok)),
     ];
     assert_eq!(violations(UNSAFE, &repeated), [Invariant::UnsafeRepeat]);
     let after_window = [
         (0, dispatched(0)),
-        (S / 2, ended(0, 10, Outcome::TimedOut)),
-        (S / 2, dispatched(1)),
-        (2 * S, ended(1, S + 150_011, Outcome::Ok)),
+        (SECOND / 2, ended(0, 10, Outcome::TimedOut)),
+        (SECOND / 2, dispatched(1)),
+        (2 * SECOND, ended(1, SECOND + 150_011, Outcome::Ok)),
     ];
     assert_eq!(violations(WINDOW, &after_window), [Invariant::RepeatWindow]);
     assert_eq!(
         violations(IDEMPOTENT, &[(0, dispatched(0)), (1, dispatched(1))]),
         [Invariant::OneAttemptInFlight]
     );
-    let refused = [(0, dispatched(0)), (S, ended(0, 10, Outcome::TimedOut)), (S, end(Ending::Rejected))];
+    let refused =
+        [(0, dispatched(0)), (SECOND, ended(0, 10, Outcome::TimedOut)), (SECOND, end(Ending::Rejected))];
     assert_eq!(violations(UNSAFE, &refused), [Invariant::HarmlessRejection]);
     assert_eq!(violations(WINDOW, &refused), [Invariant::HarmlessRejection]);
     assert_eq!(violations(IDEMPOTENT, &refused), []);
     let drained = Transition::AttemptEnded(AttemptEnd {
         attempt: 0,
-        permitted_at: Some(Time(S)),
+        permitted_at: Some(Time(SECOND)),
         sent: true,
-        endpoint_left_at: Some(Time(S - S / 4 - 1)),
+        endpoint_left_at: Some(Time(SECOND - SECOND / 4 - 1)),
         outcome: Outcome::Ok,
     });
-    assert_eq!(violations(IDEMPOTENT, &[(0, dispatched(0)), (S, drained)]), [Invariant::Drain]);
-    let late_deadline = Transition::AttemptDispatched { attempt: 0, deadline: Time(2 * S + 150_001) };
+    assert_eq!(violations(IDEMPOTENT, &[(0, dispatched(0)), (SECOND, drained)]), [Invariant::Drain]);
+    let late_deadline = Transition::AttemptDispatched { attempt: 0, deadline: Time(2 * SECOND + 150_001) };
     assert_eq!(violations(IDEMPOTENT, &[(0, late_deadline)]), [Invariant::ServerDeadline]);
 }
 
@@ -141,8 +146,8 @@
         (1, dispatched(1)),
         (2, unsent(1, Outcome::NeverSent)),
         (2, dispatched(2)),
-        (S, ended(2, 20, Outcome::Rejected)),
-        (S, Transition::Ended(Ending::Rejected)),
+        (SECOND, ended(2, 20, Outcome::Rejected)),
+        (SECOND, Transition::Ended(Ending::Rejected)),
     ];
     assert_eq!(violations(UNSAFE, &history), []);
 }
@@ -151,7 +156,7 @@
 fn tracked_requests_are_bounded_and_removed_at_their_end() {
     let mut observer = Observer::new(rules(), 0);
     let mut found = Vec::new();
-    let accepted = Transition::Accepted { class: IDEMPOTENT, deadline: Time(S) };
+    let accepted = Transition::Accepted { class: IDEMPOTENT, deadline: Time(SECOND) };
     for id in 0..MAX_TRACKED as u64 + 5 {
         observer.observe(Time(0), RequestId(id), accepted, &mut found);
     }
@@ -160,7 +165,7 @@
         observer.observe(Time(1), RequestId(id), Transition::Ended(Ending::Rejected), &mut found);
     }
     assert_eq!(observer.tracked(), 0);
-    observer.find_forgotten(Time(100 * S), &mut found);
+    observer.find_forgotten(Time(100 * SECOND), &mut found);
     assert_eq!(found, []);
 }
 
@@ -175,12 +180,12 @@
         state
     };
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NeverSent, Outcome::NotEligible] {
-        assert_eq!(after(outcome).permit_attempt(Time(S), not_idempotent), Ok(None), "{outcome:?}");
+        assert_eq!(after(outcome).permit_attempt(Time(SECOND), not_idempotent), Ok(None), "{outcome:?}");
     }
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
-        assert!(after(outcome).permit_attempt(Time(S), not_idempotent).is_err(), "{outcome:?}");
-        assert_eq!(after(outcome).permit_attempt(Time(5 * S), idempotent), Ok(None));
-        assert_eq!(after(outcome).permit_attempt(Time(S), window), Ok(Some(Time(S + 10))));
-        assert!(after(outcome).permit_attempt(Time(S + 11), window).is_err());
+        assert!(after(outcome).permit_attempt(Time(SECOND), not_idempotent).is_err(), "{outcome:?}");
+        assert_eq!(after(outcome).permit_attempt(Time(5 * SECOND), idempotent), Ok(None));
+        assert_eq!(after(outcome).permit_attempt(Time(SECOND), window), Ok(Some(Time(SECOND + 10))));
+        assert!(after(outcome).permit_attempt(Time(SECOND + 11), window).is_err());
     }
 }
