--- a/sessions/src/node/start.rs
+++ b/sessions/src/node/start.rs
@@ -101,7 +101,7 @@
         sessions.list(settings.peers.clone());
         let own = sessions.clone();
         routing::spawn_needed("sessions", limits.socket_thread_stack_bytes, move || {
-            own.accept_all(&listener)
+            own.accept_all(&listener);
         })
         .map_err(Error::Thread)?;
         let own = sessions.clone();
