--- a/lab/src/count.rs
+++ b/lab/src/count.rs
@@ -1,152 +1,193 @@
-//! Counts what a fleet did, second by second, from the logs of its routers.
+//! `count`: counts what a fleet did, second by second, from the logs of its routers.
 //!
 //! Each `*.log` file of a folder is one router's log, written with `DAMSONVALE_LOG=debug`; a line that counts begins with
 //! the second since the start of the run (`12.345 ...`), as the bench writes them. Counted over all routers:
 //! requests, attempts, outcomes, connections opened and failed, probes by what the last probe of that member showed,
-//! refusals and failures by class and by whether an attempt had gone out.
+//! rejections and failures by class and by whether an attempt had been sent.
 use crate::error::Error;
 use clap::Args;
 use regex::Regex;
 use std::collections::{BTreeMap, HashMap};
 use std::path::{Path, PathBuf};
 
-/// What `count` is asked.
+/// Seconds from this on are no time within a run.
+const MAX_SECOND: f64 = 1e7;
+/// Value of a field that a line does not have.
+const UNKNOWN: &str = "?";
+
+/// Arguments of `count`.
 #[derive(Args)]
-pub struct Count {
+pub struct CountArguments {
     /// The folder of the routers' logs, one `*.log` file each.
     folder: PathBuf,
 }
 
 /// Counts by name, then by second of the run.
 #[derive(Default, Debug, PartialEq)]
-pub struct Seconds(pub BTreeMap<String, BTreeMap<u64, u64>>);
+pub struct EventCounts(pub BTreeMap<String, BTreeMap<u64, u64>>);
 
-impl Seconds {
-    fn add(&mut self, second: u64, name: impl Into<String>) {
+impl EventCounts {
+    fn increment(&mut self, second: u64, name: impl Into<String>) {
         *self.0.entry(name.into()).or_default().entry(second).or_default() += 1;
     }
 
-    /// How many of this name over the whole run.
+    /// The count of a name over the whole run.
     pub fn total(&self, name: &str) -> u64 {
-        self.0.get(name).map_or(0, |by| by.values().sum())
+        self.0.get(name).map_or(0, |by_second| by_second.values().sum())
+    }
+
+    fn last_second(&self) -> u64 {
+        self.0.values().filter_map(|by_second| by_second.keys().next_back()).max().copied().unwrap_or(0)
     }
 }
 
-/// The fields of a line that are counted by: request, member, outcome, class.
-struct Fields([Regex; 4]);
-
-impl Fields {
-    fn new() -> Fields {
-        let field = |pattern: &str| Regex::new(pattern).expect("a pattern of our own");
-        Fields([
-            field(r"RequestId\((\d+)\)"),
-            field(r"MemberId\((\d+)\)"),
-            field(r"outcome: (\w+)"),
-            field(r"class: (\d+)"),
-        ])
+/// Fields of a log line that events are counted by; [`UNKNOWN`] where it has none.
+struct LogFields<'a> {
+    request: &'a str,
+    member: &'a str,
+    outcome: &'a str,
+    class: &'a str,
+}
+
+/// Patterns of the fields.
+struct FieldPatterns {
+    request: Regex,
+    member: Regex,
+    outcome: Regex,
+    class: Regex,
+}
+
+impl FieldPatterns {
+    fn new() -> FieldPatterns {
+        let compile = |pattern: &str| Regex::new(pattern).expect("the pattern is a constant");
+        FieldPatterns {
+            request: compile(r"RequestId\((\d+)\)"),
+            member: compile(r"MemberId\((\d+)\)"),
+            outcome: compile(r"outcome: (\w+)"),
+            class: compile(r"class: (\d+)"),
+        }
     }
 
-    /// Each field's value in the line, or `?` where it has none.
-    fn of<'a>(&self, line: &'a str) -> [&'a str; 4] {
-        self.0.each_ref().map(|r| r.captures(line).and_then(|c| c.get(1)).map_or("?", |m| m.as_str()))
+    fn fields_of<'a>(&self, line: &'a str) -> LogFields<'a> {
+        let value = |pattern: &Regex| {
+            pattern
+                .captures(line)
+                .and_then(|captures| captures.get(1))
+                .map_or(UNKNOWN, |value| value.as_str())
+        };
+        LogFields {
+            request: value(&self.request),
+            member: value(&self.member),
+            outcome: value(&self.outcome),
+            class: value(&self.class),
+        }
     }
 }
 
-/// What one router's log says, added to `into`. Lines that do not begin with a second are passed over.
-pub fn router<'a>(lines: impl IntoIterator<Item = &'a str>, into: &mut Seconds) {
-    // Of each request its class and how many attempts went out; of each member what its last probe showed.
-    let (mut classes, mut attempts, mut looked) =
-        (HashMap::<&str, &str>::new(), HashMap::<&str, u64>::new(), HashMap::<&str, String>::new());
-    let fields = Fields::new();
-    for line in lines {
-        let Some(second) = line.split(' ').next().and_then(|h| h.parse::<f64>().ok()) else { continue };
-        // A second before the start or past any day is a line of something else.
-        if !(0.0..1e7).contains(&second) {
-            continue;
-        }
-        let second = second as u64;
-        let [request, member, outcome, class] = fields.of(line);
+/// Reader of one router's log, with what later lines refer to.
+struct LogReader<'a, 'c> {
+    counts: &'c mut EventCounts,
+    /// Class of each request.
+    classes: HashMap<&'a str, &'a str>,
+    /// Attempts sent of each request.
+    attempts: HashMap<&'a str, u64>,
+    /// What the last probe of each member showed.
+    last_probes: HashMap<&'a str, String>,
+}
+
+impl<'a> LogReader<'a, '_> {
+    fn read_line(&mut self, second: u64, line: &'a str, fields: &LogFields<'a>) {
         if line.contains("event RequestArrived") {
-            classes.insert(request, class);
-            into.add(second, "requests");
+            self.classes.insert(fields.request, fields.class);
+            self.counts.increment(second, "requests");
         } else if line.contains("event AttemptEnded") {
-            into.add(second, format!("outcome {outcome}"));
+            self.counts.increment(second, format!("outcome {}", fields.outcome));
         } else if line.contains("event ProbeEnded") {
-            let said =
-                if line.contains("report: MemberReport { primary: None") { "no report" } else { "a report" };
-            let seen = format!("{outcome}, {said}");
-            into.add(second, format!("probed {seen}"));
-            looked.insert(member, seen);
+            self.read_probe_end(second, line, fields);
         } else if line.contains("action Send") {
-            *attempts.entry(request).or_default() += 1;
-            into.add(second, "attempts");
+            *self.attempts.entry(fields.request).or_default() += 1;
+            self.counts.increment(second, "attempts");
         } else if line.contains("action Probe") {
-            let before = looked.get(member).map_or("nothing", String::as_str);
-            into.add(second, format!("probe after {before}"));
-        } else if line.contains("action Reject") || line.contains("action Fail") {
-            let kind = if line.contains("action Reject") { "refused" } else { "failed" };
-            let tried =
-                if attempts.get(request).is_some_and(|n| *n > 0) { "after attempts" } else { "never sent" };
-            let class = classes.get(request).copied().unwrap_or("?");
-            into.add(second, format!("{kind} class {class}, {tried}"));
+            let last = self.last_probes.get(fields.member).map_or("nothing", String::as_str);
+            self.counts.increment(second, format!("probe after {last}"));
+        } else if line.contains("action Reject") {
+            self.count_unserved(second, "refused", fields.request);
+        } else if line.contains("action Fail") {
+            self.count_unserved(second, "failed", fields.request);
         } else if line.contains(" link: ") {
-            into.add(second, if line.contains("link: None") { "connections" } else { "connections failed" });
+            let opened = line.contains("link: None");
+            self.counts.increment(second, if opened { "connections" } else { "connections failed" });
         }
     }
+
+    fn read_probe_end(&mut self, second: u64, line: &str, fields: &LogFields<'a>) {
+        let without_report = line.contains("report: MemberReport { primary: None");
+        let report = if without_report { "no report" } else { "a report" };
+        let result = format!("{}, {report}", fields.outcome);
+        self.counts.increment(second, format!("probed {result}"));
+        self.last_probes.insert(fields.member, result);
+    }
+
+    fn count_unserved(&mut self, second: u64, kind: &str, request: &str) {
+        let attempts = self.attempts.get(request).copied().unwrap_or(0);
+        let sent = if attempts > 0 { "after attempts" } else { "never sent" };
+        let class = self.classes.get(request).copied().unwrap_or(UNKNOWN);
+        self.counts.increment(second, format!("{kind} class {class}, {sent}"));
+    }
 }
 
-/// Counts every `*.log` of a folder. Errors: the folder or a file cannot be read.
-pub fn folder(path: &Path) -> Result<Seconds, Error> {
-    let mut files: Vec<PathBuf> = std::fs::read_dir(path)
-        .map_err(|source| Error::Read { path: path.into(), source })?
+/// The second that a line begins with; `None` for a line of something else.
+fn second_of(line: &str) -> Option<u64> {
+    let seconds: f64 = line.split(' ').next()?.parse().ok()?;
+    (0.0..MAX_SECOND).contains(&seconds).then_some(seconds as u64)
+}
+
+/// Adds the events of one router's log to `counts`. Lines that do not begin with a second are skipped.
+///
+/// # Panics
+/// Never: the patterns are constants.
+pub fn count_router_log<'a>(lines: impl IntoIterator<Item = &'a str>, counts: &mut EventCounts) {
+    let patterns = FieldPatterns::new();
+    let (classes, attempts, last_probes) = (HashMap::new(), HashMap::new(), HashMap::new());
+    let mut reader = LogReader { counts, classes, attempts, last_probes };
+    for line in lines {
+        if let Some(second) = second_of(line) {
+            reader.read_line(second, line, &patterns.fields_of(line));
+        }
+    }
+}
+
+/// Counts every `*.log` of a folder.
+///
+/// # Errors
+/// The folder or a file can't be read.
+pub fn count_folder(folder: &Path) -> Result<EventCounts, Error> {
+    let mut files: Vec<PathBuf> = std::fs::read_dir(folder)
+        .map_err(|source| Error::Read { path: folder.into(), source })?
         .flatten()
-        .map(|e| e.path())
-        .filter(|p| p.extension().is_some_and(|x| x == "log"))
+        .map(|entry| entry.path())
+        .filter(|path| path.extension().is_some_and(|extension| extension == "log"))
         .collect();
     files.sort();
-    let mut seconds = Seconds::default();
+    let mut counts = EventCounts::default();
     for file in files {
         let bytes = std::fs::read(&file).map_err(|source| Error::Read { path: file.clone(), source })?;
-        router(String::from_utf8_lossy(&bytes).lines(), &mut seconds);
+        count_router_log(String::from_utf8_lossy(&bytes).lines(), &mut counts);
     }
-    Ok(seconds)
+    Ok(counts)
 }
 
 /// Prints a line for each name: its total, then its count in each second of the run.
-pub fn run(asked: &Count) -> Result<(), Error> {
-    let seconds = folder(&asked.folder)?;
-    let last = seconds.0.values().filter_map(|by| by.keys().next_back()).max().copied().unwrap_or(0);
-    for (name, by) in &seconds.0 {
-        let each: Vec<String> = (0..=last).map(|s| format!("{:4}", by.get(&s).unwrap_or(&0))).collect();
-        println!("{name:36} {:7}  {}", seconds.total(name), each.join(" "));
+///
+/// # Errors
+/// The folder or a file can't be read.
+pub fn run(arguments: &CountArguments) -> Result<(), Error> {
+    let counts = count_folder(&arguments.folder)?;
+    let last = counts.last_second();
+    for (name, by_second) in &counts.0 {
+        let each: Vec<String> =
+            (0..=last).map(|second| format!("{:4}", by_second.get(&second).unwrap_or(&0))).collect();
+        println!("{name:36} {:7}  {}", counts.total(name), each.join(" "));
     }
     Ok(())
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_refusal_is_told_apart_by_whether_an_attempt_went_out() {
-        let log = [
-            "0.10 event RequestArrived { id: RequestId(7), class: 2, .. }",
-            "0.20 event RequestArrived { id: RequestId(8), class: 1, .. }",
-            "0.30 action Send { request: RequestId(7), member: MemberId(3) }",
-            "0.40 link: None member=3",
-            "1.50 action Reject { request: RequestId(7) }",
-            "1.60 action Reject { request: RequestId(8) }",
-            "1.70 event ProbeEnded { member: MemberId(3), outcome: Reset, report: MemberReport { primary: None } }",
-            "2.00 action Probe { member: MemberId(3) }",
-            "a line of something else",
-        ];
-        let mut seconds = Seconds::default();
-        router(log, &mut seconds);
-        assert_eq!(seconds.total("requests"), 2);
-        assert_eq!(seconds.total("refused class 2, after attempts"), 1);
-        assert_eq!(seconds.total("refused class 1, never sent"), 1);
-        assert_eq!(seconds.total("connections"), 1);
-        assert_eq!(seconds.total("probe after Reset, no report"), 1);
-        assert_eq!(seconds.0["attempts"], BTreeMap::from([(0, 1)]));
-    }
-}
--- a/lab/src/life.rs
+++ b/lab/src/life.rs
@@ -1,12 +1,13 @@
-//! `life`: reads one request's whole life back from a router's log.
+//! `life`: prints all lines of one request from a router's log.
 use crate::error::Error;
 use clap::Args;
+use std::fs::File;
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
 
-/// What is asked for.
+/// Arguments of `life`.
 #[derive(Args)]
-pub(crate) struct Life {
+pub struct LifeArguments {
     /// The router's log, written with `DAMSONVALE_LOG=debug`; the standard error of the process.
     log: PathBuf,
     /// The request's number in the log.
@@ -23,31 +24,36 @@
 }
 
 /// The lines of a log that concern one request: those that name it, and the end of the connection that it came on.
-pub(crate) fn lines_of(log: &[String], request: u64) -> Vec<&str> {
+fn lines_of_request(log: &[String], request: u64) -> Vec<&str> {
     let number = request.to_string();
-    let names_it = |line: &str| field(line, "request") == Some(&number);
-    let first = log.iter().find(|line| names_it(line));
-    let connection = first.and_then(|line| field(line, "connection")).map(str::to_string);
-    let closes = |line: &str| {
-        line.contains("client connection closed") && field(line, "connection") == connection.as_deref()
-    };
-    log.iter().map(String::as_str).filter(|line| names_it(line) || closes(line)).collect()
+    let names_request = |line: &str| field(line, "request") == Some(&number);
+    let first = log.iter().find(|line| names_request(line));
+    let connection = first.and_then(|line| field(line, "connection"));
+    let closes_connection =
+        |line: &str| line.contains("client connection closed") && field(line, "connection") == connection;
+    let lines = log.iter().map(String::as_str);
+    lines.filter(|line| names_request(line) || closes_connection(line)).collect()
 }
 
 /// The number of the request that a client gave this id.
-pub(crate) fn request_of(log: &[String], id: &str) -> Option<u64> {
+fn request_with_id(log: &[String], id: &str) -> Option<u64> {
     let named = log.iter().find(|line| line.contains("request named") && field(line, "id") == Some(id))?;
     field(named, "request")?.parse().ok()
 }
 
-pub(crate) fn run(asked: &Life) -> Result<(), Error> {
+/// Prints the lines of a request.
+///
+/// # Errors
+/// The log can't be read, or has no such request.
+pub fn run(arguments: &LifeArguments) -> Result<(), Error> {
     let file =
-        std::fs::File::open(&asked.log).map_err(|e| Error::Read { path: asked.log.clone(), source: e })?;
+        File::open(&arguments.log).map_err(|source| Error::Read { path: arguments.log.clone(), source })?;
     let log: Vec<String> = BufReader::new(file).lines().map_while(Result::ok).collect();
-    let request = asked.request.or_else(|| asked.id.as_deref().and_then(|id| request_of(&log, id)));
-    let lines = request.map(|request| lines_of(&log, request)).unwrap_or_default();
+    let with_id = || request_with_id(&log, arguments.id.as_deref()?);
+    let request = arguments.request.or_else(with_id);
+    let lines = request.map(|request| lines_of_request(&log, request)).unwrap_or_default();
     if lines.is_empty() {
-        return Err(Error::NotLogged);
+        return Err(Error::RequestNotLogged);
     }
     lines.iter().for_each(|line| println!("{line}"));
     Ok(())
--- /dev/null
+++ b/lab/src/load/outcome.rs
@@ -0,0 +1,60 @@
+//! Latencies and errors of a load, and their report.
+use crate::error::Error;
+use hdrhistogram::Histogram;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use std::time::Duration;
+
+/// Significant digits of a reported latency.
+const LATENCY_DIGITS: u8 = 3;
+
+/// What became of the statements of a load; latencies are in microseconds.
+#[derive(Default)]
+pub(super) struct Outcomes {
+    since_due: Vec<u64>,
+    since_sent: Vec<u64>,
+    /// Number of errors by description.
+    errors: BTreeMap<String, u64>,
+}
+
+impl Outcomes {
+    pub(super) fn record_answer(&mut self, since_due: Duration, since_sent: Duration) {
+        self.since_due.push(since_due.as_micros() as u64);
+        self.since_sent.push(since_sent.as_micros() as u64);
+    }
+
+    pub(super) fn record_error(&mut self, description: String) {
+        *self.errors.entry(description).or_default() += 1;
+    }
+
+    pub(super) fn add(&mut self, other: Outcomes) {
+        self.since_due.extend(other.since_due);
+        self.since_sent.extend(other.since_sent);
+        for (description, count) in other.errors {
+            *self.errors.entry(description).or_default() += count;
+        }
+    }
+
+    /// A report of a load of so many statements that took so long.
+    pub(super) fn report(&self, offered: usize, elapsed: Duration) -> Result<String, Error> {
+        let (answered, seconds) = (self.since_due.len(), elapsed.as_secs_f64());
+        let mut text = format!("{offered} offered, {answered} answered in {seconds:.1} s\n");
+        _ = writeln!(text, "{:<22}{:>10}{:>10}{:>10}{:>10}  ms", "", "p50", "p90", "p99", "max");
+        text += &latency_line("from when it was due", &self.since_due)?;
+        text += &latency_line("from when it was sent", &self.since_sent)?;
+        self.errors.iter().for_each(|(error, count)| _ = writeln!(text, "error {error}: {count}"));
+        Ok(text)
+    }
+}
+
+fn latency_line(name: &str, latencies: &[u64]) -> Result<String, Error> {
+    let not_recorded = |source: Box<dyn std::error::Error>| Error::LatencyNotRecorded(source);
+    let mut histogram =
+        Histogram::<u64>::new(LATENCY_DIGITS).map_err(|source| not_recorded(source.into()))?;
+    for latency in latencies {
+        histogram.record(*latency).map_err(|source| not_recorded(source.into()))?;
+    }
+    let milliseconds = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
+    let [p50, p90, p99, max] = [0.5, 0.9, 0.99, 1.0].map(milliseconds);
+    Ok(format!("{name:<22}{p50:>10.2}{p90:>10.2}{p99:>10.2}{max:>10.2}\n"))
+}
--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -20,10 +20,13 @@
     seed: Option<u64>,
 }
 
-/// Plays a plan and prints its figures; fails where the checker finds what must not be.
+/// Plays a plan and prints its figures.
+///
+/// # Errors
+/// The plan can't be read or played, or the checker found a violation.
 pub fn run(asked: &Processes) -> Result<(), Error> {
     let path = &asked.plan;
-    let faulty = |source| Error::Processes { path: path.clone(), source };
+    let faulty = |source| Error::ProcessPlan { path: path.clone(), source };
     let text = std::fs::read_to_string(path).map_err(|source| Error::Read { path: path.clone(), source })?;
     let mut plan = plan::read(&text).map_err(faulty)?;
     plan.routers = asked.routers.unwrap_or(plan.routers);
@@ -31,8 +34,8 @@
     plan.check().map_err(faulty)?;
     let beside = || std::env::current_exe().ok().map(|own| own.with_file_name("damsonvale"));
     let program = asked.program.clone().or_else(beside).filter(|p| p.is_file());
-    let program = program.ok_or(Error::NoProgram)?;
-    let report = run::run(&program, &plan, &Bounds::default()).map_err(Error::Played)?;
+    let program = program.ok_or(Error::ProgramNotFound)?;
+    let report = run::run(&program, &plan, &Bounds::default()).map_err(Error::ProcessRun)?;
     print!("{report}");
-    if report.good() { Ok(()) } else { Err(Error::Found) }
+    if report.good() { Ok(()) } else { Err(Error::ViolationFound) }
 }
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -1,24 +1,25 @@
-//! Runs, sweeps and comparisons: cases are dealt to threads and come out in the order in which they were asked.
+//! `run`, `sweep` and `compare`: simulated experiments, their tables and charts.
+use crate::case::Case;
 use crate::error::Error;
-use crate::{chart, spread, table};
+use crate::parallel::{PlannedCase, cases_with_seeds, play_cases};
+use crate::plan_file::{plan_from_table, read_table, set_key};
+use crate::{chart, result_files, spread_chart, spread_table, table};
 use clap::Args;
-use simulator::{Plan, Results, play};
+use simulator::Results;
 use std::path::{Path, PathBuf};
-use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Mutex, PoisonError};
 
-/// `run`'s arguments.
+/// Arguments of `run`.
 #[derive(Args)]
-pub struct Run {
+pub struct RunArguments {
     /// The plan, a TOML file.
     plan: PathBuf,
     #[command(flatten)]
-    how: How,
+    options: RunOptions,
 }
 
-/// `sweep`'s arguments.
+/// Arguments of `sweep`.
 #[derive(Args)]
-pub struct Sweep {
+pub struct SweepArguments {
     /// The plan, a TOML file.
     plan: PathBuf,
     /// The key that changes; a trouble's or a class's as `trouble.0.by`.
@@ -28,11 +29,23 @@
     #[arg(long, value_delimiter = ',', required = true)]
     values: Vec<String>,
     #[command(flatten)]
-    how: How,
+    options: RunOptions,
 }
 
+/// Arguments of `compare`.
 #[derive(Args)]
-struct How {
+pub struct CompareArguments {
+    /// The folder of the earlier results.
+    before: PathBuf,
+    /// The folder of the later ones.
+    after: PathBuf,
+    /// Draws how evenly both spread their load into this SVG file.
+    #[arg(long)]
+    spread: Option<PathBuf>,
+}
+
+#[derive(Args)]
+struct RunOptions {
     /// How many seeds, from the plan's on.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
@@ -44,165 +57,85 @@
     out: Option<PathBuf>,
 }
 
-/// A case and what came of it.
-pub struct Case {
-    /// Its name: the value of the key, and the seed.
-    pub name: String,
-    /// What came of it.
-    pub results: Results,
+/// Plays a plan, and prints its results.
+///
+/// # Errors
+/// The plan can't be read or played, results can't be written, or a case violated a rule.
+pub fn run(arguments: &RunArguments) -> Result<(), Error> {
+    let plan = plan_from_table(&arguments.plan, &read_table(&arguments.plan)?)?;
+    let planned = cases_with_seeds(&plan.name, &plan, arguments.options.seeds);
+    play_and_report(&planned, &arguments.options, &plan.name)
 }
 
-fn read(path: &Path) -> Result<toml::Table, Error> {
-    let text = std::fs::read_to_string(path).map_err(|source| Error::Read { path: path.into(), source })?;
-    text.parse().map_err(|source| Error::Toml { path: path.into(), source })
+/// Plays a plan with several values of a key, and prints the results.
+///
+/// # Errors
+/// As for [`run`], or the key is not in the plan.
+pub fn sweep(arguments: &SweepArguments) -> Result<(), Error> {
+    let SweepArguments { plan: path, key, values, options } = arguments;
+    let table = read_table(path)?;
+    let mut planned = Vec::new();
+    for value in values {
+        let mut changed = table.clone();
+        set_key(&mut changed, key, value)?;
+        let plan = plan_from_table(path, &changed)?;
+        planned.extend(cases_with_seeds(&format!("{key} {value}"), &plan, options.seeds));
+    }
+    play_and_report(&planned, options, &format!("{} over {key}", path.display()))
 }
 
-fn plan(path: &Path, table: &toml::Table) -> Result<Plan, Error> {
-    let text = toml::to_string(table)?;
-    Plan::read(&text).map_err(|source| Error::Plan { path: path.into(), source })
+/// Prints the differences between two folders of results, and draws their spread where a file is named.
+///
+/// # Errors
+/// Results can't be read, or the chart can't be written.
+pub fn compare(arguments: &CompareArguments) -> Result<(), Error> {
+    let before = result_files::read(&arguments.before)?;
+    let after = result_files::read(&arguments.after)?;
+    print!("{}", table::comparison(&before, &after));
+    match &arguments.spread {
+        Some(path) => spread_chart::write(path, &before, &after),
+        None => Ok(()),
+    }
 }
 
-/// Sets a key, which may stand in a table or a list.
-fn set(table: &mut toml::Table, key: &str, value: &str) -> Result<(), Error> {
-    let parsed: toml::Table = format!("x = {value}")
-        .parse()
-        .or_else(|_| format!("x = '{value}'").parse())
-        .map_err(|_| Error::Value(value.into()))?;
-    let missing = |part: &str| Error::Key { key: key.into(), part: part.into() };
-    let mut words = key.split('.').peekable();
-    let first = words.next().unwrap_or("");
-    let value = parsed["x"].clone();
-    if words.peek().is_none() {
-        table.insert(first.to_string(), value);
-        return Ok(());
+fn play_and_report(planned: &[PlannedCase], options: &RunOptions, title: &str) -> Result<(), Error> {
+    let cases = play_cases(planned, options.threads);
+    print_tables(&cases);
+    print_violations(&cases);
+    if let Some(folder) = &options.out {
+        write_results(folder, &cases, title)?;
     }
-    let mut at = table.get_mut(first).ok_or_else(|| missing(first))?;
-    while let Some(word) = words.next() {
-        let last = words.peek().is_none();
-        at = match at {
-            toml::Value::Array(a) => {
-                let n: usize = word.parse().map_err(|_| missing(word))?;
-                a.get_mut(n).ok_or_else(|| missing(word))?
-            }
-            toml::Value::Table(t) if last => {
-                t.insert(word.to_string(), value);
-                return Ok(());
-            }
-            toml::Value::Table(t) => t.get_mut(word).ok_or_else(|| missing(word))?,
-            _ => return Err(missing(word)),
-        };
+    let violating = cases.iter().filter(|case| case.violates_rules()).count();
+    if violating > 0 {
+        return Err(Error::RulesViolated { violating, cases: cases.len() });
     }
-    *at = value;
     Ok(())
 }
 
-/// Plays cases on threads; they come back in order.
-fn play_all(cases: Vec<(String, Plan)>, threads: usize) -> Vec<Case> {
-    let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
-    std::thread::scope(|s| {
-        for _ in 0..threads.max(1) {
-            s.spawn(|| {
-                while let Some((name, plan)) = cases.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let case = Case { name: name.clone(), results: play(plan) };
-                    let at = cases.iter().position(|(n, _)| n == name).unwrap_or(0);
-                    done.lock().unwrap_or_else(PoisonError::into_inner).push((at, case));
-                }
-            });
-        }
-    });
-    let mut done = done.into_inner().unwrap_or_else(PoisonError::into_inner);
-    done.sort_by_key(|(at, _)| *at);
-    done.into_iter().map(|(_, case)| case).collect()
-}
-
-fn seeds(name: &str, plan: &Plan, how: &How) -> Vec<(String, Plan)> {
-    let seeded = |k| {
-        let seed = plan.seed + k;
-        (format!("{name}, seed {seed}"), Plan { seed, ..plan.clone() })
-    };
-    (0..how.seeds.max(1)).map(seeded).collect()
-}
-
-/// The rules that a run violated, and how often.
-fn violated_rules(results: &Results) -> String {
-    let rules = results.violations.iter().map(|(rule, count)| format!("{rule}: {count}"));
-    format!("{{{}}}", rules.collect::<Vec<_>>().join(", "))
-}
-
-fn told(cases: &[Case], out: Option<&Path>, title: &str) -> Result<(), Error> {
+fn print_tables(cases: &[Case]) {
     print!("{}", table::summary(cases));
     if let [only] = cases {
         print!("\n{}", table::classes(&only.results));
     }
-    print!("\n{}", spread::summary(cases));
-    for c in cases.iter().filter(|c| !c.results.violations.is_empty()) {
-        println!("{}: RULES BROKEN: {}", c.name, violated_rules(&c.results));
-        c.results.first_violations.iter().for_each(|b| println!("  {b}"));
-    }
-    if let Some(out) = out {
-        std::fs::create_dir_all(out).map_err(|e| Error::write(out, e))?;
-        table::write(out, cases)?;
-        chart::seconds(&out.join("seconds.svg"), title, cases)?;
-        println!("\nresults.json, seconds.parquet and seconds.svg are in {}", out.display());
-    }
-    // A broken rule is a failed experiment, whatever its figures are.
-    let broken = cases.iter().filter(|c| !c.results.violations.is_empty()).count();
-    if broken > 0 { Err(Error::Broken { broken, cases: cases.len() }) } else { Ok(()) }
+    print!("\n{}", spread_table::summary(cases));
 }
 
-/// Plays a plan.
-pub fn run(asked: &Run) -> Result<(), Error> {
-    let plan = plan(&asked.plan, &read(&asked.plan)?)?;
-    let cases = play_all(seeds(&plan.name, &plan, &asked.how), asked.how.threads);
-    told(&cases, asked.how.out.as_deref(), &plan.name)
-}
-
-/// Plays a plan with several values of a key.
-pub fn sweep(asked: &Sweep) -> Result<(), Error> {
-    let table = read(&asked.plan)?;
-    let mut cases = Vec::new();
-    for value in &asked.values {
-        let mut changed = table.clone();
-        set(&mut changed, &asked.key, value)?;
-        let plan = plan(&asked.plan, &changed)?;
-        cases.extend(seeds(&format!("{} {value}", asked.key), &plan, &asked.how));
+fn print_violations(cases: &[Case]) {
+    for case in cases.iter().filter(|case| case.violates_rules()) {
+        println!("{}: RULES BROKEN: {}", case.name, violation_counts(&case.results));
+        case.results.first_violations.iter().for_each(|violation| println!("  {violation}"));
     }
-    let cases = play_all(cases, asked.how.threads);
-    told(&cases, asked.how.out.as_deref(), &format!("{} over {}", asked.plan.display(), asked.key))
 }
 
-/// Compares two folders of results, and draws their spread where asked.
-pub fn compare(before: &Path, after: &Path, spread: Option<&Path>) -> Result<(), Error> {
-    let (before, after) = (table::read(before)?, table::read(after)?);
-    print!("{}", table::compared(&before, &after));
-    spread.map_or(Ok(()), |path| chart::spread(path, &before, &after))
+fn violation_counts(results: &Results) -> String {
+    let counts = results.violations.iter().map(|(rule, count)| format!("{rule}: {count}"));
+    format!("{{{}}}", counts.collect::<Vec<_>>().join(", "))
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn keys_are_set_wherever_they_stand() {
-        let text = "rate = 1.0\n[[trouble]]\nkind = 'hang'\nat_s = 1\n";
-        let mut t: toml::Table = text.parse().unwrap();
-        set(&mut t, "rate", "250").unwrap();
-        set(&mut t, "name", "a b").unwrap();
-        set(&mut t, "trouble.0.count", "3").unwrap();
-        let p = Plan::read(&toml::to_string(&t).unwrap()).unwrap();
-        assert_eq!((p.request_rate, p.name.as_str(), p.faults[0].count), (250.0, "a b", 3));
-        assert!(set(&mut t, "trouble.7.count", "3").is_err());
-        assert!(set(&mut t, "rate.x", "3").is_err());
-        assert!(set(&mut t, "nothing.x", "3").is_err());
-    }
-
-    #[test]
-    fn cases_come_back_in_order_and_do_not_depend_on_threads() {
-        let plan = Plan { duration_s: 2.0, warmup_s: 0.5, request_rate: 200.0, ..Plan::default() };
-        let how = How { seeds: 5, threads: 1, out: None };
-        let of = |threads| play_all(seeds("x", &plan, &how), threads);
-        let (one, four) = (of(1), of(4));
-        let same = |(a, b): (&Case, &Case)| a.name == b.name && a.results == b.results;
-        assert!(one.len() == 5 && one.iter().zip(&four).all(same));
-    }
+fn write_results(folder: &Path, cases: &[Case], title: &str) -> Result<(), Error> {
+    std::fs::create_dir_all(folder).map_err(|source| Error::write(folder, source))?;
+    result_files::write(folder, cases)?;
+    chart::write(&folder.join("seconds.svg"), title, cases)?;
+    println!("\nresults.json, seconds.parquet and seconds.svg are in {}", folder.display());
+    Ok(())
 }
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: real routers under overlapping troubles, for many seeds.
+//! `soak`: real routers under overlapping faults, for many seeds.
 use crate::error::Error;
 use clap::Args;
 use soak::oracle::{self, Promise};
@@ -10,9 +10,9 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// What is asked for.
+/// Arguments of `soak`.
 #[derive(Args)]
-pub(crate) struct Soak {
+pub struct SoakArguments {
     /// The plan, a TOML file; `soak/plans` has some.
     plan: PathBuf,
     /// The first seed.
@@ -41,26 +41,48 @@
     troubles: bool,
 }
 
-fn play(plan: &Plan, seed: u64, troubles: &[Trouble], programs: &Programs) -> Result<Report, Error> {
-    let history = match plan.front {
-        Front::Platform => platform::play(plan, seed, troubles, programs),
-        Front::Serve => serve::play(plan, seed, troubles, programs),
-    };
-    let history = history.map_err(Error::Soak)?;
-    let breaches = oracle::check(&history);
-    Ok(Report::new(seed, troubles, &history, breaches))
+/// Plays the seeds of a plan, and prints a report of each.
+///
+/// # Errors
+/// The plan can't be read or played, the router's program was not found, or a seed had a breach.
+pub fn run(arguments: &SoakArguments) -> Result<(), Error> {
+    let plan = Plan::read(&arguments.plan)?;
+    let programs = find_programs(arguments)?;
+    let begin = Instant::now();
+    let mut totals = Totals::default();
+    let mut seed = arguments.seed;
+    loop {
+        let troubles = draw(&plan, seed, &arguments.only);
+        if arguments.troubles {
+            troubles.iter().for_each(|trouble| println!("  {trouble:?}"));
+        }
+        let report = play(&plan, seed, &troubles, &programs)?;
+        print!("{report}");
+        totals.add(&report);
+        if arguments.reduce && !report.breaches.is_empty() {
+            return print_reduced(&plan, &report, &programs);
+        }
+        seed += 1;
+        let time_left =
+            arguments.minutes.is_some_and(|minutes| begin.elapsed() < Duration::from_secs(60 * minutes));
+        if !time_left && seed >= arguments.seed + arguments.seeds {
+            break;
+        }
+    }
+    totals.print(arguments.seed, begin.elapsed());
+    if totals.failed > 0 { Err(Error::ViolationFound) } else { Ok(()) }
 }
 
-pub(crate) fn run(asked: &Soak) -> Result<(), Error> {
-    let plan = Plan::read(&asked.plan)?;
+/// The programs that are played, with the folder of their logs.
+fn find_programs(arguments: &SoakArguments) -> Result<Programs, Error> {
     let beside = || {
         let own = std::env::current_exe().ok()?;
         Some(own.parent()?.join("damsonvale"))
     };
-    let program = asked.program.clone().or_else(beside).filter(|path| path.exists());
-    let mut programs = Programs::beside(&program.ok_or(Error::NoProgram)?);
-    if let Some(folder) = &asked.logs {
-        std::fs::create_dir_all(folder).map_err(|e| Error::write(folder, e))?;
+    let router = arguments.program.clone().or_else(beside).filter(|path| path.exists());
+    let mut programs = Programs::beside(&router.ok_or(Error::ProgramNotFound)?);
+    if let Some(folder) = &arguments.logs {
+        std::fs::create_dir_all(folder).map_err(|source| Error::write(folder, source))?;
         programs.logs = Some(folder.clone());
     }
     if programs.library.is_none() {
@@ -68,38 +90,24 @@
             "no libfaults.so beside the router (cargo build -p faults): no clock is stepped and no call fails"
         );
     }
-    let (begun, mut failed, mut total) = (Instant::now(), 0, Totals::default());
-    let mut seed = asked.seed;
-    loop {
-        let troubles = draw(&plan, seed, &asked.only);
-        if asked.troubles {
-            troubles.iter().for_each(|trouble| println!("  {trouble:?}"));
-        }
-        let report = play(&plan, seed, &troubles, &programs)?;
-        print!("{report}");
-        total.add(&report);
-        failed += u64::from(!report.breaches.is_empty());
-        if asked.reduce && !report.breaches.is_empty() {
-            return print_reduced(&plan, &report, &programs);
-        }
-        seed += 1;
-        let minutes_left =
-            asked.minutes.is_some_and(|minutes| begun.elapsed() < Duration::from_secs(60 * minutes));
-        if !minutes_left && seed >= asked.seed + asked.seeds {
-            break;
-        }
-    }
-    let minutes = begun.elapsed().as_secs_f64() / 60.0;
-    println!(
-        "{} seeds from {} on, {} processes, {} requests, {minutes:.1} minutes, {failed} seeds with breaches",
-        total.seeds, asked.seed, total.processes, total.requests
-    );
-    if failed > 0 { Err(Error::Found) } else { Ok(()) }
+    Ok(programs)
 }
 
+fn play(plan: &Plan, seed: u64, troubles: &[Trouble], programs: &Programs) -> Result<Report, Error> {
+    let history = match plan.front {
+        Front::Platform => platform::play(plan, seed, troubles, programs),
+        Front::Serve => serve::play(plan, seed, troubles, programs),
+    };
+    let history = history.map_err(Error::Soak)?;
+    let breaches = oracle::check(&history);
+    Ok(Report::new(seed, troubles, &history, breaches))
+}
+
+/// Sums over all seeds.
 #[derive(Default)]
 struct Totals {
     seeds: u64,
+    failed: u64,
     processes: usize,
     requests: usize,
 }
@@ -107,9 +115,19 @@
 impl Totals {
     fn add(&mut self, report: &Report) {
         self.seeds += 1;
+        self.failed += u64::from(!report.breaches.is_empty());
         self.processes += report.processes;
         self.requests += report.requests();
     }
+
+    fn print(&self, first_seed: u64, elapsed: Duration) {
+        let Totals { seeds, failed, processes, requests } = self;
+        let minutes = elapsed.as_secs_f64() / 60.0;
+        println!(
+            "{seeds} seeds from {first_seed} on, {processes} processes, {requests} requests, {minutes:.1} minutes, \
+             {failed} seeds with breaches"
+        );
+    }
 }
 
 /// Reduces a failing run and prints it as a plan.
@@ -122,5 +140,5 @@
     };
     let left = reduce::reduce(&report.troubles, promise, still_breaks);
     println!("{}", toml::to_string(&Plan { trouble: left, ..plan.clone() })?);
-    Err(Error::Found)
+    Err(Error::ViolationFound)
 }
