--- a/lab/src/life.rs
+++ b/lab/src/life.rs
@@ -37,7 +37,8 @@
 
 /// The number of the request that a client gave this id.
 fn request_with_id(log: &[String], id: &str) -> Option<u64> {
-    let named = log.iter().find(|line| line.contains("request named") && field(line, "id") == Some(id))?;
+    let named =
+        log.iter().find(|line| line.contains("request submitted") && field(line, "id") == Some(id))?;
     field(named, "request")?.parse().ok()
 }
 
