--- a/lab/tests/tool.rs
+++ b/lab/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The tool as it is called.
+//! The commands of `damsonvale-lab`, started as processes.
 use std::path::Path;
 use std::process::Command;
 use tempfile::TempDir;
@@ -16,7 +16,7 @@
 const PLAN: &str = "name = 'small'\nseconds = 4\nwarmup_s = 1\nrate = 300\nsessions = 30\nship_ms = 200\n";
 
 #[test]
-fn runs_and_sweeps_leave_tables_and_charts_that_can_be_compared() {
+fn run_and_sweep_write_results_that_compare_reads() {
     let folder = tempfile::tempdir().unwrap();
     let plan = place(&folder, "plan.toml");
     std::fs::write(&plan, PLAN).unwrap();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_broken_rule_or_a_faulty_plan_is_a_failure() {
+fn violated_rule_and_faulty_plan_fail_the_command() {
     let folder = tempfile::tempdir().unwrap();
     let plan = place(&folder, "plan.toml");
     std::fs::write(&plan, format!("{PLAN}plant = 'forget_sessions'\n")).unwrap();
@@ -56,17 +56,17 @@
 }
 
 #[test]
-fn the_plans_that_are_shipped_can_be_read() {
+fn shipped_plans_are_valid() {
     for plan in std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("plans")).unwrap() {
         let text = std::fs::read_to_string(plan.unwrap().path()).unwrap();
-        // Of the emulator, or of real processes.
+        // Of the simulator, or of real processes.
         let read = simulator::Plan::read(&text).is_ok() || multiprocess::plan::read(&text).is_ok();
         assert!(read, "{text}");
     }
 }
 
 #[test]
-fn a_load_counts_a_stall_from_when_requests_were_due() {
+fn load_latency_counts_from_due_time_during_stall() {
     use std::time::Duration;
     let fleet = test_servers::fleet::Fleet::start(&[], Duration::from_millis(5));
     let at = fleet.servers()[0].1.to_string();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn the_standing_days_keep_the_rules_in_a_short_form() {
+fn short_standing_days_violate_no_rule() {
     // 300 routers on 120 nodes as on the bench, with a seventh of the load so that it stays short in CI.
     let folder = tempfile::tempdir().unwrap();
     let plans = Path::new(env!("CARGO_MANIFEST_DIR")).join("plans");
@@ -131,16 +131,16 @@
         assert!(text.contains("routers = 300\n") && text.contains("rate = 4200\n"), "{day}");
         let plan = place(&folder, &format!("{day}.toml"));
         std::fs::write(&plan, text.replace("rate = 4200\n", "rate = 600\n")).unwrap();
-        let (code, said) = lab(&["run", &plan, "--out", &place(&folder, day)]);
+        let (code, text) = lab(&["run", &plan, "--out", &place(&folder, day)]);
         assert!(
-            code == Some(0) && said.contains(&format!("mass-{day}, seed 1")) && said.contains("kept"),
-            "{said}"
+            code == Some(0) && text.contains(&format!("mass-{day}, seed 1")) && text.contains("kept"),
+            "{text}"
         );
     }
 }
 
 #[test]
-fn life_prints_the_lines_of_one_request_and_the_end_of_its_connection() {
+fn life_prints_lines_of_request_and_end_of_connection() {
     let folder = tempfile::tempdir().unwrap();
     let log = place(&folder, "router.log");
     let own = [
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn soak_names_what_is_wrong_with_a_plan() {
+fn soak_names_invalid_key_of_plan() {
     let folder = tempfile::tempdir().unwrap();
     let plan = place(&folder, "plan.toml");
     std::fs::write(&plan, "routers = 41\n").unwrap();
