--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -83,7 +83,7 @@
     SoakPlan(#[from] soak::plan::PlanError),
     /// A soak could not be played: a port, a folder, a thread or a process was not available.
     #[error("the soak could not be played: {0}")]
-    Soak(std::io::Error),
+    Soak(soak::error::RunError),
     /// A latency is out of the histogram's range.
     #[error("a time can't be counted: {0}")]
     LatencyNotRecorded(Box<dyn std::error::Error>),
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -1,11 +1,12 @@
 //! `soak`: real routers under overlapping faults, for many seeds.
 use crate::error::Error;
 use clap::Args;
+use soak::draw::draw;
+use soak::fault::{FaultKind, PlannedFault};
 use soak::oracle::{self, Promise};
 use soak::plan::{Front, Plan};
 use soak::report::Report;
 use soak::router::Programs;
-use soak::trouble::{Kind, Trouble, draw};
 use soak::{platform, reduce, serve};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -23,7 +24,7 @@
     seeds: u64,
     /// Only these troubles are drawn.
     #[arg(long, value_delimiter = ',')]
-    only: Vec<Kind>,
+    only: Vec<FaultKind>,
     /// Goes on with further seeds until so many minutes are over.
     #[arg(long)]
     minutes: Option<u64>,
@@ -52,11 +53,11 @@
     let mut totals = Totals::default();
     let mut seed = arguments.seed;
     loop {
-        let troubles = draw(&plan, seed, &arguments.only);
+        let faults = draw(&plan, seed, &arguments.only);
         if arguments.troubles {
-            troubles.iter().for_each(|trouble| println!("  {trouble:?}"));
+            faults.iter().for_each(|fault| println!("  {fault}"));
         }
-        let report = play(&plan, seed, &troubles, &programs)?;
+        let report = play(&plan, seed, &faults, &programs)?;
         print!("{report}");
         totals.add(&report);
         if arguments.reduce && !report.breaches.is_empty() {
@@ -93,14 +94,14 @@
     Ok(programs)
 }
 
-fn play(plan: &Plan, seed: u64, troubles: &[Trouble], programs: &Programs) -> Result<Report, Error> {
+fn play(plan: &Plan, seed: u64, faults: &[PlannedFault], programs: &Programs) -> Result<Report, Error> {
     let history = match plan.front {
-        Front::Platform => platform::play(plan, seed, troubles, programs),
-        Front::Serve => serve::play(plan, seed, troubles, programs),
+        Front::Platform => platform::play(plan, seed, faults, programs),
+        Front::Serve => serve::play(plan, seed, faults, programs),
     };
     let history = history.map_err(Error::Soak)?;
     let breaches = oracle::check(&history);
-    Ok(Report::new(seed, troubles, &history, breaches))
+    Ok(Report::new(seed, faults, &history, breaches))
 }
 
 /// Sums over all seeds.
@@ -133,12 +134,12 @@
 /// Reduces a failing run and prints it as a plan.
 fn print_reduced(plan: &Plan, report: &Report, programs: &Programs) -> Result<(), Error> {
     let promise = report.breaches[0].promise;
-    println!("reducing {} troubles that break '{}'", report.troubles.len(), promise.name());
-    let still_breaks = |troubles: &[Trouble], promise: Promise| {
-        play(plan, report.seed, troubles, programs)
+    println!("reducing {} troubles that break '{}'", report.faults.len(), promise.name());
+    let still_breaks = |faults: &[PlannedFault], promise: Promise| {
+        play(plan, report.seed, faults, programs)
             .is_ok_and(|report| oracle::promises(&report.breaches).contains(&promise))
     };
-    let left = reduce::reduce(&report.troubles, promise, still_breaks);
-    println!("{}", toml::to_string(&Plan { trouble: left, ..plan.clone() })?);
+    let left = reduce::reduce(&report.faults, promise, still_breaks);
+    println!("{}", toml::to_string(&Plan { faults: left, ..plan.clone() })?);
     Err(Error::ViolationFound)
 }
--- a/postgres/tests/common/mod.rs
+++ b/postgres/tests/common/mod.rs
@@ -93,9 +93,9 @@
 
 pub(crate) fn limits() -> Limits {
     let mut limits = Limits::new(256, 32 << 20, TIMEOUT, TIMEOUT, TIMEOUT);
-    limits.link_check = TIMEOUT;
-    limits.answer_settle = Duration::from_millis(10);
-    limits.link_backstop = Duration::ZERO;
+    limits.backend_check_timeout = TIMEOUT;
+    limits.response_end_timeout = Duration::from_millis(10);
+    limits.abandoned_response_timeout = Duration::ZERO;
     limits
 }
 
