--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -2,6 +2,7 @@
 //! `drain` or `size`; without one, both. Each part compares its arms within the one run.
 #[path = "../tests/common/mod.rs"]
 mod common;
+mod support;
 
 use common::{Folder, LONG, Program};
 use hdrhistogram::Histogram;
@@ -10,14 +11,36 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
+use support::{Part, process_status, run_parts};
 use test_servers::fleet::Fleet;
 use test_servers::registry::Registry;
 
 const PREFIX: &str = "/damsonvale/shop/";
+/// Time between a primary's heartbeats.
+const HEARTBEAT: Duration = Duration::from_millis(5);
 
-fn file(folder: &Folder, registry: &Registry, kind: &str) -> String {
-    let endpoints: Vec<String> = registry.addrs().iter().map(|a| format!("'{a}'")).collect();
+/// Drains of each arm.
+const DRAINS: usize = 60;
+/// Clients that read all the time while nodes drain.
+const READERS: usize = 8;
+/// Reads that a node must have served before it drains.
+const READS_BEFORE_DRAIN: usize = 20;
+/// How long the registry is down before a drain over a broken watch.
+const REGISTRY_OUTAGE: Duration = Duration::from_millis(30);
+/// Time after which a drained node receives nothing more.
+const DRAIN_SETTLED: Duration = Duration::from_millis(400);
+
+/// Changes of a list, one each millisecond.
+const CHANGES: usize = 5000;
+/// Step between the nodes that are changed one after the other; prime, so that all are.
+const CHANGE_STEP: usize = 7919;
+/// Microseconds of a clock tick.
+const TICK_MICROSECONDS: f64 = 10_000.0;
+
+fn write_settings(folder: &Folder, registry: &Registry, kind: &str) -> String {
+    let endpoints: Vec<String> = registry.addrs().iter().map(|address| format!("'{address}'")).collect();
     let text = format!(
         "[mysql]\nlisten = '127.0.0.1:0'\ndatabase = 'shop'\nserver_user = 'router'\nprobe = 'SELECT probe'\n\
          [[mysql.user]]\nname = 'till'\npassword = 'secret'\n\
@@ -25,166 +48,258 @@
          [registry]\nkind = '{kind}'\nprefix = '{PREFIX}'\nendpoints = [{}]\n",
         endpoints.join(", ")
     );
-    folder.write("router.toml", &text).to_str().expect("a plain path").to_string()
+    folder.write("router.toml", &text).to_str().expect("the path is UTF-8").to_string()
 }
 
-fn node(addr: SocketAddr, group: usize, state: &str, weight: f64) -> String {
-    format!("{{\"addr\":\"{addr}\",\"group\":{group},\"state\":\"{state}\",\"weight\":{weight}}}")
+fn start_router(folder: &Folder, registry: &Registry, kind: &str) -> (Program, SocketAddr) {
+    let mut router = Program::start(&["serve", &write_settings(folder, registry, kind)], &[]);
+    let address = router.listening();
+    (router, address)
 }
 
-fn connect(addr: SocketAddr) -> mysql::Result<Conn> {
-    let at = OptsBuilder::new().ip_or_hostname(Some("127.0.0.1")).tcp_port(addr.port()).prefer_socket(false);
-    Conn::new(at.user(Some("till")).pass(Some("secret")).db_name(Some("shop")))
+fn node_key(name: &str) -> String {
+    format!("{PREFIX}nodes/{name}")
 }
 
-fn by(client: &mut Conn) -> Option<String> {
+fn node_value(address: SocketAddr, group: usize, state: &str, weight: f64) -> String {
+    format!("{{\"addr\":\"{address}\",\"group\":{group},\"state\":\"{state}\",\"weight\":{weight}}}")
+}
+
+fn connect(router: SocketAddr) -> mysql::Result<Conn> {
+    let options = OptsBuilder::new()
+        .ip_or_hostname(Some("127.0.0.1"))
+        .tcp_port(router.port())
+        .prefer_socket(false)
+        .user(Some("till"))
+        .pass(Some("secret"))
+        .db_name(Some("shop"));
+    Conn::new(options)
+}
+
+/// Reads, and returns whether a node answered.
+fn read(client: &mut Conn) -> bool {
     let row = client.query_first::<(String, String), _>("SELECT n FROM basket WHERE k = 'x' /* c=any */");
-    row.ok().flatten().map(|r| r.1)
+    row.is_ok_and(|row| row.is_some())
+}
+
+/// Whether the registry is reachable when a node drains.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Watch {
+    Standing,
+    Broken,
+}
+
+impl Watch {
+    fn label(self) -> &'static str {
+        match self {
+            Watch::Standing => "without a break",
+            Watch::Broken => "over a break",
+        }
+    }
+}
+
+/// A registry with three nodes, of which one is drained again and again.
+struct DrainBench {
+    registry: Registry,
+    nodes: Fleet,
+}
+
+impl DrainBench {
+    /// The node that is drained.
+    const DRAINED: usize = 1;
+
+    fn start() -> DrainBench {
+        let registry = Registry::start(1, None);
+        let nodes = Fleet::start(&[Duration::ZERO; 2], HEARTBEAT);
+        let bench = DrainBench { registry, nodes };
+        (0..3).for_each(|node| bench.register(node, "in_service"));
+        bench
+    }
+
+    fn register(&self, node: usize, state: &str) {
+        let (name, address) = self.nodes.servers()[node].clone();
+        self.registry.put(&node_key(&name), &node_value(address, 0, state, 1.0));
+    }
+
+    fn wait_until_served(&self) {
+        let (begin, before) = (Instant::now(), self.nodes.counts(Self::DRAINED).reads);
+        while self.nodes.counts(Self::DRAINED).reads < before + READS_BEFORE_DRAIN {
+            assert!(begin.elapsed() < LONG);
+        }
+    }
+
+    fn break_watch(&self) {
+        self.registry.faults(0, |faults| faults.down = true);
+        self.registry.break_connections(0);
+        std::thread::sleep(REGISTRY_OUTAGE);
+    }
+
+    /// Ends the outage, and waits for the router's next connection: it can know of the drain from then on.
+    fn restore_watch(&self) {
+        self.registry.compact();
+        let requests = || self.registry.watches(0) + self.registry.reads();
+        let before = requests();
+        self.registry.faults(0, |faults| faults.down = false);
+        let begin = Instant::now();
+        while requests() == before {
+            assert!(begin.elapsed() < LONG);
+        }
+    }
+
+    /// Drains the node: the time until its last read.
+    fn drain(&self, watch: Watch) -> Duration {
+        self.register(Self::DRAINED, "in_service");
+        self.wait_until_served();
+        if watch == Watch::Broken {
+            self.break_watch();
+        }
+        self.register(Self::DRAINED, "draining");
+        if watch == Watch::Broken {
+            self.restore_watch();
+        }
+        let drained_at = Instant::now();
+        std::thread::sleep(DRAIN_SETTLED);
+        let last_read = self.nodes.last_read(Self::DRAINED);
+        last_read.map_or(Duration::ZERO, |at| at.saturating_duration_since(drained_at))
+    }
+}
+
+fn start_readers(router: SocketAddr, done: &Arc<AtomicBool>) -> Vec<JoinHandle<()>> {
+    let start_reader = |_| {
+        let done = done.clone();
+        std::thread::spawn(move || {
+            let mut client = connect(router).expect("the router accepts clients");
+            while !done.load(Ordering::Relaxed) {
+                _ = read(&mut client);
+            }
+        })
+    };
+    (0..READERS).map(start_reader).collect()
 }
 
-/// From the registry's word to the last byte that a drained node was sent.
-fn drain() {
-    const ROUNDS: usize = 60;
+/// Measures the time from the registry's write to the last request that a drained node receives.
+fn measure_drain() {
     println!(
-        "drain: milliseconds from the registry's write to the node's last request, limit 250, {ROUNDS} rounds"
+        "drain: milliseconds from the registry's write to the node's last request, limit 250, {DRAINS} rounds"
     );
     println!("{:<34}{:>8}{:>8}{:>8}{:>8}", "", "p50", "p90", "p99", "max");
     for kind in ["etcd", "consul"] {
-        let registry = Registry::start(1, None);
-        let fleet = Fleet::start(&[Duration::ZERO; 2], Duration::from_millis(5));
-        let set = |s: usize, state: &str| {
-            let (name, addr) = fleet.servers()[s].clone();
-            registry.put(&format!("{PREFIX}nodes/{name}"), &node(addr, 0, state, 1.0));
-        };
-        (0..3).for_each(|s| set(s, "in_service"));
+        let bench = DrainBench::start();
         let folder = Folder::new();
-        let mut router = Program::start(&["serve", &file(&folder, &registry, kind)], &[]);
-        let addr = router.listening();
+        let (_router, address) = start_router(&folder, &bench.registry, kind);
         let done = Arc::new(AtomicBool::new(false));
-        let reader = |_| {
-            let done = done.clone();
-            std::thread::spawn(move || {
-                let mut client = connect(addr).expect("a router");
-                while !done.load(Ordering::Relaxed) {
-                    _ = by(&mut client);
-                }
-            })
-        };
-        let threads: Vec<_> = (0..8).map(reader).collect();
-        for breaks in [false, true] {
-            let mut histogram: Histogram<u64> = Histogram::new(3).expect("three digits");
-            for _ in 0..ROUNDS {
-                set(1, "in_service");
-                let (begun, before) = (Instant::now(), fleet.counts(1).reads);
-                while fleet.counts(1).reads < before + 20 {
-                    assert!(begun.elapsed() < LONG);
-                }
-                if breaks {
-                    registry.faults(0, |f| f.down = true);
-                    registry.break_connections(0);
-                    std::thread::sleep(Duration::from_millis(30));
-                }
-                set(1, "draining");
-                if breaks {
-                    registry.compact();
-                    // The router can know from its next connection on.
-                    let seen = registry.watches(0) + registry.reads();
-                    registry.faults(0, |f| f.down = false);
-                    while registry.watches(0) + registry.reads() == seen {
-                        assert!(begun.elapsed() < LONG);
-                    }
-                }
-                let told = Instant::now();
-                std::thread::sleep(Duration::from_millis(400));
-                let last = fleet.last_read(1).map_or(Duration::ZERO, |at| at.saturating_duration_since(told));
-                histogram.record(last.as_micros() as u64).expect("in range");
+        let readers = start_readers(address, &done);
+        for watch in [Watch::Standing, Watch::Broken] {
+            let mut histogram: Histogram<u64> = Histogram::new(3).expect("three digits are allowed");
+            for _ in 0..DRAINS {
+                histogram.record(bench.drain(watch).as_micros() as u64).expect("the histogram grows");
             }
-            let ms = |q| histogram.value_at_quantile(q) as f64 / 1000.0;
-            let name = format!("{kind}, {}", if breaks { "over a break" } else { "without a break" });
-            println!("{name:<34}{:>8.2}{:>8.2}{:>8.2}{:>8.2}", ms(0.5), ms(0.9), ms(0.99), ms(1.0));
+            print_latencies(&format!("{kind}, {}", watch.label()), &histogram);
         }
         done.store(true, Ordering::Relaxed);
-        threads.into_iter().for_each(|t| _ = t.join());
+        readers.into_iter().for_each(|reader| _ = reader.join());
     }
 }
 
-fn status(id: u32, field: &str) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
-    let line = status.lines().find(|l| l.starts_with(field)).unwrap_or("");
-    line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0)
+fn print_latencies(name: &str, microseconds: &Histogram<u64>) {
+    let milliseconds = |quantile| microseconds.value_at_quantile(quantile) as f64 / 1000.0;
+    let [p50, p90, p99, max] = [0.5, 0.9, 0.99, 1.0].map(milliseconds);
+    println!("{name:<34}{p50:>8.2}{p90:>8.2}{p99:>8.2}{max:>8.2}");
 }
 
-/// CPU time of a process, in clock ticks of a hundredth of a second.
-fn ticks(id: u32) -> u64 {
-    let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-    let behind = stat.rsplit(')').next().unwrap_or("");
-    behind.split_whitespace().skip(11).take(2).filter_map(|n| n.parse::<u64>().ok()).sum()
+/// CPU time of a process, in clock ticks.
+fn cpu_ticks(process: u32) -> u64 {
+    let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
+    // The program's name in parentheses may have spaces.
+    let fields = stat.rsplit(')').next().unwrap_or("");
+    fields.split_whitespace().skip(11).take(2).filter_map(|ticks| ticks.parse::<u64>().ok()).sum()
 }
 
-/// How a long list costs: the first answer, memory, threads, CPU for each change.
-fn size() {
-    const CHANGES: usize = 5000;
-    println!("size: a list of so many nodes in groups of three, {CHANGES} changes at 1,000 a second");
-    println!(
-        "{:<10}{:>14}{:>10}{:>10}{:>16}{:>14}",
-        "nodes", "first ms", "RSS MB", "threads", "us a change", "behind ms"
-    );
-    for nodes in [100usize, 1000, 10_000] {
+/// A registry with a long list: three nodes that run, and others that nothing listens for.
+struct LongList {
+    registry: Registry,
+    /// Servers of the first three nodes.
+    _running: Fleet,
+    nodes: usize,
+}
+
+impl LongList {
+    fn start(nodes: usize) -> LongList {
         let registry = Registry::start(1, None);
-        let fleet = Fleet::start(&[Duration::ZERO; 2], Duration::from_millis(5));
-        let key = |n: usize| format!("{PREFIX}nodes/extra-{n:05}");
-        // Ports from a range that nothing listens on here: nobody asks those groups for anything.
-        let other = |n: usize, weight: f64| {
-            let addr = ([127, 1, (n / 250) as u8, (n % 250) as u8 + 1], 3306).into();
-            node(addr, 1 + n / 3, "in_service", weight)
-        };
-        registry.together(|c| {
-            for (name, addr) in fleet.servers() {
-                c.put(&format!("{PREFIX}nodes/{name}"), node(addr, 0, "in_service", 1.0).into_bytes(), None);
+        let running = Fleet::start(&[Duration::ZERO; 2], HEARTBEAT);
+        registry.together(|content| {
+            for (name, address) in running.servers() {
+                content.put(&node_key(&name), node_value(address, 0, "in_service", 1.0).into_bytes(), None);
+            }
+            for node in 3..nodes {
+                content.put(&extra_key(node), extra_value(node, "in_service", 1.0).into_bytes(), None);
             }
-            (3..nodes).for_each(|n| _ = c.put(&key(n), other(n, 1.0).into_bytes(), None));
         });
-        let folder = Folder::new();
-        let begun = Instant::now();
-        let mut router = Program::start(&["serve", &file(&folder, &registry, "etcd")], &[]);
-        let addr = router.listening();
-        let mut client = connect(addr).expect("a router");
-        while by(&mut client).is_none() {
-            assert!(begun.elapsed() < LONG);
-        }
-        let first = begun.elapsed().as_millis();
-        router.logged(&format!("names {nodes} instances"));
-        let id = router.child.id();
-        let before = ticks(id);
-        let begun = Instant::now();
-        for c in 0..CHANGES {
-            let n = 3 + c * 7919 % (nodes - 3);
-            registry.put(&key(n), &other(n, 1.0 + c as f64 / 1000.0));
-            let due = begun + Duration::from_millis(c as u64 + 1);
+        LongList { registry, _running: running, nodes }
+    }
+
+    /// Changes the weights of nodes, one each millisecond.
+    fn change_weights(&self) {
+        let begin = Instant::now();
+        for change in 0..CHANGES {
+            let node = 3 + change * CHANGE_STEP % (self.nodes - 3);
+            let weight = 1.0 + change as f64 / 1000.0;
+            self.registry.put(&extra_key(node), &extra_value(node, "in_service", weight));
+            let due = begin + Duration::from_millis(change as u64 + 1);
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
         }
-        // The last one: a drain, whose line tells when everything before it has been acted on.
-        let wrote = Instant::now();
-        registry.put(&key(3), &other(3, 1.0).replace("in_service", "draining"));
-        router.logged(&format!("names {nodes} instances, {} in service", nodes - 1));
-        let behind = wrote.elapsed();
-        let us = (ticks(id) - before) as f64 * 10_000.0 / CHANGES as f64;
-        println!(
-            "{nodes:<10}{first:>14}{:>10.1}{:>10}{us:>16.0}{:>14.1}",
-            status(id, "VmRSS:") as f64 / 1024.0,
-            status(id, "Threads:"),
-            behind.as_secs_f64() * 1000.0
-        );
     }
 }
 
-fn main() {
-    let asked: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with("--")).collect();
-    let parts: [(&str, fn()); 2] = [("drain", drain), ("size", size)];
-    for (name, part) in parts {
-        if asked.is_empty() || asked.iter().any(|a| a == name) {
-            part();
-            println!();
-        }
+fn extra_key(node: usize) -> String {
+    node_key(&format!("extra-{node:05}"))
+}
+
+/// A node of a group that no client asks for, at an address that nothing listens on.
+fn extra_value(node: usize, state: &str, weight: f64) -> String {
+    let address = ([127, 1, (node / 250) as u8, (node % 250) as u8 + 1], 3306).into();
+    node_value(address, 1 + node / 3, state, weight)
+}
+
+/// Measures what a long list costs: the time to the first answer, memory, threads, and CPU time of each change.
+fn measure_size() {
+    println!("size: a list of so many nodes in groups of three, {CHANGES} changes at 1,000 a second");
+    println!(
+        "{:<10}{:>14}{:>10}{:>10}{:>16}{:>14}",
+        "nodes", "first ms", "RSS MB", "threads", "us a change", "behind ms"
+    );
+    for nodes in [100, 1000, 10_000] {
+        measure_list(nodes);
     }
 }
+
+fn measure_list(nodes: usize) {
+    let list = LongList::start(nodes);
+    let folder = Folder::new();
+    let begin = Instant::now();
+    let (mut router, address) = start_router(&folder, &list.registry, "etcd");
+    let mut client = connect(address).expect("the router accepts clients");
+    while !read(&mut client) {
+        assert!(begin.elapsed() < LONG);
+    }
+    let first_answer = begin.elapsed().as_millis();
+    router.logged(&format!("names {nodes} instances"));
+    let process = router.child.id();
+    let ticks_before = cpu_ticks(process);
+    list.change_weights();
+    // The last change is a drain, whose log line shows that all before it have been applied.
+    let written_at = Instant::now();
+    list.registry.put(&extra_key(3), &extra_value(3, "draining", 1.0));
+    router.logged(&format!("names {nodes} instances, {} in service", nodes - 1));
+    let behind_ms = written_at.elapsed().as_secs_f64() * 1000.0;
+    let change_us = (cpu_ticks(process) - ticks_before) as f64 * TICK_MICROSECONDS / CHANGES as f64;
+    let resident_mb = process_status(process, "VmRSS:") as f64 / 1024.0;
+    let threads = process_status(process, "Threads:");
+    println!(
+        "{nodes:<10}{first_answer:>14}{resident_mb:>10.1}{threads:>10}{change_us:>16.0}{behind_ms:>14.1}"
+    );
+}
+
+fn main() {
+    run_parts(&[Part { name: "drain", run: measure_drain }, Part { name: "size", run: measure_size }]);
+}
--- a/benches/sessions.rs
+++ b/benches/sessions.rs
@@ -4,6 +4,7 @@
 mod common;
 #[path = "../tests/common/instances.rs"]
 mod instances;
+mod support;
 
 use common::LONG;
 use hdrhistogram::Histogram;
@@ -14,210 +15,279 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
+use support::{Part, process_status, run_parts};
 use test_servers::fleet::Fleet;
 
+/// Time between a primary's heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(5);
+/// Sessions that write and read in the loop of kills.
+const LOOP_SESSIONS: usize = 9;
 
-fn lag(ms: &[u64]) -> Vec<Duration> {
-    ms.iter().map(|ms| Duration::from_millis(*ms)).collect()
+/// Connections that read in the measurement of offloading.
+const READERS: u64 = 4;
+/// Sessions that take turns on each of them: few have just written.
+const SESSIONS_PER_READER: u64 = 200;
+/// One in this many requests writes.
+const WRITE_INTERVAL: u64 = 21;
+/// How long reads are counted.
+const OFFLOAD_WINDOW: Duration = Duration::from_secs(2);
+/// Time beyond the replicas' lag until they have passed the floor of the first start.
+const FLOOR_SLACK_MS: u64 = 500;
+
+/// Rounds of the measurement of a write's cost, in which the arms take turns.
+const COST_ROUNDS: usize = 5;
+const COST_CLIENTS: u64 = 8;
+const COST_WRITES: u64 = 200;
+/// Pause before each write, in which connections rest: else their rest after an answer hides what is measured.
+const COST_PAUSE: Duration = Duration::from_millis(12);
+
+fn replicas(lags_ms: &[u64]) -> Fleet {
+    let lags: Vec<Duration> = lags_ms.iter().map(|lag| Duration::from_millis(*lag)).collect();
+    Fleet::start(&lags, HEARTBEAT)
+}
+
+/// An arm of the loop of kills.
+struct KillArm {
+    name: &'static str,
+    keeping: Keeping,
+    /// Whether sessions go from instance to instance.
+    wander: bool,
+    kills: u64,
 }
 
-/// Kills in the middle of sessions, with everything kept and with nothing.
-fn kills() {
-    println!("loop: SIGKILLs while 9 sessions write and read, replicas 1 s and 2 s behind");
+/// Kills instances while sessions write and read: with everything stored, and with less.
+fn measure_kills() {
+    println!("loop: SIGKILLs while {LOOP_SESSIONS} sessions write and read, replicas 1 s and 2 s behind");
     println!("{:<28}{:>7}{:>9}{:>9}{:>9}{:>14}", "kept", "kills", "writes", "reads", "missed", "by replicas");
     let arms = [
-        ("disk and peers, wandering", Keeping::Whole, true, 300),
-        ("peers alone, wandering", Keeping::Peers, true, 60),
-        ("floor alone, staying", Keeping::Floor, false, 60),
-        ("nothing, staying", Keeping::Nothing, false, 60),
+        KillArm { name: "disk and peers, wandering", keeping: Keeping::Whole, wander: true, kills: 300 },
+        KillArm { name: "peers alone, wandering", keeping: Keeping::Peers, wander: true, kills: 60 },
+        KillArm { name: "floor alone, staying", keeping: Keeping::Floor, wander: false, kills: 60 },
+        KillArm { name: "nothing, staying", keeping: Keeping::Nothing, wander: false, kills: 60 },
     ];
-    for (name, keeping, wander, kills) in arms {
-        let mut three = Instances::started(3, Fleet::start(&lag(&[1000, 2000]), HEARTBEAT), keeping);
-        let f = restart_loop(&mut three, kills, 9, wander);
-        println!("{name:<28}{:>7}{:>9}{:>9}{:>9}{:>14}", f.kills, f.writes, f.reads, f.missed, f.by_replicas);
+    for KillArm { name, keeping, wander, kills } in arms {
+        let mut instances = Instances::started(3, replicas(&[1000, 2000]), keeping);
+        let counts = restart_loop(&mut instances, kills, LOOP_SESSIONS, wander);
+        println!(
+            "{name:<28}{:>7}{:>9}{:>9}{:>9}{:>14}",
+            counts.kills, counts.writes, counts.reads, counts.missed, counts.by_replicas
+        );
     }
 }
 
-/// Sessions that read twenty times for each write, on one instance, until told to stop: reads, and those by replicas.
-fn readers(
-    addr: SocketAddr,
-    class: &'static str,
-    done: &Arc<AtomicBool>,
-) -> Vec<std::thread::JoinHandle<(u64, u64)>> {
-    let reader = |s: u64| {
-        let done = done.clone();
-        std::thread::spawn(move || {
-            let (mut reads, mut by_replicas, mut n) = (0, 0, 0u64);
-            let Ok(mut conn) = connect(addr) else { return (0, 0) };
-            while !done.load(Ordering::Relaxed) {
-                n += 1;
-                // Two hundred sessions take turns on each connection: few have just written.
-                let key = format!("member-{}", s * 200 + n % 200);
-                if n.is_multiple_of(21) {
-                    _ = write(&mut conn, &key, n);
-                    continue;
-                }
-                let sql = format!("SELECT n FROM basket WHERE k = '{key}' /* c={class},s={key} */");
-                if let Ok(Some((_, by))) = conn.query_first::<(String, String), _>(sql) {
-                    reads += 1;
-                    by_replicas += u64::from(by != "primary");
-                }
-            }
-            (reads, by_replicas)
-        })
-    };
-    (0..4).map(reader).collect()
+/// Reads of sessions, and how many of them replicas answered.
+#[derive(Clone, Copy, Default)]
+struct ReadCounts {
+    reads: u64,
+    by_replicas: u64,
 }
 
-fn share(addr: SocketAddr, class: &'static str, for_time: Duration) -> (u64, f64) {
+impl ReadCounts {
+    fn add(self, other: ReadCounts) -> ReadCounts {
+        ReadCounts { reads: self.reads + other.reads, by_replicas: self.by_replicas + other.by_replicas }
+    }
+
+    fn replica_percent(self) -> f64 {
+        100.0 * self.by_replicas as f64 / self.reads.max(1) as f64
+    }
+}
+
+/// Reads, and writes now and then, on one connection until `done`.
+fn read_sessions(router: SocketAddr, class: &str, reader: u64, done: &AtomicBool) -> ReadCounts {
+    let mut counts = ReadCounts::default();
+    let Ok(mut client) = connect(router) else { return counts };
+    let mut request = 0u64;
+    while !done.load(Ordering::Relaxed) {
+        request += 1;
+        let key = format!("member-{}", reader * SESSIONS_PER_READER + request % SESSIONS_PER_READER);
+        if request.is_multiple_of(WRITE_INTERVAL) {
+            _ = write(&mut client, &key, request);
+            continue;
+        }
+        let sql = format!("SELECT n FROM basket WHERE k = '{key}' /* c={class},s={key} */");
+        if let Ok(Some((_, server))) = client.query_first::<(String, String), _>(sql) {
+            counts.reads += 1;
+            counts.by_replicas += u64::from(server != "primary");
+        }
+    }
+    counts
+}
+
+/// Reads with sessions of a class for a while.
+fn count_reads(router: SocketAddr, class: &'static str) -> ReadCounts {
     let done = Arc::new(AtomicBool::new(false));
-    let threads = readers(addr, class, &done);
-    std::thread::sleep(for_time);
+    let start_reader = |reader| {
+        let done = done.clone();
+        std::thread::spawn(move || read_sessions(router, class, reader, &done))
+    };
+    let readers: Vec<JoinHandle<ReadCounts>> = (0..READERS).map(start_reader).collect();
+    std::thread::sleep(OFFLOAD_WINDOW);
     done.store(true, Ordering::Relaxed);
-    let sums = threads.into_iter().filter_map(|t| t.join().ok());
-    let (reads, by) = sums.fold((0, 0), |(a, b), (x, y)| (a + x, b + y));
-    (reads, by as f64 / reads.max(1) as f64)
+    let counts = readers.into_iter().filter_map(|reader| reader.join().ok());
+    counts.fold(ReadCounts::default(), ReadCounts::add)
+}
+
+/// An arm of the measurement of offloading.
+struct OffloadArm {
+    name: &'static str,
+    keeping: Keeping,
+    /// The class of reads after the restart.
+    class: &'static str,
 }
 
-/// What replicas take of session reads right after a restart and later on.
-fn offload() {
-    const WINDOW: Duration = Duration::from_secs(2);
+/// Measures the share of session reads that replicas answer right after a restart, and later on.
+fn measure_offload() {
     println!("offload: share of session reads that replicas answer (20 reads for each write)");
     println!("{:<44}{:>14}{:>14}{:>12}", "policy", "2 s after", "steady", "reads/s");
-    for (lags, text) in [(vec![20, 50], "20 and 50 ms behind"), (vec![1000, 3000], "1 and 3 s behind")] {
+    for (lags, text) in [([20, 50], "20 and 50 ms behind"), ([1000, 3000], "1 and 3 s behind")] {
         let arms = [
-            ("all to the primary until warm", Keeping::Floor, "basket-fresh"),
-            ("floor after the start", Keeping::Floor, "basket-read"),
-            ("journal, alone", Keeping::Disk, "basket-read"),
-            ("journal and two peers", Keeping::Whole, "basket-read"),
+            OffloadArm {
+                name: "all to the primary until warm",
+                keeping: Keeping::Floor,
+                class: "basket-fresh",
+            },
+            OffloadArm { name: "floor after the start", keeping: Keeping::Floor, class: "basket-read" },
+            OffloadArm { name: "journal, alone", keeping: Keeping::Disk, class: "basket-read" },
+            OffloadArm { name: "journal and two peers", keeping: Keeping::Whole, class: "basket-read" },
         ];
-        for (name, keeping, class) in arms {
-            let n = if keeping == Keeping::Whole { 3 } else { 1 };
-            let mut all = Instances::new(n, Fleet::start(&lag(&lags), HEARTBEAT), keeping);
-            for m in &mut all.more {
-                m.0 = "[[mysql.class]]\nname = 'basket-fresh'\nfreshness = 'fresh'\neffect = 'safe'\n\
-                       aim_ms = 2000\ndeadline_ms = 4000\n"
-                    .into();
-            }
-            (0..n).for_each(|i| all.start(i));
-            (0..n).for_each(|i| all.relied(i));
-            // The floor of the very first start has to be passed by the replicas.
-            std::thread::sleep(Duration::from_millis(lags[1] + 500));
-            // The plain policy's steady state is that of the others.
-            let (reads, steady) = share(all.addr(0), "basket-read", WINDOW);
-            all.kill(0);
-            all.start(0);
-            let (_, after) = share(all.addr(0), class, WINDOW);
-            let name = format!("{name}, {text}");
-            println!("{name:<44}{:>13.1}%{:>13.1}%{:>12}", 100.0 * after, 100.0 * steady, reads / 2);
+        for arm in arms {
+            measure_offload_arm(&arm, lags, text);
         }
     }
 }
 
-/// What a write costs.
-fn cost() {
-    const ROUNDS: usize = 5;
-    const WRITES: u64 = 200;
-    const CLIENTS: u64 = 8;
-    const PACE: Duration = Duration::from_millis(12);
-    println!("cost: microseconds of a write, {CLIENTS} clients with 12 ms between writes, arms in turns");
-    let arms = [
-        ("nothing kept", Keeping::Nothing, 1),
-        ("peers", Keeping::Peers, 3),
-        ("journal", Keeping::Disk, 1),
-        ("journal and peers", Keeping::Whole, 3),
-    ];
-    let mut running: Vec<(&str, Instances, Histogram<u64>)> = arms
-        .into_iter()
-        .map(|(name, keeping, n)| {
-            let all = Instances::started(n, Fleet::start(&lag(&[20]), HEARTBEAT), keeping);
-            (name, all, Histogram::new(3).expect("three digits"))
-        })
-        .collect();
-    for _ in 0..ROUNDS {
-        for (_, all, histogram) in &mut running {
-            let addr = all.addr(0);
-            let client = move |c: u64| {
-                std::thread::spawn(move || {
-                    let mut conn = connect(addr).expect("a router");
-                    let mut write = |n| {
-                        let begun = Instant::now();
-                        write(&mut conn, &format!("member-{c}"), n).expect("a write");
-                        begun.elapsed().as_micros() as u64
-                    };
-                    // Paced, so that links have rested: else their rest after an answer hides what is measured.
-                    let paced = |n| {
-                        std::thread::sleep(PACE);
-                        write(n)
-                    };
-                    (0..WRITES).map(paced).collect::<Vec<u64>>()
-                })
-            };
-            let threads: Vec<_> = (0..CLIENTS).map(client).collect();
-            for t in threads {
-                t.join()
-                    .expect("a client")
-                    .into_iter()
-                    .for_each(|us| histogram.record(us).expect("in range"));
+fn measure_offload_arm(arm: &OffloadArm, lags_ms: [u64; 2], lag_text: &str) {
+    let count = if arm.keeping == Keeping::Whole { 3 } else { 1 };
+    let mut instances = Instances::new(count, replicas(&lags_ms), arm.keeping);
+    for keys in &mut instances.more {
+        keys.0 = "[[mysql.class]]\nname = 'basket-fresh'\nfreshness = 'fresh'\neffect = 'safe'\n\
+                  aim_ms = 2000\ndeadline_ms = 4000\n"
+            .into();
+    }
+    (0..count).for_each(|instance| instances.start(instance));
+    (0..count).for_each(|instance| instances.relied(instance));
+    // The replicas have to pass the floor of the very first start.
+    std::thread::sleep(Duration::from_millis(lags_ms[1] + FLOOR_SLACK_MS));
+    // The steady state is that of the same class in all arms.
+    let steady = count_reads(instances.addr(0), "basket-read");
+    instances.kill(0);
+    instances.start(0);
+    let restarted = count_reads(instances.addr(0), arm.class);
+    println!(
+        "{:<44}{:>13.1}%{:>13.1}%{:>12}",
+        format!("{}, {lag_text}", arm.name),
+        restarted.replica_percent(),
+        steady.replica_percent(),
+        steady.reads / OFFLOAD_WINDOW.as_secs()
+    );
+}
+
+/// An arm of the measurement of a write's cost, with the latencies of its writes in microseconds.
+struct CostArm {
+    name: &'static str,
+    instances: Instances,
+    latencies: Histogram<u64>,
+}
+
+impl CostArm {
+    fn start(name: &'static str, keeping: Keeping, count: usize) -> CostArm {
+        let instances = Instances::started(count, replicas(&[20]), keeping);
+        CostArm { name, instances, latencies: Histogram::new(3).expect("three digits are allowed") }
+    }
+
+    fn run_round(&mut self) {
+        let router = self.instances.addr(0);
+        let start_client = |client| std::thread::spawn(move || time_writes(router, client));
+        let clients: Vec<_> = (0..COST_CLIENTS).map(start_client).collect();
+        for client in clients {
+            for microseconds in client.join().expect("the client has not panicked") {
+                self.latencies.record(microseconds).expect("the histogram grows");
             }
         }
     }
-    println!("{:<22}{:>9}{:>9}{:>9}{:>9}", "kept", "p50", "p99", "max", "p50 x");
-    let base = running[0].2.value_at_quantile(0.5) as f64;
-    for (name, _, h) in &running {
-        let (p50, p99) = (h.value_at_quantile(0.5), h.value_at_quantile(0.99));
-        println!("{name:<22}{p50:>9}{p99:>9}{:>9}{:>9.2}", h.max(), p50 as f64 / base);
-    }
-    let syncs = running[2].1.shown(0);
-    println!("journal: {} commits in {} syncs", syncs["commits"], syncs["syncs"]);
 }
 
-fn resident_kb(id: u32) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
-    let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or("");
-    line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0)
+/// Writes with a pause before each: their latencies in microseconds.
+fn time_writes(router: SocketAddr, client: u64) -> Vec<u64> {
+    let mut connection = connect(router).expect("the router accepts clients");
+    let time_write = |number| {
+        std::thread::sleep(COST_PAUSE);
+        let begin = Instant::now();
+        write(&mut connection, &format!("member-{client}"), number).expect("the write is answered");
+        begin.elapsed().as_micros() as u64
+    };
+    (0..COST_WRITES).map(time_write).collect()
 }
 
-/// A start with a million sessions, and what a peer takes of them.
-fn start() {
+/// Measures what a write costs with a journal, with peers and with both.
+fn measure_cost() {
+    println!(
+        "cost: microseconds of a write, {COST_CLIENTS} clients with 12 ms between writes, arms in turns"
+    );
+    let mut arms = [
+        CostArm::start("nothing kept", Keeping::Nothing, 1),
+        CostArm::start("peers", Keeping::Peers, 3),
+        CostArm::start("journal", Keeping::Disk, 1),
+        CostArm::start("journal and peers", Keeping::Whole, 3),
+    ];
+    for _ in 0..COST_ROUNDS {
+        arms.iter_mut().for_each(CostArm::run_round);
+    }
+    println!("{:<22}{:>9}{:>9}{:>9}{:>9}", "kept", "p50", "p99", "max", "p50 x");
+    let baseline = arms[0].latencies.value_at_quantile(0.5) as f64;
+    for CostArm { name, latencies, .. } in &arms {
+        let (p50, p99) = (latencies.value_at_quantile(0.5), latencies.value_at_quantile(0.99));
+        println!("{name:<22}{p50:>9}{p99:>9}{:>9}{:>9.2}", latencies.max(), p50 as f64 / baseline);
+    }
+    let journal = arms[2].instances.shown(0);
+    println!("journal: {} commits in {} syncs", journal["commits"], journal["syncs"]);
+}
+
+/// Measures a start with many sessions, and the time until a peer has them.
+fn measure_start() {
     println!("start: time to listening, resident memory");
     println!("{:<16}{:>12}{:>12}{:>16}{:>14}", "sessions", "start ms", "RSS MB", "bytes/session", "peer ms");
-    let mut empty = 0;
-    for sessions in [0u64, 10_000, 100_000, 1_000_000] {
-        let mut two = Instances::new(2, Fleet::start(&lag(&[20]), HEARTBEAT), Keeping::Whole);
-        let entries: Vec<(Key, decision::Time)> = (0..sessions)
-            .map(|n| (Key(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)), decision::Time(n as i64 + 1)))
-            .collect();
-        let whole = Whole { instance: 1, incarnation: 1, entries: &entries, floor: None, incomplete: false };
-        drop(journal::open(&two.kept_in(0), 1).expect("a folder").begin(&whole).expect("a folder"));
-        let begun = Instant::now();
-        two.start(0);
-        let ms = begun.elapsed().as_millis();
-        two.relied(0);
-        let rss = resident_kb(two.program(0).child.id());
-        let begun = Instant::now();
-        two.start(1);
-        two.until(1, |s| s["sessions"].as_u64() >= Some(sessions) && s["relies_on_all"] == true);
-        let peer = begun.elapsed().as_millis();
+    let mut empty_kb = 0;
+    for sessions in [0, 10_000, 100_000, 1_000_000] {
+        let mut instances = Instances::new(2, replicas(&[20]), Keeping::Whole);
+        write_journal(&instances, sessions);
+        let begin = Instant::now();
+        instances.start(0);
+        let start_ms = begin.elapsed().as_millis();
+        instances.relied(0);
+        let resident_kb = process_status(instances.program(0).child.id(), "VmRSS:");
+        let begin = Instant::now();
+        instances.start(1);
+        instances
+            .until(1, |shown| shown["sessions"].as_u64() >= Some(sessions) && shown["relies_on_all"] == true);
+        let peer_ms = begin.elapsed().as_millis();
         if sessions == 0 {
-            empty = rss;
+            empty_kb = resident_kb;
         }
-        let each = (rss.saturating_sub(empty) * 1024).checked_div(sessions).unwrap_or(0);
-        println!("{sessions:<16}{ms:>12}{:>12.1}{each:>16}{peer:>14}", rss as f64 / 1024.0);
-        assert!(begun.elapsed() < LONG);
-        _ = read(&mut two.client(0), "member-0");
+        let session_bytes = (resident_kb.saturating_sub(empty_kb) * 1024).checked_div(sessions).unwrap_or(0);
+        let resident_mb = resident_kb as f64 / 1024.0;
+        println!("{sessions:<16}{start_ms:>12}{resident_mb:>12.1}{session_bytes:>16}{peer_ms:>14}");
+        assert!(begin.elapsed() < LONG);
+        _ = read(&mut instances.client(0), "member-0");
     }
 }
 
+/// Writes a journal with so many sessions for the first instance.
+fn write_journal(instances: &Instances, sessions: u64) {
+    let entry = |n: u64| (Key(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)), decision::Time(n as i64 + 1));
+    let entries: Vec<(Key, decision::Time)> = (0..sessions).map(entry).collect();
+    let checkpoint = Whole { instance: 1, incarnation: 1, entries: &entries, floor: None, incomplete: false };
+    let opened = journal::open(&instances.kept_in(0), 1).expect("the folder is writable");
+    drop(opened.begin(&checkpoint).expect("the folder is writable"));
+}
+
 fn main() {
-    let asked: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with("--")).collect();
-    let parts: [(&str, fn()); 4] = [("loop", kills), ("offload", offload), ("cost", cost), ("start", start)];
-    for (name, part) in parts {
-        if asked.is_empty() || asked.iter().any(|a| a == name) {
-            part();
-            println!();
-        }
-    }
+    run_parts(&[
+        Part { name: "loop", run: measure_kills },
+        Part { name: "offload", run: measure_offload },
+        Part { name: "cost", run: measure_cost },
+        Part { name: "start", run: measure_start },
+    ]);
 }
