--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -283,14 +283,14 @@
         assert!(begin.elapsed() < LONG);
     }
     let first_answer = begin.elapsed().as_millis();
-    router.logged(&format!("names {nodes} instances"));
+    router.logged(&format!("endpoints={nodes} "));
     let process = router.child.id();
     let ticks_before = cpu_ticks(process);
     list.change_weights();
     // The last change is a drain, whose log line shows that all before it have been applied.
     let written_at = Instant::now();
     list.registry.put(&extra_key(3), &extra_value(3, "draining", 1.0));
-    router.logged(&format!("names {nodes} instances, {} in service", nodes - 1));
+    router.logged(&format!("endpoints={nodes} ready={} ", nodes - 1));
     let behind_ms = written_at.elapsed().as_secs_f64() * 1000.0;
     let change_us = (cpu_ticks(process) - ticks_before) as f64 * TICK_MICROSECONDS / CHANGES as f64;
     let resident_mb = process_status(process, "VmRSS:") as f64 / 1024.0;
