--- a/lab/src/load/schedule.rs
+++ b/lab/src/load/schedule.rs
@@ -65,14 +65,14 @@
 /// The statements of a capture file, with the gaps that they had.
 pub(super) fn from_capture(path: &Path, writes: bool) -> Result<Vec<ScheduledStatement>, Error> {
     let file = std::fs::File::open(path).map_err(|source| Error::Read { path: path.into(), source })?;
-    let (found, ended) = pcap::conversations::read(file);
-    ended.map_err(|source| Error::Capture { path: path.into(), source })?;
+    let contents = pcap::conversations::read(file);
+    contents.ended.map_err(|source| Error::Capture { path: path.into(), source })?;
     let mut schedule = Vec::new();
-    for request in &found.requests {
-        let sql = String::from_utf8_lossy(request.asked.text()).into_owned();
+    for request in &contents.requests {
+        let sql = String::from_utf8_lossy(request.statement.text()).into_owned();
         // Parameters of executions are not sent: only statements that are whole in their text.
         if (writes || is_select(&sql)) && !sql.contains('?') {
-            schedule.push(ScheduledStatement { due: request.at, sql });
+            schedule.push(ScheduledStatement { due: request.captured_at, sql });
         }
     }
     schedule.sort_by_key(|statement| statement.due);
--- a/pcap/src/capture.rs
+++ b/pcap/src/capture.rs
@@ -1,4 +1,4 @@
-//! Packets of a capture file. What can't be read ends in a message with the place in the file.
+//! Packets of a capture file. An error names the place in the file.
 use pcap_file::pcap::PcapReader;
 use pcap_file::pcapng::{Block, PcapNgReader};
 use pcap_file::{DataLink, PcapError};
@@ -8,27 +8,34 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A packet as it was captured.
+/// Bytes of the number that every capture begins with.
+const MAGIC_BYTES: usize = 4;
+/// Bytes before the first packet of a classic capture.
+const CLASSIC_HEADER_BYTES: u64 = 24;
+/// Bytes before each packet of a classic capture.
+const CLASSIC_PACKET_HEADER_BYTES: u64 = 16;
+
+/// A captured packet.
 pub struct Packet {
-    /// When, as Unix time.
-    pub at: Duration,
-    /// What kind of link it was captured on.
+    /// When it was captured, as Unix time.
+    pub captured_at: Duration,
+    /// The type of the link that it was captured on.
     pub link: DataLink,
-    /// Its bytes.
+    /// Its bytes from the link's header on.
     pub bytes: Vec<u8>,
 }
 
-/// Counts what has been read.
-struct Counted<R> {
-    from: R,
+/// Counts the bytes that are read.
+struct CountingReader<R> {
+    inner: R,
     count: Rc<Cell<u64>>,
 }
 
-impl<R: Read> Read for Counted<R> {
-    fn read(&mut self, to: &mut [u8]) -> io::Result<usize> {
-        let n = self.from.read(to)?;
-        self.count.set(self.count.get() + n as u64);
-        Ok(n)
+impl<R: Read> Read for CountingReader<R> {
+    fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
+        let count = self.inner.read(buffer)?;
+        self.count.set(self.count.get() + count as u64);
+        Ok(count)
     }
 }
 
@@ -38,125 +45,158 @@
     /// The file can't be read.
     #[error("offset {offset}: {source}")]
     Read {
-        /// How far it was read.
+        /// Bytes read before.
         offset: usize,
-        /// Why no further.
+        /// The cause.
         source: io::Error,
     },
-    /// It is shorter than the mark that every capture begins with.
+    /// The file, of so many bytes, is shorter than the number that every capture begins with.
     #[error("offset {0}: the file ends within its first four bytes")]
-    Short(usize),
-    /// It is something else.
+    TooShort(usize),
+    /// The file has another format.
     #[error("offset 0: this is no capture file: it begins with none of their marks")]
-    Foreign,
-    /// It ends within a packet.
-    #[error("behind offset {whole} (read up to {read}): the file is cut off within a packet")]
-    Cut {
-        /// Where the last whole packet ends.
-        whole: u64,
-        /// How far it was read.
+    UnknownFormat,
+    /// The file ends within a packet.
+    #[error("behind offset {complete} (read up to {read}): the file is cut off within a packet")]
+    Truncated {
+        /// Where the last complete packet ends.
+        complete: u64,
+        /// Bytes read.
         read: u64,
     },
     /// A packet can't be read.
-    #[error("behind offset {whole} (read up to {read}): {source}")]
+    #[error("behind offset {complete} (read up to {read}): {source}")]
     Packet {
-        /// Where the last whole packet ends.
-        whole: u64,
-        /// How far it was read.
+        /// Where the last complete packet ends.
+        complete: u64,
+        /// Bytes read.
         read: u64,
-        /// Why not.
+        /// The cause.
         source: PcapError,
     },
-    /// A block of the newer format can't be read.
+    /// A block of the ng format can't be read.
     #[error("behind block {blocks}, {source}")]
     Block {
-        /// How many came before it.
+        /// Blocks before it.
         blocks: u64,
-        /// Why not.
+        /// The cause.
         source: Box<CaptureError>,
     },
     /// A packet names an interface that the file does not describe.
     #[error("block {block}: it names the unknown interface {interface}")]
-    Interface {
-        /// Counted from 1.
+    UnknownInterface {
+        /// The packet's block, counted from 1.
         block: u64,
         /// The interface.
         interface: usize,
     },
 }
 
-fn fault(error: PcapError, whole: u64, read: u64) -> CaptureError {
-    match error {
-        PcapError::IncompleteBuffer => CaptureError::Cut { whole, read },
-        PcapError::IoError(e) if e.kind() == io::ErrorKind::UnexpectedEof => {
-            CaptureError::Cut { whole, read }
+impl CaptureError {
+    fn new(source: PcapError, complete: u64, read: u64) -> CaptureError {
+        match source {
+            PcapError::IncompleteBuffer => CaptureError::Truncated { complete, read },
+            PcapError::IoError(error) if error.kind() == io::ErrorKind::UnexpectedEof => {
+                CaptureError::Truncated { complete, read }
+            }
+            source => CaptureError::Packet { complete, read, source },
         }
-        source => CaptureError::Packet { whole, read, source },
     }
 }
 
-/// Hands each packet of a file to `take`, in order. An error comes behind the packets before it.
-pub fn packets(from: impl Read, mut take: impl FnMut(Packet)) -> Result<(), CaptureError> {
-    let mut from = BufReader::new(from);
-    let mut magic = [0; 4];
-    let mut got = 0;
-    while got < 4 {
-        match from.read(&mut magic[got..]).map_err(|source| CaptureError::Read { offset: got, source })? {
-            0 => return Err(CaptureError::Short(got)),
-            n => got += n,
-        }
-    }
+/// Calls `handle` with each packet of a file, in order. An error is returned after the packets before it.
+///
+/// # Errors
+/// The file can't be read, is no capture, or ends within a packet.
+pub fn read_packets(source: impl Read, mut handle: impl FnMut(Packet)) -> Result<(), CaptureError> {
+    let mut source = BufReader::new(source);
+    let magic = read_magic(&mut source)?;
     let count = Rc::new(Cell::new(0));
-    let all = Counted { from: io::Cursor::new(magic).chain(from), count: count.clone() };
+    let inner = io::Cursor::new(magic).chain(source);
+    let reader = CountingReader { inner, count: count.clone() };
     match magic {
-        [0x0a, 0x0d, 0x0d, 0x0a] => ng(all, &count, &mut take),
+        [0x0a, 0x0d, 0x0d, 0x0a] => read_ng(reader, &count, &mut handle),
         [0xa1, 0xb2, 0xc3, 0xd4]
         | [0xd4, 0xc3, 0xb2, 0xa1]
         | [0xa1, 0xb2, 0x3c, 0x4d]
-        | [0x4d, 0x3c, 0xb2, 0xa1] => classic(all, &count, &mut take),
-        _ => Err(CaptureError::Foreign),
+        | [0x4d, 0x3c, 0xb2, 0xa1] => read_classic(reader, &count, &mut handle),
+        _ => Err(CaptureError::UnknownFormat),
     }
 }
 
-fn classic(from: impl Read, count: &Cell<u64>, take: &mut impl FnMut(Packet)) -> Result<(), CaptureError> {
-    let mut reader = PcapReader::new(from).map_err(|e| fault(e, 0, count.get()))?;
-    let (link, mut whole) = (reader.header().datalink, 24);
-    while let Some(next) = reader.next_packet() {
-        let p = next.map_err(|e| fault(e, whole, count.get()))?;
-        whole += 16 + p.data.len() as u64;
-        take(Packet { at: p.timestamp, link, bytes: p.data.into_owned() });
+fn read_magic(source: &mut impl Read) -> Result<[u8; MAGIC_BYTES], CaptureError> {
+    let mut magic = [0; MAGIC_BYTES];
+    let mut offset = 0;
+    while offset < MAGIC_BYTES {
+        match source.read(&mut magic[offset..]).map_err(|source| CaptureError::Read { offset, source })? {
+            0 => return Err(CaptureError::TooShort(offset)),
+            count => offset += count,
+        }
     }
-    ended(whole, count.get())
+    Ok(magic)
 }
 
-/// Bytes behind the last whole packet are a packet that was cut off.
-fn ended(whole: u64, read: u64) -> Result<(), CaptureError> {
-    if read > whole {
-        return Err(CaptureError::Cut { whole, read });
+fn read_classic(
+    source: impl Read,
+    count: &Cell<u64>,
+    handle: &mut impl FnMut(Packet),
+) -> Result<(), CaptureError> {
+    let mut reader = PcapReader::new(source).map_err(|error| CaptureError::new(error, 0, count.get()))?;
+    let link = reader.header().datalink;
+    let mut complete = CLASSIC_HEADER_BYTES;
+    while let Some(packet) = reader.next_packet() {
+        let packet = packet.map_err(|error| CaptureError::new(error, complete, count.get()))?;
+        complete += CLASSIC_PACKET_HEADER_BYTES + packet.data.len() as u64;
+        handle(Packet { captured_at: packet.timestamp, link, bytes: packet.data.into_owned() });
     }
-    Ok(())
+    // Bytes after the last complete packet are a packet that was cut off.
+    let read = count.get();
+    if read > complete { Err(CaptureError::Truncated { complete, read }) } else { Ok(()) }
+}
+
+/// A packet of the ng format, whose interface says what link it was captured on.
+struct NgPacket {
+    interface: usize,
+    captured_at: Duration,
+    bytes: Vec<u8>,
 }
 
-fn ng(from: impl Read, count: &Cell<u64>, take: &mut impl FnMut(Packet)) -> Result<(), CaptureError> {
-    let mut reader = PcapNgReader::new(from).map_err(|e| fault(e, 0, count.get()))?;
+impl NgPacket {
+    /// The packet in a block, if it has one.
+    fn in_block(block: Block<'_>) -> Option<NgPacket> {
+        match block {
+            Block::EnhancedPacket(packet) => Some(NgPacket {
+                interface: packet.interface_id as usize,
+                captured_at: packet.timestamp,
+                bytes: packet.data.into_owned(),
+            }),
+            Block::SimplePacket(packet) => {
+                Some(NgPacket { interface: 0, captured_at: Duration::ZERO, bytes: packet.data.into_owned() })
+            }
+            _ => None,
+        }
+    }
+}
+
+fn read_ng(
+    source: impl Read,
+    count: &Cell<u64>,
+    handle: &mut impl FnMut(Packet),
+) -> Result<(), CaptureError> {
+    let mut reader = PcapNgReader::new(source).map_err(|error| CaptureError::new(error, 0, count.get()))?;
     let mut blocks = 0u64;
     loop {
-        let links: Vec<DataLink> = reader.interfaces().iter().map(|i| i.linktype).collect();
-        let at = |e| CaptureError::Block { blocks, source: Box::new(fault(e, 0, count.get())) };
-        let packet = match reader.next_block() {
-            None => return Ok(()),
-            Some(Err(e)) => return Err(at(e)),
-            Some(Ok(Block::EnhancedPacket(p))) => {
-                Some((p.interface_id as usize, p.timestamp, p.data.into_owned()))
-            }
-            Some(Ok(Block::SimplePacket(p))) => Some((0, Duration::ZERO, p.data.into_owned())),
-            Some(Ok(_)) => None,
-        };
+        let links: Vec<DataLink> = reader.interfaces().iter().map(|interface| interface.linktype).collect();
+        let Some(block) = reader.next_block() else { return Ok(()) };
+        let packet = block.map(NgPacket::in_block).map_err(|error| {
+            let source = Box::new(CaptureError::new(error, 0, count.get()));
+            CaptureError::Block { blocks, source }
+        })?;
         blocks += 1;
-        if let Some((interface, at, bytes)) = packet {
-            let link = links.get(interface).copied();
-            let link = link.ok_or(CaptureError::Interface { block: blocks, interface })?;
-            take(Packet { at, link, bytes });
+        if let Some(NgPacket { interface, captured_at, bytes }) = packet {
+            let unknown = CaptureError::UnknownInterface { block: blocks, interface };
+            let link = links.get(interface).copied().ok_or(unknown)?;
+            handle(Packet { captured_at, link, bytes });
         }
     }
 }
--- /dev/null
+++ b/pcap/src/conversation.rs
@@ -0,0 +1,249 @@
+//! Parses one `MySQL` conversation from its two streams.
+use crate::remark::RemarkKind;
+use crate::request::{Outcome, Request, Statement};
+use crate::stream::Stream;
+use mysql_wire::auth::{Answer as HandshakeResponse, Greeting};
+use mysql_wire::packet::{Fields, MOST as MAX_PACKET_PAYLOAD, Packet, Reader};
+use mysql_wire::prepared::Parameters;
+use mysql_wire::results::{CURSOR_EXISTS, State, eof_status};
+use mysql_wire::{command, errors};
+use std::collections::{BTreeMap, HashMap};
+use std::net::SocketAddr;
+
+/// The longest payload that is read, in bytes.
+const MAX_PAYLOAD_BYTES: usize = 64 << 20;
+/// Bytes of a packet's length and sequence number.
+const HEAD_BYTES: usize = 4;
+/// The first byte of an OK payload.
+const OK: u8 = 0;
+/// The first byte of an error payload.
+const ERROR: u8 = 0xff;
+
+/// What a conversation holds.
+#[derive(Default)]
+pub(crate) struct Conversation {
+    pub(crate) requests: Vec<Request>,
+    pub(crate) remarks: Vec<RemarkKind>,
+}
+
+/// Whether a server's stream begins with a `MySQL` greeting.
+pub(crate) fn begins_with_greeting(server: &Stream) -> bool {
+    let greeting = PayloadReader::new(server).next();
+    greeting.is_some_and(|greeting| Greeting::parse(&greeting.payload).is_some())
+}
+
+/// Parses a conversation.
+pub(crate) fn parse(client_address: SocketAddr, client: &Stream, server: &Stream) -> Conversation {
+    let mut parser = Parser {
+        client_address,
+        client,
+        commands: PayloadReader::new(client),
+        responses: PayloadReader::new(server),
+        statements: HashMap::new(),
+        conversation: Conversation::default(),
+    };
+    let read_to_end = parser.skip_login() && parser.parse_commands() == StreamEnd::NoMoreCommands;
+    if read_to_end && (client.has_gap() || server.has_gap()) {
+        parser.conversation.remarks.push(RemarkKind::SegmentsMissing);
+    }
+    parser.conversation
+}
+
+/// Payloads of one direction.
+struct PayloadReader<'a> {
+    reader: Reader,
+    remaining: &'a [u8],
+    /// Position in the stream after the last payload.
+    position: usize,
+}
+
+impl<'a> PayloadReader<'a> {
+    fn new(stream: &'a Stream) -> Self {
+        let reader = Reader::new(MAX_PAYLOAD_BYTES);
+        PayloadReader { reader, remaining: stream.bytes(), position: 0 }
+    }
+
+    fn next(&mut self) -> Option<Packet> {
+        let packet = self.reader.next(&mut self.remaining).ok()?;
+        let bytes = packet.payload.len();
+        self.position += bytes + HEAD_BYTES * (1 + bytes / MAX_PACKET_PAYLOAD);
+        Some(packet)
+    }
+
+    fn skip(&mut self, count: u64) {
+        for _ in 0..count {
+            self.next();
+        }
+    }
+}
+
+/// Why no more commands are parsed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum StreamEnd {
+    /// The client has ended the conversation.
+    Quit,
+    /// The client's stream has no more complete payloads.
+    NoMoreCommands,
+}
+
+/// A statement that the client has prepared.
+struct PreparedStatement {
+    text: Vec<u8>,
+    parameters: Parameters,
+    long_parameters: BTreeMap<u16, Vec<u8>>,
+}
+
+impl PreparedStatement {
+    /// An execution, with its parameters' types, which the client may have sent with an earlier one.
+    fn execution(&mut self, body: &[u8]) -> Option<Statement> {
+        let execution = self.parameters.execution(body);
+        let long_parameters = std::mem::take(&mut self.long_parameters);
+        Some(Statement::Execute { text: self.text.clone(), body: execution?.body, long_parameters })
+    }
+}
+
+struct Parser<'a> {
+    client_address: SocketAddr,
+    client: &'a Stream,
+    commands: PayloadReader<'a>,
+    responses: PayloadReader<'a>,
+    statements: HashMap<u32, PreparedStatement>,
+    conversation: Conversation,
+}
+
+impl Parser<'_> {
+    /// Skips the login: whatever the server sends up to its OK. False if the login is malformed, fails or is cut off.
+    fn skip_login(&mut self) -> bool {
+        if self.commands.next().and_then(|packet| HandshakeResponse::parse(&packet.payload)).is_none() {
+            self.conversation.remarks.push(RemarkKind::UnreadableLogin);
+            return false;
+        }
+        let _greeting = self.responses.next();
+        loop {
+            let first_byte = self.responses.next().and_then(|packet| packet.payload.first().copied());
+            match first_byte {
+                Some(OK) => return true,
+                Some(ERROR) | None => return false,
+                Some(_) => {}
+            }
+        }
+    }
+
+    fn parse_commands(&mut self) -> StreamEnd {
+        while let Some(packet) = self.commands.next() {
+            // Payloads with another sequence number belong to the login.
+            if packet.first != 0 {
+                continue;
+            }
+            let Some((&name, body)) = packet.payload.split_first() else { continue };
+            if name == command::QUIT {
+                return StreamEnd::Quit;
+            }
+            self.parse_command(name, body);
+        }
+        StreamEnd::NoMoreCommands
+    }
+
+    fn parse_command(&mut self, name: u8, body: &[u8]) {
+        match name {
+            command::STMT_CLOSE => self.close(body),
+            command::STMT_SEND_LONG_DATA => self.add_long_parameter(body),
+            command::STMT_PREPARE => self.prepare(body),
+            command::QUERY => self.add_request(Some(Statement::Query(body.to_vec()))),
+            command::STMT_EXECUTE => {
+                let execution = self.parse_execution(body);
+                self.add_request(execution);
+            }
+            command::STMT_FETCH => self.skip_fetched_rows(),
+            _ => _ = self.responses.next(),
+        }
+    }
+
+    fn close(&mut self, body: &[u8]) {
+        let id = Fields(body).number(4);
+        _ = id.and_then(|id| self.statements.remove(&(id as u32)));
+    }
+
+    fn add_long_parameter(&mut self, body: &[u8]) {
+        let mut fields = Fields(body);
+        let statement = fields.number(4).and_then(|id| self.statements.get_mut(&(id as u32)));
+        if let (Some(statement), Some(index)) = (statement, fields.number(2)) {
+            let parameter = statement.long_parameters.entry(index as u16).or_default();
+            parameter.extend_from_slice(fields.0);
+        }
+    }
+
+    fn prepare(&mut self, text: &[u8]) {
+        let Some((id, count)) = self.read_prepare_response() else { return };
+        let statement = PreparedStatement {
+            text: text.to_vec(),
+            parameters: Parameters { count, types: Vec::new() },
+            long_parameters: BTreeMap::new(),
+        };
+        self.statements.insert(id, statement);
+    }
+
+    /// The id and the number of parameters that the server gave to a statement.
+    fn read_prepare_response(&mut self) -> Option<(u32, usize)> {
+        let response = self.responses.next()?;
+        let mut fields = Fields(&response.payload);
+        if fields.number(1)? != u64::from(OK) {
+            return None;
+        }
+        let (id, columns, parameters) = (fields.number(4)?, fields.number(2)?, fields.number(2)?);
+        // Definitions of either follow, with an end each.
+        for definitions in [parameters, columns].into_iter().filter(|count| *count > 0) {
+            self.responses.skip(definitions + 1);
+        }
+        Some((id as u32, parameters as usize))
+    }
+
+    fn parse_execution(&mut self, body: &[u8]) -> Option<Statement> {
+        let mut fields = Fields(body);
+        let id = fields.number(4)?;
+        self.statements.get_mut(&(id as u32))?.execution(fields.0)
+    }
+
+    /// Adds a request with the outcome of the next response, or a remark if the statement could not be read.
+    fn add_request(&mut self, statement: Option<Statement>) {
+        let captured_at = self.client.captured_at(self.commands.position);
+        let outcome = self.read_outcome();
+        match statement {
+            Some(statement) => {
+                let client = self.client_address;
+                self.conversation.requests.push(Request { captured_at, client, statement, outcome });
+            }
+            None => self.conversation.remarks.push(RemarkKind::UnreadableExecution),
+        }
+    }
+
+    fn read_outcome(&mut self) -> Outcome {
+        let mut state = State::Start;
+        while let Some(packet) = self.responses.next() {
+            let payload = &packet.payload;
+            state.take(payload);
+            match state {
+                State::Done => return Outcome::Answered,
+                State::Failed => return Outcome::Error(errors::code(payload).unwrap_or(0)),
+                State::Malformed => return Outcome::Incomplete,
+                // The columns of a cursor end the response; its rows are fetched.
+                State::Rows if opens_cursor(payload) => return Outcome::Answered,
+                _ => {}
+            }
+        }
+        Outcome::Incomplete
+    }
+
+    fn skip_fetched_rows(&mut self) {
+        while let Some(packet) = self.responses.next() {
+            let payload = &packet.payload;
+            if eof_status(payload).is_some() || errors::code(payload).is_some() {
+                return;
+            }
+        }
+    }
+}
+
+fn opens_cursor(payload: &[u8]) -> bool {
+    eof_status(payload).is_some_and(|status| status & CURSOR_EXISTS != 0)
+}
--- a/pcap/src/lib.rs
+++ b/pcap/src/lib.rs
@@ -1,10 +1,16 @@
-//! Capture files (classic and ng, both byte orders): read as a source of MySQL requests, and written as a
-//! recording of what was served. Nothing is captured here.
+//! Capture files (classic and ng, both byte orders): read as a source of `MySQL` requests, and written as a recording of
+//! served conversations. Nothing is captured here.
 //!
-//! [`capture`] takes packets from a file, [`streams`] puts TCP's bytes in order, [`conversations`] finds the
-//! requests in them, [`replay`] sends these through a router, and [`record`] writes a file.
+//! [`capture`] reads packets from a file, [`segment`] finds TCP segments in them and [`stream`] puts their bytes in
+//! order. [`conversations`] parses the `MySQL` conversations of a file into [`request`]s and [`remark`]s, and [`replay`] sends these
+//! through a router. [`record`] writes a file.
 pub mod capture;
+mod conversation;
 pub mod conversations;
+mod packet_writer;
 pub mod record;
+pub mod remark;
 pub mod replay;
-pub mod streams;
+pub mod request;
+pub mod segment;
+pub mod stream;
--- a/pcap/src/replay.rs
+++ b/pcap/src/replay.rs
@@ -1,160 +1,236 @@
-//! Sends a capture's requests through a router, in order and one at a time, each conversation on a connection of
-//! its own. Writes go out only where they are asked for.
-use crate::conversations::{Asked, Request};
+//! Sends a capture's requests through a router, in order and one at a time, each client's on a connection of its own.
+use crate::request::{Request, Statement};
 use mysql_wire::link::{Credentials, login};
-use mysql_wire::packet::{Fields, Reader, write_command};
+use mysql_wire::packet::{Broken, Fields, Reader, write_command};
 use mysql_wire::results::State;
 use mysql_wire::statement::scan;
 use mysql_wire::{command, errors};
-use std::collections::HashMap;
 use std::collections::hash_map::Entry;
+use std::collections::{BTreeMap, HashMap};
+use std::fmt;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// The longest answer that is read.
-const MOST: usize = 64 << 20;
+/// The longest payload that is read, in bytes.
+const MAX_PAYLOAD_BYTES: usize = 64 << 20;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of a login, and of each response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How a replay went.
+/// What is done with requests that may write.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum WritePolicy {
+    /// They are skipped.
+    Skip,
+    /// They are sent, and executed again.
+    Send,
+}
+
+/// What became of a request in a replay.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReplayResult {
+    /// It was not sent, as it may write.
+    Skipped,
+    /// It was answered.
+    Answered,
+    /// It was answered with the error of this number.
+    Error(u16),
+}
+
+impl fmt::Display for ReplayResult {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ReplayResult::Skipped => f.write_str("left out: it may write"),
+            ReplayResult::Answered => f.write_str("answered"),
+            ReplayResult::Error(number) => write!(f, "error {number}"),
+        }
+    }
+}
+
+/// Number of requests by result.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Replayed {
+pub struct ReplaySummary {
     /// Requests that were answered.
     pub answered: usize,
-    /// Requests that ended in an error.
+    /// Requests that were answered with an error.
     pub errors: usize,
-    /// Writes that were not sent.
-    pub left_out: usize,
+    /// Requests that were not sent, as they may write.
+    pub skipped: usize,
+}
+
+impl ReplaySummary {
+    fn count(&mut self, result: ReplayResult) {
+        match result {
+            ReplayResult::Skipped => self.skipped += 1,
+            ReplayResult::Answered => self.answered += 1,
+            ReplayResult::Error(_) => self.errors += 1,
+        }
+    }
 }
 
-/// Why a replay ended before its end.
+/// Why a replay ended early.
 #[derive(Debug, Error)]
-#[error("{router}: {why}")]
+#[error("{router}: {cause}")]
 pub struct ReplayError {
     /// The router's address.
     router: SocketAddr,
-    why: Why,
+    cause: ConnectionError,
 }
 
 #[derive(Debug, Error)]
-enum Why {
+enum ConnectionError {
     #[error("{0}")]
-    Away(io::Error),
+    Connect(io::Error),
     #[error("no login: {0}; look at user, database and $DAMSONVALE_PASSWORD")]
     Login(String),
     #[error("the connection failed: {0}")]
-    Broken(io::Error),
-    #[error("the connection failed: {0}")]
-    Answer(String),
+    Write(io::Error),
+    #[error("the connection failed: {0:?}")]
+    Read(Broken),
     #[error("{0} can't be read")]
-    Unreadable(&'static str),
+    MalformedResponse(&'static str),
 }
 
+/// A client's connection to the router.
 struct Connection {
     socket: TcpStream,
     reader: Reader,
+    /// Ids of prepared statements by their text.
     prepared: HashMap<Vec<u8>, u32>,
 }
 
-/// Replays requests; `told` hears of each how it ended.
+/// Replays requests; `on_result` is called with each request and its result.
+///
+/// # Errors
+/// A connection could not be opened, or failed.
 pub fn replay(
     requests: &[Request],
     router: SocketAddr,
     credentials: &Credentials,
-    writes: bool,
-    mut told: impl FnMut(&Request, &str),
-) -> Result<Replayed, ReplayError> {
+    writes: WritePolicy,
+    mut on_result: impl FnMut(&Request, ReplayResult),
+) -> Result<ReplaySummary, ReplayError> {
+    let failed = |cause| ReplayError { router, cause };
     let mut connections: HashMap<SocketAddr, Connection> = HashMap::new();
-    let mut done = Replayed::default();
-    for r in requests {
-        let reads = std::str::from_utf8(r.asked.text()).is_ok_and(|t| scan(t).reads());
-        if !reads && !writes {
-            done.left_out += 1;
-            told(r, "left out: it may write");
-            continue;
-        }
-        let c = match connections.entry(r.client) {
-            Entry::Occupied(known) => known.into_mut(),
-            Entry::Vacant(new) => new.insert(Connection::open(router, credentials)?),
+    let mut summary = ReplaySummary::default();
+    for request in requests {
+        let result = if writes == WritePolicy::Skip && !is_read_only(&request.statement) {
+            ReplayResult::Skipped
+        } else {
+            let connection = match connections.entry(request.client) {
+                Entry::Occupied(open) => open.into_mut(),
+                Entry::Vacant(new) => new.insert(Connection::open(router, credentials).map_err(failed)?),
+            };
+            connection.execute(&request.statement).map_err(failed)?
         };
-        match c.ask(&r.asked).map_err(|why| ReplayError { router, why })? {
-            None => {
-                done.answered += 1;
-                told(r, "answered");
-            }
-            Some(code) => {
-                done.errors += 1;
-                told(r, &format!("error {code}"));
-            }
-        }
+        summary.count(result);
+        on_result(request, result);
     }
-    Ok(done)
+    Ok(summary)
+}
+
+fn is_read_only(statement: &Statement) -> bool {
+    std::str::from_utf8(statement.text()).is_ok_and(|text| scan(text).reads())
 }
 
 impl Connection {
-    fn open(router: SocketAddr, credentials: &Credentials) -> Result<Connection, ReplayError> {
-        let failed = |e| ReplayError { router, why: Why::Away(e) };
-        let socket = TcpStream::connect_timeout(&router, Duration::from_secs(5)).map_err(failed)?;
-        socket.set_nodelay(true).map_err(failed)?;
-        let mut reader = Reader::new(MOST);
-        let patience = Duration::from_secs(60);
-        let login = login(&socket, &mut reader, credentials, Instant::now() + patience);
-        login.map_err(|(_, e)| ReplayError { router, why: Why::Login(e) })?;
-        socket.set_read_timeout(Some(patience)).map_err(failed)?;
+    fn open(router: SocketAddr, credentials: &Credentials) -> Result<Connection, ConnectionError> {
+        let socket =
+            TcpStream::connect_timeout(&router, CONNECT_TIMEOUT).map_err(ConnectionError::Connect)?;
+        socket.set_nodelay(true).map_err(ConnectionError::Connect)?;
+        let mut reader = Reader::new(MAX_PAYLOAD_BYTES);
+        let deadline = Instant::now() + RESPONSE_TIMEOUT;
+        login(&socket, &mut reader, credentials, deadline)
+            .map_err(|(_, cause)| ConnectionError::Login(cause))?;
+        socket.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(ConnectionError::Connect)?;
         Ok(Connection { socket, reader, prepared: HashMap::new() })
     }
 
-    fn payload(&mut self) -> Result<Vec<u8>, Why> {
-        self.reader.next(&self.socket).map(|p| p.payload).map_err(|e| Why::Answer(format!("{e:?}")))
+    fn send(&self, command: &[&[u8]]) -> Result<(), ConnectionError> {
+        write_command(&self.socket, command).map_err(ConnectionError::Write)
     }
 
-    /// Sends a request and reads its answer: the code of an error, if it was one.
-    fn ask(&mut self, asked: &Asked) -> Result<Option<u16>, Why> {
-        let sent = |r: io::Result<()>| r.map_err(Why::Broken);
-        match asked {
-            Asked::Query(text) => sent(write_command(&self.socket, &[&[command::QUERY], text]))?,
-            Asked::Execute { text, body, long } => {
-                let id = match self.prepared.get(text) {
-                    Some(id) => *id,
-                    None => {
-                        sent(write_command(&self.socket, &[&[command::STMT_PREPARE], text]))?;
-                        let first = self.payload()?;
-                        if let Some(code) = errors::code(&first) {
-                            return Ok(Some(code));
-                        }
-                        let mut f = Fields(first.get(1..).unwrap_or(&[]));
-                        let (Some(id), Some(columns), Some(parameters)) =
-                            (f.number(4), f.number(2), f.number(2))
-                        else {
-                            return Err(Why::Unreadable("the answer to a prepare"));
-                        };
-                        let follow: u64 =
-                            [parameters, columns].iter().filter(|n| **n > 0).map(|n| n + 1).sum();
-                        for _ in 0..follow {
-                            self.payload()?;
-                        }
-                        self.prepared.insert(text.clone(), id as u32);
-                        id as u32
-                    }
-                };
-                for (n, bytes) in long {
-                    let head =
-                        [&[command::STMT_SEND_LONG_DATA][..], &id.to_le_bytes(), &n.to_le_bytes()].concat();
-                    sent(write_command(&self.socket, &[&head, bytes]))?;
-                }
-                sent(write_command(&self.socket, &[&[command::STMT_EXECUTE], &id.to_le_bytes(), body]))?;
+    fn read_payload(&mut self) -> Result<Vec<u8>, ConnectionError> {
+        self.reader.next(&self.socket).map(|packet| packet.payload).map_err(ConnectionError::Read)
+    }
+
+    /// Sends a statement and reads its response.
+    fn execute(&mut self, statement: &Statement) -> Result<ReplayResult, ConnectionError> {
+        match statement {
+            Statement::Query(text) => {
+                self.send(&[&[command::QUERY], text])?;
+                self.read_result()
             }
+            Statement::Execute { text, body, long_parameters } => match self.prepared_id(text)? {
+                Prepared::Id(id) => self.execute_prepared(id, body, long_parameters),
+                Prepared::Rejected(number) => Ok(ReplayResult::Error(number)),
+            },
+        }
+    }
+
+    /// The id of a statement, which is prepared if it has none yet.
+    fn prepared_id(&mut self, text: &[u8]) -> Result<Prepared, ConnectionError> {
+        if let Some(id) = self.prepared.get(text) {
+            return Ok(Prepared::Id(*id));
+        }
+        self.send(&[&[command::STMT_PREPARE], text])?;
+        let response = self.read_payload()?;
+        if let Some(number) = errors::code(&response) {
+            return Ok(Prepared::Rejected(number));
+        }
+        let mut fields = Fields(response.get(1..).unwrap_or(&[]));
+        let (Some(id), Some(columns), Some(parameters)) =
+            (fields.number(4), fields.number(2), fields.number(2))
+        else {
+            return Err(ConnectionError::MalformedResponse("the answer to a prepare"));
+        };
+        // Definitions of either follow, with an end each.
+        let definitions: u64 =
+            [parameters, columns].iter().filter(|count| **count > 0).map(|count| count + 1).sum();
+        for _ in 0..definitions {
+            self.read_payload()?;
         }
+        self.prepared.insert(text.to_vec(), id as u32);
+        Ok(Prepared::Id(id as u32))
+    }
+
+    fn execute_prepared(
+        &mut self,
+        id: u32,
+        body: &[u8],
+        long_parameters: &BTreeMap<u16, Vec<u8>>,
+    ) -> Result<ReplayResult, ConnectionError> {
+        let id = id.to_le_bytes();
+        for (index, value) in long_parameters {
+            self.send(&[&[command::STMT_SEND_LONG_DATA], &id, &index.to_le_bytes(), value])?;
+        }
+        self.send(&[&[command::STMT_EXECUTE], &id, body])?;
+        self.read_result()
+    }
+
+    fn read_result(&mut self) -> Result<ReplayResult, ConnectionError> {
         let mut state = State::Start;
         loop {
-            let p = self.payload()?;
-            state.take(&p);
+            let payload = self.read_payload()?;
+            state.take(&payload);
             match state {
-                State::Done => return Ok(None),
-                State::Failed => return Ok(errors::code(&p)),
-                State::Malformed => return Err(Why::Unreadable("an answer")),
+                State::Done => return Ok(ReplayResult::Answered),
+                State::Failed => {
+                    let number = errors::code(&payload);
+                    return Ok(number.map_or(ReplayResult::Answered, ReplayResult::Error));
+                }
+                State::Malformed => return Err(ConnectionError::MalformedResponse("an answer")),
                 _ => {}
             }
         }
     }
 }
+
+/// What became of preparing a statement.
+enum Prepared {
+    Id(u32),
+    /// The router answered with the error of this number.
+    Rejected(u16),
+}
--- a/pcap/tests/recording.rs
+++ b/pcap/tests/recording.rs
@@ -1,7 +1,8 @@
 //! A recorded conversation: its file byte for byte, and the requests that are read from it again.
 use mysql_wire::Tap;
-use pcap::conversations::{self, Asked, Found};
+use pcap::conversations::{self, CaptureContents};
 use pcap::record::Recorder;
+use pcap::request::Statement;
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -129,16 +130,22 @@
     text
 }
 
-fn listed(found: &Found) -> String {
+fn listed(contents: &CaptureContents) -> String {
     let mut text = String::new();
-    for request in &found.requests {
-        _ = write!(text, "{} {:?} {}", request.client, request.ended, request.asked.text().escape_ascii());
-        if let Asked::Execute { body, long, .. } = &request.asked {
-            _ = write!(text, " body {body:?} long {long:?}");
+    for request in &contents.requests {
+        _ = write!(
+            text,
+            "{} {} {}",
+            request.client,
+            request.outcome,
+            request.statement.text().escape_ascii()
+        );
+        if let Statement::Execute { body, long_parameters, .. } = &request.statement {
+            _ = write!(text, " body {body:?} long {long_parameters:?}");
         }
         text.push('\n');
     }
-    found.remarks.iter().for_each(|remark| _ = writeln!(text, "remark: {remark}"));
+    contents.remarks.iter().for_each(|remark| _ = writeln!(text, "remark: {remark}"));
     text
 }
 
@@ -156,9 +163,9 @@
 
 #[test]
 fn requests_of_recorded_conversation_are_read_again() {
-    let (found, ended) = conversations::read(&record(&conversation(), CAPACITY)[..]);
-    ended.unwrap();
-    assert_recorded("requests.txt", &listed(&found));
+    let contents = conversations::read(&record(&conversation(), CAPACITY)[..]);
+    assert!(contents.ended.is_ok());
+    assert_recorded("requests.txt", &listed(&contents));
 }
 
 #[test]
@@ -175,9 +182,9 @@
             }
             (rest, index) = (behind, index + 1);
         }
-        let (found, ended) = conversations::read(&kept[..]);
-        ended.unwrap();
-        listed(&found)
+        let contents = conversations::read(&kept[..]);
+        assert!(contents.ended.is_ok());
+        listed(&contents)
     };
     let mut text = String::new();
     for skipped in [&[0, 1, 2, 3][..], &[4], &[7], &[10]] {
@@ -199,8 +206,8 @@
         ("cut packet header", &file[..FILE_HEADER + 7]),
         ("cut block", &[0x0a, 0x0d, 0x0d, 0x0a, 9]),
     ] {
-        let (found, ended) = conversations::read(bytes);
-        _ = writeln!(text, "{name}: {} requests, {}", found.requests.len(), ended.unwrap_err());
+        let CaptureContents { requests, ended, .. } = conversations::read(bytes);
+        _ = writeln!(text, "{name}: {} requests, {}", requests.len(), ended.unwrap_err());
     }
     assert_recorded("damaged.txt", &text);
 }
--- a/src/commands/capture.rs
+++ b/src/commands/capture.rs
@@ -2,7 +2,9 @@
 use super::Error;
 use clap::Args;
 use mysql_wire::link::Credentials;
-use pcap::conversations::{Found, Request};
+use pcap::conversations::CaptureContents;
+use pcap::replay::{ReplayResult, WritePolicy};
+use pcap::request::Request;
 use std::borrow::Cow;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -35,7 +37,7 @@
 fn read(path: &Path) -> Result<Capture, Error> {
     let name = path.display();
     let file = std::fs::File::open(path).map_err(|source| Error::ReadFile { path: path.into(), source })?;
-    let (Found { requests, remarks }, ended) = pcap::conversations::read(file);
+    let CaptureContents { requests, remarks, ended } = pcap::conversations::read(file);
     for remark in &remarks {
         eprintln!("{name}: {remark}");
     }
@@ -44,7 +46,7 @@
 }
 
 fn request_text(request: &Request) -> Cow<'_, str> {
-    String::from_utf8_lossy(request.asked.text())
+    String::from_utf8_lossy(request.statement.text())
 }
 
 /// Lists a capture's requests. Those before a fault in the file are listed all the same.
@@ -53,10 +55,10 @@
     for request in &capture.requests {
         let text = request_text(request);
         println!(
-            "{:.6}\t{}\t{:?}\t{}",
-            request.at.as_secs_f64(),
+            "{:.6}\t{}\t{}\t{}",
+            request.captured_at.as_secs_f64(),
             request.client,
-            request.ended,
+            request.outcome,
             text.escape_debug()
         );
     }
@@ -72,19 +74,15 @@
         password: std::env::var("DAMSONVALE_PASSWORD").unwrap_or_default(),
         database: arguments.database.clone(),
     };
-    let print_result = |request: &Request, result: &str| {
+    let writes = if arguments.writes { WritePolicy::Send } else { WritePolicy::Skip };
+    let print_result = |request: &Request, result: ReplayResult| {
         println!("{result}\t{}", request_text(request).escape_debug());
     };
-    let replayed = pcap::replay::replay(
-        &capture.requests,
-        arguments.router,
-        &credentials,
-        arguments.writes,
-        print_result,
-    )?;
+    let replayed =
+        pcap::replay::replay(&capture.requests, arguments.router, &credentials, writes, print_result)?;
     println!(
         "{} answered, {} errors, {} writes left out",
-        replayed.answered, replayed.errors, replayed.left_out
+        replayed.answered, replayed.errors, replayed.skipped
     );
     Ok(())
 }
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -744,7 +744,7 @@
     for _ in 0..200 {
         client.query_drop(STOCK).unwrap();
     }
-    site.router.logged("record: the file is full");
+    site.router.logged("recording file full");
     drop(client);
     assert!(std::fs::metadata(site.folder.path().join("small.pcap")).unwrap().len() <= 10_000);
 }
