--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -14,8 +14,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use support::{Part, process_status, run_parts};
-use test_servers::fleet::Fleet;
 use test_servers::registry::Registry;
+use test_servers::replication_group::ReplicationGroup;
 
 const PREFIX: &str = "/damsonvale/shop/";
 /// Time between a primary's heartbeats.
@@ -101,7 +101,7 @@
 /// A registry with three nodes, of which one is drained again and again.
 struct DrainBench {
     registry: Registry,
-    nodes: Fleet,
+    nodes: ReplicationGroup,
 }
 
 impl DrainBench {
@@ -110,7 +110,7 @@
 
     fn start() -> DrainBench {
         let registry = Registry::start(1, None);
-        let nodes = Fleet::start(&[Duration::ZERO; 2], HEARTBEAT);
+        let nodes = ReplicationGroup::start(&[Duration::ZERO; 2], HEARTBEAT);
         let bench = DrainBench { registry, nodes };
         (0..3).for_each(|node| bench.register(node, "in_service"));
         bench
@@ -129,7 +129,7 @@
     }
 
     fn break_watch(&self) {
-        self.registry.faults(0, |faults| faults.down = true);
+        self.registry.update_faults(0, |faults| faults.down = true);
         self.registry.break_connections(0);
         std::thread::sleep(REGISTRY_OUTAGE);
     }
@@ -137,9 +137,9 @@
     /// Ends the outage, and waits for the router's next connection: it can know of the drain from then on.
     fn restore_watch(&self) {
         self.registry.compact();
-        let requests = || self.registry.watches(0) + self.registry.reads();
+        let requests = || self.registry.watch_count(0) + self.registry.read_count();
         let before = requests();
-        self.registry.faults(0, |faults| faults.down = false);
+        self.registry.update_faults(0, |faults| faults.down = false);
         let begin = Instant::now();
         while requests() == before {
             assert!(begin.elapsed() < LONG);
@@ -219,15 +219,15 @@
 struct LongList {
     registry: Registry,
     /// Servers of the first three nodes.
-    _running: Fleet,
+    _running: ReplicationGroup,
     nodes: usize,
 }
 
 impl LongList {
     fn start(nodes: usize) -> LongList {
         let registry = Registry::start(1, None);
-        let running = Fleet::start(&[Duration::ZERO; 2], HEARTBEAT);
-        registry.together(|content| {
+        let running = ReplicationGroup::start(&[Duration::ZERO; 2], HEARTBEAT);
+        registry.apply_together(|content| {
             for (name, address) in running.servers() {
                 content.put(&node_key(&name), node_value(address, 0, "in_service", 1.0).into_bytes(), None);
             }
--- a/benches/sessions.rs
+++ b/benches/sessions.rs
@@ -18,7 +18,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use support::{Part, process_status, run_parts};
-use test_servers::fleet::Fleet;
+use test_servers::replication_group::ReplicationGroup;
 
 /// Time between a primary's heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(5);
@@ -43,9 +43,10 @@
 /// Pause before each write, in which connections rest: else their rest after an answer hides what is measured.
 const COST_PAUSE: Duration = Duration::from_millis(12);
 
-fn replicas(lags_ms: &[u64]) -> Fleet {
+/// A primary and replicas that are so far behind it.
+fn start_nodes(lags_ms: &[u64]) -> ReplicationGroup {
     let lags: Vec<Duration> = lags_ms.iter().map(|lag| Duration::from_millis(*lag)).collect();
-    Fleet::start(&lags, HEARTBEAT)
+    ReplicationGroup::start(&lags, HEARTBEAT)
 }
 
 /// An arm of the loop of kills.
@@ -68,7 +69,7 @@
         KillArm { name: "nothing, staying", keeping: Keeping::Nothing, wander: false, kills: 60 },
     ];
     for KillArm { name, keeping, wander, kills } in arms {
-        let mut instances = Instances::started(3, replicas(&[1000, 2000]), keeping);
+        let mut instances = Instances::started(3, start_nodes(&[1000, 2000]), keeping);
         let counts = restart_loop(&mut instances, kills, LOOP_SESSIONS, wander);
         println!(
             "{name:<28}{:>7}{:>9}{:>9}{:>9}{:>14}",
@@ -160,7 +161,7 @@
 
 fn measure_offload_arm(arm: &OffloadArm, lags_ms: [u64; 2], lag_text: &str) {
     let count = if arm.keeping == Keeping::Whole { 3 } else { 1 };
-    let mut instances = Instances::new(count, replicas(&lags_ms), arm.keeping);
+    let mut instances = Instances::new(count, start_nodes(&lags_ms), arm.keeping);
     for keys in &mut instances.more {
         keys.0 = "[[mysql.class]]\nname = 'basket-fresh'\nfreshness = 'fresh'\neffect = 'safe'\n\
                   aim_ms = 2000\ndeadline_ms = 4000\n"
@@ -193,7 +194,7 @@
 
 impl CostArm {
     fn start(name: &'static str, keeping: Keeping, count: usize) -> CostArm {
-        let instances = Instances::started(count, replicas(&[20]), keeping);
+        let instances = Instances::started(count, start_nodes(&[20]), keeping);
         CostArm { name, instances, latencies: Histogram::new(3).expect("three digits are allowed") }
     }
 
@@ -251,7 +252,7 @@
     println!("{:<16}{:>12}{:>12}{:>16}{:>14}", "sessions", "start ms", "RSS MB", "bytes/session", "peer ms");
     let mut empty_kb = 0;
     for sessions in [0, 10_000, 100_000, 1_000_000] {
-        let mut instances = Instances::new(2, replicas(&[20]), Keeping::Whole);
+        let mut instances = Instances::new(2, start_nodes(&[20]), Keeping::Whole);
         write_journal(&instances, sessions);
         let begin = Instant::now();
         instances.start(0);
--- a/lab/tests/commands.rs
+++ b/lab/tests/commands.rs
@@ -68,7 +68,7 @@
 #[test]
 fn load_latency_counts_from_due_time_during_stall() {
     use std::time::Duration;
-    let fleet = test_servers::fleet::Fleet::start(&[], Duration::from_millis(5));
+    let fleet = test_servers::replication_group::ReplicationGroup::start(&[], Duration::from_millis(5));
     let at = fleet.servers()[0].1.to_string();
     let load = |connections: &str| {
         lab(&[
@@ -101,9 +101,9 @@
         while stalls.counts(0).reads < before + 40 {
             std::thread::yield_now();
         }
-        stalls.hang(0, true);
+        stalls.set_hung(0, true);
         std::thread::sleep(Duration::from_millis(400));
-        stalls.hang(0, false);
+        stalls.set_hung(0, false);
     });
     let (code, text) = load("1");
     stall.join().unwrap();
--- a/pcap/src/conversation.rs
+++ b/pcap/src/conversation.rs
@@ -2,18 +2,17 @@
 use crate::remark::RemarkKind;
 use crate::request::{Outcome, Request, Statement};
 use crate::stream::Stream;
-use mysql_wire::auth::{Answer as HandshakeResponse, Greeting};
-use mysql_wire::packet::{Fields, MOST as MAX_PACKET_PAYLOAD, Packet, Reader};
+use mysql_wire::fields::FieldReader;
+use mysql_wire::handshake::{Greeting, HandshakeResponse};
+use mysql_wire::packet::{HEAD_BYTES, MAX_PACKET_PAYLOAD, Packet, PacketReader};
 use mysql_wire::prepared::Parameters;
-use mysql_wire::results::{CURSOR_EXISTS, State, eof_status};
+use mysql_wire::results::{CURSOR_EXISTS, ResponseState, eof_status};
 use mysql_wire::{command, errors};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
 /// The longest payload that is read, in bytes.
 const MAX_PAYLOAD_BYTES: usize = 64 << 20;
-/// Bytes of a packet's length and sequence number.
-const HEAD_BYTES: usize = 4;
 /// The first byte of an OK payload.
 const OK: u8 = 0;
 /// The first byte of an error payload.
@@ -51,7 +50,7 @@
 
 /// Payloads of one direction.
 struct PayloadReader<'a> {
-    reader: Reader,
+    reader: PacketReader,
     remaining: &'a [u8],
     /// Position in the stream after the last payload.
     position: usize,
@@ -59,12 +58,12 @@
 
 impl<'a> PayloadReader<'a> {
     fn new(stream: &'a Stream) -> Self {
-        let reader = Reader::new(MAX_PAYLOAD_BYTES);
+        let reader = PacketReader::new(MAX_PAYLOAD_BYTES);
         PayloadReader { reader, remaining: stream.bytes(), position: 0 }
     }
 
     fn next(&mut self) -> Option<Packet> {
-        let packet = self.reader.next(&mut self.remaining).ok()?;
+        let packet = self.reader.read_packet(&mut self.remaining).ok()?;
         let bytes = packet.payload.len();
         self.position += bytes + HEAD_BYTES * (1 + bytes / MAX_PACKET_PAYLOAD);
         Some(packet)
@@ -160,16 +159,16 @@
     }
 
     fn close(&mut self, body: &[u8]) {
-        let id = Fields(body).number(4);
+        let id = FieldReader::new(body).integer(4);
         _ = id.and_then(|id| self.statements.remove(&(id as u32)));
     }
 
     fn add_long_parameter(&mut self, body: &[u8]) {
-        let mut fields = Fields(body);
-        let statement = fields.number(4).and_then(|id| self.statements.get_mut(&(id as u32)));
-        if let (Some(statement), Some(index)) = (statement, fields.number(2)) {
+        let mut fields = FieldReader::new(body);
+        let statement = fields.integer(4).and_then(|id| self.statements.get_mut(&(id as u32)));
+        if let (Some(statement), Some(index)) = (statement, fields.integer(2)) {
             let parameter = statement.long_parameters.entry(index as u16).or_default();
-            parameter.extend_from_slice(fields.0);
+            parameter.extend_from_slice(fields.rest());
         }
     }
 
@@ -186,11 +185,11 @@
     /// The id and the number of parameters that the server gave to a statement.
     fn read_prepare_response(&mut self) -> Option<(u32, usize)> {
         let response = self.responses.next()?;
-        let mut fields = Fields(&response.payload);
-        if fields.number(1)? != u64::from(OK) {
+        let mut fields = FieldReader::new(&response.payload);
+        if fields.integer(1)? != u64::from(OK) {
             return None;
         }
-        let (id, columns, parameters) = (fields.number(4)?, fields.number(2)?, fields.number(2)?);
+        let (id, columns, parameters) = (fields.integer(4)?, fields.integer(2)?, fields.integer(2)?);
         // Definitions of either follow, with an end each.
         for definitions in [parameters, columns].into_iter().filter(|count| *count > 0) {
             self.responses.skip(definitions + 1);
@@ -199,9 +198,9 @@
     }
 
     fn parse_execution(&mut self, body: &[u8]) -> Option<Statement> {
-        let mut fields = Fields(body);
-        let id = fields.number(4)?;
-        self.statements.get_mut(&(id as u32))?.execution(fields.0)
+        let mut fields = FieldReader::new(body);
+        let id = fields.integer(4)?;
+        self.statements.get_mut(&(id as u32))?.execution(fields.rest())
     }
 
     /// Adds a request with the outcome of the next response, or a remark if the statement could not be read.
@@ -218,16 +217,16 @@
     }
 
     fn read_outcome(&mut self) -> Outcome {
-        let mut state = State::Start;
+        let mut state = ResponseState::Start;
         while let Some(packet) = self.responses.next() {
             let payload = &packet.payload;
-            state.take(payload);
+            state.advance(payload);
             match state {
-                State::Done => return Outcome::Answered,
-                State::Failed => return Outcome::Error(errors::code(payload).unwrap_or(0)),
-                State::Malformed => return Outcome::Incomplete,
+                ResponseState::Done => return Outcome::Answered,
+                ResponseState::Failed => return Outcome::Error(errors::error_number(payload).unwrap_or(0)),
+                ResponseState::Malformed => return Outcome::Incomplete,
                 // The columns of a cursor end the response; its rows are fetched.
-                State::Rows if opens_cursor(payload) => return Outcome::Answered,
+                ResponseState::Rows if opens_cursor(payload) => return Outcome::Answered,
                 _ => {}
             }
         }
@@ -237,7 +236,7 @@
     fn skip_fetched_rows(&mut self) {
         while let Some(packet) = self.responses.next() {
             let payload = &packet.payload;
-            if eof_status(payload).is_some() || errors::code(payload).is_some() {
+            if eof_status(payload).is_some() || errors::error_number(payload).is_some() {
                 return;
             }
         }
--- a/pcap/src/record.rs
+++ b/pcap/src/record.rs
@@ -2,7 +2,7 @@
 //! what comes faster than the disk is left out, and the file ends at its capacity.
 use crate::packet_writer::{PacketWriter, Side, WriteError};
 use crossbeam_channel::{Receiver, Sender, bounded};
-use mysql_wire::Tap;
+use mysql_wire::tap::Tap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/pcap/src/replay.rs
+++ b/pcap/src/replay.rs
@@ -1,8 +1,9 @@
 //! Sends a capture's requests through a router, in order and one at a time, each client's on a connection of its own.
 use crate::request::{Request, Statement};
-use mysql_wire::link::{Credentials, login};
-use mysql_wire::packet::{Broken, Fields, Reader, write_command};
-use mysql_wire::results::State;
+use mysql_wire::fields::FieldReader;
+use mysql_wire::login::{Credentials, LoginError, login};
+use mysql_wire::packet::{PacketReader, ReadError, write_command};
+use mysql_wire::results::ResponseState;
 use mysql_wire::statement::scan;
 use mysql_wire::{command, errors};
 use std::collections::hash_map::Entry;
@@ -84,11 +85,11 @@
     #[error("{0}")]
     Connect(io::Error),
     #[error("no login: {0}; look at user, database and $DAMSONVALE_PASSWORD")]
-    Login(String),
+    Login(LoginError),
     #[error("the connection failed: {0}")]
     Write(io::Error),
-    #[error("the connection failed: {0:?}")]
-    Read(Broken),
+    #[error("the connection failed: {0}")]
+    Read(ReadError),
     #[error("{0} can't be read")]
     MalformedResponse(&'static str),
 }
@@ -96,7 +97,7 @@
 /// A client's connection to the router.
 struct Connection {
     socket: TcpStream,
-    reader: Reader,
+    reader: PacketReader,
     /// Ids of prepared statements by their text.
     prepared: HashMap<Vec<u8>, u32>,
 }
@@ -132,7 +133,7 @@
 }
 
 fn is_read_only(statement: &Statement) -> bool {
-    std::str::from_utf8(statement.text()).is_ok_and(|text| scan(text).reads())
+    std::str::from_utf8(statement.text()).is_ok_and(|text| scan(text).is_read_only())
 }
 
 impl Connection {
@@ -140,10 +141,9 @@
         let socket =
             TcpStream::connect_timeout(&router, CONNECT_TIMEOUT).map_err(ConnectionError::Connect)?;
         socket.set_nodelay(true).map_err(ConnectionError::Connect)?;
-        let mut reader = Reader::new(MAX_PAYLOAD_BYTES);
+        let mut reader = PacketReader::new(MAX_PAYLOAD_BYTES);
         let deadline = Instant::now() + RESPONSE_TIMEOUT;
-        login(&socket, &mut reader, credentials, deadline)
-            .map_err(|(_, cause)| ConnectionError::Login(cause))?;
+        login(&socket, &mut reader, credentials, deadline).map_err(ConnectionError::Login)?;
         socket.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(ConnectionError::Connect)?;
         Ok(Connection { socket, reader, prepared: HashMap::new() })
     }
@@ -153,7 +153,7 @@
     }
 
     fn read_payload(&mut self) -> Result<Vec<u8>, ConnectionError> {
-        self.reader.next(&self.socket).map(|packet| packet.payload).map_err(ConnectionError::Read)
+        self.reader.read_packet(&self.socket).map(|packet| packet.payload).map_err(ConnectionError::Read)
     }
 
     /// Sends a statement and reads its response.
@@ -177,12 +177,12 @@
         }
         self.send(&[&[command::STMT_PREPARE], text])?;
         let response = self.read_payload()?;
-        if let Some(number) = errors::code(&response) {
+        if let Some(number) = errors::error_number(&response) {
             return Ok(Prepared::Rejected(number));
         }
-        let mut fields = Fields(response.get(1..).unwrap_or(&[]));
+        let mut fields = FieldReader::new(response.get(1..).unwrap_or(&[]));
         let (Some(id), Some(columns), Some(parameters)) =
-            (fields.number(4), fields.number(2), fields.number(2))
+            (fields.integer(4), fields.integer(2), fields.integer(2))
         else {
             return Err(ConnectionError::MalformedResponse("the answer to a prepare"));
         };
@@ -211,17 +211,17 @@
     }
 
     fn read_result(&mut self) -> Result<ReplayResult, ConnectionError> {
-        let mut state = State::Start;
+        let mut state = ResponseState::Start;
         loop {
             let payload = self.read_payload()?;
-            state.take(&payload);
+            state.advance(&payload);
             match state {
-                State::Done => return Ok(ReplayResult::Answered),
-                State::Failed => {
-                    let number = errors::code(&payload);
+                ResponseState::Done => return Ok(ReplayResult::Answered),
+                ResponseState::Failed => {
+                    let number = errors::error_number(&payload);
                     return Ok(number.map_or(ReplayResult::Answered, ReplayResult::Error));
                 }
-                State::Malformed => return Err(ConnectionError::MalformedResponse("an answer")),
+                ResponseState::Malformed => return Err(ConnectionError::MalformedResponse("an answer")),
                 _ => {}
             }
         }
--- a/pcap/tests/recording.rs
+++ b/pcap/tests/recording.rs
@@ -1,5 +1,5 @@
 //! A recorded conversation: its file byte for byte, and the requests that are read from it again.
-use mysql_wire::Tap;
+use mysql_wire::tap::Tap;
 use pcap::conversations::{self, CaptureContents};
 use pcap::record::Recorder;
 use pcap::request::Statement;
--- a/soak/src/serve/run.rs
+++ b/soak/src/serve/run.rs
@@ -15,8 +15,8 @@
 use std::net::TcpStream;
 use std::time::Duration;
 use tempfile::TempDir;
-use test_servers::fleet::Fleet;
 use test_servers::proxy::Proxy;
+use test_servers::replication_group::ReplicationGroup;
 
 /// A process has to accept clients by then.
 const READY_TIMEOUT: Micros = 30 * SECOND;
@@ -62,7 +62,7 @@
     folder: TempDir,
     clock: RunClock,
     recorder: Recorder,
-    pub(super) fleet: Fleet,
+    pub(super) fleet: ReplicationGroup,
     addresses: Addresses,
     pub(super) routers: Vec<Router>,
     store: StoreProbe,
@@ -73,7 +73,7 @@
     pub(super) fn prepare(plan: &'a Plan, programs: &'a Programs) -> io::Result<Run<'a>> {
         let folder = tempfile::Builder::new().prefix("damsonvale-soak-").tempdir()?;
         let lags = vec![USUAL_LAG; plan.replicas];
-        let fleet = Fleet::start(&lags, HEARTBEAT_INTERVAL);
+        let fleet = ReplicationGroup::start(&lags, HEARTBEAT_INTERVAL);
         let addresses = Addresses::free(plan.routers)?;
         let store = StoreProbe::new(&programs.router, &addresses.controls);
         let (clock, recorder) = (RunClock::start(), Recorder::default());
