--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -29,7 +29,7 @@
     /// Reads the plan, with the arguments' values in place of its own.
     fn read_plan(&self) -> Result<Plan, Error> {
         let path = &self.plan;
-        let invalid = |source| Error::Processes { path: path.clone(), source };
+        let invalid = |source| Error::ProcessPlan { path: path.clone(), source };
         let text =
             std::fs::read_to_string(path).map_err(|source| Error::Read { path: path.clone(), source })?;
         let mut plan = plan::read(&text).map_err(invalid)?;
@@ -43,7 +43,7 @@
     fn router_program(&self) -> Result<PathBuf, Error> {
         let beside = || std::env::current_exe().ok().map(|own| own.with_file_name(ROUTER_PROGRAM));
         let program = self.program.clone().or_else(beside).filter(|path| path.is_file());
-        program.ok_or(Error::NoProgram)
+        program.ok_or(Error::ProgramNotFound)
     }
 }
 
@@ -54,7 +54,7 @@
 pub fn run(arguments: &Processes) -> Result<(), Error> {
     let plan = arguments.read_plan()?;
     let program = arguments.router_program()?;
-    let report = run::run(&program, &plan, &CheckSettings::default()).map_err(Error::Played)?;
+    let report = run::run(&program, &plan, &CheckSettings::default()).map_err(Error::ProcessRun)?;
     print!("{report}");
-    if report.is_good() { Ok(()) } else { Err(Error::Found) }
+    if report.is_good() { Ok(()) } else { Err(Error::ViolationFound) }
 }
