--- a/soak/src/router/process.rs
+++ b/soak/src/router/process.rs
@@ -137,15 +137,13 @@
     /// What it uses now; `None` where it has ended.
     pub fn sample(&self, router: usize, incarnation: usize, at: Micros) -> Option<Sample> {
         let folder = PathBuf::from(format!("/proc/{}", self.id()));
-        Some(Sample {
-            router,
-            at,
-            descriptors: count_entries(&folder.join("fd"))?,
-            threads: count_entries(&folder.join("task"))?,
-            resident_kb: read_resident_kb(&folder)?,
-            cpu: read_processor_time(&folder)?,
-            incarnation,
-        })
+        let resident_kb = read_resident_kb(&folder)?;
+        let cpu = read_processor_time(&folder)?;
+        // Counted last: a process that was started an instant ago may still have this process's descriptors, which the
+        // system closes while it executes the router.
+        let descriptors = count_entries(&folder.join("fd"))?;
+        let threads = count_entries(&folder.join("task"))?;
+        Some(Sample { router, at, descriptors, threads, resident_kb, cpu, incarnation })
     }
 }
 
