--- a/fleet/src/client/exchange.rs
+++ b/fleet/src/client/exchange.rs
@@ -7,7 +7,7 @@
 use super::tenants::TenantDirectory;
 use crate::wire::{Request, Response};
 use crossbeam_channel::{Receiver, Sender, select};
-use placement::News;
+use placement::RulesUpdate;
 use quotas::QuotaClient;
 use routing::Time;
 use settings::fleet::{Fleet, Version};
@@ -65,7 +65,7 @@
     shared: Arc<Shared>,
     connection: Connection,
     /// Gets each document's placement rules, and each confirmation that they are the current ones.
-    on_placement_news: Box<dyn Fn(News) + Send>,
+    on_rules_update: Box<dyn Fn(RulesUpdate) + Send>,
     /// The version of the router's member list, which the audit records.
     member_list_version: Box<dyn Fn() -> u64 + Send>,
     lease_us: i64,
@@ -82,13 +82,13 @@
     pub(super) fn new(
         shared: Arc<Shared>,
         settings: Settings,
-        on_placement_news: Box<dyn Fn(News) + Send>,
+        on_rules_update: Box<dyn Fn(RulesUpdate) + Send>,
         member_list_version: Box<dyn Fn() -> u64 + Send>,
     ) -> Exchange {
         Exchange {
             shared,
             connection: Connection::new(settings.nodes),
-            on_placement_news,
+            on_rules_update,
             member_list_version,
             lease_us: settings.lease_us,
             classes: settings.classes,
@@ -193,7 +193,7 @@
     /// The placement rules are the current ones for a lease from the report on.
     fn confirm_placement(&self, reported_at: Time) {
         let until = Time(reported_at.0.saturating_add(self.lease_us));
-        (self.on_placement_news)(News::Confirmed { until });
+        (self.on_rules_update)(RulesUpdate::Confirmed { until });
     }
 
     fn log_stale_store(&mut self, version: Version, followed: Version) {
@@ -307,7 +307,7 @@
     /// Makes a document the one that this router follows.
     fn apply(&self, version: Version, fleet: Arc<Fleet>) {
         // Placement rules first: a request that is admitted under the new version must be placed by its rules.
-        (self.on_placement_news)(News::Rules { version, fleet: fleet.clone() });
+        (self.on_rules_update)(RulesUpdate::Received { version, fleet: fleet.clone() });
         if version > 0 {
             self.shared.with_quota_client(|quotas, now| quotas.apply_config(now, version, &fleet));
         }
--- a/fleet/src/client/mod.rs
+++ b/fleet/src/client/mod.rs
@@ -11,7 +11,7 @@
 use audit::{Fenced, VersionFence};
 use crossbeam_channel::{Sender, bounded};
 use exchange::{Exchange, LeaveRequest};
-use placement::News;
+use placement::RulesUpdate;
 use quotas::{Admission, QuotaClient, QuotaClientSettings};
 use routing::{Clock, Time};
 use settings::fleet::{Member, Version};
@@ -80,7 +80,7 @@
 impl FleetClient {
     /// Starts the thread that reports to the leader.
     ///
-    /// `on_placement_news` gets the placement rules of each version and each confirmation that they are current; it is
+    /// `on_rules_update` gets the placement rules of each version and each confirmation that they are current; it is
     /// called on the exchange's thread. `member_list_version` says the version of the router's member list, for the
     /// audit.
     ///
@@ -89,7 +89,7 @@
     pub fn start(
         settings: Settings,
         clock: Clock,
-        on_placement_news: impl Fn(News) + Send + 'static,
+        on_rules_update: impl Fn(RulesUpdate) + Send + 'static,
         member_list_version: impl Fn() -> u64 + Send + 'static,
     ) -> io::Result<FleetClient> {
         let member = settings.member;
@@ -114,7 +114,7 @@
                 classes: settings.classes,
                 seed: settings.seed,
             },
-            Box::new(on_placement_news),
+            Box::new(on_rules_update),
             Box::new(member_list_version),
         );
         routing::spawn_needed("fleet", STACK_BYTES, move || exchange.run(&wakeups, &leave_requests))?;
--- a/fleet/tests/client.rs
+++ b/fleet/tests/client.rs
@@ -4,7 +4,7 @@
 use fleet::client::Settings;
 use fleet::wire::{self, Request, Response};
 use fleet::{AdmissionError, FleetClient};
-use placement::News;
+use placement::RulesUpdate;
 use quotas::{Report, ResponseBody};
 use routing::{Clock, Time};
 use settings::fleet::{Audit, Member};
@@ -100,7 +100,7 @@
     }
 }
 
-fn start_client(nodes: &[&ScriptedNode], audit: Option<Audit>) -> (FleetClient, Receiver<News>) {
+fn start_client(nodes: &[&ScriptedNode], audit: Option<Audit>) -> (FleetClient, Receiver<RulesUpdate>) {
     let member = Member {
         name: "router-1".into(),
         slot: None,
@@ -117,13 +117,13 @@
         quotas: Default::default(),
         seed: 1,
     };
-    let (to, news) = unbounded();
+    let (to, updates) = unbounded();
     let client = FleetClient::start(settings, Clock::new(), move |n| _ = to.send(n), || 9).unwrap();
-    (client, news)
+    (client, updates)
 }
 
-fn next_news(news: &Receiver<News>) -> News {
-    news.recv_timeout(LONG).expect("news")
+fn next_rules_update(updates: &Receiver<RulesUpdate>) -> RulesUpdate {
+    updates.recv_timeout(LONG).expect("a rules update")
 }
 
 fn named(tenant: &str) -> Option<Arc<str>> {
@@ -134,7 +134,7 @@
 fn client_follows_reported_version_admits_and_leaves() {
     let node =
         ScriptedNode::start(1, DOCUMENT, Box::new(|report| answered(report, Directive::AuditDisabled)));
-    let (client, news) = start_client(&[&node], None);
+    let (client, updates) = start_client(&[&node], None);
     let unknown = client.admit("till", None).unwrap_err();
     assert!(matches!(unknown, AdmissionError::NotConfigured { .. }), "{unknown}");
     assert_eq!(
@@ -147,11 +147,11 @@
     assert_eq!(node.next(), Request::Document);
     let second = node.next_report();
     assert_eq!((second.seq, second.version), (first.seq + 1, VERSION));
-    match next_news(&news) {
-        News::Rules { version, fleet } => assert_eq!((version, fleet.tenants.len()), (VERSION, 2)),
+    match next_rules_update(&updates) {
+        RulesUpdate::Received { version, fleet } => assert_eq!((version, fleet.tenants.len()), (VERSION, 2)),
         other => panic!("{other:?}"),
     }
-    assert!(matches!(next_news(&news), News::Confirmed { .. }));
+    assert!(matches!(next_rules_update(&updates), RulesUpdate::Confirmed { .. }));
 
     assert_eq!(client.admit("till", Some("all")).unwrap(), named("tills"));
     assert_eq!(client.resolve_tenant("guest", Some("nobody")).unwrap(), named("all"));
@@ -169,16 +169,16 @@
     let shut_out = Arc::new(AtomicBool::new(false));
     let switch = shut_out.clone();
     let script = move |report: &Report| {
-        let news = match switch.load(Ordering::Relaxed) {
+        let directive = match switch.load(Ordering::Relaxed) {
             false => Directive::Continue { epoch: 0 },
             true => Directive::FenceOut { epoch: 3 },
         };
-        answered(report, news)
+        answered(report, directive)
     };
     let node = ScriptedNode::start(1, DOCUMENT, Box::new(script));
     node.accept.send(()).unwrap();
-    let (client, news) = start_client(&[&node], Some(Audit::default()));
-    while !matches!(next_news(&news), News::Confirmed { .. }) {}
+    let (client, updates) = start_client(&[&node], Some(Audit::default()));
+    while !matches!(next_rules_update(&updates), RulesUpdate::Confirmed { .. }) {}
     assert_eq!(client.admit("till", None).unwrap(), named("tills"));
     // The deadline is cut to a little after the lease of about two seconds.
     let now = Clock::new().now().0;
@@ -207,8 +207,8 @@
         ScriptedNode::start(2, DOCUMENT, Box::new(|report| answered(report, Directive::AuditDisabled)));
     follower.accept.send(()).unwrap();
     leader.accept.send(()).unwrap();
-    let (_client, news) = start_client(&[&follower, &leader], None);
-    while !matches!(next_news(&news), News::Confirmed { .. }) {}
+    let (_client, updates) = start_client(&[&follower, &leader], None);
+    while !matches!(next_rules_update(&updates), RulesUpdate::Confirmed { .. }) {}
     assert_eq!(follower.requests.try_iter().count(), 1);
     assert!(matches!(leader.next(), Request::Report { .. }));
 }
@@ -221,12 +221,12 @@
         Box::new(|report| answered(report, Directive::AuditDisabled)),
     );
     node.accept.send(()).unwrap();
-    let (client, news) = start_client(&[&node], None);
+    let (client, updates) = start_client(&[&node], None);
     assert_eq!(node.next_report().version, 0);
     assert_eq!(node.next(), Request::Document);
     for _ in 0..3 {
         assert_eq!(node.next_report().version, 0);
     }
-    assert!(news.try_recv().is_err());
+    assert!(updates.try_recv().is_err());
     assert!(matches!(client.admit("till", None), Err(AdmissionError::NotConfigured { .. })));
 }
--- a/placement/src/refusal.rs
+++ b/placement/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a request has no place.
+//! Why a request may not be sent to any member.
 use decision::GroupId;
 use settings::fleet::Version;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 
 /// Why a request is rejected before anything of it leaves the router. The texts reach clients.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Refusal {
+pub enum PlacementError {
     /// No configuration has been read yet.
     #[error(
         "the fleet's configuration is not known here yet, so nobody can tell where a tenant's data may be; \
--- a/placement/src/machine/members.rs
+++ b/placement/src/machine/members.rs
@@ -1,62 +1,12 @@
-//! What the list and the members themselves say of each member.
-use super::Places;
-use crate::{Action, Member};
+//! Follows what the list and the members themselves report of each member.
+use super::PlacementEngine;
+use super::member_record::MemberRecord;
+use crate::interface::{Action, Member, RoleSource};
 use decision::{GroupId, MemberState, Time};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What is known of a member.
-#[derive(Debug)]
-pub(super) struct MemberRecord {
-    pub(super) group: GroupId,
-    pub(super) site: Option<Arc<str>>,
-    /// The site has changed: until then the member is outside of every boundary.
-    pub(super) site_settles_at: Option<Time>,
-    pub(super) state: MemberState,
-    /// When it left the list. Its site is remembered for as long as a change of it would have to be noticed.
-    pub(super) left_at: Option<Time>,
-    pub(super) is_listed_primary: bool,
-    /// It has said that it is not the primary, since the list last began to name it as that.
-    pub(super) denies_primary: bool,
-    /// When an answer last said that it is not the primary.
-    denied_primary_at: Option<Time>,
-    pub(super) is_reachable: bool,
-}
-
-impl MemberRecord {
-    fn new(entry: &Member) -> MemberRecord {
-        MemberRecord {
-            group: entry.group,
-            site: entry.site.clone(),
-            site_settles_at: None,
-            state: entry.state,
-            left_at: None,
-            is_listed_primary: entry.primary,
-            denies_primary: false,
-            denied_primary_at: None,
-            is_reachable: true,
-        }
-    }
-
-    pub(super) fn is_inside(&self, sites: &BTreeSet<String>) -> bool {
-        self.site_settles_at.is_none() && self.site.as_deref().is_some_and(|site| sites.contains(site))
-    }
-
-    pub(super) fn is_ready(&self) -> bool {
-        self.state == MemberState::Ready
-    }
-
-    /// The site in words, for an error message.
-    pub(super) fn describe_site(&self) -> String {
-        match (&self.site, self.site_settles_at) {
-            (Some(site), None) => site.to_string(),
-            (Some(site), Some(_)) => format!("{site} (since a moment ago)"),
-            (None, _) => "a site that is not known".into(),
-        }
-    }
-}
-
-impl Places {
+impl PlacementEngine {
     /// The list has entries for members; a complete one names all there are.
     pub(super) fn on_members(
         &mut self,
@@ -85,7 +35,7 @@
         listed: &BTreeSet<&str>,
         changed_groups: &mut BTreeSet<GroupId>,
     ) {
-        let forgotten_at = Time(now.0 + self.settings.hold);
+        let forgotten_at = Time(now.0 + self.settings.site_settle_time);
         for (name, member) in &mut self.members {
             if member.left_at.is_some() || listed.contains(&**name) {
                 continue;
@@ -98,7 +48,7 @@
     }
 
     fn on_member(&mut self, now: Time, entry: Member, changed_groups: &mut BTreeSet<GroupId>) {
-        let settles_at = Time(now.0 + self.settings.hold);
+        let settles_at = Time(now.0 + self.settings.site_settle_time);
         let is_gone = entry.state == MemberState::Removed;
         let Some(member) = self.members.get_mut(&entry.name) else {
             if !is_gone {
@@ -117,7 +67,7 @@
         if is_gone {
             self.member_deadlines.insert(settles_at);
         }
-        // A list that names it anew is later news than its denial.
+        // A list that names it anew is later than its denial.
         member.denies_primary &= member.is_listed_primary || !entry.primary;
         member.is_listed_primary = entry.primary;
         if member.group != entry.group {
@@ -130,31 +80,32 @@
         }
     }
 
-    /// A member has said whether it is the primary: with an answer (`note`), or to a probe.
+    /// A member has reported whether it is the primary.
     pub(super) fn on_role(
         &mut self,
         now: Time,
         name: &Arc<str>,
         is_primary: bool,
-        note: bool,
+        source: RoleSource,
         actions: &mut Vec<Action>,
     ) {
         let Some(member) = self.members.get(name) else { return };
         let group = member.group;
         let changed =
-            if is_primary { self.on_claim(now, name, note) } else { self.on_denial(now, name, note) };
+            if is_primary { self.on_claim(now, name, source) } else { self.on_denial(now, name, source) };
         if changed {
             self.update_group(group, actions);
         }
     }
 
-    /// A member says that it is the primary. Returns whether that is new.
-    fn on_claim(&mut self, now: Time, name: &Arc<str>, note: bool) -> bool {
+    /// A member reports that it is the primary. Returns whether that is new.
+    fn on_claim(&mut self, now: Time, name: &Arc<str>, source: RoleSource) -> bool {
         let Some(member) = self.members.get_mut(name) else { return false };
         let Some(group) = self.groups.get_mut(&member.group) else { return false };
-        let denial = self.settings.denial;
-        // A probe may have been answered before the note that contradicts it.
-        let is_contradicted = !note && member.denied_primary_at.is_some_and(|t| now.0 - t.0 < denial);
+        let denial_time = self.settings.denial_time;
+        // A probe may have been answered before the response that contradicts it.
+        let is_contradicted = source == RoleSource::Probe
+            && member.denied_primary_at.is_some_and(|t| now.0 - t.0 < denial_time);
         if is_contradicted || !member.is_ready() {
             return false;
         }
@@ -167,11 +118,11 @@
         true
     }
 
-    /// A member says that it is not the primary. Returns whether that is new.
-    fn on_denial(&mut self, now: Time, name: &Arc<str>, note: bool) -> bool {
+    /// A member reports that it is not the primary. Returns whether that is new.
+    fn on_denial(&mut self, now: Time, name: &Arc<str>, source: RoleSource) -> bool {
         let Some(member) = self.members.get_mut(name) else { return false };
         let Some(group) = self.groups.get_mut(&member.group) else { return false };
-        if note {
+        if source == RoleSource::Response {
             member.denied_primary_at = Some(now);
         }
         let denied_before = std::mem::replace(&mut member.denies_primary, true);
--- a/placement/src/machine/mod.rs
+++ b/placement/src/machine/mod.rs
@@ -1,26 +1,29 @@
 //! The state machine: rules and members come in as events, the members of each view go out as actions.
 //!
-//! `members` has what is known of each member, `views` the groups and views that follow from it, `time` what changes
-//! by time alone.
+//! `members` follows what is known of each member (`member_record`), `views` the groups and views (`groups`) that follow
+//! from it, `time` what changes by time alone.
+mod groups;
+mod member_record;
 mod members;
 mod time;
 mod views;
 
+use crate::error::PlacementError;
+use crate::interface::{Action, Event, RoutingQuery, RulesUpdate, Settings};
 use crate::rules::{Boundary, BoundaryId, Rules};
-use crate::{Action, Event, News, Refusal, Settings};
 use decision::{GroupId, Time};
-use members::MemberRecord;
+use groups::{Group, View};
+use member_record::MemberRecord;
 use settings::fleet::{Fleet, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use views::{Group, View};
 
 /// The lowest number of a view: no request may name a group of this number or a higher one.
 pub const FIRST_VIEW: u32 = 1 << 31;
 
 /// Which members a request may be sent to.
 #[derive(Debug)]
-pub struct Places {
+pub struct PlacementEngine {
     settings: Settings,
     rules: Option<Rules>,
     last_boundary: BoundaryId,
@@ -34,14 +37,14 @@
     is_confirmed: bool,
     /// Times at which a member's site is settled or a member is forgotten.
     member_deadlines: BTreeSet<Time>,
-    /// The earliest time that was asked for with [`Action::Timer`] and has not come.
+    /// The earliest time that was asked for with [`Action::SetTimer`] and has not come.
     timer: Option<Time>,
 }
 
-impl Places {
+impl PlacementEngine {
     /// A state machine without rules and members.
     pub fn new(settings: Settings) -> Self {
-        Places {
+        PlacementEngine {
             settings,
             rules: None,
             last_boundary: 0,
@@ -59,52 +62,57 @@
     /// Handles one event and appends the actions that follow from it, in order.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::News(News::Rules { version, fleet }) => self.on_rules(version, &fleet, actions),
-            Event::News(News::Confirmed { until }) => {
+            Event::RulesUpdated(RulesUpdate::Received { version, fleet }) => {
+                self.on_rules(version, &fleet, actions);
+            }
+            Event::RulesUpdated(RulesUpdate::Confirmed { until }) => {
                 self.confirmed_until = self.confirmed_until.max(Some(until));
             }
-            Event::Members { complete, entries } => self.on_members(now, complete, entries, actions),
-            Event::Said { member, primary, note } => self.on_role(now, &member, primary, note, actions),
-            Event::Reach { member, reached } => self.on_reachability(&member, reached, actions),
-            Event::Timer => {}
+            Event::MembersUpdated { complete, entries } => self.on_members(now, complete, entries, actions),
+            Event::RoleReported { member, primary, source } => {
+                self.on_role(now, &member, primary, source, actions);
+            }
+            Event::ReachabilityChanged { member, reachable } => {
+                self.on_reachability(&member, reachable, actions);
+            }
+            Event::TimerExpired => {}
         }
         self.on_time(now, actions);
     }
 
-    /// Whether a timer is due: [`Event::Timer`] must be handled before any other event.
+    /// Whether a timer is due: [`Event::TimerExpired`] must be handled before any other event.
     pub fn is_due(&self, now: Time) -> bool {
         self.timer.is_some_and(|t| t <= now)
     }
 
-    /// The group that a request is to be decided in: the view of its tenant's rule for its class, or `group` itself
-    /// where there is no such rule. A view that is asked for the first time is shown in `actions`; they must be carried
-    /// out before the request goes on.
+    /// The group that a request is to be decided in: the view of its tenant's rule for its class, or the group
+    /// that it names where there is no such rule. A view that is asked for the first time is announced in `actions`; they
+    /// must be carried out before the request is forwarded.
     ///
     /// # Errors
-    /// Where the request has no place, and why: nothing of it may leave the router.
+    /// [`PlacementError`] where no member may serve the request: nothing of it may leave the router.
     pub fn route(
         &mut self,
         now: Time,
-        tenant: Option<&str>,
-        class: usize,
-        group: GroupId,
-        needs_primary: bool,
+        query: &RoutingQuery<'_>,
         actions: &mut Vec<Action>,
-    ) -> Result<GroupId, Refusal> {
+    ) -> Result<GroupId, PlacementError> {
+        let RoutingQuery { tenant, class, group, needs_primary } = *query;
         if group.0 >= FIRST_VIEW {
-            return Err(Refusal::Reserved { group });
+            return Err(PlacementError::Reserved { group });
         }
         if self.is_due(now) {
             self.on_time(now, actions);
         }
-        let rules = self.rules.as_ref().ok_or(Refusal::NoRules)?;
+        let rules = self.rules.as_ref().ok_or(PlacementError::NoRules)?;
         let Some(id) = rules.boundary(tenant, class) else { return Ok(group) };
         let is_strict = rules.boundaries[&id].strict;
         if is_strict && self.confirmed_until.is_none_or(|until| until <= now) {
-            return Err(Refusal::Unconfirmed { version: rules.version });
+            return Err(PlacementError::Unconfirmed { version: rules.version });
         }
         self.ensure_view((group, id), actions);
-        let (rules, view) = (self.rules.as_ref().ok_or(Refusal::NoRules)?, &self.views[&(group, id)]);
+        let rules = self.rules.as_ref().ok_or(PlacementError::NoRules)?;
+        let view = &self.views[&(group, id)];
         if is_strict {
             self.check_strict(group, view, &rules.boundaries[&id], needs_primary)?;
         }
@@ -118,21 +126,21 @@
         view: &View,
         boundary: &Boundary,
         needs_primary: bool,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), PlacementError> {
         if !view.has_ready_member {
-            return Err(Refusal::NoneInside { group, sites: boundary.describe_sites() });
+            return Err(PlacementError::NoneInside { group, sites: boundary.describe_sites() });
         }
         match self.primary(group) {
             Some(primary) if needs_primary && !view.members.contains(primary) => {
                 let site = self.members[primary].describe_site();
                 let sites = boundary.describe_sites();
-                Err(Refusal::PrimaryOutside { group, primary: primary.clone(), site, sites })
+                Err(PlacementError::PrimaryOutside { group, primary: primary.clone(), site, sites })
             }
             _ => Ok(()),
         }
     }
 
-    /// A group's primary: the last member that said so itself, else the listed one.
+    /// A group's primary: the last member that reported so itself, else the listed one.
     pub fn primary(&self, group: GroupId) -> Option<&Arc<str>> {
         self.groups.get(&group)?.primary.as_ref()
     }
@@ -157,11 +165,11 @@
         self.views.retain(|(base, id), view| {
             let is_used = rules.boundaries.contains_key(id);
             if !is_used {
-                actions.push(Action::Show { view: view.number, base: *base, members: Vec::new() });
+                actions.push(Action::UpdateView { view: view.number, base: *base, members: Vec::new() });
             }
             is_used
         });
         self.rules = Some(rules);
-        actions.push(Action::Recheck);
+        actions.push(Action::RerouteQueued);
     }
 }
--- a/placement/src/machine/time.rs
+++ b/placement/src/machine/time.rs
@@ -1,16 +1,16 @@
 //! What time alone changes: sites settle, members are forgotten, confirmations end.
-use super::Places;
-use crate::Action;
+use super::PlacementEngine;
+use crate::interface::Action;
 use decision::{GroupId, Time};
 use std::collections::BTreeSet;
 
-impl Places {
+impl PlacementEngine {
     pub(super) fn on_time(&mut self, now: Time, actions: &mut Vec<Action>) {
         let mut changed_groups = self.settle_members(now);
         let is_confirmed = self.confirmed_until.is_some_and(|until| now < until);
         if std::mem::replace(&mut self.is_confirmed, is_confirmed) != is_confirmed {
             changed_groups.extend(self.views.keys().map(|(base, _)| *base));
-            actions.push(Action::Recheck);
+            actions.push(Action::RerouteQueued);
         }
         for group in changed_groups {
             self.update_group(group, actions);
@@ -25,14 +25,14 @@
             return changed_groups;
         }
         self.member_deadlines.retain(|t| *t > now);
-        let hold = self.settings.hold;
+        let settle_time = self.settings.site_settle_time;
         let groups = &mut self.groups;
         self.members.retain(|name, member| {
             if member.site_settles_at.is_some_and(|t| t <= now) {
                 member.site_settles_at = None;
                 changed_groups.insert(member.group);
             }
-            let is_forgotten = member.left_at.is_some_and(|t| t.0 + hold <= now.0);
+            let is_forgotten = member.left_at.is_some_and(|t| t.0 + settle_time <= now.0);
             if is_forgotten && let Some(group) = groups.get_mut(&member.group) {
                 group.members.remove(name);
             }
@@ -53,7 +53,7 @@
             && self.timer.is_none_or(|t| at < t)
         {
             self.timer = Some(at);
-            actions.push(Action::Timer { at });
+            actions.push(Action::SetTimer { at });
         }
     }
 }
--- a/placement/src/machine/views.rs
+++ b/placement/src/machine/views.rs
@@ -1,29 +1,13 @@
 //! Groups with their primaries, and the members of each view.
-use super::Places;
-use crate::Action;
+use super::PlacementEngine;
+use super::groups::View;
+use crate::interface::Action;
 use crate::rules::{Boundary, BoundaryId};
 use decision::GroupId;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-#[derive(Debug, Default)]
-pub(super) struct Group {
-    pub(super) members: BTreeSet<Arc<str>>,
-    /// The member that last said that it is the primary.
-    pub(super) claimed_primary: Option<Arc<str>>,
-    /// The member that is treated as the primary.
-    pub(super) primary: Option<Arc<str>>,
-}
-
-/// A boundary's part of a group.
-#[derive(Debug)]
-pub(super) struct View {
-    pub(super) number: GroupId,
-    pub(super) members: BTreeSet<Arc<str>>,
-    pub(super) has_ready_member: bool,
-}
-
-impl Places {
+impl PlacementEngine {
     /// Makes the view where it does not exist.
     pub(super) fn ensure_view(&mut self, key: (GroupId, BoundaryId), actions: &mut Vec<Action>) {
         if self.views.contains_key(&key) {
@@ -60,7 +44,7 @@
         let primary = group.claimed_primary.clone().or_else(listed);
         if group.primary != primary {
             group.primary = primary;
-            actions.push(Action::Recheck);
+            actions.push(Action::RerouteQueued);
         }
     }
 
@@ -88,12 +72,12 @@
         let has_ready_member = members.iter().any(|name| self.members[name].is_ready());
         let Some(view) = self.views.get_mut(&key) else { return };
         if std::mem::replace(&mut view.has_ready_member, has_ready_member) != has_ready_member {
-            actions.push(Action::Recheck);
+            actions.push(Action::RerouteQueued);
         }
         if view.members != members {
             let names = members.iter().cloned().collect();
             view.members = members;
-            actions.push(Action::Show { view: view.number, base: key.0, members: names });
+            actions.push(Action::UpdateView { view: view.number, base: key.0, members: names });
         }
     }
 }
--- a/placement/tests/machine.rs
+++ b/placement/tests/machine.rs
@@ -1,6 +1,9 @@
 //! The state machine's rules one by one, and over random events: no view has a member outside its boundary.
 use decision::{GroupId, MemberState, Time};
-use placement::{Action, Event, FIRST_VIEW, Member, News, Places, Refusal, Settings};
+use placement::{
+    Action, Event, FIRST_VIEW, Member, PlacementEngine, PlacementError, RoleSource, RoutingQuery,
+    RulesUpdate, Settings,
+};
 use proptest::prelude::*;
 use settings::fleet::{Fleet, Place, Tenant};
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,7 +35,7 @@
 
 /// Drives a state machine and keeps what its actions have shown.
 struct Driver {
-    places: Places,
+    engine: PlacementEngine,
     now: Time,
     shown: BTreeMap<GroupId, Vec<Arc<str>>>,
     timers: Vec<Time>,
@@ -41,15 +44,15 @@
 
 impl Driver {
     fn new() -> Self {
-        let places = Places::new(Settings::new(vec!["read".into(), "write".into()]));
-        Driver { places, now: Time(1_000_000), shown: BTreeMap::new(), timers: Vec::new(), rechecks: 0 }
+        let engine = PlacementEngine::new(Settings::new(vec!["read".into(), "write".into()]));
+        Driver { engine, now: Time(1_000_000), shown: BTreeMap::new(), timers: Vec::new(), rechecks: 0 }
     }
 
     /// Starts with rules that stay confirmed, and members.
     fn with_rules(tenants: Vec<(&str, Vec<Place>)>, members: &[(&str, &str)]) -> Self {
         let mut d = Driver::new();
         d.rules(1, tenants);
-        d.handle(Event::News(News::Confirmed { until: FAR_FUTURE }));
+        d.handle(Event::RulesUpdated(RulesUpdate::Confirmed { until: FAR_FUTURE }));
         d.members(true, members.iter().map(|(n, s)| member(n, s)).collect());
         d
     }
@@ -57,32 +60,32 @@
     fn apply(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Show { view, base, members } => {
+                Action::UpdateView { view, base, members } => {
                     assert_eq!(base, BASE);
                     self.shown.insert(view, members);
                 }
-                Action::Recheck => self.rechecks += 1,
-                Action::Timer { at } => self.timers.push(at),
+                Action::RerouteQueued => self.rechecks += 1,
+                Action::SetTimer { at } => self.timers.push(at),
             }
         }
     }
 
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.places.handle(self.now, event, &mut actions);
+        self.engine.handle(self.now, event, &mut actions);
         self.apply(actions);
     }
 
     fn rules(&mut self, version: u64, tenants: Vec<(&str, Vec<Place>)>) {
-        self.handle(Event::News(News::Rules { version, fleet: fleet(tenants) }));
+        self.handle(Event::RulesUpdated(RulesUpdate::Received { version, fleet: fleet(tenants) }));
     }
 
     fn members(&mut self, complete: bool, entries: Vec<Member>) {
-        self.handle(Event::Members { complete, entries });
+        self.handle(Event::MembersUpdated { complete, entries });
     }
 
-    fn report_role(&mut self, name: &str, primary: bool, note: bool) {
-        self.handle(Event::Said { member: name.into(), primary, note });
+    fn report_role(&mut self, name: &str, primary: bool, source: RoleSource) {
+        self.handle(Event::RoleReported { member: name.into(), primary, source });
     }
 
     /// Advances to a time; timers fire when they are due.
@@ -91,13 +94,14 @@
         let due = self.timers.iter().any(|t| *t <= at);
         self.timers.retain(|t| *t > at);
         if due {
-            self.handle(Event::Timer);
+            self.handle(Event::TimerExpired);
         }
     }
 
-    fn route(&mut self, tenant: &str, class: usize) -> Result<GroupId, Refusal> {
+    fn route(&mut self, tenant: &str, class: usize) -> Result<GroupId, PlacementError> {
         let mut actions = Vec::new();
-        let to = self.places.route(self.now, Some(tenant), class, BASE, class == WRITE, &mut actions);
+        let query = RoutingQuery { tenant: Some(tenant), class, group: BASE, needs_primary: class == WRITE };
+        let to = self.engine.route(self.now, &query, &mut actions);
         self.apply(actions);
         to
     }
@@ -126,10 +130,10 @@
     assert_eq!(d.routed_members("t", READ), ["a1", "a2"]);
     assert_eq!(d.routed_members("v", READ), ["b1"]);
     assert_eq!(d.route("t", READ), d.route("u", WRITE));
-    assert_eq!(d.places.views().count(), 2);
+    assert_eq!(d.engine.views().count(), 2);
     // A tenant without a rule is routed to the group itself and makes no view; so is an unknown tenant.
     assert_eq!(d.route("nobody", READ), Ok(BASE));
-    assert_eq!(d.places.views().count(), 2);
+    assert_eq!(d.engine.views().count(), 2);
 }
 
 #[test]
@@ -152,17 +156,17 @@
 #[test]
 fn refusals_name_their_reason() {
     let mut d = Driver::new();
-    assert_eq!(d.route("t", READ), Err(Refusal::NoRules));
+    assert_eq!(d.route("t", READ), Err(PlacementError::NoRules));
     d.rules(7, vec![("t", strict(&["a"])), ("p", preferred(&["a"]))]);
     d.members(true, vec![member("a1", "a"), member("b1", "b")]);
-    assert_eq!(d.route("t", READ), Err(Refusal::Unconfirmed { version: 7 }));
+    assert_eq!(d.route("t", READ), Err(PlacementError::Unconfirmed { version: 7 }));
     // Only strict rules depend on the confirmation.
     assert!(d.route("p", READ).is_ok());
     assert_eq!(d.route("nobody", READ), Ok(BASE));
-    d.handle(Event::News(News::Confirmed { until: FAR_FUTURE }));
+    d.handle(Event::RulesUpdated(RulesUpdate::Confirmed { until: FAR_FUTURE }));
     assert!(d.route("t", WRITE).is_ok());
-    d.report_role("b1", true, true);
-    let outside = |site: &str| Refusal::PrimaryOutside {
+    d.report_role("b1", true, RoleSource::Response);
+    let outside = |site: &str| PlacementError::PrimaryOutside {
         group: BASE,
         primary: "b1".into(),
         site: site.into(),
@@ -173,33 +177,31 @@
     let text = outside("b").to_string();
     assert!(text.contains("'b1'") && text.contains("at b, outside of a"), "{text}");
     d.members(false, vec![Member { state: MemberState::Draining, ..member("a1", "a") }]);
-    assert_eq!(d.route("t", READ), Err(Refusal::NoneInside { group: BASE, sites: "a".into() }));
+    assert_eq!(d.route("t", READ), Err(PlacementError::NoneInside { group: BASE, sites: "a".into() }));
     let mut actions = Vec::new();
     let group = GroupId(FIRST_VIEW);
     // No request may name a view's number.
-    assert_eq!(
-        d.places.route(d.now, None, READ, group, false, &mut actions),
-        Err(Refusal::Reserved { group })
-    );
+    let query = RoutingQuery { tenant: None, class: READ, group, needs_primary: false };
+    assert_eq!(d.engine.route(d.now, &query, &mut actions), Err(PlacementError::Reserved { group }));
 }
 
 #[test]
 fn last_claimed_primary_precedes_listed_one() {
     let mut d = Driver::with_rules(vec![("t", strict(&["a"]))], &[("a1", "a"), ("b1", "b")]);
     d.members(false, vec![Member { primary: true, ..member("b1", "b") }]);
-    assert!(matches!(d.route("t", WRITE), Err(Refusal::PrimaryOutside { .. })));
-    d.report_role("a1", true, false);
+    assert!(matches!(d.route("t", WRITE), Err(PlacementError::PrimaryOutside { .. })));
+    d.report_role("a1", true, RoleSource::Probe);
     assert!(d.route("t", WRITE).is_ok());
-    // A probe that began before the answer's note must not restore it.
-    d.report_role("a1", false, true);
-    d.report_role("b1", false, false);
-    d.report_role("a1", true, false);
-    assert_eq!(d.places.primary(BASE), None);
+    // A probe that began before the response that denies it must not restore it.
+    d.report_role("a1", false, RoleSource::Response);
+    d.report_role("b1", false, RoleSource::Probe);
+    d.report_role("a1", true, RoleSource::Probe);
+    assert_eq!(d.engine.primary(BASE), None);
     d.advance_to(Time(d.now.0 + 1_000_000));
-    d.report_role("a1", true, false);
-    assert_eq!(d.places.primary(BASE).map(|p| &**p), Some("a1"));
-    d.handle(Event::Reach { member: "a1".into(), reached: false });
-    assert_eq!(d.places.primary(BASE), None, "an unreachable primary is none");
+    d.report_role("a1", true, RoleSource::Probe);
+    assert_eq!(d.engine.primary(BASE).map(|p| &**p), Some("a1"));
+    d.handle(Event::ReachabilityChanged { member: "a1".into(), reachable: false });
+    assert_eq!(d.engine.primary(BASE), None, "an unreachable primary is none");
 }
 
 #[test]
@@ -232,11 +234,11 @@
 fn preferred_view_spills_over_without_inside_members_and_has_any_primary() {
     let mut d = Driver::with_rules(vec![("p", preferred(&["a"]))], &[("a1", "a"), ("b1", "b"), ("b2", "b")]);
     assert_eq!(d.routed_members("p", READ), ["a1"]);
-    d.report_role("b2", true, true);
+    d.report_role("b2", true, RoleSource::Response);
     assert_eq!(d.routed_members("p", WRITE), ["a1", "b2"]);
-    d.handle(Event::Reach { member: "a1".into(), reached: false });
+    d.handle(Event::ReachabilityChanged { member: "a1".into(), reachable: false });
     assert_eq!(d.routed_members("p", READ), ["a1", "b1", "b2"]);
-    d.handle(Event::Reach { member: "a1".into(), reached: true });
+    d.handle(Event::ReachabilityChanged { member: "a1".into(), reachable: true });
     assert_eq!(d.routed_members("p", READ), ["a1", "b2"]);
     d.members(false, vec![Member { state: MemberState::Draining, ..member("a1", "a") }]);
     assert_eq!(d.routed_members("p", READ), ["a1", "b1", "b2"]);
@@ -268,18 +270,18 @@
     d.rules(1, vec![("t", strict(&["a"])), ("p", preferred(&["a"]))]);
     d.members(true, vec![member("a1", "a")]);
     let ends = Time(d.now.0 + 500);
-    d.handle(Event::News(News::Confirmed { until: ends }));
+    d.handle(Event::RulesUpdated(RulesUpdate::Confirmed { until: ends }));
     let (view, other) = (d.route("t", READ).unwrap(), d.route("p", READ).unwrap());
     d.advance_to(Time(ends.0 - 1));
     assert_eq!(d.shown[&view].len(), 1);
-    assert!(!d.places.is_due(d.now));
+    assert!(!d.engine.is_due(d.now));
     d.advance_to(ends);
     assert!(d.shown[&view].is_empty() && !d.shown[&other].is_empty());
-    assert_eq!(d.route("t", READ), Err(Refusal::Unconfirmed { version: 1 }));
+    assert_eq!(d.route("t", READ), Err(PlacementError::Unconfirmed { version: 1 }));
     // An older confirmation changes nothing; a newer one restores the members.
-    d.handle(Event::News(News::Confirmed { until: Time(ends.0 - 1) }));
+    d.handle(Event::RulesUpdated(RulesUpdate::Confirmed { until: Time(ends.0 - 1) }));
     assert!(d.shown[&view].is_empty());
-    d.handle(Event::News(News::Confirmed { until: Time(ends.0 + 500) }));
+    d.handle(Event::RulesUpdated(RulesUpdate::Confirmed { until: Time(ends.0 + 500) }));
     assert_eq!((d.route("t", READ), d.shown[&view].len()), (Ok(view), 1));
 }
 
@@ -293,8 +295,8 @@
     Rules(Vec<Vec<(u8, bool, u8)>>),
     Confirmed(i64),
     List(bool, Vec<(u8, u8, u8)>),
-    Said(u8, bool, bool),
-    Reach(u8, bool),
+    ReportRole(u8, bool, RoleSource),
+    SetReachability(u8, bool),
     Wait(i64),
     Route(u8, usize),
 }
@@ -306,8 +308,10 @@
         1 => prop::collection::vec(prop::collection::vec(place, 0..3), 3).prop_map(Step::Rules),
         2 => (0..3_000_000i64).prop_map(Step::Confirmed),
         3 => (any::<bool>(), prop::collection::vec(entry, 0..5)).prop_map(|(c, e)| Step::List(c, e)),
-        2 => (0u8..5, any::<bool>(), any::<bool>()).prop_map(|(m, p, n)| Step::Said(m, p, n)),
-        1 => (0u8..5, any::<bool>()).prop_map(|(m, r)| Step::Reach(m, r)),
+        2 => (0u8..5, any::<bool>(), any::<bool>()).prop_map(|(m, p, is_response)| {
+            Step::ReportRole(m, p, if is_response { RoleSource::Response } else { RoleSource::Probe })
+        }),
+        1 => (0u8..5, any::<bool>()).prop_map(|(m, r)| Step::SetReachability(m, r)),
         3 => (0..1_500_000i64).prop_map(Step::Wait),
         4 => (0u8..3, 0usize..2).prop_map(|(t, c)| Step::Route(t, c)),
     ]
@@ -387,12 +391,12 @@
                     let of = |places: Vec<_>| places.into_iter().map(place).collect();
                     let fleet = fleet(TENANTS.into_iter().zip(tenants.into_iter().map(of)).collect());
                     model.fleet = Some(fleet.clone());
-                    d.handle(Event::News(News::Rules { version: n as u64 + 1, fleet }));
+                    d.handle(Event::RulesUpdated(RulesUpdate::Received { version: n as u64 + 1, fleet }));
                 }
                 Step::Confirmed(by) => {
                     let until = Time(d.now.0 + by);
                     model.until = model.until.max(until);
-                    d.handle(Event::News(News::Confirmed { until }));
+                    d.handle(Event::RulesUpdated(RulesUpdate::Confirmed { until }));
                 }
                 Step::List(complete, entries) => {
                     let entry = |(m, s, state): (u8, u8, u8)| Member {
@@ -405,15 +409,15 @@
                     model.apply_list(d.now, complete, &entries);
                     d.members(complete, entries);
                 }
-                Step::Said(m, primary, note) => d.report_role(&format!("m{m}"), primary, note),
-                Step::Reach(m, reached) => d.handle(Event::Reach { member: format!("m{m}").into(), reached }),
+                Step::ReportRole(m, primary, source) => d.report_role(&format!("m{m}"), primary, source),
+                Step::SetReachability(m, reachable) => d.handle(Event::ReachabilityChanged { member: format!("m{m}").into(), reachable }),
                 Step::Wait(by) => d.advance_to(Time(d.now.0 + by)),
                 Step::Route(t, class) => {
                     let tenant = TENANTS[t as usize];
                     let to = d.route(tenant, class);
                     let rule = model.rule(tenant, ["read", "write"][class]);
                     match (&to, rule) {
-                        (Err(Refusal::NoRules), _) => prop_assert!(model.fleet.is_none()),
+                        (Err(PlacementError::NoRules), _) => prop_assert!(model.fleet.is_none()),
                         (to, None) => prop_assert_eq!(to, &Ok(BASE)),
                         (Ok(view), Some(rule)) => {
                             prop_assert!(view.0 >= FIRST_VIEW);
@@ -435,7 +439,7 @@
                     }
                 }
                 // No member inside is missing either.
-                if d.places.views().any(|(v, ..)| v == *view) && (!strict || d.now < model.until) {
+                if d.engine.views().any(|(v, ..)| v == *view) && (!strict || d.now < model.until) {
                     let all = model.listed.keys().filter(|n| model.inside(d.now, n, sites));
                     for name in all {
                         prop_assert!(members.iter().any(|m| **m == **name), "{} is missing", name);
--- a/placement/tests/recorded_run.rs
+++ b/placement/tests/recorded_run.rs
@@ -1,7 +1,7 @@
 //! A recorded run: random events of fixed seeds, and every action and decision that they had. The record under
 //! `fixtures/` was written by the state machine before its names were revised.
 use decision::{GroupId, MemberState, Time};
-use placement::{Action, Event, Member, News, Places, Settings};
+use placement::{Action, Event, Member, PlacementEngine, RoleSource, RoutingQuery, RulesUpdate, Settings};
 use settings::fleet::{Fleet, Place, Tenant};
 use std::fmt::Write;
 use std::path::PathBuf;
@@ -72,7 +72,7 @@
 
 struct Run {
     random: Random,
-    places: Places,
+    engine: PlacementEngine,
     now: Time,
     version: u64,
     timers: Vec<Time>,
@@ -81,19 +81,19 @@
 
 impl Run {
     fn new(seed: u64) -> Run {
-        let places = Places::new(Settings::new(CLASSES.map(String::from).to_vec()));
+        let engine = PlacementEngine::new(Settings::new(CLASSES.map(String::from).to_vec()));
         let now = Time(1_000_000);
-        Run { random: Random(seed), places, now, version: 0, timers: Vec::new(), record: String::new() }
+        Run { random: Random(seed), engine, now, version: 0, timers: Vec::new(), record: String::new() }
     }
 
     fn record_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Show { view, base, members } => {
+                Action::UpdateView { view, base, members } => {
                     writeln!(self.record, "  show {} of {}: {}", view.0, base.0, members.join(" ")).unwrap();
                 }
-                Action::Recheck => writeln!(self.record, "  recheck").unwrap(),
-                Action::Timer { at } => {
+                Action::RerouteQueued => writeln!(self.record, "  recheck").unwrap(),
+                Action::SetTimer { at } => {
                     self.timers.push(at);
                     writeln!(self.record, "  timer {}", at.0).unwrap();
                 }
@@ -104,7 +104,7 @@
     fn handle(&mut self, label: &str, event: Event) {
         writeln!(self.record, "{} {label}", self.now.0).unwrap();
         let mut actions = Vec::new();
-        self.places.handle(self.now, event, &mut actions);
+        self.engine.handle(self.now, event, &mut actions);
         self.record_actions(actions);
     }
 
@@ -114,7 +114,7 @@
         let is_due = self.timers.iter().any(|at| *at <= now);
         self.timers.retain(|at| *at > now);
         if is_due {
-            self.handle("time", Event::Timer);
+            self.handle("time", Event::TimerExpired);
         }
     }
 
@@ -125,8 +125,9 @@
         let needs_primary = self.random.coin();
         let mut actions = Vec::new();
         let tenant = (tenant != "anyone").then_some(tenant.as_str());
-        let routed = self.places.route(self.now, tenant, class, group, needs_primary, &mut actions);
-        let result = routed.map_or_else(|refusal| refusal.to_string(), |to| to.0.to_string());
+        let query = RoutingQuery { tenant, class, group, needs_primary };
+        let routed = self.engine.route(self.now, &query, &mut actions);
+        let result = routed.map_or_else(|error| error.to_string(), |to| to.0.to_string());
         let question = format!("{tenant:?} {class} {} {needs_primary}", group.0);
         writeln!(self.record, "{} route {question}: {result}", self.now.0).unwrap();
         self.record_actions(actions);
@@ -137,27 +138,31 @@
             0 => {
                 self.version += 1;
                 let fleet = Arc::new(random_fleet(&mut self.random));
-                self.handle("rules", Event::News(News::Rules { version: self.version, fleet }));
+                self.handle(
+                    "rules",
+                    Event::RulesUpdated(RulesUpdate::Received { version: self.version, fleet }),
+                );
             }
             1 | 2 => {
                 let until = Time(self.now.0 + self.random.below(3_000_000) as i64);
-                self.handle("confirmed", Event::News(News::Confirmed { until }));
+                self.handle("confirmed", Event::RulesUpdated(RulesUpdate::Confirmed { until }));
             }
             3..=5 => {
                 let complete = self.random.coin();
                 let count = self.random.below(5);
                 let entries = (0..count).map(|_| random_member(&mut self.random)).collect();
-                self.handle("members", Event::Members { complete, entries });
+                self.handle("members", Event::MembersUpdated { complete, entries });
             }
             6 | 7 => {
                 let member = random_name(&mut self.random);
-                let (primary, note) = (self.random.coin(), self.random.coin());
-                self.handle("role", Event::Said { member, primary, note });
+                let primary = self.random.coin();
+                let source = if self.random.coin() { RoleSource::Response } else { RoleSource::Probe };
+                self.handle("role", Event::RoleReported { member, primary, source });
             }
             8 => {
                 let member = random_name(&mut self.random);
-                let reached = self.random.coin();
-                self.handle("reach", Event::Reach { member, reached });
+                let reachable = self.random.coin();
+                self.handle("reach", Event::ReachabilityChanged { member, reachable });
             }
             9..=11 => self.wait(),
             _ => self.route(),
--- a/routing/src/final_response.rs
+++ b/routing/src/final_response.rs
@@ -1,6 +1,6 @@
 //! The one final response of a request.
 use decision::{Outcome, Time};
-use placement::Refusal;
+use placement::PlacementError;
 use std::time::Duration;
 
 /// The one final response of a request.
@@ -13,7 +13,7 @@
     /// Not served, and it may have run; how its last attempt ended, if it had any.
     Failed(Option<Outcome>),
     /// Not served: its tenant's data may not be where the request would have to go. Nothing ran.
-    PlacementDenied(Refusal),
+    PlacementDenied(PlacementError),
     /// Cancelled by its client; what had started by then may have run.
     Cancelled,
 }
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -49,7 +49,7 @@
 pub use permit::{
     AttemptGuard, ConnectionPermit, Denial, EndpointState, Handshake, ServerSocket, Verdict, WritePermit,
 };
-pub use placement::Refusal;
+pub use placement::PlacementError;
 pub use protocol::{BackendProtocol, Connection, Exchange, ExchangeResult, NotSent};
 pub use request::ClientRequest;
 pub use responded_endpoints::RespondedEndpoints;
--- a/routing/src/messages.rs
+++ b/routing/src/messages.rs
@@ -57,7 +57,7 @@
     /// This many processes serve as this router and share its capacity.
     ProcessCount(u32),
     /// An update of where tenants' data may be.
-    Placement(placement::News),
+    Placement(placement::RulesUpdate),
     /// This many routers share the endpoints, this one included.
     RouterCount(u32),
 }
--- a/routing/src/placement_subsets/change.rs
+++ b/routing/src/placement_subsets/change.rs
@@ -11,7 +11,7 @@
     pub departed: Vec<MemberId>,
     /// Requests without an attempt under way have to be routed again.
     pub reroute: bool,
-    /// When [`placement::Event::Timer`] is due.
+    /// When [`placement::Event::TimerExpired`] is due.
     pub timer: Option<Time>,
 }
 
--- a/routing/src/placement_subsets/probes.rs
+++ b/routing/src/placement_subsets/probes.rs
@@ -67,7 +67,7 @@
     /// The group of a subset's member, if no primary of that group is known.
     pub fn group_without_primary(&self, alias: MemberId) -> Option<GroupId> {
         let group = self.endpoints.get(self.own_id_of_alias.get(&alias)?)?.entry.group;
-        self.places.primary(group).is_none().then_some(group)
+        self.engine.primary(group).is_none().then_some(group)
     }
 
     /// The endpoints of a group to probe in search of its primary, inside and outside of all subsets: a subset's own
@@ -78,13 +78,13 @@
             return Vec::new();
         }
         let own_ids: Vec<MemberId> =
-            self.places.members(group).filter_map(|name| self.own_ids.get(name)).copied().collect();
+            self.engine.members(group).filter_map(|name| self.own_ids.get(name)).copied().collect();
         own_ids.into_iter().filter(|id| self.begin_search_probe(*id, now)).collect()
     }
 
     /// Whether a search is due; counts it if so.
     fn primary_search_due(&mut self, group: GroupId, now: Time) -> bool {
-        let primary = self.places.primary(group).cloned();
+        let primary = self.engine.primary(group).cloned();
         let search = self.primary_searches.entry(group).or_default();
         if search.primary != primary {
             *search = PrimarySearch { last_at: None, count: 0, primary };
--- a/routing/src/placement_subsets/subsets.rs
+++ b/routing/src/placement_subsets/subsets.rs
@@ -5,13 +5,13 @@
 use super::tracked_endpoint::TrackedEndpoint;
 use crate::endpoint::EndpointUpdate;
 use decision::{Freshness, GroupId, MemberEntry, MemberId, Outcome, Time};
-use placement::{Action, Event, Places, Refusal};
+use placement::{Action, Event, PlacementEngine, PlacementError, RoleSource, RoutingQuery};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
 /// The subsets of one router.
 pub struct PlacementSubsets {
-    pub(super) places: Places,
+    pub(super) engine: PlacementEngine,
     /// By class.
     pub(super) needs_primary: Vec<bool>,
     /// By the endpoint's own member id.
@@ -30,7 +30,7 @@
         let needs_primary =
             |class: &decision::Class| matches!(class.freshness, Freshness::Write | Freshness::Latest);
         PlacementSubsets {
-            places: Places::new(settings),
+            engine: PlacementEngine::new(settings),
             needs_primary: classes.iter().map(needs_primary).collect(),
             endpoints: HashMap::new(),
             own_ids: HashMap::new(),
@@ -45,9 +45,9 @@
         self.own_id_of_alias.get(&member).copied().unwrap_or(member)
     }
 
-    /// Whether [`Event::Timer`] is due.
+    /// Whether [`Event::TimerExpired`] is due.
     pub fn is_due(&self, now: Time) -> bool {
-        self.places.is_due(now)
+        self.engine.is_due(now)
     }
 
     /// The group, perhaps a subset's, whose members may serve a request.
@@ -58,10 +58,11 @@
         class: usize,
         group: GroupId,
         ids: &mut MemberIds,
-    ) -> (Result<GroupId, Refusal>, SubsetChange) {
+    ) -> (Result<GroupId, PlacementError>, SubsetChange) {
         let needs_primary = self.needs_primary.get(class).copied().unwrap_or(true);
         let mut actions = Vec::new();
-        let routed = self.places.route(now, tenant, class, group, needs_primary, &mut actions);
+        let query = RoutingQuery { tenant, class, group, needs_primary };
+        let routed = self.engine.route(now, &query, &mut actions);
         let mut change = SubsetChange::default();
         self.apply(actions, &mut change, ids);
         (routed, change)
@@ -76,7 +77,7 @@
 
     fn handle_into(&mut self, now: Time, event: Event, change: &mut SubsetChange, ids: &mut MemberIds) {
         let mut actions = Vec::new();
-        self.places.handle(now, event, &mut actions);
+        self.engine.handle(now, event, &mut actions);
         self.apply(actions, change, ids);
     }
 
@@ -94,7 +95,7 @@
             self.mark_missing_gone(&named);
         }
         let mut change = SubsetChange::default();
-        let event = Event::Members { complete: update.complete, entries: members };
+        let event = Event::MembersUpdated { complete: update.complete, entries: members };
         self.handle_into(now, event, &mut change, ids);
         for endpoint in named.iter().filter_map(|id| self.endpoints.get(id)) {
             let shown = endpoint.shown_aliases();
@@ -120,16 +121,18 @@
         if let Some(role) = stated {
             changed |= endpoint.stated_primary.replace(role.primary) != Some(role.primary);
         }
-        let reached = endpoint.reachable;
-        let primary_before = self.places.primary(group).cloned();
+        let reachable = endpoint.reachable;
+        let primary_before = self.engine.primary(group).cloned();
         if changed {
-            self.handle_into(now, Event::Reach { member: name.clone(), reached }, &mut change, ids);
+            let event = Event::ReachabilityChanged { member: name.clone(), reachable };
+            self.handle_into(now, event, &mut change, ids);
         }
         if let Some(StatedRole { primary, with_response }) = stated {
-            let event = Event::Said { member: name, primary, note: with_response };
+            let source = if with_response { RoleSource::Response } else { RoleSource::Probe };
+            let event = Event::RoleReported { member: name, primary, source };
             self.handle_into(now, event, &mut change, ids);
         }
-        changed |= self.places.primary(group) != primary_before.as_ref();
+        changed |= self.engine.primary(group) != primary_before.as_ref();
         let to_notify = if changed { self.ids_in_use(own_id, &[member]) } else { Vec::new() };
         (change, to_notify)
     }
@@ -145,9 +148,9 @@
     fn apply(&mut self, actions: Vec<Action>, change: &mut SubsetChange, ids: &mut MemberIds) {
         for action in actions {
             match action {
-                Action::Show { view, members, .. } => self.show(view, &members, change, ids),
-                Action::Recheck => change.reroute = true,
-                Action::Timer { at } => change.timer = Some(change.timer.map_or(at, |t| t.min(at))),
+                Action::UpdateView { view, members, .. } => self.show(view, &members, change, ids),
+                Action::RerouteQueued => change.reroute = true,
+                Action::SetTimer { at } => change.timer = Some(change.timer.map_or(at, |t| t.min(at))),
             }
         }
     }
--- a/routing/src/router/actor.rs
+++ b/routing/src/router/actor.rs
@@ -169,7 +169,7 @@
                 self.find_forgotten_requests();
             }
             Timer::MemberMetrics => self.update_member_metrics(),
-            Timer::Placement => self.handle_placement(placement::Event::Timer),
+            Timer::Placement => self.handle_placement(placement::Event::TimerExpired),
             Timer::Probe(endpoint) => self.schedule_probe(endpoint),
             Timer::ProbeTurn(endpoint) => self.send_probe(endpoint),
             Timer::AttemptTimeout(attempt) => {
@@ -199,7 +199,7 @@
             RouterMessage::ProcessCount(processes) => self.set_process_count(processes),
             RouterMessage::RouterCount(routers) => self.set_router_count(routers),
             RouterMessage::Placement(update) => {
-                self.handle_placement(placement::Event::News(update));
+                self.handle_placement(placement::Event::RulesUpdated(update));
             }
         }
     }
@@ -210,7 +210,7 @@
         let now = self.clock.now();
         if self.subsets.as_ref().is_some_and(|subsets| subsets.is_due(now)) {
             // The decisions must not act on a subset that has expired.
-            self.handle_placement(placement::Event::Timer);
+            self.handle_placement(placement::Event::TimerExpired);
             if matches!(&event, Event::RequestArrived(request) if !self.requests.contains_key(&request.id)) {
                 // Its placement has expired on the way here, and it was rejected.
                 return;
--- a/routing/src/router/handle.rs
+++ b/routing/src/router/handle.rs
@@ -86,7 +86,7 @@
 
     /// Updates where tenants' data may be. It binds requests that arrive later and those that wait; without placement
     /// settings it has no effect.
-    pub fn update_placement(&self, update: placement::News) {
+    pub fn update_placement(&self, update: placement::RulesUpdate) {
         self.send(RouterMessage::Placement(update));
     }
 
--- a/routing/src/router/placed_request.rs
+++ b/routing/src/router/placed_request.rs
@@ -1,6 +1,6 @@
 //! A request that is routed by its tenant's placement rules, and why its route may have ended.
 use decision::{GroupId, Outcome, Request};
-use placement::Refusal;
+use placement::PlacementError;
 use std::sync::Arc;
 
 /// Why no further attempt of a request is sent.
@@ -9,7 +9,7 @@
     /// Its tenant's subset is another by now.
     Rerouted,
     /// Its tenant's data may not be anywhere that it could go to.
-    Denied(Refusal),
+    Denied(PlacementError),
 }
 
 /// The route of a request by placement rules.
--- a/routing/src/router/placement_routing.rs
+++ b/routing/src/router/placement_routing.rs
@@ -9,7 +9,7 @@
 use crate::protocol::BackendProtocol;
 use crate::reasons::EndReason;
 use decision::{Event, GroupId, MemberId, MemberReport, Outcome, Request, RequestId};
-use placement::Refusal;
+use placement::PlacementError;
 use std::cmp::Reverse;
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
         &mut self,
         tenant: Option<Arc<str>>,
         request: &Request,
-    ) -> Result<Option<Box<PlacedRequest>>, Refusal> {
+    ) -> Result<Option<Box<PlacedRequest>>, PlacementError> {
         if self.subsets.is_none() {
             return Ok(None);
         }
@@ -32,12 +32,17 @@
         Ok(Some(Box::new(placed)))
     }
 
-    fn route(&mut self, tenant: Option<&str>, class: usize, group: GroupId) -> Result<GroupId, Refusal> {
+    fn route(
+        &mut self,
+        tenant: Option<&str>,
+        class: usize,
+        group: GroupId,
+    ) -> Result<GroupId, PlacementError> {
         let now = self.clock.now();
         let Some(subsets) = &mut self.subsets else { return Ok(group) };
         let (routed, change) = subsets.route(now, tenant, class, group, &mut self.member_ids);
         self.apply_subset_change(change);
-        if let Err(Refusal::PrimaryOutside { group, .. }) = &routed {
+        if let Err(PlacementError::PrimaryOutside { group, .. }) = &routed {
             self.probe_for_primary(*group);
         }
         routed
@@ -147,7 +152,7 @@
     }
 
     /// Submits a request without attempts to the decisions anew, in the group that it is routed to now.
-    fn submit_rerouted(&mut self, id: RequestId, routed: Result<GroupId, Refusal>) {
+    fn submit_rerouted(&mut self, id: RequestId, routed: Result<GroupId, PlacementError>) {
         let routed_to = match routed {
             Ok(routed_to) => routed_to,
             Err(refusal) => {
--- a/routing/tests/placement/rules.rs
+++ b/routing/tests/placement/rules.rs
@@ -4,7 +4,7 @@
     ANY, Core, DEFAULT_HOLD_MICROS, GROUP, LATEST, Paused, Rule, WRITE, endpoint, four, preferred, strict,
 };
 use decision::{MemberState, Outcome};
-use routing::{EndpointEntry, FinalResponse, Refusal};
+use routing::{EndpointEntry, FinalResponse, PlacementError};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -31,11 +31,11 @@
 #[test]
 fn missing_rules_or_confirmation_deny_requests() {
     let mut core = Core::start(DEFAULT_HOLD_MICROS);
-    assert_eq!(core.denied("t", ANY), Refusal::NoRules);
+    assert_eq!(core.denied("t", ANY), PlacementError::NoRules);
     core.script.with(addr(1), |e| e.primary = true);
     core.rules(&[strict("t", &["a"]), preferred("p", &["a"])]);
     core.list(four());
-    assert_eq!(core.denied("t", ANY), Refusal::Unconfirmed { version: 1 });
+    assert_eq!(core.denied("t", ANY), PlacementError::Unconfirmed { version: 1 });
     core.served_by("p", ANY);
     core.confirm();
     core.served_by("t", WRITE);
@@ -48,8 +48,12 @@
     core.script.with(addr(1), |e| e.primary = false);
     core.script.with(addr(3), |e| e.primary = true);
     // Only this tenant sends requests, and none of them may go outside: the primary is found all the same, by probes.
-    let outside =
-        Refusal::PrimaryOutside { group: GROUP, primary: "b1".into(), site: "b".into(), sites: "a".into() };
+    let outside = PlacementError::PrimaryOutside {
+        group: GROUP,
+        primary: "b1".into(),
+        site: "b".into(),
+        sites: "a".into(),
+    };
     assert_eq!(core.denied("t", WRITE), outside);
     let before = (core.attempts(1), core.attempts(2));
     assert_eq!(core.denied("t", WRITE), outside);
@@ -134,7 +138,7 @@
     core.script.with(addr(3), |e| e.paused.probes = false);
     let response = waiting.recv_timeout(TIMEOUT).unwrap();
     assert!(
-        matches!(response, FinalResponse::PlacementDenied(Refusal::PrimaryOutside { .. })),
+        matches!(response, FinalResponse::PlacementDenied(PlacementError::PrimaryOutside { .. })),
         "{response:?}"
     );
     assert_eq!(core.attempts(3), 0);
--- a/routing/tests/placement/script.rs
+++ b/routing/tests/placement/script.rs
@@ -2,11 +2,11 @@
 use crate::common::{self, Script, TIMEOUT, accepting_listener, addr};
 use crossbeam_channel::{Receiver, bounded};
 use decision::{Class, Freshness, GroupId, Idempotency, MemberReport, Outcome, Settings, Time};
-use placement::News;
+use placement::RulesUpdate;
 use routing::{
     AttemptGuard, BackendProtocol, ClientRequest, Clock, Connection, ConnectionPermit, EndpointEntry,
-    EndpointUpdate, EndpointsHandle, Exchange, ExchangeResult, FinalResponse, Handshake, NotSent, Refusal,
-    RouterBuilder, RouterHandle, ServerSocket,
+    EndpointUpdate, EndpointsHandle, Exchange, ExchangeResult, FinalResponse, Handshake, NotSent,
+    PlacementError, RouterBuilder, RouterHandle, ServerSocket,
 };
 use settings::Limits;
 use settings::fleet::{Fleet, Place, Tenant};
@@ -205,7 +205,10 @@
             clock: Clock::new(),
             responded: None,
             metrics: None,
-            placement: Some(placement::Settings { hold: hold_micros, ..placement::Settings::new(names) }),
+            placement: Some(placement::Settings {
+                site_settle_time: hold_micros,
+                ..placement::Settings::new(names)
+            }),
         }
         .start()
         .unwrap();
@@ -224,12 +227,12 @@
 
     pub(crate) fn rules(&mut self, rules: &[Rule<'_>]) {
         self.version += 1;
-        self.handle.update_placement(News::Rules { version: self.version, fleet: fleet(rules) });
+        self.handle.update_placement(RulesUpdate::Received { version: self.version, fleet: fleet(rules) });
     }
 
     pub(crate) fn confirm(&self) {
         let until = Time(self.handle.clock.now().0 + HOUR_MICROS);
-        self.handle.update_placement(News::Confirmed { until });
+        self.handle.update_placement(RulesUpdate::Confirmed { until });
     }
 
     /// Sends a complete list, and waits until it binds: the list has an actor of its own, so a last endpoint shows it.
@@ -284,7 +287,7 @@
     /// Everything that was sent to the router actor before has been handled.
     pub(crate) fn barrier(&self) {
         let rejected = self.submit_to(None, ANY, GroupId(u32::MAX)).recv_timeout(TIMEOUT).unwrap();
-        assert!(matches!(rejected, FinalResponse::PlacementDenied(Refusal::Reserved { .. })));
+        assert!(matches!(rejected, FinalResponse::PlacementDenied(PlacementError::Reserved { .. })));
     }
 
     pub(crate) fn served_by(&self, tenant: &str, class: usize) -> SocketAddr {
@@ -294,7 +297,7 @@
         }
     }
 
-    pub(crate) fn denied(&self, tenant: &str, class: usize) -> Refusal {
+    pub(crate) fn denied(&self, tenant: &str, class: usize) -> PlacementError {
         match self.request(tenant, class) {
             FinalResponse::PlacementDenied(refusal) => refusal,
             other => panic!("{tenant}: {other:?}"),
--- a/routing/tests/recorded_run.rs
+++ b/routing/tests/recorded_run.rs
@@ -202,11 +202,13 @@
             tenants.insert(name.to_string(), Tenant { places, ..Tenant::default() });
         }
         let fleet = Arc::new(Fleet { tenants: tenants.into_iter().collect(), ..Fleet::default() });
-        let rules = placement::News::Rules { version: self.version, fleet };
-        let change = self.subsets.handle(Time(self.now), placement::Event::News(rules), &mut self.ids);
+        let rules = placement::RulesUpdate::Received { version: self.version, fleet };
+        let change =
+            self.subsets.handle(Time(self.now), placement::Event::RulesUpdated(rules), &mut self.ids);
         let first = self.note(&change);
-        let confirmed = placement::News::Confirmed { until: Time(self.now + 5_000_000) };
-        let change = self.subsets.handle(Time(self.now), placement::Event::News(confirmed), &mut self.ids);
+        let confirmed = placement::RulesUpdate::Confirmed { until: Time(self.now + 5_000_000) };
+        let change =
+            self.subsets.handle(Time(self.now), placement::Event::RulesUpdated(confirmed), &mut self.ids);
         format!("rules:{first};{}", self.note(&change))
     }
 
@@ -276,7 +278,7 @@
             17 if random.chance(2) => self.remove(member),
             _ => {
                 let due = self.subsets.is_due(Time(self.now));
-                let event = placement::Event::Timer;
+                let event = placement::Event::TimerExpired;
                 let change = self.subsets.handle(Time(self.now), event, &mut self.ids);
                 format!(
                     "timer {due} unhealthy {}:{}",
