--- a/fleet/src/client/mod.rs
+++ b/fleet/src/client/mod.rs
@@ -6,7 +6,7 @@
 mod connection;
 mod exchange;
 mod shared;
-mod tenants;
+pub mod tenants;
 
 use audit::{Fenced, VersionFence};
 use crossbeam_channel::{Sender, bounded};
--- a/fleet/src/client/tenants.rs
+++ b/fleet/src/client/tenants.rs
@@ -4,8 +4,9 @@
 use std::sync::Arc;
 
 /// The tenants of one version.
-pub(super) struct TenantDirectory {
-    pub(super) version: Version,
+pub struct TenantDirectory {
+    /// The version.
+    pub version: Version,
     names: BTreeSet<Arc<str>>,
     by_user: HashMap<String, Arc<str>>,
     /// The tenant of requests that no other rule assigns.
@@ -13,7 +14,8 @@
 }
 
 impl TenantDirectory {
-    pub(super) fn new(version: Version, fleet: &Fleet) -> TenantDirectory {
+    /// The tenants of this version of the document.
+    pub fn new(version: Version, fleet: &Fleet) -> TenantDirectory {
         let names: BTreeSet<Arc<str>> = fleet.tenants.keys().map(|name| name.as_str().into()).collect();
         let mut by_user = HashMap::new();
         for (name, tenant) in &fleet.tenants {
@@ -25,19 +27,16 @@
     }
 
     /// How many tenants there are.
-    pub(super) fn count(&self) -> usize {
+    pub fn count(&self) -> usize {
         self.names.len()
     }
 
     /// The tenant that the user belongs to; else the one that the request names, where there is such a tenant; else the
     /// unnamed one.
-    pub(super) fn resolve(&self, user: &str, named: Option<&str>) -> Option<&Arc<str>> {
+    pub fn resolve(&self, user: &str, named: Option<&str>) -> Option<&Arc<str>> {
         self.by_user
             .get(user)
             .or_else(|| named.and_then(|name| self.names.get(name)))
             .or(self.unnamed.as_ref())
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/fleet/src/document/mod.rs
+++ b/fleet/src/document/mod.rs
@@ -4,7 +4,7 @@
 //! keys of its own content hash, and one key, [`CURRENT_KEY`], points at them. The pointer is set last, by
 //! compare-and-set on its version: a reader sees the document before the change or the one after it, never a mixture.
 //! A document's version is the store's revision at which the pointer was set to it.
-mod parts;
+pub mod parts;
 mod read;
 mod seed;
 mod write;
--- a/fleet/src/document/parts.rs
+++ b/fleet/src/document/parts.rs
@@ -5,9 +5,9 @@
 use sha2::{Digest, Sha256};
 
 /// The prefix of the parts' keys; the content hash and the part's number follow.
-pub(super) const KEY_PREFIX: &str = "fleet/parts/";
+pub const KEY_PREFIX: &str = "fleet/parts/";
 /// The most bytes of a part, within what a value of the store may have.
-const MAX_PART_BYTES: usize = 48 << 10;
+pub const MAX_PART_BYTES: usize = 48 << 10;
 /// Bytes of the SHA-256 digest that name a text.
 const HASH_BYTES: usize = 16;
 
@@ -29,7 +29,7 @@
 }
 
 /// The key of part `index` of the text with this hash.
-pub(super) fn part_key(content_hash: &str, index: usize) -> String {
+pub fn part_key(content_hash: &str, index: usize) -> String {
     format!("{KEY_PREFIX}{content_hash}/{index:04}")
 }
 
@@ -38,8 +38,8 @@
     key[KEY_PREFIX.len()..].split('/').next().unwrap_or_default()
 }
 
-/// Splits a text into parts between characters.
-pub(super) fn split(mut text: &str) -> Vec<&str> {
+/// Splits a text between characters into parts of [`MAX_PART_BYTES`] at most.
+pub fn split(mut text: &str) -> Vec<&str> {
     let mut parts = Vec::new();
     while text.len() > MAX_PART_BYTES {
         let (head, rest) = text.split_at(text.floor_char_boundary(MAX_PART_BYTES));
@@ -50,12 +50,13 @@
     parts
 }
 
-fn content_hash(text: &str) -> String {
+/// The hash of a text, in hexadecimal digits: it names the keys of the parts.
+pub fn content_hash(text: &str) -> String {
     Sha256::digest(text).iter().take(HASH_BYTES).map(|byte| format!("{byte:02x}")).collect()
 }
 
 /// Describes a text of `part_count` parts.
-pub(super) fn describe(text: &str, part_count: usize, note: &str) -> Metadata {
+pub fn describe(text: &str, part_count: usize, note: &str) -> Metadata {
     Metadata {
         content_hash: content_hash(text),
         part_count,
@@ -69,7 +70,7 @@
 ///
 /// # Errors
 /// [`DocumentError::Damaged`] with `version` where the parts are not the text that was written.
-pub(super) fn join<'a>(
+pub fn join<'a>(
     version: Version,
     metadata: &Metadata,
     get: impl Fn(&str) -> Option<&'a str>,
@@ -82,6 +83,3 @@
     let intact = text.len() == metadata.length && crc32fast::hash(text.as_bytes()) == metadata.crc32;
     if intact { Ok(Some(text)) } else { Err(DocumentError::Damaged(version)) }
 }
-
-#[cfg(test)]
-mod tests;
--- a/fleet/src/document/parts/tests.rs
+++ b/fleet/tests/document_parts.rs
@@ -1,5 +1,6 @@
-//! Splitting and joining of texts.
-use super::*;
+//! Splitting and joining of a document's text.
+use fleet::document::parts::{MAX_PART_BYTES, content_hash, describe, join, part_key, split};
+use fleet::document::{DocumentError, Metadata};
 
 #[test]
 fn text_is_split_between_characters_and_joined_again() {
--- a/fleet/src/client/tenants/tests.rs
+++ b/fleet/tests/tenants.rs
@@ -1,5 +1,6 @@
 //! The order in which a request's tenant is looked for.
-use super::*;
+use fleet::client::tenants::TenantDirectory;
+use settings::fleet::Fleet;
 
 #[test]
 fn tenant_of_user_precedes_named_tenant_and_unnamed_one_is_last() {
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -15,11 +15,11 @@
 pub mod live_router_count;
 mod machine;
 mod member;
-mod member_record;
+pub mod member_record;
 mod router_count_thread;
 mod settings;
 pub mod simulation;
-mod wire;
+pub mod wire;
 
 pub use change::Change;
 pub use error::Error;
--- a/membership/src/member_record.rs
+++ b/membership/src/member_record.rs
@@ -4,13 +4,16 @@
 use serde::{Deserialize, Serialize};
 
 /// The core's record of a member: identity, the incarnation by which it refutes suspicions, and state.
-pub(crate) type MemberRecord = foca::Member<Member>;
+pub type MemberRecord = foca::Member<Member>;
 
 /// A member's status on a list page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum MemberStatus {
+pub enum MemberStatus {
+    /// It answers.
     Alive,
+    /// It has not answered a probe, and may refute the suspicion.
     Suspect,
+    /// It has left or failed.
     Down,
 }
 
@@ -36,11 +39,13 @@
 
 /// One member on a list page.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ListEntry {
-    pub(crate) member: Member,
+pub struct ListEntry {
+    /// Its identity.
+    pub member: Member,
     /// The incarnation by which the member refutes suspicions; not [`Member::incarnation`].
-    pub(crate) refutation: u16,
-    pub(crate) status: MemberStatus,
+    pub refutation: u16,
+    /// Its status.
+    pub status: MemberStatus,
 }
 
 impl From<&MemberRecord> for ListEntry {
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -10,11 +10,8 @@
 use foca::Header;
 use serde::{Deserialize, Serialize};
 
-#[cfg(test)]
-mod tests;
-
 /// Bytes before the body.
-pub(crate) const HEADER_BYTES: usize = 12;
+pub const HEADER_BYTES: usize = 12;
 const MAGIC: [u8; 2] = *b"dm";
 const PROTOCOL_VERSION: u8 = 1;
 const KIND_GOSSIP: u8 = 0;
@@ -24,43 +21,76 @@
 
 /// Why a datagram is rejected; [`Counters`](crate::Counters) has a counter for each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RejectReason {
+pub enum RejectReason {
+    /// It is longer than a datagram may be, or shorter than the header.
     WrongSize,
+    /// It does not begin as a datagram of this package does.
     WrongMagic,
+    /// It is of another version of the protocol.
     WrongVersion,
+    /// It is of another fleet.
     WrongCluster,
+    /// Its body cannot be read, or goes on behind its end.
     Malformed,
 }
 
 /// What the core's datagram holds, read before the core reads it so that nothing unbounded reaches it.
-pub(crate) struct GossipDatagram<'a> {
-    pub(crate) header: Header<Member>,
-    pub(crate) updates: Vec<MemberRecord>,
-    /// The body as it came, for the core.
-    pub(crate) body: &'a [u8],
+pub struct GossipDatagram<'a> {
+    /// The core's header: sender, receiver and message.
+    pub header: Header<Member>,
+    /// The updates of members.
+    pub updates: Vec<MemberRecord>,
+    /// The body as it was received, for the core.
+    pub body: &'a [u8],
 }
 
 /// What routers send besides the core's datagrams: how a start joins the fleet, and how lists are read page by page.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum JoinMessage {
+pub enum JoinMessage {
     /// Sent to an address of which no name is known yet.
-    JoinRequest { from: Member },
+    JoinRequest {
+        /// The sender.
+        from: Member,
+    },
     /// The answer: who listens at that address, and what it knows under the requester's name.
-    JoinReply { from: Member, known: Option<Member> },
+    JoinReply {
+        /// The sender.
+        from: Member,
+        /// Who has the requester's name, by the sender's list.
+        known: Option<Member>,
+    },
     /// Asks for what the receiver knows of the names past `after`. The page carries the same `request_id`.
-    PageRequest { from: Member, request_id: u64, after: Option<String> },
+    PageRequest {
+        /// The sender.
+        from: Member,
+        /// Identifies the request.
+        request_id: u64,
+        /// The last name that the sender has read; `None` for the first page.
+        after: Option<String>,
+    },
     /// What is known, in the order of names; `more` when the list goes on.
-    Page { from: Member, request_id: u64, entries: Vec<ListEntry>, more: bool },
+    Page {
+        /// The sender.
+        from: Member,
+        /// The request's id.
+        request_id: u64,
+        /// The members.
+        entries: Vec<ListEntry>,
+        /// Whether the list goes on.
+        more: bool,
+    },
 }
 
 /// A datagram that was read.
-pub(crate) enum Datagram<'a> {
+pub enum Datagram<'a> {
+    /// The core's own gossip.
     Gossip(GossipDatagram<'a>),
+    /// A message of this package.
     Join(JoinMessage),
 }
 
 /// The hash of a fleet's name, as sent in the header.
-pub(crate) fn cluster_hash(name: &str) -> u64 {
+pub fn cluster_hash(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
 
@@ -73,20 +103,23 @@
 }
 
 /// A datagram around what the core wants sent.
-pub(crate) fn encode_gossip(cluster_hash: u64, body: &[u8]) -> Vec<u8> {
+pub fn encode_gossip(cluster_hash: u64, body: &[u8]) -> Vec<u8> {
     let mut bytes = header(KIND_GOSSIP, cluster_hash);
     bytes.extend_from_slice(body);
     bytes
 }
 
 /// A datagram with this message; `None` when the message is too long for one datagram.
-pub(crate) fn encode_join_message(cluster_hash: u64, message: &JoinMessage) -> Option<Vec<u8>> {
+pub fn encode_join_message(cluster_hash: u64, message: &JoinMessage) -> Option<Vec<u8>> {
     let bytes = postcard::to_extend(message, header(KIND_JOIN, cluster_hash)).ok()?;
     (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
 /// Reads all of a datagram; bytes that are left over make it malformed.
-pub(crate) fn decode(cluster_hash: u64, bytes: &[u8]) -> Result<Datagram<'_>, RejectReason> {
+///
+/// # Errors
+/// The [`RejectReason`].
+pub fn decode(cluster_hash: u64, bytes: &[u8]) -> Result<Datagram<'_>, RejectReason> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(RejectReason::WrongSize);
     }
--- a/membership/src/wire/tests.rs
+++ b/membership/tests/datagrams.rs
@@ -1,7 +1,10 @@
 //! The bytes of every kind of datagram, as routers in service write them.
-use super::*;
-use crate::member_record::MemberStatus;
-use foca::{Codec, Message, PostcardCodec, State};
+use foca::{Codec, Header, Message, PostcardCodec, State};
+use membership::Member;
+use membership::member_record::{ListEntry, MemberRecord, MemberStatus};
+use membership::wire::{
+    Datagram, HEADER_BYTES, JoinMessage, cluster_hash, decode, encode_gossip, encode_join_message,
+};
 use std::net::SocketAddrV4;
 
 const CLUSTER: &str = "orders";
@@ -38,7 +41,7 @@
 struct GossipCase {
     name: &'static str,
     header: Header<Member>,
-    /// The news behind the header, where the message carries any.
+    /// The updates behind the header, where the message carries any.
     updates: Option<Vec<MemberRecord>>,
 }
 
@@ -105,7 +108,7 @@
 
 /// The recorded bytes of the datagram of this name.
 fn recorded(name: &str) -> Vec<u8> {
-    let all = include_str!("../../tests/fixtures/datagrams.txt");
+    let all = include_str!("fixtures/datagrams.txt");
     let line = all.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     unhex(line.unwrap_or_else(|| panic!("{name} is not recorded")))
 }
@@ -138,6 +141,6 @@
 
 #[test]
 fn recorded_datagrams_are_all_compared() {
-    let all = include_str!("../../tests/fixtures/datagrams.txt");
+    let all = include_str!("fixtures/datagrams.txt");
     assert_eq!(all.lines().count(), gossip_cases().len() + join_messages().len());
 }
--- a/registry/src/etcd.rs
+++ b/registry/src/etcd.rs
@@ -1,6 +1,6 @@
 //! etcd's JSON gateway, version 3 of its interface.
 mod watch;
-mod wire;
+pub mod wire;
 
 pub use watch::WatchEvent;
 
--- a/registry/src/etcd/wire.rs
+++ b/registry/src/etcd/wire.rs
@@ -5,12 +5,13 @@
 use base64::engine::general_purpose::STANDARD;
 use serde_json::Value;
 
-pub(super) fn encoded(bytes: impl AsRef<[u8]>) -> String {
+/// Bytes as base64.
+pub fn encoded(bytes: impl AsRef<[u8]>) -> String {
     STANDARD.encode(bytes)
 }
 
 /// The first key behind all that begin with the prefix, as etcd's `range_end` wants it.
-pub(super) fn prefix_end(prefix: &str) -> Vec<u8> {
+pub fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.last_mut() {
         if *last < 0xff {
@@ -24,17 +25,21 @@
 }
 
 /// A number of 64 bits: text, or a plain number; 0 where it is left out.
-pub(super) fn number(object: &Value, name: &str) -> u64 {
+pub fn number(object: &Value, name: &str) -> u64 {
     let value = &object[name];
     value.as_u64().or_else(|| value.as_str().and_then(|s| s.parse().ok())).unwrap_or(0)
 }
 
 /// A list's elements; none where it is left out.
-pub(super) fn elements<'a>(object: &'a Value, name: &str) -> &'a [Value] {
+pub fn elements<'a>(object: &'a Value, name: &str) -> &'a [Value] {
     object[name].as_array().map(Vec::as_slice).unwrap_or_default()
 }
 
-pub(super) fn item(kv: &Value) -> Result<Item, RequestError> {
+/// The item of a key-value object.
+///
+/// # Errors
+/// The key or the value is no base64, or the key no UTF-8.
+pub fn item(kv: &Value) -> Result<Item, RequestError> {
     let bytes = |name: &str| {
         let text = kv[name].as_str().unwrap_or("");
         STANDARD.decode(text).map_err(|e| RequestError::Broken(format!("'{name}' is no base64: {e}")))
@@ -49,13 +54,14 @@
     })
 }
 
-pub(super) fn change(event: &Value) -> Result<Change, RequestError> {
+/// The change that an event of a watch describes.
+///
+/// # Errors
+/// As for [`item`].
+pub fn change(event: &Value) -> Result<Change, RequestError> {
     let item = item(&event["kv"])?;
     Ok(match event["type"].as_str() {
         Some("DELETE") => Change::Delete(item.key, item.modified),
         _ => Change::Put(item),
     })
 }
-
-#[cfg(test)]
-mod tests;
--- a/registry/src/etcd/wire/tests.rs
+++ b/registry/tests/etcd_wire.rs
@@ -1,4 +1,5 @@
-use super::*;
+//! The values in the JSON of etcd's gateway.
+use registry::etcd::wire::{item, number, prefix_end};
 use serde_json::json;
 
 #[test]
--- a/store/src/node.rs
+++ b/store/src/node.rs
@@ -6,7 +6,7 @@
 mod actor;
 mod commands;
 mod handle;
-mod reads;
+pub mod reads;
 mod ready;
 mod recovery;
 mod responses;
@@ -16,6 +16,6 @@
 mod storage;
 
 pub use handle::Store;
-pub use responses::{CommittedWrite, ConfirmedRead, KnownLeader, NodeStatus};
+pub use responses::{CommittedWrite, ConfirmedRead, KnownLeader, NodeStatus, ReadResult};
 pub use settings::Settings;
 pub use start::start;
--- a/store/src/node/actor.rs
+++ b/store/src/node/actor.rs
@@ -1,7 +1,7 @@
 //! The actor of a node: one thread that owns the raft state and the log file. This file has its state, its loop and a
 //! handler for each command. What the raft library has ready is handled in `ready.rs`.
-use super::commands::{NodeCommand, ReadReply, WriteReply};
-use super::reads::PendingReads;
+use super::commands::{NodeCommand, WriteReply};
+use super::reads::{PendingReads, ReadReply};
 use super::responses::KnownLeader;
 use super::settings::Settings;
 use super::storage::RaftStorage;
--- a/store/src/node/handle.rs
+++ b/store/src/node/handle.rs
@@ -1,7 +1,7 @@
 //! The handle to a node. Its clones share the node; requests go through the actor's bounded queue, and reads of what
 //! this node has do not.
-use super::commands::{NodeCommand, ReadResult};
-use super::responses::{CommittedWrite, ConfirmedRead, KnownLeader, NodeStatus};
+use super::commands::NodeCommand;
+use super::responses::{CommittedWrite, ConfirmedRead, KnownLeader, NodeStatus, ReadResult};
 use super::shared::Shared;
 use crate::change_log::{ChangeLog, Compacted};
 use crate::command::{ChangeSet, Command, CommandEffect, Operation, RequestOrigin};
--- a/store/src/node/responses.rs
+++ b/store/src/node/responses.rs
@@ -20,6 +20,15 @@
     pub term: u64,
 }
 
+/// A confirmed read, and what it proves of this node.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReadResult {
+    /// The read.
+    pub read: ConfirmedRead,
+    /// A majority has confirmed this node itself, as the leader of this term, after the read was requested.
+    pub is_leader: bool,
+}
+
 /// The leader that a node knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownLeader {
--- a/store/src/node/reads/tests.rs
+++ b/store/tests/pending_reads.rs
@@ -1,6 +1,9 @@
 //! Pending reads alone: which request serves which reader, and what a read proves of this node.
-use super::*;
 use crossbeam_channel::{Receiver, bounded};
+use std::time::Duration;
+use store::node::ReadResult;
+use store::node::reads::PendingReads;
+use store::{Rejection, State};
 
 const TIMEOUT: Duration = Duration::from_secs(60);
 
