--- a/client-listener/src/disconnects.rs
+++ b/client-listener/src/disconnects.rs
@@ -29,7 +29,7 @@
     pub fn mark_disconnected(&self, cancel: impl FnMut(RequestId)) {
         if let Some(requests) = self.in_flight_requests.disconnect(cancel) {
             self.set_close_reason(CloseReason::ClientDisconnected);
-            tracing::debug!("clients: {} has left {requests} requests", self.id);
+            tracing::debug!(requests, connection = self.id, "client disconnected");
         }
     }
 }
@@ -45,8 +45,8 @@
     /// Watches no connection yet.
     pub(crate) fn new() -> DisconnectWatcher {
         let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC);
-        if let Err(e) = &epoll {
-            tracing::warn!("clients: no notice of those that leave ({e}): they are looked at now and then");
+        if let Err(error) = &epoll {
+            tracing::warn!(%error, "client disconnect watcher not created, sockets are polled instead");
         }
         DisconnectWatcher { epoll: epoll.ok() }
     }
@@ -56,8 +56,9 @@
         let Some(epoll) = &self.epoll else { return };
         // Bytes to read must wake nobody here; one report is enough, for an end of stream lasts.
         let end_of_stream = EpollFlags::EPOLLRDHUP | EpollFlags::EPOLLONESHOT;
-        if let Err(e) = epoll.add(&connection.socket, EpollEvent::new(end_of_stream, connection.id)) {
-            tracing::warn!("clients: no notice when this one leaves ({e}): it is looked at now and then");
+        if let Err(error) = epoll.add(&connection.socket, EpollEvent::new(end_of_stream, connection.id)) {
+            let connection = connection.id;
+            tracing::warn!(connection, %error, "client disconnect not watched, the socket is polled instead");
         }
     }
 
@@ -69,7 +70,7 @@
             match epoll.wait(&mut events, EpollTimeout::NONE) {
                 Ok(n) => events.iter().take(n).for_each(|e| disconnected(e.data())),
                 Err(Errno::EINTR) => {}
-                Err(e) => return tracing::error!("clients: no notice of those that leave any more: {e}"),
+                Err(error) => return tracing::error!(%error, "client disconnect watcher failed"),
             }
         }
     }
--- a/client-listener/src/server/accept.rs
+++ b/client-listener/src/server/accept.rs
@@ -66,7 +66,7 @@
         let log_due = last_logged.is_none_or(|at| at.elapsed() >= ACCEPT_ERROR_LOG_INTERVAL);
         if error.kind() != io::ErrorKind::WouldBlock && log_due {
             *last_logged = Some(Instant::now());
-            tracing::warn!("clients: cannot accept: {error}");
+            tracing::warn!(%error, "client connection not accepted");
         }
         if matches!(error.raw_os_error(), Some(libc::EMFILE | libc::ENFILE)) {
             evict_idle(&self.connections());
@@ -114,9 +114,9 @@
         address: SocketAddr,
         accepted_at: Instant,
     ) -> Option<WithoutThread> {
-        if let Err(e) = self.configure(&socket) {
+        if let Err(error) = self.configure(&socket) {
             // It was reset before it could be served.
-            tracing::warn!("clients: {address}: {e}");
+            tracing::warn!(%address, %error, "client connection lost before it was served");
             return None;
         }
         let id = self.next_connection_id.fetch_add(1, Ordering::Relaxed) as u64;
@@ -137,7 +137,7 @@
         if since.elapsed() < THREAD_PATIENCE {
             return Some(WithoutThread { connection, address, serve: failed.run, since });
         }
-        tracing::error!("clients: no thread for {address}: {}", failed.source);
+        tracing::error!(%address, error = %failed.source, "client thread not started, connection rejected");
         self.reject(&connection);
         None
     }
--- a/client-listener/src/server/command_loop.rs
+++ b/client-listener/src/server/command_loop.rs
@@ -120,7 +120,7 @@
         match command {
             ServerCommand::Shutdown => {
                 let grace = if self.successor { Duration::ZERO } else { self.server.limits.shutdown_grace };
-                tracing::info!("shutdown: taking requests for {grace:?} more");
+                tracing::info!(?grace, "shutdown started, requests are taken for the grace time");
                 Event::Shutdown { successor: self.successor }
             }
             ServerCommand::SetDraining(draining) => Event::SetDraining(draining),
@@ -134,13 +134,13 @@
 
     fn carry_out(&mut self, action: Action) -> Progress {
         match action {
-            Action::ReportDraining(true) => tracing::info!("drain: the router says no"),
-            Action::ReportDraining(false) => tracing::info!("drain: over"),
+            Action::ReportDraining(true) => tracing::info!("drain started, readiness check fails"),
+            Action::ReportDraining(false) => tracing::info!("drain ended"),
             Action::SetClosePolicy(policy) => self.server.shared.set_close_policy(policy),
             Action::StopAccepting => self.stop_accepting(),
             Action::Complete => {
                 let open = self.server.connections().len();
-                tracing::info!("shutdown: ended with {open} connections left");
+                tracing::info!(connections = open, "shutdown ended");
                 return Progress::Complete;
             }
         }
@@ -172,7 +172,7 @@
 fn spawn_disconnect_thread<H: ConnectionHandler>(server: &Arc<ClientServer<H>>) -> io::Result<()> {
     let server = server.clone();
     let stack_bytes = server.limits.stack_bytes;
-    spawn_needed("departures", stack_bytes, move || {
+    spawn_needed("disconnects", stack_bytes, move || {
         server.disconnect_watcher.run(|connection_id| server.handle_disconnect(connection_id));
     })
 }
--- a/discovery/src/driver.rs
+++ b/discovery/src/driver.rs
@@ -103,7 +103,7 @@
         if let Err(error) = self.poll.poll(events, timeout)
             && error.kind() != io::ErrorKind::Interrupted
         {
-            tracing::warn!(%error, "discovery: can't wait for the watch; it tries again");
+            tracing::warn!(%error, "discovery poll failed, retrying");
             // Not a busy loop: whatever is wrong, the connections are tried again at this pace.
             std::thread::sleep(WAIT_RETRY_DELAY);
         }
@@ -228,7 +228,8 @@
             self.version_source = Some(source.addr);
         }
         if restarted && source.previous_version > 0 {
-            tracing::warn!("discovery: version {version} came after {}", source.previous_version);
+            let previous_version = source.previous_version;
+            tracing::warn!(version, previous_version, "discovery versions restarted");
             self.request_complete_list();
         } else if complete || restarted {
             self.shared.set_resume_from_zero(false);
@@ -273,9 +274,9 @@
             return;
         }
         if self.failures.is_multiple_of(FAILURES_PER_WARNING) {
-            tracing::warn!("discovery: the watch broke: {error}");
+            tracing::warn!(%error, "discovery watch broken");
         } else {
-            tracing::debug!("discovery: the watch broke: {error}");
+            tracing::debug!(%error, "discovery watch broken");
         }
         self.failures += 1;
         self.handle(Event::Ended(id));
@@ -291,11 +292,11 @@
                 Action::Close(id) => self.close(id),
                 Action::ReportStale(_) => {
                     let silent = self.shared.limits.watch_silent;
-                    tracing::warn!("discovery: no whole line for {silent:?}, the watch is opened anew");
+                    tracing::warn!(?silent, "discovery watch stale, opening another");
                 }
                 Action::ReportLive { outage } => {
                     self.failures = 0;
-                    tracing::info!("discovery: watched again after {outage:?}");
+                    tracing::info!(?outage, "discovery watch restored");
                 }
             }
         }
--- a/fleet/src/client/exchange.rs
+++ b/fleet/src/client/exchange.rs
@@ -156,7 +156,7 @@
 
     fn log_reached(&mut self, node: SocketAddr) {
         if std::mem::replace(&mut self.logged_contact, LeaderContact::Reached) != LeaderContact::Reached {
-            tracing::info!(%node, "leader answers fleet reports");
+            tracing::info!(%node, "fleet leader found");
         }
     }
 
@@ -164,7 +164,7 @@
         if std::mem::replace(&mut self.logged_contact, LeaderContact::Lost) != LeaderContact::Lost {
             tracing::warn!(
                 error = last_failure,
-                "no leader answers fleet reports, quota grants expire; check that a majority of the store runs"
+                "fleet leader lost, quota grants expire; check that a majority of the store runs"
             );
         }
     }
@@ -201,8 +201,8 @@
             tracing::error!(
                 version,
                 followed,
-                "the store is behind the fleet document that this router follows, it was set up anew; restart the \
-                 router to follow it"
+                "fleet document older than the followed one, the store was set up anew; restart the router to \
+                 follow it"
             );
         }
     }
@@ -253,7 +253,7 @@
             tracing::warn!(
                 version = answer.reported_version,
                 current = answer.current_version,
-                "the leader asks to fetch the fleet document again, this router lags; check the log lines before"
+                "fleet document refetch requested by the leader, this router lags; check the log lines before"
             );
         }
         // Logs where the answer has fenced the router or lifted its fence.
@@ -296,11 +296,7 @@
         let placement_rules = fleet.tenants.values().flat_map(|tenant| &tenant.places);
         let mut named_classes = placement_rules.filter_map(|rule| rule.classes.as_ref()).flatten();
         if let Some(class) = named_classes.find(|class| !self.classes.contains(class)) {
-            tracing::warn!(
-                version,
-                class,
-                "a placement rule names a class that this router's file does not have"
-            );
+            tracing::warn!(version, class, "placement rule ignored, its class is not in this router's file");
         }
     }
 
@@ -326,9 +322,9 @@
         let version_report =
             self.shared.with_fence(|fence, now| fence.report(now, member_list_version())).unwrap_or_default();
         match self.connection.request(&Request::Report { quota_report, version_report }) {
-            Ok(_) => tracing::info!("left the fleet, quota grants returned"),
+            Ok(_) => tracing::info!("fleet left, quota grants returned"),
             Err(error) => {
-                tracing::info!(%error, "left the fleet, quota grants not returned and left to expire");
+                tracing::info!(%error, "fleet left, quota grants not returned and left to expire");
             }
         }
     }
--- a/fleet/src/document/write.rs
+++ b/fleet/src/document/write.rs
@@ -61,7 +61,7 @@
     let version = set_pointer(client, &pointer, found.key_version, expected)?;
     // The document is current by now. Parts that remain only take space, and the next writer tries again.
     if let Err(error) = delete_unreferenced_parts(client, &pointer, version) {
-        tracing::warn!(%error, "parts of old fleet documents remain in the store");
+        tracing::warn!(%error, "parts of old fleet documents not deleted");
     }
     Ok(version)
 }
--- a/fleet/src/service/auditor.rs
+++ b/fleet/src/service/auditor.rs
@@ -55,20 +55,20 @@
     let Entry { version, epoch, .. } = *entry;
     let router = entry.router.as_str();
     match entry.kind {
-        EntryKind::Current => tracing::info!(version, "audit: version is current"),
-        EntryKind::Acting => tracing::info!(version, router, epoch, "audit: router acts on version"),
+        EntryKind::Current => tracing::info!(version, "version made current"),
+        EntryKind::Acting => tracing::info!(version, router, epoch, "version applied by router"),
         EntryKind::Notified => {
-            tracing::warn!(version, router, epoch, "audit: router lags, asked to fetch the current version");
+            tracing::warn!(version, router, epoch, "router lagging, asked to fetch the current version");
         }
         EntryKind::FencedOut => {
-            tracing::error!(version, router, epoch, "audit: router fenced out; check that router's log");
+            tracing::error!(version, router, epoch, "router fenced out; check that router's log");
         }
         EntryKind::Silent => tracing::warn!(
             version,
             router,
             epoch,
-            "audit: router silent; check that process and its connection to this node"
+            "router silent; check that process and its connection to this node"
         ),
-        EntryKind::Left => tracing::info!(version, router, epoch, "audit: router left"),
+        EntryKind::Left => tracing::info!(version, router, epoch, "router left"),
     }
 }
--- a/fleet/src/service/leader.rs
+++ b/fleet/src/service/leader.rs
@@ -106,7 +106,7 @@
         let term = leadership.term;
         self.term = term;
         self.version = 0;
-        tracing::info!(term, "this node answers fleet reports as the leader");
+        tracing::info!(term, "fleet leadership gained");
         let now = self.clock.now();
         self.allocator.handle(now, Event::BecameLeader { term }, actions);
         if let Some(auditor) = &mut self.auditor {
--- a/membership/src/driver.rs
+++ b/membership/src/driver.rs
@@ -101,7 +101,7 @@
                 Ok(()) => socket_errors = 0,
                 Err(error) => {
                     socket_errors += 1;
-                    tracing::warn!(%error, "membership: the socket failed");
+                    tracing::warn!(%error, "membership socket failed");
                     if socket_errors >= MAX_SOCKET_ERRORS {
                         self.last_change = Some(Change::Failed);
                     }
@@ -116,7 +116,7 @@
         self.publish_counters();
         let last = self.last_change.take().unwrap_or(Change::Left);
         let (counters, uptime) = (self.machine.counters(), self.started_at.elapsed());
-        tracing::info!("membership: ended: {last:?} after {uptime:?}: {counters:?}");
+        tracing::info!(reason = ?last, ?uptime, ?counters, "membership ended");
         // Commands that still wait are answered by the channel's end.
         self.subscribers.finish(&last);
     }
@@ -210,7 +210,7 @@
     }
 
     fn publish(&mut self, change: &Change) {
-        tracing::info!("membership: {change:?}");
+        tracing::info!(?change, "membership changed");
         self.subscribers.publish(change);
     }
 
--- a/membership/src/router_count_thread.rs
+++ b/membership/src/router_count_thread.rs
@@ -55,7 +55,7 @@
 fn log_count(machine: &LiveRouterCount, count: u32) {
     let others = machine.others();
     let (live, settling) = (others.live + 1, others.settling);
-    tracing::info!("members: {live} live, {settling} gone may still send: share 1/{count}");
+    tracing::info!(live, settling, router_count = count, "capacity share changed");
 }
 
 /// The next event for the state machine; `None` when this router has left.
@@ -77,14 +77,15 @@
             Ok(Change::Left) => return None,
             Ok(Change::Superseded(by)) => {
                 tracing::error!(
-                    "members: a later start at {} has the name '{local_name}': this router follows nobody any more \
-                     and keeps its share; end it, or give it a name of its own",
-                    by.addr()
+                    addr = %by.addr(),
+                    name = local_name,
+                    "router name taken by a later start, this router follows nobody any more and keeps its share; \
+                     end it, or give it a name of its own"
                 );
                 Event::ChangesLost
             }
             Ok(Change::Failed) | Err(RecvTimeoutError::Disconnected) => {
-                tracing::error!("members: no more news of who lives: the share stays; restart this router");
+                tracing::error!("membership changes lost, the capacity share stays; restart this router");
                 Event::ChangesLost
             }
         });
--- a/registry/src/client/consul_poll.rs
+++ b/registry/src/client/consul_poll.rs
@@ -85,7 +85,7 @@
             }
             if !std::mem::replace(&mut is_following, true) {
                 let addr = self.settings.endpoints[endpoint];
-                tracing::info!("registry: following {addr} from revision {revision} on");
+                tracing::info!(%addr, revision, "registry member followed");
             }
             worked();
         }
--- a/registry/src/client/endpoint_list.rs
+++ b/registry/src/client/endpoint_list.rs
@@ -24,20 +24,21 @@
                 }
                 FleetAction::Unlist(id) => list.unlist(&id),
                 FleetAction::Faulty(name, error) => {
-                    tracing::error!("registry: nodes/{name}: {error}; what it said before holds");
+                    tracing::error!(node = name, %error, "registry node rejected, its last valid value stays in force");
                 }
                 FleetAction::Holding(nodes) => tracing::error!(
-                    "registry: most of {nodes} nodes in service vanished at once: they are held for {:?}",
-                    self.settings.held
+                    nodes,
+                    hold_time = ?self.settings.held,
+                    "most registry nodes vanished at once, they are retained for the hold time"
                 ),
                 FleetAction::Released(nodes) => {
-                    tracing::warn!("registry: {nodes} nodes that had vanished are let go");
+                    tracing::warn!(nodes, "vanished registry nodes released");
                 }
                 FleetAction::LevelChanged(Level::Fresh) => {
-                    tracing::info!("registry: the list is fresh again");
+                    tracing::info!("registry list fresh again");
                 }
                 FleetAction::LevelChanged(level) => {
-                    tracing::error!("registry: no news for long: the list is used as {level:?} only");
+                    tracing::error!(?level, "registry silent for long, the use of its list is restricted");
                 }
             }
         }
--- a/registry/src/client/etcd_watch.rs
+++ b/registry/src/client/etcd_watch.rs
@@ -89,7 +89,7 @@
         match (failure, ended) {
             (Some(reason), _) => Ok(NextStep::Leave(reason)),
             (None, Err(RequestError::Compacted)) => {
-                tracing::warn!("registry: revision {from} has been compacted away: reading everything anew");
+                tracing::warn!(revision = from, "registry revision compacted away, reading everything again");
                 Ok(self.apply(machine, Event::Compacted(endpoint)))
             }
             (None, ended) => ended.map(|()| next),
--- a/registry/src/client/follow.rs
+++ b/registry/src/client/follow.rs
@@ -50,7 +50,7 @@
             endpoints.failed(endpoint, self.clock.now());
             let line = format!("{addr}: {reason}");
             if line != last_logged {
-                tracing::warn!("registry: {line}");
+                tracing::warn!(%addr, reason, "registry member left, trying another");
                 last_logged = line;
             }
         }
@@ -128,7 +128,7 @@
         match member {
             MemberClient::Etcd(etcd) => {
                 let addr = self.settings.endpoints[endpoint];
-                tracing::info!("registry: following {addr} from revision {from} on");
+                tracing::info!(%addr, revision = from, "registry member followed");
                 worked();
                 self.watch(machine, endpoint, etcd, from)
             }
@@ -148,7 +148,7 @@
                 Action::Leave(_, reason) => next = NextStep::Leave(format!("{reason:?}")),
                 Action::Restored => {
                     tracing::error!(
-                        "registry: it went back, as if restored from a backup: drained nodes stay drained"
+                        "registry went back, as if restored from a backup; drained nodes stay drained"
                     );
                     self.handle_fleet_event(&mut list, FleetEvent::Restored);
                 }
@@ -184,7 +184,9 @@
             Key::Router(name) => {
                 match serde_json::from_slice(&item.value) {
                     Ok(router) => _ = list.routers.insert(name.to_string(), router),
-                    Err(e) => tracing::error!("registry: {}: {e}", item.key),
+                    Err(error) => {
+                        tracing::error!(key = item.key, %error, "registry router entry unreadable");
+                    }
                 }
                 changed.routers = true;
             }
@@ -210,8 +212,10 @@
         let value = machine.items().find(|(k, _)| *k == key).map(|(_, value)| value);
         let text = value.map(|value| String::from_utf8_lossy(value).into_owned());
         match self.observer.config(text.as_deref()) {
-            Ok(()) => tracing::info!("registry: {key} is followed"),
-            Err(e) => tracing::error!("registry: {key}: {e}; what it said before holds"),
+            Ok(()) => tracing::info!(key, "registry configuration applied"),
+            Err(error) => {
+                tracing::error!(key, %error, "registry configuration rejected, the last valid one stays in force");
+            }
         }
     }
 }
--- a/registry/src/client/list_file.rs
+++ b/registry/src/client/list_file.rs
@@ -13,7 +13,7 @@
         let cached = match cache::read(Path::new(folder)) {
             Ok(Some(cached)) => cached,
             Ok(None) => return,
-            Err(e) => return tracing::error!("registry: the last list is not used: {e}"),
+            Err(error) => return tracing::error!(%error, "saved registry list not used"),
         };
         let age_s = (self.clock.now().0 - cached.at).max(0) / 1_000_000;
         let (at, keys) = (cached.at, cached.items.len());
@@ -31,9 +31,7 @@
         list.fleet.handle(decision::Time(at), FleetEvent::Heard, &mut actions);
         self.apply_fleet_actions(&mut list, actions);
         self.flush(&mut list);
-        tracing::warn!(
-            "registry: using the last list of {keys} keys, {age_s} s old, until the registry answers"
-        );
+        tracing::warn!(keys, age_s, "saved registry list used until the registry answers");
     }
 
     /// Writes the list to disk, if it has changed and the last write is long enough ago.
@@ -50,8 +48,8 @@
         let nodes = machine.all().filter(|item| matches!(self.classify(&item.key), Key::Node(_)));
         let items = nodes.map(|i| (i.key, i.value, i.created, i.modified)).collect();
         let cached = CachedList { at: now, revision: machine.revision(), items };
-        if let Err(e) = cache::write(Path::new(folder), &cached) {
-            tracing::error!("registry: the list can't be kept in {folder}: {e}");
+        if let Err(error) = cache::write(Path::new(folder), &cached) {
+            tracing::error!(folder, %error, "registry list not saved");
         }
     }
 }
--- a/registry/src/client/registration.rs
+++ b/registry/src/client/registration.rs
@@ -43,7 +43,7 @@
                 return;
             }
             if ended != last_logged {
-                tracing::warn!("registry: {key}: {ended}");
+                tracing::warn!(key, reason = ended, "registration ended, retrying");
                 last_logged = ended;
             }
             std::thread::sleep(self.limits.registry_retry.0 * RETRY_PAUSES);
@@ -55,7 +55,7 @@
         let lease = member.grant_lease(self.settings.ttl)?;
         member.put(key, value, Some(&lease))?;
         *lock(&self.lease) = Some(lease.clone());
-        tracing::info!("registry: registered as {key}");
+        tracing::info!(key, "router registered");
         loop {
             std::thread::sleep(self.settings.ttl / RENEWALS_PER_TTL);
             if self.is_stopping() || !member.keep_alive(&lease)? {
@@ -71,9 +71,9 @@
         let Some(lease) = lease else { return };
         let mut members = 0..self.settings.endpoints.len();
         if members.any(|member| self.connector.client_for(member).revoke_lease(&lease).is_ok()) {
-            tracing::info!("registry: registration given up");
+            tracing::info!("registration revoked");
         } else {
-            tracing::warn!("registry: the registration stays until its lease ends: no member answers");
+            tracing::warn!("registration not revoked, it stays until its lease ends; no member answers");
         }
     }
 }
--- a/registry/src/tls.rs
+++ b/registry/src/tls.rs
@@ -131,9 +131,11 @@
             match read_config(&self.files) {
                 Ok(config) => {
                     loaded.config = Arc::new(config);
-                    tracing::info!("registry: certificates read anew");
+                    tracing::info!("registry certificates reloaded");
+                }
+                Err(error) => {
+                    tracing::error!(%error, "registry certificates rejected, the old ones stay in force");
                 }
-                Err(e) => tracing::error!("registry: the old certificates stay: {e}"),
             }
         }
         loaded.config.clone()
--- a/store/src/acceptor.rs
+++ b/store/src/acceptor.rs
@@ -62,13 +62,14 @@
     let run = move || {
         let _slot = slot;
         if let Err(error) = serve(&socket) {
-            tracing::debug!(%error, "{service}: connection of a client closed");
+            tracing::debug!(service, %error, "service connection closed");
         }
     };
     if let Err(error) = spawn(&format!("{service}-client"), run) {
         tracing::error!(
+            service,
             %error,
-            "{service}: no thread for a client; raise the limit of processes of this user"
+            "service client thread not started; raise the limit of processes of this user"
         );
     }
 }
--- a/store/src/client/lease.rs
+++ b/store/src/client/lease.rs
@@ -129,7 +129,7 @@
                     rejection @ (Rejection::Fenced { .. } | Rejection::LeaseEnded { .. }),
                 )) => {
                     let name = &self.lease.token.name;
-                    tracing::warn!("store: the lease of '{name}' is lost: {rejection}");
+                    tracing::warn!(lease = %name, reason = %rejection, "store lease lost");
                     lock(&self.shared).valid_until = Instant::now();
                     return;
                 }
@@ -137,7 +137,7 @@
                 // longer than this process does.
                 Err(error) => {
                     let name = &self.lease.token.name;
-                    tracing::debug!(%error, "store: the lease of '{name}' is not renewed");
+                    tracing::debug!(lease = %name, %error, "store lease not renewed");
                     pause = MIN_BACKOFF;
                 }
             }
--- a/store/src/client/watch.rs
+++ b/store/src/client/watch.rs
@@ -87,7 +87,7 @@
                 Err(AttemptError::NotSent(reason) | AttemptError::NoResponse(reason)) => reason,
                 Err(AttemptError::Rejected(rejection)) => rejection.to_string(),
             };
-            tracing::debug!(%reason, "store: a watch resumes at another node");
+            tracing::debug!(%reason, "store watch resumed at another node");
             self.connection.switch_node();
             self.connection.back_off();
         }
--- a/store/src/control.rs
+++ b/store/src/control.rs
@@ -75,7 +75,7 @@
                 Err(_) => std::thread::sleep(ACCEPT_RETRY_DELAY),
             };
             if let Err(error) = spawn("command", serve) {
-                tracing::error!(%error, "store: no thread for a command");
+                tracing::error!(%error, "store command thread not started");
             }
         }
     })
--- a/store/src/node/actor.rs
+++ b/store/src/node/actor.rs
@@ -108,7 +108,7 @@
             self.request_read_index();
             if let Err(error) = self.advance() {
                 // What can't be stored must not be promised: the node stops, and the others go on.
-                tracing::error!("store: this node has stopped: {error}");
+                tracing::error!(%error, "store node stopped");
                 self.storage.shared.clear_leader();
                 return;
             }
@@ -171,9 +171,9 @@
                 // The old sender's thread ends with its queue.
                 self.peers.insert(node, sender);
                 self.settings.peers.insert(node, addr);
-                tracing::info!(node, %addr, "store: node {node} is at {addr} now");
+                tracing::info!(node, %addr, "store peer address changed");
             }
-            Err(error) => tracing::error!(node, %error, "store: no thread for a peer"),
+            Err(error) => tracing::error!(node, %error, "store peer thread not started"),
         }
     }
 
@@ -289,8 +289,8 @@
 
 fn log_leader(leader: u64, term: u64) {
     if leader == raft::INVALID_ID {
-        tracing::warn!(term, "store: no leader is known any more; writes wait for one");
+        tracing::warn!(term, "store leader lost, writes wait for one");
     } else {
-        tracing::info!(leader, term, "store: node {leader} leads in term {term}");
+        tracing::info!(leader, term, "store leader elected");
     }
 }
--- a/store/src/node/ready.rs
+++ b/store/src/node/ready.rs
@@ -90,7 +90,8 @@
 
     fn report_disk_failure(&self, error: &io::Error) {
         tracing::error!(
-            "store: the log can't be stored: {error}; this node takes part in nothing until it can"
+            %error,
+            "store log not stored, this node takes part in nothing until it is"
         );
         self.storage.shared.clear_leader();
     }
@@ -120,7 +121,7 @@
             let Some(log_file) = &mut self.log_file else { return Ok(()) };
             match log_file.rewrite(snapshot, entries, &hard_state) {
                 Ok(()) if failed => {
-                    tracing::info!("store: the log is stored again");
+                    tracing::info!("store log stored again");
                     return Ok(());
                 }
                 Ok(()) => return Ok(()),
--- a/store/src/node/recovery.rs
+++ b/store/src/node/recovery.rs
@@ -33,7 +33,7 @@
         let (log_file, contents) = LogFile::open(folder).map_err(failed)?;
         let LogContents { hard_state, entries, snapshot, torn_bytes } = contents;
         if torn_bytes > 0 {
-            tracing::warn!(torn_bytes, "store: cut a torn tail of {torn_bytes} bytes off the log");
+            tracing::warn!(torn_bytes, "torn tail of the store log cut off");
         }
         if snapshot.get_metadata().index > 0 {
             self.load_snapshot(snapshot)?;
--- a/store/src/peers.rs
+++ b/store/src/peers.rs
@@ -68,7 +68,7 @@
                 Err(_) => std::thread::sleep(ACCEPT_RETRY_DELAY),
             };
             if let Err(error) = spawn("store-peer", serve) {
-                tracing::error!(%error, "store: no thread for a peer");
+                tracing::error!(%error, "store peer thread not started");
             }
         }
     })
--- a/store/src/server/watch.rs
+++ b/store/src/server/watch.rs
@@ -88,7 +88,7 @@
                 tracing::debug!(
                     revision = progress.revision,
                     compacted_revision = compacted.compacted_revision,
-                    "store: watch begins again with all keys: its changes are not retained"
+                    "store watch restarted with all keys, its changes are not retained"
                 );
                 progress.revision = self.send_snapshot(&self.store.state(), prefix, true)?;
                 progress.last_sent = Instant::now();
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -259,8 +259,8 @@
 #[test]
 fn the_record_goes_on_where_the_leader_and_a_router_are_lost_in_a_change() {
     let (mut all, first) = Installation::start(&document(""));
-    let line = all.program(0).logged(" leads in term");
-    let node = line.split(" leads in term").next().unwrap().rsplit(' ').next().unwrap();
+    let line = all.program(0).logged("store leader elected leader=");
+    let node = line.split(" leader=").nth(1).unwrap().split(' ').next().unwrap();
     let leader = node.parse::<usize>().unwrap() - 1;
     (0..ROUTERS).for_each(|i| _ = all.recorded(i, &[("acting", first)]));
     let second = all.set(&document("rate = 0.0\nburst = 1\n"));
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -153,7 +153,7 @@
     let mut router = Program::start(&[], &[("BALANCER_CONFIG", path.to_str().unwrap())]);
     router.logged("version 50");
     let last = last.recv_timeout(LONG).unwrap();
-    router.logged("no whole line for 2.6s");
+    router.logged("discovery watch stale, opening another silent=2.6s");
     router.logged("version 54");
     assert!(last.elapsed() < Duration::from_secs(5), "{:?}", last.elapsed());
 }
@@ -217,7 +217,7 @@
 fn sighup_during_the_silence_moves_at_once_and_the_new_agents_drain_binds() {
     let mut site = Site::start();
     let (_, _mute) = site.agent.next();
-    site.router.logged("no whole line for 2.6s");
+    site.router.logged("discovery watch stale, opening another silent=2.6s");
     let new = Agent::start();
     site.moves(new.addr);
     let moved = Instant::now();
@@ -236,7 +236,7 @@
 fn sighup_to_an_address_that_refuses_leaves_the_old_watch_and_the_next_one_moves_on() {
     let mut site = Site::start();
     site.moves(ports(1)[0]);
-    site.router.logged("the watch broke");
+    site.router.logged("discovery watch broken");
     say(site.old(), &site.drains(51));
     site.drained(51);
     let up = news(52, false, &[site.replica.entry("in_service")]);
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -62,7 +62,7 @@
 
     /// So many requests of some client have been given up with it.
     fn left(&mut self, requests: usize) {
-        self.router.logged(&format!(" has left {requests} requests"));
+        self.router.logged(&format!("client disconnected requests={requests} "));
     }
 
     /// Whether an attempt was ever wanted for a request. Lines come in the order in which the module decides.
@@ -74,7 +74,7 @@
     /// The router ends by SIGTERM; all that it has written by then is there to be looked at.
     fn end(mut self) -> Program {
         self.router.terminate();
-        self.router.logged("shutdown: ended");
+        self.router.logged("shutdown ended");
         self.router
     }
 }
@@ -160,7 +160,7 @@
     (&client.0).write_all(&all).unwrap();
     drop(client);
     // However many were read before the end was seen, the rest is dropped.
-    site.router.logged(" has left ");
+    site.router.logged("client disconnected");
     site.list(&[entry]);
     Client::connect(site.addr).until(&insert("other", 7900), "primary");
     let ran = instance.ran.lock().unwrap().clone();
@@ -184,14 +184,14 @@
     let begun = Instant::now();
     let left = loop {
         let left: Vec<String> =
-            site.router.so_far().iter().filter(|l| l.contains(" has left ")).cloned().collect();
+            site.router.so_far().iter().filter(|l| l.contains("client disconnected")).cloned().collect();
         if left.len() == CLIENTS {
             break left;
         }
         assert!(begun.elapsed() < LONG, "{left:?}");
         std::thread::yield_now();
     };
-    assert!(left.iter().all(|l| l.ends_with(" has left 0 requests")), "{left:?}");
+    assert!(left.iter().all(|l| l.contains("client disconnected requests=0 ")), "{left:?}");
 }
 
 #[test]
@@ -228,7 +228,7 @@
     stays.write(&insert("w2", 7900));
     site.came(1);
     site.router.terminate();
-    site.router.logged("shutdown: taking requests");
+    site.router.logged("shutdown started");
     // Half a command keeps its connection until nothing more is read of anybody.
     (&witness.0).write_all(b"Q\0\x02\0\0SELECT").unwrap();
     while read(&witness.0).is_ok() {}
@@ -237,7 +237,7 @@
     assert!(!site.sent(0));
     // Nobody can take it: it is refused when its time is up, and not before.
     assert!(matches!(stays.answer(), Answer::Error(code, _) if code == "53300"));
-    site.router.logged("shutdown: ended with 0 connections left");
+    site.router.logged("shutdown ended connections=0");
 }
 
 /// An instance whose connections come up when the test says so.
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -153,7 +153,7 @@
 }
 
 fn share(n: usize) -> String {
-    format!("share 1/{n}")
+    format!("router_count={n}")
 }
 
 #[test]
@@ -179,7 +179,7 @@
     let after = all.held(&everybody, 12);
     (0..4).for_each(|i| _ = all.program(i).logs_next(&share(12)));
     for i in 4..12 {
-        let first = all.program(i).logged("share 1/");
+        let first = all.program(i).logged("router_count=");
         assert!(first.contains(&share(12)), "{first}");
     }
     eprintln!("places held: {before} by twelve, {wide} by four, {after} by twelve again");
@@ -205,7 +205,7 @@
     }
     all.program(3).logged("Rejoined(");
     // It has heard that all others live after it was back, and never took one for dead nor widened its share.
-    assert_eq!(all.said(3, "membership: Down("), None);
+    assert_eq!(all.said(3, "membership changed change=Down("), None);
     assert_eq!(all.said(3, &share(3)), None);
 }
 
@@ -219,10 +219,10 @@
         assert!(begun.elapsed() < LONG * 3, "the cut way was used {} times", all.ways[2].counts().1);
         std::thread::park_timeout(RHYTHM / 4);
     }
-    (0..5).for_each(|i| assert_eq!(all.said(i, "membership: Down("), None));
+    (0..5).for_each(|i| assert_eq!(all.said(i, "membership changed change=Down("), None));
     // The same way cut for all is a router that nobody reaches, or this test could not fail.
     all.ways[2].faults(|f| f.cut = true);
-    all.program(0).logged("membership: Down(Member { name: \"r2\"");
+    all.program(0).logged("membership changed change=Down(Member { name: \"r2\"");
 }
 
 #[test]
@@ -252,7 +252,7 @@
     let file = all.file(7, "r2", elsewhere, None);
     let mut second = all.run(&file);
     second.listening();
-    let told = all.program(2).logged("a later start at");
+    let told = all.program(2).logged("router name taken by a later start");
     assert!(told.contains(&elsewhere.to_string()) && told.contains("ERROR"), "{told}");
     all.program(0).logged(&format!("Up(Member {{ name: \"r2\", addr: {elsewhere}"));
     second.logged("Up(Member { name: \"r0\"");
@@ -264,8 +264,8 @@
     assert!(all.held(&[2], 1) >= 1);
     // One that is ended says farewell.
     all.program(1).terminate();
-    all.program(1).logged("membership: ended: Left");
-    all.program(0).logged("membership: Down(Member { name: \"r1\"");
+    all.program(1).logged("membership ended reason=Left");
+    all.program(0).logged("membership changed change=Down(Member { name: \"r1\"");
 }
 
 /// What membership costs: `cargo test --release --test members -- --ignored --nocapture`, alone on the host.
@@ -325,15 +325,15 @@
     if !with {
         return;
     }
-    let lines = |line: String| line.split("ended: ").last().unwrap_or_default().to_string();
+    let lines = |line: String| line.split("membership ended ").last().unwrap_or_default().to_string();
     all.program(n - 1).terminate();
-    println!("{n} routers, one at rest: {}", lines(all.program(n - 1).logged("membership: ended")));
+    println!("{n} routers, one at rest: {}", lines(all.program(n - 1).logged("membership ended")));
     // Failures, one after the other: from SIGKILL until the first and the last of the others know.
     let (mut first, mut last) = (Vec::new(), Vec::new());
     for gone in (n - 6..n - 1).rev() {
         all.kill(gone);
         let killed = Instant::now();
-        let text = format!("membership: Down(Member {{ name: \"r{gone}\"");
+        let text = format!("membership changed change=Down(Member {{ name: \"r{gone}\"");
         let mut times = Vec::new();
         let mut left: Vec<usize> = (0..gone).collect();
         while !left.is_empty() {
@@ -368,5 +368,5 @@
         killed.elapsed()
     );
     all.program(0).terminate();
-    println!("{n} routers, one that saw it all: {}", lines(all.program(0).logged("membership: ended")));
+    println!("{n} routers, one that saw it all: {}", lines(all.program(0).logged("membership ended")));
 }
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -531,7 +531,7 @@
     site.primary.1.recv_timeout(LONG).unwrap();
     // Its reader waits for room among the commands and reads no further.
     drop(raw);
-    site.router.logged(" has left 1 requests");
+    site.router.logged("client disconnected requests=1 ");
 }
 
 #[test]
--- a/tests/one_fleet.rs
+++ b/tests/one_fleet.rs
@@ -121,8 +121,8 @@
 
     /// Which node leads the store, by its first election.
     fn leader(&mut self) -> usize {
-        let line = self.program(0).logged(" leads in term");
-        let node = line.split(" leads in term").next().unwrap().rsplit(' ').next().unwrap();
+        let line = self.program(0).logged("store leader elected leader=");
+        let node = line.split(" leader=").nth(1).unwrap().split(' ').next().unwrap();
         node.parse::<usize>().unwrap() - 1
     }
 
@@ -365,7 +365,7 @@
     all.served(3, "tills");
     // One that ends when it is told to gives its part back.
     all.program(3).terminate();
-    all.program(3).logged("left the fleet, quota grants returned");
+    all.program(3).logged("fleet left, quota grants returned");
 }
 
 #[test]
@@ -378,7 +378,7 @@
     let load = Load::start(&all, &[3], tills);
     all.more(40);
     (0..3).for_each(|i| all.running[i] = None);
-    all.program(3).logged("no leader answers fleet reports, quota grants expire");
+    all.program(3).logged("fleet leader lost, quota grants expire");
     std::thread::sleep(LOAN);
     load.turned();
     let before = all.writes();
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -432,7 +432,7 @@
     }
     let (begun, addr) = (Instant::now(), site.addr);
     router.program.terminate();
-    router.program.logged("taking requests for 500ms more");
+    router.program.logged("shutdown started, requests are taken for the grace time grace=500ms");
     // One asks ahead without a pause, one asks again with each answer, on the connection that it has.
     let ahead = std::thread::spawn(move || pipeline(addr, &AtomicUsize::new(0), begun));
     let eager = std::thread::spawn(move || {
@@ -450,7 +450,7 @@
     assert!(read(&half.0).is_err(), "one whose second half never comes is not waited for");
     assert!(eager.join().unwrap() > 0);
     assert!(ahead.join().unwrap().0 > 0);
-    router.program.logged("ended with 0 connections left");
+    router.program.logged("shutdown ended connections=0");
     assert_eq!(router.program.ended().0, Some(0));
     assert!(begun.elapsed() < Duration::from_millis(3700), "{:?}", begun.elapsed());
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -298,7 +298,7 @@
         "answers",
         "client",
         "damsonvale",
-        "departures",
+        "disconnects",
         "discovery",
         "link",
         "list",
@@ -325,7 +325,7 @@
     client.write(&insert("w1", 1500));
     site.primary.1.recv_timeout(LONG).unwrap();
     router.terminate();
-    router.logged("shutdown: taking requests");
+    router.logged("shutdown started");
     // New connections are still served for a while.
     assert_eq!(Client::connect(site.addr).ask(&select("r1", 1900)), served("replica"));
     assert!(matches!(client.answer(), Answer::Error(code, None) if code == "57014"));
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -188,12 +188,12 @@
     let load = Load::start(addr);
     site.registry.faults(0, |f| f.down = true);
     site.registry.break_connections(0);
-    router.logged("registry: 127.0.0.1");
+    router.logged("registry member left, trying another addr=127.0.0.1");
     site.state(1, "draining");
     site.registry.put("/elsewhere", "x");
     site.registry.compact();
     site.registry.faults(0, |f| f.down = false);
-    router.logged("has been compacted away: reading everything anew");
+    router.logged("registry revision compacted away, reading everything again");
     router.logged("names 3 instances, 2 in service");
     gets_nothing_new(&site, 1, 2);
     drop(load);
@@ -322,8 +322,9 @@
         ("{\"addr\":\"127.7.0.1:1\"}", "not in a network that may be connected to"),
     ] {
         site.registry.put(&site.key(1), value);
-        let line = router.logs_next("nodes/replica-1: ");
-        assert!(line.contains(why) && line.contains("what it said before holds"), "{line}");
+        let line = router
+            .logs_next("registry node rejected, its last valid value stays in force node=\"replica-1\"");
+        assert!(line.contains(why), "{line}");
         until_by(&mut connect(addr).unwrap(), "replica-1");
     }
     site.state(2, "draining");
@@ -339,10 +340,10 @@
             c.delete(&format!("{PREFIX}nodes/{}", s.0));
         }
     });
-    router.logged("vanished at once: they are held");
+    router.logged("most registry nodes vanished at once, they are retained for the hold time");
     assert!(by(&mut connect(addr).unwrap()).is_ok());
     assert_eq!(site.command("etcd", &["let-go"]).0, Some(0));
-    router.logged("that had vanished are let go");
+    router.logged("vanished registry nodes released");
     router.logged("names 0 instances, 0 in service");
 }
 
@@ -354,11 +355,11 @@
     let load = Load::start(addr);
     site.registry.faults(0, |f| f.down = true);
     site.registry.break_connections(0);
-    router.logged("used as KnownGood only");
+    router.logged("the use of its list is restricted level=KnownGood");
     // Those that answer go on; the primary, which nobody asked, gets nothing new until the registry is back.
     gets_nothing_new(&site, 0, 1);
     site.registry.faults(0, |f| f.down = false);
-    router.logged("the list is fresh again");
+    router.logged("registry list fresh again");
     drop(load);
 }
 
@@ -376,7 +377,7 @@
     site.registry.faults(0, |f| f.down = true);
     site.registry.break_connections(0);
     let (mut router, addr) = site.start("etcd");
-    router.logged("using the last list of 2 keys");
+    router.logged("saved registry list used until the registry answers keys=2");
     until_by(&mut connect(addr).unwrap(), "replica-1");
     // What has gone meanwhile goes as soon as the registry answers.
     site.registry.delete(&site.key(1));
@@ -386,7 +387,7 @@
     // A file that is not whole is refused, and the start goes on without it.
     std::fs::write(&kept, b"DVREGI\x01\nhalf").unwrap();
     let (mut router, _) = site.start("etcd");
-    router.logged("the last list is not used");
+    router.logged("saved registry list not used");
     router.logged("names 1 instances, 1 in service");
 }
 
@@ -415,7 +416,7 @@
         router.logged("the lease was lost; registering anew");
         registered(true);
         router.terminate();
-        router.logged("registration given up");
+        router.logged("registration revoked");
         registered(false);
         assert_eq!(router.ended().0, Some(0));
     }
@@ -430,7 +431,7 @@
     let key = format!("{PREFIX}config/mysql");
     assert!(cook().is_err());
     site.registry.put(&key, "[[mysql.user]]\nname = 'cook'\npassword = 'salt'\n");
-    router.logged("config/mysql is followed");
+    router.logged(&format!("registry configuration applied key={key:?}"));
     assert!(cook().is_ok() && connect(addr).is_err());
     for (bad, why) in [
         ("[[mysql.user]]\nname = 7\n", "expected text in 'name'"),
@@ -438,8 +439,8 @@
         ("[store]\n", "the key 'store' is not known"),
     ] {
         site.registry.put(&key, bad);
-        let line = router.logs_next("config/mysql: ");
-        assert!(line.contains(why) && line.contains("what it said before holds"), "{line}");
+        let line = router.logs_next("registry configuration rejected, the last valid one stays in force");
+        assert!(line.contains(why) && line.contains(&format!("key={key:?}")), "{line}");
         assert!(cook().is_ok());
     }
     // SIGHUP reads the file and leaves the registry's word in force; without the key the file holds again.
@@ -447,7 +448,7 @@
     router.logs_next("the configuration is followed");
     assert!(cook().is_ok());
     site.registry.delete(&key);
-    router.logs_next("config/mysql is followed");
+    router.logs_next(&format!("registry configuration applied key={key:?}"));
     assert!(cook().is_err() && connect(addr).is_ok());
 }
 
@@ -652,20 +653,20 @@
     // Without a certificate of its own it is turned away.
     site.more = files(false);
     let (mut stranger, _) = site.start("etcd");
-    stranger.logged("registry: 127.0.0.1");
+    stranger.logged("registry member left, trying another addr=127.0.0.1");
     drop(stranger);
     site.more = files(true);
     let (mut router, _) = site.ready("etcd");
     // A file that is no certificate leaves the old ones in force.
     folder.write("cert.pem", "nothing");
     site.registry.break_connections(0);
-    router.logged("the old certificates stay");
+    router.logged("registry certificates rejected, the old ones stay in force");
     site.state(1, "draining");
     router.logged("names 2 instances, 1 in service");
     // Another authority on both sides, while the router runs.
     site.registry.set_tls(authority(&folder));
     site.registry.break_connections(0);
-    router.logged("certificates read anew");
+    router.logged("registry certificates reloaded");
     site.state(1, "in_service");
     router.logs_next("names 2 instances, 2 in service");
     let path = site.file("etcd");
@@ -724,7 +725,7 @@
         let control = router.logged("control: answering on ").rsplit(' ').next().unwrap().to_string();
         routers.push((router, control));
     }
-    routers[0].0.logged(&format!("store: node 2 is at {} now", at[1]));
+    routers[0].0.logged(&format!("store peer address changed node=2 addr={}", at[1]));
     // With both there is a majority: a change goes through.
     let begun = Instant::now();
     while !Program::start(&["ctl", &routers[0].1, "set", "a", "1"], &[]).child.wait().unwrap().success() {
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -267,7 +267,7 @@
     // Opened for writing, which waits for a reader: the router waits in its read now.
     let writer = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
     site.router.terminate();
-    site.router.logged("shutdown: taking requests");
+    site.router.logged("shutdown started");
     let client = Client::connect(site.addr);
     assert_eq!(client.ask(&insert("after", 1900)), served("primary"));
     drop(client);
@@ -288,7 +288,7 @@
     let watch = mute.accept().unwrap();
     assert!(router.so_far().iter().all(|l| !l.contains("listening on")), "before clients are taken");
     router.terminate();
-    router.logged("shutdown: taking requests");
+    router.logged("shutdown started");
     assert_eq!(router.ended().0, Some(0));
     drop(watch);
 }
@@ -306,13 +306,13 @@
     let addr = router.listening();
     let idle: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(addr).unwrap()).collect();
     let begun = Instant::now();
-    router.logged("cannot accept");
+    router.logged("client connection not accepted");
     // Those that say nothing give way long before their time is up.
     assert_eq!(Client::connect(addr).ask(""), Answer::Empty);
     assert!(begun.elapsed().as_millis() < 1500, "{:?}", begun.elapsed());
     router.terminate();
-    router.logged("shutdown: taking requests");
-    router.logged("shutdown: ended");
+    router.logged("shutdown started");
+    router.logged("shutdown ended");
     assert_eq!(router.ended().0, Some(0));
     drop((idle, discovery));
 }
@@ -338,7 +338,7 @@
         assert!(answer.starts_with("200"), "{line}: {answer}");
     }
     router.terminate();
-    router.logged("shutdown: taking requests");
+    router.logged("shutdown started");
     assert_eq!(router.ended().0, Some(0));
     drop(watch);
 }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -119,7 +119,7 @@
     let kept = std::fs::read(&log).unwrap();
     std::fs::write(&log, [&kept[..], b"\x50\0\0\0torn off"].concat()).unwrap();
     (0..3).for_each(|i| cluster.start(i));
-    cluster.nodes[left[1]].as_mut().unwrap().0.logged("torn tail of 12 bytes");
+    cluster.nodes[left[1]].as_mut().unwrap().0.logged("torn tail of the store log cut off torn_bytes=12");
     for i in 0..3 {
         cluster.reads(i, "a", "2");
         cluster.reads(i, "b", "1");
