--- a/placement/src/interface.rs
+++ b/placement/src/interface.rs
@@ -62,7 +62,7 @@
 
 /// What a member reports its role with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RoleSource {
+pub enum ReportSource {
     /// The response to a request.
     Response,
     /// The response to a probe, which may be older than what a response to a request reported.
@@ -101,7 +101,7 @@
         /// Whether it is.
         primary: bool,
         /// What it has reported it with.
-        source: RoleSource,
+        source: ReportSource,
     },
     /// A member turned out to be reachable or not.
     ReachabilityChanged {
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -11,5 +11,5 @@
 mod rules;
 
 pub use error::PlacementError;
-pub use interface::{Action, Event, Member, RoleSource, RoutingQuery, RulesUpdate, Settings};
+pub use interface::{Action, Event, Member, ReportSource, RoutingQuery, RulesUpdate, Settings};
 pub use machine::{FIRST_VIEW, PlacementEngine};
--- a/placement/src/machine/members.rs
+++ b/placement/src/machine/members.rs
@@ -1,7 +1,7 @@
 //! Follows what the list and the members themselves report of each member.
 use super::PlacementEngine;
 use super::member_record::MemberRecord;
-use crate::interface::{Action, Member, RoleSource};
+use crate::interface::{Action, Member, ReportSource};
 use decision::{GroupId, MemberState, Time};
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -86,7 +86,7 @@
         now: Time,
         name: &Arc<str>,
         is_primary: bool,
-        source: RoleSource,
+        source: ReportSource,
         actions: &mut Vec<Action>,
     ) {
         let Some(member) = self.members.get(name) else { return };
@@ -99,12 +99,12 @@
     }
 
     /// A member reports that it is the primary. Returns whether that is new.
-    fn on_claim(&mut self, now: Time, name: &Arc<str>, source: RoleSource) -> bool {
+    fn on_claim(&mut self, now: Time, name: &Arc<str>, source: ReportSource) -> bool {
         let Some(member) = self.members.get_mut(name) else { return false };
         let Some(group) = self.groups.get_mut(&member.group) else { return false };
         let denial_time = self.settings.denial_time;
         // A probe may have been answered before the response that contradicts it.
-        let is_contradicted = source == RoleSource::Probe
+        let is_contradicted = source == ReportSource::Probe
             && member.denied_primary_at.is_some_and(|t| now.0 - t.0 < denial_time);
         if is_contradicted || !member.is_ready() {
             return false;
@@ -119,10 +119,10 @@
     }
 
     /// A member reports that it is not the primary. Returns whether that is new.
-    fn on_denial(&mut self, now: Time, name: &Arc<str>, source: RoleSource) -> bool {
+    fn on_denial(&mut self, now: Time, name: &Arc<str>, source: ReportSource) -> bool {
         let Some(member) = self.members.get_mut(name) else { return false };
         let Some(group) = self.groups.get_mut(&member.group) else { return false };
-        if source == RoleSource::Response {
+        if source == ReportSource::Response {
             member.denied_primary_at = Some(now);
         }
         let denied_before = std::mem::replace(&mut member.denies_primary, true);
--- a/placement/tests/machine.rs
+++ b/placement/tests/machine.rs
@@ -1,11 +1,11 @@
 //! The state machine's rules one by one, and over random events: no view has a member outside its boundary.
 use decision::{GroupId, MemberState, Time};
 use placement::{
-    Action, Event, FIRST_VIEW, Member, PlacementEngine, PlacementError, RoleSource, RoutingQuery,
+    Action, Event, FIRST_VIEW, Member, PlacementEngine, PlacementError, ReportSource, RoutingQuery,
     RulesUpdate, Settings,
 };
 use proptest::prelude::*;
-use settings::fleet::{Fleet, Place, Tenant};
+use settings::fleet::{Fleet, PlacementRule, Tenant};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -17,15 +17,16 @@
 const FAR_FUTURE: Time = Time(1 << 50);
 const BASE: GroupId = GroupId(0);
 
-fn place(sites: &[&str], strict: bool, classes: Option<&[&str]>) -> Place {
+fn place(sites: &[&str], strict: bool, classes: Option<&[&str]>) -> PlacementRule {
     let set = |names: &[&str]| names.iter().map(ToString::to_string).collect();
-    Place { sites: set(sites), strict, classes: classes.map(set) }
+    PlacementRule { sites: set(sites), strict, classes: classes.map(set) }
 }
 
-fn fleet(tenants: Vec<(&str, Vec<Place>)>) -> Arc<Fleet> {
-    let tenants =
-        tenants.into_iter().map(|(n, places)| (n.to_string(), Tenant { places, ..Tenant::default() }));
-    Arc::new(Fleet { unnamed: "anyone".into(), tenants: tenants.collect(), ..Fleet::default() })
+fn fleet(tenants: Vec<(&str, Vec<PlacementRule>)>) -> Arc<Fleet> {
+    let tenants = tenants
+        .into_iter()
+        .map(|(n, places)| (n.to_string(), Tenant { placement_rules: places, ..Tenant::default() }));
+    Arc::new(Fleet { default_tenant: "anyone".into(), tenants: tenants.collect(), ..Fleet::default() })
 }
 
 fn member(name: &str, site: &str) -> Member {
@@ -49,7 +50,7 @@
     }
 
     /// Starts with rules that stay confirmed, and members.
-    fn with_rules(tenants: Vec<(&str, Vec<Place>)>, members: &[(&str, &str)]) -> Self {
+    fn with_rules(tenants: Vec<(&str, Vec<PlacementRule>)>, members: &[(&str, &str)]) -> Self {
         let mut d = Driver::new();
         d.rules(1, tenants);
         d.handle(Event::RulesUpdated(RulesUpdate::Confirmed { until: FAR_FUTURE }));
@@ -76,7 +77,7 @@
         self.apply(actions);
     }
 
-    fn rules(&mut self, version: u64, tenants: Vec<(&str, Vec<Place>)>) {
+    fn rules(&mut self, version: u64, tenants: Vec<(&str, Vec<PlacementRule>)>) {
         self.handle(Event::RulesUpdated(RulesUpdate::Received { version, fleet: fleet(tenants) }));
     }
 
@@ -84,7 +85,7 @@
         self.handle(Event::MembersUpdated { complete, entries });
     }
 
-    fn report_role(&mut self, name: &str, primary: bool, source: RoleSource) {
+    fn report_role(&mut self, name: &str, primary: bool, source: ReportSource) {
         self.handle(Event::RoleReported { member: name.into(), primary, source });
     }
 
@@ -112,11 +113,11 @@
     }
 }
 
-fn strict(sites: &[&str]) -> Vec<Place> {
+fn strict(sites: &[&str]) -> Vec<PlacementRule> {
     vec![place(sites, true, None)]
 }
 
-fn preferred(sites: &[&str]) -> Vec<Place> {
+fn preferred(sites: &[&str]) -> Vec<PlacementRule> {
     vec![place(sites, false, None)]
 }
 
@@ -165,7 +166,7 @@
     assert_eq!(d.route("nobody", READ), Ok(BASE));
     d.handle(Event::RulesUpdated(RulesUpdate::Confirmed { until: FAR_FUTURE }));
     assert!(d.route("t", WRITE).is_ok());
-    d.report_role("b1", true, RoleSource::Response);
+    d.report_role("b1", true, ReportSource::Response);
     let outside = |site: &str| PlacementError::PrimaryOutside {
         group: BASE,
         primary: "b1".into(),
@@ -190,15 +191,15 @@
     let mut d = Driver::with_rules(vec![("t", strict(&["a"]))], &[("a1", "a"), ("b1", "b")]);
     d.members(false, vec![Member { primary: true, ..member("b1", "b") }]);
     assert!(matches!(d.route("t", WRITE), Err(PlacementError::PrimaryOutside { .. })));
-    d.report_role("a1", true, RoleSource::Probe);
+    d.report_role("a1", true, ReportSource::Probe);
     assert!(d.route("t", WRITE).is_ok());
     // A probe that began before the response that denies it must not restore it.
-    d.report_role("a1", false, RoleSource::Response);
-    d.report_role("b1", false, RoleSource::Probe);
-    d.report_role("a1", true, RoleSource::Probe);
+    d.report_role("a1", false, ReportSource::Response);
+    d.report_role("b1", false, ReportSource::Probe);
+    d.report_role("a1", true, ReportSource::Probe);
     assert_eq!(d.engine.primary(BASE), None);
     d.advance_to(Time(d.now.0 + 1_000_000));
-    d.report_role("a1", true, RoleSource::Probe);
+    d.report_role("a1", true, ReportSource::Probe);
     assert_eq!(d.engine.primary(BASE).map(|p| &**p), Some("a1"));
     d.handle(Event::ReachabilityChanged { member: "a1".into(), reachable: false });
     assert_eq!(d.engine.primary(BASE), None, "an unreachable primary is none");
@@ -234,7 +235,7 @@
 fn preferred_view_spills_over_without_inside_members_and_has_any_primary() {
     let mut d = Driver::with_rules(vec![("p", preferred(&["a"]))], &[("a1", "a"), ("b1", "b"), ("b2", "b")]);
     assert_eq!(d.routed_members("p", READ), ["a1"]);
-    d.report_role("b2", true, RoleSource::Response);
+    d.report_role("b2", true, ReportSource::Response);
     assert_eq!(d.routed_members("p", WRITE), ["a1", "b2"]);
     d.handle(Event::ReachabilityChanged { member: "a1".into(), reachable: false });
     assert_eq!(d.routed_members("p", READ), ["a1", "b1", "b2"]);
@@ -295,7 +296,7 @@
     Rules(Vec<Vec<(u8, bool, u8)>>),
     Confirmed(i64),
     List(bool, Vec<(u8, u8, u8)>),
-    ReportRole(u8, bool, RoleSource),
+    ReportRole(u8, bool, ReportSource),
     SetReachability(u8, bool),
     Wait(i64),
     Route(u8, usize),
@@ -309,7 +310,7 @@
         2 => (0..3_000_000i64).prop_map(Step::Confirmed),
         3 => (any::<bool>(), prop::collection::vec(entry, 0..5)).prop_map(|(c, e)| Step::List(c, e)),
         2 => (0u8..5, any::<bool>(), any::<bool>()).prop_map(|(m, p, is_response)| {
-            Step::ReportRole(m, p, if is_response { RoleSource::Response } else { RoleSource::Probe })
+            Step::ReportRole(m, p, if is_response { ReportSource::Response } else { ReportSource::Probe })
         }),
         1 => (0u8..5, any::<bool>()).prop_map(|(m, r)| Step::SetReachability(m, r)),
         3 => (0..1_500_000i64).prop_map(Step::Wait),
@@ -366,8 +367,8 @@
             })
     }
 
-    fn rule(&self, tenant: &str, class: &str) -> Option<Place> {
-        let places = &self.fleet.as_ref()?.tenants[tenant].places;
+    fn rule(&self, tenant: &str, class: &str) -> Option<PlacementRule> {
+        let places = &self.fleet.as_ref()?.tenants[tenant].placement_rules;
         let named = places.iter().find(|p| p.classes.as_ref().is_some_and(|c| c.contains(class)));
         named.or_else(|| places.iter().find(|p| p.classes.is_none())).cloned()
     }
@@ -383,7 +384,7 @@
             match step {
                 Step::Rules(tenants) => {
                     let set = |bits: u8| SITES[1..].iter().enumerate().filter(move |(i, _)| bits >> i & 1 == 1);
-                    let place = |(bits, strict, class): (u8, bool, u8)| Place {
+                    let place = |(bits, strict, class): (u8, bool, u8)| PlacementRule {
                         sites: set(bits).map(|(_, s)| s.to_string()).collect(),
                         strict,
                         classes: [None, Some("read"), Some("write")][class as usize].map(|c| [c.to_string()].into()),
--- a/postgres/src/backend.rs
+++ b/postgres/src/backend.rs
@@ -52,11 +52,11 @@
     fn connect(&self, addr: SocketAddr, permit: ConnectionPermit) -> Result<PostgresConnection, Outcome> {
         let failed = |_: io::Error| Outcome::ConnectFailed;
         // One deadline for both: an instance that accepts late has less time for its greeting.
-        let deadline = Instant::now() + self.limits.connect;
+        let deadline = Instant::now() + self.limits.backend_connect_timeout;
         let handshake = Handshake::connect(permit, addr, &self.limits)?;
         handshake.write(&mut io_slices(&[STARTUP])).map_err(failed)?;
         read_greeting(&handshake, deadline)?;
-        let buffer = MessageBuffer::new(self.limits.value_bytes + MAX_OVERHEAD_BYTES);
+        let buffer = MessageBuffer::new(self.limits.max_value_bytes + MAX_OVERHEAD_BYTES);
         let (limits, wall_clock) = (self.limits.clone(), self.wall_clock.clone());
         let socket = handshake.finish().map_err(failed)?;
         Ok(PostgresConnection { socket, buffer, limits, wall_clock, addr })
@@ -92,7 +92,7 @@
 
     fn is_usable(&mut self, idle: Duration, permit: ConnectionPermit) -> bool {
         let silent = self.buffer.is_empty() && self.socket.is_idle_and_open();
-        silent && (idle < self.limits.link_trust || self.answers_empty_query(permit))
+        silent && (idle < self.limits.max_unchecked_idle_time || self.answers_empty_query(permit))
     }
 
     fn execute(
@@ -113,14 +113,14 @@
                 let digits = remaining.as_millis().max(1).to_string();
                 let (head, [before, after]) = statement.with_wait(&digits);
                 let parts = &mut io_slices(&[&head, before, digits.as_bytes(), after]);
-                let last_read = now + remaining + self.limits.link_backstop;
+                let last_read = now + remaining + self.limits.abandoned_response_timeout;
                 let deadlines = Deadlines { response: deadline, last_read };
                 (ResponseKind::Statement, deadlines, self.socket.write_last(permit, parts))
             }
             Exchange::Probe => {
                 let mut probe = Vec::new();
                 push_message(&mut probe, b'Q', &[PROBE_QUERY]);
-                let deadline = now + self.limits.probe;
+                let deadline = now + self.limits.health_check_timeout;
                 let written = self.socket.write_last(permit, &mut io_slices(&[&probe]));
                 let deadlines = Deadlines { response: deadline, last_read: deadline };
                 (ResponseKind::Probe, deadlines, written)
@@ -148,7 +148,7 @@
         if self.socket.write_check(permit, &mut io_slices(&[EMPTY_QUERY])).is_err() {
             return false;
         }
-        let deadline = Instant::now() + self.limits.link_check;
+        let deadline = Instant::now() + self.limits.backend_check_timeout;
         let mut answered = false;
         loop {
             let Ok(Some(frame)) = self.buffer.read_message(self.socket.reader(deadline)) else {
@@ -164,7 +164,7 @@
     }
 
     fn read_response(&mut self, kind: ResponseKind, deadlines: &Deadlines) -> ExchangeResult<Vec<u8>> {
-        let mut parser = ResponseParser::new(kind, self.limits.value_bytes);
+        let mut parser = ResponseParser::new(kind, self.limits.max_value_bytes);
         let end = self.read_messages(&mut parser, deadlines);
         let result = parser.finish(end, self.buffer.read_ahead(), self.wall_clock.now());
         self.with_router_times(result)
@@ -189,7 +189,7 @@
                 was_complete = true;
                 let now = Instant::now();
                 let remaining = deadlines.response.saturating_duration_since(now) / 2;
-                deadline = deadline.min(now + remaining.min(self.limits.answer_settle));
+                deadline = deadline.min(now + remaining.min(self.limits.response_end_timeout));
             }
         }
     }
--- a/postgres/src/front/response_writer.rs
+++ b/postgres/src/front/response_writer.rs
@@ -63,7 +63,7 @@
         if !buffer.is_empty() {
             return Ok(Waited::Pipelined(pending));
         }
-        match pending.receiver.recv_timeout(front.limits.client_watch) {
+        match pending.receiver.recv_timeout(front.limits.client_poll_interval) {
             Ok(final_response) => {
                 pending.request.finish();
                 return Ok(Waited::Ready(response::encode(final_response)));
@@ -129,9 +129,10 @@
 impl ResponseWriter {
     /// Starts the thread; `None` where the system has none.
     pub(super) fn start(front: &Arc<Front>, connection: &Arc<Connection>) -> Option<ResponseWriter> {
-        let (sender, responses) = bounded(front.limits.pipelined);
+        let (sender, responses) = bounded(front.limits.max_pipelined_requests);
         let (end_sender, ended) = bounded::<()>(0);
-        let (stack_bytes, front, connection) = (front.limits.stack_bytes, front.clone(), connection.clone());
+        let (stack_bytes, front, connection) =
+            (front.limits.socket_thread_stack_bytes, front.clone(), connection.clone());
         let run = move || {
             write_responses(&front, &connection, &responses);
             drop(end_sender);
--- a/registry/src/client/endpoint_list.rs
+++ b/registry/src/client/endpoint_list.rs
@@ -28,7 +28,7 @@
                 }
                 FleetAction::Holding(nodes) => tracing::error!(
                     nodes,
-                    hold_time = ?self.settings.held,
+                    hold_time = ?self.settings.mass_removal_delay,
                     "most registry nodes vanished at once, they are retained for the hold time"
                 ),
                 FleetAction::Released(nodes) => {
@@ -83,7 +83,7 @@
     pub(super) fn run_timer(&self) {
         let mut rounds = 0u32;
         while !self.is_stopping() {
-            std::thread::sleep(self.limits.registry_gather);
+            std::thread::sleep(self.limits.registry_debounce_delay);
             rounds += 1;
             let mut list = self.list();
             if rounds.is_multiple_of(ROUNDS_PER_TICK) {
@@ -96,7 +96,7 @@
 
     fn tick(&self, list: &mut ListState) {
         let age = list.last_contact.map_or(0, |at| self.clock.now().0 - at);
-        let wants_responses = age > micros(self.settings.fresh) / RESPONSES_AFTER_FRESH_DIVISOR;
+        let wants_responses = age > micros(self.settings.max_fresh_age) / RESPONSES_AFTER_FRESH_DIVISOR;
         for id in self.responded.drain(wants_responses) {
             // An endpoint's id is the node's name with the revision at which it was created.
             let name = id.rsplit_once('@').map_or(id.as_str(), |(name, _)| name).to_string();
--- a/routing/src/permit/handshake.rs
+++ b/routing/src/permit/handshake.rs
@@ -33,7 +33,7 @@
         match connected {
             Ok(socket) => Ok(Handshake { socket: Some(Arc::new(socket)) }),
             Err(error) if socket::is_local_shortage(&error) => {
-                tracing::warn!(%error, "no connection to {addr} for lack of this host's own resources");
+                tracing::warn!(%error, %addr, "backend connection not opened for lack of this host's own resources");
                 Err(Outcome::NeverSent)
             }
             Err(_) => Err(Outcome::ConnectFailed),
@@ -70,8 +70,8 @@
 }
 
 impl Drop for Handshake {
-    /// Where nobody listens on a loopback port of the range for outgoing connections, the system may connect a socket to
-    /// itself. No login succeeds on it; it is reset, so that the port is free for the server at once.
+    /// If nobody listens on a loopback port of the ephemeral range, the operating system may connect a socket to itself.
+    /// No login succeeds on it; it is reset, so that the port is free for the server at once.
     fn drop(&mut self) {
         if let Some(socket) = &self.socket
             && socket::is_self_connection(socket).unwrap_or(false)
