--- a/routing/src/placement_subsets/subsets.rs
+++ b/routing/src/placement_subsets/subsets.rs
@@ -1,17 +1,17 @@
 //! The subsets of one router: routing, changes of the rules and of the endpoint list, and what members have stated.
-use super::change::{OutcomeRecorded, ReportSource, Routed, StatedRole, SubsetChange};
+use super::change::{OutcomeRecorded, Routed, StatedRole, SubsetChange};
 use super::member_ids::MemberIds;
 use super::primary_search::PrimarySearch;
 use super::tracked_endpoint::TrackedEndpoint;
 use crate::endpoint::EndpointUpdate;
 use decision::{Freshness, GroupId, MemberEntry, MemberId, Outcome, Time};
-use placement::{Action, Event, Places};
+use placement::{Action, Event, PlacementEngine, RoutingQuery};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
 /// The subsets of one router.
 pub struct PlacementSubsets {
-    pub(super) places: Places,
+    pub(super) engine: PlacementEngine,
     /// Whether a request of the class needs the primary, by class.
     pub(super) needs_primary: Vec<bool>,
     /// The endpoints, by their own member ids.
@@ -30,7 +30,7 @@
         let needs_primary =
             |class: &decision::Class| matches!(class.freshness, Freshness::Write | Freshness::Latest);
         PlacementSubsets {
-            places: Places::new(settings),
+            engine: PlacementEngine::new(settings),
             needs_primary: classes.iter().map(needs_primary).collect(),
             endpoints: HashMap::new(),
             own_ids: HashMap::new(),
@@ -45,9 +45,9 @@
         self.own_id_of_alias.get(&member).copied().unwrap_or(member)
     }
 
-    /// Whether [`Event::Timer`] is due.
+    /// Whether [`Event::TimerExpired`] is due.
     pub fn is_due(&self, now: Time) -> bool {
-        self.places.is_due(now)
+        self.engine.is_due(now)
     }
 
     /// Routes a request to the group, perhaps a subset's, whose members may serve it.
@@ -61,7 +61,8 @@
     ) -> Routed {
         let needs_primary = self.needs_primary.get(class).copied().unwrap_or(true);
         let mut actions = Vec::new();
-        let group = self.places.route(now, tenant, class, group, needs_primary, &mut actions);
+        let query = RoutingQuery { tenant, class, group, needs_primary };
+        let group = self.engine.route(now, &query, &mut actions);
         let mut change = SubsetChange::default();
         self.apply(actions, &mut change, ids);
         Routed { group, change }
@@ -76,7 +77,7 @@
 
     fn handle_into(&mut self, now: Time, event: Event, change: &mut SubsetChange, ids: &mut MemberIds) {
         let mut actions = Vec::new();
-        self.places.handle(now, event, &mut actions);
+        self.engine.handle(now, event, &mut actions);
         self.apply(actions, change, ids);
     }
 
@@ -94,7 +95,7 @@
             self.mark_missing_removed(&named);
         }
         let mut change = SubsetChange::default();
-        let event = Event::Members { complete: update.complete, entries: members };
+        let event = Event::MembersUpdated { complete: update.complete, entries: members };
         self.handle_into(now, event, &mut change, ids);
         for endpoint in named.iter().filter_map(|id| self.endpoints.get(id)) {
             let shown = endpoint.shown_aliases();
@@ -119,17 +120,17 @@
         if let Some(role) = stated {
             changed |= endpoint.stated_primary.replace(role.primary) != Some(role.primary);
         }
-        let reached = endpoint.reachable;
-        let primary_before = self.places.primary(group).cloned();
+        let reachable = endpoint.reachable;
+        let primary_before = self.engine.primary(group).cloned();
         if changed {
-            self.handle_into(now, Event::Reach { member: name.clone(), reached }, &mut change, ids);
+            let event = Event::ReachabilityChanged { member: name.clone(), reachable };
+            self.handle_into(now, event, &mut change, ids);
         }
         if let Some(StatedRole { primary, source }) = stated {
-            let note = source == ReportSource::Response;
-            let event = Event::Said { member: name, primary, note };
+            let event = Event::RoleReported { member: name, primary, source };
             self.handle_into(now, event, &mut change, ids);
         }
-        changed |= self.places.primary(group) != primary_before.as_ref();
+        changed |= self.engine.primary(group) != primary_before.as_ref();
         let to_notify = if changed { self.ids_in_use(own_id, &[member]) } else { Vec::new() };
         OutcomeRecorded { change, to_notify }
     }
@@ -145,9 +146,9 @@
     fn apply(&mut self, actions: Vec<Action>, change: &mut SubsetChange, ids: &mut MemberIds) {
         for action in actions {
             match action {
-                Action::Show { view, members, .. } => self.show(view, &members, change, ids),
-                Action::Recheck => change.reroute = true,
-                Action::Timer { at } => change.timer = Some(change.timer.map_or(at, |t| t.min(at))),
+                Action::UpdateView { view, members, .. } => self.show(view, &members, change, ids),
+                Action::RerouteQueued => change.reroute = true,
+                Action::SetTimer { at } => change.timer = Some(change.timer.map_or(at, |t| t.min(at))),
             }
         }
     }
