--- a/benches/sessions.rs
+++ b/benches/sessions.rs
@@ -9,8 +9,8 @@
 use hdrhistogram::Histogram;
 use instances::{Instances, Keeping, connect, read, restart_loop, write};
 use mysql::prelude::Queryable;
-use sessions::Key;
-use sessions::journal::{self, Whole};
+use sessions::SessionKey;
+use sessions::journal::{self, Checkpoint};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -187,10 +187,11 @@
     let mut empty = 0;
     for sessions in [0u64, 10_000, 100_000, 1_000_000] {
         let mut two = Instances::new(2, Fleet::start(&lag(&[20]), HEARTBEAT), Keeping::Whole);
-        let entries: Vec<(Key, decision::Time)> = (0..sessions)
-            .map(|n| (Key(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)), decision::Time(n as i64 + 1)))
+        let entries: Vec<(SessionKey, decision::Time)> = (0..sessions)
+            .map(|n| (SessionKey(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)), decision::Time(n as i64 + 1)))
             .collect();
-        let whole = Whole { instance: 1, incarnation: 1, entries: &entries, floor: None, incomplete: false };
+        let whole =
+            Checkpoint { instance: 1, incarnation: 1, entries: &entries, floor: None, incomplete: false };
         drop(journal::open(&two.kept_in(0), 1).expect("a folder").begin(&whole).expect("a folder"));
         let begun = Instant::now();
         two.start(0);
--- a/mysql/src/front.rs
+++ b/mysql/src/front.rs
@@ -12,9 +12,9 @@
 use crossbeam_channel::{Receiver, Sender, bounded};
 use routing::reasons::CloseReason;
 use routing::{ClientRequest, FinalResponse, GroupId, RequestId, RouterHandle, Time, spawn_with_retry};
-use sessions::Key;
-use sessions::machine::Stopped;
-use sessions::node::{Sessions, Who};
+use sessions::SessionKey;
+use sessions::machine::NotServing;
+use sessions::node::{CommitOutcome, SessionRef, Sessions};
 use settings::Limits;
 use settings::operator::MysqlConfig as Settings;
 use std::collections::HashMap;
@@ -404,15 +404,15 @@
         let (settings, sessions) = (self.front.settings(), &self.front.sessions);
         let group = GroupId(need.group);
         let who = match &need.session {
-            Some(named) => Who::Named(Key::named(group, named)),
+            Some(named) => SessionRef::Named(SessionKey::named(group, named)),
             // A connection is a session of its own: it sees its own writes.
-            None => Who::Own(Key::own(group, self.connection.id)),
+            None => SessionRef::Connection(SessionKey::connection(group, self.connection.id)),
         };
-        let refused = |why: Stopped| (errors::REFUSED, format!("refused: nothing ran: {why}"));
+        let refused = |why: NotServing| (errors::REFUSED, format!("refused: nothing ran: {why}"));
         let token = if settings.class_uses_session[class] {
-            sessions.need(who).map_err(refused)?
+            sessions.required_position(who).map_err(refused)?
         } else {
-            sessions.admits(who).map_err(refused)?;
+            sessions.check_serving(who).map_err(refused)?;
             None
         };
         let tenant = match &self.front.fleet {
@@ -447,7 +447,7 @@
         // A write is told to the client once no read of its session can miss it any more.
         if let FinalResponse::Served(_, Some(at)) = &answer
             && !settings.class_is_read[class]
-            && !sessions.committed(who, *at, deadline)
+            && sessions.record_commit(who, *at, deadline) == CommitOutcome::Uncertain
         {
             return Err((errors::TIMED_OUT, "it has run, but its session can't rely on it".into()));
         }
--- a/mysql/src/link.rs
+++ b/mysql/src/link.rs
@@ -10,7 +10,7 @@
     AttemptGuard, BackendProtocol, Clock, Connection, ConnectionPermit, Exchange, ExchangeResult, Handshake,
     MemberReport, NotSent, Outcome, ServerSocket, Time, WritePermit,
 };
-use sessions::clocks::{Clocks, Offset};
+use sessions::clocks::{ClockOffset, ServerClocks};
 use settings::Limits;
 use settings::operator::MysqlConfig as Settings;
 use std::collections::{BTreeMap, VecDeque};
@@ -58,7 +58,7 @@
     limits: Arc<Limits>,
     clock: Clock,
     /// How far the servers' clocks are from this router's, as their probes tell.
-    pub clocks: Arc<Clocks>,
+    pub clocks: Arc<ServerClocks>,
 }
 
 impl Mysql {
@@ -69,7 +69,7 @@
             password: settings.server_password.clone(),
             database: settings.database.clone(),
         };
-        let clocks = Arc::new(Clocks::new(
+        let clocks = Arc::new(ServerClocks::new(
             settings.health_check_returns_clock,
             limits.max_clock_skew.as_micros() as i64,
         ));
@@ -86,7 +86,7 @@
     settings: Arc<Settings>,
     limits: Arc<Limits>,
     clock: Clock,
-    clocks: Arc<Clocks>,
+    clocks: Arc<ServerClocks>,
     addr: SocketAddr,
     /// Statements prepared here: text, id and count of parameters, the oldest first.
     prepared: VecDeque<(Arc<[u8]>, u32, usize)>,
@@ -442,7 +442,7 @@
                 _ => {
                     // The commit is before the answer, by the server's own clock at the latest. Of a server that
                     // answered a read this says nothing: a replica stands where its heartbeat does.
-                    let commit = Some(self.clocks.commit(self.addr, self.clock.now()));
+                    let commit = Some(self.clocks.commit_upper_bound(self.addr, self.clock.now()));
                     ExchangeResult { commit, ..served(answer, true) }
                 }
             },
@@ -468,7 +468,7 @@
         };
         let position = time(1);
         if let (true, Some(said)) = (self.settings.health_check_returns_clock, time(2)) {
-            self.clocks.learn(self.addr, Offset::sample(sent, self.clock.now(), said));
+            self.clocks.add_sample(self.addr, ClockOffset::sample(sent, self.clock.now(), said));
         }
         ExchangeResult {
             load_report: MemberReport { primary, position },
--- a/sessions/src/commit_cache.rs
+++ b/sessions/src/commit_cache.rs
@@ -3,14 +3,11 @@
 //! Entries are in generations of a fixed size, the newest in front. When the newest is full another begins, and
 //! when there are too many the oldest is folded into the floor: what every session must see from then on is the
 //! newest commit among those forgotten, so no session ever has to see less than before.
-use crate::Key;
+use crate::SessionKey;
 use decision::Time;
 use std::collections::{HashMap, VecDeque};
 use std::hash::{BuildHasherDefault, Hasher};
 
-#[cfg(test)]
-mod tests;
-
 /// Sessions in one generation: seven eighths of a power of two, which is what a hash table of the standard library
 /// holds before it doubles.
 pub const GENERATION_SESSIONS: usize = 114_688;
@@ -35,7 +32,7 @@
     }
 }
 
-type Table = HashMap<Key, Time, BuildHasherDefault<IdentityHasher>>;
+type Table = HashMap<SessionKey, Time, BuildHasherDefault<IdentityHasher>>;
 
 struct Generation {
     table: Table,
@@ -58,7 +55,8 @@
         CommitCache::with_generations(sessions, GENERATION_SESSIONS.min(sessions.max(1)))
     }
 
-    fn with_generations(sessions: usize, generation_sessions: usize) -> CommitCache {
+    /// Holds at least this many sessions one by one, in generations of `generation_sessions`.
+    pub fn with_generations(sessions: usize, generation_sessions: usize) -> CommitCache {
         CommitCache {
             generations: VecDeque::new(),
             generation_sessions,
@@ -69,8 +67,8 @@
         }
     }
 
-    /// Remembers a commit of a session.
-    pub fn add(&mut self, key: Key, at: Time) {
+    /// Remembers a commit of a session; an older one than is held has no effect.
+    pub fn insert(&mut self, key: SessionKey, at: Time) {
         // What the floor covers needs no place.
         if self.floor.is_some_and(|floor| at <= floor) {
             return;
@@ -100,13 +98,13 @@
         self.generations.push_front(Generation { table, newest });
     }
 
-    fn get(&self, key: Key) -> Option<Time> {
+    fn get(&self, key: SessionKey) -> Option<Time> {
         // Whatever is newer is in a newer generation.
         self.generations.iter().find_map(|generation| generation.table.get(&key).copied())
     }
 
     /// The commit that a session must see.
-    pub fn required_position(&self, key: Key) -> Option<Time> {
+    pub fn required_position(&self, key: SessionKey) -> Option<Time> {
         self.get(key).max(self.floor)
     }
 
@@ -116,7 +114,7 @@
     }
 
     /// Raises what every session must see; it never sinks. Generations that it covers completely are dropped.
-    pub fn raise(&mut self, floor: Time) {
+    pub fn raise_floor(&mut self, floor: Time) {
         self.floor = self.floor.max(Some(floor));
         while self.generations.back().is_some_and(|oldest| Some(oldest.newest) <= self.floor) {
             self.generations.pop_back();
@@ -124,7 +122,7 @@
     }
 
     /// Every entry, an older one of a session after its newer one.
-    pub fn iter(&self) -> impl Iterator<Item = (Key, Time)> + '_ {
+    pub fn iter(&self) -> impl Iterator<Item = (SessionKey, Time)> + '_ {
         self.generations.iter().flat_map(|generation| generation.table.iter().map(|(key, at)| (*key, *at)))
     }
 
@@ -139,12 +137,22 @@
     }
 
     /// How often the oldest sessions were folded into the floor.
-    pub fn folded(&self) -> u64 {
+    pub fn folded_generations(&self) -> u64 {
         self.folded
     }
 
+    /// How many generations are held.
+    pub fn generation_count(&self) -> usize {
+        self.generations.len()
+    }
+
+    /// How many sessions the tables that are held have places for.
+    pub fn table_capacity(&self) -> usize {
+        self.generations.iter().map(|generation| generation.table.capacity()).sum()
+    }
+
     /// Bytes of all tables that may be held at once.
-    pub fn bound_bytes(sessions: usize) -> usize {
+    pub fn max_table_bytes(sessions: usize) -> usize {
         (sessions.max(1).div_ceil(GENERATION_SESSIONS) + 1) * GENERATION_BYTES
     }
 }
--- a/sessions/src/error.rs
+++ b/sessions/src/error.rs
@@ -27,10 +27,10 @@
 
 /// Why a running instance could not be asked for its status.
 #[derive(Debug, Error)]
-pub enum AskError {
+pub enum StatusError {
     /// It can't be reached, or did not answer in time.
     #[error("{addr}: {source}")]
-    Away {
+    Unreachable {
         /// The address.
         addr: SocketAddr,
         /// The error of the operating system.
@@ -38,5 +38,5 @@
     },
     /// Something else listens there.
     #[error("{0}: no instance of sessions answers there; give what sessions.listen says in its file")]
-    Other(SocketAddr),
+    NotAnInstance(SocketAddr),
 }
--- a/sessions/src/journal/folder.rs
+++ b/sessions/src/journal/folder.rs
@@ -1,83 +1,42 @@
-//! An instance's folder: its lock, its files by number, and what a start finds there.
-use super::record::{self, Fault, Found, Record};
-use super::{Journal, Whole};
+//! An instance's folder: its lock, and what a start finds there.
+use super::checkpoint::Checkpoint;
+use super::error::JournalError;
+use super::files;
+use super::record::{self, JournalContents, JournalFault};
+use super::writer::Journal;
 use std::fs::{File, OpenOptions, TryLockError};
-use std::io::{self, Read, Write};
+use std::io;
 use std::path::{Path, PathBuf};
-use thiserror::Error;
 
-/// Files are named with this and their number.
-const FILE_PREFIX: &str = "sessions.";
-/// A new file's name until it is complete and synced.
-const UNFINISHED_FILE: &str = "new";
 const LOCK_FILE: &str = "lock";
-/// Entries in one record of a checkpoint.
-const CHECKPOINT_RECORD_ENTRIES: usize = 32_768;
 
-/// Why a folder can't be used; each message says what an operator can do.
-#[derive(Debug, Error)]
-pub enum JournalError {
-    /// It, or the files in it, can't be read or written.
-    #[error("{}: {source}; see that it exists and is this user's", .folder.display())]
-    Folder {
-        /// The folder.
-        folder: PathBuf,
-        /// The error of the operating system.
-        source: io::Error,
-    },
-    /// Another process has it.
-    #[error("{}: another process uses this folder; end it, or name another folder", .0.display())]
-    Locked(PathBuf),
-    /// It is another instance's.
-    #[error("{}: it belongs to instance {instance}; give each instance a folder of its own", .path.display())]
-    Other {
-        /// The file that says so.
+/// What was wrong with the newest file of a folder.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum JournalWarning {
+    /// The last stop came in the middle of a write: the tail is no record and was cut off.
+    TornTail {
+        /// Bytes of the tail.
+        bytes: usize,
+        /// The file.
         path: PathBuf,
-        /// Whose it is.
-        instance: u64,
     },
-    /// No new file could be begun, and a later start would use the old ones.
-    #[error("{}: {source}, and old files can't be deleted: {stays}; delete them by hand", .folder.display())]
-    Stale {
-        /// The folder.
-        folder: PathBuf,
-        /// Why no new file could be begun.
-        source: io::Error,
-        /// Why the old ones could not be deleted.
-        stays: io::Error,
+    /// The file can't be used and was moved aside.
+    Refused {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        fault: JournalFault,
+        /// Where it is now.
+        moved_to: PathBuf,
     },
 }
 
-/// The files of a folder, by number.
-fn files(folder: &Path) -> io::Result<Vec<(u64, PathBuf)>> {
-    let mut found = Vec::new();
-    for entry in std::fs::read_dir(folder)? {
-        let path = entry?.path();
-        let name = path.file_name().and_then(|name| name.to_str()).unwrap_or("");
-        if let Some(number) = name.strip_prefix(FILE_PREFIX).and_then(|number| number.parse().ok()) {
-            found.push((number, path));
-        }
-    }
-    found.sort();
-    Ok(found)
-}
-
-/// The file of a folder that a start would use, read without changing anything; `None` where there is none.
-///
-/// # Errors
-/// Where the folder or the file can't be read.
-pub fn newest(folder: &Path) -> io::Result<Option<(PathBuf, Result<Found, Fault>)>> {
-    let Some((_, path)) = files(folder)?.pop() else { return Ok(None) };
-    let found = record::read(&std::fs::read(&path)?);
-    Ok(Some((path, found)))
-}
-
 /// What a folder held at the start.
-pub struct Opened {
+pub struct OpenedFolder {
     /// What the newest file held.
-    pub found: Option<Found>,
+    pub contents: Option<JournalContents>,
     /// What was wrong, for the log.
-    pub remark: Option<String>,
+    pub warning: Option<JournalWarning>,
     lock: File,
     folder: PathBuf,
     last_number: u64,
@@ -87,13 +46,13 @@
 ///
 /// # Errors
 /// Where another process has it locked, where it is another instance's, and where it can't be read or created.
-pub fn open(folder: &Path, instance: u64) -> Result<Opened, JournalError> {
+pub fn open(folder: &Path, instance: u64) -> Result<OpenedFolder, JournalError> {
     let failed = |source| JournalError::Folder { folder: folder.into(), source };
     std::fs::create_dir_all(folder).map_err(failed)?;
     let lock = lock(folder)?;
-    let files = files(folder).map_err(failed)?;
+    let files = files::list(folder).map_err(failed)?;
     let last_number = files.last().map_or(0, |(number, _)| *number);
-    let mut opened = Opened { found: None, remark: None, lock, folder: folder.into(), last_number };
+    let mut opened = OpenedFolder { contents: None, warning: None, lock, folder: folder.into(), last_number };
     if let Some((_, path)) = files.last() {
         opened.read_newest(path, instance)?;
     }
@@ -111,90 +70,55 @@
     }
 }
 
-impl Opened {
+fn read_file(path: &Path) -> Result<JournalContents, JournalFault> {
+    let bytes = std::fs::read(path).map_err(|error| JournalFault::NotAJournal(error.to_string()))?;
+    record::read(&bytes)
+}
+
+impl OpenedFolder {
     fn read_newest(&mut self, path: &Path, instance: u64) -> Result<(), JournalError> {
-        let mut bytes = Vec::new();
-        let read = File::open(path).and_then(|mut file| file.read_to_end(&mut bytes));
-        let found =
-            read.map_err(|error| Fault::Foreign(error.to_string())).and_then(|_| record::read(&bytes));
-        match found {
-            Ok(found) if found.instance != instance => {
-                return Err(JournalError::Other { path: path.into(), instance: found.instance });
+        match read_file(path) {
+            Ok(contents) if contents.instance != instance => {
+                return Err(JournalError::OtherInstance { path: path.into(), instance: contents.instance });
             }
-            Ok(mut found) => {
-                if found.torn > 0 {
-                    let remark = format!("cut a torn tail of {} bytes off {}", found.torn, path.display());
-                    self.remark = Some(remark);
+            Ok(mut contents) => {
+                if contents.torn_bytes > 0 {
+                    self.warning =
+                        Some(JournalWarning::TornTail { bytes: contents.torn_bytes, path: path.into() });
                     // Whether that was confirmed can't be told from a disk that lost its last bytes.
-                    found.incomplete = true;
+                    contents.incomplete = true;
                 }
-                self.found = Some(found);
-            }
-            Err(fault) => {
-                let aside = self.folder.join(format!("refused.{}", self.last_number));
-                // Where it can't be kept aside, the next new file still replaces it.
-                _ = std::fs::rename(path, &aside);
-                let remark = format!("refused {}: {fault}; kept as {}", path.display(), aside.display());
-                self.remark = Some(remark);
+                self.contents = Some(contents);
             }
+            Err(fault) => self.refuse_file(path, fault),
         }
         Ok(())
     }
 
+    /// Moves a faulty file aside. Where that fails, the next new file still replaces it.
+    fn refuse_file(&mut self, path: &Path, fault: JournalFault) {
+        let moved_to = self.folder.join(format!("refused.{}", self.last_number));
+        _ = std::fs::rename(path, &moved_to);
+        self.warning = Some(JournalWarning::Refused { path: path.into(), fault, moved_to });
+    }
+
     /// Begins a new file with what was found and deletes older ones. Where that fails, the old ones are deleted all
     /// the same, so that no later start uses them, and the inner result says why there is no journal.
     ///
     /// # Errors
     /// Where old files can't be deleted.
-    pub fn begin(self, whole: &Whole) -> Result<Result<Journal, io::Error>, JournalError> {
-        let Opened { lock, folder, last_number, .. } = self;
+    pub fn begin(self, checkpoint: &Checkpoint) -> Result<Result<Journal, io::Error>, JournalError> {
+        let OpenedFolder { lock, folder, last_number, .. } = self;
         let number = last_number + 1;
-        match write_file(&folder, number, whole) {
-            Ok((file, bytes)) => match remove_below(&folder, number) {
-                Ok(()) => {
-                    Ok(Ok(Journal { folder, number, file, bytes, checkpoint_bytes: bytes, _lock: lock }))
-                }
+        match files::create(&folder, number, checkpoint) {
+            Ok((file, bytes)) => match files::remove_below(&folder, number) {
+                Ok(()) => Ok(Ok(Journal::new(folder, lock, number, file, bytes))),
                 Err(source) => Err(JournalError::Folder { folder, source }),
             },
-            Err(source) => match remove_below(&folder, u64::MAX) {
+            Err(source) => match files::remove_all(&folder) {
                 Ok(()) => Ok(Err(source)),
-                Err(stays) => Err(JournalError::Stale { folder, source, stays }),
+                Err(removal) => Err(JournalError::StaleFiles { folder, source, removal }),
             },
         }
     }
 }
-
-/// Writes a new file: synced before it gets its name, and the name synced as well. Returns its length in bytes.
-pub(super) fn write_file(folder: &Path, number: u64, whole: &Whole) -> io::Result<(File, u64)> {
-    let mut bytes = record::file_header();
-    let Whole { instance, incarnation, incomplete, .. } = *whole;
-    record::encode(&mut bytes, &Record::Began { instance, incarnation, incomplete })?;
-    if let Some(floor) = whole.floor.filter(|_| !incomplete) {
-        record::encode(&mut bytes, &Record::Floor(floor.0))?;
-    }
-    for chunk in whole.entries.chunks(CHECKPOINT_RECORD_ENTRIES) {
-        let commits = chunk.iter().map(|(key, at)| (*key, at.0)).collect();
-        record::encode(&mut bytes, &Record::Commits(commits))?;
-    }
-    let unfinished = folder.join(UNFINISHED_FILE);
-    let mut file = File::create(&unfinished)?;
-    file.write_all(&bytes)?;
-    file.sync_all()?;
-    std::fs::rename(&unfinished, folder.join(format!("{FILE_PREFIX}{number}")))?;
-    File::open(folder)?.sync_all()?;
-    Ok((file, bytes.len() as u64))
-}
-
-/// Deletes files with lower numbers.
-pub(super) fn remove_below(folder: &Path, number: u64) -> io::Result<()> {
-    let mut old = files(folder)?;
-    old.retain(|(n, _)| *n < number);
-    for (_, path) in &old {
-        std::fs::remove_file(path)?;
-    }
-    if !old.is_empty() {
-        // A power failure must not bring the files back: that they are gone has to be on disk.
-        File::open(folder)?.sync_all()?;
-    }
-    Ok(())
-}
--- a/sessions/src/journal/record.rs
+++ b/sessions/src/journal/record.rs
@@ -1,5 +1,5 @@
 //! A journal file's bytes: records, and what they add up to.
-use crate::Key;
+use crate::SessionKey;
 use decision::Time;
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -19,8 +19,8 @@
 /// A record's body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// Whose file it is.
-    Began {
+    /// Whose file it is; the first record of each file.
+    Header {
         /// The instance.
         instance: u64,
         /// Its start.
@@ -29,41 +29,41 @@
         incomplete: bool,
     },
     /// Sessions and their commits, in microseconds of Unix time.
-    Commits(Vec<(Key, i64)>),
+    Commits(Vec<(SessionKey, i64)>),
     /// What every session must see; covers what an incomplete beginning lacks.
     Floor(i64),
 }
 
 /// What a file held.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub struct Found {
+pub struct JournalContents {
     /// The instance.
     pub instance: u64,
     /// Its start.
     pub incarnation: u64,
     /// Sessions and their commits, oldest first.
-    pub entries: Vec<(Key, Time)>,
+    pub entries: Vec<(SessionKey, Time)>,
     /// What every session must see.
     pub floor: Option<Time>,
     /// Commits may be missing: all that were made before the next start must be seen.
     pub incomplete: bool,
     /// Bytes after the last complete record, with no record among them.
-    pub torn: usize,
+    pub torn_bytes: usize,
     /// Bytes of the complete records and the file's header.
-    pub whole: usize,
+    pub complete_bytes: usize,
     /// How many records.
-    pub records: usize,
+    pub record_count: usize,
 }
 
 /// Why a file can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum JournalFault {
     /// It is no journal, or of another version.
     #[error("{0}")]
-    Foreign(String),
+    NotAJournal(String),
     /// No record stands at this offset, but there are some behind it.
     #[error("no whole record at offset {offset}, with records behind it")]
-    Middle {
+    DamagedRecord {
         /// In bytes from the file's beginning.
         offset: usize,
     },
@@ -110,51 +110,72 @@
     Some((postcard::from_bytes(body).ok()?, end))
 }
 
-/// Reads a file's bytes. A tail that is no record, with none behind it, is reported in [`Found::torn`].
+/// Reads a file's bytes. A tail that is no record, with none behind it, is reported in
+/// [`JournalContents::torn_bytes`].
 ///
 /// # Errors
-/// [`Fault::Foreign`] where it is no journal of this version; [`Fault::Middle`] where something that is no record has
-/// records behind it.
-pub fn read(bytes: &[u8]) -> Result<Found, Fault> {
+/// [`JournalFault::NotAJournal`] where it is no journal of this version; [`JournalFault::DamagedRecord`] where something
+/// that is no record has records behind it.
+pub fn read(bytes: &[u8]) -> Result<JournalContents, JournalFault> {
     check_file_header(bytes)?;
-    let first = decode(&bytes[FILE_HEADER_BYTES..]);
-    let Some((Record::Began { instance, incarnation, incomplete }, length)) = first else {
-        return Err(Fault::Middle { offset: FILE_HEADER_BYTES });
-    };
-    let mut found = Found { instance, incarnation, incomplete, records: 1, ..Found::default() };
-    let mut offset = FILE_HEADER_BYTES + length;
+    let (mut contents, mut offset) = read_header(bytes)?;
     while offset < bytes.len() {
         let Some((record, length)) = decode(&bytes[offset..]) else {
-            // Anything that reads as a record behind it means that this is no torn tail.
-            if (offset + 1..bytes.len()).any(|behind| decode(&bytes[behind..]).is_some()) {
-                return Err(Fault::Middle { offset });
+            if has_record_behind(bytes, offset) {
+                return Err(JournalFault::DamagedRecord { offset });
             }
-            found.torn = bytes.len() - offset;
+            contents.torn_bytes = bytes.len() - offset;
             break;
         };
+        contents.apply(record).ok_or(JournalFault::DamagedRecord { offset })?;
+        offset += length;
+    }
+    contents.complete_bytes = offset;
+    Ok(contents)
+}
+
+/// What the first record says, and the offset of the second.
+fn read_header(bytes: &[u8]) -> Result<(JournalContents, usize), JournalFault> {
+    let first = decode(&bytes[FILE_HEADER_BYTES..]);
+    let Some((Record::Header { instance, incarnation, incomplete }, length)) = first else {
+        return Err(JournalFault::DamagedRecord { offset: FILE_HEADER_BYTES });
+    };
+    let contents =
+        JournalContents { instance, incarnation, incomplete, record_count: 1, ..JournalContents::default() };
+    Ok((contents, FILE_HEADER_BYTES + length))
+}
+
+/// Whether anything behind the offset reads as a record: what is at the offset is no torn tail then.
+fn has_record_behind(bytes: &[u8], offset: usize) -> bool {
+    (offset + 1..bytes.len()).any(|behind| decode(&bytes[behind..]).is_some())
+}
+
+impl JournalContents {
+    /// Adds a record behind the first; `None` where it can't stand there.
+    fn apply(&mut self, record: Record) -> Option<()> {
         match record {
             Record::Commits(entries) => {
-                found.entries.extend(entries.into_iter().map(|(key, at)| (key, Time(at))));
+                let entries =
+                    entries.into_iter().map(|(session, committed_at)| (session, Time(committed_at)));
+                self.entries.extend(entries);
             }
-            Record::Floor(at) => {
-                found.floor = found.floor.max(Some(Time(at)));
-                found.incomplete = false;
+            Record::Floor(floor) => {
+                self.floor = self.floor.max(Some(Time(floor)));
+                self.incomplete = false;
             }
-            Record::Began { .. } => return Err(Fault::Middle { offset }),
+            Record::Header { .. } => return None,
         }
-        found.records += 1;
-        offset += length;
+        self.record_count += 1;
+        Some(())
     }
-    found.whole = offset;
-    Ok(found)
 }
 
-fn check_file_header(bytes: &[u8]) -> Result<(), Fault> {
+fn check_file_header(bytes: &[u8]) -> Result<(), JournalFault> {
     let header = bytes.get(..FILE_HEADER_BYTES).filter(|header| header.starts_with(MAGIC));
-    let header = header.ok_or_else(|| Fault::Foreign("it is no journal of sessions".into()))?;
+    let header = header.ok_or_else(|| JournalFault::NotAJournal("it is no journal of sessions".into()))?;
     let version = u16::from_le_bytes([header[MAGIC.len()], header[MAGIC.len() + 1]]);
     if version != VERSION {
-        return Err(Fault::Foreign(format!("its version is {version}, expected {VERSION}")));
+        return Err(JournalFault::NotAJournal(format!("its version is {version}, expected {VERSION}")));
     }
     Ok(())
 }
--- a/sessions/src/lib.rs
+++ b/sessions/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! [`machine`] decides: it holds the newest commit of each session ([`commit_cache`]), which peers may be relied on,
 //! and when a write may be acknowledged. [`clocks`] bounds how far the servers' clocks are from this router's. None
-//! of these does I/O or reads a clock. [`journal`] keeps commits on disk, [`frames`] is the wire between instances,
+//! of these does I/O or reads a clock. [`journal`] writes commits to disk, [`frames`] is the wire between instances,
 //! and [`node`] drives all of it: sockets, files, threads and the clock. `docs/design/sessions.md` gives the reasons.
 pub mod clocks;
 pub mod commit_cache;
@@ -15,4 +15,4 @@
 pub mod node;
 
 pub use error::Error;
-pub use key::{FAR, Key};
+pub use key::{AFTER_EVERY_COMMIT, SessionKey};
--- a/sessions/src/machine/event.rs
+++ b/sessions/src/machine/event.rs
@@ -1,11 +1,7 @@
-//! What happens to an instance, what is to be done, and what instances send to each other.
-use crate::Key;
+//! What happens to an instance, and what is to be done.
+use super::message::{Instance, Push, RejectionReason};
+use crate::SessionKey;
 use decision::Time;
-use serde::{Deserialize, Serialize};
-use thiserror::Error;
-
-/// An instance's number, from the configuration.
-pub type Instance = u64;
 
 /// The number of a write whose acknowledgement is pending.
 pub type PendingAck = u64;
@@ -19,106 +15,105 @@
     pub present: Option<Time>,
 }
 
-/// Why an instance's commits are not accepted. The names of the variants stand in log lines.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
-    /// It is not among this instance's peers.
-    NotListed,
-    /// A newer start of the same instance is known.
-    Older {
-        /// The newest one's incarnation.
-        newest: u64,
-    },
-    /// It was looking for another instance at this address.
-    WrongInstance,
-    /// It belongs to another cluster.
-    WrongCluster,
-    /// It speaks another version of the protocol.
-    WrongVersion,
-}
-
-/// Why this instance serves no named session.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Stopped {
-    /// A newer start of this instance is known, of this incarnation.
-    #[error("a newer start of this instance serves (incarnation {0})")]
-    Superseded(u64),
-    /// That instance does not list this one among its peers.
-    #[error("instance {0} does not list this one")]
-    NotListed(Instance),
-}
-
-/// What one instance sends to a peer, in order.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Push {
-    /// Commits, numbered without a gap from `first` on.
-    Commits {
-        /// The first one's number.
-        first: u64,
-        /// Session and commit, in microseconds of Unix time.
-        entries: Vec<(Key, i64)>,
-    },
-    /// A part of everything held.
-    All {
-        /// Session and commit, in microseconds of Unix time.
-        entries: Vec<(Key, i64)>,
-    },
-    /// Everything held up to this number has been sent.
-    Whole {
-        /// The newest commit's number.
-        seq: u64,
-        /// What every session must see, in microseconds of Unix time.
-        floor: Option<i64>,
-    },
-    /// The answer to a lease request: the lease counts from then.
-    Grant {
-        /// When the lease was requested, by the requester's clock, in microseconds.
-        asked: i64,
-    },
-}
-
 /// What happens.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A named session's write was served.
-    Commit(PendingAck, Key, Time),
-    /// A write of a session that exists in this process alone.
-    Own(Key, Time),
-    /// The journal holds commits up to this one.
-    Synced(u64),
+    Commit {
+        /// The write.
+        ack: PendingAck,
+        /// Its session.
+        session: SessionKey,
+        /// When it was committed, by the server's clock.
+        committed_at: Time,
+    },
+    /// A write of a session that exists in this process alone was served.
+    ConnectionCommit {
+        /// Its session.
+        session: SessionKey,
+        /// When it was committed, by the server's clock.
+        committed_at: Time,
+    },
+    /// The journal holds commits on disk.
+    JournalSynced {
+        /// Up to this one.
+        seq: u64,
+    },
     /// The journal is gone, and no later start will read what it left.
     JournalLost,
     /// The journal can't be written, and its file can't be deleted: a later start would read it.
     JournalStuck,
-    /// A new journal is being written that begins with everything up to this commit.
-    JournalBack(u64),
+    /// A new journal is being written.
+    JournalRestored {
+        /// It begins with everything up to this commit.
+        seq: u64,
+    },
     /// The peers, from now on.
-    Peers(Vec<Instance>),
-    /// A peer accepts our commits; it holds those up to this one of this incarnation.
+    PeersListed {
+        /// Their numbers; this instance's own may be among them.
+        peers: Vec<Instance>,
+    },
+    /// A peer accepts our commits.
     Accepted {
         /// The peer.
         peer: Instance,
-        /// Of which start of ours.
+        /// Of which start of ours it holds commits.
         incarnation: u64,
-        /// The newest it holds.
-        holds: u64,
+        /// The newest that it holds.
+        last_seq: u64,
     },
     /// A peer does not accept our commits.
-    Refused(Instance, Why),
-    /// A peer holds our commits up to this one.
-    Confirmed(Instance, u64),
-    /// A peer requests a lease; the time is its clock's, in microseconds.
-    Asked(Instance, i64),
+    Rejected {
+        /// The peer.
+        peer: Instance,
+        /// Why.
+        reason: RejectionReason,
+    },
+    /// A peer holds our commits.
+    Confirmed {
+        /// The peer.
+        peer: Instance,
+        /// Up to this one.
+        seq: u64,
+    },
+    /// A peer requests a lease.
+    LeaseRequested {
+        /// The peer.
+        peer: Instance,
+        /// By its clock, in microseconds.
+        requested_at: i64,
+    },
     /// The connection on which a peer receives our commits has ended.
-    Unlinked(Instance),
-    /// A peer's address refused a connection that was begun at this time.
-    Down(Instance, Time),
-    /// Another instance, of this incarnation, wants to send its commits.
-    Introduced(Instance, u64),
+    OutboundDisconnected {
+        /// The peer.
+        peer: Instance,
+    },
+    /// A peer's address refused a connection: its process is gone.
+    ConnectionRefused {
+        /// The peer.
+        peer: Instance,
+        /// When the connection was begun.
+        attempted_at: Time,
+    },
+    /// Another instance wants to send its commits.
+    HelloReceived {
+        /// The instance.
+        peer: Instance,
+        /// Its start.
+        incarnation: u64,
+    },
     /// A peer's next push.
-    Pushed(Instance, Push),
+    PushReceived {
+        /// The peer.
+        peer: Instance,
+        /// What it sent.
+        push: Push,
+    },
     /// The connection on which a peer sends its commits has ended.
-    Left(Instance),
+    InboundDisconnected {
+        /// The peer.
+        peer: Instance,
+    },
     /// Time passes.
     Tick,
 }
@@ -127,29 +122,86 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Write a commit to the journal.
-    Append(u64, Key, Time),
+    AppendCommit {
+        /// Its number.
+        seq: u64,
+        /// Its session.
+        session: SessionKey,
+        /// When it was committed, by the server's clock.
+        committed_at: Time,
+    },
     /// Write a floor to the journal: commits before this start may be missing from it.
-    AppendFloor(Time),
-    /// Push to a peer.
-    Push(Instance, Push),
-    /// Push everything held to a peer, then [`Push::Whole`] up to this commit.
-    PushAll(Instance, u64),
-    /// Accept an instance's commits; what is held of it, by incarnation and number.
-    Welcome(Instance, u64, u64),
+    AppendFloor {
+        /// What every session must see.
+        floor: Time,
+    },
+    /// Send a push to a peer.
+    SendPush {
+        /// The peer.
+        peer: Instance,
+        /// The push.
+        push: Push,
+    },
+    /// Send everything held to a peer, then [`Push::SnapshotComplete`].
+    SendSnapshot {
+        /// The peer.
+        peer: Instance,
+        /// The newest commit's number.
+        seq: u64,
+    },
+    /// Accept an instance's commits.
+    Accept {
+        /// The instance.
+        peer: Instance,
+        /// Of which start commits are held.
+        incarnation: u64,
+        /// The newest that is held.
+        last_seq: u64,
+    },
     /// Do not accept an instance's commits.
-    Refuse(Instance, Why),
-    /// Confirm a peer's commits up to this one.
-    Confirm(Instance, u64),
-    /// Request a lease from a peer; the time is this router's clock's, in microseconds.
-    Ask(Instance, i64),
+    Reject {
+        /// The instance.
+        peer: Instance,
+        /// Why.
+        reason: RejectionReason,
+    },
+    /// Confirm a peer's commits.
+    SendConfirmation {
+        /// The peer.
+        peer: Instance,
+        /// Up to this one.
+        seq: u64,
+    },
+    /// Request a lease from a peer.
+    RequestLease {
+        /// The peer.
+        peer: Instance,
+        /// By this router's clock, in microseconds.
+        requested_at: i64,
+    },
     /// A peer broke the protocol: end its connection.
-    Drop(Instance),
+    Disconnect {
+        /// The peer.
+        peer: Instance,
+    },
     /// A write may be acknowledged.
-    Release(PendingAck),
+    Acknowledge {
+        /// The write.
+        ack: PendingAck,
+    },
     /// A write must not be acknowledged: it may have run.
-    Fail(PendingAck),
+    Fail {
+        /// The write.
+        ack: PendingAck,
+    },
     /// Continue as this incarnation: an older start of this instance had a newer one than ours.
-    Reincarnate(u64),
+    AdoptIncarnation {
+        /// The incarnation from now on.
+        incarnation: u64,
+    },
     /// A newer start of this instance serves; this one must not.
-    Superseded(u64),
+    Superseded {
+        /// The newer start's.
+        newest_incarnation: u64,
+    },
 }
--- a/sessions/src/node/connection.rs
+++ b/sessions/src/node/connection.rs
@@ -1,8 +1,8 @@
 //! One connection between instances: its socket, and the bounded queue of frames that are to be sent on it.
-use super::Sessions;
 use crate::frames::{self, Frame};
 use crate::machine::Push;
 use crossbeam_channel::{Receiver, Sender, bounded};
+use settings::Limits;
 use std::io::{self, Write};
 use std::net::{Shutdown, TcpStream};
 use std::sync::Arc;
@@ -22,6 +22,16 @@
 }
 
 impl Connection {
+    /// A connection on this socket, and the frames that are to be written to it.
+    pub(super) fn open(socket: TcpStream, limits: &Limits) -> io::Result<(Connection, Receiver<Frame>)> {
+        socket.set_nodelay(true)?;
+        socket.set_read_timeout(Some(limits.session_peer_timeout))?;
+        socket.set_write_timeout(Some(limits.session_peer_timeout))?;
+        let (queue, queued) = bounded(limits.max_queued_session_frames);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+        Ok((Connection { number, socket: Arc::new(socket), queue }, queued))
+    }
+
     /// Queues a frame. A peer that reads too slowly loses the connection: it resumes, or begins anew.
     pub(super) fn send(&self, frame: Frame) {
         if self.queue.try_send(frame).is_err() {
@@ -39,18 +49,6 @@
     _ = socket.shutdown(Shutdown::Both);
 }
 
-impl Sessions {
-    /// A connection on this socket, and the frames that are to be written to it.
-    pub(super) fn connection(&self, socket: TcpStream) -> io::Result<(Connection, Receiver<Frame>)> {
-        socket.set_nodelay(true)?;
-        socket.set_read_timeout(Some(self.limits.session_peer_timeout))?;
-        socket.set_write_timeout(Some(self.limits.session_peer_timeout))?;
-        let (queue, queued) = bounded(self.limits.max_queued_session_frames);
-        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
-        Ok((Connection { number, socket: Arc::new(socket), queue }, queued))
-    }
-}
-
 /// Writes what is queued, as much at a time as is there, until the queue closes or the socket fails.
 pub(super) fn write_queued(
     mut socket: &TcpStream,
@@ -65,7 +63,7 @@
             while merge_commits(&mut frame, &mut next, max_entries) {
                 next = queued.try_recv().ok();
             }
-            frames::push(&mut bytes, &frame)?;
+            frames::encode(&frame, &mut bytes)?;
             if bytes.len() > MAX_WRITE_BYTES && next.is_some() {
                 socket.write_all(&bytes)?;
                 bytes.clear();
--- a/sessions/src/node/journal_thread.rs
+++ b/sessions/src/node/journal_thread.rs
@@ -1,7 +1,8 @@
 //! The journal's thread: writes what waits with one sync, and deletes what it can no longer write.
-use super::{Append, Sessions, State};
-use crate::Key;
-use crate::journal::{Journal, Record, Whole};
+use super::sessions::Sessions;
+use super::state::{PendingRecord, State};
+use crate::SessionKey;
+use crate::journal::{Checkpoint, Journal, Record};
 use crate::machine::Event;
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use decision::Time;
@@ -19,25 +20,25 @@
 
 /// What a rewritten file begins with.
 struct Snapshot {
-    entries: Vec<(Key, Time)>,
+    entries: Vec<(SessionKey, Time)>,
     floor: Option<Time>,
     incomplete: bool,
     /// The newest commit's number.
-    seq: u64,
+    last_seq: u64,
     incarnation: u64,
 }
 
 impl State {
     /// Everything that is held; what waits for the journal is among it.
     fn snapshot(&mut self) -> Snapshot {
-        self.appends.clear();
-        let mut entries: Vec<(Key, Time)> = self.machine.kept().iter().collect();
+        self.pending_records.clear();
+        let mut entries: Vec<(SessionKey, Time)> = self.machine.commits().iter().collect();
         entries.reverse();
         Snapshot {
             entries,
             floor: self.machine.floor(),
-            incomplete: self.machine.floor_due(),
-            seq: self.machine.seq(),
+            incomplete: self.machine.floor_pending(),
+            last_seq: self.machine.last_seq(),
             incarnation: self.machine.incarnation(),
         }
     }
@@ -45,17 +46,17 @@
 
 impl Sessions {
     /// Runs until this instance stops.
-    pub(super) fn run_journal(&self, mut journal: Journal, woken: &Receiver<()>) {
+    pub(super) fn run_journal(&self, mut journal: Journal, wakes: &Receiver<()>) {
         let mut state = JournalState::Written;
         loop {
-            let woken = woken.recv_timeout(self.limits.session_disk_retry_delay);
-            if woken == Err(RecvTimeoutError::Disconnected) || self.stopping.load(Ordering::Acquire) {
+            let wake = wakes.recv_timeout(self.limits.session_disk_retry_delay);
+            if wake == Err(RecvTimeoutError::Disconnected) || self.is_stopping() {
                 return;
             }
-            let retry_due = woken.is_err();
+            let is_retry_due = wake.is_err();
             state = match state {
                 JournalState::Written => self.write_or_invalidate(&mut journal),
-                JournalState::Deleted if retry_due => self.restore(&mut journal),
+                JournalState::Deleted if is_retry_due => self.restore(&mut journal),
                 JournalState::Deleted => JournalState::Deleted,
                 JournalState::Stuck => self.invalidate(&journal),
             };
@@ -66,9 +67,7 @@
         match self.write(journal) {
             Ok(()) => JournalState::Written,
             Err(error) => {
-                tracing::error!(
-                    "sessions: the journal can't be kept: {error}; the next start takes the floor"
-                );
+                tracing::error!(%error, "session journal write failed, the next start raises the floor");
                 self.invalidate(journal)
             }
         }
@@ -76,10 +75,10 @@
 
     /// Tries a new file after the old ones were deleted.
     fn restore(&self, journal: &mut Journal) -> JournalState {
-        match self.rewrite(journal, |seq| Some(Event::JournalBack(seq))) {
+        match self.rewrite(journal, |seq| Some(Event::JournalRestored { seq })) {
             Ok(seq) => {
-                tracing::info!("sessions: commits are kept on disk again");
-                self.handle(Event::Synced(seq));
+                tracing::info!("session journal written again");
+                self.handle(Event::JournalSynced { seq });
                 JournalState::Written
             }
             // A file that was begun must not be used by a later start.
@@ -95,9 +94,7 @@
                 JournalState::Deleted
             }
             Err(error) => {
-                tracing::error!(
-                    "sessions: the journal can't be deleted: {error}; named sessions' writes are failed"
-                );
+                tracing::error!(%error, "session journal not deleted, writes of named sessions fail");
                 self.handle(Event::JournalStuck);
                 JournalState::Stuck
             }
@@ -106,48 +103,48 @@
 
     /// Writes what waits, all with one sync.
     fn write(&self, journal: &mut Journal) -> io::Result<()> {
-        let appends = std::mem::take(&mut self.lock().appends);
-        let (mut commits, mut last_seq) = (Vec::with_capacity(appends.len()), 0);
-        for append in appends {
-            match append {
-                Append::Commit(seq, key, at) => {
-                    commits.push((key, at.0));
+        let records = std::mem::take(&mut self.lock().pending_records);
+        let (mut commits, mut last_seq) = (Vec::with_capacity(records.len()), 0);
+        for record in records {
+            match record {
+                PendingRecord::Commit { seq, session, committed_at } => {
+                    commits.push((session, committed_at.0));
                     last_seq = seq;
                 }
-                Append::Floor(at) => journal.add(&Record::Floor(at.0))?,
+                PendingRecord::Floor(floor) => journal.append(&Record::Floor(floor.0))?,
             }
         }
         if !commits.is_empty() {
-            journal.add(&Record::Commits(commits))?;
-            self.syncs.fetch_add(1, Ordering::Relaxed);
-            self.handle(Event::Synced(last_seq));
+            journal.append(&Record::Commits(commits))?;
+            self.journal_syncs.fetch_add(1, Ordering::Relaxed);
+            self.handle(Event::JournalSynced { seq: last_seq });
         }
         if journal.wants_rewrite(self.limits.min_session_compaction_bytes) {
             let seq = self.rewrite(journal, |_| None)?;
-            self.handle(Event::Synced(seq));
+            self.handle(Event::JournalSynced { seq });
         }
         self.journal_bytes.store(journal.bytes(), Ordering::Relaxed);
         Ok(())
     }
 
-    /// Writes a new file with everything that is held. The event, if any, is handled in the moment of which the file
-    /// speaks. Returns the newest commit's number.
+    /// Writes a new file with everything that is held. The event, if any, is handled at the moment that the file
+    /// records. Returns the newest commit's number.
     fn rewrite(&self, journal: &mut Journal, event: impl FnOnce(u64) -> Option<Event>) -> io::Result<u64> {
         let snapshot = {
             let mut state = self.lock();
             let snapshot = state.snapshot();
-            if let Some(event) = event(snapshot.seq) {
+            if let Some(event) = event(snapshot.last_seq) {
                 self.handle_locked(&mut state, event);
             }
             snapshot
         };
-        journal.rewrite(&Whole {
+        journal.rewrite(&Checkpoint {
             instance: self.settings.instance,
             incarnation: snapshot.incarnation,
             entries: &snapshot.entries,
             floor: snapshot.floor,
             incomplete: snapshot.incomplete,
         })?;
-        Ok(snapshot.seq)
+        Ok(snapshot.last_seq)
     }
 }
--- a/sessions/src/node/status.rs
+++ b/sessions/src/node/status.rs
@@ -1,7 +1,7 @@
 //! What an instance reports of itself to operators, as JSON.
-use super::Sessions;
+use super::sessions::Sessions;
 use crate::commit_cache::CommitCache;
-use crate::error::AskError;
+use crate::error::StatusError;
 use crate::frames::{self, Frame};
 use serde_json::json;
 use std::net::{SocketAddr, TcpStream};
@@ -12,7 +12,7 @@
 const MAX_STATUS_BYTES: usize = 1 << 20;
 
 impl Sessions {
-    /// The keys are documented for operators and stay.
+    /// The status as JSON; its keys are documented for operators and do not follow renames.
     pub(super) fn status(&self) -> String {
         let now = self.clock.now();
         let state = self.lock();
@@ -20,17 +20,17 @@
         json!({
             "instance": self.settings.instance,
             "incarnation": machine.incarnation(),
-            "stopped": machine.stopped().map(|why| why.to_string()),
-            "sessions": machine.kept().len(),
-            "sessions_bytes_most": CommitCache::bound_bytes(self.settings.max_sessions),
-            "folded": machine.kept().folded(),
+            "stopped": machine.not_serving().map(|reason| reason.to_string()),
+            "sessions": machine.commits().len(),
+            "sessions_bytes_most": CommitCache::max_table_bytes(self.settings.max_sessions),
+            "folded": machine.commits().folded_generations(),
             "floor_us": machine.floor().map(|at| at.0),
-            "floor_due": machine.floor_due(),
+            "floor_due": machine.floor_pending(),
             "on_disk": machine.durable(),
             "journal_bytes": self.journal_bytes.load(Ordering::Relaxed),
-            "syncs": self.syncs.load(Ordering::Relaxed),
-            "commits": machine.seq(),
-            "writes_waiting": machine.waiting(),
+            "syncs": self.journal_syncs.load(Ordering::Relaxed),
+            "commits": machine.last_seq(),
+            "writes_waiting": machine.pending_ack_count(),
             "reads": state.reads,
             "reads_of_the_present": state.present_reads,
             "relies_on_all": machine.peers_up_to_date(now),
@@ -40,18 +40,18 @@
     }
 }
 
-/// Asks a running instance for its status, as JSON.
+/// Requests the status of a running instance, as JSON.
 ///
 /// # Errors
-/// [`AskError::Away`] where it can't be reached or does not answer in time, [`AskError::Other`] where something else
-/// listens there.
-pub fn ask(addr: SocketAddr, timeout: Duration) -> Result<String, AskError> {
-    let failed = |source| AskError::Away { addr, source };
+/// [`StatusError::Unreachable`] where it can't be reached or does not answer in time, [`StatusError::NotAnInstance`]
+/// where something else listens there.
+pub fn request_status(addr: SocketAddr, timeout: Duration) -> Result<String, StatusError> {
+    let failed = |source| StatusError::Unreachable { addr, source };
     let socket = TcpStream::connect_timeout(&addr, timeout).map_err(failed)?;
     socket.set_read_timeout(Some(timeout)).map_err(failed)?;
-    frames::write(&socket, &Frame::Show).map_err(failed)?;
+    frames::write(&socket, &Frame::StatusRequest).map_err(failed)?;
     match frames::read(&socket, MAX_STATUS_BYTES).map_err(failed)? {
-        Frame::Shown(status) => Ok(status),
-        _ => Err(AskError::Other(addr)),
+        Frame::Status(status) => Ok(status),
+        _ => Err(StatusError::NotAnInstance(addr)),
     }
 }
--- /dev/null
+++ b/sessions/tests/clocks.rs
@@ -0,0 +1,44 @@
+//! Bounds of servers' clocks, from samples to commits.
+use decision::Time;
+use sessions::clocks::{ClockOffset, DRIFT_PER_S, RESOLUTION, ServerClocks};
+use std::net::SocketAddr;
+
+const S: i64 = 1_000_000;
+
+#[test]
+fn samples_bound_offset_from_both_sides_and_narrow_it() {
+    // The server is 2 s ahead; its answer took 40 ms, then 2 ms.
+    let slow = ClockOffset::sample(Time(10 * S), Time(10 * S + 40_000), Time(12 * S + 20_000));
+    assert!(slow.low <= 2 * S && 2 * S <= slow.upper_bound(Time(10 * S + 40_000)));
+    let quick = ClockOffset::sample(Time(11 * S), Time(11 * S + 2000), Time(13 * S + 1000));
+    let both = slow.narrowed_by(quick);
+    assert!(both.upper_bound(Time(11 * S + 2000)) - both.low <= 2000 + RESOLUTION + 2 * DRIFT_PER_S);
+    // A slow one later on adds nothing but drift.
+    let after =
+        both.narrowed_by(ClockOffset::sample(Time(12 * S), Time(12 * S + 90_000), Time(14 * S + 45_000)));
+    assert!(after.upper_bound(Time(12 * S + 90_000)) <= both.high + 3 * DRIFT_PER_S);
+}
+
+#[test]
+fn clock_that_was_set_replaces_old_bounds() {
+    let before = ClockOffset::sample(Time(10 * S), Time(10 * S + 1000), Time(12 * S));
+    let set = ClockOffset::sample(Time(11 * S), Time(11 * S + 1000), Time(11 * S));
+    assert_eq!(before.narrowed_by(set), set);
+}
+
+#[test]
+fn commits_and_present_are_never_too_early() {
+    let at: SocketAddr = ([127, 0, 0, 1], 1).into();
+    let other: SocketAddr = ([127, 0, 0, 1], 2).into();
+    let clocks = ServerClocks::new(true, 50_000);
+    assert_eq!(clocks.present(Time(10 * S)), None);
+    clocks.add_sample(at, ClockOffset::sample(Time(10 * S), Time(10 * S + 1000), Time(12 * S)));
+    // A commit at this moment bears 12 s in the server's clock.
+    assert!(clocks.commit_upper_bound(at, Time(10 * S + 1000)) >= Time(12 * S + 1000));
+    assert!(clocks.commit_upper_bound(at, Time(10 * S + 1000)) <= Time(12 * S + 3000));
+    assert!(clocks.present(Time(10 * S + 1000)) >= Some(Time(12 * S + 50_000)));
+    // A server that was never asked may be as far from the others as the settings say.
+    assert!(clocks.commit_upper_bound(other, Time(10 * S + 1000)) >= Time(12 * S + 50_000));
+    // Without the servers' clocks the skew is all there is.
+    assert_eq!(ServerClocks::new(false, 50_000).present(Time(S)), Some(Time(S + 50_000)));
+}
--- a/sessions/src/commit_cache/tests.rs
+++ b/sessions/tests/commit_cache.rs
@@ -1,37 +1,40 @@
 //! The bounds on memory and on what a session must see, on tables of any size.
-use super::*;
+use decision::Time;
 use proptest::prelude::*;
+use sessions::SessionKey;
+use sessions::commit_cache::{CommitCache, GENERATION_SESSIONS};
+use std::collections::HashMap;
 
 #[test]
 fn oldest_sessions_fold_into_floor_and_newest_stay_exact() {
     let mut cache = CommitCache::with_generations(100, 25);
     for n in 0..1000u64 {
-        cache.add(Key(n), Time(n as i64 + 1));
+        cache.insert(SessionKey(n), Time(n as i64 + 1));
         assert!(cache.len() <= 125);
     }
     // At least a hundred are held one by one; nobody must see less than what it wrote.
     for n in 0..1000u64 {
-        let required = cache.required_position(Key(n));
+        let required = cache.required_position(SessionKey(n));
         assert!(required >= Some(Time(n as i64 + 1)));
         assert!(
             n < 900 || required == Some(Time(n as i64 + 1)),
             "{n} is among the last hundred: {required:?}"
         );
     }
-    assert!(cache.folded() > 0 && cache.floor() < Some(Time(900)));
+    assert!(cache.folded_generations() > 0 && cache.floor() < Some(Time(900)));
 }
 
 #[test]
 fn million_sessions_fit_stated_bytes() {
     let mut cache = CommitCache::new(1_000_000);
     for n in 0..3_000_000u64 {
-        cache.add(Key(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)), Time(n as i64));
+        cache.insert(SessionKey(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)), Time(n as i64));
     }
-    let places: usize = cache.generations.iter().map(|generation| generation.table.capacity()).sum();
+    let places = cache.table_capacity();
     assert!(cache.len() >= 1_000_000, "{}", cache.len());
     // No table has doubled.
-    assert_eq!(places, cache.generations.len() * GENERATION_SESSIONS);
-    assert!(CommitCache::bound_bytes(1_000_000) < 24_600_000);
+    assert_eq!(places, cache.generation_count() * GENERATION_SESSIONS);
+    assert!(CommitCache::max_table_bytes(1_000_000) < 24_600_000);
 }
 
 proptest! {
@@ -43,15 +46,15 @@
         let mut floor = -1;
         for (key, at, raise) in steps {
             if raise {
-                cache.raise(Time(at));
+                cache.raise_floor(Time(at));
                 floor = floor.max(at);
             } else {
-                cache.add(Key(key), Time(at));
+                cache.insert(SessionKey(key), Time(at));
                 let m = must.entry(key).or_insert(at);
                 *m = (*m).max(at);
             }
             for (k, at) in &must {
-                prop_assert!(cache.required_position(Key(*k)) >= Some(Time((*at).max(floor))));
+                prop_assert!(cache.required_position(SessionKey(*k)) >= Some(Time((*at).max(floor))));
             }
             prop_assert!(cache.len() <= 12);
         }
--- a/sessions/tests/frames.rs
+++ b/sessions/tests/frames.rs
@@ -1,7 +1,7 @@
 //! Frames between instances, whole and damaged.
-use sessions::Key;
+use sessions::SessionKey;
 use sessions::frames::{self, Frame, VERSION, read};
-use sessions::machine::{Push, Why};
+use sessions::machine::{Push, RejectionReason};
 use std::io;
 
 /// The longest frame that these tests accept.
@@ -11,12 +11,12 @@
 fn frames_round_trip_and_long_or_foreign_ones_are_errors() {
     let frames = [
         Frame::Hello { version: VERSION, cluster: "orders".into(), from: 1, incarnation: 9, to: 2 },
-        Frame::Refused(Why::Older { newest: 3 }),
-        Frame::Push(Push::Commits { first: 4, entries: vec![(Key(u64::MAX), i64::MAX)] }),
-        Frame::Ask(-1),
+        Frame::Rejected(RejectionReason::OlderIncarnation { newest: 3 }),
+        Frame::Push(Push::Commits { first: 4, entries: vec![(SessionKey(u64::MAX), i64::MAX)] }),
+        Frame::LeaseRequest { requested_at: -1 },
     ];
     let mut bytes = Vec::new();
-    frames.iter().for_each(|frame| frames::push(&mut bytes, frame).unwrap());
+    frames.iter().for_each(|frame| frames::encode(frame, &mut bytes).unwrap());
     let mut rest = &bytes[..];
     for frame in &frames {
         assert_eq!(read(&mut rest, MAX_BYTES).unwrap(), *frame);
--- a/sessions/tests/journal.rs
+++ b/sessions/tests/journal.rs
@@ -1,24 +1,24 @@
 //! Journals that were cut, damaged, left in the middle of a rewrite, or are none.
 use decision::Time;
 use proptest::prelude::*;
-use sessions::Key;
-use sessions::journal::{self, Fault, JournalError, Record, Whole, open, read};
+use sessions::SessionKey;
+use sessions::journal::{self, Checkpoint, JournalError, JournalFault, Record, open, read};
 
-fn whole(incarnation: u64, entries: &[(Key, Time)]) -> Whole<'_> {
-    Whole { instance: 1, incarnation, entries, floor: None, incomplete: false }
+fn whole(incarnation: u64, entries: &[(SessionKey, Time)]) -> Checkpoint<'_> {
+    Checkpoint { instance: 1, incarnation, entries, floor: None, incomplete: false }
 }
 
 /// The bytes of a file with these records behind its beginning.
 fn file(records: &[Record]) -> Vec<u8> {
     let folder = tempfile::tempdir().unwrap();
     let mut journal = open(folder.path(), 1).unwrap().begin(&whole(7, &[])).unwrap().unwrap();
-    records.iter().for_each(|record| journal.add(record).unwrap());
-    let (path, _) = journal::newest(folder.path()).unwrap().unwrap();
+    records.iter().for_each(|record| journal.append(record).unwrap());
+    let (path, _) = journal::read_newest(folder.path()).unwrap().unwrap();
     std::fs::read(path).unwrap()
 }
 
 fn commits(n: u64) -> Record {
-    Record::Commits((0..=n).map(|k| (Key(k ^ n << 32), 1_700_000_000_000_000 + k as i64)).collect())
+    Record::Commits((0..=n).map(|k| (SessionKey(k ^ n << 32), 1_700_000_000_000_000 + k as i64)).collect())
 }
 
 #[test]
@@ -28,7 +28,7 @@
     let held = read(&before).unwrap();
     for cut in before.len()..whole.len() {
         let found = read(&whole[..cut]).unwrap();
-        assert_eq!((found.torn, &found.entries), (cut - before.len(), &held.entries));
+        assert_eq!((found.torn_bytes, &found.entries), (cut - before.len(), &held.entries));
     }
     assert_eq!(read(&whole).unwrap().entries.len(), held.entries.len() + 10);
 }
@@ -42,7 +42,7 @@
         let mut damaged = whole.clone();
         damaged[at] ^= 1 << (at % 8);
         let fault = read(&damaged).unwrap_err();
-        if let Fault::Middle { offset } = fault {
+        if let JournalFault::DamagedRecord { offset } = fault {
             assert!(offset <= at, "{offset} for a fault at {at}");
         }
     }
@@ -50,7 +50,7 @@
     for at in last..whole.len() {
         let mut damaged = whole.clone();
         damaged[at] ^= 1 << (at % 8);
-        assert_eq!(read(&damaged).unwrap().torn, whole.len() - last);
+        assert_eq!(read(&damaged).unwrap().torn_bytes, whole.len() - last);
     }
 }
 
@@ -58,21 +58,21 @@
 fn rewrite_that_stops_midway_leaves_old_file() {
     let kept_in = tempfile::tempdir().unwrap();
     let folder = kept_in.path();
-    let entries = [(Key(1), Time(10)), (Key(2), Time(20))];
+    let entries = [(SessionKey(1), Time(10)), (SessionKey(2), Time(20))];
     let mut journal = open(folder, 1).unwrap().begin(&whole(1, &entries)).unwrap().unwrap();
-    journal.add(&Record::Commits(vec![(Key(3), 30)])).unwrap();
+    journal.append(&Record::Commits(vec![(SessionKey(3), 30)])).unwrap();
     assert!(matches!(open(folder, 1), Err(JournalError::Locked(_))));
     drop(journal);
     // A half-written new file has no name yet, and is not looked at.
     std::fs::write(folder.join("new"), b"DVSESS").unwrap();
-    let found = open(folder, 1).unwrap().found.unwrap();
-    assert_eq!(found.entries.last(), Some(&(Key(3), Time(30))));
-    assert!(matches!(open(folder, 2), Err(JournalError::Other { instance: 1, .. })));
+    let found = open(folder, 1).unwrap().contents.unwrap();
+    assert_eq!(found.entries.last(), Some(&(SessionKey(3), Time(30))));
+    assert!(matches!(open(folder, 2), Err(JournalError::OtherInstance { instance: 1, .. })));
     // Once invalid, no file is left to use.
     let journal = open(folder, 1).unwrap().begin(&whole(2, &entries)).unwrap().unwrap();
     journal.invalidate().unwrap();
     drop(journal);
-    assert_eq!(open(folder, 1).unwrap().found, None);
+    assert_eq!(open(folder, 1).unwrap().contents, None);
 }
 
 proptest! {
--- a/sessions/tests/simulation.rs
+++ b/sessions/tests/simulation.rs
@@ -1,10 +1,11 @@
 //! Three instances of the state machine in simulated time, with links that delay, cut off and break, processes that
 //! are killed, paused and started again, disks that sync late, lose their folder or fail, and clocks that differ.
-//! After every step it is checked that no session's read at any instance would see less than was acknowledged to its clients.
+//! After every step it is checked that no session's read at any instance would see less than was acknowledged to its
+//! clients.
 use decision::Time;
 use fastrand::Rng;
 use sessions::machine::{Action, Event, Instance, Machine, Now, Push, Settings};
-use sessions::{FAR, Key};
+use sessions::{AFTER_EVERY_COMMIT, SessionKey};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 const MS: i64 = 1000;
@@ -17,7 +18,7 @@
     /// A journal is there and believed.
     valid: bool,
     incarnation: u64,
-    entries: Vec<(Key, Time)>,
+    entries: Vec<(SessionKey, Time)>,
     floor: Option<Time>,
     incomplete: bool,
 }
@@ -27,7 +28,7 @@
     /// When the sync ends.
     synced_at: i64,
     seq: u64,
-    key: Key,
+    key: SessionKey,
     at: Time,
 }
 
@@ -44,7 +45,7 @@
 enum Message {
     Hello(u64),
     Welcome(u64, u64),
-    Refused(sessions::machine::Why),
+    Refused(sessions::machine::RejectionReason),
     Push(Push),
     Confirm(u64),
     Ask(i64),
@@ -68,8 +69,8 @@
     /// Each instance's clock less the true one, and its rate in parts of a thousand.
     clocks: BTreeMap<Instance, (i64, i64)>,
     next_ticket: u64,
-    tickets: HashMap<(Instance, u64), (Key, Time)>,
-    acknowledged: HashMap<Key, Time>,
+    tickets: HashMap<(Instance, u64), (SessionKey, Time)>,
+    acknowledged: HashMap<SessionKey, Time>,
     exact_reads: u64,
     reads: u64,
     released: u64,
@@ -125,8 +126,8 @@
             instance,
             incarnation,
             lease: LEASE,
-            resume: 20,
-            sessions: 8,
+            max_buffered_commits: 20,
+            max_sessions: 8,
             durable: self.durable,
             incomplete,
         };
@@ -141,7 +142,7 @@
         let unsynced = VecDeque::new();
         let process = Process { machine, unsynced, paused_until: 0, knows_from, disk_fails: false };
         self.processes.insert(instance, Some(process));
-        self.handle(instance, Event::Peers((1..=self.size).collect()));
+        self.handle(instance, Event::PeersListed { peers: (1..=self.size).collect() });
     }
 
     fn kill(&mut self, instance: Instance) {
@@ -166,11 +167,11 @@
             let mut link = self.links.remove(&(a, b)).unwrap();
             while let Some((_, Message::Push(push))) = link.pushes.pop_front() {
                 if b != instance && link.welcomed {
-                    self.handle(b, Event::Pushed(a, push));
+                    self.handle(b, Event::PushReceived { peer: a, push });
                 }
             }
-            self.handle(b, Event::Left(a));
-            self.handle(a, Event::Unlinked(b));
+            self.handle(b, Event::InboundDisconnected { peer: a });
+            self.handle(a, Event::OutboundDisconnected { peer: b });
         }
     }
 
@@ -209,49 +210,49 @@
 
     fn carry_out(&mut self, instance: Instance, action: Action) {
         match action {
-            Action::Append(seq, key, at) => {
+            Action::AppendCommit { seq, session: key, committed_at: at } => {
                 let synced_at = self.now + self.rng.i64(0..60 * MS);
                 let process = self.processes.get_mut(&instance).and_then(Option::as_mut).unwrap();
                 let synced_at =
                     process.unsynced.back().map_or(synced_at, |write| synced_at.max(write.synced_at));
                 process.unsynced.push_back(UnsyncedCommit { synced_at, seq, key, at });
             }
-            Action::AppendFloor(at) => {
+            Action::AppendFloor { floor: at } => {
                 let disk = self.disks.get_mut(&instance).unwrap();
                 disk.floor = disk.floor.max(Some(at));
                 disk.incomplete = false;
             }
-            Action::Push(to, push) => self.send(instance, to, Message::Push(push)),
-            Action::PushAll(to, seq) => {
+            Action::SendPush { peer: to, push } => self.send(instance, to, Message::Push(push)),
+            Action::SendSnapshot { peer: to, seq } => {
                 let m = &self.processes[&instance].as_ref().unwrap().machine;
-                let mut entries: Vec<(Key, i64)> = m.kept().iter().map(|(k, t)| (k, t.0)).collect();
-                let floor = m.floor().filter(|_| !m.floor_due()).map(|t| t.0);
+                let mut entries: Vec<(SessionKey, i64)> = m.commits().iter().map(|(k, t)| (k, t.0)).collect();
+                let floor = m.floor().filter(|_| !m.floor_pending()).map(|t| t.0);
                 entries.reverse();
-                self.send(instance, to, Message::Push(Push::All { entries }));
-                self.send(instance, to, Message::Push(Push::Whole { seq, floor }));
+                self.send(instance, to, Message::Push(Push::Snapshot { entries }));
+                self.send(instance, to, Message::Push(Push::SnapshotComplete { seq, floor }));
             }
-            Action::Welcome(peer, incarnation, holds) => {
+            Action::Accept { peer, incarnation, last_seq: holds } => {
                 self.reply(peer, instance, Message::Welcome(incarnation, holds));
             }
-            Action::Refuse(peer, why) => self.reply(peer, instance, Message::Refused(why)),
-            Action::Confirm(peer, seq) => self.reply(peer, instance, Message::Confirm(seq)),
-            Action::Ask(peer, at) => self.reply(peer, instance, Message::Ask(at)),
-            Action::Drop(peer) => self.unlink(peer, instance),
-            Action::Release(ticket) => {
+            Action::Reject { peer, reason: why } => self.reply(peer, instance, Message::Refused(why)),
+            Action::SendConfirmation { peer, seq } => self.reply(peer, instance, Message::Confirm(seq)),
+            Action::RequestLease { peer, requested_at: at } => self.reply(peer, instance, Message::Ask(at)),
+            Action::Disconnect { peer } => self.unlink(peer, instance),
+            Action::Acknowledge { ack: ticket } => {
                 let (key, at) = self.tickets.remove(&(instance, ticket)).unwrap();
                 let acknowledged = self.acknowledged.entry(key).or_insert(at);
                 *acknowledged = (*acknowledged).max(at);
                 self.released += 1;
             }
-            Action::Fail(ticket) => _ = self.tickets.remove(&(instance, ticket)),
-            Action::Reincarnate(_) | Action::Superseded(_) => {}
+            Action::Fail { ack: ticket } => _ = self.tickets.remove(&(instance, ticket)),
+            Action::AdoptIncarnation { .. } | Action::Superseded { .. } => {}
         }
     }
 
     fn unlink(&mut self, from: Instance, to: Instance) {
         if self.links.remove(&(from, to)).is_some() {
-            self.handle(to, Event::Left(from));
-            self.handle(from, Event::Unlinked(to));
+            self.handle(to, Event::InboundDisconnected { peer: from });
+            self.handle(from, Event::OutboundDisconnected { peer: to });
         }
     }
 
@@ -290,7 +291,7 @@
                 synced = Some(seq);
             }
             if let Some(seq) = synced {
-                self.handle(instance, Event::Synced(seq));
+                self.handle(instance, Event::JournalSynced { seq });
             }
             self.handle(instance, Event::Tick);
         }
@@ -303,7 +304,7 @@
         match &self.processes[&to] {
             None => {
                 let begun = Time(self.clock(from));
-                self.handle(from, Event::Down(to, begun));
+                self.handle(from, Event::ConnectionRefused { peer: to, attempted_at: begun });
             }
             Some(_) => {
                 self.links.insert((from, to), Link::default());
@@ -319,8 +320,10 @@
             && link.pushes.front().is_some_and(|m| m.0 <= self.now)
         {
             match link.pushes.pop_front().unwrap().1 {
-                Message::Hello(incarnation) => self.handle(to, Event::Introduced(from, incarnation)),
-                Message::Push(push) => self.handle(to, Event::Pushed(from, push)),
+                Message::Hello(incarnation) => {
+                    self.handle(to, Event::HelloReceived { peer: from, incarnation });
+                }
+                Message::Push(push) => self.handle(to, Event::PushReceived { peer: from, push }),
                 _ => {}
             }
         }
@@ -331,37 +334,38 @@
             match link.replies.pop_front().unwrap().1 {
                 Message::Welcome(incarnation, holds) => {
                     link.welcomed = true;
-                    self.handle(from, Event::Accepted { peer: to, incarnation, holds });
+                    self.handle(from, Event::Accepted { peer: to, incarnation, last_seq: holds });
                 }
                 Message::Refused(why) => {
-                    self.handle(from, Event::Refused(to, why));
+                    self.handle(from, Event::Rejected { peer: to, reason: why });
                     self.unlink(from, to);
                 }
-                Message::Confirm(seq) => self.handle(from, Event::Confirmed(to, seq)),
-                Message::Ask(at) => self.handle(from, Event::Asked(to, at)),
+                Message::Confirm(seq) => self.handle(from, Event::Confirmed { peer: to, seq }),
+                Message::Ask(at) => self.handle(from, Event::LeaseRequested { peer: to, requested_at: at }),
                 _ => {}
             }
         }
     }
 
     fn write(&mut self, instance: Instance) {
-        let key = Key(self.rng.u64(0..KEYS));
+        let key = SessionKey(self.rng.u64(0..KEYS));
         self.next_ticket += 1;
         // Every commit has its own time, none later than what an instance takes for the present.
         let at = Time(self.now);
         self.tickets.insert((instance, self.next_ticket), (key, at));
-        self.handle(instance, Event::Commit(self.next_ticket, key, at));
+        self.handle(instance, Event::Commit { ack: self.next_ticket, session: key, committed_at: at });
     }
 
     fn read(&mut self, instance: Instance) {
         let now = self.now_at(instance);
         let Some(Some(process)) = self.processes.get(&instance) else { return };
         for k in 0..KEYS {
-            let need = process.machine.need(Key(k), now);
+            let need = process.machine.required_position(SessionKey(k), now);
             self.reads += 1;
-            self.exact_reads +=
-                u64::from(now.present.is_none_or(|process| need < Some(process)) && need != Some(FAR));
-            let acknowledged = self.acknowledged.get(&Key(k)).copied();
+            self.exact_reads += u64::from(
+                now.present.is_none_or(|process| need < Some(process)) && need != Some(AFTER_EVERY_COMMIT),
+            );
+            let acknowledged = self.acknowledged.get(&SessionKey(k)).copied();
             assert!(
                 need >= acknowledged,
                 "instance {instance}, key {k} at {}: {need:?} is less than {acknowledged:?}",
@@ -384,11 +388,11 @@
             self.handle(instance, Event::JournalLost);
         } else {
             let m = &process.machine;
-            let mut entries: Vec<(Key, Time)> = m.kept().iter().collect();
+            let mut entries: Vec<(SessionKey, Time)> = m.commits().iter().collect();
             entries.reverse();
-            let (floor, incomplete, seq) = (m.floor(), m.floor_due(), m.seq());
+            let (floor, incomplete, seq) = (m.floor(), m.floor_pending(), m.last_seq());
             *disk = Disk { valid: true, incarnation: m.incarnation(), entries, floor, incomplete };
-            self.handle(instance, Event::JournalBack(seq));
+            self.handle(instance, Event::JournalRestored { seq });
         }
     }
 
--- a/simulator/src/world/clients.rs
+++ b/simulator/src/world/clients.rs
@@ -6,7 +6,7 @@
 use crate::results::Counts;
 use crate::times::{RUN_BEGIN, SECOND, from_milliseconds, from_seconds};
 use decision::{Event, Freshness, GroupId, Request, RequestId, Time};
-use sessions::Key;
+use sessions::SessionKey;
 
 /// Retries after which a client's backoff stops to double.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
@@ -105,7 +105,7 @@
             return None;
         }
         let now = self.session_now();
-        self.routers[router].sessions.need(Key(session), now)
+        self.routers[router].sessions.required_position(SessionKey(session), now)
     }
 
     /// A client was rejected, or found no router: it retries while it has time and retries left.
--- a/simulator/src/world/events.rs
+++ b/simulator/src/world/events.rs
@@ -2,7 +2,7 @@
 use crate::node::Job;
 use decision::{MemberReport, Outcome, Time};
 use registry::machine::Change;
-use sessions::Key;
+use sessions::SessionKey;
 use sessions::machine::Push;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -56,7 +56,7 @@
     ProbeEnded { node: usize, outcome: Outcome, report: MemberReport },
     DecisionTimerExpired,
     Ticked,
-    JournalSynced { sequence: u64, session: Key, commit: Time },
+    JournalSynced { sequence: u64, session: SessionKey, commit: Time },
 }
 
 /// What changes the replicas in service.
--- a/simulator/src/world/network.rs
+++ b/simulator/src/world/network.rs
@@ -41,16 +41,18 @@
         let peer = from as Instance;
         let event = match message {
             PeerMessage::Hello { incarnation } if sender_connected => {
-                SessionEvent::Introduced(peer, incarnation)
+                SessionEvent::HelloReceived { peer, incarnation }
             }
-            PeerMessage::Push(push) if sender_connected => SessionEvent::Pushed(peer, push),
+            PeerMessage::Push(push) if sender_connected => SessionEvent::PushReceived { peer, push },
             PeerMessage::Welcome { incarnation, position } if receiver_connected => {
-                SessionEvent::Accepted { peer, incarnation, holds: position }
+                SessionEvent::Accepted { peer, incarnation, last_seq: position }
             }
             PeerMessage::Confirm { sequence } if receiver_connected => {
-                SessionEvent::Confirmed(peer, sequence)
+                SessionEvent::Confirmed { peer, seq: sequence }
+            }
+            PeerMessage::Ask { at } if receiver_connected => {
+                SessionEvent::LeaseRequested { peer, requested_at: at }
             }
-            PeerMessage::Ask { at } if receiver_connected => SessionEvent::Asked(peer, at),
             _ => return,
         };
         self.handle_session_event(to, event);
@@ -69,7 +71,10 @@
             let incarnation = self.routers[from].sessions.incarnation();
             self.send_to_peer(from, to, PeerMessage::Hello { incarnation });
         } else {
-            self.handle_session_event(from, SessionEvent::Down(to as Instance, self.now));
+            self.handle_session_event(
+                from,
+                SessionEvent::ConnectionRefused { peer: to as Instance, attempted_at: self.now },
+            );
         }
     }
 
@@ -79,10 +84,10 @@
         }
         let PeerConnection { from, to } = connection;
         if self.routers[to].up {
-            self.handle_session_event(to, SessionEvent::Left(from as Instance));
+            self.handle_session_event(to, SessionEvent::InboundDisconnected { peer: from as Instance });
         }
         if self.routers[from].up {
-            self.handle_session_event(from, SessionEvent::Unlinked(to as Instance));
+            self.handle_session_event(from, SessionEvent::OutboundDisconnected { peer: to as Instance });
         }
     }
 
--- a/simulator/src/world/routers.rs
+++ b/simulator/src/world/routers.rs
@@ -8,7 +8,7 @@
 use crate::times::{CONNECT_TIMEOUT, RUN_BEGIN, SECOND, TICK_INTERVAL, from_milliseconds};
 use decision::{Action, Event, MemberId, MemberReport, Outcome, RequestId, Time};
 use registry::fleet::Event as FleetEvent;
-use sessions::Key;
+use sessions::SessionKey;
 use sessions::machine::Event as SessionEvent;
 
 impl World<'_> {
@@ -250,7 +250,8 @@
         if let Some(commit) = commit {
             let write = UnacknowledgedWrite { client: client_id, session, commit };
             self.routers[key.router].unacknowledged_writes.insert(key.request, write);
-            let committed = SessionEvent::Commit(key.request, Key(session), commit);
+            let committed =
+                SessionEvent::Commit { ack: key.request, session: SessionKey(session), committed_at: commit };
             return self.handle_session_event(key.router, committed);
         }
         let read = ServedRead {
--- a/simulator/src/world/sessions.rs
+++ b/simulator/src/world/sessions.rs
@@ -4,7 +4,7 @@
 use crate::checker::{FinalAnswer, RouterRequest};
 use crate::times::{CLOCK_UNCERTAINTY, JOURNAL_SYNC};
 use decision::Time;
-use sessions::Key;
+use sessions::SessionKey;
 use sessions::machine::{Action as SessionAction, Event as SessionEvent, Now, Push};
 
 impl World<'_> {
@@ -24,48 +24,52 @@
 
     fn apply_session_action(&mut self, router: usize, action: SessionAction) {
         match action {
-            SessionAction::Append(sequence, session, commit) => {
+            SessionAction::AppendCommit { seq: sequence, session, committed_at: commit } => {
                 let synced = ProcessEvent::JournalSynced { sequence, session, commit };
                 self.schedule_after(JOURNAL_SYNC, SimulationEvent::Process(self.process(router), synced));
             }
-            SessionAction::Push(peer, push) => {
+            SessionAction::SendPush { peer, push } => {
                 self.send_to_peer(router, peer as usize, PeerMessage::Push(push));
             }
-            SessionAction::PushAll(peer, sequence) => self.push_all(router, peer as usize, sequence),
-            SessionAction::Welcome(peer, incarnation, position) => {
+            SessionAction::SendSnapshot { peer, seq: sequence } => {
+                self.push_all(router, peer as usize, sequence)
+            }
+            SessionAction::Accept { peer, incarnation, last_seq: position } => {
                 self.send_to_peer(router, peer as usize, PeerMessage::Welcome { incarnation, position });
             }
-            SessionAction::Confirm(peer, sequence) => {
+            SessionAction::SendConfirmation { peer, seq: sequence } => {
                 self.send_to_peer(router, peer as usize, PeerMessage::Confirm { sequence });
             }
-            SessionAction::Ask(peer, at) => self.send_to_peer(router, peer as usize, PeerMessage::Ask { at }),
-            SessionAction::Drop(peer) => {
+            SessionAction::RequestLease { peer, requested_at: at } => {
+                self.send_to_peer(router, peer as usize, PeerMessage::Ask { at })
+            }
+            SessionAction::Disconnect { peer } => {
                 self.disconnect_peer(PeerConnection { from: peer as usize, to: router });
             }
-            SessionAction::Release(request) => self.acknowledge_write(router, request),
-            SessionAction::Fail(request) => self.fail_write(router, request),
-            SessionAction::AppendFloor(_)
-            | SessionAction::Refuse(..)
-            | SessionAction::Reincarnate(_)
-            | SessionAction::Superseded(_) => {}
+            SessionAction::Acknowledge { ack: request } => self.acknowledge_write(router, request),
+            SessionAction::Fail { ack: request } => self.fail_write(router, request),
+            SessionAction::AppendFloor { .. }
+            | SessionAction::Reject { .. }
+            | SessionAction::AdoptIncarnation { .. }
+            | SessionAction::Superseded { .. } => {}
         }
     }
 
     /// Sends the whole cache of commits to a peer.
     fn push_all(&mut self, router: usize, peer: usize, sequence: u64) {
         let sessions = &self.routers[router].sessions;
-        let mut entries: Vec<(Key, i64)> =
-            sessions.kept().iter().map(|(session, commit)| (session, commit.0)).collect();
+        let mut entries: Vec<(SessionKey, i64)> =
+            sessions.commits().iter().map(|(session, commit)| (session, commit.0)).collect();
         // The iteration order of hash maps is arbitrary.
         entries.sort_unstable_by_key(|(session, commit)| (*commit, *session));
-        let floor = sessions.floor().filter(|_| !sessions.floor_due()).map(|floor| floor.0);
-        self.send_to_peer(router, peer, PeerMessage::Push(Push::All { entries }));
-        self.send_to_peer(router, peer, PeerMessage::Push(Push::Whole { seq: sequence, floor }));
+        let floor = sessions.floor().filter(|_| !sessions.floor_pending()).map(|floor| floor.0);
+        self.send_to_peer(router, peer, PeerMessage::Push(Push::Snapshot { entries }));
+        self.send_to_peer(router, peer, PeerMessage::Push(Push::SnapshotComplete { seq: sequence, floor }));
     }
 
     pub(super) fn handle_journal_sync(&mut self, router: usize, sequence: u64, entry: JournalEntry) {
         self.routers[router].journal.push(entry);
-        self.handle_session_event(router, SessionEvent::Synced(sequence));
+        self.handle_session_event(router, SessionEvent::JournalSynced { seq: sequence });
     }
 
     fn acknowledge_write(&mut self, router: usize, request: u64) {
--- a/simulator/src/world/setup.rs
+++ b/simulator/src/world/setup.rs
@@ -101,7 +101,7 @@
         };
         self.handle_watch_event(router, snapshot);
         let peers = self.session_cluster(router).map(|peer| peer as Instance).collect();
-        self.handle_session_event(router, SessionEvent::Peers(peers));
+        self.handle_session_event(router, SessionEvent::PeersListed { peers });
         let process = self.process(router);
         let first_tick = Time(self.now.0 + self.rng.i64(0..TICK_INTERVAL));
         self.schedule_at(first_tick, SimulationEvent::Process(process, ProcessEvent::Ticked));
@@ -140,8 +140,8 @@
         instance: router as Instance,
         incarnation: u64::from(epoch) + 1,
         lease: SESSION_LEASE,
-        resume: 4096,
-        sessions: 100_000,
+        max_buffered_commits: 4096,
+        max_sessions: 100_000,
         durable: true,
         incomplete: false,
     }
--- a/simulator/src/world/state.rs
+++ b/simulator/src/world/state.rs
@@ -11,7 +11,7 @@
 use fastrand::Rng;
 use registry::fleet::Fleet;
 use registry::machine::{Change, Machine as Follower};
-use sessions::Key;
+use sessions::SessionKey;
 use sessions::machine::Machine as Sessions;
 use std::collections::{BTreeSet, HashMap};
 use std::ops::Range;
@@ -54,7 +54,7 @@
 /// A commit of a session in a router's journal.
 #[derive(Clone, Copy)]
 pub(super) struct JournalEntry {
-    pub(super) session: Key,
+    pub(super) session: SessionKey,
     pub(super) commit: Time,
 }
 
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -80,7 +80,7 @@
     Sessions(#[from] sessions::Error),
     /// The status of a sessions instance could not be requested.
     #[error(transparent)]
-    SessionStatus(#[from] sessions::error::AskError),
+    SessionStatus(#[from] sessions::error::StatusError),
     /// A sessions folder holds no journal.
     #[error("{}: there is no journal", .0.display())]
     NoSessionJournal(PathBuf),
@@ -90,7 +90,7 @@
         /// Its file.
         path: PathBuf,
         /// The cause.
-        source: sessions::journal::Fault,
+        source: sessions::journal::JournalFault,
     },
     /// A recording can't be started.
     #[error(transparent)]
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -110,7 +110,7 @@
     let clocks = protocol.clocks.clone();
     match environment.operator.sessions.clone() {
         Some(settings) => Ok(Sessions::start(settings, &environment.limits, environment.clock, clocks)?),
-        None => Ok(Sessions::alone(&environment.limits, environment.clock, clocks)),
+        None => Ok(Sessions::local(&environment.limits, environment.clock, clocks)),
     }
 }
 
--- a/src/commands/serve/configuration.rs
+++ b/src/commands/serve/configuration.rs
@@ -71,7 +71,7 @@
                     *address = *current;
                 }
             }
-            self.sessions.list(peers);
+            self.sessions.set_peers(peers);
         }
         reload.keys_needing_restart
     }
--- a/src/commands/sessions.rs
+++ b/src/commands/sessions.rs
@@ -34,13 +34,13 @@
 /// The newest journal of a folder.
 struct NewestJournal {
     path: PathBuf,
-    contents: journal::Found,
+    contents: journal::JournalContents,
 }
 
 impl NewestJournal {
     fn read(folder: &Path) -> Result<NewestJournal, Error> {
         let newest =
-            journal::newest(folder).map_err(|source| Error::ReadFile { path: folder.into(), source })?;
+            journal::read_newest(folder).map_err(|source| Error::ReadFile { path: folder.into(), source })?;
         let (path, read) = newest.ok_or_else(|| Error::NoSessionJournal(folder.into()))?;
         match read {
             Ok(contents) => Ok(NewestJournal { path, contents }),
@@ -62,7 +62,7 @@
 }
 
 fn show_instance(address: SocketAddr) -> Result<(), Error> {
-    println!("{}", sessions::node::ask(address, STATUS_TIMEOUT)?);
+    println!("{}", sessions::node::request_status(address, STATUS_TIMEOUT)?);
     Ok(())
 }
 
@@ -72,11 +72,11 @@
         "file": path.display().to_string(),
         "instance": contents.instance,
         "incarnation": contents.incarnation,
-        "records": contents.records,
+        "records": contents.record_count,
         "commits": contents.entries.len(),
         "floor_us": contents.floor.map(|time| time.0),
         "incomplete": contents.incomplete,
-        "torn_bytes": contents.torn,
+        "torn_bytes": contents.torn_bytes,
     });
     println!("{summary}");
     Ok(())
@@ -97,10 +97,15 @@
 
 fn verify(folder: &Path) -> Result<(), Error> {
     let NewestJournal { path, contents } = NewestJournal::read(folder)?;
-    let torn = match contents.torn {
+    let torn = match contents.torn_bytes {
         0 => String::new(),
         bytes => format!(", then a torn tail of {bytes} bytes that a start cuts off"),
     };
-    println!("{}: {} whole records in {} bytes{torn}", path.display(), contents.records, contents.whole);
+    println!(
+        "{}: {} whole records in {} bytes{torn}",
+        path.display(),
+        contents.record_count,
+        contents.complete_bytes
+    );
     Ok(())
 }
--- a/tests/common/instances.rs
+++ b/tests/common/instances.rs
@@ -136,7 +136,7 @@
 
     /// Waits until an instance relies on all its peers.
     pub fn relied(&mut self, i: usize) {
-        self.program(i).logged("every peer's news is relied on");
+        self.program(i).logged("session peers up to date");
     }
 
     /// SIGKILL.
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -229,7 +229,7 @@
     let (ok, said) = asked("verify", &bad);
     assert!(!ok && said.contains("at offset"), "{said}");
     one.start(0);
-    one.program(0).logged("refused");
+    one.program(0).logged("damaged session journal refused");
     assert_eq!(read(&mut one.client(0), "ann").unwrap(), (1, "primary".into()));
     one.kill(0);
     // A tail that was torn off: what stood before it counts, and what may have been in it is covered.
@@ -237,7 +237,7 @@
     let newest = newest.into_iter().find(|f| f.to_string_lossy().contains("/sessions.")).unwrap();
     std::fs::write(&newest, &whole[..whole.len() - 1]).unwrap();
     one.start(0);
-    one.program(0).logged("torn tail");
+    one.program(0).logged("torn tail cut off session journal");
     for key in ["ann", "bob"] {
         assert_eq!(read(&mut one.client(0), key).unwrap(), (1, "primary".into()));
     }
@@ -312,7 +312,7 @@
     for n in 1..=100 {
         write(&mut client, "ann", n).unwrap();
     }
-    program.logged("the journal can't be kept");
+    program.logged("session journal write failed");
     assert_eq!(read(&mut client, "ann").unwrap(), (100, "primary".into()));
     drop(program);
     one.start(0);
@@ -332,7 +332,7 @@
     (0..2).for_each(|i| three.relied(i));
     // The third takes no named session before all that it names list it.
     three.start(2);
-    three.program(2).logged("takes nothing from here: NotListed");
+    three.program(2).logged("commits rejected by session peer peer=1 reason=NotListed");
     let refused = write(&mut three.client(2), "ann", 1).unwrap_err().to_string();
     assert!(refused.contains("does not list this one"), "{refused}");
     for i in 0..2 {
@@ -377,8 +377,8 @@
     let path = two.folder.write("copy.toml", &text);
     let mut copy = Program::start(&["serve", path.to_str().unwrap()], &[]);
     let addr = copy.listening();
-    copy.logged("peer 2 takes our commits");
-    two.program(0).logged("was started again elsewhere");
+    copy.logged("session peer connected peer=2");
+    two.program(0).logged("instance started again elsewhere");
     let refused = write(&mut two.client(0), "ann", 1).unwrap_err().to_string();
     assert!(refused.contains("a newer start of this instance serves"), "{refused}");
     write(&mut instances::connect(addr).unwrap(), "ann", 2).unwrap();
