--- a/admin/tests/common/router.rs
+++ b/admin/tests/common/router.rs
@@ -10,6 +10,7 @@
     RouterMessage, ServerSocket, WallClock,
 };
 use settings::Limits;
+use settings::limits::{ProcessResources, RequestTimes};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -73,7 +74,10 @@
 }
 
 fn limits() -> Limits {
-    let mut limits = Limits::new(256, 192 << 20, LONG, LONG, LONG);
+    let mut limits = Limits::new(
+        ProcessResources { descriptors: 256, memory_bytes: 192 << 20 },
+        RequestTimes { connect_timeout: LONG, backend_keepalive: LONG, longest_deadline: LONG },
+    );
     limits.max_maintenance_entries = 2;
     limits
 }
--- a/client-listener/tests/connections/support.rs
+++ b/client-listener/tests/connections/support.rs
@@ -4,6 +4,7 @@
 use routing::RequestId;
 use routing::socket::peek;
 use settings::Limits;
+use settings::limits::{ProcessResources, RequestTimes};
 use socket2::SockRef;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -35,7 +36,10 @@
 }
 
 pub(crate) fn test_limits() -> Limits {
-    let mut limits = Limits::new(64, 64 << 20, LONG, LONG, LONG);
+    let mut limits = Limits::new(
+        ProcessResources { descriptors: 64, memory_bytes: 64 << 20 },
+        RequestTimes { connect_timeout: LONG, backend_keepalive: LONG, longest_deadline: LONG },
+    );
     // No timeout passes unless a test sets it.
     (
         limits.client_first_request_timeout,
--- a/discovery/tests/liveness_outages/world.rs
+++ b/discovery/tests/liveness_outages/world.rs
@@ -3,6 +3,7 @@
 use crate::history::{History, STEP};
 use discovery::liveness::{Action, ConnectionId, Event, Settings, WatchLiveness};
 use settings::Limits;
+use settings::limits::{ProcessResources, RequestTimes};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -11,7 +12,10 @@
 
 pub(crate) fn limits() -> Limits {
     let long = Duration::from_secs(20);
-    Limits::new(256, 192 << 20, long, long, long)
+    Limits::new(
+        ProcessResources { descriptors: 256, memory_bytes: 192 << 20 },
+        RequestTimes { connect_timeout: long, backend_keepalive: long, longest_deadline: long },
+    )
 }
 
 fn machine(limits: &Limits) -> WatchLiveness {
--- a/discovery/tests/watch/support.rs
+++ b/discovery/tests/watch/support.rs
@@ -6,7 +6,7 @@
     Exchange, ExchangeResult, NotSent, Outcome, RouterMessage, ServerSocket, WallClock,
 };
 use settings::Limits;
-use settings::limits::Backoff;
+use settings::limits::{Backoff, ProcessResources, RequestTimes};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -39,7 +39,10 @@
 
 /// Limits of which a test changes some.
 pub(crate) fn limits() -> Limits {
-    Limits::new(256, 192 << 20, LONG, LONG, LONG)
+    Limits::new(
+        ProcessResources { descriptors: 256, memory_bytes: 192 << 20 },
+        RequestTimes { connect_timeout: LONG, backend_keepalive: LONG, longest_deadline: LONG },
+    )
 }
 
 /// One connection of the watch, as the agent has it: its request is read, nothing is written yet.
--- a/postgres/tests/common/mod.rs
+++ b/postgres/tests/common/mod.rs
@@ -7,6 +7,7 @@
     AttemptGuard, BackendProtocol, Connection, ConnectionPermit, Exchange, ExchangeResult, NotSent,
 };
 use settings::Limits;
+use settings::limits::{ProcessResources, RequestTimes};
 use socket2::SockRef;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -92,7 +93,10 @@
 }
 
 pub(crate) fn limits() -> Limits {
-    let mut limits = Limits::new(256, 32 << 20, TIMEOUT, TIMEOUT, TIMEOUT);
+    let mut limits = Limits::new(
+        ProcessResources { descriptors: 256, memory_bytes: 32 << 20 },
+        RequestTimes { connect_timeout: TIMEOUT, backend_keepalive: TIMEOUT, longest_deadline: TIMEOUT },
+    );
     limits.backend_check_timeout = TIMEOUT;
     limits.response_end_timeout = Duration::from_millis(10);
     limits.abandoned_response_timeout = Duration::ZERO;
--- a/postgres/tests/connections.rs
+++ b/postgres/tests/connections.rs
@@ -8,6 +8,7 @@
 use routing::protocol::{BackendProtocol, Connection, NotSent};
 use routing::{Clock, Outcome, ServerSocket};
 use settings::Limits;
+use settings::limits::{ProcessResources, RequestTimes};
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -110,10 +111,24 @@
 #[test]
 fn idle_timeout_exceeds_reconnect_interval_and_stays_below_the_instance_timeout() {
     let (thirty, limit) = (Duration::from_secs(30), Duration::from_secs(10));
-    let limits = Limits::new(384, 48 << 20, Duration::from_millis(250), thirty, thirty);
+    let limits = Limits::new(
+        ProcessResources { descriptors: 384, memory_bytes: 48 << 20 },
+        RequestTimes {
+            connect_timeout: Duration::from_millis(250),
+            backend_keepalive: thirty,
+            longest_deadline: thirty,
+        },
+    );
     assert!(limits.backend_idle_timeout > limit && limits.backend_idle_timeout < thirty);
     // An instance that closes early is left early.
-    let short = Limits::new(384, 48 << 20, Duration::from_millis(250), Duration::from_secs(2), thirty);
+    let short = Limits::new(
+        ProcessResources { descriptors: 384, memory_bytes: 48 << 20 },
+        RequestTimes {
+            connect_timeout: Duration::from_millis(250),
+            backend_keepalive: Duration::from_secs(2),
+            longest_deadline: thirty,
+        },
+    );
     assert!(
         short.backend_idle_timeout < Duration::from_secs(2)
             && short.max_unchecked_idle_time <= short.backend_idle_timeout
--- a/postgres/tests/front.rs
+++ b/postgres/tests/front.rs
@@ -6,6 +6,7 @@
 use postgres::front::Front;
 use routing::{Clock, Metrics, RouterBuilder, Settings};
 use settings::Limits;
+use settings::limits::{ProcessResources, RequestTimes};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -38,7 +39,14 @@
     /// Starts it; only the front gets the changed limits.
     fn start(change: impl FnOnce(&mut Limits)) -> TestFront {
         let seconds = Duration::from_secs;
-        let limits = Limits::new(4096, 64 << 20, Duration::from_millis(250), seconds(60), seconds(10));
+        let limits = Limits::new(
+            ProcessResources { descriptors: 4096, memory_bytes: 64 << 20 },
+            RequestTimes {
+                connect_timeout: Duration::from_millis(250),
+                backend_keepalive: seconds(60),
+                longest_deadline: seconds(10),
+            },
+        );
         let mut front_limits = limits.clone();
         change(&mut front_limits);
         let (limits, front_limits) = (Arc::new(limits), Arc::new(front_limits));
--- a/routing/tests/attempt_guard.rs
+++ b/routing/tests/attempt_guard.rs
@@ -2,6 +2,7 @@
 use routing::socket::peek;
 use routing::{AttemptGuard, Denial, EndpointState, Handshake, ServerSocket};
 use settings::Limits;
+use settings::limits::{ProcessResources, RequestTimes};
 use std::io::{ErrorKind, Read};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -10,7 +11,14 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let permit = AttemptGuard::default().permit_connection().unwrap();
     let (addr, seconds) = (listener.local_addr().unwrap(), Duration::from_secs);
-    let limits = Limits::new(256, 32 << 20, seconds(20), seconds(20), seconds(20));
+    let limits = Limits::new(
+        ProcessResources { descriptors: 256, memory_bytes: 32 << 20 },
+        RequestTimes {
+            connect_timeout: seconds(20),
+            backend_keepalive: seconds(20),
+            longest_deadline: seconds(20),
+        },
+    );
     let near = Handshake::connect(permit, addr, &limits).unwrap().finish().unwrap();
     (near, listener.accept().unwrap().0)
 }
--- a/routing/tests/common/mod.rs
+++ b/routing/tests/common/mod.rs
@@ -2,6 +2,7 @@
 use decision::{GroupId, MemberState};
 use routing::{EndpointEntry, spawn};
 use settings::Limits;
+use settings::limits::{ProcessResources, RequestTimes};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Condvar, Mutex};
@@ -37,7 +38,10 @@
 
 /// Limits with time for everything.
 pub(crate) fn limits() -> Limits {
-    Limits::new(4096, 64 << 20, TIMEOUT, TIMEOUT, TIMEOUT)
+    Limits::new(
+        ProcessResources { descriptors: 4096, memory_bytes: 64 << 20 },
+        RequestTimes { connect_timeout: TIMEOUT, backend_keepalive: TIMEOUT, longest_deadline: TIMEOUT },
+    )
 }
 
 /// A listener whose connections stay open. Connections need a socket; what is sent over it is not read.
--- a/routing/tests/endpoints.rs
+++ b/routing/tests/endpoints.rs
@@ -7,6 +7,7 @@
     WallClock,
 };
 use settings::Limits;
+use settings::limits::{ProcessResources, RequestTimes};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -45,7 +46,10 @@
 }
 
 fn limits() -> Limits {
-    Limits::new(256, 192 << 20, TIMEOUT, TIMEOUT, TIMEOUT)
+    Limits::new(
+        ProcessResources { descriptors: 256, memory_bytes: 192 << 20 },
+        RequestTimes { connect_timeout: TIMEOUT, backend_keepalive: TIMEOUT, longest_deadline: TIMEOUT },
+    )
 }
 
 fn endpoint(id: &str, state: MemberState, port: u16) -> EndpointEntry {
--- a/routing/tests/handover/script.rs
+++ b/routing/tests/handover/script.rs
@@ -10,6 +10,7 @@
     RouterBuilder, RouterHandle, ServerSocket,
 };
 use settings::Limits;
+use settings::limits::{ProcessResources, RequestTimes};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::IoSlice;
 use std::net::{SocketAddr, TcpListener};
@@ -247,7 +248,14 @@
     ) -> Core {
         let script = Arc::new(Script::default());
         let seconds = Duration::from_secs;
-        let mut limits = Limits::new(4096, 64 << 20, seconds(10), seconds(600), seconds(600));
+        let mut limits = Limits::new(
+            ProcessResources { descriptors: 4096, memory_bytes: 64 << 20 },
+            RequestTimes {
+                connect_timeout: seconds(10),
+                backend_keepalive: seconds(600),
+                longest_deadline: seconds(600),
+            },
+        );
         adjust(&mut limits);
         let class = |idempotency, deadline| {
             let (freshness, latency_objective) = (Freshness::Write, deadline);
--- a/routing/tests/placement/script.rs
+++ b/routing/tests/placement/script.rs
@@ -10,6 +10,7 @@
 };
 use settings::Limits;
 use settings::fleet::{Fleet, PlacementRule, Tenant};
+use settings::limits::{ProcessResources, RequestTimes};
 use std::collections::VecDeque;
 use std::io::IoSlice;
 use std::net::{SocketAddr, TcpListener};
@@ -195,7 +196,14 @@
     pub(crate) fn start(hold_micros: i64) -> Core {
         let script = Arc::new(Script::default());
         let seconds = Duration::from_secs;
-        let limits = Limits::new(4096, 64 << 20, Duration::from_millis(250), seconds(60), seconds(10));
+        let limits = Limits::new(
+            ProcessResources { descriptors: 4096, memory_bytes: 64 << 20 },
+            RequestTimes {
+                connect_timeout: Duration::from_millis(250),
+                backend_keepalive: seconds(60),
+                longest_deadline: seconds(10),
+            },
+        );
         let names = ["any", "write", "fresh"].map(String::from).to_vec();
         let (handle, endpoints) = RouterBuilder {
             protocol: ScriptedProtocol { script: script.clone(), listener: accepting_listener() },
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod error;
 pub mod fields;
 pub mod fleet;
+mod key_diff;
 pub mod limits;
 pub mod members;
 pub mod operator;
--- a/settings/src/limits/descriptors.rs
+++ b/settings/src/limits/descriptors.rs
@@ -28,20 +28,29 @@
 pub(super) const RESERVED: usize =
     STREAMS + LISTENER + ACCEPTED + POLL + SIGNALS + CONFIG_FILE + WAKE + WATCHES + CLOSING + LIBRARIES;
 
-/// The admin listener's: itself, its poll, and a caller over the bound.
+/// The admin listener's: itself, its poll, and a connection over the bound.
 const ADMIN_LISTENER: usize = 3;
 /// Maintenance's: the state file, its lock, the next state file, the folder, this process's mark and another's.
 const MAINTENANCE: usize = 6;
 
-/// What the admin listener needs beside its callers.
+/// What the admin listener needs beside its connections.
 pub(super) const RESERVED_FOR_ADMIN: usize = ADMIN_LISTENER + MAINTENANCE;
 
 /// The fewest descriptors that clients and connections to instances are given together.
 const MIN_CONNECTIONS: usize = 12;
 
-/// The connections of clients and those to instances, of `sockets` descriptors without the `reserved` ones: three
-/// quarters and a quarter.
-pub(super) fn divide(sockets: usize, reserved: usize) -> (usize, usize) {
-    let free = sockets.saturating_sub(reserved).max(MIN_CONNECTIONS);
-    (free * 3 / 4, free / 4)
+/// How many connections of clients and to instances there may be.
+pub(super) struct ConnectionShares {
+    /// Of clients.
+    pub(super) clients: usize,
+    /// To instances.
+    pub(super) backends: usize,
+}
+
+impl ConnectionShares {
+    /// Of `descriptors` without the `reserved` ones: three quarters for clients and a quarter for instances.
+    pub(super) fn of(descriptors: usize, reserved: usize) -> ConnectionShares {
+        let free = descriptors.saturating_sub(reserved).max(MIN_CONNECTIONS);
+        ConnectionShares { clients: free * 3 / 4, backends: free / 4 }
+    }
 }
--- a/settings/src/limits/watch.rs
+++ b/settings/src/limits/watch.rs
@@ -1,5 +1,5 @@
 //! The bounds of discovery's watch, and how long a change may take to be received under them.
-use super::Limits;
+use super::bounds::Limits;
 use std::time::Duration;
 use thiserror::Error;
 
--- a/settings/src/members.rs
+++ b/settings/src/members.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 /// The protocol period, in milliseconds, where the file sets none.
-const DEFAULT_RHYTHM_MS: u64 = 500;
+const DEFAULT_PROTOCOL_PERIOD_MS: u64 = 500;
 /// What the protocol period may be, in milliseconds.
-const RHYTHM_MS: RangeInclusive<u64> = 20..=5000;
+const PROTOCOL_PERIOD_MS: RangeInclusive<u64> = 20..=5000;
 /// The longest name, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
@@ -34,10 +34,10 @@
     Cluster,
     /// The protocol period is out of its range.
     #[error("expected 20 to 5000 in 'rhythm_ms', found {0}")]
-    Rhythm(u64),
+    ProtocolPeriod(u64),
     /// The smallest number of routers to count with is out of its range.
     #[error("expected 1 to 'mysql.routers' ({routers}) in 'least', found {found}")]
-    Least {
+    MinCountedRouters {
         /// The highest that may stand there: the size of the whole fleet.
         routers: u32,
         /// What stands there.
@@ -79,7 +79,7 @@
     least: Option<u32>,
 }
 
-fn address(key: &'static str, found: &str, any_port: bool) -> Result<SocketAddrV4, Error> {
+fn read_address(key: &'static str, found: &str, any_port: bool) -> Result<SocketAddrV4, Error> {
     match found.parse() {
         Ok(SocketAddr::V4(a)) if a.ip().is_loopback() && (any_port || a.port() != 0) => Ok(a),
         _ => Err(Error::Address { key, found: found.into() }),
@@ -100,22 +100,22 @@
     if table.cluster.is_empty() {
         return Err(Error::Cluster);
     }
-    let rhythm = table.rhythm_ms.unwrap_or(DEFAULT_RHYTHM_MS);
-    if !RHYTHM_MS.contains(&rhythm) {
-        return Err(Error::Rhythm(rhythm));
+    let period_ms = table.rhythm_ms.unwrap_or(DEFAULT_PROTOCOL_PERIOD_MS);
+    if !PROTOCOL_PERIOD_MS.contains(&period_ms) {
+        return Err(Error::ProtocolPeriod(period_ms));
     }
     let routers = routers.max(1);
-    let least = table.least.unwrap_or(routers.div_ceil(2));
-    if !(1..=routers).contains(&least) {
-        return Err(Error::Least { routers, found: least });
+    let min_counted_routers = table.least.unwrap_or(routers.div_ceil(2));
+    if !(1..=routers).contains(&min_counted_routers) {
+        return Err(Error::MinCountedRouters { routers, found: min_counted_routers });
     }
     Ok(MembershipConfig {
-        listen: address("listen", &table.listen, true)?,
-        advertised_address: table.told.map(|a| address("told", &a, false)).transpose()?,
-        seeds: table.seeds.iter().map(|a| address("seeds", a, false)).collect::<Result<_, _>>()?,
+        listen: read_address("listen", &table.listen, true)?,
+        advertised_address: table.told.map(|a| read_address("told", &a, false)).transpose()?,
+        seeds: table.seeds.iter().map(|a| read_address("seeds", a, false)).collect::<Result<_, _>>()?,
         name: table.name,
         cluster: table.cluster,
-        protocol_period: Duration::from_millis(rhythm),
-        min_counted_routers: least,
+        protocol_period: Duration::from_millis(period_ms),
+        min_counted_routers,
     })
 }
--- a/settings/src/operator/registry.rs
+++ b/settings/src/operator/registry.rs
@@ -79,9 +79,11 @@
     pub denied_networks: Vec<IpNet>,
     /// While the list is not older than this, every node gets new requests.
     pub max_fresh_age: Duration,
-    /// Once the list is older than this, no node gets new requests; without it there is no such age. Not below `fresh`.
+    /// Once the list is older than this, no node gets new requests; without it there is no such age. Not below
+    /// `max_fresh_age`.
     pub max_usable_age: Option<Duration>,
-    /// Where more than this share (above 0, at most 1) of the nodes vanishes at once, they stay listed for `held`.
+    /// Where more than this share (above 0, at most 1) of the nodes vanishes at once, they stay listed for
+    /// `mass_removal_delay`.
     pub mass_removal_share: f64,
     /// How long nodes that vanished together stay listed.
     pub mass_removal_delay: Duration,
@@ -102,12 +104,12 @@
     let kind = read_kind(v)?;
     let endpoints = read_endpoints(v)?;
     let prefix = read_prefix(v)?;
-    let held_share = or(v, "held_share", 0.5, positive)?;
-    if held_share > 1.0 {
-        return Err(Error::invalid_value("held_share", "at most 1", held_share));
+    let mass_removal_share = or(v, "held_share", 0.5, positive)?;
+    if mass_removal_share > 1.0 {
+        return Err(Error::invalid_value("held_share", "at most 1", mass_removal_share));
     }
     let credentials = read_credentials(v)?;
-    let (fresh, last) = read_list_ages(v)?;
+    let ListAges { max_fresh_age, max_usable_age } = read_list_ages(v)?;
     if kind == RegistryKind::Etcd && v.get("service").is_some() {
         return Err(Error::invalid("'service' with consul only", "it with etcd"));
     }
@@ -121,9 +123,9 @@
         tls: optional_table(v, "tls", read_tls)?,
         allowed_networks: read_networks(v, "allow")?,
         denied_networks: read_networks(v, "deny")?,
-        max_fresh_age: fresh,
-        max_usable_age: last,
-        mass_removal_share: held_share,
+        max_fresh_age,
+        max_usable_age,
+        mass_removal_share,
         mass_removal_delay: seconds(v, "held_s", 60.0)?,
         restore_detection_delay: seconds(v, "restored_after_s", 10.0)?,
         list_folder: optional(v, "folder", owned)?,
@@ -167,16 +169,22 @@
     Ok(Some(Credentials { user, password: owned(v, "password")? }))
 }
 
+/// How old the list may be.
+struct ListAges {
+    max_fresh_age: Duration,
+    max_usable_age: Option<Duration>,
+}
+
 /// The ages `fresh_s` and `last_s`.
-fn read_list_ages(v: &Value) -> Result<(Duration, Option<Duration>), Error> {
-    let last = optional(v, "last_s", |v, key| seconds(v, key, 0.0))?;
-    let fresh = seconds(v, "fresh_s", 10.0)?;
-    match last {
-        Some(last) if last < fresh => {
-            let found = format!("{} below {}", last.as_secs_f64(), fresh.as_secs_f64());
+fn read_list_ages(v: &Value) -> Result<ListAges, Error> {
+    let max_usable_age = optional(v, "last_s", |v, key| seconds(v, key, 0.0))?;
+    let max_fresh_age = seconds(v, "fresh_s", 10.0)?;
+    match max_usable_age {
+        Some(usable) if usable < max_fresh_age => {
+            let found = format!("{} below {}", usable.as_secs_f64(), max_fresh_age.as_secs_f64());
             Err(Error::invalid("'last_s' to be at least 'fresh_s'", found))
         }
-        _ => Ok((fresh, last)),
+        _ => Ok(ListAges { max_fresh_age, max_usable_age }),
     }
 }
 
--- a/settings/src/operator/reload.rs
+++ b/settings/src/operator/reload.rs
@@ -1,10 +1,10 @@
 //! What a later file may change while the program runs, and which of its keys need a restart.
+use super::config::{OperatorConfig, from_value, parse};
 use super::mysql::MysqlConfig;
 use super::table::only;
-use super::{OperatorConfig, from_value, parse};
 use crate::error::Error;
 use crate::fields::field;
-use crate::start::changed_keys;
+use crate::key_diff::changed_keys;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/settings/src/operator/sessions.rs
+++ b/settings/src/operator/sessions.rs
@@ -13,9 +13,9 @@
 /// What the lease may be, in milliseconds.
 const LEASE_MS: RangeInclusive<f64> = 50.0..=5000.0;
 /// How many sessions are remembered where the file does not say.
-const DEFAULT_REMEMBERED: u64 = 1_000_000;
+const DEFAULT_MAX_SESSIONS: u64 = 1_000_000;
 /// How many sessions may be remembered.
-const REMEMBERED: RangeInclusive<usize> = 1..=100_000_000;
+const MAX_SESSIONS_RANGE: RangeInclusive<usize> = 1..=100_000_000;
 
 /// Sessions that live on across restarts and instances.
 #[derive(Clone, Debug, PartialEq)]
@@ -46,21 +46,21 @@
     only(v, &["instance", "cluster", "listen", "folder", "remembered", "lease_ms", "after_start", "peer"])?;
     let instance = unsigned_integer(v, "instance")?;
     let peers = read_peers(v, instance)?;
-    let folder = optional(v, "folder", owned)?;
+    let journal_folder = optional(v, "folder", owned)?;
     let lease = read_lease(v)?;
-    let remembered = or(v, "remembered", DEFAULT_REMEMBERED, unsigned_integer)? as usize;
-    if !REMEMBERED.contains(&remembered) {
-        let expected = format!("{} to {}", REMEMBERED.start(), REMEMBERED.end());
-        return Err(Error::invalid_value("remembered", expected, remembered));
+    let max_sessions = or(v, "remembered", DEFAULT_MAX_SESSIONS, unsigned_integer)? as usize;
+    if !MAX_SESSIONS_RANGE.contains(&max_sessions) {
+        let expected = format!("{} to {}", MAX_SESSIONS_RANGE.start(), MAX_SESSIONS_RANGE.end());
+        return Err(Error::invalid_value("remembered", expected, max_sessions));
     }
-    let trust_after_start = read_trust_after_start(v, folder.as_deref())?;
+    let trust_after_start = read_trust_after_start(v, journal_folder.as_deref())?;
     Ok(SessionsConfig {
         instance,
         cluster: or(v, "cluster", "damsonvale".to_string(), owned)?,
         listen: loopback(v, "listen")?,
         peers,
-        journal_folder: folder,
-        max_sessions: remembered,
+        journal_folder,
+        max_sessions,
         lease,
         peer_addresses_may_change: false,
         trust_after_start,
--- a/settings/src/operator/store.rs
+++ b/settings/src/operator/store.rs
@@ -36,19 +36,14 @@
 
 pub(super) fn read_store(v: &Value) -> Result<StoreConfig, Error> {
     only(v, &["node", "folder", "control", "clients", "peer"])?;
-    let node = unsigned_integer(v, "node")?;
-    let peers: BTreeMap<u64, SocketAddr> = each(v, "peer", |p| peer(p, "node"))?.into_iter().collect();
-    if node == 0 || !peers.contains_key(&node) {
-        return Err(Error::invalid("'node' to be one of the peers and not 0", node));
+    let node_id = unsigned_integer(v, "node")?;
+    let node_addresses: BTreeMap<u64, SocketAddr> =
+        each(v, "peer", |p| peer(p, "node"))?.into_iter().collect();
+    if node_id == 0 || !node_addresses.contains_key(&node_id) {
+        return Err(Error::invalid("'node' to be one of the peers and not 0", node_id));
     }
-    let folder = optional(v, "folder", owned)?;
-    let control = optional(v, "control", loopback)?.map(|addr| addr.to_string());
-    let clients = optional(v, "clients", loopback)?;
-    Ok(StoreConfig {
-        node_id: node,
-        node_addresses: peers,
-        log_folder: folder,
-        control_address: control,
-        client_address: clients,
-    })
+    let log_folder = optional(v, "folder", owned)?;
+    let control_address = optional(v, "control", loopback)?.map(|addr| addr.to_string());
+    let client_address = optional(v, "clients", loopback)?;
+    Ok(StoreConfig { node_id, node_addresses, log_folder, control_address, client_address })
 }
--- a/settings/tests/customers.rs
+++ b/settings/tests/customers.rs
@@ -40,20 +40,20 @@
 }
 
 /// What is read of a class, but for its name.
-fn of(start: &PlatformConfig, at: usize) -> String {
+fn class_settings(start: &PlatformConfig, at: usize) -> String {
     format!("{:?}", start.settings.classes[at])
 }
 
 /// Names that differ, of any characters.
-fn names(most: usize) -> impl Strategy<Value = Vec<String>> {
-    proptest::collection::btree_set("\\PC{0,9}", 0..most).prop_map(|s| s.into_iter().collect())
+fn distinct_names(max_count: usize) -> impl Strategy<Value = Vec<String>> {
+    proptest::collection::btree_set("\\PC{0,9}", 0..max_count).prop_map(|s| s.into_iter().collect())
 }
 
 /// Every place in a value, as a JSON pointer.
-fn places(v: &Value, at: String, all: &mut Vec<String>) {
+fn pointers(v: &Value, at: String, all: &mut Vec<String>) {
     match v {
-        Value::Object(o) => o.iter().for_each(|(k, v)| places(v, format!("{at}/{k}"), all)),
-        Value::Array(a) => a.iter().enumerate().for_each(|(k, v)| places(v, format!("{at}/{k}"), all)),
+        Value::Object(o) => o.iter().for_each(|(k, v)| pointers(v, format!("{at}/{k}"), all)),
+        Value::Array(a) => a.iter().enumerate().for_each(|(k, v)| pointers(v, format!("{at}/{k}"), all)),
         _ => {}
     }
     all.push(at);
@@ -82,8 +82,8 @@
 proptest! {
     #[test]
     fn class_names_and_order_do_not_change_settings(
-        (names, others) in names(70).prop_flat_map(|n| {
-            let others = names(2 * n.len().max(1) + 70);
+        (names, others) in distinct_names(70).prop_flat_map(|n| {
+            let others = distinct_names(2 * n.len().max(1) + 70);
             (Just(n), others)
         }),
         seed in any::<u64>(),
@@ -101,7 +101,7 @@
         }).collect();
         let two = start(&config(&renamed, &zones, 1)).unwrap();
         for i in 0..names.len() {
-            prop_assert_eq!(of(&one, i), of(&two, i));
+            prop_assert_eq!(class_settings(&one, i), class_settings(&two, i));
         }
         // Another order.
         let mut places: Vec<usize> = (0..names.len()).collect();
@@ -109,7 +109,7 @@
         let moved: Vec<_> = places.iter().map(|i| listed[*i].clone()).collect();
         let three = start(&config(&moved, &zones, 1)).unwrap();
         for (at, i) in places.iter().enumerate() {
-            prop_assert_eq!(of(&three, at), of(&one, *i));
+            prop_assert_eq!(class_settings(&three, at), class_settings(&one, *i));
             prop_assert_eq!(&three.names.classes[at], &names[*i]);
         }
         // Bounds of the program that follow from the classes follow from all of them, wherever they stand.
@@ -119,7 +119,7 @@
 
     #[test]
     fn zone_without_name_is_shared_with_no_member(
-        zones in names(12),
+        zones in distinct_names(12),
         zone in prop_oneof![0u32..14, any::<u32>()],
     ) {
         let listed = [class("only".into(), 4)];
@@ -135,7 +135,7 @@
         let listed: Vec<_> = (0..4).map(|i| class(format!("class {i}"), i)).collect();
         let good = config(&listed, &["a".into(), "b".into()], 0);
         let mut all = Vec::new();
-        places(&good, String::new(), &mut all);
+        pointers(&good, String::new(), &mut all);
         let place = place.get(&all);
         let mut bad = good.clone();
         *bad.pointer_mut(place).unwrap() = value;
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn link_trust_is_at_most_half_of_keepalive() {
+fn unchecked_idle_time_is_at_most_half_of_keepalive() {
     for keepalive_ms in [0, 1, 20, 99, 100, 3000, 30_000, 60_000] {
         let mut c = config(&[class("only".into(), 4)], &["a".into()], 0);
         c["settings"]["limits"]["keepaliveMs"] = json!(keepalive_ms);
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn link_check_follows_connect_timeout() {
+fn backend_check_timeout_follows_connect_timeout() {
     for (dial_ms, check_ms) in [(150, 40), (250, 40), (600, 96), (3000, 480)] {
         let mut c = config(&[class("only".into(), 4)], &["a".into()], 0);
         c["settings"]["limits"]["dialTimeoutMs"] = json!(dial_ms);
--- a/settings/tests/faults.rs
+++ b/settings/tests/faults.rs
@@ -124,9 +124,9 @@
         ("[mysql".into(), "expected TOML: "),
     ];
     for (text, message) in cases {
-        let said = settings::operator::read(&text).map(|_| ()).unwrap_err().to_string();
-        assert!(said.starts_with(message), "{text}\n{said}\nis not: {message}");
-        assert!(!said.contains("4711"), "{said}");
+        let error = settings::operator::read(&text).map(|_| ()).unwrap_err().to_string();
+        assert!(error.starts_with(message), "{text}\n{error}\nis not: {message}");
+        assert!(!error.contains("4711"), "{error}");
     }
 }
 
@@ -138,8 +138,8 @@
         ("[mysql]\nlisten = 'x'\n", "mysql: the key 'listen' is not known; known are user, rule, group"),
         ("[store]\n", "the key 'store' is not known; known are mysql"),
     ] {
-        let said = settings::operator::reload(MYSQL, Some(overlay), &start).unwrap_err();
-        assert_eq!(said.to_string(), message);
+        let error = settings::operator::reload(MYSQL, Some(overlay), &start).unwrap_err();
+        assert_eq!(error.to_string(), message);
     }
 }
 
@@ -294,12 +294,12 @@
     ] {
         let mut config = platform();
         *config.pointer_mut(place).unwrap() = value;
-        let said = settings::start::read(&config.to_string(), &|_| None).unwrap_err();
-        assert_eq!(said.to_string(), message, "{place}");
+        let error = settings::start::read(&config.to_string(), &|_| None).unwrap_err();
+        assert_eq!(error.to_string(), message, "{place}");
     }
-    let said = settings::start::read("{", &|_| None).unwrap_err();
-    assert!(said.to_string().starts_with("expected JSON: "), "{said}");
+    let error = settings::start::read("{", &|_| None).unwrap_err();
+    assert!(error.to_string().starts_with("expected JSON: "), "{error}");
     let admin = |name: &str| (name == "BALANCER_ADMIN_ADDR").then(|| "x".to_string());
-    let said = settings::start::read(&platform().to_string(), &admin).unwrap_err();
-    assert_eq!(said.to_string(), "admin_addr: expected ip:port, found 'x'");
+    let error = settings::start::read(&platform().to_string(), &admin).unwrap_err();
+    assert_eq!(error.to_string(), "admin_addr: expected ip:port, found 'x'");
 }
--- a/settings/tests/limits.rs
+++ b/settings/tests/limits.rs
@@ -1,11 +1,14 @@
 //! Bounds that have to be consistent, each broken in turn.
 use settings::Limits;
-use settings::limits::WatchError;
+use settings::limits::{ProcessResources, RequestTimes, WatchError};
 use std::time::Duration;
 
 fn limits() -> Limits {
     let long = Duration::from_secs(20);
-    Limits::new(256, 192 << 20, long, long, long)
+    Limits::new(
+        ProcessResources { descriptors: 256, memory_bytes: 192 << 20 },
+        RequestTimes { connect_timeout: long, backend_keepalive: long, longest_deadline: long },
+    )
 }
 
 fn ms(n: u64) -> Duration {
@@ -28,50 +31,53 @@
 
 #[test]
 fn inconsistent_watch_bound_is_refused_with_a_remedy() {
-    type Break = fn(&mut Limits);
-    let late: [(&str, Break); 5] = [
+    type BreakBound = fn(&mut Limits);
+    let noticed_late: [(&str, BreakBound); 5] = [
         ("silent", |l| l.watch_silence_timeout = ms(2901)),
         ("retry", |l| l.watch_backoff.max = ms(1301)),
         ("connect", |l| (l.watch_connect_timeout, l.max_pending_watches) = (ms(801), 16)),
         ("answer, in the line", |l| (l.watch_first_line_timeout, l.max_pending_watches) = (ms(901), 16)),
         ("answer, before the next opening", |l| l.watch_first_line_timeout = ms(1001)),
     ];
-    for (which, spoil) in late {
+    for (bound, break_bound) in noticed_late {
         let mut limits = limits();
-        spoil(&mut limits);
+        break_bound(&mut limits);
         let found = limits.check_watch();
-        assert!(matches!(found, Err(WatchError::SilenceNoticedLate { .. })), "{which}: {found:?}");
-        let said = found.unwrap_err().to_string();
+        assert!(matches!(found, Err(WatchError::SilenceNoticedLate { .. })), "{bound}: {found:?}");
+        let error = found.unwrap_err().to_string();
         assert!(
-            said.contains("later than 6s less the margin of 1s: shorten watch_silence_timeout"),
-            "{said}"
+            error.contains("later than 6s less the margin of 1s: shorten watch_silence_timeout"),
+            "{error}"
         );
     }
-    for (which, spoil) in [
-        ("told", (|l| l.watch_notification_deadline = ms(5699)) as Break),
+    for (bound, break_bound) in [
+        ("deadline", (|l| l.watch_notification_deadline = ms(5699)) as BreakBound),
         ("margin", |l| l.watch_notification_margin = ms(1301)),
     ] {
         let mut limits = limits();
-        spoil(&mut limits);
-        assert!(matches!(limits.check_watch(), Err(WatchError::SilenceNoticedLate { .. })), "{which}");
+        break_bound(&mut limits);
+        assert!(matches!(limits.check_watch(), Err(WatchError::SilenceNoticedLate { .. })), "{bound}");
     }
-    let broken = |spoil: Break| {
+    let refusal_of = |break_bound: BreakBound| {
         let mut limits = limits();
-        spoil(&mut limits);
+        break_bound(&mut limits);
         limits.check_watch().unwrap_err()
     };
-    let moved = broken(|l| l.watch_previous_address_duration = ms(2349));
-    assert!(matches!(moved, WatchError::MoveNoticedLate { .. }), "{moved}");
-    let hasty = broken(|l| l.watch_silence_timeout = ms(2000));
-    assert!(matches!(hasty, WatchError::SilenceTimeoutTooShort { .. }), "{hasty}");
-    for spoil in [
-        (|l| l.max_pending_watches = 5) as Break,
+    let move_noticed_late = refusal_of(|l| l.watch_previous_address_duration = ms(2349));
+    assert!(matches!(move_noticed_late, WatchError::MoveNoticedLate { .. }), "{move_noticed_late}");
+    let too_short = refusal_of(|l| l.watch_silence_timeout = ms(2000));
+    assert!(matches!(too_short, WatchError::SilenceTimeoutTooShort { .. }), "{too_short}");
+    for break_bound in [
+        (|l| l.max_pending_watches = 5) as BreakBound,
         |l| l.max_pending_watches = 0,
         |l| l.watch_backoff.min = ms(219),
     ] {
-        let crowded = broken(spoil);
-        assert!(matches!(crowded, WatchError::PendingWatchEvictedEarly { .. }), "{crowded}");
-        assert!(crowded.to_string().contains("raise max_pending_watches or watch_backoff"), "{crowded}");
+        let evicted_early = refusal_of(break_bound);
+        assert!(matches!(evicted_early, WatchError::PendingWatchEvictedEarly { .. }), "{evicted_early}");
+        assert!(
+            evicted_early.to_string().contains("raise max_pending_watches or watch_backoff"),
+            "{evicted_early}"
+        );
     }
 }
 
@@ -79,18 +85,26 @@
 fn connections_and_reserve_fit_into_descriptors() {
     let long = Duration::from_secs(20);
     for sockets in 64..=4096 {
-        let mut limits = Limits::new(sockets, 192 << 20, long, long, long);
-        let all = |l: &Limits| l.max_client_connections + l.max_backend_connections + l.reserved_descriptors;
-        assert!(all(&limits) <= sockets, "{sockets}: {} are handed out", all(&limits));
-        let (without, callers, clients) =
+        let mut limits = Limits::new(
+            ProcessResources { descriptors: sockets, memory_bytes: 192 << 20 },
+            RequestTimes { connect_timeout: long, backend_keepalive: long, longest_deadline: long },
+        );
+        let total =
+            |l: &Limits| l.max_client_connections + l.max_backend_connections + l.reserved_descriptors;
+        assert!(total(&limits) <= sockets, "{sockets}: {} are handed out", total(&limits));
+        let (reserved_before, admin_connections_before, clients_before) =
             (limits.reserved_descriptors, limits.max_admin_connections, limits.max_client_connections);
         limits.reserve_admin_descriptors(sockets);
-        // Two processes have to hold all that the platform's front deals out, with a door as without.
-        assert!(sockets < 256 || limits.max_client_connections == clients, "{sockets}: {limits:?}");
-        assert!(all(&limits) <= sockets, "{sockets} with a door: {} are handed out", all(&limits));
+        // Two processes have to hold all that the platform's front opens, with an admin listener as without.
+        assert!(sockets < 256 || limits.max_client_connections == clients_before, "{sockets}: {limits:?}");
+        assert!(
+            total(&limits) <= sockets,
+            "{sockets} with an admin listener: {} are handed out",
+            total(&limits)
+        );
         assert!(
-            limits.reserved_descriptors >= without + limits.max_admin_connections
-                && limits.max_admin_connections <= callers
+            limits.reserved_descriptors >= reserved_before + limits.max_admin_connections
+                && limits.max_admin_connections <= admin_connections_before
         );
         assert!(
             limits.max_client_connections >= 9 && limits.max_backend_connections >= 3,
--- a/settings/tests/recorded_readings.rs
+++ b/settings/tests/recorded_readings.rs
@@ -1,4 +1,4 @@
-//! What the shipped files and a file with every table are read to, and what is said of each of them with one place
+//! What the shipped files and a file with every table are read to, and what is reading of each of them with one place
 //! changed, against recordings under `fixtures/`. The recordings hold Debug texts and error messages; they were
 //! written by the code as it stood before its modules were split, and follow the names of types and fields.
 use serde_json::{Value, json};
@@ -68,10 +68,10 @@
 }
 
 /// Every place in a value as a JSON pointer; of arrays only the first item.
-fn places(value: &Value, at: String, all: &mut Vec<String>) {
+fn pointers(value: &Value, at: String, all: &mut Vec<String>) {
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(key, v)| places(v, format!("{at}/{key}"), all)),
-        Value::Array(items) => items.iter().take(1).for_each(|v| places(v, format!("{at}/0"), all)),
+        Value::Object(fields) => fields.iter().for_each(|(key, v)| pointers(v, format!("{at}/{key}"), all)),
+        Value::Array(items) => items.iter().take(1).for_each(|v| pointers(v, format!("{at}/0"), all)),
         _ => {}
     }
     all.push(at);
@@ -80,7 +80,7 @@
 /// The value with one place changed in each of many ways, and what was done.
 fn changes(value: &Value) -> Vec<(String, Value)> {
     let mut all = Vec::new();
-    places(value, String::new(), &mut all);
+    pointers(value, String::new(), &mut all);
     let mut changed = Vec::new();
     for place in all.iter().filter(|place| !place.is_empty()) {
         let (parent, key) = place.rsplit_once('/').expect("a place has a parent");
@@ -158,8 +158,8 @@
     let mut found = String::new();
     for (change, value) in changes(&toml_value(text)) {
         let text = toml::to_string(&value).expect("TOML");
-        let said = outcome(&unchanged, read_operator(&text));
-        writeln!(found, "{change}: {said}; reload: {}", reload_outcome(&text, &start)).unwrap();
+        let reading = outcome(&unchanged, read_operator(&text));
+        writeln!(found, "{change}: {reading}; reload: {}", reload_outcome(&text, &start)).unwrap();
     }
     found
 }
--- a/settings/tests/shutdown.rs
+++ b/settings/tests/shutdown.rs
@@ -1,12 +1,16 @@
 //! The bounds after SIGTERM, which have to be consistent.
 use settings::Limits;
+use settings::limits::{ProcessResources, RequestTimes};
 use std::time::Duration;
 
 #[test]
 fn last_request_keeps_its_deadline_during_shutdown() {
     for ms in (0..=10_000).step_by(50) {
         let longest = Duration::from_millis(ms);
-        let l = Limits::new(256, 64 << 20, longest, longest, longest);
+        let l = Limits::new(
+            ProcessResources { descriptors: 256, memory_bytes: 64 << 20 },
+            RequestTimes { connect_timeout: longest, backend_keepalive: longest, longest_deadline: longest },
+        );
         assert!(l.shutdown_read_timeout + longest <= l.shutdown_timeout, "{ms}");
         // New connections come for 0.4 s at most after SIGTERM.
         assert!(l.shutdown_grace_period >= Duration::from_millis(400), "{ms}");
