--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -4,7 +4,7 @@
 //! fleet and its members, the client listener, the registry. Each part has a file of its own below this one. Clients
 //! are accepted last, when everything that decides about their requests is there.
 mod configuration;
-mod endpoints;
+pub mod endpoints;
 mod fleet;
 mod registry;
 mod shutdown;
@@ -17,8 +17,8 @@
 use configuration::LiveConfiguration;
 use crossbeam_channel::bounded;
 use membership::Membership;
+use mysql_wire::backend::Mysql;
 use mysql_wire::front::Front;
-use mysql_wire::link::Mysql;
 use routing::{Clock, EndpointsHandle, RespondedEndpoints, RouterHandle};
 use settings::Limits;
 use settings::operator::OperatorConfig;
@@ -149,7 +149,7 @@
 fn start_recording(
     operator: &OperatorConfig,
     address: SocketAddr,
-) -> Result<Option<Arc<dyn mysql_wire::Tap>>, Error> {
+) -> Result<Option<Arc<dyn mysql_wire::tap::Tap>>, Error> {
     let Some(record) = &operator.recording else { return Ok(None) };
     let recorder = pcap::record::Recorder::start(record.file.as_ref(), record.max_bytes, address)?;
     Ok(Some(Arc::new(recorder)))
@@ -166,7 +166,7 @@
         None => configured.clone(),
         Some(client) => client.some_addresses(MAX_CLOCK_SOURCES),
     };
-    mysql_wire::watch::start(protocol, servers, &environment.limits)
+    mysql_wire::clock_sampler::start(protocol, servers, &environment.limits)
         .map_err(|source| Error::Thread { what: "clocks", source })
 }
 
