--- a/mysql/src/backend/connection.rs
+++ b/mysql/src/backend/connection.rs
@@ -10,7 +10,7 @@
 use routing::{
     AttemptGuard, Clock, ExchangeResult, MemberReport, NotSent, Outcome, ServerSocket, Time, WritePermit,
 };
-use sessions::clocks::{Clocks, Offset};
+use sessions::clocks::{ClockOffset, ServerClocks};
 use settings::Limits;
 use settings::operator::MysqlConfig as Settings;
 use std::io;
@@ -26,7 +26,7 @@
     pub(super) settings: Arc<Settings>,
     pub(super) limits: Arc<Limits>,
     pub(super) clock: Clock,
-    pub(super) clocks: Arc<Clocks>,
+    pub(super) clocks: Arc<ServerClocks>,
     pub(super) addr: SocketAddr,
 }
 
@@ -298,7 +298,9 @@
                     response: Some(response),
                     // The commit is before the response, by the server's own clock at the latest. Of a server that
                     // answered a read this says nothing: a replica is where its heartbeat is.
-                    commit: Some(self.context.clocks.commit(self.context.addr, self.context.clock.now())),
+                    commit: Some(
+                        self.context.clocks.commit_upper_bound(self.context.addr, self.context.clock.now()),
+                    ),
                     ..reusable(Outcome::Ok)
                 },
             },
@@ -317,7 +319,9 @@
         let row = ProbeRow::parse(&response[response.len() - 2]);
         let context = &self.context;
         if let (true, Some(server_time)) = (context.settings.health_check_returns_clock, row.clock) {
-            context.clocks.learn(context.addr, Offset::sample(sent_at, context.clock.now(), server_time));
+            context
+                .clocks
+                .add_sample(context.addr, ClockOffset::sample(sent_at, context.clock.now(), server_time));
         }
         ExchangeResult {
             load_report: MemberReport { primary: row.primary, position: row.position },
