--- a/discovery/src/watch.rs
+++ b/discovery/src/watch.rs
@@ -45,7 +45,7 @@
         let (driver, waker) = Driver::new(self.shared.clone(), addr)?;
         let addresses = self.shared.address_queue.clone();
         spawn_needed("discovery", self.shared.limits.socket_thread_stack_bytes, move || {
-            driver.run(&addresses)
+            driver.run(&addresses);
         })?;
         Ok(waker)
     }
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -98,7 +98,7 @@
         client.load_list(&mut machine);
         let follower = client.clone();
         routing::spawn_needed("registry", limits.routing_thread_stack_bytes, move || {
-            follower.follow(machine)
+            follower.follow(machine);
         })
         .map_err(Error::Thread)?;
         let timer = client.clone();
