--- a/soak/src/serve/faults.rs
+++ b/soak/src/serve/faults.rs
@@ -35,7 +35,7 @@
             (FaultKind::ServerLag, Edge::End) => self.set_lag(server, USUAL_LAG),
             (FaultKind::LinkCut, Edge::Begin) => self.proxy(router, server).cut(),
             (FaultKind::LinkDelay, Edge::Begin) => {
-                self.proxy(router, server).faults(|faults| faults.delay = LINK_DELAY);
+                self.proxy(router, server).update_faults(|faults| faults.delay = LINK_DELAY);
             }
             (FaultKind::LinkCut | FaultKind::LinkDelay, Edge::End) => self.proxy(router, server).heal(),
             (FaultKind::ClockOne, Edge::Begin) => {
@@ -80,7 +80,7 @@
     /// Sets how far a replica is behind; the first server is the primary.
     fn set_lag(&self, server: usize, lag: Duration) {
         if server > 0 {
-            self.fleet.lag(server, lag);
+            self.fleet.set_lag(server, lag);
         }
     }
 }
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -482,7 +482,7 @@
         (&socket).write_all(&packets(1, &[&login])).unwrap();
         let (_, switch) = read(&socket).unwrap();
         let nonce = switch[switch.len() - 21..switch.len() - 1].to_vec();
-        let proof = mysql_wire::auth::proof(mysql_wire::auth::NATIVE, "secret", &nonce).unwrap();
+        let proof = mysql_wire::auth::scramble(mysql_wire::auth::NATIVE_PASSWORD, "secret", &nonce).unwrap();
         (&socket).write_all(&packets(3, &[&proof])).unwrap();
         assert_eq!(read(&socket).unwrap().1[0], 0);
         Raw(socket)
@@ -744,7 +744,7 @@
     for _ in 0..200 {
         client.query_drop(STOCK).unwrap();
     }
-    site.router.logged("record: the file is full");
+    site.router.logged("recording file full");
     drop(client);
     assert!(std::fs::metadata(site.folder.path().join("small.pcap")).unwrap().len() <= 10_000);
 }
