--- a/admin/tests/common/router.rs
+++ b/admin/tests/common/router.rs
@@ -44,7 +44,7 @@
 
 fn limits() -> Limits {
     let mut limits = testkit::routing::limits(LONG);
-    limits.holds = 2;
+    limits.max_maintenance_entries = 2;
     limits
 }
 
--- a/audit/tests/audit/recorded_run.rs
+++ b/audit/tests/audit/recorded_run.rs
@@ -6,7 +6,7 @@
     VersionReport, VersionTracker,
 };
 use decision::{Micros, Time};
-use settings::fleet::Audit;
+use settings::fleet::AuditConfig;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use testkit::fixture::Fixtures;
@@ -67,7 +67,7 @@
 
 impl Run {
     fn new(seed: u64) -> Run {
-        let tracker = VersionTracker::new(Settings::new(&Audit::default(), SILENCE, seed));
+        let tracker = VersionTracker::new(Settings::new(&AuditConfig::default(), SILENCE, seed));
         Run {
             random: SplitMix64::new(seed),
             now: 0,
--- a/client-listener/src/server/accept.rs
+++ b/client-listener/src/server/accept.rs
@@ -66,7 +66,7 @@
         let log_due = last_logged.is_none_or(|at| at.elapsed() >= ACCEPT_ERROR_LOG_INTERVAL);
         if error.kind() != io::ErrorKind::WouldBlock && log_due {
             *last_logged = Some(Instant::now());
-            tracing::warn!("clients: cannot accept: {error}");
+            tracing::warn!(%error, "client connection not accepted");
         }
         if matches!(error.raw_os_error(), Some(libc::EMFILE | libc::ENFILE)) {
             evict_idle(&self.connections());
@@ -82,7 +82,7 @@
             if self.has_room_or_evicts() {
                 return;
             }
-            std::thread::sleep(self.limits.client_room);
+            std::thread::sleep(self.limits.client_capacity_retry_delay);
         }
     }
 
@@ -114,9 +114,9 @@
         address: SocketAddr,
         accepted_at: Instant,
     ) -> Option<WithoutThread> {
-        if let Err(e) = self.configure(&socket) {
+        if let Err(error) = self.configure(&socket) {
             // It was reset before it could be served.
-            tracing::warn!("clients: {address}: {e}");
+            tracing::warn!(%address, %error, "client connection lost before it was served");
             return None;
         }
         let id = self.next_connection_id.fetch_add(1, Ordering::Relaxed) as u64;
@@ -132,12 +132,13 @@
     /// Starts a connection's thread; returns the connection if none can be had now.
     fn try_start(&self, waiting: WithoutThread) -> Option<WithoutThread> {
         let WithoutThread { connection, address, serve, since } = waiting;
-        let started = spawn_with_retry("client", self.limits.stack_bytes, Duration::ZERO, serve);
+        let started =
+            spawn_with_retry("client", self.limits.socket_thread_stack_bytes, Duration::ZERO, serve);
         let Err(failed) = started else { return None };
         if since.elapsed() < THREAD_PATIENCE {
             return Some(WithoutThread { connection, address, serve: failed.run, since });
         }
-        tracing::error!("clients: no thread for {address}: {}", failed.source);
+        tracing::error!(%address, error = %failed.source, "client thread not started, connection rejected");
         self.reject(&connection);
         None
     }
@@ -168,7 +169,7 @@
     fn configure(&self, socket: &TcpStream) -> io::Result<()> {
         socket.set_nonblocking(false)?;
         socket.set_nodelay(true)?;
-        socket.set_write_timeout(Some(self.limits.client_write))
+        socket.set_write_timeout(Some(self.limits.client_write_timeout))
     }
 
     /// Runs on the connection's thread from its start to its end.
--- a/client-listener/src/server/command_loop.rs
+++ b/client-listener/src/server/command_loop.rs
@@ -18,7 +18,7 @@
 
 impl<H: ConnectionHandler> ClientServer<H> {
     /// Accepts and serves connections until [`ServerCommand::Shutdown`] has come and the last connection has closed,
-    /// or [`Limits::shutdown_most`] has passed since. If all senders of commands are dropped before, it serves on
+    /// or [`Limits::shutdown_timeout`] has passed since. If all senders of commands are dropped before, it serves on
     /// and never returns.
     ///
     /// # Errors
@@ -119,8 +119,9 @@
     fn command_event(&mut self, command: ServerCommand) -> Event {
         match command {
             ServerCommand::Shutdown => {
-                let grace = if self.successor { Duration::ZERO } else { self.server.limits.shutdown_grace };
-                tracing::info!("shutdown: taking requests for {grace:?} more");
+                let grace =
+                    if self.successor { Duration::ZERO } else { self.server.limits.shutdown_grace_period };
+                tracing::info!(?grace, "shutdown started, requests are taken for the grace time");
                 Event::Shutdown { successor: self.successor }
             }
             ServerCommand::SetDraining(draining) => Event::SetDraining(draining),
@@ -134,13 +135,13 @@
 
     fn carry_out(&mut self, action: Action) -> Progress {
         match action {
-            Action::ReportDraining(true) => tracing::info!("drain: the router says no"),
-            Action::ReportDraining(false) => tracing::info!("drain: over"),
+            Action::ReportDraining(true) => tracing::info!("drain started, readiness check fails"),
+            Action::ReportDraining(false) => tracing::info!("drain ended"),
             Action::SetClosePolicy(policy) => self.server.shared.set_close_policy(policy),
             Action::StopAccepting => self.stop_accepting(),
             Action::Complete => {
                 let open = self.server.connections().len();
-                tracing::info!("shutdown: ended with {open} connections left");
+                tracing::info!(connections = open, "shutdown ended");
                 return Progress::Complete;
             }
         }
@@ -161,18 +162,18 @@
 
 fn shutdown_times(limits: &Limits) -> ShutdownTimes {
     ShutdownTimes {
-        grace: limits.shutdown_grace,
-        stop_reading: limits.shutdown_last,
-        deadline: limits.shutdown_most,
-        drain_close_when_idle: limits.drain_quiet,
-        drain_stop_reading: limits.drain_last,
+        grace: limits.shutdown_grace_period,
+        stop_reading: limits.shutdown_read_timeout,
+        deadline: limits.shutdown_timeout,
+        drain_close_when_idle: limits.drain_idle_close_delay,
+        drain_stop_reading: limits.drain_read_timeout,
     }
 }
 
 fn spawn_disconnect_thread<H: ConnectionHandler>(server: &Arc<ClientServer<H>>) -> io::Result<()> {
     let server = server.clone();
-    let stack_bytes = server.limits.stack_bytes;
-    spawn_needed("departures", stack_bytes, move || {
+    let stack_bytes = server.limits.socket_thread_stack_bytes;
+    spawn_needed("disconnects", stack_bytes, move || {
         server.disconnect_watcher.run(|connection_id| server.handle_disconnect(connection_id));
     })
 }
@@ -183,7 +184,7 @@
     listener: ClientListener,
 ) -> io::Result<Receiver<()>> {
     let server = server.clone();
-    let stack_bytes = server.limits.stack_bytes;
+    let stack_bytes = server.limits.socket_thread_stack_bytes;
     let (stopping, stopped) = bounded::<()>(0);
     spawn_needed("accept", stack_bytes, move || {
         server.accept_loop(&listener);
--- a/discovery/tests/liveness_outages/world.rs
+++ b/discovery/tests/liveness_outages/world.rs
@@ -3,6 +3,7 @@
 use crate::history::{History, STEP};
 use discovery::liveness::{Action, ConnectionId, Event, Settings, WatchLiveness};
 use settings::Limits;
+use settings::limits::{ProcessResources, RequestTimes};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -11,7 +12,10 @@
 
 pub(crate) fn limits() -> Limits {
     let long = Duration::from_secs(20);
-    Limits::new(256, 192 << 20, long, long, long)
+    Limits::new(
+        ProcessResources { descriptors: 256, memory_bytes: 192 << 20 },
+        RequestTimes { connect_timeout: long, backend_keepalive: long, longest_deadline: long },
+    )
 }
 
 fn machine(limits: &Limits) -> WatchLiveness {
@@ -106,7 +110,7 @@
     }
 
     fn assert_connections_bounded(&self, now: u64) {
-        let max_pending = self.limits.watch_most;
+        let max_pending = self.limits.max_pending_watches;
         let pending = self.connections.iter().filter(|c| !c.is_watching()).count();
         assert!(pending <= max_pending, "{pending} wait at {now}");
         // The one that is stale and, after a move, the old address's.
@@ -115,7 +119,7 @@
     }
 
     fn assert_heard_in_time(&mut self, now: u64) {
-        let bound = self.limits.worst_silence().as_millis() as u64;
+        let bound = self.limits.max_delay_after_silence().as_millis() as u64;
         let is_away = self.history.outage(self.address, now).is_some();
         for version in 1..=self.history.version(now) {
             let since = &mut self.unheard_since[version as usize];
--- a/fleet/src/client/exchange.rs
+++ b/fleet/src/client/exchange.rs
@@ -7,7 +7,7 @@
 use super::tenants::TenantDirectory;
 use crate::wire::{Request, Response};
 use crossbeam_channel::{Receiver, Sender, select};
-use placement::News;
+use placement::RulesUpdate;
 use quotas::QuotaClient;
 use routing::Time;
 use settings::fleet::{Fleet, Version};
@@ -65,7 +65,7 @@
     shared: Arc<Shared>,
     connection: Connection,
     /// Gets each document's placement rules, and each confirmation that they are the current ones.
-    on_placement_news: Box<dyn Fn(News) + Send>,
+    on_rules_update: Box<dyn Fn(RulesUpdate) + Send>,
     /// The version of the router's member list, which the audit records.
     member_list_version: Box<dyn Fn() -> u64 + Send>,
     lease_us: i64,
@@ -82,13 +82,13 @@
     pub(super) fn new(
         shared: Arc<Shared>,
         settings: Settings,
-        on_placement_news: Box<dyn Fn(News) + Send>,
+        on_rules_update: Box<dyn Fn(RulesUpdate) + Send>,
         member_list_version: Box<dyn Fn() -> u64 + Send>,
     ) -> Exchange {
         Exchange {
             shared,
             connection: Connection::new(settings.nodes),
-            on_placement_news,
+            on_rules_update,
             member_list_version,
             lease_us: settings.lease_us,
             classes: settings.classes,
@@ -156,7 +156,7 @@
 
     fn log_reached(&mut self, node: SocketAddr) {
         if std::mem::replace(&mut self.logged_contact, LeaderContact::Reached) != LeaderContact::Reached {
-            tracing::info!(%node, "leader answers fleet reports");
+            tracing::info!(%node, "fleet leader found");
         }
     }
 
@@ -164,7 +164,7 @@
         if std::mem::replace(&mut self.logged_contact, LeaderContact::Lost) != LeaderContact::Lost {
             tracing::warn!(
                 error = last_failure,
-                "no leader answers fleet reports, quota grants expire; check that a majority of the store runs"
+                "fleet leader lost, quota grants expire; check that a majority of the store runs"
             );
         }
     }
@@ -193,7 +193,7 @@
     /// The placement rules are the current ones for a lease from the report on.
     fn confirm_placement(&self, reported_at: Time) {
         let until = Time(reported_at.0.saturating_add(self.lease_us));
-        (self.on_placement_news)(News::Confirmed { until });
+        (self.on_rules_update)(RulesUpdate::Confirmed { until });
     }
 
     fn log_stale_store(&mut self, version: Version, followed: Version) {
@@ -201,8 +201,8 @@
             tracing::error!(
                 version,
                 followed,
-                "the store is behind the fleet document that this router follows, it was set up anew; restart the \
-                 router to follow it"
+                "fleet document older than the followed one, the store was set up anew; restart the router to \
+                 follow it"
             );
         }
     }
@@ -253,7 +253,7 @@
             tracing::warn!(
                 version = answer.reported_version,
                 current = answer.current_version,
-                "the leader asks to fetch the fleet document again, this router lags; check the log lines before"
+                "fleet document refetch requested by the leader, this router lags; check the log lines before"
             );
         }
         // Logs where the answer has fenced the router or lifted its fence.
@@ -293,21 +293,17 @@
     /// Logs a request class in the document's placement rules that this router does not have: a rule for it never applies
     /// here.
     fn warn_of_unknown_class(&self, version: Version, fleet: &Fleet) {
-        let placement_rules = fleet.tenants.values().flat_map(|tenant| &tenant.places);
+        let placement_rules = fleet.tenants.values().flat_map(|tenant| &tenant.placement_rules);
         let mut named_classes = placement_rules.filter_map(|rule| rule.classes.as_ref()).flatten();
         if let Some(class) = named_classes.find(|class| !self.classes.contains(class)) {
-            tracing::warn!(
-                version,
-                class,
-                "a placement rule names a class that this router's file does not have"
-            );
+            tracing::warn!(version, class, "placement rule ignored, its class is not in this router's file");
         }
     }
 
     /// Makes a document the one that this router follows.
     fn apply(&self, version: Version, fleet: Arc<Fleet>) {
         // Placement rules first: a request that is admitted under the new version must be placed by its rules.
-        (self.on_placement_news)(News::Rules { version, fleet: fleet.clone() });
+        (self.on_rules_update)(RulesUpdate::Received { version, fleet: fleet.clone() });
         if version > 0 {
             self.shared.with_quota_client(|quotas, now| quotas.apply_config(now, version, &fleet));
         }
@@ -326,9 +322,9 @@
         let version_report =
             self.shared.with_fence(|fence, now| fence.report(now, member_list_version())).unwrap_or_default();
         match self.connection.request(&Request::Report { quota_report, version_report }) {
-            Ok(_) => tracing::info!("left the fleet, quota grants returned"),
+            Ok(_) => tracing::info!("fleet left, quota grants returned"),
             Err(error) => {
-                tracing::info!(%error, "left the fleet, quota grants not returned and left to expire");
+                tracing::info!(%error, "fleet left, quota grants not returned and left to expire");
             }
         }
     }
--- a/postgres/tests/front.rs
+++ b/postgres/tests/front.rs
@@ -6,6 +6,7 @@
 use postgres::front::Front;
 use routing::{Clock, Metrics, RouterBuilder, Settings};
 use settings::Limits;
+use settings::limits::{ProcessResources, RequestTimes};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -38,7 +39,14 @@
     /// Starts it; only the front gets the changed limits.
     fn start(change: impl FnOnce(&mut Limits)) -> TestFront {
         let seconds = Duration::from_secs;
-        let limits = Limits::new(4096, 64 << 20, Duration::from_millis(250), seconds(60), seconds(10));
+        let limits = Limits::new(
+            ProcessResources { descriptors: 4096, memory_bytes: 64 << 20 },
+            RequestTimes {
+                connect_timeout: Duration::from_millis(250),
+                backend_keepalive: seconds(60),
+                longest_deadline: seconds(10),
+            },
+        );
         let mut front_limits = limits.clone();
         change(&mut front_limits);
         let (limits, front_limits) = (Arc::new(limits), Arc::new(front_limits));
@@ -106,7 +114,7 @@
 
 #[test]
 fn disconnect_is_noticed_without_polling_the_client() {
-    let front = TestFront::start(|limits| limits.client_watch = Duration::from_secs(3600));
+    let front = TestFront::start(|limits| limits.client_poll_interval = Duration::from_secs(3600));
     let socket = connect(front.addr);
     (&socket).write_all(&query("w1", 9000)).unwrap();
     front.wait_for_requests(1);
@@ -118,7 +126,7 @@
 
 #[test]
 fn pipelined_requests_are_answered_in_order_without_a_writer_thread() {
-    let front = TestFront::start(|limits| limits.stack_bytes = usize::MAX >> 2);
+    let front = TestFront::start(|limits| limits.socket_thread_stack_bytes = usize::MAX >> 2);
     let socket = connect(front.addr);
     (&socket).write_all(&[query("w1", 300), query("w2", 300), query("w3", 300)].concat()).unwrap();
     for _ in 0..3 {
--- a/registry/src/client/endpoint_list.rs
+++ b/registry/src/client/endpoint_list.rs
@@ -24,20 +24,21 @@
                 }
                 FleetAction::Unlist(id) => list.unlist(&id),
                 FleetAction::Faulty(name, error) => {
-                    tracing::error!("registry: nodes/{name}: {error}; what it said before holds");
+                    tracing::error!(node = name, %error, "registry node rejected, its last valid value stays in force");
                 }
                 FleetAction::Holding(nodes) => tracing::error!(
-                    "registry: most of {nodes} nodes in service vanished at once: they are held for {:?}",
-                    self.settings.held
+                    nodes,
+                    hold_time = ?self.settings.mass_removal_delay,
+                    "most registry nodes vanished at once, they are retained for the hold time"
                 ),
                 FleetAction::Released(nodes) => {
-                    tracing::warn!("registry: {nodes} nodes that had vanished are let go");
+                    tracing::warn!(nodes, "vanished registry nodes released");
                 }
                 FleetAction::LevelChanged(Level::Fresh) => {
-                    tracing::info!("registry: the list is fresh again");
+                    tracing::info!("registry list fresh again");
                 }
                 FleetAction::LevelChanged(level) => {
-                    tracing::error!("registry: no news for long: the list is used as {level:?} only");
+                    tracing::error!(?level, "registry silent for long, the use of its list is restricted");
                 }
             }
         }
@@ -82,7 +83,7 @@
     pub(super) fn run_timer(&self) {
         let mut rounds = 0u32;
         while !self.is_stopping() {
-            std::thread::sleep(self.limits.registry_gather);
+            std::thread::sleep(self.limits.registry_debounce_delay);
             rounds += 1;
             let mut list = self.list();
             if rounds.is_multiple_of(ROUNDS_PER_TICK) {
@@ -95,7 +96,7 @@
 
     fn tick(&self, list: &mut ListState) {
         let age = list.last_contact.map_or(0, |at| self.clock.now().0 - at);
-        let wants_responses = age > micros(self.settings.fresh) / RESPONSES_AFTER_FRESH_DIVISOR;
+        let wants_responses = age > micros(self.settings.max_fresh_age) / RESPONSES_AFTER_FRESH_DIVISOR;
         for id in self.responded.drain(wants_responses) {
             // An endpoint's id is the node's name with the revision at which it was created.
             let name = id.rsplit_once('@').map_or(id.as_str(), |(name, _)| name).to_string();
--- a/registry/src/client/etcd_watch.rs
+++ b/registry/src/client/etcd_watch.rs
@@ -73,7 +73,11 @@
         etcd: &mut Etcd,
         from: Revision,
     ) -> Result<NextStep, RequestError> {
-        let probe = Etcd { member: etcd.member.new_connection(), user: etcd.user.clone(), page: etcd.page };
+        let probe = Etcd {
+            member: etcd.member.new_connection(),
+            credentials: etcd.credentials.clone(),
+            page: etcd.page,
+        };
         let mut watch = EtcdWatch {
             client: self,
             machine: &mut *machine,
@@ -89,7 +93,7 @@
         match (failure, ended) {
             (Some(reason), _) => Ok(NextStep::Leave(reason)),
             (None, Err(RequestError::Compacted)) => {
-                tracing::warn!("registry: revision {from} has been compacted away: reading everything anew");
+                tracing::warn!(revision = from, "registry revision compacted away, reading everything again");
                 Ok(self.apply(machine, Event::Compacted(endpoint)))
             }
             (None, ended) => ended.map(|()| next),
--- a/registry/src/client/list_file.rs
+++ b/registry/src/client/list_file.rs
@@ -9,11 +9,11 @@
 impl Client {
     /// Begins with the last list on disk.
     pub(super) fn load_list(&self, machine: &mut Machine) {
-        let Some(folder) = &self.settings.folder else { return };
+        let Some(folder) = &self.settings.list_folder else { return };
         let cached = match cache::read(Path::new(folder)) {
             Ok(Some(cached)) => cached,
             Ok(None) => return,
-            Err(e) => return tracing::error!("registry: the last list is not used: {e}"),
+            Err(error) => return tracing::error!(%error, "saved registry list not used"),
         };
         let age_s = (self.clock.now().0 - cached.at).max(0) / 1_000_000;
         let (at, keys) = (cached.at, cached.items.len());
@@ -31,17 +31,15 @@
         list.fleet.handle(decision::Time(at), FleetEvent::Heard, &mut actions);
         self.apply_fleet_actions(&mut list, actions);
         self.flush(&mut list);
-        tracing::warn!(
-            "registry: using the last list of {keys} keys, {age_s} s old, until the registry answers"
-        );
+        tracing::warn!(keys, age_s, "saved registry list used until the registry answers");
     }
 
     /// Writes the list to disk, if it has changed and the last write is long enough ago.
     pub(super) fn save_list_if_due(&self, machine: &Machine) {
-        let Some(folder) = &self.settings.folder else { return };
+        let Some(folder) = &self.settings.list_folder else { return };
         let now = self.clock.now().0;
         let mut last_saved = lock(&self.last_saved);
-        let is_recent = now - last_saved.at < micros(self.limits.registry_keep);
+        let is_recent = now - last_saved.at < micros(self.limits.registry_save_interval);
         if is_recent || last_saved.revision == machine.revision() {
             return;
         }
@@ -50,8 +48,8 @@
         let nodes = machine.all().filter(|item| matches!(self.classify(&item.key), Key::Node(_)));
         let items = nodes.map(|i| (i.key, i.value, i.created, i.modified)).collect();
         let cached = CachedList { at: now, revision: machine.revision(), items };
-        if let Err(e) = cache::write(Path::new(folder), &cached) {
-            tracing::error!("registry: the list can't be kept in {folder}: {e}");
+        if let Err(error) = cache::write(Path::new(folder), &cached) {
+            tracing::error!(folder, %error, "registry list not saved");
         }
     }
 }
--- a/routing/src/placement_subsets/subsets.rs
+++ b/routing/src/placement_subsets/subsets.rs
@@ -1,20 +1,20 @@
 //! The subsets of one router: routing, changes of the rules and of the endpoint list, and what members have stated.
-use super::change::{StatedRole, SubsetChange};
+use super::change::{OutcomeRecorded, Routed, StatedRole, SubsetChange};
 use super::member_ids::MemberIds;
 use super::primary_search::PrimarySearch;
 use super::tracked_endpoint::TrackedEndpoint;
 use crate::endpoint::EndpointUpdate;
 use decision::{Freshness, GroupId, MemberEntry, MemberId, Outcome, Time};
-use placement::{Action, Event, Places, Refusal};
+use placement::{Action, Event, PlacementEngine, RoutingQuery};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
 /// The subsets of one router.
 pub struct PlacementSubsets {
-    pub(super) places: Places,
-    /// By class.
+    pub(super) engine: PlacementEngine,
+    /// Whether a request of the class needs the primary, by class.
     pub(super) needs_primary: Vec<bool>,
-    /// By the endpoint's own member id.
+    /// The endpoints, by their own member ids.
     pub(super) endpoints: HashMap<MemberId, TrackedEndpoint>,
     pub(super) own_ids: HashMap<Arc<str>, MemberId>,
     /// The endpoint's own member id, by alias.
@@ -30,7 +30,7 @@
         let needs_primary =
             |class: &decision::Class| matches!(class.freshness, Freshness::Write | Freshness::Latest);
         PlacementSubsets {
-            places: Places::new(settings),
+            engine: PlacementEngine::new(settings),
             needs_primary: classes.iter().map(needs_primary).collect(),
             endpoints: HashMap::new(),
             own_ids: HashMap::new(),
@@ -45,12 +45,12 @@
         self.own_id_of_alias.get(&member).copied().unwrap_or(member)
     }
 
-    /// Whether [`Event::Timer`] is due.
+    /// Whether [`Event::TimerExpired`] is due.
     pub fn is_due(&self, now: Time) -> bool {
-        self.places.is_due(now)
+        self.engine.is_due(now)
     }
 
-    /// The group, perhaps a subset's, whose members may serve a request.
+    /// Routes a request to the group, perhaps a subset's, whose members may serve it.
     pub fn route(
         &mut self,
         now: Time,
@@ -58,13 +58,14 @@
         class: usize,
         group: GroupId,
         ids: &mut MemberIds,
-    ) -> (Result<GroupId, Refusal>, SubsetChange) {
+    ) -> Routed {
         let needs_primary = self.needs_primary.get(class).copied().unwrap_or(true);
         let mut actions = Vec::new();
-        let routed = self.places.route(now, tenant, class, group, needs_primary, &mut actions);
+        let query = RoutingQuery { tenant, class, group, needs_primary };
+        let group = self.engine.route(now, &query, &mut actions);
         let mut change = SubsetChange::default();
         self.apply(actions, &mut change, ids);
-        (routed, change)
+        Routed { group, change }
     }
 
     /// Handles an update of the rules, or a timer.
@@ -76,7 +77,7 @@
 
     fn handle_into(&mut self, now: Time, event: Event, change: &mut SubsetChange, ids: &mut MemberIds) {
         let mut actions = Vec::new();
-        self.places.handle(now, event, &mut actions);
+        self.engine.handle(now, event, &mut actions);
         self.apply(actions, change, ids);
     }
 
@@ -91,10 +92,10 @@
         let members = self.track(update, entries);
         let named: BTreeSet<MemberId> = entries.iter().map(|entry| entry.id).collect();
         if update.complete {
-            self.mark_missing_gone(&named);
+            self.mark_missing_removed(&named);
         }
         let mut change = SubsetChange::default();
-        let event = Event::Members { complete: update.complete, entries: members };
+        let event = Event::MembersUpdated { complete: update.complete, entries: members };
         self.handle_into(now, event, &mut change, ids);
         for endpoint in named.iter().filter_map(|id| self.endpoints.get(id)) {
             let shown = endpoint.shown_aliases();
@@ -103,8 +104,7 @@
         change
     }
 
-    /// Records what a member has stated about its role and whether it was reachable. Returns also the other member ids
-    /// of its endpoint that have to be notified.
+    /// Records what a member has stated about its role and whether it was reachable.
     pub fn record_outcome(
         &mut self,
         now: Time,
@@ -112,30 +112,31 @@
         outcome: Outcome,
         stated: Option<StatedRole>,
         ids: &mut MemberIds,
-    ) -> (SubsetChange, Vec<MemberId>) {
+    ) -> OutcomeRecorded {
         let (own_id, mut change) = (self.own_id(member), SubsetChange::default());
-        let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return (change, Vec::new()) };
+        let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return OutcomeRecorded::default() };
         let (name, group) = (endpoint.name.clone(), endpoint.entry.group);
         let mut changed = endpoint.record_reachability(outcome);
         if let Some(role) = stated {
             changed |= endpoint.stated_primary.replace(role.primary) != Some(role.primary);
         }
-        let reached = endpoint.reachable;
-        let primary_before = self.places.primary(group).cloned();
+        let reachable = endpoint.reachable;
+        let primary_before = self.engine.primary(group).cloned();
         if changed {
-            self.handle_into(now, Event::Reach { member: name.clone(), reached }, &mut change, ids);
+            let event = Event::ReachabilityChanged { member: name.clone(), reachable };
+            self.handle_into(now, event, &mut change, ids);
         }
-        if let Some(StatedRole { primary, with_response }) = stated {
-            let event = Event::Said { member: name, primary, note: with_response };
+        if let Some(StatedRole { primary, source }) = stated {
+            let event = Event::RoleReported { member: name, primary, source };
             self.handle_into(now, event, &mut change, ids);
         }
-        changed |= self.places.primary(group) != primary_before.as_ref();
+        changed |= self.engine.primary(group) != primary_before.as_ref();
         let to_notify = if changed { self.ids_in_use(own_id, &[member]) } else { Vec::new() };
-        (change, to_notify)
+        OutcomeRecorded { change, to_notify }
     }
 
-    /// Of this many unavailable members, how many endpoints that may be: a draining endpoint is counted once. Ejections
-    /// are made for each member id apart and can't be told apart here.
+    /// An estimate of the number of unavailable endpoints from the number of unavailable members: a draining endpoint is
+    /// counted once. Ejections are made for each member id and are not distinguished here.
     pub fn unhealthy_endpoints(&self, unavailable_members: usize) -> usize {
         let draining = self.endpoints.values().filter(|e| e.is_draining());
         let counted_again: usize = draining.map(|e| e.shown_aliases().count()).sum();
@@ -145,14 +146,14 @@
     fn apply(&mut self, actions: Vec<Action>, change: &mut SubsetChange, ids: &mut MemberIds) {
         for action in actions {
             match action {
-                Action::Show { view, members, .. } => self.show(view, &members, change, ids),
-                Action::Recheck => change.reroute = true,
-                Action::Timer { at } => change.timer = Some(change.timer.map_or(at, |t| t.min(at))),
+                Action::UpdateView { view, members, .. } => self.show(view, &members, change, ids),
+                Action::RerouteQueued => change.reroute = true,
+                Action::SetTimer { at } => change.timer = Some(change.timer.map_or(at, |t| t.min(at))),
             }
         }
     }
 
-    /// Gives a subset exactly these members.
+    /// Sets the members of a subset.
     fn show(&mut self, subset: GroupId, names: &[Arc<str>], change: &mut SubsetChange, ids: &mut MemberIds) {
         let members: BTreeSet<MemberId> =
             names.iter().filter_map(|name| self.own_ids.get(name)).copied().collect();
@@ -171,7 +172,7 @@
     fn hide_member(&mut self, subset: GroupId, own_id: MemberId, change: &mut SubsetChange) {
         let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return };
         let Some(alias) = endpoint.hide_alias(subset) else { return };
-        change.entries.insert(alias, endpoint.gone_entry(alias, subset));
+        change.entries.insert(alias, endpoint.removed_entry(alias, subset));
         change.departed.push(alias);
     }
 
--- a/routing/tests/common/mod.rs
+++ b/routing/tests/common/mod.rs
@@ -1,6 +1,7 @@
 //! What the tests of the whole core share: scripted endpoints behind a protocol that waits where the test wants it.
 use routing::spawn;
 use settings::Limits;
+use settings::limits::{ProcessResources, RequestTimes};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Condvar, Mutex};
@@ -34,7 +35,10 @@
 
 /// Limits with time for everything.
 pub(crate) fn limits() -> Limits {
-    Limits::new(4096, 64 << 20, TIMEOUT, TIMEOUT, TIMEOUT)
+    Limits::new(
+        ProcessResources { descriptors: 4096, memory_bytes: 64 << 20 },
+        RequestTimes { connect_timeout: TIMEOUT, backend_keepalive: TIMEOUT, longest_deadline: TIMEOUT },
+    )
 }
 
 /// A listener whose connections stay open. Connections need a socket; what is sent over it is not read.
--- a/routing/tests/handover/connections.rs
+++ b/routing/tests/handover/connections.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn panicking_protocol_ends_attempt_and_frees_connection_slot() {
-    let mut core = Core::start(|limits| limits.links_per_peer = 1);
+    let mut core = Core::start(|limits| limits.max_connections_per_backend = 1);
     core.list(&[endpoint("a", 1, 0)]);
     core.script.with(addr(1), |e| e.panics = 1);
     let started = Instant::now();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn member_missing_from_a_complete_list_goes_on_serving_where_it_may() {
+fn member_missing_from_complete_list_serves_where_allowed() {
     let mut core = Core::start_with(|_| (), |settings| settings.missing_members_may_serve = true);
     core.list(&[endpoint("a", 1, 0), endpoint("b", 2, 1)]);
     assert_eq!(core.submit(0, IDEMPOTENT).served_by(), addr(1));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn member_missing_from_a_complete_list_gets_nothing_elsewhere() {
+fn member_missing_from_complete_list_gets_nothing_elsewhere() {
     let mut core = Core::start(|_| ());
     core.list(&[endpoint("a", 1, 0), endpoint("b", 2, 1)]);
     assert_eq!(core.submit(0, IDEMPOTENT).served_by(), addr(1));
--- a/settings/tests/customers.rs
+++ b/settings/tests/customers.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use settings::Error;
-use settings::start::{Start, read};
+use settings::start::{PlatformConfig, read};
 use std::time::Duration;
 
 /// A class, and its word and bound in the lists beside the classes.
@@ -35,25 +35,25 @@
             "failureDomains": zones, "membershipMode": "automatic", "replicasOfMe": 3, "roundMs": 5.0, "zone": zone}})
 }
 
-fn start(config: &Value) -> Result<Start, Error> {
+fn start(config: &Value) -> Result<PlatformConfig, Error> {
     read(&config.to_string(), &|_| None)
 }
 
 /// What is read of a class, but for its name.
-fn of(start: &Start, at: usize) -> String {
+fn class_settings(start: &PlatformConfig, at: usize) -> String {
     format!("{:?}", start.settings.classes[at])
 }
 
 /// Names that differ, of any characters.
-fn names(most: usize) -> impl Strategy<Value = Vec<String>> {
-    proptest::collection::btree_set("\\PC{0,9}", 0..most).prop_map(|s| s.into_iter().collect())
+fn distinct_names(max_count: usize) -> impl Strategy<Value = Vec<String>> {
+    proptest::collection::btree_set("\\PC{0,9}", 0..max_count).prop_map(|s| s.into_iter().collect())
 }
 
 /// Every place in a value, as a JSON pointer.
-fn places(v: &Value, at: String, all: &mut Vec<String>) {
+fn pointers(v: &Value, at: String, all: &mut Vec<String>) {
     match v {
-        Value::Object(o) => o.iter().for_each(|(k, v)| places(v, format!("{at}/{k}"), all)),
-        Value::Array(a) => a.iter().enumerate().for_each(|(k, v)| places(v, format!("{at}/{k}"), all)),
+        Value::Object(o) => o.iter().for_each(|(k, v)| pointers(v, format!("{at}/{k}"), all)),
+        Value::Array(a) => a.iter().enumerate().for_each(|(k, v)| pointers(v, format!("{at}/{k}"), all)),
         _ => {}
     }
     all.push(at);
@@ -82,8 +82,8 @@
 proptest! {
     #[test]
     fn class_names_and_order_do_not_change_settings(
-        (names, others) in names(70).prop_flat_map(|n| {
-            let others = names(2 * n.len().max(1) + 70);
+        (names, others) in distinct_names(70).prop_flat_map(|n| {
+            let others = distinct_names(2 * n.len().max(1) + 70);
             (Just(n), others)
         }),
         seed in any::<u64>(),
@@ -101,7 +101,7 @@
         }).collect();
         let two = start(&config(&renamed, &zones, 1)).unwrap();
         for i in 0..names.len() {
-            prop_assert_eq!(of(&one, i), of(&two, i));
+            prop_assert_eq!(class_settings(&one, i), class_settings(&two, i));
         }
         // Another order.
         let mut places: Vec<usize> = (0..names.len()).collect();
@@ -109,7 +109,7 @@
         let moved: Vec<_> = places.iter().map(|i| listed[*i].clone()).collect();
         let three = start(&config(&moved, &zones, 1)).unwrap();
         for (at, i) in places.iter().enumerate() {
-            prop_assert_eq!(of(&three, at), of(&one, *i));
+            prop_assert_eq!(class_settings(&three, at), class_settings(&one, *i));
             prop_assert_eq!(&three.names.classes[at], &names[*i]);
         }
         // Bounds of the program that follow from the classes follow from all of them, wherever they stand.
@@ -119,7 +119,7 @@
 
     #[test]
     fn zone_without_name_is_shared_with_no_member(
-        zones in names(12),
+        zones in distinct_names(12),
         zone in prop_oneof![0u32..14, any::<u32>()],
     ) {
         let listed = [class("only".into(), 4)];
@@ -135,7 +135,7 @@
         let listed: Vec<_> = (0..4).map(|i| class(format!("class {i}"), i)).collect();
         let good = config(&listed, &["a".into(), "b".into()], 0);
         let mut all = Vec::new();
-        places(&good, String::new(), &mut all);
+        pointers(&good, String::new(), &mut all);
         let place = place.get(&all);
         let mut bad = good.clone();
         *bad.pointer_mut(place).unwrap() = value;
@@ -160,8 +160,8 @@
                 }
                 prop_assert!(s.connect_timeout > 0 && s.max_attempts > 0 && s.router_count > 0);
                 prop_assert_eq!(read.names.classes.len(), s.classes.len());
-                prop_assert!(read.limits.client_connections > 0 && read.limits.link_connections > 0);
-                prop_assert!(read.limits.link_trust <= read.limits.link_idle);
+                prop_assert!(read.limits.max_client_connections > 0 && read.limits.max_backend_connections > 0);
+                prop_assert!(read.limits.max_unchecked_idle_time <= read.limits.backend_idle_timeout);
             }
             Err(e) => {
                 // The innermost name of the place, or one that it holds or is held by, stands in the message.
@@ -175,26 +175,26 @@
 }
 
 #[test]
-fn link_trust_is_at_most_half_of_keepalive() {
+fn unchecked_idle_time_is_at_most_half_of_keepalive() {
     for keepalive_ms in [0, 1, 20, 99, 100, 3000, 30_000, 60_000] {
         let mut c = config(&[class("only".into(), 4)], &["a".into()], 0);
         c["settings"]["limits"]["keepaliveMs"] = json!(keepalive_ms);
         let limits = start(&c).unwrap().limits;
         assert!(
-            limits.link_trust <= Duration::from_millis(keepalive_ms) / 2,
+            limits.max_unchecked_idle_time <= Duration::from_millis(keepalive_ms) / 2,
             "{keepalive_ms} ms: {limits:?}"
         );
-        assert!(limits.link_idle >= Duration::from_millis(keepalive_ms) / 2);
+        assert!(limits.backend_idle_timeout >= Duration::from_millis(keepalive_ms) / 2);
     }
 }
 
 #[test]
-fn link_check_follows_connect_timeout() {
+fn backend_check_timeout_follows_connect_timeout() {
     for (dial_ms, check_ms) in [(150, 40), (250, 40), (600, 96), (3000, 480)] {
         let mut c = config(&[class("only".into(), 4)], &["a".into()], 0);
         c["settings"]["limits"]["dialTimeoutMs"] = json!(dial_ms);
         let limits = start(&c).unwrap().limits;
-        assert_eq!(limits.link_check, Duration::from_millis(check_ms), "{dial_ms} ms to connect");
-        assert_eq!(limits.connect, Duration::from_millis(dial_ms));
+        assert_eq!(limits.backend_check_timeout, Duration::from_millis(check_ms), "{dial_ms} ms to connect");
+        assert_eq!(limits.backend_connect_timeout, Duration::from_millis(dial_ms));
     }
 }
--- a/src/commands/serve/endpoints.rs
+++ b/src/commands/serve/endpoints.rs
@@ -2,7 +2,7 @@
 use routing::{EndpointEntry, EndpointUpdate, GroupId, MemberState};
 use serde_json::{Value, json};
 use settings::Error as SettingsError;
-use settings::fields::{number, text, whole};
+use settings::fields::{number, string, unsigned_integer};
 use settings::operator::Server;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 const DRAINING: &str = "draining";
 
 /// Key and document of a server that the file lists, as a new store is filled with them.
-pub(super) fn server_document(server: &Server) -> (String, String) {
+pub fn server_document(server: &Server) -> (String, String) {
     let mut document =
         json!({"addr": server.addr, "group": server.group, "weight": server.weight, "state": IN_SERVICE});
     if let Some(site) = &server.site {
@@ -24,7 +24,7 @@
 
 /// The endpoint list as the store holds it, to a router at `own_site`. A server whose document can't be read is left
 /// out and named in the log.
-pub(super) fn endpoint_update(state: &store::State, own_site: Option<&str>) -> EndpointUpdate {
+pub fn endpoint_update(state: &store::State, own_site: Option<&str>) -> EndpointUpdate {
     let entry = |(key, value): (&str, &store::Value)| {
         let entry = endpoint_entry(key, &value.text, own_site);
         entry.map_err(|error| tracing::error!("list: {key}: {error}")).ok()
@@ -33,16 +33,23 @@
     EndpointUpdate { version: state.applied_index, complete: true, endpoints: entries }
 }
 
-/// Reads one server's document.
-fn endpoint_entry(key: &str, document: &str, own_site: Option<&str>) -> Result<EndpointEntry, SettingsError> {
+/// Reads the document of a server that stands under `key`.
+///
+/// # Errors
+/// The document is no JSON object, or one of its fields is missing or can't be used.
+pub fn endpoint_entry(
+    key: &str,
+    document: &str,
+    own_site: Option<&str>,
+) -> Result<EndpointEntry, SettingsError> {
     let document: Value = serde_json::from_str(document)?;
-    let address = text(&document, "addr")?;
-    let state = member_state(text(&document, "state")?)?;
+    let address = string(&document, "addr")?;
+    let state = member_state(string(&document, "state")?)?;
     let site: Option<Arc<str>> = document.get("site").and_then(Value::as_str).map(Arc::from);
     Ok(EndpointEntry {
         id: key.trim_start_matches(KEY_PREFIX).to_string(),
         addr: parse_address(address)?,
-        group: GroupId(whole(&document, "group")? as u32),
+        group: GroupId(unsigned_integer(&document, "group")? as u32),
         zone: zone_distance(site.as_deref(), own_site),
         site,
         state,
@@ -57,18 +64,17 @@
     match state {
         IN_SERVICE => Ok(MemberState::Ready),
         DRAINING => Ok(MemberState::Draining),
-        other => Err(SettingsError::value("state", "in_service or draining", format_args!("'{other}'"))),
+        other => {
+            Err(SettingsError::invalid_value("state", "in_service or draining", format_args!("'{other}'")))
+        }
     }
 }
 
 fn parse_address(address: &str) -> Result<SocketAddr, SettingsError> {
-    address.parse().map_err(|_| SettingsError::value("addr", "ip:port", format_args!("'{address}'")))
+    address.parse().map_err(|_| SettingsError::invalid_value("addr", "ip:port", format_args!("'{address}'")))
 }
 
 /// Distance to a server: where the router's own site is known, servers of other sites and of none are farther.
 fn zone_distance(site: Option<&str>, own_site: Option<&str>) -> u32 {
     u32::from(own_site.is_some() && site != own_site)
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,9 +1,9 @@
 //! The log: lines on standard error, as text or as JSON.
-use settings::operator::Log;
+use settings::operator::LogConfig;
 use tracing_subscriber::filter::LevelFilter;
 
 /// Starts the log with the level and the format that the configuration gives.
-pub(crate) fn start(log: &Log) {
+pub(crate) fn start(log: &LogConfig) {
     let level: LevelFilter = log.level.parse().unwrap_or(LevelFilter::INFO);
     let subscriber = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
@@ -15,10 +15,10 @@
 }
 
 /// Reports why the program ends: in the log once it has been started, as a plain line before that.
-pub(crate) fn report_exit(reason: &str) {
+pub(crate) fn report_exit(error: &dyn std::error::Error) {
     if tracing::dispatcher::has_been_set() {
-        tracing::error!("damsonvale: {reason}");
+        tracing::error!("damsonvale: {error}");
     } else {
-        eprintln!("damsonvale: {reason}");
+        eprintln!("damsonvale: {error}");
     }
 }
--- a/testkit/src/routing.rs
+++ b/testkit/src/routing.rs
@@ -7,6 +7,7 @@
     WallClock,
 };
 use settings::Limits;
+use settings::limits::{ProcessResources, RequestTimes};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +15,7 @@
 /// The longest that a test waits for what has to happen; only a failure reaches it.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-const MAX_SOCKETS: usize = 256;
+const MAX_DESCRIPTORS: usize = 256;
 const MEMORY_BYTES: usize = 192 << 20;
 
 /// A protocol that connects to nothing.
@@ -53,7 +54,10 @@
 
 /// Limits that no test reaches, with this bound for each wait.
 pub fn limits(timeout: Duration) -> Limits {
-    Limits::new(MAX_SOCKETS, MEMORY_BYTES, timeout, timeout, timeout)
+    Limits::new(
+        ProcessResources { descriptors: MAX_DESCRIPTORS, memory_bytes: MEMORY_BYTES },
+        RequestTimes { connect_timeout: timeout, backend_keepalive: timeout, longest_deadline: timeout },
+    )
 }
 
 /// The address of this port on loopback.
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -10,8 +10,8 @@
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use test_servers::fleet::Fleet;
 use test_servers::proxy::Proxy;
+use test_servers::replication_group::ReplicationGroup;
 
 const ROUTERS: usize = 6;
 /// A router that hears of no leader has fenced itself after this time.
@@ -20,7 +20,7 @@
 const AFTER: Duration = Duration::from_millis(250);
 
 struct Installation {
-    servers: Fleet,
+    servers: ReplicationGroup,
     folder: TestFolder,
     peers: Vec<SocketAddr>,
     clients: Vec<SocketAddr>,
@@ -32,7 +32,7 @@
 
 impl Installation {
     fn start(document: &str) -> (Installation, u64) {
-        let servers = Fleet::start(&[Duration::ZERO], Duration::from_millis(1));
+        let servers = ReplicationGroup::start(&[Duration::ZERO], Duration::from_millis(1));
         let (peers, clients, lend) = (unused_addresses(3), unused_addresses(3), unused_addresses(3));
         let ways = (3..ROUTERS).map(|_| lend.iter().map(|a| Proxy::start(*a)).collect()).collect();
         let running = (0..ROUTERS).map(|_| None).collect();
@@ -262,8 +262,8 @@
 #[test]
 fn the_record_goes_on_where_the_leader_and_a_router_are_lost_in_a_change() {
     let (mut all, first) = Installation::start(&document(""));
-    let line = all.program(0).wait_for_log(" leads in term");
-    let node = line.split(" leads in term").next().unwrap().rsplit(' ').next().unwrap();
+    let line = all.program(0).wait_for_log("store leader elected leader=");
+    let node = line.split(" leader=").nth(1).unwrap().split(' ').next().unwrap();
     let leader = node.parse::<usize>().unwrap() - 1;
     (0..ROUTERS).for_each(|i| _ = all.recorded(i, &[("acting", first)]));
     let second = all.set(&document("rate = 0.0\nburst = 1\n"));
--- a/tests/common/installation.rs
+++ b/tests/common/installation.rs
@@ -2,7 +2,7 @@
 use super::TIMEOUT;
 use mysql::{Conn, OptsBuilder};
 use std::net::SocketAddr;
-use test_servers::fleet::Fleet;
+use test_servers::replication_group::ReplicationGroup;
 
 /// Addresses as a list of TOML has them.
 pub(crate) fn toml_list(addrs: &[SocketAddr]) -> String {
@@ -15,7 +15,7 @@
 }
 
 /// The stand-in servers, with what `more` says of each.
-pub(crate) fn server_tables(fleet: &Fleet, more: impl Fn(&str) -> String) -> String {
+pub(crate) fn server_tables(fleet: &ReplicationGroup, more: impl Fn(&str) -> String) -> String {
     let server = |(id, a): (String, _)| format!("[[mysql.server]]\nid = '{id}'\naddr = '{a}'\n{}", more(&id));
     fleet.servers().into_iter().map(server).collect()
 }
--- a/tests/common/instances.rs
+++ b/tests/common/instances.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use test_servers::fleet::Fleet;
+use test_servers::replication_group::ReplicationGroup;
 
 /// How instances keep what sessions must see.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -25,7 +25,7 @@
 }
 
 pub(crate) struct Instances {
-    pub(crate) fleet: Fleet,
+    pub(crate) fleet: ReplicationGroup,
     pub(crate) folder: TestFolder,
     pub(crate) retention: SessionRetention,
     /// Where each one listens for its peers.
@@ -50,7 +50,7 @@
 
 impl Instances {
     /// Instances that are set up, not started yet.
-    pub(crate) fn new(n: usize, fleet: Fleet, retention: SessionRetention) -> Instances {
+    pub(crate) fn new(n: usize, fleet: ReplicationGroup, retention: SessionRetention) -> Instances {
         let peer_listeners = unused_addresses(n);
         Instances {
             fleet,
@@ -63,7 +63,7 @@
         }
     }
 
-    pub(crate) fn started(n: usize, fleet: Fleet, retention: SessionRetention) -> Instances {
+    pub(crate) fn started(n: usize, fleet: ReplicationGroup, retention: SessionRetention) -> Instances {
         let mut all = Instances::new(n, fleet, retention);
         (0..n).for_each(|i| all.start(i));
         (0..n).for_each(|i| all.wait_until_peers_up_to_date(i));
@@ -138,7 +138,7 @@
 
     /// Waits until an instance relies on all its peers.
     pub(crate) fn wait_until_peers_up_to_date(&mut self, i: usize) {
-        self.program(i).wait_for_log("every peer's news is relied on");
+        self.program(i).wait_for_log("session peers up to date");
     }
 
     /// SIGKILL.
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -98,7 +98,7 @@
         let (_, old) = agent.watch();
         say(&old, &news(50, true, &known));
         let last = Instant::now();
-        router.wait_for_log("version 50 names 2 instances, 2 in service");
+        router.wait_for_log("endpoint list applied version=50 endpoints=2 ready=2 ");
         let addr = router.listening_address();
         Client::connect(addr).query_until_served_by(&select("warm", 1900), "replica");
         Site { folder, agent, old: Some(old), last, router, addr, primary, replica }
@@ -114,7 +114,7 @@
 
     /// From now on the replica gets nothing.
     fn drained(&mut self, version: u64) {
-        self.router.wait_for_log(&format!("version {version} names 2 instances, 1 in service"));
+        self.router.wait_for_log(&format!("endpoint list applied version={version} endpoints=2 ready=1 "));
         // The line is written before the module has the news.
         let client = Client::connect(self.addr);
         client.query_until_served_by(&select(&format!("told{version}"), 1900), "primary");
@@ -155,11 +155,11 @@
     });
     let folder = TestFolder::new();
     let path = folder.write("config.json", &config(addr, vec![]).to_string());
-    let mut router = Program::serve_platform(&path);
-    router.wait_for_log("version 50");
+    let mut router = Program::start(&[], &[("BALANCER_CONFIG", path.to_str().unwrap())]);
+    router.wait_for_log("endpoint list applied version=50 ");
     let last = last.recv_timeout(TIMEOUT).unwrap();
-    router.wait_for_log("no whole line for 2.6s");
-    router.wait_for_log("version 54");
+    router.wait_for_log("discovery watch stale, opening another silent=2.6s");
+    router.wait_for_log("endpoint list applied version=54 ");
     assert!(last.elapsed() < Duration::from_secs(5), "{:?}", last.elapsed());
 }
 
@@ -174,7 +174,7 @@
     let (index, new) = site.agent.watch();
     assert_eq!(index, "50");
     say(&new, &site.drains(51));
-    site.router.wait_for_log("version 51");
+    site.router.wait_for_log("endpoint list applied version=51 ");
     assert!(site.last.elapsed() < Duration::from_secs(6), "{:?}", site.last.elapsed());
     site.drained(51);
     // The old one speaks again too late: what it says now is another watch's business.
@@ -188,7 +188,7 @@
     let (_, _mute) = site.agent.next();
     // Version 51 never comes on the old one: the replica drains. 52 does.
     say(site.old(), &news(52, false, &[site.primary.entry("in_service")]));
-    site.router.wait_for_log("version 52 names 2 instances, 2 in service");
+    site.router.wait_for_log("endpoint list applied version=52 endpoints=2 ready=2 ");
     // One that was opened before may have asked before.
     _ = site.agent.next();
     let (index, new) = site.agent.watch();
@@ -222,7 +222,7 @@
 fn sighup_during_the_silence_moves_at_once_and_the_new_agents_drain_binds() {
     let mut site = Site::start();
     let (_, _mute) = site.agent.next();
-    site.router.wait_for_log("no whole line for 2.6s");
+    site.router.wait_for_log("discovery watch stale, opening another silent=2.6s");
     let new = Agent::start();
     site.moves(new.addr);
     let moved = Instant::now();
@@ -232,7 +232,7 @@
     let (index, socket) = new.watch();
     assert_eq!(index, "50");
     say(&socket, &site.drains(51));
-    site.router.wait_for_log("version 51");
+    site.router.wait_for_log("endpoint list applied version=51 ");
     assert!(moved.elapsed() < Duration::from_secs(4), "{:?}", moved.elapsed());
     site.drained(51);
 }
@@ -241,12 +241,12 @@
 fn sighup_to_an_address_that_refuses_leaves_the_old_watch_and_the_next_one_moves_on() {
     let mut site = Site::start();
     site.moves(unused_addresses(1)[0]);
-    site.router.wait_for_log("the watch broke");
+    site.router.wait_for_log("discovery watch broken");
     say(site.old(), &site.drains(51));
     site.drained(51);
     let up = news(52, false, &[site.replica.entry("in_service")]);
     say(site.old(), &up);
-    site.router.wait_for_log("version 52 names 2 instances, 2 in service");
+    site.router.wait_for_log("endpoint list applied version=52 endpoints=2 ready=2 ");
     let new = Agent::start();
     site.moves(new.addr);
     let (index, socket) = new.watch();
@@ -345,7 +345,7 @@
     let (index, socket) = next.watch();
     assert_eq!(index, "51");
     say(&socket, &news(52, false, &[site.replica.entry("in_service")]));
-    site.router.wait_for_log("version 52 names 2 instances, 2 in service");
+    site.router.wait_for_log("endpoint list applied version=52 endpoints=2 ready=2 ");
     Client::connect(site.addr).query_until_served_by(&select("back", 1900), "replica");
     assert_eq!(Client::connect(site.addr).query(&insert("w1", 1900)), served("primary"));
     drop((crowd, callers));
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -58,7 +58,7 @@
         self.version += 1;
         let line = json!({"version": self.version, "full": true, "servers": entries}).to_string();
         self.lines.send(line).unwrap();
-        self.router.wait_for_log(&format!("list: version {} ", self.version));
+        self.router.wait_for_log(&format!("endpoint list applied version={} ", self.version));
     }
 
     /// A client's request has come to the module; they are counted from 0 on.
@@ -68,7 +68,7 @@
 
     /// So many requests of some client have been given up with it.
     fn left(&mut self, requests: usize) {
-        self.router.wait_for_log(&format!(" has left {requests} requests"));
+        self.router.wait_for_log(&format!("client disconnected requests={requests} "));
     }
 
     /// Whether an attempt was ever wanted for a request. Lines come in the order in which the module decides.
@@ -80,7 +80,7 @@
     /// The router ends by SIGTERM; all that it has written by then is there to be looked at.
     fn end(mut self) -> Program {
         self.router.terminate();
-        self.router.wait_for_log("shutdown: ended");
+        self.router.wait_for_log("shutdown ended");
         self.router
     }
 }
@@ -166,7 +166,7 @@
     (&client.0).write_all(&all).unwrap();
     drop(client);
     // However many were read before the end was seen, the rest is dropped.
-    site.router.wait_for_log(" has left ");
+    site.router.wait_for_log("client disconnected");
     site.list(&[entry]);
     Client::connect(site.addr).query_until_served_by(&insert("other", 7900), "primary");
     let ran = instance.executed.lock().unwrap().clone();
@@ -192,14 +192,14 @@
     let begun = Instant::now();
     let left = loop {
         let left: Vec<String> =
-            site.router.log_lines().iter().filter(|l| l.contains(" has left ")).cloned().collect();
+            site.router.log_lines().iter().filter(|l| l.contains("client disconnected")).cloned().collect();
         if left.len() == CLIENTS {
             break left;
         }
         assert!(begun.elapsed() < TIMEOUT, "{left:?}");
         std::thread::yield_now();
     };
-    assert!(left.iter().all(|l| l.ends_with(" has left 0 requests")), "{left:?}");
+    assert!(left.iter().all(|l| l.contains("client disconnected requests=0 ")), "{left:?}");
 }
 
 #[test]
@@ -236,7 +236,7 @@
     stays.send(&insert("w2", 7900));
     site.came(1);
     site.router.terminate();
-    site.router.wait_for_log("shutdown: taking requests");
+    site.router.wait_for_log("shutdown started");
     // Half a command keeps its connection until nothing more is read of anybody.
     (&witness.0).write_all(b"Q\0\x02\0\0SELECT").unwrap();
     while read_message(&witness.0).is_ok() {}
@@ -245,7 +245,7 @@
     assert!(!site.sent(0));
     // Nobody can take it: it is refused when its time is up, and not before.
     assert!(matches!(stays.response(), Response::Error(code, _) if code == "53300"));
-    site.router.wait_for_log("shutdown: ended with 0 connections left");
+    site.router.wait_for_log("shutdown ended connections=0");
 }
 
 /// An instance whose connections come up when the test says so.
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -8,14 +8,14 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use test_servers::fleet::Fleet;
+use test_servers::replication_group::ReplicationGroup;
 use test_servers::udp::UdpProxy;
 
 /// Detection takes some 6 of these, the settle time 10. Short enough for a test, long enough for a busy host.
 const RHYTHM: Duration = Duration::from_millis(200);
 
 struct Routers {
-    server: Fleet,
+    server: ReplicationGroup,
     folder: TestFolder,
     listen: Vec<SocketAddrV4>,
     /// Each one's way in, where the ways can be cut.
@@ -35,11 +35,11 @@
         let listen: Vec<SocketAddrV4> = unused_addresses(n).into_iter().map(v4).collect();
         let ways = listen.iter().filter(|_| cut).map(|l| {
             let way = UdpProxy::start();
-            way.to(*l);
+            way.set_target(*l);
             way
         });
         Routers {
-            server: Fleet::start(&[], Duration::from_millis(5)),
+            server: ReplicationGroup::start(&[], Duration::from_millis(5)),
             folder: TestFolder::new(),
             ways: ways.collect(),
             listen,
@@ -123,21 +123,21 @@
                 assert!(begun.elapsed() < TIMEOUT);
             }
         }
-        self.server.hang(0, true);
+        self.server.set_hung(0, true);
         let ask =
             |addr: SocketAddr| std::thread::spawn(move || _ = read(&mut connect(addr).unwrap(), "held"));
         let asking: Vec<_> = addrs.iter().flat_map(|a| (0..72 / routers.len()).map(|_| ask(*a))).collect();
         let (begun, mut most) = (Instant::now(), 0);
         let mut enough = None;
         while enough.is_none_or(|e: Instant| e.elapsed() < Duration::from_millis(300)) {
-            most = most.max(self.server.waiting(0));
+            most = most.max(self.server.blocked_statements(0));
             if most >= at_least {
                 enough.get_or_insert_with(Instant::now);
             }
             assert!(begun.elapsed() < TIMEOUT, "{most} places held where {at_least} were to be");
             std::thread::yield_now();
         }
-        self.server.hang(0, false);
+        self.server.set_hung(0, false);
         asking.into_iter().for_each(|t| t.join().unwrap());
         most
     }
@@ -149,7 +149,7 @@
 }
 
 fn share(n: usize) -> String {
-    format!("share 1/{n}")
+    format!("router_count={n}")
 }
 
 #[test]
@@ -175,7 +175,7 @@
     let after = all.held(&everybody, 12);
     (0..4).for_each(|i| _ = all.program(i).wait_for_next_log(&share(12)));
     for i in 4..12 {
-        let first = all.program(i).wait_for_log("share 1/");
+        let first = all.program(i).wait_for_log("router_count=");
         assert!(first.contains(&share(12)), "{first}");
     }
     eprintln!("places held: {before} by twelve, {wide} by four, {after} by twelve again");
@@ -201,7 +201,7 @@
     }
     all.program(3).wait_for_log("Rejoined(");
     // It has heard that all others live after it was back, and never took one for dead nor widened its share.
-    assert_eq!(all.said(3, "membership: Down("), None);
+    assert_eq!(all.said(3, "membership changed change=Down("), None);
     assert_eq!(all.said(3, &share(3)), None);
 }
 
@@ -209,16 +209,16 @@
 fn a_way_that_is_cut_in_one_direction_takes_nobody_down() {
     let mut all = Routers::started(5, 1, true);
     let from = SocketAddr::from(all.listen[1]);
-    all.ways[2].faults(|f| f.cut_from = vec![from]);
+    all.ways[2].update_faults(|f| f.cut_from = vec![from]);
     let begun = Instant::now();
-    while all.ways[2].counts().1 < 15 {
-        assert!(begun.elapsed() < TIMEOUT * 3, "the cut way was used {} times", all.ways[2].counts().1);
+    while all.ways[2].counts().lost < 15 {
+        assert!(begun.elapsed() < TIMEOUT * 3, "the cut way was used {} times", all.ways[2].counts().lost);
         std::thread::park_timeout(RHYTHM / 4);
     }
-    (0..5).for_each(|i| assert_eq!(all.said(i, "membership: Down("), None));
+    (0..5).for_each(|i| assert_eq!(all.said(i, "membership changed change=Down("), None));
     // The same way cut for all is a router that nobody reaches, or this test could not fail.
-    all.ways[2].faults(|f| f.cut = true);
-    all.program(0).wait_for_log("membership: Down(Member { name: \"r2\"");
+    all.ways[2].update_faults(|f| f.cut = true);
+    all.program(0).wait_for_log("membership changed change=Down(Member { name: \"r2\"");
 }
 
 #[test]
@@ -228,14 +228,14 @@
     let listen = all.listen.clone();
     for (i, way) in all.ways.iter().enumerate() {
         let others = (0..8).filter(|o| side(*o) != side(i)).map(|o| SocketAddr::from(listen[o]));
-        way.faults(|f| f.cut_from = others.collect());
+        way.update_faults(|f| f.cut_from = others.collect());
     }
     (0..8).for_each(|i| _ = all.program(i).wait_for_next_log(&share(4)));
-    all.ways.iter().for_each(|w| w.faults(|f| f.cut_from.clear()));
+    all.ways.iter().for_each(|w| w.update_faults(|f| f.cut_from.clear()));
     (0..8).for_each(|i| _ = all.program(i).wait_for_next_log(&share(8)));
     // A part below the least goes no further: one that is alone takes a quarter.
-    all.ways[0].faults(|f| f.cut = true);
-    (1..8).for_each(|i| all.ways[i].faults(|f| f.cut_from = vec![listen[0].into()]));
+    all.ways[0].update_faults(|f| f.cut = true);
+    (1..8).for_each(|i| all.ways[i].update_faults(|f| f.cut_from = vec![listen[0].into()]));
     all.program(0).wait_for_next_log(&share(4));
     all.program(1).wait_for_next_log(&share(7));
     assert!((1..4).all(|n| all.said(0, &share(n)).is_none()));
@@ -248,7 +248,7 @@
     let file = all.file(7, "r2", elsewhere, None);
     let mut second = Program::serve(&file);
     second.listening_address();
-    let told = all.program(2).wait_for_log("a later start at");
+    let told = all.program(2).wait_for_log("router name taken by a later start");
     assert!(told.contains(&elsewhere.to_string()) && told.contains("ERROR"), "{told}");
     all.program(0).wait_for_log(&format!("Up(Member {{ name: \"r2\", addr: {elsewhere}"));
     second.wait_for_log("Up(Member { name: \"r0\"");
@@ -260,8 +260,8 @@
     assert!(all.held(&[2], 1) >= 1);
     // One that is ended says farewell.
     all.program(1).terminate();
-    all.program(1).wait_for_log("membership: ended: Left");
-    all.program(0).wait_for_log("membership: Down(Member { name: \"r1\"");
+    all.program(1).wait_for_log("membership ended reason=Left");
+    all.program(0).wait_for_log("membership changed change=Down(Member { name: \"r1\"");
 }
 
 /// What membership costs: `cargo test --release --test members -- --ignored --nocapture`, alone on the host.
@@ -321,15 +321,15 @@
     if !with {
         return;
     }
-    let lines = |line: String| line.split("ended: ").last().unwrap_or_default().to_string();
+    let lines = |line: String| line.split("membership ended ").last().unwrap_or_default().to_string();
     all.program(n - 1).terminate();
-    println!("{n} routers, one at rest: {}", lines(all.program(n - 1).wait_for_log("membership: ended")));
+    println!("{n} routers, one at rest: {}", lines(all.program(n - 1).wait_for_log("membership ended")));
     // Failures, one after the other: from SIGKILL until the first and the last of the others know.
     let (mut first, mut last) = (Vec::new(), Vec::new());
     for gone in (n - 6..n - 1).rev() {
         all.kill(gone);
         let killed = Instant::now();
-        let text = format!("membership: Down(Member {{ name: \"r{gone}\"");
+        let text = format!("membership changed change=Down(Member {{ name: \"r{gone}\"");
         let mut times = Vec::new();
         let mut left: Vec<usize> = (0..gone).collect();
         while !left.is_empty() {
@@ -364,5 +364,5 @@
         killed.elapsed()
     );
     all.program(0).terminate();
-    println!("{n} routers, one that saw it all: {}", lines(all.program(0).wait_for_log("membership: ended")));
+    println!("{n} routers, one that saw it all: {}", lines(all.program(0).wait_for_log("membership ended")));
 }
--- a/tests/one_fleet.rs
+++ b/tests/one_fleet.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
-use test_servers::fleet::Fleet;
+use test_servers::replication_group::ReplicationGroup;
 
 /// What a router is lent ends within this time after the last exchange.
 const LOAN: Duration = Duration::from_millis(2100);
@@ -32,7 +32,7 @@
 
 /// Three nodes of the store that route, and routers that are no nodes.
 struct Installation {
-    servers: Fleet,
+    servers: ReplicationGroup,
     folder: TestFolder,
     peers: Vec<SocketAddr>,
     clients: Vec<SocketAddr>,
@@ -45,7 +45,7 @@
 impl Installation {
     /// Without a document.
     fn bare(routers: usize, seed: String, folder: TestFolder) -> Installation {
-        let servers = Fleet::start(&[Duration::ZERO, Duration::ZERO], Duration::from_millis(1));
+        let servers = ReplicationGroup::start(&[Duration::ZERO, Duration::ZERO], Duration::from_millis(1));
         let (peers, clients, lend) = (unused_addresses(3), unused_addresses(3), unused_addresses(3));
         let running = (0..3 + routers).map(|_| None).collect();
         let mut all = Installation { servers, folder, peers, clients, lend, seed, running };
@@ -123,8 +123,8 @@
 
     /// Which node leads the store, by its first election.
     fn leader(&mut self) -> usize {
-        let line = self.program(0).wait_for_log(" leads in term");
-        let node = line.split(" leads in term").next().unwrap().rsplit(' ').next().unwrap();
+        let line = self.program(0).wait_for_log("store leader elected leader=");
+        let node = line.split(" leader=").nth(1).unwrap().split(' ').next().unwrap();
         node.parse::<usize>().unwrap() - 1
     }
 
@@ -367,7 +367,7 @@
     all.served(3, "tills");
     // One that ends when it is told to gives its part back.
     all.program(3).terminate();
-    all.program(3).wait_for_log("left the fleet, quota grants returned");
+    all.program(3).wait_for_log("fleet left, quota grants returned");
 }
 
 #[test]
@@ -380,7 +380,7 @@
     let load = Load::start(&all, &[3], tills);
     all.more(40);
     (0..3).for_each(|i| all.running[i] = None);
-    all.program(3).wait_for_log("no leader answers fleet reports, quota grants expire");
+    all.program(3).wait_for_log("fleet leader lost, quota grants expire");
     std::thread::sleep(LOAN);
     load.turned();
     let before = all.writes();
@@ -446,7 +446,7 @@
     };
     let mut all = Installation::start(1, &reads_in("a"));
     // Replicas show a commit so much later: a read that goes to one at once would miss it.
-    (1..3).for_each(|replica| all.servers.lag(replica, Duration::from_millis(30)));
+    (1..3).for_each(|replica| all.servers.set_lag(replica, Duration::from_millis(30)));
     let (stop, seen) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let clients: Vec<JoinHandle<()>> = (0..4)
         .map(|i| {
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -322,7 +322,7 @@
     let mut new = site.launch(unused_addresses(1)[0]);
     // A hold taken from the old process while the new one comes up, before that has said yes.
     old.yes("SUSPEND primary");
-    new.program.wait_for_log("instances are in maintenance");
+    new.program.wait_for_log("maintenance mask applied");
     new.until("STATUS", "200");
     old.until("STATUS", "2 instances held");
     new.until("STATUS", "2 instances held");
@@ -450,7 +450,7 @@
     }
     let (begun, addr) = (Instant::now(), site.addr);
     router.program.terminate();
-    router.program.wait_for_log("taking requests for 500ms more");
+    router.program.wait_for_log("shutdown started, requests are taken for the grace time grace=500ms");
     // One asks ahead without a pause, one asks again with each answer, on the connection that it has.
     let ahead = std::thread::spawn(move || pipeline(addr, &AtomicUsize::new(0), begun));
     let eager = std::thread::spawn(move || {
@@ -468,7 +468,7 @@
     assert!(read_message(&half.0).is_err(), "one whose second half never comes is not waited for");
     assert!(eager.join().unwrap() > 0);
     assert!(ahead.join().unwrap().0 > 0);
-    router.program.wait_for_log("ended with 0 connections left");
+    router.program.wait_for_log("shutdown ended connections=0");
     assert_eq!(router.program.wait_for_exit().0, Some(0));
     assert!(begun.elapsed() < Duration::from_millis(3700), "{:?}", begun.elapsed());
 }
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
-use test_servers::fleet::Fleet;
 use test_servers::registry::Registry;
+use test_servers::replication_group::ReplicationGroup;
 
 const PREFIX: &str = "/damsonvale/shop/";
 
 struct Site {
     registry: Registry,
-    fleet: Fleet,
+    fleet: ReplicationGroup,
     folder: TestFolder,
     more: String,
     sessions: String,
@@ -34,7 +34,7 @@
     }
 
     fn over(registry: Registry, replicas: usize) -> Site {
-        let fleet = Fleet::start(&vec![Duration::ZERO; replicas], Duration::from_millis(5));
+        let fleet = ReplicationGroup::start(&vec![Duration::ZERO; replicas], Duration::from_millis(5));
         let site = Site {
             registry,
             fleet,
@@ -166,13 +166,13 @@
         let (mut router, addr) = site.ready(kind);
         let load = Load::start(addr);
         site.state(1, "draining");
-        router.wait_for_log("names 3 instances, 2 in service");
+        router.wait_for_log("endpoints=3 ready=2 ");
         gets_nothing_new(&site, 1, 2);
         site.state(1, "in_service");
         let mut client = connect(addr).unwrap();
         until_by(&mut client, "replica-1");
         site.registry.delete(&site.key(1));
-        router.wait_for_log("names 2 instances, 2 in service");
+        router.wait_for_log("endpoints=2 ready=2 ");
         gets_nothing_new(&site, 1, 2);
         // A key that says it is gone, while it stands, is the same.
         site.state(1, "in_service");
@@ -188,15 +188,15 @@
     let site = Site::new(1, 2);
     let (mut router, addr) = site.ready("etcd");
     let load = Load::start(addr);
-    site.registry.faults(0, |f| f.down = true);
+    site.registry.update_faults(0, |f| f.down = true);
     site.registry.break_connections(0);
-    router.wait_for_log("registry: 127.0.0.1");
+    router.wait_for_log("registry member left, trying another addr=127.0.0.1");
     site.state(1, "draining");
     site.registry.put("/elsewhere", "x");
     site.registry.compact();
-    site.registry.faults(0, |f| f.down = false);
-    router.wait_for_log("has been compacted away: reading everything anew");
-    router.wait_for_log("names 3 instances, 2 in service");
+    site.registry.update_faults(0, |f| f.down = false);
+    router.wait_for_log("registry revision compacted away, reading everything again");
+    router.wait_for_log("endpoints=3 ready=2 ");
     gets_nothing_new(&site, 1, 2);
     drop(load);
 }
@@ -205,7 +205,7 @@
 fn a_node_made_again_under_its_name_is_another_one() {
     let site = Site::new(1, 2);
     let (mut router, addr) = site.ready("etcd");
-    site.registry.faults(0, |f| f.down = true);
+    site.registry.update_faults(0, |f| f.down = true);
     site.registry.break_connections(0);
     // The name of the first replica, now at an address that serves nothing for it: the second one's.
     let (key, value) = (site.key(1), node(site.fleet.servers()[2].1, "in_service"));
@@ -214,8 +214,8 @@
     site.registry.delete(&site.key(2));
     site.registry.compact();
     let load = Load::start(addr);
-    site.registry.faults(0, |f| f.down = false);
-    router.wait_for_log("names 2 instances, 2 in service");
+    site.registry.update_faults(0, |f| f.down = false);
+    router.wait_for_log("endpoints=2 ready=2 ");
     gets_nothing_new(&site, 1, 2);
     drop(load);
 }
@@ -225,14 +225,14 @@
     let site = Site::new(2, 2);
     let (mut router, addr) = site.ready("etcd");
     let load = Load::start(addr);
-    (0..2).for_each(|m| site.registry.faults(m, |f| f.mute = true));
+    (0..2).for_each(|m| site.registry.update_faults(m, |f| f.stalled_watches = true));
     site.state(1, "draining");
     router.wait_for_log("the watch is silent about changes that are there");
-    router.wait_for_log("names 3 instances, 2 in service");
+    router.wait_for_log("endpoints=3 ready=2 ");
     gets_nothing_new(&site, 1, 2);
     // A member that answers nothing at all is left for the other one.
-    site.registry.faults(1, |f| f.mute = false);
-    site.registry.faults(0, |f| f.silent = true);
+    site.registry.update_faults(1, |f| f.stalled_watches = false);
+    site.registry.update_faults(0, |f| f.unresponsive = true);
     site.state(1, "in_service");
     until_by(&mut connect(addr).unwrap(), "replica-1");
     drop(load);
@@ -244,16 +244,16 @@
     let (mut router, addr) = site.ready("etcd");
     let at = site.registry.revision();
     site.state(1, "draining");
-    router.wait_for_log("names 3 instances, 2 in service");
+    router.wait_for_log("endpoints=3 ready=2 ");
     // Two of three say what was so before the drain, or what another cluster says; the third has it right.
-    site.registry.faults(0, |f| f.stands_at = Some(at));
-    site.registry.faults(1, |f| f.cluster = Some(4));
+    site.registry.update_faults(0, |f| f.stale_at_revision = Some(at));
+    site.registry.update_faults(1, |f| f.cluster_id = Some(4));
     let load = Load::start(addr);
     for _ in 0..3 {
-        let watches = site.registry.watches(2);
+        let watches = site.registry.watch_count(2);
         (0..3).for_each(|m| site.registry.break_connections(m));
         let begun = Instant::now();
-        while site.registry.watches(2) == watches {
+        while site.registry.watch_count(2) == watches {
             assert!(begun.elapsed() < TIMEOUT);
         }
     }
@@ -275,11 +275,11 @@
     let backup = site.registry.backup();
     site.state(1, "draining");
     site.registry.delete(&site.key(2));
-    router.wait_for_log("names 3 instances, 2 in service");
+    router.wait_for_log("endpoints=3 ready=2 ");
     site.registry.restore(backup);
     site.registry.break_connections(0);
     router.wait_for_log("as if restored from a backup");
-    router.wait_for_log("names 4 instances, 2 in service");
+    router.wait_for_log("endpoints=4 ready=2 ");
     let load = Load::start(addr);
     gets_nothing_new(&site, 1, 3);
     gets_nothing_new(&site, 2, 3);
@@ -294,23 +294,25 @@
     let site = Site::new(2, 2);
     let (mut router, addr) = site.ready("etcd");
     let many = |from: u16, n: u16| {
-        site.registry.together(|c| {
+        site.registry.apply_together(|c| {
             for k in from..from + n {
                 let value = node(([127, 0, 0, 1], k).into(), "draining");
                 c.put(&format!("{PREFIX}nodes/extra-{k}"), value.into_bytes(), None);
             }
         });
     };
-    (0..2).for_each(|m| site.registry.faults(m, |f| f.cut_line = true));
+    (0..2).for_each(|m| site.registry.update_faults(m, |f| f.truncate_next_event = true));
     many(1, 10);
-    router.wait_for_log("names 13 instances, 3 in service");
-    (0..2).for_each(|m| site.registry.faults(m, |f| f.twice = true));
+    router.wait_for_log("endpoints=13 ready=3 ");
+    (0..2).for_each(|m| site.registry.update_faults(m, |f| f.duplicated_events = true));
     many(11, 10);
-    router.wait_for_log("names 23 instances, 3 in service");
-    (0..2).for_each(|m| site.registry.faults(m, |f| (f.twice, f.reorder) = (false, true)));
+    router.wait_for_log("endpoints=23 ready=3 ");
+    (0..2).for_each(|m| {
+        site.registry.update_faults(m, |f| (f.duplicated_events, f.reversed_events) = (false, true));
+    });
     many(21, 10);
-    router.wait_for_log("names 33 instances, 3 in service");
-    (0..2).for_each(|m| site.registry.faults(m, |f| f.reorder = false));
+    router.wait_for_log("endpoints=33 ready=3 ");
+    (0..2).for_each(|m| site.registry.update_faults(m, |f| f.reversed_events = false));
     until_by(&mut connect(addr).unwrap(), "replica-2");
 }
 
@@ -324,28 +326,30 @@
         ("{\"addr\":\"127.7.0.1:1\"}", "not in a network that may be connected to"),
     ] {
         site.registry.put(&site.key(1), value);
-        let line = router.wait_for_next_log("nodes/replica-1: ");
-        assert!(line.contains(why) && line.contains("what it said before holds"), "{line}");
+        let line = router.wait_for_next_log(
+            "registry node rejected, its last valid value stays in force node=\"replica-1\"",
+        );
+        assert!(line.contains(why), "{line}");
         until_by(&mut connect(addr).unwrap(), "replica-1");
     }
     site.state(2, "draining");
-    router.wait_for_log("names 3 instances, 2 in service");
+    router.wait_for_log("endpoints=3 ready=2 ");
 }
 
 #[test]
 fn a_registry_that_empties_is_held_back_until_an_operator_says_so() {
     let site = Site::new(1, 3);
     let (mut router, addr) = site.ready("etcd");
-    site.registry.together(|c| {
+    site.registry.apply_together(|c| {
         for s in site.fleet.servers() {
             c.delete(&format!("{PREFIX}nodes/{}", s.0));
         }
     });
-    router.wait_for_log("vanished at once: they are held");
+    router.wait_for_log("most registry nodes vanished at once, they are retained for the hold time");
     assert!(by(&mut connect(addr).unwrap()).is_ok());
     assert_eq!(site.command("etcd", &["let-go"]).0, Some(0));
-    router.wait_for_log("that had vanished are let go");
-    router.wait_for_log("names 0 instances, 0 in service");
+    router.wait_for_log("vanished registry nodes released");
+    router.wait_for_log("endpoints=0 ready=0 ");
 }
 
 #[test]
@@ -354,13 +358,13 @@
     site.more = "fresh_s = 0.6\nlast_s = 60".into();
     let (mut router, addr) = site.ready("etcd");
     let load = Load::start(addr);
-    site.registry.faults(0, |f| f.down = true);
+    site.registry.update_faults(0, |f| f.down = true);
     site.registry.break_connections(0);
-    router.wait_for_log("used as KnownGood only");
+    router.wait_for_log("the use of its list is restricted level=KnownGood");
     // Those that answer go on; the primary, which nobody asked, gets nothing new until the registry is back.
     gets_nothing_new(&site, 0, 1);
-    site.registry.faults(0, |f| f.down = false);
-    router.wait_for_log("the list is fresh again");
+    site.registry.update_faults(0, |f| f.down = false);
+    router.wait_for_log("registry list fresh again");
     drop(load);
 }
 
@@ -375,21 +379,21 @@
         assert!(begun.elapsed() < TIMEOUT);
     }
     drop(router);
-    site.registry.faults(0, |f| f.down = true);
+    site.registry.update_faults(0, |f| f.down = true);
     site.registry.break_connections(0);
     let (mut router, addr) = site.start("etcd");
-    router.wait_for_log("using the last list of 2 keys");
+    router.wait_for_log("saved registry list used until the registry answers keys=2");
     until_by(&mut connect(addr).unwrap(), "replica-1");
     // What has gone meanwhile goes as soon as the registry answers.
     site.registry.delete(&site.key(1));
-    site.registry.faults(0, |f| f.down = false);
-    router.wait_for_log("names 1 instances, 1 in service");
+    site.registry.update_faults(0, |f| f.down = false);
+    router.wait_for_log("endpoints=1 ready=1 ");
     drop(router);
     // A file that is not whole is refused, and the start goes on without it.
     std::fs::write(&kept, b"DVREGI\x01\nhalf").unwrap();
     let (mut router, _) = site.start("etcd");
-    router.wait_for_log("the last list is not used");
-    router.wait_for_log("names 1 instances, 1 in service");
+    router.wait_for_log("saved registry list not used");
+    router.wait_for_log("endpoints=1 ready=1 ");
 }
 
 #[test]
@@ -401,23 +405,23 @@
         let key = format!("{PREFIX}routers/router-1");
         let registered = |wanted: bool| {
             let begun = Instant::now();
-            while site.registry.all().contains_key(&key) != wanted {
+            while site.registry.entries().contains_key(&key) != wanted {
                 assert!(begun.elapsed() < TIMEOUT, "registered: {}", !wanted);
             }
         };
         registered(true);
-        assert!(site.registry.all()[&key].contains(&addr.to_string()));
+        assert!(site.registry.entries()[&key].contains(&addr.to_string()));
         // Paused for longer than its lease, it is gone; going on, it hears of the drain and registers anew.
         router.signal(Signal::SIGSTOP);
-        site.registry.end_leases();
+        site.registry.expire_leases();
         registered(false);
         site.state(1, "draining");
         router.signal(Signal::SIGCONT);
-        router.wait_for_log("names 2 instances, 1 in service");
+        router.wait_for_log("endpoints=2 ready=1 ");
         router.wait_for_log("the lease was lost; registering anew");
         registered(true);
         router.terminate();
-        router.wait_for_log("registration given up");
+        router.wait_for_log("registration revoked");
         registered(false);
         assert_eq!(router.wait_for_exit().0, Some(0));
     }
@@ -432,7 +436,7 @@
     let key = format!("{PREFIX}config/mysql");
     assert!(cook().is_err());
     site.registry.put(&key, "[[mysql.user]]\nname = 'cook'\npassword = 'salt'\n");
-    router.wait_for_log("config/mysql is followed");
+    router.wait_for_log(&format!("registry configuration applied key={key:?}"));
     assert!(cook().is_ok() && connect(addr).is_err());
     for (bad, why) in [
         ("[[mysql.user]]\nname = 7\n", "expected text in 'name'"),
@@ -440,8 +444,9 @@
         ("[store]\n", "the key 'store' is not known"),
     ] {
         site.registry.put(&key, bad);
-        let line = router.wait_for_next_log("config/mysql: ");
-        assert!(line.contains(why) && line.contains("what it said before holds"), "{line}");
+        let line =
+            router.wait_for_next_log("registry configuration rejected, the last valid one stays in force");
+        assert!(line.contains(why) && line.contains(&format!("key={key:?}")), "{line}");
         assert!(cook().is_ok());
     }
     // SIGHUP reads the file and leaves the registry's word in force; without the key the file holds again.
@@ -449,7 +454,7 @@
     router.wait_for_next_log("the configuration is followed");
     assert!(cook().is_ok());
     site.registry.delete(&key);
-    router.wait_for_next_log("config/mysql is followed");
+    router.wait_for_next_log(&format!("registry configuration applied key={key:?}"));
     assert!(cook().is_err() && connect(addr).is_ok());
 }
 
@@ -487,14 +492,14 @@
         let site = Site::new(2, 2);
         let (mut router, addr) = site.ready(kind);
         let load = Load::start(addr);
-        (0..2).for_each(|m| site.registry.faults(m, |f| f.leaderless = true));
+        (0..2).for_each(|m| site.registry.update_faults(m, |f| f.leaderless = true));
         (0..2).for_each(|m| site.registry.break_connections(m));
         router.wait_for_log(if kind == "etcd" { "no leader" } else { "knows no leader" });
         // Another leads, and what it has taken meanwhile counts; the other member is slow beyond patience.
         site.state(1, "draining");
-        site.registry.faults(0, |f| (f.leaderless, f.slow) = (false, TIMEOUT));
-        site.registry.faults(1, |f| f.leaderless = false);
-        router.wait_for_log("names 3 instances, 2 in service");
+        site.registry.update_faults(0, |f| (f.leaderless, f.response_delay) = (false, TIMEOUT));
+        site.registry.update_faults(1, |f| f.leaderless = false);
+        router.wait_for_log("endpoints=3 ready=2 ");
         gets_nothing_new(&site, 1, 2);
         drop(load);
     }
@@ -503,15 +508,15 @@
 #[test]
 fn a_read_whose_revision_is_compacted_between_two_pages_begins_anew() {
     let site = Site::new(1, 1);
-    site.registry.together(|c| {
+    site.registry.apply_together(|c| {
         for n in 0..2500 {
             let value = node(([127, 1, (n / 250) as u8, (n % 250) as u8 + 1], 3306).into(), "draining");
             c.put(&format!("{PREFIX}nodes/extra-{n}"), value.into_bytes(), None);
         }
     });
-    site.registry.faults(0, |f| f.compact_midway = true);
+    site.registry.update_faults(0, |f| f.compact_after_first_page = true);
     let (mut router, _) = site.start("etcd");
-    router.wait_for_log("names 2502 instances, 2 in service");
+    router.wait_for_log("endpoints=2502 ready=2 ");
 }
 
 #[test]
@@ -524,24 +529,24 @@
     // It is read again once the key is small.
     site.registry.put("/damsonvale/shop/other", "x");
     site.state(1, "draining");
-    router.wait_for_log("names 2 instances, 1 in service");
+    router.wait_for_log("endpoints=2 ready=1 ");
 }
 
 #[test]
 fn a_token_that_has_run_out_is_asked_for_anew() {
     let mut site = Site::new(1, 1);
-    site.registry.wants_user("router", "secret");
+    site.registry.require_user("router", "secret");
     site.more = "user = 'router'\npassword = 'secret'".into();
     let (mut router, _) = site.ready("etcd");
-    site.registry.wants_user("router", "secret");
-    let watches = site.registry.watches(0);
+    site.registry.require_user("router", "secret");
+    let watches = site.registry.watch_count(0);
     site.registry.break_connections(0);
     let begun = Instant::now();
-    while site.registry.watches(0) == watches {
+    while site.registry.watch_count(0) == watches {
         assert!(begun.elapsed() < TIMEOUT);
     }
     site.state(1, "draining");
-    router.wait_for_log("names 2 instances, 1 in service");
+    router.wait_for_log("endpoints=2 ready=1 ");
     site.more = "user = 'router'\npassword = 'wrong'".into();
     let (mut router, _) = site.start("etcd");
     router.wait_for_log("authentication failed");
@@ -567,13 +572,13 @@
         let all: Vec<String> = servers.iter().enumerate().map(one).collect();
         serde_json::from_str(&format!("[{}]", all.join(","))).unwrap()
     };
-    site.registry.service("shop-db", instances(9));
+    site.registry.set_service("shop-db", instances(9));
     let (mut router, addr) = site.ready("consul");
     let load = Load::start(addr);
-    site.registry.service("shop-db", instances(1));
-    router.wait_for_log("names 3 instances, 2 in service");
+    site.registry.set_service("shop-db", instances(1));
+    router.wait_for_log("endpoints=3 ready=2 ");
     gets_nothing_new(&site, 1, 2);
-    site.registry.service("shop-db", instances(9));
+    site.registry.set_service("shop-db", instances(9));
     until_by(&mut connect(addr).unwrap(), "replica-1");
     drop(load);
 }
@@ -585,17 +590,17 @@
         let (code, out, _) = site.command(kind, &["get", "nodes/"]);
         assert!(code == Some(0) && out.lines().count() == 2, "{out}");
         assert_eq!(site.command(kind, &["drain", "replica-1"]).0, Some(0));
-        assert!(site.registry.all()[&site.key(1)].contains("draining"));
+        assert!(site.registry.entries()[&site.key(1)].contains("draining"));
         assert_eq!(site.command(kind, &["undrain", "replica-1"]).0, Some(0));
-        assert!(site.registry.all()[&site.key(1)].contains("in_service"));
+        assert!(site.registry.entries()[&site.key(1)].contains("in_service"));
         assert!(site.command(kind, &["drain", "none"]).2.contains("there is no"));
         assert!(site.command(kind, &["put", "nodes/x", "{}"]).2.contains("missing field `addr`"));
         assert_eq!(site.command(kind, &["put", "nodes/x", "{\"addr\":\"127.0.0.1:5\"}"]).0, Some(0));
-        assert!(site.registry.all().contains_key(&format!("{PREFIX}nodes/x")));
+        assert!(site.registry.entries().contains_key(&format!("{PREFIX}nodes/x")));
         let mut watch = Program::start(&["registry", &site.file(kind), "watch", "--changes", "1"], &[]);
         if kind == "etcd" {
             let begun = Instant::now();
-            while site.registry.watches(0) == 0 {
+            while site.registry.watch_count(0) == 0 {
                 assert!(begun.elapsed() < TIMEOUT);
             }
         }
@@ -654,22 +659,22 @@
     // Without a certificate of its own it is turned away.
     site.more = files(false);
     let (mut stranger, _) = site.start("etcd");
-    stranger.wait_for_log("registry: 127.0.0.1");
+    stranger.wait_for_log("registry member left, trying another addr=127.0.0.1");
     drop(stranger);
     site.more = files(true);
     let (mut router, _) = site.ready("etcd");
     // A file that is no certificate leaves the old ones in force.
     folder.write("cert.pem", "nothing");
     site.registry.break_connections(0);
-    router.wait_for_log("the old certificates stay");
+    router.wait_for_log("registry certificates rejected, the old ones stay in force");
     site.state(1, "draining");
-    router.wait_for_log("names 2 instances, 1 in service");
+    router.wait_for_log("endpoints=2 ready=1 ");
     // Another authority on both sides, while the router runs.
     site.registry.set_tls(authority(&folder));
     site.registry.break_connections(0);
-    router.wait_for_log("certificates read anew");
+    router.wait_for_log("registry certificates reloaded");
     site.state(1, "in_service");
-    router.wait_for_next_log("names 2 instances, 2 in service");
+    router.wait_for_next_log("endpoints=2 ready=2 ");
     let path = site.file("etcd");
     folder.write("ca.pem", "nothing");
     let mut faulty = Program::start(&["serve", &path], &[]);
@@ -687,7 +692,7 @@
     };
     let key = |n: u64| format!("{PREFIX}nodes/extra-{n}");
     // More than one page of a read.
-    site.registry.together(|c| {
+    site.registry.apply_together(|c| {
         (0..KEYS).for_each(|n| _ = c.put(&key(n), value(n, "in_service").into_bytes(), None));
     });
     let (mut router, addr) = site.ready("etcd");
@@ -705,9 +710,9 @@
             site.registry.compact();
         }
     }
-    let all = site.registry.all();
+    let all = site.registry.entries();
     let serving = all.values().filter(|v| v.contains("in_service")).count();
-    router.wait_for_log(&format!("names {} instances, {serving} in service", all.len()));
+    router.wait_for_log(&format!("endpoints={} ready={serving} ", all.len()));
     until_by(&mut connect(addr).unwrap(), "replica-1");
 }
 
@@ -726,7 +731,7 @@
         let control = router.wait_for_log("control: answering on ").rsplit(' ').next().unwrap().to_string();
         routers.push((router, control));
     }
-    routers[0].0.wait_for_log(&format!("store: node 2 is at {} now", at[1]));
+    routers[0].0.wait_for_log(&format!("store peer address changed node=2 addr={}", at[1]));
     // With both there is a majority: a change goes through.
     let begun = Instant::now();
     while !Program::start(&["ctl", &routers[0].1, "set", "a", "1"], &[]).child.wait().unwrap().success() {
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -6,20 +6,20 @@
 use common::program::{Program, Signal};
 use common::restart_loop::{SessionRoute, restart_loop};
 use std::time::Duration;
-use test_servers::fleet::Fleet;
 use test_servers::proxy::Proxy;
+use test_servers::replication_group::ReplicationGroup;
 
 const HEARTBEAT: Duration = Duration::from_millis(5);
 /// A replica that shows nothing of what a test does.
 const FAR_BEHIND: Duration = Duration::from_secs(600);
 
-fn behind(replicas: usize) -> Fleet {
-    Fleet::start(&vec![FAR_BEHIND; replicas], HEARTBEAT)
+fn behind(replicas: usize) -> ReplicationGroup {
+    ReplicationGroup::start(&vec![FAR_BEHIND; replicas], HEARTBEAT)
 }
 
 /// Replicas that keep up until replication is stopped.
-fn level(replicas: usize) -> Fleet {
-    Fleet::start(&vec![Duration::ZERO; replicas], HEARTBEAT)
+fn level(replicas: usize) -> ReplicationGroup {
+    ReplicationGroup::start(&vec![Duration::ZERO; replicas], HEARTBEAT)
 }
 
 #[test]
@@ -54,13 +54,13 @@
 fn a_kill_between_commit_and_acknowledgement_leaves_what_was_told_before() {
     let mut one = Instances::started(1, behind(2), SessionRetention::JournalOnly);
     write(&mut one.client(0), "ann", 1).unwrap();
-    one.fleet.hold_answers(0, true);
+    one.fleet.withhold_write_answers(0, true);
     let mut client = one.client(0);
     let second = std::thread::spawn(move || write(&mut client, "ann", 2));
-    assert!(one.fleet.wait_for_held(1, TIMEOUT));
+    assert!(one.fleet.wait_for_withheld_answers(1, TIMEOUT));
     one.kill(0);
     assert!(second.join().unwrap().is_err());
-    one.fleet.hold_answers(0, false);
+    one.fleet.withhold_write_answers(0, false);
     one.start(0);
     assert!(read(&mut one.client(0), "ann").unwrap().0 >= 1);
     assert_eq!(one.fleet.counts(0).writes, 2);
@@ -68,11 +68,11 @@
 
 #[test]
 fn a_hung_replica_that_alone_is_up_to_date_leaves_the_read_to_the_primary() {
-    let fleet = Fleet::start(&[Duration::ZERO, FAR_BEHIND], HEARTBEAT);
+    let fleet = ReplicationGroup::start(&[Duration::ZERO, FAR_BEHIND], HEARTBEAT);
     let mut one = Instances::started(1, fleet, SessionRetention::JournalOnly);
     write(&mut one.client(0), "ann", 1).unwrap();
     one.kill(0);
-    one.fleet.hang(1, true);
+    one.fleet.set_hung(1, true);
     one.start(0);
     let (mut client, begun) = (one.client(0), std::time::Instant::now());
     // Refused at worst while it is found out, never answered by the one that lags.
@@ -92,7 +92,7 @@
 fn a_handover_between_write_and_read_keeps_the_write() {
     let mut two = Instances::started(2, behind(2), SessionRetention::JournalAndPeers);
     write(&mut two.client(0), "ann", 1).unwrap();
-    two.fleet.hand_over(2);
+    two.fleet.promote(2);
     for i in [1, 0] {
         let begun = std::time::Instant::now();
         loop {
@@ -159,7 +159,7 @@
 fn a_clock_that_is_two_seconds_off_misses_nothing() {
     for off in [-2000, 2000] {
         // Half a second of lag: by a clock that is behind, a fresh write would look two seconds old.
-        let fleet = Fleet::start(&[Duration::from_millis(500); 2], HEARTBEAT);
+        let fleet = ReplicationGroup::start(&[Duration::from_millis(500); 2], HEARTBEAT);
         let mut two = Instances::new(2, fleet, SessionRetention::JournalAndPeers);
         two.extra_settings[0].0 = format!("clock_offset_ms = {off}");
         (0..2).for_each(|i| two.start(i));
@@ -229,7 +229,7 @@
     let (ok, said) = asked("verify", &bad);
     assert!(!ok && said.contains("at offset"), "{said}");
     one.start(0);
-    one.program(0).wait_for_log("refused");
+    one.program(0).wait_for_log("damaged session journal refused");
     assert_eq!(read(&mut one.client(0), "ann").unwrap(), (1, "primary".into()));
     one.kill(0);
     // A tail that was torn off: what stood before it counts, and what may have been in it is covered.
@@ -237,7 +237,7 @@
     let newest = newest.into_iter().find(|f| f.to_string_lossy().contains("/sessions.")).unwrap();
     std::fs::write(&newest, &whole[..whole.len() - 1]).unwrap();
     one.start(0);
-    one.program(0).wait_for_log("torn tail");
+    one.program(0).wait_for_log("torn tail cut off session journal");
     for key in ["ann", "bob"] {
         assert_eq!(read(&mut one.client(0), key).unwrap(), (1, "primary".into()));
     }
@@ -268,7 +268,7 @@
 #[test]
 fn a_crowd_after_a_restart_does_not_storm_the_primary() {
     const SESSIONS: usize = 2000;
-    let fleet = Fleet::start(&[Duration::from_millis(20); 3], HEARTBEAT);
+    let fleet = ReplicationGroup::start(&[Duration::from_millis(20); 3], HEARTBEAT);
     // With the floor alone, so that every one of them needs what was committed before the start.
     let mut one = Instances::started(1, fleet, SessionRetention::MinimumPositionOnly);
     write(&mut one.client(0), "member-0", 1).unwrap();
@@ -312,7 +312,7 @@
     for n in 1..=100 {
         write(&mut client, "ann", n).unwrap();
     }
-    program.wait_for_log("the journal can't be kept");
+    program.wait_for_log("session journal write failed");
     assert_eq!(read(&mut client, "ann").unwrap(), (100, "primary".into()));
     drop(program);
     one.start(0);
@@ -332,7 +332,7 @@
     (0..2).for_each(|i| three.wait_until_peers_up_to_date(i));
     // The third takes no named session before all that it names list it.
     three.start(2);
-    three.program(2).wait_for_log("takes nothing from here: NotListed");
+    three.program(2).wait_for_log("commits rejected by session peer peer=1 reason=NotListed");
     let refused = write(&mut three.client(2), "ann", 1).unwrap_err().to_string();
     assert!(refused.contains("does not list this one"), "{refused}");
     for i in 0..2 {
@@ -377,10 +377,10 @@
     let text =
         std::fs::read_to_string(two.write_settings(0, &[0, 1])).unwrap().replace("journal-0", "journal-copy");
     let path = two.folder.write("copy.toml", &text);
-    let mut copy = Program::serve(&path);
+    let mut copy = Program::start(&["serve", path.to_str().unwrap()], &[]);
     let addr = copy.listening_address();
-    copy.wait_for_log("peer 2 takes our commits");
-    two.program(0).wait_for_log("was started again elsewhere");
+    copy.wait_for_log("session peer connected peer=2");
+    two.program(0).wait_for_log("instance started again elsewhere");
     let refused = write(&mut two.client(0), "ann", 1).unwrap_err().to_string();
     assert!(refused.contains("a newer start of this instance serves"), "{refused}");
     write(&mut common::instances::connect(addr).unwrap(), "ann", 2).unwrap();
@@ -410,13 +410,15 @@
 #[test]
 fn a_loop_of_kills_finds_no_read_that_missed_its_write_and_would_find_them() {
     let lag = [Duration::from_secs(1), Duration::from_secs(2)];
-    let mut three = Instances::started(3, Fleet::start(&lag, HEARTBEAT), SessionRetention::JournalAndPeers);
+    let mut three =
+        Instances::started(3, ReplicationGroup::start(&lag, HEARTBEAT), SessionRetention::JournalAndPeers);
     let found = restart_loop(&mut three, 30, 6, SessionRoute::Alternating);
     assert!(found.reads > 100 && found.writes > 50, "{found:?}");
     assert_eq!(found.stale_reads, 0, "{found:?}");
     drop(three);
     // Switched off, and each session true to one instance: only restarts are left to blame.
-    let mut three = Instances::started(3, Fleet::start(&lag, HEARTBEAT), SessionRetention::Forgotten);
+    let mut three =
+        Instances::started(3, ReplicationGroup::start(&lag, HEARTBEAT), SessionRetention::Forgotten);
     let found = restart_loop(&mut three, 6, 6, SessionRoute::Sticky);
     assert!(found.stale_reads > 0, "{found:?}");
 }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -121,7 +121,11 @@
     let kept = std::fs::read(&log).unwrap();
     std::fs::write(&log, [&kept[..], b"\x50\0\0\0torn off"].concat()).unwrap();
     (0..3).for_each(|i| cluster.start(i));
-    cluster.nodes[left[1]].as_mut().unwrap().0.wait_for_log("torn tail of 12 bytes");
+    cluster.nodes[left[1]]
+        .as_mut()
+        .unwrap()
+        .0
+        .wait_for_log("torn tail of the store log cut off torn_bytes=12");
     for i in 0..3 {
         cluster.reads(i, "a", "2");
         cluster.reads(i, "b", "1");
@@ -133,7 +137,7 @@
     let mut cluster = Cluster::new(3);
     _ = cluster.until(0, &["drain", "stock-a"], Result::is_ok);
     for i in 0..3 {
-        cluster.nodes[i].as_mut().unwrap().0.wait_for_log("names 1 instances, 0 in service");
+        cluster.nodes[i].as_mut().unwrap().0.wait_for_log("endpoints=1 ready=0 ");
     }
     _ = cluster.until(2, &["undrain", "stock-a"], Result::is_ok);
     assert!(cluster.ctl(0, &["drain", "none"]).unwrap_err().contains("no server 'none'"));
