--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -93,7 +93,7 @@
         });
         let mut machine = Machine::new(MachineSettings {
             restored_after: micros(client.settings.restore_detection_delay),
-            tombstones: MAX_TOMBSTONES,
+            max_tombstones: MAX_TOMBSTONES,
         });
         client.load_list(&mut machine);
         let follower = client.clone();
@@ -132,7 +132,7 @@
             ("nodes", name) => Key::Node(name),
             ("routers", name) => Key::Router(name),
             ("config", "mysql") => Key::Config,
-            ("control", "let-go") => Key::ReleaseHeld,
+            ("control", "let-go") => Key::ReleaseRetained,
             _ => Key::Other,
         }
     }
@@ -146,8 +146,8 @@
     Router(&'a str),
     /// The configuration.
     Config,
-    /// An operator's command to release the nodes that are held after they vanished.
-    ReleaseHeld,
+    /// An operator's command to release the nodes that are retained after they vanished.
+    ReleaseRetained,
     /// Nothing that is followed.
     Other,
 }
@@ -156,11 +156,11 @@
     FleetSettings {
         allow: settings.allowed_networks.clone(),
         deny: settings.denied_networks.clone(),
-        fresh: micros(settings.max_fresh_age),
-        last: settings.max_usable_age.map(micros),
-        held_share: settings.mass_removal_share,
-        window: micros(settings.mass_removal_delay) / HOLD_TIME_PER_WINDOW,
-        held: micros(settings.mass_removal_delay),
+        max_fresh_age: micros(settings.max_fresh_age),
+        max_usable_age: settings.max_usable_age.map(micros),
+        mass_removal_share: settings.mass_removal_share,
+        mass_removal_window: micros(settings.mass_removal_delay) / HOLD_TIME_PER_WINDOW,
+        mass_removal_delay: micros(settings.mass_removal_delay),
     }
 }
 
--- a/registry/src/client/endpoint_list.rs
+++ b/registry/src/client/endpoint_list.rs
@@ -19,19 +19,19 @@
     pub(super) fn apply_fleet_actions(&self, list: &mut ListState, actions: Vec<FleetAction>) {
         for action in actions {
             match action {
-                FleetAction::List(id, node) => {
+                FleetAction::List { id, node } => {
                     list.list(self.endpoint_entry(&id, &node), node.state != State::InService);
                 }
-                FleetAction::Unlist(id) => list.unlist(&id),
-                FleetAction::Faulty(name, error) => {
+                FleetAction::Unlist { id } => list.unlist(&id),
+                FleetAction::InvalidNode { name, reason: error } => {
                     tracing::error!(node = name, %error, "registry node rejected, its last valid value stays in force");
                 }
-                FleetAction::Holding(nodes) => tracing::error!(
+                FleetAction::MassRemovalDelayed { nodes } => tracing::error!(
                     nodes,
                     hold_time = ?self.settings.mass_removal_delay,
                     "most registry nodes vanished at once, they are retained for the hold time"
                 ),
-                FleetAction::Released(nodes) => {
+                FleetAction::RetainedReleased { nodes } => {
                     tracing::warn!(nodes, "vanished registry nodes released");
                 }
                 FleetAction::LevelChanged(Level::Fresh) => {
@@ -100,7 +100,7 @@
         for id in self.responded.drain(wants_responses) {
             // An endpoint's id is the node's name with the revision at which it was created.
             let name = id.rsplit_once('@').map_or(id.as_str(), |(name, _)| name).to_string();
-            self.handle_fleet_event(list, FleetEvent::Answered(name));
+            self.handle_fleet_event(list, FleetEvent::NodeResponded { name });
         }
         self.handle_fleet_event(list, FleetEvent::Tick);
     }
--- a/registry/src/client/etcd_watch.rs
+++ b/registry/src/client/etcd_watch.rs
@@ -29,9 +29,11 @@
         match event {
             WatchEvent::Changes(changes) => {
                 self.change_overdue = false;
-                self.apply(Event::Changes(self.endpoint, changes))
+                self.apply(Event::Changes { endpoint: self.endpoint, changes })
+            }
+            WatchEvent::Progress(revision) => {
+                self.apply(Event::Progress { endpoint: self.endpoint, revision })
             }
-            WatchEvent::Progress(revision) => self.apply(Event::Progress(self.endpoint, revision)),
             WatchEvent::Silence => self.check(),
         }
     }
@@ -47,7 +49,7 @@
         match self.probe.unchanged_up_to(&self.client.settings.prefix, revision, keys) {
             Ok(Some(revision)) => {
                 self.change_overdue = false;
-                self.apply(Event::Progress(self.endpoint, revision))
+                self.apply(Event::Progress { endpoint: self.endpoint, revision })
             }
             // The first time the change may still be on its way.
             Ok(None) if !std::mem::replace(&mut self.change_overdue, true) => true,
@@ -94,7 +96,7 @@
             (Some(reason), _) => Ok(NextStep::Leave(reason)),
             (None, Err(RequestError::Compacted)) => {
                 tracing::warn!(revision = from, "registry revision compacted away, reading everything again");
-                Ok(self.apply(machine, Event::Compacted(endpoint)))
+                Ok(self.apply(machine, Event::Compacted { endpoint }))
             }
             (None, ended) => ended.map(|()| next),
         }
--- a/registry/src/client/follow.rs
+++ b/registry/src/client/follow.rs
@@ -143,9 +143,9 @@
         let mut list = self.list();
         for action in actions {
             match action {
-                Action::Read(_) => next = NextStep::Read,
-                Action::Watch(_, from) => next = NextStep::Watch(from),
-                Action::Leave(_, reason) => next = NextStep::Leave(format!("{reason:?}")),
+                Action::Read { .. } => next = NextStep::Read,
+                Action::Watch { from, .. } => next = NextStep::Watch(from),
+                Action::Leave { reason, .. } => next = NextStep::Leave(format!("{reason:?}")),
                 Action::Restored => {
                     tracing::error!(
                         "registry went back, as if restored from a backup; drained nodes stay drained"
@@ -153,10 +153,10 @@
                     self.handle_fleet_event(&mut list, FleetEvent::Restored);
                 }
                 Action::Put(item) => self.key_put(&mut list, item, &mut changed),
-                Action::Gone(key) => self.key_deleted(&mut list, &key, &mut changed),
-                Action::Settled(_) => {
+                Action::Deleted { key } => self.key_deleted(&mut list, &key, &mut changed),
+                Action::Synchronized { .. } => {
                     list.last_contact = Some(self.clock.now().0);
-                    self.handle_fleet_event(&mut list, FleetEvent::Heard);
+                    self.handle_fleet_event(&mut list, FleetEvent::RegistryResponded);
                 }
             }
         }
@@ -190,7 +190,7 @@
                 }
                 changed.routers = true;
             }
-            Key::ReleaseHeld => self.handle_fleet_event(list, FleetEvent::ReleaseHeld),
+            Key::ReleaseRetained => self.handle_fleet_event(list, FleetEvent::ReleaseRetained),
             Key::Other => {}
         }
     }
@@ -198,12 +198,14 @@
     fn key_deleted(&self, list: &mut ListState, key: &str, changed: &mut Changed) {
         match self.classify(key) {
             Key::Config => changed.config = true,
-            Key::Node(name) => self.handle_fleet_event(list, FleetEvent::Gone(name.to_string())),
+            Key::Node(name) => {
+                self.handle_fleet_event(list, FleetEvent::KeyDeleted { name: name.to_string() });
+            }
             Key::Router(name) => {
                 list.routers.remove(name);
                 changed.routers = true;
             }
-            Key::ReleaseHeld | Key::Other => {}
+            Key::ReleaseRetained | Key::Other => {}
         }
     }
 
--- a/registry/src/client/list_file.rs
+++ b/registry/src/client/list_file.rs
@@ -28,7 +28,7 @@
         list.last_contact = Some(at);
         let mut actions = Vec::new();
         // The time of the file, not of now: the list is as old as it is, and the settings say what that allows.
-        list.fleet.handle(decision::Time(at), FleetEvent::Heard, &mut actions);
+        list.fleet.handle(decision::Time(at), FleetEvent::RegistryResponded, &mut actions);
         self.apply_fleet_actions(&mut list, actions);
         self.flush(&mut list);
         tracing::warn!(keys, age_s, "saved registry list used until the registry answers");
--- a/registry/src/etcd/wire.rs
+++ b/registry/src/etcd/wire.rs
@@ -61,7 +61,7 @@
 pub fn change(event: &Value) -> Result<Change, RequestError> {
     let item = item(&event["kv"])?;
     Ok(match event["type"].as_str() {
-        Some("DELETE") => Change::Delete(item.key, item.modified),
+        Some("DELETE") => Change::Delete { key: item.key, revision: item.modified },
         _ => Change::Put(item),
     })
 }
--- a/registry/src/fleet.rs
+++ b/registry/src/fleet.rs
@@ -22,15 +22,15 @@
     /// Networks that nodes may not be in.
     pub deny: Vec<IpNet>,
     /// While the registry has been silent for no longer than this, every node is used.
-    pub fresh: Micros,
+    pub max_fresh_age: Micros,
     /// Then only nodes that have answered since; and after this time, where it is set, none.
-    pub last: Option<Micros>,
-    /// Where more than this share of the nodes in service vanishes within the window, the rest that vanishes is held.
-    pub held_share: f64,
+    pub max_usable_age: Option<Micros>,
+    /// Where more than this share of the nodes in service vanishes within the window, the rest that vanishes is retained.
+    pub mass_removal_share: f64,
     /// The window of that share.
-    pub window: Micros,
-    /// How long nodes are held.
-    pub held: Micros,
+    pub mass_removal_window: Micros,
+    /// How long nodes are retained.
+    pub mass_removal_delay: Micros,
 }
 
 /// An input of the fleet.
@@ -44,15 +44,21 @@
         item: Item,
     },
     /// A node's key was deleted.
-    Gone(String),
+    KeyDeleted {
+        /// The node's name.
+        name: String,
+    },
     /// The registry was restored from a backup: what follows is older than what was known.
     Restored,
-    /// The registry has answered, with or without changes.
-    Heard,
-    /// A node has answered this router.
-    Answered(String),
-    /// An operator says that the nodes that vanished are meant to be gone.
-    ReleaseHeld,
+    /// The registry has responded, with or without changes.
+    RegistryResponded,
+    /// A node has responded to this router.
+    NodeResponded {
+        /// The node's name.
+        name: String,
+    },
+    /// An operator confirms that the nodes that vanished are to be removed.
+    ReleaseRetained,
     /// Time passes.
     Tick,
 }
@@ -60,16 +66,35 @@
 /// An output of the fleet, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Put a node on the endpoint list or change it there. No other node has ever had its id.
-    List(String, Node),
-    /// Take the node with this id off the endpoint list.
-    Unlist(String),
-    /// A node's key can't be used, and why; its value from before stays in force.
-    Faulty(String, String),
-    /// Too many nodes vanished at once: from now on they are held. The number of nodes in service before.
-    Holding(usize),
-    /// This many nodes are held no longer.
-    Released(usize),
+    /// Put a node on the endpoint list or change it there.
+    List {
+        /// Its id, which no other node has ever had.
+        id: String,
+        /// The node.
+        node: Node,
+    },
+    /// Take a node off the endpoint list.
+    Unlist {
+        /// Its id.
+        id: String,
+    },
+    /// A node's key can't be used; its value from before stays in force.
+    InvalidNode {
+        /// The node's name.
+        name: String,
+        /// Why the key can't be used.
+        reason: String,
+    },
+    /// Too many nodes vanished at once: from now on they are retained for a while.
+    MassRemovalDelayed {
+        /// The number of nodes in service before.
+        nodes: usize,
+    },
+    /// Nodes are retained no longer.
+    RetainedReleased {
+        /// How many.
+        nodes: usize,
+    },
     /// What the list may be used for has changed.
     LevelChanged(Level),
 }
@@ -93,19 +118,19 @@
     id: String,
     created: u64,
     modified: u64,
-    /// Its key has vanished, and the node is held until then.
-    held_until: Option<Time>,
+    /// Its key has vanished, and the node is retained until then.
+    retained_until: Option<Time>,
     /// It drained before the registry went back, and its key has not changed since: it stays drained.
     is_fenced: bool,
-    /// When it last answered this router; before its first answer, when its key came.
-    answered: Time,
+    /// When it last responded to this router; before its first response, when its key was read.
+    responded_at: Time,
     /// Its state on the endpoint list; `None` before it is put there.
     listed_state: Option<State>,
 }
 
 impl Entry {
     fn is_serving(&self) -> bool {
-        self.node.state == State::InService && self.held_until.is_none()
+        self.node.state == State::InService && self.retained_until.is_none()
     }
 }
 
@@ -117,7 +142,7 @@
     settings: Settings,
     nodes: BTreeMap<String, Entry>,
     /// Names of nodes whose newest value can't be used.
-    faulty: BTreeSet<String>,
+    invalid: BTreeSet<String>,
     /// When nodes vanished within the last window.
     vanished: VecDeque<Time>,
     /// When the registry last answered.
@@ -127,9 +152,9 @@
     drained_before_restore: BTreeSet<String>,
     /// Nodes that were removed, the newest last: a restored backup may bring them back.
     removed: VecDeque<String>,
-    /// Nodes that vanish are being held.
-    is_holding: bool,
-    /// The number of nodes in service that are not held.
+    /// Nodes that vanish are being retained.
+    is_retaining: bool,
+    /// The number of nodes in service that are not retained.
     serving: usize,
 }
 
@@ -139,13 +164,13 @@
         Fleet {
             settings,
             nodes: BTreeMap::new(),
-            faulty: BTreeSet::new(),
+            invalid: BTreeSet::new(),
             vanished: VecDeque::new(),
             last_contact: None,
             level: Level::Fresh,
             drained_before_restore: BTreeSet::new(),
             removed: VecDeque::new(),
-            is_holding: false,
+            is_retaining: false,
             serving: 0,
         }
     }
@@ -160,34 +185,34 @@
         self.nodes.iter().map(|(name, entry)| (name.as_str(), &entry.node, entry.listed_state))
     }
 
-    /// The number of nodes that vanished and are held.
-    pub fn held(&self) -> usize {
-        self.nodes.values().filter(|entry| entry.held_until.is_some()).count()
+    /// The number of nodes that vanished and are retained.
+    pub fn retained_count(&self) -> usize {
+        self.nodes.values().filter(|entry| entry.retained_until.is_some()).count()
     }
 
     /// Names of nodes whose newest value can't be used.
-    pub fn faulty(&self) -> impl Iterator<Item = &str> {
-        self.faulty.iter().map(String::as_str)
+    pub fn invalid_names(&self) -> impl Iterator<Item = &str> {
+        self.invalid.iter().map(String::as_str)
     }
 
     /// Handles an event at a time, and appends what is to be done to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Put { name, item } => self.key_put(now, name, &item, actions),
-            Event::Gone(name) => self.key_deleted(now, &name, actions),
+            Event::KeyDeleted { name } => self.key_deleted(now, &name, actions),
             Event::Restored => self.fence_drained(),
-            Event::Heard => {
+            Event::RegistryResponded => {
                 self.last_contact = Some(now);
                 self.update_level(now, actions);
             }
-            Event::Answered(name) => {
+            Event::NodeResponded { name } => {
                 if let Some(entry) = self.nodes.get_mut(&name) {
-                    entry.answered = now;
+                    entry.responded_at = now;
                 }
             }
-            Event::ReleaseHeld => self.release_held(|_| true, actions),
+            Event::ReleaseRetained => self.release_retained(|_| true, actions),
             Event::Tick => {
-                self.release_held(|until| until <= now, actions);
+                self.release_retained(|until| until <= now, actions);
                 self.update_level(now, actions);
             }
         }
@@ -205,31 +230,31 @@
         let node = match node::parse(&item.value, &self.settings) {
             Ok(node) => node,
             Err(error) => {
-                self.faulty.insert(name.clone());
-                return actions.push(Action::Faulty(name, error.to_string()));
+                self.invalid.insert(name.clone());
+                return actions.push(Action::InvalidNode { name, reason: error.to_string() });
             }
         };
-        self.faulty.remove(&name);
+        self.invalid.remove(&name);
         let was_drained = self.drained_before_restore.remove(&name);
         let old = self.nodes.get(&name);
         // A key that was created again, or whose address has changed, is another node under the same name.
         let same = old.filter(|old| old.created == item.created && old.node.addr == node.addr);
         if let Some(old) = old.filter(|old| same.is_none() && old.listed_state != Some(State::Gone)) {
             // What was learned of the old one says nothing of the new one.
-            actions.push(Action::Unlist(old.id.clone()));
+            actions.push(Action::Unlist { id: old.id.clone() });
         }
         let entry = Entry {
             id: same.map_or_else(|| new_id(&name, item, old), |same| same.id.clone()),
             created: item.created,
             modified: item.modified,
-            held_until: None,
+            retained_until: None,
             // It may have been drained after the backup was made: only a newer change puts it back.
             is_fenced: was_drained || same.is_some_and(|s| s.is_fenced && s.modified >= item.modified),
-            answered: same.map_or(now, |same| same.answered),
+            responded_at: same.map_or(now, |same| same.responded_at),
             listed_state: same.and_then(|same| same.listed_state),
             node,
         };
-        let has_changed = same.is_none_or(|same| same.node != entry.node || same.held_until.is_some());
+        let has_changed = same.is_none_or(|same| same.node != entry.node || same.retained_until.is_some());
         self.insert(name.clone(), entry);
         self.update_listing(&name, has_changed, actions);
     }
@@ -249,7 +274,7 @@
             self.removed.pop_front();
         }
         if entry.listed_state != Some(State::Gone) {
-            actions.push(Action::Unlist(entry.id));
+            actions.push(Action::Unlist { id: entry.id });
         }
     }
 }
--- a/registry/src/fleet/disappearance.rs
+++ b/registry/src/fleet/disappearance.rs
@@ -1,12 +1,12 @@
-//! Nodes whose keys vanish: one by one they are removed, many at once are held for a while.
+//! Nodes whose keys vanish: one by one they are removed, many at once are retained for a while.
 use super::{Action, Fleet, State};
 use decision::Time;
 
 impl Fleet {
     pub(super) fn key_deleted(&mut self, now: Time, name: &str, actions: &mut Vec<Action>) {
-        self.faulty.remove(name);
+        self.invalid.remove(name);
         let Some(entry) = self.nodes.get(name) else { return };
-        if entry.node.state != State::InService || entry.held_until.is_some() {
+        if entry.node.state != State::InService || entry.retained_until.is_some() {
             return self.remove(name, actions);
         }
         self.record_vanished(now);
@@ -15,14 +15,14 @@
         if !self.is_mass_disappearance(before) && left > 0 {
             return self.remove(name, actions);
         }
-        self.hold(name, Time(now.0 + self.settings.held));
-        if !std::mem::replace(&mut self.is_holding, true) {
-            actions.push(Action::Holding(before));
+        self.retain(name, Time(now.0 + self.settings.mass_removal_delay));
+        if !std::mem::replace(&mut self.is_retaining, true) {
+            actions.push(Action::MassRemovalDelayed { nodes: before });
         }
     }
 
     fn record_vanished(&mut self, now: Time) {
-        let window = self.settings.window;
+        let window = self.settings.mass_removal_window;
         while self.vanished.front().is_some_and(|at| now.0 - at.0 > window) {
             self.vanished.pop_front();
         }
@@ -33,30 +33,30 @@
     /// ordinary change; a large part at once hardly is.
     fn is_mass_disappearance(&self, before: usize) -> bool {
         let vanished = self.vanished.len();
-        vanished > 1 && vanished as f64 > self.settings.held_share * before as f64
+        vanished > 1 && vanished as f64 > self.settings.mass_removal_share * before as f64
     }
 
-    fn hold(&mut self, name: &str, until: Time) {
+    fn retain(&mut self, name: &str, until: Time) {
         if let Some(entry) = self.nodes.get_mut(name) {
-            entry.held_until = Some(until);
+            entry.retained_until = Some(until);
         }
         self.serving -= 1;
     }
 
-    /// Removes the nodes that are held until a time for which `is_over` holds.
-    pub(super) fn release_held(&mut self, is_over: impl Fn(Time) -> bool, actions: &mut Vec<Action>) {
+    /// Removes the nodes that are retained until a time for which `is_over` holds.
+    pub(super) fn release_retained(&mut self, is_over: impl Fn(Time) -> bool, actions: &mut Vec<Action>) {
         // Nearly always: a long list must not be gone through at each tick.
-        if !self.is_holding {
+        if !self.is_retaining {
             return;
         }
-        let released = self.nodes.iter().filter(|(_, entry)| entry.held_until.is_some_and(&is_over));
+        let released = self.nodes.iter().filter(|(_, entry)| entry.retained_until.is_some_and(&is_over));
         let names: Vec<String> = released.map(|(name, _)| name.clone()).collect();
         for name in &names {
             self.remove(name, actions);
         }
         if !names.is_empty() {
-            actions.push(Action::Released(names.len()));
+            actions.push(Action::RetainedReleased { nodes: names.len() });
         }
-        self.is_holding = self.held() > 0;
+        self.is_retaining = self.retained_count() > 0;
     }
 }
--- a/registry/src/fleet/listing.rs
+++ b/registry/src/fleet/listing.rs
@@ -11,7 +11,7 @@
         let last_contact = self.last_contact.unwrap_or(Time(0));
         let is_usable = match self.level {
             Level::Fresh => true,
-            Level::KnownGood => entry.answered >= last_contact,
+            Level::KnownGood => entry.responded_at >= last_contact,
             Level::TooOld => false,
         };
         if is_usable && !entry.is_fenced { State::InService } else { State::Draining }
@@ -26,9 +26,9 @@
         }
         let listed_before = entry.listed_state.replace(state);
         if state != State::Gone {
-            actions.push(Action::List(entry.id.clone(), Node { state, ..entry.node.clone() }));
+            actions.push(Action::List { id: entry.id.clone(), node: Node { state, ..entry.node.clone() } });
         } else if listed_before.is_some_and(|before| before != State::Gone) {
-            actions.push(Action::Unlist(entry.id.clone()));
+            actions.push(Action::Unlist { id: entry.id.clone() });
         }
     }
 
@@ -48,9 +48,9 @@
     }
 
     fn level_at_age(&self, age: Micros) -> Level {
-        if self.settings.last.is_some_and(|last| age > last) {
+        if self.settings.max_usable_age.is_some_and(|last| age > last) {
             Level::TooOld
-        } else if age > self.settings.fresh {
+        } else if age > self.settings.max_fresh_age {
             Level::KnownGood
         } else {
             Level::Fresh
--- a/registry/src/machine.rs
+++ b/registry/src/machine.rs
@@ -32,8 +32,13 @@
 pub enum Change {
     /// A key was set.
     Put(Item),
-    /// A key was deleted at this revision.
-    Delete(String, Revision),
+    /// A key was deleted.
+    Delete {
+        /// The key.
+        key: String,
+        /// The revision of the deletion.
+        revision: Revision,
+    },
 }
 
 impl Change {
@@ -41,7 +46,7 @@
     pub fn key(&self) -> &str {
         match self {
             Change::Put(item) => &item.key,
-            Change::Delete(key, _) => key,
+            Change::Delete { key, .. } => key,
         }
     }
 
@@ -49,7 +54,7 @@
     pub fn revision(&self) -> Revision {
         match self {
             Change::Put(item) => item.modified,
-            Change::Delete(_, revision) => *revision,
+            Change::Delete { revision, .. } => *revision,
         }
     }
 }
@@ -60,7 +65,7 @@
     /// A registry whose members have all been behind the revision here for this long was restored from a backup.
     pub restored_after: Micros,
     /// The most deletions that are remembered, to tell a repeated change from a late one.
-    pub tombstones: usize,
+    pub max_tombstones: usize,
 }
 
 /// An input of the machine.
@@ -87,11 +92,24 @@
         items: Vec<Item>,
     },
     /// Changes that a watch brought.
-    Changes(EndpointIndex, Vec<Change>),
+    Changes {
+        /// The member.
+        endpoint: EndpointIndex,
+        /// The changes, in order.
+        changes: Vec<Change>,
+    },
     /// The watch has brought everything up to this revision.
-    Progress(EndpointIndex, Revision),
+    Progress {
+        /// The member.
+        endpoint: EndpointIndex,
+        /// The revision.
+        revision: Revision,
+    },
     /// The revision to resume from has been compacted away.
-    Compacted(EndpointIndex),
+    Compacted {
+        /// The member.
+        endpoint: EndpointIndex,
+    },
     /// Something has changed that no watch has brought: only a full read says what.
     ChangesMissed,
 }
@@ -119,19 +137,38 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Read everything from this member.
-    Read(EndpointIndex),
+    Read {
+        /// The member.
+        endpoint: EndpointIndex,
+    },
     /// Watch from this revision on.
-    Watch(EndpointIndex, Revision),
+    Watch {
+        /// The member.
+        endpoint: EndpointIndex,
+        /// The first revision that is wanted.
+        from: Revision,
+    },
     /// Go to another member.
-    Leave(EndpointIndex, LeaveReason),
+    Leave {
+        /// The member that is left.
+        endpoint: EndpointIndex,
+        /// Why it is left.
+        reason: LeaveReason,
+    },
     /// The registry was restored from a backup, or replaced: what follows is older than what was known.
     Restored,
     /// A key has this value now.
     Put(Item),
     /// A key was deleted.
-    Gone(String),
+    Deleted {
+        /// The key.
+        key: String,
+    },
     /// The keys are now those of the registry at this revision.
-    Settled(Revision),
+    Synchronized {
+        /// The revision.
+        revision: Revision,
+    },
 }
 
 /// What is known of a key.
@@ -232,14 +269,14 @@
             Event::Snapshot { endpoint, cluster, revision, items } => {
                 if self.admits(now, endpoint, cluster, revision, actions) {
                     self.apply_snapshot(cluster, revision, items, actions);
-                    actions.push(Action::Watch(endpoint, self.revision + 1));
+                    actions.push(Action::Watch { endpoint, from: self.revision + 1 });
                 }
             }
-            Event::Changes(endpoint, changes) => self.apply_changes(endpoint, changes, actions),
-            Event::Progress(endpoint, revision) => self.progress(endpoint, revision, actions),
-            Event::Compacted(endpoint) => {
+            Event::Changes { endpoint, changes } => self.apply_changes(endpoint, changes, actions),
+            Event::Progress { endpoint, revision } => self.progress(endpoint, revision, actions),
+            Event::Compacted { endpoint } => {
                 self.needs_snapshot = true;
-                actions.push(Action::Read(endpoint));
+                actions.push(Action::Read { endpoint });
             }
             Event::ChangesMissed => self.needs_snapshot = true,
         }
@@ -248,9 +285,9 @@
     /// How to go on with a member that may be followed.
     fn resume(&self, endpoint: EndpointIndex) -> Action {
         if self.is_restoring || self.needs_snapshot || !self.has_snapshot {
-            Action::Read(endpoint)
+            Action::Read { endpoint }
         } else {
-            Action::Watch(endpoint, self.revision + 1)
+            Action::Watch { endpoint, from: self.revision + 1 }
         }
     }
 
@@ -284,7 +321,7 @@
         } else {
             LeaveReason::Behind { theirs: revision, ours: self.revision }
         };
-        actions.push(Action::Leave(endpoint, reason));
+        actions.push(Action::Leave { endpoint, reason });
         false
     }
 
@@ -295,10 +332,10 @@
         if revision < self.revision {
             // It claims to have brought everything it has, and has less than there is here.
             let reason = LeaveReason::Behind { theirs: revision, ours: self.revision };
-            return actions.push(Action::Leave(endpoint, reason));
+            return actions.push(Action::Leave { endpoint, reason });
         }
         self.revision = revision;
-        actions.push(Action::Settled(revision));
+        actions.push(Action::Synchronized { revision });
     }
 
     fn put(&mut self, item: Item, actions: &mut Vec<Action>) {
@@ -306,7 +343,7 @@
         let is_recreated = |entry: &Entry| entry.created != created && entry.created != 0;
         if self.entries.get(&key).is_some_and(is_recreated) {
             // Deleted and created again in between: another thing under the same name.
-            actions.push(Action::Gone(key.clone()));
+            actions.push(Action::Deleted { key: key.clone() });
         }
         self.entries.insert(key, Entry { created, modified, value });
         actions.push(Action::Put(item));
@@ -314,11 +351,11 @@
 
     fn delete(&mut self, key: String, revision: Revision, actions: &mut Vec<Action>) {
         if self.entries.remove(&key).is_some() {
-            actions.push(Action::Gone(key.clone()));
+            actions.push(Action::Deleted { key: key.clone() });
         }
         self.tombstones.insert(key.clone(), revision);
         self.tombstone_order.push_back((key, revision));
-        if self.tombstone_order.len() > self.settings.tombstones
+        if self.tombstone_order.len() > self.settings.max_tombstones
             && let Some((key, revision)) = self.tombstone_order.pop_front()
             && self.tombstones.get(&key) == Some(&revision)
         {
@@ -335,21 +372,21 @@
             }
             if revision < self.revision {
                 let deletes_nothing =
-                    matches!(&change, Change::Delete(key, _) if !self.entries.contains_key(key));
+                    matches!(&change, Change::Delete { key, .. } if !self.entries.contains_key(key));
                 if deletes_nothing {
                     continue;
                 }
                 // Something later has been acted on: the order of the rest is unknown.
                 self.needs_snapshot = true;
-                return actions.push(Action::Read(endpoint));
+                return actions.push(Action::Read { endpoint });
             }
             match change {
                 Change::Put(item) => self.put(item, actions),
-                Change::Delete(key, _) => self.delete(key, revision, actions),
+                Change::Delete { key, .. } => self.delete(key, revision, actions),
             }
             self.revision = revision;
         }
-        actions.push(Action::Settled(self.revision));
+        actions.push(Action::Synchronized { revision: self.revision });
     }
 
     /// The revision of the newest change of a key that is known.
--- a/registry/src/machine/snapshot.rs
+++ b/registry/src/machine/snapshot.rs
@@ -28,7 +28,7 @@
             }
         }
         self.revision = self.revision.max(revision);
-        actions.push(Action::Settled(self.revision));
+        actions.push(Action::Synchronized { revision: self.revision });
     }
 
     /// After a restore all that is read counts as new, whatever its revisions.
--- a/registry/tests/dialect_requests.rs
+++ b/registry/tests/dialect_requests.rs
@@ -190,7 +190,7 @@
     let ended = etcd.watch("/a/", 41, Duration::from_secs(20), |event| {
         match event {
             WatchEvent::Changes(changes) => seen.extend(changes),
-            WatchEvent::Progress(revision) => seen.push(Change::Delete("progress".into(), revision)),
+            WatchEvent::Progress(revision) => seen.push(Change::Delete { key: "progress".into(), revision }),
             WatchEvent::Silence => {}
         }
         true
@@ -198,8 +198,8 @@
     assert!(matches!(ended, Err(RequestError::Broken(text)) if text == "not the leader"));
     let changes = [
         Change::Put(item("/a/1", "x", 41, 41)),
-        Change::Delete("/a/2".into(), 42),
-        Change::Delete("progress".into(), 50),
+        Change::Delete { key: "/a/2".into(), revision: 42 },
+        Change::Delete { key: "progress".into(), revision: 50 },
     ];
     assert_eq!(seen, changes);
     assert_eq!(
--- a/registry/tests/machine_model.rs
+++ b/registry/tests/machine_model.rs
@@ -24,7 +24,7 @@
         let at = self.revision;
         if rng.u8(0..4) == 0 {
             if self.held.remove(&key).is_some() {
-                self.history.push(Change::Delete(key, at));
+                self.history.push(Change::Delete { key, revision: at });
             }
             return;
         }
@@ -63,7 +63,7 @@
             }
             Some((endpoint, from)) if model.compacted >= from => {
                 watch = None;
-                events.push(Event::Compacted(endpoint));
+                events.push(Event::Compacted { endpoint });
             }
             Some((endpoint, from)) => {
                 let mut changes: Vec<Change> =
@@ -82,9 +82,9 @@
                     *next = model.revision + 1;
                 }
                 let progress = watch.is_some() && rng.bool();
-                events.push(Event::Changes(endpoint, changes));
+                events.push(Event::Changes { endpoint, changes });
                 if progress {
-                    events.push(Event::Progress(endpoint, model.revision));
+                    events.push(Event::Progress { endpoint, revision: model.revision });
                 }
             }
         }
@@ -92,7 +92,7 @@
             for event in std::mem::take(&mut events) {
                 for action in handle(&mut m, now, event) {
                     match action {
-                        Action::Read(endpoint) => {
+                        Action::Read { endpoint } => {
                             let seen =
                                 lagging.as_ref().filter(|(e, _)| *e == endpoint).map_or(&model, |(_, l)| l);
                             let items: Vec<Item> = seen.held.values().cloned().collect();
@@ -100,8 +100,8 @@
                             events.push(snapshot(endpoint, seen.revision, &items));
                             break;
                         }
-                        Action::Watch(endpoint, from) => watch = Some((endpoint, from + wrong)),
-                        Action::Leave(..) => watch = None,
+                        Action::Watch { endpoint, from } => watch = Some((endpoint, from + wrong)),
+                        Action::Leave { .. } => watch = None,
                         Action::Put(i) => {
                             // A key never goes back to what it was.
                             if listed.get(&i.key).is_some_and(|l| l.modified >= i.modified) {
@@ -109,8 +109,8 @@
                             }
                             listed.insert(i.key.clone(), i);
                         }
-                        Action::Gone(k) => _ = listed.remove(&k),
-                        Action::Settled(at) => {
+                        Action::Deleted { key: k } => _ = listed.remove(&k),
+                        Action::Synchronized { revision: at } => {
                             if at < acted {
                                 return Err(format!("settled at {at} after {acted}"));
                             }
--- a/registry/tests/recorded_runs.rs
+++ b/registry/tests/recorded_runs.rs
@@ -41,18 +41,18 @@
 
 fn action_text(action: &Action) -> String {
     match action {
-        Action::Read(endpoint) => format!("read from {endpoint}"),
-        Action::Watch(endpoint, from) => format!("watch {endpoint} from {from}"),
-        Action::Leave(endpoint, LeaveReason::Behind { theirs, ours }) => {
+        Action::Read { endpoint } => format!("read from {endpoint}"),
+        Action::Watch { endpoint, from } => format!("watch {endpoint} from {from}"),
+        Action::Leave { endpoint, reason: LeaveReason::Behind { theirs, ours } } => {
             format!("leave {endpoint}: behind {theirs} < {ours}")
         }
-        Action::Leave(endpoint, LeaveReason::OtherCluster { theirs, ours }) => {
+        Action::Leave { endpoint, reason: LeaveReason::OtherCluster { theirs, ours } } => {
             format!("leave {endpoint}: cluster {theirs} != {ours}")
         }
         Action::Restored => "restored".into(),
         Action::Put(item) => format!("put {}", item_text(item)),
-        Action::Gone(key) => format!("deleted {key}"),
-        Action::Settled(revision) => format!("settled {revision}"),
+        Action::Deleted { key } => format!("deleted {key}"),
+        Action::Synchronized { revision } => format!("settled {revision}"),
     }
 }
 
@@ -81,7 +81,7 @@
             let revision = if self.rng.u8(0..8) == 0 { self.nearby_revision() } else { self.revision };
             let item = self.item(revision);
             changes.push(match self.rng.u8(0..3) {
-                0 => Change::Delete(item.key, revision),
+                0 => Change::Delete { key: item.key, revision },
                 _ => Change::Put(item),
             });
         }
@@ -102,9 +102,9 @@
         match self.rng.u8(0..20) {
             0..=3 => Event::MemberReached { endpoint, cluster, revision: self.nearby_revision() },
             4..=6 => self.snapshot(endpoint, cluster),
-            7..=14 => Event::Changes(endpoint, self.changes()),
-            15..=17 => Event::Progress(endpoint, self.nearby_revision()),
-            18 => Event::Compacted(endpoint),
+            7..=14 => Event::Changes { endpoint, changes: self.changes() },
+            15..=17 => Event::Progress { endpoint, revision: self.nearby_revision() },
+            18 => Event::Compacted { endpoint },
             _ => Event::ChangesMissed,
         }
     }
@@ -113,7 +113,7 @@
 #[test]
 fn machine_run_matches_its_recording() {
     let mut events = MachineEvents { rng: Rng::with_seed(41), revision: 20 };
-    let mut machine = Machine::new(Settings { restored_after: 2 * SECOND_US, tombstones: 4 });
+    let mut machine = Machine::new(Settings { restored_after: 2 * SECOND_US, max_tombstones: 4 });
     let (mut now, mut lines) = (0, Vec::new());
     for _ in 0..STEPS {
         now += events.rng.i64(0..SECOND_US);
@@ -139,11 +139,11 @@
 
 fn fleet_action_text(action: &FleetAction) -> String {
     match action {
-        FleetAction::List(id, node) => format!("list {id} {}", serde_json::to_string(node).unwrap()),
-        FleetAction::Unlist(id) => format!("unlist {id}"),
-        FleetAction::Faulty(name, why) => format!("faulty {name}: {why}"),
-        FleetAction::Holding(nodes) => format!("holding {nodes}"),
-        FleetAction::Released(nodes) => format!("released {nodes}"),
+        FleetAction::List { id, node } => format!("list {id} {}", serde_json::to_string(node).unwrap()),
+        FleetAction::Unlist { id } => format!("unlist {id}"),
+        FleetAction::InvalidNode { name, reason: why } => format!("faulty {name}: {why}"),
+        FleetAction::MassRemovalDelayed { nodes } => format!("holding {nodes}"),
+        FleetAction::RetainedReleased { nodes } => format!("released {nodes}"),
         FleetAction::LevelChanged(level) => format!("now {}", level_text(*level)),
     }
 }
@@ -178,14 +178,14 @@
                 let item = Item { key: name.clone(), value, created, modified: self.revision };
                 FleetEvent::Put { name, item }
             }
-            16..=23 => FleetEvent::Gone(name),
-            24..=28 => FleetEvent::Answered(name),
-            29..=32 => FleetEvent::Heard,
+            16..=23 => FleetEvent::KeyDeleted { name },
+            24..=28 => FleetEvent::NodeResponded { name },
+            29..=32 => FleetEvent::RegistryResponded,
             33 => {
                 self.revision = self.revision.saturating_sub(self.rng.u64(0..10));
                 FleetEvent::Restored
             }
-            34 => FleetEvent::ReleaseHeld,
+            34 => FleetEvent::ReleaseRetained,
             _ => FleetEvent::Tick,
         }
     }
@@ -197,11 +197,11 @@
     let mut fleet = Fleet::new(FleetSettings {
         allow: vec!["127.0.0.0/8".parse().unwrap()],
         deny: vec!["127.9.0.0/16".parse().unwrap()],
-        fresh: 5 * SECOND_US,
-        last: Some(15 * SECOND_US),
-        held_share: 0.5,
-        window: 5 * SECOND_US,
-        held: 30 * SECOND_US,
+        max_fresh_age: 5 * SECOND_US,
+        max_usable_age: Some(15 * SECOND_US),
+        mass_removal_share: 0.5,
+        mass_removal_window: 5 * SECOND_US,
+        mass_removal_delay: 30 * SECOND_US,
     });
     let (mut now, mut lines) = (0, Vec::new());
     for _ in 0..STEPS {
@@ -209,9 +209,9 @@
         let (event, mut actions) = (events.next(), Vec::new());
         fleet.handle(Time(now), event, &mut actions);
         let actions: Vec<String> = actions.iter().map(fleet_action_text).collect();
-        let faulty: Vec<&str> = fleet.faulty().collect();
+        let faulty: Vec<&str> = fleet.invalid_names().collect();
         let mut line = actions.join("; ");
-        let (nodes, held) = (fleet.nodes().count(), fleet.held());
+        let (nodes, held) = (fleet.nodes().count(), fleet.retained_count());
         write!(line, " | {} with {nodes} nodes, {held} held, faulty {faulty:?}", level_text(fleet.level()))
             .unwrap();
         lines.push(line);
--- a/registry/tests/support/mod.rs
+++ b/registry/tests/support/mod.rs
@@ -11,7 +11,7 @@
 
 /// A machine that takes a registry which is behind for ten seconds for a restored one.
 pub(crate) fn machine() -> Machine {
-    Machine::new(Settings { restored_after: 10 * SECOND, tombstones: 16 })
+    Machine::new(Settings { restored_after: 10 * SECOND, max_tombstones: 16 })
 }
 
 /// Handles an event, and returns the actions.
--- a/simulator/src/world/discovery.rs
+++ b/simulator/src/world/discovery.rs
@@ -59,7 +59,7 @@
         if self.registry_outage {
             self.delayed_changes.push(DelayedChanges { router, changes });
         } else if self.routers[router].up {
-            self.handle_watch_event(router, WatchEvent::Changes(0, changes));
+            self.handle_watch_event(router, WatchEvent::Changes { endpoint: 0, changes });
         }
     }
 
@@ -71,8 +71,12 @@
                 WatchAction::Put(item) => {
                     self.handle_endpoint_event(router, FleetEvent::Put { name: item.key.clone(), item });
                 }
-                WatchAction::Gone(name) => self.handle_endpoint_event(router, FleetEvent::Gone(name)),
-                WatchAction::Settled(_) => self.handle_endpoint_event(router, FleetEvent::Heard),
+                WatchAction::Deleted { key: name } => {
+                    self.handle_endpoint_event(router, FleetEvent::KeyDeleted { name });
+                }
+                WatchAction::Synchronized { .. } => {
+                    self.handle_endpoint_event(router, FleetEvent::RegistryResponded);
+                }
                 _ => {}
             }
         }
@@ -83,7 +87,7 @@
         self.routers[router].fleet.handle(self.now, event, &mut actions);
         let mut entries = Vec::new();
         for action in actions {
-            let FleetAction::List(id, endpoint) = action else { continue };
+            let FleetAction::List { id, node: endpoint } = action else { continue };
             let Some(node) = node_of_endpoint(&id) else { continue };
             let state = match endpoint.state {
                 State::InService => MemberState::Ready,
@@ -111,7 +115,7 @@
     /// An endpoint has answered, which confirms its entry while the list is stale.
     pub(super) fn confirm_endpoint(&mut self, router: usize, node: usize) {
         if self.routers[router].fleet.level() != Level::Fresh {
-            self.handle_endpoint_event(router, FleetEvent::Answered(endpoint_name(node)));
+            self.handle_endpoint_event(router, FleetEvent::NodeResponded { name: endpoint_name(node) });
         }
     }
 }
--- a/simulator/src/world/routers.rs
+++ b/simulator/src/world/routers.rs
@@ -269,7 +269,7 @@
     pub(super) fn tick(&mut self, process: RouterProcess) {
         let router = process.router;
         if !self.registry_outage {
-            self.handle_endpoint_event(router, FleetEvent::Heard);
+            self.handle_endpoint_event(router, FleetEvent::RegistryResponded);
         }
         self.handle_endpoint_event(router, FleetEvent::Tick);
         self.handle_session_event(router, SessionEvent::Tick);
--- a/simulator/src/world/setup.rs
+++ b/simulator/src/world/setup.rs
@@ -74,7 +74,7 @@
     ) -> SimulatedRouter {
         let recovered = journal.iter().map(|entry| (entry.session, entry.commit));
         let sessions = Sessions::new(session_settings(router, epoch), recovered, None);
-        let follower = FollowerSettings { restored_after: 10 * SECOND, tombstones: 1000 };
+        let follower = FollowerSettings { restored_after: 10 * SECOND, max_tombstones: 1000 };
         SimulatedRouter {
             zone,
             up: true,
@@ -151,10 +151,10 @@
     FleetSettings {
         allow: vec![],
         deny: vec![],
-        fresh: 10 * SECOND,
-        last: None,
-        held_share: 0.5,
-        window: 10 * SECOND,
-        held: 60 * SECOND,
+        max_fresh_age: 10 * SECOND,
+        max_usable_age: None,
+        mass_removal_share: 0.5,
+        mass_removal_window: 10 * SECOND,
+        mass_removal_delay: 60 * SECOND,
     }
 }
--- a/src/commands/registry/watch.rs
+++ b/src/commands/registry/watch.rs
@@ -61,7 +61,7 @@
 ) -> Result<(), Error> {
     let line = |change: &Change| match change {
         Change::Put(item) => format_item(item),
-        Change::Delete(key, revision) => deletion(*revision, key),
+        Change::Delete { key, revision } => deletion(*revision, key),
     };
     etcd.watch(prefix, contents.revision + 1, ETCD_SILENCE, |event| match event {
         WatchEvent::Changes(changes) => changes.iter().all(|change| printer.print(&line(change))),
