--- a/registry/src/client/consul_poll.rs
+++ b/registry/src/client/consul_poll.rs
@@ -44,7 +44,9 @@
         if let Some(result) = result {
             self.newest = Some(result?);
         }
-        self.newest.clone().ok_or_else(|| RequestError::Broken("no health of the service".into()))
+        self.newest
+            .clone()
+            .ok_or_else(|| RequestError::InvalidResponse { reason: "no health of the service".into() })
     }
 }
 
--- a/registry/src/client/member.rs
+++ b/registry/src/client/member.rs
@@ -107,7 +107,10 @@
                 if consul.put(key, value, lease)? {
                     Ok(())
                 } else {
-                    Err(RequestError::Refused(200, "another session holds the key".into()))
+                    Err(RequestError::Rejected {
+                        status: 200,
+                        message: "another session holds the key".into(),
+                    })
                 }
             }
         }
--- a/registry/src/consul.rs
+++ b/registry/src/consul.rs
@@ -31,7 +31,7 @@
 }
 
 fn refusal(response: &Response) -> RequestError {
-    RequestError::Refused(response.code, response.text())
+    RequestError::Rejected { status: response.code, message: response.text() }
 }
 
 /// The part of a query that makes it wait for a change behind an index, and the read timeout that this needs.
@@ -45,7 +45,8 @@
     let value = STANDARD.decode(entry["Value"].as_str().unwrap_or(""));
     Ok(Item {
         key: format!("/{}", entry["Key"].as_str().unwrap_or("").trim_start_matches('/')),
-        value: value.map_err(|e| RequestError::Broken(format!("a value is no base64: {e}")))?,
+        value: value
+            .map_err(|e| RequestError::InvalidResponse { reason: format!("a value is no base64: {e}") })?,
         created: entry["CreateIndex"].as_u64().unwrap_or(0),
         modified: entry["ModifyIndex"].as_u64().unwrap_or(0),
     })
@@ -93,7 +94,7 @@
             None => self.member.request("GET", path, b"")?,
         };
         if !response.knows_leader {
-            return Err(RequestError::Broken("it knows no leader".into()));
+            return Err(RequestError::NoLeader);
         }
         // An index must be above zero; one that is not would make the next query return at once, over and over.
         let index = response.index.unwrap_or(0).max(1);
@@ -116,7 +117,9 @@
         let (query, read_timeout) = blocking(after);
         let path = format!("/v1/kv/{}?recurse=true&consistent{query}", path(prefix));
         let (index, list) = self.get(&path, read_timeout)?;
-        let list = list.as_array().ok_or_else(|| RequestError::Broken("no list of keys".into()))?;
+        let list = list
+            .as_array()
+            .ok_or_else(|| RequestError::InvalidResponse { reason: "no list of keys".into() })?;
         Ok((index, list.iter().map(key_item).collect::<Result<_, RequestError>>()?))
     }
 
@@ -134,7 +137,9 @@
         let (query, read_timeout) = blocking(after);
         let path = format!("/v1/health/service/{}?consistent{query}", path(&service));
         let (index, list) = self.get(&path, read_timeout)?;
-        let list = list.as_array().ok_or_else(|| RequestError::Broken("no list of instances".into()))?;
+        let list = list
+            .as_array()
+            .ok_or_else(|| RequestError::InvalidResponse { reason: "no list of instances".into() })?;
         Ok((index, list.iter().map(|instance| node_item(prefix, instance)).collect()))
     }
 
@@ -164,7 +169,10 @@
     pub fn create_session(&mut self, ttl_s: u64) -> Result<String, RequestError> {
         let body = json!({"TTL": format!("{ttl_s}s"), "Behavior": "delete", "LockDelay": "0s"}).to_string();
         let created = self.member.request("PUT", "/v1/session/create", body.as_bytes())?.json()?;
-        created["ID"].as_str().map(str::to_string).ok_or_else(|| RequestError::Broken("no session".into()))
+        created["ID"]
+            .as_str()
+            .map(str::to_string)
+            .ok_or_else(|| RequestError::InvalidResponse { reason: "no session".into() })
     }
 
     /// Renews a session; `false` where it is lost.
--- a/registry/src/etcd.rs
+++ b/registry/src/etcd.rs
@@ -50,7 +50,10 @@
     if text.contains("compacted") {
         return RequestError::Compacted;
     }
-    RequestError::Refused(response.code, if text.is_empty() { response.text() } else { text })
+    RequestError::Rejected {
+        status: response.code,
+        message: if text.is_empty() { response.text() } else { text },
+    }
 }
 
 impl Etcd {
@@ -64,7 +67,7 @@
             return Err(refusal(&response));
         }
         let token = response.json()?["token"].as_str().map(str::to_string);
-        let token = token.ok_or_else(|| RequestError::Broken("no token".into()))?;
+        let token = token.ok_or_else(|| RequestError::InvalidResponse { reason: "no token".into() })?;
         self.member.auth_header = Some(("Authorization", token));
         Ok(true)
     }
@@ -142,7 +145,9 @@
         let response = self.post("/v3/kv/range", &body)?;
         let position = position(&response);
         if first.is_some_and(|first| first.cluster != position.cluster) {
-            return Err(RequestError::Broken("another cluster answers in the middle of a read".into()));
+            return Err(RequestError::InvalidResponse {
+                reason: "another cluster answers in the middle of a read".into(),
+            });
         }
         let items = elements(&response, "kvs").iter().map(item).collect::<Result<Vec<_>, _>>()?;
         let has_more = response["more"] == true && !items.is_empty();
@@ -205,7 +210,7 @@
     pub fn grant_lease(&mut self, ttl_s: u64) -> Result<String, RequestError> {
         let response = self.post("/v3/lease/grant", &json!({"TTL": ttl_s.to_string()}))?;
         match number(&response, "ID") {
-            0 => Err(RequestError::Broken("no lease".into())),
+            0 => Err(RequestError::InvalidResponse { reason: "no lease".into() }),
             id => Ok(id.to_string()),
         }
     }
--- a/registry/src/etcd/watch.rs
+++ b/registry/src/etcd/watch.rs
@@ -39,7 +39,7 @@
         loop {
             let event = match lines.read_line(&mut line) {
                 Ok(true) => parse(&line)?,
-                Ok(false) => return Err(RequestError::Broken("the watch has ended".into())),
+                Ok(false) => return Err(RequestError::WatchEnded),
                 // What has come of a line stays with the stream.
                 Err(e) if is_timeout(&e) => Some(WatchEvent::Silence),
                 Err(e) => return Err(e.into()),
@@ -69,7 +69,7 @@
         if lines.code != 200 {
             // The token may have expired: the next request logs in again.
             self.member.auth_header = None;
-            return Err(RequestError::Refused(lines.code, "no watch".into()));
+            return Err(RequestError::Rejected { status: lines.code, message: "no watch".into() });
         }
         Ok(lines)
     }
@@ -84,8 +84,8 @@
     if line.trim_ascii().is_empty() {
         return Ok(None);
     }
-    let message: Value =
-        serde_json::from_slice(line).map_err(|e| RequestError::Broken(format!("no JSON: {e}")))?;
+    let message: Value = serde_json::from_slice(line)
+        .map_err(|e| RequestError::InvalidResponse { reason: format!("no JSON: {e}") })?;
     let result = &message["result"];
     if number(result, "compact_revision") > 0 {
         return Err(RequestError::Compacted);
@@ -95,7 +95,7 @@
         return Err(if reason.contains("compacted") {
             RequestError::Compacted
         } else {
-            RequestError::Broken(reason.into())
+            RequestError::InvalidResponse { reason: reason.into() }
         });
     }
     let events = elements(result, "events");
--- a/registry/src/etcd/wire.rs
+++ b/registry/src/etcd/wire.rs
@@ -42,10 +42,12 @@
 pub fn item(kv: &Value) -> Result<Item, RequestError> {
     let bytes = |name: &str| {
         let text = kv[name].as_str().unwrap_or("");
-        STANDARD.decode(text).map_err(|e| RequestError::Broken(format!("'{name}' is no base64: {e}")))
+        STANDARD
+            .decode(text)
+            .map_err(|e| RequestError::InvalidResponse { reason: format!("'{name}' is no base64: {e}") })
     };
-    let key =
-        String::from_utf8(bytes("key")?).map_err(|_| RequestError::Broken("a key is no UTF-8".into()))?;
+    let key = String::from_utf8(bytes("key")?)
+        .map_err(|_| RequestError::InvalidResponse { reason: "a key is no UTF-8".into() })?;
     Ok(Item {
         key,
         value: bytes("value")?,
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -203,9 +203,10 @@
     /// The status code is no success, or the body is not JSON.
     pub fn json(&self) -> Result<Value, RequestError> {
         if !(200..300).contains(&self.code) {
-            return Err(RequestError::Refused(self.code, self.text()));
+            return Err(RequestError::Rejected { status: self.code, message: self.text() });
         }
-        serde_json::from_slice(&self.body).map_err(|e| RequestError::Broken(format!("no JSON: {e}")))
+        serde_json::from_slice(&self.body)
+            .map_err(|e| RequestError::InvalidResponse { reason: format!("no JSON: {e}") })
     }
 
     /// The beginning of the body, for messages.
--- a/registry/src/lib.rs
+++ b/registry/src/lib.rs
@@ -33,30 +33,45 @@
 /// Why a request to a registry has failed.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// The connection failed, or the response is not a valid one.
-    #[error("{0}")]
-    Broken(String),
+    /// The connection failed, or the response was cut off or silent for too long.
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    /// The response is longer than a response may be.
+    #[error("the answer is longer than {max_bytes} bytes")]
+    ResponseTooLong {
+        /// The longest body that is read.
+        max_bytes: u64,
+    },
+    /// The response is not one that the registry's interface allows.
+    #[error("{reason}")]
+    InvalidResponse {
+        /// What is wrong with it.
+        reason: String,
+    },
+    /// The member knows no leader: its list may be stale.
+    #[error("it knows no leader")]
+    NoLeader,
+    /// The member has ended the watch.
+    #[error("the watch has ended")]
+    WatchEnded,
     /// The revision asked for has been compacted away.
     #[error("the revision has been compacted away")]
     Compacted,
-    /// The registry refused: its status code and text.
-    #[error("refused with {0}: {1}")]
-    Refused(u16, String),
+    /// The registry rejected the request.
+    #[error("refused with {status}: {message}")]
+    Rejected {
+        /// The status code of its response.
+        status: u16,
+        /// Its own text.
+        message: String,
+    },
 }
 
 impl From<ureq::Error> for RequestError {
-    fn from(e: ureq::Error) -> Self {
-        RequestError::Broken(match e {
-            ureq::Error::BodyExceedsLimit(max_bytes) => {
-                format!("the answer is longer than {max_bytes} bytes")
-            }
-            other => other.into_io().to_string(),
-        })
-    }
-}
-
-impl From<std::io::Error> for RequestError {
-    fn from(e: std::io::Error) -> Self {
-        RequestError::Broken(e.to_string())
+    fn from(error: ureq::Error) -> Self {
+        match error {
+            ureq::Error::BodyExceedsLimit(max_bytes) => RequestError::ResponseTooLong { max_bytes },
+            other => RequestError::Io(other.into_io()),
+        }
     }
 }
--- a/registry/tests/dialect_requests.rs
+++ b/registry/tests/dialect_requests.rs
@@ -132,7 +132,9 @@
     assert!(!etcd.keep_alive("99").unwrap());
     etcd.revoke_lease("99").unwrap();
     assert!(matches!(etcd.put("/a/k", b"v", None), Err(RequestError::Compacted)));
-    assert!(matches!(etcd.put("/a/k", b"v", None), Err(RequestError::Refused(400, text)) if text == "no"));
+    assert!(
+        matches!(etcd.put("/a/k", b"v", None), Err(RequestError::Rejected { status: 400, message }) if message == "no")
+    );
     assert_eq!(
         sent(&requests),
         [
@@ -195,7 +197,7 @@
         }
         true
     });
-    assert!(matches!(ended, Err(RequestError::Broken(text)) if text == "not the leader"));
+    assert!(matches!(ended, Err(RequestError::InvalidResponse { reason }) if reason == "not the leader"));
     let changes = [
         Change::Put(item("/a/1", "x", 41, 41)),
         Change::Delete { key: "/a/2".into(), revision: 42 },
@@ -245,7 +247,7 @@
     assert_eq!(read, (12, vec![item("/a/1", "x", 3, 9), item("/a/2", "", 4, 4)]));
     assert_eq!(consul.read("/a b/", Some((12, Duration::from_millis(500)))).unwrap(), (1, vec![]));
     assert!(
-        matches!(consul.read("/a/", None), Err(RequestError::Broken(text)) if text == "it knows no leader")
+        matches!(consul.read("/a/", None), Err(error @ RequestError::NoLeader) if error.to_string() == "it knows no leader")
     );
     assert!(consul.put("/a/k", b"v", Some("s-1")).unwrap());
     assert!(!consul.put("/a/k", b"v", None).unwrap());
@@ -253,7 +255,9 @@
     assert_eq!(consul.create_session(10).unwrap(), "s-1");
     assert!(consul.renew_session("s-1").unwrap());
     assert!(!consul.renew_session("s-1").unwrap());
-    assert!(matches!(consul.renew_session("s-1"), Err(RequestError::Refused(500, text)) if text == "why"));
+    assert!(
+        matches!(consul.renew_session("s-1"), Err(RequestError::Rejected { status: 500, message }) if message == "why")
+    );
     consul.destroy_session("s-1").unwrap();
     let with_token = |line: &str| line.replacen("HTTP/1.1", "HTTP/1.1 [x-consul-token: secret]", 1);
     let expected = [
--- a/registry/tests/http.rs
+++ b/registry/tests/http.rs
@@ -116,7 +116,11 @@
     send(&other, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{long}", long.len()));
     let (_, (fits, too_long, whole)) = asked.join().unwrap();
     assert_eq!((fits, too_long), ((true, BOUNDS.max_bytes), ErrorKind::InvalidData));
-    assert!(matches!(whole, Err(RequestError::Broken(_))), "{whole:?}");
+    let limit = BOUNDS.max_bytes as u64;
+    assert!(
+        matches!(whole, Err(RequestError::ResponseTooLong { max_bytes }) if max_bytes == limit),
+        "{whole:?}"
+    );
 }
 
 #[test]
@@ -168,11 +172,11 @@
         send(&socket, answer);
         drop(socket);
         let (_, got) = asked.join().unwrap();
-        assert!(matches!(got, Err(RequestError::Broken(_))), "{answer}: {got:?}");
+        assert!(matches!(got, Err(RequestError::Io(_))), "{answer}: {got:?}");
     }
     // A response that brings nothing fails after the timeout.
     let (member, connections) = member();
     let asked = on_thread(member, |m| m.request_with_timeout("GET", "/a", b"", SHORT).map(|w| w.code));
     let _socket = connections.recv().unwrap();
-    assert!(matches!(asked.join().unwrap().1, Err(RequestError::Broken(_))));
+    assert!(matches!(asked.join().unwrap().1, Err(RequestError::Io(_))));
 }
