--- a/benches/sessions.rs
+++ b/benches/sessions.rs
@@ -4,11 +4,14 @@
 mod common;
 #[path = "../tests/common/instances.rs"]
 mod instances;
+#[path = "../tests/common/restart_loop.rs"]
+mod restart_loop;
 
 use common::LONG;
 use hdrhistogram::Histogram;
-use instances::{Instances, Keeping, connect, read, restart_loop, write};
+use instances::{Instances, Persistence, connect, read, write};
 use mysql::prelude::Queryable;
+use restart_loop::{SessionPath, restart_loop};
 use sessions::SessionKey;
 use sessions::journal::{self, Checkpoint};
 use std::net::SocketAddr;
@@ -28,16 +31,19 @@
     println!("loop: SIGKILLs while 9 sessions write and read, replicas 1 s and 2 s behind");
     println!("{:<28}{:>7}{:>9}{:>9}{:>9}{:>14}", "kept", "kills", "writes", "reads", "missed", "by replicas");
     let arms = [
-        ("disk and peers, wandering", Keeping::Whole, true, 300),
-        ("peers alone, wandering", Keeping::Peers, true, 60),
-        ("floor alone, staying", Keeping::Floor, false, 60),
-        ("nothing, staying", Keeping::Nothing, false, 60),
+        ("disk and peers, wandering", Persistence::DiskAndPeers, SessionPath::Wandering, 300),
+        ("peers alone, wandering", Persistence::Peers, SessionPath::Wandering, 60),
+        ("floor alone, staying", Persistence::FloorOnly, SessionPath::Staying, 60),
+        ("nothing, staying", Persistence::None, SessionPath::Staying, 60),
     ];
-    for (name, keeping, wander, kills) in arms {
+    for (name, persistence, path, kills) in arms {
         let mut three =
-            Instances::started(3, ReplicationGroup::start(&lag(&[1000, 2000]), HEARTBEAT), keeping);
-        let f = restart_loop(&mut three, kills, 9, wander);
-        println!("{name:<28}{:>7}{:>9}{:>9}{:>9}{:>14}", f.kills, f.writes, f.reads, f.missed, f.by_replicas);
+            Instances::started(3, ReplicationGroup::start(&lag(&[1000, 2000]), HEARTBEAT), persistence);
+        let f = restart_loop(&mut three, kills, 9, path);
+        println!(
+            "{name:<28}{:>7}{:>9}{:>9}{:>9}{:>14}",
+            f.kills, f.writes, f.reads, f.missed_writes, f.replica_reads
+        );
     }
 }
 
@@ -89,28 +95,27 @@
     println!("{:<44}{:>14}{:>14}{:>12}", "policy", "2 s after", "steady", "reads/s");
     for (lags, text) in [(vec![20, 50], "20 and 50 ms behind"), (vec![1000, 3000], "1 and 3 s behind")] {
         let arms = [
-            ("all to the primary until warm", Keeping::Floor, "basket-fresh"),
-            ("floor after the start", Keeping::Floor, "basket-read"),
-            ("journal, alone", Keeping::Disk, "basket-read"),
-            ("journal and two peers", Keeping::Whole, "basket-read"),
+            ("all to the primary until warm", Persistence::FloorOnly, "basket-fresh"),
+            ("floor after the start", Persistence::FloorOnly, "basket-read"),
+            ("journal, alone", Persistence::Disk, "basket-read"),
+            ("journal and two peers", Persistence::DiskAndPeers, "basket-read"),
         ];
-        for (name, keeping, class) in arms {
-            let n = if keeping == Keeping::Whole { 3 } else { 1 };
-            let mut all = Instances::new(n, ReplicationGroup::start(&lag(&lags), HEARTBEAT), keeping);
-            for m in &mut all.more {
-                m.0 = "[[mysql.class]]\nname = 'basket-fresh'\nfreshness = 'fresh'\neffect = 'safe'\n\
+        for (name, persistence, class) in arms {
+            let n = if persistence == Persistence::DiskAndPeers { 3 } else { 1 };
+            let mut all = Instances::new(n, ReplicationGroup::start(&lag(&lags), HEARTBEAT), persistence);
+            for m in &mut all.extra_keys {
+                m.mysql = "[[mysql.class]]\nname = 'basket-fresh'\nfreshness = 'fresh'\neffect = 'safe'\n\
                        aim_ms = 2000\ndeadline_ms = 4000\n"
                     .into();
             }
-            (0..n).for_each(|i| all.start(i));
-            (0..n).for_each(|i| all.relied(i));
+            all.start_all();
             // The floor of the very first start has to be passed by the replicas.
             std::thread::sleep(Duration::from_millis(lags[1] + 500));
             // The plain policy's steady state is that of the others.
-            let (reads, steady) = share(all.addr(0), "basket-read", WINDOW);
+            let (reads, steady) = share(all.address(0), "basket-read", WINDOW);
             all.kill(0);
             all.start(0);
-            let (_, after) = share(all.addr(0), class, WINDOW);
+            let (_, after) = share(all.address(0), class, WINDOW);
             let name = format!("{name}, {text}");
             println!("{name:<44}{:>13.1}%{:>13.1}%{:>12}", 100.0 * after, 100.0 * steady, reads / 2);
         }
@@ -125,21 +130,21 @@
     const PACE: Duration = Duration::from_millis(12);
     println!("cost: microseconds of a write, {CLIENTS} clients with 12 ms between writes, arms in turns");
     let arms = [
-        ("nothing kept", Keeping::Nothing, 1),
-        ("peers", Keeping::Peers, 3),
-        ("journal", Keeping::Disk, 1),
-        ("journal and peers", Keeping::Whole, 3),
+        ("nothing kept", Persistence::None, 1),
+        ("peers", Persistence::Peers, 3),
+        ("journal", Persistence::Disk, 1),
+        ("journal and peers", Persistence::DiskAndPeers, 3),
     ];
     let mut running: Vec<(&str, Instances, Histogram<u64>)> = arms
         .into_iter()
-        .map(|(name, keeping, n)| {
-            let all = Instances::started(n, ReplicationGroup::start(&lag(&[20]), HEARTBEAT), keeping);
+        .map(|(name, persistence, n)| {
+            let all = Instances::started(n, ReplicationGroup::start(&lag(&[20]), HEARTBEAT), persistence);
             (name, all, Histogram::new(3).expect("three digits"))
         })
         .collect();
     for _ in 0..ROUNDS {
         for (_, all, histogram) in &mut running {
-            let addr = all.addr(0);
+            let addr = all.address(0);
             let client = move |c: u64| {
                 std::thread::spawn(move || {
                     let mut conn = connect(addr).expect("a router");
@@ -171,7 +176,7 @@
         let (p50, p99) = (h.value_at_quantile(0.5), h.value_at_quantile(0.99));
         println!("{name:<22}{p50:>9}{p99:>9}{:>9}{:>9.2}", h.max(), p50 as f64 / base);
     }
-    let syncs = running[2].1.shown(0);
+    let syncs = running[2].1.status(0);
     println!("journal: {} commits in {} syncs", syncs["commits"], syncs["syncs"]);
 }
 
@@ -187,21 +192,22 @@
     println!("{:<16}{:>12}{:>12}{:>16}{:>14}", "sessions", "start ms", "RSS MB", "bytes/session", "peer ms");
     let mut empty = 0;
     for sessions in [0u64, 10_000, 100_000, 1_000_000] {
-        let mut two = Instances::new(2, ReplicationGroup::start(&lag(&[20]), HEARTBEAT), Keeping::Whole);
+        let mut two =
+            Instances::new(2, ReplicationGroup::start(&lag(&[20]), HEARTBEAT), Persistence::DiskAndPeers);
         let entries: Vec<(SessionKey, decision::Time)> = (0..sessions)
             .map(|n| (SessionKey(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)), decision::Time(n as i64 + 1)))
             .collect();
         let whole =
             Checkpoint { instance: 1, incarnation: 1, entries: &entries, floor: None, incomplete: false };
-        drop(journal::open(&two.kept_in(0), 1).expect("a folder").begin(&whole).expect("a folder"));
+        drop(journal::open(&two.journal_folder(0), 1).expect("a folder").begin(&whole).expect("a folder"));
         let begun = Instant::now();
         two.start(0);
         let ms = begun.elapsed().as_millis();
-        two.relied(0);
+        two.wait_for_peers(0);
         let rss = resident_kb(two.program(0).child.id());
         let begun = Instant::now();
         two.start(1);
-        two.until(1, |s| s["sessions"].as_u64() >= Some(sessions) && s["relies_on_all"] == true);
+        two.wait_for_status(1, |s| s["sessions"].as_u64() >= Some(sessions) && s["relies_on_all"] == true);
         let peer = begun.elapsed().as_millis();
         if sessions == 0 {
             empty = rss;
--- a/tests/common/instances.rs
+++ b/tests/common/instances.rs
@@ -5,39 +5,52 @@
 use mysql::{Conn, OptsBuilder};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 use test_servers::replication_group::ReplicationGroup;
 
 pub use crate::common::ports;
 
-/// How instances keep what sessions must see.
+/// Where instances hold what sessions must see, beside their memory.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Keeping {
-    /// On disk and among peers.
-    Whole,
-    /// Among peers alone.
+pub enum Persistence {
+    /// On disk and at peers.
+    DiskAndPeers,
+    /// At peers alone.
     Peers,
     /// On disk alone.
     Disk,
-    /// The floor after a start, and nothing else.
-    Floor,
-    /// Not at all: what is lost with a process is believed away.
-    Nothing,
+    /// Nowhere: after a start a floor covers what is not known.
+    FloorOnly,
+    /// Nowhere, and nothing covers what is lost with a process.
+    None,
+}
+
+/// More keys of an instance's file.
+#[derive(Clone, Default)]
+pub struct ExtraKeys {
+    /// Of `[mysql]`.
+    pub mysql: String,
+    /// Of `[sessions]`.
+    pub sessions: String,
+}
+
+/// An instance's process, and where it listens for clients.
+pub struct RunningInstance {
+    pub program: Program,
+    pub address: SocketAddr,
 }
 
 pub struct Instances {
-    pub fleet: ReplicationGroup,
+    pub servers: ReplicationGroup,
     pub folder: Folder,
-    pub keeping: Keeping,
+    pub persistence: Persistence,
     /// Where each one listens for its peers.
-    pub listen: Vec<SocketAddr>,
-    /// Where each one finds each peer.
-    pub finds: Vec<Vec<SocketAddr>>,
-    /// More keys of `[mysql]` and `[sessions]` for each one.
-    pub more: Vec<(String, String)>,
-    pub running: Vec<Option<(Program, SocketAddr)>>,
+    pub peer_addresses: Vec<SocketAddr>,
+    /// Where each one connects to each peer.
+    pub known_peer_addresses: Vec<Vec<SocketAddr>>,
+    /// More keys for each one's file.
+    pub extra_keys: Vec<ExtraKeys>,
+    pub running: Vec<Option<RunningInstance>>,
 }
 
 pub fn insert(key: &str, n: u64) -> String {
@@ -48,39 +61,63 @@
     format!("SELECT n FROM basket WHERE k = '{key}' /* c=basket-read,s={key} */")
 }
 
-/// What a read gave: the newest item, and which server answered.
-pub type Seen = (u64, String);
+/// What a read returned.
+#[derive(Clone, PartialEq, Eq, Debug)]
+pub struct ReadResult {
+    /// The newest item.
+    pub item: u64,
+    /// Which server answered.
+    pub server: String,
+}
+
+impl ReadResult {
+    pub fn of(item: u64, server: &str) -> ReadResult {
+        ReadResult { item, server: server.into() }
+    }
+
+    pub fn is_from_replica(&self) -> bool {
+        self.server.starts_with("replica")
+    }
+}
 
 impl Instances {
     /// Instances that are set up, not started yet.
-    pub fn new(n: usize, fleet: ReplicationGroup, keeping: Keeping) -> Instances {
-        let listen = ports(n);
+    pub fn new(count: usize, servers: ReplicationGroup, persistence: Persistence) -> Instances {
+        let peer_addresses = ports(count);
         Instances {
-            fleet,
+            servers,
             folder: Folder::new(),
-            keeping,
-            finds: vec![listen.clone(); n],
-            listen,
-            more: vec![Default::default(); n],
-            running: (0..n).map(|_| None).collect(),
+            persistence,
+            known_peer_addresses: vec![peer_addresses.clone(); count],
+            peer_addresses,
+            extra_keys: vec![ExtraKeys::default(); count],
+            running: (0..count).map(|_| None).collect(),
         }
     }
 
-    pub fn started(n: usize, fleet: ReplicationGroup, keeping: Keeping) -> Instances {
-        let mut all = Instances::new(n, fleet, keeping);
-        (0..n).for_each(|i| all.start(i));
-        (0..n).for_each(|i| all.relied(i));
+    /// Instances that run and rely on each other.
+    pub fn started(count: usize, servers: ReplicationGroup, persistence: Persistence) -> Instances {
+        let mut all = Instances::new(count, servers, persistence);
+        all.start_all();
         all
     }
 
-    pub fn kept_in(&self, i: usize) -> PathBuf {
+    /// Starts every instance and waits until they rely on each other.
+    pub fn start_all(&mut self) {
+        let count = self.peer_addresses.len();
+        (0..count).for_each(|i| self.start(i));
+        (0..count).for_each(|i| self.wait_for_peers(i));
+    }
+
+    /// An instance's folder for its journal.
+    pub fn journal_folder(&self, i: usize) -> PathBuf {
         self.folder.path().join(format!("kept-{i}"))
     }
 
     /// Writes an instance's file, with these peers.
-    pub fn file(&self, i: usize, peers: &[usize]) -> PathBuf {
+    pub fn write_config(&self, i: usize, peers: &[usize]) -> PathBuf {
         let server = |(name, addr)| format!("[[mysql.server]]\nid = '{name}'\naddr = '{addr}'\n");
-        let servers: String = self.fleet.servers().into_iter().map(server).collect();
+        let servers: String = self.servers.servers().into_iter().map(server).collect();
         let class = |name, freshness, effect| {
             format!(
                 "[[mysql.class]]\nname = '{name}'\nfreshness = '{freshness}'\neffect = '{effect}'\naim_ms = 2000\n\
@@ -88,54 +125,63 @@
             )
         };
         let classes = class("basket-read", "session", "safe") + &class("basket-add", "write", "unsafe");
-        let peer =
-            |p: &usize| format!("[[sessions.peer]]\ninstance = {}\naddr = '{}'\n", p + 1, self.finds[i][*p]);
-        let peers: String = match self.keeping {
-            Keeping::Whole | Keeping::Peers => peers.iter().filter(|p| **p != i).map(peer).collect(),
+        let peer = |p: &usize| {
+            format!(
+                "[[sessions.peer]]\ninstance = {}\naddr = '{}'\n",
+                p + 1,
+                self.known_peer_addresses[i][*p]
+            )
+        };
+        let peers: String = match self.persistence {
+            Persistence::DiskAndPeers | Persistence::Peers => {
+                peers.iter().filter(|p| **p != i).map(peer).collect()
+            }
             _ => String::new(),
         };
-        let keeps = match self.keeping {
-            Keeping::Whole | Keeping::Disk => format!("folder = '{}'\n", self.kept_in(i).display()),
-            Keeping::Peers | Keeping::Floor => String::new(),
-            Keeping::Nothing => "after_start = 'trust'\n".into(),
+        let persistence_keys = match self.persistence {
+            Persistence::DiskAndPeers | Persistence::Disk => {
+                format!("folder = '{}'\n", self.journal_folder(i).display())
+            }
+            Persistence::Peers | Persistence::FloorOnly => String::new(),
+            Persistence::None => "after_start = 'trust'\n".into(),
         };
-        let (mysql, sessions) = &self.more[i];
+        let ExtraKeys { mysql, sessions } = &self.extra_keys[i];
         let text = format!(
             "[mysql]\nlisten = '127.0.0.1:0'\ndatabase = 'shop'\nserver_user = 'router'\nprobe = 'SELECT probe'\n\
              server_clock = true\nclock_skew_ms = 1\n{mysql}\n[[mysql.user]]\nname = 'till'\npassword = 'secret'\n\
-             {classes}{servers}[sessions]\ninstance = {}\nlisten = '{}'\n{keeps}{sessions}\n{peers}",
+             {classes}{servers}[sessions]\ninstance = {}\nlisten = '{}'\n{persistence_keys}{sessions}\n{peers}",
             i + 1,
-            self.listen[i]
+            self.peer_addresses[i]
         );
         self.folder.write(&format!("instance-{i}.toml"), &text)
     }
 
     /// Waits until every instance sends a new session's reads to replicas, and stops replication then: whatever is
     /// written from now on is on the primary alone.
-    pub fn settle(&mut self) {
+    pub fn freeze_replicas(&mut self) {
         for i in 0..self.running.len() {
             let (mut client, begun) = (self.client(i), Instant::now());
-            while !read(&mut client, "nobody").unwrap().1.starts_with("replica") {
+            while !read(&mut client, "nobody").unwrap().is_from_replica() {
                 assert!(begun.elapsed() < LONG);
             }
         }
-        self.fleet.stop_replication();
+        self.servers.stop_replication();
     }
 
     pub fn start(&mut self, i: usize) {
-        let all: Vec<usize> = (0..self.listen.len()).collect();
-        let path = self.file(i, &all);
+        let all: Vec<usize> = (0..self.peer_addresses.len()).collect();
+        let path = self.write_config(i, &all);
         let mut program = Program::start(&["serve", path.to_str().unwrap()], &[]);
-        let addr = program.listening();
-        self.running[i] = Some((program, addr));
+        let address = program.listening();
+        self.running[i] = Some(RunningInstance { program, address });
     }
 
     pub fn program(&mut self, i: usize) -> &mut Program {
-        &mut self.running[i].as_mut().unwrap().0
+        &mut self.running[i].as_mut().unwrap().program
     }
 
     /// Waits until an instance relies on all its peers.
-    pub fn relied(&mut self, i: usize) {
+    pub fn wait_for_peers(&mut self, i: usize) {
         self.program(i).logged("session peers up to date");
     }
 
@@ -144,30 +190,35 @@
         self.running[i] = None;
     }
 
-    pub fn addr(&self, i: usize) -> SocketAddr {
-        self.running[i].as_ref().unwrap().1
+    pub fn address(&self, i: usize) -> SocketAddr {
+        self.running[i].as_ref().unwrap().address
     }
 
     pub fn client(&self, i: usize) -> Conn {
-        connect(self.addr(i)).unwrap()
+        connect(self.address(i)).unwrap()
     }
 
-    /// What an instance says of itself.
-    pub fn shown(&self, i: usize) -> serde_json::Value {
-        let (code, out) = Program::start(&["sessions", "show", &self.listen[i].to_string()], &[]).ended();
+    /// An instance's status.
+    pub fn status(&self, i: usize) -> serde_json::Value {
+        let (code, out) =
+            Program::start(&["sessions", "show", &self.peer_addresses[i].to_string()], &[]).ended();
         assert_eq!(code, Some(0));
         serde_json::from_str(&out).unwrap()
     }
 
-    /// Asks an instance until what it says of itself is so; only a failure takes long.
-    pub fn until(&self, i: usize, is: impl Fn(&serde_json::Value) -> bool) -> serde_json::Value {
+    /// Polls an instance's status until it is as wanted; only a failure takes long.
+    pub fn wait_for_status(
+        &self,
+        i: usize,
+        is_wanted: impl Fn(&serde_json::Value) -> bool,
+    ) -> serde_json::Value {
         let begun = Instant::now();
         loop {
-            let shown = self.shown(i);
-            if is(&shown) {
-                return shown;
+            let status = self.status(i);
+            if is_wanted(&status) {
+                return status;
             }
-            assert!(begun.elapsed() < LONG, "{shown}");
+            assert!(begun.elapsed() < LONG, "{status}");
         }
     }
 }
@@ -178,105 +229,11 @@
     Conn::new(at.tcp_connect_timeout(Some(Duration::from_secs(2))).read_timeout(Some(LONG)))
 }
 
-pub fn read(client: &mut Conn, key: &str) -> mysql::Result<Seen> {
-    let (n, by): (String, String) = client.query_first(select(key))?.unwrap();
-    Ok((n.parse().unwrap(), by))
+pub fn read(client: &mut Conn, key: &str) -> mysql::Result<ReadResult> {
+    let (item, server): (String, String) = client.query_first(select(key))?.unwrap();
+    Ok(ReadResult { item: item.parse().unwrap(), server })
 }
 
 pub fn write(client: &mut Conn, key: &str, n: u64) -> mysql::Result<()> {
     client.query_drop(insert(key, n))
 }
-
-/// Reads that follow each write of a session in a loop of kills.
-const READS: usize = 10;
-
-/// What a loop of kills found.
-#[derive(Default, Debug)]
-pub struct Found {
-    pub kills: u64,
-    pub writes: u64,
-    pub reads: u64,
-    /// Reads that showed less than their session had been told.
-    pub missed: u64,
-    /// Reads that a replica answered.
-    pub by_replicas: u64,
-    pub errors: u64,
-}
-
-/// Kills and restarts instances one after the other while sessions write and read; `wander`: each session goes to
-/// another instance for every statement.
-pub fn restart_loop(instances: &mut Instances, kills: u64, sessions: usize, wander: bool) -> Found {
-    let n = instances.listen.len();
-    let addrs: Arc<Vec<AtomicU64>> =
-        Arc::new((0..n).map(|i| AtomicU64::new(u64::from(instances.addr(i).port()))).collect());
-    let done = Arc::new(AtomicBool::new(false));
-    let (step_done, steps) = std::sync::mpsc::sync_channel::<()>(1024);
-    let session = |s: usize| {
-        let (addrs, done, step_done) = (addrs.clone(), done.clone(), step_done.clone());
-        std::thread::spawn(move || {
-            let (key, mut found, mut told, mut next) = (format!("member-{s}"), Found::default(), 0, 0);
-            let mut open: Vec<Option<(u64, Conn)>> = (0..n).map(|_| None).collect();
-            let mut at = s % n;
-            while !done.load(Ordering::Relaxed) {
-                next += 1;
-                for step in 0..=READS {
-                    if wander {
-                        at = (at + 1 + (next as usize + step) % 2) % n;
-                    }
-                    let port = addrs[at].load(Ordering::Relaxed);
-                    if open[at].as_ref().is_none_or(|(p, _)| *p != port) {
-                        open[at] = connect(([127, 0, 0, 1], port as u16).into()).ok().map(|c| (port, c));
-                    }
-                    let Some((_, conn)) = &mut open[at] else {
-                        found.errors += 1;
-                        // The instance is down: the next one may not be.
-                        std::thread::yield_now();
-                        continue;
-                    };
-                    let ended = if step == 0 {
-                        let ended = write(conn, &key, next);
-                        if ended.is_ok() {
-                            (told, found.writes) = (next, found.writes + 1);
-                        }
-                        ended
-                    } else {
-                        read(conn, &key).map(|(seen, by)| {
-                            found.reads += 1;
-                            found.missed += u64::from(seen < told);
-                            found.by_replicas += u64::from(by != "primary");
-                        })
-                    };
-                    if ended.is_ok() {
-                        _ = step_done.try_send(());
-                    }
-                    if ended.is_err() {
-                        found.errors += 1;
-                        open[at] = None;
-                    }
-                }
-            }
-            found
-        })
-    };
-    let threads: Vec<_> = (0..sessions).map(session).collect();
-    let mut total = Found::default();
-    for k in 0..kills {
-        let i = k as usize % n;
-        instances.kill(i);
-        instances.start(i);
-        addrs[i].store(u64::from(instances.addr(i).port()), Ordering::Relaxed);
-        total.kills += 1;
-        // The sessions go on in between.
-        (0..30).for_each(|_| steps.recv_timeout(LONG).unwrap());
-    }
-    done.store(true, Ordering::Relaxed);
-    for t in threads {
-        let f = t.join().unwrap();
-        total.writes += f.writes;
-        total.reads += f.reads;
-        total.missed += f.missed;
-        total.by_replicas += f.by_replicas;
-        total.errors += f.errors;
-    }
-    total
-}
