--- a/simulator/src/world/sessions.rs
+++ b/simulator/src/world/sessions.rs
@@ -32,7 +32,7 @@
                 self.send_to_peer(router, peer as usize, PeerMessage::Push(push));
             }
             SessionAction::SendSnapshot { peer, seq: sequence } => {
-                self.push_all(router, peer as usize, sequence)
+                self.push_all(router, peer as usize, sequence);
             }
             SessionAction::Accept { peer, incarnation, last_seq: position } => {
                 self.send_to_peer(router, peer as usize, PeerMessage::Welcome { incarnation, position });
@@ -41,7 +41,7 @@
                 self.send_to_peer(router, peer as usize, PeerMessage::Confirm { sequence });
             }
             SessionAction::RequestLease { peer, requested_at: at } => {
-                self.send_to_peer(router, peer as usize, PeerMessage::Ask { at })
+                self.send_to_peer(router, peer as usize, PeerMessage::Ask { at });
             }
             SessionAction::Disconnect { peer } => {
                 self.disconnect_peer(PeerConnection { from: peer as usize, to: router });
