--- a/benches/sessions.rs
+++ b/benches/sessions.rs
@@ -4,14 +4,17 @@
 mod common;
 #[path = "../tests/common/instances.rs"]
 mod instances;
+#[path = "../tests/common/restart_loop.rs"]
+mod restart_loop;
 mod support;
 
 use common::LONG;
 use hdrhistogram::Histogram;
-use instances::{Instances, Keeping, connect, read, restart_loop, write};
+use instances::{Instances, Persistence, connect, read, write};
 use mysql::prelude::Queryable;
-use sessions::Key;
-use sessions::journal::{self, Whole};
+use restart_loop::{SessionPath, restart_loop};
+use sessions::SessionKey;
+use sessions::journal::{self, Checkpoint};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -52,9 +55,9 @@
 /// An arm of the loop of kills.
 struct KillArm {
     name: &'static str,
-    keeping: Keeping,
-    /// Whether sessions go from instance to instance.
-    wander: bool,
+    persistence: Persistence,
+    /// Which instances a session goes to.
+    path: SessionPath,
     kills: u64,
 }
 
@@ -63,17 +66,37 @@
     println!("loop: SIGKILLs while {LOOP_SESSIONS} sessions write and read, replicas 1 s and 2 s behind");
     println!("{:<28}{:>7}{:>9}{:>9}{:>9}{:>14}", "kept", "kills", "writes", "reads", "missed", "by replicas");
     let arms = [
-        KillArm { name: "disk and peers, wandering", keeping: Keeping::Whole, wander: true, kills: 300 },
-        KillArm { name: "peers alone, wandering", keeping: Keeping::Peers, wander: true, kills: 60 },
-        KillArm { name: "floor alone, staying", keeping: Keeping::Floor, wander: false, kills: 60 },
-        KillArm { name: "nothing, staying", keeping: Keeping::Nothing, wander: false, kills: 60 },
+        KillArm {
+            name: "disk and peers, wandering",
+            persistence: Persistence::DiskAndPeers,
+            path: SessionPath::Wandering,
+            kills: 300,
+        },
+        KillArm {
+            name: "peers alone, wandering",
+            persistence: Persistence::Peers,
+            path: SessionPath::Wandering,
+            kills: 60,
+        },
+        KillArm {
+            name: "floor alone, staying",
+            persistence: Persistence::FloorOnly,
+            path: SessionPath::Staying,
+            kills: 60,
+        },
+        KillArm {
+            name: "nothing, staying",
+            persistence: Persistence::None,
+            path: SessionPath::Staying,
+            kills: 60,
+        },
     ];
-    for KillArm { name, keeping, wander, kills } in arms {
-        let mut instances = Instances::started(3, start_nodes(&[1000, 2000]), keeping);
-        let counts = restart_loop(&mut instances, kills, LOOP_SESSIONS, wander);
+    for KillArm { name, persistence, path, kills } in arms {
+        let mut instances = Instances::started(3, start_nodes(&[1000, 2000]), persistence);
+        let counts = restart_loop(&mut instances, kills, LOOP_SESSIONS, path);
         println!(
             "{name:<28}{:>7}{:>9}{:>9}{:>9}{:>14}",
-            counts.kills, counts.writes, counts.reads, counts.missed, counts.by_replicas
+            counts.kills, counts.writes, counts.reads, counts.missed_writes, counts.replica_reads
         );
     }
 }
@@ -133,7 +156,7 @@
 /// An arm of the measurement of offloading.
 struct OffloadArm {
     name: &'static str,
-    keeping: Keeping,
+    persistence: Persistence,
     /// The class of reads after the restart.
     class: &'static str,
 }
@@ -146,12 +169,20 @@
         let arms = [
             OffloadArm {
                 name: "all to the primary until warm",
-                keeping: Keeping::Floor,
+                persistence: Persistence::FloorOnly,
                 class: "basket-fresh",
             },
-            OffloadArm { name: "floor after the start", keeping: Keeping::Floor, class: "basket-read" },
-            OffloadArm { name: "journal, alone", keeping: Keeping::Disk, class: "basket-read" },
-            OffloadArm { name: "journal and two peers", keeping: Keeping::Whole, class: "basket-read" },
+            OffloadArm {
+                name: "floor after the start",
+                persistence: Persistence::FloorOnly,
+                class: "basket-read",
+            },
+            OffloadArm { name: "journal, alone", persistence: Persistence::Disk, class: "basket-read" },
+            OffloadArm {
+                name: "journal and two peers",
+                persistence: Persistence::DiskAndPeers,
+                class: "basket-read",
+            },
         ];
         for arm in arms {
             measure_offload_arm(&arm, lags, text);
@@ -160,22 +191,22 @@
 }
 
 fn measure_offload_arm(arm: &OffloadArm, lags_ms: [u64; 2], lag_text: &str) {
-    let count = if arm.keeping == Keeping::Whole { 3 } else { 1 };
-    let mut instances = Instances::new(count, start_nodes(&lags_ms), arm.keeping);
-    for keys in &mut instances.more {
-        keys.0 = "[[mysql.class]]\nname = 'basket-fresh'\nfreshness = 'fresh'\neffect = 'safe'\n\
+    let count = if arm.persistence == Persistence::DiskAndPeers { 3 } else { 1 };
+    let mut instances = Instances::new(count, start_nodes(&lags_ms), arm.persistence);
+    for keys in &mut instances.extra_keys {
+        keys.mysql = "[[mysql.class]]\nname = 'basket-fresh'\nfreshness = 'fresh'\neffect = 'safe'\n\
                   aim_ms = 2000\ndeadline_ms = 4000\n"
             .into();
     }
     (0..count).for_each(|instance| instances.start(instance));
-    (0..count).for_each(|instance| instances.relied(instance));
+    (0..count).for_each(|instance| instances.wait_for_peers(instance));
     // The replicas have to pass the floor of the very first start.
     std::thread::sleep(Duration::from_millis(lags_ms[1] + FLOOR_SLACK_MS));
     // The steady state is that of the same class in all arms.
-    let steady = count_reads(instances.addr(0), "basket-read");
+    let steady = count_reads(instances.address(0), "basket-read");
     instances.kill(0);
     instances.start(0);
-    let restarted = count_reads(instances.addr(0), arm.class);
+    let restarted = count_reads(instances.address(0), arm.class);
     println!(
         "{:<44}{:>13.1}%{:>13.1}%{:>12}",
         format!("{}, {lag_text}", arm.name),
@@ -193,13 +224,13 @@
 }
 
 impl CostArm {
-    fn start(name: &'static str, keeping: Keeping, count: usize) -> CostArm {
-        let instances = Instances::started(count, start_nodes(&[20]), keeping);
+    fn start(name: &'static str, persistence: Persistence, count: usize) -> CostArm {
+        let instances = Instances::started(count, start_nodes(&[20]), persistence);
         CostArm { name, instances, latencies: Histogram::new(3).expect("three digits are allowed") }
     }
 
     fn run_round(&mut self) {
-        let router = self.instances.addr(0);
+        let router = self.instances.address(0);
         let start_client = |client| std::thread::spawn(move || time_writes(router, client));
         let clients: Vec<_> = (0..COST_CLIENTS).map(start_client).collect();
         for client in clients {
@@ -228,10 +259,10 @@
         "cost: microseconds of a write, {COST_CLIENTS} clients with 12 ms between writes, arms in turns"
     );
     let mut arms = [
-        CostArm::start("nothing kept", Keeping::Nothing, 1),
-        CostArm::start("peers", Keeping::Peers, 3),
-        CostArm::start("journal", Keeping::Disk, 1),
-        CostArm::start("journal and peers", Keeping::Whole, 3),
+        CostArm::start("nothing kept", Persistence::None, 1),
+        CostArm::start("peers", Persistence::Peers, 3),
+        CostArm::start("journal", Persistence::Disk, 1),
+        CostArm::start("journal and peers", Persistence::DiskAndPeers, 3),
     ];
     for _ in 0..COST_ROUNDS {
         arms.iter_mut().for_each(CostArm::run_round);
@@ -242,7 +273,7 @@
         let (p50, p99) = (latencies.value_at_quantile(0.5), latencies.value_at_quantile(0.99));
         println!("{name:<22}{p50:>9}{p99:>9}{:>9}{:>9.2}", latencies.max(), p50 as f64 / baseline);
     }
-    let journal = arms[2].instances.shown(0);
+    let journal = arms[2].instances.status(0);
     println!("journal: {} commits in {} syncs", journal["commits"], journal["syncs"]);
 }
 
@@ -252,17 +283,18 @@
     println!("{:<16}{:>12}{:>12}{:>16}{:>14}", "sessions", "start ms", "RSS MB", "bytes/session", "peer ms");
     let mut empty_kb = 0;
     for sessions in [0, 10_000, 100_000, 1_000_000] {
-        let mut instances = Instances::new(2, start_nodes(&[20]), Keeping::Whole);
+        let mut instances = Instances::new(2, start_nodes(&[20]), Persistence::DiskAndPeers);
         write_journal(&instances, sessions);
         let begin = Instant::now();
         instances.start(0);
         let start_ms = begin.elapsed().as_millis();
-        instances.relied(0);
+        instances.wait_for_peers(0);
         let resident_kb = process_status(instances.program(0).child.id(), "VmRSS:");
         let begin = Instant::now();
         instances.start(1);
-        instances
-            .until(1, |shown| shown["sessions"].as_u64() >= Some(sessions) && shown["relies_on_all"] == true);
+        instances.wait_for_status(1, |shown| {
+            shown["sessions"].as_u64() >= Some(sessions) && shown["relies_on_all"] == true
+        });
         let peer_ms = begin.elapsed().as_millis();
         if sessions == 0 {
             empty_kb = resident_kb;
@@ -277,10 +309,11 @@
 
 /// Writes a journal with so many sessions for the first instance.
 fn write_journal(instances: &Instances, sessions: u64) {
-    let entry = |n: u64| (Key(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)), decision::Time(n as i64 + 1));
-    let entries: Vec<(Key, decision::Time)> = (0..sessions).map(entry).collect();
-    let checkpoint = Whole { instance: 1, incarnation: 1, entries: &entries, floor: None, incomplete: false };
-    let opened = journal::open(&instances.kept_in(0), 1).expect("the folder is writable");
+    let entry = |n: u64| (SessionKey(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)), decision::Time(n as i64 + 1));
+    let entries: Vec<(SessionKey, decision::Time)> = (0..sessions).map(entry).collect();
+    let checkpoint =
+        Checkpoint { instance: 1, incarnation: 1, entries: &entries, floor: None, incomplete: false };
+    let opened = journal::open(&instances.journal_folder(0), 1).expect("the folder is writable");
     drop(opened.begin(&checkpoint).expect("the folder is writable"));
 }
 
