--- a/audit/src/record_writer.rs
+++ b/audit/src/record_writer.rs
@@ -119,8 +119,8 @@
             self.latest.get(&entry.router)
                 == Some(&LatestEntry { batch_seq: replaced.seq, since: entry.since })
         };
-        let kept = replaced.entries.iter().filter(|entry| is_latest(entry) && is_live(&entry.router));
-        kept.cloned().collect()
+        let carried_over = replaced.entries.iter().filter(|entry| is_latest(entry) && is_live(&entry.router));
+        carried_over.cloned().collect()
     }
 
     fn move_pending_to(&mut self, entries: &mut Vec<Entry>) {
@@ -149,9 +149,10 @@
         if let Some(replaced) = self.ring.get(&(batch.seq % ring_slots)) {
             // Routers whose latest entry was in the replaced batch and was not carried over have no entry any more.
             let replaced_seq = replaced.seq;
-            let kept: Vec<&str> = batch.entries.iter().map(|entry| entry.router.as_str()).collect();
-            self.latest
-                .retain(|router, latest| latest.batch_seq != replaced_seq || kept.contains(&router.as_str()));
+            let router_names: Vec<&str> = batch.entries.iter().map(|entry| entry.router.as_str()).collect();
+            self.latest.retain(|router, latest| {
+                latest.batch_seq != replaced_seq || router_names.contains(&router.as_str())
+            });
         }
         self.insert(batch, ring_slots);
     }
--- a/audit/src/tracker.rs
+++ b/audit/src/tracker.rs
@@ -101,7 +101,7 @@
             btree_map::Entry::Vacant(_) if is_full => {
                 return Directive::FenceOut { epoch: report.details.epoch };
             }
-            btree_map::Entry::Vacant(unknown) => unknown.insert(RouterState::first_seen(now, report)),
+            btree_map::Entry::Vacant(unknown) => unknown.insert(RouterState::from_first_report(now, report)),
         };
         let mut handler = ReportHandler {
             now,
--- a/audit/src/tracker/router.rs
+++ b/audit/src/tracker/router.rs
@@ -36,7 +36,7 @@
 
 impl RouterState {
     /// A router that reports for the first time.
-    pub(super) fn first_seen(now: Time, report: &ReceivedReport) -> RouterState {
+    pub(super) fn from_first_report(now: Time, report: &ReceivedReport) -> RouterState {
         RouterState {
             incarnation: report.incarnation,
             version: report.version,
--- a/client-listener/src/connection/reader.rs
+++ b/client-listener/src/connection/reader.rs
@@ -29,7 +29,7 @@
         match peek(&self.socket) {
             Ok(0) => SocketState::Disconnected,
             Ok(_) => SocketState::Readable,
-            Err(e) if says_nothing(&e) => SocketState::Idle,
+            Err(e) if is_inconclusive(&e) => SocketState::Idle,
             Err(_) => SocketState::Disconnected,
         }
     }
@@ -98,9 +98,9 @@
     }
 }
 
-/// Whether a look at a socket that failed says nothing of the client: nothing has arrived, or the system was short of
-/// memory. A broken connection may show as a time-out, which is no silence here: a look does not wait.
-fn says_nothing(error: &io::Error) -> bool {
+/// Whether a failed peek at a socket is inconclusive about the client: nothing has arrived, or the system was short of
+/// memory. A broken connection may show as a timeout, which is conclusive here: a peek does not wait.
+fn is_inconclusive(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::OutOfMemory)
         || error.raw_os_error() == Some(libc::ENOBUFS)
 }
--- a/client-listener/src/server/accept.rs
+++ b/client-listener/src/server/accept.rs
@@ -22,7 +22,7 @@
 const EVICTION_BATCH: usize = 8;
 
 /// How long a connection waits for a thread. Its first request may have been sent already, and its time runs.
-const THREAD_PATIENCE: Duration = Duration::from_millis(250);
+const THREAD_START_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How often threads are tried for while connections wait for one.
 const THREAD_RETRY_INTERVAL: Duration = Duration::from_millis(5);
@@ -135,7 +135,7 @@
         let started =
             spawn_with_retry("client", self.limits.socket_thread_stack_bytes, Duration::ZERO, serve);
         let Err(failed) = started else { return None };
-        if since.elapsed() < THREAD_PATIENCE {
+        if since.elapsed() < THREAD_START_TIMEOUT {
             return Some(WithoutThread { connection, address, serve: failed.run, since });
         }
         tracing::error!(%address, error = %failed.source, "client thread not started, connection rejected");
--- a/discovery/src/connection.rs
+++ b/discovery/src/connection.rs
@@ -172,8 +172,8 @@
     /// The state behind a whole response head.
     fn begin_body(&mut self) -> Result<State, ConnectionError> {
         let State::ReadingHead(head) = &mut self.state else { return Err(ConnectionError::Closed) };
-        let read_so_far = Cursor::new(std::mem::take(head));
-        let rest = read_so_far.chain(SharedSocket(self.socket.clone()));
+        let received_head = Cursor::new(std::mem::take(head));
+        let rest = received_head.chain(SharedSocket(self.socket.clone()));
         let response = Response::read(BufReader::with_capacity(READ_BUFFER_BYTES, rest))?;
         if response.status != 200 {
             return Err(ConnectionError::UnexpectedStatus(response.status));
--- a/discovery/src/liveness.rs
+++ b/discovery/src/liveness.rs
@@ -197,13 +197,13 @@
     }
 
     fn follow(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let kept = self.representative();
-        self.close_where(actions, |c| Some(c.id) != kept);
+        let representative = self.representative();
+        self.close_where(actions, |c| Some(c.id) != representative);
         for connection in &mut self.connections {
             connection.to_current_address = false;
         }
         self.is_following = true;
-        self.previous_address_until = kept.map(|_| now + self.settings.previous_address_grace);
+        self.previous_address_until = representative.map(|_| now + self.settings.previous_address_grace);
         self.outage_since = Some(now);
         // Changes of address that come fast, as signals may, open no more connections than an outage does.
         let min_interval = self.settings.min_open_interval;
--- a/fleet/src/document/write.rs
+++ b/fleet/src/document/write.rs
@@ -9,10 +9,10 @@
 use store::client::{Client, ClientError, UpdateOptions};
 use store::wire::Consistency;
 
-/// Documents that are kept, the current one included, within [`MAX_KEPT_BYTES`].
-const MAX_KEPT_DOCUMENTS: usize = 8;
-/// Bytes of all kept documents together. The current one and the one before it are kept whatever they have.
-const MAX_KEPT_BYTES: usize = 3 << 20;
+/// Documents that are retained, the current one included, within [`MAX_RETAINED_BYTES`].
+const MAX_RETAINED_DOCUMENTS: usize = 8;
+/// Bytes of all retained documents together. The current one and the one before it are retained whatever they have.
+const MAX_RETAINED_BYTES: usize = 3 << 20;
 /// The prefix of the keys under which the store lists servers.
 const SERVER_KEY_PREFIX: &str = "server/";
 
@@ -23,7 +23,7 @@
     /// The document's version; 0 where there is none.
     version: Version,
     /// `None` where there is none, or where it cannot be read: it is replaced as any other then, but what it pointed at
-    /// is not kept.
+    /// is not retained.
     pointer: Option<Pointer>,
 }
 
@@ -56,7 +56,7 @@
         return Err(DocumentError::VersionConflict { expected, found: found.version });
     }
     let metadata = put_parts(client, text, note)?;
-    let previous = found.pointer.map_or_else(Vec::new, |p| kept_documents(&metadata, found.version, p));
+    let previous = found.pointer.map_or_else(Vec::new, |p| retained_documents(&metadata, found.version, p));
     let pointer = Pointer { current: metadata, previous };
     let version = set_pointer(client, &pointer, found.key_version, expected)?;
     // The document is current by now. Parts that remain only take space, and the next writer tries again.
@@ -98,21 +98,21 @@
     Ok(metadata)
 }
 
-/// The documents of the replaced pointer that are kept beside the new document, the latest first. The latest is kept
+/// The documents of the replaced pointer that are retained beside the new document, the latest first. The latest is retained
 /// whatever its length, because an undo goes back to it.
-fn kept_documents(new: &Metadata, replaced_version: Version, replaced: Pointer) -> Vec<PreviousDocument> {
+fn retained_documents(new: &Metadata, replaced_version: Version, replaced: Pointer) -> Vec<PreviousDocument> {
     let latest = PreviousDocument { version: replaced_version, metadata: replaced.current };
     let mut total_bytes = new.length;
-    let mut kept = Vec::new();
+    let mut retained = Vec::new();
     for document in iter::once(latest).chain(replaced.previous) {
         total_bytes += document.metadata.length;
-        let fits = kept.len() + 1 < MAX_KEPT_DOCUMENTS && total_bytes <= MAX_KEPT_BYTES;
-        if !kept.is_empty() && !fits {
+        let fits = retained.len() + 1 < MAX_RETAINED_DOCUMENTS && total_bytes <= MAX_RETAINED_BYTES;
+        if !retained.is_empty() && !fits {
             break;
         }
-        kept.push(document);
+        retained.push(document);
     }
-    kept
+    retained
 }
 
 /// Sets the pointer where its key still has `key_version`, and returns the document's version.
@@ -138,7 +138,7 @@
     }
 }
 
-/// Deletes the parts of documents that are no longer kept. Parts that were written after this pointer, which has
+/// Deletes the parts of documents that are no longer retained. Parts that were written after this pointer, which has
 /// `version`, belong to a writer in progress; one that wrote its parts before will fail to set its pointer.
 fn delete_unreferenced_parts(
     client: &Client,
@@ -146,10 +146,10 @@
     version: Version,
 ) -> Result<(), ClientError> {
     let previous = pointer.previous.iter().map(|document| &document.metadata);
-    let kept: BTreeSet<&str> =
+    let retained: BTreeSet<&str> =
         previous.chain([&pointer.current]).map(|metadata| metadata.content_hash.as_str()).collect();
     for (key, value) in client.list(parts::KEY_PREFIX, Consistency::Linearizable)?.value {
-        if kept.contains(parts::hash_of_key(&key)) || value.revision > version {
+        if retained.contains(parts::hash_of_key(&key)) || value.revision > version {
             continue;
         }
         match client
@@ -165,7 +165,7 @@
 /// Makes the previous document the current one again, under a new version, and returns that version.
 ///
 /// # Errors
-/// [`DocumentError::NoPrevious`] where none is kept, and the errors of [`write()`].
+/// [`DocumentError::NoPrevious`] where none is retained, and the errors of [`write()`].
 pub fn undo(client: &Client, note: &str) -> Result<Version, DocumentError> {
     let (pointer, current_version) = read_pointer(client)?.ok_or(DocumentError::NoPrevious)?;
     let previous = pointer.previous.first().ok_or(DocumentError::NoPrevious)?;
--- a/membership/src/live_router_count.rs
+++ b/membership/src/live_router_count.rs
@@ -61,7 +61,7 @@
     others: BTreeMap<String, Option<Duration>>,
     /// Until when the whole fleet counts after the start; `None` when that is over.
     starting_until: Option<Duration>,
-    heard_others: bool,
+    others_discovered: bool,
     changes_lost: bool,
     reported: Option<u32>,
     timer: Option<Duration>,
@@ -74,7 +74,7 @@
             settings,
             others: BTreeMap::new(),
             starting_until: Some(now + settings.settle_time),
-            heard_others: false,
+            others_discovered: false,
             changes_lost: false,
             reported: None,
             timer: None,
@@ -101,9 +101,9 @@
             Event::Timer => self.handle_timer(now),
             Event::ChangesLost => self.changes_lost = true,
         }
-        if !self.heard_others && !self.others.is_empty() {
+        if !self.others_discovered && !self.others.is_empty() {
             // The first snapshot may be of a part of the fleet.
-            self.heard_others = true;
+            self.others_discovered = true;
             self.starting_until = self.starting_until.map(|_| settled_at);
         }
         self.report_count(actions);
@@ -136,7 +136,7 @@
 
     /// Whether the start ends by time alone: until an expected other router is seen, it does not.
     fn start_may_end(&self) -> bool {
-        self.heard_others || !self.settings.expects_others
+        self.others_discovered || !self.settings.expects_others
     }
 
     fn report_count(&mut self, actions: &mut Vec<Action>) {
--- a/quotas/src/allocator/allocation.rs
+++ b/quotas/src/allocator/allocation.rs
@@ -107,7 +107,7 @@
     /// The reserved shares are being restored.
     pub(super) restoring: bool,
     /// How many of the [`RECLAIM_PARTS`] of their reserved shares routers without demand keep.
-    pub(super) kept_parts: u64,
+    pub(super) retained_parts: u64,
 }
 
 impl DemandAllocation {
@@ -123,7 +123,7 @@
             idle_since: None,
             within_reserved: false,
             restoring: false,
-            kept_parts: RECLAIM_PARTS,
+            retained_parts: RECLAIM_PARTS,
         }
     }
 
--- a/quotas/src/allocator/candidate.rs
+++ b/quotas/src/allocator/candidate.rs
@@ -21,15 +21,15 @@
 }
 
 /// The same routers with this many parts of their reserved shares.
-pub(super) fn keep_parts(idle: &[Candidate], parts: u64) -> Vec<Candidate> {
+pub(super) fn retaining_parts(idle: &[Candidate], parts: u64) -> Vec<Candidate> {
     idle.iter()
-        .map(|router| Candidate { reserved: keep_parts_of(router.reserved, parts), ..*router })
+        .map(|router| Candidate { reserved: retained_share(router.reserved, parts), ..*router })
         .collect()
 }
 
-fn keep_parts_of(reserved: Grant, parts: u64) -> Grant {
+fn retained_share(reserved: Grant, parts: u64) -> Grant {
     let lacks_token = reserved.capacity < MICROTOKENS_PER_TOKEN;
-    let capacity = if lacks_token { 0 } else { kept_capacity(reserved, parts) };
+    let capacity = if lacks_token { 0 } else { retained_capacity(reserved, parts) };
     Grant { rate: reserved.rate / RECLAIM_PARTS * parts, capacity }
 }
 
@@ -44,6 +44,6 @@
 }
 
 /// The capacity that a router keeps with this many parts of its reserved share: at least a token.
-pub(super) fn kept_capacity(reserved: Grant, parts: u64) -> u64 {
+pub(super) fn retained_capacity(reserved: Grant, parts: u64) -> u64 {
     (reserved.capacity / RECLAIM_PARTS * parts).max(MICROTOKENS_PER_TOKEN)
 }
--- a/quotas/src/allocator/fair_share.rs
+++ b/quotas/src/allocator/fair_share.rs
@@ -1,6 +1,6 @@
 //! Max-min fair division of a quota among routers with demand.
 use super::allocation::{DemandAllocation, RECLAIM_PARTS};
-use super::candidate::{Candidate, kept_capacity};
+use super::candidate::{Candidate, retained_capacity};
 use crate::grant::{Grant, MICROTOKENS_PER_TOKEN};
 
 /// A router's rate is far above its reserved share if it is more than this many times as high.
@@ -46,13 +46,13 @@
 /// goes by rate.
 pub(super) fn distribute_capacity(live: &[Candidate], wanting: &[usize], total: u64, targets: &mut [Grant]) {
     let needed = needed_capacity(live, targets).min(total / 4 * 3);
-    let sum = |parts: u64| live.iter().map(|router| kept_capacity(router.reserved, parts)).sum::<u64>();
+    let sum = |parts: u64| live.iter().map(|router| retained_capacity(router.reserved, parts)).sum::<u64>();
     let fits = |parts: &u64| sum(*parts).saturating_add(needed) <= total;
     let parts = (1..=RECLAIM_PARTS).rev().find(fits).unwrap_or(0);
     let left = total.saturating_sub(sum(parts));
     let rates = wanting.iter().map(|&position| targets[position].rate).sum::<u64>().max(1);
     for router in live {
-        targets[router.position].capacity = kept_capacity(router.reserved, parts);
+        targets[router.position].capacity = retained_capacity(router.reserved, parts);
     }
     for &position in wanting {
         targets[position].capacity += proportion(left, targets[position].rate, rates);
--- a/quotas/src/allocator/plan.rs
+++ b/quotas/src/allocator/plan.rs
@@ -1,6 +1,6 @@
 //! What each router should have of a tenant's quota.
 use super::allocation::{DemandAllocation, RECLAIM_PARTS, ResponseContext};
-use super::candidate::{Candidate, candidates, keep_parts, one_token_each, sum_reserved};
+use super::candidate::{Candidate, candidates, one_token_each, retaining_parts, sum_reserved};
 use super::fair_share::distribute_capacity;
 use crate::grant::{Grant, MICROTOKENS_PER_TOKEN};
 use crate::time::after;
@@ -71,9 +71,9 @@
         self.rotation = None;
         let (beyond, within): (Vec<_>, Vec<_>) =
             live.iter().copied().partition(|router| self.exceeds_reserved(router));
-        let kept = sum_reserved(&within);
-        self.within_reserved = beyond.is_empty() && kept.fits_within(total);
-        if self.fits_beside(&beyond, kept, total) {
+        let retained = sum_reserved(&within);
+        self.within_reserved = beyond.is_empty() && retained.fits_within(total);
+        if self.fits_beside(&beyond, retained, total) {
             return self.targets_beside_reserved(&beyond, &within, total);
         }
         self.targets_by_demand(&live, total, rotation)
@@ -88,9 +88,9 @@
     }
 
     /// Whether what these routers want fits beside what others keep.
-    fn fits_beside(&self, routers: &[Candidate], kept: Grant, total: Grant) -> bool {
-        one_token_each(routers).saturating_add(kept.capacity) <= total.capacity
-            && self.wanted_rate(routers) + kept.rate <= total.rate
+    fn fits_beside(&self, routers: &[Candidate], retained: Grant, total: Grant) -> bool {
+        one_token_each(routers).saturating_add(retained.capacity) <= total.capacity
+            && self.wanted_rate(routers) + retained.rate <= total.rate
     }
 
     /// Where everything fits, the other routers' reserved shares stay as they are.
@@ -115,7 +115,7 @@
         let mut targets = vec![Grant::NONE; self.parts.len()];
         let (wanting, idle): (Vec<_>, Vec<_>) =
             live.iter().copied().partition(|router| self.parts[router.position].demand > 0);
-        self.update_kept_parts(total.rate.saturating_sub(self.wanted_rate(&wanting)), &idle);
+        self.update_retained_parts(total.rate.saturating_sub(self.wanted_rate(&wanting)), &idle);
         let idle = self.reclaimed(&idle, one_token_each(&wanting), total);
         for router in &idle {
             targets[router.position] = router.reserved;
@@ -130,23 +130,27 @@
 
     /// Decides how many eighths of their reserved shares routers without demand keep. They get them back later than they
     /// give them, so that a wavering demand moves nothing.
-    fn update_kept_parts(&mut self, spare_rate: u64, idle: &[Candidate]) {
+    fn update_retained_parts(&mut self, spare_rate: u64, idle: &[Candidate]) {
         let half_parts = 2 * RECLAIM_PARTS;
         let idle_rate = u128::from(sum_reserved(idle).rate);
         let affordable =
             (u128::from(spare_rate) * u128::from(half_parts)).checked_div(idle_rate).unwrap_or(0);
         let affordable = affordable.min(u128::from(half_parts)) as u64;
-        let returns_part = affordable / 2 > self.kept_parts && affordable < half_parts;
-        self.kept_parts = if returns_part { (affordable - 1) / 2 } else { affordable / 2 };
+        let returns_part = affordable / 2 > self.retained_parts && affordable < half_parts;
+        self.retained_parts = if returns_part { (affordable - 1) / 2 } else { affordable / 2 };
     }
 
     /// What routers without demand keep beside a capacity for the others: as much as fits, or nothing.
     fn reclaimed(&self, idle: &[Candidate], others_capacity: u64, total: Grant) -> Vec<Candidate> {
-        let fits = |kept: &Vec<Candidate>| {
-            let sum = sum_reserved(kept);
+        let fits = |retained: &Vec<Candidate>| {
+            let sum = sum_reserved(retained);
             others_capacity.saturating_add(sum.capacity) <= total.capacity && sum.rate <= total.rate
         };
-        (0..=self.kept_parts).rev().map(|parts| keep_parts(idle, parts)).find(fits).unwrap_or_default()
+        (0..=self.retained_parts)
+            .rev()
+            .map(|parts| retaining_parts(idle, parts))
+            .find(fits)
+            .unwrap_or_default()
     }
 
     /// The positions of the routers that get tokens: all, or where the tokens are fewer, some at a time.
--- a/quotas/src/allocator/report.rs
+++ b/quotas/src/allocator/report.rs
@@ -217,8 +217,8 @@
     /// The router's reserved share from this response on: the one that it has, or a free one.
     fn next_share(&self, position: usize, may_raise: bool) -> Option<ReservedShare> {
         let ShareAssignment { share, version } = self.routers[position].as_ref()?.acknowledged;
-        let kept = share.filter(|share| share.index < self.max_routers);
-        if let Some(share) = kept {
+        let valid_share = share.filter(|share| share.index < self.max_routers);
+        if let Some(share) = valid_share {
             let stays_full = share.full && version == self.version;
             return Some(ReservedShare { full: stays_full || may_raise, ..share });
         }
--- a/store/src/server/watch.rs
+++ b/store/src/server/watch.rs
@@ -23,7 +23,7 @@
 struct WatchProgress {
     revision: u64,
     last_sent: Instant,
-    last_leader_seen: Instant,
+    last_leader_contact: Instant,
 }
 
 impl Connection<'_> {
@@ -35,7 +35,7 @@
             Err(rejection) => return self.send(&Response::Rejected(rejection)),
         };
         let mut progress =
-            WatchProgress { revision, last_sent: Instant::now(), last_leader_seen: Instant::now() };
+            WatchProgress { revision, last_sent: Instant::now(), last_leader_contact: Instant::now() };
         loop {
             self.send_next_changes(prefix, &mut progress)?;
             if progress.last_sent.elapsed() >= self.limits.progress_interval {
@@ -44,8 +44,8 @@
                 progress.last_sent = Instant::now();
             }
             if self.store.known_leader().leader.is_some() {
-                progress.last_leader_seen = Instant::now();
-            } else if progress.last_leader_seen.elapsed() > self.limits.no_leader_timeout {
+                progress.last_leader_contact = Instant::now();
+            } else if progress.last_leader_contact.elapsed() > self.limits.no_leader_timeout {
                 return self.send(&Response::NoLeader);
             }
         }
