--- a/discovery/src/driver.rs
+++ b/discovery/src/driver.rs
@@ -10,7 +10,6 @@
 use crossbeam_channel::Receiver;
 use mio::{Events, Poll, Token, Waker};
 use routing::{EndpointUpdate, UpdateOrder};
-use settings::Limits;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::SocketAddr;
@@ -67,7 +66,7 @@
             poll,
             addr,
             started: Instant::now(),
-            liveness: WatchLiveness::new(liveness_settings(&shared.limits)),
+            liveness: WatchLiveness::new(Settings::from(&*shared.limits)),
             parser: EndpointListParser::new(shared.zones.clone()),
             connections: BTreeMap::new(),
             ready: BTreeSet::new(),
@@ -317,16 +316,3 @@
         self.ready.remove(&id);
     }
 }
-
-fn liveness_settings(limits: &Limits) -> Settings {
-    Settings {
-        stale_after: limits.watch_silence_timeout,
-        first_line_timeout: limits.watch_first_line_timeout,
-        min_open_interval: limits.watch_backoff.min,
-        max_open_interval: limits.watch_backoff.max,
-        previous_address_grace: limits.watch_previous_address_duration,
-        max_pending: limits.max_pending_watches,
-        min_pending_time: limits.new_watch_timeout(),
-        oldest_pending_time: limits.pending_watch_timeout,
-    }
-}
--- a/discovery/src/liveness.rs
+++ b/discovery/src/liveness.rs
@@ -16,6 +16,7 @@
 //!
 //! No I/O, no clock, no threads: the same events at the same times give the same actions.
 
+use settings::Limits;
 use std::time::Duration;
 
 /// The interval between two openings is this fraction of the outage so far, within its bounds.
@@ -47,6 +48,21 @@
     pub oldest_pending_time: Duration,
 }
 
+impl From<&Limits> for Settings {
+    fn from(limits: &Limits) -> Settings {
+        Settings {
+            stale_after: limits.watch_silence_timeout,
+            first_line_timeout: limits.watch_first_line_timeout,
+            min_open_interval: limits.watch_backoff.min,
+            max_open_interval: limits.watch_backoff.max,
+            previous_address_grace: limits.watch_previous_address_duration,
+            max_pending: limits.max_pending_watches,
+            min_pending_time: limits.new_watch_timeout(),
+            oldest_pending_time: limits.pending_watch_timeout,
+        }
+    }
+}
+
 /// What has happened. Events of connections that are closed change nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
--- a/discovery/tests/liveness_outages/world.rs
+++ b/discovery/tests/liveness_outages/world.rs
@@ -19,16 +19,7 @@
 }
 
 fn machine(limits: &Limits) -> WatchLiveness {
-    WatchLiveness::new(Settings {
-        stale_after: limits.watch_silence_timeout,
-        first_line_timeout: limits.watch_first_line_timeout,
-        min_open_interval: limits.watch_backoff.min,
-        max_open_interval: limits.watch_backoff.max,
-        previous_address_grace: limits.watch_previous_address_duration,
-        max_pending: limits.max_pending_watches,
-        min_pending_time: limits.new_watch_timeout(),
-        oldest_pending_time: limits.pending_watch_timeout,
-    })
+    WatchLiveness::new(Settings::from(limits))
 }
 
 struct World {
--- a/registry/src/client/consul_poll.rs
+++ b/registry/src/client/consul_poll.rs
@@ -86,8 +86,7 @@
                 return Ok(leave);
             }
             if !std::mem::replace(&mut is_following, true) {
-                let addr = self.settings.endpoints[endpoint];
-                tracing::info!(%addr, revision, "registry member followed");
+                self.log_followed(endpoint, revision);
             }
             worked();
         }
--- a/registry/src/client/follow.rs
+++ b/registry/src/client/follow.rs
@@ -127,8 +127,7 @@
     ) -> Result<NextStep, RequestError> {
         match member {
             MemberClient::Etcd(etcd) => {
-                let addr = self.settings.endpoints[endpoint];
-                tracing::info!(%addr, revision = from, "registry member followed");
+                self.log_followed(endpoint, from);
                 worked();
                 self.watch(machine, endpoint, etcd, from)
             }
@@ -136,6 +135,12 @@
         }
     }
 
+    /// Logs that a member is followed from a revision on.
+    pub(super) fn log_followed(&self, endpoint: EndpointIndex, revision: Revision) {
+        let addr = self.settings.endpoints[endpoint];
+        tracing::info!(%addr, revision, "registry member followed");
+    }
+
     /// Passes an event to the state machine and carries out its actions, except for the next step, which is returned.
     pub(super) fn apply(&self, machine: &mut Machine, event: Event) -> NextStep {
         let (mut actions, mut next, mut changed) = (Vec::new(), NextStep::None, Changed::default());
