--- a/lab/src/count.rs
+++ b/lab/src/count.rs
@@ -97,26 +97,27 @@
 
 impl<'a> LogReader<'a, '_> {
     fn read_line(&mut self, second: u64, line: &'a str, fields: &LogFields<'a>) {
-        if line.contains("event RequestArrived") {
+        if line.contains("event=RequestArrived") {
             self.classes.insert(fields.request, fields.class);
             self.counts.increment(second, "requests");
-        } else if line.contains("event AttemptEnded") {
+        } else if line.contains("event=AttemptEnded") {
             self.counts.increment(second, format!("outcome {}", fields.outcome));
-        } else if line.contains("event ProbeEnded") {
+        } else if line.contains("event=ProbeEnded") {
             self.read_probe_end(second, line, fields);
-        } else if line.contains("action Send") {
+        } else if line.contains("action=Send") {
             *self.attempts.entry(fields.request).or_default() += 1;
             self.counts.increment(second, "attempts");
-        } else if line.contains("action Probe") {
+        } else if line.contains("action=Probe") {
             let last = self.last_probes.get(fields.member).map_or("nothing", String::as_str);
             self.counts.increment(second, format!("probe after {last}"));
-        } else if line.contains("action Reject") {
+        } else if line.contains("action=Reject") {
             self.count_unserved(second, "refused", fields.request);
-        } else if line.contains("action Fail") {
+        } else if line.contains("action=Fail") {
             self.count_unserved(second, "failed", fields.request);
-        } else if line.contains(" link: ") {
-            let opened = line.contains("link: None");
-            self.counts.increment(second, if opened { "connections" } else { "connections failed" });
+        } else if line.contains("backend connection opened") {
+            self.counts.increment(second, "connections");
+        } else if line.contains("backend connection failed") {
+            self.counts.increment(second, "connections failed");
         }
     }
 
--- a/lab/tests/commands.rs
+++ b/lab/tests/commands.rs
@@ -144,14 +144,14 @@
     let folder = tempfile::tempdir().unwrap();
     let log = place(&folder, "router.log");
     let own = [
-        "T DEBUG request taken request=12 connection=3 class=0 deadline=9",
+        "T DEBUG request accepted request=12 connection=3 class=0 deadline=9",
         "T DEBUG request submitted request=12 connection=3 id=9b1f",
-        "T DEBUG attempt handed over request=12 attempt=0 connection=3 endpoint=\"a\" until=9",
+        "T DEBUG attempt dispatched request=12 attempt=0 connection=3 endpoint=\"a\" deadline=9",
         "T DEBUG request ended request=12 connection=3 ending=\"served\" reason=\"none\"",
         "T DEBUG client connection closed connection=3 reason=\"idle_timeout\"",
     ];
     let others =
-        ["T DEBUG request taken request=1 connection=2", "T DEBUG client connection closed connection=2"];
+        ["T DEBUG request accepted request=1 connection=2", "T DEBUG client connection closed connection=2"];
     std::fs::write(&log, [others[0], own[0], own[1], own[2], others[1], own[3], own[4]].join("\n")).unwrap();
     for asked in [["--request", "12"], ["--id", "9b1f"]] {
         let (code, text) = lab(&["life", &log, asked[0], asked[1]]);
--- a/lab/tests/count.rs
+++ b/lab/tests/count.rs
@@ -5,14 +5,14 @@
 #[test]
 fn rejections_are_counted_by_whether_an_attempt_was_sent() {
     let log = [
-        "0.10 event RequestArrived { id: RequestId(7), class: 2, .. }",
-        "0.20 event RequestArrived { id: RequestId(8), class: 1, .. }",
-        "0.30 action Send { request: RequestId(7), member: MemberId(3) }",
-        "0.40 link: None member=3",
-        "1.50 action Reject { request: RequestId(7) }",
-        "1.60 action Reject { request: RequestId(8) }",
-        "1.70 event ProbeEnded { member: MemberId(3), outcome: Reset, report: MemberReport { primary: None } }",
-        "2.00 action Probe { member: MemberId(3) }",
+        "0.10 decision event received event=RequestArrived { id: RequestId(7), class: 2, .. }",
+        "0.20 decision event received event=RequestArrived { id: RequestId(8), class: 1, .. }",
+        "0.30 decision action requested action=Send { request: RequestId(7), member: MemberId(3) }",
+        "0.40 backend connection opened member=3",
+        "1.50 decision action requested action=Reject { request: RequestId(7) }",
+        "1.60 decision action requested action=Reject { request: RequestId(8) }",
+        "1.70 decision event received event=ProbeEnded { member: MemberId(3), outcome: Reset, report: MemberReport { primary: None } }",
+        "2.00 decision action requested action=Probe { member: MemberId(3) }",
         "a line of something else",
     ];
     let mut counts = EventCounts::default();
--- a/lab/tests/recorded_output.rs
+++ b/lab/tests/recorded_output.rs
@@ -8,21 +8,21 @@
                     [[trouble]]\nkind = 'crash_replica'\nat_s = 1.5\nfor_s = 0.5\n";
 
 const LOG: &str = "\
-0.10 event RequestArrived { id: RequestId(7), class: 2, .. }
-0.20 event RequestArrived { id: RequestId(8), class: 1, .. }
-0.25 event RequestArrived { id: RequestId(9), class: 0, .. }
-0.30 action Send { request: RequestId(7), member: MemberId(3) }
-0.40 link: None member=3
-0.45 link: Some(Refused) member=4
-1.20 event AttemptEnded { request: RequestId(7), member: MemberId(3), outcome: Reset, .. }
-1.50 action Reject { request: RequestId(7) }
-1.60 action Reject { request: RequestId(8) }
-1.65 action Fail { request: RequestId(9) }
-1.70 event ProbeEnded { member: MemberId(3), outcome: Reset, report: MemberReport { primary: None } }
-1.80 event ProbeEnded { member: MemberId(4), outcome: Ok, report: MemberReport { primary: Some(true) } }
-2.00 action Probe { member: MemberId(3) }
-2.10 action Probe { member: MemberId(4) }
-2.20 action Probe { member: MemberId(5) }
+0.10 decision event received event=RequestArrived { id: RequestId(7), class: 2, .. }
+0.20 decision event received event=RequestArrived { id: RequestId(8), class: 1, .. }
+0.25 decision event received event=RequestArrived { id: RequestId(9), class: 0, .. }
+0.30 decision action requested action=Send { request: RequestId(7), member: MemberId(3) }
+0.40 backend connection opened member=3
+0.45 backend connection failed member=4 outcome=\"connect_failed\"
+1.20 decision event received event=AttemptEnded { request: RequestId(7), member: MemberId(3), outcome: Reset, .. }
+1.50 decision action requested action=Reject { request: RequestId(7) }
+1.60 decision action requested action=Reject { request: RequestId(8) }
+1.65 decision action requested action=Fail { request: RequestId(9) }
+1.70 decision event received event=ProbeEnded { member: MemberId(3), outcome: Reset, report: MemberReport { primary: None } }
+1.80 decision event received event=ProbeEnded { member: MemberId(4), outcome: Ok, report: MemberReport { primary: Some(true) } }
+2.00 decision action requested action=Probe { member: MemberId(3) }
+2.10 decision action requested action=Probe { member: MemberId(4) }
+2.20 decision action requested action=Probe { member: MemberId(5) }
 a line of something else
 ";
 
--- a/routing/src/backends/exchange.rs
+++ b/routing/src/backends/exchange.rs
@@ -6,6 +6,7 @@
 use crate::permit::EndpointState;
 use crate::permit::{AttemptGuard, ConnectionPermit, Verdict};
 use crate::protocol::{BackendProtocol, Connection, Exchange, ExchangeResult, NotSent};
+use crate::reasons::outcome_name;
 use decision::{MemberId, Outcome};
 use std::net::SocketAddr;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -160,8 +161,14 @@
 ) -> Result<P::Connection, Outcome> {
     let started = Instant::now();
     let opened = context.resources.protocol.connect(context.addr, permit);
-    let (member, took) = (context.member.0, started.elapsed().as_micros());
-    tracing::debug!(member, took, "link: {:?}", opened.as_ref().err());
+    let (member, took_us) = (context.member.0, started.elapsed().as_micros());
+    match &opened {
+        Ok(_) => tracing::debug!(member, took_us, "backend connection opened"),
+        Err(outcome) => {
+            let outcome = outcome_name(*outcome);
+            tracing::debug!(member, took_us, outcome, "backend connection failed");
+        }
+    }
     opened
 }
 
--- a/routing/src/router/actor.rs
+++ b/routing/src/router/actor.rs
@@ -217,10 +217,10 @@
             }
         }
         // `damsonvale-lab count` reads these two lines of each router's log: docs/operate/fleet.md.
-        tracing::debug!(at = now.0, "event {event:?}");
+        tracing::debug!(at = now.0, ?event, "decision event received");
         self.decisions.handle(now, event, &mut actions);
         for action in actions {
-            tracing::debug!(at = now.0, "action {action:?}");
+            tracing::debug!(at = now.0, ?action, "decision action requested");
             self.perform(now, action);
         }
     }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -57,7 +57,7 @@
 
     /// A client's request has come to the module; they are counted from 0 on.
     fn came(&mut self, request: usize) {
-        self.router.logged(&format!("event RequestArrived(Request {{ id: RequestId({request}),"));
+        self.router.logged(&format!("event=RequestArrived(Request {{ id: RequestId({request}),"));
     }
 
     /// So many requests of some client have been given up with it.
@@ -67,7 +67,7 @@
 
     /// Whether an attempt was ever wanted for a request. Lines come in the order in which the module decides.
     fn sent(&mut self, request: usize) -> bool {
-        let line = format!("action Send {{ request: RequestId({request}),");
+        let line = format!("action=Send {{ request: RequestId({request}),");
         self.router.so_far().iter().any(|l| l.contains(&line))
     }
 
@@ -302,13 +302,13 @@
     client.write(&insert("w1", 7900));
     let release = dialled.recv_timeout(LONG).unwrap();
     end(&mut site, client, key);
-    site.router.logged("event ClientDisconnected { request: RequestId(0) }");
+    site.router.logged("event=ClientDisconnected { request: RequestId(0) }");
     // What goes to the instance goes in order: with the next attempt, the end of the first one has come there.
     let other = Client::connect(site.addr);
     other.write(&insert("w2", 7900));
     let next = dialled.recv_timeout(LONG).unwrap();
     release.send(()).unwrap();
-    site.router.logged("event AttemptEnded { request: RequestId(0), attempt: 0,");
+    site.router.logged("event=AttemptEnded { request: RequestId(0), attempt: 0,");
     next.send(()).unwrap();
     assert!(matches!(other.answer(), Answer::Row(_)));
     // With the router gone, the instance has all that it will ever get.
@@ -352,7 +352,7 @@
     assert!(String::from_utf8_lossy(&end).contains("too many commands"));
     assert!(read(&client.0).is_err());
     let mut router = site.end();
-    let requests = router.so_far().iter().filter(|l| l.contains("event RequestArrived(")).count();
+    let requests = router.so_far().iter().filter(|l| l.contains("event=RequestArrived(")).count();
     assert_eq!(answers, requests, "each that was taken has its answer");
 }
 
