--- a/routing/src/placement_subsets/change.rs
+++ b/routing/src/placement_subsets/change.rs
@@ -1,6 +1,7 @@
 //! Input and output of the subsets: the roles that endpoints state, and the changes that follow.
 use decision::{GroupId, MemberEntry, MemberId, Time};
-use placement::Refusal;
+use placement::PlacementError;
+pub use placement::ReportSource;
 use std::collections::BTreeMap;
 
 /// The actions of the router actor after a change.
@@ -12,19 +13,10 @@
     pub departed: Vec<MemberId>,
     /// Requests without an attempt in flight have to be routed again.
     pub reroute: bool,
-    /// The time at which [`placement::Event::Timer`] is due.
+    /// The time at which [`placement::Event::TimerExpired`] is due.
     pub timer: Option<Time>,
 }
 
-/// The message that contained an endpoint's report.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportSource {
-    /// The response to a request.
-    Response,
-    /// The answer to a probe.
-    Probe,
-}
-
 /// The role that an endpoint has stated itself.
 #[derive(Clone, Copy, Debug)]
 pub struct StatedRole {
@@ -37,7 +29,7 @@
 /// The route of a request.
 pub struct Routed {
     /// The group, perhaps a subset's, whose members may serve the request; or the reason for which none may.
-    pub group: Result<GroupId, Refusal>,
+    pub group: Result<GroupId, PlacementError>,
     /// The actions that follow from routing it.
     pub change: SubsetChange,
 }
