--- a/multiprocess/src/run/startup.rs
+++ b/multiprocess/src/run/startup.rs
@@ -6,4 +6,4 @@
 /// How often the main thread looks at what it waits for.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// The part of a log line that precedes the address at which a router accepts clients.
-pub(super) const READY_LOG_LINE: &str = "mysql: listening on ";
+pub(super) const READY_LOG_LINE: &str = "client listener bound name=\"mysql\" address=";
--- a/src/commands/members.rs
+++ b/src/commands/members.rs
@@ -34,9 +34,10 @@
     };
     let changes = members.subscribe()?;
     membership::follow_router_count(&members, settings, on_router_count)?;
-    tracing::info!("members: '{}' of '{}' hears on {}", table.name, table.cluster, members.addr());
+    let address = members.addr();
+    tracing::info!(member = table.name, cluster = table.cluster, %address, "cluster membership started");
     if expects_others && !wait_for_other_router(&changes, table.protocol_period * JOIN_INTERVALS) {
-        tracing::warn!("members: nobody has answered yet; serving with the share of one in {router_count}");
+        tracing::warn!(router_count, "no other cluster member heard yet, serving with an equal share");
     }
     Ok(members)
 }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -13,7 +13,7 @@
 pub(crate) use error::Error;
 
 use settings::operator::OperatorConfig;
-use std::net::TcpListener;
+use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 
 /// Reads a file as text.
@@ -27,10 +27,15 @@
     settings::operator::read(&text).map_err(|source| Error::Settings { path: path.into(), source })
 }
 
-/// Listens for clients at the configured `address`, and logs under `name` where.
+/// Listens for clients at the configured `address`, and logs where under the router's `name`.
 fn listen(name: &str, address: &str) -> Result<TcpListener, Error> {
     let failed = |source| Error::Listen { key: "listen", addr: address.into(), source };
     let listener = TcpListener::bind(address).map_err(failed)?;
-    tracing::info!("{name}: listening on {}", listener.local_addr().map_err(failed)?);
+    log_client_listener(name, listener.local_addr().map_err(failed)?);
     Ok(listener)
 }
+
+/// Logs where clients are accepted. Whoever starts a router reads the address in this line.
+fn log_client_listener(name: &str, address: SocketAddr) {
+    tracing::info!(name, %address, "client listener bound");
+}
--- a/src/commands/platform.rs
+++ b/src/commands/platform.rs
@@ -77,8 +77,8 @@
         let text = super::read_file(&path)?;
         let start = settings::start::read(&text, &environment)
             .map_err(|source| Error::Settings { path: path.clone(), source })?;
-        tracing::debug!("settings {:?}", start.settings);
-        tracing::debug!("said {}", start.parsed_file);
+        tracing::debug!(settings = ?start.settings, "settings read");
+        tracing::debug!(file = %start.parsed_file, "configuration file read");
         Ok(Configuration { path, start })
     }
 
@@ -106,7 +106,7 @@
             if reload.discovery_address != watched {
                 watch.follow(reload.discovery_address).map_err(Error::DiscoveryWatch)?;
                 watched = reload.discovery_address;
-                tracing::info!("discovery: the watch moves to {watched}");
+                tracing::info!(address = %watched, "discovery watch moved");
             }
             Ok(reload.keys_needing_restart)
         }
@@ -156,11 +156,11 @@
     let watch = Watch::new(start.names.zones.clone(), limits.clone(), router.endpoints.clone());
     watch.follow(start.discovery_address).map_err(Error::DiscoveryWatch)?;
     if !watch.wait_for_first_line(limits.watch_first_event_timeout) {
-        tracing::warn!("discovery: nothing heard yet, starting with the list known from before");
+        tracing::warn!("discovery not heard yet, starting with the known endpoint list");
     }
     // A machine that is too busy to apply the list in time does not keep the router from starting.
     if !router.endpoints.wait_until_applied(limits.watch_first_event_timeout) {
-        tracing::warn!("list: not taken yet, starting without it");
+        tracing::warn!("endpoint list not applied yet, starting without it");
     }
     Ok(watch)
 }
@@ -174,7 +174,7 @@
 /// Logs where an inherited socket listens, as is logged of one that the router opens itself.
 fn announce_inherited(listener: ClientListener, name: &str) -> Result<ClientListener, Error> {
     let address = listener.local_addr().map_err(Error::InheritedSocketAddress)?;
-    tracing::info!("{name}: listening on {address}");
+    super::log_client_listener(name, address);
     Ok(listener)
 }
 
--- a/src/commands/serve/endpoints.rs
+++ b/src/commands/serve/endpoints.rs
@@ -27,7 +27,7 @@
 pub fn endpoint_update(state: &store::State, own_site: Option<&str>) -> EndpointUpdate {
     let entry = |(key, value): (&str, &store::Value)| {
         let entry = endpoint_entry(key, &value.text, own_site);
-        entry.map_err(|error| tracing::error!("list: {key}: {error}")).ok()
+        entry.map_err(|error| tracing::error!(key, %error, "stored server ignored")).ok()
     };
     let entries = state.with_prefix(KEY_PREFIX).filter_map(entry).collect();
     EndpointUpdate { version: state.applied_index, complete: true, endpoints: entries }
--- a/src/commands/serve/fleet.rs
+++ b/src/commands/serve/fleet.rs
@@ -60,7 +60,7 @@
     let audit = member.audit.as_ref().map(|table| audit::Settings::new(table, quotas.ttl, random_seed));
     ::fleet::service::start(listener, store.clone(), clock, quotas.clone(), audit, Default::default())
         .map_err(no_thread)?;
-    tracing::info!("fleet: answering routers on {address}");
+    tracing::info!(%address, "fleet listener bound");
     Ok(())
 }
 
--- a/src/commands/serve/store.rs
+++ b/src/commands/serve/store.rs
@@ -31,13 +31,13 @@
     if let Some(address) = node.client_address {
         let (listener, address) = bind("store.clients", address)?;
         ::store::server::listen(listener, store.clone(), ::store::server::Limits::default())?;
-        tracing::info!("store: answering clients on {address}");
+        tracing::info!(%address, "store listener bound");
     }
     if let Some(address) = &node.control_address {
         let (listener, address) = bind("store.control", address)?;
         ::store::control::listen(listener, store.clone())
             .map_err(|source| Error::Thread { what: "store.control", source })?;
-        tracing::info!("control: answering on {address}");
+        tracing::info!(%address, "store control listener bound");
     }
     Ok(())
 }
--- a/src/log.rs
+++ b/src/log.rs
@@ -17,7 +17,7 @@
 /// Reports why the program ends: in the log once it has been started, as a plain line before that.
 pub(crate) fn report_exit(error: &dyn std::error::Error) {
     if tracing::dispatcher::has_been_set() {
-        tracing::error!("damsonvale: {error}");
+        tracing::error!(%error, "program failed");
     } else {
         eprintln!("damsonvale: {error}");
     }
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -82,8 +82,8 @@
         }
         this.state().running = true;
         let own = this.clone();
-        if let Err(e) = routing::spawn("reload", stack_bytes, move || own.run()) {
-            tracing::error!("reload: no thread for it ({e}); it is tried again");
+        if let Err(error) = routing::spawn("reload", stack_bytes, move || own.run()) {
+            tracing::error!(%error, "configuration reload thread not started, retrying");
             this.state().running = false;
         }
     }
@@ -100,9 +100,14 @@
         let mut reload = self.reload.lock().unwrap_or_else(PoisonError::into_inner);
         while self.next() {
             match reload() {
-                Ok(keys) if keys.is_empty() => tracing::info!("reload: the configuration is followed"),
-                Ok(keys) => tracing::warn!("reload: these keys need a restart: {}", keys.join(", ")),
-                Err(e) => tracing::error!("reload: the old configuration stays: {e}"),
+                Ok(keys) if keys.is_empty() => tracing::info!("configuration reloaded"),
+                Ok(keys) => {
+                    let keys = keys.join(", ");
+                    tracing::warn!(keys, "configuration keys not reloaded, restart needed");
+                }
+                Err(error) => {
+                    tracing::error!(%error, "configuration reload failed, old configuration stays in force");
+                }
             }
         }
     }
--- a/tests/command.rs
+++ b/tests/command.rs
@@ -25,7 +25,7 @@
     assert!(code != Some(0) && log.contains("nowhere"), "{log}");
     // Without arguments it is a router of the platform, which has to be told where its configuration is.
     let (code, _, log) = said(&[]);
-    assert!(code == Some(1) && log.contains("damsonvale: BALANCER_CONFIG: expected"), "{log}");
+    assert!(code == Some(1) && log.contains("program failed error=BALANCER_CONFIG: expected"), "{log}");
 }
 
 #[test]
@@ -74,10 +74,11 @@
     let folder = Folder::new();
     let path = folder.write("it.toml", &format!("{FILE}[log]\nformat = 'json'\nlevel = 'info'\n"));
     let mut program = Program::start(&[path.to_str().unwrap()], &[]);
-    let line = program.logged("listening on ");
+    let line = program.logged("client listener bound");
     let line: serde_json::Value = serde_json::from_str(&line).unwrap();
     assert_eq!(line["level"], "INFO");
-    assert!(line["message"].as_str().unwrap().starts_with("mysql: listening on 127.0.0.1:"));
+    assert_eq!((&line["message"], &line["name"]), (&"client listener bound".into(), &"mysql".into()));
+    assert!(line["address"].as_str().unwrap().starts_with("127.0.0.1:"));
     // A level above it keeps that line back: the program serves all the same.
     let at = common::ports(1)[0];
     let text = FILE.replace("127.0.0.1:0", &at.to_string());
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -104,8 +104,8 @@
 
     /// Where it says that it listens.
     pub fn listening(&mut self) -> SocketAddr {
-        let line = self.logged("listening on ");
-        line.rsplit("listening on ").next().unwrap().trim().parse().unwrap()
+        let line = self.logged("client listener bound ");
+        line.rsplit("address=").next().unwrap().trim().parse().unwrap()
     }
 
     pub fn terminate(&self) {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -125,7 +125,7 @@
         let config = config(to, vec![]);
         self.folder.write("config.json", &config.to_string());
         self.router.signal(Signal::SIGHUP);
-        self.router.logged(&format!("the watch moves to {to}"));
+        self.router.logged(&format!("discovery watch moved address={to}"));
     }
 }
 
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -378,7 +378,7 @@
     assert!(answered > 0, "a client that never pauses is answered what was read");
     assert!(last < Duration::from_secs(4), "and read no further: its connection ended after {last:?}");
     router.program.signal(Signal::SIGHUP);
-    router.program.logged("reload: the configuration is followed");
+    router.program.logged("configuration reloaded");
     assert!(!takes_clients(site.addr), "a newcomer still hears the no");
     router.yes("RESUME");
     router.yes("RESUME");
@@ -661,7 +661,7 @@
             "HUP" => {
                 router.program.signal(Signal::SIGHUP);
                 if !ends {
-                    router.program.logged("reload: the configuration is followed");
+                    router.program.logged("configuration reloaded");
                 }
             }
             _ => {
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -344,7 +344,7 @@
         config(next.addr, known()).to_string().replace("\"keepaliveMs\":30000.0", "\"keepaliveMs\":\"x\"");
     site.folder.write("config.json", &faulty);
     site.router.signal(Signal::SIGHUP);
-    site.router.logged("the old configuration stays");
+    site.router.logged("configuration reload failed, old configuration stays in force");
     site.router.logged("'keepaliveMs'");
     // A request under way when the file changes is answered as if nothing had happened.
     site.primary.0.act(Act::Silent);
@@ -354,7 +354,7 @@
     good["limits"]["sockets"] = json!(300);
     site.folder.write("config.json", &good.to_string());
     site.router.signal(Signal::SIGHUP);
-    site.router.logged("these keys need a restart: limits");
+    site.router.logged("configuration keys not reloaded, restart needed keys=\"limits");
     let (index, new) = next.watch();
     assert_eq!(index, "41");
     // Until the new watch has brought something, the old one still counts.
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -446,7 +446,7 @@
     }
     // SIGHUP reads the file and leaves the registry's word in force; without the key the file holds again.
     router.signal(Signal::SIGHUP);
-    router.logs_next("the configuration is followed");
+    router.logs_next("configuration reloaded");
     assert!(cook().is_ok());
     site.registry.delete(&key);
     router.logs_next("config/mysql is followed");
@@ -723,7 +723,8 @@
         site.more = format!("register = 'router-{n}'");
         site.sessions = format!("[store]\nnode = {}\ncontrol = '127.0.0.1:0'\n{peers}", n + 1);
         let (mut router, _) = site.ready("etcd");
-        let control = router.logged("control: answering on ").rsplit(' ').next().unwrap().to_string();
+        let control =
+            router.logged("store control listener bound ").rsplit("address=").next().unwrap().to_string();
         routers.push((router, control));
     }
     routers[0].0.logged(&format!("store: node 2 is at {} now", at[1]));
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -338,7 +338,7 @@
     for i in 0..2 {
         three.file(i, &[0, 1, 2]);
         three.program(i).signal(Signal::SIGHUP);
-        three.program(i).logs_next("the configuration is followed");
+        three.program(i).logs_next("configuration reloaded");
     }
     (0..3).for_each(|i| _ = three.until(i, |s| s["relies_on_all"] == true && s["stopped"].is_null()));
     write(&mut three.client(2), "ann", 1).unwrap();
@@ -353,7 +353,7 @@
     for i in 0..2 {
         three.file(i, &[0, 1]);
         three.program(i).signal(Signal::SIGHUP);
-        three.program(i).logs_next("the configuration is followed");
+        three.program(i).logs_next("configuration reloaded");
         assert_eq!(three.shown(i)["peers"].as_array().unwrap().len(), 1);
     }
     write(&mut three.client(0), "ann", 2).unwrap();
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -286,7 +286,7 @@
     let path = folder.write("config.json", &text);
     let mut router = Program::start(&[], &[("BALANCER_CONFIG", path.to_str().unwrap())]);
     let watch = mute.accept().unwrap();
-    assert!(router.so_far().iter().all(|l| !l.contains("listening on")), "before clients are taken");
+    assert!(router.so_far().iter().all(|l| !l.contains("client listener bound")), "before clients are taken");
     router.terminate();
     router.logged("shutdown: taking requests");
     assert_eq!(router.ended().0, Some(0));
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -43,7 +43,8 @@
         );
         let path = self.folder.write(&format!("node-{i}.toml"), &text);
         let mut program = Program::start(&[path.to_str().unwrap()], &[]);
-        let control = program.logged("control: answering on ").rsplit(' ').next().unwrap().to_string();
+        let control =
+            program.logged("store control listener bound ").rsplit("address=").next().unwrap().to_string();
         self.nodes[i] = Some((program, control));
     }
 
