--- a/src/commands/members.rs
+++ b/src/commands/members.rs
@@ -35,7 +35,7 @@
     let changes = members.subscribe()?;
     membership::follow_router_count(&members, settings, on_router_count)?;
     let address = members.addr();
-    tracing::info!(member = table.name, cluster = table.cluster, %address, "cluster membership started");
+    tracing::info!(member = table.name, cluster = table.cluster, addr = %address, "cluster membership started");
     if expects_others && !wait_for_other_router(&changes, table.protocol_period * JOIN_INTERVALS) {
         tracing::warn!(router_count, "no other cluster member heard yet, serving with an equal share");
     }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -37,5 +37,5 @@
 
 /// Logs where clients are accepted. Whoever starts a router reads the address in this line.
 fn log_client_listener(name: &str, address: SocketAddr) {
-    tracing::info!(name, %address, "client listener bound");
+    tracing::info!(name, addr = %address, "client listener bound");
 }
--- a/src/commands/platform.rs
+++ b/src/commands/platform.rs
@@ -106,7 +106,7 @@
             if reload.discovery_address != watched {
                 watch.follow(reload.discovery_address).map_err(Error::DiscoveryWatch)?;
                 watched = reload.discovery_address;
-                tracing::info!(address = %watched, "discovery watch moved");
+                tracing::info!(addr = %watched, "discovery watch moved");
             }
             Ok(reload.keys_needing_restart)
         }
--- a/tests/command.rs
+++ b/tests/command.rs
@@ -78,7 +78,7 @@
     let line: serde_json::Value = serde_json::from_str(&line).unwrap();
     assert_eq!(line["level"], "INFO");
     assert_eq!((&line["message"], &line["name"]), (&"client listener bound".into(), &"mysql".into()));
-    assert!(line["address"].as_str().unwrap().starts_with("127.0.0.1:"));
+    assert!(line["addr"].as_str().unwrap().starts_with("127.0.0.1:"));
     // A level above it keeps that line back: the program serves all the same.
     let at = common::ports(1)[0];
     let text = FILE.replace("127.0.0.1:0", &at.to_string());
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -105,7 +105,7 @@
     /// Where it says that it listens.
     pub fn listening(&mut self) -> SocketAddr {
         let line = self.logged("client listener bound ");
-        line.rsplit("address=").next().unwrap().trim().parse().unwrap()
+        line.rsplit("addr=").next().unwrap().trim().parse().unwrap()
     }
 
     pub fn terminate(&self) {
