--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -339,7 +339,7 @@
     for i in 0..2 {
         three.write_config(i, &[0, 1, 2]);
         three.program(i).signal(Signal::SIGHUP);
-        three.program(i).logs_next("the configuration is followed");
+        three.program(i).logs_next("configuration reloaded");
     }
     (0..3)
         .for_each(|i| _ = three.wait_for_status(i, |s| s["relies_on_all"] == true && s["stopped"].is_null()));
@@ -355,7 +355,7 @@
     for i in 0..2 {
         three.write_config(i, &[0, 1]);
         three.program(i).signal(Signal::SIGHUP);
-        three.program(i).logs_next("the configuration is followed");
+        three.program(i).logs_next("configuration reloaded");
         assert_eq!(three.status(i)["peers"].as_array().unwrap().len(), 1);
     }
     write(&mut three.client(0), "ann", 2).unwrap();
