--- a/lab/src/spread_chart.rs
+++ b/lab/src/spread_chart.rs
@@ -1,13 +1,15 @@
 //! Chart of how evenly replicas were loaded before and after a change, as SVG.
 use crate::case::{Case, CaseGroup, group_by_seed};
-use crate::error::Error;
+use crate::error::Error as LabError;
 use crate::interval::Interval;
 use crate::spread_table::excess;
 use plotters::coord::Shift;
+use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::{
-    BLACK, BLUE, ChartBuilder, Circle, Color, DrawingArea, IntoDrawingArea, LineSeries, RED, RGBColor,
-    SVGBackend, SeriesLabelPosition, WHITE,
+    BLACK, BLUE, Cartesian2d, ChartBuilder, ChartContext, Circle, Color, DrawingArea, IntoDrawingArea,
+    LineSeries, RED, RGBColor, SVGBackend, SeriesLabelPosition, WHITE,
 };
+use std::error::Error;
 use std::ops::Range;
 use std::path::Path;
 
@@ -20,6 +22,8 @@
 /// Horizontal distance between the two series, in experiments.
 const SERIES_DISTANCE: f64 = 0.08;
 
+type SpreadChart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
+
 /// The interval of an experiment at its place on the axis.
 struct Point {
     x: f64,
@@ -38,7 +42,7 @@
 ///
 /// # Errors
 /// The file can't be written.
-pub fn write(path: &Path, before: &[Case], after: &[Case]) -> Result<(), Error> {
+pub fn write(path: &Path, before: &[Case], after: &[Case]) -> Result<(), LabError> {
     let (before, after) = (group_by_seed(before), group_by_seed(after));
     let in_both = |name: &&str| before.iter().any(|group| group.name == *name);
     let names: Vec<&str> = after.iter().map(|group| group.name).filter(in_both).collect();
@@ -47,7 +51,7 @@
         Series { label: "after", colour: BLUE, points: points(&after, &names) },
     ];
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
-    draw(&area, &names, &series).map_err(|source| Error::write(path, source))
+    draw(&area, &names, &series).map_err(|source| LabError::write(path, source))
 }
 
 fn points(groups: &[CaseGroup<'_>], names: &[&str]) -> Vec<Point> {
@@ -71,7 +75,7 @@
     area: &DrawingArea<SVGBackend<'_>, Shift>,
     names: &[&str],
     series: &[Series],
-) -> Result<(), Box<dyn std::error::Error>> {
+) -> Result<(), Box<dyn Error>> {
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(area)
         .caption("most / mean of replicas in 10 s, beyond chance", ("sans-serif", 16))
@@ -86,17 +90,8 @@
         .x_labels(2 * names.len() + 1)
         .x_label_formatter(&|x| label_at(names, *x))
         .draw()?;
-    for (index, Series { label, colour, points }) in series.iter().enumerate() {
-        let (colour, shift) = (*colour, SERIES_DISTANCE * (index as f64 - 0.5));
-        for Point { x, interval } in points {
-            let line = [(x + shift, interval.low), (x + shift, interval.high)];
-            chart.draw_series(LineSeries::new(line, colour.stroke_width(2)))?;
-        }
-        let means = points.iter().map(|point| (point.x + shift, point.interval.mean));
-        chart
-            .draw_series(means.map(|mean| Circle::new(mean, 3, colour.filled())))?
-            .label(*label)
-            .legend(move |(x, y)| Circle::new((x + 8, y), 3, colour.filled()));
+    for (index, series) in series.iter().enumerate() {
+        draw_series(&mut chart, series, SERIES_DISTANCE * (index as f64 - 0.5))?;
     }
     chart
         .configure_series_labels()
@@ -108,6 +103,22 @@
     Ok(())
 }
 
+/// Draws a line for each interval and a circle for each mean, shifted to the right.
+fn draw_series(chart: &mut SpreadChart<'_, '_>, series: &Series, shift: f64) -> Result<(), Box<dyn Error>> {
+    let Series { label, colour, points } = series;
+    let colour = *colour;
+    for Point { x, interval } in points {
+        let line = [(x + shift, interval.low), (x + shift, interval.high)];
+        chart.draw_series(LineSeries::new(line, colour.stroke_width(2)))?;
+    }
+    let means = points.iter().map(|point| (point.x + shift, point.interval.mean));
+    chart
+        .draw_series(means.map(|mean| Circle::new(mean, 3, colour.filled())))?
+        .label(*label)
+        .legend(move |(x, y)| Circle::new((x + 8, y), 3, colour.filled()));
+    Ok(())
+}
+
 /// The name of the experiment at a whole number of the axis.
 fn label_at(names: &[&str], x: f64) -> String {
     let index = x.round();
--- a/quotas/benches/admission.rs
+++ b/quotas/benches/admission.rs
@@ -1,4 +1,4 @@
-//! The cost of admitting or shedding one request, by the number of tenants in the configuration.
+//! Cost of admitting or shedding one request, by the number of tenants in the configuration.
 use criterion::{Criterion, criterion_group, criterion_main};
 use decision::Time;
 use quotas::{Action, Allocator, Event, QuotaClient, QuotaClientSettings, Settings};
--- a/routing/benches/observer.rs
+++ b/routing/benches/observer.rs
@@ -1,29 +1,36 @@
-//! What the observer costs: the transitions of one request with an attempt and a retry, with and without it.
-//! `cargo bench -p routing`
+//! Cost of the observer: the transitions of one request with an attempt and a retry, with and without it. Run by
+//! `cargo bench -p routing`.
 use decision::{Idempotency, Outcome, RequestId, Time};
 use routing::observer::{AttemptEnd, Ending, Observer, Transition};
 use routing::permit::{RepeatRule, RepeatState};
 use std::hint::black_box;
 use std::time::Instant;
 
+/// Requests of a run.
 const REQUESTS: u64 = 1_000_000;
+/// Runs of each kind, by turns.
+const ROUNDS: usize = 3;
+/// Time from a request to its deadline, in microseconds.
+const DEADLINE: i64 = 1_000_000;
+/// Time after an endpoint left service up to which exchanges may begin, in microseconds.
+const DRAIN_GRACE: i64 = 250_000;
 /// Requests that are open at a time.
-const OPEN: u64 = 256;
+const OPEN_REQUESTS: u64 = 256;
 
-/// The permits of one request, and its transitions where there is an observer.
-fn request(id: u64, rule: RepeatRule, observer: &mut Option<Observer>) {
+/// Grants the permits of one request, and reports its transitions if there is an observer.
+fn play_request(id: u64, rule: RepeatRule, observer: &mut Option<Observer>) {
     let (now, request) = (Time(id as i64), RequestId(id));
-    let mut found = Vec::new();
+    let mut violations = Vec::new();
     let mut observe = |transition| {
         if let Some(observer) = observer {
-            observer.observe(now, request, transition, &mut found);
+            observer.observe(now, request, transition, &mut violations);
         }
     };
-    observe(Transition::Accepted { class: 0, deadline: Time(now.0 + 1_000_000) });
+    observe(Transition::Accepted { class: 0, deadline: Time(now.0 + DEADLINE) });
     let mut repeats = RepeatState::default();
     for (attempt, outcome) in [(0, Outcome::Reset), (1, Outcome::Ok)] {
         _ = black_box(repeats.permit_attempt(now, rule));
-        observe(Transition::AttemptDispatched { attempt, deadline: Time(now.0 + 1_000_000) });
+        observe(Transition::AttemptDispatched { attempt, deadline: Time(now.0 + DEADLINE) });
         repeats.attempt_ended(Some(now), outcome);
         observe(Transition::AttemptEnded(AttemptEnd {
             attempt,
@@ -34,27 +41,28 @@
         }));
     }
     observe(Transition::Ended(Ending::Served));
-    black_box(found);
+    black_box(violations);
 }
 
-fn run(with_observer: bool) -> f64 {
+/// Nanoseconds of a request.
+fn measure(with_observer: bool) -> f64 {
     let rule = RepeatRule { idempotency: Idempotency::Idempotent, hedging_allowed: false };
-    let mut observer = with_observer.then(|| Observer::new(vec![rule], 250_000));
+    let mut observer = with_observer.then(|| Observer::new(vec![rule], DRAIN_GRACE));
     // As many as are open at a time in a router under load.
     if let Some(observer) = &mut observer {
-        for id in 0..OPEN {
+        for id in 0..OPEN_REQUESTS {
             let open = Transition::Accepted { class: 0, deadline: Time(i64::MAX / 2) };
             observer.observe(Time(0), RequestId(u64::MAX - id), open, &mut Vec::new());
         }
     }
-    let begun = Instant::now();
-    (0..REQUESTS).for_each(|id| request(id, rule, &mut observer));
-    begun.elapsed().as_nanos() as f64 / REQUESTS as f64
+    let begin = Instant::now();
+    (0..REQUESTS).for_each(|id| play_request(id, rule, &mut observer));
+    begin.elapsed().as_nanos() as f64 / REQUESTS as f64
 }
 
 fn main() {
-    for round in 1..=3 {
-        let (without, with) = (run(false), run(true));
+    for round in 1..=ROUNDS {
+        let (without, with) = (measure(false), measure(true));
         println!("round {round}: {without:.0} ns a request without the observer, {with:.0} ns with it");
     }
 }
--- a/sessions/benches/machine.rs
+++ b/sessions/benches/machine.rs
@@ -1,4 +1,4 @@
-//! What the state machine and the journal cost: `cargo bench -p sessions`.
+//! Cost of the state machine and of the journal: `cargo bench -p sessions`.
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use decision::{GroupId, Time};
 use sessions::Key;
@@ -7,33 +7,38 @@
 use sessions::machine::{Event, Machine, Now, Settings};
 use std::hint::black_box;
 
+/// Sessions in the cache and in the restored journal.
+const SESSIONS: u64 = 1_000_000;
+/// Spreads keys over their whole range.
+const KEY_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
+
 fn key(n: u64) -> Key {
-    Key(n.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+    Key(n.wrapping_mul(KEY_FACTOR))
 }
 
-fn memory(c: &mut Criterion) {
-    let mut cache = CommitCache::new(1_000_000);
-    (0..1_000_000).for_each(|n| cache.add(key(n), Time(n as i64)));
+fn commit_cache(criterion: &mut Criterion) {
+    let mut cache = CommitCache::new(SESSIONS as usize);
+    (0..SESSIONS).for_each(|n| cache.add(key(n), Time(n as i64)));
     let mut n = 0;
-    c.bench_function("need of one of a million sessions", |b| {
-        b.iter(|| {
+    criterion.bench_function("need of one of a million sessions", |bencher| {
+        bencher.iter(|| {
             n += 1;
-            black_box(cache.required_position(key(n % 1_000_000)))
+            black_box(cache.required_position(key(n % SESSIONS)))
         });
     });
-    let mut n = 1_000_000u64;
-    c.bench_function("add a commit, folding the oldest", |b| {
-        b.iter(|| {
+    let mut n = SESSIONS;
+    criterion.bench_function("add a commit, folding the oldest", |bencher| {
+        bencher.iter(|| {
             n += 1;
             cache.add(key(n), Time(n as i64));
         });
     });
-    c.bench_function("key of a session's name", |b| {
-        b.iter(|| Key::named(GroupId(3), black_box("member-4711")));
+    criterion.bench_function("key of a session's name", |bencher| {
+        bencher.iter(|| Key::named(GroupId(3), black_box("member-4711")));
     });
 }
 
-fn machine(c: &mut Criterion) {
+fn machine(criterion: &mut Criterion) {
     let settings = Settings {
         instance: 1,
         incarnation: 1,
@@ -45,8 +50,8 @@
     };
     let mut machine = Machine::new(settings, [], None);
     let (mut actions, mut n) = (Vec::new(), 0u64);
-    c.bench_function("commit and its sync", |b| {
-        b.iter(|| {
+    criterion.bench_function("commit and its sync", |bencher| {
+        bencher.iter(|| {
             n += 1;
             let now = Now { at: Time(n as i64), present: Some(Time(n as i64)) };
             machine.handle(now, Event::Commit(n, key(n % 100_000), Time(n as i64)), &mut actions);
@@ -56,35 +61,41 @@
     });
 }
 
-fn restore(c: &mut Criterion) {
-    const SESSIONS: u64 = 1_000_000;
-    let kept_in = tempfile::tempdir().expect("a folder");
-    let folder = kept_in.path();
+fn journal_file(criterion: &mut Criterion) {
+    let directory = tempfile::tempdir().expect("a temporary folder can be created");
+    let folder = directory.path();
     let entries: Vec<(Key, Time)> = (0..SESSIONS).map(|n| (key(n), Time(n as i64))).collect();
-    let whole = Whole { instance: 1, incarnation: 1, entries: &entries, floor: None, incomplete: false };
-    let opened = journal::open(folder, 1).expect("a folder");
-    let mut journal = opened.begin(&whole).expect("a folder").expect("a file");
-    let mut group = c.benchmark_group("journal");
+    let checkpoint = Whole { instance: 1, incarnation: 1, entries: &entries, floor: None, incomplete: false };
+    let opened = journal::open(folder, 1).expect("the folder can be read");
+    let mut journal =
+        opened.begin(&checkpoint).expect("the folder is writable").expect("the file can be written");
+    let mut group = criterion.benchmark_group("journal");
     group.sample_size(10);
     group.throughput(Throughput::Elements(SESSIONS));
-    group.bench_function("restore a million sessions", |b| {
-        b.iter(|| {
-            let (_, found) = journal::newest(folder).expect("a folder").expect("a file");
+    group.bench_function("restore a million sessions", |bencher| {
+        bencher.iter(|| {
+            let newest = journal::newest(folder).expect("the folder can be read");
+            let (_, contents) = newest.expect("there is a file");
             let mut cache = CommitCache::new(SESSIONS as usize);
-            found.expect("a whole file").entries.into_iter().for_each(|(k, t)| cache.add(k, t));
+            contents
+                .expect("the file is complete")
+                .entries
+                .into_iter()
+                .for_each(|(session, commit)| cache.add(session, commit));
             black_box(cache.len())
         });
     });
-    for together in [1usize, 16, 256] {
-        let commits: Vec<(Key, i64)> = (0..together as u64).map(|n| (key(n), n as i64)).collect();
-        group.throughput(Throughput::Elements(together as u64));
-        group.bench_function(format!("{together} commits in one sync"), |b| {
-            b.iter(|| journal.add(&Record::Commits(commits.clone())).expect("a disk"));
+    for batch in [1usize, 16, 256] {
+        let commits: Vec<(Key, i64)> = (0..batch as u64).map(|n| (key(n), n as i64)).collect();
+        group.throughput(Throughput::Elements(batch as u64));
+        group.bench_function(format!("{batch} commits in one sync"), |bencher| {
+            bencher
+                .iter(|| journal.add(&Record::Commits(commits.clone())).expect("the disk accepts the write"));
         });
     }
     group.finish();
     drop(journal);
 }
 
-criterion_group!(benches, memory, machine, restore);
+criterion_group!(benches, commit_cache, machine, journal_file);
 criterion_main!(benches);
--- a/simulator/src/world/routers.rs
+++ b/simulator/src/world/routers.rs
@@ -212,18 +212,17 @@
         if !self.is_running(RouterProcess { router, epoch }) || !self.is_in_flight(job) {
             return;
         }
+        if outcome.never_ran() {
+            self.checker.attempt_not_executed(RouterRequest { router, request });
+        }
         let Some(open) = self.routers[router].open_requests.get_mut(&request) else { return };
         let ended = &mut open.attempts[attempt as usize];
         ended.in_flight = false;
         let node = ended.node;
-        let key = RouterRequest { router, request };
-        if outcome.never_ran() {
-            self.checker.attempt_not_executed(key);
-        }
-        let succeeds = outcome == Outcome::Ok && !open.answered;
-        open.answered |= succeeds;
+        let answers_request = outcome == Outcome::Ok && !open.answered;
+        open.answered |= answers_request;
         let request_ended = open.answered;
-        if succeeds {
+        if answers_request {
             self.record_response(job, commit, data_position.unwrap_or(self.now));
         }
         let event = Event::AttemptEnded {
