--- a/benches/sessions.rs
+++ b/benches/sessions.rs
@@ -10,8 +10,8 @@
 use hdrhistogram::Histogram;
 use instances::{Instances, Keeping, connect, read, restart_loop, write};
 use mysql::prelude::Queryable;
-use sessions::Key;
-use sessions::journal::{self, Whole};
+use sessions::SessionKey;
+use sessions::journal::{self, Checkpoint};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -277,9 +277,10 @@
 
 /// Writes a journal with so many sessions for the first instance.
 fn write_journal(instances: &Instances, sessions: u64) {
-    let entry = |n: u64| (Key(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)), decision::Time(n as i64 + 1));
-    let entries: Vec<(Key, decision::Time)> = (0..sessions).map(entry).collect();
-    let checkpoint = Whole { instance: 1, incarnation: 1, entries: &entries, floor: None, incomplete: false };
+    let entry = |n: u64| (SessionKey(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)), decision::Time(n as i64 + 1));
+    let entries: Vec<(SessionKey, decision::Time)> = (0..sessions).map(entry).collect();
+    let checkpoint =
+        Checkpoint { instance: 1, incarnation: 1, entries: &entries, floor: None, incomplete: false };
     let opened = journal::open(&instances.kept_in(0), 1).expect("the folder is writable");
     drop(opened.begin(&checkpoint).expect("the folder is writable"));
 }
--- a/routing/src/router/placed_request.rs
+++ b/routing/src/router/placed_request.rs
@@ -1,6 +1,6 @@
 //! The route of a request by its tenant's placement rules.
 use decision::{GroupId, Outcome, Request};
-use placement::Refusal;
+use placement::PlacementError;
 use std::sync::Arc;
 
 /// The reason for which no further attempt of a request is sent.
@@ -9,7 +9,7 @@
     /// The request is routed to another group now.
     Rerouted,
     /// Its tenant's placement rules allow no endpoint that could serve it.
-    Denied(Refusal),
+    Denied(PlacementError),
 }
 
 /// The route of a request by placement rules.
--- a/sessions/benches/machine.rs
+++ b/sessions/benches/machine.rs
@@ -1,9 +1,9 @@
 //! Cost of the state machine and of the journal: `cargo bench -p sessions`.
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use decision::{GroupId, Time};
-use sessions::Key;
+use sessions::SessionKey;
 use sessions::commit_cache::CommitCache;
-use sessions::journal::{self, Record, Whole};
+use sessions::journal::{self, Checkpoint, Record};
 use sessions::machine::{Event, Machine, Now, Settings};
 use std::hint::black_box;
 
@@ -12,13 +12,13 @@
 /// Spreads keys over their whole range.
 const KEY_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
-fn key(n: u64) -> Key {
-    Key(n.wrapping_mul(KEY_FACTOR))
+fn key(n: u64) -> SessionKey {
+    SessionKey(n.wrapping_mul(KEY_FACTOR))
 }
 
 fn commit_cache(criterion: &mut Criterion) {
     let mut cache = CommitCache::new(SESSIONS as usize);
-    (0..SESSIONS).for_each(|n| cache.add(key(n), Time(n as i64)));
+    (0..SESSIONS).for_each(|n| cache.insert(key(n), Time(n as i64)));
     let mut n = 0;
     criterion.bench_function("need of one of a million sessions", |bencher| {
         bencher.iter(|| {
@@ -30,11 +30,11 @@
     criterion.bench_function("add a commit, folding the oldest", |bencher| {
         bencher.iter(|| {
             n += 1;
-            cache.add(key(n), Time(n as i64));
+            cache.insert(key(n), Time(n as i64));
         });
     });
     criterion.bench_function("key of a session's name", |bencher| {
-        bencher.iter(|| Key::named(GroupId(3), black_box("member-4711")));
+        bencher.iter(|| SessionKey::named(GroupId(3), black_box("member-4711")));
     });
 }
 
@@ -43,8 +43,8 @@
         instance: 1,
         incarnation: 1,
         lease: 300_000,
-        resume: 65_536,
-        sessions: 1_000_000,
+        max_buffered_commits: 65_536,
+        max_sessions: SESSIONS as usize,
         durable: true,
         incomplete: false,
     };
@@ -54,8 +54,9 @@
         bencher.iter(|| {
             n += 1;
             let now = Now { at: Time(n as i64), present: Some(Time(n as i64)) };
-            machine.handle(now, Event::Commit(n, key(n % 100_000), Time(n as i64)), &mut actions);
-            machine.handle(now, Event::Synced(n), &mut actions);
+            let commit = Event::Commit { ack: n, session: key(n % 100_000), committed_at: Time(n as i64) };
+            machine.handle(now, commit, &mut actions);
+            machine.handle(now, Event::JournalSynced { seq: n }, &mut actions);
             actions.clear();
         });
     });
@@ -64,8 +65,9 @@
 fn journal_file(criterion: &mut Criterion) {
     let directory = tempfile::tempdir().expect("a temporary folder can be created");
     let folder = directory.path();
-    let entries: Vec<(Key, Time)> = (0..SESSIONS).map(|n| (key(n), Time(n as i64))).collect();
-    let checkpoint = Whole { instance: 1, incarnation: 1, entries: &entries, floor: None, incomplete: false };
+    let entries: Vec<(SessionKey, Time)> = (0..SESSIONS).map(|n| (key(n), Time(n as i64))).collect();
+    let checkpoint =
+        Checkpoint { instance: 1, incarnation: 1, entries: &entries, floor: None, incomplete: false };
     let opened = journal::open(folder, 1).expect("the folder can be read");
     let mut journal =
         opened.begin(&checkpoint).expect("the folder is writable").expect("the file can be written");
@@ -74,23 +76,24 @@
     group.throughput(Throughput::Elements(SESSIONS));
     group.bench_function("restore a million sessions", |bencher| {
         bencher.iter(|| {
-            let newest = journal::newest(folder).expect("the folder can be read");
+            let newest = journal::read_newest(folder).expect("the folder can be read");
             let (_, contents) = newest.expect("there is a file");
             let mut cache = CommitCache::new(SESSIONS as usize);
             contents
                 .expect("the file is complete")
                 .entries
                 .into_iter()
-                .for_each(|(session, commit)| cache.add(session, commit));
+                .for_each(|(session, commit)| cache.insert(session, commit));
             black_box(cache.len())
         });
     });
     for batch in [1usize, 16, 256] {
-        let commits: Vec<(Key, i64)> = (0..batch as u64).map(|n| (key(n), n as i64)).collect();
+        let commits: Vec<(SessionKey, i64)> = (0..batch as u64).map(|n| (key(n), n as i64)).collect();
         group.throughput(Throughput::Elements(batch as u64));
         group.bench_function(format!("{batch} commits in one sync"), |bencher| {
-            bencher
-                .iter(|| journal.add(&Record::Commits(commits.clone())).expect("the disk accepts the write"));
+            bencher.iter(|| {
+                journal.append(&Record::Commits(commits.clone())).expect("the disk accepts the write")
+            });
         });
     }
     group.finish();
