--- a/simulator/src/world/events.rs
+++ b/simulator/src/world/events.rs
@@ -45,10 +45,10 @@
 /// What a router's sessions send to those of a peer.
 pub(super) enum PeerMessage {
     Hello { incarnation: u64 },
-    Welcome { incarnation: u64, position: u64 },
+    Accept { incarnation: u64, last_seq: u64 },
     Push(Push),
-    Confirm { sequence: u64 },
-    Ask { at: i64 },
+    Confirm { seq: u64 },
+    LeaseRequest { requested_at: i64 },
 }
 
 /// What happens to a router's process.
@@ -56,7 +56,7 @@
     ProbeEnded { node: usize, outcome: Outcome, report: MemberReport },
     DecisionTimerExpired,
     Ticked,
-    JournalSynced { sequence: u64, session: SessionKey, commit: Time },
+    JournalSynced { seq: u64, session: SessionKey, commit: Time },
 }
 
 /// What changes the replicas in service.
--- a/simulator/src/world/network.rs
+++ b/simulator/src/world/network.rs
@@ -44,14 +44,12 @@
                 SessionEvent::HelloReceived { peer, incarnation }
             }
             PeerMessage::Push(push) if sender_connected => SessionEvent::PushReceived { peer, push },
-            PeerMessage::Welcome { incarnation, position } if receiver_connected => {
-                SessionEvent::Accepted { peer, incarnation, last_seq: position }
+            PeerMessage::Accept { incarnation, last_seq } if receiver_connected => {
+                SessionEvent::Accepted { peer, incarnation, last_seq }
             }
-            PeerMessage::Confirm { sequence } if receiver_connected => {
-                SessionEvent::Confirmed { peer, seq: sequence }
-            }
-            PeerMessage::Ask { at } if receiver_connected => {
-                SessionEvent::LeaseRequested { peer, requested_at: at }
+            PeerMessage::Confirm { seq } if receiver_connected => SessionEvent::Confirmed { peer, seq },
+            PeerMessage::LeaseRequest { requested_at } if receiver_connected => {
+                SessionEvent::LeaseRequested { peer, requested_at }
             }
             _ => return,
         };
--- a/simulator/src/world/run.rs
+++ b/simulator/src/world/run.rs
@@ -74,8 +74,8 @@
                 self.handle_router_event(process.router, Event::TimerExpired);
             }
             ProcessEvent::Ticked => self.tick(process),
-            ProcessEvent::JournalSynced { sequence, session, commit } => {
-                self.handle_journal_sync(process.router, sequence, JournalEntry { session, commit });
+            ProcessEvent::JournalSynced { seq, session, commit } => {
+                self.handle_journal_sync(process.router, seq, JournalEntry { session, commit });
             }
         }
     }
--- a/simulator/src/world/sessions.rs
+++ b/simulator/src/world/sessions.rs
@@ -24,24 +24,24 @@
 
     fn apply_session_action(&mut self, router: usize, action: SessionAction) {
         match action {
-            SessionAction::AppendCommit { seq: sequence, session, committed_at: commit } => {
-                let synced = ProcessEvent::JournalSynced { sequence, session, commit };
+            SessionAction::AppendCommit { seq, session, committed_at: commit } => {
+                let synced = ProcessEvent::JournalSynced { seq, session, commit };
                 self.schedule_after(JOURNAL_SYNC, SimulationEvent::Process(self.process(router), synced));
             }
             SessionAction::SendPush { peer, push } => {
                 self.send_to_peer(router, peer as usize, PeerMessage::Push(push));
             }
-            SessionAction::SendSnapshot { peer, seq: sequence } => {
-                self.push_all(router, peer as usize, sequence);
+            SessionAction::SendSnapshot { peer, seq } => {
+                self.send_snapshot(router, peer as usize, seq);
             }
-            SessionAction::Accept { peer, incarnation, last_seq: position } => {
-                self.send_to_peer(router, peer as usize, PeerMessage::Welcome { incarnation, position });
+            SessionAction::Accept { peer, incarnation, last_seq } => {
+                self.send_to_peer(router, peer as usize, PeerMessage::Accept { incarnation, last_seq });
             }
-            SessionAction::SendConfirmation { peer, seq: sequence } => {
-                self.send_to_peer(router, peer as usize, PeerMessage::Confirm { sequence });
+            SessionAction::SendConfirmation { peer, seq } => {
+                self.send_to_peer(router, peer as usize, PeerMessage::Confirm { seq });
             }
-            SessionAction::RequestLease { peer, requested_at: at } => {
-                self.send_to_peer(router, peer as usize, PeerMessage::Ask { at });
+            SessionAction::RequestLease { peer, requested_at } => {
+                self.send_to_peer(router, peer as usize, PeerMessage::LeaseRequest { requested_at });
             }
             SessionAction::Disconnect { peer } => {
                 self.disconnect_peer(PeerConnection { from: peer as usize, to: router });
@@ -56,7 +56,7 @@
     }
 
     /// Sends the whole cache of commits to a peer.
-    fn push_all(&mut self, router: usize, peer: usize, sequence: u64) {
+    fn send_snapshot(&mut self, router: usize, peer: usize, seq: u64) {
         let sessions = &self.routers[router].sessions;
         let mut entries: Vec<(SessionKey, i64)> =
             sessions.commits().iter().map(|(session, commit)| (session, commit.0)).collect();
@@ -64,12 +64,12 @@
         entries.sort_unstable_by_key(|(session, commit)| (*commit, *session));
         let floor = sessions.floor().filter(|_| !sessions.floor_pending()).map(|floor| floor.0);
         self.send_to_peer(router, peer, PeerMessage::Push(Push::Snapshot { entries }));
-        self.send_to_peer(router, peer, PeerMessage::Push(Push::SnapshotComplete { seq: sequence, floor }));
+        self.send_to_peer(router, peer, PeerMessage::Push(Push::SnapshotComplete { seq, floor }));
     }
 
-    pub(super) fn handle_journal_sync(&mut self, router: usize, sequence: u64, entry: JournalEntry) {
+    pub(super) fn handle_journal_sync(&mut self, router: usize, seq: u64, entry: JournalEntry) {
         self.routers[router].journal.push(entry);
-        self.handle_session_event(router, SessionEvent::JournalSynced { seq: sequence });
+        self.handle_session_event(router, SessionEvent::JournalSynced { seq });
     }
 
     fn acknowledge_write(&mut self, router: usize, request: u64) {
