--- a/sessions/tests/recorded_run.rs
+++ b/sessions/tests/recorded_run.rs
@@ -47,8 +47,8 @@
         Action::SendConfirmation { peer, seq } => format!("confirm {peer} {seq}"),
         Action::RequestLease { peer, requested_at: at } => format!("ask {peer} {at}"),
         Action::Disconnect { peer } => format!("drop {peer}"),
-        Action::Acknowledge { ack: ticket } => format!("release {ticket}"),
-        Action::Fail { ack: ticket } => format!("fail {ticket}"),
+        Action::Acknowledge { ack } => format!("release {ack}"),
+        Action::Fail { ack } => format!("fail {ack}"),
         Action::AdoptIncarnation { incarnation } => format!("reincarnate {incarnation}"),
         Action::Superseded { newest_incarnation: incarnation } => format!("superseded {incarnation}"),
     }
@@ -58,7 +58,7 @@
 struct Source {
     rng: Rng,
     now: i64,
-    ticket: u64,
+    last_ack: u64,
 }
 
 impl Source {
@@ -82,15 +82,15 @@
 
     fn push(&mut self, machine: &Machine, peer: u64) -> Push {
         let statuses = machine.peer_statuses(Time(self.now));
-        let held =
+        let received_seq =
             statuses.iter().find(|status| status.instance == peer).map_or(0, |status| status.received_seq);
         match self.rng.u8(0..10) {
             0..=4 => {
                 // Now and then what was sent before, or behind a gap.
                 let first = match self.rng.u8(0..16) {
-                    0 => held.max(1),
-                    1 => held + 2,
-                    _ => held + 1,
+                    0 => received_seq.max(1),
+                    1 => received_seq + 2,
+                    _ => received_seq + 1,
                 };
                 let count = self.rng.usize(1..4);
                 Push::Commits { first, entries: self.entries(count) }
@@ -101,7 +101,7 @@
             }
             6 => {
                 let floor = self.rng.bool().then_some(self.now - 200_000);
-                Push::SnapshotComplete { seq: held + 1, floor }
+                Push::SnapshotComplete { seq: received_seq + 1, floor }
             }
             _ => Push::LeaseGrant { requested_at: self.now - self.rng.i64(-1000..LEASE + 20_000) },
         }
@@ -111,9 +111,9 @@
         let peer = self.rng.u64(2..4);
         match self.rng.u8(0..100) {
             0..=24 => {
-                self.ticket += 1;
+                self.last_ack += 1;
                 Event::Commit {
-                    ack: self.ticket,
+                    ack: self.last_ack,
                     session: self.key(),
                     committed_at: Time(self.now - self.rng.i64(0..500)),
                 }
@@ -169,7 +169,7 @@
     };
     let kept = [(SessionKey(1), Time(900_000)), (SessionKey(2), Time(950_000))];
     let mut machine = Machine::new(settings, kept, Some(Time(800_000)));
-    let mut source = Source { rng: Rng::with_seed(seed), now: 1_000_000, ticket: 0 };
+    let mut source = Source { rng: Rng::with_seed(seed), now: 1_000_000, last_ack: 0 };
     let mut event = Event::PeersListed { peers: vec![1, 2, 3] };
     for step in 0..450 {
         let known = step > 20 && source.rng.u8(0..12) > 0;
--- a/sessions/tests/simulation.rs
+++ b/sessions/tests/simulation.rs
@@ -4,7 +4,7 @@
 //! clients.
 use decision::Time;
 use fastrand::Rng;
-use sessions::machine::{Action, Event, Instance, Machine, Now, Push, Settings};
+use sessions::machine::{Action, Event, Instance, Machine, Now, Push, RejectionReason, Settings};
 use sessions::{AFTER_EVERY_COMMIT, SessionKey};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -15,7 +15,7 @@
 /// What lies on an instance's disk.
 #[derive(Clone, Default)]
 struct Disk {
-    /// A journal is there and believed.
+    /// A journal is there and used by a start.
     valid: bool,
     incarnation: u64,
     entries: Vec<(SessionKey, Time)>,
@@ -37,18 +37,18 @@
     unsynced: VecDeque<UnsyncedCommit>,
     paused_until: i64,
     /// The servers' clocks are known from then on.
-    knows_from: i64,
+    clocks_known_from: i64,
     disk_fails: bool,
 }
 
 /// A message in flight.
 enum Message {
     Hello(u64),
-    Welcome(u64, u64),
-    Refused(sessions::machine::RejectionReason),
+    Accepted { incarnation: u64, last_seq: u64 },
+    Rejected(RejectionReason),
     Push(Push),
-    Confirm(u64),
-    Ask(i64),
+    Confirmation { seq: u64 },
+    LeaseRequest { requested_at: i64 },
 }
 
 /// The connection on which one instance brings its commits to another.
@@ -56,7 +56,7 @@
 struct Link {
     pushes: VecDeque<(i64, Message)>,
     replies: VecDeque<(i64, Message)>,
-    welcomed: bool,
+    accepted: bool,
 }
 
 struct World {
@@ -65,13 +65,13 @@
     processes: BTreeMap<Instance, Option<Process>>,
     disks: BTreeMap<Instance, Disk>,
     links: HashMap<(Instance, Instance), Link>,
-    cut: HashMap<(Instance, Instance), bool>,
+    partitioned: HashMap<(Instance, Instance), bool>,
     /// Each instance's clock less the true one, and its rate in parts of a thousand.
     clocks: BTreeMap<Instance, (i64, i64)>,
-    next_ticket: u64,
-    tickets: HashMap<(Instance, u64), (SessionKey, Time)>,
+    last_ack: u64,
+    pending_commits: HashMap<(Instance, u64), (SessionKey, Time)>,
     acknowledged: HashMap<SessionKey, Time>,
-    exact_reads: u64,
+    cached_reads: u64,
     reads: u64,
     released: u64,
     durable: bool,
@@ -90,12 +90,12 @@
             processes: (1..=size).map(|instance| (instance, None)).collect(),
             disks: (1..=size).map(|instance| (instance, Disk::default())).collect(),
             links: HashMap::new(),
-            cut: HashMap::new(),
+            partitioned: HashMap::new(),
             clocks,
-            next_ticket: 0,
-            tickets: HashMap::new(),
+            last_ack: 0,
+            pending_commits: HashMap::new(),
             acknowledged: HashMap::new(),
-            exact_reads: 0,
+            cached_reads: 0,
             reads: 0,
             released: 0,
             durable,
@@ -113,15 +113,16 @@
     /// The servers' clock is the true one; an instance knows it within a bound.
     fn now_at(&mut self, instance: Instance) -> Now {
         let late = self.rng.i64(0..500);
-        let known = self.processes[&instance].as_ref().is_none_or(|process| process.knows_from <= self.now);
+        let known =
+            self.processes[&instance].as_ref().is_none_or(|process| process.clocks_known_from <= self.now);
         Now { at: Time(self.clock(instance)), present: known.then_some(Time(self.now + late)) }
     }
 
     fn start(&mut self, instance: Instance) {
         let disk = self.disks[&instance].clone();
         let incarnation = (disk.incarnation + 1).max(self.now as u64);
-        let believed = self.durable && disk.valid;
-        let incomplete = !believed || disk.incomplete;
+        let is_used = self.durable && disk.valid;
+        let incomplete = !is_used || disk.incomplete;
         let settings = Settings {
             instance,
             incarnation,
@@ -131,16 +132,16 @@
             durable: self.durable,
             incomplete,
         };
-        let entries = if believed { disk.entries } else { Vec::new() };
-        let floor = disk.floor.filter(|_| believed);
+        let entries = if is_used { disk.entries } else { Vec::new() };
+        let floor = disk.floor.filter(|_| is_used);
         if self.durable {
             let (entries, valid) = (entries.clone(), true);
             self.disks.insert(instance, Disk { valid, incarnation, entries, floor, incomplete });
         }
         let machine = Machine::new(settings, entries, floor);
-        let knows_from = self.now + self.rng.i64(0..150 * MS);
+        let clocks_known_from = self.now + self.rng.i64(0..150 * MS);
         let unsynced = VecDeque::new();
-        let process = Process { machine, unsynced, paused_until: 0, knows_from, disk_fails: false };
+        let process = Process { machine, unsynced, paused_until: 0, clocks_known_from, disk_fails: false };
         self.processes.insert(instance, Some(process));
         self.handle(instance, Event::PeersListed { peers: (1..=self.size).collect() });
     }
@@ -148,13 +149,13 @@
     fn kill(&mut self, instance: Instance) {
         let Some(process) = self.processes.get_mut(&instance).and_then(Option::take) else { return };
         // Part of what was being synced may have reached the disk.
-        let reached = self.rng.usize(0..=process.unsynced.len());
+        let synced_count = self.rng.usize(0..=process.unsynced.len());
         let disk = self.disks.get_mut(&instance).unwrap();
-        disk.entries.extend(process.unsynced.iter().take(reached).map(|write| (write.key, write.at)));
+        disk.entries.extend(process.unsynced.iter().take(synced_count).map(|write| (write.key, write.at)));
         if self.rng.u8(0..6) == 0 {
             *disk = Disk { incarnation: disk.incarnation, ..Disk::default() };
         }
-        self.tickets.retain(|(i, _), _| *i != instance);
+        self.pending_commits.retain(|(i, _), _| *i != instance);
         for (pair, link) in &mut self.links {
             // What it sent may still arrive; what was sent to it will not.
             if pair.0 == instance && self.rng.bool() {
@@ -166,7 +167,7 @@
         for (a, b) in broken {
             let mut link = self.links.remove(&(a, b)).unwrap();
             while let Some((_, Message::Push(push))) = link.pushes.pop_front() {
-                if b != instance && link.welcomed {
+                if b != instance && link.accepted {
                     self.handle(b, Event::PushReceived { peer: a, push });
                 }
             }
@@ -188,8 +189,8 @@
     fn delay(&mut self, queue_end: Option<i64>) -> i64 {
         // In order on each connection.
         let stalls = self.rng.u8(0..40) == 0;
-        let most = if stalls { 500 * MS } else { 8 * MS };
-        (self.now + self.rng.i64(0..most)).max(queue_end.unwrap_or(0))
+        let max_delay = if stalls { 500 * MS } else { 8 * MS };
+        (self.now + self.rng.i64(0..max_delay)).max(queue_end.unwrap_or(0))
     }
 
     fn send(&mut self, from: Instance, to: Instance, message: Message) {
@@ -232,19 +233,23 @@
                 self.send(instance, to, Message::Push(Push::SnapshotComplete { seq, floor }));
             }
             Action::Accept { peer, incarnation, last_seq: holds } => {
-                self.reply(peer, instance, Message::Welcome(incarnation, holds));
+                self.reply(peer, instance, Message::Accepted { incarnation, last_seq: holds });
+            }
+            Action::Reject { peer, reason: why } => self.reply(peer, instance, Message::Rejected(why)),
+            Action::SendConfirmation { peer, seq } => {
+                self.reply(peer, instance, Message::Confirmation { seq });
+            }
+            Action::RequestLease { peer, requested_at: at } => {
+                self.reply(peer, instance, Message::LeaseRequest { requested_at: at });
             }
-            Action::Reject { peer, reason: why } => self.reply(peer, instance, Message::Refused(why)),
-            Action::SendConfirmation { peer, seq } => self.reply(peer, instance, Message::Confirm(seq)),
-            Action::RequestLease { peer, requested_at: at } => self.reply(peer, instance, Message::Ask(at)),
             Action::Disconnect { peer } => self.unlink(peer, instance),
-            Action::Acknowledge { ack: ticket } => {
-                let (key, at) = self.tickets.remove(&(instance, ticket)).unwrap();
+            Action::Acknowledge { ack } => {
+                let (key, at) = self.pending_commits.remove(&(instance, ack)).unwrap();
                 let acknowledged = self.acknowledged.entry(key).or_insert(at);
                 *acknowledged = (*acknowledged).max(at);
                 self.released += 1;
             }
-            Action::Fail { ack: ticket } => _ = self.tickets.remove(&(instance, ticket)),
+            Action::Fail { ack } => _ = self.pending_commits.remove(&(instance, ack)),
             Action::AdoptIncarnation { .. } | Action::Superseded { .. } => {}
         }
     }
@@ -256,29 +261,29 @@
         }
     }
 
-    fn awake(&self, instance: Instance) -> bool {
+    fn is_awake(&self, instance: Instance) -> bool {
         self.processes[&instance].as_ref().is_some_and(|process| process.paused_until <= self.now)
     }
 
-    fn is_cut(&self, a: Instance, b: Instance) -> bool {
-        self.cut.get(&(a.min(b), a.max(b))).copied().unwrap_or(false)
+    fn is_partitioned(&self, a: Instance, b: Instance) -> bool {
+        self.partitioned.get(&(a.min(b), a.max(b))).copied().unwrap_or(false)
     }
 
-    /// Delivers, dials, syncs and ticks as far as time has come.
+    /// Delivers, connects, syncs and ticks as far as time has come.
     fn advance(&mut self) {
         for from in 1..=self.size {
             for to in (1..=self.size).filter(|instance| *instance != from) {
-                if self.awake(from) && !self.links.contains_key(&(from, to)) && self.rng.u8(0..4) == 0 {
-                    self.dial(from, to);
+                if self.is_awake(from) && !self.links.contains_key(&(from, to)) && self.rng.u8(0..4) == 0 {
+                    self.connect(from, to);
                 }
-                if self.is_cut(from, to) {
+                if self.is_partitioned(from, to) {
                     continue;
                 }
                 self.deliver(from, to);
             }
         }
         for instance in 1..=self.size {
-            if !self.awake(instance) {
+            if !self.is_awake(instance) {
                 continue;
             }
             let now = self.now;
@@ -297,8 +302,8 @@
         }
     }
 
-    fn dial(&mut self, from: Instance, to: Instance) {
-        if self.is_cut(from, to) {
+    fn connect(&mut self, from: Instance, to: Instance) {
+        if self.is_partitioned(from, to) {
             return;
         }
         match &self.processes[&to] {
@@ -315,7 +320,7 @@
     }
 
     fn deliver(&mut self, from: Instance, to: Instance) {
-        while self.awake(to)
+        while self.is_awake(to)
             && let Some(link) = self.links.get_mut(&(from, to))
             && link.pushes.front().is_some_and(|m| m.0 <= self.now)
         {
@@ -327,21 +332,23 @@
                 _ => {}
             }
         }
-        while self.awake(from)
+        while self.is_awake(from)
             && let Some(link) = self.links.get_mut(&(from, to))
             && link.replies.front().is_some_and(|m| m.0 <= self.now)
         {
             match link.replies.pop_front().unwrap().1 {
-                Message::Welcome(incarnation, holds) => {
-                    link.welcomed = true;
+                Message::Accepted { incarnation, last_seq: holds } => {
+                    link.accepted = true;
                     self.handle(from, Event::Accepted { peer: to, incarnation, last_seq: holds });
                 }
-                Message::Refused(why) => {
+                Message::Rejected(why) => {
                     self.handle(from, Event::Rejected { peer: to, reason: why });
                     self.unlink(from, to);
                 }
-                Message::Confirm(seq) => self.handle(from, Event::Confirmed { peer: to, seq }),
-                Message::Ask(at) => self.handle(from, Event::LeaseRequested { peer: to, requested_at: at }),
+                Message::Confirmation { seq } => self.handle(from, Event::Confirmed { peer: to, seq }),
+                Message::LeaseRequest { requested_at: at } => {
+                    self.handle(from, Event::LeaseRequested { peer: to, requested_at: at });
+                }
                 _ => {}
             }
         }
@@ -349,26 +356,27 @@
 
     fn write(&mut self, instance: Instance) {
         let key = SessionKey(self.rng.u64(0..KEYS));
-        self.next_ticket += 1;
+        self.last_ack += 1;
         // Every commit has its own time, none later than what an instance takes for the present.
         let at = Time(self.now);
-        self.tickets.insert((instance, self.next_ticket), (key, at));
-        self.handle(instance, Event::Commit { ack: self.next_ticket, session: key, committed_at: at });
+        self.pending_commits.insert((instance, self.last_ack), (key, at));
+        self.handle(instance, Event::Commit { ack: self.last_ack, session: key, committed_at: at });
     }
 
     fn read(&mut self, instance: Instance) {
         let now = self.now_at(instance);
         let Some(Some(process)) = self.processes.get(&instance) else { return };
         for k in 0..KEYS {
-            let need = process.machine.required_position(SessionKey(k), now);
+            let required = process.machine.required_position(SessionKey(k), now);
             self.reads += 1;
-            self.exact_reads += u64::from(
-                now.present.is_none_or(|process| need < Some(process)) && need != Some(AFTER_EVERY_COMMIT),
+            self.cached_reads += u64::from(
+                now.present.is_none_or(|process| required < Some(process))
+                    && required != Some(AFTER_EVERY_COMMIT),
             );
             let acknowledged = self.acknowledged.get(&SessionKey(k)).copied();
             assert!(
-                need >= acknowledged,
-                "instance {instance}, key {k} at {}: {need:?} is less than {acknowledged:?}",
+                required >= acknowledged,
+                "instance {instance}, key {k} at {}: {required:?} is less than {acknowledged:?}",
                 self.now
             );
         }
@@ -400,7 +408,7 @@
         self.now += self.rng.i64(0..10 * MS);
         self.advance();
         let instance = self.rng.u64(1..=self.size);
-        let up = self.awake(instance);
+        let up = self.is_awake(instance);
         match self.rng.u8(0..=255) {
             0..=89 if up => self.write(instance),
             90..=199 if up => self.read(instance),
@@ -412,8 +420,8 @@
             }
             219..=222 => {
                 let other = instance % self.size + 1;
-                let cut = self.cut.entry((instance.min(other), instance.max(other))).or_default();
-                *cut = !*cut;
+                let is_cut = self.partitioned.entry((instance.min(other), instance.max(other))).or_default();
+                *is_cut = !*is_cut;
                 if self.rng.bool() {
                     self.unlink(instance, other);
                 }
@@ -437,7 +445,7 @@
             world.step();
         }
         (exact, reads, released) =
-            (exact + world.exact_reads, reads + world.reads, released + world.released);
+            (exact + world.cached_reads, reads + world.reads, released + world.released);
     }
     // Enough was acknowledged, and not by making every read see the present.
     assert!(released > 20_000, "{released} writes were acknowledged");
--- a/settings/src/operator/mysql/bounds.rs
+++ b/settings/src/operator/mysql/bounds.rs
@@ -1,8 +1,8 @@
 //! The bounds of the program and the settings of the decision logic that follow from the table.
-use super::super::table::{or, positive};
 use crate::error::Error;
 use crate::fields::{number, unsigned_integer};
 use crate::limits::{Limits, ProcessResources, RequestTimes};
+use crate::operator::table::{or, positive};
 use decision::{Class, LaggingReplica, SessionCommitSource, Settings};
 use serde_json::Value;
 use std::ops::RangeInclusive;
--- a/settings/src/operator/mysql/classes.rs
+++ b/settings/src/operator/mysql/classes.rs
@@ -1,7 +1,7 @@
 //! The classes of statements.
-use super::super::table::{each, only, or, owned, positive};
 use crate::error::Error;
 use crate::fields::{number, string};
+use crate::operator::table::{each, only, or, owned, positive};
 use decision::{Class, Freshness, Idempotency, Micros};
 use serde_json::Value;
 
--- a/settings/src/operator/mysql/config.rs
+++ b/settings/src/operator/mysql/config.rs
@@ -1,11 +1,11 @@
 //! The table `[mysql]`, read and checked.
-use super::super::table::{each, only, optional, or, owned, positive};
 use super::bounds::{decision_settings, read_connect_timeout, read_limits};
 use super::classes::{NamedClass, read_classes};
 use crate::error::Error;
 use crate::fields::{boolean, string, unsigned_integer};
 use crate::limits::Limits;
 use crate::operator::credentials::Credentials;
+use crate::operator::table::{each, only, optional, or, owned, positive};
 use decision::{Freshness, Settings};
 use serde_json::Value;
 use std::net::SocketAddr;
