--- a/faults/control/tests/control_file.rs
+++ b/faults/control/tests/control_file.rs
@@ -7,7 +7,7 @@
 
 #[cfg(target_endian = "little")]
 #[test]
-fn file_with_every_fault_has_the_bytes_it_had() {
+fn every_fault_has_its_bytes() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("n0.faults");
     let control = ControlFile::create(&path).unwrap();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn words_and_limits_are_what_processes_expect() {
+fn words_have_their_places() {
     assert_eq!((CONTROL_VARIABLE, SCALE, FILE_BYTES, CLOCK_WORD), ("DAMSONVALE_FAULTS", 1_000_000, 256, 0));
     let words = Fault::ALL.map(Fault::word);
     assert_eq!(words, [1, 2, 3, 4, 5, 6, 7, 8, 9, 10]);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn cleared_faults_leave_the_clock_and_probabilities_are_capped() {
+fn rates_are_capped_and_cleared() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("n0.faults");
     let control = ControlFile::create(&path).unwrap();
--- a/faults/tests/preload.rs
+++ b/faults/tests/preload.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn wall_clock_is_moved_and_the_monotonic_one_is_not() {
+fn only_wall_clock_is_moved() {
     let (_folder, path, control) = control();
     assert!(run("clock", &path).ends_with("true"));
     for hours in [-1i64, 1] {
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn calls_fail_as_the_control_file_says_and_stop_failing_with_it() {
+fn calls_fail_while_their_fault_is_set() {
     let (folder, path, control) = control();
     let cases = [
         (Fault::Accept, "accept", "true", "false"),
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -4,10 +4,10 @@
 use soak::draw::draw;
 use soak::fault::{FaultKind, PlannedFault};
 use soak::oracle::{self, Promise};
-use soak::plan::{Front, Plan};
+use soak::plan::Plan;
+use soak::reduce;
 use soak::report::Report;
 use soak::router::Programs;
-use soak::{platform, reduce, serve};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
@@ -95,11 +95,7 @@
 }
 
 fn play(plan: &Plan, seed: u64, faults: &[PlannedFault], programs: &Programs) -> Result<Report, Error> {
-    let history = match plan.front {
-        Front::Platform => platform::play(plan, seed, faults, programs),
-        Front::Serve => serve::play(plan, seed, faults, programs),
-    };
-    let history = history.map_err(Error::Soak)?;
+    let history = soak::play::play(plan, seed, faults, programs).map_err(Error::Soak)?;
     let breaches = oracle::check(&history);
     Ok(Report::new(seed, faults, &history, breaches))
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -6,7 +6,7 @@
 //!   fault proxy: every byte that a router writes is stamped when it arrives, and may then be delayed, trickled, lost,
 //!   reset or forgotten on its way to the server behind it.
 //! - [`router`]: the processes, with the preloaded library of the package `faults` in each.
-//! - [`platform`] and [`serve`]: one run of each front.
+//! - [`mod@play`]: one run, by way of [`platform`] or [`serve`], the two fronts.
 //! - [`history`]: what a run records.
 //! - [`oracle`]: reads the records of servers, clients and discovery, never the program's own log, and names each promise
 //!   that was broken. The program's own count of violated invariants is read besides.
@@ -23,6 +23,7 @@
 pub mod oracle;
 pub mod plan;
 pub mod platform;
+pub mod play;
 pub mod reduce;
 pub mod report;
 pub mod router;
--- a/soak/tests/exchanged_forms.rs
+++ b/soak/tests/exchanged_forms.rs
@@ -1,6 +1,7 @@
 //! What the soak exchanges with routers (their files, discovery's list, messages), and the report that it prints, against
 //! fixtures.
 mod fixture;
+mod records;
 
 use fixture::assert_fixture;
 use soak::history::{
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn platform_configuration_is_written_as_before() {
+fn platform_config_is_written_as_before() {
     let (agents, servers) = agents();
     let endpoints = agents.list_json(&servers);
     let settings = RouterSettings {
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn serve_configuration_is_written_as_before() {
+fn serve_config_is_written_as_before() {
     let numbered = |from: u16, count: u16| (from..from + count).map(address).collect::<Vec<_>>();
     let addresses = Addresses {
         clients: numbered(1000, 4),
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn discovery_sends_the_whole_list_and_then_its_changes() {
+fn discovery_sends_list_then_changes() {
     let (agents, _) = agents();
     let whole = watch(&agents, 0, 6);
     let changes = watch(&agents, 3, 9);
@@ -140,36 +141,11 @@
 }
 
 fn request(id: u64, class: Class, outcome: Outcome) -> Request {
-    Request {
-        id,
-        router: 1,
-        connection: 4,
-        connected_at: SECOND,
-        sequence: 0,
-        class,
-        group: 0,
-        sent_at: 10 * SECOND,
-        timeout: SECOND,
-        required_commit: None,
-        outcome,
-        ended_at: 10 * SECOND + 50_000,
-        cancelled_at: None,
-    }
+    Request { router: 1, connection: 4, connected_at: SECOND, class, outcome, ..records::request(id) }
 }
 
-fn arrival(id: u64, server: usize) -> Attempt {
-    Attempt {
-        id,
-        router: 1,
-        server,
-        first_byte_at: 10 * SECOND + 10_000,
-        last_byte_at: 10 * SECOND + 10_000,
-        reached_at: Some(10 * SECOND + 10_000),
-        timeout_ms: 985,
-        ran_at: Some(10 * SECOND + 30_000),
-        position: 10 * SECOND,
-        was_primary: false,
-    }
+fn attempt(id: u64, server: usize) -> Attempt {
+    Attempt { router: 1, ..records::attempt(id, server) }
 }
 
 fn violations(router: usize, invariant: &str, count: u64) -> InvariantViolations {
@@ -198,22 +174,22 @@
         request(0xa8, Class::Any, Outcome::Error("08006".into())),
         cancelled,
     ];
-    let second_run = Attempt { first_byte_at: 12 * SECOND, timeout_ms: 1, ..arrival(0xa5, 2) };
-    let arrivals = vec![
-        arrival(0xa1, 0),
-        Attempt { timeout_ms: 1600, ..arrival(0xa2, 1) },
-        arrival(0xa3, 1),
-        arrival(0xa4, 0),
-        arrival(0xa4, 2),
-        arrival(0xa5, 0),
+    let second_run = Attempt { first_byte_at: 12 * SECOND, timeout_ms: 1, ..attempt(0xa5, 2) };
+    let attempts = vec![
+        attempt(0xa1, 0),
+        Attempt { timeout_ms: 1600, ..attempt(0xa2, 1) },
+        attempt(0xa3, 1),
+        attempt(0xa4, 0),
+        attempt(0xa4, 2),
+        attempt(0xa5, 0),
         second_run,
-        arrival(0xa6, 1),
-        Attempt { position: 8 * SECOND, ..arrival(0xa7, 3) },
+        attempt(0xa6, 1),
+        Attempt { position: 8 * SECOND, ..attempt(0xa7, 3) },
     ];
     let crowd = (0..120).map(|n| Attempt {
         id: 0x1000 + n,
         first_byte_at: 21 * SECOND + n as i64 * 1000,
-        ..arrival(0, 5)
+        ..attempt(0, 5)
     });
     let sample = |second: i64, descriptors| Sample {
         router: 2,
@@ -226,7 +202,7 @@
     };
     History {
         requests,
-        attempts: arrivals.into_iter().chain(crowd).collect(),
+        attempts: attempts.into_iter().chain(crowd).collect(),
         absences: vec![Absence { router: 3, reason: AbsenceReason::Paused, from: SECOND, to: 2 * SECOND }],
         withdrawals: vec![Withdrawal {
             server: 3,
@@ -255,7 +231,7 @@
 }
 
 #[test]
-fn report_and_breaches_are_printed_as_before() {
+fn report_is_printed_as_before() {
     let mut history = broken_history();
     let breaches = check(&history);
     let fault = PlannedFault {
--- a/soak/tests/oracle.rs
+++ b/soak/tests/oracle.rs
@@ -1,51 +1,27 @@
-//! The oracles have to bite: for each, a history that keeps its promise passes and one that breaks it is refused.
+//! Each oracle passes a history that breaks no promise, and names the promise that a change of that history breaks.
+mod records;
+
+use records::{attempt, request};
 use soak::class::Class;
 use soak::history::{
-    Absence, AbsenceReason, Attempt, DiscoveryOutage, History, InvariantViolations, Outcome, Request,
-    RouterFailure, Sample, ServerStart, SessionRead, SessionWrites, Stall, StoreRecord, UnexpectedAnswer,
-    Withdrawal,
+    Absence, AbsenceReason, Attempt, DiscoveryOutage, History, InvariantViolations, Outcome, RouterFailure,
+    Sample, ServerStart, SessionRead, SessionWrites, Stall, StoreRecord, UnexpectedAnswer, Withdrawal,
 };
 use soak::oracle::{Promise, check};
 use soak::time::SECOND;
 
 /// A request that was served in 50 ms, and its attempt.
 fn history() -> History {
-    let request = Request {
-        id: 1,
-        router: 0,
-        connection: 1,
-        connected_at: 0,
-        sequence: 0,
-        class: Class::Write,
-        group: 0,
-        sent_at: 10 * SECOND,
-        timeout: SECOND,
-        required_commit: None,
-        outcome: Outcome::Served("1.0.0".into()),
-        ended_at: 10 * SECOND + 50_000,
-        cancelled_at: None,
-    };
-    let arrival = Attempt {
-        id: 1,
-        router: 0,
-        server: 0,
-        first_byte_at: 10 * SECOND + 10_000,
-        last_byte_at: 10 * SECOND + 10_000,
-        reached_at: Some(10 * SECOND + 10_000),
-        timeout_ms: 985,
-        ran_at: Some(10 * SECOND + 30_000),
-        position: 10 * SECOND,
-        was_primary: false,
-    };
     History {
-        requests: vec![request],
-        attempts: vec![arrival],
+        requests: vec![request(1)],
+        attempts: vec![attempt(1, 0)],
         load_ended_at: 30 * SECOND,
         ..History::default()
     }
 }
 
-fn broken(change: impl FnOnce(&mut History)) -> Vec<Promise> {
+/// The promises that a change of that history breaks.
+fn broken_promises(change: impl FnOnce(&mut History)) -> Vec<Promise> {
     let mut history = history();
     change(&mut history);
     let mut found: Vec<Promise> = check(&history).into_iter().map(|breach| breach.promise).collect();
@@ -58,98 +34,101 @@
 }
 
 #[test]
-fn a_history_that_keeps_every_promise_passes() {
-    assert_eq!(broken(|_| ()), []);
+fn valid_history_has_no_breach() {
+    assert_eq!(broken_promises(|_| ()), []);
 }
 
 #[test]
-fn requests_without_their_answer_are_lost() {
+fn unanswered_request_is_lost() {
     let open = |h: &mut History| h.requests[0].outcome = Outcome::Pending;
     let closed = |h: &mut History| (h.requests[0].outcome, h.attempts) = (Outcome::Closed, Vec::new());
-    assert_eq!(broken(open), [Promise::Lost]);
-    assert_eq!(broken(closed), [Promise::Lost]);
+    assert_eq!(broken_promises(open), [Promise::Lost]);
+    assert_eq!(broken_promises(closed), [Promise::Lost]);
     // Its process was killed under it.
     let killed = |h: &mut History| {
         closed(h);
         h.absences.push(absence(AbsenceReason::Killed, 10 * SECOND + 20_000, 11 * SECOND));
     };
-    assert_eq!(broken(killed), []);
+    assert_eq!(broken_promises(killed), []);
     // A connection that rested, ended as the request was on its way: the client sends it again elsewhere.
     let crossed = |h: &mut History| {
         closed(h);
         h.requests[0].sequence = 3;
     };
-    assert_eq!(broken(crossed), []);
+    assert_eq!(broken_promises(crossed), []);
     // But not where a server has seen it.
     let forwarded = |h: &mut History| (h.requests[0].outcome, h.requests[0].sequence) = (Outcome::Closed, 3);
-    assert_eq!(broken(forwarded), [Promise::Lost]);
+    assert_eq!(broken_promises(forwarded), [Promise::Lost]);
     // Late in a shutdown clients send elsewhere what is not answered.
     let ending = |h: &mut History| {
         closed(h);
         h.absences.push(absence(AbsenceReason::ShutDown, 9 * SECOND, 12 * SECOND));
     };
-    assert_eq!(broken(ending), []);
+    assert_eq!(broken_promises(ending), []);
     // But early in it they are served as before, also where the process ends with the connection.
     let cut = |h: &mut History| {
         closed(h);
         h.absences.push(absence(AbsenceReason::ShutDown, 10 * SECOND - 100_000, 10 * SECOND + 60_000));
     };
-    assert_eq!(broken(cut), [Promise::Lost]);
+    assert_eq!(broken_promises(cut), [Promise::Lost]);
 }
 
 #[test]
 fn late_and_foreign_answers_are_found() {
-    assert_eq!(broken(|h| h.requests[0].ended_at = 12 * SECOND), [Promise::Late]);
+    assert_eq!(broken_promises(|h| h.requests[0].ended_at = 12 * SECOND), [Promise::Late]);
     let paused = |h: &mut History| {
         h.requests[0].ended_at = 12 * SECOND;
         h.absences.push(absence(AbsenceReason::Paused, 10 * SECOND + 100_000, 11 * SECOND + 900_000));
     };
-    assert_eq!(broken(paused), []);
+    assert_eq!(broken_promises(paused), []);
     let unsolicited = UnexpectedAnswer::Unsolicited { connection: 1, answer: None };
-    assert_eq!(broken(|h| h.unexpected_answers.push(unsolicited.clone())), [Promise::ForeignAnswer]);
+    assert_eq!(broken_promises(|h| h.unexpected_answers.push(unsolicited.clone())), [Promise::ForeignAnswer]);
 }
 
 #[test]
-fn attempts_that_must_not_be_are_found() {
-    let left = |h: &mut History| {
+fn forbidden_attempts_are_found() {
+    let disconnected = |h: &mut History| {
         (h.requests[0].outcome, h.requests[0].ended_at) = (Outcome::Disconnected, 10 * SECOND);
         h.attempts[0].first_byte_at = 10 * SECOND + 210_000;
         h.attempts[0].timeout_ms = 700;
     };
-    assert_eq!(broken(left), [Promise::SentAfterDisconnect]);
+    assert_eq!(broken_promises(disconnected), [Promise::SentAfterDisconnect]);
     let again = |h: &mut History| {
         let mut second = h.attempts[0].clone();
         (second.server, second.first_byte_at) = (1, 10 * SECOND + 20_000);
         h.attempts.push(second);
     };
-    assert_eq!(broken(again), [Promise::RanTwice]);
+    assert_eq!(broken_promises(again), [Promise::RanTwice]);
     let outside_window = |h: &mut History| {
         again(h);
         h.requests[0].class = Class::Keyed;
         let late = 11 * SECOND;
         (h.attempts[1].first_byte_at, h.attempts[1].last_byte_at, h.attempts[1].timeout_ms) = (late, late, 1);
     };
-    assert_eq!(broken(outside_window), [Promise::RanOutsideWindow]);
-    assert_eq!(broken(|h| h.requests[0].outcome = Outcome::Error("53300".into())), [Promise::RejectedButRan]);
-    assert_eq!(broken(|h| h.attempts[0].timeout_ms = 1400), [Promise::TimeoutTooLong]);
+    assert_eq!(broken_promises(outside_window), [Promise::RanOutsideWindow]);
+    assert_eq!(
+        broken_promises(|h| h.requests[0].outcome = Outcome::Error("53300".into())),
+        [Promise::RejectedButRan]
+    );
+    assert_eq!(broken_promises(|h| h.attempts[0].timeout_ms = 1400), [Promise::TimeoutTooLong]);
 }
 
 #[test]
-fn withdrawn_servers_must_get_nothing_new() {
+fn attempt_at_withdrawn_server_is_found() {
     let withdrawal = Withdrawal { server: 0, router: None, notified_at: 9 * SECOND, until: 20 * SECOND };
-    assert_eq!(broken(|h| h.withdrawals.push(withdrawal)), [Promise::Drain]);
-    // Discovery could not tell it.
-    let untold = |h: &mut History| {
+    assert_eq!(broken_promises(|h| h.withdrawals.push(withdrawal)), [Promise::Drain]);
+    // Discovery could not notify the router.
+    let unnotified = |h: &mut History| {
         h.withdrawals.push(withdrawal);
         h.discovery_outages.push(DiscoveryOutage { router: 0, from: 8 * SECOND, to: 11 * SECOND });
     };
-    assert_eq!(broken(untold), []);
-    let by_hand = Withdrawal { router: Some(1), ..withdrawal };
-    assert_eq!(broken(|h| h.withdrawals.push(by_hand)), [], "another router was told");
+    assert_eq!(broken_promises(unnotified), []);
+    let by_operator = Withdrawal { router: Some(1), ..withdrawal };
+    assert_eq!(broken_promises(|h| h.withdrawals.push(by_operator)), [], "another router was notified");
 }
 
 #[test]
-fn cold_servers_must_not_be_overloaded() {
+fn overload_of_cold_server_is_found() {
     let crowd = |count: usize| {
         move |h: &mut History| {
             h.server_starts.push(ServerStart { server: 0, at: 10 * SECOND });
@@ -160,30 +139,30 @@
             }
         }
     };
-    assert_eq!(broken(crowd(30)), []);
-    assert_eq!(broken(crowd(120)), [Promise::SlowStart]);
+    assert_eq!(broken_promises(crowd(30)), []);
+    assert_eq!(broken_promises(crowd(120)), [Promise::SlowStart]);
 }
 
 #[test]
-fn reads_must_be_fresh_enough() {
+fn stale_read_is_found() {
     let bounded = |h: &mut History| {
         h.requests[0].class = Class::Bounded;
         h.attempts[0].position = 8 * SECOND;
     };
-    assert_eq!(broken(bounded), [Promise::Stale]);
+    assert_eq!(broken_promises(bounded), [Promise::Stale]);
     let session = |h: &mut History| {
         (h.requests[0].class, h.requests[0].required_commit) = (Class::Session, Some(10 * SECOND + 1));
     };
-    assert_eq!(broken(session), [Promise::Stale]);
+    assert_eq!(broken_promises(session), [Promise::Stale]);
     let excused = |h: &mut History| {
         session(h);
         h.attempts[0].was_primary = true;
     };
-    assert_eq!(broken(excused), []);
+    assert_eq!(broken_promises(excused), []);
 }
 
 #[test]
-fn processes_must_stay_within_their_bounds() {
+fn process_beyond_its_limits_is_found() {
     let sample = |at, cpu, descriptors| Sample {
         router: 0,
         at,
@@ -193,27 +172,27 @@
         cpu,
         incarnation: 1,
     };
-    assert_eq!(broken(|h| h.samples.push(sample(0, 0, 300))), [Promise::Limits]);
+    assert_eq!(broken_promises(|h| h.samples.push(sample(0, 0, 300))), [Promise::Limits]);
     let spins = |h: &mut History| h.samples.extend((0..8).map(|s| sample(s * SECOND, s * SECOND, 20)));
-    assert_eq!(broken(spins), [Promise::Cpu]);
+    assert_eq!(broken_promises(spins), [Promise::Cpu]);
     let failure = RouterFailure { router: 0, detail: String::new() };
-    assert_eq!(broken(|h| h.crashes.push(failure.clone())), [Promise::Crash]);
-    assert_eq!(broken(|h| h.failed_starts.push(failure.clone())), [Promise::Start]);
+    assert_eq!(broken_promises(|h| h.crashes.push(failure.clone())), [Promise::Crash]);
+    assert_eq!(broken_promises(|h| h.failed_starts.push(failure.clone())), [Promise::Start]);
     let violations = InvariantViolations { router: 0, invariant: "drain".into(), count: 1 };
-    assert_eq!(broken(|h| h.invariant_violations.push(violations.clone())), [Promise::Invariant]);
+    assert_eq!(broken_promises(|h| h.invariant_violations.push(violations.clone())), [Promise::Invariant]);
     let stall = Stall { router: 0, from: SECOND, to: 6 * SECOND, closed_by_router: false };
-    assert_eq!(broken(|h| h.stalls.push(stall)), [Promise::StalledClientNotClosed]);
+    assert_eq!(broken_promises(|h| h.stalls.push(stall)), [Promise::StalledClientNotClosed]);
 }
 
 #[test]
-fn sessions_and_the_store_keep_what_was_confirmed() {
+fn lost_confirmed_change_is_found() {
     let read = |confirmed, observed| SessionRead { session: "ann".into(), confirmed, observed, at: SECOND };
-    assert_eq!(broken(|h| h.session_reads.push(read(3, 3))), []);
-    assert_eq!(broken(|h| h.session_reads.push(read(3, 2))), [Promise::SessionStale]);
+    assert_eq!(broken_promises(|h| h.session_reads.push(read(3, 3))), []);
+    assert_eq!(broken_promises(|h| h.session_reads.push(read(3, 2))), [Promise::SessionStale]);
     let repeated = SessionWrites { session: "ann".into(), numbers: vec![1, 2, 2] };
-    assert_eq!(broken(|h| h.session_writes.push(repeated.clone())), [Promise::RanTwice]);
+    assert_eq!(broken_promises(|h| h.session_writes.push(repeated.clone())), [Promise::RanTwice]);
     let store = |confirmed, found, recovered| Some(StoreRecord { confirmed, found, recovered });
-    assert_eq!(broken(|h| h.store = store(5, Some(6), true)), []);
-    assert_eq!(broken(|h| h.store = store(5, Some(4), true)), [Promise::StoreLost]);
-    assert_eq!(broken(|h| h.store = store(5, None, false)), [Promise::StoreLost]);
+    assert_eq!(broken_promises(|h| h.store = store(5, Some(6), true)), []);
+    assert_eq!(broken_promises(|h| h.store = store(5, Some(4), true)), [Promise::StoreLost]);
+    assert_eq!(broken_promises(|h| h.store = store(5, None, false)), [Promise::StoreLost]);
 }
--- a/soak/tests/plans.rs
+++ b/soak/tests/plans.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn every_plan_is_written_as_before_and_read_back_equal() {
+fn plans_are_written_as_before() {
     let mut written = String::new();
     for name in PLANS {
         let plan = read(name);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn empty_plan_is_the_default_and_unknown_keys_are_refused() {
+fn unknown_keys_of_plans_are_refused() {
     assert_eq!(toml::from_str::<Plan>("").unwrap(), Plan::default());
     let unknown_key = toml::from_str::<Plan>("speed = 3").unwrap_err().to_string();
     assert!(unknown_key.contains("unknown field `speed`"), "{unknown_key}");
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn plans_out_of_bounds_are_refused_with_the_bound() {
+fn plans_out_of_bounds_are_refused() {
     let refused = |plan: Plan| plan.check().unwrap_err().to_string();
     let (plan, thirty_servers) = (Plan::default(), "expected 1 to 30 servers");
     assert_eq!(refused(Plan { routers: 41, ..plan.clone() }), "expected 1 to 40 routers");
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn kinds_have_the_same_name_in_plans_and_on_the_command_line() {
+fn kinds_are_named_alike_everywhere() {
     for (name, kind) in KINDS {
         assert_eq!(serde_json::to_value(kind).unwrap(), name);
         assert_eq!(name.parse::<FaultKind>().unwrap(), kind);
