--- a/mysql/src/backend.rs
+++ b/mysql/src/backend.rs
@@ -15,7 +15,7 @@
     AttemptGuard, BackendProtocol, Clock, Connection, ConnectionPermit, Exchange, ExchangeResult, Handshake,
     NotSent, Outcome, ServerSocket,
 };
-use sessions::clocks::Clocks;
+use sessions::clocks::ServerClocks;
 use settings::Limits;
 use settings::operator::MysqlConfig as Settings;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
     limits: Arc<Limits>,
     clock: Clock,
     /// How far the servers' clocks are from this router's, from their responses to probes.
-    pub clocks: Arc<Clocks>,
+    pub clocks: Arc<ServerClocks>,
 }
 
 impl Mysql {
@@ -41,7 +41,7 @@
             password: settings.server_password.clone(),
             database: settings.database.clone(),
         };
-        let clocks = Arc::new(Clocks::new(
+        let clocks = Arc::new(ServerClocks::new(
             settings.health_check_returns_clock,
             limits.max_clock_skew.as_micros() as i64,
         ));
--- a/mysql/src/front/submission.rs
+++ b/mysql/src/front/submission.rs
@@ -6,8 +6,8 @@
 use client_listener::Connection;
 use crossbeam_channel::bounded;
 use routing::{ClientRequest, FinalResponse, GroupId, Time};
-use sessions::Key;
-use sessions::node::Who;
+use sessions::SessionKey;
+use sessions::node::{CommitOutcome, SessionRef};
 use std::sync::Arc;
 
 /// Whose requests a connection submits.
@@ -32,9 +32,9 @@
         let group = GroupId(requirements.group);
         let session = self.session(requirements, group);
         let session_commit = if settings.class_uses_session[class] {
-            sessions.need(session).map_err(rejected)?
+            sessions.required_position(session).map_err(rejected)?
         } else {
-            sessions.admits(session).map_err(rejected)?;
+            sessions.check_serving(session).map_err(rejected)?;
             None
         };
         let tenant = self.tenant(requirements, class == settings.prepare_class)?;
@@ -60,7 +60,7 @@
         // The client gets the response to a write once no read of its session can miss the write any more.
         if let FinalResponse::Served(_, Some(commit)) = &response
             && !settings.class_is_read[class]
-            && !sessions.committed(session, *commit, deadline)
+            && sessions.record_commit(session, *commit, deadline) == CommitOutcome::Uncertain
         {
             let text = "it has run, but its session can't rely on it";
             return Err(CommandError::new(errors::TIMED_OUT, text));
@@ -69,10 +69,10 @@
     }
 
     /// A connection without a named session is one of its own: it sees its own writes.
-    fn session(&self, requirements: &Requirements, group: GroupId) -> Who {
+    fn session(&self, requirements: &Requirements, group: GroupId) -> SessionRef {
         match &requirements.session {
-            Some(name) => Who::Named(Key::named(group, name)),
-            None => Who::Own(Key::own(group, self.connection.id)),
+            Some(name) => SessionRef::Named(SessionKey::named(group, name)),
+            None => SessionRef::Connection(SessionKey::connection(group, self.connection.id)),
         }
     }
 
--- a/registry/src/client/follow.rs
+++ b/registry/src/client/follow.rs
@@ -50,7 +50,7 @@
             endpoints.failed(endpoint, self.clock.now());
             let line = format!("{addr}: {reason}");
             if line != last_logged {
-                tracing::warn!("registry: {line}");
+                tracing::warn!(%addr, reason, "registry member left, trying another");
                 last_logged = line;
             }
         }
@@ -128,7 +128,7 @@
         match member {
             MemberClient::Etcd(etcd) => {
                 let addr = self.settings.endpoints[endpoint];
-                tracing::info!("registry: following {addr} from revision {from} on");
+                tracing::info!(%addr, revision = from, "registry member followed");
                 worked();
                 self.watch(machine, endpoint, etcd, from)
             }
@@ -143,20 +143,20 @@
         let mut list = self.list();
         for action in actions {
             match action {
-                Action::Read(_) => next = NextStep::Read,
-                Action::Watch(_, from) => next = NextStep::Watch(from),
-                Action::Leave(_, reason) => next = NextStep::Leave(format!("{reason:?}")),
+                Action::Read { .. } => next = NextStep::Read,
+                Action::Watch { from, .. } => next = NextStep::Watch(from),
+                Action::Leave { reason, .. } => next = NextStep::Leave(format!("{reason:?}")),
                 Action::Restored => {
                     tracing::error!(
-                        "registry: it went back, as if restored from a backup: drained nodes stay drained"
+                        "registry went back, as if restored from a backup; drained nodes stay drained"
                     );
                     self.handle_fleet_event(&mut list, FleetEvent::Restored);
                 }
                 Action::Put(item) => self.key_put(&mut list, item, &mut changed),
-                Action::Gone(key) => self.key_deleted(&mut list, &key, &mut changed),
-                Action::Settled(_) => {
+                Action::Deleted { key } => self.key_deleted(&mut list, &key, &mut changed),
+                Action::Synchronized { .. } => {
                     list.last_contact = Some(self.clock.now().0);
-                    self.handle_fleet_event(&mut list, FleetEvent::Heard);
+                    self.handle_fleet_event(&mut list, FleetEvent::RegistryResponded);
                 }
             }
         }
@@ -184,11 +184,13 @@
             Key::Router(name) => {
                 match serde_json::from_slice(&item.value) {
                     Ok(router) => _ = list.routers.insert(name.to_string(), router),
-                    Err(e) => tracing::error!("registry: {}: {e}", item.key),
+                    Err(error) => {
+                        tracing::error!(key = item.key, %error, "registry router entry unreadable");
+                    }
                 }
                 changed.routers = true;
             }
-            Key::ReleaseHeld => self.handle_fleet_event(list, FleetEvent::ReleaseHeld),
+            Key::ReleaseRetained => self.handle_fleet_event(list, FleetEvent::ReleaseRetained),
             Key::Other => {}
         }
     }
@@ -196,12 +198,14 @@
     fn key_deleted(&self, list: &mut ListState, key: &str, changed: &mut Changed) {
         match self.classify(key) {
             Key::Config => changed.config = true,
-            Key::Node(name) => self.handle_fleet_event(list, FleetEvent::Gone(name.to_string())),
+            Key::Node(name) => {
+                self.handle_fleet_event(list, FleetEvent::KeyDeleted { name: name.to_string() });
+            }
             Key::Router(name) => {
                 list.routers.remove(name);
                 changed.routers = true;
             }
-            Key::ReleaseHeld | Key::Other => {}
+            Key::ReleaseRetained | Key::Other => {}
         }
     }
 
@@ -210,8 +214,10 @@
         let value = machine.items().find(|(k, _)| *k == key).map(|(_, value)| value);
         let text = value.map(|value| String::from_utf8_lossy(value).into_owned());
         match self.observer.config(text.as_deref()) {
-            Ok(()) => tracing::info!("registry: {key} is followed"),
-            Err(e) => tracing::error!("registry: {key}: {e}; what it said before holds"),
+            Ok(()) => tracing::info!(key, "registry configuration applied"),
+            Err(error) => {
+                tracing::error!(key, %error, "registry configuration rejected, the last valid one stays in force");
+            }
         }
     }
 }
--- a/routing/src/router/handle.rs
+++ b/routing/src/router/handle.rs
@@ -86,7 +86,7 @@
 
     /// Updates the placement rules. They apply to requests that arrive later and to those that wait; without placement
     /// settings they have no effect.
-    pub fn update_placement(&self, update: placement::News) {
+    pub fn update_placement(&self, update: placement::RulesUpdate) {
         self.send(RouterMessage::Placement(update));
     }
 
