--- a/faults/control/src/lib.rs
+++ b/faults/control/src/lib.rs
@@ -65,6 +65,22 @@
     }
 }
 
+/// How often a call fails.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FaultRate {
+    /// What fails.
+    pub fault: Fault,
+    /// How many times out of a million ([`SCALE`]) on average.
+    pub per_million: u64,
+}
+
+impl FaultRate {
+    /// A rate out of a million.
+    pub const fn per_million(fault: Fault, per_million: u64) -> FaultRate {
+        FaultRate { fault, per_million }
+    }
+}
+
 /// A file that controls the faults of the processes that map it.
 #[derive(Debug)]
 pub struct ControlFile {
@@ -107,6 +123,14 @@
         self.write_word(fault.word(), per_million.min(SCALE))
     }
 
+    /// Sets these rates one after the other.
+    ///
+    /// # Errors
+    /// Where the file can't be written.
+    pub fn set_fault_rates(&self, rates: &[FaultRate]) -> io::Result<()> {
+        rates.iter().try_for_each(|rate| self.set_fault_rate(rate.fault, rate.per_million))
+    }
+
     /// Ends all faults; the clock's offset stays.
     ///
     /// # Errors
--- a/soak/src/environment/clients/event_loop.rs
+++ b/soak/src/environment/clients/event_loop.rs
@@ -19,7 +19,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// The loop checks at least this often for changes.
+/// The longest time between two checks for changes.
 const TICK: Duration = Duration::from_millis(2);
 /// Events that are handled at once.
 const MAX_EVENTS: usize = 512;
--- a/soak/src/environment/discovery.rs
+++ b/soak/src/environment/discovery.rs
@@ -16,7 +16,7 @@
 
 /// An empty line is sent this often where there is no change.
 const EMPTY_LINE_INTERVAL: Micros = 2 * SECOND;
-/// The loop checks at least this often for changes.
+/// The longest time between two checks for changes.
 const TICK: Duration = Duration::from_millis(3);
 /// Events that are handled at once.
 const MAX_EVENTS: usize = 256;
--- a/soak/src/environment/servers/event_loop.rs
+++ b/soak/src/environment/servers/event_loop.rs
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The loop checks at least this often for changes.
+/// The longest time between two checks for changes.
 const TICK: Duration = Duration::from_millis(3);
 /// Events that are handled at once.
 const MAX_EVENTS: usize = 512;
--- a/soak/src/environment/servers/statement.rs
+++ b/soak/src/environment/servers/statement.rs
@@ -2,7 +2,7 @@
 use crate::class::Class;
 use crate::environment::wire::pair;
 
-/// The statement that asks for a server's load.
+/// The statement that queries a server's load.
 const STATS_STATEMENT: &str = "SHOW stats";
 
 /// A statement, as far as a server reads it.
--- a/soak/src/platform/faults.rs
+++ b/soak/src/platform/faults.rs
@@ -8,7 +8,7 @@
 use crate::fault::{FaultKind, PlannedFault};
 use crate::history::{AbsenceReason, DiscoveryOutage, Withdrawal};
 use crate::time::{MILLISECOND, Micros, SECOND};
-use fault_control::{ControlFile, Fault};
+use fault_control::{ControlFile, Fault, FaultRate};
 use nix::sys::signal::Signal;
 use std::io;
 
@@ -43,13 +43,13 @@
 /// Out of a thousand requests, those in whose middle clients stall.
 const STALL_PROBABILITY: u32 = 60;
 /// The rates of failing system calls, out of a million.
-const SYSCALL_RATES: [(Fault, u64); 6] = [
-    (Fault::Accept, 50_000),
-    (Fault::Socket, 50_000),
-    (Fault::Connect, 50_000),
-    (Fault::Interrupt, 20_000),
-    (Fault::ShortTransfer, 100_000),
-    (Fault::ConnectionLoss, 5_000),
+const SYSCALL_RATES: [FaultRate; 6] = [
+    FaultRate::per_million(Fault::Accept, 50_000),
+    FaultRate::per_million(Fault::Socket, 50_000),
+    FaultRate::per_million(Fault::Connect, 50_000),
+    FaultRate::per_million(Fault::Interrupt, 20_000),
+    FaultRate::per_million(Fault::ShortTransfer, 100_000),
+    FaultRate::per_million(Fault::ConnectionLoss, 5_000),
 ];
 /// The rate of threads that can't be started, out of a million.
 const THREAD_RATE: u64 = 600_000;
@@ -113,7 +113,7 @@
             FaultKind::ClockOne => {
                 self.control(router).set_clock_offset(fault.clock_step_seconds * SECOND)?;
             }
-            FaultKind::Syscalls => self.fail_system_calls(router)?,
+            FaultKind::Syscalls => self.control(router).set_fault_rates(&SYSCALL_RATES)?,
             FaultKind::Threads => self.control(router).set_fault_rate(Fault::ThreadStart, THREAD_RATE)?,
             FaultKind::Disk => self.control(router).set_fault_rate(Fault::FileWrite, DISK_RATE)?,
             FaultKind::Maintenance => self.put_in_maintenance(fault),
@@ -253,11 +253,6 @@
         self.routers.iter().try_for_each(|router| router.instance.control().set_clock_offset(offset))
     }
 
-    fn fail_system_calls(&self, router: usize) -> io::Result<()> {
-        let control = self.control(router);
-        SYSCALL_RATES.iter().try_for_each(|(fault, rate)| control.set_fault_rate(*fault, *rate))
-    }
-
     /// A server's entry shows that it terminates, and it is to get nothing new.
     fn withdraw(&self, server: usize) {
         let Some(listed) = self.agents.endpoint_of(server) else { return };
--- a/soak/src/platform/run.rs
+++ b/soak/src/platform/run.rs
@@ -24,7 +24,7 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 /// After SIGTERM a process is killed: the longest deadline (3 s at least) and 0.7 s later.
 const KILL_AFTER: Micros = 3_700_000;
-/// A process that has ended as it was asked to is replaced after this time.
+/// A process that has ended on a signal is replaced after this time.
 const RESTART_DELAY: Micros = 100 * MILLISECOND;
 /// A process that has crashed is replaced after this time.
 const CRASH_RESTART_DELAY: Micros = SECOND;
--- a/soak/src/platform/schedule.rs
+++ b/soak/src/platform/schedule.rs
@@ -60,7 +60,7 @@
         self.steps.is_empty()
     }
 
-    /// Takes the steps whose time has come.
+    /// Takes the steps that are due.
     pub(super) fn take_due(&mut self, now: Micros) -> Vec<Step> {
         let count = self.steps.iter().take_while(|scheduled| scheduled.at <= now).count();
         self.steps.drain(..count).map(|scheduled| scheduled.step).collect()
--- a/soak/src/router/process.rs
+++ b/soak/src/router/process.rs
@@ -154,7 +154,7 @@
     }
 }
 
-/// Creates the file for a process's whole log, where one is asked for.
+/// Creates the file for a process's whole log, where the run writes them.
 fn create_log_file(programs: &Programs, control: &Path, id: u32) -> io::Result<Option<File>> {
     let Some(folder) = &programs.logs else { return Ok(None) };
     let name = control.file_stem().unwrap_or_default().to_string_lossy().into_owned();
--- a/soak/src/serve/faults.rs
+++ b/soak/src/serve/faults.rs
@@ -3,7 +3,7 @@
 use crate::fault::{FaultKind, PlannedFault};
 use crate::history::AbsenceReason;
 use crate::time::SECOND;
-use fault_control::{ControlFile, Fault};
+use fault_control::{ControlFile, Fault, FaultRate};
 use nix::sys::signal::Signal;
 use std::io;
 use std::time::Duration;
@@ -14,10 +14,14 @@
 /// How long a slow link takes.
 const LINK_DELAY: Duration = Duration::from_millis(100);
 /// The rates of failing system calls, out of a million.
-const SYSCALL_RATES: [(Fault, u64); 3] =
-    [(Fault::Interrupt, 20_000), (Fault::ShortTransfer, 100_000), (Fault::Connect, 50_000)];
+const SYSCALL_RATES: [FaultRate; 3] = [
+    FaultRate::per_million(Fault::Interrupt, 20_000),
+    FaultRate::per_million(Fault::ShortTransfer, 100_000),
+    FaultRate::per_million(Fault::Connect, 50_000),
+];
 /// The rates of writes and syncs that fail, out of a million.
-const DISK_RATES: [(Fault, u64); 2] = [(Fault::FileWrite, 300_000), (Fault::FileSync, 300_000)];
+const DISK_RATES: [FaultRate; 2] =
+    [FaultRate::per_million(Fault::FileWrite, 300_000), FaultRate::per_million(Fault::FileSync, 300_000)];
 
 impl Run<'_> {
     /// Begins or ends a fault. Kinds that are not drawn for `serve` do nothing.
@@ -42,8 +46,8 @@
                 self.control(router).set_clock_offset(fault.clock_step_seconds * SECOND)?;
             }
             (FaultKind::ClockOne, Edge::End) => self.control(router).set_clock_offset(0)?,
-            (FaultKind::Syscalls, Edge::Begin) => self.set_rates(router, &SYSCALL_RATES)?,
-            (FaultKind::Disk, Edge::Begin) => self.set_rates(router, &DISK_RATES)?,
+            (FaultKind::Syscalls, Edge::Begin) => self.control(router).set_fault_rates(&SYSCALL_RATES)?,
+            (FaultKind::Disk, Edge::Begin) => self.control(router).set_fault_rates(&DISK_RATES)?,
             (FaultKind::Syscalls | FaultKind::Disk, Edge::End) => self.control(router).clear_faults()?,
             _ => {}
         }
@@ -58,11 +62,6 @@
         &self.routers[router].proxies[server]
     }
 
-    fn set_rates(&self, router: usize, rates: &[(Fault, u64)]) -> io::Result<()> {
-        let control = self.control(router);
-        rates.iter().try_for_each(|(fault, rate)| control.set_fault_rate(*fault, *rate))
-    }
-
     fn pause(&mut self, router: usize) {
         let own = &mut self.routers[router];
         own.instance.set_absent(AbsenceReason::Paused);
