--- a/postgres/tests/front.rs
+++ b/postgres/tests/front.rs
@@ -1,4 +1,5 @@
-//! The front with limits that the program never has: no poll of its clients, no thread for a response writer.
+//! The front with limits that the program never has, no poll of its clients and no thread for a response writer, and the
+//! bytes that clients get: `fixtures/exchanges.txt` was written by the front as it was before its modules were split.
 use client_listener::{ClientListener, ClientServer};
 use crossbeam_channel::{Sender, bounded};
 use decision::{Class, Freshness, Idempotency};
@@ -92,16 +93,12 @@
 }
 
 fn connect(addr: SocketAddr) -> TcpStream {
-    let socket = TcpStream::connect(addr).unwrap();
-    socket.set_read_timeout(Some(TIMEOUT)).unwrap();
-    (&socket).write_all(b"\0\0\0\x13\0\x03\0\0user\0till\0\0").unwrap();
-    while read_message(&socket).unwrap().0 != b'Z' {}
-    socket
+    start_up(addr).0
 }
 
 fn query(id: &str, wait: u32) -> Vec<u8> {
     let sql = format!("INSERT INTO objects VALUES ('k') /* id={id},c=order,d={wait},cluster=3 */\0");
-    [b"Q", &(sql.len() as u32 + 4).to_be_bytes()[..], sql.as_bytes()].concat()
+    message(b'Q', sql.as_bytes())
 }
 
 /// The code of the next response, which is an error.
@@ -137,3 +134,98 @@
     assert_eq!(read_error_code(&socket), "53300");
     front.wait_for_requests(0);
 }
+
+/// Reads messages up to the end of a response or of the connection.
+fn read_response(socket: &TcpStream) -> Vec<u8> {
+    let mut response = Vec::new();
+    while let Ok((tag, body)) = read_message(socket) {
+        response.push(tag);
+        response.extend((body.len() as u32 + 4).to_be_bytes());
+        response.extend(body);
+        if tag == b'Z' {
+            break;
+        }
+    }
+    response
+}
+
+fn message(tag: u8, body: &[u8]) -> Vec<u8> {
+    [&[tag][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
+}
+
+/// Sends bytes on a socket and writes down the response.
+fn exchange(transcript: &mut String, socket: &TcpStream, sent: &[u8]) {
+    // A connection that the front has closed shows as an empty response.
+    let mut to = socket;
+    _ = to.write_all(sent);
+    let response = read_response(socket);
+    transcript.push_str(&format!("> {}\n< {}\n", sent.escape_ascii(), response.escape_ascii()));
+}
+
+/// A started connection with the key that its greeting tells, and the greeting with zeros in its place.
+fn start_up(addr: SocketAddr) -> (TcpStream, [u8; 8], Vec<u8>) {
+    const KEY_MESSAGE: &[u8] = b"K\0\0\0\x0c";
+    let socket = TcpStream::connect(addr).unwrap();
+    socket.set_read_timeout(Some(TIMEOUT)).unwrap();
+    (&socket).write_all(b"\0\0\0\x13\0\x03\0\0user\0till\0\0").unwrap();
+    let mut greeting = read_response(&socket);
+    assert!(greeting.ends_with(b"Z\0\0\0\x05I"), "{}", greeting.escape_ascii());
+    let at = greeting.windows(KEY_MESSAGE.len()).position(|w| w == KEY_MESSAGE).unwrap() + KEY_MESSAGE.len();
+    let key = greeting[at..at + 8].try_into().unwrap();
+    greeting[at..at + 8].fill(0);
+    (socket, key, greeting)
+}
+
+#[test]
+fn exchanges_with_clients_keep_their_bytes() {
+    let front = TestFront::start(|_| {});
+    let mut transcript = String::new();
+    let (socket, key, greeting) = start_up(front.addr);
+    transcript.push_str(&format!("< {}\n", greeting.escape_ascii()));
+    for sql in [
+        "",
+        " ; ",
+        "SET x = 1",
+        "reset all",
+        "DISCARD ALL",
+        "SELECT 1",
+        "SELECT 1 */",
+        "SELECT 1 /* */",
+        "SELECT 1 /* id=a,id=b */",
+        "SELECT 1 /* id=a */",
+        "SELECT 1 /* id=a,d=x */",
+        "SELECT 1 /* id=a,d=1 */",
+        "SELECT 1 /* id=a,d=1,cluster=1,after=x */",
+        "SELECT 1 /* id=a,d=1,cluster=1 */",
+        "SELECT 1 /* id=a,d=1,cluster=1,c=unknown */",
+        "SELECT 1\0 /* id=a,d=1,cluster=1,c=order */",
+    ] {
+        exchange(&mut transcript, &socket, &message(b'Q', format!("{sql}\0").as_bytes()));
+    }
+    // The extended protocol skips up to its Sync; Flush has no response.
+    for (tag, body) in [(b'F', &b""[..]), (b'S', b""), (b'?', b"x")] {
+        exchange(&mut transcript, &socket, &message(tag, body));
+    }
+    let extended =
+        [message(b'P', b"\0SELECT 1\0\0\0"), message(b'B', b""), message(b'H', b""), message(b'S', b"")];
+    exchange(&mut transcript, &socket, &extended.concat());
+    // A request that waits, a second one with its id, and its cancellation.
+    (&socket).write_all(&query("w1", 9000)).unwrap();
+    front.wait_for_requests(1);
+    let (other, _, _) = start_up(front.addr);
+    exchange(&mut transcript, &other, &query("w1", 9000));
+    let cancel = [&b"\0\0\0\x10\x04\xd2\x16\x2e"[..], &key].concat();
+    (&TcpStream::connect(front.addr).unwrap()).write_all(&cancel).unwrap();
+    transcript.push_str(&format!("< {}\n", read_response(&socket).escape_ascii()));
+    front.wait_for_requests(0);
+    exchange(&mut transcript, &socket, b"Q\0\0\0\x03");
+    exchange(&mut transcript, &other, b"Q\x7f\0\0\0");
+    let before_startup = TcpStream::connect(front.addr).unwrap();
+    before_startup.set_read_timeout(Some(TIMEOUT)).unwrap();
+    (&before_startup).write_all(b"\0\0\0\x08\x04\xd2\x16\x2f").unwrap();
+    let mut declined = [0];
+    (&before_startup).read_exact(&mut declined).unwrap();
+    transcript.push_str(&format!("< {}\n", declined.escape_ascii()));
+    exchange(&mut transcript, &before_startup, b"\0\0\0\x07\0\x03\0\0");
+    assert_eq!(transcript, include_str!("fixtures/exchanges.txt"));
+}
