--- a/multiprocess/src/load/client_thread.rs
+++ b/multiprocess/src/load/client_thread.rs
@@ -1,8 +1,6 @@
 //! One thread of the load: the clients of the routers whose index leaves the thread's own when divided by the number of
 //! threads.
-use super::client_protocol::{
-    Answer, ERROR_HEADER, ERROR_REJECTED, GREETING_HEADER, OK_HEADER, login, parse_answer, query,
-};
+use super::client_protocol::{Answer, ERROR_REJECTED, login, parse_answer, query};
 use super::connection::{Connection, InFlight, State};
 use super::result::LoadResult;
 use super::router_ports::RouterPorts;
@@ -15,6 +13,7 @@
 use std::collections::VecDeque;
 use std::io;
 use std::time::{Duration, Instant};
+use test_servers::wire::{ERROR_HEADER, GREETING_HEADER, OK_HEADER};
 
 /// How long a client waits for an answer: longer than the deadline of every class.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(3500);
--- a/multiprocess/src/servers/server_thread.rs
+++ b/multiprocess/src/servers/server_thread.rs
@@ -10,7 +10,9 @@
 use std::io::{self, ErrorKind};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use test_servers::wire::{OK, error, greeting, packets, row};
+use test_servers::wire::{
+    COMMAND_QUERY, COMMAND_QUIT, ERROR_READ_ONLY, ERROR_SYNTAX, OK, error, greeting, packets, row,
+};
 
 const LISTENER: Token = Token(0);
 const FIRST_CONNECTION: usize = 1;
@@ -18,11 +20,6 @@
 /// How often the thread checks whether it is to end.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-const COMMAND_QUIT: u8 = 1;
-const COMMAND_QUERY: u8 = 3;
-const ERROR_SYNTAX: u16 = 1064;
-const ERROR_READ_ONLY: u16 = 1290;
-
 struct Connection {
     stream: TcpStream,
     read_buffer: Vec<u8>,
--- a/test-servers/src/replication_group/connection.rs
+++ b/test-servers/src/replication_group/connection.rs
@@ -1,15 +1,13 @@
 //! One connection of a client to a server, and the statements on it.
 use super::clock::unix_micros;
 use super::shared::Shared;
-use crate::wire::{OK, error, greet, packets, read, row};
+use crate::wire::{
+    COMMAND_QUERY, COMMAND_QUIT, ERROR_READ_ONLY, ERROR_SYNTAX, OK, error, greet, packets, read, row,
+};
 use std::io::{self, Write};
 use std::net::{Shutdown, TcpStream};
 use std::time::Instant;
 
-const COMMAND_QUIT: u8 = 1;
-const COMMAND_QUERY: u8 = 3;
-const ERROR_SYNTAX: u16 = 1064;
-const ERROR_READ_ONLY: u16 = 1290;
 /// The value of every system variable that a client reads when it connects.
 const SYSTEM_VARIABLE: &str = "1048576";
 
--- a/test-servers/src/wire.rs
+++ b/test-servers/src/wire.rs
@@ -8,20 +8,43 @@
 /// The payload of an EOF packet.
 pub const EOF: &[u8] = &[0xfe, 0, 0, 2, 0];
 
-const ERROR_HEADER: u8 = 0xff;
+/// First byte of an OK packet.
+pub const OK_HEADER: u8 = 0;
+/// First byte of an error packet.
+pub const ERROR_HEADER: u8 = 0xff;
+/// First byte of an EOF packet.
+pub const EOF_HEADER: u8 = 0xfe;
+/// First byte of the greeting: the protocol's version.
+pub const GREETING_HEADER: u8 = 10;
+
+/// First byte of the command that ends a connection.
+pub const COMMAND_QUIT: u8 = 1;
+/// First byte of a command that runs a statement.
+pub const COMMAND_QUERY: u8 = 3;
+
+/// The code of an error for a statement that can't be parsed.
+pub const ERROR_SYNTAX: u16 = 1064;
+/// The code of an error for a write at a read-only server.
+pub const ERROR_READ_ONLY: u16 = 1290;
+
+/// The character set `utf8mb4_general_ci`.
+pub const CHARACTER_SET: u8 = 45;
 /// The general SQL state, which follows an error's code.
 const GENERAL_SQL_STATE: &[u8] = b"#HY000";
-/// `utf8mb4_general_ci`.
-const CHARACTER_SET: u8 = 45;
 const COLUMN_TYPE_VAR_STRING: u8 = 0xfd;
 
-const CLIENT_CONNECT_WITH_DB: u32 = 1 << 3;
-const CLIENT_PROTOCOL_41: u32 = 1 << 9;
-const CLIENT_TRANSACTIONS: u32 = 1 << 13;
-const CLIENT_SECURE_CONNECTION: u32 = 1 << 15;
+/// Capability: the login names a database.
+pub const CLIENT_CONNECT_WITH_DB: u32 = 1 << 3;
+/// Capability: protocol 4.1.
+pub const CLIENT_PROTOCOL_41: u32 = 1 << 9;
+/// Capability: OK and EOF packets have status flags.
+pub const CLIENT_TRANSACTIONS: u32 = 1 << 13;
+/// Capability: passwords are proven by a challenge.
+pub const CLIENT_SECURE_CONNECTION: u32 = 1 << 15;
 const CLIENT_MULTI_RESULTS: u32 = 1 << 17;
 const CLIENT_PS_MULTI_RESULTS: u32 = 1 << 18;
-const CLIENT_PLUGIN_AUTH: u32 = 1 << 19;
+/// Capability: the login names its method of authentication.
+pub const CLIENT_PLUGIN_AUTH: u32 = 1 << 19;
 
 /// Payloads as packets, numbered from `first` on.
 pub fn packets(first: u8, payloads: &[&[u8]]) -> Vec<u8> {
