--- a/sessions/src/node/peer_link_log.rs
+++ b/sessions/src/node/peer_link_log.rs
@@ -34,10 +34,10 @@
         let peer = self.peer;
         match &end {
             LinkEnd::Refused => tracing::warn!(peer, "session peer down, its address refuses connections"),
-            LinkEnd::Unreachable(error) => tracing::warn!(peer, error, "session peer unreachable"),
+            LinkEnd::Unreachable(error) => tracing::warn!(peer, %error, "session peer unreachable"),
             LinkEnd::Rejected(reason) => tracing::warn!(peer, ?reason, "commits rejected by session peer"),
             LinkEnd::Closed => tracing::info!(peer, "session peer disconnected"),
-            LinkEnd::Failed(error) => tracing::warn!(peer, error, "session peer disconnected"),
+            LinkEnd::Failed(error) => tracing::warn!(peer, %error, "session peer disconnected"),
         }
         self.last = Some(end);
     }
--- a/sessions/src/node/start.rs
+++ b/sessions/src/node/start.rs
@@ -53,7 +53,7 @@
     })?;
     let journal = begun
         .inspect_err(|error| {
-            tracing::error!(folder, %error, "session journal not begun, nothing on disk until the next start");
+            tracing::error!(%folder, %error, "session journal not begun, nothing on disk until the next start");
         })
         .ok();
     settings.durable = journal.is_some();
@@ -79,11 +79,11 @@
         tracing::info!(
             sessions,
             incarnation,
-            folder,
+            %folder,
             "sessions restored, all reads see what was committed before this start"
         );
     } else {
-        tracing::info!(sessions, incarnation, folder, "sessions restored");
+        tracing::info!(sessions, incarnation, %folder, "sessions restored");
     }
 }
 
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -471,15 +471,15 @@
         routers.push(site.start("etcd"));
     }
     for (n, (router, _)) in routers.iter_mut().enumerate().take(2) {
-        router.logged(&format!("peer {} takes our commits", 2 - n));
-        router.logged("every peer's news is relied on");
+        router.logged(&format!("session peer connected peer={}", 2 - n));
+        router.logged("session peers up to date");
     }
-    routers[2].0.logged("takes nothing from here: NotListed");
+    routers[2].0.logged("commits rejected by session peer peer=1 reason=NotListed");
     let refused = by_named(routers[2].1).unwrap_err().to_string();
     assert!(refused.contains("does not list this one"), "{refused}");
     // One that dies is not proven gone by an address that it may have left: nothing is relied on.
     routers.remove(1);
-    routers[0].0.logged("no news to rely on from peer 2");
+    routers[0].0.logged("session peers not up to date, reads of named sessions see the present peers=2");
 }
 
 #[test]
