--- a/sessions/benches/machine.rs
+++ b/sessions/benches/machine.rs
@@ -92,7 +92,7 @@
         group.throughput(Throughput::Elements(batch as u64));
         group.bench_function(format!("{batch} commits in one sync"), |bencher| {
             bencher.iter(|| {
-                journal.append(&Record::Commits(commits.clone())).expect("the disk accepts the write")
+                journal.append(&Record::Commits(commits.clone())).expect("the disk accepts the write");
             });
         });
     }
