--- a/mysql/src/backend.rs
+++ b/mysql/src/backend.rs
@@ -2,6 +2,7 @@
 //! execution first needs it there.
 mod connection;
 mod probe;
+mod server_response;
 mod statement_cache;
 
 pub use connection::MysqlConnection;
--- a/mysql/src/backend/connection.rs
+++ b/mysql/src/backend/connection.rs
@@ -1,9 +1,11 @@
 //! One connection to a server, behind its login: its commands and their responses.
 use super::probe::ProbeRow;
+use super::server_response::{
+    PrepareOk, Prepared, ResponseError, ServerResult, is_unknown_statement, last_error, reusable,
+};
 use super::statement_cache::{ServerStatementId, StatementCache};
 use crate::command;
 use crate::errors::{self, ServerErrorMeaning};
-use crate::fields::FieldReader;
 use crate::packet::{HEAD_BYTES, PacketReader, ReadError, with_command};
 use crate::request::{LongParameters, ResponsePayloads};
 use crate::results::ResponseState;
@@ -18,9 +20,6 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The result of one exchange with a server.
-pub(super) type ServerResult = ExchangeResult<ResponsePayloads>;
-
 /// What a connection has from the protocol that opened it.
 pub(super) struct ConnectionContext {
     pub(super) settings: Arc<Settings>,
@@ -40,37 +39,6 @@
     statements: StatementCache,
 }
 
-/// Why a command has no response.
-enum ResponseError {
-    /// The connection broke, brought nothing in time, or something that is no response.
-    Failed(Outcome),
-    /// The response is longer than what is accepted.
-    TooLarge,
-}
-
-impl From<ReadError> for ResponseError {
-    fn from(error: ReadError) -> Self {
-        match error {
-            ReadError::Io(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
-                ResponseError::Failed(Outcome::TimedOut)
-            }
-            ReadError::IdleTimeout => ResponseError::Failed(Outcome::TimedOut),
-            ReadError::TooLong => ResponseError::TooLarge,
-            ReadError::Io(_) | ReadError::Closed | ReadError::OutOfOrder => {
-                ResponseError::Failed(Outcome::Reset)
-            }
-        }
-    }
-}
-
-/// What became of preparing a statement.
-enum Prepared {
-    /// It is prepared under this id; the response describes parameters and columns.
-    Ready { id: ServerStatementId, response: ResponsePayloads },
-    /// The server's error, as its only payload.
-    Error(ResponsePayloads),
-}
-
 impl MysqlConnection {
     pub(super) fn new(
         socket: ServerSocket,
@@ -151,8 +119,8 @@
             let id = match self.statements.id_of(text) {
                 Some(id) => id,
                 None => match self.prepare_for_execution(text, guard)? {
-                    Ok(id) => id,
-                    Err(error) => return Ok(error),
+                    Prepared::Ready { id, .. } => id,
+                    Prepared::Error(response) => return Ok(self.exchange_result(Ok(response))),
                 },
             };
             self.write_execution(id, body, long_parameters, guard)?;
@@ -169,22 +137,17 @@
         }
     }
 
-    /// The inner error is the exchange's result where the server rejects the statement.
-    fn prepare_for_execution(
-        &mut self,
-        text: &Arc<[u8]>,
-        guard: &AttemptGuard,
-    ) -> Result<Result<ServerStatementId, ServerResult>, NotSent> {
+    /// Prepares a statement that an execution waits for.
+    fn prepare_for_execution(&mut self, text: &Arc<[u8]>, guard: &AttemptGuard) -> Result<Prepared, NotSent> {
         // Nothing new, not even this, goes to a server that is draining.
         let permit = guard.permit_write().map_err(|_| NotSent::Cancelled)?;
-        match self.prepare(text, &permit) {
-            // Nothing has run so far: however the connection broke, the execution may go elsewhere.
-            Err(_) => Err(NotSent::ConnectionBroken),
-            Ok(Prepared::Error(response)) => Ok(Err(self.exchange_result(Ok(response)))),
-            // A server that died over it has closed by now as a rule: nothing is written to it.
-            Ok(Prepared::Ready { .. }) if !self.is_silent() => Err(NotSent::ConnectionBroken),
-            Ok(Prepared::Ready { id, .. }) => Ok(Ok(id)),
+        // Nothing has run so far: however the connection broke, the execution may go elsewhere.
+        let prepared = self.prepare(text, &permit).map_err(|_| NotSent::ConnectionBroken)?;
+        // A server that died over it has closed by now as a rule: nothing is written to it.
+        if matches!(prepared, Prepared::Ready { .. }) && !self.is_silent() {
+            return Err(NotSent::ConnectionBroken);
         }
+        Ok(prepared)
     }
 
     /// Writes a command's only packet, unless the attempt is cancelled.
@@ -329,42 +292,3 @@
         }
     }
 }
-
-/// The first payload of the response to a successful prepare.
-struct PrepareOk {
-    id: ServerStatementId,
-    columns: u64,
-    parameters: u64,
-}
-
-impl PrepareOk {
-    fn parse(payload: &[u8]) -> Option<PrepareOk> {
-        let mut fields = FieldReader::new(payload);
-        if fields.integer(1)? != 0 {
-            return None;
-        }
-        let id = ServerStatementId(fields.integer(4)? as u32);
-        Some(PrepareOk { id, columns: fields.integer(2)?, parameters: fields.integer(2)? })
-    }
-
-    /// Definitions of parameters, then of columns; each kind that is there is ended by an EOF.
-    fn following_payloads(&self) -> u64 {
-        let with_end = |definitions: u64| if definitions > 0 { definitions + 1 } else { 0 };
-        with_end(self.parameters) + with_end(self.columns)
-    }
-}
-
-fn last_error(response: &ResponsePayloads) -> Option<u16> {
-    response.last().and_then(|payload| errors::error_number(payload))
-}
-
-fn is_unknown_statement(response: &Result<ResponsePayloads, ResponseError>) -> bool {
-    let Ok(response) = response else { return false };
-    let number = errors::error_number(&response[0]);
-    number.is_some_and(|number| errors::meaning(number) == ServerErrorMeaning::UnknownStatement)
-}
-
-/// The result of an exchange behind which the connection can be used again.
-fn reusable(outcome: Outcome) -> ServerResult {
-    ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(outcome) }
-}
