--- a/benches/sessions.rs
+++ b/benches/sessions.rs
@@ -5,8 +5,8 @@
 mod support;
 
 use common::TIMEOUT;
-use common::instances::{Instances, SessionRetention, connect, read, write};
-use common::restart_loop::{SessionRoute, restart_loop};
+use common::instances::{Instances, Persistence, connect, read, write};
+use common::restart_loop::{SessionPath, restart_loop};
 use hdrhistogram::Histogram;
 use mysql::prelude::Queryable;
 use sessions::SessionKey;
@@ -51,9 +51,9 @@
 /// An arm of the loop of kills.
 struct KillArm {
     name: &'static str,
-    retention: SessionRetention,
-
-    route: SessionRoute,
+    persistence: Persistence,
+    /// Which instances a session goes to.
+    path: SessionPath,
     kills: u64,
 }
 
@@ -64,35 +64,35 @@
     let arms = [
         KillArm {
             name: "disk and peers, wandering",
-            retention: SessionRetention::JournalAndPeers,
-            route: SessionRoute::Alternating,
+            persistence: Persistence::DiskAndPeers,
+            path: SessionPath::Wandering,
             kills: 300,
         },
         KillArm {
             name: "peers alone, wandering",
-            retention: SessionRetention::PeersOnly,
-            route: SessionRoute::Alternating,
+            persistence: Persistence::Peers,
+            path: SessionPath::Wandering,
             kills: 60,
         },
         KillArm {
             name: "floor alone, staying",
-            retention: SessionRetention::MinimumPositionOnly,
-            route: SessionRoute::Sticky,
+            persistence: Persistence::FloorOnly,
+            path: SessionPath::Staying,
             kills: 60,
         },
         KillArm {
             name: "nothing, staying",
-            retention: SessionRetention::Forgotten,
-            route: SessionRoute::Sticky,
+            persistence: Persistence::None,
+            path: SessionPath::Staying,
             kills: 60,
         },
     ];
-    for KillArm { name, retention, route, kills } in arms {
-        let mut instances = Instances::started(3, start_nodes(&[1000, 2000]), retention);
-        let counts = restart_loop(&mut instances, kills, LOOP_SESSIONS, route);
+    for KillArm { name, persistence, path, kills } in arms {
+        let mut instances = Instances::started(3, start_nodes(&[1000, 2000]), persistence);
+        let counts = restart_loop(&mut instances, kills, LOOP_SESSIONS, path);
         println!(
             "{name:<28}{:>7}{:>9}{:>9}{:>9}{:>14}",
-            counts.kills, counts.writes, counts.reads, counts.stale_reads, counts.replica_reads
+            counts.kills, counts.writes, counts.reads, counts.missed_writes, counts.replica_reads
         );
     }
 }
@@ -152,7 +152,7 @@
 /// An arm of the measurement of offloading.
 struct OffloadArm {
     name: &'static str,
-    retention: SessionRetention,
+    persistence: Persistence,
     /// The class of reads after the restart.
     class: &'static str,
 }
@@ -165,22 +165,18 @@
         let arms = [
             OffloadArm {
                 name: "all to the primary until warm",
-                retention: SessionRetention::MinimumPositionOnly,
+                persistence: Persistence::FloorOnly,
                 class: "basket-fresh",
             },
             OffloadArm {
                 name: "floor after the start",
-                retention: SessionRetention::MinimumPositionOnly,
-                class: "basket-read",
-            },
-            OffloadArm {
-                name: "journal, alone",
-                retention: SessionRetention::JournalOnly,
+                persistence: Persistence::FloorOnly,
                 class: "basket-read",
             },
+            OffloadArm { name: "journal, alone", persistence: Persistence::Disk, class: "basket-read" },
             OffloadArm {
                 name: "journal and two peers",
-                retention: SessionRetention::JournalAndPeers,
+                persistence: Persistence::DiskAndPeers,
                 class: "basket-read",
             },
         ];
@@ -191,22 +187,22 @@
 }
 
 fn measure_offload_arm(arm: &OffloadArm, lags_ms: [u64; 2], lag_text: &str) {
-    let count = if arm.retention == SessionRetention::JournalAndPeers { 3 } else { 1 };
-    let mut instances = Instances::new(count, start_nodes(&lags_ms), arm.retention);
-    for keys in &mut instances.extra_settings {
-        keys.0 = "[[mysql.class]]\nname = 'basket-fresh'\nfreshness = 'fresh'\neffect = 'safe'\n\
+    let count = if arm.persistence == Persistence::DiskAndPeers { 3 } else { 1 };
+    let mut instances = Instances::new(count, start_nodes(&lags_ms), arm.persistence);
+    for keys in &mut instances.extra_keys {
+        keys.mysql = "[[mysql.class]]\nname = 'basket-fresh'\nfreshness = 'fresh'\neffect = 'safe'\n\
                   aim_ms = 2000\ndeadline_ms = 4000\n"
             .into();
     }
     (0..count).for_each(|instance| instances.start(instance));
-    (0..count).for_each(|instance| instances.wait_until_peers_up_to_date(instance));
+    (0..count).for_each(|instance| instances.wait_for_peers(instance));
     // The replicas have to pass the floor of the very first start.
     std::thread::sleep(Duration::from_millis(lags_ms[1] + FLOOR_SLACK_MS));
     // The steady state is that of the same class in all arms.
-    let steady = count_reads(instances.addr(0), "basket-read");
+    let steady = count_reads(instances.address(0), "basket-read");
     instances.kill(0);
     instances.start(0);
-    let restarted = count_reads(instances.addr(0), arm.class);
+    let restarted = count_reads(instances.address(0), arm.class);
     println!(
         "{:<44}{:>13.1}%{:>13.1}%{:>12}",
         format!("{}, {lag_text}", arm.name),
@@ -224,13 +220,13 @@
 }
 
 impl CostArm {
-    fn start(name: &'static str, retention: SessionRetention, count: usize) -> CostArm {
-        let instances = Instances::started(count, start_nodes(&[20]), retention);
+    fn start(name: &'static str, persistence: Persistence, count: usize) -> CostArm {
+        let instances = Instances::started(count, start_nodes(&[20]), persistence);
         CostArm { name, instances, latencies: Histogram::new(3).expect("three digits are allowed") }
     }
 
     fn run_round(&mut self) {
-        let router = self.instances.addr(0);
+        let router = self.instances.address(0);
         let start_client = |client| std::thread::spawn(move || time_writes(router, client));
         let clients: Vec<_> = (0..COST_CLIENTS).map(start_client).collect();
         for client in clients {
@@ -259,10 +255,10 @@
         "cost: microseconds of a write, {COST_CLIENTS} clients with 12 ms between writes, arms in turns"
     );
     let mut arms = [
-        CostArm::start("nothing kept", SessionRetention::Forgotten, 1),
-        CostArm::start("peers", SessionRetention::PeersOnly, 3),
-        CostArm::start("journal", SessionRetention::JournalOnly, 1),
-        CostArm::start("journal and peers", SessionRetention::JournalAndPeers, 3),
+        CostArm::start("nothing kept", Persistence::None, 1),
+        CostArm::start("peers", Persistence::Peers, 3),
+        CostArm::start("journal", Persistence::Disk, 1),
+        CostArm::start("journal and peers", Persistence::DiskAndPeers, 3),
     ];
     for _ in 0..COST_ROUNDS {
         arms.iter_mut().for_each(CostArm::run_round);
@@ -283,12 +279,12 @@
     println!("{:<16}{:>12}{:>12}{:>16}{:>14}", "sessions", "start ms", "RSS MB", "bytes/session", "peer ms");
     let mut empty_kb = 0;
     for sessions in [0, 10_000, 100_000, 1_000_000] {
-        let mut instances = Instances::new(2, start_nodes(&[20]), SessionRetention::JournalAndPeers);
+        let mut instances = Instances::new(2, start_nodes(&[20]), Persistence::DiskAndPeers);
         write_journal(&instances, sessions);
         let begin = Instant::now();
         instances.start(0);
         let start_ms = begin.elapsed().as_millis();
-        instances.wait_until_peers_up_to_date(0);
+        instances.wait_for_peers(0);
         let resident_kb = process_status(instances.program(0).child.id(), "VmRSS:");
         let begin = Instant::now();
         instances.start(1);
--- a/discovery/src/driver.rs
+++ b/discovery/src/driver.rs
@@ -10,7 +10,6 @@
 use crossbeam_channel::Receiver;
 use mio::{Events, Poll, Token, Waker};
 use routing::{EndpointUpdate, UpdateOrder};
-use settings::Limits;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::SocketAddr;
@@ -317,18 +316,3 @@
         self.ready.remove(&id);
     }
 }
-
-impl From<&Limits> for Settings {
-    fn from(limits: &Limits) -> Settings {
-        Settings {
-            stale_after: limits.watch_silence_timeout,
-            first_line_timeout: limits.watch_first_line_timeout,
-            min_open_interval: limits.watch_backoff.min,
-            max_open_interval: limits.watch_backoff.max,
-            previous_address_grace: limits.watch_previous_address_duration,
-            max_pending: limits.max_pending_watches,
-            min_pending_time: limits.new_watch_timeout(),
-            oldest_pending_time: limits.pending_watch_timeout,
-        }
-    }
-}
--- a/registry/src/client/consul_poll.rs
+++ b/registry/src/client/consul_poll.rs
@@ -44,7 +44,9 @@
         if let Some(result) = result {
             self.newest = Some(result?);
         }
-        self.newest.clone().ok_or_else(|| RequestError::Broken("no health of the service".into()))
+        self.newest
+            .clone()
+            .ok_or_else(|| RequestError::InvalidResponse { reason: "no health of the service".into() })
     }
 }
 
@@ -84,8 +86,7 @@
                 return Ok(leave);
             }
             if !std::mem::replace(&mut is_following, true) {
-                let addr = self.settings.endpoints[endpoint];
-                tracing::info!(%addr, revision, "registry member followed");
+                self.log_followed(endpoint, revision);
             }
             worked();
         }
--- a/registry/src/client/follow.rs
+++ b/registry/src/client/follow.rs
@@ -127,8 +127,7 @@
     ) -> Result<NextStep, RequestError> {
         match member {
             MemberClient::Etcd(etcd) => {
-                let addr = self.settings.endpoints[endpoint];
-                tracing::info!(%addr, revision = from, "registry member followed");
+                self.log_followed(endpoint, from);
                 worked();
                 self.watch(machine, endpoint, etcd, from)
             }
@@ -136,6 +135,12 @@
         }
     }
 
+    /// Logs that a member is followed from a revision on.
+    pub(super) fn log_followed(&self, endpoint: EndpointIndex, revision: Revision) {
+        let addr = self.settings.endpoints[endpoint];
+        tracing::info!(%addr, revision, "registry member followed");
+    }
+
     /// Passes an event to the state machine and carries out its actions, except for the next step, which is returned.
     pub(super) fn apply(&self, machine: &mut Machine, event: Event) -> NextStep {
         let (mut actions, mut next, mut changed) = (Vec::new(), NextStep::None, Changed::default());
@@ -143,9 +148,9 @@
         let mut list = self.list();
         for action in actions {
             match action {
-                Action::Read(_) => next = NextStep::Read,
-                Action::Watch(_, from) => next = NextStep::Watch(from),
-                Action::Leave(_, reason) => next = NextStep::Leave(format!("{reason:?}")),
+                Action::Read { .. } => next = NextStep::Read,
+                Action::Watch { from, .. } => next = NextStep::Watch(from),
+                Action::Leave { reason, .. } => next = NextStep::Leave(format!("{reason:?}")),
                 Action::Restored => {
                     tracing::error!(
                         "registry went back, as if restored from a backup; drained nodes stay drained"
@@ -153,10 +158,10 @@
                     self.handle_fleet_event(&mut list, FleetEvent::Restored);
                 }
                 Action::Put(item) => self.key_put(&mut list, item, &mut changed),
-                Action::Gone(key) => self.key_deleted(&mut list, &key, &mut changed),
-                Action::Settled(_) => {
+                Action::Deleted { key } => self.key_deleted(&mut list, &key, &mut changed),
+                Action::Synchronized { .. } => {
                     list.last_contact = Some(self.clock.now().0);
-                    self.handle_fleet_event(&mut list, FleetEvent::Heard);
+                    self.handle_fleet_event(&mut list, FleetEvent::RegistryResponded);
                 }
             }
         }
@@ -190,7 +195,7 @@
                 }
                 changed.routers = true;
             }
-            Key::ReleaseHeld => self.handle_fleet_event(list, FleetEvent::ReleaseHeld),
+            Key::ReleaseRetained => self.handle_fleet_event(list, FleetEvent::ReleaseRetained),
             Key::Other => {}
         }
     }
@@ -198,12 +203,14 @@
     fn key_deleted(&self, list: &mut ListState, key: &str, changed: &mut Changed) {
         match self.classify(key) {
             Key::Config => changed.config = true,
-            Key::Node(name) => self.handle_fleet_event(list, FleetEvent::Gone(name.to_string())),
+            Key::Node(name) => {
+                self.handle_fleet_event(list, FleetEvent::KeyDeleted { name: name.to_string() });
+            }
             Key::Router(name) => {
                 list.routers.remove(name);
                 changed.routers = true;
             }
-            Key::ReleaseHeld | Key::Other => {}
+            Key::ReleaseRetained | Key::Other => {}
         }
     }
 
--- a/tests/common/instances.rs
+++ b/tests/common/instances.rs
@@ -9,32 +9,47 @@
 use std::time::{Duration, Instant};
 use test_servers::replication_group::ReplicationGroup;
 
-/// How instances keep what sessions must see.
+/// Where instances hold what sessions must see, beside their memory.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum SessionRetention {
-    /// On disk and among peers.
-    JournalAndPeers,
-    /// Among peers alone.
-    PeersOnly,
+pub(crate) enum Persistence {
+    /// On disk and at peers.
+    DiskAndPeers,
+    /// At peers alone.
+    Peers,
     /// On disk alone.
-    JournalOnly,
-    /// The floor after a start, and nothing else.
-    MinimumPositionOnly,
-    /// Not at all: what is lost with a process is believed away.
-    Forgotten,
+    Disk,
+    /// Nowhere: after a start a floor covers what is not known.
+    FloorOnly,
+    /// Nowhere, and nothing covers what is lost with a process.
+    None,
+}
+
+/// More keys of an instance's file.
+#[derive(Clone, Default)]
+pub(crate) struct ExtraKeys {
+    /// Of `[mysql]`.
+    pub(crate) mysql: String,
+    /// Of `[sessions]`.
+    pub(crate) sessions: String,
+}
+
+/// An instance's process, and where it listens for clients.
+pub(crate) struct RunningInstance {
+    pub(crate) program: Program,
+    pub(crate) address: SocketAddr,
 }
 
 pub(crate) struct Instances {
-    pub(crate) fleet: ReplicationGroup,
+    pub(crate) servers: ReplicationGroup,
     pub(crate) folder: TestFolder,
-    pub(crate) retention: SessionRetention,
+    pub(crate) persistence: Persistence,
     /// Where each one listens for its peers.
-    pub(crate) peer_listeners: Vec<SocketAddr>,
-    /// Where each one finds each peer.
-    pub(crate) peer_addresses: Vec<Vec<SocketAddr>>,
-    /// More keys of `[mysql]` and `[sessions]` for each one.
-    pub(crate) extra_settings: Vec<(String, String)>,
-    pub(crate) running: Vec<Option<(Program, SocketAddr)>>,
+    pub(crate) peer_addresses: Vec<SocketAddr>,
+    /// Where each one connects to each peer.
+    pub(crate) known_peer_addresses: Vec<Vec<SocketAddr>>,
+    /// More keys for each one's file.
+    pub(crate) extra_keys: Vec<ExtraKeys>,
+    pub(crate) running: Vec<Option<RunningInstance>>,
 }
 
 pub(crate) fn insert(key: &str, n: u64) -> String {
@@ -45,39 +60,63 @@
     format!("SELECT n FROM basket WHERE k = '{key}' /* c=basket-read,s={key} */")
 }
 
-/// What a read gave: the newest item, and which server answered.
-pub(crate) type ReadResult = (u64, String);
+/// What a read returned.
+#[derive(Clone, PartialEq, Eq, Debug)]
+pub(crate) struct ReadResult {
+    /// The newest item.
+    pub(crate) item: u64,
+    /// Which server answered.
+    pub(crate) server: String,
+}
+
+impl ReadResult {
+    pub(crate) fn of(item: u64, server: &str) -> ReadResult {
+        ReadResult { item, server: server.into() }
+    }
+
+    pub(crate) fn is_from_replica(&self) -> bool {
+        self.server.starts_with("replica")
+    }
+}
 
 impl Instances {
     /// Instances that are set up, not started yet.
-    pub(crate) fn new(n: usize, fleet: ReplicationGroup, retention: SessionRetention) -> Instances {
-        let peer_listeners = unused_addresses(n);
+    pub(crate) fn new(count: usize, servers: ReplicationGroup, persistence: Persistence) -> Instances {
+        let peer_addresses = unused_addresses(count);
         Instances {
-            fleet,
+            servers,
             folder: TestFolder::new(),
-            retention,
-            peer_addresses: vec![peer_listeners.clone(); n],
-            peer_listeners,
-            extra_settings: vec![Default::default(); n],
-            running: (0..n).map(|_| None).collect(),
+            persistence,
+            known_peer_addresses: vec![peer_addresses.clone(); count],
+            peer_addresses,
+            extra_keys: vec![ExtraKeys::default(); count],
+            running: (0..count).map(|_| None).collect(),
         }
     }
 
-    pub(crate) fn started(n: usize, fleet: ReplicationGroup, retention: SessionRetention) -> Instances {
-        let mut all = Instances::new(n, fleet, retention);
-        (0..n).for_each(|i| all.start(i));
-        (0..n).for_each(|i| all.wait_until_peers_up_to_date(i));
+    /// Instances that run and rely on each other.
+    pub(crate) fn started(count: usize, servers: ReplicationGroup, persistence: Persistence) -> Instances {
+        let mut all = Instances::new(count, servers, persistence);
+        all.start_all();
         all
     }
 
+    /// Starts every instance and waits until they rely on each other.
+    pub(crate) fn start_all(&mut self) {
+        let count = self.peer_addresses.len();
+        (0..count).for_each(|i| self.start(i));
+        (0..count).for_each(|i| self.wait_for_peers(i));
+    }
+
+    /// An instance's folder for its journal.
     pub(crate) fn journal_folder(&self, i: usize) -> PathBuf {
-        self.folder.path().join(format!("journal-{i}"))
+        self.folder.path().join(format!("kept-{i}"))
     }
 
     /// Writes an instance's file, with these peers.
-    pub(crate) fn write_settings(&self, i: usize, peers: &[usize]) -> PathBuf {
+    pub(crate) fn write_config(&self, i: usize, peers: &[usize]) -> PathBuf {
         let server = |(name, addr)| format!("[[mysql.server]]\nid = '{name}'\naddr = '{addr}'\n");
-        let servers: String = self.fleet.servers().into_iter().map(server).collect();
+        let servers: String = self.servers.servers().into_iter().map(server).collect();
         let class = |name, freshness, effect| {
             format!(
                 "[[mysql.class]]\nname = '{name}'\nfreshness = '{freshness}'\neffect = '{effect}'\naim_ms = 2000\n\
@@ -86,58 +125,62 @@
         };
         let classes = class("basket-read", "session", "safe") + &class("basket-add", "write", "unsafe");
         let peer = |p: &usize| {
-            format!("[[sessions.peer]]\ninstance = {}\naddr = '{}'\n", p + 1, self.peer_addresses[i][*p])
+            format!(
+                "[[sessions.peer]]\ninstance = {}\naddr = '{}'\n",
+                p + 1,
+                self.known_peer_addresses[i][*p]
+            )
         };
-        let peers: String = match self.retention {
-            SessionRetention::JournalAndPeers | SessionRetention::PeersOnly => {
+        let peers: String = match self.persistence {
+            Persistence::DiskAndPeers | Persistence::Peers => {
                 peers.iter().filter(|p| **p != i).map(peer).collect()
             }
             _ => String::new(),
         };
-        let keeps = match self.retention {
-            SessionRetention::JournalAndPeers | SessionRetention::JournalOnly => {
+        let persistence_keys = match self.persistence {
+            Persistence::DiskAndPeers | Persistence::Disk => {
                 format!("folder = '{}'\n", self.journal_folder(i).display())
             }
-            SessionRetention::PeersOnly | SessionRetention::MinimumPositionOnly => String::new(),
-            SessionRetention::Forgotten => "after_start = 'trust'\n".into(),
+            Persistence::Peers | Persistence::FloorOnly => String::new(),
+            Persistence::None => "after_start = 'trust'\n".into(),
         };
-        let (mysql, sessions) = &self.extra_settings[i];
+        let ExtraKeys { mysql, sessions } = &self.extra_keys[i];
         let text = format!(
             "[mysql]\nlisten = '127.0.0.1:0'\ndatabase = 'shop'\nserver_user = 'router'\nprobe = 'SELECT probe'\n\
              server_clock = true\nclock_skew_ms = 1\n{mysql}\n[[mysql.user]]\nname = 'till'\npassword = 'secret'\n\
-             {classes}{servers}[sessions]\ninstance = {}\nlisten = '{}'\n{keeps}{sessions}\n{peers}",
+             {classes}{servers}[sessions]\ninstance = {}\nlisten = '{}'\n{persistence_keys}{sessions}\n{peers}",
             i + 1,
-            self.peer_listeners[i]
+            self.peer_addresses[i]
         );
         self.folder.write(&format!("instance-{i}.toml"), &text)
     }
 
     /// Waits until every instance sends a new session's reads to replicas, and stops replication then: whatever is
     /// written from now on is on the primary alone.
-    pub(crate) fn stop_replication_once_replicas_serve(&mut self) {
+    pub(crate) fn freeze_replicas(&mut self) {
         for i in 0..self.running.len() {
             let (mut client, begun) = (self.client(i), Instant::now());
-            while !read(&mut client, "nobody").unwrap().1.starts_with("replica") {
+            while !read(&mut client, "nobody").unwrap().is_from_replica() {
                 assert!(begun.elapsed() < TIMEOUT);
             }
         }
-        self.fleet.stop_replication();
+        self.servers.stop_replication();
     }
 
     pub(crate) fn start(&mut self, i: usize) {
-        let all: Vec<usize> = (0..self.peer_listeners.len()).collect();
-        let path = self.write_settings(i, &all);
-        let mut program = Program::serve(&path);
-        let addr = program.listening_address();
-        self.running[i] = Some((program, addr));
+        let all: Vec<usize> = (0..self.peer_addresses.len()).collect();
+        let path = self.write_config(i, &all);
+        let mut program = Program::start(&["serve", path.to_str().unwrap()], &[]);
+        let address = program.listening_address();
+        self.running[i] = Some(RunningInstance { program, address });
     }
 
     pub(crate) fn program(&mut self, i: usize) -> &mut Program {
-        &mut self.running[i].as_mut().unwrap().0
+        &mut self.running[i].as_mut().unwrap().program
     }
 
     /// Waits until an instance relies on all its peers.
-    pub(crate) fn wait_until_peers_up_to_date(&mut self, i: usize) {
+    pub(crate) fn wait_for_peers(&mut self, i: usize) {
         self.program(i).wait_for_log("session peers up to date");
     }
 
@@ -146,35 +189,35 @@
         self.running[i] = None;
     }
 
-    pub(crate) fn addr(&self, i: usize) -> SocketAddr {
-        self.running[i].as_ref().unwrap().1
+    pub(crate) fn address(&self, i: usize) -> SocketAddr {
+        self.running[i].as_ref().unwrap().address
     }
 
     pub(crate) fn client(&self, i: usize) -> Conn {
-        connect(self.addr(i)).unwrap()
+        connect(self.address(i)).unwrap()
     }
 
-    /// What an instance says of itself.
+    /// An instance's status.
     pub(crate) fn status(&self, i: usize) -> serde_json::Value {
         let (code, out) =
-            Program::start(&["sessions", "show", &self.peer_listeners[i].to_string()], &[]).wait_for_exit();
+            Program::start(&["sessions", "show", &self.peer_addresses[i].to_string()], &[]).wait_for_exit();
         assert_eq!(code, Some(0));
         serde_json::from_str(&out).unwrap()
     }
 
-    /// Asks an instance until what it says of itself is so; only a failure takes long.
+    /// Polls an instance's status until it is as wanted; only a failure takes long.
     pub(crate) fn wait_for_status(
         &self,
         i: usize,
-        is: impl Fn(&serde_json::Value) -> bool,
+        is_wanted: impl Fn(&serde_json::Value) -> bool,
     ) -> serde_json::Value {
         let begun = Instant::now();
         loop {
-            let shown = self.status(i);
-            if is(&shown) {
-                return shown;
+            let status = self.status(i);
+            if is_wanted(&status) {
+                return status;
             }
-            assert!(begun.elapsed() < TIMEOUT, "{shown}");
+            assert!(begun.elapsed() < TIMEOUT, "{status}");
         }
     }
 }
@@ -186,8 +229,8 @@
 }
 
 pub(crate) fn read(client: &mut Conn, key: &str) -> mysql::Result<ReadResult> {
-    let (n, by): (String, String) = client.query_first(select(key))?.unwrap();
-    Ok((n.parse().unwrap(), by))
+    let (item, server): (String, String) = client.query_first(select(key))?.unwrap();
+    Ok(ReadResult { item: item.parse().unwrap(), server })
 }
 
 pub(crate) fn write(client: &mut Conn, key: &str, n: u64) -> mysql::Result<()> {
--- a/tests/common/program.rs
+++ b/tests/common/program.rs
@@ -76,8 +76,8 @@
 
     /// Where it says that it listens.
     pub(crate) fn listening_address(&mut self) -> SocketAddr {
-        let line = self.wait_for_log("listening on ");
-        line.rsplit("listening on ").next().unwrap().trim().parse().unwrap()
+        let line = self.wait_for_log("client listener bound ");
+        line.rsplit("addr=").next().unwrap().trim().parse().unwrap()
     }
 
     pub(crate) fn terminate(&self) {
--- a/tests/common/restart_loop.rs
+++ b/tests/common/restart_loop.rs
@@ -1,147 +1,150 @@
-//! Instances killed and restarted one after the other while sessions write and read.
+//! Instances that are killed and restarted one after the other while sessions write and read.
 use super::TIMEOUT;
 use super::instances::{Instances, connect, read, write};
 use mysql::Conn;
-use std::ops::AddAssign;
+use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicU16, Ordering};
 use std::sync::mpsc::{SyncSender, sync_channel};
 
 /// Reads that follow each write of a session.
 const READS_PER_WRITE: usize = 10;
-/// Statements that the sessions have answered between two kills.
-const STATEMENTS_PER_KILL: usize = 30;
-const MAX_UNCOUNTED_STATEMENTS: usize = 1024;
+/// Statements of all sessions together that are waited for between two kills.
+const STATEMENTS_BETWEEN_KILLS: usize = 30;
 
-/// What a loop of kills counted.
-#[derive(Clone, Copy, Default, Debug)]
-pub(crate) struct LoopResults {
+/// Which instances a session goes to.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) enum SessionPath {
+    /// To another one for every statement.
+    Wandering,
+    /// To one alone.
+    Staying,
+}
+
+/// What sessions observed.
+#[derive(Default, Debug)]
+pub(crate) struct LoopOutcome {
     pub(crate) kills: u64,
     pub(crate) writes: u64,
     pub(crate) reads: u64,
-    /// Reads that showed less than their session had been acknowledged.
-    pub(crate) stale_reads: u64,
+    /// Reads that showed less than what their session had been acknowledged.
+    pub(crate) missed_writes: u64,
     /// Reads that a replica answered.
     pub(crate) replica_reads: u64,
     pub(crate) errors: u64,
 }
 
-impl AddAssign for LoopResults {
-    fn add_assign(&mut self, other: LoopResults) {
+impl LoopOutcome {
+    fn add(&mut self, other: &LoopOutcome) {
         self.kills += other.kills;
         self.writes += other.writes;
         self.reads += other.reads;
-        self.stale_reads += other.stale_reads;
+        self.missed_writes += other.missed_writes;
         self.replica_reads += other.replica_reads;
         self.errors += other.errors;
     }
 }
 
-/// Where a session sends its statements.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum SessionRoute {
-    /// All to one instance.
-    Sticky,
-    /// Each to another instance than the one before.
-    Alternating,
-}
-
-/// What the loop tells the sessions.
-struct Shared {
-    /// The port of each instance; a restarted one has another.
-    ports: Vec<AtomicU64>,
-    done: AtomicBool,
-}
-
-/// A connection, and the port that it was opened to.
+/// A connection to the instance that listened on this port when it was opened.
 struct OpenConnection {
-    port: u64,
-    connection: Conn,
+    port: u16,
+    client: Conn,
 }
 
-/// One session and its connections to the instances.
-struct Session {
+/// One session's client.
+struct SessionClient {
     key: String,
-    route: SessionRoute,
-    shared: Arc<Shared>,
-    answered: SyncSender<()>,
+    path: SessionPath,
+    /// Where each instance listens for clients now.
+    ports: Arc<Vec<AtomicU16>>,
     connections: Vec<Option<OpenConnection>>,
+    /// The instance of the last statement.
     instance: usize,
-    /// The number of the latest write, acknowledged or not.
-    latest: u64,
+    /// The newest item whose write was acknowledged.
     acknowledged: u64,
-    results: LoopResults,
+    outcome: LoopOutcome,
 }
 
-impl Session {
-    fn new(number: usize, route: SessionRoute, shared: Arc<Shared>, answered: SyncSender<()>) -> Session {
-        let instances = shared.ports.len();
-        Session {
+impl SessionClient {
+    fn new(number: usize, path: SessionPath, ports: Arc<Vec<AtomicU16>>) -> SessionClient {
+        let count = ports.len();
+        SessionClient {
             key: format!("member-{number}"),
-            route,
-            shared,
-            answered,
-            connections: (0..instances).map(|_| None).collect(),
-            instance: number % instances,
-            latest: 0,
+            path,
+            ports,
+            connections: (0..count).map(|_| None).collect(),
+            instance: number % count,
             acknowledged: 0,
-            results: LoopResults::default(),
+            outcome: LoopOutcome::default(),
         }
     }
 
-    fn run(mut self) -> LoopResults {
-        while !self.shared.done.load(Ordering::Relaxed) {
-            self.latest += 1;
-            (0..=READS_PER_WRITE).for_each(|step| self.step(step));
+    /// Writes and reads until `done`; each statement that succeeds is reported.
+    fn run(mut self, done: &AtomicBool, succeeded: &SyncSender<()>) -> LoopOutcome {
+        let mut item = 0;
+        while !done.load(Ordering::Relaxed) {
+            item += 1;
+            for step in 0..=READS_PER_WRITE {
+                self.choose_instance(item, step);
+                if self.connected() && self.send_statement(item, step) {
+                    _ = succeeded.try_send(());
+                }
+            }
         }
-        self.results
+        self.outcome
     }
 
-    /// Step 0 writes, the others read.
-    fn step(&mut self, step: usize) {
-        if self.route == SessionRoute::Alternating {
-            let offset = 1 + (self.latest as usize + step) % 2;
-            self.instance = (self.instance + offset) % self.connections.len();
+    fn choose_instance(&mut self, item: u64, step: usize) {
+        if self.path == SessionPath::Wandering {
+            self.instance = (self.instance + 1 + (item as usize + step) % 2) % self.connections.len();
         }
-        let Some(mut open) = self.take_connection() else {
-            self.results.errors += 1;
+    }
+
+    /// Connects to the instance where there is no connection to its present start; whether there is one then.
+    fn connected(&mut self) -> bool {
+        let port = self.ports[self.instance].load(Ordering::Relaxed);
+        let connection = &mut self.connections[self.instance];
+        if connection.as_ref().is_none_or(|open| open.port != port) {
+            let address = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
+            *connection = connect(address).ok().map(|client| OpenConnection { port, client });
+        }
+        let is_open = connection.is_some();
+        if !is_open {
+            self.outcome.errors += 1;
             // The instance is down: the next one may not be.
             std::thread::yield_now();
-            return;
-        };
-        let ended =
-            if step == 0 { self.write(&mut open.connection) } else { self.read(&mut open.connection) };
-        match ended {
-            Ok(()) => {
-                _ = self.answered.try_send(());
-                self.connections[self.instance] = Some(open);
-            }
-            Err(_) => self.results.errors += 1,
         }
+        is_open
     }
 
-    /// The connection to the instance at hand, opened anew where the instance has been restarted.
-    fn take_connection(&mut self) -> Option<OpenConnection> {
-        let port = self.shared.ports[self.instance].load(Ordering::Relaxed);
-        let open = self.connections[self.instance].take().filter(|open| open.port == port);
-        open.or_else(|| {
-            let connection = connect(([127, 0, 0, 1], port as u16).into()).ok()?;
-            Some(OpenConnection { port, connection })
-        })
+    /// The first statement of an item writes it, the others read it; whether it succeeded.
+    fn send_statement(&mut self, item: u64, step: usize) -> bool {
+        let result = if step == 0 { self.write(item) } else { self.read() };
+        if result.is_err() {
+            self.outcome.errors += 1;
+            self.connections[self.instance] = None;
+        }
+        result.is_ok()
+    }
+
+    fn client(&mut self) -> &mut Conn {
+        &mut self.connections[self.instance].as_mut().expect("a connection").client
     }
 
-    fn write(&mut self, connection: &mut Conn) -> mysql::Result<()> {
-        write(connection, &self.key, self.latest)?;
-        self.acknowledged = self.latest;
-        self.results.writes += 1;
+    fn write(&mut self, item: u64) -> mysql::Result<()> {
+        let key = self.key.clone();
+        write(self.client(), &key, item)?;
+        self.acknowledged = item;
+        self.outcome.writes += 1;
         Ok(())
     }
 
-    fn read(&mut self, connection: &mut Conn) -> mysql::Result<()> {
-        let (value, server) = read(connection, &self.key)?;
-        self.results.reads += 1;
-        self.results.stale_reads += u64::from(value < self.acknowledged);
-        self.results.replica_reads += u64::from(server != "primary");
+    fn read(&mut self) -> mysql::Result<()> {
+        let key = self.key.clone();
+        let result = read(self.client(), &key)?;
+        self.outcome.reads += 1;
+        self.outcome.missed_writes += u64::from(result.item < self.acknowledged);
+        self.outcome.replica_reads += u64::from(result.server != "primary");
         Ok(())
     }
 }
@@ -151,26 +154,33 @@
     instances: &mut Instances,
     kills: u64,
     sessions: usize,
-    route: SessionRoute,
-) -> LoopResults {
-    let count = instances.peer_listeners.len();
-    let ports = (0..count).map(|i| AtomicU64::new(u64::from(instances.addr(i).port()))).collect();
-    let shared = Arc::new(Shared { ports, done: AtomicBool::new(false) });
-    let (answered, statements) = sync_channel(MAX_UNCOUNTED_STATEMENTS);
-    let threads: Vec<_> = (0..sessions)
-        .map(|number| Session::new(number, route, shared.clone(), answered.clone()))
-        .map(|session| std::thread::spawn(move || session.run()))
-        .collect();
-    let mut total = LoopResults { kills, ..LoopResults::default() };
+    path: SessionPath,
+) -> LoopOutcome {
+    let count = instances.peer_addresses.len();
+    let port_of = |instances: &Instances, i: usize| instances.address(i).port();
+    let ports: Arc<Vec<AtomicU16>> =
+        Arc::new((0..count).map(|i| AtomicU16::new(port_of(instances, i))).collect());
+    let done = Arc::new(AtomicBool::new(false));
+    let (succeeded, successes) = sync_channel(1024);
+    let session = |number: usize| {
+        let client = SessionClient::new(number, path, ports.clone());
+        let (done, succeeded) = (done.clone(), succeeded.clone());
+        std::thread::spawn(move || client.run(&done, &succeeded))
+    };
+    let threads: Vec<_> = (0..sessions).map(session).collect();
+    let mut total = LoopOutcome::default();
     for kill in 0..kills {
         let i = kill as usize % count;
         instances.kill(i);
         instances.start(i);
-        shared.ports[i].store(u64::from(instances.addr(i).port()), Ordering::Relaxed);
+        ports[i].store(port_of(instances, i), Ordering::Relaxed);
+        total.kills += 1;
         // The sessions go on in between.
-        (0..STATEMENTS_PER_KILL).for_each(|_| statements.recv_timeout(TIMEOUT).unwrap());
+        (0..STATEMENTS_BETWEEN_KILLS).for_each(|_| successes.recv_timeout(TIMEOUT).unwrap());
+    }
+    done.store(true, Ordering::Relaxed);
+    for thread in threads {
+        total.add(&thread.join().unwrap());
     }
-    shared.done.store(true, Ordering::Relaxed);
-    threads.into_iter().for_each(|thread| total += thread.join().unwrap());
     total
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -130,7 +130,7 @@
         let config = config(to, vec![]);
         self.folder.write("config.json", &config.to_string());
         self.router.signal(Signal::SIGHUP);
-        self.router.wait_for_log(&format!("the watch moves to {to}"));
+        self.router.wait_for_log(&format!("discovery watch moved addr={to}"));
     }
 }
 
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -85,7 +85,7 @@
         };
         let mut both = [0, 1].map(start);
         for one in &mut both {
-            one.router.program.wait_for_log("1 others of this router live, 1 take clients");
+            one.router.program.wait_for_log("other_processes=1 other_ready_processes=1");
             // Whoever is asked has told the rest of the process.
             one.router.yes("STATUS");
         }
@@ -396,7 +396,7 @@
     assert!(answered > 0, "a client that never pauses is answered what was read");
     assert!(last < Duration::from_secs(4), "and read no further: its connection ended after {last:?}");
     router.program.signal(Signal::SIGHUP);
-    router.program.wait_for_log("reload: the configuration is followed");
+    router.program.wait_for_log("configuration reloaded");
     assert!(!takes_clients(site.addr), "a newcomer still hears the no");
     router.yes("RESUME");
     router.yes("RESUME");
@@ -570,11 +570,11 @@
     assert!(begun.elapsed() < Duration::from_secs(6));
     new.until("METRICS", "router.transactions.read.answered=");
     let mut old = old;
-    old.program.wait_for_log("1 take clients");
-    new.program.wait_for_log("1 others of this router live");
+    old.program.wait_for_log("other_ready_processes=1");
+    new.program.wait_for_log("other_processes=1 ");
     old.program.terminate();
     assert_eq!(old.program.wait_for_exit().0, Some(0));
-    new.program.wait_for_log("0 others of this router live");
+    new.program.wait_for_log("other_processes=0 ");
     // The new one serves alone.
     let served_by_new = || new.figures()["router.transactions.read.answered"];
     let at_end = served_by_new();
@@ -601,9 +601,9 @@
     let early = site.launch(unused_addresses(1)[0]);
     drop(early);
     let new = site.start();
-    old.program.wait_for_log("1 take clients");
+    old.program.wait_for_log("other_ready_processes=1");
     drop(new);
-    old.program.wait_for_log("0 others of this router live");
+    old.program.wait_for_log("other_processes=0 ");
     let client = Client::connect(site.addr);
     client.query_until_served_by(&insert("w1", 1900), "primary");
     drop(client);
@@ -611,9 +611,9 @@
     old.program.signal(Signal::SIGSTOP);
     let mut new = site.start();
     // What the stalled one had taken is lost with it; the new one takes what comes.
-    new.program.wait_for_log("1 others of this router live");
+    new.program.wait_for_log("other_processes=1 ");
     drop(old);
-    new.program.wait_for_log("0 others of this router live");
+    new.program.wait_for_log("other_processes=0 ");
     Client::connect(site.addr).query_until_served_by(&insert("w2", 1900), "primary");
     // What the dead held in the shared folder hinders nobody.
     new.yes("SUSPEND replica");
@@ -679,7 +679,7 @@
             "HUP" => {
                 router.program.signal(Signal::SIGHUP);
                 if !ends {
-                    router.program.wait_for_log("reload: the configuration is followed");
+                    router.program.wait_for_log("configuration reloaded");
                 }
             }
             _ => {
@@ -813,7 +813,7 @@
     let [mut one, other] = site.pair(|_| {});
     Client::connect(one.addr).query_until_served_by(&insert("first", 1900), "primary");
     drop(other);
-    one.router.program.wait_for_log("0 others of this router live");
+    one.router.program.wait_for_log("other_processes=0 ");
     one.router.yes("STATUS");
     site.primary.0.set_behavior(Behavior::Silent);
     ask_all(one.addr, &texts("alone", 20, insert)).into_iter().for_each(|c| _ = c.response());
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -292,7 +292,10 @@
     let path = folder.write("config.json", &text);
     let mut router = Program::serve_platform(&path);
     let watch = mute.accept().unwrap();
-    assert!(router.log_lines().iter().all(|l| !l.contains("listening on")), "before clients are taken");
+    assert!(
+        router.log_lines().iter().all(|l| !l.contains("client listener bound")),
+        "before clients are taken"
+    );
     router.terminate();
     router.wait_for_log("shutdown started");
     assert_eq!(router.wait_for_exit().0, Some(0));
