--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -1,6 +1,6 @@
 //! `serve FILE`: one `MySQL` router, built from an operator's file and run until SIGTERM.
 //!
-//! [`run`] starts the parts in the order in which they depend on each other: sessions, the routing core, the store, the
+//! `run` starts the parts in the order in which they depend on each other: sessions, the routing core, the store, the
 //! fleet and its members, the client listener, the registry. Each part has a file of its own below this one. Clients
 //! are accepted last, when everything that decides about their requests is there.
 mod configuration;
