--- a/store/src/node/reads.rs
+++ b/store/src/node/reads.rs
@@ -80,7 +80,7 @@
     }
 
     /// Rejects readers that have waited longer than `timeout`, or all of them with `no_leader`. Gives up a request that
-    /// has no answer after [`READ_INDEX_RETRY`]: its readers wait for the next one.
+    /// has no answer after `READ_INDEX_RETRY`: its readers wait for the next one.
     pub fn expire(&mut self, no_leader: bool, timeout: Duration) {
         let is_lost = |request: &ReadIndexRequest| no_leader || request.sent_at.elapsed() > READ_INDEX_RETRY;
         if self.in_flight.as_ref().is_some_and(is_lost) {
