--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_router_stopped_across_two_versions_routes_nothing_by_the_old_one() {
+fn stopped_router_routes_nothing_by_old_version() {
     let (mut all, first) = Installation::start(&document(""));
     let mut conn = all.connect(3);
     served(&mut conn, "tills");
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_router_cut_off_from_the_store_fences_itself_and_says_so() {
+fn partitioned_router_fences_itself_and_reports_it() {
     let (mut all, first) = Installation::start(&document(""));
     let mut conn = all.connect(3);
     served(&mut conn, "all");
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn the_record_goes_on_where_the_leader_and_a_router_are_lost_in_a_change() {
+fn audit_record_survives_loss_of_leader_and_router() {
     let (mut all, first) = Installation::start(&document(""));
     let line = all.program(0).wait_for_log("store leader elected leader=");
     let node = line.split(" leader=").nth(1).unwrap().split(' ').next().unwrap();
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn a_router_that_never_fetches_is_told_and_then_shut_out() {
+fn router_that_never_fetches_is_notified_then_fenced_out() {
     let (all, first) = Installation::start(&document(""));
     // One that reports as a router does and holds on to the first version.
     let mut socket: Option<TcpStream> = None;
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn what_a_silent_agent_tells_on_a_new_watch_is_known_well_within_six_seconds() {
+fn update_on_new_watch_binds_within_bound() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let (to, last) = channel();
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_drain_told_only_on_the_new_watch_while_the_old_one_hangs_binds_within_six_seconds() {
+fn drain_on_new_watch_binds_while_old_watch_hangs() {
     let mut site = Site::start();
     // The first new one hangs with its head, the second in half of a line.
     let (index, _head) = site.agent.watch();
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn what_an_old_watch_misses_is_told_though_it_speaks_again_before_any_new_one() {
+fn update_missed_by_old_watch_arrives_on_new_watch() {
     let mut site = Site::start();
     let (_, _mute) = site.agent.next();
     // Version 51 never comes on the old one: the replica drains. 52 does.
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_reset_under_a_change_on_its_way_loses_nothing() {
+fn reset_during_change_loses_no_update() {
     let mut site = Site::start();
     let change = site.drains(51);
     say(site.old(), &change[..change.len() / 2]);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn sighup_during_the_silence_moves_at_once_and_the_new_agents_drain_binds() {
+fn sighup_during_silence_moves_watch_at_once() {
     let mut site = Site::start();
     let (_, _mute) = site.agent.next();
     site.router.wait_for_log("discovery watch stale, opening another silent=2.6s");
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn sighup_to_an_address_that_refuses_leaves_the_old_watch_and_the_next_one_moves_on() {
+fn sighup_to_refusing_address_keeps_old_watch() {
     let mut site = Site::start();
     site.moves(unused_addresses(1)[0]);
     site.router.wait_for_log("discovery watch broken");
@@ -298,12 +298,12 @@
 }
 
 #[test]
-fn with_idle_clients_in_every_place_the_watch_opens_six_at_a_time_sighup_moves_it_and_requests_are_served() {
+fn idle_clients_do_not_block_watch_or_sighup() {
     crowded(&|_| {});
 }
 
 #[test]
-fn the_same_holds_with_stuck_callers_in_every_place_at_the_operators_door() {
+fn stuck_admin_callers_do_not_block_watch_or_sighup() {
     let door = unused_addresses(1)[0];
     crowded(&|config| config["admin_addr"] = json!(door.to_string()));
 }
@@ -354,7 +354,7 @@
 }
 
 #[test]
-fn lists_that_never_end_are_bounded_in_memory_and_take_no_place_for_good() {
+fn endless_lists_are_bounded_in_memory() {
     let loud = |path: &str| [("BALANCER_CONFIG", path.to_string()), ("DAMSONVALE_LOG", "debug".to_string())];
     let mut site = Site::start_by(
         |_| {},
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn seven_routers_in_ten_killed_in_the_middle_of_writes_leave_the_rest_serving_and_send_nothing_again() {
+fn killed_routers_cause_no_duplicate_writes() {
     let mut fleet = Fleet::start(10);
     let clients: Vec<Client> = (0..10).map(|n| fleet.client(n)).collect();
     // Every router has a write out at the primary when seven of them are killed.
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_router_stopped_past_its_requests_time_answers_them_at_once_when_it_goes_on_and_sends_nothing_again() {
+fn router_resumed_after_deadline_sends_nothing_again() {
     let fleet = Fleet::start(3);
     let (client, read) = (fleet.client(0), fleet.client(0));
     // A write and a read are out at instances that keep silent, when the router is stopped.
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_replica_cut_off_from_every_router_costs_each_one_wait_and_is_taken_back_when_healed() {
+fn partitioned_replica_is_ejected_and_returns_when_healed() {
     let fleet = Fleet::start(3);
     fleet.link.cut();
     for n in 0..3 {
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn clients_that_send_much_at_once_and_go_cost_others_little_and_leave_nothing_behind() {
+fn burst_clients_delay_others_little_and_leave_no_memory() {
     let site = site("value");
     let asker = site.asker("value");
     let before = site.descriptors();
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn hundreds_that_send_much_at_once_stay_within_memory() {
+fn hundreds_of_burst_clients_stay_within_memory() {
     let site = site("value");
     let asker = site.asker("value");
     let before = site.descriptors();
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn hundreds_of_half_messages_are_ended_in_time_and_give_their_memory_back() {
+fn incomplete_messages_time_out_and_free_memory() {
     let site = site("value");
     let asker = site.asker("value");
     let before = site.descriptors();
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn clients_that_take_none_of_their_answers_hold_no_more_than_the_bound_and_are_ended() {
+fn clients_that_do_not_read_are_bounded_and_closed() {
     const VALUE: usize = 60_000;
     let value: &str = "v".repeat(VALUE).leak();
     let site = site(value);
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_request_whose_client_leaves_while_it_waits_goes_nowhere() {
+fn queued_request_of_disconnected_client_is_not_sent() {
     let (instance, _heard, entry) = primary();
     let ends: [fn(Client); 3] = [drop, reset, |client| {
         // On the wire the end of sending can't be told from a close.
@@ -151,14 +151,14 @@
 }
 
 #[test]
-fn commands_ahead_of_their_answers_go_nowhere_once_their_client_has_left() {
+fn pipelined_commands_of_disconnected_client_are_not_sent() {
     // With a writer beside the reader.
     two_go_nowhere(&[], drop);
     two_go_nowhere(&[], reset);
 }
 
 #[test]
-fn requests_and_an_end_that_come_at_once_leave_nothing_under_way() {
+fn simultaneous_requests_and_disconnects_leave_nothing_in_flight() {
     let (instance, _heard, entry) = primary();
     let mut site = Site::start(vec![]);
     let client = Client::connect(site.addr);
@@ -177,7 +177,7 @@
 const CLIENTS: usize = 20;
 
 #[test]
-fn a_request_that_is_read_after_its_clients_end_is_not_taken() {
+fn request_read_after_disconnect_is_not_accepted() {
     let mut site = Site::start(vec![]);
     let clients: Vec<Client> = (0..CLIENTS).map(|_| Client::connect(site.addr)).collect();
     // While the process stands still, requests and ends come together.
@@ -203,13 +203,13 @@
 }
 
 #[test]
-fn a_client_that_leaves_after_a_command_that_cannot_be_read_is_noticed() {
+fn disconnect_after_malformed_command_is_noticed() {
     // Its reader reads no more: it waits until what is owed has been written.
     two_go_nowhere(b"Q\0\0\0\x01", drop);
 }
 
 #[test]
-fn a_client_that_stays_after_a_command_that_cannot_be_read_gets_all_that_it_is_owed() {
+fn client_gets_all_responses_after_malformed_command() {
     let (_instance, _heard, entry) = primary();
     let mut site = Site::start(vec![]);
     let client = Client::connect(site.addr);
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn while_clients_are_let_go_one_that_leaves_is_noticed_and_one_that_stays_is_answered() {
+fn disconnect_is_noticed_during_shutdown() {
     let mut site = Site::start(vec![]);
     let (witness, stays, leaves) =
         (Client::connect(site.addr), Client::connect(site.addr), Client::connect(site.addr));
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn an_attempt_that_still_dials_writes_nothing_once_its_client_has_left() {
+fn connecting_attempt_of_disconnected_client_writes_nothing() {
     ends_while_it_dials(|site, client, _| {
         drop(client);
         site.left(1);
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn too_many_commands_ahead_end_the_connection_after_an_answer_to_each_that_was_taken() {
+fn excess_pipelining_closes_connection_after_responses() {
     let (_instance, _heard, entry) = primary();
     let mut site = Site::start(vec![]);
     let client = Client::connect(site.addr);
@@ -408,7 +408,7 @@
 }
 
 #[test]
-fn keys_differ_and_are_told_to_each_connection() {
+fn each_connection_gets_its_own_cancel_key() {
     let site = Site::start(vec![]);
     let keys: std::collections::HashSet<CancelKey> = (0..40).map(|_| keyed(site.addr).1).collect();
     assert_eq!(keys.len(), 40);
@@ -416,7 +416,7 @@
 }
 
 #[test]
-fn a_cancelled_request_that_waits_goes_nowhere_and_its_connection_goes_on() {
+fn cancelled_queued_request_is_not_sent() {
     let (instance, _heard, entry) = primary();
     let mut site = Site::start(vec![]);
     let (client, key) = keyed(site.addr);
@@ -432,7 +432,7 @@
 }
 
 #[test]
-fn a_cancelled_request_that_still_dials_writes_nothing() {
+fn cancelled_connecting_request_writes_nothing() {
     ends_while_it_dials(|site, client, key| {
         cancel(site.addr, key);
         hears_of_the_cancel(&client);
@@ -440,7 +440,7 @@
 }
 
 #[test]
-fn a_cancelled_request_that_was_sent_has_its_one_answer_at_once() {
+fn cancelled_sent_request_is_answered_at_once() {
     let (instance, heard, entry) = primary();
     let site = Site::start(vec![entry]);
     let (client, key) = keyed(site.addr);
@@ -457,7 +457,7 @@
 }
 
 #[test]
-fn of_commands_ahead_the_oldest_is_cancelled() {
+fn cancel_applies_to_oldest_pipelined_command() {
     let (instance, _heard, entry) = primary();
     let mut site = Site::start(vec![]);
     let (client, key) = keyed(site.addr);
@@ -472,7 +472,7 @@
 }
 
 #[test]
-fn a_cancel_without_a_match_or_after_the_answer_changes_nothing() {
+fn late_or_unknown_cancel_changes_nothing() {
     let (instance, _heard, entry) = primary();
     let mut site = Site::start(vec![]);
     let (client, key) = keyed(site.addr);
--- a/tests/one_fleet.rs
+++ b/tests/one_fleet.rs
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_document_is_set_shown_and_taken_back_as_a_whole() {
+fn document_is_set_shown_and_rolled_back() {
     let first = document(4, 5.0, 9, "");
     let mut all = Installation::bare(1, String::new(), TestFolder::new());
     let command_at = |name, all: &Installation| command(&[name, "--store", &all.store()]);
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn a_quota_holds_over_the_fleet_while_the_leader_is_killed_and_then_at_a_tenth_of_it() {
+fn quota_holds_while_leader_is_killed_and_after_reduction() {
     const RATE: f64 = 200.0;
     const BURST: u32 = 60;
     let mut all = Installation::start(2, &document(5, RATE, BURST, ""));
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn a_leader_that_stood_still_lends_nothing_twice() {
+fn paused_leader_grants_nothing_twice() {
     let mut all = Installation::start(2, &document(5, 200.0, 60, ""));
     let leader = all.leader();
     (0..5).for_each(|i| all.served(i, "tills"));
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn a_router_that_stood_still_past_its_loan_admits_nothing_from_it() {
+fn paused_router_admits_nothing_from_expired_grant() {
     let mut all = Installation::start(1, &document(4, 40.0, 40, ""));
     all.served(3, "tills");
     let mut conn = all.connect(3);
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn without_the_store_what_is_closed_ends_and_the_rest_goes_on() {
+fn closed_quotas_end_without_store_and_others_go_on() {
     let more = "[[tenant]]\nname = 'open'\nrate = 400.0\nburst = 40\non_loss = 0.5\n";
     let mut all = Installation::seeded(2, &document(5, 400.0, 40, more));
     for tenant in ["tills", "open", "all"] {
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn a_place_rule_that_is_tightened_under_load_binds_every_router_that_follows_it() {
+fn tightened_placement_rule_binds_every_router() {
     let look = |conn: &mut Conn| conn.query_drop("SELECT n FROM basket WHERE k = 'k' /* c=look,t=tills */");
     let bound = |how: &str| {
         document(
@@ -435,7 +435,7 @@
 }
 
 #[test]
-fn a_tenant_moved_between_sites_under_load_goes_on_reading_its_own_writes() {
+fn tenant_moved_under_load_reads_its_own_writes() {
     let reads_in = |site: &str| {
         document(
             4,
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_wire_is_kept() {
+fn wire_responses_match_their_requests() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     // The readiness probe.
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_write_that_may_have_run_is_failed_and_never_sent_again() {
+fn write_that_may_have_run_fails_and_is_not_resent() {
     for act in [Behavior::Reset, Behavior::TruncatedRow, Behavior::Error("XX000")] {
         let site = Site::start();
         site.primary.0.set_behavior(act);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_write_turned_away_by_a_replica_goes_to_the_primary() {
+fn write_rejected_by_replica_goes_to_primary() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     // 25006 proves that nothing ran: whoever says it, the write goes on to where it belongs.
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_read_goes_on_elsewhere_after_a_reset() {
+fn read_is_retried_elsewhere_after_reset() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     site.replica.0.set_behavior(Behavior::Reset);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_pooled_connection_that_its_instance_closed_loses_no_write() {
+fn closed_pooled_connection_loses_no_write() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     site.primary.0.closes_after_response.store(true, Ordering::SeqCst);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_spoilt_answer_serves_nobody_and_its_write_is_not_sent_again() {
+fn malformed_response_serves_nobody_and_write_is_not_resent() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     for n in 0..malformed_responses().len() {
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn what_stands_behind_an_answer_is_never_taken_for_the_next_one() {
+fn extra_response_is_not_taken_for_next_one() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     site.primary.0.set_behavior(Behavior::ExtraResponse);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn an_open_id_is_refused_without_harm_to_its_owner() {
+fn id_in_use_is_rejected_without_harm_to_its_owner() {
     let site = Site::start();
     let (owner, other) = (Client::connect(site.addr), Client::connect(site.addr));
     site.primary.0.set_behavior(Behavior::Silent);
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn commands_that_cannot_be_read_are_named_and_run_nowhere() {
+fn malformed_commands_are_named_and_not_executed() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     let good = select("x1", 500);
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_silent_instance_is_given_up_in_time_by_closing_its_connection() {
+fn silent_instance_is_abandoned_at_the_deadline() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     site.primary.0.set_behavior(Behavior::Silent);
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_request_that_nobody_can_take_is_refused_with_a_time_to_come_back() {
+fn request_without_instance_is_rejected_with_retry_after() {
     let discovery = Discovery::start();
     let folder = TestFolder::new();
     let path = folder.write("config.json", &config(discovery.addr, vec![]).to_string());
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn the_watch_is_followed_resumed_and_what_drains_gets_nothing_new() {
+fn watch_is_resumed_and_draining_instance_gets_nothing_new() {
     let mut site = Site::start();
     let (client, lines) = site.watched();
     let router = &mut site.router;
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn nothing_of_the_operators_subsystems_runs_on_the_platform() {
+fn operator_subsystems_do_not_run_on_the_platform() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     assert_eq!(client.query(&select("aa", 1500)), served("replica"));
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn sigterm_finishes_what_was_taken() {
+fn sigterm_completes_accepted_requests() {
     let site = Site::start();
     let mut router = site.router;
     let client = Client::connect(site.addr);
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn sighup_moves_the_watch_and_a_faulty_file_changes_nothing() {
+fn sighup_moves_watch_and_faulty_file_changes_nothing() {
     let mut site = Site::start();
     let client = Client::connect(site.addr);
     let (_, old) = site.discovery.next_watch();
@@ -383,7 +383,7 @@
 }
 
 #[test]
-fn a_client_that_stops_midway_is_let_go_and_others_keep_their_place() {
+fn client_stopping_midway_is_evicted_and_others_stay() {
     let site = Site::start();
     let idle = Client::connect(site.addr);
     let silent = TcpStream::connect(site.addr).unwrap();
@@ -401,7 +401,7 @@
 }
 
 #[test]
-fn a_flood_of_silent_connections_gives_way_to_clients_that_ask() {
+fn silent_connections_are_evicted_for_active_clients() {
     let site = Site::start();
     // More than the limits let stand; each one that asks is served all the same.
     let silent: Vec<TcpStream> = (0..300).filter_map(|_| TcpStream::connect(site.addr).ok()).collect();
@@ -412,7 +412,7 @@
 }
 
 #[test]
-fn connections_that_ask_an_empty_query_and_then_rest_give_way_to_requests_at_once() {
+fn connections_idle_after_empty_query_are_evicted_for_requests() {
     // Seen in an incident: some ninety a second of these held every place for two seconds each, and the clients with
     // requests waited unaccepted until their time was up.
     let site = Site::start();
@@ -430,7 +430,7 @@
 }
 
 #[test]
-fn where_clients_have_taken_most_of_their_share_a_connection_rests_a_quarter_of_a_second() {
+fn idle_connections_stay_a_quarter_second_near_the_limit() {
     // Seen in an incident: clients that ask once and keep their connection took all that the platform's front deals out,
     // a third of the descriptors, and the rest heard refusals from it while instances idled.
     let site = Site::start();
@@ -452,7 +452,7 @@
 }
 
 #[test]
-fn hostile_bytes_end_their_own_connection_only() {
+fn hostile_bytes_close_only_their_connection() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     for bytes in
@@ -479,7 +479,7 @@
 }
 
 #[test]
-fn bad_configuration_is_named_and_ends_the_start() {
+fn bad_configuration_is_named_and_ends_startup() {
     let discovery = Discovery::start();
     let folder = TestFolder::new();
     let whole = config(discovery.addr, vec![]);
@@ -522,7 +522,7 @@
 }
 
 #[test]
-fn a_resting_link_stays_warm_without_a_thread() {
+fn idle_backend_connection_needs_no_thread() {
     // Hundreds of routers on one host, each with a thread for every warm link, run the host out of threads.
     let site = Site::start();
     let begun = Instant::now();
@@ -548,7 +548,7 @@
 }
 
 #[test]
-fn a_list_of_ten_thousand_or_of_none_is_taken_in_time() {
+fn endpoint_lists_of_ten_thousand_and_none_apply_in_time() {
     let mut site = Site::start();
     let (client, lines) = site.watched();
     let router = &mut site.router;
--- a/tests/ready.rs
+++ b/tests/ready.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_router_whose_agent_is_mute_is_ready_within_two_seconds() {
+fn router_with_mute_agent_is_ready_within_two_seconds() {
     let (mute, folder) = (Mute::start(), TestFolder::new());
     for (name, agent, n) in
         [("mute", mute.addr, 0), ("refusing", refusing(), 0), ("mute-long", mute.addr, 10_000)]
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn thirty_routers_that_start_at_once_are_all_ready_within_ten_seconds() {
+fn thirty_routers_starting_at_once_are_ready_within_ten_seconds() {
     let (mute, folder) = (Mute::start(), TestFolder::new());
     let list = known(120);
     let begun = Instant::now();
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_request_beside_the_signal_is_answered_whole_and_runs_once() {
+fn request_at_shutdown_is_answered_and_runs_once() {
     for before in [true, false] {
         let site = Site::start();
         let client = Client::connect(site.addr);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_client_that_asks_again_with_every_answer_is_ended_with_an_answer_and_loses_nothing() {
+fn client_in_lockstep_loses_nothing_at_shutdown() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     site.router.terminate();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_client_that_asks_ahead_through_the_end_gets_one_answer_for_everything_that_ran() {
+fn pipelining_client_gets_one_response_for_each_executed_command() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     let id = |n: usize| format!("ahead{n}");
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn half_a_command_whose_rest_comes_after_the_end_is_not_run() {
+fn half_received_command_at_shutdown_is_not_executed() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     assert_eq!(client.query(&insert("whole", 1900)), served("primary"));
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_client_that_rests_until_it_is_ended_sees_an_end_and_no_reset_whatever_it_sends_into_it() {
+fn idle_client_sees_close_without_reset() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     assert_eq!(client.query(&insert("before", 1900)), served("primary"));
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn an_answer_that_is_owed_at_the_last_step_comes_whole_before_the_end() {
+fn pending_response_is_sent_before_close() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     site.instance.0.set_behavior(Behavior::Silent);
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn what_the_kernel_accepted_while_the_program_stood_still_is_served() {
+fn connections_in_the_accept_queue_are_served() {
     let site = Site::start();
     site.router.signal(Signal::SIGSTOP);
     let mut socket = TcpStream::connect(site.addr).unwrap();
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn too_many_commands_ahead_are_answered_and_told_why_the_connection_ends() {
+fn excess_pipelining_is_answered_and_named() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     site.instance.0.set_behavior(Behavior::Silent);
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_second_signal_to_end_changes_nothing() {
+fn second_sigterm_changes_nothing() {
     let site = Site::start();
     let client = Client::connect(site.addr);
     site.instance.0.set_behavior(Behavior::Silent);
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_signal_to_end_right_behind_a_reload_ends_with_a_good_and_with_a_faulty_file() {
+fn sigterm_right_after_sighup_ends_with_good_and_faulty_file() {
     for faulty in [false, true] {
         let site = Site::start();
         let next_one = Discovery::start();
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn a_file_that_is_never_read_to_its_end_holds_up_no_signal_to_end() {
+fn unreadable_reload_file_does_not_block_sigterm() {
     let mut site = Site::start();
     let path = site.folder.path().join("config.json");
     std::fs::remove_file(&path).unwrap();
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn a_signal_to_end_before_clients_are_taken_ends_in_order() {
+fn sigterm_before_clients_are_accepted_ends_cleanly() {
     let instance = ScriptedInstance::start("primary", true);
     // Accepted and mute: the start waits for news.
     let mute = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn where_every_descriptor_is_taken_a_client_that_asks_finds_a_place_and_the_end_a_way() {
+fn descriptor_exhaustion_leaves_room_for_clients_and_shutdown() {
     let instance = ScriptedInstance::start("primary", true);
     let (discovery, folder) = (Discovery::start(), TestFolder::new());
     let text = config(discovery.addr, vec![instance.0.entry("in_service")]).to_string();
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn a_signal_to_end_is_not_lost_behind_the_operators_calls_of_a_start() {
+fn sigterm_is_not_lost_behind_admin_commands_at_startup() {
     let instance = ScriptedInstance::start("primary", true);
     let mute = TcpListener::bind("127.0.0.1:0").unwrap();
     let (door, folder) = (unused_addresses(1)[0], TestFolder::new());
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn each_class_is_served_by_its_name_and_no_other_name_is_known() {
+fn each_class_is_served_by_its_name_only() {
     for (name, settings) in sites() {
         let site = Site::start(&settings);
         let client = Client::connect(site.addr);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn the_deadline_of_each_class_ends_its_requests_whatever_the_client_says() {
+fn deadline_of_each_class_ends_its_requests() {
     for (name, settings) in sites() {
         let site = Site::start(&settings);
         let warm = Client::connect(site.addr);
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_refusal_tells_when_to_come_back_only_where_clients_are_said_to_follow() {
+fn rejection_has_retry_after_only_where_configured() {
     for (name, settings) in sites() {
         let site = Site::start(&settings);
         let class = site.classes().find(|c| !c.write).unwrap();
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_session_whose_writes_the_router_is_to_remember_reads_from_no_instance_behind_them() {
+fn remembered_session_reads_from_no_stale_instance() {
     let (name, settings) = sites().find(|(_, s)| s["extra"]["writeMarks"] == "kept").unwrap();
     let site = Site::start(&settings);
     let client = Client::connect(site.addr);
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_session_whose_commit_lies_ahead_of_every_clock_is_answered_and_harms_nobody() {
+fn commit_ahead_of_every_clock_is_answered() {
     let (name, settings) = sites().find(|(_, s)| s["extra"]["writeMarks"] == "brought").unwrap();
     let site = Site::start(&settings);
     let client = Client::connect(site.addr);
@@ -257,7 +257,7 @@
 const THREE_DAYS_MS: u64 = 3 * 86_400_000;
 
 #[test]
-fn a_deadline_of_days_is_held_and_not_cut_to_one() {
+fn deadline_of_days_is_not_truncated() {
     let (name, mut settings) = sites().next().unwrap();
     let at = classes(&settings).position(|c| c.write).unwrap();
     settings["classes"][at]["deadlineMs"] = json!(THREE_DAYS_MS);
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn without_classes_it_runs_and_knows_no_name_and_with_many_it_knows_each() {
+fn any_number_of_classes_is_supported() {
     let (_, mut settings) = sites().next().unwrap();
     let one = settings["classes"][1].clone();
     let many = |n: usize| {
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn changes_need_a_majority_and_survive_restarts() {
+fn changes_need_majority_and_survive_restarts() {
     let mut cluster = Cluster::new(3);
     // The list is seeded once, and every node comes to hold it.
     (0..3).for_each(|i| _ = cluster.until(i, &["get", "seeded"], Result::is_ok));
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_drain_reaches_every_router_of_the_store() {
+fn drain_reaches_every_router_of_the_store() {
     let mut cluster = Cluster::new(3);
     _ = cluster.until(0, &["drain", "stock-a"], Result::is_ok);
     for i in 0..3 {
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn strangers_cannot_harm_a_node() {
+fn malformed_connections_do_not_harm_a_node() {
     let cluster = Cluster::new(1);
     let control = &cluster.nodes[0].as_ref().unwrap().1;
     _ = cluster.until(0, &["set", "a", "1"], Result::is_ok);
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn no_acknowledged_write_is_lost_and_no_watcher_skips_or_repeats_when_the_leader_is_killed() {
+fn leader_kill_loses_no_acknowledged_write_or_watch_event() {
     const CLIENTS: usize = 50;
     const WRITES: u64 = 10;
     let mut cluster = Cluster::new(3);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_leader_that_was_stopped_answers_nothing_stale_and_its_leases_do_not_outlive() {
+fn paused_leader_serves_nothing_stale_and_its_leases_end() {
     let cluster = Cluster::new(3);
     let (leader, others) = cluster.leader();
     let ttl = Duration::from_millis(800);
