--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -78,7 +78,9 @@
         };
         let mut both = [0, 1].map(start);
         for one in &mut both {
-            one.router.program.logged("1 others of this router live, 1 take clients");
+            let both = "process count of this router changed other_processes=1 other_ready_processes=1";
+            let line = one.router.program.logged(both);
+            assert!(line.ends_with(both), "{line}");
             // Whoever is asked has told the rest of the process.
             one.router.yes("STATUS");
         }
@@ -552,11 +554,11 @@
     assert!(begun.elapsed() < Duration::from_secs(6));
     new.until("METRICS", "router.transactions.read.answered=");
     let mut old = old;
-    old.program.logged("1 take clients");
-    new.program.logged("1 others of this router live");
+    old.program.logged("other_ready_processes=1");
+    new.program.logged("process count of this router changed other_processes=1 ");
     old.program.terminate();
     assert_eq!(old.program.ended().0, Some(0));
-    new.program.logged("0 others of this router live");
+    new.program.logged("process count of this router changed other_processes=0 ");
     // The new one serves alone.
     let served_by_new = || new.figures()["router.transactions.read.answered"];
     let at_end = served_by_new();
@@ -583,9 +585,9 @@
     let early = site.launch(ports(1)[0]);
     drop(early);
     let new = site.start();
-    old.program.logged("1 take clients");
+    old.program.logged("other_ready_processes=1");
     drop(new);
-    old.program.logged("0 others of this router live");
+    old.program.logged("process count of this router changed other_processes=0 ");
     let client = Client::connect(site.addr);
     client.until(&insert("w1", 1900), "primary");
     drop(client);
@@ -593,9 +595,9 @@
     old.program.signal(Signal::SIGSTOP);
     let mut new = site.start();
     // What the stalled one had taken is lost with it; the new one takes what comes.
-    new.program.logged("1 others of this router live");
+    new.program.logged("process count of this router changed other_processes=1 ");
     drop(old);
-    new.program.logged("0 others of this router live");
+    new.program.logged("process count of this router changed other_processes=0 ");
     Client::connect(site.addr).until(&insert("w2", 1900), "primary");
     // What the dead held in the shared folder hinders nobody.
     new.yes("SUSPEND replica");
@@ -793,7 +795,7 @@
     let [mut one, other] = site.pair(|_| {});
     Client::connect(one.addr).until(&insert("first", 1900), "primary");
     drop(other);
-    one.router.program.logged("0 others of this router live");
+    one.router.program.logged("process count of this router changed other_processes=0 ");
     one.router.yes("STATUS");
     site.primary.0.act(Act::Silent);
     ask_all(one.addr, &texts("alone", 20, insert)).into_iter().for_each(|c| _ = c.answer());
