--- a/benches/sessions.rs
+++ b/benches/sessions.rs
@@ -2,17 +2,13 @@
 //! `offload`, `cost` or `start`; without one, all. Each part compares its arms within the one run.
 #[path = "../tests/common/mod.rs"]
 mod common;
-#[path = "../tests/common/instances.rs"]
-mod instances;
-#[path = "../tests/common/restart_loop.rs"]
-mod restart_loop;
 mod support;
 
-use common::LONG;
+use common::TIMEOUT;
+use common::instances::{Instances, Persistence, connect, read, write};
+use common::restart_loop::{SessionPath, restart_loop};
 use hdrhistogram::Histogram;
-use instances::{Instances, Persistence, connect, read, write};
 use mysql::prelude::Queryable;
-use restart_loop::{SessionPath, restart_loop};
 use sessions::SessionKey;
 use sessions::journal::{self, Checkpoint};
 use std::net::SocketAddr;
@@ -302,7 +298,7 @@
         let session_bytes = (resident_kb.saturating_sub(empty_kb) * 1024).checked_div(sessions).unwrap_or(0);
         let resident_mb = resident_kb as f64 / 1024.0;
         println!("{sessions:<16}{start_ms:>12}{resident_mb:>12.1}{session_bytes:>16}{peer_ms:>14}");
-        assert!(begin.elapsed() < LONG);
+        assert!(begin.elapsed() < TIMEOUT);
         _ = read(&mut instances.client(0), "member-0");
     }
 }
--- a/tests/common/instances.rs
+++ b/tests/common/instances.rs
@@ -1,6 +1,7 @@
 //! Several instances of the real program that share servers, and clients with sessions of their own.
-#![allow(dead_code)]
-use crate::common::{Folder, LONG, Program};
+use super::TIMEOUT;
+use super::environment::{TestFolder, unused_addresses};
+use super::program::Program;
 use mysql::prelude::Queryable;
 use mysql::{Conn, OptsBuilder};
 use std::net::SocketAddr;
@@ -8,11 +9,9 @@
 use std::time::{Duration, Instant};
 use test_servers::replication_group::ReplicationGroup;
 
-pub use crate::common::ports;
-
 /// Where instances hold what sessions must see, beside their memory.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Persistence {
+pub(crate) enum Persistence {
     /// On disk and at peers.
     DiskAndPeers,
     /// At peers alone.
@@ -27,66 +26,66 @@
 
 /// More keys of an instance's file.
 #[derive(Clone, Default)]
-pub struct ExtraKeys {
+pub(crate) struct ExtraKeys {
     /// Of `[mysql]`.
-    pub mysql: String,
+    pub(crate) mysql: String,
     /// Of `[sessions]`.
-    pub sessions: String,
+    pub(crate) sessions: String,
 }
 
 /// An instance's process, and where it listens for clients.
-pub struct RunningInstance {
-    pub program: Program,
-    pub address: SocketAddr,
+pub(crate) struct RunningInstance {
+    pub(crate) program: Program,
+    pub(crate) address: SocketAddr,
 }
 
-pub struct Instances {
-    pub servers: ReplicationGroup,
-    pub folder: Folder,
-    pub persistence: Persistence,
+pub(crate) struct Instances {
+    pub(crate) servers: ReplicationGroup,
+    pub(crate) folder: TestFolder,
+    pub(crate) persistence: Persistence,
     /// Where each one listens for its peers.
-    pub peer_addresses: Vec<SocketAddr>,
+    pub(crate) peer_addresses: Vec<SocketAddr>,
     /// Where each one connects to each peer.
-    pub known_peer_addresses: Vec<Vec<SocketAddr>>,
+    pub(crate) known_peer_addresses: Vec<Vec<SocketAddr>>,
     /// More keys for each one's file.
-    pub extra_keys: Vec<ExtraKeys>,
-    pub running: Vec<Option<RunningInstance>>,
+    pub(crate) extra_keys: Vec<ExtraKeys>,
+    pub(crate) running: Vec<Option<RunningInstance>>,
 }
 
-pub fn insert(key: &str, n: u64) -> String {
+pub(crate) fn insert(key: &str, n: u64) -> String {
     format!("INSERT INTO basket VALUES ('{key}', {n}) /* c=basket-add,s={key} */")
 }
 
-pub fn select(key: &str) -> String {
+pub(crate) fn select(key: &str) -> String {
     format!("SELECT n FROM basket WHERE k = '{key}' /* c=basket-read,s={key} */")
 }
 
 /// What a read returned.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct ReadResult {
+pub(crate) struct ReadResult {
     /// The newest item.
-    pub item: u64,
+    pub(crate) item: u64,
     /// Which server answered.
-    pub server: String,
+    pub(crate) server: String,
 }
 
 impl ReadResult {
-    pub fn of(item: u64, server: &str) -> ReadResult {
+    pub(crate) fn of(item: u64, server: &str) -> ReadResult {
         ReadResult { item, server: server.into() }
     }
 
-    pub fn is_from_replica(&self) -> bool {
+    pub(crate) fn is_from_replica(&self) -> bool {
         self.server.starts_with("replica")
     }
 }
 
 impl Instances {
     /// Instances that are set up, not started yet.
-    pub fn new(count: usize, servers: ReplicationGroup, persistence: Persistence) -> Instances {
-        let peer_addresses = ports(count);
+    pub(crate) fn new(count: usize, servers: ReplicationGroup, persistence: Persistence) -> Instances {
+        let peer_addresses = unused_addresses(count);
         Instances {
             servers,
-            folder: Folder::new(),
+            folder: TestFolder::new(),
             persistence,
             known_peer_addresses: vec![peer_addresses.clone(); count],
             peer_addresses,
@@ -96,26 +95,26 @@
     }
 
     /// Instances that run and rely on each other.
-    pub fn started(count: usize, servers: ReplicationGroup, persistence: Persistence) -> Instances {
+    pub(crate) fn started(count: usize, servers: ReplicationGroup, persistence: Persistence) -> Instances {
         let mut all = Instances::new(count, servers, persistence);
         all.start_all();
         all
     }
 
     /// Starts every instance and waits until they rely on each other.
-    pub fn start_all(&mut self) {
+    pub(crate) fn start_all(&mut self) {
         let count = self.peer_addresses.len();
         (0..count).for_each(|i| self.start(i));
         (0..count).for_each(|i| self.wait_for_peers(i));
     }
 
     /// An instance's folder for its journal.
-    pub fn journal_folder(&self, i: usize) -> PathBuf {
+    pub(crate) fn journal_folder(&self, i: usize) -> PathBuf {
         self.folder.path().join(format!("kept-{i}"))
     }
 
     /// Writes an instance's file, with these peers.
-    pub fn write_config(&self, i: usize, peers: &[usize]) -> PathBuf {
+    pub(crate) fn write_config(&self, i: usize, peers: &[usize]) -> PathBuf {
         let server = |(name, addr)| format!("[[mysql.server]]\nid = '{name}'\naddr = '{addr}'\n");
         let servers: String = self.servers.servers().into_iter().map(server).collect();
         let class = |name, freshness, effect| {
@@ -158,56 +157,56 @@
 
     /// Waits until every instance sends a new session's reads to replicas, and stops replication then: whatever is
     /// written from now on is on the primary alone.
-    pub fn freeze_replicas(&mut self) {
+    pub(crate) fn freeze_replicas(&mut self) {
         for i in 0..self.running.len() {
             let (mut client, begun) = (self.client(i), Instant::now());
             while !read(&mut client, "nobody").unwrap().is_from_replica() {
-                assert!(begun.elapsed() < LONG);
+                assert!(begun.elapsed() < TIMEOUT);
             }
         }
         self.servers.stop_replication();
     }
 
-    pub fn start(&mut self, i: usize) {
+    pub(crate) fn start(&mut self, i: usize) {
         let all: Vec<usize> = (0..self.peer_addresses.len()).collect();
         let path = self.write_config(i, &all);
         let mut program = Program::start(&["serve", path.to_str().unwrap()], &[]);
-        let address = program.listening();
+        let address = program.listening_address();
         self.running[i] = Some(RunningInstance { program, address });
     }
 
-    pub fn program(&mut self, i: usize) -> &mut Program {
+    pub(crate) fn program(&mut self, i: usize) -> &mut Program {
         &mut self.running[i].as_mut().unwrap().program
     }
 
     /// Waits until an instance relies on all its peers.
-    pub fn wait_for_peers(&mut self, i: usize) {
-        self.program(i).logged("session peers up to date");
+    pub(crate) fn wait_for_peers(&mut self, i: usize) {
+        self.program(i).wait_for_log("session peers up to date");
     }
 
     /// SIGKILL.
-    pub fn kill(&mut self, i: usize) {
+    pub(crate) fn kill(&mut self, i: usize) {
         self.running[i] = None;
     }
 
-    pub fn address(&self, i: usize) -> SocketAddr {
+    pub(crate) fn address(&self, i: usize) -> SocketAddr {
         self.running[i].as_ref().unwrap().address
     }
 
-    pub fn client(&self, i: usize) -> Conn {
+    pub(crate) fn client(&self, i: usize) -> Conn {
         connect(self.address(i)).unwrap()
     }
 
     /// An instance's status.
-    pub fn status(&self, i: usize) -> serde_json::Value {
+    pub(crate) fn status(&self, i: usize) -> serde_json::Value {
         let (code, out) =
-            Program::start(&["sessions", "show", &self.peer_addresses[i].to_string()], &[]).ended();
+            Program::start(&["sessions", "show", &self.peer_addresses[i].to_string()], &[]).wait_for_exit();
         assert_eq!(code, Some(0));
         serde_json::from_str(&out).unwrap()
     }
 
     /// Polls an instance's status until it is as wanted; only a failure takes long.
-    pub fn wait_for_status(
+    pub(crate) fn wait_for_status(
         &self,
         i: usize,
         is_wanted: impl Fn(&serde_json::Value) -> bool,
@@ -218,22 +217,22 @@
             if is_wanted(&status) {
                 return status;
             }
-            assert!(begun.elapsed() < LONG, "{status}");
+            assert!(begun.elapsed() < TIMEOUT, "{status}");
         }
     }
 }
 
-pub fn connect(addr: SocketAddr) -> mysql::Result<Conn> {
+pub(crate) fn connect(addr: SocketAddr) -> mysql::Result<Conn> {
     let at = OptsBuilder::new().ip_or_hostname(Some("127.0.0.1")).tcp_port(addr.port()).prefer_socket(false);
     let at = at.user(Some("till")).pass(Some("secret")).db_name(Some("shop"));
-    Conn::new(at.tcp_connect_timeout(Some(Duration::from_secs(2))).read_timeout(Some(LONG)))
+    Conn::new(at.tcp_connect_timeout(Some(Duration::from_secs(2))).read_timeout(Some(TIMEOUT)))
 }
 
-pub fn read(client: &mut Conn, key: &str) -> mysql::Result<ReadResult> {
+pub(crate) fn read(client: &mut Conn, key: &str) -> mysql::Result<ReadResult> {
     let (item, server): (String, String) = client.query_first(select(key))?.unwrap();
     Ok(ReadResult { item: item.parse().unwrap(), server })
 }
 
-pub fn write(client: &mut Conn, key: &str, n: u64) -> mysql::Result<()> {
+pub(crate) fn write(client: &mut Conn, key: &str, n: u64) -> mysql::Result<()> {
     client.query_drop(insert(key, n))
 }
--- a/tests/common/restart_loop.rs
+++ b/tests/common/restart_loop.rs
@@ -1,6 +1,6 @@
 //! Instances that are killed and restarted one after the other while sessions write and read.
-use crate::common::LONG;
-use crate::instances::{Instances, connect, read, write};
+use super::TIMEOUT;
+use super::instances::{Instances, connect, read, write};
 use mysql::Conn;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 
 /// Which instances a session goes to.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum SessionPath {
+pub(crate) enum SessionPath {
     /// To another one for every statement.
     Wandering,
     /// To one alone.
@@ -23,15 +23,15 @@
 
 /// What sessions observed.
 #[derive(Default, Debug)]
-pub struct LoopOutcome {
-    pub kills: u64,
-    pub writes: u64,
-    pub reads: u64,
+pub(crate) struct LoopOutcome {
+    pub(crate) kills: u64,
+    pub(crate) writes: u64,
+    pub(crate) reads: u64,
     /// Reads that showed less than what their session had been acknowledged.
-    pub missed_writes: u64,
+    pub(crate) missed_writes: u64,
     /// Reads that a replica answered.
-    pub replica_reads: u64,
-    pub errors: u64,
+    pub(crate) replica_reads: u64,
+    pub(crate) errors: u64,
 }
 
 impl LoopOutcome {
@@ -150,7 +150,7 @@
 }
 
 /// Kills and restarts instances one after the other while sessions write and read.
-pub fn restart_loop(
+pub(crate) fn restart_loop(
     instances: &mut Instances,
     kills: u64,
     sessions: usize,
@@ -176,7 +176,7 @@
         ports[i].store(port_of(instances, i), Ordering::Relaxed);
         total.kills += 1;
         // The sessions go on in between.
-        (0..STATEMENTS_BETWEEN_KILLS).for_each(|_| successes.recv_timeout(LONG).unwrap());
+        (0..STATEMENTS_BETWEEN_KILLS).for_each(|_| successes.recv_timeout(TIMEOUT).unwrap());
     }
     done.store(true, Ordering::Relaxed);
     for thread in threads {
