--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -187,6 +187,9 @@
     }
     for (n, client) in clients.into_iter().enumerate() {
         client.send(&insert(&format!("w{n}"), 7900));
+        // The end has to be there before the process goes on. Dropping the client alone may come too late: a child process
+        // that another test starts holds a copy of the socket until it runs its own program.
+        client.0.shutdown(Shutdown::Both).unwrap();
     }
     site.router.signal(Signal::SIGCONT);
     let begun = Instant::now();
