--- a/tests/members.rs
+++ b/tests/members.rs
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn four_of_twelve_take_the_room_of_eight_that_were_killed_and_give_it_back_as_they_return() {
+fn remaining_routers_take_capacity_of_killed_ones_until_they_return() {
     let mut all = Routers::started(12, 1, false);
     let everybody: Vec<usize> = (0..12).collect();
     // Once to learn what the server bears, and once to see what is held.
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_router_stopped_past_the_suspicion_comes_back_and_has_taken_nobody_for_dead() {
+fn router_paused_past_suspicion_rejoins_without_false_downs() {
     let mut all = Routers::started(4, 1, false);
     all.program(3).signal(Signal::SIGSTOP);
     (0..3).for_each(|i| _ = all.program(i).wait_for_next_log("Down(Member { name: \"r3\""));
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_way_that_is_cut_in_one_direction_takes_nobody_down() {
+fn link_cut_in_one_direction_takes_nobody_down() {
     let mut all = Routers::started(5, 1, true);
     let from = SocketAddr::from(all.listen[1]);
     all.ways[2].update_faults(|f| f.cut_from = vec![from]);
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn halves_of_a_split_fleet_take_twice_the_room_at_most_and_half_each_once_it_heals() {
+fn split_fleet_uses_at_most_twice_the_capacity_until_healed() {
     let mut all = Routers::started(8, 4, true);
     let side = |i: usize| i < 4;
     let listen = all.listen.clone();
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_second_start_of_a_name_replaces_the_first_which_says_so_and_keeps_its_share() {
+fn later_start_of_a_name_supersedes_the_first() {
     let mut all = Routers::started(3, 1, false);
     let elsewhere = v4(unused_addresses(1)[0]);
     let file = all.file(7, "r2", elsewhere, None);
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn a_server_that_dies_between_preparing_and_executing_has_run_nothing() {
+fn server_lost_between_prepare_and_execute_runs_nothing() {
     let site = Site::start();
     let mut client = site.client();
     let order = client.prep(ORDER).unwrap();
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn a_server_that_dies_over_the_preparing_leaves_one_outcome_and_one_run_at_most() {
+fn server_lost_during_prepare_gives_one_outcome_and_one_run_at_most() {
     let site = Site::start();
     let mut client = site.client();
     let order = client.prep(ORDER).unwrap();
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn a_second_copy_behind_an_answer_is_never_taken_for_the_next_one() {
+fn extra_response_is_not_taken_for_next_one() {
     let site = Site::start();
     let mut client = site.client();
     site.primary.0.act(Act::Twice);
@@ -362,7 +362,7 @@
 }
 
 #[test]
-fn an_order_that_may_have_run_is_failed_and_never_sent_again() {
+fn write_that_may_have_run_fails_and_is_not_resent() {
     let cases = [
         (Act::Cut, 1158, "08S01"),
         (Act::Reset, 1158, "08S01"),
@@ -390,7 +390,7 @@
 }
 
 #[test]
-fn a_silent_server_is_given_up_at_the_deadline() {
+fn silent_server_is_abandoned_at_the_deadline() {
     let site = Site::start();
     let mut client = site.client();
     site.primary.0.act(Act::Silent);
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn a_session_sees_its_own_writes() {
+fn session_reads_its_own_writes() {
     let site = Site::start();
     let mut client = site.client();
     site.replica.0.state.lock().unwrap().lag_ms = 60_000;
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn a_read_that_a_replica_served_says_nothing_of_how_far_it_stands() {
+fn replica_read_proves_no_position() {
     let site = Site::start();
     let (mut client, mut other) = (site.client(), site.client());
     site.replica.0.state.lock().unwrap().lag_ms = 60_000;
@@ -430,7 +430,7 @@
 }
 
 #[test]
-fn what_shared_connections_cannot_carry_is_refused_clearly() {
+fn statements_that_need_a_dedicated_connection_are_rejected() {
     let site = Site::start();
     let mut client = site.client();
     for sql in [
@@ -454,7 +454,7 @@
 }
 
 #[test]
-fn strangers_and_hostile_bytes_end_their_own_connection_only() {
+fn hostile_bytes_close_only_their_connection() {
     let site = Site::start();
     let wrong = Conn::new(site.options().pass(Some("wrong"))).unwrap_err();
     assert_eq!(code(wrong), (1045, "28000".into()));
@@ -510,7 +510,7 @@
 }
 
 #[test]
-fn what_stands_before_half_a_command_is_answered() {
+fn commands_before_an_incomplete_one_are_answered() {
     // One that stops within a command has not left: what it asked whole is owed its answer.
     let site = Site::start();
     let raw = Raw::connect(site.addr);
@@ -524,7 +524,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_behind_more_commands_than_are_read_ahead_is_noticed() {
+fn disconnect_beyond_read_ahead_is_noticed() {
     let mut site = Site::with(|_| "[log]\nlevel = 'debug'\n".to_string());
     let raw = Raw::connect(site.addr);
     site.primary.0.act(Act::Silent);
@@ -538,7 +538,7 @@
 }
 
 #[test]
-fn the_rest_of_the_statement_commands_is_spoken() {
+fn remaining_statement_commands_are_supported() {
     let site = Site::start();
     let raw = Raw::connect(site.addr);
     let sql = "SELECT who FROM stock WHERE note = ? /* c=any-read */";
@@ -579,7 +579,7 @@
 }
 
 #[test]
-fn sigterm_finishes_what_was_taken() {
+fn sigterm_completes_accepted_requests() {
     let site = Site::start();
     let mut client = site.client();
     site.primary.0.act(Act::Silent);
@@ -591,7 +591,7 @@
 }
 
 #[test]
-fn bad_configuration_is_named_and_ends_the_start() {
+fn bad_configuration_is_named_and_ends_startup() {
     let folder = TestFolder::new();
     let cases = [
         ("[mysql", "expected TOML"),
@@ -637,7 +637,7 @@
 }
 
 #[test]
-fn a_recording_is_listed_and_replayed() {
+fn recording_is_listed_and_replayed() {
     let record = |f: &TestFolder| {
         format!("[record]\nfile = '{}'\ncapacity_mb = 1\n", f.path().join("served.pcap").display())
     };
@@ -738,7 +738,7 @@
 }
 
 #[test]
-fn a_recording_ends_at_its_capacity() {
+fn recording_ends_at_its_capacity() {
     let record = |f: &TestFolder| {
         format!("[record]\nfile = '{}'\ncapacity_mb = 0.01\n", f.path().join("small.pcap").display())
     };
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn the_figures_are_what_clients_and_instances_saw() {
+fn metrics_count_what_clients_and_instances_observed() {
     let site = Site::new();
     let router = site.start();
     let client = site.warm();
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn what_is_held_by_hand_gets_nothing_whatever_the_list_says_and_comes_back_when_called() {
+fn suspended_instance_gets_nothing_until_restored() {
     let site = Site::new();
     let router = site.start();
     let client = site.warm();
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn a_held_primary_leaves_writes_refused_with_a_time_to_come_back_and_nothing_sent() {
+fn suspended_primary_leaves_writes_rejected_with_retry_after() {
     let site = Site::new();
     let router = site.start();
     let client = site.warm();
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn holds_last_across_an_upgrade_and_bind_both_processes_while_two_serve() {
+fn maintenance_survives_upgrade_and_binds_both_processes() {
     let site = Site::new();
     let old = site.start();
     site.warm();
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn a_hold_taken_milliseconds_before_the_new_process_says_yes_binds_there_too() {
+fn suspension_just_before_readiness_binds_in_new_process() {
     let site = Site::new();
     let old = site.start();
     site.warm();
@@ -370,7 +370,7 @@
 }
 
 #[test]
-fn a_drained_router_says_no_lets_its_clients_go_and_says_yes_again() {
+fn paused_router_reports_draining_and_serves_again_after_resume() {
     let site = Site::new();
     let mut router = site.start();
     let idle = site.warm();
@@ -440,7 +440,7 @@
 }
 
 #[test]
-fn after_sigterm_what_was_read_is_answered_and_what_was_not_is_left_with_its_connections_end() {
+fn sigterm_answers_read_requests_and_drops_unread_ones() {
     let site = Site::new();
     let mut router = site.start();
     let idle = site.warm();
@@ -561,7 +561,7 @@
 }
 
 #[test]
-fn a_process_is_replaced_under_load_without_a_request_lost() {
+fn process_is_replaced_under_load_without_lost_request() {
     let site = Site::new();
     let old = site.start();
     site.warm();
@@ -595,7 +595,7 @@
 }
 
 #[test]
-fn either_process_may_be_killed_in_the_middle_and_the_other_serves_on() {
+fn killed_process_leaves_the_other_serving() {
     let site = Site::new();
     let mut old = site.start();
     site.warm();
@@ -623,7 +623,7 @@
 }
 
 #[test]
-fn a_new_process_that_cannot_start_leaves_the_old_one_as_it_was() {
+fn failed_start_of_new_process_leaves_old_one_unchanged() {
     let site = Site::new();
     let old = site.start();
     let client = site.warm();
@@ -644,7 +644,7 @@
 }
 
 #[test]
-fn an_upgrade_during_a_drain_stays_drained_and_a_silent_discovery_does_not_hold_it_up() {
+fn upgrade_during_drain_stays_drained_despite_silent_discovery() {
     let mut site = Site::new();
     let old = site.start();
     old.yes("PAUSE");
@@ -664,7 +664,7 @@
 }
 
 #[test]
-fn a_drain_a_reload_and_the_end_may_come_in_any_order() {
+fn drain_reload_and_shutdown_work_in_any_order() {
     let orders = ["PAUSE TERM HUP", "TERM PAUSE HUP", "HUP PAUSE TERM", "PAUSE HUP TERM", "TERM HUP PAUSE"];
     std::thread::scope(|scope| orders.iter().for_each(|order| _ = scope.spawn(|| ends_in_order(order))));
 }
@@ -694,7 +694,7 @@
 }
 
 #[test]
-fn hundreds_of_stuck_callers_at_the_door_cost_no_call_its_answer_under_load() {
+fn stuck_admin_callers_delay_no_command_under_load() {
     let site = Site::new();
     let router = site.start();
     site.warm();
@@ -738,7 +738,7 @@
 }
 
 #[test]
-fn a_torn_or_foreign_file_of_holds_is_named_and_nothing_is_held_by_it() {
+fn damaged_or_foreign_maintenance_file_is_named_and_ignored() {
     let site = Site::new();
     let file = site.folder.path().join("damsonvale-n1").join("damsonvale-holds");
     let first = site.start();
@@ -771,7 +771,7 @@
 }
 
 #[test]
-fn two_processes_take_the_places_of_one_router_at_a_warm_and_at_a_cold_instance() {
+fn two_processes_share_slots_of_warm_and_cold_instances() {
     let site = Site::new();
     let both = site.pair(|_| {});
     both.iter()
@@ -810,7 +810,7 @@
 }
 
 #[test]
-fn a_process_whose_other_one_was_killed_has_all_places_again() {
+fn survivor_of_killed_process_gets_all_slots_back() {
     let site = Site::new();
     let [mut one, other] = site.pair(|_| {});
     Client::connect(one.addr).query_until_served_by(&insert("first", 1900), "primary");
@@ -823,7 +823,7 @@
 }
 
 #[test]
-fn two_processes_hold_the_connections_of_one_router_to_instances() {
+fn two_processes_share_backend_connections_of_one_router() {
     // One router with its door: 30 clients and 6 connections to instances.
     let site = Site { sockets: 88, ..Site::new() };
     let both = site.pair(|_| {});
@@ -864,7 +864,7 @@
 }
 
 #[test]
-fn two_processes_take_the_clients_of_one_router() {
+fn two_processes_share_clients_of_one_router() {
     let site = Site { sockets: 74, ..Site::new() };
     let both = site.pair(|_| {});
     site.primary.0.set_behavior(Behavior::Silent);
@@ -874,7 +874,7 @@
 }
 
 #[test]
-fn a_process_takes_its_part_alone_from_its_first_client_on() {
+fn process_uses_its_share_from_its_first_client_on() {
     let site = Site { sockets: 74, ..Site::new() };
     let old = site.start();
     site.primary.0.set_behavior(Behavior::Silent);
@@ -887,7 +887,7 @@
 }
 
 #[test]
-fn two_processes_hold_what_clients_send_within_the_memory_of_one_router() {
+fn two_processes_share_request_memory_of_one_router() {
     let site = Site::new();
     let both = site.pair(|config| config["limits"]["memory_mb"] = json!(16));
     site.primary.0.set_behavior(Behavior::Silent);
@@ -899,7 +899,7 @@
 }
 
 #[test]
-fn two_processes_probe_an_instance_no_more_than_one_router_does() {
+fn two_processes_probe_no_more_often_than_one() {
     let site = Site::new();
     // Reads want a replica that is fresh to the second, proved by probes; this one is never quite.
     let both = site.pair(|config| {
