--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn nodes_come_drain_and_go_with_their_keys() {
+fn nodes_appear_drain_and_leave_with_their_keys() {
     for kind in ["etcd", "consul"] {
         let site = Site::new(1, 2);
         let (mut router, addr) = site.ready(kind);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_break_over_which_the_revision_is_compacted_loses_no_drain() {
+fn drain_survives_compaction_during_outage() {
     let site = Site::new(1, 2);
     let (mut router, addr) = site.ready("etcd");
     let load = Load::start(addr);
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_node_made_again_under_its_name_is_another_one() {
+fn node_recreated_under_its_name_is_another_one() {
     let site = Site::new(1, 2);
     let (mut router, addr) = site.ready("etcd");
     site.registry.update_faults(0, |f| f.down = true);
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_watch_that_is_silent_while_its_connection_stands_is_found_out() {
+fn stalled_watch_on_live_connection_is_detected() {
     let site = Site::new(2, 2);
     let (mut router, addr) = site.ready("etcd");
     let load = Load::start(addr);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn members_that_lag_or_belong_elsewhere_are_not_followed() {
+fn lagging_or_foreign_members_are_not_followed() {
     let site = Site::new(3, 2);
     let (mut router, addr) = site.ready("etcd");
     let at = site.registry.revision();
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_registry_restored_from_a_backup_keeps_what_was_drained() {
+fn restored_registry_keeps_drained_nodes_out() {
     for kind in ["etcd", "consul"] {
         restored(kind);
     }
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn half_lines_repeats_and_wrong_orders_leave_the_registrys_list() {
+fn truncated_repeated_and_reordered_lines_leave_registry_list() {
     let site = Site::new(2, 2);
     let (mut router, addr) = site.ready("etcd");
     let many = |from: u16, n: u16| {
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn a_faulty_key_disturbs_no_other_and_networks_are_kept() {
+fn faulty_key_affects_no_other_and_network_rules_hold() {
     let mut site = Site::new(1, 2);
     site.more = "deny = ['127.7.0.0/16']".into();
     let (mut router, addr) = site.ready("etcd");
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn a_registry_that_empties_is_held_back_until_an_operator_says_so() {
+fn emptied_registry_is_held_until_operator_releases() {
     let site = Site::new(1, 3);
     let (mut router, addr) = site.ready("etcd");
     site.registry.apply_together(|c| {
@@ -353,7 +353,7 @@
 }
 
 #[test]
-fn old_news_keeps_to_nodes_that_answer() {
+fn stale_list_is_limited_to_answering_nodes() {
     let mut site = Site::new(1, 2);
     site.more = "fresh_s = 0.6\nlast_s = 60".into();
     let (mut router, addr) = site.ready("etcd");
@@ -369,7 +369,7 @@
 }
 
 #[test]
-fn without_a_registry_a_start_uses_the_last_list() {
+fn start_without_registry_uses_saved_list() {
     let mut site = Site::new(1, 1);
     site.more = format!("folder = '{}'", site.folder.path().join("kept").display());
     let (router, _) = site.ready("etcd");
@@ -397,7 +397,7 @@
 }
 
 #[test]
-fn a_router_registers_itself_and_gives_that_up_when_it_ends() {
+fn router_registers_and_deregisters_itself() {
     for kind in ["etcd", "consul"] {
         let mut site = Site::new(2, 1);
         site.more = "register = 'router-1'\nttl_s = 1".into();
@@ -428,7 +428,7 @@
 }
 
 #[test]
-fn configuration_in_the_registry_is_followed_and_a_faulty_one_changes_nothing() {
+fn registry_configuration_is_applied_and_faulty_one_ignored() {
     let site = Site::new(1, 1);
     let (mut router, addr) = site.ready("etcd");
     let at = OptsBuilder::new().ip_or_hostname(Some("127.0.0.1")).tcp_port(addr.port()).prefer_socket(false);
@@ -459,7 +459,7 @@
 }
 
 #[test]
-fn instances_that_list_each_other_are_found_where_the_registry_has_them() {
+fn session_peers_are_found_through_registry() {
     let mut site = Site::new(1, 1);
     // The servers' clocks have to be known before anything is granted, and nobody asks these routers for anything.
     site.mysql = "server_clock = true\nclock_skew_ms = 1".into();
@@ -489,7 +489,7 @@
 }
 
 #[test]
-fn a_member_without_a_leader_or_too_slow_is_left_for_another() {
+fn member_without_leader_or_too_slow_is_left() {
     for kind in ["etcd", "consul"] {
         let site = Site::new(2, 2);
         let (mut router, addr) = site.ready(kind);
@@ -508,7 +508,7 @@
 }
 
 #[test]
-fn a_read_whose_revision_is_compacted_between_two_pages_begins_anew() {
+fn read_compacted_between_pages_starts_again() {
     let site = Site::new(1, 1);
     site.registry.apply_together(|c| {
         for n in 0..2500 {
@@ -522,7 +522,7 @@
 }
 
 #[test]
-fn an_answer_longer_than_what_is_taken_ends_its_connection_only() {
+fn oversized_response_closes_only_its_connection() {
     let site = Site::new(1, 1);
     let (mut router, addr) = site.ready("consul");
     site.registry.put("/damsonvale/shop/other", &"x".repeat(9 << 20));
@@ -535,7 +535,7 @@
 }
 
 #[test]
-fn a_token_that_has_run_out_is_asked_for_anew() {
+fn expired_token_is_renewed() {
     let mut site = Site::new(1, 1);
     site.registry.require_user("router", "secret");
     site.more = "user = 'router'\npassword = 'secret'".into();
@@ -555,7 +555,7 @@
 }
 
 #[test]
-fn consul_health_makes_nodes_and_failing_checks_drain() {
+fn consul_health_adds_nodes_and_failing_checks_drain() {
     let mut site = Site::new(1, 2);
     (0..3).for_each(|s| _ = site.registry.delete(&site.key(s)));
     site.more = "service = 'shop-db'".into();
@@ -586,7 +586,7 @@
 }
 
 #[test]
-fn operators_look_and_change_by_command() {
+fn operator_commands_show_and_change_entries() {
     for kind in ["etcd", "consul"] {
         let site = Site::new(1, 1);
         let (code, out, _) = site.command(kind, &["get", "nodes/"]);
@@ -650,7 +650,7 @@
 }
 
 #[test]
-fn tls_wants_the_right_authority_on_both_sides_and_follows_its_files() {
+fn tls_requires_authorities_on_both_sides_and_follows_files() {
     let folder = TestFolder::new();
     let mut site = Site::over(Registry::start(1, Some(authority(&folder))), 1);
     let files = |cert: bool| {
@@ -685,7 +685,7 @@
 }
 
 #[test]
-fn thousands_of_changes_over_breaks_end_in_the_registrys_list() {
+fn thousands_of_changes_over_outages_give_registry_list() {
     const KEYS: u64 = 2500;
     let site = Site::new(2, 1);
     let value = |n: u64, state: &str| {
@@ -719,7 +719,7 @@
 }
 
 #[test]
-fn a_node_of_the_store_is_found_where_the_registry_has_it() {
+fn store_node_is_found_through_registry() {
     let mut site = Site::new(1, 1);
     let at = common::environment::unused_addresses(3);
     // Each knows itself; the first has an address for the second at which nobody listens.
