--- a/sessions/tests/recorded_run.rs
+++ b/sessions/tests/recorded_run.rs
@@ -1,11 +1,12 @@
 //! Seeded events to the state machine, compared action by action with a run recorded under `tests/fixtures`.
-mod common;
-use common::assert_fixture;
 use decision::Time;
 use fastrand::Rng;
 use sessions::SessionKey;
 use sessions::machine::{Action, Event, Machine, Now, Push, RejectionReason, Settings};
 use std::fmt::Write as _;
+use testkit::fixture::Fixtures;
+
+const FIXTURES: Fixtures = testkit::fixtures!();
 
 const LEASE: i64 = 300_000;
 const KEYS: u64 = 10;
@@ -209,5 +210,5 @@
     run(2, true, true, &mut record);
     run(3, false, false, &mut record);
     run(4, false, true, &mut record);
-    assert_fixture("machine-run.txt", &record);
+    FIXTURES.assert_same("machine-run.txt", &record);
 }
--- a/sessions/tests/stored_forms.rs
+++ b/sessions/tests/stored_forms.rs
@@ -1,21 +1,15 @@
 //! The journal's bytes, the bytes of frames between instances, and the words of a status reply, compared with those
 //! that a program in service has written.
-mod common;
-use common::assert_fixture;
 use decision::Time;
 use sessions::SessionKey;
 use sessions::frames::{self, Frame};
 use sessions::journal::{self, Checkpoint, JournalContents, Record};
 use sessions::machine::{PeerStatus, Push, RejectionReason};
 use std::fmt::Write as _;
+use testkit::fixture::Fixtures;
+use testkit::hex;
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn unhex(text: &str) -> Vec<u8> {
-    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hex")).collect()
-}
+const FIXTURES: Fixtures = testkit::fixtures!();
 
 /// What the recorded line of this name says behind it.
 fn recorded<'a>(all: &'a str, name: &str) -> &'a str {
@@ -76,11 +70,11 @@
     let mut produced = String::new();
     let journals = journals();
     for (name, bytes, _) in &journals {
-        writeln!(produced, "{name} {}", hex(bytes)).expect("a string");
+        writeln!(produced, "{name} {}", hex::encode(bytes)).expect("a string");
     }
-    assert_fixture("journals.txt", &produced);
+    FIXTURES.assert_same("journals.txt", &produced);
     for (name, bytes, expected) in journals {
-        let found = journal::read(&unhex(recorded(&produced, name))).expect("a journal");
+        let found = journal::read(&hex::decode(recorded(&produced, name))).expect("a journal");
         let sizes =
             JournalContents { complete_bytes: bytes.len(), record_count: found.record_count, ..expected };
         assert_eq!(found, sizes, "{name}");
@@ -127,11 +121,11 @@
     for (name, frame) in all_frames() {
         let mut bytes = Vec::new();
         frames::encode(&frame, &mut bytes).expect("a frame");
-        writeln!(produced, "{name} {}", hex(&bytes)).expect("a string");
+        writeln!(produced, "{name} {}", hex::encode(&bytes)).expect("a string");
     }
-    assert_fixture("frames.txt", &produced);
+    FIXTURES.assert_same("frames.txt", &produced);
     for (name, frame) in all_frames() {
-        let bytes = unhex(recorded(&produced, name));
+        let bytes = hex::decode(recorded(&produced, name));
         assert_eq!(frames::read(&bytes[..], bytes.len()).expect("a frame"), frame, "{name}");
     }
 }
@@ -148,5 +142,5 @@
         down: true,
     };
     let words = serde_json::to_string_pretty(&status).expect("JSON");
-    assert_fixture("peer-status.json", &format!("{words}\n"));
+    FIXTURES.assert_same("peer-status.json", format!("{words}\n"));
 }
