--- a/membership/tests/datagrams.rs
+++ b/membership/tests/datagrams.rs
@@ -6,6 +6,10 @@
     Datagram, HEADER_BYTES, JoinMessage, cluster_hash, decode, encode_gossip, encode_join_message,
 };
 use std::net::SocketAddrV4;
+use testkit::fixture::Fixtures;
+use testkit::hex;
+
+const FIXTURES: Fixtures = testkit::fixtures!();
 
 const CLUSTER: &str = "orders";
 
@@ -98,26 +102,16 @@
     encode_gossip(cluster_hash(CLUSTER), &body)
 }
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn unhex(text: &str) -> Vec<u8> {
-    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hex")).collect()
-}
-
 /// The recorded bytes of the datagram of this name.
 fn recorded(name: &str) -> Vec<u8> {
-    let all = include_str!("fixtures/datagrams.txt");
-    let line = all.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-    unhex(line.unwrap_or_else(|| panic!("{name} is not recorded")))
+    hex::decode_line(&FIXTURES.text("datagrams.txt"), &format!("{name} "))
 }
 
 #[test]
 fn gossip_datagrams_keep_their_bytes() {
     for GossipCase { name, header, updates } in gossip_cases() {
         let bytes = recorded(name);
-        assert_eq!(hex(&gossip_datagram(&header, updates.as_deref())), hex(&bytes), "{name}");
+        assert_eq!(hex::encode(&gossip_datagram(&header, updates.as_deref())), hex::encode(&bytes), "{name}");
         let Ok(Datagram::Gossip(gossip)) = decode(cluster_hash(CLUSTER), &bytes) else { panic!("{name}") };
         assert_eq!(gossip.header, header, "{name}");
         assert_eq!(gossip.updates, updates.unwrap_or_default(), "{name}");
@@ -130,8 +124,8 @@
     for (name, message) in join_messages() {
         let bytes = recorded(name);
         assert_eq!(
-            encode_join_message(cluster_hash(CLUSTER), &message).map(|bytes| hex(&bytes)),
-            Some(hex(&bytes)),
+            encode_join_message(cluster_hash(CLUSTER), &message).map(|bytes| hex::encode(&bytes)),
+            Some(hex::encode(&bytes)),
             "{name}"
         );
         let Ok(Datagram::Join(decoded)) = decode(cluster_hash(CLUSTER), &bytes) else { panic!("{name}") };
--- a/pcap/tests/recording.rs
+++ b/pcap/tests/recording.rs
@@ -5,8 +5,10 @@
 use pcap::request::Statement;
 use std::fmt::Write;
 use std::net::SocketAddr;
-use std::path::Path;
 use std::time::{Duration, Instant};
+use testkit::fixture::Fixtures;
+
+const FIXTURES: Fixtures = testkit::fixtures!();
 
 const SERVER: &str = "10.0.0.1:3306";
 const CLIENT: &str = "10.0.0.2:40000";
@@ -24,15 +26,6 @@
 const CLOSE: u8 = 25;
 const FETCH: u8 = 28;
 
-/// Compares with a recorded text; `DAMSONVALE_RECORD=1` writes it anew.
-fn assert_recorded(name: &str, text: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
-    if std::env::var_os("DAMSONVALE_RECORD").is_some() {
-        std::fs::write(&path, text).unwrap();
-    }
-    assert_eq!(text, std::fs::read_to_string(&path).unwrap(), "{name}");
-}
-
 fn packet(sequence: u8, payload: &[u8]) -> Vec<u8> {
     let length = (payload.len() as u32).to_le_bytes();
     [&length[..3], &[sequence], payload].concat()
@@ -151,21 +144,21 @@
 
 #[test]
 fn recorded_file_has_recorded_bytes() {
-    assert_recorded("recorded.txt", &hex_without_times(&record(&conversation(), CAPACITY)));
+    FIXTURES.assert_same("recorded.txt", hex_without_times(&record(&conversation(), CAPACITY)));
 }
 
 #[test]
 fn recording_ends_at_its_capacity() {
     let file = record(&conversation(), 1500);
     assert!(file.len() <= 1500);
-    assert_recorded("recorded_to_capacity.txt", &hex_without_times(&file));
+    FIXTURES.assert_same("recorded_to_capacity.txt", hex_without_times(&file));
 }
 
 #[test]
 fn requests_of_recorded_conversation_are_read_again() {
     let contents = conversations::read(&record(&conversation(), CAPACITY)[..]);
     assert!(contents.ended.is_ok());
-    assert_recorded("requests.txt", &listed(&contents));
+    FIXTURES.assert_same("requests.txt", listed(&contents));
 }
 
 #[test]
@@ -190,7 +183,7 @@
     for skipped in [&[0, 1, 2, 3][..], &[4], &[7], &[10]] {
         text += &format!("without packets {skipped:?}\n{}", without(skipped));
     }
-    assert_recorded("remarks.txt", &text);
+    FIXTURES.assert_same("remarks.txt", &text);
 }
 
 #[test]
@@ -209,5 +202,5 @@
         let CaptureContents { requests, ended, .. } = conversations::read(bytes);
         _ = writeln!(text, "{name}: {} requests, {}", requests.len(), ended.unwrap_err());
     }
-    assert_recorded("damaged.txt", &text);
+    FIXTURES.assert_same("damaged.txt", &text);
 }
--- a/simulator/tests/recorded_runs.rs
+++ b/simulator/tests/recorded_runs.rs
@@ -1,6 +1,9 @@
 //! Runs and plans recorded as text: what a plan and a seed give, and the keys of a plan's file, never change.
 use simulator::{Fault, FaultKind, InjectedBug, Plan, Results, play};
-use std::path::Path;
+use testkit::fixture::Fixtures;
+use testkit::hash::fnv1a;
+
+const FIXTURES: Fixtures = testkit::fixtures!();
 
 /// Each kind with its name and severity in the recordings.
 const KINDS: [(FaultKind, &str, f64); 14] = [
@@ -20,15 +23,6 @@
     (FaultKind::LoadSurge, "Surge", 4.0),
 ];
 
-/// Compares with a recorded text; `DAMSONVALE_RECORD=1` writes it anew.
-fn assert_recorded(name: &str, text: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
-    if std::env::var_os("DAMSONVALE_RECORD").is_some() {
-        std::fs::write(&path, text).unwrap();
-    }
-    assert_eq!(text, std::fs::read_to_string(&path).unwrap(), "{name}");
-}
-
 fn short_plan(name: &str) -> Plan {
     Plan {
         name: name.into(),
@@ -40,12 +34,6 @@
     }
 }
 
-fn fnv1a(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
-    })
-}
-
 fn summary_line(results: &Results) -> String {
     let json = serde_json::to_string(results).unwrap();
     let total = serde_json::to_string(&results.total()).unwrap();
@@ -60,7 +48,7 @@
         let plan = Plan { faults: vec![fault], ..short_plan(name) };
         lines += &summary_line(&play(&plan));
     }
-    assert_recorded("runs.txt", &lines);
+    FIXTURES.assert_same("runs.txt", &lines);
 }
 
 #[test]
@@ -77,7 +65,7 @@
         })
         .collect();
     let plan = Plan { faults, ..short_plan("all") };
-    assert_recorded("all.json", &(serde_json::to_string_pretty(&play(&plan)).unwrap() + "\n"));
+    FIXTURES.assert_same("all.json", &(serde_json::to_string_pretty(&play(&plan)).unwrap() + "\n"));
 }
 
 #[test]
@@ -110,7 +98,7 @@
         let results = play(&plan);
         assert!(!results.violations.is_empty(), "{name}");
         let text = serde_json::to_string_pretty(&results).unwrap() + "\n";
-        assert_recorded(&format!("{name}.json"), &text);
+        FIXTURES.assert_same(&format!("{name}.json"), &text);
         // Numbers with a fraction are read again to within their last digit.
         let read: Results = serde_json::from_str(&text).unwrap();
         assert_eq!(Results { spread: results.spread.clone(), ..read }, results, "{name}");
@@ -119,7 +107,7 @@
 
 #[test]
 fn default_plan_is_written_with_recorded_keys() {
-    assert_recorded("default.toml", &toml::to_string(&Plan::default()).unwrap());
+    FIXTURES.assert_same("default.toml", toml::to_string(&Plan::default()).unwrap());
 }
 
 #[test]
@@ -143,7 +131,7 @@
         written += &text(&plan);
         written += "# next\n";
     }
-    assert_recorded("plans.toml", &written);
+    FIXTURES.assert_same("plans.toml", &written);
     for one in written.split("# next\n").filter(|one| !one.is_empty()) {
         assert_eq!(text(&Plan::read(one).unwrap()), one);
     }
@@ -168,5 +156,5 @@
     ] {
         messages += &format!("{}\n\n", Plan::read(&text).unwrap_err().to_string().trim_end());
     }
-    assert_recorded("plan_errors.txt", &messages);
+    FIXTURES.assert_same("plan_errors.txt", &messages);
 }
