--- a/admin/tests/common/mod.rs
+++ b/admin/tests/common/mod.rs
@@ -14,7 +14,7 @@
 /// No read waits for longer: a test that would hang fails.
 pub(crate) const READ_TIMEOUT: Duration = Duration::from_secs(20);
 /// Longer than any read here waits: a close by timeout can't pass for another.
-pub(crate) const LONG: Duration = Duration::from_secs(60);
+pub(crate) const LONG: Duration = Duration::from_mins(1);
 /// Any command must be answered within this time.
 pub(crate) const RESPONSE_DUE: Duration = Duration::from_secs(1);
 pub(crate) const METRIC_LINE: &str = "requests_total 7\n";
--- a/decision/tests/cold_fleet/world.rs
+++ b/decision/tests/cold_fleet/world.rs
@@ -376,7 +376,8 @@
         }
         let sum: f64 = self.window.iter().map(|(_, work)| work).sum();
         let begin = (self.now - length).max(start);
-        let mean = (self.capacity_share(started_at, begin) + self.capacity_share(started_at, self.now)) / 2.0;
+        let mean =
+            f64::midpoint(self.capacity_share(started_at, begin), self.capacity_share(started_at, self.now));
         let n = self.settings.overload_factor * mean * self.plan.capacity * length as f64 / 1e6;
         let share = sum / (n + 2.0 * n.sqrt() + 2.0);
         self.measured.worst_window = self.measured.worst_window.max(share);
--- a/decision/tests/slow_start.rs
+++ b/decision/tests/slow_start.rs
@@ -166,7 +166,7 @@
         }
         router.handle(Event::ClientDisconnected { request: id });
     }
-    sent as f64 / 1000.0
+    f64::from(sent) / 1000.0
 }
 
 #[test]
--- a/faults/src/descriptor.rs
+++ b/faults/src/descriptor.rs
@@ -12,7 +12,7 @@
     let (mut kind, mut length) = (0 as c_int, size_of::<c_int>() as socklen_t);
     let kind_out = (&raw mut kind).cast::<c_void>();
     // SAFETY: both out-parameters are valid for the call.
-    let result = unsafe { libc::getsockopt(fd, libc::SOL_SOCKET, libc::SO_TYPE, kind_out, &mut length) };
+    let result = unsafe { libc::getsockopt(fd, libc::SOL_SOCKET, libc::SO_TYPE, kind_out, &raw mut length) };
     result == 0 && kind == libc::SOCK_STREAM
 }
 
@@ -20,7 +20,7 @@
     // SAFETY: a stat of zeros is valid.
     let mut status: libc::stat = unsafe { std::mem::zeroed() };
     // SAFETY: the out-parameter is valid for the call.
-    let result = unsafe { libc::fstat(fd, &mut status) };
+    let result = unsafe { libc::fstat(fd, &raw mut status) };
     result == 0 && status.st_mode & libc::S_IFMT == libc::S_IFREG
 }
 
--- a/faults/src/interpose.rs
+++ b/faults/src/interpose.rs
@@ -85,7 +85,7 @@
 unsafe extern "C" fn gettimeofday(at: *mut timeval, _zone: *mut c_void) -> c_int {
     let mut now = timespec { tv_sec: 0, tv_nsec: 0 };
     // SAFETY: the out-parameter is valid for the call.
-    let result = unsafe { clock_gettime(libc::CLOCK_REALTIME, &mut now) };
+    let result = unsafe { clock_gettime(libc::CLOCK_REALTIME, &raw mut now) };
     if !at.is_null() {
         // SAFETY: a pointer that is not null is valid by the function's contract.
         unsafe { *at = timeval { tv_sec: now.tv_sec, tv_usec: now.tv_nsec / 1000 } };
@@ -166,7 +166,7 @@
             // Two bytes stand for all that there may be: whether the call is cut short does not depend on the length.
             Some(first) if first.iov_len > 0 && passed_length(fd, 2) == 1 => {
                 let first_byte = libc::iovec { iov_base: first.iov_base, iov_len: 1 };
-                original(fd, &first_byte, 1)
+                original(fd, &raw const first_byte, 1)
             }
             _ => original(fd, parts, count),
         }
--- a/fleet/tests/client.rs
+++ b/fleet/tests/client.rs
@@ -169,9 +169,10 @@
     let shut_out = Arc::new(AtomicBool::new(false));
     let switch = shut_out.clone();
     let script = move |report: &Report| {
-        let directive = match switch.load(Ordering::Relaxed) {
-            false => Directive::Continue { epoch: 0 },
-            true => Directive::FenceOut { epoch: 3 },
+        let directive = if switch.load(Ordering::Relaxed) {
+            Directive::FenceOut { epoch: 3 }
+        } else {
+            Directive::Continue { epoch: 0 }
         };
         answered(report, directive)
     };
--- a/fleet/tests/stored_forms.rs
+++ b/fleet/tests/stored_forms.rs
@@ -255,7 +255,7 @@
         content_hash: "57bb67ddc0fa0b75b59ed46dc85224a1".into(),
         part_count: 1,
         length: SHORT_DOCUMENT.len(),
-        crc32: 0xc3adeed0,
+        crc32: 0xc3ad_eed0,
         note: "first".into(),
     }
 }
@@ -265,7 +265,7 @@
         content_hash: "33b119d924a0c0f79efccdecb3029b0f".into(),
         part_count: 3,
         length: 120_056,
-        crc32: 0x9a8ae61b,
+        crc32: 0x9a8a_e61b,
         note: "second, by \"ops\" \u{e9}".into(),
     }
 }
--- a/maintenance/src/presence.rs
+++ b/maintenance/src/presence.rs
@@ -20,7 +20,7 @@
 /// Readable and writable by the router's user alone.
 const FILE_MODE: u32 = 0o600;
 /// A temporary file that is older than this was abandoned.
-const TEMPORARY_LIFETIME: Duration = Duration::from_secs(60);
+const TEMPORARY_LIFETIME: Duration = Duration::from_mins(1);
 /// How many names are tried: a clock that was set back may produce one twice, and a process that was stopped for a
 /// minute finds its first one removed.
 const MAX_ATTEMPTS: u32 = 5;
--- a/mysql/src/front/session.rs
+++ b/mysql/src/front/session.rs
@@ -202,12 +202,11 @@
     fn statement<'s, 'b>(&'s mut self, body: &'b [u8]) -> Result<NamedStatement<'s, 'b>, CommandError> {
         let mut fields = FieldReader::new(body);
         let id = fields.integer(4).ok_or_else(truncated)? as StatementId;
-        match self.statements.get_mut(&id) {
-            Some(statement) => Ok(NamedStatement { statement, rest: fields.rest() }),
-            None => {
-                let text = format!("there is no prepared statement {id}");
-                Err(CommandError::new(errors::UNKNOWN_STATEMENT, text))
-            }
+        if let Some(statement) = self.statements.get_mut(&id) {
+            Ok(NamedStatement { statement, rest: fields.rest() })
+        } else {
+            let text = format!("there is no prepared statement {id}");
+            Err(CommandError::new(errors::UNKNOWN_STATEMENT, text))
         }
     }
 
--- a/pcap/src/replay.rs
+++ b/pcap/src/replay.rs
@@ -18,7 +18,7 @@
 const MAX_PAYLOAD_BYTES: usize = 64 << 20;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Timeout of a login, and of each response.
-const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
+const RESPONSE_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// What is done with requests that may write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/pcap/src/segment.rs
+++ b/pcap/src/segment.rs
@@ -18,6 +18,7 @@
 
 impl Direction {
     /// The other direction of the same connection.
+    #[must_use]
     pub fn reversed(self) -> Direction {
         Direction { from: self.to, to: self.from }
     }
--- a/postgres/tests/front.rs
+++ b/postgres/tests/front.rs
@@ -111,7 +111,7 @@
 
 #[test]
 fn disconnect_is_noticed_without_polling_the_client() {
-    let front = TestFront::start(|limits| limits.client_poll_interval = Duration::from_secs(3600));
+    let front = TestFront::start(|limits| limits.client_poll_interval = Duration::from_hours(1));
     let socket = connect(front.addr);
     (&socket).write_all(&query("w1", 9000)).unwrap();
     front.wait_for_requests(1);
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -20,7 +20,7 @@
 /// The longest head of a response.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// An idle connection is reused up to this age.
-const MAX_IDLE: Duration = Duration::from_secs(3600);
+const MAX_IDLE: Duration = Duration::from_hours(1);
 /// Characters of a body that a message may quote.
 const MAX_QUOTED_CHARS: usize = 200;
 
@@ -55,9 +55,10 @@
     }
 
     /// The same member, on a connection of its own.
+    #[must_use]
     pub fn new_connection(&self) -> Member {
         let mut member = Member::new(self.addr, self.tls.clone(), self.bounds);
-        member.auth_header = self.auth_header.clone();
+        member.auth_header.clone_from(&self.auth_header);
         member
     }
 
--- a/routing/src/clock.rs
+++ b/routing/src/clock.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// The longest distance into the future that [`Clock::instant_at`] represents; later times are cut to it.
-const MAX_DISTANCE: Duration = Duration::from_secs(86_400 * 365);
+const MAX_DISTANCE: Duration = Duration::from_hours(365 * 24);
 
 /// Unix time as it was at the start, continued by the monotonic clock, so that a step of the system's clock neither fires
 /// nor delays timers.
--- a/routing/src/placement_subsets/members.rs
+++ b/routing/src/placement_subsets/members.rs
@@ -53,17 +53,14 @@
     /// Removes a member id that the decisions do not need any more. Returns the own id of its endpoint if none of the
     /// endpoint's member ids is needed any more.
     pub fn remove_member(&mut self, member: MemberId) -> Option<MemberId> {
-        let own_id = match self.own_id_of_alias.remove(&member) {
-            Some(own_id) => {
-                let endpoint = self.endpoints.get_mut(&own_id)?;
-                endpoint.aliases.retain(|alias| alias.id != member);
-                own_id
-            }
-            None => {
-                let Some(endpoint) = self.endpoints.get_mut(&member) else { return Some(member) };
-                endpoint.own_id_removed = true;
-                member
-            }
+        let own_id = if let Some(own_id) = self.own_id_of_alias.remove(&member) {
+            let endpoint = self.endpoints.get_mut(&own_id)?;
+            endpoint.aliases.retain(|alias| alias.id != member);
+            own_id
+        } else {
+            let Some(endpoint) = self.endpoints.get_mut(&member) else { return Some(member) };
+            endpoint.own_id_removed = true;
+            member
         };
         let endpoint = self.endpoints.get(&own_id)?;
         if !endpoint.own_id_removed || !endpoint.aliases.is_empty() {
--- a/routing/tests/attempt_guard.rs
+++ b/routing/tests/attempt_guard.rs
@@ -94,5 +94,5 @@
     let now = Instant::now();
     let in_service = EndpointState::default;
     assert!(!starts(&AttemptGuard::for_attempt(in_service(), now - Duration::from_millis(1), None)));
-    assert!(starts(&AttemptGuard::for_attempt(in_service(), now + Duration::from_secs(60), None)));
+    assert!(starts(&AttemptGuard::for_attempt(in_service(), now + Duration::from_mins(1), None)));
 }
--- a/sessions/src/clocks.rs
+++ b/sessions/src/clocks.rs
@@ -38,6 +38,7 @@
     }
 
     /// Narrowed by another sample. Where both can't be true a clock was set, and the newer one holds alone.
+    #[must_use]
     pub fn narrowed_by(self, new: ClockOffset) -> ClockOffset {
         let old = self.aged(new.sampled_at);
         let (low, high) = (old.low.max(new.low), old.high.min(new.high));
--- a/sessions/tests/simulation.rs
+++ b/sessions/tests/simulation.rs
@@ -306,16 +306,13 @@
         if self.is_partitioned(from, to) {
             return;
         }
-        match &self.processes[&to] {
-            None => {
-                let begun = Time(self.clock(from));
-                self.handle(from, Event::ConnectionRefused { peer: to, attempted_at: begun });
-            }
-            Some(_) => {
-                self.links.insert((from, to), Link::default());
-                let incarnation = self.processes[&from].as_ref().unwrap().machine.incarnation();
-                self.send(from, to, Message::Hello(incarnation));
-            }
+        if self.processes[&to].is_none() {
+            let begun = Time(self.clock(from));
+            self.handle(from, Event::ConnectionRefused { peer: to, attempted_at: begun });
+        } else {
+            self.links.insert((from, to), Link::default());
+            let incarnation = self.processes[&from].as_ref().unwrap().machine.incarnation();
+            self.send(from, to, Message::Hello(incarnation));
         }
     }
 
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -97,6 +97,7 @@
     }
 
     /// The same fault, under this key.
+    #[must_use]
     pub fn under_key(mut self, key: impl Into<String>) -> Error {
         self.path.push(key.into());
         self
--- a/settings/src/limits/bounds.rs
+++ b/settings/src/limits/bounds.rs
@@ -287,7 +287,7 @@
             max_admin_line_bytes: 1024,
             admin_io_timeout: Duration::from_secs(10),
             max_maintenance_entries: 1024,
-            maintenance_warmup_duration: Duration::from_secs(300),
+            maintenance_warmup_duration: Duration::from_mins(5),
             maintenance_poll_interval: Duration::from_millis(25),
             watch_first_event_timeout: Duration::from_millis(300),
             watch_connect_timeout: Duration::from_millis(500),
--- a/settings/src/operator/mysql/bounds.rs
+++ b/settings/src/operator/mysql/bounds.rs
@@ -17,7 +17,7 @@
 /// What the memory may be, in MiB; the nearest of these where the file has another.
 const MEMORY_MB: RangeInclusive<u64> = 16..=1 << 20;
 /// How long `MySQL` clients may stay idle: they keep sessions with prepared statements, and servers let them for as long.
-const CLIENT_IDLE: Duration = Duration::from_secs(8 * 3600);
+const CLIENT_IDLE: Duration = Duration::from_hours(8);
 
 /// The time within which a connection to a server is made.
 pub(super) fn read_connect_timeout(v: &Value) -> Result<Duration, Error> {
--- a/settings/src/start/bounds.rs
+++ b/settings/src/start/bounds.rs
@@ -12,7 +12,7 @@
 /// What `memory_mb` may be, in MiB.
 const MEMORY_MB: RangeInclusive<usize> = 16..=(1 << 20) - 1;
 /// The longest time that an instance leaves a connection idle: a day. Longer ones count as this.
-const MAX_KEEPALIVE: Duration = Duration::from_secs(86_400);
+const MAX_KEEPALIVE: Duration = Duration::from_hours(24);
 
 /// What the process may use, from the table `limits`.
 pub(super) fn read_resources(v: &Value) -> Result<ProcessResources, Error> {
--- a/settings/tests/customers.rs
+++ b/settings/tests/customers.rs
@@ -66,7 +66,7 @@
         any::<u64>().prop_map(Value::from),
         any::<i64>().prop_map(Value::from),
         any::<f64>().prop_map(Value::from),
-        proptest::sample::select(vec![0.0, -1.0, 0.5, 1e-9, 4294967296.0, 1e15, 1e17, 1e300, -1e300])
+        proptest::sample::select(vec![0.0, -1.0, 0.5, 1e-9, 4_294_967_296.0, 1e15, 1e17, 1e300, -1e300])
             .prop_map(Value::from),
         "\\PC{0,9}".prop_map(Value::from),
     ];
--- a/settings/tests/faults.rs
+++ b/settings/tests/faults.rs
@@ -15,7 +15,7 @@
     let listen = |x: &str| MYSQL.replace("'127.0.0.1:0'", x);
     let class = |from: &str, to: &str| format!("{MYSQL}{CLASS}{}", CLASS.replace(from, to));
     let cases = [
-        ("".to_string(), "expected the field 'mysql', found none"),
+        (String::new(), "expected the field 'mysql', found none"),
         ("mysql = 3".into(), "mysql: expected a table, found a number"),
         (listen("7"), "mysql: expected text in 'listen', found a number"),
         (MYSQL.replace("listen", "lisen"), "mysql: the key 'lisen' is not known; known are listen"),
--- a/store/src/server.rs
+++ b/store/src/server.rs
@@ -31,7 +31,7 @@
     fn default() -> Self {
         Limits {
             max_connections: 1024,
-            idle_timeout: Duration::from_secs(60),
+            idle_timeout: Duration::from_mins(1),
             message_timeout: Duration::from_secs(2),
             progress_interval: Duration::from_millis(500),
             no_leader_timeout: Duration::from_millis(1500),
--- a/store/tests/pending_reads.rs
+++ b/store/tests/pending_reads.rs
@@ -5,7 +5,7 @@
 use store::node::reads::PendingReads;
 use store::{Rejection, State};
 
-const TIMEOUT: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_mins(1);
 
 fn add_reader(reads: &mut PendingReads) -> Receiver<Result<ReadResult, Rejection>> {
     let (reply, receiver) = bounded(1);
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -15,7 +15,7 @@
 
 const ROUTERS: usize = 6;
 /// A router that hears of no leader has fenced itself after this time.
-const LEASE: Duration = Duration::from_millis(2000);
+const LEASE: Duration = Duration::from_secs(2);
 /// Nothing is served later than this after a fence.
 const AFTER: Duration = Duration::from_millis(250);
 
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -340,7 +340,7 @@
                 }
                 !known
             });
-            assert!(killed.elapsed() < Duration::from_secs(60), "{left:?}");
+            assert!(killed.elapsed() < Duration::from_mins(1), "{left:?}");
             std::thread::sleep(Duration::from_millis(10));
         }
         first.push(times[0]);
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -11,7 +11,7 @@
 
 const HEARTBEAT: Duration = Duration::from_millis(5);
 /// A replica that shows nothing of what a test does.
-const FAR_BEHIND: Duration = Duration::from_secs(600);
+const FAR_BEHIND: Duration = Duration::from_mins(10);
 
 fn lagging_servers(replicas: usize) -> ReplicationGroup {
     ReplicationGroup::start(&vec![FAR_BEHIND; replicas], HEARTBEAT)
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -71,11 +71,10 @@
     /// A request of this class, for the value of this key.
     fn ask(&self, id: &str, key: &str, wait_ms: u64) -> String {
         let comment = format!("/* id={id},c={},d={wait_ms},cluster=3 */", self.name);
-        match self.write {
-            true => {
-                format!("INSERT INTO objects (oid, body) VALUES ('{key}', '\\x9f') RETURNING body {comment}")
-            }
-            false => format!("SELECT body FROM objects WHERE oid = '{key}' {comment}"),
+        if self.write {
+            format!("INSERT INTO objects (oid, body) VALUES ('{key}', '\\x9f') RETURNING body {comment}")
+        } else {
+            format!("SELECT body FROM objects WHERE oid = '{key}' {comment}")
         }
     }
 }
@@ -200,12 +199,13 @@
         assert_eq!(code, "53300", "{name}");
         let limits = &settings["limits"];
         let most = limits["maxRetryAfterMs"].as_f64().unwrap();
-        match limits["retryAfter"].as_bool().unwrap() {
-            true => assert!(
+        if limits["retryAfter"].as_bool().unwrap() {
+            assert!(
                 come_back.as_ref().is_some_and(|d| (1.0..=most).contains(&d.parse().unwrap())),
                 "{name}: {come_back:?}"
-            ),
-            false => assert_eq!(come_back, None, "{name}"),
+            );
+        } else {
+            assert_eq!(come_back, None, "{name}");
         }
     }
 }
