--- a/decision/src/router/choice.rs
+++ b/decision/src/router/choice.rs
@@ -4,15 +4,16 @@
 };
 use super::{Time, admission::Decision, elapsed, health::MAX_EJECTION, pool::MIN_BACKLOG_FACTOR};
 
-/// Probes that one read may buy to prove a replica fresh; after these it is the primary's.
+/// Probes that one read may start to prove a replica fresh; after these the primary serves it.
 const MAX_FRESHNESS_PROBES: u32 = 2;
-/// Replicas that may be too far behind and that one read tries, where they check that themselves.
+/// Replicas that one read tries without proof that they are fresh enough, where replicas check that.
 const MAX_MISSES: usize = 2;
-/// A replica that needs this multiple of a time to be fresh enough is not asked again within that time.
+/// A replica that lags too far by some time is asked again after that time divided by this, not earlier.
 const CATCH_UP_FACTOR: i64 = 4;
-/// A member of the own zone counts this much more in ties: crossing has a price, jamming a zone a higher one.
+/// Weight of a member of the own zone among equally loaded ones: other zones cost latency, but an overloaded
+/// zone costs more, so all keep a share.
 const OWN_ZONE_FACTOR: f64 = 2.0;
-/// A read waits for a probe under way only during this part of its latency objective: one in so many.
+/// A read waits for a probe in flight only while it is younger than its latency objective divided by this.
 const PROOF_WAIT_DIVISOR: Micros = 8;
 
 /// What a read asks of the member that serves it.
@@ -21,12 +22,13 @@
     group: GroupId,
     /// The position that the member must have applied, if any.
     position: Option<Time>,
-    /// It may still pay for a probe that proves a replica fresh enough.
-    may_buy_proof: bool,
-    /// It arrived so recently that it can wait for a probe that is under way.
+    /// It may still start a probe that proves a replica fresh enough.
+    may_start_probe: bool,
+    /// It arrived so recently that it can wait for a probe that is in flight.
     may_wait_for_proof: bool,
     /// It may try a replica that is perhaps too far behind, which then says so itself.
     may_try_unproven: bool,
+    /// Its random number for the limits of members that are warming up.
     admission_draw: f64,
     /// How much it counts at a member that is warming up.
     backlog: f64,
@@ -41,6 +43,7 @@
 }
 
 impl Router {
+    /// Chooses for a write, or for a read that only the primary may serve.
     pub(super) fn choose_primary(&mut self, id: RequestId) -> Decision {
         let pending = &self.requests[&id];
         let group_id = pending.request.group;
@@ -87,14 +90,14 @@
         let replicas = self.untried_replicas(pending);
         self.probe_unknown_roles(&members);
         let mut maybe_fresh = self.maybe_fresh_replicas(&replicas, &read);
-        if read.may_buy_proof {
-            self.buy_proof(id, &mut maybe_fresh);
+        if read.may_start_probe {
+            self.probe_for_proof(id, &mut maybe_fresh);
         }
         if let Some(replica) = self.least_loaded(&replicas.fresh, &read) {
             return Decision::Forward(replica);
         }
         if !replicas.fresh.is_empty() {
-            // Replicas enough, but all their places taken: the primary's spare ones are better than waiting.
+            // All fresh replicas are at capacity: spare capacity of the primary is better than waiting.
             let spare = primary.filter(|p| self.has_spare_room(*p, read.admission_draw));
             return spare.map_or(Decision::Queue, Decision::Forward);
         }
@@ -115,7 +118,7 @@
         ReadRequirements {
             group: pending.request.group,
             position,
-            may_buy_proof: needs_proof && pending.freshness_probes < MAX_FRESHNESS_PROBES,
+            may_start_probe: needs_proof && pending.freshness_probes < MAX_FRESHNESS_PROBES,
             may_wait_for_proof: needs_proof && just_arrived,
             may_try_unproven: !needs_proof && pending.count(Outcome::NotEligible) < MAX_MISSES,
             admission_draw: pending.admission_draw,
@@ -145,16 +148,16 @@
         with_room.filter(|m| self.may_have_caught_up(*m, read.position)).collect()
     }
 
-    /// Proof is bought when it is wanted: none is at hand, or the members known to be fresh are busier than
-    /// others. Leaves the candidates in the random order in which they were asked.
-    fn buy_proof(&mut self, id: RequestId, candidates: &mut [MemberId]) {
+    /// Probes candidates until one probe starts, unless one of them has a probe in flight. Leaves the
+    /// candidates in the random order in which they were probed.
+    fn probe_for_proof(&mut self, id: RequestId, candidates: &mut [MemberId]) {
         if candidates.iter().any(|m| self.members[m].probes_in_flight > 0) {
             return;
         }
         self.rng.shuffle(candidates);
-        let bought = candidates.iter().any(|m| self.probe(*m));
+        let started = candidates.iter().any(|m| self.probe(*m));
         if let Some(pending) = self.requests.get_mut(&id) {
-            pending.freshness_probes += u32::from(bought);
+            pending.freshness_probes += u32::from(started);
         }
     }
 
@@ -246,13 +249,14 @@
     }
 
     /// Orders members by their load; of two with the same load the one that is warming up comes first. A
-    /// late response counts as one in flight for a while: routers with little traffic hold hardly any.
+    /// late response counts as one in flight for a while: routers with little traffic have hardly any.
     fn load_rank(&self, member: &Member) -> usize {
         let is_late = elapsed(self.now, member.late_response_at) < MAX_EJECTION;
         let is_warm = self.capacity_share(member) >= 1.0;
         2 * (self.load(member) + usize::from(is_late)) + usize::from(is_warm)
     }
 
+    /// The weight of a member in the random draw among equally loaded ones.
     fn tie_weight(&self, member: &Member) -> f64 {
         let in_own_zone = member.listed.zone == self.settings.zone;
         member.listed.weight * if in_own_zone { OWN_ZONE_FACTOR } else { 1.0 }
--- a/decision/src/router/probes.rs
+++ b/decision/src/router/probes.rs
@@ -1,13 +1,15 @@
 //! Health checks: when members are probed, and what the end of a probe says.
 use super::{Action, GroupId, MemberId, MemberReport, Micros, Outcome, Router, Settings, elapsed};
 
-/// Shortest time between two probes of a member, in units of [`Settings::min_event_interval`].
+/// Time between two probes of a member, in units of [`Settings::min_event_interval`].
 const MIN_EVENT_INTERVALS: i64 = 20;
-/// It is never shorter than this: reports are as old as that, and every router probes.
+/// Lower bound of that time, in microseconds: a report is about as old anyway, and every router probes.
 const MIN_INTERVAL: Micros = 100_000;
-/// Doublings of that time, at most, while searches find no primary or a member's probes bring no report.
+/// Backoff: how often that time doubles at most, while searches find no primary or a member's probes bring
+/// no report.
 const MAX_DOUBLINGS: u32 = 3;
 
+/// The time to the next probe or search after so many failures in a row, in microseconds.
 fn probe_interval(settings: &Settings, failures: u32) -> Micros {
     (MIN_EVENT_INTERVALS * settings.min_event_interval).max(MIN_INTERVAL) << failures.min(MAX_DOUBLINGS)
 }
@@ -25,7 +27,8 @@
         }
     }
 
-    /// Probes a member, unless it was probed a moment ago; returns whether it did.
+    /// Probes a member if it is ready, none of its probes is in flight and its interval has passed.
+    /// Returns whether it did.
     pub(super) fn probe(&mut self, id: MemberId) -> bool {
         let Some(member) = self.members.get_mut(&id) else { return false };
         let interval = probe_interval(&self.settings, member.consecutive_failed_probes);
@@ -39,6 +42,7 @@
         true
     }
 
+    /// Applies the outcome and the report of a probe to its member.
     pub(super) fn on_probe_ended(&mut self, id: MemberId, outcome: Outcome, report: MemberReport) {
         let Some(member) = self.members.get_mut(&id) else { return };
         let group = member.listed.group;
@@ -46,7 +50,7 @@
         member.probes_in_flight = member.probes_in_flight.saturating_sub(1);
         member.consecutive_failed_probes = if report.primary.is_some() { 0 } else { failures };
         self.review_ejection(id, outcome);
-        // Responses outrank probes: one that failed says nothing of requests unless nothing could be reached.
+        // A failed probe ejects a member only if it could not connect: requests may still succeed there.
         if outcome == Outcome::ConnectFailed {
             self.eject(id, outcome);
             self.clear_primary(id);
--- a/faults/src/descriptor.rs
+++ b/faults/src/descriptor.rs
@@ -2,7 +2,7 @@
 use libc::{c_int, c_void, socklen_t};
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Descriptors from this one on are taken for connections that another process opened.
+/// Descriptors at or above this are not tracked: they count as connections that another process opened.
 const MAX_TRACKED: usize = 4096;
 
 /// By descriptor, whether this process opened the connection.
@@ -29,13 +29,14 @@
     tracked(fd).is_some_and(|opened| opened.load(Ordering::Relaxed))
 }
 
-/// Notes whether this process opened the connection.
+/// Records whether this process opened the connection.
 pub(crate) fn set_opened_here(fd: c_int, value: bool) {
     if let Some(opened) = tracked(fd) {
         opened.store(value, Ordering::Relaxed);
     }
 }
 
+/// The record of a descriptor, if it is in the tracked range.
 fn tracked(fd: c_int) -> Option<&'static AtomicBool> {
     OPENED_HERE.get(usize::try_from(fd).ok()?)
 }
--- a/lab/src/load/outcome.rs
+++ b/lab/src/load/outcome.rs
@@ -7,11 +7,14 @@
 
 /// Significant digits of a reported latency.
 const LATENCY_DIGITS: u8 = 3;
+const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
-/// What became of the statements of a load; latencies are in microseconds.
+/// The outcomes of a load's statements; latencies are in microseconds.
 #[derive(Default)]
 pub(super) struct Outcomes {
+    /// Latency of each answer from when its statement was due.
     since_due: Vec<u64>,
+    /// Latency of each answer from when its statement was sent.
     since_sent: Vec<u64>,
     /// Number of errors by description.
     errors: BTreeMap<String, u64>,
@@ -35,7 +38,7 @@
         }
     }
 
-    /// A report of a load of so many statements that took so long.
+    /// The report of a load that offered this many statements in this time.
     pub(super) fn report(&self, offered: usize, elapsed: Duration) -> Result<String, Error> {
         let (answered, seconds) = (self.since_due.len(), elapsed.as_secs_f64());
         let mut text = format!("{offered} offered, {answered} answered in {seconds:.1} s\n");
@@ -54,7 +57,7 @@
     for latency in latencies {
         histogram.record(*latency).map_err(|source| not_recorded(source.into()))?;
     }
-    let milliseconds = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
+    let milliseconds = |quantile| histogram.value_at_quantile(quantile) as f64 / MICROSECONDS_PER_MILLISECOND;
     let [p50, p90, p99, max] = [0.5, 0.9, 0.99, 1.0].map(milliseconds);
     Ok(format!("{name:<22}{p50:>10.2}{p90:>10.2}{p99:>10.2}{max:>10.2}\n"))
 }
--- a/lab/src/spread_table.rs
+++ b/lab/src/spread_table.rs
@@ -4,13 +4,15 @@
 use simulator::load_spread::{Imbalance, LoadSpread};
 use std::fmt::Write;
 
-/// A line of the table for each experiment.
+/// A figure that the table has for each experiment.
 struct Figure {
+    /// Its label; a figure that refines the one above it is labelled by the difference alone.
     name: &'static str,
     value: fn(&LoadSpread) -> f64,
 }
 
-/// The lines; `over` is the imbalance beyond what random assignment gives.
+/// The figures, in the order of the table: `over` is the imbalance beyond what random assignment gives, and `of chance` is
+/// the worst imbalance of random assignment.
 const FIGURES: [Figure; 12] = [
     Figure { name: "group 10 s, most/mean", value: |spread| spread.group_10s.mean },
     Figure { name: "over", value: |spread| excess(&spread.group_10s) },
--- a/multiprocess/src/report/outcomes.rs
+++ b/multiprocess/src/report/outcomes.rs
@@ -3,10 +3,11 @@
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// The longest latency that is told apart, in microseconds.
+/// The longest latency that is recorded, in microseconds; longer ones count as this.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Significant figures of latencies.
+/// Significant digits of latencies.
 const LATENCY_DIGITS: u8 = 3;
+const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
 /// How the requests of one tenant ended.
 #[derive(Clone, Debug, PartialEq)]
@@ -43,14 +44,17 @@
                 latencies.saturating_record(request.ended.saturating_sub(request.due));
             }
         }
-        let quantile_ms =
-            |quantile| latencies.as_ref().map_or(0.0, |l| l.value_at_quantile(quantile) as f64 / 1000.0);
+        let quantile_ms = |quantile| {
+            latencies
+                .as_ref()
+                .map_or(0.0, |l| l.value_at_quantile(quantile) as f64 / MICROSECONDS_PER_MILLISECOND)
+        };
         counts.p50_ms = quantile_ms(0.5);
         counts.p99_ms = quantile_ms(0.99);
         counts
     }
 
-    /// How many requests ended so.
+    /// The number of requests with this outcome.
     pub fn count(&self, outcome: Outcome) -> usize {
         self.by_outcome.get(&outcome).copied().unwrap_or(0)
     }
--- a/multiprocess/src/run/deployment.rs
+++ b/multiprocess/src/run/deployment.rs
@@ -17,9 +17,9 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// How long a change of the document is tried.
+/// How long writing the document into the store is retried.
 const DOCUMENT_TIMEOUT: Duration = Duration::from_secs(15);
-/// Addresses that each node of the store needs.
+/// Addresses that each node of the store needs: of its control, clients, peers and allocator.
 const ADDRESSES_PER_NODE: usize = 4;
 
 /// Everything that runs for a plan.
@@ -68,6 +68,7 @@
         if plan.follows_fleet {
             deployment.write_document()?;
         } else {
+            // Without a document, the plan's configuration is in force from the start.
             deployment.record_configuration(0, 0);
         }
         deployment.start_routers()?;
@@ -151,7 +152,7 @@
         let clients = clients.join(",");
         let requested = self.now();
         let deadline = Instant::now() + DOCUMENT_TIMEOUT;
-        // It fails while there is no leader; a further attempt has the same effect as the first one.
+        // It fails while the store has no leader; the command is idempotent, so it can be retried.
         while let Err(e) = run_to_end(self.program, &["fleet", "set", &file, "--store", &clients]) {
             if Instant::now() > deadline {
                 return Err(e.into());
--- a/multiprocess/src/servers/server_thread.rs
+++ b/multiprocess/src/servers/server_thread.rs
@@ -14,11 +14,17 @@
     COMMAND_QUERY, COMMAND_QUIT, ERROR_READ_ONLY, ERROR_SYNTAX, OK, error, greeting, packets, row,
 };
 
+/// The token of the listener; connections have those from [`FIRST_CONNECTION`] on.
 const LISTENER: Token = Token(0);
 const FIRST_CONNECTION: usize = 1;
+/// Readiness events that one poll returns at most.
 const EVENT_CAPACITY: usize = 256;
-/// How often the thread checks whether it is to end.
+/// How often the thread checks whether the servers were stopped.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of the packet that answers a login: it follows the greeting and the login itself.
+const LOGIN_ANSWER_NUMBER: u8 = 2;
+/// Number of the first packet that answers a command.
+const COMMAND_ANSWER_NUMBER: u8 = 1;
 
 struct Connection {
     stream: TcpStream,
@@ -36,6 +42,7 @@
     bytes: Vec<u8>,
 }
 
+/// One server, with its listener and its connections.
 pub(super) struct ServerThread {
     index: usize,
     server: Server,
@@ -84,7 +91,7 @@
         }
     }
 
-    /// The time until the next answer is due, or until it is to be checked whether the thread ends.
+    /// The time until the next answer is due, at most [`STOP_CHECK_INTERVAL`].
     fn poll_timeout(&self) -> Duration {
         let now = Instant::now();
         let next = self.pending_answers.peek();
@@ -110,14 +117,14 @@
         }
     }
 
-    /// Reads and writes what a connection is ready for; it is dropped where it has ended.
+    /// Reads and writes what a connection is ready for; a connection that has ended is dropped.
     fn handle_readiness(&mut self, event: &Event) {
         let token = event.token();
         let Some(mut connection) = self.connections.remove(&token) else { return };
         let state = read_available(&mut connection.stream, &mut connection.read_buffer);
         while let Some(packet) = take_packet(&mut connection.read_buffer) {
             if !std::mem::replace(&mut connection.logged_in, true) {
-                connection.write_buffer.extend(packets(2, &[OK]));
+                connection.write_buffer.extend(packets(LOGIN_ANSWER_NUMBER, &[OK]));
                 continue;
             }
             match packet.split_first() {
@@ -125,7 +132,7 @@
                     self.run_statement(&mut connection, token, &String::from_utf8_lossy(sql));
                 }
                 Some((&COMMAND_QUIT, _)) | None => return,
-                _ => connection.write_buffer.extend(packets(1, &[OK])),
+                _ => connection.write_buffer.extend(packets(COMMAND_ANSWER_NUMBER, &[OK])),
             }
         }
         if state == ConnectionState::Open
@@ -150,7 +157,11 @@
         let at = self.shared.now();
         let tenant = self.shared.tenant_index(tenant_of(sql));
         self.shared.record(Statement { id, at, server: self.index, tenant, write });
-        let bytes = if write { packets(1, &[OK]) } else { row(&[&id.to_string(), &self.server.name]) };
+        let bytes = if write {
+            packets(COMMAND_ANSWER_NUMBER, &[OK])
+        } else {
+            row(&[&id.to_string(), &self.server.name])
+        };
         let due = Instant::now() + self.shared.service_time;
         self.pending_answers.push(Reverse(PendingAnswer { due, connection: token, bytes }));
     }
--- a/mysql/src/front/shared.rs
+++ b/mysql/src/front/shared.rs
@@ -12,8 +12,10 @@
     pub(super) handle: RouterHandle<Mysql>,
     settings: RwLock<Arc<Settings>>,
     pub(super) limits: Arc<Limits>,
+    /// The recording of client traffic, if there is one.
     pub(super) tap: Option<Arc<dyn Tap>>,
     pub(super) sessions: Arc<Sessions>,
+    /// Admits requests by the tenants' quotas, if there is a fleet.
     pub(super) fleet: Option<fleet::FleetClient>,
 }
 
@@ -30,7 +32,7 @@
         Arc::new(Front { handle, settings: RwLock::new(settings), limits, tap, sessions, fleet })
     }
 
-    /// Applies other users, rules and another default group from now on.
+    /// Applies the users, the rules and the default group of these settings from now on.
     pub fn reload(&self, settings: Settings) {
         *self.settings.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(settings);
     }
--- a/mysql/src/requirements.rs
+++ b/mysql/src/requirements.rs
@@ -4,6 +4,12 @@
 use crate::statement::ScannedStatement;
 use settings::operator::MysqlConfig;
 
+/// Fields of a statement's comment: class, group, wait in milliseconds, session and tenant.
+const CLASS_FIELD: &str = "c";
+const GROUP_FIELD: &str = "cluster";
+const WAIT_FIELD: &str = "d";
+const SESSION_FIELD: &str = "s";
+const TENANT_FIELD: &str = "t";
 /// The longest that a client may wait, in milliseconds: a day.
 const MAX_WAIT_MS: u64 = 86_400_000;
 
@@ -29,7 +35,7 @@
     /// The statement may write though its class only reads, or its comment has a malformed number.
     pub fn of(statement: &ScannedStatement, mysql: &MysqlConfig) -> Result<Requirements, CommandError> {
         let rule = mysql.rules.iter().find(|rule| statement.normalized.starts_with(&rule.prefix));
-        let named_class = match statement.comment_field("c") {
+        let named_class = match statement.comment_field(CLASS_FIELD) {
             Some(name) => mysql.class_names.iter().position(|class| class == name),
             None => rule.map(|rule| rule.class),
         };
@@ -40,18 +46,19 @@
             return Err(CommandError::new(UNSUPPORTED, text));
         }
         let default_group = rule.map_or(mysql.default_group, |rule| rule.group);
-        let group = comment_number(statement, "cluster")?.unwrap_or(u64::from(default_group));
-        let wait_ms = comment_number(statement, "d")?.unwrap_or(mysql.class_deadlines_ms[class]);
+        let group = comment_number(statement, GROUP_FIELD)?.unwrap_or(u64::from(default_group));
+        let wait_ms = comment_number(statement, WAIT_FIELD)?.unwrap_or(mysql.class_deadlines_ms[class]);
         Ok(Requirements {
             class,
             group: group as u32,
-            session: statement.comment_field("s").map(str::to_string),
-            tenant: statement.comment_field("t").map(str::to_string),
+            session: statement.comment_field(SESSION_FIELD).map(str::to_string),
+            tenant: statement.comment_field(TENANT_FIELD).map(str::to_string),
             wait_ms: wait_ms.min(MAX_WAIT_MS),
         })
     }
 }
 
+/// The number in a field of the statement's comment, if the comment has the field.
 fn comment_number(statement: &ScannedStatement, name: &str) -> Result<Option<u64>, CommandError> {
     let Some(value) = statement.comment_field(name) else { return Ok(None) };
     let number = value.parse();
--- a/postgres/src/front/command.rs
+++ b/postgres/src/front/command.rs
@@ -7,11 +7,11 @@
 use client_listener::Connection;
 use std::sync::Arc;
 
-/// The response that a command gets.
+/// The response to a command.
 pub(super) enum CommandResponse {
-    /// One that the front gives by itself.
+    /// A response of the front itself, without a request.
     Immediate(Vec<u8>),
-    /// One that says why the command can't be carried out.
+    /// An error that says why the command can't be carried out.
     Error(Vec<u8>),
     /// The response to a request, once the routing core has it.
     Pending(PendingRequest),
@@ -25,7 +25,7 @@
     SkippingToSync,
 }
 
-/// Carries a message out as far as its response; `None` if it gets none.
+/// Handles a message and returns its response; `None` if it gets none.
 pub(super) fn handle_message(
     front: &Arc<Front>,
     connection: &Arc<Connection>,
@@ -40,7 +40,7 @@
             Some(CommandResponse::Immediate(READY.to_vec()))
         }
         _ if *sync == SyncState::SkippingToSync => None,
-        // Flush: nothing is ever held back.
+        // Flush: no response is ever delayed, so there is nothing to do.
         b'H' => None,
         tag => Some(reject_message(tag, sync)),
     }
--- a/postgres/src/front/shared.rs
+++ b/postgres/src/front/shared.rs
@@ -27,9 +27,9 @@
     request_ids: Mutex<HashSet<Vec<u8>>>,
     /// Open connections by their cancel keys.
     cancel_keys: Mutex<HashMap<CancelKey, Arc<Connection>>>,
-    /// What clients' long messages and open requests may still take.
+    /// The memory for clients' long messages and open requests.
     pub(super) memory: MemoryPool,
-    /// The bytes of that memory which are left to other processes of this router.
+    /// The bytes of that memory that are reserved for other processes of this router.
     other_processes_bytes: Mutex<isize>,
 }
 
@@ -77,7 +77,7 @@
         lock(&self.cancel_keys)
     }
 
-    /// Gives up what is in flight on a connection whose client takes no more responses.
+    /// Abandons the requests of a connection whose client takes no more responses.
     pub(super) fn abandon_requests(&self, connection: &Connection) {
         connection.mark_disconnected(|id| self.handle.client_disconnected(id));
     }
--- a/postgres/src/response.rs
+++ b/postgres/src/response.rs
@@ -54,7 +54,7 @@
 pub struct ResponseParser {
     kind: ResponseKind,
     max_value_bytes: usize,
-    /// Bytes that may still come.
+    /// Bytes that the rest of the response may still have.
     remaining_bytes: usize,
     progress: Progress,
     report: InstanceReport,
@@ -106,7 +106,7 @@
             }
             (b'N', _) => {}
             (b'Z', _) if self.is_complete() && body == b"I" => return Ok(Some(ResponseEnd::Ready)),
-            // An instance sends no error amid a row: whatever its code says, the statement has begun.
+            // An error after a part of a row is malformed too: whatever its code says, the statement has begun.
             _ => return Err(Unexpected),
         }
         if matches!(tag, b'T' | b'D' | b'C') && self.kind == ResponseKind::Statement {
@@ -129,8 +129,9 @@
     fn parse_error(&mut self, body: &[u8]) -> Result<(), Unexpected> {
         let error = error_fields(body).ok_or(Unexpected)?;
         let outcome = match error.code {
+            // `read_only_sql_transaction`: not the primary; `snapshot_too_old`: not fresh enough.
             "25006" | "72000" => Outcome::NotEligible,
-            // Both reject, whoever words them (PROTOCOL): nothing ran, and retrying is harmless.
+            // `too_many_connections` and `cannot_connect_now`: nothing ran, so a retry is safe (PROTOCOL).
             "53300" | "57P03" => Outcome::Rejected,
             _ => Outcome::Error,
         };
@@ -160,7 +161,7 @@
     /// Whether `unread` can be a part of this response.
     fn may_be_followed_by(&self, end: ResponseEnd, unread: &[u8]) -> bool {
         match (end, unread.first()) {
-            // Bytes behind the end belong to nothing that was asked, and so may what they follow.
+            // Bytes behind the end answer nothing that was sent, so the response before them may not either.
             (ResponseEnd::Ready, Some(_)) => false,
             // Behind a complete row or error, a row or an error would begin another response.
             (_, Some(tag)) if self.is_complete() => matches!(tag, b'S' | b'N' | b'Z'),
--- a/routing/src/placement_subsets/subsets.rs
+++ b/routing/src/placement_subsets/subsets.rs
@@ -16,6 +16,7 @@
     pub(super) needs_primary: Vec<bool>,
     /// The endpoints, by their own member ids.
     pub(super) endpoints: HashMap<MemberId, TrackedEndpoint>,
+    /// The endpoints' own member ids, by their names in the placement engine.
     pub(super) own_ids: HashMap<Arc<str>, MemberId>,
     /// The endpoint's own member id, by alias.
     pub(super) own_id_of_alias: HashMap<MemberId, MemberId>,
@@ -146,15 +147,21 @@
     fn apply(&mut self, actions: Vec<Action>, change: &mut SubsetChange, ids: &mut MemberIds) {
         for action in actions {
             match action {
-                Action::UpdateView { view, members, .. } => self.show(view, &members, change, ids),
+                Action::UpdateView { view, members, .. } => self.set_members(view, &members, change, ids),
                 Action::RerouteQueued => change.reroute = true,
                 Action::SetTimer { at } => change.timer = Some(change.timer.map_or(at, |t| t.min(at))),
             }
         }
     }
 
-    /// Sets the members of a subset.
-    fn show(&mut self, subset: GroupId, names: &[Arc<str>], change: &mut SubsetChange, ids: &mut MemberIds) {
+    /// Sets the members of a subset: members that left are hidden there, and all others are shown.
+    fn set_members(
+        &mut self,
+        subset: GroupId,
+        names: &[Arc<str>],
+        change: &mut SubsetChange,
+        ids: &mut MemberIds,
+    ) {
         let members: BTreeSet<MemberId> =
             names.iter().filter_map(|name| self.own_ids.get(name)).copied().collect();
         let before = self.subsets.remove(&subset).unwrap_or_default();
@@ -169,6 +176,7 @@
         }
     }
 
+    /// Removes the alias under which an endpoint is a member of a subset.
     fn hide_member(&mut self, subset: GroupId, own_id: MemberId, change: &mut SubsetChange) {
         let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return };
         let Some(alias) = endpoint.hide_alias(subset) else { return };
@@ -176,6 +184,7 @@
         change.departed.push(alias);
     }
 
+    /// Makes an endpoint a member of a subset, under an alias of its own.
     fn show_member(
         &mut self,
         subset: GroupId,
--- a/routing/src/router/endpoint_record.rs
+++ b/routing/src/router/endpoint_record.rs
@@ -10,6 +10,7 @@
     pub(super) sender: BackendSender<P>,
 }
 
+/// A listed endpoint, and the backend that carries out its exchanges.
 pub(super) struct EndpointRecord<P: BackendProtocol> {
     /// Its id in the endpoint list.
     pub(super) id: String,
@@ -33,6 +34,7 @@
         sender.try_send(AddressedCommand { backend: *id, command }).is_ok()
     }
 
+    /// Sets whether the endpoint accepts exchanges; one that stops to has its idle connections closed.
     pub(super) fn set_in_service(&self, in_service: bool) {
         let changed = self.state.set_in_service(in_service);
         if changed && !in_service {
--- a/sessions/src/node/outbound.rs
+++ b/sessions/src/node/outbound.rs
@@ -10,7 +10,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-/// Pauses between two attempts to connect, in one lease's time.
+/// Attempts to connect to a peer within the time of one lease.
 const ATTEMPTS_PER_LEASE: u32 = 6;
 
 /// How a peer answered the first frame.
@@ -24,6 +24,7 @@
 }
 
 impl Sessions {
+    /// Whether the peer is still to be connected to at this address.
     fn is_listed(&self, peer: Instance, addr: SocketAddr) -> bool {
         !self.is_stopping() && self.lock().peers.get(&peer) == Some(&addr)
     }
@@ -42,7 +43,7 @@
         let attempted_at = self.clock.now();
         match routing::socket::connect(addr, self.limits.backend_connect_timeout) {
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
-                // A peer that may have moved is not proven gone by the address that it had.
+                // A refused connection proves that the peer is down only where its address can't change.
                 if !self.settings.peer_addresses_may_change {
                     self.handle(Event::ConnectionRefused { peer, attempted_at });
                 }
@@ -71,6 +72,7 @@
         }
     }
 
+    /// Sends the first frame, and reads the peer's answer to it.
     fn introduce(&self, peer: Instance, socket: &TcpStream) -> io::Result<HelloAnswer> {
         let incarnation = self.lock().machine.incarnation();
         let (cluster, from) = (self.settings.cluster.clone(), self.settings.instance);
@@ -99,6 +101,7 @@
         true
     }
 
+    /// Sends queued commits to a peer until the connection ends; another thread reads its frames meanwhile.
     fn run_connection(
         self: &Arc<Self>,
         peer: Instance,
--- a/sessions/src/node/start.rs
+++ b/sessions/src/node/start.rs
@@ -18,7 +18,7 @@
 
 /// What an instance starts with.
 struct Restored {
-    /// None without a folder, or where no file could be begun.
+    /// `None` without a folder, or if no new file could be written there.
     journal: Option<Journal>,
     machine: Machine,
 }
@@ -27,6 +27,7 @@
 fn restore(config: &SessionsConfig, limits: &Limits, clock: Clock) -> Result<Restored, Error> {
     let mut settings = MachineSettings {
         instance: config.instance,
+        // The time of the start, so that a later start has a higher one.
         incarnation: clock.now().0.max(1) as u64,
         lease: config.lease.as_micros() as i64,
         max_buffered_commits: limits.max_buffered_session_commits,
@@ -92,7 +93,7 @@
     /// acknowledged here; then its journal, and its threads.
     ///
     /// # Errors
-    /// Where the address can't be bound, the folder can't be used, or a thread can't be started.
+    /// The address can't be bound, the folder can't be used, or a thread can't be started.
     pub fn start(
         config: SessionsConfig,
         limits: &Arc<Limits>,
--- a/sessions/src/node/ticks.rs
+++ b/sessions/src/node/ticks.rs
@@ -1,12 +1,13 @@
-//! The ticks of the state machine, and what they find of the peers.
+//! The periodic ticks of the state machine, and the log lines about whether peers are up to date.
 use super::sessions::Sessions;
 use super::state::State;
 use crate::machine::Event;
 
-/// Ticks in one lease's time.
+/// Ticks within the time of one lease.
 const TICKS_PER_LEASE: u32 = 10;
 
 impl Sessions {
+    /// Sends ticks to the state machine until this instance stops.
     pub(super) fn run_ticks(&self) {
         let interval = self.settings.lease / TICKS_PER_LEASE;
         while !self.is_stopping() {
--- a/settings/src/operator/table.rs
+++ b/settings/src/operator/table.rs
@@ -8,7 +8,7 @@
 /// The longest time in seconds that a key given in seconds may set: one day. Longer ones count as this.
 const MAX_SECONDS: f64 = 86_400.0;
 
-/// Refuses what is no table, and a table with a key that is not one of `keys`.
+/// Rejects a value that is not a table, and a table with a key that is not one of `keys`.
 pub(super) fn only(v: &Value, keys: &[&str]) -> Result<(), Error> {
     let table = v.as_object().ok_or_else(|| Error::invalid("a table", json_kind(v)))?;
     match table.keys().find(|key| !keys.contains(&key.as_str())) {
@@ -48,7 +48,7 @@
     v.get(key).map(read).transpose().map_err(|e| e.under_key(key))
 }
 
-/// Each table of an array, none where the key is missing. Errors name the position.
+/// Reads each table of an array; no tables where the key is missing. Errors name the position.
 pub(super) fn each<T>(
     v: &Value,
     key: &str,
@@ -61,7 +61,7 @@
     array(v, key)?.iter().enumerate().map(at).collect()
 }
 
-/// A text as a `String` of its own.
+/// A text, as an owned `String`.
 pub(super) fn owned(v: &Value, key: &str) -> Result<String, Error> {
     string(v, key).map(str::to_string)
 }
--- a/settings/src/start/reload.rs
+++ b/settings/src/start/reload.rs
@@ -9,12 +9,12 @@
 pub struct Reload {
     /// Where discovery answers from now on.
     pub discovery_address: SocketAddr,
-    /// Keys that differ and are followed only by a restart.
+    /// Keys that differ and take effect only at a restart.
     pub keys_needing_restart: Vec<String>,
 }
 
-/// Reads the text of a later file against the start. Its own `discovery` counts: the variable is still what it was when
-/// the program started.
+/// Reads the text of a later file and compares it with the configuration of the start. The address of discovery is that
+/// of the file: the environment variable that overrides it at the start is not read again.
 ///
 /// # Errors
 /// An [`Error`] that names the faulty key; nothing of the file is used then.
--- a/simulator/src/spread_meter.rs
+++ b/simulator/src/spread_meter.rs
@@ -11,10 +11,10 @@
 /// Seconds in a long window.
 pub const LONG_WINDOW: usize = 10;
 
-/// Means are rounded to this fraction.
+/// Means are rounded to one part in this, so that they do not depend on the order of summation.
 const MEAN_RESOLUTION: f64 = 1e9;
 
-/// A replica, or a primary while it is none.
+/// A node as a replica; while it is a primary it is not in service as one.
 #[derive(Clone, Debug)]
 struct ReplicaState {
     group: usize,
@@ -28,14 +28,16 @@
     group_starts_when_idle: u64,
 }
 
-/// How windows are compared.
+/// Which replicas are compared with each other in a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Scope {
+    /// Those of each group.
     Group,
+    /// All of them.
     Fleet,
 }
 
-/// Idle time of all replicas.
+/// Idle time of all replicas, in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 struct IdleTime {
     total: i64,
@@ -79,12 +81,13 @@
         }
     }
 
+    /// The measured second of a time, if it is one.
     fn second_of(&self, at: Time) -> Option<usize> {
         let since = at.0 - self.begin.0;
         (since >= 0).then_some((since / SECOND) as usize).filter(|second| *second < self.starts.len())
     }
 
-    /// A node is, or is not, in service as a replica from now on, with so many requests active.
+    /// Records that a node is, or is not, in service as a replica from now on, with this many requests active.
     pub fn set_in_service(&mut self, now: Time, node: usize, in_service: bool, active_requests: usize) {
         if in_service == self.replicas[node].in_service_since.is_some() {
             return;
@@ -97,7 +100,7 @@
         }
     }
 
-    /// The second in which a node changes is not a whole one.
+    /// Excludes the second in which a node changes: it is in service for only a part of it.
     fn exclude_second(&mut self, now: Time, node: usize) {
         if now > self.begin
             && let Some(second) = self.second_of(now)
@@ -126,6 +129,7 @@
         self.in_service[next..].iter_mut().for_each(|second| second[node] = false);
     }
 
+    /// Counts the idle period of a replica that ends now, if it is long enough and its group had work meanwhile.
     fn end_idle_period(&mut self, now: Time, node: usize) {
         let replica = &self.replicas[node];
         let period = now.0 - replica.idle_since.0;
@@ -138,7 +142,7 @@
         }
     }
 
-    /// A node starts a request, or queues it.
+    /// Records that a node starts a request, or queues it.
     pub fn request_started(&mut self, now: Time, node: usize) {
         self.end_idle_period(now, node);
         if let Some(second) = self.second_of(now) {
@@ -151,7 +155,7 @@
         }
     }
 
-    /// A request has ended at a node, whatever its outcome.
+    /// Records that a request has ended at a node, whatever its outcome.
     pub fn request_ended(&mut self, now: Time, node: usize) {
         let replica = &mut self.replicas[node];
         replica.active_requests = replica.active_requests.saturating_sub(1);
--- a/simulator/src/world/sessions.rs
+++ b/simulator/src/world/sessions.rs
@@ -8,7 +8,7 @@
 use sessions::machine::{Action as SessionAction, Event as SessionEvent, Now, Push};
 
 impl World<'_> {
-    /// The simulation's clock, which routers take for the servers' with some uncertainty.
+    /// The simulation's clock, which is the servers' clock for routers, known to them with some uncertainty.
     pub(super) fn session_now(&self) -> Now {
         Now { at: self.now, present: Some(Time(self.now.0 + CLOCK_UNCERTAINTY)) }
     }
@@ -72,6 +72,7 @@
         self.handle_session_event(router, SessionEvent::JournalSynced { seq });
     }
 
+    /// Answers the client of a write that its session machine has acknowledged.
     fn acknowledge_write(&mut self, router: usize, request: u64) {
         let write = self.routers[router].unacknowledged_writes.remove(&request);
         let Some(UnacknowledgedWrite { client, session, commit }) = write else { return };
@@ -80,6 +81,7 @@
         self.record_success(client);
     }
 
+    /// Fails the client of a write that its session machine could not record.
     fn fail_write(&mut self, router: usize, request: u64) {
         let Some(write) = self.routers[router].unacknowledged_writes.remove(&request) else { return };
         self.checker.request_answered(self.now, RouterRequest { router, request }, FinalAnswer::Other);
--- a/soak/src/platform/probe.rs
+++ b/soak/src/platform/probe.rs
@@ -1,22 +1,26 @@
-//! Calls to a router from outside: operators' commands, and the platform's readiness probe.
+//! Calls to a router as its operators and the platform make them: admin commands and the readiness probe.
 use crate::environment::wire::{message, startup, tag};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How the answer to an empty query begins.
+/// The bytes of an admin command's answer that are read at once.
+const ADMIN_BUFFER_BYTES: usize = 8192;
+/// The bytes of the answer to an empty query that are read at once.
+const PROBE_BUFFER_BYTES: usize = 1024;
+/// The response to an empty query: its tag, and a length that counts only itself.
 const EMPTY_QUERY_ANSWER: [u8; 5] = [tag::EMPTY_QUERY, 0, 0, 0, 4];
 
 /// Sends a line to an admin address and returns the whole answer.
 ///
 /// # Errors
-/// The system's, or a time-out.
+/// An error of the socket, or [`ErrorKind::TimedOut`].
 pub(super) fn admin_call(address: SocketAddr, line: &str, timeout: Duration) -> io::Result<String> {
     let deadline = Instant::now() + timeout;
     let mut socket = connect(address, timeout)?;
     socket.write_all(format!("{line}\n").as_bytes())?;
     let mut answer = String::new();
-    let mut bytes = [0; 8192];
+    let mut bytes = [0; ADMIN_BUFFER_BYTES];
     while Instant::now() < deadline {
         match socket.read(&mut bytes)? {
             0 => return Ok(answer),
@@ -36,7 +40,7 @@
     socket.write_all(&startup())?;
     socket.write_all(&message(tag::QUERY, b"\0"))?;
     let mut received = Vec::new();
-    let mut bytes = [0; 1024];
+    let mut bytes = [0; PROBE_BUFFER_BYTES];
     while !received.windows(EMPTY_QUERY_ANSWER.len()).any(|window| window == EMPTY_QUERY_ANSWER) {
         match socket.read(&mut bytes)? {
             0 => return Ok(false),
--- a/soak/src/platform/schedule.rs
+++ b/soak/src/platform/schedule.rs
@@ -1,4 +1,4 @@
-//! The steps of a run's faults, by their times.
+//! The schedule of a run's faults: when each begins, ends and has its later effects.
 use crate::fault::PlannedFault;
 use crate::time::{MILLISECOND, Micros};
 
@@ -56,11 +56,12 @@
         self.steps.sort_by_key(|scheduled| scheduled.at);
     }
 
+    /// Whether no step is left.
     pub(super) fn is_over(&self) -> bool {
         self.steps.is_empty()
     }
 
-    /// Takes the steps that are due.
+    /// Removes the steps that are due and returns them in the order of their times.
     pub(super) fn take_due(&mut self, now: Micros) -> Vec<Step> {
         let count = self.steps.iter().take_while(|scheduled| scheduled.at <= now).count();
         self.steps.drain(..count).map(|scheduled| scheduled.step).collect()
--- a/soak/src/serve/mod.rs
+++ b/soak/src/serve/mod.rs
@@ -14,10 +14,10 @@
 use crate::router::Programs;
 use run::Run;
 
-/// Plays a plan with these faults and returns what was recorded.
+/// Runs a plan with these faults and returns the history that was recorded.
 ///
 /// # Errors
-/// Where no port, folder or process can be had, or where a router does not become ready.
+/// No port, folder or process is available, or a router does not become ready.
 pub fn play(
     plan: &Plan,
     seed: u64,
--- a/test-servers/src/registry/http.rs
+++ b/test-servers/src/registry/http.rs
@@ -33,12 +33,12 @@
 }
 
 impl Request {
-    /// The body as JSON; null where it is none.
+    /// The body as JSON; null where it is not JSON.
     pub(super) fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// A number of the query; `None` where it is missing or none.
+    /// A number of the query; `None` where it is missing or not a number.
     pub(super) fn query_number(&self, name: &str) -> Option<u64> {
         self.query.get(name).and_then(|value| value.parse().ok())
     }
@@ -91,7 +91,7 @@
 /// An answer with a JSON body.
 pub(super) struct Response {
     pub(super) status: u16,
-    /// Further headers, each line with its end.
+    /// Further headers, each line with its CRLF.
     pub(super) headers: String,
     pub(super) body: Vec<u8>,
 }
@@ -107,6 +107,7 @@
         Response::new(status, body.to_string())
     }
 
+    /// Writes the whole response. Clients ignore the reason phrase, so it is a placeholder.
     pub(super) fn write_to(&self, stream: &mut dyn Stream) -> io::Result<()> {
         let Response { status, headers, body } = self;
         let head = format!(
--- a/test-servers/src/replication_group/server.rs
+++ b/test-servers/src/replication_group/server.rs
@@ -1,4 +1,4 @@
-//! One server: what it shows, how it misbehaves, and what it has done.
+//! The state of one server: its role and replication, its injected faults, and its counters.
 use super::clock::{Micros, unix_micros};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -14,12 +14,13 @@
     pub probes: usize,
 }
 
+/// One server of the group.
 pub(super) struct Server {
     pub(super) name: String,
     pub(super) address: SocketAddr,
     pub(super) read_only: bool,
     lag: Micros,
-    /// What it had applied when its lag was changed.
+    /// The commit time up to which it had applied the log when its lag was changed.
     applied_before: Micros,
     /// It applies nothing that was committed later.
     replication_stopped_at: Option<Micros>,
@@ -66,6 +67,7 @@
         self.lag = lag.as_micros() as Micros;
     }
 
+    /// Stops applying the log at what it has applied by now.
     pub(super) fn stop_replication(&mut self, now: Micros) {
         self.replication_stopped_at = Some(now - self.lag);
     }
@@ -77,7 +79,7 @@
         self.replication_stopped_at = None;
     }
 
-    /// Ends it for good.
+    /// Shuts it down for good, with its connections.
     pub(super) fn shut_down(&mut self) {
         self.read_only = true;
         self.shut_down = true;
--- a/test-servers/src/udp.rs
+++ b/test-servers/src/udp.rs
@@ -10,7 +10,7 @@
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 /// How often the thread checks whether the proxy was dropped.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// The shortest read timeout; zero would mean none.
+/// The shortest read timeout: the system takes zero for no timeout at all.
 const MIN_READ_TIMEOUT: Duration = Duration::from_micros(100);
 
 /// What is wrong with the network; by default nothing is.
@@ -95,10 +95,11 @@
     bytes: Vec<u8>,
 }
 
-/// The thread that forwards.
+/// The thread that forwards datagrams.
 struct Forwarder {
     socket: UdpSocket,
     state: Arc<Mutex<State>>,
+    /// By arrival, which is also the order in which they are sent.
     in_flight: VecDeque<DelayedDatagram>,
     received: u64,
 }
@@ -131,7 +132,7 @@
         STOP_CHECK_INTERVAL.min(until_due).max(MIN_READ_TIMEOUT)
     }
 
-    /// Takes a datagram in, or loses it.
+    /// Queues a datagram until it is due, or drops it.
     fn receive(&mut self, state: &mut State, bytes: &[u8], sender: SocketAddr) {
         self.received += 1;
         let faults = &state.faults;
