--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -4,7 +4,9 @@
 mod common;
 mod support;
 
-use common::{Folder, LONG, Program};
+use common::TIMEOUT;
+use common::environment::TestFolder;
+use common::program::Program;
 use hdrhistogram::Histogram;
 use mysql::prelude::Queryable;
 use mysql::{Conn, OptsBuilder};
@@ -39,7 +41,7 @@
 /// Microseconds of a clock tick.
 const TICK_MICROSECONDS: f64 = 10_000.0;
 
-fn write_settings(folder: &Folder, registry: &Registry, kind: &str) -> String {
+fn write_settings(folder: &TestFolder, registry: &Registry, kind: &str) -> String {
     let endpoints: Vec<String> = registry.addrs().iter().map(|address| format!("'{address}'")).collect();
     let text = format!(
         "[mysql]\nlisten = '127.0.0.1:0'\ndatabase = 'shop'\nserver_user = 'router'\nprobe = 'SELECT probe'\n\
@@ -51,9 +53,9 @@
     folder.write("router.toml", &text).to_str().expect("the path is UTF-8").to_string()
 }
 
-fn start_router(folder: &Folder, registry: &Registry, kind: &str) -> (Program, SocketAddr) {
+fn start_router(folder: &TestFolder, registry: &Registry, kind: &str) -> (Program, SocketAddr) {
     let mut router = Program::start(&["serve", &write_settings(folder, registry, kind)], &[]);
-    let address = router.listening();
+    let address = router.listening_address();
     (router, address)
 }
 
@@ -124,7 +126,7 @@
     fn wait_until_served(&self) {
         let (begin, before) = (Instant::now(), self.nodes.counts(Self::DRAINED).reads);
         while self.nodes.counts(Self::DRAINED).reads < before + READS_BEFORE_DRAIN {
-            assert!(begin.elapsed() < LONG);
+            assert!(begin.elapsed() < TIMEOUT);
         }
     }
 
@@ -142,7 +144,7 @@
         self.registry.update_faults(0, |faults| faults.down = false);
         let begin = Instant::now();
         while requests() == before {
-            assert!(begin.elapsed() < LONG);
+            assert!(begin.elapsed() < TIMEOUT);
         }
     }
 
@@ -185,7 +187,7 @@
     println!("{:<34}{:>8}{:>8}{:>8}{:>8}", "", "p50", "p90", "p99", "max");
     for kind in ["etcd", "consul"] {
         let bench = DrainBench::start();
-        let folder = Folder::new();
+        let folder = TestFolder::new();
         let (_router, address) = start_router(&folder, &bench.registry, kind);
         let done = Arc::new(AtomicBool::new(false));
         let readers = start_readers(address, &done);
@@ -275,22 +277,22 @@
 
 fn measure_list(nodes: usize) {
     let list = LongList::start(nodes);
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let begin = Instant::now();
     let (mut router, address) = start_router(&folder, &list.registry, "etcd");
     let mut client = connect(address).expect("the router accepts clients");
     while !read(&mut client) {
-        assert!(begin.elapsed() < LONG);
+        assert!(begin.elapsed() < TIMEOUT);
     }
     let first_answer = begin.elapsed().as_millis();
-    router.logged(&format!("endpoints={nodes} "));
+    router.wait_for_log(&format!("endpoints={nodes} "));
     let process = router.child.id();
     let ticks_before = cpu_ticks(process);
     list.change_weights();
     // The last change is a drain, whose log line shows that all before it have been applied.
     let written_at = Instant::now();
     list.registry.put(&extra_key(3), &extra_value(3, "draining", 1.0));
-    router.logged(&format!("endpoints={nodes} ready={} ", nodes - 1));
+    router.wait_for_log(&format!("endpoints={nodes} ready={} ", nodes - 1));
     let behind_ms = written_at.elapsed().as_secs_f64() * 1000.0;
     let change_us = (cpu_ticks(process) - ticks_before) as f64 * TICK_MICROSECONDS / CHANGES as f64;
     let resident_mb = process_status(process, "VmRSS:") as f64 / 1024.0;
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -1,13 +1,10 @@
 //! Sessions across restarts and instances: the real program over test servers whose replicas lag. A read that is
 //! routed by less than its session was told shows an older item, since the lag is longer than any test.
 mod common;
-#[path = "common/instances.rs"]
-mod instances;
-#[path = "common/restart_loop.rs"]
-mod restart_loop;
-use common::{LONG, Program, Signal};
-use instances::{Instances, Persistence, ReadResult, RunningInstance, read, write};
-use restart_loop::{SessionPath, restart_loop};
+use common::TIMEOUT;
+use common::instances::{Instances, Persistence, ReadResult, RunningInstance, read, write};
+use common::program::{Program, Signal};
+use common::restart_loop::{SessionPath, restart_loop};
 use std::time::Duration;
 use test_servers::proxy::Proxy;
 use test_servers::replication_group::ReplicationGroup;
@@ -38,7 +35,7 @@
             // What was restored is exact: a session that has written nothing is a replica's.
             let begun = std::time::Instant::now();
             while !read(&mut one.client(0), "bob").unwrap().is_from_replica() {
-                assert!(begun.elapsed() < LONG);
+                assert!(begun.elapsed() < TIMEOUT);
             }
         }
     }
@@ -49,7 +46,7 @@
     one.start(0);
     let (mut client, begun) = (one.client(0), std::time::Instant::now());
     while read(&mut client, "ann").unwrap().item == 7 {
-        assert!(begun.elapsed() < LONG);
+        assert!(begun.elapsed() < TIMEOUT);
     }
 }
 
@@ -60,7 +57,7 @@
     one.servers.withhold_write_answers(0, true);
     let mut client = one.client(0);
     let second = std::thread::spawn(move || write(&mut client, "ann", 2));
-    assert!(one.servers.wait_for_withheld_answers(1, LONG));
+    assert!(one.servers.wait_for_withheld_answers(1, TIMEOUT));
     one.kill(0);
     assert!(second.join().unwrap().is_err());
     one.servers.withhold_write_answers(0, false);
@@ -86,7 +83,7 @@
                 assert_eq!(result, ReadResult::of(1, "primary"));
                 served += 1;
             }
-            Err(e) => assert!(begun.elapsed() < 2 * LONG, "{e}"),
+            Err(e) => assert!(begun.elapsed() < 2 * TIMEOUT, "{e}"),
         }
     }
 }
@@ -102,7 +99,7 @@
             match read(&mut two.client(i), "ann") {
                 Ok(result) => break assert_eq!(result, ReadResult::of(1, "replica-2")),
                 // Refused while the new primary is looked for.
-                Err(e) => assert!(begun.elapsed() < LONG, "{e}"),
+                Err(e) => assert!(begun.elapsed() < TIMEOUT, "{e}"),
             }
         }
     }
@@ -176,7 +173,7 @@
         for client in &mut clients {
             let begun = std::time::Instant::now();
             while !read(client, "ann").unwrap().is_from_replica() {
-                assert!(begun.elapsed() < LONG, "{off} ms off");
+                assert!(begun.elapsed() < TIMEOUT, "{off} ms off");
             }
         }
     }
@@ -216,7 +213,7 @@
         let mut program = Program::start(&["sessions", verb, folder.to_str().unwrap()], &[]);
         let ok = program.child.wait().unwrap().success();
         let log = program.log.iter().collect::<Vec<_>>().join("\n");
-        (ok, program.ended().1 + &log)
+        (ok, program.wait_for_exit().1 + &log)
     };
     for cut in before.len()..whole.len() {
         let (ok, output) = run_command("dump", &whole[..cut]);
@@ -230,7 +227,7 @@
     let (ok, output) = run_command("verify", &bad);
     assert!(!ok && output.contains("at offset"), "{output}");
     one.start(0);
-    one.program(0).logged("damaged session journal refused");
+    one.program(0).wait_for_log("damaged session journal refused");
     assert_eq!(read(&mut one.client(0), "ann").unwrap(), ReadResult::of(1, "primary"));
     one.kill(0);
     // A tail that was torn off: what stood before it counts, and what may have been in it is covered.
@@ -238,7 +235,7 @@
     let newest = newest.into_iter().find(|f| f.to_string_lossy().contains("/sessions.")).unwrap();
     std::fs::write(&newest, &whole[..whole.len() - 1]).unwrap();
     one.start(0);
-    one.program(0).logged("torn tail cut off session journal");
+    one.program(0).wait_for_log("torn tail cut off session journal");
     for key in ["ann", "bob"] {
         assert_eq!(read(&mut one.client(0), key).unwrap(), ReadResult::of(1, "primary"));
     }
@@ -280,7 +277,7 @@
     let threads: Vec<_> = (0..20)
         .map(|t| {
             std::thread::spawn(move || {
-                let mut client = instances::connect(addr).unwrap();
+                let mut client = common::instances::connect(addr).unwrap();
                 let keys = (0..SESSIONS / 20).map(|n| format!("member-{}", n * 20 + t));
                 keys.filter(|k| read(&mut client, k).is_err()).count()
             })
@@ -308,12 +305,12 @@
         path.display()
     );
     let mut program = Program::shell(&line);
-    let addr = program.listening();
-    let mut client = instances::connect(addr).unwrap();
+    let addr = program.listening_address();
+    let mut client = common::instances::connect(addr).unwrap();
     for n in 1..=100 {
         write(&mut client, "ann", n).unwrap();
     }
-    program.logged("session journal write failed");
+    program.wait_for_log("session journal write failed");
     assert_eq!(read(&mut client, "ann").unwrap(), ReadResult::of(100, "primary"));
     drop(program);
     one.start(0);
@@ -327,19 +324,19 @@
     for i in 0..2 {
         let path = three.write_config(i, &[0, 1]);
         let mut program = Program::start(&["serve", path.to_str().unwrap()], &[]);
-        let address = program.listening();
+        let address = program.listening_address();
         three.running[i] = Some(RunningInstance { program, address });
     }
     (0..2).for_each(|i| three.wait_for_peers(i));
     // The third takes no named session before all that it names list it.
     three.start(2);
-    three.program(2).logged("commits rejected by session peer peer=1 reason=NotListed");
+    three.program(2).wait_for_log("commits rejected by session peer peer=1 reason=NotListed");
     let rejected = write(&mut three.client(2), "ann", 1).unwrap_err().to_string();
     assert!(rejected.contains("does not list this one"), "{rejected}");
     for i in 0..2 {
         three.write_config(i, &[0, 1, 2]);
         three.program(i).signal(Signal::SIGHUP);
-        three.program(i).logs_next("configuration reloaded");
+        three.program(i).wait_for_next_log("configuration reloaded");
     }
     (0..3)
         .for_each(|i| _ = three.wait_for_status(i, |s| s["relies_on_all"] == true && s["stopped"].is_null()));
@@ -355,7 +352,7 @@
     for i in 0..2 {
         three.write_config(i, &[0, 1]);
         three.program(i).signal(Signal::SIGHUP);
-        three.program(i).logs_next("configuration reloaded");
+        three.program(i).wait_for_next_log("configuration reloaded");
         assert_eq!(three.status(i)["peers"].as_array().unwrap().len(), 1);
     }
     write(&mut three.client(0), "ann", 2).unwrap();
@@ -372,18 +369,18 @@
     };
     let first = two.peer_addresses[0];
     assert!(start_again(&two.write_config(0, &[0, 1])).contains("in use"));
-    two.peer_addresses[0] = instances::ports(1)[0];
+    two.peer_addresses[0] = common::environment::unused_addresses(1)[0];
     assert!(start_again(&two.write_config(0, &[0, 1])).contains("another process uses this folder"));
     // A copy with a folder and an address of its own: the newer one serves, and the older one is told.
     let text = std::fs::read_to_string(two.write_config(0, &[0, 1])).unwrap().replace("kept-0", "kept-copy");
     let path = two.folder.write("copy.toml", &text);
     let mut copy = Program::start(&["serve", path.to_str().unwrap()], &[]);
-    let addr = copy.listening();
-    copy.logged("session peer connected peer=2");
-    two.program(0).logged("instance started again elsewhere");
+    let addr = copy.listening_address();
+    copy.wait_for_log("session peer connected peer=2");
+    two.program(0).wait_for_log("instance started again elsewhere");
     let rejected = write(&mut two.client(0), "ann", 1).unwrap_err().to_string();
     assert!(rejected.contains("a newer start of this instance serves"), "{rejected}");
-    write(&mut instances::connect(addr).unwrap(), "ann", 2).unwrap();
+    write(&mut common::instances::connect(addr).unwrap(), "ann", 2).unwrap();
     assert_eq!(read(&mut two.client(1), "ann").unwrap(), ReadResult::of(2, "primary"));
     assert_ne!(first, two.peer_addresses[0]);
 }
@@ -398,7 +395,7 @@
     {
         let mut socket = std::net::TcpStream::connect(one.peer_addresses[0]).unwrap();
         socket.write_all(bytes).unwrap();
-        socket.set_read_timeout(Some(LONG)).unwrap();
+        socket.set_read_timeout(Some(TIMEOUT)).unwrap();
         _ = socket.shutdown(std::net::Shutdown::Write);
         let mut rest = Vec::new();
         _ = socket.read_to_end(&mut rest);
