--- a/quotas/tests/common/mod.rs
+++ b/quotas/tests/common/mod.rs
@@ -145,7 +145,7 @@
     }
 
     /// The rate and the capacity that a client holds of a tenant.
-    pub(crate) fn held(&self, i: usize, tenant: &str) -> (f64, f64) {
+    pub(crate) fn granted(&self, i: usize, tenant: &str) -> (f64, f64) {
         let metrics = self.clients[i].metrics();
         let tenant = metrics.tenants.iter().find(|metrics| metrics.name == tenant).unwrap();
         (tenant.rate.unwrap(), tenant.capacity.unwrap())
--- a/quotas/tests/exchange.rs
+++ b/quotas/tests/exchange.rs
@@ -39,14 +39,14 @@
     let late = small.respond(report).unwrap();
     small.clients[0].exchange_failed();
     small.deliver(0, late.clone());
-    assert_eq!(small.held(0, "a"), (0.0, 0.0));
+    assert_eq!(small.granted(0, "a"), (0.0, 0.0));
     let report = small.report(0);
     small.deliver(0, late);
-    assert_eq!(small.held(0, "a"), (0.0, 0.0));
+    assert_eq!(small.granted(0, "a"), (0.0, 0.0));
     // The response to the open exchange applies.
     let response = small.respond(report).unwrap();
     small.deliver(0, response);
-    assert_eq!(small.held(0, "a"), (1_000.0, 10.0));
+    assert_eq!(small.granted(0, "a"), (1_000.0, 10.0));
 }
 
 #[test]
@@ -56,14 +56,14 @@
     let mut response = small.respond(report).unwrap();
     response.term = 2;
     small.deliver(0, response);
-    assert_eq!(small.held(0, "a"), (1_000.0, 10.0));
+    assert_eq!(small.granted(0, "a"), (1_000.0, 10.0));
     // Term 1 is over for this router, and its report says so to the node.
     let report = small.report(0);
     assert_eq!(small.respond(report.clone()), None);
     let body = ResponseBody::Renewed { reset: true, reserved_share: None, changes: Vec::new() };
     let old = GrantResponse { term: 1, incarnation: 1, seq: report.seq, version: 1, body };
     small.deliver(0, old);
-    assert_eq!(small.held(0, "a"), (1_000.0, 10.0));
+    assert_eq!(small.granted(0, "a"), (1_000.0, 10.0));
 }
 
 #[test]
@@ -87,9 +87,9 @@
     small.replace_leader(2);
     small.run(2 * SECOND);
     assert!(small.admits(0, "a"));
-    assert_eq!((small.held(0, "a"), small.held(1, "a")), ((50.0, 10.0), (0.0, 0.0)));
+    assert_eq!((small.granted(0, "a"), small.granted(1, "a")), ((50.0, 10.0), (0.0, 0.0)));
     small.run(SECOND);
-    assert_eq!(small.held(1, "a"), (50.0, 10.0));
+    assert_eq!(small.granted(1, "a"), (50.0, 10.0));
 }
 
 /// Restarts the only router, and checks the rate of its next incarnation after a second and after a further lifetime.
@@ -105,9 +105,9 @@
     small.clients[0] = client("r0", 2, None);
     small.learn(0);
     small.run(SECOND);
-    assert_eq!(small.held(0, "a").0, rate_after_a_second);
+    assert_eq!(small.granted(0, "a").0, rate_after_a_second);
     small.run(TTL);
-    assert_eq!(small.held(0, "a").0, 100.0);
+    assert_eq!(small.granted(0, "a").0, 100.0);
 }
 
 #[test]
@@ -125,16 +125,16 @@
     let mut small = SmallFleet::new(fleet(2, 100.0, 20, OnLoss::Closed), 2);
     small.run(SECOND);
     small.commit(fleet(2, 10.0, 4, OnLoss::Closed));
-    assert_eq!(small.held(0, "a"), (5.0, 2.0));
+    assert_eq!(small.granted(0, "a"), (5.0, 2.0));
     small.run(SECOND);
     // Router 1 does not learn the next version: what it has is not renewed, and router 0 waits until it expires.
     let disconnected = small.clients.pop().unwrap();
     small.commit(fleet(2, 200.0, 40, OnLoss::Closed));
     small.clients.push(disconnected);
     small.run(SECOND);
-    assert_eq!(small.held(0, "a"), (5.0, 2.0));
+    assert_eq!(small.granted(0, "a"), (5.0, 2.0));
     assert_eq!(small.exchange(1), Some(ResponseBody::NotRenewed));
     small.run(2 * SECOND);
     assert!(!small.admits(1, "a"));
-    assert_eq!(small.held(0, "a"), (100.0, 20.0));
+    assert_eq!(small.granted(0, "a"), (100.0, 20.0));
 }
--- a/quotas/tests/shares.rs
+++ b/quotas/tests/shares.rs
@@ -38,7 +38,7 @@
     let shares: Vec<_> = small.clients.iter().map(|client| client.metrics().reserved_share).collect();
     assert_eq!(shares, [Some(0), Some(1), Some(2), Some(3), None]);
     for i in 0..4 {
-        assert_eq!(small.held(i, "a"), (10.0, 2.0));
+        assert_eq!(small.granted(i, "a"), (10.0, 2.0));
         assert!(small.admits(i, "a") && small.admits(i, "a") && !small.admits(i, "a"));
     }
 }
@@ -72,11 +72,11 @@
         }
         small.run(EXCHANGE_INTERVAL);
     }
-    let rates: Vec<f64> = (0..4).map(|i| small.held(i, "a").0).collect();
+    let rates: Vec<f64> = (0..4).map(|i| small.granted(i, "a").0).collect();
     assert!(rates[0] >= 10.0 && rates[0] < 25.0 && rates[3] < 1.0, "{rates:?}");
     assert!((rates[1] - rates[2]).abs() < 1.0 && rates[1] > 37.0, "{rates:?}");
     small.run(8 * SECOND);
-    assert!((0..4).all(|i| small.held(i, "a") == (25.0, 10.0)));
+    assert!((0..4).all(|i| small.granted(i, "a") == (25.0, 10.0)));
     assert_eq!(small.allocator.metrics(), AllocatorMetrics { routers: 4, tenants_by_demand: 0 });
 }
 
@@ -98,7 +98,7 @@
     small.run(SECOND);
     small.now += Settings::default().settle_time;
     small.run(SECOND);
-    assert_eq!(small.held(0, "a"), (50.0, 20.0));
+    assert_eq!(small.granted(0, "a"), (50.0, 20.0));
 }
 
 #[test]
@@ -113,17 +113,17 @@
     let with = |on_loss| fleet(2, 100.0, 40, on_loss);
     let mut small = SmallFleet::new(with(OnLoss::Share(0.5)), 2);
     small.run(4 * SECOND);
-    assert_eq!(small.held(0, "a"), (50.0, 20.0));
+    assert_eq!(small.granted(0, "a"), (50.0, 20.0));
     small.commit(with(OnLoss::Closed));
     small.run(2 * SECOND);
-    assert_eq!(small.held(0, "a"), (25.0, 10.0));
+    assert_eq!(small.granted(0, "a"), (25.0, 10.0));
     small.run(SECOND);
-    assert_eq!(small.held(0, "a"), (50.0, 20.0));
+    assert_eq!(small.granted(0, "a"), (50.0, 20.0));
     // And back: granted shares are lowered at once, the fixed ones follow.
     small.commit(with(OnLoss::Share(0.5)));
-    assert_eq!(small.held(0, "a"), (25.0, 10.0));
+    assert_eq!(small.granted(0, "a"), (25.0, 10.0));
     small.run(3 * SECOND);
-    assert_eq!(small.held(0, "a"), (50.0, 20.0));
+    assert_eq!(small.granted(0, "a"), (50.0, 20.0));
 }
 
 #[test]
--- a/test-servers/tests/registry_wire.rs
+++ b/test-servers/tests/registry_wire.rs
@@ -59,13 +59,13 @@
         serde_json::from_str(&body).unwrap_or_default()
     }
 
-    fn ask(&mut self, method: &str, target: &str, headers: &str, body: &str) -> Value {
+    fn exchange(&mut self, method: &str, target: &str, headers: &str, body: &str) -> Value {
         self.send(method, target, headers, body);
         self.read_answer()
     }
 
     fn post(&mut self, path: &str, body: &Value) -> Value {
-        self.ask("POST", path, "", &body.to_string())
+        self.exchange("POST", path, "", &body.to_string())
     }
 }
 
@@ -115,7 +115,7 @@
     client.post("/v3/auth/authenticate", &json!({"name": "router", "password": "wrong"}));
     let token = client.post("/v3/auth/authenticate", &json!({"name": "router", "password": "secret"}));
     let headers = format!("Authorization: {}\r\n", token["token"].as_str().unwrap());
-    client.ask("POST", "/v3/kv/range", &headers, &all.to_string());
+    client.exchange("POST", "/v3/kv/range", &headers, &all.to_string());
     assert_eq!(client.transcript, ETCD);
 }
 
@@ -158,30 +158,30 @@
 fn consul_answers_keep_their_form() {
     let registry = Registry::start(1, None);
     let mut client = Client::connect(&registry);
-    client.ask("GET", "/v1/kv/a/?recurse", "", "");
-    client.ask("PUT", "/v1/kv/a/1", "", "one");
-    client.ask("PUT", "/v1/kv/a/1?cas=0", "", "late");
-    client.ask("PUT", "/v1/kv/a/1?cas=2", "", "two");
-    client.ask("GET", "/v1/kv/a/?recurse", "", "");
-    client.ask("GET", "/v1/kv/a/?recurse&index=3&wait=10ms", "", "");
-    client.ask("GET", "/v1/kv/a/?recurse&index=99&wait=60000ms", "", "");
-    let session = client.ask("PUT", "/v1/session/create", "", "{\"TTL\":\"60s\"}");
+    client.exchange("GET", "/v1/kv/a/?recurse", "", "");
+    client.exchange("PUT", "/v1/kv/a/1", "", "one");
+    client.exchange("PUT", "/v1/kv/a/1?cas=0", "", "late");
+    client.exchange("PUT", "/v1/kv/a/1?cas=2", "", "two");
+    client.exchange("GET", "/v1/kv/a/?recurse", "", "");
+    client.exchange("GET", "/v1/kv/a/?recurse&index=3&wait=10ms", "", "");
+    client.exchange("GET", "/v1/kv/a/?recurse&index=99&wait=60000ms", "", "");
+    let session = client.exchange("PUT", "/v1/session/create", "", "{\"TTL\":\"60s\"}");
     let session = session["ID"].as_str().unwrap().to_string();
-    client.ask("PUT", &format!("/v1/kv/a/2?acquire={session}"), "", "held");
-    client.ask("PUT", "/v1/kv/a/2?acquire=5", "", "unknown session");
-    let other = client.ask("PUT", "/v1/session/create", "", "{}")["ID"].as_str().unwrap().to_string();
-    client.ask("PUT", &format!("/v1/kv/a/2?acquire={other}"), "", "another session");
-    client.ask("PUT", &format!("/v1/session/renew/{session}"), "", "");
-    client.ask("PUT", &format!("/v1/session/destroy/{session}"), "", "");
-    client.ask("PUT", &format!("/v1/session/renew/{session}"), "", "");
-    client.ask("GET", "/v1/kv/a/?recurse", "", "");
-    client.ask("DELETE", "/v1/kv/a/1", "", "");
-    client.ask("GET", "/v1/health/service/db", "", "");
+    client.exchange("PUT", &format!("/v1/kv/a/2?acquire={session}"), "", "held");
+    client.exchange("PUT", "/v1/kv/a/2?acquire=5", "", "unknown session");
+    let other = client.exchange("PUT", "/v1/session/create", "", "{}")["ID"].as_str().unwrap().to_string();
+    client.exchange("PUT", &format!("/v1/kv/a/2?acquire={other}"), "", "another session");
+    client.exchange("PUT", &format!("/v1/session/renew/{session}"), "", "");
+    client.exchange("PUT", &format!("/v1/session/destroy/{session}"), "", "");
+    client.exchange("PUT", &format!("/v1/session/renew/{session}"), "", "");
+    client.exchange("GET", "/v1/kv/a/?recurse", "", "");
+    client.exchange("DELETE", "/v1/kv/a/1", "", "");
+    client.exchange("GET", "/v1/health/service/db", "", "");
     registry.set_service("db", json!([{"Service": {"ID": "db-1", "Port": 3306}}]));
-    client.ask("GET", "/v1/health/service/db", "X-Consul-Token: t\r\n", "");
-    client.ask("PUT", "/v1/session/other/1", "", "");
-    client.ask("GET", "/v1/nothing", "", "");
+    client.exchange("GET", "/v1/health/service/db", "X-Consul-Token: t\r\n", "");
+    client.exchange("PUT", "/v1/session/other/1", "", "");
+    client.exchange("GET", "/v1/nothing", "", "");
     registry.update_faults(0, |f| (f.stale_at_revision, f.leaderless) = (Some(2), true));
-    client.ask("GET", "/v1/health/service/db", "", "");
+    client.exchange("GET", "/v1/health/service/db", "", "");
     assert_eq!(client.transcript, CONSUL);
 }
--- a/tests/command.rs
+++ b/tests/command.rs
@@ -6,7 +6,7 @@
 const FILE: &str =
     "[mysql]\nlisten = '127.0.0.1:0'\ndatabase = 'stock'\nserver_user = 'r'\nprobe = 'SELECT 1'\n";
 
-fn said(arguments: &[&str]) -> (Option<i32>, String, String) {
+fn run_to_exit(arguments: &[&str]) -> (Option<i32>, String, String) {
     let mut program = Program::start(arguments, &[]);
     program.child.wait().unwrap();
     let log = program.log.iter().collect::<Vec<_>>().join("\n");
@@ -16,16 +16,16 @@
 
 #[test]
 fn help_and_version_are_there_and_a_wrong_call_says_how() {
-    let (code, out, _) = said(&["--help"]);
+    let (code, out, _) = run_to_exit(&["--help"]);
     assert_eq!(code, Some(0));
     for name in ["serve", "check", "ctl", "requests", "replay", "sessions", "fleet"] {
         assert!(out.contains(name), "{out}");
     }
-    assert!(said(&["--version"]).1.starts_with("damsonvale "));
-    let (code, _, log) = said(&["replay", "x.pcap", "nowhere"]);
+    assert!(run_to_exit(&["--version"]).1.starts_with("damsonvale "));
+    let (code, _, log) = run_to_exit(&["replay", "x.pcap", "nowhere"]);
     assert!(code != Some(0) && log.contains("nowhere"), "{log}");
     // Without arguments it is a router of the platform, which has to be told where its configuration is.
-    let (code, _, log) = said(&[]);
+    let (code, _, log) = run_to_exit(&[]);
     assert!(code == Some(1) && log.contains("program failed error=BALANCER_CONFIG: expected"), "{log}");
 }
 
@@ -34,7 +34,7 @@
     let folder = TestFolder::new();
     let check = |more: &str| {
         let path = folder.write("it.toml", &format!("{FILE}{more}"));
-        said(&["check", path.to_str().unwrap()])
+        run_to_exit(&["check", path.to_str().unwrap()])
     };
     let sessions = "[sessions]\ninstance = 1\nlisten = '127.0.0.1:0'\n";
     let (code, out, _) = check(&format!("{sessions}[[sessions.peer]]\ninstance = 2\naddr = '127.0.0.1:7'\n"));
@@ -65,7 +65,7 @@
 fn the_files_that_are_shipped_can_be_used() {
     for name in ["mysql.toml", "sessions.toml", "registry.toml"] {
         let path = format!("{}/deploy/{name}", env!("CARGO_MANIFEST_DIR"));
-        let (code, out, log) = said(&["check", &path]);
+        let (code, out, log) = run_to_exit(&["check", &path]);
         assert!(code == Some(0) && out.contains("can be used"), "{name}: {log}");
     }
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -55,7 +55,7 @@
     }
 }
 
-fn say(mut to: &TcpStream, text: &str) {
+fn write_chunk(mut to: &TcpStream, text: &str) {
     to.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).unwrap();
 }
 
@@ -64,7 +64,7 @@
     SockRef::from(&socket).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-fn news(version: u64, full: bool, servers: &[Value]) -> String {
+fn list_update(version: u64, full: bool, servers: &[Value]) -> String {
     json!({"version": version, "full": full, "servers": servers}).to_string() + "\n"
 }
 
@@ -96,7 +96,7 @@
         let path = folder.write("config.json", &config.to_string());
         let mut router = start(path.to_str().unwrap());
         let (_, old) = agent.watch();
-        say(&old, &news(50, true, &known));
+        write_chunk(&old, &list_update(50, true, &known));
         let last = Instant::now();
         router.wait_for_log("endpoint list applied version=50 endpoints=2 ready=2 ");
         let addr = router.listening_address();
@@ -109,7 +109,7 @@
     }
 
     fn drains(&self, version: u64) -> String {
-        news(version, false, &[self.replica.entry("terminating")])
+        list_update(version, false, &[self.replica.entry("terminating")])
     }
 
     /// From now on the replica gets nothing.
@@ -170,10 +170,10 @@
     let (index, _head) = site.agent.watch();
     assert_eq!(index, "50");
     let (_, half) = site.agent.watch();
-    say(&half, &site.drains(51)[..30]);
+    write_chunk(&half, &site.drains(51)[..30]);
     let (index, new) = site.agent.watch();
     assert_eq!(index, "50");
-    say(&new, &site.drains(51));
+    write_chunk(&new, &site.drains(51));
     site.router.wait_for_log("endpoint list applied version=51 ");
     assert!(site.last.elapsed() < Duration::from_secs(6), "{:?}", site.last.elapsed());
     site.drained(51);
@@ -187,13 +187,16 @@
     let mut site = Site::start();
     let (_, _mute) = site.agent.next();
     // Version 51 never comes on the old one: the replica drains. 52 does.
-    say(site.old(), &news(52, false, &[site.primary.entry("in_service")]));
+    write_chunk(site.old(), &list_update(52, false, &[site.primary.entry("in_service")]));
     site.router.wait_for_log("endpoint list applied version=52 endpoints=2 ready=2 ");
     // One that was opened before may have asked before.
     _ = site.agent.next();
     let (index, new) = site.agent.watch();
     assert_eq!(index, "50", "what the old watch missed is asked for");
-    say(&new, &news(52, false, &[site.replica.entry("terminating"), site.primary.entry("in_service")]));
+    write_chunk(
+        &new,
+        &list_update(52, false, &[site.replica.entry("terminating"), site.primary.entry("in_service")]),
+    );
     site.drained(52);
 }
 
@@ -201,20 +204,20 @@
 fn reset_during_change_loses_no_update() {
     let mut site = Site::start();
     let change = site.drains(51);
-    say(site.old(), &change[..change.len() / 2]);
+    write_chunk(site.old(), &change[..change.len() / 2]);
     reset(site.old.take().unwrap());
     // The same under a head alone, under the first byte of the line and under its last but one.
     for cut in [0, 1, change.len() - 2] {
         let (index, socket) = site.agent.watch();
         assert_eq!(index, "50", "half a change is none");
         if cut > 0 {
-            say(&socket, &change[..cut]);
+            write_chunk(&socket, &change[..cut]);
         }
         reset(socket);
     }
     let (index, new) = site.agent.watch();
     assert_eq!(index, "50");
-    say(&new, &change);
+    write_chunk(&new, &change);
     site.drained(51);
 }
 
@@ -231,7 +234,7 @@
     assert_eq!(index, "50");
     let (index, socket) = new.watch();
     assert_eq!(index, "50");
-    say(&socket, &site.drains(51));
+    write_chunk(&socket, &site.drains(51));
     site.router.wait_for_log("endpoint list applied version=51 ");
     assert!(moved.elapsed() < Duration::from_secs(4), "{:?}", moved.elapsed());
     site.drained(51);
@@ -242,16 +245,16 @@
     let mut site = Site::start();
     site.moves(unused_addresses(1)[0]);
     site.router.wait_for_log("discovery watch broken");
-    say(site.old(), &site.drains(51));
+    write_chunk(site.old(), &site.drains(51));
     site.drained(51);
-    let up = news(52, false, &[site.replica.entry("in_service")]);
-    say(site.old(), &up);
+    let up = list_update(52, false, &[site.replica.entry("in_service")]);
+    write_chunk(site.old(), &up);
     site.router.wait_for_log("endpoint list applied version=52 endpoints=2 ready=2 ");
     let new = Agent::start();
     site.moves(new.addr);
     let (index, socket) = new.watch();
     assert_eq!(index, "52");
-    say(&socket, &site.drains(53));
+    write_chunk(&socket, &site.drains(53));
     site.drained(53);
 }
 
@@ -335,7 +338,7 @@
     let mute: Vec<_> = (0..10).map(|_| site.agent.next()).collect();
     assert!(mute.iter().all(|(index, _)| index == "50"));
     let (_, new) = site.agent.watch();
-    say(&new, &site.drains(51));
+    write_chunk(&new, &site.drains(51));
     site.drained(51);
     let next = Agent::start();
     let mut moved = config(next.addr, vec![]);
@@ -344,7 +347,7 @@
     site.router.signal(Signal::SIGHUP);
     let (index, socket) = next.watch();
     assert_eq!(index, "51");
-    say(&socket, &news(52, false, &[site.replica.entry("in_service")]));
+    write_chunk(&socket, &list_update(52, false, &[site.replica.entry("in_service")]));
     site.router.wait_for_log("endpoint list applied version=52 endpoints=2 ready=2 ");
     Client::connect(site.addr).query_until_served_by(&select("back", 1900), "replica");
     assert_eq!(Client::connect(site.addr).query(&insert("w1", 1900)), served("primary"));
@@ -371,12 +374,12 @@
     for _ in 0..5 {
         let (index, mut socket) = site.agent.watch();
         assert_eq!(index, "50");
-        say(&socket, "{\"version\":51,\"x\":\"");
+        write_chunk(&socket, "{\"version\":51,\"x\":\"");
         while socket.write_all(bytes.as_bytes()).is_ok() {}
     }
     site.router.wait_for_log("longer than 4194304 bytes");
     let (_, socket) = site.agent.watch();
-    say(&socket, &site.drains(51));
+    write_chunk(&socket, &site.drains(51));
     site.drained(51);
     let grown = peak(&site.router) - before;
     assert!(grown < 64, "{grown} MiB more");
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -116,10 +116,10 @@
             let (mut worst, mut answers, mut refused) = (Duration::ZERO, 0_u32, 0);
             while answers == 0 || !own.load(Ordering::SeqCst) {
                 let (asked, sql) = (Instant::now(), select(&format!("other{answers}"), 1900));
-                let answer = ask(&socket, &sql).or_else(|_| {
+                let answer = query(&socket, &sql).or_else(|_| {
                     // A router may close a connection between requests; the client asks once more on another.
                     socket = connect(addr)?;
-                    ask(&socket, &sql)
+                    query(&socket, &sql)
                 });
                 match answer.expect("an answer") {
                     (got, _) if got == value.as_bytes() => {}
@@ -141,7 +141,7 @@
     }
 
     /// Holds the flood against its bounds; `room` says that it left instances room for everybody.
-    fn held(&self, asker: Asker, descriptors: usize, room: bool) {
+    fn assert_bounds_held(&self, asker: Asker, descriptors: usize, room: bool) {
         self.back_to(descriptors);
         asker.over.store(true, Ordering::SeqCst);
         let others = asker.asks.join().expect("others are answered");
@@ -163,7 +163,7 @@
 }
 
 /// The value or the code of an error that comes back.
-fn ask(mut socket: &TcpStream, sql: &str) -> std::io::Result<(Vec<u8>, String)> {
+fn query(mut socket: &TcpStream, sql: &str) -> std::io::Result<(Vec<u8>, String)> {
     socket.write_all(&message(b'Q', format!("{sql}\0").as_bytes()))?;
     let (mut value, mut code) = (Vec::new(), String::new());
     loop {
@@ -244,7 +244,7 @@
         send_much(site.addr, &head, &piece);
         println!("{name}: {:?}, {} MiB", begun.elapsed(), site.peak());
     }
-    site.held(asker, before, true);
+    site.assert_bounds_held(asker, before, true);
 }
 
 #[test]
@@ -260,7 +260,7 @@
             }
         }
     });
-    site.held(asker, before, false);
+    site.assert_bounds_held(asker, before, false);
 }
 
 #[test]
@@ -284,7 +284,7 @@
             assert_ne!(e.kind(), std::io::ErrorKind::WouldBlock, "it is not let go");
         }
     }
-    site.held(asker, before, true);
+    site.assert_bounds_held(asker, before, true);
 }
 
 #[test]
@@ -308,6 +308,6 @@
         })
         .collect();
     // Ended by the router, with nothing read.
-    site.held(asker, before, false);
+    site.assert_bounds_held(asker, before, false);
     drop(all);
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -62,17 +62,17 @@
     }
 
     /// A client's request has come to the module; they are counted from 0 on.
-    fn came(&mut self, request: usize) {
+    fn wait_for_request(&mut self, request: usize) {
         self.router.wait_for_log(&format!("event=RequestArrived(Request {{ id: RequestId({request}),"));
     }
 
     /// So many requests of some client have been given up with it.
-    fn left(&mut self, requests: usize) {
+    fn wait_for_disconnect(&mut self, requests: usize) {
         self.router.wait_for_log(&format!("client disconnected requests={requests} "));
     }
 
     /// Whether an attempt was ever wanted for a request. Lines come in the order in which the module decides.
-    fn sent(&mut self, request: usize) -> bool {
+    fn was_attempt_started(&mut self, request: usize) -> bool {
         let line = format!("action=Send {{ request: RequestId({request}),");
         self.router.log_lines().iter().any(|l| l.contains(&line))
     }
@@ -122,13 +122,13 @@
         let mut site = Site::start(vec![]);
         let client = Client::connect(site.addr);
         client.send(&insert("w1", 7900));
-        site.came(0);
+        site.wait_for_request(0);
         end(client);
-        site.left(1);
+        site.wait_for_disconnect(1);
         site.list(std::slice::from_ref(&entry));
         // The id is free again, too.
         Client::connect(site.addr).query_until_served_by(&insert("w1", 7900), "primary");
-        assert!(!site.sent(0));
+        assert!(!site.was_attempt_started(0));
     }
     assert_eq!(instance.executions_of("w1"), 3);
 }
@@ -140,13 +140,13 @@
     let client = Client::connect(site.addr);
     let both = [query(&insert("w1", 7900)), query(&insert("w2", 7900)), behind.to_vec()].concat();
     (&client.0).write_all(&both).unwrap();
-    site.came(0);
-    site.came(1);
+    site.wait_for_request(0);
+    site.wait_for_request(1);
     end(client);
-    site.left(2);
+    site.wait_for_disconnect(2);
     site.list(&[entry]);
     Client::connect(site.addr).query_until_served_by(&insert("w3", 7900), "primary");
-    assert!(!site.sent(0) && !site.sent(1));
+    assert!(!site.was_attempt_started(0) && !site.was_attempt_started(1));
     assert_eq!(instance.executions_of("w1") + instance.executions_of("w2"), 0);
 }
 
@@ -220,7 +220,7 @@
     (&client.0)
         .write_all(&[query(&insert("w1", 7900)), query(&insert("w2", 7900)), broken].concat())
         .unwrap();
-    site.came(1);
+    site.wait_for_request(1);
     site.list(&[entry]);
     assert_eq!([client.response(), client.response()], [served("primary"), served("primary")]);
     let (tag, why) = read_message(&client.0).unwrap();
@@ -235,17 +235,17 @@
         (Client::connect(site.addr), Client::connect(site.addr), Client::connect(site.addr));
     assert_eq!(witness.query(""), Response::Empty);
     leaves.send(&insert("w1", 7900));
-    site.came(0);
+    site.wait_for_request(0);
     stays.send(&insert("w2", 7900));
-    site.came(1);
+    site.wait_for_request(1);
     site.router.terminate();
     site.router.wait_for_log("shutdown started");
     // Half a command keeps its connection until nothing more is read of anybody.
     (&witness.0).write_all(b"Q\0\x02\0\0SELECT").unwrap();
     while read_message(&witness.0).is_ok() {}
     drop(leaves);
-    site.left(1);
-    assert!(!site.sent(0));
+    site.wait_for_disconnect(1);
+    assert!(!site.was_attempt_started(0));
     // Nobody can take it: it is refused when its time is up, and not before.
     assert!(matches!(stays.response(), Response::Error(code, _) if code == "53300"));
     site.router.wait_for_log("shutdown ended connections=0");
@@ -334,7 +334,7 @@
 fn connecting_attempt_of_disconnected_client_writes_nothing() {
     ends_while_it_dials(|site, client, _| {
         drop(client);
-        site.left(1);
+        site.wait_for_disconnect(1);
     });
 }
 
@@ -345,7 +345,7 @@
     let client = Client::connect(site.addr);
     for n in 0..64 {
         client.send(&insert(&format!("w{n}"), 7900));
-        site.came(n);
+        site.wait_for_request(n);
     }
     // The writer has the first and 63 wait behind it: of these two, one has a place yet.
     (&client.0).write_all(&[query(&insert("x1", 7900)), query(&insert("x2", 7900))].concat()).unwrap();
@@ -424,13 +424,13 @@
     let mut site = Site::start(vec![]);
     let (client, key) = keyed(site.addr);
     client.send(&insert("w1", 7900));
-    site.came(0);
+    site.wait_for_request(0);
     cancel(site.addr, key);
     hears_of_the_cancel(&client);
     site.list(&[entry]);
     // One answer only, and the id is free.
     assert_eq!(client.query(&insert("w1", 7900)), served("primary"));
-    assert!(!site.sent(0));
+    assert!(!site.was_attempt_started(0));
     assert_eq!(instance.executions_of("w1"), 1);
 }
 
@@ -465,8 +465,8 @@
     let mut site = Site::start(vec![]);
     let (client, key) = keyed(site.addr);
     (&client.0).write_all(&[query(&insert("w1", 7900)), query(&insert("w2", 7900))].concat()).unwrap();
-    site.came(0);
-    site.came(1);
+    site.wait_for_request(0);
+    site.wait_for_request(1);
     cancel(site.addr, key);
     hears_of_the_cancel(&client);
     site.list(&[entry]);
@@ -481,9 +481,9 @@
     let (client, key) = keyed(site.addr);
     let (gone, of_another) = keyed(site.addr);
     drop(gone);
-    site.left(0);
+    site.wait_for_disconnect(0);
     client.send(&insert("w1", 7900));
-    site.came(0);
+    site.wait_for_request(0);
     let mut wrong = key;
     wrong[7] ^= 1;
     cancel(site.addr, wrong);
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -114,7 +114,7 @@
 
     /// The most statements at the server at once while 72 clients ask at these routers, more than they may send: the
     /// places that they hold there.
-    fn held(&self, routers: &[usize], at_least: usize) -> usize {
+    fn peak_statements(&self, routers: &[usize], at_least: usize) -> usize {
         // A few answers first, so that links are open and the server is known.
         let addrs: Vec<SocketAddr> = routers.iter().map(|r| self.running[*r].as_ref().unwrap().1).collect();
         for addr in &addrs {
@@ -143,7 +143,7 @@
     }
 
     /// Whether a line with this text was written so far.
-    fn said(&mut self, i: usize, text: &str) -> Option<String> {
+    fn find_log_line(&mut self, i: usize, text: &str) -> Option<String> {
         self.program(i).log_lines().iter().find(|l| l.contains(text)).cloned()
     }
 }
@@ -157,8 +157,8 @@
     let mut all = Routers::started(12, 1, false);
     let everybody: Vec<usize> = (0..12).collect();
     // Once to learn what the server bears, and once to see what is held.
-    all.held(&everybody, 12);
-    let before = all.held(&everybody, 24);
+    all.peak_statements(&everybody, 12);
+    let before = all.peak_statements(&everybody, 24);
     (4..12).for_each(|i| all.kill(i));
     let killed = Instant::now();
     for i in 0..4 {
@@ -168,11 +168,11 @@
     }
     assert!(killed.elapsed() < Duration::from_secs(15), "{:?}", killed.elapsed());
     let four: Vec<usize> = (0..4).collect();
-    let wide = all.held(&four, before + 6);
+    let wide = all.peak_statements(&four, before + 6);
     // Eight come at once: from the moment at which the last one serves there are no more places than before.
     (4..12).for_each(|i| all.start(i));
     (4..12).for_each(|i| all.serves(i));
-    let after = all.held(&everybody, 12);
+    let after = all.peak_statements(&everybody, 12);
     (0..4).for_each(|i| _ = all.program(i).wait_for_next_log(&share(12)));
     for i in 4..12 {
         let first = all.program(i).wait_for_log("router_count=");
@@ -201,8 +201,8 @@
     }
     all.program(3).wait_for_log("Rejoined(");
     // It has heard that all others live after it was back, and never took one for dead nor widened its share.
-    assert_eq!(all.said(3, "membership changed change=Down("), None);
-    assert_eq!(all.said(3, &share(3)), None);
+    assert_eq!(all.find_log_line(3, "membership changed change=Down("), None);
+    assert_eq!(all.find_log_line(3, &share(3)), None);
 }
 
 #[test]
@@ -215,7 +215,7 @@
         assert!(begun.elapsed() < TIMEOUT * 3, "the cut way was used {} times", all.ways[2].counts().lost);
         std::thread::park_timeout(RHYTHM / 4);
     }
-    (0..5).for_each(|i| assert_eq!(all.said(i, "membership changed change=Down("), None));
+    (0..5).for_each(|i| assert_eq!(all.find_log_line(i, "membership changed change=Down("), None));
     // The same way cut for all is a router that nobody reaches, or this test could not fail.
     all.ways[2].update_faults(|f| f.cut = true);
     all.program(0).wait_for_log("membership changed change=Down(Member { name: \"r2\"");
@@ -238,7 +238,7 @@
     (1..8).for_each(|i| all.ways[i].update_faults(|f| f.cut_from = vec![listen[0].into()]));
     all.program(0).wait_for_next_log(&share(4));
     all.program(1).wait_for_next_log(&share(7));
-    assert!((1..4).all(|n| all.said(0, &share(n)).is_none()));
+    assert!((1..4).all(|n| all.find_log_line(0, &share(n)).is_none()));
 }
 
 #[test]
@@ -255,9 +255,9 @@
     // The second one goes; the others widen, the first one does not.
     drop(second);
     all.program(0).wait_for_next_log(&share(2));
-    assert_eq!(all.said(2, &share(2)), None);
+    assert_eq!(all.find_log_line(2, &share(2)), None);
     // It serves on all the same.
-    assert!(all.held(&[2], 1) >= 1);
+    assert!(all.peak_statements(&[2], 1) >= 1);
     // One that is ended says farewell.
     all.program(1).terminate();
     all.program(1).wait_for_log("membership ended reason=Left");
@@ -334,7 +334,7 @@
         let mut left: Vec<usize> = (0..gone).collect();
         while !left.is_empty() {
             left.retain(|i| {
-                let known = all.said(*i, &text).is_some();
+                let known = all.find_log_line(*i, &text).is_some();
                 if known {
                     times.push(killed.elapsed().as_secs_f64());
                 }
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -492,7 +492,7 @@
     }
 
     /// Sends a command and reads as many payloads.
-    fn ask(&self, command: &[u8], answers: usize) -> Vec<Vec<u8>> {
+    fn exchange(&self, command: &[u8], answers: usize) -> Vec<Vec<u8>> {
         (&self.0).write_all(&packets(0, &[command])).unwrap();
         let answer = |i| {
             let (sequence, payload) = read(&self.0).unwrap();
@@ -503,7 +503,7 @@
     }
 
     fn error(&self, command: &[u8]) -> u16 {
-        let answer = &self.ask(command, 1)[0];
+        let answer = &self.exchange(command, 1)[0];
         assert_eq!(answer[0], 0xff, "{answer:?}");
         u16::from_le_bytes([answer[1], answer[2]])
     }
@@ -542,7 +542,7 @@
     let site = Site::start();
     let raw = Raw::connect(site.addr);
     let sql = "SELECT who FROM stock WHERE note = ? /* c=any-read */";
-    let prepared = raw.ask(&[&[22][..], sql.as_bytes()].concat(), 5);
+    let prepared = raw.exchange(&[&[22][..], sql.as_bytes()].concat(), 5);
     let id = prepared[0][1..5].to_vec();
     // A long parameter in two parts, with packets that come split.
     for part in [b"abc", b"def"] {
@@ -551,13 +551,13 @@
     }
     // With a cursor: columns at once, rows as they are fetched.
     let execute = [&[23][..], &id, &[1, 1, 0, 0, 0, 0, 1, 0xfc, 0]].concat();
-    let head = raw.ask(&execute, 3);
+    let head = raw.exchange(&execute, 3);
     assert_eq!(head[2], [0xfe, 0, 0, 66, 0]);
     assert_eq!(site.replica.0.state.lock().unwrap().long, b"abcdef");
     let fetch = |n: u8| [&[28][..], &id, &[n, 0, 0, 0]].concat();
-    assert_eq!(raw.ask(&fetch(2), 3)[2], [0xfe, 0, 0, 66, 0]);
-    assert_eq!(raw.ask(&fetch(2), 2)[1], [0xfe, 0, 0, 130, 0]);
-    assert_eq!(raw.ask(&[&[26][..], &id].concat(), 1)[0][0], 0);
+    assert_eq!(raw.exchange(&fetch(2), 3)[2], [0xfe, 0, 0, 66, 0]);
+    assert_eq!(raw.exchange(&fetch(2), 2)[1], [0xfe, 0, 0, 130, 0]);
+    assert_eq!(raw.exchange(&[&[26][..], &id].concat(), 1)[0][0], 0);
     assert_eq!(raw.error(&fetch(1)), 1421);
     // Types that were never sent, ids that are not known, commands that are not spoken.
     assert_eq!(raw.error(&[&[23][..], &id, &[0, 1, 0, 0, 0]].concat()), 1210);
@@ -565,10 +565,10 @@
     assert_eq!(raw.error(&[23, 9]), 1835);
     assert_eq!(raw.error(&[17]), 1047);
     assert_eq!(raw.error(&[27, 0, 0]), 1235);
-    assert_eq!(raw.ask(&[27, 1, 0], 1)[0], EOF);
+    assert_eq!(raw.exchange(&[27, 1, 0], 1)[0], EOF);
     (&raw.0).write_all(&packets(0, &[&[&[25][..], &id].concat()])).unwrap();
     assert_eq!(raw.error(&execute), 1243);
-    assert_eq!(raw.ask(&[31], 1)[0][0], 0);
+    assert_eq!(raw.exchange(&[31], 1)[0][0], 0);
     // Too long: told, and closed.
     let long = Raw::connect(site.addr);
     assert_eq!(long.error(&[3; 200_000]), 1153);
--- a/tests/one_fleet.rs
+++ b/tests/one_fleet.rs
@@ -161,7 +161,7 @@
     }
 
     /// What the servers have run since, which must not be more than the quota allows in that time.
-    fn within(&self, from: usize, begun: Instant, rate: f64, burst: u32) -> usize {
+    fn assert_within_quota(&self, from: usize, begun: Instant, rate: f64, burst: u32) -> usize {
         let ran = self.writes() - from;
         let most = rate * begun.elapsed().as_secs_f64() + f64::from(burst);
         assert!(ran as f64 <= most, "{ran} of {most}");
@@ -306,21 +306,21 @@
     let (before, begun) = (all.writes(), Instant::now());
     let load = Load::start(&all, &[0, 1, 2, 3, 4], tills);
     std::thread::sleep(Duration::from_millis(1500));
-    let ran = all.within(before, begun, RATE, BURST);
+    let ran = all.assert_within_quota(before, begun, RATE, BURST);
     assert!(ran as f64 >= 0.5 * RATE * begun.elapsed().as_secs_f64(), "{ran}");
     // With all that it has lent out.
     all.running[leader] = None;
     std::thread::sleep(LOAN);
-    all.within(before, begun, RATE, BURST);
+    all.assert_within_quota(before, begun, RATE, BURST);
     // All that the one before had lent is over: the next leader lends.
     all.more(100);
-    all.within(before, begun, RATE, BURST);
+    all.assert_within_quota(before, begun, RATE, BURST);
     let lowered = version(all.set(&document(5, RATE / 10.0, BURST / 6, ""), &[]));
     all.followed(lowered);
     std::thread::sleep(LOAN);
     let (before, begun) = (all.writes(), Instant::now());
     all.more(BURST as usize / 6 + 5);
-    all.within(before, begun, RATE / 10.0, BURST / 6);
+    all.assert_within_quota(before, begun, RATE / 10.0, BURST / 6);
     load.end();
 }
 
@@ -334,13 +334,13 @@
     all.more(100);
     all.program(leader).signal(Signal::SIGSTOP);
     std::thread::sleep(LOAN);
-    all.within(before, begun, 200.0, 60);
+    all.assert_within_quota(before, begun, 200.0, 60);
     // Others lend by now; it comes back with loans that it still counts as its own.
     all.more(50);
     all.program(leader).signal(Signal::SIGCONT);
     all.served(leader, "tills");
     all.more(100);
-    all.within(before, begun, 200.0, 60);
+    all.assert_within_quota(before, begun, 200.0, 60);
     load.end();
 }
 
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -1,4 +1,4 @@
-//! The router run by its operators: their door, its figures, instances held by hand, drains, and the process replaced
+//! The router run by its operators: their address, its figures, instances held by hand, drains, and the process replaced
 //! while it serves. Several processes of the program between stand-in clients, instances and discovery.
 mod common;
 use command_fds::{CommandFdExt, FdMapping};
@@ -37,7 +37,7 @@
 /// One process of the router.
 struct Router {
     program: Program,
-    door: SocketAddr,
+    admin: SocketAddr,
 }
 
 /// One that listens for clients at an address of its own, so that a test chooses which process it asks.
@@ -57,16 +57,16 @@
         Site { listener, addr, discovery, primary, replica, folder, agent, sockets: 256 }
     }
 
-    fn config(&self, door: SocketAddr) -> Value {
+    fn config(&self, admin: SocketAddr) -> Value {
         let known = vec![self.primary.0.entry("in_service"), self.replica.0.entry("in_service")];
         let mut config = config(self.agent, known);
-        config["admin_addr"] = json!(door.to_string());
+        config["admin_addr"] = json!(admin.to_string());
         config["limits"]["sockets"] = json!(self.sockets);
         config
     }
 
-    fn command(&self, door: SocketAddr, config: &Value) -> Command {
-        let name = format!("config-{}.json", door.port());
+    fn command(&self, admin: SocketAddr, config: &Value) -> Command {
+        let name = format!("config-{}.json", admin.port());
         let path = self.folder.write(&name, &config.to_string());
         let mut command = Command::new(env!("CARGO_BIN_EXE_damsonvale"));
         command.env_clear().env("BALANCER_CONFIG", path).env("TMPDIR", self.folder.path());
@@ -76,12 +76,12 @@
     /// Two processes that serve as one router, each at an address of its own and each counting the other.
     fn pair(&self, change: impl Fn(&mut Value)) -> [Apart; 2] {
         let start = |_| {
-            let door = unused_addresses(1)[0];
-            let mut config = self.config(door);
+            let admin = unused_addresses(1)[0];
+            let mut config = self.config(admin);
             change(&mut config);
-            let mut program = Program::run(self.command(door, &config));
+            let mut program = Program::run(self.command(admin, &config));
             let addr = program.listening_address();
-            Apart { router: Router { program, door }, addr }
+            Apart { router: Router { program, admin }, addr }
         };
         let mut both = [0, 1].map(start);
         for one in &mut both {
@@ -89,7 +89,7 @@
             let line = one.router.program.wait_for_log(both);
             assert!(line.ends_with(both), "{line}");
             // Whoever is asked has told the rest of the process.
-            one.router.yes("STATUS");
+            one.router.assert_accepted("STATUS");
         }
         both
     }
@@ -103,12 +103,12 @@
     }
 
     /// Starts a process that takes the platform's socket over, without waiting for it.
-    fn launch(&self, door: SocketAddr) -> Router {
-        let mut command = self.command(door, &self.config(door));
+    fn launch(&self, admin: SocketAddr) -> Router {
+        let mut command = self.command(admin, &self.config(admin));
         command.env("BALANCER_PASSED_SOCKET", "3");
         let parent_fd = self.listener.try_clone().unwrap().into();
         command.fd_mappings(vec![FdMapping { parent_fd, child_fd: 3 }]).unwrap();
-        Router { program: Program::run(command), door }
+        Router { program: Program::run(command), admin }
     }
 
     /// Starts one and waits until it says yes.
@@ -128,9 +128,9 @@
 
 impl Router {
     /// What a call is answered; nothing where nobody listens yet.
-    fn ask(&self, line: &str) -> String {
+    fn run_command(&self, line: &str) -> String {
         let mut text = String::new();
-        if let Ok(mut socket) = TcpStream::connect(self.door) {
+        if let Ok(mut socket) = TcpStream::connect(self.admin) {
             socket.set_read_timeout(Some(TIMEOUT)).unwrap();
             socket.write_all(format!("{line}\n").as_bytes()).unwrap();
             _ = socket.read_to_string(&mut text);
@@ -138,13 +138,13 @@
         text
     }
 
-    fn yes(&self, line: &str) {
-        let answer = self.ask(line);
+    fn assert_accepted(&self, line: &str) {
+        let answer = self.run_command(line);
         assert!(answer.starts_with("200"), "{line}: {answer}");
     }
 
-    fn no(&self, line: &str) {
-        let answer = self.ask(line);
+    fn assert_rejected(&self, line: &str) {
+        let answer = self.run_command(line);
         assert!(answer.starts_with("400"), "{line}: {answer}");
     }
 
@@ -152,7 +152,7 @@
     fn until(&self, line: &str, holds: &str) {
         let begun = Instant::now();
         loop {
-            let answer = self.ask(line);
+            let answer = self.run_command(line);
             if answer.contains(holds) {
                 return;
             }
@@ -161,7 +161,7 @@
     }
 
     fn figures(&self) -> HashMap<String, u64> {
-        let text = self.ask("METRICS");
+        let text = self.run_command("METRICS");
         assert!(text.ends_with("EOF\n"), "{text}");
         let line = |l: &str| l.split_once('=').map(|(k, v)| (k.to_string(), v.parse().unwrap()));
         text.lines().filter_map(line).collect()
@@ -240,10 +240,10 @@
     let router = site.start();
     let client = site.warm();
     let (_, lines) = site.discovery.next_watch();
-    router.no("SUSPEND nobody");
-    router.no("RESTORE replica");
-    router.yes("SUSPEND replica");
-    router.yes("SUSPEND replica");
+    router.assert_rejected("SUSPEND nobody");
+    router.assert_rejected("RESTORE replica");
+    router.assert_accepted("SUSPEND replica");
+    router.assert_accepted("SUSPEND replica");
     router.until("METRICS", "router.cluster_unhealthy=1\n");
     while site.replica.1.try_recv().is_ok() {}
     let connections = || site.replica.0.connections.load(Ordering::SeqCst);
@@ -264,14 +264,14 @@
     reads(20, 20);
     news(43, true, json!([site.primary.0.entry("in_service")]));
     router.until("METRICS", "router.cluster_size=1\n");
-    router.yes("SUSPEND replica");
+    router.assert_accepted("SUSPEND replica");
     news(44, false, json!([restarted]));
     router.until("METRICS", "router.cluster_size=2\n");
     reads(40, 20);
     assert_eq!((connections(), site.replica.1.try_recv().ok()), (held_at, None), "nothing went there");
     // Two calls out, one back.
-    router.yes("RESTORE replica");
-    router.no("RESTORE replica");
+    router.assert_accepted("RESTORE replica");
+    router.assert_rejected("RESTORE replica");
     // It may have been restarted: cold from now on, it gets a part of the reads, and soon.
     let ran_before = site.replica.0.executed.lock().unwrap().len();
     let back = Instant::now();
@@ -295,8 +295,8 @@
     let router = site.start();
     let client = site.warm();
     assert_eq!(client.query(&insert("before", 1900)), served("primary"));
-    router.yes("SUSPEND primary");
-    router.yes("SUSPEND replica");
+    router.assert_accepted("SUSPEND primary");
+    router.assert_accepted("SUSPEND replica");
     router.until("METRICS", "router.cluster_unhealthy=2\n");
     // Nobody can take it, and that will not change by waiting.
     for sql in [insert("w1", 1900), select("r1", 1900)] {
@@ -311,7 +311,7 @@
             + site.replica.0.executions_of("r1"),
         0
     );
-    router.yes("RESTORE primary");
+    router.assert_accepted("RESTORE primary");
     client.query_until_served_by(&insert("after", 1900), "primary");
 }
 
@@ -320,19 +320,19 @@
     let site = Site::new();
     let old = site.start();
     site.warm();
-    old.yes("SUSPEND replica");
+    old.assert_accepted("SUSPEND replica");
     let mut new = site.launch(unused_addresses(1)[0]);
     // A hold taken from the old process while the new one comes up, before that has said yes.
-    old.yes("SUSPEND primary");
+    old.assert_accepted("SUSPEND primary");
     new.program.wait_for_log("maintenance mask applied");
     new.until("STATUS", "200");
     old.until("STATUS", "2 instances held");
     new.until("STATUS", "2 instances held");
     // And both given back at the new one.
-    new.yes("RESTORE replica");
-    new.yes("RESTORE primary");
+    new.assert_accepted("RESTORE replica");
+    new.assert_accepted("RESTORE primary");
     old.until("STATUS", "0 instances held");
-    old.yes("SUSPEND primary");
+    old.assert_accepted("SUSPEND primary");
     let since = Instant::now();
     new.until("STATUS", "1 instances held");
     assert!(since.elapsed() < Duration::from_millis(250), "{:?}", since.elapsed());
@@ -342,7 +342,7 @@
     let client = Client::connect(site.addr);
     assert!(matches!(client.query(&insert("w1", 500)), Response::Error(c, _) if c == "53300"));
     assert_eq!(site.primary.0.executions_of("w1"), 0);
-    new.yes("RESTORE primary");
+    new.assert_accepted("RESTORE primary");
     client.query_until_served_by(&insert("w2", 1900), "primary");
 }
 
@@ -355,18 +355,18 @@
     let begun = Instant::now();
     // Held and given back all the time until the new one says yes: the last call came right before that.
     loop {
-        old.yes("SUSPEND replica");
-        if new.ask("STATUS").starts_with("200") {
+        old.assert_accepted("SUSPEND replica");
+        if new.run_command("STATUS").starts_with("200") {
             break;
         }
-        old.yes("RESTORE replica");
+        old.assert_accepted("RESTORE replica");
         assert!(begun.elapsed() < TIMEOUT);
     }
     let since = Instant::now();
     new.until("STATUS", "1 instances held");
     assert!(since.elapsed() < Duration::from_millis(250), "{:?}", since.elapsed());
-    new.yes("RESTORE replica");
-    new.no("RESTORE replica");
+    new.assert_accepted("RESTORE replica");
+    new.assert_rejected("RESTORE replica");
 }
 
 #[test]
@@ -382,8 +382,8 @@
     waiting.send(&insert("slow", 1900));
     while !site.primary.1.recv_timeout(TIMEOUT).unwrap().contains("id=slow,") {}
     let begun = Instant::now();
-    router.yes("PAUSE");
-    router.yes("PAUSE");
+    router.assert_accepted("PAUSE");
+    router.assert_accepted("PAUSE");
     assert!(!takes_clients(site.addr));
     let (sent, addr) = (Arc::new(AtomicUsize::new(0)), site.addr);
     let busy = std::thread::spawn(move || pipeline(addr, &sent, begun));
@@ -400,14 +400,14 @@
     router.program.signal(Signal::SIGHUP);
     router.program.wait_for_log("configuration reloaded");
     assert!(!takes_clients(site.addr), "a newcomer still hears the no");
-    router.yes("RESUME");
-    router.yes("RESUME");
+    router.assert_accepted("RESUME");
+    router.assert_accepted("RESUME");
     waits_until("yes again", || takes_clients(site.addr));
     assert!(begun.elapsed() < Duration::from_secs(10));
     site.primary.0.set_behavior(Behavior::Serve);
     Client::connect(site.addr).query_until_served_by(&insert("again", 1900), "primary");
     // A drain and SIGTERM in any order end cleanly.
-    router.yes("PAUSE");
+    router.assert_accepted("PAUSE");
     router.program.terminate();
     assert_eq!(router.program.wait_for_exit().0, Some(0));
 }
@@ -618,8 +618,8 @@
     new.program.wait_for_log("process count of this router changed other_processes=0 ");
     Client::connect(site.addr).query_until_served_by(&insert("w2", 1900), "primary");
     // What the dead held in the shared folder hinders nobody.
-    new.yes("SUSPEND replica");
-    new.yes("RESTORE replica");
+    new.assert_accepted("SUSPEND replica");
+    new.assert_accepted("RESTORE replica");
 }
 
 #[test]
@@ -627,8 +627,8 @@
     let site = Site::new();
     let old = site.start();
     let client = site.warm();
-    old.yes("SUSPEND replica");
-    let mut twin = site.launch(old.door);
+    old.assert_accepted("SUSPEND replica");
+    let mut twin = site.launch(old.admin);
     twin.program.wait_for_log("admin_addr: ");
     assert_eq!(twin.program.wait_for_exit().0, Some(1));
     let path = site.folder.write("no.json", &site.config(unused_addresses(1)[0]).to_string());
@@ -647,7 +647,7 @@
 fn upgrade_during_drain_stays_drained_despite_silent_discovery() {
     let mut site = Site::new();
     let old = site.start();
-    old.yes("PAUSE");
+    old.assert_accepted("PAUSE");
     // Discovery is connected to and says nothing, not even a header: the new process goes by the list it was given.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     site.agent = silent.local_addr().unwrap();
@@ -658,7 +658,7 @@
     old.program.terminate();
     assert_eq!(old.program.wait_for_exit().0, Some(0));
     assert!(!takes_clients(site.addr), "the drain lasts until it is called back");
-    new.yes("RESUME");
+    new.assert_accepted("RESUME");
     waits_until("yes again", || takes_clients(site.addr));
     Client::connect(site.addr).query_until_served_by(&insert("w1", 1900), "primary");
 }
@@ -676,8 +676,8 @@
     for step in order.split(' ') {
         match step {
             // On its way out it may be gone already.
-            "PAUSE" if ends => _ = router.ask("PAUSE"),
-            "PAUSE" => router.yes("PAUSE"),
+            "PAUSE" if ends => _ = router.run_command("PAUSE"),
+            "PAUSE" => router.assert_accepted("PAUSE"),
             "HUP" => {
                 router.program.signal(Signal::SIGHUP);
                 if !ends {
@@ -708,12 +708,12 @@
     let load = Load::start(site.addr, 8, "s");
     let mut stuck: Vec<TcpStream> = Vec::new();
     for _ in 0..200 {
-        let mut socket = TcpStream::connect(router.door).unwrap();
+        let mut socket = TcpStream::connect(router.admin).unwrap();
         _ = socket.write_all(b"STAT");
         stuck.push(socket);
         if stuck.len().is_multiple_of(20) {
             let begun = Instant::now();
-            router.yes("STATUS");
+            router.assert_accepted("STATUS");
             assert!(router.figures()["router.cluster_size"] == 2);
             assert!(begun.elapsed() < Duration::from_secs(1), "{:?}", begun.elapsed());
         }
@@ -721,8 +721,8 @@
     let counts = load.ended();
     assert!(counts.served > 0 && counts.failed + counts.again == 0, "{counts:?}");
     // The figures are what the clients and the instances counted, across a drain too.
-    router.yes("PAUSE");
-    router.yes("RESUME");
+    router.assert_accepted("PAUSE");
+    router.assert_accepted("RESUME");
     waits_until("yes again", || takes_clients(site.addr));
     let client = Client::connect(site.addr);
     (0..20).for_each(|n| assert!(matches!(client.query(&select(&format!("z{n}"), 1900)), Response::Row(_))));
@@ -742,7 +742,7 @@
     let site = Site::new();
     let file = site.folder.path().join("damsonvale-n1").join("damsonvale-holds");
     let first = site.start();
-    first.yes("SUSPEND replica");
+    first.assert_accepted("SUSPEND replica");
     drop(first);
     let whole = std::fs::read(&file).unwrap();
     for (text, held) in [(&whole[..], 1), (&whole[..whole.len() - 3], 0), (b"another program's", 0)] {
@@ -751,7 +751,7 @@
         router.until("STATUS", &format!("{held} instances held"));
         if held == 0 {
             router.program.wait_for_log("damsonvale-holds.refused");
-            router.yes("SUSPEND replica");
+            router.assert_accepted("SUSPEND replica");
         }
     }
 }
@@ -816,7 +816,7 @@
     Client::connect(one.addr).query_until_served_by(&insert("first", 1900), "primary");
     drop(other);
     one.router.program.wait_for_log("process count of this router changed other_processes=0 ");
-    one.router.yes("STATUS");
+    one.router.assert_accepted("STATUS");
     site.primary.0.set_behavior(Behavior::Silent);
     ask_all(one.addr, &texts("alone", 20, insert)).into_iter().for_each(|c| _ = c.response());
     assert_eq!(site.ran("alone")[0], 8);
@@ -824,7 +824,7 @@
 
 #[test]
 fn two_processes_share_backend_connections_of_one_router() {
-    // One router with its door: 30 clients and 6 connections to instances.
+    // One router with its operators' address: 30 clients and 6 connections to instances.
     let site = Site { sockets: 88, ..Site::new() };
     let both = site.pair(|_| {});
     both.iter()
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -53,7 +53,7 @@
 }
 
 /// A line of the watch: a version of the list, whole or a change.
-fn news(version: u32, full: bool, entries: &[Value]) -> String {
+fn list_update(version: u32, full: bool, entries: &[Value]) -> String {
     json!({"version": version, "full": full, "servers": entries}).to_string()
 }
 
@@ -268,7 +268,7 @@
     let (client, lines) = site.watched();
     let router = &mut site.router;
     lines.send(String::new()).unwrap();
-    lines.send(news(43, false, &[site.replica.0.entry("terminating")])).unwrap();
+    lines.send(list_update(43, false, &[site.replica.0.entry("terminating")])).unwrap();
     router.wait_for_log("endpoint list applied version=43 ");
     assert_eq!(client.query(&select("r1", 1900)), served("primary"));
     // The watch ends: the next one resumes where it was, and a whole list after a gap is taken as it is.
@@ -276,7 +276,9 @@
     let (index, lines) = site.discovery.next_watch();
     assert_eq!(index, "43");
     let (third, _heard) = ScriptedInstance::start("third", false);
-    lines.send(news(50, true, &[site.primary.0.entry("in_service"), third.entry("in_service")])).unwrap();
+    lines
+        .send(list_update(50, true, &[site.primary.0.entry("in_service"), third.entry("in_service")]))
+        .unwrap();
     router.wait_for_log("endpoint list applied version=50 ");
     client.query_until_served_by(&select("r2", 1900), "third");
     assert_eq!(site.replica.0.executions_of("r1") + site.replica.0.executions_of("r2"), 0);
@@ -553,7 +555,7 @@
     let (client, lines) = site.watched();
     let router = &mut site.router;
     // None at all: nothing is sent anywhere, and the client hears so at once rather than at its deadline.
-    lines.send(news(42, true, &[])).unwrap();
+    lines.send(list_update(42, true, &[])).unwrap();
     router.wait_for_log("endpoint list applied version=42 ");
     let begun = Instant::now();
     assert!(matches!(client.query(&select("none", 1900)), Response::Error(..)));
@@ -564,7 +566,7 @@
         json!({"id": format!("far-{i}"), "addr": "127.0.0.1:9", "zone": "a", "kind": "k", "cell": 100 + i,
             "state": "in_service", "weight": 1.0, "started_ms": 0, "mode": "read-only"})
     }));
-    lines.send(news(43, true, &entries)).unwrap();
+    lines.send(list_update(43, true, &entries)).unwrap();
     router.wait_for_log("endpoint list applied version=43 ");
     client.query_until_served_by(&select("many", 1900), "replica");
     assert!(threads(router, "exchange") + threads(router, "backends") < 8);
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -69,7 +69,7 @@
 
 impl Class {
     /// A request of this class, for the value of this key.
-    fn ask(&self, id: &str, key: &str, wait_ms: u64) -> String {
+    fn statement(&self, id: &str, key: &str, wait_ms: u64) -> String {
         let comment = format!("/* id={id},c={},d={wait_ms},cluster=3 */", self.name);
         if self.write {
             format!("INSERT INTO objects (oid, body) VALUES ('{key}', '\\x9f') RETURNING body {comment}")
@@ -121,13 +121,17 @@
                 "mutate" | "strong" => (&site.primary, "primary"),
                 _ => (&site.replica, "replica"),
             };
-            client.query_until_served_by(&class.ask(&format!("first{n}"), "k", PATIENT_MS), by);
+            client.query_until_served_by(&class.statement(&format!("first{n}"), "k", PATIENT_MS), by);
             while who.1.try_recv().is_ok() {}
-            let asked = class.ask(&format!("then{n}"), "k", PATIENT_MS);
+            let asked = class.statement(&format!("then{n}"), "k", PATIENT_MS);
             assert_eq!(client.query(&asked), served(by), "{name}: {}", class.name);
             let sent = who.1.recv_timeout(TIMEOUT).unwrap();
             let told = told_ms(&sent);
-            assert_eq!(sent, class.ask(&format!("then{n}"), "k", told), "{name}: only d changes on the way");
+            assert_eq!(
+                sent,
+                class.statement(&format!("then{n}"), "k", told),
+                "{name}: only d changes on the way"
+            );
             assert!(
                 (1..=class.deadline_ms).contains(&told),
                 "{name}: {} waits {told} ms, its deadline is {}",
@@ -140,7 +144,7 @@
         let unknown = others.map(|c| c.name).chain(["", "0", "1", "read"].map(String::from));
         for unknown in unknown.collect::<Vec<_>>() {
             let class = Class { name: unknown, write: false, freshness: "eventual".into(), deadline_ms: 100 };
-            let answer = client.query(&class.ask("u", "k", 100));
+            let answer = client.query(&class.statement("u", "k", 100));
             assert!(
                 matches!(&answer, Response::Error(code, _) if code == "42601"),
                 "{name}: {}: {answer:?}",
@@ -160,7 +164,10 @@
         for class in site.classes() {
             let by =
                 if matches!(class.freshness.as_str(), "mutate" | "strong") { "primary" } else { "replica" };
-            warm.query_until_served_by(&class.ask(&format!("warm-{}", class.name), "k", PATIENT_MS), by);
+            warm.query_until_served_by(
+                &class.statement(&format!("warm-{}", class.name), "k", PATIENT_MS),
+                by,
+            );
         }
         [&site.primary, &site.replica].iter().for_each(|i| i.0.set_behavior(Behavior::Silent));
         // All at once: each waits for its own time.
@@ -168,7 +175,7 @@
             .classes()
             .map(|class| {
                 let client = Client::connect(site.addr);
-                let sql = class.ask(&format!("late-{}", class.name), "k", PATIENT_MS);
+                let sql = class.statement(&format!("late-{}", class.name), "k", PATIENT_MS);
                 let own = class.deadline_ms;
                 let wait = std::thread::spawn(move || {
                     let begun = Instant::now();
@@ -194,7 +201,7 @@
         let site = Site::start(&settings);
         let class = site.classes().find(|c| !c.write).unwrap();
         // Nothing can be served within a millisecond.
-        let answer = Client::connect(site.addr).query(&class.ask("r", "k", 1));
+        let answer = Client::connect(site.addr).query(&class.statement("r", "k", 1));
         let Response::Error(code, come_back) = answer else { panic!("{name}: {answer:?}") };
         assert_eq!(code, "53300", "{name}");
         let limits = &settings["limits"];
@@ -220,19 +227,19 @@
         site.classes().find(|c| c.write).unwrap(),
     );
     // The replica is known, and stands far behind from now on.
-    client.query_until_served_by(&read.ask("first", "other", PATIENT_MS), "replica");
+    client.query_until_served_by(&read.statement("first", "other", PATIENT_MS), "replica");
     let told = unix_ms();
     site.replica.0.lag_ms.store(60_000, Ordering::SeqCst);
     // Positions are whole milliseconds: the commit is to be of a later one than what the replica has told.
     while unix_ms() <= told {
         std::hint::spin_loop();
     }
-    client.query_until_served_by(&write.ask("w", "mine", PATIENT_MS), "primary");
+    client.query_until_served_by(&write.statement("w", "mine", PATIENT_MS), "primary");
     // Its position is as of before the write: only the primary proves that it has it. Positions only rise, so what
     // the replica says from here on proves nothing.
-    assert_eq!(client.query(&read.ask("r", "mine", PATIENT_MS)), served("primary"), "{name}");
+    assert_eq!(client.query(&read.statement("r", "mine", PATIENT_MS)), served("primary"), "{name}");
     // A session that has written nothing is served by either.
-    assert!(!failed(&client.query(&read.ask("s", "other", PATIENT_MS))), "{name}");
+    assert!(!failed(&client.query(&read.statement("s", "other", PATIENT_MS))), "{name}");
 }
 
 #[test]
@@ -244,14 +251,14 @@
         site.classes().find(|c| c.freshness == "causal").unwrap(),
         site.classes().find(|c| c.freshness == "lag_bound").unwrap(),
     );
-    client.query_until_served_by(&other.ask("first", "k", PATIENT_MS), "replica");
+    client.query_until_served_by(&other.statement("first", "k", PATIENT_MS), "replica");
     // Whoever it goes to is too far behind, and says so.
     [&site.primary, &site.replica].iter().for_each(|i| i.0.set_behavior(Behavior::Error("72000")));
     let ahead =
-        read.ask("far", "k", PATIENT_MS).replace(",cluster=", &format!(",after={},cluster=", i64::MAX));
+        read.statement("far", "k", PATIENT_MS).replace(",cluster=", &format!(",after={},cluster=", i64::MAX));
     assert!(failed(&client.query(&ahead)), "{name}");
     [&site.primary, &site.replica].iter().for_each(|i| i.0.set_behavior(Behavior::Serve));
-    client.query_until_served_by(&other.ask("then", "k", PATIENT_MS), "replica");
+    client.query_until_served_by(&other.statement("then", "k", PATIENT_MS), "replica");
 }
 
 const THREE_DAYS_MS: u64 = 3 * 86_400_000;
@@ -263,7 +270,8 @@
     settings["classes"][at]["deadlineMs"] = json!(THREE_DAYS_MS);
     let site = Site::start(&settings);
     let write = site.classes().nth(at).unwrap();
-    Client::connect(site.addr).query_until_served_by(&write.ask("w", "k", THREE_DAYS_MS - 1000), "primary");
+    Client::connect(site.addr)
+        .query_until_served_by(&write.statement("w", "k", THREE_DAYS_MS - 1000), "primary");
     let sent = site.primary.1.recv_timeout(TIMEOUT).unwrap();
     assert!((2 * 86_400_000..THREE_DAYS_MS).contains(&told_ms(&sent)), "{name}: {sent}");
 }
@@ -287,11 +295,12 @@
         let site = Site::start(&settings);
         let client = Client::connect(site.addr);
         assert_eq!(client.query(""), Response::Empty);
-        site.classes()
-            .for_each(|class| client.query_until_served_by(&class.ask("r", "k", PATIENT_MS), "replica"));
+        site.classes().for_each(|class| {
+            client.query_until_served_by(&class.statement("r", "k", PATIENT_MS), "replica");
+        });
         let unknown =
             Class { name: "none".into(), write: false, freshness: "eventual".into(), deadline_ms: 1 };
-        let answer = client.query(&unknown.ask("u", "k", 100));
+        let answer = client.query(&unknown.statement("u", "k", 100));
         assert!(matches!(&answer, Response::Error(code, _) if code == "42601"), "{n} classes: {answer:?}");
     }
 }
