--- a/soak/src/oracle/promise.rs
+++ b/soak/src/oracle/promise.rs
@@ -1,7 +1,7 @@
 //! The promises that oracles watch, and their breaches.
 use std::fmt::{self, Display, Formatter};
 
-/// A promise of `docs/design/promises.md` that an oracle watches.
+/// A promise of `docs/promises.md` that an oracle watches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Promise {
     /// A request that was accepted gets its final answer.
@@ -45,7 +45,7 @@
 }
 
 impl Promise {
-    /// Its name in reports and in `docs/design/promises.md`.
+    /// Its name in reports and in `docs/promises.md`.
     pub fn name(self) -> &'static str {
         match self {
             Promise::Lost => "lost",
