--- a/store/src/acceptor.rs
+++ b/store/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts connections up to a bound, with a thread for each.
+//! Accepts connections up to a limit, with one thread for each.
 use crate::threads::{ACCEPT_RETRY_DELAY, spawn};
 use crate::wire::WireError;
 use std::io;
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counts one connection while it exists.
+/// Counts one open connection until it is dropped.
 struct ConnectionSlot(Arc<AtomicU64>);
 
 impl ConnectionSlot {
@@ -22,11 +22,12 @@
     }
 }
 
-/// Accepts connections until the listener fails, on a thread of its own and with one for each connection; `service`
-/// names them in the log. While there are `max_connections`, `reject` answers new ones and must not block.
+/// Starts a thread that accepts connections until the listener fails, and serves each connection on its own
+/// thread. `service` names the threads and appears in log events. While `max_connections` are open, new
+/// connections are passed to `reject`, which must not block.
 ///
 /// # Errors
-/// Where no thread can be started.
+/// Fails if the accepting thread cannot be started.
 pub fn accept(
     listener: TcpListener,
     service: &'static str,
@@ -42,7 +43,8 @@
                 continue;
             };
             if open.load(Ordering::Relaxed) >= max_connections {
-                // What it sends fits into the socket's buffer: nobody can block this thread.
+                // The rejection fits into the socket's send buffer, so a client that does not read cannot
+                // block this thread.
                 _ = socket.set_nonblocking(true);
                 reject(&socket);
                 continue;
@@ -69,7 +71,7 @@
         tracing::error!(
             service,
             %error,
-            "service client thread not started; raise the limit of processes of this user"
+            "service connection thread not started; raise this user's process limit"
         );
     }
 }
--- a/store/src/change_log.rs
+++ b/store/src/change_log.rs
@@ -1,17 +1,17 @@
-//! The last changes, retained for watches. No I/O and no clock.
+//! The most recent changes, retained for watches. No I/O and no clock.
 //!
-//! Watches share one log and read it by revision: nothing is queued for a single watch, and a watch that is too slow
-//! is the same case as one that resumes from long ago.
+//! All watches share one log and read it by revision. Nothing is queued per watch, and a watch that is too
+//! slow is handled like one that resumes at an old revision.
 use crate::command::{ChangeSet, KeyChange};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// How much is retained.
+/// Limits on the retained changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionLimits {
-    /// Number of revisions.
+    /// Maximum number of revisions.
     pub max_revisions: usize,
-    /// Bytes of their keys and texts.
+    /// Maximum total length of their keys and texts, in bytes.
     pub max_bytes: usize,
 }
 
@@ -21,14 +21,14 @@
     }
 }
 
-/// Changes after the requested revision are not retained any more: the keys must be read again.
+/// The changes after the requested revision are no longer all retained: the watch must read all keys again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Compacted {
-    /// Changes after this revision are retained.
+    /// All changes after this revision are still retained.
     pub compacted_revision: u64,
 }
 
-/// Every change after the compacted revision, in order.
+/// All changes after the compacted revision, in order.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
     limits: RetentionLimits,
@@ -46,18 +46,19 @@
 }
 
 impl ChangeLog {
-    /// An empty log that begins after this revision.
+    /// Creates an empty log for the changes after this revision.
     pub fn new(limits: RetentionLimits, compacted_revision: u64) -> ChangeLog {
         ChangeLog { limits, compacted_revision, ..ChangeLog::default() }
     }
 
-    /// Begins again after a snapshot of this revision: the changes up to it are not known here.
+    /// Clears the log after a snapshot of this revision was installed: the changes before it are unknown to
+    /// this node.
     pub fn reset(&mut self, compacted_revision: u64) {
         *self = ChangeLog::new(self.limits, compacted_revision);
     }
 
-    /// Adds the next changes, and drops the oldest ones beyond the limits; the latest are retained whatever their
-    /// size.
+    /// Appends the changes of one command and drops the oldest ones beyond the limits. The newest change set
+    /// is retained even if it alone exceeds the byte limit.
     pub fn push(&mut self, changes: Arc<ChangeSet>) {
         self.bytes += size_in_bytes(&changes);
         self.change_sets.push_back(changes);
@@ -73,15 +74,15 @@
         count > self.limits.max_revisions || (self.bytes > self.limits.max_bytes && count > 1)
     }
 
-    /// The revision of the latest change.
+    /// The revision of the newest change, or the compacted revision if there is none.
     pub fn last_revision(&self) -> u64 {
         self.change_sets.back().map_or(self.compacted_revision, |set| set.revision)
     }
 
-    /// The changes after a revision, in order, `max_count` of them at most.
+    /// Returns the changes after a revision, in order, at most `max_count` of them.
     ///
     /// # Errors
-    /// [`Compacted`] where they are not retained any more.
+    /// [`Compacted`] if they are no longer all retained.
     pub fn after(&self, revision: u64, max_count: usize) -> Result<Vec<Arc<ChangeSet>>, Compacted> {
         if revision < self.compacted_revision {
             return Err(Compacted { compacted_revision: self.compacted_revision });
--- a/store/src/client.rs
+++ b/store/src/client.rs
@@ -1,9 +1,10 @@
-//! A client of the store that is no node of it. It sends requests to any node, goes on to another where one fails, and
-//! retries what may be retried: a write carries the same sequence number each time, so that it is applied once.
+//! A client of the store. It sends requests to any node, switches to another node after a failure, and
+//! retries requests where that is safe: each attempt of a write carries the same sequence number, so that the
+//! write is applied once.
 //!
-//! A lease is counted here from before it was requested, and for [`MAX_CLOCK_DRIFT`] less than it was granted for:
-//! where the monotonic clocks of this process and of the leader drift apart by no more than that, it always ends here
-//! first.
+//! The client counts down a lease from before it was requested, and for a shorter time than it was granted
+//! for, by the share [`MAX_CLOCK_DRIFT`]. As long as the monotonic clocks of this process and of the leader
+//! drift apart by no more than that, the lease always ends here before it ends in the store.
 mod connection;
 mod error;
 mod lease;
@@ -23,41 +24,41 @@
 use session::Session;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Bytes of keys and texts that one listing may have: more than a store can hold.
+/// Maximum total length of the keys and texts of one listing, in bytes: more than a store can contain.
 const MAX_LISTING_BYTES: usize = 64 << 20;
 
-/// The result of a read, and what it stands for.
+/// The result of a read, with its consistency, revision and term.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Read<T> {
-    /// How it was read, its revision and the leader's term.
+    /// The consistency and revision of the read, and the leader's term.
     pub header: ReadHeader,
-    /// What was read.
+    /// The value or the keys that were read.
     pub value: T,
 }
 
 /// An update that was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Updated {
-    /// The key's version, 0 where it was deleted.
+    /// The key's new version, 0 if it was deleted.
     pub version: u64,
-    /// The store's revision after it.
+    /// The store's revision after the update.
     pub revision: u64,
-    /// The leader's term.
+    /// The term of the leader.
     pub term: u64,
 }
 
 /// Conditions of an update.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UpdateOptions {
-    /// The version that the key must be at; 0 where it must not exist.
+    /// The version that the key must have; 0 if the key must not exist.
     pub expected_version: Option<u64>,
-    /// Only while this lease is held.
+    /// The update is rejected unless this lease is held.
     pub fencing_token: Option<FencingToken>,
-    /// The epoch of the lease that the key is attached to, and removed with.
+    /// The epoch of the lease to attach the key to. The key is removed when that lease ends.
     pub lease_epoch: Option<u64>,
 }
 
-/// A client; its clones share one connection and take turns.
+/// A client of the store. Clones share one connection, which serves one call at a time.
 #[derive(Clone)]
 pub struct Client {
     settings: Settings,
@@ -65,7 +66,7 @@
 }
 
 impl Client {
-    /// A client that connects at its first call.
+    /// Creates a client. It connects when the first call is made.
     pub fn new(settings: Settings) -> Client {
         let session = Session::new(settings.clone());
         Client { settings, session: Arc::new(Mutex::new(session)) }
@@ -78,20 +79,20 @@
     /// Reads a key.
     ///
     /// # Errors
-    /// [`ClientError::Unavailable`] where no node responds in time.
+    /// [`ClientError::Unavailable`] if no node responds in time.
     pub fn get(&self, key: &str, consistency: Consistency) -> Result<Read<Option<Value>>, ClientError> {
         let request = Request::Get { key: key.into(), consistency };
         self.session().read(&request, |connection| match connection.receive()? {
             Response::Value { header, value } => Ok(Read { header, value }),
             Response::Rejected(rejection) => Err(AttemptError::Rejected(rejection)),
-            _ => Err(AttemptError::NoResponse("something else than a value".into())),
+            _ => Err(AttemptError::NoResponse("expected a value, received another message".into())),
         })
     }
 
     /// Reads all keys with a prefix, at one revision, in order.
     ///
     /// # Errors
-    /// As for [`Client::get`].
+    /// Same as [`Client::get`].
     pub fn list(
         &self,
         prefix: &str,
@@ -104,16 +105,16 @@
     /// Sets a key.
     ///
     /// # Errors
-    /// [`ClientError::Rejected`] where a condition is not met, [`ClientError::Unconfirmed`] where the update may have
-    /// been applied, [`ClientError::Unavailable`] where it has not.
+    /// [`ClientError::Rejected`] if a condition is not met, [`ClientError::Unconfirmed`] if the update may
+    /// have been applied, [`ClientError::Unavailable`] if it was not applied.
     pub fn put(&self, key: &str, text: &str, options: UpdateOptions) -> Result<Updated, ClientError> {
         self.update(key, Some(text.into()), options)
     }
 
-    /// Deletes a key; does nothing where there is none.
+    /// Deletes a key; has no effect if the key does not exist.
     ///
     /// # Errors
-    /// As for [`Client::put`].
+    /// Same as [`Client::put`].
     pub fn delete(&self, key: &str, options: UpdateOptions) -> Result<Updated, ClientError> {
         self.update(key, None, options)
     }
@@ -147,12 +148,12 @@
                 }
             }
             Response::Rejected(rejection) => return Err(AttemptError::Rejected(rejection)),
-            _ => return Err(AttemptError::NoResponse("something else than keys".into())),
+            _ => return Err(AttemptError::NoResponse("expected keys, received another message".into())),
         }
     }
 }
 
-/// Keys that come in parts.
+/// A list of keys that is received in parts.
 #[derive(Default)]
 struct Listing {
     entries: Vec<(String, Value)>,
@@ -163,7 +164,9 @@
     fn add(&mut self, part: Vec<(String, Value)>) -> Result<(), AttemptError> {
         self.bytes += part.iter().map(|(key, value)| key.len() + value.text.len()).sum::<usize>();
         if self.bytes > MAX_LISTING_BYTES {
-            return Err(AttemptError::NoResponse(format!("more than {MAX_LISTING_BYTES} bytes of keys")));
+            return Err(AttemptError::NoResponse(format!(
+                "the list of keys exceeds {MAX_LISTING_BYTES} bytes"
+            )));
         }
         self.entries.extend(part);
         Ok(())
--- a/store/src/client/connection.rs
+++ b/store/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to one node at a time, and the backoff between attempts.
+//! A connection to one of the nodes, and the backoff between attempts.
 use super::settings::Settings;
 use crate::loopback::is_connected_to_itself;
 use crate::rejection::Rejection;
@@ -6,17 +6,18 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The first backoff. It doubles with each attempt, and each pause is drawn from its half to its whole.
+/// The first backoff. It doubles with each attempt. The actual pause is drawn at random between half of the
+/// backoff and all of it.
 pub(super) const MIN_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
-/// Why an attempt has failed.
+/// Why an attempt failed.
 pub(super) enum AttemptError {
-    /// Nothing was requested: no node was reached.
+    /// The request was not sent, because no node could be reached.
     NotSent(String),
-    /// No usable response has come: a write may have been applied.
+    /// No valid response was received. A write may have been applied.
     NoResponse(String),
-    /// The node has rejected the request.
+    /// The node rejected the request.
     Rejected(Rejection),
 }
 
@@ -29,7 +30,7 @@
 pub(super) struct Connection {
     settings: Settings,
     socket: Option<TcpStream>,
-    /// The index of the node that is connected to next.
+    /// The index of the node to connect to next.
     next_node: usize,
     backoff: Duration,
     random: fastrand::Rng,
@@ -49,7 +50,7 @@
         self.socket.is_some()
     }
 
-    /// Sends a request, over a new connection where none is open.
+    /// Sends a request. Connects first if the connection is closed is open.
     pub(super) fn send(&mut self, request: &Request) -> Result<(), AttemptError> {
         let socket = match self.socket.take() {
             Some(socket) => socket,
@@ -63,21 +64,21 @@
     fn connect(&self) -> Result<TcpStream, AttemptError> {
         let addr = self.settings.nodes[self.next_node % self.settings.nodes.len()];
         let not_sent = |why: String| Err(AttemptError::NotSent(format!("{addr}: {why}")));
-        match greet(addr, self.settings.attempt_timeout) {
+        match handshake(addr, self.settings.attempt_timeout) {
             Ok((socket, Response::Welcome { .. })) => Ok(socket),
             Ok((_, Response::Busy { max_connections })) => {
-                not_sent(format!("{max_connections} clients are there already"))
+                not_sent(format!("the node has its maximum of {max_connections} connections"))
             }
-            Ok(_) => not_sent("no welcome".into()),
+            Ok(_) => not_sent("the node did not accept the connection".into()),
             Err(error) => not_sent(error.to_string()),
         }
     }
 
-    /// Receives the next message of the node. A node takes its own time to find out that it has no majority, and gives
-    /// a write up sooner than this times out.
+    /// Receives the next message from the node. The timeout is longer than the time after which a node
+    /// without a majority gives up a write, so that its rejection is still received.
     pub(super) fn receive(&self) -> Result<Response, AttemptError> {
         let Some(socket) = &self.socket else {
-            return Err(AttemptError::NoResponse("no connection".into()));
+            return Err(AttemptError::NoResponse("the connection is closed".into()));
         };
         let timeout = self.settings.attempt_timeout;
         wire::receive(socket, timeout, timeout).map_err(|error| AttemptError::no_response(&error))
@@ -87,7 +88,7 @@
         self.socket = None;
     }
 
-    /// Goes on to the next node.
+    /// Closes the connection and selects the next node.
     pub(super) fn switch_node(&mut self) {
         self.close();
         self.next_node = (self.next_node + 1) % self.settings.nodes.len().max(1);
@@ -97,7 +98,7 @@
         self.backoff = MIN_BACKOFF;
     }
 
-    /// Pauses before the next attempt.
+    /// Sleeps before the next attempt and doubles the backoff.
     pub(super) fn back_off(&mut self) {
         let max_us = self.backoff.as_micros() as u64;
         std::thread::sleep(Duration::from_micros(self.random.u64(max_us / 2..=max_us)));
@@ -105,8 +106,8 @@
     }
 }
 
-/// Connects to a node and exchanges hellos; returns the node's first response.
-fn greet(addr: SocketAddr, timeout: Duration) -> Result<(TcpStream, Response), WireError> {
+/// Connects to a node and exchanges hellos. Returns the node's first response.
+fn handshake(addr: SocketAddr, timeout: Duration) -> Result<(TcpStream, Response), WireError> {
     let socket = TcpStream::connect_timeout(&addr, timeout)?;
     if is_connected_to_itself(&socket)? {
         return Err(WireError::WrongProtocol);
--- a/store/src/client/error.rs
+++ b/store/src/client/error.rs
@@ -1,26 +1,29 @@
-//! Why a call of a client has no result.
+//! Errors of client calls.
 use crate::rejection::Rejection;
 use thiserror::Error;
 
-/// Why a call has no result.
+/// Why a call failed.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// The store has rejected the request.
+    /// The store rejected the request.
     #[error(transparent)]
     Rejected(#[from] Rejection),
-    /// No node has responded in time, and nothing has changed.
-    #[error("no node of the store has answered in time: {0}; look whether a majority runs and listens there")]
+    /// No node responded in time. Nothing has changed.
+    #[error(
+        "no store node responded in time: {0}; check that a majority of the nodes is running and \
+         listens on the configured addresses"
+    )]
     Unavailable(String),
-    /// The write may have been applied.
-    #[error("the write is not confirmed and may have been made: {0}; read before writing again")]
+    /// The write was not confirmed, but may have been applied.
+    #[error("the write was not confirmed and may have been applied: {0}; read the key before writing again")]
     Unconfirmed(String),
-    /// The settings name no node.
-    #[error("no node of the store is named; list where they answer clients")]
+    /// The settings contain no node.
+    #[error("no store node is configured; list the addresses where the nodes listen for clients")]
     NoNodes,
-    /// A node has responded something else than was requested.
-    #[error("a node has answered something else than was asked for; run the same program on both sides")]
+    /// A node sent a response of another type than was requested.
+    #[error("a node sent an unexpected response; run the same program version on both sides")]
     UnexpectedResponse,
-    /// No thread could be started.
-    #[error("no thread: {0}; raise the limit of processes of this user")]
+    /// A thread could not be started.
+    #[error("cannot start a thread: {0}; raise this user's process limit")]
     SpawnThread(#[from] std::io::Error),
 }
--- a/store/src/client/lease.rs
+++ b/store/src/client/lease.rs
@@ -1,4 +1,4 @@
-//! Leases, as their holders may rely on them.
+//! Leases from the holder's point of view.
 use super::connection::MIN_BACKOFF;
 use super::{Client, ClientError, Settings};
 use crate::command::{CommandEffect, FencingToken, Operation};
@@ -8,40 +8,40 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The share by which the monotonic clocks of two processes may drift apart.
+/// The assumed maximum drift between the monotonic clocks of two processes, as a share of the elapsed time.
 pub const MAX_CLOCK_DRIFT: f64 = 0.02;
-/// A keeper renews its lease this often in its time to live.
+/// Number of renewals that a keeper attempts per time to live of the lease.
 const RENEWALS_PER_TTL: u32 = 3;
 
 /// A lease that was granted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Its name and epoch: writes carry it.
+    /// The name and epoch of the lease, which fenced writes carry.
     pub token: FencingToken,
-    /// How long it lives from each renewal on.
+    /// The time to live after the grant and each renewal.
     pub ttl: Duration,
-    /// It must not be relied on from this time on.
+    /// The holder must not rely on the lease from this time on.
     pub valid_until: Instant,
 }
 
 impl Lease {
-    /// Whether it may be relied on at this time.
+    /// Whether the holder may rely on the lease at this time.
     pub fn is_valid(&self, now: Instant) -> bool {
         now < self.valid_until
     }
 }
 
-/// When a lease ends that was not granted or renewed before a time: whatever the messages took, the store counts from
-/// later on.
+/// The end of a lease that was granted or renewed at `not_before` or later. The store starts its countdown no
+/// earlier than that, however long the messages were in flight.
 fn valid_until(not_before: Instant, ttl: Duration) -> Instant {
     not_before + ttl.mul_f64(1.0 - MAX_CLOCK_DRIFT)
 }
 
 impl Client {
-    /// Takes the lease of a name that nobody holds. It may have ended again by the time that this returns.
+    /// Requests the lease of a free name. The lease may already have expired when this returns.
     ///
     /// # Errors
-    /// [`Rejection::LeaseHeld`] where another holds it; otherwise as for [`Client::put`].
+    /// [`Rejection::LeaseHeld`] if another client holds the name; otherwise same as [`Client::put`].
     pub fn grant(&self, name: &str, ttl: Duration) -> Result<Lease, ClientError> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
         let written = self.session().write(&Operation::Grant { name: name.into(), ttl_ms })?;
@@ -55,25 +55,27 @@
     /// Restarts the time to live of a lease.
     ///
     /// # Errors
-    /// [`Rejection::Fenced`] and [`Rejection::LeaseEnded`] where it is lost; otherwise as for [`Client::put`].
+    /// [`Rejection::Fenced`] and [`Rejection::LeaseEnded`] if the lease is lost; otherwise same as
+    /// [`Client::put`].
     pub fn renew(&self, lease: &mut Lease) -> Result<(), ClientError> {
         let written = self.session().write(&Operation::Renew(lease.token.clone()))?;
         lease.valid_until = valid_until(written.not_before, lease.ttl);
         Ok(())
     }
 
-    /// Ends a lease, and removes the keys attached to it.
+    /// Ends a lease and removes the keys attached to it.
     ///
     /// # Errors
-    /// As for [`Client::renew`].
+    /// Same as [`Client::renew`].
     pub fn revoke(&self, lease: &Lease) -> Result<(), ClientError> {
         self.session().write(&Operation::Revoke(lease.token.clone())).map(|_| ())
     }
 
-    /// Renews a lease, over a connection of its own, until the keeper is dropped or the lease is lost.
+    /// Renews a lease periodically, over a separate connection, until the keeper is dropped or the lease is
+    /// lost.
     ///
     /// # Errors
-    /// [`ClientError::SpawnThread`].
+    /// [`ClientError::SpawnThread`] if the thread for the renewals cannot be started.
     pub fn keep_alive(&self, lease: Lease) -> Result<LeaseKeeper, ClientError> {
         let interval = lease.ttl / RENEWALS_PER_TTL;
         let settings = Settings {
@@ -93,19 +95,19 @@
     lease.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Keeps a lease alive. Dropping it stops the renewals, and the lease runs out.
+/// Keeps a lease alive by periodic renewals. When it is dropped, the renewals stop and the lease expires.
 pub struct LeaseKeeper {
     lease: Arc<Mutex<Lease>>,
     _stop: Sender<()>,
 }
 
 impl LeaseKeeper {
-    /// The lease as it was renewed last.
+    /// The lease as of its last renewal.
     pub fn lease(&self) -> Lease {
         lock(&self.lease).clone()
     }
 
-    /// Whether it may be relied on now.
+    /// Whether the holder may rely on the lease now.
     pub fn is_valid(&self) -> bool {
         self.lease().is_valid(Instant::now())
     }
@@ -133,8 +135,8 @@
                     lock(&self.shared).valid_until = Instant::now();
                     return;
                 }
-                // It may still be held: renewals go on until the store says otherwise, for the store may count for
-                // longer than this process does.
+                // The lease may still be held, because the store may count it down for longer than this
+                // process does. Renewals continue until the store rejects one.
                 Err(error) => {
                     let name = &self.lease.token.name;
                     tracing::debug!(lease = %name, %error, "store lease not renewed");
--- a/store/src/client/session.rs
+++ b/store/src/client/session.rs
@@ -1,4 +1,4 @@
-//! Calls with retries, and writes that are applied once.
+//! Calls with retries, and writes that are applied exactly once.
 use super::connection::{AttemptError, Connection};
 use super::error::ClientError;
 use super::settings::Settings;
@@ -12,14 +12,14 @@
     pub(super) effect: CommandEffect,
     pub(super) revision: u64,
     pub(super) term: u64,
-    /// It was not applied before this time.
+    /// The write was not applied before this time.
     pub(super) not_before: Instant,
 }
 
 /// The response to a call.
 struct CallResponse<T> {
     value: T,
-    /// The start of the attempt that got the response.
+    /// The start of the attempt that received the response.
     attempt_started: Instant,
     /// The start of the first earlier attempt that may have executed the request.
     may_have_executed_since: Option<Instant>,
@@ -38,20 +38,20 @@
     may_have_executed: bool,
 }
 
-/// A write's response from the state machine, and the leader's term.
+/// The state machine's response to a write, and the leader's term.
 struct WriteResponse {
     response: CommandResponse,
     term: u64,
 }
 
-/// Whether another attempt, at another node, may get a response.
+/// Whether another attempt at another node may succeed.
 fn is_retryable(rejection: &Rejection) -> bool {
     matches!(rejection, Rejection::NoQuorum | Rejection::Unconfirmed | Rejection::NotInitialized)
 }
 
 pub(super) struct Session {
     connection: Connection,
-    /// The store's id, this client's, and the sequence number of its last write.
+    /// The store's id, this client's id, and the sequence number of its last write.
     last_origin: Option<RequestOrigin>,
 }
 
@@ -60,7 +60,7 @@
         Session { connection: Connection::new(settings), last_origin: None }
     }
 
-    /// Makes attempts until there is a response, or the time for the call has passed.
+    /// Makes attempts until a response is received or the timeout of the call has passed.
     fn call<T>(
         &mut self,
         request: &Request,
@@ -87,21 +87,22 @@
             if may_have_executed(&error) {
                 may_have_executed_since.get_or_insert(attempt_started);
             }
-            let reason = self.leave_failed_node(error, reused);
+            let reason = self.prepare_next_attempt(error, reused);
             if call_started.elapsed() >= self.connection.settings().call_timeout {
                 let error = ClientError::Unavailable(reason);
                 return Err(CallFailure { error, may_have_executed: may_have_executed_since.is_some() });
             }
-            // A connection that was idle may have been closed by the node: that costs no pause.
+            // A node may have closed a connection that was idle, so a reused connection that fails is retried
+            // without a pause.
             if !reused {
                 self.connection.back_off();
             }
         }
     }
 
-    /// Prepares for the next attempt, and returns why this one failed. A reused connection that breaks does
-    /// not count against its node, which is tried again.
-    fn leave_failed_node(&mut self, error: AttemptError, reused: bool) -> String {
+    /// Prepares for the next attempt and returns why this one failed. If a reused connection failed, the same
+    /// node is tried again; otherwise the next one.
+    fn prepare_next_attempt(&mut self, error: AttemptError, reused: bool) -> String {
         match error {
             AttemptError::NoResponse(reason) if reused => {
                 self.connection.close();
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Makes a call that changes nothing.
+    /// Makes a call that does not change the store.
     pub(super) fn read<T>(
         &mut self,
         request: &Request,
@@ -128,7 +129,8 @@
         result.map(|response| response.value).map_err(|failure| failure.error)
     }
 
-    /// The origin of the last write, or of none where the client has just been registered.
+    /// Returns the origin of the last write. Registers the client first if necessary; the sequence number is
+    /// 0 then.
     fn origin(&mut self) -> Result<RequestOrigin, ClientError> {
         if let Some(origin) = self.last_origin {
             return Ok(origin);
@@ -141,7 +143,8 @@
         }
     }
 
-    /// Applies a write once. Its sequence number follows that of the last write, whatever became of that one.
+    /// Applies a write exactly once. Its sequence number follows that of the last write, whether or not that
+    /// one succeeded.
     pub(super) fn write(&mut self, operation: &Operation) -> Result<Written, ClientError> {
         loop {
             let mut origin = self.origin()?;
@@ -160,7 +163,8 @@
                     if call.may_have_executed_since.is_some() {
                         return Err(ClientError::Unconfirmed(Rejection::UnknownClient.to_string()));
                     }
-                    // Unknown at its first attempt: it has not been applied.
+                    // The client was unknown at the first attempt, so the write was not applied: register
+                    // again and retry.
                 }
                 Err(rejection) => return Err(rejection.into()),
             }
@@ -190,6 +194,6 @@
             _ => Ok(WriteResponse { response, term }),
         },
         Response::Rejected(rejection) => Err(AttemptError::Rejected(rejection)),
-        _ => Err(AttemptError::NoResponse("something else than a write's answer".into())),
+        _ => Err(AttemptError::NoResponse("expected a write response, received another message".into())),
     }
 }
--- a/store/src/client/settings.rs
+++ b/store/src/client/settings.rs
@@ -1,22 +1,23 @@
-//! How a client of the store works.
+//! Settings of a store client.
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How a client works.
+/// Settings of a client.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where the nodes answer clients (`store.clients`); the first is tried first.
+    /// The addresses where the nodes listen for clients (`store.clients`); the first one is tried first.
     pub nodes: Vec<SocketAddr>,
-    /// How long a call makes attempts. The last one may take [`Settings::attempt_timeout`] longer.
+    /// How long a call keeps making attempts. The last attempt may exceed this by
+    /// [`Settings::attempt_timeout`].
     pub call_timeout: Duration,
-    /// How long one node may take to connect, or to respond.
+    /// Timeout for connecting to a node and for each of its responses.
     pub attempt_timeout: Duration,
-    /// Seeds the draws of backoff.
+    /// Seed for the random jitter of the backoff.
     pub backoff_seed: u64,
 }
 
 impl Settings {
-    /// The usual timeouts.
+    /// Creates settings with the default timeouts.
     pub fn new(nodes: Vec<SocketAddr>, backoff_seed: u64) -> Settings {
         let call_timeout = Duration::from_secs(10);
         let attempt_timeout = Duration::from_millis(1500);
--- a/store/src/client/watch.rs
+++ b/store/src/client/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: the changes of keys with a prefix, over a connection of their own.
+//! Watches of the keys with a prefix, each over its own connection.
 use super::connection::{AttemptError, Connection};
 use super::{Client, ClientError, Listing};
 use crate::command::ChangeSet;
@@ -9,28 +9,29 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Events that wait for the watcher. While the queue is full nothing is received, and the node ends the watch in time.
+/// Maximum number of events queued for the application. While the queue is full nothing is received from the
+/// node, which eventually ends the watch.
 const QUEUE_CAPACITY: usize = 64;
 
-/// What a watch delivers.
+/// An event of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// All keys: those that are known from before and are not among them are gone.
+    /// All watched keys. Previously known keys that are not in the snapshot have been deleted.
     Snapshot {
-        /// Changes after this position follow.
+        /// The position after which changes follow.
         position: WatchPosition,
-        /// Whether there was a position before, and the changes after it are not retained any more.
+        /// Whether the watch had a position, and the changes after it are no longer retained.
         compacted: bool,
-        /// The keys and their values.
+        /// All watched keys and their values.
         entries: Vec<(String, Value)>,
     },
-    /// What one command changed.
+    /// The watched keys that one command changed.
     Changes(ChangeSet),
 }
 
-/// A watch; dropping it ends it.
+/// A watch. It ends when it is dropped.
 pub struct Watch {
-    /// The events, in order.
+    /// The events, in the order of their revisions.
     pub events: Receiver<WatchEvent>,
     stop: Arc<AtomicBool>,
 }
@@ -42,11 +43,13 @@
 }
 
 impl Client {
-    /// Watches the keys with a prefix, over a connection of its own: all of them come first, or the changes after a
-    /// position that was seen before. No change is skipped and none comes twice, whatever connections break.
+    /// Watches the keys with a prefix, over a separate connection. The first events are a snapshot of all
+    /// keys, or the changes after `after` if a position is given. No change is skipped or delivered twice,
+    /// even if connections fail.
     ///
     /// # Errors
-    /// [`ClientError::NoNodes`] and [`ClientError::SpawnThread`].
+    /// [`ClientError::NoNodes`] if no node is configured, [`ClientError::SpawnThread`] if no thread can be
+    /// started.
     pub fn watch(&self, prefix: &str, after: Option<WatchPosition>) -> Result<Watch, ClientError> {
         if self.settings.nodes.is_empty() {
             return Err(ClientError::NoNodes);
@@ -65,7 +68,7 @@
     }
 }
 
-/// The watch's thread.
+/// The state of a watch's thread.
 struct Watcher {
     connection: Connection,
     prefix: String,
@@ -82,19 +85,19 @@
     fn run(&mut self) {
         while !self.is_stopped() {
             let request = Request::Watch { prefix: self.prefix.clone(), after: self.position };
-            let reason = match self.connection.send(&request).and_then(|()| self.follow()) {
+            let reason = match self.connection.send(&request).and_then(|()| self.deliver_events()) {
                 Ok(()) => return,
                 Err(AttemptError::NotSent(reason) | AttemptError::NoResponse(reason)) => reason,
                 Err(AttemptError::Rejected(rejection)) => rejection.to_string(),
             };
-            tracing::debug!(%reason, "store watch resumed at another node");
+            tracing::debug!(%reason, "store watch interrupted, resuming at another node");
             self.connection.switch_node();
             self.connection.back_off();
         }
     }
 
-    /// Delivers events until the connection fails or the watch ends; `Ok` where it ends.
-    fn follow(&mut self) -> Result<(), AttemptError> {
+    /// Delivers events until the connection fails or the watch ends. Returns `Ok` if it ends.
+    fn deliver_events(&mut self) -> Result<(), AttemptError> {
         let mut listing = Listing::default();
         loop {
             let event = match self.connection.receive()? {
@@ -112,17 +115,17 @@
                     WatchEvent::Changes(changes)
                 }
                 Response::Progress { revision } => {
-                    self.progress(revision)?;
+                    self.handle_progress(revision)?;
                     if self.is_stopped() {
                         return Ok(());
                     }
                     continue;
                 }
                 Response::NoLeader => {
-                    return Err(AttemptError::NoResponse("the node has no leader".into()));
+                    return Err(AttemptError::NoResponse("the node knows no leader".into()));
                 }
                 Response::Rejected(rejection) => return Err(AttemptError::Rejected(rejection)),
-                _ => return Err(AttemptError::NoResponse("something else than changes".into())),
+                _ => return Err(AttemptError::NoResponse("expected changes, received other data".into())),
             };
             self.connection.reset_backoff();
             if self.sender.send(event).is_err() {
@@ -131,8 +134,8 @@
         }
     }
 
-    /// Nothing of the watched keys has changed up to a revision.
-    fn progress(&mut self, revision: u64) -> Result<(), AttemptError> {
+    /// Handles a progress message: no watched key has changed up to `revision`.
+    fn handle_progress(&mut self, revision: u64) -> Result<(), AttemptError> {
         self.connection.reset_backoff();
         if self.position.is_none_or(|position| position.revision < revision) {
             self.advance_to(revision)?;
@@ -140,14 +143,15 @@
         Ok(())
     }
 
-    /// Moves the position to a later revision. An earlier one would be a change that comes twice.
+    /// Advances the position to `revision`. A revision that is not later than the position would be a
+    /// duplicate change, and is an error.
     fn advance_to(&mut self, revision: u64) -> Result<(), AttemptError> {
         match &mut self.position {
             Some(position) if position.revision < revision => {
                 position.revision = revision;
                 Ok(())
             }
-            _ => Err(AttemptError::NoResponse(format!("a change out of order, {revision}"))),
+            _ => Err(AttemptError::NoResponse(format!("change out of order at revision {revision}"))),
         }
     }
 }
--- a/store/src/command.rs
+++ b/store/src/command.rs
@@ -1,29 +1,30 @@
-//! The commands of the replicated log, and what they respond. All of these are stored or sent in the postcard format,
-//! which knows neither names of types nor of fields: the order of variants and fields must not change.
+//! The commands of the replicated log and their responses. These types are stored or sent in the postcard
+//! format, which contains neither type nor field names: the order of variants and fields must not change.
 use crate::rejection::Rejection;
 use crate::state::{Update, Value};
 use serde::{Deserialize, Serialize};
 
-/// The first byte of a command in the log. Legacy entries are JSON, which begins with a brace.
+/// The first byte of an encoded command. Legacy log entries are JSON, which starts with a brace.
 const FORMAT: u8 = 1;
 
-/// Identifies a client's write: a retry carries the same origin and gets the first response.
+/// Identifies a client's write. A retry has the same origin and receives the response of the first execution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestOrigin {
-    /// The id of the store that registered the client: a new store in its place gives the same client ids again.
+    /// The id of the store that registered the client. A new store that replaces it assigns the same client
+    /// ids again.
     pub store_id: u64,
-    /// The id that [`Command::RegisterClient`] gave.
+    /// The id that [`Command::RegisterClient`] assigned.
     pub client_id: u64,
-    /// Rises with each write of this client, which has one write in flight at a time.
+    /// Increases with each write of this client, which has only one write in flight at a time.
     pub sequence: u64,
 }
 
-/// Names one grant of a lease. A write that carries it is only applied while that grant holds the name.
+/// Identifies one grant of a lease. A write with a token is applied only while that grant holds the name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencingToken {
-    /// The name that is leased.
+    /// The name of the lease.
     pub name: String,
-    /// The epoch of the grant. Epochs only rise, over all names.
+    /// The epoch of the grant. Epochs increase over the grants of all names.
     pub epoch: u64,
 }
 
@@ -32,61 +33,64 @@
 pub enum Operation {
     /// Updates a key.
     Update {
-        /// The key, its new text and the version that it is expected at.
+        /// The key, its new text and its expected version.
         update: Update,
-        /// Only while this lease is held.
+        /// The update is rejected unless this lease is held.
         fencing_token: Option<FencingToken>,
-        /// The epoch of the lease that the key is attached to, and removed with.
+        /// The epoch of the lease to attach the key to. The key is removed when that lease ends.
         lease_epoch: Option<u64>,
     },
-    /// Grants the lease of a name that nobody holds.
+    /// Grants the lease of a free name.
     Grant {
-        /// The name.
+        /// The name of the lease.
         name: String,
-        /// How long the lease lives without a renewal, in milliseconds.
+        /// Time to live of the lease after the grant and each renewal, in milliseconds.
         ttl_ms: u64,
     },
     /// Restarts the time to live of a lease.
     Renew(FencingToken),
-    /// Ends a lease, and removes the keys attached to it.
+    /// Ends a lease and removes the keys attached to it.
     Revoke(FencingToken),
 }
 
-/// A command of the log.
+/// A command in the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Gives a new store its id, so that its revisions are not mistaken for those of another one.
+    /// Assigns the id of a new store, so that its revisions are not mistaken for those of another store.
     Initialize {
-        /// The id, not 0.
+        /// The id; 0 is not allowed.
         store_id: u64,
     },
-    /// Gives a client its id.
+    /// Registers a client and assigns its id.
     RegisterClient,
-    /// A write.
+    /// A write of a client or of the store itself.
     Write {
-        /// Who requested it, where it may be retried.
+        /// Identifies the request if the client may retry it.
         origin: Option<RequestOrigin>,
-        /// The write.
+        /// The operation to execute.
         operation: Operation,
     },
-    /// The leader has counted a lease to its end.
+    /// Expires a lease whose countdown on the leader has ended.
     ExpireLease {
-        /// The lease.
+        /// The expired lease.
         token: FencingToken,
-        /// How often it had been renewed then. A renewal that was committed before this command keeps it alive.
+        /// The number of renewals that the leader knew of. If another renewal was committed before this
+        /// command, the lease stays alive.
         renewals: u64,
     },
-    /// An update from a log of before there were leases: applied as it was then, without limits.
+    /// An update in the legacy log format, from before leases were introduced. It is applied without limits,
+    /// as it was then.
     LegacyUpdate(Update),
 }
 
 impl Command {
-    /// The bytes of a log entry; `None` where the command can't be encoded.
+    /// Encodes the command as a log entry; `None` if serialization fails.
     pub fn encode(&self) -> Option<Vec<u8>> {
         postcard::to_extend(self, vec![FORMAT]).ok()
     }
 
-    /// From the bytes of a log entry, legacy ones included; `None` where the format is not known.
+    /// Decodes a log entry in the current or the legacy format; `None` if the format is unknown or the
+    /// contents are invalid.
     pub fn decode(bytes: &[u8]) -> Option<Command> {
         match bytes {
             [FORMAT, body @ ..] => postcard::from_bytes(body).ok(),
@@ -95,7 +99,7 @@
         }
     }
 
-    /// Who requested it, where it may be retried.
+    /// Identifies the request if the client may retry it.
     pub(crate) fn origin(&self) -> Option<RequestOrigin> {
         match self {
             Command::Write { origin, .. } => *origin,
@@ -104,7 +108,7 @@
     }
 }
 
-/// What a command did.
+/// The effect of an applied command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandEffect {
     /// A client was registered.
@@ -116,24 +120,24 @@
     },
     /// A key was updated.
     Updated {
-        /// Its version, 0 where it was deleted.
+        /// The key's new version; 0 if it was deleted.
         version: u64,
     },
     /// A lease was granted.
     Granted {
-        /// Its epoch.
+        /// The epoch of the lease.
         epoch: u64,
     },
-    /// A lease was renewed or ended, or a command of the store's own was applied.
+    /// A lease was renewed or ended, or a command that the store itself proposed was applied.
     Done,
 }
 
 /// The response to a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandResponse {
-    /// What the command did, or why it was rejected.
+    /// The effect of the command, or why it was rejected.
     pub result: Result<CommandEffect, Rejection>,
-    /// The store's revision after it.
+    /// The store's revision after the command.
     pub revision: u64,
 }
 
@@ -142,15 +146,15 @@
 pub struct KeyChange {
     /// The key.
     pub key: String,
-    /// Its value; `None` where it was deleted.
+    /// The key's new value; `None` if the key was deleted.
     pub value: Option<Value>,
 }
 
-/// What one command changed, all at one revision.
+/// The changes of one command, all at the same revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeSet {
     /// The log index of the command.
     pub revision: u64,
-    /// The changed keys, each once.
+    /// The changed keys, each at most once.
     pub changes: Vec<KeyChange>,
 }
--- a/store/src/control.rs
+++ b/store/src/control.rs
@@ -1,4 +1,4 @@
-//! Commands of an operator, as lines of JSON over loopback: one line requests, one line responds.
+//! Operator commands as lines of JSON over loopback: one line for the request, one for the response.
 use crate::node::Store;
 use crate::rejection::Rejection;
 use crate::state::{Update, Value};
@@ -8,7 +8,7 @@
 use std::net::{TcpListener, TcpStream};
 use thiserror::Error;
 
-/// The longest line that is read at once.
+/// The maximum length of a request line. The rest of a longer one is read as the next line.
 const MAX_LINE_BYTES: u64 = 1 << 20;
 const IN_SERVICE: &str = "in_service";
 const DRAINING: &str = "draining";
@@ -16,56 +16,56 @@
 /// Why a command failed.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The line is no command.
+    /// A field of the command is missing or invalid.
     #[error("expected {expected}")]
     InvalidCommand {
-        /// What was expected instead.
+        /// The expected form.
         expected: String,
     },
-    /// There is no such key, server or command.
+    /// The key, server or command does not exist.
     #[error("there is no {what} '{name}'")]
     NotFound {
-        /// What was asked for.
+        /// The kind of thing that was requested.
         what: &'static str,
-        /// Its name.
+        /// The requested name.
         name: String,
     },
-    /// The value of a server's key can't be changed.
+    /// The value of a server's key is not JSON, so its state cannot be changed.
     #[error("'{key}' is no JSON: {source}; set it right first")]
     InvalidServer {
         /// The key.
         key: String,
-        /// Why not.
+        /// The cause.
         source: serde_json::Error,
     },
-    /// The store rejects the change.
+    /// The store rejected the change.
     #[error(transparent)]
     Rejected(#[from] Rejection),
-    /// The node can't be reached.
-    #[error("{addr}: {source}; see that the router runs and that its store.control is this address")]
+    /// The node cannot be reached.
+    #[error("{addr}: {source}; check that the router is running and that its store.control is this address")]
     Unreachable {
         /// The address.
         addr: String,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// What responds is no store.
-    #[error("{addr}: no answer of JSON: {source}; look at the address")]
+    /// The response is not JSON.
+    #[error("{addr}: the response is not JSON: {source}; check the address")]
     InvalidResponse {
         /// The address.
         addr: String,
-        /// Why not.
+        /// The cause.
         source: serde_json::Error,
     },
-    /// The error that the node responds.
+    /// The node responded with an error.
     #[error("{0}")]
     Remote(String),
 }
 
-/// Answers commands until the listener fails.
+/// Serves commands until the listener fails.
 ///
 /// # Errors
-/// Where no thread can be started.
+/// Fails if a thread cannot be started.
 pub fn listen(listener: TcpListener, store: Store) -> io::Result<()> {
     spawn("control", move || {
         for socket in listener.incoming() {
@@ -75,7 +75,7 @@
                 Err(_) => std::thread::sleep(ACCEPT_RETRY_DELAY),
             };
             if let Err(error) = spawn("command", serve) {
-                tracing::error!(%error, "store command thread not started");
+                tracing::error!(%error, "store control connection thread not started");
             }
         }
     })
@@ -98,7 +98,7 @@
     }
 }
 
-/// The key of a server in the member list.
+/// The key of a server's entry in the member list.
 pub fn server_key(id: &str) -> String {
     format!("server/{id}")
 }
@@ -162,7 +162,7 @@
     })
 }
 
-/// Sets the state of a server, unless another change of it comes first.
+/// Sets the state of a server. Rejected if the server's entry changes concurrently.
 fn set_server_state(server: &str, server_state: &str, store: &Store) -> Result<Json, CommandError> {
     let key = server_key(server);
     let state = store.state();
@@ -178,8 +178,8 @@
 /// Sends one command to a node and returns its response.
 ///
 /// # Errors
-/// [`CommandError::Unreachable`] and [`CommandError::InvalidResponse`] where no node responds,
-/// [`CommandError::Remote`] with the error that one responds.
+/// [`CommandError::Unreachable`] if the node cannot be reached, [`CommandError::InvalidResponse`] if the
+/// response is not JSON, [`CommandError::Remote`] with the error in the response.
 pub fn send_command(addr: &str, command: &Json) -> Result<Json, CommandError> {
     let unreachable = |source| CommandError::Unreachable { addr: addr.into(), source };
     let mut socket = TcpStream::connect(addr).map_err(unreachable)?;
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -1,43 +1,44 @@
-//! Why a node does not start, or stops.
+//! Errors that prevent a node from starting or make it stop.
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a node does not start, or stops.
+/// Errors that prevent a node from starting or make it stop.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The settings leave this node out.
-    #[error("store: expected node {node} among its peers; list it under store.peer")]
+    /// The settings do not list this node among the peers.
+    #[error("store: node {node} is not among the configured peers; list it under store.peer")]
     NotListed {
-        /// This node.
+        /// The id of this node.
         node: u64,
     },
     /// An address is not on loopback.
-    #[error("store: expected addresses on loopback, found {addr}; nodes and clients talk without TLS")]
+    #[error("store: expected a loopback address, found {addr}; nodes and clients communicate without TLS")]
     NotLoopback {
         /// The address.
         addr: SocketAddr,
     },
-    /// The folder, or the log file in it, can't be used.
-    #[error("store: folder: {path}: {source}; see that it exists and is this user's")]
+    /// The folder or its log file cannot be opened or read.
+    #[error("store: folder {path}: {source}; check that it exists and belongs to this user")]
     Folder {
         /// The folder.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         source: std::io::Error,
     },
-    /// Something stored is of no format that this program knows.
+    /// Stored or received data has a format that this program does not know.
     #[error(
-        "store: {what} is of a format that this program does not know; start the program that wrote it, or give this \
-         node an empty folder while all others run, and it gets what they have"
+        "store: {what} has a format that this program does not know; start the program version that wrote \
+         it, or give this node an empty folder while all other nodes run, so that it copies their data"
     )]
     UnknownFormat {
-        /// What is.
+        /// The data with the unknown format.
         what: String,
     },
-    /// Entries are missing from the log.
+    /// Entries are missing in the log.
     #[error(
-        "store: entry {index} of the log follows {previous}; give this node an empty folder while all others run"
+        "store: entry {index} of the log follows entry {previous}, the entries between them are missing; \
+         give this node an empty folder while all other nodes run"
     )]
     LogGap {
         /// The entry before the gap.
@@ -45,29 +46,31 @@
         /// The entry after the gap.
         index: u64,
     },
-    /// What is stored does not fit together.
-    #[error("store: {what} does not fit: {source}; give this node an empty folder while all others run")]
+    /// The raft library rejects the stored data as inconsistent.
+    #[error(
+        "store: {what} is inconsistent: {source}; give this node an empty folder while all other nodes run"
+    )]
     Inconsistent {
-        /// What does not fit the rest.
+        /// The inconsistent part of the data.
         what: &'static str,
-        /// Why not.
+        /// The cause.
         source: raft::Error,
     },
-    /// The raft library refuses to start.
+    /// The raft library failed to start.
     #[error("store: {0}")]
     Raft(#[from] raft::Error),
-    /// An address can't be listened on.
-    #[error("store: listen: {addr}: {source}; see who else listens there")]
+    /// The node cannot listen on an address.
+    #[error("store: cannot listen on {addr}: {source}; check which process listens there")]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// Why not.
+        /// The cause.
         source: std::io::Error,
     },
-    /// No thread could be started.
-    #[error("store: no thread: {0}; raise the limit of processes of this user")]
+    /// A thread could not be started.
+    #[error("store: cannot start a thread: {0}; raise this user's process limit")]
     SpawnThread(std::io::Error),
-    /// What must be stored can't be: the node stops.
-    #[error("store: the log can't be kept: {0}; mend the disk and restart this node")]
+    /// The log cannot be written, so the node stops.
+    #[error("store: cannot write the log: {0}; repair the disk and restart this node")]
     LogFile(#[from] std::io::Error),
 }
--- a/store/src/lease_timers.rs
+++ b/store/src/lease_timers.rs
@@ -1,47 +1,48 @@
-//! The leader's count of the leases, in ticks of its own. No I/O and no clock.
+//! The leader's countdown of the held leases, in ticks. No I/O and no clock.
 //!
-//! An end that is counted here is only proposed: it takes effect when the command is committed, so that all nodes
-//! agree on the order of an end and a renewal.
+//! When a countdown ends, the leader only proposes to expire the lease. The expiry takes effect when the
+//! command is committed, so that all nodes agree on the order of expiries and renewals.
 use crate::command::{Command, FencingToken};
 use std::collections::HashMap;
 
-/// Ticks after which the leader proposes an overdue end again: its proposal may have been lost.
+/// Number of ticks after which the leader proposes an overdue expiry again, because the first proposal may
+/// have been lost.
 const EXPIRE_RETRY_TICKS: u64 = 20;
 
-/// A lease whose time to live begins.
+/// A held lease and its time to live, for starting its countdown.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseTimer {
     /// The lease.
     pub token: FencingToken,
-    /// How often it has been renewed.
+    /// The number of renewals of the lease so far.
     pub renewals: u64,
-    /// The ticks until it ends.
+    /// The number of ticks until the lease expires.
     pub ticks: u64,
 }
 
-/// What a command means for the timers.
+/// The effect of a committed command on the timers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// The time to live of a lease begins, by a grant or by a renewal.
+    /// A lease was granted or renewed, so its time to live starts.
     Started(LeaseTimer),
-    /// A lease has ended.
+    /// A lease was revoked or has expired.
     Ended {
-        /// Its epoch.
+        /// The epoch of the lease.
         epoch: u64,
     },
 }
 
-/// Input of the timers.
+/// An input event of the timers.
 #[derive(Clone, Debug)]
 pub enum LeaseTimerEvent {
-    /// This node leads from now on, and these leases are held. Each begins again with its whole time to live: a change
-    /// of leaders never shortens a lease, and prolongs it by its time to live at most.
+    /// This node became the leader; these leases are held. Each countdown restarts with the full time to
+    /// live: a change of leader never shortens a lease, and extends it by at most its time to live.
     BecameLeader(Vec<LeaseTimer>),
-    /// Another node leads, or none: what is counted here means nothing any more.
+    /// This node is no longer the leader: all countdowns are discarded.
     LostLeadership,
-    /// A committed command has started or ended a lease.
+    /// A committed command started or ended a lease.
     Lease(LeaseEvent),
-    /// One tick has passed.
+    /// One tick has elapsed.
     Tick,
 }
 
@@ -57,16 +58,17 @@
     }
 }
 
-/// The timers of the held leases; empty where this node does not lead.
+/// The countdowns of the held leases; empty unless this node is the leader.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseTimers {
     is_leader: bool,
-    /// By epoch.
+    /// Keyed by the epoch of the lease.
     countdowns: HashMap<u64, Countdown>,
 }
 
 impl LeaseTimers {
-    /// Handles an event. The ends that are due are added to `proposals`, in order of their epochs.
+    /// Handles an event. Appends an [`Command::ExpireLease`] to `proposals` for each lease that is due,
+    /// ordered by epoch.
     pub fn handle(&mut self, event: LeaseTimerEvent, proposals: &mut Vec<Command>) {
         match event {
             LeaseTimerEvent::BecameLeader(held) => {
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Whether this node leads, and so counts.
+    /// Whether this node is the leader and counts down leases.
     pub fn is_leader(&self) -> bool {
         self.is_leader
     }
@@ -100,7 +102,7 @@
                 countdown.remaining_ticks = EXPIRE_RETRY_TICKS;
             }
         }
-        // The same events give the same proposals, in the same order.
+        // Hash map iteration has no fixed order; sorting makes the order of the proposals deterministic.
         proposals.sort_by_key(|command| match command {
             Command::ExpireLease { token, .. } => token.epoch,
             _ => 0,
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,22 +1,25 @@
-//! A small store of versioned keys, replicated to a majority of the configured nodes by the `raft` library.
+//! A replicated key-value store with versioned keys. The `raft` library replicates its log to the configured
+//! nodes; a write is committed once a majority has stored it.
 //!
-//! No I/O, no clock, no threads:
+//! Modules without I/O, clock or threads:
 //!
-//! - [`command`] has the commands of the replicated log and their responses, [`rejection`] why one was rejected,
-//!   [`limits`] the bounds that decide responses.
-//! - [`machine`] is the state machine that the committed commands are applied to; [`state`] has the keys as readers
-//!   see them.
-//! - [`lease_timers`] is the leader's count of leases, in ticks.
-//! - [`change_log`] retains the last changes for watches.
+//! - [`command`] defines the commands of the replicated log and their responses, [`rejection`] the reasons
+//!   for rejecting one, and [`limits`] the limits that the state machine enforces.
+//! - [`machine`] is the state machine that applies committed commands; [`state`] is the view of the keys that
+//!   readers get.
+//! - [`lease_timers`] counts down leases on the leader, in ticks.
+//! - [`change_log`] retains the most recent changes for watches.
 //!
-//! Sockets, files and threads:
+//! Modules with sockets, files or threads:
 //!
 //! - [`node`] is the actor that owns the raft state and applies committed entries to the state machine.
-//! - [`log_file`] keeps on disk what a node must not lose; [`peers`] carries raft messages between nodes.
-//! - [`wire`] has the frames between nodes and clients, [`server`] answers clients, [`client`] is such a client.
-//! - [`control`] answers an operator's commands.
+//! - [`log_file`] persists the raft log, hard state and snapshot of a node; [`peers`] transports raft
+//!   messages between nodes.
+//! - [`wire`] defines the frames between nodes and clients, [`server`] serves clients, and [`client`] is the
+//!   client library.
+//! - [`control`] executes operator commands.
 //!
-//! Requests of databases' clients never pass through this package.
+//! Database traffic of the router never passes through this package.
 pub mod acceptor;
 pub mod change_log;
 pub mod client;
--- a/store/src/limits.rs
+++ b/store/src/limits.rs
@@ -1,30 +1,35 @@
-//! Bounds of the replicated state. They decide what commands respond, so they must be the same at all nodes: they
-//! belong to the program, not to the operator's file.
+//! Limits of the replicated state. They determine the responses to commands, so they must be identical on all
+//! nodes: they are compiled into the program and cannot be configured.
 use crate::rejection::Rejection;
 
-/// The tick that leases are counted in, in milliseconds. The leader's ticks are never closer together than this.
+/// The tick length for counting down leases, in milliseconds. Two ticks of the leader are at least this far
+/// apart.
 pub const TICK_MS: u64 = 50;
-/// The shortest time to live of a lease, in milliseconds: several ticks, and more than a late heartbeat.
+/// The shortest time to live of a lease, in milliseconds: several ticks, and longer than a heartbeat may be
+/// delayed.
 pub const MIN_TTL_MS: u64 = 200;
-/// The longest time to live of a lease, in milliseconds: a name whose holder has died is free after that.
+/// The longest time to live of a lease, in milliseconds. This bounds how long a name stays taken after its
+/// holder has crashed.
 pub const MAX_TTL_MS: u64 = 600_000;
 
-/// What the state machine holds at most.
+/// Upper bounds of what the state machine stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreLimits {
-    /// Number of keys.
+    /// Maximum number of keys.
     pub max_keys: usize,
-    /// Bytes of one key, and of the name of a lease.
+    /// Maximum length of a key or a lease name, in bytes.
     pub max_key_bytes: usize,
-    /// Bytes of one value.
+    /// Maximum length of a value, in bytes.
     pub max_value_bytes: usize,
-    /// Bytes of all keys and values: a snapshot has to fit into one message between nodes.
+    /// Maximum total length of all keys and values, in bytes. It keeps a snapshot small enough for one
+    /// message between nodes.
     pub max_total_bytes: usize,
-    /// Number of clients whose last write is remembered.
+    /// Maximum number of registered clients; the last write of each is retained for retries.
     pub max_clients: usize,
-    /// Number of lease names whose highest epoch is remembered, held ones included.
+    /// Maximum number of lease names, held or free, whose highest epoch is retained.
     pub max_lease_names: usize,
-    /// Number of keys attached to one lease: they are removed in one change.
+    /// Maximum number of keys attached to one lease. They are all removed in a single change when the lease
+    /// ends.
     pub max_keys_per_lease: usize,
 }
 
@@ -42,7 +47,7 @@
     }
 }
 
-/// Rejects a quantity outside of its bounds, both of which are allowed.
+/// Rejects a quantity outside of the inclusive range from `min` to `max`.
 pub(crate) fn check_bounds(what: &str, quantity: u64, min: u64, max: u64) -> Result<(), Rejection> {
     if (min..=max).contains(&quantity) {
         return Ok(());
@@ -50,7 +55,7 @@
     Err(Rejection::OutOfBounds { what: what.into(), min, max })
 }
 
-/// The rejection of what would exceed a limit.
+/// Creates the rejection of a command that would exceed a limit.
 pub(crate) fn limit_reached(what: &str, max: usize) -> Rejection {
     Rejection::LimitReached { what: what.into(), max: max as u64 }
 }
--- a/store/src/log_file.rs
+++ b/store/src/log_file.rs
@@ -1,9 +1,11 @@
-//! What a node must not lose, in one file: records that are appended and synced before anything is sent that relies
-//! on them.
+//! The file with the persistent raft state of a node. Records are appended and synced before any message is
+//! sent that depends on them.
 //!
-//! A record is the length of kind and body (four bytes, little-endian), the CRC-32 of both (likewise), the kind (one
-//! byte) and the body, a protobuf message of the `raft` library. A tail that a crash has left incomplete is cut off; a crash
-//! leaves no complete record behind an incomplete one, so that damage before such a record is an error.
+//! A record consists of the length of kind and body (four bytes, little-endian), the CRC-32 of kind and body
+//! (four bytes, little-endian), the kind (one byte) and the body, a protobuf message of the `raft` library.
+//! An incomplete record at the end of the file is the torn tail that a crash leaves, and is truncated. A
+//! crash never leaves a complete record after an incomplete one, so an invalid record followed by a complete
+//! one is reported as damage.
 use protobuf::Message;
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use std::fs::{File, OpenOptions};
@@ -11,23 +13,24 @@
 use std::path::{Path, PathBuf};
 
 const FILE_NAME: &str = "log";
-/// Of the file that replaces the other one.
+/// Extension of the new file that replaces the log file by a rename.
 const NEW_FILE_EXTENSION: &str = "new";
 
 const HARD_STATE: u8 = 1;
 const ENTRY: u8 = 2;
 const SNAPSHOT: u8 = 3;
 
-/// Bytes of the length.
+/// Length of the length field.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of the length and the checksum.
+/// Length of the length field and the checksum.
 const HEADER_BYTES: usize = 8;
 
-/// Why a log file is not read: its records were confirmed, and none of them may be dropped.
+/// Why a log file is rejected. Its records were acknowledged to other nodes, so none of them may be dropped.
 #[derive(Debug, thiserror::Error)]
 enum LogDamage {
     #[error(
-        "the log is damaged at byte {damaged_at}, and a record that was confirmed later begins at byte {record_at}"
+        "the log is damaged at byte {damaged_at}, and a record that was confirmed later begins at byte \
+         {record_at}"
     )]
     BeforeRecord { damaged_at: usize, record_at: usize },
     #[error("the record at byte {at} of the log is of an unknown kind, {kind}")]
@@ -40,21 +43,21 @@
     }
 }
 
-/// What a log file contains.
+/// The contents of a log file.
 #[derive(Default)]
 pub struct LogContents {
-    /// The last hard state.
+    /// The most recent hard state.
     pub hard_state: HardState,
-    /// The log after the snapshot.
+    /// The log entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// The last snapshot.
+    /// The most recent snapshot.
     pub snapshot: Snapshot,
-    /// Bytes of the incomplete tail that was cut off.
+    /// Length of the torn tail that was truncated.
     pub torn_bytes: u64,
 }
 
 impl LogContents {
-    /// Reads the complete records at the front; also returns their length.
+    /// Parses the complete records at the start of `bytes`. Also returns their total length.
     fn parse(bytes: &[u8]) -> io::Result<(LogContents, usize)> {
         let mut contents = LogContents::default();
         let mut complete = 0;
@@ -73,7 +76,7 @@
         }
     }
 
-    /// A new leader's entry replaces the one at its index and all after that.
+    /// Adds an entry. An entry of a new leader replaces the existing one at its index and all later ones.
     fn push_entry(&mut self, entry: Entry) {
         self.entries.retain(|existing| existing.index < entry.index);
         self.entries.push(entry);
@@ -86,7 +89,8 @@
     }
 }
 
-/// The kind and the body of the record at the front; `None` where it is not complete.
+/// Returns the kind and body of the record at the start of `bytes`; `None` if it is incomplete or its
+/// checksum differs.
 fn complete_record(bytes: &[u8]) -> Option<(u8, &[u8])> {
     let header = bytes.get(..HEADER_BYTES)?;
     let length = little_endian(&header[..LENGTH_BYTES]) as usize;
@@ -97,7 +101,7 @@
     kind_and_body.split_first().map(|(kind, body)| (*kind, body))
 }
 
-/// Where the first complete record of a known kind behind a place begins.
+/// Returns the offset of the first complete record of a known kind that starts after offset `after`.
 fn next_record(bytes: &[u8], after: usize) -> Option<usize> {
     let of_known_kind = |&at: &usize| matches!(bytes[at + HEADER_BYTES], HARD_STATE | ENTRY | SNAPSHOT);
     let mut candidates = (after + 1..bytes.len().saturating_sub(HEADER_BYTES)).filter(of_known_kind);
@@ -131,10 +135,11 @@
 }
 
 impl LogFile {
-    /// Opens the log file in a folder; both are created where they are missing.
+    /// Opens the log file in a folder; creates both if they are missing.
     ///
     /// # Errors
-    /// Where the file can't be created, read or synced, a complete record can't be parsed, or the file is damaged before one.
+    /// Fails if the file cannot be created, read or synced, a complete record cannot be parsed, or there is
+    /// damage before a complete record.
     pub fn open(folder: &Path) -> io::Result<(LogFile, LogContents)> {
         std::fs::create_dir_all(folder)?;
         let path = folder.join(FILE_NAME);
@@ -152,10 +157,10 @@
         Ok((LogFile { path, file }, contents))
     }
 
-    /// Appends entries and a hard state, and syncs them.
+    /// Appends entries and a hard state, and syncs the file.
     ///
     /// # Errors
-    /// Where the file can't be written or synced: what it contains then is not known.
+    /// Fails if the file cannot be written or synced. Its contents are unknown after that.
     pub fn append(&mut self, entries: &[Entry], hard_state: Option<&HardState>) -> io::Result<()> {
         let mut bytes = Vec::new();
         for entry in entries {
@@ -171,10 +176,10 @@
         self.file.sync_data()
     }
 
-    /// Replaces the file by one with a snapshot and the log after it.
+    /// Replaces the file by one with a snapshot, the log entries after it and the hard state.
     ///
     /// # Errors
-    /// Where the new file can't be written, synced or put in place of the old one.
+    /// Fails if the new file cannot be written, synced or renamed to the log file.
     pub fn rewrite(
         &mut self,
         snapshot: &Snapshot,
--- a/store/src/machine.rs
+++ b/store/src/machine.rs
@@ -1,5 +1,5 @@
-//! The replicated state machine. No I/O, no clock, no threads: the same commands at the same log indices give the same
-//! responses at every node.
+//! The replicated state machine. No I/O, clock or threads: applying the same commands at the same log indices
+//! gives the same responses on every node.
 mod clients;
 mod leases;
 mod snapshot;
@@ -22,18 +22,18 @@
     state: State,
     leases: LeaseTable,
     clients: ClientTable,
-    /// Bytes of all keys and values.
+    /// Total length of all keys and values, in bytes.
     total_bytes: usize,
 }
 
-/// What applying a command gave.
+/// The result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
-    /// The response.
+    /// The response to the client.
     pub response: CommandResponse,
-    /// The changes of keys, where there are any.
+    /// The changed keys; `None` if no key changed.
     pub changes: Option<Arc<ChangeSet>>,
-    /// What it means for the leader's lease timers, where anything.
+    /// The effect on the leader's lease timers, if any.
     pub lease_event: Option<LeaseEvent>,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// What a command changes while it is applied.
+/// The effects of a command, collected while it is executed.
 #[derive(Default)]
 struct Effects {
     changes: Vec<KeyChange>,
@@ -51,27 +51,27 @@
 }
 
 impl StateMachine {
-    /// An empty store.
+    /// Creates an empty state machine.
     pub fn new(limits: StoreLimits) -> StateMachine {
         StateMachine { limits, ..StateMachine::default() }
     }
 
-    /// The keys.
+    /// The current keys.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Every held lease with its whole time to live: what a new leader begins to count.
+    /// All held leases with their full times to live, for a new leader to count down.
     pub fn lease_timers(&self) -> Vec<LeaseTimer> {
         self.leases.timers()
     }
 
-    /// Passes over a log entry without a command, such as a new leader's first.
+    /// Advances past a log entry without a command, such as the first entry of a new leader.
     pub fn skip(&mut self, index: u64) {
         self.state.applied_index = index;
     }
 
-    /// Applies the command at this log index; indices only rise.
+    /// Applies the command at this log index. Indices must increase with each call.
     pub fn apply(&mut self, index: u64, command: Command) -> Applied {
         self.state.applied_index = index;
         let origin = command.origin();
@@ -107,7 +107,7 @@
     ) -> Result<CommandEffect, Rejection> {
         match command {
             Command::Initialize { store_id } => {
-                // Of several that are proposed the first counts.
+                // Several leaders may propose an id; the first committed one takes effect.
                 if self.state.store_id == 0 {
                     self.state.store_id = store_id;
                 }
@@ -120,7 +120,7 @@
             }
             Command::Write { operation, .. } => self.write(index, operation, effects),
             Command::ExpireLease { token, renewals } => {
-                // A renewal that was committed before keeps the lease alive.
+                // The lease stays alive if a renewal was committed before this command.
                 let due = self.leases.find_held(&token).is_ok_and(|lease| lease.renewals == renewals);
                 if due {
                     self.end_lease(&token, effects);
@@ -157,7 +157,7 @@
                 let max_name_bytes = self.limits.max_key_bytes as u64;
                 check_bounds("a lease's name in bytes", name.len() as u64, 1, max_name_bytes)?;
                 check_bounds("a lease's time to live in ms", ttl_ms, MIN_TTL_MS, MAX_TTL_MS)?;
-                // The index only rises, and so does the epoch: for this name and for all others.
+                // Log indices only increase, so the epochs of all names do as well.
                 let timer = self.leases.grant(name, ttl_ms, index, self.limits.max_lease_names)?;
                 effects.lease_event = Some(LeaseEvent::Started(timer));
                 Ok(CommandEffect::Granted { epoch: index })
@@ -174,7 +174,7 @@
         }
     }
 
-    /// The version that the key is at, where the update accepts it.
+    /// Returns the key's current version, or a rejection if the update expects another one.
     fn check_version(&self, update: &Update) -> Result<u64, Rejection> {
         let current = self.state.get(&update.key).map_or(0, |value| value.version);
         match update.expected_version {
@@ -194,7 +194,8 @@
         }
         let freed = current.map_or(0, |value| update.key.len() + value.text.len());
         let total_bytes = self.total_bytes - freed + update.key.len() + text.len();
-        // What makes the store smaller is accepted even where an older program has let it grow too large.
+        // Updates that shrink the store are accepted even over the limit, because an older program version
+        // without limits may have let the store grow too large.
         if total_bytes > limits.max_total_bytes && total_bytes > self.total_bytes {
             return Err(limit_reached("bytes of keys and values", limits.max_total_bytes));
         }
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Updates a key that is at this version.
+    /// Updates a key whose current version is `version`.
     fn update(
         &mut self,
         index: u64,
--- a/store/src/machine/clients.rs
+++ b/store/src/machine/clients.rs
@@ -1,52 +1,54 @@
-//! Clients and the response to the last write of each: a retry gets the first response.
+//! The registered clients and the response to each one's last write, which a retry receives again.
 use crate::command::{CommandResponse, RequestOrigin};
 use crate::rejection::Rejection;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What is remembered of a client. It is part of a snapshot: the order of the fields must not change.
+/// The stored state of a client. It is part of a snapshot: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ClientRecord {
-    /// The sequence number of its last write, 0 before its first.
+    /// The sequence number of the client's last write, 0 before the first one.
     last_sequence: u64,
-    /// The log index of its last command: the client that has been silent for longest is evicted first.
+    /// The log index of the client's last command. When there are too many clients, the one with the lowest
+    /// index is evicted.
     last_active_index: u64,
     last_response: Option<CommandResponse>,
 }
 
-/// Whether a write is to be executed.
+/// The decision whether to execute a client's write.
 pub(super) enum Admission {
-    /// It is.
+    /// The write is new and must be executed.
     New,
-    /// It has been, with this response.
+    /// The write was executed before, with this response.
     Retry(CommandResponse),
-    /// It must not be.
+    /// The write must not be executed.
     Rejected(Rejection),
 }
 
-/// All clients, by their ids. It is part of a snapshot.
+/// All clients, keyed by client id. The table is part of a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(super) struct ClientTable(BTreeMap<u64, ClientRecord>);
 
 impl ClientTable {
-    /// Registers a client whose id is the log index of its registration; evicts another where there are too many.
+    /// Registers a client; its id is the log index of the registration. Evicts the least recently active
+    /// client if there are `max_clients` already.
     pub(super) fn register(&mut self, index: u64, max_clients: usize) {
         if self.0.len() >= max_clients {
-            self.evict_least_recent();
+            self.evict_least_recently_active();
         }
         let record = ClientRecord { last_sequence: 0, last_active_index: index, last_response: None };
         self.0.insert(index, record);
     }
 
-    fn evict_least_recent(&mut self) {
-        let least_recent = self.0.iter().min_by_key(|(_, client)| client.last_active_index);
-        if let Some(client_id) = least_recent.map(|(id, _)| *id) {
+    fn evict_least_recently_active(&mut self) {
+        let least_recently_active = self.0.iter().min_by_key(|(_, client)| client.last_active_index);
+        if let Some(client_id) = least_recently_active.map(|(id, _)| *id) {
             self.0.remove(&client_id);
         }
     }
 
-    /// Decides on the write at this log index.
+    /// Decides whether to execute the write at this log index.
     pub(super) fn admit(&mut self, origin: RequestOrigin, store_id: u64, index: u64) -> Admission {
         if origin.store_id != store_id {
             return Admission::Rejected(Rejection::UnknownClient);
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Remembers the response to the write at this log index.
+    /// Stores the response to the write at this log index, for retries.
     pub(super) fn record(&mut self, origin: RequestOrigin, index: u64, response: CommandResponse) {
         let record = ClientRecord {
             last_sequence: origin.sequence,
--- a/store/src/machine/leases.rs
+++ b/store/src/machine/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: names, who holds them, and the keys attached to each.
+//! The lease names, their current leases, and the keys attached to each lease.
 use crate::command::FencingToken;
 use crate::lease_timers::LeaseTimer;
 use crate::limits::{TICK_MS, limit_reached};
@@ -12,40 +12,41 @@
     pub(super) epoch: u64,
     ttl_ms: u64,
     pub(super) renewals: u64,
-    /// Each key names its lease: a snapshot does not repeat it.
+    /// Not serialized: a snapshot contains the lease epoch of each key, from which this set is rebuilt.
     #[serde(skip)]
     pub(super) attached_keys: BTreeSet<String>,
 }
 
 impl Lease {
     fn timer(&self, name: &str) -> LeaseTimer {
-        // The first tick may follow at once: with one more the count is never shorter than the time to live.
+        // The first tick may come immediately after the start. One additional tick ensures that the countdown
+        // is not shorter than the time to live.
         let ticks = self.ttl_ms.div_ceil(TICK_MS) + 1;
         let token = FencingToken { name: name.into(), epoch: self.epoch };
         LeaseTimer { token, renewals: self.renewals, ticks }
     }
 }
 
-/// What is known of a name. It is part of a snapshot: the order of the fields must not change.
+/// The record of a lease name. It is part of a snapshot: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct NameRecord {
     highest_epoch: u64,
-    /// The lease while it is held.
+    /// `None` while the name is free.
     lease: Option<Lease>,
 }
 
-/// All names that are remembered.
+/// The records of all known lease names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct LeaseTable {
     names: BTreeMap<String, NameRecord>,
-    /// The names of held leases, by epoch.
+    /// The names of the held leases, keyed by epoch.
     held: BTreeMap<u64, String>,
-    /// No name that was forgotten had an epoch above this one.
+    /// The highest epoch among the names whose records were evicted.
     highest_forgotten_epoch: u64,
 }
 
 impl LeaseTable {
-    /// From the parts of a snapshot.
+    /// Rebuilds the table from a snapshot. The keys are attached later.
     pub(super) fn restore(names: BTreeMap<String, NameRecord>, highest_forgotten_epoch: u64) -> LeaseTable {
         let epoch_and_name = |(name, record): (&String, &NameRecord)| {
             record.lease.as_ref().map(|lease| (lease.epoch, name.clone()))
@@ -62,14 +63,14 @@
         self.highest_forgotten_epoch
     }
 
-    /// Every held lease with its whole time to live, in order of names.
+    /// All held leases with their full times to live, ordered by name.
     pub(super) fn timers(&self) -> Vec<LeaseTimer> {
         let timer =
             |(name, record): (&String, &NameRecord)| record.lease.as_ref().map(|lease| lease.timer(name));
         self.names.iter().filter_map(timer).collect()
     }
 
-    /// The lease, where this epoch holds the name.
+    /// Returns the lease if the token's epoch is the one that holds the name.
     pub(super) fn find_held(&mut self, token: &FencingToken) -> Result<&mut Lease, Rejection> {
         let Some(record) = self.names.get_mut(&token.name) else {
             return Err(Rejection::Fenced { highest_epoch: self.highest_forgotten_epoch });
@@ -90,7 +91,7 @@
         if let Some(lease) = self.names.get(&name).and_then(|record| record.lease.as_ref()) {
             return Err(Rejection::LeaseHeld { epoch: lease.epoch });
         }
-        self.make_room_for(&name, max_names)?;
+        self.ensure_capacity_for(&name, max_names)?;
         let lease = Lease { epoch, ttl_ms, renewals: 0, attached_keys: BTreeSet::new() };
         let timer = lease.timer(&name);
         self.held.insert(epoch, name.clone());
@@ -98,9 +99,10 @@
         Ok(timer)
     }
 
-    /// Forgets the free name with the lowest epoch where one more would be too many. Whoever held it stays fenced: an
-    /// epoch of a name that is not known holds nothing.
-    fn make_room_for(&mut self, name: &str, max_names: usize) -> Result<(), Rejection> {
+    /// Evicts the record of the free name with the lowest epoch if one more name would exceed the limit.
+    /// Previous holders of an evicted name stay fenced, because a token of an unknown name is always
+    /// rejected.
+    fn ensure_capacity_for(&mut self, name: &str, max_names: usize) -> Result<(), Rejection> {
         if self.names.contains_key(name) || self.names.len() < max_names {
             return Ok(());
         }
@@ -120,14 +122,14 @@
         Ok(lease.timer(&token.name))
     }
 
-    /// Ends the lease that holds the name.
+    /// Ends the lease of a name and returns it, if the name is held.
     pub(super) fn end(&mut self, name: &str) -> Option<Lease> {
         let lease = self.names.get_mut(name)?.lease.take()?;
         self.held.remove(&lease.epoch);
         Some(lease)
     }
 
-    /// Whether a key may be attached to the lease of this epoch.
+    /// Checks that a key may be attached to the lease of this epoch.
     pub(super) fn check_attach(&self, epoch: u64, key: &str, max_keys: usize) -> Result<(), Rejection> {
         let record = self.held.get(&epoch).and_then(|name| self.names.get(name));
         let lease = record.and_then(|record| record.lease.as_ref());
@@ -138,7 +140,7 @@
         Ok(())
     }
 
-    /// Attaches a key to the lease of this epoch; `false` where that is not held.
+    /// Attaches a key to the lease of this epoch. Returns `false` if no such lease is held.
     pub(super) fn attach(&mut self, epoch: u64, key: &str) -> bool {
         let Some(keys) = self.attached_keys(epoch) else { return false };
         keys.insert(key.into());
--- a/store/src/machine/snapshot.rs
+++ b/store/src/machine/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the state machine.
+//! Encoding and decoding of state machine snapshots.
 use super::StateMachine;
 use super::clients::ClientTable;
 use super::leases::{LeaseTable, NameRecord};
@@ -23,7 +23,7 @@
 }
 
 impl StateMachine {
-    /// The bytes of a snapshot; `None` where the state can't be encoded.
+    /// Encodes a snapshot; `None` if serialization fails.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let contents = SnapshotContents {
             store_id: self.state.store_id,
@@ -37,7 +37,8 @@
         postcard::to_extend(&contents, vec![FORMAT]).ok()
     }
 
-    /// From the bytes of a snapshot, legacy ones included; `None` where the format is not known.
+    /// Decodes a snapshot in the current or the legacy format; `None` if the format is unknown or the
+    /// contents are invalid.
     pub fn decode(bytes: &[u8], limits: StoreLimits) -> Option<StateMachine> {
         let mut machine = StateMachine::new(limits);
         match bytes {
@@ -62,7 +63,8 @@
         self.clients = contents.clients;
     }
 
-    /// Attaches the keys to the leases that they name; `None` where one of these is not held.
+    /// Attaches all keys to the leases whose epochs they contain. Returns `None` if one of these leases is
+    /// not held.
     fn attach_keys_to_leases(&mut self) -> Option<()> {
         for (key, value) in self.state.with_prefix("") {
             if let Some(epoch) = value.lease_epoch {
--- a/store/src/node.rs
+++ b/store/src/node.rs
@@ -1,8 +1,8 @@
-//! A node of the store: an actor that owns the raft state, and the handle to it.
+//! A node of the store: an actor that owns the raft state, and handles to it.
 //!
-//! The actor's thread takes messages of peers and requests of handles from one bounded queue, ticks the raft library,
-//! stores what must not be lost before it sends what relies on it, and applies committed commands to the state
-//! machine. Readers share the state machine with it under a lock.
+//! The actor's thread receives messages of peers and requests of handles from one bounded queue, ticks the
+//! raft library, persists state before sending the messages that depend on it, and applies committed commands
+//! to the state machine. Handles share the state machine with the actor under a lock.
 mod actor;
 mod commands;
 mod handle;
--- a/store/src/node/actor.rs
+++ b/store/src/node/actor.rs
@@ -1,7 +1,7 @@
-//! The actor of a node: one thread that owns the raft state and the log file. This file has its state, its loop and a
-//! handler for each command. What the raft library has ready is handled in `ready.rs`.
-use super::commands::{NodeCommand, WriteReply};
-use super::reads::{PendingReads, ReadReply};
+//! The actor of a node: one thread that owns the raft state and the log file. This file contains its state,
+//! its loop and the command handlers; `ready.rs` processes the output of the raft library.
+use super::commands::{NodeCommand, WriteResponder};
+use super::reads::{PendingReads, ReadResponder};
 use super::responses::KnownLeader;
 use super::settings::Settings;
 use super::storage::RaftStorage;
@@ -19,19 +19,19 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The unit in which raft counts elections and heartbeats, and the leader counts leases.
+/// The time unit of raft's election and heartbeat timeouts and of the leader's lease countdowns.
 const TICK: Duration = Duration::from_millis(TICK_MS);
-/// A write that is not committed, or a read that is not confirmed, within this time is given up.
+/// Writes that are not committed and reads that are not confirmed within this time are rejected.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
-/// The most commands that are handled in one turn of the loop: what they add to the log is synced together.
+/// Maximum number of commands per iteration of the loop. Their log entries are synced together.
 const MAX_BATCH: usize = 256;
-/// The key that marks a store whose seeds have been set.
+/// The key that marks a store whose seed keys have been written.
 const SEEDED_KEY: &str = "seeded";
 const SEEDED_TEXT: &str = "yes";
 
-/// A proposed command whose response is awaited.
+/// A proposed command that waits to be committed and applied.
 pub(super) struct PendingWrite {
-    pub(super) reply: WriteReply,
+    pub(super) responder: WriteResponder,
     proposed_at: Instant,
 }
 
@@ -39,23 +39,24 @@
 pub(super) struct Node {
     pub(super) raft: RawNode<RaftStorage>,
     pub(super) storage: RaftStorage,
-    /// `None` for a node that keeps its log in memory alone.
+    /// `None` for a node that keeps its log only in memory.
     pub(super) log_file: Option<LogFile>,
-    /// By a peer's id, the queue of the thread that sends to it.
+    /// The queue of the sender thread of each peer, keyed by node id.
     pub(super) peers: HashMap<u64, Sender<Message>>,
-    /// By the request id in the context of the log entry.
+    /// Keyed by the request id, which is the context of the log entry.
     pub(super) pending_writes: HashMap<Vec<u8>, PendingWrite>,
     pub(super) reads: PendingReads,
     pub(super) lease_timers: LeaseTimers,
-    /// Called on this thread with the state at the start and after each change.
+    /// Called on this thread with the state, once at the start and after each change.
     pub(super) on_change: Box<dyn Fn(&State) + Send>,
     settings: Settings,
-    /// The number in the latest request id.
-    last_request: u64,
-    /// The latest term that this node has led and proposed the id and the seeds of a new store in; 0 for none.
+    /// The number in the most recent request id.
+    last_request_number: u64,
+    /// The last term in which this node, as leader, proposed the id and the seed keys of a new store; 0 for
+    /// none.
     seeded_term: u64,
-    /// The term that this node counts leases in, as its leader; `None` while it does not lead.
-    counting_term: Option<u64>,
+    /// The term in which this node, as leader, counts down leases; `None` while it is not the leader.
+    lease_timer_term: Option<u64>,
 }
 
 impl Node {
@@ -77,15 +78,16 @@
             lease_timers: LeaseTimers::default(),
             on_change,
             settings,
-            // Entries and answers with ids from before a restart may still come: they must not match a new request. The
-            // upper half is left free to count in.
-            last_request: fastrand::u64(..1 << 63),
+            // Log entries and responses with request ids from before a restart may still arrive and must not
+            // match a new request, so the counter starts at a random number. The upper half of the range is
+            // left for counting.
+            last_request_number: fastrand::u64(..1 << 63),
             seeded_term: 0,
-            counting_term: None,
+            lease_timer_term: None,
         }
     }
 
-    /// Runs until the last handle is gone, or the log can't be stored.
+    /// Runs until the last handle is dropped or the log cannot be stored.
     pub(super) fn run(mut self, commands: &Receiver<NodeCommand>) {
         let state = self.storage.shared.machine().state().clone();
         (self.on_change)(&state);
@@ -99,68 +101,70 @@
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            // Commands that come without a pause must not hold up the ticks. Two ticks are never less than `TICK` apart,
-            // or leases would end early.
+            // Ticks must also happen while commands arrive without a pause. Two ticks are at least `TICK`
+            // apart, because otherwise leases would expire early.
             if Instant::now() >= next_tick {
                 next_tick = Instant::now() + TICK;
                 self.tick();
             }
             self.request_read_index();
             if let Err(error) = self.advance() {
-                // What can't be stored must not be promised: the node stops, and the others go on.
-                tracing::error!(%error, "store node stopped");
+                // Without a log the node must not acknowledge anything, so it stops; the other nodes
+                // continue.
+                tracing::error!(%error, "store node stopped, its log cannot be stored");
                 self.storage.shared.clear_leader();
                 return;
             }
-            self.follow_leadership();
+            self.update_leadership();
         }
     }
 
     fn handle(&mut self, command: NodeCommand) {
         match command {
             NodeCommand::Receive(message) => self.receive(*message),
-            NodeCommand::Propose { command, reply } => self.propose_for_client(&command, reply),
-            NodeCommand::Read(reply) => self.read(reply),
-            NodeCommand::Status(reply) => _ = reply.try_send(self.known_leader()),
+            NodeCommand::Propose { command, responder } => self.propose_for_client(&command, responder),
+            NodeCommand::Read(responder) => self.read(responder),
+            NodeCommand::Status(responder) => _ = responder.try_send(self.known_leader()),
             NodeCommand::SetPeerAddress { node, addr } => self.set_peer_address(node, addr),
         }
     }
 
-    /// Hands a peer's message to raft. A message from an unknown node or for another node is dropped: some node's settings
-    /// name a wrong address.
+    /// Passes a peer's message to raft. Messages from unknown nodes or for another node are dropped: they
+    /// come from a node with a wrong address in its settings.
     fn receive(&mut self, message: Message) {
         let is_known = self.settings.peers.contains_key(&message.from) && message.to == self.settings.node;
         if is_known {
-            // Raft refuses what does not fit its state; the peer sends what is still needed again.
+            // Raft rejects messages that do not match its state. The peer sends again what is still needed.
             _ = self.raft.step(message);
         }
     }
 
-    /// Proposes a client's command, which a follower's raft forwards to the leader. It is answered once it is applied;
-    /// at once where it can't be proposed.
-    fn propose_for_client(&mut self, command: &Command, reply: WriteReply) {
+    /// Proposes a client's command, which raft forwards from a follower to the leader. The response is sent
+    /// when the command is applied, or at once if it cannot be proposed.
+    fn propose_for_client(&mut self, command: &Command, responder: WriteResponder) {
         let request_id = self.next_request_id();
         if self.has_leader() && self.propose(request_id.clone(), command) {
-            self.pending_writes.insert(request_id, PendingWrite { reply, proposed_at: Instant::now() });
+            self.pending_writes.insert(request_id, PendingWrite { responder, proposed_at: Instant::now() });
         } else {
-            _ = reply.try_send(Err(Rejection::NoQuorum));
+            _ = responder.try_send(Err(Rejection::NoQuorum));
         }
     }
 
-    /// Proposes a log entry with this context; returns whether raft has accepted it.
+    /// Proposes a log entry with this context. Returns whether raft accepted the proposal.
     fn propose(&mut self, context: Vec<u8>, command: &Command) -> bool {
         command.encode().is_some_and(|bytes| self.raft.propose(context, bytes).is_ok())
     }
 
-    fn read(&mut self, reply: ReadReply) {
+    fn read(&mut self, responder: ReadResponder) {
         if self.has_leader() {
-            self.reads.add(reply);
+            self.reads.add(responder);
         } else {
-            _ = reply.try_send(Err(Rejection::NoQuorum));
+            _ = responder.try_send(Err(Rejection::NoQuorum));
         }
     }
 
-    /// Sends to a peer at another address from now on. Nodes that are no peers, and this node itself, are ignored.
+    /// Changes the address that messages to a peer are sent to. Unknown nodes and this node itself are
+    /// ignored.
     fn set_peer_address(&mut self, node: u64, addr: SocketAddr) {
         let current = self.settings.peers.get(&node);
         if node == self.settings.node || current.is_none_or(|current| *current == addr) {
@@ -168,12 +172,12 @@
         }
         match peers::start_sender(addr) {
             Ok(sender) => {
-                // The old sender's thread ends with its queue.
+                // Replacing the queue ends the old sender thread.
                 self.peers.insert(node, sender);
                 self.settings.peers.insert(node, addr);
                 tracing::info!(node, %addr, "store peer address changed");
             }
-            Err(error) => tracing::error!(node, %error, "store peer thread not started"),
+            Err(error) => tracing::error!(node, %error, "store sender thread for peer not started"),
         }
     }
 
@@ -186,8 +190,9 @@
         expirations.iter().for_each(|command| self.propose_internal(command));
     }
 
-    /// The leader of a new store gives it an id and sets the seeds, once in its term. Commands that are proposed twice,
-    /// by two leaders, do no harm: the id is set once, and the seeds are set only as new keys.
+    /// If this node leads a new store, proposes its id and seed keys, once per term. Duplicate proposals by
+    /// successive leaders are harmless: only the first id takes effect, and seed keys are written only if
+    /// they do not exist.
     fn seed(&mut self) {
         let Some(term) = self.leading_term() else { return };
         if self.seeded_term == term {
@@ -207,35 +212,35 @@
         self.propose_new_key(SEEDED_KEY.into(), SEEDED_TEXT.into());
     }
 
-    /// Proposes a key that must not exist yet.
+    /// Proposes to create a key; the command has no effect if the key exists.
     fn propose_new_key(&mut self, key: String, text: String) {
         let update = Update { key, text: Some(text), expected_version: Some(0) };
         let operation = Operation::Update { update, fencing_token: None, lease_epoch: None };
         self.propose_internal(&Command::Write { origin: None, operation });
     }
 
-    /// Proposes a command whose response nobody awaits. Where it is lost, a later tick or the next leader proposes it
-    /// again.
+    /// Proposes a command without waiting for its response. If the proposal is lost, a later tick or the next
+    /// leader repeats it.
     fn propose_internal(&mut self, command: &Command) {
         let no_context = vec![];
         self.propose(no_context, command);
     }
 
-    /// Gives up writes and reads that have waited too long, and all of them where no leader is known. A write that is
-    /// given up may still be committed: its client learns that this is unconfirmed.
+    /// Rejects writes and reads that have waited too long, and all of them while no leader is known. A
+    /// rejected write may still be committed, so its client is told that it is unconfirmed.
     fn expire_requests(&mut self) {
         let no_leader = !self.has_leader();
         self.pending_writes.retain(|_, write| {
             let lost = no_leader || write.proposed_at.elapsed() > COMMIT_TIMEOUT;
             if lost {
-                _ = write.reply.try_send(Err(Rejection::Unconfirmed));
+                _ = write.responder.try_send(Err(Rejection::Unconfirmed));
             }
             !lost
         });
         self.reads.expire(no_leader, COMMIT_TIMEOUT);
     }
 
-    /// Requests a read index for the readers that wait, unless a request is in flight.
+    /// Requests a read index for the waiting readers, unless a request is already in flight.
     fn request_read_index(&mut self) {
         if !self.reads.needs_request() {
             return;
@@ -246,8 +251,9 @@
         self.reads.start_request(request_id, leading_term);
     }
 
-    /// Publishes who leads. Leases are counted by the leader alone, from the beginning in each of its terms.
-    fn follow_leadership(&mut self) {
+    /// Publishes the current leader, and starts or stops the lease countdowns when this node gains or loses
+    /// the leadership. Each of its terms starts the countdowns anew.
+    fn update_leadership(&mut self) {
         let (leader, term) = (self.raft.raft.leader_id, self.raft.raft.term);
         let leading_term = self.leading_term();
         let shared = &self.storage.shared;
@@ -255,15 +261,15 @@
         if previous_leader != leader {
             log_leader(leader, term);
         }
-        if leading_term == self.counting_term {
+        if leading_term == self.lease_timer_term {
             return;
         }
-        self.counting_term = leading_term;
+        self.lease_timer_term = leading_term;
         let event = match leading_term {
             Some(_) => LeaseTimerEvent::BecameLeader(shared.machine().lease_timers()),
             None => LeaseTimerEvent::LostLeadership,
         };
-        // Only a tick ends leases: this event gives no commands.
+        // Only ticks produce commands, so the list stays empty.
         self.lease_timers.handle(event, &mut Vec::new());
     }
 
@@ -275,21 +281,22 @@
         KnownLeader::new(self.raft.raft.leader_id, self.raft.raft.term)
     }
 
-    /// The term that this node leads, as far as it knows: a newer leader may have been elected without it.
+    /// The term in which this node believes to be the leader. A newer leader may have been elected without
+    /// its knowledge.
     pub(super) fn leading_term(&self) -> Option<u64> {
         (self.raft.raft.state == StateRole::Leader).then_some(self.raft.raft.term)
     }
 
-    /// An id that no other request has, of any node: the node's id and a number, 8 bytes each.
+    /// Creates a request id that is unique across all nodes: the node's id and a counter, 8 bytes each.
     fn next_request_id(&mut self) -> Vec<u8> {
-        self.last_request += 1;
-        [self.settings.node.to_le_bytes(), self.last_request.to_le_bytes()].concat()
+        self.last_request_number += 1;
+        [self.settings.node.to_le_bytes(), self.last_request_number.to_le_bytes()].concat()
     }
 }
 
 fn log_leader(leader: u64, term: u64) {
     if leader == raft::INVALID_ID {
-        tracing::warn!(term, "store leader lost, writes wait for one");
+        tracing::warn!(term, "store leader lost, writes are rejected until a new one is elected");
     } else {
         tracing::info!(leader, term, "store leader elected");
     }
--- a/store/src/node/commands.rs
+++ b/store/src/node/commands.rs
@@ -1,5 +1,5 @@
-//! What handles and peers request of the actor.
-use super::reads::ReadReply;
+//! The commands that handles and peers send to the actor.
+use super::reads::ReadResponder;
 use super::responses::{CommittedWrite, KnownLeader};
 use crate::command::Command;
 use crate::rejection::Rejection;
@@ -7,19 +7,19 @@
 use raft::eraftpb::Message;
 use std::net::SocketAddr;
 
-/// Receives the response to a proposed command.
-pub(super) type WriteReply = Sender<Result<CommittedWrite, Rejection>>;
-/// A request of a handle, or a message of a peer.
+/// Channel for the response to a proposed command.
+pub(super) type WriteResponder = Sender<Result<CommittedWrite, Rejection>>;
+/// A request of a handle or a message of a peer.
 pub(super) enum NodeCommand {
-    /// A peer has sent a raft message.
+    /// A raft message was received from a peer.
     Receive(Box<Message>),
     Propose {
         command: Command,
-        reply: WriteReply,
+        responder: WriteResponder,
     },
-    Read(ReadReply),
+    Read(ReadResponder),
     Status(Sender<KnownLeader>),
-    /// A peer listens at another address from now on.
+    /// The address of a peer has changed.
     SetPeerAddress {
         node: u64,
         addr: SocketAddr,
--- a/store/src/node/handle.rs
+++ b/store/src/node/handle.rs
@@ -1,5 +1,5 @@
-//! The handle to a node. Its clones share the node; requests go through the actor's bounded queue, and reads of what
-//! this node has do not.
+//! The handle to a node. Clones refer to the same node. Writes and confirmed reads pass through the actor's
+//! bounded queue; reads of the local state do not.
 use super::commands::NodeCommand;
 use super::responses::{CommittedWrite, ConfirmedRead, KnownLeader, NodeStatus, ReadResult};
 use super::shared::Shared;
@@ -12,7 +12,8 @@
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
 
-/// The handle to a node.
+/// The handle to a node. Clones refer to the same node. Writes and confirmed reads pass through the actor's
+/// bounded queue; reads of the local state do not.
 #[derive(Clone)]
 pub struct Store {
     pub(super) sender: Sender<NodeCommand>,
@@ -21,10 +22,10 @@
 }
 
 impl Store {
-    /// Updates a key, and returns its new version, 0 where it was deleted.
+    /// Updates a key. Returns its new version, 0 if it was deleted.
     ///
     /// # Errors
-    /// The [`Rejection`]; with [`Rejection::Unconfirmed`] the update may still be applied.
+    /// Any [`Rejection`]. After [`Rejection::Unconfirmed`] the update may still be applied.
     pub fn update(&self, update: Update) -> Result<u64, Rejection> {
         let operation = Operation::Update { update, fencing_token: None, lease_epoch: None };
         match self.propose(Command::Write { origin: None, operation })?.response.result? {
@@ -33,10 +34,11 @@
         }
     }
 
-    /// Applies a client's write; a retry gets the first response.
+    /// Applies a client's write. A retry receives the response of the first execution.
     ///
     /// # Errors
-    /// The [`Rejection`] where it was not committed, or is not known to be. One of the state machine is in the response.
+    /// A [`Rejection`] if the write was not committed or is not known to be. A rejection by the state machine
+    /// is returned in the response instead.
     pub fn write(&self, origin: RequestOrigin, operation: Operation) -> Result<CommittedWrite, Rejection> {
         self.propose(Command::Write { origin: Some(origin), operation })
     }
@@ -44,43 +46,43 @@
     /// Registers a client.
     ///
     /// # Errors
-    /// As for [`Store::write`].
+    /// Same as [`Store::write`].
     pub fn register_client(&self) -> Result<CommittedWrite, Rejection> {
         self.propose(Command::RegisterClient)
     }
 
     fn propose(&self, command: Command) -> Result<CommittedWrite, Rejection> {
-        let (reply, receiver) = bounded(1);
-        if self.sender.send(NodeCommand::Propose { command, reply }).is_err() {
+        let (responder, receiver) = bounded(1);
+        if self.sender.send(NodeCommand::Propose { command, responder }).is_err() {
             return Err(Rejection::NoQuorum);
         }
         receiver.recv().unwrap_or(Err(Rejection::Unconfirmed))
     }
 
-    /// Notes that a peer listens at another address from now on. Which nodes there are stays as it was set up.
+    /// Changes the address of a peer. The set of nodes cannot be changed.
     pub fn set_peer_address(&self, node: u64, addr: SocketAddr) {
         _ = self.sender.try_send(NodeCommand::SetPeerAddress { node, addr });
     }
 
-    /// The committed keys that this node has; they may be stale.
+    /// The committed keys on this node, which may be stale.
     pub fn state(&self) -> State {
         self.shared.machine().state().clone()
     }
 
-    /// The keys with every write that was acknowledged anywhere before this call: a majority has confirmed the leader
-    /// since, and this node has caught up with it.
+    /// A linearizable read of all keys. It contains every write that was acknowledged by any node before this
+    /// call: a majority has confirmed the leader since then, and this node has caught up.
     ///
     /// # Errors
-    /// [`Rejection::NoQuorum`] where that did not happen in time.
+    /// [`Rejection::NoQuorum`] if that did not happen within the timeout.
     pub fn read(&self) -> Result<ConfirmedRead, Rejection> {
         self.confirmed_read().map(|result| result.read)
     }
 
-    /// As [`Store::read`] where this node is the leader: a majority has confirmed, since this call began, that it leads
-    /// the term that is returned. `None` where another node leads.
+    /// Like [`Store::read`], but only on the leader: since this call began, a majority has confirmed that
+    /// this node leads the returned term. Returns `None` if another node is the leader.
     ///
     /// # Errors
-    /// As for [`Store::read`].
+    /// Same as [`Store::read`].
     pub fn read_as_leader(&self) -> Result<Option<ConfirmedRead>, Rejection> {
         if self.known_leader().leader != Some(self.node) {
             return Ok(None);
@@ -89,31 +91,31 @@
     }
 
     fn confirmed_read(&self) -> Result<ReadResult, Rejection> {
-        let (reply, receiver) = bounded(1);
-        if self.sender.send(NodeCommand::Read(reply)).is_err() {
+        let (responder, receiver) = bounded(1);
+        if self.sender.send(NodeCommand::Read(responder)).is_err() {
             return Err(Rejection::NoQuorum);
         }
         receiver.recv().unwrap_or(Err(Rejection::NoQuorum))
     }
 
-    /// The status of this node, from its actor; without a leader where the node has stopped.
+    /// The status of this node, as reported by its actor; without a leader if the node has stopped.
     pub fn status(&self) -> NodeStatus {
-        let (reply, receiver) = bounded(1);
-        _ = self.sender.send(NodeCommand::Status(reply));
+        let (responder, receiver) = bounded(1);
+        _ = self.sender.send(NodeCommand::Status(responder));
         let KnownLeader { leader, term } = receiver.recv().unwrap_or(KnownLeader { leader: None, term: 0 });
         NodeStatus { node: self.node, leader, term }
     }
 
-    /// The leader that this node knew last, without asking its actor.
+    /// The last leader that this node published, without a request to its actor.
     pub fn known_leader(&self) -> KnownLeader {
         self.shared.known_leader()
     }
 
-    /// The changes after a revision, in order, `max_count` of them at most. Where there are none yet, waits for them
-    /// until the timeout; what it returns then may be empty.
+    /// Returns the changes after a revision, in order, at most `max_count` of them. If there are none yet,
+    /// waits until the timeout, after which the result may be empty.
     ///
     /// # Errors
-    /// [`Compacted`] where they are not retained any more.
+    /// [`Compacted`] if the changes are no longer all retained.
     pub fn wait_for_changes(
         &self,
         after_revision: u64,
--- a/store/src/node/ready.rs
+++ b/store/src/node/ready.rs
@@ -1,5 +1,5 @@
-//! What the raft library has ready: entries and hard states to store, messages to send, committed entries to apply,
-//! confirmed reads to answer.
+//! Processes the output of the raft library: entries and hard states to store, messages to send, committed
+//! entries to apply, and confirmed reads to respond to.
 use super::actor::Node;
 use super::responses::CommittedWrite;
 use crate::command::Command;
@@ -12,13 +12,13 @@
 use std::io;
 use std::time::Duration;
 
-/// How long after a failure the disk is tried again.
+/// Pause before retrying after a failed disk write.
 const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Applied log entries after which a snapshot replaces them.
+/// Number of applied log entries after which a snapshot replaces them.
 const SNAPSHOT_THRESHOLD: u64 = 1000;
 
 impl Node {
-    /// Handles all that is ready.
+    /// Processes all output that raft has ready.
     pub(super) fn advance(&mut self) -> Result<(), Error> {
         while self.raft.has_ready() {
             let ready = self.raft.ready();
@@ -34,7 +34,7 @@
         }
         self.apply_entries(ready.take_committed_entries())?;
         self.store(ready.entries(), ready.hs())?;
-        // Only now may others rely on what is stored.
+        // Peers may rely on these messages, so they are sent only after the entries are stored.
         self.send(ready.take_persisted_messages());
         let read_states = ready.take_read_states();
         let mut light_ready = self.raft.advance(ready);
@@ -44,14 +44,14 @@
         self.send(light_ready.take_messages());
         self.apply_entries(light_ready.take_committed_entries())?;
         self.raft.advance_apply();
-        self.answer_reads(read_states);
+        self.respond_to_reads(read_states);
         Ok(())
     }
 
     fn send(&self, messages: Vec<Message>) {
         for message in messages {
             if let Some(peer) = self.peers.get(&message.to) {
-                // A full queue drops it; raft sends it again.
+                // If the queue is full, the message is dropped; raft sends it again.
                 _ = peer.try_send(message);
             }
         }
@@ -74,12 +74,13 @@
         self.append_to_log_file(&[], Some(&hard_state))
     }
 
-    /// Appends to the log file what the log in memory has already.
+    /// Appends entries and a hard state to the log file. The log in memory contains them already.
     fn append_to_log_file(&mut self, entries: &[Entry], hard_state: Option<&HardState>) -> Result<(), Error> {
         let Some(log_file) = &mut self.log_file else { return Ok(()) };
         let Err(error) = log_file.append(entries, hard_state) else { return Ok(()) };
-        // What the file contains now is not known, and a sync that is repeated may say that all is well: only another file
-        // can be relied on. Until it is there, nothing is sent that would promise something.
+        // After a failed write the contents of the file are unknown, and a repeated sync may report success
+        // although data is lost. Only a new file is reliable. Until it is written, no message is sent that
+        // depends on it.
         self.report_disk_failure(&error);
         let applied_index = self.storage.shared.machine().state().applied_index;
         let snapshot = self.storage.take_snapshot().map_err(io::Error::other)?;
@@ -91,12 +92,12 @@
     fn report_disk_failure(&self, error: &io::Error) {
         tracing::error!(
             %error,
-            "store log not stored, this node takes part in nothing until it is"
+            "store log write failed, this node does not participate until a retry succeeds"
         );
         self.storage.shared.clear_leader();
     }
 
-    /// Replaces the state by the leader's snapshot.
+    /// Replaces the state by a snapshot from the leader.
     fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), Error> {
         let machine = StateMachine::decode(snapshot.get_data(), StoreLimits::default())
             .ok_or_else(|| Error::UnknownFormat { what: "the leader's snapshot".into() })?;
@@ -105,15 +106,16 @@
         let state = machine.state().clone();
         let shared = &self.storage.shared;
         *shared.machine() = machine;
-        // After the keys: a watch that finds the changes compacted must find the keys that replace them.
+        // Reset only after the keys are replaced: a watch that finds its changes compacted must find the new
+        // keys.
         shared.change_log().reset(state.revision);
         shared.changed.notify_all();
         (self.on_change)(&state);
         Ok(())
     }
 
-    /// Replaces the log file. Where the disk refuses that it is tried again until it succeeds: a disk that is full or fails
-    /// for a while must not cost the store a node for good.
+    /// Replaces the log file, and retries until that succeeds: a disk that is full or fails temporarily must
+    /// not remove a node from the store permanently.
     fn rewrite_log_file(&mut self, snapshot: &Snapshot, entries: &[Entry]) -> Result<(), Error> {
         let hard_state = self.storage.log.wl().hard_state().clone();
         let mut failed = false;
@@ -121,7 +123,7 @@
             let Some(log_file) = &mut self.log_file else { return Ok(()) };
             match log_file.rewrite(snapshot, entries, &hard_state) {
                 Ok(()) if failed => {
-                    tracing::info!("store log stored again");
+                    tracing::info!("store log written again, this node participates");
                     return Ok(());
                 }
                 Ok(()) => return Ok(()),
@@ -144,7 +146,7 @@
     }
 
     fn apply_command(&mut self, entry: &Entry) -> Result<(), Error> {
-        // To skip what others may understand would make this node's keys differ from theirs.
+        // Skipping a command that other nodes may understand would make this node's keys diverge from theirs.
         let command = Command::decode(&entry.data)
             .ok_or_else(|| Error::UnknownFormat { what: format!("entry {}", entry.index) })?;
         let (applied, state) = {
@@ -162,23 +164,23 @@
             (self.on_change)(&state);
         }
         if let Some(write) = self.pending_writes.remove(&entry.context[..]) {
-            _ = write.reply.try_send(Ok(CommittedWrite { response, term: self.raft.raft.term }));
+            _ = write.responder.try_send(Ok(CommittedWrite { response, term: self.raft.raft.term }));
         }
         Ok(())
     }
 
-    fn answer_reads(&mut self, read_states: Vec<ReadState>) {
+    fn respond_to_reads(&mut self, read_states: Vec<ReadState>) {
         let leading_term = self.leading_term();
         for read_state in read_states {
             self.reads.confirm(&read_state.request_ctx, read_state.index, leading_term);
         }
         if self.reads.has_confirmed() {
             let state = self.storage.shared.machine().state().clone();
-            self.reads.answer(&state, self.raft.raft.term);
+            self.reads.respond(&state, self.raft.raft.term);
         }
     }
 
-    /// Replaces a long log by a snapshot.
+    /// Replaces the applied log entries by a snapshot if there are too many of them.
     fn compact_log(&mut self) -> Result<(), Error> {
         let applied_index = self.storage.shared.machine().state().applied_index;
         let first_index = self.storage.first_index().map_err(io::Error::other)?;
--- a/store/src/node/recovery.rs
+++ b/store/src/node/recovery.rs
@@ -1,4 +1,4 @@
-//! What a node begins with: what its log file contains, or an empty store.
+//! Restores a node's state from its log file, or starts with an empty store.
 use super::settings::Settings;
 use crate::command::Command;
 use crate::error::Error;
@@ -12,7 +12,7 @@
 pub(super) struct Recovered {
     pub(super) log: MemStorage,
     pub(super) machine: StateMachine,
-    /// Without a folder there is none.
+    /// `None` if no folder is configured.
     pub(super) log_file: Option<LogFile>,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// The raft library takes a log without gaps for granted, and every command has to be understood before it is applied.
+/// Checks that the log has no gaps, which the raft library assumes, and that each command can be decoded.
 fn check_entries(entries: &[Entry], snapshot_index: u64) -> Result<(), Error> {
     let mut previous = snapshot_index;
     for entry in entries {
--- a/store/src/node/responses.rs
+++ b/store/src/node/responses.rs
@@ -1,57 +1,57 @@
-//! What a node responds to its handles.
+//! The responses of a node to its handles.
 use crate::command::CommandResponse;
 use crate::state::State;
 
 /// A write that was committed and applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommittedWrite {
-    /// The response of the state machine, which may be a rejection.
+    /// The state machine's response, which may be a rejection.
     pub response: CommandResponse,
-    /// The leader's term, as far as this node knows.
+    /// The leader's term as known to this node.
     pub term: u64,
 }
 
-/// A linearizable read.
+/// The result of a linearizable read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfirmedRead {
     /// The keys.
     pub state: State,
-    /// The leader's term.
+    /// The term of the leader.
     pub term: u64,
 }
 
-/// A confirmed read, and what it proves of this node.
+/// A confirmed read, and whether it confirmed this node's leadership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadResult {
-    /// The read.
+    /// The result of the read.
     pub read: ConfirmedRead,
-    /// A majority has confirmed this node itself, as the leader of this term, after the read was requested.
+    /// Whether a majority has confirmed this node as the leader of this term after the read was requested.
     pub is_leader: bool,
 }
 
-/// The leader that a node knows.
+/// The leader as known to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownLeader {
-    /// Its id; `None` where no leader is known.
+    /// The leader's id; `None` if no leader is known.
     pub leader: Option<u64>,
-    /// The term.
+    /// The current term.
     pub term: u64,
 }
 
 impl KnownLeader {
-    /// From the raft library's id of the leader.
+    /// Converts the raft library's leader id.
     pub(super) fn new(leader: u64, term: u64) -> KnownLeader {
         KnownLeader { leader: Some(leader).filter(|id| *id != raft::INVALID_ID), term }
     }
 }
 
-/// The status of a node.
+/// The state of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeStatus {
-    /// Its id.
+    /// The node's id.
     pub node: u64,
-    /// The leader's id; `None` where no leader is known.
+    /// The leader's id; `None` if no leader is known.
     pub leader: Option<u64>,
-    /// The term.
+    /// The current term.
     pub term: u64,
 }
--- a/store/src/node/settings.rs
+++ b/store/src/node/settings.rs
@@ -1,20 +1,20 @@
-//! How a node is set up.
+//! Settings of a node.
 use crate::change_log::RetentionLimits;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// How a node is set up.
+/// Settings of a node.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// The id of this node, not 0.
+    /// The id of this node; 0 is not allowed.
     pub node: u64,
-    /// All nodes, this one included, and where they listen for each other.
+    /// All nodes, including this one, and the addresses where they listen for raft messages.
     pub peers: BTreeMap<u64, SocketAddr>,
-    /// Where the log is stored; in memory alone without it.
+    /// The folder of the log file. Without it, the log is kept only in memory.
     pub folder: Option<PathBuf>,
-    /// Keys and texts that are set once, when the store is new.
+    /// Keys and texts that are written once, when the store is new.
     pub seeds: Vec<(String, String)>,
-    /// How many changes are retained for watches that resume.
+    /// Limits on the changes that are retained for watches that resume.
     pub retention: RetentionLimits,
 }
--- a/store/src/node/shared.rs
+++ b/store/src/node/shared.rs
@@ -1,4 +1,4 @@
-//! What the actor shares with the handles.
+//! State that the actor shares with the handles.
 use super::responses::KnownLeader;
 use crate::change_log::ChangeLog;
 use crate::machine::StateMachine;
@@ -8,9 +8,9 @@
 pub(super) struct Shared {
     machine: Mutex<StateMachine>,
     change_log: Mutex<ChangeLog>,
-    /// Notified when the change log has grown or begun again.
+    /// Notified when the change log has grown or was reset.
     pub(super) changed: Condvar,
-    /// The leader's id, or [`raft::INVALID_ID`].
+    /// The leader's id, or [`raft::INVALID_ID`] if none is known.
     leader: AtomicU64,
     term: AtomicU64,
 }
@@ -38,14 +38,14 @@
         KnownLeader::new(self.leader.load(Ordering::Relaxed), self.term.load(Ordering::Relaxed))
     }
 
-    /// Publishes the leader and the term; returns the leader published before.
+    /// Publishes the leader and the term. Returns the previously published leader.
     pub(super) fn set_leader(&self, leader: u64, term: u64) -> u64 {
         let previous = self.leader.swap(leader, Ordering::Relaxed);
         self.term.store(term, Ordering::Relaxed);
         previous
     }
 
-    /// No leader is known any more, for this node has stopped.
+    /// Clears the published leader when the node stops or cannot store its log.
     pub(super) fn clear_leader(&self) {
         self.leader.store(raft::INVALID_ID, Ordering::Relaxed);
     }
--- a/store/src/node/start.rs
+++ b/store/src/node/start.rs
@@ -18,22 +18,23 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 
-/// Requests and messages that wait for the actor.
+/// Maximum number of requests and messages queued for the actor.
 const QUEUE_CAPACITY: usize = 1024;
-/// Ticks without a heartbeat until a follower stands for election.
+/// Number of ticks without a heartbeat after which a follower starts an election.
 const ELECTION_TICKS: usize = 10;
-/// Ticks between two heartbeats of a leader.
+/// Number of ticks between two heartbeats of a leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// Bytes of log entries in one message.
+/// Maximum total length of the log entries in one message, in bytes.
 const MAX_APPEND_BYTES: u64 = 1 << 20;
-/// Messages with log entries that are in flight to one follower.
+/// Maximum number of append messages in flight to one follower.
 const MAX_INFLIGHT_APPENDS: usize = 64;
 
-/// Starts a node. `on_change` is called on the actor's thread with the committed keys, first with those that the node
-/// starts with, then after each change.
+/// Starts a node. `on_change` is called on the actor's thread with the committed keys: first with the
+/// restored ones, then after each change.
 ///
 /// # Errors
-/// Where the settings are faulty, the folder can't be used, or an address or a thread can't be had.
+/// Fails if the settings are invalid, the folder cannot be used, the node cannot listen on its address, or a
+/// thread cannot be started.
 pub fn start(settings: Settings, on_change: impl Fn(&State) + Send + 'static) -> Result<Store, Error> {
     let own_addr = check(&settings)?;
     let Recovered { log, machine, log_file } = Recovered::load(&settings)?;
@@ -43,19 +44,19 @@
     let storage = RaftStorage { log, shared: shared.clone() };
     let logger = slog::Logger::root(slog::Discard, slog::o!());
     let mut raft = RawNode::new(&raft_config(settings.node, applied_index), storage.clone(), &logger)?;
-    let is_alone = settings.peers.len() == 1;
-    if is_alone {
+    let is_single_node = settings.peers.len() == 1;
+    if is_single_node {
         raft.campaign()?;
     }
     let (sender, receiver) = bounded(QUEUE_CAPACITY);
-    let peers = if is_alone { HashMap::new() } else { connect_peers(&settings, own_addr, &sender)? };
+    let peers = if is_single_node { HashMap::new() } else { connect_peers(&settings, own_addr, &sender)? };
     let store = Store { sender, shared, node: settings.node };
     let node = Node::new(settings, raft, storage, log_file, peers, Box::new(on_change));
     spawn("store", move || node.run(&receiver)).map_err(Error::SpawnThread)?;
     Ok(store)
 }
 
-/// This node's own address, where the settings are usable.
+/// Validates the settings and returns this node's own address.
 fn check(settings: &Settings) -> Result<SocketAddr, Error> {
     let Some(own_addr) = settings.peers.get(&settings.node).copied() else {
         return Err(Error::NotListed { node: settings.node });
@@ -80,7 +81,7 @@
     }
 }
 
-/// Listens for messages of peers, and starts a sender to each.
+/// Listens for messages of peers, and starts a sender thread for each peer.
 fn connect_peers(
     settings: &Settings,
     own_addr: SocketAddr,
--- a/store/src/node/storage.rs
+++ b/store/src/node/storage.rs
@@ -1,4 +1,4 @@
-//! The raft library's view of what is stored: the log in memory, and snapshots taken of the state machine.
+//! The raft library's view of the storage: the log in memory, and snapshots of the state machine.
 use super::shared::Shared;
 use raft::eraftpb::{Entry, Snapshot};
 use raft::storage::MemStorage;
@@ -12,7 +12,7 @@
 }
 
 impl RaftStorage {
-    /// A snapshot of the state machine as it is now.
+    /// Takes a snapshot of the current state machine.
     pub(super) fn take_snapshot(&self) -> raft::Result<Snapshot> {
         let machine = self.shared.machine();
         let applied_index = machine.state().applied_index;
@@ -26,7 +26,7 @@
         Ok(snapshot)
     }
 
-    /// The log after an index.
+    /// The log entries after an index.
     pub(super) fn entries_after(&self, index: u64) -> raft::Result<Vec<Entry>> {
         let last = self.log.last_index()?;
         if last <= index {
--- a/store/src/peers.rs
+++ b/store/src/peers.rs
@@ -1,5 +1,6 @@
-//! Raft messages between nodes: a length (four bytes, little-endian) and a protobuf message, in one direction on each
-//! connection. What can't be sent is dropped; raft sends it again.
+//! Transport of raft messages between nodes. A frame is a length (four bytes, little-endian) followed by a
+//! protobuf message. Each connection carries messages in one direction only. Messages that cannot be sent are
+//! dropped; raft sends them again.
 use crate::loopback::is_connected_to_itself;
 use crate::threads::{ACCEPT_RETRY_DELAY, spawn};
 use crossbeam_channel::{Receiver, Sender, bounded};
@@ -9,18 +10,19 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Messages that wait for one peer.
+/// Maximum number of messages queued for one peer.
 const QUEUE_CAPACITY: usize = 256;
-/// The longest message that is accepted.
+/// Maximum length of a received message.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
 const LENGTH_BYTES: usize = 4;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Starts the thread that sends to a peer, and returns its queue. The thread ends with the queue's last sender.
+/// Starts the thread that sends messages to a peer, and returns its queue. The thread ends when the last
+/// sender of the queue is dropped.
 ///
 /// # Errors
-/// Where no thread can be started.
+/// Fails if a thread cannot be started.
 pub fn start_sender(addr: SocketAddr) -> io::Result<Sender<Message>> {
     let (sender, queue) = bounded::<Message>(QUEUE_CAPACITY);
     spawn("store-to", move || send_all(addr, &queue))?;
@@ -46,16 +48,17 @@
     if !matches!(is_connected_to_itself(&socket), Ok(false)) {
         return None;
     }
-    // The connection is usable without these options.
+    // The connection works without these options, so errors are ignored.
     _ = socket.set_nodelay(true);
     _ = socket.set_write_timeout(Some(WRITE_TIMEOUT));
     Some(socket)
 }
 
-/// Receives what peers send, until the listener fails. A connection ends when `deliver` returns `false`.
+/// Receives messages from peers until the listener fails. A connection is closed when `deliver` returns
+/// `false`.
 ///
 /// # Errors
-/// Where no thread can be started.
+/// Fails if a thread cannot be started.
 pub fn listen(
     listener: TcpListener,
     deliver: impl Fn(Message) -> bool + Clone + Send + 'static,
@@ -82,7 +85,8 @@
     }
 }
 
-/// The next message; `None` where the connection has ended or sends something else.
+/// Receives the next message. Returns `None` if the connection has ended or the bytes are not a valid
+/// message.
 fn receive(socket: &mut TcpStream) -> Option<Message> {
     let mut header = [0; LENGTH_BYTES];
     socket.read_exact(&mut header).ok()?;
@@ -90,7 +94,7 @@
     if length > MAX_MESSAGE_BYTES {
         return None;
     }
-    // The buffer grows as bytes come: a length alone must not cost memory.
+    // The buffer grows with the bytes received: a large length alone must not allocate memory.
     let mut body = Vec::new();
     socket.take(length as u64).read_to_end(&mut body).ok()?;
     if body.len() < length {
--- a/store/src/server.rs
+++ b/store/src/server.rs
@@ -1,5 +1,5 @@
-//! Answers clients that are no nodes themselves: a thread for each connection, up to a bound. A connection that watches
-//! does nothing else.
+//! Serves store clients, with one thread per connection up to a limit. A connection that starts a watch is
+//! used for nothing else.
 mod watch;
 
 use crate::acceptor;
@@ -12,18 +12,18 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Limits of the connections of clients.
+/// Limits on client connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Connections at a time, and so threads; each watch is one.
+    /// Maximum number of open connections, and so of threads. Each watch takes one.
     pub max_connections: u64,
-    /// A connection without a request for this long is closed; the client connects again.
+    /// A connection without a request for this long is closed; the client reconnects.
     pub idle_timeout: Duration,
-    /// A message that has begun must be complete, and a response be accepted, within this time.
+    /// A message must be received completely, and a response accepted by the client, within this time.
     pub message_timeout: Duration,
-    /// A watch without changes gets a sign of life this often.
+    /// A watch without changes gets a progress message at this interval.
     pub progress_interval: Duration,
-    /// A watch ends where the node has had no leader for this long.
+    /// A watch ends when the node has known no leader for this long.
     pub no_leader_timeout: Duration,
 }
 
@@ -39,10 +39,11 @@
     }
 }
 
-/// Answers clients until the listener fails.
+/// Serves clients until the listener fails.
 ///
 /// # Errors
-/// [`Error::NotLoopback`] where the listener is not on loopback, [`Error::SpawnThread`] where no thread can be started.
+/// [`Error::NotLoopback`] if the listener is not on a loopback address, [`Error::SpawnThread`] if no thread
+/// can be started.
 pub fn listen(listener: TcpListener, store: Store, limits: Limits) -> Result<(), Error> {
     let addr = listener.local_addr()?;
     if !addr.ip().is_loopback() {
@@ -69,7 +70,8 @@
         let Limits { idle_timeout, message_timeout, .. } = *self.limits;
         self.socket.set_nodelay(true)?;
         self.socket.set_write_timeout(Some(message_timeout))?;
-        // Sent even to a client of another version, so that it can name both.
+        // Sent before the client's hello is checked, so that a client of another version can report both
+        // versions.
         wire::send_hello(self.socket, STORE_PROTOCOL)?;
         wire::receive_hello(self.socket, STORE_PROTOCOL, message_timeout)?;
         self.send(&Response::Welcome { node: self.store.status().node })?;
@@ -78,7 +80,7 @@
                 Request::Watch { prefix, after } => return self.watch(&prefix, after),
                 Request::List { prefix, consistency } => self.list(&prefix, consistency)?,
                 Request::Get { key, consistency } => self.send(&self.get(&key, consistency))?,
-                Request::RegisterClient => self.send(&written(self.store.register_client()))?,
+                Request::RegisterClient => self.send(&to_write_response(self.store.register_client()))?,
                 Request::Write { origin, operation } => self.send(&self.write(origin, operation))?,
                 Request::Status => self.send(&self.status())?,
             }
@@ -116,7 +118,7 @@
     }
 
     fn write(&self, origin: RequestOrigin, operation: Operation) -> Response {
-        written(self.store.write(origin, operation))
+        to_write_response(self.store.write(origin, operation))
     }
 
     fn status(&self) -> Response {
@@ -130,14 +132,14 @@
     }
 }
 
-fn written(result: Result<CommittedWrite, Rejection>) -> Response {
+fn to_write_response(result: Result<CommittedWrite, Rejection>) -> Response {
     match result {
         Ok(CommittedWrite { response, term }) => Response::Written { response, term },
         Err(rejection) => Response::Rejected(rejection),
     }
 }
 
-/// Sends the keys with a prefix in parts that fit into messages. There is always a last part, which may be empty.
+/// Sends the keys with a prefix in parts of limited length. There is always a last part, which may be empty.
 fn send_in_parts(
     state: &State,
     prefix: &str,
--- a/store/src/server/watch.rs
+++ b/store/src/server/watch.rs
@@ -1,5 +1,5 @@
-//! The node's side of a watch. Nothing is queued for it: it reads on in the node's change log, and only what one write
-//! to the socket takes is in flight.
+//! The node's side of a watch. Nothing is queued per watch: it reads from the node's shared change log, and
+//! only the message that is being written to the socket is in flight.
 use super::{Connection, send_in_parts};
 use crate::command::{ChangeSet, KeyChange};
 use crate::rejection::Rejection;
@@ -8,14 +8,15 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Change sets that a watch reads from the change log at a time.
+/// Maximum number of change sets that a watch reads from the change log at once.
 const MAX_BATCH: usize = 64;
 
-/// Where the changes of a watch begin.
+/// The start of a watch.
 enum WatchStart {
-    /// After this revision, which the client has seen.
+    /// The client has seen all changes up to this revision.
     After(u64),
-    /// After these keys, which replace the changes that are not known here.
+    /// The client receives these keys first, because the changes since its position are not retained or it
+    /// has no position.
     Snapshot(State),
 }
 
@@ -27,7 +28,7 @@
 }
 
 impl Connection<'_> {
-    /// Sends the changes of keys with a prefix until the connection or the watch ends.
+    /// Sends the changes of the keys with a prefix until the connection or the watch ends.
     pub(super) fn watch(&self, prefix: &str, after: Option<WatchPosition>) -> Result<(), WireError> {
         let revision = match self.watch_start(after) {
             Ok(WatchStart::After(revision)) => revision,
@@ -39,7 +40,7 @@
         loop {
             self.send_next_changes(prefix, &mut progress)?;
             if progress.last_sent.elapsed() >= self.limits.progress_interval {
-                // This also finds out clients that have gone.
+                // This also detects clients that have disconnected.
                 self.send(&Response::Progress { revision: progress.revision })?;
                 progress.last_sent = Instant::now();
             }
@@ -56,7 +57,8 @@
         let is_known = |state: &State, position: &WatchPosition| {
             position.store_id == state.store_id && position.revision <= state.revision
         };
-        // This node may be behind; a position that even the leader does not know is one of another store.
+        // This node may lag behind the leader. A position that is unknown even to the leader belongs to
+        // another store.
         if state.store_id == 0 || after.is_some_and(|position| !is_known(&state, &position)) {
             state = self.store.read()?.state;
         }
@@ -69,7 +71,7 @@
         })
     }
 
-    /// Sends all keys with the prefix, and returns the revision after which changes follow.
+    /// Sends all keys with the prefix. Returns their revision, after which changes follow.
     fn send_snapshot(&self, state: &State, prefix: &str, compacted: bool) -> Result<u64, WireError> {
         let position = WatchPosition { store_id: state.store_id, revision: state.revision };
         send_in_parts(state, prefix, |entries, last| {
@@ -78,7 +80,7 @@
         Ok(position.revision)
     }
 
-    /// Waits for changes until it is time for a sign of life, and sends those of the watched keys.
+    /// Waits for changes until the next progress message is due, and sends those of the watched keys.
     fn send_next_changes(&self, prefix: &str, progress: &mut WatchProgress) -> Result<(), WireError> {
         let next_progress = progress.last_sent + self.limits.progress_interval;
         let timeout = next_progress.saturating_duration_since(Instant::now());
@@ -88,7 +90,7 @@
                 tracing::debug!(
                     revision = progress.revision,
                     compacted_revision = compacted.compacted_revision,
-                    "store watch restarted with all keys, its changes are not retained"
+                    "store watch restarted with all keys, changes after its revision are no longer retained"
                 );
                 progress.revision = self.send_snapshot(&self.store.state(), prefix, true)?;
                 progress.last_sent = Instant::now();
--- a/store/src/state.rs
+++ b/store/src/state.rs
@@ -1,35 +1,37 @@
-//! The keys, as readers see them.
+//! The keys and values of the store at one log index, as readers see them.
 use imbl::OrdMap;
 use serde::{Deserialize, Serialize};
 use serde_json::Value as Json;
 
-/// The value of a key. It is stored and sent: the order of the fields must not change.
+/// The value of a key. It is stored and exchanged in serialized form: the order of the fields must not
+/// change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Value {
-    /// Counts the changes of this key since it was created, from 1.
+    /// The number of changes to this key since it was created, starting at 1.
     pub version: u64,
-    /// The log index of the command that changed it last.
+    /// The log index of the last command that changed the key.
     pub revision: u64,
-    /// The epoch of the lease that the key is attached to.
+    /// The epoch of the lease that the key is attached to, if any.
     pub lease_epoch: Option<u64>,
     /// The text.
     pub text: String,
 }
 
-/// An update of one key. It is stored and sent: the order of the fields must not change.
+/// An update of one key. It is stored and exchanged in serialized form: the order of the fields must not
+/// change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The key.
     pub key: String,
-    /// Its new text; `None` deletes the key.
+    /// The new text; `None` deletes the key.
     pub text: Option<String>,
-    /// The version that the key must be at; 0 where it must not exist.
+    /// The version that the key must have; 0 if the key must not exist. Without it, any version is accepted.
     pub expected_version: Option<u64>,
 }
 
 impl Update {
-    /// From the JSON of a control command or of a log entry from before there were clients; `None` where it has no
-    /// such form.
+    /// Parses the JSON of a control command, or of a log entry in the legacy format. Returns `None` if a
+    /// field is missing or has the wrong type.
     pub(crate) fn from_json(json: &Json) -> Option<Update> {
         let expected_version = match json.get("expected") {
             None | Some(Json::Null) => None,
@@ -43,12 +45,13 @@
     }
 }
 
-/// All keys at one log index. A clone is cheap: it shares what has not changed since.
+/// All keys at one log index. Cloning is cheap: clones share the unchanged parts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
-    /// The id of the store, 0 until it has one: revisions of another store mean nothing here.
+    /// The id of the store, 0 until it is assigned. Revisions of stores with different ids cannot be
+    /// compared.
     pub store_id: u64,
-    /// The log index of the last command that was applied.
+    /// The log index of the last applied command.
     pub applied_index: u64,
     /// The log index of the last command that changed a key.
     pub revision: u64,
@@ -66,12 +69,12 @@
         self.keys.len()
     }
 
-    /// Whether there are no keys.
+    /// Whether the store has no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// The keys that begin with a prefix, in order.
+    /// The keys that start with a prefix, in lexical order.
     pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Value)> {
         let from_prefix = self.keys.range(prefix.to_string()..);
         let matching = from_prefix.take_while(move |(key, _)| key.starts_with(prefix));
@@ -86,8 +89,9 @@
         self.keys.remove(key)
     }
 
-    /// From a JSON snapshot of before there were clients; `None` where it has no such form. All keys count as changed
-    /// by the last command in it.
+    /// Parses a JSON snapshot in the legacy format, which had no clients and no leases. Returns `None` if a
+    /// field is missing or has the wrong type. The format has no revisions, so all keys get the index of the
+    /// last applied command.
     pub(crate) fn from_legacy_json(bytes: &[u8]) -> Option<State> {
         let snapshot: Json = serde_json::from_slice(bytes).ok()?;
         let applied_index = snapshot.get("applied")?.as_u64()?;
--- a/store/src/threads.rs
+++ b/store/src/threads.rs
@@ -1,10 +1,10 @@
-//! Threads of this package: named, and with small stacks, for there is one for each connection.
+//! Spawns the named threads of this package. Their stacks are small because each connection has a thread.
 use std::io;
 use std::time::Duration;
 
 const STACK_BYTES: usize = 128 * 1024;
 
-/// The pause of an accept loop after a failed accept, such as one without a free descriptor.
+/// How long an accept loop sleeps after a failed accept, for example when no file descriptor is free.
 pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Starts a named thread.
--- a/store/src/wire.rs
+++ b/store/src/wire.rs
@@ -1,6 +1,6 @@
-//! What clients and nodes send each other: a hello of a magic and a version in each direction, then frames of a length
-//! (four bytes, little-endian) and a message in the postcard format. A frame has a bound, and the message in it must
-//! end where the frame does.
+//! The protocol between clients and nodes. Each side first sends a hello with a magic number and a version.
+//! Messages follow in frames: a length (four bytes, little-endian) and a message in the postcard format. The
+//! length is limited, and the message must fill the frame exactly.
 mod messages;
 
 pub use messages::{Consistency, ReadHeader, Request, Response, WatchPosition};
@@ -12,67 +12,68 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// A protocol in these frames: what the hello of each side consists of.
+/// A protocol that uses these frames, as identified by its hello.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Protocol {
-    /// Names the protocol.
+    /// Identifies the protocol.
     pub magic: [u8; 4],
-    /// The version of its messages; only the same one is accepted.
+    /// The version of the protocol's messages; both sides must have the same one.
     pub version: u16,
 }
 
-/// The protocol between the store's nodes and their clients.
+/// The protocol between store nodes and their clients.
 pub const STORE_PROTOCOL: Protocol = Protocol { magic: *b"DVST", version: 1 };
 
-/// The longest message, in bytes. The longest one that can't be split is the change that removes all keys of an ended
-/// lease; it stays far below.
+/// The maximum length of a message, in bytes. The longest message that cannot be split is the change that
+/// removes all keys of an ended lease, which is far below this limit.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// A list of keys is sent in parts. A part ends with the entry that takes it above this number of bytes.
+/// A list of keys is sent in parts. A part ends with the entry that makes it longer than this, in bytes.
 pub const PART_BYTES: usize = 256 << 10;
-/// The receive buffer grows by this many bytes at a time, once those before have come.
+/// The receive buffer grows by this many bytes at a time, after the previous ones have been received.
 const BUFFER_STEP_BYTES: usize = 64 << 10;
-/// The length at the start of a frame, which does not count itself.
+/// Length of the length field of a frame, which is not included in the length itself.
 const LENGTH_BYTES: usize = 4;
-/// A hello: four bytes of magic, and the version in two, little-endian.
+/// Length of a hello: a magic number of four bytes and a version of two bytes, little-endian.
 const HELLO_BYTES: usize = 6;
 
-/// Why a connection can't be used any more.
+/// Why a connection can no longer be used.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// The connection has failed or ended, or a timeout has passed.
-    #[error("the connection failed: {0}")]
+    /// The connection has failed, was closed or timed out.
+    #[error("connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The other side speaks another protocol.
-    #[error("the other side is no store of this kind; look at the address")]
+    /// The peer uses another protocol.
+    #[error("the other side does not use this protocol; check the address")]
     WrongProtocol,
-    /// The other side speaks another version of the protocol.
+    /// The peer uses another version of the protocol.
     #[error(
-        "the other side speaks version {0}, this one {own}; run the same program on both",
+        "the other side uses protocol version {0}, this side {own}; run the same program version on both",
         own = STORE_PROTOCOL.version
     )]
     WrongVersion(u16),
-    /// A message is longer than [`MAX_MESSAGE_BYTES`].
-    #[error("a message of {0} bytes; {MAX_MESSAGE_BYTES} are allowed")]
+    /// A message exceeds [`MAX_MESSAGE_BYTES`].
+    #[error("message of {0} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes")]
     TooLong(usize),
-    /// Bytes that are no message.
-    #[error("bytes that are no message: {0}")]
+    /// The received bytes are not a valid message, or a message cannot be serialized.
+    #[error("malformed message: {0}")]
     Malformed(#[from] postcard::Error),
 }
 
 /// Sends the hello of a protocol.
 ///
 /// # Errors
-/// Where the connection fails.
+/// Fails if the connection fails.
 pub fn send_hello(mut socket: &TcpStream, protocol: Protocol) -> io::Result<()> {
     let Protocol { magic: [m0, m1, m2, m3], version } = protocol;
     let [low, high] = version.to_le_bytes();
     socket.write_all(&[m0, m1, m2, m3, low, high])
 }
 
-/// Receives the other side's hello, within a time.
+/// Receives and checks the peer's hello within `timeout`.
 ///
 /// # Errors
-/// [`WireError::WrongProtocol`] and [`WireError::WrongVersion`] where it differs, [`WireError::Io`] where none comes.
+/// [`WireError::WrongProtocol`] and [`WireError::WrongVersion`] if it differs, [`WireError::Io`] if none is
+/// received.
 pub fn receive_hello(socket: &TcpStream, protocol: Protocol, timeout: Duration) -> Result<(), WireError> {
     let mut bytes = [0; HELLO_BYTES];
     read_exact_until(socket, &mut bytes, Instant::now() + timeout)?;
@@ -87,11 +88,11 @@
     Ok(())
 }
 
-/// Sends a message. How long it may take is the write timeout of the socket, which is the caller's.
+/// Sends a message. The caller sets the socket's write timeout.
 ///
 /// # Errors
-/// [`WireError::TooLong`] and [`WireError::Malformed`] where nothing was sent, [`WireError::Io`] where the connection
-/// fails.
+/// [`WireError::TooLong`] and [`WireError::Malformed`] if nothing was sent, [`WireError::Io`] if the
+/// connection fails.
 pub fn send(mut socket: &TcpStream, message: &impl Serialize) -> Result<(), WireError> {
     let mut frame = postcard::to_extend(message, vec![0; LENGTH_BYTES])?;
     let length = frame.len() - LENGTH_BYTES;
@@ -102,10 +103,12 @@
     Ok(socket.write_all(&frame)?)
 }
 
-/// Receives the next message: its first byte within `idle_timeout`, and the rest within `message_timeout` after that.
+/// Receives the next message: the first byte within `idle_timeout`, and the rest within `message_timeout`
+/// after that.
 ///
 /// # Errors
-/// [`WireError::Io`] where it does not come in time, [`WireError::TooLong`] and [`WireError::Malformed`].
+/// [`WireError::Io`] if it is not received in time, [`WireError::TooLong`] and [`WireError::Malformed`] if it
+/// is invalid.
 pub fn receive<T: DeserializeOwned>(
     socket: &TcpStream,
     idle_timeout: Duration,
@@ -122,19 +125,19 @@
     let mut body = Vec::new();
     while body.len() < length {
         let filled = body.len();
-        // A peer must not make this side allocate more than it sends.
+        // The peer must not make this side allocate more memory than it sends bytes.
         body.resize(length.min(filled + BUFFER_STEP_BYTES), 0);
         read_exact_until(socket, &mut body[filled..], deadline)?;
     }
     match postcard::take_from_bytes(&body)? {
         (message, []) => Ok(message),
-        // Postcard has no error of its own for bytes after the message.
+        // Postcard has no specific error for trailing bytes.
         _ => Err(WireError::Malformed(postcard::Error::SerdeDeCustom)),
     }
 }
 
-/// Fills the buffer by the deadline. The socket's own timeout would begin again with each read, which a peer that sends
-/// one byte at a time could use to hold the connection for ever.
+/// Fills the buffer before the deadline. A plain socket timeout would restart with each read, so a peer that
+/// sends one byte at a time could hold the connection open forever.
 fn read_exact_until(mut socket: &TcpStream, buffer: &mut [u8], deadline: Instant) -> io::Result<()> {
     let mut filled = 0;
     while filled < buffer.len() {
--- a/store/src/wire/messages.rs
+++ b/store/src/wire/messages.rs
@@ -1,143 +1,145 @@
-//! The messages between clients and nodes. They are sent in the postcard format, which knows neither names of types
-//! nor of fields: the order of variants and fields must not change.
+//! The messages between clients and nodes. They are sent in the postcard format, which contains neither type
+//! nor field names: the order of variants and fields must not change.
 use crate::command::{ChangeSet, CommandResponse, Operation, RequestOrigin};
 use crate::rejection::Rejection;
 use crate::state::Value;
 use serde::{Deserialize, Serialize};
 
-/// How consistent a read is.
+/// The consistency of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Consistency {
-    /// It has every write that was acknowledged anywhere before it was requested.
+    /// The read contains every write that was acknowledged by any node before the read was requested.
     Linearizable,
-    /// It has what this node has, which may be stale, without a bound while the node is partitioned.
+    /// The read returns this node's state. It may be stale, by any amount of time while the node is
+    /// partitioned.
     Local,
 }
 
-/// A position in the order of changes.
+/// A position in the sequence of changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchPosition {
-    /// The id of the store: a revision means nothing in another one.
+    /// The id of the store. Revisions of different stores cannot be compared.
     pub store_id: u64,
-    /// The last revision that has been seen.
+    /// The last revision that the client has seen.
     pub revision: u64,
 }
 
-/// What the result of a read stands for.
+/// The consistency, revision and term of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadHeader {
-    /// How it was read.
+    /// The consistency of the read.
     pub consistency: Consistency,
-    /// The revision that was read.
+    /// The revision of the state that was read.
     pub revision: u64,
-    /// The leader's term, as far as the node knows.
+    /// The leader's term as known to the node.
     pub term: u64,
 }
 
-/// What a client requests.
+/// A request of a client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// An id for the client's writes.
+    /// Registers the client and requests an id for its writes.
     RegisterClient,
-    /// One key.
+    /// Reads one key.
     Get {
         /// The key.
         key: String,
-        /// How it is to be read.
+        /// The consistency of the read.
         consistency: Consistency,
     },
-    /// All keys with a prefix, at one revision.
+    /// Reads all keys with a prefix, at one revision.
     List {
         /// The prefix.
         prefix: String,
-        /// How they are to be read.
+        /// The consistency of the read.
         consistency: Consistency,
     },
-    /// A write.
+    /// Executes a write.
     Write {
-        /// Identifies it, for retries.
+        /// Identifies the write in retries.
         origin: RequestOrigin,
-        /// The write.
+        /// The operation to execute.
         operation: Operation,
     },
-    /// The node, its leader and the term.
+    /// Requests the node's id, its leader and the term.
     Status,
-    /// The changes of keys with a prefix, on this connection until it ends.
+    /// Watches the keys with a prefix. The connection is used for nothing else from then on.
     Watch {
         /// The prefix.
         prefix: String,
-        /// Changes after this position; without one, all keys come first.
+        /// The position after which changes are requested. Without one, all keys are sent first.
         after: Option<WatchPosition>,
     },
 }
 
-/// What a node responds.
+/// A response of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
-    /// The response to a hello.
+    /// The node accepts the connection, after the hello.
     Welcome {
         /// The node.
         node: u64,
     },
-    /// Instead of a welcome: the node serves as many clients as it may.
+    /// The node rejects the connection, because it has the maximum number of connections.
     Busy {
-        /// The most that it serves.
+        /// The maximum number of connections.
         max_connections: u64,
     },
     /// The value of a key.
     Value {
-        /// What the read stands for.
+        /// The consistency, revision and term of the read.
         header: ReadHeader,
-        /// The value; `None` where there is no such key.
+        /// The value; `None` if the key does not exist.
         value: Option<Value>,
     },
     /// A part of a list of keys.
     Keys {
-        /// What the read stands for, the same in all parts.
+        /// The consistency, revision and term of the read, the same in all parts.
         header: ReadHeader,
-        /// Keys and their values.
+        /// The keys and their values.
         entries: Vec<(String, Value)>,
         /// Whether this is the last part.
         last: bool,
     },
     /// A write was committed.
     Written {
-        /// The response of the state machine.
+        /// The response of the state machine, which may be a rejection.
         response: CommandResponse,
-        /// The leader's term, as far as the node knows.
+        /// The leader's term as known to the node.
         term: u64,
     },
     /// The node's status.
     Status {
         /// The node.
         node: u64,
-        /// Its leader, 0 for none.
+        /// The leader's id, 0 if none is known.
         leader: u64,
         /// The leader's term.
         term: u64,
-        /// The revision that the node has.
+        /// The revision of the node's state.
         revision: u64,
     },
     /// The request was rejected.
     Rejected(Rejection),
-    /// A watch: a part of all keys, because it has no position or the changes after it are not retained any more.
+    /// A part of all watched keys, for a watch without a position or one whose changes are no longer
+    /// retained.
     Snapshot {
-        /// Changes after this position follow, the same in all parts.
+        /// The position after which changes follow, the same in all parts.
         position: WatchPosition,
-        /// Whether there was a position, and the changes after it are not retained any more.
+        /// Whether the watch had a position, and the changes after it are no longer retained.
         compacted: bool,
-        /// Keys and their values.
+        /// The keys and their values.
         entries: Vec<(String, Value)>,
         /// Whether this is the last part.
         last: bool,
     },
-    /// A watch: what one command changed of its keys.
+    /// The watched keys that one command changed.
     Changes(ChangeSet),
-    /// A watch: its keys have not changed up to a revision, and the node is alive.
+    /// No watched key has changed up to a revision. Also sent at intervals to show that the node is alive.
     Progress {
         /// The revision.
         revision: u64,
     },
-    /// A watch ends: the node has had no leader for too long; another node may have one.
+    /// The watch ends because the node has known no leader for too long; another node may know one.
     NoLeader,
 }
--- a/store/tests/cluster/connections.rs
+++ b/store/tests/cluster/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to the port of clients that a node must not be harmed by.
-use crate::support::{LONG, unconditional};
+//! Client connections that are malformed or exceed the connection limit must not harm a node.
+use crate::support::{TEST_TIMEOUT, unconditional};
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -18,11 +18,11 @@
     addr
 }
 
-/// Whatever the node sends first, it closes the connection.
+/// Sends `bytes` and asserts that the node closes the connection, whatever it sends before that.
 fn assert_closed_after(addr: SocketAddr, bytes: &[u8]) {
     let mut socket = TcpStream::connect(addr).unwrap();
     socket.write_all(bytes).unwrap();
-    socket.set_read_timeout(Some(LONG)).unwrap();
+    socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let received = std::io::copy(&mut socket, &mut std::io::sink());
     assert!(!received.is_err_and(|e| e.kind() == ErrorKind::WouldBlock), "{bytes:?}");
 }
@@ -31,8 +31,8 @@
     loop {
         let socket = TcpStream::connect(addr).unwrap();
         wire::send_hello(&socket, STORE_PROTOCOL).unwrap();
-        let response = wire::receive_hello(&socket, STORE_PROTOCOL, LONG)
-            .and_then(|()| wire::receive::<Response>(&socket, LONG, LONG));
+        let response = wire::receive_hello(&socket, STORE_PROTOCOL, TEST_TIMEOUT)
+            .and_then(|()| wire::receive::<Response>(&socket, TEST_TIMEOUT, TEST_TIMEOUT));
         if matches!(response, Ok(Response::Welcome { node: 1 })) {
             return socket;
         }
@@ -43,7 +43,7 @@
 fn malformed_and_excess_connections_are_closed() {
     let message_timeout = Duration::from_millis(200);
     let addr = start_single_node(Limits { max_connections: 2, message_timeout, ..Limits::default() });
-    let settings = Settings { call_timeout: LONG, ..Settings::new(vec![addr], 1) };
+    let settings = Settings { call_timeout: TEST_TIMEOUT, ..Settings::new(vec![addr], 1) };
     Client::new(settings.clone()).put("a", "1", unconditional()).unwrap();
     let magic = STORE_PROTOCOL.magic;
     let hello = [&magic[..], &1u16.to_le_bytes()].concat();
@@ -53,10 +53,10 @@
     assert_closed_after(addr, &[&hello[..], &u32::MAX.to_le_bytes()].concat());
     assert_closed_after(addr, &[&hello[..], &3u32.to_le_bytes(), b"\xff\xff\xff"].concat());
     assert_closed_after(addr, &[&hello[..], &100u32.to_le_bytes(), b"begun"].concat());
-    // Two connections that stay leave no slot for a third; one that is closed frees its slot.
+    // Two open connections leave no slot for a third. A closed one frees its slot.
     let open: Vec<TcpStream> = (0..2).map(|_| connect_until_welcome(addr)).collect();
-    let impatient = Settings { call_timeout: Duration::from_millis(100), ..settings.clone() };
-    let excess = Client::new(impatient).get("a", Consistency::Local);
+    let short_timeout = Settings { call_timeout: Duration::from_millis(100), ..settings.clone() };
+    let excess = Client::new(short_timeout).get("a", Consistency::Local);
     assert!(matches!(excess, Err(ClientError::Unavailable(_))));
     drop(open);
     let read = Client::new(settings).get("a", Consistency::Linearizable).unwrap();
--- a/store/tests/cluster/leases.rs
+++ b/store/tests/cluster/leases.rs
@@ -1,11 +1,11 @@
-//! Leases of clients.
+//! Leases as clients use them.
 use crate::support::{Cluster, next_changes, next_snapshot, unconditional};
 use std::time::{Duration, Instant};
 use store::Rejection;
 use store::change_log::RetentionLimits;
 use store::client::{Client, ClientError, Lease, UpdateOptions};
 
-/// Takes a lease as soon as its holder's has ended.
+/// Requests a lease until its current holder's lease has ended.
 pub(crate) fn grant_when_free(client: &Client, name: &str, ttl: Duration) -> Lease {
     loop {
         match client.grant(name, ttl) {
--- a/store/tests/cluster/main.rs
+++ b/store/tests/cluster/main.rs
@@ -1,5 +1,5 @@
-//! Nodes in one process on real sockets, with clients that are no nodes. The links between nodes go through proxies
-//! that can be cut.
+//! Several nodes in one process, connected by real sockets, and clients of them. The connections between
+//! nodes pass through proxies that can be cut.
 mod connections;
 mod leadership;
 mod leases;
--- a/store/tests/cluster/recovery.rs
+++ b/store/tests/cluster/recovery.rs
@@ -1,5 +1,5 @@
-//! Nodes that start with a folder.
-use crate::support::LONG;
+//! Nodes that start with an existing log file.
+use crate::support::TEST_TIMEOUT;
 use raft::eraftpb::{Entry, HardState};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -38,13 +38,13 @@
     loop {
         match store.read() {
             Ok(read) => return read.state,
-            Err(e) => assert!(started.elapsed() < LONG, "{e}"),
+            Err(e) => assert!(started.elapsed() < TEST_TIMEOUT, "{e}"),
         }
     }
 }
 
 #[test]
-fn legacy_log_is_read() {
+fn legacy_log_is_replayed() {
     let folder = tempfile::tempdir().unwrap();
     write_log(folder.path(), &[legacy_entry(1), legacy_entry(2)]);
     let state = linearizable_state(&start(folder.path()).unwrap());
@@ -53,18 +53,18 @@
 }
 
 #[test]
-fn entry_of_unknown_format_is_named() {
+fn error_contains_index_of_entry_with_unknown_format() {
     let folder = tempfile::tempdir().unwrap();
     let entries = [legacy_entry(1), legacy_entry(2), entry(3, b"\x77 of tomorrow")];
     write_log(folder.path(), &entries);
     let error = start_error(folder.path());
-    assert!(error.contains("entry 3 of the log is of a format"), "{error}");
+    assert!(error.contains("entry 3 of the log has a format"), "{error}");
 }
 
 #[test]
-fn gap_in_the_log_is_named() {
+fn error_contains_indices_around_log_gap() {
     let folder = tempfile::tempdir().unwrap();
     write_log(folder.path(), &[legacy_entry(1), legacy_entry(3)]);
     let error = start_error(folder.path());
-    assert!(error.contains("entry 3 of the log follows 1"), "{error}");
+    assert!(error.contains("entry 3 of the log follows entry 1"), "{error}");
 }
--- a/store/tests/cluster/support.rs
+++ b/store/tests/cluster/support.rs
@@ -1,4 +1,4 @@
-//! A cluster, and what its tests share.
+//! A cluster of nodes, and helpers for its tests.
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -10,18 +10,19 @@
 use store::{Store, Value};
 use test_servers::proxy::Proxy;
 
-/// Reached only by a failure.
-pub(crate) const LONG: Duration = Duration::from_secs(20);
+/// Timeout that is only reached if a test fails.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) struct Cluster {
     pub(crate) nodes: Vec<Store>,
-    /// Where each node answers clients.
+    /// The address where each node listens for clients.
     pub(crate) clients: Vec<SocketAddr>,
-    /// The link from one node to another, by their ids.
+    /// The proxy for messages from one node to another, keyed by their ids.
     links: BTreeMap<(u64, u64), Proxy>,
 }
 
-/// Addresses that no other test is given between here and their use.
+/// Free addresses. Each call uses another loopback IP address, so that no other test takes a port before the
+/// nodes bind it.
 fn free_addrs(count: usize) -> Vec<SocketAddr> {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let (process, call) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -53,20 +54,20 @@
         cluster
     }
 
-    /// A client that tries this node first, then the others.
+    /// A client that tries this node first and then the others.
     pub(crate) fn client(&self, first: usize) -> Client {
         let count = self.clients.len();
         let nodes = (0..count).map(|i| self.clients[(first + i) % count]).collect();
-        Client::new(Settings { call_timeout: LONG, ..Settings::new(nodes, first as u64) })
+        Client::new(Settings { call_timeout: TEST_TIMEOUT, ..Settings::new(nodes, first as u64) })
     }
 
-    /// A client that tries this node alone, and not for long.
-    pub(crate) fn impatient_client(&self, node: usize) -> Client {
+    /// A client that only tries this node, with a short timeout.
+    pub(crate) fn short_timeout_client(&self, node: usize) -> Client {
         let call_timeout = Duration::from_millis(100);
         Client::new(Settings { call_timeout, ..Settings::new(vec![self.clients[node]], 1) })
     }
 
-    /// The index of a node that takes itself for the leader.
+    /// Waits until some node believes that it is the leader, and returns its index.
     pub(crate) fn leader(&self) -> usize {
         let started = Instant::now();
         loop {
@@ -75,7 +76,7 @@
                     return i;
                 }
             }
-            assert!(started.elapsed() < LONG, "no leader");
+            assert!(started.elapsed() < TEST_TIMEOUT, "no leader was elected");
             std::thread::yield_now();
         }
     }
@@ -84,7 +85,7 @@
         (0..self.nodes.len()).filter(move |i| *i != node)
     }
 
-    /// Cuts the links of a node in both directions.
+    /// Cuts the connections between a node and all others, in both directions.
     pub(crate) fn partition(&self, node: usize) {
         self.links_of(node).for_each(Proxy::cut);
     }
@@ -100,8 +101,8 @@
     }
 }
 
-/// An update of a key that is expected at a version.
-pub(crate) fn expecting(version: u64) -> UpdateOptions {
+/// Options for an update of a key that must have this version.
+pub(crate) fn at_version(version: u64) -> UpdateOptions {
     UpdateOptions { expected_version: Some(version), ..UpdateOptions::default() }
 }
 
@@ -110,10 +111,10 @@
 }
 
 fn next_event(watch: &Watch) -> WatchEvent {
-    watch.events.recv_timeout(LONG).expect("an event")
+    watch.events.recv_timeout(TEST_TIMEOUT).expect("expected an event of the watch")
 }
 
-/// The next change: its revision, and the keys with their texts.
+/// Waits for the next change and returns its revision, and the keys with their texts.
 pub(crate) fn next_changes(watch: &Watch) -> (u64, Vec<(String, Option<String>)>) {
     match next_event(watch) {
         WatchEvent::Changes(set) => {
--- a/store/tests/log_damage.rs
+++ b/store/tests/log_damage.rs
@@ -1,8 +1,10 @@
-//! What opening a damaged log file does, for each byte that may be missing or changed: which end of the file is a torn
-//! tail and is cut off, and which damage is refused because a confirmed record stands behind it.
+//! Opens log files with each single byte missing or changed. A damaged end of the file is a torn tail and is
+//! truncated; damage that is followed by an acknowledged record is an error, because truncating the file
+//! would lose that record.
 //!
-//! The log has a record of each kind. `fixtures/log_damage.txt` has the outcomes as the program gave them when it began to refuse damage. Each line is a
-//! kind of damage, the first and the last place with this outcome, and the outcome.
+//! The log has a record of each kind. `fixtures/log_damage.txt` contains the outcomes that were recorded when
+//! rejecting damaged logs was introduced. Each line has a kind of damage, the first and the last offset with
+//! this outcome, and the outcome.
 use std::fmt::Write;
 use std::fs;
 use std::path::Path;
@@ -12,52 +14,52 @@
 const RECORDED_OUTCOMES: &str = include_str!("fixtures/log_damage.txt");
 
 #[test]
-fn damaged_log_is_cut_or_refused_as_recorded() {
+fn damaged_log_is_truncated_or_rejected_as_recorded() {
     let log = recorded_log();
     let mut outcomes = Outcomes::default();
     for length in 0..=log.len() {
         outcomes.add("truncated to", length, open(&log[..length]));
     }
-    for place in 0..log.len() {
+    for offset in 0..log.len() {
         let mut damaged = log.clone();
-        damaged[place] ^= 0xff;
-        outcomes.add("inverted byte", place, open(&damaged));
+        damaged[offset] ^= 0xff;
+        outcomes.add("inverted byte", offset, open(&damaged));
     }
-    for place in 0..log.len() {
-        let zeroed = [&log[..place], &vec![0; log.len() - place]].concat();
-        outcomes.add("zeroed from byte", place, open(&zeroed));
+    for offset in 0..log.len() {
+        let zeroed = [&log[..offset], &vec![0; log.len() - offset]].concat();
+        outcomes.add("zeroed from byte", offset, open(&zeroed));
     }
-    for place in 0..log.len() {
+    for offset in 0..log.len() {
         let mut damaged = log.clone();
-        damaged.remove(place);
-        outcomes.add("removed byte", place, open(&damaged));
+        damaged.remove(offset);
+        outcomes.add("removed byte", offset, open(&damaged));
     }
     assert_eq!(outcomes.text(), RECORDED_OUTCOMES);
 }
 
-/// Opens a log file with these bytes and describes what becomes of it.
+/// Opens a log file with these bytes and describes the outcome.
 fn open(bytes: &[u8]) -> String {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("log");
     fs::write(&path, bytes).unwrap();
     match LogFile::open(folder.path()) {
         Ok((_, contents)) => {
-            let remaining = assert_tail_cut(&path, bytes, contents.torn_bytes);
+            let remaining = assert_tail_truncated(&path, bytes, contents.torn_bytes);
             let (entries, term) = (contents.entries.len(), contents.hard_state.term);
             format!("{remaining} bytes remain, {entries} entries, term {term}")
         }
         Err(error) => {
-            assert_eq!(fs::read(&path).unwrap(), bytes, "a refused file stays as it was");
+            assert_eq!(fs::read(&path).unwrap(), bytes, "a rejected file is not changed");
             format!("refused: {error}")
         }
     }
 }
 
-/// Checks that the file has all its bytes but the torn ones; returns how many it has.
-fn assert_tail_cut(path: &Path, before: &[u8], torn_bytes: u64) -> usize {
+/// Checks that only the torn bytes were truncated; returns the remaining length.
+fn assert_tail_truncated(path: &Path, before: &[u8], torn_bytes: u64) -> usize {
     let after = fs::read(path).unwrap();
     assert_eq!(after.len() as u64 + torn_bytes, before.len() as u64);
-    assert!(before.starts_with(&after), "only the tail is cut off");
+    assert!(before.starts_with(&after), "only the tail is truncated");
     after.len()
 }
 
@@ -66,7 +68,7 @@
     digits.map(|pair| u8::from_str_radix(str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
 }
 
-/// Outcomes by kind of damage and place; neighbouring places with one outcome are one line.
+/// Outcomes by kind of damage and offset. Adjacent offsets with the same outcome share a line.
 #[derive(Default)]
 struct Outcomes {
     lines: Vec<OutcomeLine>,
@@ -80,10 +82,10 @@
 }
 
 impl Outcomes {
-    fn add(&mut self, damage: &'static str, place: usize, outcome: String) {
+    fn add(&mut self, damage: &'static str, offset: usize, outcome: String) {
         match self.lines.last_mut() {
-            Some(line) if line.damage == damage && line.outcome == outcome => line.last = place,
-            _ => self.lines.push(OutcomeLine { damage, first: place, last: place, outcome }),
+            Some(line) if line.damage == damage && line.outcome == outcome => line.last = offset,
+            _ => self.lines.push(OutcomeLine { damage, first: offset, last: offset, outcome }),
         }
     }
 
--- a/store/tests/pending_reads.rs
+++ b/store/tests/pending_reads.rs
@@ -1,4 +1,5 @@
-//! Pending reads alone: which request serves which reader, and what a read proves of this node.
+//! Tests of pending reads without a node: which read index request serves which reader, and whether a read
+//! confirms this node's leadership.
 use crossbeam_channel::{Receiver, bounded};
 use std::time::Duration;
 use store::node::ReadResult;
@@ -8,8 +9,8 @@
 const TIMEOUT: Duration = Duration::from_mins(1);
 
 fn add_reader(reads: &mut PendingReads) -> Receiver<Result<ReadResult, Rejection>> {
-    let (reply, receiver) = bounded(1);
-    reads.add(reply);
+    let (responder, receiver) = bounded(1);
+    reads.add(responder);
     receiver
 }
 
@@ -25,46 +26,46 @@
 }
 
 #[test]
-fn reader_after_a_request_waits_for_the_next_one() {
+fn reader_added_after_request_waits_for_next_request() {
     let mut reads = PendingReads::default();
     let early = add_reader(&mut reads);
     start_request(&mut reads, 1, None);
     let late = add_reader(&mut reads);
     assert!(!reads.needs_request());
     reads.confirm(&[1], 5, None);
-    reads.answer(&state_at(9), 3);
+    reads.respond(&state_at(9), 3);
     assert!(early.try_recv().is_ok() && late.try_recv().is_err());
     start_request(&mut reads, 2, None);
-    // The answer to an earlier request confirms nothing.
+    // A late response to an earlier request confirms nothing.
     reads.confirm(&[1], 6, None);
     assert!(!reads.has_confirmed());
     reads.confirm(&[2], 6, None);
-    reads.answer(&state_at(9), 3);
+    reads.respond(&state_at(9), 3);
     assert!(late.try_recv().is_ok());
 }
 
 #[test]
-fn read_is_answered_once_its_index_is_applied() {
+fn read_completes_once_its_index_is_applied() {
     let mut reads = PendingReads::default();
     let reader = add_reader(&mut reads);
     start_request(&mut reads, 1, None);
     reads.confirm(&[1], 5, None);
-    reads.answer(&state_at(4), 3);
+    reads.respond(&state_at(4), 3);
     assert!(reader.try_recv().is_err() && reads.has_confirmed());
-    reads.answer(&state_at(5), 3);
+    reads.respond(&state_at(5), 3);
     let Ok(Ok(result)) = reader.try_recv() else { panic!("no read") };
     assert_eq!((result.read.state, result.read.term), (state_at(5), 3));
     assert!(!reads.has_confirmed());
 }
 
 #[test]
-fn read_proves_leadership_only_within_one_term() {
+fn read_confirms_leadership_only_within_one_term() {
     let leads = |at_request, at_confirmation, term| {
         let mut reads = PendingReads::default();
         let reader = add_reader(&mut reads);
         start_request(&mut reads, 1, at_request);
         reads.confirm(&[1], 5, at_confirmation);
-        reads.answer(&state_at(5), term);
+        reads.respond(&state_at(5), term);
         matches!(reader.try_recv(), Ok(Ok(ReadResult { is_leader: true, .. })))
     };
     assert!(leads(Some(3), Some(3), 3));
--- a/store/tests/recorded/control_lines.rs
+++ b/store/tests/recorded/control_lines.rs
@@ -1,6 +1,6 @@
-//! Lines of the control address, and the texts of rejections, which are part of them.
+//! Requests and responses of the control address, and the texts of rejections that they contain.
 use crate::fixtures::FIXTURES;
-use crate::samples::{LONG, rejections, single_node};
+use crate::samples::{TEST_TIMEOUT, rejections, single_node};
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
@@ -12,7 +12,7 @@
     let addr = listener.local_addr().unwrap();
     store::control::listen(listener, store).unwrap();
     let socket = TcpStream::connect(addr).unwrap();
-    socket.set_read_timeout(Some(LONG)).unwrap();
+    socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut lines = BufReader::new(socket.try_clone().unwrap()).lines();
     let commands = [
         r#"{"do":"status"}"#,
@@ -44,18 +44,18 @@
         "[1]",
         "not json",
     ];
-    let mut now = String::new();
+    let mut output = String::new();
     for line in commands {
         writeln!(&socket, "{line}").unwrap();
-        writeln!(now, "> {line}\n< {}", lines.next().unwrap().unwrap()).unwrap();
+        writeln!(output, "> {line}\n< {}", lines.next().unwrap().unwrap()).unwrap();
     }
-    FIXTURES.assert_same("control_lines.txt", &now);
+    FIXTURES.assert_same("control_lines.txt", &output);
     assert_eq!(store::control::server_key("stock-a"), "server/stock-a");
 }
 
 #[test]
 fn rejection_texts_keep_their_wording() {
-    let mut now = String::new();
-    rejections().iter().for_each(|rejection| writeln!(now, "{rejection}").unwrap());
-    FIXTURES.assert_same("rejection_texts.txt", &now);
+    let mut output = String::new();
+    rejections().iter().for_each(|rejection| writeln!(output, "{rejection}").unwrap());
+    FIXTURES.assert_same("rejection_texts.txt", &output);
 }
--- a/store/tests/recorded/frames.rs
+++ b/store/tests/recorded/frames.rs
@@ -1,6 +1,6 @@
-//! What is exchanged with other processes: frames between nodes and clients, and between nodes.
+//! The frames that are exchanged between nodes and clients, and between nodes.
 use crate::fixtures::{FIXTURES, recorded_bytes};
-use crate::samples::{LONG, raft_message, requests, responses};
+use crate::samples::{TEST_TIMEOUT, raft_message, requests, responses};
 use protobuf::Message as _;
 use raft::eraftpb::Message;
 use std::fmt::Write as _;
@@ -9,53 +9,59 @@
 use store::wire::{self, Protocol, Request, Response, STORE_PROTOCOL, WireError};
 use testkit::hex;
 
-/// Two ends of one connection.
+/// Both ends of a connection.
 fn connection() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let far = listener.accept().unwrap().0;
-    far.set_read_timeout(Some(LONG)).unwrap();
-    (near, far)
+    let local = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let remote = listener.accept().unwrap().0;
+    remote.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    (local, remote)
 }
 
-/// The bytes that are written to a connection that is closed afterwards.
+/// Returns the bytes that `send` writes to a connection.
 fn sent(send: impl FnOnce(&TcpStream)) -> Vec<u8> {
-    let (near, mut far) = connection();
-    send(&near);
-    drop(near);
+    let (local, mut remote) = connection();
+    send(&local);
+    drop(local);
     let mut bytes = Vec::new();
-    far.read_to_end(&mut bytes).unwrap();
+    remote.read_to_end(&mut bytes).unwrap();
     bytes
 }
 
-/// A connection whose other side has sent these bytes.
+/// A connection on which these bytes can be received.
 fn receiving(bytes: &[u8]) -> TcpStream {
-    let (mut near, far) = connection();
-    near.write_all(bytes).unwrap();
-    far
+    let (mut local, remote) = connection();
+    local.write_all(bytes).unwrap();
+    remote
 }
 
 #[test]
 fn client_frames_keep_their_bytes() {
-    let mut now = format!("hello {}\n", hex::encode(&sent(|s| wire::send_hello(s, STORE_PROTOCOL).unwrap())));
+    let mut output =
+        format!("hello {}\n", hex::encode(&sent(|s| wire::send_hello(s, STORE_PROTOCOL).unwrap())));
     for (name, request) in requests() {
         let frame = sent(|s| wire::send(s, &request).unwrap());
-        writeln!(now, "request:{name} {}", hex::encode(&frame)).unwrap();
+        writeln!(output, "request:{name} {}", hex::encode(&frame)).unwrap();
     }
     for (name, response) in responses() {
         let frame = sent(|s| wire::send(s, &response).unwrap());
-        writeln!(now, "answer:{name} {}", hex::encode(&frame)).unwrap();
+        writeln!(output, "answer:{name} {}", hex::encode(&frame)).unwrap();
     }
-    FIXTURES.assert_same("client_frames.txt", &now);
+    FIXTURES.assert_same("client_frames.txt", &output);
     let recorded = FIXTURES.text("client_frames.txt");
-    wire::receive_hello(&receiving(&recorded_bytes(&recorded, "hello")), STORE_PROTOCOL, LONG).unwrap();
+    wire::receive_hello(&receiving(&recorded_bytes(&recorded, "hello")), STORE_PROTOCOL, TEST_TIMEOUT)
+        .unwrap();
     for (name, request) in requests() {
-        let far = receiving(&recorded_bytes(&recorded, &format!("request:{name}")));
-        assert_eq!(wire::receive::<Request>(&far, LONG, LONG).unwrap(), request, "{name}");
+        let remote = receiving(&recorded_bytes(&recorded, &format!("request:{name}")));
+        assert_eq!(wire::receive::<Request>(&remote, TEST_TIMEOUT, TEST_TIMEOUT).unwrap(), request, "{name}");
     }
     for (name, response) in responses() {
-        let far = receiving(&recorded_bytes(&recorded, &format!("answer:{name}")));
-        assert_eq!(wire::receive::<Response>(&far, LONG, LONG).unwrap(), response, "{name}");
+        let remote = receiving(&recorded_bytes(&recorded, &format!("answer:{name}")));
+        assert_eq!(
+            wire::receive::<Response>(&remote, TEST_TIMEOUT, TEST_TIMEOUT).unwrap(),
+            response,
+            "{name}"
+        );
     }
 }
 
@@ -65,7 +71,7 @@
     let protocol = Protocol { magic: *b"DVFL", version: 0x0102 };
     let other = sent(|s| wire::send_hello(s, protocol).unwrap());
     assert_eq!(other, b"DVFL\x02\x01");
-    let hello = |bytes: &[u8], expected| wire::receive_hello(&receiving(bytes), expected, LONG);
+    let hello = |bytes: &[u8], expected| wire::receive_hello(&receiving(bytes), expected, TEST_TIMEOUT);
     assert!(matches!(hello(&other, STORE_PROTOCOL), Err(WireError::WrongProtocol)));
     assert!(matches!(hello(b"DVST\x02\x00", STORE_PROTOCOL), Err(WireError::WrongVersion(2))));
     assert!(hello(&other, protocol).is_ok());
@@ -78,7 +84,7 @@
     peer.send(raft_message()).unwrap();
     drop(peer);
     let (mut socket, _) = listener.accept().unwrap();
-    socket.set_read_timeout(Some(LONG)).unwrap();
+    socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut frame = Vec::new();
     socket.read_to_end(&mut frame).unwrap();
     FIXTURES.assert_same("peer_frame.hex", &(hex::encode(&frame) + "\n"));
@@ -91,6 +97,6 @@
     let recorded = hex::decode(&FIXTURES.text("peer_frame.hex"));
     TcpStream::connect(addr).unwrap().write_all(&[&recorded[..], &recorded].concat()).unwrap();
     for _ in 0..2 {
-        assert_eq!(messages.recv_timeout(LONG).unwrap(), raft_message());
+        assert_eq!(messages.recv_timeout(TEST_TIMEOUT).unwrap(), raft_message());
     }
 }
--- a/store/tests/recorded/limits.rs
+++ b/store/tests/recorded/limits.rs
@@ -1,4 +1,4 @@
-//! Rejections by limits. They carry texts, which are sent to clients and stored in snapshots.
+//! Rejections by limits. Their texts are sent to clients and stored in snapshots.
 use crate::fixtures::FIXTURES;
 use crate::samples::{set, update};
 use std::fmt::Write;
@@ -21,13 +21,13 @@
     Operation::Grant { name: name.into(), ttl_ms }
 }
 
-/// A key attached to the lease of an epoch.
+/// Sets a key that is attached to the lease of this epoch.
 fn attached(key: &str, epoch: u64) -> Operation {
     let update = update(key, Some("1"), None);
     Operation::Update { update, fencing_token: None, lease_epoch: Some(epoch) }
 }
 
-/// The response to the last operation, which is rejected; the others are applied.
+/// Applies the operations and returns the response to the last one, which must be the only one rejected.
 fn rejected(operations: &[Operation]) -> CommandResponse {
     let mut machine = StateMachine::new(limits());
     let (last, before) = operations.split_last().unwrap();
@@ -55,9 +55,9 @@
         ("key_bytes", rejected(&[set("", "1")])),
         ("ttl", rejected(&[grant("n", 199)])),
     ];
-    let mut now = String::new();
+    let mut output = String::new();
     for (name, response) in responses {
-        writeln!(now, "{name} {}", hex::encode(&postcard::to_allocvec(&response).unwrap())).unwrap();
+        writeln!(output, "{name} {}", hex::encode(&postcard::to_allocvec(&response).unwrap())).unwrap();
     }
-    FIXTURES.assert_same("limit_rejections.txt", &now);
+    FIXTURES.assert_same("limit_rejections.txt", &output);
 }
--- a/store/tests/recorded/log_forms.rs
+++ b/store/tests/recorded/log_forms.rs
@@ -1,4 +1,4 @@
-//! What is stored: commands in the log, snapshots, and the log file.
+//! The stored forms: commands in the log, snapshots, and the log file.
 use crate::fixtures::{FIXTURES, recorded_bytes};
 use crate::samples::{
     commands, entry, hard_state, log_entries, populated_limits, populated_machine, raft_snapshot, set,
@@ -13,11 +13,11 @@
 
 #[test]
 fn log_commands_keep_their_bytes() {
-    let mut now = String::new();
+    let mut output = String::new();
     for (name, command) in commands() {
-        writeln!(now, "{name} {}", hex::encode(&command.encode().unwrap())).unwrap();
+        writeln!(output, "{name} {}", hex::encode(&command.encode().unwrap())).unwrap();
     }
-    FIXTURES.assert_same("log_commands.txt", &now);
+    FIXTURES.assert_same("log_commands.txt", &output);
     let recorded = FIXTURES.text("log_commands.txt");
     for (name, command) in commands() {
         assert_eq!(Command::decode(&recorded_bytes(&recorded, &name)), Some(command), "{name}");
@@ -72,14 +72,14 @@
     FIXTURES.assert_same("log_rewritten.hex", &(hex::encode(&std::fs::read(&path).unwrap()) + "\n"));
     log_file.append(&entries[2..], Some(&hard_state(3, 1, 24))).unwrap();
     log_file.append(&[], Some(&hard_state(4, 0, 24))).unwrap();
-    // A new leader's entry takes the place of what stood there and of all behind it.
+    // An entry of a new leader replaces the existing one at its index and all later ones.
     log_file.append(&[entry(25, 4, b"{}")], None).unwrap();
     log_file.append(&[], None).unwrap();
     FIXTURES.assert_same("log_appended.hex", &(hex::encode(&std::fs::read(&path).unwrap()) + "\n"));
 }
 
 #[test]
-fn recorded_log_file_is_read_and_its_torn_tail_is_cut() {
+fn recorded_log_file_is_read_and_its_torn_tail_is_truncated() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("log");
     let recorded = hex::decode(&FIXTURES.text("log_appended.hex"));
@@ -96,13 +96,13 @@
 }
 
 #[test]
-fn damage_before_a_confirmed_record_is_an_error_and_the_file_stays() {
+fn damage_before_an_acknowledged_record_is_an_error_and_the_file_is_not_changed() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("log");
     let recorded = hex::decode(&FIXTURES.text("log_appended.hex"));
     let (_, last_record) = record_bounds(&recorded).pop().unwrap();
     for (first, end) in record_bounds(&recorded) {
-        // One byte of a body; the length of a record; a record of a kind that a later version writes.
+        // A changed byte in a body, a changed length, and a record kind of a later program version.
         let mut in_body = recorded.clone();
         in_body[end - 1] ^= 1;
         let mut in_length = recorded.clone();
@@ -111,21 +111,21 @@
         unknown_kind[first + 8] = 9;
         let checksum = crc32fast::hash(&unknown_kind[first + 8..end]);
         unknown_kind[first + 4..first + 8].copy_from_slice(&checksum.to_le_bytes());
-        for (damaged, refused) in
+        for (damaged, is_error) in
             [(in_body, end != last_record), (in_length, end != last_record), (unknown_kind, true)]
         {
             std::fs::write(&path, &damaged).unwrap();
             let opened = LogFile::open(folder.path());
-            assert_eq!(opened.is_err(), refused, "record {first}..{end}");
+            assert_eq!(opened.is_err(), is_error, "record {first}..{end}");
             if let Err(error) = opened {
                 assert_eq!(error.kind(), std::io::ErrorKind::InvalidData);
-                assert_eq!(std::fs::read(&path).unwrap(), damaged, "nothing is cut off");
+                assert_eq!(std::fs::read(&path).unwrap(), damaged, "nothing is truncated");
             }
         }
     }
 }
 
-/// Where the records of a log begin and end.
+/// The start and end offsets of the records of a log.
 fn record_bounds(log: &[u8]) -> Vec<(usize, usize)> {
     let mut bounds = Vec::new();
     let mut at = 0;
@@ -148,13 +148,14 @@
     };
     store.write(RequestOrigin { store_id, client_id, sequence: 1 }, set("a", "2")).unwrap();
     assert_eq!(store_id, store.state().store_id);
-    // The file is synced before a response is sent; a copy of it is read, for the node still writes its own.
+    // The file is synced before a response is sent. A copy of it is read, because the node still writes to
+    // its own file.
     let copy = tempfile::tempdir().unwrap();
     std::fs::copy(folder.path().join("log"), copy.path().join("log")).unwrap();
     let (_, contents) = LogFile::open(copy.path()).unwrap();
-    let mut now = String::new();
+    let mut output = String::new();
     for entry in &contents.entries {
-        // The store's id and the counter of request ids are random; everything else is recorded.
+        // The store's id and the counter of request ids are random; all other data is compared.
         let context = match &entry.context[..] {
             [] => "none".to_string(),
             [node @ .., _, _, _, _, _, _, _, _] => format!("node {} and 8 bytes", hex::encode(node)),
@@ -163,8 +164,8 @@
         let random = hex::encode(&postcard::to_allocvec(&store_id).unwrap());
         let data = hex::encode(&entry.data).replace(&random, "STORE");
         let (index, term, kind) = (entry.index, entry.term, entry.entry_type);
-        writeln!(now, "{index} term {term} type {kind:?} context {context} data {data}").unwrap();
+        writeln!(output, "{index} term {term} type {kind:?} context {context} data {data}").unwrap();
     }
-    writeln!(now, "term {} vote {}", contents.hard_state.term, contents.hard_state.vote).unwrap();
-    FIXTURES.assert_same("new_store_log.txt", &now);
+    writeln!(output, "term {} vote {}", contents.hard_state.term, contents.hard_state.vote).unwrap();
+    FIXTURES.assert_same("new_store_log.txt", &output);
 }
