--- a/store/tests/recorded/machine_run.rs
+++ b/store/tests/recorded/machine_run.rs
@@ -1,5 +1,6 @@
-//! A recorded run of the state machine and of the leader's lease timers: seeded commands in; responses, changes, lease
-//! events and proposals out. Small limits let the run reach many rejections.
+//! A recorded run of the state machine and the leader's lease timers: the inputs are seeded random commands;
+//! the outputs are responses, changes, lease events and proposals. Small limits make the run reach many
+//! rejections.
 use crate::fixtures::FIXTURES;
 use std::fmt::Write as _;
 use store::Update;
@@ -19,7 +20,7 @@
     lease_timers: LeaseTimers,
     change_log: ChangeLog,
     index: u64,
-    /// Leases that were granted, the current and former ones.
+    /// All granted leases, current and former.
     granted: Vec<FencingToken>,
     clients: Vec<u64>,
     lines: String,
@@ -128,7 +129,8 @@
         match applied.response.result {
             Ok(CommandEffect::ClientRegistered { client_id, .. }) => self.clients.push(client_id),
             Ok(CommandEffect::Granted { epoch }) => {
-                // The first response of a retry may be that of another operation.
+                // A retry receives the response to the first write with its sequence number, which may be
+                // another operation.
                 if let Command::Write { operation: Operation::Grant { name, .. }, .. } = command {
                     self.granted.push(FencingToken { name, epoch });
                 }
@@ -143,13 +145,13 @@
         }
     }
 
-    /// Hands an event to the timers; what they propose is applied as the next commands.
+    /// Passes an event to the timers and applies the proposed commands next.
     fn handle_timer_event(&mut self, event: LeaseTimerEvent) {
         let mut proposals = Vec::new();
         self.lease_timers.handle(event, &mut proposals);
         for command in proposals {
             writeln!(self.lines, "  proposed {}", hex::encode(&command.encode().unwrap())).unwrap();
-            // Some proposals are lost.
+            // Drops some proposals, as if they were lost.
             if self.random.u8(..3) > 0 {
                 self.apply(command);
             }
--- a/store/tests/recorded/main.rs
+++ b/store/tests/recorded/main.rs
@@ -1,5 +1,5 @@
-//! Everything that this package stores or exchanges with other processes, byte for byte as the program has written it
-//! before, and a recorded run of its state machine.
+//! Compares everything that this package stores or exchanges with other processes, byte for byte, with
+//! recordings of earlier program versions, and repeats a recorded run of the state machine.
 mod control_lines;
 mod fixtures;
 mod frames;
--- a/store/tests/recorded/samples.rs
+++ b/store/tests/recorded/samples.rs
@@ -1,4 +1,5 @@
-//! Values of each stored or exchanged type: every variant, and every optional field with and without a value.
+//! Sample values of each stored or exchanged type: every variant, and every optional field with and without a
+//! value.
 use raft::eraftpb::{Entry, HardState, Message, MessageType, Snapshot};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,8 +13,8 @@
 use store::wire::{Consistency, ReadHeader, Request, Response, WatchPosition};
 use store::{Rejection, Store, Update, Value};
 
-/// Reached only by a failure.
-pub(crate) const LONG: Duration = Duration::from_secs(20);
+/// Timeout that is only reached if a test fails.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) fn update(key: &str, text: Option<&str>, expected_version: Option<u64>) -> Update {
     Update { key: key.into(), text: text.map(str::to_string), expected_version }
@@ -104,8 +105,8 @@
     StoreLimits { max_lease_names: 2, ..StoreLimits::default() }
 }
 
-/// A store with all that a snapshot can hold: keys with and without a lease, a held, a free and a forgotten name,
-/// clients with and without a last response, one of them a rejection.
+/// A state machine with everything that a snapshot can contain: keys with and without a lease; held, free and
+/// evicted names; and clients with and without a last response, one of them a rejection.
 pub(crate) fn populated_machine() -> StateMachine {
     let mut machine = StateMachine::new(populated_limits());
     let grant = |name: &str, ttl_ms| internal(Operation::Grant { name: name.into(), ttl_ms });
@@ -236,9 +237,9 @@
     let seeds = vec![("server/stock-a".into(), server.into()), ("server/broken".into(), "{".into())];
     let settings = store::Settings { node: 1, peers, folder, seeds, ..store::Settings::default() };
     let store = store::start(settings, |_| ()).unwrap();
-    let begun = Instant::now();
+    let started = Instant::now();
     while store.state().get("seeded").is_none() {
-        assert!(begun.elapsed() < LONG, "the store is not seeded");
+        assert!(started.elapsed() < TEST_TIMEOUT, "the seed keys were not written in time");
         std::thread::yield_now();
     }
     store
--- a/store/tests/state_machine.rs
+++ b/store/tests/state_machine.rs
@@ -1,5 +1,5 @@
-//! The state machine, the lease timers and the change log alone: leases, fencing, retries, limits, and what legacy
-//! programs have written.
+//! Tests of the state machine, the lease timers and the change log without a node: leases, fencing, retries,
+//! limits, and the legacy formats.
 use proptest::prelude::*;
 use std::collections::{BTreeMap, HashSet};
 use store::change_log::{ChangeLog, Compacted, RetentionLimits};
@@ -11,7 +11,7 @@
 
 const STORE_ID: u64 = 7;
 
-/// A state machine with the indices of its commands, and its changes.
+/// A state machine, the log index of its last command, and its changes.
 struct Log {
     machine: StateMachine,
     index: u64,
@@ -28,7 +28,7 @@
 
     fn apply(&mut self, command: Command) -> Applied {
         self.index += 1;
-        // As it comes out of the log.
+        // Encoded and decoded, as the log does.
         let command = Command::decode(&command.encode().unwrap()).unwrap();
         let applied = self.machine.apply(self.index, command);
         applied.changes.iter().for_each(|changes| self.change_log.push(changes.clone()));
@@ -47,7 +47,7 @@
         self.write(Operation::Grant { name: name.into(), ttl_ms: 1000 })
     }
 
-    /// Grants a lease that must be free, and returns its epoch.
+    /// Grants the lease of a free name and returns its epoch.
     fn granted_epoch(&mut self, name: &str) -> u64 {
         match self.grant(name) {
             Ok(CommandEffect::Granted { epoch }) => epoch,
@@ -79,14 +79,14 @@
 }
 
 #[test]
-fn lease_has_one_holder_and_fences_earlier_ones() {
+fn lease_has_one_holder_and_fences_previous_holders() {
     let mut log = Log::new(StoreLimits::default());
     assert_eq!(log.grant("n"), Ok(CommandEffect::Granted { epoch: 2 }));
     assert_eq!(log.grant("n"), Err(Rejection::LeaseHeld { epoch: 2 }));
     log.put("k", "1", Some(token("n", 2)), Some(2)).unwrap();
     log.put("other", "1", None, None).unwrap();
     log.write(Operation::Renew(token("n", 2))).unwrap();
-    // The leader had counted it to its end before it was renewed: the renewal counts.
+    // The countdown ended before the renewal was committed, so the lease stays alive.
     log.run(Command::ExpireLease { token: token("n", 2), renewals: 0 }).unwrap();
     assert!(log.machine.state().get("k").is_some());
     let ended = log.apply(Command::ExpireLease { token: token("n", 2), renewals: 1 });
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn forgotten_lease_name_still_fences() {
+fn evicted_lease_name_still_fences_its_holder() {
     let mut log = Log::new(StoreLimits { max_lease_names: 2, ..StoreLimits::default() });
     log.grant("a").unwrap();
     log.write(Operation::Revoke(token("a", 2))).unwrap();
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn leader_counts_whole_leases_from_the_beginning_in_each_term() {
+fn leader_restarts_full_lease_countdowns_in_each_term() {
     let timer = |epoch, renewals| LeaseTimer { token: token("n", epoch), renewals, ticks: 3 };
     let expire = |epoch, renewals| Command::ExpireLease { token: token("n", epoch), renewals };
     let mut timers = LeaseTimers::default();
@@ -127,14 +127,14 @@
         proposals
     };
     let handle = |timers: &mut LeaseTimers, event| timers.handle(event, &mut Vec::new());
-    // A follower ends nothing.
+    // A follower proposes no expiry.
     handle(&mut timers, LeaseTimerEvent::Lease(LeaseEvent::Started(timer(1, 0))));
     assert!(tick(&mut timers, 10).is_empty());
     handle(&mut timers, LeaseTimerEvent::BecameLeader(vec![timer(1, 0), timer(2, 0)]));
     assert!(tick(&mut timers, 2).is_empty());
     handle(&mut timers, LeaseTimerEvent::Lease(LeaseEvent::Started(timer(2, 1))));
     assert_eq!(tick(&mut timers, 1), [expire(1, 0)]);
-    // Lost proposals are made again, until the end is committed.
+    // A lost proposal is repeated until the expiry is committed.
     assert_eq!(tick(&mut timers, 20).len(), 2);
     handle(&mut timers, LeaseTimerEvent::Lease(LeaseEvent::Ended { epoch: 1 }));
     assert_eq!(tick(&mut timers, 20), [expire(2, 1)]);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn retried_write_gets_its_first_response() {
+fn retried_write_receives_its_first_response() {
     let limits = StoreLimits { max_clients: 2, ..StoreLimits::default() };
     let mut log = Log::new(limits);
     let write = |client_id, sequence, expected_version| {
@@ -160,16 +160,16 @@
     assert_eq!(log.run(write(b, 1, None)), Ok(CommandEffect::Updated { version: 2 }));
     let retried = log.apply(write(a, 1, Some(0)));
     assert_eq!((&retried.response, retried.changes), (&first.response, None));
-    // A rejection is a response as well.
+    // A retry of a rejected write receives the same rejection.
     let mismatch = Err(Rejection::VersionMismatch { current: 2 });
     assert_eq!(log.run(write(a, 2, Some(0))), mismatch);
     log.put("k", "y", None, None).unwrap();
     assert_eq!(log.run(write(a, 2, Some(3))), mismatch);
     assert_eq!(log.run(write(a, 1, None)), Err(Rejection::StaleSequence { latest: 2 }));
-    // The last response outlives a snapshot.
+    // The last response survives a snapshot.
     log.machine = StateMachine::decode(&log.machine.encode().unwrap(), limits).unwrap();
     assert_eq!(log.run(write(a, 2, Some(3))), mismatch);
-    // The client that has been silent for longest is evicted, and nothing of it is applied twice.
+    // The least recently active client is evicted, and its retries are not applied again.
     log.register_client();
     assert_eq!(log.run(write(b, 1, None)), Err(Rejection::UnknownClient));
     let origin = Some(RequestOrigin { store_id: STORE_ID + 1, client_id: a, sequence: 9 });
@@ -234,12 +234,12 @@
     assert_eq!(revisions_after(5), Ok(vec![]));
 }
 
-/// Of a step: the kind of command, and three numbers that its arguments are made of.
+/// A random step: the kind of the command, and three numbers that determine its arguments.
 fn any_step() -> impl Strategy<Value = (u8, u8, u8, u8)> {
     (0..9u8, 0..3u8, 0..4u8, 0..4u8)
 }
 
-/// What a run of any commands has given.
+/// The state of a run of random commands.
 struct Run {
     log: Log,
     granted: Vec<FencingToken>,
@@ -290,7 +290,7 @@
         let names: HashSet<_> = held.iter().map(|timer| &timer.token.name).collect();
         let epochs: HashSet<_> = held.iter().map(|timer| timer.token.epoch).collect();
         prop_assert!(names.len() == held.len() && epochs.len() == held.len());
-        // No key outlives the lease that it is attached to.
+        // No key remains after the lease that it is attached to has ended.
         let mut keys = self.log.machine.state().with_prefix("");
         prop_assert!(keys.all(|(_, value)| value.lease_epoch.is_none_or(|epoch| epochs.contains(&epoch))));
         Ok(())
@@ -300,13 +300,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn epochs_only_rise_and_change_log_has_exactly_the_changes_after_a_revision(
+    fn epochs_increase_and_change_log_returns_exactly_the_changes_after_a_revision(
         steps in prop::collection::vec(any_step(), 1..80)
     ) {
-        let limits = StoreLimits { max_lease_names: 2, max_clients: 2, max_keys: 3, ..StoreLimits::default() };
+        let limits =
+            StoreLimits { max_lease_names: 2, max_clients: 2, max_keys: 3, ..StoreLimits::default() };
         let log = Log::new(limits);
         let mut run = Run { log, granted: vec![token("", 0)], highest_epoch: 0, clients: vec![0] };
-        // The keys at each revision, as a reader of that time saw them.
+        // The keys at each revision, as read at that time.
         let mut read: BTreeMap<u64, BTreeMap<String, Value>> = BTreeMap::from([(0, BTreeMap::new())]);
         for step in steps {
             run.step(step)?;
