--- a/quotas/benches/admission.rs
+++ b/quotas/benches/admission.rs
@@ -1,4 +1,4 @@
-//! Cost of admitting or shedding one request, by the number of tenants in the configuration.
+//! Time to admit or shed one request, by the number of tenants in the configuration.
 use criterion::{Criterion, criterion_group, criterion_main};
 use decision::Time;
 use quotas::{Action, Allocator, Event, QuotaClient, QuotaClientSettings, Settings};
@@ -7,12 +7,12 @@
 use std::sync::Arc;
 
 const ADMITTED: &str = "tenant-0000";
-const UNBOUNDED: &str = "tenant-0001";
+const UNLIMITED: &str = "tenant-0001";
 const SHED: &str = "tenant-0002";
-/// After the allocator's quiet period.
+/// A time after the allocator's quiet period.
 const BEGIN: Time = Time(10_000_000);
 
-/// The first tenant's quota is never used up, the second has none, and those of all others are zero.
+/// The first tenant's quota is never exhausted, the second tenant has none, and all other quotas are zero.
 fn fleet(tenants: usize) -> Arc<Fleet> {
     let tenant = |i: usize| {
         let rate = if i == 0 { 1e9 } else { 0.0 };
@@ -23,7 +23,7 @@
     Arc::new(Fleet { max_routers: 1, default_tenant: ADMITTED.into(), tenants, ..Fleet::default() })
 }
 
-/// A client with its reserved shares of all quotas, for an hour.
+/// A client with its reserved shares of all quotas, which are valid for an hour.
 fn client(fleet: &Arc<Fleet>) -> QuotaClient {
     let mut client = QuotaClient::new(QuotaClientSettings {
         router: "r".into(),
@@ -49,7 +49,7 @@
     for tenants in [10, 1_000] {
         let mut client = client(&fleet(tenants));
         let mut now = BEGIN.0;
-        for (outcome, tenant) in [("admitted", ADMITTED), ("unbounded", UNBOUNDED), ("refused", SHED)] {
+        for (outcome, tenant) in [("admitted", ADMITTED), ("unbounded", UNLIMITED), ("refused", SHED)] {
             criterion.bench_function(&format!("{outcome}, {tenants} tenants"), |bencher| {
                 bencher.iter(|| {
                     now += 1;
--- a/quotas/examples/large_fleet.rs
+++ b/quotas/examples/large_fleet.rs
@@ -1,9 +1,9 @@
-//! Large fleets in one thread:
-//! `cargo run --release -p quotas --example large_fleet -- [routers] [tenants] [seeds] [burst]`.
+//! Simulates large fleets in one thread:
 //!
-//! For each seed, the demand of three tenants moves: to one router, then spread over all, then back, while routers are
-//! paused, disconnected and killed and leaders change. Prints broken windows (0 is wanted), the share of the quota
-//! admitted from two seconds after each move on, bytes and microseconds.
+//! For each seed, the demand of three tenants moves to one router, then to all routers, then back to one.
+//! Afterwards routers are paused, disconnected and killed, and the leader changes. Prints the number of seeds
+//! in which a window exceeds the quota (must be 0), the part of the quota that is admitted from two seconds
+//! after each move, message bytes and handling times.
 #[path = "../tests/simulation/mod.rs"]
 mod simulation;
 use decision::Micros;
@@ -13,7 +13,7 @@
 use simulation::{Fault, Simulation, fleet, quota};
 
 const SECOND: Micros = 1_000_000;
-/// Tenants whose demand moves; the one after them has sparse demand everywhere.
+/// The number of tenants whose demand moves. The tenant after them has sparse demand at all routers.
 const MOVING_TENANTS: usize = 3;
 /// The quota of a moving tenant, requests per second.
 const RATE: f64 = 2_000.0;
@@ -30,11 +30,11 @@
     AllRouters,
 }
 
-/// What all seeds gave.
+/// The results of all seeds.
 #[derive(Default)]
 struct Results {
-    broken: u64,
-    first_broken: Option<String>,
+    violations: u64,
+    first_violation: Option<String>,
     to_one: Vec<f64>,
     to_all: Vec<f64>,
     back: Vec<f64>,
@@ -44,12 +44,12 @@
     bytes_later: f64,
     /// Bytes of reports per router and second, summed over all seeds.
     report_bytes: f64,
-    /// Microseconds for a report: the averages summed over all seeds, and the highest.
+    /// The time to handle a report, microseconds: the sum of the averages of all seeds, and the maximum.
     handling_micros: f64,
     max_handling_micros: f64,
 }
 
-/// One seed's fleet.
+/// The simulated fleet of one seed.
 struct Run {
     simulation: Simulation,
     routers: usize,
@@ -59,7 +59,7 @@
     fn new(seed: u64, routers: usize, fleet: Fleet) -> Run {
         let mut simulation = Simulation::new(seed, routers, fleet, Settings::default(), false);
         simulation.measure = true;
-        // Sparse demand finds the reserved shares: each router has a request in five seconds.
+        // The sparse tenant uses its reserved shares: each router has one request in five seconds.
         for router in 0..routers {
             let demand = Fault::SetDemand { router, tenant: MOVING_TENANTS, rate: SPARSE_RATE };
             simulation.schedule(1, demand);
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Moves demand and returns each moving tenant's share of its quota from two seconds later on.
+    /// Moves demand and returns the part of its quota that each moving tenant uses from two seconds after the
+    /// move.
     fn shares_after_move(&mut self, spread: Spread, results: &mut Results) -> Vec<f64> {
         self.move_demand(spread);
         let begin = self.simulation.now;
@@ -91,7 +92,7 @@
         (0..MOVING_TENANTS).map(|tenant| admitted(tenant) as f64 / (RATE * 4.0)).collect()
     }
 
-    /// Runs on and returns the bytes of responses per router and second.
+    /// Runs until `end` and returns the bytes of responses per router and second.
     fn response_bytes_until(&mut self, end: Micros) -> f64 {
         let (begin, before) = (self.simulation.now, self.simulation.totals.response_bytes);
         self.simulation.run_until(end);
@@ -104,7 +105,7 @@
         self.simulation.admitted(MOVING_TENANTS, 4 * SECOND, self.simulation.now) as f64 / requested
     }
 
-    /// Runs on under faults, after which only the bound counts.
+    /// Runs with faults; afterwards only the quota bound is checked.
     fn run_with_faults(&mut self) {
         let begin = self.simulation.now;
         for _ in 0..self.routers / 10 {
@@ -152,13 +153,17 @@
         self.handling_micros += totals.handling_time.as_secs_f64() * 1e6 / totals.reports as f64;
         self.max_handling_micros = self.max_handling_micros.max(totals.max_handling_time.as_secs_f64() * 1e6);
         if let Err(error) = run.simulation.check_bound() {
-            self.broken += 1;
-            self.first_broken.get_or_insert_with(|| format!("seed {seed}: {error}"));
+            self.violations += 1;
+            self.first_violation.get_or_insert_with(|| format!("seed {seed}: {error}"));
         }
     }
 
     fn print(mut self, seeds: u64) {
-        println!("broken windows: {} {}", self.broken, self.first_broken.unwrap_or_default());
+        println!(
+            "seeds with a window over the quota: {} {}",
+            self.violations,
+            self.first_violation.unwrap_or_default()
+        );
         print_shares("to one router", &mut self.to_one);
         print_shares("spread over all", &mut self.to_all);
         print_shares("back to one", &mut self.back);
@@ -179,7 +184,7 @@
 fn print_shares(name: &str, shares: &mut [f64]) {
     shares.sort_by(f64::total_cmp);
     let (min, median) = (shares[0], shares[shares.len() / 2]);
-    println!("{name}: minimum {min:.3}, median {median:.3} of what it may have");
+    println!("{name}: minimum {min:.3}, median {median:.3} of what the quota allows");
 }
 
 fn main() {
--- a/quotas/examples/sparse_demand.rs
+++ b/quotas/examples/sparse_demand.rs
@@ -1,5 +1,5 @@
-//! How much of its quota a tenant gets with sparse demand: each of many routers has about one request per second.
-//! `cargo run --release -p quotas --example sparse_demand -- [routers] [seeds]`.
+//! Measures how much of its quota a tenant with sparse demand can use: each of many routers has about one
+//! request per second.
 #[path = "../tests/simulation/mod.rs"]
 mod simulation;
 use decision::Micros;
@@ -11,10 +11,10 @@
 use std::ops::Range;
 
 const SECOND: Micros = 1_000_000;
-/// The spans in which a tenant's share is measured, seconds.
+/// The periods in which a tenant's share of the quota is measured, seconds.
 const EARLY: Range<i64> = 6..26;
 const LATE: Range<i64> = 40..80;
-/// Rounds of the fixed split that is compared with.
+/// The number of simulated buckets for the comparison with a fixed, equal division of the quota.
 const SPLIT_ROUNDS: u32 = 3_000;
 
 fn simulate(seed: u64, routers: usize, rate: f64, burst: u32) -> Simulation {
@@ -23,7 +23,8 @@
     Simulation::new(seed, routers, fleet, Settings::default(), false)
 }
 
-/// Demand of all routers, then of a few. Prints the shares of the quota in spans of two seconds after the move.
+/// Simulates demand at all routers that then moves to a few of them. Prints the share of the quota used in
+/// each period of two seconds after the move.
 fn print_move(routers: usize, rate: f64, few: usize, rate_each: f64) {
     let mut simulation = simulate(7, routers, rate, (routers * 5) as u32);
     simulation.measure = true;
@@ -35,17 +36,22 @@
     }
     simulation.run_until(22 * SECOND);
     let bytes = simulation.totals.response_bytes as f64 / 22.0 / routers as f64;
-    print!("{few} routers with {rate_each} each after all, burst / routers 5:");
+    print!(
+        "demand moves from all routers to {few} with {rate_each} requests per second each, burst / routers 5:"
+    );
     for _ in 0..10 {
         let begin = simulation.now;
         simulation.run_until(begin + 2 * SECOND);
         let max = rate.min(rate_each * few as f64) * 2.0;
         print!(" {:.3}", simulation.admitted(0, begin, simulation.now) as f64 / max);
     }
-    println!(" (2 s each, from 2 s on); responses before: {bytes:.0} bytes per router and second");
+    println!(
+        " (share used in each 2 s period, starting 2 s after the move); responses until then: {bytes:.0} bytes per router and second"
+    );
 }
 
-/// The mean shares of the quota, or of the demand where that is less, early and late.
+/// The mean share of the quota, or of the demand if that is less, that is admitted in the early and in the
+/// late period.
 fn mean_shares(routers: usize, seeds: u64, rate: f64, burst_each: f64, rate_each: f64) -> (f64, f64) {
     let max = rate.min(rate_each * routers as f64);
     let (mut early, mut late) = (0.0, 0.0);
@@ -66,8 +72,8 @@
     (early / seeds as f64, late / seeds as f64)
 }
 
-/// What a bucket of `burst` tokens at `rate` per second, empty at 2 s as in the fleet, admits of `demand` requests per
-/// second by chance, as the same share.
+/// The same share for a fixed division: what a bucket of `burst` tokens at `rate` per second, empty at 2 s as
+/// in the fleet, admits of random requests at `demand` per second.
 fn split_share(rate: f64, burst: f64, demand: f64, span: Range<i64>) -> f64 {
     let (from, to) = (span.start as f64, span.end as f64);
     let mut random = SmallRng::seed_from_u64(1);
--- a/quotas/src/allocator/allocation.rs
+++ b/quotas/src/allocator/allocation.rs
@@ -1,4 +1,4 @@
-//! The state of a tenant that is allocated by demand.
+//! The allocation of one tenant's quota by demand: what each router holds, reports and should hold.
 use super::router::{RouterRecord, ShareChange};
 use crate::equal_shares::EqualShares;
 use crate::grant::{Grant, MICROTOKENS_PER_TOKEN};
@@ -6,21 +6,21 @@
 use crate::time::LONG_PAST;
 use decision::Time;
 
-/// Reserved shares are reclaimed in this many parts.
+/// The number of equal parts in which reserved shares are reclaimed.
 pub(super) const RECLAIM_PARTS: u64 = 8;
 
-/// How a router holds its part of a tenant's quota.
+/// What entitles a router to its part of a tenant's quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) enum Holding {
-    /// By its reserved share.
+    /// The router's reserved share.
     #[default]
     Reserved,
-    /// By a grant in place of its reserved share.
+    /// A grant by demand, which replaces the reserved share.
     ByDemand(Grant),
 }
 
 impl Holding {
-    /// What is held by a router with this reserved share.
+    /// The grant that a router with this reserved share holds.
     pub(super) fn grant(self, reserved: Grant) -> Grant {
         match self {
             Holding::Reserved => reserved,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The grant in place of the reserved share.
+    /// The grant by demand; `None` if the router holds its reserved share.
     pub(super) fn by_demand(self) -> Option<Grant> {
         match self {
             Holding::Reserved => None,
@@ -40,23 +40,25 @@
 /// One router's part of a tenant's quota.
 #[derive(Clone, Copy, Debug, Default, Hash)]
 pub(super) struct RouterPart {
-    /// What the router is known to hold.
+    /// What the router has acknowledged to hold.
     pub(super) held: Holding,
-    /// What the last response may have made of it.
+    /// What the last response changes it to, if that response is not acknowledged yet.
     pub(super) sent: Option<Holding>,
-    /// Microtokens per second.
+    /// The reported demand, microtokens per second.
     pub(super) demand: u64,
-    /// Since when the router reports no demand, while `demand` still is what it reported before.
+    /// When the router first reported no demand; until its demand is taken to have ended, `demand` keeps the
+    /// value reported before.
     pub(super) silent_since: Option<Time>,
-    /// What the router is to have.
+    /// The grant that the last plan gave the router.
     pub(super) target: Grant,
-    /// Whether the target takes this demand into account; before, nothing is reclaimed.
+    /// Whether `target` takes the present demand into account. Until it does, nothing is reclaimed from the
+    /// router.
     pub(super) planned: bool,
 }
 
 impl RouterPart {
-    /// The rate that this demand may need by chance: half more, and where demand is sparse, what a few seconds may count
-    /// too low.
+    /// The rate to grant for this demand, with a margin for random fluctuation: half as much again, or one
+    /// standard deviation of the count over two seconds where that is more, as it is for sparse demand.
     pub(super) fn wanted_rate(&self) -> u64 {
         if self.demand == 0 {
             return 0;
@@ -65,7 +67,7 @@
         (self.demand / 2 * 3).max(self.demand + deviation)
     }
 
-    /// What the router may hold, at most.
+    /// The most that the router may hold: the larger of what is acknowledged and what was last sent.
     pub(super) fn max_held(&self, router: &RouterRecord, shares: &EqualShares) -> Grant {
         let reserved = router.max_reserved(shares);
         let held = self.held.grant(reserved);
@@ -73,40 +75,41 @@
     }
 }
 
-/// What is the same for all tenants, or all routers, of one response.
+/// Data for one response that does not depend on the tenant or does not depend on the router.
 pub(super) struct ResponseContext<'a> {
     pub(super) shares: &'a EqualShares,
     pub(super) settings: &'a Settings,
     pub(super) routers: &'a [Option<RouterRecord>],
-    /// Whether anything may be raised.
+    /// Whether shares and grants may be raised in this response.
     pub(super) may_raise: bool,
-    /// The router's reserved share.
+    /// The change of the router's reserved share.
     pub(super) share: ShareChange,
 }
 
-/// A tenant that is allocated by demand, or on its way back to the reserved shares.
+/// The allocation of one tenant's quota by demand. It ends once all routers hold their reserved shares again.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct DemandAllocation {
-    /// One for each position of a router.
+    /// The routers' parts, by the position of the router.
     pub(super) parts: Vec<RouterPart>,
     /// Demand has changed since the last plan.
     pub(super) demand_changed: bool,
-    /// A router has demand that had none before, or the other way round.
-    pub(super) demand_moved: bool,
+    /// Since the targets were last applied, a router's demand has started or ended.
+    pub(super) demand_started_or_ended: bool,
     pub(super) planned_at: Time,
-    /// When silence is checked next.
+    /// When to check next for routers whose demand has ended.
     pub(super) next_silence_check: Time,
-    /// Until when all silent routers are taken to have no demand.
+    /// Until this time the demand of every router that reports none is taken to have ended.
     pub(super) silence_ends_demand_until: Time,
-    /// Which rotation the tokens are at, where they are fewer than the routers with demand.
+    /// The rotation interval that the targets were planned for, if there are fewer tokens than routers with
+    /// demand.
     pub(super) rotation: Option<i64>,
-    /// Since when no router has demand beyond its reserved share.
+    /// Since when no router has had demand beyond its reserved share.
     pub(super) idle_since: Option<Time>,
-    /// No router has demand beyond its reserved share.
+    /// In the last plan no router had demand beyond its reserved share.
     pub(super) within_reserved: bool,
-    /// The reserved shares are being restored.
+    /// The tenant is returning to reserved shares: each router's target is its reserved share.
     pub(super) restoring: bool,
-    /// How many of the [`RECLAIM_PARTS`] of their reserved shares routers without demand keep.
+    /// How many of the [`RECLAIM_PARTS`] parts of their reserved shares routers without demand retain.
     pub(super) retained_parts: u64,
 }
 
@@ -115,7 +118,7 @@
         DemandAllocation {
             parts: vec![RouterPart::default(); positions],
             demand_changed: true,
-            demand_moved: true,
+            demand_started_or_ended: true,
             planned_at: LONG_PAST,
             next_silence_check: LONG_PAST,
             silence_ends_demand_until: LONG_PAST,
@@ -127,11 +130,11 @@
         }
     }
 
-    /// Notes a router's demand.
+    /// Records a router's demand.
     pub(super) fn set_demand(&mut self, position: usize, demand: u64) {
         let part = &mut self.parts[position];
         if (part.demand == 0) != (demand == 0) {
-            self.demand_moved = true;
+            self.demand_started_or_ended = true;
             part.planned = false;
         }
         part.demand = demand;
@@ -139,17 +142,18 @@
         self.demand_changed = true;
     }
 
-    /// Ends a router's demand, if it has any.
+    /// Sets a router's demand to zero, if it has any.
     pub(super) fn drop_demand(&mut self, position: usize) {
         if self.parts[position].demand > 0 {
             self.set_demand(position, 0);
         }
     }
 
-    /// Takes over a report of changed demand.
+    /// Applies the demand that a router reports.
     pub(super) fn report_demand(&mut self, now: Time, position: usize, demand: u64) {
         let part = &mut self.parts[position];
-        // With its reserved share alone, a router reports only what is beyond it: 0 need not be silence.
+        // A router that holds its reserved share reports only demand beyond it, so 0 means that this demand
+        // has ended. A router with a grant by demand may report 0 because of a random gap between requests.
         if demand > 0 || part.held == Holding::Reserved {
             self.set_demand(position, demand);
         } else if part.demand > 0 {
@@ -157,30 +161,31 @@
         }
     }
 
-    /// The router holds what the last response made of its part.
+    /// The router has acknowledged the last response: it holds what was sent in it.
     pub(super) fn acknowledge(&mut self, position: usize) {
         let part = &mut self.parts[position];
         part.held = part.sent.take().unwrap_or(part.held);
     }
 
-    /// The router is to report anew what it holds and wants; until then it has its reserved share and no demand.
+    /// Resets a router whose report states everything that it holds and demands: until the report is applied,
+    /// the router counts as holding its reserved share and having no demand.
     pub(super) fn reset_router(&mut self, position: usize) {
         self.parts[position].held = Holding::Reserved;
         self.parts[position].sent = None;
         self.drop_demand(position);
     }
 
-    /// The router still holds a grant by demand, by its own full report.
+    /// Records a grant by demand that the router holds according to its full report.
     pub(super) fn restore_grant(&mut self, position: usize, grant: Grant) {
         self.parts[position].held = Holding::ByDemand(grant);
     }
 
-    /// Makes room for a further router.
+    /// Adds a position for another router.
     pub(super) fn add_position(&mut self) {
         self.parts.push(RouterPart::default());
     }
 
-    /// The position is free for another router.
+    /// Clears the position, so that another router can use it.
     pub(super) fn clear_router(&mut self, position: usize) {
         self.parts[position] = RouterPart::default();
     }
--- a/quotas/src/allocator/candidate.rs
+++ b/quotas/src/allocator/candidate.rs
@@ -1,15 +1,15 @@
-//! Routers that may be granted something, and what they keep of their reserved shares.
+//! Routers that are eligible for grants, and how much they retain of their reserved shares.
 use super::allocation::{RECLAIM_PARTS, ResponseContext};
 use crate::grant::{Grant, MICROTOKENS_PER_TOKEN};
 
-/// A router that may be granted something: its position, and its reserved share at most.
+/// A router that is eligible for grants.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub(super) position: usize,
     pub(super) reserved: Grant,
 }
 
-/// The routers that may be granted something.
+/// The routers that are eligible for grants: all but superseded incarnations.
 pub(super) fn candidates(context: &ResponseContext<'_>) -> Vec<Candidate> {
     let routers = context.routers.iter().enumerate();
     routers
@@ -20,7 +20,7 @@
         .collect()
 }
 
-/// The same routers with this many parts of their reserved shares.
+/// The same routers, with `parts` of [`RECLAIM_PARTS`] of their reserved shares.
 pub(super) fn retaining_parts(idle: &[Candidate], parts: u64) -> Vec<Candidate> {
     idle.iter()
         .map(|router| Candidate { reserved: retained_share(router.reserved, parts), ..*router })
@@ -28,22 +28,23 @@
 }
 
 fn retained_share(reserved: Grant, parts: u64) -> Grant {
-    let lacks_token = reserved.capacity < MICROTOKENS_PER_TOKEN;
-    let capacity = if lacks_token { 0 } else { retained_capacity(reserved, parts) };
+    let never_holds_token = reserved.capacity < MICROTOKENS_PER_TOKEN;
+    let capacity = if never_holds_token { 0 } else { retained_capacity(reserved, parts) };
     Grant { rate: reserved.rate / RECLAIM_PARTS * parts, capacity }
 }
 
-/// What the routers have together by their reserved shares.
+/// The sum of the routers' reserved shares.
 pub(super) fn sum_reserved(routers: &[Candidate]) -> Grant {
     routers.iter().fold(Grant::NONE, |sum, router| sum.saturating_add(router.reserved))
 }
 
-/// The capacity of one token for each router.
+/// The capacity that gives each router one token.
 pub(super) fn one_token_each(routers: &[Candidate]) -> u64 {
     routers.len() as u64 * MICROTOKENS_PER_TOKEN
 }
 
-/// The capacity that a router keeps with this many parts of its reserved share: at least a token.
+/// The capacity that a router retains with `parts` of [`RECLAIM_PARTS`] of its reserved share: at least one
+/// token.
 pub(super) fn retained_capacity(reserved: Grant, parts: u64) -> u64 {
     (reserved.capacity / RECLAIM_PARTS * parts).max(MICROTOKENS_PER_TOKEN)
 }
--- a/quotas/src/allocator/change.rs
+++ b/quotas/src/allocator/change.rs
@@ -1,37 +1,38 @@
-//! What a response changes of a router's part of a tenant's quota.
+//! Decides how a response changes a router's part of a tenant's quota.
 use super::allocation::{DemandAllocation, Holding, ResponseContext};
 use crate::grant::Grant;
 use crate::settings::InjectedFault;
 
-/// A raise by less than one part in this many is not sent.
+/// A raise of less than this fraction (one part in 256) of the target is not sent.
 const MIN_RAISE_PARTS: u64 = 256;
 
 impl DemandAllocation {
-    /// The change of a router's part, noted as sent; `None` where it stays as it is.
+    /// The change of a router's part, recorded as sent; `None` if the part does not change.
     pub(super) fn next_change(&mut self, position: usize, context: &ResponseContext<'_>) -> Option<Holding> {
         let held = self.parts[position].held;
         let reserved = context.shares.reserved(context.share.after);
-        let certain = certainly_held(held, context);
-        let target = self.next_target(position, certain, reserved, context);
-        let room = self.room(position, certain, target, context);
-        let grant = target.min(room);
+        let confirmed = confirmed_grant(held, context);
+        let target = self.next_target(position, confirmed, reserved, context);
+        let available = self.available(position, confirmed, target, context);
+        let grant = target.min(available);
         let next = if grant == reserved { Holding::Reserved } else { Holding::ByDemand(grant) };
         let is_unchanged = next == held || stays_reserved(held, target, reserved, context);
-        // A reserved share that becomes full is not left alone where it would rise above the room there is.
-        let would_exceed_room =
-            held == Holding::Reserved && context.share.becomes_full() && !reserved.fits_within(room);
-        if is_unchanged && !would_exceed_room {
+        // A reserved share that becomes full is changed to a grant by demand if it would exceed what is
+        // available.
+        let would_exceed_available =
+            held == Holding::Reserved && context.share.becomes_full() && !reserved.fits_within(available);
+        if is_unchanged && !would_exceed_available {
             return None;
         }
         self.parts[position].sent = Some(next);
         Some(next)
     }
 
-    /// What the router is to have next, without raises that are too small to be sent.
+    /// The grant to move the router towards. Raises too small to be sent are left out.
     fn next_target(
         &self,
         position: usize,
-        certain: Grant,
+        confirmed: Grant,
         reserved: Grant,
         context: &ResponseContext<'_>,
     ) -> Grant {
@@ -39,27 +40,34 @@
         let target = if self.restoring {
             reserved
         } else if part.demand > 0 && !part.planned {
-            certain.min(context.shares.grantable)
+            confirmed.min(context.shares.grantable)
         } else {
             part.target
         };
         Grant {
-            rate: skip_small_raise(certain.rate, target.rate),
-            capacity: skip_small_raise(certain.capacity, target.capacity),
+            rate: skip_small_raise(confirmed.rate, target.rate),
+            capacity: skip_small_raise(confirmed.capacity, target.capacity),
         }
     }
 
-    /// The most that the router may get: what it certainly holds, or what the quota leaves beside all others.
-    fn room(&self, position: usize, certain: Grant, target: Grant, context: &ResponseContext<'_>) -> Grant {
-        let raises = !target.fits_within(certain);
+    /// The most that the router may be granted: what it is confirmed to hold, or what the quota leaves after
+    /// the most that all other routers may hold.
+    fn available(
+        &self,
+        position: usize,
+        confirmed: Grant,
+        target: Grant,
+        context: &ResponseContext<'_>,
+    ) -> Grant {
+        let raises = !target.fits_within(confirmed);
         if !context.may_raise || !(raises || context.share.becomes_full()) {
-            return certain;
+            return confirmed;
         }
         let others = self.held_by_others(position, context);
-        certain.max(context.shares.grantable.saturating_sub(others))
+        confirmed.max(context.shares.grantable.saturating_sub(others))
     }
 
-    /// What all other routers may hold, at most.
+    /// The sum of the most that each other router may hold.
     fn held_by_others(&self, position: usize, context: &ResponseContext<'_>) -> Grant {
         if context.settings.injected_fault == InjectedFault::GrantTwice {
             return Grant::NONE;
@@ -72,16 +80,18 @@
     }
 }
 
-/// What the router certainly holds: before a version is acknowledged, its reserved share may be anything below.
-fn certainly_held(held: Holding, context: &ResponseContext<'_>) -> Grant {
+/// The grant that the router is confirmed to hold. Until it has acknowledged the present version, its
+/// reserved share may have been lowered to any smaller value.
+fn confirmed_grant(held: Holding, context: &ResponseContext<'_>) -> Grant {
     if let Holding::ByDemand(grant) = held {
         return grant;
     }
-    let is_certain = context.share.before.is_some_and(|share| share.full) && !context.share.becomes_full();
-    if is_certain { context.shares.reserved(context.share.before) } else { Grant::NONE }
+    let is_confirmed = context.share.before.is_some_and(|share| share.full) && !context.share.becomes_full();
+    if is_confirmed { context.shares.reserved(context.share.before) } else { Grant::NONE }
 }
 
-/// Whether the router may keep a reserved share that can't be raised yet: it is no more than the target.
+/// Whether the router's reserved share stays in place: it cannot be raised yet and does not exceed the
+/// target.
 fn stays_reserved(held: Holding, target: Grant, reserved: Grant, context: &ResponseContext<'_>) -> bool {
     let cannot_rise = !context.share.becomes_full() && !context.may_raise;
     held == Holding::Reserved && cannot_rise && reserved.fits_within(target)
--- a/quotas/src/allocator/configuration.rs
+++ b/quotas/src/allocator/configuration.rs
@@ -1,4 +1,4 @@
-//! Following a new version of the fleet's configuration.
+//! Applying a new version of the fleet's configuration at the allocator.
 use super::{Allocator, TenantQuota};
 use crate::equal_shares::EqualShares;
 use crate::time::after;
@@ -6,7 +6,8 @@
 use settings::fleet::{Fleet, Version};
 
 impl Allocator {
-    /// Follows a newer version. Allocations by demand begin anew, from what the routers report to hold.
+    /// Applies a newer version. Allocations by demand are discarded and rebuilt from the grants that routers
+    /// report.
     pub(super) fn apply_config(&mut self, now: Time, version: Version, fleet: &Fleet) {
         let tenants: Vec<TenantQuota> = fleet
             .tenants
@@ -17,8 +18,8 @@
                 TenantQuota { name: name.clone(), shares }
             })
             .collect();
-        // A router that this leader can't see may go on with a larger fixed share for as long as the others take to learn
-        // of the smaller one.
+        // A router without contact to this leader may use its larger fixed share until it has learned of the
+        // smaller one, which takes up to `settle_time`.
         if tenants.iter().any(|tenant| self.frees_fixed_shares(tenant, fleet.max_routers)) {
             self.old_fixed_shares_until = after(now, self.settings.settle_time);
         }
@@ -32,7 +33,8 @@
         }
     }
 
-    /// Whether a tenant's fixed shares become smaller in all, while more becomes grantable.
+    /// Whether the sum of a tenant's fixed shares becomes smaller while the grantable part of the quota
+    /// becomes larger.
     fn frees_fixed_shares(&self, new: &TenantQuota, max_routers: u32) -> bool {
         let old = self.tenant_index.get(&new.name).and_then(|&index| self.tenants[index as usize].shares);
         let (Some(old), Some(new)) = (old, new.shares) else { return false };
--- a/quotas/src/allocator/mod.rs
+++ b/quotas/src/allocator/mod.rs
@@ -1,8 +1,9 @@
-//! The leader's side: it grants routers their shares of all quotas.
+//! The leader's state machine: it grants routers their shares of all quotas.
 //!
-//! `report` handles an exchange; `router` keeps what each router may hold of all tenants. A tenant with demand beyond the
-//! reserved shares has a [`DemandAllocation`](allocation::DemandAllocation): `silence` ends sparse demand, `plan` decides
-//! what each router should have, and `change` what the next response may change towards it.
+//! `report` handles an exchange, and `router` records what each router may hold across all tenants. A tenant
+//! with demand beyond the reserved shares has a [`DemandAllocation`](allocation::DemandAllocation): `silence`
+//! detects the end of sparse demand, `plan` computes the target of each router, and `change` moves a router
+//! towards its target in the next response.
 mod allocation;
 mod candidate;
 mod change;
@@ -25,12 +26,13 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// What happens to the allocator. Of two events with different times the earlier one must be handled first.
+/// An input of the allocator. Events must be handled in the order of their times.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// This node has become the leader. All grants are forgotten, and for one grant lifetime nothing new is granted.
+    /// This node has become the leader. All records of grants are discarded, and nothing new is granted for
+    /// one grant lifetime.
     BecameLeader {
-        /// The term.
+        /// The term in which it leads.
         term: u64,
     },
     /// A committed configuration, at least as new as any that a router has learned in an earlier term.
@@ -40,20 +42,22 @@
         /// The configuration.
         fleet: Arc<Fleet>,
     },
-    /// A router's report. The event's time must have been read after the report arrived, and before a majority confirmed
-    /// that this node still led in its term: otherwise an old leader would grant again what a later one has granted.
+    /// A router's report. The event's time must be read after the report was received and before a majority
+    /// confirmed that this node still leads in its term. Otherwise an old leader could grant again what a
+    /// later one has already granted.
     Report {
-        /// Where to send the response; it comes back in [`Action::Respond`].
+        /// Identifies the connection to send the response on; it is returned in [`Action::Respond`].
         connection: u64,
         /// The report.
         report: Report,
     },
-    /// A router is presumed dead. Its demand is dropped; what it was granted stays granted until it expires.
+    /// A router is presumed to have failed. Its demand is dropped; its grants remain in force until they
+    /// expire.
     RouterLeft {
         /// The router's name.
         router: String,
     },
-    /// Time has passed. Every event expires grants; this is for when no other comes.
+    /// Time has passed. Every event expires grants; this one does so when there is no other event.
     Tick,
 }
 
@@ -72,44 +76,44 @@
 /// The size of the allocator's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AllocatorMetrics {
-    /// Routers that may hold something.
+    /// Incarnations of routers that may hold shares or grants.
     pub routers: usize,
     /// Tenants that are allocated by demand.
     pub tenants_by_demand: usize,
 }
 
-/// A tenant of the configuration; without a quota it has no shares.
+/// A tenant of the configuration. `shares` is `None` if the tenant has no quota.
 #[derive(Clone, Debug)]
 struct TenantQuota {
     name: String,
     shares: Option<EqualShares>,
 }
 
-/// Grants the quotas. See the [crate] for what is guaranteed.
+/// Grants shares of the quotas to routers. See the [crate] for what is guaranteed.
 #[derive(Clone, Debug)]
 pub struct Allocator {
     settings: Settings,
-    /// The term in which this node leads; 0 before its first.
+    /// The latest term in which this node became the leader; 0 if it never has.
     term: u64,
-    /// Until when grants of an earlier leader may be valid.
+    /// Until this time grants of an earlier leader may be valid.
     quiet_until: Time,
     version: Version,
-    /// Until when the fixed shares of the version before may be in use.
+    /// Until this time routers may use fixed shares of the previous version.
     old_fixed_shares_until: Time,
-    /// How many routers the fleet has at most.
+    /// The number of equal shares into which each quota is divided.
     max_routers: u32,
     tenant_index: HashMap<String, u32>,
     tenants: Vec<TenantQuota>,
-    /// Routers that may hold something. A position is reused once it is empty.
+    /// Incarnations of routers that may hold shares or grants. The position of a removed record is reused.
     routers: Vec<Option<RouterRecord>>,
-    /// Positions of the latest incarnation of each router.
+    /// The position of the latest incarnation of each router, by name.
     router_index: HashMap<String, usize>,
-    /// Allocations by demand, by the tenant's index.
+    /// Allocations by demand, by the index of the tenant.
     allocations: BTreeMap<u32, DemandAllocation>,
 }
 
 impl Allocator {
-    /// An allocator that does not respond before it leads.
+    /// Creates an allocator, which does not respond to reports before it becomes the leader.
     pub fn new(settings: Settings) -> Allocator {
         Allocator {
             settings,
@@ -126,7 +130,7 @@
         }
     }
 
-    /// Handles one event and appends what must be done to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.expire(now);
         match event {
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Hashes what decides what the allocator will grant, for searches through its states.
+    /// Hashes the state that determines future grants; model checkers use it to recognise states.
     #[doc(hidden)]
     pub fn hash_state<H: Hasher>(&self, hasher: &mut H) {
         (self.term, self.quiet_until, self.version, self.old_fixed_shares_until).hash(hasher);
@@ -173,16 +177,16 @@
         };
     }
 
-    /// Forgets the routers whose grants have expired.
+    /// Removes the records of routers whose grants have expired.
     fn expire(&mut self, now: Time) {
         for position in 0..self.routers.len() {
             if self.routers[position].as_ref().is_some_and(|router| router.expires <= now) {
-                self.forget(position);
+                self.remove_router(position);
             }
         }
     }
 
-    fn forget(&mut self, position: usize) {
+    fn remove_router(&mut self, position: usize) {
         let Some(router) = self.routers[position].take() else { return };
         if !router.superseded {
             self.router_index.remove(&router.name);
@@ -193,7 +197,7 @@
         }
     }
 
-    /// Ends a router's demand for all tenants.
+    /// Sets a router's demand to zero for all tenants.
     fn drop_demand(&mut self, position: usize) {
         for allocation in self.allocations.values_mut() {
             allocation.drop_demand(position);
--- a/quotas/src/allocator/report.rs
+++ b/quotas/src/allocator/report.rs
@@ -9,37 +9,39 @@
 use crate::time::{LONG_PAST, after};
 use decision::Time;
 
-/// What the allocator knows of the sender of a report.
+/// How the sender of a report relates to the allocator's records.
 #[derive(Clone, Copy)]
 enum Sender {
-    /// Nothing.
+    /// There is no record of this router.
     New,
-    /// It is the incarnation with the record at this position.
+    /// The record at this position is of the same incarnation.
     Known(usize),
     /// The record at this position is of an earlier incarnation.
     Restarted(usize),
 }
 
 impl Allocator {
-    /// Responds to a report; `None` where it is invalid, of another term, or outdated.
+    /// Handles a report and returns the response; `None` if this node does not lead, or the report is
+    /// invalid, outdated, or newer than this node's term or version.
     pub(super) fn handle_report(&mut self, now: Time, report: Report) -> Option<GrantResponse> {
         if !self.accepts(&report) {
             return None;
         }
         let sender = self.sender_of(&report)?;
         let (incarnation, seq) = (report.incarnation, report.seq);
-        let body = self.respond(now, sender, report);
+        let body = self.response_body(now, sender, report);
         Some(GrantResponse { term: self.term, incarnation, seq, version: self.version, body })
     }
 
-    /// Whether this node leads and the report is valid, and of no later term or version than this node knows.
+    /// Whether this node leads and the report is valid and of no later term or version than this node's.
     fn accepts(&self, report: &Report) -> bool {
         let leads = self.term > 0;
         leads && report.check().is_ok() && report.term <= self.term && report.version <= self.version
     }
 
-    /// The sender of a report; `None` if the report is of an earlier incarnation, or has been received already. What was
-    /// sent twice must not be answered twice, because the router applies the first response.
+    /// The sender of a report; `None` if the report is from an earlier incarnation or is not newer than the
+    /// last one. A duplicated report must not get a second response, because the router applies whichever
+    /// response it receives first.
     fn sender_of(&self, report: &Report) -> Option<Sender> {
         let position = self.router_index.get(&report.router).copied();
         let Some((position, router)) = position.and_then(|p| Some((p, self.routers[p].as_ref()?))) else {
@@ -52,35 +54,37 @@
         is_next.then_some(Sender::Known(position))
     }
 
-    /// What the response to an accepted report does.
-    fn respond(&mut self, now: Time, sender: Sender, report: Report) -> ResponseBody {
+    /// The body of the response to an accepted report.
+    fn response_body(&mut self, now: Time, sender: Sender, report: Report) -> ResponseBody {
         if self.version == 0 {
             return ResponseBody::NotRenewed;
         }
         if report.leaving {
             if let Sender::Known(position) = sender {
-                self.forget(position);
+                self.remove_router(position);
             }
             return ResponseBody::NotRenewed;
         }
         if report.held.is_none() && !self.knows_what_is_held(sender, &report) {
             return ResponseBody::FullReportRequired;
         }
-        // What is held by an older version must be gone one lifetime after the newer one: the router has this long to
-        // learn of it.
+        // A router that has not applied the new version is not renewed, so grants by older versions have
+        // expired one lifetime after the new version. This also bounds how long a router may take to learn of
+        // it.
         if report.version < self.version {
             return ResponseBody::NotRenewed;
         }
         self.renew(now, sender, report)
     }
 
-    /// Whether a report of changes alone can be understood: it follows the response that was last applied.
+    /// Whether a report that states only changes can be applied: it must follow the response that the router
+    /// applied last.
     fn knows_what_is_held(&self, sender: Sender, report: &Report) -> bool {
         let Sender::Known(position) = sender else { return false };
         self.routers[position].as_ref().is_some_and(|router| router.known && router.seq == report.applied_seq)
     }
 
-    /// Renews what the sender holds, plans all allocations by demand and decides what changes for the sender.
+    /// Renews the sender's grants, plans all allocations by demand and decides what changes for the sender.
     fn renew(&mut self, now: Time, sender: Sender, report: Report) -> ResponseBody {
         let in_quiet_period = now < self.quiet_until;
         let (position, has_record) = match sender {
@@ -91,10 +95,11 @@
             }
             Sender::New => (self.add_router(&report), false),
         };
-        // After the quiet period, what a router without a record says it holds has expired: its report was delayed.
+        // After the quiet period a report of grants from a router without a record was delayed: the grants
+        // have expired.
         let skips_quiet_period = self.settings.injected_fault == InjectedFault::SkipQuietPeriod;
         let trusts_held = has_record || in_quiet_period || skips_quiet_period;
-        let reset = self.settle_held(position, report.held, trusts_held);
+        let reset = self.update_held(position, report.held, trusts_held);
         self.report_demand(now, position, report.demand);
         self.extend_record(now, position, report.seq);
         let may_raise =
@@ -104,7 +109,8 @@
         ResponseBody::Renewed { reset, reserved_share: share.after, changes }
     }
 
-    /// Marks a record as one of an earlier incarnation. For all that is known, what that held may still be in use.
+    /// Marks a record as that of an earlier incarnation. What this incarnation holds may still be in use
+    /// until it expires.
     fn supersede(&mut self, position: usize) {
         if let Some(router) = &mut self.routers[position] {
             router.superseded = true;
@@ -113,7 +119,7 @@
         }
     }
 
-    /// Makes a record of a router that holds nothing; its position.
+    /// Adds a record of a router that holds nothing and returns its position.
     fn add_router(&mut self, report: &Report) -> usize {
         let position = self.free_position();
         self.routers[position] = Some(RouterRecord {
@@ -141,8 +147,9 @@
         self.routers.len() - 1
     }
 
-    /// Settles what the router holds by its report; whether that is nothing.
-    fn settle_held(&mut self, position: usize, held: Option<HeldGrants>, trusted: bool) -> bool {
+    /// Updates the record of what the router holds from its report. Returns whether the router must discard
+    /// everything that it holds.
+    fn update_held(&mut self, position: usize, held: Option<HeldGrants>, trusted: bool) -> bool {
         let Some(router) = &mut self.routers[position] else { return true };
         let Some(held) = held else {
             router.acknowledged = router.sent.take().unwrap_or(router.acknowledged);
@@ -181,7 +188,8 @@
         }
     }
 
-    /// The tenant's allocation by demand, begun where there is none yet; `None` without a quota.
+    /// The tenant's allocation by demand, which is created if there is none; `None` if the tenant has no
+    /// quota.
     fn allocation_of(&mut self, tenant: &str) -> Option<&mut DemandAllocation> {
         let index = *self.tenant_index.get(tenant)?;
         self.tenants[index as usize].shares?;
@@ -189,7 +197,7 @@
         Some(self.allocations.entry(index).or_insert_with(|| DemandAllocation::new(positions)))
     }
 
-    /// Notes the exchange: what the router holds is valid for a further lifetime.
+    /// Records the exchange: what the router holds is valid for another lifetime.
     fn extend_record(&mut self, now: Time, position: usize, seq: u64) {
         let expires = after(now, self.settings.lifetime_at_allocator());
         if let Some(router) = &mut self.routers[position] {
@@ -199,12 +207,12 @@
         }
     }
 
-    /// Whether everything that may be held is by this version, and acknowledged.
+    /// Whether all routers have acknowledged shares of the present version, and may hold no others.
     fn all_hold_this_version(&self) -> bool {
         self.routers.iter().flatten().all(|router| router.holds_only(self.version))
     }
 
-    /// Assigns the router's reserved share, noted as sent.
+    /// Assigns the router's reserved share and records it as sent.
     fn assign_share(&mut self, position: usize, may_raise: bool) -> ShareChange {
         let version = self.version;
         let after = self.next_share(position, may_raise);
@@ -214,7 +222,7 @@
         ShareChange { before: held.share.filter(|_| held.version == version), after }
     }
 
-    /// The router's reserved share from this response on: the one that it has, or a free one.
+    /// The router's reserved share after this response: its present one, or else an unused one.
     fn next_share(&self, position: usize, may_raise: bool) -> Option<ReservedShare> {
         let ShareAssignment { share, version } = self.routers[position].as_ref()?.acknowledged;
         let valid_share = share.filter(|share| share.index < self.max_routers);
@@ -240,7 +248,8 @@
         Some(index as u32)
     }
 
-    /// Plans all allocations by demand and collects what changes for the router. Ends those that are restored.
+    /// Plans all allocations by demand and collects the changes for the router. Removes allocations that have
+    /// returned to reserved shares.
     fn next_changes(
         &mut self,
         now: Time,
--- a/quotas/src/allocator/router.rs
+++ b/quotas/src/allocator/router.rs
@@ -1,53 +1,53 @@
-//! What the allocator knows of one router.
+//! The allocator's record of one incarnation of a router.
 use crate::equal_shares::EqualShares;
 use crate::grant::Grant;
 use crate::messages::ReservedShare;
 use decision::Time;
 use settings::fleet::Version;
 
-/// A router's reserved share and the version of the configuration it is by.
+/// A router's reserved share and the version of the configuration that it belongs to.
 #[derive(Clone, Copy, Debug, Hash)]
 pub(super) struct ShareAssignment {
     pub(super) share: Option<ReservedShare>,
     pub(super) version: Version,
 }
 
-/// A router's reserved share before and from a response on.
+/// A router's reserved share before and after a response.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ShareChange {
-    /// What the router holds by the present version already.
+    /// The share of the present version that the router holds already.
     pub(super) before: Option<ReservedShare>,
     pub(super) after: Option<ReservedShare>,
 }
 
 impl ShareChange {
-    /// Whether the reserved share becomes that of the version in full.
+    /// Whether this response gives the router its full reserved share of the present version.
     pub(super) fn becomes_full(self) -> bool {
         self.after != self.before && self.after.is_some_and(|share| share.full)
     }
 }
 
-/// One incarnation of a router, for as long as it may hold something.
+/// One incarnation of a router. It is removed when everything that it may hold has expired.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct RouterRecord {
     pub(super) name: String,
     pub(super) incarnation: u64,
-    /// The last exchange that was responded to.
+    /// The sequence number of the last exchange that was responded to.
     pub(super) seq: u64,
-    /// When everything it holds has expired.
+    /// When everything that it holds expires.
     pub(super) expires: Time,
-    /// A later incarnation has reported: this one is granted nothing more.
+    /// A later incarnation has sent a report, so this one is granted nothing more.
     pub(super) superseded: bool,
-    /// The reserved share that it is known to hold.
+    /// The reserved share that it has acknowledged to hold.
     pub(super) acknowledged: ShareAssignment,
-    /// What the last response may have made of it.
+    /// The reserved share in the last response, if that response is not acknowledged yet.
     pub(super) sent: Option<ShareAssignment>,
-    /// Whether a report of changes alone can be understood.
+    /// Whether the router's holdings are known, so that its next report may state only changes.
     pub(super) known: bool,
 }
 
 impl RouterRecord {
-    /// The router's reserved share of a tenant's quota, at most.
+    /// The most that the router's reserved share of a tenant's quota may be.
     pub(super) fn max_reserved(&self, shares: &EqualShares) -> Grant {
         let acknowledged = shares.reserved(self.acknowledged.share);
         self.sent.map_or(acknowledged, |sent| acknowledged.max(shares.reserved(sent.share)))
@@ -59,7 +59,7 @@
         [self.acknowledged.share, sent].into_iter().flatten().map(|share| share.index)
     }
 
-    /// Whether everything that it may hold is by this version.
+    /// Whether every share that it may hold belongs to this version.
     pub(super) fn holds_only(&self, version: Version) -> bool {
         self.acknowledged.version == version && self.sent.is_none_or(|sent| sent.version == version)
     }
--- a/quotas/src/client/admission.rs
+++ b/quotas/src/client/admission.rs
@@ -1,28 +1,30 @@
-//! Admission of single requests, and when a shed client should retry.
+//! Admission of requests, and the retry time of shed ones.
 use super::QuotaClient;
 use super::bucket::PICOTOKENS_PER_TOKEN;
 use crate::grant::{Grant, MICROTOKENS_PER_TOKEN};
 use decision::{Micros, Time};
 use rand::RngExt;
 
-/// Whether a request may go on.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may; a token is spent.
+    /// The request is admitted. If its tenant has a quota, a token has been taken.
     Admitted,
-    /// Its tenant is over its quota at this router.
+    /// The tenant has no token left at this router.
     Shed {
-        /// When a token is likely. Never 0, and spread by chance, so that clients do not return in step.
+        /// After how long to retry: when a token is likely to be available. Never 0, and randomised so that
+        /// clients do not retry at the same time.
         retry_after: Micros,
     },
 }
 
 impl QuotaClient {
-    /// Admits or sheds one request of `tenant`; an unknown name counts as the configuration's `unnamed`. `now` must have
-    /// been read for this request: nothing is admitted by a grant that has expired. Does not allocate.
+    /// Admits or sheds one request of `tenant`; an unknown name counts as the configuration's default tenant.
+    /// `now` must be read for this request, because grants are checked for expiry against it. Does not
+    /// allocate memory.
     pub fn admit(&mut self, now: Time, tenant: &str) -> Admission {
         self.raise_fixed_shares_if_due(now);
-        let Some(index) = self.index.get(tenant).copied().or(self.unnamed) else {
+        let Some(index) = self.index.get(tenant).copied().or(self.default_tenant) else {
             return Admission::Admitted;
         };
         let grants_valid = self.grants_valid(now);
@@ -46,7 +48,7 @@
         Admission::Shed { retry_after: self.retry_after(index, grants_valid) }
     }
 
-    /// When a token is likely, and up to as long again by chance.
+    /// The time until a token is likely to be available, plus a random part of up to the same length.
     fn retry_after(&mut self, index: u32, grants_valid: bool) -> Micros {
         let tenant = &self.tenants[index as usize];
         let quota = tenant.shares.map_or(Grant::NONE, |shares| shares.grantable.saturating_add(shares.fixed));
@@ -62,20 +64,20 @@
         duration + self.random.random_range(0..=duration)
     }
 
-    /// The time in which the buckets produce a token, and those for half of the requests of this interval before it;
-    /// `None` where no bucket ever holds a whole token.
+    /// The time in which the buckets produce one token and the tokens for half of this interval's requests,
+    /// which compete for them; `None` if no bucket ever holds a whole token.
     fn token_wait(&self, index: u32, grants_valid: bool) -> Option<u128> {
         let tenant = &self.tenants[index as usize];
         let granted = grants_valid.then_some(&tenant.granted_bucket);
         let buckets = [granted, Some(&tenant.fixed_bucket)].into_iter().flatten();
-        let useful = buckets.filter_map(|bucket| Some((bucket.useful_rate()?, bucket.deficit())));
+        let refilling = buckets.filter_map(|bucket| Some((bucket.useful_rate()?, bucket.deficit())));
         let (mut rate, mut deficit) = (0, PICOTOKENS_PER_TOKEN);
-        for (bucket_rate, bucket_deficit) in useful {
+        for (bucket_rate, bucket_deficit) in refilling {
             rate += u128::from(bucket_rate);
             deficit = deficit.min(bucket_deficit);
         }
         let requests = u128::from(tenant.request_counts[self.window.current()]);
-        let queued = PICOTOKENS_PER_TOKEN * requests / 2;
-        (deficit + queued).checked_div(rate)
+        let competing = PICOTOKENS_PER_TOKEN * requests / 2;
+        (deficit + competing).checked_div(rate)
     }
 }
--- a/quotas/src/client/bucket.rs
+++ b/quotas/src/client/bucket.rs
@@ -5,8 +5,8 @@
 use decision::Time;
 use std::hash::{Hash, Hasher};
 
-/// Picotokens in one token. A rate of one microtoken per second produces one picotoken per microsecond, so that refilling
-/// needs no division.
+/// Picotokens in one token. A rate of one microtoken per second produces one picotoken per microsecond, so
+/// refilling needs no division.
 pub(super) const PICOTOKENS_PER_TOKEN: u128 = 1_000_000_000_000;
 const PICOTOKENS_PER_MICROTOKEN: u128 = PICOTOKENS_PER_TOKEN / MICROTOKENS_PER_TOKEN as u128;
 
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TokenBucket {
     grant: Grant,
-    /// The grant's rate, reduced by what the clock may be fast; microtokens per second.
+    /// The grant's rate, reduced by the greatest clock drift, in microtokens per second.
     refill_rate: u64,
-    /// Picotokens.
+    /// The tokens in the bucket, in picotokens.
     level: u128,
     refilled_at: Time,
 }
@@ -60,7 +60,7 @@
         (self.grant.capacity >= MICROTOKENS_PER_TOKEN && self.refill_rate > 0).then_some(self.refill_rate)
     }
 
-    /// Picotokens that a whole token lacks.
+    /// Picotokens missing until the bucket holds a whole token.
     pub(super) fn deficit(&self) -> u128 {
         PICOTOKENS_PER_TOKEN.saturating_sub(self.level)
     }
--- a/quotas/src/client/demand_window.rs
+++ b/quotas/src/client/demand_window.rs
@@ -1,17 +1,17 @@
-//! The intervals in which a client counts requests.
+//! The time intervals in which a client counts requests.
 use crate::time::{LONG_PAST, elapsed};
 use decision::{Micros, Time};
 
-/// The number of intervals in the longest time over which demand is averaged, about 8 s.
+/// The number of intervals that are kept, about 8 s: the longest time over which demand is averaged.
 pub(super) const INTERVALS: usize = 40;
-/// The shortest interval, microseconds: an early report does not end one.
+/// The shortest interval, microseconds. A report made earlier does not end the interval.
 pub(super) const MIN_INTERVAL: Micros = 150_000;
 
-/// When the latest intervals began. They form a ring, the same for all tenants.
+/// The start times of the latest intervals, in a ring buffer that all tenants share.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct DemandWindow {
     begins: [Time; INTERVALS],
-    /// The position in the ring of the interval that is counted in now.
+    /// The ring position of the current interval.
     current: usize,
 }
 
@@ -22,28 +22,29 @@
 }
 
 impl DemandWindow {
-    /// The position in the ring of the interval that is counted in now.
+    /// The ring position of the current interval.
     pub(super) fn current(&self) -> usize {
         self.current
     }
 
-    /// The position of the `age`-th latest interval; the current one has age 1.
+    /// The ring position of the interval of this age; the current one has age 1.
     pub(super) fn position(&self, age: usize) -> usize {
         (self.current + INTERVALS + 1 - age) % INTERVALS
     }
 
-    /// The position of the oldest interval, which the next one replaces.
+    /// The ring position of the oldest interval, which the next one replaces.
     pub(super) fn next(&self) -> usize {
         (self.current + 1) % INTERVALS
     }
 
-    /// The time covered by the latest `count` intervals, microseconds, at least [`MIN_INTERVAL`]: rates are divided by it.
+    /// The time covered by the latest `count` intervals, microseconds. At least [`MIN_INTERVAL`], because
+    /// rates are divided by it.
     pub(super) fn duration(&self, now: Time, count: usize) -> Micros {
         elapsed(self.begins[self.position(count)], now).max(MIN_INTERVAL)
     }
 
-    /// At the first report, lets all intervals begin a shortest interval ago.
-    pub(super) fn begin_if_new(&mut self, now: Time) {
+    /// At the first report, sets the start of all intervals to [`MIN_INTERVAL`] ago.
+    pub(super) fn initialize(&mut self, now: Time) {
         if self.begins[self.current] == LONG_PAST {
             self.begins = [Time(now.0.saturating_sub(MIN_INTERVAL)); INTERVALS];
         }
@@ -54,7 +55,7 @@
         elapsed(self.begins[self.current], now) >= MIN_INTERVAL
     }
 
-    /// Ends the current interval.
+    /// Ends the current interval and begins the next one.
     pub(super) fn begin_next_interval(&mut self, now: Time) {
         self.current = self.next();
         self.begins[self.current] = now;
--- a/quotas/src/client/exchange.rs
+++ b/quotas/src/client/exchange.rs
@@ -9,8 +9,8 @@
 use decision::Time;
 
 impl QuotaClient {
-    /// Begins an exchange; an open one is given up. What is granted in it counts from `now`, so the report must be sent
-    /// after `now` was read.
+    /// Begins an exchange and abandons one that is still open. The lifetime of what is granted in it counts
+    /// from `now`, so the report must be sent after `now` was read.
     pub fn report(&mut self, now: Time) -> Report {
         if self.open.is_some() {
             self.exchange_failed();
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Applies the response to the open exchange. One to any other exchange is ignored; one of an older term, or by
-    /// another version than the client follows by now, ends the exchange without effect.
+    /// Applies the response to the open exchange. A response to any other exchange is ignored. A response of
+    /// an older term, or of another version than the client's present one, ends the exchange without effect.
     pub fn handle_response(&mut self, now: Time, response: GrantResponse) {
         let Some(open) = self.exchange_of(&response, now) else { return };
         if response.incarnation != self.incarnation || response.check().is_err() {
@@ -54,7 +54,8 @@
             return self.exchange_failed();
         };
         let expiry = after(open.started, self.settings.lifetime_at_router());
-        // What has expired may be granted to others: only a grant from nothing may follow it.
+        // What has expired may have been granted to other routers, so only a response that resets everything
+        // may follow.
         let renewable = now < expiry && (reset || self.grants_valid(now));
         if !renewable || response.version != self.version {
             return self.exchange_failed();
@@ -70,15 +71,15 @@
         self.full_report_due = false;
     }
 
-    /// Ends the open exchange: no response will come, or it must have no effect. The next report states everything that
-    /// is held.
+    /// Ends the open exchange without effect. The next report states everything that the client holds.
     pub fn exchange_failed(&mut self) {
         self.open = None;
         self.full_report_due = true;
     }
 
-    /// Gives everything back, for a graceful shutdown; nothing is admitted by a grant from here on. The report should be
-    /// sent to the leader and may be lost: then others get what was held when it expires.
+    /// Releases everything that the client holds, for a graceful shutdown. From now on nothing is admitted by
+    /// a grant. The returned report should be sent to the leader. If it is lost, the grants become available
+    /// to others when they expire.
     pub fn release_all(&mut self, now: Time) -> Report {
         self.released = true;
         self.exchange_failed();
--- a/quotas/src/client/metrics.rs
+++ b/quotas/src/client/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts and grants of a client, for the router's metrics.
+//! Request counters and grants of a client, for the router's metrics.
 use super::QuotaClient;
 use super::tenant::TenantState;
 use crate::grant::MICROTOKENS_PER_TOKEN;
@@ -13,27 +13,29 @@
     pub admitted: u64,
     /// Requests shed since the start.
     pub shed: u64,
-    /// Requests per second that this router may admit, granted and fixed together; `None` without a quota.
+    /// The rate that this router may admit, in requests per second, granted and fixed together; `None`
+    /// without a quota.
     pub rate: Option<f64>,
-    /// Tokens that this router may hold, granted and fixed together; `None` without a quota.
+    /// The bucket capacity of this router, in tokens, granted and fixed together; `None` without a quota.
     pub capacity: Option<f64>,
 }
 
 /// A client's metrics.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClientMetrics {
-    /// The version of the configuration that the client follows.
+    /// The version of the configuration that the client uses.
     pub version: Version,
     /// The index of its reserved share, while it has one.
     pub reserved_share: Option<u32>,
-    /// Whether the client holds grants that it has not found to have expired.
+    /// Whether the client holds grants; they may have expired since they were last checked.
     pub holds_grants: bool,
-    /// Each tenant of the configuration.
+    /// The metrics of each tenant in the configuration.
     pub tenants: Vec<TenantMetrics>,
 }
 
 impl QuotaClient {
-    /// The present metrics. Rates and capacities count what is held, whether or not it has expired.
+    /// The present metrics. Rates and capacities include grants that have expired since they were last
+    /// checked.
     pub fn metrics(&self) -> ClientMetrics {
         ClientMetrics {
             version: self.version,
--- a/quotas/src/client/mod.rs
+++ b/quotas/src/client/mod.rs
@@ -1,4 +1,5 @@
-//! A router's side: it admits or sheds requests from local token buckets, and reports to the leader.
+//! A router's state machine: it admits or sheds requests using local token buckets, and sends reports to the
+//! leader.
 mod admission;
 mod bucket;
 mod configuration;
@@ -24,22 +25,24 @@
 use std::hash::{Hash, Hasher};
 use tenant::TenantState;
 
-/// What identifies a router, and its constants.
+/// The identity of a router and the constants of its quota client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaClientSettings {
     /// The router's name.
     pub router: String,
-    /// The router's incarnation: it rises with each start under this name.
+    /// The router's incarnation, which increases with each start under this name.
     pub incarnation: u64,
-    /// The slot of the fixed shares of `on_loss`, from 1 to `fleet.routers`; no two live routers may have the same.
+    /// The slot whose fixed shares of `on_loss` the router uses, from 1 to `fleet.routers`; no two live
+    /// routers may have the same.
     pub slot: Option<u32>,
-    /// The constants.
+    /// The constants, which are the same in the whole fleet.
     pub settings: Settings,
     /// The seed of the random part of retry times.
     pub seed: u64,
 }
 
-/// A router's token buckets for all tenants, and its side of the exchange. See the [crate] for what is guaranteed.
+/// A router's token buckets for all tenants, and its side of the exchange with the leader. See the [crate]
+/// for what is guaranteed.
 #[derive(Clone, Debug)]
 pub struct QuotaClient {
     router: String,
@@ -48,37 +51,38 @@
     settings: Settings,
     clock_drift_ppm: u64,
     random: SmallRng,
-    /// The version of the configuration that is followed.
+    /// The version of the configuration that the client uses.
     version: Version,
-    /// Indices in `tenants`, by name.
+    /// Indices in `tenants`, by the tenant's name.
     index: HashMap<String, u32>,
-    /// The tenant of requests with an unknown name.
-    unnamed: Option<u32>,
+    /// The tenant that requests with an unknown tenant name count for.
+    default_tenant: Option<u32>,
     tenants: Vec<TenantState>,
-    /// Tenants with requests in the demand window. Its capacity is reserved for all tenants, so it never grows.
+    /// Indices of tenants with requests in the demand window. Its capacity suffices for all tenants, so it
+    /// never grows.
     active: Vec<u32>,
     window: DemandWindow,
-    /// The highest term of any response.
+    /// The highest term of any response received.
     term: u64,
     seq: u64,
     open: Option<OpenExchange>,
     applied_seq: u64,
-    /// The next report must state everything that is held.
+    /// The next report must state everything that the client holds.
     full_report_due: bool,
-    /// The version by which the grants were last renewed.
+    /// The configuration version for which the grants were last renewed.
     granted_version: Version,
     reserved_share: Option<ReservedShare>,
-    /// When the grants expire; `None` where nothing is held.
+    /// When the grants expire; `None` if the client holds none.
     grants_expire: Option<Time>,
-    /// When the fixed shares are raised.
+    /// When to raise the fixed shares to those of the present version.
     fixed_raise_due: Option<Time>,
     early_report_wanted: bool,
-    /// Everything has been given back: the router shuts down.
+    /// All grants have been released because the router is shutting down.
     released: bool,
 }
 
 impl QuotaClient {
-    /// A client that holds nothing and, without a configuration, admits everything.
+    /// Creates a client without grants. Until it has a configuration, it admits every request.
     pub fn new(settings: QuotaClientSettings) -> QuotaClient {
         QuotaClient {
             router: settings.router,
@@ -89,7 +93,7 @@
             settings: settings.settings,
             version: 0,
             index: HashMap::new(),
-            unnamed: None,
+            default_tenant: None,
             tenants: Vec::new(),
             active: Vec::new(),
             window: DemandWindow::default(),
@@ -107,18 +111,19 @@
         }
     }
 
-    /// Whether a report before its usual time pays: a request was shed for a tenant of which the router holds no token,
-    /// and the allocator does not know of the demand yet.
+    /// Whether to send a report before its usual time: a request was shed for a tenant of which this router
+    /// never holds a token, and the allocator does not know of the demand yet.
     pub fn wants_early_report(&self) -> bool {
         self.early_report_wanted && self.open.is_none()
     }
 
-    /// The version of the configuration that is followed; 0 for none.
+    /// The version of the configuration that the client uses; 0 for none.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Hashes what decides what the client will admit and report, for searches through its states.
+    /// Hashes the state that determines future admissions and reports; model checkers use it to recognise
+    /// states.
     #[doc(hidden)]
     pub fn hash_state<H: Hasher>(&self, hasher: &mut H) {
         (self.version, self.term, self.seq, self.applied_seq, self.full_report_due).hash(hasher);
@@ -136,7 +141,7 @@
         (self.grants_expire.is_some_and(|expiry| now < expiry) || ignores_expiry) && !self.released
     }
 
-    /// Discards everything that is held but the fixed shares.
+    /// Discards all shares and grants except the fixed shares.
     fn clear_grants(&mut self, now: Time) {
         if self.grants_expire.take().is_none() {
             return;
--- a/quotas/src/client/open_exchange.rs
+++ b/quotas/src/client/open_exchange.rs
@@ -1,10 +1,10 @@
-//! An exchange with the leader that has begun.
+//! An exchange with the leader that is waiting for its response.
 use decision::Time;
 
-/// An exchange whose response is still expected.
+/// An exchange that is waiting for its response.
 #[derive(Clone, Copy, Debug, Hash)]
 pub(super) struct OpenExchange {
     pub(super) seq: u64,
-    /// When the report was made: the lifetime of what is granted in it counts from here.
+    /// When the report was created. The lifetime of what is granted in the exchange counts from here.
     pub(super) started: Time,
 }
--- a/quotas/src/client/tenant.rs
+++ b/quotas/src/client/tenant.rs
@@ -1,4 +1,4 @@
-//! What a client keeps for one tenant.
+//! A client's state for one tenant.
 use super::bucket::TokenBucket;
 use super::demand_window::INTERVALS;
 use crate::equal_shares::EqualShares;
@@ -13,25 +13,26 @@
     pub(super) name: String,
     /// The shares of its quota; `None` without a quota.
     pub(super) shares: Option<EqualShares>,
-    /// The reserved share as far as it is granted.
+    /// The part of the reserved share that the client may use.
     pub(super) reserved: Grant,
-    /// The tenant had no quota in an earlier version: it gets its reserved share in full at once.
+    /// The tenant had no quota in an earlier version, so its reserved share applies in full immediately.
     pub(super) was_unlimited: bool,
-    /// The grant by demand, in place of the reserved share.
+    /// The grant by demand, which replaces the reserved share.
     pub(super) by_demand: Option<Grant>,
     pub(super) granted_bucket: TokenBucket,
     pub(super) fixed_bucket: TokenBucket,
-    /// The fixed share once it may be raised.
+    /// The fixed share of the present version, which applies after the settle time.
     pub(super) next_fixed: Grant,
-    /// Requests in each interval of the demand window.
+    /// The number of requests in each interval of the demand window.
     pub(super) request_counts: [u32; INTERVALS],
-    /// The number of intervals over which demand is averaged: those since it last changed by more than chance.
+    /// The number of intervals over which demand is averaged: those since it last changed by more than random
+    /// fluctuation explains.
     pub(super) averaged_intervals: usize,
     /// Whether the tenant is in the client's list of active tenants.
     pub(super) active: bool,
     /// A request was shed since the last report.
     pub(super) shed_since_report: bool,
-    /// The demand that the last report stated.
+    /// The demand in the last report that stated it.
     pub(super) reported_demand: u64,
     pub(super) admitted: u64,
     pub(super) shed: u64,
@@ -58,18 +59,19 @@
         }
     }
 
-    /// Takes a token from the granted bucket where its grant is valid, otherwise from the fixed one.
+    /// Takes a token from the granted bucket if its grant is valid and it has one, otherwise from the fixed
+    /// bucket.
     pub(super) fn try_take(&mut self, now: Time, grants_valid: bool) -> bool {
         (grants_valid && self.granted_bucket.try_take(now)) || self.fixed_bucket.try_take(now)
     }
 
-    /// Changes the grant by demand; `None` returns to the reserved share.
+    /// Changes the grant by demand; `None` returns the tenant to its reserved share.
     pub(super) fn set_by_demand(&mut self, now: Time, grant: Option<Grant>, clock_drift_ppm: u64) {
         self.by_demand = grant;
         self.refresh_granted_bucket(now, clock_drift_ppm);
     }
 
-    /// Takes over the reserved share of a response, in full or lowered to what was held.
+    /// Applies the reserved share of a response: in full, or else no more than was held before.
     pub(super) fn set_reserved(&mut self, now: Time, share: Option<ReservedShare>, clock_drift_ppm: u64) {
         let Some(shares) = &self.shares else { return };
         let target = shares.reserved(share);
@@ -83,15 +85,15 @@
         self.fixed_bucket.set_grant(now, self.next_fixed, clock_drift_ppm);
     }
 
-    /// Lowers the fixed share to `next_fixed` where that is less.
+    /// Sets the next fixed share and lowers the present one to it, if that is less.
     pub(super) fn lower_fixed_share(&mut self, now: Time, next_fixed: Grant, clock_drift_ppm: u64) {
         self.next_fixed = next_fixed;
         let lowered = self.fixed_bucket.grant().min(next_fixed);
         self.fixed_bucket.set_grant(now, lowered, clock_drift_ppm);
     }
 
-    /// Follows a new quota: what is held is lowered by as much as the quota, and never raised.
-    pub(super) fn follow_quota(
+    /// Applies a new quota. The reserved share and the grant by demand are lowered with it and never raised.
+    pub(super) fn apply_quota(
         &mut self,
         now: Time,
         shares: EqualShares,
@@ -105,8 +107,8 @@
         self.refresh_granted_bucket(now, clock_drift_ppm);
     }
 
-    /// Follows a version in which the tenant has no quota.
-    pub(super) fn follow_no_quota(&mut self, now: Time) {
+    /// Applies a version in which the tenant has no quota.
+    pub(super) fn remove_quota(&mut self, now: Time) {
         self.shares = None;
         self.reserved = Grant::NONE;
         self.by_demand = None;
@@ -114,7 +116,7 @@
         self.reported_demand = 0;
     }
 
-    /// Discards what is granted; the fixed share stays.
+    /// Discards the reserved share and the grant by demand; the fixed share stays.
     pub(super) fn clear_grants(&mut self, now: Time) {
         self.reserved = Grant::NONE;
         self.by_demand = None;
--- a/quotas/src/equal_shares.rs
+++ b/quotas/src/equal_shares.rs
@@ -1,29 +1,32 @@
-//! How a quota is divided, in whole microtokens, so that the shares never sum to more than it.
+//! Divides a quota into equal shares, in whole microtokens, so that their sum never exceeds the quota.
 use crate::grant::{Grant, MAX_RATE, MICROTOKENS_PER_TOKEN};
 use crate::messages::ReservedShare;
 use settings::fleet::{OnLoss, Quota};
 
-/// Millionths in a whole; the fixed share of a quota is counted in them.
+/// The share of `on_loss` is converted to millionths.
 const MILLIONTHS: u128 = 1_000_000;
 
 /// The equal shares of one tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EqualShares {
-    /// What the allocator may grant in all: the quota without the fixed shares.
+    /// The total that the allocator may grant: the quota less all fixed shares.
     pub(crate) grantable: Grant,
-    /// The fixed share of each slot, for the loss of the store.
+    /// The fixed share of each slot, which a router may use without a grant, so also while the store is
+    /// unavailable.
     pub(crate) fixed: Grant,
     /// The reserved share of each router that has one.
     reserved: Grant,
     /// How many routers have a reserved share: all, or as many as there are whole tokens.
     reserved_count: u32,
-    /// At which index they begin. It differs by tenant, so that the tenants' few tokens are spread over the routers.
+    /// Shifts the indices of the routers that have a reserved share. It differs by tenant, so that the few
+    /// tokens of several tenants are spread over the routers.
     offset: u32,
     routers: u32,
 }
 
 impl EqualShares {
-    /// Divides `quota` for `routers` routers and as many slots. A rate that is not a number counts as 0.
+    /// Divides `quota` among `routers` routers and as many slots. A rate that is infinite or not a number
+    /// counts as 0.
     pub(crate) fn new(tenant: &str, quota: &Quota, routers: u32) -> EqualShares {
         let routers = routers.max(1);
         let total = total(quota);
@@ -48,7 +51,7 @@
         if position < u64::from(self.reserved_count) { self.reserved } else { Grant::NONE }
     }
 
-    /// A router's reserved share of this quota; nothing for a router without one.
+    /// A router's reserved share of this quota; [`Grant::NONE`] for a router without one.
     pub(crate) fn reserved(&self, share: Option<ReservedShare>) -> Grant {
         share.map_or(Grant::NONE, |share| self.at(share.index))
     }
@@ -69,7 +72,7 @@
     Grant { rate: part(total.rate), capacity: part(total.capacity) }
 }
 
-/// The reserved share, and how many routers have one.
+/// The reserved share and how many routers have one.
 fn reserved_share(grantable: Grant, routers: u32) -> (Grant, u32) {
     let n = u64::from(routers);
     let tokens = grantable.capacity / MICROTOKENS_PER_TOKEN;
--- a/quotas/src/grant.rs
+++ b/quotas/src/grant.rs
@@ -1,9 +1,10 @@
-//! Amounts of a quota: a rate and a capacity in microtokens, with arithmetic that never overflows.
+//! Amounts of a quota: a rate and a capacity in microtokens, with arithmetic that cannot overflow.
 use serde::{Deserialize, Serialize};
 
-/// Microtokens in one token. Rates and capacities are counted in microtokens, so that shares of a quota are whole numbers.
+/// Microtokens in one token. Rates and capacities are counted in microtokens, so that shares of a quota are
+/// integers.
 pub const MICROTOKENS_PER_TOKEN: u64 = 1_000_000;
-/// The highest rate: a billion requests per second, in microtokens per second.
+/// The highest rate, in microtokens per second: a billion requests per second.
 pub(crate) const MAX_RATE: u64 = 1_000_000_000 * MICROTOKENS_PER_TOKEN;
 /// The highest capacity, in microtokens.
 pub(crate) const MAX_CAPACITY: u64 = u32::MAX as u64 * MICROTOKENS_PER_TOKEN;
@@ -49,7 +50,7 @@
         Grant { rate: self.rate.saturating_mul(factor), capacity: self.capacity.saturating_mul(factor) }
     }
 
-    /// This part of `old` as the same part of `new`, where that is less; never more than before.
+    /// Scales this part of `old` to `new` in proportion; never increases it.
     pub(crate) fn scaled_down(self, old: Grant, new: Grant) -> Grant {
         Grant {
             rate: scale_down(self.rate, old.rate, new.rate),
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Whether neither rate nor capacity exceeds the other's.
+    /// Whether neither the rate nor the capacity exceeds that of `other`.
     pub(crate) fn fits_within(self, other: Grant) -> bool {
         self.rate <= other.rate && self.capacity <= other.capacity
     }
--- a/quotas/src/messages.rs
+++ b/quotas/src/messages.rs
@@ -1,30 +1,31 @@
 //! The messages of an exchange between a router and the leader.
 //!
-//! They go over the wire in the postcard format, which writes neither the names of types nor those of fields: the order
-//! and kind of fields and variants must stay. Tenants are named because their indices differ between versions of the
-//! configuration.
+//! They are encoded in the postcard format, which contains no names of types or fields: the order and kind of
+//! fields and variants must not change. Tenants are identified by name because their indices differ between
+//! versions of the configuration.
 use crate::grant::Grant;
 use serde::{Deserialize, Serialize};
 use settings::fleet::Version;
 
-/// The reserved shares of a router: one equal part of every tenant's quota, in use wherever no grant by demand replaces it.
+/// The reserved shares of a router: one equal part of every tenant's quota. A grant by demand replaces it for
+/// its tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReservedShare {
-    /// Which of the equal parts, from 0 to below the fleet's number of routers.
+    /// The index of the equal part, from 0 to below the fleet's number of routers.
     pub index: u32,
-    /// Whether the shares are those of the present version in full. Otherwise each is the smaller of it and what the
-    /// router held before.
+    /// Whether the shares are the full shares of the present version. Otherwise each is the smaller of that
+    /// and what the router held before.
     pub full: bool,
 }
 
 /// Everything that a router holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HeldGrants {
-    /// The version of the configuration by which the grants were last renewed.
+    /// The configuration version for which the grants were last renewed.
     pub version: Version,
     /// The router's reserved shares.
     pub reserved_share: Option<ReservedShare>,
-    /// Grants by demand, each in place of the tenant's reserved share.
+    /// Grants by demand; each replaces the tenant's reserved share.
     pub by_demand: Vec<TenantGrant>,
 }
 
@@ -39,7 +40,7 @@
 pub struct TenantGrant {
     /// The tenant's name.
     pub tenant: String,
-    /// What is granted.
+    /// The amount granted.
     pub grant: Grant,
 }
 
@@ -57,11 +58,11 @@
 pub struct GrantChange {
     /// The tenant's name.
     pub tenant: String,
-    /// The grant by demand from now on; `None` returns to the reserved share.
+    /// The new grant by demand; `None` returns the tenant to its reserved share.
     pub grant: Option<Grant>,
 }
 
-/// What a router sends in an exchange.
+/// A router's message in an exchange.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// The router's name.
@@ -70,22 +71,22 @@
     pub incarnation: u64,
     /// The exchange's sequence number within this incarnation.
     pub seq: u64,
-    /// The highest term of any response that the router has had.
+    /// The highest term of any response that the router has received.
     pub term: u64,
-    /// The exchange whose response was the last to be applied; 0 for none.
+    /// The sequence number of the exchange whose response was applied last; 0 for none.
     pub applied_seq: u64,
-    /// The version of the configuration that the router follows.
+    /// The version of the configuration that the router uses.
     pub version: Version,
-    /// Whether the router shuts down and has released everything it held.
+    /// Whether the router is shutting down and has released everything that it held.
     pub leaving: bool,
-    /// Everything the router holds, where the allocator may not know it; `None` where nothing has changed since the
-    /// response to `applied_seq`.
+    /// Everything that the router holds, if the allocator may not know it; `None` if nothing has changed
+    /// since the response to `applied_seq`.
     pub held: Option<HeldGrants>,
-    /// Changes of demand beyond the reserved shares; all of it where `held` is present.
+    /// Changes of demand beyond the reserved shares, or all such demand if `held` is present.
     pub demand: Vec<TenantDemand>,
 }
 
-/// What the leader sends back in an exchange.
+/// The leader's response in an exchange.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GrantResponse {
     /// The term in which the leader responds.
@@ -94,24 +95,25 @@
     pub incarnation: u64,
     /// The exchange's sequence number, as in the report.
     pub seq: u64,
-    /// The version of the configuration at the leader.
+    /// The version of the configuration that the leader uses.
     pub version: Version,
-    /// What the response does.
+    /// What the response grants or requires.
     pub body: ResponseBody,
 }
 
-/// What a response does.
+/// What a response grants or requires.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ResponseBody {
-    /// Renews nothing: the next report must state everything the router holds.
+    /// Nothing is renewed: the next report must state everything that the router holds.
     FullReportRequired,
-    /// Renews nothing: the router must first learn the leader's version of the configuration, or is leaving.
+    /// Nothing is renewed: the router must first apply the leader's version of the configuration, or it is
+    /// shutting down.
     NotRenewed,
-    /// Renews everything the router holds for a further lifetime, with these changes.
+    /// Everything that the router holds is renewed for another lifetime, with these changes.
     Renewed {
-        /// What the router held before is void.
+        /// Whether the router must discard everything that it held before.
         reset: bool,
-        /// The reserved shares from now on.
+        /// The new reserved shares.
         reserved_share: Option<ReservedShare>,
         /// The grants that change.
         changes: Vec<GrantChange>,
--- a/quotas/src/settings.rs
+++ b/quotas/src/settings.rs
@@ -1,58 +1,59 @@
-//! The constants of both state machines, and the bounds within which they are safe.
+//! The constants of both state machines, and the ranges in which the quota bound holds.
 use decision::Micros;
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-/// Millionths in a whole; clock drift is counted in them.
+/// Clock drift is counted in millionths.
 pub(crate) const MILLIONTHS: u64 = 1_000_000;
-/// The bounds of every duration, microseconds: from a millisecond to an hour.
+/// The valid range of every duration, microseconds: from one millisecond to one hour.
 const DURATION_RANGE: RangeInclusive<Micros> = 1_000..=3_600_000_000;
-/// The highest clock drift, as a ratio.
+/// The highest valid clock drift, as a ratio.
 const MAX_CLOCK_DRIFT: f64 = 0.2;
 
-/// The constants of both state machines. Durations are in microseconds. All nodes and routers of an installation must
-/// have the same `ttl` and `max_clock_drift`.
+/// The constants of both state machines. Durations are in microseconds. All nodes and routers of an
+/// installation must have the same `ttl` and `max_clock_drift`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The lifetime of a grant without a further exchange.
+    /// How long a grant is valid after the exchange that last renewed it.
     pub ttl: Micros,
-    /// How much faster or slower one clock may run than another, as a ratio; at most 0.2.
+    /// The greatest ratio by which a clock may run faster or slower than true time; at most 0.2.
     pub max_clock_drift: f64,
-    /// How long a tenant without demand beyond the reserved shares stays allocated by demand.
+    /// How long a tenant remains allocated by demand after demand beyond the reserved shares has ended.
     pub idle_timeout: Micros,
-    /// Grants move when one of them would change by more than this ratio.
+    /// Grants are changed when the rate of one of them would change by more than this ratio.
     pub hysteresis: f64,
     /// The shortest time between two plans for a tenant's quota.
     pub min_plan_interval: Micros,
-    /// How long tokens stay with some routers before the next get them, where there are fewer tokens than routers.
+    /// How long the tokens stay with the same routers if there are fewer tokens than routers.
     pub rotation_interval: Micros,
-    /// How long after a new version the fixed shares of `on_loss` are raised: longer than a grant's lifetime on any clock.
+    /// How long after a new version the fixed shares of `on_loss` are raised. Must be longer than a grant's
+    /// lifetime on any clock.
     pub settle_time: Micros,
-    /// The shortest time after which a shed client is asked to retry.
+    /// The shortest retry-after time of a shed request.
     pub min_retry_after: Micros,
-    /// The retry time where the router holds no token of the tenant: about two exchanges.
+    /// The retry-after time if the router never holds a token of the tenant: about two exchanges.
     pub no_token_retry_after: Micros,
-    /// The retry time where the quota is zero, and the longest one before the random part.
+    /// The retry-after time if the quota is zero, and the longest one before the random part is added.
     pub zero_quota_retry_after: Micros,
-    /// A fault injected by tests that check the tests.
+    /// A fault to inject, for tests that check that the tests detect it.
     #[doc(hidden)]
     pub injected_fault: InjectedFault,
 }
 
-/// Faults that the tests must find.
+/// Faults that the tests must detect.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InjectedFault {
     /// No fault.
     #[default]
     None,
-    /// The allocator does not count what other routers hold.
+    /// The allocator ignores what other routers hold.
     GrantTwice,
-    /// A new leader grants at once.
+    /// A new leader grants without a quiet period.
     SkipQuietPeriod,
-    /// A client does not check whether its grants have expired.
+    /// A client uses grants that have expired.
     IgnoreExpiry,
-    /// A client accepts a response to an exchange that it has given up.
+    /// A client accepts a response to an exchange that it has abandoned.
     AcceptLateResponse,
 }
 
@@ -74,13 +75,13 @@
     }
 }
 
-/// Settings under which the bound would not hold or a state machine would not work.
+/// An invalid setting, with which the quota bound might not hold or a state machine would not work.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum InvalidSettings {
     /// A duration is not between one millisecond and one hour.
     #[error("quotas: `{key}` is {value} us; set it between {} and {}", DURATION_RANGE.start(), DURATION_RANGE.end())]
     Duration {
-        /// The key.
+        /// The name of the setting.
         key: &'static str,
         /// Its value, microseconds.
         value: Micros,
@@ -88,7 +89,7 @@
     /// A ratio is out of range.
     #[error("quotas: `{key}` is {value}; set it between {min} and {max}")]
     Ratio {
-        /// The key.
+        /// The name of the setting.
         key: &'static str,
         /// Its value.
         value: f64,
@@ -97,7 +98,7 @@
         /// The largest valid value.
         max: f64,
     },
-    /// Fixed shares would be raised while older grants are still valid.
+    /// The settle time is too short: fixed shares would be raised while older grants are still valid.
     #[error(
         "quotas: `settle_time` is {value} us, less than a grant's lifetime on any clock; set it to {min} or more"
     )]
@@ -110,10 +111,10 @@
 }
 
 impl Settings {
-    /// Checks that the bound holds under these settings.
+    /// Checks that all settings are in the ranges in which the quota bound holds.
     ///
     /// # Errors
-    /// The first value that is out of range.
+    /// Returns the first setting that is out of range.
     pub fn check(&self) -> Result<(), InvalidSettings> {
         for (key, value) in self.durations() {
             if !DURATION_RANGE.contains(&value) {
@@ -147,12 +148,12 @@
         (self.max_clock_drift.clamp(0.0, MAX_CLOCK_DRIFT) * 1e6).ceil() as u64
     }
 
-    /// A grant's lifetime by a router's clock.
+    /// A grant's lifetime on a router's clock: the TTL less the greatest clock drift.
     pub(crate) fn lifetime_at_router(&self) -> Micros {
         self.scaled_ttl(MILLIONTHS - self.clock_drift_ppm())
     }
 
-    /// A grant's lifetime by the allocator's clock.
+    /// A grant's lifetime on the allocator's clock: the TTL plus the greatest clock drift.
     pub(crate) fn lifetime_at_allocator(&self) -> Micros {
         self.scaled_ttl(MILLIONTHS + self.clock_drift_ppm()) + 1
     }
--- a/quotas/src/time.rs
+++ b/quotas/src/time.rs
@@ -1,7 +1,7 @@
-//! Points in time: sums that never overflow, and one before all others.
+//! Saturating arithmetic on times.
 use decision::{Micros, Time};
 
-/// Before any time that a clock shows.
+/// A time before any that a clock shows.
 pub(crate) const LONG_PAST: Time = Time(i64::MIN);
 
 /// The time `duration` after `start`.
--- a/quotas/src/validate.rs
+++ b/quotas/src/validate.rs
@@ -1,30 +1,33 @@
-//! Checks of received messages. They bound what a message may make the receiver remember.
+//! Validates received messages, which bounds how much memory a message can make the receiver use.
 use crate::grant::{Grant, MAX_CAPACITY, MAX_RATE};
 use crate::messages::{GrantResponse, Report, ReservedShare, ResponseBody};
 use thiserror::Error;
 
-/// The highest number of entries in a list.
+/// The largest number of entries in a list.
 const MAX_LIST_LENGTH: usize = 65_536;
-/// The highest number of bytes in a name.
+/// The longest name, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 /// The highest index of a reserved share.
 const MAX_SHARE_INDEX: u32 = 1_000_000;
 /// The highest sequence number of an exchange.
 const MAX_SEQ: u64 = u64::MAX / 2;
 
-/// A message that neither a [`QuotaClient`](crate::QuotaClient) nor an [`Allocator`](crate::Allocator) of this build sends.
+/// A message that no [`QuotaClient`](crate::QuotaClient) or [`Allocator`](crate::Allocator) of this build
+/// sends.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvalidMessage {
     /// A name is empty or too long.
-    #[error("a message of quotas has a name of {0} bytes: see that all routers and nodes run the same build")]
+    #[error(
+        "quota message contains a name of {0} bytes: check that all routers and nodes run the same build"
+    )]
     NameLength(usize),
     /// A list is too long.
-    #[error("a message of quotas lists {0} tenants: see that all routers and nodes run the same build")]
+    #[error("quota message lists {0} tenants: check that all routers and nodes run the same build")]
     ListLength(usize),
     /// A number is out of range.
-    #[error("a message of quotas has {field} {value}: see that all routers and nodes run the same build")]
+    #[error("quota message contains {field} {value}: check that all routers and nodes run the same build")]
     OutOfRange {
-        /// The number's field, with its article.
+        /// The field, with an article, as it is worded in the message.
         field: &'static str,
         /// Its value.
         value: u64,
@@ -32,10 +35,10 @@
 }
 
 impl Report {
-    /// Checks that a client of this build may have sent this.
+    /// Checks that every name, list and number of the report is in range.
     ///
     /// # Errors
-    /// The first name, list or number that is out of bounds.
+    /// Returns the first name, list or number that is out of range.
     pub fn check(&self) -> Result<(), InvalidMessage> {
         check_name(&self.router)?;
         check_range("an exchange of", self.seq, MAX_SEQ)?;
@@ -56,10 +59,10 @@
 }
 
 impl GrantResponse {
-    /// Checks that an allocator of this build may have sent this.
+    /// Checks that every name, list and number of the response is in range.
     ///
     /// # Errors
-    /// The first name, list or number that is out of bounds.
+    /// Returns the first name, list or number that is out of range.
     pub fn check(&self) -> Result<(), InvalidMessage> {
         let ResponseBody::Renewed { reserved_share, changes, .. } = &self.body else { return Ok(()) };
         check_list(changes.len())?;
--- a/quotas/tests/common/mod.rs
+++ b/quotas/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! An allocator past its quiet period, and clients that exchange with it at once, on one clock.
+//! An allocator whose quiet period is over, and clients that exchange messages with it without delay, all on
+//! one clock.
 #![allow(dead_code, reason = "each test that includes this module uses a part of it")]
 use decision::{Micros, Time};
 use quotas::{
@@ -9,7 +10,7 @@
 use std::sync::Arc;
 
 pub(crate) const SECOND: Micros = 1_000_000;
-/// The lifetime of a grant by default.
+/// The default lifetime of a grant.
 pub(crate) const TTL: Micros = 2 * SECOND;
 pub(crate) const EXCHANGE_INTERVAL: Micros = SECOND / 5;
 const CONNECTION: u64 = 7;
@@ -25,23 +26,23 @@
     })
 }
 
-/// A configuration with the one tenant `a`.
+/// A configuration with a single tenant `a`.
 pub(crate) fn fleet(routers: u32, rate: f64, burst: u32, on_loss: OnLoss) -> Fleet {
     fleet_of(routers, &["a"], &Quota { rate, burst, on_loss })
 }
 
-/// A configuration with these tenants, of which each has the same quota. The first one is the unnamed one.
+/// A configuration with these tenants, which all have the same quota. The first one is the default tenant.
 pub(crate) fn fleet_of(routers: u32, tenants: &[&str], quota: &Quota) -> Fleet {
     let tenant = Tenant { quota: Some(quota.clone()), ..Tenant::default() };
     let all = tenants.iter().map(|name| ((*name).to_string(), tenant.clone())).collect();
     Fleet { max_routers: routers, default_tenant: tenants[0].into(), tenants: all, ..Fleet::default() }
 }
 
-/// The retry time of a request that must be shed.
+/// The retry-after time of a request, which must be shed.
 pub(crate) fn retry_after(client: &mut QuotaClient, now: Micros, tenant: &str) -> Micros {
     match client.admit(Time(now), tenant) {
         Admission::Shed { retry_after } => retry_after,
-        Admission::Admitted => panic!("a request of {tenant} is admitted"),
+        Admission::Admitted => panic!("request of tenant {tenant} was admitted; it must be shed"),
     }
 }
 
@@ -56,47 +57,47 @@
 impl SmallFleet {
     pub(crate) fn new(fleet: Fleet, clients: usize) -> SmallFleet {
         let slot = |i: usize| Some(i as u32 + 1);
-        let mut small = SmallFleet {
+        let mut small_fleet = SmallFleet {
             now: 0,
             version: 0,
             fleet: Arc::default(),
             allocator: Allocator::new(Settings::default()),
             clients: (0..clients).map(|i| client(&format!("r{i}"), 1, slot(i))).collect(),
         };
-        small.become_leader(1);
-        small.commit(fleet);
-        small.now = 3 * SECOND;
-        small
+        small_fleet.become_leader(1);
+        small_fleet.commit(fleet);
+        small_fleet.now = 3 * SECOND;
+        small_fleet
     }
 
     pub(crate) fn become_leader(&mut self, term: u64) {
         self.allocator.handle(Time(self.now), Event::BecameLeader { term }, &mut Vec::new());
     }
 
-    /// A new node that knows the configuration becomes the leader.
+    /// Makes a new node the leader; it has the configuration, but no record of grants.
     pub(crate) fn replace_leader(&mut self, term: u64) {
         self.allocator = Allocator::new(Settings::default());
-        self.tell_allocator();
+        self.send_config_to_allocator();
         self.become_leader(term);
     }
 
-    /// Commits a configuration, which all clients learn at once.
+    /// Commits a configuration and applies it at all clients immediately.
     pub(crate) fn commit(&mut self, fleet: Fleet) {
         self.version += 1;
         self.fleet = Arc::new(fleet);
-        self.tell_allocator();
+        self.send_config_to_allocator();
         for i in 0..self.clients.len() {
-            self.learn(i);
+            self.apply_config(i);
         }
     }
 
-    fn tell_allocator(&mut self) {
+    fn send_config_to_allocator(&mut self) {
         let event = Event::Config { version: self.version, fleet: self.fleet.clone() };
         self.allocator.handle(Time(self.now), event, &mut Vec::new());
     }
 
-    /// A client learns the present configuration.
-    pub(crate) fn learn(&mut self, i: usize) {
+    /// Applies the present configuration at one client.
+    pub(crate) fn apply_config(&mut self, i: usize) {
         self.clients[i].apply_config(Time(self.now), self.version, &self.fleet);
     }
 
@@ -129,7 +130,7 @@
         response.map(|response| response.body)
     }
 
-    /// All clients exchange each 200 ms.
+    /// Runs an exchange of every client every 200 ms for a duration.
     pub(crate) fn run(&mut self, duration: Micros) {
         let end = self.now + duration;
         while self.now < end {
@@ -144,7 +145,7 @@
         self.clients[i].admit(Time(self.now), tenant) == Admission::Admitted
     }
 
-    /// The rate and the capacity that a client holds of a tenant.
+    /// The rate and the capacity that a client holds for a tenant.
     pub(crate) fn granted(&self, i: usize, tenant: &str) -> (f64, f64) {
         let metrics = self.clients[i].metrics();
         let tenant = metrics.tenants.iter().find(|metrics| metrics.name == tenant).unwrap();
--- a/quotas/tests/distribution.rs
+++ b/quotas/tests/distribution.rs
@@ -1,4 +1,4 @@
-//! How well the quota follows demand, in simulated fleets.
+//! Tests how well the distribution of the quota follows demand, in simulated fleets.
 mod simulation;
 use decision::Micros;
 use quotas::Settings;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn tokens_rotate_among_more_routers_with_demand() {
+fn tokens_rotate_if_more_routers_have_demand_than_tokens_exist() {
     let mut simulation = simulate(3, 6, &["a"], 20.0, 2);
     set_demand(&mut simulation, 1, 0, 6, |_| 50.0);
     simulation.run_until(20 * SECOND);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn moving_demand_gets_the_quota_within_two_seconds_and_costs_others_nothing() {
+fn moved_demand_gets_quota_within_two_seconds_without_affecting_other_tenants() {
     let mut simulation = simulate(1, 20, &["a", "b"], 200.0, 100);
     set_demand(&mut simulation, 1, 1, 20, |_| 0.5);
     simulation.run_until(6 * SECOND);
@@ -62,19 +62,19 @@
 }
 
 #[test]
-fn sparse_demand_at_many_routers_gets_the_quota_and_is_seen_to_move() {
+fn sparse_demand_gets_quota_and_its_move_is_detected() {
     let mut simulation = simulate(1, 30, &["a"], 20.0, 150);
     set_demand(&mut simulation, 1, 0, 30, |_| 1.0);
     simulation.run_until(40 * SECOND);
     let admitted = simulation.admitted(0, 10 * SECOND, simulation.now);
     assert!(admitted >= 540, "{admitted} of 600");
-    // None of the routers can tell by itself within this time that its demand has ended.
+    // No single router can detect within this time that its demand has ended.
     let now = simulation.now;
     set_demand(&mut simulation, now, 0, 30, |router| if router == 3 { 100.0 } else { 0.0 });
     simulation.run_until(46 * SECOND);
     let admitted = simulation.admitted(0, 42 * SECOND, simulation.now);
     assert!(admitted >= 76, "{admitted} of 80");
-    // A few routers with demand for all of it.
+    // A few routers whose demand together equals the quota.
     let now = simulation.now;
     set_demand(&mut simulation, now, 0, 30, |router| if router < 10 { 2.0 } else { 0.0 });
     simulation.run_until(86 * SECOND);
--- a/quotas/tests/model_check.rs
+++ b/quotas/tests/model_check.rs
@@ -1,5 +1,5 @@
-//! An exhaustive search of all orders of granting, spending, expiring, electing and restarting, for two routers and one
-//! tenant in coarse time, to a bounded end and with a bounded number of failed exchanges.
+//! Model-checks two routers and one tenant: explores every order of grants, admissions, expiry, elections and
+//! restarts in coarse time steps, up to a last step and with a limited number of failed exchanges.
 use decision::Time;
 use quotas::{
     Action, Admission, Allocator, Event, GrantResponse, InjectedFault, QuotaClient, QuotaClientSettings,
@@ -10,32 +10,32 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 
-/// A step of time, microseconds: half of a grant's lifetime.
+/// The length of a time step, microseconds: half of a grant's lifetime.
 const STEP: i64 = 200_000;
 const LAST_STEP: i64 = 5;
-/// Tokens per second: two in a step.
+/// Tokens per second: two in each time step.
 const RATE: i64 = 10;
 const BURST: i64 = 2;
 const MAX_ELECTIONS: u8 = 2;
 const MAX_RESTARTS: u8 = 1;
-/// The highest number of failed exchanges in one run; `SEARCH_FAULTS` sets more for a longer search.
+/// The largest number of failed exchanges in one run; `SEARCH_FAULTS` sets another one for a longer search.
 const DEFAULT_MAX_FAULTS: u8 = 1;
 const BOUND: &str = "no window exceeds the quota";
 
 #[derive(Clone, Debug)]
 struct State {
     step: i64,
-    /// The router that acts next; 2 once both have acted in this step.
-    turn: usize,
+    /// The router that acts next; 2 after both have acted in this time step.
+    acting: usize,
     leader: Allocator,
     term: u64,
     elections: u8,
     restarts: u8,
     faults: u8,
     clients: [QuotaClient; 2],
-    /// Responses on their way from an earlier step.
-    late: [Option<GrantResponse>; 2],
-    /// Admissions by step of time.
+    /// Responses that were sent in an earlier time step and are still in transit.
+    in_transit: [Option<GrantResponse>; 2],
+    /// The number of admissions in each time step.
     admitted: Vec<i64>,
 }
 
@@ -44,10 +44,10 @@
         Time(self.step * STEP)
     }
 
-    /// Spends all tokens of the router whose turn it is.
-    fn spend(&mut self) {
+    /// Sends requests to the acting router until one is shed.
+    fn use_all_tokens(&mut self) {
         let now = self.now();
-        while self.clients[self.turn].admit(now, "a") == Admission::Admitted {
+        while self.clients[self.acting].admit(now, "a") == Admission::Admitted {
             self.admitted[self.step as usize] += 1;
         }
     }
@@ -55,7 +55,7 @@
     fn deliver(&mut self, response: Option<GrantResponse>) {
         let now = self.now();
         if let Some(response) = response {
-            self.clients[self.turn].handle_response(now, response);
+            self.clients[self.acting].handle_response(now, response);
         }
     }
 
@@ -76,26 +76,27 @@
 
     fn disconnect(&mut self) {
         self.faults += 1;
-        let late = self.late[self.turn].take();
-        self.deliver(late);
+        let in_transit = self.in_transit[self.acting].take();
+        self.deliver(in_transit);
     }
 
     fn exchange(&mut self, outcome: Outcome) {
-        // A late response may have waited long enough or too long: after the next report it is an old one.
-        let late = self.late[self.turn].take();
+        // A late response is delivered after the next report was created, so it belongs to an earlier
+        // exchange.
+        let in_transit = self.in_transit[self.acting].take();
         let now = self.now();
-        let report = self.clients[self.turn].report(now);
-        self.deliver(late);
+        let report = self.clients[self.acting].report(now);
+        self.deliver(in_transit);
         let response = self.respond(report);
         match (outcome, response) {
             (Outcome::Delivered, Some(response)) => self.deliver(Some(response)),
             (Outcome::Late, response) => {
                 self.faults += 1;
-                self.late[self.turn] = response;
+                self.in_transit[self.acting] = response;
             }
             (outcome, _) => {
                 self.faults += u8::from(outcome == Outcome::Lost);
-                self.clients[self.turn].exchange_failed();
+                self.clients[self.acting].exchange_failed();
             }
         }
     }
@@ -115,13 +116,13 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        (self.step, self.turn, self.term, self.elections, self.restarts).hash(hasher);
+        (self.step, self.acting, self.term, self.elections, self.restarts).hash(hasher);
         (self.faults, &self.admitted).hash(hasher);
         self.leader.hash_state(hasher);
         for client in &self.clients {
             client.hash_state(hasher);
         }
-        for response in self.late.iter().flatten() {
+        for response in self.in_transit.iter().flatten() {
             postcard::to_stdvec(response).unwrap_or_default().hash(hasher);
         }
     }
@@ -132,20 +133,20 @@
     Delivered,
     /// The response is lost.
     Lost,
-    /// The response comes one step later: the router waits, or has given up and ignores it.
+    /// The response arrives in the next time step; by then the exchange may have been abandoned.
     Late,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    /// Time goes on by a step.
+    /// Time advances by one step.
     Wait,
-    /// The router whose turn it is exchanges with the leader.
+    /// The acting router exchanges messages with the leader.
     Exchange(Outcome),
-    /// The router whose turn it is has no contact in this step.
+    /// The acting router cannot reach the leader in this time step.
     Disconnect,
     Elect,
-    /// The router whose turn it is restarts.
+    /// The acting router restarts.
     Restart,
 }
 
@@ -186,8 +187,8 @@
     client
 }
 
-/// Whether every window of steps holds at most what the rate produces in it and the burst.
-fn keeps_bound(admitted: &[i64]) -> bool {
+/// Whether the admissions in every window of steps are at most what the rate produces in it plus the burst.
+fn is_within_bound(admitted: &[i64]) -> bool {
     let max = |steps: usize| (steps as i64 - 1) * RATE * STEP / 1_000_000 + BURST;
     (1..=admitted.len()).all(|steps| admitted.windows(steps).all(|w| w.iter().sum::<i64>() <= max(steps)))
 }
@@ -198,26 +199,26 @@
 
     fn init_states(&self) -> Vec<State> {
         let mut leader = Allocator::new(settings(self.injected_fault));
-        // The first leader's quiet period is over when the search begins.
+        // The first leader's quiet period has ended when the search begins.
         let begin = Time(-3 * STEP);
         leader.handle(begin, Event::BecameLeader { term: 1 }, &mut Vec::new());
         leader.handle(begin, Event::Config { version: 1, fleet: fleet() }, &mut Vec::new());
         vec![State {
             step: 0,
-            turn: 0,
+            acting: 0,
             leader,
             term: 1,
             elections: 0,
             restarts: 0,
             faults: 0,
             clients: [0, 1].map(|router| client(router, 1, Time(0), self.injected_fault)),
-            late: [None, None],
+            in_transit: [None, None],
             admitted: vec![0; LAST_STEP as usize + 1],
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
-        if state.turn == state.clients.len() {
+        if state.acting == state.clients.len() {
             if state.step < LAST_STEP {
                 actions.push(Step::Wait);
             }
@@ -241,31 +242,31 @@
         match step {
             Step::Wait => {
                 state.step += 1;
-                state.turn = 0;
+                state.acting = 0;
             }
             Step::Elect => state.elect(settings(self.injected_fault)),
             Step::Restart => {
                 state.restarts += 1;
-                state.clients[state.turn] = client(state.turn, 2, state.now(), self.injected_fault);
+                state.clients[state.acting] = client(state.acting, 2, state.now(), self.injected_fault);
             }
             Step::Exchange(outcome) => {
-                state.spend();
+                state.use_all_tokens();
                 state.exchange(outcome);
-                state.spend();
-                state.turn += 1;
+                state.use_all_tokens();
+                state.acting += 1;
             }
             Step::Disconnect => {
-                state.spend();
+                state.use_all_tokens();
                 state.disconnect();
-                state.spend();
-                state.turn += 1;
+                state.use_all_tokens();
+                state.acting += 1;
             }
         }
         Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always(BOUND, |_, state: &State| keeps_bound(&state.admitted))]
+        vec![Property::always(BOUND, |_, state: &State| is_within_bound(&state.admitted))]
     }
 }
 
@@ -274,7 +275,7 @@
 }
 
 #[test]
-fn no_order_of_steps_breaks_the_bound() {
+fn every_order_of_steps_stays_within_bound() {
     let search = Search { max_faults: max_faults(), injected_fault: InjectedFault::None };
     let checker = search.checker().threads(2).spawn_bfs().join();
     eprintln!("{} states", checker.unique_state_count());
@@ -282,7 +283,7 @@
 }
 
 #[test]
-fn skipping_the_quiet_period_breaks_the_bound_in_some_order() {
+fn skipping_quiet_period_violates_bound_in_some_order() {
     let search = Search { max_faults: DEFAULT_MAX_FAULTS, injected_fault: InjectedFault::SkipQuietPeriod };
     let checker = search.checker().threads(2).spawn_bfs().join();
     assert!(checker.discovery(BOUND).is_some());
--- a/quotas/tests/quota_bound.rs
+++ b/quotas/tests/quota_bound.rs
@@ -1,4 +1,5 @@
-//! Random schedules of a small fleet: no window of any tenant may hold more than its quota.
+//! Runs random fault schedules on a small simulated fleet. In no time window may a tenant's admissions exceed
+//! its quota.
 mod simulation;
 use decision::Micros;
 use proptest::prelude::*;
@@ -10,12 +11,12 @@
 
 /// How long a schedule runs, microseconds.
 const END: Micros = 12_000_000;
-/// Cases without `PROPTEST_CASES`: as many as take a few seconds.
+/// The number of cases if `PROPTEST_CASES` is not set; they take a few seconds.
 const DEFAULT_CASES: u32 = 48;
-/// Schedules in which an injected fault must be found.
+/// The largest number of schedules until an injected fault must be detected.
 const MAX_SCHEDULES: u64 = 300;
 
-/// A fault at a time.
+/// A fault and the time at which it is injected.
 type Scheduled = (Micros, Fault);
 
 fn fault() -> impl Strategy<Value = Fault> {
@@ -51,9 +52,9 @@
 }
 
 fn unreliable_network() -> impl Strategy<Value = Fault> {
-    (0.0..0.5f64, 0.0..0.3f64, 0.0..0.3f64).prop_map(|(lost, duplicated, held_up)| {
-        let (max_delay, max_held_up_delay) = (60_000, 3_500_000);
-        Fault::SetNetwork(Network { lost, duplicated, max_delay, held_up, max_held_up_delay })
+    (0.0..0.5f64, 0.0..0.3f64, 0.0..0.3f64).prop_map(|(lost, duplicated, slow)| {
+        let (max_delay, max_slow_delay) = (60_000, 3_500_000);
+        Fault::SetNetwork(Network { lost, duplicated, max_delay, slow, max_slow_delay })
     })
 }
 
@@ -61,7 +62,8 @@
     proptest::collection::vec((0..END, fault()), 5..30)
 }
 
-/// Runs a schedule. The third tenant has fixed shares in schedules that leave the number of routers as it is.
+/// Runs a schedule and checks the bound. The third tenant has fixed shares if the schedule does not change
+/// the number of routers.
 fn run(seed: u64, injected_fault: InjectedFault, faults: &[Scheduled]) -> Result<(), String> {
     let resizes = |fault: &Fault| matches!(fault, Fault::SetQuota { routers, .. } if *routers > 0);
     let has_slots = !faults.iter().any(|(_, fault)| resizes(fault));
@@ -92,14 +94,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: cases(), ..ProptestConfig::default() })]
     #[test]
-    fn no_window_exceeds_its_quota(seed in any::<u64>(), faults in schedule()) {
+    fn admissions_in_any_window_stay_within_quota(seed in any::<u64>(), faults in schedule()) {
         let outcome = run(seed, InjectedFault::None, &faults);
         prop_assert!(outcome.is_ok(), "{outcome:?}");
     }
 }
 
-/// Whether an injected fault breaks the bound in one of the schedules of a fixed seed.
-fn breaks_bound(injected_fault: InjectedFault) -> bool {
+/// Whether an injected fault violates the bound in one of the schedules drawn from a fixed seed.
+fn violates_bound(injected_fault: InjectedFault) -> bool {
     let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(Config::default(), random);
     (0..MAX_SCHEDULES).any(|seed| {
@@ -109,21 +111,21 @@
 }
 
 #[test]
-fn granting_twice_breaks_the_bound() {
-    assert!(breaks_bound(InjectedFault::GrantTwice));
+fn granting_twice_violates_bound() {
+    assert!(violates_bound(InjectedFault::GrantTwice));
 }
 
 #[test]
-fn skipping_the_quiet_period_breaks_the_bound() {
-    assert!(breaks_bound(InjectedFault::SkipQuietPeriod));
+fn skipping_quiet_period_violates_bound() {
+    assert!(violates_bound(InjectedFault::SkipQuietPeriod));
 }
 
 #[test]
-fn ignoring_expiry_breaks_the_bound() {
-    assert!(breaks_bound(InjectedFault::IgnoreExpiry));
+fn ignoring_expiry_violates_bound() {
+    assert!(violates_bound(InjectedFault::IgnoreExpiry));
 }
 
 #[test]
-fn accepting_late_responses_breaks_the_bound() {
-    assert!(breaks_bound(InjectedFault::AcceptLateResponse));
+fn accepting_late_responses_violates_bound() {
+    assert!(violates_bound(InjectedFault::AcceptLateResponse));
 }
--- a/quotas/tests/recorded_distribution.rs
+++ b/quotas/tests/recorded_distribution.rs
@@ -1,5 +1,6 @@
-//! Simulated fleets whose demand moves without faults: who admits which request when, compared with what an earlier build
-//! recorded. Demand is sparse, at one router, or spread, for longer than a run of `recorded_run.rs` lasts.
+//! Simulates fleets whose demand moves between routers, without faults, and compares which requests are
+//! admitted when with recorded output of an earlier build. Demand is sparse, at one router, or spread out;
+//! the simulations run longer than those of `recorded_run.rs`.
 mod simulation;
 use decision::Micros;
 use quotas::Settings;
@@ -20,7 +21,7 @@
 /// The time between two moves of demand, microseconds.
 const MOVE_INTERVAL: Micros = 16 * SECOND;
 
-/// A tenant's requests per second at each router, drawn anew for each move.
+/// A tenant's requests per second at each router, drawn at random for each move.
 fn demand(random: &mut SmallRng) -> Vec<f64> {
     let pattern = random.random_range(0..5);
     let busy = random.random_range(0..ROUTERS);
@@ -55,7 +56,7 @@
 }
 
 /// The number of requests admitted and shed, and a hash of each admission's tenant, time and router.
-fn line(seed: u64, simulation: &Simulation) -> String {
+fn summary_line(seed: u64, simulation: &Simulation) -> String {
     let mut admissions = String::new();
     for (tenant, requests) in simulation.history.iter().enumerate() {
         for request in requests {
@@ -67,10 +68,10 @@
 }
 
 #[test]
-fn moving_demand_is_admitted_as_recorded() {
+fn admissions_of_moving_demand_match_recorded_output() {
     let mut lines = String::new();
     for seed in 1..=SEEDS {
-        writeln!(lines, "{}", line(seed, &simulate(seed))).unwrap();
+        writeln!(lines, "{}", summary_line(seed, &simulate(seed))).unwrap();
     }
     FIXTURES.assert_same("recorded_distribution.txt", lines);
 }
--- a/quotas/tests/recorded_run.rs
+++ b/quotas/tests/recorded_run.rs
@@ -1,8 +1,9 @@
-//! Seeded runs of one allocator and five routers, compared with what an earlier build recorded: each report and response
-//! by the hash of its bytes, each admission decision and wait, and the metrics.
+//! Runs one allocator and five routers with fixed seeds and compares them with recorded output of an earlier
+//! build: the hash of each report and response, each admission decision and retry time, and the metrics.
 //!
-//! A difference means that a decision, a limit or the order of random draws has changed. Where that is intended, the run
-//! written next to the test's other temporary files becomes the new fixture, and the commit says why.
+//! A difference means that a decision, a limit or the order of random draws has changed. If the change is
+//! intended, the output that the test writes to its folder of temporary files becomes the new fixture, and
+//! the commit states the reason.
 use decision::Time;
 use quotas::{
     Action, Admission, Allocator, AllocatorMetrics, Event, GrantResponse, InjectedFault, QuotaClient,
@@ -20,9 +21,9 @@
 
 const ROUTERS: usize = 5;
 const TENANTS: [&str; 4] = ["a", "b", "c", "free"];
-/// The time between two turns of a run, microseconds; up to a tenth more by chance.
-const TURN: i64 = 20_000;
-const TURNS: usize = 1_250;
+/// The length of a simulation step, microseconds; up to a tenth more is added at random.
+const STEP: i64 = 20_000;
+const STEPS: usize = 1_250;
 const EXCHANGE_INTERVAL: i64 = 200_000;
 const CONNECTION: u64 = 7;
 
@@ -51,13 +52,13 @@
     clock_offset: i64,
     next_exchange: i64,
     last_exchange: i64,
-    /// Requests a second, by tenant.
+    /// Requests per second, by tenant.
     demand: [f64; TENANTS.len()],
-    /// Responses on their way, with the time at which they arrive.
-    late: Vec<(i64, GrantResponse)>,
+    /// Delayed responses, with the time at which they arrive.
+    delayed_responses: Vec<(i64, GrantResponse)>,
     admitted: u64,
     shed: u64,
-    waits: i64,
+    total_retry_after: i64,
 }
 
 impl Router {
@@ -93,7 +94,7 @@
             routers: Vec::new(),
             lines: String::new(),
         };
-        run.elect();
+        run.elect_leader();
         for i in 0..ROUTERS {
             let router = run.start_router(i, 1);
             run.routers.push(router);
@@ -119,14 +120,14 @@
             next_exchange: self.now + self.random.random_range(0..EXCHANGE_INTERVAL),
             last_exchange: i64::MIN / 2,
             demand: [0.0; TENANTS.len()],
-            late: Vec::new(),
+            delayed_responses: Vec::new(),
             admitted: 0,
             shed: 0,
-            waits: 0,
+            total_retry_after: 0,
         }
     }
 
-    fn event(&mut self, event: Event) -> Option<GrantResponse> {
+    fn handle_event(&mut self, event: Event) -> Option<GrantResponse> {
         let mut actions = Vec::new();
         self.allocator.handle(Time(self.now), event, &mut actions);
         assert!(actions.len() <= 1);
@@ -136,32 +137,32 @@
         })
     }
 
-    fn configure(&mut self) {
+    fn send_config(&mut self) {
         let version = self.versions.len() as u64;
         let fleet = self.versions[version as usize - 1].clone();
-        self.event(Event::Config { version, fleet });
+        self.handle_event(Event::Config { version, fleet });
     }
 
-    fn elect(&mut self) {
+    fn elect_leader(&mut self) {
         self.term += 1;
         if self.random.random_bool(0.5) {
             self.allocator = Allocator::new(self.settings.clone());
         }
-        self.configure();
+        self.send_config();
         let term = self.term;
-        self.event(Event::BecameLeader { term });
+        self.handle_event(Event::BecameLeader { term });
         writeln!(self.lines, "{} elected term={term}", self.now).unwrap();
     }
 
     fn respond(&mut self, report: Report) -> Option<GrantResponse> {
-        self.event(Event::Report { connection: CONNECTION, report })
+        self.handle_event(Event::Report { connection: CONNECTION, report })
     }
 
-    /// Draws what goes wrong or changes in this turn. The order of the draws is part of the recorded runs.
-    fn faults(&mut self) {
+    /// Draws the faults and changes of this step. The order of the draws is part of the recorded runs.
+    fn draw_faults(&mut self) {
         let i = self.random.random_range(0..ROUTERS);
         if self.random.random_bool(0.003) {
-            self.elect();
+            self.elect_leader();
         }
         if self.random.random_bool(0.004) {
             self.change_fleet();
@@ -170,25 +171,25 @@
             self.change_demand(i);
         }
         if self.random.random_bool(0.003) {
-            self.event(Event::RouterLeft { router: format!("r{i}") });
+            self.handle_event(Event::RouterLeft { router: format!("r{i}") });
             writeln!(self.lines, "{} left router={i}", self.now).unwrap();
         }
         if self.random.random_bool(0.02) {
-            self.event(Event::Tick);
+            self.handle_event(Event::Tick);
         }
         let releases = self.random.random_bool(0.002);
         if releases {
             self.release_all(i);
         }
         if releases || self.random.random_bool(0.002) {
-            self.restart(i);
+            self.restart_router(i);
         }
     }
 
     fn change_fleet(&mut self) {
         let fleet = fleet(&mut self.random);
         self.versions.push(fleet);
-        self.configure();
+        self.send_config();
         writeln!(self.lines, "{} configured version={}", self.now, self.versions.len()).unwrap();
     }
 
@@ -202,20 +203,20 @@
     fn release_all(&mut self, i: usize) {
         let at = self.routers[i].clock(self.now);
         let report = self.routers[i].client.release_all(at);
-        self.exchanged(i, &report, None);
+        self.record_exchange(i, &report, None);
         self.respond(report);
     }
 
-    fn restart(&mut self, i: usize) {
+    fn restart_router(&mut self, i: usize) {
         let demand = self.routers[i].demand;
         let incarnation = self.routers[i].incarnation + 1;
         self.routers[i] = Router { demand, ..self.start_router(i, incarnation) };
         writeln!(self.lines, "{} restarted router={i}", self.now).unwrap();
     }
 
-    fn requests(&mut self, i: usize) {
+    fn send_requests(&mut self, i: usize) {
         for (tenant, name) in TENANTS.iter().enumerate() {
-            let expected = self.routers[i].demand[tenant] * TURN as f64 / 1e6;
+            let expected = self.routers[i].demand[tenant] * STEP as f64 / 1e6;
             let count = expected as u64 + u64::from(self.random.random_bool(expected.fract()));
             let name = if *name == "b" && self.random.random_bool(0.2) { "unknown" } else { name };
             let router = &mut self.routers[i];
@@ -224,7 +225,7 @@
                     Admission::Admitted => router.admitted += 1,
                     Admission::Shed { retry_after } => {
                         router.shed += 1;
-                        router.waits += retry_after;
+                        router.total_retry_after += retry_after;
                     }
                 }
             }
@@ -238,19 +239,21 @@
         let report = router.client.report(router.clock(self.now));
         let response = if self.random.random_bool(0.04) { None } else { self.respond(report.clone()) };
         if self.random.random_bool(0.05) {
-            // What arrives twice is answered once at most.
-            let twice = self.respond(report.clone());
+            // At most one of two duplicates of a report may get a response that renews grants.
+            let duplicate = self.respond(report.clone());
             assert!(
-                twice.is_none() || response.is_none() || twice.as_ref().is_some_and(|a| is_refusal(&a.body))
+                duplicate.is_none()
+                    || response.is_none()
+                    || duplicate.as_ref().is_some_and(|response| renews_nothing(&response.body))
             );
         }
-        self.exchanged(i, &report, response.as_ref());
+        self.record_exchange(i, &report, response.as_ref());
         let Some(response) = response else { return self.routers[i].client.exchange_failed() };
         match self.random.random_range(0..20) {
             0 => self.routers[i].client.exchange_failed(),
             1 | 2 => {
                 let at = self.now + self.random.random_range(0..2_500_000);
-                self.routers[i].late.push((at, response));
+                self.routers[i].delayed_responses.push((at, response));
                 if self.random.random_bool(0.5) {
                     self.routers[i].client.exchange_failed();
                 }
@@ -262,18 +265,19 @@
         }
     }
 
-    fn late_responses(&mut self, i: usize) {
+    fn deliver_delayed_responses(&mut self, i: usize) {
         let router = &mut self.routers[i];
-        let (due, late) = router.late.drain(..).partition(|(at, _)| *at <= self.now);
-        router.late = late;
-        let due: Vec<(i64, GrantResponse)> = due;
-        for (_, response) in due {
+        let (arrived, delayed_responses) =
+            router.delayed_responses.drain(..).partition(|(at, _)| *at <= self.now);
+        router.delayed_responses = delayed_responses;
+        let arrived: Vec<(i64, GrantResponse)> = arrived;
+        for (_, response) in arrived {
             let at = router.clock(self.now);
             router.client.handle_response(at, response);
         }
     }
 
-    fn learn(&mut self, i: usize) {
+    fn apply_latest_config(&mut self, i: usize) {
         let version = self.versions.len();
         let router = &mut self.routers[i];
         if router.client.version() < version as u64 && self.random.random_bool(0.1) {
@@ -281,23 +285,23 @@
         }
     }
 
-    /// Writes one exchange and what the router has admitted until it.
-    fn exchanged(&mut self, i: usize, report: &Report, response: Option<&GrantResponse>) {
+    /// Writes a line for one exchange, with the router's admission counts so far.
+    fn record_exchange(&mut self, i: usize, report: &Report, response: Option<&GrantResponse>) {
         let router = &self.routers[i];
         let report_hash = fnv1a(postcard::to_stdvec(report).unwrap());
-        let response_hash = response.map_or(0, |a| fnv1a(postcard::to_stdvec(a).unwrap()));
-        let kind = match response.map(|a| &a.body) {
+        let response_hash = response.map_or(0, |response| fnv1a(postcard::to_stdvec(response).unwrap()));
+        let kind = match response.map(|response| &response.body) {
             None => "none",
             Some(ResponseBody::FullReportRequired) => "full-report",
             Some(ResponseBody::NotRenewed) => "not-renewed",
             Some(ResponseBody::Renewed { reset: true, .. }) => "reset",
             Some(ResponseBody::Renewed { reset: false, .. }) => "renewed",
         };
-        let (admitted, shed, waits) = (router.admitted, router.shed, router.waits);
+        let (admitted, shed, total_retry_after) = (router.admitted, router.shed, router.total_retry_after);
         writeln!(
             self.lines,
             "{} r{i} seq={} report={report_hash:016x} response={kind}:{response_hash:016x} admitted={admitted} \
-             shed={shed} waits={waits} metrics={:016x}",
+             shed={shed} waits={total_retry_after} metrics={:016x}",
             self.now,
             report.seq,
             fnv1a(metrics(&router.client)),
@@ -305,22 +309,22 @@
         .unwrap();
     }
 
-    fn turn(&mut self) {
-        self.now += TURN + self.random.random_range(0..TURN / 10);
-        self.faults();
+    fn step(&mut self) {
+        self.now += STEP + self.random.random_range(0..STEP / 10);
+        self.draw_faults();
         for i in 0..ROUTERS {
-            self.late_responses(i);
-            self.learn(i);
-            self.requests(i);
+            self.deliver_delayed_responses(i);
+            self.apply_latest_config(i);
+            self.send_requests(i);
             let router = &self.routers[i];
-            let early = router.client.wants_early_report() && self.now - router.last_exchange > 2 * TURN;
+            let early = router.client.wants_early_report() && self.now - router.last_exchange > 2 * STEP;
             if early || router.next_exchange <= self.now {
                 self.exchange(i);
             }
         }
     }
 
-    fn end(mut self) -> String {
+    fn finish(mut self) -> String {
         for i in 0..ROUTERS {
             let text = metrics(&self.routers[i].client);
             writeln!(self.lines, "{} r{i} {text}", self.now).unwrap();
@@ -331,7 +335,7 @@
     }
 }
 
-fn is_refusal(body: &ResponseBody) -> bool {
+fn renews_nothing(body: &ResponseBody) -> bool {
     matches!(body, ResponseBody::FullReportRequired | ResponseBody::NotRenewed)
 }
 
@@ -354,19 +358,19 @@
 
 fn run(seed: u64, injected_fault: InjectedFault) -> String {
     let mut run = Run::new(seed, injected_fault);
-    for _ in 0..TURNS {
-        run.turn();
+    for _ in 0..STEPS {
+        run.step();
     }
-    run.end()
+    run.finish()
 }
 
 #[test]
-fn run_of_one_seed_is_the_recorded_one() {
+fn run_with_one_seed_matches_recorded_output() {
     FIXTURES.assert_same("recorded_run.txt", run(1, InjectedFault::None));
 }
 
 #[test]
-fn runs_of_many_seeds_hash_to_the_recorded_ones() {
+fn runs_with_many_seeds_match_recorded_hashes() {
     let mut lines = String::new();
     for seed in 1..=40 {
         writeln!(lines, "seed {seed}: {:016x}", fnv1a(run(seed, InjectedFault::None))).unwrap();
--- a/quotas/tests/simulation/bound.rs
+++ b/quotas/tests/simulation/bound.rs
@@ -1,11 +1,11 @@
-//! The check of the bound: what any window of a tenant's admissions may hold.
+//! Checks the quota bound: in every time window, a tenant's admissions must stay within its quota.
 use super::{AdmittedRequest, Simulation};
 use decision::Micros;
 
-/// Units of 1e-12 of a token: a rate of one microtoken per second produces one in a microsecond.
+/// Picotokens in one token. A rate of one microtoken per second produces one picotoken per microsecond.
 const PICOTOKENS_PER_TOKEN: i128 = 1_000_000_000_000;
 
-/// A span of time in which the largest quota in force is constant.
+/// A period in which the largest quota in force does not change.
 struct Period {
     begin: Micros,
     /// Microtokens per second.
@@ -21,18 +21,18 @@
     burst: u32,
 }
 
-/// An admission as the begin of a window.
-struct WindowBegin {
-    /// Picotokens spent before it, less those produced before it.
+/// A time window that starts at an admission.
+struct Window {
+    /// Picotokens spent before the window less those produced before it.
     level: i128,
-    /// The burst in force, picotokens.
+    /// The burst in force at its start, picotokens.
     burst: i128,
 }
 
 impl Simulation {
-    /// Checks every window of every tenant: what was admitted in it is at most what the rates in force produce in it, and
-    /// the burst in force at its begin. A version is in force from its commit until a grant's lifetime after the next
-    /// one's.
+    /// Checks every time window of every tenant: its admissions may use at most the tokens that the rates in
+    /// force produce in it plus the burst in force at its start. A version is in force from its commit until
+    /// one grant lifetime after the commit of the next one.
     pub(crate) fn check_bound(&self) -> Result<(), String> {
         for tenant in 0..self.tenants.len() {
             let periods = periods(&self.quota_versions(tenant), self.settings.ttl);
@@ -62,7 +62,7 @@
     begins.into_iter().map(|begin| period(begin, versions, ttl)).collect()
 }
 
-/// The period that begins at a time: the largest rate and burst of all versions in force.
+/// The period that starts at `begin`, with the largest rate and burst of all versions in force.
 fn period(begin: Micros, versions: &[QuotaVersion], ttl: Micros) -> Period {
     let mut period = Period { begin, rate: 0, burst: 0 };
     for (i, version) in versions.iter().enumerate() {
@@ -76,23 +76,23 @@
 }
 
 fn check_windows(history: &[AdmittedRequest], periods: &[Period]) -> Result<(), String> {
-    let begins = window_begins(history, periods);
+    let windows = windows_of(history, periods);
     let mut max_end = i128::MIN;
-    for (request, begin) in history.iter().zip(&begins).rev() {
-        max_end = max_end.max(begin.level + PICOTOKENS_PER_TOKEN);
-        let excess = max_end - begin.level - begin.burst;
+    for (request, window) in history.iter().zip(&windows).rev() {
+        max_end = max_end.max(window.level + PICOTOKENS_PER_TOKEN);
+        let excess = max_end - window.level - window.burst;
         if excess > 0 {
             let tokens = excess as f64 / PICOTOKENS_PER_TOKEN as f64;
-            return Err(format!("spends {tokens} tokens too many in a window from {}", request.at));
+            return Err(format!("exceeds the quota by {tokens} tokens in a window from {} us", request.at));
         }
     }
     Ok(())
 }
 
-/// Each admission as the begin of a window. A window may begin just before its admission.
-fn window_begins(history: &[AdmittedRequest], periods: &[Period]) -> Vec<WindowBegin> {
+/// Returns the window that starts at each admission, just before it.
+fn windows_of(history: &[AdmittedRequest], periods: &[Period]) -> Vec<Window> {
     let (mut produced, mut at, mut current) = (0, 0, 0);
-    let mut begins = Vec::with_capacity(history.len());
+    let mut windows = Vec::with_capacity(history.len());
     for (spent, request) in (0..).zip(history) {
         while let Some(next) = periods.get(current + 1).filter(|next| next.begin <= request.at) {
             produced += periods[current].rate * i128::from(next.begin - at);
@@ -102,7 +102,7 @@
         produced += periods[current].rate * i128::from(request.at - at);
         at = request.at;
         let level = spent * PICOTOKENS_PER_TOKEN - produced;
-        begins.push(WindowBegin { level, burst: periods[current].burst });
+        windows.push(Window { level, burst: periods[current].burst });
     }
-    begins
+    windows
 }
--- a/quotas/tests/simulation/event.rs
+++ b/quotas/tests/simulation/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a simulation, in the order of its time.
+//! The events of a simulation, in the order of their times.
 use super::Fault;
 use decision::Micros;
 use quotas::{GrantResponse, Report};
@@ -13,11 +13,11 @@
     RequestArrives { router: usize, tenant: usize, timer: u64 },
     ConfigArrives { router: usize, incarnation: u64, version: u64 },
     RouterStarts { router: usize },
-    FaultStrikes(Fault),
+    FaultDue(Fault),
 }
 
 impl Event {
-    /// The router whose process handles it.
+    /// The router whose process handles the event.
     pub(super) fn handled_by(&self) -> Option<usize> {
         match self {
             Event::ExchangeDue { router, .. }
@@ -25,12 +25,12 @@
             | Event::ResponseArrives { router, .. }
             | Event::RequestArrives { router, .. }
             | Event::ConfigArrives { router, .. } => Some(*router),
-            Event::ReportArrives { .. } | Event::RouterStarts { .. } | Event::FaultStrikes(_) => None,
+            Event::ReportArrives { .. } | Event::RouterStarts { .. } | Event::FaultDue(_) => None,
         }
     }
 }
 
-/// Events by time; of the same time, the earlier pushed one comes first.
+/// A queue of events ordered by time; events of the same time are ordered by when they were pushed.
 #[derive(Default)]
 pub(super) struct EventQueue {
     order: BinaryHeap<Reverse<(Micros, u64)>>,
@@ -45,7 +45,7 @@
         self.order.push(Reverse((at, self.count)));
     }
 
-    /// The next event with its time, if it is due by `end`.
+    /// Removes and returns the next event and its time, if it is due by `end`.
     pub(super) fn pop_until(&mut self, end: Micros) -> Option<(Micros, Event)> {
         let &Reverse((at, id)) = self.order.peek()?;
         if at > end {
--- a/quotas/tests/simulation/fault.rs
+++ b/quotas/tests/simulation/fault.rs
@@ -1,4 +1,4 @@
-//! What may go wrong or change in a simulation.
+//! Faults and changes that can be scheduled in a simulation.
 use super::event::Event;
 use super::{ConfigVersion, NODES, Node, Simulation};
 use decision::Micros;
@@ -7,40 +7,40 @@
 use settings::fleet::Fleet;
 use std::sync::Arc;
 
-/// How messages travel. Ratios are probabilities, delays microseconds.
+/// The behaviour of the network. Fractions are probabilities; delays are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Network {
     pub(crate) lost: f64,
     pub(crate) duplicated: f64,
     /// The longest delay of most messages.
     pub(crate) max_delay: Micros,
-    /// The probability of a delay up to `max_held_up_delay`.
-    pub(crate) held_up: f64,
-    pub(crate) max_held_up_delay: Micros,
+    /// The probability that a message is slow: its delay is up to `max_slow_delay`.
+    pub(crate) slow: f64,
+    pub(crate) max_slow_delay: Micros,
 }
 
 pub(crate) const RELIABLE_NETWORK: Network =
-    Network { lost: 0.0, duplicated: 0.0, max_delay: 2_000, held_up: 0.0, max_held_up_delay: 2_000 };
+    Network { lost: 0.0, duplicated: 0.0, max_delay: 2_000, slow: 0.0, max_slow_delay: 2_000 };
 
-/// A fault or a change. Indices beyond the last router, node or tenant wrap around.
+/// A fault or a change. Indices above the last router, node or tenant wrap around.
 #[derive(Clone, Debug)]
 pub(crate) enum Fault {
-    /// No message to or from the router arrives.
+    /// No message to or from the router is delivered.
     Disconnect {
         router: usize,
         duration: Micros,
     },
-    /// The router's process is paused; what arrives waits.
+    /// The router's process is paused; its events wait until it resumes.
     Pause {
         router: usize,
         duration: Micros,
     },
-    /// The router's process is killed, and started again after a time.
+    /// The router's process is killed and restarted after `downtime`.
     Kill {
         router: usize,
         downtime: Micros,
     },
-    /// The router releases what it holds, and is started again after a time.
+    /// The router releases what it holds, stops and is restarted after `downtime`.
     Shutdown {
         router: usize,
         downtime: Micros,
@@ -49,18 +49,18 @@
     Elect {
         node: usize,
     },
-    /// All nodes lose what they know.
+    /// All nodes restart and lose their records.
     RestartNodes {
         leader: usize,
     },
-    /// A tenant's quota changes, and the number of routers in the configuration where it is not 0.
+    /// Changes a tenant's quota, and the number of routers in the configuration unless it is 0.
     SetQuota {
         tenant: usize,
         rate: f64,
         burst: u32,
         routers: u32,
     },
-    /// A router's requests per second of a tenant.
+    /// Sets a tenant's requests per second at one router.
     SetDemand {
         router: usize,
         tenant: usize,
@@ -70,7 +70,7 @@
 }
 
 impl Simulation {
-    pub(super) fn strike(&mut self, fault: Fault) {
+    pub(super) fn inject(&mut self, fault: Fault) {
         let routers = self.routers.len();
         match fault {
             Fault::Disconnect { router, duration } => {
--- a/quotas/tests/simulation/mod.rs
+++ b/quotas/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A small fleet in one thread: nodes, routers, a network that loses, delays and duplicates, clocks that run wrong, and
-//! the true time of each admission.
+//! Simulates a small fleet in one thread: nodes, routers, a network that loses, delays and duplicates
+//! messages, and clocks with offset and drift. Records the true time of each admission.
 #![allow(dead_code, reason = "each test and example that includes this module uses a part of it")]
 mod bound;
 mod event;
@@ -19,21 +19,22 @@
 use std::time::{Duration, Instant};
 
 const NODES: usize = 3;
-/// The time between two exchanges of a router, and by how much it varies, microseconds.
+/// The mean time between two exchanges of a router and the greatest deviation from it, microseconds.
 const EXCHANGE_INTERVAL: Micros = 200_000;
 const EXCHANGE_JITTER: Micros = 2_000;
 /// How long a router waits for a response, microseconds.
 const RESPONSE_TIMEOUT: Micros = 500_000;
 /// The shortest time between two early reports of a router, microseconds.
 const MIN_EARLY_REPORT_INTERVAL: Micros = 20_000;
-/// The probability that a report goes to any node instead of the leader, in a network that loses messages.
-const STRAY_PROBABILITY: f64 = 0.05;
+/// The probability that a report goes to a random node instead of the leader, in a network that loses
+/// messages.
+const MISDIRECTED_PROBABILITY: f64 = 0.05;
 
 pub(crate) fn quota(rate: f64, burst: u32, on_loss: OnLoss) -> Quota {
     Quota { rate, burst, on_loss }
 }
 
-/// A configuration with these tenants; the first one is the unnamed one.
+/// A configuration with these tenants; the first one is the default tenant.
 pub(crate) fn fleet(routers: u32, quotas: &[(String, Quota)]) -> Fleet {
     let tenant = |quota: &Quota| Tenant { quota: Some(quota.clone()), ..Tenant::default() };
     let tenants = quotas.iter().map(|(name, quota)| (name.clone(), tenant(quota))).collect();
@@ -60,7 +61,7 @@
     clock: Clock,
 }
 
-/// What a run costs.
+/// Message sizes, handling times and counts of a run.
 #[derive(Default)]
 pub(crate) struct Totals {
     pub(crate) reports: u64,
@@ -87,9 +88,9 @@
     /// Admitted requests by tenant.
     pub(crate) history: Vec<Vec<AdmittedRequest>>,
     pub(crate) totals: Totals,
-    /// Whether sizes and times are measured.
+    /// Whether to measure message sizes and handling times.
     pub(crate) measure: bool,
-    /// Whether routers have slots of fixed shares.
+    /// Whether routers have slots, and so fixed shares.
     has_slots: bool,
 }
 
@@ -138,12 +139,12 @@
         simulation
     }
 
-    /// Schedules a fault.
+    /// Schedules a fault or change.
     pub(crate) fn schedule(&mut self, at: Micros, fault: Fault) {
-        self.events.push(at, Event::FaultStrikes(fault));
+        self.events.push(at, Event::FaultDue(fault));
     }
 
-    /// Runs everything up to a time.
+    /// Processes all events up to a time.
     pub(crate) fn run_until(&mut self, end: Micros) {
         while let Some((at, event)) = self.events.pop_until(end) {
             self.now = self.now.max(at);
@@ -152,7 +153,7 @@
         self.now = end;
     }
 
-    /// Requests of a tenant that were admitted in a span of true time.
+    /// The number of a tenant's requests that were admitted in a period of true time.
     pub(crate) fn admitted(&self, tenant: usize, from: Micros, to: Micros) -> usize {
         self.history[tenant].iter().filter(|request| (from..to).contains(&request.at)).count()
     }
@@ -171,11 +172,12 @@
                 self.receive_config(router, incarnation, version);
             }
             Event::RouterStarts { router } => self.start_router(router),
-            Event::FaultStrikes(fault) => self.strike(fault),
+            Event::FaultDue(fault) => self.inject(fault),
         }
     }
 
-    /// Drops the event of a cancelled timer. What happens to a paused process is handled when it runs again.
+    /// Drops the event of a cancelled timer, and reschedules the event of a paused process to when it
+    /// resumes.
     fn defer_while_paused(&mut self, event: Event) -> Option<Event> {
         let Some(router) = event.handled_by() else { return Some(event) };
         let state = &self.routers[router];
@@ -195,7 +197,8 @@
     }
 
     fn start_router(&mut self, router: usize) {
-        // No router runs without a configuration here: that admits everything.
+        // Every router has a configuration before its first request, because without one it admits
+        // everything.
         let (version, fleet) = self.latest_config();
         let state = &mut self.routers[router];
         state.restart(self.has_slots, &self.settings);
@@ -206,12 +209,13 @@
     }
 
     fn delay(&mut self) -> Micros {
-        let held_up = self.random.random_bool(self.network.held_up);
-        let max = if held_up { self.network.max_held_up_delay } else { self.network.max_delay };
+        let slow = self.random.random_bool(self.network.slow);
+        let max = if slow { self.network.max_slow_delay } else { self.network.max_delay };
         self.random.random_range(1..=max)
     }
 
-    /// The times at which a message between a router and a node arrives: none, one or two.
+    /// The times at which a message between a router and a node arrives: none if it is lost, two if it is
+    /// duplicated.
     fn arrival_times(&mut self, router: usize) -> Vec<Micros> {
         let mut times = Vec::new();
         if self.routers[router].disconnected_until > self.now || self.random.random_bool(self.network.lost) {
@@ -228,9 +232,9 @@
         if self.measure {
             self.totals.report_bytes += postcard::to_stdvec(&report).map_or(0, |bytes| bytes.len() as u64);
         }
-        // Mostly to the leader; sometimes to a node that no longer leads, or will.
-        let strays = self.random.random_bool(STRAY_PROBABILITY);
-        let node = if strays { self.random.random_range(0..NODES) } else { self.leader };
+        // In an unreliable network, a few reports go to a node that does not lead.
+        let is_misdirected = self.random.random_bool(MISDIRECTED_PROBABILITY);
+        let node = if is_misdirected { self.random.random_range(0..NODES) } else { self.leader };
         let node = if self.network.lost > 0.0 { node } else { self.leader };
         for at in self.arrival_times(router) {
             self.events.push(at, Event::ReportArrives { node, router, report: report.clone() });
@@ -255,7 +259,7 @@
     }
 
     fn receive_report(&mut self, node: usize, router: usize, report: Report) {
-        // Only a node that a majority confirms after it has read its clock decides. Its response may be late.
+        // A node may respond only if a majority confirms, after it has read its clock, that it leads.
         if node != self.leader {
             return;
         }
@@ -347,7 +351,7 @@
         self.handle_at_node(node, AllocatorEvent::BecameLeader { term });
     }
 
-    /// The leader learns the latest version.
+    /// Sends the latest configuration to the allocator of a node.
     fn commit_config(&mut self, node: usize) {
         let (version, fleet) = self.latest_config();
         self.handle_at_node(node, AllocatorEvent::Config { version, fleet });
--- a/quotas/tests/simulation/router.rs
+++ b/quotas/tests/simulation/router.rs
@@ -1,14 +1,14 @@
-//! A router's process in a simulation.
+//! A router's process in the simulation.
 use super::event::Event;
 use decision::{Micros, Time};
 use quotas::{QuotaClient, QuotaClientSettings, Settings};
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-/// A process's clock, with an offset and a drift from true time.
+/// A process's clock, which differs from true time by an offset and a drift.
 pub(super) struct Clock {
     offset: Micros,
-    /// Microseconds that the clock counts in a second of true time.
+    /// Microseconds that the clock advances per second of true time.
     micros_per_second: i64,
 }
 
@@ -23,12 +23,12 @@
     }
 }
 
-/// Requests of one tenant at a router.
+/// The requests of one tenant at a router.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Demand {
     /// Requests per second.
     pub(super) rate: f64,
-    /// Requests of earlier timers are cancelled.
+    /// The number of the timer in force; request events of earlier timers are cancelled.
     pub(super) timer: u64,
 }
 
@@ -40,13 +40,13 @@
     pub(super) alive: bool,
     pub(super) paused_until: Micros,
     pub(super) disconnected_until: Micros,
-    /// The sequence number of the exchange that waits for its response.
+    /// The sequence number of the exchange that is waiting for its response.
     pub(super) open_exchange: Option<u64>,
-    /// Exchanges of earlier timers are cancelled.
+    /// The number of the timer in force; exchange events of earlier timers are cancelled.
     pub(super) exchange_timer: u64,
     pub(super) last_early_report: Micros,
     pub(super) demand: Vec<Demand>,
-    /// The version of the configuration that is on its way; 0 for none.
+    /// The configuration version that is being fetched; 0 for none.
     pub(super) fetched_version: u64,
 }
 
@@ -84,7 +84,7 @@
         self.exchange_timer += 1;
     }
 
-    /// Gives up an exchange if it is still open.
+    /// Abandons an exchange if it is still open.
     pub(super) fn time_out(&mut self, incarnation: u64, seq: u64) {
         if self.alive && self.incarnation == incarnation && self.open_exchange == Some(seq) {
             self.open_exchange = None;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Whether the event is of a timer that has been set anew.
+    /// Whether the event belongs to a cancelled timer.
     pub(super) fn has_cancelled(&self, event: &Event) -> bool {
         match *event {
             Event::ExchangeDue { timer, .. } => timer != self.exchange_timer || !self.alive,
--- a/quotas/tests/validation.rs
+++ b/quotas/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Which messages and settings are valid, and how large a message is.
+//! Tests the validation of messages and settings, and the size of a message.
 mod common;
 use common::{SECOND, SmallFleet, TTL, fleet, fleet_of};
 use quotas::{
@@ -8,17 +8,17 @@
 use settings::fleet::{OnLoss, Quota};
 
 #[test]
-fn report_of_an_impossible_demand_is_refused() {
-    let mut small = SmallFleet::new(fleet(1, 1.0, 1, OnLoss::Closed), 1);
-    let mut report = small.report(0);
+fn report_with_out_of_range_demand_is_rejected() {
+    let mut small_fleet = SmallFleet::new(fleet(1, 1.0, 1, OnLoss::Closed), 1);
+    let mut report = small_fleet.report(0);
     report.demand = vec![TenantDemand { tenant: "a".into(), rate: u64::MAX }];
     let error = InvalidMessage::OutOfRange { field: "a demand of", value: u64::MAX };
     assert_eq!(report.check(), Err(error));
-    assert_eq!(small.respond(report), None);
+    assert_eq!(small_fleet.respond(report), None);
 }
 
 #[test]
-fn response_with_an_impossible_capacity_is_refused() {
+fn response_with_out_of_range_capacity_is_rejected() {
     let grant = Some(Grant { rate: 1, capacity: u64::MAX });
     let changes = vec![GrantChange { tenant: "a".into(), grant }];
     let body = ResponseBody::Renewed { reset: true, reserved_share: None, changes };
@@ -33,32 +33,32 @@
 }
 
 #[test]
-fn duration_of_zero_is_refused() {
+fn zero_duration_is_rejected() {
     let error = InvalidSettings::Duration { key: "ttl", value: 0 };
     assert_eq!(Settings { ttl: 0, ..Settings::default() }.check(), Err(error));
 }
 
 #[test]
-fn clock_drift_that_is_no_number_is_refused() {
+fn nan_clock_drift_is_rejected() {
     let settings = Settings { max_clock_drift: f64::NAN, ..Settings::default() };
     assert!(matches!(settings.check(), Err(InvalidSettings::Ratio { key: "max_clock_drift", .. })));
 }
 
 #[test]
-fn settle_time_of_no_more_than_a_lifetime_is_refused() {
+fn settle_time_not_above_grant_lifetime_is_rejected() {
     let settings = Settings { settle_time: TTL, ..Settings::default() };
     assert!(matches!(settings.check(), Err(InvalidSettings::SettleTime { value: TTL, .. })));
 }
 
 #[test]
-fn exchange_without_changes_is_small_and_survives_encoding() {
+fn messages_without_changes_are_small_and_round_trip() {
     let names: Vec<String> = (0..1_000).map(|i| format!("tenant-{i}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let quota = Quota { rate: 100.0, burst: 50, on_loss: OnLoss::Closed };
-    let mut small = SmallFleet::new(fleet_of(10, &names, &quota), 1);
-    small.run(SECOND);
-    let report = small.report(0);
-    let response = small.respond(report.clone()).unwrap();
+    let mut small_fleet = SmallFleet::new(fleet_of(10, &names, &quota), 1);
+    small_fleet.run(SECOND);
+    let report = small_fleet.report(0);
+    let response = small_fleet.respond(report.clone()).unwrap();
     let report_bytes = postcard::to_stdvec(&report).unwrap();
     let response_bytes = postcard::to_stdvec(&response).unwrap();
     assert!(report_bytes.len() < 24, "{}", report_bytes.len());
