--- a/placement/src/interface.rs
+++ b/placement/src/interface.rs
@@ -1,37 +1,37 @@
-//! The state machine's inputs and outputs, and its settings.
+//! The state machine's inputs, outputs and settings.
 use decision::{GroupId, MemberState, Micros, Time};
 use settings::fleet::{Fleet, Version};
 use std::sync::Arc;
 
-/// How long a member whose site has changed is outside of every boundary, in microseconds.
+/// How long a member is outside every boundary after its site has changed, in microseconds.
 const DEFAULT_SITE_SETTLE_TIME: Micros = 2_000_000;
-/// How long an answer that denies the role of primary prevails over probes, in microseconds.
+/// How long a response that denies the primary role takes precedence over probes, in microseconds.
 const DEFAULT_DENIAL_TIME: Micros = 1_000_000;
 
 /// Settings of the state machine.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The names of the request classes, in the order of their numbers.
+    /// The names of the request classes, by class number.
     pub classes: Vec<String>,
-    /// A member whose site has changed is outside of every boundary for this long: longer than idle connections to its
-    /// old site live, and than answers from there are in transit.
+    /// How long a member is outside every boundary after its site has changed. Must be longer than the idle
+    /// timeout of connections to its old site and than the time in which responses from there are in transit.
     pub site_settle_time: Micros,
-    /// A probe that names a member as the primary is ignored for this long after an answer of that member denied it: the
-    /// probe's result may be older.
+    /// How long a probe that reports a member as primary is ignored after a response of that member denied
+    /// it, because the probe's result may be older.
     pub denial_time: Micros,
 }
 
 impl Settings {
-    /// The settings for these classes, with the default times.
+    /// Creates settings for these classes with the default times.
     pub fn new(classes: Vec<String>) -> Self {
         Settings { classes, site_settle_time: DEFAULT_SITE_SETTLE_TIME, denial_time: DEFAULT_DENIAL_TIME }
     }
 }
 
-/// What the fleet's store has brought of the rules.
+/// An update of the rules from the fleet's store.
 #[derive(Clone, Debug)]
 pub enum RulesUpdate {
-    /// A configuration was read. It is ignored unless it is newer than the present one.
+    /// A configuration was received. It is ignored unless it is newer than the present one.
     Received {
         /// Its version.
         version: Version,
@@ -40,7 +40,7 @@
     },
     /// The present configuration is confirmed to be the current one until this time.
     Confirmed {
-        /// On the clock of the events.
+        /// The end of the confirmation, on the clock of the events.
         until: Time,
     },
 }
@@ -48,11 +48,11 @@
 /// An entry of the member list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name, the same after a restart.
+    /// Its name, which remains the same after a restart.
     pub name: Arc<str>,
     /// Its group.
     pub group: GroupId,
-    /// Its site. A member of an unknown site is outside of every boundary.
+    /// Its site, if known. A member without one is outside every boundary.
     pub site: Option<Arc<str>>,
     /// Its state.
     pub state: MemberState,
@@ -60,19 +60,19 @@
     pub primary: bool,
 }
 
-/// What a member reports its role with.
+/// The kind of message in which a member reported its role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
     /// The response to a request.
     Response,
-    /// The response to a probe, which may be older than what a response to a request reported.
+    /// The response to a probe. It may be older than the last response to a request.
     Probe,
 }
 
-/// A request as far as its placement depends on it.
+/// The properties of a request that determine its placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoutingQuery<'a> {
-    /// The name of its tenant, where it has one.
+    /// The name of its tenant, if it has one.
     pub tenant: Option<&'a str>,
     /// The number of its class.
     pub class: usize,
@@ -85,54 +85,54 @@
 /// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The rules have changed or were confirmed.
+    /// The rules have changed or have been confirmed.
     RulesUpdated(RulesUpdate),
     /// The member list has changed.
     MembersUpdated {
-        /// Whether the entries are the whole list: a member that it lacks has left.
+        /// Whether the entries are the whole list: members that it lacks have been removed.
         complete: bool,
-        /// New and changed entries, or all.
+        /// The new and changed entries, or all entries if the list is complete.
         entries: Vec<Member>,
     },
     /// A member has reported whether it is its group's primary.
     RoleReported {
         /// Its name.
         member: Arc<str>,
-        /// Whether it is.
+        /// Whether it is the primary.
         primary: bool,
-        /// What it has reported it with.
+        /// The kind of message that contained the report.
         source: ReportSource,
     },
-    /// A member turned out to be reachable or not.
+    /// A member has become reachable or unreachable.
     ReachabilityChanged {
         /// Its name.
         member: Arc<str>,
         /// Whether it could be reached.
         reachable: bool,
     },
-    /// The time of [`Action::SetTimer`] has come.
+    /// The time of an [`Action::SetTimer`] has been reached.
     TimerExpired,
 }
 
-/// What the driver must do, in this order.
+/// An output that the driver must carry out; several are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A view has exactly these members from now on. No attempt may be sent through it to any other member, those that
-    /// are queued included; attempts in flight end by themselves.
+    /// A view now has exactly these members. No attempt may be sent through it to any other member, including
+    /// attempts that are queued. Attempts in flight are not interrupted.
     UpdateView {
         /// The view's number.
         view: GroupId,
-        /// The group that it is a part of.
+        /// The group that the view is a part of.
         base: GroupId,
         /// The members' names, in order.
         members: Vec<Arc<str>>,
     },
-    /// What [`PlacementEngine::route`](crate::PlacementEngine::route) returns may have changed: ask it again for each
-    /// queued request.
+    /// The results of [`PlacementEngine::route`](crate::PlacementEngine::route) may have changed: call it
+    /// again for each queued request.
     RerouteQueued,
-    /// Hand in [`Event::TimerExpired`] at this time.
+    /// Pass in [`Event::TimerExpired`] at this time.
     SetTimer {
-        /// When.
+        /// When to pass it in.
         at: Time,
     },
 }
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -1,10 +1,12 @@
-//! Keeps a tenant's data inside its sites: which members a request may be sent to, for each group and each boundary
-//! that a placement rule draws.
+//! Restricts a tenant's requests to permitted sites: decides which members of a group a request may be sent
+//! to, according to the fleet's placement rules.
 //!
-//! A *boundary* is a set of sites, strict or preferred; rules of different tenants that draw the same one share it. A
-//! *view* is a boundary's part of a group: a group number of its own, made when the first request asks for it. The
-//! state machine [`PlacementEngine`] does no I/O and reads no clock. Its driver hands it [`Event`]s, carries out its [`Action`]s,
-//! and asks [`PlacementEngine::route`] for the group of each request. `docs/design/placement.md` has the guarantees.
+//! A *boundary* is a set of sites, strict or preferred. Rules of different tenants with the same sites and
+//! strictness share one boundary. A *view* is the part of a group that a boundary permits. It is a group with
+//! its own number and is created when the first request needs it. The state machine [`PlacementEngine`] does
+//! no I/O and reads no clock. Its driver passes it [`Event`]s, carries out its [`Action`]s, and calls
+//! [`PlacementEngine::route`] for the group of each request. The guarantees are described in
+//! `docs/design/placement.md`.
 mod error;
 mod interface;
 mod machine;
--- a/placement/src/machine/groups.rs
+++ b/placement/src/machine/groups.rs
@@ -1,19 +1,19 @@
-//! A group's members and primary, and the views of it.
+//! The members and the primary of a group, and its views.
 use decision::GroupId;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A group as the member list has it.
+/// A group of the member list.
 #[derive(Debug, Default)]
 pub(super) struct Group {
     pub(super) members: BTreeSet<Arc<str>>,
     /// The member that last reported that it is the primary.
-    pub(super) claimed_primary: Option<Arc<str>>,
+    pub(super) reported_primary: Option<Arc<str>>,
     /// The member that is treated as the primary.
     pub(super) primary: Option<Arc<str>>,
 }
 
-/// A boundary's part of a group.
+/// The members of a group that a boundary permits, which form a group with its own number.
 #[derive(Debug)]
 pub(super) struct View {
     pub(super) number: GroupId,
--- a/placement/src/machine/member_record.rs
+++ b/placement/src/machine/member_record.rs
@@ -1,21 +1,23 @@
-//! What is known of one member.
+//! The state machine's record of one member.
 use crate::interface::Member;
 use decision::{GroupId, MemberState, Time};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What is known of a member.
+/// The state of a member, from the member list and from the member's own reports.
 #[derive(Debug)]
 pub(super) struct MemberRecord {
     pub(super) group: GroupId,
     pub(super) site: Option<Arc<str>>,
-    /// The site has changed: until then the member is outside of every boundary.
+    /// After a change of site: the time from which the new site counts. Until then the member is outside
+    /// every boundary.
     pub(super) site_settles_at: Option<Time>,
     pub(super) state: MemberState,
-    /// When it left the list. Its site is remembered for as long as a change of it would have to be noticed.
+    /// When it left the member list. The record is retained for the site settle time, so that a return at
+    /// another site counts as a change of site.
     pub(super) left_at: Option<Time>,
     pub(super) is_listed_primary: bool,
-    /// It has reported that it is not the primary, since the list last began to name it as that.
+    /// It has reported that it is not the primary, and the list has not newly named it primary since.
     pub(super) denies_primary: bool,
     /// When a response last reported that it is not the primary.
     pub(super) denied_primary_at: Option<Time>,
@@ -23,7 +25,7 @@
 }
 
 impl MemberRecord {
-    /// A member that the list has named for the first time.
+    /// Creates a record from a member's first entry in the list.
     pub(super) fn new(entry: &Member) -> MemberRecord {
         MemberRecord {
             group: entry.group,
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Whether its site is one of these, and has been for long enough.
+    /// Whether its site is one of these and has not changed within the settle time.
     pub(super) fn is_inside(&self, sites: &BTreeSet<String>) -> bool {
         self.site_settles_at.is_none() && self.site.as_deref().is_some_and(|site| sites.contains(site))
     }
@@ -48,7 +50,7 @@
         self.state == MemberState::Ready
     }
 
-    /// The site in words, for an error message.
+    /// The site as text for an error message.
     pub(super) fn describe_site(&self) -> String {
         match (&self.site, self.site_settles_at) {
             (Some(site), None) => site.to_string(),
--- a/placement/src/machine/mod.rs
+++ b/placement/src/machine/mod.rs
@@ -1,7 +1,9 @@
-//! The state machine: rules and members come in as events, the members of each view go out as actions.
+//! The state machine: rules and member data are its input events, and the members of each view are its output
+//! actions.
 //!
-//! `members` follows what is known of each member (`member_record`), `views` the groups and views (`groups`) that follow
-//! from it, `time` what changes by time alone.
+//! `members` maintains the record of each member (`member_record`), `views` derives the primaries of groups
+//! and the members of views (`groups`) from the records, and `time` handles changes that depend on time
+//! alone.
 mod groups;
 mod member_record;
 mod members;
@@ -18,10 +20,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The lowest number of a view: no request may name a group of this number or a higher one.
+/// The lowest group number of a view. Requests must name groups below it.
 pub const FIRST_VIEW: u32 = 1 << 31;
 
-/// Which members a request may be sent to.
+/// Decides which members a request may be sent to.
 #[derive(Debug)]
 pub struct PlacementEngine {
     settings: Settings,
@@ -31,18 +33,18 @@
     groups: BTreeMap<GroupId, Group>,
     views: BTreeMap<(GroupId, BoundaryId), View>,
     next_view: u32,
-    /// The rules are confirmed until then.
+    /// Until this time the rules are confirmed to be the current ones.
     confirmed_until: Option<Time>,
-    /// Whether they were at the last event: strict views are empty while they are not.
+    /// Whether the rules were confirmed at the last event. Strict views are empty while they are not.
     is_confirmed: bool,
-    /// Times at which a member's site is settled or a member is forgotten.
+    /// The times at which a member's new site starts to count or the record of a removed member is dropped.
     member_deadlines: BTreeSet<Time>,
-    /// The earliest time that was asked for with [`Action::SetTimer`] and has not come.
+    /// The earliest pending time requested with [`Action::SetTimer`].
     timer: Option<Time>,
 }
 
 impl PlacementEngine {
-    /// A state machine without rules and members.
+    /// Creates a state machine without rules and members.
     pub fn new(settings: Settings) -> Self {
         PlacementEngine {
             settings,
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Handles one event and appends the actions that follow from it, in order.
+    /// Handles one event and appends the resulting actions, in order.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::RulesUpdated(RulesUpdate::Received { version, fleet }) => {
@@ -80,17 +82,17 @@
         self.on_time(now, actions);
     }
 
-    /// Whether a timer is due: [`Event::TimerExpired`] must be handled before any other event.
+    /// Whether a timer is due: if so, [`Event::TimerExpired`] must be handled before any other event.
     pub fn is_due(&self, now: Time) -> bool {
         self.timer.is_some_and(|t| t <= now)
     }
 
-    /// The group that a request is to be decided in: the view of its tenant's rule for its class, or the group
-    /// that it names where there is no such rule. A view that is asked for the first time is announced in `actions`; they
-    /// must be carried out before the request is forwarded.
+    /// Returns the group to route a request in: the view for its tenant's rule for its class, or the group
+    /// that it names if there is no such rule. The first request for a view creates it with an entry in
+    /// `actions`; the actions must be carried out before the request is forwarded.
     ///
     /// # Errors
-    /// [`PlacementError`] where no member may serve the request: nothing of it may leave the router.
+    /// [`PlacementError`] if no member may serve the request. No part of it may leave the router then.
     pub fn route(
         &mut self,
         now: Time,
@@ -119,7 +121,8 @@
         Ok(view.number)
     }
 
-    /// Whether a strict view can serve a request: one inside is ready and, where a primary is needed, it is inside.
+    /// Checks that a strict view can serve a request: a member of it is in service and, if the primary is
+    /// needed, the primary is in the view.
     fn check_strict(
         &self,
         group: GroupId,
@@ -140,28 +143,28 @@
         }
     }
 
-    /// A group's primary: the last member that reported so itself, else the listed one.
+    /// A group's primary: the member that last reported being the primary, otherwise the listed one.
     pub fn primary(&self, group: GroupId) -> Option<&Arc<str>> {
         self.groups.get(&group)?.primary.as_ref()
     }
 
-    /// The names of a group's members, whatever their sites.
+    /// The names of all members of a group, at any site.
     pub fn members(&self, group: GroupId) -> impl Iterator<Item = &Arc<str>> {
         self.groups.get(&group).into_iter().flat_map(|g| &g.members)
     }
 
-    /// All views: their numbers, groups and members.
+    /// All views, as the view's number, its group and its members.
     pub fn views(&self) -> impl Iterator<Item = (GroupId, GroupId, &BTreeSet<Arc<str>>)> {
         self.views.iter().map(|((base, _), view)| (view.number, *base, &view.members))
     }
 
-    /// Takes the rules of a newer version, and closes the views whose boundaries no rule draws any more.
+    /// Applies the rules of a newer version and removes the views whose boundaries are not used by any rule.
     fn on_rules(&mut self, version: Version, fleet: &Fleet, actions: &mut Vec<Action>) {
         if self.rules.as_ref().is_some_and(|rules| rules.version >= version) {
             return;
         }
         let replaced = self.rules.as_ref();
-        let rules = Rules::read(version, fleet, &self.settings.classes, replaced, &mut self.last_boundary);
+        let rules = Rules::compile(version, fleet, &self.settings.classes, replaced, &mut self.last_boundary);
         self.views.retain(|(base, id), view| {
             let is_used = rules.boundaries.contains_key(id);
             if !is_used {
--- a/placement/src/machine/time.rs
+++ b/placement/src/machine/time.rs
@@ -1,4 +1,5 @@
-//! What time alone changes: sites settle, members are forgotten, confirmations end.
+//! Handles changes that depend on time alone: new sites start to count, records of removed members are
+//! dropped, and confirmations expire.
 use super::PlacementEngine;
 use crate::interface::Action;
 use decision::{GroupId, Time};
@@ -18,7 +19,8 @@
         self.set_timer(now, actions);
     }
 
-    /// Settles sites and forgets members whose time has come. Returns the groups whose views may change by it.
+    /// Applies site changes whose settle time is over and drops the records of members that were removed a
+    /// settle time ago. Returns the groups whose views may change.
     fn settle_members(&mut self, now: Time) -> BTreeSet<GroupId> {
         let mut changed_groups = BTreeSet::new();
         if self.member_deadlines.first().is_none_or(|t| *t > now) {
@@ -32,17 +34,17 @@
                 member.site_settles_at = None;
                 changed_groups.insert(member.group);
             }
-            let is_forgotten = member.left_at.is_some_and(|t| t.0 + settle_time <= now.0);
-            if is_forgotten && let Some(group) = groups.get_mut(&member.group) {
+            let is_expired = member.left_at.is_some_and(|t| t.0 + settle_time <= now.0);
+            if is_expired && let Some(group) = groups.get_mut(&member.group) {
                 group.members.remove(name);
             }
-            !is_forgotten
+            !is_expired
         });
         self.groups.retain(|_, group| !group.members.is_empty());
         changed_groups
     }
 
-    /// Asks for a timer where the next deadline is earlier than the one that is set.
+    /// Requests a timer if the next deadline is earlier than the one that is set.
     fn set_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.is_due(now) {
             self.timer = None;
--- a/placement/src/machine/views.rs
+++ b/placement/src/machine/views.rs
@@ -1,4 +1,4 @@
-//! Groups with their primaries, and the members of each view.
+//! Derives the primary of each group and the members of each view.
 use super::PlacementEngine;
 use super::groups::View;
 use crate::interface::Action;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 impl PlacementEngine {
-    /// Makes the view where it does not exist.
+    /// Creates the view if it does not exist.
     pub(super) fn ensure_view(&mut self, key: (GroupId, BoundaryId), actions: &mut Vec<Action>) {
         if self.views.contains_key(&key) {
             return;
@@ -19,7 +19,7 @@
         self.update_view(key, actions);
     }
 
-    /// Determines a group's primary and its views' members anew, after something of its members has changed.
+    /// Recomputes a group's primary and the members of its views after a change of its members.
     pub(super) fn update_group(&mut self, group: GroupId, actions: &mut Vec<Action>) {
         self.update_primary(group, actions);
         let all_boundaries = (group, BoundaryId::MIN)..=(group, BoundaryId::MAX);
@@ -32,24 +32,24 @@
     fn update_primary(&mut self, group: GroupId, actions: &mut Vec<Action>) {
         let Some(group) = self.groups.get_mut(&group) else { return };
         let members = &self.members;
-        let may_claim = |name: &Arc<str>| group.members.contains(name) && members[name].is_ready();
-        if group.claimed_primary.as_ref().is_some_and(|name| !may_claim(name)) {
-            group.claimed_primary = None;
+        let can_be_primary = |name: &Arc<str>| group.members.contains(name) && members[name].is_ready();
+        if group.reported_primary.as_ref().is_some_and(|name| !can_be_primary(name)) {
+            group.reported_primary = None;
         }
         let is_listed_primary = |name: &&Arc<str>| {
             let member = &members[*name];
             member.is_listed_primary && !member.denies_primary && member.is_reachable && member.is_ready()
         };
         let listed = || group.members.iter().find(is_listed_primary).cloned();
-        let primary = group.claimed_primary.clone().or_else(listed);
+        let primary = group.reported_primary.clone().or_else(listed);
         if group.primary != primary {
             group.primary = primary;
             actions.push(Action::RerouteQueued);
         }
     }
 
-    /// The members that a boundary has in a group.
-    fn members_within(&self, group: GroupId, boundary: &Boundary) -> BTreeSet<Arc<str>> {
+    /// The members of a group that a boundary permits.
+    fn permitted_members(&self, group: GroupId, boundary: &Boundary) -> BTreeSet<Arc<str>> {
         let Some(group) = self.groups.get(&group) else { return BTreeSet::new() };
         let records = group.members.iter().map(|name| (name, &self.members[name]));
         let listed = records.filter(|(_, member)| member.left_at.is_none());
@@ -57,8 +57,8 @@
         if boundary.strict {
             return inside.filter(|_| self.is_confirmed).map(|(name, _)| name.clone()).collect();
         }
-        let inside_serves = inside.clone().any(|(_, member)| member.is_ready() && member.is_reachable);
-        if !inside_serves {
+        let inside_can_serve = inside.clone().any(|(_, member)| member.is_ready() && member.is_reachable);
+        if !inside_can_serve {
             return listed.map(|(name, _)| name.clone()).collect();
         }
         inside.map(|(name, _)| name).chain(&group.primary).cloned().collect()
@@ -68,7 +68,7 @@
         let Some(boundary) = self.rules.as_ref().and_then(|rules| rules.boundaries.get(&key.1)) else {
             return;
         };
-        let members = self.members_within(key.0, boundary);
+        let members = self.permitted_members(key.0, boundary);
         let has_ready_member = members.iter().any(|name| self.members[name].is_ready());
         let Some(view) = self.views.get_mut(&key) else { return };
         if std::mem::replace(&mut view.has_ready_member, has_ready_member) != has_ready_member {
--- a/placement/src/rules.rs
+++ b/placement/src/rules.rs
@@ -1,17 +1,17 @@
-//! The rules of tenants by class, and the boundaries that they draw.
+//! The placement rules of tenants by request class, and the boundaries that they define.
 use settings::fleet::{Fleet, PlacementRule, Tenant, Version};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Where data may be.
+/// A set of sites that requests are restricted to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Boundary {
     pub(crate) sites: BTreeSet<String>,
-    /// Nowhere else at all; otherwise the sites are a preference.
+    /// Whether members at other sites must never be used; otherwise the sites are a preference.
     pub(crate) strict: bool,
 }
 
 impl Boundary {
-    /// The sites in words, for an error message.
+    /// The sites as text for an error message.
     pub(crate) fn describe_sites(&self) -> String {
         if self.sites.is_empty() {
             return "no site at all".into();
@@ -20,39 +20,39 @@
     }
 }
 
-/// A boundary's number. It is never given to another boundary.
+/// Identifies a boundary. An ID is never reused for another boundary.
 pub(crate) type BoundaryId = u32;
 
-/// A tenant's boundary for each class; the last one is for classes that are not known.
+/// A tenant's boundary for each class; the last entry is for unknown classes.
 type BoundariesByClass = Box<[Option<BoundaryId>]>;
 
-/// The rules of one version.
+/// The rules of one version of the configuration.
 #[derive(Debug, Default)]
 pub(crate) struct Rules {
     pub(crate) version: Version,
-    /// The boundaries that some rule draws.
+    /// The boundaries that at least one rule defines.
     pub(crate) boundaries: BTreeMap<BoundaryId, Boundary>,
     tenants: HashMap<String, BoundariesByClass>,
-    /// For requests of tenants that are not known, and of none.
-    unnamed: BoundariesByClass,
+    /// Applies to requests without a tenant or with an unknown one.
+    default_tenant: BoundariesByClass,
 }
 
 impl Rules {
-    /// The rules of a configuration. Boundaries that `replaced` had keep their numbers; `last_boundary` is the last
-    /// number that was given.
-    pub(crate) fn read(
+    /// Compiles the rules of a configuration. Boundaries that are also in `replaced` retain their IDs;
+    /// `last_boundary` is the last ID that was assigned.
+    pub(crate) fn compile(
         version: Version,
         fleet: &Fleet,
         classes: &[String],
         replaced: Option<&Rules>,
         last_boundary: &mut BoundaryId,
     ) -> Rules {
-        let mut numbers: BTreeMap<Boundary, BoundaryId> =
+        let mut boundary_ids: BTreeMap<Boundary, BoundaryId> =
             replaced.iter().flat_map(|rules| &rules.boundaries).map(|(id, b)| (b.clone(), *id)).collect();
         let mut boundaries = BTreeMap::new();
-        let mut number = |place: &PlacementRule| {
-            let boundary = Boundary { sites: place.sites.clone(), strict: place.strict };
-            let id = *numbers.entry(boundary.clone()).or_insert_with(|| {
+        let mut assign_id = |rule: &PlacementRule| {
+            let boundary = Boundary { sites: rule.sites.clone(), strict: rule.strict };
+            let id = *boundary_ids.entry(boundary.clone()).or_insert_with(|| {
                 *last_boundary += 1;
                 *last_boundary
             });
@@ -60,33 +60,34 @@
             id
         };
         let mut by_class = |tenant: &Tenant| -> BoundariesByClass {
-            places_by_class(tenant, classes).map(|place| place.map(&mut number)).collect()
+            rules_by_class(tenant, classes).map(|rule| rule.map(&mut assign_id)).collect()
         };
         let tenants: HashMap<String, BoundariesByClass> =
             fleet.tenants.iter().map(|(name, tenant)| (name.clone(), by_class(tenant))).collect();
-        let unnamed = tenants.get(&fleet.default_tenant).cloned().unwrap_or_default();
-        Rules { version, boundaries, tenants, unnamed }
+        let default_tenant = tenants.get(&fleet.default_tenant).cloned().unwrap_or_default();
+        Rules { version, boundaries, tenants, default_tenant }
     }
 
-    /// The boundary of a tenant for a class, by the unnamed tenant's rules where the tenant is not known or none.
+    /// The boundary of a tenant for a class. The default tenant's rules apply if the tenant is unknown or
+    /// `None`.
     pub(crate) fn boundary(&self, tenant: Option<&str>, class: usize) -> Option<BoundaryId> {
-        let by_class = tenant.and_then(|t| self.tenants.get(t)).unwrap_or(&self.unnamed);
+        let by_class = tenant.and_then(|t| self.tenants.get(t)).unwrap_or(&self.default_tenant);
         *by_class.get(class).or(by_class.last())?
     }
 }
 
-/// A tenant's rule for each class, and last the one for classes that are not known. The first rule that names the class
-/// counts, else the first that names none.
-fn places_by_class<'a>(
+/// A tenant's rule for each class, followed by the one for unknown classes. The first rule that names the
+/// class applies, otherwise the first that names no classes.
+fn rules_by_class<'a>(
     tenant: &'a Tenant,
     classes: &'a [String],
 ) -> impl Iterator<Item = Option<&'a PlacementRule>> {
-    let rest = tenant.placement_rules.iter().find(|place| place.classes.is_none());
-    let named = |class: &String| {
+    let general_rule = tenant.placement_rules.iter().find(|rule| rule.classes.is_none());
+    let rule_for_class = |class: &String| {
         tenant
             .placement_rules
             .iter()
-            .find(|place| place.classes.as_ref().is_some_and(|names| names.contains(class)))
+            .find(|rule| rule.classes.as_ref().is_some_and(|names| names.contains(class)))
     };
-    classes.iter().map(move |class| named(class).or(rest)).chain([rest])
+    classes.iter().map(move |class| rule_for_class(class).or(general_rule)).chain([general_rule])
 }
--- a/placement/tests/recorded_run.rs
+++ b/placement/tests/recorded_run.rs
@@ -1,5 +1,5 @@
-//! A recorded run: random events of fixed seeds, and every action and decision that they had. The record under
-//! `fixtures/` was written by the state machine before its names were revised.
+//! Runs random events with fixed seeds and compares every action and decision with recorded output under
+//! `fixtures/`, which was written before the state machine's identifiers were renamed.
 use decision::{GroupId, MemberState, Time};
 use placement::{Action, Event, Member, PlacementEngine, ReportSource, RoutingQuery, RulesUpdate, Settings};
 use settings::fleet::{Fleet, PlacementRule, Tenant};
@@ -12,7 +12,8 @@
 const FIXTURES: Fixtures = testkit::fixtures!();
 const SEEDS: u64 = 20;
 const EVENTS: usize = 2_000;
-/// Lines of the first seed's run that the fixture has as text.
+/// The number of lines of the first seed's run that the fixture contains as text; the other lines are only
+/// hashed.
 const READABLE_LINES: usize = 200;
 const SITES: [&str; 4] = ["", "a", "b", "c"];
 const TENANTS: [&str; 3] = ["t", "u", "anyone"];
@@ -22,7 +23,7 @@
     random.pick(names).to_string()
 }
 
-fn random_place(random: &mut SplitMix64) -> PlacementRule {
+fn random_rule(random: &mut SplitMix64) -> PlacementRule {
     let sites = SITES[1..].iter().filter(|_| random.coin()).map(ToString::to_string).collect();
     let classes = random.coin().then(|| [pick(random, &CLASSES)].into());
     PlacementRule { sites, strict: random.below(3) > 0, classes }
@@ -30,8 +31,8 @@
 
 fn random_fleet(random: &mut SplitMix64) -> Fleet {
     let tenants = TENANTS.map(|name| {
-        let places = (0..random.below(3)).map(|_| random_place(random)).collect();
-        (name.to_string(), Tenant { placement_rules: places, ..Tenant::default() })
+        let rules = (0..random.below(3)).map(|_| random_rule(random)).collect();
+        (name.to_string(), Tenant { placement_rules: rules, ..Tenant::default() })
     });
     Fleet { default_tenant: "anyone".into(), tenants: tenants.into(), ..Fleet::default() }
 }
@@ -119,9 +120,9 @@
         let tenant = (tenant != "anyone").then_some(tenant.as_str());
         let query = RoutingQuery { tenant, class, group, needs_primary };
         let routed = self.engine.route(self.now, &query, &mut actions);
-        let result = routed.map_or_else(|error| error.to_string(), |to| to.0.to_string());
-        let question = format!("{tenant:?} {class} {} {needs_primary}", group.0);
-        writeln!(self.record, "{} route {question}: {result}", self.now.0).unwrap();
+        let result = routed.map_or_else(|error| error.to_string(), |routed_group| routed_group.0.to_string());
+        let query_text = format!("{tenant:?} {class} {} {needs_primary}", group.0);
+        writeln!(self.record, "{} route {query_text}: {result}", self.now.0).unwrap();
         self.record_actions(actions);
     }
 
@@ -164,12 +165,12 @@
 
 #[test]
 fn actions_and_decisions_match_recorded_run() {
-    let mut found = String::new();
+    let mut output = String::new();
     for seed in 1..=SEEDS {
         let mut run = Run::new(seed);
         (0..EVENTS).for_each(|_| run.step());
         writeln!(
-            found,
+            output,
             "seed {seed}: {} lines, hash {:016x}",
             run.record.lines().count(),
             fnv1a(&run.record)
@@ -177,9 +178,9 @@
         .unwrap();
         if seed == 1 {
             for line in run.record.lines().take(READABLE_LINES) {
-                writeln!(found, "{line}").unwrap();
+                writeln!(output, "{line}").unwrap();
             }
         }
     }
-    FIXTURES.assert_same("recorded_run.txt", found);
+    FIXTURES.assert_same("recorded_run.txt", output);
 }
