--- a/registry/src/cache.rs
+++ b/registry/src/cache.rs
@@ -1,4 +1,5 @@
-//! The last node list on disk, for a start while no registry answers. A file that is incomplete or damaged is refused.
+//! The node list on disk, used at startup while no registry member responds. Truncated or corrupt files are
+//! rejected.
 use crate::machine::Item;
 use serde::{Deserialize, Serialize};
 use std::fs::File;
@@ -7,46 +8,46 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Begins the file; names its version.
+/// File header: a magic number with the format version.
 const MAGIC: &[u8; 8] = b"DVREGI\x01\n";
-/// The size of the checksum behind it.
+/// The size of the checksum that follows the header.
 const CHECKSUM_BYTES: usize = 8;
 const FILE_NAME: &str = "registry";
-/// The file while it is written.
+/// The temporary file that is renamed to `FILE_NAME` once it is complete.
 const NEW_FILE_NAME: &str = "registry.new";
 
-/// What the file holds.
+/// The contents of the file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct CachedList {
-    /// When it was current, in microseconds of Unix time.
+    /// When the list was current, as a Unix time in microseconds.
     pub at: i64,
-    /// The revision at which it was read.
+    /// The registry revision of the list.
     pub revision: u64,
-    /// Keys: name, value, created, modified.
+    /// One tuple per key: name, value, creation revision, modification revision.
     pub items: Vec<(String, Vec<u8>, u64, u64)>,
 }
 
 impl CachedList {
-    /// The keys as a registry would give them.
+    /// Converts the keys to the items that a registry would return.
     pub fn items(self) -> impl Iterator<Item = Item> {
         let item = |(key, value, created, modified)| Item { key, value, created, modified };
         self.items.into_iter().map(item)
     }
 }
 
-/// Why the last list is not used. A start goes on without it.
+/// Why the saved list cannot be used. The router then starts without it.
 #[derive(Debug, Error)]
 pub enum CacheError {
-    /// It can't be read.
+    /// The file cannot be read.
     #[error("{}: {source}", .path.display())]
     Read {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why not.
+        /// The I/O error.
         source: io::Error,
     },
-    /// It is incomplete, damaged, or of another version.
-    #[error("{}: it is not whole, or of another version", .0.display())]
+    /// The file is truncated, corrupt or has another format version.
+    #[error("{}: the saved list is truncated, corrupt or of another version", .0.display())]
     Invalid(PathBuf),
 }
 
@@ -54,10 +55,10 @@
     folder.join(FILE_NAME)
 }
 
-/// Replaces the list on disk; a crash leaves the old one or the new one.
+/// Replaces the list on disk atomically: after a crash the file holds either the old list or the new one.
 ///
 /// # Errors
-/// The folder or the file can't be written; the old list stays.
+/// If the folder or the file cannot be written; the old list is then unchanged.
 pub fn write(folder: &Path, list: &CachedList) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
     let body = postcard::to_stdvec(list).map_err(io::Error::other)?;
@@ -69,10 +70,10 @@
     File::open(folder)?.sync_all()
 }
 
-/// Reads the list on disk; `None` where there is none.
+/// Reads the list from disk; `None` if the file does not exist.
 ///
 /// # Errors
-/// It can't be read, or is incomplete, damaged, or of another version.
+/// If the file cannot be read, is truncated or corrupt, or has another format version.
 pub fn read(folder: &Path) -> Result<Option<CachedList>, CacheError> {
     let path = file_path(folder);
     let bytes = match std::fs::read(&path) {
@@ -83,7 +84,7 @@
     decode(&bytes).map(Some).ok_or(CacheError::Invalid(path))
 }
 
-/// The list, if the checksum fits.
+/// Decodes the file; `None` if the header, the checksum or the contents are invalid.
 fn decode(bytes: &[u8]) -> Option<CachedList> {
     let (checksum, body) = bytes.strip_prefix(MAGIC)?.split_at_checked(CHECKSUM_BYTES)?;
     if xxh3_64(body).to_le_bytes() != *checksum {
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -1,8 +1,9 @@
-//! Follows a registry and registers this router there: the sockets, threads and clock around the state machines.
+//! Follows a registry and registers this router there: runs the state machines with sockets, threads and a
+//! clock.
 //!
-//! Three threads run for each client: `follow` reads and watches one member of the registry at a time, `endpoint_list`
-//! passes what changed on to the routers' endpoint list, `registration` keeps this router's entry under a lease.
-//! `list_file` keeps the node list on disk, and `member` speaks the dialect that the settings name.
+//! Each client has three threads: `follow` reads and watches one registry member at a time, `endpoint_list`
+//! forwards changes to the routers' endpoint list, `registration` maintains this router's entry under a
+//! lease. `list_file` stores the node list on disk, and `member` selects the etcd or the Consul client.
 mod consul_poll;
 mod endpoint_list;
 mod etcd_watch;
@@ -31,23 +32,23 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Deletions that the state machine remembers, to tell a repeated change from a late one.
+/// Limit for deletions that the state machine remembers to distinguish a repeated change from a late one.
 const MAX_TOMBSTONES: usize = 100_000;
-/// Nodes that vanish within this part of the time for which they would be held count as vanished at once.
-const HOLD_TIME_PER_WINDOW: i64 = 6;
+/// The window for counting disappeared nodes is the hold time (`mass_removal_delay`) divided by this.
+const REMOVAL_WINDOW_DIVISOR: i64 = 6;
 
-/// Is notified of what the registry holds besides the nodes.
+/// Receives the registry's contents other than nodes.
 pub trait RegistryObserver: Send + Sync {
-    /// The text of the configuration key, or `None` where there is none.
+    /// Called with the text of the configuration key, or `None` if the key does not exist.
     ///
     /// # Errors
-    /// What is wrong with the text; the configuration from before stays in force.
+    /// If the text is invalid; the previous configuration stays in force.
     fn config(&self, text: Option<&str>) -> Result<(), Box<dyn std::error::Error + Send + Sync>>;
-    /// The routers that are registered, by name.
+    /// Called with all registered routers by name.
     fn routers(&self, known: &BTreeMap<String, Router>);
 }
 
-/// Follows a registry.
+/// The registry client of a router process.
 pub struct Client {
     settings: Settings,
     connector: MemberConnector,
@@ -58,16 +59,17 @@
     observer: Arc<dyn RegistryObserver>,
     list: Mutex<ListState>,
     stopping: AtomicBool,
-    /// The lease of this router's entry, while it is registered.
+    /// The lease ID of this router's entry, while it is registered.
     lease: Mutex<Option<String>>,
     last_saved: Mutex<SavedList>,
 }
 
 impl Client {
-    /// Starts to follow. Where a folder is set and holds a list, that list is used until the registry answers.
+    /// Starts the client's threads. A list saved in the configured folder is used until the registry
+    /// responds.
     ///
     /// # Errors
-    /// The files for TLS can't be used, or no thread can be started.
+    /// If the TLS files are unreadable or invalid, or no thread can be started.
     pub fn start(
         settings: Settings,
         limits: &Arc<Limits>,
@@ -107,7 +109,7 @@
         Ok(client)
     }
 
-    /// Addresses of nodes in service, `max` at most.
+    /// Returns the addresses of up to `max` nodes in service.
     pub fn some_addresses(&self, max: usize) -> Vec<SocketAddr> {
         let list = self.list();
         let in_service = list.fleet.nodes().filter(|(_, _, listed)| *listed == Some(State::InService));
@@ -122,7 +124,7 @@
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// What a key of the registry stands for.
+    /// Determines the kind of a registry key.
     fn classify<'a>(&self, key: &'a str) -> Key<'a> {
         let Some((kind, name)) = key.strip_prefix(&self.settings.prefix).and_then(|k| k.split_once('/'))
         else {
@@ -138,17 +140,17 @@
     }
 }
 
-/// What a key of the registry stands for.
+/// The kind of a registry key.
 enum Key<'a> {
-    /// The node of this name.
+    /// The entry of the node with this name.
     Node(&'a str),
-    /// The router of this name.
+    /// The entry of the router with this name.
     Router(&'a str),
     /// The configuration.
     Config,
-    /// An operator's command to release the nodes that are retained after they vanished.
+    /// An operator's command to remove the retained nodes, whose keys were deleted.
     ReleaseRetained,
-    /// Nothing that is followed.
+    /// A key that is ignored.
     Other,
 }
 
@@ -159,7 +161,7 @@
         max_fresh_age: micros(settings.max_fresh_age),
         max_usable_age: settings.max_usable_age.map(micros),
         mass_removal_share: settings.mass_removal_share,
-        mass_removal_window: micros(settings.mass_removal_delay) / HOLD_TIME_PER_WINDOW,
+        mass_removal_window: micros(settings.mass_removal_delay) / REMOVAL_WINDOW_DIVISOR,
         mass_removal_delay: micros(settings.mass_removal_delay),
     }
 }
@@ -168,7 +170,8 @@
     duration.as_micros() as i64
 }
 
-/// Locks a mutex also after a thread has panicked while it held it: each change under these locks is complete in itself.
+/// Locks a mutex and ignores poisoning: a panic cannot leave the data inconsistent, as each change under
+/// these locks is atomic.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/registry/src/client/consul_poll.rs
+++ b/registry/src/client/consul_poll.rs
@@ -1,4 +1,4 @@
-//! Consul's blocking queries, one after the other: each brings the whole list at an index.
+//! Follows a Consul member with consecutive blocking queries, each of which returns all keys at an index.
 use super::Client;
 use super::follow::NextStep;
 use crate::RequestError;
@@ -8,15 +8,15 @@
 use routing::spawn;
 use std::time::Duration;
 
-/// A service's health, queried on a thread and a connection of its own.
+/// Queries the health of a service on a separate thread and connection.
 struct HealthQueries {
     results: Receiver<Result<IndexedItems, RequestError>>,
-    /// The newest result; `None` before the first.
+    /// The newest result; `None` before the first one.
     newest: Option<IndexedItems>,
 }
 
 impl HealthQueries {
-    /// Begins to query; ends with the first failure, or when this is dropped.
+    /// Starts the queries; they end at the first failure or when this value is dropped.
     fn start(mut consul: Consul, prefix: String, wait: Duration, stack_bytes: usize) -> HealthQueries {
         let (sender, results) = crossbeam_channel::bounded(1);
         let query = move || {
@@ -30,12 +30,12 @@
                 }
             }
         };
-        // Without the thread there is no first result, which `update` reports.
+        // If the thread cannot be started there is no first result, and `update` returns an error.
         _ = spawn("registry-health", stack_bytes, query);
         HealthQueries { results, newest: None }
     }
 
-    /// The newest result. Waits for the first one; later on what has not come yet is not waited for.
+    /// Returns the newest result. Waits for the first one only; later calls do not block.
     fn update(&mut self) -> Result<IndexedItems, RequestError> {
         let result = match self.newest {
             None => self.results.recv().ok(),
@@ -46,7 +46,7 @@
         }
         self.newest
             .clone()
-            .ok_or_else(|| RequestError::InvalidResponse { reason: "no health of the service".into() })
+            .ok_or_else(|| RequestError::InvalidResponse { reason: "no health query response".into() })
     }
 }
 
@@ -58,22 +58,23 @@
         Some(HealthQueries::start(consul, prefix, wait, self.limits.routing_thread_stack_bytes))
     }
 
-    /// Follows a member of Consul until it fails or must be left.
+    /// Follows a Consul member until it fails or must not be followed any more.
     pub(super) fn poll(
         &self,
         machine: &mut Machine,
         endpoint: EndpointIndex,
         consul: &mut Consul,
-        worked: &mut dyn FnMut(),
+        on_success: &mut dyn FnMut(),
     ) -> Result<NextStep, RequestError> {
         let mut health = self.start_health_queries(consul);
-        // With a service its own query waits meanwhile: the keys are asked for in short turns.
-        let wait = if health.is_some() { self.connector.max_quiet } else { self.connector.query_wait };
+        // With a service, the keys are queried with a short wait, so that results of its health query are
+        // applied soon.
+        let wait = if health.is_some() { self.connector.max_silence } else { self.connector.query_wait };
         let (mut last_index, mut is_following): (Option<Revision>, bool) = (None, false);
         while !self.is_stopping() {
             let after = last_index.map(|index| (index, wait));
             let (index, mut items) = consul.read(&self.settings.prefix, after)?;
-            // An index that went back is not waited on: the next query asks for everything at once.
+            // After an index that went backwards the next query does not wait, but reads all keys at once.
             last_index = last_index.is_none_or(|last| index >= last).then_some(index);
             let (health_index, nodes) = match &mut health {
                 Some(health) => health.update()?,
@@ -88,7 +89,7 @@
             if !std::mem::replace(&mut is_following, true) {
                 self.log_followed(endpoint, revision);
             }
-            worked();
+            on_success();
         }
         Ok(NextStep::None)
     }
--- a/registry/src/client/endpoint_list.rs
+++ b/registry/src/client/endpoint_list.rs
@@ -1,12 +1,12 @@
-//! What the fleet's state machine decides, passed on to the routers' endpoint list.
+//! Applies the actions of the fleet's state machine to the routers' endpoint list.
 use super::list_state::ListState;
 use super::{Client, micros};
 use crate::fleet::{Action as FleetAction, Event as FleetEvent, Level, Node, State};
 use routing::{EndpointEntry, EndpointUpdate, GroupId, MemberState};
 
-/// The fleet gets a tick once in this many rounds of gathering changes.
+/// The fleet gets a tick once per this many debounce intervals.
 const ROUNDS_PER_TICK: u32 = 5;
-/// Responses of nodes are asked for once the registry has been silent for this part of `fresh_s`.
+/// Responses of nodes are collected once the registry has not responded for `fresh_s` divided by this.
 const RESPONSES_AFTER_FRESH_DIVISOR: i64 = 4;
 
 impl Client {
@@ -24,7 +24,9 @@
                 }
                 FleetAction::Unlist { id } => list.unlist(&id),
                 FleetAction::InvalidNode { name, reason: error } => {
-                    tracing::error!(node = name, %error, "registry node rejected, its last valid value stays in force");
+                    tracing::error!(
+                        node = name, %error, "registry node rejected, its last valid value stays in force"
+                    );
                 }
                 FleetAction::MassRemovalDelayed { nodes } => tracing::error!(
                     nodes,
@@ -32,13 +34,13 @@
                     "most registry nodes vanished at once, they are retained for the hold time"
                 ),
                 FleetAction::RetainedReleased { nodes } => {
-                    tracing::warn!(nodes, "vanished registry nodes released");
+                    tracing::warn!(nodes, "vanished registry nodes removed after retention");
                 }
                 FleetAction::LevelChanged(Level::Fresh) => {
                     tracing::info!("registry list fresh again");
                 }
                 FleetAction::LevelChanged(level) => {
-                    tracing::error!(?level, "registry silent for long, the use of its list is restricted");
+                    tracing::error!(?level, "registry silent for too long, use of its node list restricted");
                 }
             }
         }
@@ -62,14 +64,14 @@
         }
     }
 
-    /// Notifies the endpoint list of all pending changes, if one of them is urgent.
+    /// Sends all pending changes to the endpoint list, if one of them is urgent.
     pub(super) fn flush_if_urgent(&self, list: &mut ListState) {
         if std::mem::take(&mut list.urgent) {
             self.flush(list);
         }
     }
 
-    /// Notifies the endpoint list of all pending changes.
+    /// Sends all pending changes to the endpoint list.
     pub(super) fn flush(&self, list: &mut ListState) {
         if list.pending.is_empty() {
             return;
@@ -79,7 +81,7 @@
         self.endpoint_list.notify(EndpointUpdate { version: list.version, complete: false, endpoints });
     }
 
-    /// Passes gathered changes on, lets the list grow old, and collects which nodes respond.
+    /// Runs the timer thread: sends the pending changes at each debounce interval, and ticks the fleet.
     pub(super) fn run_timer(&self) {
         let mut rounds = 0u32;
         while !self.is_stopping() {
@@ -98,7 +100,7 @@
         let age = list.last_contact.map_or(0, |at| self.clock.now().0 - at);
         let wants_responses = age > micros(self.settings.max_fresh_age) / RESPONSES_AFTER_FRESH_DIVISOR;
         for id in self.responded.drain(wants_responses) {
-            // An endpoint's id is the node's name with the revision at which it was created.
+            // An endpoint ID consists of the node's name and the revision at which its key was created.
             let name = id.rsplit_once('@').map_or(id.as_str(), |(name, _)| name).to_string();
             self.handle_fleet_event(list, FleetEvent::NodeResponded { name });
         }
--- a/registry/src/client/etcd_watch.rs
+++ b/registry/src/client/etcd_watch.rs
@@ -1,27 +1,28 @@
-//! etcd's watch, checked by reads on a second connection while it is silent.
+//! Follows an etcd member with a watch; while it is silent, reads on a second connection check for missed
+//! changes.
 use super::Client;
 use super::follow::NextStep;
 use crate::RequestError;
 use crate::etcd::{Etcd, WatchEvent};
 use crate::machine::{EndpointIndex, Event, Machine, Revision};
 
-/// One watch, with what is known of it so far.
+/// The state of one watch.
 struct EtcdWatch<'a> {
     client: &'a Client,
     machine: &'a mut Machine,
     endpoint: EndpointIndex,
-    /// The same member on a connection of its own, to read from while the watch is silent.
-    probe: Etcd,
-    /// What the state machine wants next; anything but `None` ends the watch.
+    /// A client of the same member on a separate connection, for reads while the watch is silent.
+    check_client: Etcd,
+    /// The state machine's next request; anything but `None` ends the watch.
     next: NextStep,
-    /// A read has seen a change that the watch has not brought.
+    /// A read has found a change that the watch has not delivered yet.
     change_overdue: bool,
-    /// Why the watch is not to be trusted any more.
+    /// Why the watch failed its check.
     failure: Option<String>,
 }
 
 impl EtcdWatch<'_> {
-    /// Handles what the watch brings; `false` ends it.
+    /// Handles an event of the watch; `false` ends the watch.
     fn handle(&mut self, event: WatchEvent) -> bool {
         if self.client.is_stopping() {
             return false;
@@ -43,23 +44,23 @@
         matches!(self.next, NextStep::None)
     }
 
-    /// Reads whether anything has changed that the watch has not brought.
+    /// Checks by a read whether there are changes that the watch has not delivered; `false` ends the watch.
     fn check(&mut self) -> bool {
         let (revision, keys) = (self.machine.revision(), self.machine.len());
-        match self.probe.unchanged_up_to(&self.client.settings.prefix, revision, keys) {
+        match self.check_client.unchanged_up_to(&self.client.settings.prefix, revision, keys) {
             Ok(Some(revision)) => {
                 self.change_overdue = false;
                 self.apply(Event::Progress { endpoint: self.endpoint, revision })
             }
-            // The first time the change may still be on its way.
+            // On the first such read the change may still be in transit.
             Ok(None) if !std::mem::replace(&mut self.change_overdue, true) => true,
             Ok(None) => {
                 self.client.apply(self.machine, Event::ChangesMissed);
-                self.failure = Some("the watch is silent about changes that are there".to_string());
+                self.failure = Some("the watch did not deliver changes that a read found".to_string());
                 false
             }
             Err(e) => {
-                self.failure = Some(format!("the watch is silent, and so is a read: {e}"));
+                self.failure = Some(format!("the watch is silent, and a read failed: {e}"));
                 false
             }
         }
@@ -67,7 +68,7 @@
 }
 
 impl Client {
-    /// Watches a member of etcd from a revision on, until the watch ends; what to do next is returned.
+    /// Watches an etcd member from a revision on, until the watch ends; returns the next request.
     pub(super) fn watch(
         &self,
         machine: &mut Machine,
@@ -75,7 +76,7 @@
         etcd: &mut Etcd,
         from: Revision,
     ) -> Result<NextStep, RequestError> {
-        let probe = Etcd {
+        let check_client = Etcd {
             member: etcd.member.new_connection(),
             credentials: etcd.credentials.clone(),
             page: etcd.page,
@@ -84,13 +85,13 @@
             client: self,
             machine: &mut *machine,
             endpoint,
-            probe,
+            check_client,
             next: NextStep::None,
             change_overdue: false,
             failure: None,
         };
-        let (prefix, max_quiet) = (&self.settings.prefix, self.connector.max_quiet);
-        let ended = etcd.watch(prefix, from, max_quiet, |event| watch.handle(event));
+        let (prefix, max_silence) = (&self.settings.prefix, self.connector.max_silence);
+        let ended = etcd.watch(prefix, from, max_silence, |event| watch.handle(event));
         let EtcdWatch { next, failure, .. } = watch;
         match (failure, ended) {
             (Some(reason), _) => Ok(NextStep::Leave(reason)),
--- a/registry/src/client/follow.rs
+++ b/registry/src/client/follow.rs
@@ -1,31 +1,32 @@
-//! Follows one member of the registry after the other, and applies what the state machine makes of it.
+//! Follows one registry member at a time, fails over between them, and carries out the state machine's
+//! actions.
 use super::list_state::ListState;
 use super::{Client, Key, MemberClient, micros};
 use crate::RequestError;
 use crate::endpoints::{Endpoints, Settings as EndpointSettings};
-use crate::etcd::ClusterPosition;
+use crate::etcd::ClusterRevision;
 use crate::fleet::Event as FleetEvent;
 use crate::machine::{Action, EndpointIndex, Event, Item, Machine, Revision};
 use std::time::Duration;
 
-/// Attempts to reach the registry that may be made at once after a quiet time.
-const MAX_SAVED_ATTEMPTS: f64 = 10.0;
-/// Attempts that are earned in a second.
+/// Capacity of the token bucket for connection attempts to the registry.
+const MAX_ATTEMPT_TOKENS: f64 = 10.0;
+/// Refill rate of that token bucket, in attempts per second.
 const ATTEMPTS_PER_S: f64 = 5.0;
 
-/// What the member that is followed is to be asked next.
+/// The next request to the followed registry member.
 pub(super) enum NextStep {
-    /// Nothing: what goes on goes on.
+    /// No new request; the current watch continues.
     None,
-    /// Everything under the prefix.
+    /// Read all keys under the prefix.
     Read,
-    /// Changes from this revision on.
+    /// Watch for changes from this revision on.
     Watch(Revision),
-    /// It must not be followed any more, for this reason.
+    /// Stop following the member, for this reason.
     Leave(String),
 }
 
-/// Parts of the registry that have changed and whose observer is to be notified.
+/// The parts of the registry that have changed and that the observer has to be notified of.
 #[derive(Default)]
 struct Changed {
     routers: bool,
@@ -40,17 +41,17 @@
             let (endpoint, wait) = endpoints.next(self.clock.now());
             std::thread::sleep(Duration::from_micros(wait.max(0) as u64));
             let addr = self.settings.endpoints[endpoint];
-            let (mut member, mut worked) = (self.connector.client_for(endpoint), false);
-            let ended = self.follow_member(&mut machine, endpoint, &mut member, &mut || worked = true);
-            if worked {
-                endpoints.worked(endpoint);
+            let (mut member, mut succeeded) = (self.connector.client_for(endpoint), false);
+            let ended = self.follow_member(&mut machine, endpoint, &mut member, &mut || succeeded = true);
+            if succeeded {
+                endpoints.record_success(endpoint);
                 last_logged.clear();
             }
             let reason = ended.unwrap_or_else(|e| e.to_string());
-            endpoints.failed(endpoint, self.clock.now());
+            endpoints.record_failure(endpoint, self.clock.now());
             let line = format!("{addr}: {reason}");
             if line != last_logged {
-                tracing::warn!(%addr, reason, "registry member left, trying another");
+                tracing::warn!(%addr, reason, "registry member no longer followed, trying another");
                 last_logged = line;
             }
         }
@@ -62,37 +63,38 @@
             endpoints: self.settings.endpoints.len(),
             first_backoff: micros(backoff.min),
             max_backoff: micros(backoff.max),
-            max_saved_attempts: MAX_SAVED_ATTEMPTS,
+            max_attempt_tokens: MAX_ATTEMPT_TOKENS,
             attempts_per_s: ATTEMPTS_PER_S,
         }
     }
 
-    /// Another one for each process, so that routers don't all ask the same member first.
+    /// A seed that differs between processes, so that routers do not all connect to the same member first.
     fn seed(&self) -> u64 {
         u64::from(std::process::id()) ^ self.clock.now().0 as u64
     }
 
-    /// Follows one member until it fails or must be left, and says why. `worked` is called once it answers as it should.
+    /// Follows one member until it fails or must not be followed any more; returns the reason. Calls `on_success`
+    /// after each successful read and when a watch starts.
     fn follow_member(
         &self,
         machine: &mut Machine,
         endpoint: EndpointIndex,
         member: &mut MemberClient,
-        worked: &mut dyn FnMut(),
+        on_success: &mut dyn FnMut(),
     ) -> Result<String, RequestError> {
         let mut next = self.first_step(machine, endpoint, member)?;
         loop {
             next = match next {
                 NextStep::Leave(reason) => return Ok(reason),
-                NextStep::None => return Ok("nothing to follow".into()),
+                NextStep::None => return Ok("no next request to the registry member".into()),
                 NextStep::Read => {
-                    let (ClusterPosition { cluster, revision }, items) =
+                    let (ClusterRevision { cluster, revision }, items) =
                         member.read(&self.settings.prefix)?;
-                    worked();
+                    on_success();
                     self.apply(machine, Event::Snapshot { endpoint, cluster, revision, items })
                 }
                 NextStep::Watch(from) => {
-                    match self.follow_changes(machine, endpoint, member, from, worked)? {
+                    match self.follow_changes(machine, endpoint, member, from, on_success)? {
                         NextStep::None => return Ok("the watch has ended".into()),
                         other => other,
                     }
@@ -109,10 +111,10 @@
     ) -> Result<NextStep, RequestError> {
         match member {
             MemberClient::Etcd(etcd) => {
-                let ClusterPosition { cluster, revision } = etcd.position(&self.settings.prefix)?;
+                let ClusterRevision { cluster, revision } = etcd.cluster_revision(&self.settings.prefix)?;
                 Ok(self.apply(machine, Event::MemberReached { endpoint, cluster, revision }))
             }
-            // It has no cheaper read than the whole list, whose index is its position.
+            // Consul has no cheaper read for the index than that of all keys.
             MemberClient::Consul(_) => Ok(NextStep::Watch(machine.revision() + 1)),
         }
     }
@@ -123,25 +125,25 @@
         endpoint: EndpointIndex,
         member: &mut MemberClient,
         from: Revision,
-        worked: &mut dyn FnMut(),
+        on_success: &mut dyn FnMut(),
     ) -> Result<NextStep, RequestError> {
         match member {
             MemberClient::Etcd(etcd) => {
                 self.log_followed(endpoint, from);
-                worked();
+                on_success();
                 self.watch(machine, endpoint, etcd, from)
             }
-            MemberClient::Consul(consul) => self.poll(machine, endpoint, consul, worked),
+            MemberClient::Consul(consul) => self.poll(machine, endpoint, consul, on_success),
         }
     }
 
-    /// Logs that a member is followed from a revision on.
     pub(super) fn log_followed(&self, endpoint: EndpointIndex, revision: Revision) {
         let addr = self.settings.endpoints[endpoint];
         tracing::info!(%addr, revision, "registry member followed");
     }
 
-    /// Passes an event to the state machine and carries out its actions, except for the next step, which is returned.
+    /// Passes an event to the state machine and performs its actions, except for the next request, which is
+    /// returned.
     pub(super) fn apply(&self, machine: &mut Machine, event: Event) -> NextStep {
         let (mut actions, mut next, mut changed) = (Vec::new(), NextStep::None, Changed::default());
         machine.handle(self.clock.now(), event, &mut actions);
@@ -153,12 +155,12 @@
                 Action::Leave { reason, .. } => next = NextStep::Leave(format!("{reason:?}")),
                 Action::Restored => {
                     tracing::error!(
-                        "registry went back, as if restored from a backup; drained nodes stay drained"
+                        "registry revision dropped, as if restored from a backup; drained nodes stay drained"
                     );
                     self.handle_fleet_event(&mut list, FleetEvent::Restored);
                 }
-                Action::Put(item) => self.key_put(&mut list, item, &mut changed),
-                Action::Deleted { key } => self.key_deleted(&mut list, &key, &mut changed),
+                Action::Put(item) => self.on_key_put(&mut list, item, &mut changed),
+                Action::Deleted { key } => self.on_key_deleted(&mut list, &key, &mut changed),
                 Action::Synchronized { .. } => {
                     list.last_contact = Some(self.clock.now().0);
                     self.handle_fleet_event(&mut list, FleetEvent::RegistryResponded);
@@ -167,7 +169,7 @@
         }
         self.flush_if_urgent(&mut list);
         let routers = changed.routers.then(|| list.routers.clone());
-        // The observer may take its time, and may ask this client.
+        // Unlock the list first: the observer may block, and may call this client.
         drop(list);
         if let Some(routers) = routers {
             self.observer.routers(&routers);
@@ -179,7 +181,7 @@
         next
     }
 
-    fn key_put(&self, list: &mut ListState, item: Item, changed: &mut Changed) {
+    fn on_key_put(&self, list: &mut ListState, item: Item, changed: &mut Changed) {
         match self.classify(&item.key) {
             Key::Config => changed.config = true,
             Key::Node(name) => {
@@ -200,7 +202,7 @@
         }
     }
 
-    fn key_deleted(&self, list: &mut ListState, key: &str, changed: &mut Changed) {
+    fn on_key_deleted(&self, list: &mut ListState, key: &str, changed: &mut Changed) {
         match self.classify(key) {
             Key::Config => changed.config = true,
             Key::Node(name) => {
@@ -221,7 +223,9 @@
         match self.observer.config(text.as_deref()) {
             Ok(()) => tracing::info!(key, "registry configuration applied"),
             Err(error) => {
-                tracing::error!(key, %error, "registry configuration rejected, the last valid one stays in force");
+                tracing::error!(
+                    key, %error, "registry configuration rejected, the last valid one stays in force"
+                );
             }
         }
     }
--- a/registry/src/client/list_file.rs
+++ b/registry/src/client/list_file.rs
@@ -1,4 +1,4 @@
-//! Keeps the node list on disk, for a start at which no member of the registry answers.
+//! Stores the node list on disk, for starts at which no registry member responds.
 use super::saved_list::SavedList;
 use super::{Client, Key, lock, micros};
 use crate::cache::{self, CachedList};
@@ -7,7 +7,7 @@
 use std::path::Path;
 
 impl Client {
-    /// Begins with the last list on disk.
+    /// Loads the saved list from disk.
     pub(super) fn load_list(&self, machine: &mut Machine) {
         let Some(folder) = &self.settings.list_folder else { return };
         let cached = match cache::read(Path::new(folder)) {
@@ -24,17 +24,18 @@
                 self.handle_fleet_event(&mut list, FleetEvent::Put { name: name.into(), item: item.clone() });
             }
         }
-        machine.begin_with(items);
+        machine.load_saved(items);
         list.last_contact = Some(at);
         let mut actions = Vec::new();
-        // The time of the file, not of now: the list is as old as it is, and the settings say what that allows.
+        // Use the time at which the list was saved, so that the age limits apply to the age of its contents.
         list.fleet.handle(decision::Time(at), FleetEvent::RegistryResponded, &mut actions);
         self.apply_fleet_actions(&mut list, actions);
         self.flush(&mut list);
-        tracing::warn!(keys, age_s, "saved registry list used until the registry answers");
+        tracing::warn!(keys, age_s, "saved registry list used until the registry responds");
     }
 
-    /// Writes the list to disk, if it has changed and the last write is long enough ago.
+    /// Writes the list to disk, if it has changed and `registry_save_interval` has passed since the last
+    /// write.
     pub(super) fn save_list_if_due(&self, machine: &Machine) {
         let Some(folder) = &self.settings.list_folder else { return };
         let now = self.clock.now().0;
@@ -43,7 +44,7 @@
         if is_recent || last_saved.revision == machine.revision() {
             return;
         }
-        // Also where the write fails: it is not retried before the next one is due.
+        // Set before the write, so that a failed write is not retried before the next interval.
         *last_saved = SavedList { at: now, revision: machine.revision() };
         let nodes = machine.all().filter(|item| matches!(self.classify(&item.key), Key::Node(_)));
         let items = nodes.map(|i| (i.key, i.value, i.created, i.modified)).collect();
--- a/registry/src/client/list_state.rs
+++ b/registry/src/client/list_state.rs
@@ -1,23 +1,23 @@
-//! The fleet, and which of its changes the routers' endpoint list has been notified of.
+//! The fleet's state machine and the changes that still have to be sent to the routers' endpoint list.
 use super::router::Router;
 use crate::fleet::Fleet;
 use routing::{EndpointEntry, MemberState};
 use std::collections::{BTreeMap, HashMap};
 
-/// The fleet, and what the endpoint list has been notified of.
+/// The fleet's state machine and the changes to be sent to the endpoint list.
 pub(super) struct ListState {
     pub(super) fleet: Fleet,
-    /// What the endpoint list holds, by id.
+    /// The entries of the endpoint list by ID, including pending changes.
     listed: HashMap<String, EndpointEntry>,
-    /// Changes that the endpoint list has not been notified of, in order.
+    /// Changes that have not been sent to the endpoint list, in order.
     pub(super) pending: Vec<EndpointEntry>,
-    /// One of the pending changes must not wait for others.
+    /// One of the pending changes must be sent without waiting for the debounce interval.
     pub(super) urgent: bool,
-    /// The version of the last update.
+    /// The version of the last update sent.
     pub(super) version: u64,
-    /// Routers that are registered, by name.
+    /// The registered routers by name.
     pub(super) routers: BTreeMap<String, Router>,
-    /// When the registry last answered, in microseconds of the clock.
+    /// When the registry last responded, in microseconds of the client's clock.
     pub(super) last_contact: Option<i64>,
 }
 
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Takes the pending changes, the newest of each endpoint, in the order in which those were made.
+    /// Takes the pending changes: the newest one of each endpoint, in the order in which these were made.
     pub(super) fn take_newest(&mut self) -> Vec<EndpointEntry> {
         let mut newest: BTreeMap<String, (usize, EndpointEntry)> = BTreeMap::new();
-        for (position, entry) in std::mem::take(&mut self.pending).into_iter().enumerate() {
-            newest.insert(entry.id.clone(), (position, entry));
+        for (index, entry) in std::mem::take(&mut self.pending).into_iter().enumerate() {
+            newest.insert(entry.id.clone(), (index, entry));
         }
         let mut entries: Vec<(usize, EndpointEntry)> = newest.into_values().collect();
-        entries.sort_by_key(|(position, _)| *position);
+        entries.sort_by_key(|(index, _)| *index);
         entries.into_iter().map(|(_, entry)| entry).collect()
     }
 }
--- a/registry/src/client/member.rs
+++ b/registry/src/client/member.rs
@@ -1,6 +1,6 @@
-//! One member of the registry, in the dialect that the settings name.
+//! A client of one registry member, for etcd or Consul as configured.
 use crate::consul::Consul;
-use crate::etcd::{ClusterPosition, Etcd};
+use crate::etcd::{ClusterRevision, Etcd};
 use crate::http::{Bounds, Member};
 use crate::machine::{EndpointIndex, Item, Revision};
 use crate::tls::Tls;
@@ -10,32 +10,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections to the registry are given at least this long, whatever the limit for connections to nodes.
+/// Lower bound for the connect timeout to the registry, which is otherwise that of backend connections.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Leases have whole seconds, one at least.
+/// The shortest lease; etcd counts leases in whole seconds.
 const MIN_LEASE_S: u64 = 1;
-/// Consul accepts no shorter sessions.
+/// The shortest session TTL that Consul accepts.
 const MIN_CONSUL_SESSION_S: u64 = 10;
 
-/// Makes clients of the registry's members.
+/// Creates clients of the registry's members.
 #[derive(Clone)]
 pub struct MemberConnector {
     settings: Settings,
     tls: Option<Arc<Tls>>,
     bounds: Bounds,
-    /// Keys in one page of a read from etcd.
+    /// The number of keys per page of a read from etcd.
     page: usize,
-    /// How long Consul may wait with its answer for a change.
+    /// How long a blocking query waits for a change.
     pub(super) query_wait: Duration,
-    /// How long a watch may bring nothing before it is checked.
-    pub(super) max_quiet: Duration,
+    /// How long a watch may be silent before it is checked.
+    pub(super) max_silence: Duration,
 }
 
 impl MemberConnector {
-    /// Reads the files that TLS needs.
+    /// Creates the connector; loads the TLS files.
     ///
     /// # Errors
-    /// A file for TLS can't be used.
+    /// If a TLS file is unreadable or invalid.
     pub fn new(settings: &Settings, limits: &Limits) -> Result<MemberConnector, Error> {
         Ok(MemberConnector {
             settings: settings.clone(),
@@ -47,14 +47,14 @@
             },
             page: limits.registry_page_size,
             query_wait: limits.registry_blocking_query_timeout,
-            max_quiet: limits.registry_watch_check_delay,
+            max_silence: limits.registry_watch_check_delay,
         })
     }
 
-    /// A client of one member; nothing is connected yet.
+    /// Creates a client of one member without opening a connection.
     ///
     /// # Panics
-    /// The settings name fewer members.
+    /// If `endpoint` is not the index of a configured member.
     pub fn client_for(&self, endpoint: EndpointIndex) -> MemberClient {
         let mut member = Member::new(self.settings.endpoints[endpoint], self.tls.clone(), self.bounds);
         match self.settings.kind {
@@ -71,35 +71,35 @@
     }
 }
 
-/// A client of one member, by dialect.
+/// A client of one registry member.
 pub enum MemberClient {
-    /// etcd's.
+    /// A client of an etcd member.
     Etcd(Etcd),
-    /// Consul's.
+    /// A client of a Consul member.
     Consul(Consul),
 }
 
 impl MemberClient {
-    /// Everything under a prefix, and the position at which it was read.
+    /// Reads all keys under a prefix, and the cluster ID and revision at which they were read.
     ///
     /// # Errors
-    /// The request failed or was refused.
-    pub fn read(&mut self, prefix: &str) -> Result<(ClusterPosition, Vec<Item>), RequestError> {
+    /// If the request failed or was rejected.
+    pub fn read(&mut self, prefix: &str) -> Result<(ClusterRevision, Vec<Item>), RequestError> {
         match self {
             MemberClient::Etcd(etcd) => etcd.read(prefix),
             MemberClient::Consul(consul) => {
                 let (index, mut items) = consul.read(prefix, None)?;
                 let (health_index, nodes) = consul.health(prefix, None)?;
                 items.extend(nodes);
-                Ok((ClusterPosition { cluster: 0, revision: index.max(health_index) }, items))
+                Ok((ClusterRevision { cluster: 0, revision: index.max(health_index) }, items))
             }
         }
     }
 
-    /// Sets a key, under a lease where one is named.
+    /// Sets a key, attached to a lease if given.
     ///
     /// # Errors
-    /// The request failed or was refused.
+    /// If the request failed or was rejected.
     pub fn put(&mut self, key: &str, value: &[u8], lease: Option<&str>) -> Result<(), RequestError> {
         match self {
             MemberClient::Etcd(etcd) => etcd.put(key, value, lease).map(|_| ()),
@@ -116,10 +116,10 @@
         }
     }
 
-    /// Sets a key if it has not changed since this revision; `false` where it has.
+    /// Sets a key if it has not changed since the revision `modified`; `false` otherwise.
     ///
     /// # Errors
-    /// The request failed or was refused.
+    /// If the request failed or was rejected.
     pub fn put_if(&mut self, key: &str, value: &[u8], modified: Revision) -> Result<bool, RequestError> {
         match self {
             MemberClient::Etcd(etcd) => etcd.put_if(key, value, modified),
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Renews a lease; `false` where it is lost.
+    /// Renews a lease; `false` if it has expired or was revoked.
     pub(super) fn keep_alive(&mut self, lease: &str) -> Result<bool, RequestError> {
         match self {
             MemberClient::Etcd(etcd) => etcd.keep_alive(lease),
--- a/registry/src/client/router.rs
+++ b/registry/src/client/router.rs
@@ -2,16 +2,16 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A router, as it registers itself.
+/// A router's entry in the registry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Router {
-    /// Where its clients connect.
+    /// The address at which it accepts client connections.
     pub addr: SocketAddr,
-    /// Its number among the instances that share sessions, and the address at which it accepts peers.
+    /// Its instance number for session sharing, and the address at which it accepts session peers.
     pub sessions: Option<(u64, SocketAddr)>,
-    /// Its node of the store, and the address at which that listens.
+    /// The ID of its store node, and the address at which that node listens.
     #[serde(default)]
     pub store: Option<(u64, SocketAddr)>,
-    /// Identifies this start of the router.
+    /// The incarnation: identifies this start of the router process.
     pub incarnation: u64,
 }
--- a/registry/src/client/saved_list.rs
+++ b/registry/src/client/saved_list.rs
@@ -1,11 +1,11 @@
-//! Which list was last written to disk.
+//! Time and revision of the list that was last written to disk.
 use crate::machine::Revision;
 
-/// The list as it was last written to disk.
+/// Time and revision of the list that was last written to disk.
 #[derive(Default)]
 pub(super) struct SavedList {
-    /// When, in microseconds of the clock.
+    /// When it was written, in microseconds of the client's clock.
     pub(super) at: i64,
-    /// The revision it had.
+    /// The registry revision of the list.
     pub(super) revision: Revision,
 }
--- a/registry/src/consul.rs
+++ b/registry/src/consul.rs
@@ -1,4 +1,5 @@
-//! Consul's KV store and health endpoint, with blocking queries. Each answer is the whole list at an index.
+//! Client for Consul's KV store and health endpoint with blocking queries. Each response contains all keys at
+//! one index.
 use crate::RequestError;
 use crate::http::{Member, Response};
 use crate::machine::{Item, Revision};
@@ -8,34 +9,37 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Consul adds up to this part of a query's wait, so that not all return at once.
+/// Consul extends a blocking query's wait by a random time of up to 1/16, so that queries do not all return
+/// at once.
 const WAIT_JITTER_PART: u32 = 16;
-/// A blocking query's response may come this much later than its wait ends.
+/// Added to the read timeout of a blocking query, for the delay between the end of its wait and the response.
 const BLOCKING_QUERY_GRACE: Duration = Duration::from_secs(2);
-/// What stays as it is in a path.
-const PATH: &AsciiSet = &NON_ALPHANUMERIC.remove(b'/').remove(b'-').remove(b'_').remove(b'.').remove(b'~');
+/// The characters that are percent-encoded in a path.
+const PATH_ENCODE_SET: &AsciiSet =
+    &NON_ALPHANUMERIC.remove(b'/').remove(b'-').remove(b'_').remove(b'.').remove(b'~');
 
-/// The index at which keys were read, and the keys.
+/// Keys and the Consul index at which they were read.
 pub type IndexedItems = (Revision, Vec<Item>);
 
-/// A client of one member of Consul.
+/// A client of one Consul member.
 pub struct Consul {
-    /// The member; its token is the header that authenticates.
+    /// The HTTP client; its auth header carries the ACL token.
     pub member: Member,
-    /// The service whose instances are nodes besides the keys, if any.
+    /// A service whose instances are listed as nodes in addition to the node keys.
     pub service: Option<String>,
 }
 
 fn path(key: &str) -> String {
-    utf8_percent_encode(key.trim_start_matches('/'), PATH).to_string()
+    utf8_percent_encode(key.trim_start_matches('/'), PATH_ENCODE_SET).to_string()
 }
 
-fn refusal(response: &Response) -> RequestError {
+fn rejection(response: &Response) -> RequestError {
     RequestError::Rejected { status: response.code, message: response.text() }
 }
 
-/// The part of a query that makes it wait for a change behind an index, and the read timeout that this needs.
-fn blocking(after: Option<(Revision, Duration)>) -> (String, Option<Duration>) {
+/// The query parameters of a blocking query that waits for a change after an index, and the read timeout it
+/// needs.
+fn blocking_query(after: Option<(Revision, Duration)>) -> (String, Option<Duration>) {
     let Some((index, wait)) = after else { return (String::new(), None) };
     let read_timeout = wait + wait / WAIT_JITTER_PART + BLOCKING_QUERY_GRACE;
     (format!("&index={index}&wait={}ms", wait.as_millis()), Some(read_timeout))
@@ -46,13 +50,13 @@
     Ok(Item {
         key: format!("/{}", entry["Key"].as_str().unwrap_or("").trim_start_matches('/')),
         value: value
-            .map_err(|e| RequestError::InvalidResponse { reason: format!("a value is no base64: {e}") })?,
+            .map_err(|e| RequestError::InvalidResponse { reason: format!("a value is not base64: {e}") })?,
         created: entry["CreateIndex"].as_u64().unwrap_or(0),
         modified: entry["ModifyIndex"].as_u64().unwrap_or(0),
     })
 }
 
-/// A service's instance as a node's key: one with a failing check drains.
+/// Converts a service instance to a node's key; an instance with a critical check is draining.
 fn node_item(prefix: &str, instance: &Value) -> Item {
     let service = &instance["Service"];
     Item {
@@ -77,7 +81,7 @@
         "weight": service["Weights"]["Passing"].as_f64().unwrap_or(1.0),
     });
     if let Some(group) = meta("group") {
-        // What is no number is left as it is: the fleet names the key as faulty.
+        // An invalid number is passed on unchanged, so that the fleet reports the node as invalid.
         value["group"] = group.parse::<u32>().map_or_else(|_| json!(group), |group| json!(group));
     }
     if let Some(role) = meta("role") {
@@ -87,7 +91,7 @@
 }
 
 impl Consul {
-    /// The response's index and JSON; an empty list where nothing is found.
+    /// Returns the index and the JSON body of a response; an empty list for status 404.
     fn get(&mut self, path: &str, read_timeout: Option<Duration>) -> Result<(Revision, Value), RequestError> {
         let response = match read_timeout {
             Some(timeout) => self.member.request_with_timeout("GET", path, b"", timeout)?,
@@ -96,102 +100,103 @@
         if !response.knows_leader {
             return Err(RequestError::NoLeader);
         }
-        // An index must be above zero; one that is not would make the next query return at once, over and over.
+        // With index 0 the next blocking query would return at once, resulting in a busy loop.
         let index = response.index.unwrap_or(0).max(1);
         match response.code {
             200 => Ok((index, response.json()?)),
             404 => Ok((index, json!([]))),
-            _ => Err(refusal(&response)),
+            _ => Err(rejection(&response)),
         }
     }
 
-    /// Everything under a prefix; with `after`, once it has changed behind that index or that wait is over.
+    /// Reads all keys under a prefix. With `after`, waits until a key has changed after that index or the
+    /// wait has ended.
     ///
     /// # Errors
-    /// The request failed, or the member knows no leader.
+    /// If the request failed, or the Consul member knows no leader.
     pub fn read(
         &mut self,
         prefix: &str,
         after: Option<(Revision, Duration)>,
     ) -> Result<IndexedItems, RequestError> {
-        let (query, read_timeout) = blocking(after);
+        let (query, read_timeout) = blocking_query(after);
         let path = format!("/v1/kv/{}?recurse=true&consistent{query}", path(prefix));
         let (index, list) = self.get(&path, read_timeout)?;
         let list = list
             .as_array()
-            .ok_or_else(|| RequestError::InvalidResponse { reason: "no list of keys".into() })?;
+            .ok_or_else(|| RequestError::InvalidResponse { reason: "not a list of keys".into() })?;
         Ok((index, list.iter().map(key_item).collect::<Result<_, RequestError>>()?))
     }
 
-    /// The service's instances as nodes' keys under the prefix, with `after` as for [`Consul::read`]; none at index 0
-    /// where there is no service.
+    /// Reads the service's instances and converts them to node keys under the prefix; `after` as in
+    /// [`Consul::read`]. Without a configured service it returns no keys, at index 0.
     ///
     /// # Errors
-    /// The request failed, or the member knows no leader.
+    /// If the request failed, or the Consul member knows no leader.
     pub fn health(
         &mut self,
         prefix: &str,
         after: Option<(Revision, Duration)>,
     ) -> Result<IndexedItems, RequestError> {
         let Some(service) = self.service.clone() else { return Ok((0, Vec::new())) };
-        let (query, read_timeout) = blocking(after);
+        let (query, read_timeout) = blocking_query(after);
         let path = format!("/v1/health/service/{}?consistent{query}", path(&service));
         let (index, list) = self.get(&path, read_timeout)?;
         let list = list
             .as_array()
-            .ok_or_else(|| RequestError::InvalidResponse { reason: "no list of instances".into() })?;
+            .ok_or_else(|| RequestError::InvalidResponse { reason: "not a list of instances".into() })?;
         Ok((index, list.iter().map(|instance| node_item(prefix, instance)).collect()))
     }
 
-    /// Sets a key, held by a session where one is named; `false` where another holds it.
+    /// Sets a key, locked by a session if given; `false` if another session has locked it.
     ///
     /// # Errors
-    /// The request failed or was refused.
+    /// If the request failed or was rejected.
     pub fn put(&mut self, key: &str, value: &[u8], session: Option<&str>) -> Result<bool, RequestError> {
         let acquire = session.map_or(String::new(), |s| format!("?acquire={s}"));
         let response = self.member.request("PUT", &format!("/v1/kv/{}{acquire}", path(key)), value)?;
         Ok(response.json()? == true)
     }
 
-    /// Sets a key if it is still at this index.
+    /// Sets a key if its modification index is still `modified`; `false` otherwise.
     ///
     /// # Errors
-    /// The request failed or was refused.
+    /// If the request failed or was rejected.
     pub fn put_if(&mut self, key: &str, value: &[u8], modified: Revision) -> Result<bool, RequestError> {
         let response = self.member.request("PUT", &format!("/v1/kv/{}?cas={modified}", path(key)), value)?;
         Ok(response.json()? == true)
     }
 
-    /// Creates a session whose keys are deleted when it ends; its id.
+    /// Creates a session whose keys Consul deletes when it ends; returns its ID.
     ///
     /// # Errors
-    /// The request failed or was refused.
+    /// If the request failed or was rejected.
     pub fn create_session(&mut self, ttl_s: u64) -> Result<String, RequestError> {
         let body = json!({"TTL": format!("{ttl_s}s"), "Behavior": "delete", "LockDelay": "0s"}).to_string();
         let created = self.member.request("PUT", "/v1/session/create", body.as_bytes())?.json()?;
         created["ID"]
             .as_str()
             .map(str::to_string)
-            .ok_or_else(|| RequestError::InvalidResponse { reason: "no session".into() })
+            .ok_or_else(|| RequestError::InvalidResponse { reason: "response without session ID".into() })
     }
 
-    /// Renews a session; `false` where it is lost.
+    /// Renews a session; `false` if it has ended.
     ///
     /// # Errors
-    /// The request failed or was refused.
+    /// If the request failed or was rejected.
     pub fn renew_session(&mut self, session: &str) -> Result<bool, RequestError> {
         let response = self.member.request("PUT", &format!("/v1/session/renew/{session}"), b"")?;
         match response.code {
             200 => Ok(true),
             404 => Ok(false),
-            _ => Err(refusal(&response)),
+            _ => Err(rejection(&response)),
         }
     }
 
     /// Ends a session.
     ///
     /// # Errors
-    /// The request failed or was refused.
+    /// If the request failed or was rejected.
     pub fn destroy_session(&mut self, session: &str) -> Result<(), RequestError> {
         self.member.request("PUT", &format!("/v1/session/destroy/{session}"), b"")?.json().map(|_| ())
     }
--- a/registry/src/endpoints.rs
+++ b/registry/src/endpoints.rs
@@ -1,35 +1,38 @@
-//! Which member of the registry to ask next, and when: failing over with backoff and jitter, under a budget, so that
-//! routers that lost the same registry do not all come back at once.
+//! Selects the registry member for the next connection attempt and the delay before it: failover with
+//! jittered exponential backoff and a token bucket, so that routers that lost the same registry do not all
+//! reconnect at once.
 use crate::machine::EndpointIndex;
 use decision::{Micros, Time};
 use fastrand::Rng;
 
 const MICROS_PER_S: f64 = 1e6;
-/// Further failures don't double the backoff any more.
+/// After this many failures in a row the backoff doubles no further.
 const MAX_DOUBLINGS: u32 = 16;
-/// What is owed is earned at this rate at least, also where the settings say none.
+/// Lower bound for the refill rate of the attempt budget, so that the delay stays finite when the settings
+/// give 0.
 const MIN_ATTEMPTS_PER_S: f64 = 0.001;
 
 /// Settings of [`Endpoints`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The number of members.
+    /// The number of registry members.
     pub endpoints: usize,
-    /// The longest backoff after a member's first failure; each further failure doubles it.
+    /// The upper bound of the jittered backoff after a member's first failure; each further failure doubles
+    /// it.
     pub first_backoff: Micros,
-    /// The longest backoff after any number of failures.
+    /// The upper bound of the backoff after any number of failures.
     pub max_backoff: Micros,
-    /// Attempts that may be saved up, over all members.
-    pub max_saved_attempts: f64,
-    /// Attempts that are earned in a second, over all members.
+    /// Capacity of the token bucket for attempts, shared by all members.
+    pub max_attempt_tokens: f64,
+    /// Refill rate of the token bucket, in attempts per second.
     pub attempts_per_s: f64,
 }
 
 #[derive(Clone, Debug)]
 struct Member {
-    /// Failures since it last worked.
+    /// Failures since the last success.
     consecutive_failures: u32,
-    /// The end of its backoff.
+    /// When its backoff ends.
     not_before: Time,
 }
 
@@ -39,87 +42,87 @@
     }
 }
 
-/// The members of a registry.
+/// Tracks the members of a registry and their backoff.
 pub struct Endpoints {
     settings: Settings,
     members: Vec<Member>,
-    /// Attempts that may be made at once; below zero they are owed.
-    saved_attempts: f64,
-    /// When attempts were last earned; 0 before the first.
-    earned_at: Time,
-    /// The member that was asked last: the others have their turn before it.
+    /// Tokens in the bucket; negative when attempts have been granted ahead of the refill.
+    attempt_tokens: f64,
+    /// When the bucket was last refilled; 0 before the first refill.
+    refilled_at: Time,
+    /// The member selected last; the round-robin continues after it.
     last: EndpointIndex,
     rng: Rng,
 }
 
 impl Endpoints {
-    /// Members that have not failed yet. The seed decides which is asked first.
+    /// Creates the tracker; no member is in backoff. The seed determines which member is selected first.
     pub fn new(settings: Settings, seed: u64) -> Endpoints {
         let mut rng = Rng::with_seed(seed);
         let members = vec![Member::default(); settings.endpoints];
         let last = rng.usize(0..settings.endpoints.max(1));
         Endpoints {
-            saved_attempts: settings.max_saved_attempts,
+            attempt_tokens: settings.max_attempt_tokens,
             members,
             settings,
-            earned_at: Time(0),
+            refilled_at: Time(0),
             last,
             rng,
         }
     }
 
-    /// The member to ask next, and how long to wait before.
+    /// Returns the member for the next attempt and how long to wait before it.
     pub fn next(&mut self, now: Time) -> (EndpointIndex, Micros) {
-        self.earn_attempts(now);
+        self.refill_tokens(now);
         let count = self.members.len();
-        // The one whose backoff ends first; in turns where several are free.
+        // The member whose backoff ends first; round-robin among members without a backoff.
         let turns = (1..=count).map(|step| (self.last + step) % count);
         let backoff = |member: &Member| (member.not_before.0 - now.0).max(0);
         let Some(next) = turns.min_by_key(|index| backoff(&self.members[*index])) else {
             return (0, self.settings.max_backoff);
         };
         self.last = next;
-        self.saved_attempts -= 1.0;
-        (next, backoff(&self.members[next]).max(self.until_earned()))
+        self.attempt_tokens -= 1.0;
+        (next, backoff(&self.members[next]).max(self.refill_delay()))
     }
 
-    fn earn_attempts(&mut self, now: Time) {
-        if self.earned_at != Time(0) {
-            let seconds = (now.0 - self.earned_at.0).max(0) as f64 / MICROS_PER_S;
-            let earned = seconds * self.settings.attempts_per_s;
-            self.saved_attempts = (self.saved_attempts + earned).min(self.settings.max_saved_attempts);
+    fn refill_tokens(&mut self, now: Time) {
+        if self.refilled_at != Time(0) {
+            let seconds = (now.0 - self.refilled_at.0).max(0) as f64 / MICROS_PER_S;
+            let refilled = seconds * self.settings.attempts_per_s;
+            self.attempt_tokens = (self.attempt_tokens + refilled).min(self.settings.max_attempt_tokens);
         }
-        self.earned_at = now;
+        self.refilled_at = now;
     }
 
-    /// How long it takes until no attempt is owed any more.
-    fn until_earned(&self) -> Micros {
-        let owed = (-self.saved_attempts).max(0.0);
-        (owed / self.settings.attempts_per_s.max(MIN_ATTEMPTS_PER_S) * MICROS_PER_S) as Micros
+    /// How long until the bucket is no longer negative.
+    fn refill_delay(&self) -> Micros {
+        let deficit = (-self.attempt_tokens).max(0.0);
+        (deficit / self.settings.attempts_per_s.max(MIN_ATTEMPTS_PER_S) * MICROS_PER_S) as Micros
     }
 
-    /// A member failed, or must not be followed.
+    /// Records that a member failed or must not be followed, and starts its backoff.
     ///
     /// # Panics
-    /// There is no such member.
-    pub fn failed(&mut self, endpoint: EndpointIndex, now: Time) {
+    /// If the index is out of range.
+    pub fn record_failure(&mut self, endpoint: EndpointIndex, now: Time) {
         let member = &mut self.members[endpoint];
         let doublings = member.consecutive_failures.min(MAX_DOUBLINGS);
         let longest =
             self.settings.first_backoff.saturating_mul(1 << doublings).min(self.settings.max_backoff);
         member.consecutive_failures += 1;
-        // Anywhere up to the full backoff, and never at once.
+        // Between a quarter of the backoff and all of it, so that a retry is never immediate.
         let jitter = self.rng.i64(0..=longest * 3 / 4);
         member.not_before = Time(now.0 + longest / 4 + jitter);
     }
 
-    /// A member answers as it should.
+    /// Records that a member responded correctly, and ends its backoff.
     ///
     /// # Panics
-    /// There is no such member.
-    pub fn worked(&mut self, endpoint: EndpointIndex) {
+    /// If the index is out of range.
+    pub fn record_success(&mut self, endpoint: EndpointIndex) {
         self.members[endpoint] = Member::default();
-        // It comes first in the next turn.
+        // The round-robin continues with this member.
         self.last = (endpoint + self.members.len() - 1) % self.members.len();
     }
 }
--- a/registry/src/etcd.rs
+++ b/registry/src/etcd.rs
@@ -1,4 +1,4 @@
-//! etcd's JSON gateway, version 3 of its interface.
+//! Client for etcd's v3 API through its JSON gateway.
 mod watch;
 pub mod wire;
 
@@ -11,40 +11,40 @@
 use settings::operator::Credentials;
 use wire::{elements, encoded, item, number, prefix_end};
 
-/// A client of one member of etcd.
+/// A client of one etcd member.
 pub struct Etcd {
-    /// The member; its token is the header that authenticates.
+    /// The HTTP client; its auth header carries the login token.
     pub member: Member,
-    /// User and password, where etcd wants them.
+    /// User and password, if etcd requires authentication.
     pub credentials: Option<Credentials>,
-    /// Keys in one page of a read.
+    /// The number of keys per page of a paged read.
     pub page: usize,
 }
 
-/// A cluster, and a revision in it.
+/// A revision of a registry cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ClusterPosition {
-    /// The cluster's id; 0 where the dialect has none.
+pub struct ClusterRevision {
+    /// The cluster ID; 0 for Consul, which has none.
     pub cluster: u64,
-    /// The revision.
+    /// The revision of the cluster's data.
     pub revision: Revision,
 }
 
-/// One page of a read.
+/// One page of a paged read.
 struct Page {
-    position: ClusterPosition,
+    cluster_revision: ClusterRevision,
     items: Vec<Item>,
-    /// There are keys behind the last one.
+    /// More keys follow after the last one of this page.
     has_more: bool,
 }
 
-/// The position in a response's header.
-fn position(response: &Value) -> ClusterPosition {
+/// Reads cluster ID and revision from the header of a response.
+fn cluster_revision(response: &Value) -> ClusterRevision {
     let header = &response["header"];
-    ClusterPosition { cluster: number(header, "cluster_id"), revision: number(header, "revision") }
+    ClusterRevision { cluster: number(header, "cluster_id"), revision: number(header, "revision") }
 }
 
-fn refusal(response: &Response) -> RequestError {
+fn rejection(response: &Response) -> RequestError {
     let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
     let text = body["message"].as_str().or(body["error"].as_str()).unwrap_or("").to_string();
     if text.contains("compacted") {
@@ -57,17 +57,18 @@
 }
 
 impl Etcd {
-    /// Gets a token for the user; `false` where there is no user.
+    /// Requests a login token; `false` if no credentials are configured.
     fn log_in(&mut self) -> Result<bool, RequestError> {
         let Some(Credentials { user, password }) = self.credentials.clone() else { return Ok(false) };
         let body = json!({"name": user, "password": password}).to_string();
         self.member.auth_header = None;
         let response = self.member.request("POST", "/v3/auth/authenticate", body.as_bytes())?;
         if response.code != 200 {
-            return Err(refusal(&response));
+            return Err(rejection(&response));
         }
         let token = response.json()?["token"].as_str().map(str::to_string);
-        let token = token.ok_or_else(|| RequestError::InvalidResponse { reason: "no token".into() })?;
+        let token = token
+            .ok_or_else(|| RequestError::InvalidResponse { reason: "login response without token".into() })?;
         self.member.auth_header = Some(("Authorization", token));
         Ok(true)
     }
@@ -83,30 +84,31 @@
         self.log_in_if_needed()?;
         let body = body.to_string();
         let mut response = self.member.request("POST", path, body.as_bytes())?;
-        // A token expires after a while.
+        // The token may have expired: log in again and repeat the request.
         if response.code == 401 && self.log_in()? {
             response = self.member.request("POST", path, body.as_bytes())?;
         }
         if response.code != 200 {
-            return Err(refusal(&response));
+            return Err(rejection(&response));
         }
         response.json()
     }
 
-    /// The member's position. The read goes through the cluster's leader: a member that is cut off can't answer it.
+    /// Reads the member's cluster ID and revision. The read is linearizable, so a member without contact to
+    /// the leader fails it.
     ///
     /// # Errors
-    /// The request failed or was refused.
-    pub fn position(&mut self, prefix: &str) -> Result<ClusterPosition, RequestError> {
+    /// If the request failed or was rejected.
+    pub fn cluster_revision(&mut self, prefix: &str) -> Result<ClusterRevision, RequestError> {
         let body = json!({"key": encoded(prefix), "limit": "1", "keys_only": true});
-        Ok(position(&self.post("/v3/kv/range", &body)?))
+        Ok(cluster_revision(&self.post("/v3/kv/range", &body)?))
     }
 
-    /// Everything under a prefix at one revision, page by page.
+    /// Reads all keys under a prefix at one revision, page by page.
     ///
     /// # Errors
-    /// The request failed or was refused.
-    pub fn read(&mut self, prefix: &str) -> Result<(ClusterPosition, Vec<Item>), RequestError> {
+    /// If the request failed or was rejected.
+    pub fn read(&mut self, prefix: &str) -> Result<(ClusterRevision, Vec<Item>), RequestError> {
         loop {
             if let Some(read) = self.read_pages(prefix)? {
                 return Ok(read);
@@ -114,28 +116,30 @@
         }
     }
 
-    /// All pages; `None` where the revision of the first has been compacted away before the last.
-    fn read_pages(&mut self, prefix: &str) -> Result<Option<(ClusterPosition, Vec<Item>)>, RequestError> {
+    /// Reads all pages; `None` if the revision of the first page was compacted before the last one was read.
+    fn read_pages(&mut self, prefix: &str) -> Result<Option<(ClusterRevision, Vec<Item>)>, RequestError> {
         let first = self.read_page(prefix, prefix.as_bytes(), None)?;
-        let (position, mut items, mut has_more) = (first.position, first.items, first.has_more);
+        let (cluster_revision, mut items, mut has_more) =
+            (first.cluster_revision, first.items, first.has_more);
         while let Some(last) = items.last().filter(|_| has_more) {
             let from = [last.key.as_bytes(), b"\0"].concat();
-            let page = match self.read_page(prefix, &from, Some(position)) {
+            let page = match self.read_page(prefix, &from, Some(cluster_revision)) {
                 Err(RequestError::Compacted) => return Ok(None),
                 page => page?,
             };
             items.extend(page.items);
             has_more = page.has_more;
         }
-        Ok(Some((position, items)))
+        Ok(Some((cluster_revision, items)))
     }
 
-    /// The page that begins at a key, at the position of the first page or, for that one, at the newest.
+    /// Reads the page that starts at the key `from`: at the revision of the first page, or at the newest
+    /// revision if it is the first.
     fn read_page(
         &mut self,
         prefix: &str,
         from: &[u8],
-        first: Option<ClusterPosition>,
+        first: Option<ClusterRevision>,
     ) -> Result<Page, RequestError> {
         let mut body = json!({"key": encoded(from), "range_end": encoded(prefix_end(prefix)),
             "limit": self.page.to_string()});
@@ -143,22 +147,23 @@
             body["revision"] = json!(first.revision.to_string());
         }
         let response = self.post("/v3/kv/range", &body)?;
-        let position = position(&response);
-        if first.is_some_and(|first| first.cluster != position.cluster) {
+        let cluster_revision = cluster_revision(&response);
+        if first.is_some_and(|first| first.cluster != cluster_revision.cluster) {
             return Err(RequestError::InvalidResponse {
-                reason: "another cluster answers in the middle of a read".into(),
+                reason: "another cluster responded in the middle of a paged read".into(),
             });
         }
         let items = elements(&response, "kvs").iter().map(item).collect::<Result<Vec<_>, _>>()?;
         let has_more = response["more"] == true && !items.is_empty();
-        Ok(Page { position, items, has_more })
+        Ok(Page { cluster_revision, items, has_more })
     }
 
-    /// Where nothing under the prefix has changed behind this revision, the revision up to which that is so; `None` where
-    /// something has. `keys` is the number of keys at the revision: deletions show in the count alone.
+    /// Checks whether any key under the prefix has changed after `revision`. Returns the current revision if
+    /// none has, `None` otherwise. `keys` is the number of keys at `revision`: deletions are detected by a
+    /// different count.
     ///
     /// # Errors
-    /// The request failed or was refused.
+    /// If the request failed or was rejected.
     pub fn unchanged_up_to(
         &mut self,
         prefix: &str,
@@ -172,29 +177,29 @@
         if !elements(&response, "kvs").is_empty() {
             return Ok(None);
         }
-        let now = position(&response).revision;
+        let now = cluster_revision(&response).revision;
         let count = json!({"key": encoded(prefix), "range_end": end, "count_only": true,
             "revision": now.to_string()});
         let count = number(&self.post("/v3/kv/range", &count)?, "count");
         Ok((count as usize == keys).then_some(now))
     }
 
-    /// Sets a key, under a lease where one is named; its new revision.
+    /// Sets a key, attached to a lease if given; returns its new revision.
     ///
     /// # Errors
-    /// The request failed or was refused.
+    /// If the request failed or was rejected.
     pub fn put(&mut self, key: &str, value: &[u8], lease: Option<&str>) -> Result<Revision, RequestError> {
         let mut body = json!({"key": encoded(key), "value": encoded(value)});
         if let Some(lease) = lease {
             body["lease"] = json!(lease);
         }
-        Ok(position(&self.post("/v3/kv/put", &body)?).revision)
+        Ok(cluster_revision(&self.post("/v3/kv/put", &body)?).revision)
     }
 
-    /// Sets a key if it is still at this revision; `false` where it is not.
+    /// Sets a key if its modification revision is still `modified`; `false` otherwise.
     ///
     /// # Errors
-    /// The request failed or was refused.
+    /// If the request failed or was rejected.
     pub fn put_if(&mut self, key: &str, value: &[u8], modified: Revision) -> Result<bool, RequestError> {
         let compare = json!({"key": encoded(key), "target": "MOD", "result": "EQUAL",
             "mod_revision": modified.to_string()});
@@ -203,31 +208,31 @@
         Ok(response["succeeded"] == true)
     }
 
-    /// Grants a lease for this many seconds; its id.
+    /// Creates a lease with a time to live in seconds; returns its ID.
     ///
     /// # Errors
-    /// The request failed or was refused.
+    /// If the request failed or was rejected.
     pub fn grant_lease(&mut self, ttl_s: u64) -> Result<String, RequestError> {
         let response = self.post("/v3/lease/grant", &json!({"TTL": ttl_s.to_string()}))?;
         match number(&response, "ID") {
-            0 => Err(RequestError::InvalidResponse { reason: "no lease".into() }),
+            0 => Err(RequestError::InvalidResponse { reason: "response without lease ID".into() }),
             id => Ok(id.to_string()),
         }
     }
 
-    /// Renews a lease; `false` where it is lost.
+    /// Renews a lease; `false` if it has expired or was revoked.
     ///
     /// # Errors
-    /// The request failed or was refused.
+    /// If the request failed or was rejected.
     pub fn keep_alive(&mut self, lease: &str) -> Result<bool, RequestError> {
         let response = self.post("/v3/lease/keepalive", &json!({"ID": lease}))?;
         Ok(number(&response["result"], "TTL") > 0)
     }
 
-    /// Revokes a lease: its keys are deleted at once.
+    /// Revokes a lease; etcd deletes its keys at once.
     ///
     /// # Errors
-    /// The request failed or was refused.
+    /// If the request failed or was rejected.
     pub fn revoke_lease(&mut self, lease: &str) -> Result<(), RequestError> {
         self.post("/v3/lease/revoke", &json!({"ID": lease})).map(|_| ())
     }
--- a/registry/src/etcd/watch.rs
+++ b/registry/src/etcd/watch.rs
@@ -1,4 +1,4 @@
-//! etcd's watch: one response that goes on, a message a line.
+//! etcd's watch: a streaming response with one JSON message per line.
 use super::Etcd;
 use super::wire::{change, elements, encoded, number, prefix_end};
 use crate::RequestError;
@@ -8,39 +8,39 @@
 use std::io;
 use std::time::Duration;
 
-/// The head of a watch's response is waited for at least this long, however soon silence is reported later on.
+/// Lower bound for the timeout of the response head, even if `max_silence` is shorter.
 const MIN_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a watch brings.
+/// An event of a watch.
 pub enum WatchEvent {
-    /// Changes, in order.
+    /// Changes of keys, in order.
     Changes(Vec<Change>),
-    /// Everything up to this revision has been brought.
+    /// All changes up to this revision have been delivered.
     Progress(Revision),
-    /// Nothing has come for a while.
+    /// Nothing was received for `max_silence`.
     Silence,
 }
 
 impl Etcd {
-    /// Follows a prefix from a revision on, until the watch fails or `handle` returns `false`. Where nothing comes for
-    /// `max_quiet`, `handle` gets [`WatchEvent::Silence`], and the watch goes on.
+    /// Watches a prefix from a revision on, until the watch fails or `handle` returns `false`. If nothing is
+    /// received for `max_silence`, `handle` is called with [`WatchEvent::Silence`], and the watch continues.
     ///
     /// # Errors
-    /// The watch failed, was cancelled or refused, or the revision has been compacted away.
+    /// If the watch failed, was cancelled or rejected, or the revision has been compacted.
     pub fn watch(
         &mut self,
         prefix: &str,
         from: Revision,
-        max_quiet: Duration,
+        max_silence: Duration,
         mut handle: impl FnMut(WatchEvent) -> bool,
     ) -> Result<(), RequestError> {
-        let mut lines = self.open_watch(prefix, from, max_quiet)?;
+        let mut lines = self.open_watch(prefix, from, max_silence)?;
         let mut line = Vec::new();
         loop {
             let event = match lines.read_line(&mut line) {
                 Ok(true) => parse(&line)?,
                 Ok(false) => return Err(RequestError::WatchEnded),
-                // What has come of a line stays with the stream.
+                // The stream buffers the part of a line that was received before the timeout.
                 Err(e) if is_timeout(&e) => Some(WatchEvent::Silence),
                 Err(e) => return Err(e.into()),
             };
@@ -54,7 +54,7 @@
         &mut self,
         prefix: &str,
         from: Revision,
-        max_quiet: Duration,
+        max_silence: Duration,
     ) -> Result<LineStream, RequestError> {
         self.log_in_if_needed()?;
         let create = json!({"create_request": {
@@ -63,13 +63,13 @@
             "start_revision": from.to_string(),
             "progress_notify": true,
         }});
-        let head_timeout = max_quiet.max(MIN_HEAD_TIMEOUT);
+        let head_timeout = max_silence.max(MIN_HEAD_TIMEOUT);
         let body = create.to_string();
-        let lines = self.member.stream_lines("/v3/watch", body.as_bytes(), head_timeout, max_quiet)?;
+        let lines = self.member.stream_lines("/v3/watch", body.as_bytes(), head_timeout, max_silence)?;
         if lines.code != 200 {
             // The token may have expired: the next request logs in again.
             self.member.auth_header = None;
-            return Err(RequestError::Rejected { status: lines.code, message: "no watch".into() });
+            return Err(RequestError::Rejected { status: lines.code, message: "watch not opened".into() });
         }
         Ok(lines)
     }
@@ -79,13 +79,13 @@
     matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
 }
 
-/// What a line says; `None` where that is nothing of interest.
+/// Parses a line; `None` for empty lines and the confirmation that the watch was created.
 fn parse(line: &[u8]) -> Result<Option<WatchEvent>, RequestError> {
     if line.trim_ascii().is_empty() {
         return Ok(None);
     }
     let message: Value = serde_json::from_slice(line)
-        .map_err(|e| RequestError::InvalidResponse { reason: format!("no JSON: {e}") })?;
+        .map_err(|e| RequestError::InvalidResponse { reason: format!("watch message is not JSON: {e}") })?;
     let result = &message["result"];
     if number(result, "compact_revision") > 0 {
         return Err(RequestError::Compacted);
--- a/registry/src/fleet.rs
+++ b/registry/src/fleet.rs
@@ -1,7 +1,9 @@
-//! The node list that is made of a registry's keys, and what of it still holds: when a key is faulty, when half of the
-//! list vanishes at once, when the registry is silent, when it was restored from a backup.
+//! Builds the node list from the registry's keys, and decides which entries stay usable when a key is
+//! invalid, when many nodes disappear at once, when the registry does not respond, and after the registry was
+//! restored from a backup.
 //!
-//! No I/O, no clock, no threads: the same events at the same times give the same actions.
+//! It does no I/O, reads no clock and starts no thread: its actions depend only on the events and their
+//! times.
 mod disappearance;
 mod listing;
 mod node;
@@ -17,30 +19,32 @@
 /// Settings of a [`Fleet`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Networks that nodes may be in; any network where none is named.
+    /// Networks that node addresses must belong to; empty allows any network.
     pub allow: Vec<IpNet>,
-    /// Networks that nodes may not be in.
+    /// Networks that node addresses must not belong to.
     pub deny: Vec<IpNet>,
-    /// While the registry has been silent for no longer than this, every node is used.
+    /// Up to this time since the registry's last response every node is used.
     pub max_fresh_age: Micros,
-    /// Then only nodes that have answered since; and after this time, where it is set, none.
+    /// After `max_fresh_age` only nodes that have responded since the registry did are used; after this time,
+    /// if set, no node is.
     pub max_usable_age: Option<Micros>,
-    /// Where more than this share of the nodes in service vanishes within the window, the rest that vanishes is retained.
+    /// If more than this share of the nodes in service disappears within the window, further nodes that
+    /// disappear are retained.
     pub mass_removal_share: f64,
-    /// The window of that share.
+    /// The time window in which disappearances are counted.
     pub mass_removal_window: Micros,
-    /// How long nodes are retained.
+    /// How long nodes that disappeared are retained.
     pub mass_removal_delay: Micros,
 }
 
-/// An input of the fleet.
+/// An input event of the fleet's state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A node's key has this value.
+    /// A node's key was created or its value changed.
     Put {
         /// The node's name.
         name: String,
-        /// The key's value.
+        /// The key with its value.
         item: Item,
     },
     /// A node's key was deleted.
@@ -48,83 +52,84 @@
         /// The node's name.
         name: String,
     },
-    /// The registry was restored from a backup: what follows is older than what was known.
+    /// The registry was restored from a backup; the events that follow carry older data than before.
     Restored,
-    /// The registry has responded, with or without changes.
+    /// The registry responded, with or without changes.
     RegistryResponded,
-    /// A node has responded to this router.
+    /// A node responded to a request of this router.
     NodeResponded {
         /// The node's name.
         name: String,
     },
-    /// An operator confirms that the nodes that vanished are to be removed.
+    /// An operator confirmed the removal of the retained nodes.
     ReleaseRetained,
-    /// Time passes.
+    /// Time has passed; checks whether delays have expired.
     Tick,
 }
 
-/// An output of the fleet, to be carried out in order.
+/// An action that the fleet requests; the caller performs them in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Put a node on the endpoint list or change it there.
+    /// Add a node to the endpoint list or change its entry.
     List {
-        /// Its id, which no other node has ever had.
+        /// The endpoint ID, which is never reused for another node.
         id: String,
         /// The node.
         node: Node,
     },
-    /// Take a node off the endpoint list.
+    /// Remove a node from the endpoint list.
     Unlist {
-        /// Its id.
+        /// The endpoint ID.
         id: String,
     },
-    /// A node's key can't be used; its value from before stays in force.
+    /// A node's key has an invalid value; its last valid value stays in force.
     InvalidNode {
         /// The node's name.
         name: String,
-        /// Why the key can't be used.
+        /// Why the value is invalid.
         reason: String,
     },
-    /// Too many nodes vanished at once: from now on they are retained for a while.
+    /// Too many nodes disappeared at once; further ones are retained for `mass_removal_delay`.
     MassRemovalDelayed {
-        /// The number of nodes in service before.
+        /// The number of nodes in service before the disappearances.
         nodes: usize,
     },
-    /// Nodes are retained no longer.
+    /// Retained nodes were removed.
     RetainedReleased {
-        /// How many.
+        /// The number of removed nodes.
         nodes: usize,
     },
-    /// What the list may be used for has changed.
+    /// The level changed that says which nodes may be used.
     LevelChanged(Level),
 }
 
-/// What the list may be used for at its age.
+/// Which nodes of the list may be used, given the time since the registry's last response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Level {
-    /// Every node gets new requests.
+    /// Every node is used.
     Fresh,
-    /// Only nodes that have answered since the registry last did.
+    /// Only nodes that have responded since the registry's last response are used.
     KnownGood,
-    /// No node.
+    /// No node is used.
     TooOld,
 }
 
-/// What is known of a node.
+/// The known state of a node.
 #[derive(Clone, Debug)]
 struct Entry {
     node: Node,
-    /// Its id on the endpoint list: the name with the revision at which the key was created.
+    /// The endpoint ID: the name and the revision at which the key was created.
     id: String,
     created: u64,
     modified: u64,
-    /// Its key has vanished, and the node is retained until then.
+    /// Set once its key is deleted: when the retained node is to be removed.
     retained_until: Option<Time>,
-    /// It drained before the registry went back, and its key has not changed since: it stays drained.
+    /// The node was draining before the registry was restored, and its key has not changed since: it keeps
+    /// draining.
     is_fenced: bool,
-    /// When it last responded to this router; before its first response, when its key was read.
+    /// When the node last responded to this router; until its first response, when its key was read.
     responded_at: Time,
-    /// Its state on the endpoint list; `None` before it is put there.
+    /// Its state on the endpoint list; `None` before it is added.
     listed_state: Option<State>,
 }
 
@@ -134,32 +139,33 @@
     }
 }
 
-/// Removed nodes whose names are remembered.
+/// Limit for remembered names of removed nodes.
 const MAX_REMOVED_NAMES: usize = 4096;
 
-/// The nodes of a registry.
+/// The state machine of the node list.
 pub struct Fleet {
     settings: Settings,
     nodes: BTreeMap<String, Entry>,
-    /// Names of nodes whose newest value can't be used.
+    /// Names of nodes whose newest value is invalid.
     invalid: BTreeSet<String>,
-    /// When nodes vanished within the last window.
+    /// Times of the disappearances within the last window.
     vanished: VecDeque<Time>,
-    /// When the registry last answered.
+    /// When the registry last responded.
     last_contact: Option<Time>,
     level: Level,
-    /// Nodes that were drained or removed when the registry went back, and whose key has not come since.
+    /// Nodes that were draining or removed when the registry was restored, and whose keys have not been
+    /// received since.
     drained_before_restore: BTreeSet<String>,
-    /// Nodes that were removed, the newest last: a restored backup may bring them back.
+    /// Names of removed nodes, the newest last; a restore from a backup may recreate their keys.
     removed: VecDeque<String>,
-    /// Nodes that vanish are being retained.
+    /// Nodes that disappear are currently retained.
     is_retaining: bool,
     /// The number of nodes in service that are not retained.
     serving: usize,
 }
 
 impl Fleet {
-    /// A fleet without nodes.
+    /// Creates a fleet without nodes.
     pub fn new(settings: Settings) -> Fleet {
         Fleet {
             settings,
@@ -175,31 +181,31 @@
         }
     }
 
-    /// What the list may be used for.
+    /// Which nodes may currently be used.
     pub fn level(&self) -> Level {
         self.level
     }
 
-    /// Names and nodes, each with its state on the endpoint list.
+    /// All nodes with their names and their states on the endpoint list.
     pub fn nodes(&self) -> impl Iterator<Item = (&str, &Node, Option<State>)> {
         self.nodes.iter().map(|(name, entry)| (name.as_str(), &entry.node, entry.listed_state))
     }
 
-    /// The number of nodes that vanished and are retained.
+    /// The number of retained nodes, whose keys were deleted.
     pub fn retained_count(&self) -> usize {
         self.nodes.values().filter(|entry| entry.retained_until.is_some()).count()
     }
 
-    /// Names of nodes whose newest value can't be used.
+    /// Names of nodes whose newest value is invalid.
     pub fn invalid_names(&self) -> impl Iterator<Item = &str> {
         self.invalid.iter().map(String::as_str)
     }
 
-    /// Handles an event at a time, and appends what is to be done to `actions`.
+    /// Handles an event that occurred at `now`, and appends the requested actions to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Put { name, item } => self.key_put(now, name, &item, actions),
-            Event::KeyDeleted { name } => self.key_deleted(now, &name, actions),
+            Event::Put { name, item } => self.on_key_put(now, name, &item, actions),
+            Event::KeyDeleted { name } => self.on_key_deleted(now, &name, actions),
             Event::Restored => self.fence_drained(),
             Event::RegistryResponded => {
                 self.last_contact = Some(now);
@@ -218,7 +224,7 @@
         }
     }
 
-    /// Remembers the nodes that an older registry must not put back into service.
+    /// Remembers the draining and removed nodes, which a restored registry must not put back into service.
     fn fence_drained(&mut self) {
         let is_drained = |entry: &Entry| entry.node.state != State::InService || entry.is_fenced;
         let drained = self.nodes.iter().filter(|(_, entry)| is_drained(entry));
@@ -226,7 +232,7 @@
         self.drained_before_restore.extend(self.removed.drain(..));
     }
 
-    fn key_put(&mut self, now: Time, name: String, item: &Item, actions: &mut Vec<Action>) {
+    fn on_key_put(&mut self, now: Time, name: String, item: &Item, actions: &mut Vec<Action>) {
         let node = match node::parse(&item.value, &self.settings) {
             Ok(node) => node,
             Err(error) => {
@@ -237,10 +243,10 @@
         self.invalid.remove(&name);
         let was_drained = self.drained_before_restore.remove(&name);
         let old = self.nodes.get(&name);
-        // A key that was created again, or whose address has changed, is another node under the same name.
+        // A recreated key or a new address means a different node under the same name.
         let same = old.filter(|old| old.created == item.created && old.node.addr == node.addr);
         if let Some(old) = old.filter(|old| same.is_none() && old.listed_state != Some(State::Gone)) {
-            // What was learned of the old one says nothing of the new one.
+            // Measurements of the old node must not be applied to the new one, so it gets a new ID.
             actions.push(Action::Unlist { id: old.id.clone() });
         }
         let entry = Entry {
@@ -248,7 +254,8 @@
             created: item.created,
             modified: item.modified,
             retained_until: None,
-            // It may have been drained after the backup was made: only a newer change puts it back.
+            // It may have been drained after the backup was taken: only a newer change puts it back into
+            // service.
             is_fenced: was_drained || same.is_some_and(|s| s.is_fenced && s.modified >= item.modified),
             responded_at: same.map_or(now, |same| same.responded_at),
             listed_state: same.and_then(|same| same.listed_state),
@@ -279,7 +286,7 @@
     }
 }
 
-/// The id of a node that no node has had before, also where only the address of a key has changed.
+/// Creates an endpoint ID that was never used before, even if only the address in the key changed.
 fn new_id(name: &str, item: &Item, old: Option<&Entry>) -> String {
     if old.is_some_and(|old| old.created == item.created) {
         format!("{name}@{}.{}", item.created, item.modified)
--- a/registry/src/fleet/disappearance.rs
+++ b/registry/src/fleet/disappearance.rs
@@ -1,23 +1,24 @@
-//! Nodes whose keys vanish: one by one they are removed, many at once are retained for a while.
+//! Handles deleted node keys: single nodes are removed at once; if many disappear together they are retained
+//! for a time.
 use super::{Action, Fleet, State};
 use decision::Time;
 
 impl Fleet {
-    pub(super) fn key_deleted(&mut self, now: Time, name: &str, actions: &mut Vec<Action>) {
+    pub(super) fn on_key_deleted(&mut self, now: Time, name: &str, actions: &mut Vec<Action>) {
         self.invalid.remove(name);
         let Some(entry) = self.nodes.get(name) else { return };
         if entry.node.state != State::InService || entry.retained_until.is_some() {
             return self.remove(name, actions);
         }
         self.record_vanished(now);
-        let left = self.serving - 1;
-        let before = left + self.vanished.len();
-        if !self.is_mass_disappearance(before) && left > 0 {
+        let remaining = self.serving - 1;
+        let serving_before = remaining + self.vanished.len();
+        if !self.is_mass_disappearance(serving_before) && remaining > 0 {
             return self.remove(name, actions);
         }
         self.retain(name, Time(now.0 + self.settings.mass_removal_delay));
         if !std::mem::replace(&mut self.is_retaining, true) {
-            actions.push(Action::MassRemovalDelayed { nodes: before });
+            actions.push(Action::MassRemovalDelayed { nodes: serving_before });
         }
     }
 
@@ -29,11 +30,11 @@
         self.vanished.push_back(now);
     }
 
-    /// Whether too many of the nodes that were in service before the window have vanished. One of one or two is an
-    /// ordinary change; a large part at once hardly is.
-    fn is_mass_disappearance(&self, before: usize) -> bool {
+    /// Whether too many of the nodes that were in service before the window have disappeared. A single node
+    /// never counts as too many, since removing one of two nodes is an ordinary change.
+    fn is_mass_disappearance(&self, serving_before: usize) -> bool {
         let vanished = self.vanished.len();
-        vanished > 1 && vanished as f64 > self.settings.mass_removal_share * before as f64
+        vanished > 1 && vanished as f64 > self.settings.mass_removal_share * serving_before as f64
     }
 
     fn retain(&mut self, name: &str, until: Time) {
@@ -43,9 +44,9 @@
         self.serving -= 1;
     }
 
-    /// Removes the nodes that are retained until a time for which `is_over` holds.
+    /// Removes the retained nodes for whose retention end `is_over` returns `true`.
     pub(super) fn release_retained(&mut self, is_over: impl Fn(Time) -> bool, actions: &mut Vec<Action>) {
-        // Nearly always: a long list must not be gone through at each tick.
+        // Normally no node is retained; this avoids scanning a long list at each tick.
         if !self.is_retaining {
             return;
         }
--- a/registry/src/fleet/listing.rs
+++ b/registry/src/fleet/listing.rs
@@ -1,9 +1,10 @@
-//! What the endpoint list has of each node, by the node's state and by how long the registry has been silent.
+//! Derives each node's state on the endpoint list from its registered state and the time since the registry
+//! responded.
 use super::{Action, Entry, Fleet, Level, Node, State};
 use decision::{Micros, Time};
 
 impl Fleet {
-    /// The state that the endpoint list is to have of a node.
+    /// The state that a node is to have on the endpoint list.
     fn effective_state(&self, entry: &Entry) -> State {
         if entry.node.state != State::InService {
             return entry.node.state;
@@ -17,7 +18,8 @@
         if is_usable && !entry.is_fenced { State::InService } else { State::Draining }
     }
 
-    /// Brings the endpoint list up to date with a node; where only its state there counts, `has_changed` is `false`.
+    /// Updates the entry of a node on the endpoint list, if its state differs there or `has_changed` is
+    /// `true`.
     pub(super) fn update_listing(&mut self, name: &str, has_changed: bool, actions: &mut Vec<Action>) {
         let Some(state) = self.nodes.get(name).map(|entry| self.effective_state(entry)) else { return };
         let Some(entry) = self.nodes.get_mut(name) else { return };
@@ -32,7 +34,8 @@
         }
     }
 
-    /// Decides what the list may be used for at its age, and updates the nodes for which that makes a difference.
+    /// Recomputes the level from the time since the registry's last response, and updates the entries that it
+    /// affects.
     pub(super) fn update_level(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Some(last_contact) = self.last_contact else { return };
         let level = self.level_at_age(now.0 - last_contact.0);
--- a/registry/src/fleet/node.rs
+++ b/registry/src/fleet/node.rs
@@ -1,23 +1,23 @@
-//! A node, as its key in the registry describes it.
+//! A node as described by its key in the registry.
 use super::Settings;
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
 use thiserror::Error;
 
-/// A node's state, as its key says.
+/// A node's state, as stated in its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Takes requests.
+    /// Accepts requests.
     InService,
-    /// Ends its requests and gets no new ones.
+    /// Completes its requests and gets no new ones.
     Draining,
-    /// Is not to be used, though its key exists.
+    /// Must not be used, although its key exists.
     Gone,
 }
 
-/// Why a node's key can't be used.
+/// Why the value of a node's key is invalid.
 #[derive(Debug, Error)]
 pub(super) enum NodeError {
     #[error("{0}")]
@@ -30,25 +30,25 @@
     Network(IpAddr),
 }
 
-/// A node, as the JSON of its key has it.
+/// A node; the JSON value of its key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// Where it listens.
+    /// The address that the node listens on.
     pub addr: SocketAddr,
-    /// Its group.
+    /// The number of its replication group.
     #[serde(default)]
     pub group: u32,
-    /// `primary` or `replica`: a hint, the servers are asked themselves.
+    /// `primary` or `replica`. Only a hint: the router queries the servers for their actual role.
     #[serde(default)]
     pub role: Option<String>,
-    /// What it may be used for.
+    /// Whether the node accepts new requests.
     #[serde(default = "default_state")]
     pub state: State,
     /// Its capacity relative to other nodes; positive.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Its zone's name.
+    /// The name of its zone.
     #[serde(default)]
     pub zone: String,
 }
@@ -61,7 +61,7 @@
     1.0
 }
 
-/// Reads a key's value.
+/// Parses and validates the value of a node's key.
 pub(super) fn parse(value: &[u8], settings: &Settings) -> Result<Node, NodeError> {
     let node: Node = serde_json::from_slice(value)?;
     if !(node.weight.is_finite() && node.weight > 0.0) {
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -1,5 +1,5 @@
-//! Requests to one member of the registry, one after the other on a connection that is reused: `ureq` speaks HTTP on it.
-//! Connecting, TLS and timeouts are ours, by the transport that `ureq` lets its users put below it.
+//! HTTP requests to one registry member, one at a time on a reused connection. `ureq` implements HTTP;
+//! connecting, TLS and timeouts are implemented here, in a custom `ureq` transport.
 mod bounds;
 mod transport;
 
@@ -17,31 +17,31 @@
 use ureq::unversioned::resolver::DefaultResolver;
 use ureq::{Agent, BodyReader};
 
-/// The longest head of a response.
+/// The size limit for the head of a response.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// An idle connection is reused up to this age.
+/// An idle connection older than this is not reused.
 const MAX_IDLE: Duration = Duration::from_hours(1);
-/// Characters of a body that a message may quote.
+/// The number of characters of a response body that an error message quotes at most.
 const MAX_QUOTED_CHARS: usize = 200;
 
-/// One member.
+/// An HTTP client for one registry member.
 pub struct Member {
-    /// Where it listens.
+    /// The address of the registry member.
     pub addr: SocketAddr,
     tls: Option<Arc<Tls>>,
     bounds: Bounds,
     agent: Agent,
     shared: Arc<Shared>,
-    /// The name and value of a header that authenticates each request.
+    /// The name and value of the header that authenticates requests.
     pub auth_header: Option<(&'static str, String)>,
 }
 
 impl Member {
-    /// A member; nothing is connected yet.
+    /// Creates a client without opening a connection.
     pub fn new(addr: SocketAddr, tls: Option<Arc<Tls>>, bounds: Bounds) -> Member {
         let shared = Arc::new(Shared::default());
         let config = Agent::config_builder()
-            // Neither the environment nor a response sends us elsewhere, and a refusal is a response.
+            // No proxy from the environment and no redirects; an error status is returned as a response.
             .proxy(None)
             .max_redirects(0)
             .http_status_as_error(false)
@@ -54,7 +54,7 @@
         Member { addr, tls, bounds, agent, shared, auth_header: None }
     }
 
-    /// The same member, on a connection of its own.
+    /// Creates a client of the same member with a separate connection.
     #[must_use]
     pub fn new_connection(&self) -> Member {
         let mut member = Member::new(self.addr, self.tls.clone(), self.bounds);
@@ -62,7 +62,8 @@
         member
     }
 
-    /// Sends a request, again on a new connection where a reused one had been closed; the response's body is unread.
+    /// Sends a request and reads the head of the response. If a reused connection turns out to be closed, the
+    /// request is sent again on a new one.
     fn send(
         &self,
         method: &str,
@@ -73,7 +74,8 @@
         self.shared.set_read_timeout(read_timeout);
         let connections = self.shared.connections();
         match self.send_once(method, path, body) {
-            // Only a reused connection may have been closed before the request; every request here may be sent twice.
+            // Only a reused connection may have been closed before the request; all requests here are safe to
+            // repeat.
             Err(ureq::Error::Io(e))
                 if self.shared.connections() == connections && connections > 0 && !is_timeout(&e) =>
             {
@@ -102,16 +104,16 @@
         }
     }
 
-    /// Sends a request, and reads the whole response.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
-    /// The connection failed, or the response is cut off, too long, or silent for longer than the bounds allow. A status
-    /// code that refuses is no error here: see [`Response::json`].
+    /// If the connection failed, or the response is truncated, too long or timed out. An error status is not
+    /// an error here; see [`Response::json`].
     pub fn request(&mut self, method: &str, path: &str, body: &[u8]) -> Result<Response, RequestError> {
         self.request_with_timeout(method, path, body, self.bounds.read_timeout)
     }
 
-    /// The same with another read timeout than that of the bounds.
+    /// Like [`Member::request`], with a read timeout other than that of the bounds.
     ///
     /// # Errors
     /// As for [`Member::request`].
@@ -131,8 +133,9 @@
         Ok(Response { code: response.status().as_u16(), body, index, knows_leader })
     }
 
-    /// Sends a request for a response that goes on, line by line: its head must come within `head_timeout`, and a read
-    /// that brings nothing for `read_timeout` ends in an error after which reading may go on.
+    /// Sends a request whose response is a stream of lines. The response head must be received within
+    /// `head_timeout`. A read that receives nothing for `read_timeout` fails with a timeout, after which
+    /// reading may continue.
     ///
     /// # Errors
     /// As for [`Member::request`].
@@ -155,62 +158,62 @@
     matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
 }
 
-/// A response that goes on.
+/// The body of a streaming response, read line by line.
 pub struct LineStream {
-    /// The status code.
+    /// The HTTP status code.
     pub code: u16,
     reader: BufReader<BodyReader<'static>>,
     max_bytes: usize,
-    /// The beginning of a line whose end had not come when a read timed out.
+    /// The part of a line received before a read timed out.
     partial: Vec<u8>,
 }
 
 impl LineStream {
-    /// Reads one line, without its end; `false` when the response has ended.
+    /// Reads one line without its terminator; `false` at the end of the response.
     ///
     /// # Errors
-    /// The connection failed, the response is cut off, or the line is too long. After a timeout (`WouldBlock` or
-    /// `TimedOut`) this can be called again, and nothing is lost.
+    /// If the connection failed, the response is truncated or the line is too long. After a timeout
+    /// (`WouldBlock` or `TimedOut`) it can be called again without losing data.
     pub fn read_line(&mut self, line: &mut Vec<u8>) -> io::Result<bool> {
         line.clear();
-        let room = (self.max_bytes + 1).saturating_sub(self.partial.len()) as u64;
-        (&mut self.reader).take(room).read_until(b'\n', &mut self.partial)?;
+        let remaining = (self.max_bytes + 1).saturating_sub(self.partial.len()) as u64;
+        (&mut self.reader).take(remaining).read_until(b'\n', &mut self.partial)?;
         std::mem::swap(line, &mut self.partial);
-        let is_cut = line.last() != Some(&b'\n');
-        if is_cut && line.len() > self.max_bytes {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "a line is too long"));
+        let is_incomplete = line.last() != Some(&b'\n');
+        if is_incomplete && line.len() > self.max_bytes {
+            return Err(io::Error::new(io::ErrorKind::InvalidData, "response line exceeds the size limit"));
         }
-        line.truncate(line.len() - usize::from(!is_cut));
-        Ok(!is_cut || !line.is_empty())
+        line.truncate(line.len() - usize::from(!is_incomplete));
+        Ok(!is_incomplete || !line.is_empty())
     }
 }
 
-/// A response with its whole body.
+/// A response with its complete body.
 pub struct Response {
-    /// The status code.
+    /// The HTTP status code.
     pub code: u16,
-    /// The body.
+    /// The complete body, after decoding of chunks.
     pub body: Vec<u8>,
-    /// Consul's index, where the response has one.
+    /// The value of Consul's index header, if present.
     pub index: Option<u64>,
-    /// Whether Consul knows a leader; also `true` where the response doesn't say.
+    /// Whether the Consul member knows a leader; `true` if the response does not say.
     pub knows_leader: bool,
 }
 
 impl Response {
-    /// The body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
-    /// The status code is no success, or the body is not JSON.
+    /// If the status code is not 2xx, or the body is not JSON.
     pub fn json(&self) -> Result<Value, RequestError> {
         if !(200..300).contains(&self.code) {
             return Err(RequestError::Rejected { status: self.code, message: self.text() });
         }
         serde_json::from_slice(&self.body)
-            .map_err(|e| RequestError::InvalidResponse { reason: format!("no JSON: {e}") })
+            .map_err(|e| RequestError::InvalidResponse { reason: format!("response body is not JSON: {e}") })
     }
 
-    /// The beginning of the body, for messages.
+    /// The beginning of the body, for error messages.
     pub fn text(&self) -> String {
         let text = String::from_utf8_lossy(&self.body);
         text.trim().chars().take(MAX_QUOTED_CHARS).collect()
--- a/registry/src/http/bounds.rs
+++ b/registry/src/http/bounds.rs
@@ -1,16 +1,16 @@
-//! The bounds of a member's connection.
+//! Timeouts and size limits of a connection to a registry member.
 use std::time::Duration;
 
-/// The size of each buffer of a connection.
+/// The size of each of a connection's input and output buffers.
 pub(super) const BUFFER_BYTES: usize = 16 * 1024;
 
-/// The bounds of a member's connection.
+/// Timeouts and size limits of a connection to a registry member.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// A connection that is not made within this time has failed.
+    /// How long establishing a connection may take.
     pub connect_timeout: Duration,
-    /// A response that brings nothing for this long has failed.
+    /// How long a read may receive nothing before the request fails.
     pub read_timeout: Duration,
-    /// The longest body of a response, and the longest line of one that goes on.
+    /// Size limit for a response body, or for one line of a streaming response.
     pub max_bytes: usize,
 }
--- a/registry/src/http/transport.rs
+++ b/registry/src/http/transport.rs
@@ -1,4 +1,4 @@
-//! The transport below `ureq`: connecting, TLS and timeouts of our own.
+//! A transport for `ureq` with its own connecting, TLS and timeouts.
 use super::bounds::{BUFFER_BYTES, Bounds};
 use crate::tls::Tls;
 use rustls::{ClientConnection, StreamOwned};
@@ -11,7 +11,7 @@
     Buffers, ConnectionDetails, Connector, LazyBuffers, NextTimeout, Transport,
 };
 
-/// A connection, with TLS or without.
+/// A connection with or without TLS.
 #[derive(Debug)]
 enum Stream {
     Plain(TcpStream),
@@ -41,33 +41,33 @@
     }
 }
 
-/// What the connections to a member share with the requests on them.
+/// State shared between the client of a registry member and its connections.
 #[derive(Debug, Default)]
 pub(super) struct Shared {
-    /// How long a read may bring nothing, in microseconds; holds from the next read on.
+    /// The read timeout in microseconds; a change takes effect at the next read.
     read_timeout_us: AtomicU64,
-    /// Connections made so far.
+    /// The number of connections opened so far.
     connections: AtomicU64,
 }
 
 impl Shared {
-    /// How long a read may bring nothing, from the next read on.
+    /// Sets how long a read may receive nothing; takes effect at the next read.
     pub(super) fn set_read_timeout(&self, timeout: Duration) {
         self.read_timeout_us.store(timeout.as_micros() as u64, Ordering::Relaxed);
     }
 
     fn read_timeout(&self) -> Duration {
-        // A socket takes no timeout of zero.
+        // The operating system rejects a socket timeout of zero.
         Duration::from_micros(self.read_timeout_us.load(Ordering::Relaxed).max(1))
     }
 
-    /// Connections made so far.
+    /// The number of connections opened so far.
     pub(super) fn connections(&self) -> u64 {
         self.connections.load(Ordering::Relaxed)
     }
 }
 
-/// Makes connections for `ureq`.
+/// Opens connections for `ureq`.
 #[derive(Debug)]
 pub(super) struct SocketConnector {
     pub(super) addr: SocketAddr,
@@ -83,7 +83,7 @@
         let socket = routing::socket::connect(self.addr, self.bounds.connect_timeout)?;
         socket.set_nodelay(true)?;
         socket.set_write_timeout(Some(self.bounds.read_timeout))?;
-        // TLS shakes hands with the first bytes, which are read within this time.
+        // Applies to the TLS handshake, which takes place at the first read or write.
         socket.set_read_timeout(Some(self.bounds.read_timeout))?;
         let stream = match &self.tls {
             None => Stream::Plain(socket),
@@ -95,7 +95,8 @@
     }
 }
 
-/// A connection as `ureq` uses it. Its own timeouts are not used: ours are set on the socket.
+/// A connection used by `ureq`. The timeouts that `ureq` passes are ignored; they are set on the socket
+/// instead.
 #[derive(Debug)]
 pub(super) struct SocketTransport {
     stream: Stream,
@@ -124,12 +125,12 @@
         Ok(read > 0)
     }
 
-    /// An idle connection that has something to read was closed, or brings what was not requested.
+    /// If an idle connection has something to read, it was closed or the peer sent unrequested data.
     fn is_open(&mut self) -> bool {
         let socket = self.stream.socket();
-        let is_quiet = socket.set_nonblocking(true).is_ok()
+        let has_no_input = socket.set_nonblocking(true).is_ok()
             && matches!(socket.peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
-        socket.set_nonblocking(false).is_ok() && is_quiet
+        socket.set_nonblocking(false).is_ok() && has_no_input
     }
 
     fn is_tls(&self) -> bool {
--- a/registry/src/lib.rs
+++ b/registry/src/lib.rs
@@ -1,12 +1,14 @@
-//! Follows a key-value registry that has revisions, watches and compaction, and registers this router there.
+//! Client of a service registry (etcd or Consul): follows its keys and registers this router there.
 //!
 //! State machines, without I/O or a clock:
-//! - [`machine`] turns what a registry says into changes in order, once each, whatever breaks, repeats or goes back.
-//! - [`fleet`] makes a node list of them and decides what still holds when the registry is silent or loses half of it.
-//! - [`endpoints`] picks the member to ask next.
+//! - [`machine`] turns snapshots and watch events into an ordered sequence of changes without duplicates. It
+//!   handles broken watches, repeated events and revisions that go backwards.
+//! - [`fleet`] builds the node list from these changes, and decides which nodes stay usable while the
+//!   registry does not respond or after many nodes disappear at once.
+//! - [`endpoints`] selects the registry member for the next connection attempt.
 //!
-//! Around them: [`etcd`] and [`consul`] are the dialects, [`http`] and [`tls`] the connection, [`cache`] is the list on
-//! disk, and [`client`] drives all of it. `docs/design/registry.md` gives the reasons.
+//! I/O: [`etcd`] and [`consul`] implement the two protocols, [`http`] and [`tls`] the connection, [`cache`]
+//! the node list on disk, and [`client`] runs the threads. `docs/design/registry.md` explains the design.
 pub mod cache;
 pub mod client;
 pub mod consul;
@@ -19,50 +21,50 @@
 
 use thiserror::Error;
 
-/// Why the registry can't be followed at all.
+/// Why the registry client could not be started.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The files for TLS can't be used.
+    /// The TLS files are unreadable or invalid.
     #[error("registry: tls: {0}")]
     Tls(#[from] tls::TlsError),
-    /// No thread could be started.
-    #[error("registry: no thread: {0}; raise the limit of processes of this user")]
+    /// A thread could not be started.
+    #[error("registry: cannot start a thread: {0}; raise the limit of processes of this user")]
     Thread(std::io::Error),
 }
 
-/// Why a request to a registry has failed.
+/// Why a request to the registry failed.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// The connection failed, or the response was cut off or silent for too long.
+    /// The connection failed, or the response was truncated or timed out.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The response is longer than a response may be.
-    #[error("the answer is longer than {max_bytes} bytes")]
+    /// The response body exceeds the size limit.
+    #[error("the response is longer than {max_bytes} bytes")]
     ResponseTooLong {
-        /// The longest body that is read.
+        /// The limit for a response body.
         max_bytes: u64,
     },
-    /// The response is not one that the registry's interface allows.
+    /// The response violates the registry's protocol.
     #[error("{reason}")]
     InvalidResponse {
-        /// What is wrong with it.
+        /// How the response violates the protocol.
         reason: String,
     },
-    /// The member knows no leader: its list may be stale.
-    #[error("it knows no leader")]
+    /// The registry member knows no leader, so its data may be stale.
+    #[error("the registry member knows no leader")]
     NoLeader,
-    /// The member has ended the watch.
-    #[error("the watch has ended")]
+    /// The registry member ended the watch.
+    #[error("the registry member ended the watch")]
     WatchEnded,
-    /// The revision asked for has been compacted away.
-    #[error("the revision has been compacted away")]
+    /// The requested revision has been compacted.
+    #[error("the requested revision has been compacted")]
     Compacted,
     /// The registry rejected the request.
-    #[error("refused with {status}: {message}")]
+    #[error("rejected with status {status}: {message}")]
     Rejected {
-        /// The status code of its response.
+        /// The HTTP status code.
         status: u16,
-        /// Its own text.
+        /// The registry's error text.
         message: String,
     },
 }
--- a/registry/src/machine.rs
+++ b/registry/src/machine.rs
@@ -1,33 +1,36 @@
-//! The state machine that follows a registry: the whole list at one revision, then changes from there, in order and
-//! once each. A break resumes where it ended, or with everything where that revision is gone; an older one is never acted
-//! on.
+//! The state machine that follows a registry: a snapshot at one revision, then all later changes in order and
+//! without duplicates. After a disconnect the watch resumes at the last applied revision, or with a new
+//! snapshot if that revision has been compacted. Changes older than the current state are never applied,
+//! except after a restore from a backup.
 //!
-//! No I/O, no clock, no threads: the same events at the same times give the same actions.
+//! It does no I/O, reads no clock and starts no thread: its actions depend only on the events and their
+//! times.
 mod snapshot;
 
 use decision::{Micros, Time};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A registry's revision (etcd) or index (Consul). Rises with each change.
+/// A registry's revision (etcd) or index (Consul). It increases with each change.
 pub type Revision = u64;
 
-/// A member of the registry, by its place in the settings.
+/// A registry member, as its index in the configured list of addresses.
 pub type EndpointIndex = usize;
 
-/// A key with its value.
+/// A key of the registry with its value and revisions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// The key, with its prefix.
+    /// The full key, including the prefix.
     pub key: String,
-    /// The value's bytes.
+    /// The value; the state machine does not interpret it.
     pub value: Vec<u8>,
-    /// The revision at which it was created; another one than before means that it was deleted in between.
+    /// The revision at which the key was created. If it differs from the known one, the key was deleted in
+    /// between.
     pub created: Revision,
-    /// The revision at which it was last modified.
+    /// The revision of the last modification.
     pub modified: Revision,
 }
 
-/// One change.
+/// A change of one key in the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A key was set.
@@ -42,7 +45,7 @@
 }
 
 impl Change {
-    /// The key that changes.
+    /// The key that was set or deleted.
     pub fn key(&self) -> &str {
         match self {
             Change::Put(item) => &item.key,
@@ -50,7 +53,7 @@
         }
     }
 
-    /// The revision of the change.
+    /// The revision at which the key was set or deleted.
     pub fn revision(&self) -> Revision {
         match self {
             Change::Put(item) => item.modified,
@@ -62,144 +65,146 @@
 /// Settings of a [`Machine`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// A registry whose members have all been behind the revision here for this long was restored from a backup.
+    /// If all reachable members have been behind the known revision for this long, the registry is considered
+    /// restored from a backup.
     pub restored_after: Micros,
-    /// The most deletions that are remembered, to tell a repeated change from a late one.
+    /// Limit for remembered deletions; they distinguish a repeated change from a late one.
     pub max_tombstones: usize,
 }
 
 /// An input of the machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A member has been reached, and has named its cluster and revision.
+    /// A registry member responded with its cluster ID and revision.
     MemberReached {
-        /// The member.
+        /// The registry member.
         endpoint: EndpointIndex,
-        /// The cluster's id; 0 where the dialect has none.
+        /// The cluster ID; 0 for Consul, which has none.
         cluster: u64,
-        /// Its revision.
+        /// The revision of the member's data.
         revision: Revision,
     },
-    /// The whole list at one revision.
+    /// All keys under the prefix at one revision.
     Snapshot {
-        /// The member.
+        /// The registry member.
         endpoint: EndpointIndex,
-        /// The cluster's id.
+        /// The cluster ID.
         cluster: u64,
-        /// The revision.
+        /// The revision of the snapshot.
         revision: Revision,
-        /// Everything under the prefix.
+        /// All keys under the prefix.
         items: Vec<Item>,
     },
-    /// Changes that a watch brought.
+    /// A watch delivered changes.
     Changes {
-        /// The member.
+        /// The registry member.
         endpoint: EndpointIndex,
-        /// The changes, in order.
+        /// The changes in the order of delivery.
         changes: Vec<Change>,
     },
-    /// The watch has brought everything up to this revision.
+    /// A watch has delivered all changes up to this revision.
     Progress {
-        /// The member.
+        /// The registry member.
         endpoint: EndpointIndex,
         /// The revision.
         revision: Revision,
     },
-    /// The revision to resume from has been compacted away.
+    /// The revision from which the watch was to resume has been compacted.
     Compacted {
-        /// The member.
+        /// The registry member.
         endpoint: EndpointIndex,
     },
-    /// Something has changed that no watch has brought: only a full read says what.
+    /// A read showed changes that the watch did not deliver; the next member has to be read in full.
     ChangesMissed,
 }
 
-/// Why a member is not followed.
+/// Why a registry member is not followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaveReason {
-    /// Its revision is older than the one here.
+    /// Its revision is older than the known one.
     Behind {
-        /// Its revision.
+        /// The member's revision.
         theirs: Revision,
-        /// Ours.
+        /// The known revision.
         ours: Revision,
     },
     /// It belongs to another cluster.
     OtherCluster {
-        /// Its id.
+        /// The member's cluster ID.
         theirs: u64,
-        /// The one that is followed.
+        /// The ID of the followed cluster.
         ours: u64,
     },
 }
 
-/// An output of the machine, to be carried out in order.
+/// An action that the machine requests; the caller performs them in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Read everything from this member.
+    /// Read all keys from this registry member.
     Read {
-        /// The member.
+        /// The registry member.
         endpoint: EndpointIndex,
     },
-    /// Watch from this revision on.
+    /// Watch this registry member for changes from a revision on.
     Watch {
-        /// The member.
+        /// The registry member.
         endpoint: EndpointIndex,
-        /// The first revision that is wanted.
+        /// The first revision to deliver.
         from: Revision,
     },
-    /// Go to another member.
+    /// Stop following this registry member and connect to another one.
     Leave {
-        /// The member that is left.
+        /// The registry member to stop following.
         endpoint: EndpointIndex,
-        /// Why it is left.
+        /// Why it must not be followed.
         reason: LeaveReason,
     },
-    /// The registry was restored from a backup, or replaced: what follows is older than what was known.
+    /// The registry was restored from a backup or replaced. The actions that follow carry older data than
+    /// before.
     Restored,
-    /// A key has this value now.
+    /// A key was created or its value changed.
     Put(Item),
     /// A key was deleted.
     Deleted {
         /// The key.
         key: String,
     },
-    /// The keys are now those of the registry at this revision.
+    /// The keys now equal those of the registry at this revision.
     Synchronized {
-        /// The revision.
+        /// The revision reached.
         revision: Revision,
     },
 }
 
-/// What is known of a key.
+/// The known state of a key.
 struct Entry {
     created: Revision,
     modified: Revision,
     value: Vec<u8>,
 }
 
-/// Follows one registry.
+/// The state machine that follows one registry.
 pub struct Machine {
     settings: Settings,
     cluster: u64,
     revision: Revision,
     entries: BTreeMap<String, Entry>,
-    /// Keys that were deleted, and at which revision.
+    /// Deleted keys with the revision of their deletion.
     tombstones: HashMap<String, Revision>,
-    /// The same in the order of deletion; may name keys that were deleted again since.
+    /// The tombstones in the order of deletion; an entry is outdated if its key was deleted again later.
     tombstone_order: VecDeque<(String, Revision)>,
-    /// A snapshot has been taken since the start.
+    /// A snapshot has been applied since the start.
     has_snapshot: bool,
-    /// Since when every member that was reached has been behind or of another cluster.
+    /// Since when every member that responded has been behind or in another cluster.
     behind_since: Option<Time>,
-    /// The next snapshot is taken although it is older.
+    /// The registry was restored: the next snapshot is applied although it is older.
     is_restoring: bool,
-    /// Changes are missing or came out of order: the keys are those of no revision until the next snapshot.
+    /// Changes are missing or were received out of order: the keys match no revision until the next snapshot.
     needs_snapshot: bool,
 }
 
 impl Machine {
-    /// A machine without keys.
+    /// Creates a machine without keys.
     pub fn new(settings: Settings) -> Machine {
         Machine {
             settings,
@@ -215,12 +220,12 @@
         }
     }
 
-    /// The revision at which the registry had the keys that are held here.
+    /// The registry revision that the known keys correspond to.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The cluster that is followed; 0 for none.
+    /// The ID of the followed cluster; 0 if unknown.
     pub fn cluster(&self) -> u64 {
         self.cluster
     }
@@ -230,12 +235,12 @@
         self.entries.iter().map(|(key, entry)| (key.as_str(), entry.value.as_slice()))
     }
 
-    /// The number of keys.
+    /// The number of known keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no key.
+    /// Whether no key is known.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -251,23 +256,23 @@
         self.entries.iter().map(item)
     }
 
-    /// Begins with the keys of an earlier start: the first snapshot says what has become of them.
-    pub fn begin_with(&mut self, items: impl IntoIterator<Item = Item>) {
+    /// Loads the keys saved by an earlier process; the first snapshot brings them up to date.
+    pub fn load_saved(&mut self, items: impl IntoIterator<Item = Item>) {
         for Item { key, value, created, modified } in items {
             self.entries.insert(key, Entry { created, modified, value });
         }
     }
 
-    /// Handles an event at a time, and appends what is to be done to `actions`.
+    /// Handles an event that occurred at `now`, and appends the requested actions to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::MemberReached { endpoint, cluster, revision } => {
-                if self.admits(now, endpoint, cluster, revision, actions) {
-                    actions.push(self.resume(endpoint));
+                if self.may_follow(now, endpoint, cluster, revision, actions) {
+                    actions.push(self.first_action(endpoint));
                 }
             }
             Event::Snapshot { endpoint, cluster, revision, items } => {
-                if self.admits(now, endpoint, cluster, revision, actions) {
+                if self.may_follow(now, endpoint, cluster, revision, actions) {
                     self.apply_snapshot(cluster, revision, items, actions);
                     actions.push(Action::Watch { endpoint, from: self.revision + 1 });
                 }
@@ -282,8 +287,8 @@
         }
     }
 
-    /// How to go on with a member that may be followed.
-    fn resume(&self, endpoint: EndpointIndex) -> Action {
+    /// The first action for a member that may be followed: a full read, or a watch from the known revision.
+    fn first_action(&self, endpoint: EndpointIndex) -> Action {
         if self.is_restoring || self.needs_snapshot || !self.has_snapshot {
             Action::Read { endpoint }
         } else {
@@ -291,9 +296,9 @@
         }
     }
 
-    /// Whether a member at that revision may be followed. One that is behind may lag; where all are, for long enough,
-    /// the registry itself has gone back.
-    fn admits(
+    /// Whether a member at that revision may be followed. A single member that is behind may only lag; if all
+    /// members are behind for [`Settings::restored_after`], the registry itself was restored.
+    fn may_follow(
         &mut self,
         now: Time,
         endpoint: EndpointIndex,
@@ -310,7 +315,7 @@
             self.behind_since = None;
             return true;
         }
-        // No member has been up to date since then: each one that is clears this.
+        // `behind_since` is reset by each member that is up to date, so none has been since then.
         let since = *self.behind_since.get_or_insert(now);
         if now.0 - since.0 >= self.settings.restored_after {
             self.is_restoring = true;
@@ -330,7 +335,7 @@
             return;
         }
         if revision < self.revision {
-            // It claims to have brought everything it has, and has less than there is here.
+            // The member has delivered all it has, and its revision is still older than the known one.
             let reason = LeaveReason::Behind { theirs: revision, ours: self.revision };
             return actions.push(Action::Leave { endpoint, reason });
         }
@@ -342,7 +347,7 @@
         let Item { key, value, created, modified } = item.clone();
         let is_recreated = |entry: &Entry| entry.created != created && entry.created != 0;
         if self.entries.get(&key).is_some_and(is_recreated) {
-            // Deleted and created again in between: another thing under the same name.
+            // Deleted and created again in between, so the key now stands for a new object.
             actions.push(Action::Deleted { key: key.clone() });
         }
         self.entries.insert(key, Entry { created, modified, value });
@@ -367,7 +372,7 @@
         for change in changes {
             let revision = change.revision();
             if self.newest_change(change.key()).is_some_and(|newest| newest >= revision) {
-                // A repeated change, or something newer of the same key has come already.
+                // A repeated change, or a newer change of the same key has already been applied.
                 continue;
             }
             if revision < self.revision {
@@ -376,7 +381,7 @@
                 if deletes_nothing {
                     continue;
                 }
-                // Something later has been acted on: the order of the rest is unknown.
+                // A later change has already been applied, so the order of the remaining changes is unknown.
                 self.needs_snapshot = true;
                 return actions.push(Action::Read { endpoint });
             }
@@ -389,7 +394,7 @@
         actions.push(Action::Synchronized { revision: self.revision });
     }
 
-    /// The revision of the newest change of a key that is known.
+    /// The revision of the newest known change of a key.
     fn newest_change(&self, key: &str) -> Option<Revision> {
         let modified = self.entries.get(key).map(|entry| entry.modified);
         modified.max(self.tombstones.get(key).copied())
--- a/registry/src/machine/snapshot.rs
+++ b/registry/src/machine/snapshot.rs
@@ -1,9 +1,9 @@
-//! Taking in all keys of the registry at one revision.
+//! Applies snapshots: all keys of the registry at one revision.
 use super::{Action, Entry, Item, Machine, Revision};
 use std::collections::BTreeSet;
 
 impl Machine {
-    /// Replaces the keys by those of a snapshot; only what differs is an action.
+    /// Replaces the known keys with those of a snapshot; only differences produce actions.
     pub(super) fn apply_snapshot(
         &mut self,
         cluster: u64,
@@ -31,7 +31,7 @@
         actions.push(Action::Synchronized { revision: self.revision });
     }
 
-    /// After a restore all that is read counts as new, whatever its revisions.
+    /// Resets all known revisions after a restore, so that every key of the snapshot counts as changed.
     fn forget_revisions(&mut self) {
         self.behind_since = None;
         self.revision = 0;
@@ -43,7 +43,7 @@
         self.tombstone_order.clear();
     }
 
-    /// Deletes the keys that a snapshot doesn't have.
+    /// Deletes the known keys that are missing from a snapshot.
     fn delete_missing(&mut self, items: &[Item], revision: Revision, actions: &mut Vec<Action>) {
         let present: BTreeSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
         let missing: Vec<String> =
--- a/registry/src/tls.rs
+++ b/registry/src/tls.rs
@@ -1,4 +1,5 @@
-//! TLS to the registry: a private authority, a client certificate, and both read again when their files change.
+//! TLS connections to the registry with a private CA and an optional client certificate. Changed files are
+//! reloaded.
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
 use rustls::{ClientConfig, ClientConnection, RootCertStore, StreamOwned};
@@ -9,68 +10,68 @@
 use std::time::SystemTime;
 use thiserror::Error;
 
-/// Why the files can't be used; each error names the file at fault.
+/// Why the TLS files cannot be used. Errors name the file concerned.
 #[derive(Debug, Error)]
 pub enum TlsError {
-    /// The authority's file can't be read, or holds none.
-    #[error("{path}: no authority: {source}; give a file of certificates in PEM")]
+    /// The CA file cannot be read or parsed.
+    #[error("{path}: cannot read the CA certificates: {source}; give a file of certificates in PEM")]
     Authority {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why not.
+        /// The error of the PEM reader.
         source: rustls::pki_types::pem::Error,
     },
-    /// A certificate in it can't be an authority.
-    #[error("{path}: no authority: {source}; give a file of certificates in PEM")]
+    /// A certificate in the CA file cannot be used as a CA.
+    #[error("{path}: invalid CA certificate: {source}; give a file of certificates in PEM")]
     Root {
-        /// The file.
+        /// The path of the CA file.
         path: String,
-        /// Why not.
+        /// The error of the TLS library.
         source: rustls::Error,
     },
-    /// It holds no certificate.
-    #[error("{0}: there is no authority in it")]
+    /// The CA file contains no certificate.
+    #[error("{0}: the file contains no CA certificate")]
     Empty(String),
-    /// This router's certificate can't be read.
-    #[error("{path}: no certificate: {source}; give a file of certificates in PEM")]
+    /// The client certificate cannot be read.
+    #[error("{path}: cannot read the client certificate: {source}; give a file of certificates in PEM")]
     Certificate {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why not.
+        /// The error of the PEM reader.
         source: rustls::pki_types::pem::Error,
     },
-    /// Its key can't be read.
-    #[error("{path}: no key: {source}; give a file with a private key in PEM")]
+    /// The private key of the client certificate cannot be read.
+    #[error("{path}: cannot read the private key: {source}; give a file with a private key in PEM")]
     Key {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why not.
+        /// The error of the PEM reader.
         source: rustls::pki_types::pem::Error,
     },
-    /// The two don't belong together.
-    #[error("{path}: certificate and key: {source}; give the key that the certificate was made for")]
+    /// The client certificate and the private key do not match.
+    #[error("{path}: does not match the certificate: {source}; give the key of the certificate")]
     Pair {
-        /// The key's file.
+        /// The path of the key file.
         path: String,
-        /// Why not.
+        /// The error of the TLS library.
         source: rustls::Error,
     },
-    /// The library knows no version of TLS that it may speak.
-    #[error("no version of TLS: {0}")]
+    /// The TLS library supports none of the allowed protocol versions.
+    #[error("no usable TLS version: {0}")]
     Versions(rustls::Error),
 }
 
-/// When each of the files was last modified; `None` where that can't be read.
+/// The modification time of each file; `None` if it cannot be read.
 type ModificationTimes = Vec<Option<SystemTime>>;
 
-/// The configuration that new connections use, and the files' times when it was read.
+/// The TLS configuration of new connections, and the modification times of the files when it was loaded.
 #[derive(Debug)]
 struct Loaded {
     modified: ModificationTimes,
     config: Arc<ClientConfig>,
 }
 
-/// Makes TLS connections to the registry.
+/// Creates TLS connections to the registry.
 #[derive(Debug)]
 pub struct Tls {
     files: RegistryTls,
@@ -84,9 +85,9 @@
 
 fn read_roots(files: &RegistryTls) -> Result<RootCertStore, TlsError> {
     let mut roots = RootCertStore::empty();
-    let unread = |source| TlsError::Authority { path: files.ca_path.clone(), source };
-    for certificate in CertificateDer::pem_file_iter(&files.ca_path).map_err(unread)? {
-        let added = roots.add(certificate.map_err(unread)?);
+    let read_error = |source| TlsError::Authority { path: files.ca_path.clone(), source };
+    for certificate in CertificateDer::pem_file_iter(&files.ca_path).map_err(read_error)? {
+        let added = roots.add(certificate.map_err(read_error)?);
         added.map_err(|source| TlsError::Root { path: files.ca_path.clone(), source })?;
     }
     if roots.is_empty() {
@@ -113,22 +114,23 @@
 }
 
 impl Tls {
-    /// Reads the files.
+    /// Loads the files.
     ///
     /// # Errors
-    /// One of them can't be used.
+    /// If one of them is unreadable or invalid.
     pub fn new(files: RegistryTls) -> Result<Tls, TlsError> {
         let modified = modification_times(&files);
         let loaded = Loaded { modified, config: Arc::new(read_config(&files)?) };
         Ok(Tls { files, loaded: Mutex::new(loaded) })
     }
 
-    /// What new connections use. Files that have changed are read again; faulty ones leave the old ones in force.
+    /// The configuration for new connections. Changed files are reloaded; if they are invalid, the old
+    /// configuration stays in force.
     fn current_config(&self) -> Arc<ClientConfig> {
         let mut loaded = self.loaded.lock().unwrap_or_else(PoisonError::into_inner);
         let modified = modification_times(&self.files);
         if loaded.modified != modified {
-            // Also where the files are faulty: each change is reported once.
+            // Also set if the files turn out to be invalid, so that each change is logged once.
             loaded.modified = modified;
             match read_config(&self.files) {
                 Ok(config) => {
@@ -143,10 +145,10 @@
         loaded.config.clone()
     }
 
-    /// A connection on a socket; the handshake comes with the first bytes.
+    /// Wraps a connected socket in TLS; the handshake takes place at the first read or write.
     ///
     /// # Errors
-    /// The name to verify is no DNS name.
+    /// If the configured server name is not a DNS name.
     pub fn connect(
         &self,
         socket: TcpStream,
--- a/registry/tests/cache.rs
+++ b/registry/tests/cache.rs
@@ -1,8 +1,8 @@
-//! The node list on disk: read back as written, or refused.
+//! The node list on disk is read back as written; truncated or corrupt files are rejected.
 use registry::cache::{CachedList, read, write};
 
 #[test]
-fn cut_or_damaged_list_is_refused() {
+fn truncated_or_corrupt_file_is_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let folder = folder.path();
     let file = folder.join("registry");
@@ -19,7 +19,7 @@
         std::fs::write(&file, damaged).unwrap();
         assert!(read(folder).is_err());
     }
-    // A write that stopped midway has not got the name yet.
+    // An interrupted write leaves only the temporary file, which is ignored.
     write(folder, &list).unwrap();
     std::fs::write(folder.join("registry.new"), b"DVR").unwrap();
     assert_eq!(read(folder).unwrap(), Some(list));
--- a/registry/tests/dialect_requests.rs
+++ b/registry/tests/dialect_requests.rs
@@ -1,4 +1,5 @@
-//! What the dialects send, request by request, and what they make of recorded answers.
+//! The requests that the etcd and Consul clients send, byte for byte, and how they interpret recorded
+//! responses.
 use registry::RequestError;
 use registry::consul::Consul;
 use registry::etcd::{Etcd, WatchEvent};
@@ -16,10 +17,10 @@
     max_bytes: 1 << 16,
 };
 
-/// An answer: its status and headers, and its body.
-type Answer = (&'static str, &'static str);
+/// A response: its status line and headers, and its body.
+type ScriptedResponse = (&'static str, &'static str);
 
-/// Reads one request: its first line, the header that authenticates it, and its body. `None` when there is no more.
+/// Reads one request: its first line, its auth header, and its body. `None` at the end of the connection.
 fn read_request(socket: &mut BufReader<TcpStream>) -> Option<String> {
     let (mut first, mut length, mut auth) = (String::new(), 0, String::new());
     if socket.read_line(&mut first).ok()? == 0 {
@@ -44,41 +45,42 @@
     Some(format!("{}{auth} {}", first.trim(), String::from_utf8_lossy(&body)).trim().to_string())
 }
 
-/// A member that gives these answers in turn, and the requests that it was sent.
-fn member(answers: Vec<Answer>) -> (Member, Receiver<String>) {
+/// Starts a server that sends these responses in turn; returns a client and the requests that the server
+/// received.
+fn member(responses: Vec<ScriptedResponse>) -> (Member, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr: SocketAddr = listener.local_addr().unwrap();
     let (sender, requests) = channel();
     std::thread::spawn(move || {
-        let mut answers = answers.into_iter();
+        let mut responses = responses.into_iter();
         for socket in listener.incoming().map_while(Result::ok) {
             let mut socket = BufReader::new(socket);
             while let Some(request) = read_request(&mut socket) {
                 sender.send(request).unwrap();
-                let Some((head, body)) = answers.next() else { return };
+                let Some((head, body)) = responses.next() else { return };
                 let length = body.len();
-                let answer = format!("HTTP/1.1 {head}\r\nContent-Length: {length}\r\n\r\n{body}");
-                socket.get_mut().write_all(answer.as_bytes()).unwrap();
+                let response = format!("HTTP/1.1 {head}\r\nContent-Length: {length}\r\n\r\n{body}");
+                socket.get_mut().write_all(response.as_bytes()).unwrap();
             }
         }
     });
     (Member::new(addr, None, BOUNDS), requests)
 }
 
-fn etcd(user: Option<(&str, &str)>, answers: Vec<Answer>) -> (Etcd, Receiver<String>) {
-    let (member, requests) = member(answers);
+fn etcd(user: Option<(&str, &str)>, responses: Vec<ScriptedResponse>) -> (Etcd, Receiver<String>) {
+    let (member, requests) = member(responses);
     let credentials =
         user.map(|(user, password)| Credentials { user: user.into(), password: password.into() });
     (Etcd { member, credentials, page: 2 }, requests)
 }
 
-fn consul(service: Option<&str>, answers: Vec<Answer>) -> (Consul, Receiver<String>) {
-    let (mut member, requests) = member(answers);
+fn consul(service: Option<&str>, responses: Vec<ScriptedResponse>) -> (Consul, Receiver<String>) {
+    let (mut member, requests) = member(responses);
     member.auth_header = Some(("X-Consul-Token", "secret".into()));
     (Consul { member, service: service.map(str::to_string) }, requests)
 }
 
-fn sent(requests: &Receiver<String>) -> Vec<String> {
+fn received_requests(requests: &Receiver<String>) -> Vec<String> {
     requests.try_iter().collect()
 }
 
@@ -87,7 +89,7 @@
 }
 
 #[test]
-fn etcd_reads_page_by_page_at_the_revision_of_the_first() {
+fn etcd_reads_all_pages_at_the_revision_of_the_first_page() {
     let first = r#"{"header":{"cluster_id":"7","revision":"40"},"more":true,"kvs":[
         {"key":"L2EvMQ==","value":"eA==","create_revision":"3","mod_revision":"9"},
         {"key":"L2EvMg==","create_revision":"4","mod_revision":"4"}]}"#;
@@ -98,7 +100,7 @@
     assert_eq!((position.cluster, position.revision), (7, 40));
     assert_eq!(items, [item("/a/1", "x", 3, 9), item("/a/2", "", 4, 4), item("/a/3", "y", 5, 6)]);
     assert_eq!(
-        sent(&requests),
+        received_requests(&requests),
         [
             r#"POST /v3/kv/range HTTP/1.1 {"key":"L2Ev","limit":"2","range_end":"L2Ew"}"#,
             r#"POST /v3/kv/range HTTP/1.1 {"key":"L2EvMgA=","limit":"2","range_end":"L2Ew","revision":"40"}"#,
@@ -107,7 +109,7 @@
 }
 
 #[test]
-fn etcd_requests_keep_their_bytes() {
+fn etcd_requests_match_the_recorded_bytes() {
     let position = r#"{"header":{"cluster_id":"7","revision":"40"}}"#;
     let (mut etcd, requests) = etcd(
         None,
@@ -124,7 +126,7 @@
             ("400 Bad", r#"{"error":"no"}"#),
         ],
     );
-    assert_eq!(etcd.position("/a/").unwrap().revision, 40);
+    assert_eq!(etcd.cluster_revision("/a/").unwrap().revision, 40);
     assert_eq!(etcd.unchanged_up_to("/a/", 30, 3).unwrap(), Some(40));
     assert_eq!(etcd.put("/a/k", b"v", Some("99")).unwrap(), 40);
     assert!(etcd.put_if("/a/k", b"v", 12).unwrap());
@@ -136,7 +138,7 @@
         matches!(etcd.put("/a/k", b"v", None), Err(RequestError::Rejected { status: 400, message }) if message == "no")
     );
     assert_eq!(
-        sent(&requests),
+        received_requests(&requests),
         [
             r#"POST /v3/kv/range HTTP/1.1 {"key":"L2Ev","keys_only":true,"limit":"1"}"#,
             r#"POST /v3/kv/range HTTP/1.1 {"key":"L2Ev","keys_only":true,"limit":"1","min_mod_revision":"31","range_end":"L2Ew"}"#,
@@ -165,7 +167,7 @@
     );
     assert_eq!(etcd.grant_lease(1).unwrap(), "5");
     assert_eq!(
-        sent(&requests),
+        received_requests(&requests),
         [
             r#"POST /v3/auth/authenticate HTTP/1.1 {"name":"router","password":"secret"}"#,
             r#"POST /v3/lease/grant HTTP/1.1 [authorization: one] {"TTL":"1"}"#,
@@ -176,7 +178,7 @@
 }
 
 #[test]
-fn etcd_watch_brings_changes_and_progress_until_it_is_cancelled() {
+fn etcd_watch_delivers_changes_and_progress_until_it_is_cancelled() {
     let lines = concat!(
         r#"{"result":{"header":{"revision":"40"},"created":true}}"#,
         "\n\n",
@@ -205,7 +207,7 @@
     ];
     assert_eq!(seen, changes);
     assert_eq!(
-        sent(&requests),
+        received_requests(&requests),
         [
             r#"POST /v3/watch HTTP/1.1 {"create_request":{"key":"L2Ev","progress_notify":true,"range_end":"L2Ew","start_revision":"41"}}"#
         ]
@@ -213,7 +215,7 @@
 }
 
 #[test]
-fn etcd_watch_reports_compaction_however_it_is_said() {
+fn etcd_watch_reports_compaction_in_either_message_format() {
     for line in [
         r#"{"result":{"header":{"revision":"40"},"canceled":true,"compact_revision":"39"}}"#,
         r#"{"result":{"canceled":true,"cancel_reason":"revision has been compacted"}}"#,
@@ -225,7 +227,7 @@
 }
 
 #[test]
-fn consul_requests_keep_their_bytes() {
+fn consul_requests_match_the_recorded_bytes() {
     let keys = r#"[{"Key":"a/1","Value":"eA==","CreateIndex":3,"ModifyIndex":9},{"Key":"a/2","Value":null,"CreateIndex":4,"ModifyIndex":4}]"#;
     let (mut consul, requests) = consul(
         None,
@@ -247,7 +249,7 @@
     assert_eq!(read, (12, vec![item("/a/1", "x", 3, 9), item("/a/2", "", 4, 4)]));
     assert_eq!(consul.read("/a b/", Some((12, Duration::from_millis(500)))).unwrap(), (1, vec![]));
     assert!(
-        matches!(consul.read("/a/", None), Err(error @ RequestError::NoLeader) if error.to_string() == "it knows no leader")
+        matches!(consul.read("/a/", None), Err(error @ RequestError::NoLeader) if error.to_string() == "the registry member knows no leader")
     );
     assert!(consul.put("/a/k", b"v", Some("s-1")).unwrap());
     assert!(!consul.put("/a/k", b"v", None).unwrap());
@@ -273,11 +275,11 @@
         "PUT /v1/session/renew/s-1 HTTP/1.1",
         "PUT /v1/session/destroy/s-1 HTTP/1.1",
     ];
-    assert_eq!(sent(&requests), expected.map(with_token));
+    assert_eq!(received_requests(&requests), expected.map(with_token));
 }
 
 #[test]
-fn consul_health_becomes_node_keys() {
+fn consul_service_instances_become_node_keys() {
     let health = r#"[
         {"Node":{"Address":"10.0.0.9"},"Service":{"ID":"db-1","Address":"10.0.0.1","Port":3306,"CreateIndex":2,
          "ModifyIndex":8,"Meta":{"zone":"hall-a","group":"3","role":"primary"},"Weights":{"Passing":2}},
@@ -294,7 +296,7 @@
     assert_eq!(consul.health("/a/", None).unwrap(), (12, nodes));
     assert_eq!(consul.health("/a/", Some((12, Duration::from_secs(1)))).unwrap(), (13, vec![]));
     assert_eq!(
-        sent(&requests),
+        received_requests(&requests),
         [
             "GET /v1/health/service/my%20db?consistent HTTP/1.1 [x-consul-token: secret]",
             "GET /v1/health/service/my%20db?consistent&index=12&wait=1000ms HTTP/1.1 [x-consul-token: secret]",
--- a/registry/tests/endpoints.rs
+++ b/registry/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! Which member of the registry is asked next, and when.
+//! Selection of the registry member for the next connection attempt, and the delay before it.
 use decision::Time;
 use registry::endpoints::{Endpoints, Settings};
 
@@ -7,38 +7,38 @@
         endpoints: 3,
         first_backoff: 100_000,
         max_backoff: 2_000_000,
-        max_saved_attempts: 5.0,
+        max_attempt_tokens: 5.0,
         attempts_per_s: 2.0,
     }
 }
 
 #[test]
-fn working_member_is_kept_and_failed_ones_are_left_in_turn() {
+fn responding_member_stays_selected_and_failed_members_are_tried_in_turn() {
     let mut e = Endpoints::new(settings(), 7);
     let (first, wait) = e.next(Time(0));
     assert_eq!(wait, 0);
-    e.worked(first);
+    e.record_success(first);
     assert_eq!(e.next(Time(1)).0, first);
-    e.failed(first, Time(2));
+    e.record_failure(first, Time(2));
     let (second, wait) = e.next(Time(2));
     assert!(second != first && wait == 0);
-    e.failed(second, Time(3));
+    e.record_failure(second, Time(3));
     let (third, _) = e.next(Time(3));
-    e.failed(third, Time(4));
-    assert_eq!([first, second, third].iter().sum::<usize>(), 3, "each of them once");
-    // All have failed: there is a backoff, no longer than the longest.
+    e.record_failure(third, Time(4));
+    assert_eq!([first, second, third].iter().sum::<usize>(), 3, "each member is selected once");
+    // All members have failed: the next attempt is delayed by at most the maximum backoff.
     let (_, wait) = e.next(Time(5));
     assert!((1..=2_000_000).contains(&wait));
 }
 
 #[test]
-fn unreachable_registry_costs_no_more_attempts_than_the_budget() {
+fn attempts_to_unreachable_registry_stay_within_the_budget() {
     let (mut e, mut now, mut attempts) = (Endpoints::new(settings(), 1), 0, 0);
     while now < 60_000_000 {
         let (endpoint, wait) = e.next(Time(now));
         now += wait;
         attempts += 1;
-        e.failed(endpoint, Time(now));
+        e.record_failure(endpoint, Time(now));
         now += 100;
     }
     assert!(attempts <= 5 + 2 * 60 + 3, "{attempts}");
--- a/registry/tests/fleet.rs
+++ b/registry/tests/fleet.rs
@@ -1,9 +1,9 @@
-//! The fleet that is made of a registry's keys: cases one by one.
+//! Single scenarios of the state machine of the node list.
 use decision::Time;
 use registry::fleet::{Action, Event, Fleet, Level, Node, Settings, State};
 use registry::machine::Item;
 
-/// One second of the fleet's time, in microseconds.
+/// One second in microseconds, the unit of the state machine's times.
 const SECOND: i64 = 1_000_000;
 
 fn fleet() -> Fleet {
@@ -33,7 +33,7 @@
     format!("{{\"addr\":\"127.0.0.1:{port}\",\"state\":\"{state}\"}}")
 }
 
-/// The nodes that the actions put on the list, by id.
+/// The endpoint IDs and states of all `List` actions.
 fn listed(actions: &[Action]) -> Vec<(String, State)> {
     let of = |a: &Action| match a {
         Action::List { id, node } => Some((id.clone(), node.state)),
@@ -42,7 +42,7 @@
     actions.iter().filter_map(of).collect()
 }
 
-/// Ten nodes in service, `n0` to `n9`, each with a port of its own.
+/// A fleet with ten nodes in service, `n0` to `n9`, on different ports.
 fn ten_nodes() -> Fleet {
     let mut f = fleet();
     for n in 0..10 {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn faulty_key_is_reported_and_its_last_value_stays() {
+fn invalid_value_is_reported_and_the_last_valid_one_stays() {
     let mut f = ten_nodes();
     for bad in [
         "",
@@ -81,11 +81,11 @@
 }
 
 #[test]
-fn new_node_under_same_name_gets_its_own_id() {
+fn new_node_under_the_same_name_gets_a_new_id() {
     let mut f = ten_nodes();
-    let reborn = put(&mut f, 0, "n1", &json(101, "in_service"), 5, 5);
-    assert_eq!(reborn[0], Action::Unlist { id: "n1@1".into() });
-    assert_eq!(listed(&reborn), [("n1@5".into(), State::InService)]);
+    let recreated = put(&mut f, 0, "n1", &json(101, "in_service"), 5, 5);
+    assert_eq!(recreated[0], Action::Unlist { id: "n1@1".into() });
+    assert_eq!(listed(&recreated), [("n1@5".into(), State::InService)]);
     let moved = put(&mut f, 0, "n1", &json(901, "in_service"), 5, 6);
     assert_eq!(moved[0], Action::Unlist { id: "n1@5".into() });
     assert_eq!(listed(&moved), [("n1@5.6".into(), State::InService)]);
@@ -93,14 +93,14 @@
         listed(&put(&mut f, 0, "n1", &json(901, "draining"), 5, 7)),
         [("n1@5.6".into(), State::Draining)]
     );
-    // The same again is no news.
+    // An unchanged value causes no action.
     assert_eq!(put(&mut f, 0, "n1", &json(901, "draining"), 5, 8), []);
 }
 
 #[test]
-fn mass_disappearance_is_held_while_drains_apply_at_once() {
+fn nodes_of_a_mass_disappearance_are_retained_while_drains_apply_at_once() {
     let mut f = ten_nodes();
-    // One after the other over a long time is ordinary.
+    // A single disappearance outside the window is applied at once.
     assert_eq!(
         handle(&mut f, 0, Event::KeyDeleted { name: "n0".into() }),
         [Action::Unlist { id: "n0@1".into() }]
@@ -109,7 +109,7 @@
     for n in 1..5 {
         assert_eq!(handle(&mut f, at, Event::KeyDeleted { name: format!("n{n}") }).len(), 1, "n{n}");
     }
-    // More than half within the window: the rest stays.
+    // More than half of the nodes disappear within the window: from now on they are retained.
     assert_eq!(
         handle(&mut f, at, Event::KeyDeleted { name: "n5".into() }),
         [Action::MassRemovalDelayed { nodes: 9 }]
@@ -120,7 +120,7 @@
         listed(&put(&mut f, at, "n7", &json(107, "draining"), 1, 9)),
         [("n7@1".into(), State::Draining)]
     );
-    // One that comes back is no longer held.
+    // A node whose key is recreated is no longer retained.
     put(&mut f, at, "n5", &json(105, "in_service"), 1, 10);
     assert_eq!(f.retained_count(), 1);
     assert_eq!(
@@ -134,18 +134,18 @@
             )
             .collect::<Vec<_>>()
     );
-    let over = handle(&mut f, at + 60 * SECOND, Event::Tick);
-    assert_eq!(over[..2], [Action::Unlist { id: "n6@1".into() }, Action::RetainedReleased { nodes: 1 }]);
+    let expired = handle(&mut f, at + 60 * SECOND, Event::Tick);
+    assert_eq!(expired[..2], [Action::Unlist { id: "n6@1".into() }, Action::RetainedReleased { nodes: 1 }]);
 }
 
-/// A draining node of [`ten_nodes`].
+/// A node of [`ten_nodes`] in the state `draining`.
 fn draining_node(name: &str) -> Node {
     let port = 100 + name[1..].parse::<u16>().unwrap();
     serde_json::from_str(&json(port, "draining")).unwrap()
 }
 
 #[test]
-fn last_node_is_held_until_released_by_operator() {
+fn last_node_is_retained_until_released_by_operator() {
     let mut f = fleet();
     put(&mut f, 0, "n0", &json(100, "in_service"), 1, 1);
     handle(&mut f, 0, Event::RegistryResponded);
@@ -153,24 +153,24 @@
         handle(&mut f, SECOND, Event::KeyDeleted { name: "n0".into() }),
         [Action::MassRemovalDelayed { nodes: 1 }]
     );
-    let gone = handle(&mut f, 2 * SECOND, Event::ReleaseRetained);
-    assert_eq!(gone, [Action::Unlist { id: "n0@1".into() }, Action::RetainedReleased { nodes: 1 }]);
+    let removed = handle(&mut f, 2 * SECOND, Event::ReleaseRetained);
+    assert_eq!(removed, [Action::Unlist { id: "n0@1".into() }, Action::RetainedReleased { nodes: 1 }]);
 }
 
 #[test]
-fn silent_registry_limits_list_to_answering_nodes_then_none() {
+fn silent_registry_restricts_use_to_responding_nodes_then_to_none() {
     let mut f = ten_nodes();
     assert_eq!(handle(&mut f, 10 * SECOND, Event::Tick), []);
     handle(&mut f, 10 * SECOND, Event::NodeResponded { name: "n4".into() });
-    let old = handle(&mut f, 10 * SECOND + 1, Event::Tick);
-    assert_eq!(old[0], Action::LevelChanged(Level::KnownGood));
-    // All had been put on the list when the registry was last heard; from then on only those that answer stay.
-    assert_eq!(listed(&old), []);
+    let restricted = handle(&mut f, 10 * SECOND + 1, Event::Tick);
+    assert_eq!(restricted[0], Action::LevelChanged(Level::KnownGood));
+    // All nodes were listed at the time of the registry's last response, so all still count as responding.
+    assert_eq!(listed(&restricted), []);
     handle(&mut f, 11 * SECOND, Event::RegistryResponded);
-    let old = handle(&mut f, 30 * SECOND, Event::Tick);
-    assert_eq!(listed(&old).len(), 10);
-    assert!(listed(&old).iter().all(|(_, s)| *s == State::Draining));
-    // One that answers after all is used again; and past the last age none is.
+    let restricted = handle(&mut f, 30 * SECOND, Event::Tick);
+    assert_eq!(listed(&restricted).len(), 10);
+    assert!(listed(&restricted).iter().all(|(_, s)| *s == State::Draining));
+    // A node that responds is used again; after `max_usable_age` no node is used.
     handle(&mut f, 31 * SECOND, Event::NodeResponded { name: "n4".into() });
     assert_eq!(listed(&handle(&mut f, 31 * SECOND, Event::Tick)), [("n4@1".into(), State::InService)]);
     assert_eq!(listed(&handle(&mut f, 72 * SECOND, Event::Tick)), [("n4@1".into(), State::Draining)]);
@@ -179,18 +179,18 @@
 }
 
 #[test]
-fn restored_registry_keeps_drained_and_removed_nodes_out() {
+fn restored_registry_does_not_put_drained_or_removed_nodes_into_service() {
     let mut f = ten_nodes();
     put(&mut f, 0, "n1", &json(101, "draining"), 1, 20);
     handle(&mut f, 0, Event::KeyDeleted { name: "n2".into() });
     handle(&mut f, SECOND, Event::Restored);
     for n in [1, 2, 3] {
         let state = if n == 3 { State::InService } else { State::Draining };
-        let back = put(&mut f, SECOND, &format!("n{n}"), &json(100 + n, "in_service"), 1, 1);
-        assert!(listed(&back).iter().all(|(_, s)| *s == state), "n{n}: {back:?}");
+        let recreated = put(&mut f, SECOND, &format!("n{n}"), &json(100 + n, "in_service"), 1, 1);
+        assert!(listed(&recreated).iter().all(|(_, s)| *s == state), "n{n}: {recreated:?}");
     }
     assert!(f.nodes().any(|(name, _, listed)| name == "n2" && listed == Some(State::Draining)));
-    // A change that is newer than the backup does.
+    // A change made after the restore puts the node back into service.
     assert_eq!(
         listed(&put(&mut f, SECOND, "n1", &json(101, "in_service"), 1, 6)),
         [("n1@1".into(), State::InService)]
--- a/registry/tests/http.rs
+++ b/registry/tests/http.rs
@@ -1,4 +1,4 @@
-//! What the connection to a member does with slow, cut, overlong and closed responses.
+//! Handling of slow, truncated, too long and invalid responses, and of closed connections.
 use registry::RequestError;
 use registry::http::{Bounds, LineStream, Member};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -8,10 +8,10 @@
 
 const BOUNDS: Bounds =
     Bounds { connect_timeout: Duration::from_secs(5), read_timeout: Duration::from_secs(20), max_bytes: 40 };
-/// A read timeout that ends at once.
+/// A read timeout that expires almost at once.
 const SHORT: Duration = Duration::from_millis(1);
 
-/// Accepts connections, and hands each over behind its first request.
+/// Starts a server that passes each accepted connection to the test; returns a client and the connections.
 fn member() -> (Member, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr: SocketAddr = listener.local_addr().unwrap();
@@ -28,18 +28,18 @@
 
 /// Reads one request: its first line, and its body.
 fn request(socket: &TcpStream) -> (String, String) {
-    let mut from = BufReader::with_capacity(1, socket);
+    let mut reader = BufReader::with_capacity(1, socket);
     let (mut first, mut length, mut line) = (String::new(), 0, String::new());
-    from.read_line(&mut first).unwrap();
+    reader.read_line(&mut first).unwrap();
     while line != "\r\n" {
         line.clear();
-        from.read_line(&mut line).unwrap();
+        reader.read_line(&mut line).unwrap();
         if let Some(n) = line.to_ascii_lowercase().strip_prefix("content-length:") {
             length = n.trim().parse().unwrap();
         }
     }
     let mut body = vec![0; length];
-    from.read_exact(&mut body).unwrap();
+    reader.read_exact(&mut body).unwrap();
     (first.trim().to_string(), String::from_utf8(body).unwrap())
 }
 
@@ -47,7 +47,7 @@
     socket.write_all(text.as_bytes()).unwrap();
 }
 
-/// The next line, however often a read times out before it.
+/// Reads the next line, and retries after read timeouts.
 fn next(lines: &mut LineStream, line: &mut Vec<u8>) -> std::io::Result<bool> {
     loop {
         match lines.read_line(line) {
@@ -57,37 +57,37 @@
     }
 }
 
-/// Sends requests on a thread of its own.
+/// Sends requests on a separate thread; joining it returns the client and the result.
 fn on_thread<T: Send + 'static>(
     mut member: Member,
     send: impl FnOnce(&mut Member) -> T + Send + 'static,
 ) -> std::thread::JoinHandle<(Member, T)> {
     std::thread::spawn(move || {
-        let answer = send(&mut member);
-        (member, answer)
+        let response = send(&mut member);
+        (member, response)
     })
 }
 
 #[test]
-fn lines_are_complete_over_timeouts_and_chunks_and_cut_line_is_error() {
+fn lines_survive_timeouts_and_chunk_boundaries_and_truncated_line_is_error() {
     let (member, connections) = member();
-    let asked =
+    let client_thread =
         on_thread(member, |m| m.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, SHORT).unwrap());
     let socket = connections.recv().unwrap();
     assert_eq!(request(&socket), ("POST /v3/watch HTTP/1.1".into(), "{}".into()));
     send(&socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
-    let (_member, mut lines) = asked.join().unwrap();
+    let (_member, mut lines) = client_thread.join().unwrap();
     let mut line = Vec::new();
-    let silence = |lines: &mut LineStream, line: &mut Vec<u8>| {
+    let assert_timeout = |lines: &mut LineStream, line: &mut Vec<u8>| {
         let e = lines.read_line(line).unwrap_err();
         assert!(matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut), "{e}");
     };
-    // However often nothing comes, what has come of a line stays.
-    silence(&mut lines, &mut line);
-    silence(&mut lines, &mut line);
-    // A chunk's size, and the line's end, come in two parts.
+    // Repeated timeouts do not discard the part of a line already received.
+    assert_timeout(&mut lines, &mut line);
+    assert_timeout(&mut lines, &mut line);
+    // The size of a chunk, and the end of the line, are received in two parts.
     send(&socket, "1");
-    silence(&mut lines, &mut line);
+    assert_timeout(&mut lines, &mut line);
     send(&socket, "\r\n\n\r\n4\r\ntwo\n\r\n");
     assert!(next(&mut lines, &mut line).unwrap() && line == b"one");
     assert!(next(&mut lines, &mut line).unwrap() && line == b"two");
@@ -98,28 +98,28 @@
 }
 
 #[test]
-fn overlong_line_or_body_is_error() {
+fn too_long_line_or_body_is_error() {
     let (member, connections) = member();
-    let asked = on_thread(member, |m| {
+    let client_thread = on_thread(member, |m| {
         let mut lines = m.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, BOUNDS.read_timeout).unwrap();
         let mut line = Vec::new();
-        let fits = lines.read_line(&mut line).map(|more| (more, line.len()));
-        let whole = m.request("GET", "/long", b"").map(|w| w.code);
-        (fits.unwrap(), lines.read_line(&mut line).unwrap_err().kind(), whole)
+        let longest_line = lines.read_line(&mut line).map(|more| (more, line.len()));
+        let long_body = m.request("GET", "/long", b"").map(|w| w.code);
+        (longest_line.unwrap(), lines.read_line(&mut line).unwrap_err().kind(), long_body)
     });
     let socket = connections.recv().unwrap();
     request(&socket);
-    let (fits, long) = ("a".repeat(BOUNDS.max_bytes), "b".repeat(BOUNDS.max_bytes + 1));
-    send(&socket, &format!("HTTP/1.1 200 OK\r\n\r\n{fits}\n{long}\n"));
+    let (longest_line, long) = ("a".repeat(BOUNDS.max_bytes), "b".repeat(BOUNDS.max_bytes + 1));
+    send(&socket, &format!("HTTP/1.1 200 OK\r\n\r\n{longest_line}\n{long}\n"));
     let other = connections.recv().unwrap();
     assert_eq!(request(&other).0, "GET /long HTTP/1.1");
     send(&other, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{long}", long.len()));
-    let (_, (fits, too_long, whole)) = asked.join().unwrap();
-    assert_eq!((fits, too_long), ((true, BOUNDS.max_bytes), ErrorKind::InvalidData));
+    let (_, (longest_line, too_long, long_body)) = client_thread.join().unwrap();
+    assert_eq!((longest_line, too_long), ((true, BOUNDS.max_bytes), ErrorKind::InvalidData));
     let limit = BOUNDS.max_bytes as u64;
     assert!(
-        matches!(whole, Err(RequestError::ResponseTooLong { max_bytes }) if max_bytes == limit),
-        "{whole:?}"
+        matches!(long_body, Err(RequestError::ResponseTooLong { max_bytes }) if max_bytes == limit),
+        "{long_body:?}"
     );
 }
 
@@ -127,56 +127,57 @@
 fn connection_is_reused_and_replaced_after_close() {
     let (mut member, connections) = member();
     member.auth_header = Some(("X-Consul-Token", "t".into()));
-    let whole = |m: &mut Member| {
-        let whole = m.request("PUT", "/v1/kv/a?cas=1", b"x").unwrap();
-        (whole.code, String::from_utf8(whole.body).unwrap(), whole.index, whole.knows_leader)
+    let exchange = |m: &mut Member| {
+        let response = m.request("PUT", "/v1/kv/a?cas=1", b"x").unwrap();
+        (response.code, String::from_utf8(response.body).unwrap(), response.index, response.knows_leader)
     };
-    let answer =
+    let response =
         "HTTP/1.1 404 No\r\nX-Consul-Index: 7\r\nX-Consul-KnownLeader: false\r\nContent-Length: 2\r\n\r\nno";
-    let asked = on_thread(member, move |m| (whole(m), whole(m)));
+    let client_thread = on_thread(member, move |m| (exchange(m), exchange(m)));
     let socket = connections.recv().unwrap();
     for _ in 0..2 {
         assert_eq!(request(&socket), ("PUT /v1/kv/a?cas=1 HTTP/1.1".into(), "x".into()));
-        send(&socket, answer);
+        send(&socket, response);
     }
-    let (member, (first, second)) = asked.join().unwrap();
+    let (member, (first, second)) = client_thread.join().unwrap();
     assert_eq!(first, (404, "no".into(), Some(7), false));
     assert_eq!(second, first);
-    // Closed while idle: the next request is sent on another connection, without an error.
+    // Closed while idle: the next request uses a new connection without an error.
     drop(socket);
-    let asked = on_thread(member, whole);
+    let client_thread = on_thread(member, exchange);
     let socket = connections.recv().unwrap();
     request(&socket);
-    send(&socket, answer);
-    let (member, third) = asked.join().unwrap();
+    send(&socket, response);
+    let (member, third) = client_thread.join().unwrap();
     assert_eq!(third, first);
-    // Closed while a request is in flight: sent again on another connection.
-    let asked = on_thread(member, whole);
+    // Closed while a request is in flight: the request is repeated on a new connection.
+    let client_thread = on_thread(member, exchange);
     request(&socket);
     drop(socket);
     let socket = connections.recv().unwrap();
     request(&socket);
-    send(&socket, answer);
-    assert_eq!(asked.join().unwrap().1, first);
+    send(&socket, response);
+    assert_eq!(client_thread.join().unwrap().1, first);
 }
 
 #[test]
-fn cut_invalid_or_silent_response_is_error() {
-    for answer in
+fn truncated_invalid_or_timed_out_response_is_error() {
+    for response in
         ["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", "nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nCont"]
     {
         let (member, connections) = member();
-        let asked = on_thread(member, |m| m.request("GET", "/a", b"").map(|w| w.code));
+        let client_thread = on_thread(member, |m| m.request("GET", "/a", b"").map(|w| w.code));
         let socket = connections.recv().unwrap();
         request(&socket);
-        send(&socket, answer);
+        send(&socket, response);
         drop(socket);
-        let (_, got) = asked.join().unwrap();
-        assert!(matches!(got, Err(RequestError::Io(_))), "{answer}: {got:?}");
+        let (_, got) = client_thread.join().unwrap();
+        assert!(matches!(got, Err(RequestError::Io(_))), "{response}: {got:?}");
     }
-    // A response that brings nothing fails after the timeout.
+    // Without a response the request fails after the read timeout.
     let (member, connections) = member();
-    let asked = on_thread(member, |m| m.request_with_timeout("GET", "/a", b"", SHORT).map(|w| w.code));
+    let client_thread =
+        on_thread(member, |m| m.request_with_timeout("GET", "/a", b"", SHORT).map(|w| w.code));
     let _socket = connections.recv().unwrap();
-    assert!(matches!(asked.join().unwrap().1, Err(RequestError::Io(_))));
+    assert!(matches!(client_thread.join().unwrap().1, Err(RequestError::Io(_))));
 }
--- a/registry/tests/machine.rs
+++ b/registry/tests/machine.rs
@@ -1,10 +1,10 @@
-//! The machine that follows a registry: cases one by one.
+//! Single scenarios of the state machine that follows a registry.
 mod support;
 
 use registry::machine::{Action, Change, Event, LeaveReason, Machine};
 use support::{SECOND, handle, item, machine, member_reached, snapshot};
 
-/// A machine that has read the key `a` at revision 10, and watches member 0.
+/// A state machine that has read the key `a` at revision 10, and watches registry member 0.
 fn following() -> Machine {
     let mut m = machine();
     assert_eq!(handle(&mut m, 0, member_reached(0, 10)), [Action::Read { endpoint: 0 }]);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn watch_resumes_after_last_change_acted_on() {
+fn watch_resumes_after_the_last_applied_change() {
     let mut m = following();
     handle(&mut m, 0, Event::Changes { endpoint: 0, changes: vec![Change::Put(item("b", "1", 14, 14))] });
     assert_eq!(handle(&mut m, SECOND, member_reached(1, 20)), [Action::Watch { endpoint: 1, from: 15 }]);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn compaction_reads_snapshot_and_sees_deletions_in_between() {
+fn snapshot_after_compaction_reveals_missed_deletions() {
     let mut m = following();
     assert_eq!(handle(&mut m, 0, Event::Compacted { endpoint: 0 }), [Action::Read { endpoint: 0 }]);
     let read = handle(&mut m, 0, snapshot(0, 40, &[item("b", "2", 30, 31)]));
@@ -38,13 +38,13 @@
         Action::Watch { endpoint: 0, from: 41 },
     ];
     assert_eq!(read, expected);
-    // Deleted and made again under the same name: the old one is gone first.
+    // The key was deleted and recreated in between: the deletion is reported before the new value.
     let read = handle(&mut m, 0, snapshot(0, 50, &[item("b", "3", 45, 45)]));
     assert_eq!(read[..2], [Action::Deleted { key: "b".into() }, Action::Put(item("b", "3", 45, 45))]);
 }
 
 #[test]
-fn repeated_changes_are_skipped_and_late_ones_need_snapshot() {
+fn repeated_changes_are_skipped_and_late_ones_require_a_snapshot() {
     let mut m = following();
     let (b, c) = (Change::Put(item("b", "1", 12, 12)), Change::Put(item("c", "1", 13, 13)));
     handle(
@@ -61,19 +61,19 @@
         handle(&mut m, 0, Event::Changes { endpoint: 0, changes: again }),
         [Action::Synchronized { revision: 14 }]
     );
-    // Something that was never seen, from before what was acted on.
+    // An unknown change that is older than changes already applied.
     let late = vec![Change::Put(item("d", "1", 11, 11))];
     assert_eq!(
         handle(&mut m, 0, Event::Changes { endpoint: 0, changes: late }),
         [Action::Read { endpoint: 0 }]
     );
-    // Should that read fail, no watch goes on from there.
+    // If that read fails, no watch resumes; the next member is read as well.
     assert_eq!(handle(&mut m, 0, Event::Progress { endpoint: 0, revision: 15 }), []);
     assert_eq!(handle(&mut m, 0, member_reached(1, 15)), [Action::Read { endpoint: 1 }]);
 }
 
 #[test]
-fn lagging_or_foreign_member_is_left() {
+fn lagging_member_or_member_of_another_cluster_is_not_followed() {
     let mut m = following();
     let behind = LeaveReason::Behind { theirs: 9, ours: 10 };
     assert_eq!(handle(&mut m, 0, member_reached(1, 9)), [Action::Leave { endpoint: 1, reason: behind }]);
@@ -83,7 +83,7 @@
         [Action::Leave { endpoint: 2, reason: LeaveReason::OtherCluster { theirs: 8, ours: 7 } }]
     );
     assert_eq!(handle(&mut m, 0, snapshot(1, 9, &[])), [Action::Leave { endpoint: 1, reason: behind }]);
-    // Two that disagree: one that stands where it should clears the suspicion each time.
+    // One lagging and one up-to-date member: the latter resets the restore detection each time.
     for n in 1..20 {
         assert_eq!(
             handle(&mut m, n * SECOND, member_reached(1, 9)),
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn registry_behind_for_long_counts_as_restored() {
+fn registry_behind_for_the_detection_delay_counts_as_restored() {
     let mut m = following();
     handle(&mut m, 0, member_reached(1, 5));
     assert!(matches!(handle(&mut m, 9 * SECOND, member_reached(2, 5))[..], [Action::Leave { .. }]));
@@ -110,7 +110,7 @@
         Action::Watch { endpoint: 0, from: 6 },
     ];
     assert_eq!(read, expected);
-    // From there on as usual.
+    // Later changes are applied as usual.
     let next = vec![Change::Put(item("a", "1", 3, 6))];
     assert_eq!(
         handle(&mut m, 10 * SECOND, Event::Changes { endpoint: 0, changes: next })[0],
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn missed_changes_need_snapshot_from_any_member() {
+fn missed_changes_require_a_snapshot_from_the_next_member() {
     let mut m = following();
     handle(&mut m, 0, Event::ChangesMissed);
     assert_eq!(handle(&mut m, 0, member_reached(1, 10)), [Action::Read { endpoint: 1 }]);
--- a/registry/tests/machine_model.rs
+++ b/registry/tests/machine_model.rs
@@ -1,5 +1,5 @@
-//! The machine against a model of a registry: long runs of breaks, compactions, lagging members, repeated and reordered
-//! changes.
+//! Model-based test of the state machine: long random runs with disconnects, compactions, lagging members,
+//! and repeated or reordered changes.
 mod support;
 
 use fastrand::Rng;
@@ -8,11 +8,11 @@
 use std::collections::BTreeMap;
 use support::{SECOND, handle, item, machine, member_reached, snapshot};
 
-/// What a registry holds, with everything that ever happened to it.
+/// A model of a registry: its current items and the history of all changes.
 #[derive(Default, Clone)]
 struct Model {
     revision: u64,
-    held: BTreeMap<String, Item>,
+    items: BTreeMap<String, Item>,
     history: Vec<Change>,
     compacted: u64,
 }
@@ -23,23 +23,25 @@
         self.revision += 1;
         let at = self.revision;
         if rng.u8(0..4) == 0 {
-            if self.held.remove(&key).is_some() {
+            if self.items.remove(&key).is_some() {
                 self.history.push(Change::Delete { key, revision: at });
             }
             return;
         }
-        let created = self.held.get(&key).map_or(at, |h| h.created);
+        let created = self.items.get(&key).map_or(at, |h| h.created);
         let item = item(&key, &rng.u32(..).to_string(), created, at);
-        self.held.insert(key, item.clone());
+        self.items.insert(key, item.clone());
         self.history.push(Change::Put(item));
     }
 }
 
-/// Runs a machine against the model; `wrong` is added to the revision at which it resumes.
-fn run(seed: u64, steps: usize, wrong: u64) -> Result<usize, String> {
+/// Runs the state machine against the model; returns how often their contents were compared. `resume_offset`
+/// is added to the revision at which watches resume.
+fn run(seed: u64, steps: usize, resume_offset: u64) -> Result<usize, String> {
     let (mut rng, mut model, mut m) = (Rng::with_seed(seed), Model::default(), machine());
-    let (mut now, mut acted, mut listed, mut quiet) = (0, 0u64, BTreeMap::<String, Item>::new(), 0);
-    // Where a watch goes on, if there is one; its member may lag.
+    let (mut now, mut synchronized_at, mut listed, mut comparisons) =
+        (0, 0u64, BTreeMap::<String, Item>::new(), 0);
+    // The member and the next revision of the current watch.
     let mut watch: Option<(usize, u64)> = None;
     let mut lagging: Option<(usize, Model)> = None;
     for _ in 0..steps {
@@ -58,8 +60,8 @@
         match watch {
             None => {
                 let endpoint = rng.usize(0..3);
-                let seen = lagging.as_ref().filter(|(e, _)| *e == endpoint).map_or(&model, |(_, l)| l);
-                events.push(member_reached(endpoint, seen.revision));
+                let view = lagging.as_ref().filter(|(e, _)| *e == endpoint).map_or(&model, |(_, l)| l);
+                events.push(member_reached(endpoint, view.revision));
             }
             Some((endpoint, from)) if model.compacted >= from => {
                 watch = None;
@@ -72,7 +74,7 @@
                     0 => changes.extend(changes.clone()),
                     1 => changes.reverse(),
                     2 => {
-                        // The connection breaks in the middle.
+                        // The connection is lost in the middle of the changes.
                         changes.truncate(rng.usize(0..=changes.len()));
                         watch = None;
                     }
@@ -93,58 +95,58 @@
                 for action in handle(&mut m, now, event) {
                     match action {
                         Action::Read { endpoint } => {
-                            let seen =
+                            let view =
                                 lagging.as_ref().filter(|(e, _)| *e == endpoint).map_or(&model, |(_, l)| l);
-                            let items: Vec<Item> = seen.held.values().cloned().collect();
+                            let items: Vec<Item> = view.items.values().cloned().collect();
                             watch = None;
-                            events.push(snapshot(endpoint, seen.revision, &items));
+                            events.push(snapshot(endpoint, view.revision, &items));
                             break;
                         }
-                        Action::Watch { endpoint, from } => watch = Some((endpoint, from + wrong)),
+                        Action::Watch { endpoint, from } => watch = Some((endpoint, from + resume_offset)),
                         Action::Leave { .. } => watch = None,
                         Action::Put(i) => {
-                            // A key never goes back to what it was.
+                            // The revision of a key must never decrease.
                             if listed.get(&i.key).is_some_and(|l| l.modified >= i.modified) {
-                                return Err(format!("{} goes back to {}", i.key, i.modified));
+                                return Err(format!("revision of key {} decreased to {}", i.key, i.modified));
                             }
                             listed.insert(i.key.clone(), i);
                         }
                         Action::Deleted { key: k } => _ = listed.remove(&k),
                         Action::Synchronized { revision: at } => {
-                            if at < acted {
-                                return Err(format!("settled at {at} after {acted}"));
+                            if at < synchronized_at {
+                                return Err(format!("synchronized at {at} after {synchronized_at}"));
                             }
-                            acted = at;
+                            synchronized_at = at;
                         }
-                        Action::Restored => return Err("nothing was restored".into()),
+                        Action::Restored => return Err("restore reported without a restore".into()),
                     }
                 }
             }
         }
-        // A quiet moment: the watch has brought everything there is.
+        // The watch has delivered all changes, so both contents must be equal.
         if watch.is_some_and(|(_, next)| next == model.revision + 1)
             && m.revision() >= model.history.last().map_or(0, Change::revision)
         {
-            quiet += 1;
-            if listed != model.held {
-                return Err(format!("at revision {} the list is not the registry's", model.revision));
+            comparisons += 1;
+            if listed != model.items {
+                return Err(format!("list differs from the registry at revision {}", model.revision));
             }
         }
     }
-    Ok(quiet)
+    Ok(comparisons)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
     #[test]
-    fn list_equals_registry_at_each_quiet_moment(seed in any::<u64>()) {
-        let quiet = run(seed, 2000, 0).map_err(TestCaseError::fail)?;
-        prop_assert!(quiet > 300, "{quiet} quiet moments");
+    fn list_equals_registry_whenever_all_changes_are_delivered(seed in any::<u64>()) {
+        let comparisons = run(seed, 2000, 0).map_err(TestCaseError::fail)?;
+        prop_assert!(comparisons > 300, "only {comparisons} comparisons");
     }
 }
 
 #[test]
-fn resume_one_revision_late_is_caught() {
+fn model_detects_resuming_one_revision_too_late() {
     let caught = (0..20).filter(|seed| run(*seed, 2000, 1).is_err()).count();
     assert_eq!(caught, 20);
 }
--- a/registry/tests/recorded_runs.rs
+++ b/registry/tests/recorded_runs.rs
@@ -1,5 +1,5 @@
-//! Recorded runs of the state machines: the same events, from one seed, give the same actions as when the fixture was
-//! written. A fixture shows the first steps in clear and a hash of the whole run.
+//! Recorded runs of the state machines: seeded random events must result in the actions stored in a fixture.
+//! A fixture holds the first steps as text and a hash of the whole run.
 use decision::Time;
 use fastrand::Rng;
 use registry::endpoints::{Endpoints, Settings as EndpointSettings};
@@ -12,13 +12,13 @@
 const FIXTURES: Fixtures = testkit::fixtures!();
 const SECOND_US: i64 = 1_000_000;
 const STEPS: usize = 20_000;
-const STEPS_IN_CLEAR: usize = 300;
+const TEXT_STEPS: usize = 300;
 
-/// The lines of a run, joined to what its fixture holds.
+/// Formats the lines of a run as the text of a fixture.
 fn fixture_text(lines: &[String]) -> String {
     let hash = xxh3_64(lines.join("\n").as_bytes());
-    let clear = lines[..STEPS_IN_CLEAR].join("\n");
-    format!("{clear}\nxxh3 of all {} steps: {hash:016x}\n", lines.len())
+    let text = lines[..TEXT_STEPS].join("\n");
+    format!("{text}\nxxh3 of all {} steps: {hash:016x}\n", lines.len())
 }
 
 fn assert_recorded(name: &str, lines: &[String]) {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Events for the machine, most of them near the revision it stands at.
+/// Random events for the state machine, mostly with revisions near its current one.
 struct MachineEvents {
     rng: Rng,
     revision: u64,
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn machine_run_matches_its_recording() {
+fn machine_run_matches_its_fixture() {
     let mut events = MachineEvents { rng: Rng::with_seed(41), revision: 20 };
     let mut machine = Machine::new(Settings { restored_after: 2 * SECOND_US, max_tombstones: 4 });
     let (mut now, mut lines) = (0, Vec::new());
@@ -115,8 +115,8 @@
         write!(line, " | {} keys at {} of {}", machine.len(), machine.revision(), machine.cluster()).unwrap();
         lines.push(line);
     }
-    let held: Vec<String> = machine.all().map(|item| item_text(&item)).collect();
-    lines.push(held.join("; "));
+    let retained: Vec<String> = machine.all().map(|item| item_text(&item)).collect();
+    lines.push(retained.join("; "));
     assert_recorded("machine-run.txt", &lines);
 }
 
@@ -132,14 +132,14 @@
     match action {
         FleetAction::List { id, node } => format!("list {id} {}", serde_json::to_string(node).unwrap()),
         FleetAction::Unlist { id } => format!("unlist {id}"),
-        FleetAction::InvalidNode { name, reason: why } => format!("faulty {name}: {why}"),
+        FleetAction::InvalidNode { name, reason: error_text } => format!("faulty {name}: {error_text}"),
         FleetAction::MassRemovalDelayed { nodes } => format!("holding {nodes}"),
         FleetAction::RetainedReleased { nodes } => format!("released {nodes}"),
         FleetAction::LevelChanged(level) => format!("now {}", level_text(*level)),
     }
 }
 
-/// Events for the fleet, with the revisions of a registry that only goes back when it was restored.
+/// Random events for the fleet, with increasing revisions except after a restore.
 struct FleetEvents {
     rng: Rng,
     revision: u64,
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn fleet_run_matches_its_recording() {
+fn fleet_run_matches_its_fixture() {
     let mut events = FleetEvents { rng: Rng::with_seed(42), revision: 20 };
     let mut fleet = Fleet::new(FleetSettings {
         allow: vec!["127.0.0.0/8".parse().unwrap()],
@@ -200,23 +200,27 @@
         let (event, mut actions) = (events.next(), Vec::new());
         fleet.handle(Time(now), event, &mut actions);
         let actions: Vec<String> = actions.iter().map(fleet_action_text).collect();
-        let faulty: Vec<&str> = fleet.invalid_names().collect();
+        let invalid: Vec<&str> = fleet.invalid_names().collect();
         let mut line = actions.join("; ");
-        let (nodes, held) = (fleet.nodes().count(), fleet.retained_count());
-        write!(line, " | {} with {nodes} nodes, {held} held, faulty {faulty:?}", level_text(fleet.level()))
-            .unwrap();
+        let (nodes, retained) = (fleet.nodes().count(), fleet.retained_count());
+        write!(
+            line,
+            " | {} with {nodes} nodes, {retained} held, faulty {invalid:?}",
+            level_text(fleet.level())
+        )
+        .unwrap();
         lines.push(line);
     }
     assert_recorded("fleet-run.txt", &lines);
 }
 
 #[test]
-fn endpoint_selection_matches_its_recording() {
+fn endpoint_selection_matches_its_fixture() {
     let settings = EndpointSettings {
         endpoints: 3,
         first_backoff: SECOND_US / 10,
         max_backoff: 2 * SECOND_US,
-        max_saved_attempts: 5.0,
+        max_attempt_tokens: 5.0,
         attempts_per_s: 2.0,
     };
     let mut endpoints = Endpoints::new(settings, 43);
@@ -226,9 +230,9 @@
         now += wait + rng.i64(0..SECOND_US / 5);
         let failed = rng.u8(0..3) != 0;
         if failed {
-            endpoints.failed(endpoint, Time(now));
+            endpoints.record_failure(endpoint, Time(now));
         } else {
-            endpoints.worked(endpoint);
+            endpoints.record_success(endpoint);
         }
         lines
             .push(format!("member {endpoint} after {wait} us, {}", if failed { "failed" } else { "worked" }));
--- a/registry/tests/stored_forms.rs
+++ b/registry/tests/stored_forms.rs
@@ -1,4 +1,4 @@
-//! The bytes of what is stored: the node list on disk, and this router's entry in the registry.
+//! Stored formats, compared byte for byte: the node list on disk, and this router's entry in the registry.
 use registry::cache::{self, CachedList};
 use registry::client::Router;
 use testkit::fixture::Fixtures;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn list_on_disk_is_read_and_written_byte_for_byte() {
+fn node_list_on_disk_matches_the_fixture_byte_for_byte() {
     let folder = tempfile::tempdir().unwrap();
     cache::write(folder.path(), &list()).unwrap();
     let written = std::fs::read(folder.path().join("registry")).unwrap();
@@ -29,14 +29,14 @@
 }
 
 #[test]
-fn router_entry_is_read_and_written_byte_for_byte() {
+fn router_entry_matches_the_fixture_byte_for_byte() {
     let router = Router {
         addr: "127.0.0.1:3306".parse().unwrap(),
         sessions: Some((2, "127.0.0.1:7000".parse().unwrap())),
         store: Some((3, "[::1]:7100".parse().unwrap())),
         incarnation: 1_764_656_000_123_456,
     };
-    // As the client writes it: the keys in the order of their names.
+    // Serialized as the client does it, with the keys in alphabetical order.
     let written = serde_json::json!(router).to_string();
     FIXTURES.assert_same("router-entry.json", written);
     let recorded = FIXTURES.text("router-entry.json");
--- a/registry/tests/support/mod.rs
+++ b/registry/tests/support/mod.rs
@@ -1,20 +1,20 @@
-//! What the tests of the machine share.
+//! Helpers for the tests of the registry's state machine.
 use decision::Time;
 use registry::machine::{Action, Event, Item, Machine, Settings};
 
-/// One second of the machine's time, in microseconds.
+/// One second in microseconds, the unit of the state machine's times.
 pub(crate) const SECOND: i64 = 1_000_000;
 
 pub(crate) fn item(key: &str, value: &str, created: u64, modified: u64) -> Item {
     Item { key: key.into(), value: value.into(), created, modified }
 }
 
-/// A machine that takes a registry which is behind for ten seconds for a restored one.
+/// A state machine that considers the registry restored after its members have been behind for ten seconds.
 pub(crate) fn machine() -> Machine {
     Machine::new(Settings { restored_after: 10 * SECOND, max_tombstones: 16 })
 }
 
-/// Handles an event, and returns the actions.
+/// Passes an event to the state machine, and returns its actions.
 pub(crate) fn handle(machine: &mut Machine, at: i64, event: Event) -> Vec<Action> {
     let mut actions = Vec::new();
     machine.handle(Time(at), event, &mut actions);
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -190,7 +190,7 @@
     let load = Load::start(addr);
     site.registry.update_faults(0, |f| f.down = true);
     site.registry.break_connections(0);
-    router.wait_for_log("registry member left, trying another addr=127.0.0.1");
+    router.wait_for_log("registry member no longer followed, trying another addr=127.0.0.1");
     site.state(1, "draining");
     site.registry.put("/elsewhere", "x");
     site.registry.compact();
@@ -227,7 +227,7 @@
     let load = Load::start(addr);
     (0..2).for_each(|m| site.registry.update_faults(m, |f| f.stalled_watches = true));
     site.state(1, "draining");
-    router.wait_for_log("the watch is silent about changes that are there");
+    router.wait_for_log("the watch did not deliver changes that a read found");
     router.wait_for_log("endpoints=3 ready=2 ");
     gets_nothing_new(&site, 1, 2);
     // A member that answers nothing at all is left for the other one.
@@ -348,7 +348,7 @@
     router.wait_for_log("most registry nodes vanished at once, they are retained for the hold time");
     assert!(by(&mut connect(addr).unwrap()).is_ok());
     assert_eq!(site.command("etcd", &["let-go"]).0, Some(0));
-    router.wait_for_log("vanished registry nodes released");
+    router.wait_for_log("vanished registry nodes removed after retention");
     router.wait_for_log("endpoints=0 ready=0 ");
 }
 
@@ -382,7 +382,7 @@
     site.registry.update_faults(0, |f| f.down = true);
     site.registry.break_connections(0);
     let (mut router, addr) = site.start("etcd");
-    router.wait_for_log("saved registry list used until the registry answers keys=2");
+    router.wait_for_log("saved registry list used until the registry responds keys=2");
     until_by(&mut connect(addr).unwrap(), "replica-1");
     // What has gone meanwhile goes as soon as the registry answers.
     site.registry.delete(&site.key(1));
@@ -526,7 +526,7 @@
     let site = Site::new(1, 1);
     let (mut router, addr) = site.ready("consul");
     site.registry.put("/damsonvale/shop/other", &"x".repeat(9 << 20));
-    router.wait_for_log("the answer is longer than");
+    router.wait_for_log("the response is longer than");
     assert!(by(&mut connect(addr).unwrap()).is_ok());
     // It is read again once the key is small.
     site.registry.put("/damsonvale/shop/other", "x");
@@ -661,7 +661,7 @@
     // Without a certificate of its own it is turned away.
     site.more = files(false);
     let (mut stranger, _) = site.start("etcd");
-    stranger.wait_for_log("registry member left, trying another addr=127.0.0.1");
+    stranger.wait_for_log("registry member no longer followed, trying another addr=127.0.0.1");
     drop(stranger);
     site.more = files(true);
     let (mut router, _) = site.ready("etcd");
