--- a/decision/src/interface.rs
+++ b/decision/src/interface.rs
@@ -1,347 +1,363 @@
-//! The vocabulary between a driver and a [`Router`](crate::Router): settings, ids, events and actions.
+//! The types that a driver and a [`Router`](crate::Router) exchange: settings, ids, events and actions.
 //!
-//! The driver is the program around the state machine: it owns sockets, timers and the clock, turns what happens into
-//! an [`Event`] and carries out each [`Action`].
+//! The driver is the program around the state machine. It owns sockets, timers and the clock, reports
+//! everything that happens as an [`Event`] and executes each [`Action`].
 
-/// A moment on the driver's clock, in whole microseconds. Only differences and order matter.
+/// A point in time on the driver's clock, in whole microseconds. The clock may start anywhere: decisions use
+/// only differences and order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(pub i64);
 
 /// A duration in whole microseconds.
 pub type Micros = i64;
 
-/// A member (primary or replica). The driver picks the number; it is not reused for another member.
+/// A member of a group: a primary or a replica. The driver assigns the number and does not reuse it for
+/// another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct MemberId(pub u32);
 
-/// A client request. The driver picks the number; it is not reused while the router runs.
+/// A client request. The driver assigns the number and does not reuse it while the router runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct RequestId(pub u64);
 
-/// A client session. Two sessions that share a number only see fresher data than they need.
+/// A client session. If two sessions share a number, their reads may be required to be fresher than
+/// necessary, but never become staler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// A group: one primary and the replicas that hold the same data.
+/// A replication group: one primary and the replicas of its data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct GroupId(pub u32);
 
-/// Which data a class of requests needs, and with that which members may serve it.
+/// How fresh the data must be that a class of requests reads. This determines which members may serve the
+/// class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
     /// A write: only the primary accepts it.
     Write,
     /// A read that must see every commit made before the request arrived.
     Latest,
-    /// A read that must see what its session has written.
+    /// A read that must see the earlier writes of its own session.
     Session,
-    /// A read of data at most this old when the attempt is sent.
+    /// A read of data that is at most this old when the attempt is sent.
     Bounded(Micros),
-    /// A read that any member may serve, however far behind.
+    /// A read that any member may serve, however far it lags behind the primary.
     Any,
 }
 
-/// What a second execution of a request would do.
+/// The effect of executing a request a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: the request may be repeated without limit.
+    /// No effect: the request may be repeated at any time.
     Idempotent,
-    /// Nothing in its group, whose members drop a repeat for this long after the first attempt that may have run was sent.
+    /// No effect within its group: the group's members drop a repeat for this long after the sending of the
+    /// first attempt that may have run.
     DeduplicatedInGroup(Micros),
-    /// Nothing anywhere: every member drops a repeat for this long after the first attempt that may have run was sent.
+    /// No effect at any member: every member drops a repeat for this long after the sending of the first
+    /// attempt that may have run.
     DeduplicatedEverywhere(Micros),
-    /// Nothing in its zone, whose members drop a repeat for this long after the first attempt that may have run was sent.
+    /// No effect within its zone: the zone's members drop a repeat for this long after the sending of the
+    /// first attempt that may have run.
     DeduplicatedInZone(Micros),
-    /// It would take effect twice.
+    /// The request takes effect twice.
     NotIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// How fresh its data has to be.
+    /// The required freshness of the data.
     pub freshness: Freshness,
-    /// What a repeat would do.
+    /// The effect of a second execution.
     pub idempotency: Idempotency,
-    /// A response within this time earns the full weight.
+    /// A response within this time earns the full weight of the class.
     pub latency_objective: Micros,
-    /// How long a client waits at most, from its first try.
+    /// How long a client waits in total, counted from its first try and across its own retries.
     pub deadline: Micros,
-    /// Weight of a response within the latency objective, relative to the other classes'.
+    /// The weight of a response within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// The share of the weight that a late response earns, from 0 to 1.
+    /// The share of the weight that a response after the latency objective earns, from 0 to 1.
     pub late_weight_share: f64,
 }
 
-/// What a replica does with a read for which it is too far behind.
+/// How a replica treats a read that requires fresher data than the replica has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LaggingReplica {
-    /// It answers from the data that it has: the router must keep such reads away from it.
+    /// It serves the read from its stale data, so the router must not send it such reads.
     AnswersStale,
     /// It rejects the read at once.
     Rejects,
-    /// It waits up to this long for the data, then rejects the read.
+    /// It waits up to this long to catch up, then rejects the read.
     WaitsThenRejects(Micros),
 }
 
-/// Where the commit that a session read must see is known from.
+/// How the router knows which commit a session read must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionCommitSource {
     /// The request carries it.
     CarriedByRequest,
-    /// The router remembers the commits it has seen.
+    /// The router records the commits that it sees in responses.
     RememberedByRouter,
 }
 
-/// The start settings of one router.
+/// The settings with which a router starts.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The classes; requests name them by position.
+    /// The classes of requests. A request refers to its class by index.
     pub classes: Vec<Class>,
-    /// For each tenant, the rate (requests per second, all routers together) within its quota. No decision
-    /// reads this.
+    /// The rate within the quota of each tenant, in requests per second over all routers. No decision reads
+    /// this.
     pub tenant_rates: Vec<f64>,
-    /// The weight of traffic beyond a tenant's quota, as a share of the usual, from 0 to 1. No decision reads this.
+    /// The weight of traffic beyond a tenant's quota, as a share of the normal weight, from 0 to 1. No
+    /// decision reads this.
     pub over_quota_weight: f64,
-    /// How many routers there are, this one included; 0 where that is not known.
+    /// The number of routers in the fleet, including this one; 0 if it is unknown.
     pub router_count: u32,
     /// The zone of this router.
     pub zone: u32,
-    /// The shortest time between two batches of events; decisions leave this much time before a window ends.
+    /// The shortest time between two batches of events. Decisions stop this much before a deduplication
+    /// window ends.
     pub min_event_interval: Micros,
-    /// What a replica that is too far behind does.
+    /// How replicas treat reads for which they lag too far behind.
     pub lagging_replica: LaggingReplica,
-    /// Where the commits that session reads must see are known from.
+    /// How the router knows which commit a session read must see.
     pub session_commit_source: SessionCommitSource,
-    /// Two attempts of one request may be in flight together. No decision makes use of it: each request has one attempt in
-    /// flight at most.
+    /// Whether two attempts of one request may be in flight at the same time. No decision uses this: each
+    /// request has at most one attempt in flight.
     pub hedging_allowed: bool,
-    /// Attempts that one request may have, the first included.
+    /// The maximum number of attempts of one request, including the first.
     pub max_attempts: u32,
-    /// Attempts may be cancelled. No decision makes use of it.
+    /// Whether attempts may be cancelled. No decision uses this.
     pub cancel_allowed: bool,
-    /// Members may be probed.
+    /// Whether members may be probed.
     pub probing_allowed: bool,
-    /// What one probe for each request costs, as a share of the weight of all requests. No decision reads this.
+    /// The cost of sending one probe per request, as a share of the weight of all requests. No decision reads
+    /// this.
     pub probe_cost: f64,
-    /// The longest retry-after time that clients follow; `None` where they follow none.
+    /// The longest retry-after time that clients respect; `None` if they ignore retry-after.
     pub max_retry_after: Option<Micros>,
-    /// A connection not made within this time has failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Micros,
-    /// New work to a draining or removed member must end this long after the router was notified. No decision reads this:
-    /// such a member gets nothing new from the notification on.
+    /// The time after the router was notified within which new work for a draining or removed member must
+    /// end. No decision reads this: such a member gets no new work from the notification on.
     pub drain_grace: Micros,
-    /// A ready member that a complete list lacks may be up and goes on serving; only an entry listed as draining or
-    /// removed takes it out.
+    /// Whether a ready member that is missing from a complete list continues to serve. If so, only an entry
+    /// that is listed as draining or removed takes a member out of service.
     pub missing_members_may_serve: bool,
-    /// The share of its full capacity with which a member starts, from 0 to 1.
+    /// The share of its full capacity that a member has right after its start, from 0 to 1.
     pub slow_start_initial_share: f64,
-    /// A started member has its full capacity after this time; until then its share rises evenly.
+    /// The time from a member's start to its full capacity. Its capacity rises linearly in between.
     pub slow_start_duration: Micros,
-    /// A warming-up member is overloaded by more than this multiple of its present capacity.
+    /// A member that is warming up is overloaded when it gets more than this multiple of its present
+    /// capacity.
     pub overload_factor: f64,
-    /// A warming-up member that is overloaded for this time fails.
+    /// A member that is warming up fails if it is overloaded for this long.
     pub overload_duration: Micros,
-    /// The driver brings no list unless the router subscribes to it ([`Action::Subscribe`]).
+    /// Whether the driver delivers member lists only after the router has subscribed ([`Action::Subscribe`]).
     pub list_requires_subscription: bool,
 }
 
-/// A listed member's state.
+/// The state of a member in the member list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum MemberState {
     /// Accepts work.
     #[default]
     Ready,
-    /// Ends its work; nothing new is sent to it.
+    /// Finishes its work and gets no new work.
     Draining,
-    /// No longer part of its group.
+    /// Has left its group.
     Removed,
 }
 
 /// One entry of the member list.
 #[derive(Clone, Debug, Default)]
 pub struct MemberEntry {
-    /// The member.
+    /// The member's id.
     pub id: MemberId,
-    /// Its group.
+    /// The member's group.
     pub group: GroupId,
-    /// Its zone.
+    /// The member's zone.
     pub zone: u32,
-    /// Its state.
+    /// The member's state.
     pub state: MemberState,
-    /// The list names it as the primary of its group; that may be out of date.
+    /// Whether the list names it as the primary of its group. This may be out of date.
     pub listed_primary: bool,
-    /// Its size relative to others, 1 where nothing is known.
+    /// Its capacity relative to other members; 1 if unknown.
     pub weight: f64,
-    /// When it last started; `None` means long ago.
+    /// When its process last started; `None` if that is unknown or long ago.
     pub started_at: Option<Time>,
 }
 
 /// A client request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its id.
+    /// The request's id.
     pub id: RequestId,
-    /// Its class, a position in [`Settings::classes`].
+    /// The request's class, an index into [`Settings::classes`].
     pub class: usize,
-    /// Its tenant, a position in [`Settings::tenant_rates`]. No decision reads it.
+    /// The request's tenant, an index into [`Settings::tenant_rates`]. No decision reads this.
     pub tenant: usize,
-    /// Its session, if it has one.
+    /// The client session that the request belongs to, if any.
     pub session: Option<SessionId>,
-    /// Its group.
+    /// The group that stores the request's data.
     pub group: GroupId,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub deadline: Time,
-    /// The commit that its session must see, where requests carry it ([`SessionCommitSource::CarriedByRequest`]).
+    /// The commit that the request must see, if requests carry it
+    /// ([`SessionCommitSource::CarriedByRequest`]).
     pub session_commit: Option<Time>,
 }
 
-/// How an attempt or a probe ended.
+/// The result of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Ok,
-    /// The member responded with an error; the attempt may have run.
+    /// The member responded with an error. The attempt may have run.
     Error,
-    /// Rejected before it ran: the member is full or draining.
+    /// The member rejected the attempt before it ran, because it is at capacity or draining.
     Rejected,
-    /// No response in time; it may have run.
+    /// No response within the timeout. The attempt may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection was established. The attempt never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke. The attempt may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled. It may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NeverSent,
-    /// Rejected before it ran: the member is not the primary, or too far behind.
+    /// The member rejected the attempt before it ran, because it is not the primary or lags too far behind.
     NotEligible,
 }
 
 impl Outcome {
-    /// Whether it proves that the attempt never ran.
+    /// Whether the outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::NotEligible)
     }
 }
 
-/// What a member reported of itself.
+/// The role and the replication position that a member reported.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct MemberReport {
     /// Whether it is the primary.
     pub primary: Option<bool>,
-    /// It has applied every commit up to here.
+    /// The member has applied every commit up to this time.
     pub position: Option<Time>,
 }
 
-/// What happens to a router.
+/// Input of a router.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The member list has changed.
     MemberListChanged {
-        /// The list is complete: members that it lacks are missing.
+        /// Whether the list is complete. Known members that a complete list does not name are missing.
         complete: bool,
-        /// The entries.
+        /// The entries of the list.
         entries: Vec<MemberEntry>,
     },
-    /// A request for the list failed; the list at hand stays.
+    /// A request for the member list failed. The router retains the last list.
     ListUpdateFailed,
-    /// How many routers there are from now on, this one included.
+    /// The number of routers in the fleet has changed to this value, which includes this router.
     RouterCountChanged(u32),
-    /// A request has arrived and is owed one final answer.
+    /// A request has arrived. It requires exactly one final response.
     RequestArrived(Request),
-    /// An attempt's response has begun to stream: it belongs to the client now.
+    /// The response to an attempt has begun to stream to the client, so the request can no longer be retried.
     ResponseStarted {
-        /// The request.
+        /// The request's id.
         request: RequestId,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// The request's id.
         request: RequestId,
-        /// The attempt, counted from 0 in the order of sending.
+        /// The index of the attempt, from 0 in the order of sending.
         attempt: u32,
-        /// The member.
+        /// The member to which the attempt was sent.
         member: MemberId,
-        /// How it ended.
+        /// The result of the attempt.
         outcome: Outcome,
-        /// The driver has given the request its final answer, or it needs none any more: nothing more is sent for it.
+        /// Whether the driver has completed the request, so that nothing more may be sent for it: it has
+        /// given the final response, or none is required any more.
         request_ended: bool,
-        /// The role and the position that the response itself states.
+        /// The role and the position stated in the response itself.
         response_report: MemberReport,
-        /// For a write that was served: when it was committed.
+        /// The commit time of a write that was served.
         commit: Option<Time>,
-        /// A load report that came with the response. It may be older than the response.
+        /// A load report that accompanied the response. It may be older than the response.
         load_report: MemberReport,
     },
     /// A probe has ended.
     ProbeEnded {
-        /// The member.
+        /// The member that was probed.
         member: MemberId,
-        /// How it ended.
+        /// The result of the probe.
         outcome: Outcome,
-        /// What the member reported, as of a little while ago.
+        /// The member's report, which may be slightly out of date.
         report: MemberReport,
     },
-    /// The client has disconnected; nothing is owed any more.
+    /// The client has disconnected. The request requires no response any more.
     ClientDisconnected {
-        /// The request.
+        /// The request's id.
         request: RequestId,
     },
     /// A timer set with [`Action::SetTimer`] has expired.
     TimerExpired,
 }
 
-/// What a router wants done, in order, at the time of the event.
+/// Output of a router. The driver executes actions in order, at the time of the event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Begin an attempt.
+    /// Send an attempt.
     Send {
-        /// The request.
+        /// The request's id.
         request: RequestId,
-        /// To this member.
+        /// The member to which the attempt is sent.
         member: MemberId,
-        /// Give it up after this time.
+        /// The time after which the attempt is abandoned.
         timeout: Micros,
-        /// Its first byte must be written within this time, or it must not begin: by then the member's proof of freshness
-        /// or the time in which repeats are dropped is over. Never more than the timeout.
+        /// The time within which the first byte must be written; afterwards the attempt must not start,
+        /// because the proof of the member's freshness or the deduplication window has expired. Never longer
+        /// than the timeout.
         start_timeout: Micros,
     },
-    /// Stop waiting for an attempt. No decision asks for this at present.
+    /// Abandon an attempt. No decision requests this at present.
     Cancel {
-        /// The request.
+        /// The request's id.
         request: RequestId,
-        /// The attempt.
+        /// The index of the attempt.
         attempt: u32,
     },
-    /// Final answer: not served; a retry does no harm.
+    /// Final response: the request was not served, and it is safe to retry.
     Reject {
-        /// The request.
+        /// The request's id.
         request: RequestId,
-        /// When the client should retry, from now.
+        /// The time from now after which the client should retry.
         retry_after: Option<Micros>,
     },
-    /// Final answer: not served, but an attempt may have run, so that a retry may take effect twice.
+    /// Final response: the request was not served, but an attempt may have run, so a retry may take effect
+    /// twice.
     Fail {
-        /// The request.
+        /// The request's id.
         request: RequestId,
     },
-    /// Send a member a health check.
+    /// Send a health check to a member.
     Probe {
-        /// The member.
+        /// The member to probe.
         member: MemberId,
     },
-    /// Bring [`Event::TimerExpired`] after this time.
+    /// Deliver [`Event::TimerExpired`] after this time.
     SetTimer {
-        /// From now.
+        /// The time from now.
         after: Micros,
     },
-    /// Subscribe to the member list from now on.
+    /// Subscribe to the member list.
     Subscribe,
-    /// The router will not name this member again unless a list brings it back: what is kept for it may be dropped.
+    /// Release the driver's resources for a member. The router does not use this member again unless a later
+    /// list contains it.
     Remove {
-        /// The member.
+        /// The member that was removed.
         member: MemberId,
     },
 }
--- a/decision/src/lib.rs
+++ b/decision/src/lib.rs
@@ -1,26 +1,27 @@
-//! The decisions of a proxy in front of a database primary and its replicas: a state machine without I/O.
+//! The routing decisions of a proxy in front of a database primary and its replicas: a state machine without
+//! I/O.
 //!
-//! A [`Router`] holds all state of one router instance. It does no I/O, reads no clock and starts no thread: the
-//! driver (the program around it) hands it each [`Event`] with the time and carries out the [`Action`]s in order. The
-//! same settings, seed and events give the same actions.
+//! A [`Router`] holds all state of one router instance. It does no I/O, reads no clock and starts no thread:
+//! the driver (the program around it) passes it each [`Event`] with the current time and executes the
+//! returned [`Action`]s in order. The same settings, seed and events produce the same actions.
 //!
-//! `interface.rs` has the vocabulary: settings, ids, events and actions. `router.rs` has the state and takes the
-//! events; the files of its folder each hold one concern of the decisions:
+//! `interface.rs` defines settings, ids, events and actions. `router.rs` defines the state and dispatches
+//! events. Each file of its folder implements one part of the decisions:
 //!
-//! | file | concern |
+//! | file | content |
 //! | --- | --- |
-//! | `member_list.rs` | members that join, restart, drain and leave; the number of routers |
-//! | `admission.rs` | a request's arrival, its queue, the decision to forward, queue or reject, the final answer |
-//! | `choice.rs` | which member gets a request: the primary, or a replica that is fresh enough |
-//! | `attempts.rs` | sending, the end of an attempt, the commits of sessions |
-//! | `pool.rs` | how many attempts a member may have in flight, and its share while it warms up |
-//! | `health.rs` | roles, positions, ejection of failing members |
+//! | `member_list.rs` | members that join, restart, drain and leave; the number of routers in the fleet |
+//! | `admission.rs` | arrival, the queue, the decision to forward, queue or reject, the final response |
+//! | `choice.rs` | the member for a request: the primary, or a replica that is fresh enough |
+//! | `attempts.rs` | sending of attempts, their outcomes, the commits of sessions |
+//! | `pool.rs` | limits of attempts in flight, and a member's share of requests while it warms up |
+//! | `health.rs` | roles, replication positions, ejection of failing members |
 //! | `probes.rs` | health checks and the search for the primary |
 //!
 //! ```
 //! use decision::*;
 //!
-//! // A driver's loop, cut down to two members and one read.
+//! // A driver's event loop, reduced to two members and one read.
 //! let ms = 1000;
 //! let settings = Settings {
 //!     classes: vec![Class {
@@ -88,7 +89,7 @@
 //! ] {
 //!     router.handle(Time(1000 * ms), event, &mut actions);
 //!     for action in actions.drain(..) {
-//!         // A driver opens sockets, sets timers and answers clients here.
+//!         // A real driver sends requests, sets timers and responds to clients here.
 //!         if let Action::Send { request, member, .. } = action {
 //!             sent.push((request, member));
 //!         }
--- a/decision/src/router.rs
+++ b/decision/src/router.rs
@@ -1,7 +1,8 @@
-//! Every decision of damsonvale. Its settings, events and actions are defined in `src/interface.rs`.
+//! The routing decisions and their state. Settings, events and actions are defined in `src/interface.rs`.
 //!
-//! Ordinary path: writes and reads of the latest data go to the primary, other reads to the fresh-enough
-//! replica with the fewest attempts in flight here (ties random), failure signals eject members for a while.
+//! In the normal case, writes and reads of the latest data go to the primary. Other reads go to the
+//! sufficiently fresh replica that has the fewest attempts from this router in flight, with ties broken at
+//! random. Failures eject a member for a limited time.
 use crate::interface::{
     Action, Class, Event, Freshness, GroupId, Idempotency, LaggingReplica, MemberEntry, MemberId,
     MemberReport, MemberState, Micros, Outcome, Request, RequestId, SessionCommitSource, SessionId, Settings,
@@ -17,41 +18,43 @@
 mod pool;
 mod probes;
 
-/// Stands for a position that nobody has reported, and for the time of what has not happened yet.
-const LONG_AGO: Time = Time(i64::MIN / 4);
+/// Stands for a position that no member has reported, and for the time of an event that has not happened yet.
+const DISTANT_PAST: Time = Time(i64::MIN / 4);
 
 #[derive(Debug, Default)]
 struct Member {
-    /// As last listed, of the group that it was first listed in; started anew also when a probe shows that.
+    /// The latest list entry, with the group of the first one. A probe that shows a restart also updates its
+    /// start time.
     listed: MemberEntry,
-    /// Every commit up to here is applied; only rises.
+    /// The member has applied every commit up to this position. It never decreases.
     position: Time,
-    /// How far behind the present it was when last heard of.
+    /// How far the member lagged behind the present when its position was last observed.
     lag: Micros,
     lag_observed_at: Option<Time>,
     role_known: bool,
-    /// When a response last said that it is a replica.
-    denied_primary_at: Option<Time>,
+    /// When a response of the member last stated that it is a replica.
+    reported_replica_at: Option<Time>,
     in_flight: u32,
-    /// When a response of it was last late or missing; a quick one clears it.
+    /// When a response was last late or missing; a fast response clears it.
     late_response_at: Option<Time>,
-    /// How many attempts may be in flight from here, learned from its latency (`pool.rs`).
+    /// The limit of attempts in flight from this router, adjusted by observed latency (see `pool.rs`).
     pool_size: f64,
     probes_in_flight: u32,
     last_probe_at: Option<Time>,
-    /// Probes in a row that brought no report.
+    /// Consecutive probes that returned no report.
     consecutive_failed_probes: u32,
     ejected_until: Option<Time>,
     consecutive_ejections: u32,
-    /// Back from an ejection: one attempt at a time until one is served.
+    /// The ejection has ended: one attempt at a time until an attempt is served quickly.
     half_open: bool,
-    /// Connections that were refused since it last answered.
+    /// Consecutive refused connections. Once there are [`health::RESTART_CONNECT_FAILURES`], only a
+    /// successful probe resets the count.
     consecutive_connect_failures: u32,
-    /// It was ejected because it could not be reached: an answer to a probe ends that.
+    /// The member was ejected because it was unreachable; a successful probe ends such an ejection early.
     ejected_as_unreachable: bool,
-    /// A connection to it was reset, and what it says to the next probe decides on the ejection.
+    /// A connection was reset; the outcome of the next probe decides whether the member stays ejected.
     reset_awaits_probe: bool,
-    /// Failed attempts that still count as in flight, until these times.
+    /// The times until which failed attempts still count as in flight.
     abandoned_attempts: Vec<Time>,
 }
 
@@ -59,7 +62,7 @@
 struct Group {
     members: Vec<MemberId>,
     primary: Option<MemberId>,
-    /// When all members were last asked who is primary, and how often since there was one.
+    /// When all members were last probed to find the primary, and how often since a primary was last known.
     last_search_at: Time,
     searches: u32,
     queued: Vec<RequestId>,
@@ -69,7 +72,7 @@
 struct Attempt {
     member: MemberId,
     sent_at: Time,
-    /// None while it is in flight.
+    /// `None` while the attempt is in flight.
     outcome: Option<Outcome>,
 }
 
@@ -77,17 +80,18 @@
 struct PendingRequest {
     request: Request,
     arrived_at: Time,
-    /// When the client first asked, as far as the time that it has left tells.
+    /// When the client first sent the request, estimated from the time left to its deadline.
     first_try_at: Time,
-    /// Drawn once in [0, 1): a member that may get a share only takes requests that drew below it.
+    /// A random number from [0, 1), drawn once. A member that may get only a share of the requests accepts
+    /// those whose number is below that share.
     admission_draw: f64,
     attempts: Vec<Attempt>,
     queued: bool,
-    /// Probes sent for it to prove a replica fresh.
+    /// Probes sent for this request to prove that a replica is fresh enough.
     freshness_probes: u32,
-    /// Final answer given or streaming: nothing more is sent.
+    /// The final response was given or is streaming, so no further attempt is sent.
     finished: bool,
-    /// Send time of the first attempt that may have run.
+    /// When the first attempt was sent that may have run.
     may_have_run_since: Option<Time>,
 }
 
@@ -96,7 +100,7 @@
         self.listed.state == MemberState::Ready
     }
 
-    /// Its ejection ends: one attempt at a time until it has shown that it is well.
+    /// Ends the ejection. The member gets one attempt at a time until an attempt is served quickly.
     fn end_ejection(&mut self) {
         self.ejected_until = None;
         self.half_open = true;
@@ -117,23 +121,23 @@
     }
 }
 
-/// The decisions of one router instance.
+/// The decision state machine of one router instance.
 #[derive(Debug)]
 pub struct Router {
     settings: Settings,
     rng: fastrand::Rng,
     now: Time,
-    /// What the current event has led to.
+    /// The actions that the current event has led to so far.
     actions: Vec<Action>,
     members: BTreeMap<MemberId, Member>,
     groups: BTreeMap<GroupId, Group>,
     requests: BTreeMap<RequestId, PendingRequest>,
     session_commits: BTreeMap<(GroupId, SessionId), Time>,
-    /// What every session read must see, from sessions no longer remembered one by one.
+    /// The position that every session read requires, from evicted entries of `session_commits`.
     minimum_position: Option<Time>,
-    /// Usual latency of each class.
+    /// Running mean of the latency of each class, in microseconds.
     latency_ewma: Vec<f64>,
-    /// The shares of their deadlines that requests bring as timeouts, and how many brought each.
+    /// The ratios of timeout to class deadline seen in requests, and how many requests had each.
     timeout_ratios: Vec<(f64, u32)>,
     retry_budget: f64,
     timer_set: bool,
@@ -141,13 +145,14 @@
 }
 
 impl Router {
-    /// A router that knows nothing yet; the first list follows as an event. The seed fixes random choices.
+    /// Creates a router without members; the first member list follows as an event. The seed determines all
+    /// random choices.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Router {
             latency_ewma: settings.classes.iter().map(|c| c.latency_objective as f64 / 4.0).collect(),
             settings,
             rng: fastrand::Rng::with_seed(seed),
-            now: LONG_AGO,
+            now: DISTANT_PAST,
             actions: Vec::new(),
             members: BTreeMap::new(),
             groups: BTreeMap::new(),
@@ -161,7 +166,7 @@
         }
     }
 
-    /// Handles one event and appends the actions that follow, in order.
+    /// Handles one event and appends the resulting actions in order.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
@@ -186,7 +191,8 @@
         actions.append(&mut self.actions);
     }
 
-    /// Listed members that get nothing new: they drain, or are ejected until a probe has ended that.
+    /// The number of listed members that get no new work: draining members, and ejected members whose
+    /// ejection no probe has ended yet.
     pub fn unavailable_member_count(&self) -> usize {
         let ejected = |m: &Member| m.is_ready() && m.ejected_until.is_some();
         self.members.values().filter(|m| m.listed.state == MemberState::Draining || ejected(m)).count()
@@ -196,13 +202,14 @@
         &self.settings.classes[pending.request.class]
     }
 
-    /// Replicas reject what they are too stale for; where they don't, freshness needs proof beforehand.
+    /// Whether replicas themselves reject reads for which they are too stale. Otherwise the router must prove
+    /// a replica's freshness before it sends such a read.
     fn replicas_check_freshness(&self) -> bool {
         self.settings.lagging_replica != LaggingReplica::AnswersStale
     }
 }
 
-/// How long ago something was.
+/// The time since an event; very long if the event never happened.
 fn elapsed(now: Time, since: Option<Time>) -> Micros {
-    now.0 - since.unwrap_or(LONG_AGO).0
+    now.0 - since.unwrap_or(DISTANT_PAST).0
 }
--- a/decision/src/router/admission.rs
+++ b/decision/src/router/admission.rs
@@ -1,18 +1,21 @@
-//! Request admission: the arrival, the decision to forward, queue or reject, the queue, and the final answer.
+//! Request admission: arrival, the decision to forward, queue or reject, the queue, and the final response.
 use super::{Action, Freshness, GroupId, Idempotency, MemberId, Micros, Outcome, PendingRequest, Request};
 use super::{RequestId, Router, SessionCommitSource, Time};
 
-/// Errors, at different members if there are, after which a request counts as bad itself: no more retries.
+/// The number of errors, from different members if possible, after which a request itself is considered
+/// faulty and is not retried.
 const MAX_ERRORS: usize = 2;
-/// Late responses are waited for in classes whose `late_weight_share` is at least this.
+/// Late responses are awaited only in classes whose `late_weight_share` is at least this.
 const MIN_LATE_WEIGHT_SHARE: f64 = 0.4;
-/// Retries that each accepted request earns; a retry storm can't exceed this share of traffic.
+/// Retry budget earned by each arriving request, which limits retries to this share of the traffic.
 const RETRY_BUDGET_RATIO: f64 = 0.2;
-/// Retries that may be saved up for a time with more failures.
+/// The largest retry budget that can be saved for periods with more failures.
 pub(super) const MAX_RETRY_BUDGET: f64 = 20.0;
-/// Different timeouts, as shares of the deadline, that are counted to tell first tries from later ones.
+/// The number of distinct ratios of timeout to deadline that are counted, to distinguish a client's first try
+/// from its retries.
 const MAX_TIMEOUT_RATIOS: usize = 16;
-/// Their counts are halved at this many of one kind, so that clients may change in the long run.
+/// All counts are halved when one exceeds this, so that a change of the clients' timeouts is detected
+/// eventually.
 const MAX_TIMEOUT_COUNT: u32 = 1000;
 
 pub(super) enum Decision {
@@ -25,8 +28,8 @@
     pub(super) fn on_request(&mut self, mut request: Request) {
         self.retry_budget = (self.retry_budget + RETRY_BUDGET_RATIO).min(MAX_RETRY_BUDGET);
         if self.settings.session_commit_source == SessionCommitSource::RememberedByRouter {
-            let own = request.session.and_then(|s| self.session_commits.get(&(request.group, s)).copied());
-            request.session_commit = own.max(self.minimum_position);
+            let commit = request.session.and_then(|s| self.session_commits.get(&(request.group, s)).copied());
+            request.session_commit = commit.max(self.minimum_position);
         }
         let waited = self.time_since_first_try(request.class, request.deadline.0 - self.now.0);
         let id = request.id;
@@ -41,14 +44,15 @@
         self.dispatch(id);
     }
 
-    /// How long ago the client first asked. First tries bring one and the same share of the deadline of their
-    /// class, the commonest; another is a later try: its client has waited what is missing to the deadline.
+    /// Estimates how long ago the client first sent the request. All first tries have the same ratio of
+    /// timeout to class deadline, which is the most common one. Any other ratio marks a client's retry: that
+    /// client has already waited for the part of the deadline that its timeout lacks.
     fn time_since_first_try(&mut self, class: usize, timeout: Micros) -> Micros {
         let deadline = self.settings.classes[class].deadline.max(1);
         let ratio = timeout as f64 / deadline as f64;
-        let near = 3.0 * self.settings.min_event_interval as f64 / deadline as f64;
+        let tolerance = 3.0 * self.settings.min_event_interval as f64 / deadline as f64;
         let ratios = &mut self.timeout_ratios;
-        let at = ratios.iter().position(|r| (r.0 - ratio).abs() <= near).unwrap_or_else(|| {
+        let index = ratios.iter().position(|r| (r.0 - ratio).abs() <= tolerance).unwrap_or_else(|| {
             if ratios.len() == MAX_TIMEOUT_RATIOS {
                 ratios.sort_unstable_by_key(|r| u32::MAX - r.1);
                 ratios.pop();
@@ -56,14 +60,14 @@
             ratios.push((ratio, 0));
             ratios.len() - 1
         });
-        ratios[at].1 += 1;
-        let too_many = ratios.iter().any(|r| r.1 > MAX_TIMEOUT_COUNT);
-        ratios.iter_mut().filter(|_| too_many).for_each(|r| r.1 /= 2);
-        let commonest = ratios.iter().all(|r| r.1 <= ratios[at].1);
-        if commonest { 0 } else { (deadline - timeout).max(0) }
+        ratios[index].1 += 1;
+        let is_over_limit = ratios.iter().any(|r| r.1 > MAX_TIMEOUT_COUNT);
+        ratios.iter_mut().filter(|_| is_over_limit).for_each(|r| r.1 /= 2);
+        let is_most_common = ratios.iter().all(|r| r.1 <= ratios[index].1);
+        if is_most_common { 0 } else { (deadline - timeout).max(0) }
     }
 
-    /// Forwards a request, queues it, or rejects it.
+    /// Forwards, queues or rejects a request.
     pub(super) fn dispatch(&mut self, id: RequestId) {
         match self.decide(id) {
             Decision::Forward(member) => self.send(id, member),
@@ -89,15 +93,16 @@
         }
     }
 
-    /// After this a response earns too little to be waited for.
+    /// The time after which a response earns too little weight to be worth waiting for.
     pub(super) fn useful_until(&self, pending: &PendingRequest) -> Time {
         let class = self.class(pending);
         let deadline = pending.request.deadline;
-        let in_time = Time(pending.first_try_at.0 + class.latency_objective);
-        if class.late_weight_share >= MIN_LATE_WEIGHT_SHARE { deadline } else { deadline.min(in_time) }
+        let objective = Time(pending.first_try_at.0 + class.latency_objective);
+        if class.late_weight_share >= MIN_LATE_WEIGHT_SHARE { deadline } else { deadline.min(objective) }
     }
 
-    /// Decides again once all attempts have ended. What was never sent or found nobody fit costs no retry.
+    /// Decides again after all attempts of a request have ended. An attempt that was never sent or whose
+    /// member was not eligible consumes no retry budget.
     pub(super) fn retry(&mut self, id: RequestId, outcome: Outcome) {
         let cost = if matches!(outcome, Outcome::NotEligible | Outcome::NeverSent) { 0.0 } else { 1.0 };
         if self.retry_budget >= cost {
@@ -115,7 +120,7 @@
         }
     }
 
-    pub(super) fn unqueue(&mut self, id: RequestId) {
+    pub(super) fn dequeue(&mut self, id: RequestId) {
         if let Some(pending) = self.requests.get_mut(&id).filter(|p| p.queued) {
             pending.queued = false;
             self.groups.entry(pending.request.group).or_default().queued.retain(|q| *q != id);
@@ -124,59 +129,60 @@
 
     pub(super) fn on_timer(&mut self) {
         self.timer_set = false;
-        // Ejections of a group that nothing waits for end with its next outcome.
+        // The ejections of a group with an empty queue end with the next outcome in the group.
         let waiting = self.groups.iter().filter(|(_, g)| !g.queued.is_empty()).map(|(id, _)| *id);
         for group in waiting.collect::<Vec<GroupId>>() {
             self.dispatch_queued(group);
         }
     }
 
-    /// Looks again at what is queued for a group.
+    /// Decides again about all queued requests of a group.
     pub(super) fn dispatch_queued(&mut self, id: GroupId) {
         self.end_ejections(id);
         let Some(group) = self.groups.get(&id) else { return };
-        // What earns most for its work goes first, the oldest among equals.
-        let mut ranked: Vec<_> = group.queued.iter().map(|id| (-self.queue_priority(*id), *id)).collect();
-        ranked.sort_unstable();
-        for (_, id) in ranked {
+        // The highest weight per work goes first, then the oldest request.
+        let mut ordered: Vec<_> = group.queued.iter().map(|id| (-self.queue_priority(*id), *id)).collect();
+        ordered.sort_unstable();
+        for (_, id) in ordered {
             self.dispatch(id);
         }
     }
 
-    /// Weight that a response would earn, per time of work: the usual latency of its class.
+    /// The weight that a response would earn, divided by the usual latency of the class as its work.
     fn queue_priority(&self, id: RequestId) -> i64 {
         let pending = &self.requests[&id];
         let class = self.class(pending);
         let usual_latency = self.latency_ewma[pending.request.class];
         let is_late = self.now.0 + usual_latency as i64 > pending.first_try_at.0 + class.latency_objective;
-        let share = if is_late { class.late_weight_share } else { 1.0 };
-        (class.priority_weight * share * 1e9 / usual_latency.max(1.0)) as i64
+        let weight_share = if is_late { class.late_weight_share } else { 1.0 };
+        (class.priority_weight * weight_share * 1e9 / usual_latency.max(1.0)) as i64
     }
 
-    /// The final answer of a request that is not served, given at once.
+    /// Gives the final response to a request that is not served.
     fn reject(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else { return };
         let class = self.class(pending);
-        let harmless = match class.idempotency {
+        let is_safe_to_retry = match class.idempotency {
             Idempotency::Idempotent | Idempotency::DeduplicatedEverywhere(_) => true,
             _ => pending.may_have_run_since.is_none() && pending.no_attempt_in_flight(),
         };
         let retry_after = self.settings.max_retry_after.map(|max| max.min(class.latency_objective));
         let reject = Action::Reject { request: id, retry_after };
-        self.actions.push(if harmless { reject } else { Action::Fail { request: id } });
+        self.actions.push(if is_safe_to_retry { reject } else { Action::Fail { request: id } });
         self.finish(id);
     }
 
-    /// Nothing more is sent for this request; it stays known until its attempts have ended.
+    /// Marks a request as finished. Nothing more is sent for it, but its state is retained until its attempts
+    /// have ended.
     pub(super) fn finish(&mut self, id: RequestId) {
         if let Some(pending) = self.requests.get_mut(&id) {
             pending.finished = true;
         }
-        self.unqueue(id);
-        self.drop_if_done(id);
+        self.dequeue(id);
+        self.remove_if_complete(id);
     }
 
-    pub(super) fn drop_if_done(&mut self, id: RequestId) {
+    pub(super) fn remove_if_complete(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|p| p.finished && p.no_attempt_in_flight()) {
             self.requests.remove(&id);
         }
--- a/decision/src/router/attempts.rs
+++ b/decision/src/router/attempts.rs
@@ -1,22 +1,25 @@
-//! Attempts: what is sent with which time limits, and what the end of an attempt leads to.
+//! Attempts: sending with their time limits, and the handling of their outcomes.
 use super::{
     Action, Event, Freshness, GroupId, Idempotency, MemberId, MemberReport, Outcome, RequestId, SessionId,
     Time,
 };
-use super::{Attempt, LONG_AGO, PendingRequest, Router, SessionCommitSource};
+use super::{Attempt, DISTANT_PAST, PendingRequest, Router, SessionCommitSource};
 
-/// Sessions remembered one by one; older ones fold into one minimum position.
+/// The number of sessions whose commits are tracked individually; older ones are merged into one minimum
+/// position.
 const MAX_SESSIONS: usize = 4096;
 
 impl Router {
     pub(super) fn send(&mut self, id: RequestId, member: MemberId) {
         let pending = &self.requests[&id];
-        // No early timeout: where abandoned work goes on, a second attempt costs more than it saves.
+        // No timeout before the request's own limit: members may continue to process abandoned work, so a
+        // second attempt costs more than it saves.
         let ends_by = match self.class(pending).idempotency {
             Idempotency::NotIdempotent => pending.request.deadline,
             _ => self.useful_until(pending),
         };
-        // A connect may lie before its first byte: what allows it now has to hold then.
+        // Establishing a connection may delay the first byte, so the present permissions must still hold
+        // then.
         let starts_by =
             ends_by.min(self.may_start_until(pending)).min(self.proven_fresh_until(pending, member));
         if let Some(member) = self.members.get_mut(&member) {
@@ -27,7 +30,7 @@
         if let Some(pending) = self.requests.get_mut(&id) {
             pending.attempts.push(attempt);
         }
-        self.unqueue(id);
+        self.dequeue(id);
         self.actions.push(Action::Send {
             request: id,
             member,
@@ -36,7 +39,7 @@
         });
     }
 
-    /// Until when the member is proven to be fresh enough for a read of bounded age.
+    /// The time until which a member is proven fresh enough for a read of bounded staleness.
     fn proven_fresh_until(&self, pending: &PendingRequest, member: MemberId) -> Time {
         let primary = self.groups[&pending.request.group].primary;
         let needs_proof = !self.replicas_check_freshness() && primary != Some(member);
@@ -46,7 +49,7 @@
         }
     }
 
-    /// Until when another attempt may begin, by what a repeat would do.
+    /// The time before which another attempt must start, according to the idempotency of the class.
     pub(super) fn may_start_until(&self, pending: &PendingRequest) -> Time {
         let Some(since) = pending.may_have_run_since else { return Time(i64::MAX) };
         match self.class(pending).idempotency {
@@ -54,7 +57,7 @@
             Idempotency::DeduplicatedInGroup(window) | Idempotency::DeduplicatedEverywhere(window) => {
                 Time(since.0 + window - self.settings.min_event_interval)
             }
-            Idempotency::DeduplicatedInZone(_) | Idempotency::NotIdempotent => LONG_AGO,
+            Idempotency::DeduplicatedInZone(_) | Idempotency::NotIdempotent => DISTANT_PAST,
         }
     }
 
@@ -72,8 +75,8 @@
         else {
             return;
         };
-        self.learn_from_response(member, response_report, commit);
-        self.learn_from_report(member, load_report);
+        self.apply_response_report(member, response_report, commit);
+        self.apply_report(member, load_report);
         if request_ended || outcome == Outcome::Ok {
             self.finish(id);
         }
@@ -81,28 +84,28 @@
         let pending = &self.requests[&id];
         let group = pending.request.group;
         let finished = pending.finished;
-        self.rate_attempt(member, id, (self.now.0 - sent_at.0) as f64, outcome);
-        self.act_on_outcome(id, member, outcome, commit);
+        self.update_health(member, id, (self.now.0 - sent_at.0) as f64, outcome);
+        self.handle_outcome(id, member, outcome, commit);
         if !finished && self.requests[&id].no_attempt_in_flight() {
             self.retry(id, outcome);
         }
-        self.drop_if_done(id);
-        self.review_group(group);
+        self.remove_if_complete(id);
+        self.refresh_group(group);
     }
 
-    /// Takes in what the response itself says of its member.
-    fn learn_from_response(&mut self, id: MemberId, report: MemberReport, commit: Option<Time>) {
-        self.learn_state(id, report, commit);
+    /// Applies the role, the position and the commit that a response states.
+    fn apply_response_report(&mut self, id: MemberId, report: MemberReport, commit: Option<Time>) {
+        self.update_member_state(id, report, commit);
         if report.primary != Some(false) {
             return;
         }
         if let Some(member) = self.members.get_mut(&id) {
-            member.denied_primary_at = Some(self.now);
+            member.reported_replica_at = Some(self.now);
         }
     }
 
-    /// Notes how an attempt ended. Returns when it was sent; `None` if the request or the attempt is not
-    /// known, or if the attempt had ended before.
+    /// Records the outcome of an attempt and returns when the attempt was sent. Returns `None` if the request
+    /// or the attempt is unknown, or if the attempt had already ended.
     fn record_outcome(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Option<Time> {
         let pending = self.requests.get_mut(&id)?;
         let ended = pending.attempts.get_mut(attempt as usize)?;
@@ -117,8 +120,9 @@
         Some(sent_at)
     }
 
-    /// What an outcome leads to at once: a commit to remember, a primary to doubt, a member to probe.
-    fn act_on_outcome(&mut self, id: RequestId, member: MemberId, outcome: Outcome, commit: Option<Time>) {
+    /// Handles the direct effects of an outcome: records commits, clears a primary that proved wrong, probes
+    /// suspect members.
+    fn handle_outcome(&mut self, id: RequestId, member: MemberId, outcome: Outcome, commit: Option<Time>) {
         let pending = &self.requests[&id];
         let is_write = self.class(pending).freshness == Freshness::Write;
         let is_primary =
@@ -133,7 +137,7 @@
         }
     }
 
-    /// One connection broke; a probe shows whether the process is gone, too.
+    /// Probes a member after a connection reset, to find out whether its process has failed as well.
     fn probe_after_reset(&mut self, id: MemberId) {
         if let Some(member) = self.members.get_mut(&id) {
             member.reset_awaits_probe = true;
@@ -141,32 +145,32 @@
         self.probe(id);
     }
 
-    /// Remembers a write's commit. An error is the member's only when another has served the same request:
-    /// errors that follow the request eject nobody, however many there are.
+    /// Records the commit of a write, and ejects members that returned an error to a request that another
+    /// member served. Errors that a request causes at every member eject no member.
     fn on_served(&mut self, id: RequestId, member: MemberId, commit: Option<Time>) {
         let pending = &self.requests[&id];
         let failed_elsewhere = |a: &&Attempt| a.outcome == Some(Outcome::Error) && a.member != member;
-        let blamed: Vec<MemberId> =
+        let failed_members: Vec<MemberId> =
             pending.attempts.iter().filter(failed_elsewhere).map(|a| a.member).collect();
         if let (Some(session), Some(commit)) = (pending.request.session, commit) {
-            self.remember_commit(pending.request.group, session, commit);
+            self.record_commit(pending.request.group, session, commit);
         }
-        for member in blamed {
+        for member in failed_members {
             self.eject(member, Outcome::Error);
         }
     }
 
-    fn remember_commit(&mut self, group: GroupId, session: SessionId, commit: Time) {
+    fn record_commit(&mut self, group: GroupId, session: SessionId, commit: Time) {
         if self.settings.session_commit_source != SessionCommitSource::RememberedByRouter {
             return;
         }
         let latest = self.session_commits.entry((group, session)).or_insert(commit);
         *latest = commit.max(*latest);
-        self.forget_old_sessions();
+        self.evict_old_sessions();
     }
 
-    /// When too many sessions are remembered, the older half folds into the minimum position.
-    fn forget_old_sessions(&mut self) {
+    /// Merges the older half of the tracked sessions into the minimum position when there are too many.
+    fn evict_old_sessions(&mut self) {
         if self.session_commits.len() > MAX_SESSIONS {
             let mut commits: Vec<Time> = self.session_commits.values().copied().collect();
             let (_, &mut median, _) = commits.select_nth_unstable(MAX_SESSIONS / 2);
--- a/decision/src/router/choice.rs
+++ b/decision/src/router/choice.rs
@@ -1,86 +1,86 @@
-//! Where a request goes: to the primary, to a replica that is fresh enough, or into the queue.
+//! Choice of a request's destination: the primary, a replica that is fresh enough, or the queue.
 use super::{
     Freshness, Group, GroupId, Member, MemberId, Micros, Outcome, PendingRequest, RequestId, Router,
 };
 use super::{Time, admission::Decision, elapsed, health::MAX_EJECTION, pool::MIN_BACKLOG_FACTOR};
 
-/// Probes that one read may start to prove a replica fresh; after these the primary serves it.
+/// The number of probes that one read may start to prove a replica fresh; afterwards the primary serves it.
 const MAX_FRESHNESS_PROBES: u32 = 2;
-/// Replicas that one read tries without proof that they are fresh enough, where replicas check that.
-const MAX_MISSES: usize = 2;
-/// A replica that lags too far by some time is asked again after that time divided by this, not earlier.
-const CATCH_UP_FACTOR: i64 = 4;
-/// Weight of a member of the own zone among equally loaded ones: other zones cost latency, but an overloaded
-/// zone costs more, so all keep a share.
-const OWN_ZONE_FACTOR: f64 = 2.0;
-/// A read waits for a probe in flight only while it is younger than its latency objective divided by this.
-const PROOF_WAIT_DIVISOR: Micros = 8;
+/// The number of replicas that one read tries without proof of freshness, if replicas check it themselves.
+const MAX_UNPROVEN_ATTEMPTS: usize = 2;
+/// A replica that exceeds the permitted lag by some time may be tried again after that time divided by this.
+const CATCH_UP_DIVISOR: i64 = 4;
+/// Weight of a member in the router's own zone among equally loaded members. Other zones add latency, but an
+/// overloaded zone adds more, so all zones get a share.
+const LOCAL_ZONE_WEIGHT: f64 = 2.0;
+/// A read waits for a probe in flight only while its age is below its latency objective divided by this.
+const PROBE_WAIT_DIVISOR: Micros = 8;
 
-/// What a read asks of the member that serves it.
+/// The conditions under which a member may serve a read.
 #[derive(Clone, Copy)]
 struct ReadRequirements {
     group: GroupId,
     /// The position that the member must have applied, if any.
     position: Option<Time>,
-    /// It may still start a probe that proves a replica fresh enough.
+    /// The read may still start a probe to prove that a replica is fresh enough.
     may_start_probe: bool,
-    /// It arrived so recently that it can wait for a probe that is in flight.
-    may_wait_for_proof: bool,
-    /// It may try a replica that is perhaps too far behind, which then says so itself.
+    /// The read arrived so recently that it can wait for a probe in flight.
+    may_wait_for_probe: bool,
+    /// The read may be sent to a replica that is possibly too stale, because replicas check that themselves.
     may_try_unproven: bool,
-    /// Its random number for the limits of members that are warming up.
+    /// The request's random number for the admission limits of members that are warming up.
     admission_draw: f64,
-    /// How much it counts at a member that is warming up.
-    backlog: f64,
+    /// How many requests this one counts as at a member that is warming up.
+    backlog_factor: f64,
 }
 
-/// The available replicas that a read has not tried yet.
+/// The available replicas to which a read has not been sent yet.
 struct UntriedReplicas {
-    /// Fresh enough for the read.
+    /// Known to be fresh enough.
     fresh: Vec<MemberId>,
     /// Not known to be fresh enough.
     behind: Vec<MemberId>,
 }
 
 impl Router {
-    /// Chooses for a write, or for a read that only the primary may serve.
+    /// Chooses the member for a write, or for a read that only the primary may serve.
     pub(super) fn choose_primary(&mut self, id: RequestId) -> Decision {
         let pending = &self.requests[&id];
         let group_id = pending.request.group;
         let Some(group) = self.groups.get(&group_id) else { return Decision::Queue };
         if let Some(primary) = group.primary {
-            let has_room = self.has_room(primary, pending.admission_draw, self.backlog(pending));
-            return if has_room { Decision::Forward(primary) } else { Decision::Queue };
+            let accepts = self.has_capacity(primary, pending.admission_draw, self.backlog_factor(pending));
+            return if accepts { Decision::Forward(primary) } else { Decision::Queue };
         }
-        if let Some(member) = self.likeliest_primary(pending, group) {
+        if let Some(member) = self.most_likely_primary(pending, group) {
             return Decision::Forward(member);
         }
-        self.search_primary(group_id);
+        self.probe_for_primary(group_id);
         Decision::Queue
     }
 
-    /// While no primary is known, a request goes round the members itself, the likeliest first, past those
-    /// that have just said that they are none. After one round the search is left to probes. Reads do so
-    /// only where members check what they may serve.
-    fn likeliest_primary(&self, pending: &PendingRequest, group: &Group) -> Option<MemberId> {
-        let misses = pending.count(Outcome::NotEligible);
-        let only_missed = pending.attempts.len() == misses;
-        let round_over = misses + 1 >= self.settings.max_attempts as usize;
-        let checked = self.replicas_check_freshness() || self.class(pending).freshness == Freshness::Write;
-        if !checked || !only_missed || round_over {
+    /// Chooses the member to try while no primary is known: the most likely one that has not recently
+    /// responded as a replica. A request tries each member once, then the search is left to probes. Reads are
+    /// tried this way only if members check whether they may serve them.
+    fn most_likely_primary(&self, pending: &PendingRequest, group: &Group) -> Option<MemberId> {
+        let not_eligible = pending.count(Outcome::NotEligible);
+        let all_not_eligible = pending.attempts.len() == not_eligible;
+        let all_tried = not_eligible + 1 >= self.settings.max_attempts as usize;
+        let can_check = self.replicas_check_freshness() || self.class(pending).freshness == Freshness::Write;
+        if !can_check || !all_not_eligible || all_tried {
             return None;
         }
-        let backlog = self.backlog(pending);
+        let backlog_factor = self.backlog_factor(pending);
         let candidates = group.members.iter().copied().filter(|m| {
             !pending.has_tried(*m)
                 && self.is_available(*m)
-                && self.has_room(*m, pending.admission_draw, backlog)
-                && !self.recently_denied_primary(*m)
+                && self.has_capacity(*m, pending.admission_draw, backlog_factor)
+                && !self.recently_reported_replica(*m)
         });
         candidates.max_by_key(|m| (self.members[m].listed.listed_primary, self.members[m].position))
     }
 
-    /// Chooses for a read that a replica may serve, or looks for the proof that one is fresh enough.
+    /// Chooses the member for a read that a replica may serve, or probes for a replica that is fresh enough.
     pub(super) fn choose_replica(&mut self, id: RequestId) -> Decision {
         let pending = &self.requests[&id];
         let read = self.read_requirements(pending);
@@ -89,44 +89,44 @@
         let members = group.members.clone();
         let replicas = self.untried_replicas(pending);
         self.probe_unknown_roles(&members);
-        let mut maybe_fresh = self.maybe_fresh_replicas(&replicas, &read);
+        let mut possibly_fresh = self.possibly_fresh_replicas(&replicas, &read);
         if read.may_start_probe {
-            self.probe_for_proof(id, &mut maybe_fresh);
+            self.probe_for_freshness(id, &mut possibly_fresh);
         }
         if let Some(replica) = self.least_loaded(&replicas.fresh, &read) {
             return Decision::Forward(replica);
         }
         if !replicas.fresh.is_empty() {
             // All fresh replicas are at capacity: spare capacity of the primary is better than waiting.
-            let spare = primary.filter(|p| self.has_spare_room(*p, read.admission_draw));
-            return spare.map_or(Decision::Queue, Decision::Forward);
+            let spare_primary = primary.filter(|p| self.has_spare_capacity(*p, read.admission_draw));
+            return spare_primary.map_or(Decision::Queue, Decision::Forward);
         }
-        if read.may_wait_for_proof && replicas.behind.iter().any(|m| self.members[m].probes_in_flight > 0) {
+        if read.may_wait_for_probe && replicas.behind.iter().any(|m| self.members[m].probes_in_flight > 0) {
             return Decision::Queue;
         }
         if !read.may_try_unproven {
-            maybe_fresh.clear();
+            possibly_fresh.clear();
         }
-        self.choose_without_fresh_replica(&read, primary, &members, maybe_fresh)
+        self.choose_without_fresh_replica(&read, primary, &members, possibly_fresh)
     }
 
     fn read_requirements(&self, pending: &PendingRequest) -> ReadRequirements {
         let position = self.required_position(pending);
         let needs_proof = position.is_some() && !self.replicas_check_freshness();
         let waited = self.now.0 - pending.arrived_at.0;
-        let just_arrived = waited < self.class(pending).latency_objective / PROOF_WAIT_DIVISOR;
+        let just_arrived = waited < self.class(pending).latency_objective / PROBE_WAIT_DIVISOR;
         ReadRequirements {
             group: pending.request.group,
             position,
             may_start_probe: needs_proof && pending.freshness_probes < MAX_FRESHNESS_PROBES,
-            may_wait_for_proof: needs_proof && just_arrived,
-            may_try_unproven: !needs_proof && pending.count(Outcome::NotEligible) < MAX_MISSES,
+            may_wait_for_probe: needs_proof && just_arrived,
+            may_try_unproven: !needs_proof && pending.count(Outcome::NotEligible) < MAX_UNPROVEN_ATTEMPTS,
             admission_draw: pending.admission_draw,
-            backlog: self.backlog(pending),
+            backlog_factor: self.backlog_factor(pending),
         }
     }
 
-    /// A first probe may have brought no report: a member that has not reported its role is probed again.
+    /// Probes members again that have not reported their role: an earlier probe may have returned no report.
     fn probe_unknown_roles(&mut self, members: &[MemberId]) {
         if self.replicas_check_freshness() {
             return;
@@ -138,50 +138,50 @@
         }
     }
 
-    /// Of the replicas that are behind, those that may have caught up by now and are less busy than the
-    /// fresh ones.
-    fn maybe_fresh_replicas(&self, replicas: &UntriedReplicas, read: &ReadRequirements) -> Vec<MemberId> {
+    /// The lagging replicas that may have caught up by now and have fewer attempts in flight than the fresh
+    /// ones.
+    fn possibly_fresh_replicas(&self, replicas: &UntriedReplicas, read: &ReadRequirements) -> Vec<MemberId> {
         let min_load = replicas.fresh.iter().map(|m| self.load(&self.members[m])).min();
-        let less_busy = |m: &MemberId| min_load.is_none_or(|min| self.load(&self.members[m]) + 1 < min);
-        let candidates = replicas.behind.iter().copied().filter(less_busy);
-        let with_room = candidates.filter(|m| self.has_room(*m, read.admission_draw, read.backlog));
-        with_room.filter(|m| self.may_have_caught_up(*m, read.position)).collect()
+        let less_loaded = |m: &MemberId| min_load.is_none_or(|min| self.load(&self.members[m]) + 1 < min);
+        let candidates = replicas.behind.iter().copied().filter(less_loaded);
+        let usable = candidates.filter(|m| self.has_capacity(*m, read.admission_draw, read.backlog_factor));
+        usable.filter(|m| self.may_have_caught_up(*m, read.position)).collect()
     }
 
-    /// Probes candidates until one probe starts, unless one of them has a probe in flight. Leaves the
-    /// candidates in the random order in which they were probed.
-    fn probe_for_proof(&mut self, id: RequestId, candidates: &mut [MemberId]) {
+    /// Probes candidates in random order until one probe starts, unless one of them already has a probe in
+    /// flight. Leaves the candidates in that random order.
+    fn probe_for_freshness(&mut self, id: RequestId, candidates: &mut [MemberId]) {
         if candidates.iter().any(|m| self.members[m].probes_in_flight > 0) {
             return;
         }
         self.rng.shuffle(candidates);
-        let started = candidates.iter().any(|m| self.probe(*m));
+        let probe_started = candidates.iter().any(|m| self.probe(*m));
         if let Some(pending) = self.requests.get_mut(&id) {
-            pending.freshness_probes += u32::from(started);
+            pending.freshness_probes += u32::from(probe_started);
         }
     }
 
-    /// The nearest replica that may be fresh enough, or else the primary.
+    /// Chooses the most advanced replica that may be fresh enough, or else the primary.
     fn choose_without_fresh_replica(
         &mut self,
         read: &ReadRequirements,
         primary: Option<MemberId>,
         members: &[MemberId],
-        maybe_fresh: Vec<MemberId>,
+        possibly_fresh: Vec<MemberId>,
     ) -> Decision {
-        let nearest = maybe_fresh.into_iter().max_by_key(|m| self.estimated_position(&self.members[m]));
-        let backlog = MIN_BACKLOG_FACTOR * read.backlog * members.len().max(2) as f64;
-        let open_primary = primary.filter(|p| self.has_room(*p, read.admission_draw, backlog));
-        if let Some(member) = nearest.or(open_primary) {
+        let newest = possibly_fresh.into_iter().max_by_key(|m| self.estimated_position(&self.members[m]));
+        let backlog_factor = MIN_BACKLOG_FACTOR * read.backlog_factor * members.len().max(2) as f64;
+        let free_primary = primary.filter(|p| self.has_capacity(*p, read.admission_draw, backlog_factor));
+        if let Some(member) = newest.or(free_primary) {
             return Decision::Forward(member);
         }
         if primary.is_none() || !members.iter().any(|m| self.is_available(*m)) {
-            self.search_primary(read.group);
+            self.probe_for_primary(read.group);
         }
         Decision::Queue
     }
 
-    /// The position that a read needs, if any.
+    /// The position that a read requires, if any.
     pub(super) fn required_position(&self, pending: &PendingRequest) -> Option<Time> {
         match self.class(pending).freshness {
             Freshness::Bounded(bound) => Some(Time(self.now.0 - bound)),
@@ -191,7 +191,8 @@
         }
     }
 
-    /// Where the member probably stands now; exact proof only where members don't check.
+    /// The estimated current position of a member. It is a lower bound if members don't check their
+    /// freshness.
     fn estimated_position(&self, member: &Member) -> Time {
         if !self.replicas_check_freshness() || member.lag_observed_at.is_none() {
             return member.position;
@@ -199,12 +200,13 @@
         member.position.max(Time(self.now.0 - member.lag))
     }
 
-    /// A replica that was far behind needs time to catch up: it is asked again the later, the farther.
+    /// Whether a lagging replica may have caught up: the further it lagged behind, the longer until it is
+    /// tried again.
     fn may_have_caught_up(&self, id: MemberId, needed: Option<Time>) -> bool {
         let Some(needed) = needed else { return true };
         let member = &self.members[&id];
         let allowed_lag = self.now.0 - needed.0;
-        elapsed(self.now, member.lag_observed_at) >= (member.lag - allowed_lag) / CATCH_UP_FACTOR
+        elapsed(self.now, member.lag_observed_at) >= (member.lag - allowed_lag) / CATCH_UP_DIVISOR
     }
 
     fn untried_replicas(&self, pending: &PendingRequest) -> UntriedReplicas {
@@ -221,44 +223,45 @@
         UntriedReplicas { fresh, behind }
     }
 
-    /// Whether a member that is not the known primary is taken for a replica. Where members check, their
-    /// first response tells as much as a probe. Where they don't, one whose probes fail, or that may not be
-    /// probed, may serve a class that bears any age.
+    /// Whether to treat a member that is not the known primary as a replica. If members check their
+    /// freshness, their first response tells as much as a probe. If they don't, a member whose probes fail or
+    /// that may not be probed may serve a class that accepts data of any age.
     fn counts_as_replica(&self, member: &Member, needed: Option<Time>) -> bool {
-        let checked = self.replicas_check_freshness();
+        let can_check = self.replicas_check_freshness();
         let cannot_be_proven = member.consecutive_failed_probes > 0 || !self.settings.probing_allowed;
-        let is_likely = cannot_be_proven || checked && !member.listed.listed_primary;
-        member.role_known || ((checked || needed.is_none()) && is_likely)
+        let is_likely_replica = cannot_be_proven || can_check && !member.listed.listed_primary;
+        member.role_known || ((can_check || needed.is_none()) && is_likely_replica)
     }
 
-    /// The one with the fewest attempts in flight among those that may get more. Ties go to a member that
-    /// is warming up, whose part it is, or at random by size, to the own zone first: with hundreds of
-    /// routers most are ties.
+    /// Chooses the member with the fewest attempts in flight among those with capacity. Ties go to a member
+    /// that is warming up, because that share is reserved for it, otherwise to a random one by weight, with a
+    /// preference for the own zone. With hundreds of routers most choices are ties.
     fn least_loaded(&mut self, candidates: &[MemberId], read: &ReadRequirements) -> Option<MemberId> {
         let draw = self.rng.f64();
-        let with_room = candidates.iter().filter(|m| self.has_room(**m, read.admission_draw, read.backlog));
-        let mut open: Vec<(MemberId, &Member)> = with_room.map(|m| (*m, &self.members[m])).collect();
-        let min_rank = open.iter().map(|(_, member)| self.load_rank(member)).min()?;
-        open.retain(|(_, member)| self.load_rank(member) == min_rank);
-        let mut left = draw * open.iter().map(|(_, member)| self.tie_weight(member)).sum::<f64>();
-        let drawn = open.iter().find(|(_, member)| {
-            left -= self.tie_weight(member);
-            left < 0.0
+        let usable =
+            candidates.iter().filter(|m| self.has_capacity(**m, read.admission_draw, read.backlog_factor));
+        let mut eligible: Vec<(MemberId, &Member)> = usable.map(|m| (*m, &self.members[m])).collect();
+        let min_rank = eligible.iter().map(|(_, member)| self.load_rank(member)).min()?;
+        eligible.retain(|(_, member)| self.load_rank(member) == min_rank);
+        let mut remaining = draw * eligible.iter().map(|(_, member)| self.tie_weight(member)).sum::<f64>();
+        let chosen = eligible.iter().find(|(_, member)| {
+            remaining -= self.tie_weight(member);
+            remaining < 0.0
         });
-        drawn.or(open.first()).map(|(id, _)| *id)
+        chosen.or(eligible.first()).map(|(id, _)| *id)
     }
 
-    /// Orders members by their load; of two with the same load the one that is warming up comes first. A
-    /// late response counts as one in flight for a while: routers with little traffic have hardly any.
+    /// Orders members by load; among equals, one that is warming up is first. A recent late response counts
+    /// as an attempt in flight, because routers with little traffic rarely have any.
     fn load_rank(&self, member: &Member) -> usize {
         let is_late = elapsed(self.now, member.late_response_at) < MAX_EJECTION;
         let is_warm = self.capacity_share(member) >= 1.0;
         2 * (self.load(member) + usize::from(is_late)) + usize::from(is_warm)
     }
 
-    /// The weight of a member in the random draw among equally loaded ones.
+    /// The weight of a member in the random choice among equally loaded members.
     fn tie_weight(&self, member: &Member) -> f64 {
-        let in_own_zone = member.listed.zone == self.settings.zone;
-        member.listed.weight * if in_own_zone { OWN_ZONE_FACTOR } else { 1.0 }
+        let in_local_zone = member.listed.zone == self.settings.zone;
+        member.listed.weight * if in_local_zone { LOCAL_ZONE_WEIGHT } else { 1.0 }
     }
 }
--- a/decision/src/router/health.rs
+++ b/decision/src/router/health.rs
@@ -1,36 +1,41 @@
-//! Member health: the roles and positions that members report, ejection of failing members and their return.
+//! Member health: roles and positions that members report, ejection of failing members and their return.
 use super::{GroupId, Member, MemberId, MemberReport, Micros, Outcome, RequestId, Router, Time};
 use super::{elapsed, pool};
 
-/// Length of a first ejection: long enough to skip a pause, short enough that a good member soon returns.
+/// Duration of a first ejection: long enough to outlast a short pause, short enough that a healthy member
+/// soon returns.
 const BASE_EJECTION: Micros = 1_000_000;
-/// Each further ejection in a row doubles, up to the ten seconds of the design page.
+/// The duration doubles with each consecutive ejection, at most this often. With jitter, the
+/// longest ejection is the documented 10 s.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 pub(super) const MAX_EJECTION: Micros = BASE_EJECTION << MAX_EJECTION_DOUBLINGS;
-/// The same for a member that can't be reached: asking it costs little, and it may be back at any time.
+/// The same limit for an unreachable member: probing it is cheap, and it may return at any time.
 const MAX_UNREACHABLE_DOUBLINGS: u32 = 1;
-/// Refused connections in a row after which a member that answers again may have just started, cold. A
-/// single one is the network's as often as the member's; one that merely never came up is of a member that
-/// was cut off, whose process went on.
+/// Consecutive refused connections after which a member that responds again is treated as restarted and cold.
+/// A single refusal can as well be caused by the network. A connection that times out indicates an
+/// unreachable member whose process kept running, so it does not count.
 const RESTART_CONNECT_FAILURES: u32 = 2;
-/// Resets in a row, no request served between them, after which a member is ejected though its probes answer.
-const MAX_EXCUSED_RESETS: u32 = 3;
-/// Connect timeouts after which a report may contradict a response on the primary: it may be older.
-const DENIAL_CONNECT_TIMEOUTS: i64 = 4;
-/// Weight of a new observation in running means.
+/// Consecutive resets, without a served request in between, after which a member is ejected even if its
+/// probes succeed.
+const MAX_TOLERATED_RESETS: u32 = 3;
+/// For this many connect timeouts after a response stated that a member is a replica, reports that call it
+/// the primary are ignored: they may be older.
+const ROLE_HOLD_CONNECT_TIMEOUTS: i64 = 4;
+/// Weight of a new observation in a running mean.
 const EWMA_GAIN: f64 = 0.1;
-/// An observation above the running mean has this much less weight.
+/// Divides the weight of observations above the running mean.
 const SLOW_RISE_DIVISOR: f64 = 8.0;
 
 impl Router {
-    /// Takes in a role and a position that may be a little old: a response outranks them for a while.
-    pub(super) fn learn_from_report(&mut self, id: MemberId, mut report: MemberReport) {
-        let doubtful = self.recently_denied_primary(id);
-        report.primary = report.primary.filter(|primary| !(*primary && doubtful));
-        self.learn_state(id, report, None);
+    /// Applies a reported role and position, which may be slightly out of date: a recent response takes
+    /// precedence.
+    pub(super) fn apply_report(&mut self, id: MemberId, mut report: MemberReport) {
+        let recently_replica = self.recently_reported_replica(id);
+        report.primary = report.primary.filter(|primary| !(*primary && recently_replica));
+        self.update_member_state(id, report, None);
     }
 
-    pub(super) fn learn_state(&mut self, id: MemberId, report: MemberReport, commit: Option<Time>) {
+    pub(super) fn update_member_state(&mut self, id: MemberId, report: MemberReport, commit: Option<Time>) {
         let Some(member) = self.members.get_mut(&id) else { return };
         for position in [report.position, commit].into_iter().flatten() {
             member.position = member.position.max(position);
@@ -48,19 +53,20 @@
         }
     }
 
-    /// A response of the member said not long ago that it is a replica.
-    pub(super) fn recently_denied_primary(&self, id: MemberId) -> bool {
-        let hold = DENIAL_CONNECT_TIMEOUTS * self.settings.connect_timeout;
-        self.members.get(&id).is_some_and(|m| elapsed(self.now, m.denied_primary_at) < hold)
+    /// Whether a recent response of the member stated that it is a replica.
+    pub(super) fn recently_reported_replica(&self, id: MemberId) -> bool {
+        let hold_time = ROLE_HOLD_CONNECT_TIMEOUTS * self.settings.connect_timeout;
+        self.members.get(&id).is_some_and(|m| elapsed(self.now, m.reported_replica_at) < hold_time)
     }
 
-    /// It can't be reached or is no primary: it is believed to be one only when it says so again.
+    /// Clears a group's primary after it proved unreachable or not primary. It becomes the primary again only
+    /// when it reports so.
     pub(super) fn clear_primary(&mut self, id: MemberId) {
         self.groups.values_mut().filter(|g| g.primary == Some(id)).for_each(|g| g.primary = None);
     }
 
-    /// What an ended attempt says of its member's health, speed and lag.
-    pub(super) fn rate_attempt(&mut self, id: MemberId, request: RequestId, latency: f64, outcome: Outcome) {
+    /// Updates the health, the pool and the lag of a member after an attempt.
+    pub(super) fn update_health(&mut self, id: MemberId, request: RequestId, latency: f64, outcome: Outcome) {
         let pending = &self.requests[&request];
         let class = pending.request.class;
         let needed = self.required_position(pending);
@@ -68,12 +74,12 @@
         let Some(member) = self.members.get_mut(&id) else { return };
         member.in_flight = member.in_flight.saturating_sub(1);
         if matches!(outcome, Outcome::Error | Outcome::Rejected | Outcome::TimedOut) {
-            // It goes on counting for a usual service time: it may still run there, and a member that
-            // fails quickly must not look idle.
+            // The attempt still counts as in flight for the usual latency: it may still be running at the
+            // member, and a member that fails quickly must not appear idle.
             member.abandoned_attempts.push(Time(self.now.0 + self.latency_ewma[class] as i64));
         }
         match outcome {
-            Outcome::Ok => self.rate_success(id, class, latency, needed),
+            Outcome::Ok => self.update_health_on_success(id, class, latency, needed),
             Outcome::TimedOut => self.eject_after_timeout(id),
             Outcome::ConnectFailed => {
                 let refused = 2.0 * latency < self.settings.connect_timeout as f64;
@@ -91,7 +97,8 @@
         }
     }
 
-    /// When many time out together the load is to blame: ejections would only move it to the rest.
+    /// Ejects a member after a timeout unless too many are ejected already. If many members time out
+    /// together, overload is the cause, and ejections would only move the load to the others.
     fn eject_after_timeout(&mut self, id: MemberId) {
         let group = self.groups.get(&self.members[&id].listed.group);
         let members = group.map_or(&[][..], |g| &g.members);
@@ -101,10 +108,10 @@
         }
     }
 
-    fn rate_success(&mut self, id: MemberId, class: usize, latency: f64, needed: Option<Time>) {
+    fn update_health_on_success(&mut self, id: MemberId, class: usize, latency: f64, needed: Option<Time>) {
         let objective = self.settings.classes[class].latency_objective as f64;
-        let is_quick = latency / objective < pool::GROW_BELOW;
-        let checked = self.replicas_check_freshness();
+        let is_quick = latency / objective < pool::GROWTH_THRESHOLD;
+        let replicas_check = self.replicas_check_freshness();
         self.adjust_latency_ewma(class, latency.max(1.0));
         let Some(member) = self.members.get_mut(&id) else { return };
         if member.consecutive_connect_failures < RESTART_CONNECT_FAILURES {
@@ -115,20 +122,20 @@
             member.late_response_at = None;
             member.half_open = false;
         }
-        if let Some(needed) = needed.filter(|_| checked) {
+        if let Some(needed) = needed.filter(|_| replicas_check) {
             member.lag = member.lag.min(self.now.0 - needed.0);
             member.lag_observed_at = Some(self.now);
         }
     }
 
-    /// The running mean falls quickly and rises slowly.
+    /// Updates the running mean of a class, which falls quickly and rises slowly.
     fn adjust_latency_ewma(&mut self, class: usize, latency: f64) {
         let ewma = &mut self.latency_ewma[class];
         let gain = if latency < *ewma { EWMA_GAIN } else { EWMA_GAIN / SLOW_RISE_DIVISOR };
         *ewma += gain * (latency - *ewma);
     }
 
-    /// A failure signal: ejects the member, longer each time in a row.
+    /// Ejects a member after a failure, for longer with each consecutive ejection.
     pub(super) fn eject(&mut self, id: MemberId, signal: Outcome) {
         let jitter = 0.75 + 0.5 * self.rng.f64();
         let unreachable = matches!(signal, Outcome::ConnectFailed | Outcome::Reset);
@@ -143,36 +150,39 @@
         member.consecutive_ejections += 1;
     }
 
-    /// What the end of a probe says of its member's health.
-    pub(super) fn review_ejection(&mut self, id: MemberId, outcome: Outcome) {
+    /// Ends or confirms an ejection according to the outcome of a probe.
+    pub(super) fn update_ejection(&mut self, id: MemberId, outcome: Outcome) {
         let ok = outcome == Outcome::Ok;
-        let unreached = outcome == Outcome::ConnectFailed;
-        // Ejections never empty a group: with nobody else left, a member that may be well gets its trial now.
+        let connect_failed = outcome == Outcome::ConnectFailed;
+        // An ejection must not leave a group without available members: if none is left, a member that is
+        // possibly healthy returns at once.
         let group = self.groups.get(&self.members[&id].listed.group);
-        let none_left = group.is_some_and(|g| !g.members.iter().any(|m| self.is_available(*m)));
+        let none_available = group.is_some_and(|g| !g.members.iter().any(|m| self.is_available(*m)));
         let Some(member) = self.members.get_mut(&id) else { return };
         if ok && std::mem::take(&mut member.consecutive_connect_failures) >= RESTART_CONNECT_FAILURES {
-            // Its process was away: it may have started again, cold, before any list says so.
+            // Its process was down and may have restarted, cold, before any list says so.
             member.listed.started_at = member.listed.started_at.max(Some(self.now));
         }
         let refused = 2 * elapsed(self.now, member.last_probe_at) < self.settings.connect_timeout;
-        member.consecutive_connect_failures += u32::from(unreached && refused);
-        let excused = std::mem::take(&mut member.reset_awaits_probe) && ok;
-        let reached = member.ejected_as_unreachable && ok;
-        if excused && member.consecutive_ejections <= MAX_EXCUSED_RESETS {
-            // It was the connection's end, not the member's.
+        member.consecutive_connect_failures += u32::from(connect_failed && refused);
+        let is_tolerated_reset = std::mem::take(&mut member.reset_awaits_probe) && ok;
+        let reachable_again = member.ejected_as_unreachable && ok;
+        if is_tolerated_reset && member.consecutive_ejections <= MAX_TOLERATED_RESETS {
+            // Only the connection had failed, not the member.
             member.ejected_until = None;
-        } else if !unreached && member.ejected_until.is_some_and(|t| t <= self.now || none_left || reached) {
+        } else if !connect_failed
+            && member.ejected_until.is_some_and(|t| t <= self.now || none_available || reachable_again)
+        {
             member.end_ejection();
         }
     }
 
-    /// An ejection that has run out ends with a probe, so that the member comes back gently.
+    /// Probes members whose ejection has expired, so that they return gradually.
     pub(super) fn end_ejections(&mut self, group: GroupId) {
         let Some(group) = self.groups.get(&group) else { return };
         for id in group.members.clone() {
-            let over = self.members[&id].ejected_until.is_some_and(|t| t <= self.now);
-            if over && !self.probe(id) && !self.settings.probing_allowed {
+            let has_expired = self.members[&id].ejected_until.is_some_and(|t| t <= self.now);
+            if has_expired && !self.probe(id) && !self.settings.probing_allowed {
                 self.members.get_mut(&id).into_iter().for_each(Member::end_ejection);
             }
         }
--- a/decision/src/router/probes.rs
+++ b/decision/src/router/probes.rs
@@ -1,22 +1,23 @@
-//! Health checks: when members are probed, and what the end of a probe says.
+//! Health checks: when members are probed, and the handling of probe results.
 use super::{Action, GroupId, MemberId, MemberReport, Micros, Outcome, Router, Settings, elapsed};
 
-/// Time between two probes of a member, in units of [`Settings::min_event_interval`].
+/// Minimum time between two probes of a member, in units of [`Settings::min_event_interval`].
 const MIN_EVENT_INTERVALS: i64 = 20;
-/// Lower bound of that time, in microseconds: a report is about as old anyway, and every router probes.
+/// Lower bound of that time, in microseconds. Reports are about this old anyway, and every router sends
+/// probes.
 const MIN_INTERVAL: Micros = 100_000;
-/// Backoff: how often that time doubles at most, while searches find no primary or a member's probes bring
-/// no report.
+/// Backoff: how often that time doubles at most while no primary is found or probes of a member return no
+/// report.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// The time to the next probe or search after so many failures in a row, in microseconds.
+/// The time until the next probe or primary search after this many consecutive failures.
 fn probe_interval(settings: &Settings, failures: u32) -> Micros {
     (MIN_EVENT_INTERVALS * settings.min_event_interval).max(MIN_INTERVAL) << failures.min(MAX_DOUBLINGS)
 }
 
 impl Router {
-    /// Looks for the primary: all members are probed, less and less often while that shows nothing new.
-    pub(super) fn search_primary(&mut self, group: GroupId) {
+    /// Probes all members of a group to find its primary, with backoff while none is found.
+    pub(super) fn probe_for_primary(&mut self, group: GroupId) {
         let Some(group) = self.groups.get_mut(&group) else { return };
         if self.now.0 - group.last_search_at.0 >= probe_interval(&self.settings, group.searches) {
             group.last_search_at = self.now;
@@ -27,8 +28,8 @@
         }
     }
 
-    /// Probes a member if it is ready, none of its probes is in flight and its interval has passed.
-    /// Returns whether it did.
+    /// Probes a member if it is ready, has no probe in flight and its probe interval has passed. Returns
+    /// whether the probe was sent.
     pub(super) fn probe(&mut self, id: MemberId) -> bool {
         let Some(member) = self.members.get_mut(&id) else { return false };
         let interval = probe_interval(&self.settings, member.consecutive_failed_probes);
@@ -42,21 +43,22 @@
         true
     }
 
-    /// Applies the outcome and the report of a probe to its member.
+    /// Handles the outcome and the report of a probe.
     pub(super) fn on_probe_ended(&mut self, id: MemberId, outcome: Outcome, report: MemberReport) {
         let Some(member) = self.members.get_mut(&id) else { return };
         let group = member.listed.group;
         let failures = member.consecutive_failed_probes + 1;
         member.probes_in_flight = member.probes_in_flight.saturating_sub(1);
         member.consecutive_failed_probes = if report.primary.is_some() { 0 } else { failures };
-        self.review_ejection(id, outcome);
-        // A failed probe ejects a member only if it could not connect: requests may still succeed there.
+        self.update_ejection(id, outcome);
+        // A failed probe ejects a member only if no connection was established: requests may still succeed
+        // there.
         if outcome == Outcome::ConnectFailed {
             self.eject(id, outcome);
             self.clear_primary(id);
         } else {
-            self.learn_from_report(id, report);
+            self.apply_report(id, report);
         }
-        self.review_group(group);
+        self.refresh_group(group);
     }
 }
