--- a/fleet/src/audit_record.rs
+++ b/fleet/src/audit_record.rs
@@ -1,20 +1,22 @@
-//! The audit's record in the store: JSON batches under `fleet/audit/`, which the leader's service writes.
+//! The audit record in the store: JSON batches under `fleet/audit/`, written by the service on the leader.
 use audit::Batch;
 use store::{State, Value};
 
-/// The prefix of the batches' keys; a slot number of four digits follows.
+/// Prefix of the batches' keys. A slot number of four digits follows.
 pub const KEY_PREFIX: &str = "fleet/audit/";
 
 /// Parses the text of one stored batch.
 ///
 /// # Errors
-/// Where the text is not a batch: it was edited by hand or written by another version of the program.
+/// Fails if the text is not a batch, because it was edited by hand or written by another version of the
+/// program.
 pub fn parse_batch(text: &str) -> Result<Batch, serde_json::Error> {
     serde_json::from_str(text)
 }
 
-/// All batches in a state of the store, in the order of their slots, which is not that of their age: the slots are used
-/// in a ring. A batch that cannot be read is logged and skipped, so that it does not hide the others.
+/// Returns all batches in a state of the store, ordered by slot. This is not their order in time, because the
+/// slots are reused as a ring. A batch that cannot be parsed is logged and skipped, so that the others can
+/// still be read.
 pub fn stored_batches(state: &State) -> Vec<Batch> {
     let parse = |(key, value): (&str, &Value)| match parse_batch(&value.text) {
         Ok(batch) => Some(batch),
--- a/fleet/src/client/connection.rs
+++ b/fleet/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! A router's connection to one of the store's nodes, and the choice of the node.
+//! A router's connection to one of the store's nodes, and the selection of that node.
 use crate::wire::{self, Request, Response};
 use settings::fleet::Version;
 use std::collections::{BTreeSet, HashMap};
@@ -8,22 +8,22 @@
 use store::wire::WireError;
 use thiserror::Error;
 
-/// How long one node may take to connect, and to answer a report.
+/// Timeout for connecting to a node and for its response to a report.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a node may take to send a whole document.
+/// Timeout for receiving a whole document.
 const DOCUMENT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why an exchange with one node failed.
+/// Why an exchange of messages with a node failed.
 #[derive(Debug, Error)]
 pub(super) enum ExchangeError {
     #[error(transparent)]
     Wire(#[from] WireError),
     #[error("this node is not the leader")]
     NotLeader {
-        /// The node that it believes to be the leader.
+        /// The node that the responding node believes to be the leader.
         leader: u64,
     },
-    #[error("this node has its {max_connections} connections in use")]
+    #[error("this node has its maximum of {max_connections} connections")]
     Busy { max_connections: u64 },
     #[error("this node sent an unexpected response; run the same version of the program on both sides")]
     UnexpectedResponse,
@@ -35,36 +35,36 @@
     }
 }
 
-/// The text of a document as it was received.
+/// The unparsed text of a document, as received.
 pub(super) struct ReceivedDocument {
     pub(super) version: Version,
     pub(super) bytes: Vec<u8>,
 }
 
-/// The nodes that may answer reports, and a connection to one of them at a time.
+/// The nodes that may be the leader, and a connection to one of them at a time.
 pub(super) struct Connection {
     nodes: Vec<SocketAddr>,
-    /// The index in `nodes` of each node that has said its number.
-    index_by_number: HashMap<u64, usize>,
+    /// The index in `nodes` of each node that has sent its id, keyed by that id.
+    index_by_id: HashMap<u64, usize>,
     current: usize,
     socket: Option<TcpStream>,
 }
 
 impl Connection {
     pub(super) fn new(nodes: Vec<SocketAddr>) -> Connection {
-        Connection { nodes, index_by_number: HashMap::new(), current: 0, socket: None }
+        Connection { nodes, index_by_id: HashMap::new(), current: 0, socket: None }
     }
 
     pub(super) fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
-    /// The address of the node in use.
+    /// The address of the current node.
     pub(super) fn addr(&self) -> SocketAddr {
         self.nodes[self.current]
     }
 
-    /// Connects to the node in use, unless connected.
+    /// Returns the connection to the current node; connects if necessary.
     pub(super) fn open(&mut self) -> Result<&TcpStream, ExchangeError> {
         let socket = match self.socket.take() {
             Some(socket) => socket,
@@ -76,7 +76,8 @@
     fn connect(&mut self) -> Result<TcpStream, ExchangeError> {
         let socket = TcpStream::connect_timeout(&self.addr(), ATTEMPT_TIMEOUT)?;
         if socket.local_addr()? == socket.peer_addr()? {
-            // Where nobody listens, a loopback connection may reach itself and keep the port from the node.
+            // If nobody listens on a loopback port, a connection to it may be connected to itself and block
+            // the port for the node.
             socket2::SockRef::from(&socket).set_linger(Some(Duration::ZERO))?;
             return Err(WireError::WrongProtocol.into());
         }
@@ -85,7 +86,7 @@
         wire::send_hello(&socket)?;
         wire::receive_hello(&socket, ATTEMPT_TIMEOUT)?;
         match wire::receive(&socket, ATTEMPT_TIMEOUT, ATTEMPT_TIMEOUT)? {
-            Response::Welcome { node } => _ = self.index_by_number.insert(node, self.current),
+            Response::Welcome { node } => _ = self.index_by_id.insert(node, self.current),
             Response::Busy { max_connections } => return Err(ExchangeError::Busy { max_connections }),
             _ => return Err(ExchangeError::UnexpectedResponse),
         }
@@ -99,15 +100,16 @@
         Ok(wire::receive(socket, ATTEMPT_TIMEOUT, ATTEMPT_TIMEOUT)?)
     }
 
-    /// Asks for the document and receives all its parts.
+    /// Requests the document and receives all its parts.
     pub(super) fn fetch_document(&mut self) -> Result<ReceivedDocument, ExchangeError> {
         let socket = self.open()?;
         wire::send(socket, &Request::Document)?;
         let deadline = Instant::now() + DOCUMENT_TIMEOUT;
         let mut text = Vec::new();
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            let Response::DocumentPart { version, bytes, is_last } = wire::receive(socket, left, left)?
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let Response::DocumentPart { version, bytes, is_last } =
+                wire::receive(socket, remaining, remaining)?
             else {
                 return Err(ExchangeError::UnexpectedResponse);
             };
@@ -121,18 +123,19 @@
         }
     }
 
-    /// Closes the connection after `error` and chooses the node to try next: the leader that this one named, else the
-    /// next in order. `silent` collects the nodes that failed otherwise in this round, because other nodes may still
-    /// name as the leader one that this router has just found silent.
-    pub(super) fn fail_over(&mut self, error: &ExchangeError, silent: &mut BTreeSet<usize>) {
+    /// Closes the connection after `error` and selects the node to try next: the leader that this node named,
+    /// otherwise the next one in order. `unresponsive` collects the nodes that failed in this round without
+    /// naming a leader. They are not selected by name again, because other nodes may still consider one of
+    /// them the leader.
+    pub(super) fn fail_over(&mut self, error: &ExchangeError, unresponsive: &mut BTreeSet<usize>) {
         let next = (self.current + 1) % self.nodes.len();
         self.socket = None;
         let ExchangeError::NotLeader { leader } = error else {
-            silent.insert(self.current);
+            unresponsive.insert(self.current);
             self.current = next;
             return;
         };
-        let named = self.index_by_number.get(leader).copied();
-        self.current = named.filter(|i| *i != self.current && !silent.contains(i)).unwrap_or(next);
+        let named = self.index_by_id.get(leader).copied();
+        self.current = named.filter(|i| *i != self.current && !unresponsive.contains(i)).unwrap_or(next);
     }
 }
--- a/fleet/src/client/exchange.rs
+++ b/fleet/src/client/exchange.rs
@@ -1,7 +1,8 @@
-//! The thread that reports to the leader and applies its answers.
+//! The thread that reports to the leader and applies its responses.
 //!
-//! In a round the router reports to one node after another until one answers as the leader. Where the answer names a newer
-//! version of the fleet document, the router fetches that document and reports once more, for the new version.
+//! In each round the router reports to one node after another until one responds as the leader. If the
+//! response names a newer version of the fleet document, the router fetches that document and reports once
+//! more, for the new version.
 use super::connection::{Connection, ExchangeError, ReceivedDocument};
 use super::shared::{Shared, Wakeup};
 use super::tenants::TenantDirectory;
@@ -16,35 +17,36 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The usual time between two rounds.
+/// The regular interval between the starts of two rounds.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// The shortest time between two rounds, even where requests wake the exchange again and again.
+/// The shortest interval between the starts of two rounds, however often requests wake the exchange.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest pause after all nodes have failed; each pause is drawn between half of it and all of it.
+/// The longest pause after all nodes have failed. The actual pause is drawn at random between half of it and
+/// all of it.
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
-/// The most reports to one node in a round: the first may find a newer version, the second confirms it once it is
-/// applied.
+/// Maximum number of reports to one node in a round: the first may reveal a newer version, and the second
+/// confirms that it is applied.
 const REPORTS_PER_ROUND: usize = 2;
 
-/// Asks the exchange to return all grants and to end.
+/// Request to return all grants and stop the exchange.
 pub(super) struct LeaveRequest {
-    /// Gets a message once the exchange has tried to return the grants, whether or not a node has answered.
+    /// Receives a message once the exchange has tried to return the grants, whether or not a node responded.
     pub(super) done: Sender<()>,
 }
 
-/// What the exchange has to know of this router and its fleet.
+/// Settings of the exchange.
 pub(super) struct Settings {
-    /// Where the store's nodes answer reports.
+    /// The addresses where the store's nodes receive reports.
     pub(super) nodes: Vec<SocketAddr>,
-    /// How long a confirmation of the rules holds, in microseconds from before the report was sent.
+    /// How long a confirmation of the placement rules is valid, in microseconds from the time of the report.
     pub(super) lease_us: i64,
-    /// The names of the request classes in this router's own settings.
+    /// The names of the request classes in this router's settings file.
     pub(super) classes: Vec<String>,
     /// The seed of the backoff's jitter.
     pub(super) seed: u64,
 }
 
-/// Whether a leader answers, as it was logged last.
+/// Whether a leader responds, according to the last log line about it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LeaderContact {
     NeverTried,
@@ -52,28 +54,29 @@
     Lost,
 }
 
-/// A report that the leader has answered.
-struct AnsweredReport {
-    /// When the report was made: a lease counts from here.
+/// A report that the leader has responded to.
+struct ProcessedReport {
+    /// When the report was created: leases start at this time.
     reported_at: Time,
-    /// The version that is current at the leader.
+    /// The leader's current document version.
     current: Version,
 }
 
-/// The state of the exchange's thread.
+/// The state of the exchange thread.
 pub(super) struct Exchange {
     shared: Arc<Shared>,
     connection: Connection,
-    /// Gets each document's placement rules, and each confirmation that they are the current ones.
+    /// Called with the placement rules of each document, and with each confirmation that they are current.
     on_rules_update: Box<dyn Fn(RulesUpdate) + Send>,
-    /// The version of the router's member list, which the audit records.
+    /// Returns the version of the router's member list, which the audit records.
     member_list_version: Box<dyn Fn() -> u64 + Send>,
     lease_us: i64,
     classes: Vec<String>,
     logged_contact: LeaderContact,
-    /// The version of a store that is behind what this router follows, as it was logged last; 0 for none.
+    /// The last logged version of a store whose document is older than the one this router follows; 0 for
+    /// none.
     stale_store_version: Version,
-    /// The version whose document this router cannot read, 0 for none: it is not asked for again.
+    /// The version of a document that this router cannot parse, 0 for none. It is not fetched again.
     unreadable_version: Version,
     random: fastrand::Rng,
 }
@@ -99,10 +102,10 @@
         }
     }
 
-    /// Reports until a leave request comes or all clients of the fleet are dropped.
+    /// Runs rounds until a leave request is received or all clients of the fleet are dropped.
     pub(super) fn run(mut self, wakeups: &Receiver<Wakeup>, leave_requests: &Receiver<LeaveRequest>) {
-        let mut round_began = Instant::now();
-        let mut due = round_began;
+        let mut round_started = Instant::now();
+        let mut due = round_started;
         loop {
             select! {
                 recv(leave_requests) -> request => {
@@ -111,56 +114,57 @@
                     return;
                 }
                 recv(wakeups) -> _ => {
-                    let earliest = round_began + MIN_REPORT_INTERVAL;
+                    let earliest = round_started + MIN_REPORT_INTERVAL;
                     std::thread::sleep(earliest.saturating_duration_since(Instant::now()));
                 }
                 default(due.saturating_duration_since(Instant::now())) => {}
             }
-            round_began = Instant::now();
-            due = round_began + REPORT_INTERVAL;
+            round_started = Instant::now();
+            due = round_started + REPORT_INTERVAL;
             if !self.run_round() {
-                due = Instant::now() + self.draw_backoff();
+                due = Instant::now() + self.random_backoff();
             }
         }
     }
 
-    fn draw_backoff(&mut self) -> Duration {
+    fn random_backoff(&mut self) -> Duration {
         let longest_us = MAX_BACKOFF.as_micros() as u64;
         Duration::from_micros(self.random.u64(longest_us / 2..=longest_us))
     }
 
-    /// Tries the nodes in turn, first the one that answered last. Returns whether one answered as the leader.
+    /// Tries the nodes in turn, starting with the one that responded last. Returns whether one responded as
+    /// the leader.
     fn run_round(&mut self) -> bool {
         let mut last_failure = String::new();
-        // Nodes that have failed in this round, other than by naming another leader.
-        let mut silent = BTreeSet::new();
-        // One more than there are nodes: a node may name as the leader one that was tried before it.
+        // The nodes that have failed in this round without naming another leader.
+        let mut unresponsive = BTreeSet::new();
+        // One attempt more than there are nodes, because a node may name a leader that was tried before it.
         for _ in 0..=self.connection.node_count() {
             let node = self.connection.addr();
-            let error = match self.report_and_follow() {
+            let error = match self.report_and_update() {
                 Ok(()) => {
-                    self.log_reached(node);
+                    self.log_leader_found(node);
                     return true;
                 }
                 Err(error) => error,
             };
             self.shared.with_quota_client(|quotas, _| quotas.exchange_failed());
             last_failure = format!("{node}: {error}");
-            self.connection.fail_over(&error, &mut silent);
+            self.connection.fail_over(&error, &mut unresponsive);
         }
-        // The lease may be over by now. The check logs it, even where no request comes that would be rejected.
+        // The lease may have expired. This check logs it even if no request arrives that would be rejected.
         _ = self.shared.check_fence();
-        self.log_lost(&last_failure);
+        self.log_leader_lost(&last_failure);
         false
     }
 
-    fn log_reached(&mut self, node: SocketAddr) {
+    fn log_leader_found(&mut self, node: SocketAddr) {
         if std::mem::replace(&mut self.logged_contact, LeaderContact::Reached) != LeaderContact::Reached {
             tracing::info!(%node, "fleet leader found");
         }
     }
 
-    fn log_lost(&mut self, last_failure: &str) {
+    fn log_leader_lost(&mut self, last_failure: &str) {
         if std::mem::replace(&mut self.logged_contact, LeaderContact::Lost) != LeaderContact::Lost {
             tracing::warn!(
                 error = last_failure,
@@ -169,10 +173,10 @@
         }
     }
 
-    /// Reports to the node in use, and follows the version that its answer names.
-    fn report_and_follow(&mut self) -> Result<(), ExchangeError> {
+    /// Reports to the current node, and fetches the document version that its response names.
+    fn report_and_update(&mut self) -> Result<(), ExchangeError> {
         for _ in 0..REPORTS_PER_ROUND {
-            let AnsweredReport { reported_at, current } = self.report()?;
+            let ProcessedReport { reported_at, current } = self.report()?;
             match self.shared.followed_version() {
                 Some(followed) if followed == current => {
                     self.confirm_placement(reported_at);
@@ -183,14 +187,14 @@
                     return Ok(());
                 }
                 _ if current > 0 && current == self.unreadable_version => return Ok(()),
-                // The router follows an older version or none.
-                _ => self.follow()?,
+                // The router follows an older version, or none.
+                _ => self.update_document()?,
             }
         }
         Ok(())
     }
 
-    /// The placement rules are the current ones for a lease from the report on.
+    /// Confirms that the placement rules are current for one lease from the time of the report.
     fn confirm_placement(&self, reported_at: Time) {
         let until = Time(reported_at.0.saturating_add(self.lease_us));
         (self.on_rules_update)(RulesUpdate::Confirmed { until });
@@ -201,21 +205,22 @@
             tracing::error!(
                 version,
                 followed,
-                "fleet document older than the followed one, the store was set up anew; restart the router to \
-                 follow it"
+                "fleet document in the store is older than the one in use, because the store was recreated; \
+                 restart the router to use it"
             );
         }
     }
 
-    /// Sends one report and applies its answer.
-    fn report(&mut self) -> Result<AnsweredReport, ExchangeError> {
-        // Connected first: a lease counts from the report, and must not lose the time that connecting takes.
+    /// Sends a report and applies the response.
+    fn report(&mut self) -> Result<ProcessedReport, ExchangeError> {
+        // Connects first: leases start at the time of the report and must not be shortened by the time for
+        // connecting.
         self.connection.open()?;
         let (reported_at, quota_report) =
             self.shared.with_quota_client(|quotas, now| (now, quotas.report(now)));
         let (seq, incarnation, reported) = (quota_report.seq, quota_report.incarnation, quota_report.version);
         let member_list_version = &self.member_list_version;
-        // A router without the audit's fence reports default values.
+        // Without the audit, the report contains default values.
         let version_report = self
             .shared
             .with_fence(|fence, _| fence.report(reported_at, member_list_version()))
@@ -232,50 +237,52 @@
         };
         let current = response.version;
         self.shared.with_quota_client(|quotas, now| quotas.handle_response(now, response));
-        self.apply_audit_answer(&audit::LeaderAnswer {
+        self.apply_audit_directive(&audit::LeaderAnswer {
             report_sent_at: reported_at,
             reported_version: reported,
             current_version: current,
             directive,
         });
-        Ok(AnsweredReport { reported_at, current })
+        Ok(ProcessedReport { reported_at, current })
     }
 
-    /// Applies what the leader's audit demands of this router, if the audit is on.
-    fn apply_audit_answer(&mut self, answer: &audit::LeaderAnswer) {
-        let is_audited = self.shared.with_fence(|fence, now| fence.answer_received(now, answer)).is_some();
+    /// Applies the directive of the leader's audit, if the audit is enabled.
+    fn apply_audit_directive(&mut self, leader_response: &audit::LeaderAnswer) {
+        let is_audited =
+            self.shared.with_fence(|fence, now| fence.answer_received(now, leader_response)).is_some();
         if !is_audited {
             return;
         }
-        if matches!(answer.directive, audit::Directive::Refetch { .. }) {
-            // A version that could not be read is fetched again too: it may have been damaged in transit.
+        if matches!(leader_response.directive, audit::Directive::Refetch { .. }) {
+            // A version that could not be parsed is fetched again too, because it may have been damaged in
+            // transit.
             self.unreadable_version = 0;
             tracing::warn!(
-                version = answer.reported_version,
-                current = answer.current_version,
-                "fleet document refetch requested by the leader, this router lags; check the log lines before"
+                version = leader_response.reported_version,
+                current = leader_response.current_version,
+                "this router lags, the leader requested a refetch of the fleet document; check earlier logs"
             );
         }
-        // Logs where the answer has fenced the router or lifted its fence.
+        // Logs if the response has fenced this router or lifted its fence.
         _ = self.shared.check_fence();
     }
 
-    /// Fetches the document and applies it where it is newer than the one followed. One that this router cannot read is
-    /// logged, and not fetched again unless the audit asks for it.
-    fn follow(&mut self) -> Result<(), ExchangeError> {
+    /// Fetches the document and applies it if it is newer than the one that the router follows. A document
+    /// that cannot be parsed is logged, and not fetched again unless the audit requests it.
+    fn update_document(&mut self) -> Result<(), ExchangeError> {
         let ReceivedDocument { version, bytes } = self.connection.fetch_document()?;
         if self.shared.followed_version().is_some_and(|followed| followed >= version) {
             return Ok(());
         }
         let text = String::from_utf8(bytes).map_err(|_| ExchangeError::UnexpectedResponse)?;
         if version == 0 {
-            // The store has no document: there are no tenants, and nothing is limited.
+            // The store has no document, so there are no tenants and no limits.
             self.apply(version, Arc::new(Fleet::default()));
             return Ok(());
         }
         match settings::fleet::read(&text, None) {
             Ok(fleet) => {
-                self.warn_of_unknown_class(version, &fleet);
+                self.warn_about_unknown_class(version, &fleet);
                 self.apply(version, Arc::new(fleet));
             }
             Err(error) => {
@@ -283,16 +290,16 @@
                 tracing::error!(
                     version,
                     %error,
-                    "fleet document unreadable, quota grants expire; update this router"
+                    "fleet document cannot be parsed, quota grants will expire; update this router"
                 );
             }
         }
         Ok(())
     }
 
-    /// Logs a request class in the document's placement rules that this router does not have: a rule for it never applies
-    /// here.
-    fn warn_of_unknown_class(&self, version: Version, fleet: &Fleet) {
+    /// Logs the first request class in the document's placement rules that this router does not have: such a
+    /// rule has no effect on this router.
+    fn warn_about_unknown_class(&self, version: Version, fleet: &Fleet) {
         let placement_rules = fleet.tenants.values().flat_map(|tenant| &tenant.placement_rules);
         let mut named_classes = placement_rules.filter_map(|rule| rule.classes.as_ref()).flatten();
         if let Some(class) = named_classes.find(|class| !self.classes.contains(class)) {
@@ -300,9 +307,10 @@
         }
     }
 
-    /// Makes a document the one that this router follows.
+    /// Applies a document that this router follows from now on.
     fn apply(&self, version: Version, fleet: Arc<Fleet>) {
-        // Placement rules first: a request that is admitted under the new version must be placed by its rules.
+        // The placement rules are updated first: a request that is admitted under the new version must be
+        // placed by its rules.
         (self.on_rules_update)(RulesUpdate::Received { version, fleet: fleet.clone() });
         if version > 0 {
             self.shared.with_quota_client(|quotas, now| quotas.apply_config(now, version, &fleet));
@@ -314,8 +322,8 @@
         tracing::info!(version, tenants, "fleet document followed");
     }
 
-    /// Returns all grants, so that the leader may grant them to other routers at once. Where no answer comes, the leader
-    /// waits until they have expired.
+    /// Returns all grants, so that the leader can grant them to other routers immediately. Without a
+    /// response, they are unavailable until they expire.
     fn leave(&mut self) {
         let quota_report = self.shared.with_quota_client(QuotaClient::release_all);
         let member_list_version = &self.member_list_version;
@@ -324,7 +332,7 @@
         match self.connection.request(&Request::Report { quota_report, version_report }) {
             Ok(_) => tracing::info!("fleet left, quota grants returned"),
             Err(error) => {
-                tracing::info!(%error, "fleet left, quota grants not returned and left to expire");
+                tracing::info!(%error, "fleet left, quota grants not returned and will expire");
             }
         }
     }
--- a/fleet/src/client/mod.rs
+++ b/fleet/src/client/mod.rs
@@ -1,8 +1,8 @@
-//! A router's side of the fleet.
+//! The router's part of the fleet.
 //!
-//! A thread reports every 200 ms to the store node that leads, applies its answer and follows the fleet document
-//! (`exchange`). Requests never wait for it: they are admitted or rejected by state behind locks that are never held
-//! across I/O (`shared`).
+//! A thread reports every 200 ms to the store's leader, applies its response and updates the fleet document
+//! (`exchange`). Requests never wait for this thread: they are admitted or rejected using state behind locks
+//! that are never held during I/O (`shared`).
 mod connection;
 mod exchange;
 mod shared;
@@ -22,51 +22,51 @@
 use thiserror::Error;
 
 const STACK_BYTES: usize = 1 << 20;
-/// What clients get as the time to retry after until the router knows the fleet document.
+/// The retry-after time that clients get while the router has not received the fleet document.
 const RETRY_AFTER_START: Duration = Duration::from_millis(400);
-/// How long a request that was admitted under the audit's lease may still be sent after the lease's end, in
-/// microseconds.
+/// How long after the end of the audit's lease a request that was admitted under it may still be sent to a
+/// server, in microseconds.
 const GRACE_AFTER_LEASE_US: i64 = 200_000;
-/// How long [`FleetClient::leave`] waits for the exchange.
+/// How long [`FleetClient::leave`] waits for the exchange thread.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a request is rejected. Nothing of it has run.
+/// Why a request is rejected. No part of it has been executed.
 #[derive(Clone, Debug, Error)]
 pub enum AdmissionError {
-    /// The tenant is over its quota at this router.
+    /// The tenant has exceeded its quota at this router.
     #[error("quota of tenant '{tenant}'; come back in {} ms", retry_after.as_millis())]
     QuotaExceeded {
-        /// The tenant.
+        /// The tenant's name.
         tenant: Arc<str>,
-        /// When a token is likely to be available.
+        /// The time after which a token is likely to be available.
         retry_after: Duration,
     },
-    /// The router's version of the document is not in force, so no request may be routed.
+    /// The router's version of the fleet document is not in force, so no request may be routed.
     #[error(transparent)]
     Fenced(#[from] Fenced),
-    /// The router has just started and does not know the fleet document yet.
+    /// The router has just started and has not received the fleet document yet.
     #[error(
         "this router has not heard from the fleet's store yet; come back in {} ms",
         retry_after.as_millis()
     )]
     NotConfigured {
-        /// When it may know it.
+        /// The time after which the document is likely to be available.
         retry_after: Duration,
     },
 }
 
-/// How a router takes part in its fleet.
+/// Settings of a router's fleet membership.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The operator's `[fleet]` table.
     pub member: FleetMemberConfig,
-    /// This start of the router; higher with each start.
+    /// The incarnation of the router, which increases with each start.
     pub incarnation: u64,
-    /// The names of the request classes, to warn of placement rules for others.
+    /// The names of the router's request classes, for a warning about placement rules for unknown classes.
     pub classes: Vec<String>,
-    /// The constants of the quota state machines, the same on all routers and nodes.
+    /// Constants of the quota state machines. They must be the same on all routers and nodes.
     pub quotas: quotas::Settings,
-    /// Seeds the draws of pauses.
+    /// Seed for the random jitter of the pauses between reports.
     pub seed: u64,
 }
 
@@ -80,12 +80,12 @@
 impl FleetClient {
     /// Starts the thread that reports to the leader.
     ///
-    /// `on_rules_update` gets the placement rules of each version and each confirmation that they are current; it is
-    /// called on the exchange's thread. `member_list_version` says the version of the router's member list, for the
-    /// audit.
+    /// `on_rules_update` is called with the placement rules of each version and with each confirmation that
+    /// they are current, on the exchange thread. `member_list_version` returns the version of the router's
+    /// member list, for the audit.
     ///
     /// # Errors
-    /// Where the thread cannot be started.
+    /// Fails if the thread cannot be started.
     pub fn start(
         settings: Settings,
         clock: Clock,
@@ -100,7 +100,8 @@
             settings: settings.quotas.clone(),
             seed: settings.seed,
         });
-        // The leader counts the whole time; less here by what the two clocks may differ.
+        // The leader counts down the full lease. It is shorter here by the maximum drift between the two
+        // clocks.
         let lease_us = (settings.quotas.ttl as f64 * (1.0 - settings.quotas.max_clock_drift)) as i64;
         let fence = member.audit.map(|_| VersionFence::new(lease_us));
         let (wakeup_sender, wakeups) = bounded(1);
@@ -121,11 +122,12 @@
         Ok(FleetClient { shared, leave })
     }
 
-    /// The tenant of a request of the database user `user` that names the tenant `named`; `None` where the fleet has no
-    /// tenants. Takes no token of the tenant's quota.
+    /// Resolves the tenant of a request by the database user `user` that names the tenant `named`. Returns
+    /// `None` if the fleet has no tenants. Does not take a token of the tenant's quota.
     ///
     /// # Errors
-    /// [`AdmissionError::NotConfigured`] and [`AdmissionError::Fenced`]: the request must not be sent to any server.
+    /// [`AdmissionError::NotConfigured`] and [`AdmissionError::Fenced`] if the request must not be sent to
+    /// any server.
     pub fn resolve_tenant(
         &self,
         user: &str,
@@ -134,27 +136,28 @@
         self.resolve(user, named).map(|resolved| resolved.tenant)
     }
 
-    fn resolve(&self, user: &str, named: Option<&str>) -> Result<Resolved, AdmissionError> {
+    fn resolve(&self, user: &str, named: Option<&str>) -> Result<ResolvedTenant, AdmissionError> {
         let tenants = self.shared.tenants();
         let Some(tenants) = &*tenants else {
             return Err(AdmissionError::NotConfigured { retry_after: RETRY_AFTER_START });
         };
         let tenant = tenants.resolve(user, named).cloned();
-        Ok(Resolved { tenant, version_in_force: self.shared.check_fence()? })
+        Ok(ResolvedTenant { tenant, version_in_force: self.shared.check_fence()? })
     }
 
-    /// The time by which a request that is admitted now must have been sent to a server: its deadline, or earlier.
-    /// Where the audit is on, it is at most a little after the end of the lease under which the request was admitted.
+    /// The time by which a request that is admitted now must have been sent to a server. It is the request's
+    /// deadline or, if the audit is enabled and this is earlier, shortly after the end of the lease under
+    /// which the request is admitted.
     pub fn dispatch_deadline(&self, deadline: Time) -> Time {
         let lease_end = self.shared.with_fence(|fence, _| fence.lease_expires_at());
         lease_end.map_or(deadline, |end| deadline.min(Time(end.0.saturating_add(GRACE_AFTER_LEASE_US))))
     }
 
-    /// Admits a request of the database user `user` that names the tenant `named`, and takes one token of its tenant's
-    /// quota. Returns the tenant, `None` where the fleet has no tenants.
+    /// Admits a request by the database user `user` that names the tenant `named`, and takes one token of its
+    /// tenant's quota. Returns the tenant, `None` if the fleet has no tenants.
     ///
     /// # Errors
-    /// [`AdmissionError`]: the request must not be sent to any server.
+    /// [`AdmissionError`] if the request must not be sent to any server.
     pub fn admit(&self, user: &str, named: Option<&str>) -> Result<Option<Arc<str>>, AdmissionError> {
         let resolved = self.resolve(user, named)?;
         let Some(tenant) = resolved.tenant else { return Ok(None) };
@@ -176,20 +179,20 @@
         }
     }
 
-    /// Leaves the fleet and returns all quota grants, once no more requests come. Waits for the exchange for a second
-    /// at most; what is not returned expires.
+    /// Leaves the fleet and returns all quota grants. Must be called after the last request. Waits for the
+    /// exchange thread for at most one second; grants that are not returned expire.
     pub fn leave(&self) {
-        let (done, left) = bounded(1);
+        let (done, left_fleet) = bounded(1);
         if self.leave.try_send(LeaveRequest { done }).is_ok() {
-            _ = left.recv_timeout(LEAVE_TIMEOUT);
+            _ = left_fleet.recv_timeout(LEAVE_TIMEOUT);
         }
     }
 }
 
-/// A request's tenant, and the version under which it is routed.
-struct Resolved {
-    /// `None` where the fleet has no tenants.
+/// A request's tenant, and the version under which the request is routed.
+struct ResolvedTenant {
+    /// `None` if the fleet has no tenants.
     tenant: Option<Arc<str>>,
-    /// `None` where the audit is off.
+    /// `None` if the audit is disabled.
     version_in_force: Option<Version>,
 }
--- a/fleet/src/client/shared.rs
+++ b/fleet/src/client/shared.rs
@@ -1,7 +1,7 @@
-//! State that requests and the exchange share. No lock is held across I/O.
+//! State that is shared by requests and the exchange thread. No lock is held during I/O.
 //!
-//! Time is read under the lock that it is used with: a thread that was paused while it waited for the lock must not
-//! act on the time from before.
+//! The clock is read after the lock is acquired: a thread that had to wait for the lock must not act on an
+//! outdated time.
 use super::tenants::TenantDirectory;
 use audit::{Fenced, VersionFence};
 use crossbeam_channel::Sender;
@@ -10,10 +10,10 @@
 use settings::fleet::Version;
 use std::sync::{Mutex, MutexGuard, PoisonError, RwLock, RwLockReadGuard};
 
-/// Asks the exchange to report before its usual time.
+/// Requests a report before the next regular one.
 pub(super) struct Wakeup;
 
-/// The audit's fence, and its state that was logged last.
+/// The audit's version fence, and its state when it was last logged.
 struct LoggedFence {
     fence: VersionFence,
     logged: Option<Result<Version, Fenced>>,
@@ -21,9 +21,9 @@
 
 pub(super) struct Shared {
     quota_client: Mutex<QuotaClient>,
-    /// `None` where the audit is off.
+    /// `None` if the audit is disabled.
     fence: Option<Mutex<LoggedFence>>,
-    /// `None` until the first document is known.
+    /// `None` until the first document has been received.
     tenants: RwLock<Option<TenantDirectory>>,
     clock: Clock,
     wakeups: Sender<Wakeup>,
@@ -45,30 +45,33 @@
         }
     }
 
-    /// Runs `act` on the quota client.
-    pub(super) fn with_quota_client<T>(&self, act: impl FnOnce(&mut QuotaClient, Time) -> T) -> T {
+    /// Calls `operation` with the quota client and the current time.
+    pub(super) fn with_quota_client<T>(&self, operation: impl FnOnce(&mut QuotaClient, Time) -> T) -> T {
         let mut quota_client = self.quota_client.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.clock.now();
-        act(&mut quota_client, now)
+        operation(&mut quota_client, now)
     }
 
-    /// Runs `act` on the audit's fence; `None` where the audit is off.
-    pub(super) fn with_fence<T>(&self, act: impl FnOnce(&mut VersionFence, Time) -> T) -> Option<T> {
+    /// Calls `operation` with the version fence and the current time. Returns `None` if the audit is
+    /// disabled.
+    pub(super) fn with_fence<T>(&self, operation: impl FnOnce(&mut VersionFence, Time) -> T) -> Option<T> {
         let mut locked = self.lock_fence()?;
         let now = self.clock.now();
-        Some(act(&mut locked.fence, now))
+        Some(operation(&mut locked.fence, now))
     }
 
     fn lock_fence(&self) -> Option<MutexGuard<'_, LoggedFence>> {
         self.fence.as_ref().map(|fence| fence.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// The version in force, `None` where the audit is off. Logs a change between in force and fenced.
+    /// Returns the version in force, `None` if the audit is disabled. Logs when the router becomes fenced or
+    /// a version comes into force.
     pub(super) fn check_fence(&self) -> Result<Option<Version>, Fenced> {
         let Some(mut locked) = self.lock_fence() else { return Ok(None) };
         let now = self.clock.now();
         let state = locked.fence.check(now);
-        // Before the first confirmation no version was in force: being fenced is no change then.
+        // No version is in force before the first confirmation, so being fenced is not logged as a change
+        // then.
         let unchanged = locked.logged == Some(state) || (locked.logged.is_none() && state.is_err());
         if !unchanged {
             locked.logged = Some(state);
@@ -88,12 +91,12 @@
         *self.tenants.write().unwrap_or_else(PoisonError::into_inner) = Some(tenants);
     }
 
-    /// The version of the document that the router follows; `None` until the first one is known.
+    /// The version of the document that the router follows; `None` until the first one has been received.
     pub(super) fn followed_version(&self) -> Option<Version> {
         self.tenants().as_ref().map(|tenants| tenants.version)
     }
 
-    /// Makes the exchange report before its usual time. One wake-up is pending at most.
+    /// Makes the exchange thread report before the next regular report. At most one wake-up is pending.
     pub(super) fn wake_exchange(&self) {
         _ = self.wakeups.try_send(Wakeup);
     }
@@ -107,7 +110,7 @@
             fenced = true,
             epoch = fenced.epoch,
             error = %fenced,
-            "all requests are rejected"
+            "fleet document not in force, all requests are rejected"
         ),
     }
 }
--- a/fleet/src/document/mod.rs
+++ b/fleet/src/document/mod.rs
@@ -1,9 +1,10 @@
-//! The fleet's configuration in the store.
+//! The fleet document: the fleet's configuration in the store.
 //!
-//! A value of the store is small and the document must change as a whole. So its text is split into parts, stored under
-//! keys of its own content hash, and one key, [`CURRENT_KEY`], points at them. The pointer is set last, by
-//! compare-and-set on its version: a reader sees the document before the change or the one after it, never a mixture.
-//! A document's version is the store's revision at which the pointer was set to it.
+//! The values of the store are limited in size, but the document must change atomically. So its text is split
+//! into parts, stored under keys that contain its content hash, and the key [`CURRENT_KEY`] points to them.
+//! The pointer is written last, by compare-and-set on its version, so a reader sees either the old document
+//! or the new one, never a mixture. A document's version is the store's revision at which the pointer was set
+//! to it.
 pub mod parts;
 mod read;
 mod seed;
@@ -18,9 +19,9 @@
 use store::client::ClientError;
 use thiserror::Error;
 
-/// The pointer's key.
+/// Key of the pointer to the current document.
 pub const CURRENT_KEY: &str = "fleet/current";
-/// The most bytes of the note that a writer leaves with a document.
+/// Maximum length of the note that a writer adds to a document, in bytes.
 pub const MAX_NOTE_BYTES: usize = 1024;
 
 /// Why a document could not be read or written.
@@ -32,53 +33,52 @@
     /// The document's text is not a valid configuration.
     #[error(transparent)]
     Invalid(#[from] FleetError),
-    /// Another version than the expected one is the current one.
-    #[error(
-        "version {found} stands there, {expected} was expected; look at it with `fleet show` and set yours again"
-    )]
+    /// The current version is not the expected one.
+    #[error("the current version is {found}, {expected} was expected; see `fleet show` and set yours again")]
     VersionConflict {
-        /// The version that the writer expected, 0 for no document.
+        /// The version that the writer expected, 0 if it expected no document.
         expected: Version,
-        /// The version that is current, 0 for no document.
+        /// The current version, 0 if there is no document.
         found: Version,
     },
-    /// No previous document is kept.
+    /// No previous document is retained.
     #[error("there is no previous document to go back to; set one with `fleet set`")]
     NoPrevious,
-    /// The stored document of this version is not the one that was written.
+    /// The stored document of this version differs from the one that was written.
     #[error("the document of version {0} is damaged in the store; set it again with `fleet set`")]
     Damaged(Version),
-    /// The note has this many bytes, more than [`MAX_NOTE_BYTES`].
-    #[error("the note has {0} bytes; {MAX_NOTE_BYTES} are allowed")]
+    /// The note is longer than [`MAX_NOTE_BYTES`]. Contains its length.
+    #[error("the note has {0} bytes, the maximum is {MAX_NOTE_BYTES}")]
     NoteTooLong(usize),
 }
 
-/// What the store keeps of a document besides its text. The serialized names are part of the stored form.
+/// What the store contains for a document besides its text. The serialized names are part of the stored
+/// format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Metadata {
-    /// Hash of the text; names the keys of its parts.
+    /// Hash of the text, which is part of the keys of its parts.
     #[serde(rename = "hash")]
     pub content_hash: String,
-    /// Number of parts.
+    /// Number of parts that the text is split into.
     #[serde(rename = "parts")]
     pub part_count: usize,
-    /// Bytes of the text.
+    /// Length of the text, in bytes.
     #[serde(rename = "bytes")]
     pub length: usize,
     /// CRC-32 of the text.
     #[serde(rename = "checksum")]
     pub crc32: u32,
-    /// Who wrote it, and why.
+    /// Note of the writer: who wrote the document, and why.
     pub note: String,
 }
 
-/// A document that was current before. Stored as an array of version and metadata.
+/// A previous document. Serialized as an array of version and metadata.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Version, Metadata)", into = "(Version, Metadata)")]
 pub struct PreviousDocument {
-    /// The version that it had.
+    /// The version of the document.
     pub version: Version,
-    /// What is stored of it.
+    /// The metadata of the document.
     pub metadata: Metadata,
 }
 
@@ -94,17 +94,17 @@
     }
 }
 
-/// The current document as it is stored.
+/// The current document, as stored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document {
-    /// Its version.
+    /// The version of the document.
     pub version: Version,
-    /// Its text, as it was written.
+    /// The text as it was written.
     pub text: String,
-    /// The parsed text.
+    /// The configuration parsed from the text.
     pub fleet: Fleet,
-    /// What is stored besides the text.
+    /// The metadata of the document.
     pub metadata: Metadata,
-    /// The documents before it that are still kept, the latest first.
+    /// The previous documents that are still retained, the latest first.
     pub previous: Vec<PreviousDocument>,
 }
--- a/fleet/src/document/parts.rs
+++ b/fleet/src/document/parts.rs
@@ -1,44 +1,44 @@
-//! The stored form of a document: its text in parts, and the pointer to them.
+//! The stored format of a document: its text in parts, and the pointer to them.
 use super::{DocumentError, Metadata, PreviousDocument};
 use serde::{Deserialize, Serialize};
 use settings::fleet::Version;
 use sha2::{Digest, Sha256};
 
-/// The prefix of the parts' keys; the content hash and the part's number follow.
+/// Prefix of the parts' keys. The content hash and the part's index follow.
 pub const KEY_PREFIX: &str = "fleet/parts/";
-/// The most bytes of a part, within what a value of the store may have.
+/// Maximum length of a part, in bytes. It must not exceed the store's maximum length of a value.
 pub const MAX_PART_BYTES: usize = 48 << 10;
-/// Bytes of the SHA-256 digest that name a text.
+/// Number of bytes of the SHA-256 digest that are used as the content hash.
 const HASH_BYTES: usize = 16;
 
-/// The value of [`super::CURRENT_KEY`]. The serialized names are part of the stored form.
+/// The value of [`super::CURRENT_KEY`]. The serialized names are part of the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Pointer {
     #[serde(rename = "now")]
     pub(super) current: Metadata,
-    /// The latest first.
+    /// The previous documents, the latest first.
     #[serde(rename = "before")]
     pub(super) previous: Vec<PreviousDocument>,
 }
 
 impl Pointer {
-    /// Parses the pointer that was set at `version`.
+    /// Parses the pointer that was written at `version`.
     pub(super) fn parse(version: Version, text: &str) -> Result<Pointer, DocumentError> {
         serde_json::from_str(text).map_err(|_| DocumentError::Damaged(version))
     }
 }
 
-/// The key of part `index` of the text with this hash.
+/// The key of part `index` of the text with this content hash.
 pub fn part_key(content_hash: &str, index: usize) -> String {
     format!("{KEY_PREFIX}{content_hash}/{index:04}")
 }
 
-/// The content hash in a part's key.
+/// Extracts the content hash from a part's key.
 pub(super) fn hash_of_key(key: &str) -> &str {
     key[KEY_PREFIX.len()..].split('/').next().unwrap_or_default()
 }
 
-/// Splits a text between characters into parts of [`MAX_PART_BYTES`] at most.
+/// Splits a text at character boundaries into parts of at most [`MAX_PART_BYTES`].
 pub fn split(mut text: &str) -> Vec<&str> {
     let mut parts = Vec::new();
     while text.len() > MAX_PART_BYTES {
@@ -50,12 +50,12 @@
     parts
 }
 
-/// The hash of a text, in hexadecimal digits: it names the keys of the parts.
+/// The content hash of a text, in hexadecimal digits, which is part of the keys of its parts.
 pub fn content_hash(text: &str) -> String {
     Sha256::digest(text).iter().take(HASH_BYTES).map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Describes a text of `part_count` parts.
+/// Creates the metadata of a text that is split into `part_count` parts.
 pub fn describe(text: &str, part_count: usize, note: &str) -> Metadata {
     Metadata {
         content_hash: content_hash(text),
@@ -66,10 +66,10 @@
     }
 }
 
-/// Puts a text together from its parts, which `get` finds by their keys; `None` where one is missing.
+/// Joins the parts of a text, which `get` looks up by key. Returns `None` if a part is missing.
 ///
 /// # Errors
-/// [`DocumentError::Damaged`] with `version` where the parts are not the text that was written.
+/// [`DocumentError::Damaged`] with `version` if the joined text is not the one that was written.
 pub fn join<'a>(
     version: Version,
     metadata: &Metadata,
--- a/fleet/src/document/read.rs
+++ b/fleet/src/document/read.rs
@@ -1,4 +1,4 @@
-//! Reading of the document, out of a state that a node has or through a client.
+//! Reads the document from a node's state, or through a client of the store.
 use super::parts::{self, Pointer};
 use super::{CURRENT_KEY, Document, DocumentError, Metadata};
 use settings::fleet::{self, Version};
@@ -7,7 +7,8 @@
 use store::client::Client;
 use store::wire::Consistency;
 
-/// A reader that finds a part missing starts over, because another document has come meanwhile; at most this often.
+/// Maximum number of attempts of a reader. It starts over if a part is missing, because another document has
+/// been written in the meantime.
 const MAX_READ_ATTEMPTS: usize = 8;
 
 fn parse(version: Version, pointer: Pointer, text: String) -> Result<Document, DocumentError> {
@@ -15,7 +16,7 @@
     Ok(Document { version, text, fleet, metadata: pointer.current, previous: pointer.previous })
 }
 
-/// The version of the document in a state of the store, 0 where there is none.
+/// The version of the document in a state of the store, 0 if there is none.
 pub fn current_version(state: &State) -> Version {
     state.get(CURRENT_KEY).map_or(0, |value| value.revision)
 }
@@ -29,30 +30,30 @@
     Ok(Some((version, pointer, text)))
 }
 
-/// The document in a state of the store; `None` where there is none.
+/// The document in a state of the store; `None` if there is none.
 ///
 /// # Errors
-/// [`DocumentError::Damaged`] and [`DocumentError::Invalid`]: nothing of the document may be used.
+/// [`DocumentError::Damaged`] and [`DocumentError::Invalid`]: no part of the document may be used.
 pub fn from_state(state: &State) -> Result<Option<Document>, DocumentError> {
     let Some((version, pointer, text)) = find(state)? else { return Ok(None) };
     parse(version, pointer, text).map(Some)
 }
 
-/// The version and the text of the document in a state of the store, unparsed; `None` where there is none.
+/// The version and the unparsed text of the document in a state of the store; `None` if there is none.
 ///
 /// # Errors
-/// [`DocumentError::Damaged`].
+/// [`DocumentError::Damaged`] if the stored parts are not the text that was written.
 pub fn text_from_state(state: &State) -> Result<Option<(Version, String)>, DocumentError> {
     Ok(find(state)?.map(|(version, _, text)| (version, text)))
 }
 
-/// The pointer, and the version of the document that it points at.
+/// Reads the pointer and the version of the document that it points to.
 pub(super) fn read_pointer(client: &Client) -> Result<Option<(Pointer, Version)>, DocumentError> {
     let Some(found) = client.get(CURRENT_KEY, Consistency::Linearizable)?.value else { return Ok(None) };
     Ok(Some((Pointer::parse(found.revision, &found.text)?, found.revision)))
 }
 
-/// A document's text; `None` where the document is no longer kept.
+/// Reads a document's text; `None` if the document is no longer retained.
 pub(super) fn read_text(
     client: &Client,
     version: Version,
@@ -63,11 +64,11 @@
     parts::join(version, metadata, |key| found.get(key).map(|value| value.text.as_str()))
 }
 
-/// Reads the current document through a client of the store; `None` where there is none.
+/// Reads the current document through a client of the store; `None` if there is none.
 ///
 /// # Errors
-/// [`DocumentError::Store`] where the store does not answer, [`DocumentError::Damaged`] and
-/// [`DocumentError::Invalid`] where the stored document cannot be used.
+/// [`DocumentError::Store`] if the store does not respond, [`DocumentError::Damaged`] and
+/// [`DocumentError::Invalid`] if the stored document cannot be used.
 pub fn read(client: &Client) -> Result<Option<Document>, DocumentError> {
     let mut last_version = 0;
     for _ in 0..MAX_READ_ATTEMPTS {
--- a/fleet/src/document/seed.rs
+++ b/fleet/src/document/seed.rs
@@ -1,4 +1,4 @@
-//! The first document of a new fleet.
+//! Writes the first document of a new fleet.
 use super::{DocumentError, read, write};
 use settings::fleet::Version;
 use std::io;
@@ -6,33 +6,34 @@
 use store::client::Client;
 
 const STACK_BYTES: usize = 1 << 20;
-/// The pause between two attempts.
+/// Pause between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// The note that the document is written with.
+/// The note of the first document.
 const NOTE: &str = "the seed";
 
-/// How one attempt ended.
+/// The outcome of an attempt.
 enum Seeding {
     Written(Version),
-    /// The store has a document, or a writer came first.
+    /// The store has a document already, or another writer was faster.
     AlreadyStored,
 }
 
-/// Starts a thread that writes a document where the store has none, and retries until the store is known to have one.
+/// Starts a thread that writes `text` as the document if the store has none. It retries until the store is
+/// known to have a document.
 ///
 /// # Errors
-/// Where the thread cannot be started.
+/// Fails if the thread cannot be started.
 pub fn start_seeding(client: Client, text: String) -> io::Result<()> {
     let run = move || {
         loop {
             match seed(&client, &text) {
                 Ok(Seeding::Written(version)) => {
-                    tracing::info!(version, "seed of the fleet document written");
+                    tracing::info!(version, "seed fleet document written");
                     return;
                 }
                 Ok(Seeding::AlreadyStored) => return,
-                // The store may not list all servers yet.
-                Err(error) => tracing::warn!(%error, "seed of the fleet document not written, will retry"),
+                // For example, the store may not list all servers yet.
+                Err(error) => tracing::warn!(%error, "seed fleet document not written, will retry"),
             }
             std::thread::sleep(RETRY_INTERVAL);
         }
--- a/fleet/src/document/write.rs
+++ b/fleet/src/document/write.rs
@@ -1,4 +1,5 @@
-//! Writing of the document: parts first, then the pointer, then parts that nothing points at are deleted.
+//! Writes the document: first its parts, then the pointer. Parts that are no longer referenced are deleted
+//! afterwards.
 use super::parts::{self, Pointer};
 use super::read::{read_pointer, read_text};
 use super::{CURRENT_KEY, DocumentError, MAX_NOTE_BYTES, Metadata, PreviousDocument};
@@ -9,25 +10,27 @@
 use store::client::{Client, ClientError, UpdateOptions};
 use store::wire::Consistency;
 
-/// Documents that are retained, the current one included, within [`MAX_RETAINED_BYTES`].
+/// Maximum number of retained documents, including the current one. [`MAX_RETAINED_BYTES`] limits them as
+/// well.
 const MAX_RETAINED_DOCUMENTS: usize = 8;
-/// Bytes of all retained documents together. The current one and the one before it are retained whatever they have.
+/// Maximum total length of the retained documents, in bytes. The current one and its predecessor are always
+/// retained, whatever their length.
 const MAX_RETAINED_BYTES: usize = 3 << 20;
-/// The prefix of the keys under which the store lists servers.
+/// Prefix of the keys under which the store lists servers.
 const SERVER_KEY_PREFIX: &str = "server/";
 
-/// The pointer as a writer found it.
+/// The pointer as read before a write.
 struct FoundPointer {
-    /// The version of the pointer's key, for compare-and-set; 0 where there is no key.
+    /// The version of the pointer's key, for compare-and-set; 0 if the key does not exist.
     key_version: u64,
-    /// The document's version; 0 where there is none.
+    /// The document's version; 0 if there is no document.
     version: Version,
-    /// `None` where there is none, or where it cannot be read: it is replaced as any other then, but what it pointed at
-    /// is not retained.
+    /// `None` if there is no pointer or it cannot be parsed. It is replaced in either case, but the documents
+    /// that an invalid pointer references are not retained.
     pointer: Option<Pointer>,
 }
 
-fn find_pointer(client: &Client) -> Result<FoundPointer, DocumentError> {
+fn read_replaced_pointer(client: &Client) -> Result<FoundPointer, DocumentError> {
     let Some(value) = client.get(CURRENT_KEY, Consistency::Linearizable)?.value else {
         return Ok(FoundPointer { key_version: 0, version: 0, pointer: None });
     };
@@ -35,15 +38,16 @@
     Ok(FoundPointer { key_version: value.version, version: value.revision, pointer })
 }
 
-/// Writes a document as the current one and returns its version.
+/// Writes a document, makes it the current one and returns its version.
 ///
-/// `expected` is the version that must be current, 0 for none; without it, the one that is current when the write
-/// starts. The servers that the store lists must leave each strict placement rule at least one.
+/// `expected` is the version that the new document replaces, 0 for none; `None` stands for the version that
+/// is current when the write starts. Each strict placement rule must allow at least one of the servers that
+/// the store lists.
 ///
 /// # Errors
-/// [`DocumentError::Invalid`] names the faulty key and [`DocumentError::VersionConflict`] the version that another
-/// writer has made; nothing has changed then, nor with [`DocumentError::NoteTooLong`]. [`DocumentError::Store`] as for
-/// any write to the store.
+/// [`DocumentError::Invalid`] names the invalid key, and [`DocumentError::VersionConflict`] the version that
+/// another writer has written. Nothing has changed after these or after [`DocumentError::NoteTooLong`].
+/// [`DocumentError::Store`] has the causes of any failed write to the store.
 pub fn write(
     client: &Client,
     text: &str,
@@ -51,7 +55,7 @@
     note: &str,
 ) -> Result<Version, DocumentError> {
     check(client, text, note)?;
-    let found = find_pointer(client)?;
+    let found = read_replaced_pointer(client)?;
     if let Some(expected) = expected.filter(|e| *e != found.version) {
         return Err(DocumentError::VersionConflict { expected, found: found.version });
     }
@@ -59,9 +63,10 @@
     let previous = found.pointer.map_or_else(Vec::new, |p| retained_documents(&metadata, found.version, p));
     let pointer = Pointer { current: metadata, previous };
     let version = set_pointer(client, &pointer, found.key_version, expected)?;
-    // The document is current by now. Parts that remain only take space, and the next writer tries again.
+    // The new document is already current. Parts that remain only take up space, and the next write tries
+    // again to delete them.
     if let Err(error) = delete_unreferenced_parts(client, &pointer, version) {
-        tracing::warn!(%error, "parts of old fleet documents not deleted");
+        tracing::warn!(%error, "unused parts of old fleet documents not deleted, the next write retries");
     }
     Ok(version)
 }
@@ -77,7 +82,8 @@
     Ok(())
 }
 
-/// The sites of the servers that the store lists; `None` where it lists none, because a registry has the list then.
+/// The sites of the servers that the store lists. `None` if it lists none, because the servers are listed in
+/// a registry then.
 fn listed_sites(client: &Client) -> Result<Option<BTreeSet<String>>, DocumentError> {
     let listed = client.list(SERVER_KEY_PREFIX, Consistency::Linearizable)?.value;
     let site = |text: &str| {
@@ -87,8 +93,8 @@
     Ok((!listed.is_empty()).then(|| listed.iter().filter_map(|(_, value)| site(&value.text)).collect()))
 }
 
-/// Writes all parts of a text, those that are stored already too: [`delete_unreferenced_parts`] sees by their revision
-/// that they are in use again.
+/// Writes all parts of a text, including those that are stored already: their new revisions show
+/// [`delete_unreferenced_parts`] that they are in use again.
 fn put_parts(client: &Client, text: &str, note: &str) -> Result<Metadata, DocumentError> {
     let parts = parts::split(text);
     let metadata = parts::describe(text, parts.len(), note);
@@ -98,8 +104,8 @@
     Ok(metadata)
 }
 
-/// The documents of the replaced pointer that are retained beside the new document, the latest first. The latest is retained
-/// whatever its length, because an undo goes back to it.
+/// Selects which documents of the replaced pointer are retained besides the new one, the latest first. The
+/// latest one is always retained, because an undo restores it.
 fn retained_documents(new: &Metadata, replaced_version: Version, replaced: Pointer) -> Vec<PreviousDocument> {
     let latest = PreviousDocument { version: replaced_version, metadata: replaced.current };
     let mut total_bytes = new.length;
@@ -115,7 +121,7 @@
     retained
 }
 
-/// Sets the pointer where its key still has `key_version`, and returns the document's version.
+/// Writes the pointer if its key still has the version `key_version`. Returns the document's version.
 fn set_pointer(
     client: &Client,
     pointer: &Pointer,
@@ -138,8 +144,9 @@
     }
 }
 
-/// Deletes the parts of documents that are no longer retained. Parts that were written after this pointer, which has
-/// `version`, belong to a writer in progress; one that wrote its parts before will fail to set its pointer.
+/// Deletes the parts of documents that are no longer retained. `version` is the version of `pointer`. Parts
+/// with a later revision belong to a write in progress and are skipped. A concurrent writer that wrote its
+/// parts earlier will fail to set its pointer.
 fn delete_unreferenced_parts(
     client: &Client,
     pointer: &Pointer,
@@ -162,10 +169,11 @@
     Ok(())
 }
 
-/// Makes the previous document the current one again, under a new version, and returns that version.
+/// Restores the previous document: writes it as the current one under a new version, and returns that
+/// version.
 ///
 /// # Errors
-/// [`DocumentError::NoPrevious`] where none is retained, and the errors of [`write()`].
+/// [`DocumentError::NoPrevious`] if none is retained, and the errors of [`write()`].
 pub fn undo(client: &Client, note: &str) -> Result<Version, DocumentError> {
     let (pointer, current_version) = read_pointer(client)?.ok_or(DocumentError::NoPrevious)?;
     let previous = pointer.previous.first().ok_or(DocumentError::NoPrevious)?;
--- a/fleet/src/service/audit_recorder.rs
+++ b/fleet/src/service/audit_recorder.rs
@@ -1,4 +1,5 @@
-//! Writes the audit's batches into the store, on a thread of its own: no answer to a router waits for a disk.
+//! Writes the audit's batches to the store on a separate thread, so that responses to routers do not wait for
+//! disk writes.
 use crate::audit_record::parse_batch;
 use audit::{Batch, slot_key};
 use crossbeam_channel::{Receiver, Sender, bounded};
@@ -7,17 +8,17 @@
 use store::{Rejection, Store, Value};
 
 const STACK_BYTES: usize = 512 << 10;
-/// Results that wait to be read. One batch is written at a time, so there are never as many.
+/// Capacity of the queue of results. Only one batch is written at a time, so it never fills up.
 const MAX_PENDING_RESULTS: usize = 4;
 
-/// How the write of a batch ended.
+/// The outcome of writing a batch.
 pub(super) struct WriteResult {
     pub(super) seq: u64,
-    /// Whether the batch is known to be in the store.
+    /// Whether the batch is known to be stored.
     pub(super) is_written: bool,
 }
 
-/// Writes one batch at a time.
+/// Writes audit batches, one at a time.
 pub(super) struct Recorder {
     batches: Sender<Batch>,
     results: Receiver<WriteResult>,
@@ -32,19 +33,19 @@
         Ok(Recorder { batches: batch_sender, results })
     }
 
-    /// Starts to write a batch; a [`WriteResult`] will follow. Returns false where batches of earlier terms are still
-    /// being written.
+    /// Starts writing a batch. A [`WriteResult`] will follow. Returns false if a batch, of an earlier term,
+    /// is still being written.
     pub(super) fn try_write(&self, batch: Batch) -> bool {
         self.batches.try_send(batch).is_ok()
     }
 
-    /// The next write that has ended, if one has.
+    /// The result of the next finished write, if any.
     pub(super) fn next_result(&self) -> Option<WriteResult> {
         self.results.try_recv().ok()
     }
 }
 
-/// Until the recorder is dropped.
+/// Writes batches until the recorder is dropped.
 fn write_batches(store: &Store, batches: &Receiver<Batch>, results: &Sender<WriteResult>) {
     for batch in batches {
         let seq = batch.seq;
@@ -58,13 +59,13 @@
     }
 }
 
-/// Writes a batch into its slot. Returns false where a later term has written there.
+/// Writes a batch to its slot. Returns false if the slot contains a batch of a later term.
 fn write_batch(store: &Store, batch: &Batch) -> Result<bool, Rejection> {
     let Ok(text) = serde_json::to_string(batch) else { return Ok(false) };
     let key = slot_key(batch.seq % audit::RING_SLOTS);
     let state = store.state();
     let stored = state.get(&key);
-    // A leader that was replaced must not overwrite what the next one has written.
+    // A former leader must not overwrite the batches of its successor.
     if stored.is_some_and(|value| is_of_later_term(value, batch.term)) {
         return Ok(false);
     }
--- a/fleet/src/service/auditor.rs
+++ b/fleet/src/service/auditor.rs
@@ -1,4 +1,4 @@
-//! The audit beside the quota allocator: carries out what its state machine decides.
+//! Runs the audit's state machine next to the quota allocator and executes its actions.
 use super::audit_recorder::{Recorder, WriteResult};
 use audit::{Action, Directive, Entry, EntryKind, Event, VersionTracker};
 use routing::Time;
@@ -8,7 +8,7 @@
 pub(super) struct Auditor {
     tracker: VersionTracker,
     recorder: Recorder,
-    /// Kept for its allocation.
+    /// Reused to avoid allocations.
     actions: Vec<Action>,
 }
 
@@ -18,30 +18,30 @@
         Ok(Auditor { tracker: VersionTracker::new(settings), recorder, actions: Vec::new() })
     }
 
-    /// Handles an event and returns the directive for the router whose report it was, if it was one.
+    /// Handles an event. If it was a router's report, returns the directive for that router.
     pub(super) fn handle(&mut self, now: Time, event: Event) -> Directive {
         self.tracker.handle(now, event, &mut self.actions);
         let mut directive = Directive::AuditDisabled;
-        let mut unwritten = None;
+        let mut rejected_seq = None;
         for action in self.actions.drain(..) {
             match action {
-                Action::Reply { directive: news, .. } => directive = news,
+                Action::Reply { directive: new_directive, .. } => directive = new_directive,
                 Action::LogEntry(entry) => log_entry(&entry),
                 Action::WriteBatch(batch) => {
                     let seq = batch.seq;
                     if !self.recorder.try_write(batch) {
-                        unwritten = Some(seq);
+                        rejected_seq = Some(seq);
                     }
                 }
             }
         }
-        if let Some(seq) = unwritten {
+        if let Some(seq) = rejected_seq {
             self.tracker.handle(now, Event::WriteCompleted { seq, committed: false }, &mut self.actions);
         }
         directive
     }
 
-    /// Handles the writes that have ended, and the passing of time.
+    /// Handles the results of finished writes, and the passing of time.
     pub(super) fn tick(&mut self, now: Time) {
         while let Some(WriteResult { seq, is_written }) = self.recorder.next_result() {
             self.handle(now, Event::WriteCompleted { seq, committed: is_written });
@@ -50,15 +50,15 @@
     }
 }
 
-/// Logs an entry of the record.
+/// Logs an entry of the audit record.
 fn log_entry(entry: &Entry) {
     let Entry { version, epoch, .. } = *entry;
     let router = entry.router.as_str();
     match entry.kind {
-        EntryKind::Current => tracing::info!(version, "version made current"),
-        EntryKind::Acting => tracing::info!(version, router, epoch, "version applied by router"),
+        EntryKind::Current => tracing::info!(version, "fleet document became current"),
+        EntryKind::Acting => tracing::info!(version, router, epoch, "fleet document applied by router"),
         EntryKind::Notified => {
-            tracing::warn!(version, router, epoch, "router lagging, asked to fetch the current version");
+            tracing::warn!(version, router, epoch, "router lagging, asked to fetch the current document");
         }
         EntryKind::FencedOut => {
             tracing::error!(version, router, epoch, "router fenced out; check that router's log");
@@ -67,8 +67,8 @@
             version,
             router,
             epoch,
-            "router silent; check that process and its connection to this node"
+            "router stopped reporting; check its process and its connection to this node"
         ),
-        EntryKind::Left => tracing::info!(version, router, epoch, "router left"),
+        EntryKind::Left => tracing::info!(version, router, epoch, "router left the fleet"),
     }
 }
--- a/fleet/src/service/leader.rs
+++ b/fleet/src/service/leader.rs
@@ -1,7 +1,8 @@
 //! The actor that owns the quota allocator and the audit.
 //!
-//! In each round it reads its clock first, then has its leadership confirmed by a majority, and decides as of that
-//! time. So a node that was paused, or that another one has replaced meanwhile, decides nothing from what expired since.
+//! In each round it first reads the clock, then has a majority confirm that this node is the leader, and then
+//! makes all decisions as of the time it read. So a node that was paused, or replaced as the leader in the
+//! meantime, makes no decision based on what expired after that time.
 use super::auditor::Auditor;
 use crate::wire::{Response, UNKNOWN_LEADER};
 use crate::{audit_record, document};
@@ -16,22 +17,22 @@
 use store::node::ConfirmedRead;
 use store::{State, Store};
 
-/// Reports that one confirmation of the leadership serves.
+/// Maximum number of reports per round, that is, per confirmation of the leadership.
 pub(super) const MAX_REPORTS_PER_ROUND: usize = 256;
-/// Without reports, the state machines learn the time this often.
+/// The state machines are informed of the time at least this often, even without reports.
 const IDLE_TICK: Duration = Duration::from_millis(200);
 
-/// A router's report whose response a connection waits for.
+/// A router's report whose connection waits for the response.
 pub(super) struct PendingReport {
     pub(super) quota_report: quotas::Report,
     pub(super) version_report: audit::VersionReport,
-    pub(super) reply: Sender<Response>,
+    pub(super) responder: Sender<Response>,
 }
 
 impl PendingReport {
     fn respond(&self, response: Response) {
-        // The connection may have given up waiting, or ended.
-        _ = self.reply.try_send(response);
+        // The connection may have timed out or closed.
+        _ = self.responder.try_send(response);
     }
 }
 
@@ -41,9 +42,9 @@
     }
 }
 
-/// A report that the allocator decides on, until its response is sent.
+/// A report that was passed to the allocator and whose response has not been sent yet.
 struct AwaitedResponse {
-    reply: Sender<Response>,
+    responder: Sender<Response>,
     audit_directive: audit::Directive,
 }
 
@@ -51,13 +52,13 @@
     store: Store,
     clock: Clock,
     allocator: Allocator,
-    /// `None` where the audit is off.
+    /// `None` if the audit is disabled.
     auditor: Option<Auditor>,
-    /// The last term in which this node led, 0 for none.
+    /// The last term in which this node was the leader, 0 for none.
     term: u64,
-    /// The version that the allocator has in this term, 0 for none.
+    /// The document version that the allocator has received in this term, 0 for none.
     version: Version,
-    /// The version whose document cannot be used, 0 for none.
+    /// The version of a document that cannot be used, 0 for none.
     unusable_version: Version,
 }
 
@@ -73,17 +74,18 @@
         Ok(LeaderActor { store, clock, allocator, auditor, term: 0, version: 0, unusable_version: 0 })
     }
 
-    /// Decides on reports until no connection can send one any more.
+    /// Handles reports until all connections and the listener are closed.
     pub(super) fn run(mut self, reports: &Receiver<PendingReport>) {
         let mut actions = Vec::new();
         while let Some(pending) = next_reports(reports) {
-            // Read before the confirmation; all decisions of this round are as of this time.
+            // The time is read before the leadership is confirmed; all decisions of this round are made as of
+            // this time.
             let mut now = self.clock.now();
             let mut confirmed = self.store.read_as_leader();
             if let Ok(Some(leadership)) = &confirmed
                 && leadership.term != self.term
             {
-                self.begin_term(leadership, &mut actions);
+                self.start_term(leadership, &mut actions);
                 now = self.clock.now();
                 confirmed = self.store.read_as_leader();
             }
@@ -93,16 +95,16 @@
                     let leader = self.store.known_leader().leader.unwrap_or(UNKNOWN_LEADER);
                     respond_not_leader(&pending, leader);
                 }
-                // This node may be cut off from the present leader and not know it.
+                // This node may be partitioned from the current leader without knowing it.
                 Err(_) => respond_not_leader(&pending, UNKNOWN_LEADER),
             }
         }
     }
 
-    /// Starts a term of this node. The time that was read before its confirmation may be from before the election, and
-    /// the earlier leader may have granted quotas between the two: the term, and the time in which it grants nothing
-    /// new, start after both.
-    fn begin_term(&mut self, leadership: &ConfirmedRead, actions: &mut Vec<Action>) {
+    /// Starts a term of this node as the leader. The time that was read before the confirmation may precede
+    /// the election, and the previous leader may have granted quotas in between. So the clock is read again:
+    /// the term, and its initial period without new grants, start after those grants.
+    fn start_term(&mut self, leadership: &ConfirmedRead, actions: &mut Vec<Action>) {
         let term = leadership.term;
         self.term = term;
         self.version = 0;
@@ -122,9 +124,9 @@
         reports: Vec<PendingReport>,
         actions: &mut Vec<Action>,
     ) {
-        // Elected again between the two confirmations: the next round begins the term.
-        let is_present_term = leadership.term == self.term;
-        if !is_present_term || !self.load_document(now, &leadership.state, actions) {
+        // A new election may have happened between the two confirmations. The next round starts that term.
+        let is_current_term = leadership.term == self.term;
+        if !is_current_term || !self.load_document(now, &leadership.state, actions) {
             respond_not_leader(&reports, UNKNOWN_LEADER);
             return;
         }
@@ -144,8 +146,9 @@
         }
     }
 
-    /// Gives the allocator the document where its version is new. Returns whether the allocator has the current version:
-    /// otherwise the configuration that binds is unknown, and an older one must not be confirmed in its place.
+    /// Passes the document to the allocator if its version is new. Returns whether the allocator has the
+    /// current version. Otherwise the current configuration is unknown, and reports must not be confirmed
+    /// under an older one.
     fn load_document(&mut self, now: Time, state: &State, actions: &mut Vec<Action>) -> bool {
         let version = document::current_version(state);
         if version != self.version && version != self.unusable_version {
@@ -165,8 +168,8 @@
         version == self.version
     }
 
-    /// Gives one report to the audit and the allocator. Returns what the allocator's response is to be sent with; `None`
-    /// where the report is rejected or answered already.
+    /// Passes a report to the audit and the allocator. Returns the data for sending the allocator's response;
+    /// `None` if the report is rejected or its response has been sent.
     fn apply_report(
         &mut self,
         now: Time,
@@ -175,12 +178,13 @@
         actions: &mut Vec<Action>,
     ) -> Option<AwaitedResponse> {
         if let Err(error) = pending.quota_report.check() {
-            tracing::warn!(%error, "router report rejected");
+            tracing::warn!(%error, "invalid router report rejected");
             return None;
         }
         let audit_directive = self.audit_report(now, &pending);
         if matches!(audit_directive, audit::Directive::FenceOut { .. }) {
-            // Nothing is renewed: the router's grants expire, and nobody else has them before.
+            // Nothing is renewed, so the router's grants expire. Until then they are not granted to other
+            // routers.
             let quota_response = GrantResponse {
                 term: self.term,
                 incarnation: pending.quota_report.incarnation,
@@ -192,10 +196,10 @@
             return None;
         }
         self.allocator.handle(now, Event::Report { connection, report: pending.quota_report }, actions);
-        Some(AwaitedResponse { reply: pending.reply, audit_directive })
+        Some(AwaitedResponse { responder: pending.responder, audit_directive })
     }
 
-    /// Gives a report to the audit; its directive for the router.
+    /// Passes a report to the audit and returns the directive for the router.
     fn audit_report(&mut self, now: Time, pending: &PendingReport) -> audit::Directive {
         let Some(auditor) = &mut self.auditor else { return audit::Directive::AuditDisabled };
         let event = audit::Event::ReportReceived {
@@ -209,7 +213,8 @@
     }
 }
 
-/// The reports of one round, after [`IDLE_TICK`] none; `None` where no more can come.
+/// Waits for the reports of one round. Returns an empty list after [`IDLE_TICK`] without reports, and `None`
+/// if no more can arrive.
 fn next_reports(reports: &Receiver<PendingReport>) -> Option<Vec<PendingReport>> {
     let mut round = Vec::new();
     match reports.recv_timeout(IDLE_TICK) {
@@ -221,12 +226,12 @@
     Some(round)
 }
 
-/// Sends the allocator's responses with the audit's directives.
+/// Sends the allocator's responses together with the audit's directives.
 fn send_responses(actions: &mut Vec<Action>, awaited: &mut HashMap<u64, AwaitedResponse>) {
     for Action::Respond { connection, response: quota_response } in actions.drain(..) {
-        if let Some(AwaitedResponse { reply, audit_directive }) = awaited.remove(&connection) {
-            // The connection may have given up waiting, or ended.
-            _ = reply.try_send(Response::Report { quota_response, audit_directive });
+        if let Some(AwaitedResponse { responder, audit_directive }) = awaited.remove(&connection) {
+            // The connection may have timed out or closed.
+            _ = responder.try_send(Response::Report { quota_response, audit_directive });
         }
     }
 }
--- a/fleet/src/service/mod.rs
+++ b/fleet/src/service/mod.rs
@@ -1,7 +1,7 @@
-//! A store node's side of the fleet: it answers the reports of routers while it leads.
+//! The fleet service of a store node: while the node is the leader, it responds to the reports of routers.
 //!
-//! One thread accepts connections and each connection has a thread of its own, up to a limit. One actor owns the quota
-//! allocator and the audit, and decides on all reports (`leader`).
+//! One thread accepts connections, and each connection has its own thread, up to a limit. An actor owns the
+//! quota allocator and the audit, and handles all reports (`leader`).
 mod audit_recorder;
 mod auditor;
 mod leader;
@@ -17,21 +17,23 @@
 use store::Store;
 use store::wire::WireError;
 
-/// The actor reads whole documents.
+/// Larger than the stacks of the other threads, because the actor parses whole documents.
 const ACTOR_STACK_BYTES: usize = 1 << 20;
-/// Reports that wait for the actor; further ones are answered as by a node that does not lead.
+/// Maximum number of reports queued for the actor. Further ones get the response of a node that is not the
+/// leader.
 const MAX_PENDING_REPORTS: usize = 4 * MAX_REPORTS_PER_ROUND;
-/// A router does not wait longer than this for the answer to a report.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a connection waits for the actor's response to a report. Routers wait no longer than this.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Limits of the service.
+/// Limits on the connections of the service.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Connections at a time, each with a thread.
+    /// Maximum number of open connections, each with its own thread.
     pub max_connections: u64,
-    /// A connection without a request for this long is closed; the router connects again.
+    /// A connection without a request for this long is closed; the router reconnects.
     pub idle_timeout: Duration,
-    /// A message must have been received, and a response accepted by the router, within this time of its first byte.
+    /// A message must be received within this time of its first byte, and the router must accept a response
+    /// within this time.
     pub message_timeout: Duration,
 }
 
@@ -45,11 +47,11 @@
     }
 }
 
-/// Starts to answer routers; goes on until the listener fails. With `audit`, the record of which router acts on which
-/// version is written while this node leads.
+/// Starts serving routers until the listener fails. With `audit`, this node writes the record of which router
+/// uses which document version while it is the leader.
 ///
 /// # Errors
-/// Where a thread cannot be started.
+/// Fails if a thread cannot be started.
 pub fn start(
     listener: TcpListener,
     store: Store,
@@ -69,7 +71,7 @@
     store::acceptor::accept(listener, "fleet", limits.max_connections, reject, serve)
 }
 
-/// Serves one connection until it fails or stays idle.
+/// Serves a connection until it fails or the idle timeout expires.
 fn serve_connection(
     socket: &TcpStream,
     store: &Store,
@@ -78,34 +80,36 @@
 ) -> Result<(), WireError> {
     socket.set_nodelay(true)?;
     socket.set_write_timeout(Some(limits.message_timeout))?;
-    // Sent before the other side's hello is checked, so that a router of another version can tell why it is closed.
+    // Sent before the router's hello is checked, so that a router of another version can report why the
+    // connection is closed.
     wire::send_hello(socket)?;
     wire::receive_hello(socket, limits.message_timeout)?;
     wire::send(socket, &Response::Welcome { node: store.status().node })?;
     loop {
         match wire::receive(socket, limits.idle_timeout, limits.message_timeout)? {
             Request::Report { quota_report, version_report } => {
-                wire::send(socket, &answer_report(reports, quota_report, version_report))?;
+                wire::send(socket, &handle_report(reports, quota_report, version_report))?;
             }
             Request::Document => send_document(socket, store)?,
         }
     }
 }
 
-/// Has the actor decide on a report and waits for its response.
-fn answer_report(
+/// Passes a report to the actor and waits for its response.
+fn handle_report(
     reports: &Sender<PendingReport>,
     quota_report: quotas::Report,
     version_report: audit::VersionReport,
 ) -> Response {
-    let (reply, response) = bounded(1);
-    let accepted = reports.try_send(PendingReport { quota_report, version_report, reply }).is_ok();
-    let response = accepted.then(|| response.recv_timeout(ANSWER_TIMEOUT).ok()).flatten();
+    let (responder, response) = bounded(1);
+    let accepted = reports.try_send(PendingReport { quota_report, version_report, responder }).is_ok();
+    let response = accepted.then(|| response.recv_timeout(RESPONSE_TIMEOUT).ok()).flatten();
     response.unwrap_or(Response::NotLeader { leader: UNKNOWN_LEADER })
 }
 
 fn send_document(socket: &TcpStream, store: &Store) -> Result<(), WireError> {
-    // A damaged document is not the same as none: the connection ends, so that the router does not take it for that.
+    // If the document is damaged, the connection is closed, so that the router does not conclude that there
+    // is no document.
     let found = document::text_from_state(&store.state()).map_err(io::Error::other)?;
     let (version, text) = found.unwrap_or_default();
     let mut parts = text.as_bytes().chunks(MAX_PART_BYTES).peekable();
--- a/fleet/tests/client.rs
+++ b/fleet/tests/client.rs
@@ -1,4 +1,4 @@
-//! A router's side of the exchange against scripted nodes of the store.
+//! Tests of the router's fleet client against scripted store nodes.
 use audit::Directive;
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use fleet::client::Settings;
@@ -14,18 +14,18 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// A wait of this length ends only by a failure.
-const LONG: Duration = Duration::from_secs(20);
+/// Timeout that is only reached if a test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const DOCUMENT: &str = "routers = 4\nunnamed = 'all'\n\
     [[tenant]]\nname = 'all'\nrate = 100.0\nburst = 100\non_loss = 'closed'\n\
     [[tenant]]\nname = 'tills'\nusers = ['till']\n";
-/// The version of the scripted nodes' document.
+/// The version of the document on the scripted nodes.
 const VERSION: u64 = 5;
 
-/// What a scripted node says to a report.
+/// Determines a scripted node's response to a report.
 type Script = Box<dyn FnMut(&Report) -> Response + Send>;
 
-fn answered(report: &Report, audit_directive: Directive) -> Response {
+fn report_response(report: &Report, audit_directive: Directive) -> Response {
     let quota_response = quotas::GrantResponse {
         term: 1,
         incarnation: report.incarnation,
@@ -36,11 +36,11 @@
     Response::Report { quota_response, audit_directive }
 }
 
-/// A node that serves one connection after another and hands on each request that it gets.
+/// A node that serves one connection at a time and forwards each received request to the test.
 struct ScriptedNode {
     addr: SocketAddr,
     requests: Receiver<Request>,
-    /// The node accepts connections once something comes here.
+    /// The node starts accepting connections when a message is sent here.
     accept: Sender<()>,
 }
 
@@ -49,9 +49,9 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
         let (request_sender, requests) = unbounded();
-        let (accept, accepting) = unbounded();
+        let (accept, accept_signal) = unbounded();
         std::thread::spawn(move || {
-            if accepting.recv().is_err() {
+            if accept_signal.recv().is_err() {
                 return;
             }
             for socket in listener.incoming().map_while(Result::ok) {
@@ -62,25 +62,25 @@
     }
 
     fn next(&self) -> Request {
-        self.requests.recv_timeout(LONG).expect("a request")
+        self.requests.recv_timeout(TEST_TIMEOUT).expect("expected a request")
     }
 
     fn next_report(&self) -> Report {
         match self.next() {
             Request::Report { quota_report: report, .. } => report,
-            Request::Document => panic!("a document is asked for"),
+            Request::Document => panic!("expected a report, received a document request"),
         }
     }
 }
 
-/// Until the connection ends.
+/// Serves a connection until it is closed.
 fn serve(socket: &TcpStream, number: u64, document: &str, script: &mut Script, requests: &Sender<Request>) {
     let mut hello = [0; 6];
     (&mut &*socket).read_exact(&mut hello).unwrap();
     assert_eq!(&hello, b"DVFL\x02\0");
     wire::send_hello(socket).unwrap();
     wire::send(socket, &Response::Welcome { node: number }).unwrap();
-    while let Ok(request) = wire::receive::<Request>(socket, LONG, LONG) {
+    while let Ok(request) = wire::receive::<Request>(socket, TEST_TIMEOUT, TEST_TIMEOUT) {
         let responses = match &request {
             Request::Report { quota_report: report, .. } => vec![script(report)],
             Request::Document => {
@@ -117,13 +117,14 @@
         quotas: Default::default(),
         seed: 1,
     };
-    let (to, updates) = unbounded();
-    let client = FleetClient::start(settings, Clock::new(), move |n| _ = to.send(n), || 9).unwrap();
+    let (update_sender, updates) = unbounded();
+    let client =
+        FleetClient::start(settings, Clock::new(), move |n| _ = update_sender.send(n), || 9).unwrap();
     (client, updates)
 }
 
 fn next_rules_update(updates: &Receiver<RulesUpdate>) -> RulesUpdate {
-    updates.recv_timeout(LONG).expect("a rules update")
+    updates.recv_timeout(TEST_TIMEOUT).expect("expected a rules update")
 }
 
 fn named(tenant: &str) -> Option<Arc<str>> {
@@ -132,8 +133,11 @@
 
 #[test]
 fn client_follows_reported_version_admits_and_leaves() {
-    let node =
-        ScriptedNode::start(1, DOCUMENT, Box::new(|report| answered(report, Directive::AuditDisabled)));
+    let node = ScriptedNode::start(
+        1,
+        DOCUMENT,
+        Box::new(|report| report_response(report, Directive::AuditDisabled)),
+    );
     let (client, updates) = start_client(&[&node], None);
     let unknown = client.admit("till", None).unwrap_err();
     assert!(matches!(unknown, AdmissionError::NotConfigured { .. }), "{unknown}");
@@ -165,32 +169,32 @@
 }
 
 #[test]
-fn shut_out_client_rejects_every_request() {
-    let shut_out = Arc::new(AtomicBool::new(false));
-    let switch = shut_out.clone();
+fn fenced_out_client_rejects_every_request() {
+    let is_fenced_out = Arc::new(AtomicBool::new(false));
+    let fence_out = is_fenced_out.clone();
     let script = move |report: &Report| {
-        let directive = if switch.load(Ordering::Relaxed) {
+        let directive = if fence_out.load(Ordering::Relaxed) {
             Directive::FenceOut { epoch: 3 }
         } else {
             Directive::Continue { epoch: 0 }
         };
-        answered(report, directive)
+        report_response(report, directive)
     };
     let node = ScriptedNode::start(1, DOCUMENT, Box::new(script));
     node.accept.send(()).unwrap();
     let (client, updates) = start_client(&[&node], Some(AuditConfig::default()));
     while !matches!(next_rules_update(&updates), RulesUpdate::Confirmed { .. }) {}
     assert_eq!(client.admit("till", None).unwrap(), named("tills"));
-    // The deadline is cut to a little after the lease of about two seconds.
+    // The deadline is limited to shortly after the end of the lease of about two seconds.
     let now = Clock::new().now().0;
     let until = client.dispatch_deadline(Time(i64::MAX)).0;
     assert!((now + 200_000..now + 2_200_000).contains(&until), "{}", until - now);
-    shut_out.store(true, Ordering::Relaxed);
-    let begun = Instant::now();
+    is_fenced_out.store(true, Ordering::Relaxed);
+    let started = Instant::now();
     let fenced = loop {
         match client.resolve_tenant("till", None) {
-            Err(refused) => break refused,
-            Ok(_) => assert!(begun.elapsed() < LONG, "it is never fenced"),
+            Err(rejection) => break rejection,
+            Ok(_) => assert!(started.elapsed() < TEST_TIMEOUT, "the client was not fenced in time"),
         }
     };
     assert!(fenced.to_string().contains("it is shut out under epoch 3 with version 5"), "{fenced}");
@@ -204,8 +208,11 @@
 #[test]
 fn client_fails_over_to_leader() {
     let follower = ScriptedNode::start(1, DOCUMENT, Box::new(|_| Response::NotLeader { leader: 2 }));
-    let leader =
-        ScriptedNode::start(2, DOCUMENT, Box::new(|report| answered(report, Directive::AuditDisabled)));
+    let leader = ScriptedNode::start(
+        2,
+        DOCUMENT,
+        Box::new(|report| report_response(report, Directive::AuditDisabled)),
+    );
     follower.accept.send(()).unwrap();
     leader.accept.send(()).unwrap();
     let (_client, updates) = start_client(&[&follower, &leader], None);
@@ -219,7 +226,7 @@
     let node = ScriptedNode::start(
         1,
         "routers = 'many'\n",
-        Box::new(|report| answered(report, Directive::AuditDisabled)),
+        Box::new(|report| report_response(report, Directive::AuditDisabled)),
     );
     node.accept.send(()).unwrap();
     let (client, updates) = start_client(&[&node], None);
--- a/fleet/tests/common/mod.rs
+++ b/fleet/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Store nodes that run in the test's own process, each with the service that answers routers.
+//! Store nodes that run in the test process, each with the fleet service.
 use fleet::service::{self, Limits};
 use routing::Clock;
 use std::collections::BTreeMap;
@@ -7,19 +7,19 @@
 use std::time::Duration;
 use store::Store;
 
-/// A wait of this length ends only by a failure.
-pub(crate) const LONG: Duration = Duration::from_secs(20);
+/// Timeout that is only reached if a test fails.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One node of the store and the addresses that it listens on.
+/// A store node and the addresses that it listens on.
 pub(crate) struct Node {
     pub(crate) store: Store,
-    /// Where it answers the store's clients.
+    /// The address for store clients.
     pub(crate) client_addr: SocketAddr,
-    /// Where it answers routers.
+    /// The address for routers.
     pub(crate) fleet_addr: SocketAddr,
 }
 
-/// Starts node number `node` of a store whose nodes hear each other at `peers`.
+/// Starts the node with id `node` of a store. `peers` contains the addresses for raft messages of all nodes.
 pub(crate) fn start_node(
     node: u64,
     peers: BTreeMap<u64, SocketAddr>,
@@ -37,7 +37,8 @@
     Node { store, client_addr, fleet_addr }
 }
 
-/// Free addresses that no other test takes before they are used: each call has a loopback address of its own.
+/// Free addresses. Each call uses another loopback IP address, so that no other test takes a port before the
+/// nodes bind it.
 pub(crate) fn reserve_addrs(count: usize) -> Vec<SocketAddr> {
     static NEXT_CALL: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
--- a/fleet/tests/document_parts.rs
+++ b/fleet/tests/document_parts.rs
@@ -1,9 +1,9 @@
-//! Splitting and joining of a document's text.
+//! Splitting a document's text into parts and joining them.
 use fleet::document::parts::{MAX_PART_BYTES, content_hash, describe, join, part_key, split};
 use fleet::document::{DocumentError, Metadata};
 
 #[test]
-fn text_is_split_between_characters_and_joined_again() {
+fn text_is_split_at_character_boundaries_and_joined_again() {
     let text = "\u{e9}".repeat(MAX_PART_BYTES) + "x";
     let parts = split(&text);
     assert!(parts.len() == 3 && parts.iter().all(|p| p.len() <= MAX_PART_BYTES));
--- a/fleet/tests/service.rs
+++ b/fleet/tests/service.rs
@@ -1,7 +1,8 @@
-//! The service of the store's nodes, in one process on real sockets. Links between nodes can be cut.
+//! Tests of the fleet service on store nodes in one process, connected by real sockets. The connections
+//! between nodes can be cut.
 mod common;
 
-use common::{LONG, Node, reserve_addrs, start_node};
+use common::{Node, TEST_TIMEOUT, reserve_addrs, start_node};
 use fleet::document;
 use fleet::service::Limits;
 use fleet::wire::{self, Request, Response, UNKNOWN_LEADER};
@@ -16,7 +17,7 @@
 
 const DOCUMENT: &str = "routers = 300\nunnamed = 'all'\n[[tenant]]\nname = 'all'\nrate = 3000.0\nburst = 3000\non_loss = 'closed'\n";
 
-/// The connection from one node to another.
+/// The proxy for messages from one node to another.
 struct Link {
     from: u64,
     to: u64,
@@ -54,9 +55,9 @@
         document::write(&self.client(), DOCUMENT, Some(0), "").unwrap()
     }
 
-    /// The index of the leader, once there is one that is not `except`.
+    /// Waits for a leader other than `except` and returns its index.
     fn wait_for_leader(&self, except: Option<usize>) -> usize {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let leads = |i: &usize| {
                 Some(*i) != except && matches!(self.nodes[*i].store.read_as_leader(), Ok(Some(_)))
@@ -64,28 +65,29 @@
             if let Some(i) = (0..self.nodes.len()).find(leads) {
                 return i;
             }
-            assert!(begun.elapsed() < LONG, "no leader");
+            assert!(started.elapsed() < TEST_TIMEOUT, "no leader was elected");
         }
     }
 
     fn connect(&self, index: usize) -> TcpStream {
         let socket = TcpStream::connect(self.nodes[index].fleet_addr).unwrap();
         wire::send_hello(&socket).unwrap();
-        wire::receive_hello(&socket, LONG).unwrap();
+        wire::receive_hello(&socket, TEST_TIMEOUT).unwrap();
         assert_eq!(receive(&socket), Response::Welcome { node: index as u64 + 1 });
         socket
     }
 
-    /// Connects to the only node; `None` where it rejects the connection.
+    /// Connects to the only node. Returns `None` if it rejects the connection.
     fn try_connect(&self) -> Option<TcpStream> {
         let socket = TcpStream::connect(self.nodes[0].fleet_addr).unwrap();
-        wire::receive_hello(&socket, LONG).unwrap();
+        wire::receive_hello(&socket, TEST_TIMEOUT).unwrap();
         wire::send_hello(&socket).ok()?;
-        let welcomed = matches!(wire::receive(&socket, LONG, LONG), Ok(Response::Welcome { node: 1 }));
+        let welcomed =
+            matches!(wire::receive(&socket, TEST_TIMEOUT, TEST_TIMEOUT), Ok(Response::Welcome { node: 1 }));
         welcomed.then_some(socket)
     }
 
-    /// Cuts all links of a node.
+    /// Cuts all connections between a node and the others.
     fn isolate(&self, index: usize) {
         let node = index as u64 + 1;
         for link in self.links.iter().filter(|link| link.from == node || link.to == node) {
@@ -106,7 +108,7 @@
 }
 
 fn receive(socket: &TcpStream) -> Response {
-    wire::receive(socket, LONG, LONG).unwrap()
+    wire::receive(socket, TEST_TIMEOUT, TEST_TIMEOUT).unwrap()
 }
 
 fn send_report(socket: &TcpStream, report: Report) -> Response {
@@ -115,8 +117,8 @@
     receive(socket)
 }
 
-/// Sends a report and returns the answer of the leader.
-fn expect_answer(socket: &TcpStream, report: Report) -> quotas::GrantResponse {
+/// Sends a report and returns the leader's response.
+fn expect_report_response(socket: &TcpStream, report: Report) -> quotas::GrantResponse {
     match send_report(socket, report) {
         Response::Report { quota_response, .. } => quota_response,
         other => panic!("{other:?}"),
@@ -124,7 +126,7 @@
 }
 
 #[test]
-fn report_is_answered_only_by_confirmed_leader() {
+fn only_confirmed_leader_accepts_reports() {
     let cluster = Cluster::start(3, Limits::default());
     let leader = cluster.wait_for_leader(None);
     let version = cluster.write_document();
@@ -134,45 +136,45 @@
         assert_eq!(response, Response::NotLeader { leader: leader as u64 + 1 });
     }
     let socket = cluster.connect(leader);
-    let first = expect_answer(&socket, quota_client.report(clock.now()));
+    let first = expect_report_response(&socket, quota_client.report(clock.now()));
     assert_eq!(first.version, version);
     wire::send(&socket, &Request::Document).unwrap();
     let bytes = DOCUMENT.as_bytes().to_vec();
     assert_eq!(receive(&socket), Response::DocumentPart { version, bytes, is_last: true });
-    // Isolated, it believes for a while that it leads, and must not grant anything.
+    // The isolated node still believes to be the leader for a while, but must not grant quotas.
     cluster.isolate(leader);
     let response = send_report(&socket, quota_client.report(clock.now()));
     assert!(matches!(response, Response::NotLeader { .. }), "{response:?}");
     let next = cluster.wait_for_leader(Some(leader));
-    let second = expect_answer(&cluster.connect(next), quota_client.report(clock.now()));
+    let second = expect_report_response(&cluster.connect(next), quota_client.report(clock.now()));
     assert!(second.term > first.term && second.version == version);
 }
 
 #[test]
-fn one_node_answers_300_routers() {
+fn one_node_serves_300_routers() {
     const ROUTERS: usize = 300;
     let cluster = Cluster::start(3, Limits::default());
     let leader = cluster.wait_for_leader(None);
     cluster.write_document();
-    let begun = Instant::now();
+    let started = Instant::now();
     let answered: usize = std::thread::scope(|scope| {
         let router = |n| {
             let cluster = &cluster;
             let run = move || {
                 let (socket, clock, mut quota_client) =
                     (cluster.connect(leader), Clock::new(), quota_client(n));
-                let mut is_answered = || {
+                let mut has_response = || {
                     let response = send_report(&socket, quota_client.report(clock.now()));
                     matches!(response, Response::Report { .. })
                 };
-                // On a busy host the answer to a report may come too late.
-                (0..5).filter(|_| (0..20).any(|_| is_answered())).count()
+                // On a busy host the response to a report may time out, so each report is retried.
+                (0..5).filter(|_| (0..20).any(|_| has_response())).count()
             };
             std::thread::Builder::new().stack_size(256 << 10).spawn_scoped(scope, run).unwrap()
         };
         (0..ROUTERS).map(router).collect::<Vec<_>>().into_iter().map(|t| t.join().unwrap()).sum()
     });
-    println!("{answered} reports in {:?}", begun.elapsed());
+    println!("{answered} reports in {:?}", started.elapsed());
     assert_eq!(answered, 5 * ROUTERS);
 }
 
@@ -189,17 +191,17 @@
         b"DVFL\x01\0\x03\0\0\0\x00\xff\xff",
         b"DV",
     ] {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut socket = loop {
-            // The previous connection may still be counted.
+            // The previous connection may still count towards the limit.
             if let Some(socket) = cluster.try_connect() {
                 break socket;
             }
-            assert!(begun.elapsed() < LONG);
+            assert!(started.elapsed() < TEST_TIMEOUT);
         };
         _ = socket.write_all(bytes);
-        socket.set_read_timeout(Some(LONG)).unwrap();
-        // The connection ends without a response.
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        // The connection is closed without a response.
         assert!(matches!(socket.read(&mut [0; 64]), Ok(0) | Err(_)));
     }
     let second = loop {
@@ -208,15 +210,15 @@
         }
     };
     let third = TcpStream::connect(cluster.nodes[0].fleet_addr).unwrap();
-    wire::receive_hello(&third, LONG).unwrap();
+    wire::receive_hello(&third, TEST_TIMEOUT).unwrap();
     assert_eq!(receive(&third), Response::Busy { max_connections: 2 });
-    // The connections before are served all the same.
-    expect_answer(&held, quota_client(1).report(Clock::new().now()));
+    // The earlier connections are still served.
+    expect_report_response(&held, quota_client(1).report(Clock::new().now()));
     drop(second);
 }
 
 #[test]
-fn damaged_document_is_neither_granted_by_nor_served() {
+fn damaged_document_is_not_used_for_grants_and_not_served() {
     let cluster = Cluster::start(1, Limits::default());
     _ = cluster.wait_for_leader(None);
     let client = cluster.client();
@@ -225,9 +227,9 @@
     let response = send_report(&socket, quota_client.report(clock.now()));
     assert_eq!(response, Response::NotLeader { leader: UNKNOWN_LEADER });
     wire::send(&socket, &Request::Document).unwrap();
-    assert!(wire::receive::<Response>(&socket, LONG, LONG).is_err());
-    // Written again, it is in use.
+    assert!(wire::receive::<Response>(&socket, TEST_TIMEOUT, TEST_TIMEOUT).is_err());
+    // After the document is written again, it is used.
     let version = document::write(&client, DOCUMENT, None, "").unwrap();
-    let answer = expect_answer(&cluster.connect(0), quota_client.report(clock.now()));
-    assert_eq!(answer.version, version);
+    let response = expect_report_response(&cluster.connect(0), quota_client.report(clock.now()));
+    assert_eq!(response.version, version);
 }
--- a/fleet/tests/stored_forms.rs
+++ b/fleet/tests/stored_forms.rs
@@ -1,9 +1,10 @@
-//! The forms that the store keeps and that routers and nodes of other builds exchange. The files under `fixtures/` were
-//! written by the program before its names were revised: it must read them as it did, and write the same bytes.
+//! The formats that are stored, or exchanged between routers and nodes of different builds. An earlier
+//! version of the program wrote the files under `fixtures/`: this version must read them in the same way, and
+//! write the same bytes.
 mod common;
 
 use audit::{Batch, Directive, Entry, EntryKind, VersionReport};
-use common::{LONG, Node, reserve_addrs, start_node};
+use common::{Node, TEST_TIMEOUT, reserve_addrs, start_node};
 use fleet::audit_record;
 use fleet::document::{self, CURRENT_KEY, Document, Metadata, PreviousDocument};
 use fleet::service::Limits;
@@ -26,26 +27,34 @@
 /// Both ends of a connection.
 fn connection() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    (near, listener.accept().unwrap().0)
+    let local = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    (local, listener.accept().unwrap().0)
 }
 
-/// What `write` puts on a connection.
+/// Returns the bytes that `write` writes to a connection.
 fn bytes_of(write: impl FnOnce(&TcpStream)) -> Vec<u8> {
-    let (near, mut far) = connection();
-    write(&near);
-    drop(near);
+    let (local, mut remote) = connection();
+    write(&local);
+    drop(local);
     let mut bytes = Vec::new();
-    far.read_to_end(&mut bytes).unwrap();
+    remote.read_to_end(&mut bytes).unwrap();
     bytes
 }
 
 fn assert_frame<T: Serialize + DeserializeOwned + Debug + PartialEq>(name: &str, message: &T) {
     let stored = FIXTURES.bytes(name);
-    let (mut near, far) = connection();
-    near.write_all(&stored).unwrap();
-    assert_eq!(&wire::receive::<T>(&far, LONG, LONG).unwrap(), message, "{name} is read");
-    assert_eq!(bytes_of(|socket| wire::send(socket, message).unwrap()), stored, "{name} is written");
+    let (mut local, remote) = connection();
+    local.write_all(&stored).unwrap();
+    assert_eq!(
+        &wire::receive::<T>(&remote, TEST_TIMEOUT, TEST_TIMEOUT).unwrap(),
+        message,
+        "{name}: parsing the fixture"
+    );
+    assert_eq!(
+        bytes_of(|socket| wire::send(socket, message).unwrap()),
+        stored,
+        "{name}: encoding the message"
+    );
 }
 
 fn full_report() -> Report {
@@ -97,9 +106,9 @@
 fn hello_bytes_match_fixture() {
     let stored = FIXTURES.bytes("hello.bin");
     assert_eq!(bytes_of(|socket| wire::send_hello(socket).unwrap()), stored);
-    let (mut near, far) = connection();
-    near.write_all(&stored).unwrap();
-    wire::receive_hello(&far, LONG).unwrap();
+    let (mut local, remote) = connection();
+    local.write_all(&stored).unwrap();
+    wire::receive_hello(&remote, TEST_TIMEOUT).unwrap();
 }
 
 #[test]
@@ -147,7 +156,7 @@
 }
 
 #[test]
-fn service_answers_frames_of_fixtures() {
+fn service_responds_to_request_fixtures_with_response_fixtures() {
     let (node, _client) = single_node(None);
     let mut socket = TcpStream::connect(node.fleet_addr).unwrap();
     socket.write_all(&FIXTURES.bytes("hello.bin")).unwrap();
@@ -155,7 +164,10 @@
     let mut hello = [0; 6];
     socket.read_exact(&mut hello).unwrap();
     assert_eq!(hello.as_slice(), FIXTURES.bytes("hello.bin"));
-    assert_eq!(wire::receive::<Response>(&socket, LONG, LONG).unwrap(), Response::Welcome { node: 1 });
+    assert_eq!(
+        wire::receive::<Response>(&socket, TEST_TIMEOUT, TEST_TIMEOUT).unwrap(),
+        Response::Welcome { node: 1 }
+    );
     let expected = FIXTURES.bytes("answer_no_document.bin");
     let mut frame = vec![0; expected.len()];
     socket.read_exact(&mut frame).unwrap();
@@ -196,7 +208,7 @@
     assert_eq!(serde_json::to_string(&audit_batch()).unwrap(), stored);
 }
 
-/// A store of one node that leads, and a client of it.
+/// Starts a store with a single node, and a client of it.
 fn single_node(audit: Option<audit::Settings>) -> (Node, Client) {
     let peers = (1..).zip(reserve_addrs(1)).collect();
     let node = start_node(1, peers, audit, Limits::default());
@@ -209,14 +221,14 @@
     let audit = audit::Settings::new(&settings::fleet::AuditConfig::default(), 2_000_000, 1);
     let (_node, client) = single_node(Some(audit));
     document::write(&client, SHORT_DOCUMENT, Some(0), "").unwrap();
-    let begun = Instant::now();
+    let started = Instant::now();
     let (key, text) = loop {
         let mut found = client.list(audit_record::KEY_PREFIX, Consistency::Linearizable).unwrap().value;
         if !found.is_empty() {
             let (key, value) = found.remove(0);
             break (key, value.text);
         }
-        assert!(begun.elapsed() < LONG, "no batch is written");
+        assert!(started.elapsed() < TEST_TIMEOUT, "no batch was written in time");
     };
     assert_eq!(key, "fleet/audit/0000");
     let batch = audit_record::parse_batch(&text).unwrap();
@@ -226,12 +238,12 @@
 
 const SHORT_DOCUMENT: &str = "routers = 2\nunnamed = 'all'\n[[tenant]]\nname = 'all'\n";
 
-/// Of three parts; a character stands across the place where the first one would end.
+/// A text of three parts. A multi-byte character spans the position where the first part would end otherwise.
 fn long_document() -> String {
     format!("{SHORT_DOCUMENT}#  {}\n", "\u{20ac}".repeat(40_000))
 }
 
-/// The part's key and its bytes, from a line `KEY LENGTH CRC32`.
+/// Parses a part's key, length and checksum from a line `KEY LENGTH CRC32`.
 fn listed_part(line: &str) -> (&str, usize, &str) {
     let fields: Vec<&str> = line.split(' ').collect();
     (fields[0], fields[1].parse().unwrap(), fields[2])
@@ -242,12 +254,12 @@
     found.into_iter().map(|(key, value)| (key, value.text)).collect()
 }
 
-/// The pointer's fixture with the version of the earlier document replaced by that of this run.
+/// The pointer fixture, with the version of the previous document replaced by the one of this run.
 fn pointer_with_previous(version: u64) -> String {
     let stored = FIXTURES.text("document_pointer_second.json");
     let parsed: serde_json::Value = serde_json::from_str(&stored).unwrap();
-    let earlier = parsed["before"][0][0].as_u64().unwrap();
-    stored.replacen(&format!("[[{earlier},"), &format!("[[{version},"), 1)
+    let previous_version = parsed["before"][0][0].as_u64().unwrap();
+    stored.replacen(&format!("[[{previous_version},"), &format!("[[{version},"), 1)
 }
 
 fn short_metadata() -> Metadata {
@@ -271,7 +283,7 @@
 }
 
 #[test]
-fn document_is_written_under_keys_and_values_of_fixtures() {
+fn written_document_matches_fixture_keys_and_values() {
     let (_node, client) = single_node(None);
     let first = document::write(&client, SHORT_DOCUMENT, Some(0), &short_metadata().note).unwrap();
     let mut keys = stored_keys(&client).into_iter();
@@ -291,7 +303,7 @@
 }
 
 #[test]
-fn stored_documents_of_fixtures_are_read() {
+fn document_fixtures_are_read() {
     let (node, client) = single_node(None);
     let put = |key: &str, text: &str| client.put(key, text, Default::default()).unwrap().revision;
     let listing = FIXTURES.text("document_parts_first.txt");
@@ -314,17 +326,17 @@
         if key == listed_part(listing.trim_end()).0 {
             continue;
         }
-        let (part, behind) = rest.split_at(length);
+        let (part, remaining) = rest.split_at(length);
         assert_eq!(format!("{:08x}", crc32fast::hash(part.as_bytes())), checksum, "{key}");
         put(key, part);
-        rest = behind;
+        rest = remaining;
     }
     let second = put(CURRENT_KEY, &pointer_with_previous(first));
     let found = document::read(&client).unwrap().unwrap();
     assert_eq!((found.version, found.text.as_str()), (second, text.as_str()));
     assert_eq!(found.metadata, long_metadata());
     assert_eq!(found.previous, [PreviousDocument { version: first, metadata: short_metadata() }]);
-    // The previous document is still stored: an undo makes it current again.
+    // The previous document is still stored, so an undo restores it.
     document::undo(&client, "back").unwrap();
     assert_eq!(document::read(&client).unwrap().unwrap().text, SHORT_DOCUMENT);
 }
--- a/fleet/tests/tenants.rs
+++ b/fleet/tests/tenants.rs
@@ -1,9 +1,9 @@
-//! The order in which a request's tenant is looked for.
+//! The order of the rules that determine a request's tenant.
 use fleet::client::tenants::TenantDirectory;
 use settings::fleet::Fleet;
 
 #[test]
-fn tenant_of_user_precedes_named_tenant_and_unnamed_one_is_last() {
+fn tenant_of_user_precedes_named_tenant_and_default_tenant_is_last() {
     let text = "routers = 1\nunnamed = 'all'\n[[tenant]]\nname = 'all'\n[[tenant]]\nname = 'tills'\nusers = ['till']\n";
     let tenants = TenantDirectory::new(7, &settings::fleet::read(text, None).unwrap());
     let resolve = |user, named| tenants.resolve(user, named).map(ToString::to_string);
--- a/tests/one_fleet.rs
+++ b/tests/one_fleet.rs
@@ -258,7 +258,7 @@
     all.followed(v);
     let set = |all: &Installation| all.show()["version"].as_u64().unwrap();
     assert_eq!(set(&all), v);
-    assert!(all.set(&first, &["--expect", "0"]).unwrap_err().contains(&format!("version {v} stands there")));
+    assert!(all.set(&first, &["--expect", "0"]).unwrap_err().contains(&format!("current version is {v}")));
     // More than one value of the store holds.
     let many: String =
         (0..4000).map(|i| format!("[[tenant]]\nname = 'tenant-{i}'\nrate = 1.0\nburst = 3\n")).collect();
