--- a/fleet/src/document/write.rs
+++ b/fleet/src/document/write.rs
@@ -46,8 +46,8 @@
 ///
 /// # Errors
 /// [`DocumentError::Invalid`] names the invalid key, and [`DocumentError::VersionConflict`] the version that
-/// another writer has written. Nothing has changed after these or after [`DocumentError::NoteTooLong`].
-/// [`DocumentError::Store`] has the causes of any failed write to the store.
+/// another writer has written. Nothing has changed after these or after [`DocumentError::NoteTooLong`]. After
+/// [`DocumentError::Store`], a failed request to the store, the document may have been written.
 pub fn write(
     client: &Client,
     text: &str,
--- a/fleet/src/wire.rs
+++ b/fleet/src/wire.rs
@@ -77,10 +77,11 @@
     store::wire::send_hello(socket, FLEET_PROTOCOL)
 }
 
-/// Receives and checks the peer's hello within `timeout`.
+/// Receives and checks the other side's hello within `timeout`.
 ///
 /// # Errors
-/// Fails if the connection fails, no hello is received in time, or the peer uses another protocol or version.
+/// Fails if the connection fails, no hello is received in time, or the other side uses another protocol or
+/// version.
 pub fn receive_hello(socket: &TcpStream, timeout: Duration) -> Result<(), WireError> {
     store::wire::receive_hello(socket, FLEET_PROTOCOL, timeout)
 }
--- a/fleet/tests/stored_forms.rs
+++ b/fleet/tests/stored_forms.rs
@@ -238,7 +238,7 @@
 
 const SHORT_DOCUMENT: &str = "routers = 2\nunnamed = 'all'\n[[tenant]]\nname = 'all'\n";
 
-/// A text of three parts. A multi-byte character spans the position where the first part would end otherwise.
+/// A text of three parts. A multi-byte character spans the place where the first part would end otherwise.
 fn long_document() -> String {
     format!("{SHORT_DOCUMENT}#  {}\n", "\u{20ac}".repeat(40_000))
 }
--- a/store/src/client/connection.rs
+++ b/store/src/client/connection.rs
@@ -50,7 +50,7 @@
         self.socket.is_some()
     }
 
-    /// Sends a request. Connects first if the connection is closed is open.
+    /// Sends a request. Connects first if no connection is open.
     pub(super) fn send(&mut self, request: &Request) -> Result<(), AttemptError> {
         let socket = match self.socket.take() {
             Some(socket) => socket,
--- a/store/src/client/session.rs
+++ b/store/src/client/session.rs
@@ -1,4 +1,4 @@
-//! Calls with retries, and writes that are applied exactly once.
+//! Calls with retries. A write is applied at most once, however often it is retried.
 use super::connection::{AttemptError, Connection};
 use super::error::ClientError;
 use super::settings::Settings;
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Applies a write exactly once. Its sequence number follows that of the last write, whether or not that
-    /// one succeeded.
+    /// Makes a write, which is applied at most once. Its sequence number follows that of the last write,
+    /// whether or not that one succeeded.
     pub(super) fn write(&mut self, operation: &Operation) -> Result<Written, ClientError> {
         loop {
             let mut origin = self.origin()?;
--- a/store/src/lease_timers.rs
+++ b/store/src/lease_timers.rs
@@ -12,7 +12,7 @@
 /// A held lease and its time to live, for starting its countdown.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseTimer {
-    /// The lease.
+    /// Identifies the lease.
     pub token: FencingToken,
     /// The number of renewals of the lease so far.
     pub renewals: u64,
@@ -67,7 +67,7 @@
 }
 
 impl LeaseTimers {
-    /// Handles an event. Appends an [`Command::ExpireLease`] to `proposals` for each lease that is due,
+    /// Handles an event. Appends a [`Command::ExpireLease`] to `proposals` for each lease that is due,
     /// ordered by epoch.
     pub fn handle(&mut self, event: LeaseTimerEvent, proposals: &mut Vec<Command>) {
         match event {
--- a/store/src/log_file.rs
+++ b/store/src/log_file.rs
@@ -25,7 +25,7 @@
 /// Length of the length field and the checksum.
 const HEADER_BYTES: usize = 8;
 
-/// Why a log file is rejected. Its records were acknowledged to other nodes, so none of them may be dropped.
+/// Why a log file is rejected. Its records have been acknowledged, so none of them may be dropped.
 #[derive(Debug, thiserror::Error)]
 enum LogDamage {
     #[error(
--- a/store/src/node/actor.rs
+++ b/store/src/node/actor.rs
@@ -35,7 +35,7 @@
     proposed_at: Instant,
 }
 
-/// One node of the store.
+/// The state that the actor's thread owns.
 pub(super) struct Node {
     pub(super) raft: RawNode<RaftStorage>,
     pub(super) storage: RaftStorage,
--- a/store/src/node/responses.rs
+++ b/store/src/node/responses.rs
@@ -14,7 +14,7 @@
 /// The result of a linearizable read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfirmedRead {
-    /// The keys.
+    /// All keys.
     pub state: State,
     /// The term of the leader.
     pub term: u64,
@@ -45,7 +45,7 @@
     }
 }
 
-/// The state of a node.
+/// The status of a node: its id, and the leader and term that it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeStatus {
     /// The node's id.
--- a/store/src/wire.rs
+++ b/store/src/wire.rs
@@ -42,10 +42,10 @@
     /// The connection has failed, was closed or timed out.
     #[error("connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The peer uses another protocol.
+    /// The other side uses another protocol.
     #[error("the other side does not use this protocol; check the address")]
     WrongProtocol,
-    /// The peer uses another version of the protocol.
+    /// The other side uses another version of the protocol.
     #[error(
         "the other side uses protocol version {0}, this side {own}; run the same program version on both",
         own = STORE_PROTOCOL.version
@@ -69,7 +69,7 @@
     socket.write_all(&[m0, m1, m2, m3, low, high])
 }
 
-/// Receives and checks the peer's hello within `timeout`.
+/// Receives and checks the other side's hello within `timeout`.
 ///
 /// # Errors
 /// [`WireError::WrongProtocol`] and [`WireError::WrongVersion`] if it differs, [`WireError::Io`] if none is
@@ -125,7 +125,7 @@
     let mut body = Vec::new();
     while body.len() < length {
         let filled = body.len();
-        // The peer must not make this side allocate more memory than it sends bytes.
+        // The other side must not make this process allocate more memory than it sends bytes.
         body.resize(length.min(filled + BUFFER_STEP_BYTES), 0);
         read_exact_until(socket, &mut body[filled..], deadline)?;
     }
@@ -136,8 +136,8 @@
     }
 }
 
-/// Fills the buffer before the deadline. A plain socket timeout would restart with each read, so a peer that
-/// sends one byte at a time could hold the connection open forever.
+/// Fills the buffer before the deadline. A plain socket timeout would restart with each read, so a sender of
+/// one byte at a time could hold the connection open forever.
 fn read_exact_until(mut socket: &TcpStream, buffer: &mut [u8], deadline: Instant) -> io::Result<()> {
     let mut filled = 0;
     while filled < buffer.len() {
--- a/store/src/wire/messages.rs
+++ b/store/src/wire/messages.rs
@@ -77,7 +77,7 @@
 pub enum Response {
     /// The node accepts the connection, after the hello.
     Welcome {
-        /// The node.
+        /// The id of the node.
         node: u64,
     },
     /// The node rejects the connection, because it has the maximum number of connections.
@@ -110,7 +110,7 @@
     },
     /// The node's status.
     Status {
-        /// The node.
+        /// The id of the node.
         node: u64,
         /// The leader's id, 0 if none is known.
         leader: u64,
@@ -135,9 +135,9 @@
     },
     /// The watched keys that one command changed.
     Changes(ChangeSet),
-    /// No watched key has changed up to a revision. Also sent at intervals to show that the node is alive.
+    /// Reports that no watched key has changed. Also sent at intervals to show that the node is alive.
     Progress {
-        /// The revision.
+        /// No watched key has changed up to this revision.
         revision: u64,
     },
     /// The watch ends because the node has known no leader for too long; another node may know one.
--- a/store/tests/log_damage.rs
+++ b/store/tests/log_damage.rs
@@ -1,6 +1,6 @@
-//! Opens log files with each single byte missing or changed. A damaged end of the file is a torn tail and is
-//! truncated; damage that is followed by an acknowledged record is an error, because truncating the file
-//! would lose that record.
+//! Opens damaged log files: truncated at each byte, zeroed from each byte on, and with each single byte
+//! inverted or removed. A damaged end of the file is a torn tail and is truncated. Damage that is followed by
+//! an acknowledged record is an error, because truncating the file would lose that record.
 //!
 //! The log has a record of each kind. `fixtures/log_damage.txt` contains the outcomes that were recorded when
 //! rejecting damaged logs was introduced. Each line has a kind of damage, the first and the last offset with
