--- a/discovery/src/connection.rs
+++ b/discovery/src/connection.rs
@@ -1,5 +1,5 @@
-//! One connection of the watch: it connects, sends the request and splits what comes. It never blocks: [`advance`]
-//! goes on where the last call stopped.
+//! One connection of the watch: connects, sends the request and splits the response. All I/O is non-blocking:
+//! [`advance`] continues where the last call stopped.
 //!
 //! [`advance`]: WatchConnection::advance
 
@@ -14,12 +14,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bytes that are read at a time.
+/// Buffer size for reads from the socket.
 const READ_BUFFER_BYTES: usize = 8192;
-/// After so many bytes of one connection the others have their turn.
+/// After reading this many bytes from one connection the driver serves the others.
 const MAX_BYTES_PER_TURN: usize = 64 * 1024;
 
-/// Reads a socket that its connection also writes to.
+/// A reader for the socket, which the connection also writes to.
 struct SharedSocket(Arc<TcpStream>);
 
 impl Read for SharedSocket {
@@ -28,57 +28,58 @@
     }
 }
 
-/// The answer's body: what came behind the head first, then the socket.
+/// The response body: first the bytes received together with the head, then the socket.
 type StreamBody = Body<Chain<Cursor<Vec<u8>>, SharedSocket>>;
 
 enum State {
-    /// The connection is not up yet.
+    /// The TCP connection is not established yet.
     Connecting,
-    /// The request is being written; this is left of it.
+    /// The request is being sent; holds the unsent bytes.
     Requesting(Vec<u8>),
-    /// The head of the answer is incomplete; these are its bytes so far.
+    /// The response head is being received; holds its bytes so far.
     ReadingHead(Vec<u8>),
-    /// The answer's body is read.
+    /// The response body is being received.
     Streaming(Box<(StreamBody, ObjectSplitter)>),
 }
 
-/// What a connection has brought, in order.
+/// A part of the response that was received.
 #[derive(Debug)]
 pub(crate) enum Received {
     /// A response head with status 200.
     ResponseHead,
-    /// An object or an empty line.
+    /// An object or an empty line of the response body.
     Item(StreamItem),
 }
 
-/// Whether a connection that is not over has more to read at once.
+/// Whether an open connection may have more to read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Progress {
-    /// It waits for an event of its socket.
+    /// The connection waits for an event of its socket.
     Waiting,
-    /// It has used up its turn.
+    /// The connection stopped at the limit of bytes per turn, or was interrupted.
     HasMore,
 }
 
 pub(crate) struct WatchConnection {
     socket: Arc<TcpStream>,
-    /// The address that it is connected to.
+    /// The address that the connection goes to.
     pub(crate) addr: SocketAddr,
-    /// The version that it resumed from, or the last one that it has brought; `None` before it has sent its request.
+    /// The version that it resumed from, or the last one received; `None` before the request is sent.
     pub(crate) version: Option<u64>,
     state: State,
-    /// Until the response head is there, the connection fails at this moment.
+    /// When the connection times out, unless the current step (connect, or part of the response head) has
+    /// completed.
     step_deadline: Instant,
-    /// How long the agent may take for each further part of the head.
+    /// Timeout for each further part of the response head.
     head_timeout: Duration,
     max_object_bytes: usize,
 }
 
 impl WatchConnection {
-    /// Begins to connect; `registry` reports the socket's events under `token`.
+    /// Starts to connect; `registry` reports the socket's events with `token`.
     ///
     /// # Errors
-    /// The system's, among others if the process is out of descriptors.
+    /// An error of the operating system, for example if the process has no file descriptors left.
     pub(crate) fn open(
         addr: SocketAddr,
         limits: &Limits,
@@ -98,16 +99,17 @@
         })
     }
 
-    /// When the connection has failed unless it is further by then; `None` once the head is there, from when on the
-    /// state machine decides how long it may be silent.
+    /// When the current step times out; `None` after the response head, from which on the state machine
+    /// decides how long the connection may be silent.
     pub(crate) fn step_deadline(&self) -> Option<Instant> {
         (!matches!(self.state, State::Streaming(_))).then_some(self.step_deadline)
     }
 
-    /// The socket has become writable: where it was connecting, that has ended. The request resumes from `version`.
+    /// Handles a writable socket: if it was connecting, the attempt has completed, and the request is
+    /// prepared. The request resumes from `version`.
     ///
     /// # Errors
-    /// The connection could not be made.
+    /// If the connection could not be established.
     pub(crate) fn on_writable(&mut self, version: u64) -> Result<(), ConnectionError> {
         if !matches!(self.state, State::Connecting) {
             return Ok(());
@@ -115,7 +117,7 @@
         if let Some(error) = self.socket.take_error()? {
             return Err(error.into());
         }
-        // Set behind the connect: before it, some systems refuse it.
+        // Set after the connection is established, as some operating systems reject it before.
         self.socket.set_nodelay(true)?;
         let addr = self.addr;
         let request = format!("GET /v1/servers?stream=1&index={version} HTTP/1.1\r\nHost: {addr}\r\n\r\n");
@@ -125,10 +127,10 @@
         Ok(())
     }
 
-    /// Writes and reads what can be without waiting, and adds what has come to `received`.
+    /// Writes and reads as much as possible without blocking, and appends the received parts to `received`.
     ///
     /// # Errors
-    /// Why the connection is over. What came before is in `received` and counts.
+    /// If the connection has ended. Parts received before are in `received` and have to be processed.
     pub(crate) fn advance(&mut self, received: &mut Vec<Received>) -> Result<Progress, ConnectionError> {
         let advanced = self.advance_states(received);
         match advanced {
@@ -156,20 +158,20 @@
                 State::ReadingHead(head) => {
                     read_head(&self.socket, head)?;
                     self.step_deadline = Instant::now() + self.head_timeout;
-                    if has_whole_head(head) || head.len() > MAX_HEAD_BYTES {
+                    if has_complete_head(head) || head.len() > MAX_HEAD_BYTES {
                         self.state = self.begin_body()?;
                         received.push(Received::ResponseHead);
                     }
                 }
                 State::Streaming(stream) => {
                     let (body, splitter) = &mut **stream;
-                    return forward_items(body, splitter, received);
+                    return read_items(body, splitter, received);
                 }
             }
         }
     }
 
-    /// The state behind a whole response head.
+    /// Parses the complete response head, and returns the state for reading the body.
     fn begin_body(&mut self) -> Result<State, ConnectionError> {
         let State::ReadingHead(head) = &mut self.state else { return Err(ConnectionError::Closed) };
         let received_head = Cursor::new(std::mem::take(head));
@@ -182,7 +184,7 @@
     }
 }
 
-/// Reads some more of a response head.
+/// Reads the next part of a response head.
 fn read_head(mut socket: &TcpStream, head: &mut Vec<u8>) -> Result<(), ConnectionError> {
     let mut bytes = [0; 1024];
     let count = socket.read(&mut bytes)?;
@@ -193,12 +195,12 @@
     Ok(())
 }
 
-fn has_whole_head(bytes: &[u8]) -> bool {
+fn has_complete_head(bytes: &[u8]) -> bool {
     bytes.windows(4).any(|four| four == b"\r\n\r\n")
 }
 
-/// Reads the body until nothing more has come or the turn is over.
-fn forward_items(
+/// Reads the body until no more data is available or the limit of bytes per turn is reached.
+fn read_items(
     body: &mut StreamBody,
     splitter: &mut ObjectSplitter,
     received: &mut Vec<Received>,
@@ -212,7 +214,7 @@
         total += bytes.len();
         let split = splitter.push(&bytes, &mut items);
         bytes.clear();
-        // What came before the fault still counts.
+        // Elements before the fault are still processed.
         received.extend(items.drain(..).map(Received::Item));
         split?;
     }
--- a/discovery/src/driver.rs
+++ b/discovery/src/driver.rs
@@ -1,5 +1,5 @@
-//! The thread that carries out what the state machine decides, and that serves all connections. It alone updates the
-//! list.
+//! The thread that performs the actions of the state machine and serves all connections. Only this thread
+//! updates the endpoint list.
 
 use crate::connection::{Progress, Received, WatchConnection};
 use crate::endpoint_list::EndpointListParser;
@@ -16,49 +16,50 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// While discovery is away, up to four attempts a second fail: of these, the first and each tenth are warnings.
+/// While discovery is unreachable up to four attempts per second fail; the first and each tenth are logged as
+/// warnings, the others at debug level.
 const FAILURES_PER_WARNING: u32 = 10;
-/// The token of the waker. Connections have their ids, which count from 1.
+/// The token of the waker. Connections use their IDs as tokens, which start at 1.
 const WAKER: Token = Token(0);
-/// Events that are collected from the system at a time; there are few connections.
-const MAX_EVENTS_PER_TURN: usize = 32;
-/// How long after a failed wait the next one begins.
-const WAIT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Capacity of the event buffer of one poll; there are few connections.
+const MAX_EVENTS_PER_POLL: usize = 32;
+/// Delay after a failed poll.
+const POLL_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The actor of the list has ended, and with it the watch.
+/// The endpoint list's actor has ended, so the watch ends too.
 struct ListClosed;
 
-/// Where an update comes from.
+/// The connection that an update was received on.
 struct Source {
     connection: ConnectionId,
     addr: SocketAddr,
-    /// The connection's version before this update.
+    /// The version of the connection before this update.
     previous_version: u64,
 }
 
 pub(crate) struct Driver {
     shared: Arc<Shared>,
     poll: Poll,
-    /// The address that new connections go to.
+    /// The address for new connections.
     addr: SocketAddr,
-    /// Zero of the state machine's times.
+    /// The origin of the state machine's times.
     started: Instant,
     liveness: WatchLiveness,
     parser: EndpointListParser,
     connections: BTreeMap<ConnectionId, WatchConnection>,
-    /// Connections that may have something to read.
+    /// Connections that may have data to read.
     ready: BTreeSet<ConnectionId>,
-    /// The address whose version the list holds.
+    /// The address from which the endpoint list's version was received.
     version_source: Option<SocketAddr>,
-    /// Failed attempts since a watch was last live.
+    /// Failed connections since a watch was last live.
     failures: u32,
 }
 
 impl Driver {
-    /// A driver that has opened nothing yet, and what wakes it.
+    /// Creates a driver without connections, and the waker for its poll.
     ///
     /// # Errors
-    /// The system's, among others if the process is out of descriptors.
+    /// An error of the operating system, for example if the process has no file descriptors left.
     pub(crate) fn new(shared: Arc<Shared>, addr: SocketAddr) -> io::Result<(Driver, Waker)> {
         let poll = Poll::new()?;
         let waker = Waker::new(poll.registry(), WAKER)?;
@@ -77,16 +78,16 @@
         Ok((driver, waker))
     }
 
-    /// Runs until the actor of the list has ended.
+    /// Runs until the endpoint list's actor has ended.
     pub(crate) fn run(mut self, addresses: &Receiver<SocketAddr>) {
-        let mut events = Events::with_capacity(MAX_EVENTS_PER_TURN);
+        let mut events = Events::with_capacity(MAX_EVENTS_PER_POLL);
         loop {
-            self.wait(&mut events);
+            self.poll_events(&mut events);
             while let Ok(addr) = addresses.try_recv() {
                 self.addr = addr;
                 self.handle(Event::Follow);
             }
-            self.note_events(&events);
+            self.record_events(&events);
             if self.advance_ready().is_err() {
                 return;
             }
@@ -97,18 +98,18 @@
         }
     }
 
-    fn wait(&mut self, events: &mut Events) {
+    fn poll_events(&mut self, events: &mut Events) {
         let timeout = self.timeout();
         if let Err(error) = self.poll.poll(events, timeout)
             && error.kind() != io::ErrorKind::Interrupted
         {
             tracing::warn!(%error, "discovery poll failed, retrying");
-            // Not a busy loop: whatever is wrong, the connections are tried again at this pace.
-            std::thread::sleep(WAIT_RETRY_DELAY);
+            // Avoids a busy loop if the poll keeps failing.
+            std::thread::sleep(POLL_RETRY_DELAY);
         }
     }
 
-    /// How long nothing needs doing unless an event arrives. `None`: forever.
+    /// The timeout of the next poll: time until the earliest deadline, or `None` if there is none.
     fn timeout(&self) -> Option<Duration> {
         if !self.ready.is_empty() {
             return Some(Duration::ZERO);
@@ -118,7 +119,7 @@
         steps.chain(next).min().map(|at| at.saturating_duration_since(Instant::now()))
     }
 
-    fn note_events(&mut self, events: &Events) {
+    fn record_events(&mut self, events: &Events) {
         for event in events {
             if event.token() == WAKER {
                 continue;
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Each connection that may have something to read has one turn.
+    /// Serves each ready connection once, up to the limit of bytes per turn.
     fn advance_ready(&mut self) -> Result<(), ListClosed> {
         for id in std::mem::take(&mut self.ready) {
             self.advance(id)?;
@@ -154,7 +155,7 @@
         let mut received = Vec::new();
         let progress = connection.advance(&mut received);
         for part in received {
-            // An earlier part may have closed the connection.
+            // Handling an earlier part may have closed the connection.
             if !self.connections.contains_key(&id) {
                 return Ok(());
             }
@@ -171,7 +172,7 @@
         Ok(())
     }
 
-    /// Ends connections that have not come up, or brought no response head, in time.
+    /// Ends connections that were not established, or received no response head, in time.
     fn end_overdue_connections(&mut self) {
         let now = Instant::now();
         let is_overdue = |c: &WatchConnection| c.step_deadline().is_some_and(|at| at <= now);
@@ -195,7 +196,8 @@
         };
         self.handle(Event::Line { connection: id, has_update: update.is_some() });
         if let Some(update) = update {
-            // That line may have been what closed it: a previous address's connection whose time is over.
+            // Handling the line may have closed the connection, if it goes to the previous address and its
+            // grace period has ended.
             let Some(connection) = self.connections.get_mut(&id) else { return Ok(()) };
             let previous_version = connection.version.replace(update.version).unwrap_or(0);
             let source = Source { connection: id, addr: connection.addr, previous_version };
@@ -205,7 +207,7 @@
         Ok(())
     }
 
-    /// The update that an item holds; an empty line says that there is none.
+    /// Parses an element of the stream; `None` for an empty line, which carries no update.
     fn parse(&mut self, item: StreamItem) -> Result<Option<EndpointUpdate>, ConnectionError> {
         match item {
             StreamItem::EmptyLine => Ok(None),
@@ -215,52 +217,53 @@
         }
     }
 
-    /// Hands an update to the list.
+    /// Sends an update to the endpoint list.
     fn apply(&mut self, source: &Source, update: EndpointUpdate) -> Result<(), ListClosed> {
         let order = self.order(source, &update);
         let (version, complete) = (update.version, update.complete);
         if !self.shared.list.notify_ordered(order, update) {
             return Err(ListClosed);
         }
-        let restarted = order == UpdateOrder::VersionsRestarted;
+        let is_restart = order == UpdateOrder::VersionsRestarted;
         if complete || (version >= source.previous_version && order != UpdateOrder::AfterGap) {
             self.version_source = Some(source.addr);
         }
-        if restarted && source.previous_version > 0 {
+        if is_restart && source.previous_version > 0 {
             let previous_version = source.previous_version;
             tracing::warn!(version, previous_version, "discovery versions restarted");
             self.request_complete_list();
-        } else if complete || restarted {
+        } else if complete || is_restart {
             self.shared.set_resume_from_zero(false);
         }
         Ok(())
     }
 
-    /// What else has changed since discovery began anew is not known, so no connection may build on what is held.
+    /// Requests the complete list on new connections, after discovery restarted its version numbers: other
+    /// changes since then are unknown, so connections that resumed from an old version are closed.
     fn request_complete_list(&mut self) {
         self.shared.set_resume_from_zero(true);
-        // One that has not sent its request yet will ask for the complete list.
+        // A connection that has not sent its request yet will request the complete list.
         let resumed = self.connections.iter().filter(|(_, c)| c.version.is_some());
         for id in resumed.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.on_ended(id, &ConnectionError::VersionsRestarted);
         }
     }
 
-    /// How an update follows what the list holds.
+    /// Determines how an update relates to the contents of the endpoint list.
     fn order(&self, source: &Source, update: &EndpointUpdate) -> UpdateOrder {
         let Source { connection, addr, previous_version } = *source;
         if update.complete {
-            // It stands for itself, whatever came before.
+            // A complete list does not depend on earlier updates.
             return UpdateOrder::Consecutive;
         }
-        // Another agent's versions, after a move, may only be behind: its changes below the version held are ignored
-        // until it brings a complete list.
-        let went_back = update.version < previous_version && self.version_source == Some(addr);
-        let begins_anew = previous_version == 0 && self.shared.resumes_from_zero();
-        if went_back || begins_anew {
+        // After a change of address a lower version may only mean that the new agent lags: its changes below
+        // the list's version are ignored until it sends a complete list.
+        let has_decreased = update.version < previous_version && self.version_source == Some(addr);
+        let has_restarted = previous_version == 0 && self.shared.resumes_from_zero();
+        if has_decreased || has_restarted {
             UpdateOrder::VersionsRestarted
         } else if self.liveness.was_stale(connection) {
-            // It may have missed changes, and a new watch must still ask for these.
+            // The connection may have missed changes, which a new watch must still request.
             UpdateOrder::AfterGap
         } else {
             UpdateOrder::Consecutive
@@ -281,7 +284,7 @@
         self.handle(Event::Ended(id));
     }
 
-    /// Lets the state machine decide, and carries that out.
+    /// Passes an event to the state machine, and performs its actions.
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.liveness.handle(self.started.elapsed(), event, &mut actions);
@@ -301,7 +304,7 @@
         }
     }
 
-    /// Begins to connect. Where that fails at once, the connection has ended.
+    /// Opens a connection; an immediate failure is handled like the end of the connection.
     fn open(&mut self, id: ConnectionId) {
         let (limits, token) = (&self.shared.limits, Token(id.0 as usize));
         match WatchConnection::open(self.addr, limits, self.poll.registry(), token) {
@@ -310,7 +313,7 @@
         }
     }
 
-    /// Closes a connection, which its poll forgets with the descriptor.
+    /// Closes a connection. Closing its descriptor also removes it from the poll.
     fn close(&mut self, id: ConnectionId) {
         self.connections.remove(&id);
         self.ready.remove(&id);
--- a/discovery/src/endpoint_list.rs
+++ b/discovery/src/endpoint_list.rs
@@ -1,39 +1,39 @@
-//! Discovery's JSON objects as updates of the endpoint list.
+//! Parses discovery's JSON objects into updates of the endpoint list.
 
 use routing::{EndpointEntry, EndpointUpdate, GroupId, MemberState, Time};
 use serde_json::Value;
 use settings::Error;
 use settings::fields::{array, boolean, count, string, unsigned_integer};
 
-/// Microseconds in a millisecond, the unit in which discovery gives times.
+/// Microseconds per millisecond; discovery states times in milliseconds.
 const MICROS_PER_MS: f64 = 1000.0;
 
-/// Parses endpoint lists and changes, and numbers the zones that they name.
+/// Parses complete endpoint lists and changes of them, and assigns numbers to the zones in them.
 pub struct EndpointListParser {
-    /// Names of the zones, in the order of their numbers.
+    /// Names of the zones; a zone's index is its number.
     zones: Vec<String>,
 }
 
 impl EndpointListParser {
-    /// A parser for these zones, whose places are their numbers. Zones with other names get the numbers after them, in
-    /// the order in which they appear.
+    /// Creates a parser for these configured zones; a zone's index is its number. Unknown zones get the next
+    /// numbers in the order of their first appearance.
     pub fn new(zones: Vec<String>) -> Self {
         EndpointListParser { zones }
     }
 
-    /// Parses the bytes of one object.
+    /// Parses one JSON object.
     ///
     /// # Errors
-    /// They are not JSON, or no endpoint list; see [`parse_value`](Self::parse_value).
+    /// If the bytes are not JSON or not an endpoint list; see [`parse_value`](Self::parse_value).
     pub fn parse(&mut self, bytes: &[u8]) -> Result<EndpointUpdate, Error> {
         let value: Value = serde_json::from_slice(bytes)?;
         self.parse_value(&value)
     }
 
-    /// Reads one object: a complete list or a change of it.
+    /// Converts one JSON object: a complete list or a change.
     ///
     /// # Errors
-    /// A key is missing or has a value that can't be used; the error names the server and the key.
+    /// If a key is missing or has an invalid value; the error names the server and the key.
     pub fn parse_value(&mut self, value: &Value) -> Result<EndpointUpdate, Error> {
         let servers = array(value, "servers")?;
         let endpoints = servers.iter().map(|server| self.entry(server)).collect::<Result<_, _>>()?;
@@ -67,7 +67,7 @@
         })
     }
 
-    /// The number of a zone.
+    /// Returns the number of a zone; assigns the next one to an unknown zone.
     fn zone(&mut self, name: &str) -> u32 {
         let index = self.zones.iter().position(|zone| zone == name).unwrap_or_else(|| {
             self.zones.push(name.to_string());
--- a/discovery/src/json_objects.rs
+++ b/discovery/src/json_objects.rs
@@ -1,36 +1,37 @@
-//! Splits a stream into JSON objects and empty lines, however its bytes come: an object may be indented, hold empty
-//! lines and be split anywhere.
+//! Splits a byte stream into JSON objects and empty lines. Objects may be indented, contain empty lines, and
+//! be received in pieces of any size.
 
 use thiserror::Error;
 
-/// Deepest nesting of braces and brackets; a list has three levels. The JSON parser recurses once a level, on a thread
-/// with a small stack.
+/// Limit for the nesting of braces and brackets; an endpoint list has three levels. The JSON parser recurses
+/// once per level, on a thread with a small stack.
 pub const MAX_NESTING: usize = 16;
 
-/// What a stream consists of.
+/// An element of the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamItem {
     /// An empty line between objects.
     EmptyLine,
-    /// An object from its first brace to its last. Its brackets match in number; whether it is JSON is not known.
+    /// An object from its opening to its closing brace. Only the number of brackets has been checked, not the
+    /// syntax.
     Object(Vec<u8>),
 }
 
-/// Why a stream can't be read.
+/// Why a stream cannot be split into objects.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum StreamError {
-    /// An object is longer than this many bytes.
+    /// An object exceeds the size limit, given in bytes.
     #[error("an object is longer than {0} bytes: check that this address is discovery's")]
     ObjectTooLong(usize),
-    /// Braces and brackets are nested deeper than this.
-    #[error("an object is more than {0} levels deep: check that this address is discovery's")]
+    /// An object exceeds the limit for nested braces and brackets.
+    #[error("an object has more than {0} levels of nesting: check that this address is discovery's")]
     NestedTooDeep(usize),
-    /// Between two objects is something else than white space.
+    /// There is a character other than white space between two objects.
     #[error("expected an object or an empty line, found '{0}': check that this address is discovery's")]
     UnexpectedCharacter(char),
 }
 
-/// Splits one stream. Buffers the part of an object that has come, never more than its bound.
+/// Splits one stream. Buffers the received part of the current object, up to the size limit.
 #[derive(Debug)]
 pub struct ObjectSplitter {
     max_object_bytes: usize,
@@ -38,14 +39,14 @@
     /// Open braces and brackets; 0 between objects.
     depth: usize,
     in_string: bool,
-    /// In a string, after a backslash.
+    /// The previous byte was a backslash within a string.
     escaped: bool,
-    /// An object has ended on the current line, which is therefore not empty.
+    /// An object ended on the current line, which therefore does not count as empty.
     line_has_object: bool,
 }
 
 impl ObjectSplitter {
-    /// For a stream whose objects have at most `max_object_bytes`.
+    /// Creates a splitter with a size limit for objects.
     pub fn new(max_object_bytes: usize) -> Self {
         ObjectSplitter {
             max_object_bytes,
@@ -57,12 +58,13 @@
         }
     }
 
-    /// Takes the next bytes of the stream and adds what they complete to `items`.
+    /// Processes the next bytes of the stream, and appends completed elements to `items`.
     ///
     /// # Errors
-    /// The stream can't be read. What came before the fault is in `items`; the splitter is of no more use.
+    /// If the stream is malformed. `items` then contains the elements before the fault; the splitter must not
+    /// be used any more.
     pub fn push(&mut self, bytes: &[u8], items: &mut Vec<StreamItem>) -> Result<(), StreamError> {
-        // Where the part of the current object begins that is not buffered yet.
+        // Start of the part of the current object that is not buffered yet.
         let mut start = 0;
         for (at, byte) in bytes.iter().enumerate() {
             if self.depth == 0 {
@@ -83,7 +85,7 @@
         if self.depth > 0 { self.buffer(&bytes[start..]) } else { Ok(()) }
     }
 
-    /// How many bytes of the current object are buffered.
+    /// The number of buffered bytes of the current object.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -1,14 +1,15 @@
-//! Watches the platform's endpoint list: one HTTP request whose chunked answer stays open and carries a JSON object
-//! for each change.
+//! Client of the platform's discovery service: watches the endpoint list with one HTTP request, whose chunked
+//! response stays open and carries a JSON object per update.
 //!
-//! - [`liveness`] is the state machine that decides when a watch is stale and when connections are opened and closed.
-//! - [`json_objects`] splits the body of the answer into objects; [`endpoint_list`] reads each as an update.
-//! - [`Watch`] is the handle that the program holds. Behind it, one thread, the driver, carries out what the state
-//!   machine decides and serves all connections without blocking, however many an outage opens. Nothing from a
-//!   connection that was closed reaches the list.
+//! - [`liveness`] is the state machine that decides when a watch is stale and when connections are opened and
+//!   closed.
+//! - [`json_objects`] splits the response body into objects; [`endpoint_list`] parses each one as an update.
+//! - [`Watch`] is the public handle. One thread, the driver, performs the actions of the state machine and
+//!   serves all connections with non-blocking I/O, even if an outage opens several. Data from a closed
+//!   connection is never applied to the endpoint list.
 //!
-//! A new connection asks for what comes after the version that the list holds (it resumes there), or for the complete
-//! list where that version no longer counts.
+//! A new connection resumes at the version of the endpoint list: it requests the later updates only, or the
+//! complete list if discovery has restarted its version numbers.
 
 mod connection;
 mod driver;
--- a/discovery/src/liveness.rs
+++ b/discovery/src/liveness.rs
@@ -1,50 +1,54 @@
 //! The state machine that decides when the watch is stale and when connections are opened and closed.
 //!
-//! A connection that brings no whole line (an empty one counts) for [`Settings::stale_after`] is stale. Its lines are
-//! still taken, but others are opened beside it, one each [`Settings::min_open_interval`] at first, until one of them
-//! brings a whole line; that one takes over and the rest are closed. A connection whose response head has come is given
-//! [`Settings::first_line_timeout`] before the next one is opened; it is not closed then, since an agent without an
-//! update sends its first empty line late. What a connection has brought in part counts for nothing: neither half a
-//! line nor single bytes postpone a deadline.
+//! A connection on which no complete line (empty lines count) is received for [`Settings::stale_after`] is
+//! stale. Its lines are still processed, but further connections are opened, at first one per
+//! [`Settings::min_open_interval`], until a complete line is received on one of them; that one becomes the
+//! live watch and the others are closed. After the response head of a connection the next one is opened only
+//! after [`Settings::first_line_timeout`]; the connection stays open then, since an agent without an update
+//! sends its first empty line late. Incomplete lines are ignored: partial data never postpones a deadline.
 //!
-//! A connection that is opened while the agent answers, and that brings its first line within
-//! [`Settings::min_pending_time`], is never closed before that to make room, as long as `max_pending - 1` openings take
-//! at least that long.
+//! If the agent responds when a connection is opened, and its first line is received within
+//! [`Settings::min_pending_time`], the connection is never closed earlier to stay within the limit, as long
+//! as `max_pending - 1` openings take at least that long.
 //!
-//! Invariants: at most [`Settings::max_pending`] connections wait for their first line; connections are kept in the
-//! order in which they were opened; what was stale once stays so.
+//! Invariants: at most [`Settings::max_pending`] connections wait for their first line; connections are
+//! stored in the order of their opening; a connection that was stale once stays stale.
 //!
-//! No I/O, no clock, no threads: the same events at the same times give the same actions.
+//! It does no I/O, reads no clock and starts no thread: its actions depend only on the events and their
+//! times.
 
 use settings::Limits;
 use std::time::Duration;
 
-/// The interval between two openings is this fraction of the outage so far, within its bounds.
+/// The interval between two openings is the duration of the outage divided by this, within the configured
+/// bounds.
 const OUTAGE_FRACTION: u32 = 24;
 
-/// Number of a connection, counted up from 1 as they are opened.
+/// Number of a connection, assigned from 1 upwards in the order of opening.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// Times and bounds of a watch.
+/// Timeouts and limits of a watch.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// A connection without a whole line for this long is stale.
+    /// A connection without a complete line for this long is stale.
     pub stale_after: Duration,
-    /// How long a connection whose response head has come may take for its first line before another is opened beside
-    /// it, counted from its opening.
+    /// After the response head: how long to wait for the first line before another connection is opened,
+    /// counted from the opening of the connection.
     pub first_line_timeout: Duration,
-    /// Shortest time between two openings. It wins over a `max_open_interval` that is shorter.
+    /// Minimum interval between two openings. Takes precedence over a shorter `max_open_interval`.
     pub min_open_interval: Duration,
-    /// Longest time between two openings while there is no live watch.
+    /// Maximum interval between two openings while there is no live watch.
     pub max_open_interval: Duration,
-    /// After a change of address, how long the previous address's connection is kept beside the new one.
+    /// After a change of address: how long the connection to the previous address stays open beside the new
+    /// one.
     pub previous_address_grace: Duration,
-    /// Connections that may wait for their first line at a time, at least 1.
+    /// Limit for connections that wait for their first line, at least 1.
     pub max_pending: usize,
-    /// What a connection may take to come up and bring its first line, before it may be closed to make room.
+    /// How long a connection may take to connect and receive its first line before it may be closed in favour
+    /// of another.
     pub min_pending_time: Duration,
-    /// The oldest of those that wait is kept for this long, then it makes room like the others.
+    /// How long the oldest pending connection is exempt from being closed in favour of another.
     pub oldest_pending_time: Duration,
 }
 
@@ -63,53 +67,53 @@
     }
 }
 
-/// What has happened. Events of connections that are closed change nothing.
+/// An input of the state machine. Events of closed connections are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The watch is to follow an address, or another one from now on.
+    /// The watch starts to follow an address, or switches to another one.
     Follow,
-    /// A connection's request was answered with a good response head.
+    /// A connection received a response head with status 200.
     ResponseHead(ConnectionId),
-    /// A connection has brought a whole line.
+    /// A connection received a complete line.
     Line {
-        /// Which one.
+        /// The connection.
         connection: ConnectionId,
-        /// Whether it held an update; an empty line says that there is none.
+        /// Whether the line contained an update; `false` for an empty line.
         has_update: bool,
     },
-    /// A connection failed, broke, ended or brought what can't be read.
+    /// A connection failed, was closed by the agent, or received invalid data.
     Ended(ConnectionId),
-    /// The time of [`WatchLiveness::next_deadline`] has come.
+    /// The time given by [`WatchLiveness::next_deadline`] is reached.
     Deadline,
 }
 
-/// What is to be done, in order.
+/// An action that the state machine requests; the caller performs them in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Open a connection to the address that is followed, under this number.
+    /// Open a connection with this number to the followed address.
     Open(ConnectionId),
-    /// Close this connection.
+    /// Close the connection with this number.
     Close(ConnectionId),
-    /// Log that this connection is stale; [`Action::Open`] says when others are opened beside it.
+    /// Log that this connection is stale; further connections are requested by [`Action::Open`].
     ReportStale(ConnectionId),
     /// Log that there is a live watch again.
     ReportLive {
-        /// How long there was none.
+        /// How long there was no live watch.
         outage: Duration,
     },
 }
 
-/// A connection that was opened and not closed since.
+/// An open connection.
 #[derive(Clone, Copy, Debug)]
 struct Connection {
     id: ConnectionId,
     opened_at: Duration,
     has_response_head: bool,
-    /// When its last whole line came; `None` while its first is pending.
+    /// When its last complete line was received; `None` before the first one.
     last_line_at: Option<Duration>,
-    /// It was stale once. It stays so: what it missed meanwhile may never come on it.
+    /// Whether it was ever stale. This is never reset: changes missed meanwhile may never be delivered on it.
     was_stale: bool,
-    /// Whether it goes to the address that is followed now, not to the previous one.
+    /// Whether it goes to the currently followed address, as opposed to the previous one.
     to_current_address: bool,
 }
 
@@ -123,26 +127,26 @@
     }
 }
 
-/// Liveness of a watch: its connections, and when they last brought a line.
+/// The state machine: the connections of a watch and the times of their last lines.
 #[derive(Debug)]
 pub struct WatchLiveness {
     settings: Settings,
-    /// In the order in which they were opened.
+    /// The open connections in the order of their opening.
     connections: Vec<Connection>,
     newest: ConnectionId,
     is_following: bool,
-    /// The address has changed, and the previous one's connection may be kept until then.
+    /// After a change of address: until when the connection to the previous address may stay open.
     previous_address_until: Option<Duration>,
-    /// There is no live watch since then.
+    /// Since when there is no live watch.
     outage_since: Option<Duration>,
-    /// No opening before then.
+    /// The earliest time of the next opening.
     next_open_at: Duration,
     /// When the newest connection was opened.
     last_open_at: Option<Duration>,
 }
 
 impl WatchLiveness {
-    /// A watch that follows no address yet.
+    /// Creates a watch that follows no address yet.
     pub fn new(settings: Settings) -> Self {
         WatchLiveness {
             settings,
@@ -156,19 +160,22 @@
         }
     }
 
-    /// Whether this connection was stale once: others may be missing before the changes that it has brought since.
+    /// Whether this connection was ever stale, so that changes may be missing before those received on it
+    /// since.
     pub fn was_stale(&self, id: ConnectionId) -> bool {
         self.connections.iter().any(|c| c.id == id && c.was_stale)
     }
 
-    /// Whether what this connection brings counts: it was opened and neither closed nor has it ended.
+    /// Whether data received on this connection is to be processed: it is open and has not ended.
     pub fn is_tracked(&self, id: ConnectionId) -> bool {
         self.connections.iter().any(|c| c.id == id)
     }
 
-    /// Takes what happened at `now`, a time since any fixed moment, and adds what is to be done to `actions`.
+    /// Handles an event that occurred at `now`, measured from any fixed origin; appends the requested actions
+    /// to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
-        // Before the event: a line that ends a silence must not hide it, however late this is called.
+        // Before handling the event: a line after a long silence must not hide that the connection was stale,
+        // even if this is called late.
         self.mark_stale(now, actions);
         match event {
             Event::Follow => self.follow(now, actions),
@@ -192,12 +199,12 @@
         }
     }
 
-    /// When [`Event::Deadline`] is to come at the latest; `None` while there is nothing to wait for.
+    /// When [`Event::Deadline`] must be passed at the latest; `None` if no deadline is pending.
     pub fn next_deadline(&self) -> Option<Duration> {
         let fresh = self.connections.iter().filter(|c| !c.was_stale);
         let stale_at = fresh.filter_map(|c| Some(c.last_line_at? + self.settings.stale_after));
         let open_at = self.outage_since.map(|_| self.open_not_before());
-        let previous_until = self.previous_address_until.filter(|_| self.current_address_has_spoken());
+        let previous_until = self.previous_address_until.filter(|_| self.current_address_has_sent_line());
         stale_at.chain(open_at).chain(previous_until).min()
     }
 
@@ -213,24 +220,24 @@
     }
 
     fn follow(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let representative = self.representative();
-        self.close_where(actions, |c| Some(c.id) != representative);
+        let connection_to_keep = self.connection_to_keep();
+        self.close_where(actions, |c| Some(c.id) != connection_to_keep);
         for connection in &mut self.connections {
             connection.to_current_address = false;
         }
         self.is_following = true;
-        self.previous_address_until = representative.map(|_| now + self.settings.previous_address_grace);
+        self.previous_address_until = connection_to_keep.map(|_| now + self.settings.previous_address_grace);
         self.outage_since = Some(now);
-        // Changes of address that come fast, as signals may, open no more connections than an outage does.
+        // Rapid changes of address, which signals can cause, open connections no faster than an outage does.
         let min_interval = self.settings.min_open_interval;
         self.next_open_at = self.last_open_at.map_or(now, |at| now.max(at + min_interval));
     }
 
-    /// The connection that is kept while the address changes: what the previous one has still counts until the new one
-    /// speaks. Where nothing has brought a line yet, the newest connection may still do so.
-    fn representative(&self) -> Option<ConnectionId> {
-        let spoken = self.connections.iter().filter(|c| !c.is_pending());
-        spoken.max_by_key(|c| c.last_line_at).or(self.connections.last()).map(|c| c.id)
+    /// The connection that stays open when the address changes: its updates are applied until the new address
+    /// has sent a line. If no connection has received a line yet, this is the newest one.
+    fn connection_to_keep(&self) -> Option<ConnectionId> {
+        let with_line = self.connections.iter().filter(|c| !c.is_pending());
+        with_line.max_by_key(|c| c.last_line_at).or(self.connections.last()).map(|c| c.id)
     }
 
     fn on_line(&mut self, now: Duration, id: ConnectionId, has_update: bool, actions: &mut Vec<Action>) {
@@ -239,8 +246,9 @@
         if !connection.is_live() {
             return;
         }
-        // It takes over. The previous address's connection is kept until the new one has brought an update, so that no
-        // change is missed between them; after that its changes could be those of another list.
+        // This connection becomes the live watch. The connection to the previous address stays open until an
+        // update is received from the new one, so that no change is missed in between; later its changes
+        // could belong to another list.
         self.close_where(actions, |c| {
             let is_replaced = c.to_current_address || c.was_stale || c.is_pending() || has_update;
             c.id != id && is_replaced
@@ -249,7 +257,7 @@
 
     fn close_previous_address(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let is_over = self.previous_address_until.is_some_and(|until| now >= until);
-        if is_over && self.current_address_has_spoken() {
+        if is_over && self.current_address_has_sent_line() {
             self.previous_address_until = None;
             self.close_where(actions, |c| !c.to_current_address);
         }
@@ -261,13 +269,13 @@
         }
     }
 
-    /// Opens a connection where none is live and the time of the next has come.
+    /// Opens a connection if the time of the next opening is reached; called while none is live.
     fn open_when_due(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let since = *self.outage_since.get_or_insert(now);
         if now < self.open_not_before() {
             return;
         }
-        self.make_room(now, actions);
+        self.enforce_pending_limit(now, actions);
         self.newest.0 += 1;
         self.connections.push(Connection {
             id: self.newest,
@@ -287,42 +295,45 @@
         (outage / OUTAGE_FRACTION).clamp(min, max.max(min))
     }
 
-    /// When the next connection may be opened. While the newest one's first line is due, that is waited for.
+    /// When the next connection may be opened. If the newest one has received its response head, its first
+    /// line is waited for until [`Settings::first_line_timeout`].
     fn open_not_before(&self) -> Duration {
         let newest = self.connections.last().filter(|c| c.id == self.newest && c.to_current_address);
-        let answered = newest.filter(|c| c.has_response_head && c.is_pending());
-        let line_due = answered.map(|c| c.opened_at + self.settings.first_line_timeout);
-        self.next_open_at.max(line_due.unwrap_or_default())
+        let with_head = newest.filter(|c| c.has_response_head && c.is_pending());
+        let line_deadline = with_head.map(|c| c.opened_at + self.settings.first_line_timeout);
+        self.next_open_at.max(line_deadline.unwrap_or_default())
     }
 
-    /// Closes a pending connection where there are as many as there may be.
-    fn make_room(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Closes a pending connection if the limit of pending connections is reached.
+    fn enforce_pending_limit(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let pending: Vec<&Connection> = self.connections.iter().filter(|c| c.is_pending()).collect();
         if pending.len() < self.settings.max_pending.max(1) {
             return;
         }
-        let victim = self.pending_to_close(now, &pending);
-        self.close_where(actions, |c| Some(c.id) == victim);
+        let to_close = self.pending_to_close(now, &pending);
+        self.close_where(actions, |c| Some(c.id) == to_close);
     }
 
-    /// Which of the pending connections makes room, oldest first in `pending`.
+    /// Selects the pending connection to close; `pending` is sorted by age, oldest first.
     ///
-    /// The oldest is kept for long, so that an agent that is only slow is heard, but not for good: it may have come up
-    /// while the agent was away, and stay mute. Of the others, those with a response head need longer than those
-    /// without, which may have none yet only because they are young.
+    /// The oldest one is kept for [`Settings::oldest_pending_time`], so that a slow agent has time for its
+    /// first line, but not longer: it may have been established during the outage, and stay silent forever.
+    /// Of the others, one without a response head after [`Settings::min_pending_time`] is closed first: one
+    /// with a head may still get a late first line, and a younger one its head. If there is none, the oldest
+    /// of the others is closed.
     fn pending_to_close(&self, now: Duration, pending: &[&Connection]) -> Option<ConnectionId> {
         let (oldest, younger) = pending.split_first()?;
-        let oldest_is_spent = now >= oldest.opened_at + self.settings.oldest_pending_time;
-        if younger.is_empty() || oldest_is_spent {
+        let oldest_has_expired = now >= oldest.opened_at + self.settings.oldest_pending_time;
+        if younger.is_empty() || oldest_has_expired {
             return Some(oldest.id);
         }
         let min_pending_time = self.settings.min_pending_time;
-        let is_spent = |c: &&&Connection| !c.has_response_head && now >= c.opened_at + min_pending_time;
-        younger.iter().find(is_spent).or(younger.first()).map(|c| c.id)
+        let has_expired = |c: &&&Connection| !c.has_response_head && now >= c.opened_at + min_pending_time;
+        younger.iter().find(has_expired).or(younger.first()).map(|c| c.id)
     }
 
-    /// Whether the address that is followed has brought a line.
-    fn current_address_has_spoken(&self) -> bool {
+    /// Whether a line was received from the followed address.
+    fn current_address_has_sent_line(&self) -> bool {
         self.connections.iter().any(|c| c.to_current_address && !c.is_pending())
     }
 
@@ -330,9 +341,9 @@
         self.connections.iter_mut().find(|c| c.id == id)
     }
 
-    fn close_where(&mut self, actions: &mut Vec<Action>, closes: impl Fn(&Connection) -> bool) {
+    fn close_where(&mut self, actions: &mut Vec<Action>, should_close: impl Fn(&Connection) -> bool) {
         self.connections.retain(|c| {
-            let is_closed = closes(c);
+            let is_closed = should_close(c);
             if is_closed {
                 actions.push(Action::Close(c.id));
             }
--- a/discovery/src/shared.rs
+++ b/discovery/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the handles of a watch and its driver share.
+//! State shared between the handles of a watch and its driver.
 
 use crossbeam_channel::{Receiver, Sender, bounded};
 use mio::Waker;
@@ -9,43 +9,43 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Changes of the address that may wait for the driver.
-const FOLLOW_QUEUE: usize = 4;
+/// Capacity of the queue of addresses for the driver.
+const ADDRESS_QUEUE_CAPACITY: usize = 4;
 
 /// Shared by all threads of a watch.
 pub(crate) struct Shared {
-    /// Names of the configured zones, in the order of their numbers.
+    /// Names of the configured zones; a zone's index is its number.
     pub(crate) zones: Vec<String>,
     pub(crate) limits: Arc<Limits>,
-    /// The actor that updates go to, and that holds the version to resume from.
+    /// The endpoint list, which receives the updates and stores the version to resume from.
     pub(crate) list: EndpointsHandle,
-    /// The addresses to watch, in order; the driver is woken for each.
+    /// Sends the addresses to watch to the driver, which is woken for each one.
     pub(crate) addresses: Sender<SocketAddr>,
-    /// Where the driver receives them.
+    /// The receiving end of `addresses`.
     pub(crate) address_queue: Receiver<SocketAddr>,
-    /// Wakes the driver, once that runs.
+    /// Wakes the driver; `None` before it is started.
     pub(crate) waker: Mutex<Option<Waker>>,
     pub(crate) first_line: FirstLine,
-    /// The version that the list holds means nothing to discovery any more.
+    /// Discovery has restarted its version numbers, so that the list's version must not be used to resume.
     resume_from_zero: AtomicBool,
 }
 
 impl Shared {
     pub(crate) fn new(zones: Vec<String>, limits: Arc<Limits>, list: EndpointsHandle) -> Shared {
-        let (addresses, queue) = bounded(FOLLOW_QUEUE);
+        let (addresses, receiver) = bounded(ADDRESS_QUEUE_CAPACITY);
         Shared {
             zones,
             limits,
             list,
             addresses,
-            address_queue: queue,
+            address_queue: receiver,
             waker: Mutex::new(None),
             first_line: FirstLine::default(),
             resume_from_zero: AtomicBool::new(false),
         }
     }
 
-    /// Whether connections have to ask for the complete list.
+    /// Whether new connections have to request the complete list.
     pub(crate) fn resumes_from_zero(&self) -> bool {
         self.resume_from_zero.load(Ordering::Acquire)
     }
@@ -54,13 +54,13 @@
         self.resume_from_zero.store(value, Ordering::Release);
     }
 
-    /// The version that a new connection asks from.
+    /// The version from which a new connection resumes; 0 requests the complete list.
     pub(crate) fn resume_version(&self) -> u64 {
         if self.resumes_from_zero() { 0 } else { self.list.version() }
     }
 }
 
-/// Whether the agent has brought its first line, for those who wait for it.
+/// A latch that is set when the first line is received from the discovery agent.
 #[derive(Default)]
 pub(crate) struct FirstLine {
     received: Mutex<bool>,
@@ -73,7 +73,7 @@
         self.changed.notify_all();
     }
 
-    /// Waits at most for `timeout`; `false` where that has passed first.
+    /// Waits for the first line; `false` if `timeout` passes before.
     pub(crate) fn wait(&self, timeout: Duration) -> bool {
         let received = lock(&self.received);
         let waited = self.changed.wait_timeout_while(received, timeout, |received| !*received);
@@ -81,7 +81,8 @@
     }
 }
 
-/// Locks, also after a panic elsewhere: each guarded value is set in one step, so it is whole all the same.
+/// Locks a mutex and ignores poisoning: each guarded value is set in one step, so a panic cannot leave it
+/// inconsistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/discovery/src/watch.rs
+++ b/discovery/src/watch.rs
@@ -1,4 +1,4 @@
-//! The handle of a watch.
+//! The public handle of a watch.
 
 use crate::driver::Driver;
 use crate::shared::{Shared, lock};
@@ -10,31 +10,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Handle of the watch. The watch goes on without handles, until the actor of the list has ended.
+/// Handle of a watch. The watch continues after all handles are dropped, until the endpoint list's actor
+/// ends.
 #[derive(Clone)]
 pub struct Watch {
     shared: Arc<Shared>,
 }
 
 impl Watch {
-    /// A watch that follows no address yet. `zones` are the names of the configured zones, whose places are their
-    /// numbers. Updates go to `list`, which also holds the version to resume from.
+    /// Creates a watch that follows no address yet. `zones` are the names of the configured zones; a zone's
+    /// index is its number. Updates are sent to `list`, which also stores the version to resume from.
     pub fn new(zones: Vec<String>, limits: Arc<Limits>, list: EndpointsHandle) -> Self {
         Watch { shared: Arc::new(Shared::new(zones, limits, list)) }
     }
 
-    /// Watches this address from now on. Until it has brought something, updates from the previous one still count.
+    /// Switches the watch to this address. Until the first line is received from it, updates from the
+    /// previous address are still applied.
     ///
     /// # Errors
-    /// No thread can be started, or no descriptor is left for its poll; raise the limits of the user that the router
-    /// runs as.
+    /// If no thread can be started, or no file descriptor is left; raise the limits of the user that the
+    /// router runs as.
     pub fn follow(&self, addr: SocketAddr) -> io::Result<()> {
         let mut running = lock(&self.shared.waker);
         let waker = match running.take() {
             Some(waker) => waker,
             None => self.start_driver(addr)?,
         };
-        // An error means that the driver has ended, and so has the program's list.
+        // Sending fails only after the driver has ended together with the endpoint list.
         _ = self.shared.addresses.send(addr);
         let woken = waker.wake();
         *running = Some(waker);
@@ -50,12 +52,12 @@
         Ok(waker)
     }
 
-    /// Waits until the agent has sent what it has, at most for `timeout`. Gives `true` once its first update was handed
-    /// to the list, or once it stated by an empty line that it has none.
+    /// Waits up to `timeout` for the first line from the discovery agent. Returns `true` once the first
+    /// update was sent to the list, or once the agent indicated by an empty line that it has none.
     ///
-    /// Whatever the agent has counts as known from the first moment of a new process, so call this before clients are
-    /// accepted. An agent that opens the answer and sends no line while it has no update can't be distinguished from a
-    /// silent one: then the whole `timeout` passes.
+    /// A new process must know the agent's endpoint list before it accepts clients, so call this first. An
+    /// agent that sends a response head but no line while it has no update cannot be distinguished from a
+    /// silent one; in that case the full `timeout` passes.
     pub fn wait_for_first_line(&self, timeout: Duration) -> bool {
         self.shared.first_line.wait(timeout)
     }
--- a/discovery/tests/common/mod.rs
+++ b/discovery/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the liveness of watches share.
+//! Helpers for the tests of the liveness state machine.
 use discovery::liveness::Settings;
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// The limits of production.
+/// The settings used in production.
 pub(crate) fn production_settings() -> Settings {
     Settings {
         stale_after: ms(2600),
--- a/discovery/tests/json_objects.rs
+++ b/discovery/tests/json_objects.rs
@@ -1,7 +1,7 @@
-//! Streams split into objects, however their bytes come.
+//! Splitting of byte streams into objects, for any division of the bytes into reads.
 use discovery::json_objects::{MAX_NESTING, ObjectSplitter, StreamError, StreamItem};
 
-fn cut(text: &str, at: usize) -> Vec<StreamItem> {
+fn split_at(text: &str, at: usize) -> Vec<StreamItem> {
     let (mut splitter, mut items) = (ObjectSplitter::new(100), Vec::new());
     let (a, b) = text.as_bytes().split_at(at);
     splitter.push(a, &mut items).unwrap();
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn objects_and_empty_lines_are_split_wherever_the_bytes_are_cut() {
+fn objects_and_empty_lines_do_not_depend_on_where_the_bytes_are_divided() {
     let first = "{\r\n  \"a\": \"}\\\"{\\\\\",\n\n\n  \"b\": [ {} ]\n}";
     let text = format!("\n{first}  \n \t\r\n{{}}{{\"c\":\"\\\\\\\"]\"}}\n\n");
     let object = |t: &str| StreamItem::Object(t.as_bytes().to_vec());
@@ -23,13 +23,13 @@
         StreamItem::EmptyLine,
     ];
     for at in 0..=text.len() {
-        assert_eq!(cut(&text, at), expected, "split at {at}");
+        assert_eq!(split_at(&text, at), expected, "divided at byte {at}");
     }
 }
 
 #[test]
-fn object_ends_at_its_brace_and_stays_within_its_bounds() {
-    assert_eq!(cut("{\"a\":1}", 3).len(), 1);
+fn object_ends_at_its_closing_brace_and_within_the_limits() {
+    assert_eq!(split_at("{\"a\":1}", 3).len(), 1);
     let long = format!("{{\"a\":\"{}\"}}", "x".repeat(100));
     for step in [1, 7, 200] {
         let (mut splitter, mut items) = (ObjectSplitter::new(100), Vec::new());
--- a/discovery/tests/liveness_outages/agent.rs
+++ b/discovery/tests/liveness_outages/agent.rs
@@ -1,17 +1,17 @@
-//! What an agent brings on a connection, before, in and after an outage.
+//! A model of the discovery agent: what it sends on a connection before, during and after an outage.
 use crate::history::{AgentDelays, ConnectionFate, History, Outage, OutageKind};
 use discovery::liveness::ConnectionId;
 use settings::Limits;
 
-/// An agent says an empty line this often, in milliseconds.
+/// The interval between an agent's empty lines, in milliseconds.
 const EMPTY_LINE_INTERVAL: u64 = 2000;
 
-/// What a connection brings.
+/// What the agent does on a connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum AgentEvent {
     ResponseHead,
     Ended,
-    /// The changes after the one version and up to the other.
+    /// A line with the changes after one version up to another; without changes if both are equal.
     Line {
         after: u64,
         version: u64,
@@ -21,40 +21,40 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
     Connecting,
-    /// Asked for what comes after this version.
+    /// The request is sent; it resumes after this version.
     Requested {
         after: u64,
     },
-    /// Its response head has come.
-    Answered {
+    /// The response head was received.
+    HeadReceived {
         after: u64,
     },
-    /// It has brought what there was up to this version; its last line came then.
+    /// Lines were received: the version reached, and the time of the last line.
     Watching {
         version: u64,
         last_line_at: u64,
     },
 }
 
-/// A connection as the agent sees it.
+/// The agent's side of a connection.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub(crate) id: ConnectionId,
     pub(crate) address: usize,
     opened_at: u64,
     stage: Stage,
-    /// Since when it has been in this stage, or as long ago as if the outage had not been.
+    /// The start of this stage; reset at the end of an outage, so that the stage's delay starts again.
     stage_since: u64,
-    /// An outage met it, at this place of the address's outages.
-    met_outage: Option<usize>,
+    /// The index of the current outage of its address, if it affects this connection.
+    current_outage: Option<usize>,
     is_dead: bool,
 }
 
-/// The times of the moment at hand.
+/// The current time, and the inputs of a step.
 #[derive(Clone, Copy)]
-struct Moment {
+struct StepInput {
     now: u64,
-    /// The version that a new request resumes from.
+    /// The version that new requests resume from.
     resume_version: u64,
     connect_timeout: u64,
     stale_after: u64,
@@ -68,7 +68,7 @@
             opened_at: now,
             stage: Stage::Connecting,
             stage_since: now,
-            met_outage: None,
+            current_outage: None,
             is_dead: false,
         }
     }
@@ -77,7 +77,7 @@
         matches!(self.stage, Stage::Watching { .. })
     }
 
-    /// What it brings now.
+    /// Returns what happens on the connection at `now`.
     pub(crate) fn poll(
         &mut self,
         now: u64,
@@ -85,55 +85,50 @@
         resume_version: u64,
         limits: &Limits,
     ) -> Option<AgentEvent> {
-        let moment = Moment {
+        let input = StepInput {
             now,
             resume_version,
             connect_timeout: limits.watch_connect_timeout.as_millis() as u64,
             stale_after: limits.watch_silence_timeout.as_millis() as u64,
         };
         let outages = &history.outages[self.address];
-        if let Some(place) = history.outage(self.address, now) {
-            let is_first_meeting = self.met_outage != Some(place);
-            self.met_outage = Some(place);
-            return self.poll_in_outage(moment, &outages[place], is_first_meeting);
+        if let Some(index) = history.outage(self.address, now) {
+            let is_start = self.current_outage != Some(index);
+            self.current_outage = Some(index);
+            return self.poll_in_outage(input, &outages[index], is_start);
         }
         let version = history.version(now);
-        if let Some(place) = self.met_outage.take() {
-            self.end_outage(moment, &outages[place], version);
+        if let Some(index) = self.current_outage.take() {
+            self.end_outage(input, &outages[index], version);
         }
         if self.is_dead {
-            return self.is_given_up(moment).then_some(AgentEvent::Ended);
+            return self.has_timed_out(input).then_some(AgentEvent::Ended);
         }
-        self.poll_in_service(moment, history.agents[self.address], version)
+        self.poll_in_service(input, history.agents[self.address], version)
     }
 
-    fn poll_in_outage(
-        &mut self,
-        moment: Moment,
-        outage: &Outage,
-        is_first_meeting: bool,
-    ) -> Option<AgentEvent> {
-        let Moment { now, .. } = moment;
-        let is_reset = is_first_meeting && outage.fate == ConnectionFate::Reset;
+    fn poll_in_outage(&mut self, input: StepInput, outage: &Outage, is_start: bool) -> Option<AgentEvent> {
+        let StepInput { now, .. } = input;
+        let is_reset = is_start && outage.fate == ConnectionFate::Reset;
         match (self.stage, outage.kind) {
             (Stage::Connecting, OutageKind::Refused) => Some(AgentEvent::Ended),
             (Stage::Connecting, OutageKind::Unreachable) => {
-                (now >= self.opened_at + moment.connect_timeout).then_some(AgentEvent::Ended)
+                (now >= self.opened_at + input.connect_timeout).then_some(AgentEvent::Ended)
             }
             (Stage::Connecting, _) => {
-                self.enter(Stage::Requested { after: moment.resume_version }, now);
+                self.enter(Stage::Requested { after: input.resume_version }, now);
                 None
             }
             _ if is_reset && self.opened_at < outage.from => Some(AgentEvent::Ended),
-            // The reader gives up a head that does not come.
-            (Stage::Requested { .. }, _) if now >= self.stage_since + moment.stale_after => {
+            // The reader's timeout for the response head has expired.
+            (Stage::Requested { .. }, _) if now >= self.stage_since + input.stale_after => {
                 Some(AgentEvent::Ended)
             }
             (Stage::Requested { after }, OutageKind::HeadOnly | OutageKind::ResetAfterHead(_)) => {
-                self.enter(Stage::Answered { after }, now);
+                self.enter(Stage::HeadReceived { after }, now);
                 Some(AgentEvent::ResponseHead)
             }
-            (Stage::Answered { .. }, OutageKind::ResetAfterHead(delay))
+            (Stage::HeadReceived { .. }, OutageKind::ResetAfterHead(delay))
                 if now >= self.stage_since + delay =>
             {
                 Some(AgentEvent::Ended)
@@ -142,56 +137,56 @@
         }
     }
 
-    /// The agent is back.
-    fn end_outage(&mut self, moment: Moment, outage: &Outage, version: u64) {
+    /// Applies the end of an outage to the connection.
+    fn end_outage(&mut self, input: StepInput, outage: &Outage, version: u64) {
         match (self.stage, outage.fate) {
-            // A connection that never came up is not remembered by whoever comes back.
+            // The recovered agent does not know a connection that was never established.
             (Stage::Connecting, _) if outage.kind == OutageKind::Unreachable => self.is_dead = true,
-            (_, ConnectionFate::Mute | ConnectionFate::Reset) => self.is_dead = true,
-            // Whoever was silent for less could not be told from one that had nothing to say.
+            (_, ConnectionFate::Silent | ConnectionFate::Reset) => self.is_dead = true,
+            // Only if the silence makes the watch stale: after a shorter one, a loss could not be detected.
             (Stage::Watching { version: before, .. }, ConnectionFate::LosesChanges)
-                if outage.to - outage.from >= moment.stale_after =>
+                if outage.to - outage.from >= input.stale_after =>
             {
-                self.stage = Stage::Watching { version: before.max(version), last_line_at: moment.now };
+                self.stage = Stage::Watching { version: before.max(version), last_line_at: input.now };
             }
-            _ => self.stage_since = moment.now,
+            _ => self.stage_since = input.now,
         }
     }
 
-    /// Whether its reader gives up a connection that stays mute.
-    fn is_given_up(&self, moment: Moment) -> bool {
+    /// Whether the reader's timeout for a dead connection has expired.
+    fn has_timed_out(&self, input: StepInput) -> bool {
         match self.stage {
-            Stage::Connecting => moment.now >= self.opened_at + moment.connect_timeout,
-            Stage::Requested { .. } => moment.now >= self.stage_since + moment.stale_after,
-            Stage::Answered { .. } | Stage::Watching { .. } => false,
+            Stage::Connecting => input.now >= self.opened_at + input.connect_timeout,
+            Stage::Requested { .. } => input.now >= self.stage_since + input.stale_after,
+            Stage::HeadReceived { .. } | Stage::Watching { .. } => false,
         }
     }
 
-    fn poll_in_service(&mut self, moment: Moment, agent: AgentDelays, version: u64) -> Option<AgentEvent> {
-        let Moment { now, .. } = moment;
+    fn poll_in_service(&mut self, input: StepInput, agent: AgentDelays, version: u64) -> Option<AgentEvent> {
+        let StepInput { now, .. } = input;
         match self.stage {
             Stage::Connecting if now >= self.stage_since + agent.accept => {
-                self.enter(Stage::Requested { after: moment.resume_version }, now);
+                self.enter(Stage::Requested { after: input.resume_version }, now);
                 None
             }
             Stage::Requested { after } if now >= self.stage_since + agent.head => {
-                self.enter(Stage::Answered { after }, now);
+                self.enter(Stage::HeadReceived { after }, now);
                 Some(AgentEvent::ResponseHead)
             }
-            Stage::Answered { after } => {
+            Stage::HeadReceived { after } => {
                 let is_late = agent.late_empty_line && version == after;
                 let delay = if is_late { EMPTY_LINE_INTERVAL } else { agent.line };
-                (now >= self.stage_since + delay).then(|| self.bring_line(now, after, version))
+                (now >= self.stage_since + delay).then(|| self.send_line(now, after, version))
             }
             Stage::Watching { version: after, last_line_at } => {
                 let is_due = version > after || now >= last_line_at + EMPTY_LINE_INTERVAL;
-                is_due.then(|| self.bring_line(now, after, version))
+                is_due.then(|| self.send_line(now, after, version))
             }
             Stage::Connecting | Stage::Requested { .. } => None,
         }
     }
 
-    fn bring_line(&mut self, now: u64, after: u64, version: u64) -> AgentEvent {
+    fn send_line(&mut self, now: u64, after: u64, version: u64) -> AgentEvent {
         self.stage = Stage::Watching { version, last_line_at: now };
         AgentEvent::Line { after, version }
     }
--- a/discovery/tests/liveness_outages/history.rs
+++ b/discovery/tests/liveness_outages/history.rs
@@ -1,33 +1,33 @@
-//! Histories of outages, moves and changes, and their random generation. All times are milliseconds of virtual time.
+//! Random histories of outages, address changes and list changes. All times are milliseconds of virtual time.
 use proptest::prelude::*;
 
-/// One step of virtual time.
+/// One step of virtual time, in milliseconds.
 pub(crate) const STEP: u64 = 10;
 
-/// What an agent does with a connection that is opened while it is away.
+/// What happens to a connection that is opened during an outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum OutageKind {
     Refused,
-    /// The connection never comes up.
+    /// The connection is never established.
     Unreachable,
-    /// It comes up, and nothing more.
-    Mute,
-    /// It is given a response head; half a line is the same to the machine.
+    /// The connection is established, but nothing is sent on it.
+    Silent,
+    /// Only a response head is sent. An incomplete line would be equivalent for the state machine.
     HeadOnly,
-    /// It is reset this long after its response head.
+    /// The connection is reset this long after its response head.
     ResetAfterHead(u64),
 }
 
-/// What becomes of a connection that stood when an outage began, or came up in it.
+/// What happens to a connection that was established before or during an outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ConnectionFate {
-    /// Reset when the outage begins.
+    /// The connection is reset at the start of the outage.
     Reset,
-    /// Mute for good.
-    Mute,
-    /// It speaks again when the outage ends, and brings what it missed.
+    /// Nothing is sent on it any more.
+    Silent,
+    /// After the outage lines are sent again, including the missed changes.
     Resumes,
-    /// It speaks again, but what it missed while it was stale never comes on it.
+    /// After the outage lines are sent again, but changes missed while it was stale are never sent.
     LosesChanges,
 }
 
@@ -39,39 +39,39 @@
     pub(crate) fate: ConnectionFate,
 }
 
-/// How long an agent takes: to accept a connection, for the response head, for the first line.
+/// The agent's delays: to accept a connection, to send the response head, and to send the first line.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AgentDelays {
     pub(crate) accept: u64,
     pub(crate) head: u64,
     pub(crate) line: u64,
-    /// Where it has no update, its first line comes only when an empty line is due.
+    /// Without an update, the first line is sent only after the interval between empty lines.
     pub(crate) late_empty_line: bool,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct History {
-    /// Of each of two addresses.
+    /// The outages of each of the two addresses.
     pub(crate) outages: [Vec<Outage>; 2],
     pub(crate) agents: [AgentDelays; 2],
-    /// When the watch is moved to the other address.
+    /// When the watch switches to the other address.
     pub(crate) moves: Vec<u64>,
-    /// When discovery has each version, at both addresses.
+    /// When each version becomes available at both addresses.
     pub(crate) changes: Vec<u64>,
 }
 
 impl History {
-    /// The version that discovery has.
+    /// The version available at `now`.
     pub(crate) fn version(&self, now: u64) -> u64 {
         self.changes.iter().filter(|at| **at <= now).count() as u64
     }
 
-    /// The outage of an address, as its place among them.
+    /// The index of an address's outage at `now`.
     pub(crate) fn outage(&self, address: usize, now: u64) -> Option<usize> {
         self.outages[address].iter().position(|outage| outage.from <= now && now < outage.to)
     }
 
-    /// When the last thing happens.
+    /// The time of the last event of the history.
     pub(crate) fn end(&self) -> u64 {
         let ends = self.outages.iter().flatten().map(|outage| outage.to);
         let all = ends.chain(self.moves.iter().copied()).chain(self.changes.iter().copied());
@@ -83,7 +83,7 @@
     prop_oneof![
         Just(OutageKind::Refused),
         Just(OutageKind::Unreachable),
-        Just(OutageKind::Mute),
+        Just(OutageKind::Silent),
         Just(OutageKind::HeadOnly),
         (0..1200u64).prop_map(OutageKind::ResetAfterHead),
     ]
@@ -92,11 +92,11 @@
 fn outages() -> impl Strategy<Value = Vec<Outage>> {
     let fate = prop_oneof![
         Just(ConnectionFate::Reset),
-        Just(ConnectionFate::Mute),
+        Just(ConnectionFate::Silent),
         Just(ConnectionFate::Resumes),
         Just(ConnectionFate::LosesChanges)
     ];
-    // Short ones too: what stood when they began is mute then, while the agent answers whoever asks anew.
+    // Include short outages, in which existing connections fall silent while the agent responds to new ones.
     let length = prop_oneof![1..20u64, 1..1500u64];
     let one = (1..900u64, length, kind(), fate);
     prop::collection::vec(one, 0..5).prop_map(|all| {
@@ -110,7 +110,7 @@
     })
 }
 
-/// Delays up to what a connection is granted, whole.
+/// Delays up to the limits within which a connection is not closed.
 fn agent() -> impl Strategy<Value = AgentDelays> {
     let quick = Just((0, 0, 0));
     let slow = (0..=49u64, 0..=59u64, 0..=59u64);
@@ -122,20 +122,20 @@
 
 pub(crate) fn history() -> impl Strategy<Value = History> {
     let times = |max| prop::collection::vec(0..4000u64, 0..max);
-    // Changes at any time, and such that come right behind an outage's end.
-    let behind = prop::collection::vec((any::<prop::sample::Index>(), 0..100u64), 0..4);
-    let all = (outages(), outages(), agent(), agent(), times(4), times(5), behind);
-    all.prop_map(|(a, b, one, other, moves, mut changes, behind)| {
+    // Changes at any time, and additional ones shortly after the end of an outage.
+    let after_outages = prop::collection::vec((any::<prop::sample::Index>(), 0..100u64), 0..4);
+    let all = (outages(), outages(), agent(), agent(), times(4), times(5), after_outages);
+    all.prop_map(|(a, b, one, other, moves, mut changes, after_outages)| {
         let ends: Vec<u64> = a.iter().chain(&b).map(|outage| outage.to / STEP).collect();
         if !ends.is_empty() {
-            changes.extend(behind.iter().map(|(which, later)| which.get(&ends) + later));
+            changes.extend(after_outages.iter().map(|(which, delay)| which.get(&ends) + delay));
         }
         let (moves, changes) = (sorted_times(moves), sorted_times(changes));
         History { outages: [a, b], agents: [one, other], moves, changes }
     })
 }
 
-/// Steps as times, in order and each once.
+/// Converts steps to times, sorted and without duplicates.
 fn sorted_times(mut steps: Vec<u64>) -> Vec<u64> {
     steps.sort_unstable();
     steps.dedup();
--- a/discovery/tests/liveness_outages/main.rs
+++ b/discovery/tests/liveness_outages/main.rs
@@ -1,6 +1,6 @@
-//! Random histories of outages played through the state machine in virtual time, against a modelled agent: whatever
-//! the agent does before, a change is heard within the bound that the limits state, counted from the moment from which
-//! discovery has it and answers new connections.
+//! Property test: random histories of outages are simulated in virtual time with the state machine and a
+//! model of the discovery agent. Each change must be received within the delay that the limits promise,
+//! counted from when the agent has the change and responds to new connections.
 mod agent;
 mod history;
 mod world;
@@ -8,32 +8,32 @@
 use history::{AgentDelays, ConnectionFate, History, Outage, OutageKind, history};
 use proptest::prelude::*;
 use std::time::Duration;
-use world::{limits, play};
+use world::{limits, simulate};
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_outage_leaves_one_watch_and_each_change_is_heard_within_the_bound(history in history()) {
-        play(history);
+    fn after_any_outage_one_watch_remains_and_each_change_is_received_within_the_bound(history in history()) {
+        simulate(history);
     }
 }
 
-/// An agent that answers at once.
+/// An agent without delays.
 const QUICK: AgentDelays = AgentDelays { accept: 0, head: 0, line: 0, late_empty_line: false };
 
-/// An agent that needs nearly as long as a connection is granted.
+/// An agent whose delays are just below the limits of a connection.
 const SLOW: AgentDelays = AgentDelays { accept: 490, head: 300, line: 290, late_empty_line: false };
 
-/// Plays one outage and one change, without a move.
-fn play_outage(outage: Outage, agent: AgentDelays, change: u64) -> u64 {
+/// Simulates one outage and one change, without a change of address; returns the longest delay.
+fn simulate_outage(outage: Outage, agent: AgentDelays, change: u64) -> u64 {
     let outages = [vec![outage], vec![]];
-    play(History { outages, agents: [agent, agent], moves: vec![], changes: vec![change] })
+    simulate(History { outages, agents: [agent, agent], moves: vec![], changes: vec![change] })
 }
 
 #[test]
-fn changes_lost_by_a_stale_watch_that_speaks_again_come_on_a_new_one() {
-    // The old watch misses the change and speaks again at once; the next change comes on it before any new one does.
+fn changes_lost_by_a_stale_watch_are_received_on_a_new_one() {
+    // The old connection misses the first change, and delivers the next one before any new connection does.
     let (kind, fate) = (OutageKind::Unreachable, ConnectionFate::LosesChanges);
     let outage = Outage { from: 2010, to: 7000, kind, fate };
     let history = History {
@@ -42,23 +42,23 @@
         moves: vec![],
         changes: vec![4000, 7010],
     };
-    assert!(play(history) <= 1500);
+    assert!(simulate(history) <= 1500);
 }
 
 #[test]
-fn slow_agent_is_heard_beside_older_connections_with_heads_that_stay_mute() {
-    // Each new connection needs longer for its head than the shortest time between two openings.
-    let outage = Outage { from: 10, to: 8000, kind: OutageKind::HeadOnly, fate: ConnectionFate::Mute };
-    assert!(play_outage(outage, SLOW, 7000) <= 2200);
+fn slow_agent_is_followed_even_if_older_connections_stay_silent_after_their_heads() {
+    // Each new connection takes longer to get its head than the minimum open interval.
+    let outage = Outage { from: 10, to: 8000, kind: OutageKind::HeadOnly, fate: ConnectionFate::Silent };
+    assert!(simulate_outage(outage, SLOW, 7000) <= 2200);
 }
 
 #[test]
 fn worst_case_reaches_the_stated_bound_within_100_ms() {
-    // A watch that fell mute right after a line, while new connections are answered by a slow agent.
-    let outage = Outage { from: 1100, to: 1110, kind: OutageKind::Unreachable, fate: ConnectionFate::Mute };
+    // A watch falls silent right after a line, while a slow agent responds to new connections.
+    let outage = Outage { from: 1100, to: 1110, kind: OutageKind::Unreachable, fate: ConnectionFate::Silent };
     let limits = limits();
-    let worst = play_outage(outage, SLOW, 1110);
+    let delay = simulate_outage(outage, SLOW, 1110);
     let sum = limits.watch_silence_timeout + limits.new_watch_timeout();
-    assert!(Duration::from_millis(worst) + Duration::from_millis(100) >= sum, "{worst}");
-    assert!(Duration::from_millis(worst) <= limits.max_delay_after_silence());
+    assert!(Duration::from_millis(delay) + Duration::from_millis(100) >= sum, "{delay}");
+    assert!(Duration::from_millis(delay) <= limits.max_delay_after_silence());
 }
--- a/discovery/tests/liveness_outages/world.rs
+++ b/discovery/tests/liveness_outages/world.rs
@@ -1,4 +1,4 @@
-//! Plays a history through the state machine, as the driver would.
+//! Simulates a history with the state machine, in place of the driver.
 use crate::agent::{AgentEvent, Connection};
 use crate::history::{History, STEP};
 use discovery::liveness::{Action, ConnectionId, Event, Settings, WatchLiveness};
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How long a history is played on after its last event, in milliseconds.
-const AFTERMATH: u64 = 40_000;
+/// How long a simulation continues after the last event of its history, in milliseconds.
+const TIME_AFTER_LAST_EVENT: u64 = 40_000;
 
 pub(crate) fn limits() -> Limits {
     let long = Duration::from_secs(20);
@@ -28,13 +28,13 @@
     liveness: WatchLiveness,
     connections: Vec<Connection>,
     address: usize,
-    /// The version a new connection asks from, as the driver and the list keep it.
+    /// The version that a new connection resumes from, maintained as by the driver and the endpoint list.
     resume_version: u64,
-    heard: BTreeSet<u64>,
-    /// Since when each version could have been heard and was not.
-    unheard_since: Vec<Option<u64>>,
-    /// The longest that a version was not heard while it could have been.
-    worst: u64,
+    received: BTreeSet<u64>,
+    /// For each version: since when it could have been received but was not.
+    available_since: Vec<Option<u64>>,
+    /// The longest delay between when a version could have been received and when it was.
+    max_delay: u64,
 }
 
 impl World {
@@ -46,9 +46,9 @@
             connections: Vec::new(),
             address: 0,
             resume_version: 0,
-            heard: BTreeSet::new(),
-            unheard_since: vec![None; history.changes.len() + 1],
-            worst: 0,
+            received: BTreeSet::new(),
+            available_since: vec![None; history.changes.len() + 1],
+            max_delay: 0,
             history,
         }
     }
@@ -57,8 +57,8 @@
         if self.history.moves.contains(&now) {
             self.address = 1 - self.address;
             self.handle(now, Event::Follow);
-            // What the new address has counts anew.
-            self.unheard_since.fill(None);
+            // The delays start again with the new address.
+            self.available_since.fill(None);
         }
         for id in self.connections.iter().map(|c| c.id).collect::<Vec<_>>() {
             let connection = self.connections.iter_mut().find(|c| c.id == id);
@@ -72,7 +72,7 @@
             self.handle(now, Event::Deadline);
         }
         self.assert_connections_bounded(now);
-        self.assert_heard_in_time(now);
+        self.assert_received_in_time(now);
     }
 
     fn on_agent_event(&mut self, now: u64, id: ConnectionId, event: AgentEvent) {
@@ -84,8 +84,8 @@
             }
             AgentEvent::Line { after, version } => {
                 self.handle(now, Event::Line { connection: id, has_update: version > after });
-                self.heard.extend(after + 1..=version);
-                // As the driver does it.
+                self.received.extend(after + 1..=version);
+                // The driver does not advance the resume version on a stale connection either.
                 if !self.liveness.was_stale(id) {
                     self.resume_version = self.resume_version.max(version);
                 }
@@ -102,7 +102,7 @@
                 Action::Close(id) => {
                     let before = self.connections.len();
                     self.connections.retain(|c| c.id != id);
-                    assert_eq!(self.connections.len() + 1, before, "closed one that is not open");
+                    assert_eq!(self.connections.len() + 1, before, "closed a connection that is not open");
                 }
                 Action::ReportStale(_) | Action::ReportLive { .. } => {}
             }
@@ -112,47 +112,48 @@
     fn assert_connections_bounded(&self, now: u64) {
         let max_pending = self.limits.max_pending_watches;
         let pending = self.connections.iter().filter(|c| !c.is_watching()).count();
-        assert!(pending <= max_pending, "{pending} wait at {now}");
-        // The one that is stale and, after a move, the old address's.
+        assert!(pending <= max_pending, "{pending} pending connections at {now}");
+        // In addition there may be a stale connection and, after a change of address, the previous address's
+        // one.
         let open = self.connections.len();
-        assert!(open <= max_pending + 2, "{open} are open at {now}");
+        assert!(open <= max_pending + 2, "{open} open connections at {now}");
     }
 
-    fn assert_heard_in_time(&mut self, now: u64) {
+    fn assert_received_in_time(&mut self, now: u64) {
         let bound = self.limits.max_delay_after_silence().as_millis() as u64;
-        let is_away = self.history.outage(self.address, now).is_some();
+        let is_outage = self.history.outage(self.address, now).is_some();
         for version in 1..=self.history.version(now) {
-            let since = &mut self.unheard_since[version as usize];
-            if is_away || self.heard.contains(&version) {
+            let since = &mut self.available_since[version as usize];
+            if is_outage || self.received.contains(&version) {
                 *since = None;
                 continue;
             }
             let waited = now - *since.get_or_insert(now);
             assert!(
                 waited <= bound,
-                "version {version} is not heard at {now}, {waited} ms after it could be"
+                "version {version} not received at {now}, {waited} ms after it was available"
             );
-            self.worst = self.worst.max(waited);
+            self.max_delay = self.max_delay.max(waited);
         }
     }
 
-    fn assert_one_watch_stays(&self) {
+    fn assert_one_watch_remains(&self) {
         let count = self.history.changes.len() as u64;
-        assert_eq!(self.heard.len() as u64, count);
-        assert_eq!(self.resume_version, count, "a new watch would ask for what is known");
-        let left: Vec<_> = self.connections.iter().map(|c| (c.address, c.is_watching())).collect();
-        assert_eq!(left, [(self.address, true)], "one watch stays");
+        assert_eq!(self.received.len() as u64, count);
+        assert_eq!(self.resume_version, count, "resume version differs from the last received version");
+        let remaining: Vec<_> = self.connections.iter().map(|c| (c.address, c.is_watching())).collect();
+        assert_eq!(remaining, [(self.address, true)], "exactly one watch must remain");
     }
 }
 
-/// Plays a history; gives the longest that a change was not heard while it could have been, in milliseconds.
-pub(crate) fn play(history: History) -> u64 {
-    let end = history.end() + AFTERMATH;
+/// Simulates a history; returns the longest delay of a change in milliseconds, see [`World::worst`].
+pub(crate) fn simulate(history: History) -> u64 {
+    let end = history.end() + TIME_AFTER_LAST_EVENT;
     let mut world = World::new(history);
     world.handle(0, Event::Follow);
     for now in (0..end).step_by(STEP as usize) {
         world.step(now);
     }
-    world.assert_one_watch_stays();
-    world.worst
+    world.assert_one_watch_remains();
+    world.max_delay
 }
--- a/discovery/tests/recorded_run.rs
+++ b/discovery/tests/recorded_run.rs
@@ -1,5 +1,5 @@
-//! Recorded runs of the state machine: seeded events in, actions out. The fixture was written by the code as it stood
-//! before its names and files changed; the present code has to give the same text.
+//! Recorded runs of the state machine: seeded random events must result in the actions stored in a fixture.
+//! The fixture predates the renaming of types and files, which must not have changed the behaviour.
 mod common;
 
 use common::{ms, production_settings};
@@ -12,14 +12,14 @@
 
 const FIXTURES: Fixtures = testkit::fixtures!();
 
-/// Steps of a run that the fixture holds as text.
+/// The number of steps of the runs that the fixture holds as text.
 const READABLE_STEPS: usize = 200;
-/// Steps of a run of which the fixture holds the hash alone.
+/// The number of steps of the runs that the fixture holds as a hash.
 const HASHED_STEPS: usize = 4000;
-/// Runs of which the fixture holds the hash alone, for each settings.
+/// The number of runs that the fixture holds as a hash, for each settings.
 const HASHED_SEEDS: u64 = 24;
 
-/// The limits of production, and tight ones whose bounds for retries are swapped.
+/// Production settings, and tight ones whose minimum and maximum open intervals are swapped.
 fn all_settings() -> [(&'static str, Settings); 2] {
     let usual = production_settings();
     let tight = Settings {
@@ -33,8 +33,8 @@
     [("usual", usual), ("tight", tight)]
 }
 
-/// The next event and its text. Half of the events with a number are for the newest connection, and some for
-/// connections that are closed or were never opened.
+/// Returns a random event and its text. Half of the connection events are for the newest connection, some are
+/// for connections that are closed or were never opened.
 fn next_event(random: &mut SplitMix64, newest: u64) -> (Event, String) {
     let number = if random.below(2) == 0 { newest } else { (newest + 1).saturating_sub(random.below(9)) };
     let id = ConnectionId(number);
@@ -83,7 +83,7 @@
         let at = now.as_millis();
         writeln!(text, "{at} {said}: [{done}] due {due} listened {listened:?} silent {silent:?}").unwrap();
         now += ms([0, 0, 10, 30, 100, 250, 700, 2700][random.below(8) as usize]);
-        // As the driver does it, mostly: no later than what is due.
+        // Like the driver, mostly call the state machine no later than its deadline.
         if random.below(4) > 0 {
             now = machine.next_deadline().map_or(now, |due| now.min(due.max(ms(at as u64))));
         }
@@ -107,6 +107,6 @@
 }
 
 #[test]
-fn recorded_events_give_the_recorded_actions() {
+fn recorded_events_result_in_the_recorded_actions() {
     FIXTURES.assert_same("recorded_runs.txt", record());
 }
--- a/discovery/tests/watch/main.rs
+++ b/discovery/tests/watch/main.rs
@@ -1,5 +1,6 @@
-//! The watch over real sockets, between a scripted agent on loopback and the actor of the list. The limits are small,
-//! so that a stale watch is noticed in 200 ms. Each wait is for a message; only a failure reaches its bound.
+//! Tests of the watch over real sockets, between a scripted discovery agent on loopback and the endpoint
+//! list's actor. Short timeouts make a watch stale after 200 ms. Tests wait for messages, not for times; only
+//! a failing test runs into a timeout.
 mod request;
 mod staleness;
 mod stream;
--- a/discovery/tests/watch/stream.rs
+++ b/discovery/tests/watch/stream.rs
@@ -1,9 +1,9 @@
-//! How the answer comes: indented, in single bytes, too long or endless.
+//! Unusual response bodies: indented, in single bytes, as long as allowed, or endless.
 use crate::support::{HEAD, ScriptedAgent, Timing, WatchedList, chunk, complete_list, limits};
 use std::io::Write;
 
 #[test]
-fn indented_list_split_at_any_byte_is_applied() {
+fn indented_list_divided_at_any_byte_is_applied() {
     let indented = complete_list(7).replace(',', ",\n\n  ").replace('[', "[\r\n\t");
     let agent = ScriptedAgent::start();
     let watched = WatchedList::following(&agent, Timing::from_millis(5000, 5000));
@@ -12,9 +12,9 @@
         connection.send_chunk(&indented[..at]);
         connection.send_chunk(&indented[at..]);
         let update = watched.next_update();
-        assert_eq!((update.version, update.endpoints[0].id.as_str()), (7, "a\"}7"), "split at {at}");
+        assert_eq!((update.version, update.endpoints[0].id.as_str()), (7, "a\"}7"), "divided at byte {at}");
     }
-    // An object that is no list is not applied in part, and ends the watch; one that is nested deeply as well.
+    // An invalid list, and a too deeply nested object, end the connection without being applied in part.
     connection.send_chunk(&complete_list(8).replace("in_service", "odd"));
     let connection = agent.next();
     assert_eq!(connection.index(), "7");
@@ -25,20 +25,20 @@
 }
 
 #[test]
-fn agent_that_sends_one_byte_at_a_time_is_heard() {
+fn list_sent_one_byte_at_a_time_is_applied() {
     let agent = ScriptedAgent::start();
     let watched = WatchedList::following(&agent, Timing::NEVER_STALE);
     let connection = agent.next();
     let indented = complete_list(5).replace(',', ",\n  ") + "\n";
     let next = complete_list(6) + "\n";
-    let answer = [HEAD.to_string(), chunk(&indented), chunk("\n"), chunk(&next)].concat();
-    for byte in answer.as_bytes() {
+    let response = [HEAD.to_string(), chunk(&indented), chunk("\n"), chunk(&next)].concat();
+    for byte in response.as_bytes() {
         connection.send_raw(&[*byte]).unwrap();
     }
     assert_eq!([watched.next_update().version, watched.next_update().version], [5, 6]);
 }
 
-/// An indented list of `bytes` bytes, with this many servers.
+/// Creates an indented list with this many servers, padded to `bytes` bytes.
 fn long_list(bytes: usize, servers: usize) -> String {
     let entry = |n: usize| {
         format!(
@@ -55,21 +55,21 @@
     let agent = ScriptedAgent::start();
     let watched = WatchedList::following(&agent, Timing::NEVER_STALE);
     let connection = agent.next_with_head();
-    // 4 MB, all of it in one chunk.
+    // 4 MiB in one chunk.
     let max_list_bytes = limits().max_discovery_line_bytes;
     assert_eq!(max_list_bytes, 4 << 20);
     connection.send_chunk(&long_list(max_list_bytes, 40_000));
     let update = watched.next_update();
     assert_eq!((update.version, update.endpoints.len()), (5, 40_000));
-    // An object that never ends: the reader gives it up, at a byte more than its bound.
+    // The watch closes the connection once an endless object exceeds the limit.
     let mut endless = connection.socket;
     endless.write_all(chunk("{\"version\":6,\"x\":\"").as_bytes()).unwrap();
     let more = chunk(&"a".repeat(1 << 16));
-    let taken = (0..1024).take_while(|_| endless.write_all(more.as_bytes()).is_ok()).count();
-    // What the kernel holds on both sides comes on top.
-    assert!((64..512).contains(&taken), "{taken} pieces of 64 KiB were taken");
+    let accepted = (0..1024).take_while(|_| endless.write_all(more.as_bytes()).is_ok()).count();
+    // More is accepted than the limit, since the kernel buffers data on both sides.
+    assert!((64..512).contains(&accepted), "{accepted} pieces of 64 KiB were accepted");
     let connection = agent.next_from("5");
-    // So it does with a head and with a chunk's size that never end.
+    // The same holds for an endless chunk size and an endless response head.
     _ = connection.send_raw(&[HEAD.as_bytes(), &[b'0'; 100]].concat());
     let connection = agent.next();
     _ = connection.send_raw(format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(20_000)).as_bytes());
--- a/discovery/tests/watch/support.rs
+++ b/discovery/tests/watch/support.rs
@@ -1,4 +1,4 @@
-//! An agent that a test scripts, and a watch whose updates the test receives.
+//! A scripted discovery agent, and a watch whose updates the test receives.
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use discovery::Watch;
 use routing::{EndpointUpdate, EndpointsHandle, RouterMessage};
@@ -10,34 +10,34 @@
 use std::time::Duration;
 use testkit::routing::{NoProtocol, TIMEOUT, start_endpoints};
 
-/// The head of an answer whose body follows in chunks.
+/// The head of a chunked response.
 pub(crate) const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Text as one chunk of a body.
+/// Encodes text as one chunk of a body.
 pub(crate) fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// A complete list of one server, whose id holds a quote and a brace.
+/// A complete list with one server, whose ID contains a quote and a brace to test the splitting of objects.
 pub(crate) fn complete_list(version: u64) -> String {
     format!(
         r#"{{"version":{version},"full":true,"servers":[{{"id":"a\"}}{version}","addr":"127.0.0.1:1","zone":"a","cell":1,"state":"in_service"}}]}}"#
     )
 }
 
-/// A change of one server.
+/// A change with one server.
 pub(crate) fn change(version: u64, id: &str, state: &str) -> String {
     format!(
         r#"{{"version":{version},"full":false,"servers":[{{"id":"{id}","addr":"127.0.0.1:1","zone":"a","cell":1,"state":"{state}"}}]}}"#
     )
 }
 
-/// Limits of which a test changes some.
+/// Default limits, of which tests change some.
 pub(crate) fn limits() -> Limits {
     testkit::routing::limits(TIMEOUT)
 }
 
-/// One connection of the watch, as the agent has it: its request is read, nothing is written yet.
+/// The agent's side of a connection whose request has been read; nothing has been written yet.
 pub(crate) struct AgentConnection {
     pub(crate) request: String,
     pub(crate) socket: TcpStream,
@@ -52,7 +52,7 @@
         AgentConnection { request, socket }
     }
 
-    /// The version that it resumes from.
+    /// The version that the connection resumes from.
     pub(crate) fn index(&self) -> &str {
         self.request.split("index=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap_or("")
     }
@@ -69,13 +69,14 @@
         (&self.socket).write_all(bytes)
     }
 
-    /// Writes this and nothing more, and stays open. On a busy machine the connection may have been given up.
+    /// Sends this text and nothing more, and leaves the connection open. On a busy machine the watch may have
+    /// closed it.
     pub(crate) fn send_and_hold(self, text: &str) {
         _ = self.send_raw(text.as_bytes());
         self.hold();
     }
 
-    /// Keeps the connection open for good.
+    /// Leaves the connection open until the process ends.
     pub(crate) fn hold(self) {
         std::mem::forget(self.socket);
     }
@@ -87,7 +88,7 @@
     }
 }
 
-/// An agent whose connections the test writes to.
+/// A discovery agent whose connections are controlled by the test.
 pub(crate) struct ScriptedAgent {
     pub(crate) addr: SocketAddr,
     pub(crate) connections: Receiver<AgentConnection>,
@@ -112,13 +113,14 @@
         self.connections.recv_timeout(TIMEOUT).expect("a connection")
     }
 
-    /// The next connection that resumes from this version. On a busy machine others may have been opened before it.
+    /// The next connection that resumes from this version. Skips others, which may be opened before on a busy
+    /// machine.
     pub(crate) fn next_from(&self, index: &str) -> AgentConnection {
         let mut next = (0..64).map(|_| self.next());
         next.find(|connection| connection.index() == index).expect("a watch that resumes from there")
     }
 
-    /// The next connection, its head written.
+    /// The next connection, after sending the response head.
     pub(crate) fn next_with_head(&self) -> AgentConnection {
         let connection = self.next();
         connection.send_head();
@@ -126,7 +128,7 @@
     }
 }
 
-/// When a watch is stale, and how long it waits for a first line.
+/// The timeouts of a watch that differ between tests.
 #[derive(Clone, Copy)]
 pub(crate) struct Timing {
     pub(crate) stale_after: Duration,
@@ -134,9 +136,9 @@
 }
 
 impl Timing {
-    /// For tests that staleness is no part of.
+    /// For tests in which no watch becomes stale.
     pub(crate) const NEVER_STALE: Timing = Timing::from_millis(60_000, 60_000);
-    /// No watch is stale, yet others are opened soon beside one without a first line.
+    /// No watch becomes stale, but further connections are opened soon if a first line is missing.
     pub(crate) const SHORT_FIRST_LINE: Timing = Timing::from_millis(60_000, 50);
 
     pub(crate) const fn from_millis(stale_after: u64, first_line_timeout: u64) -> Timing {
@@ -146,8 +148,8 @@
         }
     }
 
-    /// Shortest and longest time between two openings. Where staleness is no part of a test, a second connection beside
-    /// one that is about to speak isn't either.
+    /// Minimum and maximum interval between two openings. They are long in tests without staleness, so that
+    /// no second connection is opened before the first line is received.
     fn backoff(self) -> Backoff {
         let (min_ms, max_ms) =
             if self.stale_after < Duration::from_secs(1) { (20, 100) } else { (1000, 1000) };
@@ -155,7 +157,7 @@
     }
 }
 
-/// A watch, and the updates that its list has applied.
+/// A watch and the updates applied by its endpoint list.
 pub(crate) struct WatchedList {
     pub(crate) watch: Watch,
     pub(crate) list: EndpointsHandle,
@@ -164,13 +166,13 @@
 }
 
 impl WatchedList {
-    /// A watch that follows no address yet.
+    /// Starts a watch that follows no address yet.
     pub(crate) fn start(timing: Timing) -> WatchedList {
         let mut limits = limits();
         limits.watch_silence_timeout = timing.stale_after;
         limits.watch_first_line_timeout = timing.first_line_timeout;
         limits.watch_backoff = timing.backoff();
-        // None has to make room, however slowly a test goes on.
+        // High enough that no pending connection is closed in favour of another, even in a slow test.
         limits.max_pending_watches = 64;
         let (sender, updates) = bounded(64);
         let list = start_endpoints(&limits, sender.clone(), None);
@@ -178,16 +180,16 @@
         WatchedList { watch, list, updates, _sender: sender }
     }
 
-    /// A watch that follows this agent.
+    /// Starts a watch that follows this agent.
     pub(crate) fn following(agent: &ScriptedAgent, timing: Timing) -> WatchedList {
         let watched = WatchedList::start(timing);
         watched.watch.follow(agent.addr).unwrap();
         watched
     }
 
-    /// A watch that follows this agent and has applied a complete list of this version, and the connection that it came
-    /// on.
-    pub(crate) fn holding(
+    /// Starts a watch that follows this agent and has applied a complete list of this version; also returns
+    /// the connection of that list.
+    pub(crate) fn with_applied_list(
         agent: &ScriptedAgent,
         timing: Timing,
         version: u64,
@@ -206,8 +208,8 @@
         }
     }
 
-    /// Has a new connection that resumes from this version bring this, and gives the update that is applied. On a busy
-    /// machine one may have been given up before it could; then the next does.
+    /// Sends this text on a new connection that resumes from this version, and returns the update that is
+    /// applied. On a busy machine the watch may have closed the connection before; then the next one is used.
     pub(crate) fn update_resumed_from(
         &self,
         agent: &ScriptedAgent,
@@ -222,6 +224,6 @@
                 return (update, connection);
             }
         }
-        panic!("no new watch is heard");
+        panic!("no update was applied from any new connection");
     }
 }
--- a/discovery/tests/watch/versions.rs
+++ b/discovery/tests/watch/versions.rs
@@ -1,20 +1,21 @@
-//! Versions that go back: an agent that counts anew, and an address whose agent is at another version.
+//! Decreasing versions: an agent that restarts its version numbers, and a new address whose agent has a lower
+//! version.
 use crate::support::{ScriptedAgent, Timing, WatchedList, change, complete_list};
 use testkit::routing::TIMEOUT;
 
 #[test]
 fn restarted_versions_are_applied_and_the_complete_list_is_requested() {
     let agent = ScriptedAgent::start();
-    let (watched, old) = WatchedList::holding(&agent, Timing::NEVER_STALE, 45);
+    let (watched, old) = WatchedList::with_applied_list(&agent, Timing::NEVER_STALE, 45);
     drop(old);
-    // Begun anew, it gives changes alone.
+    // After its restart the agent sends changes only, no complete list.
     let new = agent.next();
     assert_eq!(new.index(), "45");
     new.send_head();
     new.send_chunk(&change(2, "a", "terminating"));
     assert_eq!(watched.next_update().version, 2);
-    // What else has changed is not known.
-    // Even now it gives changes alone.
+    // Other changes since the restart are unknown, so the watch requests the complete list.
+    // The agent sends only changes even then.
     let (update, new) = watched.update_resumed_from(&agent, "0", &change(2, "b", "terminating"));
     assert_eq!(update.endpoints[0].id, "b");
     new.send_chunk(&change(3, "c", "terminating"));
@@ -25,30 +26,30 @@
 }
 
 #[test]
-fn complete_list_of_the_same_or_a_lower_version_is_applied_after_a_move() {
+fn complete_list_of_the_same_or_a_lower_version_is_applied_after_a_change_of_address() {
     for version in [45, 7] {
         let (old, new) = (ScriptedAgent::start(), ScriptedAgent::start());
-        let (watched, before) = WatchedList::holding(&old, Timing::NEVER_STALE, 45);
+        let (watched, old_connection) = WatchedList::with_applied_list(&old, Timing::NEVER_STALE, 45);
         watched.watch.follow(new.addr).unwrap();
         let connection = new.next_with_head();
         connection.send_chunk(&complete_list(version));
         assert_eq!(watched.next_update().version, version);
-        // The old one is closed by that update; what it says behind it counts for nothing.
-        before.assert_closed();
+        // That update closes the old connection, so that later data on it is ignored.
+        old_connection.assert_closed();
         connection.send_chunk(&change(version + 1, "b", "terminating"));
         assert_eq!(watched.next_update().version, version + 1);
     }
 }
 
 #[test]
-fn changes_of_a_lagging_new_address_below_the_held_version_are_ignored() {
+fn changes_of_a_lagging_new_address_below_the_version_of_the_list_are_ignored() {
     let (old, new) = (ScriptedAgent::start(), ScriptedAgent::start());
-    let (watched, _before) = WatchedList::holding(&old, Timing::NEVER_STALE, 45);
+    let (watched, _old_connection) = WatchedList::with_applied_list(&old, Timing::NEVER_STALE, 45);
     watched.watch.follow(new.addr).unwrap();
     let connection = new.next();
     assert_eq!(connection.index(), "45");
     connection.send_head();
-    // It gives on whatever it gets, also what lies before the version asked for.
+    // The agent forwards all changes it receives, including those below the requested version.
     connection.send_chunk(&change(44, "b", "in_service"));
     connection.send_chunk(&change(46, "c", "terminating"));
     assert_eq!(watched.next_update().version, 46);
