--- a/discovery/src/watch.rs
+++ b/discovery/src/watch.rs
@@ -24,8 +24,8 @@
         Watch { shared: Arc::new(Shared::new(zones, limits, list)) }
     }
 
-    /// Switches the watch to this address. Until the first line is received from it, updates from the
-    /// previous address are still applied.
+    /// Switches the watch to this address. Updates from the previous address are still applied until the new
+    /// one has sent an update, or an empty line and a grace period has passed.
     ///
     /// # Errors
     /// If no thread can be started, or no file descriptor is left; raise the limits of the user that the
--- a/discovery/tests/liveness.rs
+++ b/discovery/tests/liveness.rs
@@ -49,9 +49,9 @@
 
 impl Run {
     /// Returns the events of one step, in the order in which they are to be handled.
-    fn events(&self, now: u64, agent: Agent, is_followed_now: bool) -> Vec<Event> {
+    fn events(&self, now: u64, agent: Agent, changes_address: bool) -> Vec<Event> {
         let mut events = Vec::new();
-        if is_followed_now {
+        if changes_address {
             events.push(Event::Follow);
         }
         for (id, opened) in &self.open {
@@ -257,7 +257,7 @@
     let old = record.received.iter().rfind(|(_, opened)| *opened < 5000).unwrap();
     assert!(
         old.0 >= 8000 && old.0 <= 9020,
-        "until the update at about 9100 or 4 s after the move: {record:?}"
+        "until the update at about 9100 or 4 s after the change: {record:?}"
     );
 }
 
--- a/discovery/tests/liveness_outages/agent.rs
+++ b/discovery/tests/liveness_outages/agent.rs
@@ -93,9 +93,9 @@
         };
         let outages = &history.outages[self.address];
         if let Some(index) = history.outage(self.address, now) {
-            let is_start = self.current_outage != Some(index);
+            let is_outage_start = self.current_outage != Some(index);
             self.current_outage = Some(index);
-            return self.poll_in_outage(input, &outages[index], is_start);
+            return self.poll_in_outage(input, &outages[index], is_outage_start);
         }
         let version = history.version(now);
         if let Some(index) = self.current_outage.take() {
@@ -107,9 +107,14 @@
         self.poll_in_service(input, history.agents[self.address], version)
     }
 
-    fn poll_in_outage(&mut self, input: StepInput, outage: &Outage, is_start: bool) -> Option<AgentEvent> {
+    fn poll_in_outage(
+        &mut self,
+        input: StepInput,
+        outage: &Outage,
+        is_outage_start: bool,
+    ) -> Option<AgentEvent> {
         let StepInput { now, .. } = input;
-        let is_reset = is_start && outage.fate == ConnectionFate::Reset;
+        let is_reset = is_outage_start && outage.fate == ConnectionFate::Reset;
         match (self.stage, outage.kind) {
             (Stage::Connecting, OutageKind::Refused) => Some(AgentEvent::Ended),
             (Stage::Connecting, OutageKind::Unreachable) => {
--- a/discovery/tests/liveness_outages/history.rs
+++ b/discovery/tests/liveness_outages/history.rs
@@ -55,7 +55,7 @@
     pub(crate) outages: [Vec<Outage>; 2],
     pub(crate) agents: [AgentDelays; 2],
     /// When the watch switches to the other address.
-    pub(crate) moves: Vec<u64>,
+    pub(crate) address_changes: Vec<u64>,
     /// When each version becomes available at both addresses.
     pub(crate) changes: Vec<u64>,
 }
@@ -74,7 +74,7 @@
     /// The time of the last event of the history.
     pub(crate) fn end(&self) -> u64 {
         let ends = self.outages.iter().flatten().map(|outage| outage.to);
-        let all = ends.chain(self.moves.iter().copied()).chain(self.changes.iter().copied());
+        let all = ends.chain(self.address_changes.iter().copied()).chain(self.changes.iter().copied());
         all.max().unwrap_or(0)
     }
 }
@@ -125,13 +125,13 @@
     // Changes at any time, and additional ones shortly after the end of an outage.
     let after_outages = prop::collection::vec((any::<prop::sample::Index>(), 0..100u64), 0..4);
     let all = (outages(), outages(), agent(), agent(), times(4), times(5), after_outages);
-    all.prop_map(|(a, b, one, other, moves, mut changes, after_outages)| {
+    all.prop_map(|(a, b, one, other, address_changes, mut changes, after_outages)| {
         let ends: Vec<u64> = a.iter().chain(&b).map(|outage| outage.to / STEP).collect();
         if !ends.is_empty() {
             changes.extend(after_outages.iter().map(|(which, delay)| which.get(&ends) + delay));
         }
-        let (moves, changes) = (sorted_times(moves), sorted_times(changes));
-        History { outages: [a, b], agents: [one, other], moves, changes }
+        let (address_changes, changes) = (sorted_times(address_changes), sorted_times(changes));
+        History { outages: [a, b], agents: [one, other], address_changes, changes }
     })
 }
 
--- a/discovery/tests/liveness_outages/main.rs
+++ b/discovery/tests/liveness_outages/main.rs
@@ -28,7 +28,7 @@
 /// Simulates one outage and one change, without a change of address; returns the longest delay.
 fn simulate_outage(outage: Outage, agent: AgentDelays, change: u64) -> u64 {
     let outages = [vec![outage], vec![]];
-    simulate(History { outages, agents: [agent, agent], moves: vec![], changes: vec![change] })
+    simulate(History { outages, agents: [agent, agent], address_changes: vec![], changes: vec![change] })
 }
 
 #[test]
@@ -39,7 +39,7 @@
     let history = History {
         outages: [vec![outage], vec![]],
         agents: [AgentDelays { accept: 400, head: 300, line: 200, late_empty_line: false }, QUICK],
-        moves: vec![],
+        address_changes: vec![],
         changes: vec![4000, 7010],
     };
     assert!(simulate(history) <= 1500);
--- a/discovery/tests/liveness_outages/world.rs
+++ b/discovery/tests/liveness_outages/world.rs
@@ -18,11 +18,11 @@
     )
 }
 
-fn machine(limits: &Limits) -> WatchLiveness {
+fn state_machine(limits: &Limits) -> WatchLiveness {
     WatchLiveness::new(Settings::from(limits))
 }
 
-struct World {
+struct Simulation {
     history: History,
     limits: Limits,
     liveness: WatchLiveness,
@@ -37,11 +37,11 @@
     max_delay: u64,
 }
 
-impl World {
-    fn new(history: History) -> World {
+impl Simulation {
+    fn new(history: History) -> Simulation {
         let limits = limits();
-        World {
-            liveness: machine(&limits),
+        Simulation {
+            liveness: state_machine(&limits),
             limits,
             connections: Vec::new(),
             address: 0,
@@ -54,7 +54,7 @@
     }
 
     fn step(&mut self, now: u64) {
-        if self.history.moves.contains(&now) {
+        if self.history.address_changes.contains(&now) {
             self.address = 1 - self.address;
             self.handle(now, Event::Follow);
             // The delays start again with the new address.
@@ -100,9 +100,13 @@
             match action {
                 Action::Open(id) => self.connections.push(Connection::open(id, self.address, now)),
                 Action::Close(id) => {
-                    let before = self.connections.len();
+                    let open_before = self.connections.len();
                     self.connections.retain(|c| c.id != id);
-                    assert_eq!(self.connections.len() + 1, before, "closed a connection that is not open");
+                    assert_eq!(
+                        self.connections.len() + 1,
+                        open_before,
+                        "closed a connection that is not open"
+                    );
                 }
                 Action::ReportStale(_) | Action::ReportLive { .. } => {}
             }
@@ -146,14 +150,14 @@
     }
 }
 
-/// Simulates a history; returns the longest delay of a change in milliseconds, see [`World::worst`].
+/// Simulates a history; returns the longest delay of a change in milliseconds, see [`Simulation::max_delay`].
 pub(crate) fn simulate(history: History) -> u64 {
     let end = history.end() + TIME_AFTER_LAST_EVENT;
-    let mut world = World::new(history);
-    world.handle(0, Event::Follow);
+    let mut simulation = Simulation::new(history);
+    simulation.handle(0, Event::Follow);
     for now in (0..end).step_by(STEP as usize) {
-        world.step(now);
+        simulation.step(now);
     }
-    world.assert_one_watch_remains();
-    world.max_delay
+    simulation.assert_one_watch_remains();
+    simulation.max_delay
 }
--- a/discovery/tests/recorded_run.rs
+++ b/discovery/tests/recorded_run.rs
@@ -62,30 +62,35 @@
         (WatchLiveness::new(settings), SplitMix64::new(seed), String::new());
     let (mut now, mut newest, mut actions) = (Duration::ZERO, 0, Vec::new());
     for step in 0..steps {
-        let (event, said) = match step {
+        let (event, event_text) = match step {
             0 => (Event::Deadline, "due".to_string()),
             1 => (Event::Follow, "follow".to_string()),
             _ => next_event(&mut random, newest),
         };
         machine.handle(now, event, &mut actions);
-        let mut done = Vec::new();
+        let mut action_texts = Vec::new();
         for action in actions.drain(..) {
             if let Action::Open(ConnectionId(number)) = action {
                 newest = number;
             }
-            done.push(action_text(action));
+            action_texts.push(action_text(action));
         }
         let known = newest.saturating_sub(12)..=newest;
-        let listened: Vec<u64> = known.clone().filter(|n| machine.is_tracked(ConnectionId(*n))).collect();
-        let silent: Vec<u64> = known.filter(|n| machine.was_stale(ConnectionId(*n))).collect();
-        let due = machine.next_deadline().map_or("never".to_string(), |due| due.as_millis().to_string());
-        let done = done.join(", ");
+        let tracked: Vec<u64> = known.clone().filter(|n| machine.is_tracked(ConnectionId(*n))).collect();
+        let stale: Vec<u64> = known.filter(|n| machine.was_stale(ConnectionId(*n))).collect();
+        let deadline =
+            machine.next_deadline().map_or("never".to_string(), |deadline| deadline.as_millis().to_string());
+        let action_texts = action_texts.join(", ");
         let at = now.as_millis();
-        writeln!(text, "{at} {said}: [{done}] due {due} listened {listened:?} silent {silent:?}").unwrap();
+        writeln!(
+            text,
+            "{at} {event_text}: [{action_texts}] due {deadline} listened {tracked:?} silent {stale:?}"
+        )
+        .unwrap();
         now += ms([0, 0, 10, 30, 100, 250, 700, 2700][random.below(8) as usize]);
         // Like the driver, mostly call the state machine no later than its deadline.
         if random.below(4) > 0 {
-            now = machine.next_deadline().map_or(now, |due| now.min(due.max(ms(at as u64))));
+            now = machine.next_deadline().map_or(now, |deadline| now.min(deadline.max(ms(at as u64))));
         }
     }
     text
--- a/discovery/tests/watch/staleness.rs
+++ b/discovery/tests/watch/staleness.rs
@@ -7,14 +7,14 @@
 fn each_kind_of_silence_leads_to_a_watch_that_resumes_at_the_version_of_the_list() {
     type Silence = fn(&ScriptedAgent);
     let kinds: [(&str, Silence); 5] = [
-        ("accepts and sends nothing", |agent| agent.next_from("5").hold()),
-        ("response head without a line", |agent| agent.next_from("5").send_and_hold(HEAD)),
+        ("accepts and sends nothing", |agent| agent.next_resuming_from("5").leave_open()),
+        ("response head without a line", |agent| agent.next_resuming_from("5").send_and_leave_open(HEAD)),
         ("incomplete line", |agent| {
             let half = HEAD.to_string() + &chunk(&complete_list(9)[..40]);
-            agent.next_from("5").send_and_hold(&half);
+            agent.next_resuming_from("5").send_and_leave_open(&half);
         }),
-        ("incomplete response head", |agent| agent.next_from("5").send_and_hold(&HEAD[..20])),
-        ("connection closed at once", |agent| drop(agent.next_from("5"))),
+        ("incomplete response head", |agent| agent.next_resuming_from("5").send_and_leave_open(&HEAD[..20])),
+        ("connection closed at once", |agent| drop(agent.next_resuming_from("5"))),
     ];
     for (kind, silence) in kinds {
         let agent = ScriptedAgent::start();
@@ -39,7 +39,7 @@
         old.send_chunk("a");
         // A connection that requests an older version was opened before the old connection sent its list.
         match agent.connections.recv_timeout(Duration::from_millis(20)) {
-            Ok(connection) if connection.index() == "5" => break,
+            Ok(connection) if connection.resume_version() == "5" => break,
             _ => {}
         }
     }
@@ -109,17 +109,17 @@
     let agent = ScriptedAgent::start();
     let (watched, old) = WatchedList::with_applied_list(&agent, Timing::from_millis(100, 50), 5);
     // The old connection is stale and misses versions 6 and 7, then it delivers version 8.
-    agent.next_from("5").hold();
+    agent.next_resuming_from("5").leave_open();
     old.send_chunk(&change(8, "a", "terminating"));
     assert_eq!(watched.next_update().version, 8);
     // Connections opened after version 8 was applied still resume at version 5.
     assert!(watched.list.wait_until_applied(TIMEOUT));
     for _ in 0..8 {
-        assert_eq!(agent.next().index(), "5");
+        assert_eq!(agent.next().resume_version(), "5");
     }
     let (update, new) = watched.update_resumed_from(&agent, "5", &change(8, "b", "terminating"));
     assert_eq!((update.version, update.endpoints[0].id.as_str()), (8, "b"));
     drop(new);
     // No change is missing any more, so the next connection resumes at version 8.
-    agent.next_from("8");
+    agent.next_resuming_from("8");
 }
--- a/discovery/tests/watch/stream.rs
+++ b/discovery/tests/watch/stream.rs
@@ -17,10 +17,10 @@
     // An invalid list, and a too deeply nested object, end the connection without being applied in part.
     connection.send_chunk(&complete_list(8).replace("in_service", "odd"));
     let connection = agent.next();
-    assert_eq!(connection.index(), "7");
+    assert_eq!(connection.resume_version(), "7");
     connection.send_head();
     connection.send_chunk(&format!("{{\"servers\":{}{}}}", "[".repeat(100_000), "]".repeat(100_000)));
-    assert_eq!(agent.next().index(), "7");
+    assert_eq!(agent.next().resume_version(), "7");
     assert!(watched.updates.is_empty());
 }
 
@@ -68,7 +68,7 @@
     let accepted = (0..1024).take_while(|_| endless.write_all(more.as_bytes()).is_ok()).count();
     // More is accepted than the limit, since the kernel buffers data on both sides.
     assert!((64..512).contains(&accepted), "{accepted} pieces of 64 KiB were accepted");
-    let connection = agent.next_from("5");
+    let connection = agent.next_resuming_from("5");
     // The same holds for an endless chunk size and an endless response head.
     _ = connection.send_raw(&[HEAD.as_bytes(), &[b'0'; 100]].concat());
     let connection = agent.next();
--- a/discovery/tests/watch/support.rs
+++ b/discovery/tests/watch/support.rs
@@ -53,7 +53,7 @@
     }
 
     /// The version that the connection resumes from.
-    pub(crate) fn index(&self) -> &str {
+    pub(crate) fn resume_version(&self) -> &str {
         self.request.split("index=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap_or("")
     }
 
@@ -71,13 +71,13 @@
 
     /// Sends this text and nothing more, and leaves the connection open. On a busy machine the watch may have
     /// closed it.
-    pub(crate) fn send_and_hold(self, text: &str) {
+    pub(crate) fn send_and_leave_open(self, text: &str) {
         _ = self.send_raw(text.as_bytes());
-        self.hold();
+        self.leave_open();
     }
 
     /// Leaves the connection open until the process ends.
-    pub(crate) fn hold(self) {
+    pub(crate) fn leave_open(self) {
         std::mem::forget(self.socket);
     }
 
@@ -115,9 +115,10 @@
 
     /// The next connection that resumes from this version. Skips others, which may be opened before on a busy
     /// machine.
-    pub(crate) fn next_from(&self, index: &str) -> AgentConnection {
+    pub(crate) fn next_resuming_from(&self, resume_version: &str) -> AgentConnection {
         let mut next = (0..64).map(|_| self.next());
-        next.find(|connection| connection.index() == index).expect("a watch that resumes from there")
+        next.find(|connection| connection.resume_version() == resume_version)
+            .expect("a connection that resumes from this version")
     }
 
     /// The next connection, after sending the response head.
@@ -213,11 +214,11 @@
     pub(crate) fn update_resumed_from(
         &self,
         agent: &ScriptedAgent,
-        index: &str,
+        resume_version: &str,
         text: &str,
     ) -> (EndpointUpdate, AgentConnection) {
         for _ in 0..16 {
-            let connection = agent.next_from(index);
+            let connection = agent.next_resuming_from(resume_version);
             _ = connection.send_raw((HEAD.to_string() + &chunk(text)).as_bytes());
             let update = self.updates.recv_timeout(Duration::from_secs(2));
             if let Ok(RouterMessage::Endpoints(update)) = update {
--- a/discovery/tests/watch/versions.rs
+++ b/discovery/tests/watch/versions.rs
@@ -10,7 +10,7 @@
     drop(old);
     // After its restart the agent sends changes only, no complete list.
     let new = agent.next();
-    assert_eq!(new.index(), "45");
+    assert_eq!(new.resume_version(), "45");
     new.send_head();
     new.send_chunk(&change(2, "a", "terminating"));
     assert_eq!(watched.next_update().version, 2);
@@ -22,7 +22,7 @@
     assert_eq!(watched.next_update().version, 3);
     assert!(watched.list.wait_until_applied(TIMEOUT));
     drop(new);
-    agent.next_from("3");
+    agent.next_resuming_from("3");
 }
 
 #[test]
@@ -47,12 +47,12 @@
     let (watched, _old_connection) = WatchedList::with_applied_list(&old, Timing::NEVER_STALE, 45);
     watched.watch.follow(new.addr).unwrap();
     let connection = new.next();
-    assert_eq!(connection.index(), "45");
+    assert_eq!(connection.resume_version(), "45");
     connection.send_head();
     // The agent forwards all changes it receives, including those below the requested version.
     connection.send_chunk(&change(44, "b", "in_service"));
     connection.send_chunk(&change(46, "c", "terminating"));
     assert_eq!(watched.next_update().version, 46);
     drop(connection);
-    new.next_from("46");
+    new.next_resuming_from("46");
 }
