--- a/registry/src/client/consul_poll.rs
+++ b/registry/src/client/consul_poll.rs
@@ -1,6 +1,6 @@
 //! Follows a Consul member with consecutive blocking queries, each of which returns all keys at an index.
 use super::Client;
-use super::follow::NextStep;
+use super::follow::NextRequest;
 use crate::RequestError;
 use crate::consul::{Consul, IndexedItems};
 use crate::machine::{EndpointIndex, Event, Machine, Revision};
@@ -53,7 +53,7 @@
 impl Client {
     fn start_health_queries(&self, consul: &Consul) -> Option<HealthQueries> {
         let service = consul.service.clone()?;
-        let consul = Consul { member: consul.member.new_connection(), service: Some(service) };
+        let consul = Consul { http_client: consul.http_client.new_connection(), service: Some(service) };
         let (prefix, wait) = (self.settings.prefix.clone(), self.connector.query_wait);
         Some(HealthQueries::start(consul, prefix, wait, self.limits.routing_thread_stack_bytes))
     }
@@ -65,7 +65,7 @@
         endpoint: EndpointIndex,
         consul: &mut Consul,
         on_success: &mut dyn FnMut(),
-    ) -> Result<NextStep, RequestError> {
+    ) -> Result<NextRequest, RequestError> {
         let mut health = self.start_health_queries(consul);
         // With a service, the keys are queried with a short wait, so that results of its health query are
         // applied soon.
@@ -83,7 +83,7 @@
             items.extend(nodes);
             let revision = index.max(health_index);
             let event = Event::Snapshot { endpoint, cluster: 0, revision, items };
-            if let leave @ NextStep::Leave(_) = self.apply(machine, event) {
+            if let leave @ NextRequest::Leave(_) = self.apply(machine, event) {
                 return Ok(leave);
             }
             if !std::mem::replace(&mut is_following, true) {
@@ -91,6 +91,6 @@
             }
             on_success();
         }
-        Ok(NextStep::None)
+        Ok(NextRequest::None)
     }
 }
--- a/registry/src/client/etcd_watch.rs
+++ b/registry/src/client/etcd_watch.rs
@@ -1,7 +1,7 @@
 //! Follows an etcd member with a watch; while it is silent, reads on a second connection check for missed
 //! changes.
 use super::Client;
-use super::follow::NextStep;
+use super::follow::NextRequest;
 use crate::RequestError;
 use crate::etcd::{Etcd, WatchEvent};
 use crate::machine::{EndpointIndex, Event, Machine, Revision};
@@ -14,7 +14,7 @@
     /// A client of the same member on a separate connection, for reads while the watch is silent.
     check_client: Etcd,
     /// The state machine's next request; anything but `None` ends the watch.
-    next: NextStep,
+    next: NextRequest,
     /// A read has found a change that the watch has not delivered yet.
     change_overdue: bool,
     /// Why the watch failed its check.
@@ -41,7 +41,7 @@
 
     fn apply(&mut self, event: Event) -> bool {
         self.next = self.client.apply(self.machine, event);
-        matches!(self.next, NextStep::None)
+        matches!(self.next, NextRequest::None)
     }
 
     /// Checks by a read whether there are changes that the watch has not delivered; `false` ends the watch.
@@ -75,9 +75,9 @@
         endpoint: EndpointIndex,
         etcd: &mut Etcd,
         from: Revision,
-    ) -> Result<NextStep, RequestError> {
+    ) -> Result<NextRequest, RequestError> {
         let check_client = Etcd {
-            member: etcd.member.new_connection(),
+            http_client: etcd.http_client.new_connection(),
             credentials: etcd.credentials.clone(),
             page: etcd.page,
         };
@@ -86,7 +86,7 @@
             machine: &mut *machine,
             endpoint,
             check_client,
-            next: NextStep::None,
+            next: NextRequest::None,
             change_overdue: false,
             failure: None,
         };
@@ -94,7 +94,7 @@
         let ended = etcd.watch(prefix, from, max_silence, |event| watch.handle(event));
         let EtcdWatch { next, failure, .. } = watch;
         match (failure, ended) {
-            (Some(reason), _) => Ok(NextStep::Leave(reason)),
+            (Some(reason), _) => Ok(NextRequest::Leave(reason)),
             (None, Err(RequestError::Compacted)) => {
                 tracing::warn!(revision = from, "registry revision compacted away, reading everything again");
                 Ok(self.apply(machine, Event::Compacted { endpoint }))
--- a/registry/src/client/follow.rs
+++ b/registry/src/client/follow.rs
@@ -3,7 +3,7 @@
 use super::list_state::ListState;
 use super::{Client, Key, MemberClient, micros};
 use crate::RequestError;
-use crate::endpoints::{Endpoints, Settings as EndpointSettings};
+use crate::endpoints::{MemberSelector, Settings as SelectorSettings};
 use crate::etcd::ClusterRevision;
 use crate::fleet::Event as FleetEvent;
 use crate::machine::{Action, EndpointIndex, Event, Item, Machine, Revision};
@@ -15,7 +15,7 @@
 const ATTEMPTS_PER_S: f64 = 5.0;
 
 /// The next request to the followed registry member.
-pub(super) enum NextStep {
+pub(super) enum NextRequest {
     /// No new request; the current watch continues.
     None,
     /// Read all keys under the prefix.
@@ -35,20 +35,20 @@
 
 impl Client {
     pub(super) fn follow(&self, mut machine: Machine) {
-        let mut endpoints = Endpoints::new(self.endpoint_settings(), self.seed());
+        let mut selector = MemberSelector::new(self.selector_settings(), self.seed());
         let mut last_logged = String::new();
         while !self.is_stopping() {
-            let (endpoint, wait) = endpoints.next(self.clock.now());
+            let (endpoint, wait) = selector.next(self.clock.now());
             std::thread::sleep(Duration::from_micros(wait.max(0) as u64));
             let addr = self.settings.endpoints[endpoint];
             let (mut member, mut succeeded) = (self.connector.client_for(endpoint), false);
             let ended = self.follow_member(&mut machine, endpoint, &mut member, &mut || succeeded = true);
             if succeeded {
-                endpoints.record_success(endpoint);
+                selector.record_success(endpoint);
                 last_logged.clear();
             }
             let reason = ended.unwrap_or_else(|e| e.to_string());
-            endpoints.record_failure(endpoint, self.clock.now());
+            selector.record_failure(endpoint, self.clock.now());
             let line = format!("{addr}: {reason}");
             if line != last_logged {
                 tracing::warn!(%addr, reason, "registry member no longer followed, trying another");
@@ -57,9 +57,9 @@
         }
     }
 
-    fn endpoint_settings(&self) -> EndpointSettings {
+    fn selector_settings(&self) -> SelectorSettings {
         let backoff = self.limits.registry_backoff;
-        EndpointSettings {
+        SelectorSettings {
             endpoints: self.settings.endpoints.len(),
             first_backoff: micros(backoff.min),
             max_backoff: micros(backoff.max),
@@ -82,20 +82,20 @@
         member: &mut MemberClient,
         on_success: &mut dyn FnMut(),
     ) -> Result<String, RequestError> {
-        let mut next = self.first_step(machine, endpoint, member)?;
+        let mut next = self.first_request(machine, endpoint, member)?;
         loop {
             next = match next {
-                NextStep::Leave(reason) => return Ok(reason),
-                NextStep::None => return Ok("no next request to the registry member".into()),
-                NextStep::Read => {
+                NextRequest::Leave(reason) => return Ok(reason),
+                NextRequest::None => return Ok("no next request to the registry member".into()),
+                NextRequest::Read => {
                     let (ClusterRevision { cluster, revision }, items) =
                         member.read(&self.settings.prefix)?;
                     on_success();
                     self.apply(machine, Event::Snapshot { endpoint, cluster, revision, items })
                 }
-                NextStep::Watch(from) => {
+                NextRequest::Watch(from) => {
                     match self.follow_changes(machine, endpoint, member, from, on_success)? {
-                        NextStep::None => return Ok("the watch has ended".into()),
+                        NextRequest::None => return Ok("the watch has ended".into()),
                         other => other,
                     }
                 }
@@ -103,19 +103,19 @@
         }
     }
 
-    fn first_step(
+    fn first_request(
         &self,
         machine: &mut Machine,
         endpoint: EndpointIndex,
         member: &mut MemberClient,
-    ) -> Result<NextStep, RequestError> {
+    ) -> Result<NextRequest, RequestError> {
         match member {
             MemberClient::Etcd(etcd) => {
                 let ClusterRevision { cluster, revision } = etcd.cluster_revision(&self.settings.prefix)?;
                 Ok(self.apply(machine, Event::MemberReached { endpoint, cluster, revision }))
             }
             // Consul has no cheaper read for the index than that of all keys.
-            MemberClient::Consul(_) => Ok(NextStep::Watch(machine.revision() + 1)),
+            MemberClient::Consul(_) => Ok(NextRequest::Watch(machine.revision() + 1)),
         }
     }
 
@@ -126,7 +126,7 @@
         member: &mut MemberClient,
         from: Revision,
         on_success: &mut dyn FnMut(),
-    ) -> Result<NextStep, RequestError> {
+    ) -> Result<NextRequest, RequestError> {
         match member {
             MemberClient::Etcd(etcd) => {
                 self.log_followed(endpoint, from);
@@ -144,15 +144,15 @@
 
     /// Passes an event to the state machine and performs its actions, except for the next request, which is
     /// returned.
-    pub(super) fn apply(&self, machine: &mut Machine, event: Event) -> NextStep {
-        let (mut actions, mut next, mut changed) = (Vec::new(), NextStep::None, Changed::default());
+    pub(super) fn apply(&self, machine: &mut Machine, event: Event) -> NextRequest {
+        let (mut actions, mut next, mut changed) = (Vec::new(), NextRequest::None, Changed::default());
         machine.handle(self.clock.now(), event, &mut actions);
         let mut list = self.list();
         for action in actions {
             match action {
-                Action::Read { .. } => next = NextStep::Read,
-                Action::Watch { from, .. } => next = NextStep::Watch(from),
-                Action::Leave { reason, .. } => next = NextStep::Leave(format!("{reason:?}")),
+                Action::Read { .. } => next = NextRequest::Read,
+                Action::Watch { from, .. } => next = NextRequest::Watch(from),
+                Action::Leave { reason, .. } => next = NextRequest::Leave(format!("{reason:?}")),
                 Action::Restored => {
                     tracing::error!(
                         "registry revision dropped, as if restored from a backup; drained nodes stay drained"
--- a/registry/src/client/member.rs
+++ b/registry/src/client/member.rs
@@ -1,7 +1,7 @@
 //! A client of one registry member, for etcd or Consul as configured.
 use crate::consul::Consul;
 use crate::etcd::{ClusterRevision, Etcd};
-use crate::http::{Bounds, Member};
+use crate::http::{Bounds, HttpClient};
 use crate::machine::{EndpointIndex, Item, Revision};
 use crate::tls::Tls;
 use crate::{Error, RequestError};
@@ -56,16 +56,17 @@
     /// # Panics
     /// If `endpoint` is not the index of a configured member.
     pub fn client_for(&self, endpoint: EndpointIndex) -> MemberClient {
-        let mut member = Member::new(self.settings.endpoints[endpoint], self.tls.clone(), self.bounds);
+        let mut http_client =
+            HttpClient::new(self.settings.endpoints[endpoint], self.tls.clone(), self.bounds);
         match self.settings.kind {
             RegistryKind::Etcd => MemberClient::Etcd(Etcd {
-                member,
+                http_client,
                 credentials: self.settings.credentials.clone(),
                 page: self.page,
             }),
             RegistryKind::Consul => {
-                member.auth_header = self.settings.access_token.clone().map(|t| ("X-Consul-Token", t));
-                MemberClient::Consul(Consul { member, service: self.settings.service.clone() })
+                http_client.auth_header = self.settings.access_token.clone().map(|t| ("X-Consul-Token", t));
+                MemberClient::Consul(Consul { http_client, service: self.settings.service.clone() })
             }
         }
     }
--- a/registry/src/consul.rs
+++ b/registry/src/consul.rs
@@ -1,7 +1,7 @@
 //! Client for Consul's KV store and health endpoint with blocking queries. Each response contains all keys at
 //! one index.
 use crate::RequestError;
-use crate::http::{Member, Response};
+use crate::http::{HttpClient, Response};
 use crate::machine::{Item, Revision};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -24,7 +24,7 @@
 /// A client of one Consul member.
 pub struct Consul {
     /// The HTTP client; its auth header carries the ACL token.
-    pub member: Member,
+    pub http_client: HttpClient,
     /// A service whose instances are listed as nodes in addition to the node keys.
     pub service: Option<String>,
 }
@@ -94,8 +94,8 @@
     /// Returns the index and the JSON body of a response; an empty list for status 404.
     fn get(&mut self, path: &str, read_timeout: Option<Duration>) -> Result<(Revision, Value), RequestError> {
         let response = match read_timeout {
-            Some(timeout) => self.member.request_with_timeout("GET", path, b"", timeout)?,
-            None => self.member.request("GET", path, b"")?,
+            Some(timeout) => self.http_client.request_with_timeout("GET", path, b"", timeout)?,
+            None => self.http_client.request("GET", path, b"")?,
         };
         if !response.knows_leader {
             return Err(RequestError::NoLeader);
@@ -154,7 +154,7 @@
     /// If the request failed or was rejected.
     pub fn put(&mut self, key: &str, value: &[u8], session: Option<&str>) -> Result<bool, RequestError> {
         let acquire = session.map_or(String::new(), |s| format!("?acquire={s}"));
-        let response = self.member.request("PUT", &format!("/v1/kv/{}{acquire}", path(key)), value)?;
+        let response = self.http_client.request("PUT", &format!("/v1/kv/{}{acquire}", path(key)), value)?;
         Ok(response.json()? == true)
     }
 
@@ -163,7 +163,8 @@
     /// # Errors
     /// If the request failed or was rejected.
     pub fn put_if(&mut self, key: &str, value: &[u8], modified: Revision) -> Result<bool, RequestError> {
-        let response = self.member.request("PUT", &format!("/v1/kv/{}?cas={modified}", path(key)), value)?;
+        let response =
+            self.http_client.request("PUT", &format!("/v1/kv/{}?cas={modified}", path(key)), value)?;
         Ok(response.json()? == true)
     }
 
@@ -173,7 +174,7 @@
     /// If the request failed or was rejected.
     pub fn create_session(&mut self, ttl_s: u64) -> Result<String, RequestError> {
         let body = json!({"TTL": format!("{ttl_s}s"), "Behavior": "delete", "LockDelay": "0s"}).to_string();
-        let created = self.member.request("PUT", "/v1/session/create", body.as_bytes())?.json()?;
+        let created = self.http_client.request("PUT", "/v1/session/create", body.as_bytes())?.json()?;
         created["ID"]
             .as_str()
             .map(str::to_string)
@@ -185,7 +186,7 @@
     /// # Errors
     /// If the request failed or was rejected.
     pub fn renew_session(&mut self, session: &str) -> Result<bool, RequestError> {
-        let response = self.member.request("PUT", &format!("/v1/session/renew/{session}"), b"")?;
+        let response = self.http_client.request("PUT", &format!("/v1/session/renew/{session}"), b"")?;
         match response.code {
             200 => Ok(true),
             404 => Ok(false),
@@ -198,6 +199,6 @@
     /// # Errors
     /// If the request failed or was rejected.
     pub fn destroy_session(&mut self, session: &str) -> Result<(), RequestError> {
-        self.member.request("PUT", &format!("/v1/session/destroy/{session}"), b"")?.json().map(|_| ())
+        self.http_client.request("PUT", &format!("/v1/session/destroy/{session}"), b"")?.json().map(|_| ())
     }
 }
--- a/registry/src/endpoints.rs
+++ b/registry/src/endpoints.rs
@@ -12,7 +12,7 @@
 /// give 0.
 const MIN_ATTEMPTS_PER_S: f64 = 0.001;
 
-/// Settings of [`Endpoints`].
+/// Settings of [`MemberSelector`].
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The number of registry members.
@@ -29,23 +29,23 @@
 }
 
 #[derive(Clone, Debug)]
-struct Member {
+struct MemberBackoff {
     /// Failures since the last success.
     consecutive_failures: u32,
     /// When its backoff ends.
     not_before: Time,
 }
 
-impl Default for Member {
-    fn default() -> Member {
-        Member { consecutive_failures: 0, not_before: Time(0) }
+impl Default for MemberBackoff {
+    fn default() -> MemberBackoff {
+        MemberBackoff { consecutive_failures: 0, not_before: Time(0) }
     }
 }
 
 /// Tracks the members of a registry and their backoff.
-pub struct Endpoints {
+pub struct MemberSelector {
     settings: Settings,
-    members: Vec<Member>,
+    members: Vec<MemberBackoff>,
     /// Tokens in the bucket; negative when attempts have been granted ahead of the refill.
     attempt_tokens: f64,
     /// When the bucket was last refilled; 0 before the first refill.
@@ -55,13 +55,13 @@
     rng: Rng,
 }
 
-impl Endpoints {
+impl MemberSelector {
     /// Creates the tracker; no member is in backoff. The seed determines which member is selected first.
-    pub fn new(settings: Settings, seed: u64) -> Endpoints {
+    pub fn new(settings: Settings, seed: u64) -> MemberSelector {
         let mut rng = Rng::with_seed(seed);
-        let members = vec![Member::default(); settings.endpoints];
+        let members = vec![MemberBackoff::default(); settings.endpoints];
         let last = rng.usize(0..settings.endpoints.max(1));
-        Endpoints {
+        MemberSelector {
             attempt_tokens: settings.max_attempt_tokens,
             members,
             settings,
@@ -77,7 +77,7 @@
         let count = self.members.len();
         // The member whose backoff ends first; round-robin among members without a backoff.
         let turns = (1..=count).map(|step| (self.last + step) % count);
-        let backoff = |member: &Member| (member.not_before.0 - now.0).max(0);
+        let backoff = |member: &MemberBackoff| (member.not_before.0 - now.0).max(0);
         let Some(next) = turns.min_by_key(|index| backoff(&self.members[*index])) else {
             return (0, self.settings.max_backoff);
         };
@@ -121,7 +121,7 @@
     /// # Panics
     /// If the index is out of range.
     pub fn record_success(&mut self, endpoint: EndpointIndex) {
-        self.members[endpoint] = Member::default();
+        self.members[endpoint] = MemberBackoff::default();
         // The round-robin continues with this member.
         self.last = (endpoint + self.members.len() - 1) % self.members.len();
     }
--- a/registry/src/etcd.rs
+++ b/registry/src/etcd.rs
@@ -5,7 +5,7 @@
 pub use watch::WatchEvent;
 
 use crate::RequestError;
-use crate::http::{Member, Response};
+use crate::http::{HttpClient, Response};
 use crate::machine::{Item, Revision};
 use serde_json::{Value, json};
 use settings::operator::Credentials;
@@ -14,7 +14,7 @@
 /// A client of one etcd member.
 pub struct Etcd {
     /// The HTTP client; its auth header carries the login token.
-    pub member: Member,
+    pub http_client: HttpClient,
     /// User and password, if etcd requires authentication.
     pub credentials: Option<Credentials>,
     /// The number of keys per page of a paged read.
@@ -61,20 +61,20 @@
     fn log_in(&mut self) -> Result<bool, RequestError> {
         let Some(Credentials { user, password }) = self.credentials.clone() else { return Ok(false) };
         let body = json!({"name": user, "password": password}).to_string();
-        self.member.auth_header = None;
-        let response = self.member.request("POST", "/v3/auth/authenticate", body.as_bytes())?;
+        self.http_client.auth_header = None;
+        let response = self.http_client.request("POST", "/v3/auth/authenticate", body.as_bytes())?;
         if response.code != 200 {
             return Err(rejection(&response));
         }
         let token = response.json()?["token"].as_str().map(str::to_string);
         let token = token
             .ok_or_else(|| RequestError::InvalidResponse { reason: "login response without token".into() })?;
-        self.member.auth_header = Some(("Authorization", token));
+        self.http_client.auth_header = Some(("Authorization", token));
         Ok(true)
     }
 
     fn log_in_if_needed(&mut self) -> Result<(), RequestError> {
-        if self.credentials.is_some() && self.member.auth_header.is_none() {
+        if self.credentials.is_some() && self.http_client.auth_header.is_none() {
             self.log_in()?;
         }
         Ok(())
@@ -83,10 +83,10 @@
     fn post(&mut self, path: &str, body: &Value) -> Result<Value, RequestError> {
         self.log_in_if_needed()?;
         let body = body.to_string();
-        let mut response = self.member.request("POST", path, body.as_bytes())?;
+        let mut response = self.http_client.request("POST", path, body.as_bytes())?;
         // The token may have expired: log in again and repeat the request.
         if response.code == 401 && self.log_in()? {
-            response = self.member.request("POST", path, body.as_bytes())?;
+            response = self.http_client.request("POST", path, body.as_bytes())?;
         }
         if response.code != 200 {
             return Err(rejection(&response));
--- a/registry/src/etcd/watch.rs
+++ b/registry/src/etcd/watch.rs
@@ -65,10 +65,10 @@
         }});
         let head_timeout = max_silence.max(MIN_HEAD_TIMEOUT);
         let body = create.to_string();
-        let lines = self.member.stream_lines("/v3/watch", body.as_bytes(), head_timeout, max_silence)?;
+        let lines = self.http_client.stream_lines("/v3/watch", body.as_bytes(), head_timeout, max_silence)?;
         if lines.code != 200 {
             // The token may have expired: the next request logs in again.
-            self.member.auth_header = None;
+            self.http_client.auth_header = None;
             return Err(RequestError::Rejected { status: lines.code, message: "watch not opened".into() });
         }
         Ok(lines)
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -25,7 +25,7 @@
 const MAX_QUOTED_CHARS: usize = 200;
 
 /// An HTTP client for one registry member.
-pub struct Member {
+pub struct HttpClient {
     /// The address of the registry member.
     pub addr: SocketAddr,
     tls: Option<Arc<Tls>>,
@@ -36,9 +36,9 @@
     pub auth_header: Option<(&'static str, String)>,
 }
 
-impl Member {
+impl HttpClient {
     /// Creates a client without opening a connection.
-    pub fn new(addr: SocketAddr, tls: Option<Arc<Tls>>, bounds: Bounds) -> Member {
+    pub fn new(addr: SocketAddr, tls: Option<Arc<Tls>>, bounds: Bounds) -> HttpClient {
         let shared = Arc::new(Shared::default());
         let config = Agent::config_builder()
             // No proxy from the environment and no redirects; an error status is returned as a response.
@@ -51,15 +51,15 @@
             .build();
         let connector = SocketConnector { addr, tls: tls.clone(), bounds, shared: shared.clone() };
         let agent = Agent::with_parts(config, connector, DefaultResolver::default());
-        Member { addr, tls, bounds, agent, shared, auth_header: None }
+        HttpClient { addr, tls, bounds, agent, shared, auth_header: None }
     }
 
     /// Creates a client of the same member with a separate connection.
     #[must_use]
-    pub fn new_connection(&self) -> Member {
-        let mut member = Member::new(self.addr, self.tls.clone(), self.bounds);
-        member.auth_header.clone_from(&self.auth_header);
-        member
+    pub fn new_connection(&self) -> HttpClient {
+        let mut client = HttpClient::new(self.addr, self.tls.clone(), self.bounds);
+        client.auth_header.clone_from(&self.auth_header);
+        client
     }
 
     /// Sends a request and reads the head of the response. If a reused connection turns out to be closed, the
@@ -113,10 +113,10 @@
         self.request_with_timeout(method, path, body, self.bounds.read_timeout)
     }
 
-    /// Like [`Member::request`], with a read timeout other than that of the bounds.
+    /// Like [`HttpClient::request`], with a read timeout other than that of the bounds.
     ///
     /// # Errors
-    /// As for [`Member::request`].
+    /// As for [`HttpClient::request`].
     pub fn request_with_timeout(
         &mut self,
         method: &str,
@@ -138,7 +138,7 @@
     /// reading may continue.
     ///
     /// # Errors
-    /// As for [`Member::request`].
+    /// As for [`HttpClient::request`].
     pub fn stream_lines(
         &mut self,
         path: &str,
--- a/registry/tests/dialect_requests.rs
+++ b/registry/tests/dialect_requests.rs
@@ -3,7 +3,7 @@
 use registry::RequestError;
 use registry::consul::Consul;
 use registry::etcd::{Etcd, WatchEvent};
-use registry::http::{Bounds, Member};
+use registry::http::{Bounds, HttpClient};
 use registry::machine::{Change, Item};
 use settings::operator::Credentials;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -47,7 +47,7 @@
 
 /// Starts a server that sends these responses in turn; returns a client and the requests that the server
 /// received.
-fn member(responses: Vec<ScriptedResponse>) -> (Member, Receiver<String>) {
+fn start_server(responses: Vec<ScriptedResponse>) -> (HttpClient, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr: SocketAddr = listener.local_addr().unwrap();
     let (sender, requests) = channel();
@@ -64,20 +64,20 @@
             }
         }
     });
-    (Member::new(addr, None, BOUNDS), requests)
+    (HttpClient::new(addr, None, BOUNDS), requests)
 }
 
 fn etcd(user: Option<(&str, &str)>, responses: Vec<ScriptedResponse>) -> (Etcd, Receiver<String>) {
-    let (member, requests) = member(responses);
+    let (http_client, requests) = start_server(responses);
     let credentials =
         user.map(|(user, password)| Credentials { user: user.into(), password: password.into() });
-    (Etcd { member, credentials, page: 2 }, requests)
+    (Etcd { http_client, credentials, page: 2 }, requests)
 }
 
 fn consul(service: Option<&str>, responses: Vec<ScriptedResponse>) -> (Consul, Receiver<String>) {
-    let (mut member, requests) = member(responses);
-    member.auth_header = Some(("X-Consul-Token", "secret".into()));
-    (Consul { member, service: service.map(str::to_string) }, requests)
+    let (mut http_client, requests) = start_server(responses);
+    http_client.auth_header = Some(("X-Consul-Token", "secret".into()));
+    (Consul { http_client, service: service.map(str::to_string) }, requests)
 }
 
 fn received_requests(requests: &Receiver<String>) -> Vec<String> {
--- a/registry/tests/http.rs
+++ b/registry/tests/http.rs
@@ -1,6 +1,6 @@
 //! Handling of slow, truncated, too long and invalid responses, and of closed connections.
 use registry::RequestError;
-use registry::http::{Bounds, LineStream, Member};
+use registry::http::{Bounds, HttpClient, LineStream};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
@@ -12,7 +12,7 @@
 const SHORT: Duration = Duration::from_millis(1);
 
 /// Starts a server that passes each accepted connection to the test; returns a client and the connections.
-fn member() -> (Member, Receiver<TcpStream>) {
+fn start_server() -> (HttpClient, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr: SocketAddr = listener.local_addr().unwrap();
     let (sender, connections) = channel();
@@ -23,7 +23,7 @@
             }
         }
     });
-    (Member::new(addr, None, BOUNDS), connections)
+    (HttpClient::new(addr, None, BOUNDS), connections)
 }
 
 /// Reads one request: its first line, and its body.
@@ -59,20 +59,20 @@
 
 /// Sends requests on a separate thread; joining it returns the client and the result.
 fn on_thread<T: Send + 'static>(
-    mut member: Member,
-    send: impl FnOnce(&mut Member) -> T + Send + 'static,
-) -> std::thread::JoinHandle<(Member, T)> {
+    mut http_client: HttpClient,
+    send: impl FnOnce(&mut HttpClient) -> T + Send + 'static,
+) -> std::thread::JoinHandle<(HttpClient, T)> {
     std::thread::spawn(move || {
-        let response = send(&mut member);
-        (member, response)
+        let response = send(&mut http_client);
+        (http_client, response)
     })
 }
 
 #[test]
 fn lines_survive_timeouts_and_chunk_boundaries_and_truncated_line_is_error() {
-    let (member, connections) = member();
+    let (http_client, connections) = start_server();
     let client_thread =
-        on_thread(member, |m| m.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, SHORT).unwrap());
+        on_thread(http_client, |m| m.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, SHORT).unwrap());
     let socket = connections.recv().unwrap();
     assert_eq!(request(&socket), ("POST /v3/watch HTTP/1.1".into(), "{}".into()));
     send(&socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
@@ -99,8 +99,8 @@
 
 #[test]
 fn too_long_line_or_body_is_error() {
-    let (member, connections) = member();
-    let client_thread = on_thread(member, |m| {
+    let (http_client, connections) = start_server();
+    let client_thread = on_thread(http_client, |m| {
         let mut lines = m.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, BOUNDS.read_timeout).unwrap();
         let mut line = Vec::new();
         let longest_line = lines.read_line(&mut line).map(|more| (more, line.len()));
@@ -125,33 +125,33 @@
 
 #[test]
 fn connection_is_reused_and_replaced_after_close() {
-    let (mut member, connections) = member();
-    member.auth_header = Some(("X-Consul-Token", "t".into()));
-    let exchange = |m: &mut Member| {
+    let (mut http_client, connections) = start_server();
+    http_client.auth_header = Some(("X-Consul-Token", "t".into()));
+    let exchange = |m: &mut HttpClient| {
         let response = m.request("PUT", "/v1/kv/a?cas=1", b"x").unwrap();
         (response.code, String::from_utf8(response.body).unwrap(), response.index, response.knows_leader)
     };
     let response =
         "HTTP/1.1 404 No\r\nX-Consul-Index: 7\r\nX-Consul-KnownLeader: false\r\nContent-Length: 2\r\n\r\nno";
-    let client_thread = on_thread(member, move |m| (exchange(m), exchange(m)));
+    let client_thread = on_thread(http_client, move |m| (exchange(m), exchange(m)));
     let socket = connections.recv().unwrap();
     for _ in 0..2 {
         assert_eq!(request(&socket), ("PUT /v1/kv/a?cas=1 HTTP/1.1".into(), "x".into()));
         send(&socket, response);
     }
-    let (member, (first, second)) = client_thread.join().unwrap();
+    let (http_client, (first, second)) = client_thread.join().unwrap();
     assert_eq!(first, (404, "no".into(), Some(7), false));
     assert_eq!(second, first);
     // Closed while idle: the next request uses a new connection without an error.
     drop(socket);
-    let client_thread = on_thread(member, exchange);
+    let client_thread = on_thread(http_client, exchange);
     let socket = connections.recv().unwrap();
     request(&socket);
     send(&socket, response);
-    let (member, third) = client_thread.join().unwrap();
+    let (http_client, third) = client_thread.join().unwrap();
     assert_eq!(third, first);
     // Closed while a request is in flight: the request is repeated on a new connection.
-    let client_thread = on_thread(member, exchange);
+    let client_thread = on_thread(http_client, exchange);
     request(&socket);
     drop(socket);
     let socket = connections.recv().unwrap();
@@ -165,8 +165,8 @@
     for response in
         ["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", "nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nCont"]
     {
-        let (member, connections) = member();
-        let client_thread = on_thread(member, |m| m.request("GET", "/a", b"").map(|w| w.code));
+        let (http_client, connections) = start_server();
+        let client_thread = on_thread(http_client, |m| m.request("GET", "/a", b"").map(|w| w.code));
         let socket = connections.recv().unwrap();
         request(&socket);
         send(&socket, response);
@@ -175,9 +175,9 @@
         assert!(matches!(got, Err(RequestError::Io(_))), "{response}: {got:?}");
     }
     // Without a response the request fails after the read timeout.
-    let (member, connections) = member();
+    let (http_client, connections) = start_server();
     let client_thread =
-        on_thread(member, |m| m.request_with_timeout("GET", "/a", b"", SHORT).map(|w| w.code));
+        on_thread(http_client, |m| m.request_with_timeout("GET", "/a", b"", SHORT).map(|w| w.code));
     let _socket = connections.recv().unwrap();
     assert!(matches!(client_thread.join().unwrap().1, Err(RequestError::Io(_))));
 }
--- a/registry/tests/recorded_runs.rs
+++ b/registry/tests/recorded_runs.rs
@@ -2,7 +2,7 @@
 //! A fixture holds the first steps as text and a hash of the whole run.
 use decision::Time;
 use fastrand::Rng;
-use registry::endpoints::{Endpoints, Settings as EndpointSettings};
+use registry::endpoints::{MemberSelector, Settings as SelectorSettings};
 use registry::fleet::{Action as FleetAction, Event as FleetEvent, Fleet, Level, Settings as FleetSettings};
 use registry::machine::{Action, Change, Event, Item, LeaveReason, Machine, Settings};
 use std::fmt::Write;
@@ -216,23 +216,23 @@
 
 #[test]
 fn endpoint_selection_matches_its_fixture() {
-    let settings = EndpointSettings {
+    let settings = SelectorSettings {
         endpoints: 3,
         first_backoff: SECOND_US / 10,
         max_backoff: 2 * SECOND_US,
         max_attempt_tokens: 5.0,
         attempts_per_s: 2.0,
     };
-    let mut endpoints = Endpoints::new(settings, 43);
+    let mut selector = MemberSelector::new(settings, 43);
     let (mut rng, mut now, mut lines) = (Rng::with_seed(43), 1, Vec::new());
     for _ in 0..STEPS {
-        let (endpoint, wait) = endpoints.next(Time(now));
+        let (endpoint, wait) = selector.next(Time(now));
         now += wait + rng.i64(0..SECOND_US / 5);
         let failed = rng.u8(0..3) != 0;
         if failed {
-            endpoints.record_failure(endpoint, Time(now));
+            selector.record_failure(endpoint, Time(now));
         } else {
-            endpoints.record_success(endpoint);
+            selector.record_success(endpoint);
         }
         lines
             .push(format!("member {endpoint} after {wait} us, {}", if failed { "failed" } else { "worked" }));
