--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -43,9 +43,9 @@
     ///
     /// # Errors
     /// If the text is invalid; the previous configuration stays in force.
-    fn config(&self, text: Option<&str>) -> Result<(), Box<dyn std::error::Error + Send + Sync>>;
+    fn on_config(&self, text: Option<&str>) -> Result<(), Box<dyn std::error::Error + Send + Sync>>;
     /// Called with all registered routers by name.
-    fn routers(&self, known: &BTreeMap<String, Router>);
+    fn on_routers(&self, known: &BTreeMap<String, Router>);
 }
 
 /// The registry client of a router process.
@@ -110,7 +110,7 @@
     }
 
     /// Returns the addresses of up to `max` nodes in service.
-    pub fn some_addresses(&self, max: usize) -> Vec<SocketAddr> {
+    pub fn in_service_addresses(&self, max: usize) -> Vec<SocketAddr> {
         let list = self.list();
         let in_service = list.fleet.nodes().filter(|(_, _, listed)| *listed == Some(State::InService));
         in_service.map(|(_, node, _)| node.addr).take(max).collect()
--- a/registry/src/client/follow.rs
+++ b/registry/src/client/follow.rs
@@ -172,7 +172,7 @@
         // Unlock the list first: the observer may block, and may call this client.
         drop(list);
         if let Some(routers) = routers {
-            self.observer.routers(&routers);
+            self.observer.on_routers(&routers);
         }
         if changed.config {
             self.notify_config(machine);
@@ -220,7 +220,7 @@
         let key = format!("{}config/mysql", self.settings.prefix);
         let value = machine.items().find(|(k, _)| *k == key).map(|(_, value)| value);
         let text = value.map(|value| String::from_utf8_lossy(value).into_owned());
-        match self.observer.config(text.as_deref()) {
+        match self.observer.on_config(text.as_deref()) {
             Ok(()) => tracing::info!(key, "registry configuration applied"),
             Err(error) => {
                 tracing::error!(
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -164,7 +164,7 @@
     let configured: Vec<SocketAddr> = environment.mysql.servers.iter().map(|s| s.addr).collect();
     let servers = move || match &registry {
         None => configured.clone(),
-        Some(client) => client.some_addresses(MAX_CLOCK_SOURCES),
+        Some(client) => client.in_service_addresses(MAX_CLOCK_SOURCES),
     };
     mysql_wire::clock_sampler::start(protocol, servers, &environment.limits)
         .map_err(|source| Error::Thread { what: "clocks", source })
--- a/src/commands/serve/configuration.rs
+++ b/src/commands/serve/configuration.rs
@@ -78,7 +78,7 @@
 }
 
 impl RegistryObserver for LiveConfiguration {
-    fn config(&self, text: Option<&str>) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
+    fn on_config(&self, text: Option<&str>) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
         let mut registered = self.registered();
         let reload = self.read(text)?;
         registered.overlay = text.map(str::to_string);
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    fn routers(&self, known: &BTreeMap<String, Router>) {
+    fn on_routers(&self, known: &BTreeMap<String, Router>) {
         for (node, address) in known.values().filter_map(|router| router.store) {
             self.store.set_peer_address(node, address);
         }
