--- a/discovery/src/liveness.rs
+++ b/discovery/src/liveness.rs
@@ -22,7 +22,7 @@
 
 /// The interval between two openings is the duration of the outage divided by this, within the configured
 /// bounds.
-const OUTAGE_FRACTION: u32 = 24;
+const OUTAGE_DIVISOR: u32 = 24;
 
 /// Number of a connection, assigned from 1 upwards in the order of opening.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -292,7 +292,7 @@
 
     fn open_interval(&self, outage: Duration) -> Duration {
         let (min, max) = (self.settings.min_open_interval, self.settings.max_open_interval);
-        (outage / OUTAGE_FRACTION).clamp(min, max.max(min))
+        (outage / OUTAGE_DIVISOR).clamp(min, max.max(min))
     }
 
     /// When the next connection may be opened. If the newest one has received its response head, its first
--- a/discovery/tests/watch/support.rs
+++ b/discovery/tests/watch/support.rs
@@ -110,7 +110,7 @@
     }
 
     pub(crate) fn next(&self) -> AgentConnection {
-        self.connections.recv_timeout(TIMEOUT).expect("a connection")
+        self.connections.recv_timeout(TIMEOUT).expect("timed out waiting for a connection")
     }
 
     /// The next connection that resumes from this version. Skips others, which may be opened before on a busy
@@ -118,7 +118,7 @@
     pub(crate) fn next_resuming_from(&self, resume_version: &str) -> AgentConnection {
         let mut next = (0..64).map(|_| self.next());
         next.find(|connection| connection.resume_version() == resume_version)
-            .expect("a connection that resumes from this version")
+            .expect("no connection resumes from this version")
     }
 
     /// The next connection, after sending the response head.
@@ -205,7 +205,7 @@
     pub(crate) fn next_update(&self) -> EndpointUpdate {
         match self.updates.recv_timeout(TIMEOUT) {
             Ok(RouterMessage::Endpoints(update)) => update,
-            _ => panic!("no update"),
+            _ => panic!("timed out waiting for an update"),
         }
     }
 
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -37,7 +37,7 @@
 /// The window for counting disappeared nodes is the hold time (`mass_removal_delay`) divided by this.
 const REMOVAL_WINDOW_DIVISOR: i64 = 6;
 
-/// Receives the registry's contents other than nodes.
+/// Callbacks for the configuration and the router entries in the registry.
 pub trait RegistryObserver: Send + Sync {
     /// Called with the text of the configuration key, or `None` if the key does not exist.
     ///
--- a/registry/src/client/follow.rs
+++ b/registry/src/client/follow.rs
@@ -73,8 +73,8 @@
         u64::from(std::process::id()) ^ self.clock.now().0 as u64
     }
 
-    /// Follows one member until it fails or must not be followed any more; returns the reason. Calls `on_success`
-    /// after each successful read and when a watch starts.
+    /// Follows one member until it fails or must not be followed any more; returns the reason. Calls
+    /// `on_success` after each successful read and when a watch starts.
     fn follow_member(
         &self,
         machine: &mut Machine,
--- a/registry/src/endpoints.rs
+++ b/registry/src/endpoints.rs
@@ -28,11 +28,12 @@
     pub attempts_per_s: f64,
 }
 
+/// The failure count and the backoff of one registry member.
 #[derive(Clone, Debug)]
 struct MemberBackoff {
     /// Failures since the last success.
     consecutive_failures: u32,
-    /// When its backoff ends.
+    /// When the backoff ends.
     not_before: Time,
 }
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// Tracks the members of a registry and their backoff.
+/// Selects the next registry member by the members' backoff and the attempt budget.
 pub struct MemberSelector {
     settings: Settings,
     members: Vec<MemberBackoff>,
@@ -56,7 +57,8 @@
 }
 
 impl MemberSelector {
-    /// Creates the tracker; no member is in backoff. The seed determines which member is selected first.
+    /// Creates a selector in which no member is in backoff. The seed determines which member is selected
+    /// first.
     pub fn new(settings: Settings, seed: u64) -> MemberSelector {
         let mut rng = Rng::with_seed(seed);
         let members = vec![MemberBackoff::default(); settings.endpoints];
--- a/registry/src/fleet.rs
+++ b/registry/src/fleet.rs
@@ -99,7 +99,7 @@
         /// The number of removed nodes.
         nodes: usize,
     },
-    /// The level changed that says which nodes may be used.
+    /// The level has changed, which determines the nodes that may be used.
     LevelChanged(Level),
 }
 
@@ -129,7 +129,7 @@
     is_fenced: bool,
     /// When the node last responded to this router; until its first response, when its key was read.
     responded_at: Time,
-    /// Its state on the endpoint list; `None` before it is added.
+    /// The node's state on the endpoint list; `None` before the node is added.
     listed_state: Option<State>,
 }
 
