--- a/discovery/src/driver.rs
+++ b/discovery/src/driver.rs
@@ -219,13 +219,13 @@
 
     /// Sends an update to the endpoint list.
     fn apply(&mut self, source: &Source, update: EndpointUpdate) -> Result<(), ListClosed> {
-        let order = self.order(source, &update);
+        let update_order = self.update_order(source, &update);
         let (version, complete) = (update.version, update.complete);
-        if !self.shared.list.notify_ordered(order, update) {
+        if !self.shared.list.notify_ordered(update_order, update) {
             return Err(ListClosed);
         }
-        let is_restart = order == UpdateOrder::VersionsRestarted;
-        if complete || (version >= source.previous_version && order != UpdateOrder::AfterGap) {
+        let is_restart = update_order == UpdateOrder::VersionsRestarted;
+        if complete || (version >= source.previous_version && update_order != UpdateOrder::AfterGap) {
             self.version_source = Some(source.addr);
         }
         if is_restart && source.previous_version > 0 {
@@ -250,7 +250,7 @@
     }
 
     /// Determines how an update relates to the contents of the endpoint list.
-    fn order(&self, source: &Source, update: &EndpointUpdate) -> UpdateOrder {
+    fn update_order(&self, source: &Source, update: &EndpointUpdate) -> UpdateOrder {
         let Source { connection, addr, previous_version } = *source;
         if update.complete {
             // A complete list does not depend on earlier updates.
--- a/discovery/src/endpoint_list.rs
+++ b/discovery/src/endpoint_list.rs
@@ -36,7 +36,7 @@
     /// If a key is missing or has an invalid value; the error names the server and the key.
     pub fn parse_value(&mut self, value: &Value) -> Result<EndpointUpdate, Error> {
         let servers = array(value, "servers")?;
-        let endpoints = servers.iter().map(|server| self.entry(server)).collect::<Result<_, _>>()?;
+        let endpoints = servers.iter().map(|server| self.parse_entry(server)).collect::<Result<_, _>>()?;
         Ok(EndpointUpdate {
             version: unsigned_integer(value, "version")?,
             complete: boolean(value, "full")?,
@@ -44,16 +44,16 @@
         })
     }
 
-    fn entry(&mut self, server: &Value) -> Result<EndpointEntry, Error> {
+    fn parse_entry(&mut self, server: &Value) -> Result<EndpointEntry, Error> {
         let id = string(server, "id")?.to_string();
         let in_server = |error: Error| error.under_key(format!("server {id}"));
-        let state = state(server).map_err(in_server)?;
+        let state = parse_state(server).map_err(in_server)?;
         let addr = string(server, "addr").map_err(in_server)?;
         let addr = addr
             .parse()
             .map_err(|_| in_server(Error::invalid_value("addr", "ip:port", format_args!("'{addr}'"))))?;
         let started_ms = server.get("started_ms").and_then(Value::as_f64).filter(|ms| *ms > 0.0);
-        let zone = self.zone(server.get("zone").and_then(Value::as_str).unwrap_or(""));
+        let zone = self.zone_number(server.get("zone").and_then(Value::as_str).unwrap_or(""));
         Ok(EndpointEntry {
             addr,
             group: GroupId(count(server, "cell").map_err(in_server)?),
@@ -68,7 +68,7 @@
     }
 
     /// Returns the number of a zone; assigns the next one to an unknown zone.
-    fn zone(&mut self, name: &str) -> u32 {
+    fn zone_number(&mut self, name: &str) -> u32 {
         let index = self.zones.iter().position(|zone| zone == name).unwrap_or_else(|| {
             self.zones.push(name.to_string());
             self.zones.len() - 1
@@ -77,7 +77,7 @@
     }
 }
 
-fn state(server: &Value) -> Result<MemberState, Error> {
+fn parse_state(server: &Value) -> Result<MemberState, Error> {
     match string(server, "state")? {
         "in_service" => Ok(MemberState::Ready),
         "terminating" => Ok(MemberState::Draining),
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -23,7 +23,7 @@
 use crate::machine::{Machine, Settings as MachineSettings};
 use list_state::ListState;
 use routing::{Clock, EndpointsHandle, RespondedEndpoints};
-use saved_list::SavedList;
+use saved_list::LastSave;
 use settings::Limits;
 use settings::operator::RegistryConfig as Settings;
 use std::collections::BTreeMap;
@@ -61,7 +61,7 @@
     stopping: AtomicBool,
     /// The lease ID of this router's entry, while it is registered.
     lease: Mutex<Option<String>>,
-    last_saved: Mutex<SavedList>,
+    last_saved: Mutex<LastSave>,
 }
 
 impl Client {
@@ -90,7 +90,7 @@
             list: Mutex::new(ListState::new(fleet)),
             stopping: AtomicBool::new(false),
             lease: Mutex::new(None),
-            last_saved: Mutex::new(SavedList::default()),
+            last_saved: Mutex::new(LastSave::default()),
             settings,
         });
         let mut machine = Machine::new(MachineSettings {
--- a/registry/src/client/etcd_watch.rs
+++ b/registry/src/client/etcd_watch.rs
@@ -35,7 +35,7 @@
             WatchEvent::Progress(revision) => {
                 self.apply(Event::Progress { endpoint: self.endpoint, revision })
             }
-            WatchEvent::Silence => self.check(),
+            WatchEvent::Silence => self.check_for_missed_changes(),
         }
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// Checks by a read whether there are changes that the watch has not delivered; `false` ends the watch.
-    fn check(&mut self) -> bool {
+    fn check_for_missed_changes(&mut self) -> bool {
         let (revision, keys) = (self.machine.revision(), self.machine.len());
         match self.check_client.unchanged_up_to(&self.client.settings.prefix, revision, keys) {
             Ok(Some(revision)) => {
--- a/registry/src/client/follow.rs
+++ b/registry/src/client/follow.rs
@@ -28,7 +28,7 @@
 
 /// The parts of the registry that have changed and that the observer has to be notified of.
 #[derive(Default)]
-struct Changed {
+struct ChangedParts {
     routers: bool,
     config: bool,
 }
@@ -145,7 +145,7 @@
     /// Passes an event to the state machine and performs its actions, except for the next request, which is
     /// returned.
     pub(super) fn apply(&self, machine: &mut Machine, event: Event) -> NextRequest {
-        let (mut actions, mut next, mut changed) = (Vec::new(), NextRequest::None, Changed::default());
+        let (mut actions, mut next, mut changed) = (Vec::new(), NextRequest::None, ChangedParts::default());
         machine.handle(self.clock.now(), event, &mut actions);
         let mut list = self.list();
         for action in actions {
@@ -181,7 +181,7 @@
         next
     }
 
-    fn on_key_put(&self, list: &mut ListState, item: Item, changed: &mut Changed) {
+    fn on_key_put(&self, list: &mut ListState, item: Item, changed: &mut ChangedParts) {
         match self.classify(&item.key) {
             Key::Config => changed.config = true,
             Key::Node(name) => {
@@ -202,7 +202,7 @@
         }
     }
 
-    fn on_key_deleted(&self, list: &mut ListState, key: &str, changed: &mut Changed) {
+    fn on_key_deleted(&self, list: &mut ListState, key: &str, changed: &mut ChangedParts) {
         match self.classify(key) {
             Key::Config => changed.config = true,
             Key::Node(name) => {
--- a/registry/src/client/list_file.rs
+++ b/registry/src/client/list_file.rs
@@ -1,5 +1,5 @@
 //! Stores the node list on disk, for starts at which no registry member responds.
-use super::saved_list::SavedList;
+use super::saved_list::LastSave;
 use super::{Client, Key, lock, micros};
 use crate::cache::{self, CachedList};
 use crate::fleet::Event as FleetEvent;
@@ -45,8 +45,8 @@
             return;
         }
         // Set before the write, so that a failed write is not retried before the next interval.
-        *last_saved = SavedList { at: now, revision: machine.revision() };
-        let nodes = machine.all().filter(|item| matches!(self.classify(&item.key), Key::Node(_)));
+        *last_saved = LastSave { at: now, revision: machine.revision() };
+        let nodes = machine.all_items().filter(|item| matches!(self.classify(&item.key), Key::Node(_)));
         let items = nodes.map(|i| (i.key, i.value, i.created, i.modified)).collect();
         let cached = CachedList { at: now, revision: machine.revision(), items };
         if let Err(error) = cache::write(Path::new(folder), &cached) {
--- a/registry/src/client/saved_list.rs
+++ b/registry/src/client/saved_list.rs
@@ -3,7 +3,7 @@
 
 /// Time and revision of the list that was last written to disk.
 #[derive(Default)]
-pub(super) struct SavedList {
+pub(super) struct LastSave {
     /// When it was written, in microseconds of the client's clock.
     pub(super) at: i64,
     /// The registry revision of the list.
--- a/registry/src/consul.rs
+++ b/registry/src/consul.rs
@@ -11,7 +11,7 @@
 
 /// Consul extends a blocking query's wait by a random time of up to 1/16, so that queries do not all return
 /// at once.
-const WAIT_JITTER_PART: u32 = 16;
+const WAIT_JITTER_DIVISOR: u32 = 16;
 /// Added to the read timeout of a blocking query, for the delay between the end of its wait and the response.
 const BLOCKING_QUERY_GRACE: Duration = Duration::from_secs(2);
 /// The characters that are percent-encoded in a path.
@@ -29,7 +29,7 @@
     pub service: Option<String>,
 }
 
-fn path(key: &str) -> String {
+fn encode_path(key: &str) -> String {
     utf8_percent_encode(key.trim_start_matches('/'), PATH_ENCODE_SET).to_string()
 }
 
@@ -41,7 +41,7 @@
 /// needs.
 fn blocking_query(after: Option<(Revision, Duration)>) -> (String, Option<Duration>) {
     let Some((index, wait)) = after else { return (String::new(), None) };
-    let read_timeout = wait + wait / WAIT_JITTER_PART + BLOCKING_QUERY_GRACE;
+    let read_timeout = wait + wait / WAIT_JITTER_DIVISOR + BLOCKING_QUERY_GRACE;
     (format!("&index={index}&wait={}ms", wait.as_millis()), Some(read_timeout))
 }
 
@@ -120,7 +120,7 @@
         after: Option<(Revision, Duration)>,
     ) -> Result<IndexedItems, RequestError> {
         let (query, read_timeout) = blocking_query(after);
-        let path = format!("/v1/kv/{}?recurse=true&consistent{query}", path(prefix));
+        let path = format!("/v1/kv/{}?recurse=true&consistent{query}", encode_path(prefix));
         let (index, list) = self.get(&path, read_timeout)?;
         let list = list
             .as_array()
@@ -140,7 +140,7 @@
     ) -> Result<IndexedItems, RequestError> {
         let Some(service) = self.service.clone() else { return Ok((0, Vec::new())) };
         let (query, read_timeout) = blocking_query(after);
-        let path = format!("/v1/health/service/{}?consistent{query}", path(&service));
+        let path = format!("/v1/health/service/{}?consistent{query}", encode_path(&service));
         let (index, list) = self.get(&path, read_timeout)?;
         let list = list
             .as_array()
@@ -154,7 +154,8 @@
     /// If the request failed or was rejected.
     pub fn put(&mut self, key: &str, value: &[u8], session: Option<&str>) -> Result<bool, RequestError> {
         let acquire = session.map_or(String::new(), |s| format!("?acquire={s}"));
-        let response = self.http_client.request("PUT", &format!("/v1/kv/{}{acquire}", path(key)), value)?;
+        let response =
+            self.http_client.request("PUT", &format!("/v1/kv/{}{acquire}", encode_path(key)), value)?;
         Ok(response.json()? == true)
     }
 
@@ -164,7 +165,7 @@
     /// If the request failed or was rejected.
     pub fn put_if(&mut self, key: &str, value: &[u8], modified: Revision) -> Result<bool, RequestError> {
         let response =
-            self.http_client.request("PUT", &format!("/v1/kv/{}?cas={modified}", path(key)), value)?;
+            self.http_client.request("PUT", &format!("/v1/kv/{}?cas={modified}", encode_path(key)), value)?;
         Ok(response.json()? == true)
     }
 
--- a/registry/src/endpoints.rs
+++ b/registry/src/endpoints.rs
@@ -78,9 +78,9 @@
         self.refill_tokens(now);
         let count = self.members.len();
         // The member whose backoff ends first; round-robin among members without a backoff.
-        let turns = (1..=count).map(|step| (self.last + step) % count);
+        let rotation = (1..=count).map(|step| (self.last + step) % count);
         let backoff = |member: &MemberBackoff| (member.not_before.0 - now.0).max(0);
-        let Some(next) = turns.min_by_key(|index| backoff(&self.members[*index])) else {
+        let Some(next) = rotation.min_by_key(|index| backoff(&self.members[*index])) else {
             return (0, self.settings.max_backoff);
         };
         self.last = next;
@@ -110,12 +110,12 @@
     pub fn record_failure(&mut self, endpoint: EndpointIndex, now: Time) {
         let member = &mut self.members[endpoint];
         let doublings = member.consecutive_failures.min(MAX_DOUBLINGS);
-        let longest =
+        let full_backoff =
             self.settings.first_backoff.saturating_mul(1 << doublings).min(self.settings.max_backoff);
         member.consecutive_failures += 1;
         // Between a quarter of the backoff and all of it, so that a retry is never immediate.
-        let jitter = self.rng.i64(0..=longest * 3 / 4);
-        member.not_before = Time(now.0 + longest / 4 + jitter);
+        let jitter = self.rng.i64(0..=full_backoff * 3 / 4);
+        member.not_before = Time(now.0 + full_backoff / 4 + jitter);
     }
 
     /// Records that a member responded correctly, and ends its backoff.
--- a/registry/src/fleet.rs
+++ b/registry/src/fleet.rs
@@ -206,7 +206,7 @@
         match event {
             Event::Put { name, item } => self.on_key_put(now, name, &item, actions),
             Event::KeyDeleted { name } => self.on_key_deleted(now, &name, actions),
-            Event::Restored => self.fence_drained(),
+            Event::Restored => self.record_drained(),
             Event::RegistryResponded => {
                 self.last_contact = Some(now);
                 self.update_level(now, actions);
@@ -225,7 +225,7 @@
     }
 
     /// Remembers the draining and removed nodes, which a restored registry must not put back into service.
-    fn fence_drained(&mut self) {
+    fn record_drained(&mut self) {
         let is_drained = |entry: &Entry| entry.node.state != State::InService || entry.is_fenced;
         let drained = self.nodes.iter().filter(|(_, entry)| is_drained(entry));
         self.drained_before_restore = drained.map(|(name, _)| name.clone()).collect();
--- a/registry/src/fleet/disappearance.rs
+++ b/registry/src/fleet/disappearance.rs
@@ -45,12 +45,12 @@
     }
 
     /// Removes the retained nodes for whose retention end `is_over` returns `true`.
-    pub(super) fn release_retained(&mut self, is_over: impl Fn(Time) -> bool, actions: &mut Vec<Action>) {
+    pub(super) fn release_retained(&mut self, has_expired: impl Fn(Time) -> bool, actions: &mut Vec<Action>) {
         // Normally no node is retained; this avoids scanning a long list at each tick.
         if !self.is_retaining {
             return;
         }
-        let released = self.nodes.iter().filter(|(_, entry)| entry.retained_until.is_some_and(&is_over));
+        let released = self.nodes.iter().filter(|(_, entry)| entry.retained_until.is_some_and(&has_expired));
         let names: Vec<String> = released.map(|(name, _)| name.clone()).collect();
         for name in &names {
             self.remove(name, actions);
--- a/registry/src/machine.rs
+++ b/registry/src/machine.rs
@@ -246,7 +246,7 @@
     }
 
     /// All keys with their values and revisions.
-    pub fn all(&self) -> impl Iterator<Item = Item> {
+    pub fn all_items(&self) -> impl Iterator<Item = Item> {
         let item = |(key, entry): (&String, &Entry)| Item {
             key: key.clone(),
             value: entry.value.clone(),
@@ -278,7 +278,7 @@
                 }
             }
             Event::Changes { endpoint, changes } => self.apply_changes(endpoint, changes, actions),
-            Event::Progress { endpoint, revision } => self.progress(endpoint, revision, actions),
+            Event::Progress { endpoint, revision } => self.apply_progress(endpoint, revision, actions),
             Event::Compacted { endpoint } => {
                 self.needs_snapshot = true;
                 actions.push(Action::Read { endpoint });
@@ -330,7 +330,7 @@
         false
     }
 
-    fn progress(&mut self, endpoint: EndpointIndex, revision: Revision, actions: &mut Vec<Action>) {
+    fn apply_progress(&mut self, endpoint: EndpointIndex, revision: Revision, actions: &mut Vec<Action>) {
         if self.needs_snapshot {
             return;
         }
@@ -343,7 +343,7 @@
         actions.push(Action::Synchronized { revision });
     }
 
-    fn put(&mut self, item: Item, actions: &mut Vec<Action>) {
+    fn apply_put(&mut self, item: Item, actions: &mut Vec<Action>) {
         let Item { key, value, created, modified } = item.clone();
         let is_recreated = |entry: &Entry| entry.created != created && entry.created != 0;
         if self.entries.get(&key).is_some_and(is_recreated) {
@@ -354,7 +354,7 @@
         actions.push(Action::Put(item));
     }
 
-    fn delete(&mut self, key: String, revision: Revision, actions: &mut Vec<Action>) {
+    fn apply_delete(&mut self, key: String, revision: Revision, actions: &mut Vec<Action>) {
         if self.entries.remove(&key).is_some() {
             actions.push(Action::Deleted { key: key.clone() });
         }
@@ -386,8 +386,8 @@
                 return actions.push(Action::Read { endpoint });
             }
             match change {
-                Change::Put(item) => self.put(item, actions),
-                Change::Delete { key, .. } => self.delete(key, revision, actions),
+                Change::Put(item) => self.apply_put(item, actions),
+                Change::Delete { key, .. } => self.apply_delete(key, revision, actions),
             }
             self.revision = revision;
         }
--- a/registry/src/machine/snapshot.rs
+++ b/registry/src/machine/snapshot.rs
@@ -24,7 +24,7 @@
                 entry.modified >= item.modified && entry.created == item.created && entry.value == item.value
             };
             if !self.entries.get(&item.key).is_some_and(is_known) {
-                self.put(item, actions);
+                self.apply_put(item, actions);
             }
         }
         self.revision = self.revision.max(revision);
@@ -49,7 +49,7 @@
         let missing: Vec<String> =
             self.entries.keys().filter(|key| !present.contains(key.as_str())).cloned().collect();
         for key in missing {
-            self.delete(key, revision, actions);
+            self.apply_delete(key, revision, actions);
         }
     }
 }
--- a/registry/src/tls.rs
+++ b/registry/src/tls.rs
@@ -66,7 +66,7 @@
 
 /// The TLS configuration of new connections, and the modification times of the files when it was loaded.
 #[derive(Debug)]
-struct Loaded {
+struct LoadedConfig {
     modified: ModificationTimes,
     config: Arc<ClientConfig>,
 }
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub struct Tls {
     files: RegistryTls,
-    loaded: Mutex<Loaded>,
+    loaded: Mutex<LoadedConfig>,
 }
 
 fn modification_times(files: &RegistryTls) -> ModificationTimes {
@@ -107,10 +107,10 @@
     let chain = CertificateDer::pem_file_iter(cert).and_then(Iterator::collect);
     let chain: Vec<CertificateDer> =
         chain.map_err(|source| TlsError::Certificate { path: cert.clone(), source })?;
-    let private =
+    let private_key =
         PrivateKeyDer::from_pem_file(key).map_err(|source| TlsError::Key { path: key.clone(), source })?;
-    let pair = builder.with_client_auth_cert(chain, private);
-    pair.map_err(|source| TlsError::Pair { path: key.clone(), source })
+    let config = builder.with_client_auth_cert(chain, private_key);
+    config.map_err(|source| TlsError::Pair { path: key.clone(), source })
 }
 
 impl Tls {
@@ -120,7 +120,7 @@
     /// If one of them is unreadable or invalid.
     pub fn new(files: RegistryTls) -> Result<Tls, TlsError> {
         let modified = modification_times(&files);
-        let loaded = Loaded { modified, config: Arc::new(read_config(&files)?) };
+        let loaded = LoadedConfig { modified, config: Arc::new(read_config(&files)?) };
         Ok(Tls { files, loaded: Mutex::new(loaded) })
     }
 
--- a/registry/tests/recorded_runs.rs
+++ b/registry/tests/recorded_runs.rs
@@ -115,7 +115,7 @@
         write!(line, " | {} keys at {} of {}", machine.len(), machine.revision(), machine.cluster()).unwrap();
         lines.push(line);
     }
-    let retained: Vec<String> = machine.all().map(|item| item_text(&item)).collect();
+    let retained: Vec<String> = machine.all_items().map(|item| item_text(&item)).collect();
     lines.push(retained.join("; "));
     assert_recorded("machine-run.txt", &lines);
 }
