--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -23,7 +23,7 @@
 use crate::machine::{Machine, Settings as MachineSettings};
 use list_state::ListState;
 use routing::{Clock, EndpointsHandle, RespondedEndpoints};
-use saved_list::SavedList;
+use saved_list::LastSave;
 use settings::Limits;
 use settings::operator::RegistryConfig as Settings;
 use std::collections::BTreeMap;
@@ -37,15 +37,15 @@
 /// The window for counting disappeared nodes is the hold time (`mass_removal_delay`) divided by this.
 const REMOVAL_WINDOW_DIVISOR: i64 = 6;
 
-/// Receives the registry's contents other than nodes.
+/// Callbacks for the configuration and the router entries in the registry.
 pub trait RegistryObserver: Send + Sync {
     /// Called with the text of the configuration key, or `None` if the key does not exist.
     ///
     /// # Errors
     /// If the text is invalid; the previous configuration stays in force.
-    fn config(&self, text: Option<&str>) -> Result<(), Box<dyn std::error::Error + Send + Sync>>;
+    fn on_config(&self, text: Option<&str>) -> Result<(), Box<dyn std::error::Error + Send + Sync>>;
     /// Called with all registered routers by name.
-    fn routers(&self, known: &BTreeMap<String, Router>);
+    fn on_routers(&self, known: &BTreeMap<String, Router>);
 }
 
 /// The registry client of a router process.
@@ -61,7 +61,7 @@
     stopping: AtomicBool,
     /// The lease ID of this router's entry, while it is registered.
     lease: Mutex<Option<String>>,
-    last_saved: Mutex<SavedList>,
+    last_saved: Mutex<LastSave>,
 }
 
 impl Client {
@@ -90,7 +90,7 @@
             list: Mutex::new(ListState::new(fleet)),
             stopping: AtomicBool::new(false),
             lease: Mutex::new(None),
-            last_saved: Mutex::new(SavedList::default()),
+            last_saved: Mutex::new(LastSave::default()),
             settings,
         });
         let mut machine = Machine::new(MachineSettings {
@@ -110,7 +110,7 @@
     }
 
     /// Returns the addresses of up to `max` nodes in service.
-    pub fn some_addresses(&self, max: usize) -> Vec<SocketAddr> {
+    pub fn in_service_addresses(&self, max: usize) -> Vec<SocketAddr> {
         let list = self.list();
         let in_service = list.fleet.nodes().filter(|(_, _, listed)| *listed == Some(State::InService));
         in_service.map(|(_, node, _)| node.addr).take(max).collect()
--- a/registry/src/endpoints.rs
+++ b/registry/src/endpoints.rs
@@ -12,7 +12,7 @@
 /// give 0.
 const MIN_ATTEMPTS_PER_S: f64 = 0.001;
 
-/// Settings of [`Endpoints`].
+/// Settings of [`MemberSelector`].
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The number of registry members.
@@ -28,24 +28,25 @@
     pub attempts_per_s: f64,
 }
 
+/// The failure count and the backoff of one registry member.
 #[derive(Clone, Debug)]
-struct Member {
+struct MemberBackoff {
     /// Failures since the last success.
     consecutive_failures: u32,
-    /// When its backoff ends.
+    /// When the backoff ends.
     not_before: Time,
 }
 
-impl Default for Member {
-    fn default() -> Member {
-        Member { consecutive_failures: 0, not_before: Time(0) }
+impl Default for MemberBackoff {
+    fn default() -> MemberBackoff {
+        MemberBackoff { consecutive_failures: 0, not_before: Time(0) }
     }
 }
 
-/// Tracks the members of a registry and their backoff.
-pub struct Endpoints {
+/// Selects the next registry member by the members' backoff and the attempt budget.
+pub struct MemberSelector {
     settings: Settings,
-    members: Vec<Member>,
+    members: Vec<MemberBackoff>,
     /// Tokens in the bucket; negative when attempts have been granted ahead of the refill.
     attempt_tokens: f64,
     /// When the bucket was last refilled; 0 before the first refill.
@@ -55,13 +56,14 @@
     rng: Rng,
 }
 
-impl Endpoints {
-    /// Creates the tracker; no member is in backoff. The seed determines which member is selected first.
-    pub fn new(settings: Settings, seed: u64) -> Endpoints {
+impl MemberSelector {
+    /// Creates a selector in which no member is in backoff. The seed determines which member is selected
+    /// first.
+    pub fn new(settings: Settings, seed: u64) -> MemberSelector {
         let mut rng = Rng::with_seed(seed);
-        let members = vec![Member::default(); settings.endpoints];
+        let members = vec![MemberBackoff::default(); settings.endpoints];
         let last = rng.usize(0..settings.endpoints.max(1));
-        Endpoints {
+        MemberSelector {
             attempt_tokens: settings.max_attempt_tokens,
             members,
             settings,
@@ -76,9 +78,9 @@
         self.refill_tokens(now);
         let count = self.members.len();
         // The member whose backoff ends first; round-robin among members without a backoff.
-        let turns = (1..=count).map(|step| (self.last + step) % count);
-        let backoff = |member: &Member| (member.not_before.0 - now.0).max(0);
-        let Some(next) = turns.min_by_key(|index| backoff(&self.members[*index])) else {
+        let rotation = (1..=count).map(|step| (self.last + step) % count);
+        let backoff = |member: &MemberBackoff| (member.not_before.0 - now.0).max(0);
+        let Some(next) = rotation.min_by_key(|index| backoff(&self.members[*index])) else {
             return (0, self.settings.max_backoff);
         };
         self.last = next;
@@ -108,12 +110,12 @@
     pub fn record_failure(&mut self, endpoint: EndpointIndex, now: Time) {
         let member = &mut self.members[endpoint];
         let doublings = member.consecutive_failures.min(MAX_DOUBLINGS);
-        let longest =
+        let full_backoff =
             self.settings.first_backoff.saturating_mul(1 << doublings).min(self.settings.max_backoff);
         member.consecutive_failures += 1;
         // Between a quarter of the backoff and all of it, so that a retry is never immediate.
-        let jitter = self.rng.i64(0..=longest * 3 / 4);
-        member.not_before = Time(now.0 + longest / 4 + jitter);
+        let jitter = self.rng.i64(0..=full_backoff * 3 / 4);
+        member.not_before = Time(now.0 + full_backoff / 4 + jitter);
     }
 
     /// Records that a member responded correctly, and ends its backoff.
@@ -121,7 +123,7 @@
     /// # Panics
     /// If the index is out of range.
     pub fn record_success(&mut self, endpoint: EndpointIndex) {
-        self.members[endpoint] = Member::default();
+        self.members[endpoint] = MemberBackoff::default();
         // The round-robin continues with this member.
         self.last = (endpoint + self.members.len() - 1) % self.members.len();
     }
