--- a/decision/tests/admission.rs
+++ b/decision/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Requests that are rejected, and when.
+//! Rejection of requests that cannot be served in time.
 mod common;
 use common::{DEDUPLICATED, MS, TestRouter, is_rejected, sent_attempts, settings};
 use decision::{Action, Outcome};
@@ -7,15 +7,15 @@
 fn queued_read_is_rejected_once_with_retry_after() {
     let mut router = TestRouter::new(settings(DEDUPLICATED));
     let (read, _) = router.request(4, None);
-    let mut answers = 0;
+    let mut rejections = 0;
     for _ in 0..60 {
         let actions = router.advance(10);
-        answers += actions
+        rejections += actions
             .iter()
             .filter(|a| matches!(a, Action::Reject { request, retry_after: Some(_) } if *request == read))
             .count();
     }
-    assert_eq!(answers, 1);
+    assert_eq!(rejections, 1);
 }
 
 #[test]
@@ -29,13 +29,15 @@
         }
         is_rejected(&actions, id)
     };
-    // First tries wait 700 of 1200 ms; the latency objective is 400 ms. A last try may wait longer than a first one.
+    // First tries have 700 of 1200 ms left to their deadline, and the latency objective is 400 ms. A timeout
+    // above 700 ms is also taken for a client's retry.
     assert!((0..20).all(|_| !is_rejected_with(700)));
     assert!(is_rejected_with(750), "450 ms have passed");
     assert!(is_rejected_with(600), "600 ms have passed");
     assert!(!is_rejected_with(1100), "100 ms have passed");
     assert!(!is_rejected_with(700));
-    // Clients that wait less from some day on are known after a while, however long the old ones were there.
+    // When most clients change to a shorter timeout, it is eventually recognised as that of first tries, even
+    // after a long time with the old one.
     assert!((0..20_000).all(|_| !is_rejected_with(700)));
     (0..2_000).for_each(|_| _ = is_rejected_with(600));
     assert!(!is_rejected_with(600));
--- a/decision/tests/choice.rs
+++ b/decision/tests/choice.rs
@@ -1,8 +1,8 @@
-//! Which member gets a request: the primary, a replica that is fresh enough, or nobody yet.
+//! Choice of the member for a request: the primary, a replica that is fresh enough, or the queue.
 mod common;
 use common::{
     DEDUPLICATED, MS, TestRouter, entry, is_failed, is_rejected, probed_members, role, sent_attempts,
-    settings, settings_of_checking_members,
+    settings, settings_with_freshness_checks,
 };
 use decision::{
     Event, MemberEntry, MemberId, MemberReport, Outcome, RequestId, SessionCommitSource, Settings, Time,
@@ -31,12 +31,12 @@
 #[test]
 fn reads_overflow_to_spare_primary_capacity_only() {
     let mut router = TestRouter::ready(settings(DEDUPLICATED));
-    // Two places at each member: four reads fill the replicas.
+    // Each member has capacity for two attempts, so four reads fill the replicas.
     for _ in 0..4 {
         assert_ne!(sent_attempts(&router.request(4, None).1)[0].1, MemberId(0));
     }
     assert_eq!(sent_attempts(&router.request(4, None).1)[0].1, MemberId(0));
-    // Its last place is left for writes.
+    // The primary's last slot is reserved for writes.
     assert!(sent_attempts(&router.request(4, None).1).is_empty());
     assert_eq!(sent_attempts(&router.request(0, None).1)[0].1, MemberId(0));
 }
@@ -59,12 +59,12 @@
     router.now += 10 * MS;
     let commit = Some(Time(router.now));
     router.end_attempt_with_report(write, 0, MemberId(0), Outcome::Ok, role(true), commit);
-    // The replicas were last seen before the commit.
+    // The replicas' last reported positions are older than the commit.
     assert!(sent_attempts(&router.request(2, None).1).iter().all(|s| s.1 == MemberId(0)));
 }
 
 #[test]
-fn lagging_replicas_do_not_flood_primary() {
+fn reads_do_not_flood_primary_if_replicas_lag() {
     let mut router = TestRouter::with_lagging_replicas(settings(DEDUPLICATED), [5000, 5000]);
     let mut sent = 0;
     for _ in 0..40 {
@@ -73,7 +73,7 @@
     for _ in 0..10 {
         sent += sent_attempts(&router.advance(10)).len();
     }
-    assert!((1..=8).contains(&sent), "{sent} sent");
+    assert!((1..=8).contains(&sent), "{sent} attempts sent");
 }
 
 #[test]
@@ -101,9 +101,9 @@
     assert_eq!(tried.iter().map(|s| s.1.0).collect::<Vec<_>>(), [0, 1, 2]);
 }
 
-/// A fresh router whose list names member 0 as the primary and two replicas.
+/// A new router whose list names member 0 as the primary and two replicas.
 fn router_with_listed_primary() -> TestRouter {
-    let mut router = TestRouter::new(settings_of_checking_members());
+    let mut router = TestRouter::new(settings_with_freshness_checks());
     let mut entries: Vec<MemberEntry> = (0..3).map(entry).collect();
     entries[0].listed_primary = true;
     router.handle(Event::MemberListChanged { complete: true, entries });
@@ -111,66 +111,66 @@
 }
 
 #[test]
-fn checking_members_are_learned_from_responses_without_probes() {
+fn roles_are_learned_from_responses_if_members_check_freshness() {
     let mut router = router_with_listed_primary();
     let (read, actions) = router.request(4, None);
-    let to = sent_attempts(&actions);
+    let sent = sent_attempts(&actions);
     assert_eq!(
-        (to.len(), probed_members(&actions).len()),
+        (sent.len(), probed_members(&actions).len()),
         (1, 0),
-        "a hundred routers would probe sixty members each"
+        "no probe: a hundred routers would probe sixty members each"
     );
-    assert_ne!(to[0].1, MemberId(0), "the listed primary is left to writes");
+    assert_ne!(sent[0].1, MemberId(0), "the listed primary is reserved for writes");
     let response_report = MemberReport { primary: Some(false), position: Some(Time(router.now)) };
-    router.end_attempt_with_report(read, 0, to[0].1, Outcome::Ok, response_report, None);
-    // What it learned counts: a session read whose commit is older goes there and nowhere else.
-    assert_eq!(sent_attempts(&router.request(2, Some(10)).1)[0].1, to[0].1);
+    router.end_attempt_with_report(read, 0, sent[0].1, Outcome::Ok, response_report, None);
+    // The reported position counts: a session read with an older commit goes to this replica.
+    assert_eq!(sent_attempts(&router.request(2, Some(10)).1)[0].1, sent[0].1);
     let (write, actions) = router.request(0, None);
     assert_eq!((sent_attempts(&actions), probed_members(&actions)), (vec![(write, MemberId(0))], vec![]));
 }
 
 #[test]
-fn write_tries_each_member_once_then_waits() {
+fn write_tries_each_member_once_then_is_queued() {
     let mut router = router_with_listed_primary();
     let (id, mut actions) = router.request(0, None);
     let response_report = role(false);
-    let mut asked = Vec::new();
+    let mut tried_members = Vec::new();
     while let [(_, m)] = sent_attempts(&actions)[..] {
-        asked.push(m);
+        tried_members.push(m);
         actions = router.end_attempt_with_report(
             id,
-            asked.len() as u32 - 1,
+            tried_members.len() as u32 - 1,
             m,
             Outcome::NotEligible,
             response_report,
             None,
         );
     }
-    assert_eq!(asked[0], MemberId(0), "the listed one first");
-    asked.sort_unstable();
-    assert_eq!(asked, [MemberId(0), MemberId(1), MemberId(2)]);
+    assert_eq!(tried_members[0], MemberId(0), "the listed primary is tried first");
+    tried_members.sort_unstable();
+    assert_eq!(tried_members, [MemberId(0), MemberId(1), MemberId(2)]);
     assert!(!is_rejected(&actions, id) && !is_failed(&actions, id));
-    // The next write does not try those again that have just denied being the primary.
+    // The next write does not retry members that have just responded as replicas.
     assert!(sent_attempts(&router.request(0, None).1).is_empty());
     router.now += 500 * MS;
-    assert!(sent_attempts(&router.request(0, None).1).is_empty(), "their denial holds a second");
-    // A report says who took over, and what is queued goes there.
+    assert!(sent_attempts(&router.request(0, None).1).is_empty(), "their responses take precedence for 1 s");
+    // A report names the new primary, and queued requests are sent to it.
     router.now += 20 * MS;
     let actions = router.probe_ended(2, true, 0);
-    assert!(sent_attempts(&actions).is_empty(), "a response holds longer than a report");
+    assert!(sent_attempts(&actions).is_empty(), "a recent response takes precedence over a report");
     router.now += 1000 * MS;
     let actions = router.probe_ended(2, true, 0);
     assert!(sent_attempts(&actions).iter().all(|s| s.1 == MemberId(2)));
 }
 
 #[test]
-fn any_read_is_sent_where_probing_is_not_allowed() {
+fn read_without_freshness_bound_is_sent_if_probing_is_disabled() {
     let mut router = TestRouter::new(Settings { probing_allowed: false, ..settings(DEDUPLICATED) });
     router.list_members(3);
-    // No member has reported yet, and none may be probed.
+    // No member has reported yet, and members may not be probed.
     let (read, actions) = router.request(4, None);
     assert_eq!(sent_attempts(&actions).iter().map(|(id, _)| *id).collect::<Vec<_>>(), [read]);
-    // One that needs proof gets none without a write that shows who is primary.
+    // A read that needs proof of freshness is not sent until a write reveals the primary.
     let (_, actions) = router.request(3, None);
     assert!(sent_attempts(&actions).is_empty());
 }
--- a/decision/tests/cold_fleet/world.rs
+++ b/decision/tests/cold_fleet/world.rs
@@ -1,37 +1,38 @@
-//! Routers, members, clients and the network between them in simulated time: a queue of events, earliest first.
+//! A discrete-event simulation of routers, members, clients and the network between them.
 use crate::common::{self, MS};
-use crate::scene::{BEGIN, COLD_START, END, LAST_REQUEST, Plan};
+use crate::scene::{COLD_START, END, LAST_REQUEST, Plan, START};
 use decision::{
     Action, Event, MemberEntry, MemberId, MemberReport, Micros, Outcome, Request, RequestId, Router,
     Settings, Time,
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// Members of the group; member 0 is the primary.
+/// Number of members of the group; member 0 is the primary.
 pub(crate) const MEMBERS: usize = 4;
 const PRIMARY: usize = 0;
-/// One way between a router and a member.
+/// One-way network delay between a router and a member.
 const ONE_WAY_DELAY: Micros = 300;
-/// How long a router waits for a member that hangs to answer a probe.
+/// How long a router waits for the result of a probe when the member hangs.
 const PROBE_TIMEOUT: Micros = 250 * MS;
-/// How far behind the present the positions are that members report.
+/// How old the positions are that members report.
 const REPORT_AGE: Micros = 50 * MS;
-/// Requests that a member serves at once, and that it keeps waiting.
+/// Requests that a member serves concurrently, and the length of its queue.
 const CORES: usize = 3;
 const MAX_WAITING: usize = 60;
-/// Clients that are rejected retry with this chance, so often at most, after at least this time if none is named.
+/// A rejected client retries with this probability and at most this often. It waits for the retry-after time,
+/// or the default if there is none, but no longer than a random time.
 const RETRY_PROBABILITY: f64 = 0.7;
 const MAX_RETRIES: u32 = 3;
 const DEFAULT_RETRY_AFTER: Micros = 50 * MS;
 
-/// Something that happens at a time of its own.
+/// A scheduled event of the simulation.
 #[derive(Debug)]
 pub(crate) enum SimEvent {
     ClientArrives,
     ClientRetries(Client),
     ReachesMember(Job),
     WorkDone {
-        /// The run of the member's process that did it.
+        /// The epoch of the member's process that did the work.
         epoch: u32,
         job: Job,
     },
@@ -67,18 +68,18 @@
     retries: u32,
 }
 
-/// One attempt on its way and at its member.
+/// One attempt, in transit or at its member.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Job {
     router: usize,
-    /// The run of the router's process that sent it.
+    /// The epoch of the router's process that sent the attempt.
     epoch: u32,
     request: u64,
     attempt: u32,
     member: usize,
     deadline: Micros,
     needs_primary: bool,
-    /// In units of the mean.
+    /// In multiples of the average work of a request.
     work: f64,
 }
 
@@ -86,7 +87,7 @@
 struct Member {
     up: bool,
     hung: bool,
-    /// Rises when the process stops.
+    /// Increases when the process stops.
     epoch: u32,
     started_at: Option<Micros>,
     busy_cores: usize,
@@ -95,11 +96,11 @@
 
 struct RouterNode {
     router: Router,
-    /// Rises when the process restarts.
+    /// Increases when the process restarts.
     epoch: u32,
     /// Clients by request, with the number of attempts made for each so far.
     clients: BTreeMap<u64, (Client, u32)>,
-    /// Attempts without an outcome, by request and number.
+    /// The member of each attempt without an outcome, by request and index of the attempt.
     in_flight: BTreeMap<(u64, u32), usize>,
 }
 
@@ -109,11 +110,12 @@
     }
 }
 
-/// What a run has measured.
+/// Results of a run.
 #[derive(Debug, Default)]
-pub(crate) struct Measured {
-    /// The largest sum over a window as a share of N + 2 x root of N + 2.
-    pub(crate) worst_window: f64,
+pub(crate) struct Results {
+    /// The largest ratio of the work in a window to the limit N + 2 * sqrt(N) + 2, where N is the load that
+    /// overloads the member.
+    pub(crate) worst_window_ratio: f64,
     pub(crate) requests: u64,
     pub(crate) served: u64,
     pub(crate) served_by_cold_member: u64,
@@ -125,16 +127,16 @@
     rng: fastrand::Rng,
     now: Micros,
     next_event: u64,
-    /// By time, in the order of insertion where the times are equal.
+    /// By time, then in the order of insertion.
     events: BTreeMap<(Micros, u64), SimEvent>,
     routers: Vec<RouterNode>,
     members: Vec<Member>,
     listed: Vec<usize>,
     cold_member: usize,
     next_request: u64,
-    /// Arrivals at the cold member in the window that ends now: time and work.
+    /// Time and work of the requests that reached the cold member in the window that ends now.
     window: VecDeque<(Micros, f64)>,
-    measured: Measured,
+    results: Results,
 }
 
 impl World {
@@ -151,7 +153,7 @@
             plan,
             settings,
             rng,
-            now: BEGIN,
+            now: START,
             next_event: 0,
             events: BTreeMap::new(),
             routers,
@@ -160,7 +162,7 @@
             cold_member: plan.cold_member(),
             next_request: 0,
             window: VecDeque::new(),
-            measured: Measured::default(),
+            results: Results::default(),
         };
         for (time, event) in plan.script() {
             world.schedule_at(time, event);
@@ -169,15 +171,15 @@
         world
     }
 
-    pub(crate) fn run(mut self) -> Measured {
+    pub(crate) fn run(mut self) -> Results {
         while let Some(((time, _), event)) = self.events.pop_first() {
             if time > END {
                 break;
             }
             self.now = time;
-            self.step(event);
+            self.process(event);
         }
-        self.measured
+        self.results
     }
 
     fn schedule_at(&mut self, time: Micros, event: SimEvent) {
@@ -193,7 +195,7 @@
         self.schedule_after(ONE_WAY_DELAY, SimEvent::ResponseArrives { job, outcome, is_primary });
     }
 
-    fn step(&mut self, event: SimEvent) {
+    fn process(&mut self, event: SimEvent) {
         match event {
             SimEvent::ClientArrives => self.client_arrives(),
             SimEvent::ClientRetries(client) => self.request(client),
@@ -245,17 +247,17 @@
         if self.now + gap < LAST_REQUEST {
             self.schedule_after(gap, SimEvent::ClientArrives);
         }
-        // Some routers see several times the mean: the smaller of two draws is the commoner.
+        // The smaller of two draws is more common, so some routers get several times the mean.
         let routers = self.routers.len();
         let router = self.rng.usize(..routers).min(self.rng.usize(..routers));
-        // The primary's part is that of one member.
+        // The primary gets the share of one member.
         let class = match self.rng.usize(..MEMBERS) {
             0 => usize::from(self.rng.u8(..4) == 0),
             _ => 2 + self.rng.usize(..2),
         };
         let deadline = self.now + self.settings.classes[class].deadline;
         if (COLD_START..LAST_REQUEST).contains(&self.now) {
-            self.measured.requests += 1;
+            self.results.requests += 1;
         }
         self.request(Client { router, class, deadline, retries: 0 });
     }
@@ -276,7 +278,7 @@
         self.handle(client.router, Event::RequestArrived(request));
     }
 
-    /// Hands the list as it stands to a router.
+    /// Sends the current member list to a router.
     fn notify(&mut self, router: usize) {
         let entry = |id: &usize| MemberEntry {
             started_at: self.members[*id].started_at.map(Time),
@@ -300,10 +302,10 @@
     fn handle(&mut self, router: usize, event: Event) {
         let mut actions = Vec::new();
         self.routers[router].router.handle(Time(self.now), event, &mut actions);
-        actions.into_iter().for_each(|action| self.carry_out(router, action));
+        actions.into_iter().for_each(|action| self.execute(router, action));
     }
 
-    fn carry_out(&mut self, router: usize, action: Action) {
+    fn execute(&mut self, router: usize, action: Action) {
         let epoch = self.routers[router].epoch;
         match action {
             Action::Send { request, member, timeout, .. } => self.send(router, request.0, member, timeout),
@@ -312,12 +314,12 @@
             Action::Probe { member } => {
                 let id = member.0 as usize;
                 let member = &self.members[id];
-                let (took, outcome) = match (member.up, member.hung) {
+                let (delay, outcome) = match (member.up, member.hung) {
                     (true, false) => (2 * ONE_WAY_DELAY, Outcome::Ok),
                     (true, true) => (PROBE_TIMEOUT, Outcome::TimedOut),
                     (false, _) => (2 * ONE_WAY_DELAY, Outcome::ConnectFailed),
                 };
-                self.schedule_after(took, SimEvent::ProbeEnds { router, epoch, member: id, outcome });
+                self.schedule_after(delay, SimEvent::ProbeEnds { router, epoch, member: id, outcome });
             }
             Action::SetTimer { after } => {
                 self.schedule_after(after, SimEvent::TimerExpires { router, epoch });
@@ -357,15 +359,15 @@
         }
     }
 
-    /// The part of its full capacity that a member has at a time.
+    /// The share of its full capacity that a member has at a given time.
     fn capacity_share(&self, started_at: Option<Micros>, at: Micros) -> f64 {
         let (initial, duration) = (self.settings.slow_start_initial_share, self.settings.slow_start_duration);
         let age = started_at.map_or(duration, |start| at - start) as f64 / duration as f64;
         initial + (1.0 - initial) * age.min(1.0)
     }
 
-    /// Counts what comes to the cold member in the window that ends now, against what it can carry by its mean
-    /// capacity in that window.
+    /// Adds a request that reached the cold member to the window that ends now, and compares the sum with the
+    /// limit that follows from the member's mean capacity in that window.
     fn count_arrival(&mut self, work: f64) {
         let started_at = self.members[self.cold_member].started_at;
         let Some(start) = started_at else { return };
@@ -380,7 +382,7 @@
             f64::midpoint(self.capacity_share(started_at, begin), self.capacity_share(started_at, self.now));
         let n = self.settings.overload_factor * mean * self.plan.capacity * length as f64 / 1e6;
         let share = sum / (n + 2.0 * n.sqrt() + 2.0);
-        self.measured.worst_window = self.measured.worst_window.max(share);
+        self.results.worst_window_ratio = self.results.worst_window_ratio.max(share);
     }
 
     fn reaches_member(&mut self, job: Job) {
@@ -392,7 +394,7 @@
         if !member.up {
             self.respond(job, Outcome::ConnectFailed, None);
         } else if member.hung {
-            // It never answers: the attempt's timeout ends it.
+            // The member never responds: the attempt ends with its timeout.
         } else if job.needs_primary && !is_primary {
             self.respond(job, Outcome::NotEligible, Some(is_primary));
         } else if member.busy_cores < CORES {
@@ -408,9 +410,9 @@
     fn serve(&mut self, job: Job) {
         let member = &self.members[job.member];
         let mean = CORES as f64 * 1e6 / self.plan.capacity;
-        let took = (job.work * mean / self.capacity_share(member.started_at, self.now)) as i64;
+        let delay = (job.work * mean / self.capacity_share(member.started_at, self.now)) as i64;
         let epoch = member.epoch;
-        self.schedule_after(took.max(1), SimEvent::WorkDone { epoch, job });
+        self.schedule_after(delay.max(1), SimEvent::WorkDone { epoch, job });
     }
 
     fn work_done(&mut self, epoch: u32, job: Job) {
@@ -423,7 +425,7 @@
         let now = self.now;
         let member = &mut self.members[job.member];
         member.busy_cores -= 1;
-        // Work whose time is up is dropped.
+        // Queued work whose deadline has passed is dropped.
         while let Some(next) = member.waiting.pop_front() {
             if next.deadline > now {
                 member.busy_cores += 1;
@@ -442,8 +444,8 @@
         if ok && let Some((client, _)) = node.clients.remove(&job.request) {
             let arrived_at = client.deadline - self.settings.classes[client.class].deadline;
             if (COLD_START..LAST_REQUEST).contains(&arrived_at) {
-                self.measured.served += 1;
-                self.measured.served_by_cold_member += u64::from(job.member == self.cold_member);
+                self.results.served += 1;
+                self.results.served_by_cold_member += u64::from(job.member == self.cold_member);
             }
         }
         let event = Event::AttemptEnded {
--- a/decision/tests/common/mod.rs
+++ b/decision/tests/common/mod.rs
@@ -1,16 +1,16 @@
-//! A router with a clock, settings to start from, and what to read out of its actions.
-#![allow(dead_code, reason = "each test file is a program of its own and uses a part of this")]
+//! A router with a clock, default settings, and functions that extract parts of its actions.
+#![allow(dead_code, reason = "each test file is a separate crate and uses only some of these items")]
 use decision::{
     Action, Class, Event, Freshness, GroupId, Idempotency, LaggingReplica, MemberEntry, MemberId,
     MemberReport, MemberState, Micros, Outcome, Request, RequestId, Router, SessionCommitSource, SessionId,
     Settings, Time,
 };
 
-/// A millisecond, in microseconds.
+/// One millisecond, in microseconds.
 pub(crate) const MS: Micros = 1000;
-/// The group of all members that [`entry`] makes.
+/// The group of all members that [`entry`] creates.
 pub(crate) const GROUP: GroupId = GroupId(7);
-/// Writes that the members of the group drop when they are repeated within three seconds.
+/// The group's members drop repeats of such writes for three seconds.
 pub(crate) const DEDUPLICATED: Idempotency = Idempotency::DeduplicatedInGroup(3000 * MS);
 
 pub(crate) fn class(freshness: Freshness, idempotency: Idempotency) -> Class {
@@ -24,7 +24,8 @@
     }
 }
 
-/// One idempotency of each kind. The windows are those of deduplication in the group, everywhere and in the zone.
+/// One value of each kind. The windows are for deduplication in the group, everywhere and in the zone, in
+/// this order.
 pub(crate) fn idempotencies(windows: [Micros; 3]) -> [Idempotency; 5] {
     let [in_group, everywhere, in_zone] = windows;
     [
@@ -36,7 +37,7 @@
     ]
 }
 
-/// Classes: 0 write, 1 latest, 2 session, 3 bounded (300 ms), 4 any.
+/// Default settings. Classes: 0 write, 1 latest, 2 session, 3 bounded (300 ms), 4 any.
 pub(crate) fn settings(write: Idempotency) -> Settings {
     let idempotent = |freshness| class(freshness, Idempotency::Idempotent);
     Settings {
@@ -71,8 +72,9 @@
     }
 }
 
-/// Settings of members that check positions themselves, as the fleet's do, and a router that acts every millisecond.
-pub(crate) fn settings_of_checking_members() -> Settings {
+/// Settings for members that check positions themselves, as those of the fleet do, and a router with an event
+/// interval of one millisecond.
+pub(crate) fn settings_with_freshness_checks() -> Settings {
     Settings {
         lagging_replica: LaggingReplica::WaitsThenRejects(20 * MS),
         min_event_interval: MS,
@@ -81,7 +83,7 @@
     }
 }
 
-/// A member that is ready and of which nothing else is listed.
+/// The list entry of a ready member, with default values otherwise.
 pub(crate) fn entry(id: u32) -> MemberEntry {
     MemberEntry {
         id: MemberId(id),
@@ -94,12 +96,12 @@
     }
 }
 
-/// What a response states of its member's role alone.
+/// A response's statement of its member's role, without a position.
 pub(crate) fn role(primary: bool) -> MemberReport {
     MemberReport { primary: Some(primary), position: None }
 }
 
-/// A router, the time and the number of the next request.
+/// A router, the current time and the number of the next request.
 pub(crate) struct TestRouter {
     pub(crate) inner: Router,
     /// In microseconds.
@@ -121,7 +123,7 @@
         TestRouter::with_lagging_replicas(settings, [0, 0])
     }
 
-    /// The same with replicas that are this many milliseconds behind.
+    /// Like `ready`, with replicas that lag by this many milliseconds.
     pub(crate) fn with_lagging_replicas(settings: Settings, lags_ms: [i64; 2]) -> Self {
         let mut router = TestRouter::new(settings);
         router.list_members(3);
@@ -137,40 +139,41 @@
         actions
     }
 
-    /// A complete list of members 0 and up, all ready.
+    /// Delivers a complete list of members 0 and up, all ready.
     pub(crate) fn list_members(&mut self, count: u32) -> Vec<Action> {
         self.handle(Event::MemberListChanged { complete: true, entries: (0..count).map(entry).collect() })
     }
 
-    /// A list of what has changed.
+    /// Delivers an incomplete list with these changes.
     pub(crate) fn list_changes(&mut self, entries: Vec<MemberEntry>) -> Vec<Action> {
         self.handle(Event::MemberListChanged { complete: false, entries })
     }
 
-    /// Lets time pass, then the timer expire.
+    /// Advances the clock, then expires the timer.
     pub(crate) fn advance(&mut self, ms: i64) -> Vec<Action> {
         self.now += ms * MS;
         self.handle(Event::TimerExpired)
     }
 
-    /// A probe that the member answered.
+    /// Ends a probe with a report.
     pub(crate) fn probe_ended(&mut self, id: u32, primary: bool, lag_ms: i64) -> Vec<Action> {
         let position = Some(Time(self.now - lag_ms * MS));
         let report = MemberReport { primary: Some(primary), position };
         self.handle(Event::ProbeEnded { member: MemberId(id), outcome: Outcome::Ok, report })
     }
 
-    /// A probe that brought no report.
+    /// Ends a probe without a report.
     pub(crate) fn probe_failed(&mut self, member: MemberId, outcome: Outcome) -> Vec<Action> {
         self.handle(Event::ProbeEnded { member, outcome, report: MemberReport::default() })
     }
 
-    /// A request of this class; a session read must see a commit of so long ago.
+    /// Delivers a request of this class. If given, the age is that of the commit that a session read must
+    /// see.
     pub(crate) fn request(&mut self, class: usize, commit_age_ms: Option<i64>) -> (RequestId, Vec<Action>) {
         self.request_with_timeout(class, commit_age_ms, 1200)
     }
 
-    /// The same from a client that waits this many milliseconds.
+    /// Like `request`, for a client with this timeout.
     pub(crate) fn request_with_timeout(
         &mut self,
         class: usize,
@@ -191,7 +194,7 @@
         (id, self.handle(Event::RequestArrived(request)))
     }
 
-    /// An attempt whose response states nothing of its member.
+    /// Ends an attempt whose response states neither role nor position.
     pub(crate) fn end_attempt(
         &mut self,
         request: RequestId,
@@ -224,7 +227,7 @@
     }
 }
 
-/// What the actions send, and where.
+/// The requests that the actions send, with their members.
 pub(crate) fn sent_attempts(actions: &[Action]) -> Vec<(RequestId, MemberId)> {
     let pick = |action: &Action| match action {
         Action::Send { request, member, .. } => Some((*request, *member)),
--- a/decision/tests/invariants.rs
+++ b/decision/tests/invariants.rs
@@ -1,5 +1,6 @@
-//! Feeds legal random events, seeded, and checks the rules that hold for every sequence of them. It models no timing:
-//! anything legal may come. The rule on overloading a cold member needs rates; its tests stand in `slow_start.rs`.
+//! Feeds seeded random sequences of valid events and checks the rules that hold for every sequence. Timing is
+//! not modelled: any valid event may happen at any time. The limit on the load of a cold member depends on
+//! rates and is tested in `slow_start.rs`.
 mod common;
 use common::{GROUP, MS, TestRouter, entry, settings};
 use decision::{
@@ -8,10 +9,10 @@
 };
 use std::collections::BTreeMap;
 
-/// Events drawn for each history, without those that follow from actions.
+/// Events drawn per history, not counting events that result from actions.
 const STEPS: usize = 600;
-/// A final answer may come this long after the deadline: a timer is that late at most.
-const ANSWER_SLACK: Micros = 20 * MS;
+/// How long after the deadline a final response may be given, because timers may expire this late.
+const RESPONSE_SLACK: Micros = 20 * MS;
 
 #[derive(Clone, Copy)]
 struct Attempt {
@@ -29,7 +30,7 @@
     session: u64,
     session_commit: Option<Micros>,
     attempts: Vec<Attempt>,
-    answered: bool,
+    finished: bool,
 }
 
 impl PendingRequest {
@@ -43,13 +44,14 @@
     settings: Settings,
     rng: fastrand::Rng,
     pending: BTreeMap<u64, PendingRequest>,
-    /// Members that are probed and have not answered yet.
+    /// Members with a probe in flight.
     probes: Vec<u32>,
-    /// Whether each member that was listed and not removed since takes work.
+    /// Members that were listed and not removed since, and whether each accepts work.
     ready: BTreeMap<u32, bool>,
-    /// The last position that each member has reported.
+    /// The newest position that each member has reported.
     positions: BTreeMap<u32, Micros>,
-    /// Stated to be primary by a response or a probe, and not denied by a response since.
+    /// Whether each member counts as primary: a response or a probe stated it, and no later response denied
+    /// it.
     primary: BTreeMap<u32, bool>,
     timers: u32,
     /// The newest commit of each session.
@@ -83,15 +85,18 @@
                 Action::Reject { request, .. } => {
                     let pending = &self.pending[&request.0];
                     let idempotency = self.settings.classes[pending.class].idempotency;
-                    let harmless = matches!(
+                    let safe_to_retry = matches!(
                         idempotency,
                         Idempotency::Idempotent | Idempotency::DeduplicatedEverywhere(_)
                     );
                     let may_have_run = pending.may_have_run().next().is_some();
-                    assert!(harmless || !may_have_run, "rejected though it may have run: {idempotency:?}");
-                    self.answer(request.0);
+                    assert!(
+                        safe_to_retry || !may_have_run,
+                        "rejected although an attempt may have run: {idempotency:?}"
+                    );
+                    self.finish(request.0);
                 }
-                Action::Fail { request } => self.answer(request.0),
+                Action::Fail { request } => self.finish(request.0),
                 Action::Probe { member } => {
                     assert!(self.settings.probing_allowed && self.ready.contains_key(&member.0));
                     self.probes.push(member.0);
@@ -106,33 +111,33 @@
             }
         }
         let now = self.router.now;
-        let in_time = |p: &PendingRequest| p.answered || now <= p.deadline + ANSWER_SLACK;
-        assert!(self.pending.values().all(in_time), "no final answer in time");
+        let in_time = |p: &PendingRequest| p.finished || now <= p.deadline + RESPONSE_SLACK;
+        assert!(self.pending.values().all(in_time), "no final response in time");
     }
 
-    fn answer(&mut self, id: u64) {
-        let pending = self.pending.get_mut(&id).expect("an answered request is pending");
-        assert!(!pending.answered, "two final answers");
-        pending.answered = true;
+    fn finish(&mut self, id: u64) {
+        let pending = self.pending.get_mut(&id).expect("a finished request is pending");
+        assert!(!pending.finished, "two final responses");
+        pending.finished = true;
     }
 
     fn check_send(&mut self, id: u64, member: u32, timeout: Micros, start_timeout: Micros) {
         let now = self.router.now;
-        assert_eq!(self.ready.get(&member), Some(&true), "sent to a member that drains or is removed");
+        assert_eq!(self.ready.get(&member), Some(&true), "sent to a draining or removed member");
         let settings = &self.settings;
         let pending = self.pending.get_mut(&id).expect("a sent request is pending");
         let class = &settings.classes[pending.class];
-        assert!(!pending.answered, "sent after the final answer");
-        assert!(start_timeout <= timeout, "it may begin after it is given up");
+        assert!(!pending.finished, "sent after the final response");
+        assert!(start_timeout <= timeout, "an attempt may start after its timeout");
         assert!(pending.attempts.len() < settings.max_attempts as usize, "too many attempts");
-        let alone = pending.attempts.iter().all(|a| !a.in_flight);
-        assert!(settings.hedging_allowed || alone, "two attempts in flight together");
+        let none_in_flight = pending.attempts.iter().all(|a| !a.in_flight);
+        assert!(settings.hedging_allowed || none_in_flight, "two attempts in flight at the same time");
         if let Some(first) = pending.may_have_run().map(|a| a.sent_at).min() {
             match class.idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::DeduplicatedInGroup(window) | Idempotency::DeduplicatedEverywhere(window) => {
                     let in_window = now + start_timeout.max(1) < first + window;
-                    assert!(in_window, "a repeat may begin after its window");
+                    assert!(in_window, "a retry may start after the deduplication window");
                 }
                 Idempotency::NotIdempotent | Idempotency::DeduplicatedInZone(_) => {
                     panic!("a write may take effect twice")
@@ -148,10 +153,14 @@
                 Freshness::Any | Freshness::Write => None,
             };
             let position = self.positions.get(&member).copied().unwrap_or(Micros::MIN);
-            assert!(needed.is_none_or(|n| position >= n), "a stale read: {:?}", class.freshness);
+            assert!(
+                needed.is_none_or(|n| position >= n),
+                "a read from a stale replica: {:?}",
+                class.freshness
+            );
             if let Freshness::Bounded(bound) = class.freshness {
                 let proven = now + start_timeout <= position + bound;
-                assert!(proven, "a read may begin after the proof of its freshness has run out");
+                assert!(proven, "a read may start after its proof of freshness has expired");
             }
         }
         let attempt = Attempt { member, sent_at: now, timeout, in_flight: true, may_have_run: false };
@@ -162,8 +171,8 @@
         let complete = self.rng.u8(..4) == 0 || self.ready.is_empty();
         let mut entries = vec![];
         for id in 0..8u32 {
-            let stays = complete && self.ready.get(&id) == Some(&true);
-            if !(stays || self.rng.bool()) {
+            let must_stay_listed = complete && self.ready.get(&id) == Some(&true);
+            if !(must_stay_listed || self.rng.bool()) {
                 continue;
             }
             let mut entry = entry(id);
@@ -182,8 +191,11 @@
             entries.push(entry);
         }
         if complete {
-            let named: Vec<u32> = entries.iter().map(|e| e.id.0).collect();
-            self.ready.iter_mut().filter(|(id, _)| !named.contains(id)).for_each(|(_, ready)| *ready = false);
+            let listed_ids: Vec<u32> = entries.iter().map(|e| e.id.0).collect();
+            self.ready
+                .iter_mut()
+                .filter(|(id, _)| !listed_ids.contains(id))
+                .for_each(|(_, ready)| *ready = false);
         }
         for entry in &entries {
             self.ready.insert(entry.id.0, entry.state == MemberState::Ready);
@@ -196,9 +208,11 @@
         let session = self.rng.u64(..4);
         let timeout = if self.rng.u8(..20) == 0 { 0 } else { self.rng.i64(50..1200) * MS };
         let now = self.router.now;
-        let carried = self.rng.bool().then(|| now - self.rng.i64(1..600) * MS);
-        let is_carried = self.settings.session_commit_source == SessionCommitSource::CarriedByRequest;
-        let session_commit = if is_carried { carried } else { self.commits.get(&session).copied() };
+        let carried_commit = self.rng.bool().then(|| now - self.rng.i64(1..600) * MS);
+        let requests_carry_commit =
+            self.settings.session_commit_source == SessionCommitSource::CarriedByRequest;
+        let session_commit =
+            if requests_carry_commit { carried_commit } else { self.commits.get(&session).copied() };
         let id = self.router.next_request;
         self.router.next_request += 1;
         let pending = PendingRequest {
@@ -208,7 +222,7 @@
             session,
             session_commit,
             attempts: vec![],
-            answered: false,
+            finished: false,
         };
         self.pending.insert(id, pending);
         self.handle(Event::RequestArrived(Request {
@@ -218,7 +232,7 @@
             session: Some(SessionId(session)),
             group: GROUP,
             deadline: Time(now + timeout),
-            session_commit: carried.filter(|_| is_carried).map(Time),
+            session_commit: carried_commit.filter(|_| requests_carry_commit).map(Time),
         }));
     }
 
@@ -230,8 +244,8 @@
         let member = pending.attempts[attempt].member;
         pending.attempts[attempt].in_flight = false;
         pending.attempts[attempt].may_have_run = !outcome.never_ran();
-        let request_ended = pending.answered || outcome == Outcome::Ok;
-        pending.answered = request_ended;
+        let request_ended = pending.finished || outcome == Outcome::Ok;
+        pending.finished = request_ended;
         let session = pending.session;
         let responded =
             matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::NotEligible | Outcome::Rejected);
@@ -255,11 +269,11 @@
         });
     }
 
-    /// The attempts in flight for which this holds, by request and position.
-    fn attempts_in_flight(&self, holds: impl Fn(&Attempt) -> bool) -> Vec<(u64, usize)> {
+    /// The attempts in flight that satisfy a condition, as pairs of request and index of the attempt.
+    fn attempts_in_flight(&self, condition: impl Fn(&Attempt) -> bool) -> Vec<(u64, usize)> {
         let numbered = |(id, pending): (&u64, &PendingRequest)| {
-            let positions = pending.attempts.iter().enumerate().filter(|(_, a)| a.in_flight && holds(a));
-            positions.map(|(attempt, _)| (*id, attempt)).collect::<Vec<_>>()
+            let indices = pending.attempts.iter().enumerate().filter(|(_, a)| a.in_flight && condition(a));
+            indices.map(|(attempt, _)| (*id, attempt)).collect::<Vec<_>>()
         };
         self.pending.iter().flat_map(numbered).collect()
     }
@@ -306,18 +320,18 @@
     }
 
     fn disconnect_some_client(&mut self) {
-        let waiting: Vec<u64> = self.pending.iter().filter(|(_, p)| !p.answered).map(|(id, _)| *id).collect();
+        let waiting: Vec<u64> = self.pending.iter().filter(|(_, p)| !p.finished).map(|(id, _)| *id).collect();
         if waiting.is_empty() || self.rng.u8(..4) > 0 {
             return;
         }
         let id = waiting[self.rng.usize(..waiting.len())];
-        self.answer(id);
+        self.finish(id);
         self.handle(Event::ClientDisconnected { request: RequestId(id) });
     }
 
     fn step(&mut self) {
         self.router.now += self.rng.i64(0..6) * MS;
-        // Timeouts come due, then timers.
+        // Ends attempts whose timeout has expired, then fires timers.
         let now = self.router.now;
         for (id, attempt) in self.attempts_in_flight(|a| a.sent_at + a.timeout <= now) {
             self.end_attempt(id, attempt, Outcome::TimedOut);
@@ -332,12 +346,12 @@
             15..=18 if !self.probes.is_empty() => self.end_some_probe(),
             _ => self.disconnect_some_client(),
         }
-        self.pending.retain(|_, p| !p.answered || p.attempts.iter().any(|a| a.in_flight));
+        self.pending.retain(|_, p| !p.finished || p.attempts.iter().any(|a| a.in_flight));
     }
 }
 
 #[test]
-fn random_legal_events_keep_all_rules() {
+fn invariants_hold_under_random_valid_events() {
     let idempotencies = common::idempotencies([300 * MS; 3]);
     let lagging_replicas =
         [LaggingReplica::AnswersStale, LaggingReplica::Rejects, LaggingReplica::WaitsThenRejects(50 * MS)];
@@ -351,7 +365,7 @@
                         lagging_replica,
                         session_commit_source,
                         hedging_allowed,
-                        // Few routers, many, and a number that is not known.
+                        // Few routers, many routers, and an unknown number.
                         router_count: [3, 500, 0][requests as usize % 3],
                         ..settings(idempotency)
                     };
--- a/decision/tests/lines.rs
+++ b/decision/tests/lines.rs
@@ -1,31 +1,33 @@
-//! The decision logic must stay small enough to be read in an hour, and the deployment file must name all of it.
+//! The decision logic must stay small enough to be read within an hour, and the deployment file must list all
+//! of it.
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Lines that are not blank, comments too, in all files together: the bench's bound for a decision module.
+/// Maximum number of non-blank lines in all files together, including comments: the bench's limit for a
+/// decision module.
 const MAX_LINES: usize = 1200;
-/// Lines of one file that are not blank.
+/// Maximum number of non-blank lines of one file.
 const MAX_FILE_LINES: usize = 250;
-/// Lines of one function, its signature and closing brace included.
+/// Maximum number of lines of one function, including its signature and closing brace.
 const MAX_FUNCTION_LINES: usize = 50;
 const MAX_LINE_LENGTH: usize = 110;
 
-/// The files that hold decisions and state, by their path from the repository's root: all but the public face.
+/// The files with decisions and state, by path from the repository root: all except the public interface.
 fn decision_files() -> BTreeMap<String, String> {
     let package = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = BTreeMap::new();
     let mut folders = vec![package.join("src")];
     while let Some(folder) = folders.pop() {
-        for entry in std::fs::read_dir(&folder).expect("the folder can be listed") {
-            let path = entry.expect("an entry").path();
+        for entry in std::fs::read_dir(&folder).expect("the folder is readable") {
+            let path = entry.expect("a readable folder entry").path();
             if path.is_dir() {
                 folders.push(path);
                 continue;
             }
-            let inside = path.strip_prefix(package).expect("a file of the package");
-            let name = inside.to_str().expect("a plain name");
+            let relative_path = path.strip_prefix(package).expect("a file of the package");
+            let name = relative_path.to_str().expect("a UTF-8 path");
             if !["src/lib.rs", "src/interface.rs"].contains(&name) {
-                let text = std::fs::read_to_string(&path).expect("the file can be read");
+                let text = std::fs::read_to_string(&path).expect("the file is readable");
                 files.insert(format!("decision/{name}"), text);
             }
         }
@@ -37,7 +39,7 @@
 fn decision_logic_stays_within_line_limits() {
     let files = decision_files();
     let lines = files.values().flat_map(|text| text.lines()).filter(|line| !line.trim().is_empty()).count();
-    assert!(lines > 0 && lines <= MAX_LINES, "{lines} lines that are not blank");
+    assert!(lines > 0 && lines <= MAX_LINES, "the decision logic has {lines} non-blank lines");
     for (name, text) in &files {
         for (i, line) in text.lines().enumerate() {
             let length = line.chars().count();
@@ -46,7 +48,8 @@
     }
 }
 
-/// The lengths of a file's functions, by the first line of each. Formatted code closes a function at its own indentation.
+/// The lengths of a file's functions, by the first line of each. In formatted code, the closing brace of a
+/// function has the indentation of its first line.
 fn function_lengths(text: &str) -> Vec<(&str, usize)> {
     let lines: Vec<&str> = text.lines().collect();
     let is_function = |line: &str| line.trim_start().starts_with("fn ") || line.contains(" fn ");
@@ -55,7 +58,8 @@
     let lengths = starts.map(|(start, line)| {
         let indentation = line.len() - line.trim_start().len();
         let closing = format!("{}}}", " ".repeat(indentation));
-        let length = lines[start..].iter().position(|l| *l == closing).expect("a closing brace") + 1;
+        let length =
+            lines[start..].iter().position(|l| *l == closing).expect("a closing brace of the function") + 1;
         (*line, length)
     });
     lengths.collect()
@@ -65,7 +69,7 @@
 fn decision_files_and_functions_stay_short() {
     for (name, text) in decision_files() {
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(lines <= MAX_FILE_LINES, "{name} has {lines} lines that are not blank");
+        assert!(lines <= MAX_FILE_LINES, "{name} has {lines} non-blank lines");
         let functions = function_lengths(&text);
         assert!(!functions.is_empty(), "no function found in {name}");
         for (function, length) in functions {
@@ -83,7 +87,8 @@
 #[test]
 fn deployment_lists_every_file_of_decision_logic_as_policy() {
     let deployment = include_str!("../../deploy/balancer.toml");
-    let policy = deployment.lines().find(|line| line.starts_with("policy = [")).expect("a line for policy");
+    let policy =
+        deployment.lines().find(|line| line.starts_with("policy = [")).expect("a line with the policy files");
     let listed: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
     assert_eq!(listed, decision_files().keys().collect::<Vec<_>>());
 }
--- a/decision/tests/member_list.rs
+++ b/decision/tests/member_list.rs
@@ -1,4 +1,4 @@
-//! Lists of members, the number of routers, and what the router keeps of both.
+//! Member lists, the number of routers, and the size of the router's state.
 mod common;
 use common::{DEDUPLICATED, GROUP, MS, TestRouter, entry, role, sent_attempts, settings};
 use decision::{
@@ -46,7 +46,7 @@
                 let commit = Some(Time(router.now));
                 router.end_attempt_with_report(request, 0, member, Outcome::Ok, role(true), commit);
             }
-            // Members come and go.
+            // Members join and leave continuously.
             let state = if i % 2 == 0 { MemberState::Ready } else { MemberState::Removed };
             let entry = MemberEntry { state, ..entry(base + (i / 2) as u32) };
             let member = entry.id;
@@ -58,5 +58,5 @@
     };
     let first = size_after_run(&mut router, 100);
     let second = size_after_run(&mut router, 10_000);
-    assert!(second < first + first / 5, "{first} then {second}");
+    assert!(second < first + first / 5, "state grew from {first} to {second} characters");
 }
--- a/decision/tests/probes.rs
+++ b/decision/tests/probes.rs
@@ -1,13 +1,13 @@
-//! When members are probed, and what follows from the end of a probe.
+//! When members are probed, and the effects of probe results.
 mod common;
 use common::{
     DEDUPLICATED, GROUP, MS, TestRouter, entry, probed_members, role, sent_attempts, settings,
-    settings_of_checking_members,
+    settings_with_freshness_checks,
 };
 use decision::{Action, Event, GroupId, MemberEntry, MemberId, Outcome};
 
 #[test]
-fn first_request_probes_every_member_of_its_group_only() {
+fn first_request_probes_members_of_its_group_only() {
     let mut router = TestRouter::new(settings(DEDUPLICATED));
     let other = MemberEntry { group: GroupId(GROUP.0 + 1), ..entry(9) };
     let entries = (0..3).map(entry).chain([other]).collect();
@@ -36,36 +36,36 @@
     (0..6).for_each(|m| _ = router.probe_ended(m, m == 0, 900));
     router.now += 5000 * MS;
     let (_, mut actions) = router.request(3, None);
-    let mut asked = 0;
+    let mut probe_count = 0;
     for _ in 0..20 {
         let members = probed_members(&actions);
-        asked += members.len();
+        probe_count += members.len();
         router.now += 2 * MS;
         actions = members.into_iter().flat_map(|m| router.probe_ended(m.0, false, 900)).collect();
         actions.extend(router.handle(Event::TimerExpired));
     }
-    assert_eq!(asked, 2);
+    assert_eq!(probe_count, 2);
 }
 
 #[test]
 fn primary_search_backs_off() {
     let mut router = TestRouter::new(settings(DEDUPLICATED));
     router.list_members(3);
-    let mut asked = 0;
+    let mut probe_count = 0;
     for _ in 0..500 {
-        // Somebody always waits; nobody is primary for five seconds.
+        // A request is always queued, and no member is primary for five seconds.
         let mut actions = if router.now % (500 * MS) == 0 { router.request(0, None).1 } else { vec![] };
         actions.extend(router.advance(10));
         for m in probed_members(&actions) {
-            asked += 1;
+            probe_count += 1;
             router.probe_ended(m.0, false, 0);
         }
     }
-    assert!((9..=45).contains(&asked), "{asked} probes of three members");
+    assert!((9..=45).contains(&probe_count), "{probe_count} probes of three members in 5 s");
 }
 
 #[test]
-fn failed_probes_alone_do_not_exclude_member() {
+fn failed_probes_alone_do_not_eject_member() {
     let mut router = TestRouter::ready(settings(DEDUPLICATED));
     for member in [MemberId(1), MemberId(2)] {
         for outcome in [Outcome::Error, Outcome::TimedOut] {
@@ -77,17 +77,17 @@
 
 #[test]
 fn short_event_interval_does_not_raise_probe_rate() {
-    let mut router = TestRouter::new(settings_of_checking_members());
+    let mut router = TestRouter::new(settings_with_freshness_checks());
     router.list_members(3);
     let response_report = role(false);
-    let mut asked = 0;
+    let mut probe_count = 0;
     for _ in 0..1000 {
         router.now += MS;
         let (id, mut actions) = router.request(0, None);
         let mut attempt = 0;
         loop {
             for m in probed_members(&actions) {
-                asked += 1;
+                probe_count += 1;
                 actions.extend(router.probe_ended(m.0, false, 0));
             }
             let [(_, m)] = sent_attempts(&actions)[..] else { break };
@@ -97,6 +97,7 @@
         }
         router.handle(Event::ClientDisconnected { request: id });
     }
-    // At 0, 100, 300 and 700 ms, three members each; a hundred routers do the same.
-    assert!((6..=12).contains(&asked), "{asked} probes of one router in a second");
+    // Probes of three members at 0, 100, 300 and 700 ms. A fleet of a hundred routers sends a hundred times
+    // as many.
+    assert!((6..=12).contains(&probe_count), "{probe_count} probes from one router in 1 s");
 }
--- a/decision/tests/recorded_runs/text.rs
+++ b/decision/tests/recorded_runs/text.rs
@@ -1,4 +1,5 @@
-//! Events and actions as text, in words of its own: a renamed variant or field leaves the fixtures as they are.
+//! Formats events and actions with fixed names of its own, so that a renamed variant or field does not change
+//! the fixtures.
 use decision::{Action, Event, MemberEntry, MemberReport, MemberState, Outcome, Time};
 
 fn optional(time: Option<Time>) -> String {
--- a/decision/tests/recorded_runs/world.rs
+++ b/decision/tests/recorded_runs/world.rs
@@ -1,4 +1,4 @@
-//! Members, clients and a network around one router, drawn from a seed.
+//! A simulated environment of one router: members, clients and a network, driven by a seed.
 use crate::common::{self, MS};
 use crate::text::{action_text, event_text};
 use decision::{
@@ -9,27 +9,27 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// What a member does with the work that it gets.
+/// How a member treats requests.
 #[derive(Clone, Copy, PartialEq)]
 enum Health {
-    Well,
-    /// Answers late, but answers.
+    Healthy,
+    /// Serves requests, but late.
     Slow,
     RefusesConnections,
-    /// Connections to it never come up.
+    /// Connection attempts time out.
     Unreachable,
     Hangs,
-    Errs,
-    Full,
+    ReturnsErrors,
+    AtCapacity,
 }
 
-/// What a history has much of.
+/// What a history consists of.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Mix {
     Ordinary,
-    /// Connections break often, and clients bring timeouts of many kinds.
+    /// Connections are often reset, and clients have many different timeouts.
     Resets,
-    /// Most requests are writes, each of a session of its own, and nothing fails for long.
+    /// Most requests are writes with a session of their own, and no fault lasts long.
     Sessions,
 }
 
@@ -42,7 +42,7 @@
     started_at: Option<Time>,
 }
 
-/// An attempt or a probe that has not ended yet.
+/// An attempt or a probe in flight, with the event that will end it.
 struct Pending {
     ends_at: Micros,
     event: Event,
@@ -57,11 +57,11 @@
     pending: Vec<Pending>,
     timer: Option<Micros>,
     next_request: u64,
-    /// Class, session, group and number of attempts of each request.
+    /// Class, group and number of attempts of each request.
     requests: BTreeMap<u64, (usize, u32, u32)>,
     sessions: u64,
     mix: Mix,
-    /// Every event and action so far.
+    /// All events and actions so far.
     pub(crate) text: String,
     pub(crate) counts: BTreeMap<&'static str, usize>,
 }
@@ -135,7 +135,7 @@
             group: u32::from(id >= 5),
             primary: id == 0 || id == 5,
             lag: i64::from(id % 5) * 20 * MS,
-            health: Health::Well,
+            health: Health::Healthy,
             started_at: None,
         };
         World {
@@ -155,15 +155,15 @@
         }
     }
 
-    pub(crate) fn play(seed: u64, steps: usize, sessions: u64, mix: Mix) -> World {
+    pub(crate) fn run(seed: u64, steps: usize, sessions: u64, mix: Mix) -> World {
         let mut world = World::new(seed, sessions, mix);
         world.list_members(true);
         (0..steps).for_each(|_| world.step());
         world
     }
 
-    fn count(&mut self, what: &'static str) {
-        *self.counts.entry(what).or_default() += 1;
+    fn count(&mut self, name: &'static str) {
+        *self.counts.entry(name).or_default() += 1;
     }
 
     fn handle(&mut self, event: Event) {
@@ -172,14 +172,15 @@
         let mut actions = Vec::new();
         self.router.handle(Time(self.now), event, &mut actions);
         let unavailable = self.router.unavailable_member_count();
-        writeln!(self.text, "{} {line} unavailable={unavailable}", self.now).expect("a string takes it");
+        writeln!(self.text, "{} {line} unavailable={unavailable}", self.now)
+            .expect("writing to a string succeeds");
         for action in actions {
-            writeln!(self.text, "    {}", action_text(&action)).expect("a string takes it");
-            self.carry_out(action);
+            writeln!(self.text, "    {}", action_text(&action)).expect("writing to a string succeeds");
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { request, member, timeout, .. } => {
                 self.count("sends");
@@ -207,9 +208,9 @@
 
     /// What a member reports of itself.
     fn report(&mut self, id: MemberId) -> MemberReport {
-        let (now, bare) = (self.now, self.rng.u8(..12) == 0);
+        let (now, without_report) = (self.now, self.rng.u8(..12) == 0);
         match self.member(id) {
-            Some(s) if !bare => MemberReport {
+            Some(s) if !without_report => MemberReport {
                 primary: Some(s.primary),
                 position: Some(Time(now - if s.primary { 0 } else { s.lag })),
             },
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Decides how an attempt will end and when.
+    /// Determines the outcome of an attempt and the time of its end.
     fn begin_attempt(&mut self, request: RequestId, member: MemberId, timeout: Micros) {
         let (class, group, attempts) = self.requests.get_mut(&request.0).expect("a request that was sent");
         let (class, group, attempt) = (*class, *group, *attempts);
@@ -232,35 +233,35 @@
             Freshness::Session => checks && !primary && lag > 100 * MS,
             Freshness::Any => false,
         };
-        let quick = self.rng.i64(1..30) * MS;
-        let (after, outcome) = match health {
-            // A bad request: it fails wherever it goes.
-            _ if request.0 % 61 == 7 => (quick, Outcome::Error),
+        let short = self.rng.i64(1..30) * MS;
+        let (delay, outcome) = match health {
+            // A faulty request that causes an error at every member.
+            _ if request.0 % 61 == 7 => (short, Outcome::Error),
             Health::Hangs => (timeout, Outcome::TimedOut),
             Health::RefusesConnections => (MS, Outcome::ConnectFailed),
             Health::Unreachable => (self.settings.connect_timeout, Outcome::ConnectFailed),
-            Health::Errs => (quick, Outcome::Error),
-            Health::Full => (quick, Outcome::Rejected),
-            Health::Well | Health::Slow if stale => (quick, Outcome::NotEligible),
+            Health::ReturnsErrors => (short, Outcome::Error),
+            Health::AtCapacity => (short, Outcome::Rejected),
+            Health::Healthy | Health::Slow if stale => (short, Outcome::NotEligible),
             Health::Slow => (self.rng.i64(50..600) * MS, Outcome::Ok),
-            Health::Well if self.mix == Mix::Resets && self.rng.u8(..10) < 7 => (quick, Outcome::Reset),
-            Health::Well => match self.rng.u8(..60) {
-                0 => (quick, Outcome::Reset),
-                1 => (quick, Outcome::Cancelled),
-                2 => (quick, Outcome::NeverSent),
-                3 => (quick, Outcome::Error),
-                4 => (quick, Outcome::Rejected),
-                _ => (quick, Outcome::Ok),
+            Health::Healthy if self.mix == Mix::Resets && self.rng.u8(..10) < 7 => (short, Outcome::Reset),
+            Health::Healthy => match self.rng.u8(..60) {
+                0 => (short, Outcome::Reset),
+                1 => (short, Outcome::Cancelled),
+                2 => (short, Outcome::NeverSent),
+                3 => (short, Outcome::Error),
+                4 => (short, Outcome::Rejected),
+                _ => (short, Outcome::Ok),
             },
         };
-        let (after, outcome) = if after < timeout { (after, outcome) } else { (timeout, Outcome::TimedOut) };
+        let (delay, outcome) = if delay < timeout { (delay, outcome) } else { (timeout, Outcome::TimedOut) };
         let responds =
             matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected | Outcome::NotEligible);
         let response_report = if responds { self.report(member) } else { MemberReport::default() };
         let load_report =
             if responds && self.rng.u8(..4) == 0 { self.report(member) } else { MemberReport::default() };
         let ok = outcome == Outcome::Ok;
-        let commit = (ok && freshness == Freshness::Write).then_some(Time(self.now + after));
+        let commit = (ok && freshness == Freshness::Write).then_some(Time(self.now + delay));
         let request_ended = ok || outcome == Outcome::Error && self.rng.u8(..20) == 0;
         let event = Event::AttemptEnded {
             request,
@@ -272,26 +273,26 @@
             commit,
             load_report,
         };
-        self.pending.push(Pending { ends_at: self.now + after, event });
+        self.pending.push(Pending { ends_at: self.now + delay, event });
     }
 
     fn begin_probe(&mut self, member: MemberId) {
-        let quick = self.rng.i64(1..20) * MS;
-        let (after, outcome) = match self.member(member).map_or(Health::Unreachable, |s| s.health) {
+        let short = self.rng.i64(1..20) * MS;
+        let (delay, outcome) = match self.member(member).map_or(Health::Unreachable, |s| s.health) {
             Health::RefusesConnections => (MS, Outcome::ConnectFailed),
             Health::Unreachable => (self.settings.connect_timeout, Outcome::ConnectFailed),
             Health::Hangs => (250 * MS, Outcome::TimedOut),
-            Health::Errs if self.rng.bool() => (quick, Outcome::Error),
-            _ => (quick, Outcome::Ok),
+            Health::ReturnsErrors if self.rng.bool() => (short, Outcome::Error),
+            _ => (short, Outcome::Ok),
         };
         let report = if outcome == Outcome::Ok { self.report(member) } else { MemberReport::default() };
         self.pending.push(Pending {
-            ends_at: self.now + after,
+            ends_at: self.now + delay,
             event: Event::ProbeEnded { member, outcome, report },
         });
     }
 
-    /// Ends what is due, then lets one thing happen.
+    /// Ends attempts, probes and timers that are due, then feeds one random event.
     fn step(&mut self) {
         self.now += if self.rng.u8(..50) == 0 { self.rng.i64(100..1500) } else { self.rng.i64(0..8) } * MS;
         while let Some(at) = self.pending.iter().position(|p| p.ends_at <= self.now) {
@@ -316,24 +317,24 @@
             4..7 => self.change_health(),
             7 => self.fail_over(),
             8 => {
-                let request = self.some_request();
+                let request = self.recent_request_id();
                 self.handle(Event::ResponseStarted { request });
             }
             9..11 => {
-                let request = self.some_request();
+                let request = self.recent_request_id();
                 self.handle(Event::ClientDisconnected { request });
             }
-            11 => self.stray_event(),
+            11 => self.unexpected_event(),
             12 => {
-                let server = self.rng.usize(..self.members.len());
-                self.members[server].lag = pick(&mut self.rng, &[0, 40, 150, 299, 301, 900, 6000]) * MS;
+                let member = self.rng.usize(..self.members.len());
+                self.members[member].lag = pick(&mut self.rng, &[0, 40, 150, 299, 301, 900, 6000]) * MS;
             }
             13..15 => {}
             _ => self.request(),
         }
     }
 
-    fn some_request(&mut self) -> RequestId {
+    fn recent_request_id(&mut self) -> RequestId {
         RequestId(self.next_request.saturating_sub(self.rng.u64(..8)))
     }
 
@@ -347,7 +348,7 @@
             0 => self.rng.i64(0..deadline + 100 * MS),
             1 => deadline / 2,
             2..6 if self.mix == Mix::Resets => deadline * self.rng.i64(1..40) / 32,
-            // What most clients bring changes now and then.
+            // The most common timeout changes from time to time.
             _ if self.mix == Mix::Resets && self.next_request % 5000 > 3000 => deadline * 3 / 4,
             _ => deadline,
         };
@@ -376,16 +377,16 @@
             Health::RefusesConnections,
             Health::Unreachable,
             Health::Hangs,
-            Health::Errs,
-            Health::Full,
+            Health::ReturnsErrors,
+            Health::AtCapacity,
         ];
-        let (sick, to) = (pick(&mut self.rng, &all), self.rng.u8(..4));
-        let server = &mut self.members[at];
-        if server.health == Health::RefusesConnections && to < 3 {
-            // Its process comes back, and the list may say so.
-            server.started_at = Some(Time(self.now));
+        let (faulty, to) = (pick(&mut self.rng, &all), self.rng.u8(..4));
+        let member = &mut self.members[at];
+        if member.health == Health::RefusesConnections && to < 3 {
+            // The process restarts, and the list may state this.
+            member.started_at = Some(Time(self.now));
         }
-        server.health = if server.health == Health::Well && to < 3 { sick } else { Health::Well };
+        member.health = if member.health == Health::Healthy && to < 3 { faulty } else { Health::Healthy };
     }
 
     fn fail_over(&mut self) {
@@ -396,9 +397,9 @@
         self.members.iter_mut().filter(|s| s.group == group).for_each(|s| s.primary = s.id == new);
     }
 
-    /// An event about something that the router does not know or has seen before.
-    fn stray_event(&mut self) {
-        let (request, member) = (self.some_request(), MemberId(self.rng.u32(..12)));
+    /// Feeds an event about something that is unknown to the router or has already ended.
+    fn unexpected_event(&mut self) {
+        let (request, member) = (self.recent_request_id(), MemberId(self.rng.u32(..12)));
         let (attempt, report) = (self.rng.u32(..3), self.report(member));
         let outcome = pick(
             &mut self.rng,
@@ -420,14 +421,14 @@
         }
     }
 
-    /// A list, whole or in part; now and then a server has been replaced by a new one.
+    /// Delivers a complete or incomplete list. Occasionally, a member has been replaced by a new one.
     fn list_members(&mut self, complete: bool) {
         if self.rng.u8(..6) == 0 {
             let at = self.rng.usize(..self.members.len());
             let id = 8 + self.rng.u32(..24);
             if self.members.iter().all(|s| s.id != id) {
                 let started_at = Some(Time(self.now));
-                self.members[at] = Member { id, health: Health::Well, started_at, ..self.members[at] };
+                self.members[at] = Member { id, health: Health::Healthy, started_at, ..self.members[at] };
             }
         }
         let mut entries = Vec::new();
@@ -435,20 +436,20 @@
             if self.rng.u8(..8) == 0 || !complete && self.rng.bool() {
                 continue;
             }
-            let (state, lie, weight) = (self.rng.u8(..14), self.rng.u8(..9) == 0, self.rng.usize(..7));
-            let server = &self.members[at];
+            let (state, wrong_role, weight) = (self.rng.u8(..14), self.rng.u8(..9) == 0, self.rng.usize(..7));
+            let member = &self.members[at];
             entries.push(MemberEntry {
-                id: MemberId(server.id),
-                group: GroupId(server.group),
-                zone: server.id % 3,
+                id: MemberId(member.id),
+                group: GroupId(member.group),
+                zone: member.id % 3,
                 state: match state {
                     0 => MemberState::Draining,
                     1 if !complete => MemberState::Removed,
                     _ => MemberState::Ready,
                 },
-                listed_primary: server.primary != lie,
+                listed_primary: member.primary != wrong_role,
                 weight: [1.0, 1.0, 1.0, 2.5, 0.5, 0.0, f64::NAN][weight],
-                started_at: server.started_at,
+                started_at: member.started_at,
             });
         }
         self.handle(Event::MemberListChanged { complete, entries });
--- a/decision/tests/scale_invariance.rs
+++ b/decision/tests/scale_invariance.rs
@@ -1,11 +1,12 @@
-//! Two routers are fed the same history: the second one under settings whose classes stand in another order, whose
-//! zones have other numbers, or all of whose times are longer by one factor. It must do the same.
+//! Feeds the same event sequence to two routers. The second one has settings with the classes in another
+//! order, other zone numbers, or all times multiplied by one factor. Both must take the same actions.
 //!
-//! Times that follow from no setting would show here. Those that remain are the design page's (it leaves ban time and
-//! probe timing open) or only bound others, and the histories with longer times keep out of their way: an ejection
-//! lasts 1 to 8 s (`BASE_EJECTION`), a late response counts for the longest ejection's time, probes of one member lie
-//! 100 ms apart at least (`MIN_INTERVAL` of probes; with event intervals of 5 ms or more it is these that count), and
-//! a timer takes 2 ms at least.
+//! This detects times in the code that do not follow from settings. The remaining ones are either given by
+//! the design page, which leaves the duration of ejections and the probe interval open, or only limit other
+//! times. The tests with longer times avoid their effects: an ejection lasts 1 to 8 s (`BASE_EJECTION`), a
+//! late response counts for the duration of the longest ejection, probes of one member are at least 100 ms
+//! apart (`MIN_INTERVAL` of probes, although with event intervals of 5 ms or more the interval follows from
+//! these), and a timer takes at least 2 ms.
 mod common;
 use common::{GROUP, MS, entry};
 use decision::{
@@ -19,17 +20,17 @@
 const HISTORIES: u64 = 12;
 const STEPS: usize = 400;
 
-/// How the second router's world differs. Its times are longer by a power of two, which changes no digit of a
-/// floating-point number.
-struct Rescaled {
+/// How the second router's environment differs. Times are multiplied by a power of two, which leaves the
+/// digits of floating-point numbers unchanged.
+struct SecondEnvironment {
     time_factor: Micros,
-    /// The position of each class there.
+    /// The index of each class in the second router's settings.
     classes: Vec<usize>,
-    /// The number of each zone there.
+    /// The number of each zone for the second router.
     zones: Vec<u32>,
 }
 
-impl Rescaled {
+impl SecondEnvironment {
     fn time(&self, time: Time) -> Time {
         Time(time.0 * self.time_factor)
     }
@@ -55,7 +56,8 @@
             deadline: c.deadline * factor,
             ..c.clone()
         };
-        let origin = |at: usize| self.classes.iter().position(|to| *to == at).expect("a position for each");
+        let origin =
+            |at: usize| self.classes.iter().position(|to| *to == at).expect("an index for each class");
         Settings {
             classes: (0..s.classes.len()).map(|at| class(&s.classes[origin(at)])).collect(),
             zone: self.zones[s.zone as usize],
@@ -117,7 +119,7 @@
     }
 }
 
-/// An attempt in flight and when it ends.
+/// An attempt in flight and the time at which it ends.
 struct PendingAttempt {
     request: RequestId,
     class: usize,
@@ -126,15 +128,15 @@
     ends_at: Micros,
 }
 
-/// A probe in flight and when it ends.
+/// A probe in flight and the time at which it ends.
 struct PendingProbe {
     member: u32,
     ends_at: Micros,
 }
 
-/// Both routers, and a world of five members that responds to what the first one does.
+/// Both routers, and five simulated members that respond to the actions of the first router.
 struct World {
-    rescaled: Rescaled,
+    second_environment: SecondEnvironment,
     settings: Settings,
     first: Router,
     second: Router,
@@ -142,22 +144,22 @@
     now: Micros,
     next_request: u64,
     attempts: Vec<PendingAttempt>,
-    /// The class of each request, and how many attempts it has had.
+    /// The class of each request, and the number of its attempts so far.
     requests: BTreeMap<RequestId, (usize, u32)>,
     probes: Vec<PendingProbe>,
     timer: Option<Micros>,
-    /// Members may fail, and the network may.
+    /// Whether members and the network may fail.
     faults: bool,
     sent: usize,
     rejected: usize,
 }
 
 impl World {
-    fn new(settings: Settings, rescaled: Rescaled, seed: u64, faults: bool) -> World {
+    fn new(settings: Settings, second_environment: SecondEnvironment, seed: u64, faults: bool) -> World {
         World {
             first: Router::new(settings.clone(), seed),
-            second: Router::new(rescaled.settings(&settings), seed),
-            rescaled,
+            second: Router::new(second_environment.settings(&settings), seed),
+            second_environment,
             settings,
             rng: fastrand::Rng::with_seed(seed ^ 0x5eed),
             now: 50_000 * MS,
@@ -172,14 +174,15 @@
         }
     }
 
-    /// Hands an event to both routers and compares what they do.
+    /// Feeds an event to both routers and compares their actions.
     fn handle(&mut self, event: Event) {
-        let (mut actions, mut rescaled_actions) = (Vec::new(), Vec::new());
-        let (time, rescaled_event) = (self.rescaled.time(Time(self.now)), self.rescaled.event(&event));
-        self.second.handle(time, rescaled_event, &mut rescaled_actions);
+        let (mut actions, mut second_actions) = (Vec::new(), Vec::new());
+        let (time, second_event) =
+            (self.second_environment.time(Time(self.now)), self.second_environment.event(&event));
+        self.second.handle(time, second_event, &mut second_actions);
         self.first.handle(Time(self.now), event.clone(), &mut actions);
-        let expected: Vec<Action> = actions.iter().map(|a| self.rescaled.action(a)).collect();
-        assert_eq!(rescaled_actions, expected, "at {} after {event:?}", self.now);
+        let expected: Vec<Action> = actions.iter().map(|a| self.second_environment.action(a)).collect();
+        assert_eq!(second_actions, expected, "actions differ at {} after {event:?}", self.now);
         actions.into_iter().for_each(|action| self.carry_out(action));
     }
 
@@ -190,7 +193,7 @@
                 let (class, member, attempt) = (*class, member.0, *attempts);
                 *attempts += 1;
                 self.sent += 1;
-                // Well within the time of any class, so that no response is late.
+                // Shorter than the latency objective of any class, so that no response is late.
                 let ends_at = self.now + self.rng.i64(2..30) * MS;
                 self.attempts.push(PendingAttempt { request, class, member, attempt, ends_at });
             }
@@ -217,7 +220,7 @@
         }
     }
 
-    /// What a member reports of itself: a replica lags a little, now and then far.
+    /// What a member reports of itself: a replica lags slightly, and occasionally by 700 ms.
     fn report(&mut self, member: u32) -> MemberReport {
         let lag_ms = if self.rng.u8(..6) == 0 { 700 } else { self.rng.i64(0..40) };
         let lag = if member == PRIMARY { 0 } else { lag_ms * MS };
@@ -244,14 +247,14 @@
         };
         let report = self.report(ended.member);
         let ok = outcome == Outcome::Ok;
-        let states_report = matches!(outcome, Outcome::Ok | Outcome::NotEligible);
+        let has_report = matches!(outcome, Outcome::Ok | Outcome::NotEligible);
         self.handle(Event::AttemptEnded {
             request: ended.request,
             attempt: ended.attempt,
             member: MemberId(ended.member),
             outcome,
             request_ended: ok,
-            response_report: if states_report { report } else { MemberReport::default() },
+            response_report: if has_report { report } else { MemberReport::default() },
             commit: (ok && is_write).then_some(Time(self.now)),
             load_report: MemberReport::default(),
         });
@@ -270,7 +273,7 @@
         self.handle(Event::RequestArrived(request));
     }
 
-    /// Ends what is due, then lets one thing happen.
+    /// Ends attempts, probes and timers that are due, then feeds one random event.
     fn step(&mut self) {
         self.now += self.rng.i64(1..12) * MS;
         while let Some(at) = self.probes.iter().position(|p| p.ends_at <= self.now) {
@@ -347,19 +350,22 @@
     }
 }
 
-/// How much the first routers of all histories sent and rejected.
+/// The numbers of attempts sent and requests rejected by the first router, over all histories.
 struct Totals {
     sent: usize,
     rejected: usize,
 }
 
-fn play(faults: bool, rescale: impl Fn(&mut fastrand::Rng, &Settings) -> Rescaled) -> Totals {
+fn run_histories(
+    faults: bool,
+    second_environment_of: impl Fn(&mut fastrand::Rng, &Settings) -> SecondEnvironment,
+) -> Totals {
     let mut totals = Totals { sent: 0, rejected: 0 };
     for seed in 0..HISTORIES {
         let mut rng = fastrand::Rng::with_seed(seed);
         let settings = settings(&mut rng);
-        let rescaled = rescale(&mut rng, &settings);
-        let mut world = World::new(settings, rescaled, seed, faults);
+        let second_environment = second_environment_of(&mut rng, &settings);
+        let mut world = World::new(settings, second_environment, seed, faults);
         let entries = (0..MEMBERS).map(|id| world.entry(id)).collect();
         world.handle(Event::MemberListChanged { complete: true, entries });
         (0..STEPS).for_each(|_| world.step());
@@ -369,28 +375,31 @@
     totals
 }
 
-/// A second world that is as the first.
-fn unchanged(settings: &Settings) -> Rescaled {
-    Rescaled { time_factor: 1, classes: (0..settings.classes.len()).collect(), zones: vec![0, 1, 2] }
+/// A second environment that equals the first.
+fn identical_environment(settings: &Settings) -> SecondEnvironment {
+    SecondEnvironment { time_factor: 1, classes: (0..settings.classes.len()).collect(), zones: vec![0, 1, 2] }
 }
 
 #[test]
 fn class_order_and_zone_numbers_change_no_action() {
-    let totals = play(true, |rng, settings| {
-        let mut rescaled = unchanged(settings);
-        rng.shuffle(&mut rescaled.classes);
-        rescaled.zones = vec![5, 900, 0];
-        rng.shuffle(&mut rescaled.zones);
-        rescaled
+    let totals = run_histories(true, |rng, settings| {
+        let mut second_environment = identical_environment(settings);
+        rng.shuffle(&mut second_environment.classes);
+        second_environment.zones = vec![5, 900, 0];
+        rng.shuffle(&mut second_environment.zones);
+        second_environment
     });
     let Totals { sent, rejected } = totals;
-    assert!(sent > 1000 && rejected > 20, "{sent} sent, {rejected} rejected");
+    assert!(sent > 1000 && rejected > 20, "{sent} attempts sent, {rejected} requests rejected");
 }
 
 #[test]
 fn longer_times_change_only_times_of_actions() {
     for time_factor in [2, 4, 64] {
-        let totals = play(false, |_, settings| Rescaled { time_factor, ..unchanged(settings) });
-        assert!(totals.sent > 1000, "{} sent", totals.sent);
+        let totals = run_histories(false, |_, settings| SecondEnvironment {
+            time_factor,
+            ..identical_environment(settings)
+        });
+        assert!(totals.sent > 1000, "{} attempts sent", totals.sent);
     }
 }
--- a/decision/tests/slow_start.rs
+++ b/decision/tests/slow_start.rs
@@ -1,9 +1,10 @@
-//! Members that have just started get no more than they can carry. Whole fleets stand in `cold_fleet.rs`.
+//! Members that have just started get no more requests than they can handle. `cold_fleet` tests this for
+//! whole fleets.
 mod common;
 use common::{DEDUPLICATED, MS, TestRouter, entry, role, sent_attempts, settings};
 use decision::{Action, Event, MemberEntry, MemberId, MemberState, Outcome, Settings, Time};
 
-/// Of 100 reads one after the other, how many a replica serves.
+/// The number of 100 consecutive reads that replicas serve.
 fn reads_served_by_replicas(router: &mut TestRouter) -> usize {
     let mut to_replicas = 0;
     for _ in 0..100 {
@@ -16,15 +17,15 @@
     to_replicas
 }
 
-/// A member that started at this time.
+/// A list entry of a member that started at this time.
 fn started(id: u32, at: i64) -> MemberEntry {
     MemberEntry { started_at: Some(Time(at)), ..entry(id) }
 }
 
 #[test]
-fn member_back_from_refused_connections_warms_up() {
+fn member_that_refused_connections_warms_up_after_return() {
     let mut router = TestRouter::ready(settings(DEDUPLICATED));
-    // Replicas refuse every connection for a while, of attempts and of probes.
+    // Replicas refuse all connections for a while, both of attempts and of probes.
     for _ in 0..6 {
         let mut actions = router.request(4, None).1;
         actions.extend(router.advance(1500));
@@ -50,14 +51,14 @@
     router.probe_ended(1, false, 0);
     router.probe_ended(2, false, 0);
     let to_replicas = reads_served_by_replicas(&mut router);
-    assert!(to_replicas <= 35, "{to_replicas} of 100 at once to members that may be cold");
+    assert!(to_replicas <= 35, "{to_replicas} of 100 reads sent to members that may be cold");
 }
 
 #[test]
-fn member_back_from_unanswered_connections_serves_fully() {
+fn member_with_connect_timeouts_serves_fully_after_return() {
     let mut router = TestRouter::ready(settings(DEDUPLICATED));
     for _ in 0..4 {
-        // Connections that never come up: nothing refuses them.
+        // Connections time out without being refused.
         router.now += 3000 * MS;
         router.probe_failed(MemberId(1), Outcome::ConnectFailed);
         router.probe_failed(MemberId(2), Outcome::ConnectFailed);
@@ -65,7 +66,7 @@
     router.probe_ended(1, false, 0);
     router.probe_ended(2, false, 0);
     let to_replicas = reads_served_by_replicas(&mut router);
-    assert!(to_replicas >= 90, "{to_replicas} of 100 to members that answer again");
+    assert!(to_replicas >= 90, "{to_replicas} of 100 reads sent to members that are reachable again");
 }
 
 #[test]
@@ -77,25 +78,30 @@
     for _ in 0..400 {
         router.now += 5 * MS;
         let (id, actions) = router.request(0, None);
-        let released = router.handle(Event::TimerExpired);
-        for (request, member) in sent_attempts(&actions).into_iter().chain(sent_attempts(&released)) {
+        let dequeued = router.handle(Event::TimerExpired);
+        for (request, member) in sent_attempts(&actions).into_iter().chain(sent_attempts(&dequeued)) {
             assert_eq!(member, MemberId(0));
             sent += 1;
             router.end_attempt(request, 0, member, Outcome::Ok);
         }
         router.handle(Event::ClientDisconnected { request: id });
     }
-    // 400 writes in the overload duration, and all that the warm primary could do came from this router.
+    // 400 writes arrive within the overload duration, all of them at this router, which is the load that a
+    // warm primary can handle.
     let settings = settings(DEDUPLICATED);
-    let budget = settings.overload_factor * settings.slow_start_initial_share * 400.0;
-    assert!(sent > 0 && f64::from(sent) < budget * 0.75, "{sent} sent, {budget} overload it");
+    let overload_limit = settings.overload_factor * settings.slow_start_initial_share * 400.0;
+    assert!(
+        sent > 0 && f64::from(sent) < overload_limit * 0.75,
+        "{sent} writes sent, overloaded by {overload_limit}"
+    );
 }
 
 #[test]
 fn backlog_of_many_routers_does_not_overload_cold_primary() {
-    // A warm primary does 100 writes a second; 300 are queued when it comes back, and 100 a second go on.
+    // A warm primary handles 100 writes per second. When it returns, 300 writes are queued, and 100 per
+    // second continue to arrive.
     let settings = Settings { router_count: 500, ..settings(DEDUPLICATED) };
-    let mut all: Vec<TestRouter> = (0..500)
+    let mut routers: Vec<TestRouter> = (0..500)
         .map(|i| {
             let mut router = TestRouter::with_seed(settings.clone(), i);
             let mut entries: Vec<MemberEntry> = (0..3).map(entry).collect();
@@ -106,8 +112,8 @@
         })
         .collect();
     let mut sent = 0;
-    for router in &mut all[..300] {
-        // Nobody is primary yet: each write tries the replicas once and is queued.
+    for router in &mut routers[..300] {
+        // No primary is known yet: each write tries both replicas and is then queued.
         let (id, mut actions) = router.request(0, None);
         for attempt in 0..2 {
             let to = sent_attempts(&actions);
@@ -117,7 +123,7 @@
         }
         assert!(sent_attempts(&actions).is_empty());
     }
-    for (i, router) in all.iter_mut().enumerate() {
+    for (i, router) in routers.iter_mut().enumerate() {
         router.list_changes(vec![started(0, router.now)]);
         sent += sent_attempts(&router.probe_ended(0, true, 0)).len();
         router.now += 4 * MS * i as i64;
@@ -127,15 +133,18 @@
         router.now += (2000 - 4 * i as i64) * MS;
         sent += sent_attempts(&router.handle(Event::TimerExpired)).len();
     }
-    // It warms meanwhile, as evenly as it may at the slowest: its present capacity counts.
+    // The limit follows from the present capacity, which rises linearly while the member warms up.
     let (initial, duration) = (settings.slow_start_initial_share, settings.overload_duration as f64);
     let mean = initial + (1.0 - initial) * 0.5 * duration / settings.slow_start_duration as f64;
-    let budget = 0.9 * settings.overload_factor * mean * 100.0 * duration / 1e6;
-    assert!(sent > 20 && (sent as f64) < budget, "{sent} sent, {budget} overload it");
+    let overload_limit = 0.9 * settings.overload_factor * mean * 100.0 * duration / 1e6;
+    assert!(
+        sent > 20 && (sent as f64) < overload_limit,
+        "{sent} writes sent, overloaded by {overload_limit}"
+    );
 }
 
 #[test]
-fn cold_replica_gets_own_share_only() {
+fn cold_replica_gets_only_its_own_share() {
     let mut router = TestRouter::ready(settings(DEDUPLICATED));
     let draining = MemberEntry { state: MemberState::Draining, ..entry(2) };
     router.list_changes(vec![started(1, router.now), draining]);
@@ -148,11 +157,12 @@
         }
         router.handle(Event::ClientDisconnected { request: id });
     }
-    // A fifth of its capacity, half of the threefold that overloads it, half of that its own: 30 of 200 by the mean.
-    assert!((1..=40).contains(&sent), "{sent} of 200");
+    // The replica has a fifth of its capacity. It may get half of the threefold load that overloads it, and
+    // half of the reads are its own share: on average 30 of 200.
+    assert!((1..=40).contains(&sent), "{sent} of 200 reads sent to the cold replica");
 }
 
-/// The share of 1,000 single writes that go to a primary of this age.
+/// The share of 1,000 single writes that are sent to a primary of this age.
 fn share_of_writes_sent(age_ms: i64) -> f64 {
     let mut router = TestRouter::ready(settings(DEDUPLICATED));
     router.list_changes(vec![started(0, router.now - age_ms * MS)]);
@@ -170,11 +180,12 @@
 }
 
 #[test]
-fn starting_primary_is_offered_growing_share() {
-    // Cold it does a fifth, and three times that overloads it; it is warm after 17 s.
-    let (cold, half, nearly) =
+fn starting_primary_gets_growing_share_of_writes() {
+    // A cold primary has a fifth of its capacity and is overloaded by three times that. It is warm after 17
+    // s.
+    let (cold, half_warm, almost_warm) =
         (share_of_writes_sent(0), share_of_writes_sent(6_400), share_of_writes_sent(13_000));
-    assert!(cold > 0.2 && cold < 0.4, "{cold} of all that a warm one gets");
-    assert!(half > 0.5 && half < 0.9, "{half} at half its capacity");
-    assert!(nearly == 1.0, "{nearly} at four fifths of its capacity");
+    assert!(cold > 0.2 && cold < 0.4, "share of writes of a cold primary: {cold}");
+    assert!(half_warm > 0.5 && half_warm < 0.9, "share of writes at half of its capacity: {half_warm}");
+    assert!(almost_warm == 1.0, "share of writes at four fifths of its capacity: {almost_warm}");
 }
