--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -1,4 +1,5 @@
-//! Hosts the routers of one process: reads a batch, feeds each event to its router, writes the actions.
+//! Hosts the routers of one process: passes the events of each batch to their routers and returns the actions
+//! as commands.
 use decision::{
     Action, Event, GroupId, MemberEntry, MemberId, MemberReport, MemberState, Micros, Outcome, Request,
     RequestId, Router, SessionId, Time,
@@ -10,33 +11,35 @@
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A position that a report tells is no farther from zero, in seconds: what no clock holds tells nothing.
-const FARTHEST_S: f64 = 1e11;
+/// Bound on reported positions, in seconds from zero. A position beyond it cannot come from a clock and is
+/// ignored.
+const MAX_POSITION_S: f64 = 1e11;
 
-/// The largest note: its position is as far from zero.
-const MOST_MARK: u64 = 400_000_000_000_000;
+/// The largest valid `mark` of a response, which encodes 4 * position in milliseconds + role. It limits
+/// positions to the same range as [`MAX_POSITION_S`].
+const MAX_MARK: u64 = 400_000_000_000_000;
 
-/// A request whose id the router may still name, or of which outcomes may still come.
-struct Known {
+/// A request that the router may still name in actions, or whose attempts are still in flight.
+struct TrackedRequest {
     name: String,
-    write: bool,
-    out: u32,
+    is_write: bool,
+    attempts_in_flight: u32,
     ended: bool,
 }
 
-/// One router with the names that its ids stand for.
+/// One router, and the wire names of its members and requests.
 struct Instance {
     router: Router,
-    translation: AdapterSettings,
+    adapter_settings: AdapterSettings,
     member_ids: HashMap<String, MemberId>,
     member_names: HashMap<MemberId, String>,
     request_ids: HashMap<String, RequestId>,
-    requests: HashMap<RequestId, Known>,
+    requests: HashMap<RequestId, TrackedRequest>,
     next_member: u32,
     next_request: u64,
 }
 
-/// All instances of this process, and the numbered lists that they share.
+/// All router instances of this process, and the member lists that they share, by slot.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: HashMap<String, Instance>,
@@ -44,25 +47,31 @@
 }
 
 impl Host {
-    /// Answers one line of input with one line of output.
-    pub(crate) fn batch(&mut self, line: &str) -> Result<String, Error> {
+    /// Handles one line of input and returns one line of output.
+    pub(crate) fn handle_batch(&mut self, line: &str) -> Result<String, Error> {
         let batch: Value = serde_json::from_str(line)?;
         let now = Time(time_from_ms(&batch, "simTimeMs")?);
-        let mut replies = Vec::new();
+        let mut commands = Vec::new();
         for event in array(&batch, "arrivals")? {
-            let one = match event.as_object() {
+            let single_entry = match event.as_object() {
                 Some(o) if o.len() == 1 => o.iter().next(),
                 _ => None,
             };
-            let (name, body) = one.ok_or_else(|| {
-                Error::invalid("an object with one key as event", event).under_key("arrivals")
+            let (name, body) = single_entry.ok_or_else(|| {
+                Error::invalid("an event object with a single key", event).under_key("arrivals")
             })?;
-            self.event(now, name, body, &mut replies).map_err(|e| e.under_key(name))?;
+            self.handle_event(now, name, body, &mut commands).map_err(|e| e.under_key(name))?;
         }
-        Ok(json!({ "turn": unsigned_integer(&batch, "turn")?, "cmds": replies }).to_string())
+        Ok(json!({ "turn": unsigned_integer(&batch, "turn")?, "cmds": commands }).to_string())
     }
 
-    fn event(&mut self, now: Time, name: &str, body: &Value, replies: &mut Vec<Value>) -> Result<(), Error> {
+    fn handle_event(
+        &mut self,
+        now: Time,
+        name: &str,
+        body: &Value,
+        commands: &mut Vec<Value>,
+    ) -> Result<(), Error> {
         if name == "SNAPSHOT_ROWS" {
             self.lists.insert(unsigned_integer(body, "slot")?, array(body, "members")?.clone());
             return Ok(());
@@ -76,20 +85,20 @@
                 return Ok(());
             }
             "RETIRE" => {
-                let known = self.instances.remove(driver);
-                return known.map(|_| ()).ok_or_else(|| not_started(driver));
+                let instance = self.instances.remove(driver);
+                return instance.map(|_| ()).ok_or_else(|| not_started(driver));
             }
             _ => {}
         }
         let instance = self.instances.get_mut(driver).ok_or_else(|| not_started(driver))?;
-        if let Some(event) = instance.translate(now, name, body, &self.lists)? {
+        if let Some(event) = instance.read_event(now, name, body, &self.lists)? {
             let mut actions = Vec::new();
             instance.router.handle(now, event, &mut actions);
-            for a in actions {
-                replies.extend(instance.write(driver, a));
+            for action in actions {
+                commands.extend(instance.command(driver, action));
             }
             if name == "CLIENT_LEFT" {
-                instance.ended(body)?;
+                instance.client_disconnected(body)?;
             }
         }
         Ok(())
@@ -100,7 +109,7 @@
     Error::invalid_value("driver", "a started instance", format_args!("'{driver}'"))
 }
 
-fn outcome(code: u64) -> Result<Outcome, Error> {
+fn outcome_from_code(code: u64) -> Result<Outcome, Error> {
     Ok(match code {
         0 => Outcome::Ok,
         1 => Outcome::Error,
@@ -115,16 +124,16 @@
     })
 }
 
-fn ms(span: Micros) -> f64 {
-    span as f64 / 1000.0
+fn to_ms(duration: Micros) -> f64 {
+    duration as f64 / 1000.0
 }
 
 impl Instance {
     fn new(v: &Value, seed: u64) -> Result<Self, Error> {
-        let (settings, translation) = platform::read(v)?;
+        let (settings, adapter_settings) = platform::read(v)?;
         Ok(Instance {
             router: Router::new(settings, seed),
-            translation,
+            adapter_settings,
             member_ids: HashMap::new(),
             member_names: HashMap::new(),
             request_ids: HashMap::new(),
@@ -134,7 +143,7 @@
         })
     }
 
-    fn member(&mut self, name: &str) -> MemberId {
+    fn member_id(&mut self, name: &str) -> MemberId {
         if let Some(id) = self.member_ids.get(name) {
             return *id;
         }
@@ -154,7 +163,7 @@
         };
         let started = v.get("startTimeMs").and_then(Value::as_f64).filter(|s| *s > 0.0);
         Ok(MemberEntry {
-            id: self.member(string(v, "member")?),
+            id: self.member_id(string(v, "member")?),
             group: GroupId(count(v, "shard")?),
             zone: count(v, "hall")?,
             state,
@@ -164,18 +173,19 @@
         })
     }
 
+    /// The report in `telemetry`: `x0` is the member's position in seconds, `x1` is 1 for the primary.
     fn report(&self, body: &Value) -> MemberReport {
-        let of = |name: &str| body.get("telemetry").and_then(|t| t.get(name)).and_then(Value::as_f64);
+        let value = |name: &str| body.get("telemetry").and_then(|t| t.get(name)).and_then(Value::as_f64);
         MemberReport {
-            primary: of("x1").map(|x| x == 1.0),
-            position: of("x0")
-                .filter(|s| s.abs() <= FARTHEST_S)
-                .map(|s| Time(self.translation.position_zero + (s * 1e6).round() as Micros)),
+            primary: value("x1").map(|x| x == 1.0),
+            position: value("x0")
+                .filter(|s| s.abs() <= MAX_POSITION_S)
+                .map(|s| Time(self.adapter_settings.position_zero + (s * 1e6).round() as Micros)),
         }
     }
 
-    /// The event in the router's words; `None` for what it need not hear.
-    fn translate(
+    /// Converts an event from its wire format. Returns `None` for events that the router does not need.
+    fn read_event(
         &mut self,
         now: Time,
         name: &str,
@@ -193,24 +203,24 @@
                 }
                 let slot = unsigned_integer(body, "slot")?;
                 let rows = lists.get(&slot).ok_or_else(|| {
-                    Error::invalid_value("slot", "a list that came before", format_args!("list {slot}"))
+                    Error::invalid_value("slot", "the slot of an earlier list", format_args!("list {slot}"))
                 })?;
                 let entries = rows.iter().map(|r| self.entry(r)).collect::<Result<Vec<_>, _>>()?;
                 Event::MemberListChanged { complete: scope != 1, entries }
             }
-            "ACCEPT" => self.accept(now, body)?,
+            "ACCEPT" => self.request_arrived(now, body)?,
             "UNDER_WAY" => match self.request_ids.get(string(body, "req")?) {
                 Some(&request) => Event::ResponseStarted { request },
                 None => return Ok(None),
             },
-            "OUTCOME" => return self.outcome(body),
+            "OUTCOME" => return self.attempt_ended(body),
             "CLIENT_LEFT" => match self.request_ids.get(string(body, "req")?) {
                 Some(&request) => Event::ClientDisconnected { request },
                 None => return Ok(None),
             },
             "WAKE" => Event::TimerExpired,
             "PING_RESULT" => {
-                let outcome = outcome(unsigned_integer(body, "ending")?)?;
+                let outcome = outcome_from_code(unsigned_integer(body, "ending")?)?;
                 let report = self.report(body);
                 match self.member_ids.get(string(body, "member")?) {
                     Some(&member) => Event::ProbeEnded { member, outcome, report },
@@ -222,22 +232,22 @@
         }))
     }
 
-    fn accept(&mut self, now: Time, body: &Value) -> Result<Event, Error> {
+    fn request_arrived(&mut self, now: Time, body: &Value) -> Result<Event, Error> {
         let name = string(body, "req")?;
         let class = unsigned_integer(body, "tierClass")? as usize;
-        let write = *self
-            .translation
+        let is_write = *self
+            .adapter_settings
             .class_is_write
             .get(class)
             .ok_or_else(|| Error::invalid_value("tierClass", "a listed class", class))?;
         let tenant = body.get("customer").map_or(Ok(0), |_| unsigned_integer(body, "customer"))? as usize;
-        if tenant >= self.translation.tenant_count.max(1) {
+        if tenant >= self.adapter_settings.tenant_count.max(1) {
             return Err(Error::invalid_value("customer", "a listed tenant", tenant));
         }
-        let session = body.get("key").and_then(Value::as_str).map(|k| {
-            let mut h = DefaultHasher::new();
-            k.hash(&mut h);
-            SessionId(h.finish())
+        let session = body.get("key").and_then(Value::as_str).map(|key| {
+            let mut hasher = DefaultHasher::new();
+            key.hash(&mut hasher);
+            SessionId(hasher.finish())
         });
         let last_write = body.get("lastWriteMs").map_or(Ok(0), |_| time_from_ms(body, "lastWriteMs"))?;
         let request = Request {
@@ -250,14 +260,15 @@
             session_commit: (last_write > 0).then(|| Time(now.0 - last_write)),
         };
         self.next_request += 1;
-        let known = Known { name: name.to_string(), write, out: 0, ended: false };
-        self.requests.insert(request.id, known);
+        let tracked =
+            TrackedRequest { name: name.to_string(), is_write, attempts_in_flight: 0, ended: false };
+        self.requests.insert(request.id, tracked);
         self.request_ids.insert(name.to_string(), request.id);
         Ok(Event::RequestArrived(request))
     }
 
-    fn outcome(&mut self, body: &Value) -> Result<Option<Event>, Error> {
-        let outcome = outcome(unsigned_integer(body, "ending")?)?;
+    fn attempt_ended(&mut self, body: &Value) -> Result<Option<Event>, Error> {
+        let outcome = outcome_from_code(unsigned_integer(body, "ending")?)?;
         let attempt = unsigned_integer(body, "attempt")? as u32;
         let ended = boolean(body, "over")?;
         let report = self.report(body);
@@ -267,38 +278,39 @@
             return Ok(None);
         };
         let mark = body.get("mark").map_or(Ok(0), |_| unsigned_integer(body, "mark"))?;
-        if mark > MOST_MARK {
-            return Err(Error::invalid_value("mark", format!("at most {MOST_MARK}"), mark));
+        if mark > MAX_MARK {
+            return Err(Error::invalid_value("mark", format!("at most {MAX_MARK}"), mark));
         }
-        let at = (mark >= 4).then(|| Time(self.translation.position_zero + (mark / 4) as Micros * 1000));
+        let mark_position =
+            (mark >= 4).then(|| Time(self.adapter_settings.position_zero + (mark / 4) as Micros * 1000));
         let primary = match mark % 4 {
             1 => Some(true),
             2 => Some(false),
             _ => None,
         };
         let mut commit = None;
-        let mut note = MemberReport { primary, position: at };
-        if let Some(k) = self.requests.get_mut(&request) {
-            k.out = k.out.saturating_sub(1);
-            k.ended |= ended || outcome == Outcome::Ok;
-            if k.write && outcome == Outcome::Ok {
-                commit = note.position.take();
+        let mut mark_report = MemberReport { primary, position: mark_position };
+        if let Some(tracked) = self.requests.get_mut(&request) {
+            tracked.attempts_in_flight = tracked.attempts_in_flight.saturating_sub(1);
+            tracked.ended |= ended || outcome == Outcome::Ok;
+            if tracked.is_write && outcome == Outcome::Ok {
+                commit = mark_report.position.take();
             }
         }
-        self.drop_if_done(request);
+        self.remove_if_complete(request);
         Ok(Some(Event::AttemptEnded {
             request,
             attempt,
             member,
             outcome,
             request_ended: ended,
-            response_report: note,
+            response_report: mark_report,
             commit,
             load_report: report,
         }))
     }
 
-    fn ended(&mut self, body: &Value) -> Result<(), Error> {
+    fn client_disconnected(&mut self, body: &Value) -> Result<(), Error> {
         if let Some(&id) = self.request_ids.get(string(body, "req")?) {
             self.finish(id);
         }
@@ -306,40 +318,40 @@
     }
 
     fn finish(&mut self, id: RequestId) {
-        if let Some(k) = self.requests.get_mut(&id) {
-            k.ended = true;
+        if let Some(tracked) = self.requests.get_mut(&id) {
+            tracked.ended = true;
         }
-        self.drop_if_done(id);
+        self.remove_if_complete(id);
     }
 
-    fn drop_if_done(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|k| k.ended && k.out == 0)
-            && let Some(k) = self.requests.remove(&id)
+    fn remove_if_complete(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|tracked| tracked.ended && tracked.attempts_in_flight == 0)
+            && let Some(tracked) = self.requests.remove(&id)
         {
-            self.request_ids.remove(&k.name);
+            self.request_ids.remove(&tracked.name);
         }
     }
 
-    /// An action in the wire's words.
-    fn write(&mut self, driver: &str, action: Action) -> Option<Value> {
-        let name = |id: RequestId| self.requests.get(&id).map(|k| k.name.as_str());
+    /// Converts an action to its wire format.
+    fn command(&mut self, driver: &str, action: Action) -> Option<Value> {
+        let name = |id: RequestId| self.requests.get(&id).map(|tracked| tracked.name.as_str());
         Some(match action {
             Action::Send { request, member, timeout, .. } => {
                 let member = self.member_names.get(&member)?;
                 let req = name(request)?;
                 let line = json!({"PLACE": {"driver": driver, "req": req, "member": member,
-                    "patienceMs": ms(timeout)}});
-                if let Some(k) = self.requests.get_mut(&request) {
-                    k.out += 1;
+                    "patienceMs": to_ms(timeout)}});
+                if let Some(tracked) = self.requests.get_mut(&request) {
+                    tracked.attempts_in_flight += 1;
                 }
                 line
             }
             Action::Cancel { request, attempt } => {
                 json!({"RETRACT": {"driver": driver, "req": name(request)?, "attempt": attempt}})
             }
-            Action::Reject { request, retry_after: come_back } => {
+            Action::Reject { request, retry_after: delay } => {
                 let line = json!({"SHED": {"driver": driver, "req": name(request)?,
-                    "stayAwayMs": ms(come_back.unwrap_or(0))}});
+                    "stayAwayMs": to_ms(delay.unwrap_or(0))}});
                 self.finish(request);
                 line
             }
@@ -352,7 +364,7 @@
                 json!({"SOUND_OUT": {"driver": driver, "member": self.member_names.get(&member)?}})
             }
             Action::SetTimer { after } => {
-                json!({"NOTIFY_ME": {"driver": driver, "spanMs": ms(after), "ref": 0}})
+                json!({"NOTIFY_ME": {"driver": driver, "spanMs": to_ms(after), "ref": 0}})
             }
             Action::Subscribe => json!({"LISTEN": {"driver": driver, "want": true}}),
             Action::Remove { member } => {
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,17 +1,17 @@
-//! Hosts damsonvale routers behind the line-based JSON wire: batches of events on standard input, one
-//! reply line for each on standard output. It translates and decides nothing.
+//! Hosts damsonvale routers behind a line-based JSON protocol: reads batches of events from standard input
+//! and writes one response line per batch to standard output. It only translates and takes no decisions.
 mod host;
 
 use std::io::{self, BufRead, Write};
 
-/// Why the adapter ends; the line is counted from 1.
+/// A fault that ends the adapter. Lines are counted from 1.
 #[derive(Debug, thiserror::Error)]
 enum Error {
-    #[error("line {line}: cannot be read: {source}")]
+    #[error("line {line} cannot be read: {source}")]
     Read { line: u64, source: io::Error },
     #[error("line {line}: {source}")]
     Batch { line: u64, source: settings::Error },
-    #[error("reply to line {line}: cannot be written: {source}")]
+    #[error("the response to line {line} cannot be written: {source}")]
     Write { line: u64, source: io::Error },
 }
 
@@ -20,21 +20,23 @@
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
     let mut line = String::new();
-    let mut at = 0u64;
+    let mut line_number = 0u64;
     loop {
         line.clear();
-        at += 1;
-        let read = input.read_line(&mut line).map_err(|source| Error::Read { line: at, source })?;
-        if read == 0 {
+        line_number += 1;
+        let length =
+            input.read_line(&mut line).map_err(|source| Error::Read { line: line_number, source })?;
+        if length == 0 {
             return Ok(());
         }
         if line.trim().is_empty() {
             continue;
         }
-        let reply = host.batch(&line).map_err(|source| Error::Batch { line: at, source })?;
-        writeln!(output, "{reply}")
+        let response =
+            host.handle_batch(&line).map_err(|source| Error::Batch { line: line_number, source })?;
+        writeln!(output, "{response}")
             .and_then(|()| output.flush())
-            .map_err(|source| Error::Write { line: at, source })?;
+            .map_err(|source| Error::Write { line: line_number, source })?;
     }
 }
 
--- a/adapter/tests/common/mod.rs
+++ b/adapter/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! What the tests of the adapter share.
+//! Helpers shared by the adapter's tests.
 use std::process::{Child, Command, Stdio};
 
-/// The adapter as a process whose standard input, output and error the test has.
+/// Starts the adapter with piped standard input, output and error.
 pub(crate) fn spawn_adapter() -> Child {
     Command::new(env!("CARGO_BIN_EXE_damsonvale-adapter"))
         .stdin(Stdio::piped())
--- a/adapter/tests/sites.rs
+++ b/adapter/tests/sites.rs
@@ -1,4 +1,4 @@
-//! The adapter under the settings of customers it has never met: `deploy/sites/`.
+//! Runs the adapter with the settings of two example customers in `deploy/sites/`.
 mod common;
 
 use common::spawn_adapter;
@@ -12,32 +12,32 @@
     ("akureyri-skjol", include_str!("../../deploy/sites/akureyri-skjol/settings.json")),
 ];
 
-/// A running adapter, asked batch by batch.
+/// A running adapter that handles one batch at a time.
 struct Adapter {
     child: Child,
-    to: ChildStdin,
-    from: BufReader<ChildStdout>,
+    input: ChildStdin,
+    output: BufReader<ChildStdout>,
     turn: u64,
 }
 
 impl Adapter {
     fn start() -> Adapter {
         let mut child = spawn_adapter();
-        let to = child.stdin.take().expect("standard input");
-        let from = BufReader::new(child.stdout.take().expect("standard output"));
-        Adapter { child, to, from, turn: 0 }
+        let input = child.stdin.take().expect("standard input");
+        let output = BufReader::new(child.stdout.take().expect("standard output"));
+        Adapter { child, input, output, turn: 0 }
     }
 
-    /// One batch, and the actions that answer it.
-    fn batch(&mut self, at: f64, arrivals: Value) -> Vec<Value> {
-        let line = json!({"simTimeMs": at, "turn": self.turn, "arrivals": arrivals});
-        writeln!(self.to, "{line}").expect("the adapter reads");
-        let mut reply = String::new();
-        self.from.read_line(&mut reply).expect("the adapter answers");
-        let reply: Value = serde_json::from_str(&reply).expect("a reply is JSON");
-        assert_eq!(reply["turn"], self.turn);
+    /// Sends one batch and returns the resulting commands.
+    fn batch(&mut self, time_ms: f64, arrivals: Value) -> Vec<Value> {
+        let line = json!({"simTimeMs": time_ms, "turn": self.turn, "arrivals": arrivals});
+        writeln!(self.input, "{line}").expect("the adapter accepts input");
+        let mut response = String::new();
+        self.output.read_line(&mut response).expect("the adapter responds");
+        let response: Value = serde_json::from_str(&response).expect("the response is JSON");
+        assert_eq!(response["turn"], self.turn);
         self.turn += 1;
-        reply["cmds"].as_array().expect("an array").clone()
+        response["cmds"].as_array().expect("an array").clone()
     }
 }
 
@@ -49,110 +49,113 @@
 const REPLICA: &str = "10.0.0.2:9000";
 
 #[test]
-fn each_class_of_a_customers_own_is_placed_within_its_deadline_round_after_round() {
+fn customer_classes_are_served_within_their_deadlines() {
     for (name, text) in SITES {
         let settings: Value = serde_json::from_str(text).expect("JSON");
-        let zero = settings["extra"]["positionZeroMs"].as_f64().expect("a number");
+        let position_zero = settings["extra"]["positionZeroMs"].as_f64().expect("a number");
         let deadlines: Vec<f64> = settings["classes"]
             .as_array()
             .expect("classes")
             .iter()
             .map(|c| c["deadlineMs"].as_f64().expect("a number"))
             .collect();
-        let words: Vec<&str> = settings["extra"]["freshness"]
+        let freshness: Vec<&str> = settings["extra"]["freshness"]
             .as_array()
-            .expect("words")
+            .expect("freshness values")
             .iter()
             .filter_map(Value::as_str)
             .collect();
         let mut adapter = Adapter::start();
-        let start = zero + 50_000.0;
-        // There may be more zones than the settings name.
-        let halls = settings["failureDomains"].as_array().expect("zones").len();
+        let start = position_zero + 50_000.0;
+        // The member list may contain zones that the settings do not name.
+        let zone_count = settings["failureDomains"].as_array().expect("zones").len();
         let first = adapter.batch(
             start,
             json!([
                 {"UP": {"driver": "driver_7", "nonce64": 4711, "settings": settings}},
-                {"SNAPSHOT_ROWS": {"slot": 0, "members": [row(PRIMARY, 0), row(REPLICA, halls + 1)]}},
+                {"SNAPSHOT_ROWS": {"slot": 0, "members": [row(PRIMARY, 0), row(REPLICA, zone_count + 1)]}},
                 {"TARGETS": {"driver": "driver_7", "rev": 1, "slot": 0, "scope": 2}}
             ]),
         );
-        assert_eq!(first, Vec::<Value>::new(), "{name}: nothing is asked before it is wanted");
+        assert_eq!(first, Vec::<Value>::new(), "{name}: no commands before the first request");
         let mut served = vec![0; deadlines.len()];
         for round in 0..40 {
-            let at = start + 1000.0 + 200.0 * f64::from(round);
+            let time_ms = start + 1000.0 + 200.0 * f64::from(round);
             let accepts: Vec<Value> = (0..deadlines.len())
                 .map(|class| {
                     let mut accept = json!({"driver": "driver_7", "req": format!("r-{round}-{class}"),
                         "tierClass": class, "expiresInMs": deadlines[class], "cluster": 11});
-                    if matches!(words[class], "mutate" | "causal") {
+                    if matches!(freshness[class], "mutate" | "causal") {
                         accept["key"] = json!("s:a");
-                        accept["isWrite"] = json!(words[class] == "mutate");
+                        accept["isWrite"] = json!(freshness[class] == "mutate");
                     }
                     json!({ "ACCEPT": accept })
                 })
                 .collect();
-            let mut commands = adapter.batch(at, json!(accepts));
-            let mut now = at;
-            // What is placed or probed is answered a few milliseconds later, as these two would.
+            let mut commands = adapter.batch(time_ms, json!(accepts));
+            let mut now_ms = time_ms;
+            // Both members respond to attempts and probes after a few milliseconds.
             let mut attempts: HashMap<String, u32> = HashMap::new();
             while !commands.is_empty() {
-                now += 5.0;
-                let mut answers = Vec::new();
+                now_ms += 5.0;
+                let mut events = Vec::new();
                 for command in &commands {
-                    let (word, body) = command.as_object().and_then(|o| o.iter().next()).expect("one key");
+                    let (command_name, body) =
+                        command.as_object().and_then(|o| o.iter().next()).expect("a command with one key");
                     let primary = body["member"] == PRIMARY;
-                    let position = (now - zero).floor();
+                    let position = (now_ms - position_zero).floor();
                     let mark = 4 * position as u64 + if primary { 1 } else { 2 };
-                    match word.as_str() {
+                    match command_name.as_str() {
                         "PLACE" => {
-                            let request = body["req"].as_str().expect("an id");
+                            let request = body["req"].as_str().expect("a request id");
                             let class: usize =
-                                request.rsplit('-').next().and_then(|c| c.parse().ok()).expect("its class");
-                            let patience = body["patienceMs"].as_f64().expect("a number");
+                                request.rsplit('-').next().and_then(|c| c.parse().ok()).expect("a class");
+                            let timeout = body["patienceMs"].as_f64().expect("a number");
                             assert!(
-                                patience > 0.0 && patience <= deadlines[class],
-                                "{name}: class {class} waits {patience} ms of {}",
+                                timeout > 0.0 && timeout <= deadlines[class],
+                                "{name}: class {class} has a timeout of {timeout} ms and a deadline of {} ms",
                                 deadlines[class]
                             );
-                            let sent = attempts.entry(request.to_string()).or_insert(0);
-                            let attempt = std::mem::replace(sent, *sent + 1);
-                            let turned_away = words[class] == "mutate" && !primary;
-                            served[class] += usize::from(!turned_away);
-                            answers.push(json!({"OUTCOME": {"driver": "driver_7", "req": request,
+                            let attempt_count = attempts.entry(request.to_string()).or_insert(0);
+                            let attempt = std::mem::replace(attempt_count, *attempt_count + 1);
+                            let not_eligible = freshness[class] == "mutate" && !primary;
+                            served[class] += usize::from(!not_eligible);
+                            events.push(json!({"OUTCOME": {"driver": "driver_7", "req": request,
                                 "attempt": attempt, "member": body["member"],
-                                "ending": if turned_away { 8 } else { 0 }, "waitTimeMs": 5.0, "mark": mark,
-                                "over": !turned_away}}));
+                                "ending": if not_eligible { 8 } else { 0 }, "waitTimeMs": 5.0, "mark": mark,
+                                "over": !not_eligible}}));
                         }
-                        "SOUND_OUT" => answers.push(json!({"PING_RESULT": {"driver": "driver_7",
+                        "SOUND_OUT" => events.push(json!({"PING_RESULT": {"driver": "driver_7",
                             "member": body["member"], "ending": 0, "waitTimeMs": 1.0,
                             "telemetry": {"x0": position / 1000.0, "x1": u8::from(primary), "backlog": 0}}})),
                         "NOTIFY_ME" => {
-                            answers.push(json!({"WAKE": {"driver": "driver_7", "ref": body["ref"]}}));
+                            events.push(json!({"WAKE": {"driver": "driver_7", "ref": body["ref"]}}));
                         }
-                        // A refusal is allowed only while it does not know who is who.
+                        // Rejections are allowed only until the router knows the members' roles.
                         "SHED" | "DROP_REQUEST" => assert!(round < 5, "{name}: {command}"),
                         other => panic!("{name}: {other}"),
                     }
                 }
-                // A timer that keeps coming ends with the round.
-                commands = if now < at + 150.0 { adapter.batch(now, json!(answers)) } else { Vec::new() };
+                // A periodic timer ends with the round.
+                commands =
+                    if now_ms < time_ms + 150.0 { adapter.batch(now_ms, json!(events)) } else { Vec::new() };
             }
         }
         for (class, served) in served.iter().enumerate() {
             assert!(*served >= 35, "{name}: class {class} was served {served} of 40 times");
         }
-        // One class more than there are is named, and ends it.
-        let beyond = json!({"simTimeMs": start + 60_000.0, "turn": adapter.turn, "arrivals": [{"ACCEPT":
-            {"driver": "driver_7", "req": "x", "tierClass": deadlines.len(), "expiresInMs": 9.0, "cluster": 11}}]});
-        writeln!(adapter.to, "{beyond}").expect("the adapter reads");
-        drop(adapter.to);
+        // A class index beyond the configured classes is reported as an error and ends the adapter.
+        let invalid_batch = json!({"simTimeMs": start + 60_000.0, "turn": adapter.turn,
+            "arrivals": [{"ACCEPT": {"driver": "driver_7", "req": "x", "tierClass": deadlines.len(),
+            "expiresInMs": 9.0, "cluster": 11}}]});
+        writeln!(adapter.input, "{invalid_batch}").expect("the adapter accepts input");
+        drop(adapter.input);
         assert!(!adapter.child.wait().expect("the adapter ends").success(), "{name}");
     }
 }
 
 #[test]
-fn figures_that_would_be_cut_or_run_over_are_named() {
+fn out_of_range_numbers_are_reported_by_key() {
     let settings: Value = serde_json::from_str(SITES[0].1).expect("JSON");
     let accept = |key: &str, value: Value| {
         let mut body =
@@ -166,13 +169,13 @@
         json!({"SNAPSHOT_ROWS": {"slot": 0, "members": [row]}})
     };
     let targets = json!({"TARGETS": {"driver": "driver_7", "rev": 1, "slot": 0, "scope": 0}});
-    let wide = (1u64 << 32) + 11;
+    let out_of_range = (1u64 << 32) + 11;
     for (events, key) in [
-        (json!([accept("cluster", json!(wide))]), "cluster"),
+        (json!([accept("cluster", json!(out_of_range))]), "cluster"),
         (json!([accept("expiresInMs", json!(1e300))]), "expiresInMs"),
         (json!([accept("lastWriteMs", json!(1e300))]), "lastWriteMs"),
-        (json!([listed("shard", json!(wide)), targets]), "shard"),
-        (json!([listed("hall", json!(wide)), targets]), "hall"),
+        (json!([listed("shard", json!(out_of_range)), targets]), "shard"),
+        (json!([listed("hall", json!(out_of_range)), targets]), "hall"),
     ] {
         let mut adapter = Adapter::start();
         adapter.batch(1000.0, json!([{"UP": {"driver": "driver_7", "nonce64": 1, "settings": settings}}]));
@@ -181,11 +184,14 @@
             json!([{"SNAPSHOT_ROWS": {"slot": 0, "members": [row(PRIMARY, 0), row(REPLICA, 1)]}}, targets]),
         );
         let line = json!({"simTimeMs": 1002.0, "turn": adapter.turn, "arrivals": events});
-        writeln!(adapter.to, "{line}").expect("the adapter reads");
-        // One that takes it ends with its input.
-        drop(adapter.to);
-        let end = adapter.child.wait_with_output().expect("the adapter ends");
-        let said = String::from_utf8_lossy(&end.stderr);
-        assert!(!end.status.success() && said.contains(key) && said.lines().count() == 1, "{key}: {said}");
+        writeln!(adapter.input, "{line}").expect("the adapter accepts input");
+        // If the adapter accepts the event, it ends successfully at the end of its input.
+        drop(adapter.input);
+        let output = adapter.child.wait_with_output().expect("the adapter ends");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert!(
+            !output.status.success() && stderr.contains(key) && stderr.lines().count() == 1,
+            "{key}: {stderr}"
+        );
     }
 }
--- a/adapter/tests/transcript.rs
+++ b/adapter/tests/transcript.rs
@@ -1,4 +1,4 @@
-//! A hand-written transcript: what goes in, line by line, and what must come out.
+//! Compares the adapter's output with hand-written transcripts.
 mod common;
 
 use common::spawn_adapter;
@@ -16,15 +16,15 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn batch(turn: u64, at: f64, arrivals: Value) -> String {
-    json!({ "simTimeMs": at, "turn": turn, "arrivals": arrivals }).to_string()
+fn batch(turn: u64, time_ms: f64, arrivals: Value) -> String {
+    json!({ "simTimeMs": time_ms, "turn": turn, "arrivals": arrivals }).to_string()
 }
 
-fn up() -> Value {
-    up_with("bounce")
+fn start_event() -> Value {
+    start_event_with("bounce")
 }
 
-fn up_with(when_behind: &str) -> Value {
+fn start_event_with(when_behind: &str) -> Value {
     let class = |semantics: &str, group: &str| {
         json!({"objectiveMs": 400.0, "deadlineMs": 1200.0, "semantics": semantics, "group": group,
             "repeatWindowMs": 3000.0, "worth": 1.0, "lateWorth": 0.0, "name": "x", "streaming": false})
@@ -40,21 +40,25 @@
         "membershipMode": "automatic", "replicasOfMe": 2, "roundMs": 5.0, "zone": 0}}})
 }
 
-fn list() -> Value {
-    let row = |name: &str| json!({"member": name, "hall": 0, "familyType": 0, "shard": 3, "status": 1, "powerHint": 1});
+fn list_event() -> Value {
+    let row = |name: &str| {
+        json!({"member": name, "hall": 0, "familyType": 0, "shard": 3, "status": 1,
+        "powerHint": 1})
+    };
     json!({"SNAPSHOT_ROWS": {"slot": 0, "members": [row("10.0.0.1:9000"), row("10.0.0.2:9000")]}})
 }
 
-fn start() -> String {
+fn start_batch() -> String {
     batch(
         0,
         1000.0,
-        json!([up(), list(), {"TARGETS": {"driver": "driver_0", "rev": 1, "slot": 0, "scope": 2}}]),
+        json!([start_event(), list_event(),
+            {"TARGETS": {"driver": "driver_0", "rev": 1, "slot": 0, "scope": 2}}]),
     )
 }
 
 #[test]
-fn a_write_goes_to_the_member_that_says_it_is_the_primary() {
+fn write_goes_to_member_that_reports_itself_primary() {
     let probed = json!({"PING_RESULT": {"driver": "driver_0", "member": "10.0.0.2:9000", "ending": 0,
         "waitTimeMs": 1.0, "telemetry": {"x0": 0.5, "x1": 0, "somethingNew": 4}}});
     let accept = |req: &str| {
@@ -65,65 +69,73 @@
         json!({"OUTCOME": {"driver": "driver_0", "req": "r-1", "attempt": attempt, "member": member,
             "ending": ending, "waitTimeMs": 9.0, "mark": mark, "over": ending == 0}})
     };
-    let left = json!({"CLIENT_LEFT": {"driver": "driver_0", "req": "never-seen"}});
-    let out = run(&[
-        start(),
+    let disconnected = json!({"CLIENT_LEFT": {"driver": "driver_0", "req": "never-seen"}});
+    let output = run(&[
+        start_batch(),
         batch(1, 1005.0, json!([accept("r-1")])),
         batch(2, 1010.0, json!([outcome(0, "10.0.0.2:9000", 8, 4 * 500 + 2)])),
-        batch(3, 1020.0, json!([outcome(1, "10.0.0.1:9000", 0, 4 * 530 + 1), left, probed])),
+        batch(3, 1020.0, json!([outcome(1, "10.0.0.1:9000", 0, 4 * 530 + 1), disconnected, probed])),
         batch(4, 1030.0, json!([accept("r-2")])),
     ]);
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    let replies: Vec<Value> = String::from_utf8_lossy(&out.stdout)
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    let responses: Vec<Value> = String::from_utf8_lossy(&output.stdout)
         .lines()
-        .map(|l| serde_json::from_str(l).expect("a reply is JSON"))
+        .map(|l| serde_json::from_str(l).expect("the response is JSON"))
         .collect();
-    // A miss sends it on to the next member; what that says holds for the writes behind it.
-    let placed = |turn: usize| {
-        let cmds = replies[turn]["cmds"].as_array().expect("an array");
-        cmds.iter().map(|c| (c["PLACE"]["req"].clone(), c["PLACE"]["member"].clone())).collect::<Vec<_>>()
+    // A member that is not eligible makes the router try the next one, and that member's response determines
+    // the primary for later writes.
+    let attempts_sent = |turn: usize| {
+        let commands = responses[turn]["cmds"].as_array().expect("an array");
+        commands.iter().map(|c| (c["PLACE"]["req"].clone(), c["PLACE"]["member"].clone())).collect::<Vec<_>>()
     };
-    assert_eq!(replies[0], json!({"turn": 0, "cmds": []}));
-    assert_eq!(placed(1), [(json!("r-1"), json!("10.0.0.2:9000"))]);
-    assert_eq!(placed(2), [(json!("r-1"), json!("10.0.0.1:9000"))]);
-    assert_eq!(replies[3], json!({"turn": 3, "cmds": []}));
-    assert_eq!(placed(4), [(json!("r-2"), json!("10.0.0.1:9000"))]);
+    assert_eq!(responses[0], json!({"turn": 0, "cmds": []}));
+    assert_eq!(attempts_sent(1), [(json!("r-1"), json!("10.0.0.2:9000"))]);
+    assert_eq!(attempts_sent(2), [(json!("r-1"), json!("10.0.0.1:9000"))]);
+    assert_eq!(responses[3], json!({"turn": 3, "cmds": []}));
+    assert_eq!(attempts_sent(4), [(json!("r-2"), json!("10.0.0.1:9000"))]);
 }
 
 #[test]
-fn a_restart_within_a_batch_and_a_reused_list_number_go_by_the_order_of_events() {
-    let other = json!({"SNAPSHOT_ROWS": {"slot": 0, "members": [
+fn restart_and_reused_list_slot_within_batch_follow_order_of_events() {
+    let second_list = json!({"SNAPSHOT_ROWS": {"slot": 0, "members": [
         {"member": "10.0.0.9:9000", "hall": 0, "familyType": 0, "shard": 3, "status": 1, "powerHint": 1}]}});
-    let empty = json!({"SNAPSHOT_ROWS": {"slot": 1, "members": []}});
-    let targets = |slot: u8, scope: u8| json!({"TARGETS": {"driver": "driver_0", "rev": 1, "slot": slot, "scope": scope}});
-    let accept = |req: &str, wait: f64| json!({"ACCEPT": {"driver": "driver_0", "req": req, "tierClass": 1, "expiresInMs": wait, "cluster": 3}});
+    let empty_list = json!({"SNAPSHOT_ROWS": {"slot": 1, "members": []}});
+    let targets = |slot: u8, scope: u8| {
+        json!({"TARGETS": {"driver": "driver_0", "rev": 1, "slot": slot,
+        "scope": scope}})
+    };
+    let accept = |req: &str, timeout_ms: f64| {
+        json!({"ACCEPT": {"driver": "driver_0", "req": req,
+        "tierClass": 1, "expiresInMs": timeout_ms, "cluster": 3}})
+    };
     let retire = json!({"RETIRE": {"driver": "driver_0"}});
     let events = json!([
-        up_with("silent"),
-        list(),
+        start_event_with("silent"),
+        list_event(),
         targets(0, 2),
         accept("r-0", 900.0),
         retire,
-        up_with("silent"),
-        other,
+        start_event_with("silent"),
+        second_list,
         targets(0, 2),
         accept("r-0", 900.0),
-        empty,
+        empty_list,
         targets(1, 0),
         accept("r-1", 0.0)
     ]);
-    let out = run(&[batch(0, 1000.0, events)]);
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    let reply: Value = serde_json::from_slice(&out.stdout).expect("a reply is JSON");
-    let cmds = reply["cmds"].as_array().expect("an array");
-    let probed: Vec<&Value> = cmds.iter().filter_map(|c| c.get("SOUND_OUT").map(|s| &s["member"])).collect();
+    let output = run(&[batch(0, 1000.0, events)]);
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    let response: Value = serde_json::from_slice(&output.stdout).expect("the response is JSON");
+    let commands = response["cmds"].as_array().expect("an array");
+    let probed: Vec<&Value> =
+        commands.iter().filter_map(|c| c.get("SOUND_OUT").map(|s| &s["member"])).collect();
     assert_eq!(probed, [&json!("10.0.0.1:9000"), &json!("10.0.0.2:9000"), &json!("10.0.0.9:9000")]);
-    // A deadline of zero and a group without members: answered at once.
-    assert!(cmds.iter().any(|c| c["SHED"]["req"] == "r-1"), "{reply}");
+    // A request with a deadline of zero in a group without members is rejected immediately.
+    assert!(commands.iter().any(|c| c["SHED"]["req"] == "r-1"), "{response}");
 }
 
 #[test]
-fn malformed_input_is_named_and_ends_the_adapter() {
+fn malformed_input_is_reported_and_ends_adapter() {
     let accept = |body: Value| batch(1, 1005.0, json!([{ "ACCEPT": body }]));
     let cases = [
         ("{".to_string(), "JSON"),
@@ -141,10 +153,10 @@
             "list 9",
         ),
     ];
-    for (line, named) in cases {
-        let out = run(&[start(), line]);
-        let said = String::from_utf8_lossy(&out.stderr);
-        assert!(!out.status.success(), "accepted: {named}");
-        assert!(said.lines().count() == 1 && said.contains(named), "{said}");
+    for (line, expected_text) in cases {
+        let output = run(&[start_batch(), line]);
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert!(!output.status.success(), "accepted input without the error: {expected_text}");
+        assert!(stderr.lines().count() == 1 && stderr.contains(expected_text), "{stderr}");
     }
 }
