--- a/decision/src/router.rs
+++ b/decision/src/router.rs
@@ -45,7 +45,7 @@
     consecutive_failed_probes: u32,
     ejected_until: Option<Time>,
     consecutive_ejections: u32,
-    /// The ejection has ended: one attempt at a time until an attempt is served quickly.
+    /// The member returned from an ejection: it gets one attempt at a time until one is served quickly.
     half_open: bool,
     /// Consecutive refused connections. Once there are [`health::RESTART_CONNECT_FAILURES`], only a
     /// successful probe resets the count.
--- a/decision/src/router/attempts.rs
+++ b/decision/src/router/attempts.rs
@@ -18,8 +18,8 @@
             Idempotency::NotIdempotent => pending.request.deadline,
             _ => self.useful_until(pending),
         };
-        // Establishing a connection may delay the first byte, so the present permissions must still hold
-        // then.
+        // A connection may have to be established before the first byte is sent. The limits apply to that
+        // byte.
         let starts_by =
             ends_by.min(self.may_start_until(pending)).min(self.proven_fresh_until(pending, member));
         if let Some(member) = self.members.get_mut(&member) {
--- a/decision/src/router/choice.rs
+++ b/decision/src/router/choice.rs
@@ -36,9 +36,9 @@
 
 /// The available replicas to which a read has not been sent yet.
 struct UntriedReplicas {
-    /// Known to be fresh enough.
+    /// Replicas known to be fresh enough.
     fresh: Vec<MemberId>,
-    /// Not known to be fresh enough.
+    /// Replicas not known to be fresh enough.
     behind: Vec<MemberId>,
 }
 
@@ -235,7 +235,7 @@
 
     /// Chooses the member with the fewest attempts in flight among those with capacity. Ties go to a member
     /// that is warming up, because that share is reserved for it, otherwise to a random one by weight, with a
-    /// preference for the own zone. With hundreds of routers most choices are ties.
+    /// preference for the router's zone. With hundreds of routers most choices are ties.
     fn least_loaded(&mut self, candidates: &[MemberId], read: &ReadRequirements) -> Option<MemberId> {
         let draw = self.rng.f64();
         let usable =
--- a/decision/src/router/health.rs
+++ b/decision/src/router/health.rs
@@ -5,8 +5,8 @@
 /// Duration of a first ejection: long enough to outlast a short pause, short enough that a healthy member
 /// soon returns.
 const BASE_EJECTION: Micros = 1_000_000;
-/// The duration doubles with each consecutive ejection, at most this often. With jitter, the
-/// longest ejection is the documented 10 s.
+/// The duration doubles with each consecutive ejection, at most this often: to 8 s, or to 10 s with jitter,
+/// the documented maximum.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 pub(super) const MAX_EJECTION: Micros = BASE_EJECTION << MAX_EJECTION_DOUBLINGS;
 /// The same limit for an unreachable member: probing it is cheap, and it may return at any time.
--- a/decision/tests/cold_fleet/main.rs
+++ b/decision/tests/cold_fleet/main.rs
@@ -113,7 +113,7 @@
 #[ignore = "prints the table of the documentation, takes minutes"]
 fn print_table() {
     println!(
-        "| scenario | routers | N at start | deadline s | load | overloads | worst | mean worst | served | by cold |"
+        "| scenario | routers | N at start | deadline s | load | overloads | worst | mean | served | by cold |"
     );
     let seeds = numbers("COLD_SEEDS", "20")[0];
     let (loads, fleets) = (numbers("COLD_LOADS", "0.6,0.9,1.5"), numbers("COLD_ROUTERS", "30,300"));
--- a/decision/tests/cold_fleet/scene.rs
+++ b/decision/tests/cold_fleet/scene.rs
@@ -29,7 +29,7 @@
     ListedAlone,
     /// The primary refused connections for 3 s and returns as the primary.
     PrimaryReturns,
-    /// As above, and no replica is listed any more.
+    /// The primary returns as in `PrimaryReturns`, and no replica is listed any more.
     PrimaryListedAlone,
     /// The whole group was down for 3 s and returns cold.
     GroupReturns,
--- a/decision/tests/cold_fleet/world.rs
+++ b/decision/tests/cold_fleet/world.rs
@@ -79,7 +79,7 @@
     member: usize,
     deadline: Micros,
     needs_primary: bool,
-    /// In multiples of the average work of a request.
+    /// The work of the request, in multiples of the average.
     work: f64,
 }
 
@@ -87,7 +87,7 @@
 struct Member {
     up: bool,
     hung: bool,
-    /// Increases when the process stops.
+    /// The epoch of the process, which increases when it stops.
     epoch: u32,
     started_at: Option<Micros>,
     busy_cores: usize,
@@ -96,7 +96,7 @@
 
 struct RouterNode {
     router: Router,
-    /// Increases when the process restarts.
+    /// The epoch of the process, which increases when it restarts.
     epoch: u32,
     /// Clients by request, with the number of attempts made for each so far.
     clients: BTreeMap<u64, (Client, u32)>,
@@ -127,7 +127,7 @@
     rng: fastrand::Rng,
     now: Micros,
     next_event: u64,
-    /// By time, then in the order of insertion.
+    /// Scheduled events by time, then in the order of insertion.
     events: BTreeMap<(Micros, u64), SimEvent>,
     routers: Vec<RouterNode>,
     members: Vec<Member>,
--- a/decision/tests/common/mod.rs
+++ b/decision/tests/common/mod.rs
@@ -104,7 +104,7 @@
 /// A router, the current time and the number of the next request.
 pub(crate) struct TestRouter {
     pub(crate) inner: Router,
-    /// In microseconds.
+    /// The current time in microseconds.
     pub(crate) now: Micros,
     pub(crate) next_request: u64,
 }
--- a/decision/tests/health.rs
+++ b/decision/tests/health.rs
@@ -44,7 +44,7 @@
         "counted as unavailable despite its attempt in flight"
     );
     router.now += 3000 * MS;
-    assert_eq!(router.inner.unavailable_member_count(), 1, "unavailable until a probe");
+    assert_eq!(router.inner.unavailable_member_count(), 1, "unavailable until a probe succeeds");
     router.handle(Event::TimerExpired);
     router.probe_ended(failing.0, false, 0);
     assert_eq!(router.inner.unavailable_member_count(), 0);
--- a/decision/tests/invariants.rs
+++ b/decision/tests/invariants.rs
@@ -112,12 +112,12 @@
         }
         let now = self.router.now;
         let in_time = |p: &PendingRequest| p.finished || now <= p.deadline + RESPONSE_SLACK;
-        assert!(self.pending.values().all(in_time), "no final response in time");
+        assert!(self.pending.values().all(in_time), "a request got no final response in time");
     }
 
     fn finish(&mut self, id: u64) {
         let pending = self.pending.get_mut(&id).expect("a finished request is pending");
-        assert!(!pending.finished, "two final responses");
+        assert!(!pending.finished, "a request got two final responses");
         pending.finished = true;
     }
 
--- a/decision/tests/lines.rs
+++ b/decision/tests/lines.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Maximum number of non-blank lines in all files together, including comments: the bench's limit for a
+/// Maximum number of non-blank lines in all files together, including comments: the benchmark's limit for a
 /// decision module.
 const MAX_LINES: usize = 1200;
 /// Maximum number of non-blank lines of one file.
--- a/decision/tests/recorded_runs/world.rs
+++ b/decision/tests/recorded_runs/world.rs
@@ -61,7 +61,7 @@
     requests: BTreeMap<u64, (usize, u32, u32)>,
     sessions: u64,
     mix: Mix,
-    /// All events and actions so far.
+    /// The text of all events and actions so far.
     pub(crate) text: String,
     pub(crate) counts: BTreeMap<&'static str, usize>,
 }
--- a/decision/tests/scale_invariance.rs
+++ b/decision/tests/scale_invariance.rs
@@ -1,12 +1,12 @@
 //! Feeds the same event sequence to two routers. The second one has settings with the classes in another
 //! order, other zone numbers, or all times multiplied by one factor. Both must take the same actions.
 //!
-//! This detects times in the code that do not follow from settings. The remaining ones are either given by
-//! the design page, which leaves the duration of ejections and the probe interval open, or only limit other
-//! times. The tests with longer times avoid their effects: an ejection lasts 1 to 8 s (`BASE_EJECTION`), a
-//! late response counts for the duration of the longest ejection, probes of one member are at least 100 ms
-//! apart (`MIN_INTERVAL` of probes, although with event intervals of 5 ms or more the interval follows from
-//! these), and a timer takes at least 2 ms.
+//! This detects times in the code that do not follow from settings. Some such times remain: the design
+//! document leaves the duration of ejections and the probe interval to the code, and others are only bounds.
+//! The tests with longer times avoid their effects: an ejection lasts 1 to 8 s (`BASE_EJECTION`), a late
+//! response counts for the duration of the longest ejection, probes of one member are at least 100 ms apart
+//! (`MIN_INTERVAL` of probes, although with event intervals of 5 ms or more the interval follows from these),
+//! and a timer takes at least 2 ms.
 mod common;
 use common::{GROUP, MS, entry};
 use decision::{
--- a/decision/tests/slow_start.rs
+++ b/decision/tests/slow_start.rs
@@ -181,8 +181,7 @@
 
 #[test]
 fn starting_primary_gets_growing_share_of_writes() {
-    // A cold primary has a fifth of its capacity and is overloaded by three times that. It is warm after 17
-    // s.
+    // A cold primary has a fifth of its capacity, is overloaded by three times that, and is warm after 17 s.
     let (cold, half_warm, almost_warm) =
         (share_of_writes_sent(0), share_of_writes_sent(6_400), share_of_writes_sent(13_000));
     assert!(cold > 0.2 && cold < 0.4, "share of writes of a cold primary: {cold}");
