--- a/decision/tests/recorded_runs/world.rs
+++ b/decision/tests/recorded_runs/world.rs
@@ -344,7 +344,7 @@
             Mix::Ordinary | Mix::Resets => self.rng.usize(..self.settings.classes.len()),
         };
         let deadline = self.settings.classes[class].deadline;
-        let left = match self.rng.u8(..10) {
+        let timeout = match self.rng.u8(..10) {
             0 => self.rng.i64(0..deadline + 100 * MS),
             1 => deadline / 2,
             2..6 if self.mix == Mix::Resets => deadline * self.rng.i64(1..40) / 32,
@@ -363,7 +363,7 @@
             tenant: 0,
             session: (session > 0).then_some(SessionId(session)),
             group: GroupId(group),
-            deadline: Time(self.now + left),
+            deadline: Time(self.now + timeout),
             session_commit: session_commit
                 .filter(|_| self.settings.session_commit_source == SessionCommitSource::CarriedByRequest),
         };
@@ -372,7 +372,7 @@
 
     fn change_health(&mut self) {
         let at = self.rng.usize(..self.members.len());
-        let all = [
+        let unhealthy_states = [
             Health::Slow,
             Health::RefusesConnections,
             Health::Unreachable,
@@ -380,13 +380,14 @@
             Health::ReturnsErrors,
             Health::AtCapacity,
         ];
-        let (faulty, to) = (pick(&mut self.rng, &all), self.rng.u8(..4));
+        let (unhealthy, choice) = (pick(&mut self.rng, &unhealthy_states), self.rng.u8(..4));
         let member = &mut self.members[at];
-        if member.health == Health::RefusesConnections && to < 3 {
+        if member.health == Health::RefusesConnections && choice < 3 {
             // The process restarts, and the list may state this.
             member.started_at = Some(Time(self.now));
         }
-        member.health = if member.health == Health::Healthy && to < 3 { faulty } else { Health::Healthy };
+        member.health =
+            if member.health == Health::Healthy && choice < 3 { unhealthy } else { Health::Healthy };
     }
 
     fn fail_over(&mut self) {
