--- a/routing/benches/observer.rs
+++ b/routing/benches/observer.rs
@@ -1,4 +1,4 @@
-//! Cost of the observer: the transitions of one request with an attempt and a retry, with and without it. Run by
+//! Measures the cost of the observer per request, for the transitions of a request with one retry. Run with
 //! `cargo bench -p routing`.
 use decision::{Idempotency, Outcome, RequestId, Time};
 use routing::observer::{AttemptEnd, Ending, Observer, Transition};
@@ -6,18 +6,18 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Requests of a run.
+/// Number of requests per run.
 const REQUESTS: u64 = 1_000_000;
-/// Runs of each kind, by turns.
+/// Number of alternating runs with and without the observer.
 const ROUNDS: usize = 3;
-/// Time from a request to its deadline, in microseconds.
+/// Time from the start of a request to its deadline, in microseconds.
 const DEADLINE: i64 = 1_000_000;
-/// Time after an endpoint left service up to which exchanges may begin, in microseconds.
+/// Drain grace period of the observer, in microseconds.
 const DRAIN_GRACE: i64 = 250_000;
-/// Requests that are open at a time.
+/// Number of other requests that are open during a run.
 const OPEN_REQUESTS: u64 = 256;
 
-/// Grants the permits of one request, and reports its transitions if there is an observer.
+/// Simulates one request with two attempts, and reports its transitions if there is an observer.
 fn play_request(id: u64, rule: RepeatRule, observer: &mut Option<Observer>) {
     let (now, request) = (Time(id as i64), RequestId(id));
     let mut violations = Vec::new();
@@ -44,11 +44,11 @@
     black_box(violations);
 }
 
-/// Nanoseconds of a request.
+/// Returns the average time per request in nanoseconds.
 fn measure(with_observer: bool) -> f64 {
     let rule = RepeatRule { idempotency: Idempotency::Idempotent, hedging_allowed: false };
     let mut observer = with_observer.then(|| Observer::new(vec![rule], DRAIN_GRACE));
-    // As many as are open at a time in a router under load.
+    // Open as many requests as a loaded router has at a time.
     if let Some(observer) = &mut observer {
         for id in 0..OPEN_REQUESTS {
             let open = Transition::Accepted { class: 0, deadline: Time(i64::MAX / 2) };
@@ -63,6 +63,6 @@
 fn main() {
     for round in 1..=ROUNDS {
         let (without, with) = (measure(false), measure(true));
-        println!("round {round}: {without:.0} ns a request without the observer, {with:.0} ns with it");
+        println!("round {round}: {without:.0} ns per request without the observer, {with:.0} ns with it");
     }
 }
--- a/routing/src/attempt_id.rs
+++ b/routing/src/attempt_id.rs
@@ -1,11 +1,11 @@
-//! The id of an attempt.
+//! Identifier of an attempt.
 use decision::RequestId;
 
-/// One attempt of a request.
+/// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The request.
+    /// ID of the request.
     pub request: RequestId,
-    /// The number of the attempt among those of its request, from 0.
+    /// Number of the attempt within its request, counted from 0.
     pub number: u32,
 }
--- a/routing/src/backends.rs
+++ b/routing/src/backends.rs
@@ -1,9 +1,9 @@
-//! The backends actor. A backend owns the connections to one endpoint, reuses the most recently used ones and closes idle
-//! ones before the endpoint would. One thread serves all backends, since a router of a large fleet uses most endpoints
-//! seldom.
+//! The backends actor. A backend manages the connections to one endpoint: it reuses the most recently used
+//! ones and closes idle ones before the endpoint does. A single thread manages all backends, because a router
+//! of a large fleet rarely uses most of its endpoints.
 //!
-//! A connection has a thread only while it carries an exchange. Idle connections have none: hundreds of routers on one
-//! host, with a thread for each idle connection, would use up the threads of the host.
+//! A connection occupies a thread only during an exchange. Idle connections have none: with hundreds of
+//! routers on one host, a thread for each idle connection would exhaust the host's thread limit.
 mod actor;
 mod backend;
 mod exchange;
@@ -17,13 +17,13 @@
 use actor::BackendsActor;
 use crossbeam_channel::bounded;
 
-/// The name of the actor's thread.
+/// Name of the thread that runs the backends actor.
 const THREAD_NAME: &str = "backends";
 
-/// Starts the actor and returns its mailbox.
+/// Starts the backends actor and returns the sender to its mailbox.
 ///
 /// # Errors
-/// Its thread could not be started.
+/// Returns the error of the operating system if the thread could not be started.
 pub(crate) fn start<P: BackendProtocol>(resources: BackendResources<P>) -> std::io::Result<BackendSender<P>> {
     let (own_sender, mailbox) = bounded(resources.limits.mailbox_capacity);
     let (sender, stack_bytes) = (own_sender.clone(), resources.limits.socket_thread_stack_bytes);
--- a/routing/src/backends/actor.rs
+++ b/routing/src/backends/actor.rs
@@ -1,4 +1,5 @@
-//! The actor of all backends: it creates and removes them, forwards commands, and closes idle connections in time.
+//! The backends actor: creates and removes backends, forwards commands to them, and closes expired idle
+//! connections.
 use super::backend::Backend;
 use super::resources::BackendResources;
 use crate::messages::{AddressedCommand, BackendCommand, BackendId, BackendSender};
@@ -10,12 +11,12 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// The number of checks of idle connections during the time that a connection may be idle.
+/// Number of checks for expired idle connections per idle timeout.
 const IDLE_CHECKS_PER_LIFETIME: u32 = 4;
 
 pub(super) struct BackendsActor<P: BackendProtocol> {
     resources: BackendResources<P>,
-    /// Sends to this actor's own mailbox; the exchanges of the backends report there.
+    /// Sender to this actor's own mailbox, through which exchanges report their end.
     own_sender: BackendSender<P>,
     backends: HashMap<BackendId, Backend<P>>,
 }
@@ -45,7 +46,7 @@
         match command {
             BackendCommand::Create { member, addr, state } => self.create(id, member, addr, state),
             BackendCommand::Remove => _ = self.backends.remove(&id),
-            // A removed backend may still get the end of one of its exchanges, which is dropped.
+            // The end of an exchange may be reported after its backend was removed and is then ignored.
             command => {
                 if let Some(backend) = self.backends.get_mut(&id) {
                     backend.handle(command);
@@ -59,12 +60,12 @@
         self.backends.insert(id, backend);
     }
 
-    /// Closes expired idle connections, and makes up for commands that a full mailbox has lost: endpoints out of service
-    /// and removed backends.
+    /// Closes expired idle connections. It also compensates for commands that were lost because the mailbox
+    /// was full: it closes connections of endpoints out of service and removes retired backends.
     fn close_expired(&mut self, mailbox: &Receiver<AddressedCommand<P>>) {
         self.backends.values_mut().for_each(Backend::close_expired);
-        // Read before the mailbox is checked: nothing is sent to a retired backend, but attempts that were sent before
-        // still have to be reported.
+        // The retired backends are determined before the mailbox is checked. Nothing is sent to a backend
+        // after it is retired, but attempts that were sent earlier must still be reported.
         let retired: Vec<BackendId> =
             self.backends.iter().filter(|(_, backend)| backend.is_retired()).map(|(id, _)| *id).collect();
         if mailbox.is_empty() {
--- a/routing/src/backends/backend.rs
+++ b/routing/src/backends/backend.rs
@@ -1,4 +1,4 @@
-//! One backend: the idle connections to one endpoint, and the start of exchanges on them or on new ones.
+//! A backend: the idle connections to one endpoint, and the start of exchanges on idle or new connections.
 use super::exchange::{Context, Task, run};
 use super::resources::BackendResources;
 use crate::idle_connection::{AcquiredSlot, IdleConnection};
@@ -13,21 +13,21 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The unit of the two thresholds below: this many parts make up the connection limit.
+/// Denominator of the two thresholds below, which are fractions of the connection limit.
 const LIMIT_PARTS: usize = 16;
-/// From 12/16 of the connection limit on, surplus idle connections of all endpoints are closed.
+/// When 12/16 of the connection limit is reached, surplus idle connections of all endpoints are closed.
 const NEAR_LIMIT_SIXTEENTHS: usize = 12;
-/// Below 15/16, the last idle connection to each endpoint stays.
+/// Below 15/16 of the connection limit, one idle connection per endpoint is retained.
 const CRITICAL_SIXTEENTHS: usize = 15;
 
-/// The name of the threads that carry exchanges.
+/// Name of the threads that run exchanges.
 const THREAD_NAME: &str = "exchange";
 
 pub(super) struct Backend<P: BackendProtocol> {
     context: Arc<Context<P>>,
-    /// The number of connections that carry an exchange.
+    /// Number of connections that are running an exchange.
     busy: usize,
-    /// Idle connections, the most recently used last.
+    /// Idle connections, ordered such that the most recently used is last.
     idle: Vec<IdleConnection<P>>,
 }
 
@@ -63,20 +63,22 @@
             }
             BackendCommand::TrimIdle { max_idle } => self.trim_idle(max_idle),
             BackendCommand::CloseIdle => {}
-            // The backends actor handles these itself.
+            // These commands are handled by the backends actor.
             BackendCommand::Create { .. } | BackendCommand::Remove => {}
         }
         self.close_expired();
     }
 
-    /// Closes connections that have been idle for too long, and all idle ones of an endpoint out of service.
+    /// Closes connections that have exceeded the idle timeout, and all idle connections if the endpoint is
+    /// out of service.
     pub(super) fn close_expired(&mut self) {
         let max_age = self.context.resources.limits.backend_idle_timeout;
         let in_service = self.context.state.accepts_exchanges();
         self.idle.retain(|idle| in_service && idle.idle_for() < max_age);
     }
 
-    /// Closes all but the `max_idle` most recently used idle connections, except for those used a moment ago.
+    /// Closes all idle connections except the `max_idle` most recently used ones. Connections that were used
+    /// very recently are also retained.
     fn trim_idle(&mut self, max_idle: usize) {
         let min_age = self.context.resources.limits.backend_idle_timeout_when_full;
         let mut surplus = self.idle.len().saturating_sub(max_idle);
@@ -87,9 +89,10 @@
         });
     }
 
-    /// Starts an exchange on an idle connection, or else on a new one.
+    /// Starts an exchange on an idle connection if there is one, otherwise on a new connection.
     fn start(&mut self, task: Task<P>, guard: AttemptGuard) {
-        // The router actor may have sent it before the endpoint was draining or the client disconnected.
+        // The endpoint may have started draining, or the client may have disconnected, since the command was
+        // sent.
         if guard.check_start().is_err() {
             return self.context.report_outcome(&task, Outcome::NeverSent);
         }
@@ -108,16 +111,15 @@
         self.spawn_exchange(task, guard, idle);
     }
 
-    /// Removes the most recently used idle connection that has settled since its response, or else the one that settles
-    /// first.
+    /// Removes and returns an idle connection: the most recently used one whose reuse delay has passed, or
+    /// else the one whose reuse delay ends first.
     fn take_idle(&mut self) -> Option<IdleConnection<P>> {
         let settle_time = self.context.resources.limits.backend_reuse_delay;
         let settled = self.idle.iter().rposition(|idle| idle.idle_for() >= settle_time);
         (!self.idle.is_empty()).then(|| self.idle.remove(settled.unwrap_or(0)))
     }
 
-    /// Requests that idle connections be closed before attempts reach the limit while other backends' connections are
-    /// idle.
+    /// Asks the router actor to close idle connections before attempts reach the connection limit.
     fn announce_near_limit(&self, open: usize) {
         let BackendResources { limits, router, .. } = &self.context.resources;
         if LIMIT_PARTS * open >= NEAR_LIMIT_SIXTEENTHS * limits.max_backend_connections {
@@ -127,9 +129,10 @@
         }
     }
 
-    /// Runs an exchange on a thread of its own.
+    /// Runs an exchange on a new thread.
     fn spawn_exchange(&mut self, task: Task<P>, guard: AttemptGuard, idle: IdleConnection<P>) {
-        // The task is passed through a channel, so that it can be reported if no thread can be started.
+        // The task is passed through a channel, so that it can be recovered and reported if the thread cannot
+        // be started.
         let (task_sender, task_receiver) = bounded(1);
         _ = task_sender.send((task, guard));
         let (context, receiver) = (self.context.clone(), task_receiver.clone());
@@ -142,7 +145,11 @@
         match started {
             Ok(()) => self.busy += 1,
             Err(error) => {
-                tracing::error!(%error, addr = %self.context.addr, "exchange thread not started, exchange not sent");
+                tracing::error!(
+                    %error,
+                    addr = %self.context.addr,
+                    "cannot start exchange thread, exchange not sent"
+                );
                 if let Ok((task, _)) = task_receiver.try_recv() {
                     self.context.report_outcome(&task, Outcome::NeverSent);
                 }
--- a/routing/src/backends/exchange.rs
+++ b/routing/src/backends/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange, on the thread of its connection.
+//! Runs one exchange with an endpoint, on a dedicated thread.
 use super::resources::BackendResources;
 use crate::attempt_id::AttemptId;
 use crate::idle_connection::IdleConnection;
@@ -13,32 +13,33 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The purpose of an exchange.
+/// Work that an exchange carries out.
 pub(super) enum Task<P: BackendProtocol> {
     Attempt { attempt: AttemptId, payload: Arc<P::Payload>, deadline: Instant },
     Probe,
 }
 
-/// The state that a backend shares with its exchanges.
+/// State that a backend shares with its exchanges.
 pub(super) struct Context<P: BackendProtocol> {
     pub(super) id: BackendId,
     pub(super) member: MemberId,
     pub(super) addr: SocketAddr,
     pub(super) state: EndpointState,
     pub(super) resources: BackendResources<P>,
-    /// The mailbox of the backends actor.
+    /// Sender to the backends actor.
     pub(super) backends: BackendSender<P>,
 }
 
 impl<P: BackendProtocol> Context<P> {
-    /// Reports a task that ended with nothing but an outcome.
+    /// Reports that a task ended with the given outcome and no other result.
     pub(super) fn report_outcome(&self, task: &Task<P>, outcome: Outcome) {
         self.report(task, ExchangeResult::from_outcome(outcome));
     }
 
-    /// Reports the end of a task to the router actor.
+    /// Reports the result of a task to the router actor.
     fn report(&self, task: &Task<P>, result: ExchangeResult<P::Response>) {
-        // The endpoint may be listed under another address by now: a failed connection or a probe was about the old one.
+        // If the backend is retired, the endpoint may now have another address. The result of a probe or a
+        // connect failure at the old address must not be attributed to the new one.
         let about_old_address = matches!(task, Task::Probe) || result.outcome == Outcome::ConnectFailed;
         let result = if about_old_address && self.state.is_retired() {
             ExchangeResult::from_outcome(Outcome::NeverSent)
@@ -46,7 +47,7 @@
             result
         };
         let member = self.member;
-        // The router actor outlives its backends except at the very end of the program.
+        // Sending fails only during shutdown, because the router actor otherwise outlives its backends.
         _ = self.resources.router.send(match task {
             Task::Attempt { attempt, .. } => {
                 RouterMessage::AttemptEnded { attempt: *attempt, member, result }
@@ -58,7 +59,7 @@
     }
 }
 
-/// Carries one task on the given connection or a new one, then returns a reusable connection to its backend.
+/// Runs one task on the given connection or on a new one, then returns a reusable connection to its backend.
 pub(super) fn run<P: BackendProtocol>(
     context: &Context<P>,
     task: Task<P>,
@@ -69,21 +70,23 @@
     if connection.is_some() {
         wait_until_settled(context.resources.limits.backend_reuse_delay, last_response);
     }
-    // Even if the protocol's code panics, the task ends and the connection's slot is released.
+    // A panic in the protocol implementation must not prevent the task from ending or the connection slot
+    // from being released.
     let executed =
         catch_unwind(AssertUnwindSafe(|| execute(context, &mut connection, last_response, &task, guard)));
     let result = executed.unwrap_or_else(|_| ExchangeResult::from_outcome(Outcome::Reset));
-    // The endpoint counts idle time from the last response, also if nothing was sent since.
+    // The endpoint measures idle time from its last response, so a task that sent nothing does not reset it.
     let since = if result.outcome == Outcome::NeverSent { last_response } else { Instant::now() };
     let can_carry_more = connection.is_some() && result.reusable;
     let connection = can_carry_more.then_some(IdleConnection { connection, since, slot });
-    // The backend is notified first: the router actor's next attempt finds this connection idle.
+    // The backend is notified before the router actor, so that the next attempt finds this connection idle.
     let command = BackendCommand::ExchangeEnded { connection };
     _ = context.backends.send(AddressedCommand { backend: context.id, command });
     context.report(&task, result);
 }
 
-/// Waits until anything that the endpoint sent right after its last response has arrived.
+/// Waits for the reuse delay, so that data or a close that the endpoint sent right after its last response
+/// has arrived.
 fn wait_until_settled(settle_time: Duration, last_response: Instant) {
     let remaining = settle_time.saturating_sub(last_response.elapsed());
     if !remaining.is_zero() {
@@ -91,8 +94,8 @@
     }
 }
 
-/// Carries one task on the pooled connection, or on a new one. If a pooled connection breaks before the last byte was
-/// written, nothing ran, so the task is carried again on a new one, if it may still start by then.
+/// Runs one task on the pooled connection or on a new one. If a pooled connection fails before the last byte
+/// was written, the request has not run, so the task is repeated on a new connection if it may still start.
 fn execute<P: BackendProtocol>(
     context: &Context<P>,
     connection: &mut Option<P::Connection>,
@@ -102,7 +105,7 @@
 ) -> ExchangeResult<P::Response> {
     loop {
         let Ok(pooled) = is_usable::<P>(connection.as_mut(), last_response, guard) else {
-            // Nothing was written on the connection, so it stays usable.
+            // Nothing was written to the connection, so it can be reused.
             return ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(Outcome::NeverSent) };
         };
         if !pooled && let Err(outcome) = reconnect(context, connection, guard) {
@@ -112,12 +115,13 @@
             return ExchangeResult::from_outcome(Outcome::ConnectFailed);
         };
         match execute_guarded(current, task, guard) {
-            // A pooled connection that breaks under a probe is no failure of the endpoint; a new one is.
+            // A pooled connection that is reset during a probe is replaced and does not count as a failure of
+            // the endpoint. A reset of a new connection does.
             Ok(result) if result.outcome == Outcome::Reset && pooled && matches!(task, Task::Probe) => {
                 *connection = None;
             }
             Ok(result) => return result,
-            // Nothing was written on the connection, so it stays usable.
+            // Nothing was written to the connection, so it can be reused.
             Err(NotSent::Cancelled) => {
                 return ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(Outcome::NeverSent) };
             }
@@ -131,7 +135,7 @@
     }
 }
 
-/// Whether the pooled connection, if there is one, can carry the task.
+/// Returns whether there is a pooled connection that can be used for the task.
 fn is_usable<P: BackendProtocol>(
     connection: Option<&mut P::Connection>,
     last_response: Instant,
@@ -142,13 +146,13 @@
     Ok(connection.is_usable(last_response.elapsed(), permit))
 }
 
-/// Replaces a connection that is not usable by a new one.
+/// Replaces an unusable connection with a new one.
 fn reconnect<P: BackendProtocol>(
     context: &Context<P>,
     connection: &mut Option<P::Connection>,
     guard: &AttemptGuard,
 ) -> Result<(), Outcome> {
-    // Closed first, so that its descriptor is free for the new one.
+    // The old connection is closed first to release its file descriptor.
     *connection = None;
     let permit = guard.permit_connection().map_err(|_| Outcome::NeverSent)?;
     *connection = Some(connect(context, permit)?);
@@ -183,7 +187,8 @@
         Task::Probe => Exchange::Probe,
     };
     let result = connection.execute(exchange, guard);
-    // A late cancellation of this task must not shut down the connection under the next one.
+    // Detach the socket, so that a late cancellation of this task cannot shut down the connection during the
+    // next one.
     guard.detach_socket();
     result
 }
--- a/routing/src/backends/resources.rs
+++ b/routing/src/backends/resources.rs
@@ -1,4 +1,4 @@
-//! The dependencies that the backends of a router share.
+//! Dependencies that all backends of a router share.
 use crate::idle_connection::ConnectionCount;
 use crate::messages::RouterMessage;
 use crate::protocol::BackendProtocol;
@@ -6,13 +6,13 @@
 use settings::Limits;
 use std::sync::Arc;
 
-/// The dependencies of every backend, whatever its endpoint.
+/// Dependencies of a backend that do not depend on its endpoint.
 pub(crate) struct BackendResources<P: BackendProtocol> {
     pub(crate) protocol: Arc<P>,
     pub(crate) limits: Arc<Limits>,
-    /// The router actor's mailbox.
+    /// Sender to the router actor.
     pub(crate) router: Sender<RouterMessage<P>>,
-    /// The number of connections of all backends.
+    /// Counts the connections of all backends.
     pub(crate) connections: ConnectionCount,
 }
 
--- a/routing/src/endpoint.rs
+++ b/routing/src/endpoint.rs
@@ -1,67 +1,70 @@
-//! The entries of the endpoint list, its updates, and the operators' maintenance mask.
+//! Entries of the endpoint list, updates to the list, and the operators' maintenance mask.
 use decision::{GroupId, MemberState, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// One endpoint: a database server of a group.
+/// An entry of the endpoint list: one database server of a replication group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// Its id, the same after a restart.
+    /// Endpoint ID, which stays the same across restarts.
     pub id: String,
-    /// Where it listens.
+    /// Address of the endpoint.
     pub addr: SocketAddr,
-    /// Its group.
+    /// Replication group of the endpoint.
     pub group: GroupId,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: u32,
-    /// Its site, for tenants whose data must not leave certain sites; unknown is outside of all of them.
+    /// Site of the endpoint, for placement rules that restrict a tenant's data to certain sites. An unknown
+    /// site is outside all of them.
     pub site: Option<Arc<str>>,
-    /// Its state.
+    /// Whether the endpoint is ready, draining or removed.
     pub state: MemberState,
-    /// The list names it as the primary of its group.
+    /// Whether the list marks the endpoint as the primary of its group.
     pub listed_primary: bool,
-    /// Its size relative to others.
+    /// Capacity relative to other endpoints.
     pub weight: f64,
-    /// Its last start; `None` means long ago.
+    /// Time of the last start; `None` if the endpoint was started long ago.
     pub started_at: Option<Time>,
 }
 
-/// An update of the endpoint list: the complete list, or changes.
+/// An update to the endpoint list: either the complete list or only the changed entries.
 #[derive(Clone, Debug)]
 pub struct EndpointUpdate {
-    /// The list's version with this update applied.
+    /// Version of the list after this update.
     pub version: u64,
-    /// This is the complete list: endpoints that it lacks are gone.
+    /// Whether this is the complete list. Endpoints that are missing from a complete list have been removed.
     pub complete: bool,
-    /// The endpoints.
+    /// Entries of the update.
     pub endpoints: Vec<EndpointEntry>,
 }
 
-/// How an update follows the ones before it.
+/// How the version of an update relates to the versions of earlier updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum UpdateOrder {
-    /// No update is missing in between: a watch that resumes after its version misses nothing.
+    /// No updates were missed. A watch that resumes after this version misses nothing.
     #[default]
     Consecutive,
-    /// Updates may be missing before it. It is applied, but a watch still resumes from before it.
+    /// Earlier updates may have been missed. The update is applied, but a watch still resumes from the
+    /// version before the gap.
     AfterGap,
-    /// Its source has restarted its version numbers: the update is newer than the list whatever its version.
+    /// The source has restarted its version numbers, so the update is newer than the list regardless of its
+    /// version.
     VersionsRestarted,
 }
 
-/// Maintenance that operators have requested, applied on top of the endpoint list.
+/// Maintenance that operators have requested. It overrides the states in the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MaintenanceMask {
-    /// In maintenance: shown as draining while they are listed as ready.
+    /// IDs of endpoints in maintenance. They are treated as draining while they are listed as ready.
     pub in_maintenance: BTreeSet<String>,
-    /// Returned from maintenance at these times, perhaps after a restart that the list does not mention: warming up at
-    /// least from then on.
+    /// IDs of endpoints that returned from maintenance, with the time of the return. Such an endpoint may
+    /// have restarted without the list mentioning it, so its slow start begins no earlier than this time.
     pub restored_at: BTreeMap<String, Time>,
 }
 
 impl MaintenanceMask {
-    /// The endpoint as it is shown under this mask.
+    /// Returns the endpoint with this mask applied.
     pub(crate) fn apply(&self, endpoint: &EndpointEntry) -> EndpointEntry {
         let mut shown = endpoint.clone();
         if shown.state == MemberState::Ready && self.in_maintenance.contains(&shown.id) {
@@ -71,8 +74,8 @@
         shown
     }
 
-    /// The groups in which no listed endpoint is ready and at least one is in maintenance: requests need not wait for
-    /// an endpoint there.
+    /// Returns the groups that have no ready endpoint and at least one endpoint in maintenance. Requests for
+    /// these groups are rejected immediately instead of waiting for an endpoint.
     pub(crate) fn unavailable_groups(&self, listed: &BTreeMap<String, EndpointEntry>) -> BTreeSet<GroupId> {
         let in_maintenance = listed.values().filter(|e| self.in_maintenance.contains(&e.id));
         let mut groups: BTreeSet<GroupId> = in_maintenance.map(|e| e.group).collect();
--- a/routing/src/endpoints.rs
+++ b/routing/src/endpoints.rs
@@ -1,5 +1,5 @@
-//! The actor that owns the endpoint list: it applies complete lists and changes in order, applies the operators'
-//! maintenance mask to them, and forwards what has changed to the router actor.
+//! The endpoints actor owns the endpoint list. It applies complete lists and incremental updates in order,
+//! applies the operators' maintenance mask, and forwards changes to the router actor.
 mod actor;
 mod message;
 mod published;
@@ -19,10 +19,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The name of the actor's thread.
+/// Name of the thread that runs the endpoints actor.
 const THREAD_NAME: &str = "endpoints";
 
-/// Sends updates to the endpoint list. Copies reach the same list.
+/// Handle for sending updates to the endpoints actor. Clones refer to the same actor.
 #[derive(Clone)]
 pub struct EndpointsHandle {
     sender: Sender<EndpointsMessage>,
@@ -30,45 +30,47 @@
 }
 
 impl EndpointsHandle {
-    /// Sends an update that follows the ones before it; `false` if the program is ending.
+    /// Sends an update with [`UpdateOrder::Consecutive`]. Returns `false` if the program is shutting down.
     pub fn notify(&self, update: EndpointUpdate) -> bool {
         self.notify_ordered(UpdateOrder::Consecutive, update)
     }
 
-    /// Sends an update that follows the ones before it in this order; `false` if the program is ending.
+    /// Sends an update with the given order. Returns `false` if the program is shutting down.
     pub fn notify_ordered(&self, order: UpdateOrder, update: EndpointUpdate) -> bool {
         self.sender.send(EndpointsMessage::Update { update, order }).is_ok()
     }
 
-    /// Replaces the maintenance mask, for the current list and for all later updates; `false` if the program is ending.
+    /// Replaces the maintenance mask, which applies to the current list and to all later updates. Returns
+    /// `false` if the program is shutting down.
     pub fn set_maintenance(&self, mask: MaintenanceMask) -> bool {
         self.sender.send(EndpointsMessage::SetMaintenance(mask)).is_ok()
     }
 
-    /// Waits until everything sent before is applied and forwarded to the router actor: from then on
-    /// [`EndpointsHandle::ids`] shows it, and every later request is decided with it. Returns `false` after `timeout`, or
-    /// if the program is ending.
+    /// Waits until all earlier messages are applied and forwarded to the router actor. After that,
+    /// [`EndpointsHandle::ids`] includes them and every new request is routed by the updated list. Returns
+    /// `false` after `timeout` or if the program is shutting down.
     pub fn wait_until_applied(&self, timeout: Duration) -> bool {
         let (done_sender, done) = bounded(1);
         self.sender.send(EndpointsMessage::Barrier(done_sender)).is_ok() && done.recv_timeout(timeout).is_ok()
     }
 
-    /// The ids in the list. They are published together with the number of endpoints: a router without metrics shows none.
+    /// Returns the IDs of the listed endpoints. They are published only if the router has metrics; otherwise
+    /// the set is empty.
     pub fn ids(&self) -> BTreeSet<String> {
         self.published.ids()
     }
 
-    /// The version that a watch resumes from.
+    /// Returns the list version from which a watch resumes.
     pub fn version(&self) -> u64 {
         self.published.version()
     }
 }
 
-/// Starts the actor, which forwards updates to `router`. Starts that updates state are converted to the router's own
-/// clock.
+/// Starts the endpoints actor, which forwards updates to `router`. Endpoint start times in updates are
+/// converted to the router's own clock.
 ///
 /// # Errors
-/// Its thread could not be started.
+/// Returns the error of the operating system if the thread could not be started.
 pub fn start<P: BackendProtocol>(
     limits: &Limits,
     router: Sender<RouterMessage<P>>,
--- a/routing/src/endpoints/actor.rs
+++ b/routing/src/endpoints/actor.rs
@@ -1,4 +1,4 @@
-//! The endpoints actor: its state, its loop, and one handler for each message.
+//! The endpoints actor: its state, main loop and message handlers.
 use super::message::EndpointsMessage;
 use super::published::Published;
 use crate::endpoint::{EndpointEntry, EndpointUpdate, MaintenanceMask, UpdateOrder};
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The router actor has ended, and with it the program.
+/// The router actor has stopped, because the program is shutting down.
 struct RouterEnded;
 
 impl<T> From<SendError<T>> for RouterEnded {
@@ -24,20 +24,21 @@
     router: Sender<RouterMessage<P>>,
     published: Published,
     metrics: Option<Arc<Metrics>>,
-    /// The endpoints by id, as listed.
+    /// Listed endpoints by ID, before the maintenance mask is applied.
     listed: BTreeMap<String, EndpointEntry>,
     mask: MaintenanceMask,
-    /// Versions of endpoints that an update after a gap has brought ahead of the published version.
+    /// Versions of endpoints that were updated after a gap and are therefore newer than the published
+    /// version.
     ahead: BTreeMap<String, u64>,
-    /// The groups that the router actor was last notified of as unavailable.
+    /// Unavailable groups in the last notification to the router actor.
     unavailable_groups: BTreeSet<GroupId>,
     wall_clock: WallClock,
-    /// The last start that each endpoint has stated, by id. It is converted once: later steps of the wall clock do not
-    /// change the result.
+    /// Last reported start of each endpoint, by ID. It is converted only once, so that later steps of the
+    /// wall clock do not change the result.
     starts: BTreeMap<String, StatedStart>,
 }
 
-/// A start as stated, and as converted to the router's own clock.
+/// Start time as reported, and as converted to the router's clock.
 #[derive(Clone, Copy)]
 struct StatedStart {
     stated: Time,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Replaces the mask and forwards the endpoints that it changes.
+    /// Replaces the maintenance mask and forwards the endpoints that are affected.
     fn set_maintenance(&mut self, mask: MaintenanceMask) -> Result<(), RouterEnded> {
         let old = std::mem::replace(&mut self.mask, mask);
         let changed = self.listed.values().filter(|e| old.apply(e) != self.mask.apply(e));
@@ -103,7 +104,7 @@
             self.published.set_version(update.version);
         }
         if let Some(metrics) = &self.metrics {
-            // Only the admin address needs the ids.
+            // The IDs are only needed by the admin address.
             self.published.set_ids(self.listed.keys().cloned().collect());
             metrics.endpoints.set(self.listed.len() as i64);
         }
@@ -113,12 +114,12 @@
         let EndpointUpdate { version, complete, .. } = update;
         self.forward(update)?;
         let ready = self.listed.values().filter(|e| e.state == MemberState::Ready).count();
-        // Every request after this line is decided with the update.
+        // Every request submitted after this log line is routed by the updated list.
         tracing::info!(version, endpoints = self.listed.len(), ready, complete, "endpoint list applied");
         Ok(())
     }
 
-    /// Converts stated starts to the router's own clock.
+    /// Converts reported start times to the router's clock.
     fn convert_starts(&mut self, update: &mut EndpointUpdate) {
         if update.complete {
             let listed: BTreeSet<&str> = update.endpoints.iter().map(|e| e.id.as_str()).collect();
@@ -137,16 +138,18 @@
         }
     }
 
-    /// Whether the update was applied before and is repeated by a watch that was reopened.
+    /// Returns whether the update was already applied and is repeated by a reopened watch.
     fn is_stale(&self, update: &EndpointUpdate, order: UpdateOrder) -> bool {
         let may_be_older = !update.complete && order != UpdateOrder::VersionsRestarted;
         may_be_older && update.version < self.published.version()
     }
 
-    /// Applies an update to the list, and drops the endpoints from it that the list has in a newer version.
+    /// Applies an update to the list, and drops the entries from the update for which the list has a newer
+    /// version.
     fn apply(&mut self, update: &mut EndpointUpdate, order: UpdateOrder) {
         if update.complete {
-            // A complete list replaces the current one even if its version is lower: discovery has restarted.
+            // A complete list replaces the current one even if its version is lower, because discovery may
+            // have restarted.
             self.listed = update.endpoints.iter().map(|e| (e.id.clone(), e.clone())).collect();
             self.ahead.clear();
             return;
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Drops the endpoints from an update that an update after a gap has already brought in a newer version.
+    /// Drops the entries for which an update after a gap already contained a newer version.
     fn drop_superseded(&mut self, update: &mut EndpointUpdate, order: UpdateOrder) {
         let version = update.version;
         update.endpoints.retain(|e| self.ahead.get(&e.id).is_none_or(|newer| version >= *newer));
@@ -176,8 +179,8 @@
         }
     }
 
-    /// Forwards which groups are unavailable, if that has changed, and then the update it follows from: once the update
-    /// is applied, requests for these groups are rejected.
+    /// Forwards the unavailable groups, if they have changed, and then the update itself. Requests for these
+    /// groups are rejected from the time at which the update is applied.
     fn forward(&mut self, update: EndpointUpdate) -> Result<(), RouterEnded> {
         let groups = self.mask.unavailable_groups(&self.listed);
         if groups != self.unavailable_groups {
--- a/routing/src/endpoints/message.rs
+++ b/routing/src/endpoints/message.rs
@@ -1,18 +1,18 @@
-//! The messages to the endpoints actor.
+//! Messages to the endpoints actor.
 use crate::endpoint::{EndpointUpdate, MaintenanceMask, UpdateOrder};
 use crossbeam_channel::Sender;
 
-/// The messages to the endpoints actor.
+/// Messages to the endpoints actor.
 pub(super) enum EndpointsMessage {
     /// An update of the endpoint list.
     Update {
-        /// The update.
+        /// The changed entries or the complete list.
         update: EndpointUpdate,
-        /// How it follows the ones before it.
+        /// Order of the update relative to earlier updates.
         order: UpdateOrder,
     },
-    /// A new maintenance mask, which replaces the one before.
+    /// Replaces the maintenance mask.
     SetMaintenance(MaintenanceMask),
-    /// Answered once everything before it has been forwarded.
+    /// Sends a notification once all earlier messages have been forwarded.
     Barrier(Sender<()>),
 }
--- a/routing/src/endpoints/published.rs
+++ b/routing/src/endpoints/published.rs
@@ -1,9 +1,9 @@
-//! The version and ids of the endpoint list, which other threads read without a message to the actor.
+//! Version and IDs of the endpoint list, which other threads read without sending a message to the actor.
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The state that the actor publishes for other threads.
+/// State that the endpoints actor publishes to other threads.
 #[derive(Clone, Default)]
 pub(super) struct Published {
     version: Arc<AtomicU64>,
--- a/routing/src/final_response.rs
+++ b/routing/src/final_response.rs
@@ -6,14 +6,16 @@
 /// The one final response of a request.
 #[derive(Debug)]
 pub enum FinalResponse<R> {
-    /// An endpoint's response; for a write also the time of its commit, if known.
+    /// The response of an endpoint, and for a write the commit time, if known.
     Served(R, Option<Time>),
-    /// Not served, and its client may safely retry it, after this time if one is given.
+    /// The request was not served, and the client may safely retry it, after this time if one is given.
     Rejected(Option<Duration>),
-    /// Not served, and it may have run; the outcome of its last attempt, if it had one.
+    /// The request was not served but may have run. Contains the outcome of the last attempt, if there was
+    /// one.
     Failed(Option<Outcome>),
-    /// Not served: its tenant's placement rules allow no endpoint that could serve it. Nothing ran.
+    /// The request was not served because the tenant's placement rules allow no endpoint that could serve it.
+    /// Nothing has run.
     PlacementDenied(PlacementError),
-    /// Cancelled by its client; what had started by then may have run.
+    /// The client cancelled the request. Attempts that had already started may have run.
     Cancelled,
 }
--- a/routing/src/idle_connection.rs
+++ b/routing/src/idle_connection.rs
@@ -1,27 +1,27 @@
-//! Idle connections, and the count of all connections, which the limit applies to.
+//! Idle connections, and the count of all connections that the connection limit applies to.
 use crate::protocol::BackendProtocol;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// A connection without an exchange, and so without a thread.
+/// A connection that is not running an exchange and therefore has no thread.
 pub(crate) struct IdleConnection<P: BackendProtocol> {
-    /// The connection; `None` where it is still to be opened.
+    /// The connection; `None` if it has not been opened yet.
     pub(crate) connection: Option<P::Connection>,
-    /// Since its last response.
+    /// Time of the last response on the connection.
     pub(crate) since: Instant,
-    /// Counts it among all connections.
+    /// Slot of the connection in the total count.
     pub(crate) slot: ConnectionSlot,
 }
 
 impl<P: BackendProtocol> IdleConnection<P> {
-    /// How long it has been idle.
+    /// Returns how long the connection has been idle.
     pub(crate) fn idle_for(&self) -> Duration {
         self.since.elapsed()
     }
 }
 
-/// The number of connections of all backends together, open or being opened. Copies share one count.
+/// Number of open or opening connections of all backends. Clones share one count.
 #[derive(Clone, Default)]
 pub(crate) struct ConnectionCount(Arc<AtomicUsize>);
 
@@ -32,20 +32,20 @@
         AcquiredSlot { open_before, slot: ConnectionSlot(self.clone()) }
     }
 
-    /// Replaces a number of places set aside for other processes by another.
+    /// Replaces the number of connections that are reserved for other processes.
     pub(crate) fn replace_reserved(&self, old: usize, new: usize) {
         self.0.fetch_add(new, Ordering::Relaxed);
         self.0.fetch_sub(old, Ordering::Relaxed);
     }
 }
 
-/// A slot, and the number of connections that were open before it.
+/// A connection slot, and the number of connections that were open before it was acquired.
 pub(crate) struct AcquiredSlot {
     pub(crate) open_before: usize,
     pub(crate) slot: ConnectionSlot,
 }
 
-/// Counts a connection until it is dropped.
+/// Counts one connection until it is dropped.
 pub(crate) struct ConnectionSlot(ConnectionCount);
 
 impl Drop for ConnectionSlot {
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -1,20 +1,22 @@
-//! The core of the router: requests arrive, attempts are sent to endpoints, their outcomes are handled, and each request
-//! gets one final response. The core is independent of the wire protocol: a [`BackendProtocol`] opens connections to
-//! endpoints and carries one exchange at a time on each.
+//! The protocol-independent core of the router. It accepts client requests, sends attempts to endpoints,
+//! handles the outcomes of the attempts, and sends one final response per request. A [`BackendProtocol`]
+//! implementation opens the connections to endpoints and runs one exchange at a time on each of them.
 //!
-//! Three kinds of actors, each a thread with a bounded mailbox:
+//! The core consists of three actors. Each runs on its own thread and has a bounded mailbox:
 //!
-//! - the *router actor* owns the decisions, the clock and the timers, and gives each request its final response
-//!   ([`RouterBuilder`], [`RouterHandle`]);
-//! - the [*endpoints actor*](endpoints) holds the endpoint list and passes updates on to the router actor
+//! - the *router actor* owns the decision state machine ([`decision::Router`]), the clock and the timers, and
+//!   sends each request its final response ([`RouterBuilder`], [`RouterHandle`]);
+//! - the [*endpoints actor*](endpoints) stores the endpoint list and forwards updates to the router actor
 //!   ([`EndpointsHandle`]);
-//! - the *backends actor* owns the connections to the endpoints; an exchange runs on a thread of its own.
+//! - the *backends actor* owns the connections to endpoints. Each exchange runs on a separate thread.
 //!
-//! Everything that is sent, repeated, closed or answered needs a permit of [`permit`]; [`observer`] checks the same
-//! promises a second time, from the transitions that requests have made.
+//! Writing to a server, retrying an attempt, closing a client connection and sending a final response each
+//! require a permit from [`permit`]. Independently, [`observer`] checks the same invariants at run time,
+//! using only the recorded state transitions of requests.
 //!
-//! The actors can't deadlock, since the router actor never waits for the backends actor. What must not be lost when that
-//! actor's mailbox is full is shared state, [`AttemptGuard`] and [`EndpointState`], which is read right before an
+//! The actors cannot deadlock, because the router actor never blocks on the backends actor. A command to the
+//! backends actor may be dropped when its mailbox is full. Information that must not be lost is therefore
+//! stored in shared state ([`AttemptGuard`] and [`EndpointState`]), which is read immediately before an
 //! exchange starts.
 mod attempt_id;
 mod backends;
--- a/routing/src/messages.rs
+++ b/routing/src/messages.rs
@@ -1,4 +1,5 @@
-//! The messages between the core's actors. The actors depend on this file and not on each other's insides.
+//! Messages between the actors of the core. The actors depend on these types and not on each other's
+//! implementation.
 use crate::attempt_id::AttemptId;
 use crate::endpoint::EndpointUpdate;
 use crate::idle_connection::IdleConnection;
@@ -13,108 +14,110 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The messages to the router actor.
+/// Messages to the router actor.
 pub enum RouterMessage<P: BackendProtocol> {
-    /// A request has arrived.
+    /// A request was submitted by a protocol front end.
     RequestArrived {
-        /// Its id.
+        /// ID that was assigned to the request.
         id: RequestId,
-        /// The request.
+        /// The submitted request.
         request: ClientRequest<P>,
     },
     /// The client of this request has disconnected.
     ClientDisconnected(RequestId),
-    /// The client has cancelled this request and waits for its final response.
+    /// The client has cancelled this request and is waiting for the final response.
     RequestCancelled(RequestId),
     /// An attempt has ended.
     AttemptEnded {
-        /// Which attempt.
+        /// ID of the attempt.
         attempt: AttemptId,
-        /// The endpoint's own member.
+        /// Canonical member ID of the endpoint.
         member: MemberId,
-        /// How it ended.
+        /// Outcome of the exchange.
         result: ExchangeResult<P::Response>,
     },
     /// A probe has ended.
     ProbeEnded {
-        /// The endpoint's own member.
+        /// Canonical member ID of the endpoint.
         member: MemberId,
-        /// How it ended.
+        /// Outcome of the exchange.
         outcome: Outcome,
-        /// What the endpoint reported.
+        /// Load report returned by the probe.
         report: MemberReport,
     },
-    /// The number of connections to endpoints is close to its limit.
+    /// The number of backend connections is close to its limit.
     ConnectionsNearLimit {
-        /// Idle connections that each endpoint may keep.
+        /// Maximum number of idle connections to retain per endpoint.
         max_idle: usize,
     },
-    /// An update of the endpoint list.
+    /// The endpoint list has changed.
     Endpoints(EndpointUpdate),
-    /// No endpoint of these groups is available, at least partly because of maintenance: requests for them are rejected
-    /// at once.
+    /// Groups without an available endpoint, of which at least one is in maintenance. Requests for these
+    /// groups are rejected immediately.
     UnavailableGroups(BTreeSet<GroupId>),
-    /// This many processes serve as this router and share its capacity.
+    /// Number of processes that run as this router and share its capacity.
     ProcessCount(u32),
-    /// An update of where tenants' data may be.
+    /// The tenants' placement rules have changed or were confirmed.
     Placement(placement::RulesUpdate),
-    /// This many routers share the endpoints, this one included.
+    /// Number of routers that share the capacity of the endpoints, including this one.
     RouterCount(u32),
 }
 
-/// The id of a backend, which is never reused: an endpoint that is listed under another address keeps its member id,
-/// but gets a new backend.
+/// Identifies a backend. IDs are never reused. An endpoint whose address changes retains its member ID but
+/// gets a new backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct BackendId(pub(crate) u64);
 
-/// A command with the backend that it is for.
+/// A command together with the ID of the backend that it is addressed to.
 pub(crate) struct AddressedCommand<P: BackendProtocol> {
     pub(crate) backend: BackendId,
     pub(crate) command: BackendCommand<P>,
 }
 
-/// The mailbox of the backends' actor.
+/// Sender to the mailbox of the backends actor.
 pub(crate) type BackendSender<P> = Sender<AddressedCommand<P>>;
 
-/// The commands to a backend.
+/// Commands to a backend.
 ///
-/// A full mailbox may lose a command that has no effect of its own or whose failure the sender answers for: whether an
-/// exchange may start is read from its [`AttemptGuard`] and the [`EndpointState`].
+/// A command may be lost when the mailbox is full. This is safe for commands that only trigger work early,
+/// and for commands whose sender handles the failure. Whether an exchange may start is determined by its
+/// [`AttemptGuard`] and the [`EndpointState`], not by the order of commands.
 pub(crate) enum BackendCommand<P: BackendProtocol> {
-    /// Create the backend.
+    /// Create the backend of an endpoint.
     Create {
-        /// The endpoint's own member.
+        /// Canonical member ID of the endpoint.
         member: MemberId,
-        /// Where the endpoint listens.
+        /// Address of the endpoint.
         addr: SocketAddr,
-        /// Whether the endpoint accepts exchanges, from now on.
+        /// Shared state that specifies whether the endpoint accepts new exchanges.
         state: EndpointState,
     },
-    /// Carry an attempt, unless its guard forbids it.
+    /// Execute an attempt, unless its guard forbids that.
     Attempt {
-        /// Which attempt.
+        /// ID of the attempt.
         attempt: AttemptId,
-        /// What to send.
+        /// Request payload to send to the endpoint.
         payload: Arc<P::Payload>,
-        /// The router stops waiting for it at this moment.
+        /// Time at which the router stops waiting for the response.
         deadline: Instant,
-        /// Cancels it.
+        /// Permits the steps of the attempt and cancels it.
         guard: AttemptGuard,
     },
-    /// Ask the endpoint for its load report.
+    /// Send a probe to the endpoint to request its load report.
     Probe,
-    /// The endpoint is out of service: close its idle connections. If this is lost, the next periodic check does so.
+    /// Close all idle connections, because the endpoint is out of service. If this command is lost, the next
+    /// periodic check closes them.
     CloseIdle,
-    /// The process is near its limit of connections: close idle ones.
+    /// Close surplus idle connections, because the process is near its connection limit.
     TrimIdle {
-        /// The number to keep; the most recently used ones stay.
+        /// Maximum number of idle connections to retain. The most recently used ones are retained.
         max_idle: usize,
     },
-    /// The router actor does not need the backend any more.
+    /// Remove the backend, which the router actor no longer uses.
     Remove,
-    /// An exchange has ended.
+    /// An exchange of this backend has ended.
     ExchangeEnded {
-        /// Its connection, if that can carry another exchange.
+        /// The connection of the exchange if it can be reused.
         connection: Option<IdleConnection<P>>,
     },
 }
--- a/routing/src/metrics.rs
+++ b/routing/src/metrics.rs
@@ -1,8 +1,7 @@
-//! The router's metrics, by class and as a whole.
+//! Metrics of the router, by request class and in total.
 //!
-//! The code that counts holds the counter itself, an atomic number: rendering reads the counters and never delays a
-//! request.
-//! A router without an admin address has no metrics and counts nothing.
+//! The counting code owns atomic counters, so rendering the metrics never delays a request. A router without
+//! an admin address has no metrics and counts nothing.
 mod reasons;
 
 pub use reasons::ReasonCounters;
@@ -13,38 +12,40 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// The counters of one request class. Each request counts exactly once in one of `served`, `rejected` and `failed`.
+/// Counters of one request class. Each request is counted exactly once in `served`, `rejected` or `failed`.
 pub struct ClassMetrics {
-    /// Requests served before their deadline; rendered as `answered`.
+    /// Requests that were served before their deadline; rendered as `answered`.
     pub served: IntCounter,
-    /// Requests rejected, which their clients may safely retry; rendered as `deferred`.
+    /// Requests that were rejected and may be retried safely; rendered as `deferred`.
     pub rejected: IntCounter,
-    /// Requests that failed, were cancelled or finished after their deadline; rendered as `errored`.
+    /// Requests that failed, were cancelled or ended after their deadline; rendered as `errored`.
     pub failed: IntCounter,
-    /// Attempts completely written to an endpoint; rendered as `sends`.
+    /// Attempts that were completely written to an endpoint; rendered as `sends`.
     pub attempts_sent: IntCounter,
 }
 
-/// All metrics of one router.
+/// All metrics of a router.
 pub struct Metrics {
-    /// By class, in the order of the settings.
+    /// Counters by request class, in the order of the settings.
     pub classes: Vec<ClassMetrics>,
-    /// Requests accepted and not finished yet; rendered as `current`.
+    /// Requests that were accepted and have not ended; rendered as `current`.
     pub requests_in_progress: IntGauge,
-    /// Endpoints in the list; rendered as `cluster_size`.
+    /// Number of listed endpoints; rendered as `cluster_size`.
     pub endpoints: IntGauge,
-    /// Listed endpoints that get no new requests now, by maintenance or by decision; rendered as `cluster_unhealthy`.
+    /// Number of listed endpoints that get no new requests, because of maintenance or a decision of the
+    /// router; rendered as `cluster_unhealthy`.
     pub unhealthy_endpoints: IntGauge,
-    /// Counters by reason, for `/metrics`.
+    /// Counters by reason, exported at `/metrics`.
     pub reasons: ReasonCounters,
     families: Vec<(&'static str, IntCounterVec)>,
 }
 
 impl Metrics {
-    /// Metrics for these classes, all zero.
+    /// Creates the metrics for these request classes with all values at 0.
     ///
     /// # Errors
-    /// If the metrics library rejects a name; it rejects none of those used here.
+    /// Returns an error if the metrics library rejects a metric name, which does not happen for the names
+    /// used here.
     pub fn new(classes: &[String]) -> prometheus::Result<Arc<Metrics>> {
         let family =
             |name: &'static str| IntCounterVec::new(Opts::new(name, name), &["class"]).map(|vec| (name, vec));
@@ -69,14 +70,14 @@
         }))
     }
 
-    /// One metric a line: `router.transactions.CLASS.NAME=N` and `router.NAME=N`.
+    /// Renders one metric per line, in the forms `router.transactions.CLASS.NAME=N` and `router.NAME=N`.
     pub fn render_text(&self) -> String {
         let mut text = String::new();
         for (name, family) in &self.families {
             for metric in family.collect().iter().flat_map(MetricFamily::get_metric) {
                 let class = metric.get_label().first().map_or("", |label| label.value());
                 let value = metric.get_counter().get_value() as u64;
-                // Writing to a String does not fail.
+                // Writing to a `String` cannot fail.
                 _ = writeln!(text, "router.transactions.{class}.{name}={value}");
             }
         }
@@ -87,10 +88,10 @@
         text
     }
 
-    /// All metrics in the text format of Prometheus, for `/metrics` of the admin address.
+    /// Renders all metrics in the Prometheus text format, for `/metrics` at the admin address.
     ///
     /// # Errors
-    /// If the metrics library can't encode them.
+    /// Returns an error if the metrics library cannot encode the metrics.
     pub fn render_prometheus(&self) -> prometheus::Result<String> {
         let mut families: Vec<MetricFamily> = Vec::new();
         self.families.iter().for_each(|(_, family)| families.extend(family.collect()));
--- a/routing/src/metrics/reasons.rs
+++ b/routing/src/metrics/reasons.rs
@@ -1,33 +1,36 @@
-//! Counters by reason: why requests were rejected, failed, retried or dropped, why something was denied, why connections
-//! were closed, and which invariants were violated.
+//! Prometheus counters with a label for the reason: rejected, failed, retried and dropped requests, denied
+//! permits, closed connections and violated invariants.
 use crate::observer::Invariant;
 use crate::permit::Denial;
 use crate::reasons::{CloseReason, EndReason, OUTCOMES, outcome_name};
 use prometheus::{IntCounterVec, Opts};
 
-/// A counter for each reason of each kind.
+/// One family of counters for each kind of event, labelled by reason.
 pub struct ReasonCounters {
-    /// `rejected_total`: requests rejected.
+    /// `rejected_total`: requests that were rejected.
     pub rejected: IntCounterVec,
-    /// `failed_total`: requests failed.
+    /// `failed_total`: requests that failed.
     pub failed: IntCounterVec,
-    /// `retried_total`: attempts after the first, by how the one before ended.
+    /// `retried_total`: attempts after the first, by the outcome of the previous attempt.
     pub retried: IntCounterVec,
-    /// `dropped_total`: requests whose clients no longer waited for a response.
+    /// `dropped_total`: requests whose client cancelled or disconnected before the response.
     pub dropped: IntCounterVec,
-    /// `denied_total`: attempts that were not permitted.
+    /// `denied_total`: attempts whose permit was denied.
     pub denied: IntCounterVec,
-    /// `closed_total`: client connections closed.
+    /// `closed_total`: client connections that were closed.
     pub closed: IntCounterVec,
-    /// `invariant_violations_total`: violations that the observer found. Anything but 0 is a fault in the program.
+    /// `invariant_violations_total`: invariant violations found by the observer. Any value other than 0
+    /// indicates a bug in the router.
     pub invariant_violations: IntCounterVec,
 }
 
 impl ReasonCounters {
-    /// All at zero, with a line for each reason.
+    /// Creates all counters with the value 0 for each known reason, so that every series is exported from the
+    /// start.
     ///
     /// # Errors
-    /// If the metrics library rejects a name; it rejects none of those used here.
+    /// Returns an error if the metrics library rejects a metric name, which does not happen for the names
+    /// used here.
     pub(super) fn new() -> prometheus::Result<ReasonCounters> {
         let counters = ReasonCounters {
             rejected: counter("rejected_total", "Requests rejected, by reason.", "reason")?,
--- a/routing/src/observer.rs
+++ b/routing/src/observer.rs
@@ -1,11 +1,11 @@
-//! Checks the promises that requests are given a second time, from the transitions of each open request alone.
+//! Run-time check of the invariants of request handling. It uses only the transitions of each open request.
 //!
-//! The observer decides nothing and knows neither the decisions nor the permits. It is notified when a request was
-//! accepted, when each attempt was dispatched and ended, and how the request ended. A transition that breaks a promise
-//! gives a [`Violation`]. Its memory is bounded: while [`MAX_TRACKED`] requests are open, further ones are counted but
-//! not checked.
+//! The observer makes no decisions and has no access to the decision state machine or to permits. It is
+//! notified when a request is accepted, when each attempt is dispatched and ends, and when the request ends.
+//! A transition that breaks an invariant results in a [`Violation`]. Memory use is bounded: while
+//! [`MAX_TRACKED`] requests are tracked, further requests are counted but not checked.
 //!
-//! No I/O, no clock, no threads.
+//! The observer does no I/O, reads no clock and starts no threads.
 mod checker;
 mod invariant;
 mod trace;
--- a/routing/src/observer/checker.rs
+++ b/routing/src/observer/checker.rs
@@ -1,4 +1,4 @@
-//! The observer itself: the open requests, and which check each transition gets.
+//! The observer: tracks open requests and checks each of their transitions.
 use super::invariant::{Invariant, Violation};
 use super::trace::{Finding, RequestTrace};
 use super::transition::Transition;
@@ -6,41 +6,41 @@
 use decision::{Micros, RequestId, Time};
 use std::collections::{BTreeSet, HashMap};
 
-/// Open requests that are tracked at a time.
+/// Maximum number of requests that are tracked at the same time.
 pub const MAX_TRACKED: usize = 16_384;
-/// A request that is still open this long after its deadline was forgotten.
+/// A request that is still open this long after its deadline is reported as [`Invariant::RequestForgotten`].
 const FORGOTTEN_AFTER: Micros = 1_000_000;
 
-/// Checks transitions against the promises.
+/// Checks the transitions of requests against the invariants.
 #[derive(Debug)]
 pub struct Observer {
-    /// By class.
+    /// Repeat rules by request class.
     rules: Vec<RepeatRule>,
     drain_grace: Micros,
     requests: HashMap<RequestId, RequestTrace>,
-    /// Requests that have not ended, by their deadlines.
+    /// Requests that have not ended, ordered by deadline.
     open: BTreeSet<(Time, RequestId)>,
     untracked: u64,
 }
 
 impl Observer {
-    /// An observer of requests whose class is an index into `rules`. No exchange with an endpoint may begin later than
-    /// `drain_grace` (microseconds) after the endpoint left service.
+    /// Creates an observer. The class of a request is an index into `rules`. No exchange with an endpoint may
+    /// start later than `drain_grace` microseconds after the endpoint went out of service.
     pub fn new(rules: Vec<RepeatRule>, drain_grace: Micros) -> Observer {
         Observer { rules, drain_grace, requests: HashMap::new(), open: BTreeSet::new(), untracked: 0 }
     }
 
-    /// The number of requests that are tracked.
+    /// Returns the number of requests that are currently tracked.
     pub fn tracked(&self) -> usize {
         self.requests.len()
     }
 
-    /// The number of requests that were not tracked, since [`MAX_TRACKED`] others were open.
+    /// Returns the number of requests that were not tracked because [`MAX_TRACKED`] others were.
     pub fn untracked(&self) -> u64 {
         self.untracked
     }
 
-    /// Checks a transition that a request has made at `now`; violations are added to `violations`.
+    /// Checks a transition that a request made at `now`, and appends any violations to `violations`.
     pub fn observe(
         &mut self,
         now: Time,
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Looks for requests that were never ended; each is reported once.
+    /// Appends a violation for each request that is still open 1 s after its deadline. Each request is
+    /// reported once.
     pub fn find_forgotten(&mut self, now: Time, violations: &mut Vec<Violation>) {
         while let Some((deadline, request)) = self.open.first().copied()
             && now.0 > deadline.0.saturating_add(FORGOTTEN_AFTER)
@@ -90,7 +91,7 @@
         self.requests.insert(request, RequestTrace::new(class, deadline));
     }
 
-    /// Runs a check on a tracked request.
+    /// Runs a check on a request, if it is tracked.
     fn check(
         &mut self,
         request: RequestId,
--- a/routing/src/observer/invariant.rs
+++ b/routing/src/observer/invariant.rs
@@ -1,29 +1,30 @@
-//! The invariants, and what is reported where one is violated.
+//! The invariants that the observer checks, and the report of a violation.
 use decision::RequestId;
 
-/// A promise that is checked at run time. The names are a closed set, which the log and the counter
-/// `damsonvale_invariant_violations_total` use.
+/// An invariant that is checked at run time. The names are a closed set that is used in the log and in the
+/// counter `damsonvale_invariant_violations_total`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Invariant {
-    /// A request ends once.
+    /// A request ends exactly once.
     OneFinalResponse,
-    /// The final response is given by the deadline, with half a second of slack.
+    /// The final response is sent no later than 0.5 s after the deadline.
     ResponseInTime,
-    /// No request stays open for a second after its deadline.
+    /// No request is still open 1 s after its deadline.
     RequestForgotten,
-    /// No attempt begins 0.1 s or more after its request has ended.
+    /// No attempt starts more than 0.1 s after its request has ended.
     StartAfterEnd,
-    /// A request that must not run twice is not sent again once it may have run.
+    /// A request that is not idempotent is not sent again after an attempt that may have run.
     UnsafeRepeat,
-    /// A retry begins within the deduplication window of its class.
+    /// A retry starts within the deduplication window of its class.
     RepeatWindow,
-    /// One attempt of a request is in flight at a time, where no two may be.
+    /// At most one attempt of a request is in flight if hedging is not allowed.
     OneAttemptInFlight,
-    /// A rejected request has not run, unless running it again does no harm.
+    /// A rejected request has not run, unless running it again is harmless.
     HarmlessRejection,
-    /// No attempt begins at an endpoint later than the grace period after it left service.
+    /// No attempt starts at an endpoint later than the drain grace period after the endpoint went out of
+    /// service.
     Drain,
-    /// A server gets no later deadline than the client's, with 0.15 s of slack.
+    /// The deadline sent to a server is at most 0.15 s later than the client's deadline.
     ServerDeadline,
 }
 
@@ -42,7 +43,7 @@
         Invariant::ServerDeadline,
     ];
 
-    /// The name in the log and in metrics.
+    /// Returns the name that is used in the log and in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::OneFinalResponse => "one_final_response",
@@ -58,20 +59,20 @@
         }
     }
 
-    /// Whether a process that was stopped for a while, or got no processor time, may violate it without a fault in the
-    /// program.
+    /// Returns whether the invariant may be violated without a bug in the router, because the process was
+    /// suspended or got no CPU time.
     pub fn depends_on_scheduling(self) -> bool {
         matches!(self, Invariant::ResponseInTime | Invariant::RequestForgotten | Invariant::RepeatWindow)
     }
 }
 
-/// An invariant that was violated.
+/// A violation of an invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The invariant.
+    /// Invariant that was violated.
     pub invariant: Invariant,
-    /// The request.
+    /// ID of the request that violated the invariant.
     pub request: RequestId,
-    /// The attempt, where it concerns one.
+    /// Number of the attempt, if the violation concerns a particular attempt.
     pub attempt: Option<u32>,
 }
--- a/routing/src/observer/trace.rs
+++ b/routing/src/observer/trace.rs
@@ -1,21 +1,22 @@
-//! The record of one open request, and the checks of its transitions.
+//! The observer's record of an open request, and the checks of its transitions.
 use super::invariant::Invariant;
 use super::transition::{AttemptEnd, Ending};
 use crate::permit::RepeatRule;
 use decision::{Idempotency, Micros, Outcome, Time};
 
-/// A final response later than this after the deadline breaks its promise.
+/// Maximum time between the deadline and the final response of a request.
 const RESPONSE_SLACK: Micros = 500_000;
-/// An attempt that begins later than this after its request has ended breaks its promise.
+/// Maximum time between the end of a request and the start of an attempt.
 const START_SLACK: Micros = 100_000;
-/// The operating system may suspend the process for this long between reading its clock and writing.
+/// Time for which the operating system may suspend the process between reading the clock and writing to a
+/// socket.
 const SCHEDULING_SLACK: Micros = 150_000;
 
-/// A broken promise of a known request.
+/// A violated invariant of a request that the caller knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Finding {
     pub(super) invariant: Invariant,
-    /// The attempt, where it concerns one.
+    /// Number of the attempt, if the violation concerns a particular attempt.
     pub(super) attempt: Option<u32>,
 }
 
@@ -29,13 +30,13 @@
     }
 }
 
-/// The record of an attempt.
+/// The observer's record of an attempt.
 #[derive(Clone, Copy, Debug)]
 struct AttemptTrace {
     number: u32,
     permitted_at: Option<Time>,
     sent: bool,
-    /// `None` while it is in flight.
+    /// Outcome of the attempt; `None` while it is in flight.
     outcome: Option<Outcome>,
 }
 
@@ -58,7 +59,7 @@
     }
 }
 
-/// The record of a request.
+/// The observer's record of a request.
 #[derive(Debug)]
 pub(super) struct RequestTrace {
     pub(super) class: usize,
@@ -72,12 +73,12 @@
         RequestTrace { class, deadline, ended_at: None, attempts: Vec::new() }
     }
 
-    /// Whether nothing more can happen to the request.
+    /// Returns whether the request and all of its attempts have ended.
     pub(super) fn is_over(&self) -> bool {
         self.ended_at.is_some() && self.attempts.iter().all(|attempt| attempt.outcome.is_some())
     }
 
-    /// Checks and records that an attempt was dispatched whose server gets `deadline`.
+    /// Checks and records the dispatch of an attempt. `deadline` is the deadline that is sent to the server.
     pub(super) fn attempt_dispatched(
         &mut self,
         number: u32,
@@ -95,7 +96,7 @@
         findings
     }
 
-    /// Checks and records that an attempt has ended.
+    /// Checks and records the end of an attempt.
     pub(super) fn attempt_ended(
         &mut self,
         end: &AttemptEnd,
@@ -110,7 +111,7 @@
         findings.unwrap_or_default()
     }
 
-    /// Whether an attempt that was sent was allowed to start when it did.
+    /// Checks whether an attempt that was sent was allowed to start at that time.
     fn check_start(
         &self,
         end: &AttemptEnd,
@@ -131,7 +132,8 @@
         findings
     }
 
-    /// Whether an attempt that was sent may follow the ones before it; the invariant that it breaks if not.
+    /// Checks whether an attempt that was sent was allowed after the earlier attempts. Returns the violated
+    /// invariant if not.
     fn check_repeat(&self, number: u32, permitted_at: Time, rule: RepeatRule) -> Option<Invariant> {
         let earlier = self.attempts.iter().filter(|attempt| attempt.number < number);
         let may_have_run = earlier.filter(|attempt| attempt.may_have_run());
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Checks and records that the request has ended.
+    /// Checks and records the end of the request.
     pub(super) fn ended(&mut self, now: Time, ending: Ending, rule: RepeatRule) -> Vec<Finding> {
         if self.ended_at.is_some() {
             return vec![Finding::of_request(Invariant::OneFinalResponse)];
@@ -165,7 +167,7 @@
         findings
     }
 
-    /// Whether a rejected request may be retried by its client without harm.
+    /// Checks whether the client can safely retry a rejected request.
     fn check_rejection(&self, rule: RepeatRule) -> Option<Finding> {
         let harmless =
             matches!(rule.idempotency, Idempotency::Idempotent | Idempotency::DeduplicatedEverywhere(_));
--- a/routing/src/observer/transition.rs
+++ b/routing/src/observer/transition.rs
@@ -1,23 +1,23 @@
-//! The transitions of a request that the observer is notified of, from its arrival to its end.
+//! Transitions of a request that are reported to the observer.
 use decision::{Outcome, Time};
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// With a server's response.
+    /// The request ended with a server's response.
     Served,
-    /// Rejected: its client may safely retry.
+    /// The request was rejected, so the client may safely retry it.
     Rejected,
-    /// Failed: it may have run.
+    /// The request failed and may have run.
     Failed,
-    /// Cancelled by its client.
+    /// The client cancelled the request.
     Cancelled,
-    /// Without a response: its client has disconnected.
+    /// The client disconnected before the response.
     ClientDisconnected,
 }
 
 impl Ending {
-    /// The name in log lines.
+    /// Returns the name that is used in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Ending::Served => "served",
@@ -29,36 +29,36 @@
     }
 }
 
-/// The end of an attempt, with the times that the checks go by.
+/// The end of an attempt, with the times that are checked.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// The attempt's number among those of its request, from 0.
+    /// Number of the attempt within its request, counted from 0.
     pub attempt: u32,
-    /// When its first byte was permitted; `None` if it never was.
+    /// Time at which the first byte was permitted; `None` if it was not.
     pub permitted_at: Option<Time>,
-    /// Its last byte was written.
+    /// Whether the last byte was written.
     pub sent: bool,
-    /// When its endpoint left service, if it had by the time of the permit.
+    /// Time at which the endpoint went out of service, if that was before the first byte was permitted.
     pub endpoint_left_at: Option<Time>,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
 }
 
-/// A transition of an open request.
+/// A state transition of an open request.
 #[derive(Clone, Copy, Debug)]
 pub enum Transition {
     /// The request was accepted.
     Accepted {
-        /// Its class, an index into the settings.
+        /// Request class, as an index into the classes of the settings.
         class: usize,
-        /// Its client stops waiting at this time.
+        /// Time at which the client stops waiting for a response.
         deadline: Time,
     },
-    /// An attempt was dispatched to its endpoint's connections.
+    /// An attempt was sent to its endpoint's backend.
     AttemptDispatched {
-        /// The attempt's number among those of its request, from 0.
+        /// Number of the attempt within its request, counted from 0.
         attempt: u32,
-        /// The router stops waiting for it at this time, which is also the deadline that the server gets.
+        /// Time at which the router stops waiting for the attempt. The server gets the same deadline.
         deadline: Time,
     },
     /// An attempt has ended.
--- a/routing/src/permit.rs
+++ b/routing/src/permit.rs
@@ -1,19 +1,21 @@
-//! The permits: whether something may be sent, repeated, closed, answered or started now.
+//! Permits: tokens that authorise sending, retrying, closing and responding.
 //!
-//! Every first byte to a server, every retry, probe and connection attempt, every close of a client's connection and every
-//! final response needs a permit, whatever causes it: a front, the endpoint list of discovery or the registry, operators at
-//! the admin address, a reload of the configuration, or shutdown. The answer is a [`Verdict`]: permitted, with a token, or
-//! denied, with a [`Denial`] that names the reason.
+//! A permit is required for the first byte to a server, each retry, probe and connection attempt, each close
+//! of a client connection, and each final response. This holds for every cause: a client front end, the
+//! endpoint list of discovery or of the registry, an operator at the admin address, a configuration reload,
+//! or shutdown. A request for a permit returns a [`Verdict`]: a token if it is granted, or a [`Denial`] with
+//! the reason.
 //!
-//! The tokens enforce this:
+//! The following types enforce this:
 //!
-//! - [`ServerSocket`] writes to a server only for a [`WritePermit`] or a [`ConnectionPermit`]. Both come from an
-//!   [`AttemptGuard`] alone, neither can be copied, and the last write of a request consumes its permit;
-//! - [`RepeatState`] decides on retries from what earlier attempts may have done;
-//! - [`CommandGate`] decides whether a client's command is accepted, and whether its connection may close;
-//! - [`ResponseSlot`] sends one final response and is closed then.
+//! - [`ServerSocket`] requires a [`WritePermit`] or a [`ConnectionPermit`] for each write. Both are issued
+//!   only by an [`AttemptGuard`], neither can be copied, and the last write of a request consumes its permit;
+//! - [`RepeatState`] permits or denies a retry, depending on whether earlier attempts may have run;
+//! - [`CommandGate`] determines whether a client's command is accepted and whether the connection may be
+//!   closed;
+//! - [`ResponseSlot`] sends one final response, after which it is closed.
 //!
-//! [`crate::observer`] checks the same promises again, from the transitions that were made.
+//! [`crate::observer`] checks the same invariants independently, from the recorded transitions of requests.
 mod attempt;
 mod command;
 mod denial;
--- a/routing/src/permit/attempt.rs
+++ b/routing/src/permit/attempt.rs
@@ -1,8 +1,8 @@
-//! Permits of one exchange with a server, and its cancellation token.
+//! The permits of one exchange with a server, and its cancellation token.
 //!
-//! What forbids an exchange to start (its client has disconnected, its endpoint is draining, its time is over) is written
-//! to the guard and read right before the first byte. A message to the thread could arrive too late, or be lost if the
-//! mailbox is full.
+//! A condition that prevents an exchange from starting (client disconnected, endpoint draining, deadline
+//! expired) is stored in the guard and read immediately before the first byte is written. A message to the
+//! exchange's thread could arrive too late or be lost in a full mailbox.
 use super::denial::{Denial, Verdict};
 use super::endpoint_state::EndpointState;
 use super::server_socket::ServerSocket;
@@ -13,61 +13,61 @@
 
 #[derive(Default)]
 struct Progress {
-    /// The connection that carries the exchange, while one does.
+    /// Socket of the connection that runs the exchange, if any.
     socket: Option<ServerSocket>,
     started: bool,
-    /// The reason for which it is cancelled, whether started or not.
+    /// Reason for which the exchange was cancelled, whether it had started or not.
     cancelled: Option<Denial>,
-    /// The reason for which it must not start any more; an exchange that has started continues.
+    /// Reason for which the exchange must not start. An exchange that has already started continues.
     start_forbidden: Option<Denial>,
     times: AttemptTimes,
-    /// Incremented once, when the exchange has been completely written.
+    /// Counter that is incremented once when the exchange has been completely written.
     sent_counter: Option<IntCounter>,
 }
 
-/// The times of the steps that an attempt has passed.
+/// Times at which an attempt reached each step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptTimes {
-    /// When a connection was first permitted, while the exchange has not started on it.
+    /// Time at which a connection was first permitted, until the exchange starts on it.
     pub connecting_since: Option<Instant>,
-    /// When the first byte was last permitted.
+    /// Time at which the first byte was last permitted.
     pub permitted_at: Option<Instant>,
-    /// When its endpoint left service, if it had by then.
+    /// Time at which the endpoint went out of service, if that was before the first byte was permitted.
     pub endpoint_left_at: Option<Instant>,
-    /// When the last byte was written.
+    /// Time at which the last byte was written.
     pub sent_at: Option<Instant>,
-    /// The last denial, unless a permit has followed.
+    /// Reason of the most recent denial; `None` if a permit was granted since.
     pub denied: Option<Denial>,
 }
 
 #[derive(Default)]
 struct Shared {
-    /// For the log; `None` for a probe.
+    /// ID of the attempt, for logging; `None` for a probe.
     attempt: Option<AttemptId>,
     endpoint: EndpointState,
-    /// After this moment the exchange must not start.
+    /// Time after which the exchange must not start.
     latest_start: Option<Instant>,
     progress: Mutex<Progress>,
 }
 
-/// Permits an exchange's steps and cancels it from another thread: one that has not started is never sent; of one that
-/// has, the connection is shut down. Copies guard the same exchange.
+/// Permits the steps of an exchange, and can cancel the exchange from another thread. An exchange that has
+/// not started is not sent. If it has started, its connection is shut down. Clones guard the same exchange.
 ///
-/// The default guard belongs to no endpoint and always permits a start.
+/// The default guard has no endpoint and always permits a start.
 #[derive(Clone, Default)]
 pub struct AttemptGuard(Arc<Shared>);
 
-/// The permission to write one request to a server. It comes from [`AttemptGuard::permit_write`] alone, and the
-/// request's last write consumes it.
+/// Permit to write one request to a server. It is issued only by [`AttemptGuard::permit_write`], and the last
+/// write of the request consumes it.
 #[must_use]
 pub struct WritePermit(AttemptGuard);
 
-/// The permission to open a connection and log in, or to check that an idle one still works.
+/// Permit to open a connection and log in, or to check that an idle connection still works.
 #[must_use]
 pub struct ConnectionPermit(());
 
 impl WritePermit {
-    /// The request's last byte has been written.
+    /// Records that the last byte of the request has been written.
     pub(super) fn consume(self) {
         let mut progress = self.0.progress();
         progress.times.sent_at = Some(Instant::now());
@@ -82,13 +82,13 @@
 }
 
 impl AttemptGuard {
-    /// A guard for an exchange that may start while its endpoint accepts exchanges.
+    /// Creates a guard for an exchange that may start while its endpoint accepts exchanges.
     pub fn new(endpoint: EndpointState) -> AttemptGuard {
         AttemptGuard(Arc::new(Shared { endpoint, ..Shared::default() }))
     }
 
-    /// A guard for an attempt whose first byte must not be written after `latest_start`; `sent_counter` is incremented
-    /// once its last byte has been written.
+    /// Creates a guard for an attempt whose first byte must not be written after `latest_start`.
+    /// `sent_counter` is incremented once when the last byte has been written.
     pub fn for_attempt(
         endpoint: EndpointState,
         latest_start: Instant,
@@ -98,7 +98,7 @@
         AttemptGuard(Arc::new(Shared { attempt: None, endpoint, latest_start: Some(latest_start), progress }))
     }
 
-    /// Adds the id of the attempt for the log. Has no effect once the guard has been cloned.
+    /// Sets the ID of the attempt for logging. This has no effect if the guard has already been cloned.
     #[must_use]
     pub fn identified(mut self, attempt: AttemptId) -> AttemptGuard {
         if let Some(shared) = Arc::get_mut(&mut self.0) {
@@ -121,10 +121,10 @@
         self.0.endpoint.permits_exchange()
     }
 
-    /// Whether the exchange could start now. A denial is recorded in [`AttemptTimes::denied`].
+    /// Checks whether the exchange may start now. A denial is recorded in [`AttemptTimes::denied`].
     ///
     /// # Errors
-    /// The reason for which it could not.
+    /// Returns the reason for which the exchange may not start.
     pub fn check_start(&self) -> Verdict {
         let mut progress = self.progress();
         let verdict = self.may_start(&progress, Instant::now());
@@ -132,10 +132,10 @@
         verdict
     }
 
-    /// Permits to open or check a connection for the exchange, if the exchange could start now.
+    /// Issues a permit to open or check a connection, if the exchange may start now.
     ///
     /// # Errors
-    /// The reason for which it could not.
+    /// Returns the reason for which the exchange may not start.
     pub fn permit_connection(&self) -> Verdict<ConnectionPermit> {
         self.check_start()?;
         let mut progress = self.progress();
@@ -143,10 +143,11 @@
         Ok(ConnectionPermit(()))
     }
 
-    /// Permits the exchange's first byte. Must be called right before each time that it is written.
+    /// Issues a permit to write the exchange's first byte. Must be called immediately before each time that
+    /// the first byte is written.
     ///
     /// # Errors
-    /// The reason for which it must not be written.
+    /// Returns the reason for which the first byte must not be written.
     pub fn permit_write(&self) -> Verdict<WritePermit> {
         let mut progress = self.progress();
         let now = Instant::now();
@@ -164,37 +165,38 @@
         Ok(WritePermit(self.clone()))
     }
 
-    /// The times of the steps that the exchange has passed.
+    /// Returns the times at which the exchange reached each step.
     pub fn times(&self) -> AttemptTimes {
         self.progress().times
     }
 
-    /// Sets the connection that carries the exchange from now on.
+    /// Sets the socket of the connection that runs the exchange.
     pub fn attach_socket(&self, socket: ServerSocket) {
         self.progress().socket = Some(socket);
     }
 
-    /// Detaches the exchange from its connection, which may carry another from now on and must not be shut down any
-    /// more. An exchange that broke before its last byte has not started: what forbids a start applies to its next
-    /// connection too.
+    /// Detaches the exchange from its connection, which may run another exchange and must no longer be shut
+    /// down. If the exchange failed before its last byte, it counts as not started, so it must be permitted
+    /// again on the next connection.
     pub fn detach_socket(&self) {
         let mut progress = self.progress();
         progress.socket = None;
         progress.started = false;
     }
 
-    /// Cancels the exchange, started or not; returns whether it may have reached the server by now.
+    /// Cancels the exchange whether it has started or not. Returns whether the server may have received it.
     pub fn cancel(&self, reason: Denial) -> bool {
         let mut progress = self.progress();
         progress.cancelled.get_or_insert(reason);
         if let Some(socket) = progress.socket.take().filter(|_| progress.started) {
             socket.shut_down();
         }
-        // A detached exchange was sent, though its result is not known here yet.
+        // An exchange that is already detached may have been sent, although the router actor does not know
+        // its result yet.
         progress.started || progress.times.sent_at.is_some()
     }
 
-    /// Forbids any further start; an exchange that has started continues to its end.
+    /// Prevents the exchange from starting or restarting. If it has started, it continues to its end.
     pub fn cancel_if_unstarted(&self, reason: Denial) {
         self.progress().start_forbidden.get_or_insert(reason);
     }
--- a/routing/src/permit/denial.rs
+++ b/routing/src/permit/denial.rs
@@ -1,44 +1,44 @@
-//! The reasons of denied permits.
+//! Reasons for which a permit is denied.
 
-/// The reason for which something may not be done now. The names are a closed set, which log lines and the counter
-/// `damsonvale_denied_total` use.
+/// Reason for which a permit is denied. The names are a closed set that is used in log lines and in the
+/// counter `damsonvale_denied_total`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Denial {
     /// The client has disconnected.
     ClientDisconnected,
     /// The client has cancelled the request.
     ClientCancelled,
-    /// The request has its final response.
+    /// The request already has its final response.
     AlreadyAnswered,
-    /// The router has stopped waiting for the attempt.
+    /// The attempt has timed out.
     AttemptTimedOut,
-    /// The decisions have cancelled the attempt.
+    /// The decision state machine has cancelled the attempt.
     AttemptCancelled,
-    /// The latest start of the attempt has passed.
+    /// The latest allowed start time of the attempt has passed.
     StartTooLate,
-    /// The endpoint is draining, in maintenance, or not listed any more.
+    /// The endpoint is draining, in maintenance, or no longer listed.
     EndpointOutOfService,
-    /// The router has removed the endpoint, or it is listed under another address.
+    /// The endpoint was removed from the router or is now listed with another address.
     EndpointRemoved,
-    /// The tenant's placement rules do not allow this endpoint any more.
+    /// The tenant's placement rules no longer allow this endpoint.
     PlacementChanged,
-    /// An earlier attempt may have run, and the request must not run twice.
+    /// An earlier attempt may have run, and the request is not idempotent.
     UnsafeRepeat,
-    /// An earlier attempt may have run, and the deduplication window of the class is over.
+    /// An earlier attempt may have run, and the deduplication window of the class has expired.
     RepeatWindowOver,
-    /// An earlier attempt is still in flight, and hedging is not allowed.
+    /// Another attempt is in flight, and hedging is not allowed.
     AttemptInFlight,
-    /// The connection accepts no more commands.
+    /// The client connection accepts no more commands.
     ConnectionClosed,
-    /// Commands are in flight on the connection.
+    /// The client connection has commands in flight.
     CommandsInFlight,
 }
 
-/// A permit, or the reason of its denial.
+/// A permit, or the reason for which it was denied.
 pub type Verdict<T = ()> = Result<T, Denial>;
 
 impl Denial {
-    /// All denials.
+    /// All denial reasons.
     pub const ALL: [Denial; 14] = [
         Denial::ClientDisconnected,
         Denial::ClientCancelled,
@@ -56,7 +56,7 @@
         Denial::CommandsInFlight,
     ];
 
-    /// The name in log lines and metrics.
+    /// Returns the name that is used in log lines and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Denial::ClientDisconnected => "client_left",
--- a/routing/src/permit/endpoint_state.rs
+++ b/routing/src/permit/endpoint_state.rs
@@ -1,12 +1,13 @@
-//! Whether an endpoint accepts new exchanges: written by the router actor, read by the threads that start exchanges.
+//! Shared flag that specifies whether an endpoint accepts new exchanges. It is written by the router actor
+//! and read by the threads that start exchanges.
 use super::denial::{Denial, Verdict};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 
-/// Whether an endpoint accepts new exchanges now. Copies share one state.
+/// Whether an endpoint currently accepts new exchanges. Clones share one state.
 ///
-/// A new state is in service.
+/// A new state is in service and not retired.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointState(Arc<Shared>);
 
@@ -14,12 +15,12 @@
 struct Shared {
     out_of_service: AtomicBool,
     retired: AtomicBool,
-    /// When it left service; `None` while it is in service.
+    /// Time at which the endpoint went out of service; `None` while it is in service.
     left_at: Mutex<Option<Instant>>,
 }
 
 impl EndpointState {
-    /// Records whether the endpoint is in service by the endpoint list; returns `true` if that is a change.
+    /// Records whether the endpoint list has the endpoint in service. Returns `true` if this is a change.
     pub fn set_in_service(&self, in_service: bool) -> bool {
         let changed = self.0.out_of_service.swap(!in_service, Ordering::AcqRel) == in_service;
         if changed {
@@ -28,7 +29,7 @@
         changed
     }
 
-    /// Marks the endpoint as permanently removed from the router actor.
+    /// Marks the endpoint as permanently removed by the router actor.
     pub fn retire(&self) {
         self.0.retired.store(true, Ordering::Release);
         if self.left_at().is_none() {
@@ -40,17 +41,17 @@
         *self.0.left_at.lock().unwrap_or_else(PoisonError::into_inner) = at;
     }
 
-    /// When it left service, if it has.
+    /// Returns the time at which the endpoint went out of service, if it has.
     pub fn left_at(&self) -> Option<Instant> {
         *self.0.left_at.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the router actor has removed the endpoint.
+    /// Returns whether the router actor has removed the endpoint.
     pub fn is_retired(&self) -> bool {
         self.0.retired.load(Ordering::Acquire)
     }
 
-    /// Whether a new exchange may start: the endpoint is in service and not removed.
+    /// Permits a new exchange if the endpoint is in service and not removed.
     ///
     /// # Errors
     /// [`Denial::EndpointRemoved`] or [`Denial::EndpointOutOfService`].
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Whether [`EndpointState::permits_exchange`] does.
+    /// Returns whether [`EndpointState::permits_exchange`] permits an exchange.
     pub fn accepts_exchanges(&self) -> bool {
         self.permits_exchange().is_ok()
     }
--- a/routing/src/permit/handshake.rs
+++ b/routing/src/permit/handshake.rs
@@ -1,4 +1,4 @@
-//! Connecting to a server and the exchange of its login.
+//! Connecting to a server and logging in.
 use super::attempt::ConnectionPermit;
 use super::server_socket::ServerSocket;
 use crate::socket::{self, DeadlineReader};
@@ -10,20 +10,21 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A connection to a server during its login. No request can be written to it.
+/// A connection to a server that is logging in. No request can be written to it.
 #[derive(Debug)]
 pub struct Handshake {
-    /// `None` once it is finished.
+    /// `None` after the handshake is finished.
     socket: Option<Arc<TcpStream>>,
 }
 
 impl Handshake {
-    /// Connects without Nagle's algorithm. What remains of `limits.connect` becomes the read timeout, for the server's
-    /// greeting; the write timeout is `limits.connect`.
+    /// Connects and disables Nagle's algorithm. The rest of the backend connect timeout becomes the read
+    /// timeout for the server's greeting, and the write timeout is the full backend connect timeout.
     ///
     /// # Errors
-    /// [`Outcome::ConnectFailed`] if the connection could not be made or set up within `limits.connect`,
-    /// [`Outcome::NeverSent`] if this host lacked the resources for it, which does not count as a failure of the server.
+    /// [`Outcome::ConnectFailed`] if the connection could not be established or configured within the backend
+    /// connect timeout; [`Outcome::NeverSent`] if this host lacked the resources for it, which does not count
+    /// as a failure of the server.
     pub fn connect(
         _permit: ConnectionPermit,
         addr: SocketAddr,
@@ -33,7 +34,7 @@
         match connected {
             Ok(socket) => Ok(Handshake { socket: Some(Arc::new(socket)) }),
             Err(error) if socket::is_local_shortage(&error) => {
-                tracing::warn!(%error, %addr, "backend connection not opened for lack of this host's own resources");
+                tracing::warn!(%error, %addr, "cannot open backend connection, this host lacks resources");
                 Err(Outcome::NeverSent)
             }
             Err(_) => Err(Outcome::ConnectFailed),
@@ -44,34 +45,35 @@
         self.socket.as_deref().ok_or_else(|| io::ErrorKind::NotConnected.into())
     }
 
-    /// Writes a part of the login.
+    /// Writes a part of the login exchange.
     ///
     /// # Errors
-    /// The write failed or timed out.
+    /// Returns an error if the write failed or timed out.
     pub fn write(&self, parts: &mut [IoSlice<'_>]) -> io::Result<()> {
         socket::write_all_vectored(self.stream()?, parts)
     }
 
-    /// Reads up to a deadline.
+    /// Returns a reader that reads until the deadline.
     ///
     /// # Errors
-    /// The handshake is finished.
+    /// Returns an error if the handshake is already finished.
     pub fn reader(&self, deadline: Instant) -> io::Result<DeadlineReader<'_>> {
         Ok(DeadlineReader::new(self.stream()?, deadline))
     }
 
-    /// The connection has logged in.
+    /// Converts the handshake to a [`ServerSocket`] after a successful login.
     ///
     /// # Errors
-    /// It was finished before.
+    /// Returns an error if the handshake is already finished.
     pub fn finish(mut self) -> io::Result<ServerSocket> {
         self.socket.take().map(ServerSocket::new).ok_or_else(|| io::ErrorKind::NotConnected.into())
     }
 }
 
 impl Drop for Handshake {
-    /// If nobody listens on a loopback port of the ephemeral range, the operating system may connect a socket to itself.
-    /// No login succeeds on it; it is reset, so that the port is free for the server at once.
+    /// If no process listens on a loopback port of the ephemeral range, the operating system may connect a
+    /// socket to itself. The login fails on such a connection, which is then closed with a reset, so that the
+    /// server can bind the port immediately.
     fn drop(&mut self) {
         if let Some(socket) = &self.socket
             && socket::is_self_connection(socket).unwrap_or(false)
--- a/routing/src/permit/repeat.rs
+++ b/routing/src/permit/repeat.rs
@@ -1,35 +1,36 @@
-//! Whether a request may be sent again, by what its earlier attempts may have done.
+//! Determines whether a request may be sent again, depending on what its earlier attempts may have done.
 use super::denial::{Denial, Verdict};
 use decision::{Idempotency, Outcome, Time};
 
-/// The retries and hedged attempts that a class allows.
+/// Retries and hedged attempts that a request class allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RepeatRule {
-    /// Whether the request may run a second time.
+    /// Whether, and within which time, the request may run a second time.
     pub idempotency: Idempotency,
-    /// Two attempts of a request may be in flight at a time.
+    /// Whether two attempts of a request may be in flight at the same time.
     pub hedging_allowed: bool,
 }
 
 impl RepeatRule {
-    /// The rule for a request of a class that the settings do not have: it runs once.
+    /// Rule for requests of an unknown class, which run at most once.
     pub(crate) const STRICTEST: RepeatRule =
         RepeatRule { idempotency: Idempotency::NotIdempotent, hedging_allowed: false };
 }
 
-/// The record of what the attempts of one request may have done.
+/// Records what the attempts of one request may have done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RepeatState {
     in_flight: u32,
-    /// When the first attempt that may have run was permitted.
+    /// Time at which the first attempt that may have run was permitted.
     may_have_run_since: Option<Time>,
 }
 
 impl RepeatState {
-    /// Permits one more attempt; `Ok` holds the time after which it must not start, if there is one.
+    /// Permits one more attempt. `Ok` contains the time after which the attempt must not start, if there is a
+    /// limit.
     ///
     /// # Errors
-    /// The reason for which it must not be sent.
+    /// Returns the reason for which no attempt may be sent.
     pub fn permit_attempt(&mut self, now: Time, rule: RepeatRule) -> Verdict<Option<Time>> {
         if self.in_flight > 0 && !rule.hedging_allowed {
             return Err(Denial::AttemptInFlight);
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Records that a permitted attempt has ended, whose first byte was permitted at `permitted_at`, if ever.
+    /// Records the end of a permitted attempt. `permitted_at` is the time at which its first byte was
+    /// permitted, if it was.
     pub fn attempt_ended(&mut self, permitted_at: Option<Time>, outcome: Outcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(at) = permitted_at.filter(|_| !outcome.never_ran()) {
--- a/routing/src/permit/response.rs
+++ b/routing/src/permit/response.rs
@@ -1,23 +1,23 @@
-//! The slot of a request's one final response.
+//! Slot for the one final response of a request.
 use super::denial::{Denial, Verdict};
 use crate::final_response::FinalResponse;
 use crossbeam_channel::Sender;
 
-/// Sends one final response to the thread that waits for it.
+/// Sends exactly one final response to the thread that waits for it.
 pub struct ResponseSlot<R> {
-    /// `None` once the response is sent, or once nobody waits for it any more.
+    /// `None` after the response was sent or the slot was closed.
     sender: Option<Sender<FinalResponse<R>>>,
-    /// Why the slot is closed.
+    /// Reason that is returned when the slot is used after it was closed.
     closed_by: Denial,
 }
 
 impl<R> ResponseSlot<R> {
-    /// A slot that is open; the channel must have room for one response.
+    /// Creates an open slot. The channel must have capacity for one response.
     pub fn new(sender: Sender<FinalResponse<R>>) -> Self {
         ResponseSlot { sender: Some(sender), closed_by: Denial::AlreadyAnswered }
     }
 
-    /// Whether the response is still owed.
+    /// Returns whether the response has not been sent and is still needed.
     pub fn is_open(&self) -> bool {
         self.sender.is_some()
     }
@@ -25,18 +25,18 @@
     /// Sends the response and closes the slot.
     ///
     /// # Errors
-    /// The reason that the slot is closed for.
+    /// Returns the reason for which the slot was closed.
     pub fn send(&mut self, response: FinalResponse<R>) -> Verdict {
         let sender = self.sender.take().ok_or(self.closed_by)?;
-        // The front's channel has room for its one response; a closed one means that the client has disconnected.
+        // The channel has capacity for the one response. If it is disconnected, the client has disconnected.
         _ = sender.try_send(response);
         Ok(())
     }
 
-    /// Closes the slot without a response: nobody waits for it any more.
+    /// Closes the slot without a response, because no thread waits for it any longer.
     ///
     /// # Errors
-    /// The reason that the slot is closed for.
+    /// Returns the reason for which the slot was closed.
     pub fn close(&mut self, reason: Denial) -> Verdict {
         self.sender.take().map(drop).ok_or(self.closed_by)?;
         self.closed_by = reason;
--- a/routing/src/permit/server_socket.rs
+++ b/routing/src/permit/server_socket.rs
@@ -1,47 +1,47 @@
-//! A connection to a server that has logged in: reading from it needs no permit. What is written to it does, see
-//! [`super::permitted_writes`].
+//! A connection to a server after login. Reading requires no permit, whereas the write operations in
+//! [`super::permitted_writes`] do.
 use crate::socket::{self, DeadlineReader};
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::time::Instant;
 
-/// A connection to a server that has logged in. Copies share one socket.
+/// A connection to a server after login. Clones share one socket.
 #[derive(Clone, Debug)]
 pub struct ServerSocket(Arc<TcpStream>);
 
 impl ServerSocket {
-    /// Only a finished [`Handshake`](super::Handshake) becomes one.
+    /// Created only by a finished [`Handshake`](super::Handshake).
     pub(super) fn new(stream: Arc<TcpStream>) -> ServerSocket {
         ServerSocket(stream)
     }
 
-    /// The stream, for the writes that a permit allows.
+    /// Returns the stream for write operations that require a permit.
     pub(super) fn stream(&self) -> &TcpStream {
         &self.0
     }
 
-    /// A reader whose reads fail with [`io::ErrorKind::TimedOut`] from `deadline` on.
+    /// Returns a reader whose reads fail with [`io::ErrorKind::TimedOut`] after `deadline`.
     pub fn reader(&self, deadline: Instant) -> DeadlineReader<'_> {
         DeadlineReader::new(&self.0, deadline)
     }
 
-    /// Whether the connection is open and nothing has arrived on it.
+    /// Returns whether the connection is open and has no unread data.
     pub fn is_idle_and_open(&self) -> bool {
         socket::is_idle_and_open(&self.0)
     }
 
-    /// The local address of the connection.
+    /// Returns the local address of the connection.
     ///
     /// # Errors
-    /// The error of the operating system if it does not know the address any more.
+    /// Returns the error of the operating system if the address is no longer available.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.0.local_addr()
     }
 
-    /// Shuts both directions down, which ends every read that waits.
+    /// Shuts down both directions, which unblocks any pending read.
     pub(super) fn shut_down(&self) {
-        // An error means that it is closed already.
+        // An error means that the socket is already closed.
         _ = self.0.shutdown(Shutdown::Both);
     }
 }
--- a/routing/src/placement_subsets.rs
+++ b/routing/src/placement_subsets.rs
@@ -1,11 +1,13 @@
-//! The subsets of groups that tenants' placement rules define, as groups of the decisions. [`placement`] calls them views.
+//! Placement subsets: the members of a group that a tenant's placement rules allow. The [`placement`] crate
+//! calls them views.
 //!
-//! Each subset is a group of its own to the decisions, and its members are further member ids (*aliases*) of endpoints
-//! that the list names once, under the endpoint's *own* member id. An endpoint has one backend with its connections,
-//! however many aliases it has.
+//! The decision state machine treats each subset as a separate group. Its members are *aliases*: additional
+//! member IDs of endpoints. Each endpoint also has one *canonical* member ID, under which it belongs to its
+//! listed group. An endpoint has one backend and one connection pool, regardless of its number of aliases.
 //!
-//! This module keeps the state between [`placement`] and the router actor: which alias belongs to which endpoint, which
-//! entries of members change with a subset, and which reports of one alias the others need.
+//! This module stores the state that links [`placement`] to the router actor: which endpoint each alias
+//! refers to, which member entries change when a subset changes, and which aliases have to receive a report
+//! that one of them has delivered.
 mod change;
 mod member_ids;
 mod members;
--- a/routing/src/placement_subsets/change.rs
+++ b/routing/src/placement_subsets/change.rs
@@ -1,44 +1,45 @@
-//! Input and output of the subsets: the roles that endpoints state, and the changes that follow.
+//! Input and output types of the placement subsets: reported roles, and the changes that the router actor has
+//! to apply.
 use decision::{GroupId, MemberEntry, MemberId, Time};
 use placement::PlacementError;
 pub use placement::ReportSource;
 use std::collections::BTreeMap;
 
-/// The actions of the router actor after a change.
+/// Changes that the router actor has to apply after a subset has changed.
 #[derive(Default)]
 pub struct SubsetChange {
-    /// The changed entries of members, by id.
+    /// Changed member entries, by member ID.
     pub entries: BTreeMap<MemberId, MemberEntry>,
-    /// Aliases that have left their subsets: an attempt that has not started there must not start.
+    /// Aliases that have left their subsets. Attempts at these aliases that have not started must not start.
     pub departed: Vec<MemberId>,
-    /// Requests without an attempt in flight have to be routed again.
+    /// Whether requests without an attempt in flight have to be routed again.
     pub reroute: bool,
-    /// The time at which [`placement::Event::TimerExpired`] is due.
+    /// Time at which [`placement::Event::TimerExpired`] is due.
     pub timer: Option<Time>,
 }
 
-/// The role that an endpoint has stated itself.
+/// The role that an endpoint has reported.
 #[derive(Clone, Copy, Debug)]
 pub struct StatedRole {
-    /// It is its group's primary.
+    /// Whether the endpoint reported that it is the primary of its group.
     pub primary: bool,
-    /// The message in which it was stated.
+    /// Type of message that contained the report.
     pub source: ReportSource,
 }
 
 /// The route of a request.
 pub struct Routed {
-    /// The group, perhaps a subset's, whose members may serve the request; or the reason for which none may.
+    /// Group or placement subset whose members may serve the request, or the reason for which none may.
     pub group: Result<GroupId, PlacementError>,
-    /// The actions that follow from routing it.
+    /// Subset changes caused by routing the request.
     pub change: SubsetChange,
 }
 
-/// The effects of the outcome of an attempt or a probe.
+/// Effects of the outcome of an attempt or a probe on placement subsets.
 #[derive(Default)]
 pub struct OutcomeRecorded {
-    /// The actions that follow from it.
+    /// Subset changes caused by the outcome.
     pub change: SubsetChange,
-    /// The other member ids of the endpoint, which have to be notified.
+    /// Other member IDs of the same endpoint that have to receive the outcome.
     pub to_notify: Vec<MemberId>,
 }
--- a/routing/src/placement_subsets/member_ids.rs
+++ b/routing/src/placement_subsets/member_ids.rs
@@ -1,14 +1,14 @@
 //! Allocation of member ids.
 use decision::MemberId;
 
-/// Allocates the member ids of endpoints and aliases, each once.
+/// Allocates unique member IDs for endpoints and aliases.
 #[derive(Default)]
 pub struct MemberIds {
     last: u32,
 }
 
 impl MemberIds {
-    /// An id that was never used before.
+    /// Returns an ID that has not been used before.
     pub fn allocate(&mut self) -> MemberId {
         self.last += 1;
         MemberId(self.last)
--- a/routing/src/placement_subsets/members.rs
+++ b/routing/src/placement_subsets/members.rs
@@ -1,4 +1,5 @@
-//! The endpoints that subsets are made of: their listing, their member ids in use and their removal.
+//! Tracks the endpoints that are available to subsets: their list entries, their member IDs in use, and their
+//! removal.
 use super::subsets::PlacementSubsets;
 use super::tracked_endpoint::TrackedEndpoint;
 use crate::endpoint::EndpointUpdate;
@@ -7,7 +8,7 @@
 use std::sync::Arc;
 
 impl PlacementSubsets {
-    /// Records an update's endpoints; returns them as members for [`placement`].
+    /// Records the endpoints of a list update and returns them as members for [`placement`].
     pub(super) fn track(
         &mut self,
         update: &EndpointUpdate,
@@ -35,14 +36,14 @@
         members
     }
 
-    /// Marks the endpoints as removed that a complete list lacks.
+    /// Marks endpoints that are missing from a complete list as removed.
     pub(super) fn mark_missing_removed(&mut self, named: &BTreeSet<MemberId>) {
         for (_, endpoint) in self.endpoints.iter_mut().filter(|(id, _)| !named.contains(*id)) {
             endpoint.entry.state = MemberState::Removed;
         }
     }
 
-    /// All member ids of an endpoint that are in use, except for these.
+    /// Returns all member IDs of an endpoint that are in use, except for the given ones.
     pub(super) fn ids_in_use(&self, own_id: MemberId, except: &[MemberId]) -> Vec<MemberId> {
         let Some(endpoint) = self.endpoints.get(&own_id) else { return Vec::new() };
         let own = (!endpoint.own_id_removed).then_some(own_id);
@@ -50,8 +51,8 @@
         own.into_iter().chain(aliases).filter(|id| !except.contains(id)).collect()
     }
 
-    /// Removes a member id that the decisions do not need any more. Returns the own id of its endpoint if none of the
-    /// endpoint's member ids is needed any more.
+    /// Removes a member ID that the decision state machine no longer uses. Returns the canonical ID of the
+    /// endpoint if none of the endpoint's member IDs is in use any longer.
     pub fn remove_member(&mut self, member: MemberId) -> Option<MemberId> {
         let own_id = if let Some(own_id) = self.own_id_of_alias.remove(&member) {
             let endpoint = self.endpoints.get_mut(&own_id)?;
--- a/routing/src/placement_subsets/probes.rs
+++ b/routing/src/placement_subsets/probes.rs
@@ -1,30 +1,30 @@
-//! Probes of endpoints with several member ids: one probe serves all of them, and a primary outside of a subset is found
-//! by probing the whole group.
+//! Probes of endpoints with several member IDs. One probe serves all member IDs, and a primary that is
+//! outside a subset is found by probing the whole group.
 use super::primary_search::PrimarySearch;
 use super::subsets::PlacementSubsets;
 use decision::{GroupId, MemberId, MemberReport, MemberState, Micros, Outcome, Time};
 
-/// The shortest time between two probes of one endpoint, whichever of its members requests them: half of the shortest
-/// interval at which a single group requests them.
+/// Minimum interval between two probes of one endpoint, regardless of which of its member IDs they are for.
+/// It is half of the shortest interval at which a single group requests probes.
 const MIN_PROBE_INTERVAL: Micros = 50_000;
-/// The shortest time between two searches of a whole group for its primary.
+/// Minimum interval between two searches of a group for its primary.
 const MIN_SEARCH_INTERVAL: Micros = 100_000;
-/// The limit of how often the interval between searches doubles while they find nothing.
+/// Maximum number of times that the search interval is doubled while searches are unsuccessful.
 const MAX_SEARCH_DOUBLINGS: u32 = 3;
 
-/// What to do about a probe.
+/// Decision about a requested probe.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ProbeStart {
-    /// Probe the endpoint with this own member id.
+    /// Probe the endpoint with this canonical member ID now.
     Now(MemberId),
-    /// Probe it at this time.
+    /// Probe the endpoint at this time.
     At(MemberId, Time),
-    /// A probe of it is in flight or scheduled.
+    /// A probe of the endpoint is already in flight or scheduled.
     UnderWay,
 }
 
 impl PlacementSubsets {
-    /// Requests a probe of a member's endpoint.
+    /// Requests a probe of the endpoint that a member ID refers to.
     pub fn request_probe(&mut self, member: MemberId, now: Time) -> ProbeStart {
         let own_id = self.own_id(member);
         let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return ProbeStart::Now(own_id) };
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Records the end of an endpoint's probe. Returns the member ids that have to be notified.
+    /// Records the end of a probe. Returns the member IDs that have to be notified of its outcome.
     pub fn probe_ended(
         &mut self,
         own_id: MemberId,
@@ -51,7 +51,8 @@
         endpoint.probing = false;
         endpoint.probed_at = Some(now);
         let mut to_notify = std::mem::take(&mut endpoint.probe_waiters);
-        // A report or an unreachable endpoint concerns all members; a probe without a report only those that requested it.
+        // A load report and a connect failure apply to all member IDs. A probe without a report only concerns
+        // the member IDs that requested it.
         let concerns_all = match outcome {
             Outcome::ConnectFailed => true,
             Outcome::Ok => report.primary.is_some(),
@@ -64,15 +65,16 @@
         to_notify
     }
 
-    /// The group of a subset's member, if no primary of that group is known.
+    /// Returns the group of a subset's member if the primary of that group is unknown.
     pub fn group_without_primary(&self, alias: MemberId) -> Option<GroupId> {
         let group = self.endpoints.get(self.own_id_of_alias.get(&alias)?)?.entry.group;
         self.engine.primary(group).is_none().then_some(group)
     }
 
-    /// The endpoints of a group to probe in search of its primary, inside and outside of all subsets: the search
-    /// of a subset probes only its members, and a request that was rejected because of the primary probes none. Empty while
-    /// the last search is too recent.
+    /// Returns the endpoints of a group that are to be probed in search of its primary, inside and outside of
+    /// all subsets. This is needed because a subset only probes its own members, and a request that is
+    /// rejected because of the primary's location triggers no probe. The result is empty if the last search
+    /// was too recent.
     pub fn primary_search_targets(&mut self, group: GroupId, now: Time) -> Vec<MemberId> {
         if !self.primary_search_due(group, now) {
             return Vec::new();
@@ -82,7 +84,7 @@
         own_ids.into_iter().filter(|id| self.begin_search_probe(*id, now)).collect()
     }
 
-    /// Whether a search is due; counts it if so.
+    /// Returns whether a search is due, and counts it if so.
     fn primary_search_due(&mut self, group: GroupId, now: Time) -> bool {
         let primary = self.engine.primary(group).cloned();
         let search = self.primary_searches.entry(group).or_default();
@@ -98,7 +100,8 @@
         true
     }
 
-    /// Marks an endpoint as being probed, unless it is, was a moment ago or is out of service.
+    /// Marks an endpoint as being probed and returns `true`, unless it is already being probed, was probed
+    /// recently or is out of service.
     fn begin_search_probe(&mut self, own_id: MemberId, now: Time) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return false };
         let interval_over = endpoint.probed_at.is_none_or(|ended| now.0 - ended.0 >= MIN_PROBE_INTERVAL);
--- a/routing/src/placement_subsets/subsets.rs
+++ b/routing/src/placement_subsets/subsets.rs
@@ -1,4 +1,5 @@
-//! The subsets of one router: routing, changes of the rules and of the endpoint list, and what members have stated.
+//! Placement subsets of one router: routing of requests, and updates from the rules, the endpoint list and
+//! the members' reports.
 use super::change::{OutcomeRecorded, Routed, StatedRole, SubsetChange};
 use super::member_ids::MemberIds;
 use super::primary_search::PrimarySearch;
@@ -9,24 +10,24 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// The subsets of one router.
+/// The placement subsets of one router.
 pub struct PlacementSubsets {
     pub(super) engine: PlacementEngine,
-    /// Whether a request of the class needs the primary, by class.
+    /// Whether requests need the primary, by request class.
     pub(super) needs_primary: Vec<bool>,
-    /// The endpoints, by their own member ids.
+    /// Endpoints by canonical member ID.
     pub(super) endpoints: HashMap<MemberId, TrackedEndpoint>,
-    /// The endpoints' own member ids, by their names in the placement engine.
+    /// Canonical member IDs by the endpoint's name in the placement engine.
     pub(super) own_ids: HashMap<Arc<str>, MemberId>,
-    /// The endpoint's own member id, by alias.
+    /// Canonical member ID of the endpoint, by alias.
     pub(super) own_id_of_alias: HashMap<MemberId, MemberId>,
-    /// The members of each subset, by the endpoints' own ids.
+    /// Members of each subset, as canonical member IDs.
     pub(super) subsets: HashMap<GroupId, BTreeSet<MemberId>>,
     pub(super) primary_searches: HashMap<GroupId, PrimarySearch>,
 }
 
 impl PlacementSubsets {
-    /// No subsets yet, for requests of these classes.
+    /// Creates an empty set of subsets for requests of these classes.
     pub fn new(settings: placement::Settings, classes: &[decision::Class]) -> Self {
         let needs_primary =
             |class: &decision::Class| matches!(class.freshness, Freshness::Write | Freshness::Latest);
@@ -41,17 +42,17 @@
         }
     }
 
-    /// The own member id of the endpoint that a member id stands for.
+    /// Returns the canonical member ID of the endpoint that a member ID refers to.
     pub fn own_id(&self, member: MemberId) -> MemberId {
         self.own_id_of_alias.get(&member).copied().unwrap_or(member)
     }
 
-    /// Whether [`Event::TimerExpired`] is due.
+    /// Returns whether [`Event::TimerExpired`] is due.
     pub fn is_due(&self, now: Time) -> bool {
         self.engine.is_due(now)
     }
 
-    /// Routes a request to the group, perhaps a subset's, whose members may serve it.
+    /// Returns the group or subset whose members may serve a request.
     pub fn route(
         &mut self,
         now: Time,
@@ -69,7 +70,7 @@
         Routed { group, change }
     }
 
-    /// Handles an update of the rules, or a timer.
+    /// Handles an update of the placement rules or the expiry of a timer.
     pub fn handle(&mut self, now: Time, event: Event, ids: &mut MemberIds) -> SubsetChange {
         let mut change = SubsetChange::default();
         self.handle_into(now, event, &mut change, ids);
@@ -82,7 +83,8 @@
         self.apply(actions, change, ids);
     }
 
-    /// Handles an update of the endpoint list; `entries` has the member entry of each of its endpoints.
+    /// Handles an update of the endpoint list. `entries` contains the member entry of each endpoint in the
+    /// update, in the same order.
     pub fn update_endpoints(
         &mut self,
         now: Time,
@@ -105,7 +107,7 @@
         change
     }
 
-    /// Records what a member has stated about its role and whether it was reachable.
+    /// Records the role that a member has reported and whether the member was reachable.
     pub fn record_outcome(
         &mut self,
         now: Time,
@@ -136,8 +138,8 @@
         OutcomeRecorded { change, to_notify }
     }
 
-    /// An estimate of the number of unavailable endpoints from the number of unavailable members: a draining endpoint is
-    /// counted once. Ejections are made for each member id and are not distinguished here.
+    /// Estimates the number of unavailable endpoints from the number of unavailable members. A draining
+    /// endpoint is counted once. Ejections are made per member ID and are not deduplicated here.
     pub fn unhealthy_endpoints(&self, unavailable_members: usize) -> usize {
         let draining = self.endpoints.values().filter(|e| e.is_draining());
         let counted_again: usize = draining.map(|e| e.shown_aliases().count()).sum();
@@ -154,7 +156,8 @@
         }
     }
 
-    /// Sets the members of a subset: members that left are hidden there, and all others are shown.
+    /// Sets the members of a subset: deactivates the aliases of members that have left and activates those of
+    /// all others.
     fn set_members(
         &mut self,
         subset: GroupId,
@@ -176,7 +179,7 @@
         }
     }
 
-    /// Removes the alias under which an endpoint is a member of a subset.
+    /// Deactivates the alias under which an endpoint is a member of a subset.
     fn hide_member(&mut self, subset: GroupId, own_id: MemberId, change: &mut SubsetChange) {
         let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return };
         let Some(alias) = endpoint.hide_alias(subset) else { return };
@@ -184,7 +187,7 @@
         change.departed.push(alias);
     }
 
-    /// Makes an endpoint a member of a subset, under an alias of its own.
+    /// Adds an endpoint to a subset under an alias for that subset.
     fn show_member(
         &mut self,
         subset: GroupId,
--- a/routing/src/placement_subsets/tracked_endpoint.rs
+++ b/routing/src/placement_subsets/tracked_endpoint.rs
@@ -1,32 +1,34 @@
-//! The record of an endpoint in the subsets, and its aliases.
+//! Record of an endpoint in the placement subsets, and its aliases.
 use decision::{GroupId, MemberEntry, MemberId, MemberState, Outcome, Time};
 use std::sync::Arc;
 
-/// An endpoint's member id in a subset.
+/// Member ID of an endpoint in a placement subset.
 #[derive(Clone, Copy)]
 pub(super) struct Alias {
     pub(super) subset: GroupId,
     pub(super) id: MemberId,
-    /// It is a member of its subset; otherwise it exists until its attempts in flight have ended.
+    /// Whether the endpoint is currently a member of the subset. An inactive alias exists until its attempts
+    /// in flight have ended.
     pub(super) shown: bool,
 }
 
-/// An endpoint that subsets are made of.
+/// An endpoint that is available to placement subsets.
 pub(super) struct TrackedEndpoint {
     pub(super) name: Arc<str>,
-    /// Its entry under its own member id.
+    /// Entry of the endpoint under its canonical member ID.
     pub(super) entry: MemberEntry,
     pub(super) aliases: Vec<Alias>,
-    /// A probe is in flight or scheduled.
+    /// Whether a probe is in flight or scheduled.
     pub(super) probing: bool,
-    /// When the last probe ended.
+    /// Time at which the last probe ended.
     pub(super) probed_at: Option<Time>,
-    /// The member ids that requested the probe.
+    /// Member IDs that requested the pending probe.
     pub(super) probe_waiters: Vec<MemberId>,
     pub(super) reachable: bool,
-    /// Whether it last stated that it is the primary.
+    /// Whether the endpoint last reported that it is the primary; `None` if it has not reported a role.
     pub(super) stated_primary: Option<bool>,
-    /// The decisions have removed its own member id; its aliases may still have attempts in flight.
+    /// Whether the decision state machine has removed the canonical member ID. Aliases may still have
+    /// attempts in flight.
     pub(super) own_id_removed: bool,
 }
 
@@ -53,24 +55,24 @@
         self.aliases.iter().filter(|alias| alias.shown)
     }
 
-    /// Its entry as that of one of its aliases.
+    /// Returns the entry of the endpoint under one of its aliases.
     pub(super) fn alias_entry(&self, alias: &Alias) -> MemberEntry {
         MemberEntry { id: alias.id, group: alias.subset, ..self.entry.clone() }
     }
 
-    /// The entry of an alias that has left its subset.
+    /// Returns the entry of an alias that has left its subset, with the state set to removed.
     pub(super) fn removed_entry(&self, alias: MemberId, subset: GroupId) -> MemberEntry {
         MemberEntry { id: alias, group: subset, state: MemberState::Removed, ..self.entry.clone() }
     }
 
-    /// Removes its alias from a subset; returns the alias's id.
+    /// Deactivates the endpoint's alias in a subset and returns the ID of the alias.
     pub(super) fn hide_alias(&mut self, subset: GroupId) -> Option<MemberId> {
         let alias = self.aliases.iter_mut().find(|alias| alias.subset == subset)?;
         alias.shown = false;
         Some(alias.id)
     }
 
-    /// Its alias in a subset, which is created if there is none.
+    /// Activates and returns the endpoint's alias in a subset. The alias is created if there is none.
     pub(super) fn show_alias(&mut self, subset: GroupId, new_id: impl FnOnce() -> MemberId) -> Alias {
         if let Some(alias) = self.aliases.iter_mut().find(|alias| alias.subset == subset) {
             alias.shown = true;
@@ -81,13 +83,13 @@
             member = alias.id.0,
             endpoint = %self.name,
             subset = subset.0,
-            "member id of alias assigned"
+            "member id assigned to alias"
         );
         self.aliases.push(alias);
         alias
     }
 
-    /// Records whether it was reachable by this outcome; returns `true` if that is a change.
+    /// Records whether the endpoint was reachable, based on an outcome. Returns `true` if this is a change.
     pub(super) fn record_reachability(&mut self, outcome: Outcome) -> bool {
         let reachable = match outcome {
             Outcome::Ok => true,
--- a/routing/src/probe_spacing.rs
+++ b/routing/src/probe_spacing.rs
@@ -1,42 +1,44 @@
-//! Spaces the probes of each endpoint while several processes serve as one router, so that together they probe no more
-//! often than one would. The decisions space the probes of one router, without regard to its processes.
+//! Limits the probe rate when several processes run as one router, so that together they send no more probes
+//! than a single process would. The decision state machine only limits the probes of its own process.
 //!
-//! A probe that is too early for this process's share is answered with the last report, which is no older than the
-//! spacing, unless an attempt has failed at the endpoint since. Otherwise the probe is delayed, and the decisions request
-//! no other until it has ended.
+//! If a probe is requested before this process's share allows it, the last report is returned instead. That
+//! report is no older than the probe interval, and it is discarded when an attempt fails at the endpoint.
+//! Without a usable report the probe is delayed, and the decision state machine requests no further probe
+//! until it has ended.
 use decision::{MemberId, MemberReport, Micros, Settings, Time};
 use std::collections::HashMap;
 
-/// The shortest time between two probes of one member, as in `decision`, in rounds of events.
+/// Minimum interval between two probes of one member, as a multiple of the minimum event interval. Must match
+/// `decision`.
 const MIN_INTERVAL_ROUNDS: i64 = 20;
-/// The shortest time between two probes of one member, as in `decision`.
+/// Lower bound of the minimum interval between two probes of one member. Must match `decision`.
 const MIN_INTERVAL: Micros = 100_000;
-/// The limit of how often the interval doubles while a member's probes return no report.
+/// Maximum number of times that the interval is doubled while a member's probes return no report.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// What to do about a requested probe.
+/// Decision about a requested probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProbeTiming {
-    /// It is sent now.
+    /// Send the probe now.
     Now,
-    /// It is sent at this time.
+    /// Send the probe at this time.
     At(Time),
-    /// It is not sent: the last report is recent enough.
+    /// Do not send the probe. The cached report is recent enough.
     Cached(MemberReport),
 }
 
 #[derive(Default)]
 struct ProbeHistory {
     last_sent: Option<Time>,
-    /// The last report, unless an attempt has failed since its probe was sent.
+    /// Last report; `None` if an attempt has failed since the probe was sent.
     report: Option<MemberReport>,
-    /// An attempt has failed since the last probe was sent.
+    /// Whether an attempt has failed since the last probe was sent.
     attempt_failed: bool,
-    /// Probes in a row that returned no report.
+    /// Number of consecutive probes that returned no report.
     consecutive_failures: u32,
 }
 
-/// The times of each endpoint's probes, and its last report.
+/// Time of the last probe and last report of each endpoint.
 pub struct ProbeSpacing {
     interval: Micros,
     process_count: u32,
@@ -44,24 +46,24 @@
 }
 
 impl ProbeSpacing {
-    /// No endpoint has been probed, and this process is the only one.
+    /// Creates the state for a single process without any probes sent.
     pub fn new(settings: &Settings) -> ProbeSpacing {
         let interval = (MIN_INTERVAL_ROUNDS * settings.min_event_interval).max(MIN_INTERVAL);
         ProbeSpacing { interval, process_count: 1, histories: HashMap::new() }
     }
 
-    /// Sets the number of processes that serve as one router.
+    /// Sets the number of processes that run as one router.
     pub fn set_process_count(&mut self, process_count: u32) {
         self.process_count = process_count.max(1);
     }
 
-    /// Decides on a probe that is requested at `now`.
+    /// Decides when to send a probe that is requested at `now`.
     pub fn schedule(&mut self, endpoint: MemberId, now: Time) -> ProbeTiming {
         let history = self.histories.entry(endpoint).or_default();
         let doublings = history.consecutive_failures.min(MAX_DOUBLINGS);
         let interval = (self.interval << doublings) * i64::from(self.process_count);
         let next_turn = history.last_sent.map(|sent| Time(sent.0 + interval));
-        // The probes of a single process are spaced by the decisions alone.
+        // With a single process, the decision state machine alone limits the probe rate.
         let delayed_until = next_turn.filter(|at| self.process_count > 1 && *at > now);
         if let (Some(_), Some(report)) = (delayed_until, history.report) {
             return ProbeTiming::Cached(report);
@@ -72,7 +74,7 @@
         delayed_until.map_or(ProbeTiming::Now, ProbeTiming::At)
     }
 
-    /// Records that a probe has ended with this report.
+    /// Records the report of a probe that has ended.
     pub fn probe_ended(&mut self, endpoint: MemberId, report: MemberReport) {
         if let Some(history) = self.histories.get_mut(&endpoint) {
             let reported = report.primary.is_some();
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Records that an attempt has failed at the endpoint, which invalidates its last report.
+    /// Records that an attempt has failed at the endpoint, which invalidates the last report.
     pub fn attempt_failed(&mut self, endpoint: MemberId) {
         if let Some(history) = self.histories.get_mut(&endpoint) {
             history.report = None;
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Removes an endpoint.
+    /// Removes the state of an endpoint.
     pub fn remove(&mut self, endpoint: MemberId) {
         self.histories.remove(&endpoint);
     }
--- a/routing/src/protocol.rs
+++ b/routing/src/protocol.rs
@@ -1,4 +1,5 @@
-//! The interface of a wire protocol to endpoints: connecting, and one exchange at a time on each connection.
+//! Traits that a wire protocol implements to connect to endpoints and to run one exchange at a time on each
+//! connection.
 pub use crate::permit::{AttemptGuard, ConnectionPermit, Handshake, ServerSocket, WritePermit};
 use decision::{MemberReport, Outcome, Time};
 use std::net::SocketAddr;
@@ -6,31 +7,31 @@
 
 /// One exchange with an endpoint: a message and its response.
 pub enum Exchange<'a, P: BackendProtocol> {
-    /// A request's payload, and the moment at which the router stops waiting for its response.
+    /// The payload of a request, and the time at which the router stops waiting for the response.
     Attempt(&'a P::Payload, Instant),
-    /// A health check, which asks the endpoint for its load report.
+    /// A health check that requests the endpoint's load report.
     Probe,
 }
 
-/// How an exchange ended.
+/// Result of an exchange.
 pub struct ExchangeResult<R> {
-    /// How it ended.
+    /// Outcome of the exchange.
     pub outcome: Outcome,
-    /// The response for the client, if the request was served.
+    /// Response to forward to the client, if the request was served.
     pub response: Option<R>,
-    /// What the response states about the endpoint itself. For a write that was served, its position is the commit if
-    /// `commit` is absent.
+    /// Role and position of the endpoint that the response itself reports. For a served write whose `commit`
+    /// is `None`, the position is the position of the commit.
     pub response_report: MemberReport,
-    /// When the write was committed; `None` for a read.
+    /// Commit time of a write; `None` for a read.
     pub commit: Option<Time>,
-    /// The load report that came with the response.
+    /// Load report that the endpoint sent with the response.
     pub load_report: MemberReport,
-    /// The connection can carry another exchange.
+    /// Whether the connection can be reused for another exchange.
     pub reusable: bool,
 }
 
 impl<R> ExchangeResult<R> {
-    /// A result that carries an outcome and nothing else; its connection is not reused.
+    /// Creates a result that has only an outcome. The connection is not reused.
     pub fn from_outcome(outcome: Outcome) -> Self {
         ExchangeResult {
             outcome,
@@ -43,38 +44,40 @@
     }
 }
 
-/// A wire protocol to endpoints.
+/// A wire protocol for communicating with endpoints.
 pub trait BackendProtocol: Send + Sync + Sized + 'static {
-    /// What a request sends to an endpoint.
+    /// Type of the message that a request sends to an endpoint.
     type Payload: Send + Sync + 'static;
-    /// What an endpoint responds.
+    /// Type of an endpoint's response.
     type Response: Send + 'static;
-    /// A connection to an endpoint.
+    /// Type of a connection to an endpoint.
     type Connection: Connection<Self> + Send;
 
-    /// Opens a connection that is ready for an exchange. [`Handshake::connect`] takes the permit.
+    /// Opens a connection that is ready for an exchange. [`Handshake::connect`] consumes the permit.
     ///
     /// # Errors
-    /// Nothing has run; the outcome says whether the endpoint rejected the connection or could not be reached.
+    /// Returns an outcome that distinguishes between a rejected connection and an unreachable endpoint. In
+    /// both cases no part of the request has run.
     fn connect(&self, addr: SocketAddr, permit: ConnectionPermit) -> Result<Self::Connection, Outcome>;
 }
 
-/// A connection that carries one exchange at a time.
+/// A connection to an endpoint that runs one exchange at a time.
 pub trait Connection<P: BackendProtocol> {
-    /// The socket, which is shut down to cancel an exchange.
+    /// Returns the socket, which is shut down to cancel an exchange.
     fn socket(&self) -> ServerSocket;
 
-    /// Whether a connection that has been idle for this long is still usable; nothing may be written to one that is
-    /// not. A firewall or proxy may have dropped a long idle connection silently, so a protocol checks the round trip,
-    /// for which it uses the permit, or returns `false`.
+    /// Returns whether the connection is still usable after it has been idle for this long. If not, nothing
+    /// may be written to it. A firewall or proxy may have dropped the connection silently, so after a long
+    /// idle time the protocol either verifies it with a round trip, using the permit, or returns `false`.
     fn is_usable(&mut self, idle_for: Duration, permit: ConnectionPermit) -> bool;
 
-    /// Carries one exchange to its end. [`AttemptGuard::permit_write`] must be called right before the first byte, also of
-    /// a preparatory message and of anything written after a response. The write of the request's last byte consumes the
-    /// permit.
+    /// Runs one exchange to its end. [`AttemptGuard::permit_write`] must be called immediately before the
+    /// first byte, including the first byte of a preparatory message and of anything written after a
+    /// response. Writing the last byte of the request consumes the permit.
     ///
     /// # Errors
-    /// The exchange was not completely written, so it never ran.
+    /// Returns [`NotSent`] if the exchange was not completely written, in which case the server has not
+    /// executed it.
     fn execute(
         &mut self,
         exchange: Exchange<'_, P>,
@@ -82,11 +85,11 @@
     ) -> Result<ExchangeResult<P::Response>, NotSent>;
 }
 
-/// The reason for which an exchange was not completely written. It never ran.
+/// Reason for which an exchange was not completely written. The server has not executed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotSent {
-    /// The connection broke before the last byte was written.
+    /// The connection failed before the last byte was written.
     ConnectionBroken,
-    /// The guard did not allow the first byte.
+    /// The guard denied writing the first byte.
     Cancelled,
 }
--- a/routing/src/reasons.rs
+++ b/routing/src/reasons.rs
@@ -1,8 +1,8 @@
-//! The reasons for which a request was rejected, failed or retried, and for which a client's connection was closed. They
-//! are closed sets of names that log lines and metrics share.
+//! Reasons for which a request was rejected, failed or retried, and for which a client connection was closed.
+//! Each set of names is closed and is used both in log lines and in metrics.
 use decision::Outcome;
 
-/// The name of an outcome in log lines and metrics.
+/// Returns the name of an outcome that is used in log lines and metrics.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ok",
@@ -17,7 +17,7 @@
     }
 }
 
-/// All outcomes.
+/// All outcomes of attempts and probes.
 pub const OUTCOMES: [Outcome; 9] = [
     Outcome::Ok,
     Outcome::Error,
@@ -30,25 +30,25 @@
     Outcome::NotEligible,
 ];
 
-/// Why a request ended without being served.
+/// Reason for which a request ended without being served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// Every endpoint of its group is in maintenance or removed.
+    /// All endpoints of the request's group are in maintenance or were removed.
     GroupUnavailable,
-    /// Its tenant's placement rules allow no endpoint that could serve it.
+    /// The tenant's placement rules allow no endpoint that could serve the request.
     PlacementDenied,
-    /// No attempt was made: no endpoint had capacity, or its deadline had passed.
+    /// No attempt was made, because no endpoint had capacity or the deadline had expired.
     NotForwarded,
-    /// Its last attempt ended with this outcome.
+    /// The last attempt ended with this outcome.
     After(Outcome),
-    /// Its client cancelled it.
+    /// The client cancelled the request.
     ClientCancelled,
-    /// Its client disconnected.
+    /// The client disconnected.
     ClientDisconnected,
 }
 
 impl EndReason {
-    /// The name in log lines and metrics.
+    /// Returns the name that is used in log lines and metrics.
     pub fn name(self) -> &'static str {
         match self {
             EndReason::GroupUnavailable => "group_unavailable",
@@ -61,25 +61,25 @@
     }
 }
 
-/// Why a client's connection was closed.
+/// Reason for which a client connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum CloseReason {
-    /// The client has disconnected.
+    /// The client disconnected.
     ClientDisconnected = 1,
-    /// The client did not read its responses for too long.
+    /// The client did not read its responses within the time limit.
     ClientStalled = 2,
-    /// The client sent a message that can't be decoded, or only a part of one.
+    /// The client sent a message that cannot be decoded or that is incomplete.
     Malformed = 3,
-    /// It was idle for longer than the limit.
+    /// The connection was idle for longer than the idle timeout.
     IdleTimeout = 4,
-    /// Its place was needed for a new connection.
+    /// The connection was closed to admit a new connection at the connection limit.
     Evicted = 5,
-    /// The router shuts down, or operators drain it.
+    /// The router is shutting down or draining.
     ShuttingDown = 6,
-    /// No thread could be started for it.
+    /// No thread could be started for the connection.
     NoThread = 7,
-    /// Its handler ended it regularly, after a cancel request or a rejected login.
+    /// The connection handler finished normally, for example after a cancel request or a rejected login.
     Finished = 8,
 }
 
@@ -96,7 +96,7 @@
         CloseReason::Finished,
     ];
 
-    /// The name in log lines and metrics.
+    /// Returns the name that is used in log lines and metrics.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::ClientDisconnected => "client_left",
@@ -110,7 +110,8 @@
         }
     }
 
-    /// The reason with this number, as stored in an atomic; [`CloseReason::Finished`] for any other.
+    /// Returns the close reason with this discriminant, as stored in an atomic integer, or
+    /// [`CloseReason::Finished`] if the number is unknown.
     pub fn from_number(number: u8) -> CloseReason {
         Self::ALL.into_iter().find(|reason| *reason as u8 == number).unwrap_or(CloseReason::Finished)
     }
--- a/routing/src/request.rs
+++ b/routing/src/request.rs
@@ -1,28 +1,28 @@
-//! Requests as the fronts hand them over.
+//! Requests that the client front ends submit to the router actor.
 use crate::final_response::FinalResponse;
 use crate::protocol::BackendProtocol;
 use crossbeam_channel::Sender;
 use decision::{GroupId, SessionId, Time};
 use std::sync::Arc;
 
-/// A request as a front hands it over.
+/// A client request, as submitted by a front end.
 pub struct ClientRequest<P: BackendProtocol> {
-    /// The number of the connection that it arrived on, for the log.
+    /// Number of the client connection, for logging.
     pub connection: u64,
-    /// Its class, an index into the settings.
+    /// Request class, as an index into the classes of the settings.
     pub class: usize,
-    /// Its tenant, if it names one.
+    /// Name of the tenant, if the request has one.
     pub tenant: Option<Arc<str>>,
-    /// Its session.
+    /// Session of the request, if it has one.
     pub session: Option<SessionId>,
-    /// Its group.
+    /// Replication group that the request is addressed to.
     pub group: GroupId,
-    /// The client stops waiting at this time.
+    /// Time at which the client stops waiting for a response.
     pub deadline: Time,
-    /// The commit of its session that it must see.
+    /// Commit of the session that the request must observe.
     pub session_commit: Option<Time>,
-    /// The message for an endpoint.
+    /// Message to send to an endpoint.
     pub payload: P::Payload,
-    /// Receives the final response; its channel must have capacity for it.
+    /// Channel for the final response. It must have capacity for one message.
     pub response_sender: Sender<FinalResponse<P::Response>>,
 }
--- a/routing/src/responded_endpoints.rs
+++ b/routing/src/responded_endpoints.rs
@@ -1,10 +1,10 @@
-//! The endpoints that have responded, for the check of their liveness.
+//! Records endpoints that have responded, for liveness checks.
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The ids of endpoints that have responded since the last call of [`RespondedEndpoints::drain`]. Nothing is recorded
-/// before the first call.
+/// IDs of endpoints that have responded since the last call of [`RespondedEndpoints::drain`]. Recording
+/// starts with the first call.
 #[derive(Debug, Default)]
 pub struct RespondedEndpoints {
     recording: AtomicBool,
@@ -22,7 +22,8 @@
         }
     }
 
-    /// Returns the ids recorded since the last call, and records further ones only if `keep_recording`.
+    /// Returns the IDs recorded since the last call. Later responses are recorded only if `keep_recording` is
+    /// `true`.
     pub fn drain(&self, keep_recording: bool) -> HashSet<String> {
         self.recording.store(keep_recording, Ordering::Relaxed);
         std::mem::take(&mut *self.ids())
--- a/routing/src/router.rs
+++ b/routing/src/router.rs
@@ -1,5 +1,6 @@
-//! The router actor: it feeds the decisions ([`decision::Router`]) with events and carries out the actions they return.
-//! It owns the clock and the timers, never waits for a socket, and sends each request its single final response.
+//! The router actor: passes events to the decision state machine ([`decision::Router`]) and performs the
+//! actions that it returns. The actor owns the clock and the timers, never blocks on a socket, and sends each
+//! request exactly one final response.
 mod actor;
 mod attempts;
 mod capacity;
@@ -31,35 +32,37 @@
 use settings::Limits;
 use std::sync::Arc;
 
-/// The name of the actor's thread.
+/// Name of the thread that runs the router actor.
 const THREAD_NAME: &str = "router";
 
-/// The dependencies and settings of the core.
+/// Configuration and dependencies from which the router actor and the endpoints actor are started.
 pub struct RouterBuilder<P: BackendProtocol> {
-    /// The wire protocol to endpoints.
+    /// Wire protocol that is used to communicate with endpoints.
     pub protocol: P,
-    /// The settings of the decisions.
+    /// Settings of the decision state machine.
     pub settings: Settings,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator of the decision state machine.
     pub seed: u64,
-    /// The program's limits.
+    /// Resource limits and timeouts of the process.
     pub limits: Arc<Limits>,
-    /// The clock of the core's times and deadlines.
+    /// Clock that all times and deadlines in the core refer to.
     pub clock: Clock,
-    /// Records which endpoints respond; `None` if that is not needed.
+    /// Records which endpoints have responded; `None` disables recording.
     pub responded: Option<Arc<RespondedEndpoints>>,
-    /// The metrics; `None` for a router without an admin address.
+    /// Metrics of the router; `None` if the router has no admin address.
     pub metrics: Option<Arc<Metrics>>,
-    /// The settings of placement, whose rules come with [`RouterHandle::update_placement`]; until the first update every
-    /// request is rejected. Without these settings tenants and sites have no effect.
+    /// Settings of tenant placement; `None` disables placement, so tenants and sites have no effect. The
+    /// rules are delivered by [`RouterHandle::update_placement`], and every request is rejected until the
+    /// first update is received.
     pub placement: Option<placement::Settings>,
 }
 
 impl<P: BackendProtocol> RouterBuilder<P> {
-    /// Starts the router actor and the endpoints actor; the backends actor starts with the first exchange.
+    /// Starts the router actor and the endpoints actor. The backends actor is started when the first exchange
+    /// is sent.
     ///
     /// # Errors
-    /// A thread could not be started.
+    /// Returns the error of the operating system if a thread could not be started.
     pub fn start(self) -> std::io::Result<(RouterHandle<P>, EndpointsHandle)> {
         let (sender, mailbox) = bounded(self.limits.mailbox_capacity);
         let wall_clock = WallClock::new(self.clock);
--- a/routing/src/router/actor.rs
+++ b/routing/src/router/actor.rs
@@ -1,4 +1,5 @@
-//! The state of the router actor, its loop, and the exchange of events and actions with the decisions.
+//! State and main loop of the router actor, including the exchange of events and actions with the decision
+//! state machine.
 use super::endpoint_record::EndpointRecord;
 use super::request_record::RequestRecord;
 use crate::attempt_id::AttemptId;
@@ -21,34 +22,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A timer's purpose. Timers of the same time fire in the order of the variants.
+/// Purpose of a timer. Timers that are due at the same time fire in the order of these variants.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The decisions have set this timer.
+    /// Timer requested by the decision state machine.
     Decisions,
-    /// The metrics of members are due.
+    /// Update the metrics that are derived from the members.
     MemberMetrics,
-    /// An attempt times out.
+    /// Time out an attempt.
     AttemptTimeout(AttemptId),
-    /// Placement subsets may change.
+    /// Update the placement subsets, which depend on time.
     Placement,
-    /// An endpoint's probe is due that waited for the interval between its probes.
+    /// Send a probe that was delayed to keep the minimum interval between probes of an endpoint.
     Probe(MemberId),
-    /// An endpoint's probe is due that waited for this process's turn.
+    /// Send a probe that was delayed to keep this process's share of the router's probes.
     ProbeTurn(MemberId),
 }
 
-/// The rules of a request class.
+/// Rules of a request class that the router actor applies itself.
 pub(super) struct ClassRules {
     pub(super) is_write: bool,
-    /// Which retries and hedged attempts it allows.
+    /// Retries and hedged attempts that are allowed.
     pub(super) repeat: RepeatRule,
-    /// The time after which a client of an unavailable group is asked to retry.
+    /// Retry-after value for requests of an unavailable group.
     pub(super) retry_after: Option<Duration>,
 }
 
 impl ClassRules {
-    /// The rules of a class by the settings of the decisions.
+    /// Derives the rules of a class from the settings of the decision state machine.
     fn new(class: &Class, settings: &Settings) -> ClassRules {
         let retry_after = settings
             .max_retry_after
@@ -62,34 +63,35 @@
     pub(super) decisions: Router,
     pub(super) clock: Clock,
     pub(super) resources: BackendResources<P>,
-    /// The mailbox of the backends actor, which starts with the first backend.
+    /// Sender to the backends actor, which is started with the first backend.
     pub(super) backends: Option<BackendSender<P>>,
     pub(super) last_backend: u64,
     pub(super) classes: Vec<ClassRules>,
     pub(super) member_ids: MemberIds,
-    /// The endpoints' own member ids, by their ids in the endpoint list.
+    /// Canonical member IDs by endpoint ID.
     pub(super) members_by_id: HashMap<String, MemberId>,
     pub(super) endpoints: HashMap<MemberId, EndpointRecord<P>>,
     pub(super) requests: HashMap<RequestId, RequestRecord<P>>,
     pub(super) timers: BinaryHeap<Reverse<(Time, Timer)>>,
-    /// The actor's messages to itself, handled after the current one.
+    /// Messages that the actor sends to itself. They are handled after the current message.
     pub(super) deferred: VecDeque<RouterMessage<P>>,
     pub(super) responded: Option<Arc<RespondedEndpoints>>,
     pub(super) metrics: Option<Arc<Metrics>>,
-    /// The number of routers that share the endpoints: by the settings until membership updates it.
+    /// Number of routers that share the endpoints: taken from the settings until membership updates it.
     pub(super) router_count: u32,
-    /// The number of processes that serve as this router.
+    /// Number of processes that run as this router.
     pub(super) process_count: u32,
-    /// The number of connections that are reserved for other processes of this router.
+    /// Number of connections that are reserved for the other processes of this router.
     pub(super) reserved_connections: usize,
     pub(super) probe_spacing: ProbeSpacing,
-    /// Groups without an available endpoint where at least one is in maintenance.
+    /// Groups without an available endpoint, of which at least one is in maintenance.
     pub(super) unavailable_groups: BTreeSet<GroupId>,
-    /// Endpoints that a complete list lacks continue to serve, unless they were listed as draining.
+    /// Whether an endpoint that is missing from a complete list continues to serve, unless it was listed as
+    /// draining.
     pub(super) missing_members_may_serve: bool,
-    /// Checks the promises a second time, from the transitions of requests.
+    /// Checks the invariants of request handling, from the transitions of requests.
     pub(super) observer: Observer,
-    /// The subsets of tenants' placement rules; `None` without placement settings.
+    /// Placement subsets; `None` without placement settings.
     pub(super) subsets: Option<Box<PlacementSubsets>>,
 }
 
@@ -133,12 +135,12 @@
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             self.handle_deferred();
-            // A due timer waits for one message at most.
+            // At most one message is handled before a due timer fires.
             self.fire_due_timers();
         }
     }
 
-    /// Waits for the next message, or until the next timer is due.
+    /// Waits for the next message, but not longer than until the next timer is due.
     fn receive(&self, mailbox: &Receiver<RouterMessage<P>>) -> Result<RouterMessage<P>, RecvTimeoutError> {
         match self.timers.peek() {
             Some(Reverse((at, _))) => mailbox.recv_deadline(self.clock.instant_at(*at)),
@@ -204,15 +206,15 @@
         }
     }
 
-    /// Feeds the decisions with an event and carries out their actions.
+    /// Passes an event to the decision state machine and performs the actions that it returns.
     pub(super) fn decide(&mut self, event: Event) {
         let mut actions = Vec::new();
         let now = self.clock.now();
         if self.subsets.as_ref().is_some_and(|subsets| subsets.is_due(now)) {
-            // The decisions must not act on a subset that has expired.
+            // The decision state machine must not use a subset that has expired.
             self.handle_placement(placement::Event::TimerExpired);
             if matches!(&event, Event::RequestArrived(request) if !self.requests.contains_key(&request.id)) {
-                // Its placement expired before this event, and it was rejected.
+                // The request was rejected by this placement update, before its event was handled.
                 return;
             }
         }
@@ -246,13 +248,14 @@
             Action::SetTimer { after } => {
                 self.timers.push(Reverse((Time(self.clock.now().0 + after), Timer::Decisions)));
             }
-            // The watch of the endpoint list always runs.
+            // No action is needed, because the endpoint list is always watched.
             Action::Subscribe => {}
             Action::Remove { member } => self.remove_member(member),
         }
     }
 
-    /// Handles a message after the current one: the decisions are not re-entered while their actions are performed.
+    /// Queues a message to be handled after the current one, because the decision state machine must not be
+    /// re-entered while its actions are being performed.
     pub(super) fn defer(&mut self, message: RouterMessage<P>) {
         self.deferred.push_back(message);
     }
--- a/routing/src/router/attempts.rs
+++ b/routing/src/router/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests, from their start to their end.
+//! Handling of attempts, from their start to their end.
 use super::actor::{RouterActor, Timer};
 use super::endpoint_record::BackendRef;
 use super::request_record::InFlightAttempt;
@@ -14,12 +14,12 @@
 use std::cmp::Reverse;
 use std::sync::Arc;
 
-/// An attempt that is recorded as in flight and not dispatched yet.
+/// An attempt that is recorded as in flight but not yet dispatched.
 struct NewAttempt<P: BackendProtocol> {
     id: AttemptId,
-    /// The member that the decisions chose.
+    /// Member chosen by the decision state machine.
     member: MemberId,
-    /// The own member id of that member's endpoint.
+    /// Canonical member ID of the member's endpoint.
     endpoint: MemberId,
     payload: Arc<P::Payload>,
     guard: AttemptGuard,
@@ -27,7 +27,7 @@
 }
 
 impl<P: BackendProtocol> RouterActor<P> {
-    /// Sends an attempt, which starts by `latest_start` or not at all and times out at `deadline`.
+    /// Sends an attempt. It may start no later than `latest_start` and times out at `deadline`.
     pub(super) fn send_attempt(
         &mut self,
         request: RequestId,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Numbers an attempt of a known request, asks for its permit and records it as in flight.
+    /// Creates the next attempt of a known request, requests its permit and records it as in flight.
     fn new_attempt(
         &mut self,
         request: RequestId,
@@ -77,7 +77,7 @@
         Some(NewAttempt { id, member, endpoint, payload, guard, verdict: verdict.map(drop) })
     }
 
-    /// Hands a permitted attempt to its endpoint's backend.
+    /// Sends a permitted attempt to its endpoint's backend.
     fn dispatch_attempt(&mut self, new: NewAttempt<P>, deadline: Time) {
         let NewAttempt { id, member, endpoint, payload, guard, .. } = new;
         self.record_dispatched(id, member, deadline);
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Sends a command to an endpoint's backend, which is created by the first; `false` if it can't be sent.
+    /// Sends a command to an endpoint's backend and creates the backend if it does not exist. Returns `false`
+    /// if the command could not be sent.
     pub(super) fn send_to_backend(&mut self, endpoint: MemberId, command: BackendCommand<P>) -> bool {
         let Some(record) = self.endpoints.get(&endpoint) else { return false };
         if record.backend.is_none() && !self.create_backend(endpoint) {
@@ -99,7 +100,7 @@
         self.endpoints.get(&endpoint).is_some_and(|record| record.send(command))
     }
 
-    /// Creates an endpoint's backend; `false` if it can't be created now.
+    /// Creates an endpoint's backend. Returns `false` if it cannot be created now.
     fn create_backend(&mut self, endpoint: MemberId) -> bool {
         self.start_backends_actor();
         let Some(sender) = self.backends.clone() else { return false };
@@ -121,12 +122,13 @@
         match backends::start(self.resources.clone()) {
             Ok(sender) => self.backends = Some(sender),
             Err(error) => {
-                tracing::error!(%error, "backends thread not started, nothing is sent to endpoints until it is");
+                tracing::error!(%error, "cannot start backends thread, nothing sent until a retry succeeds");
             }
         }
     }
 
-    /// Cancels an attempt in flight, whose connection is shut down; returns its member and its outcome.
+    /// Cancels an attempt in flight and shuts down its connection. Returns the member and the outcome of the
+    /// attempt.
     pub(super) fn cancel_attempt(
         &self,
         attempt: AttemptId,
@@ -141,28 +143,30 @@
         Some((in_flight.member, outcome))
     }
 
-    /// The outcome of an attempt that was cancelled before its first byte and never ran. If its connection did not open
-    /// within half of the connect timeout or longer, that counts as a failure of the endpoint.
+    /// Returns the outcome of an attempt that was cancelled before its first byte was written. If connecting
+    /// had already taken half of the connect timeout or longer, this counts as a connect failure of the
+    /// endpoint.
     fn unsent_outcome(&self, times: &AttemptTimes) -> Outcome {
         let connect_timeout = self.resources.limits.backend_connect_timeout;
         let is_overdue = times.connecting_since.is_some_and(|since| 2 * since.elapsed() >= connect_timeout);
         if is_overdue { Outcome::ConnectFailed } else { Outcome::NeverSent }
     }
 
-    /// Forbids the start of a request's attempts that have not started.
+    /// Prevents those attempts of a request that have not started from starting.
     pub(super) fn cancel_unstarted_attempts(&self, id: RequestId, reason: Denial) {
         if let Some(record) = self.requests.get(&id) {
             record.in_flight.iter().for_each(|attempt| attempt.guard.cancel_if_unstarted(reason));
         }
     }
 
-    /// Ends an attempt without a response, after the current message.
+    /// Ends an attempt without a response, after the current message is handled.
     pub(super) fn end_attempt_later(&mut self, attempt: AttemptId, member: MemberId, outcome: Outcome) {
         let result = ExchangeResult::from_outcome(outcome);
         self.defer(RouterMessage::AttemptEnded { attempt, member, result });
     }
 
-    /// Handles the end of an attempt; one that has timed out before is not in flight any more.
+    /// Handles the end of an attempt. An attempt that has already timed out is no longer in flight and is
+    /// ignored.
     pub(super) fn attempt_ended(
         &mut self,
         attempt: AttemptId,
@@ -173,7 +177,7 @@
         let AttemptId { request, number } = attempt;
         self.record_responded(endpoint, outcome);
         let Some(in_flight) = self.remove_in_flight(attempt) else { return };
-        // The member id that the decisions sent it to, perhaps an alias of the endpoint.
+        // Member ID to which the decision state machine sent the attempt, which may be an alias.
         let member = in_flight.member;
         let times = in_flight.guard.times();
         if !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::NeverSent) {
--- a/routing/src/router/capacity.rs
+++ b/routing/src/router/capacity.rs
@@ -1,16 +1,16 @@
-//! The share of this process in the capacity at endpoints, and the metrics of the endpoints.
+//! This process's share of the capacity of endpoints, and the metrics of endpoints.
 use super::actor::{RouterActor, Timer};
 use crate::messages::BackendCommand;
 use crate::protocol::BackendProtocol;
 use decision::{Event, Micros, Time};
 use std::cmp::Reverse;
 
-/// The interval at which the metrics of members are updated.
+/// Interval between updates of the metrics that are derived from the members.
 const MEMBER_METRICS_INTERVAL: Micros = 100_000;
 
 impl<P: BackendProtocol> RouterActor<P> {
-    /// Sets the number of processes that share this router's capacity at endpoints, its probes and its descriptors.
-    /// Connections beyond this process's share count as reserved for the others.
+    /// Sets the number of processes that share this router's endpoint capacity, probe rate and file
+    /// descriptors. Connections beyond this process's share are counted as reserved for the other processes.
     pub(super) fn set_process_count(&mut self, processes: u32) {
         let all = self.resources.limits.max_backend_connections;
         let reserved = all - all / processes.max(1) as usize;
@@ -21,31 +21,34 @@
         self.divide_capacity();
     }
 
-    /// Sets the number of routers that share the capacity of endpoints.
+    /// Sets the number of routers that share the capacity of the endpoints.
     pub(super) fn set_router_count(&mut self, routers: u32) {
         self.router_count = routers;
         self.divide_capacity();
     }
 
-    /// Notifies the decisions of the number of processes of all routers, which share the capacity equally.
+    /// Notifies the decision state machine of the total number of processes of all routers, which share the
+    /// capacity equally.
     fn divide_capacity(&mut self) {
         self.decide(Event::RouterCountChanged(
             self.router_count.max(1).saturating_mul(self.process_count.max(1)),
         ));
     }
 
-    /// Closes idle connections beyond `max_idle` of each endpoint: this process is near its limit of connections.
+    /// Closes the idle connections beyond `max_idle` for each endpoint, because this process is near its
+    /// connection limit.
     pub(super) fn trim_idle_connections(&self, max_idle: usize) {
         for endpoint in self.endpoints.values() {
             endpoint.send(BackendCommand::TrimIdle { max_idle });
         }
     }
 
-    /// Updates the metrics of members, now and periodically.
+    /// Updates the metrics that are derived from the members, and schedules the next update.
     pub(super) fn update_member_metrics(&mut self) {
         let Some(metrics) = &self.metrics else { return };
         let now = self.clock.now();
-        // With placement an endpoint may be several members, one in each subset; a draining one is counted once.
+        // With placement, an endpoint may be a member of several subsets. A draining endpoint is counted
+        // once.
         let members = self.decisions.unavailable_member_count();
         let endpoints = self.subsets.as_ref().map_or(members, |s| s.unhealthy_endpoints(members));
         metrics.unhealthy_endpoints.set(endpoints as i64);
--- a/routing/src/router/endpoint_record.rs
+++ b/routing/src/router/endpoint_record.rs
@@ -1,23 +1,24 @@
-//! The record of each listed endpoint.
+//! The router actor's record of each listed endpoint.
 use crate::messages::{AddressedCommand, BackendCommand, BackendId, BackendSender};
 use crate::permit::EndpointState;
 use crate::protocol::BackendProtocol;
 use std::net::SocketAddr;
 
-/// The id of a backend, and the mailbox of the actor that runs it.
+/// ID of a backend, and the sender to the backends actor.
 pub(super) struct BackendRef<P: BackendProtocol> {
     pub(super) id: BackendId,
     pub(super) sender: BackendSender<P>,
 }
 
-/// A listed endpoint, and the backend that carries out its exchanges.
+/// A listed endpoint and the backend that runs its exchanges.
 pub(super) struct EndpointRecord<P: BackendProtocol> {
-    /// Its id in the endpoint list.
+    /// Endpoint ID in the endpoint list.
     pub(super) id: String,
     pub(super) addr: SocketAddr,
-    /// Whether it accepts exchanges, which its attempts read before they start.
+    /// Whether the endpoint accepts exchanges. Attempts read this immediately before they start.
     pub(super) state: EndpointState,
-    /// Created with the first exchange: a router sends nothing to most endpoints of a long list.
+    /// Created when the first exchange is sent, because a router with a long list sends nothing to most
+    /// endpoints.
     pub(super) backend: Option<BackendRef<P>>,
 }
 
@@ -26,15 +27,16 @@
         EndpointRecord { id, addr, state: EndpointState::default(), backend: None }
     }
 
-    /// Sends a command to its backend, if that exists; `false` if it can't be sent. The backends actor may be waiting for
-    /// the router actor, so the router actor never waits for it. What must not be lost is written to the
-    /// [`EndpointState`] or to an attempt's guard.
+    /// Sends a command to the endpoint's backend. Returns `false` if there is no backend or its mailbox is
+    /// full. This never blocks, because the backends actor may be waiting for the router actor. Information
+    /// that must not be lost is stored in the [`EndpointState`] or the guard of an attempt.
     pub(super) fn send(&self, command: BackendCommand<P>) -> bool {
         let Some(BackendRef { id, sender }) = &self.backend else { return false };
         sender.try_send(AddressedCommand { backend: *id, command }).is_ok()
     }
 
-    /// Sets whether the endpoint accepts exchanges; one that stops to has its idle connections closed.
+    /// Sets whether the endpoint accepts exchanges. When it stops accepting them, its idle connections are
+    /// closed.
     pub(super) fn set_in_service(&self, in_service: bool) {
         let changed = self.state.set_in_service(in_service);
         if changed && !in_service {
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Removes the endpoint's backend for good.
+    /// Permanently removes the endpoint's backend.
     pub(super) fn retire(&self) {
         self.state.retire();
         self.send(BackendCommand::Remove);
--- a/routing/src/router/endpoint_updates.rs
+++ b/routing/src/router/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and the removal of members.
+//! Handling of endpoint list updates and of the removal of members.
 use super::actor::RouterActor;
 use super::endpoint_record::EndpointRecord;
 use crate::endpoint::{EndpointEntry, EndpointUpdate};
@@ -12,7 +12,7 @@
         if self.subsets.is_some() {
             drop_reserved_groups(&mut update);
         }
-        // Where missing members may serve, the decisions continue to choose them.
+        // If missing members may continue to serve, the decision state machine can still choose them.
         if update.complete && !self.missing_members_may_serve {
             self.take_missing_out_of_service(&update);
         }
@@ -29,7 +29,7 @@
         self.apply_subset_change(change);
     }
 
-    /// Takes endpoints out of service that a complete list lacks.
+    /// Marks endpoints that are missing from a complete list as out of service.
     fn take_missing_out_of_service(&self, update: &EndpointUpdate) {
         let listed: HashSet<&str> = update.endpoints.iter().map(|endpoint| endpoint.id.as_str()).collect();
         for missing in self.endpoints.values().filter(|record| !listed.contains(record.id.as_str())) {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Records an endpoint as listed; returns its entry for the decisions.
+    /// Records a listed endpoint and returns its entry for the decision state machine.
     fn member_entry(&mut self, endpoint: &EndpointEntry) -> MemberEntry {
         let id = self.own_member_id(endpoint);
         if endpoint.state != MemberState::Removed {
@@ -58,8 +58,8 @@
         }
     }
 
-    /// The own member id of a listed endpoint. An endpoint whose address has changed keeps its member id and gets a new
-    /// record and backend; the old backend ends its exchanges.
+    /// Returns the canonical member ID of a listed endpoint. An endpoint whose address has changed retains
+    /// its member ID and gets a new record and a new backend, while the old backend completes its exchanges.
     fn own_member_id(&mut self, endpoint: &EndpointEntry) -> MemberId {
         let Some(known) = self.members_by_id.get(&endpoint.id).copied() else {
             let id = self.member_ids.allocate();
@@ -75,7 +75,7 @@
         known
     }
 
-    /// Removes a member that the decisions do not need any more.
+    /// Removes a member that the decision state machine no longer uses.
     pub(super) fn remove_member(&mut self, member: MemberId) {
         let endpoint = match &mut self.subsets {
             Some(subsets) => subsets.remove_member(member),
@@ -92,7 +92,7 @@
     }
 }
 
-/// Drops endpoints of groups whose numbers are reserved for placement subsets.
+/// Drops endpoints whose group numbers are reserved for placement subsets.
 fn drop_reserved_groups(update: &mut EndpointUpdate) {
     update.endpoints.retain(|endpoint| {
         let in_range = endpoint.group.0 < placement::FIRST_VIEW;
--- a/routing/src/router/handle.rs
+++ b/routing/src/router/handle.rs
@@ -1,4 +1,4 @@
-//! The handle through which fronts and other subsystems reach the router actor.
+//! Handle for sending requests and updates to the router actor.
 use crate::clock::Clock;
 use crate::messages::RouterMessage;
 use crate::metrics::Metrics;
@@ -10,16 +10,17 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Hands requests and updates to the router actor. Copies reach the same actor.
+/// Sends requests and updates to the router actor. Clones refer to the same actor.
 ///
-/// While the program is ending, messages are dropped; the channel of a request's response then closes without one.
+/// Messages are dropped while the program is shutting down. The response channel of a dropped request is
+/// closed without a response.
 pub struct RouterHandle<P: BackendProtocol> {
     sender: Sender<RouterMessage<P>>,
     next_request: Arc<AtomicU64>,
     metrics: Option<Arc<Metrics>>,
-    /// The clock of deadlines.
+    /// Clock that request deadlines refer to.
     pub clock: Clock,
-    /// Converts times that other programs state to that clock.
+    /// Converts times that other programs report to the router's clock.
     pub wall_clock: WallClock,
 }
 
@@ -45,53 +46,54 @@
         RouterHandle { sender, next_request: Arc::default(), metrics, clock, wall_clock }
     }
 
-    /// Hands over a request.
+    /// Submits a request and returns the ID that was assigned to it.
     pub fn submit(&self, request: ClientRequest<P>) -> RequestId {
         let id = RequestId(self.next_request.fetch_add(1, Ordering::Relaxed));
         self.send(RouterMessage::RequestArrived { id, request });
         id
     }
 
-    /// The client of a request has disconnected.
+    /// Notifies the router actor that the client of a request has disconnected.
     pub fn client_disconnected(&self, id: RequestId) {
         self.send(RouterMessage::ClientDisconnected(id));
     }
 
-    /// The client of a request has cancelled it: it gets [`FinalResponse::Cancelled`] at once, unless it has its final
-    /// response, and no further attempt is sent for it.
+    /// Notifies the router actor that the client has cancelled a request. The request gets
+    /// [`FinalResponse::Cancelled`] immediately unless it already has a final response, and no further
+    /// attempt is sent.
     ///
     /// [`FinalResponse::Cancelled`]: crate::FinalResponse::Cancelled
     pub fn cancel(&self, id: RequestId) {
         self.send(RouterMessage::RequestCancelled(id));
     }
 
-    /// Counts a request of this class that was rejected before it reached the router actor.
+    /// Counts a rejected request of this class that was not submitted to the router actor.
     pub fn count_rejected(&self, class: usize) {
         if let Some(class) = self.metrics.as_ref().and_then(|metrics| metrics.classes.get(class)) {
             class.rejected.inc();
         }
     }
 
-    /// Sets the number of processes that serve as this router, each of which uses an equal share of the capacity at
-    /// endpoints.
+    /// Sets the number of processes that run as this router. Each of them uses an equal share of the router's
+    /// capacity at endpoints.
     pub fn set_process_count(&self, processes: u32) {
         self.send(RouterMessage::ProcessCount(processes));
     }
 
-    /// Sets the number of routers that share the capacity at endpoints, this one included. The processes of
-    /// [`RouterHandle::set_process_count`] divide it further.
+    /// Sets the number of routers that share the capacity of endpoints, including this one. Each router's
+    /// share is divided further by the number set with [`RouterHandle::set_process_count`].
     pub fn set_router_count(&self, routers: u32) {
         self.send(RouterMessage::RouterCount(routers));
     }
 
-    /// Updates the placement rules. They apply to requests that arrive later and to those that wait; without placement
-    /// settings they have no effect.
+    /// Updates the placement rules, which apply to new requests and to requests that are waiting. Without
+    /// placement settings this has no effect.
     pub fn update_placement(&self, update: placement::RulesUpdate) {
         self.send(RouterMessage::Placement(update));
     }
 
     fn send(&self, message: RouterMessage<P>) {
-        // An error means that the program is ending.
+        // Sending fails only while the program is shutting down.
         _ = self.sender.send(message);
     }
 }
--- a/routing/src/router/placed_request.rs
+++ b/routing/src/router/placed_request.rs
@@ -1,37 +1,37 @@
-//! The route of a request by its tenant's placement rules.
+//! The routing state of a request that is subject to placement rules.
 use decision::{GroupId, Outcome, Request};
 use placement::PlacementError;
 use std::sync::Arc;
 
-/// The reason for which no further attempt of a request is sent.
+/// Reason for which no further attempt of a request is sent.
 #[derive(Clone)]
 pub(super) enum Stopped {
-    /// The request is routed to another group now.
+    /// The request is now routed to a different group.
     Rerouted,
-    /// Its tenant's placement rules allow no endpoint that could serve it.
+    /// The tenant's placement rules no longer allow any endpoint that could serve the request.
     Denied(PlacementError),
 }
 
-/// The route of a request by placement rules.
+/// The routing state of a request that is subject to placement rules.
 pub(super) struct PlacedRequest {
     pub(super) tenant: Option<Arc<str>>,
-    /// The request as it arrived, in its own group.
+    /// The request as submitted, with its original group.
     pub(super) request: Request,
-    /// The group, perhaps a subset's, that it was routed to.
+    /// Group that the request is currently routed to, which may be a placement subset.
     pub(super) routed_to: GroupId,
-    /// One of its attempts may have run.
+    /// Whether one of the attempts may have run.
     pub(super) may_have_run: bool,
-    /// Set when its route has changed after its first attempt.
+    /// Set if the route has changed after the first attempt was sent.
     pub(super) stopped: Option<Stopped>,
 }
 
 impl PlacedRequest {
-    /// The group, perhaps a subset's, that it was routed to.
+    /// Group that the request is currently routed to, which may be a placement subset.
     pub(super) fn routed_to(&self) -> GroupId {
         self.routed_to
     }
 
-    /// Records the outcome of one of its attempts.
+    /// Records the outcome of an attempt of this request.
     pub(super) fn attempt_ended(&mut self, outcome: Outcome) {
         self.may_have_run |= !outcome.never_ran();
     }
--- a/routing/src/router/placement_routing.rs
+++ b/routing/src/router/placement_routing.rs
@@ -1,5 +1,6 @@
-//! Routing of requests by their tenants' placement rules: a request goes to the subset of its tenant, and waiting requests
-//! are routed again when subsets change. Without placement settings nothing here has any effect.
+//! Routes requests by their tenants' placement rules. A request is sent to the subset of its tenant, and
+//! waiting requests are routed again when subsets change. Without placement settings this module has no
+//! effect.
 use super::actor::{RouterActor, Timer};
 use super::placed_request::{PlacedRequest, Stopped};
 use super::request_record::RequestRecord;
@@ -14,10 +15,10 @@
 use std::sync::Arc;
 
 impl<P: BackendProtocol> RouterActor<P> {
-    /// Routes a request that has arrived; `None` without placement rules.
+    /// Routes a newly submitted request. Returns `None` if placement is disabled.
     ///
     /// # Errors
-    /// Its tenant's placement rules allow no endpoint that could serve it.
+    /// Returns the placement error if the tenant's rules allow no endpoint that could serve the request.
     pub(super) fn place(
         &mut self,
         tenant: Option<Arc<str>>,
@@ -48,7 +49,8 @@
         routed
     }
 
-    /// Notifies the decisions of a change, and forbids the start of attempts at members that have left their subset.
+    /// Notifies the decision state machine of a subset change, and prevents unstarted attempts from starting
+    /// at members that have left their subset.
     pub(super) fn apply_subset_change(&mut self, change: SubsetChange) {
         let SubsetChange { entries, departed, reroute, timer } = change;
         if let Some(at) = timer {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Forbids the start of attempts at these members.
+    /// Prevents unstarted attempts at these members from starting.
     pub(super) fn cancel_unstarted_at(&self, departed: &[MemberId]) {
         if departed.is_empty() {
             return;
@@ -77,7 +79,7 @@
         }
     }
 
-    /// The own member id of a member's endpoint.
+    /// Returns the canonical member ID of a member's endpoint.
     pub(super) fn own_id(&self, member: MemberId) -> MemberId {
         self.subsets.as_ref().map_or(member, |subsets| subsets.own_id(member))
     }
@@ -89,7 +91,7 @@
         self.apply_subset_change(change);
     }
 
-    /// Records the role that a member has stated, and whether the member was reachable.
+    /// Records the role that a member has reported and whether the member was reachable.
     pub(super) fn record_placement_outcome(
         &mut self,
         member: MemberId,
@@ -104,7 +106,7 @@
             subsets.record_outcome(now, member, outcome, stated, &mut self.member_ids);
         self.apply_subset_change(change);
         if source == ReportSource::Probe {
-            // `probe_ended` notifies all members itself.
+            // For a probe, `probe_ended` notifies all members.
             return;
         }
         for member in to_notify {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Routes all requests again that await their response.
+    /// Routes all requests again that are waiting for a response.
     fn reroute_all(&mut self) {
         let waits = |record: &RequestRecord<P>| record.awaits_response() && record.placed.is_some();
         let mut waiting: Vec<RequestId> =
@@ -121,7 +123,7 @@
         waiting.into_iter().for_each(|id| self.reroute(id));
     }
 
-    /// Routes a request again that awaits its response.
+    /// Routes a request again if it is waiting for a response.
     fn reroute(&mut self, id: RequestId) {
         let Some(record) = self.requests.get(&id).filter(|record| record.awaits_response()) else { return };
         let Some(placed) = &record.placed else { return };
@@ -134,7 +136,7 @@
         if routed == Ok(before) {
             return;
         }
-        // `route` may have re-entered this function for the same request and ended it.
+        // `route` may have re-entered this function for the same request and sent its response.
         let Some(record) = self.requests.get_mut(&id).filter(|record| record.awaits_response()) else {
             return;
         };
@@ -143,7 +145,8 @@
         if !has_attempts {
             return self.submit_rerouted(id, routed);
         }
-        // Its attempts are numbered, so it can't be submitted again; those in flight end by themselves.
+        // A request with attempts cannot be resubmitted, because its attempts are already numbered. Attempts
+        // in flight are left to complete.
         if placed.stopped.is_none() {
             placed.stopped = Some(routed.map_or_else(Stopped::Denied, |_| Stopped::Rerouted));
             self.decide(Event::ResponseStarted { request: id });
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Submits a request without attempts to the decisions again, in the group that it is routed to now.
+    /// Resubmits a request that has no attempts to the decision state machine, with the new group.
     fn submit_rerouted(&mut self, id: RequestId, routed: Result<GroupId, PlacementError>) {
         let routed_to = match routed {
             Ok(routed_to) => routed_to,
@@ -170,7 +173,8 @@
         self.decide(Event::RequestArrived(request));
     }
 
-    /// Sends the final response of a request whose route has changed after its first attempt, once none is in flight.
+    /// Sends the final response of a request whose route has changed after its first attempt, once no attempt
+    /// is in flight.
     fn respond_to_stopped(&mut self, id: RequestId) {
         let Some(record) = self.requests.get(&id).filter(|record| record.in_flight.is_empty()) else {
             return;
@@ -185,7 +189,7 @@
         self.respond(id, response, EndReason::PlacementDenied);
     }
 
-    /// Routes a request again whose last attempt in flight has ended.
+    /// Routes a request again after its last attempt in flight has ended.
     pub(super) fn reroute_after_attempt(&mut self, id: RequestId) {
         let idle = |record: &RequestRecord<P>| record.in_flight.is_empty();
         if self.subsets.is_some() && self.requests.get(&id).is_some_and(idle) {
--- a/routing/src/router/probing.rs
+++ b/routing/src/router/probing.rs
@@ -1,4 +1,4 @@
-//! Probes of endpoints: when they are sent, and which members their reports are for.
+//! Scheduling of probes and delivery of their reports to members.
 use super::actor::{RouterActor, Timer};
 use crate::messages::{BackendCommand, RouterMessage};
 use crate::placement_subsets::{ProbeStart, ReportSource};
@@ -8,7 +8,7 @@
 use std::cmp::Reverse;
 
 impl<P: BackendProtocol> RouterActor<P> {
-    /// Probes a member, as the decisions have requested.
+    /// Probes a member at the request of the decision state machine.
     pub(super) fn probe_member(&mut self, member: MemberId) {
         let now = self.clock.now();
         let Some(subsets) = &mut self.subsets else { return self.schedule_probe(member) };
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Probes a whole group in search of its primary, inside and outside of all placement subsets.
+    /// Probes all endpoints of a group to find its primary, regardless of placement subsets.
     pub(super) fn probe_for_primary(&mut self, group: GroupId) {
         let now = self.clock.now();
         let Some(subsets) = &mut self.subsets else { return };
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Probes an endpoint as soon as it is this process's turn.
+    /// Probes an endpoint as soon as this process's share of the probe rate allows.
     pub(super) fn schedule_probe(&mut self, endpoint: MemberId) {
         match self.probe_spacing.schedule(endpoint, self.clock.now()) {
             ProbeTiming::Now => self.send_probe(endpoint),
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Ends a probe that was not sent, after the current message.
+    /// Ends a probe that was not sent, after the current message is handled.
     fn end_probe_later(&mut self, endpoint: MemberId, outcome: Outcome, report: MemberReport) {
         self.defer(RouterMessage::ProbeEnded { member: endpoint, outcome, report });
     }
 
-    /// Handles the end of an endpoint's probe, for all of its members that wait for it.
+    /// Handles the end of a probe for all members that are waiting for it.
     pub(super) fn probe_ended(&mut self, endpoint: MemberId, outcome: Outcome, report: MemberReport) {
         self.record_responded(endpoint, outcome);
         self.probe_spacing.probe_ended(endpoint, report);
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Records that an endpoint has responded, where responses are recorded.
+    /// Records that an endpoint has responded, if recording is enabled.
     pub(super) fn record_responded(&self, endpoint: MemberId, outcome: Outcome) {
         if let Some(responded) = self.responded.as_ref().filter(|_| outcome == Outcome::Ok)
             && let Some(record) = self.endpoints.get(&endpoint)
--- a/routing/src/router/request_record.rs
+++ b/routing/src/router/request_record.rs
@@ -1,4 +1,4 @@
-//! The record of each open request, and of its attempts in flight.
+//! The router actor's record of each open request and of its attempts in flight.
 use super::placed_request::PlacedRequest;
 use crate::final_response::FinalResponse;
 use crate::metrics::Metrics;
@@ -7,33 +7,34 @@
 use decision::{MemberId, MemberReport, Outcome, Time};
 use std::sync::Arc;
 
-/// An attempt in flight.
+/// An attempt that has not ended.
 pub(super) struct InFlightAttempt {
     pub(super) number: u32,
-    /// Where the decisions sent it; perhaps an alias of an endpoint.
+    /// Member to which the decision state machine sent the attempt, which may be an alias of an endpoint.
     pub(super) member: MemberId,
     pub(super) guard: AttemptGuard,
-    /// It was dispatched to its endpoint's connections; one that was not permitted ends by itself.
+    /// Whether the attempt was sent to its endpoint's backend. An attempt that was not permitted ends without
+    /// being dispatched.
     pub(super) dispatched: bool,
 }
 
 pub(super) struct RequestRecord<P: BackendProtocol> {
     pub(super) payload: Arc<P::Payload>,
     pub(super) class: usize,
-    /// Its client stops waiting at this time.
+    /// Time at which the client stops waiting for a response.
     pub(super) deadline: Time,
     pub(super) is_write: bool,
-    /// The number of the connection that it arrived on, for the log.
+    /// Number of the client connection, for logging.
     pub(super) connection: u64,
-    /// Sends the one final response.
+    /// Slot for the one final response.
     pub(super) response: ResponseSlot<P::Response>,
-    /// What its attempts may have done; a retry is permitted by this.
+    /// What earlier attempts may have done, which determines whether a retry is permitted.
     pub(super) repeats: RepeatState,
-    /// The number of its attempts, in flight or ended.
+    /// Number of attempts so far, including those in flight.
     pub(super) attempt_count: u32,
     pub(super) in_flight: Vec<InFlightAttempt>,
     pub(super) last_outcome: Option<Outcome>,
-    /// Its route, if placement rules apply.
+    /// Routing state; `None` without placement settings.
     pub(super) placed: Option<Box<PlacedRequest>>,
 }
 
@@ -42,10 +43,11 @@
         self.response.is_open()
     }
 
-    /// Permits one more attempt; `Ok` holds the time after which it must not start, if there is one.
+    /// Permits one more attempt. `Ok` contains the time after which the attempt must not start, if there is a
+    /// limit.
     ///
     /// # Errors
-    /// Why it must not be sent.
+    /// Returns the reason for which no attempt may be sent.
     pub(super) fn permit_attempt(&mut self, now: Time, rule: RepeatRule) -> Verdict<Option<Time>> {
         if self.response.is_open() {
             self.repeats.permit_attempt(now, rule)
@@ -54,7 +56,8 @@
         }
     }
 
-    /// Records that one of its attempts, whose first byte was permitted at `permitted_at` if ever, has ended.
+    /// Records the end of an attempt. `permitted_at` is the time at which its first byte was permitted, if it
+    /// was.
     pub(super) fn attempt_ended(
         &mut self,
         attempt: &InFlightAttempt,
@@ -70,8 +73,8 @@
         }
     }
 
-    /// When it was committed, if it is a write that was. A position in the response's report is then the commit's, and
-    /// is taken out of the report: it is no position of the endpoint.
+    /// Returns the commit time of a served write. For a write, a position in the response's report is the
+    /// position of the commit and not of the endpoint, so it is removed from the report.
     pub(super) fn commit(
         &self,
         outcome: Outcome,
@@ -85,11 +88,11 @@
         stated.or(position)
     }
 
-    /// Sends the final response and counts the request. A request past its deadline counts as failed, whatever the
-    /// response.
+    /// Sends the final response and counts the request. After the deadline a request counts as failed,
+    /// regardless of the response.
     ///
     /// # Errors
-    /// It has its response, or is owed none any more.
+    /// Returns an error if the request already has a response or no longer needs one.
     pub(super) fn respond(
         &mut self,
         response: FinalResponse<P::Response>,
