--- a/routing/src/router/requests.rs
+++ b/routing/src/router/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to their final response.
+//! Handling of requests, from their submission to their final response.
 use super::actor::RouterActor;
 use super::request_record::RequestRecord;
 use crate::final_response::FinalResponse;
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 impl<P: BackendProtocol> RouterActor<P> {
-    /// Records a request and has the decisions decide on it. It is rejected at once if placement denies it, or if its
-    /// group is unavailable as a whole.
+    /// Records a request and passes it to the decision state machine. It is rejected immediately if placement
+    /// denies it or if its group is unavailable.
     pub(super) fn request_arrived(&mut self, id: RequestId, arrived: ClientRequest<P>) {
         let ClientRequest {
             connection,
@@ -27,7 +27,7 @@
             payload,
             response_sender,
         } = arrived;
-        // The decisions do not tell tenants apart; placement does, by name.
+        // The tenant is not passed to the decision state machine. Placement identifies tenants by name.
         let mut request = Request { id, class, tenant: 0, session, group, deadline, session_commit };
         let placed = self.place(tenant, &request);
         let mut record = self.new_record(&request, connection, payload, response_sender);
@@ -47,7 +47,7 @@
         if let Some(refusal) = refused {
             return self.respond(id, FinalResponse::PlacementDenied(refusal), EndReason::PlacementDenied);
         }
-        // By the group that the client named, whichever subset of it the request is routed to.
+        // The group named by the client is checked, regardless of the subset that the request is routed to.
         if self.unavailable_groups.contains(&group) {
             let retry_after = self.classes.get(class).and_then(|rules| rules.retry_after);
             return self.respond(id, FinalResponse::Rejected(retry_after), EndReason::GroupUnavailable);
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Handles that the client has disconnected: its request gets no response, and counts as neither served nor failed.
+    /// Handles the disconnect of a request's client. The request gets no response and is counted neither as
+    /// served nor as failed.
     pub(super) fn client_disconnected(&mut self, id: RequestId) {
         let Some(record) = self.requests.get_mut(&id) else { return };
         if record.response.close(Denial::ClientDisconnected).is_err() {
@@ -90,7 +91,8 @@
         self.close(id, Denial::ClientDisconnected);
     }
 
-    /// Handles that the client has cancelled the request, which ends with that response unless it has one.
+    /// Handles the cancellation of a request by its client. The final response is
+    /// [`FinalResponse::Cancelled`], unless a final response was already sent.
     pub(super) fn request_cancelled(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(RequestRecord::awaits_response) {
             self.send_response(id, FinalResponse::Cancelled, EndReason::ClientCancelled);
@@ -98,40 +100,41 @@
         }
     }
 
-    /// Stops the work for a request that nobody waits for any more: no further attempt is sent for it, nor one that
-    /// still waits for a connection.
+    /// Stops all work on a request whose client no longer waits. No further attempt is sent, including
+    /// attempts that are still waiting for a connection.
     fn close(&mut self, id: RequestId, reason: Denial) {
         self.cancel_unstarted_attempts(id, reason);
         self.decide(Event::ClientDisconnected { request: id });
         self.remove_if_finished(id);
     }
 
-    /// Ends a request as not served; it may be retried, after `retry_after` if there is one.
+    /// Rejects a request. The client may safely retry it, after `retry_after` if that is given.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: Option<Duration>) {
         let reason = self.end_reason(id);
         self.respond(id, FinalResponse::Rejected(retry_after), reason);
     }
 
-    /// Ends a request that may have run, with the outcome of its last attempt.
+    /// Fails a request that may have run, with the outcome of its last attempt.
     pub(super) fn fail(&mut self, id: RequestId) {
         let last_outcome = self.requests.get(&id).and_then(|record| record.last_outcome);
         let reason = self.end_reason(id);
         self.respond(id, FinalResponse::Failed(last_outcome), reason);
     }
 
-    /// Why a request that was not served ends now.
+    /// Returns the reason for ending a request that was not served.
     pub(super) fn end_reason(&self, id: RequestId) -> EndReason {
         let last_outcome = self.requests.get(&id).and_then(|record| record.last_outcome);
         last_outcome.map_or(EndReason::NotForwarded, EndReason::After)
     }
 
-    /// Sends a request its final response, unless it has one, and removes it once it is finished.
+    /// Sends the final response of a request unless it already has one, and removes the request if it is
+    /// finished.
     pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse<P::Response>, reason: EndReason) {
         self.send_response(id, response, reason);
         self.remove_if_finished(id);
     }
 
-    /// Sends a request its final response, unless it has one. The request is not removed.
+    /// Sends the final response of a request unless it already has one. The request is not removed.
     pub(super) fn send_response(
         &mut self,
         id: RequestId,
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Removes a request that has its final response and no attempt in flight.
+    /// Removes a request that has a final response and no attempts in flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         let finished = |record: &RequestRecord<P>| !record.awaits_response() && record.in_flight.is_empty();
         if self.requests.get(&id).is_some_and(finished) {
--- a/routing/src/router/transitions.rs
+++ b/routing/src/router/transitions.rs
@@ -1,4 +1,5 @@
-//! The record of each transition of a request: a log line, the counters by reason, and the observer's check.
+//! Records each state transition of a request: writes a log line, increments the counters by reason and
+//! notifies the observer.
 use super::actor::RouterActor;
 use crate::attempt_id::AttemptId;
 use crate::final_response::FinalResponse;
@@ -9,7 +10,7 @@
 use crate::reasons::{EndReason, outcome_name};
 use decision::{MemberId, Outcome, RequestId, Time};
 
-/// The value of the field `reason` where a request was served.
+/// Value of the log field `reason` for requests that were served.
 const NO_REASON: &str = "none";
 
 impl<R> From<&FinalResponse<R>> for Ending {
@@ -24,7 +25,7 @@
 }
 
 impl<P: BackendProtocol> RouterActor<P> {
-    /// Records that a request was accepted from a connection.
+    /// Records that a request was accepted from a client connection.
     pub(super) fn record_accepted(
         &mut self,
         request: RequestId,
@@ -36,7 +37,7 @@
         self.observe(request, Transition::Accepted { class, deadline });
     }
 
-    /// Records that an attempt was dispatched to its endpoint's connections.
+    /// Records that an attempt was sent to its endpoint's backend.
     pub(super) fn record_dispatched(&mut self, attempt: AttemptId, endpoint: MemberId, deadline: Time) {
         let AttemptId { request, number } = attempt;
         tracing::debug!(
@@ -53,7 +54,7 @@
         self.observe(request, Transition::AttemptDispatched { attempt: number, deadline });
     }
 
-    /// Counts a retry by the outcome of the request's last attempt that has ended, if one has.
+    /// Counts a retry by the outcome of the last ended attempt of the request, if there is one.
     fn count_retry(&self, request: RequestId) {
         let last_outcome = self.requests.get(&request).and_then(|record| record.last_outcome);
         if let (Some(reasons), Some(outcome)) = (self.reasons(), last_outcome) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Records that an attempt was not permitted.
+    /// Records that an attempt was denied a permit.
     pub(super) fn record_denied(&self, attempt: AttemptId, denial: Denial) {
         let AttemptId { request, number } = attempt;
         tracing::debug!(
@@ -106,7 +107,7 @@
         self.observe(request, Transition::AttemptEnded(end));
     }
 
-    /// Records that a request has its final response, or is owed none any more.
+    /// Records that a request has ended, with or without a response.
     pub(super) fn record_request_ended(
         &mut self,
         request: RequestId,
@@ -125,7 +126,7 @@
         self.observe(request, Transition::Ended(ending));
     }
 
-    /// Counts a request that was not served, by its reason.
+    /// Counts a request that was not served, by reason.
     fn count_end(&self, ending: Ending, reason: &'static str) {
         let Some(reasons) = self.reasons() else { return };
         let family = match ending {
@@ -137,7 +138,7 @@
         family.with_label_values(&[reason]).inc();
     }
 
-    /// Looks for requests that were never ended.
+    /// Checks for requests that are still open after their deadline.
     pub(super) fn find_forgotten_requests(&mut self) {
         let mut violations = Vec::new();
         self.observer.find_forgotten(self.clock.now(), &mut violations);
@@ -154,8 +155,9 @@
         violations.iter().for_each(|violation| self.report(violation));
     }
 
-    /// Reports a violation, which is a fault of this program: an error line and a counter. In debug builds, which tests
-    /// are, it is also a panic, unless the process may have violated it merely for want of processor time.
+    /// Reports an invariant violation, which is a bug in the router, as an error in the log and in a counter.
+    /// In debug builds, including tests, it also panics, unless the violation can be caused by a lack of CPU
+    /// time alone.
     fn report(&self, violation: &Violation) {
         let Violation { invariant, request, attempt } = violation;
         let name = invariant.name();
--- a/routing/src/socket.rs
+++ b/routing/src/socket.rs
@@ -1,5 +1,5 @@
-//! Socket operations that the wire protocols share: connecting, reading up to a deadline and writing several parts, all
-//! blocking, and a non-blocking peek.
+//! Socket operations that the wire protocols share: connecting, reading with a deadline and vectored writing,
+//! which block, and a non-blocking peek.
 use settings::Limits;
 use socket2::SockRef;
 use std::io::{self, IoSlice, Read, Write};
@@ -7,22 +7,23 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The shortest read timeout that is set: the operating system reads zero as "no timeout".
+/// Minimum read timeout that is set on a socket, because the operating system interprets zero as "no
+/// timeout".
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
-/// The shortest read timeout for a server's greeting, however long connecting took.
+/// Minimum read timeout for the server's greeting, even if connecting has used up the connect timeout.
 const MIN_GREETING_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Whether an idle connection is open and nothing has arrived on it. The server sends nothing unasked, so bytes or an end
-/// of stream mean that the connection is not usable any more.
+/// Returns whether an idle connection is open and has no unread data. A server sends nothing without a
+/// request, so unread bytes or an end of stream mean that the connection is no longer usable.
 pub fn is_idle_and_open(socket: &TcpStream) -> bool {
     peek(socket).is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// The number of bytes, 0 or 1, that can be read without blocking; they stay in the socket's buffer. 0 is the end of the
-/// stream.
+/// Returns the number of bytes (0 or 1) that can be read without blocking. The bytes remain in the socket's
+/// buffer. 0 means the end of the stream.
 ///
 /// # Errors
-/// [`io::ErrorKind::WouldBlock`] if nothing has arrived; any other error of the connection.
+/// [`io::ErrorKind::WouldBlock`] if there is no unread data; any other error of the connection.
 pub fn peek(socket: &TcpStream) -> io::Result<usize> {
     let flags = libc::MSG_PEEK | libc::MSG_DONTWAIT;
     loop {
@@ -33,23 +34,23 @@
     }
 }
 
-/// Whether a connection failed for lack of this host's own descriptors, memory, ports or buffers, which is no failure of
-/// the endpoint.
+/// Returns whether a connection failed because this host ran out of file descriptors, memory, ports or
+/// buffers. This does not count as a failure of the endpoint.
 pub fn is_local_shortage(error: &io::Error) -> bool {
     const SHORTAGES: [i32; 6] =
         [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EADDRNOTAVAIL, libc::EAGAIN];
     error.raw_os_error().is_some_and(|code| SHORTAGES.contains(&code))
 }
 
-/// Reads from a socket until a deadline, so that a peer that sends a byte now and then can't occupy a thread indefinitely.
-/// The socket keeps the read timeout of the last read.
+/// Reads from a socket until a deadline, so that a peer that sends single bytes slowly cannot block a thread
+/// indefinitely. The read timeout of the last read remains set on the socket.
 pub struct DeadlineReader<'a> {
     socket: &'a TcpStream,
     deadline: Instant,
 }
 
 impl<'a> DeadlineReader<'a> {
-    /// A reader whose reads fail with [`io::ErrorKind::TimedOut`] from `deadline` on.
+    /// Creates a reader whose reads fail with [`io::ErrorKind::TimedOut`] after `deadline`.
     pub fn new(socket: &'a TcpStream, deadline: Instant) -> Self {
         DeadlineReader { socket, deadline }
     }
@@ -67,36 +68,38 @@
     }
 }
 
-/// Connects, and never to itself: if nobody listens on a loopback port of the ephemeral range, the operating system may
-/// choose that very port for this end. Such a connection would read what it writes, and the server could not listen on
-/// the port.
+/// Connects to an address and rejects a connection of the socket to itself. If no process listens on a
+/// loopback port of the ephemeral range, the operating system may assign that same port to the local end.
+/// Such a connection would read its own writes and prevent the server from binding the port.
 ///
 /// # Errors
-/// The connection could not be made within `timeout`; [`io::ErrorKind::ConnectionRefused`] also if it was one to itself.
+/// Returns an error if the connection could not be established within `timeout`, and
+/// [`io::ErrorKind::ConnectionRefused`] if the socket was connected to itself.
 pub fn connect(addr: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
     let socket = TcpStream::connect_timeout(&addr, timeout)?;
     if is_self_connection(&socket)? {
-        // Reset instead of closed, so that the port is free at once.
+        // Close with a reset, so that the port can be bound again immediately.
         SockRef::from(&socket).set_linger(Some(Duration::ZERO))?;
         return Err(io::ErrorKind::ConnectionRefused.into());
     }
     Ok(socket)
 }
 
-/// Whether both ends of a connection are the same socket.
+/// Returns whether both ends of a connection are the same socket.
 ///
 /// # Errors
-/// The connection has lost one of its two ends.
+/// Returns an error if the local or the remote address of the socket cannot be determined.
 pub fn is_self_connection(socket: &TcpStream) -> io::Result<bool> {
     Ok(socket.local_addr()? == socket.peer_addr()?)
 }
 
-/// Connects to an endpoint without Nagle's algorithm. What remains of `limits.connect` becomes the read timeout, for
-/// the endpoint's greeting; the write timeout is `limits.connect`. Unlike [`connect`] it does not check for a connection to
-/// itself.
+/// Connects to an endpoint and disables Nagle's algorithm. The rest of the backend connect timeout becomes
+/// the read timeout for the endpoint's greeting, and the write timeout is the full backend connect timeout.
+/// Unlike [`connect`], this function does not check for a connection to itself.
 ///
 /// # Errors
-/// The connection could not be made or set up within `limits.connect`.
+/// Returns an error if the connection could not be established or configured within the backend connect
+/// timeout.
 pub fn connect_to_endpoint(addr: SocketAddr, limits: &Limits) -> io::Result<TcpStream> {
     let started = Instant::now();
     let socket = TcpStream::connect_timeout(&addr, limits.backend_connect_timeout)?;
@@ -108,13 +111,13 @@
     Ok(socket)
 }
 
-/// Writes all parts in order, with as few system calls as the socket allows.
+/// Writes all parts in order with as few system calls as possible.
 ///
 /// # Errors
-/// The write failed or timed out. Then the last byte has not been delivered.
+/// Returns an error if the write failed or timed out. In that case the last byte has not been delivered.
 pub fn write_all_vectored(mut socket: &TcpStream, parts: &mut [IoSlice<'_>]) -> io::Result<()> {
     let mut remaining = parts;
-    // Empty parts at the front would look like a closed socket.
+    // Without this, a write of leading empty parts would return 0 and look like a closed socket.
     IoSlice::advance_slices(&mut remaining, 0);
     while !remaining.is_empty() {
         match socket.write_vectored(remaining) {
--- a/routing/src/threads.rs
+++ b/routing/src/threads.rs
@@ -1,4 +1,4 @@
-//! Starting threads, also while the operating system has none to give.
+//! Starting threads, with retries while the operating system's thread or memory limit is reached.
 use std::fmt;
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -6,20 +6,18 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// How long [`spawn_needed`] retries for.
+/// How long [`spawn_needed`] retries starting a thread.
 pub const START_TIMEOUT: Duration = Duration::from_secs(3);
-/// The pause before a start is retried.
+/// Delay between attempts to start a thread.
 const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// No thread could be started; holds what the thread was to run, so that the caller can do something else with it.
+/// A thread could not be started. The error contains the closure, so that the caller can run or discard it.
 #[derive(Error)]
-#[error(
-    "no thread could be started: {source}; raise the limit of processes of the user that the router runs as"
-)]
+#[error("cannot start a thread: {source}; raise the process limit of the user that runs the router")]
 pub struct SpawnError<F> {
-    /// The error of the operating system.
+    /// Error returned by the operating system.
     pub source: io::Error,
-    /// What the thread was to run, which has not begun.
+    /// Closure that was to run on the thread. It has not been called.
     pub run: F,
 }
 
@@ -29,20 +27,20 @@
     }
 }
 
-/// Starts a named thread with a stack of `stack_bytes`. Of the name, Linux shows the first 15 bytes.
+/// Starts a named thread with a stack of `stack_bytes`. Linux displays only the first 15 bytes of the name.
 ///
 /// # Errors
-/// The operating system gives no more threads or memory; raise the limit of processes of the user that the router runs
-/// as.
+/// Returns the error of the operating system if no thread or memory is available. Raise the process limit of
+/// the user that runs the router.
 pub fn spawn(name: &str, stack_bytes: usize, run: impl FnOnce() + Send + 'static) -> io::Result<()> {
     Builder::new().name(name.to_string()).stack_size(stack_bytes).spawn(run).map(|_| ())
 }
 
-/// Starts a named thread as [`spawn`] does, and retries for up to `timeout` while the operating system has none to give:
-/// processes of the same host may hold all of them for a moment.
+/// Starts a named thread like [`spawn`], but retries for up to `timeout` while the thread limit is reached,
+/// since other processes on the host may use up the limit for a short time.
 ///
 /// # Errors
-/// [`SpawnError`], with what was to be run.
+/// Returns a [`SpawnError`] that contains the closure.
 pub fn spawn_with_retry<F: FnOnce() + Send + 'static>(
     name: &str,
     stack_bytes: usize,
@@ -50,7 +48,7 @@
     run: F,
 ) -> Result<(), SpawnError<F>> {
     let deadline = Instant::now() + timeout;
-    // A failed start drops its closure, so what is to be run stays here until a thread takes it.
+    // A failed start drops its closure, so `run` is stored here until a thread takes it.
     let pending = Arc::new(Mutex::new(Some(run)));
     loop {
         let own = pending.clone();
@@ -71,10 +69,10 @@
     }
 }
 
-/// Starts a thread that the program can't do without; retries for up to [`START_TIMEOUT`].
+/// Starts a thread that the program cannot run without. Retries for up to [`START_TIMEOUT`].
 ///
 /// # Errors
-/// As [`spawn`].
+/// Returns the same errors as [`spawn`].
 pub fn spawn_needed(name: &str, stack_bytes: usize, run: impl FnOnce() + Send + 'static) -> io::Result<()> {
     spawn_with_retry(name, stack_bytes, START_TIMEOUT, run).map_err(|failed| failed.source)
 }
--- a/routing/src/wall_clock.rs
+++ b/routing/src/wall_clock.rs
@@ -1,18 +1,20 @@
-//! Conversion of times that other programs state to the router's own clock.
+//! Converts wall-clock times that other programs report to the router's own clock.
 //!
-//! Servers state their positions, discovery states starts, and clients state the commits that they must see. All of
-//! them read these times off the wall clock, which may be stepped at any time, by seconds or by an hour. The router uses
-//! a [`Clock`](crate::Clock) of its own that is never stepped, so stated times are converted to that clock here.
+//! Servers report their replication positions, discovery reports when endpoints were started, and clients
+//! report the commits that they must observe. All of these times were read from the wall clock, which may be
+//! stepped by any amount at any time. The router uses its own [`Clock`](crate::Clock), which is never
+//! stepped, so reported times are converted here.
 //!
-//! [`ClockOffsets`] decides, without a clock of its own: it gets readings of the wall clock, detects a step, and keeps
-//! the offset that held before it. A stated time may have been read before or after the step, so it may mean either of
-//! two moments. Which of them is taken depends on what would go wrong:
+//! [`ClockOffsets`] does the calculation without accessing a clock. It is given readings of the wall clock,
+//! detects steps, and stores the offsets from before the last steps. A reported time may have been read
+//! before or after a step, so it can have more than one meaning. The interpretation is chosen such that an
+//! error is safe:
 //!
-//! - a start, and a commit that must be seen, are taken as late as they can be;
-//! - a position that a replica states is taken as early as it can be, unless the replica shows that it uses the wall
-//!   clock as it is now.
+//! - for the start of a server and for a commit that must be observed, the latest possible time is used;
+//! - for the position of a replica, the earliest possible time is used, unless the replica is known to use
+//!   the current wall clock.
 //!
-//! [`WallClock`] reads the clocks and remembers what each server has stated.
+//! [`WallClock`] reads the clocks and stores the last position reported by each server.
 mod converter;
 mod offsets;
 
--- a/routing/src/wall_clock/converter.rs
+++ b/routing/src/wall_clock/converter.rs
@@ -1,4 +1,5 @@
-//! The converter that connections share: it reads both clocks and remembers each server's last position.
+//! Converter for reported times that connections share. It reads both clocks and stores the last position of
+//! each server.
 use super::offsets::{ClockOffsets, MAX_POSITION_AHEAD, StatedBy};
 use crate::clock::Clock;
 use decision::Time;
@@ -7,10 +8,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A reading of the wall clock that took longer than this is not compared with the router's own clock.
+/// A reading of the wall clock that took longer than this is not compared with the router's clock.
 const MAX_READING_TIME: Duration = Duration::from_millis(2);
 
-/// The last position that a server stated, as it was stated.
+/// The last position that a server reported, before conversion.
 #[derive(Clone, Copy, Debug)]
 struct StatedPosition {
     position: Time,
@@ -23,7 +24,7 @@
     servers: HashMap<SocketAddr, StatedPosition>,
 }
 
-/// Converts stated times to the router's own clock. Copies share what they know of steps.
+/// Converts reported times to the router's clock. Clones share the detected steps.
 #[derive(Clone, Debug)]
 pub struct WallClock {
     clock: Clock,
@@ -31,22 +32,22 @@
 }
 
 impl WallClock {
-    /// A converter to this clock.
+    /// Creates a converter to the given clock.
     pub fn new(clock: Clock) -> WallClock {
         WallClock { clock, state: Arc::default() }
     }
 
-    /// The clock that stated times are converted to.
+    /// Returns the clock to which reported times are converted.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// What the wall clock shows now, as Unix time in microseconds.
+    /// Returns the current wall-clock time as Unix time in microseconds.
     pub fn now(&self) -> Time {
         Clock::wall_now()
     }
 
-    /// The state, after a comparison of the two clocks.
+    /// Compares the two clocks to detect a step, then returns the locked state.
     fn compared_state(&self) -> MutexGuard<'_, State> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let before = Instant::now();
@@ -54,25 +55,25 @@
         if before.elapsed() < MAX_READING_TIME
             && let Some(step) = state.offsets.observe(self.clock.time_at(before), wall)
         {
-            tracing::warn!(step_us = step, "wall clock stepped, stated times are converted accordingly");
+            tracing::warn!(step_us = step, "wall clock stepped, conversion of reported times adjusted");
             let servers = state.servers.values_mut();
             servers.for_each(|stated| stated.stated_by = StatedBy::UnknownClock);
         }
         state
     }
 
-    /// When a server started that states this start.
+    /// Converts a start time that was reported for a server.
     pub fn start(&self, stated: Time) -> Time {
         self.compared_state().offsets.start(self.clock.now(), stated)
     }
 
-    /// The commit that a client states it must see, or that a server states it has made.
+    /// Converts the time of a commit that a client must observe or that a server has made.
     pub fn commit(&self, stated: Time) -> Time {
         self.compared_state().offsets.commit(self.clock.now(), stated)
     }
 
-    /// The position up to which a server states that it has applied commits; `None` if it can't be told. A primary's is
-    /// the present.
+    /// Converts the replication position that a server reported; returns `None` if it cannot be determined.
+    /// The position of a primary is the present.
     pub fn position(&self, server: SocketAddr, stated: Time, is_primary: bool) -> Option<Time> {
         let mut state = self.compared_state();
         let now = self.clock.now();
@@ -87,9 +88,10 @@
 }
 
 impl State {
-    /// Which wall clock a replica goes by that states this position now.
+    /// Determines which wall clock a replica used for the position that it reports now.
     fn clock_of(&self, server: SocketAddr, now: Time, stated: Time) -> StatedBy {
-        // Positions never go back: a lower one was read off a clock that did, and so were those that follow.
+        // The positions of a server never decrease. If the reported one is lower than the last, the server's
+        // clock was stepped back, and the positions that follow are read from the stepped clock.
         let last = self.servers.get(&server);
         let went_back = last.is_some_and(|last| stated < last.position);
         let was_current = last.is_some_and(|last| last.stated_by == StatedBy::CurrentClock);
--- a/routing/src/wall_clock/offsets.rs
+++ b/routing/src/wall_clock/offsets.rs
@@ -1,43 +1,48 @@
-//! The offsets between the wall clock and the router's own, and what a stated time means under them.
+//! Offsets between the wall clock and the router's clock, and the conversion of reported times with these
+//! offsets.
 use decision::{Micros, Time};
 
-/// Smaller differences are no steps: the two clocks are not read in the same moment.
+/// Minimum difference that counts as a step. Smaller differences occur because the two clocks are not read at
+/// exactly the same time.
 const MIN_STEP: Micros = 20_000;
-/// No position lies further ahead of the present: the server that states one is wrong, or its clock was stepped since.
+/// Maximum time by which a position may be ahead of the present. Beyond it, the server is wrong or its clock
+/// was stepped after the position was read.
 pub(super) const MAX_POSITION_AHEAD: Micros = 1_000_000;
-/// A commit may lie this far ahead: commits are rounded up.
+/// Maximum time by which a commit may be ahead of the present. Commit times are rounded up.
 const MAX_COMMIT_AHEAD: Micros = 10_000;
-/// No replica is as far behind as this: of two moments so far apart, the later one is meant.
+/// Difference between two interpretations of a position from which the later one is used, because no replica
+/// lags that much.
 const LARGE_STEP: Micros = 60_000_000;
-/// For this long after a step, positions that were read before it are expected.
+/// Time after a step during which positions that were read before the step are still expected.
 const AMBIGUITY_AFTER_STEP: Micros = 10_000_000;
-/// A commit ahead of every clock counts as at most this far ahead.
+/// A commit that is ahead of the present under every offset is clamped to this distance.
 const MAX_UNKNOWN_COMMIT_AHEAD: Micros = 86_400_000_000;
-/// Offsets that are remembered from before steps.
+/// Maximum number of past offsets to store.
 const MAX_PAST_OFFSETS: usize = 4;
 
-/// Which wall clock a server read a stated position off.
+/// Which state of the wall clock a server used for a reported position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatedBy {
-    /// The server has shown that it goes by the wall clock as it is now.
+    /// The server is known to use the wall clock since the last step.
     CurrentClock,
-    /// The server may go by the wall clock as it was before a step.
+    /// The server may use the wall clock from before a step.
     UnknownClock,
 }
 
-/// The wall clock's offsets against the router's own clock, now and before its last steps.
+/// Offsets of the wall clock relative to the router's clock, now and before the last steps.
 #[derive(Clone, Debug, Default)]
 pub struct ClockOffsets {
-    /// The wall clock less the router's own, in microseconds.
+    /// Wall-clock time minus the router's time, in microseconds.
     current: Micros,
-    /// Offsets before the last steps, the latest first.
+    /// Offsets before the last steps, most recent first.
     past: Vec<Micros>,
-    /// When the last step was detected.
+    /// Time at which the last step was detected.
     stepped_at: Option<Time>,
 }
 
 impl ClockOffsets {
-    /// Takes a reading `wall` of the wall clock at `now`. Returns by how many microseconds it was stepped, if it was.
+    /// Processes a reading `wall` of the wall clock at `now`. Returns the size of the step in microseconds if
+    /// the clock was stepped.
     pub fn observe(&mut self, now: Time, wall: Time) -> Option<Micros> {
         let step = wall.0 - now.0 - self.current;
         if step.abs() < MIN_STEP {
@@ -51,23 +56,23 @@
         Some(step)
     }
 
-    /// The moment that is meant if the wall clock was read as it is now.
+    /// Converts a reported time under the assumption that it was read from the current wall clock.
     fn by_current_clock(&self, stated: Time) -> Time {
         Time(stated.0.saturating_sub(self.current))
     }
 
-    /// All moments that a stated time may mean and that are not later than `latest`.
+    /// Returns the conversions of a reported time under all known offsets that are not later than `latest`.
     fn plausible(&self, stated: Time, latest: Time) -> impl Iterator<Item = Time> {
         let before = self.past.iter().map(move |offset| Time(stated.0.saturating_sub(*offset)));
         std::iter::once(self.by_current_clock(stated)).chain(before).filter(move |time| *time <= latest)
     }
 
-    /// When a server started that states this start: no later than now, and as late as it may be.
+    /// Converts a start time to the latest possible time that is not after `now`.
     pub fn start(&self, now: Time, stated: Time) -> Time {
         self.plausible(stated, now).max().unwrap_or(now)
     }
 
-    /// The commit that must be seen, as late as it may be.
+    /// Converts the time of a commit that must be observed to the latest possible time.
     pub fn commit(&self, now: Time, stated: Time) -> Time {
         let latest = Time(now.0 + MAX_COMMIT_AHEAD);
         let latest_unknown = now.0.saturating_add(MAX_UNKNOWN_COMMIT_AHEAD);
@@ -75,7 +80,8 @@
         self.plausible(stated, latest).max().unwrap_or(ahead)
     }
 
-    /// The position up to which a server has applied commits; `None` if it can't be told.
+    /// Converts the position up to which a server has applied commits; returns `None` if it cannot be
+    /// determined.
     pub fn position(&self, now: Time, stated: Time, stated_by: StatedBy) -> Option<Time> {
         let latest = Time(now.0 + MAX_POSITION_AHEAD);
         let by_current_clock = Some(self.by_current_clock(stated)).filter(|time| *time <= latest);
@@ -88,7 +94,7 @@
         near.min()
     }
 
-    /// Whether a stated position can only have been read off the wall clock as it is now.
+    /// Returns whether a reported position can only have been read from the current wall clock.
     pub(super) fn proves_current_clock(&self, now: Time, stated: Time) -> bool {
         let latest = Time(now.0 + MAX_POSITION_AHEAD);
         self.by_current_clock(stated) <= latest && self.plausible(stated, latest).count() == 1
