--- a/routing/benches/observer.rs
+++ b/routing/benches/observer.rs
@@ -18,7 +18,7 @@
 const OPEN_REQUESTS: u64 = 256;
 
 /// Simulates one request with two attempts, and reports its transitions if there is an observer.
-fn play_request(id: u64, rule: RepeatRule, observer: &mut Option<Observer>) {
+fn simulate_request(id: u64, rule: RepeatRule, observer: &mut Option<Observer>) {
     let (now, request) = (Time(id as i64), RequestId(id));
     let mut violations = Vec::new();
     let mut observe = |transition| {
@@ -56,7 +56,7 @@
         }
     }
     let begin = Instant::now();
-    (0..REQUESTS).for_each(|id| play_request(id, rule, &mut observer));
+    (0..REQUESTS).for_each(|id| simulate_request(id, rule, &mut observer));
     begin.elapsed().as_nanos() as f64 / REQUESTS as f64
 }
 
--- a/routing/src/backends/backend.rs
+++ b/routing/src/backends/backend.rs
@@ -101,7 +101,7 @@
         }
         let resources = &self.context.resources;
         let AcquiredSlot { open_before: open, slot } = resources.connections.acquire();
-        self.announce_near_limit(open);
+        self.report_near_limit(open);
         if open >= resources.limits.max_backend_connections
             || self.busy >= resources.limits.max_connections_per_backend
         {
@@ -114,13 +114,13 @@
     /// Removes and returns an idle connection: the most recently used one whose reuse delay has passed, or
     /// else the one whose reuse delay ends first.
     fn take_idle(&mut self) -> Option<IdleConnection<P>> {
-        let settle_time = self.context.resources.limits.backend_reuse_delay;
-        let settled = self.idle.iter().rposition(|idle| idle.idle_for() >= settle_time);
-        (!self.idle.is_empty()).then(|| self.idle.remove(settled.unwrap_or(0)))
+        let reuse_delay = self.context.resources.limits.backend_reuse_delay;
+        let reusable_index = self.idle.iter().rposition(|idle| idle.idle_for() >= reuse_delay);
+        (!self.idle.is_empty()).then(|| self.idle.remove(reusable_index.unwrap_or(0)))
     }
 
     /// Asks the router actor to close idle connections before attempts reach the connection limit.
-    fn announce_near_limit(&self, open: usize) {
+    fn report_near_limit(&self, open: usize) {
         let BackendResources { limits, router, .. } = &self.context.resources;
         if LIMIT_PARTS * open >= NEAR_LIMIT_SIXTEENTHS * limits.max_backend_connections {
             let max_idle =
--- a/routing/src/backends/exchange.rs
+++ b/routing/src/backends/exchange.rs
@@ -68,7 +68,7 @@
 ) {
     let IdleConnection { mut connection, since: last_response, slot } = idle;
     if connection.is_some() {
-        wait_until_settled(context.resources.limits.backend_reuse_delay, last_response);
+        wait_for_reuse_delay(context.resources.limits.backend_reuse_delay, last_response);
     }
     // A panic in the protocol implementation must not prevent the task from ending or the connection slot
     // from being released.
@@ -77,8 +77,8 @@
     let result = executed.unwrap_or_else(|_| ExchangeResult::from_outcome(Outcome::Reset));
     // The endpoint measures idle time from its last response, so a task that sent nothing does not reset it.
     let since = if result.outcome == Outcome::NeverSent { last_response } else { Instant::now() };
-    let can_carry_more = connection.is_some() && result.reusable;
-    let connection = can_carry_more.then_some(IdleConnection { connection, since, slot });
+    let is_reusable = connection.is_some() && result.reusable;
+    let connection = is_reusable.then_some(IdleConnection { connection, since, slot });
     // The backend is notified before the router actor, so that the next attempt finds this connection idle.
     let command = BackendCommand::ExchangeEnded { connection };
     _ = context.backends.send(AddressedCommand { backend: context.id, command });
@@ -87,8 +87,8 @@
 
 /// Waits for the reuse delay, so that data or a close that the endpoint sent right after its last response
 /// has arrived.
-fn wait_until_settled(settle_time: Duration, last_response: Instant) {
-    let remaining = settle_time.saturating_sub(last_response.elapsed());
+fn wait_for_reuse_delay(reuse_delay: Duration, last_response: Instant) {
+    let remaining = reuse_delay.saturating_sub(last_response.elapsed());
     if !remaining.is_zero() {
         std::thread::sleep(remaining);
     }
--- a/routing/src/endpoint.rs
+++ b/routing/src/endpoint.rs
@@ -66,12 +66,12 @@
 impl MaintenanceMask {
     /// Returns the endpoint with this mask applied.
     pub(crate) fn apply(&self, endpoint: &EndpointEntry) -> EndpointEntry {
-        let mut shown = endpoint.clone();
-        if shown.state == MemberState::Ready && self.in_maintenance.contains(&shown.id) {
-            shown.state = MemberState::Draining;
+        let mut masked = endpoint.clone();
+        if masked.state == MemberState::Ready && self.in_maintenance.contains(&masked.id) {
+            masked.state = MemberState::Draining;
         }
-        shown.started_at = shown.started_at.max(self.restored_at.get(&shown.id).copied());
-        shown
+        masked.started_at = masked.started_at.max(self.restored_at.get(&masked.id).copied());
+        masked
     }
 
     /// Returns the groups that have no ready endpoint and at least one endpoint in maintenance. Requests for
--- a/routing/src/endpoints/actor.rs
+++ b/routing/src/endpoints/actor.rs
@@ -29,19 +29,19 @@
     mask: MaintenanceMask,
     /// Versions of endpoints that were updated after a gap and are therefore newer than the published
     /// version.
-    ahead: BTreeMap<String, u64>,
+    newer_versions: BTreeMap<String, u64>,
     /// Unavailable groups in the last notification to the router actor.
     unavailable_groups: BTreeSet<GroupId>,
     wall_clock: WallClock,
     /// Last reported start of each endpoint, by ID. It is converted only once, so that later steps of the
     /// wall clock do not change the result.
-    starts: BTreeMap<String, StatedStart>,
+    starts: BTreeMap<String, ReportedStart>,
 }
 
 /// Start time as reported, and as converted to the router's clock.
 #[derive(Clone, Copy)]
-struct StatedStart {
-    stated: Time,
+struct ReportedStart {
+    reported: Time,
     converted: Time,
 }
 
@@ -58,7 +58,7 @@
             metrics,
             listed: BTreeMap::new(),
             mask: MaintenanceMask::default(),
-            ahead: BTreeMap::new(),
+            newer_versions: BTreeMap::new(),
             unavailable_groups: BTreeSet::new(),
             wall_clock,
             starts: BTreeMap::new(),
@@ -126,22 +126,22 @@
             self.starts.retain(|id, _| listed.contains(id.as_str()));
         }
         for endpoint in &mut update.endpoints {
-            let Some(stated) = endpoint.started_at else { continue };
-            let known = self.starts.get(&endpoint.id).filter(|known| known.stated == stated);
-            let converted = known.map_or_else(|| self.wall_clock.start(stated), |known| known.converted);
+            let Some(reported) = endpoint.started_at else { continue };
+            let known = self.starts.get(&endpoint.id).filter(|known| known.reported == reported);
+            let converted = known.map_or_else(|| self.wall_clock.start(reported), |known| known.converted);
             endpoint.started_at = Some(converted);
             if endpoint.state == MemberState::Removed {
                 self.starts.remove(&endpoint.id);
             } else {
-                self.starts.insert(endpoint.id.clone(), StatedStart { stated, converted });
+                self.starts.insert(endpoint.id.clone(), ReportedStart { reported, converted });
             }
         }
     }
 
     /// Returns whether the update was already applied and is repeated by a reopened watch.
     fn is_stale(&self, update: &EndpointUpdate, order: UpdateOrder) -> bool {
-        let may_be_older = !update.complete && order != UpdateOrder::VersionsRestarted;
-        may_be_older && update.version < self.published.version()
+        let can_be_stale = !update.complete && order != UpdateOrder::VersionsRestarted;
+        can_be_stale && update.version < self.published.version()
     }
 
     /// Applies an update to the list, and drops the entries from the update for which the list has a newer
@@ -151,11 +151,11 @@
             // A complete list replaces the current one even if its version is lower, because discovery may
             // have restarted.
             self.listed = update.endpoints.iter().map(|e| (e.id.clone(), e.clone())).collect();
-            self.ahead.clear();
+            self.newer_versions.clear();
             return;
         }
         if order == UpdateOrder::VersionsRestarted {
-            self.ahead.clear();
+            self.newer_versions.clear();
         } else {
             self.drop_superseded(update, order);
         }
@@ -171,11 +171,11 @@
     /// Drops the entries for which an update after a gap already contained a newer version.
     fn drop_superseded(&mut self, update: &mut EndpointUpdate, order: UpdateOrder) {
         let version = update.version;
-        update.endpoints.retain(|e| self.ahead.get(&e.id).is_none_or(|newer| version >= *newer));
+        update.endpoints.retain(|e| self.newer_versions.get(&e.id).is_none_or(|newer| version >= *newer));
         if order == UpdateOrder::AfterGap {
-            self.ahead.extend(update.endpoints.iter().map(|e| (e.id.clone(), version)));
+            self.newer_versions.extend(update.endpoints.iter().map(|e| (e.id.clone(), version)));
         } else {
-            self.ahead.retain(|_, newer| version < *newer);
+            self.newer_versions.retain(|_, newer| version < *newer);
         }
     }
 
--- a/routing/src/observer/trace.rs
+++ b/routing/src/observer/trace.rs
@@ -127,8 +127,8 @@
         if self.ended_at.is_some_and(|ended_at| is_later(ended_at, START_SLACK)) {
             findings.push(Finding::of_attempt(Invariant::StartAfterEnd, end.attempt));
         }
-        let broken_by_repeat = self.check_repeat(end.attempt, permitted_at, rule);
-        findings.extend(broken_by_repeat.map(|invariant| Finding::of_attempt(invariant, end.attempt)));
+        let repeat_violation = self.check_repeat(end.attempt, permitted_at, rule);
+        findings.extend(repeat_violation.map(|invariant| Finding::of_attempt(invariant, end.attempt)));
         findings
     }
 
--- a/routing/src/permit/denial.rs
+++ b/routing/src/permit/denial.rs
@@ -9,7 +9,7 @@
     /// The client has cancelled the request.
     ClientCancelled,
     /// The request already has its final response.
-    AlreadyAnswered,
+    AlreadyResponded,
     /// The attempt has timed out.
     AttemptTimedOut,
     /// The decision state machine has cancelled the attempt.
@@ -42,7 +42,7 @@
     pub const ALL: [Denial; 14] = [
         Denial::ClientDisconnected,
         Denial::ClientCancelled,
-        Denial::AlreadyAnswered,
+        Denial::AlreadyResponded,
         Denial::AttemptTimedOut,
         Denial::AttemptCancelled,
         Denial::StartTooLate,
@@ -61,7 +61,7 @@
         match self {
             Denial::ClientDisconnected => "client_left",
             Denial::ClientCancelled => "client_cancelled",
-            Denial::AlreadyAnswered => "already_answered",
+            Denial::AlreadyResponded => "already_answered",
             Denial::AttemptTimedOut => "attempt_timed_out",
             Denial::AttemptCancelled => "attempt_cancelled",
             Denial::StartTooLate => "start_too_late",
--- a/routing/src/permit/response.rs
+++ b/routing/src/permit/response.rs
@@ -14,7 +14,7 @@
 impl<R> ResponseSlot<R> {
     /// Creates an open slot. The channel must have capacity for one response.
     pub fn new(sender: Sender<FinalResponse<R>>) -> Self {
-        ResponseSlot { sender: Some(sender), closed_by: Denial::AlreadyAnswered }
+        ResponseSlot { sender: Some(sender), closed_by: Denial::AlreadyResponded }
     }
 
     /// Returns whether the response has not been sent and is still needed.
--- a/routing/src/placement_subsets/change.rs
+++ b/routing/src/placement_subsets/change.rs
@@ -11,7 +11,7 @@
     /// Changed member entries, by member ID.
     pub entries: BTreeMap<MemberId, MemberEntry>,
     /// Aliases that have left their subsets. Attempts at these aliases that have not started must not start.
-    pub departed: Vec<MemberId>,
+    pub removed_aliases: Vec<MemberId>,
     /// Whether requests without an attempt in flight have to be routed again.
     pub reroute: bool,
     /// Time at which [`placement::Event::TimerExpired`] is due.
@@ -20,7 +20,7 @@
 
 /// The role that an endpoint has reported.
 #[derive(Clone, Copy, Debug)]
-pub struct StatedRole {
+pub struct ReportedRole {
     /// Whether the endpoint reported that it is the primary of its group.
     pub primary: bool,
     /// Type of message that contained the report.
--- a/routing/src/placement_subsets/members.rs
+++ b/routing/src/placement_subsets/members.rs
@@ -16,7 +16,8 @@
     ) -> Vec<placement::Member> {
         let mut members = Vec::with_capacity(entries.len());
         for (listed, entry) in update.endpoints.iter().zip(entries) {
-            let known_name = self.own_ids.get_key_value(listed.id.as_str()).map(|(name, _)| name.clone());
+            let known_name =
+                self.canonical_ids.get_key_value(listed.id.as_str()).map(|(name, _)| name.clone());
             let name = known_name.unwrap_or_else(|| Arc::from(listed.id.as_str()));
             members.push(placement::Member {
                 name: name.clone(),
@@ -27,9 +28,9 @@
             });
             if let Some(endpoint) = self.endpoints.get_mut(&entry.id) {
                 endpoint.entry = entry.clone();
-                endpoint.own_id_removed = false;
+                endpoint.canonical_id_removed = false;
             } else if listed.state != MemberState::Removed {
-                self.own_ids.insert(name.clone(), entry.id);
+                self.canonical_ids.insert(name.clone(), entry.id);
                 self.endpoints.insert(entry.id, TrackedEndpoint::new(name, entry.clone()));
             }
         }
@@ -37,40 +38,40 @@
     }
 
     /// Marks endpoints that are missing from a complete list as removed.
-    pub(super) fn mark_missing_removed(&mut self, named: &BTreeSet<MemberId>) {
-        for (_, endpoint) in self.endpoints.iter_mut().filter(|(id, _)| !named.contains(*id)) {
+    pub(super) fn mark_missing_removed(&mut self, listed_ids: &BTreeSet<MemberId>) {
+        for (_, endpoint) in self.endpoints.iter_mut().filter(|(id, _)| !listed_ids.contains(*id)) {
             endpoint.entry.state = MemberState::Removed;
         }
     }
 
     /// Returns all member IDs of an endpoint that are in use, except for the given ones.
-    pub(super) fn ids_in_use(&self, own_id: MemberId, except: &[MemberId]) -> Vec<MemberId> {
-        let Some(endpoint) = self.endpoints.get(&own_id) else { return Vec::new() };
-        let own = (!endpoint.own_id_removed).then_some(own_id);
-        let aliases = endpoint.shown_aliases().map(|alias| alias.id);
-        own.into_iter().chain(aliases).filter(|id| !except.contains(id)).collect()
+    pub(super) fn ids_in_use(&self, canonical_id: MemberId, except: &[MemberId]) -> Vec<MemberId> {
+        let Some(endpoint) = self.endpoints.get(&canonical_id) else { return Vec::new() };
+        let canonical = (!endpoint.canonical_id_removed).then_some(canonical_id);
+        let aliases = endpoint.active_aliases().map(|alias| alias.id);
+        canonical.into_iter().chain(aliases).filter(|id| !except.contains(id)).collect()
     }
 
     /// Removes a member ID that the decision state machine no longer uses. Returns the canonical ID of the
     /// endpoint if none of the endpoint's member IDs is in use any longer.
     pub fn remove_member(&mut self, member: MemberId) -> Option<MemberId> {
-        let own_id = if let Some(own_id) = self.own_id_of_alias.remove(&member) {
-            let endpoint = self.endpoints.get_mut(&own_id)?;
+        let canonical_id = if let Some(canonical_id) = self.canonical_id_by_alias.remove(&member) {
+            let endpoint = self.endpoints.get_mut(&canonical_id)?;
             endpoint.aliases.retain(|alias| alias.id != member);
-            own_id
+            canonical_id
         } else {
             let Some(endpoint) = self.endpoints.get_mut(&member) else { return Some(member) };
-            endpoint.own_id_removed = true;
+            endpoint.canonical_id_removed = true;
             member
         };
-        let endpoint = self.endpoints.get(&own_id)?;
-        if !endpoint.own_id_removed || !endpoint.aliases.is_empty() {
+        let endpoint = self.endpoints.get(&canonical_id)?;
+        if !endpoint.canonical_id_removed || !endpoint.aliases.is_empty() {
             return None;
         }
-        if self.own_ids.get(&endpoint.name) == Some(&own_id) {
-            self.own_ids.remove(&endpoint.name);
+        if self.canonical_ids.get(&endpoint.name) == Some(&canonical_id) {
+            self.canonical_ids.remove(&endpoint.name);
         }
-        self.endpoints.remove(&own_id);
-        Some(own_id)
+        self.endpoints.remove(&canonical_id);
+        Some(canonical_id)
     }
 }
--- a/routing/src/placement_subsets/probes.rs
+++ b/routing/src/placement_subsets/probes.rs
@@ -20,34 +20,34 @@
     /// Probe the endpoint at this time.
     At(MemberId, Time),
     /// A probe of the endpoint is already in flight or scheduled.
-    UnderWay,
+    AlreadyPending,
 }
 
 impl PlacementSubsets {
     /// Requests a probe of the endpoint that a member ID refers to.
     pub fn request_probe(&mut self, member: MemberId, now: Time) -> ProbeStart {
-        let own_id = self.own_id(member);
-        let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return ProbeStart::Now(own_id) };
+        let id = self.canonical_id(member);
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return ProbeStart::Now(id) };
         endpoint.probe_waiters.push(member);
         if std::mem::replace(&mut endpoint.probing, true) {
-            return ProbeStart::UnderWay;
+            return ProbeStart::AlreadyPending;
         }
         let allowed_at = endpoint.probed_at.map(|ended| Time(ended.0 + MIN_PROBE_INTERVAL));
         match allowed_at.filter(|at| *at > now) {
-            Some(at) => ProbeStart::At(own_id, at),
-            None => ProbeStart::Now(own_id),
+            Some(at) => ProbeStart::At(id, at),
+            None => ProbeStart::Now(id),
         }
     }
 
     /// Records the end of a probe. Returns the member IDs that have to be notified of its outcome.
     pub fn probe_ended(
         &mut self,
-        own_id: MemberId,
+        canonical_id: MemberId,
         now: Time,
         outcome: Outcome,
         report: MemberReport,
     ) -> Vec<MemberId> {
-        let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return vec![own_id] };
+        let Some(endpoint) = self.endpoints.get_mut(&canonical_id) else { return vec![canonical_id] };
         endpoint.probing = false;
         endpoint.probed_at = Some(now);
         let mut to_notify = std::mem::take(&mut endpoint.probe_waiters);
@@ -59,7 +59,7 @@
             _ => false,
         };
         if concerns_all {
-            let others = self.ids_in_use(own_id, &to_notify);
+            let others = self.ids_in_use(canonical_id, &to_notify);
             to_notify.extend(others);
         }
         to_notify
@@ -67,7 +67,7 @@
 
     /// Returns the group of a subset's member if the primary of that group is unknown.
     pub fn group_without_primary(&self, alias: MemberId) -> Option<GroupId> {
-        let group = self.endpoints.get(self.own_id_of_alias.get(&alias)?)?.entry.group;
+        let group = self.endpoints.get(self.canonical_id_by_alias.get(&alias)?)?.entry.group;
         self.engine.primary(group).is_none().then_some(group)
     }
 
@@ -79,9 +79,9 @@
         if !self.primary_search_due(group, now) {
             return Vec::new();
         }
-        let own_ids: Vec<MemberId> =
-            self.engine.members(group).filter_map(|name| self.own_ids.get(name)).copied().collect();
-        own_ids.into_iter().filter(|id| self.begin_search_probe(*id, now)).collect()
+        let canonical_ids: Vec<MemberId> =
+            self.engine.members(group).filter_map(|name| self.canonical_ids.get(name)).copied().collect();
+        canonical_ids.into_iter().filter(|id| self.begin_search_probe(*id, now)).collect()
     }
 
     /// Returns whether a search is due, and counts it if so.
@@ -102,10 +102,10 @@
 
     /// Marks an endpoint as being probed and returns `true`, unless it is already being probed, was probed
     /// recently or is out of service.
-    fn begin_search_probe(&mut self, own_id: MemberId, now: Time) -> bool {
-        let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return false };
+    fn begin_search_probe(&mut self, canonical_id: MemberId, now: Time) -> bool {
+        let Some(endpoint) = self.endpoints.get_mut(&canonical_id) else { return false };
         let interval_over = endpoint.probed_at.is_none_or(|ended| now.0 - ended.0 >= MIN_PROBE_INTERVAL);
-        let ready = endpoint.entry.state == MemberState::Ready && !endpoint.own_id_removed;
+        let ready = endpoint.entry.state == MemberState::Ready && !endpoint.canonical_id_removed;
         let begins = ready && interval_over && !endpoint.probing;
         endpoint.probing |= begins;
         begins
--- a/routing/src/placement_subsets/subsets.rs
+++ b/routing/src/placement_subsets/subsets.rs
@@ -1,6 +1,6 @@
 //! Placement subsets of one router: routing of requests, and updates from the rules, the endpoint list and
 //! the members' reports.
-use super::change::{OutcomeRecorded, Routed, StatedRole, SubsetChange};
+use super::change::{OutcomeRecorded, ReportedRole, Routed, SubsetChange};
 use super::member_ids::MemberIds;
 use super::primary_search::PrimarySearch;
 use super::tracked_endpoint::TrackedEndpoint;
@@ -18,9 +18,9 @@
     /// Endpoints by canonical member ID.
     pub(super) endpoints: HashMap<MemberId, TrackedEndpoint>,
     /// Canonical member IDs by the endpoint's name in the placement engine.
-    pub(super) own_ids: HashMap<Arc<str>, MemberId>,
+    pub(super) canonical_ids: HashMap<Arc<str>, MemberId>,
     /// Canonical member ID of the endpoint, by alias.
-    pub(super) own_id_of_alias: HashMap<MemberId, MemberId>,
+    pub(super) canonical_id_by_alias: HashMap<MemberId, MemberId>,
     /// Members of each subset, as canonical member IDs.
     pub(super) subsets: HashMap<GroupId, BTreeSet<MemberId>>,
     pub(super) primary_searches: HashMap<GroupId, PrimarySearch>,
@@ -35,16 +35,16 @@
             engine: PlacementEngine::new(settings),
             needs_primary: classes.iter().map(needs_primary).collect(),
             endpoints: HashMap::new(),
-            own_ids: HashMap::new(),
-            own_id_of_alias: HashMap::new(),
+            canonical_ids: HashMap::new(),
+            canonical_id_by_alias: HashMap::new(),
             subsets: HashMap::new(),
             primary_searches: HashMap::new(),
         }
     }
 
     /// Returns the canonical member ID of the endpoint that a member ID refers to.
-    pub fn own_id(&self, member: MemberId) -> MemberId {
-        self.own_id_of_alias.get(&member).copied().unwrap_or(member)
+    pub fn canonical_id(&self, member: MemberId) -> MemberId {
+        self.canonical_id_by_alias.get(&member).copied().unwrap_or(member)
     }
 
     /// Returns whether [`Event::TimerExpired`] is due.
@@ -93,16 +93,16 @@
         ids: &mut MemberIds,
     ) -> SubsetChange {
         let members = self.track(update, entries);
-        let named: BTreeSet<MemberId> = entries.iter().map(|entry| entry.id).collect();
+        let listed_ids: BTreeSet<MemberId> = entries.iter().map(|entry| entry.id).collect();
         if update.complete {
-            self.mark_missing_removed(&named);
+            self.mark_missing_removed(&listed_ids);
         }
         let mut change = SubsetChange::default();
         let event = Event::MembersUpdated { complete: update.complete, entries: members };
         self.handle_into(now, event, &mut change, ids);
-        for endpoint in named.iter().filter_map(|id| self.endpoints.get(id)) {
-            let shown = endpoint.shown_aliases();
-            change.entries.extend(shown.map(|alias| (alias.id, endpoint.alias_entry(alias))));
+        for endpoint in listed_ids.iter().filter_map(|id| self.endpoints.get(id)) {
+            let aliases = endpoint.active_aliases();
+            change.entries.extend(aliases.map(|alias| (alias.id, endpoint.alias_entry(alias))));
         }
         change
     }
@@ -113,15 +113,15 @@
         now: Time,
         member: MemberId,
         outcome: Outcome,
-        stated: Option<StatedRole>,
+        reported: Option<ReportedRole>,
         ids: &mut MemberIds,
     ) -> OutcomeRecorded {
-        let (own_id, mut change) = (self.own_id(member), SubsetChange::default());
-        let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return OutcomeRecorded::default() };
+        let (canonical_id, mut change) = (self.canonical_id(member), SubsetChange::default());
+        let Some(endpoint) = self.endpoints.get_mut(&canonical_id) else { return OutcomeRecorded::default() };
         let (name, group) = (endpoint.name.clone(), endpoint.entry.group);
         let mut changed = endpoint.record_reachability(outcome);
-        if let Some(role) = stated {
-            changed |= endpoint.stated_primary.replace(role.primary) != Some(role.primary);
+        if let Some(role) = reported {
+            changed |= endpoint.reported_primary.replace(role.primary) != Some(role.primary);
         }
         let reachable = endpoint.reachable;
         let primary_before = self.engine.primary(group).cloned();
@@ -129,12 +129,12 @@
             let event = Event::ReachabilityChanged { member: name.clone(), reachable };
             self.handle_into(now, event, &mut change, ids);
         }
-        if let Some(StatedRole { primary, source }) = stated {
+        if let Some(ReportedRole { primary, source }) = reported {
             let event = Event::RoleReported { member: name, primary, source };
             self.handle_into(now, event, &mut change, ids);
         }
         changed |= self.engine.primary(group) != primary_before.as_ref();
-        let to_notify = if changed { self.ids_in_use(own_id, &[member]) } else { Vec::new() };
+        let to_notify = if changed { self.ids_in_use(canonical_id, &[member]) } else { Vec::new() };
         OutcomeRecorded { change, to_notify }
     }
 
@@ -142,8 +142,8 @@
     /// endpoint is counted once. Ejections are made per member ID and are not deduplicated here.
     pub fn unhealthy_endpoints(&self, unavailable_members: usize) -> usize {
         let draining = self.endpoints.values().filter(|e| e.is_draining());
-        let counted_again: usize = draining.map(|e| e.shown_aliases().count()).sum();
-        unavailable_members.saturating_sub(counted_again).min(self.endpoints.len())
+        let duplicate_count: usize = draining.map(|e| e.active_aliases().count()).sum();
+        unavailable_members.saturating_sub(duplicate_count).min(self.endpoints.len())
     }
 
     fn apply(&mut self, actions: Vec<Action>, change: &mut SubsetChange, ids: &mut MemberIds) {
@@ -166,13 +166,13 @@
         ids: &mut MemberIds,
     ) {
         let members: BTreeSet<MemberId> =
-            names.iter().filter_map(|name| self.own_ids.get(name)).copied().collect();
+            names.iter().filter_map(|name| self.canonical_ids.get(name)).copied().collect();
         let before = self.subsets.remove(&subset).unwrap_or_default();
-        for own_id in before.difference(&members) {
-            self.hide_member(subset, *own_id, change);
+        for canonical_id in before.difference(&members) {
+            self.deactivate_member(subset, *canonical_id, change);
         }
-        for own_id in &members {
-            self.show_member(subset, *own_id, change, ids);
+        for canonical_id in &members {
+            self.activate_member(subset, *canonical_id, change, ids);
         }
         if !members.is_empty() {
             self.subsets.insert(subset, members);
@@ -180,28 +180,28 @@
     }
 
     /// Deactivates the alias under which an endpoint is a member of a subset.
-    fn hide_member(&mut self, subset: GroupId, own_id: MemberId, change: &mut SubsetChange) {
-        let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return };
-        let Some(alias) = endpoint.hide_alias(subset) else { return };
+    fn deactivate_member(&mut self, subset: GroupId, canonical_id: MemberId, change: &mut SubsetChange) {
+        let Some(endpoint) = self.endpoints.get_mut(&canonical_id) else { return };
+        let Some(alias) = endpoint.deactivate_alias(subset) else { return };
         change.entries.insert(alias, endpoint.removed_entry(alias, subset));
-        change.departed.push(alias);
+        change.removed_aliases.push(alias);
     }
 
     /// Adds an endpoint to a subset under an alias for that subset.
-    fn show_member(
+    fn activate_member(
         &mut self,
         subset: GroupId,
-        own_id: MemberId,
+        canonical_id: MemberId,
         change: &mut SubsetChange,
         ids: &mut MemberIds,
     ) {
-        let Some(endpoint) = self.endpoints.get_mut(&own_id) else { return };
-        let alias = endpoint.show_alias(subset, || {
+        let Some(endpoint) = self.endpoints.get_mut(&canonical_id) else { return };
+        let alias = endpoint.activate_alias(subset, || {
             let id = ids.allocate();
-            self.own_id_of_alias.insert(id, own_id);
+            self.canonical_id_by_alias.insert(id, canonical_id);
             id
         });
-        change.departed.retain(|departed| *departed != alias.id);
+        change.removed_aliases.retain(|removed| *removed != alias.id);
         let entry = endpoint.alias_entry(&alias);
         change.entries.insert(alias.id, entry);
     }
--- a/routing/src/placement_subsets/tracked_endpoint.rs
+++ b/routing/src/placement_subsets/tracked_endpoint.rs
@@ -9,7 +9,7 @@
     pub(super) id: MemberId,
     /// Whether the endpoint is currently a member of the subset. An inactive alias exists until its attempts
     /// in flight have ended.
-    pub(super) shown: bool,
+    pub(super) active: bool,
 }
 
 /// An endpoint that is available to placement subsets.
@@ -26,10 +26,10 @@
     pub(super) probe_waiters: Vec<MemberId>,
     pub(super) reachable: bool,
     /// Whether the endpoint last reported that it is the primary; `None` if it has not reported a role.
-    pub(super) stated_primary: Option<bool>,
+    pub(super) reported_primary: Option<bool>,
     /// Whether the decision state machine has removed the canonical member ID. Aliases may still have
     /// attempts in flight.
-    pub(super) own_id_removed: bool,
+    pub(super) canonical_id_removed: bool,
 }
 
 impl TrackedEndpoint {
@@ -42,8 +42,8 @@
             probed_at: None,
             probe_waiters: Vec::new(),
             reachable: true,
-            stated_primary: None,
-            own_id_removed: false,
+            reported_primary: None,
+            canonical_id_removed: false,
         }
     }
 
@@ -51,8 +51,8 @@
         self.entry.state == MemberState::Draining
     }
 
-    pub(super) fn shown_aliases(&self) -> impl Iterator<Item = &Alias> {
-        self.aliases.iter().filter(|alias| alias.shown)
+    pub(super) fn active_aliases(&self) -> impl Iterator<Item = &Alias> {
+        self.aliases.iter().filter(|alias| alias.active)
     }
 
     /// Returns the entry of the endpoint under one of its aliases.
@@ -66,19 +66,19 @@
     }
 
     /// Deactivates the endpoint's alias in a subset and returns the ID of the alias.
-    pub(super) fn hide_alias(&mut self, subset: GroupId) -> Option<MemberId> {
+    pub(super) fn deactivate_alias(&mut self, subset: GroupId) -> Option<MemberId> {
         let alias = self.aliases.iter_mut().find(|alias| alias.subset == subset)?;
-        alias.shown = false;
+        alias.active = false;
         Some(alias.id)
     }
 
     /// Activates and returns the endpoint's alias in a subset. The alias is created if there is none.
-    pub(super) fn show_alias(&mut self, subset: GroupId, new_id: impl FnOnce() -> MemberId) -> Alias {
+    pub(super) fn activate_alias(&mut self, subset: GroupId, new_id: impl FnOnce() -> MemberId) -> Alias {
         if let Some(alias) = self.aliases.iter_mut().find(|alias| alias.subset == subset) {
-            alias.shown = true;
+            alias.active = true;
             return *alias;
         }
-        let alias = Alias { subset, id: new_id(), shown: true };
+        let alias = Alias { subset, id: new_id(), active: true };
         tracing::debug!(
             member = alias.id.0,
             endpoint = %self.name,
--- a/routing/src/probe_spacing.rs
+++ b/routing/src/probe_spacing.rs
@@ -62,9 +62,9 @@
         let history = self.histories.entry(endpoint).or_default();
         let doublings = history.consecutive_failures.min(MAX_DOUBLINGS);
         let interval = (self.interval << doublings) * i64::from(self.process_count);
-        let next_turn = history.last_sent.map(|sent| Time(sent.0 + interval));
+        let next_allowed_at = history.last_sent.map(|sent| Time(sent.0 + interval));
         // With a single process, the decision state machine alone limits the probe rate.
-        let delayed_until = next_turn.filter(|at| self.process_count > 1 && *at > now);
+        let delayed_until = next_allowed_at.filter(|at| self.process_count > 1 && *at > now);
         if let (Some(_), Some(report)) = (delayed_until, history.report) {
             return ProbeTiming::Cached(report);
         }
@@ -77,10 +77,10 @@
     /// Records the report of a probe that has ended.
     pub fn probe_ended(&mut self, endpoint: MemberId, report: MemberReport) {
         if let Some(history) = self.histories.get_mut(&endpoint) {
-            let reported = report.primary.is_some();
+            let has_report = report.primary.is_some();
             history.consecutive_failures =
-                if reported { 0 } else { history.consecutive_failures.saturating_add(1) };
-            history.report = (reported && !history.attempt_failed).then_some(report);
+                if has_report { 0 } else { history.consecutive_failures.saturating_add(1) };
+            history.report = (has_report && !history.attempt_failed).then_some(report);
         }
     }
 
--- a/routing/src/router/actor.rs
+++ b/routing/src/router/actor.rs
@@ -26,7 +26,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// Timer requested by the decision state machine.
-    Decisions,
+    StateMachine,
     /// Update the metrics that are derived from the members.
     MemberMetrics,
     /// Time out an attempt.
@@ -36,7 +36,7 @@
     /// Send a probe that was delayed to keep the minimum interval between probes of an endpoint.
     Probe(MemberId),
     /// Send a probe that was delayed to keep this process's share of the router's probes.
-    ProbeTurn(MemberId),
+    SpacedProbe(MemberId),
 }
 
 /// Rules of a request class that the router actor applies itself.
@@ -60,7 +60,7 @@
 }
 
 pub(super) struct RouterActor<P: BackendProtocol> {
-    pub(super) decisions: Router,
+    pub(super) state_machine: Router,
     pub(super) clock: Clock,
     pub(super) resources: BackendResources<P>,
     /// Sender to the backends actor, which is started with the first backend.
@@ -106,7 +106,7 @@
             router_count: settings.router_count,
             missing_members_may_serve: settings.missing_members_may_serve,
             probe_spacing: ProbeSpacing::new(&settings),
-            decisions: Router::new(settings, seed),
+            state_machine: Router::new(settings, seed),
             clock,
             resources,
             backends: None,
@@ -166,14 +166,14 @@
 
     fn fire(&mut self, timer: Timer) {
         match timer {
-            Timer::Decisions => {
-                self.decide(Event::TimerExpired);
+            Timer::StateMachine => {
+                self.handle_decision_event(Event::TimerExpired);
                 self.find_forgotten_requests();
             }
             Timer::MemberMetrics => self.update_member_metrics(),
             Timer::Placement => self.handle_placement(placement::Event::TimerExpired),
             Timer::Probe(endpoint) => self.schedule_probe(endpoint),
-            Timer::ProbeTurn(endpoint) => self.send_probe(endpoint),
+            Timer::SpacedProbe(endpoint) => self.send_probe(endpoint),
             Timer::AttemptTimeout(attempt) => {
                 let cancelled = self.cancel_attempt(attempt, Denial::AttemptTimedOut, Outcome::TimedOut);
                 if let Some((member, outcome)) = cancelled {
@@ -207,7 +207,7 @@
     }
 
     /// Passes an event to the decision state machine and performs the actions that it returns.
-    pub(super) fn decide(&mut self, event: Event) {
+    pub(super) fn handle_decision_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         let now = self.clock.now();
         if self.subsets.as_ref().is_some_and(|subsets| subsets.is_due(now)) {
@@ -220,7 +220,7 @@
         }
         // `damsonvale-lab count` reads these two lines of each router's log: docs/operate/fleet.md.
         tracing::debug!(at = now.0, ?event, "decision event received");
-        self.decisions.handle(now, event, &mut actions);
+        self.state_machine.handle(now, event, &mut actions);
         for action in actions {
             tracing::debug!(at = now.0, ?action, "decision action requested");
             self.perform(now, action);
@@ -246,7 +246,7 @@
             Action::Fail { request } => self.fail(request),
             Action::Probe { member } => self.probe_member(member),
             Action::SetTimer { after } => {
-                self.timers.push(Reverse((Time(self.clock.now().0 + after), Timer::Decisions)));
+                self.timers.push(Reverse((Time(self.clock.now().0 + after), Timer::StateMachine)));
             }
             // No action is needed, because the endpoint list is always watched.
             Action::Subscribe => {}
--- a/routing/src/router/attempts.rs
+++ b/routing/src/router/attempts.rs
@@ -53,7 +53,7 @@
         member: MemberId,
         latest_start: Time,
     ) -> Option<NewAttempt<P>> {
-        let endpoint = self.own_id(member);
+        let endpoint = self.canonical_id(member);
         let now = self.clock.now();
         let state = self.endpoints.get(&endpoint).map(|e| e.state.clone()).unwrap_or_default();
         let record = self.requests.get_mut(&request)?;
@@ -181,7 +181,7 @@
         let member = in_flight.member;
         let times = in_flight.guard.times();
         if !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::NeverSent) {
-            self.probe_spacing.attempt_failed(self.own_id(member));
+            self.probe_spacing.attempt_failed(self.canonical_id(member));
         }
         let Some(record) = self.requests.get_mut(&request) else { return };
         let permitted_at = times.permitted_at.map(|at| self.clock.time_at(at));
@@ -196,7 +196,7 @@
         if self.subsets.is_some() {
             self.record_placement_outcome(member, outcome, &response_report, ReportSource::Response);
         }
-        self.decide(Event::AttemptEnded {
+        self.handle_decision_event(Event::AttemptEnded {
             request,
             attempt: number,
             member,
--- a/routing/src/router/capacity.rs
+++ b/routing/src/router/capacity.rs
@@ -30,7 +30,7 @@
     /// Notifies the decision state machine of the total number of processes of all routers, which share the
     /// capacity equally.
     fn divide_capacity(&mut self) {
-        self.decide(Event::RouterCountChanged(
+        self.handle_decision_event(Event::RouterCountChanged(
             self.router_count.max(1).saturating_mul(self.process_count.max(1)),
         ));
     }
@@ -49,7 +49,7 @@
         let now = self.clock.now();
         // With placement, an endpoint may be a member of several subsets. A draining endpoint is counted
         // once.
-        let members = self.decisions.unavailable_member_count();
+        let members = self.state_machine.unavailable_member_count();
         let endpoints = self.subsets.as_ref().map_or(members, |s| s.unhealthy_endpoints(members));
         metrics.unhealthy_endpoints.set(endpoints as i64);
         self.timers.push(Reverse((Time(now.0 + MEMBER_METRICS_INTERVAL), Timer::MemberMetrics)));
--- a/routing/src/router/endpoint_updates.rs
+++ b/routing/src/router/endpoint_updates.rs
@@ -22,10 +22,10 @@
         if let Some(subsets) = &mut self.subsets {
             change = subsets.update_endpoints(self.clock.now(), &update, &entries, &mut self.member_ids);
             entries.extend(std::mem::take(&mut change.entries).into_values());
-            self.cancel_unstarted_at(&change.departed);
-            change.departed.clear();
+            self.cancel_unstarted_at(&change.removed_aliases);
+            change.removed_aliases.clear();
         }
-        self.decide(Event::MemberListChanged { complete: update.complete, entries });
+        self.handle_decision_event(Event::MemberListChanged { complete: update.complete, entries });
         self.apply_subset_change(change);
     }
 
@@ -39,7 +39,7 @@
 
     /// Records a listed endpoint and returns its entry for the decision state machine.
     fn member_entry(&mut self, endpoint: &EndpointEntry) -> MemberEntry {
-        let id = self.own_member_id(endpoint);
+        let id = self.canonical_member_id(endpoint);
         if endpoint.state != MemberState::Removed {
             let record = || EndpointRecord::new(endpoint.id.clone(), endpoint.addr);
             self.endpoints.entry(id).or_insert_with(record);
@@ -60,7 +60,7 @@
 
     /// Returns the canonical member ID of a listed endpoint. An endpoint whose address has changed retains
     /// its member ID and gets a new record and a new backend, while the old backend completes its exchanges.
-    fn own_member_id(&mut self, endpoint: &EndpointEntry) -> MemberId {
+    fn canonical_member_id(&mut self, endpoint: &EndpointEntry) -> MemberId {
         let Some(known) = self.members_by_id.get(&endpoint.id).copied() else {
             let id = self.member_ids.allocate();
             tracing::debug!(member = id.0, endpoint = endpoint.id, "member id assigned");
--- a/routing/src/router/placed_request.rs
+++ b/routing/src/router/placed_request.rs
@@ -5,7 +5,7 @@
 
 /// Reason for which no further attempt of a request is sent.
 #[derive(Clone)]
-pub(super) enum Stopped {
+pub(super) enum StopReason {
     /// The request is now routed to a different group.
     Rerouted,
     /// The tenant's placement rules no longer allow any endpoint that could serve the request.
@@ -22,7 +22,7 @@
     /// Whether one of the attempts may have run.
     pub(super) may_have_run: bool,
     /// Set if the route has changed after the first attempt was sent.
-    pub(super) stopped: Option<Stopped>,
+    pub(super) stop_reason: Option<StopReason>,
 }
 
 impl PlacedRequest {
--- a/routing/src/router/placement_routing.rs
+++ b/routing/src/router/placement_routing.rs
@@ -2,11 +2,11 @@
 //! waiting requests are routed again when subsets change. Without placement settings this module has no
 //! effect.
 use super::actor::{RouterActor, Timer};
-use super::placed_request::{PlacedRequest, Stopped};
+use super::placed_request::{PlacedRequest, StopReason};
 use super::request_record::RequestRecord;
 use crate::final_response::FinalResponse;
 use crate::permit::Denial;
-use crate::placement_subsets::{OutcomeRecorded, ReportSource, Routed, StatedRole, SubsetChange};
+use crate::placement_subsets::{OutcomeRecorded, ReportSource, ReportedRole, Routed, SubsetChange};
 use crate::protocol::BackendProtocol;
 use crate::reasons::EndReason;
 use decision::{Event, GroupId, MemberId, MemberReport, Outcome, Request, RequestId};
@@ -19,7 +19,7 @@
     ///
     /// # Errors
     /// Returns the placement error if the tenant's rules allow no endpoint that could serve the request.
-    pub(super) fn place(
+    pub(super) fn apply_placement_rules(
         &mut self,
         tenant: Option<Arc<str>>,
         request: &Request,
@@ -29,7 +29,7 @@
         }
         let routed_to = self.route(tenant.as_deref(), request.class, request.group)?;
         let request = request.clone();
-        let placed = PlacedRequest { tenant, request, routed_to, may_have_run: false, stopped: None };
+        let placed = PlacedRequest { tenant, request, routed_to, may_have_run: false, stop_reason: None };
         Ok(Some(Box::new(placed)))
     }
 
@@ -52,13 +52,13 @@
     /// Notifies the decision state machine of a subset change, and prevents unstarted attempts from starting
     /// at members that have left their subset.
     pub(super) fn apply_subset_change(&mut self, change: SubsetChange) {
-        let SubsetChange { entries, departed, reroute, timer } = change;
+        let SubsetChange { entries, removed_aliases, reroute, timer } = change;
         if let Some(at) = timer {
             self.timers.push(Reverse((at, Timer::Placement)));
         }
-        self.cancel_unstarted_at(&departed);
+        self.cancel_unstarted_at(&removed_aliases);
         if !entries.is_empty() {
-            self.decide(Event::MemberListChanged {
+            self.handle_decision_event(Event::MemberListChanged {
                 complete: false,
                 entries: entries.into_values().collect(),
             });
@@ -69,19 +69,19 @@
     }
 
     /// Prevents unstarted attempts at these members from starting.
-    pub(super) fn cancel_unstarted_at(&self, departed: &[MemberId]) {
-        if departed.is_empty() {
+    pub(super) fn cancel_unstarted_at(&self, removed_aliases: &[MemberId]) {
+        if removed_aliases.is_empty() {
             return;
         }
         let in_flight = self.requests.values().flat_map(|record| &record.in_flight);
-        for attempt in in_flight.filter(|attempt| departed.contains(&attempt.member)) {
+        for attempt in in_flight.filter(|attempt| removed_aliases.contains(&attempt.member)) {
             attempt.guard.cancel_if_unstarted(Denial::PlacementChanged);
         }
     }
 
     /// Returns the canonical member ID of a member's endpoint.
-    pub(super) fn own_id(&self, member: MemberId) -> MemberId {
-        self.subsets.as_ref().map_or(member, |subsets| subsets.own_id(member))
+    pub(super) fn canonical_id(&self, member: MemberId) -> MemberId {
+        self.subsets.as_ref().map_or(member, |subsets| subsets.canonical_id(member))
     }
 
     pub(super) fn handle_placement(&mut self, event: placement::Event) {
@@ -101,16 +101,16 @@
     ) {
         let now = self.clock.now();
         let Some(subsets) = &mut self.subsets else { return };
-        let stated = report.primary.map(|primary| StatedRole { primary, source });
+        let reported = report.primary.map(|primary| ReportedRole { primary, source });
         let OutcomeRecorded { change, to_notify } =
-            subsets.record_outcome(now, member, outcome, stated, &mut self.member_ids);
+            subsets.record_outcome(now, member, outcome, reported, &mut self.member_ids);
         self.apply_subset_change(change);
         if source == ReportSource::Probe {
             // For a probe, `probe_ended` notifies all members.
             return;
         }
         for member in to_notify {
-            self.decide(Event::ProbeEnded { member, outcome, report: *report });
+            self.handle_decision_event(Event::ProbeEnded { member, outcome, report: *report });
         }
     }
 
@@ -127,8 +127,8 @@
     fn reroute(&mut self, id: RequestId) {
         let Some(record) = self.requests.get(&id).filter(|record| record.awaits_response()) else { return };
         let Some(placed) = &record.placed else { return };
-        if placed.stopped.is_some() {
-            return self.respond_to_stopped(id);
+        if placed.stop_reason.is_some() {
+            return self.end_stopped_request(id);
         }
         let (tenant, before) = (placed.tenant.clone(), placed.routed_to);
         let (class, group) = (placed.request.class, placed.request.group);
@@ -147,11 +147,11 @@
         }
         // A request with attempts cannot be resubmitted, because its attempts are already numbered. Attempts
         // in flight are left to complete.
-        if placed.stopped.is_none() {
-            placed.stopped = Some(routed.map_or_else(Stopped::Denied, |_| Stopped::Rerouted));
-            self.decide(Event::ResponseStarted { request: id });
+        if placed.stop_reason.is_none() {
+            placed.stop_reason = Some(routed.map_or_else(StopReason::Denied, |_| StopReason::Rerouted));
+            self.handle_decision_event(Event::ResponseStarted { request: id });
             self.cancel_unstarted_attempts(id, Denial::PlacementChanged);
-            self.respond_to_stopped(id);
+            self.end_stopped_request(id);
         }
     }
 
@@ -159,9 +159,9 @@
     fn submit_rerouted(&mut self, id: RequestId, routed: Result<GroupId, PlacementError>) {
         let routed_to = match routed {
             Ok(routed_to) => routed_to,
-            Err(refusal) => {
-                self.decide(Event::ClientDisconnected { request: id });
-                return self.respond(id, FinalResponse::PlacementDenied(refusal), EndReason::PlacementDenied);
+            Err(error) => {
+                self.handle_decision_event(Event::ClientDisconnected { request: id });
+                return self.respond(id, FinalResponse::PlacementDenied(error), EndReason::PlacementDenied);
             }
         };
         let Some(placed) = self.requests.get_mut(&id).and_then(|record| record.placed.as_mut()) else {
@@ -169,22 +169,22 @@
         };
         placed.routed_to = routed_to;
         let request = Request { group: routed_to, ..placed.request.clone() };
-        self.decide(Event::ClientDisconnected { request: id });
-        self.decide(Event::RequestArrived(request));
+        self.handle_decision_event(Event::ClientDisconnected { request: id });
+        self.handle_decision_event(Event::RequestArrived(request));
     }
 
     /// Sends the final response of a request whose route has changed after its first attempt, once no attempt
     /// is in flight.
-    fn respond_to_stopped(&mut self, id: RequestId) {
+    fn end_stopped_request(&mut self, id: RequestId) {
         let Some(record) = self.requests.get(&id).filter(|record| record.in_flight.is_empty()) else {
             return;
         };
         let Some(placed) = &record.placed else { return };
-        let Some(stopped) = placed.stopped.clone() else { return };
-        let response = match stopped {
+        let Some(stop_reason) = placed.stop_reason.clone() else { return };
+        let response = match stop_reason {
             _ if placed.may_have_run => FinalResponse::Failed(record.last_outcome),
-            Stopped::Denied(refusal) => FinalResponse::PlacementDenied(refusal),
-            Stopped::Rerouted => FinalResponse::Rejected(None),
+            StopReason::Denied(error) => FinalResponse::PlacementDenied(error),
+            StopReason::Rerouted => FinalResponse::Rejected(None),
         };
         self.respond(id, response, EndReason::PlacementDenied);
     }
--- a/routing/src/router/probing.rs
+++ b/routing/src/router/probing.rs
@@ -15,7 +15,7 @@
         match subsets.request_probe(member, now) {
             ProbeStart::Now(endpoint) => self.schedule_probe(endpoint),
             ProbeStart::At(endpoint, at) => self.timers.push(Reverse((at, Timer::Probe(endpoint)))),
-            ProbeStart::UnderWay => {}
+            ProbeStart::AlreadyPending => {}
         }
         if let Some(group) = self.subsets.as_ref().and_then(|s| s.group_without_primary(member)) {
             self.probe_for_primary(group);
@@ -35,7 +35,7 @@
     pub(super) fn schedule_probe(&mut self, endpoint: MemberId) {
         match self.probe_spacing.schedule(endpoint, self.clock.now()) {
             ProbeTiming::Now => self.send_probe(endpoint),
-            ProbeTiming::At(at) => self.timers.push(Reverse((at, Timer::ProbeTurn(endpoint)))),
+            ProbeTiming::At(at) => self.timers.push(Reverse((at, Timer::SpacedProbe(endpoint)))),
             ProbeTiming::Cached(report) => self.end_probe_later(endpoint, Outcome::Ok, report),
         }
     }
@@ -62,7 +62,7 @@
             Some(subsets) => subsets.probe_ended(endpoint, now, outcome, report),
         };
         for member in members {
-            self.decide(Event::ProbeEnded { member, outcome, report });
+            self.handle_decision_event(Event::ProbeEnded { member, outcome, report });
         }
     }
 
--- a/routing/src/router/request_record.rs
+++ b/routing/src/router/request_record.rs
@@ -52,7 +52,7 @@
         if self.response.is_open() {
             self.repeats.permit_attempt(now, rule)
         } else {
-            Err(Denial::AlreadyAnswered)
+            Err(Denial::AlreadyResponded)
         }
     }
 
@@ -78,14 +78,14 @@
     pub(super) fn commit(
         &self,
         outcome: Outcome,
-        stated: Option<Time>,
+        reported: Option<Time>,
         response_report: &mut MemberReport,
     ) -> Option<Time> {
         if !self.is_write || outcome != Outcome::Ok {
             return None;
         }
         let position = response_report.position.take();
-        stated.or(position)
+        reported.or(position)
     }
 
     /// Sends the final response and counts the request. After the deadline a request counts as failed,
@@ -100,7 +100,7 @@
         metrics: Option<&Metrics>,
     ) -> Verdict {
         if !self.response.is_open() {
-            return Err(Denial::AlreadyAnswered);
+            return Err(Denial::AlreadyResponded);
         }
         if let Some(metrics) = metrics {
             self.count(&response, now, metrics);
--- a/routing/src/router/requests.rs
+++ b/routing/src/router/requests.rs
@@ -29,30 +29,30 @@
         } = arrived;
         // The tenant is not passed to the decision state machine. Placement identifies tenants by name.
         let mut request = Request { id, class, tenant: 0, session, group, deadline, session_commit };
-        let placed = self.place(tenant, &request);
+        let placed = self.apply_placement_rules(tenant, &request);
         let mut record = self.new_record(&request, connection, payload, response_sender);
         if let Some(metrics) = &self.metrics {
             metrics.requests_in_progress.inc();
         }
-        let mut refused = None;
+        let mut placement_error = None;
         match placed {
             Ok(placed) => record.placed = placed,
-            Err(refusal) => refused = Some(refusal),
+            Err(error) => placement_error = Some(error),
         }
         if let Some(placed) = &record.placed {
             request.group = placed.routed_to();
         }
         self.requests.insert(id, record);
         self.record_accepted(id, connection, class, deadline);
-        if let Some(refusal) = refused {
-            return self.respond(id, FinalResponse::PlacementDenied(refusal), EndReason::PlacementDenied);
+        if let Some(error) = placement_error {
+            return self.respond(id, FinalResponse::PlacementDenied(error), EndReason::PlacementDenied);
         }
         // The group named by the client is checked, regardless of the subset that the request is routed to.
         if self.unavailable_groups.contains(&group) {
             let retry_after = self.classes.get(class).and_then(|rules| rules.retry_after);
             return self.respond(id, FinalResponse::Rejected(retry_after), EndReason::GroupUnavailable);
         }
-        self.decide(Event::RequestArrived(request));
+        self.handle_decision_event(Event::RequestArrived(request));
     }
 
     fn new_record(
@@ -104,7 +104,7 @@
     /// attempts that are still waiting for a connection.
     fn close(&mut self, id: RequestId, reason: Denial) {
         self.cancel_unstarted_attempts(id, reason);
-        self.decide(Event::ClientDisconnected { request: id });
+        self.handle_decision_event(Event::ClientDisconnected { request: id });
         self.remove_if_finished(id);
     }
 
--- a/routing/src/router/transitions.rs
+++ b/routing/src/router/transitions.rs
@@ -184,6 +184,6 @@
     }
 
     fn endpoint_name(&self, endpoint: MemberId) -> &str {
-        self.endpoints.get(&self.own_id(endpoint)).map_or("", |record| record.id.as_str())
+        self.endpoints.get(&self.canonical_id(endpoint)).map_or("", |record| record.id.as_str())
     }
 }
--- a/routing/src/socket.rs
+++ b/routing/src/socket.rs
@@ -29,7 +29,7 @@
     loop {
         match SockRef::from(socket).recv_with_flags(&mut [MaybeUninit::uninit()], flags) {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            looked => return looked,
+            peeked => return peeked,
         }
     }
 }
--- a/routing/src/threads.rs
+++ b/routing/src/threads.rs
@@ -51,14 +51,14 @@
     // A failed start drops its closure, so `run` is stored here until a thread takes it.
     let pending = Arc::new(Mutex::new(Some(run)));
     loop {
-        let own = pending.clone();
+        let thread_pending = pending.clone();
         let started = spawn(name, stack_bytes, move || {
-            if let Some(run) = take(&own) {
+            if let Some(run) = take(&thread_pending) {
                 run();
             }
         });
         let Err(source) = started else { return Ok(()) };
-        if is_shortage(&source) && Instant::now() < deadline {
+        if is_resource_shortage(&source) && Instant::now() < deadline {
             std::thread::sleep(RETRY_DELAY);
             continue;
         }
@@ -81,6 +81,6 @@
     pending.lock().unwrap_or_else(PoisonError::into_inner).take()
 }
 
-fn is_shortage(error: &io::Error) -> bool {
+fn is_resource_shortage(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::OutOfMemory)
 }
--- a/routing/src/wall_clock.rs
+++ b/routing/src/wall_clock.rs
@@ -19,4 +19,4 @@
 mod offsets;
 
 pub use converter::WallClock;
-pub use offsets::{ClockOffsets, StatedBy};
+pub use offsets::{ClockOffsets, ReportingClock};
--- a/routing/src/wall_clock/converter.rs
+++ b/routing/src/wall_clock/converter.rs
@@ -1,6 +1,6 @@
 //! Converter for reported times that connections share. It reads both clocks and stores the last position of
 //! each server.
-use super::offsets::{ClockOffsets, MAX_POSITION_AHEAD, StatedBy};
+use super::offsets::{ClockOffsets, MAX_POSITION_AHEAD, ReportingClock};
 use crate::clock::Clock;
 use decision::Time;
 use std::collections::HashMap;
@@ -13,15 +13,15 @@
 
 /// The last position that a server reported, before conversion.
 #[derive(Clone, Copy, Debug)]
-struct StatedPosition {
+struct ReportedPosition {
     position: Time,
-    stated_by: StatedBy,
+    reporting_clock: ReportingClock,
 }
 
 #[derive(Debug, Default)]
 struct State {
     offsets: ClockOffsets,
-    servers: HashMap<SocketAddr, StatedPosition>,
+    servers: HashMap<SocketAddr, ReportedPosition>,
 }
 
 /// Converts reported times to the router's clock. Clones share the detected steps.
@@ -57,48 +57,48 @@
         {
             tracing::warn!(step_us = step, "wall clock stepped, conversion of reported times adjusted");
             let servers = state.servers.values_mut();
-            servers.for_each(|stated| stated.stated_by = StatedBy::UnknownClock);
+            servers.for_each(|reported| reported.reporting_clock = ReportingClock::UnknownClock);
         }
         state
     }
 
     /// Converts a start time that was reported for a server.
-    pub fn start(&self, stated: Time) -> Time {
-        self.compared_state().offsets.start(self.clock.now(), stated)
+    pub fn start(&self, reported: Time) -> Time {
+        self.compared_state().offsets.start(self.clock.now(), reported)
     }
 
     /// Converts the time of a commit that a client must observe or that a server has made.
-    pub fn commit(&self, stated: Time) -> Time {
-        self.compared_state().offsets.commit(self.clock.now(), stated)
+    pub fn commit(&self, reported: Time) -> Time {
+        self.compared_state().offsets.commit(self.clock.now(), reported)
     }
 
     /// Converts the replication position that a server reported; returns `None` if it cannot be determined.
     /// The position of a primary is the present.
-    pub fn position(&self, server: SocketAddr, stated: Time, is_primary: bool) -> Option<Time> {
+    pub fn position(&self, server: SocketAddr, reported: Time, is_primary: bool) -> Option<Time> {
         let mut state = self.compared_state();
         let now = self.clock.now();
         if is_primary {
-            let position = state.offsets.commit(now, stated);
+            let position = state.offsets.commit(now, reported);
             return Some(position).filter(|time| time.0 <= now.0 + MAX_POSITION_AHEAD);
         }
-        let stated_by = state.clock_of(server, now, stated);
-        state.servers.insert(server, StatedPosition { position: stated, stated_by });
-        state.offsets.position(now, stated, stated_by)
+        let reporting_clock = state.reporting_clock_of(server, now, reported);
+        state.servers.insert(server, ReportedPosition { position: reported, reporting_clock });
+        state.offsets.position(now, reported, reporting_clock)
     }
 }
 
 impl State {
     /// Determines which wall clock a replica used for the position that it reports now.
-    fn clock_of(&self, server: SocketAddr, now: Time, stated: Time) -> StatedBy {
+    fn reporting_clock_of(&self, server: SocketAddr, now: Time, reported: Time) -> ReportingClock {
         // The positions of a server never decrease. If the reported one is lower than the last, the server's
         // clock was stepped back, and the positions that follow are read from the stepped clock.
         let last = self.servers.get(&server);
-        let went_back = last.is_some_and(|last| stated < last.position);
-        let was_current = last.is_some_and(|last| last.stated_by == StatedBy::CurrentClock);
-        if went_back || was_current || self.offsets.proves_current_clock(now, stated) {
-            StatedBy::CurrentClock
+        let went_back = last.is_some_and(|last| reported < last.position);
+        let was_current = last.is_some_and(|last| last.reporting_clock == ReportingClock::CurrentClock);
+        if went_back || was_current || self.offsets.proves_current_clock(now, reported) {
+            ReportingClock::CurrentClock
         } else {
-            StatedBy::UnknownClock
+            ReportingClock::UnknownClock
         }
     }
 }
--- a/routing/src/wall_clock/offsets.rs
+++ b/routing/src/wall_clock/offsets.rs
@@ -12,7 +12,7 @@
 const MAX_COMMIT_AHEAD: Micros = 10_000;
 /// Difference between two interpretations of a position from which the later one is used, because no replica
 /// lags that much.
-const LARGE_STEP: Micros = 60_000_000;
+const MAX_REPLICA_LAG: Micros = 60_000_000;
 /// Time after a step during which positions that were read before the step are still expected.
 const AMBIGUITY_AFTER_STEP: Micros = 10_000_000;
 /// A commit that is ahead of the present under every offset is clamped to this distance.
@@ -22,7 +22,7 @@
 
 /// Which state of the wall clock a server used for a reported position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StatedBy {
+pub enum ReportingClock {
     /// The server is known to use the wall clock since the last step.
     CurrentClock,
     /// The server may use the wall clock from before a step.
@@ -57,46 +57,47 @@
     }
 
     /// Converts a reported time under the assumption that it was read from the current wall clock.
-    fn by_current_clock(&self, stated: Time) -> Time {
-        Time(stated.0.saturating_sub(self.current))
+    fn by_current_clock(&self, reported: Time) -> Time {
+        Time(reported.0.saturating_sub(self.current))
     }
 
     /// Returns the conversions of a reported time under all known offsets that are not later than `latest`.
-    fn plausible(&self, stated: Time, latest: Time) -> impl Iterator<Item = Time> {
-        let before = self.past.iter().map(move |offset| Time(stated.0.saturating_sub(*offset)));
-        std::iter::once(self.by_current_clock(stated)).chain(before).filter(move |time| *time <= latest)
+    fn plausible(&self, reported: Time, latest: Time) -> impl Iterator<Item = Time> {
+        let before = self.past.iter().map(move |offset| Time(reported.0.saturating_sub(*offset)));
+        std::iter::once(self.by_current_clock(reported)).chain(before).filter(move |time| *time <= latest)
     }
 
     /// Converts a start time to the latest possible time that is not after `now`.
-    pub fn start(&self, now: Time, stated: Time) -> Time {
-        self.plausible(stated, now).max().unwrap_or(now)
+    pub fn start(&self, now: Time, reported: Time) -> Time {
+        self.plausible(reported, now).max().unwrap_or(now)
     }
 
     /// Converts the time of a commit that must be observed to the latest possible time.
-    pub fn commit(&self, now: Time, stated: Time) -> Time {
+    pub fn commit(&self, now: Time, reported: Time) -> Time {
         let latest = Time(now.0 + MAX_COMMIT_AHEAD);
         let latest_unknown = now.0.saturating_add(MAX_UNKNOWN_COMMIT_AHEAD);
-        let ahead = Time(self.by_current_clock(stated).0.min(latest_unknown));
-        self.plausible(stated, latest).max().unwrap_or(ahead)
+        let clamped = Time(self.by_current_clock(reported).0.min(latest_unknown));
+        self.plausible(reported, latest).max().unwrap_or(clamped)
     }
 
     /// Converts the position up to which a server has applied commits; returns `None` if it cannot be
     /// determined.
-    pub fn position(&self, now: Time, stated: Time, stated_by: StatedBy) -> Option<Time> {
+    pub fn position(&self, now: Time, reported: Time, reporting_clock: ReportingClock) -> Option<Time> {
         let latest = Time(now.0 + MAX_POSITION_AHEAD);
-        let by_current_clock = Some(self.by_current_clock(stated)).filter(|time| *time <= latest);
+        let by_current_clock = Some(self.by_current_clock(reported)).filter(|time| *time <= latest);
         let is_unambiguous = self.stepped_at.is_none_or(|at| now.0 - at.0 > AMBIGUITY_AFTER_STEP);
-        if stated_by == StatedBy::CurrentClock || (is_unambiguous && by_current_clock.is_some()) {
+        if reporting_clock == ReportingClock::CurrentClock || (is_unambiguous && by_current_clock.is_some()) {
             return by_current_clock;
         }
-        let latest_meant = self.plausible(stated, latest).max()?;
-        let near = self.plausible(stated, latest).filter(|time| latest_meant.0 - time.0 < LARGE_STEP);
-        near.min()
+        let latest_plausible = self.plausible(reported, latest).max()?;
+        let plausible_near_latest =
+            self.plausible(reported, latest).filter(|time| latest_plausible.0 - time.0 < MAX_REPLICA_LAG);
+        plausible_near_latest.min()
     }
 
     /// Returns whether a reported position can only have been read from the current wall clock.
-    pub(super) fn proves_current_clock(&self, now: Time, stated: Time) -> bool {
+    pub(super) fn proves_current_clock(&self, now: Time, reported: Time) -> bool {
         let latest = Time(now.0 + MAX_POSITION_AHEAD);
-        self.by_current_clock(stated) <= latest && self.plausible(stated, latest).count() == 1
+        self.by_current_clock(reported) <= latest && self.plausible(reported, latest).count() == 1
     }
 }
--- a/routing/tests/observer.rs
+++ b/routing/tests/observer.rs
@@ -60,14 +60,14 @@
         (SECOND, ended(1, SECOND / 2 + 10, Outcome::Ok)),
         (SECOND, Transition::Ended(Ending::Served)),
     ];
-    let left = [
+    let client_disconnected = [
         (0, dispatched(0)),
         (SECOND / 2, Transition::Ended(Ending::ClientDisconnected)),
         (3 * SECOND, ended(0, 10, Outcome::TimedOut)),
     ];
     for class in [IDEMPOTENT, UNSAFE, WINDOW] {
         assert_eq!(violations(class, &served), []);
-        assert_eq!(violations(class, &left), []);
+        assert_eq!(violations(class, &client_disconnected), []);
     }
     assert_eq!(violations(IDEMPOTENT, &retried), []);
     assert_eq!(violations(WINDOW, &retried), []);
@@ -112,11 +112,11 @@
         violations(IDEMPOTENT, &[(0, dispatched(0)), (1, dispatched(1))]),
         [Invariant::OneAttemptInFlight]
     );
-    let refused =
+    let rejected =
         [(0, dispatched(0)), (SECOND, ended(0, 10, Outcome::TimedOut)), (SECOND, end(Ending::Rejected))];
-    assert_eq!(violations(UNSAFE, &refused), [Invariant::HarmlessRejection]);
-    assert_eq!(violations(WINDOW, &refused), [Invariant::HarmlessRejection]);
-    assert_eq!(violations(IDEMPOTENT, &refused), []);
+    assert_eq!(violations(UNSAFE, &rejected), [Invariant::HarmlessRejection]);
+    assert_eq!(violations(WINDOW, &rejected), [Invariant::HarmlessRejection]);
+    assert_eq!(violations(IDEMPOTENT, &rejected), []);
     let drained = Transition::AttemptEnded(AttemptEnd {
         attempt: 0,
         permitted_at: Some(Time(SECOND)),
--- a/routing/tests/placement/script.rs
+++ b/routing/tests/placement/script.rs
@@ -76,8 +76,9 @@
 
     fn connect(&self, addr: SocketAddr, permit: ConnectionPermit) -> Result<ScriptedConnection, Outcome> {
         wait_while(&self.script, addr, |e| e.paused.connections);
-        let refused = self.script.with(addr, |e| e.outcomes.pop_front_if(|o| *o == Outcome::ConnectFailed));
-        if refused.is_some() {
+        let connect_failure =
+            self.script.with(addr, |e| e.outcomes.pop_front_if(|o| *o == Outcome::ConnectFailed));
+        if connect_failure.is_some() {
             return Err(Outcome::ConnectFailed);
         }
         let listener = self.listener.local_addr().unwrap();
@@ -308,7 +309,7 @@
 
     pub(crate) fn denied(&self, tenant: &str, class: usize) -> PlacementError {
         match self.request(tenant, class) {
-            FinalResponse::PlacementDenied(refusal) => refusal,
+            FinalResponse::PlacementDenied(error) => error,
             other => panic!("{tenant}: {other:?}"),
         }
     }
--- a/routing/tests/probe_spacing.rs
+++ b/routing/tests/probe_spacing.rs
@@ -48,7 +48,7 @@
 
 /// One process with the real decisions, and the probe that it has under way.
 struct Process {
-    decisions: Router,
+    state_machine: Router,
     spacing: ProbeSpacing,
     sent_at: Option<Time>,
     /// How many probes have ended.
@@ -62,7 +62,7 @@
         let settings = settings();
         let mut spacing = ProbeSpacing::new(&settings);
         spacing.set_process_count(process_count);
-        let mut decisions = Router::new(settings, 7);
+        let mut state_machine = Router::new(settings, 7);
         let member = MemberEntry {
             id: MEMBER,
             group: GroupId(0),
@@ -73,8 +73,8 @@
             started_at: None,
         };
         let event = Event::MemberListChanged { complete: true, entries: vec![member] };
-        decisions.handle(Time(START), event, &mut Vec::new());
-        Process { decisions, spacing, sent_at: None, ended: 0, delay: 0 }
+        state_machine.handle(Time(START), event, &mut Vec::new());
+        Process { state_machine, spacing, sent_at: None, ended: 0, delay: 0 }
     }
 
     /// Ends the probe under way when its time has come.
@@ -90,7 +90,7 @@
             MemberReport { primary: reports.then_some(false), position: reports.then_some(position) };
         self.spacing.probe_ended(MEMBER, report);
         let event = Event::ProbeEnded { member: MEMBER, outcome: Outcome::Ok, report };
-        self.decisions.handle(now, event, actions);
+        self.state_machine.handle(now, event, actions);
     }
 
     /// A client asks for a read and leaves again.
@@ -104,8 +104,8 @@
             deadline: Time(now.0 + 2_000_000),
             session_commit: None,
         };
-        self.decisions.handle(now, Event::RequestArrived(request), actions);
-        self.decisions.handle(now, Event::ClientDisconnected { request: id }, actions);
+        self.state_machine.handle(now, Event::RequestArrived(request), actions);
+        self.state_machine.handle(now, Event::ClientDisconnected { request: id }, actions);
     }
 
     fn probe(&mut self, now: Time, member: MemberId) {
@@ -118,7 +118,7 @@
             }
             ProbeTiming::Cached(report) => {
                 let event = Event::ProbeEnded { member, outcome: Outcome::Ok, report };
-                self.decisions.handle(now, event, &mut Vec::new());
+                self.state_machine.handle(now, event, &mut Vec::new());
             }
         }
     }
--- a/routing/tests/recorded_run.rs
+++ b/routing/tests/recorded_run.rs
@@ -6,7 +6,8 @@
     Settings, Time,
 };
 use routing::placement_subsets::{
-    MemberIds, OutcomeRecorded, PlacementSubsets, ProbeStart, ReportSource, Routed, StatedRole, SubsetChange,
+    MemberIds, OutcomeRecorded, PlacementSubsets, ProbeStart, ReportSource, ReportedRole, Routed,
+    SubsetChange,
 };
 use routing::probe_spacing::{ProbeSpacing, ProbeTiming};
 use routing::{EndpointEntry, EndpointUpdate};
@@ -148,7 +149,7 @@
             }
         }
         let timer = change.timer.map(|t| t.0 - self.now);
-        write!(text, " left[{}] again {} timer {timer:?}", ids_text(&change.departed), change.reroute)
+        write!(text, " left[{}] again {} timer {timer:?}", ids_text(&change.removed_aliases), change.reroute)
             .unwrap();
         text
     }
@@ -230,10 +231,10 @@
     fn record_outcome(&mut self, member: MemberId, random: &mut Random) -> String {
         let outcome = random.pick(&[Outcome::Ok, Outcome::Ok, Outcome::ConnectFailed, Outcome::TimedOut]);
         let role = (outcome == Outcome::Ok).then(|| (random.chance(2), random.chance(2)));
-        let stated =
-            role.map(|(primary, with_response)| StatedRole { primary, source: source(with_response) });
+        let reported =
+            role.map(|(primary, with_response)| ReportedRole { primary, source: source(with_response) });
         let OutcomeRecorded { change, to_notify } =
-            self.subsets.record_outcome(Time(self.now), member, outcome, stated, &mut self.ids);
+            self.subsets.record_outcome(Time(self.now), member, outcome, reported, &mut self.ids);
         let ok = outcome == Outcome::Ok;
         format!("heard {} {ok} {role:?}: [{}]{}", member.0, ids_text(&to_notify), self.note(&change))
     }
@@ -242,7 +243,7 @@
         let decided = match self.subsets.request_probe(member, Time(self.now)) {
             ProbeStart::Now(base) => format!("begin {}", base.0),
             ProbeStart::At(base, at) => format!("{} in {}", base.0, at.0 - self.now),
-            ProbeStart::UnderWay => "under way".into(),
+            ProbeStart::AlreadyPending => "under way".into(),
         };
         let unknown = self.subsets.group_without_primary(member);
         let looked = unknown.map(|group| self.subsets.primary_search_targets(group, Time(self.now)));
@@ -251,7 +252,7 @@
     }
 
     fn probe_ended(&mut self, member: MemberId, random: &mut Random) -> String {
-        let base = self.subsets.own_id(member);
+        let base = self.subsets.canonical_id(member);
         let outcome = random.pick(&[Outcome::Ok, Outcome::Ok, Outcome::ConnectFailed, Outcome::TimedOut]);
         let primary = (outcome == Outcome::Ok && random.chance(2)).then(|| random.chance(2));
         let report = MemberReport { primary, position: None };
