--- a/routing/benches/observer.rs
+++ b/routing/benches/observer.rs
@@ -36,7 +36,7 @@
             attempt,
             permitted_at: Some(now),
             sent: true,
-            endpoint_left_at: None,
+            endpoint_out_of_service_since: None,
             outcome,
         }));
     }
--- a/routing/src/backends/backend.rs
+++ b/routing/src/backends/backend.rs
@@ -83,9 +83,9 @@
         let min_age = self.context.resources.limits.backend_idle_timeout_when_full;
         let mut surplus = self.idle.len().saturating_sub(max_idle);
         self.idle.retain(|idle| {
-            let closes = surplus > 0 && idle.idle_for() >= min_age;
-            surplus -= usize::from(closes);
-            !closes
+            let is_surplus = surplus > 0 && idle.idle_for() >= min_age;
+            surplus -= usize::from(is_surplus);
+            !is_surplus
         });
     }
 
--- a/routing/src/backends/exchange.rs
+++ b/routing/src/backends/exchange.rs
@@ -40,8 +40,8 @@
     fn report(&self, task: &Task<P>, result: ExchangeResult<P::Response>) {
         // If the backend is retired, the endpoint may now have another address. The result of a probe or a
         // connect failure at the old address must not be attributed to the new one.
-        let about_old_address = matches!(task, Task::Probe) || result.outcome == Outcome::ConnectFailed;
-        let result = if about_old_address && self.state.is_retired() {
+        let concerns_address = matches!(task, Task::Probe) || result.outcome == Outcome::ConnectFailed;
+        let result = if concerns_address && self.state.is_retired() {
             ExchangeResult::from_outcome(Outcome::NeverSent)
         } else {
             result
--- a/routing/src/final_response.rs
+++ b/routing/src/final_response.rs
@@ -1,9 +1,9 @@
-//! The one final response of a request.
+//! The one final response that each request gets.
 use decision::{Outcome, Time};
 use placement::PlacementError;
 use std::time::Duration;
 
-/// The one final response of a request.
+/// The one final response that each request gets.
 #[derive(Debug)]
 pub enum FinalResponse<R> {
     /// The response of an endpoint, and for a write the commit time, if known.
--- a/routing/src/messages.rs
+++ b/routing/src/messages.rs
@@ -23,9 +23,9 @@
         /// The submitted request.
         request: ClientRequest<P>,
     },
-    /// The client of this request has disconnected.
+    /// The client of the request with this ID has disconnected.
     ClientDisconnected(RequestId),
-    /// The client has cancelled this request and is waiting for the final response.
+    /// The client has cancelled the request with this ID and is waiting for the final response.
     RequestCancelled(RequestId),
     /// An attempt has ended.
     AttemptEnded {
--- a/routing/src/observer/checker.rs
+++ b/routing/src/observer/checker.rs
@@ -66,7 +66,7 @@
                 }
             }
         }
-        if self.requests.get(&request).is_some_and(RequestTrace::is_over) {
+        if self.requests.get(&request).is_some_and(RequestTrace::is_finished) {
             self.requests.remove(&request);
         }
     }
--- a/routing/src/observer/invariant.rs
+++ b/routing/src/observer/invariant.rs
@@ -29,7 +29,7 @@
 }
 
 impl Invariant {
-    /// All invariants.
+    /// All invariants that the observer checks.
     pub const ALL: [Invariant; 10] = [
         Invariant::OneFinalResponse,
         Invariant::ResponseInTime,
--- a/routing/src/observer/trace.rs
+++ b/routing/src/observer/trace.rs
@@ -74,7 +74,7 @@
     }
 
     /// Returns whether the request and all of its attempts have ended.
-    pub(super) fn is_over(&self) -> bool {
+    pub(super) fn is_finished(&self) -> bool {
         self.ended_at.is_some() && self.attempts.iter().all(|attempt| attempt.outcome.is_some())
     }
 
@@ -121,7 +121,10 @@
     ) -> Vec<Finding> {
         let is_later = |at: Time, slack: Micros| permitted_at.0 > at.0.saturating_add(slack);
         let mut findings = Vec::new();
-        if end.endpoint_left_at.is_some_and(|left_at| is_later(left_at, drain_grace)) {
+        if end
+            .endpoint_out_of_service_since
+            .is_some_and(|out_of_service_since| is_later(out_of_service_since, drain_grace))
+        {
             findings.push(Finding::of_attempt(Invariant::Drain, end.attempt));
         }
         if self.ended_at.is_some_and(|ended_at| is_later(ended_at, START_SLACK)) {
@@ -171,7 +174,7 @@
     fn check_rejection(&self, rule: RepeatRule) -> Option<Finding> {
         let harmless =
             matches!(rule.idempotency, Idempotency::Idempotent | Idempotency::DeduplicatedEverywhere(_));
-        let ran = self.attempts.iter().find(|attempt| !harmless && attempt.may_have_run())?;
-        Some(Finding::of_attempt(Invariant::HarmlessRejection, ran.number))
+        let executed_attempt = self.attempts.iter().find(|attempt| !harmless && attempt.may_have_run())?;
+        Some(Finding::of_attempt(Invariant::HarmlessRejection, executed_attempt.number))
     }
 }
--- a/routing/src/observer/transition.rs
+++ b/routing/src/observer/transition.rs
@@ -1,7 +1,7 @@
 //! Transitions of a request that are reported to the observer.
 use decision::{Outcome, Time};
 
-/// How a request ended.
+/// The way in which a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// The request ended with a server's response.
@@ -39,7 +39,7 @@
     /// Whether the last byte was written.
     pub sent: bool,
     /// Time at which the endpoint went out of service, if that was before the first byte was permitted.
-    pub endpoint_left_at: Option<Time>,
+    pub endpoint_out_of_service_since: Option<Time>,
     /// Outcome of the attempt.
     pub outcome: Outcome,
 }
@@ -47,7 +47,7 @@
 /// A state transition of an open request.
 #[derive(Clone, Copy, Debug)]
 pub enum Transition {
-    /// The request was accepted.
+    /// The request was accepted by the router actor.
     Accepted {
         /// Request class, as an index into the classes of the settings.
         class: usize,
@@ -61,8 +61,8 @@
         /// Time at which the router stops waiting for the attempt. The server gets the same deadline.
         deadline: Time,
     },
-    /// An attempt has ended.
+    /// An attempt of the request has ended.
     AttemptEnded(AttemptEnd),
-    /// The request has ended.
+    /// The request has ended, with or without a response.
     Ended(Ending),
 }
--- a/routing/src/permit/attempt.rs
+++ b/routing/src/permit/attempt.rs
@@ -33,7 +33,7 @@
     /// Time at which the first byte was last permitted.
     pub permitted_at: Option<Instant>,
     /// Time at which the endpoint went out of service, if that was before the first byte was permitted.
-    pub endpoint_left_at: Option<Instant>,
+    pub endpoint_out_of_service_since: Option<Instant>,
     /// Time at which the last byte was written.
     pub sent_at: Option<Instant>,
     /// Reason of the most recent denial; `None` if a permit was granted since.
@@ -157,7 +157,7 @@
         progress.started = true;
         progress.times.connecting_since = None;
         progress.times.permitted_at = Some(now);
-        progress.times.endpoint_left_at = self.0.endpoint.left_at();
+        progress.times.endpoint_out_of_service_since = self.0.endpoint.out_of_service_since();
         drop(progress);
         if let Some(AttemptId { request, number }) = self.0.attempt {
             tracing::debug!(request = request.0, attempt = number, "attempt permitted");
--- a/routing/src/permit/command.rs
+++ b/routing/src/permit/command.rs
@@ -20,8 +20,8 @@
     /// # Errors
     /// Returns [`Denial::ConnectionClosed`] if no more commands are accepted.
     pub fn permit_command(&self) -> Verdict {
-        let one_more = |word: usize| (word & CLOSED == 0).then_some(word + 1);
-        self.word.fetch_update(SeqCst, SeqCst, one_more).map(|_| ()).map_err(|_| Denial::ConnectionClosed)
+        let incremented = |word: usize| (word & CLOSED == 0).then_some(word + 1);
+        self.word.fetch_update(SeqCst, SeqCst, incremented).map(|_| ()).map_err(|_| Denial::ConnectionClosed)
     }
 
     /// Records that an accepted command has its response or needs none. Returns `true` if it was the last
--- a/routing/src/permit/denial.rs
+++ b/routing/src/permit/denial.rs
@@ -4,7 +4,7 @@
 /// counter `damsonvale_denied_total`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Denial {
-    /// The client has disconnected.
+    /// The client of the request has disconnected.
     ClientDisconnected,
     /// The client has cancelled the request.
     ClientCancelled,
--- a/routing/src/permit/endpoint_state.rs
+++ b/routing/src/permit/endpoint_state.rs
@@ -16,7 +16,7 @@
     out_of_service: AtomicBool,
     retired: AtomicBool,
     /// Time at which the endpoint went out of service; `None` while it is in service.
-    left_at: Mutex<Option<Instant>>,
+    out_of_service_since: Mutex<Option<Instant>>,
 }
 
 impl EndpointState {
@@ -24,7 +24,7 @@
     pub fn set_in_service(&self, in_service: bool) -> bool {
         let changed = self.0.out_of_service.swap(!in_service, Ordering::AcqRel) == in_service;
         if changed {
-            self.set_left_at((!in_service).then(Instant::now));
+            self.set_out_of_service_since((!in_service).then(Instant::now));
         }
         changed
     }
@@ -32,18 +32,18 @@
     /// Marks the endpoint as permanently removed by the router actor.
     pub fn retire(&self) {
         self.0.retired.store(true, Ordering::Release);
-        if self.left_at().is_none() {
-            self.set_left_at(Some(Instant::now()));
+        if self.out_of_service_since().is_none() {
+            self.set_out_of_service_since(Some(Instant::now()));
         }
     }
 
-    fn set_left_at(&self, at: Option<Instant>) {
-        *self.0.left_at.lock().unwrap_or_else(PoisonError::into_inner) = at;
+    fn set_out_of_service_since(&self, at: Option<Instant>) {
+        *self.0.out_of_service_since.lock().unwrap_or_else(PoisonError::into_inner) = at;
     }
 
     /// Returns the time at which the endpoint went out of service, if it has.
-    pub fn left_at(&self) -> Option<Instant> {
-        *self.0.left_at.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn out_of_service_since(&self) -> Option<Instant> {
+        *self.0.out_of_service_since.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns whether the router actor has removed the endpoint.
@@ -54,7 +54,7 @@
     /// Permits a new exchange if the endpoint is in service and not removed.
     ///
     /// # Errors
-    /// [`Denial::EndpointRemoved`] or [`Denial::EndpointOutOfService`].
+    /// Returns [`Denial::EndpointRemoved`] or [`Denial::EndpointOutOfService`].
     pub fn permits_exchange(&self) -> Verdict {
         if self.is_retired() {
             Err(Denial::EndpointRemoved)
--- a/routing/src/placement_subsets.rs
+++ b/routing/src/placement_subsets.rs
@@ -16,7 +16,7 @@
 mod subsets;
 mod tracked_endpoint;
 
-pub use change::{OutcomeRecorded, ReportSource, ReportedRole, Routed, SubsetChange};
+pub use change::{OutcomeEffects, ReportSource, ReportedRole, RoutingResult, SubsetChange};
 pub use member_ids::MemberIds;
 pub use probes::ProbeStart;
 pub use subsets::PlacementSubsets;
--- a/routing/src/placement_subsets/change.rs
+++ b/routing/src/placement_subsets/change.rs
@@ -27,8 +27,8 @@
     pub source: ReportSource,
 }
 
-/// The route of a request.
-pub struct Routed {
+/// Result of routing a request.
+pub struct RoutingResult {
     /// Group or placement subset whose members may serve the request, or the reason for which none may.
     pub group: Result<GroupId, PlacementError>,
     /// Subset changes caused by routing the request.
@@ -37,7 +37,7 @@
 
 /// Effects of the outcome of an attempt or a probe on placement subsets.
 #[derive(Default)]
-pub struct OutcomeRecorded {
+pub struct OutcomeEffects {
     /// Subset changes caused by the outcome.
     pub change: SubsetChange,
     /// Other member IDs of the same endpoint that have to receive the outcome.
--- a/routing/src/placement_subsets/member_ids.rs
+++ b/routing/src/placement_subsets/member_ids.rs
@@ -1,4 +1,4 @@
-//! Allocation of member ids.
+//! Allocation of member IDs.
 use decision::MemberId;
 
 /// Allocates unique member IDs for endpoints and aliases.
--- a/routing/src/placement_subsets/probes.rs
+++ b/routing/src/placement_subsets/probes.rs
@@ -104,10 +104,10 @@
     /// recently or is out of service.
     fn begin_search_probe(&mut self, canonical_id: MemberId, now: Time) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&canonical_id) else { return false };
-        let interval_over = endpoint.probed_at.is_none_or(|ended| now.0 - ended.0 >= MIN_PROBE_INTERVAL);
+        let interval_elapsed = endpoint.probed_at.is_none_or(|ended| now.0 - ended.0 >= MIN_PROBE_INTERVAL);
         let ready = endpoint.entry.state == MemberState::Ready && !endpoint.canonical_id_removed;
-        let begins = ready && interval_over && !endpoint.probing;
-        endpoint.probing |= begins;
-        begins
+        let starts_probe = ready && interval_elapsed && !endpoint.probing;
+        endpoint.probing |= starts_probe;
+        starts_probe
     }
 }
--- a/routing/src/placement_subsets/subsets.rs
+++ b/routing/src/placement_subsets/subsets.rs
@@ -1,6 +1,6 @@
 //! Placement subsets of one router: routing of requests, and updates from the rules, the endpoint list and
 //! the members' reports.
-use super::change::{OutcomeRecorded, ReportedRole, Routed, SubsetChange};
+use super::change::{OutcomeEffects, ReportedRole, RoutingResult, SubsetChange};
 use super::member_ids::MemberIds;
 use super::primary_search::PrimarySearch;
 use super::tracked_endpoint::TrackedEndpoint;
@@ -60,14 +60,14 @@
         class: usize,
         group: GroupId,
         ids: &mut MemberIds,
-    ) -> Routed {
+    ) -> RoutingResult {
         let needs_primary = self.needs_primary.get(class).copied().unwrap_or(true);
         let mut actions = Vec::new();
         let query = RoutingQuery { tenant, class, group, needs_primary };
         let group = self.engine.route(now, &query, &mut actions);
         let mut change = SubsetChange::default();
         self.apply(actions, &mut change, ids);
-        Routed { group, change }
+        RoutingResult { group, change }
     }
 
     /// Handles an update of the placement rules or the expiry of a timer.
@@ -115,9 +115,9 @@
         outcome: Outcome,
         reported: Option<ReportedRole>,
         ids: &mut MemberIds,
-    ) -> OutcomeRecorded {
+    ) -> OutcomeEffects {
         let (canonical_id, mut change) = (self.canonical_id(member), SubsetChange::default());
-        let Some(endpoint) = self.endpoints.get_mut(&canonical_id) else { return OutcomeRecorded::default() };
+        let Some(endpoint) = self.endpoints.get_mut(&canonical_id) else { return OutcomeEffects::default() };
         let (name, group) = (endpoint.name.clone(), endpoint.entry.group);
         let mut changed = endpoint.record_reachability(outcome);
         if let Some(role) = reported {
@@ -135,7 +135,7 @@
         }
         changed |= self.engine.primary(group) != primary_before.as_ref();
         let to_notify = if changed { self.ids_in_use(canonical_id, &[member]) } else { Vec::new() };
-        OutcomeRecorded { change, to_notify }
+        OutcomeEffects { change, to_notify }
     }
 
     /// Estimates the number of unavailable endpoints from the number of unavailable members. A draining
--- a/routing/src/placement_subsets/tracked_endpoint.rs
+++ b/routing/src/placement_subsets/tracked_endpoint.rs
@@ -89,7 +89,8 @@
         alias
     }
 
-    /// Records whether the endpoint was reachable, based on an outcome. Returns `true` if this is a change.
+    /// Updates the reachability of the endpoint after an exchange with this outcome. Returns `true` if it has
+    /// changed.
     pub(super) fn record_reachability(&mut self, outcome: Outcome) -> bool {
         let reachable = match outcome {
             Outcome::Ok => true,
--- a/routing/src/reasons.rs
+++ b/routing/src/reasons.rs
@@ -84,7 +84,7 @@
 }
 
 impl CloseReason {
-    /// All close reasons.
+    /// All reasons for closing a client connection.
     pub const ALL: [CloseReason; 8] = [
         CloseReason::ClientDisconnected,
         CloseReason::ClientStalled,
--- a/routing/src/router/capacity.rs
+++ b/routing/src/router/capacity.rs
@@ -18,18 +18,18 @@
         self.reserved_connections = reserved;
         self.probe_spacing.set_process_count(processes);
         self.process_count = processes;
-        self.divide_capacity();
+        self.update_capacity_share();
     }
 
     /// Sets the number of routers that share the capacity of the endpoints.
     pub(super) fn set_router_count(&mut self, routers: u32) {
         self.router_count = routers;
-        self.divide_capacity();
+        self.update_capacity_share();
     }
 
     /// Notifies the decision state machine of the total number of processes of all routers, which share the
     /// capacity equally.
-    fn divide_capacity(&mut self) {
+    fn update_capacity_share(&mut self) {
         self.handle_decision_event(Event::RouterCountChanged(
             self.router_count.max(1).saturating_mul(self.process_count.max(1)),
         ));
--- a/routing/src/router/endpoint_updates.rs
+++ b/routing/src/router/endpoint_updates.rs
@@ -67,8 +67,8 @@
             self.members_by_id.insert(endpoint.id.clone(), id);
             return id;
         };
-        let moved = self.endpoints.get(&known).is_some_and(|record| record.addr != endpoint.addr);
-        if moved && let Some(old) = self.endpoints.remove(&known) {
+        let address_changed = self.endpoints.get(&known).is_some_and(|record| record.addr != endpoint.addr);
+        if address_changed && let Some(old) = self.endpoints.remove(&known) {
             old.retire();
             self.probe_spacing.remove(known);
         }
--- a/routing/src/router/placement_routing.rs
+++ b/routing/src/router/placement_routing.rs
@@ -6,7 +6,7 @@
 use super::request_record::RequestRecord;
 use crate::final_response::FinalResponse;
 use crate::permit::Denial;
-use crate::placement_subsets::{OutcomeRecorded, ReportSource, ReportedRole, Routed, SubsetChange};
+use crate::placement_subsets::{OutcomeEffects, ReportSource, ReportedRole, RoutingResult, SubsetChange};
 use crate::protocol::BackendProtocol;
 use crate::reasons::EndReason;
 use decision::{Event, GroupId, MemberId, MemberReport, Outcome, Request, RequestId};
@@ -41,7 +41,8 @@
     ) -> Result<GroupId, PlacementError> {
         let now = self.clock.now();
         let Some(subsets) = &mut self.subsets else { return Ok(group) };
-        let Routed { group: routed, change } = subsets.route(now, tenant, class, group, &mut self.member_ids);
+        let RoutingResult { group: routed, change } =
+            subsets.route(now, tenant, class, group, &mut self.member_ids);
         self.apply_subset_change(change);
         if let Err(PlacementError::PrimaryOutside { group, .. }) = &routed {
             self.probe_for_primary(*group);
@@ -102,7 +103,7 @@
         let now = self.clock.now();
         let Some(subsets) = &mut self.subsets else { return };
         let reported = report.primary.map(|primary| ReportedRole { primary, source });
-        let OutcomeRecorded { change, to_notify } =
+        let OutcomeEffects { change, to_notify } =
             subsets.record_outcome(now, member, outcome, reported, &mut self.member_ids);
         self.apply_subset_change(change);
         if source == ReportSource::Probe {
@@ -116,9 +117,9 @@
 
     /// Routes all requests again that are waiting for a response.
     fn reroute_all(&mut self) {
-        let waits = |record: &RequestRecord<P>| record.awaits_response() && record.placed.is_some();
+        let is_waiting = |record: &RequestRecord<P>| record.awaits_response() && record.placed.is_some();
         let mut waiting: Vec<RequestId> =
-            self.requests.iter().filter(|(_, record)| waits(record)).map(|(id, _)| *id).collect();
+            self.requests.iter().filter(|(_, record)| is_waiting(record)).map(|(id, _)| *id).collect();
         waiting.sort_unstable();
         waiting.into_iter().for_each(|id| self.reroute(id));
     }
--- a/routing/src/router/transitions.rs
+++ b/routing/src/router/transitions.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Records that an attempt has ended.
+    /// Records the end of an attempt in the log, the counters and the observer.
     pub(super) fn record_attempt_ended(
         &mut self,
         attempt: AttemptId,
@@ -101,7 +101,9 @@
             attempt: number,
             permitted_at: times.permitted_at.map(|at| self.clock.time_at(at)),
             sent: times.sent_at.is_some(),
-            endpoint_left_at: times.endpoint_left_at.map(|at| self.clock.time_at(at)),
+            endpoint_out_of_service_since: times
+                .endpoint_out_of_service_since
+                .map(|at| self.clock.time_at(at)),
             outcome,
         };
         self.observe(request, Transition::AttemptEnded(end));
--- a/routing/src/socket.rs
+++ b/routing/src/socket.rs
@@ -42,8 +42,8 @@
     error.raw_os_error().is_some_and(|code| SHORTAGES.contains(&code))
 }
 
-/// Reads from a socket until a deadline, so that a peer that sends single bytes slowly cannot block a thread
-/// indefinitely. The read timeout of the last read remains set on the socket.
+/// Reads from a socket until a deadline, so that a remote end that sends single bytes slowly cannot block a
+/// thread indefinitely. The read timeout of the last read remains set on the socket.
 pub struct DeadlineReader<'a> {
     socket: &'a TcpStream,
     deadline: Instant,
--- a/routing/src/wall_clock/converter.rs
+++ b/routing/src/wall_clock/converter.rs
@@ -48,7 +48,7 @@
     }
 
     /// Compares the two clocks to detect a step, then returns the locked state.
-    fn compared_state(&self) -> MutexGuard<'_, State> {
+    fn lock_state_after_comparison(&self) -> MutexGuard<'_, State> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let before = Instant::now();
         let wall = Clock::wall_now();
@@ -64,18 +64,18 @@
 
     /// Converts a start time that was reported for a server.
     pub fn start(&self, reported: Time) -> Time {
-        self.compared_state().offsets.start(self.clock.now(), reported)
+        self.lock_state_after_comparison().offsets.start(self.clock.now(), reported)
     }
 
     /// Converts the time of a commit that a client must observe or that a server has made.
     pub fn commit(&self, reported: Time) -> Time {
-        self.compared_state().offsets.commit(self.clock.now(), reported)
+        self.lock_state_after_comparison().offsets.commit(self.clock.now(), reported)
     }
 
     /// Converts the replication position that a server reported; returns `None` if it cannot be determined.
     /// The position of a primary is the present.
     pub fn position(&self, server: SocketAddr, reported: Time, is_primary: bool) -> Option<Time> {
-        let mut state = self.compared_state();
+        let mut state = self.lock_state_after_comparison();
         let now = self.clock.now();
         if is_primary {
             let position = state.offsets.commit(now, reported);
@@ -93,9 +93,10 @@
         // The positions of a server never decrease. If the reported one is lower than the last, the server's
         // clock was stepped back, and the positions that follow are read from the stepped clock.
         let last = self.servers.get(&server);
-        let went_back = last.is_some_and(|last| reported < last.position);
-        let was_current = last.is_some_and(|last| last.reporting_clock == ReportingClock::CurrentClock);
-        if went_back || was_current || self.offsets.proves_current_clock(now, reported) {
+        let has_decreased = last.is_some_and(|last| reported < last.position);
+        let used_current_clock =
+            last.is_some_and(|last| last.reporting_clock == ReportingClock::CurrentClock);
+        if has_decreased || used_current_clock || self.offsets.proves_current_clock(now, reported) {
             ReportingClock::CurrentClock
         } else {
             ReportingClock::UnknownClock
--- a/routing/tests/attempt_guard.rs
+++ b/routing/tests/attempt_guard.rs
@@ -1,4 +1,4 @@
-//! How exchanges are cancelled, on real loopback sockets.
+//! Tests of the cancellation of exchanges on real loopback sockets.
 use routing::socket::peek;
 use routing::{AttemptGuard, Denial, EndpointState, Handshake, ServerSocket};
 use settings::Limits;
@@ -19,80 +19,87 @@
             longest_deadline: seconds(20),
         },
     );
-    let near = Handshake::connect(permit, addr, &limits).unwrap().finish().unwrap();
-    (near, listener.accept().unwrap().0)
+    let server_socket = Handshake::connect(permit, addr, &limits).unwrap().finish().unwrap();
+    (server_socket, listener.accept().unwrap().0)
 }
 
-/// Whether the first byte is permitted.
-fn starts(guard: &AttemptGuard) -> bool {
+/// Returns whether the guard permits writing the first byte.
+fn permits_start(guard: &AttemptGuard) -> bool {
     guard.permit_write().is_ok()
 }
 
-/// Nothing has arrived, and nothing has ended.
-fn is_open_and_silent(socket: &TcpStream) -> bool {
+/// Returns whether the socket is open and has no unread data.
+fn is_open_without_unread_data(socket: &TcpStream) -> bool {
     peek(socket).is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
 }
 
 #[test]
 fn cancel_shuts_socket_down_only_between_start_and_detach() {
-    let (near, far) = connected_pair();
-    // Before its first byte: the connection can carry another exchange.
+    let (server_socket, remote_socket) = connected_pair();
+    // Cancelled before the first byte: the connection stays usable for another exchange.
     let guard = AttemptGuard::default();
-    guard.attach_socket(near.clone());
+    guard.attach_socket(server_socket.clone());
     guard.cancel(Denial::AttemptTimedOut);
-    assert!(!starts(&guard) && near.is_idle_and_open() && is_open_and_silent(&far));
-    // After its response: the connection carries another exchange by now.
+    assert!(
+        !permits_start(&guard)
+            && server_socket.is_idle_and_open()
+            && is_open_without_unread_data(&remote_socket)
+    );
+    // Cancelled after the response: the connection may already be running another exchange.
     let guard = AttemptGuard::default();
-    guard.attach_socket(near.clone());
-    assert!(starts(&guard));
+    guard.attach_socket(server_socket.clone());
+    assert!(permits_start(&guard));
     guard.detach_socket();
     guard.cancel(Denial::AttemptTimedOut);
-    assert!(near.is_idle_and_open() && is_open_and_silent(&far));
-    // In between.
+    assert!(server_socket.is_idle_and_open() && is_open_without_unread_data(&remote_socket));
+    // Cancelled between the first byte and the response.
     let guard = AttemptGuard::default();
-    guard.attach_socket(near.clone());
-    assert!(starts(&guard));
+    guard.attach_socket(server_socket.clone());
+    assert!(permits_start(&guard));
     guard.cancel(Denial::AttemptTimedOut);
-    assert_eq!((&far).read(&mut [0]).unwrap(), 0);
-    assert!(!starts(&guard));
+    assert_eq!((&remote_socket).read(&mut [0]).unwrap(), 0);
+    assert!(!permits_start(&guard));
 }
 
 #[test]
 fn detach_drops_the_broken_connection() {
-    let (near, far) = connected_pair();
+    let (server_socket, remote_socket) = connected_pair();
     let guard = AttemptGuard::default();
-    guard.attach_socket(near.clone());
-    assert!(starts(&guard));
-    drop(near);
+    guard.attach_socket(server_socket.clone());
+    assert!(permits_start(&guard));
+    drop(server_socket);
     guard.detach_socket();
-    // Closed with its last owner, not when the next connection is up.
-    assert_eq!((&far).read(&mut [0]).unwrap(), 0);
+    // The socket is closed when its last owner drops it, not only when the next connection is opened.
+    assert_eq!((&remote_socket).read(&mut [0]).unwrap(), 0);
 }
 
 #[test]
 fn cancel_if_unstarted_forbids_only_later_starts() {
-    let (near, far) = connected_pair();
+    let (server_socket, remote_socket) = connected_pair();
     let guard = AttemptGuard::default();
-    guard.attach_socket(near.clone());
-    assert!(starts(&guard));
+    guard.attach_socket(server_socket.clone());
+    assert!(permits_start(&guard));
     guard.cancel_if_unstarted(Denial::ClientDisconnected);
-    assert!(near.is_idle_and_open() && is_open_and_silent(&far), "a started exchange goes on");
+    assert!(
+        server_socket.is_idle_and_open() && is_open_without_unread_data(&remote_socket),
+        "cancel_if_unstarted shut down a started exchange"
+    );
     guard.detach_socket();
-    assert!(guard.check_start().is_err() && !starts(&guard));
+    assert!(guard.check_start().is_err() && !permits_start(&guard));
 }
 
 #[test]
-fn start_needs_an_endpoint_in_service_and_time_left() {
+fn start_requires_endpoint_in_service_and_latest_start_not_passed() {
     let state = EndpointState::default();
     let guard = AttemptGuard::new(state.clone());
-    assert!(guard.check_start().is_ok() && starts(&guard));
-    assert!(state.set_in_service(false) && !state.set_in_service(false), "a change only once");
-    assert!(guard.check_start().is_err() && !starts(&guard), "also if it is written anew");
-    assert!(state.set_in_service(true) && starts(&guard));
+    assert!(guard.check_start().is_ok() && permits_start(&guard));
+    assert!(state.set_in_service(false) && !state.set_in_service(false), "only the first call is a change");
+    assert!(guard.check_start().is_err() && !permits_start(&guard), "a repeated write must be denied too");
+    assert!(state.set_in_service(true) && permits_start(&guard));
     state.retire();
-    assert!(!starts(&guard) && !state.accepts_exchanges());
+    assert!(!permits_start(&guard) && !state.accepts_exchanges());
     let now = Instant::now();
     let in_service = EndpointState::default;
-    assert!(!starts(&AttemptGuard::for_attempt(in_service(), now - Duration::from_millis(1), None)));
-    assert!(starts(&AttemptGuard::for_attempt(in_service(), now + Duration::from_mins(1), None)));
+    assert!(!permits_start(&AttemptGuard::for_attempt(in_service(), now - Duration::from_millis(1), None)));
+    assert!(permits_start(&AttemptGuard::for_attempt(in_service(), now + Duration::from_mins(1), None)));
 }
--- a/routing/tests/endpoints.rs
+++ b/routing/tests/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoints actor: in which order updates count, whichever connection of a watch they arrived on.
+//! Tests of the order in which the endpoints actor applies updates, including updates from different watch
+//! connections.
 use crossbeam_channel::{Receiver, bounded, unbounded};
 use decision::{GroupId, MemberState};
 use routing::{EndpointEntry, EndpointUpdate, EndpointsHandle, RouterMessage, UpdateOrder};
@@ -27,15 +28,16 @@
         Fixture { endpoints: start_endpoints(&limits(TIMEOUT), sender, None), router }
     }
 
-    /// What the router actor gets of an update, and the version that a watch resumes from then.
+    /// Sends an update. Returns the entries that are forwarded to the router actor, and the version from
+    /// which a watch then resumes.
     fn notify(&self, order: UpdateOrder, update: EndpointUpdate) -> (Vec<(String, MemberState)>, u64) {
         assert!(self.endpoints.notify_ordered(order, update));
         assert!(self.endpoints.wait_until_applied(TIMEOUT));
-        let passed_on = self.router.try_iter().flat_map(|message| match message {
+        let forwarded = self.router.try_iter().flat_map(|message| match message {
             RouterMessage::Endpoints(update) => update.endpoints,
             _ => vec![],
         });
-        (passed_on.map(|e| (e.id, e.state)).collect(), self.endpoints.version())
+        (forwarded.map(|e| (e.id, e.state)).collect(), self.endpoints.version())
     }
 }
 
@@ -47,9 +49,9 @@
 fn update_after_gap_applies_at_once_and_missed_updates_still_apply() {
     let fixture = Fixture::start();
     fixture.notify(UpdateOrder::Consecutive, update(5, true, &[("a", READY), ("b", READY), ("c", READY)]));
-    // Versions 6 and 7 were missed: in them b is draining.
+    // Versions 6 and 7 were missed. In one of them, b started draining.
     let result = fixture.notify(UpdateOrder::AfterGap, update(8, false, &[("a", DRAINING)]));
-    assert_eq!(result, (states(&[("a", DRAINING)]), 5), "a new watch asks for what comes after 5");
+    assert_eq!(result, (states(&[("a", DRAINING)]), 5), "a new watch must resume from version 5");
     let result =
         fixture.notify(UpdateOrder::Consecutive, update(8, false, &[("b", DRAINING), ("a", DRAINING)]));
     assert_eq!(result, (states(&[("b", DRAINING), ("a", DRAINING)]), 8));
@@ -60,26 +62,31 @@
     let fixture = Fixture::start();
     fixture.notify(UpdateOrder::Consecutive, update(5, true, &[("a", READY), ("b", READY)]));
     fixture.notify(UpdateOrder::AfterGap, update(9, false, &[("a", DRAINING)]));
-    // Written before version 9, read after it.
+    // This update is older than version 9 but received after it.
     let result = fixture.notify(UpdateOrder::Consecutive, update(8, false, &[("a", READY), ("b", DRAINING)]));
     assert_eq!(result, (states(&[("b", DRAINING)]), 8));
     let result = fixture.notify(UpdateOrder::Consecutive, update(9, false, &[("a", DRAINING)]));
     assert_eq!(result, (states(&[("a", DRAINING)]), 9));
     let result = fixture.notify(UpdateOrder::Consecutive, update(10, false, &[("a", READY)]));
-    assert_eq!(result, (states(&[("a", READY)]), 10), "an update in order binds no longer than that");
+    assert_eq!(
+        result,
+        (states(&[("a", READY)]), 10),
+        "consecutive updates must apply again after the gap is closed"
+    );
 }
 
 #[test]
 fn stale_update_is_ignored_and_complete_list_replaces_all() {
     let fixture = Fixture::start();
     fixture.notify(UpdateOrder::Consecutive, update(45, true, &[("a", DRAINING), ("b", READY)]));
-    // The old watch's change, behind the new one's complete list.
+    // An update of the old watch is received after the complete list of the new watch.
     assert_eq!(fixture.notify(UpdateOrder::Consecutive, update(44, false, &[("a", READY)])), (vec![], 45));
     assert_eq!(fixture.notify(UpdateOrder::AfterGap, update(44, false, &[("a", READY)])), (vec![], 45));
-    // The same change on both.
+    // The same update is received from both watches.
     let same = fixture.notify(UpdateOrder::Consecutive, update(45, false, &[("a", DRAINING)]));
     assert_eq!(same, (states(&[("a", DRAINING)]), 45));
-    // Complete lists of the same version and of a lower one replace what is held: another agent, or one that has restarted.
+    // A complete list replaces the current one even if its version is the same or lower: it may be from
+    // another discovery agent or from one that has restarted.
     let complete = fixture.notify(UpdateOrder::Consecutive, update(45, true, &[("c", READY)]));
     assert_eq!(complete, (states(&[("c", READY)]), 45));
     let lower = fixture.notify(UpdateOrder::Consecutive, update(3, true, &[("d", READY)]));
@@ -109,11 +116,11 @@
     for (version, state, port) in [(2, READY, 2), (3, MemberState::Removed, 2), (4, READY, 3)] {
         let moved = EndpointUpdate { version, complete: false, endpoints: vec![endpoint("a", state, port)] };
         assert!(fixture.endpoints.notify(moved));
-        let Ok(RouterMessage::Endpoints(got)) = fixture.router.recv_timeout(TIMEOUT) else {
-            panic!("no update")
+        let Ok(RouterMessage::Endpoints(received)) = fixture.router.recv_timeout(TIMEOUT) else {
+            panic!("no endpoint update was received")
         };
         assert_eq!(
-            (got.version, got.endpoints[0].addr.port(), got.endpoints[0].state),
+            (received.version, received.endpoints[0].addr.port(), received.endpoints[0].state),
             (version, port, state)
         );
     }
@@ -129,11 +136,11 @@
     });
     let versions = (1..=10_000).map(|_| match router.recv_timeout(TIMEOUT) {
         Ok(RouterMessage::Endpoints(update)) => update.version,
-        _ => panic!("no update"),
+        _ => panic!("no endpoint update was received"),
     });
     assert!(versions.eq(1..=10_000));
     assert!(notified.join().unwrap());
-    // A router actor that has ended takes the endpoints actor with it, and whoever notifies learns of it.
+    // When the router actor has stopped, the endpoints actor stops too, and sending an update fails.
     drop(router);
     while endpoints.notify(update(10_001, true, &[])) {}
 }
--- a/routing/tests/handover/cancellation.rs
+++ b/routing/tests/handover/cancellation.rs
@@ -1,14 +1,16 @@
-//! What cancels an attempt before its first byte: a drain, a removal, its client, its deadline, its deduplication window.
+//! Tests of the causes that cancel an attempt before its first byte: drain, removal, the client, the
+//! deadline, and the end of the deduplication window.
 use crate::script::{
-    Core, DEDUPLICATED, IDEMPOTENT, Pause, Pauses, SHORT, Submitted, WINDOW, draining, endpoint,
+    Core, DEDUPLICATED, IDEMPOTENT, Pause, PauseControl, SHORT, SubmittedRequest, WINDOW, draining, endpoint,
 };
 use decision::Outcome;
 use routing::FinalResponse;
 use std::time::{Duration, Instant};
 use testkit::routing::addr;
 
-/// One request is written on an idle connection, which breaks before the last byte, after `event`.
-fn break_connection_after(event: impl FnOnce(&mut Core, &Submitted)) -> (Core, Submitted) {
+/// Submits a request that uses an idle connection, and makes that connection fail before the last byte is
+/// written. `event` is applied before the failure.
+fn fail_connection_after(event: impl FnOnce(&mut Core, &SubmittedRequest)) -> (Core, SubmittedRequest) {
     let mut core = Core::start(|_| ());
     core.list(&[endpoint("a", 1, 0)]);
     assert_eq!(core.submit(0, IDEMPOTENT).served_by(), addr(1));
@@ -23,36 +25,36 @@
 
 #[test]
 fn broken_idle_connection_resends_request_on_new_connection() {
-    let (core, request) = break_connection_after(|_, _| ());
+    let (core, request) = fail_connection_after(|_, _| ());
     assert_eq!(request.served_by(), addr(1));
     assert_eq!(core.script.with(addr(1), |e| (e.connects, e.written)), (2, 2));
 }
 
 #[test]
-fn drain_binds_attempt_on_second_connection() {
+fn drain_prevents_retransmission_on_new_connection() {
     let (core, request) =
-        break_connection_after(|core, _| core.list(&[draining(endpoint("a", 1, 0)), endpoint("b", 2, 0)]));
+        fail_connection_after(|core, _| core.list(&[draining(endpoint("a", 1, 0)), endpoint("b", 2, 0)]));
     assert_eq!(request.served_by(), addr(2));
     assert_eq!(
         core.script.with(addr(1), |e| (e.connects, e.written)),
         (1, 1),
-        "a new attempt at a draining endpoint"
+        "a draining endpoint received a new attempt"
     );
 }
 
 #[test]
-fn removal_or_move_binds_attempt_on_second_connection() {
+fn removal_or_address_change_prevents_retransmission_on_new_connection() {
     for listed in [endpoint("b", 2, 0), endpoint("a", 2, 0)] {
-        let (core, request) = break_connection_after(|core, _| core.list(&[listed]));
+        let (core, request) = fail_connection_after(|core, _| core.list(&[listed]));
         assert_eq!(request.served_by(), addr(2));
         assert_eq!(core.script.with(addr(1), |e| (e.connects, e.written)), (1, 1));
     }
 }
 
 #[test]
-fn disconnect_or_cancel_binds_attempt_on_second_connection() {
+fn disconnect_or_cancel_prevents_retransmission_on_new_connection() {
     for cancels in [false, true] {
-        let (core, request) = break_connection_after(|core, request| {
+        let (core, request) = fail_connection_after(|core, request| {
             if cancels {
                 core.handle.cancel(request.id);
             } else {
@@ -60,13 +62,13 @@
             }
             core.barrier();
         });
-        request.wait_until_over();
+        request.wait_until_finished();
         assert_eq!(core.script.with(addr(1), |e| (e.connects, e.written)), (1, 1));
     }
 }
 
 #[test]
-fn disconnect_or_cancel_reaches_connecting_attempt() {
+fn disconnect_or_cancel_stops_attempt_that_is_connecting() {
     for cancels in [false, true] {
         let mut core = Core::start(|_| ());
         core.list(&[endpoint("a", 1, 0)]);
@@ -75,7 +77,7 @@
         core.script.wait_for(addr(1), Pause::Connect, 1);
         if cancels {
             core.handle.cancel(request.id);
-            // At once, whatever becomes of the connection.
+            // The final response is sent immediately, whether or not the connection opens.
             assert!(matches!(request.final_response(), FinalResponse::Cancelled));
             assert_eq!(core.metrics.classes[IDEMPOTENT].failed.get(), 1);
         } else {
@@ -84,13 +86,13 @@
         core.barrier();
         assert_eq!(core.metrics.requests_in_progress.get(), 0);
         core.script.resume(addr(1), Pause::Connect);
-        request.wait_until_over();
+        request.wait_until_finished();
         assert_eq!(
             core.script.with(addr(1), |e| (e.cancelled, e.written)),
             (1, 0),
-            "it started after its client had left"
+            "an attempt started after its client had disconnected"
         );
-        // The connection that was made late is kept for the next request.
+        // The connection that opened after the cancellation is retained for the next request.
         assert_eq!(core.submit(0, IDEMPOTENT).served_by(), addr(1));
         assert_eq!(core.script.with(addr(1), |e| e.connects), 1);
     }
@@ -99,12 +101,12 @@
 #[test]
 fn cancelled_request_gets_one_final_response() {
     let mut core = Core::start(|_| ());
-    // While it waits for its group.
+    // Cancelled while the request waits for its group to be listed.
     let waiting = core.submit(0, IDEMPOTENT);
     core.handle.cancel(waiting.id);
     assert!(matches!(waiting.final_response(), FinalResponse::Cancelled));
-    waiting.wait_until_over();
-    // After its attempt has started.
+    waiting.wait_until_finished();
+    // Cancelled after the attempt has started.
     core.list(&[endpoint("a", 1, 0)]);
     core.script.pause(addr(1), Pause::Response);
     let started = core.submit(0, IDEMPOTENT);
@@ -112,11 +114,11 @@
     core.handle.cancel(started.id);
     assert!(matches!(started.final_response(), FinalResponse::Cancelled));
     core.script.resume(addr(1), Pause::Response);
-    started.wait_until_over();
-    assert!(started.response.try_recv().is_err(), "a second response");
-    // After its final response.
+    started.wait_until_finished();
+    assert!(started.response.try_recv().is_err(), "the request received a second response");
+    // Cancelled after the final response.
     let served = core.submit(0, IDEMPOTENT);
-    served.wait_until_over();
+    served.wait_until_finished();
     core.handle.cancel(served.id);
     core.barrier();
     assert_eq!((served.served_by(), served.response.try_recv().is_err()), (addr(1), true));
@@ -125,7 +127,7 @@
 }
 
 #[test]
-fn deadline_reaches_connecting_attempt() {
+fn deadline_stops_attempt_that_is_connecting() {
     let mut core = Core::start(|_| ());
     core.list(&[endpoint("a", 1, 0)]);
     core.script.pause(addr(1), Pause::Connect);
@@ -134,7 +136,7 @@
     let response = request.final_response();
     assert!(!matches!(response, FinalResponse::Served(..)), "{response:?}");
     core.script.resume(addr(1), Pause::Connect);
-    request.wait_until_over();
+    request.wait_until_finished();
     assert_eq!(core.script.written(addr(1)), 0);
 }
 
@@ -151,13 +153,16 @@
     core.script.with(addr(1), |e| e.closes_idle = true);
     core.script.pause(addr(1), Pause::Connect);
     core.script.resume(addr(1), Pause::Response);
-    // The probe that follows a reset, and the retry.
+    // Two connections are opening: for the probe that follows a reset, and for the retry.
     core.script.wait_for(addr(1), Pause::Connect, 2);
-    // Not a wait for another thread: the test needs time to pass.
+    // This sleep does not synchronise threads. The test needs real time to pass.
     std::thread::sleep(WINDOW.saturating_sub(started.elapsed()) + Duration::from_millis(5));
     core.script.resume(addr(1), Pause::Connect);
     let response = request.final_response();
-    assert!(matches!(response, FinalResponse::Failed(_)), "the first may have run: {response:?}");
-    request.wait_until_over();
-    assert_eq!(core.script.written(addr(1)), 2, "a copy arrived after the deduplication window");
+    assert!(
+        matches!(response, FinalResponse::Failed(_)),
+        "the first attempt may have run, so the request must fail: {response:?}"
+    );
+    request.wait_until_finished();
+    assert_eq!(core.script.written(addr(1)), 2, "a retry was sent after the deduplication window");
 }
--- a/routing/tests/handover/main.rs
+++ b/routing/tests/handover/main.rs
@@ -1,5 +1,5 @@
-//! The hand-over of attempts to connections: the whole core on a protocol that stops at a connect, a write, a response or
-//! a close until the test lets it go on, so that updates arrive in between.
+//! Tests of the dispatch of attempts to connections. They run the whole core with a scripted protocol that
+//! can be paused at connect, write, response or close, so that updates arrive in between.
 #[path = "../common/mod.rs"]
 mod common;
 
--- a/routing/tests/handover/script.rs
+++ b/routing/tests/handover/script.rs
@@ -1,4 +1,4 @@
-//! The core on a protocol that stops at a connect, a write, a response or a close until the test lets it go on.
+//! Test fixture: the core with a scripted protocol that can be paused at connect, write, response or close.
 use crate::common::{self, Script, accepting_listener};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use decision::{
@@ -18,25 +18,27 @@
 use std::time::Duration;
 use testkit::routing::TIMEOUT;
 
-/// A class whose requests may be retried anywhere, and one whose requests may within a window.
+/// Index of the class whose requests may be retried without restriction.
 pub(crate) const IDEMPOTENT: usize = 0;
+/// Index of the class whose requests may be retried within [`WINDOW`].
 pub(crate) const DEDUPLICATED: usize = 1;
-/// One whose clients wait for a moment only.
+/// Index of the class with a deadline of 1 s.
 pub(crate) const SHORT: usize = 2;
+/// Deduplication window of the class [`DEDUPLICATED`].
 pub(crate) const WINDOW: Duration = Duration::from_millis(600);
 
-/// Where a connection may be paused.
+/// Points at which a connection can be paused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Pause {
-    /// Before it is connected.
+    /// Before the connection is opened.
     Connect,
-    /// With an attempt, before that asks whether it may start.
+    /// Before an attempt requests its write permit.
     Start,
-    /// After that, before its last byte is written.
+    /// After the write permit is issued, before the last byte is written.
     Write,
-    /// After that, before its response.
+    /// After the last byte is written, before the response.
     Response,
-    /// As it is closed.
+    /// While the connection is being closed.
     Close,
 }
 
@@ -44,23 +46,23 @@
 pub(crate) struct ScriptedEndpoint {
     pub(crate) paused: BTreeSet<Pause>,
     pub(crate) waiting: BTreeMap<Pause, usize>,
-    /// Idle connections are closed there.
+    /// Whether the endpoint closes idle connections.
     pub(crate) closes_idle: bool,
-    /// Nobody can be reached there any more.
+    /// Whether connecting to the endpoint fails.
     pub(crate) unreachable: bool,
-    /// This many writes break before their last byte.
+    /// Number of writes that will fail before their last byte.
     pub(crate) write_failures: usize,
-    /// This many attempts make the protocol panic.
+    /// Number of attempts that will panic in the protocol.
     pub(crate) panics: usize,
-    /// How completely written attempts end; after that they are served.
+    /// Outcomes of the next completely written attempts. Attempts after these are served.
     pub(crate) outcomes: VecDeque<Outcome>,
-    /// How long the last connection that was looked at had been idle.
+    /// Idle time of the connection that was last checked for reuse.
     pub(crate) idle_for: Duration,
     pub(crate) connects: usize,
     pub(crate) probes: usize,
-    /// Attempts that were not allowed to start,
+    /// Number of attempts that were denied a write permit.
     pub(crate) cancelled: usize,
-    /// and such that were completely written.
+    /// Number of attempts that were completely written.
     pub(crate) written: usize,
 }
 
@@ -70,22 +72,22 @@
     }
 }
 
-fn take_one(left: &mut usize) -> bool {
-    let some = *left > 0;
-    *left -= usize::from(some);
-    some
+fn decrement_if_positive(remaining: &mut usize) -> bool {
+    let is_positive = *remaining > 0;
+    *remaining -= usize::from(is_positive);
+    is_positive
 }
 
-pub(crate) trait Pauses {
-    fn pass(&self, addr: SocketAddr, pause: Pause);
+pub(crate) trait PauseControl {
+    fn wait_while_paused(&self, addr: SocketAddr, pause: Pause);
     fn pause(&self, addr: SocketAddr, pause: Pause);
     fn resume(&self, addr: SocketAddr, pause: Pause);
     fn wait_for(&self, addr: SocketAddr, pause: Pause, count: usize);
     fn written(&self, addr: SocketAddr) -> usize;
 }
 
-impl Pauses for Script<ScriptedEndpoint> {
-    fn pass(&self, addr: SocketAddr, pause: Pause) {
+impl PauseControl for Script<ScriptedEndpoint> {
+    fn wait_while_paused(&self, addr: SocketAddr, pause: Pause) {
         self.with(addr, |e| *e.waiting.entry(pause).or_default() += 1);
         self.wait_until(addr, |e| !e.paused.contains(&pause));
         self.with(addr, |e| *e.waiting.entry(pause).or_default() -= 1);
@@ -122,11 +124,11 @@
 
 impl Drop for ScriptedConnection {
     fn drop(&mut self) {
-        self.script.pass(self.addr, Pause::Close);
+        self.script.wait_while_paused(self.addr, Pause::Close);
     }
 }
 
-/// Is dropped with the last copy of a request's payload: then no attempt of it is under way any more.
+/// Payload of a request. It is dropped when no attempt of the request is in flight any longer.
 pub(crate) struct Payload {
     _in_use: Sender<()>,
 }
@@ -138,7 +140,7 @@
 
     fn connect(&self, addr: SocketAddr, permit: ConnectionPermit) -> Result<ScriptedConnection, Outcome> {
         self.script.with(addr, |e| e.connects += 1);
-        self.script.pass(addr, Pause::Connect);
+        self.script.wait_while_paused(addr, Pause::Connect);
         if self.script.with(addr, |e| e.unreachable) {
             return Err(Outcome::ConnectFailed);
         }
@@ -175,21 +177,21 @@
             script.with(addr, |e| e.probes += 1);
             return Ok(ExchangeResult { load_report: report, ..ok });
         }
-        script.pass(addr, Pause::Start);
+        script.wait_while_paused(addr, Pause::Start);
         let Ok(permit) = guard.permit_write() else {
             script.with(addr, |e| e.cancelled += 1);
             return Err(NotSent::Cancelled);
         };
-        let panics = script.with(addr, |e| take_one(&mut e.panics));
-        assert!(!panics, "as the test wants it");
-        script.pass(addr, Pause::Write);
-        if script.with(addr, |e| take_one(&mut e.write_failures)) {
+        let panics = script.with(addr, |e| decrement_if_positive(&mut e.panics));
+        assert!(!panics, "panic requested by the test");
+        script.wait_while_paused(addr, Pause::Write);
+        if script.with(addr, |e| decrement_if_positive(&mut e.write_failures)) {
             return Err(NotSent::ConnectionBroken);
         }
-        // Where it was cancelled meanwhile, its connection is shut down.
+        // The write fails if the attempt was cancelled meanwhile, because its connection was shut down.
         _ = self.socket.write_last(permit, &mut [IoSlice::new(b"request")]);
         script.with(addr, |e| e.written += 1);
-        script.pass(addr, Pause::Response);
+        script.wait_while_paused(addr, Pause::Response);
         Ok(match script.with(addr, |e| e.outcomes.pop_front()) {
             Some(outcome) => ExchangeResult::from_outcome(outcome),
             None => ExchangeResult { response_report: report, response: Some(addr), ..ok },
@@ -205,13 +207,13 @@
     version: u64,
 }
 
-pub(crate) struct Submitted {
+pub(crate) struct SubmittedRequest {
     pub(crate) id: RequestId,
     pub(crate) response: Receiver<FinalResponse<SocketAddr>>,
     in_use: Receiver<()>,
 }
 
-impl Submitted {
+impl SubmittedRequest {
     pub(crate) fn final_response(&self) -> FinalResponse<SocketAddr> {
         self.response.recv_timeout(TIMEOUT).unwrap()
     }
@@ -223,13 +225,13 @@
         }
     }
 
-    /// Waits until no attempt of it is under way anywhere.
-    pub(crate) fn wait_until_over(&self) {
+    /// Waits until no attempt of the request is in flight.
+    pub(crate) fn wait_until_finished(&self) {
         assert_eq!(self.in_use.recv_timeout(TIMEOUT), Err(RecvTimeoutError::Disconnected));
     }
 }
 
-/// The only endpoint of a group unless others are named.
+/// Creates a ready endpoint of a group.
 pub(crate) fn endpoint(id: &str, port: u16, group: u32) -> EndpointEntry {
     testkit::routing::endpoint(id, port, GroupId(group))
 }
@@ -294,7 +296,7 @@
         Core { script, handle, endpoints, metrics, version: 0 }
     }
 
-    /// Sends a complete list, and waits until the router actor has applied it.
+    /// Sends a complete endpoint list and waits until the router actor has applied it.
     pub(crate) fn list(&mut self, endpoints: &[EndpointEntry]) {
         self.version += 1;
         let endpoints = endpoints.to_vec();
@@ -303,7 +305,7 @@
         self.barrier();
     }
 
-    pub(crate) fn submit_within(&self, group: u32, class: usize, timeout_micros: i64) -> Submitted {
+    pub(crate) fn submit_within(&self, group: u32, class: usize, timeout_micros: i64) -> SubmittedRequest {
         let ((response_sender, response), (in_use_sender, in_use)) = (bounded(1), bounded(0));
         let request = ClientRequest {
             connection: 1,
@@ -316,14 +318,14 @@
             payload: Payload { _in_use: in_use_sender },
             response_sender,
         };
-        Submitted { id: self.handle.submit(request), response, in_use }
+        SubmittedRequest { id: self.handle.submit(request), response, in_use }
     }
 
-    pub(crate) fn submit(&self, group: u32, class: usize) -> Submitted {
+    pub(crate) fn submit(&self, group: u32, class: usize) -> SubmittedRequest {
         self.submit_within(group, class, 60_000_000)
     }
 
-    /// Everything that was sent to the router actor before has been handled.
+    /// Waits until the router actor has handled all earlier messages.
     pub(crate) fn barrier(&self) {
         let late = self.submit_within(u32::MAX, SHORT, 0).final_response();
         assert!(matches!(late, FinalResponse::Rejected(_)), "{late:?}");
--- a/routing/tests/metrics.rs
+++ b/routing/tests/metrics.rs
@@ -1,7 +1,9 @@
-//! The metric text of the admin address: names and layout are read by the operators' own tools and must not move.
+//! Golden tests of the metric text at the admin address. Tools of operators parse its names and layout, so
+//! they must not change.
 use routing::Metrics;
 
-/// Written by the program before its names were revised; lines in sorted order, as classes come in no fixed order.
+/// Recorded before identifiers were renamed. The lines are sorted, because the order of the classes is not
+/// fixed.
 const EXPECTED: &str = include_str!("fixtures/metrics.txt");
 
 #[test]
@@ -30,7 +32,7 @@
 }
 
 #[test]
-fn every_class_has_its_lines_from_the_start() {
+fn every_class_is_exported_from_the_start() {
     let metrics = Metrics::new(&["stock-read".into(), "order".into()]).unwrap();
     metrics.classes[1].served.inc_by(812);
     metrics.classes[0].attempts_sent.inc();
@@ -65,7 +67,7 @@
 }
 
 #[test]
-fn every_reason_has_its_line_from_the_start() {
+fn every_reason_is_exported_from_the_start() {
     let metrics = Metrics::new(&["order".into()]).unwrap();
     metrics.classes[0].served.inc_by(3);
     metrics.reasons.denied.with_label_values(&["client_left"]).inc();
@@ -78,6 +80,6 @@
         "damsonvale_invariant_violations_total{invariant=\"drain\"} 0",
         "damsonvale_retried_total{reason=\"reset\"} 0",
     ] {
-        assert!(text.lines().any(|found| found == line), "{line} in {text}");
+        assert!(text.lines().any(|found| found == line), "{line} is missing in {text}");
     }
 }
--- a/routing/tests/observer.rs
+++ b/routing/tests/observer.rs
@@ -1,4 +1,5 @@
-//! The observer on histories that break each promise once and on regular ones, and the permits of repeats.
+//! Tests of the observer with request histories that violate each invariant or none, and of the permits for
+//! retries.
 use decision::{Idempotency, Outcome, RequestId, Time};
 use routing::observer::{AttemptEnd, Ending, Invariant, MAX_TRACKED, Observer, Transition, Violation};
 use routing::permit::{RepeatRule, RepeatState};
@@ -18,7 +19,7 @@
     ]
 }
 
-/// What a history of one request, with a deadline of 2 s, violates.
+/// Returns the invariants that a history of one request violates. The request's deadline is 2 s.
 fn violations(class: usize, history: &[(i64, Transition)]) -> Vec<Invariant> {
     let mut observer = Observer::new(rules(), SECOND / 4);
     let mut found: Vec<Violation> = Vec::new();
@@ -41,13 +42,13 @@
         attempt,
         permitted_at,
         sent: true,
-        endpoint_left_at: None,
+        endpoint_out_of_service_since: None,
         outcome,
     })
 }
 
 #[test]
-fn regular_histories_violate_nothing() {
+fn valid_histories_violate_no_invariant() {
     let served = [
         (0, dispatched(0)),
         (SECOND, ended(0, 10, Outcome::Ok)),
@@ -74,10 +75,10 @@
 }
 
 #[test]
-fn each_broken_promise_reports_its_invariant() {
+fn each_violation_reports_its_invariant() {
     let end = Transition::Ended;
     let twice = [(SECOND, end(Ending::Rejected)), (SECOND, end(Ending::Failed))];
-    // An attempt is out, so the request is still known when its second end comes.
+    // An attempt is in flight, so the request is still tracked when it ends a second time.
     let twice = [[(0, dispatched(0))].as_slice(), &twice].concat();
     assert_eq!(violations(IDEMPOTENT, &twice), [Invariant::OneFinalResponse]);
     assert_eq!(
@@ -121,7 +122,7 @@
         attempt: 0,
         permitted_at: Some(Time(SECOND)),
         sent: true,
-        endpoint_left_at: Some(Time(SECOND - SECOND / 4 - 1)),
+        endpoint_out_of_service_since: Some(Time(SECOND - SECOND / 4 - 1)),
         outcome: Outcome::Ok,
     });
     assert_eq!(violations(IDEMPOTENT, &[(0, dispatched(0)), (SECOND, drained)]), [Invariant::Drain]);
@@ -136,7 +137,7 @@
             attempt,
             permitted_at: Some(Time(10)),
             sent: false,
-            endpoint_left_at: None,
+            endpoint_out_of_service_since: None,
             outcome,
         })
     };
@@ -175,7 +176,10 @@
     let after = |outcome| {
         let mut state = RepeatState::default();
         assert_eq!(state.permit_attempt(Time(0), not_idempotent), Ok(None));
-        assert!(state.permit_attempt(Time(0), not_idempotent).is_err(), "one is in flight");
+        assert!(
+            state.permit_attempt(Time(0), not_idempotent).is_err(),
+            "a second attempt must be denied while one is in flight"
+        );
         state.attempt_ended(Some(Time(10)), outcome);
         state
     };
--- a/routing/tests/placement/main.rs
+++ b/routing/tests/placement/main.rs
@@ -1,4 +1,4 @@
-//! Tenants' data stays in its place, with the whole core on a scripted protocol.
+//! Tests of placement rules, with the whole core and a scripted protocol.
 #[path = "../common/mod.rs"]
 mod common;
 
--- a/routing/tests/placement/rules.rs
+++ b/routing/tests/placement/rules.rs
@@ -1,6 +1,8 @@
-//! What rules bind: requests, their attempts, and endpoints that move between sites.
+//! Tests of the effect of placement rules on requests, on their attempts, and on endpoints whose site
+//! changes.
 use crate::script::{
-    ANY, Core, DEFAULT_HOLD_MICROS, GROUP, LATEST, Paused, Rule, WRITE, endpoint, four, preferred, strict,
+    ANY, Core, DEFAULT_HOLD_MICROS, GROUP, LATEST, Paused, Rule, WRITE, endpoint, four_endpoints, preferred,
+    strict,
 };
 use decision::{MemberState, Outcome};
 use routing::{EndpointEntry, FinalResponse, PlacementError};
@@ -10,12 +12,12 @@
 use testkit::routing::{TIMEOUT, addr};
 
 #[test]
-fn retries_of_strict_tenant_stay_inside() {
-    let core = Core::with(&four(), &[strict("t", &["a"])]);
+fn retries_of_strict_tenant_stay_in_allowed_site() {
+    let core = Core::with(&four_endpoints(), &[strict("t", &["a"])]);
     for (n, end) in
         [Outcome::Reset, Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed].into_iter().enumerate()
     {
-        // Whichever is asked first fails, and the request is retried at the other.
+        // Whichever endpoint gets the first attempt fails, and the request is retried at the other one.
         core.script.with(addr(1), |e| e.outcomes = [end].into());
         core.script.with(addr(2), |e| e.outcomes = [end].into());
         for _ in 0..=n {
@@ -24,7 +26,7 @@
         }
     }
     let inside = core.attempts(1) + core.attempts(2);
-    assert!(inside > 20, "only {inside} attempts: nothing was retried");
+    assert!(inside > 20, "only {inside} attempts, so no request was retried");
     assert_eq!((core.attempts(3), core.attempts(4)), (0, 0));
 }
 
@@ -34,7 +36,7 @@
     assert_eq!(core.denied("t", ANY), PlacementError::NoRules);
     core.script.with(addr(1), |e| e.primary = true);
     core.rules(&[strict("t", &["a"]), preferred("p", &["a"])]);
-    core.list(four());
+    core.list(four_endpoints());
     assert_eq!(core.denied("t", ANY), PlacementError::Unconfirmed { version: 1 });
     core.served_by("p", ANY);
     core.confirm();
@@ -42,12 +44,13 @@
 }
 
 #[test]
-fn primary_outside_denies_writes_until_one_inside_is_found() {
-    let core = Core::with(&four(), &[strict("t", &["a"])]);
+fn writes_are_denied_while_primary_is_outside_allowed_sites() {
+    let core = Core::with(&four_endpoints(), &[strict("t", &["a"])]);
     assert_eq!(core.served_by("t", WRITE), addr(1));
     core.script.with(addr(1), |e| e.primary = false);
     core.script.with(addr(3), |e| e.primary = true);
-    // Only this tenant sends requests, and none of them may go outside: the primary is found all the same, by probes.
+    // Only this tenant sends requests, and none of them may leave site a. The new primary is therefore found
+    // by probes alone.
     let outside = PlacementError::PrimaryOutside {
         group: GROUP,
         primary: "b1".into(),
@@ -57,7 +60,7 @@
     assert_eq!(core.denied("t", WRITE), outside);
     let before = (core.attempts(1), core.attempts(2));
     assert_eq!(core.denied("t", WRITE), outside);
-    assert_eq!(before, (core.attempts(1), core.attempts(2)), "denied at once");
+    assert_eq!(before, (core.attempts(1), core.attempts(2)), "a denied request must not cause an attempt");
     assert_eq!(core.attempts(3), 0);
     core.script.with(addr(3), |e| e.primary = false);
     core.script.with(addr(2), |e| e.primary = true);
@@ -65,7 +68,7 @@
     let served = loop {
         match core.request("t", WRITE) {
             FinalResponse::Served(at, _) => break at,
-            _ => assert!(started.elapsed() < TIMEOUT, "still denied"),
+            _ => assert!(started.elapsed() < TIMEOUT, "writes are still denied"),
         }
     };
     assert_eq!(served, addr(2));
@@ -75,21 +78,22 @@
 fn tightened_rule_stops_unstarted_and_further_attempts() {
     let members = [endpoint("a1", 1, "a"), endpoint("b1", 3, "b")];
     let both: &[&str] = &["a", "b"];
-    // Through the group itself, and through a subset that lives on for another tenant.
+    // Without a rule, the tenant is routed to the group itself. With one, it is routed to a subset that
+    // continues to exist for another tenant.
     for before in [&[strict("u", both)][..], &[strict("u", both), strict("t", both)][..]] {
         let mut core = Core::with(&members, before);
-        // The replica is outside of the coming rule: reads go there.
-        core.request_until_served_by("t", 3, "the replica is never asked");
+        // The replica, which gets reads, is outside the sites of the later rule.
+        core.request_until_served_by("t", 3, "the replica served no request");
         let before = core.attempts(3);
         core.script.with(addr(3), |e| e.paused.attempts = true);
         let running = core.submit("t", ANY);
         core.script.wait_until(addr(3), |e| e.attempts == before + 1);
         core.script.with(addr(3), |e| e.paused.connections = true);
         let unstarted = core.submit("t", ANY);
-        // The second waits for its connection.
+        // The second request waits for its connection to open.
         core.script.wait_until(addr(3), |e| e.waiting == 2);
         core.rules(&[strict("t", &["a"]), strict("u", both)]);
-        // The backends actor handles commands in order: this comes behind the new rule.
+        // The backends actor handles commands in order, so this attempt is handled after the new rule.
         assert_eq!(core.served_by("t", ANY), addr(1));
         core.script.with(addr(3), |e| {
             e.outcomes = [Outcome::Reset].into();
@@ -98,20 +102,23 @@
         let running = running.recv_timeout(TIMEOUT).unwrap();
         assert!(
             matches!(running, FinalResponse::Failed(Some(Outcome::Reset))),
-            "it may have run: {running:?}"
+            "a request that may have run must fail: {running:?}"
         );
         let unstarted = unstarted.recv_timeout(TIMEOUT).unwrap();
-        assert!(matches!(unstarted, FinalResponse::Rejected(None)), "it has not run: {unstarted:?}");
-        assert_eq!(core.attempts(3), before + 1, "no further attempt goes outside");
-        core.request_until_served_by("u", 3, "a tenant that may go there still does");
+        assert!(
+            matches!(unstarted, FinalResponse::Rejected(None)),
+            "a request that has not run must be rejected: {unstarted:?}"
+        );
+        assert_eq!(core.attempts(3), before + 1, "a further attempt was sent outside the allowed sites");
+        core.request_until_served_by("u", 3, "a tenant whose rule allows site b was not served there");
     }
 }
 
 #[test]
-fn site_change_reroutes_attempt_waiting_for_connection() {
+fn site_change_reroutes_attempt_that_is_connecting() {
     let stays = endpoint("a1", 1, "a");
     let mut core = Core::with(&[stays.clone(), endpoint("m", 5, "a")], &[strict("t", &["a"])]);
-    core.request_until_served_by("t", 5, "the replica is never asked");
+    core.request_until_served_by("t", 5, "the replica served no request");
     core.script.with(addr(5), |e| e.paused.connections = true);
     let waiting = core.submit("t", ANY);
     core.script.wait_until(addr(5), |e| e.waiting > 0);
@@ -126,11 +133,11 @@
 
 #[test]
 fn new_rule_reroutes_waiting_request() {
-    let mut core = Core::with(&four(), &[]);
+    let mut core = Core::with(&four_endpoints(), &[]);
     core.script.with(addr(1), |e| e.paused.probes = true);
     core.script.with(addr(1), |e| e.primary = false);
     core.script.with(addr(3), |e| (e.primary, e.paused.probes) = (true, true));
-    // The primary is not known yet, and the probes that search for it wait.
+    // The primary is unknown, and the probes that search for it are paused.
     let waiting = core.submit("t", LATEST);
     core.script.wait_until(addr(3), |e| e.probes == 1 && e.waiting == 1);
     core.rules(&[strict("t", &["a"])]);
@@ -145,7 +152,7 @@
 }
 
 #[test]
-fn endpoint_returning_in_another_site_serves_only_that_site_after_hold() {
+fn endpoint_with_changed_site_serves_only_new_site_after_hold_time() {
     let mut core = Core::start(300_000);
     core.rules(&[strict("a", &["a"]), strict("b", &["b"])]);
     core.confirm();
@@ -153,7 +160,7 @@
     core.list([&stays[..], &[endpoint("m", 5, "a")]].concat());
     let mut started = Instant::now();
     while core.attempts(5) == 0 {
-        assert!(started.elapsed() < TIMEOUT, "it is a member of a");
+        assert!(started.elapsed() < TIMEOUT, "endpoint m received no attempt from site a's tenant");
         core.served_by("a", ANY);
     }
     core.list(stays.to_vec());
@@ -161,37 +168,40 @@
     started = Instant::now();
     let old = core.attempts(5);
     while core.attempts(6) == 0 {
-        assert!(started.elapsed() < TIMEOUT, "it is a member of b");
+        assert!(started.elapsed() < TIMEOUT, "endpoint m received no attempt from site b's tenant");
         assert_eq!(core.served_by("a", ANY), addr(1));
         core.served_by("b", ANY);
     }
-    assert!(started.elapsed() >= Duration::from_millis(150), "it is held first");
+    assert!(
+        started.elapsed() >= Duration::from_millis(150),
+        "endpoint m served before its hold time had expired"
+    );
     assert_eq!(core.attempts(5), old);
 }
 
 #[test]
-fn preferred_tenant_spills_over_and_returns() {
-    let mut core = Core::with(&four(), &[preferred("p", &["b"])]);
+fn preferred_tenant_uses_other_sites_during_drain_and_returns() {
+    let mut core = Core::with(&four_endpoints(), &[preferred("p", &["b"])]);
     let inside = [addr(3), addr(4)];
-    // The primary may take reads until the roles of the others are known.
+    // The primary may serve reads until the roles of the other endpoints are known.
     let started = Instant::now();
     while !inside.contains(&core.served_by("p", ANY)) {
-        assert!(started.elapsed() < TIMEOUT, "nobody inside is asked");
+        assert!(started.elapsed() < TIMEOUT, "no endpoint in the preferred site served a read");
     }
     assert!((0..20).all(|_| inside.contains(&core.served_by("p", ANY))));
-    // Its writes go to the primary wherever that is.
+    // Writes of a tenant with a preferred site go to the primary regardless of its site.
     assert_eq!(core.served_by("p", WRITE), addr(1));
     let drained = |e: EndpointEntry| EndpointEntry { state: MemberState::Draining, ..e };
-    let [a1, a2, b1, b2] = <[EndpointEntry; 4]>::try_from(four()).unwrap();
+    let [a1, a2, b1, b2] = <[EndpointEntry; 4]>::try_from(four_endpoints()).unwrap();
     core.list(vec![a1, a2, drained(b1), drained(b2)]);
     assert!((0..20).all(|_| !inside.contains(&core.served_by("p", ANY))));
-    core.list(four());
+    core.list(four_endpoints());
     let back: Vec<SocketAddr> = (0..20).map(|_| core.served_by("p", ANY)).collect();
     assert!(back.iter().all(|at| inside.contains(at)), "{back:?}");
     let mut served_by = BTreeSet::new();
     let started = Instant::now();
     while served_by.len() < 3 {
-        assert!(started.elapsed() < TIMEOUT, "no rule binds it: {served_by:?}");
+        assert!(started.elapsed() < TIMEOUT, "a tenant without rules was served only by {served_by:?}");
         served_by.insert(core.served_by("nobody", ANY));
     }
 }
@@ -202,16 +212,16 @@
         (0..8).map(|n| (format!("t{n}"), vec!["a".into(), "b".into(), format!("c{n}")])).collect();
     let sites: Vec<Vec<&str>> = tenants.iter().map(|(_, s)| s.iter().map(String::as_str).collect()).collect();
     let rules: Vec<Rule<'_>> = tenants.iter().zip(&sites).map(|((n, _), s)| strict(n, s)).collect();
-    let core = Core::with(&four(), &rules);
+    let core = Core::with(&four_endpoints(), &rules);
     (1..=4).for_each(|n| core.script.with(addr(n), |e| e.paused.probes = true));
     let waiting: Vec<_> = rules.iter().map(|rule| core.submit(rule.tenant, LATEST)).collect();
     core.barrier();
     (1..=4).for_each(|n| core.script.wait_until(addr(n), |e| e.probes > 0));
     (1..=4).for_each(|n| core.script.with(addr(n), |e| e.paused.probes = false));
-    for answer in waiting {
-        let response = answer.recv_timeout(TIMEOUT).unwrap();
+    for receiver in waiting {
+        let response = receiver.recv_timeout(TIMEOUT).unwrap();
         assert!(matches!(response, FinalResponse::Served(at, _) if at == addr(1)), "{response:?}");
     }
     let probes: Vec<usize> = (1..=4).map(|n| core.script.with(addr(n), |e| e.probes)).collect();
-    assert!(probes.iter().all(|n| *n <= 2), "eight subsets probed {probes:?} times");
+    assert!(probes.iter().all(|n| *n <= 2), "eight subsets caused {probes:?} probes per endpoint");
 }
--- a/routing/tests/placement/script.rs
+++ b/routing/tests/placement/script.rs
@@ -1,4 +1,5 @@
-//! The core with placement rules on a protocol that records what each endpoint is asked; how it responds is set by the test.
+//! Test fixture: the core with placement rules and a scripted protocol that counts the attempts and probes of
+//! each endpoint and responds as the test specifies.
 use crate::common::{self, Script, accepting_listener};
 use crossbeam_channel::{Receiver, bounded};
 use decision::{Class, Freshness, GroupId, Idempotency, MemberReport, Outcome, Settings, Time};
@@ -22,11 +23,11 @@
 pub(crate) const WRITE: usize = 1;
 pub(crate) const LATEST: usize = 2;
 pub(crate) const GROUP: GroupId = GroupId(0);
-/// How long an endpoint whose site has changed is outside of every boundary, unless a test wants another time.
+/// Default time for which an endpoint whose site has changed is excluded from the subsets of all sites.
 pub(crate) const DEFAULT_HOLD_MICROS: i64 = 2_000_000;
 pub(crate) const HOUR_MICROS: i64 = 3_600_000_000;
 
-/// What waits at an endpoint meanwhile.
+/// Steps that are paused at an endpoint.
 #[derive(Default)]
 pub(crate) struct Paused {
     pub(crate) connections: bool,
@@ -37,12 +38,12 @@
 #[derive(Default)]
 pub(crate) struct ScriptedEndpoint {
     pub(crate) primary: bool,
-    /// How its next attempts end; after that it serves.
+    /// Outcomes of the next attempts. Attempts after these are served.
     pub(crate) outcomes: VecDeque<Outcome>,
     pub(crate) paused: Paused,
     pub(crate) probes: usize,
     pub(crate) attempts: usize,
-    /// Connections and exchanges that wait.
+    /// Number of connections and exchanges that are paused.
     pub(crate) waiting: usize,
 }
 
@@ -69,7 +70,7 @@
 }
 
 impl BackendProtocol for ScriptedProtocol {
-    /// Whether it is a write.
+    /// Whether the request is a write.
     type Payload = bool;
     type Response = SocketAddr;
     type Connection = ScriptedConnection;
@@ -97,7 +98,7 @@
     }
 
     fn is_usable(&mut self, _: Duration, _: ConnectionPermit) -> bool {
-        // Each exchange opens a connection of its own, so that the script decides on each connection.
+        // Each exchange opens a new connection, so that the script controls every connection.
         false
     }
 
@@ -117,13 +118,14 @@
             }
             Exchange::Attempt(write, _) => {
                 script.with(addr, |e| e.attempts += 1);
-                // Where it was cancelled meanwhile, its connection is shut down.
+                // The write fails if the attempt was cancelled meanwhile, because its connection was shut
+                // down.
                 _ = self.socket.write_last(permit, &mut [IoSlice::new(b"request")]);
                 wait_while(script, addr, |e| e.paused.attempts);
                 let (outcome, response_report) = script.with(addr, |e| (e.outcomes.pop_front(), report(e)));
-                let missed =
+                let not_eligible =
                     (*write && response_report.primary == Some(false)).then_some(Outcome::NotEligible);
-                Ok(match outcome.or(missed) {
+                Ok(match outcome.or(not_eligible) {
                     Some(outcome) => {
                         ExchangeResult { response_report, ..ExchangeResult::from_outcome(outcome) }
                     }
@@ -166,7 +168,7 @@
     EndpointEntry { site: Some(site.into()), ..testkit::routing::endpoint(id, port, GROUP) }
 }
 
-/// A tenant's placement rule.
+/// Placement rule of a tenant.
 #[derive(Clone, Copy)]
 pub(crate) struct Rule<'a> {
     pub(crate) tenant: &'a str,
@@ -174,12 +176,12 @@
     strict: bool,
 }
 
-/// The tenant's data must not leave these sites.
+/// Creates a rule by which the tenant's data must not leave these sites.
 pub(crate) fn strict<'a>(tenant: &'a str, sites: &'a [&'a str]) -> Rule<'a> {
     Rule { tenant, sites, strict: true }
 }
 
-/// The tenant's requests go to these sites if they can.
+/// Creates a rule by which the tenant's requests go to these sites if possible.
 pub(crate) fn preferred<'a>(tenant: &'a str, sites: &'a [&'a str]) -> Rule<'a> {
     Rule { tenant, sites, strict: false }
 }
@@ -187,14 +189,15 @@
 fn fleet(rules: &[Rule<'_>]) -> Arc<Fleet> {
     let tenant = |rule: &Rule<'_>| {
         let sites = rule.sites.iter().map(ToString::to_string).collect();
-        let places = vec![PlacementRule { sites, strict: rule.strict, classes: None }];
-        (rule.tenant.to_string(), Tenant { placement_rules: places, ..Tenant::default() })
+        let tenant_rules = vec![PlacementRule { sites, strict: rule.strict, classes: None }];
+        (rule.tenant.to_string(), Tenant { placement_rules: tenant_rules, ..Tenant::default() })
     };
     Arc::new(Fleet { tenants: rules.iter().map(tenant).collect(), ..Fleet::default() })
 }
 
 impl Core {
-    /// A core with placement rules, in which an endpoint whose site has changed is outside for this long.
+    /// Starts a core with placement enabled. An endpoint whose site has changed is excluded from all sites
+    /// for `hold_micros`.
     pub(crate) fn start(hold_micros: i64) -> Core {
         let script = Arc::new(Script::default());
         let seconds = Duration::from_secs;
@@ -225,7 +228,8 @@
         Core { script, handle, endpoints, version: 0 }
     }
 
-    /// With endpoints, of which the first is the primary, and rules that are confirmed for the duration of the test.
+    /// Starts a core with these endpoints, the first of which is the primary, and with rules that are
+    /// confirmed for the duration of the test.
     pub(crate) fn with(endpoints: &[EndpointEntry], rules: &[Rule<'_>]) -> Core {
         let mut core = Core::start(DEFAULT_HOLD_MICROS);
         core.script.with(endpoints[0].addr, |e| e.primary = true);
@@ -245,22 +249,23 @@
         self.handle.update_placement(RulesUpdate::Confirmed { until });
     }
 
-    /// Sends a complete list, and waits until it binds: the list has an actor of its own, so a last endpoint shows it.
+    /// Sends a complete list and waits until it is applied. The endpoints actor applies it asynchronously, so
+    /// an additional endpoint in a group without rules is used to detect this.
     pub(crate) fn list(&mut self, mut endpoints: Vec<EndpointEntry>) {
         self.version += 1;
         let site = format!("mark{}", self.version);
         let port = 60_000 + self.version as u16;
         endpoints.push(EndpointEntry { group: GroupId(9), ..endpoint(&site, port, &site) });
         self.endpoints.notify(EndpointUpdate { version: self.version, complete: true, endpoints });
-        // Nobody has a rule here: it is served as soon as the list has arrived.
+        // No rule applies to this group, so the endpoint serves as soon as the list is applied.
         let started = Instant::now();
         while self.attempts(port) == 0 {
-            assert!(started.elapsed() < TIMEOUT, "the list has not arrived");
+            assert!(started.elapsed() < TIMEOUT, "the endpoint list was not applied");
             self.submit_to(None, ANY, GroupId(9)).recv_timeout(TIMEOUT).unwrap();
         }
     }
 
-    /// How many attempts an endpoint has got.
+    /// Returns the number of attempts that an endpoint has received.
     pub(crate) fn attempts(&self, port: u16) -> usize {
         self.script.with(addr(port), |e| e.attempts)
     }
@@ -294,7 +299,7 @@
         self.submit(tenant, class).recv_timeout(TIMEOUT).unwrap()
     }
 
-    /// Everything that was sent to the router actor before has been handled.
+    /// Waits until the router actor has handled all earlier messages.
     pub(crate) fn barrier(&self) {
         let rejected = self.submit_to(None, ANY, GroupId(u32::MAX)).recv_timeout(TIMEOUT).unwrap();
         assert!(matches!(rejected, FinalResponse::PlacementDenied(PlacementError::Reserved { .. })));
@@ -314,16 +319,16 @@
         }
     }
 
-    /// Requests again and again until this endpoint serves.
-    pub(crate) fn request_until_served_by(&self, tenant: &str, port: u16, otherwise: &str) {
+    /// Sends requests until this endpoint serves one.
+    pub(crate) fn request_until_served_by(&self, tenant: &str, port: u16, failure_message: &str) {
         let started = Instant::now();
         while self.served_by(tenant, ANY) != addr(port) {
-            assert!(started.elapsed() < TIMEOUT, "{otherwise}");
+            assert!(started.elapsed() < TIMEOUT, "{failure_message}");
         }
     }
 }
 
-/// Two at site a, the first of them the primary, and two at site b.
-pub(crate) fn four() -> Vec<EndpointEntry> {
+/// Returns two endpoints in site a, the first of which is the primary, and two in site b.
+pub(crate) fn four_endpoints() -> Vec<EndpointEntry> {
     vec![endpoint("a1", 1, "a"), endpoint("a2", 2, "a"), endpoint("b1", 3, "b"), endpoint("b2", 4, "b")]
 }
--- a/routing/tests/probe_spacing.rs
+++ b/routing/tests/probe_spacing.rs
@@ -1,4 +1,4 @@
-//! The spacing alone, and with the real decisions in simulated time.
+//! Tests of probe spacing, alone and with the real decision state machine in simulated time.
 use decision::{
     Action, Event, GroupId, MemberEntry, MemberId, MemberReport, Micros, Outcome, Request, RequestId, Router,
     Settings, Time,
@@ -43,17 +43,17 @@
 }
 
 const START: i64 = 1_000_000_000;
-/// A probe ends this long after it is sent.
+/// Time from the start of a probe to its end.
 const PROBE_DURATION: Micros = 2_000;
 
-/// One process with the real decisions, and the probe that it has under way.
+/// One process with a real decision state machine and the probe that it has in flight.
 struct Process {
     state_machine: Router,
     spacing: ProbeSpacing,
     sent_at: Option<Time>,
-    /// How many probes have ended.
+    /// Number of probes that have ended.
     ended: u32,
-    /// For how long altogether probes waited for the process's turn.
+    /// Total time for which probes were delayed by the probe spacing.
     delay: Micros,
 }
 
@@ -77,14 +77,14 @@
         Process { state_machine, spacing, sent_at: None, ended: 0, delay: 0 }
     }
 
-    /// Ends the probe under way when its time has come.
+    /// Ends the probe in flight when it is due.
     fn end_probe(&mut self, now: Time, reports: bool, actions: &mut Vec<Action>) {
         if self.sent_at.is_none_or(|sent| sent.0 + PROBE_DURATION > now.0) {
             return;
         }
         self.sent_at = None;
         self.ended += 1;
-        // A member that is always a little too far behind, or one that reports nothing.
+        // Either the member reports a position that is always slightly too old, or it reports nothing.
         let position = Time(now.0 - 2000);
         let report =
             MemberReport { primary: reports.then_some(false), position: reports.then_some(position) };
@@ -93,7 +93,7 @@
         self.state_machine.handle(now, event, actions);
     }
 
-    /// A client asks for a read and leaves again.
+    /// Submits a read and disconnects its client.
     fn request(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let request = Request {
             id,
@@ -109,7 +109,7 @@
     }
 
     fn probe(&mut self, now: Time, member: MemberId) {
-        assert!(self.sent_at.is_none(), "one at a time");
+        assert!(self.sent_at.is_none(), "a probe is already in flight");
         match self.spacing.schedule(member, now) {
             ProbeTiming::Now => self.sent_at = Some(now),
             ProbeTiming::At(at) => {
@@ -124,8 +124,8 @@
     }
 }
 
-/// Reads without a pause for 20 s of simulated time at one of `process_count` processes: how often it has the member
-/// probed, and for how long altogether probes waited.
+/// Sends a read every millisecond for 20 s of simulated time to one of `process_count` processes. Returns the
+/// number of probes of that process and their total delay.
 fn probes(process_count: u32, reports: bool) -> (u32, Micros) {
     let (mut process, mut actions) = (Process::new(process_count), Vec::new());
     for n in 0..20_000 {
@@ -145,14 +145,23 @@
 fn several_processes_probe_no_more_often_than_one() {
     for reports in [true, false] {
         let (alone, delay) = probes(1, reports);
-        assert!(delay == 0 && alone >= 20, "one process is as it was: {alone}, {delay}");
+        assert!(
+            delay == 0 && alone >= 20,
+            "a single process must not be limited: {alone} probes, delay {delay} us"
+        );
         for process_count in [2, 3] {
             let (each, delay) = probes(process_count, reports);
-            // The first probe of each is its own.
+            // The first probe of each process is not limited.
             let all = process_count * each;
-            assert!(all <= alone + process_count, "{process_count} x {each}, {alone} alone");
-            assert!(process_count * (each + 2) * 5 >= alone * 4, "about its share: {each} of {alone}");
-            assert_eq!(delay == 0, reports, "a recent report is not waited for");
+            assert!(
+                all <= alone + process_count,
+                "{process_count} processes sent {each} probes each, a single one {alone}"
+            );
+            assert!(
+                process_count * (each + 2) * 5 >= alone * 4,
+                "a process sent too few probes: {each} of {alone}"
+            );
+            assert_eq!(delay == 0, reports, "a probe must not be delayed if a recent report exists");
         }
     }
 }
@@ -167,7 +176,7 @@
     assert_eq!(spacing.schedule(MEMBER, Time(100_000)), ProbeTiming::Cached(report));
     spacing.attempt_failed(MEMBER);
     assert_eq!(spacing.schedule(MEMBER, Time(150_000)), ProbeTiming::At(Time(200_000)));
-    // It failed while the probe was under way: the report may be from before.
+    // The attempt failed while a probe was in flight, so the report may be from before the failure.
     spacing.attempt_failed(MEMBER);
     spacing.probe_ended(MEMBER, report);
     assert_eq!(spacing.schedule(MEMBER, Time(210_000)), ProbeTiming::At(Time(400_000)));
--- a/routing/tests/reason_counters.rs
+++ b/routing/tests/reason_counters.rs
@@ -1,15 +1,15 @@
-//! The counters by reason as `GET /metrics` prints them: operators' dashboards and alerts read each line, so none may
-//! move.
+//! Golden tests of the counters by reason as exported at `GET /metrics`. Dashboards and alerts of operators
+//! use each line, so names and texts must not change.
 use prometheus::IntCounterVec;
 use routing::observer::Invariant;
 use routing::reasons::{CloseReason, EndReason, OUTCOMES, outcome_name};
 use routing::{Denial, Metrics};
 
-/// Written by the program before the names of its permits and its observer were revised; lines in sorted order, as the
-/// labels of a family come in no fixed order.
+/// Recorded before the identifiers of permits and the observer were renamed. The lines are sorted, because
+/// the order of the labels within a family is not fixed.
 const EXPECTED: &str = include_str!("fixtures/reason_counters.txt");
 
-/// Gives each label of a family a value of its own, from `first` on.
+/// Increments the counter of each label by a distinct value, starting at `first`.
 fn count(family: &IntCounterVec, first: u64, labels: &[&str]) {
     for (value, label) in (first..).zip(labels) {
         family.with_label_values(&[*label]).inc_by(value);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn prometheus_text_before_the_first_event_has_the_recorded_lines_at_zero() {
+fn prometheus_text_before_the_first_event_has_all_recorded_lines_at_zero() {
     let metrics = Metrics::new(&["order".into()]).unwrap();
     let text = sorted_lines(&metrics.render_prometheus().unwrap());
     let at_zero = |line: &str| match line.rsplit_once(' ') {
--- a/routing/tests/recorded_run.rs
+++ b/routing/tests/recorded_run.rs
@@ -1,12 +1,12 @@
-//! Recorded runs of the two state machines inside this package: seeded events in, what they decide out, compared line by
-//! line with what the program decided before its names and files were revised. The text uses words of its own, so that
-//! a rename does not touch the record.
+//! Golden tests of `ProbeSpacing` and `PlacementSubsets`: a seeded random sequence of events is applied, and
+//! the resulting decisions are compared line by line with a recorded fixture. The text does not use
+//! identifiers of the code, so that a rename does not change the fixture.
 use decision::{
     Class, Freshness, GroupId, Idempotency, MemberEntry, MemberId, MemberReport, MemberState, Outcome,
     Settings, Time,
 };
 use routing::placement_subsets::{
-    MemberIds, OutcomeRecorded, PlacementSubsets, ProbeStart, ReportSource, ReportedRole, Routed,
+    MemberIds, OutcomeEffects, PlacementSubsets, ProbeStart, ReportSource, ReportedRole, RoutingResult,
     SubsetChange,
 };
 use routing::probe_spacing::{ProbeSpacing, ProbeTiming};
@@ -16,7 +16,7 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// A xorshift generator: the same events on every run.
+/// A xorshift generator, which produces the same events on every run.
 struct Random(u64);
 
 impl Random {
@@ -72,7 +72,8 @@
     }
 }
 
-/// Spaced probes of three members by a random number of processes.
+/// Applies random probe events of three members with a changing number of processes, and returns the
+/// decisions as text.
 fn probe_spacing_run() -> String {
     let (mut random, mut text) = (Random(0x5eed_0001), String::new());
     let mut spacing = ProbeSpacing::new(&Settings { min_event_interval: 5_000, ..base_settings() });
@@ -116,31 +117,32 @@
 const SITES: [&str; 3] = ["a", "b", "c"];
 const TENANTS: [Option<&str>; 4] = [Some("strict"), Some("preferred"), Some("wide"), None];
 
-/// What the router actor would have around the subsets: numbers by endpoint name, and which are in use.
-struct World {
+/// Simulates the state that the router actor holds for the subsets: the member ID of each endpoint, and which
+/// member IDs are in use.
+struct SubsetSimulation {
     subsets: PlacementSubsets,
     ids: MemberIds,
-    numbers: BTreeMap<String, MemberId>,
+    endpoint_ids: BTreeMap<String, MemberId>,
     in_use: Vec<MemberId>,
     version: u64,
     now: i64,
 }
 
-impl World {
-    fn new() -> World {
+impl SubsetSimulation {
+    fn new() -> SubsetSimulation {
         let classes = [Freshness::Any, Freshness::Write, Freshness::Latest].map(class);
         let names = ["any", "write", "fresh"].map(String::from).to_vec();
-        World {
+        SubsetSimulation {
             subsets: PlacementSubsets::new(placement::Settings::new(names), &classes),
             ids: MemberIds::default(),
-            numbers: BTreeMap::new(),
+            endpoint_ids: BTreeMap::new(),
             in_use: Vec::new(),
             version: 0,
             now: 1_000_000_000,
         }
     }
 
-    fn note(&mut self, change: &SubsetChange) -> String {
+    fn describe_change(&mut self, change: &SubsetChange) -> String {
         let mut text = String::new();
         for (id, e) in &change.entries {
             write!(text, " {}:{}:{}:{}", id.0, e.group.0, state_text(e.state), e.listed_primary).unwrap();
@@ -178,7 +180,7 @@
         let endpoints: Vec<EndpointEntry> = names.into_iter().map(|n| endpoint(n, random)).collect();
         let mut members = Vec::new();
         for e in &endpoints {
-            let id = *self.numbers.entry(e.id.clone()).or_insert_with(|| self.ids.allocate());
+            let id = *self.endpoint_ids.entry(e.id.clone()).or_insert_with(|| self.ids.allocate());
             if !self.in_use.contains(&id) {
                 self.in_use.push(id);
             }
@@ -194,7 +196,7 @@
         }
         let update = EndpointUpdate { version: self.version, complete, endpoints };
         let change = self.subsets.update_endpoints(Time(self.now), &update, &members, &mut self.ids);
-        format!("list complete {complete} {}:{}", members.len(), self.note(&change))
+        format!("list complete {complete} {}:{}", members.len(), self.describe_change(&change))
     }
 
     fn update_rules(&mut self, random: &mut Random) -> String {
@@ -205,27 +207,27 @@
         {
             let sites = if random.chance(4) { vec!["c"] } else { sites };
             let sites = sites.into_iter().map(String::from).collect();
-            let places = vec![PlacementRule { sites, strict, classes: None }];
-            tenants.insert(name.to_string(), Tenant { placement_rules: places, ..Tenant::default() });
+            let tenant_rules = vec![PlacementRule { sites, strict, classes: None }];
+            tenants.insert(name.to_string(), Tenant { placement_rules: tenant_rules, ..Tenant::default() });
         }
         let fleet = Arc::new(Fleet { tenants: tenants.into_iter().collect(), ..Fleet::default() });
         let rules = placement::RulesUpdate::Received { version: self.version, fleet };
         let change =
             self.subsets.handle(Time(self.now), placement::Event::RulesUpdated(rules), &mut self.ids);
-        let first = self.note(&change);
+        let first = self.describe_change(&change);
         let confirmed = placement::RulesUpdate::Confirmed { until: Time(self.now + 5_000_000) };
         let change =
             self.subsets.handle(Time(self.now), placement::Event::RulesUpdated(confirmed), &mut self.ids);
-        format!("rules:{first};{}", self.note(&change))
+        format!("rules:{first};{}", self.describe_change(&change))
     }
 
     fn route(&mut self, random: &mut Random) -> String {
         let (tenant, class) = (random.pick(&TENANTS), random.below(4) as usize);
         let group = GroupId(random.below(2) as u32);
-        let Routed { group: to, change } =
+        let RoutingResult { group: to, change } =
             self.subsets.route(Time(self.now), tenant, class, group, &mut self.ids);
         let to = to.map_or("refused".into(), |g| g.0.to_string());
-        format!("route {tenant:?} {class} {}: {to}{}", group.0, self.note(&change))
+        format!("route {tenant:?} {class} {}: {to}{}", group.0, self.describe_change(&change))
     }
 
     fn record_outcome(&mut self, member: MemberId, random: &mut Random) -> String {
@@ -233,16 +235,21 @@
         let role = (outcome == Outcome::Ok).then(|| (random.chance(2), random.chance(2)));
         let reported =
             role.map(|(primary, with_response)| ReportedRole { primary, source: source(with_response) });
-        let OutcomeRecorded { change, to_notify } =
+        let OutcomeEffects { change, to_notify } =
             self.subsets.record_outcome(Time(self.now), member, outcome, reported, &mut self.ids);
         let ok = outcome == Outcome::Ok;
-        format!("heard {} {ok} {role:?}: [{}]{}", member.0, ids_text(&to_notify), self.note(&change))
+        format!(
+            "heard {} {ok} {role:?}: [{}]{}",
+            member.0,
+            ids_text(&to_notify),
+            self.describe_change(&change)
+        )
     }
 
     fn request_probe(&mut self, member: MemberId) -> String {
         let decided = match self.subsets.request_probe(member, Time(self.now)) {
-            ProbeStart::Now(base) => format!("begin {}", base.0),
-            ProbeStart::At(base, at) => format!("{} in {}", base.0, at.0 - self.now),
+            ProbeStart::Now(canonical_id) => format!("begin {}", canonical_id.0),
+            ProbeStart::At(canonical_id, at) => format!("{} in {}", canonical_id.0, at.0 - self.now),
             ProbeStart::AlreadyPending => "under way".into(),
         };
         let unknown = self.subsets.group_without_primary(member);
@@ -252,21 +259,21 @@
     }
 
     fn probe_ended(&mut self, member: MemberId, random: &mut Random) -> String {
-        let base = self.subsets.canonical_id(member);
+        let canonical_id = self.subsets.canonical_id(member);
         let outcome = random.pick(&[Outcome::Ok, Outcome::Ok, Outcome::ConnectFailed, Outcome::TimedOut]);
         let primary = (outcome == Outcome::Ok && random.chance(2)).then(|| random.chance(2));
         let report = MemberReport { primary, position: None };
-        let to_notify = self.subsets.probe_ended(base, Time(self.now), outcome, report);
-        format!("probed {}: [{}]", base.0, ids_text(&to_notify))
+        let to_notify = self.subsets.probe_ended(canonical_id, Time(self.now), outcome, report);
+        format!("probed {}: [{}]", canonical_id.0, ids_text(&to_notify))
     }
 
     fn remove(&mut self, member: MemberId) -> String {
         self.in_use.retain(|id| *id != member);
-        let gone = self.subsets.remove_member(member);
-        if let Some(base) = gone {
-            self.numbers.retain(|_, id| *id != base);
+        let removed_endpoint = self.subsets.remove_member(member);
+        if let Some(canonical_id) = removed_endpoint {
+            self.endpoint_ids.retain(|_, id| *id != canonical_id);
         }
-        format!("forget {}: {:?}", member.0, gone.map(|id| id.0))
+        format!("forget {}: {:?}", member.0, removed_endpoint.map(|id| id.0))
     }
 
     fn step(&mut self, random: &mut Random) -> String {
@@ -292,29 +299,31 @@
                 format!(
                     "timer {due} unhealthy {}:{}",
                     self.subsets.unhealthy_endpoints(7),
-                    self.note(&change)
+                    self.describe_change(&change)
                 )
             }
         }
     }
 }
 
-/// Subsets of two groups of three endpoints each, under lists, rules, requests, probes and removals at random.
+/// Applies random list updates, rules, requests, probes and removals to two groups of three endpoints each,
+/// and returns the decisions as text.
 fn subsets_run() -> String {
-    let (mut random, mut text, mut world) = (Random(0x5eed_0002), String::new(), World::new());
+    let (mut random, mut text, mut simulation) =
+        (Random(0x5eed_0002), String::new(), SubsetSimulation::new());
     for _ in 0..500 {
-        let line = world.step(&mut random);
+        let line = simulation.step(&mut random);
         writeln!(text, "{line}").unwrap();
     }
     text
 }
 
 #[test]
-fn probe_spacing_decides_as_recorded() {
+fn probe_spacing_matches_recorded_run() {
     assert_eq!(probe_spacing_run(), include_str!("fixtures/probe_spacing.txt"));
 }
 
 #[test]
-fn placement_subsets_decide_as_recorded() {
+fn placement_subsets_match_recorded_run() {
     assert_eq!(subsets_run(), include_str!("fixtures/placement_subsets.txt"));
 }
--- a/routing/tests/wall_clock.rs
+++ b/routing/tests/wall_clock.rs
@@ -1,11 +1,11 @@
-//! What stated times mean after the wall clock was stepped.
+//! Tests of the conversion of reported times after the wall clock was stepped.
 use decision::Time;
 use routing::wall_clock::{ClockOffsets, ReportingClock};
 
 const SECOND: i64 = 1_000_000;
 const HOUR: i64 = 3600 * SECOND;
 
-/// Offsets after a step at 100 s, and the router's time some seconds later.
+/// Returns offsets after a step at 100 s of router time. The last observation is at 101 s.
 fn stepped(step: i64) -> ClockOffsets {
     let mut offsets = ClockOffsets::default();
     assert_eq!(offsets.observe(Time(99 * SECOND), Time(99 * SECOND)), None);
@@ -13,7 +13,7 @@
     assert_eq!(
         offsets.observe(Time(101 * SECOND), Time(101 * SECOND + step)),
         None,
-        "a step is noticed once"
+        "the same step was detected twice"
     );
     offsets
 }
@@ -25,16 +25,16 @@
     assert_eq!(offsets.start(now, reported), reported);
     assert_eq!(offsets.commit(now, reported), reported);
     assert_eq!(offsets.position(now, reported, ReportingClock::UnknownClock), Some(reported));
-    assert_eq!(offsets.start(now, Time(5 * HOUR)), now, "nothing starts in the future");
+    assert_eq!(offsets.start(now, Time(5 * HOUR)), now, "the start is after the present");
     assert_eq!(
         offsets.position(now, Time(102 * SECOND), ReportingClock::UnknownClock),
         None,
-        "nobody is ahead of the present"
+        "the position is ahead of the present"
     );
 }
 
 #[test]
-fn small_differences_are_no_steps() {
+fn differences_below_minimum_step_are_ignored() {
     let mut offsets = ClockOffsets::default();
     assert_eq!(offsets.observe(Time(SECOND), Time(SECOND + 19_999)), None);
     assert_eq!(offsets.observe(Time(SECOND), Time(SECOND - 19_999)), None);
@@ -45,9 +45,9 @@
     let now = Time(103 * SECOND);
     for step in [-HOUR, -5 * SECOND, 5 * SECOND, HOUR] {
         let offsets = stepped(step);
-        // Started at 102 s, as the clock shows since the step.
+        // Started at 102 s, after the step, and reported by the stepped clock.
         assert_eq!(offsets.start(now, Time(102 * SECOND + step)), Time(102 * SECOND), "{step}");
-        // Started at 98 s, before the step: never taken for earlier.
+        // Started at 98 s, before the step. The conversion must not be earlier than that.
         let start = offsets.start(now, Time(98 * SECOND));
         assert!((Time(98 * SECOND)..=now).contains(&start), "{step}: {start:?}");
     }
@@ -63,7 +63,8 @@
             assert!(commit >= Time(made_at) && commit <= Time(now.0 + SECOND), "{step}: {commit:?}");
         }
     }
-    // What lies ahead of every clock can still be reckoned with.
+    // A commit that is ahead of the present under every offset is clamped, so that later calculations do not
+    // overflow.
     assert!(ClockOffsets::default().commit(now, Time(i64::MAX)) <= Time(now.0 + 24 * HOUR));
 }
 
@@ -72,10 +73,10 @@
     for step in [-HOUR, -5 * SECOND, 5 * SECOND, HOUR] {
         let offsets = stepped(step);
         for now in [Time(103 * SECOND), Time(108 * SECOND)] {
-            // A replica that stands at 95 s, which it read off the clock before the step.
+            // A replica at position 95 s, which was read from the clock before the step.
             let before = offsets.position(now, Time(95 * SECOND), ReportingClock::UnknownClock);
             assert!(before.is_none_or(|position| position <= Time(95 * SECOND)), "{step}: {before:?}");
-            // One that stands at 102 s, and has shown that it goes by the clock as it is.
+            // A replica at position 102 s that is known to use the current clock.
             assert_eq!(
                 offsets.position(now, Time(102 * SECOND + step), ReportingClock::CurrentClock),
                 Some(Time(102 * SECOND)),
@@ -108,6 +109,6 @@
         Some(Time(120 * SECOND))
     );
     assert_eq!(offsets.start(now, Time(120 * SECOND)), Time(120 * SECOND));
-    // Started between the steps.
+    // Started between the two steps.
     assert_eq!(offsets.start(now, Time(105 * SECOND + HOUR)), Time(105 * SECOND));
 }
