--- a/routing/src/reasons.rs
+++ b/routing/src/reasons.rs
@@ -40,7 +40,7 @@
     /// No attempt was made, because no endpoint had capacity or the deadline had expired.
     NotForwarded,
     /// The last attempt ended with this outcome.
-    After(Outcome),
+    AttemptOutcome(Outcome),
     /// The client cancelled the request.
     ClientCancelled,
     /// The client disconnected.
@@ -54,7 +54,7 @@
             EndReason::GroupUnavailable => "group_unavailable",
             EndReason::PlacementDenied => "placement_denied",
             EndReason::NotForwarded => "not_forwarded",
-            EndReason::After(outcome) => outcome_name(outcome),
+            EndReason::AttemptOutcome(outcome) => outcome_name(outcome),
             EndReason::ClientCancelled => "client_cancelled",
             EndReason::ClientDisconnected => "client_left",
         }
--- a/routing/src/router/attempts.rs
+++ b/routing/src/router/attempts.rs
@@ -190,7 +190,7 @@
         self.record_attempt_ended(attempt, member, &times, outcome);
         if let Some(response) = response {
             let response = FinalResponse::Served(response, commit);
-            self.send_response(request, response, EndReason::After(outcome));
+            self.send_response(request, response, EndReason::AttemptOutcome(outcome));
         }
         let request_ended = self.requests.get(&request).is_none_or(|record| !record.awaits_response());
         if self.subsets.is_some() {
--- a/routing/src/router/requests.rs
+++ b/routing/src/router/requests.rs
@@ -124,7 +124,7 @@
     /// Returns the reason for ending a request that was not served.
     pub(super) fn end_reason(&self, id: RequestId) -> EndReason {
         let last_outcome = self.requests.get(&id).and_then(|record| record.last_outcome);
-        last_outcome.map_or(EndReason::NotForwarded, EndReason::After)
+        last_outcome.map_or(EndReason::NotForwarded, EndReason::AttemptOutcome)
     }
 
     /// Sends the final response of a request unless it already has one, and removes the request if it is
--- a/routing/tests/endpoints.rs
+++ b/routing/tests/endpoints.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn moved_and_reappearing_endpoints_reach_the_router() {
+fn changed_addresses_and_relisted_endpoints_are_forwarded_to_router() {
     let fixture = Fixture::start();
     fixture.notify(UpdateOrder::Consecutive, update(1, true, &[("a", READY)]));
     for (version, state, port) in [(2, READY, 2), (3, MemberState::Removed, 2), (4, READY, 3)] {
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn updates_wait_in_order_for_a_busy_router() {
+fn updates_are_forwarded_in_order_when_router_mailbox_is_full() {
     let (sender, router) = bounded::<RouterMessage<NoProtocol>>(1);
     let endpoints = start_endpoints(&limits(TIMEOUT), sender, None);
     let notifier = endpoints.clone();
--- a/routing/tests/reason_counters.rs
+++ b/routing/tests/reason_counters.rs
@@ -27,7 +27,7 @@
     let metrics = Metrics::new(&["order".into()]).unwrap();
     let reasons = &metrics.reasons;
     let without_attempt = [EndReason::GroupUnavailable, EndReason::PlacementDenied, EndReason::NotForwarded];
-    let after_attempt = OUTCOMES.map(EndReason::After);
+    let after_attempt = OUTCOMES.map(EndReason::AttemptOutcome);
     let ends: Vec<&str> = without_attempt.iter().chain(&after_attempt).map(|reason| reason.name()).collect();
     count(&reasons.rejected, 101, &ends);
     count(&reasons.failed, 201, &ends);
--- a/routing/tests/wall_clock.rs
+++ b/routing/tests/wall_clock.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn stated_times_are_unchanged_without_a_step() {
+fn reported_times_are_unchanged_without_a_step() {
     let offsets = ClockOffsets::default();
     let (now, reported) = (Time(100 * SECOND), Time(90 * SECOND));
     assert_eq!(offsets.start(now, reported), reported);
