--- a/routing/src/router/placement_routing.rs
+++ b/routing/src/router/placement_routing.rs
@@ -1,11 +1,12 @@
-//! Routing of requests by their tenants' placement rules: a request goes to the subset of its tenant, and waiting requests
-//! are routed again when subsets change. Without placement settings nothing here has any effect.
+//! Routes requests by their tenants' placement rules. A request is sent to the subset of its tenant, and
+//! waiting requests are routed again when subsets change. Without placement settings this module has no
+//! effect.
 use super::actor::{RouterActor, Timer};
-use super::placed_request::{PlacedRequest, Stopped};
+use super::placed_request::{PlacedRequest, StopReason};
 use super::request_record::RequestRecord;
 use crate::final_response::FinalResponse;
 use crate::permit::Denial;
-use crate::placement_subsets::{OutcomeRecorded, ReportSource, Routed, StatedRole, SubsetChange};
+use crate::placement_subsets::{OutcomeEffects, ReportSource, ReportedRole, RoutingResult, SubsetChange};
 use crate::protocol::BackendProtocol;
 use crate::reasons::EndReason;
 use decision::{Event, GroupId, MemberId, MemberReport, Outcome, Request, RequestId};
@@ -14,11 +15,11 @@
 use std::sync::Arc;
 
 impl<P: BackendProtocol> RouterActor<P> {
-    /// Routes a request that has arrived; `None` without placement rules.
+    /// Routes a newly submitted request. Returns `None` if placement is disabled.
     ///
     /// # Errors
-    /// Its tenant's placement rules allow no endpoint that could serve it.
-    pub(super) fn place(
+    /// Returns the placement error if the tenant's rules allow no endpoint that could serve the request.
+    pub(super) fn apply_placement_rules(
         &mut self,
         tenant: Option<Arc<str>>,
         request: &Request,
@@ -28,7 +29,7 @@
         }
         let routed_to = self.route(tenant.as_deref(), request.class, request.group)?;
         let request = request.clone();
-        let placed = PlacedRequest { tenant, request, routed_to, may_have_run: false, stopped: None };
+        let placed = PlacedRequest { tenant, request, routed_to, may_have_run: false, stop_reason: None };
         Ok(Some(Box::new(placed)))
     }
 
@@ -40,7 +41,8 @@
     ) -> Result<GroupId, PlacementError> {
         let now = self.clock.now();
         let Some(subsets) = &mut self.subsets else { return Ok(group) };
-        let Routed { group: routed, change } = subsets.route(now, tenant, class, group, &mut self.member_ids);
+        let RoutingResult { group: routed, change } =
+            subsets.route(now, tenant, class, group, &mut self.member_ids);
         self.apply_subset_change(change);
         if let Err(PlacementError::PrimaryOutside { group, .. }) = &routed {
             self.probe_for_primary(*group);
@@ -48,15 +50,16 @@
         routed
     }
 
-    /// Notifies the decisions of a change, and forbids the start of attempts at members that have left their subset.
+    /// Notifies the decision state machine of a subset change, and prevents unstarted attempts from starting
+    /// at members that have left their subset.
     pub(super) fn apply_subset_change(&mut self, change: SubsetChange) {
-        let SubsetChange { entries, departed, reroute, timer } = change;
+        let SubsetChange { entries, removed_aliases, reroute, timer } = change;
         if let Some(at) = timer {
             self.timers.push(Reverse((at, Timer::Placement)));
         }
-        self.cancel_unstarted_at(&departed);
+        self.cancel_unstarted_at(&removed_aliases);
         if !entries.is_empty() {
-            self.decide(Event::MemberListChanged {
+            self.handle_decision_event(Event::MemberListChanged {
                 complete: false,
                 entries: entries.into_values().collect(),
             });
@@ -66,20 +69,20 @@
         }
     }
 
-    /// Forbids the start of attempts at these members.
-    pub(super) fn cancel_unstarted_at(&self, departed: &[MemberId]) {
-        if departed.is_empty() {
+    /// Prevents unstarted attempts at these members from starting.
+    pub(super) fn cancel_unstarted_at(&self, removed_aliases: &[MemberId]) {
+        if removed_aliases.is_empty() {
             return;
         }
         let in_flight = self.requests.values().flat_map(|record| &record.in_flight);
-        for attempt in in_flight.filter(|attempt| departed.contains(&attempt.member)) {
+        for attempt in in_flight.filter(|attempt| removed_aliases.contains(&attempt.member)) {
             attempt.guard.cancel_if_unstarted(Denial::PlacementChanged);
         }
     }
 
-    /// The own member id of a member's endpoint.
-    pub(super) fn own_id(&self, member: MemberId) -> MemberId {
-        self.subsets.as_ref().map_or(member, |subsets| subsets.own_id(member))
+    /// Returns the canonical member ID of a member's endpoint.
+    pub(super) fn canonical_id(&self, member: MemberId) -> MemberId {
+        self.subsets.as_ref().map_or(member, |subsets| subsets.canonical_id(member))
     }
 
     pub(super) fn handle_placement(&mut self, event: placement::Event) {
@@ -89,7 +92,7 @@
         self.apply_subset_change(change);
     }
 
-    /// Records the role that a member has stated, and whether the member was reachable.
+    /// Records the role that a member has reported and whether the member was reachable.
     pub(super) fn record_placement_outcome(
         &mut self,
         member: MemberId,
@@ -99,34 +102,34 @@
     ) {
         let now = self.clock.now();
         let Some(subsets) = &mut self.subsets else { return };
-        let stated = report.primary.map(|primary| StatedRole { primary, source });
-        let OutcomeRecorded { change, to_notify } =
-            subsets.record_outcome(now, member, outcome, stated, &mut self.member_ids);
+        let reported = report.primary.map(|primary| ReportedRole { primary, source });
+        let OutcomeEffects { change, to_notify } =
+            subsets.record_outcome(now, member, outcome, reported, &mut self.member_ids);
         self.apply_subset_change(change);
         if source == ReportSource::Probe {
-            // `probe_ended` notifies all members itself.
+            // For a probe, `probe_ended` notifies all members.
             return;
         }
         for member in to_notify {
-            self.decide(Event::ProbeEnded { member, outcome, report: *report });
+            self.handle_decision_event(Event::ProbeEnded { member, outcome, report: *report });
         }
     }
 
-    /// Routes all requests again that await their response.
+    /// Routes all requests again that are waiting for a response.
     fn reroute_all(&mut self) {
-        let waits = |record: &RequestRecord<P>| record.awaits_response() && record.placed.is_some();
+        let is_waiting = |record: &RequestRecord<P>| record.awaits_response() && record.placed.is_some();
         let mut waiting: Vec<RequestId> =
-            self.requests.iter().filter(|(_, record)| waits(record)).map(|(id, _)| *id).collect();
+            self.requests.iter().filter(|(_, record)| is_waiting(record)).map(|(id, _)| *id).collect();
         waiting.sort_unstable();
         waiting.into_iter().for_each(|id| self.reroute(id));
     }
 
-    /// Routes a request again that awaits its response.
+    /// Routes a request again if it is waiting for a response.
     fn reroute(&mut self, id: RequestId) {
         let Some(record) = self.requests.get(&id).filter(|record| record.awaits_response()) else { return };
         let Some(placed) = &record.placed else { return };
-        if placed.stopped.is_some() {
-            return self.respond_to_stopped(id);
+        if placed.stop_reason.is_some() {
+            return self.end_stopped_request(id);
         }
         let (tenant, before) = (placed.tenant.clone(), placed.routed_to);
         let (class, group) = (placed.request.class, placed.request.group);
@@ -134,7 +137,7 @@
         if routed == Ok(before) {
             return;
         }
-        // `route` may have re-entered this function for the same request and ended it.
+        // `route` may have re-entered this function for the same request and sent its response.
         let Some(record) = self.requests.get_mut(&id).filter(|record| record.awaits_response()) else {
             return;
         };
@@ -143,22 +146,23 @@
         if !has_attempts {
             return self.submit_rerouted(id, routed);
         }
-        // Its attempts are numbered, so it can't be submitted again; those in flight end by themselves.
-        if placed.stopped.is_none() {
-            placed.stopped = Some(routed.map_or_else(Stopped::Denied, |_| Stopped::Rerouted));
-            self.decide(Event::ResponseStarted { request: id });
+        // A request with attempts cannot be resubmitted, because its attempts are already numbered. Attempts
+        // in flight are left to complete.
+        if placed.stop_reason.is_none() {
+            placed.stop_reason = Some(routed.map_or_else(StopReason::Denied, |_| StopReason::Rerouted));
+            self.handle_decision_event(Event::ResponseStarted { request: id });
             self.cancel_unstarted_attempts(id, Denial::PlacementChanged);
-            self.respond_to_stopped(id);
+            self.end_stopped_request(id);
         }
     }
 
-    /// Submits a request without attempts to the decisions again, in the group that it is routed to now.
+    /// Resubmits a request that has no attempts to the decision state machine, with the new group.
     fn submit_rerouted(&mut self, id: RequestId, routed: Result<GroupId, PlacementError>) {
         let routed_to = match routed {
             Ok(routed_to) => routed_to,
-            Err(refusal) => {
-                self.decide(Event::ClientDisconnected { request: id });
-                return self.respond(id, FinalResponse::PlacementDenied(refusal), EndReason::PlacementDenied);
+            Err(error) => {
+                self.handle_decision_event(Event::ClientDisconnected { request: id });
+                return self.respond(id, FinalResponse::PlacementDenied(error), EndReason::PlacementDenied);
             }
         };
         let Some(placed) = self.requests.get_mut(&id).and_then(|record| record.placed.as_mut()) else {
@@ -166,26 +170,27 @@
         };
         placed.routed_to = routed_to;
         let request = Request { group: routed_to, ..placed.request.clone() };
-        self.decide(Event::ClientDisconnected { request: id });
-        self.decide(Event::RequestArrived(request));
+        self.handle_decision_event(Event::ClientDisconnected { request: id });
+        self.handle_decision_event(Event::RequestArrived(request));
     }
 
-    /// Sends the final response of a request whose route has changed after its first attempt, once none is in flight.
-    fn respond_to_stopped(&mut self, id: RequestId) {
+    /// Sends the final response of a request whose route has changed after its first attempt, once no attempt
+    /// is in flight.
+    fn end_stopped_request(&mut self, id: RequestId) {
         let Some(record) = self.requests.get(&id).filter(|record| record.in_flight.is_empty()) else {
             return;
         };
         let Some(placed) = &record.placed else { return };
-        let Some(stopped) = placed.stopped.clone() else { return };
-        let response = match stopped {
+        let Some(stop_reason) = placed.stop_reason.clone() else { return };
+        let response = match stop_reason {
             _ if placed.may_have_run => FinalResponse::Failed(record.last_outcome),
-            Stopped::Denied(refusal) => FinalResponse::PlacementDenied(refusal),
-            Stopped::Rerouted => FinalResponse::Rejected(None),
+            StopReason::Denied(error) => FinalResponse::PlacementDenied(error),
+            StopReason::Rerouted => FinalResponse::Rejected(None),
         };
         self.respond(id, response, EndReason::PlacementDenied);
     }
 
-    /// Routes a request again whose last attempt in flight has ended.
+    /// Routes a request again after its last attempt in flight has ended.
     pub(super) fn reroute_after_attempt(&mut self, id: RequestId) {
         let idle = |record: &RequestRecord<P>| record.in_flight.is_empty();
         if self.subsets.is_some() && self.requests.get(&id).is_some_and(idle) {
