--- a/releases/examples/fleet/main.rs
+++ b/releases/examples/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Plays releases through 300 routers in 3 zones, beside 120 instances whose operators drain them, and prints the figures:
-//! `cargo run --release -p releases --example fleet [SEEDS [GROUP]]`.
+//! Simulates releases to 300 routers in 3 zones, together with 120 instances that operators drain, and prints
+//! the results: `cargo run --release -p releases --example fleet [SEEDS [GROUP]]`.
 mod report;
 mod sim;
 
@@ -11,7 +11,7 @@
 const THREADS: usize = 3;
 const DEFAULT_SEEDS: u64 = 100;
 
-/// What happens to the releases of a group.
+/// A group of simulations with the same kind of target version and operator action.
 #[derive(Clone, Copy)]
 enum Group {
     GoodVersion,
@@ -24,7 +24,7 @@
     const ALL: [Group; 4] =
         [Group::GoodVersion, Group::BadEverywhere, Group::BadInOneZone, Group::OperatorRollback];
 
-    /// As given on the command line.
+    /// The name of the group on the command line.
     fn name(self) -> &'static str {
         match self {
             Group::GoodVersion => "good version",
@@ -65,21 +65,21 @@
             incidents: Incidents {
                 leader_loss: 0.005,
                 disconnection: 0.002,
-                router_death: 0.002,
+                router_failure: 0.002,
                 drain: 0.2,
                 budget_change: 0.0,
             },
             driver_kill: 0.001,
             roll_back_at: rolls_back.then_some((seed as i64 * 53 % 1000 + 30) * SECOND),
             until: 7200 * SECOND,
-            ..Scenario::calm(seed)
+            ..Scenario::without_faults(seed)
         }
     }
 
     /// Runs all seeds of the group.
     fn run(self, seeds: u64) -> Vec<Simulation> {
         let next_seed = AtomicU64::new(0);
-        let work = || {
+        let run_seeds = || {
             let mut simulations = Vec::new();
             loop {
                 let seed = next_seed.fetch_add(1, Ordering::Relaxed);
@@ -90,18 +90,22 @@
             }
         };
         std::thread::scope(|scope| {
-            let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(work)).collect();
-            threads.into_iter().flat_map(|thread| thread.join().expect("a run that ends")).collect()
+            let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(run_seeds)).collect();
+            threads
+                .into_iter()
+                .flat_map(|thread| thread.join().expect("a simulation thread panicked"))
+                .collect()
         })
     }
 }
 
 fn main() {
     let mut arguments = std::env::args().skip(1);
-    let seeds = arguments.next().map_or(DEFAULT_SEEDS, |seeds| seeds.parse().expect("a number of seeds"));
-    let only = arguments.next();
+    let seeds =
+        arguments.next().map_or(DEFAULT_SEEDS, |seeds| seeds.parse().expect("SEEDS must be an integer"));
+    let selected = arguments.next();
     for group in Group::ALL {
-        if only.as_deref().is_none_or(|only| only == group.name()) {
+        if selected.as_deref().is_none_or(|selected| selected == group.name()) {
             report::print(group.name(), &group.run(seeds));
         }
     }
--- a/releases/examples/fleet/report.rs
+++ b/releases/examples/fleet/report.rs
@@ -1,8 +1,8 @@
-//! Prints the figures of a group of simulations.
+//! Prints the results of a group of simulations.
 use crate::sim::{FirstFailure, Halt, SECOND, Simulation, target_version};
 use releases::{Phase, RouterStep};
 
-/// Violations that are printed for a group.
+/// The largest number of violations that are printed for a group.
 const MAX_PRINTED_VIOLATIONS: usize = 3;
 
 pub(crate) fn print(name: &str, simulations: &[Simulation]) {
@@ -12,7 +12,7 @@
     print_reservations(simulations);
     print_halts(simulations);
     print_rollbacks(simulations);
-    print_left_aside(simulations);
+    print_not_updated(simulations);
 }
 
 fn count(simulations: &[Simulation], is_counted: impl Fn(&Simulation) -> bool) -> usize {
@@ -27,7 +27,7 @@
     simulations.iter().map(figure).max().unwrap_or(0)
 }
 
-/// Median and highest of the values.
+/// The median and the maximum of the values.
 fn median_and_max(values: impl Iterator<Item = i64>) -> String {
     let mut values: Vec<i64> = values.collect();
     values.sort_unstable();
@@ -47,7 +47,7 @@
 
 fn print_ends(simulations: &[Simulation]) {
     println!(
-        "ended: completed {}, rolled back {}, not {}",
+        "releases: completed {}, rolled back {}, not ended {}",
         count(simulations, |s| s.snapshot.phase == Phase::Completed),
         count(simulations, |s| s.snapshot.phase == Phase::RolledBack),
         count(simulations, |s| s.outcome.ended_at.is_none())
@@ -56,12 +56,12 @@
 
 fn print_reservations(simulations: &[Simulation]) {
     println!(
-        "most out at once: routers {}, instances {}",
+        "maximum out of service at the same time: routers {}, instances {}",
         max(simulations, |s| s.outcome.max_routers_out),
         max(simulations, |s| s.outcome.max_instances_out)
     );
     let bytes = |s: &Simulation| serde_json::to_string(&s.snapshot).map_or(0, |text| text.len());
-    println!("bytes of a release's snapshot as JSON: {}", max(simulations, bytes));
+    println!("maximum size of a release's snapshot as JSON, bytes: {}", max(simulations, bytes));
     println!(
         "reservations granted {}, denied {}, expired {}; drivers killed {}, leaders lost {}",
         sum(simulations, |s| s.outcome.grants),
@@ -94,22 +94,22 @@
         .iter()
         .filter_map(|s| Some((s.outcome.first_failure?, halt_for_worse_stats(s)?)))
         .collect();
-    println!("failures by the version in {failing} runs, halted in {}", halted.len());
+    println!("runs with requests failed by the version: {failing}, halted: {}", halted.len());
     let waves = halted.iter().map(|(first, halt)| i64::from(halt.wave) - i64::from(first.wave));
     println!("waves from first failure to halt, median / max: {}", median_and_max(waves));
     let seconds = halted.iter().map(|(first, halt)| (halt.at - first.at) / SECOND);
-    println!("seconds from first failure to halt: {}", median_and_max(seconds));
+    println!("seconds from first failure to halt, median / max: {}", median_and_max(seconds));
     let failed = simulations.iter().map(|s| s.outcome.failed_requests as i64);
-    println!("requests failed by the version: {}", median_and_max(failed));
+    println!("requests failed by the version, median / max: {}", median_and_max(failed));
 }
 
 fn print_rollbacks(simulations: &[Simulation]) {
     let seconds =
         simulations.iter().filter_map(|s| Some((s.outcome.ended_at? - s.outcome.rollback_at?) / SECOND));
-    println!("seconds from rollback to its end: {}", median_and_max(seconds));
+    println!("duration of rollbacks in seconds, median / max: {}", median_and_max(seconds));
     let rolled_back = |s: &&Simulation| s.snapshot.phase == Phase::RolledBack;
     println!(
-        "live routers at the target version at the end: {}; in runs rolled back: {}",
+        "routers that run the target version at the end: {}; in runs rolled back: {}",
         sum(simulations, |s| s.outcome.at_target as u64),
         simulations.iter().filter(rolled_back).map(|s| s.outcome.at_target).sum::<usize>()
     );
@@ -118,25 +118,26 @@
 
 fn print_not_rolled_back(simulation: &Simulation) {
     let at_target =
-        simulation.nodes.iter().filter(|(_, node)| node.version == target_version() && !node.is_dead);
+        simulation.nodes.iter().filter(|(_, node)| node.version == target_version() && !node.has_failed);
     for (name, node) in at_target {
         let step = simulation.snapshot.routers[name].step;
         let seconds = (node.disconnected_until - simulation.now) / SECOND;
         let seed = simulation.scenario.seed;
         println!(
-            "  seed {seed}: {name} is {step:?} at the target version; disconnected for {seconds} s more"
+            "  seed {seed}: {name} is still at the target version ({step:?}); disconnected for {seconds} s more"
         );
     }
 }
 
-fn print_left_aside(simulations: &[Simulation]) {
+fn print_not_updated(simulations: &[Simulation]) {
     let at_step = |step| {
         let routers = simulations.iter().flat_map(|s| s.snapshot.routers.values());
         routers.filter(|state| state.step == step).count()
     };
-    let dead = simulations.iter().flat_map(|s| s.nodes.values()).filter(|node| node.is_dead).count();
+    let failed_routers =
+        simulations.iter().flat_map(|s| s.nodes.values()).filter(|node| node.has_failed).count();
     println!(
-        "left aside: {} lost, {} not rolled back; dead {dead}\n",
+        "routers not updated: {} lost, {} not rolled back; failed {failed_routers}\n",
         at_step(RouterStep::Lost),
         at_step(RouterStep::RollbackFailed)
     );
--- a/releases/examples/fleet/sim/faults.rs
+++ b/releases/examples/fleet/sim/faults.rs
@@ -1,9 +1,9 @@
-//! Faults and operators' actions that come by chance.
+//! Random faults and operators' actions.
 use super::{Message, SECOND, Simulation, limits};
 use rand::RngExt;
 use releases::{DisruptionBudget, GrantId, LedgerEvent, Limit, RequestId, Target};
 
-/// Owner of the operators' reservations.
+/// The owner of the operators' reservations.
 const OPERATOR: &str = "operator";
 
 impl Simulation {
@@ -15,12 +15,12 @@
         if self.ledger.is_some() && self.happens(self.scenario.incidents.leader_loss) {
             self.lose_leader();
         }
-        self.disturb_router();
+        self.inject_router_fault();
         self.maybe_drain();
         self.maybe_change_budget();
     }
 
-    fn disturb_router(&mut self) {
+    fn inject_router_fault(&mut self) {
         let names: Vec<String> = self.nodes.keys().cloned().collect();
         let name = &names[self.rng.random_range(0..names.len())];
         let duration = self.rng.random_range(SECOND..90 * SECOND);
@@ -28,14 +28,14 @@
         if self.happens(self.scenario.incidents.disconnection) {
             self.nodes.get_mut(name).unwrap().disconnected_until = now + duration;
         }
-        if self.happens(self.scenario.incidents.router_death) {
-            self.nodes.get_mut(name).unwrap().is_dead = true;
+        if self.happens(self.scenario.incidents.router_failure) {
+            self.nodes.get_mut(name).unwrap().has_failed = true;
         }
     }
 
     fn maybe_drain(&mut self) {
         if self.happens(self.scenario.incidents.drain) {
-            // A router that the release has taken out is denied.
+            // The request is denied if the release has taken the router out of service.
             let targets: Vec<Target> = self.members.keys().cloned().collect();
             let target = targets[self.rng.random_range(0..targets.len())].clone();
             if !self.drains.contains_key(&target) {
@@ -50,7 +50,7 @@
         self.send(Message::ToLedger(LedgerEvent::Acquire { owner, target, request }));
     }
 
-    /// An operator may drain a member, if there is time before the reservation expires.
+    /// Starts an operator's drain, if there is enough time before the reservation expires.
     pub(super) fn drain_granted(&mut self, target: Target, grant: GrantId) {
         let requested_at = self.drains_requested.remove(&target);
         let until = self.now + 5 * SECOND;
--- a/releases/examples/fleet/sim/machines.rs
+++ b/releases/examples/fleet/sim/machines.rs
@@ -1,4 +1,4 @@
-//! The owners of the two state machines: they hand events in, and commit and carry out the actions.
+//! The owners of the two state machines: they pass events in, and commit and carry out the actions.
 use super::{Halt, InjectedFault, Message, RELEASE, SECOND, Simulation, target, target_version};
 use decision::Time;
 use rand::RngExt;
@@ -9,12 +9,13 @@
 use std::collections::BTreeSet;
 
 impl Simulation {
-    /// The ledger's owner: nothing happens while the store has no leader.
+    /// Handles an event at the ledger's owner. Does nothing while the store has no leader.
     pub(crate) fn handle_ledger_event(&mut self, event: LedgerEvent) {
         let Some(mut ledger) = self.ledger.take() else { return };
-        let is_fast = self.scenario.injected_fault == InjectedFault::LeaseShortened;
-        let clock = Time(self.now * if is_fast { 10 } else { 1 });
-        let reserved: BTreeSet<Target> = ledger.reservations().map(|found| found.target.clone()).collect();
+        let has_fast_clock = self.scenario.injected_fault == InjectedFault::LeaseShortened;
+        let clock = Time(self.now * if has_fast_clock { 10 } else { 1 });
+        let reserved: BTreeSet<Target> =
+            ledger.reservations().map(|reservation| reservation.target.clone()).collect();
         if let LedgerEvent::Renew { target, .. } = &event {
             self.leases.insert(target.clone(), self.now);
         }
@@ -24,7 +25,7 @@
             self.carry_out_ledger_action(&ledger, &reserved, action);
         }
         if self.checks_snapshots() && self.ledger_snapshot != ledger.snapshot() {
-            self.add_violation("the ledger's state is not what is committed");
+            self.add_violation("the ledger's state differs from the committed state");
         }
         self.ledger = Some(ledger);
     }
@@ -64,12 +65,12 @@
         self.handle_ledger_event(LedgerEvent::BudgetChanged(budget));
     }
 
-    /// The release's driver: nothing happens while it is dead.
+    /// Handles an event at the release's driver. Does nothing while the driver is not running.
     pub(crate) fn handle_driver_event(&mut self, event: Event) {
         let Some(mut driver) = self.driver.take() else { return };
         let mut actions = Vec::new();
         driver.handle(Time(self.now), event, &mut actions);
-        // It may be killed between any two actions.
+        // The driver may be killed between any two actions.
         let is_killed = !actions.is_empty() && self.happens(self.scenario.driver_kill);
         if is_killed {
             let carried_out = self.rng.random_range(0..=actions.len());
@@ -81,7 +82,7 @@
             return;
         }
         if self.checks_snapshots() && self.snapshot != *driver.snapshot() {
-            self.add_violation("the release's state is not what is committed");
+            self.add_violation("the release's state differs from the committed state");
         }
         self.driver = Some(driver);
     }
@@ -116,8 +117,8 @@
     fn acquire(&mut self, driver: &Release, router: &str, request: RequestId) {
         let target = target(TargetKind::Router, router);
         let owner = RELEASE.into();
-        let grants_itself = self.scenario.injected_fault == InjectedFault::RollbackOutsideBudget;
-        if grants_itself && *driver.phase() == Phase::RollingBack {
+        let bypasses_ledger = self.scenario.injected_fault == InjectedFault::RollbackOutsideBudget;
+        if bypasses_ledger && *driver.phase() == Phase::RollingBack {
             let grant = releases::GrantId(0);
             self.send(Message::Granted { owner, target, request, grant });
         } else {
@@ -128,7 +129,7 @@
     pub(crate) fn kill_driver(&mut self) {
         self.outcome.driver_kills += 1;
         self.driver = None;
-        // Sometimes for longer than a lease.
+        // The driver may be down for longer than a lease.
         self.driver_back_at = self.now + self.rng.random_range(SECOND..80 * SECOND);
     }
 
@@ -138,7 +139,7 @@
         self.ledger_back_at = self.now + self.rng.random_range(SECOND / 2..4 * SECOND);
     }
 
-    /// Elects a leader and starts a driver where it is time.
+    /// Elects a leader and restarts the driver when their downtimes are over.
     pub(super) fn restore_machines(&mut self) {
         let now = self.now;
         if self.ledger.is_none() && now >= self.ledger_back_at {
--- a/releases/examples/fleet/sim/mod.rs
+++ b/releases/examples/fleet/sim/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in simulated time around the budget ledger and a release, with a checker that keeps books of its own.
+//! Simulates a fleet with the budget ledger and a release, with a checker that keeps its own records.
 #![allow(dead_code, reason = "the example and the tests use different parts")]
 mod checker;
 mod faults;
@@ -20,12 +20,12 @@
 };
 use std::collections::BTreeMap;
 
-/// Microseconds between two steps.
+/// The time between two simulation steps, microseconds.
 const STEP: Micros = 100_000;
-/// Owner of the release's reservations.
+/// The owner of the release's reservations.
 const RELEASE: &str = "release";
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 enum Message {
     ToLedger(LedgerEvent),
@@ -48,14 +48,14 @@
     }
 }
 
-/// The first request that failed because of the version.
+/// The first request that failed because of the target version.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FirstFailure {
     pub(crate) at: Micros,
     pub(crate) wave: u32,
 }
 
-/// What a simulation has counted.
+/// The results of a simulation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) violations: Vec<String>,
@@ -71,32 +71,32 @@
     pub(crate) expired_reservations: u64,
     pub(crate) driver_kills: u64,
     pub(crate) elections: u64,
-    /// Live routers at the target version at the end.
+    /// The number of running routers with the target version at the end.
     pub(crate) at_target: usize,
 }
 
-/// An operator's drain.
+/// A member that an operator has drained.
 #[derive(Clone, Copy, Debug)]
 struct Drain {
     until: Micros,
     grant: GrantId,
 }
 
-/// A fleet, its store's leader with the ledger, the driver with the release, and messages between them.
+/// A fleet, the store's leader with the ledger, the driver with the release, and the messages between them.
 pub(crate) struct Simulation {
     pub(crate) now: Micros,
     pub(crate) scenario: Scenario,
     ledger: Option<BudgetLedger>,
-    /// What the ledger's owner has committed.
+    /// The state that the ledger's owner has committed.
     pub(crate) ledger_snapshot: LedgerSnapshot,
     driver: Option<Release>,
-    /// What the release's driver has committed.
+    /// The state that the release's driver has committed.
     pub(crate) snapshot: ReleaseSnapshot,
     pub(crate) nodes: BTreeMap<String, RouterNode>,
     pub(crate) outcome: Outcome,
     drains: BTreeMap<Target, Drain>,
     drains_requested: BTreeMap<Target, Micros>,
-    /// The checker's book: when each reservation's lease started.
+    /// The checker's record of when each reservation's lease started.
     leases: BTreeMap<Target, Micros>,
     pub(crate) members: Members,
     messages: BTreeMap<(Micros, u64), Message>,
@@ -143,12 +143,12 @@
         }
     }
 
-    /// Whether something with this probability happens.
+    /// Draws whether an event with this probability happens.
     fn happens(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.rng.random::<f64>() < probability
     }
 
-    /// Sends a message, which may be lost or arrive twice.
+    /// Sends a message, which may be lost or duplicated.
     fn send(&mut self, message: Message) {
         if self.happens(self.scenario.message_faults.loss) {
             return;
@@ -166,7 +166,7 @@
             || matches!(self.snapshot.phase, Phase::Halted(_)) && !self.scenario.operator_reacts
     }
 
-    /// Runs to the end of the release, and then until all leases are over.
+    /// Runs until the release has ended, and then for the duration of a lease.
     pub(crate) fn run(mut self) -> Simulation {
         while self.now < self.scenario.until {
             self.step();
@@ -177,7 +177,7 @@
                 }
             }
         }
-        let at_target = |node: &&RouterNode| node.version == target_version() && !node.is_dead;
+        let at_target = |node: &&RouterNode| node.version == target_version() && !node.has_failed;
         self.outcome.at_target = self.nodes.values().filter(at_target).count();
         self
     }
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Routers that are out of service, by name.
+    /// The names of the routers that are out of service.
     pub(crate) fn routers_out(&self) -> impl Iterator<Item = &String> {
         self.nodes.iter().filter(|(_, node)| node.out.is_some()).map(|(name, _)| name)
     }
--- a/releases/examples/fleet/sim/nodes.rs
+++ b/releases/examples/fleet/sim/nodes.rs
@@ -1,13 +1,13 @@
-//! Routers, and operators who react to the release.
+//! Simulates routers, and operators that react to the release.
 use super::{FirstFailure, Message, SECOND, Simulation, last_good, target_version};
 use decision::Micros;
 use rand::RngExt;
 use releases::{Event, LedgerEvent, Phase, RequestStats, Target, Version};
 
-/// Error rate of a healthy router.
+/// The error rate of a healthy router.
 const USUAL_ERROR_RATE: f64 = 0.002;
 
-/// A router that is out of service.
+/// The update of a router that is out of service.
 #[derive(Clone, Debug)]
 pub(crate) struct OutOfService {
     back_at: Micros,
@@ -15,17 +15,17 @@
     deadline: Micros,
 }
 
-/// A router.
+/// A simulated router.
 #[derive(Clone, Debug)]
 pub(crate) struct RouterNode {
     zone: usize,
     pub(crate) version: Version,
     pub(crate) out: Option<OutOfService>,
-    pub(crate) is_dead: bool,
+    pub(crate) has_failed: bool,
     pub(crate) disconnected_until: Micros,
-    /// When it last came back into service.
+    /// When it last returned to service.
     pub(super) back_at: Micros,
-    /// Requests since then.
+    /// The number of requests served since then.
     pub(super) served: u64,
 }
 
@@ -35,7 +35,7 @@
             zone,
             version: last_good(),
             out: None,
-            is_dead: false,
+            has_failed: false,
             disconnected_until: 0,
             back_at: 0,
             served: 0,
@@ -48,13 +48,13 @@
 }
 
 impl Simulation {
-    /// A router is instructed to update.
+    /// Handles an update instruction at a router.
     pub(super) fn update_router(&mut self, router: &str, version: Version, deadline: Micros) {
         let duration = self.rng.random_range(5 * SECOND..15 * SECOND);
-        let dies = self.happens(self.scenario.update_death);
+        let fails = self.happens(self.scenario.update_failure);
         let now = self.now;
         let node = self.nodes.get_mut(router).unwrap();
-        if node.is_dead || !node.is_connected(now) {
+        if node.has_failed || !node.is_connected(now) {
             return;
         }
         match &mut node.out {
@@ -66,16 +66,16 @@
                 let back_at = now + duration;
                 if back_at <= deadline {
                     *out = Some(OutOfService { back_at, version, deadline });
-                    node.is_dead = dies;
+                    node.has_failed = fails;
                 }
             }
         }
     }
 
-    /// What routers and operators do by themselves.
+    /// Runs the actions of routers and operators that do not follow from messages.
     pub(super) fn run_nodes(&mut self) {
         let at_target = self.nodes.values().filter(|node| node.version == target_version()).count();
-        let updated = self.come_back();
+        let updated = self.return_to_service();
         if self.now % SECOND == 0 {
             for event in self.serve_requests(at_target) {
                 self.handle_driver_event(event);
@@ -93,16 +93,17 @@
         }
     }
 
-    /// Routers whose update is done come back; returns what they tell the driver.
-    fn come_back(&mut self) -> Vec<Event> {
+    /// Returns routers whose update is complete to service; returns their messages to the driver.
+    fn return_to_service(&mut self) -> Vec<Event> {
         let now = self.now;
         let mut updated = Vec::new();
         for (name, node) in &mut self.nodes {
-            // A router that is given up has failed: it is no longer out by a plan.
-            if node.is_dead && node.out.as_ref().is_some_and(|out| out.deadline <= now) {
+            // A failed router whose update deadline has passed counts as failed, no longer as out of service
+            // for an update.
+            if node.has_failed && node.out.as_ref().is_some_and(|out| out.deadline <= now) {
                 node.out = None;
             }
-            if node.is_dead {
+            if node.has_failed {
                 continue;
             }
             if let Some(out) = node.out.take_if(|out| out.back_at <= now) {
@@ -118,21 +119,23 @@
         updated
     }
 
-    /// Routers in service serve a second's requests; returns the statistics that reach the driver. The target version is
-    /// bad from a number of routers on; `at_target` is how many ran it before.
+    /// Serves one second's requests at the routers in service; returns the statistics that reach the driver.
+    /// The target version fails requests when at least `from_routers` routers run it; `at_target` is the
+    /// number of these before this step.
     fn serve_requests(&mut self, at_target: usize) -> Vec<Event> {
         let now = self.now;
         let bad = self.scenario.bad_version.filter(|bad| at_target >= bad.from_routers);
         let mut reported = Vec::new();
-        for (name, node) in self.nodes.iter_mut().filter(|(_, node)| !node.is_dead && node.out.is_none()) {
-            let shows = |zone: Option<usize>| zone.is_none_or(|zone| zone == node.zone);
+        for (name, node) in self.nodes.iter_mut().filter(|(_, node)| !node.has_failed && node.out.is_none()) {
+            let is_affected = |zone: Option<usize>| zone.is_none_or(|zone| zone == node.zone);
             let is_bad = node.version == target_version();
-            let raised = bad.filter(|bad| is_bad && shows(bad.zone)).map_or(0.0, |bad| bad.error_rate);
+            let added_error_rate =
+                bad.filter(|bad| is_bad && is_affected(bad.zone)).map_or(0.0, |bad| bad.error_rate);
             let requests = self.rng.random_range(40..60_u64);
-            let fails = |_: &u64| self.rng.random::<f64>() < USUAL_ERROR_RATE + raised;
+            let fails = |_: &u64| self.rng.random::<f64>() < USUAL_ERROR_RATE + added_error_rate;
             let errors = (0..requests).filter(fails).count() as u64;
             let latency_sum = (0..requests).map(|_| self.rng.random_range(500..1500_u64)).sum();
-            if raised > 0.0 {
+            if added_error_rate > 0.0 {
                 self.outcome.failed_requests += errors;
                 let wave = self.snapshot.wave;
                 self.outcome.first_failure.get_or_insert(FirstFailure { at: now, wave });
@@ -156,7 +159,7 @@
         }
     }
 
-    /// The operator rolls back after a halt for worse statistics, and resumes after any other.
+    /// Rolls back after a halt for worse statistics and resumes after any other halt.
     fn react_to_halt(&mut self) {
         let now = self.now;
         let Phase::Halted(reason) = &self.snapshot.phase else { return };
--- a/releases/examples/fleet/sim/scenario.rs
+++ b/releases/examples/fleet/sim/scenario.rs
@@ -1,4 +1,4 @@
-//! What a simulation is run with.
+//! The parameters of a simulation.
 use decision::Micros;
 use releases::{
     DisruptionBudget, HealthSettings, Limit, Limits, Plan, Settings, Target, TargetKind, Version,
@@ -7,32 +7,32 @@
 
 pub(crate) const SECOND: Micros = 1_000_000;
 
-/// A fault of the wiring, which the checker must find.
+/// A fault in the simulated program, which the checker must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum InjectedFault {
     None,
-    /// A reservation is returned as the update starts.
+    /// A reservation is returned when the update starts.
     ReturnedEarly,
     /// The ledger's clock runs ten times too fast.
     LeaseShortened,
-    /// Waves do not wait for health.
+    /// Waves start without waiting for the health of the previous one.
     HealthIgnored,
-    /// A rollback grants its reservations itself.
+    /// A rollback proceeds without reservations from the ledger.
     RollbackOutsideBudget,
 }
 
-/// What is wrong with the target version.
+/// A fault of the target version.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BadVersion {
-    /// It shows once this many routers run the version.
+    /// The fault occurs when at least this many routers run the version.
     pub(crate) from_routers: usize,
-    /// In this zone only, or in all.
+    /// The zone in which the fault occurs; `None` for all zones.
     pub(crate) zone: Option<usize>,
-    /// Additional error rate.
+    /// The additional error rate.
     pub(crate) error_rate: f64,
 }
 
-/// How large a fleet is.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FleetSize {
     pub(crate) zones: usize,
@@ -40,24 +40,24 @@
     pub(crate) instances: usize,
 }
 
-/// What happens to messages; probabilities for each message.
+/// Faults of messages, as probabilities per message.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MessageFaults {
     pub(crate) loss: f64,
     pub(crate) duplication: f64,
 }
 
-/// What happens to a fleet by itself; probabilities for each second.
+/// Random events in a fleet, as probabilities per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Incidents {
     pub(crate) leader_loss: f64,
     pub(crate) disconnection: f64,
-    pub(crate) router_death: f64,
+    pub(crate) router_failure: f64,
     pub(crate) drain: f64,
     pub(crate) budget_change: f64,
 }
 
-/// What a simulation is run with.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
     pub(crate) seed: u64,
@@ -67,13 +67,13 @@
     pub(crate) bad_version: Option<BadVersion>,
     pub(crate) message_faults: MessageFaults,
     pub(crate) incidents: Incidents,
-    /// Probability that the driver is killed, for each event that makes it act.
+    /// The probability that the driver is killed, for each event that results in actions.
     pub(crate) driver_kill: f64,
-    /// Probability that a router does not come back, for each update.
-    pub(crate) update_death: f64,
-    /// When the operator rolls back.
+    /// The probability that a router fails during an update.
+    pub(crate) update_failure: f64,
+    /// When the operator rolls the release back.
     pub(crate) roll_back_at: Option<Micros>,
-    /// Whether the operator rolls back after a halt for worse statistics and resumes after any other.
+    /// Whether the operator rolls back after a halt for worse statistics and resumes after any other halt.
     pub(crate) operator_reacts: bool,
     pub(crate) injected_fault: InjectedFault,
     pub(crate) until: Micros,
@@ -81,7 +81,7 @@
 
 impl Scenario {
     /// A small fleet without faults.
-    pub(crate) fn calm(seed: u64) -> Scenario {
+    pub(crate) fn without_faults(seed: u64) -> Scenario {
         Scenario {
             seed,
             size: FleetSize { zones: 3, routers: 15, instances: 9 },
@@ -94,7 +94,7 @@
             message_faults: MessageFaults::default(),
             incidents: Incidents::default(),
             driver_kill: 0.0,
-            update_death: 0.0,
+            update_failure: 0.0,
             roll_back_at: None,
             operator_reacts: true,
             injected_fault: InjectedFault::None,
@@ -103,18 +103,18 @@
     }
 
     /// A small fleet with faults of all kinds.
-    pub(crate) fn stormy(seed: u64) -> Scenario {
+    pub(crate) fn with_faults(seed: u64) -> Scenario {
         Scenario {
             message_faults: MessageFaults { loss: 0.02, duplication: 0.05 },
             incidents: Incidents {
                 leader_loss: 0.02,
                 disconnection: 0.01,
-                router_death: 0.0,
+                router_failure: 0.0,
                 drain: 0.3,
                 budget_change: 0.02,
             },
             driver_kill: 0.01,
-            ..Scenario::calm(seed)
+            ..Scenario::without_faults(seed)
         }
     }
 }
--- a/releases/src/budget.rs
+++ b/releases/src/budget.rs
@@ -1,20 +1,20 @@
-//! The operators' limits of how many members may be out of service at once.
+//! The operators' limits on how many members may be out of service at the same time.
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// How many may be out of service at once.
+/// A limit on the number of members out of service at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "RawLimit")]
 pub enum Limit {
     /// This many members.
     Count(u32),
-    /// This whole percentage of the members, 1 to 100.
+    /// This percentage of the members, 1 to 100.
     Percent(u32),
 }
 
 impl Limit {
-    /// The limit in members of a group of this size. A percentage is rounded down but is at least one: otherwise no member
-    /// of a small zone could ever be taken out.
+    /// The limit for a set of this many members. A percentage is rounded down but is at least one, because
+    /// otherwise no member of a small zone could ever be taken out of service.
     pub fn resolve(self, members: usize) -> usize {
         match self {
             Limit::Count(count) => count as usize,
@@ -23,7 +23,7 @@
     }
 }
 
-/// The limits of one kind of member.
+/// The limits for one kind of member.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Limits {
     /// In the whole fleet.
@@ -33,28 +33,28 @@
     pub zone: Limit,
 }
 
-/// How many members may be out of service at once. As TOML: `routers = { all = "10%", zone = 5 }`, and the same for
-/// `instances`.
+/// How many members may be out of service at the same time. In TOML: `routers = { all = "10%", zone = 5 }`,
+/// and the same for `instances`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "RawBudget")]
 pub struct DisruptionBudget {
-    /// Limits of routers.
+    /// The limits for routers.
     pub routers: Limits,
-    /// Limits of database instances.
+    /// The limits for database instances.
     pub instances: Limits,
 }
 
-/// A limit can't be used, so nothing of the budget is.
+/// A limit is invalid, so the whole budget is rejected.
 #[derive(Debug, Error, PartialEq)]
-#[error("expected a whole number from 1 on, or \"1%\" to \"100%\", in 'budget.{key}', found {found}")]
+#[error("'budget.{key}': expected an integer of at least 1, or \"1%\" to \"100%\", found {found}")]
 pub struct BudgetError {
-    /// The key below `budget`.
+    /// The key in the `budget` section.
     pub key: &'static str,
-    /// The value found there.
+    /// The invalid value.
     pub found: String,
 }
 
-/// A limit as operators write it.
+/// A limit in the notation of the settings file.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum RawLimit {
--- a/releases/src/health.rs
+++ b/releases/src/health.rs
@@ -1,27 +1,28 @@
-//! Comparison of routers' request statistics.
+//! Compares the request statistics of routers.
 use crate::RequestStats;
 use decision::Micros;
 use serde::{Deserialize, Serialize};
 
-/// An error rate must be above the other's by this many standard errors to count as worse.
+/// An error rate must exceed the reference by this many standard errors to count as worse.
 const STANDARD_ERRORS: f64 = 4.0;
 
-/// What counts as worse, and how long a wave is observed.
+/// The thresholds for worse statistics, and how long a wave is observed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HealthSettings {
-    /// Requests from which on statistics are significant.
+    /// The number of requests from which statistics are significant.
     #[serde(rename = "enough")]
     pub min_requests: u64,
-    /// An error rate above the other's by more than this, and by more than four standard errors, is worse.
+    /// An error rate is worse if it exceeds the reference by more than this and by more than four standard
+    /// errors.
     #[serde(rename = "errors")]
     pub max_error_rate_increase: f64,
-    /// A mean latency above this multiple of the other's is worse.
+    /// A mean latency is worse if it is above this multiple of the reference.
     #[serde(rename = "latency")]
     pub max_latency_factor: f64,
-    /// A wave is observed for this long after its last router was updated, in microseconds.
+    /// How long a wave is observed after its last router was updated, in microseconds.
     #[serde(rename = "watch")]
     pub observation_time: Micros,
-    /// A wave that can't be judged healthy for this long halts the release, in microseconds.
+    /// The release halts if a wave is not found healthy within this time, in microseconds.
     #[serde(rename = "patience")]
     pub health_timeout: Micros,
 }
@@ -43,7 +44,7 @@
     }
 }
 
-/// Standard error of the difference of two error rates, by the rate of both together.
+/// The standard error of the difference of two error rates, computed with their pooled rate.
 fn standard_error(one: &RequestStats, other: &RequestStats) -> f64 {
     let pooled_rate = (one.errors + other.errors) as f64 / (one.requests + other.requests) as f64;
     let weight = 1.0 / one.requests as f64 + 1.0 / other.requests as f64;
--- a/releases/src/ledger.rs
+++ b/releases/src/ledger.rs
@@ -7,94 +7,96 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Input of the ledger.
+/// An input of the ledger.
 #[derive(Clone, Debug)]
 pub enum LedgerEvent {
-    /// The fleet's members have changed. Reservations of members that have left stay until they are returned or expire.
+    /// The fleet's members have changed. Reservations of members that have left remain until they are
+    /// returned or expire.
     MembersChanged(Members),
-    /// The budget has changed. Reservations above it stay.
+    /// The budget has changed. Existing reservations remain even if they exceed it.
     BudgetChanged(DisruptionBudget),
-    /// An owner asks to take a member out of service. If it has the reservation already, this renews it.
+    /// An owner requests to take a member out of service. If the owner already has the reservation, this
+    /// renews it.
     Acquire {
-        /// Who asks.
+        /// The owner that requests it.
         owner: String,
-        /// What it wants to take out.
+        /// The member to take out of service.
         target: Target,
         /// Identifies the request.
         request: RequestId,
     },
-    /// An owner is alive: the lease starts anew if the grant is the reservation's latest.
+    /// An owner renews its lease. This has an effect only if the grant is the reservation's latest.
     Renew {
-        /// What is out.
+        /// The member that is out of service.
         target: Target,
         /// The owner's grant.
         grant: GrantId,
     },
-    /// A member is back in service. Nothing changes unless the grant is the reservation's latest.
+    /// A member is in service again. This has an effect only if the grant is the reservation's latest.
     Return {
-        /// What is back.
+        /// The member that is in service again.
         target: Target,
         /// The owner's grant.
         grant: GrantId,
     },
-    /// Time has passed.
+    /// Time has passed: leases may have expired.
     Tick,
 }
 
-/// What the ledger's owner must do, in this order.
+/// An output that the ledger's owner must carry out; several are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LedgerAction {
-    /// Commit [`BudgetLedger::snapshot`] before the actions that follow.
+    /// Commit [`BudgetLedger::snapshot`] before carrying out the actions that follow.
     Persist,
-    /// Answer that the member may be taken out.
+    /// Respond that the member may be taken out of service.
     Granted {
-        /// Who asked.
+        /// The owner that requested it.
         owner: String,
-        /// What may be taken out.
+        /// The member that may be taken out of service.
         target: Target,
         /// Identifies the request.
         request: RequestId,
         /// Identifies the grant.
         grant: GrantId,
     },
-    /// Answer that the member may not be taken out.
+    /// Respond that the member may not be taken out of service.
     Denied {
-        /// Who asked.
+        /// The owner that requested it.
         owner: String,
-        /// What may not be taken out.
+        /// The member that may not be taken out of service.
         target: Target,
         /// Identifies the request.
         request: RequestId,
-        /// Why.
+        /// The reason.
         reason: ReservationError,
     },
-    /// Audit that a reservation's lease has expired.
+    /// Write to the audit log that a reservation's lease has expired.
     Expired(Reservation),
 }
 
-/// The ledger's state in the store. Times are not in it: whoever restores it starts all leases anew.
+/// The ledger's state in the store. It contains no times: restoring it starts all leases anew.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LedgerSnapshot {
-    /// [`SNAPSHOT_FORMAT`].
+    /// The snapshot format, [`SNAPSHOT_FORMAT`].
     pub format: u32,
-    /// The next grant.
+    /// The ID of the next grant.
     #[serde(rename = "next")]
     pub next_grant: GrantId,
-    /// Lease of a reservation in microseconds.
+    /// The duration of a reservation's lease in microseconds.
     pub lease: Micros,
     /// The budget in force.
     pub budget: DisruptionBudget,
-    /// What is out.
+    /// The reservations of members that are out of service.
     #[serde(rename = "slots")]
     pub reservations: Vec<Reservation>,
 }
 
-/// How much of a limit is used.
+/// How much of a limit is in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BudgetUsage {
-    /// Members that are out.
+    /// The number of members that are out of service.
     pub out: usize,
-    /// Members that may be out.
+    /// The number of members that may be out of service.
     pub limit: usize,
 }
 
@@ -110,7 +112,7 @@
     expires_at: Time,
 }
 
-/// The reservations, their leases and the budget. Only the ledger of the store's leader counts.
+/// The reservations, their leases and the budget. Only the ledger at the store's leader is authoritative.
 #[derive(Clone, Debug)]
 pub struct BudgetLedger {
     budget: DisruptionBudget,
@@ -121,16 +123,16 @@
 }
 
 impl BudgetLedger {
-    /// A ledger with nothing out. `lease` is in microseconds.
+    /// Creates a ledger without reservations. `lease` is in microseconds.
     pub fn new(budget: DisruptionBudget, lease: Micros, members: Members) -> BudgetLedger {
         BudgetLedger { budget, lease, members, next_grant: GrantId(1), reservations: BTreeMap::new() }
     }
 
-    /// Restores the ledger that the store has, for a leader that starts at `now`. Each lease lasts its whole time again,
-    /// for nobody is known to have counted how much of it was over.
+    /// Restores the ledger from the store, for a leader that starts at `now`. Each lease starts anew with its
+    /// full duration, because the elapsed part is not stored.
     ///
     /// # Errors
-    /// [`FormatError`] if another version of the program wrote the snapshot in another format.
+    /// [`FormatError`] if the snapshot has another format, written by another version of the program.
     pub fn restore(
         snapshot: LedgerSnapshot,
         members: Members,
@@ -150,7 +152,7 @@
         })
     }
 
-    /// The state to commit.
+    /// The state to commit to the store.
     pub fn snapshot(&self) -> LedgerSnapshot {
         LedgerSnapshot {
             format: SNAPSHOT_FORMAT,
@@ -161,25 +163,27 @@
         }
     }
 
-    /// What is out.
+    /// The reservations of members that are out of service.
     pub fn reservations(&self) -> impl Iterator<Item = &Reservation> {
         self.reservations.values().map(|leased| &leased.reservation)
     }
 
-    /// Use of a kind's limit in a zone or, for `None`, in the whole fleet.
+    /// The usage of a member kind's limit in a zone, or in the whole fleet if `zone` is `None`.
     pub fn usage(&self, kind: TargetKind, zone: Option<&str>) -> BudgetUsage {
         let limits = match kind {
             TargetKind::Router => self.budget.routers,
             TargetKind::Instance => self.budget.instances,
         };
         let limit = if zone.is_some() { limits.zone } else { limits.fleet };
-        let is_here = |other: &str| zone.is_none_or(|zone| zone == other);
-        let members = self.members.iter().filter(|(target, zone)| target.kind == kind && is_here(zone));
-        let out = self.reservations().filter(|found| found.target.kind == kind && is_here(&found.zone));
+        let is_in_zone = |other: &str| zone.is_none_or(|zone| zone == other);
+        let members = self.members.iter().filter(|(target, zone)| target.kind == kind && is_in_zone(zone));
+        let out = self
+            .reservations()
+            .filter(|reservation| reservation.target.kind == kind && is_in_zone(&reservation.zone));
         BudgetUsage { out: out.count(), limit: limit.resolve(members.count()) }
     }
 
-    /// Handles an event and appends what the owner must do.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: LedgerEvent, actions: &mut Vec<LedgerAction>) {
         self.expire_leases(now, actions);
         match event {
@@ -233,8 +237,8 @@
         actions.push(LedgerAction::Granted { owner, target, request, grant });
     }
 
-    /// The zone that a reservation counts in. An owner that has the reservation already may renew it, above a lowered
-    /// budget too.
+    /// The zone that a reservation counts in, if it may be granted. An owner may renew its reservation even
+    /// if the budget has been lowered.
     fn zone_to_reserve(&self, owner: &str, target: &Target) -> Result<String, ReservationError> {
         if let Some(LeasedReservation { reservation, .. }) = self.reservations.get(target) {
             if reservation.owner == owner {
--- a/releases/src/lib.rs
+++ b/releases/src/lib.rs
@@ -1,11 +1,13 @@
-//! Who may be out of service at once, and the rollout of a version through a fleet's routers in waves.
+//! Limits how many members of a fleet are out of service at the same time, and rolls a version out to its
+//! routers in waves.
 //!
 //! - [`BudgetLedger`] counts reservations against the [`DisruptionBudget`]. The store's leader owns it.
-//! - [`Release`] rolls a version out within that budget, halts if the routers get worse, and rolls back. One driver owns
-//!   it.
+//! - [`Release`] rolls a version out within that budget, halts if routers' statistics become worse, and rolls
+//!   back. One driver owns it.
 //!
-//! Neither does I/O or reads a clock. An owner commits the snapshot that a `Persist` action asks for before it carries out
-//! the actions that follow. `docs/design/releases.md` has the guarantees and their limits.
+//! Neither does I/O nor reads a clock. When a `Persist` action requests it, the owner commits the snapshot
+//! before it carries out the actions that follow. The guarantees and their limits are described in
+//! `docs/design/releases.md`.
 mod budget;
 mod health;
 mod ledger;
--- a/releases/src/plan.rs
+++ b/releases/src/plan.rs
@@ -1,19 +1,19 @@
-//! What an operator asks to release.
+//! The plan of a release, as an operator requests it.
 use crate::plan_error::PlanError;
 use crate::settings::Settings;
 use crate::version::Version;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What an operator asks to release.
+/// The plan of a release, as an operator requests it.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Name of the release: it owns the reservations and no other owner has it.
+    /// The name of the release. It is the owner of the reservations, so it must be unique among owners.
     pub name: String,
-    /// What the routers run, and what a rollback returns them to.
+    /// The version that the routers run, which a rollback restores.
     pub last_good: Version,
-    /// What the routers shall run.
+    /// The version to update the routers to.
     pub target_version: Version,
-    /// Versions that may be released.
+    /// The versions that may be released.
     pub known_versions: BTreeSet<Version>,
     /// The zones, in the order in which they are updated.
     pub zone_order: Vec<String>,
@@ -22,7 +22,7 @@
 }
 
 impl Plan {
-    /// Checks the plan and the settings that it would be carried out with.
+    /// Validates the plan and the settings of its release.
     pub(crate) fn check(&self, settings: &Settings) -> Result<(), PlanError> {
         settings.check()?;
         for version in [&self.target_version, &self.last_good] {
--- a/releases/src/plan_error.rs
+++ b/releases/src/plan_error.rs
@@ -1,43 +1,43 @@
-//! Why a release can't start.
+//! Why a release cannot start.
 use crate::version::Version;
 use thiserror::Error;
 
-/// Why a release can't start. Nothing has been updated.
+/// Why a release cannot start.
 #[derive(Debug, Error, PartialEq)]
 pub enum PlanError {
-    /// The version is not among the known ones.
-    #[error("{0} is not known: release one of those that the store or the packages list")]
+    /// A version of the plan is not among the known versions.
+    #[error("{0} is unknown: choose a version that the store or the packages list")]
     UnknownVersion(Version),
-    /// The fleet runs the version already.
-    #[error("the fleet runs {0} already: name another version")]
+    /// The target version is the version that the fleet already runs.
+    #[error("the fleet already runs {0}: choose another version")]
     AlreadyRunning(Version),
-    /// The target and the last good version are of different kinds, so that there is no rollback.
+    /// The target and the last good version are of different kinds, so a rollback would not be possible.
     #[error("expected the last good version to be of the same kind as {target}, found {last_good}")]
     MixedVersionKinds {
-        /// What shall be released.
+        /// The version to release.
         target: Version,
-        /// What a rollback would return to.
+        /// The version that a rollback would restore.
         last_good: Version,
     },
     /// The plan has no routers.
-    #[error("there are no routers to update: see `fleet status`")]
+    #[error("the plan has no routers to update: `fleet status` lists the routers of the fleet")]
     NoRouters,
-    /// A router's zone is not in the order of zones.
-    #[error("router '{router}' is in zone '{zone}', which the order of zones leaves out: add it")]
+    /// The zone of a router is missing from the zone order.
+    #[error("router '{router}' is in zone '{zone}', which is missing from the zone order: add it")]
     ZoneNotOrdered {
         /// The router.
         router: String,
         /// Its zone.
         zone: String,
     },
-    /// A setting can't be used.
+    /// A setting is out of range.
     #[error("expected {expected} in 'release.{key}', found {found}")]
     InvalidSetting {
-        /// The key below `release`.
+        /// The key in the `release` section.
         key: &'static str,
-        /// What the value must be.
+        /// A description of valid values.
         expected: &'static str,
-        /// The value found there.
+        /// The invalid value.
         found: String,
     },
 }
--- a/releases/src/release.rs
+++ b/releases/src/release.rs
@@ -1,4 +1,4 @@
-//! The rollout of one version through the routers, in waves, and its rollback.
+//! The rollout of one version to the routers in waves, and its rollback.
 mod out_of_service;
 mod rollback;
 mod verdict;
@@ -11,17 +11,17 @@
 use decision::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Statistics keep about this many times the significant number of requests; older ones decay.
+/// Statistics cover at most this many times the significant number of requests; older requests lose weight.
 const STATS_WINDOW: u64 = 8;
 
-/// Input of a release.
+/// An input of a release.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; to be sent a few times a second.
+    /// Time has passed. The driver sends this a few times per second.
     Tick,
     /// The ledger has granted a reservation.
     Granted {
-        /// The router that may go out of service.
+        /// The router that may be taken out of service.
         router: String,
         /// Identifies the request.
         request: RequestId,
@@ -30,110 +30,114 @@
     },
     /// The ledger has denied a reservation.
     Denied {
-        /// The router that may not go out of service.
+        /// The router that may not be taken out of service.
         router: String,
         /// Identifies the request.
         request: RequestId,
-        /// Why. A router that has left the fleet is lost; after any other reason the request is repeated.
+        /// The reason. A router that is no longer a member of the fleet counts as lost; after any other
+        /// reason the request is repeated.
         reason: ReservationError,
     },
-    /// A router is back in service with this version.
+    /// A router is in service again with this version.
     Updated {
         /// The router.
         router: String,
         /// The version that it runs.
         version: Version,
     },
-    /// What a router counted since its last statistics. Those of a time before its update must come before `Updated`.
+    /// The requests that a router counted since its last report. Statistics of the time before its update
+    /// must be passed in before `Updated`.
     StatsReported {
         /// The router.
         router: String,
-        /// What it counted.
+        /// The counted requests.
         stats: RequestStats,
     },
     /// The operator halts the release.
     Halt,
-    /// The operator resumes the release: the wave is judged by statistics from here on.
+    /// The operator resumes the release. The wave is evaluated by statistics from now on.
     Resume,
     /// The operator rolls the release back.
     RollBack,
 }
 
-/// What the release's driver must do, in this order.
+/// An output that the driver must carry out; several are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Commit [`Release::snapshot`] before the actions that follow.
+    /// Commit [`Release::snapshot`] before carrying out the actions that follow.
     Persist,
-    /// Ask the ledger for a reservation in the release's name.
+    /// Request a reservation from the ledger, with the release's name as owner.
     Acquire {
-        /// The router that shall go out of service.
+        /// The router to take out of service.
         router: String,
         /// Identifies the request.
         request: RequestId,
     },
-    /// Instruct a router to go out of service and come back with this version; a router that runs it already is back at once.
+    /// Instruct a router to go out of service and return with this version. A router that already runs it
+    /// responds immediately.
     Update {
         /// The router.
         router: String,
         /// The version.
         version: Version,
-        /// The grant that it goes out by.
+        /// The grant that permits it to be out of service.
         grant: GrantId,
-        /// It must be back within this time, or not start, in microseconds.
+        /// The time within which it must be in service again, in microseconds. If it cannot be, it must not
+        /// start the update.
         timeout: Micros,
     },
     /// Return a reservation.
     Return {
-        /// The router that is back in service.
+        /// The router that is in service again.
         router: String,
         /// The reservation's grant.
         grant: GrantId,
     },
-    /// Tell the operators that the release has halted.
+    /// Notify the operators that the release has halted.
     Halted {
-        /// Why.
+        /// The reason.
         reason: HaltReason,
     },
-    /// The release has ended with the target version.
+    /// The release has ended; the routers run the target version.
     Completed,
-    /// The release has ended with the last good version.
+    /// The release has been rolled back; the routers run the last good version.
     RolledBack,
 }
 
-/// A request for a reservation without an answer.
+/// A request for a reservation that awaits its response.
 #[derive(Clone, Copy, Debug)]
 struct OpenRequest {
     id: RequestId,
     sent_at: Time,
 }
 
-/// What the driver knows of a router beside the snapshot.
+/// The state of a router that is not part of the snapshot.
 #[derive(Clone, Debug, Default)]
-struct DriverState {
+struct TransientState {
     open_request: Option<OpenRequest>,
     grant: Option<GrantId>,
-    /// When it must be back; `None` if this driver has not instructed it.
+    /// When it must be in service again; `None` unless this driver has instructed it.
     due_at: Option<Time>,
-    /// When it was last instructed.
+    /// When it was last sent an update instruction.
     instructed_at: Time,
     stats: RequestStats,
 }
 
-/// One release. [`BudgetLedger`](crate::BudgetLedger) has the budget.
+/// One release. The budget is in the [`BudgetLedger`](crate::BudgetLedger).
 #[derive(Clone, Debug)]
 pub struct Release {
     snapshot: ReleaseSnapshot,
-    routers: BTreeMap<String, DriverState>,
+    routers: BTreeMap<String, TransientState>,
     requests: u32,
-    /// Since when no router of the wave is pending or out of service.
-    settled_at: Option<Time>,
+    /// Since when no router of the wave has been pending or out of service.
+    observed_since: Option<Time>,
 }
 
 impl Release {
-    /// A release by this plan. Nothing happens before the first event.
+    /// Creates a release with this plan. It takes no action before the first event.
     ///
     /// # Errors
-    /// [`PlanError`] if the plan or the settings can't be used.
+    /// [`PlanError`] if the plan or the settings are invalid.
     pub fn new(plan: Plan, settings: Settings) -> Result<Release, PlanError> {
         plan.check(&settings)?;
         let pending = |zone| RouterState {
@@ -160,11 +164,11 @@
         }))
     }
 
-    /// Restores a release from the store. Routers that were out of service get their reservations again before they are
-    /// instructed again, and the wave is observed anew.
+    /// Restores a release from the store. Routers that were out of service are instructed again after their
+    /// reservations have been renewed, and the wave is observed anew.
     ///
     /// # Errors
-    /// [`FormatError`] if another version of the program wrote the snapshot in another format.
+    /// [`FormatError`] if the snapshot has another format, written by another version of the program.
     pub fn restore(snapshot: ReleaseSnapshot, actions: &mut Vec<Action>) -> Result<Release, FormatError> {
         FormatError::check(snapshot.format)?;
         let mut release = Release::with_snapshot(snapshot);
@@ -174,21 +178,21 @@
     }
 
     fn with_snapshot(snapshot: ReleaseSnapshot) -> Release {
-        let routers = snapshot.routers.keys().map(|name| (name.clone(), DriverState::default())).collect();
-        Release { snapshot, routers, requests: 0, settled_at: None }
+        let routers = snapshot.routers.keys().map(|name| (name.clone(), TransientState::default())).collect();
+        Release { snapshot, routers, requests: 0, observed_since: None }
     }
 
-    /// The state to commit.
+    /// The state to commit to the store.
     pub fn snapshot(&self) -> &ReleaseSnapshot {
         &self.snapshot
     }
 
-    /// Where the release stands.
+    /// The phase of the release.
     pub fn phase(&self) -> &Phase {
         &self.snapshot.phase
     }
 
-    /// Handles an event and appends what the driver must do.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Tick => {}
@@ -207,10 +211,10 @@
     }
 
     fn stats_reported(&mut self, router: &str, stats: RequestStats) {
-        if let Some(driver) = self.routers.get_mut(router) {
-            driver.stats.add(stats);
+        if let Some(transient) = self.routers.get_mut(router) {
+            transient.stats.add(stats);
             let min_requests = self.snapshot.settings.health.min_requests;
-            driver.stats.decay(min_requests.saturating_mul(STATS_WINDOW));
+            transient.stats.decay(min_requests.saturating_mul(STATS_WINDOW));
         }
     }
 
@@ -233,26 +237,26 @@
             return;
         }
         snapshot.phase = if snapshot.is_rollback { Phase::RollingBack } else { Phase::Running };
-        // The operator has seen the routers that are lost: they do not halt the release a second time.
+        // The operator knows of the lost routers, so they must not halt the release again.
         let lost = snapshot.lost_count();
         snapshot.settings.max_lost_routers = snapshot.settings.max_lost_routers.max(lost);
-        self.routers.values_mut().for_each(|driver| driver.stats = RequestStats::default());
-        self.settled_at = None;
+        self.routers.values_mut().for_each(|transient| transient.stats = RequestStats::default());
+        self.observed_since = None;
         actions.push(Action::Persist);
     }
 
     fn drop_open_requests(&mut self) {
-        self.routers.values_mut().for_each(|driver| driver.open_request = None);
+        self.routers.values_mut().for_each(|transient| transient.open_request = None);
     }
 
-    /// What follows from the time or from what an event has changed.
+    /// Applies timeouts and starts whatever the present state requires.
     fn advance(&mut self, now: Time, actions: &mut Vec<Action>) {
-        self.give_up_overdue(now, actions);
+        self.mark_overdue_routers(now, actions);
         match self.snapshot.phase {
             Phase::Running => self.advance_waves(now, actions),
             Phase::RollingBack => self.advance_rollback(actions),
             Phase::Halted(_) | Phase::Completed | Phase::RolledBack => {}
         }
-        self.drive_routers(now, actions);
+        self.send_due_requests(now, actions);
     }
 }
--- a/releases/src/release/rollback.rs
+++ b/releases/src/release/rollback.rs
@@ -1,10 +1,10 @@
-//! Rollback of a release, in waves too but without judging health.
+//! The rollback of a release, in waves but without evaluating health.
 use super::{Action, Release};
 use crate::{Phase, RouterState, RouterStep};
 use std::cmp::Reverse;
 
 impl Release {
-    /// The operator rolls the release back, or resumes a rollback that was halted.
+    /// Starts the rollback, or resumes it if it was halted.
     pub(super) fn roll_back(&mut self, actions: &mut Vec<Action>) {
         if self.snapshot.is_rollback || self.snapshot.phase == Phase::RolledBack {
             if matches!(self.snapshot.phase, Phase::Halted(_)) {
@@ -19,13 +19,14 @@
         snapshot.is_rollback = true;
         snapshot.next_wave_size = 1;
         snapshot.wave_zone = None;
-        // Routers that are out of service have reservations: they turn round first.
+        // Routers that are out of service already have reservations, so they are rolled back first.
         let out = snapshot.routers_at(RouterStep::Updating).map(|(name, _)| name.clone());
         snapshot.wave_routers = out.collect();
         actions.push(Action::Persist);
     }
 
-    /// Starts the next wave of the rollback once all routers of the present one are back or given up.
+    /// Starts the next wave of the rollback when each router of the present one is rolled back or has failed
+    /// to.
     pub(super) fn advance_rollback(&mut self, actions: &mut Vec<Action>) {
         let snapshot = &mut self.snapshot;
         let has_ended =
@@ -38,7 +39,7 @@
         }
         let mut order: Vec<(&String, &RouterState)> = snapshot.routers_at(RouterStep::Updated).collect();
         order.sort_by_key(|(_, state)| Reverse(state.wave));
-        // Lost routers last: each may cost a whole update timeout.
+        // Lost routers are last, because each may take a whole update timeout.
         order.extend(snapshot.routers_at(RouterStep::Lost));
         let wave = order.into_iter().take(snapshot.next_wave_size as usize);
         let wave_routers = wave.map(|(name, _)| name.clone()).collect();
--- a/releases/src/release/verdict.rs
+++ b/releases/src/release/verdict.rs
@@ -1,21 +1,21 @@
-//! Judges updated routers by their request statistics.
+//! Evaluates updated routers by their request statistics.
 use crate::{HealthSettings, RequestStats};
 
-/// What the statistics say of an updated router.
+/// The result of evaluating an updated router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Verdict {
-    /// Not worse.
+    /// The statistics are not worse.
     Healthy,
-    /// Worse since its update, and the routers that are not updated are not.
+    /// The statistics are worse since the update, and those of routers not updated are not.
     Regressed,
-    /// Worse than before its update, and so are the routers that are not updated.
+    /// The statistics are worse than before the update, but so are those of routers not updated.
     FleetDegraded,
-    /// Too few requests to judge.
+    /// There are too few requests to evaluate.
     Undecided,
 }
 
-/// Compares a router with itself before its update and with the routers that are not updated.
-pub(super) fn judge(
+/// Compares a router's statistics with those before its update and with those of routers not updated.
+pub(super) fn evaluate(
     health: &HealthSettings,
     stats: &RequestStats,
     baseline: &RequestStats,
--- a/releases/src/release/waves.rs
+++ b/releases/src/release/waves.rs
@@ -1,33 +1,34 @@
-//! Waves of the rollout: which routers are next, and whether the present wave is healthy.
-use super::verdict::{Verdict, judge};
+//! The waves of the rollout: selects the routers of the next wave and evaluates the health of the present
+//! one.
+use super::verdict::{Verdict, evaluate};
 use super::{Action, Release};
 use crate::{HaltReason, Phase, RequestStats, RouterState, RouterStep};
 use decision::Time;
 use std::collections::BTreeMap;
 
-/// Statistics of the routers that are not updated.
+/// The statistics of the routers that are not updated.
 #[derive(Default)]
 struct ControlGroup<'a> {
     fleet: RequestStats,
     zones: BTreeMap<&'a str, RequestStats>,
 }
 
-/// Names of updated routers by their verdicts.
+/// The names of updated routers, by verdict.
 #[derive(Default)]
 struct Verdicts {
     regressed: Vec<String>,
     fleet_degraded: Vec<String>,
-    /// Routers of the present wave only.
+    /// Contains only routers of the present wave.
     undecided: Vec<String>,
     /// Whether a router of the present wave is healthy.
     any_healthy: bool,
 }
 
 impl Release {
-    /// Judges the present wave, and starts the next one if it has ended.
+    /// Evaluates the present wave and starts the next one if it has ended.
     pub(super) fn advance_waves(&mut self, now: Time, actions: &mut Vec<Action>) {
         if !self.snapshot.wave_routers.is_empty() {
-            self.judge_wave(now, actions);
+            self.evaluate_wave(now, actions);
         }
         if self.snapshot.phase == Phase::Running && self.snapshot.wave_routers.is_empty() {
             self.start_wave(actions);
@@ -43,7 +44,7 @@
             actions.extend([Action::Persist, Action::Completed]);
             return;
         };
-        // What a version does in one zone only shows at one router of it first.
+        // A fault that occurs in only one zone then affects only one router of it at first.
         if snapshot.wave_zone.as_ref() != Some(&zone) {
             snapshot.next_wave_size = 1;
         }
@@ -56,12 +57,12 @@
             snapshot.wave_routers.insert(name.clone());
         }
         snapshot.wave_zone = Some(zone);
-        self.settled_at = None;
+        self.observed_since = None;
         actions.push(Action::Persist);
     }
 
-    /// Halts the release if routers are worse, and ends the wave once it was observed long enough.
-    fn judge_wave(&mut self, now: Time, actions: &mut Vec<Action>) {
+    /// Halts the release if routers are worse, and ends the wave when it has been observed long enough.
+    fn evaluate_wave(&mut self, now: Time, actions: &mut Vec<Action>) {
         let mut verdicts = self.verdicts();
         if !verdicts.regressed.is_empty() {
             return self.halt(HaltReason::Regressed(verdicts.regressed), actions);
@@ -70,20 +71,20 @@
             return;
         }
         let health = self.snapshot.settings.health;
-        let settled_at = *self.settled_at.get_or_insert(now);
+        let observed_since = *self.observed_since.get_or_insert(now);
         let all_lost = !self.any_of_wave(|step| step != RouterStep::Lost);
-        if now.0 >= settled_at.0 + health.health_timeout {
+        if now.0 >= observed_since.0 + health.health_timeout {
             if !verdicts.fleet_degraded.is_empty() {
                 return self.halt(HaltReason::FleetDegraded(verdicts.fleet_degraded), actions);
             }
-            if !self.may_give_up(&verdicts) {
+            if !self.may_mark_lost(&verdicts) {
                 return self.halt(HaltReason::RoutersLost(verdicts.undecided), actions);
             }
-            self.give_up(&verdicts.undecided);
+            self.mark_lost(&verdicts.undecided);
             verdicts.undecided.clear();
         }
         let is_healthy = verdicts.undecided.is_empty() && verdicts.fleet_degraded.is_empty();
-        if all_lost || (is_healthy && now.0 >= settled_at.0 + health.observation_time) {
+        if all_lost || (is_healthy && now.0 >= observed_since.0 + health.observation_time) {
             self.end_wave(all_lost, actions);
         }
     }
@@ -92,14 +93,14 @@
         self.snapshot.wave_routers.iter().any(|name| is_at(self.snapshot.step(name)))
     }
 
-    /// Whether the release can go on without the undecided routers of the wave.
-    fn may_give_up(&self, verdicts: &Verdicts) -> bool {
+    /// Whether the release can continue without the undecided routers of the wave.
+    fn may_mark_lost(&self, verdicts: &Verdicts) -> bool {
         let lost = self.snapshot.lost_count() as usize + verdicts.undecided.len();
         let max_lost = self.snapshot.settings.max_lost_routers as usize;
         verdicts.undecided.is_empty() || (verdicts.any_healthy && lost <= max_lost)
     }
 
-    fn give_up(&mut self, names: &[String]) {
+    fn mark_lost(&mut self, names: &[String]) {
         for name in names {
             if let Some(state) = self.snapshot.routers.get_mut(name) {
                 state.step = RouterStep::Lost;
@@ -109,8 +110,8 @@
 
     fn end_wave(&mut self, all_lost: bool, actions: &mut Vec<Action>) {
         self.snapshot.wave_routers.clear();
-        self.settled_at = None;
-        // A wave that was lost as a whole has shown nothing: the next is no larger.
+        self.observed_since = None;
+        // If the whole wave was lost, nothing is known about the version, so the next wave does not grow.
         if !all_lost {
             self.snapshot.grow_wave();
         }
@@ -132,10 +133,10 @@
         let control = self.control_group();
         let mut verdicts = Verdicts::default();
         for (name, state) in self.snapshot.routers_at(RouterStep::Updated) {
-            let of_zone = control.zones.get(state.zone.as_str());
-            let reference = of_zone.filter(|stats| health.is_significant(stats)).unwrap_or(&control.fleet);
+            let zone_stats = control.zones.get(state.zone.as_str());
+            let reference = zone_stats.filter(|stats| health.is_significant(stats)).unwrap_or(&control.fleet);
             let in_wave = self.snapshot.wave_routers.contains(name);
-            match judge(&health, &self.routers[name].stats, &state.baseline, reference) {
+            match evaluate(&health, &self.routers[name].stats, &state.baseline, reference) {
                 Verdict::Regressed => verdicts.regressed.push(name.clone()),
                 Verdict::FleetDegraded => verdicts.fleet_degraded.push(name.clone()),
                 Verdict::Undecided if in_wave => verdicts.undecided.push(name.clone()),
--- a/releases/src/reservation.rs
+++ b/releases/src/reservation.rs
@@ -1,9 +1,9 @@
-//! Reservations of the disruption budget: what is out of service, and who took it out.
+//! Reservations of the disruption budget: permissions to take a member out of service.
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Kind of a member.
+/// The kind of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum TargetKind {
     /// A router.
@@ -17,33 +17,33 @@
 pub struct Target {
     /// Its kind.
     pub kind: TargetKind,
-    /// Its name, which does not change when it restarts.
+    /// Its name, which remains the same after a restart.
     pub name: String,
 }
 
 /// All members of the fleet, each with its zone.
 pub type Members = BTreeMap<Target, String>;
 
-/// Identifies one grant of a reservation.
+/// Identifies one grant of a reservation; renewals get a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantId(pub u64);
 
-/// Identifies one request for a reservation; the answer has the same.
+/// Identifies one request for a reservation; the response contains the same ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A member that is out of service within the budget.
+/// Permission for a member to be out of service, counted in the budget.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reservation {
-    /// What is out.
+    /// The member that is out of service.
     #[serde(rename = "unit")]
     pub target: Target,
     /// Its zone when the reservation was granted.
     pub zone: String,
-    /// Who reserved it.
+    /// The owner of the reservation.
     pub owner: String,
-    /// Identifies the latest grant: a grant that renews has a new one, so that a late return of an earlier grant changes
-    /// nothing.
+    /// The latest grant. A renewal gets a new grant ID, so that a delayed return of an earlier grant has no
+    /// effect.
     #[serde(rename = "number")]
     pub grant: GrantId,
 }
@@ -51,33 +51,35 @@
 /// Why a reservation is denied.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ReservationError {
-    /// The fleet has no such member.
-    #[error("'{0}' is no member of the fleet: see `fleet status` for the names")]
+    /// The target is not a member of the fleet.
+    #[error("'{0}' is not a member of the fleet: `fleet status` lists the members")]
     UnknownTarget(String),
-    /// Another owner has reserved it.
-    #[error("'{target}' is out for '{owner}': wait until it has returned its reservation")]
+    /// Another owner has reserved the member.
+    #[error("'{target}' is reserved by '{owner}': retry after the reservation is returned")]
     AlreadyReserved {
-        /// Name of the member.
+        /// The name of the member.
         target: String,
-        /// Who has reserved it.
+        /// The owner that has reserved it.
         owner: String,
     },
     /// The zone's limit is reached.
-    #[error("{out} of at most {limit} are out in zone '{zone}': try again once one is back")]
+    #[error(
+        "{out} of at most {limit} members are out of service in zone '{zone}': retry after one has returned"
+    )]
     ZoneBudgetExhausted {
         /// The zone.
         zone: String,
-        /// Members that are out in it.
+        /// The number of members in the zone that are out of service.
         out: usize,
-        /// Members that may be out in it.
+        /// The number of members in the zone that may be out of service.
         limit: usize,
     },
     /// The fleet's limit is reached.
-    #[error("{out} of at most {limit} are out in the fleet: try again once one is back")]
+    #[error("{out} of at most {limit} members are out of service in the fleet: retry after one has returned")]
     FleetBudgetExhausted {
-        /// Members that are out.
+        /// The number of members that are out of service.
         out: usize,
-        /// Members that may be out.
+        /// The number of members that may be out of service.
         limit: usize,
     },
 }
--- a/releases/src/settings.rs
+++ b/releases/src/settings.rs
@@ -1,38 +1,38 @@
-//! How a release is carried out.
+//! Settings of a release.
 use crate::health::HealthSettings;
 use crate::plan_error::PlanError;
 use decision::Micros;
 use serde::{Deserialize, Serialize};
 
-/// How a release is carried out.
+/// Settings of a release.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// Each wave of a zone may have this many times the routers of the one before; the first has one.
+    /// The factor by which waves of a zone grow; the first wave has one router.
     #[serde(rename = "growth")]
     pub wave_growth: u32,
-    /// Routers of a wave, at most.
+    /// The largest number of routers in a wave.
     #[serde(rename = "largest")]
     pub max_wave_size: u32,
-    /// Lease of a reservation as the ledger has it, in microseconds.
+    /// The lease of a reservation, as in the ledger, in microseconds.
     pub lease: Micros,
-    /// A router that is not back after this time is lost, in microseconds; less than the lease.
+    /// A router that is not in service again after this time is lost, in microseconds. Less than the lease.
     #[serde(rename = "moving")]
     pub update_timeout: Micros,
-    /// A request or an update without an answer is repeated after this time, in microseconds.
+    /// A request or an update without a response is repeated after this time, in microseconds.
     #[serde(rename = "retry")]
     pub retry_interval: Micros,
-    /// More lost routers than this halt the release.
+    /// The release halts if more routers than this are lost.
     #[serde(rename = "spare")]
     pub max_lost_routers: u32,
-    /// What counts as healthy.
+    /// The criteria for a healthy router.
     pub health: HealthSettings,
 }
 
 impl Settings {
-    /// Checks that a release can be carried out with these settings.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// [`PlanError::InvalidSetting`] for the first setting that can't be used.
+    /// [`PlanError::InvalidSetting`] for the first setting that is out of range.
     pub fn check(&self) -> Result<(), PlanError> {
         require(self.wave_growth >= 1, "growth", "at least 1", self.wave_growth)?;
         require(self.max_wave_size >= 1, "largest", "at least 1", self.max_wave_size)?;
@@ -52,19 +52,19 @@
         require(
             (0.0..1.0).contains(&health.max_error_rate_increase),
             "health.errors",
-            "a share from 0 to below 1",
+            "a fraction from 0 to less than 1",
             health.max_error_rate_increase,
         )?;
         require(
             health.max_latency_factor >= 1.0 && health.max_latency_factor.is_finite(),
             "health.latency",
-            "a factor from 1 on",
+            "a finite factor of at least 1",
             health.max_latency_factor,
         )?;
         require(
             health.observation_time >= 1 && health.health_timeout > health.observation_time,
             "health.patience",
-            "more than the watch, which is more than 0",
+            "more than 'health.watch', which must be more than 0",
             health.health_timeout,
         )
     }
--- a/releases/src/stats.rs
+++ b/releases/src/stats.rs
@@ -1,26 +1,27 @@
 //! Request statistics of routers.
 use serde::{Deserialize, Serialize};
 
-/// What a router counted over some time.
+/// The requests that a router counted over a period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RequestStats {
-    /// Requests that ended.
+    /// The number of completed requests, including failed ones.
     pub requests: u64,
-    /// Requests that failed.
+    /// The number of failed requests.
     pub errors: u64,
-    /// Sum of the requests' latencies in microseconds.
+    /// The sum of the requests' latencies in microseconds.
     #[serde(rename = "latency")]
     pub latency_sum: u64,
 }
 
 impl RequestStats {
-    pub(crate) fn add(&mut self, more: RequestStats) {
-        self.requests = self.requests.saturating_add(more.requests);
-        self.errors = self.errors.saturating_add(more.errors.min(more.requests));
-        self.latency_sum = self.latency_sum.saturating_add(more.latency_sum);
+    pub(crate) fn add(&mut self, other: RequestStats) {
+        self.requests = self.requests.saturating_add(other.requests);
+        self.errors = self.errors.saturating_add(other.errors.min(other.requests));
+        self.latency_sum = self.latency_sum.saturating_add(other.latency_sum);
     }
 
-    /// Halves the statistics until they count at most `max_requests`, so that older requests weigh less.
+    /// Halves the statistics until they count at most `max_requests`, so that older requests have less
+    /// weight.
     pub(crate) fn decay(&mut self, max_requests: u64) {
         while self.requests > max_requests.max(1) {
             self.requests /= 2;
--- a/releases/src/version.rs
+++ b/releases/src/version.rs
@@ -1,19 +1,19 @@
-//! What is released.
+//! The version that a release rolls out.
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What is released.
+/// The version that a release rolls out.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Version {
-    /// A configuration, by its revision in the store.
+    /// A configuration, identified by its revision in the store.
     #[serde(rename = "Config")]
     Configuration(settings::fleet::Version),
-    /// A program, by its name.
+    /// A program, identified by its version name.
     Program(String),
 }
 
 impl Version {
-    /// Whether both are configurations, or both programs.
+    /// Whether both are configurations or both are programs.
     pub(crate) fn is_same_kind(&self, other: &Version) -> bool {
         matches!(self, Version::Configuration(_)) == matches!(other, Version::Configuration(_))
     }
--- a/releases/tests/releases/health.rs
+++ b/releases/tests/releases/health.rs
@@ -1,4 +1,4 @@
-//! Judgement of updated routers by their statistics.
+//! Tests how updated routers are evaluated by their statistics.
 use crate::sim::{SECOND, plan, settings, target_version};
 use decision::Time;
 use releases::{Action, Event, GrantId, HaltReason, Phase, Release, RequestStats};
@@ -13,7 +13,7 @@
     Event::StatsReported { router: format!("r{router}"), stats }
 }
 
-/// A release of three routers in one zone with these statistics, of which the first is updated.
+/// Creates a release of three routers in one zone with these statistics, and updates the first router.
 fn release_with_one_updated(baseline: RequestStats) -> (Release, Vec<Action>) {
     let routers = (0..3).map(|i| (format!("r{i}"), "z".to_string())).collect();
     let mut release = Release::new(plan(&routers), settings()).unwrap();
@@ -33,16 +33,16 @@
     (release, actions)
 }
 
-/// What a release of three routers does when one is updated.
+/// The phases of a release of three routers after one of them was updated.
 #[derive(Debug, PartialEq)]
-struct Judgement {
+struct Evaluation {
     first_phase: Phase,
     wave_after_observation: u32,
     phase_after_health_timeout: Phase,
 }
 
-/// The judgement if the updated router and the others then have these statistics.
-fn judge(updated: RequestStats, others: RequestStats) -> Judgement {
+/// Runs the release with these statistics of the updated router and of the others.
+fn evaluate(updated: RequestStats, others: RequestStats) -> Evaluation {
     let (mut release, mut actions) = release_with_one_updated(stats(1000, 2, 1000));
     release.handle(Time(3), reported(0, updated), &mut actions);
     for i in 1..3 {
@@ -54,29 +54,33 @@
     let wave_after_observation = release.snapshot().wave;
     release.handle(Time(4 + 91 * SECOND), Event::Tick, &mut actions);
     let phase_after_health_timeout = release.phase().clone();
-    Judgement { first_phase, wave_after_observation, phase_after_health_timeout }
+    Evaluation { first_phase, wave_after_observation, phase_after_health_timeout }
 }
 
 #[test]
-fn updated_router_is_judged_by_its_baseline_and_by_routers_not_updated() {
+fn updated_router_is_compared_with_its_baseline_and_with_routers_not_updated() {
     let (healthy, failing, slow) = (stats(4000, 8, 1000), stats(4000, 400, 1000), stats(4000, 8, 2000));
-    let halted_at_once = || {
+    let halted_immediately = || {
         let halted = Phase::Halted(HaltReason::Regressed(vec!["r0".into()]));
         let first_phase = halted.clone();
-        Judgement { first_phase, wave_after_observation: 1, phase_after_health_timeout: halted }
+        Evaluation { first_phase, wave_after_observation: 1, phase_after_health_timeout: halted }
     };
-    assert_eq!(judge(failing, healthy), halted_at_once(), "errors");
-    assert_eq!(judge(slow, healthy), halted_at_once(), "latency");
-    assert_eq!(judge(healthy, healthy).wave_after_observation, 2, "the next wave after the observation");
-    let halted_after_timeout = |reason| Judgement {
+    assert_eq!(evaluate(failing, healthy), halted_immediately(), "errors");
+    assert_eq!(evaluate(slow, healthy), halted_immediately(), "latency");
+    assert_eq!(
+        evaluate(healthy, healthy).wave_after_observation,
+        2,
+        "the next wave starts after the observation time"
+    );
+    let halted_after_timeout = |reason| Evaluation {
         first_phase: Phase::Running,
         wave_after_observation: 1,
         phase_after_health_timeout: Phase::Halted(reason),
     };
-    // All are worse: not the version alone, yet no time to continue.
+    // All routers are worse: the version may not be the cause, but the release must not continue.
     let degraded = HaltReason::FleetDegraded(vec!["r0".into()]);
-    assert_eq!(judge(failing, failing), halted_after_timeout(degraded));
-    // Too few requests to judge.
+    assert_eq!(evaluate(failing, failing), halted_after_timeout(degraded));
+    // Too few requests to evaluate.
     let lost = HaltReason::RoutersLost(vec!["r0".into()]);
-    assert_eq!(judge(stats(499, 400, 1000), healthy), halted_after_timeout(lost));
+    assert_eq!(evaluate(stats(499, 400, 1000), healthy), halted_after_timeout(lost));
 }
--- a/releases/tests/releases/ledger.rs
+++ b/releases/tests/releases/ledger.rs
@@ -1,4 +1,4 @@
-//! The budget ledger alone.
+//! Tests the budget ledger on its own.
 use crate::sim::{limits, target};
 use decision::{Micros, Time};
 use releases::{
@@ -9,7 +9,7 @@
 const REQUEST: RequestId = RequestId(7);
 const LEASE: Micros = 100;
 
-fn same_for_all(limits: Limits) -> DisruptionBudget {
+fn same_for_both_kinds(limits: Limits) -> DisruptionBudget {
     DisruptionBudget { routers: limits, instances: limits }
 }
 
@@ -18,10 +18,10 @@
     (0..6).map(|i| (target(TargetKind::Router, &format!("r{i}")), format!("z{}", i % 2))).collect()
 }
 
-/// A ledger of six routers, two of which may be out in a zone.
+/// A ledger of six routers, of which two per zone may be out of service.
 fn ledger(fleet_limit: u32) -> BudgetLedger {
     let limits = limits(Limit::Count(fleet_limit), Limit::Count(2));
-    BudgetLedger::new(same_for_all(limits), LEASE, members())
+    BudgetLedger::new(same_for_both_kinds(limits), LEASE, members())
 }
 
 fn acquire(ledger: &mut BudgetLedger, at: i64, owner: &str, router: &str) -> Option<GrantId> {
@@ -36,34 +36,34 @@
 }
 
 #[test]
-fn two_owners_at_once_stay_within_the_budget() {
+fn two_owners_together_stay_within_budget() {
     let mut ledger = ledger(3);
     let mut granted = Vec::new();
     for i in 0..3 {
         granted.push(acquire(&mut ledger, 0, "anna", &format!("r{i}")).is_some());
         granted.push(acquire(&mut ledger, 0, "ben", &format!("r{}", i + 3)).is_some());
     }
-    // r0 z0, r3 z1, r1 z1, then all three are out.
+    // r0 in z0, r3 and r1 in z1: then the fleet's limit of three is reached.
     assert_eq!(granted, [true, true, true, false, false, false]);
-    assert!(acquire(&mut ledger, 0, "ben", "r0").is_none(), "reserved by anna");
+    assert!(acquire(&mut ledger, 0, "ben", "r0").is_none(), "r0 is already reserved by anna");
 }
 
 #[test]
-fn reservation_expires_with_its_lease_and_never_sooner() {
+fn reservation_expires_exactly_with_its_lease() {
     let mut ledger = ledger(1);
     let grant = acquire(&mut ledger, 0, "anna", "r0").unwrap();
     assert!(acquire(&mut ledger, 99, "ben", "r1").is_none());
     let renew = LedgerEvent::Renew { target: target(TargetKind::Router, "r0"), grant };
     ledger.handle(Time(99), renew, &mut Vec::new());
     assert!(acquire(&mut ledger, 198, "ben", "r1").is_none());
-    // A new leader does not know how much of the lease is over.
+    // A new leader does not know how much of the lease has elapsed.
     let mut ledger = BudgetLedger::restore(ledger.snapshot(), members(), Time(198)).unwrap();
     assert!(acquire(&mut ledger, 297, "ben", "r1").is_none());
     assert!(acquire(&mut ledger, 298, "ben", "r1").is_some());
 }
 
 #[test]
-fn late_return_of_an_earlier_grant_frees_nothing() {
+fn delayed_return_of_earlier_grant_has_no_effect() {
     let mut ledger = ledger(1);
     let first = acquire(&mut ledger, 0, "anna", "r0").unwrap();
     let second = acquire(&mut ledger, 1, "anna", "r0").unwrap();
@@ -75,30 +75,30 @@
 }
 
 #[test]
-fn lowered_budget_keeps_reservations_and_grants_no_new_ones() {
+fn lowered_budget_retains_reservations_and_denies_new_ones() {
     let mut ledger = ledger(3);
     assert!(
         acquire(&mut ledger, 0, "anna", "r0").is_some() && acquire(&mut ledger, 0, "anna", "r1").is_some()
     );
-    let lowered = same_for_all(limits(Limit::Count(1), Limit::Count(1)));
+    let lowered = same_for_both_kinds(limits(Limit::Count(1), Limit::Count(1)));
     ledger.handle(Time(1), LedgerEvent::BudgetChanged(lowered), &mut Vec::new());
     assert_eq!(ledger.usage(TargetKind::Router, None), BudgetUsage { out: 2, limit: 1 });
     assert!(acquire(&mut ledger, 2, "ben", "r2").is_none());
-    assert!(acquire(&mut ledger, 2, "anna", "r1").is_some(), "an owner may renew");
+    assert!(acquire(&mut ledger, 2, "anna", "r1").is_some(), "an owner may renew its reservation");
 }
 
 #[test]
-fn unusable_limit_is_refused_with_its_key() {
+fn invalid_limit_is_rejected_with_its_key() {
     let text = |fleet: &str| {
         format!(r#"{{"routers":{{"all":{fleet},"zone":1}},"instances":{{"all":"100%","zone":1}}}}"#)
     };
-    let read = |fleet| serde_json::from_str::<DisruptionBudget>(&text(fleet));
-    for unusable in ["0", "-1", r#""0%""#, r#""101%""#, r#""some""#, "0.5"] {
-        let error = read(unusable).unwrap_err().to_string();
-        assert!(error.contains("'budget.routers.all'"), "{unusable}: {error}");
+    let parse = |fleet| serde_json::from_str::<DisruptionBudget>(&text(fleet));
+    for invalid in ["0", "-1", r#""0%""#, r#""101%""#, r#""some""#, "0.5"] {
+        let error = parse(invalid).unwrap_err().to_string();
+        assert!(error.contains("'budget.routers.all'"), "{invalid}: {error}");
     }
-    let budget = read(r#""10%""#).unwrap();
+    let budget = parse(r#""10%""#).unwrap();
     assert_eq!((budget.routers.fleet.resolve(300), budget.routers.fleet.resolve(3)), (30, 1));
-    let written = serde_json::to_string(&budget).unwrap();
-    assert_eq!(serde_json::from_str::<DisruptionBudget>(&written).unwrap(), budget);
+    let serialized = serde_json::to_string(&budget).unwrap();
+    assert_eq!(serde_json::from_str::<DisruptionBudget>(&serialized).unwrap(), budget);
 }
--- a/releases/tests/releases/recorded_run.rs
+++ b/releases/tests/releases/recorded_run.rs
@@ -1,5 +1,6 @@
-//! A recorded run: seeded events in, the actions and the stored state out, compared with what was recorded before any
-//! name of this package changed. One run is readable, many more are kept as hashes, and so are whole played releases.
+//! Runs random events with fixed seeds and compares the actions and the stored state with recorded output,
+//! which was written before this package's identifiers were renamed. One run is recorded as text; many more,
+//! and whole simulated releases, as hashes.
 use crate::sim::{
     BadVersion, SECOND, Scenario, Simulation, last_good, limits, plan, settings, target, target_version,
 };
@@ -19,10 +20,10 @@
 const ROUTERS: u64 = 9;
 const ZONES: u64 = 3;
 const OWNERS: [&str; 2] = ["anna", "ben"];
-const READABLE_STEPS: u32 = 500;
+const TEXT_STEPS: u32 = 500;
 const HASHED_STEPS: u32 = 1000;
 const HASHED_SEEDS: u64 = 24;
-const PLAYED_SEEDS: u64 = 8;
+const SIMULATED_SEEDS: u64 = 8;
 
 fn router_name(random: &mut SplitMix64) -> String {
     format!("r{}", random.below(ROUTERS))
@@ -61,22 +62,22 @@
     members
 }
 
-/// A budget ledger under random events.
+/// Runs random events on a budget ledger and records its actions.
 fn record_ledger(seed: u64, steps: u32) -> String {
     let mut random = SplitMix64::new(seed);
-    let mut members_now = members(&mut random);
-    let mut ledger = BudgetLedger::new(budget(3, 50), 20 * SECOND, members_now.clone());
+    let mut current_members = members(&mut random);
+    let mut ledger = BudgetLedger::new(budget(3, 50), 20 * SECOND, current_members.clone());
     let (mut now, mut lines) = (0, String::new());
     for request in (0..u64::from(steps)).map(RequestId) {
         now += random.time_below(2 * SECOND);
         let router = target(TargetKind::Router, &router_name(&mut random));
         let target = if random.one_in(10) { target(TargetKind::Instance, "i0") } else { router };
-        let latest = ledger.reservations().map(|found| found.grant).max().unwrap_or(GrantId(0));
+        let latest = ledger.reservations().map(|reservation| reservation.grant).max().unwrap_or(GrantId(0));
         let grant = GrantId(latest.0.saturating_sub(random.below(4)));
         let event = match random.below(12) {
             0 => {
-                members_now = members(&mut random);
-                LedgerEvent::MembersChanged(members_now.clone())
+                current_members = members(&mut random);
+                LedgerEvent::MembersChanged(current_members.clone())
             }
             1 => LedgerEvent::BudgetChanged(budget(1 + random.below(4) as u32, 10 + random.below(90) as u32)),
             2..=6 => {
@@ -104,21 +105,21 @@
         }
         writeln!(lines, "{now} state {}", hash_of(&ledger.snapshot())).unwrap();
         if random.one_in(60) {
-            ledger = BudgetLedger::restore(ledger.snapshot(), members_now.clone(), Time(now)).unwrap();
+            ledger = BudgetLedger::restore(ledger.snapshot(), current_members.clone(), Time(now)).unwrap();
             writeln!(lines, "{now} rebuilt").unwrap();
         }
     }
     lines
 }
 
-/// A release under random events, with the requests that it has open.
+/// A release with random events.
 struct ReleaseRun {
     random: SplitMix64,
     now: Micros,
     release: Release,
-    open: Vec<(String, RequestId)>,
+    open_requests: Vec<(String, RequestId)>,
     last_grant: u64,
-    /// Updates that no router has answered.
+    /// Updates that no router has responded to.
     updating: Vec<(String, Version)>,
     lines: String,
     last_state: String,
@@ -135,7 +136,7 @@
             random: SplitMix64::new(seed),
             now: 0,
             release,
-            open: Vec::new(),
+            open_requests: Vec::new(),
             last_grant: 1,
             updating: Vec::new(),
             lines: String::new(),
@@ -143,7 +144,7 @@
         }
     }
 
-    fn line(&mut self, text: &str) {
+    fn write_line(&mut self, text: &str) {
         writeln!(self.lines, "{} {text}", self.now).unwrap();
     }
 
@@ -156,13 +157,13 @@
         }
     }
 
-    fn act(&mut self, actions: Vec<Action>) {
+    fn record_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             let text = match action {
                 Action::Persist => format!("record {}", hash_of(self.release.snapshot())),
                 Action::Acquire { router, request } => {
                     let text = format!("ask {} for {router}", request.0);
-                    self.open.push((router, request));
+                    self.open_requests.push((router, request));
                     text
                 }
                 Action::Update { router, version, grant, timeout } => {
@@ -174,22 +175,25 @@
                 Action::Completed => "done".into(),
                 Action::RolledBack => "undone".into(),
             };
-            self.line(&text);
+            self.write_line(&text);
         }
     }
 
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.release.handle(Time(self.now), event, &mut actions);
-        self.act(actions);
+        self.record_actions(actions);
     }
 
-    fn answer(&mut self) -> Event {
-        let Some(last) = self.open.len().checked_sub(1) else { return Event::Tick };
+    fn random_response(&mut self) -> Event {
+        let Some(last) = self.open_requests.len().checked_sub(1) else { return Event::Tick };
         let i = last - (self.random.below(3) as usize).min(last);
-        // An answer may come twice.
-        let (router, request) =
-            if self.random.one_in(5) { self.open[i].clone() } else { self.open.swap_remove(i) };
+        // A response may be duplicated.
+        let (router, request) = if self.random.one_in(5) {
+            self.open_requests[i].clone()
+        } else {
+            self.open_requests.swap_remove(i)
+        };
         if self.random.one_in(10) {
             let reason = match self.random.below(6) {
                 0 => ReservationError::UnknownTarget(router.clone()),
@@ -202,8 +206,8 @@
         Event::Granted { router, request, grant: GrantId(self.last_grant) }
     }
 
-    /// A router is back: one of those instructed to update, or now and then another.
-    fn updated(&mut self) -> Event {
+    /// Draws a router that is in service again: usually one instructed to update, sometimes another.
+    fn random_update(&mut self) -> Event {
         if self.updating.is_empty() || self.random.one_in(12) {
             let version = if self.random.one_in(2) { last_good() } else { target_version() };
             return Event::Updated { router: router_name(&mut self.random), version };
@@ -213,7 +217,7 @@
         Event::Updated { router, version }
     }
 
-    /// Statistics of every router; those at the target are worse now and then.
+    /// Reports statistics of every router; sometimes those of the first four have many errors.
     fn report_stats(&mut self) {
         let bad = self.random.one_in(25);
         for i in 0..ROUTERS {
@@ -226,16 +230,16 @@
     }
 
     fn step(&mut self) {
-        let longest = if self.random.one_in(40) { 40 * SECOND } else { 2 * SECOND };
-        self.now += self.random.time_below(longest);
+        let max_delay = if self.random.one_in(40) { 40 * SECOND } else { 2 * SECOND };
+        self.now += self.random.time_below(max_delay);
         match self.random.below(160) {
             0..=19 => self.report_stats(),
             20..=69 => {
-                let event = self.answer();
+                let event = self.random_response();
                 self.handle(event);
             }
             70..=119 => {
-                let event = self.updated();
+                let event = self.random_update();
                 self.handle(event);
             }
             120 => self.handle(Event::Halt),
@@ -244,42 +248,42 @@
             128 | 129 => {
                 let mut actions = Vec::new();
                 self.release = Release::restore(self.release.snapshot().clone(), &mut actions).unwrap();
-                self.line("rebuilt");
-                self.act(actions);
+                self.write_line("rebuilt");
+                self.record_actions(actions);
             }
             _ => self.handle(Event::Tick),
         }
         let text = format!("state {} {}", hash_of(self.release.snapshot()), json(self.release.phase()));
         if text != self.last_state {
-            self.line(&text);
+            self.write_line(&text);
             self.last_state = text;
         }
     }
 }
 
-/// Releases one after the other: an ended one is followed by another.
+/// Runs random events on a release, and on another one after it has ended.
 fn record_releases(seed: u64, steps: u32) -> String {
     let mut run = ReleaseRun::new(seed);
     for step in 0..steps {
         run.step();
         if matches!(json(run.release.phase()).as_str(), "\"Done\"" | "\"Undone\"") && run.random.one_in(8) {
             run.release = ReleaseRun::new(seed + u64::from(step)).release;
-            run.open.clear();
-            run.line("another release");
+            run.open_requests.clear();
+            run.write_line("another release");
         }
     }
     run.lines
 }
 
-/// A fleet played with faults on all sides.
-fn play(seed: u64) -> String {
+/// Simulates a fleet with all kinds of faults.
+fn simulate(seed: u64) -> String {
     let bad_version = BadVersion { from_routers: 5, zone: None, error_rate: 0.2 };
     let scenario = Scenario {
-        update_death: if seed.is_multiple_of(2) { 0.0 } else { 0.03 },
+        update_failure: if seed.is_multiple_of(2) { 0.0 } else { 0.03 },
         bad_version: seed.is_multiple_of(4).then_some(bad_version),
         roll_back_at: (seed % 4 == 1).then_some(60 * SECOND),
         until: 1200 * SECOND,
-        ..Scenario::stormy(seed)
+        ..Scenario::with_faults(seed)
     };
     let simulation = Simulation::new(scenario).run();
     let outcome = &simulation.outcome;
@@ -298,28 +302,28 @@
 }
 
 #[test]
-fn readable_ledger_run_is_as_recorded() {
-    FIXTURES.assert_same("ledger-run.txt", record_ledger(1, READABLE_STEPS));
+fn ledger_run_matches_recorded_text() {
+    FIXTURES.assert_same("ledger-run.txt", record_ledger(1, TEXT_STEPS));
 }
 
 #[test]
-fn readable_release_run_is_as_recorded() {
-    FIXTURES.assert_same("release-run.txt", record_releases(1, READABLE_STEPS));
+fn release_run_matches_recorded_text() {
+    FIXTURES.assert_same("release-run.txt", record_releases(1, TEXT_STEPS));
 }
 
 #[test]
-fn hashed_runs_are_as_recorded() {
-    let mut found = String::new();
+fn runs_with_many_seeds_match_recorded_hashes() {
+    let mut output = String::new();
     for seed in 0..HASHED_SEEDS {
         let ledger = fnv1a(record_ledger(seed, HASHED_STEPS));
         let releases = fnv1a(record_releases(seed, HASHED_STEPS));
-        writeln!(found, "{seed} {ledger:016x} {releases:016x}").unwrap();
+        writeln!(output, "{seed} {ledger:016x} {releases:016x}").unwrap();
     }
-    FIXTURES.assert_same("run-hashes.txt", &found);
+    FIXTURES.assert_same("run-hashes.txt", &output);
 }
 
 #[test]
-fn played_fleets_end_as_recorded() {
-    let found: String = (0..PLAYED_SEEDS).map(play).collect();
-    FIXTURES.assert_same("played.txt", &found);
+fn simulated_fleets_match_recorded_results() {
+    let output: String = (0..SIMULATED_SEEDS).map(simulate).collect();
+    FIXTURES.assert_same("played.txt", &output);
 }
--- a/releases/tests/releases/reservations.rs
+++ b/releases/tests/releases/reservations.rs
@@ -1,9 +1,9 @@
-//! A release's requests for reservations, and answers that come late or twice.
+//! Tests a release's requests for reservations, and responses that are late or duplicated.
 use crate::sim::{last_good, plan, settings, target_version};
 use decision::Time;
 use releases::{Action, Event, GrantId, Phase, Release, RequestId, RouterStep};
 
-/// A release of one router, and its first request.
+/// Creates a release of one router and returns its first request.
 fn release_with_open_request() -> (Release, RequestId) {
     let routers = [("r0".to_string(), "z".to_string())].into();
     let mut release = Release::new(plan(&routers), settings()).unwrap();
@@ -18,7 +18,7 @@
         Action::Acquire { request, .. } => Some(*request),
         _ => None,
     });
-    request.expect("a request")
+    request.expect("no reservation was requested")
 }
 
 fn granted(request: RequestId, grant: u64) -> Event {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn grant_too_late_for_its_lease_is_returned() {
+fn grant_with_too_little_lease_left_is_returned() {
     let (mut release, request) = release_with_open_request();
     let late = Time(settings().lease - settings().update_timeout + 1);
     let mut actions = Vec::new();
@@ -43,7 +43,7 @@
     assert!(!has_update(&actions));
 }
 
-/// A grant for this request is returned and updates no router.
+/// Checks that a grant for this request is returned without an update.
 fn assert_grant_is_returned(release: &mut Release, request: RequestId) {
     let mut actions = Vec::new();
     release.handle(Time(9), granted(request, 5), &mut actions);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn grant_after_rollback_or_halt_updates_no_router() {
+fn grant_after_rollback_or_halt_is_returned_without_update() {
     for event in [Event::RollBack, Event::Halt] {
         let (mut release, request) = release_with_open_request();
         release.handle(Time(1), event, &mut Vec::new());
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn grant_for_a_router_that_came_back_meanwhile_updates_no_router() {
+fn grant_for_router_already_updated_is_returned_without_update() {
     let (mut release, request) = release_with_open_request();
     let mut actions = Vec::new();
     release.handle(Time(1), granted(request, 1), &mut actions);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn late_earlier_grant_does_not_replace_the_latest() {
+fn delayed_earlier_grant_does_not_replace_latest_grant() {
     let (mut release, request) = release_with_open_request();
     let mut actions = Vec::new();
     release.handle(Time(1), granted(request, 2), &mut actions);
@@ -87,24 +87,25 @@
 }
 
 #[test]
-fn reservation_granted_anew_to_a_router_that_is_out_stays_until_it_is_back() {
+fn renewed_reservation_is_retained_until_router_is_in_service() {
     let (mut release, request) = release_with_open_request();
     let mut actions = Vec::new();
     release.handle(Time(1), granted(request, 1), &mut actions);
     actions.clear();
-    // The request arrived twice, and so did the answer, with the latest grant.
+    // The request was duplicated, so there are two responses; the second one has the latest grant.
     release.handle(Time(2), granted(request, 2), &mut actions);
-    // Turned round, with an answer too late for a whole update.
+    // The router is rolled back during its update. The time left after the next response would be too short
+    // for a whole update.
     release.handle(Time(3), Event::RollBack, &mut actions);
     let late = 3 + settings().lease - settings().update_timeout + 1;
-    let first_return_request = last_request(&actions);
+    let first_rollback_request = last_request(&actions);
     let mut after_update = Vec::new();
     let updated = Event::Updated { router: "r0".into(), version: target_version() };
     release.handle(Time(4), updated, &mut after_update);
     assert!(after_update.contains(&returned(2)), "{after_update:?}");
-    // Sent back at once, and requested again by a restored driver.
+    // The router is rolled back immediately; a restored driver requests its reservation again.
     let request = last_request(&after_update);
-    assert_ne!(request, first_return_request);
+    assert_ne!(request, first_rollback_request);
     release.handle(Time(5), granted(request, 3), &mut actions);
     let mut release = Release::restore(release.snapshot().clone(), &mut actions).unwrap();
     release.handle(Time(6), Event::Tick, &mut actions);
--- a/releases/tests/releases/rollout.rs
+++ b/releases/tests/releases/rollout.rs
@@ -1,12 +1,16 @@
-//! Whole releases in a simulated fleet, each with one difficulty.
+//! Tests whole releases in a simulated fleet, each with one fault or operator action.
 use crate::sim::{BadVersion, SECOND, Scenario, Simulation, limits, target, target_version};
 use releases::{DisruptionBudget, Event, HaltReason, LedgerEvent, Limit, Phase, RouterStep, TargetKind};
 
-/// Runs to the end, which must come without a violation.
+/// Runs until the release has ended, and checks that there were no violations.
 fn run_to_end(simulation: Simulation) -> Simulation {
     let simulation = simulation.run();
     assert_eq!(simulation.outcome.violations, Vec::<String>::new());
-    assert!(simulation.outcome.ended_at.is_some(), "no end: {:?}", simulation.snapshot.phase);
+    assert!(
+        simulation.outcome.ended_at.is_some(),
+        "the release has not ended: {:?}",
+        simulation.snapshot.phase
+    );
     simulation
 }
 
@@ -16,16 +20,16 @@
 }
 
 #[test]
-fn good_version_reaches_all_routers() {
-    let simulation = run_to_end(Simulation::new(Scenario::calm(1)));
+fn good_version_is_rolled_out_to_all_routers() {
+    let simulation = run_to_end(Simulation::new(Scenario::without_faults(1)));
     assert_eq!((simulation.snapshot.phase, simulation.outcome.at_target), (Phase::Completed, 15));
-    // 1, 2, 2 in each of three zones of five.
+    // Each of three zones of five routers has waves of 1, 2 and 2.
     assert_eq!((simulation.snapshot.wave, simulation.outcome.halts.len()), (9, 0));
 }
 
 #[test]
-fn driver_killed_mid_wave_is_restored_where_it_was() {
-    let mut simulation = Simulation::new(Scenario::calm(2));
+fn driver_killed_during_wave_continues_after_restore() {
+    let mut simulation = Simulation::new(Scenario::without_faults(2));
     simulation.run_until_out(2);
     simulation.kill_driver();
     let simulation = run_to_end(simulation);
@@ -35,8 +39,8 @@
 }
 
 #[test]
-fn leader_lost_mid_wave_expires_no_reservation() {
-    let mut simulation = Simulation::new(Scenario::calm(3));
+fn leader_loss_during_wave_does_not_expire_reservations() {
+    let mut simulation = Simulation::new(Scenario::without_faults(3));
     simulation.run_until_out(2);
     simulation.lose_leader();
     let simulation = run_to_end(simulation);
@@ -45,8 +49,8 @@
 }
 
 #[test]
-fn router_disconnected_while_out_keeps_its_lease_and_halts_the_wave() {
-    let mut simulation = Simulation::new(Scenario { operator_reacts: false, ..Scenario::calm(4) });
+fn disconnection_of_updating_router_halts_release_after_timeout() {
+    let mut simulation = Simulation::new(Scenario { operator_reacts: false, ..Scenario::without_faults(4) });
     simulation.run_until_out(2);
     let name = router_out(&simulation);
     let until = simulation.now + 300 * SECOND;
@@ -57,11 +61,11 @@
 }
 
 #[test]
-fn router_that_never_comes_back_is_left_aside_by_the_rollback() {
-    let mut simulation = Simulation::new(Scenario { operator_reacts: false, ..Scenario::calm(5) });
+fn rollback_completes_without_router_that_does_not_return() {
+    let mut simulation = Simulation::new(Scenario { operator_reacts: false, ..Scenario::without_faults(5) });
     simulation.run_until_out(3);
     let name = router_out(&simulation);
-    simulation.nodes.get_mut(&name).unwrap().is_dead = true;
+    simulation.nodes.get_mut(&name).unwrap().has_failed = true;
     simulation.run_for(60 * SECOND);
     let halted = Phase::Halted(HaltReason::RoutersLost(vec![name.clone()]));
     assert_eq!(simulation.snapshot.phase, halted);
@@ -72,18 +76,18 @@
 }
 
 #[test]
-fn version_bad_in_one_zone_halts_there_and_is_rolled_back_everywhere() {
+fn version_failing_in_one_zone_halts_there_and_is_rolled_back_everywhere() {
     let bad_version = Some(BadVersion { from_routers: 0, zone: Some(1), error_rate: 0.1 });
-    let simulation = run_to_end(Simulation::new(Scenario { bad_version, ..Scenario::calm(6) }));
+    let simulation = run_to_end(Simulation::new(Scenario { bad_version, ..Scenario::without_faults(6) }));
     let halt = &simulation.outcome.halts[0];
-    // Three waves of the first zone, then one router of the second.
+    // Three waves in the first zone, then one router in the second.
     assert_eq!((halt.wave, &halt.reason), (4, &HaltReason::Regressed(vec!["r001".into()])));
     assert_eq!((simulation.snapshot.phase, simulation.outcome.at_target), (Phase::RolledBack, 0));
 }
 
 #[test]
-fn rollback_mid_wave_turns_updating_routers_round() {
-    let mut simulation = Simulation::new(Scenario::calm(7));
+fn rollback_during_wave_starts_with_updating_routers() {
+    let mut simulation = Simulation::new(Scenario::without_faults(7));
     simulation.run_until_out(3);
     let out: Vec<String> = simulation.routers_out().cloned().collect();
     simulation.handle_driver_event(Event::RollBack);
@@ -97,8 +101,8 @@
 }
 
 #[test]
-fn budget_lowered_mid_release_holds_from_then_on() {
-    let mut simulation = Simulation::new(Scenario::calm(8));
+fn budget_lowered_during_release_applies_to_later_updates() {
+    let mut simulation = Simulation::new(Scenario::without_faults(8));
     simulation.run_until_out(3);
     let limits = limits(Limit::Count(1), Limit::Count(1));
     simulation.set_budget(DisruptionBudget { routers: limits, instances: limits });
@@ -109,8 +113,8 @@
 }
 
 #[test]
-fn operators_halt_stops_new_updates_and_resume_continues() {
-    let mut simulation = Simulation::new(Scenario::calm(9));
+fn operator_halt_stops_new_updates_and_resume_continues() {
+    let mut simulation = Simulation::new(Scenario::without_faults(9));
     simulation.scenario.operator_reacts = false;
     simulation.run_until_out(3);
     simulation.handle_driver_event(Event::Halt);
@@ -123,19 +127,19 @@
 }
 
 #[test]
-fn router_that_left_the_fleet_is_not_waited_for() {
+fn release_does_not_wait_for_router_that_left_the_fleet() {
     for rolls_back in [false, true] {
-        let mut scenario = Scenario::calm(11);
+        let mut scenario = Scenario::without_faults(11);
         scenario.settings.max_lost_routers = 1;
         let mut simulation = Simulation::new(scenario);
         simulation.run_until_out(3);
         if rolls_back {
             simulation.handle_driver_event(Event::RollBack);
         }
-        // One that is neither out nor has a reservation: of the last wave, or of the first.
+        // A router that is in service and has no reservation: one of the last wave, or of the first.
         let name = if rolls_back { "r000" } else { "r014" };
         simulation.members.remove(&target(TargetKind::Router, name));
-        simulation.nodes.get_mut(name).unwrap().is_dead = true;
+        simulation.nodes.get_mut(name).unwrap().has_failed = true;
         let members = simulation.members.clone();
         simulation.handle_ledger_event(LedgerEvent::MembersChanged(members));
         let simulation = run_to_end(simulation);
@@ -149,12 +153,12 @@
 }
 
 #[test]
-fn wave_lost_as_a_whole_is_followed_by_one_no_larger() {
-    let mut scenario = Scenario::calm(12);
+fn next_wave_does_not_grow_after_whole_wave_is_lost() {
+    let mut scenario = Scenario::without_faults(12);
     scenario.settings.max_lost_routers = 1;
     let mut simulation = Simulation::new(scenario);
-    simulation.nodes.get_mut("r000").unwrap().is_dead = true;
+    simulation.nodes.get_mut("r000").unwrap().has_failed = true;
     let simulation = run_to_end(simulation);
-    let size = |wave| simulation.snapshot.routers.values().filter(|state| state.wave == wave).count();
-    assert_eq!((size(1), size(2), size(3)), (1, 1, 2));
+    let wave_size = |wave| simulation.snapshot.routers.values().filter(|state| state.wave == wave).count();
+    assert_eq!((wave_size(1), wave_size(2), wave_size(3)), (1, 1, 2));
 }
--- a/releases/tests/releases/snapshots.rs
+++ b/releases/tests/releases/snapshots.rs
@@ -1,4 +1,4 @@
-//! What can't be used is refused before anything is done.
+//! Tests that invalid plans, settings and snapshots are rejected before any action.
 use crate::sim::{Scenario, Simulation, plan, settings};
 use decision::Time;
 use releases::{
@@ -6,37 +6,37 @@
 };
 
 #[test]
-fn unknown_version_or_unusable_setting_starts_no_release() {
+fn unknown_version_or_invalid_setting_is_rejected() {
     let routers = [("r0".to_string(), "z0".to_string())].into();
-    let mut unknown = plan(&routers);
-    unknown.target_version = Version::Program("9".into());
+    let mut with_unknown_version = plan(&routers);
+    with_unknown_version.target_version = Version::Program("9".into());
     assert_eq!(
-        Release::new(unknown, settings()).unwrap_err(),
+        Release::new(with_unknown_version, settings()).unwrap_err(),
         PlanError::UnknownVersion(Version::Program("9".into()))
     );
-    let mut slow = settings();
-    slow.update_timeout = slow.lease;
-    let refused = Release::new(plan(&routers), slow);
-    assert!(matches!(refused, Err(PlanError::InvalidSetting { key: "moving", .. })));
+    let mut with_long_timeout = settings();
+    with_long_timeout.update_timeout = with_long_timeout.lease;
+    let result = Release::new(plan(&routers), with_long_timeout);
+    assert!(matches!(result, Err(PlanError::InvalidSetting { key: "moving", .. })));
     let mut without_zones = plan(&routers);
     without_zones.zone_order.clear();
-    let refused = Release::new(without_zones, settings());
-    assert!(matches!(refused, Err(PlanError::ZoneNotOrdered { .. })));
+    let result = Release::new(without_zones, settings());
+    assert!(matches!(result, Err(PlanError::ZoneNotOrdered { .. })));
 }
 
 #[test]
-fn snapshot_of_another_format_is_refused() {
-    let mut simulation = Simulation::new(Scenario::calm(1));
+fn snapshot_with_other_format_is_rejected() {
+    let mut simulation = Simulation::new(Scenario::without_faults(1));
     simulation.snapshot.format = 2;
     simulation.ledger_snapshot.format = 2;
-    let refused = Release::restore(simulation.snapshot, &mut Vec::new());
-    assert_eq!(refused.unwrap_err(), FormatError { found: 2 });
+    let result = Release::restore(simulation.snapshot, &mut Vec::new());
+    assert_eq!(result.unwrap_err(), FormatError { found: 2 });
     assert!(BudgetLedger::restore(simulation.ledger_snapshot, Members::new(), Time(0)).is_err());
 }
 
 #[test]
-fn snapshots_are_read_as_they_were_written() {
-    let mut simulation = Simulation::new(Scenario::calm(10));
+fn snapshots_round_trip() {
+    let mut simulation = Simulation::new(Scenario::without_faults(10));
     simulation.run_until_out(3);
     let text = serde_json::to_string(&simulation.snapshot).unwrap();
     assert_eq!(serde_json::from_str::<ReleaseSnapshot>(&text).unwrap(), simulation.snapshot);
--- a/releases/tests/releases/stored_forms.rs
+++ b/releases/tests/releases/stored_forms.rs
@@ -1,5 +1,5 @@
-//! Forms that are kept in the store, as they were written before any name of this package changed: they are read to the
-//! same values and written again byte for byte.
+//! Tests that values in the store are decoded and encoded exactly as recorded before this package's
+//! identifiers were renamed.
 use crate::sim::{self, SECOND};
 use releases::{
     DisruptionBudget, GrantId, HaltReason, LedgerSnapshot, Limit, Limits, Phase, ReleaseSnapshot,
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::fmt::Debug;
 
-fn is_stored_as<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, stored: &str) {
+fn assert_stored_form<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, stored: &str) {
     let stored = stored.trim_end();
     assert_eq!(serde_json::from_str::<T>(stored).unwrap(), *value);
     assert_eq!(serde_json::to_string(value).unwrap(), stored);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn budget_ledger_is_read_and_written_as_stored() {
+fn stored_form_of_ledger_is_stable() {
     let reservation = |kind, name: &str, grant| Reservation {
         target: Target { kind, name: name.into() },
         zone: "z1".into(),
@@ -42,7 +42,7 @@
             reservation(TargetKind::Instance, "i001", 8),
         ],
     };
-    is_stored_as(&ledger, include_str!("../fixtures/ledger.json"));
+    assert_stored_form(&ledger, include_str!("../fixtures/ledger.json"));
 }
 
 fn settings() -> Settings {
@@ -85,21 +85,21 @@
 }
 
 #[test]
-fn release_of_a_program_is_read_and_written_as_stored() {
+fn stored_form_of_program_release_is_stable() {
     let release = release(Phase::Running, Version::Program("1.0".into()), Version::Program("1.1".into()));
-    is_stored_as(&release, include_str!("../fixtures/release.json"));
+    assert_stored_form(&release, include_str!("../fixtures/release.json"));
 }
 
 #[test]
-fn release_of_a_configuration_is_read_and_written_as_stored() {
+fn stored_form_of_configuration_release_is_stable() {
     let mut release =
         release(Phase::RollingBack, Version::Configuration(41), Version::Configuration(u64::MAX));
     (release.is_rollback, release.wave_zone) = (true, None);
-    is_stored_as(&release, include_str!("../fixtures/undo.json"));
+    assert_stored_form(&release, include_str!("../fixtures/undo.json"));
 }
 
 #[test]
-fn phases_are_read_and_written_as_stored() {
+fn stored_form_of_phases_is_stable() {
     let names = || vec!["r001".to_string(), "r002".to_string()];
     let phases = vec![
         Phase::Running,
@@ -111,5 +111,5 @@
         Phase::Completed,
         Phase::RolledBack,
     ];
-    is_stored_as(&phases, include_str!("../fixtures/phases.json"));
+    assert_stored_form(&phases, include_str!("../fixtures/phases.json"));
 }
