--- a/placement/src/error.rs
+++ b/placement/src/error.rs
@@ -30,7 +30,7 @@
         group.0
     )]
     NoneInside {
-        /// The group.
+        /// The group that the request names.
         group: GroupId,
         /// The sites of the rule, as text.
         sites: String,
@@ -42,9 +42,9 @@
         group.0
     )]
     PrimaryOutside {
-        /// The group.
+        /// The group that the request names.
         group: GroupId,
-        /// The primary's name.
+        /// The name of the group's primary.
         primary: Arc<str>,
         /// The primary's site, as text. A site that is unknown or has just changed counts as outside.
         site: String,
--- a/placement/src/interface.rs
+++ b/placement/src/interface.rs
@@ -8,7 +8,7 @@
 /// How long a response that denies the primary role takes precedence over probes, in microseconds.
 const DEFAULT_DENIAL_TIME: Micros = 1_000_000;
 
-/// Settings of the state machine.
+/// The settings of the placement state machine.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The names of the request classes, by class number.
@@ -33,9 +33,9 @@
 pub enum RulesUpdate {
     /// A configuration was received. It is ignored unless it is newer than the present one.
     Received {
-        /// Its version.
+        /// The version of the configuration.
         version: Version,
-        /// The configuration.
+        /// The configuration, which contains the placement rules.
         fleet: Arc<Fleet>,
     },
     /// The present configuration is confirmed to be the current one until this time.
@@ -48,15 +48,15 @@
 /// An entry of the member list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name, which remains the same after a restart.
+    /// The name of the member, which remains the same after a restart.
     pub name: Arc<str>,
-    /// Its group.
+    /// The group of the member.
     pub group: GroupId,
-    /// Its site, if known. A member without one is outside every boundary.
+    /// The site of the member, if known. A member without one is outside every boundary.
     pub site: Option<Arc<str>>,
-    /// Its state.
+    /// The state of the member, such as in service or draining.
     pub state: MemberState,
-    /// Whether the list names it as its group's primary.
+    /// Whether the list names the member as its group's primary.
     pub primary: bool,
 }
 
@@ -72,11 +72,11 @@
 /// The properties of a request that determine its placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoutingQuery<'a> {
-    /// The name of its tenant, if it has one.
+    /// The name of the request's tenant, if it has one.
     pub tenant: Option<&'a str>,
-    /// The number of its class.
+    /// The number of the request's class.
     pub class: usize,
-    /// The group that it names.
+    /// The group that the request names.
     pub group: GroupId,
     /// Whether only the group's primary can serve it.
     pub needs_primary: bool,
@@ -96,18 +96,18 @@
     },
     /// A member has reported whether it is its group's primary.
     RoleReported {
-        /// Its name.
+        /// The name of the member.
         member: Arc<str>,
-        /// Whether it is the primary.
+        /// Whether the member is the primary.
         primary: bool,
         /// The kind of message that contained the report.
         source: ReportSource,
     },
     /// A member has become reachable or unreachable.
     ReachabilityChanged {
-        /// Its name.
+        /// The name of the member.
         member: Arc<str>,
-        /// Whether it could be reached.
+        /// Whether the member could be reached.
         reachable: bool,
     },
     /// The time of an [`Action::SetTimer`] has been reached.
@@ -120,11 +120,11 @@
     /// A view now has exactly these members. No attempt may be sent through it to any other member, including
     /// attempts that are queued. Attempts in flight are not interrupted.
     UpdateView {
-        /// The view's number.
+        /// The number of the view.
         view: GroupId,
         /// The group that the view is a part of.
         base: GroupId,
-        /// The members' names, in order.
+        /// The names of the members, in alphabetical order.
         members: Vec<Arc<str>>,
     },
     /// The results of [`PlacementEngine::route`](crate::PlacementEngine::route) may have changed: call it
@@ -132,7 +132,7 @@
     RerouteQueued,
     /// Pass in [`Event::TimerExpired`] at this time.
     SetTimer {
-        /// When to pass it in.
+        /// The time at which to pass in the event.
         at: Time,
     },
 }
--- a/placement/src/machine/member_record.rs
+++ b/placement/src/machine/member_record.rs
@@ -13,13 +13,13 @@
     /// every boundary.
     pub(super) site_settles_at: Option<Time>,
     pub(super) state: MemberState,
-    /// When it left the member list. The record is retained for the site settle time, so that a return at
-    /// another site counts as a change of site.
+    /// When the member left the member list. The record is retained for the site settle time, so that a
+    /// return at another site counts as a change of site.
     pub(super) left_at: Option<Time>,
     pub(super) is_listed_primary: bool,
-    /// It has reported that it is not the primary, and the list has not newly named it primary since.
+    /// The member has reported that it is not the primary, and the list has not newly named it primary since.
     pub(super) denies_primary: bool,
-    /// When a response last reported that it is not the primary.
+    /// When a response last reported that the member is not the primary.
     pub(super) denied_primary_at: Option<Time>,
     pub(super) is_reachable: bool,
 }
@@ -40,17 +40,17 @@
         }
     }
 
-    /// Whether its site is one of these and has not changed within the settle time.
+    /// Whether the member's site is one of `sites` and has not changed within the settle time.
     pub(super) fn is_inside(&self, sites: &BTreeSet<String>) -> bool {
         self.site_settles_at.is_none() && self.site.as_deref().is_some_and(|site| sites.contains(site))
     }
 
-    /// Whether it is in service.
+    /// Whether the member is in service.
     pub(super) fn is_ready(&self) -> bool {
         self.state == MemberState::Ready
     }
 
-    /// The site as text for an error message.
+    /// The member's site as text for an error message.
     pub(super) fn describe_site(&self) -> String {
         match (&self.site, self.site_settles_at) {
             (Some(site), None) => site.to_string(),
--- a/placement/src/rules.rs
+++ b/placement/src/rules.rs
@@ -11,7 +11,7 @@
 }
 
 impl Boundary {
-    /// The sites as text for an error message.
+    /// The sites of the boundary as text for an error message.
     pub(crate) fn describe_sites(&self) -> String {
         if self.sites.is_empty() {
             return "no site at all".into();
--- a/quotas/examples/large_fleet.rs
+++ b/quotas/examples/large_fleet.rs
@@ -20,7 +20,7 @@
 /// The quota of all other tenants, requests per second.
 const OTHER_RATE: f64 = 500.0;
 /// The demand of a moving tenant, as a multiple of its quota.
-const OFFERED: f64 = 3.0;
+const OFFERED_LOAD_FACTOR: f64 = 3.0;
 /// Requests per second of the tenant with sparse demand at each router.
 const SPARSE_RATE: f64 = 0.2;
 
@@ -37,8 +37,8 @@
     first_violation: Option<String>,
     to_one: Vec<f64>,
     to_all: Vec<f64>,
-    back: Vec<f64>,
-    sparse: Vec<f64>,
+    back_to_one: Vec<f64>,
+    sparse_shares: Vec<f64>,
     /// Bytes of responses per router and second, summed over all moves.
     bytes_after_move: f64,
     bytes_later: f64,
@@ -72,8 +72,8 @@
         for tenant in 0..MOVING_TENANTS {
             for router in 0..self.routers {
                 let rate = match spread {
-                    Spread::AllRouters => RATE * OFFERED / self.routers as f64,
-                    Spread::OneRouter if router == tenant * 7 % self.routers => RATE * OFFERED,
+                    Spread::AllRouters => RATE * OFFERED_LOAD_FACTOR / self.routers as f64,
+                    Spread::OneRouter if router == tenant * 7 % self.routers => RATE * OFFERED_LOAD_FACTOR,
                     Spread::OneRouter => 0.0,
                 };
                 self.simulation.schedule(self.simulation.now, Fault::SetDemand { router, tenant, rate });
@@ -144,8 +144,8 @@
         let shares = run.shares_after_move(Spread::AllRouters, self);
         self.to_all.extend(shares);
         let shares = run.shares_after_move(Spread::OneRouter, self);
-        self.back.extend(shares);
-        self.sparse.push(run.sparse_share());
+        self.back_to_one.extend(shares);
+        self.sparse_shares.push(run.sparse_share());
         run.run_with_faults();
         let seconds = (run.simulation.now / SECOND) as f64;
         let totals = &run.simulation.totals;
@@ -166,8 +166,8 @@
         );
         print_shares("to one router", &mut self.to_one);
         print_shares("spread over all", &mut self.to_all);
-        print_shares("back to one", &mut self.back);
-        print_shares("sparse demand", &mut self.sparse);
+        print_shares("back to one", &mut self.back_to_one);
+        print_shares("sparse demand", &mut self.sparse_shares);
         let seeds = seeds as f64;
         let moves = seeds * 3.0;
         println!(
--- a/quotas/examples/sparse_demand.rs
+++ b/quotas/examples/sparse_demand.rs
@@ -46,7 +46,8 @@
         print!(" {:.3}", simulation.admitted(0, begin, simulation.now) as f64 / max);
     }
     println!(
-        " (share used in each 2 s period, starting 2 s after the move); responses until then: {bytes:.0} bytes per router and second"
+        " (share used in each 2 s period, starting 2 s after the move); \
+         responses until then: {bytes:.0} bytes per router and second"
     );
 }
 
--- a/quotas/src/allocator/allocation.rs
+++ b/quotas/src/allocator/allocation.rs
@@ -3,7 +3,7 @@
 use crate::equal_shares::EqualShares;
 use crate::grant::{Grant, MICROTOKENS_PER_TOKEN};
 use crate::settings::Settings;
-use crate::time::LONG_PAST;
+use crate::time::DISTANT_PAST;
 use decision::Time;
 
 /// The number of equal parts in which reserved shares are reclaimed.
@@ -12,7 +12,7 @@
 /// What entitles a router to its part of a tenant's quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) enum Holding {
-    /// The router's reserved share.
+    /// The router's reserved share, which is an equal part of the quota.
     #[default]
     Reserved,
     /// A grant by demand, which replaces the reserved share.
@@ -46,9 +46,9 @@
     pub(super) sent: Option<Holding>,
     /// The reported demand, microtokens per second.
     pub(super) demand: u64,
-    /// When the router first reported no demand; until its demand is taken to have ended, `demand` keeps the
-    /// value reported before.
-    pub(super) silent_since: Option<Time>,
+    /// Since when the router has reported no demand; until its demand is taken to have ended, `demand` keeps
+    /// the value reported before.
+    pub(super) no_demand_since: Option<Time>,
     /// The grant that the last plan gave the router.
     pub(super) target: Grant,
     /// Whether `target` takes the present demand into account. Until it does, nothing is reclaimed from the
@@ -96,10 +96,10 @@
     /// Since the targets were last applied, a router's demand has started or ended.
     pub(super) demand_started_or_ended: bool,
     pub(super) planned_at: Time,
-    /// When to check next for routers whose demand has ended.
-    pub(super) next_silence_check: Time,
-    /// Until this time the demand of every router that reports none is taken to have ended.
-    pub(super) silence_ends_demand_until: Time,
+    /// When to check next whether the demand of idle routers has ended.
+    pub(super) next_idle_check: Time,
+    /// Until this time the demand of every idle router is taken to have ended.
+    pub(super) end_all_idle_demand_until: Time,
     /// The rotation interval that the targets were planned for, if there are fewer tokens than routers with
     /// demand.
     pub(super) rotation: Option<i64>,
@@ -119,9 +119,9 @@
             parts: vec![RouterPart::default(); positions],
             demand_changed: true,
             demand_started_or_ended: true,
-            planned_at: LONG_PAST,
-            next_silence_check: LONG_PAST,
-            silence_ends_demand_until: LONG_PAST,
+            planned_at: DISTANT_PAST,
+            next_idle_check: DISTANT_PAST,
+            end_all_idle_demand_until: DISTANT_PAST,
             rotation: None,
             idle_since: None,
             within_reserved: false,
@@ -138,7 +138,7 @@
             part.planned = false;
         }
         part.demand = demand;
-        part.silent_since = None;
+        part.no_demand_since = None;
         self.demand_changed = true;
     }
 
@@ -157,7 +157,7 @@
         if demand > 0 || part.held == Holding::Reserved {
             self.set_demand(position, demand);
         } else if part.demand > 0 {
-            part.silent_since = Some(now);
+            part.no_demand_since = Some(now);
         }
     }
 
--- a/quotas/src/allocator/configuration.rs
+++ b/quotas/src/allocator/configuration.rs
@@ -29,7 +29,7 @@
         self.version = version;
         self.allocations.clear();
         for router in self.routers.iter_mut().flatten() {
-            router.known = false;
+            router.holdings_known = false;
         }
     }
 
--- a/quotas/src/allocator/mod.rs
+++ b/quotas/src/allocator/mod.rs
@@ -17,7 +17,7 @@
 use crate::equal_shares::EqualShares;
 use crate::messages::{GrantResponse, Report};
 use crate::settings::{InjectedFault, Settings};
-use crate::time::{LONG_PAST, after};
+use crate::time::{DISTANT_PAST, after};
 use allocation::DemandAllocation;
 use decision::Time;
 use router::RouterRecord;
@@ -35,11 +35,11 @@
         /// The term in which it leads.
         term: u64,
     },
-    /// A committed configuration, at least as new as any that a router has learned in an earlier term.
+    /// A committed configuration, at least as new as any that a router has received in an earlier term.
     Config {
-        /// Its version.
+        /// The version of the configuration.
         version: Version,
-        /// The configuration.
+        /// The fleet's configuration, which contains the quotas.
         fleet: Arc<Fleet>,
     },
     /// A router's report. The event's time must be read after the report was received and before a majority
@@ -48,37 +48,37 @@
     Report {
         /// Identifies the connection to send the response on; it is returned in [`Action::Respond`].
         connection: u64,
-        /// The report.
+        /// The report received from the router.
         report: Report,
     },
     /// A router is presumed to have failed. Its demand is dropped; its grants remain in force until they
     /// expire.
     RouterLeft {
-        /// The router's name.
+        /// The name of the router.
         router: String,
     },
     /// Time has passed. Every event expires grants; this one does so when there is no other event.
     Tick,
 }
 
-/// What the driver must do.
+/// An output that the driver must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a response; it may be lost.
     Respond {
-        /// The connection of the report.
+        /// The connection on which the report was received.
         connection: u64,
-        /// The response.
+        /// The response to send to the router.
         response: GrantResponse,
     },
 }
 
-/// The size of the allocator's state.
+/// The size of the allocator's state, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AllocatorMetrics {
     /// Incarnations of routers that may hold shares or grants.
     pub routers: usize,
-    /// Tenants that are allocated by demand.
+    /// The number of tenants whose quota is allocated by demand.
     pub tenants_by_demand: usize,
 }
 
@@ -118,9 +118,9 @@
         Allocator {
             settings,
             term: 0,
-            quiet_until: LONG_PAST,
+            quiet_until: DISTANT_PAST,
             version: 0,
-            old_fixed_shares_until: LONG_PAST,
+            old_fixed_shares_until: DISTANT_PAST,
             max_routers: 0,
             tenant_index: HashMap::new(),
             tenants: Vec::new(),
--- a/quotas/src/allocator/plan.rs
+++ b/quotas/src/allocator/plan.rs
@@ -1,6 +1,6 @@
 //! Plans each router's target: the grant that it should have of a tenant's quota.
 use super::allocation::{DemandAllocation, RECLAIM_PARTS, ResponseContext};
-use super::candidate::{Candidate, candidates, one_token_each, retaining_parts, sum_reserved};
+use super::candidate::{Candidate, candidates, one_token_each, sum_reserved, with_retained_parts};
 use super::fair_share::distribute_capacity;
 use crate::grant::{Grant, MICROTOKENS_PER_TOKEN};
 use crate::time::after;
@@ -18,7 +18,7 @@
         let settings = context.settings;
         let rotation = now.0.div_euclid(settings.rotation_interval);
         let mut rotated = self.rotation.is_some_and(|planned| planned != rotation);
-        self.end_silent_demand(now);
+        self.end_idle_demand(now);
         if self.idle_since.is_some_and(|since| now >= after(since, settings.idle_timeout)) {
             self.restoring = true;
         }
@@ -75,8 +75,8 @@
             eligible.iter().copied().partition(|router| self.exceeds_reserved(router));
         let retained = sum_reserved(&not_exceeding);
         self.within_reserved = exceeding.is_empty() && retained.fits_within(total);
-        if self.fits_beside(&exceeding, retained, total) {
-            return self.targets_beside_reserved(&exceeding, &not_exceeding, total);
+        if self.fits_with_reserved(&exceeding, retained, total) {
+            return self.targets_with_reserved(&exceeding, &not_exceeding, total);
         }
         self.targets_by_demand(&eligible, total, rotation)
     }
@@ -90,13 +90,13 @@
     }
 
     /// Whether the demand of these routers can be met while all others retain their reserved shares.
-    fn fits_beside(&self, routers: &[Candidate], retained: Grant, total: Grant) -> bool {
+    fn fits_with_reserved(&self, routers: &[Candidate], retained: Grant, total: Grant) -> bool {
         one_token_each(routers).saturating_add(retained.capacity) <= total.capacity
             && self.wanted_rate(routers) + retained.rate <= total.rate
     }
 
     /// Targets for the case that all demand can be met while the other routers retain their reserved shares.
-    fn targets_beside_reserved(
+    fn targets_with_reserved(
         &self,
         exceeding: &[Candidate],
         not_exceeding: &[Candidate],
@@ -155,7 +155,7 @@
         };
         (0..=self.retained_parts)
             .rev()
-            .map(|parts| retaining_parts(idle, parts))
+            .map(|parts| with_retained_parts(idle, parts))
             .find(fits)
             .unwrap_or_default()
     }
--- a/quotas/src/allocator/report.rs
+++ b/quotas/src/allocator/report.rs
@@ -6,7 +6,7 @@
     GrantChange, GrantResponse, HeldGrants, Report, ReservedShare, ResponseBody, TenantDemand,
 };
 use crate::settings::InjectedFault;
-use crate::time::{LONG_PAST, after};
+use crate::time::{DISTANT_PAST, after};
 use decision::Time;
 
 /// How the sender of a report relates to the allocator's records.
@@ -65,7 +65,7 @@
             }
             return ResponseBody::NotRenewed;
         }
-        if report.held.is_none() && !self.knows_what_is_held(sender, &report) {
+        if report.held.is_none() && !self.can_apply_changes(sender, &report) {
             return ResponseBody::FullReportRequired;
         }
         // A router that has not applied the new version is not renewed, so grants by older versions have
@@ -79,9 +79,11 @@
 
     /// Whether a report that states only changes can be applied: it must follow the response that the router
     /// applied last.
-    fn knows_what_is_held(&self, sender: Sender, report: &Report) -> bool {
+    fn can_apply_changes(&self, sender: Sender, report: &Report) -> bool {
         let Sender::Known(position) = sender else { return false };
-        self.routers[position].as_ref().is_some_and(|router| router.known && router.seq == report.applied_seq)
+        self.routers[position]
+            .as_ref()
+            .is_some_and(|router| router.holdings_known && router.seq == report.applied_seq)
     }
 
     /// Renews the sender's grants, plans all allocations by demand and decides what changes for the sender.
@@ -98,10 +100,10 @@
         // After the quiet period a report of grants from a router without a record was delayed: the grants
         // have expired.
         let skips_quiet_period = self.settings.injected_fault == InjectedFault::SkipQuietPeriod;
-        let trusts_held = has_record || in_quiet_period || skips_quiet_period;
-        let reset = self.update_held(position, report.held, trusts_held);
+        let accepts_held = has_record || in_quiet_period || skips_quiet_period;
+        let reset = self.update_held(position, report.held, accepts_held);
         self.report_demand(now, position, report.demand);
-        self.extend_record(now, position, report.seq);
+        self.renew_record(now, position, report.seq);
         let may_raise =
             !in_quiet_period && now >= self.old_fixed_shares_until && self.all_hold_this_version();
         let share = self.assign_share(position, may_raise);
@@ -126,11 +128,11 @@
             name: report.router.clone(),
             incarnation: report.incarnation,
             seq: report.seq,
-            expires: LONG_PAST,
+            expires: DISTANT_PAST,
             superseded: false,
             acknowledged: ShareAssignment { share: None, version: self.version },
             sent: None,
-            known: false,
+            holdings_known: false,
         });
         self.router_index.insert(report.router.clone(), position);
         position
@@ -149,7 +151,7 @@
 
     /// Updates the record of what the router holds from its report. Returns whether the router must discard
     /// everything that it holds.
-    fn update_held(&mut self, position: usize, held: Option<HeldGrants>, trusted: bool) -> bool {
+    fn update_held(&mut self, position: usize, held: Option<HeldGrants>, is_accepted: bool) -> bool {
         let Some(router) = &mut self.routers[position] else { return true };
         let Some(held) = held else {
             router.acknowledged = router.sent.take().unwrap_or(router.acknowledged);
@@ -162,7 +164,7 @@
             allocation.reset_router(position);
         }
         router.sent = None;
-        if held.is_empty() || !trusted {
+        if held.is_empty() || !is_accepted {
             router.acknowledged = ShareAssignment { share: None, version: self.version };
             return true;
         }
@@ -198,12 +200,12 @@
     }
 
     /// Records the exchange: what the router holds is valid for another lifetime.
-    fn extend_record(&mut self, now: Time, position: usize, seq: u64) {
+    fn renew_record(&mut self, now: Time, position: usize, seq: u64) {
         let expires = after(now, self.settings.lifetime_at_allocator());
         if let Some(router) = &mut self.routers[position] {
             router.expires = router.expires.max(expires);
             router.seq = seq;
-            router.known = true;
+            router.holdings_known = true;
         }
     }
 
--- a/quotas/src/allocator/router.rs
+++ b/quotas/src/allocator/router.rs
@@ -34,16 +34,17 @@
     pub(super) incarnation: u64,
     /// The sequence number of the last exchange that was responded to.
     pub(super) seq: u64,
-    /// When everything that it holds expires.
+    /// When everything that the router holds expires.
     pub(super) expires: Time,
     /// A later incarnation has sent a report, so this one is granted nothing more.
     pub(super) superseded: bool,
-    /// The reserved share that it has acknowledged to hold.
+    /// The reserved share that the router has acknowledged to hold.
     pub(super) acknowledged: ShareAssignment,
     /// The reserved share in the last response, if that response is not acknowledged yet.
     pub(super) sent: Option<ShareAssignment>,
-    /// Whether the router's holdings are known, so that its next report may state only changes.
-    pub(super) known: bool,
+    /// Whether the allocator knows what the router holds, so that the router's next report may state only
+    /// changes.
+    pub(super) holdings_known: bool,
 }
 
 impl RouterRecord {
@@ -53,13 +54,13 @@
         self.sent.map_or(acknowledged, |sent| acknowledged.max(shares.reserved(sent.share)))
     }
 
-    /// The indices of the reserved shares that it may hold.
+    /// The indices of the reserved shares that the router may hold.
     pub(super) fn share_indices(&self) -> impl Iterator<Item = u32> {
         let sent = self.sent.and_then(|sent| sent.share);
         [self.acknowledged.share, sent].into_iter().flatten().map(|share| share.index)
     }
 
-    /// Whether every share that it may hold belongs to this version.
+    /// Whether every share that the router may hold belongs to this version.
     pub(super) fn holds_only(&self, version: Version) -> bool {
         self.acknowledged.version == version && self.sent.is_none_or(|sent| sent.version == version)
     }
--- a/quotas/src/client/demand_window.rs
+++ b/quotas/src/client/demand_window.rs
@@ -1,5 +1,5 @@
 //! The time intervals in which a client counts requests.
-use crate::time::{LONG_PAST, elapsed};
+use crate::time::{DISTANT_PAST, elapsed};
 use decision::{Micros, Time};
 
 /// The number of intervals that are kept, about 8 s: the longest time over which demand is averaged.
@@ -17,7 +17,7 @@
 
 impl Default for DemandWindow {
     fn default() -> DemandWindow {
-        DemandWindow { begins: [LONG_PAST; INTERVALS], current: 0 }
+        DemandWindow { begins: [DISTANT_PAST; INTERVALS], current: 0 }
     }
 }
 
@@ -45,7 +45,7 @@
 
     /// At the first report, sets the start of all intervals to [`MIN_INTERVAL`] ago.
     pub(super) fn initialize(&mut self, now: Time) {
-        if self.begins[self.current] == LONG_PAST {
+        if self.begins[self.current] == DISTANT_PAST {
             self.begins = [Time(now.0.saturating_sub(MIN_INTERVAL)); INTERVALS];
         }
     }
--- a/quotas/src/client/metrics.rs
+++ b/quotas/src/client/metrics.rs
@@ -7,11 +7,11 @@
 /// A tenant's metrics at one router.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantMetrics {
-    /// The tenant's name.
+    /// The name of the tenant.
     pub name: String,
-    /// Requests admitted since the start.
+    /// The number of requests admitted since the process started.
     pub admitted: u64,
-    /// Requests shed since the start.
+    /// The number of requests shed since the process started.
     pub shed: u64,
     /// The rate that this router may admit, in requests per second, granted and fixed together; `None`
     /// without a quota.
@@ -20,12 +20,12 @@
     pub capacity: Option<f64>,
 }
 
-/// A client's metrics.
+/// The metrics of one quota client.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClientMetrics {
     /// The version of the configuration that the client uses.
     pub version: Version,
-    /// The index of its reserved share, while it has one.
+    /// The index of the client's reserved share, while it has one.
     pub reserved_share: Option<u32>,
     /// Whether the client holds grants; they may have expired since they were last checked.
     pub holds_grants: bool,
--- a/quotas/src/client/mod.rs
+++ b/quotas/src/client/mod.rs
@@ -28,7 +28,7 @@
 /// The identity of a router and the constants of its quota client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaClientSettings {
-    /// The router's name.
+    /// The name of the router, which reports contain.
     pub router: String,
     /// The router's incarnation, which increases with each start under this name.
     pub incarnation: u64,
--- a/quotas/src/client/tenant.rs
+++ b/quotas/src/client/tenant.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct TenantState {
     pub(super) name: String,
-    /// The shares of its quota; `None` without a quota.
+    /// The equal shares of the tenant's quota; `None` without a quota.
     pub(super) shares: Option<EqualShares>,
     /// The part of the reserved share that the client may use.
     pub(super) reserved: Grant,
@@ -30,7 +30,7 @@
     pub(super) averaged_intervals: usize,
     /// Whether the tenant is in the client's list of active tenants.
     pub(super) active: bool,
-    /// A request was shed since the last report.
+    /// Whether a request was shed since the last report.
     pub(super) shed_since_report: bool,
     /// The demand in the last report that stated it.
     pub(super) reported_demand: u64,
--- a/quotas/src/grant.rs
+++ b/quotas/src/grant.rs
@@ -6,10 +6,10 @@
 pub const MICROTOKENS_PER_TOKEN: u64 = 1_000_000;
 /// The highest rate, in microtokens per second: a billion requests per second.
 pub(crate) const MAX_RATE: u64 = 1_000_000_000 * MICROTOKENS_PER_TOKEN;
-/// The highest capacity, in microtokens.
+/// The highest capacity of a grant, in microtokens.
 pub(crate) const MAX_CAPACITY: u64 = u32::MAX as u64 * MICROTOKENS_PER_TOKEN;
 
-/// A part of a tenant's quota.
+/// A part of a tenant's quota, as the rate and capacity of a token bucket.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
     /// The refill rate of the token bucket, in microtokens per second.
@@ -19,15 +19,15 @@
 }
 
 impl Grant {
-    /// No rate and no capacity.
+    /// A grant that admits nothing: no rate and no capacity.
     pub const NONE: Grant = Grant { rate: 0, capacity: 0 };
 
-    /// The smaller rate and the smaller capacity.
+    /// The smaller of both rates and the smaller of both capacities.
     pub(crate) fn min(self, other: Grant) -> Grant {
         Grant { rate: self.rate.min(other.rate), capacity: self.capacity.min(other.capacity) }
     }
 
-    /// The larger rate and the larger capacity.
+    /// The larger of both rates and the larger of both capacities.
     pub(crate) fn max(self, other: Grant) -> Grant {
         Grant { rate: self.rate.max(other.rate), capacity: self.capacity.max(other.capacity) }
     }
--- a/quotas/src/messages.rs
+++ b/quotas/src/messages.rs
@@ -18,7 +18,7 @@
     pub full: bool,
 }
 
-/// Everything that a router holds.
+/// All shares and grants that a router holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HeldGrants {
     /// The configuration version for which the grants were last renewed.
@@ -38,7 +38,7 @@
 /// A tenant's grant by demand.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TenantGrant {
-    /// The tenant's name.
+    /// The name of the tenant.
     pub tenant: String,
     /// The amount granted.
     pub grant: Grant,
@@ -47,7 +47,7 @@
 /// A tenant's demand at one router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantDemand {
-    /// The tenant's name.
+    /// The name of the tenant.
     pub tenant: String,
     /// Requests per second, in millionths of a request; 0 where there is no demand beyond the reserved share.
     pub rate: u64,
@@ -56,7 +56,7 @@
 /// A change of a tenant's grant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantChange {
-    /// The tenant's name.
+    /// The name of the tenant.
     pub tenant: String,
     /// The new grant by demand; `None` returns the tenant to its reserved share.
     pub grant: Option<Grant>,
@@ -65,7 +65,7 @@
 /// A router's message in an exchange.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The router's name.
+    /// The name of the reporting router.
     pub router: String,
     /// The router's incarnation; a later one supersedes an earlier one.
     pub incarnation: u64,
--- a/quotas/src/settings.rs
+++ b/quotas/src/settings.rs
@@ -44,7 +44,7 @@
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// No fault.
+    /// No fault is injected.
     #[default]
     None,
     /// The allocator ignores what other routers hold.
@@ -81,17 +81,17 @@
     /// A duration is not between one millisecond and one hour.
     #[error("quotas: `{key}` is {value} us; set it between {} and {}", DURATION_RANGE.start(), DURATION_RANGE.end())]
     Duration {
-        /// The name of the setting.
+        /// The name of the setting that is out of range.
         key: &'static str,
-        /// Its value, microseconds.
+        /// The invalid value, microseconds.
         value: Micros,
     },
     /// A ratio is out of range.
     #[error("quotas: `{key}` is {value}; set it between {min} and {max}")]
     Ratio {
-        /// The name of the setting.
+        /// The name of the setting that is out of range.
         key: &'static str,
-        /// Its value.
+        /// The invalid value.
         value: f64,
         /// The smallest valid value.
         min: f64,
@@ -103,7 +103,7 @@
         "quotas: `settle_time` is {value} us, less than a grant's lifetime on any clock; set it to {min} or more"
     )]
     SettleTime {
-        /// Its value, microseconds.
+        /// The invalid value, microseconds.
         value: Micros,
         /// The smallest valid value, microseconds.
         min: Micros,
--- a/quotas/src/time.rs
+++ b/quotas/src/time.rs
@@ -1,8 +1,8 @@
-//! Saturating arithmetic on times.
+//! Arithmetic on times that saturates instead of overflowing.
 use decision::{Micros, Time};
 
 /// A time before any that a clock shows.
-pub(crate) const LONG_PAST: Time = Time(i64::MIN);
+pub(crate) const DISTANT_PAST: Time = Time(i64::MIN);
 
 /// The time `duration` after `start`.
 pub(crate) fn after(start: Time, duration: Micros) -> Time {
--- a/quotas/src/validate.rs
+++ b/quotas/src/validate.rs
@@ -29,7 +29,7 @@
     OutOfRange {
         /// The field, with an article, as it is worded in the message.
         field: &'static str,
-        /// Its value.
+        /// The value that is out of range.
         value: u64,
     },
 }
--- a/quotas/tests/simulation/bound.rs
+++ b/quotas/tests/simulation/bound.rs
@@ -8,9 +8,9 @@
 /// A period in which the largest quota in force does not change.
 struct Period {
     begin: Micros,
-    /// Microtokens per second.
+    /// The rate in force, microtokens per second.
     rate: i128,
-    /// Picotokens.
+    /// The burst in force, picotokens.
     burst: i128,
 }
 
--- a/quotas/tests/simulation/fault.rs
+++ b/quotas/tests/simulation/fault.rs
@@ -45,7 +45,7 @@
         router: usize,
         downtime: Micros,
     },
-    /// Another node, or the same one again, becomes the leader.
+    /// A node becomes the leader, which may be the one that already was.
     Elect {
         node: usize,
     },
--- a/quotas/tests/simulation/mod.rs
+++ b/quotas/tests/simulation/mod.rs
@@ -43,7 +43,7 @@
 
 /// A committed version of the configuration.
 struct ConfigVersion {
-    /// True time, microseconds.
+    /// The true time of the simulation, microseconds.
     committed_at: Micros,
     fleet: Arc<Fleet>,
 }
@@ -51,7 +51,7 @@
 /// One admitted request.
 #[derive(Clone, Copy)]
 pub(crate) struct AdmittedRequest {
-    /// True time, microseconds.
+    /// The true time of the simulation, microseconds.
     pub(crate) at: Micros,
     pub(crate) router: usize,
 }
@@ -73,7 +73,7 @@
 }
 
 pub(crate) struct Simulation {
-    /// True time, microseconds.
+    /// The true time of the simulation, microseconds.
     pub(crate) now: Micros,
     events: EventQueue,
     pub(crate) random: SmallRng,
@@ -85,7 +85,7 @@
     routers: Vec<SimulatedRouter>,
     tenants: Vec<String>,
     versions: Vec<ConfigVersion>,
-    /// Admitted requests by tenant.
+    /// The admitted requests of each tenant.
     pub(crate) history: Vec<Vec<AdmittedRequest>>,
     pub(crate) totals: Totals,
     /// Whether to measure message sizes and handling times.
--- a/quotas/tests/simulation/router.rs
+++ b/quotas/tests/simulation/router.rs
@@ -26,7 +26,7 @@
 /// The requests of one tenant at a router.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Demand {
-    /// Requests per second.
+    /// The rate of requests, per second.
     pub(super) rate: f64,
     /// The number of the timer in force; request events of earlier timers are cancelled.
     pub(super) timer: u64,
--- a/releases/examples/fleet/sim/faults.rs
+++ b/releases/examples/fleet/sim/faults.rs
@@ -8,7 +8,7 @@
 
 impl Simulation {
     pub(super) fn inject_faults(&mut self) {
-        self.restore_machines();
+        self.restore_state_machines();
         if self.now % SECOND != 0 {
             return;
         }
--- a/releases/examples/fleet/sim/machines.rs
+++ b/releases/examples/fleet/sim/machines.rs
@@ -140,7 +140,7 @@
     }
 
     /// Elects a leader and restarts the driver when their downtimes are over.
-    pub(super) fn restore_machines(&mut self) {
+    pub(super) fn restore_state_machines(&mut self) {
         let now = self.now;
         if self.ledger.is_none() && now >= self.ledger_back_at {
             let (snapshot, members) = (self.ledger_snapshot.clone(), self.members.clone());
--- a/releases/examples/fleet/sim/mod.rs
+++ b/releases/examples/fleet/sim/mod.rs
@@ -34,7 +34,7 @@
     ToRouter { router: String, version: Version, deadline: Micros },
 }
 
-/// A halt of the release.
+/// A halt of the release, as recorded for the report.
 #[derive(Clone, Debug)]
 pub(crate) struct Halt {
     pub(crate) at: Micros,
--- a/releases/src/budget.rs
+++ b/releases/src/budget.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "RawLimit")]
 pub enum Limit {
-    /// This many members.
+    /// This number of members.
     Count(u32),
     /// This percentage of the members, 1 to 100.
     Percent(u32),
@@ -26,10 +26,10 @@
 /// The limits for one kind of member.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Limits {
-    /// In the whole fleet.
+    /// The limit for the whole fleet.
     #[serde(rename = "all")]
     pub fleet: Limit,
-    /// In each zone.
+    /// The limit for each zone.
     pub zone: Limit,
 }
 
--- a/releases/src/ledger.rs
+++ b/releases/src/ledger.rs
@@ -22,21 +22,21 @@
         owner: String,
         /// The member to take out of service.
         target: Target,
-        /// Identifies the request.
+        /// The ID of the request, which the response repeats.
         request: RequestId,
     },
     /// An owner renews its lease. This has an effect only if the grant is the reservation's latest.
     Renew {
         /// The member that is out of service.
         target: Target,
-        /// The owner's grant.
+        /// The grant that the owner has.
         grant: GrantId,
     },
     /// A member is in service again. This has an effect only if the grant is the reservation's latest.
     Return {
         /// The member that is in service again.
         target: Target,
-        /// The owner's grant.
+        /// The grant that the owner has.
         grant: GrantId,
     },
     /// Time has passed: leases may have expired.
@@ -54,9 +54,9 @@
         owner: String,
         /// The member that may be taken out of service.
         target: Target,
-        /// Identifies the request.
+        /// The ID of the request, which the response repeats.
         request: RequestId,
-        /// Identifies the grant.
+        /// The ID of the new grant.
         grant: GrantId,
     },
     /// Respond that the member may not be taken out of service.
@@ -65,9 +65,9 @@
         owner: String,
         /// The member that may not be taken out of service.
         target: Target,
-        /// Identifies the request.
+        /// The ID of the request, which the response repeats.
         request: RequestId,
-        /// The reason.
+        /// Why the request was denied.
         reason: ReservationError,
     },
     /// Write to the audit log that a reservation's lease has expired.
--- a/releases/src/plan_error.rs
+++ b/releases/src/plan_error.rs
@@ -25,9 +25,9 @@
     /// The zone of a router is missing from the zone order.
     #[error("router '{router}' is in zone '{zone}', which is missing from the zone order: add it")]
     ZoneNotOrdered {
-        /// The router.
+        /// The name of the router.
         router: String,
-        /// Its zone.
+        /// The zone of the router.
         zone: String,
     },
     /// A setting is out of range.
--- a/releases/src/release.rs
+++ b/releases/src/release.rs
@@ -23,32 +23,32 @@
     Granted {
         /// The router that may be taken out of service.
         router: String,
-        /// Identifies the request.
+        /// The ID of the request.
         request: RequestId,
-        /// Identifies the grant.
+        /// The ID of the grant.
         grant: GrantId,
     },
     /// The ledger has denied a reservation.
     Denied {
         /// The router that may not be taken out of service.
         router: String,
-        /// Identifies the request.
+        /// The ID of the request.
         request: RequestId,
-        /// The reason. A router that is no longer a member of the fleet counts as lost; after any other
-        /// reason the request is repeated.
+        /// Why the request was denied. A router that is no longer a member of the fleet counts as lost; after
+        /// any other reason the request is repeated.
         reason: ReservationError,
     },
     /// A router is in service again with this version.
     Updated {
-        /// The router.
+        /// The name of the router.
         router: String,
-        /// The version that it runs.
+        /// The version that the router runs.
         version: Version,
     },
     /// The requests that a router counted since its last report. Statistics of the time before its update
     /// must be passed in before `Updated`.
     StatsReported {
-        /// The router.
+        /// The name of the router.
         router: String,
         /// The counted requests.
         stats: RequestStats,
@@ -70,15 +70,15 @@
     Acquire {
         /// The router to take out of service.
         router: String,
-        /// Identifies the request.
+        /// The ID of the request.
         request: RequestId,
     },
     /// Instruct a router to go out of service and return with this version. A router that already runs it
     /// responds immediately.
     Update {
-        /// The router.
+        /// The name of the router.
         router: String,
-        /// The version.
+        /// The version that the router is to run.
         version: Version,
         /// The grant that permits it to be out of service.
         grant: GrantId,
@@ -86,16 +86,16 @@
         /// start the update.
         timeout: Micros,
     },
-    /// Return a reservation.
+    /// Return a reservation to the ledger.
     Return {
         /// The router that is in service again.
         router: String,
-        /// The reservation's grant.
+        /// The grant of the reservation.
         grant: GrantId,
     },
     /// Notify the operators that the release has halted.
     Halted {
-        /// The reason.
+        /// Why the release has halted.
         reason: HaltReason,
     },
     /// The release has ended; the routers run the target version.
--- a/releases/src/reservation.rs
+++ b/releases/src/reservation.rs
@@ -6,18 +6,18 @@
 /// The kind of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum TargetKind {
-    /// A router.
+    /// A router of the fleet.
     Router,
-    /// A database instance.
+    /// A database instance behind the routers.
     Instance,
 }
 
 /// A member of the fleet that may be taken out of service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Target {
-    /// Its kind.
+    /// The kind of the member.
     pub kind: TargetKind,
-    /// Its name, which remains the same after a restart.
+    /// The name of the member, which remains the same after a restart.
     pub name: String,
 }
 
@@ -38,7 +38,7 @@
     /// The member that is out of service.
     #[serde(rename = "unit")]
     pub target: Target,
-    /// Its zone when the reservation was granted.
+    /// The zone of the member when the reservation was granted.
     pub zone: String,
     /// The owner of the reservation.
     pub owner: String,
@@ -67,7 +67,7 @@
         "{out} of at most {limit} members are out of service in zone '{zone}': retry after one has returned"
     )]
     ZoneBudgetExhausted {
-        /// The zone.
+        /// The zone whose limit is reached.
         zone: String,
         /// The number of members in the zone that are out of service.
         out: usize,
--- a/releases/src/snapshot.rs
+++ b/releases/src/snapshot.rs
@@ -15,7 +15,7 @@
      use the program version that wrote it"
 )]
 pub struct FormatError {
-    /// The snapshot's format.
+    /// The format of the snapshot.
     pub found: u32,
 }
 
@@ -28,7 +28,7 @@
 /// The progress of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouterStep {
-    /// Not updated yet.
+    /// In service with the last good version; not updated yet.
     #[serde(rename = "Waiting")]
     Pending,
     /// Out of service for the update to the target version.
@@ -57,16 +57,16 @@
     }
 }
 
-/// A router of a release.
+/// The state of a router in a release.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouterState {
-    /// Its zone.
+    /// The zone of the router.
     pub zone: String,
-    /// Its progress.
+    /// The progress of the router.
     pub step: RouterStep,
-    /// The number of its wave, from 1; 0 if it has not been in one.
+    /// The number of the router's wave, from 1; 0 if it has not been in one.
     pub wave: u32,
-    /// Its statistics before that wave.
+    /// The router's statistics before that wave.
     #[serde(rename = "before")]
     pub baseline: RequestStats,
 }
@@ -130,10 +130,10 @@
     pub format: u32,
     /// The name of the release, which owns the reservations.
     pub name: String,
-    /// The last good version.
+    /// The version that the routers ran before, which a rollback restores.
     #[serde(rename = "good")]
     pub last_good: Version,
-    /// The version that is released.
+    /// The version that is rolled out.
     #[serde(rename = "target")]
     pub target_version: Version,
     /// The settings of the release.
--- a/releases/src/stats.rs
+++ b/releases/src/stats.rs
@@ -1,4 +1,4 @@
-//! Request statistics of routers.
+//! Counters of the requests that routers served.
 use serde::{Deserialize, Serialize};
 
 /// The requests that a router counted over a period.
