--- a/quotas/examples/large_fleet.rs
+++ b/quotas/examples/large_fleet.rs
@@ -177,7 +177,10 @@
             self.report_bytes / seeds
         );
         let average = self.handling_micros / seeds;
-        println!("a report: {average:.1} us on average, {:.0} us at most", self.max_handling_micros);
+        println!(
+            "handling time of a report: {average:.1} us on average, {:.0} us at most",
+            self.max_handling_micros
+        );
     }
 }
 
--- a/quotas/src/allocator/allocation.rs
+++ b/quotas/src/allocator/allocation.rs
@@ -42,12 +42,12 @@
 pub(super) struct RouterPart {
     /// What the router has acknowledged to hold.
     pub(super) held: Holding,
-    /// What the last response changes it to, if that response is not acknowledged yet.
+    /// What the last response changes the router's part to, if that response is not acknowledged yet.
     pub(super) sent: Option<Holding>,
     /// The reported demand, microtokens per second.
     pub(super) demand: u64,
-    /// Since when the router has reported no demand; until its demand is taken to have ended, `demand` keeps
-    /// the value reported before.
+    /// Since when the router has reported no demand. Until its demand is considered to have ended, `demand`
+    /// keeps the value reported before.
     pub(super) no_demand_since: Option<Time>,
     /// The grant that the last plan gave the router.
     pub(super) target: Grant,
@@ -57,8 +57,8 @@
 }
 
 impl RouterPart {
-    /// The rate to grant for this demand, with a margin for random fluctuation: half as much again, or one
-    /// standard deviation of the count over two seconds where that is more, as it is for sparse demand.
+    /// The rate to grant for this demand, with a margin for random fluctuation: half as much again, or where
+    /// that is more, as for sparse demand, one standard deviation of a rate measured over two seconds.
     pub(super) fn wanted_rate(&self) -> u64 {
         if self.demand == 0 {
             return 0;
@@ -75,7 +75,7 @@
     }
 }
 
-/// Data for one response that does not depend on the tenant or does not depend on the router.
+/// Data for building one response: some of it is the same for all tenants, the rest for all routers.
 pub(super) struct ResponseContext<'a> {
     pub(super) shares: &'a EqualShares,
     pub(super) settings: &'a Settings,
@@ -98,7 +98,7 @@
     pub(super) planned_at: Time,
     /// When to check next whether the demand of idle routers has ended.
     pub(super) next_idle_check: Time,
-    /// Until this time the demand of every idle router is taken to have ended.
+    /// Until this time the demand of every idle router is considered to have ended.
     pub(super) end_all_idle_demand_until: Time,
     /// The rotation interval that the targets were planned for, if there are fewer tokens than routers with
     /// demand.
--- a/quotas/src/allocator/change.rs
+++ b/quotas/src/allocator/change.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// The most that the router may be granted: what it is confirmed to hold, or what the quota leaves after
-    /// the most that all other routers may hold.
+    /// The most that the router may be granted: what it is confirmed to hold, or what the quota leaves when
+    /// all other routers hold the most that they may.
     fn available(
         &self,
         position: usize,
@@ -67,7 +67,7 @@
         confirmed.max(context.shares.grantable.saturating_sub(others))
     }
 
-    /// The sum of the most that each other router may hold.
+    /// The largest total that all other routers may hold.
     fn held_by_others(&self, position: usize, context: &ResponseContext<'_>) -> Grant {
         if context.settings.injected_fault == InjectedFault::GrantTwice {
             return Grant::NONE;
--- a/quotas/src/allocator/report.rs
+++ b/quotas/src/allocator/report.rs
@@ -68,9 +68,8 @@
         if report.held.is_none() && !self.can_apply_changes(sender, &report) {
             return ResponseBody::FullReportRequired;
         }
-        // A router that has not applied the new version is not renewed, so grants by older versions have
-        // expired one lifetime after the new version. This also bounds how long a router may take to learn of
-        // it.
+        // A router that has not applied the new version is not renewed, so its grants by older versions
+        // expire within one lifetime. This is also the time that the router has to learn of the new version.
         if report.version < self.version {
             return ResponseBody::NotRenewed;
         }
--- a/quotas/src/client/demand.rs
+++ b/quotas/src/client/demand.rs
@@ -78,7 +78,7 @@
         self.reported_demand > 0 || self.request_counts.iter().any(|&count| count > 0)
     }
 
-    /// The demand to report, if it has changed.
+    /// Returns the tenant's demand if it has to be reported.
     fn take_demand(&mut self, context: ReportContext<'_>) -> Option<TenantDemand> {
         self.averaged_intervals = self.intervals_since_change(context);
         let rate = self.reportable_demand(context);
--- a/quotas/src/client/mod.rs
+++ b/quotas/src/client/mod.rs
@@ -35,7 +35,7 @@
     /// The slot whose fixed shares of `on_loss` the router uses, from 1 to `fleet.routers`; no two live
     /// routers may have the same.
     pub slot: Option<u32>,
-    /// The constants, which are the same in the whole fleet.
+    /// The constants; `ttl` and `max_clock_drift` must be the same in the whole fleet.
     pub settings: Settings,
     /// The seed of the random part of retry times.
     pub seed: u64,
--- a/quotas/src/equal_shares.rs
+++ b/quotas/src/equal_shares.rs
@@ -3,7 +3,7 @@
 use crate::messages::ReservedShare;
 use settings::fleet::{OnLoss, Quota};
 
-/// The share of `on_loss` is converted to millionths.
+/// The number of millionths in a whole; the share of `on_loss` is converted to millionths.
 const MILLIONTHS: u128 = 1_000_000;
 
 /// The equal shares of one tenant's quota.
--- a/quotas/src/messages.rs
+++ b/quotas/src/messages.rs
@@ -40,7 +40,7 @@
 pub struct TenantGrant {
     /// The name of the tenant.
     pub tenant: String,
-    /// The amount granted.
+    /// The rate and capacity granted.
     pub grant: Grant,
 }
 
@@ -113,9 +113,9 @@
     Renewed {
         /// Whether the router must discard everything that it held before.
         reset: bool,
-        /// The new reserved shares.
+        /// The router's new reserved shares.
         reserved_share: Option<ReservedShare>,
-        /// The grants that change.
+        /// The grants by demand that change.
         changes: Vec<GrantChange>,
     },
 }
--- a/quotas/src/settings.rs
+++ b/quotas/src/settings.rs
@@ -3,7 +3,7 @@
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-/// Clock drift is counted in millionths.
+/// The number of millionths in a whole; clock drift is counted in millionths.
 pub(crate) const MILLIONTHS: u64 = 1_000_000;
 /// The valid range of every duration, microseconds: from one millisecond to one hour.
 const DURATION_RANGE: RangeInclusive<Micros> = 1_000..=3_600_000_000;
--- a/quotas/src/validate.rs
+++ b/quotas/src/validate.rs
@@ -17,17 +17,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvalidMessage {
     /// A name is empty or too long.
-    #[error(
-        "quota message contains a name of {0} bytes: check that all routers and nodes run the same build"
-    )]
+    #[error("quota message has a name of {0} bytes: check that all routers and nodes run the same build")]
     NameLength(usize),
     /// A list is too long.
     #[error("quota message lists {0} tenants: check that all routers and nodes run the same build")]
     ListLength(usize),
     /// A number is out of range.
-    #[error("quota message contains {field} {value}: check that all routers and nodes run the same build")]
+    #[error(
+        "quota message has {field} {value}, out of range: check that all routers and nodes run the same build"
+    )]
     OutOfRange {
-        /// The field, with an article, as it is worded in the message.
+        /// The name of the number, as worded in the error text.
         field: &'static str,
         /// The value that is out of range.
         value: u64,
@@ -41,11 +41,11 @@
     /// Returns the first name, list or number that is out of range.
     pub fn check(&self) -> Result<(), InvalidMessage> {
         check_name(&self.router)?;
-        check_range("an exchange of", self.seq, MAX_SEQ)?;
+        check_range("exchange sequence number", self.seq, MAX_SEQ)?;
         check_list(self.demand.len())?;
         for demand in &self.demand {
             check_name(&demand.tenant)?;
-            check_range("a demand of", demand.rate, MAX_RATE)?;
+            check_range("demand rate", demand.rate, MAX_RATE)?;
         }
         let Some(held) = &self.held else { return Ok(()) };
         check_list(held.by_demand.len())?;
@@ -91,10 +91,10 @@
 }
 
 fn check_grant(grant: Grant) -> Result<(), InvalidMessage> {
-    check_range("a rate of", grant.rate, MAX_RATE)?;
-    check_range("a capacity of", grant.capacity, MAX_CAPACITY)
+    check_range("grant rate", grant.rate, MAX_RATE)?;
+    check_range("grant capacity", grant.capacity, MAX_CAPACITY)
 }
 
 fn check_share(share: Option<ReservedShare>) -> Result<(), InvalidMessage> {
-    share.map_or(Ok(()), |share| check_range("a share index of", share.index.into(), MAX_SHARE_INDEX.into()))
+    share.map_or(Ok(()), |share| check_range("share index", share.index.into(), MAX_SHARE_INDEX.into()))
 }
--- a/quotas/tests/distribution.rs
+++ b/quotas/tests/distribution.rs
@@ -36,7 +36,7 @@
         let is_late = |at| at > 3 * SECOND;
         let requests = simulation.history[0].iter();
         let admitted = requests.filter(|request| request.router == router && is_late(request.at)).count();
-        assert!(admitted > 10, "router {router} admits {admitted}");
+        assert!(admitted > 10, "router {router} admitted only {admitted} requests");
     }
 }
 
--- a/quotas/tests/quota_bound.rs
+++ b/quotas/tests/quota_bound.rs
@@ -11,7 +11,7 @@
 
 /// How long a schedule runs, microseconds.
 const END: Micros = 12_000_000;
-/// The number of cases if `PROPTEST_CASES` is not set; they take a few seconds.
+/// The number of cases if `PROPTEST_CASES` is not set; running them takes a few seconds.
 const DEFAULT_CASES: u32 = 48;
 /// The largest number of schedules until an injected fault must be detected.
 const MAX_SCHEDULES: u64 = 300;
--- a/quotas/tests/shares.rs
+++ b/quotas/tests/shares.rs
@@ -6,7 +6,7 @@
 use quotas::{Admission, AllocatorMetrics, QuotaClient, Settings};
 use settings::fleet::{OnLoss, Tenant};
 
-/// The number of 100 simultaneous requests that are admitted.
+/// How many of 100 simultaneous requests are admitted.
 fn admitted_at(client: &mut QuotaClient, now: i64) -> usize {
     (0..100).filter(|_| client.admit(Time(now), "a") == Admission::Admitted).count()
 }
--- a/quotas/tests/simulation/bound.rs
+++ b/quotas/tests/simulation/bound.rs
@@ -25,7 +25,7 @@
 struct Window {
     /// Picotokens spent before the window less those produced before it.
     level: i128,
-    /// The burst in force at its start, picotokens.
+    /// The burst in force at the start of the window, picotokens.
     burst: i128,
 }
 
--- a/quotas/tests/simulation/mod.rs
+++ b/quotas/tests/simulation/mod.rs
@@ -43,7 +43,7 @@
 
 /// A committed version of the configuration.
 struct ConfigVersion {
-    /// The true time of the simulation, microseconds.
+    /// When the version was committed, in true time, microseconds.
     committed_at: Micros,
     fleet: Arc<Fleet>,
 }
@@ -51,7 +51,7 @@
 /// One admitted request.
 #[derive(Clone, Copy)]
 pub(crate) struct AdmittedRequest {
-    /// The true time of the simulation, microseconds.
+    /// When the request was admitted, in true time, microseconds.
     pub(crate) at: Micros,
     pub(crate) router: usize,
 }
--- a/quotas/tests/validation.rs
+++ b/quotas/tests/validation.rs
@@ -12,7 +12,7 @@
     let mut small_fleet = SmallFleet::new(fleet(1, 1.0, 1, OnLoss::Closed), 1);
     let mut report = small_fleet.report(0);
     report.demand = vec![TenantDemand { tenant: "a".into(), rate: u64::MAX }];
-    let error = InvalidMessage::OutOfRange { field: "a demand of", value: u64::MAX };
+    let error = InvalidMessage::OutOfRange { field: "demand rate", value: u64::MAX };
     assert_eq!(report.check(), Err(error));
     assert_eq!(small_fleet.respond(report), None);
 }
@@ -23,7 +23,7 @@
     let changes = vec![GrantChange { tenant: "a".into(), grant }];
     let body = ResponseBody::Renewed { reset: true, reserved_share: None, changes };
     let response = GrantResponse { term: 1, incarnation: 1, seq: 1, version: 1, body };
-    let error = InvalidMessage::OutOfRange { field: "a capacity of", value: u64::MAX };
+    let error = InvalidMessage::OutOfRange { field: "grant capacity", value: u64::MAX };
     assert_eq!(response.check(), Err(error));
 }
 
