--- a/quotas/src/allocator/allocation.rs
+++ b/quotas/src/allocator/allocation.rs
@@ -89,7 +89,7 @@
 /// The allocation of one tenant's quota by demand. It ends once all routers hold their reserved shares again.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct DemandAllocation {
-    /// The routers' parts, by the position of the router.
+    /// The routers' parts, by the index of the router's record.
     pub(super) parts: Vec<RouterPart>,
     /// Demand has changed since the last plan.
     pub(super) demand_changed: bool,
@@ -114,9 +114,9 @@
 }
 
 impl DemandAllocation {
-    pub(super) fn new(positions: usize) -> DemandAllocation {
+    pub(super) fn new(record_count: usize) -> DemandAllocation {
         DemandAllocation {
-            parts: vec![RouterPart::default(); positions],
+            parts: vec![RouterPart::default(); record_count],
             demand_changed: true,
             demand_started_or_ended: true,
             planned_at: DISTANT_PAST,
@@ -131,8 +131,8 @@
     }
 
     /// Records a router's demand.
-    pub(super) fn set_demand(&mut self, position: usize, demand: u64) {
-        let part = &mut self.parts[position];
+    pub(super) fn set_demand(&mut self, record_index: usize, demand: u64) {
+        let part = &mut self.parts[record_index];
         if (part.demand == 0) != (demand == 0) {
             self.demand_started_or_ended = true;
             part.planned = false;
@@ -143,51 +143,51 @@
     }
 
     /// Sets a router's demand to zero, if it has any.
-    pub(super) fn drop_demand(&mut self, position: usize) {
-        if self.parts[position].demand > 0 {
-            self.set_demand(position, 0);
+    pub(super) fn drop_demand(&mut self, record_index: usize) {
+        if self.parts[record_index].demand > 0 {
+            self.set_demand(record_index, 0);
         }
     }
 
     /// Applies the demand that a router reports.
-    pub(super) fn report_demand(&mut self, now: Time, position: usize, demand: u64) {
-        let part = &mut self.parts[position];
+    pub(super) fn report_demand(&mut self, now: Time, record_index: usize, demand: u64) {
+        let part = &mut self.parts[record_index];
         // A router that holds its reserved share reports only demand beyond it, so 0 means that this demand
         // has ended. A router with a grant by demand may report 0 because of a random gap between requests.
         if demand > 0 || part.held == Holding::Reserved {
-            self.set_demand(position, demand);
+            self.set_demand(record_index, demand);
         } else if part.demand > 0 {
             part.no_demand_since = Some(now);
         }
     }
 
     /// The router has acknowledged the last response: it holds what was sent in it.
-    pub(super) fn acknowledge(&mut self, position: usize) {
-        let part = &mut self.parts[position];
+    pub(super) fn acknowledge(&mut self, record_index: usize) {
+        let part = &mut self.parts[record_index];
         part.held = part.sent.take().unwrap_or(part.held);
     }
 
     /// Resets a router whose report states everything that it holds and demands: until the report is applied,
     /// the router counts as holding its reserved share and having no demand.
-    pub(super) fn reset_router(&mut self, position: usize) {
-        self.parts[position].held = Holding::Reserved;
-        self.parts[position].sent = None;
-        self.drop_demand(position);
+    pub(super) fn reset_router(&mut self, record_index: usize) {
+        self.parts[record_index].held = Holding::Reserved;
+        self.parts[record_index].sent = None;
+        self.drop_demand(record_index);
     }
 
     /// Records a grant by demand that the router holds according to its full report.
-    pub(super) fn restore_grant(&mut self, position: usize, grant: Grant) {
-        self.parts[position].held = Holding::ByDemand(grant);
+    pub(super) fn restore_grant(&mut self, record_index: usize, grant: Grant) {
+        self.parts[record_index].held = Holding::ByDemand(grant);
     }
 
-    /// Adds a position for another router.
-    pub(super) fn add_position(&mut self) {
+    /// Adds a part for another router record.
+    pub(super) fn add_record(&mut self) {
         self.parts.push(RouterPart::default());
     }
 
-    /// Clears the position, so that another router can use it.
-    pub(super) fn clear_router(&mut self, position: usize) {
-        self.parts[position] = RouterPart::default();
+    /// Clears a router's part, so that another router can use the record index.
+    pub(super) fn clear_router(&mut self, record_index: usize) {
+        self.parts[record_index] = RouterPart::default();
     }
 
     /// Whether all routers hold their reserved shares again.
--- a/quotas/src/allocator/candidate.rs
+++ b/quotas/src/allocator/candidate.rs
@@ -5,7 +5,7 @@
 /// A router that is eligible for grants.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
-    pub(super) position: usize,
+    pub(super) record_index: usize,
     pub(super) reserved: Grant,
 }
 
@@ -13,9 +13,9 @@
 pub(super) fn candidates(context: &ResponseContext<'_>) -> Vec<Candidate> {
     let routers = context.routers.iter().enumerate();
     routers
-        .filter_map(|(position, router)| {
+        .filter_map(|(record_index, router)| {
             let router = router.as_ref().filter(|router| !router.superseded)?;
-            Some(Candidate { position, reserved: router.max_reserved(context.shares) })
+            Some(Candidate { record_index, reserved: router.max_reserved(context.shares) })
         })
         .collect()
 }
--- a/quotas/src/allocator/change.rs
+++ b/quotas/src/allocator/change.rs
@@ -8,12 +8,16 @@
 
 impl DemandAllocation {
     /// The change of a router's part, recorded as sent; `None` if the part does not change.
-    pub(super) fn next_change(&mut self, position: usize, context: &ResponseContext<'_>) -> Option<Holding> {
-        let held = self.parts[position].held;
+    pub(super) fn next_change(
+        &mut self,
+        record_index: usize,
+        context: &ResponseContext<'_>,
+    ) -> Option<Holding> {
+        let held = self.parts[record_index].held;
         let reserved = context.shares.reserved(context.share.after);
         let confirmed = confirmed_grant(held, context);
-        let target = self.next_target(position, confirmed, reserved, context);
-        let available = self.available(position, confirmed, target, context);
+        let target = self.next_target(record_index, confirmed, reserved, context);
+        let available = self.available(record_index, confirmed, target, context);
         let grant = target.min(available);
         let next = if grant == reserved { Holding::Reserved } else { Holding::ByDemand(grant) };
         let is_unchanged = next == held || stays_reserved(held, target, reserved, context);
@@ -24,19 +28,19 @@
         if is_unchanged && !would_exceed_available {
             return None;
         }
-        self.parts[position].sent = Some(next);
+        self.parts[record_index].sent = Some(next);
         Some(next)
     }
 
     /// The grant to move the router towards. Raises too small to be sent are left out.
     fn next_target(
         &self,
-        position: usize,
+        record_index: usize,
         confirmed: Grant,
         reserved: Grant,
         context: &ResponseContext<'_>,
     ) -> Grant {
-        let part = &self.parts[position];
+        let part = &self.parts[record_index];
         let target = if self.restoring {
             reserved
         } else if part.demand > 0 && !part.planned {
@@ -54,7 +58,7 @@
     /// all other routers hold the most that they may.
     fn available(
         &self,
-        position: usize,
+        record_index: usize,
         confirmed: Grant,
         target: Grant,
         context: &ResponseContext<'_>,
@@ -63,18 +67,18 @@
         if !context.may_raise || !(raises || context.share.becomes_full()) {
             return confirmed;
         }
-        let others = self.held_by_others(position, context);
+        let others = self.held_by_others(record_index, context);
         confirmed.max(context.shares.grantable.saturating_sub(others))
     }
 
     /// The largest total that all other routers may hold.
-    fn held_by_others(&self, position: usize, context: &ResponseContext<'_>) -> Grant {
+    fn held_by_others(&self, record_index: usize, context: &ResponseContext<'_>) -> Grant {
         if context.settings.injected_fault == InjectedFault::GrantTwice {
             return Grant::NONE;
         }
         let parts = self.parts.iter().zip(context.routers).enumerate();
         parts
-            .filter(|(other, _)| *other != position)
+            .filter(|(other, _)| *other != record_index)
             .filter_map(|(_, (part, router))| Some(part.max_held(router.as_ref()?, context.shares)))
             .fold(Grant::NONE, Grant::saturating_add)
     }
--- a/quotas/src/allocator/configuration.rs
+++ b/quotas/src/allocator/configuration.rs
@@ -18,7 +18,7 @@
                 TenantQuota { name: name.clone(), shares }
             })
             .collect();
-        // A router without contact to this leader may use its larger fixed share until it has learned of the
+        // A router without contact to this leader may use its larger fixed share until it has received the
         // smaller one, which takes up to `settle_time`.
         if tenants.iter().any(|tenant| self.frees_fixed_shares(tenant, fleet.max_routers)) {
             self.old_fixed_shares_until = after(now, self.settings.settle_time);
--- a/quotas/src/allocator/fair_share.rs
+++ b/quotas/src/allocator/fair_share.rs
@@ -13,16 +13,19 @@
     /// routers that want less leave over. Rate that no router wants is divided equally. Each router gets a
     /// capacity of one token, and the rest of the capacity in proportion to its rate.
     pub(super) fn divide_max_min(&self, with_demand: &[usize], total: Grant, targets: &mut [Grant]) {
-        let mut wanted_rates: Vec<(u64, usize)> =
-            with_demand.iter().map(|&position| (self.parts[position].wanted_rate(), position)).collect();
+        let mut wanted_rates: Vec<(u64, usize)> = with_demand
+            .iter()
+            .map(|&record_index| (self.parts[record_index].wanted_rate(), record_index))
+            .collect();
         wanted_rates.sort_unstable();
         let remaining = divide_rate(&wanted_rates, total.rate, targets);
         let count = wanted_rates.len() as u64;
         let extra = remaining.checked_div(count).unwrap_or(0);
-        let rates: u64 = wanted_rates.iter().map(|&(_, position)| targets[position].rate + extra).sum();
+        let rates: u64 =
+            wanted_rates.iter().map(|&(_, record_index)| targets[record_index].rate + extra).sum();
         let extra_capacity = total.capacity.saturating_sub(count * MICROTOKENS_PER_TOKEN);
-        for &(_, position) in &wanted_rates {
-            let target = &mut targets[position];
+        for &(_, record_index) in &wanted_rates {
+            let target = &mut targets[record_index];
             target.rate += extra;
             target.capacity = MICROTOKENS_PER_TOKEN + proportion(extra_capacity, target.rate, rates.max(1));
         }
@@ -33,9 +36,9 @@
 fn divide_rate(wanted_rates: &[(u64, usize)], total: u64, targets: &mut [Grant]) -> u64 {
     let mut remaining = total;
     let mut remaining_routers = wanted_rates.len() as u64;
-    for &(wanted, position) in wanted_rates {
+    for &(wanted, record_index) in wanted_rates {
         let rate = wanted.min(remaining / remaining_routers);
-        targets[position].rate = rate;
+        targets[record_index].rate = rate;
         remaining -= rate;
         remaining_routers -= 1;
     }
@@ -58,12 +61,12 @@
     let fits = |parts: &u64| sum(*parts).saturating_add(needed) <= total;
     let parts = (1..=RECLAIM_PARTS).rev().find(fits).unwrap_or(0);
     let remaining = total.saturating_sub(sum(parts));
-    let rates = with_demand.iter().map(|&position| targets[position].rate).sum::<u64>().max(1);
+    let rates = with_demand.iter().map(|&record_index| targets[record_index].rate).sum::<u64>().max(1);
     for router in eligible {
-        targets[router.position].capacity = retained_capacity(router.reserved, parts);
+        targets[router.record_index].capacity = retained_capacity(router.reserved, parts);
     }
-    for &position in with_demand {
-        targets[position].capacity += proportion(remaining, targets[position].rate, rates);
+    for &record_index in with_demand {
+        targets[record_index].capacity += proportion(remaining, targets[record_index].rate, rates);
     }
 }
 
@@ -71,7 +74,7 @@
 fn needed_capacity(eligible: &[Candidate], targets: &[Grant]) -> u64 {
     eligible
         .iter()
-        .map(|router| (targets[router.position].rate, router.reserved))
+        .map(|router| (targets[router.record_index].rate, router.reserved))
         .filter(|(rate, reserved)| *rate > reserved.rate.saturating_mul(FAR_ABOVE_RESERVED))
         .map(|(rate, reserved)| {
             let wanted = rate.saturating_mul(CAPACITY_SECONDS) + MICROTOKENS_PER_TOKEN;
--- a/quotas/src/allocator/mod.rs
+++ b/quotas/src/allocator/mod.rs
@@ -104,9 +104,9 @@
     max_routers: u32,
     tenant_index: HashMap<String, u32>,
     tenants: Vec<TenantQuota>,
-    /// Incarnations of routers that may hold shares or grants. The position of a removed record is reused.
+    /// Incarnations of routers that may hold shares or grants. The index of a removed record is reused.
     routers: Vec<Option<RouterRecord>>,
-    /// The position of the latest incarnation of each router, by name.
+    /// The index of the record of each router's latest incarnation, by name.
     router_index: HashMap<String, usize>,
     /// Allocations by demand, by the index of the tenant.
     allocations: BTreeMap<u32, DemandAllocation>,
@@ -143,8 +143,8 @@
                 actions.extend(response.map(|response| Action::Respond { connection, response }));
             }
             Event::RouterLeft { router } => {
-                if let Some(&position) = self.router_index.get(&router) {
-                    self.drop_demand(position);
+                if let Some(&record_index) = self.router_index.get(&router) {
+                    self.drop_demand(record_index);
                 }
             }
             Event::BecameLeader { .. } | Event::Config { .. } | Event::Tick => {}
@@ -179,28 +179,28 @@
 
     /// Removes the records of routers whose grants have expired.
     fn expire(&mut self, now: Time) {
-        for position in 0..self.routers.len() {
-            if self.routers[position].as_ref().is_some_and(|router| router.expires <= now) {
-                self.remove_router(position);
+        for record_index in 0..self.routers.len() {
+            if self.routers[record_index].as_ref().is_some_and(|router| router.expires <= now) {
+                self.remove_router(record_index);
             }
         }
     }
 
-    fn remove_router(&mut self, position: usize) {
-        let Some(router) = self.routers[position].take() else { return };
+    fn remove_router(&mut self, record_index: usize) {
+        let Some(router) = self.routers[record_index].take() else { return };
         if !router.superseded {
             self.router_index.remove(&router.name);
         }
-        self.drop_demand(position);
+        self.drop_demand(record_index);
         for allocation in self.allocations.values_mut() {
-            allocation.clear_router(position);
+            allocation.clear_router(record_index);
         }
     }
 
     /// Sets a router's demand to zero for all tenants.
-    fn drop_demand(&mut self, position: usize) {
+    fn drop_demand(&mut self, record_index: usize) {
         for allocation in self.allocations.values_mut() {
-            allocation.drop_demand(position);
+            allocation.drop_demand(record_index);
         }
     }
 }
--- a/quotas/src/allocator/plan.rs
+++ b/quotas/src/allocator/plan.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Computes the target of each router, by position.
+    /// Computes the target of each router, by record index.
     fn targets(&mut self, context: &ResponseContext<'_>, rotation: i64) -> Vec<Grant> {
         let total = context.shares.grantable;
         let eligible = candidates(context);
@@ -86,7 +86,7 @@
         let reserved = router.reserved;
         let threshold =
             if reserved.capacity < MICROTOKENS_PER_TOKEN { 0 } else { max_random_rate(reserved.rate) };
-        self.parts[router.position].demand > threshold
+        self.parts[router.record_index].demand > threshold
     }
 
     /// Whether the demand of these routers can be met while all others retain their reserved shares.
@@ -104,10 +104,10 @@
     ) -> Vec<Grant> {
         let mut targets = vec![Grant::NONE; self.parts.len()];
         for router in not_exceeding {
-            targets[router.position] = router.reserved;
+            targets[router.record_index] = router.reserved;
         }
-        let positions: Vec<usize> = exceeding.iter().map(|router| router.position).collect();
-        self.divide_max_min(&positions, total.saturating_sub(sum_reserved(not_exceeding)), &mut targets);
+        let record_indices: Vec<usize> = exceeding.iter().map(|router| router.record_index).collect();
+        self.divide_max_min(&record_indices, total.saturating_sub(sum_reserved(not_exceeding)), &mut targets);
         targets
     }
 
@@ -118,11 +118,11 @@
     fn targets_by_demand(&mut self, eligible: &[Candidate], total: Grant, rotation: i64) -> Vec<Grant> {
         let mut targets = vec![Grant::NONE; self.parts.len()];
         let (with_demand, idle): (Vec<_>, Vec<_>) =
-            eligible.iter().copied().partition(|router| self.parts[router.position].demand > 0);
+            eligible.iter().copied().partition(|router| self.parts[router.record_index].demand > 0);
         self.update_retained_parts(total.rate.saturating_sub(self.wanted_rate(&with_demand)), &idle);
         let idle = self.retained_by_idle(&idle, one_token_each(&with_demand), total);
         for router in &idle {
-            targets[router.position] = router.reserved;
+            targets[router.record_index] = router.reserved;
         }
         let with_demand = self.rotate_tokens(&with_demand, total.capacity, rotation);
         self.divide_max_min(&with_demand, total.saturating_sub(sum_reserved(&idle)), &mut targets);
@@ -160,22 +160,23 @@
             .unwrap_or_default()
     }
 
-    /// The positions of the routers that get tokens: all of them, or a rotating subset if there are fewer
-    /// tokens than routers.
+    /// The record indices of the routers that get tokens: all of them, or a rotating subset if there are
+    /// fewer tokens than routers.
     fn rotate_tokens(&mut self, with_demand: &[Candidate], capacity: u64, rotation: i64) -> Vec<usize> {
-        let mut positions: Vec<usize> = with_demand.iter().map(|router| router.position).collect();
+        let mut record_indices: Vec<usize> = with_demand.iter().map(|router| router.record_index).collect();
         let tokens = (capacity / MICROTOKENS_PER_TOKEN) as usize;
-        if tokens < positions.len() {
+        if tokens < record_indices.len() {
             self.rotation = Some(rotation);
-            let begin = rotation.rem_euclid(positions.len() as i64) as usize * tokens % positions.len();
-            positions.rotate_left(begin);
-            positions.truncate(tokens);
+            let begin =
+                rotation.rem_euclid(record_indices.len() as i64) as usize * tokens % record_indices.len();
+            record_indices.rotate_left(begin);
+            record_indices.truncate(tokens);
         }
-        positions
+        record_indices
     }
 
     fn wanted_rate(&self, routers: &[Candidate]) -> u64 {
-        routers.iter().map(|router| self.parts[router.position].wanted_rate()).sum()
+        routers.iter().map(|router| self.parts[router.record_index].wanted_rate()).sum()
     }
 }
 
--- a/quotas/src/allocator/report.rs
+++ b/quotas/src/allocator/report.rs
@@ -14,9 +14,9 @@
 enum Sender {
     /// There is no record of this router.
     New,
-    /// The record at this position is of the same incarnation.
+    /// The record at this index is of the same incarnation.
     Known(usize),
-    /// The record at this position is of an earlier incarnation.
+    /// The record at this index is of an earlier incarnation.
     Restarted(usize),
 }
 
@@ -43,15 +43,16 @@
     /// last one. A duplicated report must not get a second response, because the router applies whichever
     /// response it receives first.
     fn sender_of(&self, report: &Report) -> Option<Sender> {
-        let position = self.router_index.get(&report.router).copied();
-        let Some((position, router)) = position.and_then(|p| Some((p, self.routers[p].as_ref()?))) else {
+        let record_index = self.router_index.get(&report.router).copied();
+        let Some((record_index, router)) = record_index.and_then(|p| Some((p, self.routers[p].as_ref()?)))
+        else {
             return Some(Sender::New);
         };
         if report.incarnation > router.incarnation {
-            return Some(Sender::Restarted(position));
+            return Some(Sender::Restarted(record_index));
         }
         let is_next = report.incarnation == router.incarnation && report.seq > router.seq;
-        is_next.then_some(Sender::Known(position))
+        is_next.then_some(Sender::Known(record_index))
     }
 
     /// The body of the response to an accepted report.
@@ -60,8 +61,8 @@
             return ResponseBody::NotRenewed;
         }
         if report.leaving {
-            if let Sender::Known(position) = sender {
-                self.remove_router(position);
+            if let Sender::Known(record_index) = sender {
+                self.remove_router(record_index);
             }
             return ResponseBody::NotRenewed;
         }
@@ -69,7 +70,7 @@
             return ResponseBody::FullReportRequired;
         }
         // A router that has not applied the new version is not renewed, so its grants by older versions
-        // expire within one lifetime. This is also the time that the router has to learn of the new version.
+        // expire within one lifetime. This is also the time that the router has to receive the new version.
         if report.version < self.version {
             return ResponseBody::NotRenewed;
         }
@@ -79,8 +80,8 @@
     /// Whether a report that states only changes can be applied: it must follow the response that the router
     /// applied last.
     fn can_apply_changes(&self, sender: Sender, report: &Report) -> bool {
-        let Sender::Known(position) = sender else { return false };
-        self.routers[position]
+        let Sender::Known(record_index) = sender else { return false };
+        self.routers[record_index]
             .as_ref()
             .is_some_and(|router| router.holdings_known && router.seq == report.applied_seq)
     }
@@ -88,8 +89,8 @@
     /// Renews the sender's grants, plans all allocations by demand and decides what changes for the sender.
     fn renew(&mut self, now: Time, sender: Sender, report: Report) -> ResponseBody {
         let in_quiet_period = now < self.quiet_until;
-        let (position, has_record) = match sender {
-            Sender::Known(position) => (position, true),
+        let (record_index, has_record) = match sender {
+            Sender::Known(record_index) => (record_index, true),
             Sender::Restarted(earlier) => {
                 self.supersede(earlier);
                 (self.add_router(&report), false)
@@ -100,30 +101,30 @@
         // have expired.
         let skips_quiet_period = self.settings.injected_fault == InjectedFault::SkipQuietPeriod;
         let accepts_held = has_record || in_quiet_period || skips_quiet_period;
-        let reset = self.update_held(position, report.held, accepts_held);
-        self.report_demand(now, position, report.demand);
-        self.renew_record(now, position, report.seq);
+        let reset = self.update_held(record_index, report.held, accepts_held);
+        self.report_demand(now, record_index, report.demand);
+        self.renew_record(now, record_index, report.seq);
         let may_raise =
             !in_quiet_period && now >= self.old_fixed_shares_until && self.all_hold_this_version();
-        let share = self.assign_share(position, may_raise);
-        let changes = self.next_changes(now, position, may_raise, share);
+        let share = self.assign_share(record_index, may_raise);
+        let changes = self.next_changes(now, record_index, may_raise, share);
         ResponseBody::Renewed { reset, reserved_share: share.after, changes }
     }
 
     /// Marks a record as that of an earlier incarnation. What this incarnation holds may still be in use
     /// until it expires.
-    fn supersede(&mut self, position: usize) {
-        if let Some(router) = &mut self.routers[position] {
+    fn supersede(&mut self, record_index: usize) {
+        if let Some(router) = &mut self.routers[record_index] {
             router.superseded = true;
             self.router_index.remove(&router.name);
-            self.drop_demand(position);
+            self.drop_demand(record_index);
         }
     }
 
-    /// Adds a record of a router that holds nothing and returns its position.
+    /// Adds a record of a router that holds nothing and returns its index.
     fn add_router(&mut self, report: &Report) -> usize {
-        let position = self.free_position();
-        self.routers[position] = Some(RouterRecord {
+        let record_index = self.free_record_index();
+        self.routers[record_index] = Some(RouterRecord {
             name: report.router.clone(),
             incarnation: report.incarnation,
             seq: report.seq,
@@ -133,34 +134,34 @@
             sent: None,
             holdings_known: false,
         });
-        self.router_index.insert(report.router.clone(), position);
-        position
+        self.router_index.insert(report.router.clone(), record_index);
+        record_index
     }
 
-    fn free_position(&mut self) -> usize {
-        if let Some(position) = self.routers.iter().position(Option::is_none) {
-            return position;
+    fn free_record_index(&mut self) -> usize {
+        if let Some(record_index) = self.routers.iter().position(Option::is_none) {
+            return record_index;
         }
         self.routers.push(None);
         for allocation in self.allocations.values_mut() {
-            allocation.add_position();
+            allocation.add_record();
         }
         self.routers.len() - 1
     }
 
     /// Updates the record of what the router holds from its report. Returns whether the router must discard
     /// everything that it holds.
-    fn update_held(&mut self, position: usize, held: Option<HeldGrants>, is_accepted: bool) -> bool {
-        let Some(router) = &mut self.routers[position] else { return true };
+    fn update_held(&mut self, record_index: usize, held: Option<HeldGrants>, is_accepted: bool) -> bool {
+        let Some(router) = &mut self.routers[record_index] else { return true };
         let Some(held) = held else {
             router.acknowledged = router.sent.take().unwrap_or(router.acknowledged);
             for allocation in self.allocations.values_mut() {
-                allocation.acknowledge(position);
+                allocation.acknowledge(record_index);
             }
             return false;
         };
         for allocation in self.allocations.values_mut() {
-            allocation.reset_router(position);
+            allocation.reset_router(record_index);
         }
         router.sent = None;
         if held.is_empty() || !is_accepted {
@@ -170,13 +171,13 @@
         router.acknowledged = ShareAssignment { share: held.reserved_share, version: held.version };
         for held in held.by_demand {
             if let Some(allocation) = self.allocation_of(&held.tenant) {
-                allocation.restore_grant(position, held.grant);
+                allocation.restore_grant(record_index, held.grant);
             }
         }
         false
     }
 
-    fn report_demand(&mut self, now: Time, position: usize, demand: Vec<TenantDemand>) {
+    fn report_demand(&mut self, now: Time, record_index: usize, demand: Vec<TenantDemand>) {
         for TenantDemand { tenant, rate } in demand {
             let index = self.tenant_index.get(&tenant);
             let is_allocated = index.is_some_and(|index| self.allocations.contains_key(index));
@@ -184,7 +185,7 @@
                 continue;
             }
             if let Some(allocation) = self.allocation_of(&tenant) {
-                allocation.report_demand(now, position, rate);
+                allocation.report_demand(now, record_index, rate);
             }
         }
     }
@@ -194,14 +195,14 @@
     fn allocation_of(&mut self, tenant: &str) -> Option<&mut DemandAllocation> {
         let index = *self.tenant_index.get(tenant)?;
         self.tenants[index as usize].shares?;
-        let positions = self.routers.len();
-        Some(self.allocations.entry(index).or_insert_with(|| DemandAllocation::new(positions)))
+        let record_count = self.routers.len();
+        Some(self.allocations.entry(index).or_insert_with(|| DemandAllocation::new(record_count)))
     }
 
     /// Records the exchange: what the router holds is valid for another lifetime.
-    fn renew_record(&mut self, now: Time, position: usize, seq: u64) {
+    fn renew_record(&mut self, now: Time, record_index: usize, seq: u64) {
         let expires = after(now, self.settings.lifetime_at_allocator());
-        if let Some(router) = &mut self.routers[position] {
+        if let Some(router) = &mut self.routers[record_index] {
             router.expires = router.expires.max(expires);
             router.seq = seq;
             router.holdings_known = true;
@@ -214,18 +215,18 @@
     }
 
     /// Assigns the router's reserved share and records it as sent.
-    fn assign_share(&mut self, position: usize, may_raise: bool) -> ShareChange {
+    fn assign_share(&mut self, index: usize, may_raise: bool) -> ShareChange {
         let version = self.version;
-        let after = self.next_share(position, may_raise);
-        let Some(router) = &mut self.routers[position] else { return ShareChange { before: None, after } };
+        let after = self.next_share(index, may_raise);
+        let Some(router) = &mut self.routers[index] else { return ShareChange { before: None, after } };
         let held = router.acknowledged;
         router.sent = Some(ShareAssignment { share: after, version });
         ShareChange { before: held.share.filter(|_| held.version == version), after }
     }
 
     /// The router's reserved share after this response: its present one, or else an unused one.
-    fn next_share(&self, position: usize, may_raise: bool) -> Option<ReservedShare> {
-        let ShareAssignment { share, version } = self.routers[position].as_ref()?.acknowledged;
+    fn next_share(&self, record_index: usize, may_raise: bool) -> Option<ReservedShare> {
+        let ShareAssignment { share, version } = self.routers[record_index].as_ref()?.acknowledged;
         let valid_share = share.filter(|share| share.index < self.max_routers);
         if let Some(share) = valid_share {
             let stays_full = share.full && version == self.version;
@@ -254,7 +255,7 @@
     fn next_changes(
         &mut self,
         now: Time,
-        position: usize,
+        record_index: usize,
         may_raise: bool,
         share: ShareChange,
     ) -> Vec<GrantChange> {
@@ -270,7 +271,7 @@
                 share,
             };
             allocation.plan(now, &context);
-            if let Some(change) = allocation.next_change(position, &context) {
+            if let Some(change) = allocation.next_change(record_index, &context) {
                 changes.push(GrantChange { tenant: tenant.name.clone(), grant: change.by_demand() });
             }
             !allocation.is_restored(&self.routers)
--- a/quotas/src/allocator/silence.rs
+++ b/quotas/src/allocator/silence.rs
@@ -39,12 +39,12 @@
         // first ones has been ended, the remaining ones alone would no longer be too many. So the demand of
         // all idle routers is ended for a while.
         let ends_all = now < self.end_all_idle_demand_until;
-        for position in 0..self.parts.len() {
-            let part = &self.parts[position];
+        for record_index in 0..self.parts.len() {
+            let part = &self.parts[record_index];
             let Some(since) = part.no_demand_since else { continue };
             let idle_time = elapsed(since, now).saturating_add(MIN_IDLE_TIME) as f64 / MICROS_PER_SECOND;
             if ends_all || requests_per_second(part) * idle_time > MAX_EXPECTED_REQUESTS {
-                self.set_demand(position, 0);
+                self.set_demand(record_index, 0);
             }
         }
     }
--- a/quotas/src/client/demand.rs
+++ b/quotas/src/client/demand.rs
@@ -95,15 +95,15 @@
         Some(TenantDemand { tenant: self.name.clone(), rate })
     }
 
-    /// Begins counting in the interval at this position of the ring.
-    fn begin_interval(&mut self, position: usize) {
+    /// Begins counting in the interval at this index of the ring buffer.
+    fn begin_interval(&mut self, ring_index: usize) {
         self.averaged_intervals += 1;
-        self.request_counts[position] = 0;
+        self.request_counts[ring_index] = 0;
     }
 
     /// The number of requests in the latest `count` intervals.
     fn requests(&self, window: &DemandWindow, count: usize) -> u64 {
-        (1..=count).map(|age| u64::from(self.request_counts[window.position(age)])).sum()
+        (1..=count).map(|age| u64::from(self.request_counts[window.ring_index(age)])).sum()
     }
 
     /// The number of recent intervals over which demand has changed by no more than random fluctuation
--- a/quotas/src/client/demand_window.rs
+++ b/quotas/src/client/demand_window.rs
@@ -2,7 +2,7 @@
 use crate::time::{DISTANT_PAST, elapsed};
 use decision::{Micros, Time};
 
-/// The number of intervals that are kept, about 8 s: the longest time over which demand is averaged.
+/// The number of intervals that are retained, about 8 s: the longest time over which demand is averaged.
 pub(super) const INTERVALS: usize = 40;
 /// The shortest interval, microseconds. A report made earlier does not end the interval.
 pub(super) const MIN_INTERVAL: Micros = 150_000;
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Hash)]
 pub(super) struct DemandWindow {
     begins: [Time; INTERVALS],
-    /// The ring position of the current interval.
+    /// The ring buffer index of the current interval.
     current: usize,
 }
 
@@ -22,17 +22,17 @@
 }
 
 impl DemandWindow {
-    /// The ring position of the current interval.
+    /// The ring buffer index of the current interval.
     pub(super) fn current(&self) -> usize {
         self.current
     }
 
-    /// The ring position of the interval of this age; the current one has age 1.
-    pub(super) fn position(&self, age: usize) -> usize {
+    /// The ring buffer index of the interval of this age; the current one has age 1.
+    pub(super) fn ring_index(&self, age: usize) -> usize {
         (self.current + INTERVALS + 1 - age) % INTERVALS
     }
 
-    /// The ring position of the oldest interval, which the next one replaces.
+    /// The ring buffer index of the oldest interval, which the next one replaces.
     pub(super) fn next(&self) -> usize {
         (self.current + 1) % INTERVALS
     }
@@ -40,7 +40,7 @@
     /// The time covered by the latest `count` intervals, microseconds. At least [`MIN_INTERVAL`], because
     /// rates are divided by it.
     pub(super) fn duration(&self, now: Time, count: usize) -> Micros {
-        elapsed(self.begins[self.position(count)], now).max(MIN_INTERVAL)
+        elapsed(self.begins[self.ring_index(count)], now).max(MIN_INTERVAL)
     }
 
     /// At the first report, sets the start of all intervals to [`MIN_INTERVAL`] ago.
--- a/quotas/src/equal_shares.rs
+++ b/quotas/src/equal_shares.rs
@@ -47,8 +47,8 @@
         if self.reserved_count == self.routers {
             return self.reserved;
         }
-        let position = (u64::from(index) + u64::from(self.offset)) % u64::from(self.routers);
-        if position < u64::from(self.reserved_count) { self.reserved } else { Grant::NONE }
+        let shifted_index = (u64::from(index) + u64::from(self.offset)) % u64::from(self.routers);
+        if shifted_index < u64::from(self.reserved_count) { self.reserved } else { Grant::NONE }
     }
 
     /// A router's reserved share of this quota; [`Grant::NONE`] for a router without one.
