--- a/quotas/examples/large_fleet.rs
+++ b/quotas/examples/large_fleet.rs
@@ -1,4 +1,5 @@
 //! Simulates large fleets in one thread:
+//! `cargo run --release -p quotas --example large_fleet -- [routers] [tenants] [seeds] [burst]`.
 //!
 //! For each seed, the demand of three tenants moves to one router, then to all routers, then back to one.
 //! Afterwards routers are paused, disconnected and killed, and the leader changes. Prints the number of seeds
--- a/quotas/examples/sparse_demand.rs
+++ b/quotas/examples/sparse_demand.rs
@@ -1,5 +1,5 @@
 //! Measures how much of its quota a tenant with sparse demand can use: each of many routers has about one
-//! request per second.
+//! request per second: `cargo run --release -p quotas --example sparse_demand -- [routers] [seeds]`.
 #[path = "../tests/simulation/mod.rs"]
 mod simulation;
 use decision::Micros;
--- a/quotas/src/client/admission.rs
+++ b/quotas/src/client/admission.rs
@@ -19,9 +19,9 @@
 }
 
 impl QuotaClient {
-    /// Admits or sheds one request of `tenant`; an unknown name counts as the configuration's default tenant.
-    /// `now` must be read for this request, because grants are checked for expiry against it. Does not
-    /// allocate memory.
+    /// Admits or sheds one request of `tenant`; an unknown name counts for the configuration's default tenant
+    /// (`unnamed`). `now` must be read for this request, because grants are checked for expiry against it.
+    /// Does not allocate memory.
     pub fn admit(&mut self, now: Time, tenant: &str) -> Admission {
         self.raise_fixed_shares_if_due(now);
         let Some(index) = self.index.get(tenant).copied().or(self.default_tenant) else {
