--- a/quotas/src/client/exchange.rs
+++ b/quotas/src/client/exchange.rs
@@ -71,7 +71,8 @@
         self.full_report_due = false;
     }
 
-    /// Ends the open exchange without effect. The next report states everything that the client holds.
+    /// Ends the open exchange without effect: its response will not be received or must not be applied. The
+    /// next report states everything that the client holds.
     pub fn exchange_failed(&mut self) {
         self.open = None;
         self.full_report_due = true;
