--- a/quotas/examples/sparse_demand.rs
+++ b/quotas/examples/sparse_demand.rs
@@ -1,5 +1,5 @@
 //! Measures how much of its quota a tenant with sparse demand can use: each of many routers has about one
-//! request per second.
+//! request per second: `cargo run --release -p quotas --example sparse_demand -- [routers] [seeds]`.
 #[path = "../tests/simulation/mod.rs"]
 mod simulation;
 use decision::Micros;
@@ -46,7 +46,8 @@
         print!(" {:.3}", simulation.admitted(0, begin, simulation.now) as f64 / max);
     }
     println!(
-        " (share used in each 2 s period, starting 2 s after the move); responses until then: {bytes:.0} bytes per router and second"
+        " (share used in each 2 s period, starting 2 s after the move); \
+         responses until then: {bytes:.0} bytes per router and second"
     );
 }
 
--- a/quotas/src/client/mod.rs
+++ b/quotas/src/client/mod.rs
@@ -28,14 +28,14 @@
 /// The identity of a router and the constants of its quota client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaClientSettings {
-    /// The router's name.
+    /// The name of the router, which reports contain.
     pub router: String,
     /// The router's incarnation, which increases with each start under this name.
     pub incarnation: u64,
     /// The slot whose fixed shares of `on_loss` the router uses, from 1 to `fleet.routers`; no two live
     /// routers may have the same.
     pub slot: Option<u32>,
-    /// The constants, which are the same in the whole fleet.
+    /// The constants; `ttl` and `max_clock_drift` must be the same in the whole fleet.
     pub settings: Settings,
     /// The seed of the random part of retry times.
     pub seed: u64,
--- a/quotas/tests/simulation/bound.rs
+++ b/quotas/tests/simulation/bound.rs
@@ -8,9 +8,9 @@
 /// A period in which the largest quota in force does not change.
 struct Period {
     begin: Micros,
-    /// Microtokens per second.
+    /// The rate in force, microtokens per second.
     rate: i128,
-    /// Picotokens.
+    /// The burst in force, picotokens.
     burst: i128,
 }
 
@@ -25,7 +25,7 @@
 struct Window {
     /// Picotokens spent before the window less those produced before it.
     level: i128,
-    /// The burst in force at its start, picotokens.
+    /// The burst in force at the start of the window, picotokens.
     burst: i128,
 }
 
