--- a/mysql/src/backend.rs
+++ b/mysql/src/backend.rs
@@ -1,5 +1,5 @@
-//! Connections to servers: one command at a time on a connection that stays open. A statement is prepared on one when an
-//! execution first needs it there.
+//! Connections to servers. A connection is reused and runs one command at a time. A statement is prepared on
+//! a connection when it is first executed there.
 mod connection;
 mod probe;
 mod server_response;
@@ -23,19 +23,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The `MySQL` wire protocol towards servers.
+/// Server-facing side of the `MySQL` wire protocol.
 #[derive(Clone)]
 pub struct Mysql {
     credentials: Credentials,
     settings: Arc<Settings>,
     limits: Arc<Limits>,
     clock: Clock,
-    /// How far the servers' clocks are from this router's, from their responses to probes.
+    /// Offsets between the servers' clocks and this router's clock, measured with probe responses.
     pub clocks: Arc<ServerClocks>,
 }
 
 impl Mysql {
-    /// The protocol with the login that the settings name.
+    /// Creates the protocol with the server credentials from the settings.
     pub fn new(settings: Arc<Settings>, limits: Arc<Limits>, clock: Clock) -> Self {
         let credentials = Credentials {
             user: settings.server_user.clone(),
@@ -75,11 +75,11 @@
 
 fn login_outcome(addr: SocketAddr, error: &LoginError) -> Outcome {
     if let LoginError::Server(number) = error
-        && errors::meaning(*number) == ServerErrorMeaning::Outcome(Outcome::Rejected)
+        && errors::server_error_meaning(*number) == ServerErrorMeaning::Outcome(Outcome::Rejected)
     {
         return Outcome::Rejected;
     }
-    tracing::warn!(server = %addr, %error, "login at server failed");
+    tracing::warn!(server = %addr, %error, "login to server failed");
     Outcome::ConnectFailed
 }
 
@@ -106,7 +106,7 @@
                 self.begin_attempt(deadline);
                 match request {
                     Request::Query(text) => self.query(text, guard),
-                    Request::Prepare(text) => self.describe(text, guard),
+                    Request::Prepare(text) => self.describe_statement(text, guard),
                     Request::Execute { text, body, long_parameters } => {
                         self.execute_statement(text, body, long_parameters, guard)
                     }
--- a/mysql/src/backend/connection.rs
+++ b/mysql/src/backend/connection.rs
@@ -1,12 +1,12 @@
-//! One connection to a server, behind its login: its commands and their responses.
+//! An authenticated connection to one server: sends commands and reads their responses.
 use super::probe::ProbeRow;
 use super::server_response::{
-    PrepareOk, Prepared, ResponseError, ServerResult, is_unknown_statement, last_error, reusable,
+    PrepareOk, PrepareOutcome, ResponseError, ServerResult, is_unknown_statement, last_error, reusable_result,
 };
 use super::statement_cache::{ServerStatementId, StatementCache};
 use crate::command;
 use crate::errors::{self, ServerErrorMeaning};
-use crate::packet::{HEAD_BYTES, PacketReader, ReadError, with_command};
+use crate::packet::{PACKET_HEADER_BYTES, PacketReader, ReadError, frame_command};
 use crate::request::{LongParameters, ResponsePayloads};
 use crate::results::ResponseState;
 use routing::{
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What a connection has from the protocol that opened it.
+/// Settings and shared state that a connection receives from the protocol that opened it.
 pub(super) struct ConnectionContext {
     pub(super) settings: Arc<Settings>,
     pub(super) limits: Arc<Limits>,
@@ -29,11 +29,11 @@
     pub(super) addr: SocketAddr,
 }
 
-/// A connection to a server.
+/// An authenticated connection to a server.
 pub struct MysqlConnection {
     socket: ServerSocket,
     reader: PacketReader,
-    /// The current exchange is given up at this moment, however slowly its response comes.
+    /// Deadline of the current exchange. It also ends an exchange whose response arrives too slowly.
     deadline: Instant,
     context: ConnectionContext,
     statements: StatementCache,
@@ -54,59 +54,60 @@
     }
 
     pub(super) fn is_usable_after(&self, idle: Duration) -> bool {
-        idle < self.context.limits.max_unchecked_idle_time && self.is_silent()
+        idle < self.context.limits.max_unchecked_idle_time && self.is_open_and_idle()
     }
 
-    /// Whether it is open and has brought nothing that was not asked for.
-    fn is_silent(&self) -> bool {
+    /// Returns whether the connection is open and has no unsolicited data to read.
+    fn is_open_and_idle(&self) -> bool {
         self.reader.is_empty() && self.socket.is_idle_and_open()
     }
 
-    /// Begins an exchange whose client waits until the deadline.
+    /// Sets the deadline of an exchange whose client waits until `deadline`.
     pub(super) fn begin_attempt(&mut self, deadline: Instant) {
         let now = Instant::now();
         self.deadline =
             now + deadline.saturating_duration_since(now) + self.context.limits.abandoned_response_timeout;
     }
 
-    /// Begins a probe.
+    /// Sets the deadline of a probe.
     pub(super) fn begin_probe(&mut self) {
         self.deadline = Instant::now() + self.context.limits.health_check_timeout;
     }
 
-    /// Sends the probe's statement and reads what the server says about itself.
+    /// Sends the health check statement and reads the server's role, position and clock.
     pub(super) fn probe(&mut self, guard: &AttemptGuard) -> Result<ServerResult, NotSent> {
         let (context, sent_at) = (&self.context, self.context.clock.now());
         self.write_command(guard, &[&[command::QUERY], context.settings.health_check_statement.as_bytes()])?;
         Ok(self.read_probe(sent_at))
     }
 
-    /// Runs a statement as text.
+    /// Sends a statement as text and reads its response.
     pub(super) fn query(&mut self, text: &[u8], guard: &AttemptGuard) -> Result<ServerResult, NotSent> {
         self.write_command(guard, &[&[command::QUERY], text])?;
         let response = self.read_response();
         Ok(self.exchange_result(response))
     }
 
-    /// Prepares a statement for what the response says about it.
-    pub(super) fn describe(
+    /// Prepares a statement and returns the response, which describes the statement's parameters and columns.
+    pub(super) fn describe_statement(
         &mut self,
         text: &Arc<[u8]>,
         guard: &AttemptGuard,
     ) -> Result<ServerResult, NotSent> {
         let permit = guard.permit_write().map_err(|_| NotSent::Cancelled)?;
         match self.prepare(text, &permit) {
-            Ok(Prepared::Ready { response, .. } | Prepared::Error(response)) => {
+            Ok(PrepareOutcome::Ready { response, .. } | PrepareOutcome::Error(response)) => {
                 Ok(self.exchange_result(Ok(response)))
             }
-            // Preparing runs nothing: if a server dies over it, another one can be asked.
+            // Preparing a statement does not run it, so if the server fails the request can be sent to
+            // another one.
             Err(ResponseError::Failed(_)) => Err(NotSent::ConnectionBroken),
             Err(error @ ResponseError::TooLarge) => Ok(self.exchange_result(Err(error))),
         }
     }
 
-    /// Executes a statement, which is prepared first if it is not yet. If the server has forgotten it, that is done
-    /// again, once.
+    /// Executes a statement and prepares it first if it is not prepared on this connection. If the server no
+    /// longer knows the statement, it is prepared and executed a second time, but not a third.
     pub(super) fn execute_statement(
         &mut self,
         text: &Arc<[u8]>,
@@ -114,13 +115,13 @@
         long_parameters: &LongParameters,
         guard: &AttemptGuard,
     ) -> Result<ServerResult, NotSent> {
-        let mut was_unknown = false;
+        let mut is_retry = false;
         loop {
-            let id = match self.statements.id_of(text) {
+            let id = match self.statements.get(text) {
                 Some(id) => id,
                 None => match self.prepare_for_execution(text, guard)? {
-                    Prepared::Ready { id, .. } => id,
-                    Prepared::Error(response) => return Ok(self.exchange_result(Ok(response))),
+                    PrepareOutcome::Ready { id, .. } => id,
+                    PrepareOutcome::Error(response) => return Ok(self.exchange_result(Ok(response))),
                 },
             };
             self.write_execution(id, body, long_parameters, guard)?;
@@ -128,42 +129,49 @@
             if !is_unknown_statement(&response) {
                 return Ok(self.exchange_result(response));
             }
-            // The server has forgotten the statement and says so instead of running it.
+            // The server does not know the statement ID and has not run the statement.
             self.statements.remove(text);
-            if was_unknown {
-                return Ok(reusable(Outcome::Rejected));
+            if is_retry {
+                return Ok(reusable_result(Outcome::Rejected));
             }
-            was_unknown = true;
+            is_retry = true;
         }
     }
 
-    /// Prepares a statement that an execution waits for.
-    fn prepare_for_execution(&mut self, text: &Arc<[u8]>, guard: &AttemptGuard) -> Result<Prepared, NotSent> {
-        // Nothing new, not even this, goes to a server that is draining.
+    /// Prepares a statement that is about to be executed.
+    fn prepare_for_execution(
+        &mut self,
+        text: &Arc<[u8]>,
+        guard: &AttemptGuard,
+    ) -> Result<PrepareOutcome, NotSent> {
+        // No command is sent to a server that is draining, not even a prepare.
         let permit = guard.permit_write().map_err(|_| NotSent::Cancelled)?;
-        // Nothing has run so far: however the connection broke, the execution may go elsewhere.
+        // The statement has not been executed yet, so it can run on another server after any connection
+        // failure.
         let prepared = self.prepare(text, &permit).map_err(|_| NotSent::ConnectionBroken)?;
-        // A server that died over it has closed by now as a rule: nothing is written to it.
-        if matches!(prepared, Prepared::Ready { .. }) && !self.is_silent() {
+        // A server that crashed while preparing has usually closed the connection by now. Nothing more is
+        // written to such a connection.
+        if matches!(prepared, PrepareOutcome::Ready { .. }) && !self.is_open_and_idle() {
             return Err(NotSent::ConnectionBroken);
         }
         Ok(prepared)
     }
 
-    /// Writes a command's only packet, unless the attempt is cancelled.
+    /// Writes a command that consists of a single packet, unless the attempt is cancelled.
     fn write_command(&self, guard: &AttemptGuard, parts: &[&[u8]]) -> Result<(), NotSent> {
         let permit = guard.permit_write().map_err(|_| NotSent::Cancelled)?;
-        with_command(parts, |slices| self.socket.write_last(permit, slices))
+        frame_command(parts, |slices| self.socket.write_last(permit, slices))
             .map_err(|_| NotSent::ConnectionBroken)
     }
 
-    /// Writes a packet behind which more of the exchange follows.
+    /// Writes a packet that is not the last one of the exchange.
     fn write_part(&self, permit: &WritePermit, parts: &[&[u8]]) -> io::Result<()> {
-        with_command(parts, |slices| self.socket.write_part(permit, slices))
+        frame_command(parts, |slices| self.socket.write_part(permit, slices))
     }
 
-    /// Writes long parameters and the execution. The permit is asked for before the first of them, and not again: a
-    /// server keeps them for the next execution, so a connection that stays open must not have sent any without theirs.
+    /// Writes the long parameters and the execute command. The write permit is requested once, before the
+    /// first long parameter: the server stores long parameters for the next execution, so an open connection
+    /// must never have sent long parameters without their execute command.
     fn write_execution(
         &self,
         ServerStatementId(id): ServerStatementId,
@@ -174,22 +182,22 @@
         let id = id.to_le_bytes();
         let permit = guard.permit_write().map_err(|_| NotSent::Cancelled)?;
         for (index, bytes) in long_parameters {
-            let head = [&[command::STMT_SEND_LONG_DATA][..], &id, &index.to_le_bytes()].concat();
-            self.write_part(&permit, &[&head, bytes]).map_err(|_| NotSent::ConnectionBroken)?;
+            let header = [&[command::STMT_SEND_LONG_DATA][..], &id, &index.to_le_bytes()].concat();
+            self.write_part(&permit, &[&header, bytes]).map_err(|_| NotSent::ConnectionBroken)?;
         }
         let execution: &[&[u8]] = &[&[command::STMT_EXECUTE], &id, body];
-        with_command(execution, |slices| self.socket.write_last(permit, slices))
+        frame_command(execution, |slices| self.socket.write_last(permit, slices))
             .map_err(|_| NotSent::ConnectionBroken)
     }
 
-    /// Prepares a statement, also if it is prepared here already.
-    fn prepare(&mut self, text: &Arc<[u8]>, permit: &WritePermit) -> Result<Prepared, ResponseError> {
-        let broken = |_| ResponseError::Failed(Outcome::Reset);
-        self.write_part(permit, &[&[command::STMT_PREPARE], text]).map_err(broken)?;
+    /// Prepares a statement and replaces any earlier prepared statement with the same text.
+    fn prepare(&mut self, text: &Arc<[u8]>, permit: &WritePermit) -> Result<PrepareOutcome, ResponseError> {
+        let to_reset = |_| ResponseError::Failed(Outcome::Reset);
+        self.write_part(permit, &[&[command::STMT_PREPARE], text]).map_err(to_reset)?;
         let first = self.read_payload()?;
         let Some(prepared) = PrepareOk::parse(&first) else {
             return match errors::error_number(&first) {
-                Some(_) => Ok(Prepared::Error(vec![first])),
+                Some(_) => Ok(PrepareOutcome::Error(vec![first])),
                 None => Err(ResponseError::Failed(Outcome::Error)),
             };
         };
@@ -200,10 +208,10 @@
         let evicted = self.statements.evict_if_full(self.context.limits.max_statements_per_connection);
         let replaced = self.statements.remove(text);
         for id in [evicted, replaced].into_iter().flatten() {
-            self.close_statement(id, permit).map_err(broken)?;
+            self.close_statement(id, permit).map_err(to_reset)?;
         }
         self.statements.insert(text.clone(), prepared.id);
-        Ok(Prepared::Ready { id: prepared.id, response })
+        Ok(PrepareOutcome::Ready { id: prepared.id, response })
     }
 
     fn close_statement(
@@ -219,20 +227,20 @@
         Ok(packet.payload)
     }
 
-    /// Reads a response to its end.
+    /// Reads a complete response.
     fn read_response(&mut self) -> Result<ResponsePayloads, ResponseError> {
         let mut state = ResponseState::Start;
         let mut response = Vec::new();
         let (mut bytes, mut expected_sequence) = (0, 1);
         loop {
             let packet = self.reader.read_packet(self.socket.reader(self.deadline))?;
-            // Out of sequence it belongs to something else, or to nothing.
-            if packet.first != expected_sequence {
+            // A packet with an unexpected sequence number does not belong to this response.
+            if packet.first_sequence != expected_sequence {
                 return Err(ResponseError::Failed(Outcome::Error));
             }
-            expected_sequence = packet.last.wrapping_add(1);
+            expected_sequence = packet.last_sequence.wrapping_add(1);
             state.advance(&packet.payload);
-            bytes += packet.payload.len() + HEAD_BYTES;
+            bytes += packet.payload.len() + PACKET_HEADER_BYTES;
             if bytes > self.context.limits.max_response_bytes {
                 return Err(ResponseError::TooLarge);
             }
@@ -245,7 +253,8 @@
         }
     }
 
-    /// The result of an exchange with this response. A result that breaks off in an error is the statement's own as well.
+    /// Converts a response to the result of the exchange. A result set that ends in an error counts as a
+    /// response to the statement, unless the error number maps to another outcome.
     fn exchange_result(&self, response: Result<ResponsePayloads, ResponseError>) -> ServerResult {
         match response {
             Err(ResponseError::Failed(outcome)) => ExchangeResult::from_outcome(outcome),
@@ -255,30 +264,30 @@
                 let response = vec![errors::encode(errors::TOO_LARGE, &text)];
                 ExchangeResult { response: Some(response), ..ExchangeResult::from_outcome(Outcome::Ok) }
             }
-            Ok(response) => match last_error(&response).map(errors::meaning) {
-                Some(ServerErrorMeaning::Outcome(outcome)) => reusable(outcome),
+            Ok(response) => match last_error(&response).map(errors::server_error_meaning) {
+                Some(ServerErrorMeaning::Outcome(outcome)) => reusable_result(outcome),
                 _ => ExchangeResult {
                     response: Some(response),
-                    // The commit is before the response, by the server's own clock at the latest. Of a server that
-                    // answered a read this says nothing: a replica is where its heartbeat is.
+                    // Upper bound, in the server's clock, of the commit time. It does not apply to a read: a
+                    // replica's position is that of its latest heartbeat.
                     commit: Some(
                         self.context.clocks.commit_upper_bound(self.context.addr, self.context.clock.now()),
                     ),
-                    ..reusable(Outcome::Ok)
+                    ..reusable_result(Outcome::Ok)
                 },
             },
         }
     }
 
-    /// Reads the response to a probe that was sent at this time.
+    /// Reads the response to a probe that was sent at `sent_at`.
     fn read_probe(&mut self, sent_at: Time) -> ServerResult {
         let response = match self.read_response() {
             Ok(response) if errors::error_number(&response[0]).is_none() && response.len() >= 2 => response,
-            Ok(_) => return reusable(Outcome::Error),
+            Ok(_) => return reusable_result(Outcome::Error),
             Err(ResponseError::Failed(outcome)) => return ExchangeResult::from_outcome(outcome),
             Err(ResponseError::TooLarge) => return ExchangeResult::from_outcome(Outcome::Error),
         };
-        // The last row stands before the end of the rows.
+        // The payload before the final EOF is the last row.
         let row = ProbeRow::parse(&response[response.len() - 2]);
         let context = &self.context;
         if let (true, Some(server_time)) = (context.settings.health_check_returns_clock, row.clock) {
@@ -288,7 +297,7 @@
         }
         ExchangeResult {
             load_report: MemberReport { primary: row.primary, position: row.position },
-            ..reusable(Outcome::Ok)
+            ..reusable_result(Outcome::Ok)
         }
     }
 }
--- a/mysql/src/backend/probe.rs
+++ b/mysql/src/backend/probe.rs
@@ -1,19 +1,20 @@
-//! The response to a probe: one row of texts.
+//! Parses the response to a probe, which is one row in text format.
 use crate::results::text_row;
 use routing::Time;
 
-/// What a server says to a probe. A cell that is missing or malformed is `None`.
+/// Values of a probe's result row. A column that is missing or malformed is `None`.
 pub(super) struct ProbeRow {
-    /// Whether it takes writes.
+    /// Whether the server accepts writes.
     pub(super) primary: Option<bool>,
-    /// The time of the heartbeat that it has applied last.
+    /// Time of the latest heartbeat that the server has applied.
     pub(super) position: Option<Time>,
-    /// Its clock.
+    /// Time of the server's clock.
     pub(super) clock: Option<Time>,
 }
 
 impl ProbeRow {
-    /// Parses the row: read-only or not, the heartbeat and the clock in milliseconds.
+    /// Parses the three columns of the row: the read-only flag, the heartbeat and the clock. Both times are
+    /// in milliseconds.
     pub(super) fn parse(payload: &[u8]) -> ProbeRow {
         let cells = text_row(payload);
         let cell = |index: usize| {
--- a/mysql/src/backend/server_response.rs
+++ b/mysql/src/backend/server_response.rs
@@ -1,4 +1,4 @@
-//! What a server's responses mean for an exchange.
+//! Maps a server's responses and read errors to results of an exchange.
 use super::statement_cache::ServerStatementId;
 use crate::errors::{self, ServerErrorMeaning};
 use crate::fields::FieldReader;
@@ -7,14 +7,14 @@
 use routing::{ExchangeResult, Outcome};
 use std::io;
 
-/// The result of one exchange with a server.
+/// Result of one exchange with a server.
 pub(super) type ServerResult = ExchangeResult<ResponsePayloads>;
 
-/// Why a command has no response.
+/// Reason why a command has no usable response.
 pub(super) enum ResponseError {
-    /// The connection broke, brought nothing in time, or something that is no response.
+    /// The connection failed, the response timed out, or it was malformed.
     Failed(Outcome),
-    /// The response is longer than what is accepted.
+    /// The response exceeds the configured limit.
     TooLarge,
 }
 
@@ -33,15 +33,16 @@
     }
 }
 
-/// What became of preparing a statement.
-pub(super) enum Prepared {
-    /// It is prepared under this id; the response describes parameters and columns.
+/// Outcome of preparing a statement on a server.
+pub(super) enum PrepareOutcome {
+    /// The server prepared the statement under this ID. The response describes the statement's parameters and
+    /// columns.
     Ready { id: ServerStatementId, response: ResponsePayloads },
-    /// The server's error, as its only payload.
+    /// The server rejected the statement. The response holds the error as its only payload.
     Error(ResponsePayloads),
 }
 
-/// The first payload of the response to a successful prepare.
+/// First payload of a successful response to `COM_STMT_PREPARE`.
 pub(super) struct PrepareOk {
     pub(super) id: ServerStatementId,
     columns: u64,
@@ -58,10 +59,11 @@
         Some(PrepareOk { id, columns: fields.integer(2)?, parameters: fields.integer(2)? })
     }
 
-    /// Definitions of parameters, then of columns; each kind that is there is ended by an EOF.
+    /// Number of payloads that follow: the parameter definitions and the column definitions, each list
+    /// terminated by an EOF payload unless it is empty.
     pub(super) fn following_payloads(&self) -> u64 {
-        let with_end = |definitions: u64| if definitions > 0 { definitions + 1 } else { 0 };
-        with_end(self.parameters) + with_end(self.columns)
+        let with_eof = |definitions: u64| if definitions > 0 { definitions + 1 } else { 0 };
+        with_eof(self.parameters) + with_eof(self.columns)
     }
 }
 
@@ -72,10 +74,10 @@
 pub(super) fn is_unknown_statement(response: &Result<ResponsePayloads, ResponseError>) -> bool {
     let Ok(response) = response else { return false };
     let number = errors::error_number(&response[0]);
-    number.is_some_and(|number| errors::meaning(number) == ServerErrorMeaning::UnknownStatement)
+    number.is_some_and(|number| errors::server_error_meaning(number) == ServerErrorMeaning::UnknownStatement)
 }
 
-/// The result of an exchange behind which the connection can be used again.
-pub(super) fn reusable(outcome: Outcome) -> ServerResult {
+/// Creates a result after which the connection can be reused.
+pub(super) fn reusable_result(outcome: Outcome) -> ServerResult {
     ExchangeResult { reusable: true, ..ExchangeResult::from_outcome(outcome) }
 }
--- a/mysql/src/clock_sampler.rs
+++ b/mysql/src/clock_sampler.rs
@@ -1,5 +1,5 @@
-//! Samples the servers' clocks at the start and from time to time: sessions have to know how far these are from the
-//! router's also while no request makes the routing core probe.
+//! Measures the offsets of the servers' clocks at startup and then periodically. Sessions need these offsets
+//! even if the routing core sends no probes because there are no requests.
 use crate::backend::Mysql;
 use routing::Outcome;
 use routing::protocol::{AttemptGuard, BackendProtocol, Connection, Exchange};
@@ -7,10 +7,10 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Starts the thread. It samples whichever servers there are each time.
+/// Starts the sampling thread. Each round samples the servers that `servers` returns at that time.
 ///
 /// # Errors
-/// The system has no thread.
+/// The thread could not be started.
 pub fn start(
     protocol: Mysql,
     servers: impl Fn() -> Vec<SocketAddr> + Send + 'static,
@@ -25,14 +25,15 @@
     })
 }
 
-/// Samples each server; `false` where there is none or any failed. A failure does not keep the others from being
-/// sampled.
+/// Samples the clock of each server, also after another one failed. Returns `false` if there are no servers
+/// or a sample failed.
 fn sample_all(protocol: &Mysql, servers: &[SocketAddr]) -> bool {
     let failures = servers.iter().filter(|addr| !sample(protocol, **addr)).count();
     !servers.is_empty() && failures == 0
 }
 
-/// The probe's response updates the clocks that the connection shares with its protocol.
+/// Sends a probe. Reading its response updates the clock offsets that the connection shares with the
+/// protocol.
 fn sample(protocol: &Mysql, addr: SocketAddr) -> bool {
     let guard = AttemptGuard::default();
     let Ok(permit) = guard.permit_connection() else { return false };
--- a/mysql/src/cursor.rs
+++ b/mysql/src/cursor.rs
@@ -1,18 +1,19 @@
-//! Cursors: rows that a client fetches a few at a time. They stay in the router, since server connections are shared.
+//! Cursors, from which a client fetches rows in batches. The router buffers the rows, because server
+//! connections are shared between clients.
 use crate::request::ResponsePayloads;
 use crate::results::{AUTOCOMMIT, CURSOR_EXISTS, LAST_ROW_SENT, ResponseState, eof, eof_status};
 use std::collections::VecDeque;
 
-/// The rows that a client has not fetched yet.
+/// Buffered rows that the client has not fetched yet.
 pub struct Cursor {
     rows: VecDeque<Vec<u8>>,
 }
 
-/// A cursor with what its client gets at once.
+/// A new cursor, and the response that the client receives when the cursor is opened.
 pub struct OpenedCursor {
-    /// Column definitions and their end.
-    pub head: ResponsePayloads,
-    /// The rows.
+    /// Column definitions and the EOF payload that terminates them.
+    pub column_payloads: ResponsePayloads,
+    /// Cursor with all rows of the result set.
     pub cursor: Cursor,
 }
 
@@ -20,25 +21,25 @@
     /// Opens a cursor on a response.
     ///
     /// # Errors
-    /// The response, which the client gets at once, where it is not a single result with rows.
+    /// Returns the response, for immediate delivery to the client, if it is not a single result set.
     pub fn open(response: ResponsePayloads) -> Result<OpenedCursor, ResponsePayloads> {
-        let Some(first_row) = first_row(&response) else { return Err(response) };
-        let mut head = response;
-        let mut rows: VecDeque<Vec<u8>> = head.split_off(first_row).into();
+        let Some(first_row_index) = first_row_index(&response) else { return Err(response) };
+        let mut column_payloads = response;
+        let mut rows: VecDeque<Vec<u8>> = column_payloads.split_off(first_row_index).into();
         rows.pop_back();
-        // Several results do not go through a cursor.
+        // The response has several result sets, which a cursor does not support.
         if rows.iter().any(|row| eof_status(row).is_some()) {
-            head.extend(rows);
-            head.push(eof(AUTOCOMMIT).to_vec());
-            return Err(head);
+            column_payloads.extend(rows);
+            column_payloads.push(eof(AUTOCOMMIT).to_vec());
+            return Err(column_payloads);
         }
-        if let Some(end_of_columns) = head.last_mut() {
+        if let Some(end_of_columns) = column_payloads.last_mut() {
             *end_of_columns = eof(AUTOCOMMIT | CURSOR_EXISTS).to_vec();
         }
-        Ok(OpenedCursor { head, cursor: Cursor { rows } })
+        Ok(OpenedCursor { column_payloads, cursor: Cursor { rows } })
     }
 
-    /// The next rows, up to `count`, and their end.
+    /// Returns up to `count` rows and the EOF payload that terminates them.
     pub fn fetch(&mut self, count: usize) -> ResponsePayloads {
         let count = count.min(self.rows.len());
         let mut payloads: Vec<Vec<u8>> = self.rows.drain(..count).collect();
@@ -48,15 +49,15 @@
     }
 }
 
-/// The index of the payload behind the first result's column definitions; `None` where the response is not complete or
-/// has no result with rows.
-fn first_row(response: &ResponsePayloads) -> Option<usize> {
-    let (mut state, mut first_row) = (ResponseState::Start, None);
+/// Returns the index of the payload after the column definitions of the first result set. Returns `None` if
+/// the response is incomplete or has no result set.
+fn first_row_index(response: &ResponsePayloads) -> Option<usize> {
+    let (mut state, mut first_row_index) = (ResponseState::Start, None);
     for (index, payload) in response.iter().enumerate() {
         state.advance(payload);
-        if state == ResponseState::Rows && first_row.is_none() {
-            first_row = Some(index + 1);
+        if state == ResponseState::Rows && first_row_index.is_none() {
+            first_row_index = Some(index + 1);
         }
     }
-    first_row.filter(|_| state == ResponseState::Done)
+    first_row_index.filter(|_| state == ResponseState::Done)
 }
--- a/mysql/src/errors.rs
+++ b/mysql/src/errors.rs
@@ -1,111 +1,113 @@
-//! The one table of errors, both ways. `README.md` shows it to operators.
+//! Mapping between `MySQL` errors and outcomes of the routing core. The operators' documentation in
+//! `README.md` contains the same table.
 //!
-//! From a server, an error is one of these:
+//! Errors that are received from a server:
 //!
-//! | what the server says | outcome | why |
+//! | error number | outcome | reason |
 //! | --- | --- | --- |
-//! | 1290, 1836 | not eligible | it is read-only: no primary, nothing ran |
-//! | 1040, 1203, 1226 | rejected | too many connections: nothing ran |
-//! | 1243 | prepared again, once | it does not know the statement: nothing ran |
-//! | 1026, 1030, 1037, 1041, 1053, 1105, 1158 to 1161, 1180, 1317, 1927, 3024 | error | the server failed or stopped it: it may have run |
-//! | any other | served | the statement's own error: the client gets it as it is |
+//! | 1290, 1836 | not eligible | the server is read-only and not a primary; nothing ran |
+//! | 1040, 1203, 1226 | rejected | too many connections; nothing ran |
+//! | 1243 | prepared again, once | the server does not know the statement; nothing ran |
+//! | 1026, 1030, 1037, 1041, 1053, 1105 | error | server failed or stopped the statement; it may have run |
+//! | 1158 to 1161, 1180, 1317, 1927, 3024 | error | server failed or stopped the statement; it may have run |
+//! | any other | served | the statement itself failed; the error is forwarded to the client unchanged |
 //!
-//! To a client, an end that is no server's response is one of [`REJECTED`], [`TIMED_OUT`], [`RESET`], [`ERROR`],
-//! [`CANCELLED`].
+//! A client whose request ends without a server's response receives one of [`REJECTED`], [`TIMED_OUT`],
+//! [`RESET`], [`ERROR`] and [`CANCELLED`].
 use routing::{FinalResponse, Outcome};
 use std::borrow::Cow;
 
 /// The first byte of an ERR payload.
 const ERR: u8 = 0xff;
 
-/// An error's number with its SQLSTATE.
+/// Error number and SQLSTATE of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorCode {
-    /// The number.
+    /// Error number.
     pub number: u16,
-    /// The SQLSTATE, five characters.
+    /// SQLSTATE of five characters.
     pub sql_state: &'static str,
 }
 
-const fn code(number: u16, sql_state: &'static str) -> ErrorCode {
+const fn error_code(number: u16, sql_state: &'static str) -> ErrorCode {
     ErrorCode { number, sql_state }
 }
 
-/// Rejected: retrying is harmless.
-pub const REJECTED: ErrorCode = code(1040, "08004");
-/// No response in time; it may have run.
-pub const TIMED_OUT: ErrorCode = code(3024, "HY000");
-/// The server's connection broke; it may have run.
-pub const RESET: ErrorCode = code(1158, "08S01");
-/// The client cancelled it; it may have run.
-pub const CANCELLED: ErrorCode = code(1317, "70100");
-/// The server failed; it may have run.
-pub const ERROR: ErrorCode = code(1105, "HY000");
+/// The request was rejected and did not run, so it can be retried.
+pub const REJECTED: ErrorCode = error_code(1040, "08004");
+/// The response timed out. The statement may have run.
+pub const TIMED_OUT: ErrorCode = error_code(3024, "HY000");
+/// The connection to the server was reset. The statement may have run.
+pub const RESET: ErrorCode = error_code(1158, "08S01");
+/// The client cancelled the request. The statement may have run.
+pub const CANCELLED: ErrorCode = error_code(1317, "70100");
+/// The server failed. The statement may have run.
+pub const ERROR: ErrorCode = error_code(1105, "HY000");
 
 /// The handshake response is malformed.
-pub const BAD_HANDSHAKE: ErrorCode = code(1043, "08S01");
-/// Wrong user or password.
-pub const ACCESS_DENIED: ErrorCode = code(1045, "28000");
-/// No such command.
-pub const UNKNOWN_COMMAND: ErrorCode = code(1047, "08S01");
-/// No such database.
-pub const UNKNOWN_DATABASE: ErrorCode = code(1049, "42000");
-/// An empty text.
-pub const EMPTY_QUERY: ErrorCode = code(1065, "42000");
-/// A payload that is too long.
-pub const TOO_LARGE: ErrorCode = code(1153, "08S01");
-/// A packet out of sequence.
-pub const OUT_OF_ORDER: ErrorCode = code(1156, "08S01");
-/// An execution whose parameters are malformed.
-pub const WRONG_ARGUMENTS: ErrorCode = code(1210, "HY000");
-/// What the router does not support.
-pub const UNSUPPORTED: ErrorCode = code(1235, "42000");
-/// No such prepared statement.
-pub const UNKNOWN_STATEMENT: ErrorCode = code(1243, "HY000");
-/// Several results for a client that takes one.
-pub const NO_MULTI_RESULTS: ErrorCode = code(1312, "0A000");
-/// Rows fetched from a statement that has no open cursor.
-pub const NO_CURSOR: ErrorCode = code(1421, "HY000");
-/// More prepared statements than one client may have.
-pub const TOO_MANY_STATEMENTS: ErrorCode = code(1461, "42000");
-/// A malformed payload.
-pub const MALFORMED: ErrorCode = code(1835, "HY000");
+pub const BAD_HANDSHAKE: ErrorCode = error_code(1043, "08S01");
+/// The user name or the password is wrong.
+pub const ACCESS_DENIED: ErrorCode = error_code(1045, "28000");
+/// The command code is unknown.
+pub const UNKNOWN_COMMAND: ErrorCode = error_code(1047, "08S01");
+/// The router does not serve this database.
+pub const UNKNOWN_DATABASE: ErrorCode = error_code(1049, "42000");
+/// The statement is empty.
+pub const EMPTY_QUERY: ErrorCode = error_code(1065, "42000");
+/// A packet exceeds the configured limit.
+pub const TOO_LARGE: ErrorCode = error_code(1153, "08S01");
+/// A packet has an unexpected sequence number.
+pub const OUT_OF_ORDER: ErrorCode = error_code(1156, "08S01");
+/// The parameters of an execution are malformed.
+pub const WRONG_ARGUMENTS: ErrorCode = error_code(1210, "HY000");
+/// The router does not support the statement or the option.
+pub const UNSUPPORTED: ErrorCode = error_code(1235, "42000");
+/// No prepared statement has this ID.
+pub const UNKNOWN_STATEMENT: ErrorCode = error_code(1243, "HY000");
+/// The statement can return several result sets, which the client does not support.
+pub const NO_MULTI_RESULTS: ErrorCode = error_code(1312, "0A000");
+/// The prepared statement has no open cursor to fetch rows from.
+pub const NO_CURSOR: ErrorCode = error_code(1421, "HY000");
+/// The client has reached the limit of prepared statements.
+pub const TOO_MANY_STATEMENTS: ErrorCode = error_code(1461, "42000");
+/// A command's payload is malformed.
+pub const MALFORMED: ErrorCode = error_code(1835, "HY000");
 
-/// Why a command is not carried out, as its client is told.
+/// Error that a client receives instead of the result of its command.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{text}")]
 pub struct CommandError {
-    /// The code.
+    /// Error number and SQLSTATE.
     pub code: ErrorCode,
-    /// The text.
+    /// Error message.
     pub text: Cow<'static, str>,
 }
 
 impl CommandError {
-    /// An error with this code and text.
+    /// Creates an error with this code and message.
     pub fn new(code: ErrorCode, text: impl Into<Cow<'static, str>>) -> CommandError {
         CommandError { code, text: text.into() }
     }
 
-    /// The ERR payload.
+    /// Encodes the error as an ERR payload.
     pub fn encode(&self) -> Vec<u8> {
         encode(self.code, &self.text)
     }
 }
 
-/// What a server's error means.
+/// How the router handles an error that a server returned.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ServerErrorMeaning {
     /// The attempt ends with this outcome.
     Outcome(Outcome),
-    /// The statement has to be prepared again.
+    /// The server does not know the prepared statement, which has to be prepared again.
     UnknownStatement,
-    /// It is the statement's own: the client gets it.
+    /// The statement itself failed. The error is forwarded to the client.
     StatementError,
 }
 
-/// What a server's error number means.
-pub fn meaning(number: u16) -> ServerErrorMeaning {
+/// Returns how the router handles the server error with this number.
+pub fn server_error_meaning(number: u16) -> ServerErrorMeaning {
     match number {
         1290 | 1836 => ServerErrorMeaning::Outcome(Outcome::NotEligible),
         1040 | 1203 | 1226 => ServerErrorMeaning::Outcome(Outcome::Rejected),
@@ -117,7 +119,7 @@
     }
 }
 
-/// An ERR payload.
+/// Encodes an ERR payload.
 pub fn encode(code: ErrorCode, text: &str) -> Vec<u8> {
     let mut payload = vec![ERR];
     payload.extend_from_slice(&code.number.to_le_bytes());
@@ -127,7 +129,7 @@
     payload
 }
 
-/// The number of an ERR payload; `None` for any other payload.
+/// Returns the error number of an ERR payload, and `None` for any other payload.
 pub fn error_number(payload: &[u8]) -> Option<u16> {
     match payload {
         [ERR, low, high, ..] => Some(u16::from_le_bytes([*low, *high])),
@@ -135,10 +137,10 @@
     }
 }
 
-/// The ERR payload for a final response that no server gave.
+/// Encodes the ERR payload for a final response that does not come from a server.
 ///
 /// # Errors
-/// A server's response, unchanged.
+/// Returns the server's response unchanged if there is one.
 pub fn encode_final_response<R>(response: FinalResponse<R>) -> Result<Vec<u8>, R> {
     Ok(match response {
         FinalResponse::Served(response, _) => return Err(response),
--- a/mysql/src/fields.rs
+++ b/mysql/src/fields.rs
@@ -1,45 +1,46 @@
-//! The fields of a payload: integers, strings and their length-encoded forms.
+//! Readers and writers for the fields of a payload: integers, strings and their length-encoded forms.
 
-/// The length-encoded integer that stands for NULL in a text row.
+/// Marks a NULL value in a text row, in place of a length-encoded integer.
 pub(crate) const NULL: u8 = 0xfb;
-/// A length-encoded integer of two bytes follows.
+/// Prefix of a length-encoded integer of two bytes.
 const TWO_BYTES: u8 = 0xfc;
-/// A length-encoded integer of three bytes follows.
+/// Prefix of a length-encoded integer of three bytes.
 const THREE_BYTES: u8 = 0xfd;
-/// A length-encoded integer of eight bytes follows.
+/// Prefix of a length-encoded integer of eight bytes.
 const EIGHT_BYTES: u8 = 0xfe;
 
-/// Reads a payload's fields from its front. Each method returns `None` where too little is left.
+/// Reads the fields of a payload in order. Each method returns `None` if the payload is too short for the
+/// field.
 #[derive(Clone, Copy, Debug)]
 pub struct FieldReader<'a> {
     rest: &'a [u8],
 }
 
 impl<'a> FieldReader<'a> {
-    /// A reader at the front of a payload.
+    /// Creates a reader at the start of a payload.
     pub fn new(payload: &'a [u8]) -> FieldReader<'a> {
         FieldReader { rest: payload }
     }
 
-    /// What has not been read.
+    /// Returns the unread bytes.
     pub fn rest(&self) -> &'a [u8] {
         self.rest
     }
 
-    /// The next `count` bytes.
+    /// Reads `count` bytes.
     pub fn bytes(&mut self, count: usize) -> Option<&'a [u8]> {
         let (bytes, rest) = self.rest.split_at_checked(count)?;
         self.rest = rest;
         Some(bytes)
     }
 
-    /// An integer of `size` bytes, little-endian.
+    /// Reads a little-endian integer of `size` bytes.
     pub fn integer(&mut self, size: usize) -> Option<u64> {
         let bytes = self.bytes(size)?;
         Some(bytes.iter().rev().fold(0, |integer, byte| integer << 8 | u64::from(*byte)))
     }
 
-    /// Bytes up to a zero, which is read as well.
+    /// Reads the bytes up to a zero byte, and consumes the zero byte.
     pub fn null_terminated(&mut self) -> Option<&'a [u8]> {
         let end = self.rest.iter().position(|b| *b == 0)?;
         let bytes = self.bytes(end)?;
@@ -47,7 +48,7 @@
         Some(bytes)
     }
 
-    /// A length-encoded integer; `None` also for NULL.
+    /// Reads a length-encoded integer. Returns `None` for NULL as well.
     pub fn length_encoded_integer(&mut self) -> Option<u64> {
         match self.integer(1)? {
             integer @ 0..=250 => Some(integer),
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Bytes behind their length-encoded length.
+    /// Reads a length-encoded string.
     pub fn length_encoded_bytes(&mut self) -> Option<&'a [u8]> {
         let length = self.length_encoded_integer()?;
         self.bytes(usize::try_from(length).ok()?)
@@ -87,7 +88,7 @@
     }
 }
 
-/// Appends bytes behind their length-encoded length.
+/// Appends a length-encoded string.
 pub fn push_length_encoded_bytes(to: &mut Vec<u8>, bytes: &[u8]) {
     push_length_encoded_integer(to, bytes.len() as u64);
     to.extend_from_slice(bytes);
--- a/mysql/src/front.rs
+++ b/mysql/src/front.rs
@@ -1,11 +1,12 @@
-//! The front for `MySQL` clients.
+//! Server side of the protocol, which accepts `MySQL` clients.
 //!
-//! Each connection has a reader thread, which notices a client that disconnects, and a worker thread, which carries the
-//! commands out one after the other.
+//! Each connection has a reader thread, which detects that the client has disconnected, and a worker thread,
+//! which executes the commands one at a time.
 //!
-//! The modules stand on each other in this order: `shared` holds what all connections share, `client_link` writes to one
-//! client, `login` lets it in, `command_reader` reads its commands, `submission` hands a request to the routing core, and
-//! `session` carries the commands out.
+//! Each module uses only modules that precede it in this list: `shared` holds the state that all connections
+//! share, `client_link` writes to one client, `login` authenticates the client, `command_reader` reads the
+//! client's commands, `submission` submits a request to the routing core, and `session` executes the
+//! commands.
 mod client_link;
 mod command_reader;
 mod login;
@@ -28,19 +29,20 @@
 impl ConnectionHandler for Front {
     fn handle(self: &Arc<Self>, connection: &Arc<Connection>) {
         let Ok(client) = ClientLink::new(self, connection) else { return };
-        // The thread that reads commands exists before the client is let in: what it sends after that must be answered.
+        // The reader thread starts before the login, because the router must be able to respond to commands
+        // once the login has succeeded.
         let Some(command_reader) = CommandReader::start(self, connection) else {
             connection.set_close_reason(CloseReason::NoThread);
             return self.reject(connection);
         };
         let mut reader = PacketReader::new(self.limits.max_message_bytes);
         if let Ok(login) = login::log_in(&client, &mut reader) {
-            // A client that has proved a password is expected to make requests.
+            // An authenticated client counts as active, because it is expected to send requests.
             connection.record_request();
             Session::new(client, login).serve(reader, command_reader);
         }
         if let Some(tap) = &self.tap {
-            tap.ended(connection.id);
+            tap.on_closed(connection.id);
         }
     }
 
@@ -48,11 +50,11 @@
         let mut packets = Vec::new();
         let error = errors::encode(errors::REJECTED, "refused: no thread is to be had");
         push_packets(&mut packets, 0, &error);
-        // A client that has left already needs no response.
+        // A write error means that the client has disconnected and needs no response.
         _ = write_packets(&connection.socket, &packets);
     }
 
     fn client_disconnected(&self, request: RequestId) {
-        self.handle.client_disconnected(request);
+        self.router.client_disconnected(request);
     }
 }
--- a/mysql/src/front/client_link.rs
+++ b/mysql/src/front/client_link.rs
@@ -1,4 +1,4 @@
-//! The sending side of one client's connection, and the recording of both sides.
+//! Writes to one client's connection and passes the traffic of both directions to the recorder.
 use super::shared::Front;
 use crate::errors::{self, ErrorCode};
 use crate::packet::{Packet, ReadError, push_packets, write_packets};
@@ -6,11 +6,11 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The connection can't go on.
+/// The connection was closed or has to be closed.
 #[derive(Debug)]
 pub(super) struct ConnectionEnded;
 
-/// A client's connection.
+/// A client's connection together with the front that serves it.
 pub(super) struct ClientLink<'a> {
     pub(super) front: &'a Front,
     pub(super) connection: &'a Connection,
@@ -18,13 +18,13 @@
 }
 
 impl<'a> ClientLink<'a> {
-    /// Fails if the client has disconnected already.
+    /// Creates the link. Fails if the client has already disconnected.
     pub(super) fn new(front: &'a Front, connection: &'a Connection) -> io::Result<ClientLink<'a>> {
         Ok(ClientLink { front, connection, addr: connection.socket.peer_addr()? })
     }
 
-    /// Writes payloads behind a packet of this sequence number.
-    pub(super) fn write_after(
+    /// Writes payloads in response to the packet with this sequence number.
+    pub(super) fn write_payloads(
         &self,
         sequence: u8,
         payloads: &[impl AsRef<[u8]>],
@@ -38,23 +38,24 @@
     }
 
     pub(super) fn write_packets(&self, packets: &[u8]) -> Result<(), ConnectionEnded> {
-        // Before the write: a response that the client has seen must be in the recording.
+        // The bytes are recorded before the write, so the recording contains each response that a client has
+        // received.
         self.record_bytes(false, packets);
         write_packets(&self.connection.socket, packets).map_err(|_| ConnectionEnded)
     }
 
-    /// Writes an error behind which the connection ends.
+    /// Writes an error and ends the connection.
     pub(super) fn close_with_error<T>(
         &self,
         sequence: u8,
         code: ErrorCode,
         text: &str,
     ) -> Result<T, ConnectionEnded> {
-        self.write_after(sequence, &[errors::encode(code, text)])?;
+        self.write_payloads(sequence, &[errors::encode(code, text)])?;
         Err(ConnectionEnded)
     }
 
-    /// Tells the client why its connection ends, where it broke the protocol.
+    /// Ends the connection after a read error. A client that violated the protocol receives an error first.
     pub(super) fn close_after_read_error<T>(&self, error: &ReadError) -> Result<T, ConnectionEnded> {
         match error {
             ReadError::TooLong => {
@@ -68,18 +69,18 @@
         }
     }
 
-    /// Shows the recording a packet of the client.
+    /// Passes a packet that was received from the client to the recorder.
     pub(super) fn record_packet(&self, packet: &Packet) {
         if self.front.tap.is_some() {
             let mut bytes = Vec::new();
-            push_packets(&mut bytes, packet.first, &packet.payload);
+            push_packets(&mut bytes, packet.first_sequence, &packet.payload);
             self.record_bytes(true, &bytes);
         }
     }
 
     fn record_bytes(&self, from_client: bool, bytes: &[u8]) {
         if let Some(tap) = &self.front.tap {
-            tap.bytes(self.connection.id, self.addr, from_client, bytes);
+            tap.on_bytes(self.connection.id, self.addr, from_client, bytes);
         }
     }
 }
--- a/mysql/src/front/login.rs
+++ b/mysql/src/front/login.rs
@@ -1,4 +1,4 @@
-//! The login of a client.
+//! Server side of a client's login.
 use super::client_link::{ClientLink, ConnectionEnded};
 use crate::auth::{
     CACHING_SHA2_PASSWORD, NATIVE_PASSWORD, NONCE_BYTES, constant_time_eq, is_supported, random_nonce,
@@ -10,48 +10,48 @@
 use crate::packet::{Packet, PacketReader};
 use crate::results::OK;
 
-/// The sequence number before the first packet of a connection.
-const BEFORE_FIRST: u8 = 255;
-/// Further data of `caching_sha2_password`: the proof was enough.
+/// Sequence number before the first packet of a connection.
+const SEQUENCE_BEFORE_FIRST: u8 = 255;
+/// Payload by which `caching_sha2_password` reports that the authentication response was accepted.
 const FAST_AUTH_SUCCESS: &[u8] = &[1, 3];
-/// The first byte of a request to switch to another plugin.
+/// First byte of a request to switch to another authentication plugin.
 const AUTH_SWITCH: u8 = 0xfe;
 
-/// A client that has logged in.
-pub(super) struct LoggedIn {
+/// User and capabilities of a client that has logged in.
+pub(super) struct AuthenticatedClient {
     pub(super) user: String,
-    /// It accepts several results for one command.
+    /// Whether the client supports several result sets in one response.
     pub(super) accepts_multi_results: bool,
 }
 
-/// Greets the client and checks its user, password and database.
+/// Sends the greeting and checks the client's user, password and database.
 pub(super) fn log_in(
     client: &ClientLink<'_>,
     reader: &mut PacketReader,
-) -> Result<LoggedIn, ConnectionEnded> {
+) -> Result<AuthenticatedClient, ConnectionEnded> {
     let nonce = random_nonce().map_err(|_| ConnectionEnded)?;
-    client.write_after(BEFORE_FIRST, &[encode_greeting(client.connection.id as u32, &nonce)])?;
+    client.write_payloads(SEQUENCE_BEFORE_FIRST, &[encode_greeting(client.connection.id as u32, &nonce)])?;
     let packet = read_packet(client, reader)?;
     let Some(mut response) = HandshakeResponse::parse(&packet.payload) else {
         let text = "the answer to the greeting can't be read";
-        return client.close_with_error(packet.last, errors::BAD_HANDSHAKE, text);
+        return client.close_with_error(packet.last_sequence, errors::BAD_HANDSHAKE, text);
     };
-    let mut sequence = packet.last;
+    let mut sequence = packet.last_sequence;
     if !is_supported(&response.plugin) {
         let packet = switch_to_native_password(client, reader, &nonce, sequence)?;
         response.plugin = NATIVE_PASSWORD.into();
-        response.proof = packet.payload;
-        sequence = packet.last;
+        response.auth_response = packet.payload;
+        sequence = packet.last_sequence;
     }
     check_password(client, &response, &nonce, sequence)?;
     check_database(client, &response, sequence)?;
-    if response.plugin == CACHING_SHA2_PASSWORD && !response.proof.is_empty() {
-        client.write_after(sequence, &[FAST_AUTH_SUCCESS])?;
+    if response.plugin == CACHING_SHA2_PASSWORD && !response.auth_response.is_empty() {
+        client.write_payloads(sequence, &[FAST_AUTH_SUCCESS])?;
         sequence = sequence.wrapping_add(1);
     }
-    client.write_after(sequence, &[OK])?;
+    client.write_payloads(sequence, &[OK])?;
     let accepts_multi_results = response.capabilities & capability::MULTI_RESULTS != 0;
-    Ok(LoggedIn { user: response.user, accepts_multi_results })
+    Ok(AuthenticatedClient { user: response.user, accepts_multi_results })
 }
 
 fn read_packet(client: &ClientLink<'_>, reader: &mut PacketReader) -> Result<Packet, ConnectionEnded> {
@@ -64,7 +64,8 @@
     }
 }
 
-/// Asks for a proof by the older plugin, and returns the packet that brings it.
+/// Asks the client to switch to `mysql_native_password`. Returns the packet with the new authentication
+/// response.
 fn switch_to_native_password(
     client: &ClientLink<'_>,
     reader: &mut PacketReader,
@@ -72,7 +73,7 @@
     sequence: u8,
 ) -> Result<Packet, ConnectionEnded> {
     let request = [&[AUTH_SWITCH][..], NATIVE_PASSWORD.as_bytes(), b"\0", nonce, b"\0"].concat();
-    client.write_after(sequence, &[request])?;
+    client.write_payloads(sequence, &[request])?;
     read_packet(client, reader)
 }
 
@@ -85,7 +86,7 @@
     let settings = client.front.settings();
     let user = settings.users.iter().find(|user| user.user == response.user);
     let expected = user.and_then(|user| scramble(&response.plugin, &user.password, nonce));
-    if expected.is_some_and(|expected| constant_time_eq(&expected, &response.proof)) {
+    if expected.is_some_and(|expected| constant_time_eq(&expected, &response.auth_response)) {
         return Ok(());
     }
     tracing::warn!(client = %client.addr, user = %response.user, "client login denied");
--- a/mysql/src/front/session.rs
+++ b/mysql/src/front/session.rs
@@ -1,7 +1,8 @@
-//! One client's session: its commands, carried out one after the other, and the statements that it has prepared.
+//! Session of one client: executes the client's commands one at a time and holds the client's prepared
+//! statements.
 use super::client_link::{ClientLink, ConnectionEnded};
 use super::command_reader::CommandReader;
-use super::login::LoggedIn;
+use super::login::AuthenticatedClient;
 use super::submission::Submitter;
 use crate::command;
 use crate::cursor::{Cursor, OpenedCursor};
@@ -17,51 +18,52 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The option of `SET_OPTION` that switches several statements in one text off.
+/// Body of the `SET_OPTION` command that disables multi-statements.
 const MULTI_STATEMENTS_OFF: &[u8] = &[1, 0];
 
-/// The router's own id of a prepared statement.
+/// Statement ID that the router assigned.
 type StatementId = u32;
 
-/// What a command is answered with.
-enum Reply {
-    /// Payloads, still to be framed.
+/// Response to a command.
+enum Response {
+    /// Payloads that have not been framed yet.
     Payloads(ResponsePayloads),
-    /// Packets.
+    /// Encoded packets.
     Packets(Vec<u8>),
     /// The command has no response.
     None,
 }
 
-fn ok() -> Reply {
-    Reply::Payloads(vec![OK.to_vec()])
+fn ok_response() -> Response {
+    Response::Payloads(vec![OK.to_vec()])
 }
 
-/// A client that has logged in.
+/// Session of a client that has logged in.
 pub(super) struct Session<'a> {
     client: ClientLink<'a>,
-    login: LoggedIn,
+    login: AuthenticatedClient,
     statements: HashMap<StatementId, PreparedStatement>,
     last_statement_id: StatementId,
 }
 
 impl<'a> Session<'a> {
-    pub(super) fn new(client: ClientLink<'a>, login: LoggedIn) -> Session<'a> {
+    pub(super) fn new(client: ClientLink<'a>, login: AuthenticatedClient) -> Session<'a> {
         Session { client, login, statements: HashMap::new(), last_statement_id: 0 }
     }
 
-    /// Carries out commands until the connection ends.
+    /// Executes commands until the connection ends.
     pub(super) fn serve(mut self, reader: PacketReader, command_reader: CommandReader) {
-        let Some(commands) = command_reader.read(reader) else { return };
+        let Some(commands) = command_reader.start_reading(reader) else { return };
         self.run_commands(&commands);
         self.client.connection.shut_down_write();
-        // The reader ends with its client, or where the connection is closed; what it still brings is not carried out.
+        // The reader thread ends when the client disconnects or the connection is closed. Commands that it
+        // reads until then are discarded.
         while commands.recv_timeout(self.client.front.limits.client_linger_timeout).is_ok() {}
     }
 
     fn run_commands(&mut self, commands: &Receiver<Result<Packet, ReadError>>) {
         for command in commands {
-            // What a client wrote before it disconnected is not carried out after that.
+            // Commands that are left over after the client has disconnected are not executed.
             if self.client.connection.in_flight_requests.is_disconnected() {
                 return;
             }
@@ -80,43 +82,47 @@
         }
     }
 
-    /// Carries a command out and writes its response.
+    /// Executes a command and writes its response.
     fn run_command(&mut self, packet: &Packet) -> Result<(), ConnectionEnded> {
-        if packet.first != 0 {
+        if packet.first_sequence != 0 {
             let text = "packets came out of order";
-            return self.client.close_with_error(packet.last, errors::OUT_OF_ORDER, text);
+            return self.client.close_with_error(packet.last_sequence, errors::OUT_OF_ORDER, text);
         }
         let Some((&name, body)) = packet.payload.split_first() else {
-            return self.client.close_with_error(packet.last, errors::MALFORMED, "the command is empty");
+            return self.client.close_with_error(
+                packet.last_sequence,
+                errors::MALFORMED,
+                "the command is empty",
+            );
         };
         if name == command::QUIT {
             return Err(ConnectionEnded);
         }
-        match self.reply(name, body) {
-            Ok(Reply::Payloads(payloads)) => self.client.write_after(packet.last, &payloads),
-            Ok(Reply::Packets(packets)) => self.client.write_packets(&packets),
-            Ok(Reply::None) => Ok(()),
-            Err(error) => self.client.write_after(packet.last, &[error.encode()]),
+        match self.dispatch_command(name, body) {
+            Ok(Response::Payloads(payloads)) => self.client.write_payloads(packet.last_sequence, &payloads),
+            Ok(Response::Packets(packets)) => self.client.write_packets(&packets),
+            Ok(Response::None) => Ok(()),
+            Err(error) => self.client.write_payloads(packet.last_sequence, &[error.encode()]),
         }
     }
 
-    fn reply(&mut self, name: u8, body: &[u8]) -> Result<Reply, CommandError> {
+    fn dispatch_command(&mut self, name: u8, body: &[u8]) -> Result<Response, CommandError> {
         match name {
-            command::PING => Ok(ok()),
+            command::PING => Ok(ok_response()),
             command::INIT_DB => self.use_database(&String::from_utf8_lossy(body)),
             command::QUERY => self.query(body),
-            command::STMT_PREPARE => self.prepare(body).map(Reply::Payloads),
-            command::STMT_EXECUTE => self.execute(body).map(Reply::Payloads),
-            command::STMT_FETCH => self.fetch(body).map(Reply::Payloads),
+            command::STMT_PREPARE => self.prepare(body).map(Response::Payloads),
+            command::STMT_EXECUTE => self.execute(body).map(Response::Payloads),
+            command::STMT_FETCH => self.fetch(body).map(Response::Payloads),
             command::STMT_SEND_LONG_DATA => Ok(self.add_long_data(body)),
             command::STMT_CLOSE => Ok(self.close_statement(body)),
             command::STMT_RESET => {
                 self.statement(body)?.statement.reset();
-                Ok(ok())
+                Ok(ok_response())
             }
             command::RESET_CONNECTION => {
                 self.statements.clear();
-                Ok(ok())
+                Ok(ok_response())
             }
             command::SET_OPTION => set_option(body),
             _ => {
@@ -126,15 +132,15 @@
         }
     }
 
-    fn use_database(&self, name: &str) -> Result<Reply, CommandError> {
+    fn use_database(&self, name: &str) -> Result<Response, CommandError> {
         if name.trim_matches('`') == self.client.front.settings().database {
-            return Ok(ok());
+            return Ok(ok_response());
         }
         let text = format!("there is no database '{name}' here");
         Err(CommandError::new(errors::UNKNOWN_DATABASE, text))
     }
 
-    /// What a text requires, if it can be carried out.
+    /// Returns the routing requirements of a statement, or an error if the statement is not supported.
     fn requirements(&self, text: &[u8]) -> Result<Requirements, CommandError> {
         let text = std::str::from_utf8(text)
             .map_err(|_| CommandError::new(errors::MALFORMED, "the text is no UTF-8"))?;
@@ -147,25 +153,26 @@
             let text = "CALL needs a client that takes several results";
             return Err(CommandError::new(errors::NO_MULTI_RESULTS, text));
         }
-        Requirements::of(&statement, &self.client.front.settings())
+        Requirements::from_statement(&statement, &self.client.front.settings())
     }
 
-    /// A statement as text. What a connection has by itself the router answers.
-    fn query(&mut self, body: &[u8]) -> Result<Reply, CommandError> {
+    /// Runs a statement that was sent as text. The router itself responds to statements about its own
+    /// database, system variables and session defaults.
+    fn query(&mut self, body: &[u8]) -> Result<Response, CommandError> {
         let statement = std::str::from_utf8(body).map(scan).unwrap_or_default();
         if let Some(database) = statement.normalized.strip_prefix("use ") {
             return self.use_database(database);
         }
         let max_allowed_packet = self.client.front.limits.max_message_bytes;
         if let Some(variables) = statement.selected_system_variables(max_allowed_packet) {
-            return Ok(Reply::Packets(encode_single_row(&variables)));
+            return Ok(Response::Packets(encode_single_row(&variables)));
         }
         if statement.sets_default_state() {
-            return Ok(ok());
+            return Ok(ok_response());
         }
         let requirements = self.requirements(body)?;
         let request = Request::Query(body.to_vec());
-        self.submit(&requirements, requirements.class, request).map(Reply::Payloads)
+        self.submit(&requirements, requirements.class, request).map(Response::Payloads)
     }
 
     fn submit(
@@ -175,7 +182,7 @@
         request: Request,
     ) -> Result<ResponsePayloads, CommandError> {
         let ClientLink { front, connection, .. } = self.client;
-        Submitter { front, connection, user: &self.login.user }.run(requirements, class, request)
+        Submitter { front, connection, user: &self.login.user }.submit(requirements, class, request)
     }
 
     fn prepare(&mut self, body: &[u8]) -> Result<ResponsePayloads, CommandError> {
@@ -190,7 +197,7 @@
         let mut response = self.submit(&requirements, class, Request::Prepare(text.clone()))?;
         if let Some(parameter_count) = prepared_parameter_count(&response[0]) {
             self.last_statement_id = self.last_statement_id.wrapping_add(1).max(1);
-            // The id is the router's own.
+            // Replace the server's statement ID with the router's.
             response[0][1..5].copy_from_slice(&self.last_statement_id.to_le_bytes());
             let statement = PreparedStatement::new(text, requirements, parameter_count);
             self.statements.insert(self.last_statement_id, statement);
@@ -198,12 +205,12 @@
         Ok(response)
     }
 
-    /// The statement that a body names.
-    fn statement<'s, 'b>(&'s mut self, body: &'b [u8]) -> Result<NamedStatement<'s, 'b>, CommandError> {
+    /// Looks up the prepared statement whose ID starts the body.
+    fn statement<'s, 'b>(&'s mut self, body: &'b [u8]) -> Result<StatementCommand<'s, 'b>, CommandError> {
         let mut fields = FieldReader::new(body);
-        let id = fields.integer(4).ok_or_else(truncated)? as StatementId;
+        let id = fields.integer(4).ok_or_else(truncated_command)? as StatementId;
         if let Some(statement) = self.statements.get_mut(&id) {
-            Ok(NamedStatement { statement, rest: fields.rest() })
+            Ok(StatementCommand { statement, rest: fields.rest() })
         } else {
             let text = format!("there is no prepared statement {id}");
             Err(CommandError::new(errors::UNKNOWN_STATEMENT, text))
@@ -211,7 +218,7 @@
     }
 
     fn execute(&mut self, body: &[u8]) -> Result<ResponsePayloads, CommandError> {
-        let NamedStatement { statement, rest } = self.statement(body)?;
+        let StatementCommand { statement, rest } = self.statement(body)?;
         statement.cursor = None;
         let long_parameters = std::mem::take(&mut statement.long_parameters);
         if std::mem::take(&mut statement.long_parameters_rejected) {
@@ -220,7 +227,7 @@
         }
         let execution = statement
             .parameters
-            .execution(rest)
+            .parse_execution(rest)
             .ok_or_else(|| CommandError::new(errors::WRONG_ARGUMENTS, "the parameters can't be read"))?;
         let requirements = statement.requirements.clone();
         let text = statement.text.clone();
@@ -230,17 +237,17 @@
             return Ok(response);
         }
         match Cursor::open(response) {
-            Ok(OpenedCursor { head, cursor }) => {
+            Ok(OpenedCursor { column_payloads, cursor }) => {
                 self.statement(body)?.statement.cursor = Some(cursor);
-                Ok(head)
+                Ok(column_payloads)
             }
             Err(response) => Ok(response),
         }
     }
 
     fn fetch(&mut self, body: &[u8]) -> Result<ResponsePayloads, CommandError> {
-        let NamedStatement { statement, rest } = self.statement(body)?;
-        let count = FieldReader::new(rest).integer(4).ok_or_else(truncated)?;
+        let StatementCommand { statement, rest } = self.statement(body)?;
+        let count = FieldReader::new(rest).integer(4).ok_or_else(truncated_command)?;
         let cursor = statement
             .cursor
             .as_mut()
@@ -248,44 +255,44 @@
         Ok(cursor.fetch(count as usize))
     }
 
-    /// There is no response, also where the statement is unknown.
-    fn add_long_data(&mut self, body: &[u8]) -> Reply {
+    /// Stores a part of a long parameter. The command has no response, even if the statement is unknown.
+    fn add_long_data(&mut self, body: &[u8]) -> Response {
         let max_bytes = self.client.front.limits.max_message_bytes;
-        if let Ok(NamedStatement { statement, rest }) = self.statement(body) {
+        if let Ok(StatementCommand { statement, rest }) = self.statement(body) {
             statement.add_long_parameter_part(rest, max_bytes);
         }
-        Reply::None
+        Response::None
     }
 
-    /// There is no response, also where the statement is unknown.
-    fn close_statement(&mut self, body: &[u8]) -> Reply {
+    /// Closes a prepared statement. The command has no response, even if the statement is unknown.
+    fn close_statement(&mut self, body: &[u8]) -> Response {
         if let Some(id) = FieldReader::new(body).integer(4) {
             self.statements.remove(&(id as StatementId));
         }
-        Reply::None
+        Response::None
     }
 }
 
-/// A prepared statement with what a command says behind its id.
-struct NamedStatement<'s, 'b> {
+/// A prepared statement and the command's body after the statement ID.
+struct StatementCommand<'s, 'b> {
     statement: &'s mut PreparedStatement,
     rest: &'b [u8],
 }
 
-fn truncated() -> CommandError {
+fn truncated_command() -> CommandError {
     CommandError::new(errors::MALFORMED, "the command is cut off")
 }
 
-/// Several statements in one text stay off.
-fn set_option(body: &[u8]) -> Result<Reply, CommandError> {
+/// Accepts only the option that disables multi-statements.
+fn set_option(body: &[u8]) -> Result<Response, CommandError> {
     if body == MULTI_STATEMENTS_OFF {
-        return Ok(Reply::Payloads(vec![eof(AUTOCOMMIT).to_vec()]));
+        return Ok(Response::Payloads(vec![eof(AUTOCOMMIT).to_vec()]));
     }
     Err(CommandError::new(errors::UNSUPPORTED, "several statements in one text are not carried"))
 }
 
-/// How many parameters a statement has, from the first payload of the response to its prepare; `None` if that is an
-/// error.
+/// Returns the number of parameters from the first payload of the response to a prepare. Returns `None` if
+/// the payload is an error.
 fn prepared_parameter_count(payload: &[u8]) -> Option<usize> {
     let mut fields = FieldReader::new(payload);
     if fields.integer(1)? != 0 {
--- a/mysql/src/front/shared.rs
+++ b/mysql/src/front/shared.rs
@@ -1,4 +1,4 @@
-//! What all connections of the front share.
+//! State that all client connections share.
 use crate::backend::Mysql;
 use crate::tap::Tap;
 use routing::RouterHandle;
@@ -7,32 +7,34 @@
 use settings::operator::MysqlConfig as Settings;
 use std::sync::{Arc, PoisonError, RwLock};
 
-/// The front for `MySQL` clients: the routing core that it submits requests to, and what its connections share.
+/// Front for `MySQL` clients. It submits requests to the routing core and holds the state that its
+/// connections share.
 pub struct Front {
-    pub(super) handle: RouterHandle<Mysql>,
+    pub(super) router: RouterHandle<Mysql>,
     settings: RwLock<Arc<Settings>>,
     pub(super) limits: Arc<Limits>,
-    /// The recording of client traffic, if there is one.
+    /// Observer of client traffic, if traffic is recorded.
     pub(super) tap: Option<Arc<dyn Tap>>,
     pub(super) sessions: Arc<Sessions>,
-    /// Admits requests by the tenants' quotas, if there is a fleet.
+    /// Client of the fleet, which admits requests within the tenants' quotas. `None` without a fleet.
     pub(super) fleet: Option<fleet::FleetClient>,
 }
 
 impl Front {
-    /// A front for the users that the settings name. Where there is a fleet, it admits the requests.
+    /// Creates a front for the users in the settings. With a fleet, the fleet's quotas and placement rules
+    /// apply to requests.
     pub fn new(
-        handle: RouterHandle<Mysql>,
+        router: RouterHandle<Mysql>,
         settings: Arc<Settings>,
         limits: Arc<Limits>,
         tap: Option<Arc<dyn Tap>>,
         sessions: Arc<Sessions>,
         fleet: Option<fleet::FleetClient>,
     ) -> Arc<Front> {
-        Arc::new(Front { handle, settings: RwLock::new(settings), limits, tap, sessions, fleet })
+        Arc::new(Front { router, settings: RwLock::new(settings), limits, tap, sessions, fleet })
     }
 
-    /// Applies the users, the rules and the default group of these settings from now on.
+    /// Replaces the users, the rules and the default group with those of `settings`.
     pub fn reload(&self, settings: Settings) {
         *self.settings.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(settings);
     }
--- a/mysql/src/front/submission.rs
+++ b/mysql/src/front/submission.rs
@@ -1,4 +1,4 @@
-//! Submission of a request to the routing core, and its final response.
+//! Submits a request to the routing core and waits for its final response.
 use super::shared::Front;
 use crate::errors::{self, CommandError};
 use crate::request::{Request, ResponsePayloads};
@@ -10,7 +10,7 @@
 use sessions::node::{CommitOutcome, SessionRef};
 use std::sync::Arc;
 
-/// Whose requests a connection submits.
+/// Submits the requests of one connection on behalf of its user.
 pub(super) struct Submitter<'a> {
     pub(super) front: &'a Front,
     pub(super) connection: &'a Connection,
@@ -18,23 +18,23 @@
 }
 
 impl Submitter<'_> {
-    /// Submits a request and waits for its final response. `class` may differ from the statement's: preparing has one of
-    /// its own.
-    pub(super) fn run(
+    /// Submits a request and waits for its final response. `class` differs from the class of the statement if
+    /// the request only prepares it.
+    pub(super) fn submit(
         &self,
         requirements: &Requirements,
         class: usize,
         request: Request,
     ) -> Result<ResponsePayloads, CommandError> {
-        let now = self.front.handle.clock.now();
+        let now = self.front.router.clock.now();
         let settings = self.front.settings();
         let sessions = &self.front.sessions;
         let group = GroupId(requirements.group);
         let session = self.session(requirements, group);
         let session_commit = if settings.class_uses_session[class] {
-            sessions.required_position(session).map_err(rejected)?
+            sessions.required_position(session).map_err(rejection_error)?
         } else {
-            sessions.check_serving(session).map_err(rejected)?;
+            sessions.check_serving(session).map_err(rejection_error)?;
             None
         };
         let tenant = self.tenant(requirements, class == settings.prepare_class)?;
@@ -51,13 +51,14 @@
             payload: request,
             response_sender: sender,
         };
-        // If the client has disconnected meanwhile, nobody reads its response.
-        let id = self.connection.submit(|| self.front.handle.submit(client_request));
+        // If the client has disconnected in the meantime, the response is discarded.
+        let id = self.connection.submit(|| self.front.router.submit(client_request));
         let response = receiver.recv().unwrap_or(FinalResponse::Failed(None));
         if let Some(id) = id {
             self.connection.in_flight_requests.finish(id);
         }
-        // The client gets the response to a write once no read of its session can miss the write any more.
+        // The client receives the response to a write only after all later reads in its session are
+        // guaranteed to see the write.
         if let FinalResponse::Served(_, Some(commit)) = &response
             && !settings.class_is_read[class]
             && sessions.record_commit(session, *commit, deadline) == CommitOutcome::Uncertain
@@ -68,7 +69,7 @@
         Ok(errors::encode_final_response(response).map_or_else(|served| served, |error| vec![error]))
     }
 
-    /// A connection without a named session is one of its own: it sees its own writes.
+    /// A connection without a named session is a session of its own, in which it reads its own writes.
     fn session(&self, requirements: &Requirements, group: GroupId) -> SessionRef {
         match &requirements.session {
             Some(name) => SessionRef::Named(SessionKey::named(group, name)),
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The tenant that the request is for, once the fleet has admitted it.
+    /// Returns the tenant of the request after the fleet has admitted the request.
     fn tenant(
         &self,
         requirements: &Requirements,
@@ -84,10 +85,11 @@
     ) -> Result<Option<Arc<str>>, CommandError> {
         let Some(fleet) = &self.front.fleet else { return Ok(None) };
         let name = requirements.tenant.as_deref();
-        // Preparing runs nothing: it costs its tenant nothing, and goes only where the tenant may go.
+        // Preparing a statement does not run it, so it does not consume the tenant's quota. The placement
+        // rules still apply.
         let tenant =
             if is_prepare { fleet.resolve_tenant(self.user, name) } else { fleet.admit(self.user, name) };
-        tenant.map_err(rejected)
+        tenant.map_err(rejection_error)
     }
 
     fn deadline(&self, now: Time, wait_ms: u64) -> Time {
@@ -99,6 +101,6 @@
     }
 }
 
-fn rejected(reason: impl std::fmt::Display) -> CommandError {
+fn rejection_error(reason: impl std::fmt::Display) -> CommandError {
     CommandError::new(errors::REJECTED, format!("refused: nothing ran: {reason}"))
 }
--- a/mysql/src/lib.rs
+++ b/mysql/src/lib.rs
@@ -1,11 +1,13 @@
-//! The `MySQL` wire protocol with prepared statements: protocol 4.1, handshake 10, text and binary rows.
+//! `MySQL` wire protocol with prepared statements: protocol 4.1, handshake version 10, and text and binary
+//! rows.
 //!
-//! [`front`] serves clients and [`backend`] connects to servers, each with its side of the login ([`login`] is the
-//! client's). [`packet`] and [`fields`] know the framing, [`handshake`], [`auth`] and [`capability`] the login,
-//! [`command`], [`results`] and [`errors`] what follows it. [`statement`] and [`requirements`] say what a text asks for,
-//! [`prepared`] and [`cursor`] hold what clients have prepared and opened, and [`request`] is what the two sides exchange
-//! through the routing core. [`clock_sampler`] follows the servers' clocks, and a [`tap`] sees what clients and the
-//! router send each other.
+//! [`front`] serves clients and [`backend`] connects to servers; [`login`] is the client side of the login.
+//! [`packet`] and [`fields`] implement the framing, [`handshake`], [`auth`] and [`capability`] the connection
+//! phase, and [`command`], [`results`] and [`errors`] the command phase. [`statement`] parses statements,
+//! [`requirements`] derives their routing requirements, and [`prepared`] and [`cursor`] hold the clients'
+//! prepared statements and cursors. [`request`] defines the messages that the two sides exchange through the
+//! routing core. [`clock_sampler`] measures the offsets of the servers' clocks, and a [`tap`] observes the
+//! traffic between clients and the router.
 pub mod auth;
 pub mod backend;
 pub mod capability;
--- a/mysql/src/login.rs
+++ b/mysql/src/login.rs
@@ -1,4 +1,5 @@
-//! The client's side of the login: a router's at a server, or a capture's replay at a router.
+//! Client side of the login. The router uses it to log in to servers, and the replay of a capture uses it to
+//! log in to a router.
 use crate::auth::{CACHING_SHA2_PASSWORD, NATIVE_PASSWORD, scramble};
 use crate::capability;
 use crate::errors::error_number;
@@ -13,63 +14,63 @@
 
 /// The first byte of an OK payload.
 const OK: u8 = 0;
-/// The first byte of further data of an authentication plugin.
+/// First byte of a packet with further data for the authentication plugin.
 const MORE_AUTH_DATA: u8 = 1;
-/// The first byte of a request to switch to another plugin.
+/// First byte of a request to switch to another authentication plugin.
 const AUTH_SWITCH: u8 = 0xfe;
-/// What `caching_sha2_password` adds where the proof was enough.
+/// Status by which `caching_sha2_password` reports that the authentication response was accepted.
 const FAST_AUTH_SUCCESS: u8 = 3;
 
-/// Who logs in, and to which database.
+/// User, password and default database of a login.
 #[derive(Clone, Debug)]
 pub struct Credentials {
-    /// The user.
+    /// User name.
     pub user: String,
-    /// Its password.
+    /// Password of the user.
     pub password: String,
-    /// The database.
+    /// Default database.
     pub database: String,
 }
 
 /// Why a login failed.
 #[derive(Debug, thiserror::Error)]
 pub enum LoginError {
-    /// The server's error, by its number.
-    #[error("error {0}")]
+    /// The server returned the error with this number.
+    #[error("server returned error {0}")]
     Server(u16),
-    /// No packet could be read.
-    #[error("the connection failed: {0}")]
+    /// A packet could not be read.
+    #[error("connection failed: {0}")]
     Read(#[from] ReadError),
-    /// The connection could not be written to, or its deadline not be set.
-    #[error("the connection failed: {0}")]
+    /// Writing to the connection or setting its timeout failed.
+    #[error("connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The first packet is no greeting that is known.
-    #[error("no greeting of version 10")]
-    UnknownGreeting,
-    /// The server is too old.
-    #[error("it does not speak protocol 4.1")]
+    /// The first packet is not a greeting of protocol version 10.
+    #[error("server did not send a greeting of protocol version 10")]
+    UnsupportedGreeting,
+    /// The server does not support protocol 4.1.
+    #[error("server does not support protocol 4.1")]
     UnsupportedProtocol,
-    /// The server wants an authentication plugin that is not supported.
-    #[error("it wants the unknown proof {0}")]
-    UnknownPlugin(String),
-    /// `caching_sha2_password` does not know the user yet: somebody has to log in over TLS once, or the user needs
-    /// `mysql_native_password`.
-    #[error("it wants the password itself, which is not sent over a plain connection")]
-    FullAuthentication,
-    /// The server's response is malformed.
-    #[error("its answer to the login can't be read")]
+    /// The server requests an authentication plugin that is not supported.
+    #[error("server requires the unsupported authentication plugin {0}")]
+    UnsupportedPlugin(String),
+    /// `caching_sha2_password` requires full authentication, because the server has no cached hash for the
+    /// user. Either a client has to log in once over TLS, or the user needs `mysql_native_password`.
+    #[error("server requires the password itself, which is not sent over an unencrypted connection")]
+    FullAuthenticationRequired,
+    /// The server's response to the login is malformed.
+    #[error("server's response to the login is malformed")]
     MalformedResponse,
 }
 
-/// A connection that logs in: a router's to a server, or a client's to a router.
+/// A connection on which a login runs.
 pub trait LoginSocket {
-    /// A reader up to a deadline.
+    /// Returns a reader that fails with a timeout at the deadline.
     ///
     /// # Errors
-    /// The connection can't be read.
+    /// The connection cannot be read.
     fn reader(&self, deadline: Instant) -> io::Result<DeadlineReader<'_>>;
 
-    /// Writes packets.
+    /// Writes encoded packets.
     ///
     /// # Errors
     /// The write failed or timed out.
@@ -96,10 +97,11 @@
     }
 }
 
-/// Logs in.
+/// Logs in to a server.
 ///
 /// # Errors
-/// The server rejects the login, or does not answer it before the deadline or in a way that is supported.
+/// The server rejected the login, did not respond before the deadline, or requires an unsupported protocol or
+/// plugin.
 pub fn login(
     socket: &impl LoginSocket,
     reader: &mut PacketReader,
@@ -108,7 +110,7 @@
 ) -> Result<(), LoginError> {
     let mut login = Login { socket, reader, credentials, deadline };
     login.respond_to_greeting()?;
-    login.await_ok()
+    login.complete_authentication()
 }
 
 struct Login<'a, S> {
@@ -121,24 +123,25 @@
 impl<S: LoginSocket> Login<'_, S> {
     fn respond_to_greeting(&mut self) -> Result<(), LoginError> {
         let packet = self.read_packet()?;
-        let greeting = Greeting::parse(&packet.payload).ok_or(LoginError::UnknownGreeting)?;
+        let greeting = Greeting::parse(&packet.payload).ok_or(LoginError::UnsupportedGreeting)?;
         if greeting.capabilities & capability::PROTOCOL_41 == 0 {
             return Err(LoginError::UnsupportedProtocol);
         }
-        // An unsupported plugin is answered with a supported one: the server then switches, or rejects the login.
+        // If the server names an unsupported plugin, the router responds with a supported one. The server
+        // then requests a switch of the plugin or rejects the login.
         let plugin = if greeting.plugin == NATIVE_PASSWORD { NATIVE_PASSWORD } else { CACHING_SHA2_PASSWORD };
         let response = HandshakeResponse {
             capabilities: capability::USED_WITH_SERVERS,
             user: self.credentials.user.clone(),
-            proof: self.proof(plugin, &greeting.nonce)?,
+            auth_response: self.auth_response(plugin, &greeting.nonce)?,
             database: Some(self.credentials.database.clone()),
             plugin: plugin.to_string(),
         };
-        self.write_after(&packet, &response.encode())
+        self.respond_to(&packet, &response.encode())
     }
 
-    /// Reads up to the server's OK, and answers what it asks for before.
-    fn await_ok(&mut self) -> Result<(), LoginError> {
+    /// Responds to the server's authentication requests until the server sends OK.
+    fn complete_authentication(&mut self) -> Result<(), LoginError> {
         loop {
             let packet = self.read_packet()?;
             match *packet.payload {
@@ -147,12 +150,12 @@
                     let mut fields = FieldReader::new(request);
                     let plugin = fields.null_terminated().and_then(|name| std::str::from_utf8(name).ok());
                     let nonce = fields.rest().strip_suffix(b"\0").unwrap_or(fields.rest());
-                    let proof = self.proof(plugin.unwrap_or(""), nonce)?;
-                    self.write_after(&packet, &proof)?;
+                    let auth_response = self.auth_response(plugin.unwrap_or(""), nonce)?;
+                    self.respond_to(&packet, &auth_response)?;
                 }
-                // OK follows.
+                // The server accepted the authentication response and sends OK in the next packet.
                 [MORE_AUTH_DATA, FAST_AUTH_SUCCESS, ..] => {}
-                [MORE_AUTH_DATA, ..] => return Err(LoginError::FullAuthentication),
+                [MORE_AUTH_DATA, ..] => return Err(LoginError::FullAuthenticationRequired),
                 _ => return Err(LoginError::MalformedResponse),
             }
         }
@@ -166,14 +169,14 @@
         }
     }
 
-    fn write_after(&self, packet: &Packet, payload: &[u8]) -> Result<(), LoginError> {
+    fn respond_to(&self, packet: &Packet, payload: &[u8]) -> Result<(), LoginError> {
         let mut packets = Vec::new();
-        push_packets(&mut packets, packet.last.wrapping_add(1), payload);
+        push_packets(&mut packets, packet.last_sequence.wrapping_add(1), payload);
         Ok(self.socket.write(&packets)?)
     }
 
-    fn proof(&self, plugin: &str, nonce: &[u8]) -> Result<Vec<u8>, LoginError> {
-        let proof = scramble(plugin, &self.credentials.password, nonce);
-        proof.ok_or_else(|| LoginError::UnknownPlugin(plugin.to_string()))
+    fn auth_response(&self, plugin: &str, nonce: &[u8]) -> Result<Vec<u8>, LoginError> {
+        let auth_response = scramble(plugin, &self.credentials.password, nonce);
+        auth_response.ok_or_else(|| LoginError::UnsupportedPlugin(plugin.to_string()))
     }
 }
--- a/mysql/src/packet.rs
+++ b/mysql/src/packet.rs
@@ -1,57 +1,57 @@
-//! Framing: three bytes of length, a sequence number, a payload. A payload of 2^24 - 1 bytes or more continues in the
-//! next packet.
+//! Framing of packets. Each packet consists of a length of three bytes, a sequence number and a payload. A
+//! payload of 2^24 - 1 bytes or more continues in the next packet.
 use std::io::{self, IoSlice, Read, Write};
 use std::net::TcpStream;
 
-/// The longest payload of one packet, in bytes; a packet of this length is continued by the next.
+/// Maximum payload length of one packet, in bytes. A packet of this length is continued by the next packet.
 pub const MAX_PACKET_PAYLOAD: usize = 0xff_ffff;
 
-/// Bytes of a packet's length and sequence number.
-pub const HEAD_BYTES: usize = 4;
-/// Bytes that are read from the socket at a time.
+/// Length of a packet's header, which holds the payload length and the sequence number.
+pub const PACKET_HEADER_BYTES: usize = 4;
+/// Size of the buffer for reads from the socket.
 const READ_BUFFER_BYTES: usize = 4096;
-/// Bytes by which a payload's memory grows as they come.
+/// Number of bytes by which a payload's buffer grows while the payload is read.
 const GROWTH_BYTES: usize = 16 * 1024;
 
-/// A payload with its sequence numbers.
+/// A payload and the sequence numbers of its packets.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Packet {
-    /// The sequence number of its first packet.
-    pub first: u8,
-    /// The sequence number of its last packet.
-    pub last: u8,
-    /// All its bytes.
+    /// Sequence number of the payload's first packet.
+    pub first_sequence: u8,
+    /// Sequence number of the payload's last packet.
+    pub last_sequence: u8,
+    /// The complete payload, without packet headers.
     pub payload: Vec<u8>,
 }
 
-/// Why no payload could be read.
+/// Reason why no payload could be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The connection ended between two payloads.
-    #[error("it was closed by the other side")]
+    /// The peer closed the connection between two payloads.
+    #[error("connection closed by the peer")]
     Closed,
-    /// Nothing came in time, not the first byte of a payload.
-    #[error("nothing came in time")]
+    /// The read timed out before the first byte of a payload.
+    #[error("timed out before the first byte of a payload")]
     IdleTimeout,
-    /// The connection failed, ended within a payload, or brought only a part of one in time.
+    /// The connection failed, or it was closed or timed out within a payload.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The payload is longer than what is accepted.
-    #[error("a payload is too long")]
+    /// The payload exceeds the reader's limit.
+    #[error("payload exceeds the maximum length")]
     TooLong,
-    /// A continuation came out of sequence.
-    #[error("packets came out of order")]
+    /// A continuation packet has an unexpected sequence number.
+    #[error("packet has an unexpected sequence number")]
     OutOfOrder,
 }
 
-/// Where in a payload a read stands.
+/// Whether a part of the current payload has been read.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum ReadPosition {
+enum ReadState {
     BeforePayload,
-    InsidePayload,
+    WithinPayload,
 }
 
-/// Reads payloads, ahead by what the socket has at hand.
+/// Reads payloads through a buffer, which may hold bytes of later payloads.
 pub struct PacketReader {
     bytes: Vec<u8>,
     start: usize,
@@ -60,12 +60,12 @@
 }
 
 impl PacketReader {
-    /// A reader that accepts payloads of up to `max_payload_bytes`.
+    /// Creates a reader that accepts payloads of up to `max_payload_bytes`.
     pub fn new(max_payload_bytes: usize) -> Self {
         PacketReader { bytes: vec![0; READ_BUFFER_BYTES], start: 0, end: 0, max_payload_bytes }
     }
 
-    /// Whether nothing has been read ahead.
+    /// Returns whether the buffer holds no unread bytes.
     pub fn is_empty(&self) -> bool {
         self.start == self.end
     }
@@ -73,31 +73,32 @@
     /// Reads the next payload.
     ///
     /// # Errors
-    /// The connection ended or failed, or the payload is too long or out of order.
+    /// The connection was closed, failed or timed out, the payload is too long, or its packets are out of
+    /// order.
     pub fn read_packet(&mut self, mut from: impl Read) -> Result<Packet, ReadError> {
-        let (mut payload, mut first, mut expected) = (Vec::new(), 0, None);
-        let mut position = ReadPosition::BeforePayload;
+        let (mut payload, mut first_sequence, mut expected) = (Vec::new(), 0, None);
+        let mut state = ReadState::BeforePayload;
         loop {
-            let mut head = [0; HEAD_BYTES];
-            self.read_exact(&mut from, &mut head, position)?;
-            position = ReadPosition::InsidePayload;
-            let length = u32::from_le_bytes([head[0], head[1], head[2], 0]) as usize;
-            let sequence = head[3];
+            let mut header = [0; PACKET_HEADER_BYTES];
+            self.read_exact(&mut from, &mut header, state)?;
+            state = ReadState::WithinPayload;
+            let length = u32::from_le_bytes([header[0], header[1], header[2], 0]) as usize;
+            let sequence = header[3];
             match expected {
-                None => first = sequence,
+                None => first_sequence = sequence,
                 Some(expected) if expected != sequence => return Err(ReadError::OutOfOrder),
                 Some(_) => {}
             }
             self.read_payload(&mut from, &mut payload, length)?;
             if length < MAX_PACKET_PAYLOAD {
-                return Ok(Packet { first, last: sequence, payload });
+                return Ok(Packet { first_sequence, last_sequence: sequence, payload });
             }
             expected = Some(sequence.wrapping_add(1));
         }
     }
 
-    /// Appends the next `length` bytes to a payload. Its memory grows as the bytes come: a length alone, which costs its
-    /// sender nothing, must reserve none.
+    /// Appends the next `length` bytes to a payload. The buffer grows as bytes arrive: otherwise a peer could
+    /// make the router allocate memory by sending only a large length.
     fn read_payload(
         &mut self,
         mut from: impl Read,
@@ -111,7 +112,7 @@
         while payload.len() < end {
             let start = payload.len();
             payload.resize(end.min(start + GROWTH_BYTES), 0);
-            self.read_exact(&mut from, &mut payload[start..], ReadPosition::InsidePayload)?;
+            self.read_exact(&mut from, &mut payload[start..], ReadState::WithinPayload)?;
         }
         Ok(())
     }
@@ -120,13 +121,13 @@
         &mut self,
         mut from: impl Read,
         mut to: &mut [u8],
-        mut position: ReadPosition,
+        mut state: ReadState,
     ) -> Result<(), ReadError> {
         while !to.is_empty() {
             if self.is_empty() {
-                self.fill(&mut from, position)?;
+                self.fill(&mut from, state)?;
             }
-            position = ReadPosition::InsidePayload;
+            state = ReadState::WithinPayload;
             let count = to.len().min(self.end - self.start);
             to[..count].copy_from_slice(&self.bytes[self.start..self.start + count]);
             self.start += count;
@@ -135,9 +136,9 @@
         Ok(())
     }
 
-    /// Reads some bytes into the empty buffer.
-    fn fill(&mut self, mut from: impl Read, position: ReadPosition) -> Result<(), ReadError> {
-        let before_payload = position == ReadPosition::BeforePayload;
+    /// Refills the empty buffer from the socket.
+    fn fill(&mut self, mut from: impl Read, state: ReadState) -> Result<(), ReadError> {
+        let before_payload = state == ReadState::BeforePayload;
         let count = loop {
             match from.read(&mut self.bytes) {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -156,7 +157,7 @@
     }
 }
 
-/// Appends a payload as packets, and returns the sequence number that follows the last of them.
+/// Appends a payload as packets. Returns the sequence number that follows the last packet.
 pub fn push_packets(to: &mut Vec<u8>, mut sequence: u8, payload: &[u8]) -> u8 {
     let mut rest = payload;
     loop {
@@ -166,18 +167,18 @@
         to.extend_from_slice(&rest[..length]);
         rest = &rest[length..];
         sequence = sequence.wrapping_add(1);
-        // A payload that fills its last packet is ended by an empty one.
+        // If the payload fills its last packet, an empty packet terminates it.
         if length < MAX_PACKET_PAYLOAD {
             return sequence;
         }
     }
 }
 
-/// Hands one command, its parts gathered, to `write`.
+/// Frames one command, whose payload is the concatenation of `parts`, and passes the bytes to `write`.
 ///
 /// # Errors
-/// Those of `write`.
-pub fn with_command(
+/// Returns the error of `write`.
+pub fn frame_command(
     parts: &[&[u8]],
     write: impl FnOnce(&mut [IoSlice<'_>]) -> io::Result<()>,
 ) -> io::Result<()> {
@@ -188,22 +189,22 @@
         return write(&mut [IoSlice::new(&packets)]);
     }
     let length = (length as u32).to_le_bytes();
-    let head = [length[0], length[1], length[2], 0];
+    let header = [length[0], length[1], length[2], 0];
     let mut slices = Vec::with_capacity(parts.len() + 1);
-    slices.push(IoSlice::new(&head));
+    slices.push(IoSlice::new(&header));
     slices.extend(parts.iter().map(|part| IoSlice::new(part)));
     write(&mut slices)
 }
 
-/// Writes one command as a client does, its parts gathered.
+/// Writes one command, whose payload is the concatenation of `parts`.
 ///
 /// # Errors
 /// The write failed or timed out.
 pub fn write_command(to: &TcpStream, parts: &[&[u8]]) -> io::Result<()> {
-    with_command(parts, |slices| routing::socket::write_all_vectored(to, slices))
+    frame_command(parts, |slices| routing::socket::write_all_vectored(to, slices))
 }
 
-/// Writes packets.
+/// Writes encoded packets.
 ///
 /// # Errors
 /// The write failed or timed out.
--- a/mysql/src/prepared.rs
+++ b/mysql/src/prepared.rs
@@ -1,51 +1,51 @@
-//! Statements that clients have prepared. The ids are the router's own; where a statement is prepared on a server is the
-//! server connection's concern.
+//! Statements that clients have prepared. The router assigns the clients' statement IDs. The IDs on the
+//! servers are managed by each server connection.
 use crate::cursor::Cursor;
 use crate::fields::FieldReader;
 use crate::request::LongParameters;
 use crate::requirements::Requirements;
 use std::sync::Arc;
 
-/// The flag of an execution whose rows are fetched through a cursor; the only one that is supported.
+/// Flag of an execution that opens a read-only cursor. No other cursor type is supported.
 const READ_ONLY_CURSOR: u64 = 1;
-/// Bytes of a parameter's type.
+/// Length of a parameter type, in bytes.
 const TYPE_BYTES: usize = 2;
 
 /// A statement that a client has prepared.
 pub struct PreparedStatement {
-    /// Its text.
+    /// Text of the statement.
     pub text: Arc<[u8]>,
-    /// What its executions require.
+    /// Routing requirements of the statement's executions.
     pub requirements: Requirements,
-    /// Its parameters.
+    /// Number and types of the statement's parameters.
     pub parameters: Parameters,
-    /// Long parameters for the next execution.
+    /// Long parameters that were received for the next execution.
     pub long_parameters: LongParameters,
-    /// The long parameters could not be accepted: the next execution fails.
+    /// Whether long parameters were invalid or too long, so that the next execution fails.
     pub long_parameters_rejected: bool,
-    /// Rows not fetched yet.
+    /// Open cursor, if there is one.
     pub cursor: Option<Cursor>,
 }
 
-/// A statement's parameters.
+/// Number and types of a statement's parameters.
 pub struct Parameters {
-    /// How many it has.
+    /// Number of parameters.
     pub count: usize,
-    /// Their types as the client last sent them, two bytes each; empty before.
+    /// Parameter types as the client last sent them, two bytes each. Empty if the client has sent none yet.
     pub types: Vec<u8>,
 }
 
-/// An execution for a server: its body behind the statement's id.
+/// An execution of a prepared statement, ready to be sent to a server.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Execution {
-    /// Flags, count and parameters.
+    /// Payload of the execution after the statement ID: flags, iteration count and parameters.
     pub body: Vec<u8>,
-    /// The client wants to fetch the rows through a cursor.
+    /// Whether the client requests a cursor.
     pub wants_cursor: bool,
 }
 
 impl PreparedStatement {
-    /// A statement that has just been prepared.
+    /// Creates the state of a newly prepared statement.
     pub fn new(text: Arc<[u8]>, requirements: Requirements, parameter_count: usize) -> Self {
         PreparedStatement {
             text,
@@ -57,15 +57,15 @@
         }
     }
 
-    /// Drops long parameters and the cursor.
+    /// Discards the long parameters and the cursor.
     pub fn reset(&mut self) {
         self.long_parameters.clear();
         self.long_parameters_rejected = false;
         self.cursor = None;
     }
 
-    /// Adds a part of a long parameter, whose index comes first. There is no response: what is wrong fails the next
-    /// execution. All parts together may have `max_bytes`.
+    /// Appends a part of a long parameter. `part` starts with the parameter's index. The command has no
+    /// response, so an error makes the next execution fail. All parts together may have up to `max_bytes`.
     pub fn add_long_parameter_part(&mut self, part: &[u8], max_bytes: usize) {
         let mut fields = FieldReader::new(part);
         let index = fields.integer(2).filter(|index| (*index as usize) < self.parameters.count);
@@ -80,9 +80,9 @@
 }
 
 impl Parameters {
-    /// Reads the client's execution; `None` where it is malformed. The types are always forwarded: the server connection
-    /// may be another one each time.
-    pub fn execution(&mut self, payload: &[u8]) -> Option<Execution> {
+    /// Parses the payload of an execution after the statement ID. Returns `None` if it is malformed. The body
+    /// always contains the parameter types, because each execution may use another server connection.
+    pub fn parse_execution(&mut self, payload: &[u8]) -> Option<Execution> {
         let mut fields = FieldReader::new(payload);
         let (flags, iterations) = (fields.integer(1)?, fields.integer(4)?);
         if flags > READ_ONLY_CURSOR || iterations != 1 {
--- a/mysql/src/request.rs
+++ b/mysql/src/request.rs
@@ -1,27 +1,27 @@
-//! What clients' connections and servers' connections exchange through the routing core.
+//! Requests and responses that client connections and server connections exchange through the routing core.
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Long parameters of an execution by their index. They are sent ahead of it.
+/// Long parameters of an execution by parameter index. They are sent before the execution.
 pub type LongParameters = BTreeMap<u16, Vec<u8>>;
 
-/// What a server is asked for.
+/// A request to a server.
 #[derive(Debug)]
 pub enum Request {
-    /// A statement as text.
+    /// Runs a statement that is sent as text.
     Query(Vec<u8>),
-    /// Preparing a statement, for what the response says of parameters and columns.
+    /// Prepares a statement to obtain the descriptions of its parameters and columns.
     Prepare(Arc<[u8]>),
-    /// The execution of a prepared statement.
+    /// Executes a prepared statement.
     Execute {
-        /// The statement's text.
+        /// Text of the statement.
         text: Arc<[u8]>,
-        /// The execution behind the statement's id.
+        /// Payload of the execution after the statement ID.
         body: Vec<u8>,
-        /// Long parameters to be sent ahead.
+        /// Long parameters, which are sent before the execution.
         long_parameters: LongParameters,
     },
 }
 
-/// A server's response: its payloads, in order.
+/// Payloads of a server's response, in order.
 pub type ResponsePayloads = Vec<Vec<u8>>;
--- a/mysql/src/requirements.rs
+++ b/mysql/src/requirements.rs
@@ -1,39 +1,44 @@
-//! What a request requires, from its statement's comment or from the first rule of the configuration that its text begins
-//! with.
+//! Routing requirements of a request. They are taken from the statement's comments, and otherwise from the
+//! first configured rule whose prefix matches the statement.
 use crate::errors::{CommandError, UNSUPPORTED};
 use crate::statement::ScannedStatement;
 use settings::operator::MysqlConfig;
 
-/// Fields of a statement's comment: class, group, wait in milliseconds, session and tenant.
+/// Names of the fields in a statement's comments: class, group, wait time in milliseconds, session and
+/// tenant.
 const CLASS_FIELD: &str = "c";
 const GROUP_FIELD: &str = "cluster";
 const WAIT_FIELD: &str = "d";
 const SESSION_FIELD: &str = "s";
 const TENANT_FIELD: &str = "t";
-/// The longest that a client may wait, in milliseconds: a day.
+/// Maximum time that a client may wait, in milliseconds: one day.
 const MAX_WAIT_MS: u64 = 86_400_000;
 
-/// What a request requires.
+/// Routing requirements of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Requirements {
-    /// Its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Its group.
+    /// Number of the replication group.
     pub group: u32,
-    /// The name of its session; `None` if the connection is its session.
+    /// Name of the session. `None` if the connection is the session.
     pub session: Option<String>,
-    /// The tenant that its comment names.
+    /// Tenant that a comment names.
     pub tenant: Option<String>,
-    /// How long the client waits, in milliseconds.
+    /// Time that the client waits for a response, in milliseconds.
     pub wait_ms: u64,
 }
 
 impl Requirements {
-    /// What a statement requires. One that no comment and no rule gives a class is a write that must not run twice.
+    /// Derives the requirements of a statement. If neither a comment nor a rule determines the class, the
+    /// statement is treated as a write that must not be retried.
     ///
     /// # Errors
-    /// The statement may write though its class only reads, or its comment has a malformed number.
-    pub fn of(statement: &ScannedStatement, mysql: &MysqlConfig) -> Result<Requirements, CommandError> {
+    /// The statement may write although its class is read-only, or a comment contains a malformed number.
+    pub fn from_statement(
+        statement: &ScannedStatement,
+        mysql: &MysqlConfig,
+    ) -> Result<Requirements, CommandError> {
         let rule = mysql.rules.iter().find(|rule| statement.normalized.starts_with(&rule.prefix));
         let named_class = match statement.comment_field(CLASS_FIELD) {
             Some(name) => mysql.class_names.iter().position(|class| class == name),
@@ -58,7 +63,7 @@
     }
 }
 
-/// The number in a field of the statement's comment, if the comment has the field.
+/// Parses the number in a comment field. Returns `Ok(None)` if no comment contains the field.
 fn comment_number(statement: &ScannedStatement, name: &str) -> Result<Option<u64>, CommandError> {
     let Some(value) = statement.comment_field(name) else { return Ok(None) };
     let number = value.parse();
--- a/mysql/src/results.rs
+++ b/mysql/src/results.rs
@@ -1,27 +1,28 @@
-//! Results: following a server's response payload by payload, and the few that the router gives itself.
+//! Results of commands: tracks a server's response payload by payload, and encodes the results that the
+//! router itself returns.
 use crate::fields::{FieldReader, NULL, push_length_encoded_bytes};
 use crate::packet::push_packets;
 use crate::protocol::UTF8MB4_GENERAL_CI;
 
-/// The status flag of a session that commits each statement by itself.
+/// Status flag: the session is in autocommit mode.
 pub const AUTOCOMMIT: u16 = 2;
-/// Another result follows.
+/// Status flag: another result follows.
 pub const MORE_RESULTS: u16 = 8;
-/// Rows wait to be fetched.
+/// Status flag: a cursor is open and has rows left to fetch.
 pub const CURSOR_EXISTS: u16 = 64;
-/// All rows have been fetched.
+/// Status flag: all rows of the cursor have been fetched.
 pub const LAST_ROW_SENT: u16 = 128;
 
 /// An OK payload.
 pub const OK: &[u8] = &[0, 0, 0, AUTOCOMMIT as u8, 0, 0, 0];
 
-/// An EOF payload with these status flags.
+/// Encodes an EOF payload with these status flags.
 pub fn eof(status: u16) -> [u8; 5] {
     let status = status.to_le_bytes();
     [0xfe, 0, 0, status[0], status[1]]
 }
 
-/// The status flags of an EOF payload; `None` for any other payload.
+/// Returns the status flags of an EOF payload, and `None` for any other payload.
 pub fn eof_status(payload: &[u8]) -> Option<u16> {
     match payload {
         [0xfe, _, _, low, high] => Some(u16::from_le_bytes([*low, *high])),
@@ -36,30 +37,31 @@
     fields.integer(2).map(|status| status as u16)
 }
 
-/// Where a response stands that is read payload by payload.
+/// State of a response that is read payload by payload.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ResponseState {
-    /// The first payload of a result comes next.
+    /// The next payload is the first one of a result.
     Start,
-    /// So many column definitions come next, and then the end of them.
+    /// The next payloads are this number of column definitions and an EOF.
     Columns(u64),
-    /// Rows come next.
+    /// The next payload is a row or the EOF after the rows.
     Rows,
     /// The response is complete.
     Done,
-    /// It ended in an error.
+    /// The response ended with an error.
     Failed,
-    /// It is nothing that this protocol knows.
+    /// The response is malformed or not supported.
     Malformed,
 }
 
 impl ResponseState {
-    /// Takes the next payload.
+    /// Updates the state with the next payload.
     pub fn advance(&mut self, payload: &[u8]) {
         *self = match (&*self, payload) {
             (ResponseState::Start | ResponseState::Rows, [0xff, _, _, ..]) => ResponseState::Failed,
-            (ResponseState::Start, [0, ..]) => ResponseState::behind_result(ok_status(payload)),
-            // The server asks for a local file: the router offers none.
+            (ResponseState::Start, [0, ..]) => ResponseState::after_result(ok_status(payload)),
+            // The server requests a local file for `LOAD DATA LOCAL INFILE`, which the router does not
+            // support.
             (ResponseState::Start, [0xfb, ..]) => ResponseState::Malformed,
             (ResponseState::Start, _) => match FieldReader::new(payload).length_encoded_integer() {
                 Some(columns) if columns > 0 => ResponseState::Columns(columns),
@@ -71,7 +73,7 @@
             },
             (ResponseState::Columns(remaining), _) => ResponseState::Columns(remaining - 1),
             (ResponseState::Rows, _) => match eof_status(payload) {
-                Some(status) => ResponseState::behind_result(Some(status)),
+                Some(status) => ResponseState::after_result(Some(status)),
                 None => ResponseState::Rows,
             },
             (ResponseState::Done | ResponseState::Failed | ResponseState::Malformed, _) => {
@@ -80,8 +82,8 @@
         };
     }
 
-    /// The state behind a result with these status flags.
-    fn behind_result(status: Option<u16>) -> ResponseState {
+    /// Returns the state after a result with these status flags.
+    fn after_result(status: Option<u16>) -> ResponseState {
         match status {
             Some(status) if status & MORE_RESULTS != 0 => ResponseState::Start,
             Some(_) => ResponseState::Done,
@@ -90,16 +92,16 @@
     }
 }
 
-/// A column with its value in a result of one row.
+/// Name and value of a column in a result of one row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedValue {
-    /// The column's name.
+    /// Name of the column.
     pub name: String,
-    /// The value.
+    /// Value of the column, as text.
     pub value: String,
 }
 
-/// The definition of a column of texts.
+/// Encodes the definition of a text column.
 fn column_definition(name: &str) -> Vec<u8> {
     let mut definition = Vec::new();
     for part in ["def", "", "", "", name, ""] {
@@ -109,7 +111,7 @@
     definition
 }
 
-/// A result of one row, as packets that answer a command.
+/// Encodes a result of one row, as the packets of the response to a command.
 pub fn encode_single_row(row: &[NamedValue]) -> Vec<u8> {
     let mut packets = Vec::new();
     let mut sequence = push_packets(&mut packets, 1, &[row.len() as u8]);
@@ -124,7 +126,7 @@
     packets
 }
 
-/// The cells of a text row up to the first malformed one; NULL is `None`.
+/// Parses the columns of a text row up to the first malformed one. A NULL value is `None`.
 pub fn text_row(payload: &[u8]) -> Vec<Option<&[u8]>> {
     let mut fields = FieldReader::new(payload);
     let mut cells = Vec::new();
--- a/mysql/src/statement.rs
+++ b/mysql/src/statement.rs
@@ -1,5 +1,5 @@
-//! A statement's text: its words without quoted texts and comments, what its comments say, and whether it can be carried
-//! out on connections that clients share.
+//! Scans the text of a statement: normalizes it, extracts the fields of its comments, and checks whether it
+//! can run on server connections that clients share.
 use crate::errors::{CommandError, UNSUPPORTED};
 use crate::protocol::SERVER_VERSION;
 use crate::results::NamedValue;
@@ -14,28 +14,30 @@
 const SESSION_FUNCTIONS_UNSUPPORTED: &str =
     "functions of the server's session are not carried: server connections are shared";
 
-/// Functions whose result depends on the server's session.
+/// Functions whose result depends on the state of the server session.
 const SESSION_FUNCTIONS: [&str; 6] =
     ["last_insert_id", "found_rows", "row_count", "get_lock", "release_lock", "connection_id"];
 
-/// A pair in a comment.
+/// A `name=value` field in a comment.
 #[derive(Debug)]
 struct CommentField {
     name: String,
     value: String,
 }
 
-/// A statement's text, taken apart.
+/// Result of scanning a statement.
 #[derive(Debug, Default)]
 pub struct ScannedStatement {
-    /// The text in lower case with single spaces, without comments; quoted texts stand as `''`.
+    /// Text in lower case without comments. Each sequence of white space is one space, and each quoted string
+    /// is `''`.
     pub normalized: String,
-    /// How many parameters it has, up to the largest count.
+    /// Number of parameter markers, limited to the maximum of the type.
     pub parameters: u16,
     comment_fields: Vec<CommentField>,
 }
 
-/// Takes a text apart. What stands in quotes or comments never counts as a word or a parameter.
+/// Scans a statement. The contents of quoted strings and comments are ignored, except for the fields of
+/// comments.
 pub fn scan(text: &str) -> ScannedStatement {
     let mut scanner = Scanner {
         text,
@@ -43,8 +45,8 @@
         statement: ScannedStatement::default(),
         comments: String::new(),
     };
-    while let Some((at, c)) = scanner.rest.next() {
-        scanner.scan_char(at, c);
+    while let Some((offset, c)) = scanner.rest.next() {
+        scanner.scan_char(offset, c);
     }
     scanner.finish()
 }
@@ -53,19 +55,19 @@
     text: &'a str,
     rest: Peekable<CharIndices<'a>>,
     statement: ScannedStatement,
-    /// The contents of all comments, each followed by a comma.
+    /// Contents of all comments, each followed by a comma.
     comments: String,
 }
 
 impl Scanner<'_> {
-    fn scan_char(&mut self, at: usize, c: char) {
-        let ahead = &self.text[at..];
+    fn scan_char(&mut self, offset: usize, c: char) {
+        let remaining = &self.text[offset..];
         match c {
             '\'' | '"' | '`' => self.skip_quoted(c),
-            // `/*!` begins text that servers execute.
-            '/' if ahead.starts_with("/*") && !ahead.starts_with("/*!") => self.scan_comment(at),
+            // Servers execute the contents of `/*!` comments.
+            '/' if remaining.starts_with("/*") && !remaining.starts_with("/*!") => self.scan_comment(offset),
             '#' => self.skip_line(),
-            '-' if ahead.starts_with("-- ") || ahead.starts_with("--\n") => self.skip_line(),
+            '-' if remaining.starts_with("-- ") || remaining.starts_with("--\n") => self.skip_line(),
             c if c.is_whitespace() => self.push_space(),
             '?' => {
                 self.statement.parameters = self.statement.parameters.saturating_add(1);
@@ -75,14 +77,14 @@
         }
     }
 
-    /// Leaves the quotes, and between backticks the name.
+    /// Skips quoted text but copies the quotes. A name between backticks is copied as well.
     fn skip_quoted(&mut self, quote: char) {
         self.statement.normalized.push(quote);
         while let Some((_, c)) = self.rest.next() {
             if c == '\\' && quote != '`' {
                 self.rest.next();
             } else if c == quote {
-                // A doubled quote stands for itself and does not end the text.
+                // A doubled quote is an escaped quote and does not end the quoted text.
                 if self.rest.next_if(|(_, next)| *next == quote).is_none() {
                     break;
                 }
@@ -93,12 +95,12 @@
         self.statement.normalized.push(quote);
     }
 
-    fn scan_comment(&mut self, at: usize) {
-        let ahead = &self.text[at..];
-        let length = ahead.find("*/").map_or(ahead.len(), |end| end + 2);
-        self.comments.push_str(ahead[2..length].trim_end_matches("*/"));
+    fn scan_comment(&mut self, offset: usize) {
+        let remaining = &self.text[offset..];
+        let length = remaining.find("*/").map_or(remaining.len(), |end| end + 2);
+        self.comments.push_str(remaining[2..length].trim_end_matches("*/"));
         self.comments.push(',');
-        while self.rest.next_if(|(next, _)| *next < at + length).is_some() {}
+        while self.rest.next_if(|(next, _)| *next < offset + length).is_some() {}
         self.push_space();
     }
 
@@ -127,7 +129,7 @@
 }
 
 impl ScannedStatement {
-    /// The first value that a comment gives to a name.
+    /// Returns the value of the first comment field with this name.
     pub fn comment_field(&self, name: &str) -> Option<&str> {
         let field = self.comment_fields.iter().find(|field| field.name == name);
         field.map(|field| field.value.as_str())
@@ -138,7 +140,8 @@
         self.normalized.split(is_separator).filter(|word| !word.is_empty())
     }
 
-    /// Whether it only reads: any other is never sent anywhere but to a primary, and never twice.
+    /// Returns whether the statement only reads. Any other statement is sent only to a primary and never
+    /// retried.
     pub fn is_read_only(&self) -> bool {
         match self.words().next().unwrap_or("") {
             "select" | "show" | "describe" | "desc" | "explain" | "table" | "values" => true,
@@ -147,10 +150,11 @@
         }
     }
 
-    /// Checks that it can be carried out: connections to servers are shared, so it must not leave anything on one.
+    /// Checks that the statement is supported. Server connections are shared, so a statement must not change
+    /// the state of a server session.
     ///
     /// # Errors
-    /// It needs or changes the state of a server's session, or files.
+    /// The statement uses or changes the state of a server session, or uses files.
     pub fn check_supported(&self) -> Result<(), CommandError> {
         match self.unsupported_feature() {
             Some(text) => Err(CommandError::new(UNSUPPORTED, text)),
@@ -184,14 +188,15 @@
             .any(|word| SESSION_FUNCTIONS.contains(&word) && self.normalized.contains(&format!("{word}(")))
     }
 
-    /// Whether it is a SET of what each connection has anyway: drivers send these when they connect.
+    /// Returns whether the statement is a SET that assigns a value that every connection has by default.
+    /// Drivers send such statements when they connect.
     pub fn sets_default_state(&self) -> bool {
         let assignment = self.normalized.replace(" = ", "=").replace("session ", "").replace("@@", "");
         matches!(assignment.as_str(), "set names utf8mb4" | "set autocommit=1" | "set autocommit=on")
     }
 
-    /// The system variables that a SELECT of nothing else asks for, with the router's own values; `None` for any other
-    /// statement.
+    /// Returns the router's values if the statement is a SELECT of system variables only, and `None` for any
+    /// other statement.
     pub fn selected_system_variables(&self, max_allowed_packet: usize) -> Option<Vec<NamedValue>> {
         let list = self.normalized.strip_prefix("select ")?;
         let list = list.strip_suffix(" limit 1").unwrap_or(list);
--- a/mysql/tests/cancelled_attempts.rs
+++ b/mysql/tests/cancelled_attempts.rs
@@ -1,4 +1,5 @@
-//! What a server receives of an execution whose attempt was cancelled, over real loopback sockets.
+//! Checks which commands a server receives if an attempt is cancelled before its execution. The tests use
+//! loopback sockets.
 use mysql_wire::backend::{Mysql, MysqlConnection};
 use mysql_wire::command;
 use mysql_wire::request::Request;
@@ -14,10 +15,11 @@
 use std::time::{Duration, Instant};
 use test_servers::wire::{OK, greet, packets, read};
 
-/// Longer than any test takes.
+/// Timeout of an attempt; longer than any test takes.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A connection to a server that answers each command; the commands that it reads come out of the receiver.
+/// Opens a connection to a server that responds to each command. The channel yields the commands that the
+/// server receives.
 fn connect() -> (MysqlConnection, Receiver<Vec<u8>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -27,7 +29,7 @@
         greet(&socket).unwrap();
         while let Ok(payload) = read(&socket) {
             let response: &[u8] = match payload[0] {
-                // The statement 1, without columns and with no parameters that are described.
+                // Response to a prepare: statement ID 1 without columns and without parameter definitions.
                 command::STMT_PREPARE => &[0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0],
                 command::STMT_EXECUTE => OK,
                 _ => &[],
@@ -40,7 +42,7 @@
     });
     let operator = operator::read(include_str!("../../deploy/mysql.toml")).unwrap();
     let protocol = Mysql::new(Arc::new(operator.mysql), Arc::new(operator.limits), Clock::new());
-    (protocol.connect(addr, permit()).ok().unwrap(), received)
+    (protocol.connect(addr, connection_permit()).ok().unwrap(), received)
 }
 
 fn execution(long_parameter: &[u8]) -> Request {
@@ -61,35 +63,34 @@
     connection.execute(attempt, guard).map(|result| result.outcome)
 }
 
-fn cancelled() -> AttemptGuard {
+fn cancelled_guard() -> AttemptGuard {
     let guard = AttemptGuard::default();
     guard.cancel_if_unstarted(Denial::ClientDisconnected);
     guard
 }
 
 #[test]
-fn cancelled_execution_leaves_no_long_parameters_on_its_connection() {
+fn cancelled_execution_sends_no_long_parameters() {
     let (mut connection, received) = connect();
     assert_eq!(execute(&mut connection, b"first", &AttemptGuard::default()), Ok(Outcome::Ok));
-    assert_eq!(execute(&mut connection, b"cancelled", &cancelled()), Err(NotSent::Cancelled));
+    assert_eq!(execute(&mut connection, b"cancelled", &cancelled_guard()), Err(NotSent::Cancelled));
     assert_eq!(execute(&mut connection, b"third", &AttemptGuard::default()), Ok(Outcome::Ok));
     drop(connection);
     let is_long_data = |command: &Vec<u8>| command[0] == command::STMT_SEND_LONG_DATA;
-    // Behind the command's name and the ids of statement and parameter.
+    // Skips the command code, the statement ID and the parameter index.
     let sent: Vec<Vec<u8>> =
         received.into_iter().filter(is_long_data).map(|command| command[7..].to_vec()).collect();
     assert_eq!(sent, [b"first", b"third"]);
 }
 
 #[test]
-fn nothing_is_prepared_for_a_cancelled_execution() {
+fn cancelled_execution_sends_no_prepare_command() {
     let (mut connection, received) = connect();
-    assert_eq!(execute(&mut connection, b"cancelled", &cancelled()), Err(NotSent::Cancelled));
+    assert_eq!(execute(&mut connection, b"cancelled", &cancelled_guard()), Err(NotSent::Cancelled));
     drop(connection);
     assert_eq!(received.into_iter().count(), 0);
 }
 
-/// A permit to open a connection.
-fn permit() -> ConnectionPermit {
+fn connection_permit() -> ConnectionPermit {
     AttemptGuard::default().permit_connection().unwrap()
 }
--- a/mysql/tests/encoded_messages.rs
+++ b/mysql/tests/encoded_messages.rs
@@ -1,5 +1,6 @@
-//! Messages that the router writes to clients and servers: `fixtures/encoded_messages.txt` was written by the program as it
-//! was before its modules were split.
+//! Compares messages that the router sends to clients and servers with `fixtures/encoded_messages.txt`, which
+//! an earlier version of the program wrote before its modules were split. Guards against accidental changes
+//! of the encoding.
 use mysql_wire::fields::push_length_encoded_integer;
 use mysql_wire::handshake::{HandshakeResponse, encode_greeting};
 use mysql_wire::packet::push_packets;
@@ -8,7 +9,7 @@
 use routing::{FinalResponse, Outcome};
 use std::time::Duration;
 
-/// Messages by name, one a line.
+/// Text with one line for each message: its name and its bytes.
 #[derive(Default)]
 struct Messages {
     text: String,
@@ -24,12 +25,12 @@
     let nonce: [u8; auth::NONCE_BYTES] = std::array::from_fn(|index| index as u8 + 1);
     messages.add("greeting", &encode_greeting(0x0102_0304, &nonce));
     for plugin in [auth::NATIVE_PASSWORD, auth::CACHING_SHA2_PASSWORD] {
-        let proof = auth::scramble(plugin, "secret", &nonce).unwrap();
-        messages.add(&format!("proof by {plugin}"), &proof);
+        let auth_response = auth::scramble(plugin, "secret", &nonce).unwrap();
+        messages.add(&format!("proof by {plugin}"), &auth_response);
         let response = HandshakeResponse {
             capabilities: capability::USED_WITH_SERVERS,
             user: "till".into(),
-            proof,
+            auth_response,
             database: Some("stock".into()),
             plugin: plugin.into(),
         };
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn encoded_messages_keep_their_bytes() {
+fn encoded_messages_match_fixture_byte_for_byte() {
     let mut messages = Messages::default();
     add_login(&mut messages);
     add_final_responses(&mut messages);
--- a/pcap/src/conversation.rs
+++ b/pcap/src/conversation.rs
@@ -1,37 +1,37 @@
-//! Parses one `MySQL` conversation from its two streams.
+//! Parses one `MySQL` conversation from the TCP streams of its two directions.
 use crate::remark::RemarkKind;
 use crate::request::{Outcome, Request, Statement};
 use crate::stream::Stream;
 use mysql_wire::fields::FieldReader;
 use mysql_wire::handshake::{Greeting, HandshakeResponse};
-use mysql_wire::packet::{HEAD_BYTES, MAX_PACKET_PAYLOAD, Packet, PacketReader};
+use mysql_wire::packet::{MAX_PACKET_PAYLOAD, PACKET_HEADER_BYTES, Packet, PacketReader};
 use mysql_wire::prepared::Parameters;
 use mysql_wire::results::{CURSOR_EXISTS, ResponseState, eof_status};
 use mysql_wire::{command, errors};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// The longest payload that is read, in bytes.
+/// Maximum length of a payload, in bytes.
 const MAX_PAYLOAD_BYTES: usize = 64 << 20;
-/// The first byte of an OK payload.
+/// First byte of an OK payload.
 const OK: u8 = 0;
-/// The first byte of an error payload.
+/// First byte of an ERR payload.
 const ERROR: u8 = 0xff;
 
-/// What a conversation holds.
+/// Requests that were parsed from a conversation, and remarks about its unreadable parts.
 #[derive(Default)]
 pub(crate) struct Conversation {
     pub(crate) requests: Vec<Request>,
     pub(crate) remarks: Vec<RemarkKind>,
 }
 
-/// Whether a server's stream begins with a `MySQL` greeting.
+/// Returns whether a server's stream begins with a `MySQL` greeting.
 pub(crate) fn begins_with_greeting(server: &Stream) -> bool {
     let greeting = PayloadReader::new(server).next();
     greeting.is_some_and(|greeting| Greeting::parse(&greeting.payload).is_some())
 }
 
-/// Parses a conversation.
+/// Parses the requests of a conversation, whose server stream must begin with a greeting.
 pub(crate) fn parse(client_address: SocketAddr, client: &Stream, server: &Stream) -> Conversation {
     let mut parser = Parser {
         client_address,
@@ -48,24 +48,24 @@
     parser.conversation
 }
 
-/// Payloads of one direction.
+/// Reads the payloads of one direction.
 struct PayloadReader<'a> {
     reader: PacketReader,
     remaining: &'a [u8],
-    /// Position in the stream after the last payload.
-    position: usize,
+    /// Offset in the stream of the end of the last payload.
+    offset: usize,
 }
 
 impl<'a> PayloadReader<'a> {
     fn new(stream: &'a Stream) -> Self {
         let reader = PacketReader::new(MAX_PAYLOAD_BYTES);
-        PayloadReader { reader, remaining: stream.bytes(), position: 0 }
+        PayloadReader { reader, remaining: stream.bytes(), offset: 0 }
     }
 
     fn next(&mut self) -> Option<Packet> {
         let packet = self.reader.read_packet(&mut self.remaining).ok()?;
         let bytes = packet.payload.len();
-        self.position += bytes + HEAD_BYTES * (1 + bytes / MAX_PACKET_PAYLOAD);
+        self.offset += bytes + PACKET_HEADER_BYTES * (1 + bytes / MAX_PACKET_PAYLOAD);
         Some(packet)
     }
 
@@ -76,12 +76,12 @@
     }
 }
 
-/// Why no more commands are parsed.
+/// Reason why parsing of commands ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StreamEnd {
-    /// The client has ended the conversation.
+    /// The client sent `QUIT`.
     Quit,
-    /// The client's stream has no more complete payloads.
+    /// The client's stream has no further complete payloads.
     NoMoreCommands,
 }
 
@@ -93,9 +93,10 @@
 }
 
 impl PreparedStatement {
-    /// An execution, with its parameters' types, which the client may have sent with an earlier one.
-    fn execution(&mut self, body: &[u8]) -> Option<Statement> {
-        let execution = self.parameters.execution(body);
+    /// Returns the execution and removes the stored long parameters. The parameter types may stem from an
+    /// earlier execution, because clients send them only once.
+    fn take_execution(&mut self, body: &[u8]) -> Option<Statement> {
+        let execution = self.parameters.parse_execution(body);
         let long_parameters = std::mem::take(&mut self.long_parameters);
         Some(Statement::Execute { text: self.text.clone(), body: execution?.body, long_parameters })
     }
@@ -111,7 +112,8 @@
 }
 
 impl Parser<'_> {
-    /// Skips the login: whatever the server sends up to its OK. False if the login is malformed, fails or is cut off.
+    /// Skips the packets of the login up to the server's OK. Returns false if the login is malformed, fails
+    /// or is incomplete.
     fn skip_login(&mut self) -> bool {
         if self.commands.next().and_then(|packet| HandshakeResponse::parse(&packet.payload)).is_none() {
             self.conversation.remarks.push(RemarkKind::UnreadableLogin);
@@ -130,8 +132,8 @@
 
     fn parse_commands(&mut self) -> StreamEnd {
         while let Some(packet) = self.commands.next() {
-            // Payloads with another sequence number belong to the login.
-            if packet.first != 0 {
+            // A command has sequence number 0. Other payloads belong to the login.
+            if packet.first_sequence != 0 {
                 continue;
             }
             let Some((&name, body)) = packet.payload.split_first() else { continue };
@@ -145,9 +147,9 @@
 
     fn parse_command(&mut self, name: u8, body: &[u8]) {
         match name {
-            command::STMT_CLOSE => self.close(body),
+            command::STMT_CLOSE => self.close_statement(body),
             command::STMT_SEND_LONG_DATA => self.add_long_parameter(body),
-            command::STMT_PREPARE => self.prepare(body),
+            command::STMT_PREPARE => self.prepare_statement(body),
             command::QUERY => self.add_request(Some(Statement::Query(body.to_vec()))),
             command::STMT_EXECUTE => {
                 let execution = self.parse_execution(body);
@@ -158,7 +160,7 @@
         }
     }
 
-    fn close(&mut self, body: &[u8]) {
+    fn close_statement(&mut self, body: &[u8]) {
         let id = FieldReader::new(body).integer(4);
         _ = id.and_then(|id| self.statements.remove(&(id as u32)));
     }
@@ -172,7 +174,7 @@
         }
     }
 
-    fn prepare(&mut self, text: &[u8]) {
+    fn prepare_statement(&mut self, text: &[u8]) {
         let Some((id, count)) = self.read_prepare_response() else { return };
         let statement = PreparedStatement {
             text: text.to_vec(),
@@ -182,7 +184,8 @@
         self.statements.insert(id, statement);
     }
 
-    /// The id and the number of parameters that the server gave to a statement.
+    /// Returns the statement ID and the number of parameters from the response to a prepare, and skips the
+    /// definitions that follow.
     fn read_prepare_response(&mut self) -> Option<(u32, usize)> {
         let response = self.responses.next()?;
         let mut fields = FieldReader::new(&response.payload);
@@ -190,7 +193,8 @@
             return None;
         }
         let (id, columns, parameters) = (fields.integer(4)?, fields.integer(2)?, fields.integer(2)?);
-        // Definitions of either follow, with an end each.
+        // The parameter definitions and the column definitions follow, each list terminated by an EOF unless
+        // it is empty.
         for definitions in [parameters, columns].into_iter().filter(|count| *count > 0) {
             self.responses.skip(definitions + 1);
         }
@@ -200,12 +204,12 @@
     fn parse_execution(&mut self, body: &[u8]) -> Option<Statement> {
         let mut fields = FieldReader::new(body);
         let id = fields.integer(4)?;
-        self.statements.get_mut(&(id as u32))?.execution(fields.rest())
+        self.statements.get_mut(&(id as u32))?.take_execution(fields.rest())
     }
 
-    /// Adds a request with the outcome of the next response, or a remark if the statement could not be read.
+    /// Adds a request with the outcome of the next response, or a remark if the statement is unreadable.
     fn add_request(&mut self, statement: Option<Statement>) {
-        let captured_at = self.client.captured_at(self.commands.position);
+        let captured_at = self.client.captured_at(self.commands.offset);
         let outcome = self.read_outcome();
         match statement {
             Some(statement) => {
@@ -225,7 +229,8 @@
                 ResponseState::Done => return Outcome::Answered,
                 ResponseState::Failed => return Outcome::Error(errors::error_number(payload).unwrap_or(0)),
                 ResponseState::Malformed => return Outcome::Incomplete,
-                // The columns of a cursor end the response; its rows are fetched.
+                // If a cursor is opened, the response ends after the column definitions. The rows are fetched
+                // later.
                 ResponseState::Rows if opens_cursor(payload) => return Outcome::Answered,
                 _ => {}
             }
--- a/pcap/src/conversations.rs
+++ b/pcap/src/conversations.rs
@@ -1,4 +1,4 @@
-//! The `MySQL` conversations of a capture, and the requests in them.
+//! Finds the `MySQL` conversations in a capture and reads their requests.
 use crate::capture::{self, CaptureError, Packet};
 use crate::conversation;
 use crate::remark::{Remark, RemarkKind};
@@ -8,17 +8,18 @@
 use std::collections::HashMap;
 use std::io::Read;
 
-/// What a capture holds.
+/// Contents of a capture file.
 pub struct CaptureContents {
-    /// The requests, in order of time.
+    /// Requests of all conversations, ordered by capture time.
     pub requests: Vec<Request>,
-    /// Conversations that could not be read in full.
+    /// Remarks about conversations that could not be read completely.
     pub remarks: Vec<Remark>,
-    /// The error at which reading ended, if it ended early; what came before it is read all the same.
+    /// Error that ended the reading of the file early. The packets before the error have been processed.
     pub ended: Result<(), CaptureError>,
 }
 
-/// Streams by direction, in order of their first segment. Ports are used again: a direction may have several.
+/// Streams by direction, in order of their first segment. Ports are reused, so a direction can have several
+/// streams.
 #[derive(Default)]
 struct Streams {
     by_direction: HashMap<Direction, Vec<Stream>>,
@@ -33,7 +34,7 @@
             self.order.push(direction);
             vec![Stream::default()]
         });
-        // Bytes after a new SYN belong to a new connection.
+        // If the stream has data, a SYN starts a new connection on the same ports.
         if segment.syn && streams.last().is_some_and(|last| !last.bytes().is_empty()) {
             streams.push(Stream::default());
         }
@@ -43,7 +44,7 @@
     }
 }
 
-/// Reads a capture.
+/// Reads all conversations of a capture file.
 pub fn read(source: impl Read) -> CaptureContents {
     let mut streams = Streams::default();
     let ended = capture::read_packets(source, |packet| streams.add(&packet));
@@ -60,7 +61,7 @@
     contents
 }
 
-/// Reads a connection if `direction` is its client's and it is a `MySQL` conversation.
+/// Reads a connection if `direction` is the direction from its client and it is a `MySQL` conversation.
 fn read_connection(direction: Direction, client: &Stream, server: &Stream, contents: &mut CaptureContents) {
     let Direction { from, to } = direction;
     if conversation::begins_with_greeting(server) {
@@ -68,7 +69,7 @@
         let parsed = conversation::parse(from, client, server);
         contents.requests.extend(parsed.requests);
         contents.remarks.extend(parsed.remarks.into_iter().map(remark));
-    } else if client.begin_missing() && server.begin_missing() && from.port() > to.port() {
-        contents.remarks.push(Remark { client: from, kind: RemarkKind::BeginMissing(to) });
+    } else if client.start_missing() && server.start_missing() && from.port() > to.port() {
+        contents.remarks.push(Remark { client: from, kind: RemarkKind::StartMissing(to) });
     }
 }
--- a/pcap/src/lib.rs
+++ b/pcap/src/lib.rs
@@ -1,9 +1,9 @@
-//! Capture files (classic and ng, both byte orders): read as a source of `MySQL` requests, and written as a recording of
-//! served conversations. Nothing is captured here.
+//! Reads capture files (pcap and pcapng, both byte orders) as a source of `MySQL` requests, and records
+//! served conversations to capture files. The package does not capture packets from a network.
 //!
-//! [`capture`] reads packets from a file, [`segment`] finds TCP segments in them and [`stream`] puts their bytes in
-//! order. [`conversations`] parses the `MySQL` conversations of a file into [`request`]s and [`remark`]s, and [`replay`] sends these
-//! through a router. [`record`] writes a file.
+//! [`capture`] reads packets from a file, [`segment`] extracts their TCP segments, and [`stream`] reassembles
+//! the segments. [`conversations`] parses the `MySQL` conversations of a file into [`request`]s and
+//! [`remark`]s. [`replay`] sends the requests through a router. [`record`] writes a recording.
 pub mod capture;
 mod conversation;
 pub mod conversations;
--- a/pcap/src/packet_writer.rs
+++ b/pcap/src/packet_writer.rs
@@ -1,4 +1,4 @@
-//! Writes conversations as TCP packets into a capture file.
+//! Writes conversations to a capture file as TCP packets.
 use etherparse::PacketBuilder;
 use etherparse::err::packet::BuildWriteError;
 use pcap_file::pcap::{PcapHeader, PcapPacket, PcapWriter};
@@ -12,23 +12,24 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Bytes of a conversation in one packet.
-const MAX_PACKET_BYTES: usize = 16 * 1024;
-/// Bytes of the file's header.
+/// Maximum number of payload bytes in one TCP segment.
+const MAX_SEGMENT_BYTES: usize = 16 * 1024;
+/// Length of the file header.
 const FILE_HEADER_BYTES: u64 = 24;
-/// Bytes of a packet's headers: the file's, and those of Ethernet, IP and TCP.
+/// Length of all headers of a packet: the packet header of the file format and the Ethernet, IPv4 and TCP
+/// headers.
 const PACKET_HEADERS_BYTES: u64 = 16 + 14 + 20 + 20;
-/// The longest packet that the file's header announces.
-const SNAPSHOT_BYTES: u32 = 256 * 1024;
+/// Maximum packet length that the file header announces.
+const SNAP_LENGTH: u32 = 256 * 1024;
 const CLIENT_MAC: [u8; 6] = [2, 0, 0, 0, 0, 1];
 const SERVER_MAC: [u8; 6] = [2, 0, 0, 0, 0, 2];
 const TIME_TO_LIVE: u8 = 64;
 const TCP_WINDOW: u16 = 65_535;
-/// Sequence numbers that conversations begin with.
+/// Initial TCP sequence numbers of each conversation.
 const FIRST_CLIENT_SEQUENCE: u32 = 1000;
 const FIRST_SERVER_SEQUENCE: u32 = 5000;
 
-/// Why the file can't be written.
+/// Reason why writing to the file failed.
 #[derive(Debug, Error)]
 pub(crate) enum WriteError {
     #[error("{0}")]
@@ -39,23 +40,23 @@
     Packet(#[from] BuildWriteError),
 }
 
-/// A side of a conversation.
+/// Side of a conversation that sends a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Side {
     Client,
     Server,
 }
 
-/// What a packet does to its direction of the connection.
+/// Effect of a packet on its direction of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PacketKind {
     Open,
-    /// Carries bytes, or acknowledges those of the other side if it has none.
+    /// Carries payload bytes. Without any it acknowledges the payload of the other side.
     Data,
     Close,
 }
 
-/// A conversation in the file, with the next sequence numbers.
+/// A conversation in the file, with the next sequence number of each side.
 struct Conversation {
     client: SocketAddr,
     client_sequence: u32,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// A side has sent a packet with so many bytes. Opening and closing count as a byte.
+    /// Advances the sequence number of `side` after it has sent a packet. A SYN or FIN counts as one byte.
     fn advance(&mut self, side: Side, kind: PacketKind, bytes: usize) {
         let sequence = match side {
             Side::Client => &mut self.client_sequence,
@@ -92,7 +93,7 @@
     }
 }
 
-/// The file, shared with the library's writer, which does not flush.
+/// File handle that is shared with the pcap library's writer, because that writer cannot flush.
 #[derive(Clone)]
 struct SharedFile(Arc<Mutex<BufWriter<File>>>);
 
@@ -118,8 +119,8 @@
     file: SharedFile,
     server: SocketAddr,
     remaining_capacity: u64,
-    full: bool,
-    /// Conversations by the number of their connection.
+    is_full: bool,
+    /// Open conversations by connection ID.
     conversations: HashMap<u64, Conversation>,
 }
 
@@ -131,7 +132,7 @@
             datalink: DataLink::ETHERNET,
             endianness: Endianness::Little,
             ts_resolution: TsResolution::MicroSecond,
-            snaplen: SNAPSHOT_BYTES,
+            snaplen: SNAP_LENGTH,
             ..PcapHeader::default()
         };
         Ok(PacketWriter {
@@ -139,12 +140,12 @@
             file,
             server,
             remaining_capacity: capacity.saturating_sub(FILE_HEADER_BYTES),
-            full: false,
+            is_full: false,
             conversations: HashMap::new(),
         })
     }
 
-    /// Writes bytes of a conversation, which begins with the first of them.
+    /// Writes payload bytes of a conversation. The first bytes of a connection start its conversation.
     pub(crate) fn write_bytes(
         &mut self,
         connection: u64,
@@ -154,13 +155,13 @@
         bytes: &[u8],
     ) -> Result<(), WriteError> {
         if !self.conversations.contains_key(&connection) {
-            if self.full {
+            if self.is_full {
                 return Ok(());
             }
             self.begin_conversation(connection, client, captured_at)?;
         }
         bytes
-            .chunks(MAX_PACKET_BYTES)
+            .chunks(MAX_SEGMENT_BYTES)
             .try_for_each(|chunk| self.write_packet(connection, sender, captured_at, PacketKind::Data, chunk))
     }
 
@@ -176,7 +177,7 @@
         self.write_packet(connection, Side::Client, captured_at, PacketKind::Data, &[])
     }
 
-    /// Ends a conversation and flushes the file, so that a reader finds complete conversations.
+    /// Ends a conversation and flushes the file, so that the file contains complete conversations.
     pub(crate) fn end_conversation(
         &mut self,
         connection: u64,
@@ -190,13 +191,13 @@
         Ok(self.file.flush()?)
     }
 
-    /// Reserves capacity for a packet; false once the file is full.
+    /// Reserves space in the file for a packet. Returns false if the file is full.
     fn reserve(&mut self, packet_bytes: u64) -> Result<bool, WriteError> {
-        if self.full {
+        if self.is_full {
             return Ok(false);
         }
         if packet_bytes > self.remaining_capacity {
-            self.full = true;
+            self.is_full = true;
             tracing::warn!("recording file full, nothing more is recorded");
             self.file.flush()?;
             return Ok(false);
@@ -242,7 +243,7 @@
     }
 }
 
-/// The address in the file: clients over IPv6 are recorded as loopback.
+/// Returns the address to write to the file. An IPv6 address is replaced by the IPv4 loopback address.
 fn ipv4_octets(address: SocketAddr) -> [u8; 4] {
     match address.ip() {
         IpAddr::V4(ip) => ip.octets(),
--- a/pcap/src/remark.rs
+++ b/pcap/src/remark.rs
@@ -1,26 +1,27 @@
-//! Conversations of a capture that could not be read in full.
+//! Remarks about conversations that could not be read completely.
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Why a conversation could not be read in full.
+/// Reason why a conversation could not be read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RemarkKind {
-    /// The capture began after the conversation with this server.
-    BeginMissing(SocketAddr),
+    /// The capture started after the conversation with this server.
+    StartMissing(SocketAddr),
     /// The client's login is malformed.
     UnreadableLogin,
-    /// An execution's statement was not prepared in the capture, or its parameters are malformed.
+    /// The statement of an execution was not prepared within the capture, or the parameters of the execution
+    /// are malformed.
     UnreadableExecution,
-    /// Segments were not captured.
+    /// The capture lacks segments of the conversation.
     SegmentsMissing,
 }
 
-/// A conversation that could not be read in full.
+/// Remark about a conversation that could not be read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Remark {
-    /// The client of the conversation.
+    /// Address of the conversation's client.
     pub client: SocketAddr,
-    /// The reason.
+    /// Reason why the conversation could not be read completely.
     pub kind: RemarkKind,
 }
 
@@ -28,7 +29,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let client = self.client;
         match self.kind {
-            RemarkKind::BeginMissing(server) => {
+            RemarkKind::StartMissing(server) => {
                 write!(f, "{client} to {server}: the capture begins within the conversation")
             }
             RemarkKind::UnreadableLogin => write!(f, "{client}: the login can't be read"),
--- a/pcap/src/replay.rs
+++ b/pcap/src/replay.rs
@@ -1,4 +1,5 @@
-//! Sends a capture's requests through a router, in order and one at a time, each client's on a connection of its own.
+//! Replays the requests of a capture through a router. The requests are sent one at a time in the order of
+//! the capture, with one connection for each client of the capture.
 use crate::request::{Request, Statement};
 use mysql_wire::fields::FieldReader;
 use mysql_wire::login::{Credentials, LoginError, login};
@@ -14,29 +15,29 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// The longest payload that is read, in bytes.
+/// Maximum length of a payload, in bytes.
 const MAX_PAYLOAD_BYTES: usize = 64 << 20;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Timeout of a login, and of each response.
+/// Timeout for the login, and for reading from the connection after it.
 const RESPONSE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// What is done with requests that may write.
+/// Handling of requests that may write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WritePolicy {
-    /// They are skipped.
+    /// Writing requests are not sent.
     Skip,
-    /// They are sent, and executed again.
+    /// Writing requests are sent, so they are executed once more.
     Send,
 }
 
-/// What became of a request in a replay.
+/// Result of replaying one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplayResult {
-    /// It was not sent, as it may write.
+    /// The request was not sent, because it may write.
     Skipped,
-    /// It was answered.
+    /// The router returned a result.
     Answered,
-    /// It was answered with the error of this number.
+    /// The router returned the error with this number.
     Error(u16),
 }
 
@@ -50,14 +51,14 @@
     }
 }
 
-/// Number of requests by result.
+/// Number of replayed requests by result.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ReplaySummary {
-    /// Requests that were answered.
+    /// Requests for which the router returned a result.
     pub answered: usize,
-    /// Requests that were answered with an error.
+    /// Requests for which the router returned an error.
     pub errors: usize,
-    /// Requests that were not sent, as they may write.
+    /// Requests that were not sent, because they may write.
     pub skipped: usize,
 }
 
@@ -71,60 +72,60 @@
     }
 }
 
-/// Why a replay ended early.
+/// Error that ended a replay early.
 #[derive(Debug, Error)]
 #[error("{router}: {cause}")]
 pub struct ReplayError {
-    /// The router's address.
+    /// Address of the router.
     router: SocketAddr,
     cause: ConnectionError,
 }
 
 #[derive(Debug, Error)]
 enum ConnectionError {
-    #[error("{0}")]
+    #[error("cannot open a connection: {0}")]
     Connect(io::Error),
-    #[error("no login: {0}; look at user, database and $DAMSONVALE_PASSWORD")]
+    #[error("login failed: {0}; check the user, the database and $DAMSONVALE_PASSWORD")]
     Login(LoginError),
-    #[error("the connection failed: {0}")]
+    #[error("connection failed: {0}")]
     Write(io::Error),
-    #[error("the connection failed: {0}")]
+    #[error("connection failed: {0}")]
     Read(ReadError),
-    #[error("{0} can't be read")]
+    #[error("malformed response to {0}")]
     MalformedResponse(&'static str),
 }
 
-/// A client's connection to the router.
+/// Connection to the router that replays the requests of one client.
 struct Connection {
     socket: TcpStream,
     reader: PacketReader,
-    /// Ids of prepared statements by their text.
+    /// IDs of prepared statements by statement text.
     prepared: HashMap<Vec<u8>, u32>,
 }
 
-/// Replays requests; `on_result` is called with each request and its result.
+/// Replays the requests, and calls `on_result` with each request and its result.
 ///
 /// # Errors
-/// A connection could not be opened, or failed.
+/// A connection could not be opened, or it failed.
 pub fn replay(
     requests: &[Request],
     router: SocketAddr,
     credentials: &Credentials,
-    writes: WritePolicy,
+    write_policy: WritePolicy,
     mut on_result: impl FnMut(&Request, ReplayResult),
 ) -> Result<ReplaySummary, ReplayError> {
-    let failed = |cause| ReplayError { router, cause };
+    let to_error = |cause| ReplayError { router, cause };
     let mut connections: HashMap<SocketAddr, Connection> = HashMap::new();
     let mut summary = ReplaySummary::default();
     for request in requests {
-        let result = if writes == WritePolicy::Skip && !is_read_only(&request.statement) {
+        let result = if write_policy == WritePolicy::Skip && !is_read_only(&request.statement) {
             ReplayResult::Skipped
         } else {
             let connection = match connections.entry(request.client) {
                 Entry::Occupied(open) => open.into_mut(),
-                Entry::Vacant(new) => new.insert(Connection::open(router, credentials).map_err(failed)?),
+                Entry::Vacant(new) => new.insert(Connection::open(router, credentials).map_err(to_error)?),
             };
-            connection.execute(&request.statement).map_err(failed)?
+            connection.execute(&request.statement).map_err(to_error)?
         };
         summary.count(result);
         on_result(request, result);
@@ -164,36 +165,38 @@
                 self.read_result()
             }
             Statement::Execute { text, body, long_parameters } => match self.prepared_id(text)? {
-                Prepared::Id(id) => self.execute_prepared(id, body, long_parameters),
-                Prepared::Rejected(number) => Ok(ReplayResult::Error(number)),
+                PrepareOutcome::Id(id) => self.execute_prepared(id, body, long_parameters),
+                PrepareOutcome::Rejected(number) => Ok(ReplayResult::Error(number)),
             },
         }
     }
 
-    /// The id of a statement, which is prepared if it has none yet.
-    fn prepared_id(&mut self, text: &[u8]) -> Result<Prepared, ConnectionError> {
+    /// Returns the ID of a prepared statement. The statement is prepared if this connection has not prepared
+    /// it yet.
+    fn prepared_id(&mut self, text: &[u8]) -> Result<PrepareOutcome, ConnectionError> {
         if let Some(id) = self.prepared.get(text) {
-            return Ok(Prepared::Id(*id));
+            return Ok(PrepareOutcome::Id(*id));
         }
         self.send(&[&[command::STMT_PREPARE], text])?;
         let response = self.read_payload()?;
         if let Some(number) = errors::error_number(&response) {
-            return Ok(Prepared::Rejected(number));
+            return Ok(PrepareOutcome::Rejected(number));
         }
         let mut fields = FieldReader::new(response.get(1..).unwrap_or(&[]));
         let (Some(id), Some(columns), Some(parameters)) =
             (fields.integer(4), fields.integer(2), fields.integer(2))
         else {
-            return Err(ConnectionError::MalformedResponse("the answer to a prepare"));
+            return Err(ConnectionError::MalformedResponse("a prepare command"));
         };
-        // Definitions of either follow, with an end each.
+        // The parameter definitions and the column definitions follow, each list terminated by an EOF unless
+        // it is empty.
         let definitions: u64 =
             [parameters, columns].iter().filter(|count| **count > 0).map(|count| count + 1).sum();
         for _ in 0..definitions {
             self.read_payload()?;
         }
         self.prepared.insert(text.to_vec(), id as u32);
-        Ok(Prepared::Id(id as u32))
+        Ok(PrepareOutcome::Id(id as u32))
     }
 
     fn execute_prepared(
@@ -221,16 +224,16 @@
                     let number = errors::error_number(&payload);
                     return Ok(number.map_or(ReplayResult::Answered, ReplayResult::Error));
                 }
-                ResponseState::Malformed => return Err(ConnectionError::MalformedResponse("an answer")),
+                ResponseState::Malformed => return Err(ConnectionError::MalformedResponse("a statement")),
                 _ => {}
             }
         }
     }
 }
 
-/// What became of preparing a statement.
-enum Prepared {
+/// Outcome of preparing a statement.
+enum PrepareOutcome {
     Id(u32),
-    /// The router answered with the error of this number.
+    /// The router returned the error with this number.
     Rejected(u16),
 }
--- a/pcap/src/request.rs
+++ b/pcap/src/request.rs
@@ -1,27 +1,28 @@
-//! Requests of `MySQL` clients in a capture.
+//! Requests that `MySQL` clients sent in a capture.
 use std::collections::BTreeMap;
 use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a client sent.
+/// Statement of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement {
-    /// A statement as text.
+    /// A statement that was sent as text.
     Query(Vec<u8>),
-    /// The execution of a prepared statement.
+    /// An execution of a prepared statement.
     Execute {
-        /// The statement's text.
+        /// Text of the prepared statement.
         text: Vec<u8>,
-        /// Flags, count and parameters, with their types.
+        /// Payload of the execution after the statement ID: flags, iteration count, parameter types and
+        /// parameters.
         body: Vec<u8>,
-        /// Long parameters sent before, by their index.
+        /// Long parameters by parameter index. They were sent before the execution.
         long_parameters: BTreeMap<u16, Vec<u8>>,
     },
 }
 
 impl Statement {
-    /// The statement's text.
+    /// Returns the text of the statement.
     pub fn text(&self) -> &[u8] {
         match self {
             Statement::Query(text) | Statement::Execute { text, .. } => text,
@@ -29,18 +30,18 @@
     }
 }
 
-/// How a request ended in the capture.
+/// Outcome of a request in the capture.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered.
+    /// The server returned a result.
     Answered,
-    /// It was answered with the error of this number.
+    /// The server returned the error with this number.
     Error(u16),
-    /// The capture holds no complete response.
+    /// The capture contains no complete response.
     Incomplete,
 }
 
-/// Writes the word of the list of requests.
+/// Writes the outcome as it appears in the list of requests.
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -54,12 +55,12 @@
 /// A request in a capture.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// When its last byte was captured, as Unix time.
+    /// Time at which the last byte of the request was captured, since the Unix epoch.
     pub captured_at: Duration,
-    /// The client that sent it.
+    /// Address of the client.
     pub client: SocketAddr,
-    /// What it sent.
+    /// Statement that the client sent.
     pub statement: Statement,
-    /// How it ended.
+    /// Outcome of the request in the capture.
     pub outcome: Outcome,
 }
--- a/pcap/src/segment.rs
+++ b/pcap/src/segment.rs
@@ -1,23 +1,23 @@
-//! TCP segments in captured packets.
+//! Extracts TCP segments from captured packets.
 use crate::capture::Packet;
 use etherparse::{NetSlice, SlicedPacket, TransportSlice};
 use pcap_file::DataLink;
 use std::net::{IpAddr, SocketAddr};
 
-/// Bytes of the address family before a packet of the loopback link types.
+/// Length of the address family field that precedes a packet of the loopback link types.
 const ADDRESS_FAMILY_BYTES: usize = 4;
 
-/// One direction of a connection.
+/// One direction of a TCP connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Direction {
-    /// The sender.
+    /// Address of the sender.
     pub from: SocketAddr,
-    /// The receiver.
+    /// Address of the receiver.
     pub to: SocketAddr,
 }
 
 impl Direction {
-    /// The other direction of the same connection.
+    /// Returns the opposite direction of the same connection.
     #[must_use]
     pub fn reversed(self) -> Direction {
         Direction { from: self.to, to: self.from }
@@ -26,18 +26,19 @@
 
 /// A TCP segment.
 pub struct Segment {
-    /// Its direction.
+    /// Direction of the segment.
     pub direction: Direction,
-    /// The sequence number of its first byte.
+    /// Sequence number of the segment's first byte.
     pub sequence: u32,
-    /// Whether it opens its direction.
+    /// Whether the SYN flag is set.
     pub syn: bool,
-    /// Its bytes.
+    /// Payload bytes of the segment.
     pub bytes: Vec<u8>,
 }
 
 impl Segment {
-    /// The segment in a packet; `None` if it has none, or its link type is not supported.
+    /// Parses the TCP segment of a packet. Returns `None` if the packet contains no TCP segment or its link
+    /// type is not supported.
     pub fn parse(packet: &Packet) -> Option<Segment> {
         let sliced = match packet.link {
             DataLink::ETHERNET => SlicedPacket::from_ethernet(&packet.bytes),
--- a/pcap/src/stream.rs
+++ b/pcap/src/stream.rs
@@ -1,57 +1,56 @@
-//! The bytes of one direction of a TCP connection in order: segments that are repeated, early or overlapping are put
-//! where they belong.
+//! Reassembles one direction of a TCP connection. Segments may be retransmitted, out of order or overlapping.
 use crate::segment::Segment;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bytes that may wait for a gap before them to close.
-const MAX_EARLY_BYTES: usize = 8 << 20;
+/// Maximum number of bytes that are buffered until the gap before them is filled.
+const MAX_PENDING_BYTES: usize = 8 << 20;
 
-/// A segment that waits for those before it.
-struct EarlySegment {
+/// A segment that is buffered because bytes before it are missing.
+struct PendingSegment {
     captured_at: Duration,
     bytes: Vec<u8>,
 }
 
-/// When the bytes up to a position were complete.
+/// Time at which the stream was complete up to an offset.
 struct Progress {
-    position: usize,
+    offset: usize,
     captured_at: Duration,
 }
 
-/// One direction of a connection.
+/// Reassembled bytes of one direction of a TCP connection.
 #[derive(Default)]
 pub struct Stream {
-    /// The sequence number of the next byte in order; `None` before the first.
+    /// Sequence number of the next byte. `None` before the first segment.
     next_sequence: Option<u32>,
-    /// Early segments by their sequence number.
-    early: BTreeMap<u32, EarlySegment>,
-    early_bytes: usize,
-    /// The bytes in order.
+    /// Buffered segments by sequence number.
+    pending: BTreeMap<u32, PendingSegment>,
+    pending_bytes: usize,
+    /// Reassembled bytes.
     bytes: Vec<u8>,
     progress: Vec<Progress>,
-    begin_missing: bool,
+    start_missing: bool,
 }
 
 impl Stream {
-    /// The bytes in order, up to the first that is missing.
+    /// Returns the reassembled bytes up to the first missing one.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Whether the capture began after the connection.
-    pub fn begin_missing(&self) -> bool {
-        self.begin_missing
+    /// Returns whether the capture started after the connection was opened.
+    pub fn start_missing(&self) -> bool {
+        self.start_missing
     }
 
-    /// Whether segments are missing before some that were captured.
+    /// Returns whether bytes are missing before a captured segment.
     pub fn has_gap(&self) -> bool {
-        !self.early.is_empty()
+        !self.pending.is_empty()
     }
 
-    /// When the byte before this position was captured.
-    pub fn captured_at(&self, position: usize) -> Duration {
-        let index = self.progress.partition_point(|progress| progress.position < position);
+    /// Returns the time at which the byte before `offset` was captured.
+    pub fn captured_at(&self, offset: usize) -> Duration {
+        let index = self.progress.partition_point(|progress| progress.offset < offset);
         let progress = self.progress.get(index).or(self.progress.last());
         progress.map_or(Duration::ZERO, |progress| progress.captured_at)
     }
@@ -67,32 +66,34 @@
             return;
         }
         let next = *self.next_sequence.get_or_insert_with(|| {
-            self.begin_missing = true;
+            self.start_missing = true;
             sequence
         });
-        // Sequence numbers wrap: more than half of their range ahead is behind.
+        // Sequence numbers wrap around: a difference of more than half their range is negative.
         let ahead = sequence.wrapping_sub(next);
-        let too_far_ahead = ahead as usize > MAX_EARLY_BYTES && (ahead as i32) > 0;
-        if too_far_ahead || self.early_bytes + bytes.len() > MAX_EARLY_BYTES {
+        let too_far_ahead = ahead as usize > MAX_PENDING_BYTES && (ahead as i32) > 0;
+        if too_far_ahead || self.pending_bytes + bytes.len() > MAX_PENDING_BYTES {
             return;
         }
-        self.early_bytes += bytes.len();
-        self.early.insert(sequence, EarlySegment { captured_at, bytes });
-        self.append_due_segments();
+        self.pending_bytes += bytes.len();
+        self.pending.insert(sequence, PendingSegment { captured_at, bytes });
+        self.append_contiguous_segments();
     }
 
-    /// Appends the early segments that no byte is missing before.
-    fn append_due_segments(&mut self) {
+    /// Appends the buffered segments that have no missing bytes before them.
+    fn append_contiguous_segments(&mut self) {
         while let Some(next) = self.next_sequence {
-            let is_due = |sequence: &u32| next.wrapping_sub(*sequence) as i32 >= 0;
-            let Some(sequence) = self.early.keys().copied().find(is_due) else { return };
-            let Some(EarlySegment { captured_at, bytes }) = self.early.remove(&sequence) else { return };
-            self.early_bytes -= bytes.len();
-            // Bytes that are there already are skipped.
-            let known = next.wrapping_sub(sequence) as usize;
-            if let Some(new) = bytes.get(known..).filter(|new| !new.is_empty()) {
+            let is_contiguous = |sequence: &u32| next.wrapping_sub(*sequence) as i32 >= 0;
+            let Some(sequence) = self.pending.keys().copied().find(is_contiguous) else { return };
+            let Some(PendingSegment { captured_at, bytes }) = self.pending.remove(&sequence) else {
+                return;
+            };
+            self.pending_bytes -= bytes.len();
+            // Skip bytes that earlier segments contained.
+            let overlap = next.wrapping_sub(sequence) as usize;
+            if let Some(new) = bytes.get(overlap..).filter(|new| !new.is_empty()) {
                 self.bytes.extend_from_slice(new);
-                self.progress.push(Progress { position: self.bytes.len(), captured_at });
+                self.progress.push(Progress { offset: self.bytes.len(), captured_at });
                 self.next_sequence = Some(next.wrapping_add(new.len() as u32));
             }
         }
--- a/pcap/tests/recording.rs
+++ b/pcap/tests/recording.rs
@@ -1,4 +1,5 @@
-//! A recorded conversation: its file byte for byte, and the requests that are read from it again.
+//! Records a conversation, compares the file with a fixture byte for byte, and reads the requests back. Also
+//! reads recordings that lack packets or are damaged.
 use mysql_wire::tap::Tap;
 use pcap::conversations::{self, CaptureContents};
 use pcap::record::Recorder;
@@ -57,7 +58,8 @@
 const COLUMN: &[u8] = b"\x03def\0\0\0\x01n\0\x0c\x2d\0\x04\0\0\0\xfd\0\0\0\0\0";
 const DUPLICATE_KEY: &[u8] = b"\xff\x26\x04#23000duplicate";
 
-/// One conversation with each command that a capture is read for; each step is one write of one side.
+/// Returns a conversation that contains each command that the parser supports. Each step is one write by one
+/// side.
 fn conversation() -> Vec<(bool, Vec<u8>)> {
     let command = |name: u8, body: &[u8]| (CLIENT_SIDE, packet(0, &[&[name], body].concat()));
     let response = |payloads: &[&[u8]]| (SERVER_SIDE, packets(1, payloads));
@@ -88,42 +90,42 @@
     ]
 }
 
-/// Records a conversation and returns the file.
+/// Records a conversation and returns the contents of the file.
 fn record(steps: &[(bool, Vec<u8>)], capacity: u64) -> Vec<u8> {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("recorded.pcap");
     let recorder = Recorder::start(&path, capacity, SERVER.parse().unwrap()).unwrap();
     let client: SocketAddr = CLIENT.parse().unwrap();
     for (from_client, bytes) in steps {
-        recorder.bytes(1, client, *from_client, bytes);
+        recorder.on_bytes(1, client, *from_client, bytes);
     }
-    recorder.ended(1);
-    // The recorder writes on its own thread, and flushes the file at a conversation's end.
-    let begin = Instant::now();
+    recorder.on_closed(1);
+    // The recorder writes on its own thread and flushes the file when a conversation ends.
+    let started = Instant::now();
     let mut file = Vec::new();
     while file.len() <= FILE_HEADER || file.len() != std::fs::metadata(&path).unwrap().len() as usize {
-        assert!(begin.elapsed() < Duration::from_secs(20));
+        assert!(started.elapsed() < Duration::from_secs(20));
         std::thread::sleep(Duration::from_millis(50));
         file = std::fs::read(&path).unwrap();
     }
     file
 }
 
-/// The file as text, a line for each packet, without the times.
+/// Formats the file as one line of hexadecimal digits for each packet, without the capture times.
 fn hex_without_times(file: &[u8]) -> String {
     let hex = |bytes: &[u8]| bytes.iter().fold(String::new(), |text, byte| text + &format!("{byte:02x}"));
     let mut text = hex(&file[..FILE_HEADER]) + "\n";
     let mut rest = &file[FILE_HEADER..];
     while !rest.is_empty() {
         let length = u32::from_le_bytes(rest[8..12].try_into().unwrap()) as usize;
-        let (packet, behind) = rest.split_at(PACKET_HEADER + length);
+        let (packet, remaining) = rest.split_at(PACKET_HEADER + length);
         _ = writeln!(text, "{} {}", hex(&packet[8..PACKET_HEADER]), hex(&packet[PACKET_HEADER..]));
-        rest = behind;
+        rest = remaining;
     }
     text
 }
 
-fn listed(contents: &CaptureContents) -> String {
+fn format_contents(contents: &CaptureContents) -> String {
     let mut text = String::new();
     for request in &contents.requests {
         _ = write!(
@@ -143,41 +145,41 @@
 }
 
 #[test]
-fn recorded_file_has_recorded_bytes() {
+fn recorded_file_matches_fixture_byte_for_byte() {
     FIXTURES.assert_same("recorded.txt", hex_without_times(&record(&conversation(), CAPACITY)));
 }
 
 #[test]
-fn recording_ends_at_its_capacity() {
+fn recording_stops_at_file_capacity() {
     let file = record(&conversation(), 1500);
     assert!(file.len() <= 1500);
     FIXTURES.assert_same("recorded_to_capacity.txt", hex_without_times(&file));
 }
 
 #[test]
-fn requests_of_recorded_conversation_are_read_again() {
+fn requests_are_read_back_from_recording() {
     let contents = conversations::read(&record(&conversation(), CAPACITY)[..]);
     assert!(contents.ended.is_ok());
-    FIXTURES.assert_same("requests.txt", listed(&contents));
+    FIXTURES.assert_same("requests.txt", format_contents(&contents));
 }
 
 #[test]
-fn conversations_that_can_not_be_read_are_remarked() {
+fn incomplete_conversations_are_reported_as_remarks() {
     let file = record(&conversation(), CAPACITY);
     let without = |skipped: &[usize]| {
-        let mut kept = file[..FILE_HEADER].to_vec();
+        let mut retained = file[..FILE_HEADER].to_vec();
         let (mut rest, mut index) = (&file[FILE_HEADER..], 0);
         while !rest.is_empty() {
             let length = u32::from_le_bytes(rest[8..12].try_into().unwrap()) as usize;
-            let (packet, behind) = rest.split_at(PACKET_HEADER + length);
+            let (packet, remaining) = rest.split_at(PACKET_HEADER + length);
             if !skipped.contains(&index) {
-                kept.extend(packet);
+                retained.extend(packet);
             }
-            (rest, index) = (behind, index + 1);
+            (rest, index) = (remaining, index + 1);
         }
-        let contents = conversations::read(&kept[..]);
+        let contents = conversations::read(&retained[..]);
         assert!(contents.ended.is_ok());
-        listed(&contents)
+        format_contents(&contents)
     };
     let mut text = String::new();
     for skipped in [&[0, 1, 2, 3][..], &[4], &[7], &[10]] {
@@ -187,7 +189,7 @@
 }
 
 #[test]
-fn damaged_files_are_refused_with_the_place_of_the_damage() {
+fn errors_for_damaged_files_state_the_offset() {
     let file = record(&conversation(), CAPACITY);
     let mut text = String::new();
     for (name, bytes) in [
