--- a/mysql/src/backend/probe.rs
+++ b/mysql/src/backend/probe.rs
@@ -1,5 +1,5 @@
 //! Parses the response to a probe, which is one row in text format.
-use crate::results::text_row;
+use crate::results::parse_text_row;
 use routing::Time;
 
 /// Values of a probe's result row. A column that is missing or malformed is `None`.
@@ -16,7 +16,7 @@
     /// Parses the three columns of the row: the read-only flag, the heartbeat and the clock. Both times are
     /// in milliseconds.
     pub(super) fn parse(payload: &[u8]) -> ProbeRow {
-        let cells = text_row(payload);
+        let cells = parse_text_row(payload);
         let cell = |index: usize| {
             let bytes = cells.get(index).copied().flatten()?;
             std::str::from_utf8(bytes).ok()
--- a/mysql/src/capability.rs
+++ b/mysql/src/capability.rs
@@ -24,7 +24,7 @@
 pub const PLUGIN_AUTH_LENENC: u32 = 1 << 21;
 
 /// Capabilities that the router offers to clients.
-pub const OFFERED: u32 = LONG_PASSWORD
+pub const OFFERED_TO_CLIENTS: u32 = LONG_PASSWORD
     | LONG_FLAG
     | CONNECT_WITH_DB
     | PROTOCOL_41
@@ -37,4 +37,4 @@
 
 /// Capabilities that the router uses with servers. On both sides, EOF payloads are not deprecated and session
 /// tracking and multi-statements are disabled, so the router can forward responses unchanged.
-pub const USED_WITH_SERVERS: u32 = OFFERED & !PLUGIN_AUTH_LENENC;
+pub const USED_WITH_SERVERS: u32 = OFFERED_TO_CLIENTS & !PLUGIN_AUTH_LENENC;
--- a/mysql/src/cursor.rs
+++ b/mysql/src/cursor.rs
@@ -1,7 +1,7 @@
 //! Cursors, from which a client fetches rows in batches. The router buffers the rows, because server
 //! connections are shared between clients.
 use crate::request::ResponsePayloads;
-use crate::results::{AUTOCOMMIT, CURSOR_EXISTS, LAST_ROW_SENT, ResponseState, eof, eof_status};
+use crate::results::{AUTOCOMMIT, CURSOR_EXISTS, LAST_ROW_SENT, ResponseState, encode_eof, eof_status};
 use std::collections::VecDeque;
 
 /// Buffered rows that the client has not fetched yet.
@@ -30,11 +30,11 @@
         // The response has several result sets, which a cursor does not support.
         if rows.iter().any(|row| eof_status(row).is_some()) {
             column_payloads.extend(rows);
-            column_payloads.push(eof(AUTOCOMMIT).to_vec());
+            column_payloads.push(encode_eof(AUTOCOMMIT).to_vec());
             return Err(column_payloads);
         }
         if let Some(end_of_columns) = column_payloads.last_mut() {
-            *end_of_columns = eof(AUTOCOMMIT | CURSOR_EXISTS).to_vec();
+            *end_of_columns = encode_eof(AUTOCOMMIT | CURSOR_EXISTS).to_vec();
         }
         Ok(OpenedCursor { column_payloads, cursor: Cursor { rows } })
     }
@@ -44,7 +44,7 @@
         let count = count.min(self.rows.len());
         let mut payloads: Vec<Vec<u8>> = self.rows.drain(..count).collect();
         let status = if self.rows.is_empty() { LAST_ROW_SENT } else { CURSOR_EXISTS };
-        payloads.push(eof(AUTOCOMMIT | status).to_vec());
+        payloads.push(encode_eof(AUTOCOMMIT | status).to_vec());
         payloads
     }
 }
--- a/mysql/src/front/session.rs
+++ b/mysql/src/front/session.rs
@@ -12,7 +12,7 @@
 use crate::prepared::PreparedStatement;
 use crate::request::{Request, ResponsePayloads};
 use crate::requirements::Requirements;
-use crate::results::{AUTOCOMMIT, OK, encode_single_row, eof};
+use crate::results::{AUTOCOMMIT, OK, encode_eof, encode_single_row};
 use crate::statement::scan;
 use crossbeam_channel::Receiver;
 use std::collections::HashMap;
@@ -286,7 +286,7 @@
 /// Accepts only the option that disables multi-statements.
 fn set_option(body: &[u8]) -> Result<Response, CommandError> {
     if body == MULTI_STATEMENTS_OFF {
-        return Ok(Response::Payloads(vec![eof(AUTOCOMMIT).to_vec()]));
+        return Ok(Response::Payloads(vec![encode_eof(AUTOCOMMIT).to_vec()]));
     }
     Err(CommandError::new(errors::UNSUPPORTED, "several statements in one text are not carried"))
 }
--- a/mysql/src/handshake.rs
+++ b/mysql/src/handshake.rs
@@ -15,7 +15,7 @@
 
 /// Encodes the router's greeting.
 pub fn encode_greeting(connection: u32, nonce: &[u8; NONCE_BYTES]) -> Vec<u8> {
-    let capabilities = capability::OFFERED.to_le_bytes();
+    let capabilities = capability::OFFERED_TO_CLIENTS.to_le_bytes();
     let mut greeting = vec![PROTOCOL_VERSION];
     greeting.extend_from_slice(SERVER_VERSION.as_bytes());
     greeting.push(0);
--- a/mysql/src/packet.rs
+++ b/mysql/src/packet.rs
@@ -11,7 +11,7 @@
 /// Size of the buffer for reads from the socket.
 const READ_BUFFER_BYTES: usize = 4096;
 /// Number of bytes by which a payload's buffer grows while the payload is read.
-const GROWTH_BYTES: usize = 16 * 1024;
+const PAYLOAD_GROWTH_BYTES: usize = 16 * 1024;
 
 /// A payload and the sequence numbers of its packets.
 #[derive(Debug, PartialEq, Eq)]
@@ -111,7 +111,7 @@
         }
         while payload.len() < end {
             let start = payload.len();
-            payload.resize(end.min(start + GROWTH_BYTES), 0);
+            payload.resize(end.min(start + PAYLOAD_GROWTH_BYTES), 0);
             self.read_exact(&mut from, &mut payload[start..], ReadState::WithinPayload)?;
         }
         Ok(())
--- a/mysql/src/prepared.rs
+++ b/mysql/src/prepared.rs
@@ -9,7 +9,7 @@
 /// Flag of an execution that opens a read-only cursor. No other cursor type is supported.
 const READ_ONLY_CURSOR: u64 = 1;
 /// Length of a parameter type, in bytes.
-const TYPE_BYTES: usize = 2;
+const PARAMETER_TYPE_BYTES: usize = 2;
 
 /// A statement that a client has prepared.
 pub struct PreparedStatement {
@@ -93,9 +93,9 @@
             let null_bitmap = fields.bytes(self.count.div_ceil(8))?;
             let has_types = fields.integer(1)? == 1;
             if has_types {
-                self.types = fields.bytes(TYPE_BYTES * self.count)?.to_vec();
+                self.types = fields.bytes(PARAMETER_TYPE_BYTES * self.count)?.to_vec();
             }
-            if self.types.len() != TYPE_BYTES * self.count {
+            if self.types.len() != PARAMETER_TYPE_BYTES * self.count {
                 return None;
             }
             body.extend_from_slice(null_bitmap);
--- a/mysql/src/results.rs
+++ b/mysql/src/results.rs
@@ -17,7 +17,7 @@
 pub const OK: &[u8] = &[0, 0, 0, AUTOCOMMIT as u8, 0, 0, 0];
 
 /// Encodes an EOF payload with these status flags.
-pub fn eof(status: u16) -> [u8; 5] {
+pub fn encode_eof(status: u16) -> [u8; 5] {
     let status = status.to_le_bytes();
     [0xfe, 0, 0, status[0], status[1]]
 }
@@ -102,7 +102,7 @@
 }
 
 /// Encodes the definition of a text column.
-fn column_definition(name: &str) -> Vec<u8> {
+fn encode_column_definition(name: &str) -> Vec<u8> {
     let mut definition = Vec::new();
     for part in ["def", "", "", "", name, ""] {
         push_length_encoded_bytes(&mut definition, part.as_bytes());
@@ -116,18 +116,18 @@
     let mut packets = Vec::new();
     let mut sequence = push_packets(&mut packets, 1, &[row.len() as u8]);
     for column in row {
-        sequence = push_packets(&mut packets, sequence, &column_definition(&column.name));
+        sequence = push_packets(&mut packets, sequence, &encode_column_definition(&column.name));
     }
-    sequence = push_packets(&mut packets, sequence, &eof(AUTOCOMMIT));
+    sequence = push_packets(&mut packets, sequence, &encode_eof(AUTOCOMMIT));
     let mut values = Vec::new();
     row.iter().for_each(|column| push_length_encoded_bytes(&mut values, column.value.as_bytes()));
     sequence = push_packets(&mut packets, sequence, &values);
-    push_packets(&mut packets, sequence, &eof(AUTOCOMMIT));
+    push_packets(&mut packets, sequence, &encode_eof(AUTOCOMMIT));
     packets
 }
 
 /// Parses the columns of a text row up to the first malformed one. A NULL value is `None`.
-pub fn text_row(payload: &[u8]) -> Vec<Option<&[u8]>> {
+pub fn parse_text_row(payload: &[u8]) -> Vec<Option<&[u8]>> {
     let mut fields = FieldReader::new(payload);
     let mut cells = Vec::new();
     while let Some(first) = fields.rest().first() {
--- a/mysql/tests/encoded_messages.rs
+++ b/mysql/tests/encoded_messages.rs
@@ -4,7 +4,7 @@
 use mysql_wire::fields::push_length_encoded_integer;
 use mysql_wire::handshake::{HandshakeResponse, encode_greeting};
 use mysql_wire::packet::push_packets;
-use mysql_wire::results::{AUTOCOMMIT, NamedValue, OK, encode_single_row, eof};
+use mysql_wire::results::{AUTOCOMMIT, NamedValue, OK, encode_eof, encode_single_row};
 use mysql_wire::{auth, capability, errors};
 use routing::{FinalResponse, Outcome};
 use std::time::Duration;
@@ -58,7 +58,7 @@
     let column = |name: &str, value: &str| NamedValue { name: name.into(), value: value.into() };
     messages.add("single row", &encode_single_row(&[column("@@version", "8"), column("@@autocommit", "1")]));
     messages.add("ok", OK);
-    messages.add("end of rows", &eof(AUTOCOMMIT));
+    messages.add("end of rows", &encode_eof(AUTOCOMMIT));
 }
 
 fn add_framing(messages: &mut Messages) {
