--- a/lab/src/load/schedule.rs
+++ b/lab/src/load/schedule.rs
@@ -66,7 +66,7 @@
 pub(super) fn from_capture(path: &Path, writes: bool) -> Result<Vec<ScheduledStatement>, Error> {
     let file = std::fs::File::open(path).map_err(|source| Error::Read { path: path.into(), source })?;
     let contents = pcap::conversations::read(file);
-    contents.ended.map_err(|source| Error::Capture { path: path.into(), source })?;
+    contents.read_result.map_err(|source| Error::Capture { path: path.into(), source })?;
     let mut schedule = Vec::new();
     for request in &contents.requests {
         let sql = String::from_utf8_lossy(request.statement.text()).into_owned();
--- a/pcap/src/conversations.rs
+++ b/pcap/src/conversations.rs
@@ -14,8 +14,8 @@
     pub requests: Vec<Request>,
     /// Remarks about conversations that could not be read completely.
     pub remarks: Vec<Remark>,
-    /// Error that ended the reading of the file early. The packets before the error have been processed.
-    pub ended: Result<(), CaptureError>,
+    /// Error that ended the reading of the file early, if any. The packets before it have been processed.
+    pub read_result: Result<(), CaptureError>,
 }
 
 /// Streams by direction, in order of their first segment. Ports are reused, so a direction can have several
@@ -47,8 +47,8 @@
 /// Reads all conversations of a capture file.
 pub fn read(source: impl Read) -> CaptureContents {
     let mut streams = Streams::default();
-    let ended = capture::read_packets(source, |packet| streams.add(&packet));
-    let mut contents = CaptureContents { requests: Vec::new(), remarks: Vec::new(), ended };
+    let read_result = capture::read_packets(source, |packet| streams.add(&packet));
+    let mut contents = CaptureContents { requests: Vec::new(), remarks: Vec::new(), read_result };
     for direction in &streams.order {
         let clients = streams.by_direction.get(direction);
         let servers = streams.by_direction.get(&direction.reversed());
--- a/pcap/tests/recording.rs
+++ b/pcap/tests/recording.rs
@@ -159,7 +159,7 @@
 #[test]
 fn requests_are_read_back_from_recording() {
     let contents = conversations::read(&record(&conversation(), CAPACITY)[..]);
-    assert!(contents.ended.is_ok());
+    assert!(contents.read_result.is_ok());
     FIXTURES.assert_same("requests.txt", format_contents(&contents));
 }
 
@@ -178,7 +178,7 @@
             (rest, index) = (remaining, index + 1);
         }
         let contents = conversations::read(&retained[..]);
-        assert!(contents.ended.is_ok());
+        assert!(contents.read_result.is_ok());
         format_contents(&contents)
     };
     let mut text = String::new();
@@ -201,8 +201,8 @@
         ("cut packet header", &file[..FILE_HEADER + 7]),
         ("cut block", &[0x0a, 0x0d, 0x0d, 0x0a, 9]),
     ] {
-        let CaptureContents { requests, ended, .. } = conversations::read(bytes);
-        _ = writeln!(text, "{name}: {} requests, {}", requests.len(), ended.unwrap_err());
+        let CaptureContents { requests, read_result, .. } = conversations::read(bytes);
+        _ = writeln!(text, "{name}: {} requests, {}", requests.len(), read_result.unwrap_err());
     }
     FIXTURES.assert_same("damaged.txt", &text);
 }
--- a/src/commands/capture.rs
+++ b/src/commands/capture.rs
@@ -37,11 +37,11 @@
 fn read(path: &Path) -> Result<Capture, Error> {
     let name = path.display();
     let file = std::fs::File::open(path).map_err(|source| Error::ReadFile { path: path.into(), source })?;
-    let CaptureContents { requests, remarks, ended } = pcap::conversations::read(file);
+    let CaptureContents { requests, remarks, read_result } = pcap::conversations::read(file);
     for remark in &remarks {
         eprintln!("{name}: {remark}");
     }
-    let ended = ended.map_err(|source| Error::Capture { path: path.into(), source });
+    let ended = read_result.map_err(|source| Error::Capture { path: path.into(), source });
     Ok(Capture { requests, ended })
 }
 
