--- a/client-listener/src/connection.rs
+++ b/client-listener/src/connection.rs
@@ -1,4 +1,5 @@
-//! One client's connection: the commands in flight on it, and what its handler reports.
+//! A client connection: the commands in flight on it, and the calls through which its protocol handler
+//! reports progress.
 mod closing;
 mod idle;
 mod reader;
@@ -17,17 +18,18 @@
 use std::sync::atomic::{AtomicBool, AtomicU8, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Shortest time that a read waits for a client. Even after its deadline a whole command may already lie in the
-/// socket, and is then read.
+/// Minimum time that a read waits for a client, even when its deadline has already passed: a whole command
+/// may be in the socket's receive buffer by then, and it is still read.
 const MIN_READ_WAIT: Duration = Duration::from_millis(1);
 
 /// Value of `Connection::write_shutdown_ms` while the sending side is open.
 const WRITE_OPEN: u64 = u64::MAX;
 
-/// A client's connection.
+/// A client connection.
 ///
-/// Its handler calls [`Connection::begin_command`] for each command it has read, [`Connection::prepare_response`]
-/// before it writes a response, and [`Connection::finish_command`] after it.
+/// The connection handler calls [`Connection::begin_command`] for each command it has read,
+/// [`Connection::prepare_response`] before it writes a response, and [`Connection::finish_command`] after the
+/// response.
 pub struct Connection {
     /// The client's socket.
     pub socket: TcpStream,
@@ -36,36 +38,38 @@
     /// Requests without a response, and whether the client has disconnected.
     pub in_flight_requests: InFlightRequests,
     opened_at: Instant,
-    /// When the system handed it over; it may have waited for room and for a thread since.
+    /// When `accept` returned the connection. Since then it may have waited for capacity below the connection
+    /// limit and for a thread.
     accepted_at: Instant,
-    /// For how long a first command may have lain unread before its thread ran, in microseconds.
+    /// How long the first command may have been unread in the socket before the connection's thread started,
+    /// in microseconds.
     first_command_age_us: AtomicU64,
     limits: Arc<Limits>,
     /// Commands that were read and have no response yet, and whether more are accepted.
     commands: CommandGate,
-    /// A command has been read.
+    /// Set once a command has been read on this connection.
     has_read_command: AtomicBool,
-    /// A request has been made, not only commands that are answered without one.
+    /// Set once a command has led to a request to the router; some commands get a response without one.
     has_made_request: AtomicBool,
-    /// The last command could not be parsed.
+    /// Set if the last command could not be parsed.
     last_command_malformed: AtomicBool,
     /// When the last command in flight finished, in milliseconds since the connection was opened.
     idle_since_ms: AtomicU64,
-    /// Part of a command has been read.
+    /// Set while part of a command has been read, but not all of it.
     command_started: AtomicBool,
-    /// The reader waits for the socket, so it holds less than a whole command.
+    /// Set while the reader waits for the socket; its buffer then holds less than a whole command.
     reader_waiting: AtomicBool,
     /// When the sending side was shut down, in milliseconds since the connection was opened.
     write_shutdown_ms: AtomicU64,
-    /// Both sides have been shut down.
+    /// Set once both directions of the socket have been shut down.
     closed: AtomicBool,
-    /// The first [`CloseReason`] that was given; 0 before.
+    /// The first [`CloseReason`] that was set; 0 until then.
     close_reason: AtomicU8,
     shared: Arc<SharedState>,
 }
 
 impl Connection {
-    /// A connection that was opened now.
+    /// Creates an open connection with no commands in flight; its timeouts count from now.
     pub(crate) fn new(
         socket: TcpStream,
         id: u64,
@@ -95,25 +99,26 @@
         }
     }
 
-    /// Its thread runs. What lies in the socket by now may have been sent as soon as the connection was accepted.
-    pub(crate) fn note_thread_started(&self) {
+    /// Records that the connection's thread has started. Bytes that are in the socket by now may have been
+    /// sent as early as the moment when the connection was accepted.
+    pub(crate) fn record_thread_started(&self) {
         let age = self.accepted_at.elapsed().as_micros() as u64;
         if age > 0 && peek(&self.socket).is_ok_and(|bytes| bytes > 0) {
             self.first_command_age_us.store(age, Ordering::Relaxed);
         }
     }
 
-    /// For how long the command that was read last may have waited unread because its connection was not served yet.
-    /// Only the first command of a connection may have; it is told once.
+    /// Returns how long the command that was read last may have waited before the connection's thread
+    /// started. Only the first command of a connection can have waited; later calls return zero.
     pub fn take_command_age(&self) -> Duration {
         Duration::from_micros(self.first_command_age_us.swap(0, Ordering::Relaxed))
     }
 
-    /// Counts a command that has been read as in flight; the connection stays open until
-    /// [`Connection::finish_command`]. `next_started` says whether part of the next command was read with it.
+    /// Counts a command that has been read as in flight; the connection stays open until the matching
+    /// [`Connection::finish_command`]. `next_started` is whether part of the next command has been read too.
     ///
-    /// Returns `false` if the connection is closed to commands. The command must not be carried out then: its client
-    /// sends it elsewhere.
+    /// Returns `false` if the connection no longer accepts commands. The caller must not execute the command
+    /// then, because the client retries it on another connection.
     #[must_use]
     pub fn begin_command(&self, next_started: bool) -> bool {
         self.has_read_command.store(true, Ordering::SeqCst);
@@ -121,19 +126,21 @@
         self.commands.permit_command().is_ok()
     }
 
-    /// Has to be called right before a response is written. While connections close, the response that leaves nothing
-    /// in flight is the connection's last. Its last bytes are held back until [`Connection::finish_command`] shuts the
-    /// sending side down and leave together with that end of stream, so that no client that has the whole response
-    /// takes the connection for a usable one.
+    /// Must be called right before a response is written. When the close policy is to close, the response
+    /// that leaves no command in flight is the last one on the connection. The kernel holds back its last
+    /// bytes (`TCP_CORK`) until [`Connection::finish_command`] shuts down the sending side, so they are sent
+    /// together with the end of stream. A client that has the whole response thus never takes the connection
+    /// for a reusable one.
     pub fn prepare_response(&self) {
         if self.may_close_when_idle() && self.commands.permit_last_response().is_ok() {
             self.set_close_reason(CloseReason::ShuttingDown);
-            // Without the option, the end of stream follows right behind the response.
+            // If the option cannot be set, the end of stream is sent right after the response.
             _ = SockRef::from(&self.socket).set_tcp_cork(true);
         }
     }
 
-    /// A command has its response, or needs none. Closes the connection if that is due.
+    /// Records that a command in flight has had its response written, or needs none, and closes the
+    /// connection if it is due to close.
     pub fn finish_command(&self) {
         self.idle_since_ms.store(self.opened_at.elapsed().as_millis() as u64, Ordering::Relaxed);
         if self.commands.finish() {
@@ -144,29 +151,30 @@
         }
     }
 
-    /// Names why the connection closes, for the log and the metrics; the first reason counts.
+    /// Sets why the connection closes, for the log and the metrics; later calls do not replace the first
+    /// reason.
     pub fn set_close_reason(&self, reason: CloseReason) {
         _ = self.close_reason.compare_exchange(0, reason as u8, Ordering::Relaxed, Ordering::Relaxed);
     }
 
-    /// Why it closes.
+    /// Returns why the connection closes.
     pub(crate) fn close_reason(&self) -> CloseReason {
         CloseReason::from_number(self.close_reason.load(Ordering::Relaxed))
     }
 
-    /// Whether operators drain the router: health checks of clients fail then.
+    /// Returns whether operators are draining the router; clients' health checks fail during a drain.
     pub fn is_draining(&self) -> bool {
         self.shared.is_draining()
     }
 
-    /// A request has been made: this client is expected to make more.
+    /// Records that the client has made a request, so that it is expected to make more.
     pub fn record_request(&self) {
         if !self.has_made_request.swap(true, Ordering::Relaxed) {
             self.shared.add_connection_with_requests();
         }
     }
 
-    /// Whether [`Connection::record_request`] was called.
+    /// Returns whether [`Connection::record_request`] was called.
     pub(crate) fn has_made_request(&self) -> bool {
         self.has_made_request.load(Ordering::Relaxed)
     }
--- a/client-listener/src/connection/closing.rs
+++ b/client-listener/src/connection/closing.rs
@@ -1,4 +1,5 @@
-//! How a connection closes: in order, behind the last response, without a reset that could discard that response.
+//! Closing a connection gracefully: the end of stream follows the last response, without a reset that could
+//! discard that response.
 use super::{Connection, MIN_READ_WAIT, WRITE_OPEN};
 use crate::shutdown::ClosePolicy;
 use routing::reasons::CloseReason;
@@ -8,37 +9,39 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Size of the buffer that unread bytes are discarded through.
+/// Size of the buffer into which unread bytes are read to be discarded.
 const DISCARD_BUFFER_BYTES: usize = 8192;
 
 impl Connection {
-    /// Whether nothing more is read: commands that were read get their response, then the connection closes. A
-    /// connection that has read no command yet is read once, so that a client's health check gets its response.
+    /// Returns whether the connection is no longer read. Commands that were read still get their responses,
+    /// then the connection closes. A connection that has read no command yet is read once, so that a client's
+    /// health check gets its response.
     pub fn reading_stopped(&self) -> bool {
         self.shared.close_policy() == ClosePolicy::StopReading && self.has_read_command.load(Ordering::SeqCst)
     }
 
-    /// Shuts the sending side down, behind all that was written; no command is accepted from here on. The receiving
-    /// side stays open: once both are shut down, bytes that still arrive are answered with a reset, and a reset may
-    /// discard the last response.
+    /// Shuts down the sending side after all bytes written so far; no command is accepted from here on. The
+    /// receiving side stays open: once both are shut down, the kernel responds to bytes that still arrive
+    /// with a reset, and a reset may discard the last response.
     pub fn shut_down_write(&self) {
         self.commands.close();
         let now = self.opened_at.elapsed().as_millis() as u64;
         _ = self.write_shutdown_ms.compare_exchange(WRITE_OPEN, now, Ordering::SeqCst, Ordering::SeqCst);
-        // An error means that it is closed already.
+        // An error means that the socket is closed already.
         _ = self.socket.shutdown(Shutdown::Write);
     }
 
-    /// Closes the connection for both its threads: a reader that waits for the client stops waiting.
+    /// Closes the connection for its reader and its writer: a reader that waits for the client returns.
     pub fn close(&self) {
-        // The mark comes first: a reader that is not seen to wait sees the mark before it waits.
+        // Closing to commands has to precede this check: a reader that sets `reader_waiting` after the check
+        // then sees that the connection is closed before it blocks.
         self.shut_down_write();
         if self.reader_waiting.load(Ordering::SeqCst) {
             self.shut_down_both();
         }
     }
 
-    /// Shuts both sides down at once, without waiting for the client.
+    /// Shuts down both directions immediately, without waiting for the client.
     pub(crate) fn shut_down_both(&self) {
         self.shut_down_write();
         if !self.closed.swap(true, Ordering::SeqCst) {
@@ -46,8 +49,9 @@
         }
     }
 
-    /// Closes behind a rejection that was written without waiting. What the client has sent by now is discarded first:
-    /// closed over unread bytes the connection would be reset, and the rejection lost.
+    /// Closes the connection after a rejection that was written without blocking. Bytes that the client has
+    /// sent so far are discarded first: closing a socket with unread bytes sends a reset, which may discard
+    /// the rejection.
     pub(crate) fn close_after_rejection(&self) {
         self.shut_down_write();
         let mut discarded = [0; DISCARD_BUFFER_BYTES];
@@ -65,7 +69,7 @@
         }
     }
 
-    /// Shuts the sending side down if nothing is in flight.
+    /// Shuts down the sending side if no command is in flight.
     pub(super) fn shut_down_write_if_idle(&self) {
         if self.commands.permit_idle_close().is_ok() {
             self.set_close_reason(CloseReason::ShuttingDown);
@@ -73,9 +77,9 @@
         }
     }
 
-    /// Shuts the sending side down, then reads and discards until the client closes too, up to
-    /// [`settings::Limits::client_linger_timeout`] and [`settings::Limits::max_client_linger_bytes`]. Closed over unread bytes the
-    /// connection would be reset, and a reset may discard the last response.
+    /// Shuts down the sending side, then reads and discards until the client closes its side, limited by
+    /// [`settings::Limits::client_linger_timeout`] and [`settings::Limits::max_client_linger_bytes`]. Closing
+    /// a socket with unread bytes sends a reset, which may discard the last response.
     pub(crate) fn linger(&self) {
         self.shut_down_write();
         let shutdown_at = self.write_shutdown_at().unwrap_or_else(Instant::now);
@@ -92,9 +96,9 @@
         }
     }
 
-    /// Closes the connection as far as the close policy asks for it now. One with commands in flight closes with the
-    /// last response, in [`Connection::finish_command`]. The receiving side is not shut down to wake the reader: that
-    /// would look like a client that disconnects.
+    /// Closes the connection if the close policy requires it now. A connection with commands in flight closes
+    /// after the last response, in [`Connection::finish_command`]. The receiving side is not shut down to
+    /// wake the reader, because that would look like a disconnect of the client.
     pub(crate) fn apply_close_policy(&self) {
         if self.commands.is_closed() {
             return self.end_linger();
@@ -106,7 +110,8 @@
         }
     }
 
-    /// Shuts both sides down once the reader of a closed connection has waited long enough for the client to close.
+    /// Shuts down both directions once the reader of a closed connection has waited for the client to close
+    /// for the linger timeout.
     fn end_linger(&self) {
         let lingered =
             self.write_shutdown_at().is_some_and(|at| at.elapsed() >= self.limits.client_linger_timeout);
@@ -115,30 +120,34 @@
         }
     }
 
-    /// Whether the connection closes as soon as nothing is in flight.
+    /// Returns whether the connection is to close as soon as no command is in flight.
     pub(super) fn may_close_when_idle(&self) -> bool {
         match self.shared.close_policy() {
             ClosePolicy::KeepOpen => false,
-            // What has been read, or waits to be, is carried out; the rest of a command may be on its way.
-            ClosePolicy::CloseWhenIdle => !self.command_started.load(Ordering::SeqCst) && self.is_silent(),
-            // Whole commands that have been read are carried out. A reader that waits holds no whole command.
+            // Bytes that were read or are waiting in the socket belong to a command that has to be executed;
+            // the rest of it may still be on its way.
+            ClosePolicy::CloseWhenIdle => {
+                !self.command_started.load(Ordering::SeqCst) && self.has_nothing_to_read()
+            }
+            // Whole commands that have been read are executed. A reader that waits for the socket holds no
+            // whole command.
             ClosePolicy::StopReading => {
                 self.reader_waiting.load(Ordering::SeqCst) || !self.command_started.load(Ordering::SeqCst)
             }
         }
     }
 
-    /// Whether bytes that arrive now are not read any more.
+    /// Returns whether bytes that arrive from now on are left unread.
     pub(super) fn is_closed_to_reads(&self) -> bool {
         self.commands.is_closed() || self.reading_stopped()
     }
 
-    /// Whether the connection is open and nothing waits to be read.
-    pub(super) fn is_silent(&self) -> bool {
+    /// Returns whether the socket is open with no bytes to read.
+    pub(super) fn has_nothing_to_read(&self) -> bool {
         is_idle_and_open(&self.socket)
     }
 
-    /// When the sending side was shut down.
+    /// Returns when the sending side was shut down; `None` while it is open.
     fn write_shutdown_at(&self) -> Option<Instant> {
         let ms = self.write_shutdown_ms.load(Ordering::SeqCst);
         (ms != WRITE_OPEN).then(|| self.opened_at + Duration::from_millis(ms))
--- a/client-listener/src/in_flight_requests.rs
+++ b/client-listener/src/in_flight_requests.rs
@@ -2,8 +2,8 @@
 use routing::RequestId;
 use std::sync::{Mutex, MutexGuard};
 
-/// Requests in flight, oldest first, and whether the client has disconnected. One lock guards both: a request is
-/// either seen by whoever notices the disconnect, or never submitted.
+/// Requests in flight, oldest first, and whether the client has disconnected. One lock guards both, so that a
+/// disconnect either sees and cancels a request, or prevents it from being submitted.
 #[derive(Debug, Default)]
 pub struct InFlightRequests {
     state: Mutex<State>,
@@ -16,7 +16,8 @@
 }
 
 impl InFlightRequests {
-    /// Submits a request and returns its id; `None`, without submitting, if the client has disconnected.
+    /// Submits a request and returns its id; returns `None`, without submitting, if the client has
+    /// disconnected.
     pub fn begin(&self, submit: impl FnOnce() -> RequestId) -> Option<RequestId> {
         let mut state = self.lock();
         if state.disconnected {
@@ -27,25 +28,27 @@
         Some(id)
     }
 
-    /// Removes a request that has its response or was cancelled; `false` if a disconnect has removed it before.
+    /// Removes a request that has its response or was cancelled; returns `false` if a disconnect has removed
+    /// it already.
     pub fn finish(&self, id: RequestId) -> bool {
         let mut state = self.lock();
         let position = state.requests.iter().position(|request| *request == id);
         position.map(|position| state.requests.remove(position)).is_some()
     }
 
-    /// The request that is answered next.
+    /// Returns the oldest request, whose response is due next.
     pub fn oldest(&self) -> Option<RequestId> {
         self.lock().requests.first().copied()
     }
 
-    /// Whether the client has disconnected.
+    /// Returns whether the client has disconnected.
     pub fn is_disconnected(&self) -> bool {
         self.lock().disconnected
     }
 
-    /// The client has disconnected: removes each request, calls `cancel` with it, and lets none follow. Returns how
-    /// many requests there were, `None` if the disconnect was known before.
+    /// Records that the client has disconnected: removes each request in flight, calls `cancel` with its id,
+    /// and prevents further requests. Returns the number of removed requests, or `None` if the disconnect was
+    /// recorded before.
     pub fn disconnect(&self, cancel: impl FnMut(RequestId)) -> Option<usize> {
         let mut state = self.lock();
         let first_report = !std::mem::replace(&mut state.disconnected, true);
--- a/client-listener/src/lib.rs
+++ b/client-listener/src/lib.rs
@@ -1,10 +1,11 @@
-//! Client connections, whatever wire protocol they speak: the accept loop, the limit on open connections, and closing
-//! at shutdown without a lost request.
+//! Server side of client connections, independent of the wire protocol: the accept loop, the limit on open
+//! connections, and graceful shutdown without lost requests.
 //!
-//! [`ClientServer`] accepts connections from a [`ClientListener`] and runs a [`ConnectionHandler`] on a thread for
-//! each. A [`Connection`] counts the commands in flight on it, so that closing it neither loses a response nor
-//! carries out a command whose client retries it elsewhere ([`routing::permit::CommandGate`] permits both). [`shutdown`] is the state machine that decides when
-//! connections close at shutdown and while operators drain the router; [`ClientServer::serve`] drives it.
+//! [`ClientServer`] accepts connections from a [`ClientListener`] and runs a [`ConnectionHandler`] on one
+//! thread per connection. A [`Connection`] counts the commands in flight on it
+//! ([`routing::permit::CommandGate`]), so that closing it neither loses a response nor executes a command
+//! that the client retries on another connection. [`shutdown`] is the state machine that decides when
+//! connections close at shutdown and during a drain; [`ClientServer::serve`] drives it.
 mod connection;
 mod disconnects;
 pub mod in_flight_requests;
--- a/client-listener/src/listener.rs
+++ b/client-listener/src/listener.rs
@@ -1,5 +1,5 @@
-//! The listening socket for clients: one of this process's own, or one that the platform holds and every process of
-//! the router inherits, so that two may serve side by side.
+//! The listening socket for clients: either bound by this process, or opened by the platform and inherited by
+//! every process of the router, so that two processes can serve at the same time.
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
 use socket2::{SockAddr, Socket, Type};
 use std::io;
@@ -7,25 +7,26 @@
 use std::os::fd::{AsFd, FromRawFd, OwnedFd, RawFd};
 use std::time::Duration;
 
-/// How long an accept on an inherited listener blocks before the caller checks whether it still accepts. Such a
-/// listener must not be woken by a connection to it, which another process might accept.
+/// How long an accept on an inherited listener blocks before the caller checks whether the server still
+/// accepts. An accept on an inherited listener cannot be woken by connecting to it, because another process
+/// might accept that connection.
 const INHERITED_ACCEPT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// How long the connection that wakes an accept may take.
+/// Timeout for the connection that wakes a blocked accept.
 const WAKE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The highest descriptor that is standard input, output or error.
+/// The highest descriptor of the standard streams (input, output and error).
 const LAST_STANDARD_DESCRIPTOR: RawFd = 2;
 
-/// Why an inherited socket can't be listened on.
+/// Why an inherited socket cannot be used as a listener.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedSocketError {
-    /// The text names no descriptor.
+    /// The text is not the number of a descriptor above 2.
     #[error(
         "expected the number of a descriptor above 2, found '{0}': unset the variable to listen on `listen`"
     )]
     InvalidDescriptor(String),
-    /// The descriptor is not open, or no TCP listener.
+    /// The descriptor is not open, or is not a TCP listener.
     #[error("descriptor {0} is no listening TCP socket: let the platform pass it, or unset the variable")]
     NotListening(RawFd),
     /// A system call on the descriptor failed.
@@ -36,17 +37,17 @@
 /// A listening socket for clients.
 #[derive(Debug)]
 pub enum ClientListener {
-    /// Held by this process alone.
+    /// Used by this process only.
     Exclusive(TcpListener),
     /// Shared with other processes of this router.
     Inherited(TcpListener),
 }
 
 impl ClientListener {
-    /// Takes over the listener at this descriptor; it is closed when this process ends.
+    /// Takes ownership of the listener with this descriptor number; it is closed when this process ends.
     ///
     /// # Errors
-    /// If there is no listener. The descriptor is left as it is then.
+    /// Fails if the descriptor is not a listener. It is left unchanged then.
     pub fn from_inherited_descriptor(descriptor: &str) -> Result<ClientListener, InheritedSocketError> {
         let number = descriptor.trim().parse().ok().filter(|n: &RawFd| *n > LAST_STANDARD_DESCRIPTOR);
         let fd = number.ok_or_else(|| InheritedSocketError::InvalidDescriptor(descriptor.to_string()))?;
@@ -58,7 +59,7 @@
         let socket = Socket::from(unsafe { OwnedFd::from_raw_fd(fd) });
         let address = socket.local_addr().ok().and_then(|a| a.as_socket());
         if !socket.is_listener().unwrap_or(false) || address.is_none() {
-            // It belongs to somebody else, so it stays open.
+            // The descriptor was opened for another purpose, so it must stay open.
             std::mem::forget(socket);
             return Err(InheritedSocketError::NotListening(fd));
         }
@@ -74,18 +75,18 @@
         }
     }
 
-    /// The address that it listens on.
+    /// Returns the address that the listener is bound to.
     ///
     /// # Errors
-    /// The system's, if it does not know the socket's address.
+    /// Returns the system's error if the socket has no address.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener().local_addr()
     }
 
-    /// Another handle of the same listener.
+    /// Duplicates the handle of the listener.
     ///
     /// # Errors
-    /// The system's, among others if the process is out of descriptors.
+    /// Returns the system's error, for example if the process is out of descriptors.
     pub fn try_clone(&self) -> io::Result<ClientListener> {
         Ok(match self {
             ClientListener::Exclusive(listener) => ClientListener::Exclusive(listener.try_clone()?),
@@ -93,22 +94,24 @@
         })
     }
 
-    /// Waits at most for `timeout`; whether a connection can be accepted then, as far as the system tells.
+    /// Waits for at most `timeout`; returns whether a connection is ready to be accepted.
     pub(crate) fn wait_until_ready(&self, timeout: Duration) -> bool {
         let timeout = PollTimeout::try_from(timeout).unwrap_or(PollTimeout::ZERO);
         let ready = poll(&mut [PollFd::new(self.listener().as_fd(), PollFlags::POLLIN)], timeout);
         ready.is_ok_and(|count| count > 0)
     }
 
-    /// Waits for the next connection; `None` if the caller should check whether it still accepts.
+    /// Waits for the next connection; returns `None` if the caller should check whether the server still
+    /// accepts.
     ///
     /// # Errors
-    /// The system's, among others if the process is out of descriptors or the client has disconnected already.
+    /// Returns the system's error, for example if the process is out of descriptors or the client has
+    /// disconnected already.
     pub fn accept(&self) -> io::Result<Option<(TcpStream, SocketAddr)>> {
         match (self.listener().accept(), self) {
             (Ok(accepted), ClientListener::Exclusive(_)) => Ok(Some(accepted)),
             (Ok((socket, address)), ClientListener::Inherited(_)) => {
-                // The listener's timeout is not the connection's.
+                // The accepted socket must not have the listener's read timeout.
                 socket.set_read_timeout(None)?;
                 Ok(Some((socket, address)))
             }
@@ -117,10 +120,10 @@
         }
     }
 
-    /// A waker for the thread that blocks in [`ClientListener::accept`].
+    /// Returns a waker for the thread that blocks in [`ClientListener::accept`].
     ///
     /// # Errors
-    /// The system's, among others if the process is out of descriptors.
+    /// Returns the system's error, for example if the process is out of descriptors.
     pub fn waker(&self) -> io::Result<AcceptWaker> {
         let target = match self {
             ClientListener::Exclusive(listener) => {
@@ -132,7 +135,8 @@
         Ok(AcceptWaker { target })
     }
 
-    /// Connections that the kernel has accepted and this process has not.
+    /// Closes the listener after returning the connections that the kernel has accepted and this process has
+    /// not.
     pub fn into_backlog(self) -> impl Iterator<Item = (TcpStream, SocketAddr)> {
         let never_blocks = match &self {
             ClientListener::Exclusive(listener) => listener.set_nonblocking(true).is_ok(),
@@ -142,19 +146,20 @@
     }
 }
 
-/// Wakes the thread that waits for connections. It keeps a descriptor ready: when clients hold all others, shutdown
-/// must not wait for a free one.
+/// Wakes the thread that blocks in [`ClientListener::accept`]. The waker holds an open descriptor, because at
+/// shutdown client connections may use all others.
 #[derive(Debug)]
 pub struct AcceptWaker {
-    /// An unconnected socket and the listener's address; `None` where an accept wakes by itself.
+    /// An unconnected socket and the listener's address; `None` if accepts time out by themselves.
     target: Option<(Socket, SockAddr)>,
 }
 
 impl AcceptWaker {
-    /// Wakes the thread, once.
+    /// Wakes the accept thread. The waker works only once.
     pub fn wake(&self) {
         if let Some((socket, address)) = &self.target {
-            // Only a connection wakes an accept. Where this one fails, the queue is full of others that wake it too.
+            // A blocked accept returns only for a connection. If this connection fails, the backlog is full
+            // of others that wake the accept too.
             _ = socket.connect_timeout(address, WAKE_TIMEOUT);
             _ = socket.shutdown(Shutdown::Both);
         }
--- a/client-listener/src/server.rs
+++ b/client-listener/src/server.rs
@@ -1,4 +1,4 @@
-//! The server for client connections: its face to the rest of the program, and the limit on open connections.
+//! The server for client connections: its public interface, and the limit on open connections.
 mod accept;
 mod command_loop;
 
@@ -11,30 +11,30 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Speaks a wire protocol with clients.
+/// Serves clients in one wire protocol.
 pub trait ConnectionHandler: Send + Sync + 'static {
-    /// Serves one client, on the thread that this is called on, until either side closes the connection.
+    /// Serves one client, on the calling thread, until either side closes the connection.
     fn handle(self: &Arc<Self>, connection: &Arc<Connection>);
 
-    /// Tells a client that it can't be served now and may come again, without waiting for it.
+    /// Sends the client, without blocking, a rejection that tells it to retry later.
     fn reject(&self, connection: &Connection);
 
-    /// The client of a request has disconnected: nobody waits for the response.
+    /// Called when the client of a request has disconnected, so that the response is no longer needed.
     fn client_disconnected(&self, request: RequestId);
 }
 
-/// A command to a server while it serves.
+/// A command to a running server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerCommand {
-    /// Shut down: SIGTERM has come.
+    /// Shut down, because SIGTERM was received.
     Shutdown,
-    /// Operators start a drain (`true`) or end it; follows [`ClientServer::set_draining`].
+    /// Operators start a drain (`true`) or end it; sent after [`ClientServer::set_draining`].
     SetDraining(bool),
-    /// The processes that serve as this router have changed.
+    /// The number of processes that serve as this router has changed.
     SetProcessCount {
-        /// How many there are, this one included.
+        /// Number of processes that serve as this router, this one included.
         processes: usize,
-        /// Whether another one accepts clients.
+        /// Whether another process accepts clients.
         successor: bool,
     },
 }
@@ -49,12 +49,13 @@
     shared: Arc<SharedState>,
     accepting: Arc<AtomicBool>,
     disconnect_watcher: DisconnectWatcher,
-    /// Counts why connections close, if operators want to know.
+    /// Metrics that count why connections close; `None` if metrics are disabled.
     metrics: Option<Arc<Metrics>>,
 }
 
 impl<H: ConnectionHandler> ClientServer<H> {
-    /// A server without connections; [`ClientServer::serve`] accepts them. `metrics` count why they close.
+    /// Creates a server without connections; [`ClientServer::serve`] accepts them. `metrics` counts why they
+    /// close.
     pub fn new(handler: Arc<H>, limits: Arc<Limits>, metrics: Option<Arc<Metrics>>) -> Arc<Self> {
         let max_connections = AtomicUsize::new(limits.max_client_connections);
         Arc::new(ClientServer {
@@ -70,19 +71,19 @@
         })
     }
 
-    /// Whether connections are accepted, as a flag for other threads to read.
+    /// Returns the flag that is set while connections are accepted, for other threads to read.
     pub fn accepting(&self) -> Arc<AtomicBool> {
         self.accepting.clone()
     }
 
-    /// Operators start a drain (`true`) or end it: health checks fail from now on. [`ServerCommand::SetDraining`]
-    /// follows, which closes connections.
+    /// Sets whether operators are draining the router, so that health checks fail from now on or pass again.
+    /// The [`ServerCommand::SetDraining`] that follows makes the server close connections.
     pub fn set_draining(&self, draining: bool) {
         self.shared.set_draining(draining);
     }
 
-    /// Sets how many processes serve as this router: each gets an equal part of the connection limit. A count that is
-    /// known before [`ClientServer::serve`] applies from the first connection on.
+    /// Sets how many processes serve as this router: each gets an equal part of the connection limit. A count
+    /// that is set before [`ClientServer::serve`] applies from the first connection on.
     pub fn set_process_count(&self, processes: usize) {
         let max_connections = self.limits.max_client_connections / processes.max(1);
         self.max_connections.store(max_connections, Ordering::Relaxed);
@@ -92,7 +93,7 @@
         self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Handles the disconnect of a client: its requests are cancelled.
+    /// Handles the disconnect of a client by cancelling its requests.
     fn handle_disconnect(&self, connection_id: u64) {
         let connection = self.connections().get(&connection_id).cloned();
         if let Some(connection) = connection {
--- a/client-listener/src/server/accept.rs
+++ b/client-listener/src/server/accept.rs
@@ -1,5 +1,5 @@
-//! The accept loop: waits for room below the connection limit, evicts idle connections, and starts a thread for each
-//! connection.
+//! The accept loop: waits for capacity below the connection limit, evicts idle connections, and starts a
+//! thread for each connection.
 use super::{ClientServer, ConnectionHandler};
 use crate::connection::Connection;
 use crate::listener::ClientListener;
@@ -18,20 +18,21 @@
 /// Failed accepts are logged at most this often.
 const ACCEPT_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Connections that are evicted at a time. Finding one costs as much as finding several.
+/// Maximum number of connections that are evicted at once. Finding several costs as much as finding one.
 const EVICTION_BATCH: usize = 8;
 
-/// How long a connection waits for a thread. Its first request may have been sent already, and its time runs.
+/// How long a connection waits for a thread before it is rejected. Its first request may have been sent
+/// already, and that request's deadline approaches.
 const THREAD_START_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How often threads are tried for while connections wait for one.
+/// Interval between attempts to start threads for waiting connections.
 const THREAD_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A connection that waits for a thread.
-struct WithoutThread {
+struct PendingConnection {
     connection: Arc<Connection>,
     address: SocketAddr,
-    /// What its thread is to run.
+    /// The function that the connection's thread runs.
     serve: Box<dyn FnOnce() + Send>,
     since: Instant,
 }
@@ -40,28 +41,29 @@
     /// Accepts connections until the server stops accepting.
     pub(super) fn accept_loop(self: &Arc<Self>, listener: &ClientListener) {
         let mut last_logged: Option<Instant> = None;
-        let mut without_thread = Vec::new();
+        let mut pending = Vec::new();
         while self.accepting.load(Ordering::Acquire) {
-            // Connections that wait for a thread are looked after in between.
-            if !without_thread.is_empty() && !listener.wait_until_ready(THREAD_RETRY_INTERVAL) {
-                self.start_waiting(&mut without_thread);
+            // While connections wait for a thread, attempts to start one alternate with accepts.
+            if !pending.is_empty() && !listener.wait_until_ready(THREAD_RETRY_INTERVAL) {
+                self.start_pending(&mut pending);
                 continue;
             }
             match listener.accept() {
                 Ok(Some((socket, address))) => {
                     let accepted_at = Instant::now();
-                    self.wait_for_room();
-                    without_thread.extend(self.start_connection(socket, address, accepted_at));
+                    self.wait_for_capacity();
+                    pending.extend(self.start_connection(socket, address, accepted_at));
                 }
                 Ok(None) => {}
                 Err(e) => self.handle_accept_error(&e, &mut last_logged),
             }
-            self.start_waiting(&mut without_thread);
+            self.start_pending(&mut pending);
         }
-        self.start_all(without_thread);
+        self.start_all(pending);
     }
 
-    /// The process is out of descriptors, or a client disconnected before it was accepted.
+    /// Handles a failed accept: the process is out of descriptors, or a client disconnected before it was
+    /// accepted.
     fn handle_accept_error(&self, error: &io::Error, last_logged: &mut Option<Instant>) {
         let log_due = last_logged.is_none_or(|at| at.elapsed() >= ACCEPT_ERROR_LOG_INTERVAL);
         if error.kind() != io::ErrorKind::WouldBlock && log_due {
@@ -74,20 +76,21 @@
         std::thread::sleep(ACCEPT_RETRY_DELAY);
     }
 
-    /// Returns once there is room for one more connection, evicting idle ones at the limit. Where none may be
-    /// evicted, the accepted connection waits, and others wait unaccepted.
-    fn wait_for_room(&self) {
-        // Once no more are accepted, a connection that has been accepted is served, whatever the limit.
+    /// Returns once there is capacity for one more connection, evicting idle ones at the limit. While none
+    /// may be evicted, the accepted connection waits and further ones stay in the listen backlog.
+    fn wait_for_capacity(&self) {
+        // Once the server has stopped accepting, a connection that was accepted before is served regardless
+        // of the limit.
         while self.accepting.load(Ordering::Acquire) {
-            if self.has_room_or_evicts() {
+            if self.check_capacity_or_evict() {
                 return;
             }
             std::thread::sleep(self.limits.client_capacity_retry_delay);
         }
     }
 
-    /// Whether there is room for one more connection; evicts idle ones if not.
-    fn has_room_or_evicts(&self) -> bool {
+    /// Returns whether there is capacity for one more connection; evicts idle ones if not.
+    fn check_capacity_or_evict(&self) -> bool {
         let connections = self.connections();
         if connections.len() < self.max_connections.load(Ordering::Relaxed) {
             return true;
@@ -96,26 +99,27 @@
         false
     }
 
-    /// Serves connections that have been accepted, each on a thread of its own.
+    /// Serves accepted connections, each on a thread of its own.
     pub(super) fn start_connections(
         self: &Arc<Self>,
         accepted: impl Iterator<Item = (TcpStream, SocketAddr)>,
     ) {
         let accepted_at = Instant::now();
         let start = |(socket, address)| self.start_connection(socket, address, accepted_at);
-        let without_thread = accepted.filter_map(start).collect();
-        self.start_all(without_thread);
+        let pending = accepted.filter_map(start).collect();
+        self.start_all(pending);
     }
 
-    /// Serves a connection that has been accepted, on a thread of its own; returns it if no thread can be had now.
+    /// Serves an accepted connection on a thread of its own; returns the connection if no thread can be
+    /// started now.
     fn start_connection(
         self: &Arc<Self>,
         socket: TcpStream,
         address: SocketAddr,
         accepted_at: Instant,
-    ) -> Option<WithoutThread> {
+    ) -> Option<PendingConnection> {
         if let Err(error) = self.configure(&socket) {
-            // It was reset before it could be served.
+            // The connection was reset before it could be served.
             tracing::warn!(%address, %error, "client connection lost before it was served");
             return None;
         }
@@ -124,44 +128,45 @@
         let connection = Arc::new(connection);
         self.connections().insert(id, connection.clone());
         self.disconnect_watcher.watch(&connection);
-        let (server, own) = (self.clone(), connection.clone());
-        let serve = Box::new(move || server.serve_client(&own));
-        self.try_start(WithoutThread { connection, address, serve, since: Instant::now() })
+        let (server, served) = (self.clone(), connection.clone());
+        let serve = Box::new(move || server.serve_client(&served));
+        self.try_start(PendingConnection { connection, address, serve, since: Instant::now() })
     }
 
-    /// Starts a connection's thread; returns the connection if none can be had now.
-    fn try_start(&self, waiting: WithoutThread) -> Option<WithoutThread> {
-        let WithoutThread { connection, address, serve, since } = waiting;
+    /// Starts a connection's thread; returns the connection if no thread can be started now.
+    fn try_start(&self, pending: PendingConnection) -> Option<PendingConnection> {
+        let PendingConnection { connection, address, serve, since } = pending;
         let started =
             spawn_with_retry("client", self.limits.socket_thread_stack_bytes, Duration::ZERO, serve);
         let Err(failed) = started else { return None };
         if since.elapsed() < THREAD_START_TIMEOUT {
-            return Some(WithoutThread { connection, address, serve: failed.run, since });
+            return Some(PendingConnection { connection, address, serve: failed.run, since });
         }
         tracing::error!(%address, error = %failed.source, "client thread not started, connection rejected");
         self.reject(&connection);
         None
     }
 
-    /// Tells a client that it may come again. Closed without a word, it would lose a request that it has sent already.
+    /// Rejects a client with a response that tells it to retry. If the connection were just closed, a request
+    /// that the client has sent already would be lost.
     fn reject(&self, connection: &Connection) {
         connection.set_close_reason(CloseReason::NoThread);
         self.connections().remove(&connection.id);
         self.handler.reject(connection);
         connection.close_after_rejection();
-        self.note_closed(connection);
+        self.record_closed(connection);
     }
 
-    /// Tries once to start the threads of connections that wait for one.
-    fn start_waiting(&self, without_thread: &mut Vec<WithoutThread>) {
-        let waiting = std::mem::take(without_thread);
-        without_thread.extend(waiting.into_iter().filter_map(|waiting| self.try_start(waiting)));
+    /// Tries once to start the threads of the waiting connections.
+    fn start_pending(&self, pending: &mut Vec<PendingConnection>) {
+        let taken = std::mem::take(pending);
+        pending.extend(taken.into_iter().filter_map(|connection| self.try_start(connection)));
     }
 
-    /// Starts the threads of connections that wait for one, and returns once none waits any more.
-    fn start_all(&self, mut without_thread: Vec<WithoutThread>) {
-        while !without_thread.is_empty() {
-            self.start_waiting(&mut without_thread);
+    /// Starts the threads of the waiting connections, and returns once none is left.
+    fn start_all(&self, mut pending: Vec<PendingConnection>) {
+        while !pending.is_empty() {
+            self.start_pending(&mut pending);
             std::thread::sleep(THREAD_RETRY_INTERVAL);
         }
     }
@@ -172,9 +177,9 @@
         socket.set_write_timeout(Some(self.limits.client_write_timeout))
     }
 
-    /// Runs on the connection's thread from its start to its end.
+    /// Body of the connection's thread: serves the client until the connection is closed.
     fn serve_client(&self, connection: &Arc<Connection>) {
-        connection.note_thread_started();
+        connection.record_thread_started();
         self.handler.handle(connection);
         connection.linger();
         connection.shut_down_both();
@@ -182,11 +187,11 @@
             self.shared.remove_connection_with_requests();
         }
         self.connections().remove(&connection.id);
-        self.note_closed(connection);
+        self.record_closed(connection);
     }
 
     /// Logs and counts why a connection has closed.
-    fn note_closed(&self, connection: &Connection) {
+    fn record_closed(&self, connection: &Connection) {
         let reason = connection.close_reason().name();
         tracing::debug!(connection = connection.id, reason, "client connection closed");
         if let Some(metrics) = &self.metrics {
@@ -196,7 +201,7 @@
 }
 
 /// Closes some idle connections: first those that are closing already or sent a malformed command, then those
-/// that made no request yet, then those that have been idle for longest.
+/// that have made no request, then those that have been idle for longest.
 fn evict_idle(connections: &HashMap<u64, Arc<Connection>>) {
     let now = Instant::now();
     let mut candidates: Vec<_> = connections
@@ -205,7 +210,7 @@
         .filter(|(rank, _)| rank.is_due(now))
         .collect();
     candidates.sort_unstable_by_key(|(rank, _)| *rank);
-    // Eviction looks at the socket: under load, a reader may lag behind what has arrived.
+    // `evict` also checks the socket: under load, a reader may not have read yet what has arrived.
     let evicted = candidates.into_iter().filter(|(_, connection)| connection.evict());
     _ = evicted.take(EVICTION_BATCH).count();
 }
--- a/client-listener/src/server/command_loop.rs
+++ b/client-listener/src/server/command_loop.rs
@@ -1,4 +1,4 @@
-//! The loop that takes commands and drives the shutdown state machine.
+//! The loop that receives commands and drives the shutdown state machine.
 use super::{ClientServer, ConnectionHandler, ServerCommand};
 use crate::listener::{AcceptWaker, ClientListener};
 use crate::shutdown::{Action, Event, GracefulShutdown, ShutdownTimes};
@@ -10,19 +10,19 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Time between two ticks of the state machine during drain and shutdown.
+/// Interval between ticks of the state machine during drain and shutdown.
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// How long to wait for the accept thread to stop.
 const ACCEPT_STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl<H: ConnectionHandler> ClientServer<H> {
-    /// Accepts and serves connections until [`ServerCommand::Shutdown`] has come and the last connection has closed,
-    /// or [`Limits::shutdown_timeout`] has passed since. If all senders of commands are dropped before, it serves on
-    /// and never returns.
+    /// Accepts and serves connections until [`ServerCommand::Shutdown`] was received and the last connection
+    /// has closed, or [`Limits::shutdown_timeout`] has passed since the command. If all senders of commands
+    /// are dropped before that, the server continues and this never returns.
     ///
     /// # Errors
-    /// The system's, if there is no descriptor or no thread left to start with.
+    /// Returns the system's error if a descriptor or a thread that the start needs is not available.
     pub fn serve(
         self: &Arc<Self>,
         listener: ClientListener,
@@ -33,40 +33,40 @@
     }
 }
 
-/// What is left to do after an action.
+/// Whether the server continues after an action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     Serving,
     Complete,
 }
 
-/// The thread that accepts connections, and the listener that it shares.
+/// The thread that accepts connections, and a handle of the listener that it uses.
 struct AcceptThread {
     listener: ClientListener,
-    /// Disconnected when the thread has stopped.
+    /// This channel is disconnected once the thread has stopped.
     stopped: Receiver<()>,
 }
 
-/// Takes commands and drives the shutdown state machine of a server.
+/// Receives commands and drives the shutdown state machine of a server.
 struct CommandLoop<'a, H> {
     server: &'a Arc<ClientServer<H>>,
     machine: GracefulShutdown,
-    /// The state machine's times count from here.
+    /// The state machine's times are durations since this moment.
     started_at: Instant,
     successor: bool,
     accept_thread: Option<AcceptThread>,
-    /// Created at the start: at shutdown there may be no descriptor left for it.
+    /// Created at the start, because at shutdown there may be no free descriptor for it.
     waker: AcceptWaker,
 }
 
 impl<'a, H: ConnectionHandler> CommandLoop<'a, H> {
     /// Starts the threads that accept connections and watch for disconnects.
     fn start(server: &'a Arc<ClientServer<H>>, listener: ClientListener) -> io::Result<Self> {
-        let accept_listener = listener.try_clone()?;
+        let accepting_listener = listener.try_clone()?;
         let waker = listener.waker()?;
         server.accepting.store(true, Ordering::Release);
         spawn_disconnect_thread(server)?;
-        let stopped = spawn_accept_thread(server, accept_listener)?;
+        let stopped = spawn_accept_thread(server, accepting_listener)?;
         Ok(CommandLoop {
             server,
             machine: GracefulShutdown::new(shutdown_times(&server.limits)),
@@ -84,14 +84,15 @@
             let event = self.next_event(commands);
             self.machine.handle(self.started_at.elapsed(), event, &mut actions);
             for action in actions.drain(..) {
-                if self.carry_out(action) == Progress::Complete {
+                if self.execute(action) == Progress::Complete {
                     return;
                 }
             }
         }
     }
 
-    /// Waits for the next command, or for the next tick while one is needed. Without either it waits forever.
+    /// Waits for the next command, or for the next tick if one is needed. Blocks forever if no command can
+    /// arrive and no tick is needed.
     fn next_event(&mut self, commands: &Receiver<ServerCommand>) -> Event {
         if !self.machine.needs_ticks() {
             return match commands.recv() {
@@ -133,7 +134,7 @@
         }
     }
 
-    fn carry_out(&mut self, action: Action) -> Progress {
+    fn execute(&mut self, action: Action) -> Progress {
         match action {
             Action::ReportDraining(true) => tracing::info!("drain started, readiness check fails"),
             Action::ReportDraining(false) => tracing::info!("drain ended"),
@@ -153,7 +154,8 @@
         self.server.accepting.store(false, Ordering::Release);
         self.waker.wake();
         _ = stopped.recv_timeout(ACCEPT_STOP_TIMEOUT);
-        // What the kernel has accepted is served here, unless another process accepts from the same queue.
+        // Connections in the listen backlog are served here, unless another process accepts from the same
+        // queue.
         if !self.successor {
             self.server.start_connections(listener.into_backlog());
         }
@@ -178,7 +180,8 @@
     })
 }
 
-/// Starts the thread that accepts connections; the receiver is disconnected once it has stopped.
+/// Starts the thread that accepts connections; the returned channel is disconnected once the thread has
+/// stopped.
 fn spawn_accept_thread<H: ConnectionHandler>(
     server: &Arc<ClientServer<H>>,
     listener: ClientListener,
@@ -188,7 +191,7 @@
     let (stopping, stopped) = bounded::<()>(0);
     spawn_needed("accept", stack_bytes, move || {
         server.accept_loop(&listener);
-        // The listener is closed before the thread counts as stopped.
+        // The listener has to be closed before the thread counts as stopped.
         drop(listener);
         drop(stopping);
     })?;
--- a/client-listener/src/shared_state.rs
+++ b/client-listener/src/shared_state.rs
@@ -1,13 +1,13 @@
-//! What all connections of one server share.
+//! State that all connections of one server share.
 use crate::shutdown::ClosePolicy;
 use std::sync::atomic::{AtomicBool, AtomicU8, AtomicUsize, Ordering};
 
-/// State of a server that its connections read.
+/// Server state that its connections read.
 #[derive(Debug, Default)]
 pub(crate) struct SharedState {
-    /// Open connections that have made a request.
+    /// Number of open connections that have made a request.
     connections_with_requests: AtomicUsize,
-    /// A [`ClosePolicy`].
+    /// The current [`ClosePolicy`] as a number.
     close_policy: AtomicU8,
     draining: AtomicBool,
 }
@@ -21,7 +21,7 @@
         self.close_policy.store(policy as u8, Ordering::SeqCst);
     }
 
-    /// Whether operators drain the router.
+    /// Returns whether operators are draining the router.
     pub(crate) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
@@ -34,12 +34,12 @@
         self.connections_with_requests.load(Ordering::Relaxed)
     }
 
-    /// Counts a connection that has made its first request.
+    /// Adds a connection, which has made its first request, to the count.
     pub(crate) fn add_connection_with_requests(&self) {
         self.connections_with_requests.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes a closed connection out of the count.
+    /// Removes a closed connection from the count.
     pub(crate) fn remove_connection_with_requests(&self) {
         self.connections_with_requests.fetch_sub(1, Ordering::Relaxed);
     }
--- a/client-listener/src/shutdown.rs
+++ b/client-listener/src/shutdown.rs
@@ -1,21 +1,21 @@
-//! When connections close, at shutdown (SIGTERM) and while operators drain the router. A state machine: no sockets, no
-//! clock.
+//! State machine that decides when connections close, at shutdown (SIGTERM) and during a drain by operators.
+//! It uses no sockets and no clock.
 //!
-//! Clients open no new connections some time after health checks have begun to fail, but go on using open ones for as
-//! long as they stay open. So connections close in stages ([`ClosePolicy`]): first they stay open as before, then each
-//! closes once it is idle, and at last nothing more is read of a client that is never idle. Commands that were read
-//! get their response in any case.
+//! Some time after health checks have begun to fail, clients open no new connections, but they go on using
+//! open ones for as long as these stay open. So connections close in stages ([`ClosePolicy`]): first they all
+//! stay open, then each closes once it is idle, and finally even connections that are never idle are no
+//! longer read. Commands that were read always get their response.
 use std::time::Duration;
 
-/// How open connections are treated; each stage is stricter than the one before.
+/// How open connections are treated; each variant is stricter than the one before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum ClosePolicy {
     /// Connections stay open.
     KeepOpen = 0,
-    /// Each closes as soon as nothing is in flight on it and nothing waits to be read.
+    /// Each connection closes as soon as no command is in flight on it and it has no bytes to read.
     CloseWhenIdle = 1,
-    /// Nothing more is read; each closes once the commands that were read have their responses.
+    /// No connection is read any more; each closes once the commands that were read have their responses.
     StopReading = 2,
 }
 
@@ -29,22 +29,22 @@
     }
 }
 
-/// When the stages of shutdown and drain begin.
+/// When the stages of a shutdown and of a drain begin.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownTimes {
-    /// After the start of shutdown, connections are accepted and stay open for this long.
+    /// Time from the start of shutdown during which connections are accepted and stay open.
     pub grace: Duration,
-    /// After the start of shutdown, nothing more is read from here on.
+    /// Time from the start of shutdown after which connections are no longer read.
     pub stop_reading: Duration,
-    /// After the start of shutdown, it is complete by now whatever is open.
+    /// Time from the start of shutdown after which it is complete, even with open connections.
     pub deadline: Duration,
-    /// After the start of a drain, connections close when idle from here on.
+    /// Time from the start of a drain after which connections close when idle.
     pub drain_close_when_idle: Duration,
-    /// After the start of a drain, nothing more is read from here on.
+    /// Time from the start of a drain after which connections are no longer read.
     pub drain_stop_reading: Duration,
 }
 
-/// What happens to the server.
+/// Input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// Operators start a drain (`true`) or end it.
@@ -54,21 +54,21 @@
         /// Whether another process accepts the router's clients already.
         successor: bool,
     },
-    /// Another process accepts the router's clients now (`true`), or none does any more.
+    /// Another process accepts the router's clients from now on (`true`), or none does any more.
     SetSuccessor(bool),
-    /// Time has passed.
+    /// Time has passed; sent periodically while [`GracefulShutdown::needs_ticks`].
     Tick {
-        /// Connections that are open.
+        /// Number of open connections.
         open_connections: usize,
     },
 }
 
-/// What the server has to do.
+/// Output of the state machine, which the server has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// A drain has started (`true`) or ended.
+    /// Log that a drain has started (`true`) or ended.
     ReportDraining(bool),
-    /// Treat connections like this from now on.
+    /// Apply this policy to all connections from now on.
     SetClosePolicy(ClosePolicy),
     /// Accept no more connections.
     StopAccepting,
@@ -76,7 +76,7 @@
     Complete,
 }
 
-/// The state of a server's drain and shutdown. Times count from any fixed moment.
+/// State of a server's drain and shutdown. Times are durations since any fixed moment.
 #[derive(Debug)]
 pub struct GracefulShutdown {
     times: ShutdownTimes,
@@ -89,7 +89,7 @@
 }
 
 impl GracefulShutdown {
-    /// A server that accepts connections, neither drained nor shutting down.
+    /// Creates the state of a server that accepts connections and is neither draining nor shutting down.
     pub fn new(times: ShutdownTimes) -> Self {
         GracefulShutdown {
             times,
@@ -102,12 +102,12 @@
         }
     }
 
-    /// Whether [`Event::Tick`] is needed: a drain or a shutdown is under way.
+    /// Returns whether [`Event::Tick`] is needed, because a drain or a shutdown is in progress.
     pub fn needs_ticks(&self) -> bool {
         (self.drain_started.is_some() || self.shutdown_started.is_some()) && !self.complete
     }
 
-    /// Handles one event and appends the actions that follow, in order. Nothing follows [`Action::Complete`].
+    /// Handles one event and appends the resulting actions, in order. No action follows [`Action::Complete`].
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         if self.complete {
             return;
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Takes over what the event says.
+    /// Updates the state of drain and shutdown from the event.
     fn apply(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::SetDraining(draining) if draining != self.drain_started.is_some() => {
@@ -147,7 +147,8 @@
     }
 
     fn update_policy(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        // A shutdown never relaxes the policy, even if operators end the drain: clients have been sent elsewhere.
+        // The policy is never relaxed during a shutdown, even if operators end the drain: clients have been
+        // sent to other routers already.
         let shutting_down = self.shutdown_started.is_some();
         let strictest_before = if shutting_down { self.policy } else { ClosePolicy::KeepOpen };
         let policy = self.drain_policy(now).max(self.shutdown_policy(now)).max(strictest_before);
@@ -157,7 +158,7 @@
         }
     }
 
-    /// The policy that a drain asks for.
+    /// Returns the policy that the drain requires.
     fn drain_policy(&self, now: Duration) -> ClosePolicy {
         match self.drain_started.map(|started| now.saturating_sub(started)) {
             Some(elapsed) if elapsed >= self.times.drain_stop_reading => ClosePolicy::StopReading,
@@ -166,8 +167,8 @@
         }
     }
 
-    /// The policy that a shutdown asks for. New connections go to the successor at once; without one, there is no
-    /// other process for them until the grace period is over.
+    /// Returns the policy that the shutdown requires. With a successor, new connections go to it immediately;
+    /// without one, there is no other process to accept them until the grace period is over.
     fn shutdown_policy(&self, now: Duration) -> ClosePolicy {
         match self.since_shutdown(now) {
             Some(elapsed) if elapsed >= self.times.stop_reading => ClosePolicy::StopReading,
--- a/client-listener/tests/connections/closing.rs
+++ b/client-listener/tests/connections/closing.rs
@@ -1,4 +1,4 @@
-//! How a connection closes: no command is accepted after it, no response is lost, and no reset discards one.
+//! Closing a connection: no command is accepted afterwards, no response is lost, and no reset discards one.
 use super::support::{
     LONG, TestServer, assert_closed_without_reset, test_limits, wait_until, wait_until_dropped,
     wait_until_readable,
@@ -21,7 +21,7 @@
         ("close", Connection::close),
         ("finish", Connection::shut_down_write),
         ("idle timeout", |connection| {
-            // One command has been read and answered.
+            // One command has been read and has had its response.
             assert!(connection.begin_command(false));
             connection.finish_command();
             assert!(connection.close_if_idle_timed_out());
@@ -36,14 +36,14 @@
             wait_until_readable(&connection);
         }
         end(&connection);
-        // Linux still returns what had arrived before both sides were shut down.
+        // Linux still returns bytes that arrived before both sides were shut down.
         let mut buffer = [0; 16];
         assert_eq!(
             connection.command_reader(false).read(&mut buffer).unwrap(),
             0,
-            "{name}: read after the close"
+            "{name}: bytes read after the close"
         );
-        assert!(!connection.begin_command(false), "{name}: accepted after the close");
+        assert!(!connection.begin_command(false), "{name}: command accepted after the close");
     }
 }
 
@@ -55,7 +55,7 @@
     assert!(connection.begin_command(false) && connection.begin_command(false));
     connection.shut_down_write();
     assert!(!connection.begin_command(false));
-    // The sending side is shut down; both commands finish all the same, and the connection closes like any other.
+    // Although the sending side is shut down, both commands finish and the connection then closes normally.
     connection.finish_command();
     connection.finish_command();
     drop((connection, release));
@@ -68,11 +68,11 @@
 fn response_arrives_complete_despite_unread_bytes_and_late_reader() {
     const RESPONSE_BYTES: usize = 200_000;
     let mut limits = test_limits();
-    // It has passed before the client reads at all.
+    // The linger timeout passes before the client starts to read.
     limits.client_linger_timeout = Duration::from_millis(50);
     let (server, handed_over) = TestServer::handing_over(limits);
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    // Most of the response stays on our side.
+    // With a small receive buffer at the client, most of the response stays in the server's send buffer.
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&server.address.into()).unwrap();
     let mut client = TcpStream::from(socket);
@@ -104,7 +104,7 @@
     client.read_exact(&mut received).unwrap();
     assert_eq!(&received, b"answer");
     assert_closed_without_reset(&client);
-    client.write_all(b"on its way when the end came").unwrap();
+    client.write_all(b"sent while the close was in flight").unwrap();
     client.shutdown(Shutdown::Write).unwrap();
     wait_until_dropped(&weak);
     assert_closed_without_reset(&client);
@@ -112,7 +112,7 @@
 
 #[test]
 fn linger_is_limited_in_time_and_bytes() {
-    // Silent: limited by time.
+    // A client that sends nothing: the linger is limited by time.
     let mut limits = test_limits();
     limits.client_linger_timeout = Duration::from_millis(50);
     let (server, handed_over) = TestServer::handing_over(limits);
@@ -122,7 +122,7 @@
     drop((connection, release));
     wait_until_dropped(&weak);
     assert_closed_without_reset(&client);
-    // Sending on: limited by bytes.
+    // A client that goes on sending: the linger is limited by bytes.
     let mut limits = test_limits();
     limits.max_client_linger_bytes = 64 << 10;
     let (server, handed_over) = TestServer::handing_over(limits);
--- a/client-listener/tests/connections/limits.rs
+++ b/client-listener/tests/connections/limits.rs
@@ -17,13 +17,16 @@
     connection.finish_command();
     client.write_all(b"request").unwrap();
     wait_until_readable(&connection);
-    // The reader ran late: the timeout has passed and the request is there.
+    // The request arrives before the reader checks the timeout, which has already passed.
     assert!(!connection.close_if_idle_timed_out());
     let mut buffer = [0; 16];
     assert_eq!(connection.command_reader(false).read(&mut buffer).unwrap(), 7);
     assert!(connection.begin_command(false));
     connection.finish_command();
-    assert!(connection.close_if_idle_timed_out(), "idle timeout passed and nothing has arrived");
+    assert!(
+        connection.close_if_idle_timed_out(),
+        "not closed although the idle timeout passed and no command arrived"
+    );
     assert_closed_without_reset(&client);
 }
 
@@ -33,18 +36,18 @@
     limits.max_client_connections = 1;
     limits.client_startup_timeout_when_full = Duration::ZERO;
     let (server, handed_over) = TestServer::handing_over(limits);
-    // It lingers for a client that does not close.
+    // This connection lingers, because its client does not close.
     let lingering = server.connect();
     let (connection, release) = handed_over.recv_timeout(LONG).unwrap();
     drop((connection, release));
     assert_closed_without_reset(&lingering);
     let idle = server.connect();
-    let (connection, release) = handed_over.recv_timeout(LONG).expect("room where one lingered");
+    let (connection, release) = handed_over.recv_timeout(LONG).expect("the lingering connection is evicted");
     let mut next = server.connect();
     assert_closed_without_reset(&idle);
-    assert!(!connection.begin_command(false), "accepted after the close");
+    assert!(!connection.begin_command(false), "command accepted after the close");
     drop((connection, release));
-    let (connection, _release) = handed_over.recv_timeout(LONG).expect("room where one was idle");
+    let (connection, _release) = handed_over.recv_timeout(LONG).expect("the idle connection is evicted");
     next.write_all(b"request").unwrap();
     wait_until_readable(&connection);
     // A connection with a command in flight is not evicted, however many connect.
--- a/client-listener/tests/connections/main.rs
+++ b/client-listener/tests/connections/main.rs
@@ -1,5 +1,5 @@
-//! Clients' connections on loopback sockets, and how they close: a command that a client sent is carried out or never
-//! accepted, and its response arrives complete.
+//! Client connections on loopback sockets, and how they close: every command is either rejected or executed,
+//! and the response to an executed command arrives complete.
 mod closing;
 mod limits;
 mod shutdown;
--- a/client-listener/tests/connections/shutdown.rs
+++ b/client-listener/tests/connections/shutdown.rs
@@ -22,11 +22,11 @@
     client.read_exact(&mut received).unwrap();
     server.shut_down();
     assert_closed_without_reset(&client);
-    // Our own close does not look like a disconnect of the client.
-    assert!(!receiving_side_ended(&connection.socket), "the receiving side was shut down by ourselves");
+    // The server's own close must not look like a disconnect of the client.
+    assert!(!receiving_side_ended(&connection.socket), "the server has shut down its receiving side");
     client.write_all(b"2").unwrap();
-    readers_ended.recv_timeout(LONG).expect("the reader ends with the bytes that crossed the close");
-    assert!(commands.try_recv().is_err(), "accepted after the close");
+    readers_ended.recv_timeout(LONG).expect("the reader ends when bytes arrive after the close");
+    assert!(commands.try_recv().is_err(), "command accepted after the close");
     let weak = Arc::downgrade(&connection);
     drop(connection);
     client.shutdown(Shutdown::Write).unwrap();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn stop_reading_answers_commands_in_flight_and_accepts_no_later_ones() {
+fn stop_reading_finishes_commands_in_flight_and_accepts_no_later_ones() {
     let mut limits = test_limits();
     limits.client_linger_timeout = Duration::from_millis(50);
     let ByteCommands { server, commands, readers_ended, keep_open } = byte_commands(limits);
@@ -63,15 +63,16 @@
     commands.recv_timeout(LONG).unwrap();
     let idle = server.connect();
     server.shut_down();
-    wait_until("the policy to stop reading", || connection.reading_stopped());
-    // Another connection is closed and at last its reader woken: by then the policy was applied to each several times.
+    wait_until("the policy is to stop reading", || connection.reading_stopped());
+    // The idle connection closes and its reader is woken after that. By then the close policy has been
+    // applied several times to each connection.
     assert_closed_without_reset(&idle);
     readers_ended.recv_timeout(LONG).unwrap();
-    assert!(!receiving_side_ended(&connection.socket), "the receiving side was shut down by ourselves");
-    // A whole command arrives after the policy changed.
+    assert!(!receiving_side_ended(&connection.socket), "the server has shut down its receiving side");
+    // A whole command arrives after the close policy changed.
     client.write_all(b"3").unwrap();
     readers_ended.recv_timeout(LONG).unwrap();
-    assert!(commands.try_recv().is_err(), "accepted after the policy changed");
+    assert!(commands.try_recv().is_err(), "command accepted after the policy changed");
     respond(&connection, b"one");
     respond(&connection, b"two");
     let mut received = [0; 6];
@@ -86,12 +87,13 @@
 fn last_response_closes_connection_with_half_read_command() {
     let (half_read, half_commands) = unbounded();
     let (reader_ended, readers_ended) = unbounded();
-    let (keep_open, kept_open) = bounded::<()>(0);
+    let (keep_open, released) = bounded::<()>(0);
     let server = TestServer::start(test_limits(), move |connection| {
         let mut reader = connection.command_reader(false);
         let mut byte = [0];
         let begun = connection.begin_command(false);
-        // The connection that wakes the accept thread sends nothing, and may be closed before its thread runs.
+        // The connection that wakes the accept thread sends nothing, and may be closed before its own thread
+        // runs.
         if reader.read_exact(&mut byte).is_err() {
             if begun {
                 connection.finish_command();
@@ -100,22 +102,22 @@
         }
         assert!(begun);
         half_read.send(connection.clone()).unwrap();
-        // The second half, which arrives too late.
+        // Waits for the second half of the command, which arrives too late.
         reader_ended.send(reader.read(&mut byte).map_err(|e| e.kind())).unwrap();
-        _ = kept_open.recv();
+        _ = released.recv();
     });
     let mut client = server.connect();
     client.write_all(b"h").unwrap();
     let connection = half_commands.recv_timeout(LONG).unwrap();
     assert_eq!(connection.socket_state(), SocketState::Idle);
     server.shut_down();
-    wait_until("the policy to stop reading", || connection.reading_stopped());
+    wait_until("the policy is to stop reading", || connection.reading_stopped());
     respond(&connection, b"one");
     let mut received = [0; 3];
     client.read_exact(&mut received).unwrap();
     assert_closed_without_reset(&client);
     client.write_all(b"alf").unwrap();
-    assert_eq!(readers_ended.recv_timeout(LONG).unwrap(), Ok(0), "returned after the close");
+    assert_eq!(readers_ended.recv_timeout(LONG).unwrap(), Ok(0), "bytes returned after the close");
     assert!(!connection.begin_command(false));
     drop((connection, client, keep_open));
     server.wait_until_stopped();
@@ -129,7 +131,8 @@
     let ByteCommands { server, commands, readers_ended, keep_open } = byte_commands(limits);
     let mut clients: Vec<TcpStream> = (0..4).map(|_| server.connect()).collect();
     clients[0].write_all(b"0").unwrap();
-    // At the limit, and none may be evicted: the others wait.
+    // The server is at the connection limit and no connection may be evicted, so the others stay in the
+    // listen backlog.
     let (first, _) = commands.recv_timeout(LONG).unwrap();
     for (n, client) in clients.iter_mut().enumerate().skip(1) {
         client.write_all(&[b'0' + n as u8]).unwrap();
--- a/client-listener/tests/connections/support.rs
+++ b/client-listener/tests/connections/support.rs
@@ -1,4 +1,4 @@
-//! Servers on loopback sockets whose handlers do as a test says, and checks of what their clients see.
+//! Servers on loopback sockets with handlers that a test controls, and checks of what their clients observe.
 use client_listener::{ClientListener, ClientServer, Connection, ConnectionHandler, ServerCommand};
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use routing::RequestId;
@@ -12,15 +12,15 @@
 use std::sync::{Arc, Weak};
 use std::time::{Duration, Instant};
 
-/// Timeout that only a failure reaches.
+/// Timeout that passes only if a test fails.
 pub(crate) const LONG: Duration = Duration::from_secs(20);
 
 type HandlerFn = dyn Fn(&Arc<Connection>) + Send + Sync;
 
-/// A connection, and what makes its handler return when sent to or dropped.
+/// A connection, and a channel that makes its handler return when a message is sent or the sender is dropped.
 pub(crate) type HandedOver = (Arc<Connection>, Sender<()>);
 
-/// A handler that does as the test says.
+/// A connection handler that calls a function of the test.
 struct Handler(Box<HandlerFn>);
 
 impl ConnectionHandler for Handler {
@@ -31,7 +31,7 @@
     fn reject(&self, _: &Connection) {}
 
     fn client_disconnected(&self, request: RequestId) {
-        panic!("{request:?}: this handler submits none");
+        panic!("{request:?}: this handler submits no requests");
     }
 }
 
@@ -40,7 +40,7 @@
         ProcessResources { descriptors: 64, memory_bytes: 64 << 20 },
         RequestTimes { connect_timeout: LONG, backend_keepalive: LONG, longest_deadline: LONG },
     );
-    // No timeout passes unless a test sets it.
+    // Timeouts are too long to pass unless a test shortens them.
     (
         limits.client_first_request_timeout,
         limits.client_idle_timeout,
@@ -77,12 +77,13 @@
         TestServer { address, commands, stopped }
     }
 
-    /// A server whose handler hands each connection over to the test and returns once the test says so.
+    /// Starts a server whose handler sends each connection to the test and returns once the test releases it.
     pub(crate) fn handing_over(limits: Limits) -> (TestServer, Receiver<HandedOver>) {
         let (sender, handed_over) = unbounded();
         let server = TestServer::start(limits, move |connection| {
             let (release, released) = bounded(0);
-            // A message or a drop ends it; a connection that comes after the test's end is nobody's.
+            // The handler returns when the test sends a message or drops the sender. Sending fails for a
+            // connection that is accepted after the test has ended.
             if sender.send((connection.clone(), release)).is_ok() {
                 _ = released.recv();
             }
@@ -108,50 +109,50 @@
 pub(crate) fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < LONG, "never: {what}");
+        assert!(started.elapsed() < LONG, "timed out waiting until {what}");
         std::thread::yield_now();
     }
 }
 
-/// Waits until unread bytes have arrived.
+/// Waits until the connection has unread bytes.
 pub(crate) fn wait_until_readable(connection: &Connection) {
-    wait_until("bytes from the client", || peek(&connection.socket).is_ok_and(|n| n > 0));
+    wait_until("bytes have arrived from the client", || peek(&connection.socket).is_ok_and(|n| n > 0));
 }
 
-/// Waits until nobody holds the connection any more, so that its descriptor is closed.
+/// Waits until no reference to the connection is left, so that its descriptor is closed.
 pub(crate) fn wait_until_dropped(connection: &Weak<Connection>) {
     wait_until("the descriptor is closed", || connection.strong_count() == 0);
 }
 
-/// Whether the receiving side of a socket has ended, by the client or by ourselves.
+/// Returns whether the receiving side of a socket has ended, closed by the client or by the server.
 pub(crate) fn receiving_side_ended(socket: &TcpStream) -> bool {
     let mut poll = libc::pollfd { fd: socket.as_raw_fd(), events: libc::POLLRDHUP, revents: 0 };
-    // SAFETY: it is given one entry, which outlives the call.
+    // SAFETY: the array has one entry, which outlives the call.
     assert!(unsafe { libc::poll(&raw mut poll, 1, 0) } >= 0);
     poll.revents & (libc::POLLRDHUP | libc::POLLHUP) != 0
 }
 
-/// Checks that the client sees an end of stream, not a reset.
+/// Asserts that the client sees an end of stream, not a reset.
 pub(crate) fn assert_closed_without_reset(mut client: &TcpStream) {
     let mut byte = [0];
     assert_eq!(client.read(&mut byte).unwrap(), 0, "end of stream");
     assert!(SockRef::from(client).take_error().unwrap().is_none(), "no reset");
 }
 
-/// A server whose handler takes each byte for a command and leaves responses to the test.
+/// A server whose handler treats each byte as a command and leaves the responses to the test.
 pub(crate) struct ByteCommands {
     pub(crate) server: TestServer,
     pub(crate) commands: Receiver<(Arc<Connection>, u8)>,
-    /// Gets a message for each reader that has ended.
+    /// Receives a message for each reader that has ended.
     pub(crate) readers_ended: Receiver<()>,
-    /// While this is held, handlers do not return after their reader has ended.
+    /// Until this is dropped, handlers do not return after their reader has ended.
     pub(crate) keep_open: Sender<()>,
 }
 
 pub(crate) fn byte_commands(limits: Limits) -> ByteCommands {
     let (command_sender, commands) = unbounded();
     let (reader_ended, readers_ended) = unbounded();
-    let (keep_open, kept_open) = bounded(0);
+    let (keep_open, released) = bounded(0);
     let server = TestServer::start(limits, move |connection| {
         let mut byte = [0];
         while connection.command_reader(false).read(&mut byte).is_ok_and(|n| n > 0)
@@ -160,7 +161,7 @@
             command_sender.send((connection.clone(), byte[0])).unwrap();
         }
         reader_ended.send(()).unwrap();
-        _ = kept_open.recv();
+        _ = released.recv();
     });
     ByteCommands { server, commands, readers_ended, keep_open }
 }
--- a/client-listener/tests/in_flight_commands.rs
+++ b/client-listener/tests/in_flight_commands.rs
@@ -1,39 +1,40 @@
-//! The counter of commands in flight: every order in which the threads of a connection may use it.
+//! The counter of commands in flight, tested in every order in which the threads of a connection can use it.
 use routing::permit::CommandGate;
 
-/// A step of one thread. Between two steps of one thread any steps of others may come.
+/// One step of a thread. Steps of other threads may run between any two steps of a thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// The reader has read a command.
+    /// The reader counts a command that it has read.
     Begin,
-    /// The writer has the oldest response, and checks whether it is the last.
+    /// The writer checks whether the oldest response is the last one.
     CheckLast,
-    /// It writes the response.
+    /// The writer writes the response.
     Write,
-    /// It finishes the command, and closes the connection if that was the last one.
+    /// The writer finishes the command, and closes the connection if the response was the last one.
     Finish,
-    /// Shutdown, eviction or an idle timeout closes the connection if nothing is in flight.
+    /// Shutdown, eviction or an idle timeout closes the connection if no command is in flight.
     CloseIfIdle,
-    /// A thread closes it whatever is in flight: its client takes no response.
+    /// A thread closes the connection even with commands in flight, because its client does not read
+    /// responses.
     Close,
 }
 
-/// One connection, and what has happened on it.
+/// Model of one connection, with counts of what has happened on it.
 #[derive(Default)]
 struct Model {
     commands: CommandGate,
     accepted: usize,
     written: usize,
     finished: usize,
-    /// How often the connection was closed in order, behind its last response.
+    /// How often the connection was closed after its last response.
     orderly_closes: usize,
-    /// A thread closed it whatever was in flight.
-    closed_by_force: bool,
+    /// Whether a thread closed the connection with [`Step::Close`].
+    force_closed: bool,
     rejected: usize,
 }
 
 impl Model {
-    /// Whether a thread can't take this step yet.
+    /// Returns whether a thread cannot take this step yet.
     fn is_blocked(&self, step: Step) -> bool {
         match step {
             Step::CheckLast | Step::Write => self.written == self.accepted,
@@ -47,7 +48,7 @@
         match step {
             Step::Begin => {
                 let accepted = self.commands.permit_command().is_ok();
-                assert_eq!(accepted, !was_closed, "accepted once closed, or rejected before");
+                assert_eq!(accepted, !was_closed, "accepted after the close, or rejected before it");
                 self.accepted += usize::from(accepted);
                 self.rejected += usize::from(!accepted);
             }
@@ -58,7 +59,7 @@
                 assert_eq!(
                     self.commands.is_closed(),
                     was_closed || last,
-                    "closed though neither idle nor last"
+                    "closed although neither idle nor at the last response"
                 );
             }
             Step::Write => self.written += 1,
@@ -66,7 +67,7 @@
                 self.finished += 1;
                 if self.commands.finish() {
                     assert!(self.commands.is_closed());
-                    self.close_in_order();
+                    self.check_close();
                 }
             }
             Step::CloseIfIdle => {
@@ -74,27 +75,28 @@
                 assert_eq!(
                     self.commands.is_closed(),
                     was_closed || idle,
-                    "closed though neither idle nor last"
+                    "closed although neither idle nor at the last response"
                 );
                 if idle {
-                    self.close_in_order();
+                    self.check_close();
                 }
             }
             Step::Close => {
                 self.commands.close();
-                self.closed_by_force = true;
+                self.force_closed = true;
             }
         }
         assert_eq!(self.commands.count(), self.accepted - self.finished);
     }
 
-    /// The connection closes: every accepted command has its response, and none is accepted any more.
-    fn close_in_order(&mut self) {
+    /// Checks at a close that every accepted command has its response, and that no further command is
+    /// accepted.
+    fn check_close(&mut self) {
         self.orderly_closes += 1;
         assert_eq!(
             (self.accepted, self.accepted),
             (self.written, self.finished),
-            "a response is lost to the close"
+            "a response is lost at the close"
         );
         assert!(
             self.commands.is_closed() && self.commands.permit_command().is_err(),
@@ -103,7 +105,7 @@
     }
 }
 
-/// Runs every order of these threads' steps from the start, and counts the orders.
+/// Runs every interleaving of the threads' steps, each from a new model, and returns how many there are.
 fn explore(threads: &[&[Step]]) -> usize {
     let mut orders = 0;
     let mut unexplored = vec![Vec::new()];
@@ -117,7 +119,7 @@
         let mut finished = true;
         for (thread, steps) in threads.iter().enumerate() {
             let Some(&step) = steps.get(next_steps[thread]) else { continue };
-            // A blocked thread is tried again after every other step.
+            // A blocked thread is checked again after each step of another thread.
             if !model.is_blocked(step) {
                 finished = false;
                 let mut longer_order = order.clone();
@@ -129,16 +131,17 @@
             orders += 1;
             assert_eq!(
                 model.finished, model.accepted,
-                "{order:?}: the writer answers every accepted command"
+                "{order:?}: the writer responds to every accepted command"
             );
-            // Closed once by the counter; a forced close beside it may come before the last response.
+            // The counter closes the connection at most once; a [`Step::Close`] in parallel may come before
+            // the last response.
             assert!(
-                model.orderly_closes <= 1 || model.closed_by_force && model.orderly_closes <= 2,
+                model.orderly_closes <= 1 || model.force_closed && model.orderly_closes <= 2,
                 "{order:?}: {} closes",
                 model.orderly_closes
             );
-            let played = threads.iter().zip(&next_steps).flat_map(|(steps, n)| &steps[..*n]);
-            let attempted = played.filter(|s| **s == Step::Begin).count();
+            let executed = threads.iter().zip(&next_steps).flat_map(|(steps, n)| &steps[..*n]);
+            let attempted = executed.filter(|s| **s == Step::Begin).count();
             assert_eq!(model.accepted + model.rejected, attempted, "{order:?}");
         }
     }
@@ -149,14 +152,14 @@
 fn no_order_of_reader_writer_and_closes_accepts_late_command_or_loses_response() {
     use Step::{Begin, CheckLast, Close, CloseIfIdle, Finish, Write};
     let writer = [CheckLast, Write, Finish, CheckLast, Write, Finish];
-    // A reader and a writer, while shutdown and eviction close connections.
+    // A reader and a writer, while shutdown and eviction close the connection.
     assert_ne!(explore(&[&[Begin, Begin], &writer, &[CloseIfIdle, CloseIfIdle]]), 0);
     assert_ne!(explore(&[&[Begin, Begin], &writer, &[CloseIfIdle], &[CloseIfIdle]]), 0);
-    // The writer finds that its client takes no responses.
+    // The client does not read responses, so the writer closes the connection.
     assert_ne!(explore(&[&[Begin, Begin], &writer, &[CloseIfIdle], &[Close]]), 0);
-    // Commands answered on the reader's own thread.
-    let alone = [Begin, CheckLast, Write, Finish, CloseIfIdle, Begin, CheckLast, Write, Finish];
-    assert_ne!(explore(&[&alone, &[CloseIfIdle, CloseIfIdle], &[Close]]), 0);
+    // Commands whose responses are written on the reader's own thread.
+    let single_thread = [Begin, CheckLast, Write, Finish, CloseIfIdle, Begin, CheckLast, Write, Finish];
+    assert_ne!(explore(&[&single_thread, &[CloseIfIdle, CloseIfIdle], &[Close]]), 0);
 }
 
 #[test]
@@ -165,16 +168,16 @@
     assert!(commands.permit_command().is_ok() && commands.permit_command().is_ok());
     assert!(
         commands.permit_last_response().is_err() && commands.permit_idle_close().is_err(),
-        "two are in flight"
+        "two commands are in flight"
     );
     commands.close();
     assert!(commands.is_closed() && commands.permit_command().is_err());
     assert_eq!(commands.count(), 2);
     assert!(
         commands.permit_last_response().is_err() && commands.permit_idle_close().is_err(),
-        "it is closed already"
+        "the connection is closed already"
     );
     assert!(!commands.finish());
-    assert!(commands.finish(), "the last one closes the connection");
+    assert!(commands.finish(), "the last command closes the connection");
     assert!(commands.permit_command().is_err() && commands.permit_idle_close().is_err());
 }
--- a/client-listener/tests/in_flight_requests.rs
+++ b/client-listener/tests/in_flight_requests.rs
@@ -1,4 +1,4 @@
-//! The requests in flight on a connection and the disconnect of its client, in any order.
+//! Requests in flight on a connection when its client disconnects, in any order of the two.
 use client_listener::in_flight_requests::InFlightRequests;
 use routing::RequestId;
 use std::sync::{Barrier, Mutex};
@@ -18,7 +18,7 @@
     assert_eq!(cancelled, [RequestId(2), RequestId(3)]);
     assert!(requests.is_disconnected());
     assert_eq!(requests.disconnect(|id| cancelled.push(id)), None);
-    assert!(!requests.finish(RequestId(2)), "the disconnect has removed it");
+    assert!(!requests.finish(RequestId(2)), "the disconnect has removed the request");
     assert_eq!(requests.begin(|| unreachable!("submitted after the disconnect")), None);
     assert_eq!(requests.oldest(), None);
 }
--- a/client-listener/tests/recorded_run.rs
+++ b/client-listener/tests/recorded_run.rs
@@ -1,5 +1,6 @@
-//! A recorded run of the shutdown state machine: seeded events in, actions out. The file under `fixtures/` was written
-//! by the program before its types were renamed; the present code has to take the same actions at the same moments.
+//! A recorded run of the shutdown state machine: seeded random events in, actions out. The file under
+//! `fixtures/` was written before the types were renamed; the present code has to produce the same actions at
+//! the same times.
 use client_listener::shutdown::{Action, ClosePolicy, Event, GracefulShutdown, ShutdownTimes};
 use std::fmt::Write;
 use std::time::Duration;
@@ -8,16 +9,16 @@
 
 const FIXTURES: Fixtures = testkit::fixtures!();
 
-/// Independent servers in the run, each with its own events.
+/// Number of independent servers in the run, each with its own events.
 const SERVERS: u64 = 24;
 
-/// Events that each server gets, at most.
+/// Maximum number of events per server.
 const EVENTS_PER_SERVER: u64 = 60;
 
-/// Events that each server gets after its shutdown is complete.
+/// Number of events that each server receives after its shutdown is complete.
 const EVENTS_AFTER_COMPLETION: u64 = 3;
 
-/// Drains and ticks often, a shutdown seldom: most of a run happens before it.
+/// Returns drains and ticks often and a shutdown rarely, so that most of a run happens before the shutdown.
 fn random_event(random: &mut LinearCongruential) -> Event {
     match random.below(40) {
         0..5 => Event::SetDraining(random.coin()),
@@ -57,7 +58,8 @@
     }
 }
 
-/// Plays all servers and gives a line for each event: milliseconds, event, whether ticks are wanted, actions.
+/// Runs all servers and returns one line per event: time in milliseconds, event, whether ticks are needed,
+/// actions.
 fn run() -> String {
     let mut random = LinearCongruential::new(20);
     let mut text = String::new();
--- a/client-listener/tests/shutdown.rs
+++ b/client-listener/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown state machine: when its stages begin, and what holds in any order of events.
+//! The shutdown state machine: when its stages begin, and which invariants hold in any order of events.
 use client_listener::shutdown::{Action, ClosePolicy, Event, GracefulShutdown, ShutdownTimes};
 use proptest::prelude::*;
 use std::time::Duration;
@@ -34,12 +34,12 @@
     assert_eq!(
         handle(&mut server, 300, Event::SetDraining(true)),
         [],
-        "a second command changes nothing, not the start either"
+        "a repeated command has no effect and does not move the start of the drain"
     );
     assert_eq!(tick(&mut server, 599, 9), []);
     assert_eq!(tick(&mut server, 600, 9), [Action::SetClosePolicy(ClosePolicy::CloseWhenIdle)]);
     assert_eq!(tick(&mut server, 1600, 2), [Action::SetClosePolicy(ClosePolicy::StopReading)]);
-    assert_eq!(tick(&mut server, 9000, 0), [], "the process goes on with nobody connected");
+    assert_eq!(tick(&mut server, 9000, 0), [], "a drained process goes on without connections");
     assert_eq!(
         handle(&mut server, 9001, Event::SetDraining(false)),
         [Action::ReportDraining(false), Action::SetClosePolicy(ClosePolicy::KeepOpen)]
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn shutdown_accepts_through_grace_and_completes_when_all_closed_or_at_deadline() {
+fn shutdown_accepts_through_grace_and_completes_when_no_connections_or_at_deadline() {
     let mut server = new_server();
     assert_eq!(handle(&mut server, 0, Event::Shutdown { successor: false }), []);
     assert_eq!(tick(&mut server, 599, 0), [], "clients may still connect");
@@ -75,7 +75,11 @@
     let actions = handle(&mut server, 200, Event::SetSuccessor(true));
     assert_eq!(actions, [Action::StopAccepting, Action::SetClosePolicy(ClosePolicy::CloseWhenIdle)]);
     let mut server = new_server();
-    assert_eq!(handle(&mut server, 0, Event::SetSuccessor(true)), [], "a successor alone starts no shutdown");
+    assert_eq!(
+        handle(&mut server, 0, Event::SetSuccessor(true)),
+        [],
+        "a successor alone does not start a shutdown"
+    );
 }
 
 #[test]
@@ -86,7 +90,11 @@
     assert_eq!(handle(&mut server, 1600, Event::Shutdown { successor: false }), []);
     assert_eq!(tick(&mut server, 2200, 1), [Action::StopAccepting]);
     let actions = handle(&mut server, 2300, Event::SetDraining(false));
-    assert_eq!(actions, [Action::ReportDraining(false)], "the shutdown goes on and relaxes nothing");
+    assert_eq!(
+        actions,
+        [Action::ReportDraining(false)],
+        "the shutdown continues without relaxing the policy"
+    );
     assert_eq!(tick(&mut server, 2450, 1), [], "reading stays stopped");
     assert_eq!(tick(&mut server, 2451, 0), [Action::Complete]);
     let mut server = new_server();
@@ -96,7 +104,7 @@
     assert_eq!(tick(&mut server, 851, 0), [Action::Complete]);
 }
 
-/// The milliseconds until the next event, and that event.
+/// Generates the milliseconds until the next event, and that event.
 fn event() -> impl Strategy<Value = (u64, Event)> {
     let event = prop_oneof![
         any::<bool>().prop_map(Event::SetDraining),
@@ -111,12 +119,18 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn shutdown_completes_in_time_and_never_relaxes_in_any_order_of_events(events in prop::collection::vec(event(), 1..60)) {
+    fn shutdown_completes_in_time_and_never_relaxes_in_any_order_of_events(
+        events in prop::collection::vec(event(), 1..60)
+    ) {
         let mut server = new_server();
         let (mut now, mut shutdown_at) = (0, None);
         let (mut policy, mut stopped, mut complete) = (ClosePolicy::KeepOpen, false, false);
-        // However it went before, the last ticks come after the deadline.
-        let late = [(4000, Event::Shutdown { successor: false }), (4000, Event::Tick { open_connections: 1 }), (1, Event::Tick { open_connections: 0 })];
+        // Whatever the random events are, the last ticks come after the deadline.
+        let late = [
+            (4000, Event::Shutdown { successor: false }),
+            (4000, Event::Tick { open_connections: 1 }),
+            (1, Event::Tick { open_connections: 0 })
+        ];
         for (later, event) in events.into_iter().chain(late) {
             now += later;
             if matches!(event, Event::Shutdown { .. }) {
@@ -132,13 +146,15 @@
                         stopped = true;
                     }
                     Action::SetClosePolicy(to) => {
-                        prop_assert!(to != policy, "{to:?} once more");
-                        prop_assert!(shutdown_at.is_none() || to > policy, "from {policy:?} back to {to:?}");
+                        prop_assert!(to != policy, "policy {to:?} set twice");
+                        prop_assert!(shutdown_at.is_none() || to > policy, "{policy:?} relaxed to {to:?}");
                         policy = to;
                     }
                     Action::Complete => {
-                        let nobody = matches!(event, Event::Tick { open_connections: 0 });
-                        prop_assert!(stopped && (nobody || since >= Some(3600)), "{event:?} at {since:?}");
+                        let all_closed = matches!(event, Event::Tick { open_connections: 0 });
+                        prop_assert!(
+                            stopped && (all_closed || since >= Some(3600)), "{event:?} at {since:?}"
+                        );
                         complete = true;
                     }
                     Action::ReportDraining(_) => {}
@@ -147,7 +163,7 @@
             prop_assert!(complete || since < Some(600) || (stopped && policy > ClosePolicy::KeepOpen));
             prop_assert!(complete || since < Some(850) || policy == ClosePolicy::StopReading);
             prop_assert!(complete || since < Some(3600), "not complete at {since:?}");
-            prop_assert!(server.needs_ticks() || complete || shutdown_at.is_none(), "no tick would follow");
+            prop_assert!(server.needs_ticks() || complete || shutdown_at.is_none(), "no tick requested");
         }
         prop_assert!(complete);
     }
