--- a/client-listener/src/connection/closing.rs
+++ b/client-listener/src/connection/closing.rs
@@ -126,9 +126,7 @@
             ClosePolicy::KeepOpen => false,
             // Bytes that were read or are waiting in the socket belong to a command that has to be executed;
             // the rest of it may still be on its way.
-            ClosePolicy::CloseWhenIdle => {
-                !self.command_started.load(Ordering::SeqCst) && self.has_nothing_to_read()
-            }
+            ClosePolicy::CloseWhenIdle => !self.command_started.load(Ordering::SeqCst) && self.has_no_input(),
             // Whole commands that have been read are executed. A reader that waits for the socket holds no
             // whole command.
             ClosePolicy::StopReading => {
@@ -143,7 +141,7 @@
     }
 
     /// Returns whether the socket is open with no bytes to read.
-    pub(super) fn has_nothing_to_read(&self) -> bool {
+    pub(super) fn has_no_input(&self) -> bool {
         is_idle_and_open(&self.socket)
     }
 
--- a/client-listener/src/connection/idle.rs
+++ b/client-listener/src/connection/idle.rs
@@ -28,7 +28,7 @@
         } else {
             self.limits.client_first_request_timeout.saturating_sub(self.idle_since() - self.opened_at)
         };
-        self.idle_since().elapsed() >= timeout && self.close_if_nothing_to_read(CloseReason::IdleTimeout)
+        self.idle_since().elapsed() >= timeout && self.close_if_no_input(CloseReason::IdleTimeout)
     }
 
     /// Returns how long the connection may be idle between commands. The platform assigns each router a share
@@ -59,7 +59,7 @@
             self.shut_down_both();
             return true;
         }
-        self.close_if_nothing_to_read(CloseReason::Evicted)
+        self.close_if_no_input(CloseReason::Evicted)
     }
 
     /// Returns how long the connection has to be idle before it may be evicted.
@@ -80,8 +80,8 @@
 
     /// Closes the connection immediately if no command is in flight and no bytes have arrived. Its last
     /// response was received long ago, so an immediate close cannot discard it.
-    fn close_if_nothing_to_read(&self, reason: CloseReason) -> bool {
-        let closed = self.has_nothing_to_read() && self.commands.permit_idle_close().is_ok();
+    fn close_if_no_input(&self, reason: CloseReason) -> bool {
+        let closed = self.has_no_input() && self.commands.permit_idle_close().is_ok();
         if closed {
             self.set_close_reason(reason);
             self.shut_down_both();
--- a/client-listener/src/server/accept.rs
+++ b/client-listener/src/server/accept.rs
@@ -41,25 +41,25 @@
     /// Accepts connections until the server stops accepting.
     pub(super) fn accept_loop(self: &Arc<Self>, listener: &ClientListener) {
         let mut last_logged: Option<Instant> = None;
-        let mut pending = Vec::new();
+        let mut pending_connections = Vec::new();
         while self.accepting.load(Ordering::Acquire) {
             // While connections wait for a thread, attempts to start one alternate with accepts.
-            if !pending.is_empty() && !listener.wait_until_ready(THREAD_RETRY_INTERVAL) {
-                self.start_pending(&mut pending);
+            if !pending_connections.is_empty() && !listener.wait_until_ready(THREAD_RETRY_INTERVAL) {
+                self.start_pending(&mut pending_connections);
                 continue;
             }
             match listener.accept() {
                 Ok(Some((socket, address))) => {
                     let accepted_at = Instant::now();
                     self.wait_for_capacity();
-                    pending.extend(self.start_connection(socket, address, accepted_at));
+                    pending_connections.extend(self.start_connection(socket, address, accepted_at));
                 }
                 Ok(None) => {}
                 Err(e) => self.handle_accept_error(&e, &mut last_logged),
             }
-            self.start_pending(&mut pending);
+            self.start_pending(&mut pending_connections);
         }
-        self.start_all(pending);
+        self.start_all(pending_connections);
     }
 
     /// Handles a failed accept: the process is out of descriptors, or a client disconnected before it was
@@ -106,8 +106,8 @@
     ) {
         let accepted_at = Instant::now();
         let start = |(socket, address)| self.start_connection(socket, address, accepted_at);
-        let pending = accepted.filter_map(start).collect();
-        self.start_all(pending);
+        let pending_connections = accepted.filter_map(start).collect();
+        self.start_all(pending_connections);
     }
 
     /// Serves an accepted connection on a thread of its own; returns the connection if no thread can be
@@ -158,15 +158,15 @@
     }
 
     /// Tries once to start the threads of the waiting connections.
-    fn start_pending(&self, pending: &mut Vec<PendingConnection>) {
-        let taken = std::mem::take(pending);
-        pending.extend(taken.into_iter().filter_map(|connection| self.try_start(connection)));
+    fn start_pending(&self, pending_connections: &mut Vec<PendingConnection>) {
+        let taken = std::mem::take(pending_connections);
+        pending_connections.extend(taken.into_iter().filter_map(|connection| self.try_start(connection)));
     }
 
     /// Starts the threads of the waiting connections, and returns once none is left.
-    fn start_all(&self, mut pending: Vec<PendingConnection>) {
-        while !pending.is_empty() {
-            self.start_pending(&mut pending);
+    fn start_all(&self, mut pending_connections: Vec<PendingConnection>) {
+        while !pending_connections.is_empty() {
+            self.start_pending(&mut pending_connections);
             std::thread::sleep(THREAD_RETRY_INTERVAL);
         }
     }
--- a/client-listener/tests/shutdown.rs
+++ b/client-listener/tests/shutdown.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn shutdown_accepts_through_grace_and_completes_when_no_connections_or_at_deadline() {
+fn shutdown_accepts_through_grace_and_completes_when_all_closed_or_at_deadline() {
     let mut server = new_server();
     assert_eq!(handle(&mut server, 0, Event::Shutdown { successor: false }), []);
     assert_eq!(tick(&mut server, 599, 0), [], "clients may still connect");
