--- a/client-listener/src/in_flight_requests.rs
+++ b/client-listener/src/in_flight_requests.rs
@@ -32,8 +32,8 @@
     /// it already.
     pub fn finish(&self, id: RequestId) -> bool {
         let mut state = self.lock();
-        let position = state.requests.iter().position(|request| *request == id);
-        position.map(|position| state.requests.remove(position)).is_some()
+        let index = state.requests.iter().position(|request| *request == id);
+        index.map(|index| state.requests.remove(index)).is_some()
     }
 
     /// Returns the oldest request, whose response is due next.
--- a/http1/src/body.rs
+++ b/http1/src/body.rs
@@ -1,38 +1,38 @@
-//! The body of a response, as it comes.
-use crate::chunked::ChunkPosition;
+//! Incremental reading of a response body.
+use crate::chunked::ChunkState;
 use std::io::{self, BufRead, BufReader, Read};
 
-/// The most bytes that one read appends.
+/// Maximum number of bytes that one read appends.
 const MAX_READ_BYTES: u64 = 1 << 20;
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 pub(crate) enum Framing {
-    Chunked(ChunkPosition),
+    Chunked(ChunkState),
     ContentLength { remaining: u64 },
     UntilClose,
 }
 
 impl Framing {
-    /// How many bytes may be read now as part of the body; 0 at its end.
+    /// Returns how many bytes can be read now as part of the body; 0 at its end.
     fn readable_bytes(&mut self, from: &mut impl BufRead) -> io::Result<u64> {
         match self {
-            Framing::Chunked(position) => position.readable_bytes(from),
+            Framing::Chunked(state) => state.readable_bytes(from),
             Framing::ContentLength { remaining } => Ok(*remaining),
             Framing::UntilClose => Ok(u64::MAX),
         }
     }
 
-    /// So many bytes of the body have been read.
+    /// Records that this many bytes of the body have been read.
     fn advance(&mut self, bytes: u64) {
         match self {
-            Framing::Chunked(position) => position.advance(bytes),
+            Framing::Chunked(state) => state.advance(bytes),
             Framing::ContentLength { remaining } => *remaining -= bytes,
             Framing::UntilClose => {}
         }
     }
 }
 
-/// A response's body.
+/// The body of a response.
 pub struct Body<S> {
     from: BufReader<S>,
     framing: Framing,
@@ -43,13 +43,13 @@
         Body { from, framing }
     }
 
-    /// Waits for some bytes of the body and appends them to `to`. Returns how many came; 0 when the body has ended. How
-    /// much is kept is the caller's to bound.
+    /// Waits for bytes of the body and appends them to `to`. Returns the number of appended bytes; 0 at the
+    /// end of the body. The caller has to limit the total size.
     ///
     /// # Errors
-    /// The connection's, after which it can be called again if the connection can still be read: nothing is lost.
-    /// [`io::ErrorKind::UnexpectedEof`] if it ends between two chunks; [`io::ErrorKind::InvalidData`] if the chunks are
-    /// malformed.
+    /// Returns the connection's error. Reading can continue after it if the connection is still readable,
+    /// because no bytes are lost. Fails with [`io::ErrorKind::UnexpectedEof`] if the connection ends between
+    /// two chunks, and with [`io::ErrorKind::InvalidData`] if the chunks are malformed.
     pub fn read_available(&mut self, to: &mut Vec<u8>) -> io::Result<usize> {
         let readable = self.framing.readable_bytes(&mut self.from)?;
         if readable == 0 {
--- a/http1/src/chunked.rs
+++ b/http1/src/chunked.rs
@@ -1,29 +1,31 @@
-//! Position in a chunked body. It survives a read that fails midway: single bytes are consumed as they are understood.
+//! State of reading a chunked body. It remains valid when a read fails midway, because each byte of the chunk
+//! framing is consumed only when it has been processed.
 use crate::error::MalformedResponse;
 use std::io::{self, BufRead};
 
-/// The longest line with a chunk's size, in bytes.
+/// Maximum length of a line with a chunk's size, in bytes.
 const MAX_SIZE_LINE_BYTES: usize = 64;
-/// What ends a chunk.
+/// The line end after the data of a chunk.
 const CHUNK_END: &[u8] = b"\r\n";
 
-/// Where in a chunked body the next byte stands.
-pub(crate) struct ChunkPosition {
-    /// Bytes of the current chunk that have not been read.
+/// State of reading a chunked body: the chunk or size line to which the next byte belongs.
+pub(crate) struct ChunkState {
+    /// Number of bytes of the current chunk that have not been read.
     remaining: u64,
-    /// The part of the current chunk's end that has not been read.
+    /// The part of the current chunk's line end that has not been read.
     unread_end: &'static [u8],
-    /// The line with the next chunk's size, as far as it has been read.
+    /// The part of the next chunk's size line that has been read.
     size_line: Vec<u8>,
 }
 
-impl ChunkPosition {
-    /// Before the first chunk.
-    pub(crate) fn at_start() -> ChunkPosition {
-        ChunkPosition { remaining: 0, unread_end: b"", size_line: Vec::new() }
+impl ChunkState {
+    /// Creates the state before the first chunk.
+    pub(crate) fn at_start() -> ChunkState {
+        ChunkState { remaining: 0, unread_end: b"", size_line: Vec::new() }
     }
 
-    /// How many bytes of the current chunk may be read now, behind its size line; 0 at the end of the body.
+    /// Returns how many bytes of the current chunk can be read now, after reading its size line if necessary;
+    /// 0 at the end of the body.
     pub(crate) fn readable_bytes(&mut self, from: &mut impl BufRead) -> io::Result<u64> {
         self.read_chunk_end(from)?;
         if self.remaining == 0 {
@@ -32,7 +34,7 @@
         Ok(self.remaining)
     }
 
-    /// So many bytes of the current chunk have been read.
+    /// Records that this many bytes of the current chunk have been read.
     pub(crate) fn advance(&mut self, bytes: u64) {
         self.remaining -= bytes;
         self.unread_end = if self.remaining == 0 { CHUNK_END } else { b"" };
@@ -62,7 +64,7 @@
 }
 
 fn parse_size(line: &[u8]) -> Result<u64, MalformedResponse> {
-    // The library takes a line without digits for the size 0.
+    // `httparse` accepts a line without digits as the size 0.
     let has_digits = line.first().is_some_and(u8::is_ascii_hexdigit);
     match httparse::parse_chunk_size(line) {
         Ok(httparse::Status::Complete((_, size))) if has_digits => Ok(size),
--- a/http1/src/error.rs
+++ b/http1/src/error.rs
@@ -1,7 +1,8 @@
-//! Why a response is malformed.
+//! Errors for malformed responses.
 use std::io;
 
-/// Why a response is malformed. It stands in an [`io::Error`] of the kind [`io::ErrorKind::InvalidData`].
+/// Why a response is malformed. It is the source of an [`io::Error`] of the kind
+/// [`io::ErrorKind::InvalidData`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedResponse {
     /// The connection ended within the head, or the head is longer than [`crate::MAX_HEAD_BYTES`].
@@ -10,16 +11,16 @@
     /// The status line or a header is malformed, or there are too many headers.
     #[error("the answer's head: {0}")]
     Head(httparse::Error),
-    /// The value of `Content-Length` is no length.
+    /// The value of `Content-Length` is not a valid length.
     #[error("expected a length, found '{0}'")]
     ContentLength(String),
-    /// A line with a chunk's size is longer than any that is accepted.
+    /// The line with a chunk's size is longer than accepted.
     #[error("a chunk's size is too long")]
     ChunkSizeTooLong,
-    /// A line with a chunk's size has none; its bytes are escaped.
+    /// The line with a chunk's size has no valid size; the field holds its bytes, escaped.
     #[error("expected a chunk's size, found '{0}'")]
     ChunkSize(String),
-    /// No end of line follows a chunk.
+    /// A chunk is not followed by an end of line.
     #[error("a chunk does not end where its size says")]
     ChunkEnd,
 }
--- a/http1/src/lib.rs
+++ b/http1/src/lib.rs
@@ -1,12 +1,13 @@
-//! Reading of HTTP/1.1 responses from any byte stream: the head, then the body as it comes, whether it is chunked, of a
-//! stated length, or up to the end of the connection.
+//! Reads HTTP/1.1 responses from any byte stream: the head, then the body incrementally. The body may be
+//! chunked, have a `Content-Length`, or last until the connection closes.
 //!
-//! `httparse` parses heads and the sizes of chunks. What is left by hand is the state between two reads: a body that was
-//! interrupted by [`std::io::ErrorKind::WouldBlock`] goes on where it stopped. The chunk decoders of the registry
-//! (`chunked_transfer` among them) lose the part of a size that they have read when a read fails, and accept size lines
-//! of any length.
+//! `httparse` parses heads and chunk sizes. This package adds the state between two reads: after
+//! [`std::io::ErrorKind::WouldBlock`], reading of a body continues where it stopped. The chunk decoders on
+//! crates.io (`chunked_transfer` among them) lose the part of a chunk size that they have read when a read
+//! fails, and accept size lines of any length.
 //!
-//! Malformed responses fail with [`std::io::ErrorKind::InvalidData`]; [`MalformedResponse`] is the source of the error.
+//! Reading a malformed response fails with [`std::io::ErrorKind::InvalidData`]; the source of the error is a
+//! [`MalformedResponse`].
 mod body;
 mod chunked;
 mod error;
--- a/http1/tests/bodies.rs
+++ b/http1/tests/bodies.rs
@@ -4,10 +4,10 @@
 use std::io::{self, BufReader, Cursor, Read};
 
 const CHUNKED: &str = "Transfer-Encoding: chunked\r\n";
-/// The longest line with a chunk's size, in bytes.
+/// Maximum length of a line with a chunk's size, in bytes.
 const MAX_SIZE_LINE_BYTES: usize = 64;
 
-/// Returns the head at once, and then a byte at a time with a timeout before each.
+/// Returns the head immediately, and then one byte of the body per read, with a timeout before each.
 struct SlowBody {
     head: Cursor<Vec<u8>>,
     body: VecDeque<u8>,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Reads a body that arrives slowly behind a head with these headers.
+/// Reads a body that arrives slowly after a head with these headers.
 fn read_slowly(headers: &str, body: &[u8]) -> io::Result<Vec<u8>> {
     let head = format!("HTTP/1.1 200 OK\r\n{headers}\r\n").into_bytes();
     let body = body.iter().copied().collect();
--- a/http1/tests/recorded_responses.rs
+++ b/http1/tests/recorded_responses.rs
@@ -1,9 +1,9 @@
-//! Well-formed, truncated, oversized and malformed responses, with the results that were recorded before the parser was
-//! last reworked: each file in `fixtures` has a line for each response.
+//! Well-formed, truncated, oversized and malformed responses. The files in `fixtures` hold the expected
+//! results, one line per response, recorded before the parser was last changed.
 use http1::{MAX_HEAD_BYTES, Response};
 use std::io::{self, BufReader, Read};
 
-/// One response and what reading it gives.
+/// One response, and the name under which its result is recorded.
 struct Case {
     name: &'static str,
     head: Vec<u8>,
@@ -14,7 +14,7 @@
     Case { name, head: head.as_ref().to_vec(), body: body.as_ref().to_vec() }
 }
 
-/// A case with these header lines behind a good status line.
+/// Returns a case with a valid status line and these header lines.
 fn with_headers(name: &'static str, headers: impl AsRef<[u8]>, body: impl AsRef<[u8]>) -> Case {
     let head = [b"HTTP/1.1 200 OK\r\n", headers.as_ref(), b"\r\n"].concat();
     case(name, head, body)
@@ -24,8 +24,8 @@
     with_headers(name, "Transfer-Encoding: chunked\r\n", body)
 }
 
-/// A head of exactly so many bytes.
-fn head_of(bytes: usize) -> String {
+/// Returns a head of exactly this many bytes.
+fn head_with_length(bytes: usize) -> String {
     let (before, after) = ("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX: ", "\r\n\r\n");
     format!("{before}{}{after}", "x".repeat(bytes - before.len() - after.len()))
 }
@@ -66,9 +66,9 @@
         case("head cut before its empty line", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n", ""),
         case("lines end in LF alone", "HTTP/1.1 200 OK\nContent-Length: 2\n\n", "ab"),
         case("one line ends in LF alone", "HTTP/1.1 200 OK\nContent-Length: 2\r\n\r\n", "ab"),
-        case("longest head", head_of(MAX_HEAD_BYTES), "abHTTP"),
-        case("head one byte too long", head_of(MAX_HEAD_BYTES + 1), "abHTTP"),
-        case("head twice too long", head_of(2 * MAX_HEAD_BYTES), "abHTTP"),
+        case("longest head", head_with_length(MAX_HEAD_BYTES), "abHTTP"),
+        case("head one byte too long", head_with_length(MAX_HEAD_BYTES + 1), "abHTTP"),
+        case("head twice too long", head_with_length(2 * MAX_HEAD_BYTES), "abHTTP"),
         with_headers("64 headers", many(64), "ab"),
         with_headers("65 headers", many(65), "ab"),
         with_headers("header without a colon", "Content-Length\r\n", "ab"),
@@ -176,12 +176,12 @@
     ]
 }
 
-/// How a connection returns the bytes of the body.
+/// How the connection delivers the bytes of the body.
 #[derive(Clone, Copy)]
 enum Delivery {
-    /// Together with the head.
+    /// Immediately after the head, in reads of any size.
     AtOnce,
-    /// One at a time, with a timeout before each.
+    /// One byte per read, with a timeout before each.
     ByteByByte,
 }
 
@@ -209,7 +209,7 @@
     }
 }
 
-/// Reads a response, and describes its status and body or the error.
+/// Reads a response, and returns a text with its status and body or with the error.
 fn read(case: &Case, delivery: Delivery) -> String {
     let source = Source { head: &case.head, body: &case.body, delivery, timed_out: false };
     let mut response = match Response::read(BufReader::with_capacity(2 * MAX_HEAD_BYTES, source)) {
@@ -232,7 +232,7 @@
     let cases: Vec<Case> = [status_lines(), heads(), lengths(), chunks()].into_iter().flatten().collect();
     let results: String =
         cases.iter().map(|case| format!("{}: {}\n", case.name, read(case, delivery))).collect();
-    // Line by line first: a difference is easier to read.
+    // The lines are compared first, because a difference between lines is easier to read.
     for (result, recorded) in results.lines().zip(recorded.lines()) {
         assert_eq!(result, recorded);
     }
--- a/postgres/src/backend.rs
+++ b/postgres/src/backend.rs
@@ -1,4 +1,5 @@
-//! Connections to instances: one request at a time on a connection that stays open in between.
+//! Connections to database instances. A connection stays open between requests and carries one request at a
+//! time.
 use crate::buffer::{Frame, MessageBuffer, ReadError};
 use crate::decode::error_fields;
 use crate::encode::{io_slices, push_message};
@@ -15,26 +16,27 @@
 use std::time::{Duration, Instant};
 
 /// `StartupMessage` of protocol 3.0 for the platform's user and database.
-const STARTUP: &[u8] = b"\0\0\0\x26\0\x03\0\0user\0worker\0database\0catalog\0\0";
-/// A Query without text. It has no effect and is answered at once with `EmptyQueryResponse`.
+const STARTUP_MESSAGE: &[u8] = b"\0\0\0\x26\0\x03\0\0user\0worker\0database\0catalog\0\0";
+/// A Query message without text. It has no effect, and the instance responds immediately with
+/// `EmptyQueryResponse`.
 const EMPTY_QUERY: &[u8] = b"Q\0\0\0\x05\0";
-/// The text of the probe's Query.
+/// Text of the Query message of a probe.
 const PROBE_QUERY: &[u8] = b"SHOW stats\0";
 
-/// The platform's wire protocol towards instances.
+/// The platform's wire protocol, client side, for connections to database instances.
 pub struct Postgres {
     limits: Arc<Limits>,
     wall_clock: WallClock,
 }
 
 impl Postgres {
-    /// The protocol within these limits. Times that instances state are converted to this clock.
+    /// Creates the protocol with these limits. Times that instances report are converted to this clock.
     pub fn new(limits: Arc<Limits>, clock: Clock) -> Self {
         Postgres { limits, wall_clock: WallClock::new(clock) }
     }
 }
 
-/// A connection to an instance.
+/// An open connection to a database instance.
 pub struct PostgresConnection {
     socket: ServerSocket,
     buffer: MessageBuffer,
@@ -45,17 +47,18 @@
 
 impl BackendProtocol for Postgres {
     type Payload = Statement;
-    /// `RowDescription`, `DataRow` and `CommandComplete`, as the instance wrote them.
+    /// `RowDescription`, `DataRow` and `CommandComplete`, byte for byte as the instance sent them.
     type Response = Vec<u8>;
     type Connection = PostgresConnection;
 
     fn connect(&self, addr: SocketAddr, permit: ConnectionPermit) -> Result<PostgresConnection, Outcome> {
         let failed = |_: io::Error| Outcome::ConnectFailed;
-        // One deadline for both: an instance that accepts late has less time for its greeting.
+        // One deadline covers connecting and the startup response, so an instance that is slow to accept has
+        // less time for its startup response.
         let deadline = Instant::now() + self.limits.backend_connect_timeout;
         let handshake = Handshake::connect(permit, addr, &self.limits)?;
-        handshake.write(&mut io_slices(&[STARTUP])).map_err(failed)?;
-        read_greeting(&handshake, deadline)?;
+        handshake.write(&mut io_slices(&[STARTUP_MESSAGE])).map_err(failed)?;
+        read_startup_response(&handshake, deadline)?;
         let buffer = MessageBuffer::new(self.limits.max_value_bytes + MAX_OVERHEAD_BYTES);
         let (limits, wall_clock) = (self.limits.clone(), self.wall_clock.clone());
         let socket = handshake.finish().map_err(failed)?;
@@ -63,8 +66,8 @@
     }
 }
 
-/// Reads an instance's greeting up to its `ReadyForQuery`.
-fn read_greeting(handshake: &Handshake, deadline: Instant) -> Result<(), Outcome> {
+/// Reads an instance's startup response, up to and including `ReadyForQuery`.
+fn read_startup_response(handshake: &Handshake, deadline: Instant) -> Result<(), Outcome> {
     let mut buffer = MessageBuffer::new(MAX_OVERHEAD_BYTES);
     let mut remaining_bytes = MAX_OVERHEAD_BYTES;
     loop {
@@ -74,7 +77,8 @@
         remaining_bytes = remaining_bytes.checked_sub(frame.range.len()).ok_or(Outcome::ConnectFailed)?;
         let body = buffer.get(frame.body());
         match frame.tag {
-            // What stands behind the greeting already would be taken for the first response.
+            // Bytes after `ReadyForQuery` would be taken for the response to the first request, so there must
+            // be none.
             b'Z' if body == b"I" && buffer.is_empty() => return Ok(()),
             b'E' if error_fields(body).is_some_and(|e| matches!(e.code, "53300" | "57P03")) => {
                 return Err(Outcome::Rejected);
@@ -91,8 +95,9 @@
     }
 
     fn is_usable(&mut self, idle: Duration, permit: ConnectionPermit) -> bool {
-        let silent = self.buffer.is_empty() && self.socket.is_idle_and_open();
-        silent && (idle < self.limits.max_unchecked_idle_time || self.answers_empty_query(permit))
+        let nothing_to_read = self.buffer.is_empty() && self.socket.is_idle_and_open();
+        nothing_to_read
+            && (idle < self.limits.max_unchecked_idle_time || self.responds_to_empty_query(permit))
     }
 
     fn execute(
@@ -100,19 +105,21 @@
         exchange: Exchange<'_, Postgres>,
         guard: &AttemptGuard,
     ) -> Result<ExchangeResult<Vec<u8>>, NotSent> {
-        // An error that comes as the instance ends the connection would be taken for this exchange's response.
+        // An error that the instance sends while it closes the connection would be taken for the response of
+        // this exchange.
         if !self.socket.is_idle_and_open() {
             return Err(NotSent::ConnectionBroken);
         }
         let permit = guard.permit_write().map_err(|_| NotSent::Cancelled)?;
-        // Read behind the permit: the waiting time that is sent is what is left when the bytes go out.
+        // The clock is read after the permit was obtained, so that the waiting time in the message is what is
+        // left when it is sent.
         let now = Instant::now();
         let (kind, deadlines, written) = match exchange {
             Exchange::Attempt(statement, deadline) => {
                 let remaining = deadline.saturating_duration_since(now);
                 let digits = remaining.as_millis().max(1).to_string();
-                let (head, [before, after]) = statement.with_wait(&digits);
-                let parts = &mut io_slices(&[&head, before, digits.as_bytes(), after]);
+                let (header, [before, after]) = statement.with_wait(&digits);
+                let parts = &mut io_slices(&[&header, before, digits.as_bytes(), after]);
                 let last_read = now + remaining + self.limits.abandoned_response_timeout;
                 let deadlines = Deadlines { response: deadline, last_read };
                 (ResponseKind::Statement, deadlines, self.socket.write_last(permit, parts))
@@ -133,31 +140,31 @@
     }
 }
 
-/// How long a response is waited for.
+/// Until when a response is awaited.
 struct Deadlines {
-    /// From then on the response is of no use to its client.
+    /// Deadline after which the response is of no use to the client.
     response: Instant,
-    /// From then on nothing is read any more.
+    /// Deadline after which reading stops.
     last_read: Instant,
 }
 
 impl PostgresConnection {
-    /// Sends an empty query and waits for the response: a connection that was lost on the way brings a reset or nothing,
-    /// before a request is lost on it.
-    fn answers_empty_query(&mut self, permit: ConnectionPermit) -> bool {
+    /// Sends an empty query and returns whether the instance responds to it. On a connection that was lost
+    /// without notice, this check fails with a reset or a timeout, before a request is lost on it.
+    fn responds_to_empty_query(&mut self, permit: ConnectionPermit) -> bool {
         if self.socket.write_check(permit, &mut io_slices(&[EMPTY_QUERY])).is_err() {
             return false;
         }
         let deadline = Instant::now() + self.limits.backend_check_timeout;
-        let mut answered = false;
+        let mut responded = false;
         loop {
             let Ok(Some(frame)) = self.buffer.read_message(self.socket.reader(deadline)) else {
                 return false;
             };
             match frame.tag {
-                b'I' => answered = true,
+                b'I' => responded = true,
                 b'S' | b'N' => {}
-                b'Z' => return answered && self.buffer.get(frame.body()) == b"I" && self.buffer.is_empty(),
+                b'Z' => return responded && self.buffer.get(frame.body()) == b"I" && self.buffer.is_empty(),
                 _ => return false,
             }
         }
@@ -167,10 +174,10 @@
         let mut parser = ResponseParser::new(kind, self.limits.max_value_bytes);
         let end = self.read_messages(&mut parser, deadlines);
         let result = parser.finish(end, self.buffer.read_ahead(), self.wall_clock.now());
-        self.with_router_times(result)
+        self.convert_to_router_clock(result)
     }
 
-    /// Feeds the parser until the response ends.
+    /// Passes messages to the parser until the response ends.
     fn read_messages(&mut self, parser: &mut ResponseParser, deadlines: &Deadlines) -> ResponseEnd {
         let mut deadline = deadlines.last_read;
         let mut was_complete = false;
@@ -184,8 +191,9 @@
                 return end;
             }
             if !was_complete && parser.is_complete() {
-                // The client's response is here. Waiting for the rest must not cost the client that: the routing core
-                // stops waiting when the response is of no use any more, whatever has come by then.
+                // The part of the response that the client needs is complete. Waiting for `ReadyForQuery`
+                // must not delay it past its deadline, at which the routing core stops waiting, so at most
+                // half of the remaining time is used.
                 was_complete = true;
                 let now = Instant::now();
                 let remaining = deadlines.response.saturating_duration_since(now) / 2;
@@ -206,8 +214,8 @@
         }
     }
 
-    /// Converts the times that the instance has stated to the router's own clock.
-    fn with_router_times(&self, mut result: ExchangeResult<Vec<u8>>) -> ExchangeResult<Vec<u8>> {
+    /// Converts the times that the instance reported to the router's clock.
+    fn convert_to_router_clock(&self, mut result: ExchangeResult<Vec<u8>>) -> ExchangeResult<Vec<u8>> {
         for report in [&mut result.response_report, &mut result.load_report] {
             let is_primary = report.primary == Some(true);
             report.position =
--- a/postgres/src/buffer.rs
+++ b/postgres/src/buffer.rs
@@ -1,81 +1,83 @@
-//! Framing: a tag, a length and a body, read in place from one buffer for each connection.
+//! Message framing: each message is a tag, a length and a body, parsed in place in a buffer per connection.
 use crate::memory_pool::{MemoryPool, MemoryReservation};
 use std::io::{self, Read};
 use std::ops::Range;
 
-/// Bytes that a buffer has room for at first.
+/// Initial size of a buffer, in bytes.
 const INITIAL_BYTES: usize = 1024;
-/// Bytes that a buffer may keep room for between two messages, without a reservation.
+/// Largest size, in bytes, that a buffer may have without a memory reservation, and that it retains between
+/// two messages.
 const MAX_IDLE_BYTES: usize = 16 * 1024;
-/// Bytes of a startup message's length and request code.
-const STARTUP_HEAD_BYTES: usize = 8;
-/// The longest startup message, in bytes.
+/// Size of the header of a startup message, in bytes: its length and its request code.
+const STARTUP_HEADER_BYTES: usize = 8;
+/// Maximum length of a startup message, in bytes.
 const MAX_STARTUP_BYTES: usize = 10_000;
-/// Bytes of a message's length, which counts itself but not the tag.
+/// Size of a message's length field, in bytes. The length includes the field itself, but not the tag.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of a message's tag and length.
-pub(crate) const HEAD_BYTES: usize = 1 + LENGTH_BYTES;
+/// Size of a message header, in bytes: the tag and the length.
+pub(crate) const HEADER_BYTES: usize = 1 + LENGTH_BYTES;
 
-/// How a peer broke the protocol. The texts reach clients.
+/// How the remote side violated the protocol. The texts are sent to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// The startup message states a length that none can have.
+    /// The length of the startup message is out of range.
     #[error("a startup message of an impossible length")]
     StartupLength,
-    /// A message states a length that none can have, or one beyond the limit.
+    /// The length of a message is below the minimum or above the limit.
     #[error("a message of an impossible length")]
     MessageLength,
-    /// The rest of a message did not come in time.
+    /// The rest of a message was not received in time.
     #[error("half a message")]
     IncompleteMessage,
-    /// The messages of all clients take all memory that is meant for them.
+    /// The memory for messages of all clients is used up.
     #[error("too much is under way")]
     OutOfMemory,
-    /// The client sent more commands ahead of their responses than are accepted.
+    /// The client sent more commands without waiting for responses than are accepted.
     #[error("too many commands ahead of their answers")]
     TooManyPipelined,
 }
 
-/// Why no message could be read.
+/// Why a message could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The peer broke the protocol.
+    /// The remote side violated the protocol.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    /// The connection failed, ended within a message, or brought nothing in time.
+    /// The connection failed, ended within a message, or no bytes were received in time.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// The first message of a connection: a request code and its body.
+/// The first message of a connection: a request code, and the cancel key of a `CancelRequest`.
 #[derive(Clone, Copy, Debug)]
 pub struct Startup {
-    /// The protocol's version, or one of the codes that ask for something else.
+    /// The protocol version, or the code of a request such as `SSLRequest` or `CancelRequest`.
     pub code: u32,
-    /// The key that a `CancelRequest` names; `None` where the body is not as long as a key.
+    /// The key in a `CancelRequest`; `None` if the body does not have the length of a key.
     pub key: Option<CancelKey>,
 }
 
-/// The content of a `BackendKeyData` message, process id and secret, by which a client cancels.
+/// The content of a `BackendKeyData` message (process id and secret), which a client sends back to cancel a
+/// request.
 pub type CancelKey = [u8; 8];
 
 /// One message in the buffer.
 #[derive(Clone, Debug)]
 pub struct Frame {
-    /// What kind of message it is.
+    /// The tag, which identifies the type of the message.
     pub tag: u8,
-    /// Where the message stands in the buffer, with its tag and length.
+    /// Range of the message in the buffer, including its tag and length.
     pub range: Range<usize>,
 }
 
 impl Frame {
-    /// Where the message stands without its tag and length.
+    /// Returns the range of the message's body, without its tag and length.
     pub fn body(&self) -> Range<usize> {
-        self.range.start + HEAD_BYTES..self.range.end
+        self.range.start + HEADER_BYTES..self.range.end
     }
 }
 
-/// Bytes read ahead from a connection.
+/// Receive buffer of a connection. It may hold bytes past the current message.
 pub struct MessageBuffer {
     bytes: Vec<u8>,
     start: usize,
@@ -85,7 +87,7 @@
 }
 
 impl MessageBuffer {
-    /// A buffer for messages whose length field states up to `max_message_bytes`.
+    /// Creates a buffer for messages whose length field is at most `max_message_bytes`.
     pub fn new(max_message_bytes: usize) -> Self {
         MessageBuffer {
             bytes: vec![0; INITIAL_BYTES],
@@ -96,70 +98,70 @@
         }
     }
 
-    /// The same for a client: the memory of a long message is reserved in the pool.
+    /// Creates a buffer for a client connection, which reserves the memory of long messages in the pool.
     pub fn pooled(max_message_bytes: usize, pool: &MemoryPool) -> Self {
         let reservation = Some(MemoryReservation::new(pool));
         MessageBuffer { reservation, ..MessageBuffer::new(max_message_bytes) }
     }
 
-    /// The bytes of a frame's range; valid until the next read.
+    /// Returns the bytes in a frame's range. The range is valid until the next read.
     ///
     /// # Panics
-    /// If the range does not come from the last frame that was read.
+    /// Panics if the range is not that of the last frame that was read.
     pub fn get(&self, range: Range<usize>) -> &[u8] {
         &self.bytes[range]
     }
 
-    /// Whether nothing has been read ahead.
+    /// Returns whether the buffer holds no bytes after the last message.
     pub fn is_empty(&self) -> bool {
         self.start == self.end
     }
 
-    /// What has been read ahead, behind the last message.
+    /// Returns the bytes that were read after the last message.
     pub fn read_ahead(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// How many bytes of memory it takes.
+    /// Returns the allocated size of the buffer, in bytes.
     pub fn allocated_bytes(&self) -> usize {
         self.bytes.capacity()
     }
 
-    /// Reads the first message of a connection; `None` at its end.
+    /// Reads the first message of a connection; returns `None` at end of stream.
     ///
     /// # Errors
-    /// The connection failed or the message has an impossible length.
+    /// Fails if the connection fails or the length of the message is out of range.
     pub fn read_startup(&mut self, mut from: impl Read) -> Result<Option<Startup>, ReadError> {
-        if !self.fill(&mut from, STARTUP_HEAD_BYTES)? {
+        if !self.fill(&mut from, STARTUP_HEADER_BYTES)? {
             return Ok(None);
         }
-        let length = self.number_at(self.start) as usize;
-        if !(STARTUP_HEAD_BYTES..=MAX_STARTUP_BYTES).contains(&length) {
+        let length = self.u32_at(self.start) as usize;
+        if !(STARTUP_HEADER_BYTES..=MAX_STARTUP_BYTES).contains(&length) {
             return Err(ProtocolError::StartupLength.into());
         }
         if !self.fill(&mut from, length)? {
             return Ok(None);
         }
-        let code = self.number_at(self.start + LENGTH_BYTES);
-        let body = self.start + STARTUP_HEAD_BYTES..self.start + length;
+        let code = self.u32_at(self.start + LENGTH_BYTES);
+        let body = self.start + STARTUP_HEADER_BYTES..self.start + length;
         let key = self.bytes[body].try_into().ok();
         self.start += length;
         Ok(Some(Startup { code, key }))
     }
 
-    /// Reads the next message; `None` at the connection's end between two messages.
+    /// Reads the next message; returns `None` at end of stream between two messages.
     ///
     /// # Errors
-    /// The connection failed or ended within a message, the message has an impossible length, or there is no memory left
-    /// for it.
+    /// Fails if the connection fails or ends within a message, the length of the message is out of range, or
+    /// no memory is left for it.
     pub fn read_message(&mut self, mut from: impl Read) -> Result<Option<Frame>, ReadError> {
         if self.is_empty() {
             self.reset();
         }
-        if !self.fill(&mut from, HEAD_BYTES)? {
+        if !self.fill(&mut from, HEADER_BYTES)? {
             return Ok(None);
         }
-        let length = self.number_at(self.start + 1) as usize;
+        let length = self.u32_at(self.start + 1) as usize;
         if length < LENGTH_BYTES || length > self.max_message_bytes {
             return Err(ProtocolError::MessageLength.into());
         }
@@ -169,8 +171,8 @@
         Ok(Some(Frame { tag: self.bytes[range.start], range }))
     }
 
-    /// Starts at the front again, and frees the memory of a long message: one must not take it for as long as the
-    /// connection lives.
+    /// Resets the buffer to its start, and frees the memory of a long message, which must not be occupied for
+    /// the lifetime of the connection.
     fn reset(&mut self) {
         (self.start, self.end) = (0, 0);
         if self.bytes.len() > MAX_IDLE_BYTES {
@@ -179,7 +181,8 @@
         }
     }
 
-    /// Reads until the buffer holds `needed` bytes; `false` at an orderly end of the connection before the first of them.
+    /// Reads until the buffer holds `needed` bytes; returns `false` at end of stream before the first of
+    /// them.
     fn fill(&mut self, mut from: impl Read, needed: usize) -> Result<bool, ReadError> {
         if self.start + needed > self.bytes.len() {
             self.bytes.copy_within(self.start..self.end, 0);
@@ -200,8 +203,8 @@
         Ok(true)
     }
 
-    /// Doubles the buffer at most. It grows as the bytes come: a length alone, which costs its sender nothing, must
-    /// reserve no memory.
+    /// Grows the buffer, at most to twice its size. It grows only as bytes arrive, because a length field
+    /// alone costs its sender nothing and must not reserve memory.
     fn grow(&mut self, needed: usize) -> Result<(), ProtocolError> {
         let size = (2 * self.bytes.len()).min(needed.max(2 * INITIAL_BYTES));
         if size > MAX_IDLE_BYTES && self.reservation.as_mut().is_some_and(|r| !r.grow_to(size)) {
@@ -211,8 +214,8 @@
         Ok(())
     }
 
-    fn number_at(&self, at: usize) -> u32 {
-        let bytes = &self.bytes[at..at + LENGTH_BYTES];
+    fn u32_at(&self, offset: usize) -> u32 {
+        let bytes = &self.bytes[offset..offset + LENGTH_BYTES];
         u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]])
     }
 }
--- a/postgres/src/decode.rs
+++ b/postgres/src/decode.rs
@@ -1,15 +1,15 @@
-//! Decoding of the bodies of an instance's messages.
+//! Decoding of the bodies of messages from an instance.
 
-/// What an `ErrorResponse` says.
+/// The decoded fields of an `ErrorResponse`.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ErrorFields<'a> {
-    /// Its code, five upper-case letters or digits.
+    /// The SQLSTATE code: five upper-case letters or digits.
     pub code: &'a str,
-    /// The session ends with it: no `ReadyForQuery` follows, and nothing else is carried out.
+    /// Whether the error ends the session: no `ReadyForQuery` follows, and no further command is executed.
     pub fatal: bool,
 }
 
-/// Decodes an `ErrorResponse`; `None` where it is malformed.
+/// Decodes an `ErrorResponse`; returns `None` if it is malformed.
 pub fn error_fields(body: &[u8]) -> Option<ErrorFields<'_>> {
     let fields = body.strip_suffix(b"\0\0")?;
     let (mut code, mut severity, mut severity_untranslated) = (None, None, None);
@@ -28,29 +28,30 @@
     code.filter(is_code).map(|code| ErrorFields { code, fatal })
 }
 
-/// Decodes a `ParameterStatus` into name and value; `None` where it is malformed.
+/// Decodes a `ParameterStatus` into name and value; returns `None` if it is malformed.
 pub fn parameter_status(body: &[u8]) -> Option<(&str, &str)> {
     let (name, value) = std::str::from_utf8(body).ok()?.strip_suffix('\0')?.split_once('\0')?;
     (!name.is_empty() && !value.contains('\0')).then_some((name, value))
 }
 
-/// Whether a `RowDescription` describes exactly one column.
+/// Returns whether a `RowDescription` describes exactly one column.
 pub fn describes_one_column(body: &[u8]) -> bool {
-    /// Bytes behind a column's name and its zero: table, type and format.
+    /// Size of a column's attributes (table, type and format) after its zero-terminated name, in bytes.
     const COLUMN_ATTRIBUTE_BYTES: usize = 18;
     let Some(column) = body.strip_prefix(&[0, 1]) else { return false };
     let name_end = column.iter().position(|b| *b == 0);
     name_end.is_some_and(|end| column.len() == end + 1 + COLUMN_ATTRIBUTE_BYTES)
 }
 
-/// The value of a `DataRow` with exactly one column; `None` for any other, also where the value is NULL.
+/// Returns the value of a `DataRow` with exactly one column; `None` if there are more columns or the value is
+/// NULL.
 pub fn single_value(body: &[u8]) -> Option<&[u8]> {
-    let (head, value) = body.split_at_checked(6)?;
-    let length = u32::from_be_bytes([head[2], head[3], head[4], head[5]]) as usize;
-    (head[..2] == [0, 1] && length == value.len()).then_some(value)
+    let (header, value) = body.split_at_checked(6)?;
+    let length = u32::from_be_bytes([header[2], header[3], header[4], header[5]]) as usize;
+    (header[..2] == [0, 1] && length == value.len()).then_some(value)
 }
 
-/// Whether a `CommandComplete` is well-formed.
+/// Returns whether the body of a `CommandComplete` is well-formed.
 pub fn is_command_tag(body: &[u8]) -> bool {
     let tag = body.strip_suffix(b"\0").unwrap_or_default();
     !tag.is_empty() && tag.iter().all(|b| b.is_ascii_graphic() || *b == b' ')
--- a/postgres/src/front.rs
+++ b/postgres/src/front.rs
@@ -1,13 +1,13 @@
-//! The front for the platform's clients.
+//! The front: serves the platform's clients.
 //!
-//! Each connection has a reader thread, which parses commands, submits requests to the routing core, notices a client
-//! that disconnects and writes the responses. For a client that pipelines, a writer thread joins it, which writes the
-//! responses in the order of the commands.
+//! Each connection has a reader thread, which parses commands, submits requests to the routing core, detects
+//! that the client has disconnected, and writes the responses. For a client that pipelines, a writer thread
+//! is added, which writes the responses in the order of the commands.
 //!
-//! The modules stand on each other in this order: `shared` holds what all connections share, `open_request` releases
-//! what a request in flight takes, `submission` hands a query to the routing core, `command` decides how a message is
-//! answered, `response` encodes responses, `response_writer` waits for them and writes them, `startup` opens a
-//! connection and `session` serves it.
+//! Each of these modules uses only those named before it: `shared` has the state that all connections share,
+//! `open_request` releases the resources of a request in flight, `submission` submits a query to the routing
+//! core, `response` encodes responses, `command` decides which response a message gets, `response_writer`
+//! waits for responses and writes them, `startup` handles the start of a connection and `session` serves it.
 mod command;
 mod open_request;
 mod response;
@@ -25,13 +25,12 @@
 use std::sync::Arc;
 
 impl ConnectionHandler for Front {
-    /// Serves one connection until it ends.
     fn handle(self: &Arc<Self>, connection: &Arc<Connection>) {
         session::serve(self, connection);
     }
 
     fn reject(&self, connection: &Connection) {
-        // A client that has left already needs no response.
+        // The client may have disconnected already; it needs no response then.
         _ = write_gathered(&connection.socket, &[&response::no_thread()]);
     }
 
--- a/postgres/src/front/command.rs
+++ b/postgres/src/front/command.rs
@@ -1,4 +1,4 @@
-//! How a client's message is answered.
+//! Handling of one client message: which response it gets.
 use super::response;
 use super::shared::Front;
 use super::submission::{PendingRequest, submit};
@@ -9,15 +9,15 @@
 
 /// The response to a command.
 pub(super) enum CommandResponse {
-    /// A response of the front itself, without a request.
+    /// A response of the front itself, for which no request is submitted.
     Immediate(Vec<u8>),
-    /// An error that says why the command can't be carried out.
+    /// An error that says why the command cannot be executed.
     Error(Vec<u8>),
-    /// The response to a request, once the routing core has it.
+    /// The response to a request, which the routing core sends later.
     Pending(PendingRequest),
 }
 
-/// Whether messages are skipped up to the next Sync, as the extended protocol does behind an error.
+/// Whether messages are skipped until the next Sync, as the extended query protocol requires after an error.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum SyncState {
     #[default]
@@ -25,7 +25,7 @@
     SkippingToSync,
 }
 
-/// Handles a message and returns its response; `None` if it gets none.
+/// Handles a message and returns its response; returns `None` if it gets no response.
 pub(super) fn handle_message(
     front: &Arc<Front>,
     connection: &Arc<Connection>,
@@ -40,16 +40,16 @@
             Some(CommandResponse::Immediate(READY.to_vec()))
         }
         _ if *sync == SyncState::SkippingToSync => None,
-        // Flush: no response is ever delayed, so there is nothing to do.
+        // Flush: responses are never delayed, so there is nothing to do.
         b'H' => None,
-        tag => Some(reject_message(tag, sync)),
+        tag => Some(unsupported_message_response(tag, sync)),
     }
 }
 
-/// Only simple queries are supported.
-fn reject_message(tag: u8, sync: &mut SyncState) -> CommandResponse {
+/// Returns the error for a message that is not part of the simple query protocol.
+fn unsupported_message_response(tag: u8, sync: &mut SyncState) -> CommandResponse {
     let mut response = response::error("0A000", "only simple queries are spoken here");
-    // Parse, Bind, Describe, Execute and Close belong to the extended protocol.
+    // Parse, Bind, Describe, Execute and Close belong to the extended query protocol.
     if matches!(tag, b'P' | b'B' | b'D' | b'E' | b'C') {
         *sync = SyncState::SkippingToSync;
     } else {
@@ -67,11 +67,11 @@
     let body = buffer.get(frame.body());
     let text = body.strip_suffix(b"\0").unwrap_or(body).trim_ascii();
     if text.is_empty() {
-        return Some(CommandResponse::Immediate(answer_empty_query(connection)));
+        return Some(CommandResponse::Immediate(empty_query_response(connection)));
     }
     let first_word = text.split(|b| !b.is_ascii_alphabetic()).next().unwrap_or(b"").to_ascii_uppercase();
     if matches!(&first_word[..], b"SET" | b"RESET" | b"DISCARD") {
-        return Some(CommandResponse::Immediate(acknowledge(&first_word)));
+        return Some(CommandResponse::Immediate(settings_response(&first_word)));
     }
     match submit(front, connection, buffer.get(frame.range.clone())) {
         Ok(pending) => Some(CommandResponse::Pending(pending)),
@@ -83,8 +83,9 @@
     }
 }
 
-/// An empty query is the platform's health check: it asks whether clients may connect.
-fn answer_empty_query(connection: &Connection) -> Vec<u8> {
+/// Returns the response to an empty query. The platform uses empty queries as its health check, which asks
+/// whether clients may connect.
+fn empty_query_response(connection: &Connection) -> Vec<u8> {
     let mut response = Vec::new();
     if connection.is_draining() {
         response = response::error("57P03", "the router is drained by its operators");
@@ -95,8 +96,8 @@
     response
 }
 
-/// Session settings are accepted and have no effect.
-fn acknowledge(command: &[u8]) -> Vec<u8> {
+/// Returns the response to a command that changes session settings, which is accepted without effect.
+fn settings_response(command: &[u8]) -> Vec<u8> {
     let mut response = Vec::new();
     push_message(&mut response, b'C', &[command, b"\0"]);
     response.extend_from_slice(READY);
--- a/postgres/src/front/open_request.rs
+++ b/postgres/src/front/open_request.rs
@@ -1,24 +1,24 @@
-//! A request without a response yet, and what it occupies.
+//! A request that has no response yet, and the resources it uses.
 use super::shared::Front;
 use crate::memory_pool::MemoryReservation;
 use client_listener::Connection;
 use routing::RequestId;
 use std::sync::Arc;
 
-/// An open request's id and the memory of its statement; both are released when this is dropped. A request that has no
-/// response by then is abandoned: nobody waits for it.
+/// An open request's id and the memory of its statement; both are released when this is dropped. A request
+/// that has no response by then is abandoned, because its client no longer waits for it.
 pub(super) struct OpenRequest {
     front: Arc<Front>,
     pub(super) connection: Arc<Connection>,
-    /// `None` before it has been submitted.
+    /// The routing core's id of the request; `None` until it has been submitted.
     submitted: Option<RequestId>,
-    /// The id that its client gave it.
+    /// The id that the client gave the request.
     pub(super) client_id: Vec<u8>,
     _memory: MemoryReservation,
 }
 
 impl OpenRequest {
-    /// Registers the client's id; `None` if a request of this id is open.
+    /// Registers the client's id of a request; returns `None` if a request with this id is open.
     pub(super) fn register(
         front: &Arc<Front>,
         connection: &Arc<Connection>,
@@ -38,12 +38,12 @@
         })
     }
 
-    /// It has been submitted to the routing core, which gave it this id.
+    /// Records that the request was submitted to the routing core, under this id.
     pub(super) fn set_submitted(&mut self, id: RequestId) {
         self.submitted = Some(id);
     }
 
-    /// It has its response.
+    /// Records that the request has its response.
     pub(super) fn finish(mut self) {
         if let Some(id) = self.submitted.take() {
             self.connection.in_flight_requests.finish(id);
--- a/postgres/src/front/response.rs
+++ b/postgres/src/front/response.rs
@@ -1,10 +1,10 @@
-//! Encoding of the responses that clients get. Codes and texts are part of the protocol that the platform describes.
+//! Encoding of the responses to clients. Codes and texts are part of the platform's protocol description.
 use super::submission::SubmitError;
 use crate::buffer::{CancelKey, ProtocolError};
 use crate::encode::{READY, Severity, push_error, push_message, push_parameter};
 use routing::{FinalResponse, Outcome};
 
-/// Parameters that each client is told at its start.
+/// Parameters that each client is sent at startup.
 const PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "16.0 (damsonvale)"),
     ("server_encoding", "UTF8"),
@@ -14,33 +14,33 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// The greeting behind a startup message.
-pub(super) fn greeting(key: &CancelKey) -> Vec<u8> {
-    let mut greeting = Vec::with_capacity(256);
-    push_message(&mut greeting, b'R', &[&[0, 0, 0, 0]]);
+/// Encodes the response to a startup message.
+pub(super) fn startup_response(key: &CancelKey) -> Vec<u8> {
+    let mut startup_response = Vec::with_capacity(256);
+    push_message(&mut startup_response, b'R', &[&[0, 0, 0, 0]]);
     for (name, value) in PARAMETERS {
-        push_parameter(&mut greeting, name, value);
+        push_parameter(&mut startup_response, name, value);
     }
-    push_message(&mut greeting, b'K', &[key]);
-    greeting.extend_from_slice(READY);
-    greeting
+    push_message(&mut startup_response, b'K', &[key]);
+    startup_response.extend_from_slice(READY);
+    startup_response
 }
 
-/// An error that leaves the session open, without `ReadyForQuery`.
+/// Encodes an error after which the session continues, without `ReadyForQuery`.
 pub(super) fn error(code: &str, text: &str) -> Vec<u8> {
     let mut response = Vec::new();
     push_error(&mut response, Severity::Error, code, text, None);
     response
 }
 
-/// The error behind which the connection of a client that broke the protocol is closed.
+/// Encodes the error for a client that violated the protocol; its connection is closed after it.
 pub(super) fn protocol_violation(violation: ProtocolError) -> Vec<u8> {
     let mut response = Vec::new();
     push_error(&mut response, Severity::Fatal, "08P01", &violation.to_string(), None);
     response
 }
 
-/// The error for a client that can't be served for lack of a thread.
+/// Encodes the error for a client that cannot be served because no thread could be started.
 pub(super) fn no_thread() -> Vec<u8> {
     let mut response = Vec::new();
     let text = "refused: no thread is to be had; trying again is harmless";
@@ -48,7 +48,8 @@
     response
 }
 
-/// The error for a query that was not submitted, without `ReadyForQuery`; `None` where nobody is to be answered.
+/// Encodes the error for a query that was not submitted, without `ReadyForQuery`; returns `None` if the
+/// client has disconnected.
 pub(super) fn submit_error(submit_error: &SubmitError) -> Option<Vec<u8>> {
     match submit_error {
         SubmitError::Malformed(malformed) => Some(error("42601", malformed.text())),
@@ -58,7 +59,7 @@
     }
 }
 
-/// A final response, with `ReadyForQuery`.
+/// Encodes a final response, with `ReadyForQuery`.
 pub(super) fn encode(response: FinalResponse<Vec<u8>>) -> Vec<u8> {
     let mut encoded = match response {
         FinalResponse::Served(messages, _) => messages,
@@ -75,14 +76,14 @@
     encoded
 }
 
-/// `detail` says after how many milliseconds to retry.
+/// Encodes a rejection; `detail` is the number of milliseconds after which the client may retry.
 fn rejected(detail: Option<&str>) -> Vec<u8> {
     let mut response = Vec::new();
     push_error(&mut response, Severity::Error, "53300", "refused: trying again is harmless", detail);
     response
 }
 
-/// `last` is how the last attempt ended.
+/// Encodes a failure; `last` is the outcome of the last attempt.
 fn failed(last: Option<Outcome>) -> Vec<u8> {
     match last {
         Some(Outcome::TimedOut) => error("57014", "no answer in time; it may have run"),
--- a/postgres/src/front/response_writer.rs
+++ b/postgres/src/front/response_writer.rs
@@ -1,5 +1,5 @@
-//! Waiting for responses and writing them: on the reader's own thread for a client that sends one command at a time, on
-//! a thread of its own for a client that pipelines.
+//! Waits for responses and writes them: on the reader's thread for a client that sends one command at a time,
+//! on a thread of its own for a client that pipelines.
 use super::command::CommandResponse;
 use super::response;
 use super::shared::Front;
@@ -12,44 +12,45 @@
 use routing::spawn;
 use std::sync::Arc;
 
-/// Nobody takes responses any more: the client has disconnected, or the program ends.
-pub(super) struct ClientGone;
+/// Error: responses can no longer be delivered, because the client has disconnected or the program is
+/// shutting down.
+pub(super) struct ClientDisconnected;
 
-/// How far a response came on the reader's thread.
+/// Result of trying to respond on the reader's thread.
 pub(super) enum ResponseProgress {
-    /// It has been written.
+    /// The response has been written.
     Written,
-    /// Its client has sent another command before it was there.
+    /// The client has sent another command before this response was ready.
     Pipelined(CommandResponse),
 }
 
-/// Waits for a response on the reader's thread and writes it: most clients send one command at a time, and a second
-/// thread for each costs memory and, where the machine stops and starts the process, time.
+/// Waits for a response on the reader's thread and writes it. Most clients send one command at a time, and a
+/// second thread per client costs memory and, when the machine suspends and resumes the process, time.
 pub(super) fn respond_unless_pipelined(
     front: &Front,
     connection: &Connection,
     buffer: &MessageBuffer,
     response: CommandResponse,
-) -> Result<ResponseProgress, ClientGone> {
-    let text = match response {
-        CommandResponse::Immediate(text) | CommandResponse::Error(text) => text,
+) -> Result<ResponseProgress, ClientDisconnected> {
+    let encoded = match response {
+        CommandResponse::Immediate(encoded) | CommandResponse::Error(encoded) => encoded,
         CommandResponse::Pending(pending) => match wait_unless_pipelined(front, connection, buffer, pending)?
         {
-            Waited::Ready(text) => text,
-            Waited::Pipelined(pending) => {
+            WaitResult::Ready(encoded) => encoded,
+            WaitResult::Pipelined(pending) => {
                 return Ok(ResponseProgress::Pipelined(CommandResponse::Pending(pending)));
             }
         },
     };
-    write_response(connection, &text)?;
+    write_response(connection, &encoded)?;
     Ok(ResponseProgress::Written)
 }
 
-/// How waiting for a response ended.
-enum Waited {
-    /// With the encoded response.
+/// How the wait for a response ended.
+enum WaitResult {
+    /// The response is ready; this is its encoding.
     Ready(Vec<u8>),
-    /// With another command.
+    /// The client has sent another command.
     Pipelined(PendingRequest),
 }
 
@@ -58,76 +59,77 @@
     connection: &Connection,
     buffer: &MessageBuffer,
     pending: PendingRequest,
-) -> Result<Waited, ClientGone> {
+) -> Result<WaitResult, ClientDisconnected> {
     loop {
         if !buffer.is_empty() {
-            return Ok(Waited::Pipelined(pending));
+            return Ok(WaitResult::Pipelined(pending));
         }
         match pending.receiver.recv_timeout(front.limits.client_poll_interval) {
             Ok(final_response) => {
                 pending.request.finish();
-                return Ok(Waited::Ready(response::encode(final_response)));
+                return Ok(WaitResult::Ready(response::encode(final_response)));
             }
-            Err(RecvTimeoutError::Disconnected) => return Err(ClientGone),
+            Err(RecvTimeoutError::Disconnected) => return Err(ClientDisconnected),
             Err(RecvTimeoutError::Timeout) => {}
         }
         match connection.socket_state() {
             SocketState::Idle => {}
-            SocketState::Readable => return Ok(Waited::Pipelined(pending)),
+            SocketState::Readable => return Ok(WaitResult::Pipelined(pending)),
             SocketState::Disconnected => {
                 front.abandon_requests(connection);
-                return Err(ClientGone);
+                return Err(ClientDisconnected);
             }
         }
     }
 }
 
-/// Waits for a response, whatever else its client sends meanwhile, and writes it.
-pub(super) fn respond(connection: &Connection, response: CommandResponse) -> Result<(), ClientGone> {
-    let text = wait_for_response(response)?;
-    write_response(connection, &text)
+/// Waits for a response, without checking whether the client sends more commands, and writes it.
+pub(super) fn respond(connection: &Connection, response: CommandResponse) -> Result<(), ClientDisconnected> {
+    let encoded = wait_for_response(response)?;
+    write_response(connection, &encoded)
 }
 
-fn wait_for_response(response: CommandResponse) -> Result<Vec<u8>, ClientGone> {
+fn wait_for_response(response: CommandResponse) -> Result<Vec<u8>, ClientDisconnected> {
     match response {
-        CommandResponse::Immediate(text) | CommandResponse::Error(text) => Ok(text),
+        CommandResponse::Immediate(encoded) | CommandResponse::Error(encoded) => Ok(encoded),
         CommandResponse::Pending(pending) => {
-            let final_response = pending.receiver.recv().map_err(|_| ClientGone)?;
-            // Its client may use the id again as soon as it has the response.
+            let final_response = pending.receiver.recv().map_err(|_| ClientDisconnected)?;
+            // The client may use the id again as soon as it has the response, so the request is finished
+            // before the response is written.
             pending.request.finish();
             Ok(response::encode(final_response))
         }
     }
 }
 
-/// Writes a response, which finishes its command.
-fn write_response(connection: &Connection, text: &[u8]) -> Result<(), ClientGone> {
+/// Writes a response and finishes its command.
+fn write_response(connection: &Connection, encoded: &[u8]) -> Result<(), ClientDisconnected> {
     connection.prepare_response();
-    let written = write_gathered(&connection.socket, &[text]);
+    let written = write_gathered(&connection.socket, &[encoded]);
     connection.finish_command();
     written.map_err(|_| {
         connection.set_close_reason(CloseReason::ClientStalled);
-        ClientGone
+        ClientDisconnected
     })
 }
 
 /// Why a response was not queued.
 pub(super) enum QueueError {
-    /// The client has as many commands ahead of their responses as are accepted.
+    /// The client has sent the maximum number of commands without waiting for responses.
     Full,
-    /// The writer has ended: the client takes no more responses.
-    ClientGone,
+    /// The writer thread has ended, because the client no longer reads responses.
+    ClientDisconnected,
 }
 
 /// The thread that writes the responses of a client that pipelines.
 pub(super) struct ResponseWriter {
     responses: Sender<CommandResponse>,
-    /// Disconnected once the thread has ended.
+    /// This channel is disconnected once the thread has ended.
     ended: Receiver<()>,
 }
 
 impl ResponseWriter {
-    /// Starts the thread; `None` where the system has none.
+    /// Starts the thread; returns `None` if the system cannot start one.
     pub(super) fn start(front: &Arc<Front>, connection: &Arc<Connection>) -> Option<ResponseWriter> {
         let (sender, responses) = bounded(front.limits.max_pipelined_requests);
         let (end_sender, ended) = bounded::<()>(0);
@@ -141,33 +143,33 @@
         Some(ResponseWriter { responses: sender, ended })
     }
 
-    /// Whether no further response can be queued now.
+    /// Returns whether no further response can be queued now.
     pub(super) fn is_full(&self) -> bool {
         self.responses.is_full()
     }
 
-    /// Queues a response behind the others.
+    /// Appends a response to the queue, without blocking.
     pub(super) fn try_queue(&self, response: CommandResponse) -> Result<(), QueueError> {
         self.responses.try_send(response).map_err(|error| match error {
             TrySendError::Full(_) => QueueError::Full,
-            TrySendError::Disconnected(_) => QueueError::ClientGone,
+            TrySendError::Disconnected(_) => QueueError::ClientDisconnected,
         })
     }
 
-    /// Queues a response behind the others and waits for room if the queue is full. It is dropped where the client takes
-    /// no more responses.
+    /// Appends a response to the queue, and blocks while the queue is full. The response is dropped if the
+    /// client no longer reads responses.
     pub(super) fn queue(&self, response: CommandResponse) {
         _ = self.responses.send(response);
     }
 
-    /// Waits until all queued responses are written.
+    /// Closes the queue and waits until all queued responses are written.
     pub(super) fn finish(self) {
         drop(self.responses);
         _ = self.ended.recv();
     }
 }
 
-/// Writes responses in order until the reader is done or the client takes no more.
+/// Writes responses in order until the reader has finished or the client no longer reads them.
 fn write_responses(front: &Front, connection: &Connection, responses: &Receiver<CommandResponse>) {
     for response in responses {
         if respond(connection, response).is_err() {
@@ -175,6 +177,6 @@
             break;
         }
     }
-    // The reader must not wait for a client that takes no responses.
+    // Closing makes the reader return, which must not wait for a client that reads no responses.
     connection.close();
 }
--- a/postgres/src/front/session.rs
+++ b/postgres/src/front/session.rs
@@ -1,11 +1,11 @@
-//! One client's session: its reader thread, from the startup to the end of the connection.
+//! One client's session: the work of the reader thread from startup to the end of the connection.
 use super::command::{CommandResponse, SyncState, handle_message};
 use super::response;
 use super::response_writer::{
-    ClientGone, QueueError, ResponseProgress, ResponseWriter, respond, respond_unless_pipelined,
+    ClientDisconnected, QueueError, ResponseProgress, ResponseWriter, respond, respond_unless_pipelined,
 };
 use super::shared::Front;
-use super::startup::start_up;
+use super::startup::perform_startup;
 use crate::buffer::{Frame, MessageBuffer, ProtocolError, ReadError};
 use crate::encode::write_gathered;
 use client_listener::{Connection, is_timeout};
@@ -13,16 +13,17 @@
 use std::net::TcpStream;
 use std::sync::Arc;
 
-/// Serves a connection until it ends.
+/// Serves a connection until either side closes it.
 pub(super) fn serve(front: &Arc<Front>, connection: &Arc<Connection>) {
     let mut buffer = MessageBuffer::pooled(front.limits.max_message_bytes, &front.memory);
-    let _cancel_key = match start_up(front, &mut buffer, connection) {
+    let _cancel_key = match perform_startup(front, &mut buffer, connection) {
         Ok(Some(key)) => key,
         Ok(None) | Err(ReadError::Io(_)) => return,
         Err(ReadError::Protocol(violation)) => return report_violation(&connection.socket, violation),
     };
     if buffer.is_empty() {
-        // No request came along with the startup: it is sent only now.
+        // The first request did not arrive together with the startup message, so it was not waiting for the
+        // thread and its age is discarded.
         connection.take_command_age();
     }
     let mut session =
@@ -31,24 +32,25 @@
     session.close(end);
 }
 
-/// Writes why the connection is closed to a client that broke the protocol.
+/// Sends a client that violated the protocol the reason why the connection is closed.
 fn report_violation(socket: &TcpStream, violation: ProtocolError) {
-    // A client that has left needs no response.
+    // The client may have disconnected already; it needs no response then.
     _ = write_gathered(socket, &[&response::protocol_violation(violation)]);
 }
 
-/// Why a connection is read no further.
+/// Why the session stops reading commands.
 enum SessionEnd {
-    /// Its client has disconnected, or takes no responses: its requests are abandoned.
+    /// The client has disconnected, or no longer reads responses: its requests are abandoned.
     Disconnected,
-    /// The router reads no more, or the connection is closed already: what was read is answered.
+    /// The router stops reading, or the connection is closed already: commands that were read still get their
+    /// responses.
     Closing,
-    /// Its client broke the protocol: it gets the responses to what it sent, and then the reason.
+    /// The client violated the protocol: it gets the responses to earlier commands, and then the reason.
     Violation(ProtocolError),
 }
 
-impl From<ClientGone> for SessionEnd {
-    fn from(ClientGone: ClientGone) -> Self {
+impl From<ClientDisconnected> for SessionEnd {
+    fn from(ClientDisconnected: ClientDisconnected) -> Self {
         SessionEnd::Disconnected
     }
 }
@@ -58,7 +60,7 @@
     connection: &'a Arc<Connection>,
     buffer: &'a mut MessageBuffer,
     sync: SyncState,
-    /// From when the client pipelines.
+    /// The writer thread; `None` until the client has pipelined commands.
     writer: Option<ResponseWriter>,
 }
 
@@ -71,7 +73,8 @@
         }
     }
 
-    /// Reads a command and carries it out, or waits in vain until it is time to look at the connection.
+    /// Reads and handles one command. Returns without one if none was received within the read timeout and
+    /// the connection stays open.
     fn read_command(&mut self) -> Result<(), SessionEnd> {
         let Some(frame) = self.read_frame()? else { return Ok(()) };
         self.begin_command(&frame)?;
@@ -88,7 +91,7 @@
         self.respond(response)
     }
 
-    /// `None` if nothing came in time and the connection stays open.
+    /// Reads one message; returns `None` if none was received in time and the connection stays open.
     fn read_frame(&mut self) -> Result<Option<Frame>, SessionEnd> {
         const TERMINATE: u8 = b'X';
         let reader = self.connection.command_reader(!self.buffer.is_empty());
@@ -97,7 +100,7 @@
             Ok(Some(frame)) => Ok(Some(frame)),
             Err(ReadError::Protocol(violation)) => Err(SessionEnd::Violation(violation)),
             Err(ReadError::Io(e)) if is_timeout(&e) => self.on_read_timeout(),
-            // Where the client has disconnected as well, the watch of its socket reports it.
+            // If the client has disconnected too, the disconnect watcher reports it.
             Ok(None) | Err(ReadError::Io(_)) if self.connection.reading_stopped() => Err(SessionEnd::Closing),
             Ok(None) | Err(ReadError::Io(_)) => Err(SessionEnd::Disconnected),
         }
@@ -113,13 +116,13 @@
         Ok(None)
     }
 
-    /// Counts a command as in flight, unless it must not be carried out.
+    /// Counts a command as in flight; returns an error if the command must not be executed.
     fn begin_command(&self, frame: &Frame) -> Result<(), SessionEnd> {
-        // What a client wrote before it disconnected is not carried out after that.
+        // Commands that a client sent before it disconnected are not executed afterwards.
         if self.connection.in_flight_requests.is_disconnected() {
             return Err(SessionEnd::Disconnected);
         }
-        // A request is not accepted if its response has no place in the queue.
+        // A request is not accepted if the queue has no place for its response.
         if frame.tag == b'Q' && self.writer.as_ref().is_some_and(ResponseWriter::is_full) {
             return Err(SessionEnd::Violation(ProtocolError::TooManyPipelined));
         }
@@ -130,27 +133,28 @@
         Ok(())
     }
 
-    /// Writes a command's response, or queues it behind others that the client still waits for.
+    /// Writes a command's response, or queues it after the responses to earlier commands.
     fn respond(&mut self, response: CommandResponse) -> Result<(), SessionEnd> {
         let Some(writer) = &self.writer else { return self.respond_without_writer(response) };
         queue(writer, response)
     }
 
     fn respond_without_writer(&mut self, response: CommandResponse) -> Result<(), SessionEnd> {
-        // One command at a time needs no writer.
+        // A client that sends one command at a time needs no writer thread.
         let response = match respond_unless_pipelined(self.front, self.connection, self.buffer, response)? {
             ResponseProgress::Written => return Ok(()),
             ResponseProgress::Pipelined(response) => response,
         };
         self.writer = ResponseWriter::start(self.front, self.connection);
         let Some(writer) = &self.writer else {
-            // The system has no thread: the response is waited for here, and the next command is read after it.
+            // No thread could be started, so this thread waits for the response before it reads the next
+            // command.
             return Ok(respond(self.connection, response)?);
         };
         queue(writer, response)
     }
 
-    /// Waits until the client has the responses that it is owed.
+    /// Ends the session and waits until all outstanding responses are written.
     fn close(self, end: SessionEnd) {
         match end {
             SessionEnd::Closing => {}
@@ -164,7 +168,10 @@
 
     fn close_on_violation(&self, violation: ProtocolError) {
         self.connection.set_close_reason(CloseReason::Malformed);
-        tracing::debug!(connection = self.connection.id, error = %violation, "client broke the protocol, closing");
+        tracing::debug!(
+            connection = self.connection.id, error = %violation,
+            "client violated the protocol, closing connection"
+        );
         match &self.writer {
             None => report_violation(&self.connection.socket, violation),
             Some(writer) => {
@@ -179,6 +186,6 @@
 fn queue(writer: &ResponseWriter, response: CommandResponse) -> Result<(), SessionEnd> {
     writer.try_queue(response).map_err(|error| match error {
         QueueError::Full => SessionEnd::Violation(ProtocolError::TooManyPipelined),
-        QueueError::ClientGone => SessionEnd::Disconnected,
+        QueueError::ClientDisconnected => SessionEnd::Disconnected,
     })
 }
--- a/postgres/src/front/shared.rs
+++ b/postgres/src/front/shared.rs
@@ -1,4 +1,4 @@
-//! What all connections of the front share.
+//! State that all connections of the front share.
 use crate::backend::Postgres;
 use crate::buffer::CancelKey;
 use crate::memory_pool::MemoryPool;
@@ -8,33 +8,34 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A class as the front knows it.
+/// The properties of a request class that the front uses.
 #[derive(Clone, Copy)]
 pub(super) struct FrontClass {
-    /// Its index in the routing core.
+    /// Index of the class in the routing core.
     pub(super) index: usize,
-    /// The longest that a client may wait, in microseconds.
+    /// Maximum time that a client may wait for a response, in microseconds.
     pub(super) deadline_us: i64,
 }
 
-/// The front for the platform's clients: the routing core that it submits requests to, and what its connections share.
+/// The front for the platform's clients: a handle of the routing core, to which it submits requests, and the
+/// state that its connections share.
 pub struct Front {
     pub(super) handle: RouterHandle<Postgres>,
     pub(super) limits: Arc<Limits>,
     classes: HashMap<Vec<u8>, FrontClass>,
-    /// Ids of open requests. An id stands for one request: another one that names it must get neither its response nor
-    /// its end.
+    /// Client-given ids of open requests. Each id identifies one request; a second request with an open id is
+    /// rejected, so that the two cannot be confused in their responses or their cancellation.
     request_ids: Mutex<HashSet<Vec<u8>>>,
     /// Open connections by their cancel keys.
     cancel_keys: Mutex<HashMap<CancelKey, Arc<Connection>>>,
-    /// The memory for clients' long messages and open requests.
+    /// Memory for long messages and open requests of clients.
     pub(super) memory: MemoryPool,
-    /// The bytes of that memory that are reserved for other processes of this router.
+    /// Bytes of that memory that are reserved for other processes of this router.
     other_processes_bytes: Mutex<isize>,
 }
 
 impl Front {
-    /// A front for these classes; `settings` has their deadlines in the same order.
+    /// Creates a front for these classes; `settings` has their deadlines in the same order.
     pub fn new(
         handle: RouterHandle<Postgres>,
         limits: Arc<Limits>,
@@ -55,8 +56,8 @@
         })
     }
 
-    /// Sets how many processes serve as this router: each gets its share of the memory for clients. What is in use
-    /// beyond the share stays so until it is released.
+    /// Sets how many processes serve as this router: each gets an equal share of the memory for clients.
+    /// Reservations beyond the share remain until they are released.
     pub fn set_process_count(&self, processes: u32) {
         let total = self.limits.max_client_memory_bytes as isize;
         let others = total - total / processes.max(1) as isize;
@@ -77,7 +78,7 @@
         lock(&self.cancel_keys)
     }
 
-    /// Abandons the requests of a connection whose client takes no more responses.
+    /// Abandons the requests of a connection whose client no longer reads responses.
     pub(super) fn abandon_requests(&self, connection: &Connection) {
         connection.mark_disconnected(|id| self.handle.client_disconnected(id));
     }
--- a/postgres/src/front/startup.rs
+++ b/postgres/src/front/startup.rs
@@ -1,4 +1,5 @@
-//! The start of a connection: encryption is declined, a cancel request is carried out, a startup is greeted.
+//! The start of a connection: declines encryption, handles cancel requests, and responds to the startup
+//! message.
 use super::response;
 use super::shared::Front;
 use crate::buffer::{CancelKey, MessageBuffer, ReadError, Startup};
@@ -14,17 +15,17 @@
 const SSL_REQUEST: u32 = 80_877_103;
 /// Request code of a `GSSENCRequest`.
 const GSS_REQUEST: u32 = 80_877_104;
-/// The major version of the protocol.
+/// The supported major version of the protocol.
 const MAJOR_VERSION: u32 = 3;
 
-/// The cancel key of an open connection; it is invalid once this is dropped.
+/// The registered cancel key of an open connection; it becomes invalid when this is dropped.
 pub(super) struct CancelKeyGuard<'a> {
     front: &'a Front,
     key: CancelKey,
 }
 
 impl CancelKeyGuard<'_> {
-    /// Registers a key for the connection, which nobody can guess.
+    /// Registers a random key for the connection, which other clients cannot guess.
     fn register<'a>(front: &'a Front, connection: &Arc<Connection>) -> io::Result<CancelKeyGuard<'a>> {
         loop {
             let mut key = CancelKey::default();
@@ -43,8 +44,9 @@
     }
 }
 
-/// Reads the startup message and greets the client; `None` where the client wanted something else.
-pub(super) fn start_up<'a>(
+/// Reads the startup message and responds to it; returns `None` if the client sent a cancel request or an
+/// unsupported startup code, after which the connection is closed.
+pub(super) fn perform_startup<'a>(
     front: &'a Front,
     buffer: &mut MessageBuffer,
     connection: &Arc<Connection>,
@@ -54,7 +56,7 @@
         match buffer.read_startup(connection.startup_reader())? {
             Some(Startup { code: SSL_REQUEST | GSS_REQUEST, .. }) => write_gathered(socket, &[b"N"])?,
             Some(Startup { code, .. }) if code >> 16 == MAJOR_VERSION => break,
-            // No response tells whether the key was valid.
+            // A cancel request gets no response, so it does not reveal whether the key was valid.
             Some(Startup { code: CANCEL_REQUEST, key: Some(key) }) => {
                 cancel(front, &key);
                 return Ok(None);
@@ -63,11 +65,11 @@
         }
     }
     let guard = CancelKeyGuard::register(front, connection)?;
-    write_gathered(socket, &[&response::greeting(&guard.key)])?;
+    write_gathered(socket, &[&response::startup_response(&guard.key)])?;
     Ok(Some(guard))
 }
 
-/// Cancels the oldest request in flight on the connection of this key, if there is one.
+/// Cancels the oldest request in flight on the connection with this key, if there is one.
 fn cancel(front: &Front, key: &CancelKey) {
     let connection = front.cancel_keys().get(key).cloned();
     if let Some(id) = connection.and_then(|c| c.in_flight_requests.oldest()) {
--- a/postgres/src/front/submission.rs
+++ b/postgres/src/front/submission.rs
@@ -1,4 +1,4 @@
-//! Submission of a query to the routing core.
+//! Submits queries to the routing core.
 use super::open_request::OpenRequest;
 use super::shared::{Front, FrontClass};
 use crate::memory_pool::MemoryReservation;
@@ -9,7 +9,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 
-/// A submitted request: its final response arrives at the receiver.
+/// A submitted request, and the channel on which its final response arrives.
 pub(super) struct PendingRequest {
     pub(super) receiver: Receiver<FinalResponse<Vec<u8>>>,
     pub(super) request: OpenRequest,
@@ -17,13 +17,13 @@
 
 /// Why a query was not submitted.
 pub(super) enum SubmitError {
-    /// It is no request.
+    /// The query is not a valid request.
     Malformed(StatementError),
-    /// There is no memory left for it.
+    /// The memory for open requests is used up.
     OutOfMemory,
-    /// A request of its id is open.
+    /// A request with the same id is open.
     DuplicateId,
-    /// Its client has disconnected meanwhile: nobody is to be answered.
+    /// The client has disconnected in the meantime, so no response is needed.
     Disconnected,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Submits a whole Query message.
+/// Submits a Query message, given with its tag and length.
 pub(super) fn submit(
     front: &Arc<Front>,
     connection: &Arc<Connection>,
@@ -73,7 +73,8 @@
     Ok(PendingRequest { receiver, request })
 }
 
-/// No client waits longer than its class allows, whatever its query says. Its time runs from when it sent the query.
+/// Returns the deadline of a request. The waiting time that the query states is limited to the deadline of
+/// its class, and counts from when the client sent the query.
 fn deadline(now: Time, statement: &Statement, class: FrontClass, connection: &Connection) -> Time {
     let age = connection.take_command_age().as_micros() as i64;
     let wait = i64::try_from(statement.wait_ms).unwrap_or(i64::MAX).saturating_mul(1000);
--- a/postgres/src/instance_report.rs
+++ b/postgres/src/instance_report.rs
@@ -1,23 +1,23 @@
-//! What an instance reports about itself: with each response in `ParameterStatus` messages, and in full as the value
-//! that a probe asks for.
+//! What an instance reports about itself: some values with each response, in `ParameterStatus` messages, and
+//! a full load report as the response to a probe.
 use routing::{MemberReport, Time};
 
-/// How far a reported position may lie ahead of this host's clock, in microseconds.
+/// How far a reported position may be ahead of this host's clock, in microseconds.
 const MAX_AHEAD_US: f64 = 1e6;
 
 /// What an instance reported in the `ParameterStatus` messages of one response.
 #[derive(Debug, Default)]
 pub struct InstanceReport {
-    /// Whether it takes writes.
+    /// Whether the instance accepts writes.
     pub primary: Option<bool>,
-    /// How far it has applied the log, on its own clock.
+    /// The instance's replication position, as a time on its own clock.
     pub position: Option<Time>,
-    /// Its load report.
+    /// The instance's load report.
     pub load_report: MemberReport,
 }
 
 impl InstanceReport {
-    /// Takes one parameter; unknown ones are ignored.
+    /// Updates the report from one parameter; unknown parameters are ignored.
     pub fn set_parameter(&mut self, name: &str, value: &str, now: Time) {
         match (name, value) {
             ("mode", "read-write") => self.primary = Some(true),
@@ -32,8 +32,9 @@
     }
 }
 
-/// Parses a load report, `x0=1767225600.123,x1=1,...`: x0 is the position in seconds of Unix time, x1 says whether the
-/// instance is the primary. `None` where any of it is malformed: the rest can't be trusted then.
+/// Parses a load report such as `x0=1767225600.123,x1=1,...`: x0 is the position as Unix time in seconds, x1
+/// is 1 if the instance is the primary and 0 if not. Returns `None` if any part is malformed, because the
+/// rest cannot be trusted then.
 pub fn parse_load_report(fields: &str, now: Time) -> Option<MemberReport> {
     let mut report = MemberReport::default();
     for field in fields.split(',') {
@@ -49,8 +50,8 @@
     Some(report)
 }
 
-/// A reported position in Unix microseconds. Positions only rise: one far ahead of the present would make its member
-/// look up to date for good.
+/// Returns a reported position, which is Unix time in microseconds, unless it is invalid. Positions only
+/// increase, so one far in the future would make its member look up to date forever.
 fn valid_position(micros: f64, now: Time) -> Option<Time> {
     (micros > 0.0 && micros <= now.0 as f64 + MAX_AHEAD_US).then_some(Time(micros.round() as i64))
 }
--- a/postgres/src/lib.rs
+++ b/postgres/src/lib.rs
@@ -1,9 +1,9 @@
-//! The platform's wire protocol: `PostgreSQL`'s, version 3, with simple queries only.
+//! The platform's wire protocol: version 3 of the `PostgreSQL` protocol, limited to simple queries.
 //!
-//! [`front`] serves clients and [`backend`] connects to instances, whose responses [`response`] parses. Both read
-//! messages from a [`buffer`], which takes the memory of long ones out of a [`memory_pool`]; [`decode`] and [`encode`]
-//! know what single messages hold, [`statement`] parses a query's comment and [`instance_report`] what an instance
-//! reports about itself.
+//! [`front`] serves clients and [`backend`] connects to database instances, whose responses [`response`]
+//! parses. Both read messages from a [`buffer`]; the memory of long messages from clients is reserved in a
+//! [`memory_pool`]. [`decode`] and [`encode`] handle the bodies of single messages, [`statement`] parses the
+//! comment of a query and [`instance_report`] what an instance reports about itself.
 pub mod backend;
 pub mod buffer;
 pub mod decode;
--- a/postgres/src/response.rs
+++ b/postgres/src/response.rs
@@ -1,69 +1,70 @@
-//! Parsing of one response of an instance, message by message. It needs no socket and no clock, so that tests can play
-//! through every way in which a response can stop or go wrong.
-use crate::buffer::HEAD_BYTES;
+//! Parsing of an instance's response to one exchange, message by message. The parser uses no socket and no
+//! clock, so that tests can cover every way in which a response can end early or be malformed.
+use crate::buffer::HEADER_BYTES;
 use crate::decode::{describes_one_column, error_fields, is_command_tag, parameter_status, single_value};
 use crate::instance_report::{InstanceReport, parse_load_report};
 use routing::protocol::ExchangeResult;
 use routing::{MemberReport, Outcome, Time};
 
-/// Bytes that a response may hold beside its value: heads, parameters and notices.
+/// Maximum size of everything in a response but its value, in bytes: headers, parameters and notices.
 pub const MAX_OVERHEAD_BYTES: usize = 16 * 1024;
 
-/// How reading a response ended.
+/// How the reading of a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseEnd {
-    /// With `ReadyForQuery`.
+    /// `ReadyForQuery` was received.
     Ready,
-    /// The connection ended or failed first.
+    /// The connection was closed or failed before `ReadyForQuery`.
     Closed,
-    /// Nothing more came in time.
+    /// No further message was received in time.
     TimedOut,
-    /// With something that has no place in a response. What came beside a complete row is not trusted.
+    /// A message was received that is not valid in a response. Reports in the same response are not trusted
+    /// then; a complete row before it is.
     Malformed,
 }
 
-/// What of a response has been parsed.
+/// How much of a response has been parsed.
 #[derive(Clone, Copy, PartialEq)]
 enum Progress {
     Nothing,
     RowDescription,
     DataRow,
-    /// The row and `CommandComplete`.
+    /// A row and `CommandComplete`.
     Complete,
-    /// An error, and nothing of a row before it.
+    /// An error, without any part of a row before it.
     Error {
         outcome: Outcome,
         fatal: bool,
     },
 }
 
-/// What a response answers.
+/// What kind of exchange a response belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// A client's statement: the response is passed on.
+    /// A client's statement, whose response is forwarded to the client.
     Statement,
-    /// A probe: its value is a load report.
+    /// A probe, whose response has a load report as its value.
     Probe,
 }
 
-/// A message that has no place in a response.
-struct Unexpected;
+/// Error for a message that is not valid at its place in a response.
+struct UnexpectedMessage;
 
-/// Parses a response: a row's description, the row and its end, or an error; with parameters and notices in between;
-/// and `ReadyForQuery`.
+/// Parses a response. It consists of a row description, a row and `CommandComplete`, or of an error; then
+/// `ReadyForQuery`. Parameters and notices may come in between.
 pub struct ResponseParser {
     kind: ResponseKind,
     max_value_bytes: usize,
-    /// Bytes that the rest of the response may still have.
+    /// Maximum size of the rest of the response, in bytes.
     remaining_bytes: usize,
     progress: Progress,
     report: InstanceReport,
-    /// The messages that the client gets.
+    /// The messages that are forwarded to the client.
     response: Vec<u8>,
 }
 
 impl ResponseParser {
-    /// A parser for a response with a value of up to `max_value_bytes`.
+    /// Creates a parser for a response whose value has at most `max_value_bytes`.
     pub fn new(kind: ResponseKind, max_value_bytes: usize) -> ResponseParser {
         ResponseParser {
             kind,
@@ -75,24 +76,25 @@
         }
     }
 
-    /// Whether the row or the error is complete: only parameters, notices and `ReadyForQuery` can follow, and a client
-    /// need not wait for them.
+    /// Returns whether the row or the error is complete. Only parameters, notices and `ReadyForQuery` can
+    /// follow, which the client does not have to wait for.
     pub fn is_complete(&self) -> bool {
         matches!(self.progress, Progress::Complete | Progress::Error { .. })
     }
 
-    /// Takes the next message, with its tag and length. Returns how the response ended if this was its last one.
+    /// Parses the next message, given with its tag and length. Returns how the response ended if this was its
+    /// last message.
     pub fn push_message(&mut self, message: &[u8], now: Time) -> Option<ResponseEnd> {
         match self.parse_message(message, now) {
             Ok(end) => end,
-            Err(Unexpected) => Some(ResponseEnd::Malformed),
+            Err(UnexpectedMessage) => Some(ResponseEnd::Malformed),
         }
     }
 
-    fn parse_message(&mut self, message: &[u8], now: Time) -> Result<Option<ResponseEnd>, Unexpected> {
-        self.remaining_bytes = self.remaining_bytes.checked_sub(message.len()).ok_or(Unexpected)?;
-        let (head, body) = message.split_at_checked(HEAD_BYTES).ok_or(Unexpected)?;
-        let tag = head[0];
+    fn parse_message(&mut self, message: &[u8], now: Time) -> Result<Option<ResponseEnd>, UnexpectedMessage> {
+        self.remaining_bytes = self.remaining_bytes.checked_sub(message.len()).ok_or(UnexpectedMessage)?;
+        let (header, body) = message.split_at_checked(HEADER_BYTES).ok_or(UnexpectedMessage)?;
+        let tag = header[0];
         match (tag, self.progress) {
             (b'T', Progress::Nothing) if describes_one_column(body) => {
                 self.progress = Progress::RowDescription;
@@ -101,13 +103,14 @@
             (b'C', Progress::DataRow) if is_command_tag(body) => self.progress = Progress::Complete,
             (b'E', Progress::Nothing) => self.parse_error(body)?,
             (b'S', _) => {
-                let (name, value) = parameter_status(body).ok_or(Unexpected)?;
+                let (name, value) = parameter_status(body).ok_or(UnexpectedMessage)?;
                 self.report.set_parameter(name, value, now);
             }
             (b'N', _) => {}
             (b'Z', _) if self.is_complete() && body == b"I" => return Ok(Some(ResponseEnd::Ready)),
-            // An error after a part of a row is malformed too: whatever its code says, the statement has begun.
-            _ => return Err(Unexpected),
+            // An error after part of a row is malformed too: whatever its code says, the instance has started
+            // to execute the statement.
+            _ => return Err(UnexpectedMessage),
         }
         if matches!(tag, b'T' | b'D' | b'C') && self.kind == ResponseKind::Statement {
             self.response.extend_from_slice(message);
@@ -115,9 +118,9 @@
         Ok(None)
     }
 
-    fn parse_row(&mut self, body: &[u8], now: Time) -> Result<(), Unexpected> {
+    fn parse_row(&mut self, body: &[u8], now: Time) -> Result<(), UnexpectedMessage> {
         let value = single_value(body).filter(|value| value.len() <= self.max_value_bytes);
-        let value = value.ok_or(Unexpected)?;
+        let value = value.ok_or(UnexpectedMessage)?;
         if self.kind == ResponseKind::Probe {
             let text = std::str::from_utf8(value).ok();
             self.report.load_report = text.and_then(|t| parse_load_report(t, now)).unwrap_or_default();
@@ -126,12 +129,14 @@
         Ok(())
     }
 
-    fn parse_error(&mut self, body: &[u8]) -> Result<(), Unexpected> {
-        let error = error_fields(body).ok_or(Unexpected)?;
+    fn parse_error(&mut self, body: &[u8]) -> Result<(), UnexpectedMessage> {
+        let error = error_fields(body).ok_or(UnexpectedMessage)?;
         let outcome = match error.code {
-            // `read_only_sql_transaction`: not the primary; `snapshot_too_old`: not fresh enough.
+            // `read_only_sql_transaction`: the instance is not the primary; `snapshot_too_old`: its data is
+            // not fresh enough.
             "25006" | "72000" => Outcome::NotEligible,
-            // `too_many_connections` and `cannot_connect_now`: nothing ran, so a retry is safe (PROTOCOL).
+            // `too_many_connections` and `cannot_connect_now`: the statement was not executed, so a retry is
+            // safe (see PROTOCOL).
             "53300" | "57P03" => Outcome::Rejected,
             _ => Outcome::Error,
         };
@@ -139,14 +144,15 @@
         Ok(())
     }
 
-    /// The result of the exchange, now that the response has ended. `unread` is what came behind its last complete
-    /// message.
+    /// Returns the result of the exchange after its response has ended. `unread` holds the bytes that were
+    /// read after the last complete message.
     pub fn finish(self, end: ResponseEnd, unread: &[u8], now: Time) -> ExchangeResult<Vec<u8>> {
-        let end = if self.may_be_followed_by(end, unread) { end } else { ResponseEnd::Malformed };
+        let end = if self.is_consistent_with(end, unread) { end } else { ResponseEnd::Malformed };
         let outcome = self.outcome(end, unread);
         let served = outcome == Outcome::Ok && self.kind == ResponseKind::Statement;
         let report = if end == ResponseEnd::Malformed { InstanceReport::default() } else { self.report };
-        // The position after a write may be among what is lost: it was committed by now, and its session must see it.
+        // The report of the position after a write may have been lost with the end of the response. The write
+        // was committed by now, and later reads of its session have to observe it.
         let commit = (served && end != ResponseEnd::Ready && report.position.is_none()).then_some(now);
         ExchangeResult {
             outcome,
@@ -158,27 +164,30 @@
         }
     }
 
-    /// Whether `unread` can be a part of this response.
-    fn may_be_followed_by(&self, end: ResponseEnd, unread: &[u8]) -> bool {
+    /// Returns whether `unread` can be part of this response.
+    fn is_consistent_with(&self, end: ResponseEnd, unread: &[u8]) -> bool {
         match (end, unread.first()) {
-            // Bytes behind the end answer nothing that was sent, so the response before them may not either.
+            // Bytes after the end of the response belong to no exchange, so the response before them may
+            // belong to another one too.
             (ResponseEnd::Ready, Some(_)) => false,
-            // Behind a complete row or error, a row or an error would begin another response.
+            // After a complete row or error, another row or error would start a further response.
             (_, Some(tag)) if self.is_complete() => matches!(tag, b'S' | b'N' | b'Z'),
             _ => true,
         }
     }
 
-    /// What came in full before the connection failed counts: a row is a response, an error's code is an error.
+    /// Returns the outcome from the messages that were received completely before the connection failed: a
+    /// complete row counts as a response, and an error counts with its code.
     fn outcome(&self, end: ResponseEnd, unread: &[u8]) -> Outcome {
         match self.progress {
             Progress::Complete => Outcome::Ok,
             Progress::Error { outcome, fatal } => {
-                // An error may have been on its way before the statement was read, as an instance ends a connection.
-                // So what its code says of the statement holds only where nothing more can come of that.
+                // The instance may have sent the error before it read the statement, while it was closing the
+                // connection. So the outcome for the error's code applies only if no further message can
+                // follow.
                 let is_last = match end {
                     ResponseEnd::Ready | ResponseEnd::Closed => true,
-                    // The session is over, though its connection is still open.
+                    // The session has ended, although its connection is still open.
                     ResponseEnd::TimedOut => fatal && unread.is_empty(),
                     ResponseEnd::Malformed => false,
                 };
--- a/postgres/src/statement.rs
+++ b/postgres/src/statement.rs
@@ -1,56 +1,57 @@
-//! A query and what its comment says, found in place: the waiting time can be replaced without a copy of the rest.
+//! A query and the fields of its comment. The fields are ranges of the message, so that the waiting time can
+//! be replaced without copying the rest.
 use std::ops::Range;
 
-/// The longest id of a request, in bytes.
+/// Maximum length of a request's id, in bytes.
 const MAX_ID_BYTES: usize = 64;
 
-/// A query as a client wrote it, with what its comment says.
+/// A query as the client sent it, with the parsed fields of its comment.
 #[derive(Debug)]
 pub struct Statement {
-    /// The whole message, tag and length included.
+    /// The whole message, including its tag and length.
     message: Vec<u8>,
-    /// Where the digits of `d` stand in the message.
+    /// Range of the digits of the field `d` in the message.
     wait: Range<usize>,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits for the response, in milliseconds.
     pub wait_ms: u64,
     id: Range<usize>,
     class: Range<usize>,
     key: Option<Range<usize>>,
-    /// The cluster that it is for.
+    /// The replication group that the request is for; the comment's field is named `cluster`.
     pub group: u32,
-    /// The position that it must observe, in Unix milliseconds.
+    /// The replication position that the request must observe, as Unix time in milliseconds.
     pub after_ms: Option<i64>,
 }
 
-/// Why a query is no request. The texts reach clients.
+/// Why a query is not a valid request. The texts are sent to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementError {
     /// The message has no body.
     Empty,
-    /// No `*/`.
+    /// The text has no `*/`.
     NoComment,
-    /// A `*/` without `/*` before it.
+    /// The text has a `*/` without a `/*` before it.
     NoCommentStart,
-    /// A zero byte inside the text.
+    /// The text contains a zero byte.
     ZeroByte,
-    /// The comment has a name twice.
+    /// A field of the comment is given twice.
     DuplicateName,
-    /// No id, or one that is too long or has other than visible ASCII characters.
+    /// The id is missing, is too long, or has characters other than visible ASCII.
     NoId,
-    /// No waiting time that is a whole number.
+    /// The waiting time is missing or not a whole number.
     NoWait,
-    /// No cluster.
+    /// The cluster is missing or not a whole number.
     NoCluster,
-    /// A position that is no whole number.
+    /// The position is not a whole number.
     InvalidAfter,
-    /// No class.
+    /// The class is missing.
     NoClass,
-    /// A class that the configuration does not have.
+    /// The class is not in the configuration.
     UnknownClass,
 }
 
 impl StatementError {
-    /// The text for the client.
+    /// Returns the error text that is sent to the client.
     pub fn text(self) -> &'static str {
         match self {
             StatementError::Empty => "the query is empty",
@@ -68,7 +69,7 @@
     }
 }
 
-/// Where the values of a comment stand in the message.
+/// Ranges of the values of a comment in the message.
 #[derive(Default)]
 struct CommentFields {
     id: Option<Range<usize>>,
@@ -81,7 +82,7 @@
 impl CommentFields {
     fn find(message: &[u8], comment: Range<usize>) -> Result<CommentFields, StatementError> {
         let mut fields = CommentFields::default();
-        for (name, value) in pairs(message, comment) {
+        for (name, value) in name_value_pairs(message, comment) {
             let field = match name {
                 b"id" => &mut fields.id,
                 b"c" => &mut fields.class,
@@ -98,8 +99,8 @@
     }
 }
 
-/// Names and values in a comment; the values as ranges of the message.
-fn pairs(message: &[u8], comment: Range<usize>) -> impl Iterator<Item = (&[u8], Range<usize>)> {
+/// Returns the names and values of a comment's fields; the values are ranges of the message.
+fn name_value_pairs(message: &[u8], comment: Range<usize>) -> impl Iterator<Item = (&[u8], Range<usize>)> {
     let mut at = comment.start;
     std::iter::from_fn(move || {
         if at >= comment.end {
@@ -117,13 +118,13 @@
     })
 }
 
-/// A whole number in digits alone: no sign, no space.
+/// Parses a whole number that consists of digits only, without sign or space.
 fn parse_number<T: std::str::FromStr>(text: &[u8]) -> Option<T> {
     let digits = text.iter().all(u8::is_ascii_digit);
     std::str::from_utf8(text).ok().filter(|_| digits)?.parse().ok()
 }
 
-/// The first quoted text before `end`.
+/// Returns the range of the first text in single quotes before `end`.
 fn first_quoted(text: &[u8], end: usize) -> Option<Range<usize>> {
     let quote_from =
         |from: usize| text[from..end].iter().position(|b| *b == b'\'').map(|offset| from + offset);
@@ -137,12 +138,12 @@
 }
 
 impl Statement {
-    /// Parses a whole Query message.
+    /// Parses a Query message, given with its tag and length.
     ///
     /// # Errors
-    /// The query has no comment, or the comment lacks what a request needs.
+    /// Fails if the query has no comment, or if fields of the comment are missing or invalid.
     pub fn parse(message: &[u8]) -> Result<Statement, StatementError> {
-        // Between the head and the zero that ends the text.
+        // The text is between the header and the terminating zero byte.
         let body = 5..message.len().saturating_sub(1);
         let text = message.get(body.clone()).ok_or(StatementError::Empty)?;
         let close = text.windows(2).rposition(|w| w == b"*/").ok_or(StatementError::NoComment)?;
@@ -157,7 +158,8 @@
         }
         let fields = CommentFields::find(message, body.start + open + 2..comment_end)?;
         let id = fields.id.filter(|id| is_valid_id(&message[id.clone()])).ok_or(StatementError::NoId)?;
-        // 0 is a waiting time, too: such a request is rejected as any that can't be served in time.
+        // A waiting time of 0 is valid: such a request is rejected like any other that cannot be served in
+        // time.
         let wait = fields.wait.ok_or(StatementError::NoWait)?;
         let wait_ms = parse_number(&message[wait.clone()]).ok_or(StatementError::NoWait)?;
         let group = fields.group.and_then(|group| parse_number(&message[group]));
@@ -171,26 +173,27 @@
         Ok(Statement { message: message.to_vec(), wait, wait_ms, id, class, key, group, after_ms })
     }
 
-    /// The request's id.
+    /// Returns the id that the client gave the request.
     pub fn id(&self) -> &[u8] {
         &self.message[self.id.clone()]
     }
 
-    /// The name of its class.
+    /// Returns the name of the request's class.
     pub fn class(&self) -> &[u8] {
         &self.message[self.class.clone()]
     }
 
-    /// The quoted key, which names the session.
+    /// Returns the quoted key, which identifies the session.
     pub fn key(&self) -> Option<&[u8]> {
         self.key.clone().map(|key| &self.message[key])
     }
 
-    /// The message with another waiting time: its head, and the parts that go out before and after the digits.
+    /// Returns the message with another waiting time: its new header, and the parts before and after the
+    /// digits.
     pub fn with_wait(&self, digits: &str) -> ([u8; 5], [&[u8]; 2]) {
         let length = self.message.len() - 1 - self.wait.len() + digits.len();
-        let mut head = [b'Q'; 5];
-        head[1..].copy_from_slice(&(length as u32).to_be_bytes());
-        (head, [&self.message[5..self.wait.start], &self.message[self.wait.end..]])
+        let mut header = [b'Q'; 5];
+        header[1..].copy_from_slice(&(length as u32).to_be_bytes());
+        (header, [&self.message[5..self.wait.start], &self.message[self.wait.end..]])
     }
 }
--- a/postgres/tests/common/mod.rs
+++ b/postgres/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A scripted test instance, which controls every byte that it sends, and a connection to it.
+//! A test instance that runs a script and controls every byte that it sends, and a connection to it.
 use postgres::backend::{Postgres, PostgresConnection};
 use postgres::statement::Statement;
 use routing::Clock;
@@ -14,21 +14,21 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longer than any test takes; reached only by a failure.
+/// A timeout that passes only if a test fails.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a test instance does once it has written its bytes.
+/// What a test instance does after it has written its bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Cut {
-    /// Ends its side of the connection.
+pub(crate) enum Ending {
+    /// Shuts down the sending side of the connection.
     Fin,
     /// Resets the connection.
     Reset,
-    /// Sends nothing more, and keeps the connection open until the router closes it.
-    Silent,
+    /// Sends nothing more, and leaves the connection open until the router closes it.
+    Stall,
 }
 
-pub(crate) const CUTS: [Cut; 3] = [Cut::Fin, Cut::Reset, Cut::Silent];
+pub(crate) const ENDINGS: [Ending; 3] = [Ending::Fin, Ending::Reset, Ending::Stall];
 
 pub(crate) fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     [&[tag][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
@@ -38,7 +38,7 @@
     message(b'Z', b"I")
 }
 
-pub(crate) fn greeting() -> Vec<u8> {
+pub(crate) fn startup_response() -> Vec<u8> {
     [message(b'R', &[0; 4]), ready()].concat()
 }
 
@@ -53,13 +53,14 @@
     message(b'E', format!("S{severity}\0V{severity}\0C{code}\0Mno\0\0").as_bytes())
 }
 
-/// Reads one message of the router with its tag and length; `None` once it has closed the connection.
+/// Reads one message of the router, with its tag and length; returns `None` once the router has closed the
+/// connection.
 pub(crate) fn read_message(mut from: &TcpStream) -> Option<Vec<u8>> {
-    let mut head = [0; 5];
-    from.read_exact(&mut head).ok()?;
-    let mut body = vec![0; u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize - 4];
+    let mut header = [0; 5];
+    from.read_exact(&mut header).ok()?;
+    let mut body = vec![0; u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize - 4];
     from.read_exact(&mut body).ok()?;
-    Some([&head[..], &body].concat())
+    Some([&header[..], &body].concat())
 }
 
 /// Reads the router's startup message.
@@ -69,23 +70,23 @@
     from.read_exact(&mut vec![0; u32::from_be_bytes(length) as usize - 4]).unwrap();
 }
 
-/// Writes the bytes and cuts the connection; with a reset, what was written arrives before it.
-pub(crate) fn write_and_cut(mut socket: &TcpStream, bytes: &[u8], cut: Cut) {
-    // The router may have ended the connection already.
+/// Writes the bytes and ends the connection as given; before a reset, the bytes written arrive.
+pub(crate) fn write_and_end(mut socket: &TcpStream, bytes: &[u8], ending: Ending) {
+    // The router may have closed the connection already.
     _ = socket.write_all(bytes);
-    match cut {
-        Cut::Fin => _ = socket.shutdown(std::net::Shutdown::Write),
-        Cut::Reset => {
+    match ending {
+        Ending::Fin => _ = socket.shutdown(std::net::Shutdown::Write),
+        Ending::Reset => {
             SockRef::from(socket).set_linger(Some(Duration::ZERO)).unwrap();
             return;
         }
-        Cut::Silent => {}
+        Ending::Stall => {}
     }
     while socket.read(&mut [0; 256]).is_ok_and(|n| n > 0) {}
 }
 
-/// Starts a test instance that plays this script on its first connection.
-pub(crate) fn start_instance(script: impl FnOnce(TcpStream) + Send + 'static) -> SocketAddr {
+/// Starts a test instance that runs this script on its first connection.
+pub(crate) fn start_scripted_instance(script: impl FnOnce(TcpStream) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     std::thread::spawn(move || script(listener.accept().unwrap().0));
@@ -107,19 +108,19 @@
     Postgres::new(Arc::new(limits.clone()), Clock::new()).connect(addr, permit())
 }
 
-/// A permit to open or check a connection.
+/// Returns a permit to open or check a connection.
 pub(crate) fn permit() -> ConnectionPermit {
     AttemptGuard::default().permit_connection().unwrap()
 }
 
-/// A connection to an instance that has sent its greeting; the script goes on from there.
+/// Connects to an instance that has sent its startup response; the script continues from there.
 pub(crate) fn connect(
     limits: &Limits,
     script: impl FnOnce(&TcpStream) + Send + 'static,
 ) -> PostgresConnection {
-    let addr = start_instance(move |socket| {
+    let addr = start_scripted_instance(move |socket| {
         read_startup(&socket);
-        (&socket).write_all(&greeting()).unwrap();
+        (&socket).write_all(&startup_response()).unwrap();
         script(&socket);
     });
     connect_to(limits, addr).ok().unwrap()
@@ -132,7 +133,7 @@
     Statement::parse(&message(b'Q', format!("{SELECT}\0").as_bytes())).unwrap()
 }
 
-/// Executes a client's statement that waits until the deadline.
+/// Executes a client's statement with this deadline.
 pub(crate) fn attempt(
     connection: &mut PostgresConnection,
     deadline: Instant,
--- a/postgres/tests/connections.rs
+++ b/postgres/tests/connections.rs
@@ -1,8 +1,9 @@
-//! Connections to instances: opening them, checking whether they are usable, and what arrives while they are idle.
+//! Connections to instances: opening them, checking whether they are usable, and messages that arrive while
+//! they are idle.
 mod common;
 use common::{
-    CUTS, Cut, TIMEOUT, attempt, connect, connect_to, error, limits, message, permit, probe, read_message,
-    read_startup, ready, row, start_instance, write_and_cut,
+    ENDINGS, Ending, TIMEOUT, attempt, connect, connect_to, error, limits, message, permit, probe,
+    read_message, read_startup, ready, row, start_scripted_instance, write_and_end,
 };
 use postgres::backend::{Postgres, PostgresConnection};
 use routing::protocol::{BackendProtocol, Connection, NotSent};
@@ -19,9 +20,9 @@
 const EMPTY_QUERY: &[u8] = b"Q\0\0\0\x05\0";
 const EMPTY_QUERY_RESPONSE: &[u8] = b"I\0\0\0\x04Z\0\0\0\x05I";
 
-/// A connection to an instance that answers each query with the next of `responses` and then sends nothing any more; the
-/// messages that it reads come out of the receiver.
-fn connect_answering(responses: &'static [&'static [u8]]) -> (PostgresConnection, Receiver<Vec<u8>>) {
+/// Connects to an instance that responds to each message with the next of `responses` and then sends nothing
+/// more. The receiver returns the messages that the instance reads.
+fn connect_responding(responses: &'static [&'static [u8]]) -> (PostgresConnection, Receiver<Vec<u8>>) {
     let (sender, received) = channel();
     let mut limits = limits();
     limits.backend_check_timeout = Duration::from_millis(500);
@@ -31,31 +32,31 @@
             _ = sender.send(message);
             _ = (&*socket).write_all(response);
         }
-        // Whatever comes now is dropped silently, as by a network that has lost the connection.
-        write_and_cut(socket, b"", Cut::Silent);
+        // Later messages get no response, as on a connection that the network has lost.
+        write_and_end(socket, b"", Ending::Stall);
     });
     (connection, received)
 }
 
 #[test]
 fn long_idle_connection_is_checked_and_recently_used_one_is_not() {
-    let (mut connection, received) = connect_answering(&[EMPTY_QUERY_RESPONSE, EMPTY_QUERY_RESPONSE]);
+    let (mut connection, received) = connect_responding(&[EMPTY_QUERY_RESPONSE, EMPTY_QUERY_RESPONSE]);
     assert!(connection.is_usable(Duration::ZERO, permit()));
-    assert!(connection.is_usable(Duration::from_secs(5), permit()), "the instance answers the check");
-    assert!(connection.is_usable(Duration::from_secs(5), permit()), "and may be checked again");
+    assert!(connection.is_usable(Duration::from_secs(5), permit()), "the instance responds to the check");
+    assert!(connection.is_usable(Duration::from_secs(5), permit()), "a connection can be checked repeatedly");
     assert_eq!(
         received.try_iter().collect::<Vec<_>>(),
         [EMPTY_QUERY, EMPTY_QUERY],
-        "none was sent on the connection just used"
+        "the recently used connection was not checked"
     );
 }
 
 #[test]
 fn lost_connection_or_unexpected_check_response_is_not_usable() {
-    let (mut connection, _received) = connect_answering(&[]);
-    assert!(connection.is_usable(Duration::ZERO, permit()), "nothing shows that it was lost");
+    let (mut connection, _received) = connect_responding(&[]);
+    assert!(connection.is_usable(Duration::ZERO, permit()), "the loss is not detected without a check");
     assert!(!connection.is_usable(Duration::from_secs(5), permit()));
-    let row_behind = Box::leak([EMPTY_QUERY_RESPONSE, &row("x").concat()].concat().into_boxed_slice());
+    let row_after = Box::leak([EMPTY_QUERY_RESPONSE, &row("x").concat()].concat().into_boxed_slice());
     for unexpected in [
         &b"Z\0\0\0\x05I"[..],
         b"E\0\0\0\x0cC57P01\0\0",
@@ -63,33 +64,33 @@
         b"I\0\0\0\x04Z\0\0\0\x05IZ",
         b"I\0\0\0\x04S\0\0\0\x01",
         b"I\xff\xff\xff\xff",
-        row_behind,
+        row_after,
     ] {
-        let (mut connection, _received) = connect_answering(Box::leak(Box::new([unexpected])));
+        let (mut connection, _received) = connect_responding(Box::leak(Box::new([unexpected])));
         assert!(!connection.is_usable(Duration::from_secs(5), permit()), "{unexpected:?}");
     }
 }
 
 #[test]
-fn check_response_counts_only_complete_and_within_its_timeout() {
+fn check_response_counts_only_if_complete_within_its_timeout() {
     let complete =
         [message(b'S', b"mode\0read-only\0"), message(b'N', b"SNOTICE\0\0"), EMPTY_QUERY_RESPONSE.to_vec()]
             .concat();
     let mut limits = limits();
     limits.backend_check_timeout = Duration::from_secs(1);
-    for cut in CUTS {
+    for ending in ENDINGS {
         std::thread::scope(|s| {
             for sent in 0..=complete.len() {
                 let (limits, bytes, all) = (&limits, complete[..sent].to_vec(), complete.len());
                 s.spawn(move || {
                     let mut connection = connect(limits, move |socket| {
                         read_message(socket);
-                        write_and_cut(socket, &bytes, cut);
+                        write_and_end(socket, &bytes, ending);
                     });
                     assert_eq!(
                         connection.is_usable(TIMEOUT, permit()),
                         sent == all,
-                        "{cut:?} after {sent} bytes"
+                        "{ending:?} after {sent} bytes"
                     );
                 });
             }
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn endless_notices_end_with_the_check_timeout() {
+fn endless_notices_fail_the_check_at_its_timeout() {
     let mut limits = limits();
     limits.backend_check_timeout = Duration::from_millis(100);
     let mut connection = connect(&limits, |socket| {
@@ -110,38 +111,38 @@
 
 #[test]
 fn idle_timeout_exceeds_reconnect_interval_and_stays_below_the_instance_timeout() {
-    let (thirty, limit) = (Duration::from_secs(30), Duration::from_secs(10));
+    let (keepalive, reconnect) = (Duration::from_secs(30), Duration::from_secs(10));
     let limits = Limits::new(
         ProcessResources { descriptors: 384, memory_bytes: 48 << 20 },
         RequestTimes {
             connect_timeout: Duration::from_millis(250),
-            backend_keepalive: thirty,
-            longest_deadline: thirty,
+            backend_keepalive: keepalive,
+            longest_deadline: keepalive,
         },
     );
-    assert!(limits.backend_idle_timeout > limit && limits.backend_idle_timeout < thirty);
-    // An instance that closes early is left early.
-    let short = Limits::new(
+    assert!(limits.backend_idle_timeout > reconnect && limits.backend_idle_timeout < keepalive);
+    // If the instance closes idle connections early, the router closes them even earlier.
+    let early_closing = Limits::new(
         ProcessResources { descriptors: 384, memory_bytes: 48 << 20 },
         RequestTimes {
             connect_timeout: Duration::from_millis(250),
             backend_keepalive: Duration::from_secs(2),
-            longest_deadline: thirty,
+            longest_deadline: keepalive,
         },
     );
     assert!(
-        short.backend_idle_timeout < Duration::from_secs(2)
-            && short.max_unchecked_idle_time <= short.backend_idle_timeout
+        early_closing.backend_idle_timeout < Duration::from_secs(2)
+            && early_closing.max_unchecked_idle_time <= early_closing.backend_idle_timeout
     );
 }
 
 #[test]
-fn both_rejection_codes_mean_that_nothing_ran() {
+fn both_rejection_codes_mean_that_nothing_was_executed() {
     for (code, outcome) in
         [("53300", Outcome::Rejected), ("57P03", Outcome::Rejected), ("XX000", Outcome::Error)]
     {
         let response = [error("ERROR", code), ready()].concat();
-        let (mut connection, _received) = connect_answering(Box::leak(Box::new([&*response.leak()])));
+        let (mut connection, _received) = connect_responding(Box::leak(Box::new([&*response.leak()])));
         let result = probe(&mut connection).ok().unwrap();
         assert_eq!(result.outcome, outcome, "{code}");
     }
@@ -152,7 +153,7 @@
     let complete_response = [&row("nobody's")[..], &[ready()]].concat().concat();
     for (name, stray) in [
         ("a rejection", error("ERROR", "53300")),
-        ("a rejection and its end", [error("ERROR", "53300"), ready()].concat()),
+        ("a rejection and `ReadyForQuery`", [error("ERROR", "53300"), ready()].concat()),
         ("the end of the session", error("FATAL", "57P01")),
         ("an incomplete message", b"E\0\0".to_vec()),
         ("a complete response", complete_response),
@@ -162,39 +163,40 @@
         let mut connection = connect(&limits(), move |socket| {
             stray_due.recv().unwrap();
             (&*socket).write_all(&stray).unwrap();
-            // Whatever it reads it would carry out.
+            // The instance would execute any statement that it reads.
             sender.send(read_message(socket)).unwrap();
         });
-        // The check of the idle connection comes first, the stray message right behind it.
+        // The stray message arrives right after the check of the idle connection.
         assert!(connection.is_usable(Duration::ZERO, permit()), "{name}");
         send_stray.send(()).unwrap();
         wait_until_readable(&connection.socket());
         let deadline = Instant::now() + TIMEOUT;
         assert_eq!(attempt(&mut connection, deadline).err(), Some(NotSent::ConnectionBroken), "{name}");
         drop(connection);
-        assert_eq!(received.recv_timeout(TIMEOUT), Ok(None), "{name}: nothing was written");
+        assert_eq!(received.recv_timeout(TIMEOUT), Ok(None), "{name}: a statement was written");
     }
 }
 
-/// Waits until something can be read.
+/// Waits until the socket has bytes to read.
 fn wait_until_readable(socket: &ServerSocket) {
     let started = Instant::now();
     while socket.is_idle_and_open() {
-        assert!(started.elapsed() < TIMEOUT, "nothing arrived");
+        assert!(started.elapsed() < TIMEOUT, "no bytes have arrived");
         std::thread::yield_now();
     }
 }
 
 #[test]
-fn stray_rejection_during_the_write_does_not_prove_that_nothing_ran() {
-    // As the statement is being read, an error stands before its answer already; and it is carried out.
+fn stray_rejection_during_the_write_does_not_prove_that_nothing_was_executed() {
+    // The instance sends an error while it reads the statement, before the actual response, and executes the
+    // statement all the same.
     for (name, response, outcome) in [
         ("a row follows", [error("ERROR", "53300"), row("value").concat(), ready()].concat(), Outcome::Error),
         ("nothing follows", error("ERROR", "53300"), Outcome::Error),
         ("an incomplete row follows", [error("FATAL", "53300"), b"T\0\0".to_vec()].concat(), Outcome::Error),
-        ("the session ends with it", error("FATAL", "53300"), Outcome::Rejected),
+        ("the error ends the session", error("FATAL", "53300"), Outcome::Rejected),
     ] {
-        let (mut connection, _received) = connect_answering(Box::leak(Box::new([&*response.leak()])));
+        let (mut connection, _received) = connect_responding(Box::leak(Box::new([&*response.leak()])));
         let deadline = Instant::now() + TIMEOUT;
         let result = attempt(&mut connection, deadline).ok().unwrap();
         assert_eq!((result.outcome, result.reusable), (outcome, false), "{name}");
@@ -202,65 +204,78 @@
     }
 }
 
-/// How connecting fails where the greeting is cut like this; `None` if it does not.
-fn connect_error(limits: &Limits, greeting: Vec<u8>, cut: Cut) -> Option<Outcome> {
-    let addr = start_instance(move |socket| {
+/// Returns how connecting fails if the startup response is cut off like this; `None` if it succeeds.
+fn connect_outcome(limits: &Limits, startup_response: Vec<u8>, ending: Ending) -> Option<Outcome> {
+    let addr = start_scripted_instance(move |socket| {
         read_startup(&socket);
-        write_and_cut(&socket, &greeting, cut);
+        write_and_end(&socket, &startup_response, ending);
     });
     connect_to(limits, addr).err()
 }
 
 #[test]
-fn greeting_cut_at_any_byte_fails_and_a_complete_rejection_counts() {
+fn truncated_startup_response_fails_and_complete_rejection_is_reported() {
     let mut limits = limits();
     limits.backend_connect_timeout = Duration::from_millis(800);
-    let good = [
+    let prefix = [
         message(b'R', &[0; 4]),
         message(b'S', b"server_version\x0016\0"),
         message(b'K', &[7; 8]),
         message(b'N', b"SNOTICE\0\0"),
     ]
     .concat();
-    let complete = [good.clone(), ready()].concat();
+    let complete = [prefix.clone(), ready()].concat();
     for (name, bytes, error) in [
         ("complete", complete.clone(), None),
         ("too many connections", error("FATAL", "53300"), Some(Outcome::Rejected)),
         ("starting up", error("FATAL", "57P03"), Some(Outcome::Rejected)),
-        ("too many connections, late", [good, error("FATAL", "53300")].concat(), Some(Outcome::Rejected)),
+        (
+            "too many connections, after other messages",
+            [prefix, error("FATAL", "53300")].concat(),
+            Some(Outcome::Rejected),
+        ),
         ("shutting down", error("FATAL", "57P01"), Some(Outcome::ConnectFailed)),
     ] {
-        for cut in CUTS {
+        for ending in ENDINGS {
             std::thread::scope(|s| {
                 for sent in 0..=bytes.len() {
-                    let (limits, greeting) = (&limits, bytes[..sent].to_vec());
+                    let (limits, startup_response) = (&limits, bytes[..sent].to_vec());
                     let expected = if sent == bytes.len() { error } else { Some(Outcome::ConnectFailed) };
                     s.spawn(move || {
-                        let outcome = connect_error(limits, greeting, cut);
-                        assert_eq!(outcome, expected, "{name}, {cut:?} after {sent} bytes");
+                        let outcome = connect_outcome(limits, startup_response, ending);
+                        assert_eq!(outcome, expected, "{name}, {ending:?} after {sent} bytes");
                     });
                 }
             });
         }
     }
-    let with_rest = connect_error(&limits, [complete, b"E".to_vec()].concat(), Cut::Silent);
-    assert_eq!(with_rest, Some(Outcome::ConnectFailed), "the rest would be taken for the first response");
+    let with_extra_byte = connect_outcome(&limits, [complete, b"E".to_vec()].concat(), Ending::Stall);
+    assert_eq!(
+        with_extra_byte,
+        Some(Outcome::ConnectFailed),
+        "the extra byte would be taken for the first response"
+    );
 }
 
 #[test]
-fn endless_or_slow_greeting_fails_within_the_connect_timeout() {
+fn endless_or_slow_startup_response_fails_within_the_connect_timeout() {
     let mut limits = limits();
-    let endless = start_instance(|socket| {
+    let endless = start_scripted_instance(|socket| {
         read_startup(&socket);
         while (&socket).write_all(&message(b'S', &[b'x'; 4096])).is_ok() {}
     });
-    assert_eq!(connect_to(&limits, endless).err(), Some(Outcome::ConnectFailed), "bounded by its bytes");
+    assert_eq!(
+        connect_to(&limits, endless).err(),
+        Some(Outcome::ConnectFailed),
+        "the size of the startup response is limited"
+    );
     limits.backend_connect_timeout = Duration::from_millis(300);
-    let slow = start_instance(|mut socket| {
+    let slow = start_scripted_instance(|mut socket| {
         read_startup(&socket);
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
         _ = socket.write_all(b"N\0\0\x30\0");
-        // The pace of the flood; it ends with the connection.
+        // The read timeout sets the interval between the bytes. The loop ends when the router closes the
+        // connection.
         while socket.read(&mut [0]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
             && socket.write_all(b"x").is_ok()
         {}
@@ -270,7 +285,8 @@
     assert!(started.elapsed() < TIMEOUT);
 }
 
-/// Whether a connection attempt to this address is unanswered.
+/// Returns whether a connection attempt to this address has had no response (its socket is in the state
+/// SYN-SENT).
 fn is_connecting_to(addr: SocketAddr) -> bool {
     const SYN_SENT: &str = "02";
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
@@ -282,9 +298,9 @@
 }
 
 #[test]
-fn late_accept_leaves_less_time_for_the_greeting() {
-    // The system answers no further connection attempt while this one waits to be accepted; the router's succeeds with
-    // its second SYN, after a second.
+fn late_accept_leaves_less_time_for_the_startup_response() {
+    // With a backlog of 0, the kernel does not respond to the router's first SYN while another connection
+    // waits to be accepted. The router's connection succeeds with its second SYN, after 1 s.
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     listener.listen(0).unwrap();
@@ -303,18 +319,21 @@
     }
     drop(listener.accept().unwrap());
     drop(first);
-    let silent = listener.accept().unwrap().0;
-    let (outcome, took) = connecting.join().unwrap();
+    let unresponsive = listener.accept().unwrap().0;
+    let (outcome, elapsed) = connecting.join().unwrap();
     assert_eq!(outcome, Some(Outcome::ConnectFailed));
-    assert!(took >= Duration::from_secs(1), "{took:?}: it was accepted at once");
-    assert!(took < Duration::from_millis(2300), "{took:?} of 1.6 s for both");
-    drop(silent);
+    assert!(elapsed >= Duration::from_secs(1), "{elapsed:?}: the connection was accepted without delay");
+    assert!(
+        elapsed < Duration::from_millis(2300),
+        "{elapsed:?}, with a limit of 1.6 s for connecting and startup"
+    );
+    drop(unresponsive);
 }
 
 #[test]
-fn greeted_connection_executes_a_statement() {
+fn connection_executes_a_statement_after_startup() {
     let (mut connection, received) =
-        connect_answering(Box::leak(Box::new([&*[row("value").concat(), ready()].concat().leak()])));
+        connect_responding(Box::leak(Box::new([&*[row("value").concat(), ready()].concat().leak()])));
     let deadline = Instant::now() + TIMEOUT;
     let result = attempt(&mut connection, deadline).ok().unwrap();
     assert_eq!((result.outcome, result.reusable), (Outcome::Ok, true));
--- a/postgres/tests/front.rs
+++ b/postgres/tests/front.rs
@@ -1,5 +1,6 @@
-//! The front with limits that the program never has, no poll of its clients and no thread for a response writer, and the
-//! bytes that clients get: `fixtures/exchanges.txt` was written by the front as it was before its modules were split.
+//! The front with limits that the program itself never sets: no polling of clients, no thread for a response
+//! writer. Also checks the bytes sent to clients against `fixtures/exchanges.txt`, which was recorded before
+//! the front was split into modules.
 use client_listener::{ClientListener, ClientServer};
 use crossbeam_channel::{Sender, bounded};
 use decision::{Class, Freshness, Idempotency};
@@ -13,7 +14,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longer than any test takes; reached only by a failure.
+/// A timeout that passes only if a test fails.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn settings() -> Settings {
@@ -29,7 +30,7 @@
     Settings { classes, min_event_interval: 1_000, ..mysql }
 }
 
-/// A running front without instances: requests wait.
+/// A running front without database instances, so that requests wait until their deadline.
 struct TestFront {
     addr: SocketAddr,
     metrics: Arc<Metrics>,
@@ -37,8 +38,8 @@
 }
 
 impl TestFront {
-    /// Starts it; only the front gets the changed limits.
-    fn start(change: impl FnOnce(&mut Limits)) -> TestFront {
+    /// Starts a front. Only the front gets the changed limits, not the router.
+    fn start(adjust_limits: impl FnOnce(&mut Limits)) -> TestFront {
         let seconds = Duration::from_secs;
         let limits = Limits::new(
             ProcessResources { descriptors: 4096, memory_bytes: 64 << 20 },
@@ -49,7 +50,7 @@
             },
         );
         let mut front_limits = limits.clone();
-        change(&mut front_limits);
+        adjust_limits(&mut front_limits);
         let (limits, front_limits) = (Arc::new(limits), Arc::new(front_limits));
         let names = ["order".to_string()];
         let metrics = Metrics::new(&names).unwrap();
@@ -73,7 +74,7 @@
         TestFront { addr, metrics, _commands: command_sender }
     }
 
-    /// Waits until so many requests are in progress.
+    /// Waits until this many requests are in progress.
     fn wait_for_requests(&self, count: i64) {
         let started = Instant::now();
         while self.metrics.requests_in_progress.get() != count {
@@ -85,15 +86,15 @@
 }
 
 fn read_message(socket: &TcpStream) -> std::io::Result<(u8, Vec<u8>)> {
-    let (mut head, mut from) = ([0; 5], socket);
-    from.read_exact(&mut head)?;
-    let mut body = vec![0; u32::from_be_bytes(head[1..].try_into().unwrap()) as usize - 4];
+    let (mut header, mut from) = ([0; 5], socket);
+    from.read_exact(&mut header)?;
+    let mut body = vec![0; u32::from_be_bytes(header[1..].try_into().unwrap()) as usize - 4];
     from.read_exact(&mut body)?;
-    Ok((head[0], body))
+    Ok((header[0], body))
 }
 
 fn connect(addr: SocketAddr) -> TcpStream {
-    start_up(addr).0
+    open_session(addr).0
 }
 
 fn query(id: &str, wait: u32) -> Vec<u8> {
@@ -101,7 +102,7 @@
     message(b'Q', sql.as_bytes())
 }
 
-/// The code of the next response, which is an error.
+/// Reads the next response, which has to be an error, and returns its code.
 fn read_error_code(socket: &TcpStream) -> String {
     let (tag, body) = read_message(socket).unwrap();
     assert_eq!((tag, read_message(socket).unwrap().0), (b'E', b'Z'));
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn disconnect_is_noticed_without_polling_the_client() {
+fn disconnect_is_detected_without_polling_the_client() {
     let front = TestFront::start(|limits| limits.client_poll_interval = Duration::from_hours(1));
     let socket = connect(front.addr);
     (&socket).write_all(&query("w1", 9000)).unwrap();
@@ -118,24 +119,27 @@
     let started = Instant::now();
     drop(socket);
     front.wait_for_requests(0);
-    assert!(started.elapsed() < Duration::from_secs(5), "abandoned with its client, not at its deadline");
+    assert!(
+        started.elapsed() < Duration::from_secs(5),
+        "the request is abandoned at the disconnect, not at its deadline"
+    );
 }
 
 #[test]
-fn pipelined_requests_are_answered_in_order_without_a_writer_thread() {
+fn pipelined_requests_get_responses_in_order_without_a_writer_thread() {
     let front = TestFront::start(|limits| limits.socket_thread_stack_bytes = usize::MAX >> 2);
     let socket = connect(front.addr);
     (&socket).write_all(&[query("w1", 300), query("w2", 300), query("w3", 300)].concat()).unwrap();
     for _ in 0..3 {
         assert_eq!(read_error_code(&socket), "53300");
     }
-    // The connection goes on.
+    // The connection remains usable.
     (&socket).write_all(&query("w4", 100)).unwrap();
     assert_eq!(read_error_code(&socket), "53300");
     front.wait_for_requests(0);
 }
 
-/// Reads messages up to the end of a response or of the connection.
+/// Reads messages until the end of a response or of the connection.
 fn read_response(socket: &TcpStream) -> Vec<u8> {
     let mut response = Vec::new();
     while let Ok((tag, body)) = read_message(socket) {
@@ -153,35 +157,37 @@
     [&[tag][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
-/// Sends bytes on a socket and writes down the response.
+/// Sends bytes on a socket and appends them and the response to the transcript.
 fn exchange(transcript: &mut String, socket: &TcpStream, sent: &[u8]) {
-    // A connection that the front has closed shows as an empty response.
+    // If the front has closed the connection, the response is empty.
     let mut to = socket;
     _ = to.write_all(sent);
     let response = read_response(socket);
     transcript.push_str(&format!("> {}\n< {}\n", sent.escape_ascii(), response.escape_ascii()));
 }
 
-/// A started connection with the key that its greeting tells, and the greeting with zeros in its place.
-fn start_up(addr: SocketAddr) -> (TcpStream, [u8; 8], Vec<u8>) {
+/// Opens a session. Returns its socket, the cancel key from the startup response, and the startup response
+/// with the key replaced by zeros.
+fn open_session(addr: SocketAddr) -> (TcpStream, [u8; 8], Vec<u8>) {
     const KEY_MESSAGE: &[u8] = b"K\0\0\0\x0c";
     let socket = TcpStream::connect(addr).unwrap();
     socket.set_read_timeout(Some(TIMEOUT)).unwrap();
     (&socket).write_all(b"\0\0\0\x13\0\x03\0\0user\0till\0\0").unwrap();
-    let mut greeting = read_response(&socket);
-    assert!(greeting.ends_with(b"Z\0\0\0\x05I"), "{}", greeting.escape_ascii());
-    let at = greeting.windows(KEY_MESSAGE.len()).position(|w| w == KEY_MESSAGE).unwrap() + KEY_MESSAGE.len();
-    let key = greeting[at..at + 8].try_into().unwrap();
-    greeting[at..at + 8].fill(0);
-    (socket, key, greeting)
+    let mut startup_response = read_response(&socket);
+    assert!(startup_response.ends_with(b"Z\0\0\0\x05I"), "{}", startup_response.escape_ascii());
+    let at = startup_response.windows(KEY_MESSAGE.len()).position(|w| w == KEY_MESSAGE).unwrap()
+        + KEY_MESSAGE.len();
+    let key = startup_response[at..at + 8].try_into().unwrap();
+    startup_response[at..at + 8].fill(0);
+    (socket, key, startup_response)
 }
 
 #[test]
-fn exchanges_with_clients_keep_their_bytes() {
+fn exchanges_with_clients_match_the_recorded_bytes() {
     let front = TestFront::start(|_| {});
     let mut transcript = String::new();
-    let (socket, key, greeting) = start_up(front.addr);
-    transcript.push_str(&format!("< {}\n", greeting.escape_ascii()));
+    let (socket, key, startup_response) = open_session(front.addr);
+    transcript.push_str(&format!("< {}\n", startup_response.escape_ascii()));
     for sql in [
         "",
         " ; ",
@@ -202,24 +208,24 @@
     ] {
         exchange(&mut transcript, &socket, &message(b'Q', format!("{sql}\0").as_bytes()));
     }
-    // The extended protocol skips up to its Sync; Flush has no response.
+    // After an error in the extended query protocol, messages are skipped until Sync; Flush has no response.
     for (tag, body) in [(b'F', &b""[..]), (b'S', b""), (b'?', b"x")] {
         exchange(&mut transcript, &socket, &message(tag, body));
     }
     let extended =
         [message(b'P', b"\0SELECT 1\0\0\0"), message(b'B', b""), message(b'H', b""), message(b'S', b"")];
     exchange(&mut transcript, &socket, &extended.concat());
-    // A request that waits, a second one with its id, and its cancellation.
+    // A request that is in progress, a second one with the same id, and the cancellation of the first.
     (&socket).write_all(&query("w1", 9000)).unwrap();
     front.wait_for_requests(1);
-    let (other, _, _) = start_up(front.addr);
-    exchange(&mut transcript, &other, &query("w1", 9000));
+    let (second_client, _, _) = open_session(front.addr);
+    exchange(&mut transcript, &second_client, &query("w1", 9000));
     let cancel = [&b"\0\0\0\x10\x04\xd2\x16\x2e"[..], &key].concat();
     (&TcpStream::connect(front.addr).unwrap()).write_all(&cancel).unwrap();
     transcript.push_str(&format!("< {}\n", read_response(&socket).escape_ascii()));
     front.wait_for_requests(0);
     exchange(&mut transcript, &socket, b"Q\0\0\0\x03");
-    exchange(&mut transcript, &other, b"Q\x7f\0\0\0");
+    exchange(&mut transcript, &second_client, b"Q\x7f\0\0\0");
     let before_startup = TcpStream::connect(front.addr).unwrap();
     before_startup.set_read_timeout(Some(TIMEOUT)).unwrap();
     (&before_startup).write_all(b"\0\0\0\x08\x04\xd2\x16\x2f").unwrap();
--- a/postgres/tests/fuzz.rs
+++ b/postgres/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Random bytes, and random changes of well-formed ones, into all parsers: nothing panics, nothing counts for more than it
-//! is, and memory stays bounded.
+//! Feeds random bytes, and random mutations of well-formed ones, to all parsers: nothing panics, malformed
+//! input is never taken for a response or a statement, and memory stays bounded.
 use postgres::buffer::{MessageBuffer, ReadError};
 use postgres::decode::{error_fields, parameter_status};
 use postgres::memory_pool::MemoryPool;
@@ -17,10 +17,10 @@
 const POOL_BYTES: usize = 1 << 20;
 const NOW: Time = Time(1_800_000_000_000_000);
 
-/// A connection that returns its bytes in reads of these sizes, and then ends.
+/// A connection that returns its bytes in reads of the given sizes, and then ends.
 struct ChunkedSource<'a> {
     bytes: &'a [u8],
-    /// Used in turn; none of them means one read.
+    /// The sizes are used cyclically; if there are none, a read returns all it can.
     read_sizes: &'a [usize],
     read_count: usize,
     end: ResponseEnd,
@@ -44,16 +44,16 @@
     }
 }
 
-/// A response that was read as a connection to an instance reads it.
-struct ReadResponse {
+/// A response, read in the same way as by a connection to an instance.
+struct ResponseReading {
     result: ExchangeResult<Vec<u8>>,
-    /// The most memory that the buffer took.
+    /// Maximum size of the buffer, in bytes.
     peak_buffer_bytes: usize,
-    /// The bytes that were read by the end of the response.
+    /// Number of bytes that were read until the end of the response.
     read_bytes: usize,
 }
 
-fn read_response(bytes: &[u8], read_sizes: &[usize], end: ResponseEnd) -> ReadResponse {
+fn read_response(bytes: &[u8], read_sizes: &[usize], end: ResponseEnd) -> ResponseReading {
     let mut buffer = MessageBuffer::new(MAX_VALUE_BYTES + MAX_OVERHEAD_BYTES);
     let mut parser = ResponseParser::new(ResponseKind::Statement, MAX_VALUE_BYTES);
     let mut source = ChunkedSource { bytes, read_sizes, read_count: 0, end };
@@ -73,7 +73,7 @@
             break end;
         }
     };
-    ReadResponse {
+    ResponseReading {
         result: parser.finish(end, buffer.read_ahead(), NOW),
         peak_buffer_bytes: peak_buffer_bytes.max(buffer.allocated_bytes()),
         read_bytes: bytes.len() - source.bytes.len(),
@@ -84,10 +84,10 @@
     [&[tag][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
-/// Codes of errors, of each outcome.
+/// Error codes that lead to each possible outcome.
 const ERROR_CODES: [&str; 6] = ["53300", "57P03", "25006", "72000", "XX000", "57P01"];
 
-/// A message that an instance might send, in or out of its place.
+/// Generates a message that an instance might send, which may be malformed or out of order.
 fn any_message() -> impl Strategy<Value = Vec<u8>> {
     let column = [&[0, 1][..], b"body\0", &[0; 18]].concat();
     let value = |v: Vec<u8>| {
@@ -112,7 +112,7 @@
     ]
 }
 
-/// A well-formed response: a row or an error, parameters, and its end.
+/// Generates a well-formed response: a row or an error, parameters, and `ReadyForQuery`.
 fn well_formed_response() -> impl Strategy<Value = Vec<u8>> {
     (vec(any::<u8>(), 0..200), any::<bool>(), select(&["53300", "57P03", "25006", "XX000"][..])).prop_map(
         |(value, fails, code)| {
@@ -129,46 +129,46 @@
 }
 
 #[derive(Clone, Debug)]
-enum Change {
+enum Mutation {
     Flip(Index, u8),
     Insert(Index, Vec<u8>),
     Remove(Index, usize),
     Repeat(Index, usize),
-    Cut(Index),
+    Truncate(Index),
 }
 
-fn change() -> impl Strategy<Value = Change> {
+fn mutation() -> impl Strategy<Value = Mutation> {
     prop_oneof![
-        (any::<Index>(), any::<u8>()).prop_map(|(at, by)| Change::Flip(at, by)),
-        (any::<Index>(), vec(any::<u8>(), 1..9)).prop_map(|(at, b)| Change::Insert(at, b)),
-        (any::<Index>(), 1..9_usize).prop_map(|(at, n)| Change::Remove(at, n)),
-        (any::<Index>(), 1..40_usize).prop_map(|(at, n)| Change::Repeat(at, n)),
-        any::<Index>().prop_map(Change::Cut),
+        (any::<Index>(), any::<u8>()).prop_map(|(at, by)| Mutation::Flip(at, by)),
+        (any::<Index>(), vec(any::<u8>(), 1..9)).prop_map(|(at, b)| Mutation::Insert(at, b)),
+        (any::<Index>(), 1..9_usize).prop_map(|(at, n)| Mutation::Remove(at, n)),
+        (any::<Index>(), 1..40_usize).prop_map(|(at, n)| Mutation::Repeat(at, n)),
+        any::<Index>().prop_map(Mutation::Truncate),
     ]
 }
 
-fn changed(mut bytes: Vec<u8>, changes: &[Change]) -> Vec<u8> {
-    for c in changes {
+fn mutate(mut bytes: Vec<u8>, mutations: &[Mutation]) -> Vec<u8> {
+    for c in mutations {
         let at = |i: &Index| i.index(bytes.len() + 1);
         match c {
-            Change::Flip(i, by) => {
+            Mutation::Flip(i, by) => {
                 let at = at(i);
                 bytes.iter_mut().skip(at).take(1).for_each(|b| *b ^= by);
             }
-            Change::Insert(i, more) => {
+            Mutation::Insert(i, more) => {
                 let at = at(i);
                 bytes.splice(at..at, more.iter().copied());
             }
-            Change::Remove(i, n) => {
+            Mutation::Remove(i, n) => {
                 let at = at(i);
                 bytes.drain(at..(at + n).min(bytes.len()));
             }
-            Change::Repeat(i, n) => {
+            Mutation::Repeat(i, n) => {
                 let at = at(i);
                 let part = bytes[at..(at + n).min(bytes.len())].to_vec();
                 bytes.splice(at..at, part);
             }
-            Change::Cut(i) => {
+            Mutation::Truncate(i) => {
                 let at = at(i);
                 bytes.truncate(at);
             }
@@ -180,8 +180,8 @@
 /// Splits bytes into complete messages and the rest, independently of the code under test.
 fn split_messages(mut bytes: &[u8]) -> (Vec<&[u8]>, &[u8]) {
     let mut all = Vec::new();
-    while let Some(head) = bytes.get(..5) {
-        let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
+    while let Some(header) = bytes.get(..5) {
+        let length = u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize;
         let Some(complete) = (length >= 4).then(|| bytes.get(..length + 1)).flatten() else { break };
         all.push(complete);
         bytes = &bytes[complete.len()..];
@@ -189,21 +189,22 @@
     (all, bytes)
 }
 
-/// What must hold for any bytes.
-fn check(bytes: &[u8], read_sizes: &[usize], end: ResponseEnd) -> Result<(), TestCaseError> {
-    let ReadResponse { result, peak_buffer_bytes, read_bytes } = read_response(bytes, read_sizes, end);
+/// Checks the invariants that hold for a response of any bytes.
+fn check_invariants(bytes: &[u8], read_sizes: &[usize], end: ResponseEnd) -> Result<(), TestCaseError> {
+    let ResponseReading { result, peak_buffer_bytes, read_bytes } = read_response(bytes, read_sizes, end);
     prop_assert!(
         peak_buffer_bytes <= MAX_VALUE_BYTES + MAX_OVERHEAD_BYTES + 2048,
-        "the buffer took {peak_buffer_bytes} bytes"
+        "the buffer grew to {peak_buffer_bytes} bytes"
     );
-    // What comes later than the end of a response is found when the connection is checked again.
+    // Bytes that arrive after the end of a response are detected when the connection is checked before its
+    // next use.
     let (messages, rest) = split_messages(&bytes[..read_bytes]);
     let ordered: Vec<&&[u8]> = messages.iter().filter(|m| !matches!(m[0], b'S' | b'N')).collect();
     let tags: Vec<u8> = ordered.iter().map(|m| m[0]).collect();
     if result.outcome == Outcome::Ok {
         prop_assert!(tags.starts_with(b"TDC"), "{tags:?}");
         let text: Vec<u8> = ordered[..3].iter().flat_map(|m| m.iter().copied()).collect();
-        prop_assert_eq!(result.response.as_deref(), Some(&text[..]), "only what came is forwarded");
+        prop_assert_eq!(result.response.as_deref(), Some(&text[..]), "only received messages are forwarded");
         let value = &ordered[1][5..];
         let length = u32::from_be_bytes([value[2], value[3], value[4], value[5]]) as usize;
         prop_assert!(value[..2] == [0, 1] && length == value.len() - 6, "one complete value");
@@ -215,7 +216,7 @@
             if result.outcome == Outcome::Rejected { &["53300", "57P03"] } else { &["25006", "72000"] };
         let code = error_fields(&ordered[0][5..]).map(|e| e.code).unwrap_or_default();
         prop_assert!(tags[0] == b'E' && codes.contains(&code), "{tags:?} {code}");
-        // Nothing but parameters and its end comes behind it.
+        // Only parameters, notices and `ReadyForQuery` follow the error.
         prop_assert!(tags[1..].is_empty() || tags[1..] == *b"Z", "{tags:?}");
         prop_assert!(rest.is_empty() || tags.len() == 1 && matches!(rest[0], b'S' | b'N' | b'Z'), "{rest:?}");
     }
@@ -228,7 +229,10 @@
         (result.response_report.primary, result.response_report.position, result.load_report.position);
     if reported != (None, None, None) {
         let parameters = messages.iter().filter(|m| m[0] == b'S');
-        prop_assert!(parameters.clone().all(|m| parameter_status(&m[5..]).is_some()), "one is malformed");
+        prop_assert!(
+            parameters.clone().all(|m| parameter_status(&m[5..]).is_some()),
+            "a parameter is malformed"
+        );
         prop_assert!(parameters.count() > 0);
     }
     Ok(())
@@ -239,27 +243,33 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, rng_seed: RngSeed::Fixed(31), ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 2000, failure_persistence: None, rng_seed: RngSeed::Fixed(31), ..ProptestConfig::default()
+    })]
 
     #[test]
-    fn random_bytes_are_never_served(bytes in vec(any::<u8>(), 0..300), read_sizes in vec(1..40_usize, 1..8), end in connection_end()) {
-        check(&bytes, &read_sizes, end)?;
+    fn random_bytes_are_never_served(
+        bytes in vec(any::<u8>(), 0..300), read_sizes in vec(1..40_usize, 1..8), end in connection_end()
+    ) {
+        check_invariants(&bytes, &read_sizes, end)?;
     }
 
     #[test]
     fn messages_in_any_order_are_served_only_as_a_complete_row(
-        all in vec(any_message(), 0..9), cut in any::<Index>(), read_sizes in vec(1..40_usize, 1..8), end in connection_end(),
+        all in vec(any_message(), 0..9), truncated_at in any::<Index>(),
+        read_sizes in vec(1..40_usize, 1..8), end in connection_end(),
     ) {
         let bytes = all.concat();
-        check(&bytes, &read_sizes, end)?;
-        check(&bytes[..cut.index(bytes.len() + 1)], &read_sizes, end)?;
+        check_invariants(&bytes, &read_sizes, end)?;
+        check_invariants(&bytes[..truncated_at.index(bytes.len() + 1)], &read_sizes, end)?;
     }
 
     #[test]
-    fn changed_responses_are_served_only_as_a_complete_row(
-        response in well_formed_response(), changes in vec(change(), 0..4), read_sizes in vec(1..40_usize, 1..8), end in connection_end(),
+    fn mutated_responses_are_served_only_as_a_complete_row(
+        response in well_formed_response(), mutations in vec(mutation(), 0..4),
+        read_sizes in vec(1..40_usize, 1..8), end in connection_end(),
     ) {
-        check(&changed(response, &changes), &read_sizes, end)?;
+        check_invariants(&mutate(response, &mutations), &read_sizes, end)?;
     }
 
     #[test]
@@ -270,7 +280,8 @@
         let at_once = read_response(&bytes, &[], end).result;
         let chunked = read_response(&bytes, &read_sizes, end).result;
         prop_assert_eq!(at_once.response, chunked.response);
-        // A second response that comes later than the first is found only when the connection is checked again.
+        // A second response that arrives after the first is detected only when the connection is checked
+        // before its next use.
         prop_assert!(at_once.outcome == chunked.outcome || chunked.reusable);
     }
 
@@ -292,7 +303,7 @@
             }
             prop_assert!(buffer.read_message(&mut source).unwrap().is_none() && buffer.is_empty());
         }
-        prop_assert_eq!(pool.available_bytes(), POOL_BYTES as isize, "all memory is given back");
+        prop_assert_eq!(pool.available_bytes(), POOL_BYTES as isize, "all memory is returned to the pool");
     }
 
     #[test]
@@ -312,25 +323,25 @@
     }
 
     #[test]
-    fn statement_parser_never_panics_and_fields_stand_in_the_message(
-        changes in vec(change(), 0..5), random in vec(any::<u8>(), 0..80), digits in 0..100_000_u32,
+    fn statement_parser_never_panics_and_fields_are_parts_of_the_message(
+        mutations in vec(mutation(), 0..5), random in vec(any::<u8>(), 0..80), digits in 0..100_000_u32,
     ) {
         const WELL_FORMED: &[u8] =
             b"SELECT body FROM objects WHERE oid = 'k1' /* id=a1,c=read,d=480,cluster=3,after=17 */\0";
         _ = Statement::parse(&random);
-        let message = changed(message(b'Q', WELL_FORMED), &changes);
+        let message = mutate(message(b'Q', WELL_FORMED), &mutations);
         if let Ok(s) = Statement::parse(&message) {
             prop_assert!((1..=64).contains(&s.id().len()));
             prop_assert!(message.windows(s.class().len().max(1)).any(|w| w.starts_with(s.class())));
             prop_assert!(s.key().is_none_or(|k| !k.contains(&b'\'')));
             let digits = digits.to_string();
-            let (head, [before, after]) = s.with_wait(&digits);
-            let sent = [&head[..], before, digits.as_bytes(), after].concat();
+            let (header, [before, after]) = s.with_wait(&digits);
+            let sent = [&header[..], before, digits.as_bytes(), after].concat();
             let length = u32::from_be_bytes([sent[1], sent[2], sent[3], sent[4]]) as usize;
             prop_assert_eq!(length + 1, sent.len());
-            let again = Statement::parse(&sent).unwrap();
-            prop_assert_eq!(again.wait_ms.to_string(), digits);
-            prop_assert_eq!((again.id(), again.class(), again.key()), (s.id(), s.class(), s.key()));
+            let reparsed = Statement::parse(&sent).unwrap();
+            prop_assert_eq!(reparsed.wait_ms.to_string(), digits);
+            prop_assert_eq!((reparsed.id(), reparsed.class(), reparsed.key()), (s.id(), s.class(), s.key()));
         }
     }
 }
--- a/postgres/tests/responses.rs
+++ b/postgres/tests/responses.rs
@@ -1,26 +1,26 @@
-//! Responses of instances that are cut off at every byte, in every way: their outcome, and whether their connection is
-//! used again.
+//! Responses of instances that are cut off after every byte, in every way: the outcome, and whether the
+//! connection is reused.
 mod common;
 use common::{
-    CUTS, Cut, TIMEOUT, attempt, connect, error, limits, message, permit, probe, read_message, ready, row,
-    write_and_cut,
+    ENDINGS, Ending, TIMEOUT, attempt, connect, error, limits, message, permit, probe, read_message, ready,
+    row, write_and_end,
 };
 use routing::protocol::{Connection, ExchangeResult};
 use routing::{Outcome, Time};
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-/// The position that the test instance reports in `wal_time`.
+/// Replication position that the test instance reports in `wal_time`.
 const WAL_POSITION: Time = Time(1_000_000_000_250_000);
-/// The position that it reports in `stats` and to a probe.
+/// Replication position that the test instance reports in `stats` and in the response to a probe.
 const STATS_POSITION: Time = Time(1_000_000_000_500_000);
 
-/// An error as the response.
+/// A response that is an error.
 #[derive(Clone, Copy)]
 struct ErrorCase {
-    /// What its code says.
+    /// The outcome for the error's code.
     outcome: Outcome,
-    /// Whether it ends the session.
+    /// Whether the error ends the session.
     fatal: bool,
 }
 
@@ -29,11 +29,11 @@
     name: String,
     messages: Vec<Vec<u8>>,
     probe: bool,
-    /// The error that the response is; `None` where it is a row.
+    /// The error, if the response is one; `None` if it is a row.
     error: Option<ErrorCase>,
 }
 
-/// Parameters that report on the instance.
+/// Parameters with which the instance reports its state.
 fn parameters() -> Vec<Vec<u8>> {
     vec![
         message(b'S', b"mode\0read-write\0"),
@@ -76,16 +76,16 @@
     all
 }
 
-/// What the first `sent` bytes of a response must give.
+/// Expected result of the first `sent` bytes of a response.
 struct Expected {
     outcome: Outcome,
     reusable: bool,
-    mode: Option<bool>,
+    primary: Option<bool>,
     position: Option<Time>,
-    report: Option<Time>,
+    load_report_position: Option<Time>,
 }
 
-fn expected(case: &Case, sent: usize, cut: Cut) -> Expected {
+fn expected(case: &Case, sent: usize, ending: Ending) -> Expected {
     let (mut complete, mut end) = (Vec::new(), 0);
     for m in &case.messages {
         end += m.len();
@@ -97,10 +97,10 @@
         }
     }
     let has = |tag| complete.iter().any(|m| m[0] == tag);
-    let outcome = match (case.error, cut) {
+    let outcome = match (case.error, ending) {
         _ if has(b'C') => Outcome::Ok,
         (Some(error), _) if has(b'Z') => error.outcome,
-        (Some(error), Cut::Silent) if has(b'E') => {
+        (Some(error), Ending::Stall) if has(b'E') => {
             if error.fatal && sent == end {
                 error.outcome
             } else {
@@ -108,32 +108,32 @@
             }
         }
         (Some(error), _) if has(b'E') => error.outcome,
-        (_, Cut::Silent) => Outcome::TimedOut,
+        (_, Ending::Stall) => Outcome::TimedOut,
         _ => Outcome::Reset,
     };
     let has_parameter = |name: &[u8]| complete.iter().any(|m| m[0] == b'S' && m[5..].starts_with(name));
-    let by_probe = case.probe && has(b'D');
+    let has_probe_report = case.probe && has(b'D');
     Expected {
         outcome,
         reusable: has(b'Z'),
-        mode: has_parameter(b"mode").then_some(true),
+        primary: has_parameter(b"mode").then_some(true),
         position: has_parameter(b"wal_time").then_some(WAL_POSITION),
-        report: (has_parameter(b"stats") || by_probe).then_some(STATS_POSITION),
+        load_report_position: (has_parameter(b"stats") || has_probe_report).then_some(STATS_POSITION),
     }
 }
 
-/// Reads a response of which `sent` bytes come; also says whether it ended before the deadline.
-fn play(case: &Case, sent: usize, cut: Cut, deadline: Instant) -> (ExchangeResult<Vec<u8>>, bool) {
+/// Reads a response of which only `sent` bytes arrive; also returns whether it ended before the deadline.
+fn receive(case: &Case, sent: usize, ending: Ending, deadline: Instant) -> (ExchangeResult<Vec<u8>>, bool) {
     let bytes = case.messages.concat()[..sent].to_vec();
     let mut connection = connect(&limits(), move |socket| {
         read_message(socket);
-        write_and_cut(socket, &bytes, cut);
+        write_and_end(socket, &bytes, ending);
     });
     let result =
         if case.probe { probe(&mut connection) } else { attempt(&mut connection, deadline) }.unwrap();
     let in_time = Instant::now() < deadline;
-    if result.reusable && cut != Cut::Silent {
-        // The end that follows is noticed before the connection is used again.
+    if result.reusable && ending != Ending::Stall {
+        // The close of the connection has to be detected before the connection is reused.
         let started = Instant::now();
         while connection.is_usable(Duration::ZERO, permit()) {
             assert!(started.elapsed() < TIMEOUT);
@@ -143,50 +143,50 @@
     (result, in_time)
 }
 
-fn check(case: &Case, sent: usize, cut: Cut, (result, in_time): (ExchangeResult<Vec<u8>>, bool)) {
-    let name = format!("{}, {cut:?} after {sent} bytes", case.name);
-    let expected = expected(case, sent, cut);
+fn check(case: &Case, sent: usize, ending: Ending, (result, in_time): (ExchangeResult<Vec<u8>>, bool)) {
+    let name = format!("{}, {ending:?} after {sent} bytes", case.name);
+    let expected = expected(case, sent, ending);
     assert_eq!(result.outcome, expected.outcome, "{name}");
     assert_eq!(result.reusable, expected.reusable, "{name}");
     assert_eq!(
         (result.response_report.primary, result.response_report.position),
-        (expected.mode, expected.position),
+        (expected.primary, expected.position),
         "{name}"
     );
-    assert_eq!(result.load_report.position, expected.report, "{name}");
+    assert_eq!(result.load_report.position, expected.load_report_position, "{name}");
     let served = result.outcome == Outcome::Ok && !case.probe;
     assert_eq!(result.response, served.then(|| row("value").concat()), "{name}");
-    // A write's session must observe it, also where its position is lost.
+    // Later reads of the session must observe its write, even if the report of its position is lost.
     assert_eq!(result.commit.is_some(), served && result.response_report.position.is_none(), "{name}");
     let late = matches!(result.outcome, Outcome::TimedOut);
     assert_eq!(in_time, !late, "{name}");
 }
 
 #[test]
-fn response_cut_at_any_byte_counts_its_complete_messages() {
+fn response_cut_off_at_any_byte_counts_its_complete_messages() {
     for case in cases() {
         let all = case.messages.concat().len();
-        for cut in [Cut::Fin, Cut::Reset] {
+        for ending in [Ending::Fin, Ending::Reset] {
             for sent in 0..=all {
-                check(&case, sent, cut, play(&case, sent, cut, Instant::now() + TIMEOUT));
+                check(&case, sent, ending, receive(&case, sent, ending, Instant::now() + TIMEOUT));
             }
         }
     }
-    assert_eq!(CUTS.len(), 3, "the silent cut has tests of its own");
+    assert_eq!(ENDINGS.len(), 3, "stalled responses are tested separately");
 }
 
 #[test]
 fn stalled_response_counts_its_complete_messages_before_the_deadline() {
-    let mut cuts = Vec::new();
+    let mut truncated_cases = Vec::new();
     for case in cases().into_iter().filter(|c| !c.probe) {
-        cuts.extend((0..=case.messages.concat().len()).map(|sent| (case.clone(), sent)));
+        truncated_cases.extend((0..=case.messages.concat().len()).map(|sent| (case.clone(), sent)));
     }
-    for batch in cuts.chunks(96) {
+    for batch in truncated_cases.chunks(96) {
         std::thread::scope(|s| {
             for (case, sent) in batch {
                 s.spawn(move || {
                     let deadline = Instant::now() + Duration::from_secs(1);
-                    check(case, *sent, Cut::Silent, play(case, *sent, Cut::Silent, deadline));
+                    check(case, *sent, Ending::Stall, receive(case, *sent, Ending::Stall, deadline));
                 });
             }
         });
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn stalled_probe_times_out_and_counts_a_complete_report() {
+fn stalled_probe_times_out_but_its_complete_report_counts() {
     let case = cases().into_iter().find(|c| c.probe).unwrap();
     let bytes = case.messages.concat();
     let mut limits = limits();
@@ -205,109 +205,113 @@
             s.spawn(move || {
                 let mut connection = connect(limits, move |socket| {
                     read_message(socket);
-                    write_and_cut(socket, &bytes, Cut::Silent);
+                    write_and_end(socket, &bytes, Ending::Stall);
                 });
                 let result = probe(&mut connection).unwrap();
-                let expected = expected(case, sent, Cut::Silent);
+                let expected = expected(case, sent, Ending::Stall);
                 assert_eq!(
                     (result.outcome, result.reusable),
                     (expected.outcome, expected.reusable),
                     "{sent} bytes"
                 );
-                assert_eq!(result.load_report.position, expected.report, "{sent} bytes");
+                assert_eq!(result.load_report.position, expected.load_report_position, "{sent} bytes");
             });
         }
     });
 }
 
-/// Reads a response whose connection stays open, with nobody to close it.
+/// Reads a response on a connection that the instance leaves open.
 fn read_response(bytes: Vec<u8>) -> ExchangeResult<Vec<u8>> {
     let mut connection = connect(&limits(), move |socket| {
         read_message(socket);
-        write_and_cut(socket, &bytes, Cut::Silent);
+        write_and_end(socket, &bytes, Ending::Stall);
     });
     let deadline = Instant::now() + TIMEOUT;
     let result = attempt(&mut connection, deadline).unwrap();
-    assert!(Instant::now() < deadline, "nothing is waited for behind a malformed message");
+    assert!(Instant::now() < deadline, "waits after a malformed message");
     result
 }
 
 #[test]
-fn malformed_response_is_an_error_that_may_have_run() {
+fn malformed_response_is_an_error_after_possible_execution() {
     let [columns, value, end] = row("value");
     let long = message(b'N', &[b'x'; 12 * 1024]);
     for (name, messages) in [
-        ("an error amid a row", vec![columns.clone(), error("ERROR", "53300"), ready()]),
-        ("an error behind the value", vec![columns.clone(), value.clone(), error("ERROR", "25006"), ready()]),
+        ("an error after a row description", vec![columns.clone(), error("ERROR", "53300"), ready()]),
+        ("an error after the value", vec![columns.clone(), value.clone(), error("ERROR", "25006"), ready()]),
         ("an error, then a row", [vec![error("ERROR", "53300")], row("value").to_vec()].concat()),
         ("a fatal error, then a row", [vec![error("FATAL", "57P03")], row("value").to_vec()].concat()),
         (
-            "a rejection and its end, then a row",
+            "a rejection and `ReadyForQuery`, then a row",
             vec![[error("ERROR", "53300"), ready(), columns.clone()].concat()],
         ),
         ("two errors", vec![error("ERROR", "53300"), error("ERROR", "53300"), ready()]),
         ("a rejection in a transaction", vec![error("ERROR", "53300"), message(b'Z', b"T")]),
         ("a rejection and a malformed parameter", vec![error("ERROR", "72000"), message(b'S', b"mode")]),
         (
-            "a rejection and an impossible length",
+            "a rejection and a length out of range",
             vec![error("ERROR", "72000"), b"S\xff\xff\xff\xff".to_vec()],
         ),
         ("an error without a code", vec![message(b'E', b"SERROR\0Mno\0\0"), ready()]),
         ("an incomplete error", vec![message(b'E', b"SERROR\0C53300\0"), ready()]),
         ("nothing", vec![ready()]),
-        ("an empty query", vec![message(b'I', b""), ready()]),
-        ("no row", vec![columns.clone(), end.clone(), ready()]),
+        ("the response to an empty query", vec![message(b'I', b""), ready()]),
+        ("a row description without a row", vec![columns.clone(), end.clone(), ready()]),
         ("two values", vec![columns.clone(), value.clone(), value.clone(), end.clone(), ready()]),
-        ("no columns", vec![value.clone(), end.clone(), ready()]),
-        ("no end", vec![columns.clone(), value.clone(), ready()]),
-        ("an end without a name", vec![columns.clone(), value.clone(), message(b'C', b"\0"), ready()]),
+        ("no row description", vec![value.clone(), end.clone(), ready()]),
+        ("no `CommandComplete`", vec![columns.clone(), value.clone(), ready()]),
+        (
+            "a `CommandComplete` without a tag",
+            vec![columns.clone(), value.clone(), message(b'C', b"\0"), ready()],
+        ),
         ("a length of 0", vec![b"T\0\0\0\0".to_vec()]),
         ("a length of 2 GiB", vec![columns.clone(), b"D\x7f\xff\xff\xff".to_vec()]),
-        ("a value beyond the limit", vec![columns.clone(), message(b'D', &[1; 65 * 1024])]),
-        ("notices without end", [vec![columns.clone()], vec![long.clone(); 8]].concat()),
-        ("parameters without end", vec![message(b'S', b"application_name\0x\0"); 6000]),
+        ("a value above the limit", vec![columns.clone(), message(b'D', &[1; 65 * 1024])]),
+        ("endless notices", [vec![columns.clone()], vec![long.clone(); 8]].concat()),
+        ("endless parameters", vec![message(b'S', b"application_name\0x\0"); 6000]),
     ] {
         let all = [&parameters()[..], &messages].concat();
         let result = read_response(all.concat());
         assert_eq!(result.outcome, Outcome::Error, "{name}");
         assert!(result.response.is_none() && !result.reusable, "{name}");
-        // Nor are the parameters that came before.
+        // Parameters before the malformed message are not used either.
         assert_eq!((result.response_report.primary, result.response_report.position), (None, None), "{name}");
         assert_eq!(result.load_report.position, None, "{name}");
     }
 }
 
 #[test]
-fn complete_row_is_served_but_malformed_rest_voids_parameters_and_connection() {
+fn complete_row_is_served_but_malformed_rest_discards_parameters_and_connection() {
     let complete = [&row("value")[..], &parameters()].concat().concat();
-    for (name, behind) in [
+    for (name, following) in [
         ("another response", [ready(), row("other").concat(), ready()].concat()),
         ("an incomplete message", [ready(), b"E\0\0".to_vec()].concat()),
         ("a row", row("other").concat()),
         ("an error", error("ERROR", "53300")),
         ("a malformed parameter", message(b'S', b"mode\0read-only")),
-        ("an impossible length", b"S\xff\xff\xff\xff".to_vec()),
-        ("a transaction", message(b'Z', b"T")),
-        ("notices without end", vec![message(b'N', &[b'x'; 12 * 1024]); 8].concat()),
+        ("a length out of range", b"S\xff\xff\xff\xff".to_vec()),
+        ("a `ReadyForQuery` within a transaction", message(b'Z', b"T")),
+        ("endless notices", vec![message(b'N', &[b'x'; 12 * 1024]); 8].concat()),
     ] {
-        let result = read_response([complete.clone(), behind].concat());
+        let result = read_response([complete.clone(), following].concat());
         assert_eq!(result.outcome, Outcome::Ok, "{name}");
         assert_eq!(result.response, Some(row("value").concat()), "{name}");
         assert!(!result.reusable, "{name}");
         assert_eq!((result.response_report.primary, result.response_report.position), (None, None), "{name}");
-        assert!(result.commit.is_some(), "{name}: a session must still observe its write");
+        assert!(result.commit.is_some(), "{name}: the commit has a position that the session observes");
     }
 }
 
 #[test]
 fn endless_notice_times_out_at_the_deadline() {
-    // A byte now and then, of a message that never ends.
+    // The instance sends a byte every few milliseconds, of a message that never ends.
     let mut connection = connect(&limits(), move |socket| {
         read_message(socket);
         let mut to = socket;
         _ = to.write_all(&[b"N\0\0\x20\0".to_vec(), vec![b'x'; 64]].concat());
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
-        // The pace of the flood; it ends with the connection.
+        // The read timeout sets the interval between the bytes. The loop ends when the router closes the
+        // connection.
         while to.read(&mut [0]).is_err_and(|e| matches!(e.kind(), std::io::ErrorKind::WouldBlock))
             && to.write_all(b"x").is_ok()
         {}
