--- a/client-listener/src/disconnects.rs
+++ b/client-listener/src/disconnects.rs
@@ -48,7 +48,7 @@
     pub(crate) fn new() -> DisconnectWatcher {
         let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC);
         if let Err(error) = &epoll {
-            tracing::warn!(%error, "client disconnect watcher not created, sockets are polled instead");
+            tracing::warn!(%error, "client disconnect watcher not created, polling sockets instead");
         }
         DisconnectWatcher { epoll: epoll.ok() }
     }
@@ -62,7 +62,7 @@
         let end_of_stream = EpollFlags::EPOLLRDHUP | EpollFlags::EPOLLONESHOT;
         if let Err(error) = epoll.add(&connection.socket, EpollEvent::new(end_of_stream, connection.id)) {
             let connection = connection.id;
-            tracing::warn!(connection, %error, "client disconnect not watched, the socket is polled instead");
+            tracing::warn!(connection, %error, "client disconnect not watched, polling the socket instead");
         }
     }
 
--- a/client-listener/src/listener.rs
+++ b/client-listener/src/listener.rs
@@ -30,7 +30,7 @@
     #[error("descriptor {0} is no listening TCP socket: let the platform pass it, or unset the variable")]
     NotListening(RawFd),
     /// A system call on the descriptor failed.
-    #[error("descriptor {0} can't be used ({1}): start the process again with the socket passed anew")]
+    #[error("descriptor {0} cannot be used ({1}): restart the process with a newly passed socket")]
     System(RawFd, io::Error),
 }
 
@@ -135,8 +135,8 @@
         Ok(AcceptWaker { target })
     }
 
-    /// Closes the listener after returning the connections that the kernel has accepted and this process has
-    /// not.
+    /// Returns the connections in the listen backlog, which the kernel has accepted and this process has not.
+    /// The listener is closed when the iterator is dropped.
     pub fn into_backlog(self) -> impl Iterator<Item = (TcpStream, SocketAddr)> {
         let never_blocks = match &self {
             ClientListener::Exclusive(listener) => listener.set_nonblocking(true).is_ok(),
--- a/client-listener/src/server/accept.rs
+++ b/client-listener/src/server/accept.rs
@@ -34,7 +34,7 @@
     address: SocketAddr,
     /// The function that the connection's thread runs.
     serve: Box<dyn FnOnce() + Send>,
-    since: Instant,
+    waiting_since: Instant,
 }
 
 impl<H: ConnectionHandler> ClientServer<H> {
@@ -130,17 +130,17 @@
         self.disconnect_watcher.watch(&connection);
         let (server, served) = (self.clone(), connection.clone());
         let serve = Box::new(move || server.serve_client(&served));
-        self.try_start(PendingConnection { connection, address, serve, since: Instant::now() })
+        self.try_start(PendingConnection { connection, address, serve, waiting_since: Instant::now() })
     }
 
     /// Starts a connection's thread; returns the connection if no thread can be started now.
     fn try_start(&self, pending: PendingConnection) -> Option<PendingConnection> {
-        let PendingConnection { connection, address, serve, since } = pending;
+        let PendingConnection { connection, address, serve, waiting_since } = pending;
         let started =
             spawn_with_retry("client", self.limits.socket_thread_stack_bytes, Duration::ZERO, serve);
         let Err(failed) = started else { return None };
-        if since.elapsed() < THREAD_START_TIMEOUT {
-            return Some(PendingConnection { connection, address, serve: failed.run, since });
+        if waiting_since.elapsed() < THREAD_START_TIMEOUT {
+            return Some(PendingConnection { connection, address, serve: failed.run, waiting_since });
         }
         tracing::error!(%address, error = %failed.source, "client thread not started, connection rejected");
         self.reject(&connection);
--- a/client-listener/src/shutdown.rs
+++ b/client-listener/src/shutdown.rs
@@ -56,7 +56,7 @@
     },
     /// Another process accepts the router's clients from now on (`true`), or none does any more.
     SetSuccessor(bool),
-    /// Time has passed; sent periodically while [`GracefulShutdown::needs_ticks`].
+    /// Time has passed; sent periodically while [`GracefulShutdown::needs_ticks`] returns `true`.
     Tick {
         /// Number of open connections.
         open_connections: usize,
--- a/client-listener/tests/connections/closing.rs
+++ b/client-listener/tests/connections/closing.rs
@@ -1,6 +1,6 @@
 //! Closing a connection: no command is accepted afterwards, no response is lost, and no reset discards one.
 use super::support::{
-    LONG, TestServer, assert_closed_without_reset, test_limits, wait_until, wait_until_dropped,
+    TEST_TIMEOUT, TestServer, assert_closed_without_reset, test_limits, wait_until, wait_until_dropped,
     wait_until_readable,
 };
 use client_listener::Connection;
@@ -17,7 +17,7 @@
 fn no_command_is_accepted_after_connection_closes() {
     let mut limits = test_limits();
     limits.client_idle_timeout = Duration::ZERO;
-    let ends: [(&str, Close); 3] = [
+    let close_methods: [(&str, Close); 3] = [
         ("close", Connection::close),
         ("finish", Connection::shut_down_write),
         ("idle timeout", |connection| {
@@ -27,15 +27,15 @@
             assert!(connection.close_if_idle_timed_out());
         }),
     ];
-    let (server, handed_over) = TestServer::handing_over(limits);
-    for (name, end) in ends {
+    let (server, connections) = TestServer::start_controlled(limits);
+    for (name, close_connection) in close_methods {
         let mut client = server.connect();
-        let (connection, _release) = handed_over.recv_timeout(LONG).unwrap();
+        let (connection, _release) = connections.recv_timeout(TEST_TIMEOUT).unwrap();
         if name != "idle timeout" {
             client.write_all(b"request").unwrap();
             wait_until_readable(&connection);
         }
-        end(&connection);
+        close_connection(&connection);
         // Linux still returns bytes that arrived before both sides were shut down.
         let mut buffer = [0; 16];
         assert_eq!(
@@ -49,9 +49,9 @@
 
 #[test]
 fn commands_in_flight_finish_after_close_and_none_follows() {
-    let (server, handed_over) = TestServer::handing_over(test_limits());
+    let (server, connections) = TestServer::start_controlled(test_limits());
     let mut client = server.connect();
-    let (connection, release) = handed_over.recv_timeout(LONG).unwrap();
+    let (connection, release) = connections.recv_timeout(TEST_TIMEOUT).unwrap();
     assert!(connection.begin_command(false) && connection.begin_command(false));
     connection.shut_down_write();
     assert!(!connection.begin_command(false));
@@ -70,14 +70,14 @@
     let mut limits = test_limits();
     // The linger timeout passes before the client starts to read.
     limits.client_linger_timeout = Duration::from_millis(50);
-    let (server, handed_over) = TestServer::handing_over(limits);
+    let (server, connections) = TestServer::start_controlled(limits);
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     // With a small receive buffer at the client, most of the response stays in the server's send buffer.
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&server.address.into()).unwrap();
     let mut client = TcpStream::from(socket);
-    client.set_read_timeout(Some(LONG)).unwrap();
-    let (connection, release) = handed_over.recv_timeout(LONG).unwrap();
+    client.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    let (connection, release) = connections.recv_timeout(TEST_TIMEOUT).unwrap();
     SockRef::from(&connection.socket).set_send_buffer_size(RESPONSE_BYTES).unwrap();
     client.write_all(&[b'x'; 10_000]).unwrap();
     wait_until_readable(&connection);
@@ -91,10 +91,10 @@
 }
 
 #[test]
-fn bytes_crossing_close_cause_no_reset_until_client_closes() {
-    let (server, handed_over) = TestServer::handing_over(test_limits());
+fn bytes_sent_during_close_cause_no_reset_until_client_closes() {
+    let (server, connections) = TestServer::start_controlled(test_limits());
     let mut client = server.connect();
-    let (connection, release) = handed_over.recv_timeout(LONG).unwrap();
+    let (connection, release) = connections.recv_timeout(TEST_TIMEOUT).unwrap();
     client.write_all(b"unread").unwrap();
     wait_until_readable(&connection);
     (&connection.socket).write_all(b"answer").unwrap();
@@ -115,9 +115,9 @@
     // A client that sends nothing: the linger is limited by time.
     let mut limits = test_limits();
     limits.client_linger_timeout = Duration::from_millis(50);
-    let (server, handed_over) = TestServer::handing_over(limits);
+    let (server, connections) = TestServer::start_controlled(limits);
     let client = server.connect();
-    let (connection, release) = handed_over.recv_timeout(LONG).unwrap();
+    let (connection, release) = connections.recv_timeout(TEST_TIMEOUT).unwrap();
     let weak = Arc::downgrade(&connection);
     drop((connection, release));
     wait_until_dropped(&weak);
@@ -125,9 +125,9 @@
     // A client that goes on sending: the linger is limited by bytes.
     let mut limits = test_limits();
     limits.max_client_linger_bytes = 64 << 10;
-    let (server, handed_over) = TestServer::handing_over(limits);
+    let (server, connections) = TestServer::start_controlled(limits);
     let mut client = server.connect();
-    let (connection, release) = handed_over.recv_timeout(LONG).unwrap();
+    let (connection, release) = connections.recv_timeout(TEST_TIMEOUT).unwrap();
     let weak = Arc::downgrade(&connection);
     drop((connection, release));
     wait_until("the connection is closed", || client.write_all(&[0; 4096]).is_err());
--- a/client-listener/tests/connections/limits.rs
+++ b/client-listener/tests/connections/limits.rs
@@ -1,6 +1,6 @@
 //! The idle timeout and the limit on open connections.
 use super::support::{
-    LONG, TestServer, assert_closed_without_reset, respond, test_limits, wait_until_readable,
+    TEST_TIMEOUT, TestServer, assert_closed_without_reset, respond, test_limits, wait_until_readable,
 };
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -10,9 +10,9 @@
 fn request_in_socket_at_idle_timeout_is_read() {
     let mut limits = test_limits();
     limits.client_idle_timeout = Duration::ZERO;
-    let (server, handed_over) = TestServer::handing_over(limits);
+    let (server, connections) = TestServer::start_controlled(limits);
     let mut client = server.connect();
-    let (connection, _release) = handed_over.recv_timeout(LONG).unwrap();
+    let (connection, _release) = connections.recv_timeout(TEST_TIMEOUT).unwrap();
     assert!(connection.begin_command(false));
     connection.finish_command();
     client.write_all(b"request").unwrap();
@@ -35,19 +35,21 @@
     let mut limits = test_limits();
     limits.max_client_connections = 1;
     limits.client_startup_timeout_when_full = Duration::ZERO;
-    let (server, handed_over) = TestServer::handing_over(limits);
+    let (server, connections) = TestServer::start_controlled(limits);
     // This connection lingers, because its client does not close.
     let lingering = server.connect();
-    let (connection, release) = handed_over.recv_timeout(LONG).unwrap();
+    let (connection, release) = connections.recv_timeout(TEST_TIMEOUT).unwrap();
     drop((connection, release));
     assert_closed_without_reset(&lingering);
     let idle = server.connect();
-    let (connection, release) = handed_over.recv_timeout(LONG).expect("the lingering connection is evicted");
+    let (connection, release) =
+        connections.recv_timeout(TEST_TIMEOUT).expect("the lingering connection is evicted");
     let mut next = server.connect();
     assert_closed_without_reset(&idle);
     assert!(!connection.begin_command(false), "command accepted after the close");
     drop((connection, release));
-    let (connection, _release) = handed_over.recv_timeout(LONG).expect("the idle connection is evicted");
+    let (connection, _release) =
+        connections.recv_timeout(TEST_TIMEOUT).expect("the idle connection is evicted");
     next.write_all(b"request").unwrap();
     wait_until_readable(&connection);
     // A connection with a command in flight is not evicted, however many connect.
--- a/client-listener/tests/connections/shutdown.rs
+++ b/client-listener/tests/connections/shutdown.rs
@@ -1,6 +1,6 @@
 //! Connections at shutdown: commands that were read get their response, later ones are not accepted.
 use super::support::{
-    ByteCommands, LONG, TestServer, assert_closed_without_reset, byte_commands, receiving_side_ended,
+    ByteCommands, TEST_TIMEOUT, TestServer, assert_closed_without_reset, byte_commands, receiving_side_ended,
     respond, test_limits, wait_until, wait_until_dropped,
 };
 use client_listener::{Connection, SocketState};
@@ -11,12 +11,12 @@
 use std::time::Duration;
 
 #[test]
-fn idle_client_sees_close_at_shutdown_and_crossing_command_is_not_accepted() {
+fn idle_client_sees_close_at_shutdown_and_command_sent_during_close_is_not_accepted() {
     let ByteCommands { server, commands, readers_ended, keep_open } = byte_commands(test_limits());
     let mut client = server.connect();
     client.write_all(b"1").unwrap();
     drop(keep_open);
-    let (connection, _) = commands.recv_timeout(LONG).unwrap();
+    let (connection, _) = commands.recv_timeout(TEST_TIMEOUT).unwrap();
     respond(&connection, b"one");
     let mut received = [0; 3];
     client.read_exact(&mut received).unwrap();
@@ -25,7 +25,7 @@
     // The server's own close must not look like a disconnect of the client.
     assert!(!receiving_side_ended(&connection.socket), "the server has shut down its receiving side");
     client.write_all(b"2").unwrap();
-    readers_ended.recv_timeout(LONG).expect("the reader ends when bytes arrive after the close");
+    readers_ended.recv_timeout(TEST_TIMEOUT).expect("the reader ends when bytes arrive after the close");
     assert!(commands.try_recv().is_err(), "command accepted after the close");
     let weak = Arc::downgrade(&connection);
     drop(connection);
@@ -43,9 +43,9 @@
     let mut client = server.connect();
     client.write_all(b"1").unwrap();
     drop(keep_open);
-    respond(&commands.recv_timeout(LONG).unwrap().0, b"one");
+    respond(&commands.recv_timeout(TEST_TIMEOUT).unwrap().0, b"one");
     server.shut_down();
-    readers_ended.recv_timeout(LONG).unwrap();
+    readers_ended.recv_timeout(TEST_TIMEOUT).unwrap();
     server.wait_until_stopped();
     let mut received = [0; 3];
     client.read_exact(&mut received).unwrap();
@@ -59,19 +59,19 @@
     let ByteCommands { server, commands, readers_ended, keep_open } = byte_commands(limits);
     let mut client = server.connect();
     client.write_all(b"12").unwrap();
-    let (connection, _) = commands.recv_timeout(LONG).unwrap();
-    commands.recv_timeout(LONG).unwrap();
+    let (connection, _) = commands.recv_timeout(TEST_TIMEOUT).unwrap();
+    commands.recv_timeout(TEST_TIMEOUT).unwrap();
     let idle = server.connect();
     server.shut_down();
     wait_until("the policy is to stop reading", || connection.reading_stopped());
     // The idle connection closes and its reader is woken after that. By then the close policy has been
     // applied several times to each connection.
     assert_closed_without_reset(&idle);
-    readers_ended.recv_timeout(LONG).unwrap();
+    readers_ended.recv_timeout(TEST_TIMEOUT).unwrap();
     assert!(!receiving_side_ended(&connection.socket), "the server has shut down its receiving side");
     // A whole command arrives after the close policy changed.
     client.write_all(b"3").unwrap();
-    readers_ended.recv_timeout(LONG).unwrap();
+    readers_ended.recv_timeout(TEST_TIMEOUT).unwrap();
     assert!(commands.try_recv().is_err(), "command accepted after the policy changed");
     respond(&connection, b"one");
     respond(&connection, b"two");
@@ -108,7 +108,7 @@
     });
     let mut client = server.connect();
     client.write_all(b"h").unwrap();
-    let connection = half_commands.recv_timeout(LONG).unwrap();
+    let connection = half_commands.recv_timeout(TEST_TIMEOUT).unwrap();
     assert_eq!(connection.socket_state(), SocketState::Idle);
     server.shut_down();
     wait_until("the policy is to stop reading", || connection.reading_stopped());
@@ -117,7 +117,7 @@
     client.read_exact(&mut received).unwrap();
     assert_closed_without_reset(&client);
     client.write_all(b"alf").unwrap();
-    assert_eq!(readers_ended.recv_timeout(LONG).unwrap(), Ok(0), "bytes returned after the close");
+    assert_eq!(readers_ended.recv_timeout(TEST_TIMEOUT).unwrap(), Ok(0), "bytes returned after the close");
     assert!(!connection.begin_command(false));
     drop((connection, client, keep_open));
     server.wait_until_stopped();
@@ -127,19 +127,19 @@
 fn listen_backlog_is_served_at_shutdown() {
     let mut limits = test_limits();
     limits.max_client_connections = 1;
-    limits.draining_first_request_timeout = LONG;
+    limits.draining_first_request_timeout = TEST_TIMEOUT;
     let ByteCommands { server, commands, readers_ended, keep_open } = byte_commands(limits);
     let mut clients: Vec<TcpStream> = (0..4).map(|_| server.connect()).collect();
     clients[0].write_all(b"0").unwrap();
     // The server is at the connection limit and no connection may be evicted, so the others stay in the
     // listen backlog.
-    let (first, _) = commands.recv_timeout(LONG).unwrap();
+    let (first, _) = commands.recv_timeout(TEST_TIMEOUT).unwrap();
     for (n, client) in clients.iter_mut().enumerate().skip(1) {
         client.write_all(&[b'0' + n as u8]).unwrap();
     }
     server.shut_down();
     let mut others: Vec<(Arc<Connection>, u8)> =
-        (1..4).map(|_| commands.recv_timeout(LONG).unwrap()).collect();
+        (1..4).map(|_| commands.recv_timeout(TEST_TIMEOUT).unwrap()).collect();
     others.push((first, b'0'));
     for (connection, n) in others {
         respond(&connection, &[n]);
--- a/client-listener/tests/connections/support.rs
+++ b/client-listener/tests/connections/support.rs
@@ -13,12 +13,12 @@
 use std::time::{Duration, Instant};
 
 /// Timeout that passes only if a test fails.
-pub(crate) const LONG: Duration = Duration::from_secs(20);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 type HandlerFn = dyn Fn(&Arc<Connection>) + Send + Sync;
 
 /// A connection, and a channel that makes its handler return when a message is sent or the sender is dropped.
-pub(crate) type HandedOver = (Arc<Connection>, Sender<()>);
+pub(crate) type ControlledConnection = (Arc<Connection>, Sender<()>);
 
 /// A connection handler that calls a function of the test.
 struct Handler(Box<HandlerFn>);
@@ -38,7 +38,11 @@
 pub(crate) fn test_limits() -> Limits {
     let mut limits = Limits::new(
         ProcessResources { descriptors: 64, memory_bytes: 64 << 20 },
-        RequestTimes { connect_timeout: LONG, backend_keepalive: LONG, longest_deadline: LONG },
+        RequestTimes {
+            connect_timeout: TEST_TIMEOUT,
+            backend_keepalive: TEST_TIMEOUT,
+            longest_deadline: TEST_TIMEOUT,
+        },
     );
     // Timeouts are too long to pass unless a test shortens them.
     (
@@ -46,9 +50,9 @@
         limits.client_idle_timeout,
         limits.client_message_timeout,
         limits.client_linger_timeout,
-    ) = (LONG, LONG, LONG, LONG);
+    ) = (TEST_TIMEOUT, TEST_TIMEOUT, TEST_TIMEOUT, TEST_TIMEOUT);
     (limits.shutdown_grace_period, limits.shutdown_read_timeout, limits.shutdown_timeout) =
-        (Duration::ZERO, Duration::ZERO, LONG);
+        (Duration::ZERO, Duration::ZERO, TEST_TIMEOUT);
     limits.draining_first_request_timeout = Duration::ZERO;
     limits
 }
@@ -78,8 +82,8 @@
     }
 
     /// Starts a server whose handler sends each connection to the test and returns once the test releases it.
-    pub(crate) fn handing_over(limits: Limits) -> (TestServer, Receiver<HandedOver>) {
-        let (sender, handed_over) = unbounded();
+    pub(crate) fn start_controlled(limits: Limits) -> (TestServer, Receiver<ControlledConnection>) {
+        let (sender, connections) = unbounded();
         let server = TestServer::start(limits, move |connection| {
             let (release, released) = bounded(0);
             // The handler returns when the test sends a message or drops the sender. Sending fails for a
@@ -88,12 +92,12 @@
                 _ = released.recv();
             }
         });
-        (server, handed_over)
+        (server, connections)
     }
 
     pub(crate) fn connect(&self) -> TcpStream {
         let socket = TcpStream::connect(self.address).unwrap();
-        socket.set_read_timeout(Some(LONG)).unwrap();
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         socket
     }
 
@@ -102,14 +106,14 @@
     }
 
     pub(crate) fn wait_until_stopped(&self) {
-        self.stopped.recv_timeout(LONG).expect("the server stops");
+        self.stopped.recv_timeout(TEST_TIMEOUT).expect("the server stops");
     }
 }
 
 pub(crate) fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < LONG, "timed out waiting until {what}");
+        assert!(started.elapsed() < TEST_TIMEOUT, "timed out waiting until {what}");
         std::thread::yield_now();
     }
 }
--- a/client-listener/tests/in_flight_commands.rs
+++ b/client-listener/tests/in_flight_commands.rs
@@ -1,4 +1,5 @@
-//! The counter of commands in flight, tested in every order in which the threads of a connection can use it.
+//! Tests [`CommandGate`], which counts the commands in flight, in every order in which the threads of a
+//! connection can use it.
 use routing::permit::CommandGate;
 
 /// One step of a thread. Steps of other threads may run between any two steps of a thread.
@@ -133,8 +134,8 @@
                 model.finished, model.accepted,
                 "{order:?}: the writer responds to every accepted command"
             );
-            // The counter closes the connection at most once; a [`Step::Close`] in parallel may come before
-            // the last response.
+            // [`CommandGate`] closes the connection at most once; a [`Step::Close`] in parallel may come
+            // before the last response.
             assert!(
                 model.orderly_closes <= 1 || model.force_closed && model.orderly_closes <= 2,
                 "{order:?}: {} closes",
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn closed_counter_rejects_commands_and_lets_those_in_flight_finish() {
+fn closed_gate_rejects_commands_and_lets_those_in_flight_finish() {
     let commands = CommandGate::default();
     assert!(commands.permit_command().is_ok() && commands.permit_command().is_ok());
     assert!(
--- a/postgres/src/decode.rs
+++ b/postgres/src/decode.rs
@@ -43,8 +43,8 @@
     name_end.is_some_and(|end| column.len() == end + 1 + COLUMN_ATTRIBUTE_BYTES)
 }
 
-/// Returns the value of a `DataRow` with exactly one column; `None` if there are more columns or the value is
-/// NULL.
+/// Returns the value of a `DataRow` with exactly one column; `None` if the number of columns differs or the
+/// value is NULL.
 pub fn single_value(body: &[u8]) -> Option<&[u8]> {
     let (header, value) = body.split_at_checked(6)?;
     let length = u32::from_be_bytes([header[2], header[3], header[4], header[5]]) as usize;
--- a/postgres/tests/common/mod.rs
+++ b/postgres/tests/common/mod.rs
@@ -70,7 +70,8 @@
     from.read_exact(&mut vec![0; u32::from_be_bytes(length) as usize - 4]).unwrap();
 }
 
-/// Writes the bytes and ends the connection as given; before a reset, the bytes written arrive.
+/// Writes the bytes and then ends the connection as given. If the connection is reset, the bytes arrive
+/// before the reset.
 pub(crate) fn write_and_end(mut socket: &TcpStream, bytes: &[u8], ending: Ending) {
     // The router may have closed the connection already.
     _ = socket.write_all(bytes);
--- a/postgres/tests/connections.rs
+++ b/postgres/tests/connections.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn check_response_counts_only_if_complete_within_its_timeout() {
+fn check_passes_only_with_a_complete_response_within_its_timeout() {
     let complete =
         [message(b'S', b"mode\0read-only\0"), message(b'N', b"SNOTICE\0\0"), EMPTY_QUERY_RESPONSE.to_vec()]
             .concat();
@@ -159,9 +159,9 @@
         ("a complete response", complete_response),
     ] {
         let (sender, received) = channel();
-        let (send_stray, stray_due) = channel::<()>();
+        let (send_stray, stray_requested) = channel::<()>();
         let mut connection = connect(&limits(), move |socket| {
-            stray_due.recv().unwrap();
+            stray_requested.recv().unwrap();
             (&*socket).write_all(&stray).unwrap();
             // The instance would execute any statement that it reads.
             sender.send(read_message(socket)).unwrap();
--- a/postgres/tests/fuzz.rs
+++ b/postgres/tests/fuzz.rs
@@ -45,7 +45,7 @@
 }
 
 /// A response, read in the same way as by a connection to an instance.
-struct ResponseReading {
+struct ParsedResponse {
     result: ExchangeResult<Vec<u8>>,
     /// Maximum size of the buffer, in bytes.
     peak_buffer_bytes: usize,
@@ -53,7 +53,7 @@
     read_bytes: usize,
 }
 
-fn read_response(bytes: &[u8], read_sizes: &[usize], end: ResponseEnd) -> ResponseReading {
+fn read_response(bytes: &[u8], read_sizes: &[usize], end: ResponseEnd) -> ParsedResponse {
     let mut buffer = MessageBuffer::new(MAX_VALUE_BYTES + MAX_OVERHEAD_BYTES);
     let mut parser = ResponseParser::new(ResponseKind::Statement, MAX_VALUE_BYTES);
     let mut source = ChunkedSource { bytes, read_sizes, read_count: 0, end };
@@ -73,7 +73,7 @@
             break end;
         }
     };
-    ResponseReading {
+    ParsedResponse {
         result: parser.finish(end, buffer.read_ahead(), NOW),
         peak_buffer_bytes: peak_buffer_bytes.max(buffer.allocated_bytes()),
         read_bytes: bytes.len() - source.bytes.len(),
@@ -191,7 +191,7 @@
 
 /// Checks the invariants that hold for a response of any bytes.
 fn check_invariants(bytes: &[u8], read_sizes: &[usize], end: ResponseEnd) -> Result<(), TestCaseError> {
-    let ResponseReading { result, peak_buffer_bytes, read_bytes } = read_response(bytes, read_sizes, end);
+    let ParsedResponse { result, peak_buffer_bytes, read_bytes } = read_response(bytes, read_sizes, end);
     prop_assert!(
         peak_buffer_bytes <= MAX_VALUE_BYTES + MAX_OVERHEAD_BYTES + 2048,
         "the buffer grew to {peak_buffer_bytes} bytes"
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn stated_length_alone_reserves_no_memory() {
+fn length_field_alone_reserves_no_memory() {
     let pool = MemoryPool::new(POOL_BYTES);
     let mut buffer = MessageBuffer::pooled(160 * 1024, &pool);
     let bytes = b"Q\0\x02\0\0begun";
--- a/postgres/tests/responses.rs
+++ b/postgres/tests/responses.rs
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn response_cut_off_at_any_byte_counts_its_complete_messages() {
+fn truncated_response_outcome_follows_from_its_complete_messages() {
     for case in cases() {
         let all = case.messages.concat().len();
         for ending in [Ending::Fin, Ending::Reset] {
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn stalled_response_counts_its_complete_messages_before_the_deadline() {
+fn stalled_response_outcome_follows_from_complete_messages_before_the_deadline() {
     let mut truncated_cases = Vec::new();
     for case in cases().into_iter().filter(|c| !c.probe) {
         truncated_cases.extend((0..=case.messages.concat().len()).map(|sent| (case.clone(), sent)));
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn stalled_probe_times_out_but_its_complete_report_counts() {
+fn stalled_probe_times_out_but_its_complete_report_is_used() {
     let case = cases().into_iter().find(|c| c.probe).unwrap();
     let bytes = case.messages.concat();
     let mut limits = limits();
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn malformed_response_is_an_error_after_possible_execution() {
+fn malformed_response_is_an_error_of_a_possibly_executed_statement() {
     let [columns, value, end] = row("value");
     let long = message(b'N', &[b'x'; 12 * 1024]);
     for (name, messages) in [
@@ -298,7 +298,7 @@
         assert_eq!(result.response, Some(row("value").concat()), "{name}");
         assert!(!result.reusable, "{name}");
         assert_eq!((result.response_report.primary, result.response_report.position), (None, None), "{name}");
-        assert!(result.commit.is_some(), "{name}: the commit has a position that the session observes");
+        assert!(result.commit.is_some(), "{name}: the session must observe its write");
     }
 }
 
