--- a/audit/examples/stragglers/main.rs
+++ b/audit/examples/stragglers/main.rs
@@ -1,27 +1,30 @@
-//! How long until a straggler is brought up to date or fenced out: 100 routers with real [`audit::VersionFence`]s around a
-//! real [`audit::VersionTracker`], 100 seeds, in simulated time. Prints the table of `docs/studies/audit.md`.
+//! Measures how long it takes until a straggler is up to date or fenced: 100 routers with real
+//! [`audit::VersionFence`]s and a real [`audit::VersionTracker`], 100 seeds per straggler mode, in simulated
+//! time. Prints the table in `docs/studies/audit.md`.
 //!
-//! Each router reports every 200 ms from a phase of its own, and fetches a version that it lacks in the same exchange. A
-//! message takes 0.2 to 2 ms; an exchange fails with a chance of 1 %. At 5 s a version is set; from then on five routers
-//! straggle in one way. Every 5 ms every router is asked to route a request, and what is routed is checked against what
-//! the leader knows of the router.
+//! Each router reports every 200 ms from a random phase, and fetches a version that it lacks in the same
+//! exchange. A message takes 0.2 to 2 ms; an exchange fails with a probability of 1 %. A new version is set
+//! at 5 s; from then on five routers straggle, all in the same mode. Every 5 ms every router is asked to
+//! route a request, and the routed requests are checked against the leader's state of the router.
 mod simulation;
 
 use decision::Micros;
-use simulation::{Simulation, Straggling};
+use simulation::{Simulation, StragglerMode};
 
 const MS: Micros = 1000;
 const SEEDS: u64 = 100;
 
-/// Results of all seeds of one way to straggle.
+/// Results of all seeds for one straggler mode.
 #[derive(Default)]
 struct Summary {
-    /// From when the version was set, or the straggler resumed, to when it was up to date or fenced, in microseconds.
+    /// Times from when the version was set, or a stopped straggler resumed, to when the straggler was up to
+    /// date or fenced, in microseconds.
     handling_times: Vec<Micros>,
     up_to_date: usize,
     fenced_out: usize,
     lease_expired: usize,
-    /// Requests routed by an old version although the leader knew the router as fenced, and stragglers never handled.
+    /// Number of requests routed under an old version although the leader knew the router as fenced, plus
+    /// stragglers that were neither up to date nor fenced at the end.
     violations: usize,
     routed: usize,
 }
@@ -35,17 +38,21 @@
 
 fn main() {
     println!(
-        "| stragglers | brought up | fenced out | by their lease | p50 | p99 | max | routed | under a fence |"
+        "| stragglers | up to date | fenced out | lease expired | p50 | p99 | max | routed | violations |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    let ways =
-        [Straggling::SlowFetch, Straggling::FailingFetch, Straggling::Stopped, Straggling::Disconnected];
-    for way in ways {
+    let modes = [
+        StragglerMode::SlowFetch,
+        StragglerMode::FailingFetch,
+        StragglerMode::Stopped,
+        StragglerMode::Disconnected,
+    ];
+    for mode in modes {
         let mut summary = Summary::default();
-        (0..SEEDS).for_each(|seed| Simulation::new(seed, way).run(&mut summary));
+        (0..SEEDS).for_each(|seed| Simulation::new(seed, mode).run(&mut summary));
         summary.handling_times.sort_unstable();
         println!(
-            "| {way:?} | {} | {} | {} | {} ms | {} ms | {} ms | {} | {} |",
+            "| {mode:?} | {} | {} | {} | {} ms | {} ms | {} ms | {} | {} |",
             summary.up_to_date,
             summary.fenced_out,
             summary.lease_expired,
@@ -55,6 +62,6 @@
             summary.routed,
             summary.violations
         );
-        assert_eq!(summary.violations, 0, "{way:?}");
+        assert_eq!(summary.violations, 0, "{mode:?}");
     }
 }
--- a/audit/examples/stragglers/simulation.rs
+++ b/audit/examples/stragglers/simulation.rs
@@ -1,4 +1,4 @@
-//! A fleet in simulated time: one leader, its tracker, and routers of which some straggle.
+//! A fleet in simulated time: a leader with its tracker, and routers of which some straggle.
 use crate::{MS, Summary};
 use audit::{
     Action, Directive, EntryKind, Event, LeaderAnswer, Settings, VersionFence, VersionReport, VersionTracker,
@@ -18,26 +18,26 @@
 const REQUEST_INTERVAL: Micros = 5 * MS;
 const FIRST_VERSION: Version = 5;
 const SECOND_VERSION: Version = 9;
-/// When the second version is set.
+/// When the second version is set, in microseconds like all times here.
 const CHANGE_AT: Micros = 5_000_000;
-/// When stopped routers stop.
+/// When routers in mode [`StragglerMode::Stopped`] stop.
 const STOP_AT: Micros = CHANGE_AT - 50 * MS;
 const END: Micros = 16_000_000;
-/// A router may route for this long after the leader has fenced it out: the answer is on its way.
+/// A router may route for this long after the leader has fenced it out: the response is still in transit.
 const FENCE_GRACE: Micros = 250 * MS;
-/// One exchange in this many fails.
+/// One in this many exchanges between router and leader fails.
 const EXCHANGES_PER_FAILURE: u64 = 100;
 
-/// How the stragglers straggle once the second version is set.
+/// How the stragglers behave once the second version is set.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Straggling {
-    /// Their fetches fail for 0.3 to 1.4 s.
+pub(crate) enum StragglerMode {
+    /// Fetches of the document fail for 0.3 to 1.4 s.
     SlowFetch,
-    /// Their fetches always fail.
+    /// Fetches of the document always fail.
     FailingFetch,
-    /// They stop from a moment before the change for 3 to 6 s, and then resume.
+    /// The process stops shortly before the change, for 3 to 6 s, and then resumes.
     Stopped,
-    /// They lose their connection to the store for good, while clients still reach them.
+    /// The connection to the store is lost permanently, while clients still reach the router.
     Disconnected,
 }
 
@@ -48,44 +48,44 @@
 struct Router {
     fence: VersionFence,
     version: Version,
-    /// Offset of its clock: ages and leases must not depend on it.
+    /// Offset of the router's clock, on which ages and leases must not depend.
     clock_offset: Micros,
-    /// It does nothing from [`STOP_AT`] to this time.
+    /// The router is stopped from [`STOP_AT`] to this time.
     resumes_at: Micros,
-    fetches_from: Micros,
-    disconnected_from: Micros,
-    /// When it first routed by the second version.
+    can_fetch_from: Micros,
+    disconnected_at: Micros,
+    /// When the router first routed a request under the second version.
     up_to_date_at: Option<Micros>,
-    /// When it was first fenced after the second version was set.
+    /// When the router was first fenced after the second version was set.
     fenced_at: Option<Micros>,
-    /// Since when the leader knows it as fenced out or silent.
+    /// Since when the leader knows the router as fenced out or silent.
     known_fenced_at: Option<Micros>,
 }
 
 impl Router {
-    fn new(random: &mut SplitMix64, straggling: Option<Straggling>) -> Router {
+    fn new(random: &mut SplitMix64, mode: Option<StragglerMode>) -> Router {
         let clock_offset = random.time_below(10_000_000) - 5_000_000;
         let mut router = Router {
             fence: VersionFence::new(ROUTER_LEASE),
             version: 0,
             clock_offset,
             resumes_at: 0,
-            fetches_from: 0,
-            disconnected_from: Micros::MAX,
+            can_fetch_from: 0,
+            disconnected_at: Micros::MAX,
             up_to_date_at: None,
             fenced_at: None,
             known_fenced_at: None,
         };
-        match straggling {
-            Some(Straggling::SlowFetch) => {
-                router.fetches_from = CHANGE_AT + 300 * MS + random.time_below(1_100_000);
+        match mode {
+            Some(StragglerMode::SlowFetch) => {
+                router.can_fetch_from = CHANGE_AT + 300 * MS + random.time_below(1_100_000);
             }
-            Some(Straggling::FailingFetch) => router.fetches_from = Micros::MAX,
-            Some(Straggling::Stopped) => {
+            Some(StragglerMode::FailingFetch) => router.can_fetch_from = Micros::MAX,
+            Some(StragglerMode::Stopped) => {
                 router.resumes_at = CHANGE_AT + 3000 * MS + random.time_below(3_000_000);
             }
-            Some(Straggling::Disconnected) => {
-                router.disconnected_from = CHANGE_AT - 100 * MS + random.time_below(100_000);
+            Some(StragglerMode::Disconnected) => {
+                router.disconnected_at = CHANGE_AT - 100 * MS + random.time_below(100_000);
             }
             None => {}
         }
@@ -101,72 +101,72 @@
     }
 }
 
-/// Whose turn it is. Of turns at one time, the one that stands first here comes first.
+/// Periodic tasks of the simulation. Tasks that are due at the same time run in the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Turn {
+enum Task {
     Report(usize),
     Requests,
     LeaderTick,
 }
 
 pub(crate) struct Simulation {
-    straggling: Straggling,
+    mode: StragglerMode,
     random: SplitMix64,
     tracker: VersionTracker,
     actions: Vec<Action>,
     current: Version,
     routers: Vec<Router>,
-    turns: BinaryHeap<Reverse<(Micros, Turn)>>,
+    tasks: BinaryHeap<Reverse<(Micros, Task)>>,
 }
 
 impl Simulation {
-    pub(crate) fn new(seed: u64, straggling: Straggling) -> Simulation {
+    pub(crate) fn new(seed: u64, mode: StragglerMode) -> Simulation {
         let mut simulation = Simulation {
-            straggling,
+            mode,
             random: SplitMix64::new(seed.wrapping_mul(77) + 1),
             tracker: VersionTracker::new(Settings::new(&AuditConfig::default(), LEASE, seed)),
             actions: Vec::new(),
             current: FIRST_VERSION,
             routers: Vec::new(),
-            turns: BinaryHeap::from([Reverse((0, Turn::LeaderTick)), Reverse((1, Turn::Requests))]),
+            tasks: BinaryHeap::from([Reverse((0, Task::LeaderTick)), Reverse((1, Task::Requests))]),
         };
         simulation.handle(0, Event::LeadershipGained { term: 1, batches: Vec::new() });
         simulation.handle(0, Event::CurrentVersion { version: FIRST_VERSION });
         for i in 0..ROUTERS {
-            let straggling = (i < STRAGGLERS).then_some(straggling);
-            simulation.routers.push(Router::new(&mut simulation.random, straggling));
+            let mode = (i < STRAGGLERS).then_some(mode);
+            simulation.routers.push(Router::new(&mut simulation.random, mode));
             let phase = simulation.random.time_below(REPORT_INTERVAL);
-            simulation.turns.push(Reverse((phase, Turn::Report(i))));
+            simulation.tasks.push(Reverse((phase, Task::Report(i))));
         }
         simulation
     }
 
     pub(crate) fn run(mut self, summary: &mut Summary) {
-        while let Some(Reverse((now, turn))) = self.turns.pop() {
+        while let Some(Reverse((now, task))) = self.tasks.pop() {
             if now > END {
                 break;
             }
             if now >= CHANGE_AT {
                 self.current = SECOND_VERSION;
             }
-            let interval = match turn {
-                Turn::LeaderTick => {
+            let interval = match task {
+                Task::LeaderTick => {
                     self.leader_tick(now);
                     TICK_INTERVAL
                 }
-                Turn::Requests => {
+                Task::Requests => {
                     self.route_requests(now, summary);
                     REQUEST_INTERVAL
                 }
-                Turn::Report(i) => {
+                Task::Report(i) => {
                     self.report(now, i);
                     REPORT_INTERVAL
                 }
             };
-            self.turns.push(Reverse((now + interval, turn)));
+            self.tasks.push(Reverse((now + interval, task)));
         }
         for router in &self.routers[..STRAGGLERS] {
-            summarize(router, self.straggling, summary);
+            summarize(router, self.mode, summary);
         }
     }
 
@@ -174,7 +174,7 @@
         self.tracker.handle(Time(now), event, &mut self.actions);
     }
 
-    /// The leader reads the current version and ticks; writes complete at once.
+    /// Has the leader read the current version and check its timers; its writes complete at once.
     fn leader_tick(&mut self, now: Micros) {
         self.handle(now, Event::CurrentVersion { version: self.current });
         self.handle(now, Event::Tick);
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Every router that has a version and is not stopped is asked to route a request.
+    /// Asks every router that has a version and is not stopped to route a request.
     fn route_requests(&mut self, now: Micros, summary: &mut Summary) {
         for router in self.routers.iter_mut().filter(|router| router.version > 0 && !router.is_stopped(now)) {
             let clock = router.clock(now);
@@ -211,11 +211,11 @@
         }
     }
 
-    /// A router reports, and reports once more after it has fetched the current version.
+    /// Has a router report, and report again after it has fetched the current version.
     fn report(&mut self, now: Micros, i: usize) {
         let router = &self.routers[i];
-        let is_cut_off = router.is_stopped(now) || now >= router.disconnected_from;
-        if is_cut_off || self.random.below(EXCHANGES_PER_FAILURE) == 0 {
+        let cannot_report = router.is_stopped(now) || now >= router.disconnected_at;
+        if cannot_report || self.random.below(EXCHANGES_PER_FAILURE) == 0 {
             return;
         }
         let mut at = now;
@@ -232,8 +232,8 @@
                 }
                 break;
             }
-            // Every router has the first version on its disk.
-            if self.current == SECOND_VERSION && at < router.fetches_from {
+            // Every router has stored the first version on its disk.
+            if self.current == SECOND_VERSION && at < router.can_fetch_from {
                 break;
             }
             at += message_delay(&mut self.random);
@@ -243,30 +243,36 @@
         }
     }
 
-    /// One report and its answer; returns when the answer has arrived.
+    /// Exchanges one report and its response; returns when the response is received.
     fn exchange(&mut self, sent_at: Micros, i: usize) -> Micros {
         let router = &self.routers[i];
         let report_sent_at = router.clock(sent_at);
         let report = router.fence.report(report_sent_at, 1);
         let reported_version = router.version;
         let received_at = sent_at + message_delay(&mut self.random);
-        let directive = self.leader_answer(received_at, i, reported_version, report);
-        let answered_at = received_at + message_delay(&mut self.random);
+        let directive = self.leader_response(received_at, i, reported_version, report);
+        let response_received_at = received_at + message_delay(&mut self.random);
         let router = &mut self.routers[i];
-        let clock = router.clock(answered_at);
+        let clock = router.clock(response_received_at);
         let current_version = self.current;
-        let answer = LeaderAnswer { report_sent_at, reported_version, current_version, directive };
-        router.fence.answer_received(clock, &answer);
-        answered_at
+        let response = LeaderAnswer { report_sent_at, reported_version, current_version, directive };
+        router.fence.answer_received(clock, &response);
+        response_received_at
     }
 
-    fn leader_answer(&mut self, now: Micros, i: usize, version: Version, report: VersionReport) -> Directive {
+    fn leader_response(
+        &mut self,
+        now: Micros,
+        i: usize,
+        version: Version,
+        report: VersionReport,
+    ) -> Directive {
         let router = i.to_string();
         self.handle(now, Event::ReportReceived { router, incarnation: 1, version, report, leaving: false });
-        let mut answer = Directive::AuditDisabled;
+        let mut response = Directive::AuditDisabled;
         for action in self.actions.drain(..) {
             match action {
-                Action::Reply { directive, .. } => answer = directive,
+                Action::Reply { directive, .. } => response = directive,
                 Action::LogEntry(entry) if entry.kind == EntryKind::FencedOut => {
                     self.routers[i].known_fenced_at = Some(now);
                 }
@@ -276,15 +282,15 @@
                 Action::LogEntry(_) | Action::WriteBatch(_) => {}
             }
         }
-        answer
+        response
     }
 }
 
-/// What came first for a straggler: it served by the current version, or by none.
-fn summarize(router: &Router, straggling: Straggling, summary: &mut Summary) {
+/// Adds a straggler to the summary: as up to date or as fenced, whichever happened first.
+fn summarize(router: &Router, mode: StragglerMode, summary: &mut Summary) {
     match (router.up_to_date_at, router.fenced_at) {
-        (Some(up_to_date_at), _) if straggling == Straggling::Stopped => {
-            // It does nothing while it is stopped: its time counts from when it resumes.
+        (Some(up_to_date_at), _) if mode == StragglerMode::Stopped => {
+            // A stopped router cannot act, so its time counts from when it resumes.
             summary.up_to_date += 1;
             summary.handling_times.push(up_to_date_at - router.resumes_at);
         }
@@ -294,7 +300,7 @@
         }
         (_, Some(fenced_at)) => {
             let within_lease = fenced_at - CHANGE_AT < ROUTER_LEASE;
-            if within_lease && matches!(straggling, Straggling::FailingFetch | Straggling::SlowFetch) {
+            if within_lease && matches!(mode, StragglerMode::FailingFetch | StragglerMode::SlowFetch) {
                 summary.fenced_out += 1;
             } else {
                 summary.lease_expired += 1;
--- a/audit/src/exchange.rs
+++ b/audit/src/exchange.rs
@@ -1,22 +1,25 @@
-//! Messages between routers and the leader. They travel in postcard, which carries neither field nor variant names: their
-//! order and types are the wire format.
+//! Messages exchanged between routers and the leader. They are encoded with postcard, which omits field and
+//! variant names: the order and types of the fields are the wire format.
 //!
-//! An epoch is a number that the leader gives a router when it fences it out. The router returns the highest epoch that it
-//! has received with each report, so that the leader can tell whether the router knows of its latest fencing. A router that
-//! was never fenced out has epoch 0.
+//! An epoch is a number that the leader assigns to a router when it fences the router out. The router
+//! includes the highest epoch that it has received in each report, so that the leader can tell whether the
+//! router knows of its latest fencing. A router that was never fenced out has epoch 0.
 use decision::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What a router reports beside the version that it holds.
+/// What a router reports in addition to its configuration version.
 ///
-/// Ages and durations travel rather than times of day, so that clocks of router and leader need not agree.
+/// Ages and durations are sent rather than times of day, so that the clocks of router and leader need not
+/// agree.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionReport {
-    /// Time since the version was applied or the last fence was lifted, on the router's clock, in microseconds.
+    /// Time since the version was applied or the last fence was lifted, on the router's clock, in
+    /// microseconds.
     pub version_age: Micros,
-    /// Duration of that last fence in microseconds; 0 if the version was applied while the router was not fenced.
+    /// Duration in microseconds of the fence that was last lifted; 0 if the version was applied while the
+    /// router was not fenced.
     pub last_fence_duration: Micros,
-    /// Whether the router routes requests at the time of the report, that is, it is not fenced.
+    /// Whether the router routes requests at the time of the report, that is, whether it is not fenced.
     pub routing: bool,
     /// Version of the router's member list.
     pub members_version: u64,
@@ -24,10 +27,10 @@
     pub epoch: u64,
 }
 
-/// The leader's answer to a [`VersionReport`].
+/// The leader's response to a [`VersionReport`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Directive {
-    /// The leader keeps no audit.
+    /// The leader does not audit configuration versions.
     #[default]
     AuditDisabled,
     /// The router may continue under this epoch.
@@ -35,12 +38,13 @@
         /// The router's epoch.
         epoch: u64,
     },
-    /// The router lags and must fetch the current document. It may continue for as long as its lease lasts.
+    /// The router's version is outdated and it must fetch the current document. It may continue to route
+    /// until its lease expires.
     Refetch {
         /// The router's epoch.
         epoch: u64,
     },
-    /// The router is fenced out until it reports the current version together with this epoch.
+    /// The router must reject all requests until it reports the current version together with this epoch.
     FenceOut {
         /// The router's new epoch.
         epoch: u64,
--- a/audit/src/fence.rs
+++ b/audit/src/fence.rs
@@ -1,22 +1,22 @@
-//! The router's side: a lease on the version that requests are routed under.
+//! The router's part of the audit: a lease on the version that requests are routed under.
 use crate::{Directive, VersionReport};
 use decision::{Micros, Time};
 use settings::fleet::Version;
 use thiserror::Error;
 
-/// Time of something that has not happened yet.
+/// Sentinel for an event that has not happened yet.
 const NEVER: Time = Time(i64::MIN);
 
 /// Why a router is fenced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceReason {
-    /// No leader has confirmed the router's version as the current one within a lease's time.
+    /// No leader has confirmed the router's version as the current one within the lease duration.
     LeaseExpired,
     /// The leader has fenced the router out.
     FencedOut,
 }
 
-/// The router is fenced: it must not route any request.
+/// The error for a fenced router, which must not route any request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("this router is fenced: {}", explanation(*reason, *version, *epoch))]
 pub struct Fenced {
@@ -24,13 +24,13 @@
     pub version: Version,
     /// The router's epoch at that time.
     pub epoch: u64,
-    /// Since when.
+    /// When the router became fenced, on its own clock.
     pub since: Time,
-    /// Why.
+    /// Why the router is fenced.
     pub reason: FenceReason,
 }
 
-/// Clients get this text, and the operators' pages quote it.
+/// Text of the error that clients receive; the operators' documentation quotes it.
 fn explanation(reason: FenceReason, version: Version, epoch: u64) -> String {
     match reason {
         FenceReason::LeaseExpired => {
@@ -43,7 +43,7 @@
     }
 }
 
-/// A leader's answer to a report, with what the report said.
+/// A leader's response to a report, with the time and version of that report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderAnswer {
     /// When the report was sent, on the router's clock.
@@ -58,15 +58,16 @@
 
 /// Decides under which version, if any, a request is routed.
 ///
-/// A confirmation counts for a lease's time from before the report was sent. The leader counts the same time from when it
-/// answered, which is later: a router has fenced itself before the leader records it as silent.
+/// A confirmation is valid for the lease duration, counted from when the report was sent. The leader counts
+/// the same duration from when it responded, which is later: a router has fenced itself before the leader
+/// records it as silent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionFence {
     lease: Micros,
     version: Version,
     /// When the version was applied or the last fence was lifted.
     version_since: Time,
-    /// Duration of the fence that was lifted then; 0 if there was none.
+    /// Duration of the fence that was lifted at `version_since`; 0 if there was none.
     last_fence_duration: Micros,
     lease_expires_at: Time,
     epoch: u64,
@@ -74,8 +75,8 @@
 }
 
 impl VersionFence {
-    /// A fence with no version and no lease. `lease` is how long a confirmation counts, in microseconds: the leader's
-    /// time less what the clocks may differ by.
+    /// Creates a fence with no version and no lease. `lease` is how long a confirmation is valid, in
+    /// microseconds: the leader's silence timeout minus the maximum clock difference.
     pub fn new(lease: Micros) -> VersionFence {
         VersionFence {
             lease,
@@ -88,20 +89,20 @@
         }
     }
 
-    /// The version that a request at this time is routed under.
+    /// Returns the version that a request is routed under at `now`.
     ///
     /// # Errors
     /// [`Fenced`] if the request must be rejected.
     pub fn check(&mut self, now: Time) -> Result<Version, Fenced> {
         if self.fenced.is_none() && now >= self.lease_expires_at {
-            // A router that has never been confirmed is fenced from now on.
+            // A router whose version was never confirmed is fenced from now on.
             let since = if self.lease_expires_at == NEVER { now } else { self.lease_expires_at };
             self.fenced = Some(self.fence(since, FenceReason::LeaseExpired));
         }
         self.fenced.map_or(Ok(self.version), Err)
     }
 
-    /// When the present lease expires: requests admitted under it must have been sent by then.
+    /// When the current lease expires: requests admitted under it must be sent to a server before that time.
     pub fn lease_expires_at(&self) -> Time {
         self.lease_expires_at
     }
@@ -110,15 +111,15 @@
         Fenced { version: self.version, epoch: self.epoch, since, reason }
     }
 
-    /// The router holds this version from now on, under the present lease, if any. The version must have been read from
-    /// a node of the store after the leader named it, or an earlier one, as the current one.
+    /// Sets the version that the router applied, under the current lease, if any. The version must have been
+    /// read from a node of the store after the leader named it, or an earlier one, as the current one.
     pub fn version_applied(&mut self, now: Time, version: Version) {
         self.version = version;
         self.version_since = now;
         self.last_fence_duration = 0;
     }
 
-    /// The report to send at this time.
+    /// Creates the report to send at `now`.
     pub fn report(&self, now: Time, members_version: u64) -> VersionReport {
         let version_age =
             if self.version_since == NEVER { 0 } else { now.0.saturating_sub(self.version_since.0).max(0) };
@@ -131,12 +132,12 @@
         }
     }
 
-    /// Applies the leader's answer to a report. Returns whether the router has become fenced, or is so no longer, or is so
-    /// for another reason.
+    /// Applies the leader's response to a report. Returns whether the router's fence changed: it was set,
+    /// lifted, or set for another reason.
     pub fn answer_received(&mut self, now: Time, answer: &LeaderAnswer) -> bool {
         let before = self.fenced;
         match answer.directive {
-            // An answer under an older epoch was sent before the leader fenced this router out.
+            // A response with an older epoch was sent before the leader fenced this router out.
             Directive::Continue { epoch } | Directive::Refetch { epoch } | Directive::FenceOut { epoch }
                 if epoch < self.epoch =>
             {
@@ -149,7 +150,7 @@
                 self.renew_lease(now, answer);
             }
             Directive::AuditDisabled => {
-                // Without a tracker only the lease counts; a fence that a tracker set stays.
+                // Without an audit only the lease applies; a fence that an auditing leader set stays.
                 if self.fenced.is_none_or(|fenced| fenced.reason == FenceReason::LeaseExpired) {
                     self.renew_lease(now, answer);
                 }
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Renews the lease and lifts the fence, if the answer confirms the version that the router holds.
+    /// Renews the lease and lifts the fence, if the response confirms the version that the router holds.
     fn renew_lease(&mut self, now: Time, answer: &LeaderAnswer) {
         let expires_at = Time(answer.report_sent_at.0.saturating_add(self.lease));
         let confirmed =
@@ -174,9 +175,9 @@
         if !confirmed || now >= expires_at {
             return;
         }
-        // A lease that has expired unnoticed is a fence too.
+        // If the lease has expired since the last check, that period counts as fenced too.
         _ = self.check(now);
-        // Before the first confirmation nothing was served that a fence could have interrupted.
+        // No request was routed before the first confirmation, so there is no fenced period to report.
         let lifted = if self.lease_expires_at == NEVER { None } else { self.fenced };
         self.lease_expires_at = expires_at;
         self.fenced = None;
--- a/audit/src/lib.rs
+++ b/audit/src/lib.rs
@@ -1,15 +1,17 @@
-//! Audit of configuration versions: which router of a fleet served by which version, from when to when.
+//! Audit of configuration versions: records which router of a fleet served requests under which version, and
+//! when.
 //!
-//! Three parts, none with I/O or a clock of its own:
+//! It has three parts; none does I/O or reads a clock:
 //!
-//! - [`VersionTracker`] runs on the node that leads the store. It takes each router's [`VersionReport`], answers with a
-//!   [`Directive`], notifies routers that lag, fences out those that still lag afterwards, and keeps a bounded record in
-//!   [`Batch`]es.
-//! - [`VersionFence`] runs in each router. It decides for each request which version the request is routed under, and
-//!   rejects it once the version's lease has expired or the leader has fenced the router out.
-//! - [`timeline`] turns the record into an operator's view: intervals and gaps.
+//! - [`VersionTracker`] runs on the node that leads the store. It takes each router's [`VersionReport`],
+//!   responds with a [`Directive`], notifies routers that lag, fences out those that still lag afterwards,
+//!   and writes a bounded audit record in [`Batch`]es.
+//! - [`VersionFence`] runs in each router. It decides for each request which version the request is routed
+//!   under, and rejects the request if the version's lease has expired or the leader has fenced the router
+//!   out.
+//! - [`timeline`] converts the audit record into intervals and gaps for operators.
 //!
-//! `docs/design/audit.md` has the guarantees and their limits.
+//! `docs/design/audit.md` describes the guarantees and their limits.
 mod exchange;
 mod fence;
 mod record;
--- a/audit/src/record.rs
+++ b/audit/src/record.rs
@@ -1,38 +1,38 @@
-//! Stored form of the record: entries in batches, as JSON under `fleet/audit/`. Field and variant names of the stored
-//! form are fixed by the `serde` attributes, whatever the code calls them.
+//! Stored form of the audit record: entries in batches, as JSON under `fleet/audit/`. The `serde` attributes
+//! fix the field and variant names of the stored form independently of the names in the code.
 use serde::{Deserialize, Serialize};
 use settings::fleet::Version;
 
-/// Upper bound of a batch's size in bytes, by an estimate that is above the entries' size as JSON.
+/// Maximum size of a batch in bytes, by an estimate that is above the entries' size as JSON.
 pub const MAX_BATCH_BYTES: usize = 40 << 10;
-/// Batches that the store keeps: 2.5 MiB together.
+/// Number of batches retained in the store: at most 2.5 MiB in total.
 pub const RING_SLOTS: u64 = 64;
-/// Upper bound of an entry's size as JSON without the router's name: seven keys, and numbers of 20 digits.
+/// Maximum size of an entry as JSON without the router's name: the keys, and numbers of up to 20 digits.
 const MAX_ENTRY_BYTES: usize = 200;
 
-/// What an entry says of its router from its time on.
+/// State of a router from the time of the entry on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EntryKind {
-    /// The router serves by the version.
+    /// The router routes requests under the version.
     Acting,
-    /// The router still serves by the version and was notified to fetch a later one.
+    /// The router still routes requests under the version and was notified to fetch a later one.
     #[serde(rename = "told")]
     Notified,
-    /// The router is fenced out and holds the version.
+    /// The leader has fenced out the router, which holds the version.
     #[serde(rename = "shutout")]
     FencedOut,
-    /// The router has not reported since and has fenced itself within a lease's time, or reports that it was fenced
-    /// since.
+    /// The router has not reported since then and has fenced itself when its lease expired, or it reports
+    /// that it was fenced from then on.
     Silent,
     /// The router has shut down gracefully.
     Left,
-    /// An entry of no router: the version is the current one from then on.
+    /// Not about a router: the version became the current one.
     Current,
 }
 
 impl EntryKind {
-    /// The word that the record and the operators' tables use.
+    /// Name of the kind in the stored record and in the tables that operators see.
     pub const fn as_str(self) -> &'static str {
         match self {
             EntryKind::Acting => "acting",
@@ -45,12 +45,12 @@
     }
 }
 
-/// One entry of the record.
+/// One entry of the audit record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Name of the router; empty for [`EntryKind::Current`].
     pub router: String,
-    /// Incarnation of the router's process: rises with each start of the same name.
+    /// Incarnation of the router's process: increases with each start of a router of this name.
     #[serde(rename = "start")]
     pub incarnation: u64,
     /// Version that the router holds.
@@ -58,39 +58,40 @@
     /// Version of the router's member list.
     #[serde(rename = "members")]
     pub members_version: u64,
-    /// Since when, Unix time in microseconds on the leader's clock, with the age that the router reported subtracted.
+    /// Start of the state, as Unix time in microseconds on the leader's clock, with the age that the router
+    /// reported subtracted.
     #[serde(rename = "from")]
     pub since: i64,
-    /// What the router does from that time on.
+    /// The router's state from that time on.
     pub kind: EntryKind,
     /// The router's epoch.
     pub epoch: u64,
-    /// Term of the leader: times of different terms are of different clocks.
+    /// Term of the leader. Times of different terms come from different clocks.
     pub term: u64,
 }
 
 impl Entry {
-    /// Upper bound of the entry's size as JSON, in bytes.
+    /// Maximum size of the entry as JSON, in bytes.
     pub(crate) fn max_bytes(&self) -> usize {
         MAX_ENTRY_BYTES + self.router.len()
     }
 }
 
-/// The entries that one write puts into the store.
+/// Entries that are written to the store in one write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
     /// Sequence number of the batch.
     pub seq: u64,
-    /// Term of the leader that wrote it.
+    /// Term of the leader that wrote the batch.
     pub term: u64,
-    /// When it was created, Unix time in microseconds on the leader's clock.
+    /// When the batch was created, Unix time in microseconds on the leader's clock.
     #[serde(rename = "at")]
     pub created_at: i64,
     /// Entries carried over from the replaced batch, then the new ones.
     pub entries: Vec<Entry>,
 }
 
-/// The store's key of a slot of the ring.
+/// The store's key for a slot of the ring of batches.
 pub fn slot_key(slot: u64) -> String {
     format!("fleet/audit/{slot:04}")
 }
--- a/audit/src/record_writer.rs
+++ b/audit/src/record_writer.rs
@@ -1,16 +1,17 @@
-//! Writes the record as a ring of batches in the store.
+//! Writes the audit record as a ring of batches in the store.
 //!
-//! A batch replaces the one `ring_slots` before it and first carries over the entries of the replaced batch that are still
-//! some router's latest. So the ring is bounded, and yet has the latest entry of each live router.
+//! A batch replaces the one `ring_slots` before it and begins with those entries of the replaced batch that
+//! are still the latest of a router. So the ring is bounded, yet contains the latest entry of each live
+//! router.
 use crate::record::MAX_BATCH_BYTES;
 use crate::{Batch, Entry, EntryKind, Settings};
 use decision::Time;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Entries of all routers that wait for a write, at most.
+/// Maximum number of entries of all routers that wait for a write.
 const MAX_PENDING_ENTRIES: usize = 50_000;
 
-/// Where a router's latest written entry is.
+/// Location of a router's latest written entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct LatestEntry {
     batch_seq: u64,
@@ -21,11 +22,11 @@
 #[derive(Clone, Debug)]
 struct WriteInFlight {
     batch: Batch,
-    /// Its first entries, which were carried over from the replaced batch.
+    /// Number of entries at the start of the batch that were carried over from the replaced batch.
     carried_over: usize,
 }
 
-/// Queue of entries, and the batches that the store has.
+/// The queue of entries to write, and the batches that the store contains.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecordWriter {
     ring: BTreeMap<u64, Batch>,
@@ -37,7 +38,7 @@
 }
 
 impl RecordWriter {
-    /// Starts a leader's term from the batches in the store. Entries that still waited are dropped: they are of an
+    /// Starts a leader's term from the batches in the store. Pending entries are dropped: they belong to an
     /// earlier term, and the routers report to the new leader too.
     pub(crate) fn start_term(&mut self, mut stored: Vec<Batch>, ring_slots: u64) {
         *self = RecordWriter::default();
@@ -48,36 +49,38 @@
         }
     }
 
-    /// Takes over a batch that the store has.
+    /// Adds a batch that the store contains.
     fn insert(&mut self, batch: Batch, ring_slots: u64) {
         for entry in &batch.entries {
-            let found = LatestEntry { batch_seq: batch.seq, since: entry.since };
-            let latest = self.latest.entry(entry.router.clone()).or_insert(found);
-            if found.since >= latest.since {
-                *latest = found;
+            let candidate = LatestEntry { batch_seq: batch.seq, since: entry.since };
+            let latest = self.latest.entry(entry.router.clone()).or_insert(candidate);
+            if candidate.since >= latest.since {
+                *latest = candidate;
             }
         }
         self.ring.insert(batch.seq % ring_slots, batch);
     }
 
-    /// The latest written entry of each router.
+    /// Returns the latest written entry of each router.
     pub(crate) fn latest_entries(&self) -> Vec<Entry> {
         let mut batches: Vec<&Batch> = self.ring.values().collect();
         batches.sort_by_key(|batch| batch.seq);
         let mut latest: BTreeMap<&str, &Entry> = BTreeMap::new();
         for entry in batches.iter().flat_map(|batch| &batch.entries) {
-            let found = latest.entry(&entry.router).or_insert(entry);
-            if entry.since >= found.since {
-                *found = entry;
+            let latest_entry = latest.entry(&entry.router).or_insert(entry);
+            if entry.since >= latest_entry.since {
+                *latest_entry = entry;
             }
         }
         latest.into_values().cloned().collect()
     }
 
-    /// Queues an entry. If the router's or the whole queue's limit is reached, the oldest entry makes room.
+    /// Queues an entry. If the limit of the router or of the whole queue is reached, the oldest entry is
+    /// dropped.
     pub(crate) fn push(&mut self, entry: Entry, max_pending_per_router: usize) {
-        let of_router = self.pending.iter().enumerate().filter(|(_, pending)| pending.router == entry.router);
-        let positions: Vec<usize> = of_router.map(|(position, _)| position).collect();
+        let router_entries =
+            self.pending.iter().enumerate().filter(|(_, pending)| pending.router == entry.router);
+        let positions: Vec<usize> = router_entries.map(|(position, _)| position).collect();
         if entry.kind != EntryKind::Current && positions.len() >= max_pending_per_router {
             self.pending.remove(positions[0]);
         } else if self.pending.len() >= MAX_PENDING_ENTRIES {
@@ -86,7 +89,8 @@
         self.pending.push_back(entry);
     }
 
-    /// The next batch, if a write is due. `is_live` says whose latest entry is carried over.
+    /// Returns the next batch, if a write is due. `is_live` tells for which routers the latest entry is
+    /// carried over.
     pub(crate) fn next_batch(
         &mut self,
         now: Time,
@@ -99,7 +103,7 @@
         }
         let mut entries = self.entries_to_carry_over(settings.ring_slots, is_live);
         let carried_over = entries.len();
-        self.move_pending_to(&mut entries);
+        self.fill_from_pending(&mut entries);
         let batch = Batch { seq: self.next_seq, term, created_at: now.0, entries };
         self.in_flight = Some(WriteInFlight { batch: batch.clone(), carried_over });
         self.last_write = Some(now);
@@ -123,7 +127,7 @@
         carried_over.cloned().collect()
     }
 
-    fn move_pending_to(&mut self, entries: &mut Vec<Entry>) {
+    fn fill_from_pending(&mut self, entries: &mut Vec<Entry>) {
         let mut size: usize = entries.iter().map(Entry::max_bytes).sum();
         while let Some(entry) = self.pending.front() {
             size += entry.max_bytes();
@@ -134,7 +138,7 @@
         }
     }
 
-    /// The write of a batch has completed. One that is not known to be committed is written again.
+    /// Handles the completion of a write. A batch that is not known to be committed is written again.
     pub(crate) fn write_completed(&mut self, seq: u64, committed: bool, ring_slots: u64) {
         let Some(write) = self.in_flight.take_if(|write| write.batch.seq == seq) else { return };
         if committed {
@@ -147,7 +151,8 @@
     fn commit(&mut self, batch: Batch, ring_slots: u64) {
         self.next_seq = batch.seq + 1;
         if let Some(replaced) = self.ring.get(&(batch.seq % ring_slots)) {
-            // Routers whose latest entry was in the replaced batch and was not carried over have no entry any more.
+            // Routers whose latest entry was in the replaced batch and was not carried over have no entry any
+            // more.
             let replaced_seq = replaced.seq;
             let router_names: Vec<&str> = batch.entries.iter().map(|entry| entry.router.as_str()).collect();
             self.latest.retain(|router, latest| {
--- a/audit/src/settings.rs
+++ b/audit/src/settings.rs
@@ -1,51 +1,55 @@
-//! Limits and intervals of the [`VersionTracker`](crate::VersionTracker). The operator sets how far a router may lag; the
-//! constants here are the same for every fleet.
+//! Limits and intervals of the [`VersionTracker`](crate::VersionTracker). The operator sets how far a router
+//! may lag; the constants here are the same for every fleet.
 use crate::record::RING_SLOTS;
 use ::settings::fleet::AuditConfig;
 use decision::Micros;
 
 const MICROS_PER_MS: Micros = 1000;
-/// Longest time between two notifications of one router, in microseconds like all times here.
+/// Maximum time between two notifications of one router, in microseconds like all times here.
 const NOTIFICATION_INTERVAL: Micros = 300 * MICROS_PER_MS;
-/// After this time, an hour, a silent router is forgotten: its entries are no longer carried over in the record.
+/// A router that has been silent for this time, an hour, is forgotten: its entries are no longer carried over
+/// in the audit record.
 const FORGET_AFTER: Micros = 3_600_000 * MICROS_PER_MS;
-/// Shortest time between two writes of the record while there is something to write.
+/// Minimum time between two writes of the audit record while entries are pending.
 const MIN_WRITE_INTERVAL: Micros = 1000 * MICROS_PER_MS;
-/// An empty batch is written this often while there is nothing to write.
+/// Interval at which empty batches are written while no entries are pending.
 const HEARTBEAT_INTERVAL: Micros = 5000 * MICROS_PER_MS;
-/// The most entries of one router that wait for a write: a router whose state changes all the time must not fill the queue.
+/// Maximum number of pending entries of one router, so that a router whose state changes constantly does not
+/// fill the queue.
 const MAX_PENDING_PER_ROUTER: usize = 8;
 
 /// Limits and intervals of the tracker; all times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// A router that has held another than the current version for this long is notified to fetch the current document.
+    /// A router that has held an outdated version for this long is notified to fetch the current document.
     pub max_lag: Micros,
-    /// A router that lags by more versions than this is notified at once.
+    /// A router that is behind by more versions than this is notified immediately.
     pub max_lag_versions: u32,
-    /// Notifications before a router that still lags is fenced out.
+    /// Number of notifications before a router that still lags is fenced out.
     pub max_notifications: u32,
-    /// Longest time between two notifications; each interval is drawn from its half to its whole.
+    /// Maximum time between two notifications; each interval is chosen randomly between half and all of it.
     pub notification_interval: Micros,
-    /// A router without a report for this long is silent. At least the lease's time, so that the router has fenced
-    /// itself by then.
+    /// A router without a report for this long is silent. It must be at least the lease duration, so that the
+    /// router has fenced itself by then.
     pub silence_timeout: Micros,
-    /// A silent router is forgotten after this time.
+    /// Time after which a silent router is forgotten.
     pub forget_after: Micros,
-    /// Shortest time between two writes of the record.
+    /// Minimum time between two writes of the audit record.
     pub min_write_interval: Micros,
-    /// A batch is written this often even with no new entry, so that readers see that the audit is alive.
+    /// A batch is written at this interval even without new entries, so that readers can tell that the audit
+    /// is running.
     pub heartbeat_interval: Micros,
-    /// The most entries of one router that wait for a write; the oldest one makes room for another.
+    /// Maximum number of pending entries of one router; beyond it the oldest one is dropped.
     pub max_pending_per_router: usize,
-    /// Number of batches that the store keeps: each new one replaces the oldest.
+    /// Number of batches retained in the store: each new one replaces the oldest.
     pub ring_slots: u64,
-    /// Seed of the notification intervals' jitter.
+    /// Seed for the jitter of the notification intervals.
     pub jitter_seed: u64,
 }
 
 impl Settings {
-    /// Settings from the operator's `[fleet.audit]` table. `silence_timeout` is the lease's time in microseconds.
+    /// Creates the settings from the operator's `[fleet.audit]` table. `silence_timeout` is the lease
+    /// duration in microseconds.
     pub fn new(audit: &AuditConfig, silence_timeout: Micros, jitter_seed: u64) -> Settings {
         Settings {
             max_lag: audit.max_lag_ms as Micros * MICROS_PER_MS,
--- a/audit/src/timeline.rs
+++ b/audit/src/timeline.rs
@@ -1,6 +1,7 @@
-//! An operator's view of the record: which router served by which version from when to when, and the gaps.
+//! The audit record as operators see it: which router routed requests under which version and when, and the
+//! gaps.
 //!
-//! The serialized names are those that `damsonvale fleet audit --json` prints.
+//! The serialized names are those in the output of `damsonvale fleet audit --json`.
 mod gaps;
 mod intervals;
 
@@ -8,65 +9,67 @@
 use serde::Serialize;
 use settings::fleet::Version;
 
-/// What lasted less than this is no gap, in microseconds: routers learn of a version within two reports, and the record
-/// is written once a second.
+/// Minimum duration of a gap in microseconds: routers learn of a version within two reports, and the audit
+/// record is written once a second.
 pub const MIN_GAP: i64 = 1_500_000;
-/// A record without a new batch for this long has stopped, in microseconds: three heartbeat intervals.
+/// The audit record counts as stopped after this time without a new batch, in microseconds: three heartbeat
+/// intervals.
 pub const RECORD_STOPPED_AFTER: i64 = 15_000_000;
 
-/// A time over which a router did not change what it did.
+/// A period during which a router's state and version did not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Interval {
     /// Name of the router.
     pub router: String,
-    /// Incarnation of its process.
+    /// Incarnation of the router's process.
     #[serde(rename = "start")]
     pub incarnation: u64,
-    /// Version that it held.
+    /// Configuration version that the router held.
     pub version: Version,
-    /// Version of its member list as the interval began.
+    /// Version of the router's member list at the start of the interval.
     #[serde(rename = "members")]
     pub members_version: u64,
-    /// Since when, Unix time in microseconds.
+    /// Start, Unix time in microseconds.
     #[serde(rename = "from")]
     pub since: i64,
-    /// Until when, Unix time in microseconds; `None` while it lasts.
+    /// End, Unix time in microseconds; `None` if it has not ended.
     pub until: Option<i64>,
-    /// What it did: [`EntryKind::Acting`], [`EntryKind::FencedOut`], [`EntryKind::Silent`] or [`EntryKind::Left`].
+    /// The router's state: [`EntryKind::Acting`], [`EntryKind::FencedOut`], [`EntryKind::Silent`] or
+    /// [`EntryKind::Left`].
     pub kind: EntryKind,
     /// The router's epoch.
     pub epoch: u64,
 }
 
 impl Interval {
-    /// Whether the interval still lasts or ended at `time` or later.
+    /// Whether the interval has not ended or ended at `time` or later.
     fn lasts_until(&self, time: i64) -> bool {
         self.until.is_none_or(|until| until >= time)
     }
 }
 
-/// What is wrong during a [`Gap`].
+/// What was wrong during a [`Gap`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GapKind {
-    /// Routers served by these versions at once.
+    /// Routers routed requests under these versions at the same time.
     #[serde(rename = "two_versions")]
     ConcurrentVersions(Vec<Version>),
-    /// This router served by this version, which was no longer the current one.
+    /// This router routed requests under this version, which was no longer the current one.
     #[serde(rename = "not_current")]
     OutdatedVersion(String, Version),
-    /// This router was fenced out with this version.
+    /// This router was fenced out while it held this version.
     #[serde(rename = "shut_out")]
     FencedOut(String, Version),
-    /// This router was silent.
+    /// This router did not report.
     Silent(String),
-    /// The leader writes no record.
+    /// The leader does not write the audit record.
     #[serde(rename = "stopped")]
     RecordStopped,
 }
 
 impl GapKind {
-    /// The router that the gap is about, unless it is about the whole fleet.
+    /// The router that the gap concerns; `None` if the gap concerns the whole fleet.
     fn router(&self) -> Option<&str> {
         match self {
             GapKind::OutdatedVersion(router, _) | GapKind::FencedOut(router, _) | GapKind::Silent(router) => {
@@ -77,54 +80,54 @@
     }
 }
 
-/// A time during which something was wrong.
+/// A period during which something was wrong.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Gap {
     /// What was wrong.
     #[serde(rename = "what")]
     pub kind: GapKind,
-    /// Since when, Unix time in microseconds.
+    /// Start, Unix time in microseconds.
     #[serde(rename = "from")]
     pub since: i64,
-    /// Until when, Unix time in microseconds; `None` while it lasts.
+    /// End, Unix time in microseconds; `None` if it has not ended.
     pub until: Option<i64>,
 }
 
-/// Which part of the timeline is wanted.
+/// Selects a part of the timeline.
 #[derive(Clone, Debug, Default)]
 pub struct Query {
-    /// Only what lasted until this time or later, Unix time in microseconds.
+    /// Excludes everything that ended before this time, Unix time in microseconds.
     pub since: i64,
-    /// Only this router, and gaps of the whole fleet.
+    /// Includes only this router, and gaps of the whole fleet.
     pub router: Option<String>,
 }
 
 impl Query {
     fn includes_router(&self, name: &str) -> bool {
-        self.router.as_deref().is_none_or(|wanted| wanted == name)
+        self.router.as_deref().is_none_or(|router| router == name)
     }
 }
 
-/// The operator's view.
+/// The audit record as intervals and gaps.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Timeline {
-    /// The intervals, by router and time.
+    /// The intervals, sorted by router and start time.
     #[serde(rename = "rows")]
     pub intervals: Vec<Interval>,
-    /// The gaps, by time.
+    /// The gaps, sorted by start time.
     pub gaps: Vec<Gap>,
 }
 
 impl Timeline {
-    /// Whether a gap still lasts.
+    /// Whether any gap has not ended.
     pub fn has_open_gap(&self) -> bool {
         self.gaps.iter().any(|gap| gap.until.is_none())
     }
 }
 
-/// The timeline that the batches in the store give at `now`, Unix time in microseconds.
+/// Builds the timeline from the batches in the store. `now` is the Unix time in microseconds.
 pub fn build(batches: &[Batch], now: i64, query: &Query) -> Timeline {
-    let (mut intervals, current) = intervals::of_batches(batches);
+    let (mut intervals, current) = intervals::from_batches(batches);
     let last_write = batches.iter().map(|batch| batch.created_at).max().unwrap_or(0);
     let mut gaps = gaps::find(&intervals, &current, last_write, now);
     gaps.retain(|gap| {
--- a/audit/src/timeline/gaps.rs
+++ b/audit/src/timeline/gaps.rs
@@ -1,19 +1,21 @@
-//! Finds the gaps: times during which something was wrong.
+//! Finds the gaps in the timeline: periods during which something was wrong.
 use super::intervals::CurrentVersion;
 use super::{Gap, GapKind, Interval, MIN_GAP, RECORD_STOPPED_AFTER};
 use crate::EntryKind;
 use settings::fleet::Version;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All gaps that last long enough, by time. `last_write` is when the last batch was created.
+/// Returns all gaps of at least `MIN_GAP`, sorted by start time. `last_write` is when the last batch was
+/// created.
 pub(super) fn find(
     intervals: &[Interval],
     current: &[CurrentVersion],
     last_write: i64,
     now: i64,
 ) -> Vec<Gap> {
-    let mut gaps: Vec<Gap> = intervals.iter().filter_map(|interval| of_interval(interval, current)).collect();
-    gaps.extend(of_concurrent_versions(intervals));
+    let mut gaps: Vec<Gap> =
+        intervals.iter().filter_map(|interval| interval_gap(interval, current)).collect();
+    gaps.extend(concurrent_version_gaps(intervals));
     if now - last_write > RECORD_STOPPED_AFTER {
         gaps.push(Gap { kind: GapKind::RecordStopped, since: last_write, until: None });
     }
@@ -22,7 +24,7 @@
     gaps
 }
 
-fn of_interval(interval: &Interval, current: &[CurrentVersion]) -> Option<Gap> {
+fn interval_gap(interval: &Interval, current: &[CurrentVersion]) -> Option<Gap> {
     let router = interval.router.clone();
     let (kind, since) = match interval.kind {
         EntryKind::Acting => {
@@ -36,7 +38,7 @@
     Some(Gap { kind, since, until: interval.until })
 }
 
-/// When a later version became the current one before the interval ended.
+/// Returns when a later version became the current one, if that was before the interval ended.
 fn outdated_at(interval: &Interval, current: &[CurrentVersion]) -> Option<i64> {
     let later = current.iter().find(|current| {
         current.version > interval.version && interval.until.is_none_or(|until| current.since < until)
@@ -44,8 +46,8 @@
     later.map(|current| current.since)
 }
 
-/// Times at which routers served by more than one version.
-fn of_concurrent_versions(intervals: &[Interval]) -> Vec<Gap> {
+/// Returns the periods during which routers routed requests under more than one version.
+fn concurrent_version_gaps(intervals: &[Interval]) -> Vec<Gap> {
     let mut gaps = Vec::new();
     let mut serving: BTreeMap<Version, u64> = BTreeMap::new();
     let mut open: Option<(i64, BTreeSet<Version>)> = None;
@@ -57,19 +59,19 @@
             let (_, versions) = open.get_or_insert((change.at, BTreeSet::new()));
             versions.extend(serving.keys());
         } else if let Some((since, versions)) = open.take() {
-            gaps.push(concurrent(versions, since, Some(change.at)));
+            gaps.push(concurrent_versions_gap(versions, since, Some(change.at)));
         }
     }
-    gaps.extend(open.map(|(since, versions)| concurrent(versions, since, None)));
+    gaps.extend(open.map(|(since, versions)| concurrent_versions_gap(versions, since, None)));
     gaps
 }
 
-fn concurrent(versions: BTreeSet<Version>, since: i64, until: Option<i64>) -> Gap {
+fn concurrent_versions_gap(versions: BTreeSet<Version>, since: i64, until: Option<i64>) -> Gap {
     Gap { kind: GapKind::ConcurrentVersions(versions.into_iter().collect()), since, until }
 }
 
-/// A router starts or stops serving by a version. Of changes at one time the stops come first: a router that switches to
-/// the next version serves by one at a time.
+/// The start or end of a router's use of a version. Ends sort before starts at the same time, so that a
+/// router that switches to the next version never uses two at once.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ServingChange {
     at: i64,
--- a/audit/src/timeline/intervals.rs
+++ b/audit/src/timeline/intervals.rs
@@ -1,18 +1,18 @@
-//! Makes intervals of entries.
+//! Converts entries of the audit record into intervals.
 use super::Interval;
 use crate::{Batch, Entry, EntryKind};
 use settings::fleet::Version;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A version that became the current one.
+/// A version, and when it became the current one.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CurrentVersion {
     pub(super) since: i64,
     pub(super) version: Version,
 }
 
-/// The intervals of all routers, by router and time, and the current versions, by time.
-pub(super) fn of_batches(batches: &[Batch]) -> (Vec<Interval>, Vec<CurrentVersion>) {
+/// Returns the intervals of all routers, sorted by router and time, and the current versions, sorted by time.
+pub(super) fn from_batches(batches: &[Batch]) -> (Vec<Interval>, Vec<CurrentVersion>) {
     let mut ordered: Vec<&Batch> = batches.iter().collect();
     ordered.sort_by_key(|batch| batch.seq);
     let mut by_router: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
@@ -23,16 +23,16 @@
             continue;
         }
         let entries = by_router.entry(&entry.router).or_default();
-        // An entry that was carried over is in two batches.
+        // An entry that was carried over is in more than one batch.
         if !entries.contains(&entry) {
             entries.push(entry);
         }
     }
-    let intervals = by_router.into_values().flat_map(of_router).collect();
+    let intervals = by_router.into_values().flat_map(router_intervals).collect();
     (intervals, current.into_iter().collect())
 }
 
-fn of_router(mut entries: Vec<&Entry>) -> Vec<Interval> {
+fn router_intervals(mut entries: Vec<&Entry>) -> Vec<Interval> {
     entries.sort_by_key(|entry| entry.since);
     let mut intervals: Vec<Interval> = Vec::new();
     for entry in entries {
@@ -42,19 +42,20 @@
             }
             last.until = Some(entry.since.max(last.since));
         }
-        intervals.push(starting_with(entry));
+        intervals.push(interval_from_entry(entry));
     }
     intervals
 }
 
-/// A notification does not end an interval, nor does the first entry that a new leader makes.
+/// Whether an entry leaves the interval unchanged. A notification does not end an interval, nor does the
+/// first entry of a new leader.
 fn continues(last: &Interval, entry: &Entry) -> bool {
     matches!(entry.kind, EntryKind::Notified | EntryKind::Acting)
         && last.kind == EntryKind::Acting
         && (last.incarnation, last.version) == (entry.incarnation, entry.version)
 }
 
-fn starting_with(entry: &Entry) -> Interval {
+fn interval_from_entry(entry: &Entry) -> Interval {
     Interval {
         router: entry.router.clone(),
         incarnation: entry.incarnation,
--- a/audit/src/tracker.rs
+++ b/audit/src/tracker.rs
@@ -1,4 +1,4 @@
-//! The leader's side: follows the version of every router of a fleet.
+//! The leader's part of the audit: tracks the configuration version of every router of a fleet.
 mod epochs;
 mod event;
 mod history;
@@ -24,10 +24,10 @@
 use settings::fleet::Version;
 use std::collections::{BTreeMap, btree_map};
 
-/// Routers that are followed, at most.
+/// Maximum number of routers tracked.
 const MAX_ROUTERS: usize = settings::fleet::MAX_ROUTERS as usize;
 
-/// Follows the version of every router of a fleet; see the [crate].
+/// Tracks the configuration version of every router of a fleet; see the [crate] documentation.
 #[derive(Clone, Debug)]
 pub struct VersionTracker {
     settings: Settings,
@@ -39,7 +39,7 @@
 }
 
 impl VersionTracker {
-    /// A tracker on a node that does not lead yet.
+    /// Creates a tracker on a node that does not lead yet.
     pub fn new(settings: Settings) -> VersionTracker {
         VersionTracker {
             history: VersionHistory::default(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Handles an event and appends what the driver must do.
+    /// Handles an event and appends the resulting actions for the driver.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::LeadershipGained { term, batches } => self.leadership_gained(now, term, batches),
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Starts a term with what the record says of each router. Each has a lease's time to report before it is silent.
+    /// Starts a term with the state of each router from the audit record. A router counts as silent only
+    /// after `silence_timeout` without a report to this leader.
     fn leadership_gained(&mut self, now: Time, term: u64, batches: Vec<Batch>) {
         self.history = VersionHistory::default();
         self.epochs = EpochSource::new(term);
@@ -97,7 +98,7 @@
         let is_full = self.routers.len() >= MAX_ROUTERS;
         let router = match self.routers.entry(name.into()) {
             btree_map::Entry::Occupied(known) => known.into_mut(),
-            // It could not be followed, so it must not serve.
+            // A router that cannot be tracked must not route requests.
             btree_map::Entry::Vacant(_) if is_full => {
                 return Directive::FenceOut { epoch: report.details.epoch };
             }
--- a/audit/src/tracker/epochs.rs
+++ b/audit/src/tracker/epochs.rs
@@ -1,15 +1,15 @@
-//! Epochs of routers that are fenced out.
+//! Generates the epochs under which routers are fenced out.
 
-/// Epochs have the leader's term above this many bits, and a number within the term in them.
+/// Number of low bits of an epoch that count the epochs of a term; the bits above them are the leader's term.
 const NUMBER_BITS: u32 = 32;
 
-/// Issues epochs that rise within a term and from term to term. Since the term rises with each election, no leader has to
-/// store which epochs it has issued.
+/// Issues epochs that increase within a term and from term to term. Since the term increases with each
+/// election, no leader has to store which epochs it has issued.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EpochSource {
-    /// The term that this leader leads in.
+    /// The leader's current term.
     term: u64,
-    /// How many epochs were issued in the term.
+    /// Number of epochs issued in this term.
     issued: u64,
 }
 
@@ -18,7 +18,8 @@
         EpochSource { term, issued: 0 }
     }
 
-    /// An epoch above all that were issued in earlier terms, and above `epoch`, the router's present one.
+    /// Returns an epoch above all that were issued in earlier terms, and above `epoch`, the router's current
+    /// one.
     pub(super) fn next_above(&mut self, epoch: u64) -> u64 {
         self.issued += 1;
         ((self.term << NUMBER_BITS) | self.issued).max(epoch + 1)
--- a/audit/src/tracker/history.rs
+++ b/audit/src/tracker/history.rs
@@ -1,27 +1,28 @@
-//! When each version became the current one.
+//! History of when each configuration version became the current one.
 use decision::Time;
 use settings::fleet::Version;
 use std::collections::VecDeque;
 
-/// Versions that are remembered. A router that holds an older one lags since the oldest of these.
+/// Maximum number of versions in the history. The lag of a router with an older version counts from the
+/// oldest one here.
 const MAX_VERSIONS: usize = 256;
 
 /// How far a version is behind the current one.
 pub(super) struct VersionLag {
-    /// When the next later version became current.
+    /// When the first later version in the history became current.
     pub(super) since: Time,
-    /// Number of later versions.
+    /// Number of later versions in the history.
     pub(super) versions: u32,
 }
 
-/// Versions with the time at which each became the current one on this leader; the last is the current one.
+/// Versions and when each became the current one on this leader; the last is the current one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct VersionHistory {
     versions: VecDeque<(Version, Time)>,
 }
 
 impl VersionHistory {
-    /// Adds the current version. Returns whether it is later than all before.
+    /// Adds the current version. Returns whether it is later than all previous ones.
     pub(super) fn push(&mut self, version: Version, now: Time) -> bool {
         if !self.is_later_than_all(version) {
             return false;
@@ -38,7 +39,7 @@
         self.versions.back().is_none_or(|(current, _)| version > *current)
     }
 
-    /// The lag of a version; `None` if it is not behind.
+    /// Returns the lag of a version; `None` if it is not behind.
     pub(super) fn lag_of(&self, version: Version) -> Option<VersionLag> {
         let mut later = self.versions.iter().filter(|(other, _)| *other > version);
         let (_, since) = later.next()?;
--- a/audit/src/tracker/jitter.rs
+++ b/audit/src/tracker/jitter.rs
@@ -13,7 +13,7 @@
         Jitter { seed, state: 0 }
     }
 
-    /// An interval from the half to the whole of `longest`.
+    /// Returns a random interval between half of `longest` and `longest`.
     pub(super) fn interval(&mut self, longest: Micros) -> Micros {
         self.state = self.state.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.seed ^ self.state;
--- a/audit/src/tracker/recorder.rs
+++ b/audit/src/tracker/recorder.rs
@@ -1,4 +1,4 @@
-//! Makes entries of the record: each is queued for the store and logged.
+//! Creates the entries of the audit record: each is queued for the store and logged.
 use super::event::Action;
 use super::router::RouterState;
 use crate::record::{Batch, Entry, EntryKind};
@@ -6,7 +6,7 @@
 use decision::Time;
 use settings::fleet::Version;
 
-/// Makes the entries of a leader's term.
+/// Creates the audit entries of one leader's term.
 #[derive(Clone, Debug)]
 pub(super) struct Recorder {
     term: u64,
@@ -43,7 +43,7 @@
         self.push(entry, actions);
     }
 
-    /// Records what a router does from `since` on.
+    /// Records the state of a router from `since` on.
     pub(super) fn record(
         &mut self,
         name: &str,
@@ -52,7 +52,7 @@
         kind: EntryKind,
         actions: &mut Vec<Action>,
     ) {
-        router.note_recorded(kind, since);
+        router.update_recorded(kind, since);
         let entry = Entry {
             router: name.into(),
             incarnation: router.incarnation,
--- a/audit/src/tracker/report.rs
+++ b/audit/src/tracker/report.rs
@@ -1,4 +1,4 @@
-//! Handling of one router's report.
+//! Handles one report of a router.
 use super::epochs::EpochSource;
 use super::event::Action;
 use super::history::{VersionHistory, VersionLag};
@@ -11,10 +11,11 @@
 use crate::settings::Settings;
 use decision::{Micros, Time};
 
-/// Two starts of a version that are this near are the same one, seen in two reports.
+/// If the reported start of a version differs from the recorded one by at most this many microseconds, both
+/// are the same start as computed from two reports.
 const SAME_START_TOLERANCE: Micros = 500_000;
 
-/// One report, the state of the router that sent it, and the parts of the tracker that its outcome needs.
+/// A report, the state of the router that sent it, and the parts of the tracker needed to handle it.
 pub(super) struct ReportHandler<'a> {
     pub(super) now: Time,
     pub(super) name: &'a str,
@@ -29,44 +30,45 @@
 }
 
 impl ReportHandler<'_> {
-    /// Whether a later incarnation of the router is live.
+    /// Whether the report is from an earlier incarnation than the router's live one.
     pub(super) fn is_superseded(&self) -> bool {
-        let is_live = self.router.phase != Phase::Silent && !self.lease_is_over();
+        let is_live = self.router.phase != Phase::Silent && !self.is_lease_expired();
         self.report.incarnation < self.router.incarnation && is_live
     }
 
-    /// The router's last report. Returns its epoch.
+    /// Handles the router's last report before it shuts down. Returns the router's epoch.
     pub(super) fn leave(&mut self) -> u64 {
-        self.note_contact();
+        self.update_last_report();
         self.record(self.now, EntryKind::Left);
         self.router.epoch
     }
 
-    /// Any other report.
+    /// Handles a report of a router that is not shutting down.
     pub(super) fn handle(&mut self) -> Directive {
-        // The lease is over whether or not a tick has come to record it.
-        let returned = self.router.phase == Phase::Silent || self.lease_is_over();
+        // The lease may have expired since the last tick.
+        let was_silent = self.router.phase == Phase::Silent || self.is_lease_expired();
         let last_report = self.router.last_report;
-        self.note_contact();
-        if returned && !matches!(self.router.phase, Phase::Silent | Phase::FencedOut) {
+        self.update_last_report();
+        if was_silent && !matches!(self.router.phase, Phase::Silent | Phase::FencedOut) {
             self.record(last_report, EntryKind::Silent);
         }
-        self.note_version();
+        self.update_version();
         if self.history.is_later_than_all(self.report.version) {
-            // The version is of another store that was here before. No router takes this answer as a confirmation.
-            return self.proceed();
+            // The version is later than the store's current one, so it comes from a store that was used
+            // before. A router does not take this response as a confirmation, as the versions differ.
+            return self.continue_directive();
         }
         match self.history.lag_of(self.report.version) {
             None => self.up_to_date(),
-            Some(lag) => self.lagging(&lag, returned),
+            Some(lag) => self.lagging(&lag, was_silent),
         }
     }
 
-    fn lease_is_over(&self) -> bool {
+    fn is_lease_expired(&self) -> bool {
         self.router.is_silent_for(self.settings.silence_timeout, self.now)
     }
 
-    fn note_contact(&mut self) {
+    fn update_last_report(&mut self) {
         if self.report.incarnation != self.router.incarnation {
             self.router.restarted(self.now, self.report.incarnation);
         }
@@ -74,9 +76,9 @@
         self.router.last_report = self.now;
     }
 
-    fn note_version(&mut self) {
+    fn update_version(&mut self) {
         if self.router.version < self.report.version {
-            // It moves forward: the count of notifications starts anew.
+            // The router has applied a later version: the count of notifications restarts.
             self.router.clear_notifications();
         }
         self.router.version = self.report.version;
@@ -87,33 +89,33 @@
         self.recorder.record(self.name, self.router, since, kind, self.actions);
     }
 
-    fn proceed(&self) -> Directive {
+    fn continue_directive(&self) -> Directive {
         Directive::Continue { epoch: self.router.epoch }
     }
 
-    /// When the version was applied or the last fence was lifted, by the leader's clock.
+    /// When the version was applied or the last fence was lifted, on the leader's clock.
     fn version_since(&self) -> i64 {
         self.now.0.saturating_sub(self.report.details.version_age.max(0))
     }
 
-    /// The router holds the current version.
+    /// Handles the report of a router that holds the current version.
     fn up_to_date(&mut self) -> Directive {
         let phase = self.router.phase;
         if phase == Phase::FencedOut && self.report.details.epoch < self.router.epoch {
             return Directive::FenceOut { epoch: self.router.epoch };
         }
         self.router.phase = Phase::Acting;
-        let was_stopped = matches!(phase, Phase::FencedOut | Phase::Silent);
-        if !was_stopped && self.reports_unrecorded_fence() {
+        let was_not_routing = matches!(phase, Phase::FencedOut | Phase::Silent);
+        if !was_not_routing && self.reports_unrecorded_fence() {
             self.record_lifted_fence();
-        } else if was_stopped || self.router.recorded_version != Some(self.router.version) {
-            self.record(self.acting_since(was_stopped), EntryKind::Acting);
+        } else if was_not_routing || self.router.recorded_version != Some(self.router.version) {
+            self.record(self.acting_since(was_not_routing), EntryKind::Acting);
         }
-        self.proceed()
+        self.continue_directive()
     }
 
-    /// Whether a fence was lifted that is not in the record: while this leader knew the router, and after what it has
-    /// recorded.
+    /// Whether a fence was lifted that the audit record does not contain: one that was lifted since this
+    /// leader knows the router, and after the router's last recorded entry.
     fn reports_unrecorded_fence(&self) -> bool {
         let lifted_at = self.version_since();
         self.report.details.last_fence_duration > 0
@@ -124,7 +126,8 @@
     fn record_lifted_fence(&mut self) {
         let lifted_at = self.version_since();
         let fenced_at = lifted_at.saturating_sub(self.report.details.last_fence_duration);
-        // The interval that the fence ended is of the version before, if the router has applied another since.
+        // If the router has applied another version since, the interval that the fence ended is of the
+        // recorded version.
         let version = self.router.version;
         self.router.version = self.router.recorded_version.unwrap_or(version);
         self.record(Time(fenced_at), EntryKind::Silent);
@@ -132,52 +135,55 @@
         self.record(Time(lifted_at), EntryKind::Acting);
     }
 
-    /// Since when a router with the current version serves by it.
-    fn acting_since(&self, was_stopped: bool) -> Time {
+    /// When a router with the current version began to route requests under it.
+    fn acting_since(&self, was_not_routing: bool) -> Time {
         if self.router.known_since == self.now {
-            // The router held the version before this leader knew of the router.
+            // The router held the version before this leader first received a report of it.
             return Time(self.version_since());
         }
-        if was_stopped {
+        if was_not_routing {
             return self.now;
         }
         Time(self.version_since().max(self.router.known_since.0.min(self.now.0)))
     }
 
-    /// The router holds a version that is no longer the current one.
-    fn lagging(&mut self, lag: &VersionLag, returned: bool) -> Directive {
+    /// Handles the report of a router whose version is no longer the current one.
+    fn lagging(&mut self, lag: &VersionLag, was_silent: bool) -> Directive {
         if self.router.phase == Phase::FencedOut {
             return Directive::FenceOut { epoch: self.router.epoch };
         }
-        let starting = self.is_starting();
-        if returned && !starting {
+        let is_starting = self.is_starting();
+        if was_silent && !is_starting {
             return self.fence_out();
         }
         self.record_past_version();
         match self.router.phase {
-            Phase::Notified { next_at, .. } if self.now < next_at => self.proceed(),
+            Phase::Notified { next_at, .. } if self.now < next_at => self.continue_directive(),
             Phase::Notified { count, .. } if count >= self.settings.max_notifications => self.fence_out(),
             Phase::Notified { count, .. } => self.notify(count + 1),
-            _ if self.exceeds_limits(lag, starting) => self.notify(1),
-            // It has time to learn of the current version; its own is not confirmed meanwhile.
-            _ => self.proceed(),
+            _ if self.exceeds_limits(lag, is_starting) => self.notify(1),
+            // The router may take up to `max_lag` to fetch the current version; its lease is not renewed
+            // meanwhile.
+            _ => self.continue_directive(),
         }
     }
 
-    /// Whether the router has started so recently that it need not know any version yet.
+    /// Whether the router has started so recently that it need not hold any version yet.
     fn is_starting(&self) -> bool {
-        let known_for = self.now.0.saturating_sub(self.router.known_since.0);
-        self.report.version == 0 && known_for < self.settings.max_lag
+        let time_known = self.now.0.saturating_sub(self.router.known_since.0);
+        self.report.version == 0 && time_known < self.settings.max_lag
     }
 
-    fn exceeds_limits(&self, lag: &VersionLag, starting: bool) -> bool {
-        // A router that has just started has the same time as the others to learn of its first version.
+    fn exceeds_limits(&self, lag: &VersionLag, is_starting: bool) -> bool {
+        // A router that has just started gets the full `max_lag` to fetch its first version.
         let lagging_since = lag.since.0.max(self.router.known_since.0);
         let lagging_for = self.now.0.saturating_sub(lagging_since);
-        lagging_for >= self.settings.max_lag || (lag.versions > self.settings.max_lag_versions && !starting)
+        lagging_for >= self.settings.max_lag
+            || (lag.versions > self.settings.max_lag_versions && !is_starting)
     }
 
-    /// Records a version that the router serves by, or went through, and that was over by the time of its report.
+    /// Records an outdated version under which the router routes requests, if the audit record does not
+    /// contain it yet.
     fn record_past_version(&mut self) {
         let version = self.report.version;
         if self.report.details.routing && version > 0 && self.router.recorded_version != Some(version) {
--- a/audit/src/tracker/router.rs
+++ b/audit/src/tracker/router.rs
@@ -1,23 +1,24 @@
-//! What the tracker knows of one router.
+//! The tracker's state of one router.
 use super::received_report::ReceivedReport;
 use crate::record::{Entry, EntryKind};
 use decision::{Micros, Time};
 use settings::fleet::Version;
 
-/// State of a router towards the current version.
+/// The stage that a router has reached in following the current version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Phase {
-    /// It serves, or may do so for all that is known.
+    /// The router routes requests, or may do so as far as the leader knows.
     Acting,
-    /// It lags and was notified this many times. It is notified again, or fenced out, from `next_at` on.
+    /// The router's version is outdated. It was notified `count` times, and is notified again or fenced out
+    /// from `next_at` on.
     Notified { count: u32, next_at: Time },
-    /// It is fenced out.
+    /// The leader has fenced the router out.
     FencedOut,
-    /// It has not reported for a lease's time.
+    /// The router has not reported for `silence_timeout`.
     Silent,
 }
 
-/// What the tracker knows of one router.
+/// The tracker's state of one router.
 #[derive(Clone, Debug)]
 pub(super) struct RouterState {
     pub(super) incarnation: u64,
@@ -25,17 +26,18 @@
     pub(super) members_version: u64,
     pub(super) epoch: u64,
     pub(super) phase: Phase,
-    /// When this incarnation was first seen.
+    /// When this leader first received a report of this incarnation, or read the router's entry from the
+    /// store.
     pub(super) known_since: Time,
     pub(super) last_report: Time,
-    /// Version that the record says the router serves by, if any.
+    /// Version under which the router routes requests according to the audit record, if any.
     pub(super) recorded_version: Option<Version>,
-    /// Time of the last entry that said so, if it is of this term.
+    /// Start time of the last [`EntryKind::Acting`] entry, if it was recorded in this term.
     pub(super) recorded_since: Option<i64>,
 }
 
 impl RouterState {
-    /// A router that reports for the first time.
+    /// Creates the state of a router that reports for the first time.
     pub(super) fn from_first_report(now: Time, report: &ReceivedReport) -> RouterState {
         RouterState {
             incarnation: report.incarnation,
@@ -50,7 +52,7 @@
         }
     }
 
-    /// A router as its latest entry of an earlier term describes it; `None` if it has left.
+    /// Creates the state of a router from its latest entry of an earlier term; `None` if the router has left.
     pub(super) fn from_entry(now: Time, entry: &Entry) -> Option<RouterState> {
         let phase = match entry.kind {
             EntryKind::Acting | EntryKind::Notified => Phase::Acting,
@@ -71,12 +73,12 @@
         })
     }
 
-    /// Whether the last report is at least this old.
+    /// Whether the last report is at least `duration` old.
     pub(super) fn is_silent_for(&self, duration: Micros, now: Time) -> bool {
         now.0.saturating_sub(self.last_report.0) >= duration
     }
 
-    /// Follows another incarnation of the router, of which nothing is recorded yet.
+    /// Switches to another incarnation of the router, which has no recorded entry yet.
     pub(super) fn restarted(&mut self, now: Time, incarnation: u64) {
         self.incarnation = incarnation;
         self.known_since = now;
@@ -90,8 +92,8 @@
         }
     }
 
-    /// Keeps in mind what an entry says of the router.
-    pub(super) fn note_recorded(&mut self, kind: EntryKind, since: Time) {
+    /// Updates the recorded version and time after an entry of the router was recorded.
+    pub(super) fn update_recorded(&mut self, kind: EntryKind, since: Time) {
         match kind {
             EntryKind::Acting => {
                 self.recorded_since = Some(since.0);
--- a/audit/tests/audit/main.rs
+++ b/audit/tests/audit/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the audit through its public face.
+//! Tests of the audit through its public interface.
 mod encoding;
 mod fence;
 mod harness;
--- a/audit/tests/audit/random.rs
+++ b/audit/tests/audit/random.rs
@@ -1,4 +1,5 @@
-//! Random reports, versions and lost answers: no router routes what the tracker has recorded as silent.
+//! Tests fences and tracker with random reports, version changes and lost responses: no router routes
+//! requests while it is recorded as silent.
 use crate::harness::{FIRST_VERSION, MS, TrackerHarness};
 use audit::{EntryKind, LeaderAnswer, VersionFence};
 use decision::{Micros, Time};
@@ -8,7 +9,7 @@
 const SEEDS: u64 = 200;
 const STEPS: u32 = 400;
 const ROUTERS: usize = 4;
-/// The tracker's silence timeout less what clocks may differ by.
+/// The tracker's silence timeout minus the maximum clock difference.
 const LEASE: Micros = 1960 * MS;
 
 struct Router {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// A router reports and, if the answer is not lost, applies it and maybe the current version.
+    /// Has a router report and, if the response is not lost, apply it and possibly fetch the current version.
     fn exchange(&mut self) {
         let i = self.random.below(ROUTERS as u64) as usize;
         let report_sent_at = Time(self.now_ms * MS);
@@ -68,8 +69,8 @@
         let now = Time(self.now_ms * MS);
         let router = &mut self.routers[i];
         let current_version = self.current;
-        let answer = LeaderAnswer { report_sent_at, reported_version, current_version, directive };
-        router.fence.answer_received(now, &answer);
+        let response = LeaderAnswer { report_sent_at, reported_version, current_version, directive };
+        router.fence.answer_received(now, &response);
         if router.version != current_version && self.random.below(2) == 0 {
             router.version = current_version;
             router.fence.version_applied(now, current_version);
--- a/audit/tests/audit/recorded_run.rs
+++ b/audit/tests/audit/recorded_run.rs
@@ -1,5 +1,5 @@
-//! A recorded run: seeded events in, what the leader's side and the routers' own fences say out, compared with what was
-//! recorded before any name of this package changed. One run is readable, many more are kept as hashes.
+//! Regression test: seeded random events are applied to the tracker and to the routers' fences, and the
+//! output is compared with recorded output. One run is recorded in readable form, many longer ones as hashes.
 use crate::encoding::to_json;
 use audit::{
     Action, Batch, Directive, Event, FenceReason, LeaderAnswer, RING_SLOTS, Settings, VersionFence,
@@ -22,7 +22,7 @@
 const HASHED_STEPS: u32 = 3000;
 const HASHED_SEEDS: u64 = 40;
 
-/// The report's numbers in their order.
+/// Formats the report's numbers in field order.
 fn report_text(report: &VersionReport) -> String {
     let VersionReport { version_age, last_fence_duration, routing, members_version, epoch } = report;
     format!("{version_age}/{last_fence_duration}/{routing}/{members_version}/{epoch}")
@@ -41,17 +41,17 @@
     fence: VersionFence,
     version: u64,
     incarnation: u64,
-    /// It can't fetch the current version.
-    is_stuck: bool,
+    /// Whether the router cannot fetch the current version.
+    cannot_fetch: bool,
 }
 
 impl Router {
     fn new(incarnation: u64) -> Router {
-        Router { fence: VersionFence::new(ROUTER_LEASE), version: 0, incarnation, is_stuck: false }
+        Router { fence: VersionFence::new(ROUTER_LEASE), version: 0, incarnation, cannot_fetch: false }
     }
 }
 
-/// A leader, its store and the routers that report to it.
+/// A simulated leader, its store and the routers that report to it.
 struct Run {
     random: SplitMix64,
     now: Micros,
@@ -59,7 +59,7 @@
     term: u64,
     current: u64,
     stored: BTreeMap<u64, Batch>,
-    unfinished: Vec<Batch>,
+    pending_writes: Vec<Batch>,
     routers: Vec<Router>,
     lines: String,
     last_fences: String,
@@ -75,71 +75,71 @@
             term: 0,
             current: 5,
             stored: BTreeMap::new(),
-            unfinished: Vec::new(),
+            pending_writes: Vec::new(),
             routers: (0..ROUTERS).map(|_| Router::new(1)).collect(),
             lines: String::new(),
             last_fences: String::new(),
         }
     }
 
-    fn pass_time(&mut self, bound_ms: Micros) {
+    fn advance_clock(&mut self, bound_ms: Micros) {
         self.now += self.random.time_below(bound_ms * MS);
     }
 
-    fn line(&mut self, text: &str) {
+    fn push_line(&mut self, text: &str) {
         writeln!(self.lines, "{} {text}", self.now).unwrap();
     }
 
     fn handle(&mut self, event: Event) -> Directive {
         let mut actions = Vec::new();
         self.tracker.handle(Time(self.now), event, &mut actions);
-        let mut reply = Directive::AuditDisabled;
+        let mut response = Directive::AuditDisabled;
         for action in actions {
             match action {
                 Action::Reply { router, directive } => {
-                    self.line(&format!("  reply {router} {}", directive_text(&directive)));
-                    reply = directive;
+                    self.push_line(&format!("  reply {router} {}", directive_text(&directive)));
+                    response = directive;
                 }
-                Action::LogEntry(entry) => self.line(&format!("  entry {}", to_json(&entry))),
+                Action::LogEntry(entry) => self.push_line(&format!("  entry {}", to_json(&entry))),
                 Action::WriteBatch(batch) => {
                     let hash = fnv1a(to_json(&batch));
                     let count = batch.entries.len();
-                    self.line(&format!(
+                    self.push_line(&format!(
                         "  write {} of term {}, {count} entries, {hash:016x}",
                         batch.seq, batch.term
                     ));
-                    self.unfinished.push(batch);
+                    self.pending_writes.push(batch);
                 }
             }
         }
-        reply
+        response
     }
 
-    fn lead(&mut self) {
+    fn gain_leadership(&mut self) {
         self.term += 1 + self.random.below(2);
         let batches: Vec<Batch> = self.stored.values().cloned().collect();
-        self.line(&format!("term {} begins with {} batches", self.term, batches.len()));
-        self.unfinished.clear();
+        self.push_line(&format!("term {} begins with {} batches", self.term, batches.len()));
+        self.pending_writes.clear();
         self.handle(Event::LeadershipGained { term: self.term, batches });
         self.handle(Event::CurrentVersion { version: self.current });
     }
 
     fn set_version(&mut self) {
         self.current += 1 + self.random.below(3);
-        self.line(&format!("version {} is set", self.current));
+        self.push_line(&format!("version {} is set", self.current));
         for router in &mut self.routers {
-            router.is_stuck = self.random.one_in(3);
+            router.cannot_fetch = self.random.one_in(3);
         }
         self.handle(Event::CurrentVersion { version: self.current });
     }
 
     fn finish_write(&mut self) {
-        if self.unfinished.is_empty() {
+        if self.pending_writes.is_empty() {
             return;
         }
-        let batch = self.unfinished.remove(0);
+        let batch = self.pending_writes.remove(0);
         let (seq, committed) = (batch.seq, !self.random.one_in(4));
-        self.line(&format!("write {seq} ends, {committed}"));
+        self.push_line(&format!("write {seq} ends, {committed}"));
         if committed {
             self.stored.insert(seq % RING_SLOTS, batch);
         }
@@ -150,41 +150,41 @@
         let report_sent_at = Time(self.now);
         let router = &self.routers[i];
         let (report, version) = (router.fence.report(report_sent_at, 3), router.version);
-        // Now and then an earlier process of the same name still reports.
+        // Occasionally an earlier process of the same name still reports.
         let stale = self.random.one_in(40);
         let incarnation = router.incarnation - u64::from(stale);
-        self.pass_time(60);
-        self.line(&format!(
+        self.advance_clock(60);
+        self.push_line(&format!(
             "router {i} reports {version} of start {incarnation} {} leaving {leaving}",
             report_text(&report)
         ));
         let event =
             Event::ReportReceived { router: format!("router-{i}"), incarnation, version, report, leaving };
         let directive = self.handle(event);
-        // Answers are lost now and then, and late ones too.
+        // Some responses are lost, among them all to an earlier process.
         if stale || self.random.one_in(6) {
             return;
         }
-        let longest_ms = if self.random.one_in(30) { 2500 } else { 20 };
-        self.pass_time(longest_ms);
+        let max_delay_ms = if self.random.one_in(30) { 2500 } else { 20 };
+        self.advance_clock(max_delay_ms);
         let router = &mut self.routers[i];
-        let answer = LeaderAnswer {
+        let response = LeaderAnswer {
             report_sent_at,
             reported_version: version,
             current_version: self.current,
             directive,
         };
-        let changed = router.fence.answer_received(Time(self.now), &answer);
-        if version != self.current && !router.is_stuck && !self.random.one_in(3) {
+        let changed = router.fence.answer_received(Time(self.now), &response);
+        if version != self.current && !router.cannot_fetch && !self.random.one_in(3) {
             router.version = self.current;
             router.fence.version_applied(Time(self.now), self.current);
         }
-        self.line(&format!("  answer changes the fence: {changed}"));
+        self.push_line(&format!("  answer changes the fence: {changed}"));
     }
 
     fn restart(&mut self, i: usize) {
         let incarnation = self.routers[i].incarnation + 1;
-        self.line(&format!("router {i} starts again"));
+        self.push_line(&format!("router {i} starts again"));
         self.routers[i] = Router::new(incarnation);
     }
 
@@ -205,23 +205,23 @@
             write!(text, " {found}@{}", until.max(-1)).unwrap();
         }
         if text != self.last_fences {
-            self.line(&text);
+            self.push_line(&text);
             self.last_fences = text;
         }
     }
 
     fn step(&mut self) {
-        self.pass_time(60);
+        self.advance_clock(60);
         let i = self.random.below(ROUTERS as u64) as usize;
         match self.random.below(24) {
             0 if self.random.one_in(4) => self.set_version(),
-            1 if self.random.one_in(4) => self.pass_time(2500),
+            1 if self.random.one_in(4) => self.advance_clock(2500),
             2..=5 => {
-                self.line("tick");
+                self.push_line("tick");
                 self.handle(Event::Tick);
             }
             6..=8 => self.finish_write(),
-            9 if self.random.one_in(4) => self.lead(),
+            9 if self.random.one_in(4) => self.gain_leadership(),
             10 if self.random.one_in(4) => self.restart(i),
             11 if self.random.one_in(4) => self.report(i, true),
             _ => self.report(i, false),
@@ -232,18 +232,18 @@
 
 fn record(seed: u64, steps: u32) -> String {
     let mut run = Run::new(seed);
-    run.lead();
+    run.gain_leadership();
     (0..steps).for_each(|_| run.step());
     run.lines
 }
 
 #[test]
-fn readable_run_is_as_recorded() {
+fn readable_run_matches_recorded_output() {
     FIXTURES.assert_same("run.txt", record(1, READABLE_STEPS));
 }
 
 #[test]
-fn hashed_runs_are_as_recorded() {
+fn hashed_runs_match_recorded_hashes() {
     let hash = |seed| format!("{seed} {:016x}\n", fnv1a(record(seed, HASHED_STEPS)));
     let found: String = (0..HASHED_SEEDS).map(hash).collect();
     FIXTURES.assert_same("run-hashes.txt", &found);
--- a/audit/tests/audit/stored_forms.rs
+++ b/audit/tests/audit/stored_forms.rs
@@ -1,5 +1,5 @@
-//! Bytes that stand in the store or travel between processes of other versions, as they were written before any name of
-//! this package changed: they are read to the same values and written again byte for byte.
+//! Tests that the stored and exchanged encodings stay compatible with other versions of the program: values
+//! are decoded from recorded bytes and encoded to the same bytes.
 use crate::encoding::{from_json, from_postcard, to_json, to_postcard};
 use audit::timeline::{Query, build};
 use audit::{Batch, Directive, Entry, EntryKind, FenceReason, Fenced, VersionReport, slot_key};
@@ -23,7 +23,7 @@
     }
 }
 
-/// A batch with an entry of each kind and the ends of each number's range.
+/// Returns a batch with an entry of each kind and the extreme values of each number.
 fn batch() -> Batch {
     let mut entries = vec![
         entry("", 9, 10 * SECOND, EntryKind::Current),
@@ -42,27 +42,27 @@
 }
 
 #[test]
-fn batch_is_read_and_written_as_stored() {
+fn stored_batch_decodes_and_encodes_unchanged() {
     let stored = include_str!("../fixtures/batch.json").trim_end();
     assert_eq!(from_json::<Batch>(stored).unwrap(), batch());
     assert_eq!(to_json(&batch()), stored);
 }
 
 #[test]
-fn batch_key_is_its_ring_slot_in_four_digits() {
+fn batch_key_has_its_ring_slot_in_four_digits() {
     assert_eq!(
         (slot_key(7), slot_key(audit::RING_SLOTS - 1)),
         ("fleet/audit/0007".into(), "fleet/audit/0063".into())
     );
 }
 
-/// The bytes of one line of `exchanged.txt`: a name and hexadecimal digits.
+/// Returns the bytes of one line of `exchanged.txt`, which has a name and hexadecimal digits.
 fn exchanged(name: &str) -> Vec<u8> {
     hex::decode_line(&FIXTURES.text("exchanged.txt"), &format!("{name} "))
 }
 
 #[test]
-fn report_is_read_and_written_as_exchanged() {
+fn exchanged_report_decodes_and_encodes_unchanged() {
     let report = VersionReport {
         version_age: 1_234_567,
         last_fence_duration: -3,
@@ -76,21 +76,21 @@
 }
 
 #[test]
-fn answers_are_read_and_written_as_exchanged() {
+fn exchanged_directives_decode_and_encode_unchanged() {
     let epoch = (2 << 32) | 1;
-    let answers = [
+    let directives = [
         ("answer-off", Directive::AuditDisabled),
         ("answer-continue", Directive::Continue { epoch }),
         ("answer-refetch", Directive::Refetch { epoch }),
         ("answer-fenced-out", Directive::FenceOut { epoch }),
     ];
-    for (name, answer) in answers {
-        assert_eq!(from_postcard::<Directive>(&exchanged(name)).unwrap(), answer);
-        assert_eq!(to_postcard(&answer), exchanged(name), "{name}");
+    for (name, directive) in directives {
+        assert_eq!(from_postcard::<Directive>(&exchanged(name)).unwrap(), directive);
+        assert_eq!(to_postcard(&directive), exchanged(name), "{name}");
     }
 }
 
-/// Entries that give rows of each state and gaps of each kind.
+/// Returns batches whose timeline has intervals of each kind and gaps of each kind.
 fn batches_with_each_gap() -> Vec<Batch> {
     let first = vec![
         entry("", 5, 0, EntryKind::Current),
@@ -114,13 +114,13 @@
 }
 
 #[test]
-fn operators_view_is_written_as_before() {
-    let shown = build(&batches_with_each_gap(), 40 * SECOND, &Query::default());
-    assert_eq!(to_json(&shown), include_str!("../fixtures/timeline.json").trim_end());
+fn timeline_json_is_unchanged() {
+    let timeline = build(&batches_with_each_gap(), 40 * SECOND, &Query::default());
+    assert_eq!(to_json(&timeline), include_str!("../fixtures/timeline.json").trim_end());
 }
 
 #[test]
-fn kinds_have_their_stored_words_in_tables_too() {
+fn entry_kinds_have_the_same_names_in_storage_and_tables() {
     let kinds = [
         EntryKind::Acting,
         EntryKind::Notified,
@@ -129,15 +129,15 @@
         EntryKind::Left,
         EntryKind::Current,
     ];
-    let words = ["acting", "told", "shutout", "silent", "left", "current"];
-    for (kind, word) in kinds.into_iter().zip(words) {
-        assert_eq!(to_json(&kind), format!("\"{word}\""));
-        assert_eq!(kind.as_str(), word);
+    let names = ["acting", "told", "shutout", "silent", "left", "current"];
+    for (kind, name) in kinds.into_iter().zip(names) {
+        assert_eq!(to_json(&kind), format!("\"{name}\""));
+        assert_eq!(kind.as_str(), name);
     }
 }
 
 #[test]
-fn refusal_texts_are_those_that_clients_and_pages_have() {
+fn fence_error_texts_are_unchanged() {
     let text = |reason| Fenced { version: 5, epoch: 9, since: Time(0), reason }.to_string();
     assert_eq!(
         text(FenceReason::LeaseExpired),
--- a/audit/tests/audit/timeline.rs
+++ b/audit/tests/audit/timeline.rs
@@ -1,4 +1,4 @@
-//! The operators' view of the record.
+//! Tests of the timeline that operators see.
 use audit::timeline::{GapKind, Query, build};
 use audit::{Batch, Entry, EntryKind};
 use settings::fleet::Version;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn timeline_shows_who_served_by_which_version_and_every_gap() {
+fn timeline_has_the_version_of_each_router_and_every_gap() {
     let first = vec![
         entry("", 5, 0, EntryKind::Current),
         entry("a", 5, 0, EntryKind::Acting),
@@ -39,8 +39,8 @@
         entry("c", 5, 9 * SECOND, EntryKind::Silent),
     ];
     let mut batches = vec![batch(1, 14 * SECOND, second), batch(0, SECOND, first)];
-    let shown = build(&batches, 15 * SECOND, &Query::default());
-    let gaps: Vec<_> = shown.gaps.iter().map(|gap| (gap.kind.clone(), gap.since, gap.until)).collect();
+    let timeline = build(&batches, 15 * SECOND, &Query::default());
+    let gaps: Vec<_> = timeline.gaps.iter().map(|gap| (gap.kind.clone(), gap.since, gap.until)).collect();
     assert_eq!(
         gaps,
         [
@@ -50,13 +50,13 @@
             (GapKind::FencedOut("b".into(), 5), 13 * SECOND, None),
         ]
     );
-    assert!(shown.has_open_gap() && shown.intervals.len() == 6);
-    let back =
+    assert!(timeline.has_open_gap() && timeline.intervals.len() == 6);
+    let up_to_date_entries =
         vec![entry("b", 9, 16 * SECOND, EntryKind::Acting), entry("c", 9, 16 * SECOND, EntryKind::Acting)];
-    batches.push(batch(2, 16 * SECOND, back));
-    let of_one_router = Query { since: 14 * SECOND, router: Some("b".into()) };
-    let shown = build(&batches, 17 * SECOND, &of_one_router);
-    assert!(!shown.has_open_gap() && shown.intervals.len() == 2, "{shown:?}");
-    let shown = build(&batches, 40 * SECOND, &Query::default());
-    assert_eq!(shown.gaps.last().unwrap().kind, GapKind::RecordStopped);
+    batches.push(batch(2, 16 * SECOND, up_to_date_entries));
+    let single_router_query = Query { since: 14 * SECOND, router: Some("b".into()) };
+    let timeline = build(&batches, 17 * SECOND, &single_router_query);
+    assert!(!timeline.has_open_gap() && timeline.intervals.len() == 2, "{timeline:?}");
+    let timeline = build(&batches, 40 * SECOND, &Query::default());
+    assert_eq!(timeline.gaps.last().unwrap().kind, GapKind::RecordStopped);
 }
