--- a/maintenance/src/error.rs
+++ b/maintenance/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with the files in the shared folder. Operators read these texts at the admin address and in the log.
+//! Errors with the files in the shared folder. Operators see their texts at the admin address and in the log.
 use crate::limits::{FORMAT_VERSION, LOCK_TIMEOUT, MAX_FILE_BYTES};
 use std::fmt::{self, Display, Formatter};
 use std::io;
@@ -8,44 +8,45 @@
 /// Why a file is not a valid state file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum UnusableReason {
-    /// It ends too early.
+    /// The file ends before its content is complete.
     #[error("it ends too early")]
     Truncated,
-    /// It does not begin as a state file does, is longer than its header says, or is no regular file.
+    /// The file does not begin with a state file's magic bytes, is longer than its header says, or is not a
+    /// regular file.
     #[error("it is something else")]
     NotAStateFile,
-    /// Another version of the program wrote it.
+    /// The file was written in a format version that this program does not support.
     #[error("its form has version {0}, and this program knows only {known}", known = FORMAT_VERSION)]
     UnsupportedVersion(u32),
-    /// Its bytes are not the ones that were written.
+    /// The checksum does not match: the content has changed since it was written.
     #[error("its bytes have changed since they were written")]
     ChecksumMismatch,
 }
 
-/// An operation on a file of the shared folder, as it is named in [`SharedFolderError::Io`].
+/// An operation on a file of the shared folder, as named in [`SharedFolderError::Io`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileOperation {
     /// Create a file or the folder.
     Create,
     /// Open an existing file.
     Open,
-    /// Read its metadata.
+    /// Read a file's metadata.
     Inspect,
-    /// Lock it.
+    /// Lock a file.
     Lock,
-    /// Read its content.
+    /// Read a file's content.
     Read,
-    /// Write its content.
+    /// Write a file's content.
     Write,
-    /// Flush it, or the folder, to the disk.
+    /// Sync a file or the folder to the disk.
     Sync,
-    /// Rename the new file over the old one.
+    /// Replace the old file by renaming the new one to its name.
     Replace,
-    /// Rename a file that cannot be used.
+    /// Rename an unusable file.
     MoveAside,
-    /// Give it its final name.
+    /// Link a file to its final name.
     Link,
-    /// Remove it.
+    /// Remove a file.
     Remove,
 }
 
@@ -67,20 +68,20 @@
     }
 }
 
-/// What can go wrong with the files in the shared folder.
+/// An error with the files in the shared folder.
 #[derive(Debug, Error)]
 pub enum SharedFolderError {
-    /// The operating system failed an operation.
+    /// A file operation failed.
     #[error("cannot {operation} {path}: {source}; check that the folder is there, writable and not full")]
     Io {
-        /// The operation.
+        /// The operation that failed.
         operation: FileOperation,
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The operating system's error.
         source: io::Error,
     },
-    /// Another process has not released the lock in time.
+    /// Another handle has not released the lock in time.
     #[error(
         "{path} has been locked for over {ms} ms: a process of this router may be stopped; find it with `fuser {path}`, \
          let it go on (kill -CONT) or end it (kill -KILL), then ask again",
@@ -90,23 +91,23 @@
         /// The lock file.
         path: PathBuf,
     },
-    /// The state file cannot be used and was moved aside; the state begins empty.
+    /// The state file is unusable and was moved aside; the state is empty from now on.
     #[error(
         "{path} is not used: {reason}; it was moved to {moved_to} and nothing is held by it: SUSPEND again what must \
          stay out, and PAUSE again if the router should drain"
     )]
     Unusable {
-        /// Where it was.
+        /// Path of the state file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why the file is unusable.
         reason: UnusableReason,
-        /// Where it is now.
+        /// Path that the file was moved to.
         moved_to: PathBuf,
     },
-    /// The state is too large for the file.
+    /// The encoded state exceeds the maximum file size.
     #[error("the holds need {bytes} bytes and {path} may have {max}: RESTORE some first", max = MAX_FILE_BYTES)]
     TooLarge {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The size that the file would have.
         bytes: usize,
@@ -114,7 +115,7 @@
     /// The state could not be encoded.
     #[error("the holds cannot be written to {path}: {source}; this is a fault of the program, report it")]
     Encode {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The encoder's error.
         source: postcard::Error,
@@ -122,7 +123,7 @@
 }
 
 impl SharedFolderError {
-    /// Maps an error of the operating system to [`SharedFolderError::Io`].
+    /// Returns a function that converts an error of the operating system to [`SharedFolderError::Io`].
     pub(crate) fn io(operation: FileOperation, path: &Path) -> impl FnOnce(io::Error) -> SharedFolderError {
         let path = path.to_path_buf();
         move |source| SharedFolderError::Io { operation, path, source }
--- a/maintenance/src/interface.rs
+++ b/maintenance/src/interface.rs
@@ -1,16 +1,16 @@
-//! What goes into the state machine and what comes out of it.
+//! Events, actions and errors of the state machine.
 use crate::state::State;
 use decision::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// The limits of the state machine.
+/// Limits of the state machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How many instances may be in maintenance at a time. As many restored ids are remembered; beyond that the oldest
-    /// is forgotten early.
+    /// Maximum number of instances in maintenance. At most as many restored ids are retained; beyond that the
+    /// oldest is forgotten before its retention is over.
     pub max_entries: usize,
-    /// How long a restored id is remembered: at least as long as an instance takes to warm up.
+    /// How long a restored id is retained: at least as long as an instance takes to warm up.
     pub restored_retention: Micros,
 }
 
@@ -19,60 +19,65 @@
 pub struct EndpointChange {
     /// The instance's id.
     pub id: String,
-    /// Whether it is listed from now on.
+    /// Whether the instance is listed from now on.
     pub listed: bool,
 }
 
 /// An input of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The endpoint list, or a change of it.
+    /// The endpoint list, or changes to it, was received.
     EndpointsUpdated {
-        /// Whether `changes` is the complete list. Otherwise the ids that it does not name stay as they were.
+        /// Whether `changes` is the complete list. Otherwise ids that it does not contain are unchanged.
         complete: bool,
-        /// The ids, applied in this order.
+        /// The changed ids, in the order in which they are applied.
         changes: Vec<EndpointChange>,
     },
-    /// The stored state, perhaps written by the other process. It replaces the machine's if its revision is higher.
+    /// The stored state was read, possibly written by another process. It replaces the machine's state if its
+    /// revision is higher.
     StateRead(State),
-    /// Command: put an instance in maintenance. A repeat succeeds and changes nothing.
+    /// Command: put an instance in maintenance. If it already is in maintenance, the command succeeds and
+    /// changes nothing.
     Suspend(String),
-    /// Command: use an instance again, however often it was suspended and whether or not it is listed.
+    /// Command: end the maintenance of an instance, however often it was suspended and whether or not it is
+    /// listed.
     Restore(String),
-    /// Command: begin the drain. A repeat succeeds; the time of the first stays.
+    /// Command: begin the drain. If the router already drains, the command succeeds and the time of the first
+    /// `Pause` stays.
     Pause,
-    /// Command: end the drain. It succeeds without a drain too: what the operator wants is so, and repeating a command
-    /// whose answer was lost must do no harm.
+    /// Command: end the drain. It succeeds without a drain too, so that an operator who received no response
+    /// can safely repeat the command.
     Resume,
 }
 
-/// What the driver must do, in the order given.
+/// An instruction to the driver. Actions are carried out in the order given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Store this state before the command is answered. If that fails, answer with the failure and return to the machine
-    /// as it was before the command.
+    /// Store this state before responding to the command. If that fails, respond with the error and return to
+    /// the machine as it was before the command.
     Persist(State),
-    /// Apply this mask to the endpoint list; it replaces the one before.
+    /// Apply this mask to the endpoint list; it replaces the previous one.
     SetMask(MaintenanceMask),
-    /// The drain has begun (`true`) or ended.
+    /// Begin (`true`) or end the drain.
     SetDraining(bool),
-    /// The answer to the command: always the last action, and exactly one for each command.
+    /// The response to the command: always the last action, and exactly one for each command.
     Respond(Result<(), MaintenanceError>),
 }
 
-/// What the endpoint list must change in what it shows to the router's decisions.
+/// How maintenance changes the endpoint list that the router's decisions use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MaintenanceMask {
-    /// Ids that receive nothing new.
+    /// Ids of instances that receive no new requests.
     pub in_maintenance: BTreeSet<String>,
-    /// Ids in use again, each with the time from which it counts as freshly started.
+    /// Ids of restored instances, each with the time from which it counts as just started.
     pub restored_at: BTreeMap<String, Time>,
 }
 
-/// Why a command is rejected. Operators read these texts at the admin address.
+/// Why a command is rejected. Operators see these texts at the admin address.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MaintenanceError {
-    /// No endpoint list has been received yet, so nothing is known of the id. A driver may wait for the list and retry.
+    /// No endpoint list has been received yet, so the id cannot be checked. A driver may wait for the list
+    /// and retry.
     #[error(
         "no list of instances has come yet, so {id:?} is unknown: check the list's source, then ask again"
     )]
@@ -87,7 +92,7 @@
     NotListed {
         /// The requested id.
         id: String,
-        /// How many instances are listed.
+        /// Number of listed instances.
         listed_count: usize,
     },
     /// The instance is not in maintenance.
@@ -97,13 +102,13 @@
     NotInMaintenance {
         /// The requested id.
         id: String,
-        /// How many instances are in maintenance.
+        /// Number of instances in maintenance.
         entry_count: usize,
     },
-    /// As many instances are in maintenance as [`Settings::max_entries`] allows.
+    /// The number of instances in maintenance has reached [`Settings::max_entries`].
     #[error("{max_entries} instances are held, the most at a time: RESTORE one that is back, then ask again")]
     TooManyEntries {
-        /// How many may be.
+        /// Maximum number of instances in maintenance.
         max_entries: usize,
     },
 }
--- a/maintenance/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -1,19 +1,22 @@
-//! Instances that operators put in maintenance, and the drain of the router.
+//! Maintenance of database instances and drain of the router, both on operators' commands.
 //!
-//! An instance is a database server, named by its id in the endpoint list. While it is in maintenance it receives nothing
-//! new; once restored it warms up like one that has just started. A drain ends the whole router's service gracefully.
+//! An instance is a database server, identified by its id in the endpoint list. While it is in maintenance it
+//! receives no new requests; once restored it warms up like an instance that has just started. A drain
+//! gracefully ends the service of the whole router.
 //!
-//! - [`Machine`] is the state machine: it decides which instances are in maintenance, whether the router drains, and how
-//!   each command is answered. It does no I/O and reads no clock.
-//! - [`StateFile`] stores that [`State`] across a kill and an upgrade. The old and the new process of one router share
-//!   it.
-//! - [`ProcessPresence`] counts how many of these processes are alive, and how many of them are ready for clients.
+//! - [`Machine`] is the state machine: it decides which instances are in maintenance, whether the router
+//!   drains, and the response to each command. It does no I/O and reads no clock.
+//! - [`StateFile`] stores the machine's [`State`], so that it survives a kill or an upgrade. The old and the
+//!   new process of a router share the file.
+//! - [`ProcessPresence`] counts how many processes of the router are alive, and how many of them accept
+//!   clients.
 //!
-//! All times are in microseconds. Those in the file must come from one clock that both processes share: the wall clock,
-//! or one that counts from the start of the host.
+//! All times are in microseconds. Those in the file must come from a clock that all processes of the router
+//! share: the wall clock, or one that counts from the start of the host.
 //!
-//! A command is applied while the file is locked, and to a copy of the machine. If the write fails the copy is dropped:
-//! a revision that was never stored must not hide the one that the other process stores under the same number.
+//! A command is applied to a copy of the machine while the file is locked. If the write fails, the copy is
+//! dropped: otherwise a revision that was never stored would hide the one that another process stores under
+//! the same number.
 //!
 //! ```
 //! use decision::Time;
@@ -37,7 +40,7 @@
 //!         }
 //!     }
 //!     *machine = next;
-//!     Ok(actions) // Next, apply the masks to the endpoint list, then answer the operator.
+//!     Ok(actions) // Next, apply the masks to the endpoint list, then respond to the operator.
 //! }
 //!
 //! # let temporary = tempfile::tempdir().unwrap();
@@ -50,7 +53,7 @@
 //! let actions = apply(&file, &mut machine, Time(1), Event::Suspend("db-3".into()))?;
 //! assert_eq!(actions.last(), Some(&Action::Respond(Ok(()))));
 //!
-//! // The process that takes over starts from the stored state.
+//! // The next process starts from the stored state.
 //! let state = file.lock()?.read()?.unwrap_or_default();
 //! assert!(Machine::new(settings, state).mask().in_maintenance.contains("db-3"));
 //! # Ok::<(), SharedFolderError>(())
--- a/maintenance/src/machine.rs
+++ b/maintenance/src/machine.rs
@@ -1,30 +1,32 @@
 //! The state machine: which instances are in maintenance and whether the router drains.
 //!
-//! It follows the operators' page. An instance stays in maintenance until it is restored, whatever the endpoint list
-//! says. Two `SUSPEND`s need one `RESTORE`. A command for an id that is neither listed nor in maintenance is rejected.
+//! The rules are those in the operators' documentation. An instance stays in maintenance until it is
+//! restored, whatever the endpoint list says. One `RESTORE` undoes any number of `SUSPEND`s. A command for an
+//! id that is neither listed nor in maintenance is rejected.
 use crate::interface::{Action, EndpointChange, Event, MaintenanceError, MaintenanceMask, Settings};
 use crate::state::{MaintenanceEntry, State};
 use decision::Time;
 use std::collections::BTreeSet;
 
-/// The state machine. A clone copies its endpoint list and its entries.
+/// The state machine. A clone copies the ids of the endpoint list and the entries.
 #[derive(Clone, Debug)]
 pub struct Machine {
     settings: Settings,
     state: State,
-    /// The ids listed now; `None` before the first endpoint list.
+    /// Currently listed ids; `None` before the first endpoint list.
     listed: Option<BTreeSet<String>>,
-    /// Restored while not listed, and not listed since: they are expected back and may be suspended again.
+    /// Ids that were restored while not listed, and not listed since. They are expected in the list again, so
+    /// they may be suspended.
     awaiting_listing: BTreeSet<String>,
-    /// The last mask that the driver was given.
+    /// The mask in the last action, or at the start.
     notified_mask: MaintenanceMask,
-    /// The last drain state that the driver was given.
+    /// The drain state in the last action, or at the start.
     notified_draining: bool,
 }
 
 impl Machine {
-    /// Starts from the stored state. The driver reads the first [`mask`](Self::mask) and [`draining`](Self::draining)
-    /// itself: actions only report changes.
+    /// Creates a machine from the stored state. The driver must read the initial [`mask`](Self::mask) and
+    /// [`draining`](Self::draining) itself, as actions only report changes.
     pub fn new(settings: Settings, stored: State) -> Machine {
         let awaiting_listing = stored.restored.keys().cloned().collect();
         let mut machine = Machine {
@@ -40,7 +42,7 @@
         machine
     }
 
-    /// Handles one event and appends the actions that follow from it.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.expire_restored(now);
         let revision_before = self.state.revision;
@@ -48,18 +50,18 @@
         if response.is_some() && self.state.revision != revision_before {
             actions.push(Action::Persist(self.state.clone()));
         }
-        // The endpoint list learns of a change before the operator is answered: from the answer on, a new attempt would
-        // break the rule.
+        // The endpoint list must apply a change before the operator receives the response: a new attempt on a
+        // suspended instance after the response would break the rule.
         self.notify_changes(actions);
         actions.extend(response.map(Action::Respond));
     }
 
-    /// The state to be stored.
+    /// Returns the state to be stored.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// What the endpoint list must show.
+    /// Returns the mask that applies to the endpoint list.
     pub fn mask(&self) -> MaintenanceMask {
         MaintenanceMask {
             in_maintenance: self.state.in_maintenance.keys().cloned().collect(),
@@ -72,7 +74,7 @@
         self.state.draining_since.is_some()
     }
 
-    /// Applies an event to the state; the response if the event is a command.
+    /// Applies an event to the state. Returns the response if the event is a command.
     fn apply(&mut self, now: Time, event: Event) -> Option<Result<(), MaintenanceError>> {
         match event {
             Event::EndpointsUpdated { complete, changes } => {
@@ -113,9 +115,10 @@
         self.state.revision = self.state.revision.saturating_add(1);
     }
 
-    /// Drops restored ids whose retention is over. This does not advance the revision: each process does it by its own
-    /// clock, and a revision advanced without a write would hide the other process's next change. A time far in the
-    /// future comes from a clock that was set back since, and must not stay until that clock has caught up.
+    /// Drops restored ids whose retention is over. This does not advance the revision: each process does it
+    /// by its own clock, and a revision advanced without a write would hide the other process's next change.
+    /// A time far in the future comes from a clock that was set back since, and must not be retained until
+    /// that clock has caught up.
     fn expire_restored(&mut self, now: Time) {
         let retention = self.settings.restored_retention.max(0).unsigned_abs();
         self.state.restored.retain(|_, at| now.0.abs_diff(at.0) <= retention);
@@ -146,10 +149,10 @@
         if state.revision <= self.state.revision {
             return;
         }
-        let before = std::mem::replace(&mut self.state, state);
+        let previous = std::mem::replace(&mut self.state, state);
         for (id, at) in &self.state.restored {
-            // Restored by the other process: this one expects it in the list just as well.
-            if before.restored.get(id) != Some(at) && !self.is_listed(id) {
+            // The other process restored this id, so this process expects it in the list too.
+            if previous.restored.get(id) != Some(at) && !self.is_listed(id) {
                 self.awaiting_listing.insert(id.clone());
             }
         }
--- a/maintenance/src/presence.rs
+++ b/maintenance/src/presence.rs
@@ -1,11 +1,11 @@
-//! Which processes of this router are alive.
+//! Tracks which processes of this router are alive, and which of them accept clients.
 //!
-//! Each has a file `damsonvale-present-PID-MOMENT` in the shared folder and holds an exclusive `flock` on it, which the
-//! kernel releases when the process dies, even by SIGKILL.
+//! Each process has a file `damsonvale-present-PID-TIMESTAMP` in the shared folder and holds an exclusive
+//! `flock` on it, which the kernel releases when the process dies, even by SIGKILL.
 //!
-//! A file gets its name only once it is locked, and no name is used twice. So an unlocked file with such a name belongs
-//! to a dead process for good, and any process may remove it. Readers take the lock shared, so that two of them that
-//! meet at a dead process's file do not mistake each other for its owner.
+//! A file gets its final name only once it is locked, and no name is used twice. So an unlocked file with
+//! such a name belongs to a dead process, and any process may remove it. Readers take a shared lock, so that
+//! two of them that test a dead process's file at the same time do not mistake each other for its owner.
 use crate::error::{FileOperation, SharedFolderError};
 use std::ffi::OsString;
 use std::fs::{DirEntry, File, OpenOptions, TryLockError};
@@ -15,22 +15,22 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const FILE_PREFIX: &str = "damsonvale-present-";
-/// The end of a file's name until the file is locked.
+/// Suffix of a file's name until the file is locked.
 const TEMPORARY_SUFFIX: &str = ".new";
 /// Readable and writable by the router's user alone.
 const FILE_MODE: u32 = 0o600;
-/// A temporary file that is older than this was abandoned.
+/// Age after which a temporary file counts as abandoned.
 const TEMPORARY_LIFETIME: Duration = Duration::from_mins(1);
-/// How many names are tried: a clock that was set back may produce one twice, and a process that was stopped for a
-/// minute finds its first one removed.
+/// Maximum number of names tried: a clock that was set back may produce a name twice, and a process that was
+/// stopped for a minute finds its first file removed.
 const MAX_ATTEMPTS: u32 = 5;
-/// The content of a process that accepts no clients. Both contents have one length, and readers go by the first byte
-/// alone, so that they never see a mixture.
+/// File content of a process that does not accept clients. Both contents have the same length, and readers
+/// use only the first byte, so that they never see a mixture.
 const NOT_READY: &[u8] = b"starting\n";
-/// The content of a process that accepts clients.
+/// File content of a process that accepts clients.
 const READY: &[u8] = b"ready   \n";
 
-/// This process's presence file; it is removed on drop.
+/// The presence file of this process; it is removed on drop.
 pub struct ProcessPresence {
     folder: PathBuf,
     file_name: OsString,
@@ -41,14 +41,15 @@
 /// The other processes of this router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OtherProcesses {
-    /// How many are alive.
+    /// Number of processes alive.
     pub alive: usize,
-    /// How many of these accept clients.
+    /// Number of those that accept clients.
     pub ready: usize,
 }
 
 impl ProcessPresence {
-    /// Creates this process's file in `folder`, which is created if it is missing. The process counts as not ready.
+    /// Creates the file of this process in `folder`, which is created if it is missing. The process counts as
+    /// not ready.
     ///
     /// # Errors
     /// [`SharedFolderError::Io`].
@@ -64,8 +65,8 @@
     }
 
     fn try_register(folder: &Path, pid: u32) -> Result<ProcessPresence, SharedFolderError> {
-        let moment = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos();
-        let file_name = format!("{FILE_PREFIX}{pid}-{moment:x}");
+        let timestamp = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos();
+        let file_name = format!("{FILE_PREFIX}{pid}-{timestamp:x}");
         let path = folder.join(&file_name);
         let temporary = folder.join(format!("{file_name}{TEMPORARY_SUFFIX}"));
         let file = OpenOptions::new()
@@ -83,7 +84,7 @@
         Ok(ProcessPresence { folder: folder.to_path_buf(), file_name: file_name.into(), path, file })
     }
 
-    /// Marks this process as one that accepts clients.
+    /// Marks this process as accepting clients.
     ///
     /// # Errors
     /// [`SharedFolderError::Io`].
@@ -91,7 +92,7 @@
         self.write_content(READY)
     }
 
-    /// Marks this process as one that no longer accepts clients: another one must not rely on it.
+    /// Marks this process as no longer accepting clients, so that other processes do not rely on it.
     ///
     /// # Errors
     /// [`SharedFolderError::Io`].
@@ -99,8 +100,8 @@
         self.write_content(NOT_READY)
     }
 
-    /// Counts the other processes and removes the files of dead ones. It reads the whole folder; a folder that cannot be
-    /// read shows no other processes.
+    /// Counts the other processes and removes the files of dead ones. It reads the whole folder; if the
+    /// folder cannot be read, the counts are 0.
     pub fn count_others(&self) -> OtherProcesses {
         let mut others = OtherProcesses::default();
         for entry in std::fs::read_dir(&self.folder).into_iter().flatten().flatten() {
@@ -116,8 +117,8 @@
         self.file.write_all_at(content, 0).map_err(SharedFolderError::io(FileOperation::Write, &self.path))
     }
 
-    /// The status of the other process to which this file belongs; `None` if it belongs to no live one. Removes the file
-    /// of a dead one.
+    /// Returns the status of the other process that owns this file; `None` if no live process owns it.
+    /// Removes the file of a dead process.
     fn inspect(&self, entry: &DirEntry) -> Option<ProcessStatus> {
         let file_name = entry.file_name();
         let text = file_name.to_str().filter(|name| name.starts_with(FILE_PREFIX))?;
@@ -132,7 +133,7 @@
         let mut file = File::open(entry.path()).ok()?;
         match file.try_lock_shared() {
             Ok(()) => {
-                // If this fails the file is gone already, or the next count tries again.
+                // If this fails, the file was already removed, or the next count tries again.
                 let _ = std::fs::remove_file(entry.path());
                 None
             }
@@ -144,12 +145,12 @@
 
 impl Drop for ProcessPresence {
     fn drop(&mut self) {
-        // If this fails the lock still ends with the process, and another process removes the file.
+        // If this fails, the lock still ends with the process, and another process removes the file.
         let _ = std::fs::remove_file(&self.path);
     }
 }
 
-/// What a live process has written into its file.
+/// Status that a live process has written to its file.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ProcessStatus {
     NotReady,
@@ -165,7 +166,7 @@
     }
 }
 
-/// Whether another name may succeed.
+/// Whether an attempt with another name may succeed.
 fn is_retryable(error: &SharedFolderError) -> bool {
     let SharedFolderError::Io { source, .. } = error else { return false };
     matches!(
@@ -174,7 +175,7 @@
     )
 }
 
-/// Whether a temporary file is too old to be about to get its name.
+/// Whether a temporary file is so old that its process will not rename it any more.
 fn is_abandoned(entry: &DirEntry) -> bool {
     let modified = entry.metadata().and_then(|metadata| metadata.modified());
     modified.is_ok_and(|at| at.elapsed().is_ok_and(|age| age > TEMPORARY_LIFETIME))
--- a/maintenance/src/state.rs
+++ b/maintenance/src/state.rs
@@ -1,4 +1,4 @@
-//! The stored state: the instances in maintenance, those restored recently, and the drain.
+//! The stored state: instances in maintenance, recently restored instances, and the drain.
 use decision::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -6,26 +6,27 @@
 /// An instance in maintenance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MaintenanceEntry {
-    /// When the first command suspended it.
+    /// When the instance was put in maintenance.
     pub since: Time,
 }
 
-/// Everything that outlives a process.
+/// State that outlives a process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "StoredState", into = "StoredState")]
 pub struct State {
-    /// Counts the changes made by commands: of two states the one with the higher revision is the later one.
+    /// Number of changes made by commands: of two states, the one with the higher revision is the later one.
     pub revision: u64,
-    /// The instances in maintenance, by id.
+    /// Instances in maintenance, by id.
     pub in_maintenance: BTreeMap<String, MaintenanceEntry>,
-    /// The instances restored recently, and when. Each may have been restarted meanwhile, so it warms up from this time.
+    /// Recently restored instances, and when each was restored. An instance may have been restarted during
+    /// maintenance, so it warms up from this time.
     pub restored: BTreeMap<String, Time>,
     /// When the drain began, if the router drains.
     pub draining_since: Option<Time>,
 }
 
-/// The state as it is encoded, with times as plain numbers of microseconds. The encoding is positional: the order and
-/// the types of the fields are the stored form, their names are not.
+/// The encoded form of the state, with times as numbers of microseconds. The encoding is positional: the
+/// order and types of the fields define the stored form, their names do not.
 #[derive(Serialize, Deserialize)]
 struct StoredState {
     revision: u64,
--- a/maintenance/src/state_file.rs
+++ b/maintenance/src/state_file.rs
@@ -1,8 +1,9 @@
-//! The file in which the state outlives a kill and an upgrade: `damsonvale-holds`, in a folder that the processes of one
-//! router share.
+//! The file that preserves the state across a kill or an upgrade: `damsonvale-holds`, in a folder that the
+//! processes of a router share.
 //!
-//! The file is written under a temporary name, synced and renamed, so that a kill leaves the old file or the new one.
-//! Changes are made under an exclusive `flock` on a file beside it, which the kernel releases when the holder dies.
+//! The file is written under a temporary name, synced and renamed, so that after a kill either the old or the
+//! new file is there. Changes are made under an exclusive `flock` on a separate lock file, which the kernel
+//! releases when its holder dies.
 mod encoding;
 
 use crate::error::{FileOperation, SharedFolderError, UnusableReason};
@@ -15,11 +16,12 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// The package's former name. It stays: a process of an earlier version may share the folder during an upgrade.
+/// Contains the package's former name, as a process of an earlier version may share the folder during an
+/// upgrade.
 const FILE_NAME: &str = "damsonvale-holds";
 /// Readable and writable by the router's user alone.
 const FILE_MODE: u32 = 0o600;
-/// `flock` waits without a time limit or not at all, so a lock that is taken is tried again at this interval.
+/// Interval between attempts to take the lock: `flock` waits either without a time limit or not at all.
 const LOCK_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Identifies one version of the file on the disk.
@@ -44,32 +46,33 @@
     }
 }
 
-/// The version of the file last read or written through a handle. The file stays open, so that its inode number cannot
-/// be reused by a later file and hide a change.
+/// The version of the file that was last read or written through a handle. The file stays open, so that its
+/// inode number cannot be reused by a later file, which would hide a change.
 struct KnownVersion {
     stamp: FileStamp,
     _open: File,
 }
 
-/// One process's handle on the state file.
+/// A handle on the state file.
 pub struct StateFile {
     folder: PathBuf,
     path: PathBuf,
     lock_path: PathBuf,
-    /// In a cell, as [`LockedStateFile`] changes it through a shared reference. `None` before the first
-    /// read, while there is no file, and after a failed read or write.
+    /// The last known version, in a cell because [`LockedStateFile`] changes it through a shared reference.
+    /// `None` before the first read, while there is no file, and after a failed read or write.
     known: RefCell<Option<KnownVersion>>,
 }
 
-/// The state file while it is locked: until this is dropped. Every change begins with a [`read`](Self::read) under the
-/// same lock.
+/// The locked state file; the lock is released on drop. Every change must begin with a [`read`](Self::read)
+/// under the same lock.
 pub struct LockedStateFile<'a> {
     file: &'a StateFile,
     _lock: File,
 }
 
 impl StateFile {
-    /// A handle on the state file in `folder`, which is created if it is missing. Nothing is read yet.
+    /// Creates a handle on the state file in `folder`, which is created if it is missing. Nothing is read
+    /// yet.
     ///
     /// # Errors
     /// [`SharedFolderError::Io`] if the folder cannot be created.
@@ -83,7 +86,7 @@
         })
     }
 
-    /// Locks the file against all other handles, those of this process included.
+    /// Locks the file against all other handles, including those of this process.
     ///
     /// # Errors
     /// [`SharedFolderError::LockTimeout`] if another handle does not release it within 200 ms, and
@@ -111,11 +114,12 @@
         }
     }
 
-    /// Whether the file differs from the version last read or written through this handle. It costs one `stat` and takes
-    /// no lock. After a failed read or write an existing file counts as changed.
+    /// Whether the file differs from the version last read or written through this handle. This costs one
+    /// `stat` and takes no lock. After a failed read or write an existing file counts as changed.
     pub fn has_changed(&mut self) -> bool {
-        let present = std::fs::symlink_metadata(&self.path).ok().map(|metadata| FileStamp::of(&metadata));
-        present != self.known.get_mut().as_ref().map(|known| known.stamp)
+        let current_stamp =
+            std::fs::symlink_metadata(&self.path).ok().map(|metadata| FileStamp::of(&metadata));
+        current_stamp != self.known.get_mut().as_ref().map(|known| known.stamp)
     }
 
     fn open_lock_file(&self) -> Result<File, SharedFolderError> {
@@ -129,18 +133,19 @@
             .map_err(SharedFolderError::io(FileOperation::Open, &self.lock_path))
     }
 
-    /// Whether the lock file that was opened is the one in the folder: a lock on a file that somebody has removed since
-    /// excludes nobody.
+    /// Whether the opened lock file is still the one in the folder: a lock on a file that was removed
+    /// meanwhile excludes nobody.
     fn is_current_lock_file(&self, lock: &File) -> Result<bool, SharedFolderError> {
-        let own = lock.metadata().map_err(SharedFolderError::io(FileOperation::Inspect, &self.lock_path))?;
+        let opened =
+            lock.metadata().map_err(SharedFolderError::io(FileOperation::Inspect, &self.lock_path))?;
         Ok(std::fs::metadata(&self.lock_path)
-            .is_ok_and(|current| (current.dev(), current.ino()) == (own.dev(), own.ino())))
+            .is_ok_and(|current| (current.dev(), current.ino()) == (opened.dev(), opened.ino())))
     }
 }
 
 impl LockedStateFile<'_> {
-    /// The stored state; `None` if there is no file. A file that cannot be used is moved aside, so that the next read
-    /// finds none.
+    /// Reads the stored state; `None` if there is no file. An unusable file is moved aside, so that the next
+    /// read finds none.
     ///
     /// # Errors
     /// [`SharedFolderError::Unusable`] if the file was moved aside, and [`SharedFolderError::Io`].
@@ -168,11 +173,11 @@
         Ok(Some(state))
     }
 
-    /// Replaces the stored state; the new one is on the disk when this returns.
+    /// Replaces the stored state; the new state is on the disk when this returns.
     ///
     /// # Errors
-    /// [`SharedFolderError::TooLarge`], [`SharedFolderError::Encode`] and [`SharedFolderError::Io`]. After an error
-    /// either of the two states may be stored: read again.
+    /// [`SharedFolderError::TooLarge`], [`SharedFolderError::Encode`] and [`SharedFolderError::Io`]. After an
+    /// error either of the two states may be stored, so the file must be read again.
     pub fn write(&mut self, state: &State) -> Result<(), SharedFolderError> {
         let (folder, path) = (&self.file.folder, &self.file.path);
         self.file.known.replace(None);
@@ -188,8 +193,8 @@
         Ok(())
     }
 
-    /// Renames a file that cannot be used, so that an operator can look at it; one moved aside before is replaced. The
-    /// result says which of the two happened: moved aside, or that this failed too.
+    /// Renames an unusable file, so that an operator can inspect it; a file moved aside earlier is replaced.
+    /// Returns [`SharedFolderError::Unusable`], or the error of the rename.
     fn move_aside(&self, reason: UnusableReason) -> SharedFolderError {
         let path = self.file.path.clone();
         let moved_to = self.file.folder.join(format!("{FILE_NAME}.refused"));
@@ -205,7 +210,7 @@
     Ok(FileStamp::of(&metadata))
 }
 
-/// Writes a new file whose content is on the disk when this returns.
+/// Writes a file and syncs its content to the disk.
 fn write_synced(path: &Path, bytes: &[u8]) -> Result<File, SharedFolderError> {
     let mut file = OpenOptions::new()
         .write(true)
--- a/maintenance/tests/machine.rs
+++ b/maintenance/tests/machine.rs
@@ -1,4 +1,4 @@
-//! The rules of the operators' page, one by one.
+//! Tests of the state machine: each rule of the operators' documentation.
 mod common;
 
 use common::{SECOND, SETTINGS, endpoints, handle, mask};
@@ -29,7 +29,7 @@
     rejected(MaintenanceError::NotInMaintenance { id: id.into(), entry_count })
 }
 
-/// A machine that knows the endpoints `a` to `d`.
+/// Creates a machine with the listed endpoints `a` to `d`.
 fn machine_with_endpoints() -> Machine {
     let mut machine = Machine::new(SETTINGS, State::default());
     let event = endpoints(true, &[("a", true), ("b", true), ("c", true), ("d", true)]);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn one_restore_ends_two_suspends_and_instance_warms_up() {
+fn one_restore_undoes_two_suspends_and_instance_warms_up() {
     let mut machine = machine_with_endpoints();
     suspend(&mut machine, 0, "a");
     suspend(&mut machine, SECOND, "a");
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn instance_that_leaves_the_list_stays_in_maintenance_until_restored() {
+fn instance_removed_from_the_list_stays_in_maintenance_until_restored() {
     let mut machine = machine_with_endpoints();
     suspend(&mut machine, 0, "a");
     assert_eq!(handle(&mut machine, SECOND, endpoints(true, &[("b", true)])), []);
@@ -83,7 +83,8 @@
     assert_eq!(machine.mask(), mask(&["a"], &[]));
     assert_eq!(suspend(&mut machine, SECOND, "a"), [accepted()]);
     assert_eq!(restore(&mut machine, SECOND, "a").last(), Some(&accepted()));
-    // Expected back, it may be suspended again; once it was listed and left, it may not.
+    // While its listing is awaited, the instance may be suspended again; once it was listed and removed, it
+    // may not.
     assert_eq!(suspend(&mut machine, SECOND, "a").last(), Some(&accepted()));
     restore(&mut machine, SECOND, "a");
     handle(&mut machine, SECOND, endpoints(false, &[("a", true)]));
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn restored_instance_is_remembered_for_its_retention_or_until_suspended() {
+fn restored_instance_is_retained_until_expiry_or_suspend() {
     let mut machine = machine_with_endpoints();
     for id in ["a", "b"] {
         suspend(&mut machine, 0, id);
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn drain_keeps_its_first_time_and_ends_once() {
+fn repeated_pause_keeps_the_start_time_and_one_resume_ends_the_drain() {
     let mut machine = machine_with_endpoints();
     assert_eq!(handle(&mut machine, SECOND, Event::Resume), [accepted()]);
     let begun = handle(&mut machine, SECOND, Event::Pause);
@@ -152,13 +153,13 @@
     later.restored.insert("z".into(), Time(SECOND));
     let actions = handle(&mut machine, SECOND, Event::StateRead(later));
     assert_eq!(actions, [Action::SetMask(mask(&[], &[("z", SECOND)]))]);
-    // The other process restored it before it was listed again.
+    // The other process restored `z` while it was not listed, so it may be suspended.
     assert_eq!(suspend(&mut machine, SECOND, "z").last(), Some(&accepted()));
     assert_eq!(machine.state().revision, 7);
 }
 
 #[test]
-fn successor_process_starts_from_stored_state_without_a_list() {
+fn next_process_starts_from_stored_state_before_any_endpoint_list() {
     let mut old = machine_with_endpoints();
     suspend(&mut old, 0, "a");
     suspend(&mut old, 0, "b");
--- a/maintenance/tests/presence.rs
+++ b/maintenance/tests/presence.rs
@@ -1,4 +1,4 @@
-//! Which processes are seen as alive: files of live, dead and killed processes.
+//! Tests of process presence: files of live, dead and killed processes.
 use maintenance::{OtherProcesses, ProcessPresence, SharedFolderError, StateFile};
 use std::io::{BufRead, BufReader};
 use std::path::Path;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn live_processes_see_each_other_and_who_is_ready() {
+fn live_processes_count_each_other_and_those_that_are_ready() {
     let folder = tempfile::tempdir().unwrap();
     let mut first = ProcessPresence::register(folder.path(), 1).unwrap();
     assert_eq!(first.count_others(), others(0, 0));
@@ -32,7 +32,7 @@
     let own = ProcessPresence::register(folder.path(), 1).unwrap();
     let dead = folder.path().join("damsonvale-present-2-0");
     std::fs::write(&dead, "ready   \n").unwrap();
-    // Another process inspects it at the same moment.
+    // Another process inspects the file at the same time.
     let inspected = std::fs::File::open(dead).unwrap();
     inspected.lock_shared().unwrap();
     std::fs::write(folder.path().join("damsonvale-present-3-0.new"), "").unwrap();
@@ -43,22 +43,22 @@
 }
 
 #[test]
-fn live_process_is_seen_while_others_register_and_leave() {
+fn live_process_is_counted_while_others_register_and_drop() {
     let folder = tempfile::tempdir().unwrap();
     let first = ProcessPresence::register(folder.path(), 1).unwrap();
-    let register_and_leave = || {
+    let register_and_drop = || {
         for _ in 0..200 {
             let own = ProcessPresence::register(folder.path(), 2).unwrap();
             assert!(own.count_others().alive >= 1 && first.count_others().alive >= 1);
         }
     };
     std::thread::scope(|scope| {
-        [(); 3].map(|()| scope.spawn(register_and_leave)).map(|thread| thread.join().unwrap())
+        [(); 3].map(|()| scope.spawn(register_and_drop)).map(|thread| thread.join().unwrap())
     });
     assert_eq!((first.count_others(), file_count(folder.path())), (others(0, 0), 1));
 }
 
-/// Not a test by itself: the process that the next test kills.
+/// Not a test by itself: the child process that the next test kills.
 #[test]
 fn child_process() {
     let Some(folder) = std::env::var_os("MAINTENANCE_CHILD_FOLDER") else { return };
@@ -71,11 +71,11 @@
 }
 
 #[test]
-fn killed_process_disappears_and_releases_its_lock() {
+fn killed_process_is_not_counted_and_releases_its_lock() {
     let folder = tempfile::tempdir().unwrap();
     let own = ProcessPresence::register(folder.path(), std::process::id()).unwrap();
     let file = StateFile::open(folder.path()).unwrap();
-    // If this test fails, the end of its input ends the child.
+    // If this test fails, the child ends when its input is closed.
     let mut child = Command::new(std::env::current_exe().unwrap())
         .args(["child_process", "--exact", "--nocapture"])
         .env("MAINTENANCE_CHILD_FOLDER", folder.path())
@@ -91,5 +91,5 @@
     child.wait().unwrap();
     assert_eq!(own.count_others(), others(0, 0));
     assert!(file.lock().is_ok());
-    assert_eq!(file_count(folder.path()), 2, "the own presence file and the lock file");
+    assert_eq!(file_count(folder.path()), 2, "one presence file and the lock file");
 }
--- a/maintenance/tests/recorded_run.rs
+++ b/maintenance/tests/recorded_run.rs
@@ -1,5 +1,5 @@
-//! A recorded run of the state machine: seeded events in, actions out, as text. Two machines share one stored state, as
-//! two processes of one router do. The record was written by the program before its names were revised.
+//! Regression test: seeded random events are applied to two state machines that share one stored state, as
+//! two processes of one router do, and the output is compared with recorded output.
 mod common;
 
 use common::{FIXTURES, SECOND, SETTINGS};
@@ -31,7 +31,7 @@
     }
 }
 
-/// Mostly forward by up to 12 s; now and then the clock is set back, or far ahead.
+/// Returns the next time: usually up to 12 s later, occasionally far back or ahead, as if the clock was set.
 fn next_time(random: &mut SplitMix64, now: i64) -> i64 {
     match random.below(40) {
         0 => now - 40 * SECOND,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Two machines, the state they share, and what they did.
+/// Two machines, their shared state, and a record of their events and actions.
 struct Run {
     machines: [Machine; 2],
     stored: State,
@@ -89,10 +89,10 @@
 }
 
 impl Run {
-    fn handle(&mut self, which: usize, now: i64, event: Event) {
-        writeln!(self.record, "{which} {now} {}", event_text(&event)).unwrap();
+    fn handle(&mut self, process: usize, now: i64, event: Event) {
+        writeln!(self.record, "{process} {now} {}", event_text(&event)).unwrap();
         let mut actions = Vec::new();
-        self.machines[which].handle(Time(now), event, &mut actions);
+        self.machines[process].handle(Time(now), event, &mut actions);
         for action in actions {
             writeln!(self.record, "    {}", action_text(&action)).unwrap();
             if let Action::Persist(state) = action {
@@ -101,36 +101,37 @@
         }
     }
 
-    fn restart(&mut self, which: usize) {
+    fn restart(&mut self, process: usize) {
         let machine = Machine::new(SETTINGS, self.stored.clone());
         let (mask, draining) = (mask_text(&machine.mask()), machine.draining());
-        writeln!(self.record, "{which} restart {mask} drain={draining}").unwrap();
-        self.machines[which] = machine;
+        writeln!(self.record, "{process} restart {mask} drain={draining}").unwrap();
+        self.machines[process] = machine;
     }
 }
 
 #[test]
-fn recorded_run_of_two_machines_is_unchanged() {
+fn run_of_two_machines_matches_recorded_output() {
     let mut random = SplitMix64::new(2026);
     let machine = || Machine::new(SETTINGS, State::default());
     let mut run = Run { machines: [machine(), machine()], stored: State::default(), record: String::new() };
     let mut now = 0;
     for _ in 0..EVENTS {
         now = next_time(&mut random, now);
-        let which = random.below(2) as usize;
+        let process = random.below(2) as usize;
         if random.below(30) == 0 {
-            run.restart(which);
+            run.restart(process);
         }
         let event = random_event(&mut random);
-        // A process that has not read the stored state first must not happen, but is part of what is decided.
+        // A process must read the stored state before each command; the machine's behaviour without it is
+        // recorded too.
         if random.below(12) > 0 {
-            run.handle(which, now, Event::StateRead(run.stored.clone()));
+            run.handle(process, now, Event::StateRead(run.stored.clone()));
         }
-        run.handle(which, now, event);
+        run.handle(process, now, event);
     }
-    for which in [0, 1] {
-        let line = state_text(run.machines[which].state());
-        writeln!(run.record, "{which} end {line}").unwrap();
+    for process in [0, 1] {
+        let line = state_text(run.machines[process].state());
+        writeln!(run.record, "{process} end {line}").unwrap();
     }
     FIXTURES.assert_same("recorded_run.txt", run.record);
 }
--- a/maintenance/tests/state_file.rs
+++ b/maintenance/tests/state_file.rs
@@ -1,4 +1,4 @@
-//! The state file: interrupted writes, foreign content, several handles, and its lock.
+//! Tests of the state file: interrupted writes, unusable content, several handles, and the lock.
 use decision::Time;
 use maintenance::{MaintenanceEntry, SharedFolderError, State, StateFile, UnusableReason};
 use std::path::PathBuf;
@@ -21,13 +21,13 @@
     file.lock().unwrap().read().unwrap()
 }
 
-/// Writes a state through a handle of its own; the bytes of the file.
+/// Writes a state through a new handle; returns the content of the file.
 fn write(folder: &TempDir, revision: u64) -> Vec<u8> {
     StateFile::open(folder.path()).unwrap().lock().unwrap().write(&state(revision)).unwrap();
     std::fs::read(state_path(folder)).unwrap()
 }
 
-/// Reads a file that must be moved aside; the reason given.
+/// Reads a file that must be moved aside; returns the reason.
 fn read_unusable(folder: &TempDir) -> UnusableReason {
     let file = StateFile::open(folder.path()).unwrap();
     let mut locked = file.lock().unwrap();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn foreign_and_newer_files_are_moved_aside_with_their_reason() {
+fn files_of_other_formats_and_versions_are_moved_aside_with_a_reason() {
     let folder = tempfile::tempdir().unwrap();
     let bytes = write(&folder, 9);
     let mut newer = bytes.clone();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn handle_reports_changes_of_others_and_not_its_own() {
+fn handle_reports_changes_by_other_handles_only() {
     let folder = tempfile::tempdir().unwrap();
     let mut file = StateFile::open(folder.path()).unwrap();
     assert!(!file.has_changed());
@@ -111,7 +111,8 @@
         assert!(!file.has_changed());
         file.lock().unwrap().write(&state(revision)).unwrap();
         assert!(!file.has_changed());
-        // Two changes within one tick of the clock, the second perhaps with the inode number of the file before.
+        // Two changes may have the same modification time, and the second file may have the inode number of
+        // an earlier file.
         write(&folder, revision);
     }
     std::fs::remove_file(state_path(&folder)).unwrap();
@@ -121,12 +122,12 @@
 }
 
 #[test]
-fn concurrent_writers_lose_no_change() {
+fn concurrent_writers_lose_no_changes() {
     let folder = tempfile::tempdir().unwrap();
     let write_entries = || {
         let file = StateFile::open(folder.path()).unwrap();
         for _ in 0..100 {
-            // On a slow disk the other writer may hold the lock for longer than one timeout.
+            // On a slow disk the other writer may hold the lock for longer than the lock timeout.
             let Some(mut locked) = std::iter::repeat_with(|| file.lock()).find_map(Result::ok) else {
                 return;
             };
@@ -140,12 +141,12 @@
     std::thread::scope(|scope| {
         [(); 2].map(|()| scope.spawn(write_entries)).map(|thread| thread.join().unwrap())
     });
-    let end = read(&StateFile::open(folder.path()).unwrap()).unwrap();
-    assert_eq!((end.revision, end.in_maintenance.len()), (200, 200));
+    let final_state = read(&StateFile::open(folder.path()).unwrap()).unwrap();
+    assert_eq!((final_state.revision, final_state.in_maintenance.len()), (200, 200));
 }
 
 #[test]
-fn lock_times_out_while_held_and_removed_lock_file_excludes_nobody() {
+fn lock_times_out_while_held_and_removal_of_the_lock_file_frees_it() {
     let folder = tempfile::tempdir().unwrap();
     let first = StateFile::open(folder.path()).unwrap();
     let second = StateFile::open(folder.path()).unwrap();
--- a/maintenance/tests/stored_forms.rs
+++ b/maintenance/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! The bytes that processes of one router exchange through the shared folder, and every error text that can reach an
-//! operator. The fixtures were written by the program before its names were revised; they must never change.
+//! Tests that file formats in the shared folder and error texts for operators are unchanged. Processes of
+//! different versions share the folder, so the fixtures must never change.
 mod common;
 
 use common::FIXTURES;
@@ -15,7 +15,7 @@
 
 const STATE_FILE_NAME: &str = "damsonvale-holds";
 
-/// A state that uses every field, with the extreme times among them.
+/// Returns a state that uses every field, including extreme times.
 fn full_state() -> State {
     State {
         revision: 300,
@@ -43,42 +43,42 @@
 }
 
 #[test]
-fn state_file_with_all_fields_keeps_its_bytes() {
+fn state_file_format_with_all_fields_is_unchanged() {
     assert_state_file_round_trip("state_file_full.bin", &full_state());
 }
 
 #[test]
-fn state_file_of_empty_state_keeps_its_bytes() {
+fn state_file_format_of_empty_state_is_unchanged() {
     assert_state_file_round_trip("state_file_empty.bin", &State::default());
 }
 
-/// The presence files in a folder, by path.
-fn presence_files(folder: &Path) -> Vec<PathBuf> {
+/// Returns the paths of all files in a folder.
+fn files_in(folder: &Path) -> Vec<PathBuf> {
     std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect()
 }
 
 #[test]
-fn presence_file_keeps_its_name_and_bytes() {
+fn presence_file_name_and_content_are_unchanged() {
     let folder = tempfile::tempdir().unwrap();
-    let mut own = ProcessPresence::register(folder.path(), 4711).unwrap();
-    let files = presence_files(folder.path());
-    let [path] = &files[..] else { panic!("one file, not {files:?}") };
+    let mut presence = ProcessPresence::register(folder.path(), 4711).unwrap();
+    let files = files_in(folder.path());
+    let [path] = &files[..] else { panic!("expected one file, found {files:?}") };
     let name = path.file_name().unwrap().to_str().unwrap();
-    let moment = name.strip_prefix("damsonvale-present-4711-").unwrap();
-    assert!(u128::from_str_radix(moment, 16).is_ok(), "{name}");
+    let timestamp = name.strip_prefix("damsonvale-present-4711-").unwrap();
+    assert!(u128::from_str_radix(timestamp, 16).is_ok(), "{name}");
     assert_eq!(std::fs::metadata(path).unwrap().permissions().mode() & 0o777, 0o600);
 
     FIXTURES.assert_same("presence_starting.txt", std::fs::read(path).unwrap());
-    own.mark_ready().unwrap();
+    presence.mark_ready().unwrap();
     FIXTURES.assert_same("presence_ready.txt", std::fs::read(path).unwrap());
-    own.mark_not_ready().unwrap();
+    presence.mark_not_ready().unwrap();
     FIXTURES.assert_same("presence_starting.txt", std::fs::read(path).unwrap());
 }
 
 #[test]
 fn presence_files_of_other_processes_are_read() {
     let folder = tempfile::tempdir().unwrap();
-    let own = ProcessPresence::register(folder.path(), 1).unwrap();
+    let presence = ProcessPresence::register(folder.path(), 1).unwrap();
     let locked = |name: &str, fixture: &str| {
         let path = folder.path().join(name);
         std::fs::write(&path, FIXTURES.bytes(fixture)).unwrap();
@@ -87,21 +87,21 @@
         file
     };
     let _starting = locked("damsonvale-present-2-1811f0", "presence_starting.txt");
-    assert_eq!(own.count_others(), OtherProcesses { alive: 1, ready: 0 });
+    assert_eq!(presence.count_others(), OtherProcesses { alive: 1, ready: 0 });
     let _ready = locked("damsonvale-present-3-1811f1", "presence_ready.txt");
-    assert_eq!(own.count_others(), OtherProcesses { alive: 2, ready: 1 });
+    assert_eq!(presence.count_others(), OtherProcesses { alive: 2, ready: 1 });
 }
 
 #[test]
-fn lock_file_keeps_its_name() {
+fn lock_file_name_is_unchanged() {
     let folder = tempfile::tempdir().unwrap();
     let file = StateFile::open(folder.path()).unwrap();
     let _locked = file.lock().unwrap();
-    assert_eq!(presence_files(folder.path()), [folder.path().join("damsonvale-holds.lock")]);
+    assert_eq!(files_in(folder.path()), [folder.path().join("damsonvale-holds.lock")]);
 }
 
 #[test]
-fn error_texts_keep_their_bytes() {
+fn error_texts_are_unchanged() {
     let path = || PathBuf::from("/folder/damsonvale-holds");
     let unusable = |reason| SharedFolderError::Unusable {
         path: path(),
--- a/maintenance/tests/two_processes.rs
+++ b/maintenance/tests/two_processes.rs
@@ -1,4 +1,4 @@
-//! Random commands to two processes that share the stored state, compared with a model.
+//! Property test: random commands to two processes that share the stored state, compared with a model.
 mod common;
 
 use common::{SECOND, SETTINGS, handle};
@@ -8,7 +8,7 @@
 
 type Response = Result<(), MaintenanceError>;
 
-/// One process: its machine, and what its endpoint list and its clients were notified of last.
+/// A simulated process: its machine, and the last mask and drain state that the machine reported.
 struct Process {
     machine: Machine,
     mask: MaintenanceMask,
@@ -21,7 +21,7 @@
         Process { mask: machine.mask(), draining: machine.draining(), machine }
     }
 
-    /// Reads the stored state, handles the event and carries the actions out.
+    /// Reads the stored state, handles the event and carries out the actions.
     fn run(&mut self, stored: &mut State, now: i64, event: Event) -> Result<Option<Response>, TestCaseError> {
         let mut actions = handle(&mut self.machine, now, Event::StateRead(stored.clone()));
         actions.extend(handle(&mut self.machine, now, event));
@@ -43,7 +43,7 @@
     }
 }
 
-/// What must hold after the commands so far.
+/// The expected state after the commands so far.
 #[derive(Default)]
 struct Model {
     in_maintenance: BTreeSet<String>,
@@ -92,12 +92,12 @@
     ) {
         let (mut stored, mut now, mut model) = (State::default(), 0, Model::default());
         let mut processes = [Process::start(&stored), Process::start(&stored)];
-        for (which, wait, restarted, event) in steps {
-            now += wait;
+        for (index, delay, restarted, event) in steps {
+            now += delay;
             if restarted {
-                processes[which] = Process::start(&stored);
+                processes[index] = Process::start(&stored);
             }
-            let process = &mut processes[which];
+            let process = &mut processes[index];
             let revision_before = stored.revision;
             let response = process.run(&mut stored, now, event.clone())?;
             prop_assert!(
