--- a/admin/src/command.rs
+++ b/admin/src/command.rs
@@ -1,22 +1,22 @@
-//! The line that an operator sends.
+//! Parsing of the command line that an operator sends.
 use std::fmt::{self, Display, Formatter};
 use thiserror::Error;
 
-/// The longest instance ID, in bytes.
+/// Maximum length of an instance ID in bytes.
 pub const MAX_ID_BYTES: usize = 256;
-/// Where collectors of metrics look for them.
+/// Path that Prometheus-compatible collectors request.
 const METRICS_PATH: &[u8] = b"/metrics";
-/// How much of an unknown verb is repeated in the error, in bytes.
+/// Maximum length of an unknown verb in the error message, in bytes.
 const MAX_ECHOED_BYTES: usize = 32;
 
-/// An operator's command. Its `Display` is the line without the line end.
+/// An operator's command. Its `Display` output is the line without the line end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Report the state of the router.
+    /// Report the status of the router.
     Status,
-    /// Report the metrics.
+    /// Report the metrics in the router's line format.
     Metrics,
-    /// Report all metrics as HTTP, for whatever collects them: `GET /metrics HTTP/1.1`.
+    /// Report all metrics in an HTTP response, for collectors: `GET /metrics HTTP/1.1`.
     HttpMetrics,
     /// Put this instance in maintenance.
     Suspend(String),
@@ -28,50 +28,50 @@
     Resume,
 }
 
-/// Why a line is not a command. Each message says what to send instead; received bytes appear in it only escaped and
-/// truncated.
+/// Why a line is not a valid command. Each message says what to send instead; received bytes appear in it
+/// only escaped and truncated.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
-    /// The line has no words.
+    /// The line contains no words.
     #[error("the line is empty; send STATUS, METRICS, SUSPEND ID, RESTORE ID, PAUSE or RESUME")]
     EmptyLine,
-    /// The first word is no verb; the word, escaped and truncated.
+    /// The first word is not a known verb; contains the word, escaped and truncated.
     #[error("there is no call `{0}`; send STATUS, METRICS, SUSPEND ID, RESTORE ID, PAUSE or RESUME")]
     UnknownVerb(String),
-    /// The verb needs an ID and none follows it.
+    /// The verb requires an ID, but none follows it.
     #[error("{0} needs an instance; send `{0} ID` with its ID as the list of servers has it")]
     MissingId(&'static str),
     /// The word after the verb is not a valid ID.
     #[error("the ID after {0} is not 1 to 256 bytes of visible ASCII; send it as the list of servers has it")]
     InvalidId(&'static str),
-    /// More words than the verb takes.
+    /// More words follow than the verb takes.
     #[error("{verb} is followed by too many words; send `{usage}` alone on the line")]
     TooManyWords {
         /// The verb.
         verb: &'static str,
-        /// The line as it should be.
+        /// The correct form of the line.
         usage: &'static str,
     },
-    /// No line end within the limit.
+    /// The line exceeds the length limit.
     #[error("the line is longer than {max_bytes} bytes; send one call of one line")]
     LineTooLong {
-        /// The limit.
+        /// Maximum length of a line in bytes.
         max_bytes: usize,
     },
 }
 
 impl Command {
-    /// Parses one line, with or without its line end (`\n`, `\r\n`). Verbs may be in lower case. Spaces or tabs separate
-    /// the words and are ignored around them.
+    /// Parses one line, with or without its line end (`\n`, `\r\n`). Verbs are case-insensitive. Words are
+    /// separated by spaces or tabs, which are also ignored at both ends of the line.
     ///
     /// # Errors
-    /// [`ParseError`], whose message may be sent back as it is.
+    /// [`ParseError`], whose message can be sent back as it is.
     pub fn parse(line: &[u8]) -> Result<Command, ParseError> {
         let line = line.strip_suffix(b"\n").unwrap_or(line);
         let line = line.strip_suffix(b"\r").unwrap_or(line);
         let mut words = line.split(|&b| b == b' ' || b == b'\t').filter(|word| !word.is_empty());
         let verb = words.next().ok_or(ParseError::EmptyLine)?;
-        let arguments = Arguments { first: words.next(), more: words.next().is_some() };
+        let arguments = Arguments { first: words.next(), has_more: words.next().is_some() };
         match verb.to_ascii_uppercase().as_slice() {
             b"STATUS" => arguments.none("STATUS").map(|()| Command::Status),
             b"METRICS" => arguments.none("METRICS").map(|()| Command::Metrics),
@@ -105,8 +105,8 @@
 /// The words after the verb.
 struct Arguments<'a> {
     first: Option<&'a [u8]>,
-    /// Whether there is a second one.
-    more: bool,
+    /// Whether more words follow the first one.
+    has_more: bool,
 }
 
 impl Arguments<'_> {
@@ -119,7 +119,7 @@
 
     fn id(&self, verb: &'static str, usage: &'static str) -> Result<String, ParseError> {
         let id = self.first.ok_or(ParseError::MissingId(verb))?;
-        if self.more {
+        if self.has_more {
             return Err(ParseError::TooManyWords { verb, usage });
         }
         let valid = id.len() <= MAX_ID_BYTES && id.iter().all(u8::is_ascii_graphic);
--- a/admin/src/connection.rs
+++ b/admin/src/connection.rs
@@ -1,4 +1,5 @@
-//! One connection: its line is read, its response is written, and what still arrives is discarded.
+//! A connection at the admin address: reads its command line, writes the response, and discards all further
+//! input.
 use crate::command::{Command, ParseError};
 use crate::limits::AdminLimits;
 use crate::line::{LineBuffer, LineStatus};
@@ -9,55 +10,56 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// How long a client may take to close after its response. Enough to send the rest of a line of 60 MB, which is rejected
-/// long before its end.
+/// How long a client may take to close the connection after its response. This is enough to send the rest of
+/// a line of 60 MB, which is rejected long before its end.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(5);
-/// How much is discarded after the line before the connection is closed regardless, in bytes.
+/// Maximum number of bytes discarded after the line; beyond it the connection is closed.
 const MAX_DISCARDED_BYTES: usize = 64 << 20;
 
-/// How far the exchange has come.
+/// The stage of the exchange on a connection.
 enum ConnectionState {
-    /// The line is not complete.
+    /// The command line is not complete yet.
     ReadingLine(LineBuffer),
     /// The response is being written.
     WritingResponse { bytes: Vec<u8>, sent: usize },
-    /// The response has been written; until the client closes, or [`LINGER_TIMEOUT`] is over.
+    /// The response has been written; the connection stays open until the client closes it or
+    /// [`LINGER_TIMEOUT`] expires.
     Lingering,
 }
 
-/// Whether a connection goes on.
+/// Whether a connection stays open.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Progress {
-    /// It waits for its client.
+    /// The connection waits for its client.
     Open,
-    /// It is over and must be dropped.
+    /// The connection has ended and must be dropped.
     Closed,
 }
 
-/// Which connection is closed first to make room, lowest first.
+/// Order in which connections are evicted when there are too many, lowest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum EvictionOrder {
-    /// It has its response and sends nothing more: it loses nothing.
+    /// The client has received its response and sends nothing more, so it loses nothing.
     Finished,
-    /// It has not sent a complete command.
+    /// The client has not sent a complete command.
     AwaitingCommand,
-    /// It has its response and sends what nobody asked for.
+    /// The client has received its response but still sends data.
     Discarding,
-    /// It is slow to read its response.
+    /// The client is slow to read its response.
     WritingResponse,
-    /// It was accepted just now and is not finished.
+    /// The connection has just been accepted and is not finished.
     Newcomer,
 }
 
-/// A connection at the operators' address.
+/// A connection at the admin address.
 pub(crate) struct AdminConnection {
     socket: TcpStream,
     state: ConnectionState,
-    /// The connection is closed then, unless it has reached its next state.
+    /// The connection is closed at this time, unless it has reached its next state.
     deadline: Instant,
-    /// There may be something to read: set by an event, cleared by a read that would block.
+    /// The socket may have data to read: set by an event, cleared by a read that would block.
     readable: bool,
-    /// The same for writing.
+    /// The socket may accept data: set by an event, cleared by a write that would block.
     writable: bool,
     /// The client has closed its side.
     peer_closed: bool,
@@ -65,7 +67,7 @@
 }
 
 impl AdminConnection {
-    /// A connection that was just accepted.
+    /// Creates the state of a connection that was just accepted.
     pub(crate) fn new(socket: TcpStream, deadline: Instant) -> AdminConnection {
         AdminConnection {
             socket,
@@ -78,29 +80,29 @@
         }
     }
 
-    /// When the connection is closed unless it reaches its next state.
+    /// When the connection is closed, unless it reaches its next state.
     pub(crate) fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// Notes what an event says of the socket.
-    pub(crate) fn note_readiness(&mut self, event: &Event) {
-        // A reset shows as either: the next read or write reports it.
+    /// Updates the readiness of the socket from an event.
+    pub(crate) fn update_readiness(&mut self, event: &Event) {
+        // A reset is reported as any of these; the next read or write returns its error.
         self.readable |= event.is_readable() || event.is_error();
         self.writable |= event.is_writable() || event.is_error();
     }
 
-    /// Has the socket read once more, whatever events said of it.
+    /// Makes the next [`advance`](Self::advance) read the socket, even if no event reported it as readable.
     pub(crate) fn assume_readable(&mut self) {
         self.readable = true;
     }
 
-    /// Whether it can go on at once, without an event.
+    /// Whether the connection can make progress without an event.
     pub(crate) fn has_work(&self) -> bool {
         self.readable && !self.peer_closed
     }
 
-    /// How early this connection is closed to make room for others.
+    /// The position of this connection in the order of eviction.
     pub(crate) fn eviction_order(&self) -> EvictionOrder {
         match self.state {
             ConnectionState::Lingering if !self.readable => EvictionOrder::Finished,
@@ -110,8 +112,8 @@
         }
     }
 
-    /// Does all that can be done now without blocking, but discards at most one buffer, so that no connection keeps the
-    /// others waiting.
+    /// Makes all progress that is possible without blocking, but discards at most one buffer of input, so
+    /// that no connection delays the others.
     pub(crate) fn advance(
         &mut self,
         now: Instant,
@@ -122,11 +124,11 @@
         self.read_command(now, limits, buffer, handle)
             .and_then(|()| self.write_response(now))
             .and_then(|()| self.discard_input(buffer))
-            // An error ends the connection: there is nobody left to report it to.
+            // An error ends the connection: it can no longer be reported to the client.
             .unwrap_or(Progress::Closed)
     }
 
-    /// Reads until the line is complete or too long, or nothing more has arrived.
+    /// Reads until the line is complete or too long, or no more data is available.
     fn read_command(
         &mut self,
         now: Instant,
@@ -150,7 +152,7 @@
                 // The client closed without sending anything.
                 return Err(ErrorKind::UnexpectedEof.into());
             }
-            let bytes = respond(line, status, limits.max_line_bytes, &handle).into_bytes();
+            let bytes = response_to(line, status, limits.max_line_bytes, &handle).into_bytes();
             self.state = ConnectionState::WritingResponse { bytes, sent: 0 };
             self.deadline = now + limits.io_timeout;
         }
@@ -162,7 +164,7 @@
             && let ConnectionState::WritingResponse { bytes, sent } = &mut self.state
         {
             match transfer(|| self.socket.write(&bytes[*sent..]))? {
-                // This never happens on a socket, and would be retried forever.
+                // A socket never returns this; it would be retried forever.
                 Some(0) => return Err(ErrorKind::WriteZero.into()),
                 Some(count) => *sent += count,
                 None => self.writable = false,
@@ -176,7 +178,8 @@
         Ok(())
     }
 
-    /// Reads past the line and drops what it reads: closing with unread input would turn the response into a reset.
+    /// Reads and discards input after the line: closing a socket with unread input would reset the
+    /// connection, and the client could lose the response.
     fn discard_input(&mut self, buffer: &mut [u8]) -> io::Result<Progress> {
         if self.has_work() && !matches!(self.state, ConnectionState::ReadingLine(_)) {
             match transfer(|| self.socket.read(buffer))? {
@@ -195,8 +198,8 @@
     }
 }
 
-/// The response to a line that is complete, or ended by the client's close, or too long.
-fn respond(
+/// Returns the response to a line that is complete, too long, or ended by the client's close.
+fn response_to(
     line: &LineBuffer,
     status: LineStatus,
     max_line_bytes: usize,
@@ -210,7 +213,7 @@
     Command::parse(content).map_or_else(|error| Response::Rejected(error.to_string()), handle)
 }
 
-/// Reads or writes, again after each signal; `None` if it would block.
+/// Reads or writes, and retries after a signal; returns `None` if the operation would block.
 fn transfer(mut operation: impl FnMut() -> io::Result<usize>) -> io::Result<Option<usize>> {
     loop {
         match operation() {
--- a/admin/src/event_loop.rs
+++ b/admin/src/event_loop.rs
@@ -1,4 +1,5 @@
-//! The server's one thread: it waits for events, advances the connections, and accepts new ones.
+//! The server's event loop, on its only thread: it waits for events, advances the connections and accepts new
+//! ones.
 use crate::connection::{AdminConnection, EvictionOrder, Progress};
 use crate::handler::{AdminHandler, handle_or_report_panic};
 use crate::limits::AdminLimits;
@@ -9,39 +10,41 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The listener's token. Connections count up from the next one, and no token is used twice.
+/// Token of the listener. Connections have the tokens after it, in the order in which they were accepted; no
+/// token is reused.
 pub(crate) const LISTENER: Token = Token(0);
-/// The most that one read takes, in bytes; one buffer of this size serves all connections.
+/// Maximum size of one read in bytes; one buffer of this size serves all connections.
 const READ_BUFFER_BYTES: usize = 64 << 10;
-/// Connections accepted before the others have their turn.
-const MAX_ACCEPTS_PER_TURN: usize = 64;
-/// How long after a failed accept (out of descriptors, for example) the next one is tried.
+/// Maximum number of connections accepted before the existing ones are advanced again.
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
+/// Delay after a failed accept, for example for lack of descriptors, before the next attempt.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Events handled in one turn.
-const MAX_EVENTS_PER_TURN: usize = 256;
+/// Maximum number of events handled in one iteration.
+const MAX_EVENTS_PER_ITERATION: usize = 256;
 
 /// When to accept next.
 struct AcceptSchedule {
-    /// `None` once the listener's queue is empty, until an event reports a new connection.
+    /// When to accept next; `None` once the listener's queue is empty, until an event reports a new
+    /// connection.
     next: Option<Instant>,
-    /// Whether the last accept failed: a series of failures is logged once.
+    /// Whether the last accept failed, so that a series of failures is logged only once.
     failing: bool,
 }
 
-/// All connections and what serves them.
+/// The event loop with its listener and all connections.
 pub(crate) struct EventLoop {
     listener: TcpListener,
     poll: Poll,
     limits: AdminLimits,
     handler: Arc<dyn AdminHandler>,
-    /// By token, which is the order in which they were accepted.
+    /// Connections by token, which is the order in which they were accepted.
     connections: BTreeMap<Token, AdminConnection>,
     next_token: Token,
     read_buffer: Vec<u8>,
 }
 
 impl EventLoop {
-    /// An event loop without connections; `listener` is registered with `poll` as [`LISTENER`].
+    /// Creates an event loop without connections; `listener` is registered with `poll` as [`LISTENER`].
     pub(crate) fn new(
         listener: TcpListener,
         poll: Poll,
@@ -59,13 +62,13 @@
         }
     }
 
-    /// Serves for as long as the process lives.
+    /// Serves connections for as long as the process lives.
     pub(crate) fn run(mut self) {
-        let mut events = Events::with_capacity(MAX_EVENTS_PER_TURN);
+        let mut events = Events::with_capacity(MAX_EVENTS_PER_ITERATION);
         let mut schedule = AcceptSchedule { next: Some(Instant::now()), failing: false };
         loop {
             self.wait(&mut events, &schedule);
-            self.note_events(&events, &mut schedule);
+            self.process_events(&events, &mut schedule);
             self.advance_all();
             if schedule.next.is_some_and(|at| at <= Instant::now()) {
                 self.accept_due(&mut schedule);
@@ -78,12 +81,12 @@
             && error.kind() != ErrorKind::Interrupted
         {
             tracing::warn!(%error, "admin connections not polled, retrying");
-            // Not a busy loop: whatever is wrong, the connections are tried again at this pace.
+            // The delay avoids a busy loop if the error persists.
             std::thread::sleep(ACCEPT_RETRY_DELAY);
         }
     }
 
-    /// How long nothing needs doing unless an event arrives. `None`: forever.
+    /// How long to wait for events before something else is due; `None` to wait without a limit.
     fn timeout(&self, schedule: &AcceptSchedule) -> Option<Duration> {
         if self.connections.values().any(AdminConnection::has_work) {
             return Some(Duration::ZERO);
@@ -92,17 +95,17 @@
         next.map(|at| at.saturating_duration_since(Instant::now()))
     }
 
-    fn note_events(&mut self, events: &Events, schedule: &mut AcceptSchedule) {
+    fn process_events(&mut self, events: &Events, schedule: &mut AcceptSchedule) {
         for event in events {
             if event.token() == LISTENER {
                 schedule.next = schedule.next.or_else(|| Some(Instant::now()));
             } else if let Some(connection) = self.connections.get_mut(&event.token()) {
-                connection.note_readiness(event);
+                connection.update_readiness(event);
             }
         }
     }
 
-    /// Advances each connection, and drops those that are over or past their deadline.
+    /// Advances each connection, and drops those that have ended or are past their deadline.
     fn advance_all(&mut self) {
         let now = Instant::now();
         let EventLoop { connections, limits, read_buffer, handler, .. } = self;
@@ -113,7 +116,7 @@
         });
     }
 
-    /// Advances one connection, and drops it if it is over.
+    /// Advances one connection, and drops it if it has ended.
     fn advance(&mut self, token: Token) -> Progress {
         let EventLoop { connections, limits, read_buffer, handler, .. } = self;
         let handle = |command| handle_or_report_panic(&**handler, command);
@@ -139,13 +142,15 @@
         }
     }
 
-    /// Accepts connections and reads each at once. Returns when to go on: now, or `None` at the next event.
+    /// Accepts connections and immediately reads from each. Returns when to accept next: now, or `None` for
+    /// after the next event.
     fn accept(&mut self) -> io::Result<Option<Instant>> {
-        for _ in 0..MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             match self.listener.accept() {
                 Ok((socket, _)) => self.admit(socket)?,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(None),
-                // The client is gone already, or a signal arrived: on to the next.
+                // The client has already closed the connection, or a signal interrupted the call: accept the
+                // next one.
                 Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
                 Err(e) => return Err(e),
             }
@@ -156,7 +161,7 @@
     fn admit(&mut self, mut socket: TcpStream) -> io::Result<()> {
         let token = self.next_token;
         self.next_token = Token(token.0 + 1);
-        // Before the first read, so that an event reports all that arrives after it.
+        // Register before the first read, so that an event reports all data received after it.
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut socket, token, interest)?;
         let deadline = Instant::now() + self.limits.io_timeout;
@@ -168,8 +173,9 @@
         Ok(())
     }
 
-    /// Makes room for one connection: the first by [`EvictionOrder`], and the oldest of these, is closed. It is read once
-    /// more before, and stays if that changes its order: a command that has arrived is answered.
+    /// Closes one connection: the first by [`EvictionOrder`], and of several the oldest. It is advanced once
+    /// more first, and stays if that changes its order, so that a command that was already received gets its
+    /// response.
     fn evict_one(&mut self, newcomer: Token) {
         let order = |token: Token, connection: &AdminConnection| match connection.eviction_order() {
             order if token != newcomer || order == EvictionOrder::Finished => order,
--- a/admin/src/lib.rs
+++ b/admin/src/lib.rs
@@ -1,14 +1,16 @@
-//! The operators' address of a router: each connection carries one line, a [`Command`], and receives one [`Response`].
+//! The admin address of a router, for its operators: each connection sends one line, a [`Command`], and
+//! receives one [`Response`].
 //!
-//! Responses are due within 1 s under any load, also beside connections that never send a complete line.
-//! [`AdminServer`] owns the address; a type that carries commands out implements [`AdminHandler`]. A router's handler is
-//! [`AdminService`].
+//! Responses must be sent within 1 s under any load, even beside connections that never send a complete line.
+//! [`AdminServer`] listens on the address; commands are handled by an implementation of [`AdminHandler`], in
+//! a router by [`AdminService`].
 //!
-//! One thread serves all connections, on non-blocking sockets, so that hundreds of them cost no threads. `mio` tells it
-//! which sockets are ready. The alternatives were `polling`, whose registrations are `unsafe` and must be undone by hand
-//! before a socket is dropped (this workspace has no `unsafe`); `poll(2)` by hand, which repeats what a library does; and
-//! a thread for each connection, as [`client_listener`](../client_listener/index.html) has, where a thousand idle connections cost a
-//! thousand stacks and their scheduling.
+//! One thread serves all connections on non-blocking sockets, so that hundreds of connections need no threads
+//! of their own. `mio` reports which sockets are ready. The rejected alternatives: `polling`, whose
+//! registrations are `unsafe` and must be undone before a socket is dropped (this workspace has no `unsafe`);
+//! direct use of `poll(2)`, which repeats what a library does; and a thread per connection, as in
+//! [`client_listener`](../client_listener/index.html), where a thousand idle connections need a thousand
+//! stacks and their scheduling.
 mod command;
 mod connection;
 mod event_loop;
--- a/admin/src/limits.rs
+++ b/admin/src/limits.rs
@@ -1,15 +1,16 @@
-//! The limits of the server.
+//! Limits of the admin server.
 use std::time::Duration;
 
-/// What the server may use.
+/// Limits of the resources that the server uses.
 #[derive(Clone, Debug)]
 pub struct AdminLimits {
-    /// Open connections. Beyond it, the connection that has been without a complete command the longest is closed.
+    /// Maximum number of open connections. Beyond it connections are evicted: first those that have received
+    /// their response, then the oldest ones without a complete command.
     pub max_connections: usize,
-    /// The longest line without its line end, in bytes.
+    /// Maximum length of a line without its line end, in bytes.
     pub max_line_bytes: usize,
-    /// How long a client may take to send its line, and again to read the response.
+    /// Maximum time for a client to send its line, and again to read the response.
     pub io_timeout: Duration,
-    /// The stack of the server's thread, in bytes.
+    /// Stack size of the server's thread in bytes.
     pub thread_stack_bytes: usize,
 }
--- a/admin/src/line.rs
+++ b/admin/src/line.rs
@@ -1,4 +1,4 @@
-//! A line that arrives in pieces.
+//! Buffer for a command line that is received in several reads.
 
 /// The part of the line received so far.
 #[derive(Default)]
@@ -6,23 +6,23 @@
     received: Vec<u8>,
 }
 
-/// How far the line has been received.
+/// How much of a line has been received.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LineStatus {
-    /// No line end yet.
+    /// The line end has not been received.
     Incomplete,
     /// The line end has been received.
     Complete,
-    /// The line is over the limit; what is over it was not stored.
+    /// The line exceeds the limit; the part beyond the limit was not stored.
     TooLong,
 }
 
 impl LineBuffer {
-    /// Appends what was received, up to the line end.
+    /// Appends received bytes up to the line end.
     pub(crate) fn push(&mut self, received: &[u8], max_line_bytes: usize) -> LineStatus {
         let end = received.iter().position(|&b| b == b'\n');
         let part = &received[..end.unwrap_or(received.len())];
-        // One byte over the limit may be the `\r` before the `\n`.
+        // One byte beyond the limit is allowed, as it may be the `\r` before the `\n`.
         if self.received.len() + part.len() > max_line_bytes + 1 {
             return LineStatus::TooLong;
         }
@@ -30,7 +30,7 @@
         if end.is_some() { LineStatus::Complete } else { LineStatus::Incomplete }
     }
 
-    /// The line without its line end.
+    /// Returns the line without its line end.
     pub(crate) fn content(&self) -> &[u8] {
         self.received.strip_suffix(b"\r").unwrap_or(&self.received)
     }
--- a/admin/src/response.rs
+++ b/admin/src/response.rs
@@ -1,21 +1,22 @@
-//! The response to a command, and its bytes.
+//! The response to a command, and its encoding.
 
-/// What is sent back to the operator; the server closes the connection after it.
+/// The response to an operator's command; the server closes the connection after it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// The command was carried out: `200 text`.
+    /// The command succeeded: `200 text`.
     Done(String),
-    /// The command was not carried out, and why: `400 text`.
+    /// The command was rejected, with the reason: `400 text`.
     Rejected(String),
-    /// The text of the metrics, one a line, without a status line before them; a line `EOF` follows them.
+    /// The metrics, one per line, without a status line; a line `EOF` follows them.
     Metrics(String),
-    /// An HTTP response with the text of all metrics.
+    /// An HTTP response with all metrics as its body.
     Http(String),
 }
 
 impl Response {
-    /// The bytes on the wire. Control characters of a text are escaped, so that no part of it can pass for another line
-    /// or move a terminal's cursor. Metrics are sent as they are; a missing last line end is added.
+    /// Encodes the response for the wire. Control characters in a text are escaped, so that no part of it can
+    /// be taken for another line or move a terminal's cursor. Metrics are sent unchanged, except that a
+    /// missing line end is added.
     pub fn into_bytes(self) -> Vec<u8> {
         match self {
             Response::Done(text) => status_line("200 ", &text),
@@ -35,7 +36,7 @@
     }
 }
 
-/// One line: the code, with the space behind it, and the escaped text.
+/// Formats a status line: the code with a trailing space, and the escaped text.
 fn status_line(code: &str, text: &str) -> Vec<u8> {
     let mut line = String::from(code);
     for c in text.chars() {
--- a/admin/src/server.rs
+++ b/admin/src/server.rs
@@ -1,4 +1,4 @@
-//! The operators' address: binding it and starting its thread.
+//! Binds the admin address and starts the server's thread.
 use crate::event_loop::{EventLoop, LISTENER};
 use crate::handler::AdminHandler;
 use crate::limits::AdminLimits;
@@ -11,12 +11,12 @@
 
 const THREAD_NAME: &str = "admin";
 
-/// Why the operators' address cannot be served.
+/// Why the server cannot listen on the admin address.
 #[derive(Debug, Error)]
 pub enum AdminServerError {
-    /// The address cannot be listened on.
+    /// The address cannot be bound.
     #[error(
-        "can't listen on the operators' address {address}: {source}; set `admin_addr` to a free address of this host"
+        "cannot listen on admin address {address}: {source}; set `admin_addr` to a free address of this host"
     )]
     Bind {
         /// The requested address.
@@ -24,19 +24,17 @@
         /// The operating system's error.
         source: io::Error,
     },
-    /// The operating system provides no readiness queue.
-    #[error(
-        "can't watch the operators' address {address}: {source}; raise the limit of open files, then start again"
-    )]
+    /// The operating system cannot create the poll instance or register the listener with it.
+    #[error("cannot poll admin address {address}: {source}; raise the limit of open files, then start again")]
     Poll {
         /// The listening address.
         address: SocketAddr,
         /// The operating system's error.
         source: io::Error,
     },
-    /// The thread cannot be started.
+    /// The server's thread cannot be started.
     #[error(
-        "can't start the thread of the operators' address {address}: {source}; raise the limit of threads or memory, \
+        "cannot start the thread of admin address {address}: {source}; raise the limit of threads or memory, \
          then start again"
     )]
     SpawnThread {
@@ -47,7 +45,8 @@
     },
 }
 
-/// The bound address. Clients that connect before [`AdminServer::serve`] wait in the listener's queue.
+/// A server bound to its address. Clients that connect before [`AdminServer::serve`] wait in the listener's
+/// queue.
 pub struct AdminServer {
     address: SocketAddr,
     listener: TcpListener,
@@ -59,8 +58,8 @@
     /// Binds `address`; with port 0 the operating system chooses one, see [`AdminServer::address`].
     ///
     /// # Errors
-    /// [`AdminServerError::Bind`] if the address is in use or not one of this host, [`AdminServerError::Poll`] if the
-    /// process has no descriptors left.
+    /// [`AdminServerError::Bind`] if the address is in use or not one of this host,
+    /// [`AdminServerError::Poll`] if the process has no descriptors left.
     pub fn bind(address: SocketAddr, limits: AdminLimits) -> Result<AdminServer, AdminServerError> {
         let bind_error = |source| AdminServerError::Bind { address, source };
         let mut listener = TcpListener::bind(address).map_err(bind_error)?;
@@ -74,7 +73,7 @@
         self.address
     }
 
-    /// Serves on a thread of its own, for as long as the process lives.
+    /// Starts to serve on a new thread, for as long as the process lives.
     ///
     /// # Errors
     /// [`AdminServerError::SpawnThread`].
--- a/admin/src/service.rs
+++ b/admin/src/service.rs
@@ -1,6 +1,6 @@
-//! Carries the operators' commands out: it connects the server with what the commands are about, the endpoint list, the
-//! metrics, the clients, and the state that the processes of this router share. What a command means is decided by
-//! [`maintenance::Machine`].
+//! Handles the operators' commands: it connects the admin server with the endpoint list, the metrics, the
+//! client listener, and the state that the processes of this router share. [`maintenance::Machine`] defines
+//! the effect of each command.
 mod coordinator;
 mod dependencies;
 mod shared_folder;
@@ -19,25 +19,26 @@
 
 const SYNC_THREAD_NAME: &str = "maintenance";
 
-/// The command handler of one router.
+/// The command handler of a router.
 pub struct AdminService(Mutex<Coordinator>);
 
 impl AdminService {
-    /// A service that continues where the router's last process ended. It changes nothing in the folder, except that it
-    /// moves a state file that cannot be used aside: this process may yet fail to start.
+    /// Creates a service from the state that the router's previous process stored. It changes nothing in the
+    /// folder, except that it moves an unusable state file aside: this process may still fail to start.
     ///
-    /// `shared_folder` belongs to the processes of this router alone. Without one, maintenance and drain end with this
-    /// process.
+    /// `shared_folder` is used by the processes of this router only. Without one, maintenance and drain end
+    /// with this process.
     pub fn open(dependencies: ServiceDependencies, shared_folder: Option<&Path>) -> AdminService {
         AdminService(Mutex::new(Coordinator::open(dependencies, shared_folder)))
     }
 
-    /// Starts to follow the router's other processes, on a thread of its own. If there are others, this returns once this
-    /// process has reduced its use of what they share and the others have had the time to see it and do the same: a
-    /// process that accepted clients at once would use its part on top of all of theirs.
+    /// Starts a thread that follows the router's other processes. If there are any, this returns once this
+    /// process has reduced its use of the resources that they share, and the others have had time to notice
+    /// it and do the same: a process that accepted clients immediately would use its share in addition to the
+    /// shares of the others.
     ///
     /// # Errors
-    /// If the thread cannot be started.
+    /// The thread cannot be started.
     pub fn start_sync(self: &Arc<Self>) -> io::Result<()> {
         let service = self.clone();
         let (limits, alone) = {
@@ -47,13 +48,13 @@
         };
         let interval = limits.maintenance_poll_interval;
         if !alone {
-            // The others count the processes once an interval: two give them the time to see this one and to reduce
-            // their use.
+            // The others count the processes once per interval: two intervals are enough for them to notice
+            // this process and to reduce their use.
             std::thread::sleep(2 * interval);
         }
         spawn_needed(SYNC_THREAD_NAME, limits.socket_thread_stack_bytes, move || {
             loop {
-                // On an overloaded host the checks become fewer instead of queueing up.
+                // On an overloaded host the checks become less frequent instead of queueing up.
                 std::thread::sleep(interval);
                 let mut coordinator = service.coordinator();
                 coordinator.sync_if_needed();
@@ -62,7 +63,8 @@
         })
     }
 
-    /// Announces that this process is about to end: it accepts no more clients, and no other process may rely on it.
+    /// Announces that this process is shutting down: it accepts no more clients, and no other process may
+    /// rely on it.
     pub fn announce_shutdown(&self) {
         self.coordinator().announce_shutdown();
     }
@@ -77,7 +79,7 @@
         let mut coordinator = self.coordinator();
         let text = command.to_string();
         let event = match command {
-            // These two change nothing, so they are not logged.
+            // These commands change nothing, so they are not logged.
             Command::Status => return coordinator.status(),
             Command::Metrics => return coordinator.metrics(),
             Command::HttpMetrics => return coordinator.http_metrics(),
--- a/admin/src/service/coordinator.rs
+++ b/admin/src/service/coordinator.rs
@@ -1,5 +1,5 @@
-//! Keeps three things in agreement: the state machine, the state that the processes of this router share, and what the
-//! other parts of this process have been notified of.
+//! Synchronises the state machine, the state that the processes of this router share, and the other parts of
+//! this process.
 use super::dependencies::ServiceDependencies;
 use super::shared_folder::{SharedFolder, StoredState};
 use crate::response::Response;
@@ -14,32 +14,32 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// A command that is in effect in this process and may not be stored yet.
+/// A command that has taken effect in this process but may not be stored yet.
 struct PendingCommand {
     received: Time,
     event: Event,
 }
 
-/// What the other parts of this process were notified of last.
+/// The last values that the other parts of this process were notified of.
 #[derive(Default)]
 struct Notified {
     mask: MaintenanceMask,
     draining: bool,
 }
 
-/// What came of one synchronisation.
+/// The result of one synchronisation.
 struct SyncResult {
     /// The response to the last pending command, if there is one.
     response: Option<Result<(), MaintenanceError>>,
-    /// Whether the state is stored.
+    /// `Ok` if the state is stored.
     stored: Result<(), SharedFolderError>,
 }
 
-/// The service's state; see the module.
+/// The state of the service; see the module documentation.
 pub(super) struct Coordinator {
     dependencies: ServiceDependencies,
     shared: Option<SharedFolder>,
-    /// The machine with the stored state.
+    /// The state machine as of the stored state, without pending commands.
     stored_machine: Machine,
     pending: Vec<PendingCommand>,
     notified: Notified,
@@ -47,7 +47,8 @@
 }
 
 impl Coordinator {
-    /// Continues from the stored state and applies it to the endpoint list and the clients.
+    /// Creates a coordinator from the stored state and applies that state to the endpoint list and the
+    /// clients.
     pub(super) fn open(dependencies: ServiceDependencies, shared_folder: Option<&Path>) -> Coordinator {
         let limits = &dependencies.limits;
         let settings = maintenance::Settings {
@@ -64,7 +65,8 @@
             notified: Notified::default(),
             others: OtherProcesses::default(),
         };
-        // Before any endpoint list: an instance in maintenance is so from its first listing on.
+        // Notify before any endpoint list is received: an instance in maintenance must be masked from its
+        // first listing on.
         let machine = coordinator.stored_machine.clone();
         coordinator.notify(&machine);
         coordinator
@@ -79,7 +81,7 @@
         self.others.alive == 0
     }
 
-    /// The response to `STATUS`.
+    /// Returns the response to `STATUS`.
     pub(super) fn status(&self) -> Response {
         if !self.dependencies.accepting.load(Ordering::Acquire) {
             return Response::Rejected(
@@ -91,21 +93,21 @@
         Response::Done(format!("{router}, {in_maintenance} instances held by hand"))
     }
 
-    /// The response to `METRICS`.
+    /// Returns the response to `METRICS`.
     pub(super) fn metrics(&self) -> Response {
         Response::Metrics(self.dependencies.metrics.render_text())
     }
 
-    /// The response to `GET /metrics`.
+    /// Returns the response to `GET /metrics`.
     pub(super) fn http_metrics(&self) -> Response {
         match self.dependencies.metrics.render_prometheus() {
             Ok(text) => Response::Http(text),
-            Err(error) => Response::Rejected(format!("the metrics can't be encoded: {error}")),
+            Err(error) => Response::Rejected(format!("the metrics cannot be encoded: {error}")),
         }
     }
 
-    /// Runs a command that may change the state. If it cannot be stored, it is in effect here all the same, and storing
-    /// it is retried.
+    /// Runs a command that may change the state. If the change cannot be stored, it still takes effect in
+    /// this process, and the write is retried.
     pub(super) fn run_command(&mut self, event: Event) -> Response {
         self.update_endpoints();
         self.pending.push(PendingCommand { received: self.dependencies.clock.now(), event });
@@ -135,7 +137,8 @@
         }
     }
 
-    /// Counts the router's other processes, and notifies the core and the client listener if their number has changed.
+    /// Counts the router's other processes, and notifies the routing core and the client listener if their
+    /// number has changed.
     pub(super) fn update_process_count(&mut self) {
         let Some(shared) = &mut self.shared else { return };
         if self.dependencies.accepting.load(Ordering::Acquire) {
@@ -153,11 +156,11 @@
         self.others = others;
         let processes = others.alive + 1;
         (self.dependencies.set_process_count)(u32::try_from(processes).unwrap_or(u32::MAX));
-        let order = ServerCommand::SetProcessCount { processes, successor: others.ready > 0 };
-        _ = self.dependencies.client_orders.send(order);
+        let command = ServerCommand::SetProcessCount { processes, successor: others.ready > 0 };
+        _ = self.dependencies.client_orders.send(command);
     }
 
-    /// Marks this process as one that accepts no more clients.
+    /// Marks this process as no longer accepting clients.
     pub(super) fn announce_shutdown(&mut self) {
         if let Some(shared) = &mut self.shared {
             shared.mark_shutting_down();
@@ -168,12 +171,12 @@
         let ids = self.dependencies.endpoints.ids();
         let changes = ids.into_iter().map(|id| EndpointChange { id, listed: true }).collect();
         let event = Event::EndpointsUpdated { complete: true, changes };
-        // No response is due, and masks are reported by `notify`.
+        // The event has no response, and masks are reported by `notify`.
         self.stored_machine.handle(self.dependencies.clock.now(), event, &mut Vec::new());
     }
 
-    /// Applies the pending commands on top of the stored state, stores the result, and reports changes to the other
-    /// parts of this process.
+    /// Applies the pending commands on top of the stored state, stores the result, and reports changes to the
+    /// other parts of this process.
     fn sync(&mut self) -> SyncResult {
         let now = self.dependencies.clock.now();
         let (mut next, mut actions) = (self.stored_machine.clone(), Vec::new());
@@ -200,15 +203,15 @@
         SyncResult { response: last_response(actions), stored }
     }
 
-    /// Applies mask and drain to the endpoint list and the clients where they have changed.
+    /// Applies the mask to the endpoint list and the drain state to the clients, where they have changed.
     fn notify(&mut self, machine: &Machine) {
         let (mask, draining) = (machine.mask(), machine.draining());
         if mask != self.notified.mask {
-            let shown = routing::MaintenanceMask {
+            let applied_mask = routing::MaintenanceMask {
                 in_maintenance: mask.in_maintenance.clone(),
                 restored_at: mask.restored_at.clone(),
             };
-            _ = self.dependencies.endpoints.set_maintenance(shown);
+            _ = self.dependencies.endpoints.set_maintenance(applied_mask);
         }
         if draining != self.notified.draining {
             (self.dependencies.set_draining)(draining);
--- a/admin/src/service/shared_folder.rs
+++ b/admin/src/service/shared_folder.rs
@@ -2,10 +2,10 @@
 use maintenance::{ProcessPresence, SharedFolderError, State, StateFile};
 use std::path::Path;
 
-/// What a process begins with.
+/// The initial state of a process.
 pub(super) struct StoredState {
     pub(super) state: State,
-    /// `None` if the state ends with this process.
+    /// The shared folder; `None` if the state is lost when this process ends.
     pub(super) shared: Option<SharedFolder>,
 }
 
@@ -13,16 +13,17 @@
 pub(super) struct SharedFolder {
     pub(super) state_file: StateFile,
     pub(super) presence: ProcessPresence,
-    /// Whether this process has marked itself as ready, or as shutting down, after which it never becomes ready.
+    /// Whether this process has marked itself as ready, or as shutting down, after which it never becomes
+    /// ready.
     marked: bool,
 }
 
 impl SharedFolder {
-    /// Reads the stored state and registers this process. Problems are logged: the state then begins empty, or ends with
-    /// this process.
+    /// Reads the stored state and registers this process. Errors are logged: the state is then initially
+    /// empty, or lost when this process ends.
     pub(super) fn open(folder: Option<&Path>) -> StoredState {
         let Some(folder) = folder else {
-            tracing::warn!("maintenance state not shared, it ends with this process; set $TMPDIR");
+            tracing::warn!("maintenance state not shared, it is lost when this process ends; set $TMPDIR");
             return StoredState { state: State::default(), shared: None };
         };
         let state_file = match StateFile::open(folder) {
@@ -37,7 +38,7 @@
         StoredState { state, shared }
     }
 
-    /// Marks this process as one that accepts clients, unless it has been marked before.
+    /// Marks this process as accepting clients, unless it was marked before.
     pub(super) fn mark_ready_once(&mut self) {
         if self.marked {
             return;
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Marks this process as one that accepts no more clients.
+    /// Marks this process as no longer accepting clients.
     pub(super) fn mark_shutting_down(&mut self) {
         self.marked = true;
         if let Err(error) = self.presence.mark_not_ready() {
@@ -58,7 +59,7 @@
 }
 
 fn not_shared(error: &SharedFolderError) -> Option<SharedFolder> {
-    tracing::error!(%error, "maintenance state not shared, it ends with this process");
+    tracing::error!(%error, "maintenance state not shared, it is lost when this process ends");
     None
 }
 
@@ -66,7 +67,7 @@
     match file.lock().and_then(|mut locked| locked.read()) {
         Ok(state) => state.unwrap_or_default(),
         Err(error) => {
-            tracing::error!(%error, "maintenance state not read, starting with none");
+            tracing::error!(%error, "maintenance state not read, starting with an empty one");
             State::default()
         }
     }
--- a/admin/tests/commands.rs
+++ b/admin/tests/commands.rs
@@ -1,10 +1,10 @@
-//! The parser of commands, on random lines.
+//! Property tests of the command parser with random lines.
 use admin::{Command, ParseError};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 proptest! {
-    // The same lines in every run.
+    // The fixed seed gives the same lines in every run.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
@@ -17,13 +17,13 @@
     }
 
     #[test]
-    fn displayed_command_parses_to_itself(
+    fn displayed_command_parses_to_the_same_command(
         id in "[!-~]{1,256}",
-        which in 0..6,
-        lower: bool,
+        variant in 0..6,
+        lowercase: bool,
         line_end in prop::sample::select(vec!["", "\n", "\r\n"])
     ) {
-        let command = match which {
+        let command = match variant {
             0 => Command::Status,
             1 => Command::Metrics,
             2 => Command::Suspend(id.clone()),
@@ -32,7 +32,7 @@
             _ => Command::Resume,
         };
         let mut line = command.to_string();
-        if lower && which != 2 && which != 3 {
+        if lowercase && variant != 2 && variant != 3 {
             line.make_ascii_lowercase();
         }
         prop_assert_eq!(Command::parse(format!("{line}{line_end}").as_bytes()), Ok(command));
--- a/admin/tests/common/mod.rs
+++ b/admin/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A server with a handler that stands in for the router, and clients on real sockets.
+//! Test server with an echo handler in place of the router, and clients on real sockets.
 #![allow(dead_code, reason = "each test file uses a part of these helpers")]
 pub(crate) mod router;
 
@@ -11,18 +11,20 @@
 
 pub(crate) const FIXTURES: Fixtures = testkit::fixtures!();
 
-/// No read waits for longer: a test that would hang fails.
+/// Timeout of every read, so that a test that would hang fails instead.
 pub(crate) const READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// Longer than any read here waits: a close by timeout can't pass for another.
-pub(crate) const LONG: Duration = Duration::from_mins(1);
-/// Any command must be answered within this time.
-pub(crate) const RESPONSE_DUE: Duration = Duration::from_secs(1);
+/// Longer than any read timeout here, so that a close by the server's timeout cannot be mistaken for another
+/// close.
+pub(crate) const LONG_TIMEOUT: Duration = Duration::from_mins(1);
+/// Maximum time to the response of any command.
+pub(crate) const MAX_RESPONSE_TIME: Duration = Duration::from_secs(1);
 pub(crate) const METRIC_LINE: &str = "requests_total 7\n";
 
-/// `SUSPEND hold` waits here twice: once to report that it occupies the server's thread, once to be released.
-pub(crate) static HOLD: Barrier = Barrier::new(2);
+/// The handler of `SUSPEND hold` waits here twice: first to report that it blocks the server's thread, then
+/// to be released.
+pub(crate) static HANDLER_BARRIER: Barrier = Barrier::new(2);
 
-/// Answers with the command itself.
+/// Handler that responds with the command itself.
 pub(crate) struct EchoHandler {
     pub(crate) metric_lines: usize,
 }
@@ -36,8 +38,8 @@
             }
             Command::Suspend(id) if id == "broken" => panic!("a handler that fails"),
             Command::Suspend(id) if id == "hold" => {
-                HOLD.wait();
-                HOLD.wait();
+                HANDLER_BARRIER.wait();
+                HANDLER_BARRIER.wait();
                 Response::Done("let go".into())
             }
             command => Response::Done(command.to_string()),
@@ -62,7 +64,7 @@
     address
 }
 
-/// Connects and sends.
+/// Connects and sends `bytes`.
 pub(crate) fn connect(address: SocketAddr, bytes: &[u8]) -> TcpStream {
     let mut socket = TcpStream::connect(address).unwrap();
     socket.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
@@ -70,20 +72,20 @@
     socket
 }
 
-/// Everything received until the server closes; a reset is an error.
+/// Reads everything until the server closes the connection; panics on a reset.
 pub(crate) fn read_to_close(mut socket: &TcpStream) -> String {
     let mut all = String::new();
     socket.read_to_string(&mut all).unwrap();
     all
 }
 
-/// Sends a line and gives the response.
-pub(crate) fn ask(address: SocketAddr, line: &[u8]) -> String {
+/// Sends a line and returns the response.
+pub(crate) fn send_and_read(address: SocketAddr, line: &[u8]) -> String {
     read_to_close(&connect(address, line))
 }
 
-/// The same with a half-close in place of the line end.
-pub(crate) fn ask_with_half_close(address: SocketAddr, line: &[u8]) -> String {
+/// Sends a line without its line end, closes the sending side, and returns the response.
+pub(crate) fn send_with_half_close_and_read(address: SocketAddr, line: &[u8]) -> String {
     let socket = connect(address, line);
     socket.shutdown(Shutdown::Write).unwrap();
     read_to_close(&socket)
--- a/admin/tests/common/router.rs
+++ b/admin/tests/common/router.rs
@@ -1,6 +1,6 @@
-//! A router without instances around the real service: its endpoint list's actor runs, and what the service makes the
-//! other parts do is recorded.
-use super::{LONG, serve_handler};
+//! A test router with the real admin service and endpoint list but no instances; it records the effects that
+//! the service has on the other parts.
+use super::{LONG_TIMEOUT, serve_handler};
 use admin::{AdminService, ServiceDependencies};
 use client_listener::ServerCommand;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
@@ -12,20 +12,20 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use testkit::routing::{NoProtocol, endpoint, start_endpoints};
 
-/// What a command made the router do.
+/// An effect of a command on the other parts of the router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Effect {
-    /// The front was set to answer as draining, or no longer.
+    /// Readiness probes were set to draining (`true`) or not draining.
     Drain(bool),
-    /// The clients were ordered to drain, or no longer.
-    DrainOrder(bool),
-    /// The clients were notified how many processes this router has.
+    /// The client listener was told to drain (`true`) or to stop draining.
+    DrainCommand(bool),
+    /// The client listener was notified of the number of processes of this router.
     Processes { count: usize, successor: bool },
-    /// The core was notified of the same.
+    /// The routing core was notified of the number of processes of this router.
     CoreProcesses(u32),
-    /// The core was shown this endpoint in another state.
+    /// The routing core received a new state of this endpoint.
     Endpoint { id: String, draining: bool },
-    /// The core was notified which groups have all their endpoints in maintenance.
+    /// The routing core was notified of the groups whose endpoints are all in maintenance.
     ClosedGroups(Vec<u32>),
 }
 
@@ -35,21 +35,21 @@
     endpoints: EndpointsHandle,
     accepting: Arc<AtomicBool>,
     core: Receiver<RouterMessage<NoProtocol>>,
-    orders: Receiver<ServerCommand>,
+    client_commands: Receiver<ServerCommand>,
     callbacks: Receiver<Effect>,
 }
 
-/// Nothing connects to the listed endpoints.
+/// Port of the listed endpoints, to which nothing connects.
 const UNUSED_PORT: u16 = 9;
 
 fn limits() -> Limits {
-    let mut limits = testkit::routing::limits(LONG);
+    let mut limits = testkit::routing::limits(LONG_TIMEOUT);
     limits.max_maintenance_entries = 2;
     limits
 }
 
 impl TestRouter {
-    /// A router whose processes share an empty folder of this name.
+    /// Starts a router whose processes share a new folder with this name.
     pub(crate) fn start(name: &str) -> TestRouter {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
         _ = std::fs::remove_dir_all(&folder);
@@ -57,13 +57,13 @@
         TestRouter::start_in(folder)
     }
 
-    /// A router whose processes share this folder.
+    /// Starts a router whose processes share this folder.
     pub(crate) fn start_in(folder: PathBuf) -> TestRouter {
         let limits = limits();
         let metrics = Metrics::new(&["order".to_string()]).unwrap();
         let (to_core, core) = unbounded();
         let endpoints = start_endpoints(&limits, to_core, Some(metrics.clone()));
-        let (to_clients, orders) = bounded(64);
+        let (to_clients, client_commands) = bounded(64);
         let (to_callbacks, callbacks): (Sender<Effect>, _) = unbounded();
         let accepting = Arc::new(AtomicBool::new(false));
         let drain_callbacks = to_callbacks.clone();
@@ -78,37 +78,37 @@
             limits: Arc::new(limits),
         };
         let service = Arc::new(AdminService::open(dependencies, Some(&folder)));
-        TestRouter { service, folder, endpoints, accepting, core, orders, callbacks }
+        TestRouter { service, folder, endpoints, accepting, core, client_commands, callbacks }
     }
 
-    /// The folder that this router's processes share.
+    /// Returns the folder that this router's processes share.
     pub(crate) fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Serves the operators' address.
+    /// Serves the admin address.
     pub(crate) fn serve(&self) -> SocketAddr {
-        serve_handler(8, LONG, self.service.clone())
+        serve_handler(8, LONG_TIMEOUT, self.service.clone())
     }
 
     pub(crate) fn accept_clients(&self) {
         self.accepting.store(true, Ordering::Release);
     }
 
-    /// Replaces the endpoint list; it binds when this returns.
+    /// Replaces the endpoint list; the list is applied when this returns.
     pub(crate) fn list_endpoints(&self, ids: &[&str]) {
         let endpoints = ids.iter().map(|id| endpoint(id, UNUSED_PORT, GroupId(1))).collect();
         self.endpoints.notify(EndpointUpdate { version: 1, complete: true, endpoints });
-        assert!(self.endpoints.wait_until_applied(LONG));
+        assert!(self.endpoints.wait_until_applied(LONG_TIMEOUT));
         _ = self.core.try_iter().count();
     }
 
-    /// What the service has done since this was last asked, each kind in its order.
+    /// Returns the effects since the last call; effects of the same kind are in order.
     pub(crate) fn effects(&self) -> Vec<Effect> {
-        assert!(self.endpoints.wait_until_applied(LONG));
+        assert!(self.endpoints.wait_until_applied(LONG_TIMEOUT));
         let mut effects: Vec<Effect> = self.callbacks.try_iter().collect();
-        effects.extend(self.orders.try_iter().filter_map(|order| match order {
-            ServerCommand::SetDraining(draining) => Some(Effect::DrainOrder(draining)),
+        effects.extend(self.client_commands.try_iter().filter_map(|command| match command {
+            ServerCommand::SetDraining(draining) => Some(Effect::DrainCommand(draining)),
             ServerCommand::SetProcessCount { processes, successor } => {
                 Some(Effect::Processes { count: processes, successor })
             }
--- a/admin/tests/descriptor_exhaustion.rs
+++ b/admin/tests/descriptor_exhaustion.rs
@@ -1,4 +1,4 @@
-//! In a process of its own: it uses up the descriptors of the process.
+//! Runs in its own process, as it uses up all file descriptors of the process.
 mod common;
 
 use common::{READ_TIMEOUT, read_to_close, serve};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 #[test]
-fn connections_made_without_free_descriptors_are_answered_once_there_are_some() {
+fn connections_made_without_free_descriptors_get_a_response_once_some_are_free() {
     let (_, hard) = rlimit::Resource::NOFILE.get().unwrap();
     rlimit::Resource::NOFILE.set(64, hard).unwrap();
     let address = serve(8, Duration::from_secs(15), 1);
@@ -25,10 +25,10 @@
         client
     });
     let mut clients: Vec<_> = connected.collect();
-    // An accept in progress occupies a descriptor for a moment, so that one may be free; never four.
+    // An accept in progress briefly occupies a descriptor, so one may be free, but never four.
     let last = clients.last_mut().unwrap();
     last.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
-    assert!(last.read(&mut [0]).is_err(), "no descriptor, no answer");
+    assert!(last.read(&mut [0]).is_err(), "a response without a free descriptor");
     files.clear();
     for client in &clients {
         client.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
--- a/admin/tests/exchanges.rs
+++ b/admin/tests/exchanges.rs
@@ -1,14 +1,14 @@
-//! Every verb and answer of the operators' address, byte for byte, and what each command makes the router do. The
-//! fixture was written by the program before its names were revised; it must never change.
+//! Regression test: each command at the admin address, the bytes of its response, and its effects on the
+//! router, compared with a recorded transcript. The fixture must never change.
 mod common;
 
 use common::router::{Effect, TestRouter};
-use common::{FIXTURES, ask};
+use common::{FIXTURES, send_and_read};
 use std::fmt::Write;
 use std::fs::File;
 use std::net::SocketAddr;
 
-/// A session at the operators' address, written down as it goes.
+/// Transcript of commands sent to the admin address.
 struct Transcript {
     router: TestRouter,
     address: SocketAddr,
@@ -16,20 +16,20 @@
 }
 
 impl Transcript {
-    fn note(&mut self, what: &str) {
+    fn push_heading(&mut self, what: &str) {
         writeln!(self.text, "# {what}").unwrap();
     }
 
-    /// Sends one line; the answer and its effects go into the text.
+    /// Sends one line and appends the response and its effects to the transcript.
     fn send(&mut self, line: &[u8]) {
-        let answer = ask(self.address, line);
-        let answer = answer.replace(&self.router.folder().display().to_string(), "FOLDER");
+        let response = send_and_read(self.address, line);
+        let response = response.replace(&self.router.folder().display().to_string(), "FOLDER");
         writeln!(self.text, "> {}", line.escape_ascii()).unwrap();
-        writeln!(self.text, "< {}", answer.escape_debug()).unwrap();
+        writeln!(self.text, "< {}", response.escape_debug()).unwrap();
         for effect in self.router.effects() {
             let text = match effect {
                 Effect::Drain(draining) => format!("front drains: {draining}"),
-                Effect::DrainOrder(draining) => format!("order to clients, drain: {draining}"),
+                Effect::DrainCommand(draining) => format!("order to clients, drain: {draining}"),
                 Effect::Processes { count, successor } => {
                     format!("processes: {count}, successor: {successor}")
                 }
@@ -42,16 +42,16 @@
     }
 }
 
-fn send_valid_commands(t: &mut Transcript) {
-    t.note("before the router takes clients");
-    t.send(b"STATUS\n");
-    t.router.accept_clients();
-    t.note("no endpoint listed yet");
-    t.send(b"STATUS\n");
-    t.send(b"METRICS\n");
-    t.send(b"SUSPEND db-1\n");
-    t.router.list_endpoints(&["db-1", "db-2", "db-3"]);
-    t.note("db-1, db-2, db-3 listed; at most two in maintenance");
+fn send_valid_commands(transcript: &mut Transcript) {
+    transcript.push_heading("before the router takes clients");
+    transcript.send(b"STATUS\n");
+    transcript.router.accept_clients();
+    transcript.push_heading("no endpoint listed yet");
+    transcript.send(b"STATUS\n");
+    transcript.send(b"METRICS\n");
+    transcript.send(b"SUSPEND db-1\n");
+    transcript.router.list_endpoints(&["db-1", "db-2", "db-3"]);
+    transcript.push_heading("db-1, db-2, db-3 listed; at most two in maintenance");
     for line in [
         "METRICS",
         "SUSPEND db-9",
@@ -76,16 +76,16 @@
         "RESTORE db-2",
         "STATUS",
     ] {
-        t.send(format!("{line}\n").as_bytes());
+        transcript.send(format!("{line}\n").as_bytes());
     }
-    t.note("spelling");
+    transcript.push_heading("spelling");
     for line in ["status\r\n", "  suspend \t db-3  \n", "Restore db-3\n", "pause\nSTATUS\n", "ReSuMe\n"] {
-        t.send(line.as_bytes());
+        transcript.send(line.as_bytes());
     }
 }
 
-fn send_invalid_lines(t: &mut Transcript) {
-    t.note("lines that are no command");
+fn send_invalid_lines(transcript: &mut Transcript) {
+    transcript.push_heading("lines that are no command");
     let long_id = format!("SUSPEND {}\n", "x".repeat(257));
     let long_line = format!("STATUS{}\n", " ".repeat(300));
     let long_verb = format!("{}\n", "v".repeat(40));
@@ -107,38 +107,38 @@
         &long_id,
         &long_line,
     ] {
-        t.send(line.as_bytes());
+        transcript.send(line.as_bytes());
     }
 }
 
-/// Commands while the files in the shared folder cannot be used.
-fn send_with_state_file_faults(t: &mut Transcript) {
-    t.note("the lock is held by another process");
-    let lock = File::open(t.router.folder().join("damsonvale-holds.lock")).unwrap();
+/// Sends commands while the files in the shared folder are unusable.
+fn send_with_state_file_faults(transcript: &mut Transcript) {
+    transcript.push_heading("the lock is held by another process");
+    let lock = File::open(transcript.router.folder().join("damsonvale-holds.lock")).unwrap();
     lock.lock().unwrap();
-    t.send(b"SUSPEND db-1\n");
-    t.send(b"SUSPEND db-9\n");
-    t.send(b"STATUS\n");
+    transcript.send(b"SUSPEND db-1\n");
+    transcript.send(b"SUSPEND db-9\n");
+    transcript.send(b"STATUS\n");
     drop(lock);
-    t.note("the lock is free again");
-    t.send(b"PAUSE\n");
-    t.note("the state file is damaged");
-    std::fs::write(t.router.folder().join("damsonvale-holds"), b"another program's").unwrap();
-    t.send(b"RESUME\n");
-    t.note("the state file was replaced by another version's");
-    std::fs::write(t.router.folder().join("damsonvale-holds"), b"dvholds\n\x02\0\0\0").unwrap();
-    t.send(b"RESUME\n");
-    t.send(b"RESTORE db-1\n");
-    t.send(b"STATUS\n");
+    transcript.push_heading("the lock is free again");
+    transcript.send(b"PAUSE\n");
+    transcript.push_heading("the state file is damaged");
+    std::fs::write(transcript.router.folder().join("damsonvale-holds"), b"another program's").unwrap();
+    transcript.send(b"RESUME\n");
+    transcript.push_heading("the state file was replaced by another version's");
+    std::fs::write(transcript.router.folder().join("damsonvale-holds"), b"dvholds\n\x02\0\0\0").unwrap();
+    transcript.send(b"RESUME\n");
+    transcript.send(b"RESTORE db-1\n");
+    transcript.send(b"STATUS\n");
 }
 
 #[test]
-fn admin_address_answers_keep_their_bytes() {
+fn responses_of_the_admin_address_are_unchanged() {
     let router = TestRouter::start("exchanges");
     let address = router.serve();
-    let mut t = Transcript { router, address, text: String::new() };
-    send_valid_commands(&mut t);
-    send_invalid_lines(&mut t);
-    send_with_state_file_faults(&mut t);
-    FIXTURES.assert_same("exchanges.txt", t.text);
+    let mut transcript = Transcript { router, address, text: String::new() };
+    send_valid_commands(&mut transcript);
+    send_invalid_lines(&mut transcript);
+    send_with_state_file_faults(&mut transcript);
+    FIXTURES.assert_same("exchanges.txt", transcript.text);
 }
--- a/admin/tests/service.rs
+++ b/admin/tests/service.rs
@@ -1,4 +1,5 @@
-//! The router's service: what it reports to the other parts of the process, and how processes see each other.
+//! Tests of the router's admin service: its notifications to the other parts of the process, and how
+//! processes detect each other.
 mod common;
 
 use admin::{AdminHandler, Command, Response};
@@ -24,14 +25,14 @@
 }
 
 #[test]
-fn command_of_one_process_takes_effect_in_the_other() {
+fn command_to_one_process_takes_effect_in_the_other() {
     let first = TestRouter::start("two_processes");
     let second = TestRouter::start_in(first.folder().to_path_buf());
     second.service.start_sync().unwrap();
     assert_eq!(first.service.handle(Command::Pause), Response::Done("done".into()));
     let deadline = Instant::now() + common::READ_TIMEOUT;
     let mut effects = Vec::new();
-    while !effects.contains(&Effect::DrainOrder(true)) {
+    while !effects.contains(&Effect::DrainCommand(true)) {
         assert!(Instant::now() < deadline, "{effects:?}");
         effects.extend(second.effects());
     }
@@ -43,5 +44,5 @@
     let first = TestRouter::start("starts_draining");
     assert_eq!(first.service.handle(Command::Pause), Response::Done("done".into()));
     let second = TestRouter::start_in(first.folder().to_path_buf());
-    assert_eq!(second.effects(), [Effect::Drain(true), Effect::DrainOrder(true)]);
+    assert_eq!(second.effects(), [Effect::Drain(true), Effect::DrainCommand(true)]);
 }
