--- a/admin/src/service/coordinator.rs
+++ b/admin/src/service/coordinator.rs
@@ -157,7 +157,7 @@
         let processes = others.alive + 1;
         (self.dependencies.set_process_count)(u32::try_from(processes).unwrap_or(u32::MAX));
         let command = ServerCommand::SetProcessCount { processes, successor: others.ready > 0 };
-        _ = self.dependencies.client_orders.send(command);
+        _ = self.dependencies.client_commands.send(command);
     }
 
     /// Marks this process as no longer accepting clients.
@@ -215,7 +215,7 @@
         }
         if draining != self.notified.draining {
             (self.dependencies.set_draining)(draining);
-            _ = self.dependencies.client_orders.send(ServerCommand::SetDraining(draining));
+            _ = self.dependencies.client_commands.send(ServerCommand::SetDraining(draining));
         }
         self.notified = Notified { mask, draining };
     }
--- a/admin/src/service/dependencies.rs
+++ b/admin/src/service/dependencies.rs
@@ -13,7 +13,7 @@
     /// The endpoint list, which shows instances in maintenance as draining.
     pub endpoints: EndpointsHandle,
     /// Sends commands to the client listener: to drain, and how many processes of this router there are.
-    pub client_orders: Sender<ServerCommand>,
+    pub client_commands: Sender<ServerCommand>,
     /// Sets whether the client listener responds to readiness probes as draining (`true`). It must take
     /// effect before the response to `PAUSE`.
     pub set_draining: Box<dyn Fn(bool) + Send>,
--- a/admin/tests/common/router.rs
+++ b/admin/tests/common/router.rs
@@ -70,7 +70,7 @@
         let dependencies = ServiceDependencies {
             metrics,
             endpoints: endpoints.clone(),
-            client_orders: to_clients,
+            client_commands: to_clients,
             set_draining: Box::new(move |draining| _ = drain_callbacks.send(Effect::Drain(draining))),
             accepting: accepting.clone(),
             set_process_count: Box::new(move |count| _ = to_callbacks.send(Effect::CoreProcesses(count))),
--- a/audit/examples/stragglers/simulation.rs
+++ b/audit/examples/stragglers/simulation.rs
@@ -1,7 +1,8 @@
 //! A fleet in simulated time: a leader with its tracker, and routers of which some straggle.
 use crate::{MS, Summary};
 use audit::{
-    Action, Directive, EntryKind, Event, LeaderAnswer, Settings, VersionFence, VersionReport, VersionTracker,
+    Action, Directive, EntryKind, Event, LeaderResponse, Settings, VersionFence, VersionReport,
+    VersionTracker,
 };
 use decision::{Micros, Time};
 use settings::fleet::{AuditConfig, Version};
@@ -185,7 +186,7 @@
                 Action::LogEntry(entry) if entry.kind == EntryKind::Silent => {
                     self.routers[entry.router.parse::<usize>().unwrap()].known_fenced_at = Some(now);
                 }
-                Action::LogEntry(_) | Action::Reply { .. } => {}
+                Action::LogEntry(_) | Action::Respond { .. } => {}
             }
         }
         for seq in written {
@@ -255,8 +256,8 @@
         let router = &mut self.routers[i];
         let clock = router.clock(response_received_at);
         let current_version = self.current;
-        let response = LeaderAnswer { report_sent_at, reported_version, current_version, directive };
-        router.fence.answer_received(clock, &response);
+        let response = LeaderResponse { report_sent_at, reported_version, current_version, directive };
+        router.fence.response_received(clock, &response);
         response_received_at
     }
 
@@ -272,7 +273,7 @@
         let mut response = Directive::AuditDisabled;
         for action in self.actions.drain(..) {
             match action {
-                Action::Reply { directive, .. } => response = directive,
+                Action::Respond { directive, .. } => response = directive,
                 Action::LogEntry(entry) if entry.kind == EntryKind::FencedOut => {
                     self.routers[i].known_fenced_at = Some(now);
                 }
--- a/audit/src/fence.rs
+++ b/audit/src/fence.rs
@@ -45,7 +45,7 @@
 
 /// A leader's response to a report, with the time and version of that report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LeaderAnswer {
+pub struct LeaderResponse {
     /// When the report was sent, on the router's clock.
     pub report_sent_at: Time,
     /// Version that the report named.
@@ -134,9 +134,9 @@
 
     /// Applies the leader's response to a report. Returns whether the router's fence changed: it was set,
     /// lifted, or set for another reason.
-    pub fn answer_received(&mut self, now: Time, answer: &LeaderAnswer) -> bool {
+    pub fn response_received(&mut self, now: Time, response: &LeaderResponse) -> bool {
         let before = self.fenced;
-        match answer.directive {
+        match response.directive {
             // A response with an older epoch was sent before the leader fenced this router out.
             Directive::Continue { epoch } | Directive::Refetch { epoch } | Directive::FenceOut { epoch }
                 if epoch < self.epoch =>
@@ -147,12 +147,12 @@
             Directive::Refetch { epoch } => self.epoch = epoch,
             Directive::Continue { epoch } => {
                 self.epoch = epoch;
-                self.renew_lease(now, answer);
+                self.renew_lease(now, response);
             }
             Directive::AuditDisabled => {
                 // Without an audit only the lease applies; a fence that an auditing leader set stays.
                 if self.fenced.is_none_or(|fenced| fenced.reason == FenceReason::LeaseExpired) {
-                    self.renew_lease(now, answer);
+                    self.renew_lease(now, response);
                 }
             }
         }
@@ -168,10 +168,10 @@
     }
 
     /// Renews the lease and lifts the fence, if the response confirms the version that the router holds.
-    fn renew_lease(&mut self, now: Time, answer: &LeaderAnswer) {
-        let expires_at = Time(answer.report_sent_at.0.saturating_add(self.lease));
+    fn renew_lease(&mut self, now: Time, response: &LeaderResponse) {
+        let expires_at = Time(response.report_sent_at.0.saturating_add(self.lease));
         let confirmed =
-            answer.reported_version == answer.current_version && self.version == answer.current_version;
+            response.reported_version == response.current_version && self.version == response.current_version;
         if !confirmed || now >= expires_at {
             return;
         }
--- a/audit/src/lib.rs
+++ b/audit/src/lib.rs
@@ -22,6 +22,6 @@
 
 pub use self::settings::Settings;
 pub use exchange::{Directive, VersionReport};
-pub use fence::{FenceReason, Fenced, LeaderAnswer, VersionFence};
+pub use fence::{FenceReason, Fenced, LeaderResponse, VersionFence};
 pub use record::{Batch, Entry, EntryKind, MAX_BATCH_BYTES, RING_SLOTS, slot_key};
 pub use tracker::{Action, Event, VersionTracker};
--- a/audit/src/tracker.rs
+++ b/audit/src/tracker.rs
@@ -59,7 +59,7 @@
             Event::ReportReceived { router, incarnation, version, report, leaving } => {
                 let report = ReceivedReport { incarnation, version, details: report, leaving };
                 let directive = self.report_received(now, &router, &report, actions);
-                actions.push(Action::Reply { router, directive });
+                actions.push(Action::Respond { router, directive });
             }
             Event::WriteCompleted { seq, committed } => {
                 self.recorder.writer.write_completed(seq, committed, self.settings.ring_slots);
--- a/audit/src/tracker/event.rs
+++ b/audit/src/tracker/event.rs
@@ -48,7 +48,7 @@
 pub enum Action {
     /// Include this directive in the response to the report; there is one for each [`Event::ReportReceived`].
     /// Grants of a router that is fenced out must not be renewed.
-    Reply {
+    Respond {
         /// Name of the router.
         router: String,
         /// The directive for the router.
--- a/audit/tests/audit/harness.rs
+++ b/audit/tests/audit/harness.rs
@@ -35,7 +35,7 @@
         let mut response = Directive::AuditDisabled;
         for action in actions {
             match action {
-                Action::Reply { directive, .. } => response = directive,
+                Action::Respond { directive, .. } => response = directive,
                 Action::LogEntry(entry) => self.entries.push(entry),
                 Action::WriteBatch(batch) => self.writes.push(batch),
             }
--- a/audit/tests/audit/random.rs
+++ b/audit/tests/audit/random.rs
@@ -1,7 +1,7 @@
 //! Tests fences and tracker with random reports, version changes and lost responses: no router routes
 //! requests while it is recorded as silent.
 use crate::harness::{FIRST_VERSION, MS, TrackerHarness};
-use audit::{EntryKind, LeaderAnswer, VersionFence};
+use audit::{EntryKind, LeaderResponse, VersionFence};
 use decision::{Micros, Time};
 use settings::fleet::Version;
 use testkit::random::{Random, XorShift64};
@@ -69,8 +69,8 @@
         let now = Time(self.now_ms * MS);
         let router = &mut self.routers[i];
         let current_version = self.current;
-        let response = LeaderAnswer { report_sent_at, reported_version, current_version, directive };
-        router.fence.answer_received(now, &response);
+        let response = LeaderResponse { report_sent_at, reported_version, current_version, directive };
+        router.fence.response_received(now, &response);
         if router.version != current_version && self.random.below(2) == 0 {
             router.version = current_version;
             router.fence.version_applied(now, current_version);
--- a/audit/tests/audit/recorded_run.rs
+++ b/audit/tests/audit/recorded_run.rs
@@ -2,7 +2,7 @@
 //! output is compared with recorded output. One run is recorded in readable form, many longer ones as hashes.
 use crate::encoding::to_json;
 use audit::{
-    Action, Batch, Directive, Event, FenceReason, LeaderAnswer, RING_SLOTS, Settings, VersionFence,
+    Action, Batch, Directive, Event, FenceReason, LeaderResponse, RING_SLOTS, Settings, VersionFence,
     VersionReport, VersionTracker,
 };
 use decision::{Micros, Time};
@@ -96,7 +96,7 @@
         let mut response = Directive::AuditDisabled;
         for action in actions {
             match action {
-                Action::Reply { router, directive } => {
+                Action::Respond { router, directive } => {
                     self.push_line(&format!("  reply {router} {}", directive_text(&directive)));
                     response = directive;
                 }
@@ -168,13 +168,13 @@
         let max_delay_ms = if self.random.one_in(30) { 2500 } else { 20 };
         self.advance_clock(max_delay_ms);
         let router = &mut self.routers[i];
-        let response = LeaderAnswer {
+        let response = LeaderResponse {
             report_sent_at,
             reported_version: version,
             current_version: self.current,
             directive,
         };
-        let changed = router.fence.answer_received(Time(self.now), &response);
+        let changed = router.fence.response_received(Time(self.now), &response);
         if version != self.current && !router.cannot_fetch && !self.random.one_in(3) {
             router.version = self.current;
             router.fence.version_applied(Time(self.now), self.current);
--- a/fleet/src/client/exchange.rs
+++ b/fleet/src/client/exchange.rs
@@ -232,7 +232,7 @@
         };
         let current = response.version;
         self.shared.with_quota_client(|quotas, now| quotas.handle_response(now, response));
-        self.apply_audit_answer(&audit::LeaderAnswer {
+        self.apply_audit_answer(&audit::LeaderResponse {
             report_sent_at: reported_at,
             reported_version: reported,
             current_version: current,
@@ -242,8 +242,8 @@
     }
 
     /// Applies what the leader's audit demands of this router, if the audit is on.
-    fn apply_audit_answer(&mut self, answer: &audit::LeaderAnswer) {
-        let is_audited = self.shared.with_fence(|fence, now| fence.answer_received(now, answer)).is_some();
+    fn apply_audit_answer(&mut self, answer: &audit::LeaderResponse) {
+        let is_audited = self.shared.with_fence(|fence, now| fence.response_received(now, answer)).is_some();
         if !is_audited {
             return;
         }
--- a/fleet/src/service/auditor.rs
+++ b/fleet/src/service/auditor.rs
@@ -25,7 +25,7 @@
         let mut unwritten = None;
         for action in self.actions.drain(..) {
             match action {
-                Action::Reply { directive: news, .. } => directive = news,
+                Action::Respond { directive: news, .. } => directive = news,
                 Action::LogEntry(entry) => log_entry(&entry),
                 Action::WriteBatch(batch) => {
                     let seq = batch.seq;
--- a/src/commands/platform/admin.rs
+++ b/src/commands/platform/admin.rs
@@ -33,19 +33,19 @@
         Ok(Some(AdminListener { server, metrics }))
     }
 
-    /// Answers operators' commands from now on. Orders to the client listener go to `client_orders`.
+    /// Answers operators' commands from now on. Commands to the client listener go to `client_commands`.
     pub(super) fn serve(
         self,
         start: &PlatformConfig,
         router: &Router,
-        client_orders: Sender<ServerCommand>,
+        client_commands: Sender<ServerCommand>,
     ) -> Result<Arc<AdminService>, Error> {
         let draining_clients = router.clients.clone();
         let (clients, front, handle) = (router.clients.clone(), router.front.clone(), router.handle.clone());
         let dependencies = ServiceDependencies {
             metrics: self.metrics,
             endpoints: router.endpoints.clone(),
-            client_orders,
+            client_commands,
             set_draining: Box::new(move |draining| draining_clients.set_draining(draining)),
             accepting: router.clients.accepting(),
             set_process_count: Box::new(move |count| {
