--- a/admin/src/command.rs
+++ b/admin/src/command.rs
@@ -73,13 +73,13 @@
         let verb = words.next().ok_or(ParseError::EmptyLine)?;
         let arguments = Arguments { first: words.next(), has_more: words.next().is_some() };
         match verb.to_ascii_uppercase().as_slice() {
-            b"STATUS" => arguments.none("STATUS").map(|()| Command::Status),
-            b"METRICS" => arguments.none("METRICS").map(|()| Command::Metrics),
+            b"STATUS" => arguments.expect_none("STATUS").map(|()| Command::Status),
+            b"METRICS" => arguments.expect_none("METRICS").map(|()| Command::Metrics),
             b"GET" if arguments.first == Some(METRICS_PATH) => Ok(Command::HttpMetrics),
-            b"SUSPEND" => arguments.id("SUSPEND", "SUSPEND ID").map(Command::Suspend),
-            b"RESTORE" => arguments.id("RESTORE", "RESTORE ID").map(Command::Restore),
-            b"PAUSE" => arguments.none("PAUSE").map(|()| Command::Pause),
-            b"RESUME" => arguments.none("RESUME").map(|()| Command::Resume),
+            b"SUSPEND" => arguments.expect_id("SUSPEND", "SUSPEND ID").map(Command::Suspend),
+            b"RESTORE" => arguments.expect_id("RESTORE", "RESTORE ID").map(Command::Restore),
+            b"PAUSE" => arguments.expect_none("PAUSE").map(|()| Command::Pause),
+            b"RESUME" => arguments.expect_none("RESUME").map(|()| Command::Resume),
             _ => {
                 let echoed = &verb[..verb.len().min(MAX_ECHOED_BYTES)];
                 Err(ParseError::UnknownVerb(echoed.escape_ascii().to_string()))
@@ -110,14 +110,14 @@
 }
 
 impl Arguments<'_> {
-    fn none(&self, verb: &'static str) -> Result<(), ParseError> {
+    fn expect_none(&self, verb: &'static str) -> Result<(), ParseError> {
         match self.first {
             None => Ok(()),
             Some(_) => Err(ParseError::TooManyWords { verb, usage: verb }),
         }
     }
 
-    fn id(&self, verb: &'static str, usage: &'static str) -> Result<String, ParseError> {
+    fn expect_id(&self, verb: &'static str, usage: &'static str) -> Result<String, ParseError> {
         let id = self.first.ok_or(ParseError::MissingId(verb))?;
         if self.has_more {
             return Err(ParseError::TooManyWords { verb, usage });
--- a/admin/src/connection.rs
+++ b/admin/src/connection.rs
@@ -48,7 +48,7 @@
     /// The client is slow to read its response.
     WritingResponse,
     /// The connection has just been accepted and is not finished.
-    Newcomer,
+    JustAccepted,
 }
 
 /// A connection at the admin address.
@@ -139,7 +139,7 @@
         while self.readable
             && let ConnectionState::ReadingLine(line) = &mut self.state
         {
-            let Some(count) = transfer(|| self.socket.read(buffer))? else {
+            let Some(count) = retry_if_interrupted(|| self.socket.read(buffer))? else {
                 self.readable = false;
                 break;
             };
@@ -163,7 +163,7 @@
         while self.writable
             && let ConnectionState::WritingResponse { bytes, sent } = &mut self.state
         {
-            match transfer(|| self.socket.write(&bytes[*sent..]))? {
+            match retry_if_interrupted(|| self.socket.write(&bytes[*sent..]))? {
                 // A socket never returns this; it would be retried forever.
                 Some(0) => return Err(ErrorKind::WriteZero.into()),
                 Some(count) => *sent += count,
@@ -182,7 +182,7 @@
     /// connection, and the client could lose the response.
     fn discard_input(&mut self, buffer: &mut [u8]) -> io::Result<Progress> {
         if self.has_work() && !matches!(self.state, ConnectionState::ReadingLine(_)) {
-            match transfer(|| self.socket.read(buffer))? {
+            match retry_if_interrupted(|| self.socket.read(buffer))? {
                 Some(count) => {
                     self.peer_closed = count == 0;
                     self.discarded_bytes += count;
@@ -214,7 +214,7 @@
 }
 
 /// Reads or writes, and retries after a signal; returns `None` if the operation would block.
-fn transfer(mut operation: impl FnMut() -> io::Result<usize>) -> io::Result<Option<usize>> {
+fn retry_if_interrupted(mut operation: impl FnMut() -> io::Result<usize>) -> io::Result<Option<usize>> {
     loop {
         match operation() {
             Ok(count) => return Ok(Some(count)),
--- a/admin/src/event_loop.rs
+++ b/admin/src/event_loop.rs
@@ -67,7 +67,7 @@
         let mut events = Events::with_capacity(MAX_EVENTS_PER_ITERATION);
         let mut schedule = AcceptSchedule { next: Some(Instant::now()), failing: false };
         loop {
-            self.wait(&mut events, &schedule);
+            self.wait_for_events(&mut events, &schedule);
             self.process_events(&events, &mut schedule);
             self.advance_all();
             if schedule.next.is_some_and(|at| at <= Instant::now()) {
@@ -76,11 +76,11 @@
         }
     }
 
-    fn wait(&mut self, events: &mut Events, schedule: &AcceptSchedule) {
+    fn wait_for_events(&mut self, events: &mut Events, schedule: &AcceptSchedule) {
         if let Err(error) = self.poll.poll(events, self.timeout(schedule))
             && error.kind() != ErrorKind::Interrupted
         {
-            tracing::warn!(%error, "admin connections not polled, retrying");
+            tracing::warn!(%error, "polling the admin connections failed, retrying");
             // The delay avoids a busy loop if the error persists.
             std::thread::sleep(ACCEPT_RETRY_DELAY);
         }
@@ -147,7 +147,7 @@
     fn accept(&mut self) -> io::Result<Option<Instant>> {
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             match self.listener.accept() {
-                Ok((socket, _)) => self.admit(socket)?,
+                Ok((socket, _)) => self.add_connection(socket)?,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(None),
                 // The client has already closed the connection, or a signal interrupted the call: accept the
                 // next one.
@@ -158,7 +158,7 @@
         Ok(Some(Instant::now()))
     }
 
-    fn admit(&mut self, mut socket: TcpStream) -> io::Result<()> {
+    fn add_connection(&mut self, mut socket: TcpStream) -> io::Result<()> {
         let token = self.next_token;
         self.next_token = Token(token.0 + 1);
         // Register before the first read, so that an event reports all data received after it.
@@ -176,16 +176,16 @@
     /// Closes one connection: the first by [`EvictionOrder`], and of several the oldest. It is advanced once
     /// more first, and stays if that changes its order, so that a command that was already received gets its
     /// response.
-    fn evict_one(&mut self, newcomer: Token) {
+    fn evict_one(&mut self, new_token: Token) {
         let order = |token: Token, connection: &AdminConnection| match connection.eviction_order() {
-            order if token != newcomer || order == EvictionOrder::Finished => order,
-            _ => EvictionOrder::Newcomer,
+            order if token != new_token || order == EvictionOrder::Finished => order,
+            _ => EvictionOrder::JustAccepted,
         };
-        let first = self
+        let first_to_evict = self
             .connections
             .iter_mut()
             .min_by_key(|(token, connection)| (order(**token, connection), **token));
-        let Some((&token, connection)) = first else { return };
+        let Some((&token, connection)) = first_to_evict else { return };
         let before = connection.eviction_order();
         connection.assume_readable();
         if self.advance(token) == Progress::Open
--- a/admin/src/service/coordinator.rs
+++ b/admin/src/service/coordinator.rs
@@ -22,7 +22,7 @@
 
 /// The last values that the other parts of this process were notified of.
 #[derive(Default)]
-struct Notified {
+struct NotifiedState {
     mask: MaintenanceMask,
     draining: bool,
 }
@@ -42,7 +42,7 @@
     /// The state machine as of the stored state, without pending commands.
     stored_machine: Machine,
     pending: Vec<PendingCommand>,
-    notified: Notified,
+    notified: NotifiedState,
     others: OtherProcesses,
 }
 
@@ -62,7 +62,7 @@
             shared,
             stored_machine: Machine::new(settings, state),
             pending: Vec::new(),
-            notified: Notified::default(),
+            notified: NotifiedState::default(),
             others: OtherProcesses::default(),
         };
         // Notify before any endpoint list is received: an instance in maintenance must be masked from its
@@ -217,7 +217,7 @@
             (self.dependencies.set_draining)(draining);
             _ = self.dependencies.client_commands.send(ServerCommand::SetDraining(draining));
         }
-        self.notified = Notified { mask, draining };
+        self.notified = NotifiedState { mask, draining };
     }
 }
 
--- a/admin/tests/common/mod.rs
+++ b/admin/tests/common/mod.rs
@@ -36,11 +36,11 @@
             Command::Suspend(id) if id == "gone" => {
                 Response::Rejected("no instance\r\n200 `gone`\x1b[2J".into())
             }
-            Command::Suspend(id) if id == "broken" => panic!("a handler that fails"),
+            Command::Suspend(id) if id == "broken" => panic!("panic of the test handler"),
             Command::Suspend(id) if id == "hold" => {
                 HANDLER_BARRIER.wait();
                 HANDLER_BARRIER.wait();
-                Response::Done("let go".into())
+                Response::Done("released".into())
             }
             command => Response::Done(command.to_string()),
         }
--- a/admin/tests/server.rs
+++ b/admin/tests/server.rs
@@ -117,7 +117,7 @@
     // The server's thread is blocked, so both lines are received before it accepts either connection.
     let new_connections = [connect(address, b"PAUSE\n"), connect(address, b"PAUSE\n")];
     HANDLER_BARRIER.wait();
-    assert_eq!(read_to_close(&blocking), "200 let go\n");
+    assert_eq!(read_to_close(&blocking), "200 released\n");
     for new_connection in &new_connections {
         assert_eq!(read_to_close(new_connection), "200 PAUSE\n");
     }
@@ -130,10 +130,10 @@
     let blocking = connect(address, b"SUSPEND hold\n");
     HANDLER_BARRIER.wait();
     incomplete.write_all(b"US\n").unwrap();
-    let _newcomers = [connect(address, b"STAT"), connect(address, b"STAT")];
+    let _new_connections = [connect(address, b"STAT"), connect(address, b"STAT")];
     HANDLER_BARRIER.wait();
     assert_eq!(read_to_close(&incomplete), "200 STATUS\n");
-    assert_eq!(read_to_close(&blocking), "200 let go\n");
+    assert_eq!(read_to_close(&blocking), "200 released\n");
 }
 
 #[test]
--- a/audit/src/fence.rs
+++ b/audit/src/fence.rs
@@ -178,10 +178,10 @@
         // If the lease has expired since the last check, that period counts as fenced too.
         _ = self.check(now);
         // No request was routed before the first confirmation, so there is no fenced period to report.
-        let lifted = if self.lease_expires_at == NEVER { None } else { self.fenced };
+        let lifted_fence = if self.lease_expires_at == NEVER { None } else { self.fenced };
         self.lease_expires_at = expires_at;
         self.fenced = None;
-        if let Some(fenced) = lifted {
+        if let Some(fenced) = lifted_fence {
             self.version_since = now;
             self.last_fence_duration = now.0.saturating_sub(fenced.since.0).max(1);
         }
--- a/audit/src/timeline/intervals.rs
+++ b/audit/src/timeline/intervals.rs
@@ -37,7 +37,7 @@
     let mut intervals: Vec<Interval> = Vec::new();
     for entry in entries {
         if let Some(last) = intervals.last_mut() {
-            if continues(last, entry) {
+            if continues_interval(last, entry) {
                 continue;
             }
             last.until = Some(entry.since.max(last.since));
@@ -49,7 +49,7 @@
 
 /// Whether an entry leaves the interval unchanged. A notification does not end an interval, nor does the
 /// first entry of a new leader.
-fn continues(last: &Interval, entry: &Entry) -> bool {
+fn continues_interval(last: &Interval, entry: &Entry) -> bool {
     matches!(entry.kind, EntryKind::Notified | EntryKind::Acting)
         && last.kind == EntryKind::Acting
         && (last.incarnation, last.version) == (entry.incarnation, entry.version)
--- a/audit/src/tracker.rs
+++ b/audit/src/tracker.rs
@@ -54,23 +54,23 @@
     /// Handles an event and appends the resulting actions for the driver.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::LeadershipGained { term, batches } => self.leadership_gained(now, term, batches),
-            Event::CurrentVersion { version } => self.current_version(now, version, actions),
+            Event::LeadershipGained { term, batches } => self.handle_leadership_gained(now, term, batches),
+            Event::CurrentVersion { version } => self.handle_current_version(now, version, actions),
             Event::ReportReceived { router, incarnation, version, report, leaving } => {
                 let report = ReceivedReport { incarnation, version, details: report, leaving };
-                let directive = self.report_received(now, &router, &report, actions);
+                let directive = self.handle_report(now, &router, &report, actions);
                 actions.push(Action::Respond { router, directive });
             }
             Event::WriteCompleted { seq, committed } => {
                 self.recorder.writer.write_completed(seq, committed, self.settings.ring_slots);
             }
-            Event::Tick => self.tick(now, actions),
+            Event::Tick => self.handle_tick(now, actions),
         }
     }
 
     /// Starts a term with the state of each router from the audit record. A router counts as silent only
     /// after `silence_timeout` without a report to this leader.
-    fn leadership_gained(&mut self, now: Time, term: u64, batches: Vec<Batch>) {
+    fn handle_leadership_gained(&mut self, now: Time, term: u64, batches: Vec<Batch>) {
         self.history = VersionHistory::default();
         self.epochs = EpochSource::new(term);
         self.recorder.start_term(term, batches, self.settings.ring_slots);
@@ -82,13 +82,13 @@
         }
     }
 
-    fn current_version(&mut self, now: Time, version: Version, actions: &mut Vec<Action>) {
+    fn handle_current_version(&mut self, now: Time, version: Version, actions: &mut Vec<Action>) {
         if self.history.push(version, now) {
             self.recorder.record_current(now, version, actions);
         }
     }
 
-    fn report_received(
+    fn handle_report(
         &mut self,
         now: Time,
         name: &str,
@@ -122,12 +122,12 @@
         if !report.leaving {
             return handler.handle();
         }
-        let epoch = handler.leave();
+        let epoch = handler.handle_leave();
         self.routers.remove(name);
         Directive::Continue { epoch }
     }
 
-    fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
+    fn handle_tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         let silence_timeout = self.settings.silence_timeout;
         for (name, router) in &mut self.routers {
             let serving = matches!(router.phase, Phase::Acting | Phase::Notified { .. });
--- a/audit/src/tracker/report.rs
+++ b/audit/src/tracker/report.rs
@@ -37,7 +37,7 @@
     }
 
     /// Handles the router's last report before it shuts down. Returns the router's epoch.
-    pub(super) fn leave(&mut self) -> u64 {
+    pub(super) fn handle_leave(&mut self) -> u64 {
         self.update_last_report();
         self.record(self.now, EntryKind::Left);
         self.router.epoch
@@ -59,8 +59,8 @@
             return self.continue_directive();
         }
         match self.history.lag_of(self.report.version) {
-            None => self.up_to_date(),
-            Some(lag) => self.lagging(&lag, was_silent),
+            None => self.handle_up_to_date(),
+            Some(lag) => self.handle_lagging(&lag, was_silent),
         }
     }
 
@@ -70,7 +70,7 @@
 
     fn update_last_report(&mut self) {
         if self.report.incarnation != self.router.incarnation {
-            self.router.restarted(self.now, self.report.incarnation);
+            self.router.restart(self.now, self.report.incarnation);
         }
         self.router.epoch = self.router.epoch.max(self.report.details.epoch);
         self.router.last_report = self.now;
@@ -99,7 +99,7 @@
     }
 
     /// Handles the report of a router that holds the current version.
-    fn up_to_date(&mut self) -> Directive {
+    fn handle_up_to_date(&mut self) -> Directive {
         let phase = self.router.phase;
         if phase == Phase::FencedOut && self.report.details.epoch < self.router.epoch {
             return Directive::FenceOut { epoch: self.router.epoch };
@@ -148,7 +148,7 @@
     }
 
     /// Handles the report of a router whose version is no longer the current one.
-    fn lagging(&mut self, lag: &VersionLag, was_silent: bool) -> Directive {
+    fn handle_lagging(&mut self, lag: &VersionLag, was_silent: bool) -> Directive {
         if self.router.phase == Phase::FencedOut {
             return Directive::FenceOut { epoch: self.router.epoch };
         }
@@ -170,8 +170,8 @@
 
     /// Whether the router has started so recently that it need not hold any version yet.
     fn is_starting(&self) -> bool {
-        let time_known = self.now.0.saturating_sub(self.router.known_since.0);
-        self.report.version == 0 && time_known < self.settings.max_lag
+        let known_duration = self.now.0.saturating_sub(self.router.known_since.0);
+        self.report.version == 0 && known_duration < self.settings.max_lag
     }
 
     fn exceeds_limits(&self, lag: &VersionLag, is_starting: bool) -> bool {
--- a/audit/src/tracker/router.rs
+++ b/audit/src/tracker/router.rs
@@ -79,7 +79,7 @@
     }
 
     /// Switches to another incarnation of the router, which has no recorded entry yet.
-    pub(super) fn restarted(&mut self, now: Time, incarnation: u64) {
+    pub(super) fn restart(&mut self, now: Time, incarnation: u64) {
         self.incarnation = incarnation;
         self.known_since = now;
         self.recorded_version = None;
--- a/audit/tests/audit/harness.rs
+++ b/audit/tests/audit/harness.rs
@@ -58,10 +58,10 @@
     /// Handles a report of a router that routes requests, with a version age of 0.
     pub(crate) fn report(&mut self, at_ms: i64, router: &str, version: Version, epoch: u64) -> Directive {
         let report = VersionReport { epoch, routing: true, ..VersionReport::default() };
-        self.report_of(at_ms, router, 1, version, report)
+        self.report_with(at_ms, router, 1, version, report)
     }
 
-    pub(crate) fn report_of(
+    pub(crate) fn report_with(
         &mut self,
         at_ms: i64,
         router: &str,
--- a/audit/tests/audit/random.rs
+++ b/audit/tests/audit/random.rs
@@ -62,7 +62,7 @@
         let report = self.routers[i].fence.report(report_sent_at, 0);
         self.now_ms += self.random.below(50) as i64;
         let reported_version = self.routers[i].version;
-        let directive = self.harness.report_of(self.now_ms, &i.to_string(), 1, reported_version, report);
+        let directive = self.harness.report_with(self.now_ms, &i.to_string(), 1, reported_version, report);
         if self.random.below(5) == 0 {
             return;
         }
--- a/audit/tests/audit/recorded_run.rs
+++ b/audit/tests/audit/recorded_run.rs
@@ -16,7 +16,7 @@
 const FIXTURES: Fixtures = testkit::fixtures!();
 const MS: Micros = 1000;
 const ROUTERS: usize = 6;
-const SILENCE: Micros = 2000 * MS;
+const SILENCE_TIMEOUT: Micros = 2000 * MS;
 const ROUTER_LEASE: Micros = 1960 * MS;
 const READABLE_STEPS: u32 = 400;
 const HASHED_STEPS: u32 = 3000;
@@ -67,7 +67,7 @@
 
 impl Run {
     fn new(seed: u64) -> Run {
-        let tracker = VersionTracker::new(Settings::new(&AuditConfig::default(), SILENCE, seed));
+        let tracker = VersionTracker::new(Settings::new(&AuditConfig::default(), SILENCE_TIMEOUT, seed));
         Run {
             random: SplitMix64::new(seed),
             now: 0,
--- a/audit/tests/audit/stored_forms.rs
+++ b/audit/tests/audit/stored_forms.rs
@@ -57,7 +57,7 @@
 }
 
 /// Returns the bytes of one line of `exchanged.txt`, which has a name and hexadecimal digits.
-fn exchanged(name: &str) -> Vec<u8> {
+fn exchanged_bytes(name: &str) -> Vec<u8> {
     hex::decode_line(&FIXTURES.text("exchanged.txt"), &format!("{name} "))
 }
 
@@ -70,9 +70,9 @@
         members_version: 300,
         epoch: (2 << 32) | 1,
     };
-    assert_eq!(from_postcard::<VersionReport>(&exchanged("report")).unwrap(), report);
-    assert_eq!(to_postcard(&report), exchanged("report"));
-    assert_eq!(to_postcard(&VersionReport::default()), exchanged("report-default"));
+    assert_eq!(from_postcard::<VersionReport>(&exchanged_bytes("report")).unwrap(), report);
+    assert_eq!(to_postcard(&report), exchanged_bytes("report"));
+    assert_eq!(to_postcard(&VersionReport::default()), exchanged_bytes("report-default"));
 }
 
 #[test]
@@ -85,8 +85,8 @@
         ("answer-fenced-out", Directive::FenceOut { epoch }),
     ];
     for (name, directive) in directives {
-        assert_eq!(from_postcard::<Directive>(&exchanged(name)).unwrap(), directive);
-        assert_eq!(to_postcard(&directive), exchanged(name), "{name}");
+        assert_eq!(from_postcard::<Directive>(&exchanged_bytes(name)).unwrap(), directive);
+        assert_eq!(to_postcard(&directive), exchanged_bytes(name), "{name}");
     }
 }
 
--- a/audit/tests/audit/tracker.rs
+++ b/audit/tests/audit/tracker.rs
@@ -46,7 +46,7 @@
     );
     // A new incarnation may still fetch its first version and is not fenced out because of the previous one.
     for (at, version) in [(4000, 0), (4001, 9)] {
-        let directive = harness.report_of(at, "b", 2, version, VersionReport::default());
+        let directive = harness.report_with(at, "b", 2, version, VersionReport::default());
         assert_eq!(directive, Directive::Continue { epoch: 0 });
     }
     assert_eq!(
@@ -72,7 +72,7 @@
             members_version: 0,
             epoch: 0,
         };
-        next.report_of(at, "a", 1, 5, report);
+        next.report_with(at, "a", 1, 5, report);
     }
     let router_entries = next.entries.iter().filter(|entry| entry.router == "a");
     let recorded: Vec<_> = router_entries.map(|entry| (entry.kind, entry.since / MS)).collect();
--- a/maintenance/src/error.rs
+++ b/maintenance/src/error.rs
@@ -109,7 +109,7 @@
     TooLarge {
         /// Path of the file.
         path: PathBuf,
-        /// The size that the file would have.
+        /// Size that the file would have, in bytes.
         bytes: usize,
     },
     /// The state could not be encoded.
--- a/maintenance/src/machine.rs
+++ b/maintenance/src/machine.rs
@@ -50,8 +50,8 @@
         if response.is_some() && self.state.revision != revision_before {
             actions.push(Action::Persist(self.state.clone()));
         }
-        // The endpoint list must apply a change before the operator receives the response: a new attempt on a
-        // suspended instance after the response would break the rule.
+        // The endpoint list must apply a change before the operator receives the response: after the
+        // response, a suspended instance must not receive a new attempt.
         self.notify_changes(actions);
         actions.extend(response.map(Action::Respond));
     }
--- a/maintenance/src/presence.rs
+++ b/maintenance/src/presence.rs
@@ -17,7 +17,7 @@
 const FILE_PREFIX: &str = "damsonvale-present-";
 /// Suffix of a file's name until the file is locked.
 const TEMPORARY_SUFFIX: &str = ".new";
-/// Readable and writable by the router's user alone.
+/// File permissions: readable and writable by the router's user only.
 const FILE_MODE: u32 = 0o600;
 /// Age after which a temporary file counts as abandoned.
 const TEMPORARY_LIFETIME: Duration = Duration::from_mins(1);
@@ -105,7 +105,7 @@
     pub fn count_others(&self) -> OtherProcesses {
         let mut others = OtherProcesses::default();
         for entry in std::fs::read_dir(&self.folder).into_iter().flatten().flatten() {
-            if let Some(status) = self.inspect(&entry) {
+            if let Some(status) = self.other_process_status(&entry) {
                 others.alive += 1;
                 others.ready += usize::from(status == ProcessStatus::Ready);
             }
@@ -119,14 +119,14 @@
 
     /// Returns the status of the other process that owns this file; `None` if no live process owns it.
     /// Removes the file of a dead process.
-    fn inspect(&self, entry: &DirEntry) -> Option<ProcessStatus> {
+    fn other_process_status(&self, entry: &DirEntry) -> Option<ProcessStatus> {
         let file_name = entry.file_name();
         let text = file_name.to_str().filter(|name| name.starts_with(FILE_PREFIX))?;
         let temporary = text.ends_with(TEMPORARY_SUFFIX);
         if file_name == self.file_name || (temporary && !is_abandoned(entry)) {
             return None;
         }
-        // Opening a pipe would block.
+        // Opening a file that is not regular, such as a named pipe, could block.
         if !entry.file_type().is_ok_and(|file_type| file_type.is_file()) {
             return None;
         }
@@ -158,8 +158,8 @@
 }
 
 fn read_status(file: &mut File) -> ProcessStatus {
-    let mut first = [0];
-    if file.read_exact(&mut first).is_ok() && first[0] == READY[0] {
+    let mut first_byte = [0];
+    if file.read_exact(&mut first_byte).is_ok() && first_byte[0] == READY[0] {
         ProcessStatus::Ready
     } else {
         ProcessStatus::NotReady
--- a/maintenance/src/state_file.rs
+++ b/maintenance/src/state_file.rs
@@ -16,10 +16,10 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Contains the package's former name, as a process of an earlier version may share the folder during an
-/// upgrade.
+/// Name of the state file. It contains the package's former name, as a process of an earlier version may
+/// share the folder during an upgrade.
 const FILE_NAME: &str = "damsonvale-holds";
-/// Readable and writable by the router's user alone.
+/// File permissions: readable and writable by the router's user only.
 const FILE_MODE: u32 = 0o600;
 /// Interval between attempts to take the lock: `flock` waits either without a time limit or not at all.
 const LOCK_POLL_INTERVAL: Duration = Duration::from_millis(1);
@@ -35,7 +35,7 @@
 }
 
 impl FileStamp {
-    fn of(metadata: &Metadata) -> FileStamp {
+    fn from_metadata(metadata: &Metadata) -> FileStamp {
         FileStamp {
             device: metadata.dev(),
             inode: metadata.ino(),
@@ -118,7 +118,7 @@
     /// `stat` and takes no lock. After a failed read or write an existing file counts as changed.
     pub fn has_changed(&mut self) -> bool {
         let current_stamp =
-            std::fs::symlink_metadata(&self.path).ok().map(|metadata| FileStamp::of(&metadata));
+            std::fs::symlink_metadata(&self.path).ok().map(|metadata| FileStamp::from_metadata(&metadata));
         current_stamp != self.known.get_mut().as_ref().map(|known| known.stamp)
     }
 
@@ -153,7 +153,7 @@
         let path = &self.file.path;
         self.file.known.replace(None);
         match std::fs::symlink_metadata(path) {
-            // Opening a pipe would block.
+            // Opening a file that is not regular, such as a named pipe, could block.
             Ok(metadata) if !metadata.is_file() => {
                 return Err(self.move_aside(UnusableReason::NotAStateFile));
             }
@@ -207,7 +207,7 @@
 
 fn stamp_of(file: &File, path: &Path) -> Result<FileStamp, SharedFolderError> {
     let metadata = file.metadata().map_err(SharedFolderError::io(FileOperation::Inspect, path))?;
-    Ok(FileStamp::of(&metadata))
+    Ok(FileStamp::from_metadata(&metadata))
 }
 
 /// Writes a file and syncs its content to the disk.
--- a/maintenance/tests/presence.rs
+++ b/maintenance/tests/presence.rs
@@ -29,7 +29,7 @@
 #[test]
 fn files_of_dead_processes_are_removed_and_recent_temporary_files_stay() {
     let folder = tempfile::tempdir().unwrap();
-    let own = ProcessPresence::register(folder.path(), 1).unwrap();
+    let presence = ProcessPresence::register(folder.path(), 1).unwrap();
     let dead = folder.path().join("damsonvale-present-2-0");
     std::fs::write(&dead, "ready   \n").unwrap();
     // Another process inspects the file at the same time.
@@ -39,7 +39,7 @@
     let abandoned = std::fs::File::create(folder.path().join("damsonvale-present-4-0.new")).unwrap();
     abandoned.set_modified(std::time::UNIX_EPOCH).unwrap();
     std::fs::write(folder.path().join("another"), "").unwrap();
-    assert_eq!((own.count_others(), file_count(folder.path())), (others(0, 0), 3));
+    assert_eq!((presence.count_others(), file_count(folder.path())), (others(0, 0), 3));
 }
 
 #[test]
@@ -48,8 +48,8 @@
     let first = ProcessPresence::register(folder.path(), 1).unwrap();
     let register_and_drop = || {
         for _ in 0..200 {
-            let own = ProcessPresence::register(folder.path(), 2).unwrap();
-            assert!(own.count_others().alive >= 1 && first.count_others().alive >= 1);
+            let presence = ProcessPresence::register(folder.path(), 2).unwrap();
+            assert!(presence.count_others().alive >= 1 && first.count_others().alive >= 1);
         }
     };
     std::thread::scope(|scope| {
@@ -73,7 +73,7 @@
 #[test]
 fn killed_process_is_not_counted_and_releases_its_lock() {
     let folder = tempfile::tempdir().unwrap();
-    let own = ProcessPresence::register(folder.path(), std::process::id()).unwrap();
+    let presence = ProcessPresence::register(folder.path(), std::process::id()).unwrap();
     let file = StateFile::open(folder.path()).unwrap();
     // If this test fails, the child ends when its input is closed.
     let mut child = Command::new(std::env::current_exe().unwrap())
@@ -85,11 +85,11 @@
         .unwrap();
     let output = BufReader::new(child.stdout.take().unwrap());
     assert!(output.lines().any(|line| line.unwrap() == "up"));
-    assert_eq!(own.count_others(), others(1, 1));
+    assert_eq!(presence.count_others(), others(1, 1));
     assert!(matches!(file.lock(), Err(SharedFolderError::LockTimeout { .. })));
     child.kill().unwrap();
     child.wait().unwrap();
-    assert_eq!(own.count_others(), others(0, 0));
+    assert_eq!(presence.count_others(), others(0, 0));
     assert!(file.lock().is_ok());
     assert_eq!(file_count(folder.path()), 2, "one presence file and the lock file");
 }
