--- a/maintenance/src/error.rs
+++ b/maintenance/src/error.rs
@@ -55,7 +55,7 @@
         f.write_str(match self {
             FileOperation::Create => "make",
             FileOperation::Open => "open",
-            FileOperation::Inspect => "look at",
+            FileOperation::Inspect => "inspect",
             FileOperation::Lock => "lock",
             FileOperation::Read => "read",
             FileOperation::Write => "write",
