--- a/audit/src/tracker/report.rs
+++ b/audit/src/tracker/report.rs
@@ -54,7 +54,7 @@
         }
         self.update_version();
         if self.history.is_later_than_all(self.report.version) {
-            // The version is later than the store's current one, so it comes from a store that was used
+            // The version is later than any that this leader has read, so it comes from a store that was used
             // before. A router does not take this response as a confirmation, as the versions differ.
             return self.continue_directive();
         }
