--- a/audit/src/tracker.rs
+++ b/audit/src/tracker.rs
@@ -1,4 +1,4 @@
-//! The leader's side: follows the version of every router of a fleet.
+//! The leader's part of the audit: tracks the configuration version of every router of a fleet.
 mod epochs;
 mod event;
 mod history;
@@ -24,10 +24,10 @@
 use settings::fleet::Version;
 use std::collections::{BTreeMap, btree_map};
 
-/// Routers that are followed, at most.
+/// Maximum number of routers tracked.
 const MAX_ROUTERS: usize = settings::fleet::MAX_ROUTERS as usize;
 
-/// Follows the version of every router of a fleet; see the [crate].
+/// Tracks the configuration version of every router of a fleet; see the [crate] documentation.
 #[derive(Clone, Debug)]
 pub struct VersionTracker {
     settings: Settings,
@@ -39,7 +39,7 @@
 }
 
 impl VersionTracker {
-    /// A tracker on a node that does not lead yet.
+    /// Creates a tracker on a node that does not lead yet.
     pub fn new(settings: Settings) -> VersionTracker {
         VersionTracker {
             history: VersionHistory::default(),
@@ -51,25 +51,26 @@
         }
     }
 
-    /// Handles an event and appends what the driver must do.
+    /// Handles an event and appends the resulting actions for the driver.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::LeadershipGained { term, batches } => self.leadership_gained(now, term, batches),
-            Event::CurrentVersion { version } => self.current_version(now, version, actions),
+            Event::LeadershipGained { term, batches } => self.handle_leadership_gained(now, term, batches),
+            Event::CurrentVersion { version } => self.handle_current_version(now, version, actions),
             Event::ReportReceived { router, incarnation, version, report, leaving } => {
                 let report = ReceivedReport { incarnation, version, details: report, leaving };
-                let directive = self.report_received(now, &router, &report, actions);
-                actions.push(Action::Reply { router, directive });
+                let directive = self.handle_report(now, &router, &report, actions);
+                actions.push(Action::Respond { router, directive });
             }
             Event::WriteCompleted { seq, committed } => {
                 self.recorder.writer.write_completed(seq, committed, self.settings.ring_slots);
             }
-            Event::Tick => self.tick(now, actions),
+            Event::Tick => self.handle_tick(now, actions),
         }
     }
 
-    /// Starts a term with what the record says of each router. Each has a lease's time to report before it is silent.
-    fn leadership_gained(&mut self, now: Time, term: u64, batches: Vec<Batch>) {
+    /// Starts a term with the state of each router from the audit record. A router counts as silent only
+    /// after `silence_timeout` without a report to this leader.
+    fn handle_leadership_gained(&mut self, now: Time, term: u64, batches: Vec<Batch>) {
         self.history = VersionHistory::default();
         self.epochs = EpochSource::new(term);
         self.recorder.start_term(term, batches, self.settings.ring_slots);
@@ -81,13 +82,13 @@
         }
     }
 
-    fn current_version(&mut self, now: Time, version: Version, actions: &mut Vec<Action>) {
+    fn handle_current_version(&mut self, now: Time, version: Version, actions: &mut Vec<Action>) {
         if self.history.push(version, now) {
             self.recorder.record_current(now, version, actions);
         }
     }
 
-    fn report_received(
+    fn handle_report(
         &mut self,
         now: Time,
         name: &str,
@@ -97,7 +98,7 @@
         let is_full = self.routers.len() >= MAX_ROUTERS;
         let router = match self.routers.entry(name.into()) {
             btree_map::Entry::Occupied(known) => known.into_mut(),
-            // It could not be followed, so it must not serve.
+            // A router that cannot be tracked must not route requests.
             btree_map::Entry::Vacant(_) if is_full => {
                 return Directive::FenceOut { epoch: report.details.epoch };
             }
@@ -121,12 +122,12 @@
         if !report.leaving {
             return handler.handle();
         }
-        let epoch = handler.leave();
+        let epoch = handler.handle_leave();
         self.routers.remove(name);
         Directive::Continue { epoch }
     }
 
-    fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
+    fn handle_tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         let silence_timeout = self.settings.silence_timeout;
         for (name, router) in &mut self.routers {
             let serving = matches!(router.phase, Phase::Acting | Phase::Notified { .. });
--- a/audit/tests/audit/random.rs
+++ b/audit/tests/audit/random.rs
@@ -1,6 +1,7 @@
-//! Random reports, versions and lost answers: no router routes what the tracker has recorded as silent.
+//! Tests fences and tracker with random reports, version changes and lost responses: no router routes
+//! requests while it is recorded as silent.
 use crate::harness::{FIRST_VERSION, MS, TrackerHarness};
-use audit::{EntryKind, LeaderAnswer, VersionFence};
+use audit::{EntryKind, LeaderResponse, VersionFence};
 use decision::{Micros, Time};
 use settings::fleet::Version;
 use testkit::random::{Random, XorShift64};
@@ -8,7 +9,7 @@
 const SEEDS: u64 = 200;
 const STEPS: u32 = 400;
 const ROUTERS: usize = 4;
-/// The tracker's silence timeout less what clocks may differ by.
+/// The tracker's silence timeout minus the maximum clock difference.
 const LEASE: Micros = 1960 * MS;
 
 struct Router {
@@ -54,22 +55,22 @@
         }
     }
 
-    /// A router reports and, if the answer is not lost, applies it and maybe the current version.
+    /// Has a router report and, if the response is not lost, apply it and possibly fetch the current version.
     fn exchange(&mut self) {
         let i = self.random.below(ROUTERS as u64) as usize;
         let report_sent_at = Time(self.now_ms * MS);
         let report = self.routers[i].fence.report(report_sent_at, 0);
         self.now_ms += self.random.below(50) as i64;
         let reported_version = self.routers[i].version;
-        let directive = self.harness.report_of(self.now_ms, &i.to_string(), 1, reported_version, report);
+        let directive = self.harness.report_with(self.now_ms, &i.to_string(), 1, reported_version, report);
         if self.random.below(5) == 0 {
             return;
         }
         let now = Time(self.now_ms * MS);
         let router = &mut self.routers[i];
         let current_version = self.current;
-        let answer = LeaderAnswer { report_sent_at, reported_version, current_version, directive };
-        router.fence.answer_received(now, &answer);
+        let response = LeaderResponse { report_sent_at, reported_version, current_version, directive };
+        router.fence.response_received(now, &response);
         if router.version != current_version && self.random.below(2) == 0 {
             router.version = current_version;
             router.fence.version_applied(now, current_version);
--- a/fleet/src/client/exchange.rs
+++ b/fleet/src/client/exchange.rs
@@ -237,7 +237,7 @@
         };
         let current = response.version;
         self.shared.with_quota_client(|quotas, now| quotas.handle_response(now, response));
-        self.apply_audit_directive(&audit::LeaderAnswer {
+        self.apply_audit_directive(&audit::LeaderResponse {
             report_sent_at: reported_at,
             reported_version: reported,
             current_version: current,
@@ -247,9 +247,9 @@
     }
 
     /// Applies the directive of the leader's audit, if the audit is enabled.
-    fn apply_audit_directive(&mut self, leader_response: &audit::LeaderAnswer) {
+    fn apply_audit_directive(&mut self, leader_response: &audit::LeaderResponse) {
         let is_audited =
-            self.shared.with_fence(|fence, now| fence.answer_received(now, leader_response)).is_some();
+            self.shared.with_fence(|fence, now| fence.response_received(now, leader_response)).is_some();
         if !is_audited {
             return;
         }
--- a/fleet/src/service/auditor.rs
+++ b/fleet/src/service/auditor.rs
@@ -25,7 +25,7 @@
         let mut rejected_seq = None;
         for action in self.actions.drain(..) {
             match action {
-                Action::Reply { directive: new_directive, .. } => directive = new_directive,
+                Action::Respond { directive: new_directive, .. } => directive = new_directive,
                 Action::LogEntry(entry) => log_entry(&entry),
                 Action::WriteBatch(batch) => {
                     let seq = batch.seq;
