--- a/admin/src/command.rs
+++ b/admin/src/command.rs
@@ -36,13 +36,13 @@
     #[error("the line is empty; send STATUS, METRICS, SUSPEND ID, RESTORE ID, PAUSE or RESUME")]
     EmptyLine,
     /// The first word is not a known verb; contains the word, escaped and truncated.
-    #[error("there is no call `{0}`; send STATUS, METRICS, SUSPEND ID, RESTORE ID, PAUSE or RESUME")]
+    #[error("unknown command `{0}`; send STATUS, METRICS, SUSPEND ID, RESTORE ID, PAUSE or RESUME")]
     UnknownVerb(String),
     /// The verb requires an ID, but none follows it.
-    #[error("{0} needs an instance; send `{0} ID` with its ID as the list of servers has it")]
+    #[error("{0} requires an instance; send `{0} ID` with its ID from the endpoint list")]
     MissingId(&'static str),
     /// The word after the verb is not a valid ID.
-    #[error("the ID after {0} is not 1 to 256 bytes of visible ASCII; send it as the list of servers has it")]
+    #[error("the ID after {0} is not 1 to 256 bytes of visible ASCII; send the ID from the endpoint list")]
     InvalidId(&'static str),
     /// More words follow than the verb takes.
     #[error("{verb} is followed by too many words; send `{usage}` alone on the line")]
@@ -53,7 +53,7 @@
         usage: &'static str,
     },
     /// The line exceeds the length limit.
-    #[error("the line is longer than {max_bytes} bytes; send one call of one line")]
+    #[error("the line is longer than {max_bytes} bytes; send one command on one line")]
     LineTooLong {
         /// Maximum length of a line in bytes.
         max_bytes: usize,
--- a/admin/src/service/coordinator.rs
+++ b/admin/src/service/coordinator.rs
@@ -85,7 +85,8 @@
     pub(super) fn status(&self) -> Response {
         if !self.dependencies.accepting.load(Ordering::Acquire) {
             return Response::Rejected(
-                "no clients are taken: wait until it is ready, or look whether it ends".into(),
+                "no clients are accepted: wait until the router is ready, or check whether it shuts down"
+                    .into(),
             );
         }
         let router = if self.notified.draining { "drained by PAUSE" } else { "taking clients" };
@@ -121,7 +122,7 @@
             (_, Ok(())) => Response::Done("done".into()),
             (_, Err(error)) => {
                 tracing::error!(%error, "maintenance state not stored, retrying");
-                Response::Done(format!("done here, not kept yet for another process: {error}"))
+                Response::Done(format!("done in this process, but not stored yet for others: {error}"))
             }
         }
     }
--- a/admin/tests/oversized_line.rs
+++ b/admin/tests/oversized_line.rs
@@ -29,7 +29,7 @@
     oversized.write_all(b"\n").unwrap();
     assert_eq!(
         read_to_close(&oversized),
-        "400 the line is longer than 300 bytes; send one call of one line\n"
+        "400 the line is longer than 300 bytes; send one command on one line\n"
     );
     let increase = peak_memory_kb() - before;
     assert!(increase < 8 << 10, "memory grew by {increase} kB");
--- a/admin/tests/server.rs
+++ b/admin/tests/server.rs
@@ -34,8 +34,8 @@
     let long_id = format!("SUSPEND {}\n", "x".repeat(257));
     for (line, words) in [
         ("\n", "is empty; send STATUS"),
-        ("STATSU\n", "no call `STATSU`; send STATUS"),
-        ("\x1b[2J\0\n", "no call `\\x1b[2J\\x00`"),
+        ("STATSU\n", "unknown command `STATSU`; send STATUS"),
+        ("\x1b[2J\0\n", "unknown command `\\x1b[2J\\x00`"),
         ("SUSPEND\n", "send `SUSPEND ID`"),
         ("SUSPEND a b\n", "send `SUSPEND ID` alone"),
         ("PAUSE now\n", "send `PAUSE` alone"),
--- a/maintenance/src/error.rs
+++ b/maintenance/src/error.rs
@@ -9,17 +9,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum UnusableReason {
     /// The file ends before its content is complete.
-    #[error("it ends too early")]
+    #[error("it is truncated")]
     Truncated,
     /// The file does not begin with a state file's magic bytes, is longer than its header says, or is not a
     /// regular file.
-    #[error("it is something else")]
+    #[error("it is not a state file")]
     NotAStateFile,
     /// The file was written in a format version that this program does not support.
-    #[error("its form has version {0}, and this program knows only {known}", known = FORMAT_VERSION)]
+    #[error("its format version is {0}, and this program supports only {known}", known = FORMAT_VERSION)]
     UnsupportedVersion(u32),
     /// The checksum does not match: the content has changed since it was written.
-    #[error("its bytes have changed since they were written")]
+    #[error("its checksum does not match its content")]
     ChecksumMismatch,
 }
 
@@ -72,7 +72,7 @@
 #[derive(Debug, Error)]
 pub enum SharedFolderError {
     /// A file operation failed.
-    #[error("cannot {operation} {path}: {source}; check that the folder is there, writable and not full")]
+    #[error("cannot {operation} {path}: {source}; check that the folder exists, is writable and not full")]
     Io {
         /// The operation that failed.
         operation: FileOperation,
@@ -83,8 +83,8 @@
     },
     /// Another handle has not released the lock in time.
     #[error(
-        "{path} has been locked for over {ms} ms: a process of this router may be stopped; find it with `fuser {path}`, \
-         let it go on (kill -CONT) or end it (kill -KILL), then ask again",
+        "{path} has been locked for over {ms} ms: a process of this router may be stopped; find it with \
+         `fuser {path}`, resume it (kill -CONT) or end it (kill -KILL), then repeat the command",
         ms = LOCK_TIMEOUT.as_millis()
     )]
     LockTimeout {
@@ -93,8 +93,8 @@
     },
     /// The state file is unusable and was moved aside; the state is empty from now on.
     #[error(
-        "{path} is not used: {reason}; it was moved to {moved_to} and nothing is held by it: SUSPEND again what must \
-         stay out, and PAUSE again if the router should drain"
+        "{path} is unusable: {reason}; it was moved to {moved_to} and its state is lost: repeat SUSPEND for \
+         each instance that must stay in maintenance, and PAUSE if the router should drain"
     )]
     Unusable {
         /// Path of the state file.
@@ -105,7 +105,10 @@
         moved_to: PathBuf,
     },
     /// The encoded state exceeds the maximum file size.
-    #[error("the holds need {bytes} bytes and {path} may have {max}: RESTORE some first", max = MAX_FILE_BYTES)]
+    #[error(
+        "the maintenance state needs {bytes} bytes, but {path} may have at most {max}: RESTORE some first",
+        max = MAX_FILE_BYTES
+    )]
     TooLarge {
         /// Path of the file.
         path: PathBuf,
@@ -113,7 +116,7 @@
         bytes: usize,
     },
     /// The state could not be encoded.
-    #[error("the holds cannot be written to {path}: {source}; this is a fault of the program, report it")]
+    #[error("the maintenance state cannot be encoded for {path}: {source}; this is a bug, report it")]
     Encode {
         /// Path of the file.
         path: PathBuf,
--- a/maintenance/src/interface.rs
+++ b/maintenance/src/interface.rs
@@ -79,16 +79,15 @@
     /// No endpoint list has been received yet, so the id cannot be checked. A driver may wait for the list
     /// and retry.
     #[error(
-        "no list of instances has come yet, so {id:?} is unknown: check the list's source, then ask again"
+        "no list of instances has been received yet, so {id:?} is unknown: \
+         check the list's source, then retry"
     )]
     EndpointsPending {
         /// The requested id.
         id: String,
     },
     /// No instance with this id is listed or in maintenance.
-    #[error(
-        "no instance {id:?} among the {listed_count} listed: compare the id with the list, letter by letter"
-    )]
+    #[error("instance {id:?} is not among the {listed_count} listed: compare the id with the list")]
     NotListed {
         /// The requested id.
         id: String,
@@ -96,9 +95,7 @@
         listed_count: usize,
     },
     /// The instance is not in maintenance.
-    #[error(
-        "{id:?} is not held, so there is nothing to restore; {entry_count} others are: compare the id with these"
-    )]
+    #[error("{id:?} is not in maintenance; {entry_count} other instances are: compare the id with theirs")]
     NotInMaintenance {
         /// The requested id.
         id: String,
@@ -106,7 +103,7 @@
         entry_count: usize,
     },
     /// The number of instances in maintenance has reached [`Settings::max_entries`].
-    #[error("{max_entries} instances are held, the most at a time: RESTORE one that is back, then ask again")]
+    #[error("{max_entries} instances are in maintenance, the maximum: RESTORE one first, then retry")]
     TooManyEntries {
         /// Maximum number of instances in maintenance.
         max_entries: usize,
