--- a/sessions/benches/machine.rs
+++ b/sessions/benches/machine.rs
@@ -53,7 +53,7 @@
     criterion.bench_function("commit and its sync", |bencher| {
         bencher.iter(|| {
             n += 1;
-            let now = Now { at: Time(n as i64), present: Some(Time(n as i64)) };
+            let now = Now { at: Time(n as i64), commit_upper_bound: Some(Time(n as i64)) };
             let commit = Event::Commit { ack: n, session: key(n % 100_000), committed_at: Time(n as i64) };
             machine.handle(now, commit, &mut actions);
             machine.handle(now, Event::JournalSynced { seq: n }, &mut actions);
--- a/sessions/src/commit_cache.rs
+++ b/sessions/src/commit_cache.rs
@@ -1,20 +1,21 @@
-//! The newest commit of each session, in bounded memory.
+//! The time of each session's newest commit, in bounded memory.
 //!
-//! Entries are in generations of a fixed size, the newest in front. When the newest is full another begins, and
-//! when there are too many the oldest is folded into the floor: what every session must see from then on is the
-//! newest commit among those forgotten, so no session ever has to see less than before.
+//! Entries are stored in generations of a fixed size, newest generation first. When the newest generation is
+//! full, a new one is added. When there are too many, the oldest is evicted and the floor is raised to its
+//! newest commit. The floor is a lower bound for every session, so eviction never lowers the position that a
+//! session's reads require.
 use crate::SessionKey;
 use decision::Time;
 use std::collections::{HashMap, VecDeque};
 use std::hash::{BuildHasherDefault, Hasher};
 
-/// Sessions in one generation: seven eighths of a power of two, which is what a hash table of the standard library
-/// holds before it doubles.
+/// Sessions in one generation: seven eighths of a power of two, the load at which the standard library's hash
+/// table doubles its memory.
 pub const GENERATION_SESSIONS: usize = 114_688;
-/// Bytes of a generation's table: 2^17 places of a key, a commit and a control byte.
+/// Bytes of a generation's table: 2^17 slots of a key, a commit time and a control byte.
 pub const GENERATION_BYTES: usize = (1 << 17) * 17 + 16;
 
-/// Hashes a key to itself: keys are hashes already.
+/// Returns the key itself as its hash, because session keys already are hashes.
 #[derive(Default, Clone)]
 pub struct IdentityHasher(u64);
 
@@ -39,48 +40,49 @@
     newest: Time,
 }
 
-/// The newest commit of each session, and the floor that covers sessions that were forgotten.
+/// The newest commit of each session, and the floor that covers evicted sessions.
 pub struct CommitCache {
-    /// The newest in front.
+    /// Newest generation first.
     generations: VecDeque<Generation>,
     generation_sessions: usize,
     max_generations: usize,
     floor: Option<Time>,
-    folded: u64,
+    evicted_generations: u64,
 }
 
 impl CommitCache {
-    /// Holds at least this many sessions one by one.
+    /// Creates a cache with individual entries for at least `sessions` sessions.
     pub fn new(sessions: usize) -> CommitCache {
         CommitCache::with_generations(sessions, GENERATION_SESSIONS.min(sessions.max(1)))
     }
 
-    /// Holds at least this many sessions one by one, in generations of `generation_sessions`.
+    /// Creates a cache with individual entries for at least `sessions` sessions, in generations of
+    /// `generation_sessions`.
     pub fn with_generations(sessions: usize, generation_sessions: usize) -> CommitCache {
         CommitCache {
             generations: VecDeque::new(),
             generation_sessions,
-            // One more than needed: the newest may have just begun.
+            // One extra generation, since the newest may be almost empty.
             max_generations: sessions.max(1).div_ceil(generation_sessions) + 1,
             floor: None,
-            folded: 0,
+            evicted_generations: 0,
         }
     }
 
-    /// Remembers a commit of a session; an older one than is held has no effect.
+    /// Records a session's commit. A commit older than the session's recorded one has no effect.
     pub fn insert(&mut self, key: SessionKey, at: Time) {
-        // What the floor covers needs no place.
+        // The floor already covers this commit.
         if self.floor.is_some_and(|floor| at <= floor) {
             return;
         }
-        if self.get(key).is_some_and(|held| held >= at) {
+        if self.get(key).is_some_and(|recorded| recorded >= at) {
             return;
         }
         let is_full = |generation: &Generation| {
             generation.table.len() >= self.generation_sessions && !generation.table.contains_key(&key)
         };
         if self.generations.front().is_none_or(is_full) {
-            self.begin_generation(at);
+            self.push_generation(at);
         }
         if let Some(generation) = self.generations.front_mut() {
             generation.table.insert(key, at);
@@ -88,32 +90,32 @@
         }
     }
 
-    fn begin_generation(&mut self, newest: Time) {
+    fn push_generation(&mut self, newest: Time) {
         if self.generations.len() == self.max_generations {
             let oldest = self.generations.pop_back();
             self.floor = self.floor.max(oldest.map(|generation| generation.newest));
-            self.folded += 1;
+            self.evicted_generations += 1;
         }
         let table = Table::with_capacity_and_hasher(self.generation_sessions, BuildHasherDefault::default());
         self.generations.push_front(Generation { table, newest });
     }
 
     fn get(&self, key: SessionKey) -> Option<Time> {
-        // Whatever is newer is in a newer generation.
+        // A session's newest commit is in the newest generation that has the session.
         self.generations.iter().find_map(|generation| generation.table.get(&key).copied())
     }
 
-    /// The commit that a session must see.
+    /// The commit time that a read of this session must reflect.
     pub fn required_position(&self, key: SessionKey) -> Option<Time> {
         self.get(key).max(self.floor)
     }
 
-    /// What every session must see.
+    /// The commit time that reads of every session must reflect.
     pub fn floor(&self) -> Option<Time> {
         self.floor
     }
 
-    /// Raises what every session must see; it never sinks. Generations that it covers completely are dropped.
+    /// Raises the floor (a lower value has no effect) and drops the generations that it covers completely.
     pub fn raise_floor(&mut self, floor: Time) {
         self.floor = self.floor.max(Some(floor));
         while self.generations.back().is_some_and(|oldest| Some(oldest.newest) <= self.floor) {
@@ -121,37 +123,38 @@
         }
     }
 
-    /// Every entry, an older one of a session after its newer one.
+    /// Iterates over all entries, newest generation first. A session that has several entries yields its
+    /// newest first.
     pub fn iter(&self) -> impl Iterator<Item = (SessionKey, Time)> + '_ {
         self.generations.iter().flat_map(|generation| generation.table.iter().map(|(key, at)| (*key, *at)))
     }
 
-    /// Entries held one by one; a session that has written again may count twice.
+    /// Number of entries. A session with commits in several generations is counted once for each.
     pub fn len(&self) -> usize {
         self.generations.iter().map(|generation| generation.table.len()).sum()
     }
 
-    /// Whether nothing is held one by one.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.generations.is_empty()
     }
 
-    /// How often the oldest sessions were folded into the floor.
-    pub fn folded_generations(&self) -> u64 {
-        self.folded
+    /// Number of generations evicted so far, each of which raised the floor.
+    pub fn evicted_generations(&self) -> u64 {
+        self.evicted_generations
     }
 
-    /// How many generations are held.
+    /// Current number of generations.
     pub fn generation_count(&self) -> usize {
         self.generations.len()
     }
 
-    /// How many sessions the tables that are held have places for.
+    /// Total number of entries that the allocated tables can store.
     pub fn table_capacity(&self) -> usize {
         self.generations.iter().map(|generation| generation.table.capacity()).sum()
     }
 
-    /// Bytes of all tables that may be held at once.
+    /// Upper bound of the memory of all tables for this many sessions, in bytes.
     pub fn max_table_bytes(sessions: usize) -> usize {
         (sessions.max(1).div_ceil(GENERATION_SESSIONS) + 1) * GENERATION_BYTES
     }
--- a/sessions/src/error.rs
+++ b/sessions/src/error.rs
@@ -1,42 +1,42 @@
-//! Why an instance does not start, and why a running one can't be asked for its status.
+//! Errors of an instance's start and of a status request to a running instance.
 use crate::journal::JournalError;
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why an instance does not start; each message says what an operator can do.
+/// Errors that prevent an instance from starting. Each message tells the operator what to do.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The address for peers can't be bound.
+    /// The listen address for session peers can't be bound.
     #[error(
-        "sessions: {addr}: {source}; see who else listens there, or name another address in sessions.listen"
+        "sessions: cannot listen on {addr}: {source}; free this address or set another one in sessions.listen"
     )]
     Listen {
-        /// The address.
+        /// The listen address.
         addr: SocketAddr,
-        /// The error of the operating system.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The folder can't be used.
+    /// The journal's folder can't be used.
     #[error("sessions: {0}")]
     Journal(#[from] JournalError),
-    /// No thread could be started.
-    #[error("sessions: no thread: {0}; raise the limit of processes of this user")]
+    /// A thread could not be started.
+    #[error("sessions: cannot start a thread: {0}; raise this user's limit of processes")]
     Thread(io::Error),
 }
 
-/// Why a running instance could not be asked for its status.
+/// Errors of a status request to a running instance.
 #[derive(Debug, Error)]
 pub enum StatusError {
-    /// It can't be reached, or did not answer in time.
+    /// The instance can't be reached, or did not respond in time.
     #[error("{addr}: {source}")]
     Unreachable {
-        /// The address.
+        /// The requested address.
         addr: SocketAddr,
-        /// The error of the operating system.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// Something else listens there.
-    #[error("{0}: no instance of sessions answers there; give what sessions.listen says in its file")]
+    /// Another program listens on the address.
+    #[error("{0}: no sessions instance listens here; use the address of sessions.listen in its file")]
     NotAnInstance(SocketAddr),
 }
--- a/sessions/src/journal.rs
+++ b/sessions/src/journal.rs
@@ -1,13 +1,15 @@
-//! Commits on disk.
+//! The journal that stores commits on disk.
 //!
-//! One file, `sessions.N`, N rising with each rewrite. It begins with a magic text, a version and a first record that
-//! names the instance; behind that are records, appended and synced together. A record is a length, the checksum of
-//! the length, the checksum of the body (XXH3), and the body (postcard).
+//! The journal is one file, `sessions.N`; N increases with each rewrite. It begins with a magic number, a
+//! version and a first record that identifies the instance, followed by records that are appended and synced
+//! in batches. A record consists of a length, a checksum of the length, a checksum of the body (XXH3), and
+//! the body (postcard).
 //!
-//! A stop in the middle of a write leaves a tail that is no record and has nothing behind it: it is cut, and was
-//! never confirmed. What is no record and has a record behind it is a fault of the disk: the file is refused, with
-//! the offset. Both make the caller raise the floor. A rewrite goes to a new file that is synced before it gets its
-//! name, and only then is the old one deleted.
+//! A process that stops in the middle of a write leaves an incomplete record at the end. That tail is cut
+//! off; it was never confirmed. Bytes that are not a valid record but are followed by one mean that the disk
+//! is faulty: the file is rejected, and the offset is reported. In both cases the caller raises the floor. A
+//! rewrite creates a new file, which is synced before it is renamed to its final name; only then is the old
+//! file deleted.
 mod checkpoint;
 mod error;
 mod files;
--- a/sessions/src/journal/checkpoint.rs
+++ b/sessions/src/journal/checkpoint.rs
@@ -1,17 +1,17 @@
-//! What a new file begins with.
+//! The state that a new journal file begins with.
 use crate::SessionKey;
 use decision::Time;
 
-/// What a new file begins with.
+/// The state that a new journal file begins with.
 pub struct Checkpoint<'a> {
-    /// The instance.
+    /// The number of the instance that owns the journal.
     pub instance: u64,
-    /// Its start.
+    /// The instance's incarnation.
     pub incarnation: u64,
-    /// Sessions and their commits, oldest first.
+    /// Sessions and the times of their commits, oldest first.
     pub entries: &'a [(SessionKey, Time)],
-    /// What every session must see.
+    /// The commit time that reads of every session must reflect.
     pub floor: Option<Time>,
-    /// The floor that covers earlier starts follows later.
+    /// Commits of earlier starts may be missing; a later floor record will cover them.
     pub incomplete: bool,
 }
--- a/sessions/src/journal/error.rs
+++ b/sessions/src/journal/error.rs
@@ -1,38 +1,38 @@
-//! Why a folder can't be used.
+//! Errors of a journal's folder.
 use std::io;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a folder can't be used; each message says what an operator can do.
+/// Errors of a journal's folder. Each message tells the operator what to do.
 #[derive(Debug, Error)]
 pub enum JournalError {
-    /// It, or the files in it, can't be read or written.
-    #[error("{}: {source}; see that it exists and is this user's", .folder.display())]
+    /// The folder, or a file in it, can't be read or written.
+    #[error("{}: {source}; check that the folder exists and is writable", .folder.display())]
     Folder {
-        /// The folder.
+        /// The journal's folder.
         folder: PathBuf,
-        /// The error of the operating system.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// Another process has it.
+    /// Another process has locked the folder.
     #[error("{}: another process uses this folder; end it, or name another folder", .0.display())]
     Locked(PathBuf),
-    /// It is another instance's.
-    #[error("{}: it belongs to instance {instance}; give each instance a folder of its own", .path.display())]
+    /// The folder contains another instance's journal.
+    #[error("{}: belongs to instance {instance}; give each instance a folder of its own", .path.display())]
     OtherInstance {
-        /// The file that says so.
+        /// The other instance's journal file.
         path: PathBuf,
-        /// Whose it is.
+        /// The number of the instance that owns the file.
         instance: u64,
     },
-    /// No new file could be begun, and a later start would use the old ones.
-    #[error("{}: {source}, and old files can't be deleted: {removal}; delete them by hand", .folder.display())]
+    /// No new file could be created, and the old files could not be deleted, so a later start would use them.
+    #[error("{}: {source}; deleting old files failed: {removal}; delete them manually", .folder.display())]
     StaleFiles {
-        /// The folder.
+        /// The journal's folder.
         folder: PathBuf,
-        /// Why no new file could be begun.
+        /// Why no new file could be created.
         source: io::Error,
-        /// Why the old ones could not be deleted.
+        /// Why the old files could not be deleted.
         removal: io::Error,
     },
 }
--- a/sessions/src/journal/files.rs
+++ b/sessions/src/journal/files.rs
@@ -1,18 +1,18 @@
-//! The files of a folder by number: listed, begun and deleted.
+//! Lists, creates and deletes the numbered journal files of a folder.
 use super::checkpoint::Checkpoint;
 use super::record::{self, JournalContents, JournalFault, Record};
 use std::fs::File;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Files are named with this and their number.
+/// Prefix of a journal file's name; the file's number follows.
 const FILE_PREFIX: &str = "sessions.";
-/// A new file's name until it is complete and synced.
+/// Temporary name of a new file until it is complete and synced.
 const UNFINISHED_FILE: &str = "new";
-/// Entries in one record of a checkpoint.
+/// Maximum number of entries in one record of a checkpoint.
 const CHECKPOINT_RECORD_ENTRIES: usize = 32_768;
 
-/// The files of a folder, by number, in rising order.
+/// Lists a folder's journal files with their numbers, in ascending order.
 pub(super) fn list(folder: &Path) -> io::Result<Vec<(u64, PathBuf)>> {
     let mut listed = Vec::new();
     for entry in std::fs::read_dir(folder)? {
@@ -26,17 +26,17 @@
     Ok(listed)
 }
 
-/// The file of a folder that a start would use, read without changing anything; `None` where there is none.
+/// Reads the journal file that a start would use, without changing anything; `None` if the folder has none.
 ///
 /// # Errors
-/// Where the folder or the file can't be read.
+/// If the folder or the file can't be read.
 pub fn read_newest(folder: &Path) -> io::Result<Option<(PathBuf, Result<JournalContents, JournalFault>)>> {
     let Some((_, path)) = list(folder)?.pop() else { return Ok(None) };
     let contents = record::read(&std::fs::read(&path)?);
     Ok(Some((path, contents)))
 }
 
-/// The bytes that a file begins with.
+/// Encodes the bytes that a new file begins with.
 fn encode(checkpoint: &Checkpoint) -> io::Result<Vec<u8>> {
     let mut bytes = record::file_header();
     let Checkpoint { instance, incarnation, incomplete, .. } = *checkpoint;
@@ -51,7 +51,8 @@
     Ok(bytes)
 }
 
-/// Writes a new file: synced before it gets its name, and the name synced as well. Returns its length in bytes.
+/// Creates a new file from a checkpoint and returns it with its length in bytes. The file is synced before it
+/// is renamed to its final name, and the folder is synced after that.
 pub(super) fn create(folder: &Path, number: u64, checkpoint: &Checkpoint) -> io::Result<(File, u64)> {
     let bytes = encode(checkpoint)?;
     let unfinished = folder.join(UNFINISHED_FILE);
@@ -63,12 +64,12 @@
     Ok((file, bytes.len() as u64))
 }
 
-/// Deletes every file.
+/// Deletes all journal files of a folder.
 pub(super) fn remove_all(folder: &Path) -> io::Result<()> {
     remove_below(folder, u64::MAX)
 }
 
-/// Deletes files with lower numbers.
+/// Deletes the journal files with numbers below `number`.
 pub(super) fn remove_below(folder: &Path, number: u64) -> io::Result<()> {
     let mut old = list(folder)?;
     old.retain(|(n, _)| *n < number);
@@ -76,7 +77,7 @@
         std::fs::remove_file(path)?;
     }
     if !old.is_empty() {
-        // A power failure must not bring the files back: that they are gone has to be on disk.
+        // Syncs the folder, so that the deleted files do not reappear after a power failure.
         File::open(folder)?.sync_all()?;
     }
     Ok(())
--- a/sessions/src/journal/folder.rs
+++ b/sessions/src/journal/folder.rs
@@ -1,4 +1,4 @@
-//! An instance's folder: its lock, and what a start finds there.
+//! An instance's journal folder: locking it, and reading it at a start.
 use super::checkpoint::Checkpoint;
 use super::error::JournalError;
 use super::files;
@@ -10,42 +10,43 @@
 
 const LOCK_FILE: &str = "lock";
 
-/// What was wrong with the newest file of a folder.
+/// A problem that was found in the newest file of a folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JournalWarning {
-    /// The last stop came in the middle of a write: the tail is no record and was cut off.
+    /// The process stopped in the middle of a write: the incomplete record at the end is cut off.
     TornTail {
-        /// Bytes of the tail.
+        /// Length of the tail in bytes.
         bytes: usize,
-        /// The file.
+        /// The journal file.
         path: PathBuf,
     },
-    /// The file can't be used and was moved aside.
-    Refused {
-        /// The file.
+    /// The file can't be used and was renamed.
+    Rejected {
+        /// The journal file.
         path: PathBuf,
-        /// Why.
+        /// Why the file can't be used.
         fault: JournalFault,
-        /// Where it is now.
+        /// The file's new path.
         moved_to: PathBuf,
     },
 }
 
-/// What a folder held at the start.
+/// A locked folder and the contents of its newest journal file.
 pub struct OpenedFolder {
-    /// What the newest file held.
+    /// The contents of the newest file; `None` if there is no usable file.
     pub contents: Option<JournalContents>,
-    /// What was wrong, for the log.
+    /// A problem with the newest file, to be logged.
     pub warning: Option<JournalWarning>,
     lock: File,
     folder: PathBuf,
     last_number: u64,
 }
 
-/// Locks a folder, which is created where it is missing, and reads what it holds.
+/// Locks a folder, which is created if it is missing, and reads its newest journal file.
 ///
 /// # Errors
-/// Where another process has it locked, where it is another instance's, and where it can't be read or created.
+/// If another process has locked the folder, if its journal is another instance's, or if it can't be read or
+/// created.
 pub fn open(folder: &Path, instance: u64) -> Result<OpenedFolder, JournalError> {
     let failed = |source| JournalError::Folder { folder: folder.into(), source };
     std::fs::create_dir_all(folder).map_err(failed)?;
@@ -85,28 +86,30 @@
                 if contents.torn_bytes > 0 {
                     self.warning =
                         Some(JournalWarning::TornTail { bytes: contents.torn_bytes, path: path.into() });
-                    // Whether that was confirmed can't be told from a disk that lost its last bytes.
+                    // An unconfirmed write that was interrupted looks the same as a confirmed one whose last
+                    // bytes the disk lost, so commits may be missing.
                     contents.incomplete = true;
                 }
                 self.contents = Some(contents);
             }
-            Err(fault) => self.refuse_file(path, fault),
+            Err(fault) => self.reject_file(path, fault),
         }
         Ok(())
     }
 
-    /// Moves a faulty file aside. Where that fails, the next new file still replaces it.
-    fn refuse_file(&mut self, path: &Path, fault: JournalFault) {
+    /// Renames a faulty file. If that fails, the next new file still replaces the faulty one.
+    fn reject_file(&mut self, path: &Path, fault: JournalFault) {
         let moved_to = self.folder.join(format!("refused.{}", self.last_number));
         _ = std::fs::rename(path, &moved_to);
-        self.warning = Some(JournalWarning::Refused { path: path.into(), fault, moved_to });
+        self.warning = Some(JournalWarning::Rejected { path: path.into(), fault, moved_to });
     }
 
-    /// Begins a new file with what was found and deletes older ones. Where that fails, the old ones are deleted all
-    /// the same, so that no later start uses them, and the inner result says why there is no journal.
+    /// Creates a new file from the checkpoint and deletes the older files. If the new file can't be created,
+    /// the older files are deleted anyway, so that no later start uses them, and the inner result has the
+    /// reason.
     ///
     /// # Errors
-    /// Where old files can't be deleted.
+    /// If older files can't be deleted.
     pub fn begin(self, checkpoint: &Checkpoint) -> Result<Result<Journal, io::Error>, JournalError> {
         let OpenedFolder { lock, folder, last_number, .. } = self;
         let number = last_number + 1;
--- a/sessions/src/journal/record.rs
+++ b/sessions/src/journal/record.rs
@@ -1,4 +1,4 @@
-//! A journal file's bytes: records, and what they add up to.
+//! The format of a journal file: its records, and the contents that are read from them.
 use crate::SessionKey;
 use decision::Time;
 use serde::{Deserialize, Serialize};
@@ -7,76 +7,78 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 const MAGIC: &[u8; 6] = b"DVSESS";
-/// Version of the format; others are refused.
+/// Version of the file format; files of other versions are rejected.
 pub const VERSION: u16 = 1;
-/// Magic text and version.
+/// Size of the file header (magic number and version) in bytes.
 const FILE_HEADER_BYTES: usize = MAGIC.len() + 2;
-/// Length, its checksum, the body's checksum.
+/// Size of a record's header (length, the length's checksum, the body's checksum) in bytes.
 const RECORD_HEADER_BYTES: usize = 4 + 4 + 8;
-/// The longest body that is accepted.
+/// Maximum size of a record's body in bytes.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// A record's body.
+/// The body of a journal record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// Whose file it is; the first record of each file.
+    /// Identifies the instance that wrote the file; the first record of each file.
     Header {
-        /// The instance.
+        /// The number of the instance that wrote the file.
         instance: u64,
-        /// Its start.
+        /// The incarnation that wrote the file.
         incarnation: u64,
-        /// Commits of earlier starts are missing, and the floor that covers them is not written yet.
+        /// Commits of earlier starts may be missing, and no floor record that covers them had been written
+        /// yet.
         incomplete: bool,
     },
-    /// Sessions and their commits, in microseconds of Unix time.
+    /// Sessions and the times of their commits, in microseconds since the Unix epoch.
     Commits(Vec<(SessionKey, i64)>),
-    /// What every session must see; covers what an incomplete beginning lacks.
+    /// The commit time that reads of every session must reflect, in microseconds since the Unix epoch. It
+    /// covers the commits that an incomplete checkpoint lacks.
     Floor(i64),
 }
 
-/// What a file held.
+/// The contents of a journal file.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct JournalContents {
-    /// The instance.
+    /// The number of the instance that wrote the file.
     pub instance: u64,
-    /// Its start.
+    /// The incarnation that wrote the file.
     pub incarnation: u64,
-    /// Sessions and their commits, oldest first.
+    /// Sessions and the times of their commits, oldest first.
     pub entries: Vec<(SessionKey, Time)>,
-    /// What every session must see.
+    /// The commit time that reads of every session must reflect.
     pub floor: Option<Time>,
-    /// Commits may be missing: all that were made before the next start must be seen.
+    /// Commits may be missing, so reads must reflect everything committed before the next start.
     pub incomplete: bool,
-    /// Bytes after the last complete record, with no record among them.
+    /// Number of bytes after the last complete record; they contain no valid record.
     pub torn_bytes: usize,
-    /// Bytes of the complete records and the file's header.
+    /// Total size of the file header and the complete records, in bytes.
     pub complete_bytes: usize,
-    /// How many records.
+    /// Number of complete records.
     pub record_count: usize,
 }
 
-/// Why a file can't be used.
+/// Why a journal file can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum JournalFault {
-    /// It is no journal, or of another version.
+    /// The file is not a journal, or has another format version.
     #[error("{0}")]
     NotAJournal(String),
-    /// No record stands at this offset, but there are some behind it.
+    /// There is no valid record at this offset, but there are valid records after it.
     #[error("no whole record at offset {offset}, with records behind it")]
     DamagedRecord {
-        /// In bytes from the file's beginning.
+        /// The offset from the beginning of the file, in bytes.
         offset: usize,
     },
 }
 
-/// What a new file begins with.
+/// Returns the file header: magic number and version.
 pub(super) fn file_header() -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     bytes.extend_from_slice(&VERSION.to_le_bytes());
     bytes
 }
 
-/// Appends a record's header and body.
+/// Appends an encoded record (header and body) to `bytes`.
 pub(super) fn encode(bytes: &mut Vec<u8>, record: &Record) -> io::Result<()> {
     let body = postcard::to_stdvec(record).map_err(io::Error::other)?;
     let length = (body.len() as u32).to_le_bytes();
@@ -95,7 +97,8 @@
     xxh3_64(body).to_le_bytes()
 }
 
-/// The record at the front, and its length with the header; `None` where there is none.
+/// Decodes the record at the start of `bytes` and returns it with its total length; `None` if there is no
+/// valid record.
 fn decode(bytes: &[u8]) -> Option<(Record, usize)> {
     let (length, checksum) = (bytes.get(..4)?, bytes.get(4..8)?);
     if length_checksum(length) != checksum {
@@ -110,18 +113,18 @@
     Some((postcard::from_bytes(body).ok()?, end))
 }
 
-/// Reads a file's bytes. A tail that is no record, with none behind it, is reported in
+/// Decodes the bytes of a journal file. The length of an incomplete record at the end is reported in
 /// [`JournalContents::torn_bytes`].
 ///
 /// # Errors
-/// [`JournalFault::NotAJournal`] where it is no journal of this version; [`JournalFault::DamagedRecord`] where something
-/// that is no record has records behind it.
+/// [`JournalFault::NotAJournal`] if the bytes are not a journal of this version;
+/// [`JournalFault::DamagedRecord`] if an invalid record is followed by a valid one.
 pub fn read(bytes: &[u8]) -> Result<JournalContents, JournalFault> {
     check_file_header(bytes)?;
     let (mut contents, mut offset) = read_header(bytes)?;
     while offset < bytes.len() {
         let Some((record, length)) = decode(&bytes[offset..]) else {
-            if has_record_behind(bytes, offset) {
+            if has_record_after(bytes, offset) {
                 return Err(JournalFault::DamagedRecord { offset });
             }
             contents.torn_bytes = bytes.len() - offset;
@@ -134,7 +137,7 @@
     Ok(contents)
 }
 
-/// What the first record says, and the offset of the second.
+/// Reads the first record, and returns its contents and the offset of the second record.
 fn read_header(bytes: &[u8]) -> Result<(JournalContents, usize), JournalFault> {
     let first = decode(&bytes[FILE_HEADER_BYTES..]);
     let Some((Record::Header { instance, incarnation, incomplete }, length)) = first else {
@@ -145,13 +148,14 @@
     Ok((contents, FILE_HEADER_BYTES + length))
 }
 
-/// Whether anything behind the offset reads as a record: what is at the offset is no torn tail then.
-fn has_record_behind(bytes: &[u8], offset: usize) -> bool {
-    (offset + 1..bytes.len()).any(|behind| decode(&bytes[behind..]).is_some())
+/// Whether a valid record begins anywhere after `offset`. If so, the bytes at `offset` are damaged and not a
+/// torn tail.
+fn has_record_after(bytes: &[u8], offset: usize) -> bool {
+    (offset + 1..bytes.len()).any(|start| decode(&bytes[start..]).is_some())
 }
 
 impl JournalContents {
-    /// Adds a record behind the first; `None` where it can't stand there.
+    /// Applies a record after the first one; `None` if a record of this kind is not allowed there.
     fn apply(&mut self, record: Record) -> Option<()> {
         match record {
             Record::Commits(entries) => {
@@ -172,10 +176,11 @@
 
 fn check_file_header(bytes: &[u8]) -> Result<(), JournalFault> {
     let header = bytes.get(..FILE_HEADER_BYTES).filter(|header| header.starts_with(MAGIC));
-    let header = header.ok_or_else(|| JournalFault::NotAJournal("it is no journal of sessions".into()))?;
+    let header =
+        header.ok_or_else(|| JournalFault::NotAJournal("the file is not a session journal".into()))?;
     let version = u16::from_le_bytes([header[MAGIC.len()], header[MAGIC.len() + 1]]);
     if version != VERSION {
-        return Err(JournalFault::NotAJournal(format!("its version is {version}, expected {VERSION}")));
+        return Err(JournalFault::NotAJournal(format!("journal version {version}, expected {VERSION}")));
     }
     Ok(())
 }
--- a/sessions/src/journal/writer.rs
+++ b/sessions/src/journal/writer.rs
@@ -1,4 +1,4 @@
-//! The file that commits are appended to.
+//! Appends commits to the current journal file, and rewrites it.
 use super::checkpoint::Checkpoint;
 use super::files;
 use super::record::{self, Record};
@@ -6,23 +6,24 @@
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-/// A file that has grown to more than this many times its beginning is rewritten.
+/// A file that has grown to more than this many times the size of its checkpoint is rewritten.
 const REWRITE_GROWTH: u64 = 3;
 
-/// An instance's folder: locked, with at most one file that a later start uses.
+/// The journal of an instance. Its folder is locked and contains at most one file that a later start would
+/// use.
 pub struct Journal {
     folder: PathBuf,
     number: u64,
     file: File,
     bytes: u64,
-    /// Bytes that the file began with.
+    /// Size of the checkpoint at the beginning of the file, in bytes.
     checkpoint_bytes: u64,
-    /// Held open: its lock ends with the journal.
+    /// Kept open, because closing this file releases the folder's lock.
     _lock: File,
 }
 
 impl Journal {
-    /// A folder whose newest file was just created with `bytes` bytes.
+    /// A journal whose newest file was just created with a size of `bytes`.
     pub(super) fn new(folder: PathBuf, lock: File, number: u64, file: File, bytes: u64) -> Journal {
         Journal { folder, number, file, bytes, checkpoint_bytes: bytes, _lock: lock }
     }
@@ -30,7 +31,7 @@
     /// Appends a record and syncs it.
     ///
     /// # Errors
-    /// Where the file can't be written or synced; whether the record is on disk is not known then.
+    /// If the file can't be written or synced. It is then unknown whether the record is on disk.
     pub fn append(&mut self, record: &Record) -> io::Result<()> {
         let mut bytes = Vec::new();
         record::encode(&mut bytes, record)?;
@@ -40,16 +41,16 @@
         Ok(())
     }
 
-    /// Whether the file has grown so far beyond what it began with that a rewrite pays; `min_bytes` is the least size
-    /// at which one does.
+    /// Whether the file is larger than `min_bytes` and has grown far enough beyond its checkpoint to be
+    /// rewritten.
     pub fn wants_rewrite(&self, min_bytes: u64) -> bool {
         self.bytes > min_bytes.max(REWRITE_GROWTH * self.checkpoint_bytes)
     }
 
-    /// Writes a new file in place of this one.
+    /// Replaces the file by a new one that begins with `checkpoint`.
     ///
     /// # Errors
-    /// Where the new file can't be written or the old one can't be deleted.
+    /// If the new file can't be written or the old one can't be deleted.
     pub fn rewrite(&mut self, checkpoint: &Checkpoint) -> io::Result<()> {
         let (file, bytes) = files::create(&self.folder, self.number + 1, checkpoint)?;
         (self.number, self.file) = (self.number + 1, file);
@@ -57,15 +58,15 @@
         files::remove_below(&self.folder, self.number)
     }
 
-    /// Deletes every file, so that no later start uses what lacks commits from now on.
+    /// Deletes all journal files, because they will lack later commits and a later start must not use them.
     ///
     /// # Errors
-    /// Where a file can't be deleted.
+    /// If a file can't be deleted.
     pub fn invalidate(&self) -> io::Result<()> {
         files::remove_all(&self.folder)
     }
 
-    /// Bytes of the file.
+    /// Current size of the journal file in bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
--- a/sessions/src/machine.rs
+++ b/sessions/src/machine.rs
@@ -1,18 +1,20 @@
-//! The state machine: when a write may be acknowledged, which peers may be relied on, and what a read must see.
+//! The state machine: decides when a write may be acknowledged and which commit time a read must reflect.
 //!
-//! An instance may rely on what it holds of a peer while it has a *lease* from it. The peer has granted that and
-//! acknowledges no write before the instance has confirmed it, until the lease is over. The holder counts from when
-//! it requested the lease and the granter from when it answered, with a margin for clocks that run at different rates,
-//! so no clocks are compared. Without a lease from every peer, a named session's read must see the present: everything
-//! committed before it was received. A peer whose process is proven gone (its address refuses connections)
-//! acknowledges nothing, and for as long as a fresh process must wait before it does, so the proof is as good as a
+//! While an instance holds a *lease* from a peer, the commits that it has received from the peer are up to
+//! date: until the lease expires, the granting peer acknowledges no write before the lease holder has
+//! confirmed it. The holder counts the lease from its request and the granter from its response, with a
+//! margin for clocks that run at different rates, so no two clocks are compared. Without a lease from every
+//! peer, a named session's read must reflect everything committed before the read was received. A peer whose
+//! address refuses connections has no running process and acknowledges nothing. A newly started process must
+//! wait as long as a lease lasts before it acknowledges writes, so a refused connection is as good as a
 //! lease.
 //!
-//! No I/O, no clock, no threads, no random numbers: the same events at the same times give the same actions.
+//! The state machine does no I/O, reads no clock, starts no threads and uses no random numbers: the same
+//! events at the same times give the same actions.
 //!
-//! - `state`: what the machine holds, and what it says of it; `handler`: one event at a time.
-//! - `writes`: served writes and the floor; `peers`: which peers are listed and connected; `leases`: both directions
-//!   of leases; `pushes`: what peers send.
+//! - `state`: the machine's state and queries on it; `handler`: dispatch of events.
+//! - `writes`: served writes and the floor; `peers`: listed and connected peers; `leases`: granted and held
+//!   leases; `pushes`: messages received from peers.
 mod event;
 mod handler;
 mod leases;
--- a/sessions/src/machine/event.rs
+++ b/sessions/src/machine/event.rs
@@ -1,207 +1,209 @@
-//! What happens to an instance, and what is to be done.
+//! The events that the state machine handles, and the actions that it returns.
 use super::message::{Instance, Push, RejectionReason};
 use crate::SessionKey;
 use decision::Time;
 
-/// The number of a write whose acknowledgement is pending.
+/// Identifies a served write that has not been acknowledged to its client yet.
 pub type PendingAck = u64;
 
-/// The present at an event.
+/// The time at which an event is handled.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// By this router's clock.
+    /// The time by this router's clock.
     pub at: Time,
-    /// Later than every commit made by now, by the servers' clocks; `None` while they are not known.
-    pub present: Option<Time>,
+    /// Upper bound, by the servers' clocks, of the time of every commit made so far; `None` while no server's
+    /// clock is known.
+    pub commit_upper_bound: Option<Time>,
 }
 
-/// What happens.
+/// An event for the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A named session's write was served.
+    /// A write of a named session was committed by a server.
     Commit {
-        /// The write.
+        /// Identifies the write.
         ack: PendingAck,
-        /// Its session.
+        /// The session that wrote.
         session: SessionKey,
-        /// When it was committed, by the server's clock.
+        /// The commit's time, by the server's clock.
         committed_at: Time,
     },
-    /// A write of a session that exists in this process alone was served.
+    /// A write of a connection's session, which exists in this process only, was committed by a server.
     ConnectionCommit {
-        /// Its session.
+        /// The session that wrote.
         session: SessionKey,
-        /// When it was committed, by the server's clock.
+        /// The commit's time, by the server's clock.
         committed_at: Time,
     },
-    /// The journal holds commits on disk.
+    /// The journal has synced commits to disk.
     JournalSynced {
-        /// Up to this one.
+        /// The newest synced commit's number.
         seq: u64,
     },
-    /// The journal is gone, and no later start will read what it left.
-    JournalLost,
-    /// The journal can't be written, and its file can't be deleted: a later start would read it.
-    JournalStuck,
-    /// A new journal is being written.
+    /// The journal can't be written and its files were deleted, so no later start will read them.
+    JournalDeleted,
+    /// The journal can't be written and its files can't be deleted, so a later start would read them.
+    JournalUndeletable,
+    /// A new journal file is being written.
     JournalRestored {
-        /// It begins with everything up to this commit.
+        /// The new file's checkpoint contains every commit up to this number.
         seq: u64,
     },
-    /// The peers, from now on.
+    /// The list of peers has changed.
     PeersListed {
-        /// Their numbers; this instance's own may be among them.
+        /// The instance numbers of all peers; may include this instance's own number.
         peers: Vec<Instance>,
     },
-    /// A peer accepts our commits.
+    /// A peer accepted the connection on which this instance sends its commits.
     Accepted {
-        /// The peer.
+        /// The peer's instance number.
         peer: Instance,
-        /// Of which start of ours it holds commits.
+        /// The newest incarnation of this instance that the peer knows.
         incarnation: u64,
-        /// The newest that it holds.
+        /// The newest commit of that incarnation that the peer has stored; 0 if none.
         last_seq: u64,
     },
-    /// A peer does not accept our commits.
+    /// A peer rejected this instance's commits.
     Rejected {
-        /// The peer.
+        /// The peer's instance number.
         peer: Instance,
-        /// Why.
+        /// Why the commits are rejected.
         reason: RejectionReason,
     },
-    /// A peer holds our commits.
+    /// A peer confirmed this instance's commits.
     Confirmed {
-        /// The peer.
+        /// The peer's instance number.
         peer: Instance,
-        /// Up to this one.
+        /// The newest confirmed commit's number.
         seq: u64,
     },
     /// A peer requests a lease.
     LeaseRequested {
-        /// The peer.
+        /// The peer's instance number.
         peer: Instance,
-        /// By its clock, in microseconds.
+        /// When the lease was requested, by the peer's clock, in microseconds.
         requested_at: i64,
     },
-    /// The connection on which a peer receives our commits has ended.
+    /// The connection on which this instance sends its commits to a peer has ended.
     OutboundDisconnected {
-        /// The peer.
+        /// The peer's instance number.
         peer: Instance,
     },
-    /// A peer's address refused a connection: its process is gone.
+    /// A peer's address refused a connection, which proves that the peer's process is not running.
     ConnectionRefused {
-        /// The peer.
+        /// The peer's instance number.
         peer: Instance,
-        /// When the connection was begun.
+        /// When the connection was attempted.
         attempted_at: Time,
     },
-    /// Another instance wants to send its commits.
+    /// Another instance connected to send its commits.
     HelloReceived {
-        /// The instance.
+        /// The connecting instance's number.
         peer: Instance,
-        /// Its start.
+        /// The connecting instance's incarnation.
         incarnation: u64,
     },
-    /// A peer's next push.
+    /// A push was received from a peer.
     PushReceived {
-        /// The peer.
+        /// The peer's instance number.
         peer: Instance,
-        /// What it sent.
+        /// The received push.
         push: Push,
     },
     /// The connection on which a peer sends its commits has ended.
     InboundDisconnected {
-        /// The peer.
+        /// The peer's instance number.
         peer: Instance,
     },
-    /// Time passes.
+    /// Periodic event at which leases are requested and expired ones take effect.
     Tick,
 }
 
-/// What is to be done, in order.
+/// An action that the driver must carry out. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Write a commit to the journal.
+    /// Append a commit to the journal.
     AppendCommit {
-        /// Its number.
+        /// The commit's number.
         seq: u64,
-        /// Its session.
+        /// The session that wrote.
         session: SessionKey,
-        /// When it was committed, by the server's clock.
+        /// The commit's time, by the server's clock.
         committed_at: Time,
     },
-    /// Write a floor to the journal: commits before this start may be missing from it.
+    /// Append a floor to the journal, because commits made before this start may be missing from it.
     AppendFloor {
-        /// What every session must see.
+        /// The commit time that reads of every session must reflect.
         floor: Time,
     },
     /// Send a push to a peer.
     SendPush {
-        /// The peer.
+        /// The peer's instance number.
         peer: Instance,
-        /// The push.
+        /// The push to send.
         push: Push,
     },
-    /// Send everything held to a peer, then [`Push::SnapshotComplete`].
+    /// Send all stored commits to a peer, followed by [`Push::SnapshotComplete`].
     SendSnapshot {
-        /// The peer.
+        /// The peer's instance number.
         peer: Instance,
         /// The newest commit's number.
         seq: u64,
     },
-    /// Accept an instance's commits.
+    /// Accept an instance's connection for its commits.
     Accept {
-        /// The instance.
+        /// The connecting instance's number.
         peer: Instance,
-        /// Of which start commits are held.
+        /// The connecting instance's incarnation.
         incarnation: u64,
-        /// The newest that is held.
+        /// The newest commit of that incarnation that is stored here; 0 if none.
         last_seq: u64,
     },
-    /// Do not accept an instance's commits.
+    /// Reject an instance's connection for its commits.
     Reject {
-        /// The instance.
+        /// The connecting instance's number.
         peer: Instance,
-        /// Why.
+        /// Why the commits are rejected.
         reason: RejectionReason,
     },
-    /// Confirm a peer's commits.
+    /// Confirm to a peer that its commits are stored.
     SendConfirmation {
-        /// The peer.
+        /// The peer's instance number.
         peer: Instance,
-        /// Up to this one.
+        /// The newest confirmed commit's number.
         seq: u64,
     },
     /// Request a lease from a peer.
     RequestLease {
-        /// The peer.
+        /// The peer's instance number.
         peer: Instance,
-        /// By this router's clock, in microseconds.
+        /// The time of the request, by this router's clock, in microseconds.
         requested_at: i64,
     },
-    /// A peer broke the protocol: end its connection.
+    /// Close a peer's connection, because the peer violated the protocol.
     Disconnect {
-        /// The peer.
+        /// The peer's instance number.
         peer: Instance,
     },
-    /// A write may be acknowledged.
+    /// Acknowledge a write to its client.
     Acknowledge {
-        /// The write.
+        /// Identifies the write.
         ack: PendingAck,
     },
-    /// A write must not be acknowledged: it may have run.
+    /// Report a write's outcome as uncertain: it was committed, but must not be acknowledged.
     Fail {
-        /// The write.
+        /// Identifies the write.
         ack: PendingAck,
     },
-    /// Continue as this incarnation: an older start of this instance had a newer one than ours.
+    /// Continue with a higher incarnation, because peers know an earlier start of this instance with an
+    /// incarnation above the current one.
     AdoptIncarnation {
-        /// The incarnation from now on.
+        /// The new incarnation.
         incarnation: u64,
     },
-    /// A newer start of this instance serves; this one must not.
+    /// A newer start of this instance is running, so this one must not serve named sessions.
     Superseded {
-        /// The newer start's.
+        /// The newer start's incarnation.
         newest_incarnation: u64,
     },
 }
--- a/sessions/src/machine/handler.rs
+++ b/sessions/src/machine/handler.rs
@@ -1,11 +1,11 @@
-//! One event at a time.
+//! Dispatches events to their handlers.
 use super::event::{Action, Event, Now};
 use super::state::Machine;
 
 impl Machine {
-    /// Handles one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Now, event: Event, actions: &mut Vec<Action>) {
-        if self.floor_pending && now.present.is_some() {
+        if self.floor_pending && now.commit_upper_bound.is_some() {
             self.raise_floor(now, actions);
         }
         self.dispatch(now, event, actions);
@@ -19,10 +19,10 @@
             }
             Event::ConnectionCommit { session, committed_at } => self.commits.insert(session, committed_at),
             Event::JournalSynced { seq } => self.synced_seq = self.synced_seq.max(seq),
-            Event::JournalLost => (self.durable, self.journal_stuck) = (false, false),
-            Event::JournalStuck => self.journal_stuck = true,
+            Event::JournalDeleted => (self.durable, self.journal_undeletable) = (false, false),
+            Event::JournalUndeletable => self.journal_undeletable = true,
             Event::JournalRestored { seq } => {
-                (self.durable, self.journal_stuck) = (self.settings.durable, false);
+                (self.durable, self.journal_undeletable) = (self.settings.durable, false);
                 self.synced_seq = self.synced_seq.max(seq);
             }
             Event::PeersListed { peers } => self.set_peers(&peers, now, actions),
--- a/sessions/src/machine/message.rs
+++ b/sessions/src/machine/message.rs
@@ -1,54 +1,54 @@
-//! What instances send to each other.
+//! Messages that instances send to each other.
 //!
-//! Frames carry these in postcard: values in the order of declaration and no names. Fields and variants may be renamed,
-//! but not reordered.
+//! They are encoded in frames with postcard, which writes values in declaration order, without names: fields
+//! and variants may be renamed, but not reordered.
 use crate::SessionKey;
 use serde::{Deserialize, Serialize};
 
 /// An instance's number, from the configuration.
 pub type Instance = u64;
 
-/// Why an instance's commits are not accepted. Log lines print the names of the variants.
+/// Why an instance's commits are rejected. The names of the variants appear in log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectionReason {
-    /// It is not among this instance's peers.
+    /// The connecting instance is not in this instance's list of peers.
     NotListed,
-    /// A newer start of the same instance is known.
+    /// A newer start of the connecting instance is known.
     OlderIncarnation {
-        /// The newest one's incarnation.
+        /// The newest known incarnation of the connecting instance.
         newest: u64,
     },
-    /// It was looking for another instance at this address.
+    /// The connecting instance expected another instance at this address.
     WrongInstance,
-    /// It belongs to another cluster.
+    /// The connecting instance belongs to another cluster.
     WrongCluster,
-    /// It speaks another version of the protocol.
+    /// The connecting instance uses another version of the protocol.
     WrongVersion,
 }
 
-/// What one instance sends to a peer, in order.
+/// A message from an instance to a peer that receives its commits. Pushes are sent in order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Push {
-    /// Commits, numbered without a gap from `first` on.
+    /// Commits with consecutive numbers, starting at `first`.
     Commits {
-        /// The first one's number.
+        /// The first commit's number.
         first: u64,
-        /// Session and commit, in microseconds of Unix time.
+        /// Sessions and the times of their commits, in microseconds since the Unix epoch.
         entries: Vec<(SessionKey, i64)>,
     },
-    /// A part of everything held.
+    /// A part of a snapshot of all stored commits.
     Snapshot {
-        /// Session and commit, in microseconds of Unix time.
+        /// Sessions and the times of their commits, in microseconds since the Unix epoch.
         entries: Vec<(SessionKey, i64)>,
     },
-    /// Everything held up to this number has been sent.
+    /// The end of a snapshot: all stored commits up to `seq` have been sent.
     SnapshotComplete {
         /// The newest commit's number.
         seq: u64,
-        /// What every session must see, in microseconds of Unix time.
+        /// The commit time that reads of every session must reflect, in microseconds since the Unix epoch.
         floor: Option<i64>,
     },
-    /// The answer to a lease request: the lease counts from then.
+    /// Grants a requested lease. The lease starts at `requested_at`.
     LeaseGrant {
         /// When the lease was requested, by the requester's clock, in microseconds.
         requested_at: i64,
--- a/sessions/src/machine/peer.rs
+++ b/sessions/src/machine/peer.rs
@@ -1,72 +1,73 @@
-//! One peer: what it holds of ours and what we hold of it.
+//! The state of one peer: commits and leases exchanged in both directions.
 use super::message::Instance;
 use decision::Time;
 use serde::Serialize;
 
-/// A peer, by what it holds of ours and what we hold of it.
+/// The state of one peer: commits and leases exchanged in both directions.
 #[derive(Debug, Default)]
 pub(super) struct Peer {
-    /// A connection on which it receives our commits is up.
-    pub(super) receives: bool,
-    /// It holds our commits up to this one.
+    /// The connection on which this instance sends its commits to the peer is open.
+    pub(super) outbound_connected: bool,
+    /// The newest commit of this instance that the peer has confirmed.
     pub(super) confirmed_seq: u64,
-    /// It holds a lease from us until then.
+    /// When the lease that the peer holds from this instance expires.
     pub(super) lease_granted_until: Time,
-    /// It does not list this instance.
+    /// The peer does not list this instance among its peers.
     pub(super) not_listed: bool,
-    /// Its newest known start.
+    /// The peer's newest known incarnation.
     pub(super) incarnation: u64,
-    /// Its commits are held up to this one.
+    /// The newest commit received from the peer.
     pub(super) received_seq: u64,
-    /// A connection on which it sends its commits is up.
-    pub(super) sends: bool,
-    /// We hold a lease from it until then.
+    /// The connection on which the peer sends its commits to this instance is open.
+    pub(super) inbound_connected: bool,
+    /// When the lease that this instance holds from the peer expires.
     pub(super) lease_held_until: Time,
-    /// Its process is proven gone until then.
+    /// Until this time the peer can't acknowledge writes, because its address refused a connection.
     pub(super) down_until: Time,
-    /// When a lease was last requested from it.
+    /// When this instance last requested a lease from the peer.
     pub(super) lease_requested_at: Time,
 }
 
 impl Peer {
-    /// Whether what is held of it may be relied on: a process that is gone acknowledges nothing either.
+    /// Whether no write that the peer has acknowledged can be missing here: a lease is held, or the peer is
+    /// down and acknowledges nothing.
     pub(super) fn is_up_to_date(&self, now: Time) -> bool {
         self.lease_held_until > now || self.down_until > now
     }
 
-    /// Its status, for operators.
+    /// The peer's status, for operators.
     pub(super) fn status(&self, instance: Instance, now: Time) -> PeerStatus {
         PeerStatus {
             instance,
             incarnation: self.incarnation,
             received_seq: self.received_seq,
             confirmed_seq: self.confirmed_seq,
-            connected: self.receives,
+            connected: self.outbound_connected,
             up_to_date: self.is_up_to_date(now),
             down: self.down_until > now,
         }
     }
 }
 
-/// A peer's status, for operators. The keys of its JSON are those of `sessions show`, which operators know.
+/// A peer's status, for operators. The JSON keys are those that `sessions show` prints, and must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct PeerStatus {
-    /// The peer.
+    /// The peer's instance number.
     pub instance: Instance,
-    /// Its newest known start.
+    /// The peer's newest known incarnation.
     pub incarnation: u64,
-    /// Its commits that are held here, by number.
+    /// The number of the newest commit received from the peer.
     #[serde(rename = "heard")]
     pub received_seq: u64,
-    /// Our commits that it holds, by number.
+    /// The number of this instance's newest commit that the peer has confirmed.
     #[serde(rename = "confirmed")]
     pub confirmed_seq: u64,
-    /// It receives our commits.
+    /// Whether the connection on which the peer receives this instance's commits is open.
     #[serde(rename = "linked")]
     pub connected: bool,
-    /// What is held of it may be relied on.
+    /// Whether no write that the peer has acknowledged can be missing here.
     #[serde(rename = "relied_on")]
     pub up_to_date: bool,
-    /// Its process is proven gone.
+    /// Whether the peer's address recently refused a connection, so its process is not running.
     pub down: bool,
 }
--- a/sessions/src/machine/pushes.rs
+++ b/sessions/src/machine/pushes.rs
@@ -1,4 +1,4 @@
-//! What peers send: their hello, their commits and the leases that they grant.
+//! Messages received from peers: hello, commits, snapshots and lease grants.
 use super::event::{Action, Now};
 use super::message::{Instance, Push, RejectionReason};
 use super::state::Machine;
@@ -23,11 +23,11 @@
             return;
         }
         if incarnation > peer.incarnation {
-            // What the older start has granted says nothing of this one.
+            // Commits and leases of the peer's older start do not apply to its new one.
             (peer.incarnation, peer.received_seq, peer.lease_held_until) = (incarnation, 0, Time(0));
         }
-        // The proof that it was gone still holds: a fresh start waits for longer than that lasts.
-        peer.sends = true;
+        // `down_until` stays valid: a newly started peer acknowledges no write before that time.
+        peer.inbound_connected = true;
         let (incarnation, last_seq) = (peer.incarnation, peer.received_seq);
         actions.push(Action::Accept { peer: instance, incarnation, last_seq });
         peer.request_lease(instance, now, actions);
@@ -35,7 +35,7 @@
 
     pub(super) fn handle_inbound_disconnected(&mut self, instance: Instance) {
         if let Some(peer) = self.peers.get_mut(&instance) {
-            peer.sends = false;
+            peer.inbound_connected = false;
         }
     }
 
@@ -47,13 +47,13 @@
         actions: &mut Vec<Action>,
     ) {
         let lease = self.settings.lease;
-        let Some(peer) = self.peers.get_mut(&instance).filter(|peer| peer.sends) else {
+        let Some(peer) = self.peers.get_mut(&instance).filter(|peer| peer.inbound_connected) else {
             actions.push(Action::Disconnect { peer: instance });
             return;
         };
         match push {
             Push::Commits { first, entries } => self.receive_commits(instance, first, entries, actions),
-            Push::Snapshot { entries } => self.remember_all(entries),
+            Push::Snapshot { entries } => self.insert_all(entries),
             Push::SnapshotComplete { seq, floor } => {
                 peer.received_seq = seq;
                 actions.push(Action::SendConfirmation { peer: instance, seq });
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Remembers a connected peer's commits. A gap ends the connection: the peer has to connect again.
+    /// Stores a peer's commits. A gap in their numbers closes the connection, and the peer has to reconnect.
     fn receive_commits(
         &mut self,
         instance: Instance,
@@ -73,16 +73,16 @@
     ) {
         let Some(peer) = self.peers.get_mut(&instance) else { return };
         if first > peer.received_seq + 1 {
-            peer.sends = false;
+            peer.inbound_connected = false;
             actions.push(Action::Disconnect { peer: instance });
             return;
         }
         peer.received_seq = peer.received_seq.max(first + entries.len() as u64 - 1);
         actions.push(Action::SendConfirmation { peer: instance, seq: peer.received_seq });
-        self.remember_all(entries);
+        self.insert_all(entries);
     }
 
-    fn remember_all(&mut self, entries: Vec<(SessionKey, i64)>) {
+    fn insert_all(&mut self, entries: Vec<(SessionKey, i64)>) {
         entries
             .into_iter()
             .for_each(|(session, committed_at)| self.commits.insert(session, Time(committed_at)));
--- a/sessions/src/machine/state.rs
+++ b/sessions/src/machine/state.rs
@@ -1,4 +1,4 @@
-//! What the machine holds, and what it says of it.
+//! The state of the state machine, and queries on it.
 use super::event::{Now, PendingAck};
 use super::message::Instance;
 use super::peer::{Peer, PeerStatus};
@@ -8,67 +8,69 @@
 use std::collections::{BTreeMap, VecDeque};
 use thiserror::Error;
 
-/// How the machine is set up.
+/// Settings of the state machine.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This instance.
+    /// This instance's number.
     pub instance: Instance,
-    /// Rises with each start.
+    /// This start's incarnation; increases with each start.
     pub incarnation: u64,
-    /// How long a lease lasts for its holder.
+    /// Duration of a lease for its holder, in microseconds.
     pub lease: Micros,
-    /// Commits that are held for peers that reconnect.
+    /// Number of recent commits that are retained for peers that reconnect.
     pub max_buffered_commits: usize,
-    /// Sessions remembered one by one.
+    /// Number of sessions with individual entries in the commit cache.
     pub max_sessions: usize,
-    /// A journal holds commits.
+    /// Whether commits are written to a journal.
     pub durable: bool,
-    /// What was restored at this start may lack something: everything committed before it must be seen.
+    /// Whether the restored commits may be incomplete, so that reads must reflect everything committed before
+    /// this start.
     pub incomplete: bool,
 }
 
-/// Why this instance serves no named session.
+/// Why this instance serves no named sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum NotServing {
-    /// A newer start of this instance is known, of this incarnation.
+    /// A newer start of this instance is running, with this incarnation.
     #[error("a newer start of this instance serves (incarnation {0})")]
     Superseded(u64),
-    /// That instance does not list this one among its peers.
+    /// The peer with this number does not list this instance among its peers.
     #[error("instance {0} does not list this one")]
     NotListed(Instance),
 }
 
-/// What sessions must see at one instance.
+/// The state machine of one instance.
 pub struct Machine {
     pub(super) settings: Settings,
     pub(super) commits: CommitCache,
-    /// What every named session must see: commits that are known of by their time alone.
+    /// The commit time that reads of every named session must reflect. It covers commits whose sessions are
+    /// not known.
     pub(super) floor: Option<Time>,
-    /// The floor has to rise to the present as soon as that is known.
+    /// The floor must be raised to the upper bound of all commits as soon as the servers' clocks are known.
     pub(super) floor_pending: bool,
     pub(super) peers: BTreeMap<Instance, Peer>,
-    /// Peers that are listed no more may rely on us until then.
-    pub(super) unlisted_lease_until: Time,
-    /// The newest commit's number.
+    /// When the last lease expires among those of peers that were removed from the list.
+    pub(super) removed_peers_lease_until: Time,
+    /// The number of this instance's newest commit.
     pub(super) last_seq: u64,
-    /// The journal holds commits up to this one.
+    /// The number of the newest commit that the journal has synced to disk.
     pub(super) synced_seq: u64,
-    /// The journal is written.
+    /// The journal is being written.
     pub(super) durable: bool,
-    /// The journal can neither be written nor deleted.
-    pub(super) journal_stuck: bool,
-    /// The newest commits, the last one numbered `last_seq`.
+    /// The journal can be neither written nor deleted.
+    pub(super) journal_undeletable: bool,
+    /// The most recent commits; the last entry has the number `last_seq`.
     pub(super) recent_commits: VecDeque<(SessionKey, i64)>,
-    /// Writes whose acknowledgement is pending, by their commit's number.
+    /// Writes that are not acknowledged yet, by their commit's number.
     pub(super) pending_acks: BTreeMap<u64, PendingAck>,
     /// The incarnation of a newer start of this instance.
     pub(super) superseded_by: Option<u64>,
-    /// Some peer has accepted this start.
+    /// A peer has accepted this incarnation.
     pub(super) was_accepted: bool,
 }
 
 impl Machine {
-    /// A machine that has just started, with what a journal holds.
+    /// Creates the state machine with the commits and the floor that were restored from a journal.
     pub fn new(
         settings: Settings,
         restored: impl IntoIterator<Item = (SessionKey, Time)>,
@@ -82,12 +84,12 @@
         Machine {
             floor_pending: settings.incomplete,
             durable: settings.durable,
-            journal_stuck: false,
+            journal_undeletable: false,
             settings,
             commits,
             floor: None,
             peers: BTreeMap::new(),
-            unlisted_lease_until: Time(0),
+            removed_peers_lease_until: Time(0),
             last_seq: 0,
             synced_seq: 0,
             recent_commits: VecDeque::new(),
@@ -97,17 +99,17 @@
         }
     }
 
-    /// The commits that are held.
+    /// The cache of the sessions' newest commits.
     pub fn commits(&self) -> &CommitCache {
         &self.commits
     }
 
-    /// The newest commit's number.
+    /// The number of this instance's newest commit.
     pub fn last_seq(&self) -> u64 {
         self.last_seq
     }
 
-    /// How many writes wait for their acknowledgement.
+    /// Number of writes that are not acknowledged yet.
     pub fn pending_ack_count(&self) -> usize {
         self.pending_acks.len()
     }
@@ -117,22 +119,23 @@
         self.settings.incarnation
     }
 
-    /// Whether commits are on disk before their writes are acknowledged.
+    /// Whether commits are synced to disk before their writes are acknowledged.
     pub fn durable(&self) -> bool {
-        self.durable && !self.journal_stuck
+        self.durable && !self.journal_undeletable
     }
 
-    /// What every session must see, as far as it is known.
+    /// The commit time that reads of every session must reflect; it will rise while [`Self::floor_pending`]
+    /// is true.
     pub fn floor(&self) -> Option<Time> {
         self.commits.floor().max(self.floor)
     }
 
-    /// Whether commits before this start may be missing and their time is not known yet.
+    /// Whether commits may be missing and the floor that will cover them is not known yet.
     pub fn floor_pending(&self) -> bool {
         self.floor_pending
     }
 
-    /// Why this instance serves no named session, if so.
+    /// The reason why this instance serves no named sessions; `None` if it serves them.
     pub fn not_serving(&self) -> Option<NotServing> {
         if let Some(newest) = self.superseded_by {
             return Some(NotServing::Superseded(newest));
@@ -141,25 +144,26 @@
         Some(NotServing::NotListed(*instance))
     }
 
-    /// What a named session's read that is received now must see.
+    /// The commit time that a named session's read received at `now` must reflect.
     pub fn required_position(&self, session: SessionKey, now: Now) -> Option<Time> {
         if self.floor_pending || !self.peers_up_to_date(now.at) {
-            return Some(now.present.unwrap_or(AFTER_EVERY_COMMIT));
+            return Some(now.commit_upper_bound.unwrap_or(AFTER_EVERY_COMMIT));
         }
         self.commits.required_position(session).max(self.floor)
     }
 
-    /// What a read must see whose session exists in this process alone.
+    /// The commit time that a read of a connection's session, which exists in this process only, must
+    /// reflect.
     pub fn required_position_of_connection(&self, session: SessionKey) -> Option<Time> {
         self.commits.required_position(session)
     }
 
-    /// The status of each peer.
+    /// The status of every peer.
     pub fn peer_statuses(&self, now: Time) -> Vec<PeerStatus> {
         self.peers.iter().map(|(instance, peer)| peer.status(*instance, now)).collect()
     }
 
-    /// Whether what is held of every peer may be relied on.
+    /// Whether no write that any peer has acknowledged can be missing here.
     pub fn peers_up_to_date(&self, now: Time) -> bool {
         self.peers.values().all(|peer| peer.is_up_to_date(now))
     }
--- a/sessions/src/node.rs
+++ b/sessions/src/node.rs
@@ -1,9 +1,10 @@
-//! Drives the state machine: the journal's thread, a thread for each peer to connect to, the connections of peers, and
-//! the ticks. A front asks what a read must see, and hands over a served write before it answers the client.
+//! The driver of the state machine: the journal thread, one thread per outbound peer connection, the inbound
+//! peer connections, and the periodic ticks. A front queries which commit time a read must reflect, and
+//! reports each served write before it responds to the client.
 //!
-//! The machine is behind one lock that is held for microseconds and never over a socket or a file: what is sent to a
-//! peer waits in a bounded queue, what is written to disk in a list that the journal's thread takes at once, so that
-//! many writes share one sync.
+//! The state machine is behind one mutex, which is locked for microseconds and never during socket or file
+//! I/O. Frames for peers wait in bounded queues. Journal records wait in a list that the journal thread takes
+//! as a whole, so that many writes share one sync.
 mod actions;
 mod connection;
 mod inbound;
--- a/sessions/src/node/actions.rs
+++ b/sessions/src/node/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the state machine decides.
+//! Executes the state machine's actions.
 use super::sessions::Sessions;
 use super::state::{CommitOutcome, PendingRecord, State};
 use crate::SessionKey;
@@ -13,16 +13,16 @@
     pub(super) fn handle_locked(&self, state: &mut State, event: Event) {
         let mut actions = Vec::new();
         state.machine.handle(self.now(), event, &mut actions);
-        self.carry_out_all(state, actions);
+        self.execute_all(state, actions);
     }
 
-    pub(super) fn carry_out_all(&self, state: &mut State, actions: Vec<Action>) {
+    pub(super) fn execute_all(&self, state: &mut State, actions: Vec<Action>) {
         for action in actions {
-            self.carry_out(state, action);
+            self.execute(state, action);
         }
     }
 
-    fn carry_out(&self, state: &mut State, action: Action) {
+    fn execute(&self, state: &mut State, action: Action) {
         match action {
             Action::AppendCommit { seq, session, committed_at } => {
                 self.append(state, PendingRecord::Commit { seq, session, committed_at });
@@ -38,12 +38,15 @@
                 state.send_inbound(peer, Frame::LeaseRequest { requested_at });
             }
             Action::Disconnect { peer } => disconnect(state, peer),
-            Action::Acknowledge { ack } => state.answer_write(ack, CommitOutcome::Covered),
-            Action::Fail { ack } => state.answer_write(ack, CommitOutcome::Uncertain),
-            // Answered where the connection is accepted.
+            Action::Acknowledge { ack } => state.complete_write(ack, CommitOutcome::Visible),
+            Action::Fail { ack } => state.complete_write(ack, CommitOutcome::Uncertain),
+            // `Sessions::accept` sends the rejection.
             Action::Reject { .. } => {}
             Action::AdoptIncarnation { incarnation } => {
-                tracing::warn!(incarnation, "later start known to session peers, its number exceeded");
+                tracing::warn!(
+                    incarnation,
+                    "session peers know a higher incarnation, continuing with the next one"
+                );
             }
             Action::Superseded { newest_incarnation } => self.log_superseded(newest_incarnation),
         }
@@ -57,20 +60,21 @@
         );
     }
 
-    /// Queues a record for the journal's thread and wakes it; one wake is enough for many records.
+    /// Queues a record and wakes the journal thread. If a wake-up is already pending, it covers this record
+    /// too.
     fn append(&self, state: &mut State, record: PendingRecord) {
         state.pending_records.push(record);
         _ = self.wake_journal.try_send(());
     }
 
-    /// Sends everything that is held, in parts.
+    /// Sends all stored commits to a peer, in several frames.
     fn send_snapshot(&self, state: &State, peer: Instance, seq: u64) {
         let Some(connection) = state.outbound.get(&peer) else { return };
         let machine = &state.machine;
         let commits = machine.commits().iter();
         let mut entries: Vec<(SessionKey, i64)> =
             commits.map(|(session, committed_at)| (session, committed_at.0)).collect();
-        // Oldest first: the peer's oldest generations are to be ours.
+        // Oldest first, so that the peer's cache evicts in the same order as this one.
         entries.reverse();
         for part in entries.chunks(self.limits.max_sessions_per_frame) {
             connection.send(Frame::Push(Push::Snapshot { entries: part.to_vec() }));
@@ -80,10 +84,10 @@
     }
 }
 
-/// Ends the connection of a peer that broke the protocol.
+/// Closes the connection of a peer that violated the protocol.
 fn disconnect(state: &State, peer: Instance) {
     if let Some(connection) = state.inbound.get(&peer) {
-        tracing::error!(peer, "protocol broken by session peer, it has to connect again");
+        tracing::error!(peer, "session peer violated the protocol, connection closed");
         connection.close();
     }
 }
--- a/sessions/src/node/connection.rs
+++ b/sessions/src/node/connection.rs
@@ -1,4 +1,4 @@
-//! One connection between instances: its socket, and the bounded queue of frames that are to be sent on it.
+//! A connection between instances: its socket and the bounded queue of outgoing frames.
 use crate::frames::{self, Frame};
 use crate::machine::Push;
 use crossbeam_channel::{Receiver, Sender, bounded};
@@ -8,31 +8,32 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Frames are written together up to about this many bytes.
+/// Approximate maximum number of bytes that are written at once.
 const MAX_WRITE_BYTES: usize = 1 << 20;
 
-static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
+static NEXT_CONNECTION_NUMBER: AtomicU64 = AtomicU64::new(0);
 
-/// A connection to or from a peer. What is sent on it waits in a bounded queue.
+/// A connection to or from a peer. Outgoing frames wait in a bounded queue.
 pub(super) struct Connection {
-    /// Tells this connection from older ones with the same peer.
+    /// Distinguishes this connection from older ones with the same peer.
     pub(super) number: u64,
     pub(super) socket: Arc<TcpStream>,
     queue: Sender<Frame>,
 }
 
 impl Connection {
-    /// A connection on this socket, and the frames that are to be written to it.
+    /// Creates a connection on a socket. Returns it with the receiving end of its queue of outgoing frames.
     pub(super) fn open(socket: TcpStream, limits: &Limits) -> io::Result<(Connection, Receiver<Frame>)> {
         socket.set_nodelay(true)?;
         socket.set_read_timeout(Some(limits.session_peer_timeout))?;
         socket.set_write_timeout(Some(limits.session_peer_timeout))?;
         let (queue, queued) = bounded(limits.max_queued_session_frames);
-        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_CONNECTION_NUMBER.fetch_add(1, Ordering::Relaxed);
         Ok((Connection { number, socket: Arc::new(socket), queue }, queued))
     }
 
-    /// Queues a frame. A peer that reads too slowly loses the connection: it resumes, or begins anew.
+    /// Queues a frame. If the queue is full because the peer reads too slowly, closes the connection; missing
+    /// commits are sent again after a reconnect.
     pub(super) fn send(&self, frame: Frame) {
         if self.queue.try_send(frame).is_err() {
             self.close();
@@ -44,12 +45,12 @@
     }
 }
 
-/// A socket that is closed already needs no closing.
+/// Closes a socket. Errors are ignored, since the socket may already be closed.
 pub(super) fn close(socket: &TcpStream) {
     _ = socket.shutdown(Shutdown::Both);
 }
 
-/// Writes what is queued, as much at a time as is there, until the queue closes or the socket fails.
+/// Writes queued frames in batches until the queue is closed or the socket fails.
 pub(super) fn write_queued(
     mut socket: &TcpStream,
     queued: &Receiver<Frame>,
@@ -74,8 +75,8 @@
     Ok(())
 }
 
-/// Appends the commits of the next frame to those of this one, so that commits that follow each other go as one
-/// frame. Whether it did so.
+/// Merges the commits of the next frame into this one, if both have commits. Returns whether they were
+/// merged.
 fn merge_commits(frame: &mut Frame, next: &mut Option<Frame>, max_entries: usize) -> bool {
     if let Frame::Push(Push::Commits { entries, .. }) = frame
         && entries.len() < max_entries
--- a/sessions/src/node/inbound.rs
+++ b/sessions/src/node/inbound.rs
@@ -1,4 +1,4 @@
-//! Connections that others open: peers send their commits, and operators ask for this instance's status.
+//! Inbound connections: peers send their commits, and operators request this instance's status.
 use super::connection::{Connection, close, write_queued};
 use super::sessions::Sessions;
 use crate::frames::{self, Frame, VERSION};
@@ -18,13 +18,13 @@
 }
 
 impl Sessions {
-    /// Accepts connections, each on a thread of its own.
+    /// Accepts connections, each on its own thread.
     pub(super) fn accept_all(self: &Arc<Self>, listener: &TcpListener) {
         for socket in listener.incoming() {
-            let own = self.clone();
+            let this = self.clone();
             let run = move || {
                 if let Ok(socket) = socket
-                    && let Err(error) = own.run_inbound(socket)
+                    && let Err(error) = this.run_inbound(socket)
                 {
                     tracing::debug!(%error, "connection from session peer ended");
                 }
@@ -35,7 +35,7 @@
         }
     }
 
-    /// One connection that somebody has opened.
+    /// Serves one inbound connection until it ends.
     fn run_inbound(self: &Arc<Self>, socket: TcpStream) -> io::Result<()> {
         let (connection, queued) = Connection::open(socket, &self.limits)?;
         let (socket, number) = (connection.socket.clone(), connection.number);
@@ -44,7 +44,7 @@
                 Hello { version, cluster, from, incarnation, to }
             }
             Frame::StatusRequest => return frames::write(&*socket, &Frame::Status(self.status())),
-            _ => return Err(io::Error::other("no hello")),
+            _ => return Err(io::Error::other("expected a hello or a status request as the first frame")),
         };
         let from = hello.from;
         if let Err(reason) = self.check(&hello).and_then(|()| self.accept(&hello, connection)) {
@@ -52,13 +52,13 @@
                 instance = from,
                 incarnation = hello.incarnation,
                 ?reason,
-                "commits of instance rejected"
+                "session peer's connection rejected"
             );
             return frames::write(&*socket, &Frame::Rejected(reason));
         }
         let (writer_socket, max_entries) = (socket.clone(), self.limits.max_sessions_per_frame);
         let write = move || {
-            // A socket that fails ends the reader too, which says why.
+            // If the socket fails, the reader ends as well and returns the error.
             _ = write_queued(&writer_socket, &queued, max_entries);
             close(&writer_socket);
         };
@@ -68,7 +68,7 @@
         ended
     }
 
-    /// Whether the peer looks for this instance, in its protocol and cluster.
+    /// Checks that the peer expects this instance and uses the same protocol version and cluster.
     fn check(&self, hello: &Hello) -> Result<(), RejectionReason> {
         if hello.version != VERSION {
             return Err(RejectionReason::WrongVersion);
@@ -82,7 +82,8 @@
         Ok(())
     }
 
-    /// Makes this the peer's connection, in place of an older one, if the state machine accepts the peer.
+    /// Registers the connection, replacing an older one of the same peer, if the state machine accepts the
+    /// peer.
     fn accept(&self, hello: &Hello, connection: Connection) -> Result<(), RejectionReason> {
         let mut state = self.lock();
         let mut actions = Vec::new();
@@ -97,17 +98,17 @@
         {
             old.close();
         }
-        self.carry_out_all(&mut state, actions);
+        self.execute_all(&mut state, actions);
         rejected.map_or(Ok(()), Err)
     }
 
     fn receive_pushes(&self, from: Instance, number: u64, socket: &TcpStream) -> io::Result<()> {
         loop {
             let Frame::Push(push) = frames::read(socket, self.limits.max_session_frame_bytes)? else {
-                return Err(io::Error::other("no push"));
+                return Err(io::Error::other("expected a push frame"));
             };
             let mut state = self.lock();
-            // What an older connection still brings is ignored.
+            // Ignores frames of a connection that a newer one has replaced.
             if state.inbound.get(&from).is_none_or(|connection| connection.number != number) {
                 return Ok(());
             }
--- a/sessions/src/node/journal_thread.rs
+++ b/sessions/src/node/journal_thread.rs
@@ -1,4 +1,5 @@
-//! The journal's thread: writes what waits with one sync, and deletes what it can no longer write.
+//! The journal thread: writes queued records with one sync, and deletes the journal if it can no longer be
+//! written.
 use super::sessions::Sessions;
 use super::state::{PendingRecord, State};
 use crate::SessionKey;
@@ -9,27 +10,27 @@
 use std::io;
 use std::sync::atomic::Ordering;
 
-/// What can be done with the journal.
+/// Whether the journal can be written, and if not, whether its files were deleted.
 enum JournalState {
     Written,
-    /// A write failed, and the files are deleted: commits are in memory alone.
+    /// A write failed, and the files were deleted: commits are only in memory.
     Deleted,
     /// A write failed, and the files can't be deleted: a later start would use them.
-    Stuck,
+    Undeletable,
 }
 
-/// What a rewritten file begins with.
+/// A copy of the state for the checkpoint of a rewritten file.
 struct Snapshot {
     entries: Vec<(SessionKey, Time)>,
     floor: Option<Time>,
     incomplete: bool,
-    /// The newest commit's number.
+    /// The number of the newest commit.
     last_seq: u64,
     incarnation: u64,
 }
 
 impl State {
-    /// Everything that is held; what waits for the journal is among it.
+    /// Copies all stored commits. Clears the queued records, since the copy contains them.
     fn snapshot(&mut self) -> Snapshot {
         self.pending_records.clear();
         let mut entries: Vec<(SessionKey, Time)> = self.machine.commits().iter().collect();
@@ -45,7 +46,7 @@
 }
 
 impl Sessions {
-    /// Runs until this instance stops.
+    /// Runs the journal thread until this instance stops.
     pub(super) fn run_journal(&self, mut journal: Journal, wakes: &Receiver<()>) {
         let mut state = JournalState::Written;
         loop {
@@ -58,7 +59,7 @@
                 JournalState::Written => self.write_or_invalidate(&mut journal),
                 JournalState::Deleted if is_retry_due => self.restore(&mut journal),
                 JournalState::Deleted => JournalState::Deleted,
-                JournalState::Stuck => self.invalidate(&journal),
+                JournalState::Undeletable => self.invalidate(&journal),
             };
         }
     }
@@ -73,35 +74,35 @@
         }
     }
 
-    /// Tries a new file after the old ones were deleted.
+    /// Tries to create a new file after the old ones were deleted.
     fn restore(&self, journal: &mut Journal) -> JournalState {
         match self.rewrite(journal, |seq| Some(Event::JournalRestored { seq })) {
             Ok(seq) => {
-                tracing::info!("session journal written again");
+                tracing::info!("session journal created again");
                 self.handle(Event::JournalSynced { seq });
                 JournalState::Written
             }
-            // A file that was begun must not be used by a later start.
+            // A later start must not use a file that may be incomplete.
             Err(_) => self.invalidate(journal),
         }
     }
 
-    /// Makes sure that no later start uses what the folder holds: commits are missing there from now on.
+    /// Deletes the journal files, so that no later start uses them: they will lack later commits.
     fn invalidate(&self, journal: &Journal) -> JournalState {
         match journal.invalidate() {
             Ok(()) => {
-                self.handle(Event::JournalLost);
+                self.handle(Event::JournalDeleted);
                 JournalState::Deleted
             }
             Err(error) => {
-                tracing::error!(%error, "session journal not deleted, writes of named sessions fail");
-                self.handle(Event::JournalStuck);
-                JournalState::Stuck
+                tracing::error!(%error, "session journal can't be deleted, writes of named sessions fail");
+                self.handle(Event::JournalUndeletable);
+                JournalState::Undeletable
             }
         }
     }
 
-    /// Writes what waits, all with one sync.
+    /// Writes all queued records; commits share one sync.
     fn write(&self, journal: &mut Journal) -> io::Result<()> {
         let records = std::mem::take(&mut self.lock().pending_records);
         let (mut commits, mut last_seq) = (Vec::with_capacity(records.len()), 0);
@@ -127,8 +128,8 @@
         Ok(())
     }
 
-    /// Writes a new file with everything that is held. The event, if any, is handled at the moment that the file
-    /// records. Returns the newest commit's number.
+    /// Replaces the file by one with all stored commits. The event, if any, is handled under the same lock
+    /// under which the commits are copied. Returns the newest commit's number.
     fn rewrite(&self, journal: &mut Journal, event: impl FnOnce(u64) -> Option<Event>) -> io::Result<u64> {
         let snapshot = {
             let mut state = self.lock();
--- a/sessions/src/node/outbound.rs
+++ b/sessions/src/node/outbound.rs
@@ -1,6 +1,7 @@
-//! Connections that this instance opens: its commits go to peers, confirmations and lease requests are received.
+//! Outbound connections: this instance sends its commits to peers, and receives confirmations and lease
+//! requests.
 use super::connection::{Connection, close, write_queued};
-use super::peer_link_log::{LinkEnd, PeerLinkLog};
+use super::peer_link_log::{Outcome, PeerConnectionLog};
 use super::sessions::Sessions;
 use crate::frames::{self, Frame, VERSION};
 use crate::machine::{Event, Instance, RejectionReason};
@@ -10,12 +11,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-/// Attempts to connect to a peer within the time of one lease.
+/// Number of connection attempts to a peer per lease duration.
 const ATTEMPTS_PER_LEASE: u32 = 6;
 
-/// How a peer answered the first frame.
-enum HelloAnswer {
-    /// It accepts our commits; it holds those up to this one of this incarnation.
+/// The result of a handshake: the peer's response to the hello frame.
+enum Handshake {
+    /// The peer accepts commits. `incarnation` and `last_seq` identify the newest commit of this instance
+    /// that the peer has stored.
     Accepted {
         incarnation: u64,
         last_seq: u64,
@@ -24,22 +26,22 @@
 }
 
 impl Sessions {
-    /// Whether the peer is still to be connected to at this address.
+    /// Whether the peer is still listed at this address and this instance is not stopping.
     fn is_listed(&self, peer: Instance, addr: SocketAddr) -> bool {
         !self.is_stopping() && self.lock().peers.get(&peer) == Some(&addr)
     }
 
-    /// Sends our commits to a peer for as long as it is listed at this address.
+    /// Connects to a peer again and again and sends commits to it, as long as it is listed at this address.
     pub(super) fn run_outbound(self: &Arc<Self>, peer: Instance, addr: SocketAddr) {
-        let mut log = PeerLinkLog::new(peer);
+        let mut log = PeerConnectionLog::new(peer);
         while self.is_listed(peer, addr) {
-            log.log(self.attempt_link(peer, addr));
+            log.log(self.attempt_connection(peer, addr));
             std::thread::sleep(self.settings.lease / ATTEMPTS_PER_LEASE);
         }
     }
 
     /// Connects once and sends commits until the connection ends.
-    fn attempt_link(self: &Arc<Self>, peer: Instance, addr: SocketAddr) -> LinkEnd {
+    fn attempt_connection(self: &Arc<Self>, peer: Instance, addr: SocketAddr) -> Outcome {
         let attempted_at = self.clock.now();
         match routing::socket::connect(addr, self.limits.backend_connect_timeout) {
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
@@ -47,44 +49,44 @@
                 if !self.settings.peer_addresses_may_change {
                     self.handle(Event::ConnectionRefused { peer, attempted_at });
                 }
-                LinkEnd::Refused
+                Outcome::Refused
             }
-            Err(error) => LinkEnd::Unreachable(error.to_string()),
+            Err(error) => Outcome::Unreachable(error.to_string()),
             Ok(socket) => match self.send_commits(peer, socket) {
                 Ok(end) => end,
-                Err(error) => LinkEnd::Failed(error.to_string()),
+                Err(error) => Outcome::Failed(error.to_string()),
             },
         }
     }
 
-    /// One connection on which our commits go to a peer.
-    fn send_commits(self: &Arc<Self>, peer: Instance, socket: TcpStream) -> io::Result<LinkEnd> {
+    /// Sends commits to a peer on one connection until the connection ends.
+    fn send_commits(self: &Arc<Self>, peer: Instance, socket: TcpStream) -> io::Result<Outcome> {
         let (connection, queued) = Connection::open(socket, &self.limits)?;
-        match self.introduce(peer, &connection.socket)? {
-            HelloAnswer::Accepted { incarnation, last_seq } => {
+        match self.handshake(peer, &connection.socket)? {
+            Handshake::Accepted { incarnation, last_seq } => {
                 self.run_connection(peer, connection, &queued, incarnation, last_seq)?;
-                Ok(LinkEnd::Closed)
+                Ok(Outcome::Closed)
             }
-            HelloAnswer::Rejected(reason) => {
+            Handshake::Rejected(reason) => {
                 self.handle(Event::Rejected { peer, reason });
-                Ok(LinkEnd::Rejected(reason))
+                Ok(Outcome::Rejected(reason))
             }
         }
     }
 
-    /// Sends the first frame, and reads the peer's answer to it.
-    fn introduce(&self, peer: Instance, socket: &TcpStream) -> io::Result<HelloAnswer> {
+    /// Sends the hello frame and reads the peer's response.
+    fn handshake(&self, peer: Instance, socket: &TcpStream) -> io::Result<Handshake> {
         let incarnation = self.lock().machine.incarnation();
         let (cluster, from) = (self.settings.cluster.clone(), self.settings.instance);
         frames::write(socket, &Frame::Hello { version: VERSION, cluster, from, incarnation, to: peer })?;
         match frames::read(socket, self.limits.max_session_frame_bytes)? {
-            Frame::Accepted { incarnation, last_seq } => Ok(HelloAnswer::Accepted { incarnation, last_seq }),
-            Frame::Rejected(reason) => Ok(HelloAnswer::Rejected(reason)),
-            _ => Err(io::Error::other("no answer to a hello")),
+            Frame::Accepted { incarnation, last_seq } => Ok(Handshake::Accepted { incarnation, last_seq }),
+            Frame::Rejected(reason) => Ok(Handshake::Rejected(reason)),
+            _ => Err(io::Error::other("unexpected response to the hello frame")),
         }
     }
 
-    /// Makes this the connection on which the peer receives our commits; not if it is no longer listed.
+    /// Registers the outbound connection to a peer. Returns `false` if the peer is no longer listed.
     fn insert_outbound(
         &self,
         peer: Instance,
@@ -101,7 +103,8 @@
         true
     }
 
-    /// Sends queued commits to a peer until the connection ends; another thread reads its frames meanwhile.
+    /// Sends queued commits to a peer until the connection ends, while another thread reads the peer's
+    /// frames.
     fn run_connection(
         self: &Arc<Self>,
         peer: Instance,
@@ -115,8 +118,8 @@
             return Ok(());
         }
         tracing::info!(peer, last_seq, "session peer connected");
-        let (own, reader_socket) = (self.clone(), socket.clone());
-        let read = move || own.read_confirmations(peer, number, &reader_socket);
+        let (this, reader_socket) = (self.clone(), socket.clone());
+        let read = move || this.read_confirmations(peer, number, &reader_socket);
         if let Err(error) = spawn("peer-ack-reader", self.limits.socket_thread_stack_bytes, read) {
             self.remove_outbound(peer, number);
             return Err(error);
@@ -139,12 +142,12 @@
                 _ => break,
             }
         }
-        // Ends the writer as well: its queue closes.
+        // Closes the writer's queue, which ends the writer.
         self.remove_outbound(peer, number);
         close(socket);
     }
 
-    /// Handles an event of our connection to a peer, if that is still the one in use.
+    /// Handles an event of an outbound connection, if a newer connection has not replaced it.
     fn handle_if_current(&self, peer: Instance, number: u64, event: Event) {
         let mut state = self.lock();
         if state.outbound.get(&peer).is_some_and(|connection| connection.number == number) {
--- a/sessions/src/node/peers.rs
+++ b/sessions/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! Which peers this instance connects to.
+//! Applies changes of the list of peers.
 use super::connection::Connection;
 use super::sessions::Sessions;
 use crate::machine::{Event, Instance};
@@ -8,13 +8,13 @@
 use std::sync::Arc;
 
 impl Sessions {
-    /// Follows another list of peers.
+    /// Replaces the list of peers, closes connections to removed peers, and connects to new ones.
     pub fn set_peers(self: &Arc<Self>, peers: BTreeMap<Instance, SocketAddr>) {
         let mut state = self.lock();
         let is_new = |peer: &(&Instance, &SocketAddr)| state.peers.get(peer.0) != Some(peer.1);
         let new: Vec<(Instance, SocketAddr)> =
             peers.iter().filter(is_new).map(|(instance, addr)| (*instance, *addr)).collect();
-        // A peer that is listed at another address now is reached there alone.
+        // A peer whose address has changed is connected to at its new address only.
         let is_removed = |instance: &Instance| peers.get(instance) != state.peers.get(instance);
         let removed: Vec<Instance> = state.peers.keys().copied().filter(is_removed).collect();
         for peer in removed {
@@ -33,8 +33,8 @@
     }
 
     fn spawn_outbound(self: &Arc<Self>, peer: Instance, addr: SocketAddr) {
-        let own = self.clone();
-        let run = move || own.run_outbound(peer, addr);
+        let this = self.clone();
+        let run = move || this.run_outbound(peer, addr);
         if let Err(error) = spawn("peer-outbound", self.limits.routing_thread_stack_bytes, run) {
             tracing::error!(peer, %error, "thread for session peer not started");
         }
--- a/sessions/src/node/requests.rs
+++ b/sessions/src/node/requests.rs
@@ -1,4 +1,5 @@
-//! What a front asks: what a read must see, and whether a served write may be acknowledged.
+//! The interface for fronts: which commit time a read must reflect, and whether a served write may be
+//! acknowledged.
 use super::sessions::Sessions;
 use super::state::CommitOutcome;
 use crate::SessionKey;
@@ -6,20 +7,20 @@
 use crossbeam_channel::bounded;
 use decision::Time;
 
-/// Whose read or write it is.
+/// The session of a read or a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionRef {
-    /// A session that clients name: it may continue elsewhere, or after a restart.
+    /// A session that the client names. It may continue at another instance or after a restart.
     Named(SessionKey),
-    /// A connection of this process.
+    /// The session of a single connection of this process.
     Connection(SessionKey),
 }
 
 impl Sessions {
-    /// What a read must see.
+    /// Returns the commit time that a read must reflect.
     ///
     /// # Errors
-    /// Why named sessions' requests are not served here.
+    /// If requests of named sessions are not served here; the error has the reason.
     pub fn required_position(&self, session: SessionRef) -> Result<Option<Time>, NotServing> {
         let now = self.now();
         let mut state = self.lock();
@@ -31,17 +32,17 @@
                 }
                 state.reads += 1;
                 if state.machine.floor_pending() || !state.machine.peers_up_to_date(now.at) {
-                    state.present_reads += 1;
+                    state.full_freshness_reads += 1;
                 }
                 Ok(state.machine.required_position(key, now))
             }
         }
     }
 
-    /// Checks that requests of this session are served here at all.
+    /// Checks that requests of this session are served here.
     ///
     /// # Errors
-    /// Why named sessions' requests are not served here.
+    /// If requests of named sessions are not served here; the error has the reason.
     pub fn check_serving(&self, session: SessionRef) -> Result<(), NotServing> {
         match session {
             SessionRef::Connection(_) => Ok(()),
@@ -49,13 +50,13 @@
         }
     }
 
-    /// Records a served write, and waits until its session's later reads can't miss it, at whichever instance they
-    /// are received.
+    /// Records a served write and waits, at most until `deadline`, until all later reads of its session
+    /// reflect it, at whichever instance they are received.
     pub fn record_commit(&self, session: SessionRef, committed_at: Time, deadline: Time) -> CommitOutcome {
         match session {
             SessionRef::Connection(session) => {
                 self.handle(Event::ConnectionCommit { session, committed_at });
-                CommitOutcome::Covered
+                CommitOutcome::Visible
             }
             SessionRef::Named(session) => self.record_named_commit(session, committed_at, deadline),
         }
--- a/sessions/src/node/sessions.rs
+++ b/sessions/src/node/sessions.rs
@@ -1,4 +1,4 @@
-//! One instance: its state, its settings and its clocks.
+//! The state, settings and clocks of one instance.
 use super::state::State;
 use crate::clocks::ServerClocks;
 use crate::machine::{Machine, Now};
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What sessions must see at this instance, and its peers.
+/// One instance of the session tracker, with the connections to its peers.
 pub struct Sessions {
     state: Mutex<State>,
     pub(super) settings: SessionsConfig,
@@ -50,10 +50,11 @@
 
     pub(super) fn now(&self) -> Now {
         let at = self.clock.now();
-        Now { at, present: self.clocks.present(at) }
+        Now { at, commit_upper_bound: self.clocks.latest_commit_bound(at) }
     }
 
-    /// Ends the journal's thread and the connections to peers; connections from peers go on until they end.
+    /// Stops the journal thread, the ticks and further connections to peers. Existing connections stay open
+    /// until they end.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Release);
         _ = self.wake_journal.try_send(());
--- a/sessions/src/node/start.rs
+++ b/sessions/src/node/start.rs
@@ -1,4 +1,4 @@
-//! The start of an instance: its listener, its journal, its threads.
+//! Starts an instance: its listener, its journal and its threads.
 use super::sessions::Sessions;
 use crate::clocks::ServerClocks;
 use crate::error::Error;
@@ -13,21 +13,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The lease where there are no peers; it is never granted.
+/// Lease duration of an instance without peers, which never grants leases.
 const LEASE_WITHOUT_PEERS: Duration = Duration::from_secs(1);
 
-/// What an instance starts with.
+/// The journal and the state machine that an instance starts with.
 struct Restored {
-    /// `None` without a folder, or if no new file could be written there.
+    /// `None` if no folder is configured, or if no new file could be created in it.
     journal: Option<Journal>,
     machine: Machine,
 }
 
-/// Opens the folder, if there is one, and begins a new journal in it.
+/// Opens the configured journal folder, if any, and creates a new journal file in it.
 fn restore(config: &SessionsConfig, limits: &Limits, clock: Clock) -> Result<Restored, Error> {
     let mut settings = MachineSettings {
         instance: config.instance,
-        // The time of the start, so that a later start has a higher one.
+        // The start time, so that a later start has a higher incarnation.
         incarnation: clock.now().0.max(1) as u64,
         lease: config.lease.as_micros() as i64,
         max_buffered_commits: limits.max_buffered_session_commits,
@@ -45,16 +45,16 @@
     let contents = opened.contents.clone().unwrap_or_default();
     settings.incarnation = settings.incarnation.max(contents.incarnation + 1);
     settings.incomplete = opened.contents.is_none() || contents.incomplete;
-    let begun = opened.begin(&Checkpoint {
+    let created = opened.begin(&Checkpoint {
         instance: config.instance,
         incarnation: settings.incarnation,
         entries: &contents.entries,
         floor: contents.floor,
         incomplete: settings.incomplete,
     })?;
-    let journal = begun
+    let journal = created
         .inspect_err(|error| {
-            tracing::error!(%folder, %error, "session journal not begun, nothing on disk until the next start");
+            tracing::error!(%folder, %error, "session journal not created, commits are only in memory");
         })
         .ok();
     settings.durable = journal.is_some();
@@ -67,7 +67,7 @@
         JournalWarning::TornTail { bytes, path } => {
             tracing::error!(bytes, path = %path.display(), "torn tail cut off session journal");
         }
-        JournalWarning::Refused { path, fault, moved_to } => {
+        JournalWarning::Rejected { path, fault, moved_to } => {
             let (path, moved_to) = (path.display(), moved_to.display());
             tracing::error!(%path, %fault, %moved_to, "damaged session journal refused");
         }
@@ -81,7 +81,7 @@
             sessions,
             incarnation,
             %folder,
-            "sessions restored, all reads see what was committed before this start"
+            "sessions restored, journal incomplete; all reads require commits made before this start"
         );
     } else {
         tracing::info!(sessions, incarnation, %folder, "sessions restored");
@@ -89,11 +89,11 @@
 }
 
 impl Sessions {
-    /// Starts an instance: first its listener, since a refused connection proves to peers that no write is
-    /// acknowledged here; then its journal, and its threads.
+    /// Starts an instance. The listener is bound before anything else, because peers take a refused
+    /// connection as proof that this instance acknowledges no writes.
     ///
     /// # Errors
-    /// The address can't be bound, the folder can't be used, or a thread can't be started.
+    /// If the address can't be bound, the journal folder can't be used, or a thread can't be started.
     pub fn start(
         config: SessionsConfig,
         limits: &Arc<Limits>,
@@ -108,25 +108,25 @@
         let (wake_journal, wakes) = bounded(1);
         let sessions = Arc::new(Sessions::new(config, machine, limits, clock, clocks, wake_journal));
         if let Some(journal) = journal {
-            let own = sessions.clone();
-            let run = move || own.run_journal(journal, &wakes);
+            let this = sessions.clone();
+            let run = move || this.run_journal(journal, &wakes);
             routing::spawn_needed("journal", limits.routing_thread_stack_bytes, run)
                 .map_err(Error::Thread)?;
         }
         sessions.set_peers(peers);
-        let own = sessions.clone();
+        let this = sessions.clone();
         routing::spawn_needed("sessions", limits.socket_thread_stack_bytes, move || {
-            own.accept_all(&listener);
+            this.accept_all(&listener);
         })
         .map_err(Error::Thread)?;
-        let own = sessions.clone();
-        routing::spawn_needed("leases", limits.socket_thread_stack_bytes, move || own.run_ticks())
+        let this = sessions.clone();
+        routing::spawn_needed("leases", limits.socket_thread_stack_bytes, move || this.run_ticks())
             .map_err(Error::Thread)?;
         tracing::info!(instance, %address, "listener for session peers started");
         Ok(sessions)
     }
 
-    /// Sessions that this process alone remembers: no folder, no peers, no threads.
+    /// Creates an instance that tracks sessions of this process only, without a journal, peers or threads.
     pub fn local(limits: &Arc<Limits>, clock: Clock, clocks: Arc<ServerClocks>) -> Arc<Sessions> {
         let config = SessionsConfig {
             instance: 0,
--- a/sessions/src/node/state.rs
+++ b/sessions/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What is behind the lock.
+//! The state of an instance that its mutex protects.
 use super::connection::Connection;
 use crate::SessionKey;
 use crate::frames::Frame;
@@ -8,37 +8,38 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// A record that waits for the journal's thread.
+/// A record that is queued for the journal thread.
 pub(super) enum PendingRecord {
     Commit { seq: u64, session: SessionKey, committed_at: Time },
     Floor(Time),
 }
 
-/// What is behind the lock.
+/// The state of an instance that its mutex protects.
 pub(super) struct State {
     pub(super) machine: Machine,
-    /// Clients' threads that wait until their write may be acknowledged.
+    /// Threads that wait until their write may be acknowledged.
     pub(super) writers: HashMap<PendingAck, Sender<CommitOutcome>>,
     pub(super) last_ack: PendingAck,
     pub(super) pending_records: Vec<PendingRecord>,
-    /// To peers that receive our commits.
+    /// Connections on which this instance sends its commits to peers.
     pub(super) outbound: BTreeMap<Instance, Connection>,
-    /// From peers that send theirs.
+    /// Connections on which peers send their commits to this instance.
     pub(super) inbound: BTreeMap<Instance, Connection>,
     pub(super) peers: BTreeMap<Instance, SocketAddr>,
-    /// Whether all peers could be relied on at the last tick.
+    /// Whether all peers were up to date at the last tick.
     pub(super) peers_up_to_date: bool,
-    /// Reads that had to see the present.
-    pub(super) present_reads: u64,
+    /// Number of named sessions' reads that had to reflect all commits made so far.
+    pub(super) full_freshness_reads: u64,
+    /// Number of named sessions' reads.
     pub(super) reads: u64,
 }
 
-/// What became of a served write's commit.
+/// Whether a served write may be acknowledged to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// No later read of its session misses it: the write may be acknowledged to the client.
-    Covered,
-    /// That is not certain: the write must not be acknowledged.
+    /// All later reads of the write's session reflect it: the write may be acknowledged to the client.
+    Visible,
+    /// Later reads of the write's session might miss it: the write must not be acknowledged.
     Uncertain,
 }
 
@@ -53,27 +54,28 @@
             inbound: BTreeMap::new(),
             peers: BTreeMap::new(),
             peers_up_to_date: false,
-            present_reads: 0,
+            full_freshness_reads: 0,
             reads: 0,
         }
     }
 
-    /// Sends to a peer that receives our commits; what can't be sent is sent after the next connection.
+    /// Sends a frame on the outbound connection to a peer. Without a connection it is dropped; the next
+    /// connection sends what the peer lacks.
     pub(super) fn send_outbound(&self, peer: Instance, frame: Frame) {
         if let Some(connection) = self.outbound.get(&peer) {
             connection.send(frame);
         }
     }
 
-    /// Sends to a peer that brings its commits.
+    /// Sends a frame on the inbound connection from a peer. Without a connection it is dropped.
     pub(super) fn send_inbound(&self, peer: Instance, frame: Frame) {
         if let Some(connection) = self.inbound.get(&peer) {
             connection.send(frame);
         }
     }
 
-    /// A writer that has stopped waiting needs no answer.
-    pub(super) fn answer_write(&mut self, ack: PendingAck, outcome: CommitOutcome) {
+    /// Reports the outcome to the thread that waits for the write, unless its wait has timed out.
+    pub(super) fn complete_write(&mut self, ack: PendingAck, outcome: CommitOutcome) {
         if let Some(writer) = self.writers.remove(&ack) {
             _ = writer.try_send(outcome);
         }
--- a/sessions/src/node/status.rs
+++ b/sessions/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What an instance reports of itself to operators, as JSON.
+//! An instance's status for operators, as JSON.
 use super::sessions::Sessions;
 use crate::commit_cache::CommitCache;
 use crate::error::StatusError;
@@ -8,11 +8,11 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// The longest status that is read.
+/// Maximum size of a received status in bytes.
 const MAX_STATUS_BYTES: usize = 1 << 20;
 
 impl Sessions {
-    /// The status as JSON; its keys are documented for operators and do not follow renames.
+    /// Returns the status as JSON. Its keys are documented for operators and must not change.
     pub(super) fn status(&self) -> String {
         let now = self.clock.now();
         let state = self.lock();
@@ -23,7 +23,7 @@
             "stopped": machine.not_serving().map(|reason| reason.to_string()),
             "sessions": machine.commits().len(),
             "sessions_bytes_most": CommitCache::max_table_bytes(self.settings.max_sessions),
-            "folded": machine.commits().folded_generations(),
+            "folded": machine.commits().evicted_generations(),
             "floor_us": machine.floor().map(|at| at.0),
             "floor_due": machine.floor_pending(),
             "on_disk": machine.durable(),
@@ -32,7 +32,7 @@
             "commits": machine.last_seq(),
             "writes_waiting": machine.pending_ack_count(),
             "reads": state.reads,
-            "reads_of_the_present": state.present_reads,
+            "reads_of_the_present": state.full_freshness_reads,
             "relies_on_all": machine.peers_up_to_date(now),
             "peers": machine.peer_statuses(now),
         })
@@ -43,8 +43,8 @@
 /// Requests the status of a running instance, as JSON.
 ///
 /// # Errors
-/// [`StatusError::Unreachable`] where it can't be reached or does not answer in time, [`StatusError::NotAnInstance`]
-/// where something else listens there.
+/// [`StatusError::Unreachable`] if the instance can't be reached or does not respond in time,
+/// [`StatusError::NotAnInstance`] if another program listens on the address.
 pub fn request_status(addr: SocketAddr, timeout: Duration) -> Result<String, StatusError> {
     let failed = |source| StatusError::Unreachable { addr, source };
     let socket = TcpStream::connect_timeout(&addr, timeout).map_err(failed)?;
--- a/sessions/src/node/ticks.rs
+++ b/sessions/src/node/ticks.rs
@@ -1,9 +1,9 @@
-//! The periodic ticks of the state machine, and the log lines about whether peers are up to date.
+//! Sends periodic ticks to the state machine, and logs whether peers are up to date.
 use super::sessions::Sessions;
 use super::state::State;
 use crate::machine::Event;
 
-/// Ticks within the time of one lease.
+/// Number of ticks per lease duration.
 const TICKS_PER_LEASE: u32 = 10;
 
 impl Sessions {
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Logs when peers can be relied on again, or no longer.
+    /// Logs when all peers become up to date, or stop being so.
     fn log_peers_up_to_date(&self, state: &mut State) {
         let now = self.clock.now();
         let up_to_date = state.machine.peers_up_to_date(now) && !state.machine.floor_pending();
--- a/sessions/tests/clocks.rs
+++ b/sessions/tests/clocks.rs
@@ -31,14 +31,14 @@
     let at: SocketAddr = ([127, 0, 0, 1], 1).into();
     let other: SocketAddr = ([127, 0, 0, 1], 2).into();
     let clocks = ServerClocks::new(true, 50_000);
-    assert_eq!(clocks.present(Time(10 * S)), None);
+    assert_eq!(clocks.latest_commit_bound(Time(10 * S)), None);
     clocks.add_sample(at, ClockOffset::sample(Time(10 * S), Time(10 * S + 1000), Time(12 * S)));
     // A commit at this moment bears 12 s in the server's clock.
     assert!(clocks.commit_upper_bound(at, Time(10 * S + 1000)) >= Time(12 * S + 1000));
     assert!(clocks.commit_upper_bound(at, Time(10 * S + 1000)) <= Time(12 * S + 3000));
-    assert!(clocks.present(Time(10 * S + 1000)) >= Some(Time(12 * S + 50_000)));
+    assert!(clocks.latest_commit_bound(Time(10 * S + 1000)) >= Some(Time(12 * S + 50_000)));
     // A server that was never asked may be as far from the others as the settings say.
     assert!(clocks.commit_upper_bound(other, Time(10 * S + 1000)) >= Time(12 * S + 50_000));
     // Without the servers' clocks the skew is all there is.
-    assert_eq!(ServerClocks::new(false, 50_000).present(Time(S)), Some(Time(S + 50_000)));
+    assert_eq!(ServerClocks::new(false, 50_000).latest_commit_bound(Time(S)), Some(Time(S + 50_000)));
 }
--- a/sessions/tests/commit_cache.rs
+++ b/sessions/tests/commit_cache.rs
@@ -21,7 +21,7 @@
             "{n} is among the last hundred: {required:?}"
         );
     }
-    assert!(cache.folded_generations() > 0 && cache.floor() < Some(Time(900)));
+    assert!(cache.evicted_generations() > 0 && cache.floor() < Some(Time(900)));
 }
 
 #[test]
@@ -38,7 +38,8 @@
 }
 
 proptest! {
-    /// Whatever comes in whatever order, no session's required position ever sinks below a commit that was added.
+    /// Whatever comes in whatever order, no session's required position ever sinks below a commit that was
+    /// added.
     #[test]
     fn required_position_never_sinks(steps in prop::collection::vec((0u64..40, 0i64..1000, prop::bool::weighted(0.05)), 1..400)) {
         let mut cache = CommitCache::with_generations(8, 4);
--- a/sessions/tests/machine.rs
+++ b/sessions/tests/machine.rs
@@ -6,7 +6,7 @@
 const LEASE: i64 = 300_000;
 
 fn now(at: i64) -> Now {
-    Now { at: Time(at), present: Some(Time(at + 7)) }
+    Now { at: Time(at), commit_upper_bound: Some(Time(at + 7)) }
 }
 
 fn settings() -> Settings {
@@ -85,7 +85,7 @@
     driven.handle(0, Event::PeersListed { peers: vec![1, 2] });
     assert_eq!(driven.0.required_position(SessionKey(1), now(50)), Some(Time(57)));
     assert_eq!(
-        driven.0.required_position(SessionKey(1), Now { at: Time(50), present: None }),
+        driven.0.required_position(SessionKey(1), Now { at: Time(50), commit_upper_bound: None }),
         Some(AFTER_EVERY_COMMIT)
     );
     let asked = driven.handle(100, Event::HelloReceived { peer: 2, incarnation: 5 });
@@ -122,7 +122,8 @@
     let mut driven = Driven::new(settings());
     driven.handle(0, Event::PeersListed { peers: vec![1, 2] });
     driven.handle(1000, Event::ConnectionRefused { peer: 2, attempted_at: Time(900) });
-    // What it acknowledged before, nobody here knows: everything up to now must be seen, then no more than that.
+    // What it acknowledged before, nobody here knows: everything up to now must be seen, then no more than
+    // that.
     assert_eq!(driven.0.required_position(SessionKey(1), now(2000)), Some(Time(1007)));
     // As long as the proof is renewed in time the floor stays where it is.
     driven.handle(200_000, Event::ConnectionRefused { peer: 2, attempted_at: Time(199_900) });
@@ -203,7 +204,7 @@
 fn lost_journal_releases_writes_and_stuck_one_fails_them() {
     let mut driven = Driven::new(settings());
     driven.handle(10, Event::Commit { ack: 1, session: SessionKey(5), committed_at: Time(9) });
-    assert_eq!(driven.handle(20, Event::JournalLost), [Action::Acknowledge { ack: 1 }]);
+    assert_eq!(driven.handle(20, Event::JournalDeleted), [Action::Acknowledge { ack: 1 }]);
     assert_eq!(
         driven.handle(30, Event::Commit { ack: 2, session: SessionKey(5), committed_at: Time(29) }),
         [Action::Acknowledge { ack: 2 }]
@@ -214,8 +215,9 @@
         driven.handle(50, Event::Commit { ack: 3, session: SessionKey(5), committed_at: Time(49) }),
         [Action::AppendCommit { seq: 3, session: SessionKey(5), committed_at: Time(49) }]
     );
-    // It can neither be kept nor deleted: a later start would believe it, so nothing is acknowledged any more.
-    assert_eq!(driven.handle(60, Event::JournalStuck), [Action::Fail { ack: 3 }]);
+    // It can neither be kept nor deleted: a later start would believe it, so nothing is acknowledged any
+    // more.
+    assert_eq!(driven.handle(60, Event::JournalUndeletable), [Action::Fail { ack: 3 }]);
     assert!(
         driven
             .handle(70, Event::Commit { ack: 4, session: SessionKey(5), committed_at: Time(69) })
@@ -226,7 +228,7 @@
 #[test]
 fn incomplete_start_writes_floor_before_it_grants_leases() {
     let mut driven = Driven::new(Settings { incomplete: true, ..settings() });
-    let unknown = Now { at: Time(10), present: None };
+    let unknown = Now { at: Time(10), commit_upper_bound: None };
     let mut actions = Vec::new();
     driven.0.handle(unknown, Event::PeersListed { peers: vec![1, 2] }, &mut actions);
     driven.0.handle(unknown, Event::Accepted { peer: 2, incarnation: 0, last_seq: 0 }, &mut actions);
--- a/sessions/tests/recorded_run.rs
+++ b/sessions/tests/recorded_run.rs
@@ -123,8 +123,8 @@
             29..=38 => {
                 Event::JournalSynced { seq: machine.last_seq() - self.rng.u64(0..3).min(machine.last_seq()) }
             }
-            39 => Event::JournalLost,
-            40 if self.rng.u8(0..4) == 0 => Event::JournalStuck,
+            39 => Event::JournalDeleted,
+            40 if self.rng.u8(0..4) == 0 => Event::JournalUndeletable,
             40 | 41 => Event::JournalRestored { seq: machine.last_seq() },
             42 => {
                 Event::PeersListed { peers: if self.rng.u8(0..4) == 0 { vec![1, 2] } else { vec![1, 2, 3] } }
@@ -174,7 +174,7 @@
     let mut event = Event::PeersListed { peers: vec![1, 2, 3] };
     for step in 0..450 {
         let known = step > 20 && source.rng.u8(0..12) > 0;
-        let now = Now { at: Time(source.now), present: known.then_some(Time(source.now + 70)) };
+        let now = Now { at: Time(source.now), commit_upper_bound: known.then_some(Time(source.now + 70)) };
         let mut actions = Vec::new();
         machine.handle(now, event, &mut actions);
         let actions: Vec<String> = actions.iter().map(describe).collect();
--- a/sessions/tests/simulation.rs
+++ b/sessions/tests/simulation.rs
@@ -1,7 +1,7 @@
-//! Three instances of the state machine in simulated time, with links that delay, cut off and break, processes that
-//! are killed, paused and started again, disks that sync late, lose their folder or fail, and clocks that differ.
-//! After every step it is checked that no session's read at any instance would see less than was acknowledged to its
-//! clients.
+//! Three instances of the state machine in simulated time, with links that delay, cut off and break,
+//! processes that are killed, paused and started again, disks that sync late, lose their folder or fail, and
+//! clocks that differ. After every step it is checked that no session's read at any instance would see less
+//! than was acknowledged to its clients.
 use decision::Time;
 use fastrand::Rng;
 use sessions::machine::{Action, Event, Instance, Machine, Now, Push, RejectionReason, Settings};
@@ -115,7 +115,7 @@
         let late = self.rng.i64(0..500);
         let known =
             self.processes[&instance].as_ref().is_none_or(|process| process.clocks_known_from <= self.now);
-        Now { at: Time(self.clock(instance)), present: known.then_some(Time(self.now + late)) }
+        Now { at: Time(self.clock(instance)), commit_upper_bound: known.then_some(Time(self.now + late)) }
     }
 
     fn start(&mut self, instance: Instance) {
@@ -182,7 +182,7 @@
         let mut actions = Vec::new();
         process.machine.handle(now, event, &mut actions);
         for a in actions {
-            self.carry_out(instance, a);
+            self.execute(instance, a);
         }
     }
 
@@ -209,7 +209,7 @@
         }
     }
 
-    fn carry_out(&mut self, instance: Instance, action: Action) {
+    fn execute(&mut self, instance: Instance, action: Action) {
         match action {
             Action::AppendCommit { seq, session: key, committed_at: at } => {
                 let synced_at = self.now + self.rng.i64(0..60 * MS);
@@ -367,7 +367,7 @@
             let required = process.machine.required_position(SessionKey(k), now);
             self.reads += 1;
             self.cached_reads += u64::from(
-                now.present.is_none_or(|process| required < Some(process))
+                now.commit_upper_bound.is_none_or(|process| required < Some(process))
                     && required != Some(AFTER_EVERY_COMMIT),
             );
             let acknowledged = self.acknowledged.get(&SessionKey(k)).copied();
@@ -390,7 +390,7 @@
             // The driver deletes the file before it says so.
             *disk = Disk { incarnation: disk.incarnation, ..Disk::default() };
             process.unsynced.clear();
-            self.handle(instance, Event::JournalLost);
+            self.handle(instance, Event::JournalDeleted);
         } else {
             let m = &process.machine;
             let mut entries: Vec<(SessionKey, Time)> = m.commits().iter().collect();
--- a/sessions/tests/stored_forms.rs
+++ b/sessions/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! The journal's bytes, the bytes of frames between instances, and the words of a status reply, compared with those
-//! that a program in service has written.
+//! The journal's bytes, the bytes of frames between instances, and the words of a status reply, compared with
+//! those that a program in service has written.
 use decision::Time;
 use sessions::SessionKey;
 use sessions::frames::{self, Frame};
