--- a/membership/examples/measure.rs
+++ b/membership/examples/measure.rs
@@ -1,11 +1,11 @@
-//! The figures of `docs/design/membership.md`, from simulated networks:
+//! Measures simulated networks and prints the table of figures in `docs/design/membership.md`:
 //! `cargo run --release -p membership --example measure`.
 use membership::simulation::Simulation;
 use membership::{Action, Settings};
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Failures and leaves that are averaged.
+/// Number of failures and of leaves that are averaged.
 const ROUNDS: usize = 20;
 
 fn main() {
@@ -18,24 +18,24 @@
     }
 }
 
-/// A fleet that has joined, and how long that took.
+/// A fleet whose routers all list each other, and the time that this took.
 fn fleet(size: usize, seed: u64) -> (Simulation, Duration) {
     let mut simulation = Simulation::new(Settings::default(), seed);
     for router in 0..size {
-        simulation.add(1 + router as u64, &[0, 1, 2]).expect("a router");
+        simulation.add(1 + router as u64, &[0, 1, 2]).expect("the router can be started");
     }
-    let joined = simulation.run_until(120 * SECOND, Simulation::all_agree).expect("joined");
+    let joined = simulation.run_until(120 * SECOND, Simulation::all_agree).expect("all routers join");
     (simulation, joined)
 }
 
-/// Bytes a second and router over this time.
+/// Bytes sent per second and router in this time.
 fn sent_per_router(simulation: &mut Simulation, time: Duration) -> u64 {
     let (before, running) = (simulation.sent_bytes(), simulation.running().count() as u64);
     simulation.run(time);
     (simulation.sent_bytes() - before) / running / time.as_secs()
 }
 
-/// How long it took others to see one router fail or leave, each time.
+/// For each round, the time in which the others detected that a router failed or left.
 #[derive(Default)]
 struct Detection {
     failure_first: Vec<Duration>,
@@ -47,7 +47,7 @@
     fn fail(&mut self, simulation: &mut Simulation, router: usize) {
         let since = simulation.now;
         simulation.kill(router);
-        let all = simulation.run_until(60 * SECOND, Simulation::all_agree).expect("seen to fail");
+        let all = simulation.run_until(60 * SECOND, Simulation::all_agree).expect("the failure is detected");
         self.failure_all.push(all);
         let name = simulation.routers[router].machine.local().name();
         let reports = simulation.reports.iter().filter(|report| report.at >= since);
@@ -55,19 +55,19 @@
             .filter(|report| matches!(&report.action, Action::Down(member) if member.name() == name))
             .map(|report| report.at - since)
             .min();
-        self.failure_first.push(first.expect("reported"));
+        self.failure_first.push(first.expect("the failure is reported"));
     }
 
     fn leave(&mut self, simulation: &mut Simulation, router: usize) {
         simulation.leave(router);
-        let gone = |simulation: &Simulation| simulation.count_listing(router) == 0;
-        self.leave_all.push(simulation.run_until(60 * SECOND, gone).expect("seen to leave"));
+        let is_unlisted = |simulation: &Simulation| simulation.count_listing(router) == 0;
+        self.leave_all.push(simulation.run_until(60 * SECOND, is_unlisted).expect("the leave is detected"));
     }
 }
 
 fn rejoin(simulation: &mut Simulation, router: usize, generation: u64) {
-    simulation.restart(router, generation, &[0, 1, 2]).expect("a router");
-    simulation.run_until(60 * SECOND, Simulation::all_agree).expect("back");
+    simulation.restart(router, generation, &[0, 1, 2]).expect("the router can be started");
+    simulation.run_until(60 * SECOND, Simulation::all_agree).expect("the router rejoins");
     simulation.run(10 * SECOND);
 }
 
@@ -75,14 +75,14 @@
     times.iter().sum::<Duration>().as_secs_f64() / times.len() as f64
 }
 
-/// How long the survivors take to agree when 70 % are killed at once.
+/// The time until the survivors' lists agree after 70 % of the routers were killed at once.
 fn mass_failure(size: usize) -> Duration {
     let (mut simulation, _) = fleet(size, 2);
     (0..size).filter(|router| router % 10 < 7).for_each(|router| simulation.kill(router));
-    simulation.run_until(300 * SECOND, Simulation::all_agree).expect("survivors agree")
+    simulation.run_until(300 * SECOND, Simulation::all_agree).expect("the survivors agree")
 }
 
-/// Members reported down in ten minutes in which a hundredth of all datagrams is lost and nobody fails.
+/// Number of members reported down in ten minutes without failures and with a loss of 1 % of all datagrams.
 fn false_downs(size: usize) -> usize {
     let (mut simulation, _) = fleet(size, 3);
     let before = simulation.reports.len();
@@ -94,7 +94,7 @@
 fn row(size: usize) -> String {
     let (mut simulation, joined) = fleet(size, 1);
     simulation.run(30 * SECOND);
-    let rest = sent_per_router(&mut simulation, 30 * SECOND);
+    let idle = sent_per_router(&mut simulation, 30 * SECOND);
     let mut detection = Detection::default();
     for round in 0..ROUNDS {
         let router = 3 + round % (size - 3);
@@ -109,9 +109,9 @@
         failing.push(sent_per_router(&mut simulation, 10 * SECOND));
     }
     let failing = failing.iter().sum::<u64>() / failing.len() as u64;
-    let worst = detection.failure_all.iter().max().expect("some").as_secs_f64();
+    let worst = detection.failure_all.iter().max().expect("there is at least one round").as_secs_f64();
     format!(
-        "| {size} | {:.1} s | {:.1} s | {:.1} s | {worst:.1} s | {:.2} s | {rest} | {failing} | {:.1} s | {} |",
+        "| {size} | {:.1} s | {:.1} s | {:.1} s | {worst:.1} s | {:.2} s | {idle} | {failing} | {:.1} s | {} |",
         joined.as_secs_f64(),
         mean(&detection.failure_first),
         mean(&detection.failure_all),
--- a/membership/src/change.rs
+++ b/membership/src/change.rs
@@ -1,43 +1,45 @@
-//! Changes of membership, and their delivery to subscribers over bounded channels.
+//! Membership changes, and their delivery to subscribers over bounded channels.
 use crate::member::Member;
 use crossbeam_channel::{Sender, TrySendError};
 
-/// What a subscriber receives.
+/// A membership change, as delivered to subscribers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// All members that are alive, this router too: the first message, and again whenever the subscriber fell behind.
+    /// All live members, including this router. It is the first message, and is sent again after a
+    /// subscriber's channel was full.
     Snapshot(Vec<Member>),
-    /// The member is alive, or has rejoined under a higher incarnation.
+    /// The member is alive, or has rejoined with a higher incarnation.
     Up(Member),
     /// The member has left or failed.
     Down(Member),
-    /// The others held this router to be down; it is back under this incarnation.
+    /// Other members had declared this router down; it has rejoined with this incarnation.
     Rejoined(Member),
-    /// A later start took this router's name. The last message.
+    /// A later start uses this router's name. This is the last message.
     Superseded(Member),
-    /// This router has left. The last message.
+    /// This router has left the fleet. This is the last message.
     Left,
-    /// The socket failed. The last message.
+    /// The socket failed. This is the last message.
     Failed,
 }
 
 struct Subscriber {
     sender: Sender<Change>,
-    /// It is new, or its channel was full: the whole list comes next.
+    /// The subscriber is new or its channel was full, so it must receive a snapshot next.
     needs_snapshot: bool,
 }
 
-/// All subscribers. One that is gone is removed when something is sent to it.
+/// All subscribers. A subscriber whose channel is disconnected is removed at the next send.
 #[derive(Default)]
 pub(crate) struct Subscribers(Vec<Subscriber>);
 
 impl Subscribers {
-    /// Adds one that has received nothing yet.
+    /// Adds a subscriber, which receives a snapshot first.
     pub(crate) fn add(&mut self, sender: Sender<Change>) {
         self.0.push(Subscriber { sender, needs_snapshot: true });
     }
 
-    /// Sends to all that wait for no snapshot; one whose channel is full will get a snapshot instead.
+    /// Sends a change to all subscribers that are not waiting for a snapshot. If a subscriber's channel is
+    /// full, it receives a snapshot later instead.
     pub(crate) fn publish(&mut self, change: &Change) {
         self.0.retain_mut(|subscriber| {
             if subscriber.needs_snapshot {
@@ -58,7 +60,7 @@
         self.0.iter().any(|subscriber| subscriber.needs_snapshot)
     }
 
-    /// Sends the whole list to those that need it and have room for it.
+    /// Sends a snapshot to the subscribers that need one, if their channels have capacity.
     pub(crate) fn send_snapshot(&mut self, members: &[Member]) {
         self.0.retain_mut(|subscriber| {
             if !subscriber.needs_snapshot {
@@ -75,7 +77,7 @@
         });
     }
 
-    /// Sends the last message. A subscriber whose channel is full sees the channel's end.
+    /// Sends the last change. A subscriber whose channel is full only sees the channel disconnect.
     pub(crate) fn finish(&self, last: &Change) {
         for subscriber in &self.0 {
             _ = subscriber.sender.try_send(last.clone());
--- a/membership/src/driver.rs
+++ b/membership/src/driver.rs
@@ -11,22 +11,23 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Datagrams handled before timers are looked at again, at most.
+/// Maximum number of datagrams handled before timers are checked again.
 const MAX_DATAGRAM_BATCH: usize = 32;
-/// A socket that fails this often in a row is given up: membership ends with [`Change::Failed`].
+/// After this many consecutive socket errors, membership ends with [`Change::Failed`].
 const MAX_SOCKET_ERRORS: u32 = 100;
-/// Stands in for the next timer, as a time since the start, while none is set. A machine that has started always has one.
+/// Wait time if no timer is set, counted from the start. A started machine always has a timer.
 const NO_TIMER_DUE: Duration = Duration::from_secs(1);
-/// A socket's timeout may not be zero.
+/// Minimum wait, because a socket's timeout must not be zero.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// What handles ask of the thread. Each is followed by an empty datagram from the waker, which ends its wait.
+/// A command from a handle to the thread. Each command is followed by an empty datagram from the waker
+/// socket, which ends the thread's wait.
 pub(crate) enum Command {
     Subscribe(Sender<Change>),
     Leave,
 }
 
-/// What handles can read at any time.
+/// State that the thread publishes and handles read.
 pub(crate) struct Published {
     pub(crate) members: Vec<Member>,
     pub(crate) counters: Counters,
@@ -42,22 +43,22 @@
     }
 }
 
-/// The thread's state.
+/// The state of the membership thread.
 pub(crate) struct Driver {
     socket: UdpSocket,
-    /// Empty datagrams from here wake the thread.
+    /// The waker socket's address. Empty datagrams from this address only wake the thread.
     waker: SocketAddrV4,
     machine: Machine,
     commands: Receiver<Command>,
     published: Arc<Mutex<Published>>,
-    /// The machine's times count from here.
+    /// The time that the machine's durations are counted from.
     started_at: Instant,
     timers: BinaryHeap<Reverse<(Duration, TimerToken)>>,
     subscribers: Subscribers,
-    /// Set when membership has ended: what subscribers receive last.
+    /// The last change for subscribers; set when membership has ended.
     last_change: Option<Change>,
-    /// All handles are gone, and the router leaves because of it.
-    handles_gone: bool,
+    /// All handles were dropped, so the router leaves.
+    handles_dropped: bool,
 }
 
 impl Driver {
@@ -78,22 +79,22 @@
             timers: BinaryHeap::new(),
             subscribers: Subscribers::default(),
             last_change: None,
-            handles_gone: false,
+            handles_dropped: false,
         }
     }
 
-    /// Runs until membership has ended.
+    /// Runs the thread until membership has ended.
     pub(crate) fn run(mut self, seeds: Vec<SocketAddrV4>) {
         self.handle(Event::Started { seeds });
         let mut socket_errors = 0;
         while self.last_change.is_none() {
-            // Timers first: if the process stood still, late timers show the machine that before it handles the datagrams
-            // that have been waiting since.
+            // Timers are handled first. If the process was stopped, late timers tell the machine so before it
+            // handles the datagrams that were queued during the stop.
             self.handle_due_timers();
             self.handle_commands();
             self.send_snapshots();
             self.publish_counters();
-            // A timer or a command has ended membership.
+            // A timer or a command may have ended membership.
             if self.last_change.is_some() {
                 break;
             }
@@ -111,13 +112,14 @@
         self.finish();
     }
 
-    /// Publishes the end: the last counters, the log line, and the last change to all subscribers.
+    /// Publishes the final counters, logs the end of membership, and sends the last change to all
+    /// subscribers.
     fn finish(mut self) {
         self.publish_counters();
         let last = self.last_change.take().unwrap_or(Change::Left);
         let (counters, uptime) = (self.machine.counters(), self.started_at.elapsed());
         tracing::info!(reason = ?last, ?uptime, ?counters, "membership ended");
-        // Commands that still wait are answered by the channel's end.
+        // Commands that are still queued get no response; their senders see the channel disconnect.
         self.subscribers.finish(&last);
     }
 
@@ -144,8 +146,8 @@
             match self.commands.try_recv() {
                 Ok(Command::Subscribe(sender)) => self.subscribers.add(sender),
                 Ok(Command::Leave) => self.handle(Event::Leave),
-                Err(TryRecvError::Disconnected) if !self.handles_gone => {
-                    self.handles_gone = true;
+                Err(TryRecvError::Disconnected) if !self.handles_dropped => {
+                    self.handles_dropped = true;
                     self.handle(Event::Leave);
                 }
                 Err(_) => return,
@@ -153,12 +155,12 @@
         }
     }
 
-    /// Waits for datagrams until the next timer, and handles a few.
+    /// Waits for datagrams until the next timer is due, and handles up to [`MAX_DATAGRAM_BATCH`] of them.
     fn receive(&mut self) -> io::Result<()> {
         let next = self.next_due().unwrap_or(NO_TIMER_DUE);
         let wait = next.saturating_sub(self.started_at.elapsed()).max(MIN_WAIT);
         self.socket.set_read_timeout(Some(wait))?;
-        // One byte more than is permitted, so that a longer datagram is seen to be too long.
+        // One byte longer than the limit, so that longer datagrams are detected.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAM_BATCH {
             match self.socket.recv_from(&mut buffer) {
@@ -167,7 +169,7 @@
                     self.handle(Event::Datagram { from, bytes: buffer[..length].to_vec() });
                 }
                 Ok((_, SocketAddr::V6(_))) => {}
-                Err(error) if is_wait_over(&error) => return Ok(()),
+                Err(error) if is_wait_timeout(&error) => return Ok(()),
                 Err(error) => return Err(error),
             }
             let timer_due = self.next_due().is_some_and(|due| due <= self.started_at.elapsed());
@@ -182,18 +184,19 @@
         let now = self.started_at.elapsed();
         let mut actions = Vec::new();
         self.machine.handle(now, event, &mut actions);
-        // The published list is never older than the changes that subscribers have received.
+        // Publishes the list before subscribers receive the changes, so that the list is never older than a
+        // received change.
         if actions.iter().any(|action| !matches!(action, Action::Send { .. } | Action::SetTimer { .. })) {
             Published::lock(&self.published).members = self.all_members();
         }
         for action in actions {
-            self.carry_out(now, action);
+            self.execute(now, action);
         }
     }
 
-    fn carry_out(&mut self, now: Duration, action: Action) {
+    fn execute(&mut self, now: Duration, action: Action) {
         match action {
-            // What cannot be sent is lost as any datagram may be; the protocol repeats itself.
+            // A send error is ignored like a lost datagram, since the protocol repeats its messages.
             Action::Send { to, bytes } => _ = self.socket.send_to(&bytes, to),
             Action::SetTimer { after, token } => self.timers.push(Reverse((now + after, token))),
             Action::Up(member) => self.publish(&Change::Up(member)),
@@ -204,7 +207,7 @@
         }
     }
 
-    /// This router first, the others in the order of names.
+    /// All live members: this router first, the others ordered by name.
     fn all_members(&self) -> Vec<Member> {
         std::iter::once(self.machine.local()).chain(self.machine.members()).cloned().collect()
     }
@@ -222,7 +225,7 @@
     }
 }
 
-/// Whether nothing has come within the wait, or a signal interrupted it.
-fn is_wait_over(error: &io::Error) -> bool {
+/// Whether the error means that no datagram was received within the wait, or that a signal interrupted it.
+fn is_wait_timeout(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted)
 }
--- a/membership/src/handle.rs
+++ b/membership/src/handle.rs
@@ -1,4 +1,4 @@
-//! The handle of a router's membership, and how it is started.
+//! Starts a router's membership and provides its handle.
 use crate::change::Change;
 use crate::driver::{Command, Driver, Published};
 use crate::error::Error;
@@ -11,58 +11,59 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, UdpSocket};
 use std::sync::{Arc, Mutex};
 
-/// Commands that wait for the thread, at most.
-const COMMAND_QUEUE: usize = 16;
-/// Changes that wait for one subscriber, at most; one that is further behind gets a snapshot.
-const SUBSCRIBER_QUEUE: usize = 64;
-/// The core's datagrams are built on the heap; the rest is shallow.
+/// Capacity of the queue of commands for the thread.
+const COMMAND_QUEUE_CAPACITY: usize = 16;
+/// Capacity of each subscriber's channel; a subscriber whose channel is full receives a snapshot later.
+const SUBSCRIBER_QUEUE_CAPACITY: usize = 64;
+/// Stack size of the membership thread. Small, since the core builds its datagrams on the heap.
 const STACK_BYTES: usize = 256 * 1024;
-/// What the operating system keeps of datagrams while the thread is busy.
+/// Receive buffer of the socket, for datagrams that are received while the thread is busy.
 const SOCKET_BUFFER_BYTES: usize = 256 * 1024;
 
-/// How one router takes part in its fleet.
+/// Configuration of a router's membership.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name; one router of the fleet has it at a time.
+    /// The router's name; unique among the routers of the fleet.
     pub name: String,
-    /// The address to bind, on loopback; port 0 for one that the operating system chooses.
+    /// The loopback address to bind; with port 0 the operating system chooses a port.
     pub listen: SocketAddrV4,
-    /// The address that the others send to, when it is not the bound one (a proxy between).
+    /// The address that other members send to, if it differs from the bound one (because of a proxy).
     pub advertise: Option<SocketAddrV4>,
-    /// Start time in milliseconds since 1970, or any number that rises with each start of this name.
+    /// The start time in milliseconds since the Unix epoch, or any number that increases with each start of
+    /// this name.
     pub generation: u64,
-    /// Addresses of any routers of the fleet; may be empty for the first.
+    /// Addresses of any routers of the fleet; may be empty for the first router.
     pub seeds: Vec<SocketAddrV4>,
-    /// Seed of the random source.
+    /// Seed of the random number generator.
     pub random_seed: u64,
     /// Protocol timing and limits.
     pub settings: Settings,
 }
 
-/// A router's membership in its fleet. When the last handle is dropped the router leaves.
+/// A handle of a router's membership in its fleet. When the last handle is dropped, the router leaves.
 #[derive(Clone)]
 pub struct Membership {
     name: Arc<str>,
     addr: SocketAddrV4,
     commands: Sender<Command>,
     published: Arc<Mutex<Published>>,
-    /// Sends the datagram that wakes the thread.
+    /// The socket that sends datagrams to wake the thread.
     waker: Arc<UdpSocket>,
 }
 
 impl Membership {
-    /// Binds the socket and starts the thread.
+    /// Binds the socket and starts the membership thread.
     ///
     /// # Errors
-    /// An address that is not on loopback, a name or generation that cannot be one, settings that contradict each
-    /// other, a socket that cannot be bound, a thread that cannot be started.
+    /// If the address is not a loopback address, the name, generation or settings are invalid, the socket
+    /// can't be bound, or the thread can't be started.
     pub fn start(config: Config) -> Result<Membership, Error> {
         let bind_failed = |source| Error::Bind { addr: config.listen, source };
         if !config.listen.ip().is_loopback() {
             return Err(Error::InvalidAddress(config.listen));
         }
         let socket = UdpSocket::bind(config.listen).map_err(bind_failed)?;
-        // A smaller buffer only loses datagrams sooner.
+        // If this fails, the buffer is smaller and datagrams are lost sooner.
         _ = socket2::SockRef::from(&socket).set_recv_buffer_size(SOCKET_BUFFER_BYTES);
         let SocketAddr::V4(addr) = socket.local_addr().map_err(bind_failed)? else {
             return Err(Error::InvalidAddress(config.listen));
@@ -74,7 +75,7 @@
         let SocketAddr::V4(waker_addr) = waker.local_addr().map_err(bind_failed)? else {
             return Err(Error::InvalidAddress(config.listen));
         };
-        let (commands, queue) = bounded(COMMAND_QUEUE);
+        let (commands, queue) = bounded(COMMAND_QUEUE_CAPACITY);
         let published = Arc::new(Mutex::new(Published::new(local)));
         let driver = Driver::new(socket, waker_addr, machine, queue, published.clone());
         let seeds = config.seeds;
@@ -93,38 +94,39 @@
         self.addr
     }
 
-    /// Who is alive now: this router first, the others in the order of names.
+    /// All live members: this router first, the others ordered by name.
     pub fn members(&self) -> Vec<Member> {
         Published::lock(&self.published).members.clone()
     }
 
-    /// What was counted, as of the thread's last turn.
+    /// The counters, as last published by the thread.
     pub fn counters(&self) -> Counters {
         Published::lock(&self.published).counters
     }
 
-    /// A bounded channel of changes. [`Change::Snapshot`] comes first; a subscriber that falls behind receives it
-    /// again instead of missing changes. The channel ends after the last message.
+    /// Subscribes to membership changes over a bounded channel. [`Change::Snapshot`] is the first message. A
+    /// subscriber that falls behind receives another snapshot instead of the missed changes. The channel
+    /// disconnects after the last message.
     ///
     /// # Errors
-    /// [`Error::Ended`] when the thread has ended.
+    /// [`Error::Ended`] if the thread has ended.
     pub fn subscribe(&self) -> Result<Receiver<Change>, Error> {
-        let (sender, changes) = bounded(SUBSCRIBER_QUEUE);
+        let (sender, changes) = bounded(SUBSCRIBER_QUEUE_CAPACITY);
         self.send(Command::Subscribe(sender))?;
         Ok(changes)
     }
 
-    /// Leaves; [`Change::Left`] follows when the announcement of it has been sent.
+    /// Leaves the fleet. [`Change::Left`] follows after the departure has been announced.
     ///
     /// # Errors
-    /// [`Error::Ended`] when the thread has ended.
+    /// [`Error::Ended`] if the thread has ended.
     pub fn leave(&self) -> Result<(), Error> {
         self.send(Command::Leave)
     }
 
     fn send(&self, command: Command) -> Result<(), Error> {
         self.commands.send(command).map_err(|_| Error::Ended)?;
-        // An empty datagram wakes the thread; should it be lost, the next timer does.
+        // An empty datagram wakes the thread. If it is lost, the thread wakes at the next timer.
         _ = self.waker.send_to(&[], self.addr);
         Ok(())
     }
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,12 +1,13 @@
-//! Which routers of a fleet are alive: SWIM gossip over UDP on loopback.
+//! Detects which routers of a fleet are alive, with SWIM gossip over UDP on loopback.
 //!
-//! [`Machine`] decides who is alive. It wraps the core of the `foca` crate and uses no sockets, clocks or threads.
-//! [`Membership`] drives one machine on one UDP socket and publishes each [`Change`]. [`live_router_count`] turns
-//! those changes into the number by which a router's capacity share is divided, and [`follow_router_count`] runs it
-//! on a thread. [`simulation`] plays many machines in virtual time.
+//! [`Machine`] is the state machine. It wraps the SWIM core of the `foca` crate and uses no sockets, clocks
+//! or threads. [`Membership`] drives one machine on one UDP socket and publishes each [`Change`].
+//! [`live_router_count`] derives from those changes the number of routers by which a router's capacity share
+//! is divided, and [`follow_router_count`] runs it on a thread. [`simulation`] runs many machines in virtual
+//! time.
 //!
-//! Membership says who is alive and nothing else: shared state has one owner, the store. `docs/design/membership.md` has the
-//! choices, the guarantees and the figures.
+//! Membership only reports which routers are alive. Shared state belongs to the store.
+//! `docs/design/membership.md` describes the design, the guarantees and the measurements.
 mod change;
 mod driver;
 mod error;
--- a/membership/src/limits.rs
+++ b/membership/src/limits.rs
@@ -1,10 +1,11 @@
-//! Hard limits of the protocol, the same at every router.
+//! Fixed limits of the protocol; they are the same at every router.
 
-/// Longest name of a router, in bytes.
+/// Maximum length of a router's name in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Longest datagram sent or accepted, in bytes: below the size at which any path fragments.
+/// Maximum size of a datagram that is sent or accepted, in bytes; small enough not to be fragmented on any
+/// path.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Highest incarnation that a member may carry: there must be headroom to rise past it.
+/// Highest incarnation that a member may have; it leaves enough values above it for later incarnations.
 pub const MAX_INCARNATION: u64 = 1 << 62;
-/// Highest generation of a start; milliseconds since 1970 stay below it for another thousand years.
+/// Highest generation of a start; milliseconds since the Unix epoch stay below it for another thousand years.
 pub const MAX_GENERATION: u64 = 1 << 45;
--- a/membership/src/live_router_count.rs
+++ b/membership/src/live_router_count.rs
@@ -1,66 +1,69 @@
-//! The number of routers by which a router's capacity share is divided.
+//! Counts the routers by which a router's capacity share is divided.
 //!
-//! [`LiveRouterCount`] is a state machine fed with changes of membership. A router that comes counts at once. One that
-//! goes still counts for a settle time, since it may only be unreachable from here and still send.
-//! `docs/design/membership.md` has what a split costs.
+//! [`LiveRouterCount`] is a state machine that handles membership changes. A router that joins is counted
+//! immediately. A router that goes down is counted for a further settle time, since it may only be
+//! unreachable from here and still send requests. `docs/design/membership.md` describes the effects of a
+//! network split.
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What the count is bounded by.
+/// Settings that bound the count.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// The size of the whole fleet, as its operator has configured it; it is the count until other routers are seen.
+    /// The configured size of the whole fleet; it is the count until other routers are discovered.
     pub fleet_size: u32,
-    /// The count is never lower: the parts of a split fleet together use at most (routers alive) / `min_count` of the
-    /// capacity.
+    /// Lower bound of the count. It limits a split fleet: its parts together use at most (live routers) /
+    /// `min_count` of the capacity.
     pub min_count: u32,
-    /// How long a router that has gone still counts.
+    /// How long a router is still counted after it has gone down.
     pub settle_time: Duration,
-    /// Other routers are expected: until one is seen, the count is `fleet_size`.
+    /// Whether other routers are expected. If so, the count is `fleet_size` until one is discovered.
     pub expects_others: bool,
 }
 
-/// What happens. Times are durations since any one start that never goes back; names never hold this router's own.
+/// An event for the state machine. Times are durations from a fixed start; names never include this router's
+/// own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// These other routers are alive, and nobody else.
+    /// Exactly these other routers are alive.
     Snapshot(BTreeSet<String>),
-    /// This router is alive.
+    /// The router with this name is alive.
     Up(String),
-    /// This router has left or failed.
+    /// The router with this name has left or failed.
     Down(String),
-    /// The time of [`Action::SetTimer`] has come.
+    /// The timer of [`Action::SetTimer`] has expired.
     Timer,
-    /// No more changes will come: the count of the moment, or of the whole fleet, stays.
+    /// No more changes will be received. The count is at least its last value and at least `fleet_size` from
+    /// now on.
     ChangesLost,
 }
 
-/// What is to be done.
+/// An action that the driver must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// The capacity share is divided by this count from now on.
+    /// Divide the capacity share by this count from now on.
     SetCount(u32),
-    /// Give [`Event::Timer`] at this time; it replaces an earlier one.
+    /// Send [`Event::Timer`] at this time. Replaces an earlier timer.
     SetTimer(Duration),
 }
 
-/// How many other routers count, by what is known of them.
+/// The number of other routers that are counted, by state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OtherRouters {
-    /// Routers that are alive.
+    /// Number of other routers that are alive.
     pub live: usize,
-    /// Routers that have gone and still count.
+    /// Number of other routers that have gone down but are still counted.
     pub settling: usize,
 }
 
-/// The state machine: same events, same actions.
+/// The state machine. The same events give the same actions.
 #[derive(Clone, Debug)]
 pub struct LiveRouterCount {
     settings: Settings,
-    /// The other routers, with the time until which they count where they have gone.
+    /// The other routers. For a router that has gone down, the time until which it is counted.
     others: BTreeMap<String, Option<Duration>>,
-    /// Until when the whole fleet counts after the start; `None` when that is over.
-    starting_until: Option<Duration>,
+    /// The end of the startup period, in which the whole fleet is counted; `None` after it has ended.
+    startup_until: Option<Duration>,
     others_discovered: bool,
     changes_lost: bool,
     reported: Option<u32>,
@@ -68,12 +71,12 @@
 }
 
 impl LiveRouterCount {
-    /// A router that starts at this time.
+    /// Creates the state machine of a router that starts at `now`.
     pub fn new(now: Duration, settings: Settings) -> LiveRouterCount {
         LiveRouterCount {
             settings,
             others: BTreeMap::new(),
-            starting_until: Some(now + settings.settle_time),
+            startup_until: Some(now + settings.settle_time),
             others_discovered: false,
             changes_lost: false,
             reported: None,
@@ -81,13 +84,13 @@
         }
     }
 
-    /// The other routers that count.
+    /// The number of other routers that are counted.
     pub fn others(&self) -> OtherRouters {
         let settling = self.others.values().flatten().count();
         OtherRouters { live: self.others.len() - settling, settling }
     }
 
-    /// Handles one event and appends what is to be done. `now` never goes back.
+    /// Handles one event and appends the resulting actions. `now` never decreases.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         let settled_at = now + self.settings.settle_time;
         match event {
@@ -102,9 +105,9 @@
             Event::ChangesLost => self.changes_lost = true,
         }
         if !self.others_discovered && !self.others.is_empty() {
-            // The first snapshot may be of a part of the fleet.
+            // The first snapshot may cover only a part of the fleet, so the startup period is extended.
             self.others_discovered = true;
-            self.starting_until = self.starting_until.map(|_| settled_at);
+            self.startup_until = self.startup_until.map(|_| settled_at);
         }
         self.report_count(actions);
         self.set_timer(actions);
@@ -123,19 +126,19 @@
         let Some(due) = self.timer.take().filter(|due| *due <= now) else { return };
         let late = now - due;
         if late > self.settings.settle_time / 2 {
-            // The process stood still, and changes that would keep some of the others may lie unread.
-            let times = self.others.values_mut().flatten().chain(&mut self.starting_until);
+            // The process was stopped, and unread changes may show that some of the other routers are alive.
+            let times = self.others.values_mut().flatten().chain(&mut self.startup_until);
             times.for_each(|time| *time += late);
             return;
         }
         self.others.retain(|_, until| until.is_none_or(|time| time > now));
-        if self.start_may_end() {
-            self.starting_until = self.starting_until.filter(|time| *time > now);
+        if self.startup_may_end() {
+            self.startup_until = self.startup_until.filter(|time| *time > now);
         }
     }
 
-    /// Whether the start ends by time alone: until an expected other router is seen, it does not.
-    fn start_may_end(&self) -> bool {
+    /// Whether the startup period may end. It may not while an expected other router has not been discovered.
+    fn startup_may_end(&self) -> bool {
         self.others_discovered || !self.settings.expects_others
     }
 
@@ -148,8 +151,8 @@
     }
 
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
-        let start_end = self.starting_until.filter(|_| self.start_may_end());
-        let next = self.others.values().flatten().copied().chain(start_end).min();
+        let startup_end = self.startup_until.filter(|_| self.startup_may_end());
+        let next = self.others.values().flatten().copied().chain(startup_end).min();
         if next != self.timer && !self.changes_lost {
             self.timer = next;
             actions.extend(next.map(Action::SetTimer));
@@ -161,9 +164,10 @@
         let others = u32::try_from(self.others.len()).unwrap_or(u32::MAX);
         let counted = others.saturating_add(1).max(min_count);
         if self.changes_lost {
-            // The others go on unseen: this router takes no more than it does, or than it was meant to.
+            // Other routers continue unseen, so this router's share must not rise above its last value or its
+            // configured share.
             return counted.max(fleet_size).max(self.reported.unwrap_or(0));
         }
-        if self.starting_until.is_some() { counted.max(fleet_size) } else { counted }
+        if self.startup_until.is_some() { counted.max(fleet_size) } else { counted }
     }
 }
--- a/membership/src/machine.rs
+++ b/membership/src/machine.rs
@@ -1,8 +1,9 @@
-//! Decides who is alive: the SWIM core of `foca`, and around it what the core leaves open.
+//! Decides which members are alive: wraps the SWIM core of `foca` and adds what the core does not do.
 //!
-//! The core probes, suspects, refutes and gossips. The machine adds joining through seeds that are addresses alone
-//! (`join`), reading of lists page by page (`list_sync`), stopped processes (`timer_tasks`), the end of suspicions and of
-//! the memory of down members (`suspicion`), one name held twice and limits on all that is received (`datagrams`).
+//! The core probes members, suspects, refutes and gossips. The machine adds joining through seeds that are
+//! only addresses (`join`), reading other members' lists page by page (`list_sync`), detection of stopped
+//! processes (`timer_tasks`), the end of suspicions and forgetting down members (`suspicion`), the resolution
+//! of name conflicts and limits on received datagrams (`datagrams`).
 mod core_calls;
 mod counters;
 mod datagram_budget;
@@ -45,7 +46,8 @@
     Ended,
 }
 
-/// One router's view of the fleet. Same settings, random source and events: same actions.
+/// The membership state machine of one router. The same settings, random seed and events give the same
+/// actions.
 pub struct Machine {
     settings: Settings,
     cluster_hash: u64,
@@ -54,27 +56,27 @@
     rng: StdRng,
     seeds: Vec<SocketAddrV4>,
     phase: Phase,
-    /// Whether any other member was known since the start.
+    /// Whether any other member has become known since the start.
     has_joined: bool,
-    /// Who is alive, as reported; by name, without this router.
+    /// The other live members by name, as reported to the host.
     live: BTreeMap<String, Member>,
     timers: Timers,
     list_progress: ListProgress,
-    /// When this router last took a new incarnation.
+    /// When this router last rejoined with a new incarnation.
     last_rejoin: Option<Duration>,
-    /// When a datagram of the fleet was last accepted.
+    /// When the last valid datagram of the fleet was received.
     last_received: Duration,
-    /// Who is down, and since when this is known here.
+    /// Members that are down, by name, with the time since which this is known here.
     down_since: BTreeMap<String, (Member, Duration)>,
     datagram_budget: DatagramBudget,
     counters: Counters,
 }
 
 impl Machine {
-    /// A router that has not started yet.
+    /// Creates the state machine of a router that has not started yet.
     ///
     /// # Errors
-    /// [`Error::InvalidSettings`] where the settings contradict each other.
+    /// [`Error::InvalidSettings`] if the settings are inconsistent.
     pub fn new(settings: Settings, local: Member, mut rng: StdRng) -> Result<Machine, Error> {
         settings.check()?;
         let config = swim_core::config(&settings);
@@ -98,22 +100,22 @@
         })
     }
 
-    /// This router, under its present incarnation.
+    /// This router, with its current incarnation.
     pub fn local(&self) -> &Member {
         &self.local
     }
 
-    /// The other members that are alive, in the order of names.
+    /// The other live members, ordered by name.
     pub fn members(&self) -> impl ExactSizeIterator<Item = &Member> {
         self.live.values()
     }
 
-    /// What was counted since the start.
+    /// The counters since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Handles one event and appends what is to be done. `now` never goes back.
+    /// Handles one event and appends the resulting actions. `now` never decreases.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         let first_new = actions.len();
         match event {
@@ -140,7 +142,8 @@
         self.datagram_budget.start(now);
         self.last_received = now;
         self.schedule(now, Duration::ZERO, Task::ContactSeeds, actions);
-        // Routers started at one moment must not read lists at one moment.
+        // A random first interval, so that routers that start together do not all read lists at the same
+        // time.
         let first_sync = self.settings.list_sync_interval.mul_f64(self.rng.random_range(0.5..1.5));
         self.schedule(now, first_sync, Task::SyncList, actions);
         self.schedule(now, self.forget_down_interval(), Task::ForgetDown, actions);
@@ -163,7 +166,7 @@
         self.settings.gossip_interval / 4
     }
 
-    /// Nothing is done any more after this action.
+    /// Ends the state machine with a last action.
     fn end(&mut self, last: Action, actions: &mut Vec<Action>) {
         self.phase = Phase::Ended;
         self.timers.clear();
--- a/membership/src/machine/core_calls.rs
+++ b/membership/src/machine/core_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the SWIM core, and what becomes of what it wants done.
+//! Calls the SWIM core and applies its output.
 use super::swim_core::{Core, CoreOutput};
 use super::timers::Task;
 use super::{Action, Machine, Phase};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 impl Machine {
-    /// Calls the core once and does what it wants done.
+    /// Calls the core once and applies its output.
     pub(super) fn run_core(
         &mut self,
         now: Duration,
@@ -18,14 +18,15 @@
         self.apply_core_output(now, output, actions);
     }
 
-    /// Calls the core once. Its errors are counted and passed over: it keeps itself in order.
+    /// Calls the core once. Errors are counted and otherwise ignored, since the core's state stays
+    /// consistent.
     pub(super) fn call_core(
         &mut self,
         call: impl FnOnce(&mut Core, &mut CoreOutput) -> Result<(), foca::Error>,
     ) -> CoreOutput {
         let mut output = CoreOutput::default();
         match call(&mut self.core, &mut output) {
-            // Our own datagrams can come back (an old address of ours): no error.
+            // This router may receive its own datagrams through an outdated address; that is not an error.
             Ok(()) | Err(foca::Error::DataFromOurselves) => {}
             Err(_) => self.counters.core_errors += 1,
         }
@@ -39,13 +40,13 @@
             }
         }
         if output.became_active {
-            // A core that connects begins its timers anew, and would ignore those set before.
+            // A core that becomes active sets its timers anew and ignores those that it set before.
             self.timers.clear_core();
         }
         for (timer, after) in output.timers {
             self.schedule(now, after, Task::Core(timer), actions);
         }
-        self.note_rejoin(now, actions);
+        self.apply_rejoin(now, actions);
         if self.phase == Phase::Running {
             for member in &output.changed {
                 self.report_member_change(member.name(), actions);
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Follows the core where it has taken a new incarnation.
-    fn note_rejoin(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Updates the local identity if the core has taken a new incarnation.
+    fn apply_rejoin(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if *self.core.identity() == self.local {
             return;
         }
@@ -69,7 +70,7 @@
         self.read_full_list(actions);
     }
 
-    /// Reports what has become of the holder of this name in the core's list.
+    /// Reports any change of the live member with this name in the core's list.
     fn report_member_change(&mut self, name: &str, actions: &mut Vec<Action>) {
         let current = self.core.iter_members().map(MemberRecord::id).find(|member| member.name() == name);
         let reported = self.live.get(name);
--- a/membership/src/machine/counters.rs
+++ b/membership/src/machine/counters.rs
@@ -1,40 +1,43 @@
-//! What a router counts.
+//! Counters of a router's membership.
 use crate::wire::RejectReason;
 
-/// Counts since the start. A rejected datagram changes nothing else.
+/// Counters since the start. Rejected datagrams have no other effect than being counted.
 ///
-/// Field names stand in the log line that ends membership, by way of `Debug`.
+/// The names of the fields appear, through `Debug`, in the log line at the end of membership.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams received.
+    /// Number of received datagrams.
     pub received: u64,
-    /// Datagrams sent.
+    /// Number of sent datagrams.
     pub sent: u64,
-    /// Bytes sent, without the headers of UDP and IP.
+    /// Number of sent bytes, excluding UDP and IP headers.
     pub sent_bytes: u64,
-    /// Rejected: the sender is not on loopback.
+    /// Datagrams rejected because the sender's address is not a loopback address.
     pub not_loopback: u64,
-    /// Rejected: more than [`Settings::max_datagrams_per_s`](crate::Settings::max_datagrams_per_s).
+    /// Datagrams rejected because they exceed
+    /// [`Settings::max_datagrams_per_s`](crate::Settings::max_datagrams_per_s).
     pub rate_limited: u64,
-    /// Rejected: too long or too short.
+    /// Datagrams rejected because they are too long or too short.
     pub wrong_size: u64,
-    /// Rejected: not a membership datagram.
+    /// Datagrams rejected because they do not begin with the magic number.
     pub wrong_magic: u64,
-    /// Rejected: another version of the protocol.
+    /// Datagrams rejected because of another protocol version.
     pub wrong_version: u64,
-    /// Rejected: another fleet's.
+    /// Datagrams rejected because they belong to another fleet.
     pub wrong_cluster: u64,
-    /// Rejected: cannot be read, or names a member that cannot be one (not on loopback).
+    /// Datagrams rejected because they can't be decoded or contain an invalid member (such as one that is not
+    /// on loopback).
     pub malformed: u64,
-    /// Rejected: more names than [`Settings::max_members`](crate::Settings::max_members).
+    /// Datagrams rejected because they would exceed [`Settings::max_members`](crate::Settings::max_members).
     pub over_member_limit: u64,
-    /// Rejected: a page that was not requested, or calls to rejoin too close together.
+    /// Datagrams rejected because they are an unrequested page, or because they declare this router down too
+    /// soon after its last rejoin.
     pub unsolicited: u64,
-    /// Times a stopped process (or a host short of processor time) was noticed.
+    /// How often a stopped process, or a host short of CPU time, was detected.
     pub stalls: u64,
-    /// Times this router rejoined under a new incarnation.
+    /// How often this router rejoined with a new incarnation.
     pub rejoins: u64,
-    /// Errors inside the protocol's core, which goes on.
+    /// Number of errors of the SWIM core, which continues after them.
     pub core_errors: u64,
 }
 
--- a/membership/src/machine/datagrams.rs
+++ b/membership/src/machine/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams before they reach the SWIM core: limits, checks, and one name that two routers claim.
+//! Checks and limits received datagrams before they are passed to the SWIM core, and resolves name conflicts.
 use super::{Action, Machine, Phase};
 use crate::member::Member;
 use crate::member_record::MemberRecord;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl Machine {
-    /// Checks a datagram and handles its message. What is rejected is counted and not answered.
+    /// Checks a datagram and handles its message. Rejected datagrams are counted and get no response.
     pub(super) fn handle_datagram(
         &mut self,
         now: Duration,
@@ -17,7 +17,7 @@
         actions: &mut Vec<Action>,
     ) {
         self.counters.received += 1;
-        // A router that leaves must not hear that it is down, or it would rejoin.
+        // A leaving router must not learn that it was declared down, or it would rejoin.
         if self.phase != Phase::Running {
             return;
         }
@@ -43,20 +43,22 @@
         }
     }
 
-    /// Hands gossip to the core, unless it would exceed a limit or concerns a name that two routers claim.
+    /// Passes gossip to the core, unless it would exceed a limit or contains a name conflict.
     fn handle_gossip(&mut self, now: Duration, gossip: &GossipDatagram<'_>, actions: &mut Vec<Action>) {
         let sender = &gossip.header.src;
         let named = || std::iter::once(sender).chain(gossip.updates.iter().map(MemberRecord::id));
         if !self.within_member_limit(named()) || self.resolve_name_conflict(now, named(), actions) {
             return;
         }
-        // A later start has taken the sender's name at another address. The sender cannot learn that from being declared
-        // down, so it is sent the later start.
-        let holder =
+        // A later start uses the sender's name at another address. Declaring the sender down would not tell
+        // it that, so it is sent the identity of the later start.
+        let name_holder =
             (self.core.iter_membership_state().map(MemberRecord::id)).find(|member| member.same_name(sender));
-        if let Some(later) = holder.filter(|h| h.is_later_than(sender) && h.addr() != sender.addr()) {
-            let reply = JoinMessage::JoinReply { from: self.local.clone(), known: Some(later.clone()) };
-            self.send_join_message(sender.addr(), &reply, actions);
+        if let Some(later) =
+            name_holder.filter(|holder| holder.is_later_than(sender) && holder.addr() != sender.addr())
+        {
+            let response = JoinMessage::JoinReply { from: self.local.clone(), known: Some(later.clone()) };
+            self.send_join_message(sender.addr(), &response, actions);
             return;
         }
         if self.is_declared_down_by(gossip) && !self.may_rejoin(now) {
@@ -65,8 +67,8 @@
         self.run_core(now, actions, |core, output| core.handle_data(gossip.body, output));
     }
 
-    /// Whether the core will rejoin because of this datagram: an update in it says that this router is down, or its sender
-    /// answers so directly (`TurnUndead`).
+    /// Whether this datagram makes the core rejoin: an update declares this router down, or the sender
+    /// responds to it as to a down member (`TurnUndead`).
     fn is_declared_down_by(&self, gossip: &GossipDatagram<'_>) -> bool {
         let in_updates =
             (gossip.updates.iter()).any(|record| *record.id() == self.local && record.state() == State::Down);
@@ -74,13 +76,14 @@
         in_updates || directly
     }
 
-    /// Whether these names fit beside the known ones; counts the datagram as over the limit if not.
+    /// Whether the members, together with the known ones, are within the limit. If not, counts the datagram
+    /// as rejected.
     pub(super) fn within_member_limit<'a>(
         &mut self,
         members: impl Iterator<Item = &'a Member> + Clone,
     ) -> bool {
         let known_count = self.core.iter_membership_state().len();
-        // The names of one datagram are few: they are only looked up when it could matter.
+        // Names are compared only if the limit might be exceeded; the few names of one datagram rarely do so.
         let fits = known_count + members.clone().count() <= self.settings.max_members || {
             let is_known = |member: &Member| {
                 self.core.iter_membership_state().any(|record| record.id().name() == member.name())
@@ -91,10 +94,10 @@
         fits
     }
 
-    /// Looks among the named members for a later holder of this router's name. One that has taken the name at another
-    /// address since this router joined ends membership here; any other is superseded by a higher incarnation, unless
-    /// the last rejoin was a moment ago. Returns whether there was one: the rest of the datagram is then about an outdated
-    /// identity and must not be handled.
+    /// Looks for a later holder of this router's name among the members. If it took the name at another
+    /// address after this router joined, membership ends here. Otherwise this router supersedes it with a
+    /// higher incarnation, unless its last rejoin was too recent. Returns whether there was a conflict: the
+    /// rest of the datagram then concerns an outdated identity and must not be handled.
     pub(super) fn resolve_name_conflict<'a>(
         &mut self,
         now: Duration,
@@ -108,7 +111,8 @@
             self.end(Action::Superseded(later), actions);
             return true;
         }
-        // An earlier start whose clock was ahead, or whose end is not known yet: the last start supersedes it.
+        // The holder is an earlier start whose clock was ahead or whose end is not known yet. The last
+        // start supersedes it.
         if self.may_rejoin(now) {
             let renewed = self.local.supersede(later.incarnation());
             self.run_core(now, actions, |core, output| core.change_identity(renewed, output));
@@ -116,12 +120,12 @@
         true
     }
 
-    /// Whether a gossip interval has passed since the last rejoin, so that a forger cannot keep a router rejoining without
-    /// end; counts the datagram as unsolicited if not.
+    /// Whether at least one gossip interval has passed since the last rejoin, so that forged datagrams can't
+    /// make a router rejoin endlessly. If not, counts the datagram as unsolicited.
     pub(super) fn may_rejoin(&mut self, now: Duration) -> bool {
-        let may =
+        let allowed =
             self.last_rejoin.is_none_or(|last| now.saturating_sub(last) >= self.settings.gossip_interval);
-        self.counters.unsolicited += u64::from(!may);
-        may
+        self.counters.unsolicited += u64::from(!allowed);
+        allowed
     }
 }
--- a/membership/src/machine/event.rs
+++ b/membership/src/machine/event.rs
@@ -1,58 +1,59 @@
-//! What happens to a router, and what is to be done.
+//! The events that the machine handles, and the actions that it returns.
 use crate::member::Member;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Identifies one timer of a machine; given in [`Action::SetTimer`] and returned in [`Event::Timer`].
+/// Identifies a timer of a machine; set in [`Action::SetTimer`] and passed back in [`Event::Timer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerToken(pub u64);
 
-/// What happens to a router. Times are durations since any one start that never goes back.
+/// An event for the machine. Times are durations from a fixed start.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The router has started, and may find the fleet at these addresses; its own among them is passed over.
+    /// The router has started and can find the fleet at these addresses. Its own address among them is
+    /// ignored.
     Started {
         /// Addresses of any routers of the fleet.
         seeds: Vec<SocketAddrV4>,
     },
     /// A datagram was received.
     Datagram {
-        /// The sender's address, by the socket.
+        /// The sender's address, as reported by the socket.
         from: SocketAddrV4,
-        /// The whole datagram.
+        /// The datagram's bytes.
         bytes: Vec<u8>,
     },
-    /// The time of [`Action::SetTimer`] has passed; the token is that action's.
+    /// The timer of [`Action::SetTimer`] with this token has expired.
     Timer(TimerToken),
-    /// The router is to leave; [`Action::Left`] follows.
+    /// The router must leave the fleet; [`Action::Left`] follows.
     Leave,
 }
 
-/// What is to be done, in order.
+/// An action that the driver must carry out. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a datagram.
     Send {
         /// The receiver's address.
         to: SocketAddrV4,
-        /// The whole datagram, at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES).
+        /// The datagram's bytes; at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES).
         bytes: Vec<u8>,
     },
-    /// Give [`Event::Timer`] after this time.
+    /// Send [`Event::Timer`] after this time.
     SetTimer {
-        /// The time from now.
+        /// The time until the timer expires.
         after: Duration,
-        /// The token to give back.
+        /// The token to pass back.
         token: TimerToken,
     },
     /// This member is alive; never this router itself.
     Up(Member),
-    /// This member has left, failed, or is superseded by a later start (its `Up` follows).
+    /// This member has left, failed, or been superseded by a later start, whose `Up` follows.
     Down(Member),
-    /// The others held this router to be down; it is back under this incarnation.
+    /// Other members had declared this router down; it has rejoined with this incarnation.
     Rejoined(Member),
-    /// A later start holds this router's name at another address. The machine does nothing more.
+    /// A later start uses this router's name at another address. The machine does nothing after this action.
     Superseded(Member),
-    /// The router has left. The machine does nothing more.
+    /// The router has left the fleet. The machine does nothing after this action.
     Left,
 }
--- a/membership/src/machine/join.rs
+++ b/membership/src/machine/join.rs
@@ -1,4 +1,5 @@
-//! Joining: seeds are addresses without names, so a start asks who listens there before the core can announce it.
+//! Joining the fleet. Seeds are addresses without names, so a starting router first requests the name of the
+//! router at each seed; only then can the core announce itself to it.
 use super::{Action, Machine};
 use crate::member::Member;
 use crate::member_record::MemberRecord;
@@ -8,19 +9,19 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Members that are down are asked too, while no other is known: this many at a time.
-const DOWN_MEMBERS_ASKED: usize = 3;
+/// Number of down members that are contacted per round while no other member is known.
+const DOWN_MEMBERS_CONTACTED: usize = 3;
 
 impl Machine {
-    /// Asks every seed and some members that are down while no other member is known, else one seed that is not in
-    /// the list. Returns the time until the next round.
+    /// While no other member is known, sends join requests to every seed and to some down members; otherwise
+    /// to one seed that is not a live member. Returns the time until the next round.
     pub(super) fn contact_seeds(&mut self, actions: &mut Vec<Action>) -> Duration {
-        let alone = self.live.is_empty();
+        let is_alone = self.live.is_empty();
         let mut receivers = Vec::new();
-        if alone {
+        if is_alone {
             receivers.extend(&self.seeds);
             let down = self.down_since.values().map(|(member, _)| member.addr());
-            receivers.extend(down.sample(&mut self.rng, DOWN_MEMBERS_ASKED));
+            receivers.extend(down.sample(&mut self.rng, DOWN_MEMBERS_CONTACTED));
         } else {
             let listed = |seed: &SocketAddrV4| self.live.values().any(|member| member.addr() == *seed);
             let absent = self.seeds.iter().filter(|seed| !listed(seed));
@@ -30,7 +31,7 @@
             self.send_join_message(to, &JoinMessage::JoinRequest { from: self.local.clone() }, actions);
         }
         let interval =
-            if alone { self.settings.join_retry_interval } else { self.settings.seed_contact_interval };
+            if is_alone { self.settings.join_retry_interval } else { self.settings.seed_contact_interval };
         interval.mul_f64(self.rng.random_range(0.75..1.25))
     }
 
@@ -74,8 +75,8 @@
         let known = (self.core.iter_membership_state().map(MemberRecord::id))
             .find(|member| member.name() == from.name())
             .cloned();
-        let reply = JoinMessage::JoinReply { from: self.local.clone(), known };
-        self.send_join_message(from.addr(), &reply, actions);
+        let response = JoinMessage::JoinReply { from: self.local.clone(), known };
+        self.send_join_message(from.addr(), &response, actions);
     }
 
     fn handle_join_reply(
@@ -87,7 +88,7 @@
     ) {
         let named = known.iter().chain([&from]);
         if self.resolve_name_conflict(now, named, actions) || from.name() == self.local.name() {
-            // Asked again in the next round, under the new incarnation.
+            // The next round sends another join request, with the new incarnation.
             return;
         }
         self.run_core(now, actions, |core, output| core.announce(from, output));
--- a/membership/src/machine/list_sync.rs
+++ b/membership/src/machine/list_sync.rs
@@ -1,7 +1,7 @@
-//! Reading another member's list page by page, which heals what gossip lost.
+//! Reads other members' lists page by page, which repairs updates that gossip lost.
 //!
-//! Pages are requested one each [`Settings::list_sync_interval`](crate::Settings::list_sync_interval) from a random
-//! member, and without pause after a join or a stall.
+//! One page is requested per [`Settings::list_sync_interval`](crate::Settings::list_sync_interval) from a
+//! random member; after a join or a stall, pages are requested without pause.
 use super::{Action, Machine};
 use crate::limits::MAX_DATAGRAM_BYTES;
 use crate::member::Member;
@@ -12,13 +12,14 @@
 use rand::seq::IteratorRandom;
 use std::time::Duration;
 
-/// Bytes of a page besides its entries, at most: the sender's identity, the request's id, the count of entries.
+/// Maximum size of a page without its entries (the sender's identity, the request's id, the number of
+/// entries), in bytes.
 const PAGE_OVERHEAD_BYTES: usize = 128;
-/// Bytes of an entry besides the member's name, at most.
+/// Maximum size of an entry without the member's name, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 24;
 
 impl Machine {
-    /// Reads another member's list from its beginning, page after page.
+    /// Starts reading another member's list from the beginning, page after page.
     pub(super) fn read_full_list(&mut self, actions: &mut Vec<Action>) {
         self.list_progress.reading_full_list = true;
         self.list_progress.cursor = None;
@@ -60,7 +61,7 @@
         if declared_down && !self.may_rejoin(now) {
             return;
         }
-        // What a page brings, the fleet has heard already: it is applied, not passed on.
+        // The fleet already knows what is on a page, so its entries are applied but not gossiped.
         let records: Vec<MemberRecord> = entries.into_iter().map(MemberRecord::from).collect();
         self.run_core(now, actions, |core, output| core.apply_many(records.into_iter(), false, output));
         if !more {
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Sends what is known of the names past `after`, as many as fit, and first of all that the requester is held to
-    /// be suspect or down.
+    /// Sends a page with the names after `after`, as many as fit. If the requester is suspect or down, its
+    /// own entry is first.
     pub(super) fn send_page(
         &self,
         to: &Member,
--- a/membership/src/machine/suspicion.rs
+++ b/membership/src/machine/suspicion.rs
@@ -1,4 +1,4 @@
-//! The end of a suspicion, and of the memory of members that are down.
+//! Ends suspicions, and forgets members that have been down for long.
 use super::swim_core::CoreTimer;
 use super::timers::Task;
 use super::{Action, Machine};
@@ -7,18 +7,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A router that has received nothing for this many probe intervals may itself be unreachable.
+/// A router that has received nothing for this many probe intervals may itself be unreachable (isolated).
 const ISOLATED_AFTER_PROBES: u32 = 2;
-/// How many suspicion timeouts an isolated router waits before it declares others down.
+/// Number of suspicion timeouts for which an isolated router waits before it declares other members down.
 const ISOLATED_WAIT_SUSPICIONS: u32 = 3;
-/// How often in `forget_down_after` the down members are looked through.
+/// How often per `forget_down_after` the down members are checked.
 const FORGET_ROUNDS: u32 = 20;
 
 impl Machine {
     pub(super) fn run_core_timer(&mut self, now: Duration, timer: CoreTimer, actions: &mut Vec<Action>) {
         if let CoreTimer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
-            // The core (2.0.0) notifies a suspected member that it is down when the time is over, even one that has
-            // refuted meanwhile, which would then turn away and rejoin.
+            // At the end of the timeout the core (foca 2.0.0) notifies a suspected member that it is down,
+            // even if the member has refuted the suspicion, which would make the member rejoin.
             if !self.is_suspect(member_id, *incarnation) {
                 return;
             }
@@ -37,9 +37,9 @@
         })
     }
 
-    /// A router that receives nothing may itself be unreachable: its updates that others are down would reach them, and
-    /// each would reject that and rejoin. It waits until the others have found it down and ignore its updates, and then
-    /// reports to its own host alone.
+    /// Ends a suspicion while this router receives nothing and may itself be unreachable. If it sent updates
+    /// that others are down, each of them would refute that and rejoin. So it waits until the others have
+    /// declared it down and ignore its updates, and then reports the change only to its own host.
     fn end_suspicion_while_isolated(&mut self, now: Duration, timer: CoreTimer, actions: &mut Vec<Action>) {
         if now - self.last_received < self.settings.suspicion_timeout * ISOLATED_WAIT_SUSPICIONS {
             self.schedule(now, self.settings.probe_interval, Task::Core(timer), actions);
@@ -54,7 +54,7 @@
         self.settings.forget_down_after / FORGET_ROUNDS
     }
 
-    /// Forgets members that have been down for long.
+    /// Forgets members that have been down for at least `forget_down_after`.
     pub(super) fn forget_down_members(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let down: BTreeMap<String, Member> = (self.core.iter_membership_state())
             .filter(|record| record.state() == State::Down)
--- a/membership/src/machine/swim_core.rs
+++ b/membership/src/machine/swim_core.rs
@@ -1,4 +1,4 @@
-//! The `foca` core: how it is set up, and what it wants done.
+//! The `foca` core: its configuration and its output.
 use crate::limits::MAX_DATAGRAM_BYTES;
 use crate::member::Member;
 use crate::settings::Settings;
@@ -12,7 +12,7 @@
 pub(super) type Core = Foca<Member, PostcardCodec, StdRng, foca::NoCustomBroadcast>;
 pub(super) type CoreTimer = foca::Timer<Member>;
 
-/// How many members that are down are contacted at once.
+/// Number of down members that are contacted per round.
 const DOWN_CONTACTS: usize = 2;
 
 /// The core's configuration.
@@ -25,18 +25,19 @@
         num_indirect_probes: at_least_one(settings.indirect_probes),
         max_transmissions: NonZeroU8::new(settings.max_transmissions).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: settings.suspicion_timeout,
-        // `forget_down_members` does this: its memory is bounded by names and not by how often each went down.
+        // `forget_down_members` does this instead: its memory is bounded by the number of names, not by how
+        // often each member went down.
         remove_down_after: None,
         max_packet_size: at_least_one(MAX_DATAGRAM_BYTES - HEADER_BYTES),
         notify_down_members: true,
-        // List pages do this, whole lists in order instead of random parts.
+        // List pages replace this: they send whole lists in order instead of random parts.
         periodic_announce: None,
         periodic_announce_to_down_members: every(settings.down_contact_interval, DOWN_CONTACTS),
         periodic_gossip: every(settings.gossip_interval, settings.gossip_fanout),
     }
 }
 
-/// What the core wants done, gathered over one call.
+/// The output of one call of the core.
 #[derive(Default)]
 pub(super) struct CoreOutput {
     /// Datagrams to send, each with the address of its receiver.
@@ -45,12 +46,12 @@
     pub(super) timers: Vec<(CoreTimer, Duration)>,
     /// Members that may have joined, left or been superseded.
     pub(super) changed: Vec<Member>,
-    /// The first other member has become known.
+    /// Whether the first other member has become known.
     pub(super) became_active: bool,
 }
 
 impl CoreOutput {
-    /// Keeps what the core found out from the other members.
+    /// Discards the datagrams, so that other members do not learn what the core decided.
     pub(super) fn discard_sends(&mut self) {
         self.sends.clear();
     }
--- a/membership/src/machine/timer_tasks.rs
+++ b/membership/src/machine/timer_tasks.rs
@@ -1,4 +1,4 @@
-//! What the machine does when a timer expires, and after a time in which the process was stopped.
+//! Runs the tasks of expired timers, and compensates for times in which the process was stopped.
 use super::timers::{Expiry, Task};
 use super::{Action, Machine, Phase, TimerToken};
 use std::time::Duration;
@@ -9,25 +9,25 @@
         actions.push(Action::SetTimer { after, token });
     }
 
-    /// Runs the task of a timer, unless it was dropped meanwhile. One that expires more than a probe interval late shows
-    /// that the process stood still.
+    /// Runs the task of an expired timer, unless the timer was removed. If it expires more than a probe
+    /// interval late, the process was stopped.
     pub(super) fn handle_timer(&mut self, now: Duration, token: TimerToken, actions: &mut Vec<Action>) {
         let Some(due) = self.timers.due(token) else { return };
         let late = now.saturating_sub(due);
         if late > self.settings.probe_interval {
-            self.make_up_for_stall(late, actions);
+            self.compensate_stall(late, actions);
         }
         match self.timers.expire(now, token) {
             Expiry::NotPending => {}
-            // Delayed by a stall since it was set.
+            // The timer was delayed because of a stall.
             Expiry::NotDue { after } => actions.push(Action::SetTimer { after, token }),
             Expiry::Expired(task) => self.run_task(now, task, actions),
         }
     }
 
-    /// The process was stopped, or the host had no time for it. Answers may lie unread in the socket: nobody is to be
-    /// declared down by the time that passed here alone.
-    fn make_up_for_stall(&mut self, late: Duration, actions: &mut Vec<Action>) {
+    /// Compensates for a time in which the process was stopped or got no CPU time. Unread responses may be in
+    /// the socket, so no member may be declared down because of that time.
+    fn compensate_stall(&mut self, late: Duration, actions: &mut Vec<Action>) {
         self.counters.stalls += 1;
         self.timers.delay_all(late);
         self.last_received += late;
@@ -42,7 +42,8 @@
                 self.schedule(now, after, Task::ContactSeeds, actions);
             }
             Task::SyncList => {
-                // A request that was not answered by now goes to another member, from the same name on.
+                // If the last request got no response, the page is requested from another member, starting
+                // after the same name.
                 self.request_page(actions);
                 self.schedule(now, self.settings.list_sync_interval, Task::SyncList, actions);
             }
--- a/membership/src/machine/timers.rs
+++ b/membership/src/machine/timers.rs
@@ -1,34 +1,34 @@
-//! The machine's timers that have not expired: what is due when.
+//! The machine's pending timers.
 use super::event::TimerToken;
 use super::swim_core::CoreTimer;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What a timer is for.
+/// The task that a timer runs.
 pub(super) enum Task {
     /// One of the core's own timers.
     Core(CoreTimer),
-    /// Ask seeds to join.
+    /// Send join requests to seeds.
     ContactSeeds,
     /// Request a page of another member's list.
     SyncList,
-    /// Forget members that have been down for long.
+    /// Forget members that have been down for at least `forget_down_after`.
     ForgetDown,
     /// Repeat the announcement that this router leaves.
     RepeatLeave,
 }
 
-/// What a timer is at when its time was set to pass.
+/// The result of [`Timers::expire`].
 pub(super) enum Expiry {
-    /// It was dropped meanwhile.
+    /// The timer was removed.
     NotPending,
-    /// It was delayed since it was set, and is due after this time.
+    /// The timer was delayed, and is due after this time.
     NotDue { after: Duration },
-    /// It has expired.
+    /// The timer has expired.
     Expired(Task),
 }
 
-/// Timers that were set and have not expired, with the time at which each is due.
+/// The pending timers and the time at which each is due.
 #[derive(Default)]
 pub(super) struct Timers {
     pending: BTreeMap<TimerToken, (Duration, Task)>,
@@ -49,7 +49,7 @@
         self.pending.get(&token).map(|(due, _)| *due)
     }
 
-    /// Takes out a timer if it is due.
+    /// Removes a timer if it is due.
     pub(super) fn expire(&mut self, now: Duration, token: TimerToken) -> Expiry {
         match self.pending.remove(&token) {
             None => Expiry::NotPending,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Moves all that is pending by this time.
+    /// Delays all pending timers by this time.
     pub(super) fn delay_all(&mut self, by: Duration) {
         self.pending.values_mut().for_each(|(due, _)| *due += by);
     }
@@ -70,7 +70,7 @@
         self.pending.clear();
     }
 
-    /// Drops the core's timers: a core that connects again ignores those that it set before.
+    /// Removes the core's timers, because a core that becomes active again ignores those that it set before.
     pub(super) fn clear_core(&mut self) {
         self.pending.retain(|_, (_, task)| !matches!(task, Task::Core(_)));
     }
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -1,27 +1,28 @@
-//! A member's identity: who a router is, to the others.
+//! A member's identity.
 use crate::error::Error;
 use crate::limits::{MAX_GENERATION, MAX_INCARNATION, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// The low bits of the incarnation, which count a start's rejoins.
+/// Number of low bits of the incarnation that count the rejoins since a start.
 const REJOIN_BITS: u32 = 16;
 
-/// A router: its name, its address, and an incarnation that rises with each start and each rejoin.
+/// The identity of a router: its name, its address, and an incarnation that increases with each start and
+/// each rejoin.
 ///
-/// Field names stand in log lines, by way of `Debug`; the datagrams hold the values alone.
+/// The names of the fields appear in log lines through `Debug`; datagrams contain only the values.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "UncheckedMember")]
 pub struct Member {
     name: String,
     addr: SocketAddrV4,
     incarnation: u64,
-    /// The name hashed: foca compares it with every member for every update.
+    /// Hash of the name, because foca compares it with that of every member for each update.
     #[serde(skip_serializing)]
     name_hash: u128,
 }
 
-/// A member as a datagram holds it, not checked yet.
+/// A member as decoded from a datagram, before validation.
 #[derive(Deserialize)]
 struct UncheckedMember {
     name: String,
@@ -38,25 +39,26 @@
 }
 
 impl Member {
-    /// A member at its start. `generation` is the start time in milliseconds since 1970, or any number that rises
-    /// with each start of this name.
+    /// Creates the identity of a router that starts. `generation` is the start time in milliseconds since the
+    /// Unix epoch, or any number that increases with each start of this name.
     ///
     /// # Errors
     /// [`Error::InvalidName`] unless the name has 1 to [`MAX_NAME_BYTES`] letters, digits, `.`, `_` or `-`;
-    /// [`Error::InvalidAddress`] unless the address is on loopback with a port; [`Error::GenerationTooLarge`] where
-    /// the generation is above [`MAX_GENERATION`].
+    /// [`Error::InvalidAddress`] unless the address is a loopback address with a port;
+    /// [`Error::GenerationTooLarge`] if the generation is above [`MAX_GENERATION`].
     pub fn new(name: &str, addr: SocketAddrV4, generation: u64) -> Result<Member, Error> {
         if generation > MAX_GENERATION {
             return Err(Error::GenerationTooLarge(generation));
         }
-        // Rejoins count below the generation: a start that rejoins often does not overtake a later start.
+        // Rejoins are counted in the bits below the generation, so that a start that rejoins often does not
+        // overtake a later start.
         Member::checked(name, addr, generation << REJOIN_BITS)
     }
 
     fn checked(name: &str, addr: SocketAddrV4, incarnation: u64) -> Result<Member, Error> {
         let permitted = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
         if !(1..=MAX_NAME_BYTES).contains(&name.len()) || !name.bytes().all(permitted) {
-            // A name from a datagram is at most as long as the datagram.
+            // The name in the error is at most as long as a datagram.
             return Err(Error::InvalidName(name.into()));
         }
         if !addr.ip().is_loopback() || addr.port() == 0 {
@@ -69,32 +71,33 @@
         Ok(Member { name: name.into(), addr, incarnation, name_hash })
     }
 
-    /// The name; one router of the fleet has it at a time.
+    /// The member's name; unique among the routers of the fleet.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The address that others send to: IPv4, on loopback.
+    /// The IPv4 loopback address that other members send to.
     pub fn addr(&self) -> SocketAddrV4 {
         self.addr
     }
 
-    /// Rises with each start and each rejoin: the generation times 65,536, plus the rejoins since.
+    /// The incarnation, which increases with each start and each rejoin: the generation times 65,536, plus
+    /// the number of rejoins.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The number of the start, as it was given or as it had to be raised past an earlier one.
+    /// The generation of the start, as configured or as raised above that of an earlier start.
     pub fn generation(&self) -> u64 {
         self.incarnation >> REJOIN_BITS
     }
 
-    /// Whether both have one name.
+    /// Whether both members have the same name.
     pub(crate) fn same_name(&self, other: &Member) -> bool {
         self.name_hash == other.name_hash
     }
 
-    /// The same router under an incarnation that is past both its own and this one.
+    /// The same router with an incarnation above its own and above `incarnation`.
     pub(crate) fn supersede(&self, incarnation: u64) -> Member {
         Member {
             incarnation: self.incarnation.max(incarnation).saturating_add(1).min(MAX_INCARNATION),
@@ -102,8 +105,8 @@
         }
     }
 
-    /// Whether this is the later holder of a name that both have. Equal incarnations are decided by address, the
-    /// same way at every router.
+    /// Whether this member supersedes another one with the same name. Equal incarnations are ordered by
+    /// address, so that every router decides the same way.
     pub(crate) fn is_later_than(&self, other: &Member) -> bool {
         (self.incarnation, self.addr) > (other.incarnation, other.addr)
     }
--- a/membership/src/member_record.rs
+++ b/membership/src/member_record.rs
@@ -1,19 +1,19 @@
-//! What a router knows of a member: the core's record, and the status as the wire has it.
+//! What a router knows about a member: the core's record, and the form in which it is sent.
 use crate::member::Member;
 use foca::State;
 use serde::{Deserialize, Serialize};
 
-/// The core's record of a member: identity, the incarnation by which it refutes suspicions, and state.
+/// The core's record of a member: its identity, the refutation number and its state.
 pub type MemberRecord = foca::Member<Member>;
 
 /// A member's status on a list page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberStatus {
-    /// It answers.
+    /// The member responds to probes.
     Alive,
-    /// It has not answered a probe, and may refute the suspicion.
+    /// The member did not respond to a probe, and may still refute the suspicion.
     Suspect,
-    /// It has left or failed.
+    /// The member has left or failed.
     Down,
 }
 
@@ -40,11 +40,11 @@
 /// One member on a list page.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListEntry {
-    /// Its identity.
+    /// The member's identity.
     pub member: Member,
-    /// The incarnation by which the member refutes suspicions; not [`Member::incarnation`].
+    /// The number that the member increases to refute a suspicion; not [`Member::incarnation`].
     pub refutation: u16,
-    /// Its status.
+    /// The member's status.
     pub status: MemberStatus,
 }
 
--- a/membership/src/router_count_thread.rs
+++ b/membership/src/router_count_thread.rs
@@ -1,4 +1,5 @@
-//! The thread that turns changes of membership into the number by which the capacity share is divided.
+//! The thread that derives from membership changes the number of routers by which the capacity share is
+//! divided.
 use crate::change::Change;
 use crate::error::Error;
 use crate::handle::Membership;
@@ -6,14 +7,14 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-/// The thread keeps names and writes log lines.
+/// Stack size of the thread, which stores router names and writes log lines.
 const STACK_BYTES: usize = 128 * 1024;
 
-/// Follows membership on a thread and calls `set_count` with each new count; the first call comes at once, with the
-/// count that holds until other routers are seen.
+/// Follows membership changes on a thread and calls `set_count` with each new count. The first call is made
+/// immediately, with the count that applies until other routers are discovered.
 ///
 /// # Errors
-/// [`Error::Ended`] when membership has ended, [`Error::SpawnThread`] when the thread cannot be started.
+/// [`Error::Ended`] if membership has ended, [`Error::SpawnThread`] if the thread can't be started.
 pub fn follow_router_count(
     membership: &Membership,
     settings: Settings,
@@ -25,7 +26,7 @@
     routing::spawn_needed("members", STACK_BYTES, run).map_err(Error::SpawnThread)
 }
 
-/// Runs until this router has left, or no more changes come.
+/// Runs the thread until this router has left or no more changes will be received.
 fn run(changes: &Receiver<Change>, local_name: &str, settings: Settings, set_count: impl Fn(u32)) {
     let started_at = Instant::now();
     let mut machine = LiveRouterCount::new(Duration::ZERO, settings);
@@ -58,7 +59,7 @@
     tracing::info!(live, settling, router_count = count, "capacity share changed");
 }
 
-/// The next event for the state machine; `None` when this router has left.
+/// Waits for the next event for the state machine; `None` if this router has left.
 fn next_event(changes: &Receiver<Change>, timer: Option<Instant>, local_name: &str) -> Option<Event> {
     loop {
         let change = match timer {
@@ -79,13 +80,13 @@
                 tracing::error!(
                     addr = %by.addr(),
                     name = local_name,
-                    "router name taken by a later start, this router follows nobody any more and keeps its share; \
-                     end it, or give it a name of its own"
+                    "router name taken by a later start, this router no longer follows membership changes \
+                     and keeps its capacity share; stop it or give it a unique name"
                 );
                 Event::ChangesLost
             }
             Ok(Change::Failed) | Err(RecvTimeoutError::Disconnected) => {
-                tracing::error!("membership changes lost, the capacity share stays; restart this router");
+                tracing::error!("membership changes lost, capacity share unchanged; restart this router");
                 Event::ChangesLost
             }
         });
--- a/membership/src/settings.rs
+++ b/membership/src/settings.rs
@@ -1,41 +1,42 @@
-//! Protocol timing and the limits on what a router accepts.
+//! Protocol timing, and limits on received datagrams.
 use crate::error::Error;
 use std::time::Duration;
 
-/// Protocol timing and limits. All routers of a fleet must have the same. The defaults are for up to 300 routers on
-/// loopback; `docs/design/membership.md` has what they cost.
+/// Protocol timing and limits, which must be the same at all routers of a fleet. The defaults are for up to
+/// 300 routers on loopback; `docs/design/membership.md` lists their costs.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The fleet's name; datagrams of another fleet are rejected.
+    /// The fleet's name; datagrams of other fleets are rejected.
     pub cluster: String,
-    /// Interval between probes; each probes one member.
+    /// Interval between probes; one member is probed at a time.
     pub probe_interval: Duration,
-    /// How long a probed member may take to answer before indirect probes begin; at most half of `probe_interval`.
+    /// Time within which a probed member must respond before indirect probes are sent; at most half of
+    /// `probe_interval`.
     pub probe_timeout: Duration,
-    /// How many other members are asked for an indirect probe.
+    /// Number of other members that are requested to send an indirect probe.
     pub indirect_probes: usize,
-    /// How long a suspected member has to refute the suspicion.
+    /// Time within which a suspected member can refute the suspicion.
     pub suspicion_timeout: Duration,
-    /// Interval between gossip rounds besides the probes, while there are updates to pass on.
+    /// Interval between gossip rounds, in addition to the gossip on probes, while there are updates to send.
     pub gossip_interval: Duration,
-    /// To how many members one gossip round sends.
+    /// Number of members that one gossip round sends to.
     pub gossip_fanout: usize,
-    /// How often one router passes on one update.
+    /// How often one router sends the same update.
     pub max_transmissions: u8,
-    /// Interval between page requests: one page of another member's list is read each time, which heals what gossip
-    /// lost.
+    /// Interval between page requests. Each reads one page of another member's list, which repairs updates
+    /// that gossip lost.
     pub list_sync_interval: Duration,
-    /// Interval between join requests to a seed that is not in the list, while other members are known.
+    /// Interval between join requests to a seed that is not a live member, while other members are known.
     pub seed_contact_interval: Duration,
     /// Interval between join requests to all seeds while no other member is known.
     pub join_retry_interval: Duration,
-    /// Interval between announcements to two members that are down, which heals a split.
+    /// Interval between announcements to two down members, which merge the fleet again after a split.
     pub down_contact_interval: Duration,
-    /// How long a member that is down is remembered; must be longer than an update about it can travel.
+    /// How long a down member is remembered; must be longer than an update about it can circulate.
     pub forget_down_after: Duration,
-    /// Names remembered at most, those of down members too; datagrams that would bring more are rejected.
+    /// Maximum number of known names, including down members; datagrams that would exceed it are rejected.
     pub max_members: usize,
-    /// Datagrams handled each second at most; more are rejected.
+    /// Maximum number of datagrams handled per second; further ones are rejected.
     pub max_datagrams_per_s: u32,
 }
 
@@ -63,16 +64,16 @@
 }
 
 impl Settings {
-    /// The defaults with every interval and timeout divided by `divisor`, except `forget_down_after`: for tests on
-    /// real sockets.
-    pub fn sped_up(divisor: u32) -> Settings {
+    /// The default settings with every interval and timeout divided by `divisor`, except `forget_down_after`.
+    /// For tests on real sockets.
+    pub fn accelerated(divisor: u32) -> Settings {
         let mut settings = Settings::default();
         settings.scale_timing(|time| time / divisor);
         settings
     }
 
-    /// A fleet's settings with this probe interval and every other interval and timeout in proportion to it.
-    /// `forget_down_after` is lengthened, but never shortened.
+    /// Settings with the given probe interval and with every other interval and timeout in proportion to it.
+    /// `forget_down_after` may be lengthened, but is never shortened.
     pub fn with_probe_interval(cluster: &str, probe_interval: Duration) -> Settings {
         let mut settings = Settings { cluster: cluster.into(), ..Settings::default() };
         let factor = probe_interval.as_secs_f64() / settings.probe_interval.as_secs_f64();
@@ -82,7 +83,7 @@
         settings
     }
 
-    /// Changes every interval and timeout except `forget_down_after`.
+    /// Scales every interval and timeout except `forget_down_after`.
     fn scale_timing(&mut self, scaled: impl Fn(Duration) -> Duration) {
         let timing = [
             &mut self.probe_interval,
@@ -99,10 +100,10 @@
         }
     }
 
-    /// Checks that the settings agree with each other.
+    /// Checks that the settings are consistent.
     ///
     /// # Errors
-    /// [`Error::InvalidSettings`] names the first rule that is broken.
+    /// [`Error::InvalidSettings`] with the first violated rule.
     pub fn check(&self) -> Result<(), Error> {
         let above_zero = [
             self.probe_timeout,
@@ -116,17 +117,17 @@
         ];
         let invalid = |rule| Err(Error::InvalidSettings(rule));
         if above_zero.iter().any(Duration::is_zero) {
-            return invalid("every time must be above zero");
+            return invalid("every interval and timeout must be above zero");
         }
         if self.probe_interval < self.probe_timeout * 2 {
             return invalid(
-                "probe_interval must be at least twice probe_timeout: indirect probes need time too",
+                "probe_interval must be at least twice probe_timeout, to leave time for indirect probes",
             );
         }
         if self.forget_down_after < self.suspicion_timeout * 10 {
             return invalid(
-                "forget_down_after must be at least ten times suspicion_timeout: old news must not bring the dead \
-                 back",
+                "forget_down_after must be at least ten times suspicion_timeout: outdated updates must not \
+                 make down members appear alive",
             );
         }
         if self.indirect_probes == 0 || self.gossip_fanout == 0 || self.max_transmissions == 0 {
--- a/membership/src/simulation.rs
+++ b/membership/src/simulation.rs
@@ -1,5 +1,6 @@
-//! Many [`Machine`]s on a simulated network: virtual time, a seed, delays, loss, blocked links, stopped processes. The
-//! same seed and calls give the same run. For tests, for the figures of `docs/design/membership.md`, and for the emulator.
+//! Runs many [`Machine`]s on a simulated network with virtual time, a random seed, delays, loss, blocked
+//! links and stopped processes. The same seed and calls give the same run. Used by tests, for the
+//! measurements in `docs/design/membership.md`, and by the emulator.
 use crate::error::Error;
 use crate::machine::{Action, Event, Machine};
 use crate::member::Member;
@@ -12,34 +13,34 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Events that wait for a stopped process, at most; later datagrams are lost.
-const SOCKET_QUEUE: usize = 256;
+/// Maximum number of events that are queued for a stopped process; further datagrams are lost.
+const MAX_QUEUED_EVENTS: usize = 256;
 const FIRST_PORT: u16 = 10_000;
-/// How often [`Simulation::run_until`] looks whether its condition holds.
+/// How often [`Simulation::run_until`] checks its condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One simulated router.
+/// A simulated router.
 pub struct Router {
-    /// The state machine of its last start.
+    /// The state machine of the router's last start.
     pub machine: Machine,
-    /// Whether the process exists (it may be stopped).
+    /// Whether the process exists; it may be stopped.
     pub alive: bool,
     /// Whether the process is stopped (SIGSTOP).
     pub stopped: bool,
-    /// Counts the starts; timers of an earlier start are lost.
+    /// The number of the router's restarts; timers of earlier starts are discarded.
     start_number: u32,
-    /// What came while the process was stopped.
+    /// Events that were received while the process was stopped.
     queued: VecDeque<Event>,
 }
 
-/// What a router's machine reported to its host, and when.
+/// An action that a router's machine reported to its host, with its time.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Virtual time.
+    /// The virtual time of the report.
     pub at: Duration,
-    /// The router's index.
+    /// The index of the reporting router.
     pub router: usize,
-    /// Any action but datagrams and timers.
+    /// The reported action; sent datagrams and set timers are not reported.
     pub action: Action,
 }
 
@@ -49,21 +50,21 @@
     event: Event,
 }
 
-/// The network and its routers, which are named by their index.
+/// A simulated network and its routers, which are identified by their index.
 pub struct Simulation {
-    /// Virtual time.
+    /// The current virtual time.
     pub now: Duration,
-    /// The routers, in the order they were added.
+    /// The routers, in the order in which they were added.
     pub routers: Vec<Router>,
-    /// What the machines reported, oldest first.
+    /// The actions that the machines reported, oldest first.
     pub reports: Vec<Report>,
-    /// How long a datagram takes, in microseconds, evenly distributed.
+    /// The range of a datagram's delay in microseconds, uniformly distributed.
     pub delay_us: Range<u64>,
-    /// The share of datagrams lost, 0 to 1.
+    /// The probability that a datagram is lost, 0 to 1.
     pub loss: f64,
-    /// Blocked links, each in one direction: sender, receiver.
+    /// Blocked links as pairs of sender and receiver; each blocks one direction.
     pub blocked: BTreeSet<(usize, usize)>,
-    /// Each router's part of a split network; routers of different parts do not reach each other.
+    /// For each router, its part of a split network; routers of different parts can't reach each other.
     pub partition: Vec<u8>,
     settings: Settings,
     rng: StdRng,
@@ -73,7 +74,7 @@
 }
 
 impl Simulation {
-    /// No routers yet; datagrams take 0.05 to 1 ms and none is lost.
+    /// Creates a network without routers, in which datagrams take 0.05 to 1 ms and none is lost.
     pub fn new(settings: Settings, seed: u64) -> Simulation {
         Simulation {
             now: Duration::from_secs(1),
@@ -101,10 +102,10 @@
         Ok(Router { machine, alive: true, stopped: false, start_number, queued: VecDeque::new() })
     }
 
-    /// Starts one more router, named `router-INDEX`, with these routers as its seeds. Returns its index.
+    /// Adds and starts a router named `router-INDEX` with these routers as its seeds. Returns its index.
     ///
     /// # Errors
-    /// As [`Machine::new`] and [`Member::new`].
+    /// The errors of [`Machine::new`] and [`Member::new`].
     pub fn add(&mut self, generation: u64, seeds: &[usize]) -> Result<usize, Error> {
         let index = self.routers.len();
         let router = self.new_router(index, generation, 0)?;
@@ -119,15 +120,15 @@
         self.handle(router, Event::Started { seeds });
     }
 
-    /// The process ends without a farewell (SIGKILL).
+    /// Kills the router's process (SIGKILL), so that it does not announce its departure.
     pub fn kill(&mut self, router: usize) {
         self.routers[router].alive = false;
     }
 
-    /// The process ends and starts again under the same name and address.
+    /// Kills the router's process and starts it again with the same name and address.
     ///
     /// # Errors
-    /// As [`Machine::new`] and [`Member::new`].
+    /// The errors of [`Machine::new`] and [`Member::new`].
     pub fn restart(&mut self, router: usize, generation: u64, seeds: &[usize]) -> Result<(), Error> {
         let start_number = self.routers[router].start_number + 1;
         self.routers[router] = self.new_router(router, generation, start_number)?;
@@ -135,12 +136,13 @@
         Ok(())
     }
 
-    /// Stops the process (SIGSTOP).
+    /// Stops the router's process (SIGSTOP).
     pub fn stop(&mut self, router: usize) {
         self.routers[router].stopped = true;
     }
 
-    /// Continues the process (SIGCONT): first the timers that were due, then the datagrams in its socket.
+    /// Resumes the router's process (SIGCONT): handles the timers that were due, then the datagrams in its
+    /// socket.
     pub fn resume(&mut self, router: usize) {
         self.routers[router].stopped = false;
         let (timers, datagrams): (Vec<_>, Vec<_>) =
@@ -148,7 +150,7 @@
         timers.into_iter().chain(datagrams).for_each(|event| self.handle(router, event));
     }
 
-    /// The router leaves; its process ends when it has left.
+    /// Makes the router leave; its process ends when it has left.
     pub fn leave(&mut self, router: usize) {
         self.handle(router, Event::Leave);
     }
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Simulates this much time.
+    /// Simulates this amount of time.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(Reverse((at, sequence))) = self.queue.peek().copied() {
@@ -203,19 +205,19 @@
     fn deliver(&mut self, ScheduledEvent { router, start_number, event }: ScheduledEvent) {
         let receiver = &mut self.routers[router];
         let is_timer = matches!(event, Event::Timer(_));
-        // Datagrams reach whoever is at the address; a timer is of one start.
+        // A datagram reaches any start at the address, but a timer only the start that set it.
         if !receiver.alive || (is_timer && receiver.start_number != start_number) {
             return;
         }
         if !receiver.stopped {
             self.handle(router, event);
-        } else if is_timer || receiver.queued.len() < SOCKET_QUEUE {
+        } else if is_timer || receiver.queued.len() < MAX_QUEUED_EVENTS {
             receiver.queued.push_back(event);
         }
     }
 
-    /// Simulates until the condition holds, which is looked at every 20 ms. Returns how long that took, or `None`
-    /// when `limit` has passed.
+    /// Simulates until the condition holds, which is checked every 20 ms. Returns the simulated time that
+    /// this took, or `None` if `limit` has passed.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -231,14 +233,14 @@
         Some(self.now - start)
     }
 
-    /// The routers whose processes run.
+    /// The routers whose processes exist and are not stopped.
     pub fn running(&self) -> impl Iterator<Item = &Router> {
         self.routers.iter().filter(|router| router.alive && !router.stopped)
     }
 
-    /// Whether every running router lists every other running one under its present incarnation, and nobody else.
+    /// Whether every running router lists exactly the other running ones, with their current incarnations.
     pub fn all_agree(&self) -> bool {
-        // Lists of another length are quickly seen: this is asked often.
+        // Compares the lengths of the lists first, because that is fast and this check runs often.
         let count = self.running().count();
         if self.running().any(|router| router.machine.members().len() + 1 != count) {
             return false;
@@ -247,14 +249,14 @@
         self.running().all(|router| router.machine.members().all(|member| all.contains(member)))
     }
 
-    /// How many running routers list this one, under any incarnation.
+    /// The number of running routers that list this router, with any incarnation.
     pub fn count_listing(&self, router: usize) -> usize {
         let name = self.routers[router].machine.local().name();
         let lists = |other: &&Router| other.machine.members().any(|member| member.name() == name);
         self.running().filter(lists).count()
     }
 
-    /// Bytes sent so far by the last starts of all routers.
+    /// Total number of bytes sent by the routers since each one's last start.
     pub fn sent_bytes(&self) -> u64 {
         self.routers.iter().map(|router| router.machine.counters().sent_bytes).sum()
     }
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -1,91 +1,94 @@
-//! The datagrams: a header of [`HEADER_BYTES`] (magic in 2 bytes, version and kind in 1 each, the hash of the fleet's name
-//! in 8, big-endian), then one body.
+//! The datagrams. Each has a header of [`HEADER_BYTES`] (magic number in 2 bytes, version and kind in 1 byte
+//! each, the hash of the fleet's name in 8 bytes, big-endian), followed by one body.
 //!
-//! The body is the core's own gossip, or a [`JoinMessage`]. A datagram is read whole and checked before the core sees
-//! it. Bodies are postcard, which writes values in the order of declaration and no names: fields and variants may be
-//! renamed, but not reordered.
+//! The body is the SWIM core's gossip or a [`JoinMessage`]. A datagram is decoded and checked completely
+//! before it is passed to the core. Bodies are encoded with postcard, which writes values in declaration
+//! order, without names: fields and variants may be renamed, but not reordered.
 use crate::limits::MAX_DATAGRAM_BYTES;
 use crate::member::Member;
 use crate::member_record::{ListEntry, MemberRecord};
 use foca::Header;
 use serde::{Deserialize, Serialize};
 
-/// Bytes before the body.
+/// Size of a datagram's header in bytes.
 pub const HEADER_BYTES: usize = 12;
 const MAGIC: [u8; 2] = *b"dm";
 const PROTOCOL_VERSION: u8 = 1;
 const KIND_GOSSIP: u8 = 0;
 const KIND_JOIN: u8 = 1;
-/// Room for the header and a short body.
+/// Initial capacity of a datagram's buffer: the header and a short body.
 const USUAL_DATAGRAM_BYTES: usize = 128;
 
-/// Why a datagram is rejected; [`Counters`](crate::Counters) has a counter for each.
+/// Why a datagram is rejected. [`Counters`](crate::Counters) has a counter for each reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// It is longer than a datagram may be, or shorter than the header.
+    /// The datagram is longer than permitted, or shorter than the header.
     WrongSize,
-    /// It does not begin as a datagram of this package does.
+    /// The datagram does not begin with the magic number.
     WrongMagic,
-    /// It is of another version of the protocol.
+    /// The datagram has another protocol version.
     WrongVersion,
-    /// It is of another fleet.
+    /// The datagram belongs to another fleet.
     WrongCluster,
-    /// Its body cannot be read, or goes on behind its end.
+    /// The body can't be decoded, or is followed by more bytes.
     Malformed,
 }
 
-/// What the core's datagram holds, read before the core reads it so that nothing unbounded reaches it.
+/// A gossip datagram of the core. It is decoded before the core reads it, so that its contents can be checked
+/// and bounded.
 pub struct GossipDatagram<'a> {
     /// The core's header: sender, receiver and message.
     pub header: Header<Member>,
-    /// The updates of members.
+    /// The updates about members.
     pub updates: Vec<MemberRecord>,
-    /// The body as it was received, for the core.
+    /// The encoded body, as passed to the core.
     pub body: &'a [u8],
 }
 
-/// What routers send besides the core's datagrams: how a start joins the fleet, and how lists are read page by page.
+/// Messages besides the core's gossip: they join a router to the fleet, and read member lists page by page.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JoinMessage {
-    /// Sent to an address of which no name is known yet.
+    /// Sent to an address at which the name of the router is not known yet.
     JoinRequest {
-        /// The sender.
+        /// The router that sends the message.
         from: Member,
     },
-    /// The answer: who listens at that address, and what it knows under the requester's name.
+    /// The response to a join request: the router at that address, and the member that it knows under the
+    /// requester's name.
     JoinReply {
-        /// The sender.
+        /// The router that sends the message.
         from: Member,
-        /// Who has the requester's name, by the sender's list.
+        /// The member with the requester's name in the sender's list, if any.
         known: Option<Member>,
     },
-    /// Asks for what the receiver knows of the names past `after`. The page carries the same `request_id`.
+    /// Requests a page of the receiver's member list, with the names after `after`. The page has the same
+    /// `request_id`.
     PageRequest {
-        /// The sender.
+        /// The router that sends the message.
         from: Member,
-        /// Identifies the request.
+        /// Identifies the request; the page in response has the same value.
         request_id: u64,
-        /// The last name that the sender has read; `None` for the first page.
+        /// The last name that the sender has read; `None` to request the first page.
         after: Option<String>,
     },
-    /// What is known, in the order of names; `more` when the list goes on.
+    /// A page of the sender's member list, ordered by name.
     Page {
-        /// The sender.
+        /// The router that sends the message.
         from: Member,
-        /// The request's id.
+        /// The `request_id` of the page request.
         request_id: u64,
-        /// The members.
+        /// The listed members.
         entries: Vec<ListEntry>,
-        /// Whether the list goes on.
+        /// Whether the list continues after this page.
         more: bool,
     },
 }
 
-/// A datagram that was read.
+/// A decoded datagram.
 pub enum Datagram<'a> {
-    /// The core's own gossip.
+    /// A gossip datagram of the SWIM core.
     Gossip(GossipDatagram<'a>),
-    /// A message of this package.
+    /// A message that joins a router or reads a member list.
     Join(JoinMessage),
 }
 
@@ -102,23 +105,23 @@
     bytes
 }
 
-/// A datagram around what the core wants sent.
+/// Encodes a datagram with the core's gossip as its body.
 pub fn encode_gossip(cluster_hash: u64, body: &[u8]) -> Vec<u8> {
     let mut bytes = header(KIND_GOSSIP, cluster_hash);
     bytes.extend_from_slice(body);
     bytes
 }
 
-/// A datagram with this message; `None` when the message is too long for one datagram.
+/// Encodes a datagram with a join message; `None` if the message is too long for one datagram.
 pub fn encode_join_message(cluster_hash: u64, message: &JoinMessage) -> Option<Vec<u8>> {
     let bytes = postcard::to_extend(message, header(KIND_JOIN, cluster_hash)).ok()?;
     (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
-/// Reads all of a datagram; bytes that are left over make it malformed.
+/// Decodes a datagram; bytes after the end of the body make it malformed.
 ///
 /// # Errors
-/// The [`RejectReason`].
+/// The reason why the datagram is rejected.
 pub fn decode(cluster_hash: u64, bytes: &[u8]) -> Result<Datagram<'_>, RejectReason> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(RejectReason::WrongSize);
@@ -146,8 +149,8 @@
     RejectReason::Malformed
 }
 
-/// The core's header, then the number of updates in 2 bytes, big-endian, and the updates; a message without updates may
-/// end behind the header.
+/// Decodes the core's header, then the number of updates (2 bytes, big-endian) and the updates. A message
+/// without updates may end after the header.
 fn decode_gossip(body: &[u8]) -> Result<GossipDatagram<'_>, RejectReason> {
     let (header, mut rest) = postcard::take_from_bytes(body).map_err(malformed)?;
     let mut updates = Vec::new();
@@ -159,7 +162,7 @@
             rest = after;
         }
     }
-    // Nobody sends foca's custom broadcasts here: what is left over is not ours.
+    // Routers do not send foca's custom broadcasts, so remaining bytes make the datagram malformed.
     if !rest.is_empty() {
         return Err(RejectReason::Malformed);
     }
--- a/membership/tests/datagrams.rs
+++ b/membership/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! The bytes of every kind of datagram, as routers in service write them.
+//! Compares the bytes of every kind of datagram with those that deployed routers write.
 use foca::{Codec, Header, Message, PostcardCodec, State};
 use membership::Member;
 use membership::member_record::{ListEntry, MemberRecord, MemberStatus};
@@ -14,7 +14,8 @@
 const CLUSTER: &str = "orders";
 
 fn member(name: &str, port: u16, generation: u64) -> Member {
-    Member::new(name, SocketAddrV4::new([127, 0, 0, 1].into(), port), generation).expect("a member")
+    Member::new(name, SocketAddrV4::new([127, 0, 0, 1].into(), port), generation)
+        .expect("the member is valid")
 }
 
 fn ann() -> Member {
@@ -41,34 +42,38 @@
     ]
 }
 
-/// A datagram of the core as it is recorded under this name.
+/// A gossip datagram of the core, with the name under which it is recorded.
 struct GossipCase {
     name: &'static str,
     header: Header<Member>,
-    /// The updates behind the header, where the message carries any.
+    /// The updates after the header, if the message has any.
     updates: Option<Vec<MemberRecord>>,
 }
 
-/// Every message of the core that routers send.
+/// One case for each message of the core that routers send.
 fn gossip_cases() -> Vec<GossipCase> {
     let case = |name, message, updates| GossipCase { name, header: header(message), updates };
     let (target, origin, probe_number) = (cat(), cat(), 200);
-    let (none, some) = (Some(Vec::new()), Some(updates()));
+    let (no_updates, some_updates) = (Some(Vec::new()), Some(updates()));
     vec![
-        case("gossip-ping", Message::Ping(1), none.clone()),
-        case("gossip-ack", Message::Ack(255), some.clone()),
-        case("gossip-ping-req", Message::PingReq { target: cat(), probe_number }, none.clone()),
-        case("gossip-indirect-ping", Message::IndirectPing { origin: cat(), probe_number }, some.clone()),
-        case("gossip-indirect-ack", Message::IndirectAck { target, probe_number }, none),
-        case("gossip-forwarded-ack", Message::ForwardedAck { origin, probe_number }, some.clone()),
+        case("gossip-ping", Message::Ping(1), no_updates.clone()),
+        case("gossip-ack", Message::Ack(255), some_updates.clone()),
+        case("gossip-ping-req", Message::PingReq { target: cat(), probe_number }, no_updates.clone()),
+        case(
+            "gossip-indirect-ping",
+            Message::IndirectPing { origin: cat(), probe_number },
+            some_updates.clone(),
+        ),
+        case("gossip-indirect-ack", Message::IndirectAck { target, probe_number }, no_updates),
+        case("gossip-forwarded-ack", Message::ForwardedAck { origin, probe_number }, some_updates.clone()),
         case("gossip-announce", Message::Announce, None),
-        case("gossip-feed", Message::Feed, some.clone()),
-        case("gossip-gossip", Message::Gossip, some),
+        case("gossip-feed", Message::Feed, some_updates.clone()),
+        case("gossip-gossip", Message::Gossip, some_updates),
         case("gossip-turn-undead", Message::TurnUndead, None),
     ]
 }
 
-/// Every message of our own.
+/// All kinds of join messages, with the names under which they are recorded.
 fn join_messages() -> Vec<(&'static str, JoinMessage)> {
     let entries = vec![
         ListEntry { member: ann(), refutation: 0, status: MemberStatus::Alive },
@@ -94,21 +99,23 @@
 
 fn gossip_datagram(header: &Header<Member>, updates: Option<&[MemberRecord]>) -> Vec<u8> {
     let mut body = Vec::new();
-    PostcardCodec.encode_header(header, &mut body).expect("a header");
+    PostcardCodec.encode_header(header, &mut body).expect("the header can be encoded");
     if let Some(updates) = updates {
         body.extend_from_slice(&(updates.len() as u16).to_be_bytes());
-        updates.iter().for_each(|update| PostcardCodec.encode_member(update, &mut body).expect("an update"));
+        updates
+            .iter()
+            .for_each(|update| PostcardCodec.encode_member(update, &mut body).expect("valid update"));
     }
     encode_gossip(cluster_hash(CLUSTER), &body)
 }
 
-/// The recorded bytes of the datagram of this name.
+/// The recorded bytes of the datagram with this name.
 fn recorded(name: &str) -> Vec<u8> {
     hex::decode_line(&FIXTURES.text("datagrams.txt"), &format!("{name} "))
 }
 
 #[test]
-fn gossip_datagrams_keep_their_bytes() {
+fn gossip_datagram_bytes_match_recording() {
     for GossipCase { name, header, updates } in gossip_cases() {
         let bytes = recorded(name);
         assert_eq!(hex::encode(&gossip_datagram(&header, updates.as_deref())), hex::encode(&bytes), "{name}");
@@ -120,7 +127,7 @@
 }
 
 #[test]
-fn join_messages_keep_their_bytes() {
+fn join_message_bytes_match_recording() {
     for (name, message) in join_messages() {
         let bytes = recorded(name);
         assert_eq!(
--- a/membership/tests/hostile_datagrams.rs
+++ b/membership/tests/hostile_datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams from anywhere: bounded, counted, never a panic.
+//! Tests that arbitrary datagrams from any sender are counted, have bounded effects and never cause a panic.
 use membership::{Action, Counters, Event, MAX_DATAGRAM_BYTES, Machine, Member, Settings, TimerToken};
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -6,19 +6,20 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// More than one datagram ever calls for.
+/// Upper bound of the number of actions for one datagram.
 const MAX_ACTIONS: usize = 32;
-/// The timer that a start sets first.
+/// The first timer that a started machine sets.
 const FIRST_TIMER: TimerToken = TimerToken(0);
 
 fn addr(port: u16) -> SocketAddrV4 {
     SocketAddrV4::new([127, 0, 0, 1].into(), port)
 }
 
-/// A machine that has started at time zero, with port 1 as its seed.
+/// A machine that was started at time zero, with port 1 as its seed.
 fn machine(settings: Settings, name: &str, port: u16) -> Machine {
-    let local = Member::new(name, addr(port), 1).expect("a member");
-    let mut machine = Machine::new(settings, local, StdRng::seed_from_u64(1)).expect("a machine");
+    let local = Member::new(name, addr(port), 1).expect("the member is valid");
+    let mut machine =
+        Machine::new(settings, local, StdRng::seed_from_u64(1)).expect("the settings are consistent");
     machine.handle(Duration::ZERO, Event::Started { seeds: vec![addr(1)] }, &mut Vec::new());
     machine
 }
@@ -37,15 +38,15 @@
     })
 }
 
-/// What a machine sends at its first timer: join requests to its seeds.
+/// The datagrams that a machine sends at its first timer: join requests to its seeds.
 fn join_requests(machine: &mut Machine) -> Vec<(SocketAddrV4, Vec<u8>)> {
     let mut actions = Vec::new();
     machine.handle(Duration::ZERO, Event::Timer(FIRST_TIMER), &mut actions);
     sent(actions).collect()
 }
 
-/// Datagrams that a real router sends: its join request, and what it sends to another that has joined it.
-fn real_datagrams() -> Vec<Vec<u8>> {
+/// Datagrams of two machines: a join request, and the datagrams exchanged after the join.
+fn valid_datagrams() -> Vec<Vec<u8>> {
     let mut one = machine(Settings::default(), "one", 1);
     let mut two = machine(Settings::default(), "two", 2);
     let mut all = Vec::new();
@@ -70,19 +71,19 @@
         after_header in any::<bool>(),
     ) {
         let mut machine = machine(Settings::default(), "three", 3);
-        let mut datagram = if after_header { real_datagrams()[0][..11].to_vec() } else { Vec::new() };
+        let mut datagram = if after_header { valid_datagrams()[0][..11].to_vec() } else { Vec::new() };
         datagram.extend(bytes);
         prop_assert!(receive(&mut machine, 10, addr(9), &datagram).len() < MAX_ACTIONS);
     }
 
     #[test]
-    fn changed_real_datagrams_cause_few_actions(
+    fn altered_valid_datagrams_cause_few_actions(
         changes in proptest::collection::vec((any::<usize>(), any::<usize>(), any::<u8>()), 1..40),
     ) {
-        let real = real_datagrams();
+        let valid = valid_datagrams();
         let mut machine = machine(Settings::default(), "one", 1);
-        for (which, at, byte) in changes {
-            let mut bytes = real[which % real.len()].clone();
+        for (index, at, byte) in changes {
+            let mut bytes = valid[index % valid.len()].clone();
             let at = at % bytes.len();
             bytes[at] = byte;
             prop_assert!(receive(&mut machine, 10, addr(9), &bytes).len() < MAX_ACTIONS);
@@ -94,21 +95,21 @@
 }
 
 #[test]
-fn rejected_datagrams_are_counted_and_not_answered() {
-    let join_request = real_datagrams().swap_remove(0);
+fn rejected_datagrams_are_counted_without_response() {
+    let join_request = valid_datagrams().swap_remove(0);
     let mut machine = machine(Settings::default(), "one", 1);
-    let mut rejects = |change: &dyn Fn(&mut Vec<u8>), from: SocketAddrV4| {
+    let mut assert_rejected = |change: &dyn Fn(&mut Vec<u8>), from: SocketAddrV4| {
         let mut bytes = join_request.clone();
         change(&mut bytes);
         assert_eq!(receive(&mut machine, 10, from, &bytes), Vec::new());
     };
-    rejects(&|_| (), SocketAddrV4::new([10, 0, 0, 1].into(), 9));
-    rejects(&|bytes| bytes.truncate(11), addr(9));
-    rejects(&|bytes| bytes.resize(MAX_DATAGRAM_BYTES + 1, 0), addr(9));
-    rejects(&|bytes| bytes[0] = 0, addr(9));
-    rejects(&|bytes| bytes[2] = 9, addr(9));
-    rejects(&|bytes| bytes[5] ^= 1, addr(9));
-    rejects(&|bytes| bytes.push(0), addr(9));
+    assert_rejected(&|_| (), SocketAddrV4::new([10, 0, 0, 1].into(), 9));
+    assert_rejected(&|bytes| bytes.truncate(11), addr(9));
+    assert_rejected(&|bytes| bytes.resize(MAX_DATAGRAM_BYTES + 1, 0), addr(9));
+    assert_rejected(&|bytes| bytes[0] = 0, addr(9));
+    assert_rejected(&|bytes| bytes[2] = 9, addr(9));
+    assert_rejected(&|bytes| bytes[5] ^= 1, addr(9));
+    assert_rejected(&|bytes| bytes.push(0), addr(9));
     let expected = Counters {
         received: 7,
         not_loopback: 1,
@@ -123,12 +124,12 @@
 }
 
 #[test]
-fn flood_is_rate_limited_and_ends_with_itself() {
-    let join_request = real_datagrams().swap_remove(0);
+fn flood_is_rate_limited_and_later_datagrams_are_handled() {
+    let join_request = valid_datagrams().swap_remove(0);
     let settings = Settings { max_datagrams_per_s: 100, ..Settings::default() };
     let mut machine = machine(settings, "one", 1);
-    let answers: usize = (0..1000).map(|_| receive(&mut machine, 10, addr(2), &join_request).len()).sum();
-    assert_eq!((answers, machine.counters().rate_limited), (100, 900));
+    let responses: usize = (0..1000).map(|_| receive(&mut machine, 10, addr(2), &join_request).len()).sum();
+    assert_eq!((responses, machine.counters().rate_limited), (100, 900));
     assert_eq!(receive(&mut machine, 1010, addr(2), &join_request).len(), 1);
 }
 
@@ -138,9 +139,11 @@
     for port in 2..6 {
         let mut other = self::machine(Settings::default(), &format!("other-{port}"), port);
         let requests = join_requests(&mut other);
-        let [(_, join_request)] = &requests[..] else { panic!("one join request: {requests:?}") };
-        for (_, reply) in sent(receive(&mut machine, 10, addr(port), join_request)) {
-            for (_, announce) in sent(receive(&mut other, 10, addr(1), &reply)) {
+        let [(_, join_request)] = &requests[..] else {
+            panic!("expected one join request, got {requests:?}")
+        };
+        for (_, response) in sent(receive(&mut machine, 10, addr(port), join_request)) {
+            for (_, announce) in sent(receive(&mut other, 10, addr(1), &response)) {
                 receive(&mut machine, 10, addr(port), &announce);
             }
         }
--- a/membership/tests/recorded_runs.rs
+++ b/membership/tests/recorded_runs.rs
@@ -1,4 +1,4 @@
-//! Seeded runs of the state machines, compared action by action with runs recorded under `tests/fixtures`.
+//! Compares seeded runs of the state machines, action by action, with runs recorded in `tests/fixtures`.
 use membership::live_router_count::{self as router_count, LiveRouterCount, OtherRouters};
 use membership::simulation::Simulation;
 use membership::{Action, Counters, Event, MAX_DATAGRAM_BYTES, Machine, Member, Settings};
@@ -25,7 +25,7 @@
     format!("{} {} {}", member.name(), member.addr(), member.incarnation())
 }
 
-/// Labels are those of the recorded run.
+/// Formats the counters with the labels of the recorded run.
 fn describe_counters(c: Counters) -> String {
     format!(
         "received={} sent={} sent_bytes={} outside={} flood={} size={} mark={} version={} cluster={} malformed={} \
@@ -48,7 +48,7 @@
     )
 }
 
-/// What one node has done in the current second.
+/// The actions of one node in the current second.
 #[derive(Default)]
 struct Second {
     sends: usize,
@@ -61,12 +61,12 @@
     machine: Machine,
     alive: bool,
     stopped: bool,
-    /// Events that came while it was stopped.
+    /// Events that were received while the node was stopped.
     queued: Vec<Event>,
     second: Second,
 }
 
-/// A few machines on a network of virtual time that keeps a record of every action.
+/// A few machines on a network in virtual time, with a record of all their actions.
 struct Recorder {
     now: Duration,
     nodes: Vec<Node>,
@@ -91,14 +91,14 @@
     }
 
     fn settings() -> Settings {
-        // Members that are down are forgotten within the run.
+        // Down members are forgotten within the run.
         Settings { forget_down_after: ms(25_000), ..Settings::default() }
     }
 
     fn node(name: &str, node: usize, generation: u64, seed: u64) -> Node {
-        let me = Member::new(name, addr(node), generation).expect("a member");
-        let machine =
-            Machine::new(Recorder::settings(), me, StdRng::seed_from_u64(seed)).expect("settings that agree");
+        let local = Member::new(name, addr(node), generation).expect("the member is valid");
+        let machine = Machine::new(Recorder::settings(), local, StdRng::seed_from_u64(seed))
+            .expect("the settings are consistent");
         Node { machine, alive: true, stopped: false, queued: Vec::new(), second: Second::default() }
     }
 
@@ -131,18 +131,19 @@
         let mut actions = Vec::new();
         self.nodes[node].machine.handle(self.now, event, &mut actions);
         for action in actions {
-            self.carry_out(node, action);
+            self.execute(node, action);
         }
     }
 
-    fn carry_out(&mut self, node: usize, action: Action) {
+    fn execute(&mut self, node: usize, action: Action) {
         let second = &mut self.nodes[node].second;
         match action {
             Action::Send { to, bytes } => {
                 second.sends += 1;
                 second.bytes += bytes.len();
                 let hash = xxhash_rust::xxh3::xxh3_64(&bytes);
-                writeln!(second.actions, "send {to} {} {hash:016x}", bytes.len()).expect("a string");
+                writeln!(second.actions, "send {to} {} {hash:016x}", bytes.len())
+                    .expect("a string can be written to");
                 let delay = Duration::from_micros(self.rng.random_range(50..2000));
                 let lost = self.rng.random::<f64>() < 0.02;
                 let to = usize::from(to.port() - FIRST_PORT);
@@ -152,7 +153,7 @@
             }
             Action::SetTimer { after, token } => {
                 second.timers += 1;
-                writeln!(second.actions, "timer {after:?} {}", token.0).expect("a string");
+                writeln!(second.actions, "timer {after:?} {}", token.0).expect("a string can be written to");
                 self.schedule(after, node, Event::Timer(token));
             }
             Action::Up(member) => self.report(node, &format!("up {}", describe(&member))),
@@ -167,8 +168,9 @@
     }
 
     fn report(&mut self, node: usize, text: &str) {
-        writeln!(self.record, "{} node {node}: {text}", self.now.as_micros()).expect("a string");
-        writeln!(self.nodes[node].second.actions, "{text}").expect("a string");
+        writeln!(self.record, "{} node {node}: {text}", self.now.as_micros())
+            .expect("a string can be written to");
+        writeln!(self.nodes[node].second.actions, "{text}").expect("a string can be written to");
     }
 
     /// Runs until this time, and summarizes each node's actions at each whole second.
@@ -203,13 +205,14 @@
                     self.record,
                     "{at} node {n}: {sends} sent, {bytes} bytes, {timers} timers, {hash:016x}"
                 )
-                .expect("a string");
+                .expect("a string can be written to");
             }
         }
     }
 
-    /// Datagrams of random bytes, half of them behind the header of a real one.
-    fn garbage(&mut self, node: usize, count: usize) {
+    /// Passes random datagrams to a node; every second one begins with a valid magic number, version and
+    /// kind.
+    fn inject_random_datagrams(&mut self, node: usize, count: usize) {
         for n in 0..count {
             let length = self.rng.random_range(0..MAX_DATAGRAM_BYTES + 2);
             let mut bytes: Vec<u8> = (0..length).map(|_| self.rng.random()).collect();
@@ -222,23 +225,23 @@
 }
 
 #[test]
-fn machine_repeats_recorded_run() {
+fn machine_matches_recorded_run() {
     let mut run = Recorder::new(1);
     for node in 0..5 {
         run.add(&format!("node-{node}"), 1_000 + node as u64);
     }
     run.run_until(ms(8_000));
-    // Killed, and started again with a clock that was set back.
+    // Node 4 is killed and restarted with a clock that was set back.
     run.nodes[4].alive = false;
     run.run_until(ms(14_000));
     run.restart(4, "node-4", 7);
     run.run_until(ms(18_000));
-    run.garbage(0, 40);
+    run.inject_random_datagrams(0, 40);
     run.nodes[3].stopped = true;
     run.run_until(ms(32_000));
     run.resume(3);
     run.run_until(ms(40_000));
-    // Node 2 hears nobody for long enough to take the others for down by itself.
+    // Node 2 receives nothing for long enough to declare the others down by itself.
     run.blocked.extend([(0, 2), (1, 2), (3, 2), (4, 2)]);
     run.run_until(ms(55_000));
     run.blocked.clear();
@@ -249,37 +252,39 @@
     run.run_until(ms(85_000));
     run.blocked.clear();
     run.run_until(ms(100_000));
-    // A later start of a name elsewhere, more datagrams than are handled, and a farewell.
+    // A later start uses node 3's name at another address, a node receives more datagrams than the limit, and
+    // a node leaves.
     run.add("node-3", 9_000);
     run.run_until(ms(105_000));
-    run.garbage(4, 2_200);
+    run.inject_random_datagrams(4, 2_200);
     run.run_until(ms(108_000));
     run.handle(1, Event::Leave);
     run.run_until(ms(115_000));
-    // Long enough for members that are down to be forgotten.
+    // Runs long enough that down members are forgotten.
     run.nodes[0].alive = false;
     run.run_until(ms(150_000));
     for node in &run.nodes {
-        let me = describe(node.machine.local());
-        writeln!(run.record, "end {me}: {}", describe_counters(node.machine.counters())).expect("a string");
+        let local = describe(node.machine.local());
+        writeln!(run.record, "end {local}: {}", describe_counters(node.machine.counters()))
+            .expect("a string can be written to");
         for member in node.machine.members() {
-            writeln!(run.record, "  lists {}", describe(member)).expect("a string");
+            writeln!(run.record, "  lists {}", describe(member)).expect("a string can be written to");
         }
     }
     FIXTURES.assert_same("machine-run.txt", &run.record);
 }
 
 #[test]
-fn simulation_repeats_recorded_run() {
+fn simulation_matches_recorded_run() {
     let mut simulation = Simulation::new(Settings::default(), 5);
     for node in 0..20 {
-        simulation.add(100 + node, &[0, 1, 2]).expect("a router");
+        simulation.add(100 + node, &[0, 1, 2]).expect("the router can be started");
     }
-    simulation.run_until(ms(15_000), Simulation::all_agree).expect("all agree");
+    simulation.run_until(ms(15_000), Simulation::all_agree).expect("all routers list each other");
     simulation.loss = 0.02;
     simulation.kill(7);
     simulation.run(ms(10_000));
-    simulation.restart(7, 500, &[0, 1]).expect("a router");
+    simulation.restart(7, 500, &[0, 1]).expect("the router can be started");
     simulation.stop(9);
     simulation.leave(11);
     simulation.run(ms(20_000));
@@ -291,26 +296,27 @@
     simulation.run(ms(20_000));
     let mut record = String::new();
     for report in &simulation.reports {
-        let what = match &report.action {
+        let text = match &report.action {
             Action::Up(member) => format!("up {}", describe(member)),
             Action::Down(member) => format!("down {}", describe(member)),
             Action::Rejoined(member) => format!("rejoin {}", describe(member)),
             Action::Superseded(by) => format!("superseded {}", describe(by)),
-            other => panic!("{other:?} is not reported"),
+            other => panic!("unexpected report: {other:?}"),
         };
-        writeln!(record, "{} node {}: {what}", report.at.as_micros(), report.router).expect("a string");
+        writeln!(record, "{} node {}: {text}", report.at.as_micros(), report.router)
+            .expect("a string can be written to");
     }
     for (n, router) in simulation.routers.iter().enumerate() {
         let counts = describe_counters(router.machine.counters());
         writeln!(record, "end node {n}: listed by {}; {counts}", simulation.count_listing(n))
-            .expect("a string");
+            .expect("a string can be written to");
     }
     writeln!(record, "end agree={} bytes={}", simulation.all_agree(), simulation.sent_bytes())
-        .expect("a string");
+        .expect("a string can be written to");
     FIXTURES.assert_same("simulation-run.txt", &record);
 }
 
-/// The event of one step: a random one, unless a timer is due before.
+/// The event of one step: the timer if it is due, otherwise a random event.
 fn router_count_event(step: usize, timer_due: bool, kind: i32, name: String) -> router_count::Event {
     match kind {
         _ if timer_due => router_count::Event::Timer,
@@ -321,7 +327,7 @@
     }
 }
 
-/// Plays 250 random events and appends what each called for.
+/// Runs 250 random events and records the resulting actions.
 fn record_router_count(run: u64, settings: router_count::Settings, record: &mut String) {
     let mut rng = StdRng::seed_from_u64(40 + run);
     let mut now = ms(2_000);
@@ -333,12 +339,12 @@
         let kind = rng.random_range(0..100);
         let timer = timer_at.take_if(|due| *due <= next);
         let event = router_count_event(step, timer.is_some(), kind, name);
-        // Now and then a timer comes as late as in a process that stood still.
+        // Occasionally handles a timer late, as in a process that was stopped.
         now = timer.map_or(next, |at| if kind < 10 { at + ms(4_000) } else { at }).max(now);
         let mut actions = Vec::new();
         machine.handle(now, event, &mut actions);
         for action in actions {
-            let what = match action {
+            let text = match action {
                 router_count::Action::SetCount(count) => format!("count {count}"),
                 router_count::Action::SetTimer(at) => {
                     timer_at = Some(at);
@@ -347,13 +353,14 @@
             };
             let OtherRouters { live, settling } = machine.others();
             let at = now.as_millis();
-            writeln!(record, "run {run}, {at} ms: {what}; {live} live, {settling} gone").expect("a string");
+            writeln!(record, "run {run}, {at} ms: {text}; {live} live, {settling} gone")
+                .expect("a string can be written to");
         }
     }
 }
 
 #[test]
-fn live_router_count_repeats_recorded_run() {
+fn live_router_count_matches_recorded_run() {
     let mut record = String::new();
     let settle_time = ms(5_000);
     for (run, (fleet_size, min_count, expects_others)) in
--- a/membership/tests/sockets.rs
+++ b/membership/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! The driver's thread on real sockets, behind proxies that can cut the link. Intervals of tens of milliseconds.
+//! Tests the membership thread on real sockets, behind proxies that can cut the link. Intervals are a tenth
+//! of the defaults.
 use crossbeam_channel::Receiver;
 use membership::{Change, Config, Error, Member, Membership, Settings};
 use std::collections::BTreeSet;
@@ -6,7 +7,7 @@
 use std::time::{Duration, Instant};
 use test_servers::udp::UdpProxy;
 
-/// Only a test that fails waits this long.
+/// Upper bound of each wait; only a failing test reaches it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -26,7 +27,7 @@
     }
 }
 
-/// A router behind a proxy, and the list that its changes add up to.
+/// A router behind a proxy, and the member list that results from its changes.
 struct Router {
     membership: Membership,
     proxy: UdpProxy,
@@ -38,16 +39,16 @@
     let proxy = UdpProxy::start();
     let membership = Membership::start(Config {
         name: name.into(),
-        listen: "127.0.0.1:0".parse().expect("an address"),
+        listen: "127.0.0.1:0".parse().expect("the address is valid"),
         advertise: Some(proxy.addr),
         generation,
         seeds,
         random_seed: generation,
-        settings: Settings::sped_up(10),
+        settings: Settings::accelerated(10),
     })
-    .expect("started");
+    .expect("membership starts");
     proxy.set_target(membership.addr());
-    let changes = membership.subscribe().expect("a subscriber");
+    let changes = membership.subscribe().expect("membership is running");
     Router { membership, proxy, changes, list: BTreeSet::new() }
 }
 
@@ -65,7 +66,7 @@
                     self.list.retain(|start| start.name != local.name());
                     self.list.insert(local.into());
                 }
-                last => panic!("{what}: {last:?}"),
+                last => panic!("{what}: unexpected change {last:?}"),
             }
         }
     }
@@ -83,7 +84,7 @@
     }
 }
 
-/// Routers `a` to `d` that see each other.
+/// Routers `a` to `d`, which list each other.
 fn four_routers() -> Vec<Router> {
     let first = start("a", 1, Vec::new());
     let seeds = vec![first.proxy.addr];
@@ -94,19 +95,19 @@
 }
 
 #[test]
-fn cut_off_router_is_down_and_rejoins_under_higher_incarnation() {
+fn disconnected_router_is_down_and_rejoins_with_higher_incarnation() {
     let mut all = four_routers();
     all[3].proxy.update_faults(|faults| faults.cut = true);
     all[..3].iter_mut().for_each(|router| router.wait_until_names(&["a", "b", "c"]));
     all[3].proxy.update_faults(|faults| faults.cut = false);
     for router in &mut all {
         let has_rejoined = |start: &Start| start.name == "d" && start.incarnation > start.generation << 16;
-        router.wait_until("d is back", |list| list.len() == 4 && list.iter().any(has_rejoined));
+        router.wait_until("d has rejoined", |list| list.len() == 4 && list.iter().any(has_rejoined));
     }
 }
 
 #[test]
-fn lossy_slow_link_cut_one_way_takes_nobody_down() {
+fn lossy_slow_link_cut_one_way_takes_no_router_down() {
     let all = four_routers();
     let from = all[1].membership.addr().into();
     all[2].proxy.update_faults(|faults| {
@@ -114,34 +115,35 @@
         faults.delay = Duration::from_millis(2);
         faults.lose_one_in = 20;
     });
-    // Twenty answers asked of others and more: what b cannot send to c goes through a and d.
+    // Waits until the cut link has lost at least 20 datagrams; `b` must reach `c` through indirect probes of
+    // `a` and `d`.
     let lost = all[2].proxy.counts().lost;
     let deadline = Instant::now() + TEST_TIMEOUT;
     while all[2].proxy.counts().lost < lost + 20 {
         let change = all[0].changes.recv_timeout(Duration::from_millis(50));
-        assert!(change.is_err(), "nothing changes: {change:?}");
-        assert!(Instant::now() < deadline, "the cut link was used");
+        assert!(change.is_err(), "unexpected change: {change:?}");
+        assert!(Instant::now() < deadline, "the cut link lost too few datagrams in time");
     }
     assert_eq!(all[0].membership.members().len(), 4);
 }
 
 #[test]
-fn leave_ends_thread_and_channels_and_is_seen() {
+fn leave_ends_thread_and_channels_and_is_detected() {
     let mut all = four_routers();
-    let gone = all.pop().expect("d");
-    gone.membership.leave().expect("sent");
-    assert_eq!(gone.last_change(), Some(Change::Left));
-    assert!(matches!(gone.membership.subscribe(), Err(Error::Ended)));
+    let leaver = all.pop().expect("router d exists");
+    leaver.membership.leave().expect("membership is running");
+    assert_eq!(leaver.last_change(), Some(Change::Left));
+    assert!(matches!(leaver.membership.subscribe(), Err(Error::Ended)));
     all.iter_mut().for_each(|router| router.wait_until_names(&["a", "b", "c"]));
 }
 
 #[test]
-fn later_start_of_name_supersedes_earlier_which_is_notified() {
+fn later_start_of_name_supersedes_and_notifies_earlier_one() {
     let mut all = four_routers();
     let seeds = vec![all[0].proxy.addr];
-    let mut again = start("d", 2, seeds);
-    again.wait_until_names(&["a", "b", "c", "d"]);
-    let old = all.pop().expect("d");
+    let mut restarted = start("d", 2, seeds);
+    restarted.wait_until_names(&["a", "b", "c", "d"]);
+    let old = all.pop().expect("router d exists");
     let second_start = Start { name: "d".into(), generation: 2, incarnation: 2 << 16 };
     for router in &mut all {
         router.wait_until("d's second start", |list| list.contains(&second_start) && list.len() == 4);
@@ -150,11 +152,11 @@
 }
 
 #[test]
-fn subscriber_that_falls_behind_gets_snapshot() {
+fn subscriber_that_falls_behind_receives_snapshot() {
     let first = start("a", 1, Vec::new());
     let seeds = vec![first.proxy.addr];
     let mut others = Vec::new();
-    // More changes than the channel holds: each of these comes and is superseded many times.
+    // Sends more changes than the channel's capacity: each start joins and is superseded.
     for generation in 1..=40 {
         let mut other = start("b", generation, seeds.clone());
         other.wait_until("joined", |list| list.len() == 2);
@@ -168,16 +170,16 @@
 }
 
 #[test]
-fn start_outside_loopback_is_refused_with_what_to_do() {
+fn start_outside_loopback_is_rejected_with_advice() {
     let config = Config {
         name: "a".into(),
-        listen: "0.0.0.0:0".parse().expect("an address"),
+        listen: "0.0.0.0:0".parse().expect("the address is valid"),
         advertise: None,
         generation: 1,
         seeds: Vec::new(),
         random_seed: 1,
         settings: Settings::default(),
     };
-    let error = Membership::start(config).map(|_| ()).expect_err("refused");
+    let error = Membership::start(config).map(|_| ()).expect_err("the address is rejected");
     assert!(error.to_string().contains("127.0.0.0/8"), "{error}");
 }
--- a/sessions/tests/machine.rs
+++ b/sessions/tests/machine.rs
@@ -106,7 +106,7 @@
     assert_eq!(machine.0.required_position(SessionKey(1), now(100 + LEASE - 1)), Some(Time(40)));
     assert_eq!(machine.0.required_position(SessionKey(2), now(100 + LEASE - 1)), None);
     assert_eq!(machine.0.required_position(SessionKey(2), now(100 + LEASE)), Some(Time(100 + LEASE + 7)));
-    // A grant that is received too late, or was never actions, has no effect.
+    // A grant that is received too late, or was never requested, has no effect.
     machine.handle(500_000, Event::PushReceived { peer: 2, push: Push::LeaseGrant { requested_at: 100 } });
     machine
         .handle(500_000, Event::PushReceived { peer: 2, push: Push::LeaseGrant { requested_at: 900_000 } });
