--- a/simulator/src/world/sessions.rs
+++ b/simulator/src/world/sessions.rs
@@ -10,7 +10,7 @@
 impl World<'_> {
     /// The simulation's clock, which is the servers' clock for routers, known to them with some uncertainty.
     pub(super) fn session_now(&self) -> Now {
-        Now { at: self.now, present: Some(Time(self.now.0 + CLOCK_UNCERTAINTY)) }
+        Now { at: self.now, commit_upper_bound: Some(Time(self.now.0 + CLOCK_UNCERTAINTY)) }
     }
 
     pub(super) fn handle_session_event(&mut self, router: usize, event: SessionEvent) {
