--- a/benches/sessions.rs
+++ b/benches/sessions.rs
@@ -310,7 +310,7 @@
     let checkpoint =
         Checkpoint { instance: 1, incarnation: 1, entries: &entries, floor: None, incomplete: false };
     let opened = journal::open(&instances.journal_folder(0), 1).expect("the folder is writable");
-    drop(opened.begin(&checkpoint).expect("the folder is writable"));
+    drop(opened.create_journal(&checkpoint).expect("the folder is writable"));
 }
 
 fn main() {
--- a/sessions/benches/machine.rs
+++ b/sessions/benches/machine.rs
@@ -70,7 +70,7 @@
         Checkpoint { instance: 1, incarnation: 1, entries: &entries, floor: None, incomplete: false };
     let opened = journal::open(folder, 1).expect("the folder can be read");
     let mut journal =
-        opened.begin(&checkpoint).expect("the folder is writable").expect("the file can be written");
+        opened.create_journal(&checkpoint).expect("the folder is writable").expect("the file can be written");
     let mut group = criterion.benchmark_group("journal");
     group.sample_size(10);
     group.throughput(Throughput::Elements(SESSIONS));
--- a/sessions/src/journal/folder.rs
+++ b/sessions/src/journal/folder.rs
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     /// If older files can't be deleted.
-    pub fn begin(self, checkpoint: &Checkpoint) -> Result<Result<Journal, io::Error>, JournalError> {
+    pub fn create_journal(self, checkpoint: &Checkpoint) -> Result<Result<Journal, io::Error>, JournalError> {
         let OpenedFolder { lock, folder, last_number, .. } = self;
         let number = last_number + 1;
         match files::create(&folder, number, checkpoint) {
--- a/sessions/src/node/start.rs
+++ b/sessions/src/node/start.rs
@@ -45,7 +45,7 @@
     let contents = opened.contents.clone().unwrap_or_default();
     settings.incarnation = settings.incarnation.max(contents.incarnation + 1);
     settings.incomplete = opened.contents.is_none() || contents.incomplete;
-    let created = opened.begin(&Checkpoint {
+    let created = opened.create_journal(&Checkpoint {
         instance: config.instance,
         incarnation: settings.incarnation,
         entries: &contents.entries,
--- a/sessions/tests/journal.rs
+++ b/sessions/tests/journal.rs
@@ -12,7 +12,7 @@
 /// The bytes of a journal file with an empty checkpoint and these records.
 fn file(records: &[Record]) -> Vec<u8> {
     let folder = tempfile::tempdir().unwrap();
-    let mut journal = open(folder.path(), 1).unwrap().begin(&checkpoint(7, &[])).unwrap().unwrap();
+    let mut journal = open(folder.path(), 1).unwrap().create_journal(&checkpoint(7, &[])).unwrap().unwrap();
     records.iter().for_each(|record| journal.append(record).unwrap());
     let (path, _) = journal::read_newest(folder.path()).unwrap().unwrap();
     std::fs::read(path).unwrap()
@@ -60,7 +60,7 @@
     let directory = tempfile::tempdir().unwrap();
     let folder = directory.path();
     let entries = [(SessionKey(1), Time(10)), (SessionKey(2), Time(20))];
-    let mut journal = open(folder, 1).unwrap().begin(&checkpoint(1, &entries)).unwrap().unwrap();
+    let mut journal = open(folder, 1).unwrap().create_journal(&checkpoint(1, &entries)).unwrap().unwrap();
     journal.append(&Record::Commits(vec![(SessionKey(3), 30)])).unwrap();
     assert!(matches!(open(folder, 1), Err(JournalError::Locked(_))));
     drop(journal);
@@ -70,7 +70,7 @@
     assert_eq!(found.entries.last(), Some(&(SessionKey(3), Time(30))));
     assert!(matches!(open(folder, 2), Err(JournalError::OtherInstance { instance: 1, .. })));
     // After `invalidate` there is no file that a start would use.
-    let journal = open(folder, 1).unwrap().begin(&checkpoint(2, &entries)).unwrap().unwrap();
+    let journal = open(folder, 1).unwrap().create_journal(&checkpoint(2, &entries)).unwrap().unwrap();
     journal.invalidate().unwrap();
     drop(journal);
     assert_eq!(open(folder, 1).unwrap().contents, None);
--- a/sessions/tests/stored_forms.rs
+++ b/sessions/tests/stored_forms.rs
@@ -29,8 +29,10 @@
     let checkpoint =
         Checkpoint { instance: 3, incarnation: 1_700_000_000_123_456, entries: &ENTRIES, floor, incomplete };
     let opened = journal::open(folder.path(), 3).expect("the folder can be used");
-    let mut journal =
-        opened.begin(&checkpoint).expect("the folder can be used").expect("the journal can be created");
+    let mut journal = opened
+        .create_journal(&checkpoint)
+        .expect("the folder can be used")
+        .expect("the journal can be created");
     added.iter().for_each(|record| journal.append(record).expect("the record can be appended"));
     std::fs::read(folder.path().join("sessions.1")).expect("the journal file can be read")
 }
