--- a/membership/src/machine/suspicion.rs
+++ b/membership/src/machine/suspicion.rs
@@ -10,9 +10,9 @@
 /// A router that has received nothing for this many probe intervals may itself be unreachable (isolated).
 const ISOLATED_AFTER_PROBES: u32 = 2;
 /// Number of suspicion timeouts for which an isolated router waits before it declares other members down.
-const ISOLATED_WAIT_SUSPICIONS: u32 = 3;
+const ISOLATED_WAIT_TIMEOUTS: u32 = 3;
 /// How often per `forget_down_after` the down members are checked.
-const FORGET_ROUNDS: u32 = 20;
+const FORGET_CHECKS: u32 = 20;
 
 impl Machine {
     pub(super) fn run_core_timer(&mut self, now: Duration, timer: CoreTimer, actions: &mut Vec<Action>) {
@@ -41,7 +41,7 @@
     /// that others are down, each of them would refute that and rejoin. So it waits until the others have
     /// declared it down and ignore its updates, and then reports the change only to its own host.
     fn end_suspicion_while_isolated(&mut self, now: Duration, timer: CoreTimer, actions: &mut Vec<Action>) {
-        if now - self.last_received < self.settings.suspicion_timeout * ISOLATED_WAIT_SUSPICIONS {
+        if now - self.last_received < self.settings.suspicion_timeout * ISOLATED_WAIT_TIMEOUTS {
             self.schedule(now, self.settings.probe_interval, Task::Core(timer), actions);
             return;
         }
@@ -51,7 +51,7 @@
     }
 
     pub(super) fn forget_down_interval(&self) -> Duration {
-        self.settings.forget_down_after / FORGET_ROUNDS
+        self.settings.forget_down_after / FORGET_CHECKS
     }
 
     /// Forgets members that have been down for at least `forget_down_after`.
--- a/membership/src/machine/swim_core.rs
+++ b/membership/src/machine/swim_core.rs
@@ -13,7 +13,7 @@
 pub(super) type CoreTimer = foca::Timer<Member>;
 
 /// Number of down members that are contacted per round.
-const DOWN_CONTACTS: usize = 2;
+const DOWN_MEMBERS_PER_ROUND: usize = 2;
 
 /// The core's configuration.
 pub(super) fn config(settings: &Settings) -> foca::Config {
@@ -32,7 +32,7 @@
         notify_down_members: true,
         // List pages replace this: they send whole lists in order instead of random parts.
         periodic_announce: None,
-        periodic_announce_to_down_members: every(settings.down_contact_interval, DOWN_CONTACTS),
+        periodic_announce_to_down_members: every(settings.down_contact_interval, DOWN_MEMBERS_PER_ROUND),
         periodic_gossip: every(settings.gossip_interval, settings.gossip_fanout),
     }
 }
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -17,7 +17,7 @@
 const KIND_GOSSIP: u8 = 0;
 const KIND_JOIN: u8 = 1;
 /// Initial capacity of a datagram's buffer: the header and a short body.
-const USUAL_DATAGRAM_BYTES: usize = 128;
+const INITIAL_DATAGRAM_CAPACITY: usize = 128;
 
 /// Why a datagram is rejected. [`Counters`](crate::Counters) has a counter for each reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -98,7 +98,7 @@
 }
 
 fn header(kind: u8, cluster_hash: u64) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(USUAL_DATAGRAM_BYTES);
+    let mut bytes = Vec::with_capacity(INITIAL_DATAGRAM_CAPACITY);
     bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&[PROTOCOL_VERSION, kind]);
     bytes.extend_from_slice(&cluster_hash.to_be_bytes());
--- a/membership/tests/recorded_runs.rs
+++ b/membership/tests/recorded_runs.rs
@@ -50,7 +50,7 @@
 
 /// The actions of one node in the current second.
 #[derive(Default)]
-struct Second {
+struct SecondSummary {
     sends: usize,
     bytes: usize,
     timers: usize,
@@ -63,7 +63,7 @@
     stopped: bool,
     /// Events that were received while the node was stopped.
     queued: Vec<Event>,
-    second: Second,
+    second: SecondSummary,
 }
 
 /// A few machines on a network in virtual time, with a record of all their actions.
@@ -99,7 +99,7 @@
         let local = Member::new(name, addr(node), generation).expect("the member is valid");
         let machine = Machine::new(Recorder::settings(), local, StdRng::seed_from_u64(seed))
             .expect("the settings are consistent");
-        Node { machine, alive: true, stopped: false, queued: Vec::new(), second: Second::default() }
+        Node { machine, alive: true, stopped: false, queued: Vec::new(), second: SecondSummary::default() }
     }
 
     fn add(&mut self, name: &str, generation: u64) {
@@ -197,7 +197,7 @@
 
     fn summarize(&mut self) {
         for (n, node) in self.nodes.iter_mut().enumerate() {
-            let Second { sends, bytes, timers, actions } = std::mem::take(&mut node.second);
+            let SecondSummary { sends, bytes, timers, actions } = std::mem::take(&mut node.second);
             if !actions.is_empty() {
                 let hash = xxhash_rust::xxh3::xxh3_64(actions.as_bytes());
                 let at = self.now.as_micros();
--- a/sessions/src/clocks.rs
+++ b/sessions/src/clocks.rs
@@ -35,7 +35,7 @@
     }
 
     /// Widens the bounds by the drift that may have accumulated up to `now`.
-    fn aged(self, now: Time) -> ClockOffset {
+    fn widened(self, now: Time) -> ClockOffset {
         let drift = (now.0 - self.sampled_at.0).max(0) / 1_000_000 * DRIFT_PER_S + DRIFT_PER_S;
         ClockOffset { low: self.low - drift, high: self.high + drift, sampled_at: now }
     }
@@ -44,14 +44,14 @@
     /// between, and only the newer sample is used.
     #[must_use]
     pub fn narrowed_by(self, new: ClockOffset) -> ClockOffset {
-        let old = self.aged(new.sampled_at);
+        let old = self.widened(new.sampled_at);
         let (low, high) = (old.low.max(new.low), old.high.min(new.high));
         if low <= high { ClockOffset { low, high, sampled_at: new.sampled_at } } else { new }
     }
 
     /// The most by which the server's clock may be ahead of this router's clock at `now`, in microseconds.
     pub fn upper_bound(self, now: Time) -> Micros {
-        self.aged(now).high
+        self.widened(now).high
     }
 }
 
--- a/sessions/src/journal/record.rs
+++ b/sessions/src/journal/record.rs
@@ -64,7 +64,7 @@
     #[error("{0}")]
     NotAJournal(String),
     /// There is no valid record at this offset, but there are valid records after it.
-    #[error("no whole record at offset {offset}, with records behind it")]
+    #[error("invalid record at offset {offset}, followed by valid records")]
     DamagedRecord {
         /// The offset from the beginning of the file, in bytes.
         offset: usize,
--- a/sessions/src/journal/writer.rs
+++ b/sessions/src/journal/writer.rs
@@ -43,7 +43,7 @@
 
     /// Whether the file is larger than `min_bytes` and has grown far enough beyond its checkpoint to be
     /// rewritten.
-    pub fn wants_rewrite(&self, min_bytes: u64) -> bool {
+    pub fn needs_rewrite(&self, min_bytes: u64) -> bool {
         self.bytes > min_bytes.max(REWRITE_GROWTH * self.checkpoint_bytes)
     }
 
--- a/sessions/src/machine/handler.rs
+++ b/sessions/src/machine/handler.rs
@@ -9,7 +9,7 @@
             self.raise_floor(now, actions);
         }
         self.dispatch(now, event, actions);
-        self.release_writes(now.at, actions);
+        self.acknowledge_writes(now.at, actions);
     }
 
     fn dispatch(&mut self, now: Now, event: Event, actions: &mut Vec<Action>) {
--- a/sessions/src/machine/leases.rs
+++ b/sessions/src/machine/leases.rs
@@ -6,7 +6,7 @@
 use decision::{Micros, Time};
 
 /// Number of lease requests per lease duration.
-const LEASE_REQUESTS: Micros = 5;
+const REQUESTS_PER_LEASE: Micros = 5;
 
 impl Machine {
     /// How long a granted lease binds this instance. The holder counts the lease from its own request, which
@@ -35,7 +35,7 @@
 
     /// Requests new leases well before the current ones expire.
     pub(super) fn request_leases(&mut self, now: Now, actions: &mut Vec<Action>) {
-        let interval = self.settings.lease / LEASE_REQUESTS;
+        let interval = self.settings.lease / REQUESTS_PER_LEASE;
         for (instance, peer) in self.peers.iter_mut().filter(|(_, peer)| peer.inbound_connected) {
             if now.at.0 - peer.lease_requested_at.0 >= interval {
                 peer.request_lease(*instance, now, actions);
--- a/sessions/src/machine/writes.rs
+++ b/sessions/src/machine/writes.rs
@@ -36,7 +36,7 @@
 
     /// Acknowledges the writes whose commits are in the journal and confirmed by every peer that holds, or
     /// may hold, a lease from this instance.
-    pub(super) fn release_writes(&mut self, now: Time, actions: &mut Vec<Action>) {
+    pub(super) fn acknowledge_writes(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.superseded_by.is_some() || self.journal_undeletable {
             // Peers follow the newer start, or a later start would use the outdated journal. Either would
             // miss writes that were acknowledged here.
--- a/sessions/src/node/journal_thread.rs
+++ b/sessions/src/node/journal_thread.rs
@@ -68,7 +68,7 @@
         match self.write(journal) {
             Ok(()) => JournalState::Written,
             Err(error) => {
-                tracing::error!(%error, "session journal write failed, the next start raises the floor");
+                tracing::error!(%error, "session journal write failed, commits are only in memory");
                 self.invalidate(journal)
             }
         }
@@ -120,7 +120,7 @@
             self.journal_syncs.fetch_add(1, Ordering::Relaxed);
             self.handle(Event::JournalSynced { seq: last_seq });
         }
-        if journal.wants_rewrite(self.limits.min_session_compaction_bytes) {
+        if journal.needs_rewrite(self.limits.min_session_compaction_bytes) {
             let seq = self.rewrite(journal, |_| None)?;
             self.handle(Event::JournalSynced { seq });
         }
