--- a/membership/src/driver.rs
+++ b/membership/src/driver.rs
@@ -15,7 +15,7 @@
 const MAX_DATAGRAM_BATCH: usize = 32;
 /// After this many consecutive socket errors, membership ends with [`Change::Failed`].
 const MAX_SOCKET_ERRORS: u32 = 100;
-/// Wait time if no timer is set, counted from the start. A started machine always has a timer.
+/// Time, since the start, at which the thread wakes if no timer is set. A started machine always has a timer.
 const NO_TIMER_DUE: Duration = Duration::from_secs(1);
 /// Minimum wait, because a socket's timeout must not be zero.
 const MIN_WAIT: Duration = Duration::from_millis(1);
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -75,7 +75,7 @@
     Page {
         /// The router that sends the message.
         from: Member,
-        /// The `request_id` of the page request.
+        /// The `request_id` of the page request that this page responds to.
         request_id: u64,
         /// The listed members.
         entries: Vec<ListEntry>,
