--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -360,8 +360,9 @@
     let load = Load::start(addr);
     site.registry.update_faults(0, |f| f.down = true);
     site.registry.break_connections(0);
-    router.wait_for_log("the use of its list is restricted level=KnownGood");
-    // Those that answer go on; the primary, which nobody asked, gets nothing new until the registry is back.
+    router.wait_for_log("registry silent for too long, use of its node list restricted level=KnownGood");
+    // Nodes that respond to requests stay in use. The primary, to which no request was sent, gets nothing new
+    // until the registry is back.
     gets_nothing_new(&site, 0, 1);
     site.registry.update_faults(0, |f| f.down = false);
     router.wait_for_log("registry list fresh again");
