--- a/soak/src/class.rs
+++ b/soak/src/class.rs
@@ -1,36 +1,36 @@
-//! Classes of requests to the platform's front.
+//! Request classes of the platform front.
 use crate::time::{Micros, SECOND};
 
-/// A class of requests, as the routers' settings have it.
+/// A request class, as configured in the routers' settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Class {
-    /// A read of data of any age; idempotent.
+    /// An idempotent read that accepts data of any age.
     Any,
-    /// A read of data of [`MAX_DATA_AGE`] at most; idempotent.
+    /// An idempotent read of data that is at most [`MAX_DATA_AGE`] old.
     Bounded,
-    /// A read that sees its session's writes; idempotent.
+    /// An idempotent read that must see the earlier writes of its session.
     Session,
-    /// A write that must not run twice.
+    /// A non-idempotent write, which must not run twice.
     Write,
-    /// A write with an idempotency key: its group drops repeats for [`REPEAT_WINDOW`].
+    /// A write with an idempotency key: its group discards duplicates for [`REPEAT_WINDOW`].
     Keyed,
 }
 
-/// The oldest data that a read of [`Class::Bounded`] may see.
+/// The maximum age of the data that a read of [`Class::Bounded`] may return.
 pub const MAX_DATA_AGE: Micros = SECOND;
-/// How long repeats of [`Class::Keyed`] are dropped.
+/// How long duplicates of a write of [`Class::Keyed`] are discarded.
 pub const REPEAT_WINDOW: Micros = 600_000;
 
-/// The longest deadline of a write.
+/// The maximum deadline of a write.
 const WRITE_DEADLINE: Micros = 2 * SECOND;
-/// The longest deadline of a read.
+/// The maximum deadline of a read.
 const READ_DEADLINE: Micros = 1_200_000;
 
 impl Class {
-    /// All of them, in the order of the settings.
+    /// All classes, in the order of the settings.
     pub const ALL: [Class; 5] = [Class::Any, Class::Bounded, Class::Session, Class::Write, Class::Keyed];
 
-    /// Its name in the settings and in statements.
+    /// The class's name in the settings and in statements.
     pub fn name(self) -> &'static str {
         match self {
             Class::Any => "any",
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Whether it changes data.
+    /// Whether requests of this class change data.
     pub fn is_write(self) -> bool {
         matches!(self, Class::Write | Class::Keyed)
     }
 
-    /// Its longest deadline.
+    /// The maximum deadline of a request of this class.
     pub fn deadline(self) -> Micros {
         if self.is_write() { WRITE_DEADLINE } else { READ_DEADLINE }
     }
--- a/soak/src/draw.rs
+++ b/soak/src/draw.rs
@@ -1,9 +1,10 @@
-//! How a seed draws the faults of a plan. The order of the draws is part of what a seed means.
+//! Generates a plan's faults from a seed. Changing the order of the random draws changes the faults that a
+//! seed produces.
 use crate::fault::{FaultKind, PlannedFault};
 use crate::plan::{Front, Plan};
 use fastrand::Rng;
 
-/// What can be drawn for the platform's front.
+/// Fault kinds that can be drawn for the platform front.
 const PLATFORM_KINDS: [FaultKind; 30] = [
     FaultKind::Term,
     FaultKind::Kill,
@@ -37,7 +38,7 @@
     FaultKind::Maintenance,
 ];
 
-/// What can be drawn for `serve`.
+/// Fault kinds that can be drawn for `serve`.
 const SERVE_KINDS: [FaultKind; 10] = [
     FaultKind::Term,
     FaultKind::Kill,
@@ -51,20 +52,21 @@
     FaultKind::Disk,
 ];
 
-/// No fault begins in the first moments, while the routers' pools are empty.
+/// No fault starts earlier than this, because the routers' connection pools are still empty.
 const FIRST_START_MS: u64 = 1500;
-/// Faults begin no later than this before the load ends.
+/// No fault starts within this time before the end of the load.
 const QUIET_END_MS: u64 = 3000;
-/// How far into that quiet end a fault may last.
+/// How long a fault may last into the period of [`QUIET_END_MS`].
 const MAX_OVERHANG_MS: u64 = 1500;
-/// The faults of a cluster begin within this time of each other.
+/// The faults of a cluster start within this time of each other.
 const CLUSTER_SPREAD_MS: u64 = 1000;
-/// One in so many faults concerns another router or server than its cluster.
+/// On average, one in this many faults is applied to a router and a server other than those of its cluster.
 const ELSEWHERE_ONE_IN: u8 = 4;
-/// The steps of a wall clock, in seconds.
+/// The possible steps of a wall clock, in seconds.
 const CLOCK_STEPS: [i64; 4] = [-3600, -5, 5, 3600];
 
-/// The faults of a plan for a seed; `only` bounds which are drawn, unless it is empty. Two or three overlap as a rule.
+/// Returns the faults listed in the plan or, if there are none, faults generated from the seed; usually two
+/// or three of those overlap. If `only` is not empty, only these kinds are drawn.
 pub fn draw(plan: &Plan, seed: u64, only: &[FaultKind]) -> Vec<PlannedFault> {
     if !plan.faults.is_empty() {
         return plan.faults.clone();
@@ -88,8 +90,8 @@
     all.iter().copied().filter(|kind| only.is_empty() || only.contains(kind)).collect()
 }
 
-/// Draws faults that begin close to each other, and that concern one router and one server as a rule: that is where events
-/// meet.
+/// Draws faults that start close to each other and usually affect the same router and server, so that their
+/// effects interact.
 fn draw_cluster(plan: &Plan, kinds: &[FaultKind], rng: &mut Rng, drawn: &mut Vec<PlannedFault>) {
     let end_ms = plan.seconds * 1000;
     let last_start_ms = end_ms.saturating_sub(QUIET_END_MS).max(FIRST_START_MS + 1);
--- a/soak/src/environment/acceptor.rs
+++ b/soak/src/environment/acceptor.rs
@@ -1,4 +1,4 @@
-//! Listeners and connections that one thread polls, each by a token of its own.
+//! Listeners and connections that one thread polls, each with its own token.
 use mio::event::Source;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
@@ -6,7 +6,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Polls sockets, and deals out their tokens in ascending order.
+/// Polls sockets and assigns their tokens in ascending order.
 pub(super) struct Poller {
     poll: Poll,
     next_token: usize,
@@ -17,12 +17,12 @@
         Ok(Poller { poll: Poll::new()?, next_token: 0 })
     }
 
-    /// Waits for events, at most for this time.
+    /// Waits for events until the timeout.
     pub(super) fn wait(&mut self, events: &mut Events, timeout: Duration) -> io::Result<()> {
         self.poll.poll(events, Some(timeout))
     }
 
-    /// Polls a connection from now on; its token.
+    /// Starts to poll a connection and returns its token.
     pub(super) fn add_stream(&mut self, stream: &mut TcpStream) -> io::Result<usize> {
         self.add(stream, Interest::READABLE | Interest::WRITABLE)
     }
@@ -40,8 +40,8 @@
     socket: TcpListener,
 }
 
-/// Loopback listeners, each with a key that says what it stands for, and the connections that they accept. The listeners
-/// have the first tokens.
+/// Polls loopback listeners and the connections that they accept. Each listener has a key that identifies its
+/// purpose; the listeners have the lowest tokens.
 pub(super) struct Acceptor<K> {
     poller: Poller,
     listeners: Vec<Listener<K>>,
@@ -52,7 +52,8 @@
         Ok(Acceptor { poller: Poller::new()?, listeners: Vec::new() })
     }
 
-    /// Listens on a free port of the loopback address; the address. Every listener is bound before a connection is added.
+    /// Listens on a free loopback port and returns the address. All listeners must be bound before the first
+    /// connection is added.
     pub(super) fn bind(&mut self, key: K) -> io::Result<SocketAddr> {
         let mut socket = TcpListener::bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
         let address = socket.local_addr()?;
@@ -61,24 +62,24 @@
         Ok(address)
     }
 
-    /// Waits for events, at most for this time.
+    /// Waits for events until the timeout.
     pub(super) fn wait(&mut self, events: &mut Events, timeout: Duration) -> io::Result<()> {
         self.poller.wait(events, timeout)
     }
 
-    /// Whether a token is a listener's.
+    /// Whether a token belongs to a listener.
     pub(super) fn is_listener(&self, token: usize) -> bool {
         token < self.listeners.len()
     }
 
-    /// The next connection that waits at a listener, with the listener's key.
+    /// Accepts the next connection of a listener and returns it with the listener's key.
     pub(super) fn accept(&self, listener: usize) -> Option<(K, TcpStream)> {
         let listener = &self.listeners[listener];
         let (stream, _) = listener.socket.accept().ok()?;
         Some((listener.key, stream))
     }
 
-    /// Polls a connection from now on; its token.
+    /// Starts to poll a connection and returns its token.
     pub(super) fn add_stream(&mut self, stream: &mut TcpStream) -> io::Result<usize> {
         self.poller.add_stream(stream)
     }
--- a/soak/src/environment/clients/commits.rs
+++ b/soak/src/environment/clients/commits.rs
@@ -1,32 +1,32 @@
-//! The commits that sessions have been notified of, which their later reads have to see.
+//! Tracks the confirmed commits of each session, which the session's later reads have to see.
 use crate::history::{History, Outcome, Request};
 use crate::time::Micros;
 use std::collections::HashMap;
 
-/// A session's commits in one group.
+/// A session and a replication group, as the key of the session's last commit in that group.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct SessionGroup {
     session: u64,
     group: usize,
 }
 
-/// The last commits by session and group, read from the history.
+/// The last confirmed commits by session and group, read from the history.
 #[derive(Default)]
 pub(super) struct SessionCommits {
     last_commits: HashMap<SessionGroup, Micros>,
-    /// Writes by request, with their session.
+    /// The session of each write, by request id.
     writers: HashMap<u64, u64>,
-    /// Requests of the history that need not be read again.
+    /// The number of requests at the start of the history that need not be read again.
     read: usize,
 }
 
 impl SessionCommits {
-    /// Notes that a session sends a write.
+    /// Records that a session sends a write.
     pub(super) fn add_write(&mut self, request: u64, session: u64) {
         self.writers.insert(request, session);
     }
 
-    /// The last commit of a session in a group that its client was notified of.
+    /// Returns the last commit of a session in a group that was confirmed to the client.
     pub(super) fn last_commit(&mut self, session: u64, group: usize, history: &History) -> Option<Micros> {
         self.read(history);
         self.last_commits.get(&SessionGroup { session, group }).copied()
@@ -39,7 +39,7 @@
                 self.add_commit(request, ran_at);
             }
         }
-        // Those that are pending may still end: they are read again.
+        // Pending requests are read again, because they may still be served.
         self.read += unread.iter().take_while(|request| request.outcome != Outcome::Pending).count();
     }
 
@@ -51,7 +51,8 @@
     }
 }
 
-/// When the attempt ran that a request was answered from: the value ends with the attempt's index.
+/// Returns when the attempt that produced a response was executed. The value of the response ends with the
+/// attempt's index.
 fn ran_at(request: &Request, history: &History) -> Option<Micros> {
     let Outcome::Served(value) = &request.outcome else { return None };
     let index: usize = value.rsplit('.').next()?.parse().ok()?;
--- a/soak/src/environment/clients/connection.rs
+++ b/soak/src/environment/clients/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client, and the requests that await their answers on it.
+//! A client connection and its pending requests.
 use super::requests::DrawnRequest;
 use crate::environment::clock::RunClock;
 use crate::environment::socket::{ReadEnd, read_available, write_pending};
@@ -10,18 +10,18 @@
 use mio::net::TcpStream;
 use std::collections::VecDeque;
 
-/// A client waits this long after its request's time before it gives up on the connection.
+/// How long after a request's timeout the client abandons the connection.
 const GIVE_UP_AFTER: Micros = 3_500_000;
-/// The body of the command in whose middle clients stall.
+/// The body of the message that a stalling client sends only in part.
 const STALLED_BODY: [u8; 100] = [b'x'; 100];
-/// How much of that command is sent.
+/// How many bytes of that message are sent.
 const STALLED_BYTES: usize = 40;
-/// The code that stands for an answer without a row or an error.
+/// The error code recorded for a response without a row or an error.
 const EMPTY_ANSWER: &str = "empty";
 
-/// A request that awaits its answer.
+/// A request that waits for its response.
 pub(super) struct PendingRequest {
-    /// Its index in the history.
+    /// The request's index in the history.
     pub(super) index: usize,
     pub(super) give_up_at: Micros,
     pub(super) disconnect_at: Option<Micros>,
@@ -32,25 +32,26 @@
 pub(super) struct Connection {
     pub(super) router: usize,
     pub(super) token: usize,
-    /// Its number in the run.
+    /// The connection's number, unique in a run.
     number: u64,
     opened_at: Micros,
     stream: TcpStream,
     inbound: Vec<u8>,
     outbound: Vec<u8>,
-    /// The key that cancels its requests; empty before the router has sent it.
+    /// The backend key with which the connection's requests can be cancelled; empty until the router has sent
+    /// it.
     key: Vec<u8>,
     greeted: bool,
-    /// How many requests were sent on it.
+    /// The number of requests sent on the connection.
     sent: usize,
     pending: VecDeque<PendingRequest>,
-    /// Requests, by their index, whose last byte the system has not taken.
+    /// The indices of requests that have not been written completely to the socket.
     unsent: VecDeque<usize>,
     stalled_since: Option<Micros>,
 }
 
 impl Connection {
-    /// A connection that sends its startup message first.
+    /// Creates a connection whose first message is the startup message.
     pub(super) fn new(
         router: usize,
         stream: TcpStream,
@@ -83,12 +84,12 @@
         self.pending.len()
     }
 
-    /// The request that awaits the next answer.
+    /// Returns the request that the next response belongs to.
     pub(super) fn first_pending(&mut self) -> Option<&mut PendingRequest> {
         self.pending.front_mut()
     }
 
-    /// The key that cancels its requests, once the router has sent it.
+    /// Returns the backend key for cancelling, if the router has sent it.
     pub(super) fn cancel_key(&self) -> Option<&[u8]> {
         (self.key.len() == KEY_BYTES).then_some(&self.key)
     }
@@ -97,18 +98,18 @@
         self.stalled_since.is_some()
     }
 
-    /// Whether it has been stalled for longer than this.
+    /// Whether the client has been stalling for longer than a limit.
     pub(super) fn is_stalled_longer_than(&self, limit: Micros, now: Micros) -> bool {
         self.stalled_since.is_some_and(|since| now > since + limit)
     }
 
-    /// Sends a part of a command, and nothing more.
+    /// Sends the first part of a message and then stalls.
     pub(super) fn stall(&mut self, now: Micros) {
         self.outbound.extend(&message(tag::QUERY, &STALLED_BODY)[..STALLED_BYTES]);
         self.stalled_since = Some(now);
     }
 
-    /// Adds a request to what is written, and to the history.
+    /// Adds a request to the output buffer and to the history.
     pub(super) fn add_request(
         &mut self,
         request: &DrawnRequest,
@@ -143,7 +144,7 @@
         });
     }
 
-    /// Writes and reads what can be; `false` where the connection is over.
+    /// Writes and reads as much as possible. Returns `false` if the connection is closed.
     pub(super) fn transfer(&mut self, now: Micros, recorder: &Recorder) -> bool {
         let writable = write_pending(&mut self.stream, &mut self.outbound);
         if writable && self.outbound.is_empty() && !self.unsent.is_empty() {
@@ -161,7 +162,7 @@
         writable && readable
     }
 
-    /// Records the answers that have arrived.
+    /// Records the responses that have arrived.
     pub(super) fn take_answers(&mut self, clock: &RunClock, recorder: &Recorder) {
         let mut answer = None;
         while let Some(Message { tag, body }) = take_message(&mut self.inbound) {
@@ -183,7 +184,7 @@
         }
     }
 
-    /// The oldest request has its answer.
+    /// Records the response of the oldest pending request.
     fn record_answer(&mut self, answer: Option<Outcome>, now: Micros, history: &mut History) {
         let Some(pending) = self.pending.pop_front() else {
             if !self.is_stalled() {
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Records that the client has disconnected with its requests pending.
+    /// Records that the client disconnected while requests were pending.
     pub(super) fn record_disconnect(&self, now: Micros, history: &mut History) {
         for pending in &self.pending {
             let request = &mut history.requests[pending.index];
@@ -212,18 +213,18 @@
         }
     }
 
-    /// Records that the router has closed the connection with its requests pending.
+    /// Records that the router closed the connection while requests were pending.
     pub(super) fn record_close(&self, now: Micros, history: &mut History) {
         for pending in &self.pending {
             let request = &mut history.requests[pending.index];
-            // Where its last byte was never taken, it was not sent.
+            // A request whose last byte was not written to the socket was not sent.
             let was_sent = request.sent_at < Micros::MAX;
             request.outcome = if was_sent { Outcome::Closed } else { Outcome::Disconnected };
             request.ended_at = now;
         }
     }
 
-    /// Records the end of a stall, if there is one.
+    /// Records the end of a stall, if the client stalled.
     pub(super) fn record_stall(&self, closed_by_router: bool, now: Micros, history: &mut History) {
         if let Some(from) = self.stalled_since {
             history.stalls.push(Stall { router: self.router, from, to: now, closed_by_router });
--- a/soak/src/environment/clients/event_loop.rs
+++ b/soak/src/environment/clients/event_loop.rs
@@ -1,4 +1,4 @@
-//! The thread of the clients.
+//! The event loop of the client thread.
 use super::commits::SessionCommits;
 use super::connection::Connection;
 use super::requests::DrawnRequest;
@@ -19,26 +19,26 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// The longest time between two checks for changes.
+/// The maximum time between two checks of timers and shared state.
 const TICK: Duration = Duration::from_millis(2);
-/// Events that are handled at once.
+/// The maximum number of events per poll.
 const MAX_EVENTS: usize = 512;
-/// Tells the seed of the clients' random numbers from that of the faults.
+/// Makes the clients' random numbers differ from those of the faults, which use the same seed.
 const SEED_MASK: u64 = 0xc11e_4775;
-/// How long a stalled client stays before it closes its connection itself.
+/// How long a client stalls before it closes its connection itself.
 const STALL_LIMIT: Micros = 6 * SECOND;
-/// How long a connect may take.
+/// The timeout of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long the connect of a request to cancel may take.
+/// The timeout of the connect for a cancel request.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(50);
-/// How long after a failed connect a client tries another router.
+/// How long a client waits after a failed connect or an abandoned connection before it connects again.
 const RECONNECT_DELAY: Micros = 100 * MILLISECOND;
-/// A client that waits for its greeting sends its first request within this time.
+/// The maximum delay of the first request, for clients that do not send it with the startup message.
 const MAX_FIRST_DELAY: Micros = 20 * MILLISECOND;
-/// Sessions of a flood's clients have numbers from this one on.
+/// The first session number of a flood's clients.
 const FLOOD_SESSIONS: u64 = 10_000;
 
-/// What the clients' thread shares with their handle.
+/// The state shared by the client thread and its handle.
 #[derive(Clone, Default)]
 pub(super) struct SharedState {
     faults: Arc<Mutex<ClientFaults>>,
@@ -76,26 +76,26 @@
     }
 }
 
-/// How many requests a client sends.
+/// How long a client sends requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Lifetime {
-    /// As many as the load lasts.
+    /// The client sends requests until the load ends.
     WholeLoad,
-    /// One; it closes its connection after that, and never connects again.
+    /// The client sends one request, closes its connection, and never connects again.
     OneRequest,
 }
 
 struct Client {
     connection: Option<Connection>,
     next_action_at: Micros,
-    /// The session that it stands for.
+    /// The client's session.
     session: u64,
     lifetime: Lifetime,
-    /// The router that it connects to next.
+    /// The router that the client connects to next.
     router: usize,
 }
 
-/// The thread's state.
+/// The state of the client thread.
 pub(super) struct EventLoop {
     settings: ClientSettings,
     poller: Poller,
@@ -104,10 +104,10 @@
     recorder: Recorder,
     shared: SharedState,
     clients: Vec<Client>,
-    /// Clients, by their index, by their connection's token.
+    /// The index of each client, by the token of its connection.
     by_token: HashMap<usize, usize>,
     connections_opened: u64,
-    /// The size of the flood whose clients were added.
+    /// The size of the current flood, whose clients have been added.
     started_flood: usize,
     commits: SessionCommits,
 }
@@ -211,8 +211,8 @@
         }
     }
 
-    /// What a client does when its times are over: it closes a stalled connection, cancels, disconnects, or gives a request
-    /// up.
+    /// Performs a client's action that is due: closes a stalled connection, cancels a request, disconnects,
+    /// or abandons the connection.
     fn check_times(&mut self, client: usize, now: Micros) {
         let Some(connection) = &mut self.clients[client].connection else { return };
         if connection.is_stalled_longer_than(STALL_LIMIT, now) {
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Cancels the requests of a client's connection, once the router has sent the key for it.
+    /// Cancels the requests of a client's connection, if the router has sent its backend key.
     fn cancel(&self, client: usize, index: usize, now: Micros) {
         let Some(connection) = &self.clients[client].connection else { return };
         let Some(key) = connection.cancel_key() else { return };
@@ -241,27 +241,27 @@
         }
     }
 
-    /// Sends a request to cancel on a connection of its own; `true` where it was written.
+    /// Sends a cancel request on a separate connection. Returns `true` if it was written.
     fn send_cancel(&self, router: usize, key: &[u8]) -> bool {
         let address = self.settings.routers[router];
         let connected = std::net::TcpStream::connect_timeout(&address, CANCEL_TIMEOUT);
         connected.and_then(|mut socket| socket.write_all(&cancel(key))).is_ok()
     }
 
-    /// The record shows that nothing arrived; the connection is of no use any more.
+    /// Abandons the connection. The history shows that no response arrived.
     fn give_up(&mut self, client: usize, now: Micros) {
         self.take_connection(client);
         self.clients[client].next_action_at = now + RECONNECT_DELAY;
     }
 
-    /// The client closes its connection with requests pending.
+    /// Closes a client's connection while requests are pending.
     fn disconnect(&mut self, client: usize, now: Micros) {
         let Some(connection) = self.take_connection(client) else { return };
         connection.record_disconnect(now, &mut self.recorder.lock());
         self.clients[client].next_action_at = now + self.draw_pause();
     }
 
-    /// The client closes its connection without requests pending.
+    /// Closes a client's connection that has no pending requests.
     fn close(&mut self, client: usize) {
         if let Some(connection) = self.take_connection(client) {
             connection.record_stall(false, self.clock.now(), &mut self.recorder.lock());
@@ -281,14 +281,14 @@
     fn connect(&mut self, client: usize) {
         let now = self.clock.now();
         let Ok(connection) = self.open_connection(self.clients[client].router, now) else {
-            // Another router, as the platform's front would choose.
+            // Chooses another router, as the platform would.
             self.clients[client].router = self.draw_router();
             self.clients[client].next_action_at = now + RECONNECT_DELAY;
             return;
         };
         self.by_token.insert(connection.token, client);
         self.clients[client].connection = Some(connection);
-        // Some send their first request right behind the startup message.
+        // Half of the clients send their first request together with the startup message.
         if self.rng.bool() {
             let faults = self.shared.faults();
             self.add_request(client, faults);
@@ -298,8 +298,8 @@
         }
     }
 
-    /// Connects to a router. On loopback that takes no time: what is written next is on its way before the router has
-    /// accepted the connection.
+    /// Connects to a router. On loopback, a connect succeeds before the router has accepted the connection,
+    /// so the first bytes may be sent before that.
     fn open_connection(&mut self, router: usize, now: Micros) -> io::Result<Connection> {
         let address = self.settings.routers[router];
         let socket = std::net::TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
@@ -338,7 +338,7 @@
         connection.add_request(&request, &statement, now, &mut self.recorder.lock());
     }
 
-    /// Writes and reads what can be on a client's connection.
+    /// Writes and reads as much as possible on a client's connection.
     fn transfer(&mut self, client: usize) {
         let now = self.clock.now();
         let Some(connection) = &mut self.clients[client].connection else { return };
@@ -353,7 +353,7 @@
         }
     }
 
-    /// The router has closed the connection.
+    /// Records that the router closed the connection, and schedules a reconnect.
     fn handle_close(&mut self, client: usize) {
         let now = self.clock.now();
         let Some(connection) = self.take_connection(client) else { return };
--- a/soak/src/environment/clients/mod.rs
+++ b/soak/src/environment/clients/mod.rs
@@ -1,5 +1,5 @@
-//! The clients of the platform's routers: one thread for all of them. Each sends requests one after the other, waits for
-//! each answer up to its deadline, and has the faults that are played: it disconnects, stalls, pipelines or cancels.
+//! The clients of the platform's routers, all run by one thread. Each client sends requests one after the
+//! other and waits for each response. Under faults, clients disconnect, stall, pipeline or cancel requests.
 mod commits;
 mod connection;
 mod event_loop;
@@ -14,17 +14,17 @@
 use event_loop::{EventLoop, SharedState};
 use std::io;
 
-/// A handle of the clients; they end when it is dropped.
+/// A handle of the clients, which stop when it is dropped.
 pub struct Clients {
     shared: SharedState,
     _thread: ServiceThread,
 }
 
 impl Clients {
-    /// Starts the clients.
+    /// Starts the client thread.
     ///
     /// # Errors
-    /// Where no thread can be had.
+    /// The poller or the thread can't be created.
     pub fn start(settings: ClientSettings, clock: &RunClock, recorder: &Recorder) -> io::Result<Clients> {
         let shared = SharedState::default();
         let mut event_loop = EventLoop::new(settings, clock.clone(), recorder.clone(), shared.clone())?;
@@ -37,12 +37,12 @@
         self.shared.change_faults(change);
     }
 
-    /// No client sends anything more; answers to what was sent are still awaited.
+    /// Ends the load: clients send no further requests, but still receive pending responses.
     pub fn end_load(&self) {
         self.shared.end_load();
     }
 
-    /// How many requests await an answer.
+    /// Returns the number of pending requests.
     pub fn pending_requests(&self) -> u64 {
         self.shared.pending_requests()
     }
--- a/soak/src/environment/clients/requests.rs
+++ b/soak/src/environment/clients/requests.rs
@@ -1,11 +1,12 @@
-//! The requests that clients draw. The order of the draws is part of what a seed means.
+//! Random requests of the clients. Changing the order of the random draws changes the requests that a seed
+//! produces.
 use super::settings::{ClientFaults, PROBABILITY_SCALE};
 use crate::class::Class;
 use crate::environment::clock::RunClock;
 use crate::time::{MILLISECOND, Micros};
 use fastrand::Rng;
 
-/// Classes of requests, as often as each is drawn.
+/// The classes that a request is drawn from; a class is listed once per unit of its weight.
 const DRAWN_CLASSES: [Class; 9] = [
     Class::Any,
     Class::Any,
@@ -17,29 +18,29 @@
     Class::Write,
     Class::Keyed,
 ];
-/// Ids are below this.
+/// The exclusive upper bound of request ids.
 const ID_BOUND: u64 = 1 << 62;
-/// A client that disconnects does so within this time.
+/// The maximum time between a request and the client's disconnect.
 const MAX_DISCONNECT_DELAY: Micros = 60 * MILLISECOND;
-/// A client that cancels does so within this time.
+/// The maximum time between a request and its cancellation.
 const MAX_CANCEL_DELAY: Micros = 40 * MILLISECOND;
 
-/// A request before it is sent.
+/// A generated request that has not been sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DrawnRequest {
     pub(super) id: u64,
     pub(super) class: Class,
     pub(super) group: usize,
-    /// How long its client waits.
+    /// The time within which the client expects the response.
     pub(super) timeout: Micros,
-    /// The commit that it must see.
+    /// The commit time that a session read must see.
     pub(super) required_commit: Option<Micros>,
     pub(super) disconnect_at: Option<Micros>,
     pub(super) cancel_at: Option<Micros>,
 }
 
 impl DrawnRequest {
-    /// Draws a request; `last_commit` gives the session's last commit in a group.
+    /// Generates a request. `last_commit` returns the session's last confirmed commit in a group.
     pub(super) fn draw(
         rng: &mut Rng,
         groups: usize,
@@ -59,7 +60,7 @@
         DrawnRequest { id, class, group, timeout, required_commit, disconnect_at, cancel_at }
     }
 
-    /// The statement that a session sends.
+    /// Returns the SQL statement of the request.
     pub(super) fn statement(&self, session: u64, clock: &RunClock) -> String {
         let comment = self.comment(clock);
         if self.class.is_write() {
@@ -74,7 +75,7 @@
     fn comment(&self, clock: &RunClock) -> String {
         let DrawnRequest { id, group, .. } = self;
         let (class, timeout_ms) = (self.class.name(), self.timeout / MILLISECOND);
-        // Commits are rounded up to whole milliseconds.
+        // The commit time is rounded up to whole milliseconds.
         let after = self.required_commit.map(|at| format!(",after={}", clock.wall_ms(at) + 1));
         format!("id={id:x},c={class},d={timeout_ms},cluster={group}{}", after.unwrap_or_default())
     }
--- a/soak/src/environment/clients/settings.rs
+++ b/soak/src/environment/clients/settings.rs
@@ -1,35 +1,35 @@
-//! What clients are started with, and their faults.
+//! The settings and the faults of the clients.
 use crate::time::Micros;
 use std::net::SocketAddr;
 
-/// What the clients are started with.
+/// The settings of the clients.
 pub struct ClientSettings {
-    /// The routers' addresses.
+    /// The addresses of the routers.
     pub routers: Vec<SocketAddr>,
-    /// How many clients.
+    /// The number of clients.
     pub clients: usize,
-    /// Groups of servers.
+    /// The number of replication groups.
     pub groups: usize,
-    /// The pause between two requests, on average.
+    /// The average pause of a client between two requests.
     pub think: Micros,
-    /// Seed of the random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
 }
 
-/// Faults of the clients; probabilities are out of [`PROBABILITY_SCALE`] for each request.
+/// The faults of the clients. Probabilities are per request, in units of 1 / [`PROBABILITY_SCALE`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientFaults {
-    /// They disconnect while they wait for an answer.
+    /// The probability that a client disconnects while it waits for a response.
     pub disconnect: u32,
-    /// They stall in the middle of a command.
+    /// The probability that a client stalls in the middle of a message.
     pub stall: u32,
-    /// They send this many requests at once; 0 counts as 1.
+    /// The number of requests that a client sends at once; 0 counts as 1.
     pub pipelined: usize,
-    /// They cancel while they wait.
+    /// The probability that a client cancels while it waits for a response.
     pub cancel: u32,
-    /// This many more clients connect at once, send a request and close.
+    /// The number of additional clients that connect at once, send one request and disconnect.
     pub flood: usize,
 }
 
-/// Probabilities of [`ClientFaults`] are out of so many.
+/// The denominator of the probabilities in [`ClientFaults`].
 pub const PROBABILITY_SCALE: u32 = 1000;
--- a/soak/src/environment/clock.rs
+++ b/soak/src/environment/clock.rs
@@ -1,16 +1,16 @@
-//! A run's clocks: a monotonic one, and the wall clock that all machines read, which may be stepped.
+//! The clocks of a run: a monotonic clock, and the wall clock of the environment, which faults may step.
 use crate::time::Micros;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// From when on the wall clock had which offset.
+/// An offset of the wall clock from a given time on.
 #[derive(Clone, Copy)]
 struct WallClockStep {
     from: Micros,
     offset: Micros,
 }
 
-/// A run's clocks. Copies are the same clocks.
+/// The clocks of a run. Clones share the wall clock's steps.
 #[derive(Clone)]
 pub struct RunClock {
     start: Instant,
@@ -19,7 +19,7 @@
 }
 
 impl RunClock {
-    /// Clocks that start now.
+    /// Starts the clocks.
     pub fn start() -> RunClock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let steps = vec![WallClockStep { from: 0, offset: 0 }];
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The time since the start.
+    /// Returns the time since the start of the run.
     pub fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
@@ -41,14 +41,14 @@
         self.lock().push(WallClockStep { from, offset });
     }
 
-    /// What the wall clock showed at a moment, in microseconds since 1970.
+    /// Returns the wall clock's time at a point of the run, in microseconds since 1970.
     pub fn wall(&self, at: Micros) -> Micros {
         let steps = self.lock();
         let offset = steps.iter().rev().find(|step| step.from <= at).map_or(0, |step| step.offset);
         self.unix_at_start + at + offset
     }
 
-    /// The same in whole milliseconds, rounded down.
+    /// Returns the wall clock's time at a point of the run, in milliseconds since 1970, rounded down.
     pub fn wall_ms(&self, at: Micros) -> i64 {
         self.wall(at).div_euclid(1000)
     }
--- a/soak/src/environment/discovery.rs
+++ b/soak/src/environment/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery's agents: one for each router, at two addresses between which a new configuration may move the router. One
-//! thread serves all.
+//! Discovery agents, one for each router, all served by one thread. Each agent has two addresses, between
+//! which a new configuration can switch the router.
 use super::acceptor::Acceptor;
 use super::clock::RunClock;
 use super::service_thread::{ServiceThread, StopSignal};
@@ -14,44 +14,44 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// An empty line is sent this often where there is no change.
+/// The interval of empty lines when there are no changes.
 const EMPTY_LINE_INTERVAL: Micros = 2 * SECOND;
-/// The longest time between two checks for changes.
+/// The maximum time between two checks for changes.
 const TICK: Duration = Duration::from_millis(3);
-/// Events that are handled at once.
+/// The maximum number of events per poll.
 const MAX_EVENTS: usize = 256;
-/// What an agent answers before its lines.
+/// The response head that an agent sends before its lines.
 const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// Addresses of each agent.
+/// The number of addresses of each agent.
 pub const ADDRESSES: usize = 2;
 
-/// The fault of an agent.
+/// A fault of an agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AgentFault {
-    /// None.
+    /// The agent works.
     #[default]
     None,
-    /// Connections that were open before this moment stay open and silent.
+    /// Connections opened before this time stay open, but receive nothing.
     SilentBefore(Micros),
-    /// Everything is reset, new connections too.
+    /// All open and new connections are reset.
     Down,
-    /// Each line takes this long.
+    /// Each line is delayed by this time.
     Slow(Micros),
 }
 
-/// The state of a listed server.
+/// The state of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It serves.
+    /// The server serves requests.
     InService,
-    /// It drains.
+    /// The server drains.
     Terminating,
-    /// It is gone.
+    /// The server has terminated.
     Terminated,
 }
 
 impl EndpointState {
-    /// Its name in discovery's lines.
+    /// The state's name in discovery's messages.
     pub fn name(self) -> &'static str {
         match self {
             EndpointState::InService => "in_service",
@@ -61,25 +61,25 @@
     }
 }
 
-/// One entry of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The server.
+    /// The server's index.
     pub server: usize,
-    /// Its id.
+    /// The server's id in the list.
     pub id: String,
-    /// Its group.
+    /// The server's replication group.
     pub group: usize,
-    /// Its state.
+    /// The server's state.
     pub state: EndpointState,
-    /// Whether the list shows it as primary.
+    /// Whether the list shows the server as a primary.
     pub primary: bool,
-    /// When it started, in milliseconds of the wall clock; 0 for long ago.
+    /// When the server started, in milliseconds of the wall clock; 0 for a server that started long ago.
     pub started_ms: i64,
 }
 
 impl Endpoint {
-    /// The entry as a router reads it that reaches the servers at these addresses.
+    /// Returns the entry as JSON, with the addresses at which a router reaches the servers.
     fn to_json(&self, addresses: &[SocketAddr]) -> Value {
         json!({
             "id": self.id,
@@ -113,7 +113,7 @@
     version: u64,
     endpoints: BTreeMap<String, Endpoint>,
     changes: Vec<Change>,
-    /// By router.
+    /// The agents' faults, by router.
     faults: Vec<AgentFault>,
 }
 
@@ -128,27 +128,28 @@
         self.changes.push(Change { version: self.version, endpoint });
     }
 
-    /// The whole list.
+    /// Returns the complete list as JSON.
     fn to_json(&self, addresses: &[SocketAddr]) -> Value {
         let endpoints: Vec<Value> = self.endpoints.values().map(|e| e.to_json(addresses)).collect();
         json!({"version": self.version, "full": true, "servers": endpoints})
     }
 }
 
-/// A handle of the agents; they end when it is dropped.
+/// A handle of the agents, which stop when it is dropped.
 pub struct DiscoveryAgents {
     state: Arc<Mutex<State>>,
-    /// Addresses by router.
+    /// The agents' addresses, by router.
     pub addresses: Vec<[SocketAddr; ADDRESSES]>,
     clock: RunClock,
     _thread: ServiceThread,
 }
 
 impl DiscoveryAgents {
-    /// Starts an agent for each router; `servers` are each server's addresses by router.
+    /// Starts an agent for each router. `servers` holds, for each router, the addresses at which it reaches
+    /// the servers.
     ///
     /// # Errors
-    /// Where no port or no thread can be had.
+    /// A port, the poller or the thread is not available.
     pub fn start(servers: Vec<Vec<SocketAddr>>, clock: &RunClock) -> io::Result<DiscoveryAgents> {
         let routers = servers.len();
         let faults = vec![AgentFault::None; routers];
@@ -173,7 +174,7 @@
         lock(&self.state)
     }
 
-    /// Discovery has this change from now on; returns the moment.
+    /// Publishes a change of the endpoint list and returns the time of the change.
     pub fn change(&self, endpoint: Endpoint) -> Micros {
         let mut state = self.lock();
         let now = self.clock.now();
@@ -181,17 +182,18 @@
         now
     }
 
-    /// Sets the fault of a router's agent from now on.
+    /// Sets the fault of a router's agent.
     pub fn set_fault(&self, router: usize, fault: AgentFault) {
         self.lock().faults[router] = fault;
     }
 
-    /// The entry of a server that is listed.
+    /// Returns the list's entry of a server.
     pub fn endpoint_of(&self, server: usize) -> Option<Endpoint> {
         self.lock().endpoints.values().find(|endpoint| endpoint.server == server).cloned()
     }
 
-    /// The whole list, as the configuration of a router has it that reaches the servers at these addresses.
+    /// Returns the complete list for a router's configuration, with the addresses at which that router
+    /// reaches the servers.
     pub fn list_json(&self, addresses: &[SocketAddr]) -> Value {
         self.lock().to_json(addresses)
     }
@@ -207,17 +209,17 @@
     stream: TcpStream,
     opened_at: Micros,
     request: Vec<u8>,
-    /// The version that the router has; `None` before its request is read.
+    /// The list version that the router has; `None` until its request has been read.
     version: Option<u64>,
     next_line_at: Micros,
     outbound: Vec<u8>,
 }
 
-/// The agents' thread.
+/// The event loop of the agents' thread.
 struct EventLoop {
     state: Arc<Mutex<State>>,
     servers: Vec<Vec<SocketAddr>>,
-    /// Listeners by router.
+    /// The agents' listeners; their keys are the routers.
     acceptor: Acceptor<usize>,
     watches: HashMap<usize, Watch>,
     clock: RunClock,
@@ -283,7 +285,7 @@
         }
     }
 
-    /// Reads what there is; `false` where the connection is over.
+    /// Reads the available bytes. Returns `false` if the connection is closed.
     fn read(&mut self) -> bool {
         let request = &mut self.request;
         let receive = |bytes: &[u8]| {
@@ -307,7 +309,7 @@
         self.outbound.extend(RESPONSE_HEAD);
     }
 
-    /// Writes what is due; `false` where the connection is over.
+    /// Writes the lines that are due. Returns `false` if the connection is closed.
     fn write(&mut self, state: &State, servers: &[SocketAddr], now: Micros) -> bool {
         match state.faults[self.router] {
             AgentFault::Down => {
@@ -322,7 +324,7 @@
         write_pending(&mut self.stream, &mut self.outbound)
     }
 
-    /// Adds the changes since the router's version, or an empty line where one is due.
+    /// Adds the changes since the router's version, and an empty line if one is due.
     fn add_lines(&mut self, state: &State, servers: &[SocketAddr], now: Micros) {
         let Some(version) = self.version else { return };
         if version == 0 && state.version > 0 {
@@ -338,7 +340,7 @@
         }
     }
 
-    /// Adds a line as a chunk of its own.
+    /// Adds a line as a separate HTTP chunk.
     fn add_line(&mut self, text: &str, now: Micros) {
         self.outbound.extend(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).into_bytes());
         self.next_line_at = now + EMPTY_LINE_INTERVAL;
--- a/soak/src/environment/link.rs
+++ b/soak/src/environment/link.rs
@@ -1,50 +1,50 @@
-//! Faults of the link between a router and a server, and the bytes on their way to the server.
+//! Faults of the link between a router and a server, and the buffer of bytes on their way to the server.
 use crate::time::Micros;
 use std::collections::VecDeque;
 
-/// A router and a server, by their indices: one link.
+/// Identifies the link between a router and a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkId {
-    /// The router.
+    /// The router's index.
     pub router: usize,
-    /// The server.
+    /// The server's index.
     pub server: usize,
 }
 
-/// Faults of a link.
+/// The faults of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkFault {
-    /// Nothing that the router writes gets through.
+    /// The link forwards nothing that the router writes.
     pub blocks_requests: bool,
-    /// Nothing that the server writes gets through.
+    /// The link forwards nothing that the server writes.
     pub blocks_answers: bool,
-    /// What the router writes takes this long.
+    /// The delay of the bytes that the router writes.
     pub request_delay: Micros,
-    /// Each answer is cut after so many of its bytes, and the connection is reset.
+    /// The number of response bytes after which the link resets the connection, if more are pending.
     pub reset_after: Option<usize>,
-    /// Answers arrive byte by byte.
+    /// The link delivers responses one byte at a time.
     pub trickles: bool,
 }
 
 /// A message that has reached the server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ArrivedMessage {
-    /// Its bytes, tag and length included.
+    /// The message's bytes, including its tag and length.
     pub bytes: Vec<u8>,
-    /// When its first byte arrived at the link.
+    /// When the message's first byte arrived at the link.
     pub first_byte_at: Micros,
-    /// When its last byte arrived at the link.
+    /// When the message's last byte arrived at the link.
     pub last_byte_at: Micros,
 }
 
-/// The bytes of one connection on their way to the server, stamped as they arrived at the link.
+/// The bytes of a connection on their way to the server, with the times at which they arrived at the link.
 #[derive(Debug, Default)]
 pub struct InboundBuffer {
-    /// Bytes that have arrived, those on their way last.
+    /// Bytes that have arrived at the link and that the server has not taken, in order.
     bytes: Vec<u8>,
-    /// How many bytes the server has taken, in all.
+    /// The total number of bytes that the server has taken.
     taken: usize,
-    /// How many bytes had arrived by when, in all, and when the server may have them.
+    /// The arrival and availability times of the buffered bytes.
     stamps: VecDeque<Stamp>,
 }
 
@@ -60,26 +60,26 @@
     pub fn push(&mut self, bytes: &[u8], now: Micros, delay: Micros) {
         self.bytes.extend_from_slice(bytes);
         let end = self.taken + self.bytes.len();
-        // A shorter delay does not let bytes overtake.
+        // Bytes with a shorter delay must not overtake earlier ones.
         let last_available_at = self.stamps.back().map_or(0, |last| last.available_at);
         let available_at = last_available_at.max(now + delay);
         self.stamps.push_back(Stamp { end, arrived_at: now, available_at });
     }
 
-    /// How many of the bytes the server may have by now.
+    /// Returns how many buffered bytes are available to the server.
     fn available(&self, now: Micros) -> usize {
         let last = self.stamps.iter().take_while(|stamp| stamp.available_at <= now).last();
         last.map_or(0, |stamp| stamp.end - self.taken)
     }
 
-    /// When the byte at this offset from the front arrived.
+    /// Returns when the byte at this offset of the buffer arrived at the link.
     fn arrived_at(&self, offset: usize) -> Micros {
         let position = self.taken + offset;
         self.stamps.iter().find(|stamp| stamp.end > position).map_or(0, |stamp| stamp.arrived_at)
     }
 
-    /// Takes a message off the front once all of it is available; `length` gives the length of the message at the front of
-    /// some bytes.
+    /// Removes the first message from the buffer if it is completely available. `length` returns the length
+    /// of the message at the start of a byte slice.
     pub fn take(&mut self, now: Micros, length: impl Fn(&[u8]) -> Option<usize>) -> Option<ArrivedMessage> {
         let available = self.available(now);
         let length = length(&self.bytes[..available]).filter(|length| *length <= available)?;
@@ -92,7 +92,7 @@
         Some(ArrivedMessage { bytes, first_byte_at, last_byte_at })
     }
 
-    /// When bytes become available that are not yet.
+    /// Returns when the next bytes become available.
     pub fn next_available_at(&self, now: Micros) -> Option<Micros> {
         self.stamps.iter().map(|stamp| stamp.available_at).find(|at| *at > now)
     }
--- a/soak/src/environment/mod.rs
+++ b/soak/src/environment/mod.rs
@@ -1,4 +1,5 @@
-//! What surrounds the platform's routers in a run: servers behind faulty links, discovery's agents, and clients.
+//! The environment of the platform's routers in a run: servers behind links with faults, discovery agents,
+//! and clients.
 mod acceptor;
 pub mod clients;
 pub mod clock;
--- a/soak/src/environment/servers/connection.rs
+++ b/soak/src/environment/servers/connection.rs
@@ -1,4 +1,4 @@
-//! One connection between a router and a server, through their link.
+//! A connection between a router and a server through their link.
 use super::state::ServersState;
 use crate::environment::link::{ArrivedMessage, InboundBuffer, LinkFault, LinkId};
 use crate::environment::socket::{ReadEnd, read_available, reset};
@@ -8,7 +8,7 @@
 use std::io::{ErrorKind, Write};
 use std::net::Shutdown;
 
-/// How long a link that trickles waits between two bytes.
+/// The delay between two bytes on a link that delivers responses one byte at a time.
 const TRICKLE_INTERVAL: Micros = MILLISECOND;
 
 /// A connection between a router and a server.
@@ -18,9 +18,9 @@
     stream: TcpStream,
     inbound: InboundBuffer,
     outbound: Vec<u8>,
-    /// Its startup message was answered.
+    /// Whether the startup message has been processed.
     started: bool,
-    /// When trickled bytes are written next.
+    /// When the next byte may be written if the link delivers one byte at a time.
     next_trickle_at: Micros,
 }
 
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Reads what there is; `false` where the connection is over.
+    /// Reads the available bytes. Returns `false` if the connection is closed.
     pub(super) fn read(&mut self, state: &ServersState, now: Micros) -> bool {
         let delay = state.link_fault(self.link).request_delay;
         let forgotten = state.is_forgotten(self.link, self.opened_at);
@@ -55,7 +55,7 @@
         end == ReadEnd::Drained
     }
 
-    /// Takes the startup message, and answers it; `false` where it has not arrived yet.
+    /// Processes the startup message and responds to it. Returns `false` if it has not arrived yet.
     pub(super) fn start(&mut self, now: Micros) -> bool {
         if !self.started && self.inbound.take(now, startup_length).is_some() {
             self.started = true;
@@ -64,34 +64,34 @@
         self.started
     }
 
-    /// Takes the next message that has reached the server.
+    /// Removes and returns the next message that has reached the server.
     pub(super) fn take_message(&mut self, now: Micros) -> Option<ArrivedMessage> {
         self.inbound.take(now, message_length)
     }
 
-    /// When bytes reach the server that are on their way.
+    /// Returns when the next bytes on their way reach the server.
     pub(super) fn next_available_at(&self, now: Micros) -> Option<Micros> {
         self.inbound.next_available_at(now)
     }
 
-    /// Adds bytes that are written to the router as soon as the link lets them through.
+    /// Adds bytes to the output buffer, from which they are written to the router as the link allows.
     pub(super) fn answer(&mut self, bytes: &[u8]) {
         self.outbound.extend_from_slice(bytes);
     }
 
-    /// Lets the connection end with a reset.
+    /// Makes the connection close with a TCP reset when it is dropped.
     pub(super) fn reset(&self) {
         reset(&self.stream);
     }
 
-    /// Adds the first half of an answer, writes what can be written at once, and resets the connection.
+    /// Resets the connection in the middle of a response: writes at most its first half, then resets.
     pub(super) fn reset_under(&mut self, answer: &[u8]) {
         self.answer(&answer[..answer.len() / 2]);
         _ = self.stream.write(&self.outbound);
         self.reset();
     }
 
-    /// Writes what the link lets through; `false` where the connection is over.
+    /// Writes as much as the link allows. Returns `false` if the connection is closed.
     pub(super) fn write(&mut self, fault: &LinkFault, now: Micros) -> bool {
         if self.outbound.is_empty() || fault.blocks_answers {
             return true;
--- a/soak/src/environment/servers/event_loop.rs
+++ b/soak/src/environment/servers/event_loop.rs
@@ -1,4 +1,4 @@
-//! The thread of the servers and their links.
+//! The event loop of the servers and their links.
 use super::connection::Connection;
 use super::state::{ServersState, lock};
 use super::statement::{RequestStatement, Statement};
@@ -16,34 +16,34 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The longest time between two checks for changes.
+/// The maximum time between two checks of timers and shared state.
 const TICK: Duration = Duration::from_millis(3);
-/// Events that are handled at once.
+/// The maximum number of events per poll.
 const MAX_EVENTS: usize = 512;
-/// When a link that lets no requests through is checked again.
+/// The interval at which a link that blocks requests is checked again.
 const BLOCKED_RECHECK: Micros = 50_000;
-/// The head of a statement's message: its tag and length.
+/// The size of a message's tag and length field.
 const HEAD_BYTES: usize = 5;
-/// How much of a row a server writes that answers garbage, and what follows it.
+/// How many bytes of a valid row a server sends before [`GARBAGE`].
 const GARBAGE_ROW_BYTES: usize = 40;
-/// See [`GARBAGE_ROW_BYTES`].
+/// Bytes that are not a valid message.
 const GARBAGE: &[u8] = b"\x15\x07 noise";
 
-/// The code of an error about a message that can't be read.
+/// The `PostgreSQL` error code for a request that can't be parsed.
 const PROTOCOL_VIOLATION: &str = "08P01";
-/// The code of a write at a replica.
+/// The `PostgreSQL` error code for a write at a replica.
 const READ_ONLY: &str = "25006";
-/// The code of a server without room.
+/// The `PostgreSQL` error code for a server at its capacity.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// What is due at a time.
+/// A timer event.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    /// A request is through its work.
+    /// A request has finished executing.
     Answer {
-        /// Its connection's token.
+        /// The token of the request's connection.
         token: usize,
-        /// The index of its attempt in the history.
+        /// The index of the request's attempt in the history.
         attempt: usize,
     },
     /// A connection is checked for messages again.
@@ -53,7 +53,7 @@
     },
 }
 
-/// The thread's state.
+/// The state of the servers' thread.
 pub(super) struct EventLoop {
     state: Arc<Mutex<ServersState>>,
     acceptor: Acceptor<LinkId>,
@@ -104,7 +104,7 @@
         Duration::from_micros(until_due as u64).min(TICK)
     }
 
-    /// Resets the connections of processes that have crashed.
+    /// Resets the connections of server processes that have crashed.
     fn reset_connections(&mut self, state: &ServersState) {
         self.connections.retain(|_, connection| {
             let ends = state.servers[connection.link.server].was_reset_since(connection.opened_at);
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Gives the server what has reached it; `false` where the connection is over.
+    /// Processes the messages that have reached the server. Returns `false` if the connection is to be
+    /// closed.
     fn take_messages(&mut self, token: usize, connection: &mut Connection, state: &mut ServersState) -> bool {
         let now = self.clock.now();
         if state.link_fault(connection.link).blocks_requests {
@@ -187,7 +188,7 @@
         connection.answer(&[row(&stats), ready()].concat());
     }
 
-    /// Records an attempt that has reached its server; its index in the history.
+    /// Records an attempt that has reached its server and returns its index in the history.
     fn record_attempt(
         &self,
         request: &RequestStatement,
@@ -213,8 +214,8 @@
         history.attempts.len() - 1
     }
 
-    /// Rejects a request or lets it begin. A server that hangs takes work all the same, and runs it: only its answers are
-    /// missing.
+    /// Rejects a request or starts its execution. A server that hangs executes requests, too, but sends no
+    /// responses.
     fn handle_request(
         &mut self,
         token: usize,
@@ -258,13 +259,14 @@
         }
     }
 
-    /// A request is through its work: it has run, whether or not its answer arrives anywhere.
+    /// Finishes a request's execution and sends its response. The request has been executed whether or not
+    /// the response arrives.
     fn finish_request(&mut self, token: usize, attempt: usize, state: &mut ServersState) {
         let Some(value) = self.run_request(token, attempt, state) else { return };
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let server = &state.servers[connection.link.server];
         let mode = if server.primary { "read-write" } else { "read-only" };
-        // Positions are rounded down, commits up.
+        // Replication positions of replicas are rounded down, commit times of the primary up.
         let position_ms = self.clock.wall_ms(server.position()) + i64::from(server.primary);
         let parameters = [parameter("mode", mode), parameter("wal_time", &position_ms.to_string())].concat();
         let answer = [row(&value), parameters, ready()].concat();
@@ -278,14 +280,16 @@
         }
     }
 
-    /// Runs a request, unless its process or its connection is gone; the value of its answer, unless the server hangs.
+    /// Executes a request, unless its server process or its connection no longer exists. Returns the value
+    /// for the response, unless the server hangs.
     fn run_request(&self, token: usize, index: usize, state: &mut ServersState) -> Option<String> {
         let now = self.clock.now();
         let mut history = self.recorder.lock();
         let attempt = &mut history.attempts[index];
         let server = &mut state.servers[attempt.server];
         server.end_request();
-        // A process that died meanwhile has run nothing; one whose caller gave up stops the work.
+        // A server process that has crashed since then did not execute the request, and a server cancels a
+        // request whose connection is closed.
         if !server.alive || attempt.reached_at.is_some_and(|at| server.was_reset_since(at)) {
             return None;
         }
--- a/soak/src/environment/servers/mod.rs
+++ b/soak/src/environment/servers/mod.rs
@@ -1,5 +1,5 @@
-//! The simulated servers: a primary and its replicas for each group, one thread for all of them. Each pair of a router and a
-//! server has a listener of its own, which is the near end of their link.
+//! The simulated servers, all run by one thread: a primary and its replicas for each group. Each pair of a
+//! router and a server has its own listener, which is the router's end of their link.
 mod connection;
 mod event_loop;
 mod state;
@@ -20,10 +20,10 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// A handle of the servers; they end when it is dropped.
+/// A handle of the servers, which stop when it is dropped.
 pub struct Servers {
     state: Arc<Mutex<ServersState>>,
-    /// Addresses by router, then by server.
+    /// The listen addresses, by router and then by server.
     pub addresses: Vec<Vec<SocketAddr>>,
     _thread: ServiceThread,
 }
@@ -32,7 +32,7 @@
     /// Starts the servers of a plan.
     ///
     /// # Errors
-    /// Where no port or no thread can be had.
+    /// A port, the poller or the thread is not available.
     pub fn start(plan: &Plan, clock: &RunClock, recorder: &Recorder) -> io::Result<Servers> {
         let state = Arc::new(Mutex::new(ServersState::new(plan)));
         let mut acceptor = Acceptor::new()?;
@@ -47,22 +47,22 @@
         Ok(Servers { state, addresses, _thread: thread })
     }
 
-    /// The servers' state, for as long as the guard lives.
+    /// Locks the servers' state.
     pub fn lock(&self) -> MutexGuard<'_, ServersState> {
         lock(&self.state)
     }
 
-    /// A server's process dies: its connections are reset, and new ones are refused.
+    /// Crashes a server process: its open connections are reset, and so are new ones until it restarts.
     pub fn crash(&self, server: usize, now: Micros) {
         self.lock().servers[server].crash(now);
     }
 
-    /// A server's process starts, in the role that it had.
+    /// Restarts a server process in its previous role.
     pub fn revive(&self, server: usize) {
         self.lock().servers[server].alive = true;
     }
 
-    /// Another member of the server's group becomes primary, with all that was committed.
+    /// Promotes another member of the server's group to primary; it has all committed data.
     pub fn fail_over(&self, server: usize, now: Micros) {
         self.lock().fail_over(server, now);
     }
--- a/soak/src/environment/servers/state.rs
+++ b/soak/src/environment/servers/state.rs
@@ -1,54 +1,54 @@
-//! The servers' state, as faults change it.
+//! The state of the simulated servers and of their links, which faults change.
 use crate::environment::link::{LinkFault, LinkId};
 use crate::plan::Plan;
 use crate::time::{Micros, SECOND};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// How long one request takes a core.
+/// The time that a request occupies a core.
 const SERVICE_TIME: Micros = 20_000;
-/// Cores of a server.
+/// The number of cores of a server.
 const CORES: usize = 2;
-/// Requests that a server accepts at once; more are rejected.
+/// The maximum number of concurrent requests of a server; more are rejected.
 const MAX_REQUESTS: usize = 60;
-/// How far a replica is behind as a rule.
+/// The replication lag of a replica without a fault.
 const USUAL_LAG: Micros = 20_000;
-/// How long a demoted primary may still be taken for one.
+/// How long after its demotion a router may still treat a server as a primary.
 const DEMOTION_GRACE: Micros = 5 * SECOND;
 
-/// Requests a second that a warm server can do.
+/// The capacity of a fully warmed-up server, in requests per second.
 pub const CAPACITY: f64 = CORES as f64 * SECOND as f64 / SERVICE_TIME as f64;
 
-/// Faults of a server, which may overlap.
+/// The faults of a server, which may overlap.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerFaults {
-    /// It takes work and answers nothing.
+    /// The server executes requests but sends no responses.
     pub hangs: bool,
-    /// It answers bytes that are no messages.
+    /// The server responds with bytes that are not valid messages.
     pub answers_garbage: bool,
-    /// It resets connections under requests.
+    /// The server resets connections in the middle of responses.
     pub resets_connections: bool,
-    /// It applies nothing.
+    /// The server, as a replica, does not apply the log.
     pub replication_stopped: bool,
 }
 
-/// A server.
+/// A simulated server.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Its group.
+    /// The server's replication group.
     pub group: usize,
-    /// It is the primary of its group.
+    /// Whether the server is the primary of its group.
     pub primary: bool,
-    /// Its process runs.
+    /// Whether the server process is running.
     pub alive: bool,
-    /// Its faults.
+    /// The server's faults.
     pub faults: ServerFaults,
-    /// When it was last a primary.
+    /// When the server was last a primary.
     last_primary_at: Option<Micros>,
-    /// All that was committed up to here is applied.
+    /// The replication position: all commits up to this time have been applied.
     position: Micros,
-    /// Its connections of before this are reset.
+    /// The time of the last crash: connections and requests from before it are reset.
     reset_before: Micros,
-    /// Until when each core is busy.
+    /// For each core, the time until which it is busy.
     busy_until: [Micros; CORES],
     requests_in_progress: usize,
 }
@@ -68,17 +68,18 @@
         }
     }
 
-    /// All that was committed up to this moment is applied.
+    /// Returns the replication position: all commits up to this time have been applied.
     pub(super) fn position(&self) -> Micros {
         self.position
     }
 
-    /// Whether a router may take it for a primary.
+    /// Whether a router may still treat the server as a primary.
     pub(super) fn was_primary(&self, now: Micros) -> bool {
         self.last_primary_at.is_some_and(|at| now - at < DEMOTION_GRACE)
     }
 
-    /// Whether a connection or a request of this moment ended with the process that had it.
+    /// Whether the process has crashed since this time, so that its connections and requests from then are
+    /// lost.
     pub(super) fn was_reset_since(&self, at: Micros) -> bool {
         at < self.reset_before
     }
@@ -94,7 +95,7 @@
         self.requests_in_progress < MAX_REQUESTS
     }
 
-    /// Accepts a request; when it is done.
+    /// Starts a request and returns when its execution finishes.
     pub(super) fn begin_request(&mut self, now: Micros) -> Micros {
         self.requests_in_progress += 1;
         let core = (0..CORES).min_by_key(|core| self.busy_until[*core]).unwrap_or(0);
@@ -117,13 +118,14 @@
     }
 }
 
-/// The servers and their links, shared with whoever plays the faults.
+/// The servers and their links, shared between the servers' thread and the code that injects faults.
 pub struct ServersState {
-    /// The servers.
+    /// The simulated servers of all groups.
     pub servers: Vec<Server>,
-    /// Faults by router, then by server.
+    /// The faults of the links, by router and then by server.
     link_faults: Vec<Vec<LinkFault>>,
-    /// Connections of these links that were opened before these moments are forgotten: the next byte brings a reset.
+    /// By router and then by server: connections of the link opened before this time are reset by the next
+    /// byte from the router.
     forgotten_before: Vec<Vec<Micros>>,
 }
 
@@ -138,22 +140,22 @@
         }
     }
 
-    /// The faults of a link.
+    /// Returns the faults of a link.
     pub fn link_fault(&self, link: LinkId) -> LinkFault {
         self.link_faults[link.router][link.server]
     }
 
-    /// The faults of a link, to be changed.
+    /// Returns a mutable reference to the faults of a link.
     pub fn link_fault_mut(&mut self, link: LinkId) -> &mut LinkFault {
         &mut self.link_faults[link.router][link.server]
     }
 
-    /// Forgets the connections of a router's links.
+    /// Makes the links of a router lose the state of their open connections.
     pub fn forget_connections(&mut self, router: usize, now: Micros) {
         self.forgotten_before[router].fill(now);
     }
 
-    /// Whether a connection of this link that was opened then is forgotten.
+    /// Whether the link has lost the state of a connection that was opened at this time.
     pub(super) fn is_forgotten(&self, link: LinkId, opened_at: Micros) -> bool {
         opened_at < self.forgotten_before[link.router][link.server]
     }
@@ -163,7 +165,7 @@
         alive.for_each(|server| server.advance_replication(now));
     }
 
-    /// The member of the server's group that has applied most becomes primary.
+    /// Promotes the live replica of the server's group with the highest replication position.
     pub(super) fn fail_over(&mut self, server: usize, now: Micros) {
         let group = self.servers[server].group;
         let members = self.servers.iter().enumerate().filter(|(_, member)| member.group == group);
--- a/soak/src/environment/servers/statement.rs
+++ b/soak/src/environment/servers/statement.rs
@@ -1,16 +1,16 @@
-//! Statements that servers are sent.
+//! Parses the statements that routers send to the servers.
 use crate::class::Class;
 use crate::environment::wire::pair;
 
-/// The statement that queries a server's load.
+/// The statement of a router's load query.
 const STATS_STATEMENT: &str = "SHOW stats";
 
-/// A statement, as far as a server reads it.
+/// A statement, as a simulated server interprets it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Statement {
     /// The empty query of a health check.
     Empty,
-    /// The question for the server's load.
+    /// The query for the server's load report.
     Stats,
     /// A client's request.
     Request(RequestStatement),
@@ -18,11 +18,11 @@
     WithoutId,
 }
 
-/// What a request's comment says.
+/// The values in the comment of a request's statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RequestStatement {
     pub(super) id: u64,
-    /// Its timeout in milliseconds; 0 where it carries none.
+    /// The request's timeout in milliseconds; 0 if the comment has none.
     pub(super) timeout_ms: i64,
     pub(super) class: Option<Class>,
 }
--- a/soak/src/environment/service_thread.rs
+++ b/soak/src/environment/service_thread.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::JoinHandle;
 
-/// Asks threads to end. Copies are the same signal.
+/// A flag that asks threads to stop. Clones share the flag.
 #[derive(Clone, Default)]
 pub(crate) struct StopSignal(Arc<AtomicBool>);
 
@@ -18,14 +18,14 @@
     }
 }
 
-/// A thread that is stopped and joined when this is dropped.
+/// A thread that is stopped and joined when this value is dropped.
 pub(super) struct ServiceThread {
     stop: StopSignal,
     thread: Option<JoinHandle<()>>,
 }
 
 impl ServiceThread {
-    /// Starts a thread whose work ends soon after its signal is set.
+    /// Starts a thread. `run` has to return soon after the stop signal is set.
     pub(super) fn spawn(
         name: &str,
         run: impl FnOnce(&StopSignal) + Send + 'static,
@@ -42,7 +42,7 @@
     fn drop(&mut self) {
         self.stop.set();
         if let Some(thread) = self.thread.take() {
-            // A panic of the thread has been printed by it.
+            // A panic has already been printed by the thread.
             _ = thread.join();
         }
     }
--- a/soak/src/environment/socket.rs
+++ b/soak/src/environment/socket.rs
@@ -1,29 +1,29 @@
-//! Sockets that don't block: reading and writing what can be, and closing with a reset.
+//! Non-blocking reads and writes, and closing a connection with a TCP reset.
 use mio::net::TcpStream;
 use socket2::SockRef;
 use std::io::{ErrorKind, Read, Write};
 use std::time::Duration;
 
-/// How many bytes are read at once.
+/// The size of the read buffer.
 const READ_BYTES: usize = 4096;
 
-/// How reading what there is has ended.
+/// Why reading the available bytes ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadEnd {
-    /// There is nothing more at the moment.
+    /// No more bytes are available at present.
     Drained,
-    /// The connection is over.
+    /// The connection is closed.
     Closed,
-    /// The receiver wants no more.
+    /// The receiver rejected the bytes.
     Refused,
 }
 
-/// Lets a connection end with a reset when it is dropped.
+/// Makes a connection close with a TCP reset when it is dropped.
 pub(super) fn reset(stream: &TcpStream) {
     _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Reads what there is, until `receive` returns `false`.
+/// Reads the available bytes until `receive` returns `false`.
 pub(super) fn read_available(stream: &mut TcpStream, mut receive: impl FnMut(&[u8]) -> bool) -> ReadEnd {
     let mut bytes = [0; READ_BYTES];
     loop {
@@ -38,7 +38,8 @@
     }
 }
 
-/// Writes what the system takes, and removes it; `false` where the connection is over.
+/// Writes as many bytes as the socket accepts and removes them from the buffer. Returns `false` if the
+/// connection is closed.
 pub(super) fn write_pending(stream: &mut TcpStream, outbound: &mut Vec<u8>) -> bool {
     while !outbound.is_empty() {
         match stream.write(outbound) {
--- a/soak/src/environment/wire.rs
+++ b/soak/src/environment/wire.rs
@@ -1,63 +1,63 @@
-//! The platform's messages (`PostgreSQL`'s protocol), as far as servers and clients of the soak use them.
+//! Encodes and decodes the messages of the `PostgreSQL` protocol that the simulated servers and clients use.
 
-/// Tags of messages.
+/// The tags of messages.
 pub mod tag {
-    /// A client's query.
+    /// `Query`: a client's statement.
     pub const QUERY: u8 = b'Q';
-    /// Authentication is over.
+    /// `AuthenticationOk`: the client is authenticated.
     pub const AUTHENTICATION: u8 = b'R';
-    /// The key that cancels the connection's requests.
+    /// `BackendKeyData`: the key with which the connection's requests can be cancelled.
     pub const BACKEND_KEY: u8 = b'K';
-    /// The end of a command.
+    /// `ReadyForQuery`: the end of a command.
     pub const READY: u8 = b'Z';
-    /// The description of a row.
+    /// `RowDescription`: the columns of the following rows.
     pub const ROW_DESCRIPTION: u8 = b'T';
-    /// A row.
+    /// `DataRow`: a row.
     pub const DATA_ROW: u8 = b'D';
-    /// A command was completed.
+    /// `CommandComplete`: a command has been executed.
     pub const COMMAND_COMPLETE: u8 = b'C';
-    /// An error.
+    /// `ErrorResponse`: an error.
     pub const ERROR: u8 = b'E';
-    /// A parameter's value.
+    /// `ParameterStatus`: the value of a parameter.
     pub const PARAMETER: u8 = b'S';
-    /// The answer to an empty query.
+    /// `EmptyQueryResponse`: the response to an empty query.
     pub const EMPTY_QUERY: u8 = b'I';
 }
 
-/// Fields of an error.
+/// The fields of an error message.
 pub mod error_fields {
-    /// Its severity.
+    /// The error's severity.
     pub const SEVERITY: char = 'S';
-    /// Its code.
+    /// The error's code.
     pub const CODE: char = 'C';
 }
 
 /// The severity of errors that end their connection.
 pub const FATAL: &str = "FATAL";
-/// Bytes of a backend key.
+/// The size of a backend key, in bytes.
 pub const KEY_BYTES: usize = 8;
 
-/// Bytes of a message's tag and length.
+/// The size of a message's tag and length field, in bytes.
 const HEAD_BYTES: usize = 5;
-/// Bytes of a length, which counts itself.
+/// The size of a length field, in bytes. The length includes the field itself.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of a request to cancel.
+/// The size of a cancel request, in bytes.
 const CANCEL_BYTES: u32 = 16;
-/// The code that a request to cancel has in place of a version.
+/// The code that a cancel request has in place of the protocol version.
 const CANCEL_CODE: u32 = 80_877_102;
-/// Bytes of a row with one column in front of its value.
+/// The number of bytes before the value in a row with one column.
 const ROW_HEAD_BYTES: usize = 6;
 
-/// A message that was received.
+/// A received message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its tag.
+    /// The message's tag.
     pub tag: u8,
-    /// What follows its length.
+    /// The bytes after the length field.
     pub body: Vec<u8>,
 }
 
-/// A message with its tag and length.
+/// Encodes a message with its tag and length.
 pub fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     [&[tag][..], &length_of(body), body].concat()
 }
@@ -66,22 +66,22 @@
     ((body.len() + LENGTH_BYTES) as u32).to_be_bytes()
 }
 
-/// A query.
+/// Encodes a query.
 pub fn query(statement: &str) -> Vec<u8> {
     message(tag::QUERY, format!("{statement}\0").as_bytes())
 }
 
-/// The end of a command.
+/// Encodes `ReadyForQuery`, the end of a command.
 pub fn ready() -> Vec<u8> {
     message(tag::READY, b"I")
 }
 
-/// The server's answer to a startup message.
+/// Encodes the server's response to a startup message.
 pub fn greeting() -> Vec<u8> {
     [message(tag::AUTHENTICATION, &[0; 4]), ready()].concat()
 }
 
-/// A row with one value.
+/// Encodes the response to a query with one row that has one value.
 pub fn row(value: &str) -> Vec<u8> {
     let cell = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), value.as_bytes()].concat();
     let column = [&[0, 1][..], b"body\0", &[0; 18]].concat();
@@ -93,28 +93,28 @@
     messages.concat()
 }
 
-/// An error of this code.
+/// Encodes an error with this code.
 pub fn error(code: &str) -> Vec<u8> {
     message(tag::ERROR, format!("SERROR\0C{code}\0Mno\0\0").as_bytes())
 }
 
-/// A parameter's name and value.
+/// Encodes a parameter's name and value.
 pub fn parameter(name: &str, value: &str) -> Vec<u8> {
     message(tag::PARAMETER, format!("{name}\0{value}\0").as_bytes())
 }
 
-/// The startup message of a client.
+/// Encodes the startup message of a client.
 pub fn startup() -> Vec<u8> {
     let body = b"\0\x03\0\0user\0worker\0database\0catalog\0\0";
     [&length_of(body)[..], body].concat()
 }
 
-/// The request to cancel what the connection of this key waits for.
+/// Encodes a cancel request for the connection with this backend key.
 pub fn cancel(key: &[u8]) -> Vec<u8> {
     [&CANCEL_BYTES.to_be_bytes()[..], &CANCEL_CODE.to_be_bytes(), key].concat()
 }
 
-/// Takes the first message off a buffer, once all of it is there.
+/// Removes the first message from a buffer, if it is complete.
 pub fn take_message(buffer: &mut Vec<u8>) -> Option<Message> {
     let [tag, length @ ..] = *buffer.first_chunk::<HEAD_BYTES>()?;
     let length = u32::from_be_bytes(length) as usize;
@@ -125,30 +125,30 @@
     Some(Message { tag, body: bytes[HEAD_BYTES..].to_vec() })
 }
 
-/// The length of the startup message at the front.
+/// Returns the length of the startup message at the start of the bytes.
 pub fn startup_length(bytes: &[u8]) -> Option<usize> {
     let length = u32::from_be_bytes(*bytes.first_chunk()?) as usize;
     Some(length.max(2 * LENGTH_BYTES))
 }
 
-/// The length of the message at the front, tag included.
+/// Returns the length of the message at the start of the bytes, including its tag.
 pub fn message_length(bytes: &[u8]) -> Option<usize> {
     let [_, length @ ..] = *bytes.first_chunk::<HEAD_BYTES>()?;
     Some(1 + (u32::from_be_bytes(length) as usize).max(LENGTH_BYTES))
 }
 
-/// The value of a row's only column.
+/// Returns the value of a row's only column.
 pub fn value(data_row: &[u8]) -> String {
     String::from_utf8_lossy(data_row.get(ROW_HEAD_BYTES..).unwrap_or_default()).into_owned()
 }
 
-/// A field of an error.
+/// Returns a field of an error message.
 pub fn error_field(body: &[u8], name: char) -> Option<String> {
     let text = String::from_utf8_lossy(body).into_owned();
     text.split('\0').find_map(|part| part.strip_prefix(name)).map(str::to_string)
 }
 
-/// The value of a pair in a statement's comment.
+/// Returns the value of a key-value pair in a statement's comment.
 pub fn pair<'a>(statement: &'a str, name: &str) -> Option<&'a str> {
     let comment = statement.split("/*").nth(1)?.split("*/").next()?;
     comment.split(',').find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('='))
--- a/soak/src/error.rs
+++ b/soak/src/error.rs
@@ -1,30 +1,30 @@
-//! Why a run could not be played.
+//! Errors that prevent a run.
 use std::fmt::{self, Display, Formatter};
 use std::io;
 use thiserror::Error;
 
-/// Why a run could not be played to its end.
+/// An error that prevented a run from starting or finishing.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A port, a folder, a thread or a process was not to be had.
+    /// A socket, a file or folder, a thread or a process could not be created or used.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Not every router of the platform answered before the load.
-    #[error("not ready before the load: {}", joined(.0))]
+    /// Not every router of the platform front responded to the readiness probe before the load.
+    #[error("routers not ready before the load: {}", joined(.0))]
     PlatformNotReady(Vec<LateRouter>),
-    /// Not every router of `serve` accepted clients before the load.
-    #[error("the routers were not ready before the load")]
+    /// Not every router of `serve` accepted client connections before the load.
+    #[error("not every router accepted client connections before the load")]
     ServeNotReady,
 }
 
-/// A router that was not ready in time.
+/// A router that was not ready within the timeout.
 #[derive(Clone, Debug)]
 pub struct LateRouter {
-    /// Its index.
+    /// The router's index.
     pub router: usize,
-    /// The address of its clients.
+    /// The router's address for clients.
     pub listen: std::net::SocketAddr,
-    /// The last lines of its log.
+    /// The last lines of the router's log.
     pub last_lines: String,
 }
 
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -1,108 +1,110 @@
-//! The faults that a run plays.
+//! The faults that a run injects.
 use serde::{Deserialize, Serialize};
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
 use thiserror::Error;
 
-/// What goes wrong.
+/// The kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// A router gets SIGTERM and is started again once it has ended.
+    /// A router receives SIGTERM and is restarted after it has exited.
     Term,
-    /// A router gets SIGKILL and is started again.
+    /// A router receives SIGKILL and is restarted.
     Kill,
-    /// A router is stopped for 0.15 s.
+    /// A router is paused with SIGSTOP for 0.15 s.
     PauseShort,
-    /// A router is stopped for seconds.
+    /// A router is paused with SIGSTOP for 1 to 2.5 s.
     PauseLong,
-    /// SIGHUPs in quick succession, with good and faulty files.
+    /// A router receives several SIGHUPs in quick succession, alternating between valid and invalid
+    /// configurations.
     Reload,
-    /// Discovery's agents keep the connections that are open and never write on them again; new ones are served.
+    /// Discovery agents keep their open connections but never write to them again; new connections work.
     DiscoverySilent,
-    /// Discovery's agents reset everything and refuse.
+    /// Discovery agents reset all open and new connections.
     DiscoveryDown,
-    /// Discovery's agents take long for each line.
+    /// Discovery agents delay each line.
     DiscoverySlow,
-    /// A server drains, terminates and is replaced by a cold one under another id.
+    /// A server drains, terminates, and is replaced by a cold server with another id.
     Drain,
-    /// A server's process dies and starts again cold.
+    /// A server process crashes and restarts cold.
     ServerRestart,
-    /// A server takes work and answers nothing.
+    /// A server executes requests but sends no responses.
     ServerHang,
-    /// A server resets its connections under requests.
+    /// A server resets connections in the middle of responses.
     ServerReset,
-    /// A server answers bytes that are no messages.
+    /// A server responds with bytes that are not valid messages.
     ServerGarbage,
     /// A replica stops applying the log.
     ServerLag,
-    /// A primary hangs, and a replica takes over.
+    /// A primary hangs, and a replica is promoted.
     Failover,
-    /// The link between a router and a server is silent in both directions.
+    /// The link between a router and a server blocks both directions.
     LinkCut,
-    /// The server receives what the router sends; its answers are lost.
+    /// The link forwards requests to the server but blocks the responses.
     LinkDeaf,
-    /// The link is slow.
+    /// The link delays requests.
     LinkDelay,
-    /// The link resets connections in the middle of answers.
+    /// The link resets connections in the middle of responses.
     LinkReset,
-    /// Answers arrive byte by byte.
+    /// The link delivers responses one byte at a time.
     LinkTrickle,
-    /// The link forgets its connections: the next byte on one brings a reset.
+    /// The link loses the state of its connections: the next byte that a router sends on one causes a reset.
     LinkForget,
-    /// Many clients disconnect in the middle of requests.
+    /// Clients disconnect or cancel while requests are pending.
     ClientsLeave,
-    /// Clients stall in the middle of a command.
+    /// Clients stop sending in the middle of a message.
     ClientsStall,
-    /// Clients send requests ahead of their answers.
+    /// Clients pipeline requests without waiting for the responses.
     ClientsPipeline,
-    /// Many new clients connect at once.
+    /// Many additional clients connect at once.
     ClientsFlood,
-    /// Every machine's wall clock is stepped, and back at the end.
+    /// The wall clocks of all routers and servers are stepped, and restored at the end.
     ClockAll,
-    /// One router's wall clock is stepped, and back at the end.
+    /// The wall clock of one router is stepped, and restored at the end.
     ClockOne,
-    /// System calls on sockets fail, are interrupted or cut short.
+    /// System calls on sockets fail, are interrupted, or transfer fewer bytes than requested.
     Syscalls,
-    /// No thread can be started.
+    /// Most attempts to start a thread fail.
     Threads,
-    /// Writes to and syncs of files fail.
+    /// Writes to files fail; on `serve`, syncs fail too.
     Disk,
-    /// Operators put a server in maintenance and back.
+    /// An operator puts a server in maintenance at one router, and restores it at the end.
     Maintenance,
 }
 
-/// A fault with its times and what it concerns.
+/// A fault with its start, its duration and its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedFault {
-    /// What goes wrong.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// When it begins, in milliseconds from the start of the load.
+    /// The start of the fault, in milliseconds after the start of the load.
     #[serde(rename = "at_ms")]
     pub start_ms: u64,
-    /// How long it lasts, in milliseconds. An odd length lets faults of links and agents concern every router.
+    /// The duration of the fault, in milliseconds. If it is odd, a fault of links or agents affects every
+    /// router.
     #[serde(rename = "for_ms")]
     pub duration_ms: u64,
-    /// The router concerned, where it is one.
+    /// The index of the affected router, for kinds that affect a router.
     #[serde(default)]
     pub router: usize,
-    /// The server concerned, where it is one.
+    /// The index of the affected server, for kinds that affect a server.
     #[serde(default)]
     pub server: usize,
-    /// The step of a clock in seconds; 0 for other kinds.
+    /// The step of the wall clock in seconds; 0 for kinds that do not step a clock.
     #[serde(default, rename = "amount")]
     pub clock_step_seconds: i64,
 }
 
 impl PlannedFault {
-    /// Whether it concerns the links or agents of every router.
+    /// Whether a fault of links or agents affects every router.
     pub fn concerns_all_routers(&self) -> bool {
         !self.duration_ms.is_multiple_of(2)
     }
 }
 
-/// The line that `damsonvale-lab soak --troubles` prints, in the words of the plans.
+/// The line that `damsonvale-lab soak --troubles` prints, with the names of keys in plans.
 impl Display for PlannedFault {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let PlannedFault { kind, start_ms, duration_ms, router, server, clock_step_seconds } = self;
@@ -114,7 +116,7 @@
     }
 }
 
-/// A name that is no fault.
+/// A name that is not a fault kind.
 #[derive(Debug, Error)]
 #[error("there is no trouble '{0}'; the names are those of soak/src/fault.rs, such as server_restart")]
 pub struct UnknownFault(String);
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -1,194 +1,196 @@
-//! What servers, clients and discovery have recorded, and what was done to the routers.
+//! The records of a run: requests, attempts, router processes, server state changes and discovery outages.
 use crate::class::Class;
 use crate::time::Micros;
 use std::fmt::{self, Display, Formatter};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// How a request ended for its client.
+/// The outcome of a request for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With this value.
+    /// The request was served with this value.
     Served(String),
-    /// With an error of this code.
+    /// The request failed with this error code.
     Error(String),
-    /// The connection ended without an answer.
+    /// The router closed the connection without a response.
     Closed,
-    /// The client closed its connection.
+    /// The client closed the connection before the response.
     Disconnected,
-    /// Not at all so far.
+    /// The request has no response yet.
     Pending,
 }
 
-/// Error codes with which a router rejects a request that it has not forwarded.
+/// Error codes of requests that a router rejects without forwarding them.
 const REJECTION_CODES: [&str; 2] = ["53300", "57P03"];
 
 impl Outcome {
-    /// Whether the router has rejected the request.
+    /// Whether the router rejected the request.
     pub fn is_rejection(&self) -> bool {
         matches!(self, Outcome::Error(code) if REJECTION_CODES.contains(&code.as_str()))
     }
 }
 
-/// One request, as its client observed it.
+/// A request, as its client observed it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id, unique in a run.
+    /// The request's id, unique in a run.
     pub id: u64,
-    /// The router that it was sent to.
+    /// The router that the request was sent to.
     pub router: usize,
-    /// Its client's connection, unique in a run.
+    /// The number of the client connection, unique in a run for the platform front; always 0 for `serve`.
     pub connection: u64,
-    /// When its connection was opened.
+    /// When the client connection was opened.
     pub connected_at: Micros,
-    /// How many requests its connection has carried before it.
+    /// The number of earlier requests on the connection. For `serve`: 1 if the connection was idle before the
+    /// request, else 0.
     pub sequence: usize,
-    /// Its class.
+    /// The request's class.
     pub class: Class,
-    /// Its group.
+    /// The request's replication group.
     pub group: usize,
-    /// When its last byte was written; [`Micros::MAX`] before.
+    /// When the request's last byte was written; [`Micros::MAX`] until then.
     pub sent_at: Micros,
-    /// How long its client waits.
+    /// The time within which the client expects the response.
     pub timeout: Micros,
-    /// The commit that it must see.
+    /// The commit time that a session read must see.
     pub required_commit: Option<Micros>,
-    /// How it ended.
+    /// The request's outcome.
     pub outcome: Outcome,
-    /// When it ended.
+    /// When the outcome was recorded.
     pub ended_at: Micros,
-    /// When its client cancelled it, if it did.
+    /// When the client cancelled the request.
     pub cancelled_at: Option<Micros>,
 }
 
-/// An attempt at a request, as a server and its link observed it.
+/// An attempt of a request, as a server and its link observed it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The request's id.
     pub id: u64,
-    /// The router that sent it.
+    /// The router that sent the attempt.
     pub router: usize,
-    /// The server.
+    /// The server that received the attempt.
     pub server: usize,
-    /// When its first byte arrived at the link.
+    /// When the attempt's first byte arrived at the link.
     pub first_byte_at: Micros,
-    /// When its last byte arrived at the link.
+    /// When the attempt's last byte arrived at the link.
     pub last_byte_at: Micros,
-    /// When all of it reached the server.
+    /// When the link had delivered the whole message to the server.
     pub reached_at: Option<Micros>,
-    /// The timeout that it carries, in milliseconds.
+    /// The timeout in the statement's comment, in milliseconds.
     pub timeout_ms: i64,
-    /// When it ran; `None` where it never did.
+    /// When the server executed the attempt; `None` if it never did.
     pub ran_at: Option<Micros>,
-    /// What the server had applied then.
+    /// The server's replication position at execution, or at arrival if the attempt was not executed.
     pub position: Micros,
-    /// The server was a primary not long ago, so that a router may still take it for one.
+    /// Whether the server was a primary recently enough that a router may still treat it as one.
     pub was_primary: bool,
 }
 
-/// Why a router's process does not serve.
+/// Why a router process does not serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbsenceReason {
-    /// Killed, until the next one is ready.
+    /// The process crashed or received SIGKILL; the absence ends when its successor is ready.
     Killed,
-    /// Shut down by SIGTERM, until the next one is ready.
+    /// The process received SIGTERM; the absence ends when its successor is ready.
     ShutDown,
-    /// Stopped by SIGSTOP.
+    /// The process is paused by SIGSTOP.
     Paused,
 }
 
-/// A span in which a router did not serve.
+/// A period in which a router did not serve.
 #[derive(Clone, Copy, Debug)]
 pub struct Absence {
-    /// Which router.
+    /// The router's index.
     pub router: usize,
-    /// Why.
+    /// The reason for the absence.
     pub reason: AbsenceReason,
-    /// From then.
+    /// The start of the absence.
     pub from: Micros,
-    /// Until then; [`Micros::MAX`] while it lasts.
+    /// The end of the absence; [`Micros::MAX`] while it lasts.
     pub to: Micros,
 }
 
-/// A server that must get nothing new any more.
+/// A server that must receive no new requests because it drains or is in maintenance.
 #[derive(Clone, Copy, Debug)]
 pub struct Withdrawal {
-    /// Which server.
+    /// The server's index.
     pub server: usize,
-    /// Which router was notified; `None` for all, by the list.
+    /// The router at which an operator withdrew the server; `None` if the endpoint list withdrew it for all
+    /// routers.
     pub router: Option<usize>,
-    /// When its agent had it, or the operator's call was answered.
+    /// When the discovery agents had the change, or when the operator's call was confirmed.
     pub notified_at: Micros,
-    /// Until when it holds; [`Micros::MAX`] while it does.
+    /// The end of the withdrawal; [`Micros::MAX`] while it lasts.
     pub until: Micros,
 }
 
-/// A server's start.
+/// The start of a server process.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerStart {
-    /// Which server.
+    /// The server's index.
     pub server: usize,
-    /// When it started.
+    /// When the server process started.
     pub at: Micros,
 }
 
-/// A span in which discovery's agent sent a router nothing, or late.
+/// A period in which a router's discovery agent sent no changes, or sent them late.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryOutage {
-    /// Which router.
+    /// The router's index.
     pub router: usize,
-    /// From then.
+    /// The start of the outage.
     pub from: Micros,
-    /// Until then; [`Micros::MAX`] while it lasts.
+    /// The end of the outage; [`Micros::MAX`] while it lasts.
     pub to: Micros,
 }
 
-/// What a router's process used at some moment.
+/// The resource usage of a router process at one time.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// Which router.
+    /// The router's index.
     pub router: usize,
-    /// When.
+    /// When the sample was taken.
     pub at: Micros,
-    /// Open descriptors.
+    /// The number of open file descriptors.
     pub descriptors: usize,
-    /// Threads.
+    /// The number of threads.
     pub threads: usize,
-    /// Resident memory in KiB.
+    /// The resident memory in KiB.
     pub resident_kb: usize,
-    /// Processor time since its start.
+    /// The CPU time since the process started.
     pub cpu: Micros,
-    /// Which of the router's processes it is.
+    /// The number of the process among the router's processes, counted from 1.
     pub incarnation: usize,
 }
 
-/// A client that stalled in the middle of a command.
+/// A client that stopped sending in the middle of a message.
 #[derive(Clone, Copy, Debug)]
 pub struct Stall {
-    /// The router.
+    /// The router that the client was connected to.
     pub router: usize,
-    /// When it stalled.
+    /// When the client stalled.
     pub from: Micros,
     /// When the connection was closed.
     pub to: Micros,
-    /// Whether it was the router that closed it.
+    /// Whether the router closed the connection.
     pub closed_by_router: bool,
 }
 
-/// Answers that arrived out of order, twice or for nobody.
+/// A response that does not belong to the client's oldest pending request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UnexpectedAnswer {
-    /// No request of the connection waited for an answer.
+    /// A response arrived on a connection without pending requests.
     Unsolicited {
-        /// The connection.
+        /// The number of the client connection.
         connection: u64,
-        /// What arrived; `None` for the end of a command without any.
+        /// The response; `None` if only the end of a command (`ReadyForQuery`) arrived.
         answer: Option<Outcome>,
     },
-    /// The value belongs to another request.
+    /// The response's value belongs to another request.
     Foreign {
         /// The request's id.
         request: u64,
-        /// The value that it got.
+        /// The value in the response.
         value: String,
     },
 }
@@ -206,12 +208,12 @@
     }
 }
 
-/// A router's process that ended by itself or did not start, with what is known of the cause.
+/// A router process that crashed or did not start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouterFailure {
-    /// Which router.
+    /// The router's index.
     pub router: usize,
-    /// Lines of its log, or the system's error.
+    /// Lines of the router's log, or the error of the operating system.
     pub detail: String,
 }
 
@@ -221,98 +223,98 @@
     }
 }
 
-/// The program's own count of one violated invariant.
+/// The router's own counter of one violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvariantViolations {
-    /// Which router.
+    /// The router's index.
     pub router: usize,
     /// The invariant's name on `/metrics`.
     pub invariant: String,
-    /// How often it was violated.
+    /// The number of violations.
     pub count: u64,
 }
 
-/// A read of a session (`serve`).
+/// A read in a session (`serve`).
 #[derive(Clone, Debug)]
 pub struct SessionRead {
-    /// The session.
+    /// The session's name.
     pub session: String,
-    /// The newest write of the session that was confirmed before the read was sent.
+    /// The number of the session's last write that was confirmed before the read was sent.
     pub confirmed: u64,
-    /// The newest write that the read showed.
+    /// The number of the last write that the read returned.
     pub observed: u64,
-    /// When it was sent.
+    /// When the read was sent.
     pub at: Micros,
 }
 
-/// The writes of a session that the servers have run (`serve`).
+/// The writes of a session that the servers executed (`serve`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionWrites {
-    /// The session.
+    /// The session's name.
     pub session: String,
-    /// Their numbers, in the order of their commits.
+    /// The numbers of the writes, in commit order.
     pub numbers: Vec<u64>,
 }
 
-/// What was confirmed of the store, and what it had at the end (`serve`).
+/// The last confirmed change of the store, and the store's state at the end (`serve`).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreRecord {
-    /// The last number that was confirmed.
+    /// The number of the last confirmed change.
     pub confirmed: u64,
-    /// The key's number at the end.
+    /// The number read from the store at the end.
     pub found: Option<u64>,
     /// Whether the store accepted changes again at the end.
     pub recovered: bool,
 }
 
-/// What was recorded in one run.
+/// The records of one run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Requests.
+    /// The clients' requests.
     pub requests: Vec<Request>,
-    /// Attempts.
+    /// The attempts that reached the servers.
     pub attempts: Vec<Attempt>,
-    /// Spans in which routers did not serve.
+    /// Periods in which routers did not serve.
     pub absences: Vec<Absence>,
-    /// Servers that were withdrawn.
+    /// Withdrawals of servers.
     pub withdrawals: Vec<Withdrawal>,
-    /// Starts of servers.
+    /// Starts of server processes.
     pub server_starts: Vec<ServerStart>,
-    /// Spans in which discovery did not notify routers in time.
+    /// Periods in which discovery did not notify routers in time.
     pub discovery_outages: Vec<DiscoveryOutage>,
-    /// Samples of processes.
+    /// Resource usage samples of router processes.
     pub samples: Vec<Sample>,
-    /// Stalled clients.
+    /// Clients that stalled in the middle of a message.
     pub stalls: Vec<Stall>,
-    /// Answers that arrived out of order, twice or for nobody.
+    /// Responses that do not match a pending request.
     pub unexpected_answers: Vec<UnexpectedAnswer>,
-    /// Processes that ended by themselves, and the last lines of their logs.
+    /// Router processes that crashed, with the last lines of their logs.
     pub crashes: Vec<RouterFailure>,
-    /// Processes that were not ready in time.
+    /// Router processes that did not start or were not ready in time.
     pub failed_starts: Vec<RouterFailure>,
-    /// The program's own counts of violated invariants.
+    /// The routers' own counters of violated invariants.
     pub invariant_violations: Vec<InvariantViolations>,
-    /// Reads of sessions (`serve`).
+    /// Reads in sessions (`serve`).
     pub session_reads: Vec<SessionRead>,
-    /// The writes that the servers have run, by session (`serve`).
+    /// The writes that the servers executed, by session (`serve`).
     pub session_writes: Vec<SessionWrites>,
-    /// The store (`serve`).
+    /// The last confirmed change and the final state of the store (`serve`).
     pub store: Option<StoreRecord>,
     /// When the load ended.
     pub load_ended_at: Micros,
 }
 
-/// The history while it is written. Copies write the same one.
+/// A shared handle to the history of a run in progress. Clones write to the same history.
 #[derive(Clone, Default)]
 pub struct Recorder(Arc<Mutex<History>>);
 
 impl Recorder {
-    /// The history, for as long as the guard lives.
+    /// Locks the history.
     pub fn lock(&self) -> MutexGuard<'_, History> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes what was recorded, and leaves nothing.
+    /// Takes the history and leaves an empty one.
     pub fn take(&self) -> History {
         std::mem::take(&mut self.lock())
     }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,19 +1,21 @@
-//! A randomized soak test: real router processes on loopback, with simulated servers, discovery and clients, under faults
-//! that are drawn from a seed and overlap.
+//! A randomized soak test. It runs real router processes on loopback against simulated servers, discovery
+//! agents and clients, and injects overlapping faults that are generated from a seed.
 //!
-//! - [`plan`]: what a run plays. [`fault`]: which faults there are. [`draw`]: how a seed draws them.
-//! - [`environment`]: the servers and their links, the discovery agents and the clients of the platform's front. A link is a
-//!   fault proxy: every byte that a router writes is stamped when it arrives, and may then be delayed, trickled, lost,
-//!   reset or forgotten on its way to the server behind it.
-//! - [`router`]: the processes, with the preloaded library of the package `faults` in each.
-//! - [`mod@play`]: one run, by way of [`platform`] or [`serve`], the two fronts.
-//! - [`history`]: what a run records.
-//! - [`oracle`]: reads the records of servers, clients and discovery, never the program's own log, and names each promise
-//!   that was broken. The program's own count of violated invariants is read besides.
-//! - [`report`]: the figures of a run.
-//! - [`reduce`]: leaves out faults of a failing run while it still fails.
+//! - [`plan`]: the description of a run. [`fault`]: the kinds of faults. [`draw`]: generates faults from a
+//!   seed.
+//! - [`environment`]: the servers with their links, the discovery agents, and the clients of the platform
+//!   front. A link is a fault-injecting proxy between a router and a server: it timestamps the bytes that the
+//!   router writes, and can delay or block them, deliver responses one byte at a time, or reset connections.
+//! - [`router`]: the router processes, each with the preloaded library of the package `faults`.
+//! - [`mod@play`]: executes one run on the front that the plan names: [`platform`] or [`serve`].
+//! - [`history`]: the records of a run.
+//! - [`oracle`]: checks the records of servers, clients and discovery against the router's promises, without
+//!   reading the router's own log. It also checks the router's own counters of violated invariants.
+//! - [`report`]: the statistics of a run.
+//! - [`reduce`]: minimizes the faults of a failing run.
 //!
-//! Every child process is ended at the end of a run, also after a panic; the load is bounded in rate and time.
+//! Every child process is killed at the end of a run, also after a panic. The load is bounded in rate and
+//! duration.
 pub mod class;
 pub mod draw;
 pub mod environment;
--- a/soak/src/oracle/mod.rs
+++ b/soak/src/oracle/mod.rs
@@ -1,4 +1,4 @@
-//! The oracles: each reads the history and names what broke one promise, with ids and times.
+//! The oracles: checks of a run's history that report each broken promise with ids and times.
 mod processes;
 mod promise;
 mod requests;
@@ -12,7 +12,7 @@
 use crate::history::History;
 use std::collections::BTreeSet;
 
-/// Everything that the history breaks.
+/// Returns every breach in a history.
 pub fn check(history: &History) -> Vec<Breach> {
     let mut breaches = requests::check(history);
     breaches.extend(servers::check(history));
@@ -21,7 +21,7 @@
     breaches
 }
 
-/// Which promises were broken.
+/// Returns the promises that the breaches broke.
 pub fn promises(breaches: &[Breach]) -> BTreeSet<Promise> {
     breaches.iter().map(|breach| breach.promise).collect()
 }
--- a/soak/src/oracle/processes.rs
+++ b/soak/src/oracle/processes.rs
@@ -1,4 +1,5 @@
-//! Oracles on processes: ends, starts, what they use, and the violations that they count themselves.
+//! Oracles on router processes: crashes, starts, resource usage, and the routers' own counters of violated
+//! invariants.
 use super::promise::{Breach, Promise};
 use super::spans::{absences_of, seconds};
 use crate::history::{AbsenceReason, History, Sample};
@@ -6,18 +7,18 @@
 use crate::time::{Micros, SECOND};
 use std::collections::HashMap;
 
-/// Most threads of one process: a thread for each descriptor, and a few for the process itself.
+/// The maximum number of threads in one process: one for each descriptor, and 32 for the process itself.
 const MAX_THREADS: usize = MAX_SOCKETS + 32;
-/// Invariants that a stopped process violates without a fault of its own.
+/// Invariants that a router violates through no fault of its own when its process was paused.
 const TIMING_INVARIANTS: [&str; 3] = ["response_in_time", "request_forgotten", "repeat_window"];
-/// A router has to bear pauses up to this length.
+/// The longest pause after which a router must still satisfy its invariants.
 const BEARABLE_PAUSE: Micros = 300_000;
-/// A process that uses this share of a core for [`SPIN_TIME`] spins.
+/// A process that uses more than this share of a core over [`SPIN_TIME`] counts as busy-looping.
 const SPIN_SHARE: f64 = 0.95;
-/// See [`SPIN_SHARE`].
+/// The time over which [`SPIN_SHARE`] applies.
 const SPIN_TIME: Micros = 6 * SECOND;
 
-/// One process of a router.
+/// Identifies a process of a router.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct ProcessId {
     router: usize,
@@ -39,7 +40,8 @@
     let mut breaches = Vec::new();
     for violations in &history.invariant_violations {
         let (router, name, count) = (violations.router, violations.invariant.as_str(), violations.count);
-        // A process that was stopped for long has answered nothing meanwhile: the other oracles allow for it.
+        // A process that was paused for long could not respond in time; the other oracles subtract pauses,
+        // too.
         if TIMING_INVARIANTS.contains(&name) && was_paused_for_long(history, router) {
             continue;
         }
@@ -73,7 +75,7 @@
     spins.collect()
 }
 
-/// The first time that a process spins.
+/// Returns a breach for the first period in which a process busy-loops.
 fn find_spin(process: ProcessId, samples: &[&Sample]) -> Option<Breach> {
     samples.iter().enumerate().find_map(|(index, first)| {
         let last = samples[index..].iter().find(|later| later.at >= first.at + SPIN_TIME)?;
--- a/soak/src/oracle/promise.rs
+++ b/soak/src/oracle/promise.rs
@@ -1,51 +1,52 @@
-//! The promises that oracles watch, and their breaches.
+//! The promises that the oracles check, and their breaches.
 use std::fmt::{self, Display, Formatter};
 
-/// A promise of `docs/promises.md` that an oracle watches.
+/// A promise of `docs/promises.md` that an oracle checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Promise {
-    /// A request that was accepted gets its final answer.
+    /// Every accepted request gets a final response.
     Lost,
-    /// It gets it in time.
+    /// The final response arrives in time.
     Late,
-    /// Answers are the server's own, one for each request, in order.
+    /// Each request gets exactly one response, its own, in order.
     ForeignAnswer,
-    /// Nothing begins for a client that has disconnected or cancelled.
+    /// No attempt starts after the client has disconnected or cancelled the request.
     SentAfterDisconnect,
-    /// What must not run twice does not.
+    /// A request that must not run twice runs at most once.
     RanTwice,
-    /// A repeat stays within its window.
+    /// A repeated keyed write runs within the group's deduplication window.
     RanOutsideWindow,
     /// A rejected request has not run.
     RejectedButRan,
-    /// A server gets no longer timeout than the client has left.
+    /// The timeout sent to a server does not exceed the client's remaining time.
     TimeoutTooLong,
-    /// A withdrawn server gets nothing new.
+    /// A server that drains or is in maintenance receives no new requests.
     Drain,
-    /// A cold server is not overloaded.
+    /// A server that is warming up is not overloaded.
     SlowStart,
-    /// No read is older than its class allows.
+    /// No read returns data older than its class allows.
     Stale,
-    /// A client that stalls is disconnected.
+    /// The router disconnects a client that stalls.
     StalledClientNotClosed,
-    /// A process does not end by itself.
+    /// A router process does not crash.
     Crash,
-    /// A process is ready in time.
+    /// A router process is ready in time.
     Start,
-    /// Descriptors, threads and memory stay bounded.
+    /// A router's descriptors, threads and memory stay within their limits.
     Limits,
-    /// No process spins.
+    /// No router process busy-loops.
     Cpu,
-    /// The program's own count of violated invariants is 0.
+    /// The router's own counters of violated invariants are 0.
     Invariant,
-    /// A session's read sees its writes (`serve`).
+    /// A read in a session sees the session's confirmed writes (`serve`).
     SessionStale,
-    /// A confirmed change of the store lasts (`serve`).
+    /// A confirmed change of the store is not lost, and the store accepts changes again after faults
+    /// (`serve`).
     StoreLost,
 }
 
 impl Promise {
-    /// Its name in reports and in `docs/promises.md`.
+    /// The promise's name in reports and in `docs/promises.md`.
     pub fn name(self) -> &'static str {
         match self {
             Promise::Lost => "lost",
@@ -71,17 +72,17 @@
     }
 }
 
-/// One broken promise.
+/// A broken promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// Which promise.
+    /// The promise that was broken.
     pub promise: Promise,
     /// What happened, with ids and times in seconds.
     pub text: String,
 }
 
 impl Breach {
-    /// A breach of a promise.
+    /// Creates a breach of a promise.
     pub fn new(promise: Promise, text: impl Into<String>) -> Breach {
         Breach { promise, text: text.into() }
     }
--- a/soak/src/oracle/requests.rs
+++ b/soak/src/oracle/requests.rs
@@ -1,4 +1,4 @@
-//! Oracles on requests: answers, repeats, times.
+//! Oracles on requests: responses, rejections, repeats, timeouts and stalled clients.
 use super::promise::{Breach, Promise};
 use super::spans::{SLACK, absences_of, paused_time, seconds, was_absent};
 use crate::class::{Class, REPEAT_WINDOW};
@@ -6,19 +6,22 @@
 use crate::time::{MILLISECOND, Micros, SECOND};
 use std::collections::HashMap;
 
-/// A final answer later than this after the client's time is lost.
+/// A response later than this after the client's timeout counts as late, a missing response as lost.
 const LOST_AFTER: Micros = 500_000;
-/// An attempt must not begin later than this after its client disconnected.
+/// An attempt must not start later than this after its client has disconnected or cancelled.
 const START_AFTER_DISCONNECT: Micros = 100_000;
-/// What scheduling may add to that: clients and servers are recorded by one process, so only the router's counts.
+/// The scheduling delay added to [`START_AFTER_DISCONNECT`]. It is less than [`SLACK`], because one process
+/// records clients and servers, so only the router's scheduling delay counts.
 const DISCONNECT_SLACK: Micros = 100_000;
-/// A server's timeout may be so much longer than what the client has left.
+/// The tolerance by which the timeout sent to a server may exceed the client's remaining time.
 const TIMEOUT_SLACK: Micros = 150_000;
-/// A connection that the router ends may cross a request that was sent this short a time before.
+/// A router may close an idle connection while a request is on its way that was sent at most this long
+/// before.
 const CROSSING_TIME: Micros = 150_000;
-/// From so long after SIGTERM on, a router may close connections with unread requests.
+/// How long after SIGTERM a router has to serve its clients; later it may close connections with unread
+/// requests.
 const SERVED_AFTER_TERM: Micros = 500_000;
-/// A stalled client has to be disconnected within this time.
+/// The time within which a router has to disconnect a stalled client.
 const STALL_TIMEOUT: Micros = 3 * SECOND;
 
 pub(super) fn check(history: &History) -> Vec<Breach> {
@@ -37,7 +40,7 @@
     breaches
 }
 
-/// A client that stalls has to be disconnected, unless its router was gone.
+/// Checks that the router disconnected a stalled client, unless the router was killed or shut down meanwhile.
 fn check_stall(history: &History, stall: &Stall) -> Option<Breach> {
     let Stall { router, from, to, closed_by_router } = *stall;
     let open_time = to - from - paused_time(history, router, from, to);
@@ -49,7 +52,7 @@
     is_breach.then(|| Breach::new(Promise::StalledClientNotClosed, text()))
 }
 
-/// One request, with its attempts.
+/// Checks one request with its attempts.
 struct RequestOracle<'a> {
     history: &'a History,
     request: &'a Request,
@@ -77,7 +80,7 @@
         Breach::new(promise, text)
     }
 
-    /// For how long the router was stopped since the request was sent.
+    /// Returns how long the router was paused between the sending of the request and this time.
     fn paused_until(&self, to: Micros) -> Micros {
         paused_time(self.history, self.request.router, self.request.sent_at, to)
     }
@@ -102,7 +105,8 @@
     fn check_lateness(&self) -> Option<Breach> {
         let ended_at = self.request.ended_at;
         let late = ended_at - self.deadline() - self.paused_until(ended_at);
-        // Time spent behind the answers before it does not count: those had theirs.
+        // Only the first request of a connection is checked: a later one may have waited for earlier
+        // responses.
         let is_late = late > LOST_AFTER + SLACK && self.request.sequence == 0;
         let text = || format!("answered {} after its time", seconds(late));
         is_late.then(|| self.breach(Promise::Late, &text()))
@@ -133,18 +137,20 @@
         Some(self.breach(Promise::Lost, &text))
     }
 
-    /// Whether the router may have closed the connection without having read the request.
+    /// Whether the router was allowed to close the connection without reading the request.
     fn is_close_excused(&self) -> bool {
         let Request { sequence, sent_at, ended_at, .. } = *self.request;
         match self.shutting_down_since(ended_at) {
-            // The platform's front deals out no connections any more, and clients resend what crosses an end.
+            // The platform no longer directs clients to this router, and clients resend requests that cross a
+            // shutdown.
             Some(since) => sent_at > since + SERVED_AFTER_TERM - SLACK,
             None => sequence > 0 && ended_at - sent_at < CROSSING_TIME + self.paused_until(ended_at),
         }
     }
 
-    /// Whether the request was sent on a connection whose process is no more: killed, or ended after it had served its
-    /// clients for the time it owes them. The process there is now never accepted that connection.
+    /// Whether the request was sent on a connection whose process no longer exists, because it was killed or
+    /// because it had shut down after serving its clients for [`SERVED_AFTER_TERM`]. Its successor never
+    /// accepted that connection.
     fn is_process_gone(&self) -> bool {
         let Request { router, connected_at, sent_at, ended_at, .. } = *self.request;
         absences_of(self.history, router)
@@ -156,7 +162,7 @@
             })
     }
 
-    /// When the router got SIGTERM, where it is shutting down at this moment.
+    /// Returns when the router received SIGTERM, if it was shutting down at this time.
     fn shutting_down_since(&self, at: Micros) -> Option<Micros> {
         absences_of(self.history, self.request.router)
             .filter(|absence| absence.reason == AbsenceReason::ShutDown)
@@ -192,7 +198,7 @@
         }
     }
 
-    /// When the client disconnected or cancelled.
+    /// Returns when the client disconnected or cancelled the request.
     fn abandoned_at(&self) -> Option<Micros> {
         match self.request.outcome {
             Outcome::Disconnected => Some(self.request.ended_at),
@@ -200,7 +206,7 @@
         }
     }
 
-    /// No attempt begins once the client has disconnected or cancelled.
+    /// Checks that no attempt started after the client had disconnected or cancelled.
     fn check_start(&self, attempt: &Attempt) -> Option<Breach> {
         let abandoned_at = self.abandoned_at()?;
         let at = attempt.first_byte_at;
@@ -212,7 +218,7 @@
         Some(self.breach(Promise::SentAfterDisconnect, &text))
     }
 
-    /// No server gets a longer timeout than the client has left.
+    /// Checks that the timeout sent to the server does not exceed the client's remaining time.
     fn check_timeout(&self, attempt: &Attempt) -> Option<Breach> {
         let remaining = self.deadline() - attempt.last_byte_at;
         let excess = attempt.timeout_ms * MILLISECOND - remaining;
--- a/soak/src/oracle/serve.rs
+++ b/soak/src/oracle/serve.rs
@@ -1,4 +1,4 @@
-//! Oracles on `serve`: sessions, writes that must not run twice, the store.
+//! Oracles on `serve`: session reads, writes that must not run twice, and the store.
 use super::promise::{Breach, Promise};
 use super::spans::seconds;
 use crate::history::{History, SessionRead, SessionWrites, StoreRecord};
--- a/soak/src/oracle/servers.rs
+++ b/soak/src/oracle/servers.rs
@@ -1,4 +1,4 @@
-//! Oracles on servers: drains, slow start, the age of data.
+//! Oracles on servers: drains, slow start and data age.
 use super::promise::{Breach, Promise};
 use super::spans::{SLACK, absences_of, paused_time, seconds};
 use crate::class::{Class, MAX_DATA_AGE};
@@ -8,15 +8,16 @@
 use crate::time::{MILLISECOND, Micros, SECOND};
 use std::collections::HashMap;
 
-/// A new process knows what its agent has by then, counted from when it is ready.
+/// The time after its readiness within which a new router process must know the changes of its discovery
+/// agent.
 const NOTIFIED_AFTER_START: Micros = 1_000_000;
-/// What an answer shows counts as known this long after it was written.
+/// The delay after which a router is assumed to know a replication position.
 const KNOWN_AFTER: Micros = 100_000;
-/// A start is listed this long after it.
+/// The delay between a server's start and its entry in the endpoint list.
 const LIST_LAG: Micros = 200_000;
-/// For how long after a start the budget is checked.
+/// How long after a server's start its request budget is checked.
 const WARM_UP_TIME: Micros = COLD_MS as Micros * MILLISECOND;
-/// Below this many calls a window, chance decides more, and the budget allows for more of it.
+/// Below this many requests per window, random variation is larger and the budget has a wider tolerance.
 const FEW_CALLS: f64 = 30.0;
 
 pub(super) fn check(history: &History) -> Vec<Breach> {
@@ -27,10 +28,10 @@
     breaches
 }
 
-/// When at the latest a router was notified of a withdrawal.
+/// Returns the latest time at which a router was notified of a withdrawal.
 fn notified_at(history: &History, withdrawal: &Withdrawal, router: usize) -> Micros {
     let mut notified_at = withdrawal.notified_at;
-    // Each outage of discovery may put it off, and so may a process that was not there.
+    // Each discovery outage and each absence of the router's process may delay the notification.
     loop {
         let outages = history.discovery_outages.iter().filter(|outage| outage.router == router);
         let after_outage =
@@ -60,7 +61,7 @@
 
 fn check_drained_attempt(history: &History, withdrawal: &Withdrawal, attempt: &Attempt) -> Option<Breach> {
     let at = attempt.first_byte_at;
-    // A process that starts anew reads its own state and list first.
+    // A process that restarts may learn of the withdrawal later.
     let notified_at = notified_at(history, withdrawal, attempt.router);
     let paused = paused_time(history, attempt.router, notified_at, at);
     if at <= notified_at + DRAIN_GRACE + SLACK + paused {
@@ -77,14 +78,16 @@
     Some(Breach::new(Promise::Drain, text))
 }
 
-/// How many calls of mean work a server may get in a window at this age before it is overloaded.
+/// Returns the number of average requests that a server may receive within a window, at this time after its
+/// start, before it counts as overloaded.
 fn budget(age: Micros) -> f64 {
     let share = COLD_CAPACITY + (1.0 - COLD_CAPACITY) * (age as f64 / WARM_UP_TIME as f64).min(1.0);
     let calls = OVERLOAD_FACTOR * share * CAPACITY * OVERLOAD_WINDOW as f64 / SECOND as f64;
     if calls < FEW_CALLS { calls + 3.0 * calls.sqrt() + 3.0 } else { calls + 2.0 * calls.sqrt() + 2.0 }
 }
 
-/// The first window after a start in which the server got more than its budget.
+/// Returns a breach for the first window after a start in which the server received more requests than its
+/// budget.
 fn check_slow_start(history: &History, start: &ServerStart) -> Option<Breach> {
     let times = attempts_while_cold(history, start);
     times.iter().enumerate().find_map(|(first, from)| {
@@ -103,8 +106,8 @@
     })
 }
 
-/// When attempts arrived at a server that was warming up, in order. What was sent by routers that were notified of the start
-/// counts.
+/// Returns the arrival times, in order, of the attempts at a server that was warming up. Only attempts of
+/// routers that had been notified of the start count.
 fn attempts_while_cold(history: &History, start: &ServerStart) -> Vec<Micros> {
     let (listed_at, warm_at) = (start.at + LIST_LAG + SLACK, start.at + WARM_UP_TIME);
     let is_notified = |attempt: &&Attempt| {
@@ -133,7 +136,7 @@
     history.requests.iter().filter_map(age_of).collect()
 }
 
-/// Checks the age of the data that a request was answered from.
+/// Checks the age of the data in a response.
 fn check_age(request: &Request, attempt: &Attempt) -> Option<Breach> {
     let required = required_position(request, attempt)?;
     if attempt.position >= required || attempt.was_primary {
@@ -151,7 +154,7 @@
     Some(Breach::new(Promise::Stale, text))
 }
 
-/// Up to where a read has to see commits.
+/// Returns the replication position that a read has to see at least.
 fn required_position(request: &Request, attempt: &Attempt) -> Option<Micros> {
     match request.class {
         Class::Bounded => Some(attempt.last_byte_at - MAX_DATA_AGE - KNOWN_AFTER - SLACK),
--- a/soak/src/oracle/spans.rs
+++ b/soak/src/oracle/spans.rs
@@ -1,21 +1,21 @@
-//! Spans of a history in which routers were absent, and how times are shown.
+//! Periods of a history in which routers were absent, and the formatting of times.
 use crate::history::{Absence, AbsenceReason, History};
 use crate::time::{Micros, SECOND};
 
-/// What the machine's scheduling may add to any time.
+/// The tolerance for scheduling delays of the test machine, added to every limit.
 pub const SLACK: Micros = 200_000;
 
-/// Seconds, for texts.
+/// Formats a time in seconds.
 pub(super) fn seconds(at: Micros) -> String {
     format!("{:.3} s", at as f64 / SECOND as f64)
 }
 
-/// The absences of a router.
+/// Returns the absences of a router.
 pub(super) fn absences_of(history: &History, router: usize) -> impl Iterator<Item = &Absence> {
     history.absences.iter().filter(move |absence| absence.router == router)
 }
 
-/// Whether a router was absent for one of these reasons at some moment of a span.
+/// Whether a router was absent for one of these reasons at any time within a period.
 pub(super) fn was_absent(
     history: &History,
     router: usize,
@@ -28,7 +28,7 @@
         .any(|absence| absence.from <= to && from <= absence.to)
 }
 
-/// For how long a router was stopped within a span.
+/// Returns how long a router was paused within a period.
 pub(super) fn paused_time(history: &History, router: usize, from: Micros, to: Micros) -> Micros {
     absences_of(history, router)
         .filter(|absence| absence.reason == AbsenceReason::Paused)
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,50 +1,51 @@
-//! Plans: what a run plays, as a TOML file.
+//! Plans: TOML files that describe a run's routers, servers, clients and faults.
 use crate::fault::PlannedFault;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use thiserror::Error;
 
-/// Most routers of a plan.
+/// The maximum number of routers in a plan.
 const MAX_ROUTERS: usize = 40;
-/// Most servers of a plan.
+/// The maximum number of servers in a plan.
 const MAX_SERVERS: usize = 30;
-/// Longest load of a plan, in seconds.
+/// The maximum duration of a plan's load, in seconds.
 const MAX_SECONDS: u64 = 3600;
-/// Most clients of a plan.
+/// The maximum number of clients in a plan.
 const MAX_CLIENTS: usize = 400;
 
-/// Which front the routers run.
+/// The front that the routers run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Front {
-    /// The platform's front, with discovery and simulated servers of the platform.
+    /// The platform front: it speaks the `PostgreSQL` protocol, and discovery provides its list of simulated
+    /// servers.
     Platform,
-    /// `serve`: the `MySQL` front with sessions and a replicated store.
+    /// The `MySQL` front (`serve`), with sessions and a replicated store.
     Serve,
 }
 
-/// A plan.
+/// A run's configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Plan {
-    /// The front.
+    /// The front that the routers run.
     pub front: Front,
-    /// Routers; at most 40.
+    /// The number of routers, at most 40.
     pub routers: usize,
-    /// Groups of servers, each a primary and its replicas.
+    /// The number of replication groups, each with a primary and its replicas.
     pub groups: usize,
-    /// Replicas of each group.
+    /// The number of replicas in each group.
     pub replicas: usize,
-    /// How long the load and the faults last, in seconds.
+    /// The duration of the load, in seconds.
     pub seconds: u64,
-    /// Clients of all routers together.
+    /// The total number of clients of all routers.
     pub clients: usize,
-    /// A client's pause between two requests, in milliseconds on average.
+    /// The average pause of a client between two requests, in milliseconds.
     pub think_ms: u64,
-    /// Faults that are drawn for each ten seconds.
+    /// The number of faults drawn per ten seconds of load.
     #[serde(rename = "troubles_per_ten_seconds")]
     pub faults_per_ten_seconds: usize,
-    /// Faults to play instead of drawn ones.
+    /// Faults to inject; if empty, faults are generated from the seed.
     #[serde(rename = "trouble")]
     pub faults: Vec<PlannedFault>,
 }
@@ -65,35 +66,35 @@
     }
 }
 
-/// Why a plan can't be played.
+/// Why a plan can't be used.
 #[derive(Debug, Error)]
 pub enum PlanError {
-    /// The file can't be read.
+    /// The plan's file can't be read.
     #[error("{path}: {source}")]
     Read {
-        /// The file.
+        /// The path of the plan's file.
         path: String,
-        /// The system's error.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// It is no plan.
+    /// The file is not a valid plan.
     #[error("{path}: {source}")]
     Toml {
-        /// The file.
+        /// The path of the plan's file.
         path: String,
-        /// What is wrong, with the line.
+        /// The parser's error, with the line number.
         source: Box<toml::de::Error>,
     },
-    /// A value is out of its bounds.
+    /// A value of the plan is out of bounds.
     #[error("expected {0}")]
     OutOfBounds(&'static str),
 }
 
 impl Plan {
-    /// Reads a plan.
+    /// Reads a plan from a file and checks its values.
     ///
     /// # Errors
-    /// [`PlanError`], which names the file and the key.
+    /// The file can't be read, is not a valid plan, or has a value out of bounds.
     pub fn read(path: &Path) -> Result<Plan, PlanError> {
         let shown = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -104,10 +105,10 @@
         Ok(plan)
     }
 
-    /// Checks that it can be played.
+    /// Checks that the plan's values are within their bounds.
     ///
     /// # Errors
-    /// Which value is out of its bounds.
+    /// A value is out of bounds.
     pub fn check(&self) -> Result<(), PlanError> {
         if !(1..=MAX_ROUTERS).contains(&self.routers) {
             return Err(PlanError::OutOfBounds("1 to 40 routers"));
@@ -121,12 +122,12 @@
         Ok(())
     }
 
-    /// Servers of each group.
+    /// Returns the number of servers in each group.
     pub fn servers_per_group(&self) -> usize {
         self.replicas + 1
     }
 
-    /// Servers of all groups.
+    /// Returns the number of servers in all groups.
     pub fn servers(&self) -> usize {
         self.groups * self.servers_per_group()
     }
--- a/soak/src/platform/faults.rs
+++ b/soak/src/platform/faults.rs
@@ -1,4 +1,4 @@
-//! What each fault does to the platform's routers and to their environment, at its beginning and at its end.
+//! Starts and ends faults on the platform's routers and in their environment.
 use super::run::{Run, server_id};
 use super::schedule::{Effect, Schedule, Step};
 use crate::environment::clients::ClientFaults;
@@ -12,37 +12,38 @@
 use nix::sys::signal::Signal;
 use std::io;
 
-/// How long after the end of discovery's fault a change may still be unknown to a router.
+/// How long after the end of a discovery fault a router may still not know a change.
 const OUTAGE_AFTER_FAULT: Micros = 6 * SECOND;
-/// The same after a configuration that moves a router to another address.
+/// How long a router may not know a change after a new configuration has switched it to the other address of
+/// its discovery agent.
 const OUTAGE_AFTER_MOVE: Micros = 4 * SECOND;
-/// A server's process that starts is listed this much later.
+/// The delay between the start of a server process and the updated start time in the endpoint list.
 const LIST_LAG: Micros = 200 * MILLISECOND;
-/// A replica takes over this long after its primary began to hang.
+/// The delay between a primary's hang and the election of a replica.
 const ELECTION_DELAY: Micros = 700 * MILLISECOND;
-/// The time between two configurations that are read in succession.
+/// The interval between two configuration reloads of one fault.
 const RELOAD_INTERVAL: Micros = 30 * MILLISECOND;
-/// The last of those configurations, counted from 0.
+/// The index of the last reload of a fault, counted from 0.
 const LAST_RELOAD: u8 = 5;
-/// A configuration that can't be read.
+/// A configuration with invalid JSON.
 const FAULTY_CONFIG: &str = "{\"name\": \"n";
-/// How long a slow agent takes for a line.
+/// The delay of each line of a slow discovery agent.
 const SLOW_LINE: Micros = 400 * MILLISECOND;
-/// How long a slow link takes.
+/// The delay of requests on a slow link.
 const LINK_DELAY: Micros = 120 * MILLISECOND;
-/// After how many bytes of an answer a link resets its connection.
+/// The number of response bytes after which a link resets a connection.
 const LINK_RESET_AFTER: usize = 37;
-/// How many requests clients send at once.
+/// The number of requests that clients pipeline.
 const PIPELINED_REQUESTS: usize = 4;
-/// How many clients a flood has.
+/// The number of additional clients in a flood.
 const FLOOD_CLIENTS: usize = 80;
-/// Out of a thousand requests, those in which clients disconnect.
+/// The probability, per thousand requests, that a client disconnects before the response.
 const DISCONNECT_PROBABILITY: u32 = 150;
-/// Out of a thousand requests, those that clients cancel.
+/// The probability, per thousand requests, that a client cancels the request.
 const CANCEL_PROBABILITY: u32 = 50;
-/// Out of a thousand requests, those in whose middle clients stall.
+/// The probability, per thousand requests, that a client stalls in the middle of a message.
 const STALL_PROBABILITY: u32 = 60;
-/// The rates of failing system calls, out of a million.
+/// The failure rates of system calls, per million calls.
 const SYSCALL_RATES: [FaultRate; 6] = [
     FaultRate::per_million(Fault::Accept, 50_000),
     FaultRate::per_million(Fault::Socket, 50_000),
@@ -51,13 +52,13 @@
     FaultRate::per_million(Fault::ShortTransfer, 100_000),
     FaultRate::per_million(Fault::ConnectionLoss, 5_000),
 ];
-/// The rate of threads that can't be started, out of a million.
+/// The failure rate of thread starts, per million calls.
 const THREAD_RATE: u64 = 600_000;
-/// The rate of writes that fail, out of a million.
+/// The failure rate of file writes, per million calls.
 const DISK_RATE: u64 = 500_000;
 
 impl Run<'_> {
-    /// Takes a step of the schedule.
+    /// Executes a step of the schedule.
     pub(super) fn take_step(&mut self, step: &Step, schedule: &mut Schedule) -> io::Result<()> {
         match step {
             Step::Begin(fault) => self.begin(fault, schedule),
@@ -159,7 +160,7 @@
                 self.control(router).clear_faults()?;
             }
             FaultKind::Maintenance => self.end_maintenance(fault),
-            // Silent connections stay silent: a router has to open others.
+            // Nothing to undo. Connections of a silent agent stay silent, so the router has to open new ones.
             FaultKind::Term
             | FaultKind::Kill
             | FaultKind::Reload
@@ -206,12 +207,12 @@
         }
     }
 
-    /// The routers that a fault of a link or an agent concerns.
+    /// Returns the routers that a fault of links or agents affects.
     fn concerned_routers(&self, fault: &PlannedFault) -> Vec<usize> {
         if fault.concerns_all_routers() { (0..self.routers.len()).collect() } else { vec![fault.router] }
     }
 
-    /// Sets the fault of the agents concerned, and records the outage that it means for their routers.
+    /// Sets the fault of the affected agents and records the resulting discovery outage of their routers.
     fn set_agent_fault(&self, fault: &PlannedFault, agent_fault: AgentFault, outage_to: Micros) {
         let now = self.clock.now();
         for router in self.concerned_routers(fault) {
@@ -253,7 +254,7 @@
         self.routers.iter().try_for_each(|router| router.instance.control().set_clock_offset(offset))
     }
 
-    /// A server's entry shows that it terminates, and it is to get nothing new.
+    /// Lists a server as terminating, so that it receives no new requests.
     fn withdraw(&self, server: usize) {
         let Some(listed) = self.agents.endpoint_of(server) else { return };
         let notified_at = self.agents.change(Endpoint { state: EndpointState::Terminating, ..listed });
@@ -261,7 +262,7 @@
         self.recorder.lock().withdrawals.push(withdrawal);
     }
 
-    /// The drained server is gone; a cold one takes its place under another id.
+    /// Removes a drained server from the list and replaces it with a cold server under another id.
     fn replace(&mut self, server: usize) {
         let Some(listed) = self.agents.endpoint_of(server) else { return };
         let now = self.clock.now();
@@ -280,7 +281,7 @@
         withdrawals.filter(|w| w.until == Micros::MAX).for_each(|w| w.until = replaced_at);
     }
 
-    /// Lists a server that has started in the place of another; returns the moment.
+    /// Lists a server that replaces another one and returns the time of the change.
     fn list_replacement(&mut self, server: usize, replaced: Endpoint) -> Micros {
         self.generations[server] += 1;
         let primary = self.servers.lock().servers[server].primary;
@@ -300,14 +301,14 @@
         }
     }
 
-    /// When a server last started, in milliseconds of the wall clock; 0 where it never did.
+    /// Returns when a server last started during the run, in milliseconds of the wall clock; 0 if it did not.
     fn last_start_ms(&self, server: usize) -> i64 {
         let history = self.recorder.lock();
         let start = history.server_starts.iter().rev().find(|start| start.server == server);
         start.map_or(0, |start| self.clock.wall(start.at) / MILLISECOND)
     }
 
-    /// The list shows the roles of a server's group as they are.
+    /// Updates the endpoint list with the current roles of a server's group.
     fn list_roles(&self, server: usize) {
         let servers = self.servers.lock().servers.clone();
         let group = servers[server].group;
@@ -319,8 +320,8 @@
         }
     }
 
-    /// Writes a configuration, each second one faulty, and sends SIGHUP. The last one is good, and names the other address
-    /// of the router's agent.
+    /// Writes a configuration and sends SIGHUP. Valid and invalid configurations alternate; each valid one
+    /// names the other address of the router's discovery agent, and the last one is valid.
     fn reload(&mut self, round: u8, fault: &PlannedFault, schedule: &mut Schedule) -> io::Result<()> {
         let (router, now) = (fault.router, self.clock.now());
         let is_good = !round.is_multiple_of(2);
--- a/soak/src/platform/maintenance.rs
+++ b/soak/src/platform/maintenance.rs
@@ -1,4 +1,4 @@
-//! Operators put servers in maintenance at a router, and back.
+//! Simulates an operator who puts a server in maintenance at one router and restores it.
 use super::probe::admin_call;
 use super::run::{Run, server_id};
 use crate::fault::PlannedFault;
@@ -6,9 +6,9 @@
 use crate::time::Micros;
 use std::time::Duration;
 
-/// An operator's call is answered within this time.
+/// The timeout of a call to the admin address.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(1);
-/// How the answer to a call begins that was carried out.
+/// The start of the response to a successful call.
 const SUCCESS: &str = "200";
 
 impl Run<'_> {
@@ -25,14 +25,16 @@
         }
     }
 
-    /// Puts a server back, under each id that it has had.
+    /// Ends the maintenance of a server at one router, for every id that the server has had.
     pub(super) fn end_maintenance(&self, fault: &PlannedFault) {
         let PlannedFault { router, server, .. } = *fault;
         let admin = self.routers[router].admin;
         let now = self.clock.now();
         for generation in 0..=self.generations[server] {
             let id = server_id(server, generation);
-            // Most ids are in no maintenance, and a router that is absent keeps it: the oracle then only checks less.
+            // Errors are ignored: most ids are not in maintenance. If an absent router misses the call, its
+            // server stays in maintenance, but the withdrawal counts as ended and the oracle only checks
+            // less.
             _ = admin_call(admin, &format!("RESTORE {id}"), ADMIN_TIMEOUT);
         }
         let mut history = self.recorder.lock();
--- a/soak/src/platform/mod.rs
+++ b/soak/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! One run of the platform's front: routers, servers, agents and clients, and the faults at their times.
+//! Runs a plan on the platform front: starts routers, servers, discovery agents and clients, and injects the
+//! faults on schedule.
 mod faults;
 mod maintenance;
 mod probe;
@@ -14,10 +15,10 @@
 use crate::router::Programs;
 use run::Run;
 
-/// Plays a plan with these faults and returns what was recorded.
+/// Runs a plan with these faults and returns the recorded history.
 ///
 /// # Errors
-/// Where no port, folder or process can be had, or where a router does not become ready.
+/// A port, folder or process is not available, or a router does not become ready in time.
 pub fn play(
     plan: &Plan,
     seed: u64,
--- a/soak/src/platform/probe.rs
+++ b/soak/src/platform/probe.rs
@@ -1,20 +1,20 @@
-//! Calls to a router as its operators and the platform make them: admin commands and the readiness probe.
+//! Calls that operators and the platform make to a router: admin commands and the readiness probe.
 use crate::environment::wire::{message, startup, tag};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The bytes of an admin command's answer that are read at once.
+/// The size of the read buffer for the response to an admin command.
 const ADMIN_BUFFER_BYTES: usize = 8192;
-/// The bytes of the answer to an empty query that are read at once.
+/// The size of the read buffer for the response to an empty query.
 const PROBE_BUFFER_BYTES: usize = 1024;
-/// The response to an empty query: its tag, and a length that counts only itself.
+/// The `EmptyQueryResponse` message: its tag and a length field that counts only itself.
 const EMPTY_QUERY_ANSWER: [u8; 5] = [tag::EMPTY_QUERY, 0, 0, 0, 4];
 
-/// Sends a line to an admin address and returns the whole answer.
+/// Sends a line to an admin address and returns the whole response.
 ///
 /// # Errors
-/// An error of the socket, or [`ErrorKind::TimedOut`].
+/// A socket error, or [`ErrorKind::TimedOut`].
 pub(super) fn admin_call(address: SocketAddr, line: &str, timeout: Duration) -> io::Result<String> {
     let deadline = Instant::now() + timeout;
     let mut socket = connect(address, timeout)?;
@@ -30,7 +30,7 @@
     Err(ErrorKind::TimedOut.into())
 }
 
-/// Whether a router answers the platform's empty query.
+/// Whether a router responds to the platform's readiness probe, an empty query.
 pub(super) fn is_ready(address: SocketAddr, timeout: Duration) -> bool {
     answers_empty_query(address, timeout).unwrap_or(false)
 }
--- a/soak/src/platform/router.rs
+++ b/soak/src/platform/router.rs
@@ -1,42 +1,42 @@
-//! One router of the platform.
+//! A router of the platform front.
 use crate::router::RouterInstance;
 use crate::time::Micros;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Where a router's process is in its life.
+/// The lifecycle phase of a router process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It was started and does not answer yet.
+    /// The process was started and is not ready yet.
     Starting {
-        /// When it was started.
+        /// When the process was started.
         since: Micros,
     },
-    /// It serves.
+    /// The process is ready, or its readiness timeout has expired.
     Running,
-    /// It got a signal that ends it.
+    /// The process received SIGTERM or SIGKILL.
     Ending {
-        /// When it got the signal.
+        /// When the signal was sent.
         since: Micros,
     },
-    /// It has ended.
+    /// The process has exited.
     Gone {
-        /// When another one is started.
+        /// When the next process is started.
         start_at: Micros,
     },
 }
 
-/// One router of the platform.
+/// A router of the platform front.
 pub(super) struct Router {
     pub(super) instance: RouterInstance,
     pub(super) listen: SocketAddr,
     pub(super) admin: SocketAddr,
-    /// The file of its configuration.
+    /// The path of the router's configuration.
     pub(super) config: PathBuf,
     pub(super) phase: Phase,
-    /// Which address of its agent the configuration names.
+    /// The index of the discovery agent's address in the configuration.
     pub(super) agent_address: usize,
-    /// When its process is checked next.
+    /// When the process is checked next.
     pub(super) next_check_at: Micros,
 }
 
--- a/soak/src/platform/run.rs
+++ b/soak/src/platform/run.rs
@@ -1,4 +1,4 @@
-//! A run: its start, its load, the life of its processes, its end.
+//! A run on the platform front: its setup, its load, the lifecycle of its router processes, and its end.
 use super::probe::{admin_call, is_ready};
 use super::router::{Phase, Router};
 use super::schedule::Schedule;
@@ -18,36 +18,37 @@
 use std::time::Duration;
 use tempfile::TempDir;
 
-/// A process has to be ready by then.
+/// The time within which a router process has to become ready.
 const READY_TIMEOUT: Micros = 30 * SECOND;
-/// How long one readiness probe may take.
+/// The timeout of one readiness probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
-/// After SIGTERM a process is killed: the longest deadline (3 s at least) and 0.7 s later.
+/// How long after SIGTERM or SIGKILL a process is killed: the longest request deadline (at least 3 s) plus
+/// 0.7 s.
 const KILL_AFTER: Micros = 3_700_000;
-/// A process that has ended on a signal is replaced after this time.
+/// The delay before a process that was ended by a signal is replaced.
 const RESTART_DELAY: Micros = 100 * MILLISECOND;
-/// A process that has crashed is replaced after this time.
+/// The delay before a crashed process is replaced.
 const CRASH_RESTART_DELAY: Micros = SECOND;
-/// How often a process is checked.
+/// The interval between two checks of a process.
 const CHECK_INTERVAL: Micros = 10 * MILLISECOND;
-/// Processes are sampled this often.
+/// The interval between two resource usage samples.
 const SAMPLE_INTERVAL: Micros = SECOND;
-/// How long pending requests are awaited once the load has ended.
+/// The maximum time to wait for pending requests after the end of the load.
 const DRAIN_TIMEOUT: Micros = 5 * SECOND;
-/// How long the last answers may take to be recorded.
+/// The time allowed for the last responses to be recorded.
 const RECORDING_TIME: Duration = Duration::from_millis(50);
-/// How long a router may take for its figures.
+/// The timeout of the metrics call to a router.
 const METRICS_TIMEOUT: Duration = Duration::from_secs(2);
-/// The main loop's step.
+/// The sleep time of the main loop.
 const STEP: Duration = Duration::from_millis(2);
-/// The addresses of the routers.
+/// The address block of the routers.
 const ROUTER_ADDRESSES: AddressBlock = AddressBlock(9);
-/// Lines of a router's log that are shown where it is not ready.
+/// The number of log lines shown for a router that does not become ready.
 const SHOWN_LINES: usize = 3;
-/// The name of the figure that counts violated invariants.
+/// The start of the metric that counts violated invariants.
 const VIOLATIONS_FIGURE: &str = "invariant_violations_total{";
 
-/// A run of the platform's front.
+/// A run on the platform front.
 pub(super) struct Run<'a> {
     pub(super) plan: &'a Plan,
     programs: &'a Programs,
@@ -58,17 +59,17 @@
     pub(super) agents: DiscoveryAgents,
     pub(super) clients: Option<Clients>,
     pub(super) routers: Vec<Router>,
-    /// How often each server was replaced, which its id shows.
+    /// How often each server was replaced; the number is part of the server's id.
     pub(super) generations: Vec<usize>,
 }
 
-/// The id of a server in discovery's list.
+/// Returns the id of a server in the endpoint list.
 pub(super) fn server_id(server: usize, generation: usize) -> String {
     format!("s{server}-{generation}")
 }
 
 impl<'a> Run<'a> {
-    /// Starts everything but the routers' processes and the clients.
+    /// Starts the servers and the discovery agents, and creates the routers without their processes.
     pub(super) fn prepare(plan: &'a Plan, programs: &'a Programs) -> io::Result<Run<'a>> {
         let folder = tempfile::Builder::new().prefix("damsonvale-soak-").tempdir()?;
         let (clock, recorder) = (RunClock::start(), Recorder::default());
@@ -81,7 +82,7 @@
         Ok(Run { plan, programs, folder, clock, recorder, servers, agents, clients, routers, generations })
     }
 
-    /// Writes a router's configuration with the endpoint list as it is.
+    /// Writes a router's configuration with the current endpoint list.
     pub(super) fn write_config(&self, router: usize) -> io::Result<()> {
         let own = &self.routers[router];
         let settings = RouterSettings {
@@ -108,7 +109,7 @@
         Ok(())
     }
 
-    /// Starts the routers, and waits until each is ready.
+    /// Starts the router processes and waits until all are ready.
     pub(super) fn start_routers(&mut self) -> Result<(), RunError> {
         (0..self.routers.len()).try_for_each(|router| self.start_router(router))?;
         let started_at = self.clock.now();
@@ -132,7 +133,7 @@
         described.collect()
     }
 
-    /// Plays the load and the faults.
+    /// Runs the load and injects the faults.
     pub(super) fn play(&mut self, seed: u64, faults: &[PlannedFault]) -> io::Result<()> {
         let settings = ClientSettings {
             routers: self.routers.iter().map(|router| router.listen).collect(),
@@ -165,7 +166,7 @@
         (0..self.routers.len()).for_each(|router| self.advance_router(router));
     }
 
-    /// Checks a router's process: whether it is ready, has ended, or is to be started again.
+    /// Advances a router's lifecycle: checks its readiness, detects its exit, and restarts it.
     fn advance_router(&mut self, router: usize) {
         let now = self.clock.now();
         let own = &mut self.routers[router];
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Records that a server's process has started.
+    /// Records the start of a server process.
     pub(super) fn record_server_start(&self, server: usize) {
         let at = self.clock.now();
         self.recorder.lock().server_starts.push(ServerStart { server, at });
@@ -218,7 +219,7 @@
         running.for_each(|router| router.instance.record_sample(at));
     }
 
-    /// Sends a router a signal that ends it, unless it is absent already.
+    /// Sends a router a signal that ends it, unless it is already absent or not running.
     pub(super) fn end_router(&mut self, router: usize, signal: Signal, reason: AbsenceReason) {
         let own = &mut self.routers[router];
         if !own.is_running() || own.instance.is_absent() {
@@ -229,7 +230,8 @@
         own.phase = Phase::Ending { since: self.clock.now() };
     }
 
-    /// Ends the load, waits for pending requests, reads the routers' own counts, and ends every process.
+    /// Ends the load, waits for pending requests, reads the routers' own violation counters, and kills every
+    /// process.
     pub(super) fn finish(mut self) -> History {
         if let Some(clients) = &self.clients {
             clients.end_load();
@@ -257,7 +259,7 @@
         self.clients.as_ref().is_some_and(|clients| clients.pending_requests() > 0)
     }
 
-    /// Records the program's own count of violated invariants.
+    /// Reads the router's metrics and records its counters of violated invariants.
     fn read_violations(&self, router: usize) {
         let admin = self.routers[router].admin;
         let figures = admin_call(admin, "GET /metrics HTTP/1.1", METRICS_TIMEOUT).unwrap_or_default();
@@ -266,7 +268,7 @@
     }
 }
 
-/// A figure of violated invariants, unless it is 0.
+/// Parses a metric line; returns `None` if it is not a counter of violated invariants or if the counter is 0.
 fn parse_violations(router: usize, line: &str) -> Option<InvariantViolations> {
     if !line.contains(VIOLATIONS_FIGURE) {
         return None;
@@ -276,7 +278,7 @@
     (count > 0).then_some(InvariantViolations { router, invariant, count })
 }
 
-/// Lists every server, the first of each group as its primary.
+/// Adds every server to the endpoint list, the first of each group as its primary.
 fn list_servers(plan: &Plan, agents: &DiscoveryAgents) {
     let members = plan.servers_per_group();
     for server in 0..plan.servers() {
--- a/soak/src/platform/schedule.rs
+++ b/soak/src/platform/schedule.rs
@@ -1,29 +1,29 @@
-//! The schedule of a run's faults: when each begins, ends and has its later effects.
+//! The schedule of a run's faults: their starts, their ends and their delayed effects.
 use crate::fault::PlannedFault;
 use crate::time::{MILLISECOND, Micros};
 
 /// A step of the schedule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Step {
-    /// A fault begins.
+    /// Starts a fault.
     Begin(PlannedFault),
-    /// A fault ends.
+    /// Ends a fault.
     End(PlannedFault),
-    /// A later effect of a fault.
+    /// Applies a delayed effect of a fault.
     Effect(Effect, PlannedFault),
 }
 
-/// A later effect of a fault.
+/// A delayed effect of a fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Effect {
-    /// The server's new process is listed.
+    /// The endpoint list shows the start time of the server's new process.
     ListStart,
-    /// Another configuration is read.
+    /// The router receives SIGHUP for another configuration.
     ReloadAgain {
-        /// How many were read before.
+        /// The number of earlier reloads of this fault.
         round: u8,
     },
-    /// A replica takes over.
+    /// A replica of the hanging server's group becomes primary.
     ElectPrimary,
 }
 
@@ -33,13 +33,13 @@
     step: Step,
 }
 
-/// The steps that are still to be taken, in the order of their times.
+/// The remaining steps, ordered by time.
 pub(super) struct Schedule {
     steps: Vec<ScheduledStep>,
 }
 
 impl Schedule {
-    /// The beginnings and ends of faults, for a load that starts at this moment.
+    /// Creates the schedule of the faults' starts and ends for a load that starts at this time.
     pub(super) fn new(faults: &[PlannedFault], load_start: Micros) -> Schedule {
         let at = |ms: u64| load_start + ms as Micros * MILLISECOND;
         let mut schedule = Schedule { steps: Vec::new() };
@@ -50,7 +50,7 @@
         schedule
     }
 
-    /// Adds a step, behind others of the same time.
+    /// Adds a step after those that have the same time.
     pub(super) fn add(&mut self, at: Micros, step: Step) {
         self.steps.push(ScheduledStep { at, step });
         self.steps.sort_by_key(|scheduled| scheduled.at);
@@ -61,7 +61,7 @@
         self.steps.is_empty()
     }
 
-    /// Removes the steps that are due and returns them in the order of their times.
+    /// Removes and returns the steps that are due, ordered by time.
     pub(super) fn take_due(&mut self, now: Micros) -> Vec<Step> {
         let count = self.steps.iter().take_while(|scheduled| scheduled.at <= now).count();
         self.steps.drain(..count).map(|scheduled| scheduled.step).collect()
--- a/soak/src/platform/settings.rs
+++ b/soak/src/platform/settings.rs
@@ -1,42 +1,43 @@
-//! The configuration of the platform's routers, and the contract that it states.
+//! The configuration of the platform's routers, including the limits that the oracles check.
 use crate::class::{Class, MAX_DATA_AGE, REPEAT_WINDOW};
 use crate::time::{MILLISECOND, Micros};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// The share of its capacity with which a server starts.
+/// The share of its capacity that a server has when it starts.
 pub const COLD_CAPACITY: f64 = 0.1;
-/// A started server has its full capacity after this many milliseconds.
+/// How long after its start a server reaches its full capacity, in milliseconds.
 pub const COLD_MS: f64 = 6000.0;
-/// A cold server is overloaded when it gets more than this multiple of its capacity over [`OVERLOAD_WINDOW`].
+/// A server that is warming up counts as overloaded if it receives more than this multiple of its current
+/// capacity within [`OVERLOAD_WINDOW`].
 pub const OVERLOAD_FACTOR: f64 = 2.0;
-/// See [`OVERLOAD_FACTOR`].
+/// The window over which [`OVERLOAD_FACTOR`] applies.
 pub const OVERLOAD_WINDOW: Micros = 1_000_000;
-/// How long after the notice a draining server may still get something new.
+/// How long after a router was notified of a drain it may still send new requests to the server.
 pub const DRAIN_GRACE: Micros = 250_000;
-/// The limit on a router's memory, in MiB.
+/// The memory limit of a router, in MiB.
 pub const MEMORY_MB: usize = 64;
-/// The limit on a router's descriptors.
+/// The limit on a router's open file descriptors.
 pub const MAX_SOCKETS: usize = 256;
 
-/// What differs between the configurations of a run's routers.
+/// The parts of a router's configuration that depend on the run or on the router.
 pub struct RouterSettings {
     /// The router's index.
     pub router: usize,
-    /// Where its clients connect.
+    /// The router's address for clients.
     pub listen: SocketAddr,
-    /// Where operators connect.
+    /// The router's admin address.
     pub admin: SocketAddr,
-    /// Its agent of discovery.
+    /// The address of the router's discovery agent.
     pub discovery: SocketAddr,
-    /// The endpoint list that it starts with.
+    /// The endpoint list in the configuration.
     pub endpoints: Value,
-    /// How many routers there are.
+    /// The number of routers in the run.
     pub routers: usize,
 }
 
 impl RouterSettings {
-    /// The configuration.
+    /// Returns the configuration as JSON.
     pub fn to_json(&self) -> Value {
         json!({
             "name": format!("n{}", self.router),
--- a/soak/src/play.rs
+++ b/soak/src/play.rs
@@ -1,4 +1,4 @@
-//! One run of a plan, whichever front it names.
+//! Runs a plan on the front that it names.
 use crate::error::RunError;
 use crate::fault::PlannedFault;
 use crate::history::History;
@@ -6,10 +6,11 @@
 use crate::router::Programs;
 use crate::{platform, serve};
 
-/// Plays a plan with these faults and returns what was recorded. The seed is that of the clients' random numbers.
+/// Runs a plan with these faults and returns the recorded history. The seed initializes the clients' random
+/// numbers.
 ///
 /// # Errors
-/// Where no port, folder or process can be had, or where a router does not become ready.
+/// A port, folder or process is not available, or a router does not become ready in time.
 pub fn play(
     plan: &Plan,
     seed: u64,
--- a/soak/src/reduce.rs
+++ b/soak/src/reduce.rs
@@ -1,15 +1,16 @@
-//! Leaves out faults of a failing run, as long as it still breaks the same promise.
+//! Minimizes the faults of a failing run while it still breaks the same promise.
 use crate::fault::PlannedFault;
 use crate::oracle::Promise;
 
-/// The faults that matter: each was left out for a trial, and `still_breaks` was called with the remaining ones.
+/// Returns a subset of the faults that still breaks the promise. `still_breaks` is called with each candidate
+/// subset and reports whether it does.
 pub fn reduce(
     faults: &[PlannedFault],
     promise: Promise,
     mut still_breaks: impl FnMut(&[PlannedFault], Promise) -> bool,
 ) -> Vec<PlannedFault> {
     let mut remaining = faults.to_vec();
-    // Halves first: most faults have nothing to do with it.
+    // Removes large chunks first, because most faults do not contribute to the failure.
     let mut size = remaining.len().div_ceil(2);
     while size > 0 {
         let mut first = 0;
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -1,36 +1,36 @@
-//! The figures of a run.
+//! The report of a run: request outcomes, resource usage and broken promises.
 use crate::fault::PlannedFault;
 use crate::history::{History, Outcome, Request};
 use crate::oracle::Breach;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::fmt::{self, Display, Formatter};
 
-/// Breaches of one promise that a report shows.
+/// The maximum number of breaches that a report lists for each promise.
 const SHOWN_BREACHES: usize = 3;
-/// The error code of a request that was cancelled.
+/// The `PostgreSQL` error code of a cancelled request.
 const CANCELLED_CODE: &str = "57014";
 
-/// How a request ended, as reports count it; in the order in which they do.
+/// The outcome of a request as counted in reports. The order of the variants is the order of the counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OutcomeKind {
-    /// Cancelled by its client.
+    /// The client cancelled the request.
     Cancelled,
-    /// The connection ended without an answer.
+    /// The router closed the connection without a response.
     Closed,
-    /// An error other than a rejection.
+    /// The request failed with an error that is not a rejection.
     Failed,
-    /// Its client disconnected.
+    /// The client disconnected before the response.
     Disconnected,
-    /// Without an answer at the end of the run.
+    /// The request had no response at the end of the run.
     Pending,
-    /// Rejected by the router.
+    /// The router rejected the request.
     Rejected,
-    /// Served.
+    /// The request was served.
     Served,
 }
 
 impl OutcomeKind {
-    /// How a request ended.
+    /// Returns the kind of outcome of a request.
     pub fn of(request: &Request) -> OutcomeKind {
         match &request.outcome {
             Outcome::Served(_) => OutcomeKind::Served,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Its name in reports.
+    /// The outcome's name in reports.
     pub fn name(self) -> &'static str {
         match self {
             OutcomeKind::Cancelled => "cancelled",
@@ -59,31 +59,31 @@
     }
 }
 
-/// The figures of one run.
+/// The statistics of one run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// The faults that were played.
+    /// The faults that were injected.
     pub faults: Vec<PlannedFault>,
-    /// Requests by how they ended.
+    /// The number of requests by outcome.
     pub outcomes: BTreeMap<OutcomeKind, usize>,
-    /// Attempts that arrived at a server's link.
+    /// The number of attempts recorded by the servers.
     pub attempts: usize,
-    /// Requests that were answered as failed although no server has seen them.
+    /// The number of requests that failed although no server received an attempt.
     pub never_forwarded_but_failed: usize,
-    /// Processes of routers.
+    /// The number of router processes, including restarts.
     pub processes: usize,
-    /// The highest count of threads of one process.
+    /// The highest number of threads in one process.
     pub max_threads: usize,
-    /// The highest count of descriptors of one process.
+    /// The highest number of open file descriptors in one process.
     pub max_descriptors: usize,
-    /// Broken promises.
+    /// The breaches that the oracles found.
     pub breaches: Vec<Breach>,
 }
 
 impl Report {
-    /// The report on a history.
+    /// Creates the report for a history.
     pub fn new(seed: u64, faults: &[PlannedFault], history: &History, breaches: Vec<Breach>) -> Report {
         let forwarded: HashSet<u64> = history.attempts.iter().map(|attempt| attempt.id).collect();
         let mut outcomes: BTreeMap<OutcomeKind, usize> = BTreeMap::new();
@@ -109,7 +109,7 @@
         }
     }
 
-    /// How many requests were sent.
+    /// Returns the number of recorded requests.
     pub fn requests(&self) -> usize {
         self.outcomes.values().sum()
     }
--- a/soak/src/router/instance.rs
+++ b/soak/src/router/instance.rs
@@ -1,4 +1,4 @@
-//! What a run of either front knows of one router: its faults, its process, its absence.
+//! A router of either front: its control file, its current process and its recorded absence.
 use super::process::{Process, Programs};
 use crate::environment::clock::RunClock;
 use crate::history::{Absence, AbsenceReason, Recorder, RouterFailure};
@@ -8,29 +8,29 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Lines of a log that are shown with a crash.
+/// The number of log lines recorded with a crash.
 const CRASH_LINES: usize = 4;
-/// What a log line contains that reports a panic.
+/// The text by which a panic is found in the log.
 const PANIC_TEXT: &str = "panicked";
 
-/// A router and the process that it has now.
+/// A router with its current process.
 pub struct RouterInstance {
     index: usize,
     control: ControlFile,
     control_path: PathBuf,
     process: Option<Process>,
     incarnation: usize,
-    /// The index of its absence in the history, while it is absent.
+    /// The index of the current absence in the history, while the router is absent.
     absence: Option<usize>,
     clock: RunClock,
     recorder: Recorder,
 }
 
 impl RouterInstance {
-    /// A router without a process; its control file, without any fault, is created in this folder.
+    /// Creates a router without a process. A control file without faults is created in the folder.
     ///
     /// # Errors
-    /// The system's, where the file can't be created.
+    /// The control file can't be created.
     pub fn create(
         index: usize,
         folder: &Path,
@@ -52,20 +52,20 @@
         })
     }
 
-    /// The file that decides the faults of its processes.
+    /// Returns the control file of the router's faults.
     pub fn control(&self) -> &ControlFile {
         &self.control
     }
 
-    /// Its process, where it has one.
+    /// Returns the router's current process.
     pub fn process(&self) -> Option<&Process> {
         self.process.as_ref()
     }
 
-    /// Starts a process with these arguments and variables in place of the one before.
+    /// Starts a process with these arguments and environment variables. It replaces the previous process.
     ///
     /// # Errors
-    /// The system's, where it can't be started.
+    /// The process can't be started.
     pub fn start(
         &mut self,
         programs: &Programs,
@@ -77,29 +77,29 @@
         Ok(())
     }
 
-    /// Kills its process, where it has one, and waits for its end.
+    /// Kills the current process and waits until it has exited.
     pub fn discard_process(&mut self) {
         self.process = None;
     }
 
-    /// Whether it has no process, or one that has ended.
+    /// Whether the router has no process or its process has exited.
     pub fn has_ended(&mut self) -> bool {
         self.process.as_mut().is_none_or(Process::has_ended)
     }
 
-    /// Sends its process a signal.
+    /// Sends a signal to the current process.
     pub fn signal(&mut self, signal: Signal) {
         if let Some(process) = &mut self.process {
             process.signal(signal);
         }
     }
 
-    /// Whether it is recorded as absent.
+    /// Whether the router is recorded as absent.
     pub fn is_absent(&self) -> bool {
         self.absence.is_some()
     }
 
-    /// Records that it is absent from now on, unless it is already.
+    /// Records that the router is absent from now on, unless it already is.
     pub fn set_absent(&mut self, reason: AbsenceReason) {
         if self.is_absent() {
             return;
@@ -110,39 +110,39 @@
         self.absence = Some(history.absences.len() - 1);
     }
 
-    /// Records that it serves again.
+    /// Records that the router serves again.
     pub fn set_present(&mut self) {
         if let Some(index) = self.absence.take() {
             self.recorder.lock().absences[index].to = self.clock.now();
         }
     }
 
-    /// Records that its process ended by itself, and its absence.
+    /// Records a crash of the current process, and the router's absence.
     pub fn record_crash(&mut self) {
         let detail = self.last_lines(CRASH_LINES);
         self.recorder.lock().crashes.push(RouterFailure { router: self.index, detail });
         self.set_absent(AbsenceReason::Killed);
     }
 
-    /// Records each panic in its process's log.
+    /// Records each panic found in the log of the current process as a crash.
     pub fn record_panics(&self) {
         let lines = self.process().map(|process| process.lines_with(PANIC_TEXT)).unwrap_or_default();
         let panics = lines.into_iter().map(|detail| RouterFailure { router: self.index, detail });
         self.recorder.lock().crashes.extend(panics);
     }
 
-    /// Records that a process did not start.
+    /// Records that a process of the router did not start.
     pub fn record_failed_start(&self, detail: String) {
         self.recorder.lock().failed_starts.push(RouterFailure { router: self.index, detail });
     }
 
-    /// Records what its process uses now; `at` is the time of the sample.
+    /// Records the resource usage of the current process, with `at` as the time of the sample.
     pub fn record_sample(&self, at: Micros) {
         let sample = self.process().and_then(|process| process.sample(self.index, self.incarnation, at));
         self.recorder.lock().samples.extend(sample);
     }
 
-    /// The last lines of its process's log.
+    /// Returns the last lines of the current process's log.
     pub fn last_lines(&self, count: usize) -> String {
         self.process().map(|process| process.last_lines(count)).unwrap_or_default()
     }
--- a/soak/src/router/mod.rs
+++ b/soak/src/router/mod.rs
@@ -1,4 +1,4 @@
-//! Router processes and what a run knows of each.
+//! Router processes, their listen addresses and their state in a run.
 mod addresses;
 mod instance;
 mod process;
--- a/soak/src/router/process.rs
+++ b/soak/src/router/process.rs
@@ -1,4 +1,4 @@
-//! Router processes: started with the preloaded library, signalled, sampled and ended by their id.
+//! Router processes: starts them with the preloaded library, signals, samples and kills them.
 use crate::history::Sample;
 use crate::time::{Micros, SECOND};
 use fault_control::CONTROL_VARIABLE;
@@ -11,32 +11,34 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Lines of a process's log that stay in memory.
+/// The maximum number of log lines of a process that are retained in memory.
 const MAX_LINES: usize = 60;
-/// Kernel ticks of processor time in a second, as Linux gives them.
+/// The unit of CPU times in `/proc/PID/stat` on Linux, in clock ticks per second.
 const TICKS_PER_SECOND: i64 = 100;
-/// Stack of a thread that reads a log.
+/// The stack size of a thread that reads a log, in bytes.
 const LOG_THREAD_STACK: usize = 256 << 10;
-/// The name of the preloaded library's file.
+/// The file name of the preloaded library.
 const LIBRARY_FILE: &str = "libfaults.so";
-/// Fields of `/proc/PID/stat` behind the name in brackets: user and system time, the 14th and 15th of all.
+/// The index of the user time (field 14) among the fields of `/proc/PID/stat` that follow the process name in
+/// parentheses.
 const USER_TIME_FIELD: usize = 11;
-/// See [`USER_TIME_FIELD`].
+/// The index of the system time (field 15), counted like [`USER_TIME_FIELD`].
 const SYSTEM_TIME_FIELD: usize = 12;
 
-/// The programs that a run needs.
+/// The files that a run needs to start routers.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The router.
+    /// The path of the router program.
     pub router: PathBuf,
-    /// The preloaded library; without it no clock is stepped and no call fails.
+    /// The path of the preloaded library. Without it, clocks are not stepped and system calls do not fail.
     pub library: Option<PathBuf>,
-    /// A folder for the processes' whole logs, at the level debug.
+    /// The folder for the complete logs of the processes, at level debug. `None` writes no log files.
     pub logs: Option<PathBuf>,
 }
 
 impl Programs {
-    /// The router at this path, and the library where it is built beside it.
+    /// Uses the router at this path, and the library if it was built in the same folder or in its `deps`
+    /// folder.
     pub fn beside(router: &Path) -> Programs {
         let folder = router.parent().unwrap_or(Path::new("."));
         let candidates = [folder.join(LIBRARY_FILE), folder.join("deps").join(LIBRARY_FILE)];
@@ -63,7 +65,7 @@
     }
 }
 
-/// One process of a router; it is killed when this is dropped.
+/// A router process, which is killed when this value is dropped.
 pub struct Process {
     child: Child,
     log: RecentLines,
@@ -71,10 +73,11 @@
 }
 
 impl Process {
-    /// Starts the router with these arguments and variables, and nothing of this process's environment.
+    /// Starts the router with these arguments and environment variables. It does not inherit the environment
+    /// of this process.
     ///
     /// # Errors
-    /// The system's, where it can't be started.
+    /// The process, its log file or the thread that reads its log can't be created.
     pub fn start(
         programs: &Programs,
         arguments: &[&str],
@@ -92,7 +95,7 @@
         }
         let mut child = command.spawn()?;
         let stderr = child.stderr.take();
-        // From here on the child is killed whatever fails.
+        // From here on, the child is killed if a later step fails.
         let process = Process { child, log: RecentLines::default(), ended: false };
         let file = create_log_file(programs, control, process.id())?;
         if let Some(stderr) = stderr {
@@ -103,44 +106,46 @@
         Ok(process)
     }
 
-    /// Its id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal, unless it has ended.
+    /// Sends a signal to the process, unless it has exited.
     pub fn signal(&mut self, signal: Signal) {
         if !self.has_ended() {
-            // An error means that it ended in this moment; it is waited for nowhere else, so the id is its own.
+            // An error means that the process has just exited. The id can't belong to another process,
+            // because only this type waits for the child.
             _ = kill(Pid::from_raw(self.id() as i32), signal);
         }
     }
 
-    /// Whether it has ended.
+    /// Whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         self.ended = self.ended || !matches!(self.child.try_wait(), Ok(None));
         self.ended
     }
 
-    /// Its last lines that contain a text.
+    /// Returns the retained log lines that contain a text.
     pub fn lines_with(&self, text: &str) -> Vec<String> {
         self.log.lock().iter().filter(|line| line.contains(text)).cloned().collect()
     }
 
-    /// Its last lines.
+    /// Returns the last log lines, joined by ` | `.
     pub fn last_lines(&self, count: usize) -> String {
         let log = self.log.lock();
         let first = log.len().saturating_sub(count);
         log.range(first..).map(String::as_str).collect::<Vec<&str>>().join(" | ")
     }
 
-    /// What it uses now; `None` where it has ended.
+    /// Returns the current resource usage of the process; `None` if it can't be read because the process has
+    /// exited.
     pub fn sample(&self, router: usize, incarnation: usize, at: Micros) -> Option<Sample> {
         let folder = PathBuf::from(format!("/proc/{}", self.id()));
         let resident_kb = read_resident_kb(&folder)?;
         let cpu = read_processor_time(&folder)?;
-        // Counted last: a process that was started an instant ago may still have this process's descriptors, which the
-        // system closes while it executes the router.
+        // Descriptors are counted last: a newly forked child may still have the descriptors of this process,
+        // which the kernel closes when the child executes the router.
         let descriptors = count_entries(&folder.join("fd"))?;
         let threads = count_entries(&folder.join("task"))?;
         Some(Sample { router, at, descriptors, threads, resident_kb, cpu, incarnation })
@@ -154,7 +159,7 @@
     }
 }
 
-/// Creates the file for a process's whole log, where the run writes them.
+/// Creates the file for the complete log of a process, if the run writes log files.
 fn create_log_file(programs: &Programs, control: &Path, id: u32) -> io::Result<Option<File>> {
     let Some(folder) = &programs.logs else { return Ok(None) };
     let name = control.file_stem().unwrap_or_default().to_string_lossy().into_owned();
@@ -164,7 +169,7 @@
 fn read_log(stderr: ChildStderr, mut file: Option<File>, recent: &RecentLines) {
     for line in BufReader::new(stderr).lines().map_while(Result::ok) {
         if let Some(file) = &mut file {
-            // A log that can't be written is missing in part: the run goes on.
+            // A failed write leaves the log file incomplete, but does not end the run.
             _ = writeln!(file, "{line}");
         }
         recent.push(line);
--- a/soak/src/serve/faults.rs
+++ b/soak/src/serve/faults.rs
@@ -1,4 +1,4 @@
-//! What each fault does to the routers of `serve` and to their environment, at its beginning and at its end.
+//! Starts and ends faults on the routers of `serve` and in their environment.
 use super::run::{Edge, Run, USUAL_LAG};
 use crate::fault::{FaultKind, PlannedFault};
 use crate::history::AbsenceReason;
@@ -9,22 +9,22 @@
 use std::time::Duration;
 use test_servers::proxy::Proxy;
 
-/// How far a replica is behind whose replication is slow.
+/// The replication lag of a replica under the fault `server_lag`.
 const SLOW_LAG: Duration = Duration::from_millis(800);
-/// How long a slow link takes.
+/// The delay of a slow link.
 const LINK_DELAY: Duration = Duration::from_millis(100);
-/// The rates of failing system calls, out of a million.
+/// The failure rates of system calls, per million calls.
 const SYSCALL_RATES: [FaultRate; 3] = [
     FaultRate::per_million(Fault::Interrupt, 20_000),
     FaultRate::per_million(Fault::ShortTransfer, 100_000),
     FaultRate::per_million(Fault::Connect, 50_000),
 ];
-/// The rates of writes and syncs that fail, out of a million.
+/// The failure rates of file writes and syncs, per million calls.
 const DISK_RATES: [FaultRate; 2] =
     [FaultRate::per_million(Fault::FileWrite, 300_000), FaultRate::per_million(Fault::FileSync, 300_000)];
 
 impl Run<'_> {
-    /// Begins or ends a fault. Kinds that are not drawn for `serve` do nothing.
+    /// Starts or ends a fault. Kinds that are not drawn for `serve` have no effect.
     pub(super) fn apply(&mut self, fault: &PlannedFault, edge: Edge) -> io::Result<()> {
         let router = fault.router;
         let server = fault.server % self.routers[router].proxies.len();
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Sets how far a replica is behind; the first server is the primary.
+    /// Sets the replication lag of a replica. The first server is the primary and has none.
     fn set_lag(&self, server: usize, lag: Duration) {
         if server > 0 {
             self.fleet.set_lag(server, lag);
--- a/soak/src/serve/load.rs
+++ b/soak/src/serve/load.rs
@@ -1,4 +1,5 @@
-//! The clients of `serve`: each stands for a session that changes between the routers, adds to its basket and reads it.
+//! The clients of `serve`. Each client is one session that picks a random router for each request, writes to
+//! its basket and reads it back.
 use super::settings::{CLIENT_PASSWORD, CLIENT_USER, DATABASE, READ_CLASS, WRITE_CLASS};
 use crate::class::Class;
 use crate::environment::clock::RunClock;
@@ -14,22 +15,22 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Reads that follow each write.
+/// The number of reads after each write.
 const READS: usize = 4;
-/// A client waits this long for an answer.
+/// The read timeout of a client connection.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
-/// How long a connect may take.
+/// The timeout of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The time within which a router owes an answer.
+/// The time within which a router has to respond to a request.
 const REQUEST_TIMEOUT: Micros = 3 * SECOND;
-/// A connection that was not used for this long may be closed by the router as a request is on its way.
+/// A router may close a connection that was idle for this long just as the client sends a request.
 const IDLE_TIME: Micros = 1_500_000;
-/// Tells the seeds of a run's sessions from each other.
+/// The factor between a run's seed and its sessions' seeds, so that runs with different seeds share none.
 const SESSIONS_PER_SEED: u64 = 1000;
-/// Request ids of a session start at its index, shifted by so many bits.
+/// The request ids of a session start at its index, shifted left by this many bits.
 const SESSION_ID_SHIFT: u32 = 32;
 
-/// The clients' threads; they end with [`Load::end`].
+/// The client threads. They end with [`Load::end`] or when this value is dropped.
 pub(super) struct Load {
     stop: StopSignal,
     threads: Vec<JoinHandle<()>>,
@@ -64,7 +65,7 @@
         Ok(Load { stop, threads })
     }
 
-    /// Ends the load and waits for the clients.
+    /// Stops the load and waits for the client threads.
     pub(super) fn end(&mut self) {
         self.stop.set();
         self.threads.drain(..).for_each(|thread| _ = thread.join());
@@ -83,14 +84,14 @@
     used_at: Micros,
 }
 
-/// What a request gave.
+/// The result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Answer {
-    /// No router served it.
+    /// The request was not served.
     NotServed,
-    /// It was served without a number.
+    /// The request was served, and the response contained no number.
     Done,
-    /// It was served with this number.
+    /// The request was served with this number.
     Number(u64),
 }
 
@@ -98,12 +99,12 @@
     name: String,
     rng: Rng,
     routers: Vec<SocketAddr>,
-    /// A connection to each router.
+    /// The open connections, by router.
     connections: Vec<Option<Connection>>,
     clock: RunClock,
     recorder: Recorder,
     think: Micros,
-    /// The id of its last request.
+    /// The id of the session's last request.
     last_request: u64,
 }
 
@@ -131,7 +132,8 @@
         self.request(Class::Write, &statement)
     }
 
-    /// Reads the basket, and records what it showed; `confirmed` is the newest write that was confirmed before.
+    /// Reads the basket and records the result. `confirmed` is the session's last write that was confirmed
+    /// before.
     fn read(&mut self, confirmed: u64) {
         let name = &self.name;
         let statement = format!("SELECT n FROM basket WHERE k = '{name}' /* c={READ_CLASS},s={name} */");
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Makes a request at some router, and records it unless no connection is to be had.
+    /// Sends a request to a random router and records it, unless no connection can be opened.
     fn request(&mut self, class: Class, statement: &str) -> Answer {
         let router = self.rng.usize(..self.routers.len());
         let now = self.clock.now();
@@ -167,7 +169,9 @@
             router,
             connection: 0,
             connected_at,
-            // A connection that was idle may be closed as a request is on its way, as on the platform any but the first.
+            // The router may close an idle connection while the request is on its way. The oracle allows that
+            // for requests with a sequence above 0; on the platform front, these are all but the first of a
+            // connection.
             sequence: usize::from(was_idle),
             class,
             group: 0,
@@ -185,7 +189,7 @@
     }
 }
 
-/// How a request ended; the value is that of the first column.
+/// Returns the outcome of a request; the value of a served request is that of the first column.
 fn outcome_of(answer: &mysql::Result<Option<(String, String)>>) -> Outcome {
     match answer {
         Ok(row) => Outcome::Served(row.as_ref().map(|(value, _)| value.clone()).unwrap_or_default()),
--- a/soak/src/serve/mod.rs
+++ b/soak/src/serve/mod.rs
@@ -1,5 +1,6 @@
-//! One run of `serve`: routers with sessions on disk and among peers, three of them nodes of a replicated store, one fleet
-//! by membership, in front of simulated servers behind proxies.
+//! Runs a plan on the front `serve`. The routers store sessions on disk, replicate them to their peers, and
+//! form one fleet by membership; three of them are nodes of a replicated store. The simulated servers are
+//! behind proxies.
 mod faults;
 mod load;
 mod router;
--- a/soak/src/serve/router.rs
+++ b/soak/src/serve/router.rs
@@ -1,33 +1,33 @@
-//! One router of `serve`, with its proxies.
+//! A router of `serve` with its proxies.
 use crate::router::RouterInstance;
 use crate::time::Micros;
 use std::path::PathBuf;
 use test_servers::proxy::Proxy;
 
-/// Where a router's process is in its life.
+/// The lifecycle phase of a router process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It was started and does not accept clients yet.
+    /// The process was started and does not accept client connections yet.
     Starting {
-        /// When it was started.
+        /// When the process was started.
         since: Micros,
     },
-    /// It serves.
+    /// The process accepts client connections, or its readiness timeout has expired.
     Running,
-    /// It got a signal that ends it.
+    /// The process received SIGTERM or SIGKILL.
     Ending {
-        /// When it got the signal.
+        /// When the signal was sent.
         since: Micros,
     },
 }
 
-/// One router of `serve`.
+/// A router of `serve`.
 pub(super) struct Router {
     pub(super) instance: RouterInstance,
-    /// The file of its configuration.
+    /// The path of the router's configuration.
     pub(super) config: PathBuf,
     pub(super) phase: Phase,
-    /// The proxies in front of the servers, in their order.
+    /// This router's proxies in front of the servers, in the order of the servers.
     pub(super) proxies: Vec<Proxy>,
 }
 
--- a/soak/src/serve/run.rs
+++ b/soak/src/serve/run.rs
@@ -1,4 +1,4 @@
-//! A run: its start, its load, the life of its processes, its end.
+//! A run of `serve`: its setup, its load, the lifecycle of its router processes, and its end.
 use super::load::Load;
 use super::router::{Phase, Router};
 use super::settings::{Addresses, NamedServer, config_text};
@@ -18,33 +18,33 @@
 use test_servers::proxy::Proxy;
 use test_servers::replication_group::ReplicationGroup;
 
-/// A process has to accept clients by then.
+/// The time within which a router process has to accept client connections.
 const READY_TIMEOUT: Micros = 30 * SECOND;
-/// How long one connect to a router may take that checks its readiness.
+/// The timeout of a connect that checks a router's readiness.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
-/// After SIGTERM a process is killed then: the longest deadline and some.
+/// How long after SIGTERM or SIGKILL a process is killed: longer than the longest request deadline.
 const KILL_AFTER: Micros = 5 * SECOND;
-/// The store has to accept changes again this long after the last fault.
+/// The time within which the store has to accept changes again after the last fault.
 const STORE_RECOVERY_TIMEOUT: Micros = 15 * SECOND;
 /// The pause between two attempts to change the store at the end.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// The main loop's step.
+/// The sleep time of the main loop.
 const STEP: Duration = Duration::from_millis(5);
-/// Processes are sampled this often.
+/// The interval between two resource usage samples.
 const SAMPLE_INTERVAL: Micros = SECOND;
-/// A change of the store is made this often.
+/// The interval between two changes of the store.
 const STORE_INTERVAL: Micros = 150 * MILLISECOND;
-/// How far the servers' replicas are behind as a rule.
+/// The replication lag of the replicas without a fault.
 pub(super) const USUAL_LAG: Duration = Duration::from_millis(5);
-/// The interval of the servers' heartbeats.
+/// The interval between two heartbeats of the simulated servers.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A fault begins or ends.
+/// Whether a fault starts or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Edge {
-    /// It begins.
+    /// The fault starts.
     Begin,
-    /// It ends.
+    /// The fault ends.
     End,
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl<'a> Run<'a> {
-    /// Starts everything but the routers' processes and the clients.
+    /// Starts the servers, and creates the routers with their proxies but without their processes.
     pub(super) fn prepare(plan: &'a Plan, programs: &'a Programs) -> io::Result<Run<'a>> {
         let folder = tempfile::Builder::new().prefix("damsonvale-soak-").tempdir()?;
         let lags = vec![USUAL_LAG; plan.replicas];
@@ -86,7 +86,7 @@
         Ok(run)
     }
 
-    /// A router without a process, its proxies and its file.
+    /// Creates a router without a process, starts its proxies and writes its configuration.
     fn create_router(&self, index: usize) -> io::Result<Router> {
         let (folder, name) = (self.folder.path(), format!("r{index}"));
         let instance = RouterInstance::create(index, folder, &name, &self.clock, &self.recorder)?;
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    /// Starts the routers, and waits until each accepts clients.
+    /// Starts the router processes and waits until all accept client connections.
     pub(super) fn start_routers(&mut self) -> Result<(), RunError> {
         (0..self.routers.len()).try_for_each(|router| self.start_router(router))?;
         let started_at = self.clock.now();
@@ -127,7 +127,7 @@
         Ok(())
     }
 
-    /// Plays the load and the faults.
+    /// Runs the load and injects the faults.
     pub(super) fn play(&mut self, seed: u64, faults: &[PlannedFault]) -> io::Result<()> {
         let mut load = Load::start(self.plan, seed, &self.addresses.clients, &self.clock, &self.recorder)?;
         let load_start = self.clock.now();
@@ -156,7 +156,7 @@
         Ok(())
     }
 
-    /// Sends a router a signal that ends it, unless it is absent already.
+    /// Sends a router a signal that ends it, unless it is already absent or not running.
     pub(super) fn end_router(&mut self, router: usize, signal: Signal, reason: AbsenceReason) {
         let own = &mut self.routers[router];
         if own.instance.is_absent() || own.phase != Phase::Running {
@@ -177,7 +177,7 @@
         (0..self.routers.len()).for_each(|router| self.advance_router(router));
     }
 
-    /// Checks a router's process: whether it accepts clients, has ended, or is to be started again.
+    /// Advances a router's lifecycle: checks its readiness, detects its exit, and restarts it.
     fn advance_router(&mut self, router: usize) {
         let now = self.clock.now();
         let own = &mut self.routers[router];
@@ -213,14 +213,14 @@
         }
     }
 
-    /// Makes the next change of the store, at the node whose turn it is.
+    /// Makes the next change of the store at the next node in turn, if that is not absent.
     fn change_store(&mut self) {
         let node = self.store.next_node();
         let is_present = !self.routers[node].instance.is_absent();
         self.store.change(node, is_present);
     }
 
-    /// Waits until the store accepts changes again, and reads it then.
+    /// Waits until the store accepts changes again or the timeout has expired, and reads the store.
     fn recover_store(&mut self) {
         let until = self.clock.now() + STORE_RECOVERY_TIMEOUT;
         while self.clock.now() < until {
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Ends all faults, reads the store and what the servers have run, and ends every process.
+    /// Ends all faults, reads the store and the writes that the servers executed, and kills every process.
     pub(super) fn finish(mut self) -> io::Result<History> {
         for router in &self.routers {
             router.instance.control().clear_faults()?;
@@ -253,7 +253,7 @@
     }
 }
 
-/// The beginnings and ends of faults in the order of their times, for a load that starts at this moment.
+/// Returns the starts and ends of the faults, ordered by time, for a load that starts at this time.
 fn schedule(faults: &[PlannedFault], load_start: Micros) -> Vec<ScheduledEdge> {
     let mut edges = Vec::new();
     for fault in faults {
