--- a/soak/src/serve/settings.rs
+++ b/soak/src/serve/settings.rs
@@ -1,45 +1,45 @@
-//! The operators' files of a run of `serve`.
+//! The configuration files of the routers in a run of `serve`.
 use crate::router::{AddressBlock, free_addresses};
 use std::fmt::Write;
 use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Nodes of the store: the first routers.
+/// The number of store nodes; the first routers of a run are the nodes.
 pub const STORE_NODES: usize = 3;
 
-/// The user of the sessions' clients.
+/// The `MySQL` user of the clients.
 pub(super) const CLIENT_USER: &str = "till";
-/// That user's password.
+/// The password of [`CLIENT_USER`].
 pub(super) const CLIENT_PASSWORD: &str = "secret";
-/// The database that the sessions' clients use.
+/// The database that the clients use.
 pub(super) const DATABASE: &str = "shop";
-/// The class of a session's reads.
+/// The request class of the sessions' reads.
 pub(super) const READ_CLASS: &str = "basket-read";
-/// The class of a session's writes.
+/// The request class of the sessions' writes.
 pub(super) const WRITE_CLASS: &str = "basket-add";
 
-/// Every address of a run, by router or by node of the store.
+/// The listen addresses of a run, by router or by store node.
 pub struct Addresses {
-    /// Where clients connect.
+    /// The routers' addresses for clients.
     pub clients: Vec<SocketAddr>,
-    /// Where operators' commands are accepted.
+    /// The store nodes' addresses for the operators' commands.
     pub controls: Vec<SocketAddr>,
-    /// Where peers exchange sessions.
+    /// The addresses where peers replicate sessions.
     pub sessions: Vec<SocketAddr>,
-    /// Where members gossip.
+    /// The addresses of the members' gossip.
     pub members: Vec<SocketAddr>,
-    /// Where the store's nodes connect to each other.
+    /// The addresses where the store nodes connect to each other.
     pub store_peers: Vec<SocketAddr>,
-    /// Where the store's clients connect.
+    /// The addresses where the store's clients connect.
     pub store_clients: Vec<SocketAddr>,
 }
 
 impl Addresses {
-    /// Addresses that nobody else listens on: on loopback addresses of this run's own.
+    /// Returns free addresses, on loopback addresses that no other run uses.
     ///
     /// # Errors
-    /// Where no port can be had.
+    /// No port is available.
     pub fn free(routers: usize) -> io::Result<Addresses> {
         Ok(Addresses {
             clients: free_addresses(AddressBlock(11), routers)?,
@@ -52,16 +52,16 @@
     }
 }
 
-/// A server, as a router's file names it.
+/// A server in a router's configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedServer {
-    /// Its id.
+    /// The server's id.
     pub id: String,
-    /// Where this router reaches it.
+    /// The address of the router's proxy in front of the server.
     pub address: SocketAddr,
 }
 
-/// One router's file.
+/// Returns the configuration of one router.
 pub fn config_text(router: usize, addresses: &Addresses, servers: &[NamedServer], folder: &Path) -> String {
     let mut text = mysql_section(addresses.clients[router], addresses.clients.len(), servers);
     text += &sessions_section(router, addresses, folder);
@@ -72,7 +72,7 @@
     text
 }
 
-/// The number of a router among sessions' peers and the store's nodes, which count from 1.
+/// Returns a router's number as a session peer and as a store node; these numbers start at 1.
 fn number(router: usize) -> usize {
     router + 1
 }
--- a/soak/src/serve/store.rs
+++ b/soak/src/serve/store.rs
@@ -1,16 +1,16 @@
-//! Changes of the replicated store by operators' commands, and what it has at the end.
+//! Changes the replicated store with operators' commands and reads its state at the end.
 use super::settings::STORE_NODES;
 use crate::history::StoreRecord;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The key that is changed.
+/// The key that the run changes.
 const KEY: &str = "soak";
-/// The key whose change shows at the end that the store accepts changes.
+/// The key that is changed at the end to check that the store accepts changes again.
 const END_KEY: &str = "soak-end";
 
-/// Changes the store at its nodes in turn, and remembers what was confirmed.
+/// Changes the store at each node in turn and records the last confirmed change.
 pub(super) struct StoreProbe {
     program: PathBuf,
     controls: Vec<SocketAddr>,
@@ -20,7 +20,7 @@
 }
 
 impl StoreProbe {
-    /// A probe that runs this program at the nodes' control addresses.
+    /// Creates a probe that runs this program's command `ctl` with the nodes' control addresses.
     pub(super) fn new(program: &Path, controls: &[SocketAddr]) -> StoreProbe {
         StoreProbe {
             program: program.to_path_buf(),
@@ -30,17 +30,18 @@
         }
     }
 
-    /// What was confirmed and found.
+    /// Returns the last confirmed change and the number found at the end.
     pub(super) fn record(&self) -> StoreRecord {
         self.record
     }
 
-    /// The node at which the next change is made.
+    /// Returns the node for the next change.
     pub(super) fn next_node(&self) -> usize {
         (self.last_change + 1) as usize % STORE_NODES
     }
 
-    /// Sets the key to the next number at a node, if that is present. It counts as confirmed where the command succeeds.
+    /// Sets the key to the next number at a node, if the node is present. The number counts as confirmed if
+    /// the command succeeds.
     pub(super) fn change(&mut self, node: usize, is_present: bool) {
         self.last_change += 1;
         let number = self.last_change;
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Reads the key at the first node that accepts a change; `false` where none does.
+    /// Reads the key at the first node that accepts a change. Returns `false` if no node does.
     pub(super) fn read_back(&mut self) -> bool {
         let accepting = (0..STORE_NODES).find(|node| self.run(*node, &["set", END_KEY, "1"]).is_some());
         let Some(node) = accepting else { return false };
@@ -60,7 +61,7 @@
         true
     }
 
-    /// Runs a command at a node's control address; its output where it succeeds.
+    /// Runs a command with a node's control address and returns its output if it succeeds.
     fn run(&self, node: usize, words: &[&str]) -> Option<String> {
         let address = self.controls[node].to_string();
         let mut command = Command::new(&self.program);
--- a/soak/src/time.rs
+++ b/soak/src/time.rs
@@ -1,9 +1,9 @@
-//! Times of a run: microseconds of the monotonic clock since its start.
+//! Times of a run, in microseconds of the monotonic clock since the run started.
 
-/// Microseconds since the start of the run, or between two moments of it.
+/// A point in time, as microseconds since the run started, or a duration in microseconds.
 pub type Micros = i64;
 
-/// One millisecond.
+/// One millisecond in microseconds.
 pub const MILLISECOND: Micros = 1_000;
-/// One second.
+/// One second in microseconds.
 pub const SECOND: Micros = 1_000_000;
--- a/soak/tests/exchanged_forms.rs
+++ b/soak/tests/exchanged_forms.rs
@@ -1,5 +1,5 @@
-//! What the soak exchanges with routers (their files, discovery's list, messages), and the report that it prints, against
-//! fixtures.
+//! Compares the routers' configurations, the discovery protocol, the encoded messages and the printed report
+//! with fixtures.
 mod fixture;
 mod records;
 
@@ -40,7 +40,8 @@
     }
 }
 
-/// The agents of one router with three servers in their list, one of them replaced by a cold one.
+/// Starts the discovery agent of one router and lists three servers, one of which is replaced by a newly
+/// started one.
 fn agents() -> (DiscoveryAgents, Vec<SocketAddr>) {
     let servers: Vec<SocketAddr> = (7001..7004).map(address).collect();
     let agents = DiscoveryAgents::start(vec![servers.clone()], &RunClock::start()).unwrap();
@@ -50,7 +51,7 @@
     (agents, servers)
 }
 
-/// What an agent answers to a request for changes after a version, up to the last whole line.
+/// Requests the changes after a version from an agent and returns its response once it has this many lines.
 fn watch(agents: &DiscoveryAgents, version: u64, lines: usize) -> String {
     let mut socket = TcpStream::connect(agents.addresses[0][0]).unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
@@ -59,14 +60,14 @@
     while text.matches('\n').count() < lines {
         let mut bytes = [0; 4096];
         let count = socket.read(&mut bytes).unwrap();
-        assert!(count > 0, "the agent closed the connection: {text}");
+        assert!(count > 0, "the agent closed the connection after {text:?}");
         text.push_str(std::str::from_utf8(&bytes[..count]).unwrap());
     }
     text
 }
 
 #[test]
-fn platform_config_is_written_as_before() {
+fn platform_config_matches_fixture() {
     let (agents, servers) = agents();
     let endpoints = agents.list_json(&servers);
     let settings = RouterSettings {
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn serve_config_is_written_as_before() {
+fn serve_config_matches_fixture() {
     let numbered = |from: u16, count: u16| (from..from + count).map(address).collect::<Vec<_>>();
     let addresses = Addresses {
         clients: numbered(1000, 4),
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn discovery_sends_list_then_changes() {
+fn discovery_sends_complete_list_then_changes() {
     let (agents, _) = agents();
     let whole = watch(&agents, 0, 6);
     let changes = watch(&agents, 3, 9);
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn messages_have_the_bytes_they_had() {
+fn messages_match_fixture_and_decode() {
     let messages = [
         ("ready", wire::ready()),
         ("row", wire::row("2a.1.7")),
@@ -152,7 +153,7 @@
     InvariantViolations { router, invariant: invariant.into(), count }
 }
 
-/// A history that breaks every promise.
+/// Returns a history that breaks every promise.
 fn broken_history() -> History {
     let late_answer =
         Request { ended_at: 14 * SECOND, ..request(0xa2, Class::Any, Outcome::Served("a2.2.9".into())) };
@@ -231,7 +232,7 @@
 }
 
 #[test]
-fn report_is_printed_as_before() {
+fn report_matches_fixture() {
     let mut history = broken_history();
     let breaches = check(&history);
     let fault = PlannedFault {
--- a/soak/tests/oracle.rs
+++ b/soak/tests/oracle.rs
@@ -1,4 +1,5 @@
-//! Each oracle passes a history that breaks no promise, and names the promise that a change of that history breaks.
+//! Tests of the oracles: a valid history has no breach, and each modification of it is reported under the
+//! promise that it breaks.
 mod records;
 
 use records::{attempt, request};
@@ -10,7 +11,7 @@
 use soak::oracle::{Promise, check};
 use soak::time::SECOND;
 
-/// A request that was served in 50 ms, and its attempt.
+/// Returns a valid history: a request that was served in 50 ms, and its attempt.
 fn history() -> History {
     History {
         requests: vec![request(1)],
@@ -20,7 +21,7 @@
     }
 }
 
-/// The promises that a change of that history breaks.
+/// Returns the promises broken by a modification of the valid history.
 fn broken_promises(change: impl FnOnce(&mut History)) -> Vec<Promise> {
     let mut history = history();
     change(&mut history);
@@ -39,33 +40,34 @@
 }
 
 #[test]
-fn unanswered_request_is_lost() {
+fn request_without_response_is_lost() {
     let open = |h: &mut History| h.requests[0].outcome = Outcome::Pending;
     let closed = |h: &mut History| (h.requests[0].outcome, h.attempts) = (Outcome::Closed, Vec::new());
     assert_eq!(broken_promises(open), [Promise::Lost]);
     assert_eq!(broken_promises(closed), [Promise::Lost]);
-    // Its process was killed under it.
+    // The router process was killed while the request was pending.
     let killed = |h: &mut History| {
         closed(h);
         h.absences.push(absence(AbsenceReason::Killed, 10 * SECOND + 20_000, 11 * SECOND));
     };
     assert_eq!(broken_promises(killed), []);
-    // A connection that rested, ended as the request was on its way: the client sends it again elsewhere.
+    // The router closed an idle connection while the request was on its way; the client retries at another
+    // router.
     let crossed = |h: &mut History| {
         closed(h);
         h.requests[0].sequence = 3;
     };
     assert_eq!(broken_promises(crossed), []);
-    // But not where a server has seen it.
+    // A close is a breach if a server has received the request.
     let forwarded = |h: &mut History| (h.requests[0].outcome, h.requests[0].sequence) = (Outcome::Closed, 3);
     assert_eq!(broken_promises(forwarded), [Promise::Lost]);
-    // Late in a shutdown clients send elsewhere what is not answered.
+    // Late in a shutdown, a router may close connections; clients retry at another router.
     let ending = |h: &mut History| {
         closed(h);
         h.absences.push(absence(AbsenceReason::ShutDown, 9 * SECOND, 12 * SECOND));
     };
     assert_eq!(broken_promises(ending), []);
-    // But early in it they are served as before, also where the process ends with the connection.
+    // Early in a shutdown, clients have to be served, even if the process exits when the connection closes.
     let cut = |h: &mut History| {
         closed(h);
         h.absences.push(absence(AbsenceReason::ShutDown, 10 * SECOND - 100_000, 10 * SECOND + 60_000));
@@ -74,7 +76,7 @@
 }
 
 #[test]
-fn late_and_foreign_answers_are_found() {
+fn late_and_mismatched_responses_are_found() {
     assert_eq!(broken_promises(|h| h.requests[0].ended_at = 12 * SECOND), [Promise::Late]);
     let paused = |h: &mut History| {
         h.requests[0].ended_at = 12 * SECOND;
@@ -117,14 +119,18 @@
 fn attempt_at_withdrawn_server_is_found() {
     let withdrawal = Withdrawal { server: 0, router: None, notified_at: 9 * SECOND, until: 20 * SECOND };
     assert_eq!(broken_promises(|h| h.withdrawals.push(withdrawal)), [Promise::Drain]);
-    // Discovery could not notify the router.
+    // During a discovery outage the router is not notified.
     let unnotified = |h: &mut History| {
         h.withdrawals.push(withdrawal);
         h.discovery_outages.push(DiscoveryOutage { router: 0, from: 8 * SECOND, to: 11 * SECOND });
     };
     assert_eq!(broken_promises(unnotified), []);
     let by_operator = Withdrawal { router: Some(1), ..withdrawal };
-    assert_eq!(broken_promises(|h| h.withdrawals.push(by_operator)), [], "another router was notified");
+    assert_eq!(
+        broken_promises(|h| h.withdrawals.push(by_operator)),
+        [],
+        "a withdrawal at router 1 does not bind router 0"
+    );
 }
 
 #[test]
--- a/soak/tests/plans.rs
+++ b/soak/tests/plans.rs
@@ -1,4 +1,4 @@
-//! The written form of plans and what a seed draws from them, against fixtures.
+//! Compares serialized plans and the faults generated from seeds with fixtures.
 mod fixture;
 
 use fixture::assert_fixture;
@@ -9,7 +9,7 @@
 use std::fmt::Write;
 use std::path::PathBuf;
 
-/// Every plan of the package, by its path in `soak/plans`.
+/// Every plan of the package, as a path relative to `soak/plans`.
 const PLANS: [&str; 11] = [
     "hang_then_crash.toml",
     "platform.toml",
@@ -24,7 +24,7 @@
     "silent_watch.toml",
 ];
 
-/// Every kind, with the name that plans and the command line give it.
+/// Every fault kind with its name in plans and on the command line.
 const KINDS: [(&str, FaultKind); 31] = [
     ("term", FaultKind::Term),
     ("kill", FaultKind::Kill),
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn plans_are_written_as_before() {
+fn serialized_plans_match_fixture() {
     let mut written = String::new();
     for name in PLANS {
         let plan = read(name);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn plans_are_read_to_their_values() {
+fn plans_are_parsed_to_expected_values() {
     let platform = Plan {
         front: Front::Platform,
         routers: 12,
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn unknown_keys_of_plans_are_refused() {
+fn unknown_keys_and_fault_kinds_are_rejected() {
     assert_eq!(toml::from_str::<Plan>("").unwrap(), Plan::default());
     let unknown_key = toml::from_str::<Plan>("speed = 3").unwrap_err().to_string();
     assert!(unknown_key.contains("unknown field `speed`"), "{unknown_key}");
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn plans_out_of_bounds_are_refused() {
+fn plans_out_of_bounds_are_rejected() {
     let refused = |plan: Plan| plan.check().unwrap_err().to_string();
     let (plan, thirty_servers) = (Plan::default(), "expected 1 to 30 servers");
     assert_eq!(refused(Plan { routers: 41, ..plan.clone() }), "expected 1 to 40 routers");
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn kinds_are_named_alike_everywhere() {
+fn fault_kinds_have_same_name_in_plans_and_arguments() {
     for (name, kind) in KINDS {
         assert_eq!(serde_json::to_value(kind).unwrap(), name);
         assert_eq!(name.parse::<FaultKind>().unwrap(), kind);
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn seeds_draw_the_same_faults_as_before() {
+fn faults_drawn_from_seeds_match_fixture() {
     let mut drawn = String::new();
     for name in PLANS {
         let plan = read(name);
@@ -180,11 +180,11 @@
 }
 
 #[test]
-fn reduced_plan_is_written_as_before() {
+fn reduced_plan_matches_fixture() {
     let plan = read("short_platform.toml");
     let drawn = draw(&plan, 1, &[]);
     let mut tried = 0;
-    // The breach needs the third and the last fault.
+    // Only the third and the last fault together cause the breach.
     let needed = [drawn[2], drawn[drawn.len() - 1]];
     let still_breaks = |left: &[PlannedFault], promise| {
         assert_eq!(promise, soak::oracle::Promise::Lost);
--- a/soak/tests/records/mod.rs
+++ b/soak/tests/records/mod.rs
@@ -1,9 +1,9 @@
-//! Records of a request that was served in 50 ms, which tests change.
+//! Records of a request that was served in 50 ms, which tests modify.
 use soak::class::Class;
 use soak::history::{Attempt, Outcome, Request};
 use soak::time::SECOND;
 
-/// A write that was sent at 10 s.
+/// Returns a write that was sent at 10 s and served.
 pub(crate) fn request(id: u64) -> Request {
     Request {
         id,
@@ -22,7 +22,7 @@
     }
 }
 
-/// Its attempt at a server.
+/// Returns the executed attempt of that write at a server.
 pub(crate) fn attempt(id: u64, server: usize) -> Attempt {
     Attempt {
         id,
