--- a/soak/src/draw.rs
+++ b/soak/src/draw.rs
@@ -55,13 +55,13 @@
 /// No fault starts earlier than this, because the routers' connection pools are still empty.
 const FIRST_START_MS: u64 = 1500;
 /// No fault starts within this time before the end of the load.
-const QUIET_END_MS: u64 = 3000;
-/// How long a fault may last into the period of [`QUIET_END_MS`].
-const MAX_OVERHANG_MS: u64 = 1500;
+const FAULT_FREE_END_MS: u64 = 3000;
+/// How long a fault may last into the period of [`FAULT_FREE_END_MS`].
+const MAX_FAULT_OVERRUN_MS: u64 = 1500;
 /// The faults of a cluster start within this time of each other.
 const CLUSTER_SPREAD_MS: u64 = 1000;
 /// On average, one in this many faults is applied to a router and a server other than those of its cluster.
-const ELSEWHERE_ONE_IN: u8 = 4;
+const OTHER_TARGET_ONE_IN: u8 = 4;
 /// The possible steps of a wall clock, in seconds.
 const CLOCK_STEPS: [i64; 4] = [-3600, -5, 5, 3600];
 
@@ -74,12 +74,12 @@
     let kinds = drawable_kinds(plan.front, only);
     let mut rng = Rng::with_seed(seed);
     let count = (plan.faults_per_ten_seconds as u64 * plan.seconds).div_ceil(10);
-    let mut drawn = Vec::new();
-    while (drawn.len() as u64) < count && !kinds.is_empty() {
-        draw_cluster(plan, &kinds, &mut rng, &mut drawn);
+    let mut drawn_faults = Vec::new();
+    while (drawn_faults.len() as u64) < count && !kinds.is_empty() {
+        draw_cluster(plan, &kinds, &mut rng, &mut drawn_faults);
     }
-    drawn.sort_by_key(|fault| fault.start_ms);
-    drawn
+    drawn_faults.sort_by_key(|fault| fault.start_ms);
+    drawn_faults
 }
 
 fn drawable_kinds(front: Front, only: &[FaultKind]) -> Vec<FaultKind> {
@@ -92,22 +92,22 @@
 
 /// Draws faults that start close to each other and usually affect the same router and server, so that their
 /// effects interact.
-fn draw_cluster(plan: &Plan, kinds: &[FaultKind], rng: &mut Rng, drawn: &mut Vec<PlannedFault>) {
+fn draw_cluster(plan: &Plan, kinds: &[FaultKind], rng: &mut Rng, drawn_faults: &mut Vec<PlannedFault>) {
     let end_ms = plan.seconds * 1000;
-    let last_start_ms = end_ms.saturating_sub(QUIET_END_MS).max(FIRST_START_MS + 1);
-    let max_duration_ms = end_ms - last_start_ms.min(end_ms) + MAX_OVERHANG_MS;
+    let last_start_ms = end_ms.saturating_sub(FAULT_FREE_END_MS).max(FIRST_START_MS + 1);
+    let max_duration_ms = end_ms - last_start_ms.min(end_ms) + MAX_FAULT_OVERRUN_MS;
     let cluster_start_ms = rng.u64(FIRST_START_MS..last_start_ms);
     let router = rng.usize(..plan.routers);
     let server = rng.usize(..plan.servers());
     for _ in 0..rng.usize(2..=3) {
         let kind = kinds[rng.usize(..kinds.len())];
-        let elsewhere = rng.u8(..ELSEWHERE_ONE_IN) == 0;
-        drawn.push(PlannedFault {
+        let has_other_target = rng.u8(..OTHER_TARGET_ONE_IN) == 0;
+        drawn_faults.push(PlannedFault {
             kind,
             start_ms: (cluster_start_ms + rng.u64(..CLUSTER_SPREAD_MS)).min(last_start_ms),
             duration_ms: draw_duration_ms(kind, rng).min(max_duration_ms),
-            router: if elsewhere { rng.usize(..plan.routers) } else { router },
-            server: if elsewhere { rng.usize(..plan.servers()) } else { server },
+            router: if has_other_target { rng.usize(..plan.routers) } else { router },
+            server: if has_other_target { rng.usize(..plan.servers()) } else { server },
             clock_step_seconds: draw_clock_step(kind, rng),
         });
     }
--- a/soak/src/environment/clients/commits.rs
+++ b/soak/src/environment/clients/commits.rs
@@ -15,36 +15,36 @@
 pub(super) struct SessionCommits {
     last_commits: HashMap<SessionGroup, Micros>,
     /// The session of each write, by request id.
-    writers: HashMap<u64, u64>,
+    write_sessions: HashMap<u64, u64>,
     /// The number of requests at the start of the history that need not be read again.
-    read: usize,
+    read_requests: usize,
 }
 
 impl SessionCommits {
     /// Records that a session sends a write.
     pub(super) fn add_write(&mut self, request: u64, session: u64) {
-        self.writers.insert(request, session);
+        self.write_sessions.insert(request, session);
     }
 
     /// Returns the last commit of a session in a group that was confirmed to the client.
     pub(super) fn last_commit(&mut self, session: u64, group: usize, history: &History) -> Option<Micros> {
-        self.read(history);
+        self.read_history(history);
         self.last_commits.get(&SessionGroup { session, group }).copied()
     }
 
-    fn read(&mut self, history: &History) {
-        let unread = &history.requests[self.read..];
+    fn read_history(&mut self, history: &History) {
+        let unread = &history.requests[self.read_requests..];
         for request in unread {
             if let Some(ran_at) = ran_at(request, history) {
                 self.add_commit(request, ran_at);
             }
         }
         // Pending requests are read again, because they may still be served.
-        self.read += unread.iter().take_while(|request| request.outcome != Outcome::Pending).count();
+        self.read_requests += unread.iter().take_while(|request| request.outcome != Outcome::Pending).count();
     }
 
     fn add_commit(&mut self, request: &Request, ran_at: Micros) {
-        let Some(session) = self.writers.get(&request.id).copied() else { return };
+        let Some(session) = self.write_sessions.get(&request.id).copied() else { return };
         let key = SessionGroup { session, group: request.group };
         let last = self.last_commits.entry(key).or_insert(ran_at);
         *last = ran_at.max(*last);
--- a/soak/src/environment/clients/connection.rs
+++ b/soak/src/environment/clients/connection.rs
@@ -3,27 +3,28 @@
 use crate::environment::clock::RunClock;
 use crate::environment::socket::{ReadEnd, read_available, write_pending};
 use crate::environment::wire::{
-    FATAL, KEY_BYTES, Message, error_field, error_fields, message, query, startup, tag, take_message, value,
+    FATAL, KEY_BYTES, Message, encode_message, error_field, error_fields, query_message, row_value,
+    startup_message, tag, take_message,
 };
-use crate::history::{History, Outcome, Recorder, Request, Stall, UnexpectedAnswer};
+use crate::history::{History, Outcome, Recorder, Request, Stall, UnexpectedResponse};
 use crate::time::Micros;
 use mio::net::TcpStream;
 use std::collections::VecDeque;
 
 /// How long after a request's timeout the client abandons the connection.
-const GIVE_UP_AFTER: Micros = 3_500_000;
+const ABANDON_AFTER: Micros = 3_500_000;
 /// The body of the message that a stalling client sends only in part.
 const STALLED_BODY: [u8; 100] = [b'x'; 100];
 /// How many bytes of that message are sent.
 const STALLED_BYTES: usize = 40;
 /// The error code recorded for a response without a row or an error.
-const EMPTY_ANSWER: &str = "empty";
+const EMPTY_RESPONSE: &str = "empty";
 
 /// A request that waits for its response.
 pub(super) struct PendingRequest {
     /// The request's index in the history.
     pub(super) index: usize,
-    pub(super) give_up_at: Micros,
+    pub(super) abandon_at: Micros,
     pub(super) disconnect_at: Option<Micros>,
     pub(super) cancel_at: Option<Micros>,
 }
@@ -41,7 +42,7 @@
     /// The backend key with which the connection's requests can be cancelled; empty until the router has sent
     /// it.
     key: Vec<u8>,
-    greeted: bool,
+    is_started: bool,
     /// The number of requests sent on the connection.
     sent: usize,
     pending: VecDeque<PendingRequest>,
@@ -66,9 +67,9 @@
             opened_at: now,
             stream,
             inbound: Vec::new(),
-            outbound: startup(),
+            outbound: startup_message(),
             key: Vec::new(),
-            greeted: false,
+            is_started: false,
             sent: 0,
             pending: VecDeque::new(),
             unsent: VecDeque::new(),
@@ -105,7 +106,7 @@
 
     /// Sends the first part of a message and then stalls.
     pub(super) fn stall(&mut self, now: Micros) {
-        self.outbound.extend(&message(tag::QUERY, &STALLED_BODY)[..STALLED_BYTES]);
+        self.outbound.extend(&encode_message(tag::QUERY, &STALLED_BODY)[..STALLED_BYTES]);
         self.stalled_since = Some(now);
     }
 
@@ -134,11 +135,11 @@
             cancelled_at: None,
         });
         self.sent += 1;
-        self.outbound.extend(query(statement));
+        self.outbound.extend(query_message(statement));
         self.unsent.push_back(index);
         self.pending.push_back(PendingRequest {
             index,
-            give_up_at: now + request.timeout + GIVE_UP_AFTER,
+            abandon_at: now + request.timeout + ABANDON_AFTER,
             disconnect_at: request.disconnect_at,
             cancel_at: request.cancel_at,
         });
@@ -163,45 +164,45 @@
     }
 
     /// Records the responses that have arrived.
-    pub(super) fn take_answers(&mut self, clock: &RunClock, recorder: &Recorder) {
-        let mut answer = None;
+    pub(super) fn take_responses(&mut self, clock: &RunClock, recorder: &Recorder) {
+        let mut response = None;
         while let Some(Message { tag, body }) = take_message(&mut self.inbound) {
             match tag {
-                tag::BACKEND_KEY if !self.greeted => self.key = body,
-                tag::READY if !self.greeted => self.greeted = true,
-                tag::DATA_ROW => answer = Some(Outcome::Served(value(&body))),
+                tag::BACKEND_KEY if !self.is_started => self.key = body,
+                tag::READY if !self.is_started => self.is_started = true,
+                tag::DATA_ROW => response = Some(Outcome::Served(row_value(&body))),
                 tag::ERROR => {
                     let code = error_field(&body, error_fields::CODE).unwrap_or_default();
-                    answer = Some(Outcome::Error(code));
+                    response = Some(Outcome::Error(code));
                     // No ReadyForQuery follows a fatal error.
                     if error_field(&body, error_fields::SEVERITY).is_some_and(|severity| severity == FATAL) {
-                        self.record_answer(answer.take(), clock.now(), &mut recorder.lock());
+                        self.record_response(response.take(), clock.now(), &mut recorder.lock());
                     }
                 }
-                tag::READY => self.record_answer(answer.take(), clock.now(), &mut recorder.lock()),
+                tag::READY => self.record_response(response.take(), clock.now(), &mut recorder.lock()),
                 _ => {}
             }
         }
     }
 
     /// Records the response of the oldest pending request.
-    fn record_answer(&mut self, answer: Option<Outcome>, now: Micros, history: &mut History) {
+    fn record_response(&mut self, response: Option<Outcome>, now: Micros, history: &mut History) {
         let Some(pending) = self.pending.pop_front() else {
             if !self.is_stalled() {
-                let unsolicited = UnexpectedAnswer::Unsolicited { connection: self.number, answer };
-                history.unexpected_answers.push(unsolicited);
+                let unsolicited = UnexpectedResponse::Unsolicited { connection: self.number, response };
+                history.unexpected_responses.push(unsolicited);
             }
             return;
         };
         let request = &mut history.requests[pending.index];
-        request.outcome = answer.unwrap_or(Outcome::Error(EMPTY_ANSWER.into()));
+        request.outcome = response.unwrap_or(Outcome::Error(EMPTY_RESPONSE.into()));
         request.ended_at = now;
         let id = request.id;
         if let Outcome::Served(value) = &request.outcome
             && !value.starts_with(&format!("{id:x}."))
         {
-            let foreign = UnexpectedAnswer::Foreign { request: id, value: value.clone() };
-            history.unexpected_answers.push(foreign);
+            let foreign = UnexpectedResponse::Foreign { request: id, value: value.clone() };
+            history.unexpected_responses.push(foreign);
         }
     }
 
--- a/soak/src/environment/clients/event_loop.rs
+++ b/soak/src/environment/clients/event_loop.rs
@@ -7,7 +7,7 @@
 use crate::environment::acceptor::Poller;
 use crate::environment::clock::RunClock;
 use crate::environment::service_thread::StopSignal;
-use crate::environment::wire::cancel;
+use crate::environment::wire::cancel_request;
 use crate::history::Recorder;
 use crate::time::{MILLISECOND, Micros, SECOND};
 use fastrand::Rng;
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 /// The maximum time between two checks of timers and shared state.
-const TICK: Duration = Duration::from_millis(2);
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// The maximum number of events per poll.
 const MAX_EVENTS: usize = 512;
 /// Makes the clients' random numbers differ from those of the faults, which use the same seed.
@@ -105,10 +105,10 @@
     shared: SharedState,
     clients: Vec<Client>,
     /// The index of each client, by the token of its connection.
-    by_token: HashMap<usize, usize>,
+    clients_by_token: HashMap<usize, usize>,
     connections_opened: u64,
     /// The size of the current flood, whose clients have been added.
-    started_flood: usize,
+    current_flood: usize,
     commits: SessionCommits,
 }
 
@@ -127,9 +127,9 @@
             recorder,
             shared,
             clients: Vec::new(),
-            by_token: HashMap::new(),
+            clients_by_token: HashMap::new(),
             connections_opened: 0,
-            started_flood: 0,
+            current_flood: 0,
             commits: SessionCommits::default(),
         })
     }
@@ -138,11 +138,11 @@
         self.add_clients();
         let mut events = Events::with_capacity(MAX_EVENTS);
         while !stop.is_set() {
-            if self.poller.wait(&mut events, TICK).is_err() {
+            if self.poller.wait(&mut events, MAX_POLL_INTERVAL).is_err() {
                 continue;
             }
             for event in &events {
-                if let Some(client) = self.by_token.get(&event.token().0).copied() {
+                if let Some(client) = self.clients_by_token.get(&event.token().0).copied() {
                     self.transfer(client);
                 }
             }
@@ -157,7 +157,7 @@
 
     fn add_clients(&mut self) {
         for session in 0..self.settings.clients as u64 {
-            let next_action_at = self.clock.now() + self.rng.i64(0..self.settings.think.max(1));
+            let next_action_at = self.clock.now() + self.rng.i64(0..self.settings.think_time.max(1));
             let router = session as usize % self.settings.routers.len();
             let lifetime = Lifetime::WholeLoad;
             self.clients.push(Client { connection: None, next_action_at, session, lifetime, router });
@@ -172,10 +172,10 @@
 
     /// Adds the clients of a flood, each of which sends one request.
     fn start_flood(&mut self, faults: ClientFaults) {
-        if faults.flood == self.started_flood {
+        if faults.flood == self.current_flood {
             return;
         }
-        self.started_flood = faults.flood;
+        self.current_flood = faults.flood;
         for _ in 0..faults.flood {
             let session = FLOOD_SESSIONS + self.clients.len() as u64;
             let router = self.draw_router();
@@ -189,13 +189,13 @@
     }
 
     fn draw_pause(&mut self) -> Micros {
-        self.rng.i64(0..2 * self.settings.think.max(1))
+        self.rng.i64(0..2 * self.settings.think_time.max(1))
     }
 
     fn advance(&mut self, client: usize, faults: ClientFaults) {
         let now = self.clock.now();
         let load_ended = self.shared.has_load_ended();
-        self.check_times(client, now);
+        self.perform_due_action(client, now);
         let state = &self.clients[client];
         if load_ended || now < state.next_action_at {
             return;
@@ -213,7 +213,7 @@
 
     /// Performs a client's action that is due: closes a stalled connection, cancels a request, disconnects,
     /// or abandons the connection.
-    fn check_times(&mut self, client: usize, now: Micros) {
+    fn perform_due_action(&mut self, client: usize, now: Micros) {
         let Some(connection) = &mut self.clients[client].connection else { return };
         if connection.is_stalled_longer_than(STALL_LIMIT, now) {
             return self.close(client);
@@ -227,8 +227,8 @@
         if first.disconnect_at.is_some_and(|at| now >= at) {
             return self.disconnect(client, now);
         }
-        if now > first.give_up_at {
-            self.give_up(client, now);
+        if now > first.abandon_at {
+            self.abandon_connection(client, now);
         }
     }
 
@@ -245,11 +245,11 @@
     fn send_cancel(&self, router: usize, key: &[u8]) -> bool {
         let address = self.settings.routers[router];
         let connected = std::net::TcpStream::connect_timeout(&address, CANCEL_TIMEOUT);
-        connected.and_then(|mut socket| socket.write_all(&cancel(key))).is_ok()
+        connected.and_then(|mut socket| socket.write_all(&cancel_request(key))).is_ok()
     }
 
     /// Abandons the connection. The history shows that no response arrived.
-    fn give_up(&mut self, client: usize, now: Micros) {
+    fn abandon_connection(&mut self, client: usize, now: Micros) {
         self.take_connection(client);
         self.clients[client].next_action_at = now + RECONNECT_DELAY;
     }
@@ -274,7 +274,7 @@
 
     fn take_connection(&mut self, client: usize) -> Option<Connection> {
         let connection = self.clients[client].connection.take()?;
-        self.by_token.remove(&connection.token);
+        self.clients_by_token.remove(&connection.token);
         Some(connection)
     }
 
@@ -286,7 +286,7 @@
             self.clients[client].next_action_at = now + RECONNECT_DELAY;
             return;
         };
-        self.by_token.insert(connection.token, client);
+        self.clients_by_token.insert(connection.token, client);
         self.clients[client].connection = Some(connection);
         // Half of the clients send their first request together with the startup message.
         if self.rng.bool() {
@@ -343,7 +343,7 @@
         let now = self.clock.now();
         let Some(connection) = &mut self.clients[client].connection else { return };
         let is_open = connection.transfer(now, &self.recorder);
-        connection.take_answers(&self.clock, &self.recorder);
+        connection.take_responses(&self.clock, &self.recorder);
         let is_idle = connection.pending_requests() == 0;
         if is_idle && self.clients[client].next_action_at <= self.clock.now() {
             self.clients[client].next_action_at = self.clock.now() + self.draw_pause();
--- a/soak/src/environment/clients/settings.rs
+++ b/soak/src/environment/clients/settings.rs
@@ -11,7 +11,7 @@
     /// The number of replication groups.
     pub groups: usize,
     /// The average pause of a client between two requests.
-    pub think: Micros,
+    pub think_time: Micros,
     /// The seed of the random numbers.
     pub seed: u64,
 }
--- a/soak/src/environment/discovery.rs
+++ b/soak/src/environment/discovery.rs
@@ -17,7 +17,7 @@
 /// The interval of empty lines when there are no changes.
 const EMPTY_LINE_INTERVAL: Micros = 2 * SECOND;
 /// The maximum time between two checks for changes.
-const TICK: Duration = Duration::from_millis(3);
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(3);
 /// The maximum number of events per poll.
 const MAX_EVENTS: usize = 256;
 /// The response head that an agent sends before its lines.
@@ -229,7 +229,7 @@
     fn run(&mut self, stop: &StopSignal) {
         let mut events = Events::with_capacity(MAX_EVENTS);
         while !stop.is_set() {
-            if self.acceptor.wait(&mut events, TICK).is_err() {
+            if self.acceptor.wait(&mut events, MAX_POLL_INTERVAL).is_err() {
                 continue;
             }
             let state = self.state.clone();
@@ -316,7 +316,7 @@
                 reset(&self.stream);
                 return false;
             }
-            AgentFault::SilentBefore(moment) if self.opened_at < moment => return true,
+            AgentFault::SilentBefore(since) if self.opened_at < since => return true,
             AgentFault::Slow(delay) if self.next_line_at + delay > now => return true,
             _ => {}
         }
--- a/soak/src/environment/link.rs
+++ b/soak/src/environment/link.rs
@@ -17,7 +17,7 @@
     /// The link forwards nothing that the router writes.
     pub blocks_requests: bool,
     /// The link forwards nothing that the server writes.
-    pub blocks_answers: bool,
+    pub blocks_responses: bool,
     /// The delay of the bytes that the router writes.
     pub request_delay: Micros,
     /// The number of response bytes after which the link resets the connection, if more are pending.
@@ -45,11 +45,11 @@
     /// The total number of bytes that the server has taken.
     taken: usize,
     /// The arrival and availability times of the buffered bytes.
-    stamps: VecDeque<Stamp>,
+    arrivals: VecDeque<Arrival>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Stamp {
+struct Arrival {
     end: usize,
     arrived_at: Micros,
     available_at: Micros,
@@ -61,21 +61,21 @@
         self.bytes.extend_from_slice(bytes);
         let end = self.taken + self.bytes.len();
         // Bytes with a shorter delay must not overtake earlier ones.
-        let last_available_at = self.stamps.back().map_or(0, |last| last.available_at);
+        let last_available_at = self.arrivals.back().map_or(0, |last| last.available_at);
         let available_at = last_available_at.max(now + delay);
-        self.stamps.push_back(Stamp { end, arrived_at: now, available_at });
+        self.arrivals.push_back(Arrival { end, arrived_at: now, available_at });
     }
 
     /// Returns how many buffered bytes are available to the server.
     fn available(&self, now: Micros) -> usize {
-        let last = self.stamps.iter().take_while(|stamp| stamp.available_at <= now).last();
+        let last = self.arrivals.iter().take_while(|stamp| stamp.available_at <= now).last();
         last.map_or(0, |stamp| stamp.end - self.taken)
     }
 
     /// Returns when the byte at this offset of the buffer arrived at the link.
     fn arrived_at(&self, offset: usize) -> Micros {
         let position = self.taken + offset;
-        self.stamps.iter().find(|stamp| stamp.end > position).map_or(0, |stamp| stamp.arrived_at)
+        self.arrivals.iter().find(|stamp| stamp.end > position).map_or(0, |stamp| stamp.arrived_at)
     }
 
     /// Removes the first message from the buffer if it is completely available. `length` returns the length
@@ -86,14 +86,14 @@
         let (first_byte_at, last_byte_at) = (self.arrived_at(0), self.arrived_at(length - 1));
         let bytes = self.bytes.drain(..length).collect();
         self.taken += length;
-        while self.stamps.front().is_some_and(|stamp| stamp.end <= self.taken) {
-            self.stamps.pop_front();
+        while self.arrivals.front().is_some_and(|stamp| stamp.end <= self.taken) {
+            self.arrivals.pop_front();
         }
         Some(ArrivedMessage { bytes, first_byte_at, last_byte_at })
     }
 
     /// Returns when the next bytes become available.
     pub fn next_available_at(&self, now: Micros) -> Option<Micros> {
-        self.stamps.iter().map(|stamp| stamp.available_at).find(|at| *at > now)
+        self.arrivals.iter().map(|stamp| stamp.available_at).find(|at| *at > now)
     }
 }
--- a/soak/src/environment/servers/connection.rs
+++ b/soak/src/environment/servers/connection.rs
@@ -2,7 +2,7 @@
 use super::state::ServersState;
 use crate::environment::link::{ArrivedMessage, InboundBuffer, LinkFault, LinkId};
 use crate::environment::socket::{ReadEnd, read_available, reset};
-use crate::environment::wire::{greeting, message_length, startup_length};
+use crate::environment::wire::{message_length, startup_length, startup_response};
 use crate::time::{MILLISECOND, Micros};
 use mio::net::TcpStream;
 use std::io::{ErrorKind, Write};
@@ -49,7 +49,7 @@
             !forgotten
         };
         let end = read_available(&mut self.stream, receive);
-        if end == ReadEnd::Refused {
+        if end == ReadEnd::Rejected {
             self.reset();
         }
         end == ReadEnd::Drained
@@ -59,7 +59,7 @@
     pub(super) fn start(&mut self, now: Micros) -> bool {
         if !self.started && self.inbound.take(now, startup_length).is_some() {
             self.started = true;
-            self.answer(&greeting());
+            self.send(&startup_response());
         }
         self.started
     }
@@ -75,7 +75,7 @@
     }
 
     /// Adds bytes to the output buffer, from which they are written to the router as the link allows.
-    pub(super) fn answer(&mut self, bytes: &[u8]) {
+    pub(super) fn send(&mut self, bytes: &[u8]) {
         self.outbound.extend_from_slice(bytes);
     }
 
@@ -85,15 +85,15 @@
     }
 
     /// Resets the connection in the middle of a response: writes at most its first half, then resets.
-    pub(super) fn reset_under(&mut self, answer: &[u8]) {
-        self.answer(&answer[..answer.len() / 2]);
+    pub(super) fn reset_mid_response(&mut self, response: &[u8]) {
+        self.send(&response[..response.len() / 2]);
         _ = self.stream.write(&self.outbound);
         self.reset();
     }
 
     /// Writes as much as the link allows. Returns `false` if the connection is closed.
     pub(super) fn write(&mut self, fault: &LinkFault, now: Micros) -> bool {
-        if self.outbound.is_empty() || fault.blocks_answers {
+        if self.outbound.is_empty() || fault.blocks_responses {
             return true;
         }
         if let Some(length) = fault.reset_after.filter(|length| self.outbound.len() > *length) {
--- a/soak/src/environment/servers/event_loop.rs
+++ b/soak/src/environment/servers/event_loop.rs
@@ -7,7 +7,9 @@
 use crate::environment::link::{ArrivedMessage, LinkId};
 use crate::environment::service_thread::StopSignal;
 use crate::environment::socket::reset;
-use crate::environment::wire::{error, message, parameter, ready, row, tag};
+use crate::environment::wire::{
+    encode_message, error_message, parameter_status, ready_for_query, row_response, tag,
+};
 use crate::history::{Attempt, Recorder};
 use crate::time::{Micros, SECOND};
 use mio::Events;
@@ -17,7 +19,7 @@
 use std::time::Duration;
 
 /// The maximum time between two checks of timers and shared state.
-const TICK: Duration = Duration::from_millis(3);
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(3);
 /// The maximum number of events per poll.
 const MAX_EVENTS: usize = 512;
 /// The interval at which a link that blocks requests is checked again.
@@ -38,9 +40,9 @@
 
 /// A timer event.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum TimerEvent {
     /// A request has finished executing.
-    Answer {
+    RequestDone {
         /// The token of the request's connection.
         token: usize,
         /// The index of the request's attempt in the history.
@@ -58,7 +60,7 @@
     state: Arc<Mutex<ServersState>>,
     acceptor: Acceptor<LinkId>,
     connections: HashMap<usize, Connection>,
-    due: BinaryHeap<Reverse<(Micros, Due)>>,
+    timers: BinaryHeap<Reverse<(Micros, TimerEvent)>>,
     clock: RunClock,
     recorder: Recorder,
 }
@@ -70,8 +72,8 @@
         clock: RunClock,
         recorder: Recorder,
     ) -> EventLoop {
-        let (connections, due) = (HashMap::new(), BinaryHeap::new());
-        EventLoop { state, acceptor, connections, due, clock, recorder }
+        let (connections, timers) = (HashMap::new(), BinaryHeap::new());
+        EventLoop { state, acceptor, connections, timers, clock, recorder }
     }
 
     pub(super) fn run(&mut self, stop: &StopSignal) {
@@ -93,25 +95,25 @@
                     self.read(token, &mut state);
                 }
             }
-            self.handle_due(&mut state);
+            self.handle_due_timers(&mut state);
             self.write_all(&state);
         }
     }
 
     fn poll_timeout(&self) -> Duration {
         let now = self.clock.now();
-        let until_due = self.due.peek().map_or(Micros::MAX, |Reverse((at, _))| (*at - now).max(0));
-        Duration::from_micros(until_due as u64).min(TICK)
+        let until_due = self.timers.peek().map_or(Micros::MAX, |Reverse((at, _))| (*at - now).max(0));
+        Duration::from_micros(until_due as u64).min(MAX_POLL_INTERVAL)
     }
 
     /// Resets the connections of server processes that have crashed.
     fn reset_connections(&mut self, state: &ServersState) {
         self.connections.retain(|_, connection| {
-            let ends = state.servers[connection.link.server].was_reset_since(connection.opened_at);
-            if ends {
+            let has_crashed = state.servers[connection.link.server].has_crashed_since(connection.opened_at);
+            if has_crashed {
                 connection.reset();
             }
-            !ends
+            !has_crashed
         });
     }
 
@@ -141,7 +143,7 @@
     fn take_messages(&mut self, token: usize, connection: &mut Connection, state: &mut ServersState) -> bool {
         let now = self.clock.now();
         if state.link_fault(connection.link).blocks_requests {
-            self.due.push(Reverse((now + BLOCKED_RECHECK, Due::Recheck { token })));
+            self.timers.push(Reverse((now + BLOCKED_RECHECK, TimerEvent::Recheck { token })));
             return true;
         }
         if !connection.start(now) {
@@ -154,7 +156,7 @@
             self.handle_statement(token, &message, connection, state);
         }
         if let Some(at) = connection.next_available_at(now) {
-            self.due.push(Reverse((at, Due::Recheck { token })));
+            self.timers.push(Reverse((at, TimerEvent::Recheck { token })));
         }
         true
     }
@@ -168,9 +170,9 @@
     ) {
         let text = String::from_utf8_lossy(&message.bytes[HEAD_BYTES..]);
         match Statement::parse(text.trim_end_matches('\0')) {
-            Statement::Empty => connection.answer(&empty_answer()),
-            Statement::Stats => self.answer_stats(connection, state),
-            Statement::WithoutId => connection.answer(&error_answer(PROTOCOL_VIOLATION)),
+            Statement::Empty => connection.send(&empty_query_response()),
+            Statement::Stats => self.send_load_report(connection, state),
+            Statement::WithoutId => connection.send(&error_response(PROTOCOL_VIOLATION)),
             Statement::Request(request) => {
                 let attempt = self.record_attempt(&request, message, connection.link, state);
                 self.handle_request(token, &request, attempt, connection, state);
@@ -178,14 +180,14 @@
         }
     }
 
-    fn answer_stats(&self, connection: &mut Connection, state: &ServersState) {
+    fn send_load_report(&self, connection: &mut Connection, state: &ServersState) {
         let server = &state.servers[connection.link.server];
         if server.faults.hangs {
             return;
         }
         let position = self.clock.wall(server.position()) as f64 / SECOND as f64;
         let stats = format!("x0={position:.6},x1={},util=0.1,queue=0", u8::from(server.primary));
-        connection.answer(&[row(&stats), ready()].concat());
+        connection.send(&[row_response(&stats), ready_for_query()].concat());
     }
 
     /// Records an attempt that has reached its server and returns its index in the history.
@@ -226,28 +228,30 @@
     ) {
         let server = &mut state.servers[connection.link.server];
         let rejection = if request.is_write() && !server.primary {
-            Some([error(READ_ONLY), parameter("mode", "read-only"), ready()].concat())
-        } else if server.has_room() {
+            Some(
+                [error_message(READ_ONLY), parameter_status("mode", "read-only"), ready_for_query()].concat(),
+            )
+        } else if server.has_capacity() {
             None
         } else {
-            Some(error_answer(TOO_MANY_CONNECTIONS))
+            Some(error_response(TOO_MANY_CONNECTIONS))
         };
         match rejection {
             Some(_) if server.faults.hangs => {}
-            Some(rejection) => connection.answer(&rejection),
+            Some(rejection) => connection.send(&rejection),
             None => {
                 let done_at = server.begin_request(self.clock.now());
-                self.due.push(Reverse((done_at, Due::Answer { token, attempt })));
+                self.timers.push(Reverse((done_at, TimerEvent::RequestDone { token, attempt })));
             }
         }
     }
 
-    fn handle_due(&mut self, state: &mut ServersState) {
-        while self.due.peek().is_some_and(|Reverse((at, _))| *at <= self.clock.now()) {
-            let Some(Reverse((_, due))) = self.due.pop() else { return };
-            match due {
-                Due::Recheck { token } => self.recheck(token, state),
-                Due::Answer { token, attempt } => self.finish_request(token, attempt, state),
+    fn handle_due_timers(&mut self, state: &mut ServersState) {
+        while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= self.clock.now()) {
+            let Some(Reverse((_, event))) = self.timers.pop() else { return };
+            match event {
+                TimerEvent::Recheck { token } => self.recheck(token, state),
+                TimerEvent::RequestDone { token, attempt } => self.finish_request(token, attempt, state),
             }
         }
     }
@@ -268,15 +272,16 @@
         let mode = if server.primary { "read-write" } else { "read-only" };
         // Replication positions of replicas are rounded down, commit times of the primary up.
         let position_ms = self.clock.wall_ms(server.position()) + i64::from(server.primary);
-        let parameters = [parameter("mode", mode), parameter("wal_time", &position_ms.to_string())].concat();
-        let answer = [row(&value), parameters, ready()].concat();
-        if server.faults.answers_garbage {
-            connection.answer(&[&row("nobody's")[..GARBAGE_ROW_BYTES], GARBAGE].concat());
+        let parameters =
+            [parameter_status("mode", mode), parameter_status("wal_time", &position_ms.to_string())].concat();
+        let response = [row_response(&value), parameters, ready_for_query()].concat();
+        if server.faults.sends_garbage {
+            connection.send(&[&row_response("nobody's")[..GARBAGE_ROW_BYTES], GARBAGE].concat());
         } else if server.faults.resets_connections {
-            connection.reset_under(&answer);
+            connection.reset_mid_response(&response);
             self.connections.remove(&token);
         } else {
-            connection.answer(&answer);
+            connection.send(&response);
         }
     }
 
@@ -290,7 +295,7 @@
         server.end_request();
         // A server process that has crashed since then did not execute the request, and a server cancels a
         // request whose connection is closed.
-        if !server.alive || attempt.reached_at.is_some_and(|at| server.was_reset_since(at)) {
+        if !server.alive || attempt.reached_at.is_some_and(|at| server.has_crashed_since(at)) {
             return None;
         }
         if !self.connections.contains_key(&token) {
@@ -311,10 +316,10 @@
     }
 }
 
-fn empty_answer() -> Vec<u8> {
-    [message(tag::EMPTY_QUERY, &[]), ready()].concat()
+fn empty_query_response() -> Vec<u8> {
+    [encode_message(tag::EMPTY_QUERY, &[]), ready_for_query()].concat()
 }
 
-fn error_answer(code: &str) -> Vec<u8> {
-    [error(code), ready()].concat()
+fn error_response(code: &str) -> Vec<u8> {
+    [error_message(code), ready_for_query()].concat()
 }
--- a/soak/src/environment/servers/mod.rs
+++ b/soak/src/environment/servers/mod.rs
@@ -37,9 +37,9 @@
         let state = Arc::new(Mutex::new(ServersState::new(plan)));
         let mut acceptor = Acceptor::new()?;
         let mut addresses = vec![Vec::new(); plan.routers];
-        for (router, own) in addresses.iter_mut().enumerate() {
+        for (router, router_addresses) in addresses.iter_mut().enumerate() {
             for server in 0..plan.servers() {
-                own.push(acceptor.bind(LinkId { router, server })?);
+                router_addresses.push(acceptor.bind(LinkId { router, server })?);
             }
         }
         let mut event_loop = EventLoop::new(state.clone(), acceptor, clock.clone(), recorder.clone());
@@ -58,7 +58,7 @@
     }
 
     /// Restarts a server process in its previous role.
-    pub fn revive(&self, server: usize) {
+    pub fn restart(&self, server: usize) {
         self.lock().servers[server].alive = true;
     }
 
--- a/soak/src/environment/servers/state.rs
+++ b/soak/src/environment/servers/state.rs
@@ -11,7 +11,7 @@
 /// The maximum number of concurrent requests of a server; more are rejected.
 const MAX_REQUESTS: usize = 60;
 /// The replication lag of a replica without a fault.
-const USUAL_LAG: Micros = 20_000;
+const REPLICATION_LAG: Micros = 20_000;
 /// How long after its demotion a router may still treat a server as a primary.
 const DEMOTION_GRACE: Micros = 5 * SECOND;
 
@@ -24,7 +24,7 @@
     /// The server executes requests but sends no responses.
     pub hangs: bool,
     /// The server responds with bytes that are not valid messages.
-    pub answers_garbage: bool,
+    pub sends_garbage: bool,
     /// The server resets connections in the middle of responses.
     pub resets_connections: bool,
     /// The server, as a replica, does not apply the log.
@@ -47,7 +47,7 @@
     /// The replication position: all commits up to this time have been applied.
     position: Micros,
     /// The time of the last crash: connections and requests from before it are reset.
-    reset_before: Micros,
+    last_crash_at: Micros,
     /// For each core, the time until which it is busy.
     busy_until: [Micros; CORES],
     requests_in_progress: usize,
@@ -62,7 +62,7 @@
             faults: ServerFaults::default(),
             last_primary_at: None,
             position: 0,
-            reset_before: 0,
+            last_crash_at: 0,
             busy_until: [0; CORES],
             requests_in_progress: 0,
         }
@@ -80,18 +80,18 @@
 
     /// Whether the process has crashed since this time, so that its connections and requests from then are
     /// lost.
-    pub(super) fn was_reset_since(&self, at: Micros) -> bool {
-        at < self.reset_before
+    pub(super) fn has_crashed_since(&self, at: Micros) -> bool {
+        at < self.last_crash_at
     }
 
     pub(super) fn crash(&mut self, now: Micros) {
         self.alive = false;
-        self.reset_before = now;
+        self.last_crash_at = now;
         self.requests_in_progress = 0;
         self.busy_until = [0; CORES];
     }
 
-    pub(super) fn has_room(&self) -> bool {
+    pub(super) fn has_capacity(&self) -> bool {
         self.requests_in_progress < MAX_REQUESTS
     }
 
@@ -113,7 +113,7 @@
             self.position = now;
             self.last_primary_at = Some(now);
         } else if !self.faults.replication_stopped {
-            self.position = self.position.max(now - USUAL_LAG);
+            self.position = self.position.max(now - REPLICATION_LAG);
         }
     }
 }
--- a/soak/src/environment/servers/statement.rs
+++ b/soak/src/environment/servers/statement.rs
@@ -1,6 +1,6 @@
 //! Parses the statements that routers send to the servers.
 use crate::class::Class;
-use crate::environment::wire::pair;
+use crate::environment::wire::comment_value;
 
 /// The statement of a router's load query.
 const STATS_STATEMENT: &str = "SHOW stats";
@@ -44,8 +44,8 @@
 }
 
 fn parse_request(text: &str) -> Option<RequestStatement> {
-    let id = i64::from_str_radix(pair(text, "id")?, 16).ok()? as u64;
-    let timeout_ms = pair(text, "d").and_then(|value| value.parse().ok()).unwrap_or(0);
-    let class = Class::ALL.into_iter().find(|class| Some(class.name()) == pair(text, "c"));
+    let id = i64::from_str_radix(comment_value(text, "id")?, 16).ok()? as u64;
+    let timeout_ms = comment_value(text, "d").and_then(|value| value.parse().ok()).unwrap_or(0);
+    let class = Class::ALL.into_iter().find(|class| Some(class.name()) == comment_value(text, "c"));
     Some(RequestStatement { id, timeout_ms, class })
 }
--- a/soak/src/environment/service_thread.rs
+++ b/soak/src/environment/service_thread.rs
@@ -31,9 +31,9 @@
         run: impl FnOnce(&StopSignal) + Send + 'static,
     ) -> io::Result<ServiceThread> {
         let stop = StopSignal::default();
-        let own_stop = stop.clone();
+        let thread_stop = stop.clone();
         let builder = std::thread::Builder::new().name(name.into());
-        let thread = builder.spawn(move || run(&own_stop))?;
+        let thread = builder.spawn(move || run(&thread_stop))?;
         Ok(ServiceThread { stop, thread: Some(thread) })
     }
 }
--- a/soak/src/environment/socket.rs
+++ b/soak/src/environment/socket.rs
@@ -15,7 +15,7 @@
     /// The connection is closed.
     Closed,
     /// The receiver rejected the bytes.
-    Refused,
+    Rejected,
 }
 
 /// Makes a connection close with a TCP reset when it is dropped.
@@ -30,7 +30,7 @@
         match stream.read(&mut bytes) {
             Ok(0) => return ReadEnd::Closed,
             Ok(count) if receive(&bytes[..count]) => {}
-            Ok(_) => return ReadEnd::Refused,
+            Ok(_) => return ReadEnd::Rejected,
             Err(error) if is_pending(error.kind()) => return ReadEnd::Drained,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(_) => return ReadEnd::Closed,
--- a/soak/src/environment/wire.rs
+++ b/soak/src/environment/wire.rs
@@ -58,59 +58,59 @@
 }
 
 /// Encodes a message with its tag and length.
-pub fn message(tag: u8, body: &[u8]) -> Vec<u8> {
-    [&[tag][..], &length_of(body), body].concat()
+pub fn encode_message(tag: u8, body: &[u8]) -> Vec<u8> {
+    [&[tag][..], &encode_length(body), body].concat()
 }
 
-fn length_of(body: &[u8]) -> [u8; LENGTH_BYTES] {
+fn encode_length(body: &[u8]) -> [u8; LENGTH_BYTES] {
     ((body.len() + LENGTH_BYTES) as u32).to_be_bytes()
 }
 
 /// Encodes a query.
-pub fn query(statement: &str) -> Vec<u8> {
-    message(tag::QUERY, format!("{statement}\0").as_bytes())
+pub fn query_message(statement: &str) -> Vec<u8> {
+    encode_message(tag::QUERY, format!("{statement}\0").as_bytes())
 }
 
 /// Encodes `ReadyForQuery`, the end of a command.
-pub fn ready() -> Vec<u8> {
-    message(tag::READY, b"I")
+pub fn ready_for_query() -> Vec<u8> {
+    encode_message(tag::READY, b"I")
 }
 
 /// Encodes the server's response to a startup message.
-pub fn greeting() -> Vec<u8> {
-    [message(tag::AUTHENTICATION, &[0; 4]), ready()].concat()
+pub fn startup_response() -> Vec<u8> {
+    [encode_message(tag::AUTHENTICATION, &[0; 4]), ready_for_query()].concat()
 }
 
 /// Encodes the response to a query with one row that has one value.
-pub fn row(value: &str) -> Vec<u8> {
+pub fn row_response(value: &str) -> Vec<u8> {
     let cell = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), value.as_bytes()].concat();
     let column = [&[0, 1][..], b"body\0", &[0; 18]].concat();
     let messages = [
-        message(tag::ROW_DESCRIPTION, &column),
-        message(tag::DATA_ROW, &cell),
-        message(tag::COMMAND_COMPLETE, b"SELECT 1\0"),
+        encode_message(tag::ROW_DESCRIPTION, &column),
+        encode_message(tag::DATA_ROW, &cell),
+        encode_message(tag::COMMAND_COMPLETE, b"SELECT 1\0"),
     ];
     messages.concat()
 }
 
 /// Encodes an error with this code.
-pub fn error(code: &str) -> Vec<u8> {
-    message(tag::ERROR, format!("SERROR\0C{code}\0Mno\0\0").as_bytes())
+pub fn error_message(code: &str) -> Vec<u8> {
+    encode_message(tag::ERROR, format!("SERROR\0C{code}\0Mno\0\0").as_bytes())
 }
 
 /// Encodes a parameter's name and value.
-pub fn parameter(name: &str, value: &str) -> Vec<u8> {
-    message(tag::PARAMETER, format!("{name}\0{value}\0").as_bytes())
+pub fn parameter_status(name: &str, value: &str) -> Vec<u8> {
+    encode_message(tag::PARAMETER, format!("{name}\0{value}\0").as_bytes())
 }
 
 /// Encodes the startup message of a client.
-pub fn startup() -> Vec<u8> {
+pub fn startup_message() -> Vec<u8> {
     let body = b"\0\x03\0\0user\0worker\0database\0catalog\0\0";
-    [&length_of(body)[..], body].concat()
+    [&encode_length(body)[..], body].concat()
 }
 
 /// Encodes a cancel request for the connection with this backend key.
-pub fn cancel(key: &[u8]) -> Vec<u8> {
+pub fn cancel_request(key: &[u8]) -> Vec<u8> {
     [&CANCEL_BYTES.to_be_bytes()[..], &CANCEL_CODE.to_be_bytes(), key].concat()
 }
 
@@ -138,7 +138,7 @@
 }
 
 /// Returns the value of a row's only column.
-pub fn value(data_row: &[u8]) -> String {
+pub fn row_value(data_row: &[u8]) -> String {
     String::from_utf8_lossy(data_row.get(ROW_HEAD_BYTES..).unwrap_or_default()).into_owned()
 }
 
@@ -149,7 +149,7 @@
 }
 
 /// Returns the value of a key-value pair in a statement's comment.
-pub fn pair<'a>(statement: &'a str, name: &str) -> Option<&'a str> {
+pub fn comment_value<'a>(statement: &'a str, name: &str) -> Option<&'a str> {
     let comment = statement.split("/*").nth(1)?.split("*/").next()?;
     comment.split(',').find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('='))
 }
--- a/soak/src/error.rs
+++ b/soak/src/error.rs
@@ -10,8 +10,8 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     /// Not every router of the platform front responded to the readiness probe before the load.
-    #[error("routers not ready before the load: {}", joined(.0))]
-    PlatformNotReady(Vec<LateRouter>),
+    #[error("routers not ready before the load: {}", join_descriptions(.0))]
+    PlatformNotReady(Vec<UnreadyRouter>),
     /// Not every router of `serve` accepted client connections before the load.
     #[error("not every router accepted client connections before the load")]
     ServeNotReady,
@@ -19,7 +19,7 @@
 
 /// A router that was not ready within the timeout.
 #[derive(Clone, Debug)]
-pub struct LateRouter {
+pub struct UnreadyRouter {
     /// The router's index.
     pub router: usize,
     /// The router's address for clients.
@@ -28,12 +28,12 @@
     pub last_lines: String,
 }
 
-impl Display for LateRouter {
+impl Display for UnreadyRouter {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(f, "router {} at {}: {}", self.router, self.listen, self.last_lines)
     }
 }
 
-fn joined(late: &[LateRouter]) -> String {
-    late.iter().map(LateRouter::to_string).collect::<Vec<String>>().join("; ")
+fn join_descriptions(late: &[UnreadyRouter]) -> String {
+    late.iter().map(UnreadyRouter::to_string).collect::<Vec<String>>().join("; ")
 }
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -99,7 +99,7 @@
 
 impl PlannedFault {
     /// Whether a fault of links or agents affects every router.
-    pub fn concerns_all_routers(&self) -> bool {
+    pub fn affects_all_routers(&self) -> bool {
         !self.duration_ms.is_multiple_of(2)
     }
 }
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -178,13 +178,13 @@
 
 /// A response that does not belong to the client's oldest pending request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum UnexpectedAnswer {
+pub enum UnexpectedResponse {
     /// A response arrived on a connection without pending requests.
     Unsolicited {
         /// The number of the client connection.
         connection: u64,
         /// The response; `None` if only the end of a command (`ReadyForQuery`) arrived.
-        answer: Option<Outcome>,
+        response: Option<Outcome>,
     },
     /// The response's value belongs to another request.
     Foreign {
@@ -195,13 +195,13 @@
     },
 }
 
-impl Display for UnexpectedAnswer {
+impl Display for UnexpectedResponse {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            UnexpectedAnswer::Unsolicited { connection, answer } => {
-                write!(f, "connection {connection}: {answer:?}")
+            UnexpectedResponse::Unsolicited { connection, response } => {
+                write!(f, "connection {connection}: {response:?}")
             }
-            UnexpectedAnswer::Foreign { request, value } => {
+            UnexpectedResponse::Foreign { request, value } => {
                 write!(f, "request {request:x} got the answer '{value}'")
             }
         }
@@ -287,7 +287,7 @@
     /// Clients that stalled in the middle of a message.
     pub stalls: Vec<Stall>,
     /// Responses that do not match a pending request.
-    pub unexpected_answers: Vec<UnexpectedAnswer>,
+    pub unexpected_responses: Vec<UnexpectedResponse>,
     /// Router processes that crashed, with the last lines of their logs.
     pub crashes: Vec<RouterFailure>,
     /// Router processes that did not start or were not ready in time.
--- a/soak/src/oracle/processes.rs
+++ b/soak/src/oracle/processes.rs
@@ -12,11 +12,11 @@
 /// Invariants that a router violates through no fault of its own when its process was paused.
 const TIMING_INVARIANTS: [&str; 3] = ["response_in_time", "request_forgotten", "repeat_window"];
 /// The longest pause after which a router must still satisfy its invariants.
-const BEARABLE_PAUSE: Micros = 300_000;
-/// A process that uses more than this share of a core over [`SPIN_TIME`] counts as busy-looping.
-const SPIN_SHARE: f64 = 0.95;
-/// The time over which [`SPIN_SHARE`] applies.
-const SPIN_TIME: Micros = 6 * SECOND;
+const TOLERATED_PAUSE: Micros = 300_000;
+/// A process that uses more than this share of a core over [`BUSY_LOOP_TIME`] counts as busy-looping.
+const BUSY_LOOP_SHARE: f64 = 0.95;
+/// The time over which [`BUSY_LOOP_SHARE`] applies.
+const BUSY_LOOP_TIME: Micros = 6 * SECOND;
 
 /// Identifies a process of a router.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
@@ -52,16 +52,16 @@
 }
 
 fn was_paused_for_long(history: &History, router: usize) -> bool {
-    absences_of(history, router).any(|a| a.reason == AbsenceReason::Paused && a.to - a.from > BEARABLE_PAUSE)
+    absences_of(history, router).any(|a| a.reason == AbsenceReason::Paused && a.to - a.from > TOLERATED_PAUSE)
 }
 
 fn check_limits(history: &History) -> Vec<Breach> {
-    let exceeds = |sample: &&Sample| {
+    let exceeds_limit = |sample: &&Sample| {
         sample.descriptors > MAX_SOCKETS
             || sample.threads > MAX_THREADS
             || sample.resident_kb > MEMORY_MB * 1024
     };
-    let exceeding = history.samples.iter().filter(exceeds);
+    let exceeding = history.samples.iter().filter(exceeds_limit);
     exceeding.map(|sample| Breach::new(Promise::Limits, format!("{sample:?}"))).collect()
 }
 
@@ -71,17 +71,18 @@
         let process = ProcessId { router: sample.router, incarnation: sample.incarnation };
         by_process.entry(process).or_default().push(sample);
     }
-    let spins = by_process.into_iter().filter_map(|(process, samples)| find_spin(process, &samples));
-    spins.collect()
+    let busy_loops =
+        by_process.into_iter().filter_map(|(process, samples)| find_busy_loop(process, &samples));
+    busy_loops.collect()
 }
 
 /// Returns a breach for the first period in which a process busy-loops.
-fn find_spin(process: ProcessId, samples: &[&Sample]) -> Option<Breach> {
+fn find_busy_loop(process: ProcessId, samples: &[&Sample]) -> Option<Breach> {
     samples.iter().enumerate().find_map(|(index, first)| {
-        let last = samples[index..].iter().find(|later| later.at >= first.at + SPIN_TIME)?;
+        let last = samples[index..].iter().find(|later| later.at >= first.at + BUSY_LOOP_TIME)?;
         let share = (last.cpu - first.cpu) as f64 / (last.at - first.at) as f64;
         let (router, from) = (process.router, seconds(first.at));
         let text = || format!("router {router} used {share:.2} of a core from {from} on");
-        (share > SPIN_SHARE).then(|| Breach::new(Promise::Cpu, text()))
+        (share > BUSY_LOOP_SHARE).then(|| Breach::new(Promise::Cpu, text()))
     })
 }
--- a/soak/src/oracle/promise.rs
+++ b/soak/src/oracle/promise.rs
@@ -9,7 +9,7 @@
     /// The final response arrives in time.
     Late,
     /// Each request gets exactly one response, its own, in order.
-    ForeignAnswer,
+    MismatchedResponse,
     /// No attempt starts after the client has disconnected or cancelled the request.
     SentAfterDisconnect,
     /// A request that must not run twice runs at most once.
@@ -51,7 +51,7 @@
         match self {
             Promise::Lost => "lost",
             Promise::Late => "late",
-            Promise::ForeignAnswer => "foreign_answer",
+            Promise::MismatchedResponse => "foreign_answer",
             Promise::SentAfterDisconnect => "sent_after_leaving",
             Promise::RanTwice => "ran_twice",
             Promise::RanOutsideWindow => "ran_outside_window",
--- a/soak/src/oracle/requests.rs
+++ b/soak/src/oracle/requests.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 
 /// A response later than this after the client's timeout counts as late, a missing response as lost.
-const LOST_AFTER: Micros = 500_000;
+const RESPONSE_GRACE: Micros = 500_000;
 /// An attempt must not start later than this after its client has disconnected or cancelled.
 const START_AFTER_DISCONNECT: Micros = 100_000;
 /// The scheduling delay added to [`START_AFTER_DISCONNECT`]. It is less than [`SLACK`], because one process
@@ -17,7 +17,7 @@
 const TIMEOUT_SLACK: Micros = 150_000;
 /// A router may close an idle connection while a request is on its way that was sent at most this long
 /// before.
-const CROSSING_TIME: Micros = 150_000;
+const CLOSE_RACE_TIME: Micros = 150_000;
 /// How long after SIGTERM a router has to serve its clients; later it may close connections with unread
 /// requests.
 const SERVED_AFTER_TERM: Micros = 500_000;
@@ -34,8 +34,8 @@
         let attempts = attempts_by_id.get(&request.id).map_or(&[][..], Vec::as_slice);
         breaches.extend(RequestOracle { history, request, attempts }.check());
     }
-    let foreign = history.unexpected_answers.iter();
-    breaches.extend(foreign.map(|answer| Breach::new(Promise::ForeignAnswer, answer.to_string())));
+    let foreign = history.unexpected_responses.iter();
+    breaches.extend(foreign.map(|answer| Breach::new(Promise::MismatchedResponse, answer.to_string())));
     breaches.extend(history.stalls.iter().filter_map(|stall| check_stall(history, stall)));
     breaches
 }
@@ -107,13 +107,13 @@
         let late = ended_at - self.deadline() - self.paused_until(ended_at);
         // Only the first request of a connection is checked: a later one may have waited for earlier
         // responses.
-        let is_late = late > LOST_AFTER + SLACK && self.request.sequence == 0;
+        let is_late = late > RESPONSE_GRACE + SLACK && self.request.sequence == 0;
         let text = || format!("answered {} after its time", seconds(late));
         is_late.then(|| self.breach(Promise::Late, &text()))
     }
 
     fn check_pending(&self) -> Option<Breach> {
-        let until = self.history.load_ended_at.max(self.deadline() + LOST_AFTER);
+        let until = self.history.load_ended_at.max(self.deadline() + RESPONSE_GRACE);
         let router_was_gone = self.was_absent_until(AbsenceReason::Killed, until)
             || self.was_absent_until(AbsenceReason::ShutDown, until);
         let text = "no answer, and the connection stands";
@@ -126,7 +126,7 @@
             return None;
         }
         let forwarded = self.attempts.iter().any(|attempt| attempt.first_byte_at <= ended_at);
-        if !forwarded && self.is_close_excused() {
+        if !forwarded && self.is_close_allowed() {
             return None;
         }
         let text = format!(
@@ -138,13 +138,13 @@
     }
 
     /// Whether the router was allowed to close the connection without reading the request.
-    fn is_close_excused(&self) -> bool {
+    fn is_close_allowed(&self) -> bool {
         let Request { sequence, sent_at, ended_at, .. } = *self.request;
         match self.shutting_down_since(ended_at) {
             // The platform no longer directs clients to this router, and clients resend requests that cross a
             // shutdown.
             Some(since) => sent_at > since + SERVED_AFTER_TERM - SLACK,
-            None => sequence > 0 && ended_at - sent_at < CROSSING_TIME + self.paused_until(ended_at),
+            None => sequence > 0 && ended_at - sent_at < CLOSE_RACE_TIME + self.paused_until(ended_at),
         }
     }
 
@@ -189,9 +189,9 @@
                 Some(self.breach(Promise::RanTwice, &format!("ran at servers {servers:?}")))
             }
             Class::Keyed => {
-                let apart = last.first_byte_at - first.last_byte_at;
-                let text = || format!("ran again {} later", seconds(apart));
-                let is_breach = apart > REPEAT_WINDOW + SLACK;
+                let interval = last.first_byte_at - first.last_byte_at;
+                let text = || format!("ran again {} later", seconds(interval));
+                let is_breach = interval > REPEAT_WINDOW + SLACK;
                 is_breach.then(|| self.breach(Promise::RanOutsideWindow, &text()))
             }
             Class::Any | Class::Bounded | Class::Session => None,
--- a/soak/src/oracle/servers.rs
+++ b/soak/src/oracle/servers.rs
@@ -12,13 +12,13 @@
 /// agent.
 const NOTIFIED_AFTER_START: Micros = 1_000_000;
 /// The delay after which a router is assumed to know a replication position.
-const KNOWN_AFTER: Micros = 100_000;
+const POSITION_REPORT_DELAY: Micros = 100_000;
 /// The delay between a server's start and its entry in the endpoint list.
-const LIST_LAG: Micros = 200_000;
+const LISTING_DELAY: Micros = 200_000;
 /// How long after a server's start its request budget is checked.
 const WARM_UP_TIME: Micros = COLD_MS as Micros * MILLISECOND;
 /// Below this many requests per window, random variation is larger and the budget has a wider tolerance.
-const FEW_CALLS: f64 = 30.0;
+const FEW_REQUESTS: f64 = 30.0;
 
 pub(super) fn check(history: &History) -> Vec<Breach> {
     let mut breaches: Vec<Breach> =
@@ -49,13 +49,13 @@
 }
 
 fn check_drain(history: &History, withdrawal: &Withdrawal) -> Vec<Breach> {
-    let concerned = |attempt: &&Attempt| {
+    let is_concerned = |attempt: &&Attempt| {
         attempt.server == withdrawal.server
             && withdrawal.router.is_none_or(|router| router == attempt.router)
             && attempt.first_byte_at > withdrawal.notified_at
             && attempt.first_byte_at < withdrawal.until
     };
-    let attempts = history.attempts.iter().filter(concerned);
+    let attempts = history.attempts.iter().filter(is_concerned);
     attempts.filter_map(|attempt| check_drained_attempt(history, withdrawal, attempt)).collect()
 }
 
@@ -80,19 +80,19 @@
 
 /// Returns the number of average requests that a server may receive within a window, at this time after its
 /// start, before it counts as overloaded.
-fn budget(age: Micros) -> f64 {
+fn request_budget(age: Micros) -> f64 {
     let share = COLD_CAPACITY + (1.0 - COLD_CAPACITY) * (age as f64 / WARM_UP_TIME as f64).min(1.0);
     let calls = OVERLOAD_FACTOR * share * CAPACITY * OVERLOAD_WINDOW as f64 / SECOND as f64;
-    if calls < FEW_CALLS { calls + 3.0 * calls.sqrt() + 3.0 } else { calls + 2.0 * calls.sqrt() + 2.0 }
+    if calls < FEW_REQUESTS { calls + 3.0 * calls.sqrt() + 3.0 } else { calls + 2.0 * calls.sqrt() + 2.0 }
 }
 
 /// Returns a breach for the first window after a start in which the server received more requests than its
 /// budget.
 fn check_slow_start(history: &History, start: &ServerStart) -> Option<Breach> {
-    let times = attempts_while_cold(history, start);
+    let times = attempt_times_during_warm_up(history, start);
     times.iter().enumerate().find_map(|(first, from)| {
         let count = times[first..].iter().take_while(|at| **at < from + OVERLOAD_WINDOW).count();
-        let allowed = budget(from - start.at);
+        let allowed = request_budget(from - start.at);
         if count as f64 <= allowed {
             return None;
         }
@@ -108,12 +108,12 @@
 
 /// Returns the arrival times, in order, of the attempts at a server that was warming up. Only attempts of
 /// routers that had been notified of the start count.
-fn attempts_while_cold(history: &History, start: &ServerStart) -> Vec<Micros> {
-    let (listed_at, warm_at) = (start.at + LIST_LAG + SLACK, start.at + WARM_UP_TIME);
+fn attempt_times_during_warm_up(history: &History, start: &ServerStart) -> Vec<Micros> {
+    let (listed_at, warm_at) = (start.at + LISTING_DELAY + SLACK, start.at + WARM_UP_TIME);
     let is_notified = |attempt: &&Attempt| {
         let outages = history.discovery_outages.iter().filter(|outage| outage.router == attempt.router);
-        let mut unnotified = outages.filter(|o| o.from <= listed_at && attempt.first_byte_at < o.to);
-        unnotified.next().is_none()
+        let mut missed_outages = outages.filter(|o| o.from <= listed_at && attempt.first_byte_at < o.to);
+        missed_outages.next().is_none()
     };
     let of_server = history.attempts.iter().filter(|attempt| attempt.server == start.server);
     let cold = of_server.filter(|attempt| (listed_at..warm_at).contains(&attempt.first_byte_at));
@@ -157,7 +157,7 @@
 /// Returns the replication position that a read has to see at least.
 fn required_position(request: &Request, attempt: &Attempt) -> Option<Micros> {
     match request.class {
-        Class::Bounded => Some(attempt.last_byte_at - MAX_DATA_AGE - KNOWN_AFTER - SLACK),
+        Class::Bounded => Some(attempt.last_byte_at - MAX_DATA_AGE - POSITION_REPORT_DELAY - SLACK),
         Class::Session => request.required_commit,
         _ => None,
     }
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -96,11 +96,11 @@
     /// # Errors
     /// The file can't be read, is not a valid plan, or has a value out of bounds.
     pub fn read(path: &Path) -> Result<Plan, PlanError> {
-        let shown = path.display().to_string();
+        let displayed_path = path.display().to_string();
         let text = std::fs::read_to_string(path)
-            .map_err(|source| PlanError::Read { path: shown.clone(), source })?;
+            .map_err(|source| PlanError::Read { path: displayed_path.clone(), source })?;
         let plan: Plan = toml::from_str(&text)
-            .map_err(|source| PlanError::Toml { path: shown, source: Box::new(source) })?;
+            .map_err(|source| PlanError::Toml { path: displayed_path, source: Box::new(source) })?;
         plan.check()?;
         Ok(plan)
     }
--- a/soak/src/platform/faults.rs
+++ b/soak/src/platform/faults.rs
@@ -16,17 +16,17 @@
 const OUTAGE_AFTER_FAULT: Micros = 6 * SECOND;
 /// How long a router may not know a change after a new configuration has switched it to the other address of
 /// its discovery agent.
-const OUTAGE_AFTER_MOVE: Micros = 4 * SECOND;
+const OUTAGE_AFTER_ADDRESS_CHANGE: Micros = 4 * SECOND;
 /// The delay between the start of a server process and the updated start time in the endpoint list.
-const LIST_LAG: Micros = 200 * MILLISECOND;
+const LISTING_DELAY: Micros = 200 * MILLISECOND;
 /// The delay between a primary's hang and the election of a replica.
 const ELECTION_DELAY: Micros = 700 * MILLISECOND;
 /// The interval between two configuration reloads of one fault.
 const RELOAD_INTERVAL: Micros = 30 * MILLISECOND;
 /// The index of the last reload of a fault, counted from 0.
-const LAST_RELOAD: u8 = 5;
+const LAST_RELOAD_ROUND: u8 = 5;
 /// A configuration with invalid JSON.
-const FAULTY_CONFIG: &str = "{\"name\": \"n";
+const INVALID_CONFIG: &str = "{\"name\": \"n";
 /// The delay of each line of a slow discovery agent.
 const SLOW_LINE: Micros = 400 * MILLISECOND;
 /// The delay of requests on a slow link.
@@ -59,7 +59,7 @@
 
 impl Run<'_> {
     /// Executes a step of the schedule.
-    pub(super) fn take_step(&mut self, step: &Step, schedule: &mut Schedule) -> io::Result<()> {
+    pub(super) fn execute_step(&mut self, step: &Step, schedule: &mut Schedule) -> io::Result<()> {
         match step {
             Step::Begin(fault) => self.begin(fault, schedule),
             Step::End(fault) => self.end(fault, schedule),
@@ -84,7 +84,7 @@
             FaultKind::ServerRestart => self.servers.crash(server, now),
             FaultKind::ServerHang => self.change_server(server, |faults| faults.hangs = true),
             FaultKind::ServerReset => self.change_server(server, |faults| faults.resets_connections = true),
-            FaultKind::ServerGarbage => self.change_server(server, |faults| faults.answers_garbage = true),
+            FaultKind::ServerGarbage => self.change_server(server, |faults| faults.sends_garbage = true),
             FaultKind::ServerLag => self.change_server(server, |faults| faults.replication_stopped = true),
             FaultKind::Failover => {
                 self.change_server(server, |faults| faults.hangs = true);
@@ -92,9 +92,9 @@
             }
             FaultKind::LinkCut => self.change_links(fault, |link| {
                 link.blocks_requests = true;
-                link.blocks_answers = true;
+                link.blocks_responses = true;
             }),
-            FaultKind::LinkDeaf => self.change_links(fault, |link| link.blocks_answers = true),
+            FaultKind::LinkDeaf => self.change_links(fault, |link| link.blocks_responses = true),
             FaultKind::LinkDelay => self.change_links(fault, |link| link.request_delay = LINK_DELAY),
             FaultKind::LinkReset => {
                 self.change_links(fault, |link| link.reset_after = Some(LINK_RESET_AFTER));
@@ -132,15 +132,15 @@
             }
             FaultKind::Drain => self.replace(server),
             FaultKind::ServerRestart => {
-                self.servers.revive(server);
+                self.servers.restart(server);
                 self.record_server_start(server);
-                schedule.add(now + LIST_LAG, Step::Effect(Effect::ListStart, *fault));
+                schedule.add(now + LISTING_DELAY, Step::Effect(Effect::ListStart, *fault));
             }
             FaultKind::ServerHang | FaultKind::Failover => {
                 self.change_server(server, |faults| faults.hangs = false);
             }
             FaultKind::ServerReset => self.change_server(server, |faults| faults.resets_connections = false),
-            FaultKind::ServerGarbage => self.change_server(server, |faults| faults.answers_garbage = false),
+            FaultKind::ServerGarbage => self.change_server(server, |faults| faults.sends_garbage = false),
             FaultKind::ServerLag => self.change_server(server, |faults| faults.replication_stopped = false),
             FaultKind::LinkCut
             | FaultKind::LinkDeaf
@@ -192,30 +192,30 @@
     }
 
     fn pause(&mut self, router: usize) {
-        let own = &mut self.routers[router];
-        if own.is_running() {
-            own.instance.set_absent(AbsenceReason::Paused);
-            own.instance.signal(Signal::SIGSTOP);
+        let router_state = &mut self.routers[router];
+        if router_state.is_running() {
+            router_state.instance.set_absent(AbsenceReason::Paused);
+            router_state.instance.signal(Signal::SIGSTOP);
         }
     }
 
     fn resume(&mut self, router: usize) {
-        let own = &mut self.routers[router];
-        own.instance.signal(Signal::SIGCONT);
-        if own.is_running() {
-            own.instance.set_present();
+        let router_state = &mut self.routers[router];
+        router_state.instance.signal(Signal::SIGCONT);
+        if router_state.is_running() {
+            router_state.instance.set_present();
         }
     }
 
     /// Returns the routers that a fault of links or agents affects.
-    fn concerned_routers(&self, fault: &PlannedFault) -> Vec<usize> {
-        if fault.concerns_all_routers() { (0..self.routers.len()).collect() } else { vec![fault.router] }
+    fn affected_routers(&self, fault: &PlannedFault) -> Vec<usize> {
+        if fault.affects_all_routers() { (0..self.routers.len()).collect() } else { vec![fault.router] }
     }
 
     /// Sets the fault of the affected agents and records the resulting discovery outage of their routers.
     fn set_agent_fault(&self, fault: &PlannedFault, agent_fault: AgentFault, outage_to: Micros) {
         let now = self.clock.now();
-        for router in self.concerned_routers(fault) {
+        for router in self.affected_routers(fault) {
             self.agents.set_fault(router, agent_fault);
             let mut history = self.recorder.lock();
             let outages = history.discovery_outages.iter_mut();
@@ -231,14 +231,14 @@
 
     fn change_links(&self, fault: &PlannedFault, change: impl Fn(&mut LinkFault)) {
         let mut state = self.servers.lock();
-        for router in self.concerned_routers(fault) {
+        for router in self.affected_routers(fault) {
             change(state.link_fault_mut(LinkId { router, server: fault.server }));
         }
     }
 
     fn forget_connections(&self, fault: &PlannedFault) {
         let now = self.clock.now();
-        for router in self.concerned_routers(fault) {
+        for router in self.affected_routers(fault) {
             self.servers.lock().forget_connections(router, now);
         }
     }
@@ -273,7 +273,7 @@
         }
         self.agents.change(Endpoint { state: EndpointState::Terminated, ..listed.clone() });
         self.servers.crash(server, now);
-        self.servers.revive(server);
+        self.servers.restart(server);
         self.record_server_start(server);
         let replaced_at = self.list_replacement(server, listed);
         let mut history = self.recorder.lock();
@@ -324,28 +324,28 @@
     /// names the other address of the router's discovery agent, and the last one is valid.
     fn reload(&mut self, round: u8, fault: &PlannedFault, schedule: &mut Schedule) -> io::Result<()> {
         let (router, now) = (fault.router, self.clock.now());
-        let is_good = !round.is_multiple_of(2);
-        if is_good {
-            self.move_to_other_agent_address(router, now)?;
+        let is_valid = !round.is_multiple_of(2);
+        if is_valid {
+            self.switch_agent_address(router, now)?;
         } else {
-            std::fs::write(&self.routers[router].config, FAULTY_CONFIG)?;
+            std::fs::write(&self.routers[router].config, INVALID_CONFIG)?;
         }
-        let own = &mut self.routers[router];
-        if own.is_running() {
-            own.instance.signal(Signal::SIGHUP);
+        let router_state = &mut self.routers[router];
+        if router_state.is_running() {
+            router_state.instance.signal(Signal::SIGHUP);
         }
-        if round < LAST_RELOAD {
+        if round < LAST_RELOAD_ROUND {
             let again = Effect::ReloadAgain { round: round + 1 };
             schedule.add(now + RELOAD_INTERVAL, Step::Effect(again, *fault));
         }
         Ok(())
     }
 
-    fn move_to_other_agent_address(&mut self, router: usize, now: Micros) -> io::Result<()> {
-        let own = &mut self.routers[router];
-        own.agent_address = (own.agent_address + 1) % ADDRESSES;
+    fn switch_agent_address(&mut self, router: usize, now: Micros) -> io::Result<()> {
+        let router_state = &mut self.routers[router];
+        router_state.agent_address = (router_state.agent_address + 1) % ADDRESSES;
         self.write_config(router)?;
-        let outage = DiscoveryOutage { router, from: now, to: now + OUTAGE_AFTER_MOVE };
+        let outage = DiscoveryOutage { router, from: now, to: now + OUTAGE_AFTER_ADDRESS_CHANGE };
         self.recorder.lock().discovery_outages.push(outage);
         Ok(())
     }
--- a/soak/src/platform/maintenance.rs
+++ b/soak/src/platform/maintenance.rs
@@ -17,8 +17,8 @@
         let PlannedFault { router, server, .. } = *fault;
         let Some(listed) = self.agents.endpoint_of(server) else { return };
         let admin = self.routers[router].admin;
-        let answer = admin_call(admin, &format!("SUSPEND {}", listed.id), ADMIN_TIMEOUT);
-        if answer.is_ok_and(|answer| answer.starts_with(SUCCESS)) {
+        let response = admin_call(admin, &format!("SUSPEND {}", listed.id), ADMIN_TIMEOUT);
+        if response.is_ok_and(|response| response.starts_with(SUCCESS)) {
             let notified_at = self.clock.now();
             let withdrawal = Withdrawal { server, router: Some(router), notified_at, until: Micros::MAX };
             self.recorder.lock().withdrawals.push(withdrawal);
--- a/soak/src/platform/router.rs
+++ b/soak/src/platform/router.rs
@@ -20,9 +20,9 @@
         since: Micros,
     },
     /// The process has exited.
-    Gone {
+    Exited {
         /// When the next process is started.
-        start_at: Micros,
+        restart_at: Micros,
     },
 }
 
--- a/soak/src/platform/run.rs
+++ b/soak/src/platform/run.rs
@@ -7,7 +7,7 @@
 use crate::environment::clock::RunClock;
 use crate::environment::discovery::{DiscoveryAgents, Endpoint, EndpointState};
 use crate::environment::servers::Servers;
-use crate::error::{LateRouter, RunError};
+use crate::error::{RunError, UnreadyRouter};
 use crate::fault::PlannedFault;
 use crate::history::{AbsenceReason, History, InvariantViolations, Recorder, ServerStart};
 use crate::plan::Plan;
@@ -40,13 +40,13 @@
 /// The timeout of the metrics call to a router.
 const METRICS_TIMEOUT: Duration = Duration::from_secs(2);
 /// The sleep time of the main loop.
-const STEP: Duration = Duration::from_millis(2);
+const LOOP_INTERVAL: Duration = Duration::from_millis(2);
 /// The address block of the routers.
 const ROUTER_ADDRESSES: AddressBlock = AddressBlock(9);
 /// The number of log lines shown for a router that does not become ready.
-const SHOWN_LINES: usize = 3;
+const MAX_UNREADY_LINES: usize = 3;
 /// The start of the metric that counts violated invariants.
-const VIOLATIONS_FIGURE: &str = "invariant_violations_total{";
+const VIOLATIONS_METRIC: &str = "invariant_violations_total{";
 
 /// A run on the platform front.
 pub(super) struct Run<'a> {
@@ -84,28 +84,28 @@
 
     /// Writes a router's configuration with the current endpoint list.
     pub(super) fn write_config(&self, router: usize) -> io::Result<()> {
-        let own = &self.routers[router];
+        let router_state = &self.routers[router];
         let settings = RouterSettings {
             router,
-            listen: own.listen,
-            admin: own.admin,
-            discovery: self.agents.addresses[router][own.agent_address],
+            listen: router_state.listen,
+            admin: router_state.admin,
+            discovery: self.agents.addresses[router][router_state.agent_address],
             endpoints: self.agents.list_json(&self.servers.addresses[router]),
             routers: self.plan.routers,
         };
-        std::fs::write(&own.config, settings.to_json().to_string())
+        std::fs::write(&router_state.config, settings.to_json().to_string())
     }
 
     fn start_router(&mut self, router: usize) -> io::Result<()> {
         self.write_config(router)?;
-        let temporary = self.folder.path().join(format!("n{router}.tmp"));
-        std::fs::create_dir_all(&temporary)?;
-        let temporary = temporary.display().to_string();
-        let own = &mut self.routers[router];
-        let config = own.config.display().to_string();
-        let variables = [("BALANCER_CONFIG", config.as_str()), ("TMPDIR", temporary.as_str())];
-        own.instance.start(self.programs, &[], &variables)?;
-        own.phase = Phase::Starting { since: self.clock.now() };
+        let temp_folder = self.folder.path().join(format!("n{router}.tmp"));
+        std::fs::create_dir_all(&temp_folder)?;
+        let temp_folder = temp_folder.display().to_string();
+        let router_state = &mut self.routers[router];
+        let config = router_state.config.display().to_string();
+        let variables = [("BALANCER_CONFIG", config.as_str()), ("TMPDIR", temp_folder.as_str())];
+        router_state.instance.start(self.programs, &[], &variables)?;
+        router_state.phase = Phase::Starting { since: self.clock.now() };
         Ok(())
     }
 
@@ -116,19 +116,19 @@
         while !self.routers.iter().all(Router::is_running) {
             self.advance_routers();
             if self.clock.now() > started_at + READY_TIMEOUT {
-                return Err(RunError::PlatformNotReady(self.late_routers()));
+                return Err(RunError::PlatformNotReady(self.unready_routers()));
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(LOOP_INTERVAL);
         }
         Ok(())
     }
 
-    fn late_routers(&self) -> Vec<LateRouter> {
+    fn unready_routers(&self) -> Vec<UnreadyRouter> {
         let late = self.routers.iter().enumerate().filter(|(_, router)| !router.is_running());
-        let described = late.map(|(index, router)| LateRouter {
+        let described = late.map(|(index, router)| UnreadyRouter {
             router: index,
             listen: router.listen,
-            last_lines: router.instance.last_lines(SHOWN_LINES),
+            last_lines: router.instance.last_lines(MAX_UNREADY_LINES),
         });
         described.collect()
     }
@@ -139,7 +139,7 @@
             routers: self.routers.iter().map(|router| router.listen).collect(),
             clients: self.plan.clients,
             groups: self.plan.groups,
-            think: self.plan.think_ms as Micros * MILLISECOND,
+            think_time: self.plan.think_ms as Micros * MILLISECOND,
             seed,
         };
         self.clients = Some(Clients::start(settings, &self.clock, &self.recorder)?);
@@ -150,14 +150,14 @@
         while self.clock.now() < load_end || !schedule.is_over() {
             let now = self.clock.now();
             for step in schedule.take_due(now) {
-                self.take_step(&step, &mut schedule)?;
+                self.execute_step(&step, &mut schedule)?;
             }
             self.advance_routers();
             if now >= next_sample_at {
                 next_sample_at = now + SAMPLE_INTERVAL;
                 self.sample();
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(LOOP_INTERVAL);
         }
         Ok(())
     }
@@ -169,24 +169,24 @@
     /// Advances a router's lifecycle: checks its readiness, detects its exit, and restarts it.
     fn advance_router(&mut self, router: usize) {
         let now = self.clock.now();
-        let own = &mut self.routers[router];
-        if now < own.next_check_at {
+        let router_state = &mut self.routers[router];
+        if now < router_state.next_check_at {
             return;
         }
-        own.next_check_at = now + CHECK_INTERVAL;
-        let has_ended = own.instance.has_ended();
-        match own.phase {
-            Phase::Gone { start_at } if now >= start_at => self.restart_router(router),
+        router_state.next_check_at = now + CHECK_INTERVAL;
+        let has_ended = router_state.instance.has_ended();
+        match router_state.phase {
+            Phase::Exited { restart_at } if now >= restart_at => self.restart_router(router),
             Phase::Ending { since } if has_ended || now > since + KILL_AFTER => {
-                own.instance.discard_process();
-                own.phase = Phase::Gone { start_at: now + RESTART_DELAY };
+                router_state.instance.discard_process();
+                router_state.phase = Phase::Exited { restart_at: now + RESTART_DELAY };
             }
             Phase::Starting { .. } | Phase::Running if has_ended => {
-                own.instance.record_crash();
-                own.phase = Phase::Gone { start_at: now + CRASH_RESTART_DELAY };
+                router_state.instance.record_crash();
+                router_state.phase = Phase::Exited { restart_at: now + CRASH_RESTART_DELAY };
             }
             Phase::Starting { since } => self.check_readiness(router, since, now),
-            Phase::Gone { .. } | Phase::Ending { .. } | Phase::Running => {}
+            Phase::Exited { .. } | Phase::Ending { .. } | Phase::Running => {}
         }
     }
 
@@ -197,13 +197,13 @@
     }
 
     fn check_readiness(&mut self, router: usize, since: Micros, now: Micros) {
-        let own = &mut self.routers[router];
-        if is_ready(own.listen, PROBE_TIMEOUT) {
-            own.phase = Phase::Running;
-            own.instance.set_present();
+        let router_state = &mut self.routers[router];
+        if is_ready(router_state.listen, PROBE_TIMEOUT) {
+            router_state.phase = Phase::Running;
+            router_state.instance.set_present();
         } else if now > since + READY_TIMEOUT {
-            own.instance.record_failed_start("not ready in time".into());
-            own.phase = Phase::Running;
+            router_state.instance.record_failed_start("not ready in time".into());
+            router_state.phase = Phase::Running;
         }
     }
 
@@ -221,13 +221,13 @@
 
     /// Sends a router a signal that ends it, unless it is already absent or not running.
     pub(super) fn end_router(&mut self, router: usize, signal: Signal, reason: AbsenceReason) {
-        let own = &mut self.routers[router];
-        if !own.is_running() || own.instance.is_absent() {
+        let router_state = &mut self.routers[router];
+        if !router_state.is_running() || router_state.instance.is_absent() {
             return;
         }
-        own.instance.set_absent(reason);
-        own.instance.signal(signal);
-        own.phase = Phase::Ending { since: self.clock.now() };
+        router_state.instance.set_absent(reason);
+        router_state.instance.signal(signal);
+        router_state.phase = Phase::Ending { since: self.clock.now() };
     }
 
     /// Ends the load, waits for pending requests, reads the routers' own violation counters, and kills every
@@ -240,7 +240,7 @@
         self.recorder.lock().load_ended_at = self.clock.now();
         while self.has_pending_requests() && self.clock.now() < until {
             self.advance_routers();
-            std::thread::sleep(STEP);
+            std::thread::sleep(LOOP_INTERVAL);
         }
         std::thread::sleep(RECORDING_TIME);
         self.clients = None;
@@ -262,15 +262,15 @@
     /// Reads the router's metrics and records its counters of violated invariants.
     fn read_violations(&self, router: usize) {
         let admin = self.routers[router].admin;
-        let figures = admin_call(admin, "GET /metrics HTTP/1.1", METRICS_TIMEOUT).unwrap_or_default();
-        let violations = figures.lines().filter_map(|line| parse_violations(router, line));
+        let metrics = admin_call(admin, "GET /metrics HTTP/1.1", METRICS_TIMEOUT).unwrap_or_default();
+        let violations = metrics.lines().filter_map(|line| parse_violations(router, line));
         self.recorder.lock().invariant_violations.extend(violations);
     }
 }
 
 /// Parses a metric line; returns `None` if it is not a counter of violated invariants or if the counter is 0.
 fn parse_violations(router: usize, line: &str) -> Option<InvariantViolations> {
-    if !line.contains(VIOLATIONS_FIGURE) {
+    if !line.contains(VIOLATIONS_METRIC) {
         return None;
     }
     let invariant = line.split('"').nth(1).unwrap_or("").to_string();
@@ -308,7 +308,7 @@
             listen: pair[0],
             admin: pair[1],
             config: folder.path().join(format!("{name}.json")),
-            phase: Phase::Gone { start_at: 0 },
+            phase: Phase::Exited { restart_at: 0 },
             agent_address: 0,
             next_check_at: 0,
         });
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -6,7 +6,7 @@
 use std::fmt::{self, Display, Formatter};
 
 /// The maximum number of breaches that a report lists for each promise.
-const SHOWN_BREACHES: usize = 3;
+const MAX_BREACHES_PER_PROMISE: usize = 3;
 /// The `PostgreSQL` error code of a cancelled request.
 const CANCELLED_CODE: &str = "57014";
 
@@ -91,8 +91,8 @@
         for request in &history.requests {
             let kind = OutcomeKind::of(request);
             *outcomes.entry(kind).or_default() += 1;
-            let unforwarded = kind == OutcomeKind::Failed && !forwarded.contains(&request.id);
-            never_forwarded_but_failed += usize::from(unforwarded);
+            let is_unforwarded = kind == OutcomeKind::Failed && !forwarded.contains(&request.id);
+            never_forwarded_but_failed += usize::from(is_unforwarded);
         }
         let samples = &history.samples;
         let processes: BTreeSet<(usize, usize)> = samples.iter().map(|s| (s.router, s.incarnation)).collect();
@@ -141,7 +141,7 @@
         }
         for (name, breaches) in by_promise {
             writeln!(f, "  {name}: {}", breaches.len())?;
-            for breach in breaches.iter().take(SHOWN_BREACHES) {
+            for breach in breaches.iter().take(MAX_BREACHES_PER_PROMISE) {
                 writeln!(f, "    {}", breach.text)?;
             }
         }
--- a/soak/src/router/instance.rs
+++ b/soak/src/router/instance.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 
 /// The number of log lines recorded with a crash.
-const CRASH_LINES: usize = 4;
+const MAX_CRASH_LINES: usize = 4;
 /// The text by which a panic is found in the log.
 const PANIC_TEXT: &str = "panicked";
 
@@ -119,7 +119,7 @@
 
     /// Records a crash of the current process, and the router's absence.
     pub fn record_crash(&mut self) {
-        let detail = self.last_lines(CRASH_LINES);
+        let detail = self.last_lines(MAX_CRASH_LINES);
         self.recorder.lock().crashes.push(RouterFailure { router: self.index, detail });
         self.set_absent(AbsenceReason::Killed);
     }
--- a/soak/src/serve/faults.rs
+++ b/soak/src/serve/faults.rs
@@ -1,5 +1,5 @@
 //! Starts and ends faults on the routers of `serve` and in their environment.
-use super::run::{Edge, Run, USUAL_LAG};
+use super::run::{Edge, REPLICATION_LAG, Run};
 use crate::fault::{FaultKind, PlannedFault};
 use crate::history::AbsenceReason;
 use crate::time::SECOND;
@@ -10,7 +10,7 @@
 use test_servers::proxy::Proxy;
 
 /// The replication lag of a replica under the fault `server_lag`.
-const SLOW_LAG: Duration = Duration::from_millis(800);
+const DELAYED_REPLICATION_LAG: Duration = Duration::from_millis(800);
 /// The delay of a slow link.
 const LINK_DELAY: Duration = Duration::from_millis(100);
 /// The failure rates of system calls, per million calls.
@@ -35,8 +35,8 @@
             (FaultKind::Kill, Edge::Begin) => self.end_router(router, Signal::SIGKILL, AbsenceReason::Killed),
             (FaultKind::PauseShort | FaultKind::PauseLong, Edge::Begin) => self.pause(router),
             (FaultKind::PauseShort | FaultKind::PauseLong, Edge::End) => self.resume(router),
-            (FaultKind::ServerLag, Edge::Begin) => self.set_lag(server, SLOW_LAG),
-            (FaultKind::ServerLag, Edge::End) => self.set_lag(server, USUAL_LAG),
+            (FaultKind::ServerLag, Edge::Begin) => self.set_lag(server, DELAYED_REPLICATION_LAG),
+            (FaultKind::ServerLag, Edge::End) => self.set_lag(server, REPLICATION_LAG),
             (FaultKind::LinkCut, Edge::Begin) => self.proxy(router, server).cut(),
             (FaultKind::LinkDelay, Edge::Begin) => {
                 self.proxy(router, server).update_faults(|faults| faults.delay = LINK_DELAY);
@@ -63,23 +63,23 @@
     }
 
     fn pause(&mut self, router: usize) {
-        let own = &mut self.routers[router];
-        own.instance.set_absent(AbsenceReason::Paused);
-        own.instance.signal(Signal::SIGSTOP);
+        let router_state = &mut self.routers[router];
+        router_state.instance.set_absent(AbsenceReason::Paused);
+        router_state.instance.signal(Signal::SIGSTOP);
     }
 
     fn resume(&mut self, router: usize) {
-        let own = &mut self.routers[router];
-        own.instance.signal(Signal::SIGCONT);
-        if !own.is_ending() {
-            own.instance.set_present();
+        let router_state = &mut self.routers[router];
+        router_state.instance.signal(Signal::SIGCONT);
+        if !router_state.is_ending() {
+            router_state.instance.set_present();
         }
     }
 
     /// Sets the replication lag of a replica. The first server is the primary and has none.
     fn set_lag(&self, server: usize, lag: Duration) {
         if server > 0 {
-            self.fleet.set_lag(server, lag);
+            self.replication_group.set_lag(server, lag);
         }
     }
 }
--- a/soak/src/serve/load.rs
+++ b/soak/src/serve/load.rs
@@ -16,15 +16,15 @@
 use std::time::Duration;
 
 /// The number of reads after each write.
-const READS: usize = 4;
+const READS_PER_WRITE: usize = 4;
 /// The read timeout of a client connection.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
 /// The timeout of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The time within which a router has to respond to a request.
 const REQUEST_TIMEOUT: Micros = 3 * SECOND;
 /// A router may close a connection that was idle for this long just as the client sends a request.
-const IDLE_TIME: Micros = 1_500_000;
+const IDLE_TIMEOUT: Micros = 1_500_000;
 /// The factor between a run's seed and its sessions' seeds, so that runs with different seeds share none.
 const SESSIONS_PER_SEED: u64 = 1000;
 /// The request ids of a session start at its index, shifted left by this many bits.
@@ -55,7 +55,7 @@
                 connections: routers.iter().map(|_| None).collect(),
                 clock: clock.clone(),
                 recorder: recorder.clone(),
-                think: plan.think_ms as Micros * MILLISECOND,
+                think_time: plan.think_ms as Micros * MILLISECOND,
                 last_request: client << SESSION_ID_SHIFT,
             };
             let stop = stop.clone();
@@ -86,7 +86,7 @@
 
 /// The result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Answer {
+enum RequestResult {
     /// The request was not served.
     NotServed,
     /// The request was served, and the response contained no number.
@@ -103,7 +103,7 @@
     connections: Vec<Option<Connection>>,
     clock: RunClock,
     recorder: Recorder,
-    think: Micros,
+    think_time: Micros,
     /// The id of the session's last request.
     last_request: u64,
 }
@@ -114,18 +114,18 @@
         let mut last_write = 0;
         while !stop.is_set() {
             last_write += 1;
-            if self.write(last_write) == Answer::Done {
+            if self.write(last_write) == RequestResult::Done {
                 confirmed = last_write;
             }
-            for _ in 0..READS {
+            for _ in 0..READS_PER_WRITE {
                 self.read(confirmed);
             }
-            let pause = self.rng.i64(0..2 * self.think.max(1));
+            let pause = self.rng.i64(0..2 * self.think_time.max(1));
             std::thread::sleep(Duration::from_micros(pause as u64));
         }
     }
 
-    fn write(&mut self, number: u64) -> Answer {
+    fn write(&mut self, number: u64) -> RequestResult {
         let name = &self.name;
         let statement =
             format!("INSERT INTO basket VALUES ('{name}', {number}) /* c={WRITE_CLASS},s={name} */");
@@ -138,14 +138,14 @@
         let name = &self.name;
         let statement = format!("SELECT n FROM basket WHERE k = '{name}' /* c={READ_CLASS},s={name} */");
         let at = self.clock.now();
-        if let Answer::Number(observed) = self.request(Class::Session, &statement) {
+        if let RequestResult::Number(observed) = self.request(Class::Session, &statement) {
             let read = SessionRead { session: self.name.clone(), confirmed, observed, at };
             self.recorder.lock().session_reads.push(read);
         }
     }
 
     /// Sends a request to a random router and records it, unless no connection can be opened.
-    fn request(&mut self, class: Class, statement: &str) -> Answer {
+    fn request(&mut self, class: Class, statement: &str) -> RequestResult {
         let router = self.rng.usize(..self.routers.len());
         let now = self.clock.now();
         if self.connections[router].is_none() {
@@ -153,13 +153,13 @@
             self.connections[router] =
                 client.map(|client| Connection { client, opened_at: now, used_at: now });
         }
-        let Some(connection) = &mut self.connections[router] else { return Answer::NotServed };
+        let Some(connection) = &mut self.connections[router] else { return RequestResult::NotServed };
         let connected_at = connection.opened_at;
-        let was_idle = now - std::mem::replace(&mut connection.used_at, now) > IDLE_TIME;
+        let was_idle = now - std::mem::replace(&mut connection.used_at, now) > IDLE_TIMEOUT;
         let sent_at = self.clock.now();
-        let answer = connection.client.query_first::<(String, String), _>(statement);
+        let response = connection.client.query_first::<(String, String), _>(statement);
         let ended_at = self.clock.now();
-        let outcome = outcome_of(&answer);
+        let outcome = outcome_of(&response);
         if outcome == Outcome::Closed {
             self.connections[router] = None;
         }
@@ -183,15 +183,15 @@
             cancelled_at: None,
         });
         match outcome {
-            Outcome::Served(value) => value.parse().map_or(Answer::Done, Answer::Number),
-            _ => Answer::NotServed,
+            Outcome::Served(value) => value.parse().map_or(RequestResult::Done, RequestResult::Number),
+            _ => RequestResult::NotServed,
         }
     }
 }
 
 /// Returns the outcome of a request; the value of a served request is that of the first column.
-fn outcome_of(answer: &mysql::Result<Option<(String, String)>>) -> Outcome {
-    match answer {
+fn outcome_of(response: &mysql::Result<Option<(String, String)>>) -> Outcome {
+    match response {
         Ok(row) => Outcome::Served(row.as_ref().map(|(value, _)| value.clone()).unwrap_or_default()),
         Err(mysql::Error::MySqlError(error)) => Outcome::Error(error.code.to_string()),
         Err(_) => Outcome::Closed,
@@ -207,6 +207,6 @@
         .pass(Some(CLIENT_PASSWORD))
         .db_name(Some(DATABASE))
         .tcp_connect_timeout(Some(CONNECT_TIMEOUT))
-        .read_timeout(Some(ANSWER_TIMEOUT));
+        .read_timeout(Some(RESPONSE_TIMEOUT));
     Conn::new(options)
 }
--- a/soak/src/serve/run.rs
+++ b/soak/src/serve/run.rs
@@ -29,17 +29,17 @@
 /// The pause between two attempts to change the store at the end.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// The sleep time of the main loop.
-const STEP: Duration = Duration::from_millis(5);
+const LOOP_INTERVAL: Duration = Duration::from_millis(5);
 /// The interval between two resource usage samples.
 const SAMPLE_INTERVAL: Micros = SECOND;
 /// The interval between two changes of the store.
 const STORE_INTERVAL: Micros = 150 * MILLISECOND;
 /// The replication lag of the replicas without a fault.
-pub(super) const USUAL_LAG: Duration = Duration::from_millis(5);
+pub(super) const REPLICATION_LAG: Duration = Duration::from_millis(5);
 /// The interval between two heartbeats of the simulated servers.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Whether a fault starts or ends.
+/// An edge of a fault: its start or its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Edge {
     /// The fault starts.
@@ -62,7 +62,7 @@
     folder: TempDir,
     clock: RunClock,
     recorder: Recorder,
-    pub(super) fleet: ReplicationGroup,
+    pub(super) replication_group: ReplicationGroup,
     addresses: Addresses,
     pub(super) routers: Vec<Router>,
     store: StoreProbe,
@@ -72,13 +72,22 @@
     /// Starts the servers, and creates the routers with their proxies but without their processes.
     pub(super) fn prepare(plan: &'a Plan, programs: &'a Programs) -> io::Result<Run<'a>> {
         let folder = tempfile::Builder::new().prefix("damsonvale-soak-").tempdir()?;
-        let lags = vec![USUAL_LAG; plan.replicas];
-        let fleet = ReplicationGroup::start(&lags, HEARTBEAT_INTERVAL);
+        let lags = vec![REPLICATION_LAG; plan.replicas];
+        let replication_group = ReplicationGroup::start(&lags, HEARTBEAT_INTERVAL);
         let addresses = Addresses::free(plan.routers)?;
-        let store = StoreProbe::new(&programs.router, &addresses.controls);
+        let store = StoreProbe::new(&programs.router, &addresses.control_addresses);
         let (clock, recorder) = (RunClock::start(), Recorder::default());
-        let mut run =
-            Run { plan, programs, folder, clock, recorder, fleet, addresses, routers: Vec::new(), store };
+        let mut run = Run {
+            plan,
+            programs,
+            folder,
+            clock,
+            recorder,
+            replication_group,
+            addresses,
+            routers: Vec::new(),
+            store,
+        };
         for index in 0..plan.routers {
             let router = run.create_router(index)?;
             run.routers.push(router);
@@ -92,7 +101,7 @@
         let instance = RouterInstance::create(index, folder, &name, &self.clock, &self.recorder)?;
         let mut servers = Vec::new();
         let mut proxies = Vec::new();
-        for (id, address) in self.fleet.servers() {
+        for (id, address) in self.replication_group.servers() {
             let proxy = Proxy::start(address);
             servers.push(NamedServer { id, address: proxy.addr });
             proxies.push(proxy);
@@ -104,12 +113,12 @@
 
     fn start_router(&mut self, router: usize) -> io::Result<()> {
         let now = self.clock.now();
-        let own = &mut self.routers[router];
-        let config = own.config.display().to_string();
-        let temporary = self.folder.path().display().to_string();
-        let variables = [("TMPDIR", temporary.as_str())];
-        own.instance.start(self.programs, &["serve", &config], &variables)?;
-        own.phase = Phase::Starting { since: now };
+        let router_state = &mut self.routers[router];
+        let config = router_state.config.display().to_string();
+        let temp_folder = self.folder.path().display().to_string();
+        let variables = [("TMPDIR", temp_folder.as_str())];
+        router_state.instance.start(self.programs, &["serve", &config], &variables)?;
+        router_state.phase = Phase::Starting { since: now };
         Ok(())
     }
 
@@ -122,7 +131,7 @@
             if self.clock.now() > started_at + READY_TIMEOUT {
                 return Err(RunError::ServeNotReady);
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(LOOP_INTERVAL);
         }
         Ok(())
     }
@@ -149,7 +158,7 @@
                 next_sample_at = now + SAMPLE_INTERVAL;
                 self.sample();
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(LOOP_INTERVAL);
         }
         load.end();
         self.recorder.lock().load_ended_at = self.clock.now();
@@ -158,13 +167,13 @@
 
     /// Sends a router a signal that ends it, unless it is already absent or not running.
     pub(super) fn end_router(&mut self, router: usize, signal: Signal, reason: AbsenceReason) {
-        let own = &mut self.routers[router];
-        if own.instance.is_absent() || own.phase != Phase::Running {
+        let router_state = &mut self.routers[router];
+        if router_state.instance.is_absent() || router_state.phase != Phase::Running {
             return;
         }
-        own.instance.set_absent(reason);
-        own.instance.signal(signal);
-        own.phase = Phase::Ending { since: self.clock.now() };
+        router_state.instance.set_absent(reason);
+        router_state.instance.signal(signal);
+        router_state.phase = Phase::Ending { since: self.clock.now() };
     }
 
     fn sample(&self) {
@@ -180,15 +189,15 @@
     /// Advances a router's lifecycle: checks its readiness, detects its exit, and restarts it.
     fn advance_router(&mut self, router: usize) {
         let now = self.clock.now();
-        let own = &mut self.routers[router];
-        let has_ended = own.instance.has_ended();
-        match own.phase {
+        let router_state = &mut self.routers[router];
+        let has_ended = router_state.instance.has_ended();
+        match router_state.phase {
             Phase::Ending { since } if has_ended || now > since + KILL_AFTER => {
-                own.instance.discard_process();
+                router_state.instance.discard_process();
                 self.restart_router(router);
             }
             Phase::Starting { .. } | Phase::Running if has_ended => {
-                own.instance.record_crash();
+                router_state.instance.record_crash();
                 self.restart_router(router);
             }
             Phase::Starting { since } => self.check_readiness(router, since, now),
@@ -203,13 +212,13 @@
     }
 
     fn check_readiness(&mut self, router: usize, since: Micros, now: Micros) {
-        let own = &mut self.routers[router];
+        let router_state = &mut self.routers[router];
         if TcpStream::connect_timeout(&self.addresses.clients[router], PROBE_TIMEOUT).is_ok() {
-            own.phase = Phase::Running;
-            own.instance.set_present();
+            router_state.phase = Phase::Running;
+            router_state.instance.set_present();
         } else if now > since + READY_TIMEOUT {
-            own.phase = Phase::Running;
-            own.instance.record_failed_start("not ready in time".into());
+            router_state.phase = Phase::Running;
+            router_state.instance.record_failed_start("not ready in time".into());
         }
     }
 
@@ -243,7 +252,7 @@
         }
         let mut history = self.recorder.take();
         history.store = Some(self.store.record());
-        let writes = self.fleet.writes_by_session().into_iter();
+        let writes = self.replication_group.writes_by_session().into_iter();
         history.session_writes =
             writes.map(|(session, numbers)| SessionWrites { session, numbers }).collect();
         for router in &mut self.routers {
--- a/soak/src/serve/settings.rs
+++ b/soak/src/serve/settings.rs
@@ -24,7 +24,7 @@
     /// The routers' addresses for clients.
     pub clients: Vec<SocketAddr>,
     /// The store nodes' addresses for the operators' commands.
-    pub controls: Vec<SocketAddr>,
+    pub control_addresses: Vec<SocketAddr>,
     /// The addresses where peers replicate sessions.
     pub sessions: Vec<SocketAddr>,
     /// The addresses of the members' gossip.
@@ -43,7 +43,7 @@
     pub fn free(routers: usize) -> io::Result<Addresses> {
         Ok(Addresses {
             clients: free_addresses(AddressBlock(11), routers)?,
-            controls: free_addresses(AddressBlock(12), routers)?,
+            control_addresses: free_addresses(AddressBlock(12), routers)?,
             sessions: free_addresses(AddressBlock(13), routers)?,
             members: free_addresses(AddressBlock(14), routers)?,
             store_peers: free_addresses(AddressBlock(15), STORE_NODES)?,
@@ -73,7 +73,7 @@
 }
 
 /// Returns a router's number as a session peer and as a store node; these numbers start at 1.
-fn number(router: usize) -> usize {
+fn instance_number(router: usize) -> usize {
     router + 1
 }
 
@@ -101,12 +101,12 @@
 fn sessions_section(router: usize, addresses: &Addresses, folder: &Path) -> String {
     let mut text = format!(
         "[sessions]\ninstance = {}\nlisten = '{}'\nfolder = '{}'\n",
-        number(router),
+        instance_number(router),
         addresses.sessions[router],
         folder.join(format!("sessions-{router}")).display()
     );
     for (peer, address) in addresses.sessions.iter().enumerate() {
-        _ = write!(text, "[[sessions.peer]]\ninstance = {}\naddr = '{address}'\n", number(peer));
+        _ = write!(text, "[[sessions.peer]]\ninstance = {}\naddr = '{address}'\n", instance_number(peer));
     }
     text
 }
@@ -119,13 +119,13 @@
 fn store_section(router: usize, addresses: &Addresses, folder: &Path) -> String {
     let mut text = format!(
         "[store]\nnode = {}\nfolder = '{}'\ncontrol = '{}'\nclients = '{}'\n",
-        number(router),
+        instance_number(router),
         folder.join(format!("store-{router}")).display(),
-        addresses.controls[router],
+        addresses.control_addresses[router],
         addresses.store_clients[router]
     );
     for (peer, address) in addresses.store_peers.iter().enumerate() {
-        _ = write!(text, "[[store.peer]]\nnode = {}\naddr = '{address}'\n", number(peer));
+        _ = write!(text, "[[store.peer]]\nnode = {}\naddr = '{address}'\n", instance_number(peer));
     }
     text
 }
--- a/soak/src/serve/store.rs
+++ b/soak/src/serve/store.rs
@@ -8,12 +8,12 @@
 /// The key that the run changes.
 const KEY: &str = "soak";
 /// The key that is changed at the end to check that the store accepts changes again.
-const END_KEY: &str = "soak-end";
+const RECOVERY_KEY: &str = "soak-end";
 
 /// Changes the store at each node in turn and records the last confirmed change.
 pub(super) struct StoreProbe {
     program: PathBuf,
-    controls: Vec<SocketAddr>,
+    control_addresses: Vec<SocketAddr>,
     /// The number of the last change.
     last_change: u64,
     record: StoreRecord,
@@ -21,10 +21,10 @@
 
 impl StoreProbe {
     /// Creates a probe that runs this program's command `ctl` with the nodes' control addresses.
-    pub(super) fn new(program: &Path, controls: &[SocketAddr]) -> StoreProbe {
+    pub(super) fn new(program: &Path, control_addresses: &[SocketAddr]) -> StoreProbe {
         StoreProbe {
             program: program.to_path_buf(),
-            controls: controls.to_vec(),
+            control_addresses: control_addresses.to_vec(),
             last_change: 0,
             record: StoreRecord::default(),
         }
@@ -52,7 +52,7 @@
 
     /// Reads the key at the first node that accepts a change. Returns `false` if no node does.
     pub(super) fn read_back(&mut self) -> bool {
-        let accepting = (0..STORE_NODES).find(|node| self.run(*node, &["set", END_KEY, "1"]).is_some());
+        let accepting = (0..STORE_NODES).find(|node| self.run(*node, &["set", RECOVERY_KEY, "1"]).is_some());
         let Some(node) = accepting else { return false };
         let text = self.run(node, &["get", KEY]).unwrap_or_default();
         let value: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
@@ -63,7 +63,7 @@
 
     /// Runs a command with a node's control address and returns its output if it succeeds.
     fn run(&self, node: usize, words: &[&str]) -> Option<String> {
-        let address = self.controls[node].to_string();
+        let address = self.control_addresses[node].to_string();
         let mut command = Command::new(&self.program);
         command.arg("ctl").arg(address).args(words).env_clear();
         let output = command.output().ok()?;
--- a/soak/tests/exchanged_forms.rs
+++ b/soak/tests/exchanged_forms.rs
@@ -6,7 +6,7 @@
 use fixture::assert_fixture;
 use soak::history::{
     Absence, AbsenceReason, Attempt, History, InvariantViolations, Outcome, Request, RouterFailure, Sample,
-    ServerStart, SessionRead, SessionWrites, Stall, StoreRecord, UnexpectedAnswer, Withdrawal,
+    ServerStart, SessionRead, SessionWrites, Stall, StoreRecord, UnexpectedResponse, Withdrawal,
 };
 use soak::oracle::check;
 use soak::platform::settings::RouterSettings;
@@ -87,7 +87,7 @@
     let numbered = |from: u16, count: u16| (from..from + count).map(address).collect::<Vec<_>>();
     let addresses = Addresses {
         clients: numbered(1000, 4),
-        controls: numbered(2000, 4),
+        control_addresses: numbered(2000, 4),
         sessions: numbered(3000, 4),
         members: numbered(4000, 4),
         store_peers: numbered(5000, 3),
@@ -120,12 +120,12 @@
 #[test]
 fn messages_match_fixture_and_decode() {
     let messages = [
-        ("ready", wire::ready()),
-        ("row", wire::row("2a.1.7")),
-        ("error", wire::error("53300")),
-        ("parameter", wire::parameter("mode", "read-only")),
-        ("startup", wire::startup()),
-        ("cancel", wire::cancel(&[1, 2, 3, 4, 5, 6, 7, 8])),
+        ("ready", wire::ready_for_query()),
+        ("row", wire::row_response("2a.1.7")),
+        ("error", wire::error_message("53300")),
+        ("parameter", wire::parameter_status("mode", "read-only")),
+        ("startup", wire::startup_message()),
+        ("cancel", wire::cancel_request(&[1, 2, 3, 4, 5, 6, 7, 8])),
     ];
     let mut text = String::new();
     for (name, bytes) in messages {
@@ -133,12 +133,12 @@
         _ = writeln!(text, "{name} {hex}");
     }
     assert_fixture("messages.txt", &text);
-    let mut row = wire::row("2a.1.7");
+    let mut row = wire::row_response("2a.1.7");
     assert_eq!(wire::take_message(&mut row).unwrap().tag, b'T');
-    assert_eq!(wire::value(&wire::take_message(&mut row).unwrap().body), "2a.1.7");
-    let wire::Message { tag, body } = wire::take_message(&mut wire::error("53300")).unwrap();
+    assert_eq!(wire::row_value(&wire::take_message(&mut row).unwrap().body), "2a.1.7");
+    let wire::Message { tag, body } = wire::take_message(&mut wire::error_message("53300")).unwrap();
     assert_eq!((tag, wire::error_field(&body, 'C').as_deref()), (b'E', Some("53300")));
-    assert_eq!(wire::pair("SELECT 1 /* id=2a,c=any */", "c"), Some("any"));
+    assert_eq!(wire::comment_value("SELECT 1 /* id=2a,c=any */", "c"), Some("any"));
 }
 
 fn request(id: u64, class: Class, outcome: Outcome) -> Request {
@@ -155,7 +155,7 @@
 
 /// Returns a history that breaks every promise.
 fn broken_history() -> History {
-    let late_answer =
+    let late_response =
         Request { ended_at: 14 * SECOND, ..request(0xa2, Class::Any, Outcome::Served("a2.2.9".into())) };
     let left =
         Request { ended_at: 10 * SECOND - 500_000, ..request(0xa3, Class::Any, Outcome::Disconnected) };
@@ -166,7 +166,7 @@
     let requests = vec![
         request(0xa0, Class::Any, Outcome::Pending),
         request(0xa1, Class::Any, Outcome::Closed),
-        late_answer,
+        late_response,
         left,
         request(0xa4, Class::Write, Outcome::Served("a4.0.3".into())),
         request(0xa5, Class::Keyed, Outcome::Served("a5.0.5".into())),
@@ -187,7 +187,7 @@
         attempt(0xa6, 1),
         Attempt { position: 8 * SECOND, ..attempt(0xa7, 3) },
     ];
-    let crowd = (0..120).map(|n| Attempt {
+    let burst = (0..120).map(|n| Attempt {
         id: 0x1000 + n,
         first_byte_at: 21 * SECOND + n as i64 * 1000,
         ..attempt(0, 5)
@@ -203,7 +203,7 @@
     };
     History {
         requests,
-        attempts: attempts.into_iter().chain(crowd).collect(),
+        attempts: attempts.into_iter().chain(burst).collect(),
         absences: vec![Absence { router: 3, reason: AbsenceReason::Paused, from: SECOND, to: 2 * SECOND }],
         withdrawals: vec![Withdrawal {
             server: 3,
@@ -214,7 +214,7 @@
         server_starts: vec![ServerStart { server: 5, at: 20 * SECOND }],
         samples: (0..8).map(|second| sample(second, if second == 4 { 300 } else { 30 })).collect(),
         stalls: vec![Stall { router: 1, from: SECOND, to: 6 * SECOND, closed_by_router: false }],
-        unexpected_answers: vec![UnexpectedAnswer::Foreign { request: 0xa2, value: "b1.0.0".into() }],
+        unexpected_responses: vec![UnexpectedResponse::Foreign { request: 0xa2, value: "b1.0.0".into() }],
         crashes: vec![RouterFailure { router: 4, detail: "panicked".into() }],
         failed_starts: vec![RouterFailure { router: 5, detail: "not ready in time".into() }],
         invariant_violations: vec![violations(0, "drain", 2), violations(3, "repeat_window", 1)],
--- a/soak/tests/oracle.rs
+++ b/soak/tests/oracle.rs
@@ -6,7 +6,7 @@
 use soak::class::Class;
 use soak::history::{
     Absence, AbsenceReason, Attempt, DiscoveryOutage, History, InvariantViolations, Outcome, RouterFailure,
-    Sample, ServerStart, SessionRead, SessionWrites, Stall, StoreRecord, UnexpectedAnswer, Withdrawal,
+    Sample, ServerStart, SessionRead, SessionWrites, Stall, StoreRecord, UnexpectedResponse, Withdrawal,
 };
 use soak::oracle::{Promise, check};
 use soak::time::SECOND;
@@ -83,8 +83,11 @@
         h.absences.push(absence(AbsenceReason::Paused, 10 * SECOND + 100_000, 11 * SECOND + 900_000));
     };
     assert_eq!(broken_promises(paused), []);
-    let unsolicited = UnexpectedAnswer::Unsolicited { connection: 1, answer: None };
-    assert_eq!(broken_promises(|h| h.unexpected_answers.push(unsolicited.clone())), [Promise::ForeignAnswer]);
+    let unsolicited = UnexpectedResponse::Unsolicited { connection: 1, response: None };
+    assert_eq!(
+        broken_promises(|h| h.unexpected_responses.push(unsolicited.clone())),
+        [Promise::MismatchedResponse]
+    );
 }
 
 #[test]
@@ -120,11 +123,11 @@
     let withdrawal = Withdrawal { server: 0, router: None, notified_at: 9 * SECOND, until: 20 * SECOND };
     assert_eq!(broken_promises(|h| h.withdrawals.push(withdrawal)), [Promise::Drain]);
     // During a discovery outage the router is not notified.
-    let unnotified = |h: &mut History| {
+    let missed_outages = |h: &mut History| {
         h.withdrawals.push(withdrawal);
         h.discovery_outages.push(DiscoveryOutage { router: 0, from: 8 * SECOND, to: 11 * SECOND });
     };
-    assert_eq!(broken_promises(unnotified), []);
+    assert_eq!(broken_promises(missed_outages), []);
     let by_operator = Withdrawal { router: Some(1), ..withdrawal };
     assert_eq!(
         broken_promises(|h| h.withdrawals.push(by_operator)),
@@ -135,7 +138,7 @@
 
 #[test]
 fn overload_of_cold_server_is_found() {
-    let crowd = |count: usize| {
+    let burst = |count: usize| {
         move |h: &mut History| {
             h.server_starts.push(ServerStart { server: 0, at: 10 * SECOND });
             let one = h.attempts[0].clone();
@@ -145,8 +148,8 @@
             }
         }
     };
-    assert_eq!(broken_promises(crowd(30)), []);
-    assert_eq!(broken_promises(crowd(120)), [Promise::SlowStart]);
+    assert_eq!(broken_promises(burst(30)), []);
+    assert_eq!(broken_promises(burst(120)), [Promise::SlowStart]);
 }
 
 #[test]
@@ -179,8 +182,8 @@
         incarnation: 1,
     };
     assert_eq!(broken_promises(|h| h.samples.push(sample(0, 0, 300))), [Promise::Limits]);
-    let spins = |h: &mut History| h.samples.extend((0..8).map(|s| sample(s * SECOND, s * SECOND, 20)));
-    assert_eq!(broken_promises(spins), [Promise::Cpu]);
+    let busy_loops = |h: &mut History| h.samples.extend((0..8).map(|s| sample(s * SECOND, s * SECOND, 20)));
+    assert_eq!(broken_promises(busy_loops), [Promise::Cpu]);
     let failure = RouterFailure { router: 0, detail: String::new() };
     assert_eq!(broken_promises(|h| h.crashes.push(failure.clone())), [Promise::Crash]);
     assert_eq!(broken_promises(|h| h.failed_starts.push(failure.clone())), [Promise::Start]);
