--- a/faults/control/src/lib.rs
+++ b/faults/control/src/lib.rs
@@ -1,25 +1,27 @@
-//! The file that controls the preloaded library of the package `faults`: 8-byte words in the machine's order.
+//! The control file of the preloaded library of the package `faults`: 8-byte words in native byte order.
 //!
-//! It is a package of its own, since whoever links that library replaces the C library's functions in itself.
+//! This is a separate package, because a program that links the package `faults` would interpose its own
+//! calls to the C library.
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 
-/// The variable that names the control file.
+/// The environment variable that names the control file.
 pub const CONTROL_VARIABLE: &str = "DAMSONVALE_FAULTS";
-/// Probabilities are out of so many.
-pub const SCALE: u64 = 1_000_000;
-/// Bytes of a word.
+/// The denominator of fault rates: this rate makes every call fail.
+pub const RATE_SCALE: u64 = 1_000_000;
+/// The size of a word, in bytes.
 pub const WORD_BYTES: usize = 8;
-/// Bytes of the file.
+/// The size of the control file, in bytes.
 pub const FILE_BYTES: usize = 32 * WORD_BYTES;
-/// The word with the wall clock's offset in microseconds.
+/// The index of the word that holds the wall clock's offset in microseconds.
 pub const CLOCK_WORD: usize = 0;
-/// The first of the words with the faults' probabilities.
+/// The index of the first word that holds a fault rate.
 const FIRST_FAULT_WORD: usize = 1;
 
-/// What may fail. Its number is the place of its probability in the file.
+/// A fault that can be injected. The variant's number determines the position of its rate in the control
+/// file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// `accept` fails: ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM, EPROTO.
@@ -30,9 +32,9 @@
     Connect = 2,
     /// A call on a socket or a poll is interrupted: EINTR.
     Interrupt = 3,
-    /// A socket is read or written by one byte only.
+    /// A socket read or write transfers only one byte.
     ShortTransfer = 4,
-    /// A connection that this process opened breaks: ETIMEDOUT, EHOSTUNREACH, ECONNRESET.
+    /// A connection that the process opened breaks: ETIMEDOUT, EHOSTUNREACH, ECONNRESET.
     ConnectionLoss = 5,
     /// A thread can't be started: EAGAIN.
     ThreadStart = 6,
@@ -45,7 +47,7 @@
 }
 
 impl Fault {
-    /// All of them, in the order of the file.
+    /// All faults, in the order of the control file.
     pub const ALL: [Fault; 10] = [
         Fault::Accept,
         Fault::Socket,
@@ -59,23 +61,23 @@
         Fault::FileOpen,
     ];
 
-    /// The word with its probability.
-    pub fn word(self) -> usize {
+    /// Returns the index of the word that holds the fault's rate.
+    pub fn word_index(self) -> usize {
         FIRST_FAULT_WORD + self as usize
     }
 }
 
-/// How often a call fails.
+/// The rate of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultRate {
-    /// What fails.
+    /// The fault that the rate applies to.
     pub fault: Fault,
-    /// How many times out of a million ([`SCALE`]) on average.
+    /// The average number of failures per million calls ([`RATE_SCALE`]).
     pub per_million: u64,
 }
 
 impl FaultRate {
-    /// A rate out of a million.
+    /// Creates a rate per million calls.
     pub const fn per_million(fault: Fault, per_million: u64) -> FaultRate {
         FaultRate { fault, per_million }
     }
@@ -88,53 +90,53 @@
 }
 
 impl ControlFile {
-    /// Creates the file, without any fault.
+    /// Creates the file without faults.
     ///
     /// # Errors
-    /// Where it can't be created or written.
+    /// The file can't be created or written.
     pub fn create(path: &Path) -> io::Result<ControlFile> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
         file.write_all_at(&[0; FILE_BYTES], 0)?;
         Ok(ControlFile { file })
     }
 
-    /// Opens a file that was created before.
+    /// Opens an existing control file.
     ///
     /// # Errors
-    /// Where it can't be opened.
+    /// The file can't be opened.
     pub fn open(path: &Path) -> io::Result<ControlFile> {
         let file = OpenOptions::new().read(true).write(true).open(path)?;
         Ok(ControlFile { file })
     }
 
-    /// Moves the wall clock by so many microseconds against the system's.
+    /// Sets the offset of the processes' wall clock from the system's, in microseconds.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// The file can't be written.
     pub fn set_clock_offset(&self, micros: i64) -> io::Result<()> {
         self.write_word(CLOCK_WORD, micros as u64)
     }
 
-    /// Lets a call fail so many times out of a million ([`SCALE`]) on average; 0 ends the fault.
+    /// Sets the average number of failures per million calls ([`RATE_SCALE`]) of a fault; 0 disables the fault.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// The file can't be written.
     pub fn set_fault_rate(&self, fault: Fault, per_million: u64) -> io::Result<()> {
-        self.write_word(fault.word(), per_million.min(SCALE))
+        self.write_word(fault.word_index(), per_million.min(RATE_SCALE))
     }
 
-    /// Sets these rates one after the other.
+    /// Sets several fault rates, one after the other.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// The file can't be written.
     pub fn set_fault_rates(&self, rates: &[FaultRate]) -> io::Result<()> {
         rates.iter().try_for_each(|rate| self.set_fault_rate(rate.fault, rate.per_million))
     }
 
-    /// Ends all faults; the clock's offset stays.
+    /// Disables all faults; the offset of the wall clock stays in force.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// The file can't be written.
     pub fn clear_faults(&self) -> io::Result<()> {
         Fault::ALL.iter().try_for_each(|fault| self.set_fault_rate(*fault, 0))
     }
--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -1,15 +1,19 @@
-//! Faults of one process's clock, system calls and disk, for tests.
+//! Fault injection for tests: steps the wall clock of a process and makes its system calls and file writes
+//! fail.
 //!
-//! Built as a shared library, this package is preloaded into a process (`LD_PRELOAD`) and wraps functions of the C
-//! library. A small file that the process maps holds the faults (package `fault-control`): a test that opens it as a
-//! [`ControlFile`](fault_control::ControlFile) changes them while the process runs. The environment variable
-//! [`CONTROL_VARIABLE`](fault_control::CONTROL_VARIABLE) names the file; without it the library changes nothing.
+//! This package is built as a shared library, preloaded into a process (`LD_PRELOAD`), and interposes
+//! functions of the C library. The process maps a small control file that holds the faults (package
+//! `fault-control`). A test that opens the file as a [`ControlFile`](fault_control::ControlFile) can change
+//! the faults while the process runs. The environment variable
+//! [`CONTROL_VARIABLE`](fault_control::CONTROL_VARIABLE) names the file; if it is not set, the library
+//! injects no faults.
 //!
-//! - The wall clock is moved by an offset; the monotonic clock is left alone.
-//! - Calls on sockets, on files and the start of threads fail with a probability, with the error numbers that Linux
-//!   documents for them; reads and writes are shortened; a write to a file may leave half of its bytes.
+//! - The wall clock is shifted by an offset; the monotonic clock is not changed.
+//! - Calls on sockets and files and starts of threads fail with a configured probability and with error
+//!   numbers that Linux documents for them. Socket reads and writes may transfer fewer bytes than requested.
+//!   A failed write to a file may have written half of its bytes.
 //!
-//! The part that replaces the C library's functions is unsafe by nature; it is never linked into the product.
+//! Interposing functions of the C library requires unsafe code. This library is never linked into the router.
 mod control_map;
 mod descriptor;
 mod interpose;
--- a/faults/src/libc_function.rs
+++ b/faults/src/libc_function.rs
@@ -1,12 +1,12 @@
-//! The C library's own functions, which the replaced ones forward to.
+//! Lookup of the original functions of the C library, which the interposed functions call.
 use libc::c_char;
 use std::ffi::CStr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A function of the C library, looked up at its first call.
+/// A function of the C library, which is looked up at its first call.
 pub(crate) struct LibcFunction {
     name: &'static CStr,
-    /// 0 before it was looked up.
+    /// The function's address; 0 before the first lookup.
     address: AtomicUsize,
 }
 
@@ -15,23 +15,24 @@
         LibcFunction { name, address: AtomicUsize::new(0) }
     }
 
-    /// Its address in the C library, behind this library.
+    /// Returns the address of the original function, which is the next symbol of this name after this
+    /// library's.
     pub(crate) fn address(&self) -> usize {
-        let known = self.address.load(Ordering::Relaxed);
-        if known != 0 {
-            return known;
+        let cached = self.address.load(Ordering::Relaxed);
+        if cached != 0 {
+            return cached;
         }
         let name: *const c_char = self.name.as_ptr();
-        // SAFETY: the name ends with a zero.
+        // SAFETY: the name is NUL-terminated.
         let address = unsafe { libc::dlsym(libc::RTLD_NEXT, name) } as usize;
         self.address.store(address, Ordering::Relaxed);
         address
     }
 }
 
-/// Defines a function that replaces the C library's one of the same name and signature. In its body, the name behind `as`
-/// calls the C library's function.
-macro_rules! replace {
+/// Defines a function that interposes the C library's function of the same name and signature. In its body,
+/// the name after `as` calls the original function.
+macro_rules! interpose {
     (
         $(#[$attribute:meta])*
         fn $name:ident($($argument:ident: $type:ty),* $(,)?) -> $result:ty as $original:ident $body:block
@@ -44,12 +45,12 @@
                 const NAME: &str = concat!(stringify!($name), "\0");
                 match std::ffi::CStr::from_bytes_with_nul(NAME.as_bytes()) {
                     Ok(name) => $crate::libc_function::LibcFunction::new(name),
-                    Err(_) => panic!("the name holds a zero"),
+                    Err(_) => panic!("the function name contains a NUL byte"),
                 }
             };
             let $original = |$($argument: $type),*| -> $result {
-                // SAFETY: the C library's function of this name has this signature, and its caller's guarantees for
-                // these arguments are the caller's of this function.
+                // SAFETY: the original function has this signature, and the caller of the interposed function
+                // upholds the contract of the original function for the same arguments.
                 unsafe { std::mem::transmute::<usize, Original>(ORIGINAL.address())($($argument),*) }
             };
             $body
@@ -57,4 +58,4 @@
     };
 }
 
-pub(crate) use replace;
+pub(crate) use interpose;
--- a/faults/tests/preload.rs
+++ b/faults/tests/preload.rs
@@ -1,6 +1,6 @@
-//! The library in processes of its own: this test program, started anew with the library preloaded, does one thing that
-//! the library may disturb and prints the result.
-use fault_control::{CONTROL_VARIABLE, ControlFile, Fault, SCALE};
+//! Tests of the preloaded library in separate processes: each starts this test program again with the library
+//! preloaded, executes one task whose calls the library interposes, and checks the printed result.
+use fault_control::{CONTROL_VARIABLE, ControlFile, Fault, RATE_SCALE};
 use std::fs::File;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -8,21 +8,21 @@
 use std::process::Command;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What the started process is to do.
+/// The environment variable that names the task of the started process.
 const TASK_VARIABLE: &str = "DAMSONVALE_FAULTS_TASK";
-/// A folder for the files of the started process.
+/// The environment variable that names a folder for the files of the started process.
 const FOLDER_VARIABLE: &str = "DAMSONVALE_FAULTS_FOLDER";
-/// Precedes the result in the started process's output.
-const RESULT_MARK: &str = "result: ";
+/// The text that precedes the result in the output of the started process.
+const RESULT_PREFIX: &str = "result: ";
 
 fn library() -> PathBuf {
     let program = std::env::current_exe().unwrap();
     let folders = program.ancestors().skip(1).take(2);
     let found = folders.map(|folder| folder.join("libfaults.so")).filter(|path| path.exists());
-    found.last().expect("the library is built beside the tests")
+    found.last().expect("libfaults.so not found beside the test program or in its parent folder")
 }
 
-/// Runs a task in a process with the library, and returns the line that it prints.
+/// Runs a task in a process with the library preloaded, and returns the result that it prints.
 fn run(task: &str, control: &Path) -> String {
     let output = Command::new(std::env::current_exe().unwrap())
         .args(["task_of_a_started_process", "--exact", "--nocapture"])
@@ -33,8 +33,12 @@
         .output()
         .unwrap();
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
-    let result = text.split(RESULT_MARK).nth(1).and_then(|rest| rest.lines().next());
-    result.unwrap_or_else(|| panic!("{task}: {text} {}", String::from_utf8_lossy(&output.stderr))).to_string()
+    let result = text.split(RESULT_PREFIX).nth(1).and_then(|rest| rest.lines().next());
+    result
+        .unwrap_or_else(|| {
+            panic!("task {task} printed no result: {text} {}", String::from_utf8_lossy(&output.stderr))
+        })
+        .to_string()
 }
 
 fn control() -> (tempfile::TempDir, PathBuf, ControlFile) {
@@ -48,7 +52,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs()
 }
 
-/// Not a test by itself: what [`run`] starts.
+/// Executes the task that [`run`] requests; does nothing in a normal test run.
 #[test]
 fn task_of_a_started_process() {
     let Ok(task) = std::env::var(TASK_VARIABLE) else { return };
@@ -59,10 +63,11 @@
         }
         "thread" => {
             let start = || std::thread::Builder::new().spawn(|| ()).err().and_then(|e| e.raw_os_error());
-            // Only now: the test harness of this process has started a thread of its own.
+            // The fault is enabled only now, because the test harness of this process has to start a thread
+            // first.
             let path = std::env::var(CONTROL_VARIABLE).unwrap();
             let control = ControlFile::open(Path::new(&path)).unwrap();
-            control.set_fault_rate(Fault::ThreadStart, SCALE).unwrap();
+            control.set_fault_rate(Fault::ThreadStart, RATE_SCALE).unwrap();
             let failed = start();
             control.clear_faults().unwrap();
             format!("{failed:?} {:?}", start())
@@ -91,13 +96,13 @@
             let mut file = File::create(folder.join("written")).unwrap();
             format!("{} {}", file.write_all(b"abcdef").is_err(), file.sync_all().is_err())
         }
-        other => panic!("no task {other}"),
+        other => panic!("unknown task {other}"),
     };
-    println!("{RESULT_MARK}{result}");
+    println!("{RESULT_PREFIX}{result}");
 }
 
 #[test]
-fn only_wall_clock_is_moved() {
+fn offset_shifts_only_wall_clock() {
     let (_folder, path, control) = control();
     assert!(run("clock", &path).ends_with("true"));
     for hours in [-1i64, 1] {
@@ -110,7 +115,7 @@
 }
 
 #[test]
-fn calls_fail_while_their_fault_is_set() {
+fn calls_fail_only_while_their_fault_is_enabled() {
     let (folder, path, control) = control();
     let cases = [
         (Fault::Accept, "accept", "true", "false"),
@@ -120,7 +125,7 @@
         (Fault::FileSync, "file", "false true", "false false"),
     ];
     for (fault, task, failing, working) in cases {
-        control.set_fault_rate(fault, SCALE).unwrap();
+        control.set_fault_rate(fault, RATE_SCALE).unwrap();
         assert_eq!(run(task, &path), failing, "{fault:?}");
         control.clear_faults().unwrap();
         assert_eq!(run(task, &path), working, "{fault:?}");
