--- a/faults/control/src/lib.rs
+++ b/faults/control/src/lib.rs
@@ -117,7 +117,8 @@
         self.write_word(CLOCK_WORD, micros as u64)
     }
 
-    /// Sets the average number of failures per million calls ([`RATE_SCALE`]) of a fault; 0 disables the fault.
+    /// Sets the average number of failures per million calls ([`RATE_SCALE`]) of a fault; 0 disables the
+    /// fault.
     ///
     /// # Errors
     /// The file can't be written.
--- a/soak/src/oracle/requests.rs
+++ b/soak/src/oracle/requests.rs
@@ -10,8 +10,8 @@
 const RESPONSE_GRACE: Micros = 500_000;
 /// An attempt must not start later than this after its client has disconnected or cancelled.
 const MAX_START_AFTER_DISCONNECT: Micros = 100_000;
-/// The scheduling delay added to [`MAX_START_AFTER_DISCONNECT`]. It is less than [`SCHEDULING_SLACK`], because one process
-/// records clients and servers, so only the router's scheduling delay counts.
+/// The scheduling delay added to [`MAX_START_AFTER_DISCONNECT`]. It is less than [`SCHEDULING_SLACK`],
+/// because one process records clients and servers, so only the router's scheduling delay counts.
 const DISCONNECT_SLACK: Micros = 100_000;
 /// The tolerance by which the timeout sent to a server may exceed the client's remaining time.
 const TIMEOUT_SLACK: Micros = 150_000;
