--- a/soak/src/environment/clients/connection.rs
+++ b/soak/src/environment/clients/connection.rs
@@ -1,29 +1,30 @@
-//! One connection of a client, and the requests that await their answers on it.
+//! A client connection and its pending requests.
 use super::requests::DrawnRequest;
 use crate::environment::clock::RunClock;
 use crate::environment::socket::{ReadEnd, read_available, write_pending};
 use crate::environment::wire::{
-    FATAL, KEY_BYTES, Message, error_field, error_fields, message, query, startup, tag, take_message, value,
+    FATAL, KEY_BYTES, Message, encode_message, error_field, error_fields, query_message, row_value,
+    startup_message, tag, take_message,
 };
-use crate::history::{History, Outcome, Recorder, Request, Stall, UnexpectedAnswer};
+use crate::history::{History, Outcome, Recorder, Request, Stall, UnexpectedResponse};
 use crate::time::Micros;
 use mio::net::TcpStream;
 use std::collections::VecDeque;
 
-/// A client waits this long after its request's time before it gives up on the connection.
-const GIVE_UP_AFTER: Micros = 3_500_000;
-/// The body of the command in whose middle clients stall.
+/// How long after a request's timeout the client abandons the connection.
+const ABANDON_AFTER: Micros = 3_500_000;
+/// The body of the message that a stalling client sends only in part.
 const STALLED_BODY: [u8; 100] = [b'x'; 100];
-/// How much of that command is sent.
+/// How many bytes of that message are sent.
 const STALLED_BYTES: usize = 40;
-/// The code that stands for an answer without a row or an error.
-const EMPTY_ANSWER: &str = "empty";
+/// The error code recorded for a response without a row or an error.
+const EMPTY_RESPONSE: &str = "empty";
 
-/// A request that awaits its answer.
+/// A request that waits for its response.
 pub(super) struct PendingRequest {
-    /// Its index in the history.
+    /// The request's index in the history.
     pub(super) index: usize,
-    pub(super) give_up_at: Micros,
+    pub(super) abandon_at: Micros,
     pub(super) disconnect_at: Option<Micros>,
     pub(super) cancel_at: Option<Micros>,
 }
@@ -32,25 +33,26 @@
 pub(super) struct Connection {
     pub(super) router: usize,
     pub(super) token: usize,
-    /// Its number in the run.
+    /// The connection's number, unique in a run.
     number: u64,
     opened_at: Micros,
     stream: TcpStream,
     inbound: Vec<u8>,
     outbound: Vec<u8>,
-    /// The key that cancels its requests; empty before the router has sent it.
+    /// The backend key with which the connection's requests can be cancelled; empty until the router has sent
+    /// it.
     key: Vec<u8>,
-    greeted: bool,
-    /// How many requests were sent on it.
+    is_started: bool,
+    /// The number of requests sent on the connection.
     sent: usize,
     pending: VecDeque<PendingRequest>,
-    /// Requests, by their index, whose last byte the system has not taken.
+    /// The indices of requests that have not been written completely to the socket.
     unsent: VecDeque<usize>,
     stalled_since: Option<Micros>,
 }
 
 impl Connection {
-    /// A connection that sends its startup message first.
+    /// Creates a connection whose first message is the startup message.
     pub(super) fn new(
         router: usize,
         stream: TcpStream,
@@ -65,9 +67,9 @@
             opened_at: now,
             stream,
             inbound: Vec::new(),
-            outbound: startup(),
+            outbound: startup_message(),
             key: Vec::new(),
-            greeted: false,
+            is_started: false,
             sent: 0,
             pending: VecDeque::new(),
             unsent: VecDeque::new(),
@@ -83,12 +85,12 @@
         self.pending.len()
     }
 
-    /// The request that awaits the next answer.
+    /// Returns the request that the next response belongs to.
     pub(super) fn first_pending(&mut self) -> Option<&mut PendingRequest> {
         self.pending.front_mut()
     }
 
-    /// The key that cancels its requests, once the router has sent it.
+    /// Returns the backend key for cancelling, if the router has sent it.
     pub(super) fn cancel_key(&self) -> Option<&[u8]> {
         (self.key.len() == KEY_BYTES).then_some(&self.key)
     }
@@ -97,18 +99,18 @@
         self.stalled_since.is_some()
     }
 
-    /// Whether it has been stalled for longer than this.
+    /// Whether the client has been stalling for longer than a limit.
     pub(super) fn is_stalled_longer_than(&self, limit: Micros, now: Micros) -> bool {
         self.stalled_since.is_some_and(|since| now > since + limit)
     }
 
-    /// Sends a part of a command, and nothing more.
+    /// Sends the first part of a message and then stalls.
     pub(super) fn stall(&mut self, now: Micros) {
-        self.outbound.extend(&message(tag::QUERY, &STALLED_BODY)[..STALLED_BYTES]);
+        self.outbound.extend(&encode_message(tag::QUERY, &STALLED_BODY)[..STALLED_BYTES]);
         self.stalled_since = Some(now);
     }
 
-    /// Adds a request to what is written, and to the history.
+    /// Adds a request to the output buffer and to the history.
     pub(super) fn add_request(
         &mut self,
         request: &DrawnRequest,
@@ -133,17 +135,17 @@
             cancelled_at: None,
         });
         self.sent += 1;
-        self.outbound.extend(query(statement));
+        self.outbound.extend(query_message(statement));
         self.unsent.push_back(index);
         self.pending.push_back(PendingRequest {
             index,
-            give_up_at: now + request.timeout + GIVE_UP_AFTER,
+            abandon_at: now + request.timeout + ABANDON_AFTER,
             disconnect_at: request.disconnect_at,
             cancel_at: request.cancel_at,
         });
     }
 
-    /// Writes and reads what can be; `false` where the connection is over.
+    /// Writes and reads as much as possible. Returns `false` if the connection is closed.
     pub(super) fn transfer(&mut self, now: Micros, recorder: &Recorder) -> bool {
         let writable = write_pending(&mut self.stream, &mut self.outbound);
         if writable && self.outbound.is_empty() && !self.unsent.is_empty() {
@@ -161,50 +163,50 @@
         writable && readable
     }
 
-    /// Records the answers that have arrived.
-    pub(super) fn take_answers(&mut self, clock: &RunClock, recorder: &Recorder) {
-        let mut answer = None;
+    /// Records the responses that have arrived.
+    pub(super) fn take_responses(&mut self, clock: &RunClock, recorder: &Recorder) {
+        let mut response = None;
         while let Some(Message { tag, body }) = take_message(&mut self.inbound) {
             match tag {
-                tag::BACKEND_KEY if !self.greeted => self.key = body,
-                tag::READY if !self.greeted => self.greeted = true,
-                tag::DATA_ROW => answer = Some(Outcome::Served(value(&body))),
+                tag::BACKEND_KEY if !self.is_started => self.key = body,
+                tag::READY if !self.is_started => self.is_started = true,
+                tag::DATA_ROW => response = Some(Outcome::Served(row_value(&body))),
                 tag::ERROR => {
                     let code = error_field(&body, error_fields::CODE).unwrap_or_default();
-                    answer = Some(Outcome::Error(code));
+                    response = Some(Outcome::Error(code));
                     // No ReadyForQuery follows a fatal error.
                     if error_field(&body, error_fields::SEVERITY).is_some_and(|severity| severity == FATAL) {
-                        self.record_answer(answer.take(), clock.now(), &mut recorder.lock());
+                        self.record_response(response.take(), clock.now(), &mut recorder.lock());
                     }
                 }
-                tag::READY => self.record_answer(answer.take(), clock.now(), &mut recorder.lock()),
+                tag::READY => self.record_response(response.take(), clock.now(), &mut recorder.lock()),
                 _ => {}
             }
         }
     }
 
-    /// The oldest request has its answer.
-    fn record_answer(&mut self, answer: Option<Outcome>, now: Micros, history: &mut History) {
+    /// Records the response of the oldest pending request.
+    fn record_response(&mut self, response: Option<Outcome>, now: Micros, history: &mut History) {
         let Some(pending) = self.pending.pop_front() else {
             if !self.is_stalled() {
-                let unsolicited = UnexpectedAnswer::Unsolicited { connection: self.number, answer };
-                history.unexpected_answers.push(unsolicited);
+                let unsolicited = UnexpectedResponse::Unsolicited { connection: self.number, response };
+                history.unexpected_responses.push(unsolicited);
             }
             return;
         };
         let request = &mut history.requests[pending.index];
-        request.outcome = answer.unwrap_or(Outcome::Error(EMPTY_ANSWER.into()));
+        request.outcome = response.unwrap_or(Outcome::Error(EMPTY_RESPONSE.into()));
         request.ended_at = now;
         let id = request.id;
         if let Outcome::Served(value) = &request.outcome
             && !value.starts_with(&format!("{id:x}."))
         {
-            let foreign = UnexpectedAnswer::Foreign { request: id, value: value.clone() };
-            history.unexpected_answers.push(foreign);
+            let foreign = UnexpectedResponse::Mismatched { request: id, value: value.clone() };
+            history.unexpected_responses.push(foreign);
         }
     }
 
-    /// Records that the client has disconnected with its requests pending.
+    /// Records that the client disconnected while requests were pending.
     pub(super) fn record_disconnect(&self, now: Micros, history: &mut History) {
         for pending in &self.pending {
             let request = &mut history.requests[pending.index];
@@ -212,18 +214,18 @@
         }
     }
 
-    /// Records that the router has closed the connection with its requests pending.
+    /// Records that the router closed the connection while requests were pending.
     pub(super) fn record_close(&self, now: Micros, history: &mut History) {
         for pending in &self.pending {
             let request = &mut history.requests[pending.index];
-            // Where its last byte was never taken, it was not sent.
+            // A request whose last byte was not written to the socket was not sent.
             let was_sent = request.sent_at < Micros::MAX;
             request.outcome = if was_sent { Outcome::Closed } else { Outcome::Disconnected };
             request.ended_at = now;
         }
     }
 
-    /// Records the end of a stall, if there is one.
+    /// Records the end of a stall, if the client stalled.
     pub(super) fn record_stall(&self, closed_by_router: bool, now: Micros, history: &mut History) {
         if let Some(from) = self.stalled_since {
             history.stalls.push(Stall { router: self.router, from, to: now, closed_by_router });
--- a/soak/src/environment/clients/event_loop.rs
+++ b/soak/src/environment/clients/event_loop.rs
@@ -1,4 +1,4 @@
-//! The thread of the clients.
+//! The event loop of the client thread.
 use super::commits::SessionCommits;
 use super::connection::Connection;
 use super::requests::DrawnRequest;
@@ -7,7 +7,7 @@
 use crate::environment::acceptor::Poller;
 use crate::environment::clock::RunClock;
 use crate::environment::service_thread::StopSignal;
-use crate::environment::wire::cancel;
+use crate::environment::wire::cancel_request;
 use crate::history::Recorder;
 use crate::time::{MILLISECOND, Micros, SECOND};
 use fastrand::Rng;
@@ -19,26 +19,26 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// The longest time between two checks for changes.
-const TICK: Duration = Duration::from_millis(2);
-/// Events that are handled at once.
+/// The maximum time between two checks of timers and shared state.
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// The maximum number of events per poll.
 const MAX_EVENTS: usize = 512;
-/// Tells the seed of the clients' random numbers from that of the faults.
+/// Makes the clients' random numbers differ from those of the faults, which use the same seed.
 const SEED_MASK: u64 = 0xc11e_4775;
-/// How long a stalled client stays before it closes its connection itself.
+/// How long a client stalls before it closes its connection itself.
 const STALL_LIMIT: Micros = 6 * SECOND;
-/// How long a connect may take.
+/// The timeout of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long the connect of a request to cancel may take.
+/// The timeout of the connect for a cancel request.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(50);
-/// How long after a failed connect a client tries another router.
+/// How long a client waits after a failed connect or an abandoned connection before it connects again.
 const RECONNECT_DELAY: Micros = 100 * MILLISECOND;
-/// A client that waits for its greeting sends its first request within this time.
+/// The maximum delay of the first request, for clients that do not send it with the startup message.
 const MAX_FIRST_DELAY: Micros = 20 * MILLISECOND;
-/// Sessions of a flood's clients have numbers from this one on.
+/// The first session number of a flood's clients.
 const FLOOD_SESSIONS: u64 = 10_000;
 
-/// What the clients' thread shares with their handle.
+/// The state shared by the client thread and its handle.
 #[derive(Clone, Default)]
 pub(super) struct SharedState {
     faults: Arc<Mutex<ClientFaults>>,
@@ -76,26 +76,26 @@
     }
 }
 
-/// How many requests a client sends.
+/// How long a client sends requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Lifetime {
-    /// As many as the load lasts.
+    /// The client sends requests until the load ends.
     WholeLoad,
-    /// One; it closes its connection after that, and never connects again.
+    /// The client sends one request, closes its connection, and never connects again.
     OneRequest,
 }
 
 struct Client {
     connection: Option<Connection>,
     next_action_at: Micros,
-    /// The session that it stands for.
+    /// The client's session.
     session: u64,
     lifetime: Lifetime,
-    /// The router that it connects to next.
+    /// The router that the client connects to next.
     router: usize,
 }
 
-/// The thread's state.
+/// The state of the client thread.
 pub(super) struct EventLoop {
     settings: ClientSettings,
     poller: Poller,
@@ -104,11 +104,11 @@
     recorder: Recorder,
     shared: SharedState,
     clients: Vec<Client>,
-    /// Clients, by their index, by their connection's token.
-    by_token: HashMap<usize, usize>,
+    /// The index of each client, by the token of its connection.
+    clients_by_token: HashMap<usize, usize>,
     connections_opened: u64,
-    /// The size of the flood whose clients were added.
-    started_flood: usize,
+    /// The size of the current flood, whose clients have been added.
+    current_flood: usize,
     commits: SessionCommits,
 }
 
@@ -127,9 +127,9 @@
             recorder,
             shared,
             clients: Vec::new(),
-            by_token: HashMap::new(),
+            clients_by_token: HashMap::new(),
             connections_opened: 0,
-            started_flood: 0,
+            current_flood: 0,
             commits: SessionCommits::default(),
         })
     }
@@ -138,11 +138,11 @@
         self.add_clients();
         let mut events = Events::with_capacity(MAX_EVENTS);
         while !stop.is_set() {
-            if self.poller.wait(&mut events, TICK).is_err() {
+            if self.poller.wait(&mut events, MAX_POLL_INTERVAL).is_err() {
                 continue;
             }
             for event in &events {
-                if let Some(client) = self.by_token.get(&event.token().0).copied() {
+                if let Some(client) = self.clients_by_token.get(&event.token().0).copied() {
                     self.transfer(client);
                 }
             }
@@ -157,7 +157,7 @@
 
     fn add_clients(&mut self) {
         for session in 0..self.settings.clients as u64 {
-            let next_action_at = self.clock.now() + self.rng.i64(0..self.settings.think.max(1));
+            let next_action_at = self.clock.now() + self.rng.i64(0..self.settings.think_time.max(1));
             let router = session as usize % self.settings.routers.len();
             let lifetime = Lifetime::WholeLoad;
             self.clients.push(Client { connection: None, next_action_at, session, lifetime, router });
@@ -172,10 +172,10 @@
 
     /// Adds the clients of a flood, each of which sends one request.
     fn start_flood(&mut self, faults: ClientFaults) {
-        if faults.flood == self.started_flood {
+        if faults.flood == self.current_flood {
             return;
         }
-        self.started_flood = faults.flood;
+        self.current_flood = faults.flood;
         for _ in 0..faults.flood {
             let session = FLOOD_SESSIONS + self.clients.len() as u64;
             let router = self.draw_router();
@@ -189,13 +189,13 @@
     }
 
     fn draw_pause(&mut self) -> Micros {
-        self.rng.i64(0..2 * self.settings.think.max(1))
+        self.rng.i64(0..2 * self.settings.think_time.max(1))
     }
 
     fn advance(&mut self, client: usize, faults: ClientFaults) {
         let now = self.clock.now();
         let load_ended = self.shared.has_load_ended();
-        self.check_times(client, now);
+        self.perform_due_action(client, now);
         let state = &self.clients[client];
         if load_ended || now < state.next_action_at {
             return;
@@ -211,9 +211,9 @@
         }
     }
 
-    /// What a client does when its times are over: it closes a stalled connection, cancels, disconnects, or gives a request
-    /// up.
-    fn check_times(&mut self, client: usize, now: Micros) {
+    /// Performs a client's action that is due: closes a stalled connection, cancels a request, disconnects,
+    /// or abandons the connection.
+    fn perform_due_action(&mut self, client: usize, now: Micros) {
         let Some(connection) = &mut self.clients[client].connection else { return };
         if connection.is_stalled_longer_than(STALL_LIMIT, now) {
             return self.close(client);
@@ -227,12 +227,12 @@
         if first.disconnect_at.is_some_and(|at| now >= at) {
             return self.disconnect(client, now);
         }
-        if now > first.give_up_at {
-            self.give_up(client, now);
+        if now > first.abandon_at {
+            self.abandon_connection(client, now);
         }
     }
 
-    /// Cancels the requests of a client's connection, once the router has sent the key for it.
+    /// Cancels the requests of a client's connection, if the router has sent its backend key.
     fn cancel(&self, client: usize, index: usize, now: Micros) {
         let Some(connection) = &self.clients[client].connection else { return };
         let Some(key) = connection.cancel_key() else { return };
@@ -241,27 +241,27 @@
         }
     }
 
-    /// Sends a request to cancel on a connection of its own; `true` where it was written.
+    /// Sends a cancel request on a separate connection. Returns `true` if it was written.
     fn send_cancel(&self, router: usize, key: &[u8]) -> bool {
         let address = self.settings.routers[router];
         let connected = std::net::TcpStream::connect_timeout(&address, CANCEL_TIMEOUT);
-        connected.and_then(|mut socket| socket.write_all(&cancel(key))).is_ok()
+        connected.and_then(|mut socket| socket.write_all(&cancel_request(key))).is_ok()
     }
 
-    /// The record shows that nothing arrived; the connection is of no use any more.
-    fn give_up(&mut self, client: usize, now: Micros) {
+    /// Abandons the connection. The history shows that no response arrived.
+    fn abandon_connection(&mut self, client: usize, now: Micros) {
         self.take_connection(client);
         self.clients[client].next_action_at = now + RECONNECT_DELAY;
     }
 
-    /// The client closes its connection with requests pending.
+    /// Closes a client's connection while requests are pending.
     fn disconnect(&mut self, client: usize, now: Micros) {
         let Some(connection) = self.take_connection(client) else { return };
         connection.record_disconnect(now, &mut self.recorder.lock());
         self.clients[client].next_action_at = now + self.draw_pause();
     }
 
-    /// The client closes its connection without requests pending.
+    /// Closes a client's connection that has no pending requests.
     fn close(&mut self, client: usize) {
         if let Some(connection) = self.take_connection(client) {
             connection.record_stall(false, self.clock.now(), &mut self.recorder.lock());
@@ -274,21 +274,21 @@
 
     fn take_connection(&mut self, client: usize) -> Option<Connection> {
         let connection = self.clients[client].connection.take()?;
-        self.by_token.remove(&connection.token);
+        self.clients_by_token.remove(&connection.token);
         Some(connection)
     }
 
     fn connect(&mut self, client: usize) {
         let now = self.clock.now();
         let Ok(connection) = self.open_connection(self.clients[client].router, now) else {
-            // Another router, as the platform's front would choose.
+            // Chooses another router, as the platform would.
             self.clients[client].router = self.draw_router();
             self.clients[client].next_action_at = now + RECONNECT_DELAY;
             return;
         };
-        self.by_token.insert(connection.token, client);
+        self.clients_by_token.insert(connection.token, client);
         self.clients[client].connection = Some(connection);
-        // Some send their first request right behind the startup message.
+        // Half of the clients send their first request together with the startup message.
         if self.rng.bool() {
             let faults = self.shared.faults();
             self.add_request(client, faults);
@@ -298,8 +298,8 @@
         }
     }
 
-    /// Connects to a router. On loopback that takes no time: what is written next is on its way before the router has
-    /// accepted the connection.
+    /// Connects to a router. On loopback, a connect succeeds before the router has accepted the connection,
+    /// so the first bytes may be sent before that.
     fn open_connection(&mut self, router: usize, now: Micros) -> io::Result<Connection> {
         let address = self.settings.routers[router];
         let socket = std::net::TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
@@ -338,12 +338,12 @@
         connection.add_request(&request, &statement, now, &mut self.recorder.lock());
     }
 
-    /// Writes and reads what can be on a client's connection.
+    /// Writes and reads as much as possible on a client's connection.
     fn transfer(&mut self, client: usize) {
         let now = self.clock.now();
         let Some(connection) = &mut self.clients[client].connection else { return };
         let is_open = connection.transfer(now, &self.recorder);
-        connection.take_answers(&self.clock, &self.recorder);
+        connection.take_responses(&self.clock, &self.recorder);
         let is_idle = connection.pending_requests() == 0;
         if is_idle && self.clients[client].next_action_at <= self.clock.now() {
             self.clients[client].next_action_at = self.clock.now() + self.draw_pause();
@@ -353,7 +353,7 @@
         }
     }
 
-    /// The router has closed the connection.
+    /// Records that the router closed the connection, and schedules a reconnect.
     fn handle_close(&mut self, client: usize) {
         let now = self.clock.now();
         let Some(connection) = self.take_connection(client) else { return };
--- a/soak/src/environment/servers/event_loop.rs
+++ b/soak/src/environment/servers/event_loop.rs
@@ -1,4 +1,4 @@
-//! The thread of the servers and their links.
+//! The event loop of the servers and their links.
 use super::connection::Connection;
 use super::state::{ServersState, lock};
 use super::statement::{RequestStatement, Statement};
@@ -7,7 +7,9 @@
 use crate::environment::link::{ArrivedMessage, LinkId};
 use crate::environment::service_thread::StopSignal;
 use crate::environment::socket::reset;
-use crate::environment::wire::{error, message, parameter, ready, row, tag};
+use crate::environment::wire::{
+    encode_message, error_message, parameter_status, ready_for_query, row_response, tag,
+};
 use crate::history::{Attempt, Recorder};
 use crate::time::{Micros, SECOND};
 use mio::Events;
@@ -16,49 +18,49 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The longest time between two checks for changes.
-const TICK: Duration = Duration::from_millis(3);
-/// Events that are handled at once.
+/// The maximum time between two checks of timers and shared state.
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(3);
+/// The maximum number of events per poll.
 const MAX_EVENTS: usize = 512;
-/// When a link that lets no requests through is checked again.
-const BLOCKED_RECHECK: Micros = 50_000;
-/// The head of a statement's message: its tag and length.
-const HEAD_BYTES: usize = 5;
-/// How much of a row a server writes that answers garbage, and what follows it.
+/// The interval at which a link that blocks requests is checked again.
+const BLOCKED_LINK_CHECK_INTERVAL: Micros = 50_000;
+/// The size of a message's tag and length field.
+const HEADER_BYTES: usize = 5;
+/// How many bytes of a valid row a server sends before [`GARBAGE`].
 const GARBAGE_ROW_BYTES: usize = 40;
-/// See [`GARBAGE_ROW_BYTES`].
+/// Bytes that are not a valid message.
 const GARBAGE: &[u8] = b"\x15\x07 noise";
 
-/// The code of an error about a message that can't be read.
+/// The `PostgreSQL` error code for a request that can't be parsed.
 const PROTOCOL_VIOLATION: &str = "08P01";
-/// The code of a write at a replica.
+/// The `PostgreSQL` error code for a write at a replica.
 const READ_ONLY: &str = "25006";
-/// The code of a server without room.
+/// The `PostgreSQL` error code for a server at its capacity.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// What is due at a time.
+/// A timer event.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    /// A request is through its work.
-    Answer {
-        /// Its connection's token.
+enum TimerEvent {
+    /// A request has finished executing.
+    RequestDone {
+        /// The token of the request's connection.
         token: usize,
-        /// The index of its attempt in the history.
+        /// The index of the request's attempt in the history.
         attempt: usize,
     },
     /// A connection is checked for messages again.
-    Recheck {
+    CheckMessages {
         /// The connection's token.
         token: usize,
     },
 }
 
-/// The thread's state.
+/// The state of the servers' thread.
 pub(super) struct EventLoop {
     state: Arc<Mutex<ServersState>>,
     acceptor: Acceptor<LinkId>,
     connections: HashMap<usize, Connection>,
-    due: BinaryHeap<Reverse<(Micros, Due)>>,
+    timers: BinaryHeap<Reverse<(Micros, TimerEvent)>>,
     clock: RunClock,
     recorder: Recorder,
 }
@@ -70,8 +72,8 @@
         clock: RunClock,
         recorder: Recorder,
     ) -> EventLoop {
-        let (connections, due) = (HashMap::new(), BinaryHeap::new());
-        EventLoop { state, acceptor, connections, due, clock, recorder }
+        let (connections, timers) = (HashMap::new(), BinaryHeap::new());
+        EventLoop { state, acceptor, connections, timers, clock, recorder }
     }
 
     pub(super) fn run(&mut self, stop: &StopSignal) {
@@ -93,25 +95,25 @@
                     self.read(token, &mut state);
                 }
             }
-            self.handle_due(&mut state);
+            self.handle_due_timers(&mut state);
             self.write_all(&state);
         }
     }
 
     fn poll_timeout(&self) -> Duration {
         let now = self.clock.now();
-        let until_due = self.due.peek().map_or(Micros::MAX, |Reverse((at, _))| (*at - now).max(0));
-        Duration::from_micros(until_due as u64).min(TICK)
+        let until_due = self.timers.peek().map_or(Micros::MAX, |Reverse((at, _))| (*at - now).max(0));
+        Duration::from_micros(until_due as u64).min(MAX_POLL_INTERVAL)
     }
 
-    /// Resets the connections of processes that have crashed.
+    /// Resets the connections of server processes that have crashed.
     fn reset_connections(&mut self, state: &ServersState) {
         self.connections.retain(|_, connection| {
-            let ends = state.servers[connection.link.server].was_reset_since(connection.opened_at);
-            if ends {
+            let has_crashed = state.servers[connection.link.server].has_crashed_since(connection.opened_at);
+            if has_crashed {
                 connection.reset();
             }
-            !ends
+            !has_crashed
         });
     }
 
@@ -136,11 +138,13 @@
         }
     }
 
-    /// Gives the server what has reached it; `false` where the connection is over.
+    /// Processes the messages that have reached the server. Returns `false` if the connection is to be
+    /// closed.
     fn take_messages(&mut self, token: usize, connection: &mut Connection, state: &mut ServersState) -> bool {
         let now = self.clock.now();
         if state.link_fault(connection.link).blocks_requests {
-            self.due.push(Reverse((now + BLOCKED_RECHECK, Due::Recheck { token })));
+            self.timers
+                .push(Reverse((now + BLOCKED_LINK_CHECK_INTERVAL, TimerEvent::CheckMessages { token })));
             return true;
         }
         if !connection.start(now) {
@@ -153,7 +157,7 @@
             self.handle_statement(token, &message, connection, state);
         }
         if let Some(at) = connection.next_available_at(now) {
-            self.due.push(Reverse((at, Due::Recheck { token })));
+            self.timers.push(Reverse((at, TimerEvent::CheckMessages { token })));
         }
         true
     }
@@ -165,11 +169,11 @@
         connection: &mut Connection,
         state: &mut ServersState,
     ) {
-        let text = String::from_utf8_lossy(&message.bytes[HEAD_BYTES..]);
+        let text = String::from_utf8_lossy(&message.bytes[HEADER_BYTES..]);
         match Statement::parse(text.trim_end_matches('\0')) {
-            Statement::Empty => connection.answer(&empty_answer()),
-            Statement::Stats => self.answer_stats(connection, state),
-            Statement::WithoutId => connection.answer(&error_answer(PROTOCOL_VIOLATION)),
+            Statement::Empty => connection.send(&empty_query_response()),
+            Statement::Stats => self.send_load_report(connection, state),
+            Statement::WithoutId => connection.send(&error_response(PROTOCOL_VIOLATION)),
             Statement::Request(request) => {
                 let attempt = self.record_attempt(&request, message, connection.link, state);
                 self.handle_request(token, &request, attempt, connection, state);
@@ -177,17 +181,17 @@
         }
     }
 
-    fn answer_stats(&self, connection: &mut Connection, state: &ServersState) {
+    fn send_load_report(&self, connection: &mut Connection, state: &ServersState) {
         let server = &state.servers[connection.link.server];
         if server.faults.hangs {
             return;
         }
-        let position = self.clock.wall(server.position()) as f64 / SECOND as f64;
+        let position = self.clock.wall_clock_micros(server.position()) as f64 / SECOND as f64;
         let stats = format!("x0={position:.6},x1={},util=0.1,queue=0", u8::from(server.primary));
-        connection.answer(&[row(&stats), ready()].concat());
+        connection.send(&[row_response(&stats), ready_for_query()].concat());
     }
 
-    /// Records an attempt that has reached its server; its index in the history.
+    /// Records an attempt that has reached its server and returns its index in the history.
     fn record_attempt(
         &self,
         request: &RequestStatement,
@@ -213,8 +217,8 @@
         history.attempts.len() - 1
     }
 
-    /// Rejects a request or lets it begin. A server that hangs takes work all the same, and runs it: only its answers are
-    /// missing.
+    /// Rejects a request or starts its execution. A server that hangs executes requests, too, but sends no
+    /// responses.
     fn handle_request(
         &mut self,
         token: usize,
@@ -225,68 +229,74 @@
     ) {
         let server = &mut state.servers[connection.link.server];
         let rejection = if request.is_write() && !server.primary {
-            Some([error(READ_ONLY), parameter("mode", "read-only"), ready()].concat())
-        } else if server.has_room() {
+            Some(
+                [error_message(READ_ONLY), parameter_status("mode", "read-only"), ready_for_query()].concat(),
+            )
+        } else if server.has_capacity() {
             None
         } else {
-            Some(error_answer(TOO_MANY_CONNECTIONS))
+            Some(error_response(TOO_MANY_CONNECTIONS))
         };
         match rejection {
             Some(_) if server.faults.hangs => {}
-            Some(rejection) => connection.answer(&rejection),
+            Some(rejection) => connection.send(&rejection),
             None => {
                 let done_at = server.begin_request(self.clock.now());
-                self.due.push(Reverse((done_at, Due::Answer { token, attempt })));
+                self.timers.push(Reverse((done_at, TimerEvent::RequestDone { token, attempt })));
             }
         }
     }
 
-    fn handle_due(&mut self, state: &mut ServersState) {
-        while self.due.peek().is_some_and(|Reverse((at, _))| *at <= self.clock.now()) {
-            let Some(Reverse((_, due))) = self.due.pop() else { return };
-            match due {
-                Due::Recheck { token } => self.recheck(token, state),
-                Due::Answer { token, attempt } => self.finish_request(token, attempt, state),
+    fn handle_due_timers(&mut self, state: &mut ServersState) {
+        while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= self.clock.now()) {
+            let Some(Reverse((_, event))) = self.timers.pop() else { return };
+            match event {
+                TimerEvent::CheckMessages { token } => self.check_messages(token, state),
+                TimerEvent::RequestDone { token, attempt } => self.finish_request(token, attempt, state),
             }
         }
     }
 
-    fn recheck(&mut self, token: usize, state: &mut ServersState) {
+    fn check_messages(&mut self, token: usize, state: &mut ServersState) {
         let Some(mut connection) = self.connections.remove(&token) else { return };
         if self.take_messages(token, &mut connection, state) {
             self.connections.insert(token, connection);
         }
     }
 
-    /// A request is through its work: it has run, whether or not its answer arrives anywhere.
+    /// Finishes a request's execution and sends its response. The request has been executed whether or not
+    /// the response arrives.
     fn finish_request(&mut self, token: usize, attempt: usize, state: &mut ServersState) {
         let Some(value) = self.run_request(token, attempt, state) else { return };
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let server = &state.servers[connection.link.server];
         let mode = if server.primary { "read-write" } else { "read-only" };
-        // Positions are rounded down, commits up.
-        let position_ms = self.clock.wall_ms(server.position()) + i64::from(server.primary);
-        let parameters = [parameter("mode", mode), parameter("wal_time", &position_ms.to_string())].concat();
-        let answer = [row(&value), parameters, ready()].concat();
-        if server.faults.answers_garbage {
-            connection.answer(&[&row("nobody's")[..GARBAGE_ROW_BYTES], GARBAGE].concat());
+        // Replication positions of replicas are rounded down, commit times of the primary up.
+        let position_ms = self.clock.wall_clock_ms(server.position()) + i64::from(server.primary);
+        let parameters =
+            [parameter_status("mode", mode), parameter_status("wal_time", &position_ms.to_string())].concat();
+        let response = [row_response(&value), parameters, ready_for_query()].concat();
+        if server.faults.sends_garbage {
+            connection.send(&[&row_response("nobody's")[..GARBAGE_ROW_BYTES], GARBAGE].concat());
         } else if server.faults.resets_connections {
-            connection.reset_under(&answer);
+            connection.reset_mid_response(&response);
             self.connections.remove(&token);
         } else {
-            connection.answer(&answer);
+            connection.send(&response);
         }
     }
 
-    /// Runs a request, unless its process or its connection is gone; the value of its answer, unless the server hangs.
+    /// Executes a request, unless its server process or its connection no longer exists. Returns the value
+    /// for the response, unless the server hangs.
     fn run_request(&self, token: usize, index: usize, state: &mut ServersState) -> Option<String> {
         let now = self.clock.now();
         let mut history = self.recorder.lock();
         let attempt = &mut history.attempts[index];
         let server = &mut state.servers[attempt.server];
         server.end_request();
-        // A process that died meanwhile has run nothing; one whose caller gave up stops the work.
-        if !server.alive || attempt.reached_at.is_some_and(|at| server.was_reset_since(at)) {
+        // A server process that has crashed since then did not execute the request, and a server cancels a
+        // request whose connection is closed.
+        if !server.alive || attempt.reached_at.is_some_and(|at| server.has_crashed_since(at)) {
             return None;
         }
         if !self.connections.contains_key(&token) {
@@ -307,10 +317,10 @@
     }
 }
 
-fn empty_answer() -> Vec<u8> {
-    [message(tag::EMPTY_QUERY, &[]), ready()].concat()
+fn empty_query_response() -> Vec<u8> {
+    [encode_message(tag::EMPTY_QUERY, &[]), ready_for_query()].concat()
 }
 
-fn error_answer(code: &str) -> Vec<u8> {
-    [error(code), ready()].concat()
+fn error_response(code: &str) -> Vec<u8> {
+    [error_message(code), ready_for_query()].concat()
 }
--- a/soak/src/environment/servers/statement.rs
+++ b/soak/src/environment/servers/statement.rs
@@ -1,16 +1,16 @@
-//! Statements that servers are sent.
+//! Parses the statements that routers send to the servers.
 use crate::class::Class;
-use crate::environment::wire::pair;
+use crate::environment::wire::comment_value;
 
-/// The statement that queries a server's load.
+/// The statement of a router's load query.
 const STATS_STATEMENT: &str = "SHOW stats";
 
-/// A statement, as far as a server reads it.
+/// A statement, as a simulated server interprets it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Statement {
     /// The empty query of a health check.
     Empty,
-    /// The question for the server's load.
+    /// The query for the server's load report.
     Stats,
     /// A client's request.
     Request(RequestStatement),
@@ -18,11 +18,11 @@
     WithoutId,
 }
 
-/// What a request's comment says.
+/// The values in the comment of a request's statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RequestStatement {
     pub(super) id: u64,
-    /// Its timeout in milliseconds; 0 where it carries none.
+    /// The request's timeout in milliseconds; 0 if the comment has none.
     pub(super) timeout_ms: i64,
     pub(super) class: Option<Class>,
 }
@@ -44,8 +44,8 @@
 }
 
 fn parse_request(text: &str) -> Option<RequestStatement> {
-    let id = i64::from_str_radix(pair(text, "id")?, 16).ok()? as u64;
-    let timeout_ms = pair(text, "d").and_then(|value| value.parse().ok()).unwrap_or(0);
-    let class = Class::ALL.into_iter().find(|class| Some(class.name()) == pair(text, "c"));
+    let id = i64::from_str_radix(comment_value(text, "id")?, 16).ok()? as u64;
+    let timeout_ms = comment_value(text, "d").and_then(|value| value.parse().ok()).unwrap_or(0);
+    let class = Class::ALL.into_iter().find(|class| Some(class.name()) == comment_value(text, "c"));
     Some(RequestStatement { id, timeout_ms, class })
 }
--- a/soak/src/oracle/servers.rs
+++ b/soak/src/oracle/servers.rs
@@ -1,6 +1,6 @@
-//! Oracles on servers: drains, slow start, the age of data.
+//! Oracles on servers: drains, slow start and data age.
 use super::promise::{Breach, Promise};
-use super::spans::{SLACK, absences_of, paused_time, seconds};
+use super::spans::{SCHEDULING_SLACK, absences_of, paused_time, seconds};
 use crate::class::{Class, MAX_DATA_AGE};
 use crate::environment::servers::CAPACITY;
 use crate::history::{AbsenceReason, Attempt, History, Outcome, Request, ServerStart, Withdrawal};
@@ -8,16 +8,17 @@
 use crate::time::{MILLISECOND, Micros, SECOND};
 use std::collections::HashMap;
 
-/// A new process knows what its agent has by then, counted from when it is ready.
-const NOTIFIED_AFTER_START: Micros = 1_000_000;
-/// What an answer shows counts as known this long after it was written.
-const KNOWN_AFTER: Micros = 100_000;
-/// A start is listed this long after it.
-const LIST_LAG: Micros = 200_000;
-/// For how long after a start the budget is checked.
+/// The time after its readiness within which a new router process must know the changes of its discovery
+/// agent.
+const MAX_NOTIFICATION_TIME: Micros = 1_000_000;
+/// The delay after which a router is assumed to know a replication position.
+const POSITION_DELAY: Micros = 100_000;
+/// The delay between a server's start and its entry in the endpoint list.
+const LISTING_DELAY: Micros = 200_000;
+/// How long after a server's start its request budget is checked.
 const WARM_UP_TIME: Micros = COLD_MS as Micros * MILLISECOND;
-/// Below this many calls a window, chance decides more, and the budget allows for more of it.
-const FEW_CALLS: f64 = 30.0;
+/// Below this many requests per window, random variation is larger and the budget has a wider tolerance.
+const FEW_REQUESTS: f64 = 30.0;
 
 pub(super) fn check(history: &History) -> Vec<Breach> {
     let mut breaches: Vec<Breach> =
@@ -27,10 +28,10 @@
     breaches
 }
 
-/// When at the latest a router was notified of a withdrawal.
+/// Returns the latest time at which a router was notified of a withdrawal.
 fn notified_at(history: &History, withdrawal: &Withdrawal, router: usize) -> Micros {
     let mut notified_at = withdrawal.notified_at;
-    // Each outage of discovery may put it off, and so may a process that was not there.
+    // Each discovery outage and each absence of the router's process may delay the notification.
     loop {
         let outages = history.discovery_outages.iter().filter(|outage| outage.router == router);
         let after_outage =
@@ -38,7 +39,7 @@
         let absences = absences_of(history, router).filter(|a| a.reason != AbsenceReason::Paused);
         let after_absence = absences
             .filter(|a| a.from <= notified_at && notified_at < a.to)
-            .map(|a| a.to + NOTIFIED_AFTER_START)
+            .map(|a| a.to + MAX_NOTIFICATION_TIME)
             .max();
         match after_outage.max(after_absence) {
             Some(later) if later > notified_at => notified_at = later,
@@ -48,22 +49,22 @@
 }
 
 fn check_drain(history: &History, withdrawal: &Withdrawal) -> Vec<Breach> {
-    let concerned = |attempt: &&Attempt| {
+    let is_concerned = |attempt: &&Attempt| {
         attempt.server == withdrawal.server
             && withdrawal.router.is_none_or(|router| router == attempt.router)
             && attempt.first_byte_at > withdrawal.notified_at
             && attempt.first_byte_at < withdrawal.until
     };
-    let attempts = history.attempts.iter().filter(concerned);
+    let attempts = history.attempts.iter().filter(is_concerned);
     attempts.filter_map(|attempt| check_drained_attempt(history, withdrawal, attempt)).collect()
 }
 
 fn check_drained_attempt(history: &History, withdrawal: &Withdrawal, attempt: &Attempt) -> Option<Breach> {
     let at = attempt.first_byte_at;
-    // A process that starts anew reads its own state and list first.
+    // A process that restarts may learn of the withdrawal later.
     let notified_at = notified_at(history, withdrawal, attempt.router);
     let paused = paused_time(history, attempt.router, notified_at, at);
-    if at <= notified_at + DRAIN_GRACE + SLACK + paused {
+    if at <= notified_at + DRAIN_GRACE + SCHEDULING_SLACK + paused {
         return None;
     }
     let text = format!(
@@ -77,19 +78,21 @@
     Some(Breach::new(Promise::Drain, text))
 }
 
-/// How many calls of mean work a server may get in a window at this age before it is overloaded.
-fn budget(age: Micros) -> f64 {
+/// Returns the number of average requests that a server may receive within a window, at this time after its
+/// start, before it counts as overloaded.
+fn request_budget(age: Micros) -> f64 {
     let share = COLD_CAPACITY + (1.0 - COLD_CAPACITY) * (age as f64 / WARM_UP_TIME as f64).min(1.0);
     let calls = OVERLOAD_FACTOR * share * CAPACITY * OVERLOAD_WINDOW as f64 / SECOND as f64;
-    if calls < FEW_CALLS { calls + 3.0 * calls.sqrt() + 3.0 } else { calls + 2.0 * calls.sqrt() + 2.0 }
+    if calls < FEW_REQUESTS { calls + 3.0 * calls.sqrt() + 3.0 } else { calls + 2.0 * calls.sqrt() + 2.0 }
 }
 
-/// The first window after a start in which the server got more than its budget.
+/// Returns a breach for the first window after a start in which the server received more requests than its
+/// budget.
 fn check_slow_start(history: &History, start: &ServerStart) -> Option<Breach> {
-    let times = attempts_while_cold(history, start);
+    let times = attempt_times_during_warm_up(history, start);
     times.iter().enumerate().find_map(|(first, from)| {
         let count = times[first..].iter().take_while(|at| **at < from + OVERLOAD_WINDOW).count();
-        let allowed = budget(from - start.at);
+        let allowed = request_budget(from - start.at);
         if count as f64 <= allowed {
             return None;
         }
@@ -103,14 +106,14 @@
     })
 }
 
-/// When attempts arrived at a server that was warming up, in order. What was sent by routers that were notified of the start
-/// counts.
-fn attempts_while_cold(history: &History, start: &ServerStart) -> Vec<Micros> {
-    let (listed_at, warm_at) = (start.at + LIST_LAG + SLACK, start.at + WARM_UP_TIME);
+/// Returns the arrival times, in order, of the attempts at a server that was warming up. Only attempts of
+/// routers that had been notified of the start count.
+fn attempt_times_during_warm_up(history: &History, start: &ServerStart) -> Vec<Micros> {
+    let (listed_at, warm_at) = (start.at + LISTING_DELAY + SCHEDULING_SLACK, start.at + WARM_UP_TIME);
     let is_notified = |attempt: &&Attempt| {
         let outages = history.discovery_outages.iter().filter(|outage| outage.router == attempt.router);
-        let mut unnotified = outages.filter(|o| o.from <= listed_at && attempt.first_byte_at < o.to);
-        unnotified.next().is_none()
+        let mut missed_outages = outages.filter(|o| o.from <= listed_at && attempt.first_byte_at < o.to);
+        missed_outages.next().is_none()
     };
     let of_server = history.attempts.iter().filter(|attempt| attempt.server == start.server);
     let cold = of_server.filter(|attempt| (listed_at..warm_at).contains(&attempt.first_byte_at));
@@ -133,7 +136,7 @@
     history.requests.iter().filter_map(age_of).collect()
 }
 
-/// Checks the age of the data that a request was answered from.
+/// Checks the age of the data in a response.
 fn check_age(request: &Request, attempt: &Attempt) -> Option<Breach> {
     let required = required_position(request, attempt)?;
     if attempt.position >= required || attempt.was_primary {
@@ -151,10 +154,10 @@
     Some(Breach::new(Promise::Stale, text))
 }
 
-/// Up to where a read has to see commits.
+/// Returns the replication position that a read has to see at least.
 fn required_position(request: &Request, attempt: &Attempt) -> Option<Micros> {
     match request.class {
-        Class::Bounded => Some(attempt.last_byte_at - MAX_DATA_AGE - KNOWN_AFTER - SLACK),
+        Class::Bounded => Some(attempt.last_byte_at - MAX_DATA_AGE - POSITION_DELAY - SCHEDULING_SLACK),
         Class::Session => request.required_commit,
         _ => None,
     }
--- a/soak/src/platform/faults.rs
+++ b/soak/src/platform/faults.rs
@@ -1,8 +1,8 @@
-//! What each fault does to the platform's routers and to their environment, at its beginning and at its end.
+//! Starts and ends faults on the platform's routers and in their environment.
 use super::run::{Run, server_id};
-use super::schedule::{Effect, Schedule, Step};
+use super::schedule::{DelayedEffect, Schedule, Step};
 use crate::environment::clients::ClientFaults;
-use crate::environment::discovery::{ADDRESSES, AgentFault, Endpoint, EndpointState};
+use crate::environment::discovery::{ADDRESSES_PER_AGENT, AgentFault, Endpoint, EndpointState};
 use crate::environment::link::{LinkFault, LinkId};
 use crate::environment::servers::ServerFaults;
 use crate::fault::{FaultKind, PlannedFault};
@@ -12,37 +12,38 @@
 use nix::sys::signal::Signal;
 use std::io;
 
-/// How long after the end of discovery's fault a change may still be unknown to a router.
+/// How long after the end of a discovery fault a router may still not know a change.
 const OUTAGE_AFTER_FAULT: Micros = 6 * SECOND;
-/// The same after a configuration that moves a router to another address.
-const OUTAGE_AFTER_MOVE: Micros = 4 * SECOND;
-/// A server's process that starts is listed this much later.
-const LIST_LAG: Micros = 200 * MILLISECOND;
-/// A replica takes over this long after its primary began to hang.
+/// How long a router may not know a change after a new configuration has switched it to the other address of
+/// its discovery agent.
+const OUTAGE_AFTER_ADDRESS_CHANGE: Micros = 4 * SECOND;
+/// The delay between the start of a server process and the updated start time in the endpoint list.
+const LISTING_DELAY: Micros = 200 * MILLISECOND;
+/// The delay between a primary's hang and the election of a replica.
 const ELECTION_DELAY: Micros = 700 * MILLISECOND;
-/// The time between two configurations that are read in succession.
+/// The interval between two configuration reloads of one fault.
 const RELOAD_INTERVAL: Micros = 30 * MILLISECOND;
-/// The last of those configurations, counted from 0.
-const LAST_RELOAD: u8 = 5;
-/// A configuration that can't be read.
-const FAULTY_CONFIG: &str = "{\"name\": \"n";
-/// How long a slow agent takes for a line.
-const SLOW_LINE: Micros = 400 * MILLISECOND;
-/// How long a slow link takes.
+/// The index of the last reload of a fault, counted from 0.
+const LAST_RELOAD_ROUND: u8 = 5;
+/// A configuration with invalid JSON.
+const INVALID_CONFIG: &str = "{\"name\": \"n";
+/// The delay of each line of a slow discovery agent.
+const LINE_WAIT: Micros = 400 * MILLISECOND;
+/// The delay of requests on a slow link.
 const LINK_DELAY: Micros = 120 * MILLISECOND;
-/// After how many bytes of an answer a link resets its connection.
+/// The number of response bytes after which a link resets a connection.
 const LINK_RESET_AFTER: usize = 37;
-/// How many requests clients send at once.
+/// The number of requests that clients pipeline.
 const PIPELINED_REQUESTS: usize = 4;
-/// How many clients a flood has.
+/// The number of additional clients in a flood.
 const FLOOD_CLIENTS: usize = 80;
-/// Out of a thousand requests, those in which clients disconnect.
+/// The probability, per thousand requests, that a client disconnects before the response.
 const DISCONNECT_PROBABILITY: u32 = 150;
-/// Out of a thousand requests, those that clients cancel.
+/// The probability, per thousand requests, that a client cancels the request.
 const CANCEL_PROBABILITY: u32 = 50;
-/// Out of a thousand requests, those in whose middle clients stall.
+/// The probability, per thousand requests, that a client stalls in the middle of a message.
 const STALL_PROBABILITY: u32 = 60;
-/// The rates of failing system calls, out of a million.
+/// The failure rates of system calls, per million calls.
 const SYSCALL_RATES: [FaultRate; 6] = [
     FaultRate::per_million(Fault::Accept, 50_000),
     FaultRate::per_million(Fault::Socket, 50_000),
@@ -51,18 +52,18 @@
     FaultRate::per_million(Fault::ShortTransfer, 100_000),
     FaultRate::per_million(Fault::ConnectionLoss, 5_000),
 ];
-/// The rate of threads that can't be started, out of a million.
+/// The failure rate of thread starts, per million calls.
 const THREAD_RATE: u64 = 600_000;
-/// The rate of writes that fail, out of a million.
+/// The failure rate of file writes, per million calls.
 const DISK_RATE: u64 = 500_000;
 
 impl Run<'_> {
-    /// Takes a step of the schedule.
-    pub(super) fn take_step(&mut self, step: &Step, schedule: &mut Schedule) -> io::Result<()> {
+    /// Executes a step of the schedule.
+    pub(super) fn execute_step(&mut self, step: &Step, schedule: &mut Schedule) -> io::Result<()> {
         match step {
             Step::Begin(fault) => self.begin(fault, schedule),
             Step::End(fault) => self.end(fault, schedule),
-            Step::Effect(effect, fault) => self.apply_effect(*effect, fault, schedule),
+            Step::DelayedEffect(effect, fault) => self.apply_effect(*effect, fault, schedule),
         }
     }
 
@@ -78,22 +79,22 @@
                 self.set_agent_fault(fault, AgentFault::SilentBefore(now), now + OUTAGE_AFTER_FAULT);
             }
             FaultKind::DiscoveryDown => self.set_agent_fault(fault, AgentFault::Down, Micros::MAX),
-            FaultKind::DiscoverySlow => self.set_agent_fault(fault, AgentFault::Slow(SLOW_LINE), Micros::MAX),
-            FaultKind::Drain => self.withdraw(server),
+            FaultKind::DiscoverySlow => self.set_agent_fault(fault, AgentFault::Slow(LINE_WAIT), Micros::MAX),
+            FaultKind::Drain => self.withdraw_server(server),
             FaultKind::ServerRestart => self.servers.crash(server, now),
             FaultKind::ServerHang => self.change_server(server, |faults| faults.hangs = true),
             FaultKind::ServerReset => self.change_server(server, |faults| faults.resets_connections = true),
-            FaultKind::ServerGarbage => self.change_server(server, |faults| faults.answers_garbage = true),
+            FaultKind::ServerGarbage => self.change_server(server, |faults| faults.sends_garbage = true),
             FaultKind::ServerLag => self.change_server(server, |faults| faults.replication_stopped = true),
             FaultKind::Failover => {
                 self.change_server(server, |faults| faults.hangs = true);
-                schedule.add(now + ELECTION_DELAY, Step::Effect(Effect::ElectPrimary, *fault));
+                schedule.add(now + ELECTION_DELAY, Step::DelayedEffect(DelayedEffect::ElectPrimary, *fault));
             }
             FaultKind::LinkCut => self.change_links(fault, |link| {
                 link.blocks_requests = true;
-                link.blocks_answers = true;
+                link.blocks_responses = true;
             }),
-            FaultKind::LinkDeaf => self.change_links(fault, |link| link.blocks_answers = true),
+            FaultKind::LinkDeaf => self.change_links(fault, |link| link.blocks_responses = true),
             FaultKind::LinkDelay => self.change_links(fault, |link| link.request_delay = LINK_DELAY),
             FaultKind::LinkReset => {
                 self.change_links(fault, |link| link.reset_after = Some(LINK_RESET_AFTER));
@@ -129,17 +130,17 @@
             FaultKind::DiscoveryDown | FaultKind::DiscoverySlow => {
                 self.set_agent_fault(fault, AgentFault::None, now + OUTAGE_AFTER_FAULT);
             }
-            FaultKind::Drain => self.replace(server),
+            FaultKind::Drain => self.replace_server(server),
             FaultKind::ServerRestart => {
-                self.servers.revive(server);
+                self.servers.restart(server);
                 self.record_server_start(server);
-                schedule.add(now + LIST_LAG, Step::Effect(Effect::ListStart, *fault));
+                schedule.add(now + LISTING_DELAY, Step::DelayedEffect(DelayedEffect::ListStart, *fault));
             }
             FaultKind::ServerHang | FaultKind::Failover => {
                 self.change_server(server, |faults| faults.hangs = false);
             }
             FaultKind::ServerReset => self.change_server(server, |faults| faults.resets_connections = false),
-            FaultKind::ServerGarbage => self.change_server(server, |faults| faults.answers_garbage = false),
+            FaultKind::ServerGarbage => self.change_server(server, |faults| faults.sends_garbage = false),
             FaultKind::ServerLag => self.change_server(server, |faults| faults.replication_stopped = false),
             FaultKind::LinkCut
             | FaultKind::LinkDeaf
@@ -159,7 +160,7 @@
                 self.control(router).clear_faults()?;
             }
             FaultKind::Maintenance => self.end_maintenance(fault),
-            // Silent connections stay silent: a router has to open others.
+            // Nothing to undo. Connections of a silent agent stay silent, so the router has to open new ones.
             FaultKind::Term
             | FaultKind::Kill
             | FaultKind::Reload
@@ -171,17 +172,17 @@
 
     fn apply_effect(
         &mut self,
-        effect: Effect,
+        effect: DelayedEffect,
         fault: &PlannedFault,
         schedule: &mut Schedule,
     ) -> io::Result<()> {
         match effect {
-            Effect::ListStart => self.list_start(fault.server),
-            Effect::ElectPrimary => {
+            DelayedEffect::ListStart => self.update_listed_start(fault.server),
+            DelayedEffect::ElectPrimary => {
                 self.servers.fail_over(fault.server, self.clock.now());
-                self.list_roles(fault.server);
+                self.update_listed_roles(fault.server);
             }
-            Effect::ReloadAgain { round } => self.reload(round, fault, schedule)?,
+            DelayedEffect::ReloadAgain { reload_round } => self.reload(reload_round, fault, schedule)?,
         }
         Ok(())
     }
@@ -191,35 +192,36 @@
     }
 
     fn pause(&mut self, router: usize) {
-        let own = &mut self.routers[router];
-        if own.is_running() {
-            own.instance.set_absent(AbsenceReason::Paused);
-            own.instance.signal(Signal::SIGSTOP);
+        let router_state = &mut self.routers[router];
+        if router_state.is_running() {
+            router_state.instance.set_absent(AbsenceReason::Paused);
+            router_state.instance.signal(Signal::SIGSTOP);
         }
     }
 
     fn resume(&mut self, router: usize) {
-        let own = &mut self.routers[router];
-        own.instance.signal(Signal::SIGCONT);
-        if own.is_running() {
-            own.instance.set_present();
+        let router_state = &mut self.routers[router];
+        router_state.instance.signal(Signal::SIGCONT);
+        if router_state.is_running() {
+            router_state.instance.set_present();
         }
     }
 
-    /// The routers that a fault of a link or an agent concerns.
-    fn concerned_routers(&self, fault: &PlannedFault) -> Vec<usize> {
-        if fault.concerns_all_routers() { (0..self.routers.len()).collect() } else { vec![fault.router] }
+    /// Returns the routers that a fault of links or agents affects.
+    fn affected_routers(&self, fault: &PlannedFault) -> Vec<usize> {
+        if fault.affects_all_routers() { (0..self.routers.len()).collect() } else { vec![fault.router] }
     }
 
-    /// Sets the fault of the agents concerned, and records the outage that it means for their routers.
+    /// Sets the fault of the affected agents and records the resulting discovery outage of their routers.
     fn set_agent_fault(&self, fault: &PlannedFault, agent_fault: AgentFault, outage_to: Micros) {
         let now = self.clock.now();
-        for router in self.concerned_routers(fault) {
+        for router in self.affected_routers(fault) {
             self.agents.set_fault(router, agent_fault);
             let mut history = self.recorder.lock();
             let outages = history.discovery_outages.iter_mut();
-            let lasting = outages.filter(|outage| outage.router == router && outage.to == Micros::MAX);
-            lasting.for_each(|outage| outage.to = now + OUTAGE_AFTER_FAULT);
+            let lasting_outages =
+                outages.filter(|outage| outage.router == router && outage.to == Micros::MAX);
+            lasting_outages.for_each(|outage| outage.to = now + OUTAGE_AFTER_FAULT);
             history.discovery_outages.push(DiscoveryOutage { router, from: now, to: outage_to });
         }
     }
@@ -230,14 +232,14 @@
 
     fn change_links(&self, fault: &PlannedFault, change: impl Fn(&mut LinkFault)) {
         let mut state = self.servers.lock();
-        for router in self.concerned_routers(fault) {
+        for router in self.affected_routers(fault) {
             change(state.link_fault_mut(LinkId { router, server: fault.server }));
         }
     }
 
     fn forget_connections(&self, fault: &PlannedFault) {
         let now = self.clock.now();
-        for router in self.concerned_routers(fault) {
+        for router in self.affected_routers(fault) {
             self.servers.lock().forget_connections(router, now);
         }
     }
@@ -253,26 +255,26 @@
         self.routers.iter().try_for_each(|router| router.instance.control().set_clock_offset(offset))
     }
 
-    /// A server's entry shows that it terminates, and it is to get nothing new.
-    fn withdraw(&self, server: usize) {
+    /// Lists a server as terminating, so that it receives no new requests.
+    fn withdraw_server(&self, server: usize) {
         let Some(listed) = self.agents.endpoint_of(server) else { return };
         let notified_at = self.agents.change(Endpoint { state: EndpointState::Terminating, ..listed });
         let withdrawal = Withdrawal { server, router: None, notified_at, until: Micros::MAX };
         self.recorder.lock().withdrawals.push(withdrawal);
     }
 
-    /// The drained server is gone; a cold one takes its place under another id.
-    fn replace(&mut self, server: usize) {
+    /// Removes a drained server from the list and replaces it with a cold server under another id.
+    fn replace_server(&mut self, server: usize) {
         let Some(listed) = self.agents.endpoint_of(server) else { return };
         let now = self.clock.now();
         let was_primary = self.servers.lock().servers[server].primary;
         if was_primary {
             self.servers.fail_over(server, now);
-            self.list_roles(server);
+            self.update_listed_roles(server);
         }
         self.agents.change(Endpoint { state: EndpointState::Terminated, ..listed.clone() });
         self.servers.crash(server, now);
-        self.servers.revive(server);
+        self.servers.restart(server);
         self.record_server_start(server);
         let replaced_at = self.list_replacement(server, listed);
         let mut history = self.recorder.lock();
@@ -280,7 +282,7 @@
         withdrawals.filter(|w| w.until == Micros::MAX).for_each(|w| w.until = replaced_at);
     }
 
-    /// Lists a server that has started in the place of another; returns the moment.
+    /// Lists a server that replaces another one and returns the time of the change.
     fn list_replacement(&mut self, server: usize, replaced: Endpoint) -> Micros {
         self.generations[server] += 1;
         let primary = self.servers.lock().servers[server].primary;
@@ -293,22 +295,22 @@
         })
     }
 
-    fn list_start(&self, server: usize) {
+    fn update_listed_start(&self, server: usize) {
         let started_ms = self.last_start_ms(server);
         if let Some(listed) = self.agents.endpoint_of(server) {
             self.agents.change(Endpoint { started_ms, ..listed });
         }
     }
 
-    /// When a server last started, in milliseconds of the wall clock; 0 where it never did.
+    /// Returns when a server last started during the run, in milliseconds of the wall clock; 0 if it did not.
     fn last_start_ms(&self, server: usize) -> i64 {
         let history = self.recorder.lock();
         let start = history.server_starts.iter().rev().find(|start| start.server == server);
-        start.map_or(0, |start| self.clock.wall(start.at) / MILLISECOND)
+        start.map_or(0, |start| self.clock.wall_clock_micros(start.at) / MILLISECOND)
     }
 
-    /// The list shows the roles of a server's group as they are.
-    fn list_roles(&self, server: usize) {
+    /// Updates the endpoint list with the current roles of a server's group.
+    fn update_listed_roles(&self, server: usize) {
         let servers = self.servers.lock().servers.clone();
         let group = servers[server].group;
         for (index, member) in servers.iter().enumerate().filter(|(_, member)| member.group == group) {
@@ -319,32 +321,32 @@
         }
     }
 
-    /// Writes a configuration, each second one faulty, and sends SIGHUP. The last one is good, and names the other address
-    /// of the router's agent.
-    fn reload(&mut self, round: u8, fault: &PlannedFault, schedule: &mut Schedule) -> io::Result<()> {
+    /// Writes a configuration and sends SIGHUP. Valid and invalid configurations alternate; each valid one
+    /// names the other address of the router's discovery agent, and the last one is valid.
+    fn reload(&mut self, reload_round: u8, fault: &PlannedFault, schedule: &mut Schedule) -> io::Result<()> {
         let (router, now) = (fault.router, self.clock.now());
-        let is_good = !round.is_multiple_of(2);
-        if is_good {
-            self.move_to_other_agent_address(router, now)?;
+        let is_valid = !reload_round.is_multiple_of(2);
+        if is_valid {
+            self.switch_agent_address(router, now)?;
         } else {
-            std::fs::write(&self.routers[router].config, FAULTY_CONFIG)?;
+            std::fs::write(&self.routers[router].config, INVALID_CONFIG)?;
         }
-        let own = &mut self.routers[router];
-        if own.is_running() {
-            own.instance.signal(Signal::SIGHUP);
+        let router_state = &mut self.routers[router];
+        if router_state.is_running() {
+            router_state.instance.signal(Signal::SIGHUP);
         }
-        if round < LAST_RELOAD {
-            let again = Effect::ReloadAgain { round: round + 1 };
-            schedule.add(now + RELOAD_INTERVAL, Step::Effect(again, *fault));
+        if reload_round < LAST_RELOAD_ROUND {
+            let again = DelayedEffect::ReloadAgain { reload_round: reload_round + 1 };
+            schedule.add(now + RELOAD_INTERVAL, Step::DelayedEffect(again, *fault));
         }
         Ok(())
     }
 
-    fn move_to_other_agent_address(&mut self, router: usize, now: Micros) -> io::Result<()> {
-        let own = &mut self.routers[router];
-        own.agent_address = (own.agent_address + 1) % ADDRESSES;
+    fn switch_agent_address(&mut self, router: usize, now: Micros) -> io::Result<()> {
+        let router_state = &mut self.routers[router];
+        router_state.agent_address = (router_state.agent_address + 1) % ADDRESSES_PER_AGENT;
         self.write_config(router)?;
-        let outage = DiscoveryOutage { router, from: now, to: now + OUTAGE_AFTER_MOVE };
+        let outage = DiscoveryOutage { router, from: now, to: now + OUTAGE_AFTER_ADDRESS_CHANGE };
         self.recorder.lock().discovery_outages.push(outage);
         Ok(())
     }
--- a/soak/src/platform/run.rs
+++ b/soak/src/platform/run.rs
@@ -1,4 +1,4 @@
-//! A run: its start, its load, the life of its processes, its end.
+//! A run on the platform front: its setup, its load, the lifecycle of its router processes, and its end.
 use super::probe::{admin_call, is_ready};
 use super::router::{Phase, Router};
 use super::schedule::Schedule;
@@ -7,7 +7,7 @@
 use crate::environment::clock::RunClock;
 use crate::environment::discovery::{DiscoveryAgents, Endpoint, EndpointState};
 use crate::environment::servers::Servers;
-use crate::error::{LateRouter, RunError};
+use crate::error::{RunError, UnreadyRouter};
 use crate::fault::PlannedFault;
 use crate::history::{AbsenceReason, History, InvariantViolations, Recorder, ServerStart};
 use crate::plan::Plan;
@@ -18,36 +18,37 @@
 use std::time::Duration;
 use tempfile::TempDir;
 
-/// A process has to be ready by then.
+/// The time within which a router process has to become ready.
 const READY_TIMEOUT: Micros = 30 * SECOND;
-/// How long one readiness probe may take.
+/// The timeout of one readiness probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
-/// After SIGTERM a process is killed: the longest deadline (3 s at least) and 0.7 s later.
+/// How long after SIGTERM or SIGKILL a process is killed: the longest request deadline (at least 3 s) plus
+/// 0.7 s.
 const KILL_AFTER: Micros = 3_700_000;
-/// A process that has ended on a signal is replaced after this time.
+/// The delay before a process that was ended by a signal is replaced.
 const RESTART_DELAY: Micros = 100 * MILLISECOND;
-/// A process that has crashed is replaced after this time.
+/// The delay before a crashed process is replaced.
 const CRASH_RESTART_DELAY: Micros = SECOND;
-/// How often a process is checked.
+/// The interval between two checks of a process.
 const CHECK_INTERVAL: Micros = 10 * MILLISECOND;
-/// Processes are sampled this often.
+/// The interval between two resource usage samples.
 const SAMPLE_INTERVAL: Micros = SECOND;
-/// How long pending requests are awaited once the load has ended.
+/// The maximum time to wait for pending requests after the end of the load.
 const DRAIN_TIMEOUT: Micros = 5 * SECOND;
-/// How long the last answers may take to be recorded.
+/// The time allowed for the last responses to be recorded.
 const RECORDING_TIME: Duration = Duration::from_millis(50);
-/// How long a router may take for its figures.
+/// The timeout of the metrics call to a router.
 const METRICS_TIMEOUT: Duration = Duration::from_secs(2);
-/// The main loop's step.
-const STEP: Duration = Duration::from_millis(2);
-/// The addresses of the routers.
+/// The sleep time of the main loop.
+const LOOP_INTERVAL: Duration = Duration::from_millis(2);
+/// The address block of the routers.
 const ROUTER_ADDRESSES: AddressBlock = AddressBlock(9);
-/// Lines of a router's log that are shown where it is not ready.
-const SHOWN_LINES: usize = 3;
-/// The name of the figure that counts violated invariants.
-const VIOLATIONS_FIGURE: &str = "invariant_violations_total{";
+/// The number of log lines shown for a router that does not become ready.
+const MAX_UNREADY_LINES: usize = 3;
+/// The start of the metric that counts violated invariants.
+const VIOLATIONS_METRIC: &str = "invariant_violations_total{";
 
-/// A run of the platform's front.
+/// A run on the platform front.
 pub(super) struct Run<'a> {
     pub(super) plan: &'a Plan,
     programs: &'a Programs,
@@ -58,17 +59,17 @@
     pub(super) agents: DiscoveryAgents,
     pub(super) clients: Option<Clients>,
     pub(super) routers: Vec<Router>,
-    /// How often each server was replaced, which its id shows.
+    /// How often each server was replaced; the number is part of the server's id.
     pub(super) generations: Vec<usize>,
 }
 
-/// The id of a server in discovery's list.
+/// Returns the id of a server in the endpoint list.
 pub(super) fn server_id(server: usize, generation: usize) -> String {
     format!("s{server}-{generation}")
 }
 
 impl<'a> Run<'a> {
-    /// Starts everything but the routers' processes and the clients.
+    /// Starts the servers and the discovery agents, and creates the routers without their processes.
     pub(super) fn prepare(plan: &'a Plan, programs: &'a Programs) -> io::Result<Run<'a>> {
         let folder = tempfile::Builder::new().prefix("damsonvale-soak-").tempdir()?;
         let (clock, recorder) = (RunClock::start(), Recorder::default());
@@ -81,64 +82,64 @@
         Ok(Run { plan, programs, folder, clock, recorder, servers, agents, clients, routers, generations })
     }
 
-    /// Writes a router's configuration with the endpoint list as it is.
+    /// Writes a router's configuration with the current endpoint list.
     pub(super) fn write_config(&self, router: usize) -> io::Result<()> {
-        let own = &self.routers[router];
+        let router_state = &self.routers[router];
         let settings = RouterSettings {
             router,
-            listen: own.listen,
-            admin: own.admin,
-            discovery: self.agents.addresses[router][own.agent_address],
+            listen: router_state.listen,
+            admin: router_state.admin,
+            discovery: self.agents.addresses[router][router_state.agent_address],
             endpoints: self.agents.list_json(&self.servers.addresses[router]),
             routers: self.plan.routers,
         };
-        std::fs::write(&own.config, settings.to_json().to_string())
+        std::fs::write(&router_state.config, settings.to_json().to_string())
     }
 
     fn start_router(&mut self, router: usize) -> io::Result<()> {
         self.write_config(router)?;
-        let temporary = self.folder.path().join(format!("n{router}.tmp"));
-        std::fs::create_dir_all(&temporary)?;
-        let temporary = temporary.display().to_string();
-        let own = &mut self.routers[router];
-        let config = own.config.display().to_string();
-        let variables = [("BALANCER_CONFIG", config.as_str()), ("TMPDIR", temporary.as_str())];
-        own.instance.start(self.programs, &[], &variables)?;
-        own.phase = Phase::Starting { since: self.clock.now() };
+        let temp_folder = self.folder.path().join(format!("n{router}.tmp"));
+        std::fs::create_dir_all(&temp_folder)?;
+        let temp_folder = temp_folder.display().to_string();
+        let router_state = &mut self.routers[router];
+        let config = router_state.config.display().to_string();
+        let variables = [("BALANCER_CONFIG", config.as_str()), ("TMPDIR", temp_folder.as_str())];
+        router_state.instance.start(self.programs, &[], &variables)?;
+        router_state.phase = Phase::Starting { since: self.clock.now() };
         Ok(())
     }
 
-    /// Starts the routers, and waits until each is ready.
+    /// Starts the router processes and waits until all are ready.
     pub(super) fn start_routers(&mut self) -> Result<(), RunError> {
         (0..self.routers.len()).try_for_each(|router| self.start_router(router))?;
         let started_at = self.clock.now();
         while !self.routers.iter().all(Router::is_running) {
             self.advance_routers();
             if self.clock.now() > started_at + READY_TIMEOUT {
-                return Err(RunError::PlatformNotReady(self.late_routers()));
+                return Err(RunError::PlatformNotReady(self.unready_routers()));
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(LOOP_INTERVAL);
         }
         Ok(())
     }
 
-    fn late_routers(&self) -> Vec<LateRouter> {
-        let late = self.routers.iter().enumerate().filter(|(_, router)| !router.is_running());
-        let described = late.map(|(index, router)| LateRouter {
+    fn unready_routers(&self) -> Vec<UnreadyRouter> {
+        let unready = self.routers.iter().enumerate().filter(|(_, router)| !router.is_running());
+        let descriptions = unready.map(|(index, router)| UnreadyRouter {
             router: index,
             listen: router.listen,
-            last_lines: router.instance.last_lines(SHOWN_LINES),
+            last_lines: router.instance.last_lines(MAX_UNREADY_LINES),
         });
-        described.collect()
+        descriptions.collect()
     }
 
-    /// Plays the load and the faults.
+    /// Runs the load and injects the faults.
     pub(super) fn play(&mut self, seed: u64, faults: &[PlannedFault]) -> io::Result<()> {
         let settings = ClientSettings {
             routers: self.routers.iter().map(|router| router.listen).collect(),
             clients: self.plan.clients,
             groups: self.plan.groups,
-            think: self.plan.think_ms as Micros * MILLISECOND,
+            think_time: self.plan.think_ms as Micros * MILLISECOND,
             seed,
         };
         self.clients = Some(Clients::start(settings, &self.clock, &self.recorder)?);
@@ -146,17 +147,17 @@
         let load_end = load_start + self.plan.seconds as Micros * SECOND;
         let mut schedule = Schedule::new(faults, load_start);
         let mut next_sample_at = load_start;
-        while self.clock.now() < load_end || !schedule.is_over() {
+        while self.clock.now() < load_end || !schedule.is_finished() {
             let now = self.clock.now();
             for step in schedule.take_due(now) {
-                self.take_step(&step, &mut schedule)?;
+                self.execute_step(&step, &mut schedule)?;
             }
             self.advance_routers();
             if now >= next_sample_at {
                 next_sample_at = now + SAMPLE_INTERVAL;
                 self.sample();
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(LOOP_INTERVAL);
         }
         Ok(())
     }
@@ -165,27 +166,27 @@
         (0..self.routers.len()).for_each(|router| self.advance_router(router));
     }
 
-    /// Checks a router's process: whether it is ready, has ended, or is to be started again.
+    /// Advances a router's lifecycle: checks its readiness, detects its exit, and restarts it.
     fn advance_router(&mut self, router: usize) {
         let now = self.clock.now();
-        let own = &mut self.routers[router];
-        if now < own.next_check_at {
+        let router_state = &mut self.routers[router];
+        if now < router_state.next_check_at {
             return;
         }
-        own.next_check_at = now + CHECK_INTERVAL;
-        let has_ended = own.instance.has_ended();
-        match own.phase {
-            Phase::Gone { start_at } if now >= start_at => self.restart_router(router),
+        router_state.next_check_at = now + CHECK_INTERVAL;
+        let has_ended = router_state.instance.has_ended();
+        match router_state.phase {
+            Phase::Exited { restart_at } if now >= restart_at => self.restart_router(router),
             Phase::Ending { since } if has_ended || now > since + KILL_AFTER => {
-                own.instance.discard_process();
-                own.phase = Phase::Gone { start_at: now + RESTART_DELAY };
+                router_state.instance.discard_process();
+                router_state.phase = Phase::Exited { restart_at: now + RESTART_DELAY };
             }
             Phase::Starting { .. } | Phase::Running if has_ended => {
-                own.instance.record_crash();
-                own.phase = Phase::Gone { start_at: now + CRASH_RESTART_DELAY };
+                router_state.instance.record_crash();
+                router_state.phase = Phase::Exited { restart_at: now + CRASH_RESTART_DELAY };
             }
             Phase::Starting { since } => self.check_readiness(router, since, now),
-            Phase::Gone { .. } | Phase::Ending { .. } | Phase::Running => {}
+            Phase::Exited { .. } | Phase::Ending { .. } | Phase::Running => {}
         }
     }
 
@@ -196,17 +197,17 @@
     }
 
     fn check_readiness(&mut self, router: usize, since: Micros, now: Micros) {
-        let own = &mut self.routers[router];
-        if is_ready(own.listen, PROBE_TIMEOUT) {
-            own.phase = Phase::Running;
-            own.instance.set_present();
+        let router_state = &mut self.routers[router];
+        if is_ready(router_state.listen, PROBE_TIMEOUT) {
+            router_state.phase = Phase::Running;
+            router_state.instance.set_present();
         } else if now > since + READY_TIMEOUT {
-            own.instance.record_failed_start("not ready in time".into());
-            own.phase = Phase::Running;
+            router_state.instance.record_failed_start("not ready in time".into());
+            router_state.phase = Phase::Running;
         }
     }
 
-    /// Records that a server's process has started.
+    /// Records the start of a server process.
     pub(super) fn record_server_start(&self, server: usize) {
         let at = self.clock.now();
         self.recorder.lock().server_starts.push(ServerStart { server, at });
@@ -218,18 +219,19 @@
         running.for_each(|router| router.instance.record_sample(at));
     }
 
-    /// Sends a router a signal that ends it, unless it is absent already.
+    /// Sends a router a signal that ends it, unless it is already absent or not running.
     pub(super) fn end_router(&mut self, router: usize, signal: Signal, reason: AbsenceReason) {
-        let own = &mut self.routers[router];
-        if !own.is_running() || own.instance.is_absent() {
+        let router_state = &mut self.routers[router];
+        if !router_state.is_running() || router_state.instance.is_absent() {
             return;
         }
-        own.instance.set_absent(reason);
-        own.instance.signal(signal);
-        own.phase = Phase::Ending { since: self.clock.now() };
+        router_state.instance.set_absent(reason);
+        router_state.instance.signal(signal);
+        router_state.phase = Phase::Ending { since: self.clock.now() };
     }
 
-    /// Ends the load, waits for pending requests, reads the routers' own counts, and ends every process.
+    /// Ends the load, waits for pending requests, reads the routers' own violation counters, and kills every
+    /// process.
     pub(super) fn finish(mut self) -> History {
         if let Some(clients) = &self.clients {
             clients.end_load();
@@ -238,7 +240,7 @@
         self.recorder.lock().load_ended_at = self.clock.now();
         while self.has_pending_requests() && self.clock.now() < until {
             self.advance_routers();
-            std::thread::sleep(STEP);
+            std::thread::sleep(LOOP_INTERVAL);
         }
         std::thread::sleep(RECORDING_TIME);
         self.clients = None;
@@ -257,18 +259,18 @@
         self.clients.as_ref().is_some_and(|clients| clients.pending_requests() > 0)
     }
 
-    /// Records the program's own count of violated invariants.
+    /// Reads the router's metrics and records its counters of violated invariants.
     fn read_violations(&self, router: usize) {
         let admin = self.routers[router].admin;
-        let figures = admin_call(admin, "GET /metrics HTTP/1.1", METRICS_TIMEOUT).unwrap_or_default();
-        let violations = figures.lines().filter_map(|line| parse_violations(router, line));
+        let metrics = admin_call(admin, "GET /metrics HTTP/1.1", METRICS_TIMEOUT).unwrap_or_default();
+        let violations = metrics.lines().filter_map(|line| parse_violations(router, line));
         self.recorder.lock().invariant_violations.extend(violations);
     }
 }
 
-/// A figure of violated invariants, unless it is 0.
+/// Parses a metric line; returns `None` if it is not a counter of violated invariants or if the counter is 0.
 fn parse_violations(router: usize, line: &str) -> Option<InvariantViolations> {
-    if !line.contains(VIOLATIONS_FIGURE) {
+    if !line.contains(VIOLATIONS_METRIC) {
         return None;
     }
     let invariant = line.split('"').nth(1).unwrap_or("").to_string();
@@ -276,7 +278,7 @@
     (count > 0).then_some(InvariantViolations { router, invariant, count })
 }
 
-/// Lists every server, the first of each group as its primary.
+/// Adds every server to the endpoint list, the first of each group as its primary.
 fn list_servers(plan: &Plan, agents: &DiscoveryAgents) {
     let members = plan.servers_per_group();
     for server in 0..plan.servers() {
@@ -306,7 +308,7 @@
             listen: pair[0],
             admin: pair[1],
             config: folder.path().join(format!("{name}.json")),
-            phase: Phase::Gone { start_at: 0 },
+            phase: Phase::Exited { restart_at: 0 },
             agent_address: 0,
             next_check_at: 0,
         });
--- a/soak/src/serve/load.rs
+++ b/soak/src/serve/load.rs
@@ -1,4 +1,5 @@
-//! The clients of `serve`: each stands for a session that changes between the routers, adds to its basket and reads it.
+//! The clients of `serve`. Each client is one session that picks a random router for each request, writes to
+//! its basket and reads it back.
 use super::settings::{CLIENT_PASSWORD, CLIENT_USER, DATABASE, READ_CLASS, WRITE_CLASS};
 use crate::class::Class;
 use crate::environment::clock::RunClock;
@@ -14,22 +15,22 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Reads that follow each write.
-const READS: usize = 4;
-/// A client waits this long for an answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
-/// How long a connect may take.
+/// The number of reads after each write.
+const READS_PER_WRITE: usize = 4;
+/// The read timeout of a client connection.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
+/// The timeout of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The time within which a router owes an answer.
+/// The time within which a router has to respond to a request.
 const REQUEST_TIMEOUT: Micros = 3 * SECOND;
-/// A connection that was not used for this long may be closed by the router as a request is on its way.
-const IDLE_TIME: Micros = 1_500_000;
-/// Tells the seeds of a run's sessions from each other.
+/// A router may close a connection that was idle for this long just as the client sends a request.
+const IDLE_TIMEOUT: Micros = 1_500_000;
+/// The factor between a run's seed and its sessions' seeds, so that runs with different seeds share none.
 const SESSIONS_PER_SEED: u64 = 1000;
-/// Request ids of a session start at its index, shifted by so many bits.
+/// The request ids of a session start at its index, shifted left by this many bits.
 const SESSION_ID_SHIFT: u32 = 32;
 
-/// The clients' threads; they end with [`Load::end`].
+/// The client threads. They end with [`Load::end`] or when this value is dropped.
 pub(super) struct Load {
     stop: StopSignal,
     threads: Vec<JoinHandle<()>>,
@@ -54,7 +55,7 @@
                 connections: routers.iter().map(|_| None).collect(),
                 clock: clock.clone(),
                 recorder: recorder.clone(),
-                think: plan.think_ms as Micros * MILLISECOND,
+                think_time: plan.think_ms as Micros * MILLISECOND,
                 last_request: client << SESSION_ID_SHIFT,
             };
             let stop = stop.clone();
@@ -64,7 +65,7 @@
         Ok(Load { stop, threads })
     }
 
-    /// Ends the load and waits for the clients.
+    /// Stops the load and waits for the client threads.
     pub(super) fn end(&mut self) {
         self.stop.set();
         self.threads.drain(..).for_each(|thread| _ = thread.join());
@@ -80,17 +81,17 @@
 struct Connection {
     client: Conn,
     opened_at: Micros,
-    used_at: Micros,
+    last_used_at: Micros,
 }
 
-/// What a request gave.
+/// The result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Answer {
-    /// No router served it.
+enum RequestResult {
+    /// The request was not served.
     NotServed,
-    /// It was served without a number.
-    Done,
-    /// It was served with this number.
+    /// The request was served, and the response contained no number.
+    Served,
+    /// The request was served with this number.
     Number(u64),
 }
 
@@ -98,12 +99,12 @@
     name: String,
     rng: Rng,
     routers: Vec<SocketAddr>,
-    /// A connection to each router.
+    /// The open connections, by router.
     connections: Vec<Option<Connection>>,
     clock: RunClock,
     recorder: Recorder,
-    think: Micros,
-    /// The id of its last request.
+    think_time: Micros,
+    /// The id of the session's last request.
     last_request: u64,
 }
 
@@ -113,51 +114,52 @@
         let mut last_write = 0;
         while !stop.is_set() {
             last_write += 1;
-            if self.write(last_write) == Answer::Done {
+            if self.write(last_write) == RequestResult::Served {
                 confirmed = last_write;
             }
-            for _ in 0..READS {
+            for _ in 0..READS_PER_WRITE {
                 self.read(confirmed);
             }
-            let pause = self.rng.i64(0..2 * self.think.max(1));
+            let pause = self.rng.i64(0..2 * self.think_time.max(1));
             std::thread::sleep(Duration::from_micros(pause as u64));
         }
     }
 
-    fn write(&mut self, number: u64) -> Answer {
+    fn write(&mut self, number: u64) -> RequestResult {
         let name = &self.name;
         let statement =
             format!("INSERT INTO basket VALUES ('{name}', {number}) /* c={WRITE_CLASS},s={name} */");
         self.request(Class::Write, &statement)
     }
 
-    /// Reads the basket, and records what it showed; `confirmed` is the newest write that was confirmed before.
+    /// Reads the basket and records the result. `confirmed` is the session's last write that was confirmed
+    /// before.
     fn read(&mut self, confirmed: u64) {
         let name = &self.name;
         let statement = format!("SELECT n FROM basket WHERE k = '{name}' /* c={READ_CLASS},s={name} */");
         let at = self.clock.now();
-        if let Answer::Number(observed) = self.request(Class::Session, &statement) {
+        if let RequestResult::Number(observed) = self.request(Class::Session, &statement) {
             let read = SessionRead { session: self.name.clone(), confirmed, observed, at };
             self.recorder.lock().session_reads.push(read);
         }
     }
 
-    /// Makes a request at some router, and records it unless no connection is to be had.
-    fn request(&mut self, class: Class, statement: &str) -> Answer {
+    /// Sends a request to a random router and records it, unless no connection can be opened.
+    fn request(&mut self, class: Class, statement: &str) -> RequestResult {
         let router = self.rng.usize(..self.routers.len());
         let now = self.clock.now();
         if self.connections[router].is_none() {
             let client = connect(self.routers[router]).ok();
             self.connections[router] =
-                client.map(|client| Connection { client, opened_at: now, used_at: now });
+                client.map(|client| Connection { client, opened_at: now, last_used_at: now });
         }
-        let Some(connection) = &mut self.connections[router] else { return Answer::NotServed };
+        let Some(connection) = &mut self.connections[router] else { return RequestResult::NotServed };
         let connected_at = connection.opened_at;
-        let was_idle = now - std::mem::replace(&mut connection.used_at, now) > IDLE_TIME;
+        let was_idle = now - std::mem::replace(&mut connection.last_used_at, now) > IDLE_TIMEOUT;
         let sent_at = self.clock.now();
-        let answer = connection.client.query_first::<(String, String), _>(statement);
+        let response = connection.client.query_first::<(String, String), _>(statement);
         let ended_at = self.clock.now();
-        let outcome = outcome_of(&answer);
+        let outcome = outcome_of(&response);
         if outcome == Outcome::Closed {
             self.connections[router] = None;
         }
@@ -167,7 +169,9 @@
             router,
             connection: 0,
             connected_at,
-            // A connection that was idle may be closed as a request is on its way, as on the platform any but the first.
+            // The router may close an idle connection while the request is on its way. The oracle allows that
+            // for requests with a sequence above 0; on the platform front, these are all but the first of a
+            // connection.
             sequence: usize::from(was_idle),
             class,
             group: 0,
@@ -179,15 +183,15 @@
             cancelled_at: None,
         });
         match outcome {
-            Outcome::Served(value) => value.parse().map_or(Answer::Done, Answer::Number),
-            _ => Answer::NotServed,
+            Outcome::Served(value) => value.parse().map_or(RequestResult::Served, RequestResult::Number),
+            _ => RequestResult::NotServed,
         }
     }
 }
 
-/// How a request ended; the value is that of the first column.
-fn outcome_of(answer: &mysql::Result<Option<(String, String)>>) -> Outcome {
-    match answer {
+/// Returns the outcome of a request; the value of a served request is that of the first column.
+fn outcome_of(response: &mysql::Result<Option<(String, String)>>) -> Outcome {
+    match response {
         Ok(row) => Outcome::Served(row.as_ref().map(|(value, _)| value.clone()).unwrap_or_default()),
         Err(mysql::Error::MySqlError(error)) => Outcome::Error(error.code.to_string()),
         Err(_) => Outcome::Closed,
@@ -203,6 +207,6 @@
         .pass(Some(CLIENT_PASSWORD))
         .db_name(Some(DATABASE))
         .tcp_connect_timeout(Some(CONNECT_TIMEOUT))
-        .read_timeout(Some(ANSWER_TIMEOUT));
+        .read_timeout(Some(RESPONSE_TIMEOUT));
     Conn::new(options)
 }
--- a/soak/tests/oracle.rs
+++ b/soak/tests/oracle.rs
@@ -1,16 +1,17 @@
-//! Each oracle passes a history that breaks no promise, and names the promise that a change of that history breaks.
+//! Tests of the oracles: a valid history has no breach, and each modification of it is reported under the
+//! promise that it breaks.
 mod records;
 
 use records::{attempt, request};
 use soak::class::Class;
 use soak::history::{
     Absence, AbsenceReason, Attempt, DiscoveryOutage, History, InvariantViolations, Outcome, RouterFailure,
-    Sample, ServerStart, SessionRead, SessionWrites, Stall, StoreRecord, UnexpectedAnswer, Withdrawal,
+    Sample, ServerStart, SessionRead, SessionWrites, Stall, StoreRecord, UnexpectedResponse, Withdrawal,
 };
 use soak::oracle::{Promise, check};
 use soak::time::SECOND;
 
-/// A request that was served in 50 ms, and its attempt.
+/// Returns a valid history: a request that was served in 50 ms, and its attempt.
 fn history() -> History {
     History {
         requests: vec![request(1)],
@@ -20,7 +21,7 @@
     }
 }
 
-/// The promises that a change of that history breaks.
+/// Returns the promises broken by a modification of the valid history.
 fn broken_promises(change: impl FnOnce(&mut History)) -> Vec<Promise> {
     let mut history = history();
     change(&mut history);
@@ -39,50 +40,54 @@
 }
 
 #[test]
-fn unanswered_request_is_lost() {
-    let open = |h: &mut History| h.requests[0].outcome = Outcome::Pending;
+fn request_without_response_is_lost() {
+    let pending = |h: &mut History| h.requests[0].outcome = Outcome::Pending;
     let closed = |h: &mut History| (h.requests[0].outcome, h.attempts) = (Outcome::Closed, Vec::new());
-    assert_eq!(broken_promises(open), [Promise::Lost]);
+    assert_eq!(broken_promises(pending), [Promise::Lost]);
     assert_eq!(broken_promises(closed), [Promise::Lost]);
-    // Its process was killed under it.
+    // The router process was killed while the request was pending.
     let killed = |h: &mut History| {
         closed(h);
         h.absences.push(absence(AbsenceReason::Killed, 10 * SECOND + 20_000, 11 * SECOND));
     };
     assert_eq!(broken_promises(killed), []);
-    // A connection that rested, ended as the request was on its way: the client sends it again elsewhere.
+    // The router closed an idle connection while the request was on its way; the client retries at another
+    // router.
     let crossed = |h: &mut History| {
         closed(h);
         h.requests[0].sequence = 3;
     };
     assert_eq!(broken_promises(crossed), []);
-    // But not where a server has seen it.
+    // A close is a breach if a server has received the request.
     let forwarded = |h: &mut History| (h.requests[0].outcome, h.requests[0].sequence) = (Outcome::Closed, 3);
     assert_eq!(broken_promises(forwarded), [Promise::Lost]);
-    // Late in a shutdown clients send elsewhere what is not answered.
+    // Late in a shutdown, a router may close connections; clients retry at another router.
     let ending = |h: &mut History| {
         closed(h);
         h.absences.push(absence(AbsenceReason::ShutDown, 9 * SECOND, 12 * SECOND));
     };
     assert_eq!(broken_promises(ending), []);
-    // But early in it they are served as before, also where the process ends with the connection.
-    let cut = |h: &mut History| {
+    // Early in a shutdown, clients have to be served, even if the process exits when the connection closes.
+    let closed_early = |h: &mut History| {
         closed(h);
         h.absences.push(absence(AbsenceReason::ShutDown, 10 * SECOND - 100_000, 10 * SECOND + 60_000));
     };
-    assert_eq!(broken_promises(cut), [Promise::Lost]);
+    assert_eq!(broken_promises(closed_early), [Promise::Lost]);
 }
 
 #[test]
-fn late_and_foreign_answers_are_found() {
+fn late_and_mismatched_responses_are_found() {
     assert_eq!(broken_promises(|h| h.requests[0].ended_at = 12 * SECOND), [Promise::Late]);
     let paused = |h: &mut History| {
         h.requests[0].ended_at = 12 * SECOND;
         h.absences.push(absence(AbsenceReason::Paused, 10 * SECOND + 100_000, 11 * SECOND + 900_000));
     };
     assert_eq!(broken_promises(paused), []);
-    let unsolicited = UnexpectedAnswer::Unsolicited { connection: 1, answer: None };
-    assert_eq!(broken_promises(|h| h.unexpected_answers.push(unsolicited.clone())), [Promise::ForeignAnswer]);
+    let unsolicited = UnexpectedResponse::Unsolicited { connection: 1, response: None };
+    assert_eq!(
+        broken_promises(|h| h.unexpected_responses.push(unsolicited.clone())),
+        [Promise::MismatchedResponse]
+    );
 }
 
 #[test]
@@ -117,30 +122,34 @@
 fn attempt_at_withdrawn_server_is_found() {
     let withdrawal = Withdrawal { server: 0, router: None, notified_at: 9 * SECOND, until: 20 * SECOND };
     assert_eq!(broken_promises(|h| h.withdrawals.push(withdrawal)), [Promise::Drain]);
-    // Discovery could not notify the router.
-    let unnotified = |h: &mut History| {
+    // During a discovery outage the router is not notified.
+    let missed_outages = |h: &mut History| {
         h.withdrawals.push(withdrawal);
         h.discovery_outages.push(DiscoveryOutage { router: 0, from: 8 * SECOND, to: 11 * SECOND });
     };
-    assert_eq!(broken_promises(unnotified), []);
+    assert_eq!(broken_promises(missed_outages), []);
     let by_operator = Withdrawal { router: Some(1), ..withdrawal };
-    assert_eq!(broken_promises(|h| h.withdrawals.push(by_operator)), [], "another router was notified");
+    assert_eq!(
+        broken_promises(|h| h.withdrawals.push(by_operator)),
+        [],
+        "a withdrawal at router 1 does not bind router 0"
+    );
 }
 
 #[test]
 fn overload_of_cold_server_is_found() {
-    let crowd = |count: usize| {
+    let burst = |count: usize| {
         move |h: &mut History| {
             h.server_starts.push(ServerStart { server: 0, at: 10 * SECOND });
-            let one = h.attempts[0].clone();
+            let template = h.attempts[0].clone();
             for n in 0..count {
                 let at = 10 * SECOND + 500_000 + n as i64 * 1000;
-                h.attempts.push(Attempt { id: 100 + n as u64, first_byte_at: at, ..one.clone() });
+                h.attempts.push(Attempt { id: 100 + n as u64, first_byte_at: at, ..template.clone() });
             }
         }
     };
-    assert_eq!(broken_promises(crowd(30)), []);
-    assert_eq!(broken_promises(crowd(120)), [Promise::SlowStart]);
+    assert_eq!(broken_promises(burst(30)), []);
+    assert_eq!(broken_promises(burst(120)), [Promise::SlowStart]);
 }
 
 #[test]
@@ -173,8 +182,8 @@
         incarnation: 1,
     };
     assert_eq!(broken_promises(|h| h.samples.push(sample(0, 0, 300))), [Promise::Limits]);
-    let spins = |h: &mut History| h.samples.extend((0..8).map(|s| sample(s * SECOND, s * SECOND, 20)));
-    assert_eq!(broken_promises(spins), [Promise::Cpu]);
+    let busy_loops = |h: &mut History| h.samples.extend((0..8).map(|s| sample(s * SECOND, s * SECOND, 20)));
+    assert_eq!(broken_promises(busy_loops), [Promise::Cpu]);
     let failure = RouterFailure { router: 0, detail: String::new() };
     assert_eq!(broken_promises(|h| h.crashes.push(failure.clone())), [Promise::Crash]);
     assert_eq!(broken_promises(|h| h.failed_starts.push(failure.clone())), [Promise::Start]);
