--- a/simulator/src/checker.rs
+++ b/simulator/src/checker.rs
@@ -1,29 +1,29 @@
-//! Checks of the guarantees that hold in every run, whatever its plan. Violations are counted, and the first of them
-//! described with their time and place.
+//! Verifies the guarantees that every run must meet, whatever its plan. Violations are counted, and the first
+//! of them are described with their time and place.
 use crate::times::DRAIN_GRACE;
 use decision::{Freshness, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
 
-/// Time after the deadline up to which a final answer is accepted, in microseconds.
-const ANSWER_SLACK: i64 = 50_000;
-/// Number of violations that are described.
+/// Time after a request's deadline up to which its final response is accepted, in microseconds.
+const FINAL_RESPONSE_GRACE: i64 = 50_000;
+/// Maximum number of violations that are described; all are counted.
 const MAX_DESCRIPTIONS: usize = 20;
 
-/// The guarantees.
+/// A guarantee that every run must meet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Rule {
-    /// Each request has one final answer, in time.
+    /// Each request gets exactly one final response, before its deadline.
     #[serde(rename = "one_answer")]
     SingleAnswer,
     /// A request that may have been executed is not retried unless its class is idempotent.
     #[serde(rename = "no_repeat")]
     NoUnsafeRetry,
-    /// A draining or removed node receives no attempt after the grace period.
+    /// A draining or removed node receives no attempt once the drain's grace period is over.
     #[serde(rename = "drains")]
     DrainRespected,
-    /// No node that warms up is overloaded until it crashes.
+    /// No node is overloaded until it crashes while it warms up.
     #[serde(rename = "no_tip")]
     NoColdOverload,
     /// No read returns data older than its class allows.
@@ -34,7 +34,7 @@
     ReadYourWrites,
 }
 
-/// Writes the name that reports print.
+/// Formats a rule as the name that reports print.
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -48,70 +48,70 @@
     }
 }
 
-/// A request at a router.
+/// Identifies a request at a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RouterRequest {
-    /// The router.
+    /// Index of the router.
     pub router: usize,
-    /// The request's number at that router.
+    /// Number of the request, assigned by the router.
     pub request: u64,
 }
 
-/// Kinds of final answer.
+/// Kind of final response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// The router rejected the request, which says that it was not executed.
+    /// The router rejected the request, which asserts that the request was not executed.
     Rejected,
-    /// Any other: a server's response, or a failure that leaves open whether the request was executed.
+    /// A server's response, or a failure that leaves open whether the request was executed.
     Other,
 }
 
-/// A read that was served.
+/// A served read, and what its data is checked against.
 #[derive(Clone, Copy, Debug)]
 pub struct ServedRead {
-    /// What its class requires.
+    /// Freshness that the read's class requires.
     pub freshness: Freshness,
-    /// When the router accepted the request.
+    /// Time at which the router accepted the request.
     pub accepted_at: Time,
-    /// When the router sent the attempt.
+    /// Time at which the router sent the attempt.
     pub sent_at: Time,
-    /// The newest commit that the session's client knew of when it made the request.
+    /// Newest commit of the session that had been acknowledged to the client when it made the request.
     pub acknowledged_commit: Option<Time>,
-    /// The position up to which the data was complete.
+    /// Replication position of the data that the read returned.
     pub data_position: Time,
 }
 
-/// A request without a final answer.
+/// A request that has no final response yet.
 #[derive(Clone, Debug)]
 struct RequestState {
     idempotent: bool,
-    /// Attempts that are in flight or may have been executed.
+    /// Number of attempts that are in flight or may have been executed.
     possibly_executed: u32,
     deadline: Time,
 }
 
-/// A node as a router knows it.
+/// A pair of a router and a node, by their indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct RouterNode {
     router: usize,
     node: usize,
 }
 
-/// Observes a run and counts violations.
+/// Observes a run and counts violations of the rules.
 #[derive(Debug, Default)]
 pub struct Checker {
-    unanswered: HashMap<RouterRequest, RequestState>,
-    /// When a router was notified that a node drains or was removed.
+    open_requests: HashMap<RouterRequest, RequestState>,
+    /// Time at which a router was notified that a node is draining or removed.
     out_of_service_since: HashMap<RouterNode, Time>,
-    /// For each session, the newest commit that was acknowledged to its client.
+    /// Newest commit of each session that was acknowledged to the session's client.
     acknowledged: HashMap<u64, Time>,
-    /// Clients whose write was executed.
+    /// Clients whose write a node has executed.
     executed_writes: HashSet<u64>,
-    /// How often each rule was violated.
+    /// Number of violations of each rule.
     pub violations: BTreeMap<Rule, u64>,
     /// Descriptions of the first violations.
     pub first_violations: Vec<String>,
-    /// Attempts that were checked.
+    /// Number of attempts that were checked.
     pub checked_attempts: u64,
 }
 
@@ -124,12 +124,12 @@
         }
     }
 
-    /// A router has accepted a request.
+    /// Records that a router has accepted a request.
     pub fn request_accepted(&mut self, key: RouterRequest, deadline: Time, idempotent: bool) {
-        self.unanswered.insert(key, RequestState { idempotent, possibly_executed: 0, deadline });
+        self.open_requests.insert(key, RequestState { idempotent, possibly_executed: 0, deadline });
     }
 
-    /// A router has sent an attempt of a request to a node.
+    /// Records that a router has sent an attempt of a request to a node, and checks that it may.
     pub fn attempt_sent(&mut self, now: Time, key: RouterRequest, node: usize) {
         self.checked_attempts += 1;
         let RouterRequest { router, request } = key;
@@ -139,9 +139,9 @@
                 format!("router {router} to node {node}, told {since} us before")
             });
         }
-        let Some(state) = self.unanswered.get_mut(&key) else {
+        let Some(state) = self.open_requests.get_mut(&key) else {
             return self.violated(Rule::SingleAnswer, now, || {
-                format!("router {router} sends {request}, which has ended")
+                format!("router {router} sends an attempt of request {request}, which has ended")
             });
         };
         let unsafe_retry = !state.idempotent && state.possibly_executed > 0;
@@ -153,57 +153,58 @@
         }
     }
 
-    /// An attempt has ended, with proof that it was not executed.
+    /// Records that an attempt has ended and was provably not executed.
     pub fn attempt_not_executed(&mut self, key: RouterRequest) {
-        if let Some(state) = self.unanswered.get_mut(&key) {
+        if let Some(state) = self.open_requests.get_mut(&key) {
             state.possibly_executed = state.possibly_executed.saturating_sub(1);
         }
     }
 
-    /// A request has its final answer.
+    /// Records the final response to a request, and checks that it is the only one and in time.
     pub fn request_answered(&mut self, now: Time, key: RouterRequest, answer: FinalAnswer) {
         let RouterRequest { router, request } = key;
-        let Some(state) = self.unanswered.remove(&key) else {
+        let Some(state) = self.open_requests.remove(&key) else {
             return self.violated(Rule::SingleAnswer, now, || {
-                format!("router {router}: {request} is answered twice")
+                format!("router {router}: request {request} got a second final response")
             });
         };
-        if now.0 > state.deadline.0 + ANSWER_SLACK {
+        if now.0 > state.deadline.0 + FINAL_RESPONSE_GRACE {
             let late = now.0 - state.deadline.0;
             self.violated(Rule::SingleAnswer, now, || {
-                format!("router {router}: {request} is answered {late} us late")
+                format!("router {router}: request {request} got its final response {late} us late")
             });
         }
         if answer == FinalAnswer::Rejected && !state.idempotent && state.possibly_executed > 0 {
             self.violated(Rule::NoUnsafeRetry, now, || {
-                format!("router {router}: {request} is refused and may have run")
+                format!("router {router}: request {request} is rejected, but may have been executed")
             });
         }
     }
 
-    /// A node has executed a client's write. A second execution is a violation, whatever became of the first.
+    /// Records that a node has executed a client's write. A second execution is a violation, whatever the
+    /// outcome of the first.
     pub fn write_executed(&mut self, now: Time, client: u64) {
         if !self.executed_writes.insert(client) {
             self.violated(Rule::NoUnsafeRetry, now, || format!("the write of client {client} has run twice"));
         }
     }
 
-    /// A router was killed: its requests get no answer, and it knows no endpoints.
+    /// Records that a router was killed: its requests get no response, and it has no endpoint list.
     pub fn router_killed(&mut self, router: usize) {
-        self.unanswered.retain(|key, _| key.router != router);
+        self.open_requests.retain(|key, _| key.router != router);
         self.out_of_service_since.retain(|key, _| key.router != router);
     }
 
-    /// The run is over: each request past its deadline without an answer is a violation.
+    /// Ends the run: each request past its deadline without a final response is a violation.
     pub fn run_ended(&mut self, now: Time) {
-        let overdue = |state: &&RequestState| now.0 > state.deadline.0 + ANSWER_SLACK;
-        let never_answered = self.unanswered.values().filter(overdue).count();
-        for _ in 0..never_answered {
-            self.violated(Rule::SingleAnswer, now, || "a request was never answered".into());
+        let overdue = |state: &&RequestState| now.0 > state.deadline.0 + FINAL_RESPONSE_GRACE;
+        let without_response = self.open_requests.values().filter(overdue).count();
+        for _ in 0..without_response {
+            self.violated(Rule::SingleAnswer, now, || "a request got no final response".into());
         }
     }
 
-    /// A router was notified whether a node is in service.
+    /// Records that a router was notified whether a node is in service.
     pub fn node_state_notified(&mut self, now: Time, router: usize, node: usize, in_service: bool) {
         let key = RouterNode { router, node };
         if in_service {
@@ -213,23 +214,23 @@
         }
     }
 
-    /// A node that warmed up was overloaded and crashed.
+    /// Records that a node was overloaded and crashed while it warmed up.
     pub fn cold_node_overloaded(&mut self, now: Time, node: usize) {
         self.violated(Rule::NoColdOverload, now, || format!("node {node}"));
     }
 
-    /// A write was acknowledged to the client of a session.
+    /// Records that a write was acknowledged to the client of a session.
     pub fn write_acknowledged(&mut self, session: u64, commit: Time) {
         let newest = self.acknowledged.entry(session).or_insert(commit);
         *newest = (*newest).max(commit);
     }
 
-    /// The newest acknowledged commit of a session, which its reads must include from now on.
+    /// Returns the newest acknowledged commit of a session, which later reads of the session must include.
     pub fn acknowledged_commit(&self, session: u64) -> Option<Time> {
         self.acknowledged.get(&session).copied()
     }
 
-    /// A read was served.
+    /// Checks the data of a served read against the freshness that its class requires.
     pub fn read_served(&mut self, now: Time, read: ServedRead) {
         let (rule, minimum) = match read.freshness {
             Freshness::Bounded(bound) => (Rule::BoundedStaleness, Some(Time(read.sent_at.0 - bound))),
--- a/simulator/src/fault.rs
+++ b/simulator/src/fault.rs
@@ -1,22 +1,23 @@
-//! Faults of the simulated fleet, and bugs that are injected into its routers to test the checker.
+//! Faults of the simulated fleet, and bugs that can be injected into its routers to test the checker.
 use serde::{Deserialize, Serialize};
 
-/// Something that goes wrong, for a while.
+/// A fault of the simulated fleet, for a limited time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// When it begins, in seconds from the start of the run.
+    /// Start of the fault, in seconds from the start of the run.
     #[serde(rename = "at_s")]
     pub start_s: f64,
-    /// How long it lasts, in seconds.
+    /// Duration of the fault, in seconds.
     #[serde(default, rename = "for_s")]
     pub duration_s: f64,
-    /// The number of nodes or routers affected; 0 for all that the kind applies to.
+    /// Number of nodes or routers affected; 0 for all that the kind applies to.
     #[serde(default = "default_count")]
     pub count: usize,
-    /// A factor, or a share for [`FaultKind::Gray`]; unused by kinds that have no degree.
+    /// Severity of the fault: a factor, or a share for [`FaultKind::Gray`]. Unused by kinds that have no
+    /// degree.
     #[serde(default = "default_severity", rename = "by")]
     pub severity: f64,
 }
@@ -29,53 +30,53 @@
     10.0
 }
 
-/// Kinds of fault.
+/// Kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Primaries crash: connections are refused, and a replica is promoted.
+    /// Primaries crash: they accept no connections, and a replica of the group is promoted.
     CrashPrimary,
-    /// Replicas crash and restart cold.
+    /// Replicas crash, and warm up again after their restart.
     CrashReplica,
-    /// Every node of one zone crashes and restarts cold.
+    /// Every node of one zone crashes, and warms up again after its restart.
     #[serde(rename = "crash_hall")]
     CrashZone,
-    /// Replicas stop answering and keep their connections open.
+    /// Replicas send no responses, but their connections stay open.
     Hang,
-    /// Replicas answer every request with an error, at once.
+    /// Replicas respond to every request with an error, at once.
     FastErrors,
-    /// Nodes are slower by the factor, as beside a noisy neighbour.
+    /// Nodes serve requests slower by the factor, as if another process competed for their cores.
     Slow,
-    /// Gray failure: replicas serve that share of their requests ten times as slowly.
+    /// Gray failure: replicas take ten times as long for that share of their requests.
     Gray,
-    /// Writes, and the applying of commits, are slower by the factor.
+    /// Nodes execute writes, and apply replicated commits, slower by the factor.
     SlowDisk,
-    /// One zone is partitioned from the others.
+    /// A network partition separates one zone from the others.
     Partition,
-    /// The registry delivers no changes.
+    /// The registry delivers no changes to the routers.
     RegistryOutage,
-    /// Replicas are listed as draining, and as in service again at the end.
+    /// The registry lists replicas as draining, and as in service again at the end of the fault.
     Drain,
     /// Routers are killed and restarted.
     RestartRouters,
-    /// Every connection is reset at once.
+    /// Every connection to the affected nodes is reset at once.
     #[serde(rename = "reconnect")]
     ResetConnections,
-    /// The request rate is multiplied by the factor.
+    /// Clients send requests at a rate that is multiplied by the factor.
     #[serde(rename = "surge")]
     LoadSurge,
 }
 
-/// Bugs that can be injected into the routers, to prove that the checker finds them.
+/// Bug that can be injected into the routers, to prove that the checker finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InjectedBug {
-    /// Session reads require no commit position.
+    /// Reads of a session are sent without the commit position that they require.
     #[serde(rename = "forget_sessions")]
     IgnoreSessionCommits,
-    /// Changes of the endpoint list are not passed on to the decision.
+    /// Changes of the endpoint list are not forwarded to the router's decision.
     IgnoreDrains,
-    /// A reset connection is reported as one that was never established.
+    /// A reset connection is reported as one that could not be established.
     #[serde(rename = "deny_resets")]
     ReportResetsAsConnectFailures,
 }
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -1,10 +1,10 @@
-//! Discrete-event simulation of a fleet: nodes, routers and clients around the real `decision`, `sessions` and
-//! `registry` state machines, with one clock and one order of events for each run.
+//! Discrete-event simulation of a fleet: nodes, routers and clients around the real `decision`, `sessions`
+//! and `registry` state machines, with one clock and one event queue for each run.
 //!
-//! [`plan`] describes a run and [`fault`] what fails in it; [`world`] plays it with servers from [`node`];
-//! [`checker`] verifies the guarantees that hold in every run; [`load_spread`] and [`spread_meter`] measure how evenly
-//! replicas are loaded, against the [`random_baseline`]; [`results`] is the outcome. The same plan and seed give the
-//! same results, to the last count.
+//! [`plan`] describes a run and [`fault`] its faults; [`world`] executes the run on the simulated servers of
+//! [`node`]; [`checker`] verifies the guarantees that every run must meet; [`load_spread`] and
+//! [`spread_meter`] measure how evenly the replicas are loaded, compared with the [`random_baseline`];
+//! [`results`] holds the outcome. The same plan and seed give exactly the same results.
 pub mod checker;
 pub mod fault;
 pub mod load_spread;
--- a/simulator/src/load_spread.rs
+++ b/simulator/src/load_spread.rs
@@ -1,47 +1,48 @@
-//! Figures of how evenly the replicas in service were loaded.
+//! Measurements of how evenly requests were spread over the replicas in service.
 use serde::{Deserialize, Serialize};
 
-/// Imbalance over windows of one length: starts at the busiest replica divided by the mean over replicas.
+/// Imbalance over time windows of one length: requests started at the busiest replica of a window, divided by
+/// the mean over its replicas.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Imbalance {
-    /// Windows counted: one for each group, or one for the fleet.
+    /// Number of windows measured; in each time span, one for each group, or one for the whole fleet.
     pub windows: u64,
-    /// Mean of the ratio over the windows.
+    /// Mean of the ratio over all windows.
     pub mean: f64,
-    /// Ratio of the worst window.
+    /// Highest ratio of any window.
     pub worst: f64,
-    /// Expected mean over the same windows if each start went to a replica at random.
+    /// Expected mean over the same windows if each request went to a replica at random.
     #[serde(rename = "chance")]
     pub random_mean: f64,
-    /// Expected worst of as many windows if each start went to a replica at random.
+    /// Expected highest ratio of as many windows if each request went to a replica at random.
     #[serde(rename = "chance_worst")]
     pub random_worst: f64,
 }
 
-/// How evenly a run was spread over the replicas in service.
+/// How evenly the requests of a run were spread over the replicas in service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadSpread {
-    /// Within each group, by windows of ten seconds.
+    /// Imbalance within each group, over windows of ten seconds.
     pub group_10s: Imbalance,
-    /// Within each group, by seconds.
+    /// Imbalance within each group, over windows of one second.
     pub group_1s: Imbalance,
-    /// Over all replicas in service, by windows of ten seconds.
+    /// Imbalance over all replicas in service, over windows of ten seconds.
     pub fleet_10s: Imbalance,
-    /// Over all replicas in service, by seconds.
+    /// Imbalance over all replicas in service, over windows of one second.
     pub fleet_1s: Imbalance,
-    /// Within each group, by seconds, in the ten seconds after the end of a fault.
+    /// Imbalance within each group, over windows of one second in the ten seconds after the end of a fault.
     #[serde(rename = "after_1s")]
     pub after_fault_1s: Imbalance,
-    /// Within each group, the ten seconds after the end of a fault.
+    /// Imbalance within each group, over the ten seconds after the end of a fault.
     #[serde(rename = "after_10s")]
     pub after_fault_10s: Imbalance,
     /// Share of the replicas' time in service in which they were idle while their group had work.
     #[serde(rename = "idle")]
     pub idle_share: f64,
-    /// Number of such idle periods.
+    /// Number of periods in which a replica was idle while its group had work.
     #[serde(rename = "idle_spells")]
     pub idle_periods: u64,
-    /// The longest of them, in seconds.
+    /// Length of the longest such idle period, in seconds.
     #[serde(rename = "idle_longest")]
     pub longest_idle_s: f64,
 }
--- a/simulator/src/node.rs
+++ b/simulator/src/node.rs
@@ -1,74 +1,74 @@
-//! A simulated server: cores, a queue, connections, the replication log that it writes or applies, and its faults.
+//! A simulated server: its cores, request queue, connections, replication state, and active faults.
 use decision::Time;
 use std::collections::VecDeque;
 
-/// An attempt as a node works on it.
+/// An attempt that a node serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// The router that sent it.
+    /// Index of the router that sent the attempt.
     pub router: usize,
-    /// The router's epoch, which rises with each restart.
+    /// Epoch of the router's process when it sent the attempt; increases with each restart.
     pub epoch: u32,
-    /// The request's number at that router.
+    /// Number of the request, assigned by the router.
     pub request: u64,
-    /// The attempt's index within the request.
+    /// Index of the attempt within its request.
     pub attempt: u32,
-    /// Index of the request's class.
+    /// Index of the request's class in the plan.
     pub class: usize,
-    /// The client that made the request.
+    /// Number of the client that made the request.
     pub client: u64,
 }
 
-/// A commit that a replica has received and not yet applied.
+/// A commit that a replica has received and may not have applied yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceivedCommit {
-    /// When the primary committed it.
+    /// Time at which the primary committed the write.
     pub committed_at: Time,
-    /// When the replica will have applied it.
+    /// Time at which the replica has applied the commit.
     pub applied_at: Time,
 }
 
-/// A server.
+/// A simulated server.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Its replication group.
+    /// Index of the server's replication group.
     pub group: usize,
-    /// Its zone.
+    /// Index of the server's zone.
     pub zone: usize,
-    /// Whether it accepts writes.
+    /// Whether the server is the primary, which accepts writes.
     pub primary: bool,
-    /// Whether its process runs.
+    /// Whether the server's process runs.
     pub up: bool,
-    /// Whether it answers nothing.
+    /// Whether the server is hung: it sends no responses.
     pub hung: bool,
-    /// Whether it answers with errors at once.
+    /// Whether the server responds to every request with an error at once.
     pub failing: bool,
-    /// Factor by which it is slower.
+    /// Factor by which service times are longer.
     pub slowdown: f64,
-    /// Share of its requests that take ten times as long.
+    /// Share of requests that take ten times as long, during a gray failure.
     pub gray_share: f64,
-    /// Factor by which its disk is slower.
+    /// Factor by which writes, and applying commits, take longer.
     pub disk_slowdown: f64,
-    /// Rises with each crash.
+    /// Increases with each crash, and with the end of each hang.
     pub epoch: u32,
-    /// When its process started; `None` for one that has run since long before the simulation.
+    /// Time at which the process started; `None` if it runs since long before the simulation.
     pub started_at: Option<Time>,
-    /// Cores that serve a request.
+    /// Number of cores that serve a request.
     pub busy_cores: usize,
-    /// Requests that wait for a core.
+    /// Requests that wait for a free core.
     pub queue: VecDeque<Job>,
-    /// Connections open to it.
+    /// Number of connections open to the server.
     pub connections: usize,
-    /// Commits received and not applied, oldest first.
+    /// Commits received and not yet applied, oldest first.
     pub unapplied: VecDeque<ReceivedCommit>,
-    /// Position up to which it has applied every commit.
+    /// Replication position up to which every commit is known to be applied.
     pub applied_position: Time,
-    /// When it received the requests of the last second, while it warms up.
+    /// Arrival times of the requests of the last second, recorded while the server warms up.
     pub recent_arrivals: VecDeque<Time>,
 }
 
 impl Node {
-    /// A node that has run since long before the simulation.
+    /// Creates a server that runs since long before the simulation, so that it does not warm up.
     pub fn new(group: usize, zone: usize, primary: bool) -> Node {
         Node {
             group,
@@ -91,23 +91,25 @@
         }
     }
 
-    /// The share of its full capacity that it has: rises from `initial_share` to 1 in `duration` microseconds after
-    /// its start.
+    /// Share of the full capacity that is available at `now`: increases from `initial_share` to 1 in the
+    /// `duration` microseconds after the process has started.
     pub fn capacity_share(&self, now: Time, initial_share: f64, duration: i64) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let progress = (now.0 - started_at.0).max(0) as f64 / duration.max(1) as f64;
         initial_share + (1.0 - initial_share) * progress.min(1.0)
     }
 
-    /// Receives a commit, which its single thread applies after those before it in `apply_time` microseconds.
+    /// Receives a commit, which the replica's single thread applies after all earlier ones, in `apply_time`
+    /// microseconds.
     pub fn receive_commit(&mut self, now: Time, committed_at: Time, apply_time: i64) {
         let begin = self.unapplied.back().map_or(now, |last| last.applied_at.max(now));
         let applied_at = Time(begin.0 + (apply_time as f64 * self.disk_slowdown) as i64);
         self.unapplied.push_back(ReceivedCommit { committed_at, applied_at });
     }
 
-    /// The position up to which it shows every commit. A primary's is the present; a replica's is just before the
-    /// oldest commit that it has not applied, or `replication_delay` microseconds ago if it has applied all.
+    /// Replication position up to which reads see every commit. A primary's is the current time; a replica's
+    /// is just before the oldest commit that it has not applied, or `replication_delay` microseconds ago if
+    /// it has applied all.
     pub fn position(&mut self, now: Time, replication_delay: i64) -> Time {
         if self.primary {
             return now;
@@ -123,7 +125,7 @@
         self.applied_position
     }
 
-    /// Its process ends, and all of its work and connections with it.
+    /// Ends the server's process, with all of its requests and connections.
     pub fn stop(&mut self) {
         self.up = false;
         self.busy_cores = 0;
@@ -133,7 +135,7 @@
         self.recent_arrivals.clear();
     }
 
-    /// Its process starts and begins to warm up.
+    /// Starts the server's process, which begins to warm up.
     pub fn start(&mut self, now: Time) {
         self.up = true;
         self.started_at = Some(now);
--- a/simulator/src/plan.rs
+++ b/simulator/src/plan.rs
@@ -1,50 +1,51 @@
-//! Description of a run: the fleet, its load and its faults, read from a TOML file. Unknown keys are errors.
+//! Plan of a simulation run: the fleet, its load and its faults, parsed from TOML. Unknown keys are errors.
 use crate::fault::{Fault, InjectedBug};
 use serde::{Deserialize, Serialize};
 
-/// A run to be simulated.
+/// Plan of a simulation run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Plan {
     /// Name of the plan.
     pub name: String,
-    /// Seed of every random number.
+    /// Seed of the generator that all random numbers are drawn from.
     pub seed: u64,
-    /// Length of the run in seconds; requests of its last seconds are still played to their end.
+    /// Length of the run in seconds. Clients make no requests after that, but those in progress are simulated
+    /// to their end.
     #[serde(rename = "seconds")]
     pub duration_s: f64,
-    /// Seconds from the start that are not counted.
+    /// Length of the warm-up in seconds: requests that clients make in it are not counted.
     pub warmup_s: f64,
     /// Number of routers, distributed over the zones.
     pub routers: usize,
-    /// Number of routers that share sessions with each other.
+    /// Number of routers in a session cluster, whose members replicate their sessions to each other.
     #[serde(rename = "cluster")]
     pub cluster_size: usize,
     /// Number of replication groups.
     pub groups: usize,
-    /// Replicas of each group, beside its primary.
+    /// Number of replicas in each group, in addition to the primary.
     pub replicas: usize,
-    /// Number of zones, over which the nodes of a group are distributed.
+    /// Number of zones that the nodes of each group are distributed over.
     #[serde(rename = "halls")]
     pub zones: usize,
-    /// Requests that a node serves at the same time.
+    /// Number of cores of a node, each of which serves one request at a time.
     pub cores: usize,
-    /// Requests that wait at a node before it rejects one.
+    /// Maximum number of requests in a node's queue; the node rejects further ones.
     #[serde(rename = "queue")]
     pub queue_capacity: usize,
-    /// Connections that a node accepts.
+    /// Maximum number of connections that a node accepts.
     #[serde(rename = "connections")]
     pub max_connections: usize,
-    /// Requests a second, over all routers.
+    /// Requests per second, over all routers.
     #[serde(rename = "rate")]
     pub request_rate: f64,
     /// Number of sessions, over all groups.
     #[serde(rename = "sessions")]
     pub session_count: u64,
-    /// How often a client retries a rejected request.
+    /// Maximum number of times that a client retries a rejected request.
     #[serde(rename = "client_tries")]
     pub client_retries: u32,
-    /// Initial backoff of a client whose rejection names no time to retry after, in milliseconds.
+    /// Initial backoff of a client after a rejection without a retry-after, in milliseconds.
     #[serde(rename = "client_pause_ms")]
     pub client_backoff_ms: f64,
     /// One-way network delay within a zone, in milliseconds.
@@ -53,70 +54,71 @@
     /// One-way network delay between zones, in milliseconds.
     #[serde(rename = "far_ms")]
     pub cross_zone_delay_ms: f64,
-    /// Time to establish a connection beside the network's delay, in milliseconds.
+    /// Time that a connection's handshake takes in addition to the network delay, in milliseconds.
     pub handshake_ms: f64,
     /// Time after which an idle connection is closed, in milliseconds.
     #[serde(rename = "link_idle_ms")]
     pub idle_connection_timeout_ms: f64,
-    /// Time from a commit to its arrival at a replica, in milliseconds.
+    /// Time from a commit on the primary until a replica has received it, in milliseconds.
     #[serde(rename = "ship_ms")]
     pub replication_delay_ms: f64,
-    /// Time that a replica's single thread needs to apply a commit, in microseconds.
+    /// Time that a replica's single thread takes to apply a commit, in microseconds.
     pub apply_us: f64,
-    /// Time from a primary's crash to the promotion of a replica, in milliseconds.
+    /// Time from a primary's crash until a replica is promoted, in milliseconds.
     #[serde(rename = "handover_ms")]
     pub failover_ms: f64,
-    /// Time from a write to the registry to its watch event at a router, in milliseconds.
+    /// Time from a change in the registry until a router receives the watch event, in milliseconds.
     #[serde(rename = "news_ms")]
     pub watch_delay_ms: f64,
-    /// Share of its capacity that a restarted node has at first.
+    /// Share of its full capacity that a node has just after a restart.
     #[serde(rename = "cold_from")]
     pub slow_start_initial_share: f64,
-    /// Time until a restarted node has its full capacity, in seconds.
+    /// Time after a restart until a node has its full capacity, in seconds.
     #[serde(rename = "cold_s")]
     pub slow_start_s: f64,
-    /// A warming-up node crashes when it receives more than this multiple of its present capacity in a second.
+    /// A node that warms up crashes if it receives, within a second, more than this multiple of the requests
+    /// that its current capacity can serve.
     pub overload_factor: f64,
-    /// Attempts that one request may have.
+    /// Maximum number of attempts of one request.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
-    /// Longest retry-after that a rejection names, in milliseconds; 0 for none.
+    /// Longest retry-after that a router sends with a rejection, in milliseconds; 0 for none.
     #[serde(rename = "come_back_ms")]
     pub max_retry_after_ms: f64,
-    /// Request classes.
+    /// Request classes of the load.
     #[serde(rename = "class")]
     pub classes: Vec<ClassPlan>,
-    /// Faults.
+    /// Faults that are injected during the run.
     #[serde(rename = "trouble")]
     pub faults: Vec<Fault>,
-    /// Bug of the routers that the checker is expected to find.
+    /// Bug to inject into the routers, which the checker is expected to find.
     #[serde(rename = "plant")]
     pub injected_bug: Option<InjectedBug>,
 }
 
-/// A class of requests.
+/// A request class of the load.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassPlan {
-    /// Name of the class.
+    /// Name of the request class.
     pub name: String,
-    /// `write`, `fresh`, `session`, `bounded` or `any`.
+    /// Required freshness: `write`, `fresh`, `session`, `bounded` or `any`.
     pub freshness: String,
-    /// Greatest age of the data read, in milliseconds; for `bounded`.
+    /// Maximum staleness of the data read, in milliseconds; applies to `bounded` only.
     #[serde(default, rename = "bound_ms")]
     pub max_staleness_ms: f64,
-    /// Whether a request may be executed more than once.
+    /// Whether requests of the class may be executed more than once.
     #[serde(default, rename = "safe")]
     pub idempotent: bool,
-    /// Latency up to which a response counts as in time, in milliseconds.
+    /// Latency objective, in milliseconds: up to it, a response counts as in time.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: f64,
-    /// Time that clients wait for a response, in milliseconds.
+    /// Time after which a client no longer waits for the response, in milliseconds.
     pub deadline_ms: f64,
-    /// Mean time on a node's core, in milliseconds.
+    /// Mean time that a node's core takes to serve a request, in milliseconds.
     #[serde(rename = "work_ms")]
     pub service_ms: f64,
-    /// Share of the load, relative to the other classes.
+    /// Weight of the class in the load, relative to the other classes.
     #[serde(rename = "share")]
     pub load_share: f64,
 }
@@ -125,14 +127,14 @@
 pub(crate) const WRITE: &str = "write";
 
 impl ClassPlan {
-    /// Whether its requests write.
+    /// Whether requests of the class are writes.
     pub fn is_write(&self) -> bool {
         self.freshness == WRITE
     }
 }
 
 impl Plan {
-    /// Requests a second that the cores of all nodes can serve together.
+    /// Requests per second that the cores of all nodes can serve together.
     pub fn capacity(&self) -> f64 {
         let share: f64 = self.classes.iter().map(|class| class.load_share).sum();
         let work: f64 = self.classes.iter().map(|class| class.load_share * class.service_ms).sum::<f64>()
--- a/simulator/src/plan_validation.rs
+++ b/simulator/src/plan_validation.rs
@@ -1,50 +1,50 @@
-//! Reading of plans, and the checks that a plan must pass before it is played.
+//! Parses plans, and validates them before they are simulated.
 use crate::plan::{ClassPlan, Plan, WRITE};
 use crate::times::from_milliseconds;
 use decision::Freshness;
 use thiserror::Error;
 
-/// Why a plan can't be played; each message names the key.
+/// Error in a plan; each message names the key.
 #[derive(Debug, Error)]
 pub enum PlanError {
-    /// The text is not TOML, or has a key or a value that no plan has.
+    /// The text is not valid TOML, or has an unknown key or a value of the wrong type.
     #[error("{0}")]
     Toml(#[from] toml::de::Error),
-    /// A key that must be above 0 is not.
+    /// The value of the named key must be above 0 and is not.
     #[error("expected more than 0 in '{0}', found {1}")]
     NotPositive(&'static str, f64),
-    /// No second is left to be counted after the warm-up.
+    /// The warm-up is not shorter than the run, so that nothing would be counted.
     #[error("expected 'warmup_s' to be less than 'seconds', found {0} and {1}")]
     WarmupTooLong(f64, f64),
-    /// There is no request class.
+    /// The plan has no request class.
     #[error("expected a class: give a [[class]]")]
     NoClass,
-    /// The work, share or times of the named class are out of range.
+    /// A service time, load share, latency objective or deadline of the named class is out of range.
     #[error("class {0}: expected work_ms > 0, share >= 0, 0 < aim_ms <= deadline_ms")]
     ClassOutOfRange(String),
-    /// The named class writes and is marked idempotent.
+    /// Requests of the named class are writes, and marked as idempotent.
     #[error("class {0}: expected safe = false with writes")]
     IdempotentWrite(String),
-    /// The named class has an unknown freshness, the second value.
+    /// The freshness of the named class, given as the second value, is unknown.
     #[error("class {0}: expected write, fresh, session, bounded or any in 'freshness', found '{1}'")]
     UnknownFreshness(String, String),
 }
 
 impl Plan {
-    /// Parses a plan from TOML, and checks it.
+    /// Parses a plan from TOML and validates it.
     ///
     /// # Errors
-    /// The text is no plan, or [`Plan::check`] fails.
+    /// The text is not a valid plan in TOML, or [`Plan::check`] fails.
     pub fn read(text: &str) -> Result<Plan, PlanError> {
         let plan: Plan = toml::from_str(text)?;
         plan.check()?;
         Ok(plan)
     }
 
-    /// Checks that the plan can be played.
+    /// Validates the values of the plan.
     ///
     /// # Errors
-    /// The first key whose value is out of range.
+    /// Describes the first key whose value is out of range.
     pub fn check(&self) -> Result<(), PlanError> {
         self.check_positive_values()?;
         if self.warmup_s >= self.duration_s {
@@ -77,10 +77,10 @@
 }
 
 impl ClassPlan {
-    /// What its requests require of the data that they read.
+    /// Freshness that requests of the class require of the data they read.
     ///
     /// # Errors
-    /// The freshness has an unknown name.
+    /// The plan names an unknown freshness.
     pub fn required_freshness(&self) -> Result<Freshness, PlanError> {
         match self.freshness.as_str() {
             WRITE => Ok(Freshness::Write),
--- a/simulator/src/router_settings.rs
+++ b/simulator/src/router_settings.rs
@@ -1,15 +1,15 @@
-//! The decision's settings in a simulated router.
+//! Settings of the `decision` state machine in a simulated router.
 use crate::plan::{ClassPlan, Plan};
 use crate::times::{CONNECT_TIMEOUT, DRAIN_GRACE, SECOND, from_milliseconds, from_seconds};
 use decision::{Class, Freshness, Idempotency, LaggingReplica, SessionCommitSource, Settings};
 
-/// Shortest time between two timer events of the decision, in microseconds.
+/// Shortest time between two timer events of the decision state machine, in microseconds.
 const MIN_EVENT_INTERVAL: i64 = 5000;
-/// Time over which the decision measures overload, in microseconds.
+/// Time over which the decision state machine detects overload, in microseconds.
 const OVERLOAD_DURATION: i64 = SECOND;
 
 impl Plan {
-    /// Settings of the decision in a router of the given zone.
+    /// Settings of the decision state machine in a router of the given zone.
     pub(crate) fn router_settings(&self, zone: usize) -> Settings {
         Settings {
             classes: self.classes.iter().map(ClassPlan::decision_class).collect(),
--- a/simulator/src/spread_meter.rs
+++ b/simulator/src/spread_meter.rs
@@ -1,43 +1,44 @@
-//! Measures how evenly replicas are loaded: requests started at each, by windows, and the time that replicas are idle
-//! beside a group with work.
+//! Measures how evenly replicas are loaded: the requests started at each replica by time window, and the time
+//! that replicas are idle while their group has work.
 use crate::load_spread::{Imbalance, LoadSpread};
 use crate::random_baseline::{RandomBaseline, WindowShape};
 use crate::times::SECOND;
 use decision::Time;
 use std::collections::BTreeMap;
 
-/// A replica without work for this long while its group has work counts as idle, in microseconds.
+/// Minimum length of a period without requests that counts as idle, in microseconds. It counts only while the
+/// replica's group has work.
 pub const MIN_IDLE_PERIOD: i64 = 2_000_000;
-/// Seconds in a long window.
+/// Length of a long window, in seconds.
 pub const LONG_WINDOW: usize = 10;
 
-/// Means are rounded to one part in this, so that they do not depend on the order of summation.
+/// Means are rounded to one part in this number, so that they do not depend on the order of summation.
 const MEAN_RESOLUTION: f64 = 1e9;
 
-/// A node as a replica; while it is a primary it is not in service as one.
+/// A node's state as a replica. A node that is the primary is not in service as a replica.
 #[derive(Clone, Debug)]
 struct ReplicaState {
     group: usize,
-    /// Since when it is in service as a replica, if it is.
+    /// Time since which the node is in service as a replica; `None` if it is not.
     in_service_since: Option<Time>,
-    /// Requests that it serves or queues.
+    /// Number of requests that the node serves or queues.
     active_requests: usize,
-    /// Since when it has none.
+    /// Time since which the node has no active requests, if it has none.
     idle_since: Time,
-    /// Requests started in its group up to then.
+    /// Number of requests started in the node's group when the node became idle.
     group_starts_when_idle: u64,
 }
 
-/// Which replicas are compared with each other in a window.
+/// Set of replicas that are compared with each other in a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Scope {
-    /// Those of each group.
+    /// The replicas of one group.
     Group,
-    /// All of them.
+    /// All replicas of the fleet.
     Fleet,
 }
 
-/// Idle time of all replicas, in microseconds.
+/// Idle time summed over all replicas, in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 struct IdleTime {
     total: i64,
@@ -45,23 +46,24 @@
     longest: i64,
 }
 
-/// Observes the nodes of a run.
+/// Records the requests that each node starts during a run, and when it is in service.
 pub struct SpreadMeter {
     begin: Time,
     replicas: Vec<ReplicaState>,
-    /// Requests started, by second and node.
+    /// Number of requests started, by second and node.
     starts: Vec<Vec<u32>>,
-    /// Whether a node was in service through the whole second, by second and node.
+    /// Whether a node was in service during the whole second, by second and node.
     in_service: Vec<Vec<bool>>,
-    /// Requests started so far in each group.
+    /// Number of requests started so far in each group.
     group_starts: Vec<u64>,
     idle: IdleTime,
-    /// Time in service of all replicas.
+    /// Time in service summed over all replicas, in microseconds.
     service_time: i64,
 }
 
 impl SpreadMeter {
-    /// A meter for nodes of the given groups, all out of service, that counts whole seconds from `begin` on.
+    /// Creates a meter for nodes with the given group indices, none of them in service yet. It measures
+    /// `seconds` whole seconds from `begin` on.
     pub fn new(begin: Time, seconds: usize, groups: &[usize]) -> SpreadMeter {
         let replica = |group: &usize| ReplicaState {
             group: *group,
@@ -81,13 +83,13 @@
         }
     }
 
-    /// The measured second of a time, if it is one.
+    /// Returns the index of the measured second that a time falls into, if any.
     fn second_of(&self, at: Time) -> Option<usize> {
         let since = at.0 - self.begin.0;
         (since >= 0).then_some((since / SECOND) as usize).filter(|second| *second < self.starts.len())
     }
 
-    /// Records that a node is, or is not, in service as a replica from now on, with this many requests active.
+    /// Records whether a node is in service as a replica from now on, and its number of active requests.
     pub fn set_in_service(&mut self, now: Time, node: usize, in_service: bool, active_requests: usize) {
         if in_service == self.replicas[node].in_service_since.is_some() {
             return;
@@ -100,7 +102,8 @@
         }
     }
 
-    /// Excludes the second in which a node changes: it is in service for only a part of it.
+    /// Excludes the second in which a node enters or leaves service, as it is in service for only a part of
+    /// it.
     fn exclude_second(&mut self, now: Time, node: usize) {
         if now > self.begin
             && let Some(second) = self.second_of(now)
@@ -129,7 +132,8 @@
         self.in_service[next..].iter_mut().for_each(|second| second[node] = false);
     }
 
-    /// Counts the idle period of a replica that ends now, if it is long enough and its group had work meanwhile.
+    /// Counts the idle period of a replica that ends now, if it is long enough and the replica's group had
+    /// work during it.
     fn end_idle_period(&mut self, now: Time, node: usize) {
         let replica = &self.replicas[node];
         let period = now.0 - replica.idle_since.0;
@@ -142,7 +146,7 @@
         }
     }
 
-    /// Records that a node starts a request, or queues it.
+    /// Records that a node starts or queues a request.
     pub fn request_started(&mut self, now: Time, node: usize) {
         self.end_idle_period(now, node);
         if let Some(second) = self.second_of(now) {
@@ -165,7 +169,8 @@
         }
     }
 
-    /// Ends the measurement. Ends of faults are in seconds from the meter's begin.
+    /// Ends the measurement and returns its results. `fault_ends` are the ends of the faults, in seconds from
+    /// the start of the measurement.
     pub fn finish(mut self, now: Time, fault_ends: &[f64]) -> LoadSpread {
         for node in 0..self.replicas.len() {
             self.end_idle_period(now, node);
@@ -194,7 +199,7 @@
         }
     }
 
-    /// Imbalance over the windows of a length that begin in these seconds.
+    /// Measures the imbalance over the windows of a length that begin at the given seconds.
     fn imbalance(
         &self,
         begins: &[usize],
@@ -216,7 +221,7 @@
             imbalance.worst = imbalance.worst.max(ratio);
             shapes.push(WindowShape { starts: total, replicas: starts.len() });
         }
-        // The draws of the baseline depend on the order of the shapes.
+        // Sorted because the baseline's random draws depend on the order of the shapes.
         shapes.sort_unstable();
         let mean = imbalance.mean / imbalance.windows.max(1) as f64;
         imbalance.mean = (mean * MEAN_RESOLUTION).round() / MEAN_RESOLUTION;
@@ -226,7 +231,8 @@
         imbalance
     }
 
-    /// For each group, or for the fleet, the requests started at each replica that was in service through the window.
+    /// Returns, for each group or for the whole fleet, the requests started at each replica that was in
+    /// service during the whole window.
     fn starts_in_window(&self, begin: usize, length: usize, scope: Scope) -> Vec<Vec<u64>> {
         let window = begin..begin + length;
         let mut starts: BTreeMap<usize, Vec<u64>> = BTreeMap::new();
@@ -242,7 +248,7 @@
     }
 }
 
-/// The seconds of the long windows that begin then, each once.
+/// Returns the seconds covered by the long windows with the given begins, sorted and without duplicates.
 fn seconds_after(begins: &[usize], seconds: usize) -> Vec<usize> {
     let mut after: Vec<usize> = begins.iter().flat_map(|begin| *begin..begin + LONG_WINDOW).collect();
     after.retain(|second| *second < seconds);
--- a/simulator/src/times.rs
+++ b/simulator/src/times.rs
@@ -1,29 +1,29 @@
-//! Units and fixed times of the simulation; all times are in microseconds.
+//! Time units and constants of the simulation. All times are in microseconds.
 use decision::Time;
 
 /// Microseconds in a second.
 pub(crate) const SECOND: i64 = 1_000_000;
-/// When a run begins; times before it are free for what happened earlier.
-pub(crate) const RUN_BEGIN: Time = Time(SECOND);
-/// How long a router waits for a connection that nobody accepts.
+/// Start time of a run. It is above 0, so that earlier times can stand for what happened before the run.
+pub(crate) const RUN_START: Time = Time(SECOND);
+/// Time after which a router gives up establishing a connection.
 pub(crate) const CONNECT_TIMEOUT: i64 = 250_000;
-/// How long after the notice of a drain a router may still send to the node.
+/// Time after the notification of a drain during which a router may still send to the node.
 pub(crate) const DRAIN_GRACE: i64 = 250_000;
-/// How often a router's sessions and endpoint list handle the passing of time.
+/// Interval of the tick events of a router's session machine and endpoint list.
 pub(crate) const TICK_INTERVAL: i64 = 30_000;
-/// How long a sync of a session journal takes.
-pub(crate) const JOURNAL_SYNC: i64 = 300;
-/// How long a peer's session lease is valid.
-pub(crate) const SESSION_LEASE: i64 = 300_000;
-/// Uncertainty of the servers' clock as routers know it.
+/// Duration of a sync of the session journal.
+pub(crate) const JOURNAL_SYNC_DURATION: i64 = 300;
+/// Validity of a session lease that a peer grants.
+pub(crate) const SESSION_LEASE_DURATION: i64 = 300_000;
+/// Uncertainty with which routers know the clock of the servers.
 pub(crate) const CLOCK_UNCERTAINTY: i64 = 500;
 
-/// Milliseconds as microseconds.
+/// Converts milliseconds to microseconds.
 pub(crate) fn from_milliseconds(milliseconds: f64) -> i64 {
     (milliseconds * 1000.0) as i64
 }
 
-/// Seconds as microseconds.
+/// Converts seconds to microseconds.
 pub(crate) fn from_seconds(seconds: f64) -> i64 {
     from_milliseconds(seconds * 1000.0)
 }
--- a/simulator/src/world/clients.rs
+++ b/simulator/src/world/clients.rs
@@ -1,16 +1,16 @@
-//! Clients: when they arrive, which router they ask, and what they do with the answer.
+//! Clients: their arrival, the choice of a router, retries, and the recording of request outcomes.
 use super::events::SimulationEvent;
 use super::state::{Client, OpenRequest, World};
 use crate::checker::RouterRequest;
 use crate::fault::InjectedBug;
 use crate::results::Counts;
-use crate::times::{RUN_BEGIN, SECOND, from_milliseconds, from_seconds};
+use crate::times::{RUN_START, SECOND, from_milliseconds, from_seconds};
 use decision::{Event, Freshness, GroupId, Request, RequestId, Time};
 use sessions::SessionKey;
 
-/// Retries after which a client's backoff stops to double.
+/// Number of retries after which a client's backoff no longer doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
-/// Jitter of a client's backoff, as a fraction of it.
+/// Divisor that gives the maximum jitter of a client's backoff as a fraction of the backoff.
 const BACKOFF_JITTER_DIVISOR: i64 = 4;
 
 impl World<'_> {
@@ -41,10 +41,10 @@
         drawn.unwrap_or(self.plan.classes.len() - 1)
     }
 
-    /// Counts for a client's class and second, unless it arrived in the warm-up.
+    /// Updates the counts of a client's class and second, unless the client arrived during the warm-up.
     pub(super) fn count_for_client(&mut self, client: u64, update: impl Fn(&mut Counts)) {
         let Some(client) = self.clients.get(&client) else { return };
-        let since_begin = client.arrived_at.0 - RUN_BEGIN.0;
+        let since_begin = client.arrived_at.0 - RUN_START.0;
         if since_begin < from_seconds(self.plan.warmup_s) {
             return;
         }
@@ -54,7 +54,8 @@
         }
     }
 
-    /// The router that a client asks: any of the cluster that its session belongs to.
+    /// Draws the router that a client sends its request to: any member of the session cluster that the
+    /// client's session belongs to.
     fn draw_router(&mut self, session: u64) -> usize {
         let cluster_size = self.plan.cluster_size.max(1).min(self.plan.routers);
         let clusters = self.plan.routers.div_ceil(cluster_size) as u64;
@@ -80,7 +81,7 @@
             accepted_at,
             acknowledged_commit,
             attempts: Vec::new(),
-            answered: false,
+            responded: false,
         };
         simulated.open_requests.insert(request, open);
         let idempotent = self.class(class).idempotent;
@@ -97,7 +98,8 @@
         self.handle_router_event(router, Event::RequestArrived(arrived));
     }
 
-    /// The commit that a session's read must include, as far as the router's sessions know.
+    /// Returns the commit position that a session's read must include, as far as the router's session machine
+    /// knows it.
     fn required_session_commit(&mut self, router: usize, class: usize, session: u64) -> Option<Time> {
         if self.required_freshness(class) != Freshness::Session
             || self.plan.injected_bug == Some(InjectedBug::IgnoreSessionCommits)
@@ -108,7 +110,8 @@
         self.routers[router].sessions.required_position(SessionKey(session), now)
     }
 
-    /// A client was rejected, or found no router: it retries while it has time and retries left.
+    /// Schedules a client's retry after a rejection or the kill of its router, or counts the request as
+    /// rejected if no retries are left or the retry would come after the deadline.
     pub(super) fn retry_or_give_up(&mut self, client_id: u64, retry_after: Option<i64>) {
         let Some(client) = self.clients.get_mut(&client_id) else { return };
         let doublings = client.retries.min(MAX_BACKOFF_DOUBLINGS);
@@ -128,7 +131,7 @@
         let Some(client) = self.clients.get(&client_id) else { return };
         let latency = self.now.0 - client.arrived_at.0;
         let objective = from_milliseconds(self.class(client.class).latency_objective_ms);
-        if client.arrived_at.0 - RUN_BEGIN.0 >= from_seconds(self.plan.warmup_s) {
+        if client.arrived_at.0 - RUN_START.0 >= from_seconds(self.plan.warmup_s) {
             self.class_recorders[client.class].latency.record(latency);
         }
         let in_time = latency <= objective;
--- a/simulator/src/world/discovery.rs
+++ b/simulator/src/world/discovery.rs
@@ -1,14 +1,14 @@
-//! The registry, its watch events, and the endpoint lists of the routers.
+//! The simulated registry, its watch events, and the endpoint lists of the routers.
 use super::events::SimulationEvent;
 use super::state::{DelayedChanges, World};
 use crate::fault::InjectedBug;
 use crate::node::Node;
 use crate::times::from_milliseconds;
 use decision::{Event, GroupId, MemberEntry, MemberId, MemberState};
-use registry::fleet::{Action as FleetAction, Event as FleetEvent, Level, State};
+use registry::fleet::{Action as EndpointListAction, Event as EndpointListEvent, Level, State};
 use registry::machine::{Action as WatchAction, Change, Event as WatchEvent, Item};
 
-/// A node's state in the registry.
+/// State of a node in the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RegisteredState {
     InService,
@@ -16,8 +16,8 @@
 }
 
 impl RegisteredState {
-    /// The word that the registry stores.
-    fn word(self) -> &'static str {
+    /// Name of the state in the registry's JSON values.
+    fn as_str(self) -> &'static str {
         match self {
             RegisteredState::InService => "in_service",
             RegisteredState::Draining => "draining",
@@ -25,10 +25,10 @@
     }
 }
 
-/// A node as the registry stores it.
+/// Builds the registry's item of a node.
 pub(super) fn registry_item(index: usize, node: &Node, state: RegisteredState, modified: u64) -> Item {
     let ip = format!("127.{}.{}.{}", 1 + index / 62_500, index / 250 % 250, index % 250 + 1);
-    let (group, zone, state) = (node.group, node.zone, state.word());
+    let (group, zone, state) = (node.group, node.zone, state.as_str());
     let value =
         format!("{{\"addr\":\"{ip}:3306\",\"group\":{group},\"state\":\"{state}\",\"zone\":\"{zone}\"}}");
     Item { key: endpoint_name(index), value: value.into_bytes(), created: 1, modified }
@@ -38,13 +38,14 @@
     format!("n{node}")
 }
 
-/// The node of an endpoint's id, which is its name, an `@` and what tells its incarnations apart.
+/// Parses the node's index from an endpoint id, which consists of the node's name, an `@` and a suffix that
+/// differs for each incarnation.
 fn node_of_endpoint(id: &str) -> Option<usize> {
     id.strip_prefix('n')?.split('@').next()?.parse().ok()
 }
 
 impl World<'_> {
-    /// Writes a node's state to the registry; the routers' watches deliver it later.
+    /// Writes a node's state to the registry. The routers' watches deliver the change after the plan's delay.
     pub(super) fn register_state(&mut self, node: usize, state: RegisteredState) {
         self.registry_revision += 1;
         let changed = registry_item(node, &self.nodes[node], state, self.registry_revision);
@@ -65,29 +66,32 @@
 
     pub(super) fn handle_watch_event(&mut self, router: usize, event: WatchEvent) {
         let mut actions = Vec::new();
-        self.routers[router].follower.handle(self.now, event, &mut actions);
+        self.routers[router].registry_watch.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 WatchAction::Put(item) => {
-                    self.handle_endpoint_event(router, FleetEvent::Put { name: item.key.clone(), item });
+                    self.handle_endpoint_list_event(
+                        router,
+                        EndpointListEvent::Put { name: item.key.clone(), item },
+                    );
                 }
                 WatchAction::Deleted { key: name } => {
-                    self.handle_endpoint_event(router, FleetEvent::KeyDeleted { name });
+                    self.handle_endpoint_list_event(router, EndpointListEvent::KeyDeleted { name });
                 }
                 WatchAction::Synchronized { .. } => {
-                    self.handle_endpoint_event(router, FleetEvent::RegistryResponded);
+                    self.handle_endpoint_list_event(router, EndpointListEvent::RegistryResponded);
                 }
                 _ => {}
             }
         }
     }
 
-    pub(super) fn handle_endpoint_event(&mut self, router: usize, event: FleetEvent) {
+    pub(super) fn handle_endpoint_list_event(&mut self, router: usize, event: EndpointListEvent) {
         let mut actions = Vec::new();
-        self.routers[router].fleet.handle(self.now, event, &mut actions);
+        self.routers[router].endpoint_list.handle(self.now, event, &mut actions);
         let mut entries = Vec::new();
         for action in actions {
-            let FleetAction::List { id, node: endpoint } = action else { continue };
+            let EndpointListAction::List { id, node: endpoint } = action else { continue };
             let Some(node) = node_of_endpoint(&id) else { continue };
             let state = match endpoint.state {
                 State::InService => MemberState::Ready,
@@ -112,10 +116,14 @@
         }
     }
 
-    /// An endpoint has answered, which confirms its entry while the list is stale.
+    /// Tells a router's endpoint list that the node has responded, which confirms the node's entry while the
+    /// list is not fresh.
     pub(super) fn confirm_endpoint(&mut self, router: usize, node: usize) {
-        if self.routers[router].fleet.level() != Level::Fresh {
-            self.handle_endpoint_event(router, FleetEvent::NodeResponded { name: endpoint_name(node) });
+        if self.routers[router].endpoint_list.level() != Level::Fresh {
+            self.handle_endpoint_list_event(
+                router,
+                EndpointListEvent::NodeResponded { name: endpoint_name(node) },
+            );
         }
     }
 }
--- a/simulator/src/world/events.rs
+++ b/simulator/src/world/events.rs
@@ -1,4 +1,4 @@
-//! Events of the simulation, and their queue in order of time.
+//! Events of the simulation, and the event queue ordered by time.
 use crate::node::Job;
 use decision::{MemberReport, Outcome, Time};
 use registry::machine::Change;
@@ -7,42 +7,42 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// A router's process: events for an earlier process of the router are dropped.
+/// Identifies one process of a router. Events for a process that has ended are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RouterProcess {
     pub(super) router: usize,
     pub(super) epoch: u32,
 }
 
-/// The connection that an attempt is sent on.
+/// Connection that an attempt is sent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptConnection {
-    /// Established for the attempt.
+    /// A new connection, established for the attempt.
     New,
-    /// Established before, to the node's process of this epoch.
+    /// An existing connection, established to the node's process of this epoch.
     Reused { node_epoch: u32 },
 }
 
-/// What becomes of the connection that a response arrives on.
+/// State of the connection after a response has arrived on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
     Open,
     Closed,
 }
 
-/// The end of an attempt as it arrives at the router.
+/// Response that ends an attempt, as the router receives it.
 pub(super) struct Response {
     pub(super) job: Job,
     pub(super) node: usize,
     pub(super) outcome: Outcome,
-    /// Position of the commit, for a write.
+    /// Replication position of the commit, for a write.
     pub(super) commit: Option<Time>,
-    /// Position up to which the data was complete.
+    /// Replication position of the data that was read.
     pub(super) data_position: Time,
     pub(super) connection: ConnectionState,
 }
 
-/// What a router's sessions send to those of a peer.
+/// Message between the session machines of two routers.
 pub(super) enum PeerMessage {
     Hello { incarnation: u64 },
     Accept { incarnation: u64, last_seq: u64 },
@@ -51,7 +51,7 @@
     LeaseRequest { requested_at: i64 },
 }
 
-/// What happens to a router's process.
+/// Event for one process of a router.
 pub(super) enum ProcessEvent {
     ProbeEnded { node: usize, outcome: Outcome, report: MemberReport },
     DecisionTimerExpired,
@@ -59,15 +59,15 @@
     JournalSynced { seq: u64, session: SessionKey, commit: Time },
 }
 
-/// What changes the replicas in service.
-pub(super) enum FleetChange {
+/// Event that may change which replicas are in service.
+pub(super) enum AvailabilityChange {
     PrimaryPromotionDue { group: usize },
     FaultBegan { fault: usize },
     FaultEnded { fault: usize },
     NodeRestartDue { node: usize, epoch: u32 },
 }
 
-/// What happens.
+/// Event of the simulation.
 pub(super) enum SimulationEvent {
     ClientArrived,
     ClientRetried { client: u64 },
@@ -82,7 +82,7 @@
     CommitReachedReplica { node: usize, commit: Time },
     RegistryChangesArrived { router: usize, changes: Vec<Change> },
     RouterRestartDue { router: usize },
-    Fleet(FleetChange),
+    Availability(AvailabilityChange),
 }
 
 struct ScheduledEvent {
@@ -112,13 +112,13 @@
 }
 
 impl Ord for ScheduledEvent {
-    /// Reversed, as the heap pops the greatest first.
+    /// Reversed, since `BinaryHeap` pops the greatest element first and the earliest event is needed.
     fn cmp(&self, other: &Self) -> Ordering {
         other.key().cmp(&self.key())
     }
 }
 
-/// Events to come; those of one time are popped in the order in which they were scheduled.
+/// Queue of scheduled events. Events of the same time are popped in the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<ScheduledEvent>,
--- a/simulator/src/world/faults.rs
+++ b/simulator/src/world/faults.rs
@@ -1,15 +1,15 @@
-//! Faults: their targets, how each begins, and how it ends.
+//! Faults: the choice of their targets, and how they begin and end.
 use super::discovery::RegisteredState;
-use super::events::{FleetChange, SimulationEvent};
+use super::events::{AvailabilityChange, SimulationEvent};
 use super::state::{PeerConnection, World};
 use crate::fault::{Fault, FaultKind};
 use crate::node::Node;
 use crate::times::{from_milliseconds, from_seconds};
 
-/// Shortest time from a router's kill to its restart, in microseconds.
-const MIN_ROUTER_RESTART: i64 = 50_000;
-/// Time from a registry outage's end to the delivery of delayed changes, in microseconds.
-const WATCH_RECOVERY: i64 = 1000;
+/// Minimum time from a router's kill to its restart, in microseconds.
+const MIN_ROUTER_RESTART_DELAY: i64 = 50_000;
+/// Time from the end of a registry outage to the delivery of the delayed changes, in microseconds.
+const WATCH_RECOVERY_DELAY: i64 = 1000;
 
 impl World<'_> {
     pub(super) fn begin_fault(&mut self, fault: usize) {
@@ -19,10 +19,13 @@
         targets.iter().for_each(|target| self.begin_fault_at(planned, *target, duration));
         self.begin_global_fault(planned);
         self.fault_targets.insert(fault, targets);
-        self.schedule_after(duration, SimulationEvent::Fleet(FleetChange::FaultEnded { fault }));
+        self.schedule_after(
+            duration,
+            SimulationEvent::Availability(AvailabilityChange::FaultEnded { fault }),
+        );
     }
 
-    /// The nodes or routers that a fault affects, in random order.
+    /// Draws the nodes or routers that a fault affects, in random order.
     fn draw_targets(&mut self, fault: &Fault) -> Vec<usize> {
         let mut targets = self.possible_targets(fault.kind);
         self.rng.shuffle(&mut targets);
@@ -75,7 +78,8 @@
         }
     }
 
-    /// Crashes a node and, if it is a primary, has a replica promoted before it restarts.
+    /// Crashes a node and schedules its restart. If the node is a primary, the failover to a replica comes
+    /// first.
     fn crash_with_failover(&mut self, node: usize, duration: i64) {
         let (group, primary) = (self.nodes[node].group, self.nodes[node].primary);
         self.crash_node(node);
@@ -87,7 +91,10 @@
 
     fn schedule_node_restart(&mut self, node: usize, delay: i64) {
         let epoch = self.nodes[node].epoch;
-        self.schedule_after(delay, SimulationEvent::Fleet(FleetChange::NodeRestartDue { node, epoch }));
+        self.schedule_after(
+            delay,
+            SimulationEvent::Availability(AvailabilityChange::NodeRestartDue { node, epoch }),
+        );
     }
 
     fn begin_global_fault(&mut self, fault: &Fault) {
@@ -128,7 +135,8 @@
         }
     }
 
-    /// A hung node serves again. What it had accepted is never answered: its connections are reset.
+    /// Ends a node's hang. The requests that the node had accepted get no response; their connections are
+    /// reset.
     fn end_hang(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         node.hung = false;
@@ -143,11 +151,11 @@
         for delayed in std::mem::take(&mut self.delayed_changes) {
             let (router, changes) = (delayed.router, delayed.changes);
             let arrival = SimulationEvent::RegistryChangesArrived { router, changes };
-            self.schedule_after(WATCH_RECOVERY, arrival);
+            self.schedule_after(WATCH_RECOVERY_DELAY, arrival);
         }
     }
 
-    /// Kills a router. Clients retry what is idempotent; their other requests have failed.
+    /// Kills a router. Its clients retry idempotent requests; all others count as failed.
     fn kill_router(&mut self, router: usize, duration: i64) {
         let clients = self.clients_waiting_at(router);
         let killed = &mut self.routers[router];
@@ -167,10 +175,11 @@
             }
         }
         let restart = SimulationEvent::RouterRestartDue { router };
-        self.schedule_after(duration.max(MIN_ROUTER_RESTART), restart);
+        self.schedule_after(duration.max(MIN_ROUTER_RESTART_DELAY), restart);
     }
 
-    /// Clients of a router's requests, in the order of these, as the iteration order of hash maps is arbitrary.
+    /// Returns the clients that wait for a response of a router, sorted by request number, since the
+    /// iteration order of hash maps is arbitrary.
     fn clients_waiting_at(&self, router: usize) -> Vec<u64> {
         let router = &self.routers[router];
         let open = router.open_requests.iter().map(|(request, open)| (*request, open.client));
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -1,8 +1,8 @@
-//! The simulated world: one queue of events in simulated time, in which the routers' state machines meet nodes and
-//! clients.
+//! The simulation: an event queue in simulated time that connects the routers' real state machines with
+//! simulated nodes and clients.
 //!
-//! `state` holds the world and `events` what happens in it; `setup` builds it, `run` plays it, and each of the other
-//! modules handles the events of one part.
+//! `state` holds the state of the simulation and `events` defines its events; `setup` builds the initial
+//! state, `run` processes the events, and each of the other modules handles the events of one component.
 mod clients;
 mod discovery;
 mod events;
--- a/simulator/src/world/network.rs
+++ b/simulator/src/world/network.rs
@@ -1,4 +1,4 @@
-//! The network: delays, partitions, and the connections between the sessions of routers.
+//! The simulated network: delays, partitions, and the connections between the session machines of routers.
 use super::events::{PeerMessage, RouterProcess, SimulationEvent};
 use super::state::{PeerConnection, World};
 use crate::times::from_milliseconds;
@@ -13,12 +13,13 @@
         if from_zone == to_zone { self.plan.same_zone_delay_ms } else { self.plan.cross_zone_delay_ms }
     }
 
-    /// A one-way delay in microseconds, drawn from 90 to 110 % of the plan's.
+    /// Draws a one-way network delay in microseconds: 90 to 110 % of the plan's delay.
     pub(super) fn draw_delay(&mut self, from_zone: usize, to_zone: usize) -> i64 {
         (self.base_delay_ms(from_zone, to_zone) * 1000.0 * (0.9 + 0.2 * self.rng.f64())) as i64
     }
 
-    /// Sends a message between the sessions of two routers. The delay has no jitter, so that messages stay in order.
+    /// Sends a message between the session machines of two routers. The delay has no jitter, so that messages
+    /// arrive in the order in which they were sent.
     pub(super) fn send_to_peer(&mut self, from: usize, to: usize, message: PeerMessage) {
         let delay_ms = self.base_delay_ms(self.routers[from].zone, self.routers[to].zone);
         let (from, to) = (self.process(from), self.process(to));
@@ -56,7 +57,7 @@
         self.handle_session_event(to, event);
     }
 
-    /// A router opens a connection to a peer that it has none to, if it can reach it.
+    /// Opens a router's connection to a peer, unless it is already open or a partition separates the two.
     pub(super) fn connect_peer(&mut self, from: usize, to: usize) {
         let connection = PeerConnection { from, to };
         if self.peer_connections.contains(&connection)
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Closes every connection between sessions that the predicate is true for.
+    /// Closes every connection between session machines that matches the predicate.
     pub(super) fn disconnect_peers_where(&mut self, predicate: impl Fn(&Self, &PeerConnection) -> bool) {
         let closed: Vec<PeerConnection> =
             self.peer_connections.iter().copied().filter(|connection| predicate(self, connection)).collect();
--- a/simulator/src/world/nodes.rs
+++ b/simulator/src/world/nodes.rs
@@ -1,6 +1,8 @@
-//! Nodes: the attempts that they receive, serve and reject, their crashes, and promotions.
+//! Nodes: the attempts that they receive, serve and reject, their crashes and restarts, and the promotion of
+//! replicas.
 use super::events::{
-    AttemptConnection, ConnectionState, FleetChange, ProcessEvent, Response, RouterProcess, SimulationEvent,
+    AttemptConnection, AvailabilityChange, ConnectionState, ProcessEvent, Response, RouterProcess,
+    SimulationEvent,
 };
 use super::state::{Attempt, World};
 use crate::fault::InjectedBug;
@@ -9,17 +11,18 @@
 use decision::{MemberReport, Outcome, Time};
 use std::cmp::Reverse;
 
-/// Requests by which a second may exceed a warming-up node's limit, as small counts scatter.
-const COLD_OVERLOAD_SLACK: f64 = 10.0;
-/// Service time that every request has, as a share of its class's mean.
+/// Number of requests per second by which a node that warms up may exceed its limit, since the number of
+/// arrivals varies by chance.
+const WARMUP_OVERLOAD_TOLERANCE: f64 = 10.0;
+/// Fixed part of a request's service time, as a share of the class's mean.
 const FIXED_SERVICE_SHARE: f64 = 0.4;
-/// Mean of the exponentially distributed rest of the service time.
+/// Mean of the exponentially distributed rest of the service time, as a share of the class's mean.
 const RANDOM_SERVICE_SHARE: f64 = 0.6;
-/// Factor by which a gray failure delays the requests that it affects.
+/// Factor by which a gray failure lengthens the service time of the requests that it affects.
 const GRAY_SLOWDOWN: f64 = 10.0;
 
 impl World<'_> {
-    /// Ends an attempt without serving it.
+    /// Ends an attempt without serving it, and sends the outcome to the router.
     pub(super) fn reject_attempt(
         &mut self,
         job: Job,
@@ -55,13 +58,13 @@
             }
             node.connections += 1;
         }
-        if self.overloads_cold_node(index) {
+        if self.crashes_by_overload(index) {
             return self.reject_attempt(job, index, Outcome::Reset, ConnectionState::Closed);
         }
         self.admit_job(job, index);
     }
 
-    /// Serves a request, queues it, or rejects it on its connection.
+    /// Serves a request, queues it, or rejects it and leaves its connection open.
     fn admit_job(&mut self, job: Job, index: usize) {
         let write = self.class(job.class).is_write();
         let node = &mut self.nodes[index];
@@ -88,8 +91,9 @@
         self.nodes[node].capacity_share(self.now, self.plan.slow_start_initial_share, duration)
     }
 
-    /// Counts an arrival at a node that warms up, and crashes it if there are too many: whether it did.
-    fn overloads_cold_node(&mut self, index: usize) -> bool {
+    /// Counts an arrival at a node that warms up, and crashes the node if there were too many within a
+    /// second. Returns whether it crashed.
+    fn crashes_by_overload(&mut self, index: usize) -> bool {
         let capacity_share = self.capacity_share(index);
         if capacity_share >= 1.0 {
             return false;
@@ -100,7 +104,7 @@
         while arrivals.pop_front_if(|arrived_at| now.0 - arrived_at.0 > SECOND).is_some() {}
         let arrivals = arrivals.len() as f64;
         let node_capacity = self.plan.capacity() / self.nodes.len() as f64;
-        let limit = self.plan.overload_factor * node_capacity * capacity_share + COLD_OVERLOAD_SLACK;
+        let limit = self.plan.overload_factor * node_capacity * capacity_share + WARMUP_OVERLOAD_TOLERANCE;
         if arrivals <= limit {
             return false;
         }
@@ -160,7 +164,7 @@
         self.schedule_after(delay, SimulationEvent::ResponseArrived(response));
     }
 
-    /// A core has become free.
+    /// Frees a core, and starts the next queued request on it.
     fn start_next_job(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         node.busy_cores -= 1;
@@ -185,7 +189,7 @@
         }
     }
 
-    pub(super) fn answer_probe(&mut self, process: RouterProcess, index: usize) {
+    pub(super) fn respond_to_probe(&mut self, process: RouterProcess, index: usize) {
         let (router_zone, node_zone) = (self.routers[process.router].zone, self.nodes[index].zone);
         let partitioned = self.is_partitioned(router_zone, node_zone);
         let network_delay = self.draw_delay(router_zone, node_zone);
@@ -205,13 +209,13 @@
         self.schedule_after(delay, SimulationEvent::Process(process, ended));
     }
 
-    /// A node's process ends, and its connections are reset.
+    /// Ends a node's process and resets the connections to it.
     pub(super) fn crash_node(&mut self, index: usize) {
         self.nodes[index].stop();
         self.reset_connections(index);
     }
 
-    /// Resets every connection to a node.
+    /// Resets every connection to a node, which ends the attempts in flight on them.
     pub(super) fn reset_connections(&mut self, index: usize) {
         self.nodes[index].connections = 0;
         self.routers.iter_mut().for_each(|router| _ = router.idle_connections.remove(&index));
@@ -220,7 +224,8 @@
         }
     }
 
-    /// In order of router, request and attempt, as the iteration order of hash maps is arbitrary.
+    /// Returns the attempts in flight to a node, sorted by router, request and attempt, since the iteration
+    /// order of hash maps is arbitrary.
     fn attempts_in_flight_to(&self, index: usize) -> Vec<Job> {
         let mut jobs = Vec::new();
         for (router, simulated) in self.routers.iter().enumerate() {
@@ -241,7 +246,8 @@
         jobs
     }
 
-    /// Promotes the most advanced replica of a group without a running primary, or tries again later.
+    /// Promotes the replica with the highest applied position, if the group has no running primary. Without a
+    /// candidate, schedules another try.
     pub(super) fn promote_replica(&mut self, group: usize) {
         let members = self.group_members(group);
         if members.clone().any(|node| self.nodes[node].primary && self.nodes[node].up) {
@@ -257,17 +263,17 @@
     }
 
     pub(super) fn schedule_promotion(&mut self, group: usize) {
-        let promotion = SimulationEvent::Fleet(FleetChange::PrimaryPromotionDue { group });
+        let promotion = SimulationEvent::Availability(AvailabilityChange::PrimaryPromotionDue { group });
         self.schedule_after(from_milliseconds(self.plan.failover_ms), promotion);
     }
 
-    /// A crashed node starts again, unless it has crashed once more meanwhile.
+    /// Restarts a crashed node, unless it already runs or has crashed again since the restart was scheduled.
     pub(super) fn restart_node(&mut self, index: usize, epoch: u32) {
         let node = &mut self.nodes[index];
         if node.up || node.epoch != epoch {
             return;
         }
-        // It catches up with the log before it serves.
+        // The node applies the replication log before it serves.
         node.unapplied.clear();
         node.applied_position = Time(self.now.0 - from_milliseconds(self.plan.replication_delay_ms));
         node.start(self.now);
--- a/simulator/src/world/routers.rs
+++ b/simulator/src/world/routers.rs
@@ -1,13 +1,13 @@
-//! Routers: the events and actions of their decision, and the attempts that they have in flight.
+//! Routers: the events and actions of their decision state machines, and their attempts in flight.
 use super::events::{
     AttemptConnection, ConnectionState, ProcessEvent, Response, RouterProcess, SimulationEvent,
 };
 use super::state::{Attempt, UnacknowledgedWrite, World};
 use crate::checker::{FinalAnswer, RouterRequest, ServedRead};
 use crate::node::Job;
-use crate::times::{CONNECT_TIMEOUT, RUN_BEGIN, SECOND, TICK_INTERVAL, from_milliseconds};
+use crate::times::{CONNECT_TIMEOUT, RUN_START, SECOND, TICK_INTERVAL, from_milliseconds};
 use decision::{Action, Event, MemberId, MemberReport, Outcome, RequestId, Time};
-use registry::fleet::Event as FleetEvent;
+use registry::fleet::Event as EndpointListEvent;
 use sessions::SessionKey;
 use sessions::machine::Event as SessionEvent;
 
@@ -49,9 +49,9 @@
         self.schedule_after(delay, SimulationEvent::ProbeReachedNode { process, node });
     }
 
-    /// Counts a probe in its second, unless that belongs to the warm-up or comes after the run.
+    /// Counts a probe in its second, unless that second is part of the warm-up or after the end of the load.
     fn count_probe(&mut self) {
-        let second = ((self.now.0 - RUN_BEGIN.0) / SECOND) as usize;
+        let second = ((self.now.0 - RUN_START.0) / SECOND) as usize;
         if second as f64 >= self.plan.warmup_s
             && let Some(counts) = self.second_counts.get_mut(second)
         {
@@ -90,7 +90,7 @@
         self.schedule_after(timeout, SimulationEvent::AttemptTimedOut(job));
         let delay = self.draw_delay(router_zone, node_zone);
         if self.is_partitioned(router_zone, node_zone) {
-            return self.lose_attempt(job, node, connection);
+            return self.lose_attempt_in_partition(job, node, connection);
         }
         let handshake = match connection {
             AttemptConnection::New => 2 * delay + from_milliseconds(self.plan.handshake_ms),
@@ -100,7 +100,8 @@
         self.schedule_after(delay + handshake, reached);
     }
 
-    /// Closes a router's expired idle connections to a node, and takes the last used of the others.
+    /// Closes a router's expired idle connections to a node, and takes the most recently used one that is
+    /// left, if any.
     fn take_connection(&mut self, router: usize, node: usize) -> AttemptConnection {
         let (now, idle_timeout) = (self.now, from_milliseconds(self.plan.idle_connection_timeout_ms));
         let idle = self.routers[router].idle_connections.entry(node).or_default();
@@ -124,8 +125,9 @@
         });
     }
 
-    /// An attempt is sent into a partition: a new connection fails, and one that stood before stays silent.
-    fn lose_attempt(&mut self, job: Job, node: usize, connection: AttemptConnection) {
+    /// Loses an attempt that is sent into a network partition: a new connection fails to be established, and
+    /// on an existing one there is never a response.
+    fn lose_attempt_in_partition(&mut self, job: Job, node: usize, connection: AttemptConnection) {
         if connection != AttemptConnection::New {
             return;
         }
@@ -141,21 +143,22 @@
     }
 
     fn reject_request(&mut self, router: usize, request: RequestId, retry_after: Option<i64>) {
-        if let Some(client) = self.answer_without_node(router, request.0, FinalAnswer::Rejected) {
+        if let Some(client) = self.respond_without_node(router, request.0, FinalAnswer::Rejected) {
             self.retry_or_give_up(client, retry_after);
         }
     }
 
     fn fail_request(&mut self, router: usize, request: RequestId) {
-        if let Some(client) = self.answer_without_node(router, request.0, FinalAnswer::Other) {
+        if let Some(client) = self.respond_without_node(router, request.0, FinalAnswer::Other) {
             self.record_failure(client);
         }
     }
 
-    /// The router gives a final answer of its own. Returns the client, unless it has been answered before.
-    fn answer_without_node(&mut self, router: usize, request: u64, answer: FinalAnswer) -> Option<u64> {
+    /// Records a final response by the router itself. Returns the client, unless the request already had its
+    /// final response.
+    fn respond_without_node(&mut self, router: usize, request: u64, answer: FinalAnswer) -> Option<u64> {
         let open = self.routers[router].open_requests.get_mut(&request)?;
-        if std::mem::replace(&mut open.answered, true) {
+        if std::mem::replace(&mut open.responded, true) {
             return None;
         }
         let client = open.client;
@@ -168,7 +171,7 @@
         let requests = &mut self.routers[router].open_requests;
         let finished = requests
             .get(&request)
-            .is_some_and(|open| open.answered && open.attempts.iter().all(|attempt| !attempt.in_flight));
+            .is_some_and(|open| open.responded && open.attempts.iter().all(|attempt| !attempt.in_flight));
         if finished {
             requests.remove(&request);
         }
@@ -178,16 +181,16 @@
         let Response { job, node, outcome, commit, data_position, connection } = response;
         let open = connection == ConnectionState::Open;
         let running = self.is_running(RouterProcess { router: job.router, epoch: job.epoch });
-        let awaited = running && self.is_in_flight(job);
-        if open && awaited {
+        let in_flight_at_router = running && self.is_in_flight(job);
+        if open && in_flight_at_router {
             let idle = &mut self.routers[job.router].idle_connections;
             idle.entry(node).or_default().push(self.now);
         } else if open {
-            // Nobody waits for the response: its connection is closed.
+            // The attempt has already ended at the router, so the connection is closed.
             let node = &mut self.nodes[node];
             node.connections = node.connections.saturating_sub(1);
         }
-        if awaited {
+        if in_flight_at_router {
             if outcome == Outcome::Ok {
                 self.confirm_endpoint(job.router, node);
             }
@@ -200,7 +203,7 @@
         open.and_then(|open| open.attempts.get(job.attempt as usize)).is_some_and(|attempt| attempt.in_flight)
     }
 
-    /// An attempt has ended at its router.
+    /// Ends an attempt at the router. A successful one completes the request, unless it is already complete.
     pub(super) fn end_attempt(
         &mut self,
         job: Job,
@@ -219,10 +222,10 @@
         let ended = &mut open.attempts[attempt as usize];
         ended.in_flight = false;
         let node = ended.node;
-        let answers_request = outcome == Outcome::Ok && !open.answered;
-        open.answered |= answers_request;
-        let request_ended = open.answered;
-        if answers_request {
+        let completes_request = outcome == Outcome::Ok && !open.responded;
+        open.responded |= completes_request;
+        let request_ended = open.responded;
+        if completes_request {
             self.record_response(job, commit, data_position.unwrap_or(self.now));
         }
         let event = Event::AttemptEnded {
@@ -239,7 +242,8 @@
         self.remove_if_finished(router, request);
     }
 
-    /// A response is passed on to the client; that of a write once its session's commit is acknowledged by peers.
+    /// Forwards a response to the client. For a write, that waits until the session machine acknowledges the
+    /// commit.
     fn record_response(&mut self, job: Job, commit: Option<Time>, data_position: Time) {
         let key = RouterRequest { router: job.router, request: job.request };
         let Some(open) = self.routers[key.router].open_requests.get(&key.request) else { return };
@@ -265,13 +269,13 @@
         self.record_success(client_id);
     }
 
-    /// Lets the endpoint list and the sessions handle the passing of time, and connects to peers.
+    /// Sends tick events to a router's endpoint list and session machine, and connects to session peers.
     pub(super) fn tick(&mut self, process: RouterProcess) {
         let router = process.router;
         if !self.registry_outage {
-            self.handle_endpoint_event(router, FleetEvent::RegistryResponded);
+            self.handle_endpoint_list_event(router, EndpointListEvent::RegistryResponded);
         }
-        self.handle_endpoint_event(router, FleetEvent::Tick);
+        self.handle_endpoint_list_event(router, EndpointListEvent::Tick);
         self.handle_session_event(router, SessionEvent::Tick);
         for peer in self.session_cluster(router).filter(|peer| *peer != router) {
             self.connect_peer(router, peer);
--- a/simulator/src/world/run.rs
+++ b/simulator/src/world/run.rs
@@ -1,5 +1,5 @@
-//! Plays a world: takes events in order of time, hands each to its handler, and collects the results.
-use super::events::{FleetChange, ProcessEvent, RouterProcess, SimulationEvent};
+//! The event loop: takes events in order of time, dispatches each to its handler, and collects the results.
+use super::events::{AvailabilityChange, ProcessEvent, RouterProcess, SimulationEvent};
 use super::state::{JournalEntry, World};
 use crate::fault::Fault;
 use crate::plan::Plan;
@@ -7,10 +7,10 @@
 use crate::times::from_milliseconds;
 use decision::{Event, Outcome, Time};
 
-/// Time after the last deadline at which a run ends, in microseconds.
+/// Time after the last possible deadline at which a run ends, in microseconds.
 const GRACE_AFTER_DEADLINES: i64 = 200_000;
 
-/// Plays a plan to its end.
+/// Simulates a plan and returns its results.
 pub fn play(plan: &Plan) -> Results {
     let mut world = World::new(plan);
     world.run();
@@ -44,7 +44,7 @@
             SimulationEvent::ResponseArrived(response) => self.handle_response(response),
             SimulationEvent::AttemptTimedOut(job) => self.end_attempt(job, Outcome::TimedOut, None, None),
             SimulationEvent::AttemptCancelled(job) => self.end_attempt(job, Outcome::Cancelled, None, None),
-            SimulationEvent::ProbeReachedNode { process, node } => self.answer_probe(process, node),
+            SimulationEvent::ProbeReachedNode { process, node } => self.respond_to_probe(process, node),
             SimulationEvent::CommitReachedReplica { node, commit } => self.receive_commit(node, commit),
             SimulationEvent::RegistryChangesArrived { router, changes } => {
                 self.receive_registry_changes(router, changes);
@@ -56,10 +56,10 @@
             SimulationEvent::Process(process, event) if self.is_running(process) => {
                 self.handle_process_event(process, event);
             }
-            // Its process has ended.
+            // The event's process has ended.
             SimulationEvent::Process(..) => {}
-            SimulationEvent::Fleet(change) => {
-                self.handle_fleet_change(change);
+            SimulationEvent::Availability(change) => {
+                self.handle_availability_change(change);
                 self.update_replicas_in_service();
             }
         }
@@ -80,12 +80,12 @@
         }
     }
 
-    fn handle_fleet_change(&mut self, change: FleetChange) {
+    fn handle_availability_change(&mut self, change: AvailabilityChange) {
         match change {
-            FleetChange::PrimaryPromotionDue { group } => self.promote_replica(group),
-            FleetChange::FaultBegan { fault } => self.begin_fault(fault),
-            FleetChange::FaultEnded { fault } => self.end_fault(fault),
-            FleetChange::NodeRestartDue { node, epoch } => self.restart_node(node, epoch),
+            AvailabilityChange::PrimaryPromotionDue { group } => self.promote_replica(group),
+            AvailabilityChange::FaultBegan { fault } => self.begin_fault(fault),
+            AvailabilityChange::FaultEnded { fault } => self.end_fault(fault),
+            AvailabilityChange::NodeRestartDue { node, epoch } => self.restart_node(node, epoch),
         }
     }
 
--- a/simulator/src/world/sessions.rs
+++ b/simulator/src/world/sessions.rs
@@ -1,14 +1,15 @@
-//! Sessions of the routers: their events and actions, their journals, and the acknowledgement of writes.
+//! Session machines of the routers: their events and actions, their journals, and the acknowledgement of
+//! writes.
 use super::events::{PeerMessage, ProcessEvent, SimulationEvent};
 use super::state::{JournalEntry, PeerConnection, UnacknowledgedWrite, World};
 use crate::checker::{FinalAnswer, RouterRequest};
-use crate::times::{CLOCK_UNCERTAINTY, JOURNAL_SYNC};
+use crate::times::{CLOCK_UNCERTAINTY, JOURNAL_SYNC_DURATION};
 use decision::Time;
 use sessions::SessionKey;
 use sessions::machine::{Action as SessionAction, Event as SessionEvent, Now, Push};
 
 impl World<'_> {
-    /// The simulation's clock, which is the servers' clock for routers, known to them with some uncertainty.
+    /// Returns the time for a session machine: the simulated time, and an upper bound of the servers' clock.
     pub(super) fn session_now(&self) -> Now {
         Now { at: self.now, present: Some(Time(self.now.0 + CLOCK_UNCERTAINTY)) }
     }
@@ -26,7 +27,10 @@
         match action {
             SessionAction::AppendCommit { seq, session, committed_at: commit } => {
                 let synced = ProcessEvent::JournalSynced { seq, session, commit };
-                self.schedule_after(JOURNAL_SYNC, SimulationEvent::Process(self.process(router), synced));
+                self.schedule_after(
+                    JOURNAL_SYNC_DURATION,
+                    SimulationEvent::Process(self.process(router), synced),
+                );
             }
             SessionAction::SendPush { peer, push } => {
                 self.send_to_peer(router, peer as usize, PeerMessage::Push(push));
@@ -55,12 +59,12 @@
         }
     }
 
-    /// Sends the whole cache of commits to a peer.
+    /// Sends all cached commits to a peer.
     fn send_snapshot(&mut self, router: usize, peer: usize, seq: u64) {
         let sessions = &self.routers[router].sessions;
         let mut entries: Vec<(SessionKey, i64)> =
             sessions.commits().iter().map(|(session, commit)| (session, commit.0)).collect();
-        // The iteration order of hash maps is arbitrary.
+        // Sorted since the iteration order of hash maps is arbitrary.
         entries.sort_unstable_by_key(|(session, commit)| (*commit, *session));
         let floor = sessions.floor().filter(|_| !sessions.floor_pending()).map(|floor| floor.0);
         self.send_to_peer(router, peer, PeerMessage::Push(Push::Snapshot { entries }));
@@ -72,7 +76,7 @@
         self.handle_session_event(router, SessionEvent::JournalSynced { seq });
     }
 
-    /// Answers the client of a write that its session machine has acknowledged.
+    /// Sends the final response for a write that the session machine has acknowledged.
     fn acknowledge_write(&mut self, router: usize, request: u64) {
         let write = self.routers[router].unacknowledged_writes.remove(&request);
         let Some(UnacknowledgedWrite { client, session, commit }) = write else { return };
@@ -81,7 +85,7 @@
         self.record_success(client);
     }
 
-    /// Fails the client of a write that its session machine could not record.
+    /// Fails a write whose commit the session machine could not record.
     fn fail_write(&mut self, router: usize, request: u64) {
         let Some(write) = self.routers[router].unacknowledged_writes.remove(&request) else { return };
         self.checker.request_answered(self.now, RouterRequest { router, request }, FinalAnswer::Other);
--- a/simulator/src/world/setup.rs
+++ b/simulator/src/world/setup.rs
@@ -1,21 +1,23 @@
-//! Construction of the world and of its routers.
+//! Construction of the simulated fleet, and the start and restart of its routers.
 use super::discovery::{RegisteredState, registry_item};
-use super::events::{EventQueue, FleetChange, ProcessEvent, SimulationEvent};
+use super::events::{AvailabilityChange, EventQueue, ProcessEvent, SimulationEvent};
 use super::state::{ClassRecorder, JournalEntry, SimulatedRouter, World};
 use crate::checker::Checker;
 use crate::node::Node;
 use crate::plan::Plan;
 use crate::results::Counts;
 use crate::spread_meter::SpreadMeter;
-use crate::times::{RUN_BEGIN, SECOND, SESSION_LEASE, TICK_INTERVAL, from_seconds};
+use crate::times::{RUN_START, SECOND, SESSION_LEASE_DURATION, TICK_INTERVAL, from_seconds};
 use decision::{Router, Time};
 use fastrand::Rng;
-use registry::fleet::{Fleet, Settings as FleetSettings};
-use registry::machine::{Event as WatchEvent, Item, Machine as Follower, Settings as FollowerSettings};
+use registry::fleet::{Fleet, Settings as EndpointListSettings};
+use registry::machine::{
+    Event as WatchEvent, Item, Machine as RegistryWatch, Settings as RegistryWatchSettings,
+};
 use sessions::machine::{Event as SessionEvent, Instance, Machine as Sessions, Settings as SessionSettings};
 use std::collections::{BTreeSet, HashMap};
 
-/// Revision of the registry at the begin of a run.
+/// Revision of the registry at the start of a run.
 const INITIAL_REVISION: u64 = 1;
 
 impl<'p> World<'p> {
@@ -27,10 +29,10 @@
         }
         (0..plan.routers).for_each(|router| world.start_router(router));
         world.update_replicas_in_service();
-        world.schedule_at(Time(RUN_BEGIN.0 + 1), SimulationEvent::ClientArrived);
+        world.schedule_at(Time(RUN_START.0 + 1), SimulationEvent::ClientArrived);
         for (fault, planned) in plan.faults.iter().enumerate() {
-            let begin = Time(RUN_BEGIN.0 + from_seconds(planned.start_s));
-            world.schedule_at(begin, SimulationEvent::Fleet(FleetChange::FaultBegan { fault }));
+            let begin = Time(RUN_START.0 + from_seconds(planned.start_s));
+            world.schedule_at(begin, SimulationEvent::Availability(AvailabilityChange::FaultBegan { fault }));
         }
         world
     }
@@ -38,12 +40,12 @@
     fn without_routers(plan: &'p Plan) -> World<'p> {
         let nodes = build_nodes(plan);
         let groups: Vec<usize> = nodes.iter().map(|node| node.group).collect();
-        let counted_from = Time(RUN_BEGIN.0 + from_seconds(plan.warmup_s));
+        let counted_from = Time(RUN_START.0 + from_seconds(plan.warmup_s));
         let counted_seconds = (plan.duration_s - plan.warmup_s) as usize;
         World {
             plan,
             rng: Rng::with_seed(plan.seed),
-            now: RUN_BEGIN,
+            now: RUN_START,
             event_queue: EventQueue::default(),
             event_count: 0,
             nodes,
@@ -74,7 +76,7 @@
     ) -> SimulatedRouter {
         let recovered = journal.iter().map(|entry| (entry.session, entry.commit));
         let sessions = Sessions::new(session_settings(router, epoch), recovered, None);
-        let follower = FollowerSettings { restored_after: 10 * SECOND, max_tombstones: 1000 };
+        let registry_watch = RegistryWatchSettings { restored_after: 10 * SECOND, max_tombstones: 1000 };
         SimulatedRouter {
             zone,
             up: true,
@@ -86,12 +88,12 @@
             last_request: 0,
             open_requests: HashMap::new(),
             idle_connections: HashMap::new(),
-            follower: Follower::new(follower),
-            fleet: Fleet::new(fleet_settings()),
+            registry_watch: RegistryWatch::new(registry_watch),
+            endpoint_list: Fleet::new(endpoint_list_settings()),
         }
     }
 
-    /// A router reads the registry, learns its peers, and begins to tick.
+    /// Starts a router: loads the registry's snapshot, lists the session peers, and schedules the first tick.
     pub(super) fn start_router(&mut self, router: usize) {
         let snapshot = WatchEvent::Snapshot {
             endpoint: 0,
@@ -107,7 +109,7 @@
         self.schedule_at(first_tick, SimulationEvent::Process(process, ProcessEvent::Ticked));
     }
 
-    /// The registry's content: draining nodes are listed as such.
+    /// Returns the registry's content, in which the nodes that a fault drains are marked as draining.
     fn registry_items(&self) -> Vec<Item> {
         let draining = self.draining_nodes();
         let item = |(index, node): (usize, &Node)| {
@@ -120,7 +122,7 @@
         self.nodes.iter().enumerate().map(item).collect()
     }
 
-    /// A killed router starts again with the journal on its disk.
+    /// Restarts a killed router, which recovers its sessions from the journal.
     pub(super) fn restart_router(&mut self, router: usize) {
         let killed = &mut self.routers[router];
         let (zone, epoch, journal) = (killed.zone, killed.epoch, std::mem::take(&mut killed.journal));
@@ -139,7 +141,7 @@
     SessionSettings {
         instance: router as Instance,
         incarnation: u64::from(epoch) + 1,
-        lease: SESSION_LEASE,
+        lease: SESSION_LEASE_DURATION,
         max_buffered_commits: 4096,
         max_sessions: 100_000,
         durable: true,
@@ -147,8 +149,8 @@
     }
 }
 
-fn fleet_settings() -> FleetSettings {
-    FleetSettings {
+fn endpoint_list_settings() -> EndpointListSettings {
+    EndpointListSettings {
         allow: vec![],
         deny: vec![],
         max_fresh_age: 10 * SECOND,
--- a/simulator/src/world/state.rs
+++ b/simulator/src/world/state.rs
@@ -1,4 +1,4 @@
-//! State of the simulated world, and what all handlers of events need: the clock, the event queue, and who is up.
+//! State of the simulation, and helpers that all event handlers use.
 use super::events::{EventQueue, RouterProcess, SimulationEvent};
 use crate::checker::Checker;
 use crate::fault::FaultKind;
@@ -6,17 +6,17 @@
 use crate::plan::{ClassPlan, Plan};
 use crate::results::{Counts, LatencyRecorder};
 use crate::spread_meter::SpreadMeter;
-use crate::times::{RUN_BEGIN, from_seconds};
+use crate::times::{RUN_START, from_seconds};
 use decision::{Freshness, Router, Time};
 use fastrand::Rng;
 use registry::fleet::Fleet;
-use registry::machine::{Change, Machine as Follower};
+use registry::machine::{Change, Machine as RegistryWatch};
 use sessions::SessionKey;
 use sessions::machine::Machine as Sessions;
 use std::collections::{BTreeSet, HashMap};
 use std::ops::Range;
 
-/// A client with one request, whatever becomes of it at routers.
+/// A client, which makes one request and may retry it at other routers.
 pub(super) struct Client {
     pub(super) class: usize,
     pub(super) group: usize,
@@ -26,24 +26,24 @@
     pub(super) retries: u32,
 }
 
-/// An attempt of a request at a router.
+/// An attempt that a router has sent.
 pub(super) struct Attempt {
     pub(super) node: usize,
     pub(super) sent_at: Time,
     pub(super) in_flight: bool,
 }
 
-/// A request at a router, until it is answered and none of its attempts is in flight.
+/// A request at a router, until it has its final response and none of its attempts is in flight.
 pub(super) struct OpenRequest {
     pub(super) client: u64,
     pub(super) accepted_at: Time,
-    /// The newest acknowledged commit of the session when the request was accepted.
+    /// Newest acknowledged commit of the session when the router accepted the request.
     pub(super) acknowledged_commit: Option<Time>,
     pub(super) attempts: Vec<Attempt>,
-    pub(super) answered: bool,
+    pub(super) responded: bool,
 }
 
-/// A write that waits until its session's commit is known to peers before it is acknowledged.
+/// A write that a node has executed and that the session machine has not acknowledged yet.
 #[derive(Clone, Copy)]
 pub(super) struct UnacknowledgedWrite {
     pub(super) client: u64,
@@ -51,52 +51,52 @@
     pub(super) commit: Time,
 }
 
-/// A commit of a session in a router's journal.
+/// A session's commit in a router's journal.
 #[derive(Clone, Copy)]
 pub(super) struct JournalEntry {
     pub(super) session: SessionKey,
     pub(super) commit: Time,
 }
 
-/// A router with its state machines.
+/// A simulated router with its real state machines.
 pub(super) struct SimulatedRouter {
     pub(super) zone: usize,
     pub(super) up: bool,
     pub(super) epoch: u32,
     pub(super) decision: Router,
     pub(super) sessions: Sessions,
-    /// What its disk holds; survives restarts.
+    /// The session journal on disk; survives restarts of the router.
     pub(super) journal: Vec<JournalEntry>,
     pub(super) unacknowledged_writes: HashMap<u64, UnacknowledgedWrite>,
     pub(super) last_request: u64,
     pub(super) open_requests: HashMap<u64, OpenRequest>,
-    /// When each idle connection to a node was last used.
+    /// Time at which each idle connection was last used, by node.
     pub(super) idle_connections: HashMap<usize, Vec<Time>>,
-    pub(super) follower: Follower,
-    pub(super) fleet: Fleet,
+    pub(super) registry_watch: RegistryWatch,
+    pub(super) endpoint_list: Fleet,
 }
 
-/// Changes of the registry that an outage delays.
+/// Registry changes whose delivery to a router is delayed until a registry outage ends.
 pub(super) struct DelayedChanges {
     pub(super) router: usize,
     pub(super) changes: Vec<Change>,
 }
 
-/// What is recorded of a class.
+/// Counts and latencies recorded for a request class.
 #[derive(Default)]
 pub(super) struct ClassRecorder {
     pub(super) counts: Counts,
     pub(super) latency: LatencyRecorder,
 }
 
-/// A connection between the sessions of two routers.
+/// A connection from one router's session machine to another's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PeerConnection {
     pub(super) from: usize,
     pub(super) to: usize,
 }
 
-/// The simulated world.
+/// State of a simulation run.
 pub(super) struct World<'p> {
     pub(super) plan: &'p Plan,
     pub(super) rng: Rng,
@@ -113,7 +113,7 @@
     pub(super) registry_outage: bool,
     pub(super) delayed_changes: Vec<DelayedChanges>,
     pub(super) registry_revision: u64,
-    /// The nodes or routers that each active fault affects.
+    /// The nodes or routers that each active fault affects, by fault index.
     pub(super) fault_targets: HashMap<usize, Vec<usize>>,
     pub(super) checker: Checker,
     pub(super) class_recorders: Vec<ClassRecorder>,
@@ -131,12 +131,12 @@
         self.schedule_at(Time(self.now.0 + microseconds.max(0)), event);
     }
 
-    /// When clients stop to arrive.
+    /// Time after which no more clients arrive.
     pub(super) fn end(&self) -> Time {
-        Time(RUN_BEGIN.0 + from_seconds(self.plan.duration_s))
+        Time(RUN_START.0 + from_seconds(self.plan.duration_s))
     }
 
-    /// The router's current process.
+    /// Returns the router's current process.
     pub(super) fn process(&self, router: usize) -> RouterProcess {
         RouterProcess { router, epoch: self.routers[router].epoch }
     }
@@ -146,7 +146,7 @@
         router.up && router.epoch == process.epoch
     }
 
-    /// Routers that share sessions with this one, and itself.
+    /// Returns the members of a router's session cluster, including the router itself.
     pub(super) fn session_cluster(&self, router: usize) -> Range<usize> {
         let size = self.plan.cluster_size.max(1);
         let first = router / size * size;
@@ -166,7 +166,7 @@
         self.class(class).required_freshness().unwrap_or(Freshness::Latest)
     }
 
-    /// Nodes that an active fault drains.
+    /// Returns the nodes that an active fault drains.
     pub(super) fn draining_nodes(&self) -> BTreeSet<usize> {
         let drains = |fault: &usize| self.plan.faults[*fault].kind == FaultKind::Drain;
         self.fault_targets
@@ -177,7 +177,7 @@
             .collect()
     }
 
-    /// Reports to the meter which replicas are in service.
+    /// Updates the spread meter with the replicas that are in service.
     pub(super) fn update_replicas_in_service(&mut self) {
         let draining = self.draining_nodes();
         for (index, node) in self.nodes.iter().enumerate() {
--- a/simulator/tests/checker.rs
+++ b/simulator/tests/checker.rs
@@ -1,4 +1,4 @@
-//! Violations that the checker has to count.
+//! Tests that the checker counts and describes violations of each rule.
 use decision::{Freshness, Time};
 use simulator::checker::{Checker, FinalAnswer, RouterRequest, Rule, ServedRead};
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn each_rule_is_counted_when_violated() {
+fn violations_of_each_rule_are_counted() {
     let mut checker = Checker::default();
     let violations = |checker: &Checker, rule| checker.violations.get(&rule).copied().unwrap_or(0);
     checker.request_accepted(request(1), DEADLINE, false);
@@ -68,12 +68,15 @@
 }
 
 #[test]
-fn first_violations_are_described_with_recorded_names() {
+fn violations_are_described_with_the_recorded_rule_names() {
     let mut checker = Checker::default();
     checker.cold_node_overloaded(Time(1_500_000), 3);
     checker.request_answered(Time(2_000_000), request(1), FinalAnswer::Other);
     assert_eq!(
         checker.first_violations,
-        ["1.500000 s: NoTip: node 3", "2.000000 s: OneAnswer: router 0: 1 is answered twice"]
+        [
+            "1.500000 s: NoTip: node 3",
+            "2.000000 s: OneAnswer: router 0: request 1 got a second final response"
+        ]
     );
 }
--- a/simulator/tests/play.rs
+++ b/simulator/tests/play.rs
@@ -1,4 +1,4 @@
-//! Whole runs: reproducible from their seed, and without violations through each fault.
+//! Tests of whole runs: a run is reproducible from its seed, and has no violations under any kind of fault.
 use simulator::checker::Rule;
 use simulator::{Fault, FaultKind, InjectedBug, Plan, Results, play};
 
@@ -14,40 +14,40 @@
     }
 }
 
-fn assert_no_violations(r: &Results) {
-    assert!(r.violations.is_empty(), "{:?} {:#?}", r.violations, r.first_violations);
-    let t = r.total();
-    assert!(r.checked_attempts > 1000 && t.offered > 1000, "{t:?}");
-    // Every request came to one end.
-    assert_eq!(t.offered, t.in_time + t.late + t.rejected + t.failed, "{t:?}");
+fn assert_no_violations(results: &Results) {
+    assert!(results.violations.is_empty(), "{:?} {:#?}", results.violations, results.first_violations);
+    let total = results.total();
+    assert!(results.checked_attempts > 1000 && total.offered > 1000, "{total:?}");
+    // Every request has exactly one outcome.
+    assert_eq!(total.offered, total.in_time + total.late + total.rejected + total.failed, "{total:?}");
 }
 
 #[test]
 fn same_seed_gives_same_results_on_any_thread() {
-    let mut p = plan(Some((FaultKind::CrashPrimary, 1.0)));
-    p.faults.push(Fault {
+    let mut crash_plan = plan(Some((FaultKind::CrashPrimary, 1.0)));
+    crash_plan.faults.push(Fault {
         kind: FaultKind::RestartRouters,
         start_s: 3.0,
         duration_s: 0.5,
         count: 2,
         severity: 1.0,
     });
-    let first = play(&p);
-    let again: Vec<Results> = std::thread::scope(|s| {
-        let runs: Vec<_> = (0..3).map(|_| s.spawn(|| play(&p))).collect();
-        runs.into_iter().map(|r| r.join().unwrap()).collect()
+    let first = play(&crash_plan);
+    let again: Vec<Results> = std::thread::scope(|scope| {
+        let runs: Vec<_> = (0..3).map(|_| scope.spawn(|| play(&crash_plan))).collect();
+        runs.into_iter().map(|run| run.join().unwrap()).collect()
     });
-    assert!(again.iter().all(|r| *r == first));
-    assert_ne!(play(&Plan { seed: 2, ..p }).total(), first.total());
+    assert!(again.iter().all(|results| *results == first));
+    assert_ne!(play(&Plan { seed: 2, ..crash_plan }).total(), first.total());
 }
 
 #[test]
-fn run_without_faults_is_served_in_time_mostly_by_replicas() {
-    let r = play(&plan(None));
-    assert_no_violations(&r);
-    let t = r.total();
-    assert!(t.goodput() > 0.98, "{t:?}");
-    assert!(t.primary_attempts * 2 < t.attempts, "{t:?}");
+fn without_faults_requests_are_served_in_time_mostly_by_replicas() {
+    let results = play(&plan(None));
+    assert_no_violations(&results);
+    let total = results.total();
+    assert!(total.goodput() > 0.98, "{total:?}");
+    assert!(total.primary_attempts * 2 < total.attempts, "{total:?}");
 }
 
 #[test]
@@ -68,14 +68,19 @@
         (FaultKind::LoadSurge, 4.0),
     ];
     for (kind, severity) in faults {
-        let r = play(&plan(Some((kind, severity))));
-        assert!(r.violations.is_empty(), "{kind:?}: {:?} {:#?}", r.violations, r.first_violations);
-        assert_no_violations(&r);
+        let results = play(&plan(Some((kind, severity))));
+        assert!(
+            results.violations.is_empty(),
+            "{kind:?}: {:?} {:#?}",
+            results.violations,
+            results.first_violations
+        );
+        assert_no_violations(&results);
     }
 }
 
 #[test]
-fn faulty_plan_is_refused_with_its_key() {
+fn invalid_plan_is_rejected_with_the_key() {
     assert!(Plan::read("").is_ok());
     for (text, expected) in [
         ("ratee = 1", "ratee"),
@@ -84,33 +89,38 @@
         ("[[trouble]]\nkind = 'fire'\nat_s = 1", "fire"),
         ("[[class]]\nname='a'\nfreshness='x'\naim_ms=1\ndeadline_ms=2\nwork_ms=1\nshare=1", "class a"),
     ] {
-        let e = Plan::read(text).unwrap_err().to_string();
-        assert!(e.contains(expected), "{text}: {e}");
+        let error = Plan::read(text).unwrap_err().to_string();
+        assert!(error.contains(expected), "{text}: {error}");
     }
 }
 
 #[test]
-fn injected_bugs_are_found() {
-    let close = |p: Plan| Plan { session_count: 30, replication_delay_ms: 200.0, ..p };
-    let mut writes = plan(Some((FaultKind::ResetConnections, 1.0)));
-    writes.faults = (0..20)
-        .map(|n| Fault {
+fn checker_finds_each_injected_bug() {
+    let with_replication_lag = |plan: Plan| Plan { session_count: 30, replication_delay_ms: 200.0, ..plan };
+    let mut write_plan = plan(Some((FaultKind::ResetConnections, 1.0)));
+    write_plan.faults = (0..20)
+        .map(|index| Fault {
             kind: FaultKind::ResetConnections,
-            start_s: 1.0 + f64::from(n) * 0.2,
+            start_s: 1.0 + f64::from(index) * 0.2,
             duration_s: 0.0,
             count: 0,
             severity: 1.0,
         })
         .collect();
-    writes.classes.last_mut().unwrap().load_share = 30.0;
-    for (p, bug, rule) in [
-        (close(plan(None)), InjectedBug::IgnoreSessionCommits, Rule::ReadYourWrites),
+    write_plan.classes.last_mut().unwrap().load_share = 30.0;
+    for (plan_without_bug, bug, rule) in [
+        (with_replication_lag(plan(None)), InjectedBug::IgnoreSessionCommits, Rule::ReadYourWrites),
         (plan(Some((FaultKind::Drain, 1.0))), InjectedBug::IgnoreDrains, Rule::DrainRespected),
-        (writes, InjectedBug::ReportResetsAsConnectFailures, Rule::NoUnsafeRetry),
+        (write_plan, InjectedBug::ReportResetsAsConnectFailures, Rule::NoUnsafeRetry),
     ] {
-        let sound = play(&p);
-        assert!(sound.violations.is_empty(), "{bug:?}: {:?} {:#?}", sound.violations, sound.first_violations);
-        let faulty = play(&Plan { injected_bug: Some(bug), ..p });
-        assert!(faulty.violations.contains_key(&rule), "{bug:?}: {:?}", faulty.violations);
+        let without_bug = play(&plan_without_bug);
+        assert!(
+            without_bug.violations.is_empty(),
+            "{bug:?}: {:?} {:#?}",
+            without_bug.violations,
+            without_bug.first_violations
+        );
+        let with_bug = play(&Plan { injected_bug: Some(bug), ..plan_without_bug });
+        assert!(with_bug.violations.contains_key(&rule), "{bug:?}: {:?}", with_bug.violations);
     }
 }
--- a/simulator/tests/recorded_runs.rs
+++ b/simulator/tests/recorded_runs.rs
@@ -1,11 +1,12 @@
-//! Runs and plans recorded as text: what a plan and a seed give, and the keys of a plan's file, never change.
+//! Compares runs and plans with recorded fixtures: the results of a plan and seed, and the keys of plan
+//! files, must not change.
 use simulator::{Fault, FaultKind, InjectedBug, Plan, Results, play};
 use testkit::fixture::Fixtures;
 use testkit::hash::fnv1a;
 
 const FIXTURES: Fixtures = testkit::fixtures!();
 
-/// Each kind with its name and severity in the recordings.
+/// Each fault kind, with the name and severity used in the recordings.
 const KINDS: [(FaultKind, &str, f64); 14] = [
     (FaultKind::CrashPrimary, "CrashPrimary", 1.0),
     (FaultKind::CrashReplica, "CrashReplica", 1.0),
@@ -56,9 +57,9 @@
     let faults = KINDS
         .iter()
         .enumerate()
-        .map(|(n, (kind, _, severity))| Fault {
+        .map(|(index, (kind, _, severity))| Fault {
             kind: *kind,
-            start_s: 1.0 + 0.2 * n as f64,
+            start_s: 1.0 + 0.2 * index as f64,
             duration_s: 0.7,
             count: 1,
             severity: *severity,
@@ -76,9 +77,9 @@
         (InjectedBug::IgnoreDrains, "ignore_drains"),
         (InjectedBug::ReportResetsAsConnectFailures, "deny_resets"),
     ] {
-        let reset = |n| Fault {
+        let reset = |index| Fault {
             kind: FaultKind::ResetConnections,
-            start_s: 1.0 + f64::from(n) * 0.2,
+            start_s: 1.0 + f64::from(index) * 0.2,
             duration_s: 0.0,
             count: 0,
             severity: 1.0,
@@ -99,9 +100,9 @@
         assert!(!results.violations.is_empty(), "{name}");
         let text = serde_json::to_string_pretty(&results).unwrap() + "\n";
         FIXTURES.assert_same(&format!("{name}.json"), &text);
-        // Numbers with a fraction are read again to within their last digit.
-        let read: Results = serde_json::from_str(&text).unwrap();
-        assert_eq!(Results { spread: results.spread.clone(), ..read }, results, "{name}");
+        // Parsed floating-point numbers may differ from the written ones in the last digit.
+        let parsed: Results = serde_json::from_str(&text).unwrap();
+        assert_eq!(Results { spread: results.spread.clone(), ..parsed }, results, "{name}");
     }
 }
 
@@ -132,15 +133,15 @@
         written += "# next\n";
     }
     FIXTURES.assert_same("plans.toml", &written);
-    for one in written.split("# next\n").filter(|one| !one.is_empty()) {
-        assert_eq!(text(&Plan::read(one).unwrap()), one);
+    for document in written.split("# next\n").filter(|document| !document.is_empty()) {
+        assert_eq!(text(&Plan::read(document).unwrap()), document);
     }
 }
 
 #[test]
-fn faulty_plan_is_refused_with_recorded_message() {
+fn invalid_plan_is_rejected_with_recorded_message() {
     let class = "[[class]]\nname='a'\n";
-    let rest = "work_ms=1\nshare=1\n";
+    let valid_keys = "work_ms=1\nshare=1\n";
     let mut messages = String::new();
     for text in [
         "ratee = 1".to_string(),
@@ -150,9 +151,9 @@
         "[[trouble]]\nkind = 'fire'\nat_s = 1".into(),
         "[[trouble]]\nkind = 'hang'\nat = 1".into(),
         "plant = 'weed'".into(),
-        format!("{class}freshness='x'\naim_ms=1\ndeadline_ms=2\n{rest}"),
-        format!("{class}freshness='any'\naim_ms=3\ndeadline_ms=2\n{rest}"),
-        format!("{class}freshness='write'\nsafe=true\naim_ms=1\ndeadline_ms=2\n{rest}"),
+        format!("{class}freshness='x'\naim_ms=1\ndeadline_ms=2\n{valid_keys}"),
+        format!("{class}freshness='any'\naim_ms=3\ndeadline_ms=2\n{valid_keys}"),
+        format!("{class}freshness='write'\nsafe=true\naim_ms=1\ndeadline_ms=2\n{valid_keys}"),
     ] {
         messages += &format!("{}\n\n", Plan::read(&text).unwrap_err().to_string().trim_end());
     }
--- a/simulator/tests/results.rs
+++ b/simulator/tests/results.rs
@@ -1,14 +1,14 @@
-//! Recorded latencies.
+//! Tests of the latency recorder.
 use simulator::results::LatencyRecorder;
 
 #[test]
-fn long_latencies_are_recorded_without_clipping() {
+fn latencies_up_to_one_second_are_not_clipped() {
     let mut recorder = LatencyRecorder::new();
-    (1..=1000).for_each(|n| recorder.record(n * 1000));
+    (1..=1000).for_each(|millisecond| recorder.record(millisecond * 1000));
     let latency = recorder.latency();
-    let near = |a: u64, b: u64| a.abs_diff(b) <= b / 500;
+    let is_near = |found: u64, expected: u64| found.abs_diff(expected) <= expected / 500;
     assert!(
-        near(latency.p50, 500_000) && near(latency.p99, 990_000) && near(latency.max, 1_000_000),
+        is_near(latency.p50, 500_000) && is_near(latency.p99, 990_000) && is_near(latency.max, 1_000_000),
         "{latency:?}"
     );
 }
