--- a/testkit/src/fixture.rs
+++ b/testkit/src/fixture.rs
@@ -1,7 +1,7 @@
-//! Files under `tests/fixtures` of a package, and what the present code gives in comparison with them.
+//! Fixtures: the files under `tests/fixtures` of a package, and the comparison of a test's output with them.
 use std::path::{Path, PathBuf};
 
-/// The fixtures of the package whose test names this macro.
+/// Creates the [`Fixtures`](crate::fixture::Fixtures) of the package whose test calls this macro.
 #[macro_export]
 macro_rules! fixtures {
     () => {
@@ -13,7 +13,7 @@
     };
 }
 
-/// The folder `tests/fixtures` of one package. [`fixtures!`](crate::fixtures) makes it.
+/// The folder `tests/fixtures` of one package. Created by [`fixtures!`](crate::fixtures).
 #[derive(Clone, Copy)]
 pub struct Fixtures {
     package: &'static str,
@@ -22,7 +22,8 @@
 }
 
 impl Fixtures {
-    /// The fixtures of a package by its name and folder. What differs from a fixture is written to `output_folder`.
+    /// Creates the fixtures of a package from its name and folder. Output that differs from a fixture is
+    /// written to `output_folder`.
     pub const fn new(
         package: &'static str,
         package_folder: &'static str,
@@ -31,33 +32,35 @@
         Fixtures { package, package_folder, output_folder }
     }
 
-    /// Where the fixture of this name is.
+    /// Returns the path of the fixture of this name.
     pub fn path(&self, name: &str) -> PathBuf {
         Path::new(self.package_folder).join("tests/fixtures").join(name)
     }
 
-    /// The bytes of a fixture.
+    /// Reads a fixture as bytes.
     ///
     /// # Panics
-    /// If it can't be read.
+    /// Panics if the file can't be read.
     pub fn bytes(&self, name: &str) -> Vec<u8> {
         let path = self.path(name);
         std::fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
     }
 
-    /// The text of a fixture.
+    /// Reads a fixture as text.
     ///
     /// # Panics
-    /// If it can't be read, or is not UTF-8.
+    /// Panics if the file can't be read or is not UTF-8.
     pub fn text(&self, name: &str) -> String {
-        String::from_utf8(self.bytes(name)).expect("a fixture in UTF-8")
+        String::from_utf8(self.bytes(name)).expect("the fixture is valid UTF-8")
     }
 
-    /// Compares with a fixture byte for byte. A fixture is never written from here: where the difference is intended, the
-    /// output that the message names replaces the fixture by hand, and the commit says why.
+    /// Compares output with a fixture byte for byte. Never writes the fixture: if the difference is intended,
+    /// replace the fixture by hand with the output file that the message names, and give the reason in the
+    /// commit.
     ///
     /// # Panics
-    /// If they differ, or if there is no such fixture; the message names the first line that differs.
+    /// Panics if the output differs or the fixture does not exist; the message names the first line that
+    /// differs.
     #[track_caller]
     pub fn assert_same(&self, name: &str, found: impl AsRef<[u8]>) {
         let found = found.as_ref();
@@ -66,9 +69,9 @@
             return;
         }
         let output = Path::new(self.output_folder).join(format!("{}-{name}", self.package));
-        std::fs::write(&output, found).expect("the build's folder can be written");
+        std::fs::write(&output, found).expect("the output folder is writable");
         panic!(
-            "the output differs from {} {}; it is in {}",
+            "output differs from fixture {} {}; the output was written to {}",
             self.path(name).display(),
             first_difference(&recorded, found),
             output.display()
@@ -76,7 +79,7 @@
     }
 }
 
-/// The first line that differs, or which text ends before the other.
+/// Describes the first line that differs or, if one text is a prefix of the other, both lengths.
 fn first_difference(recorded: &[u8], found: &[u8]) -> String {
     let (recorded, found) = (String::from_utf8_lossy(recorded), String::from_utf8_lossy(found));
     let lines = recorded.lines().zip(found.lines());
--- a/testkit/src/random.rs
+++ b/testkit/src/random.rs
@@ -1,43 +1,44 @@
-//! Generators of random numbers for recorded runs: small, and fixed for good, since the fixtures follow from them.
+//! Deterministic random number generators for recorded runs. Their algorithms must not change, since the
+//! fixtures depend on the numbers.
 
-/// A generator whose numbers follow from its seed alone.
+/// A random number generator whose numbers depend on its seed alone.
 pub trait Random {
-    /// The next number of the generator. Not all of its 64 bits need be random.
+    /// Returns the next number of the generator. Some generators give fewer than 64 random bits.
     fn next_number(&mut self) -> u64;
 
-    /// A number from 0 to below `bound`.
+    /// Returns a number from 0 to below `bound`.
     ///
     /// # Panics
-    /// If `bound` is 0.
+    /// Panics if `bound` is 0.
     fn below(&mut self, bound: u64) -> u64 {
         self.next_number() % bound
     }
 
-    /// A time from 0 to below `bound`, in the unit of `bound`.
+    /// Returns a time from 0 to below `bound`, in the unit of `bound`.
     ///
     /// # Panics
-    /// If `bound` is 0.
+    /// Panics if `bound` is 0.
     fn time_below(&mut self, bound: i64) -> i64 {
         self.below(bound as u64) as i64
     }
 
-    /// True once in `bound` times on average.
+    /// Returns true with a probability of 1 in `bound`.
     ///
     /// # Panics
-    /// If `bound` is 0.
+    /// Panics if `bound` is 0.
     fn one_in(&mut self, bound: u64) -> bool {
         self.below(bound) == 0
     }
 
-    /// True half of the time.
+    /// Returns true with a probability of one half.
     fn coin(&mut self) -> bool {
         self.one_in(2)
     }
 
-    /// One of the items.
+    /// Returns a random item of the slice.
     ///
     /// # Panics
-    /// If there are none.
+    /// Panics if the slice is empty.
     fn pick<'a, T>(&mut self, items: &'a [T]) -> &'a T
     where
         Self: Sized,
@@ -50,7 +51,7 @@
 pub struct SplitMix64(u64);
 
 impl SplitMix64 {
-    /// A generator that begins from this seed.
+    /// Creates a generator with this seed.
     pub fn new(seed: u64) -> SplitMix64 {
         SplitMix64(seed)
     }
@@ -70,10 +71,10 @@
 pub struct XorShift64(u64);
 
 impl XorShift64 {
-    /// A generator that begins from this seed.
+    /// Creates a generator with this seed.
     ///
     /// # Panics
-    /// If the seed is 0, from which every number would be 0.
+    /// Panics if the seed is 0, as every number would be 0.
     pub fn new(seed: u64) -> XorShift64 {
         assert_ne!(seed, 0, "xorshift needs a seed other than 0");
         XorShift64(seed)
@@ -89,11 +90,11 @@
     }
 }
 
-/// The linear congruential generator of Donald Knuth's MMIX, of whose state the upper 31 bits are given.
+/// The linear congruential generator of Donald Knuth's MMIX. It returns the upper 31 bits of the 64-bit state.
 pub struct LinearCongruential(u64);
 
 impl LinearCongruential {
-    /// A generator that begins from this seed.
+    /// Creates a generator with this seed.
     pub fn new(seed: u64) -> LinearCongruential {
         LinearCongruential(seed)
     }
--- a/testkit/src/routing.rs
+++ b/testkit/src/routing.rs
@@ -1,5 +1,5 @@
-//! An endpoint list that runs without backends: its actor applies updates, and the test receives what the router's actor
-//! would.
+//! An endpoint list without backends: its actor applies updates, and the test receives the messages that the
+//! router's actor would receive.
 use crossbeam_channel::Sender;
 use routing::{
     AttemptGuard, BackendProtocol, Clock, Connection, ConnectionPermit, EndpointEntry, EndpointsHandle,
@@ -12,16 +12,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The longest that a test waits for what has to happen; only a failure reaches it.
+/// Timeout of a test's waits; reached only if the test fails.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 const MAX_DESCRIPTORS: usize = 256;
 const MEMORY_BYTES: usize = 192 << 20;
 
-/// A protocol that connects to nothing.
+/// A backend protocol for tests that open no backend connections.
 pub struct NoProtocol;
 
-/// A connection that is never made.
+/// The connection type of [`NoProtocol`]; no test creates one.
 pub struct NoConnection(ServerSocket);
 
 impl BackendProtocol for NoProtocol {
@@ -30,7 +30,7 @@
     type Connection = NoConnection;
 
     fn connect(&self, _: SocketAddr, _: ConnectionPermit) -> Result<NoConnection, Outcome> {
-        unreachable!("no endpoint is asked")
+        unreachable!("tests with NoProtocol open no backend connection")
     }
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// Limits that no test reaches, with this bound for each wait.
+/// Limits that no test reaches, with `timeout` for each of the times.
 pub fn limits(timeout: Duration) -> Limits {
     Limits::new(
         ProcessResources { descriptors: MAX_DESCRIPTORS, memory_bytes: MEMORY_BYTES },
@@ -60,12 +60,12 @@
     )
 }
 
-/// The address of this port on loopback.
+/// Returns the loopback address with this port.
 pub fn addr(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// A ready replica on loopback, without a site and started long ago.
+/// Returns the entry of a ready replica on loopback, without a site, whose process is taken to run for long.
 pub fn endpoint(id: &str, port: u16, group: GroupId) -> EndpointEntry {
     EndpointEntry {
         id: id.into(),
@@ -80,14 +80,15 @@
     }
 }
 
-/// Starts the actor of an endpoint list. `router` gets what the router's actor would.
+/// Starts the actor of an endpoint list. `router` receives the messages for the router's actor.
 ///
 /// # Panics
-/// If the system starts no thread.
+/// Panics if the operating system cannot start a thread.
 pub fn start_endpoints(
     limits: &Limits,
     router: Sender<RouterMessage<NoProtocol>>,
     metrics: Option<Arc<Metrics>>,
 ) -> EndpointsHandle {
-    routing::endpoints::start(limits, router, metrics, WallClock::new(Clock::new())).expect("a thread")
+    routing::endpoints::start(limits, router, metrics, WallClock::new(Clock::new()))
+        .expect("the operating system can start a thread")
 }
--- a/testkit/tests/fixture_files.rs
+++ b/testkit/tests/fixture_files.rs
@@ -1,4 +1,5 @@
-//! Comparison with fixtures: what is the same passes, anything else fails and leaves the fixture as it is.
+//! Tests of the comparison with fixtures: equal output passes; any other fails and leaves the fixture
+//! unchanged.
 use testkit::fixture::Fixtures;
 use testkit::hex;
 
@@ -6,14 +7,14 @@
 const NAME: &str = "two_lines.txt";
 
 #[test]
-fn same_text_passes() {
+fn equal_text_passes() {
     FIXTURES.assert_same(NAME, "first line\nsecond line\n");
     assert_eq!(FIXTURES.text(NAME).as_bytes(), FIXTURES.bytes(NAME));
 }
 
 #[test]
 #[should_panic(expected = r#"at line 2: recorded "second line", found "other line""#)]
-fn other_text_fails_with_its_first_different_line() {
+fn different_text_fails_and_names_the_first_differing_line() {
     FIXTURES.assert_same(NAME, "first line\nother line\n");
 }
 
@@ -25,13 +26,13 @@
 
 #[test]
 fn missing_fixture_fails_even_for_empty_output_and_is_not_written() {
-    let compared = std::panic::catch_unwind(|| FIXTURES.assert_same("missing.txt", ""));
-    assert!(compared.is_err());
+    let result = std::panic::catch_unwind(|| FIXTURES.assert_same("missing.txt", ""));
+    assert!(result.is_err());
     assert!(!FIXTURES.path("missing.txt").exists());
 }
 
 #[test]
-fn hexadecimal_digits_are_read_as_written() {
+fn hexadecimal_digits_are_decoded_and_encoded() {
     assert_eq!(hex::encode(&[0, 0x7f, 0xff]), "007fff");
     assert_eq!(hex::decode(" 007fff\n"), [0, 0x7f, 0xff]);
     assert_eq!(hex::decode_line("a: 01\nab: 02\n", "ab: "), [2]);
@@ -39,12 +40,12 @@
 
 #[test]
 #[should_panic(expected = "two digits for each byte")]
-fn half_a_byte_is_rejected() {
+fn odd_number_of_digits_is_rejected() {
     hex::decode("007");
 }
 
 #[test]
 #[should_panic(expected = r#"no line begins with "b: ""#)]
-fn unrecorded_name_is_rejected() {
+fn missing_line_is_rejected() {
     hex::decode_line("a: 01\n", "b: ");
 }
