--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -1,5 +1,6 @@
-//! Long measurements of the registry client on the real program: `cargo bench --bench registry -- PART`, where PART is
-//! `drain` or `size`; without one, both. Each part compares its arms within the one run.
+//! Benchmarks of the registry client, run on the real program: `cargo bench --bench registry -- PART`, where
+//! PART is `drain` or `size`; without an argument, both run. All variants that are compared with each other
+//! run in one invocation.
 #[path = "../tests/common/mod.rs"]
 mod common;
 mod support;
@@ -20,26 +21,26 @@
 use test_servers::replication_group::ReplicationGroup;
 
 const PREFIX: &str = "/damsonvale/shop/";
-/// Time between a primary's heartbeats.
-const HEARTBEAT: Duration = Duration::from_millis(5);
+/// Interval of a primary's heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Drains of each arm.
+/// Number of drains that are measured for each variant.
 const DRAINS: usize = 60;
-/// Clients that read all the time while nodes drain.
+/// Number of clients that read continuously while nodes drain.
 const READERS: usize = 8;
-/// Reads that a node must have served before it drains.
+/// Number of reads that a node must have served before it is drained.
 const READS_BEFORE_DRAIN: usize = 20;
-/// How long the registry is down before a drain over a broken watch.
+/// Time that the registry is down before a drain whose watch is broken.
 const REGISTRY_OUTAGE: Duration = Duration::from_millis(30);
-/// Time after which a drained node receives nothing more.
-const DRAIN_SETTLED: Duration = Duration::from_millis(400);
+/// Time to wait after a drain until the node certainly receives no more requests.
+const DRAIN_SETTLE_TIME: Duration = Duration::from_millis(400);
 
-/// Changes of a list, one each millisecond.
+/// Number of changes made to a list, one per millisecond.
 const CHANGES: usize = 5000;
-/// Step between the nodes that are changed one after the other; prime, so that all are.
+/// Distance between the indices of nodes changed one after the other; prime, so that every node is changed.
 const CHANGE_STEP: usize = 7919;
-/// Microseconds of a clock tick.
-const TICK_MICROSECONDS: f64 = 10_000.0;
+/// Length of a clock tick of the operating system, in microseconds.
+const CLOCK_TICK_MICROSECONDS: f64 = 10_000.0;
 
 fn write_settings(folder: &TestFolder, registry: &Registry, kind: &str) -> String {
     let endpoints: Vec<String> = registry.addrs().iter().map(|address| format!("'{address}'")).collect();
@@ -78,41 +79,41 @@
     Conn::new(options)
 }
 
-/// Reads, and returns whether a node answered.
+/// Sends a read, and returns whether a node responded.
 fn read(client: &mut Conn) -> bool {
     let row = client.query_first::<(String, String), _>("SELECT n FROM basket WHERE k = 'x' /* c=any */");
     row.is_ok_and(|row| row.is_some())
 }
 
-/// Whether the registry is reachable when a node drains.
+/// State of the router's registry watch when a node is drained.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Watch {
-    Standing,
+enum WatchState {
+    Connected,
     Broken,
 }
 
-impl Watch {
+impl WatchState {
     fn label(self) -> &'static str {
         match self {
-            Watch::Standing => "without a break",
-            Watch::Broken => "over a break",
+            WatchState::Connected => "watch connected",
+            WatchState::Broken => "watch broken",
         }
     }
 }
 
-/// A registry with three nodes, of which one is drained again and again.
+/// A registry with three nodes, one of which is drained repeatedly.
 struct DrainBench {
     registry: Registry,
     nodes: ReplicationGroup,
 }
 
 impl DrainBench {
-    /// The node that is drained.
-    const DRAINED: usize = 1;
+    /// Index of the node that is drained.
+    const DRAINED_NODE: usize = 1;
 
     fn start() -> DrainBench {
         let registry = Registry::start(1, None);
-        let nodes = ReplicationGroup::start(&[Duration::ZERO; 2], HEARTBEAT);
+        let nodes = ReplicationGroup::start(&[Duration::ZERO; 2], HEARTBEAT_INTERVAL);
         let bench = DrainBench { registry, nodes };
         (0..3).for_each(|node| bench.register(node, "in_service"));
         bench
@@ -124,8 +125,8 @@
     }
 
     fn wait_until_served(&self) {
-        let (begin, before) = (Instant::now(), self.nodes.counts(Self::DRAINED).reads);
-        while self.nodes.counts(Self::DRAINED).reads < before + READS_BEFORE_DRAIN {
+        let (begin, before) = (Instant::now(), self.nodes.counts(Self::DRAINED_NODE).reads);
+        while self.nodes.counts(Self::DRAINED_NODE).reads < before + READS_BEFORE_DRAIN {
             assert!(begin.elapsed() < TIMEOUT);
         }
     }
@@ -136,7 +137,8 @@
         std::thread::sleep(REGISTRY_OUTAGE);
     }
 
-    /// Ends the outage, and waits for the router's next connection: it can know of the drain from then on.
+    /// Ends the registry's outage and waits for the router's next request to it, from which on the router can
+    /// learn of the drain.
     fn restore_watch(&self) {
         self.registry.compact();
         let requests = || self.registry.watch_count(0) + self.registry.read_count();
@@ -148,20 +150,20 @@
         }
     }
 
-    /// Drains the node: the time until its last read.
-    fn drain(&self, watch: Watch) -> Duration {
-        self.register(Self::DRAINED, "in_service");
+    /// Drains the node, and returns the time until the last read that it received.
+    fn drain(&self, watch: WatchState) -> Duration {
+        self.register(Self::DRAINED_NODE, "in_service");
         self.wait_until_served();
-        if watch == Watch::Broken {
+        if watch == WatchState::Broken {
             self.break_watch();
         }
-        self.register(Self::DRAINED, "draining");
-        if watch == Watch::Broken {
+        self.register(Self::DRAINED_NODE, "draining");
+        if watch == WatchState::Broken {
             self.restore_watch();
         }
         let drained_at = Instant::now();
-        std::thread::sleep(DRAIN_SETTLED);
-        let last_read = self.nodes.last_read(Self::DRAINED);
+        std::thread::sleep(DRAIN_SETTLE_TIME);
+        let last_read = self.nodes.last_read(Self::DRAINED_NODE);
         last_read.map_or(Duration::ZERO, |at| at.saturating_duration_since(drained_at))
     }
 }
@@ -179,10 +181,10 @@
     (0..READERS).map(start_reader).collect()
 }
 
-/// Measures the time from the registry's write to the last request that a drained node receives.
+/// Measures the time from the write to the registry until the last request that a drained node receives.
 fn measure_drain() {
     println!(
-        "drain: milliseconds from the registry's write to the node's last request, limit 250, {DRAINS} rounds"
+        "drain: milliseconds from the registry write to the node's last request, limit 250, {DRAINS} rounds"
     );
     println!("{:<34}{:>8}{:>8}{:>8}{:>8}", "", "p50", "p90", "p99", "max");
     for kind in ["etcd", "consul"] {
@@ -191,10 +193,11 @@
         let (_router, address) = start_router(&folder, &bench.registry, kind);
         let done = Arc::new(AtomicBool::new(false));
         let readers = start_readers(address, &done);
-        for watch in [Watch::Standing, Watch::Broken] {
-            let mut histogram: Histogram<u64> = Histogram::new(3).expect("three digits are allowed");
+        for watch in [WatchState::Connected, WatchState::Broken] {
+            let mut histogram: Histogram<u64> =
+                Histogram::new(3).expect("histograms support 3 significant digits");
             for _ in 0..DRAINS {
-                histogram.record(bench.drain(watch).as_micros() as u64).expect("the histogram grows");
+                histogram.record(bench.drain(watch).as_micros() as u64).expect("the histogram resizes");
             }
             print_latencies(&format!("{kind}, {}", watch.label()), &histogram);
         }
@@ -209,18 +212,19 @@
     println!("{name:<34}{p50:>8.2}{p90:>8.2}{p99:>8.2}{max:>8.2}");
 }
 
-/// CPU time of a process, in clock ticks.
+/// Returns the CPU time of a process, in clock ticks.
 fn cpu_ticks(process: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
-    // The program's name in parentheses may have spaces.
+    // The program's name, in parentheses, may contain spaces.
     let fields = stat.rsplit(')').next().unwrap_or("");
     fields.split_whitespace().skip(11).take(2).filter_map(|ticks| ticks.parse::<u64>().ok()).sum()
 }
 
-/// A registry with a long list: three nodes that run, and others that nothing listens for.
+/// A registry with a long list: three nodes with running servers, and stub nodes, whose addresses nothing
+/// listens on.
 struct LongList {
     registry: Registry,
-    /// Servers of the first three nodes.
+    /// Running servers of the first three nodes.
     _running: ReplicationGroup,
     nodes: usize,
 }
@@ -228,47 +232,50 @@
 impl LongList {
     fn start(nodes: usize) -> LongList {
         let registry = Registry::start(1, None);
-        let running = ReplicationGroup::start(&[Duration::ZERO; 2], HEARTBEAT);
+        let running = ReplicationGroup::start(&[Duration::ZERO; 2], HEARTBEAT_INTERVAL);
         registry.apply_together(|content| {
             for (name, address) in running.servers() {
                 content.put(&node_key(&name), node_value(address, 0, "in_service", 1.0).into_bytes(), None);
             }
             for node in 3..nodes {
-                content.put(&extra_key(node), extra_value(node, "in_service", 1.0).into_bytes(), None);
+                content.put(&stub_key(node), stub_value(node, "in_service", 1.0).into_bytes(), None);
             }
         });
         LongList { registry, _running: running, nodes }
     }
 
-    /// Changes the weights of nodes, one each millisecond.
+    /// Changes the weights of nodes, one node per millisecond.
     fn change_weights(&self) {
         let begin = Instant::now();
         for change in 0..CHANGES {
             let node = 3 + change * CHANGE_STEP % (self.nodes - 3);
             let weight = 1.0 + change as f64 / 1000.0;
-            self.registry.put(&extra_key(node), &extra_value(node, "in_service", weight));
+            self.registry.put(&stub_key(node), &stub_value(node, "in_service", weight));
             let due = begin + Duration::from_millis(change as u64 + 1);
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
         }
     }
 }
 
-fn extra_key(node: usize) -> String {
+fn stub_key(node: usize) -> String {
     node_key(&format!("extra-{node:05}"))
 }
 
-/// A node of a group that no client asks for, at an address that nothing listens on.
-fn extra_value(node: usize, state: &str, weight: f64) -> String {
+/// Returns the value of a stub node: one without a server, in a group that no client sends requests to.
+fn stub_value(node: usize, state: &str, weight: f64) -> String {
     let address = ([127, 1, (node / 250) as u8, (node % 250) as u8 + 1], 3306).into();
     node_value(address, 1 + node / 3, state, weight)
 }
 
-/// Measures what a long list costs: the time to the first answer, memory, threads, and CPU time of each change.
+/// Measures the cost of a long list: the time to the first response, memory, threads, and the CPU time per
+/// change.
 fn measure_size() {
-    println!("size: a list of so many nodes in groups of three, {CHANGES} changes at 1,000 a second");
+    println!(
+        "size: cost of a list by its number of nodes, in groups of three, {CHANGES} changes at 1,000 per second"
+    );
     println!(
         "{:<10}{:>14}{:>10}{:>10}{:>16}{:>14}",
-        "nodes", "first ms", "RSS MB", "threads", "us a change", "behind ms"
+        "nodes", "response ms", "RSS MB", "threads", "us per change", "lag ms"
     );
     for nodes in [100, 1000, 10_000] {
         measure_list(nodes);
@@ -284,21 +291,22 @@
     while !read(&mut client) {
         assert!(begin.elapsed() < TIMEOUT);
     }
-    let first_answer = begin.elapsed().as_millis();
+    let first_response = begin.elapsed().as_millis();
     router.wait_for_log(&format!("endpoints={nodes} "));
     let process = router.child.id();
     let ticks_before = cpu_ticks(process);
     list.change_weights();
-    // The last change is a drain, whose log line shows that all before it have been applied.
+    // The last change is a drain; the router's log line on it shows that all earlier changes have been
+    // applied.
     let written_at = Instant::now();
-    list.registry.put(&extra_key(3), &extra_value(3, "draining", 1.0));
+    list.registry.put(&stub_key(3), &stub_value(3, "draining", 1.0));
     router.wait_for_log(&format!("endpoints={nodes} ready={} ", nodes - 1));
-    let behind_ms = written_at.elapsed().as_secs_f64() * 1000.0;
-    let change_us = (cpu_ticks(process) - ticks_before) as f64 * TICK_MICROSECONDS / CHANGES as f64;
+    let lag_ms = written_at.elapsed().as_secs_f64() * 1000.0;
+    let change_us = (cpu_ticks(process) - ticks_before) as f64 * CLOCK_TICK_MICROSECONDS / CHANGES as f64;
     let resident_mb = process_status(process, "VmRSS:") as f64 / 1024.0;
     let threads = process_status(process, "Threads:");
     println!(
-        "{nodes:<10}{first_answer:>14}{resident_mb:>10.1}{threads:>10}{change_us:>16.0}{behind_ms:>14.1}"
+        "{nodes:<10}{first_response:>14}{resident_mb:>10.1}{threads:>10}{change_us:>16.0}{lag_ms:>14.1}"
     );
 }
 
--- a/benches/support/mod.rs
+++ b/benches/support/mod.rs
@@ -1,14 +1,14 @@
-//! What the measurements on the real program share: the selection of parts, and figures of a process.
+//! Helpers that the benchmarks on the real program share: the selection of parts, and figures of a process.
 
-/// A part of a measurement that can be run alone.
+/// A part of a benchmark that can be run alone.
 pub(crate) struct Part {
-    /// Its name on the command line.
+    /// Name of the part on the command line.
     pub name: &'static str,
-    /// Runs it, and prints its table.
+    /// Runs the part and prints its table.
     pub run: fn(),
 }
 
-/// Runs the parts that the command line names, or all.
+/// Runs the parts that the command line names, or all if it names none.
 pub(crate) fn run_parts(parts: &[Part]) {
     let selected: Vec<String> =
         std::env::args().skip(1).filter(|argument| !argument.starts_with("--")).collect();
@@ -20,7 +20,8 @@
     }
 }
 
-/// A number of a process's `/proc` status, by its field's name with the colon; 0 if it has none.
+/// Returns a number from a process's `/proc/PID/status`, by the field's name with its colon, or 0 if the
+/// field is missing.
 pub(crate) fn process_status(process: u32, field: &str) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with(field)).unwrap_or("");
--- a/testkit/src/random.rs
+++ b/testkit/src/random.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// The linear congruential generator of Donald Knuth's MMIX. It returns the upper 31 bits of the 64-bit state.
+/// The linear congruential generator of Donald Knuth's MMIX, which returns the upper 31 bits of its state.
 pub struct LinearCongruential(u64);
 
 impl LinearCongruential {
