--- a/lab/src/parallel.rs
+++ b/lab/src/parallel.rs
@@ -1,6 +1,6 @@
 //! Plays cases on several threads.
 use crate::case::Case;
-use simulator::{Plan, play};
+use simulator::{Plan, simulate};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
@@ -30,7 +30,7 @@
         loop {
             let index = next.fetch_add(1, Ordering::Relaxed);
             let Some(case) = planned.get(index) else { return };
-            let case = Case { name: case.name.clone(), results: play(&case.plan) };
+            let case = Case { name: case.name.clone(), results: simulate(&case.plan) };
             played.lock().unwrap_or_else(PoisonError::into_inner).push((index, case));
         }
     };
--- a/lab/tests/result_files.rs
+++ b/lab/tests/result_files.rs
@@ -3,12 +3,12 @@
 use damsonvale_lab::{result_files, table};
 use parquet::file::reader::{FileReader, SerializedFileReader};
 use parquet::record::RowAccessor;
-use simulator::{Plan, play};
+use simulator::{Plan, simulate};
 
 #[test]
 fn written_results_are_read_again_and_compare_as_equal() {
     let plan = Plan { duration_s: 3.0, warmup_s: 1.0, request_rate: 200.0, ..Plan::default() };
-    let cases = [Case { name: "a".into(), results: play(&plan) }];
+    let cases = [Case { name: "a".into(), results: simulate(&plan) }];
     let folder = tempfile::tempdir().unwrap();
     result_files::write(folder.path(), &cases).unwrap();
     let read = result_files::read(folder.path()).unwrap();
--- a/simulator/src/checker.rs
+++ b/simulator/src/checker.rs
@@ -16,7 +16,7 @@
 pub enum Rule {
     /// Each request gets exactly one final response, before its deadline.
     #[serde(rename = "one_answer")]
-    SingleAnswer,
+    SingleResponse,
     /// A request that may have been executed is not retried unless its class is idempotent.
     #[serde(rename = "no_repeat")]
     NoUnsafeRetry,
@@ -25,7 +25,7 @@
     DrainRespected,
     /// No node is overloaded until it crashes while it warms up.
     #[serde(rename = "no_tip")]
-    NoColdOverload,
+    NoOverloadWhileWarmingUp,
     /// No read returns data older than its class allows.
     #[serde(rename = "no_stale")]
     BoundedStaleness,
@@ -38,10 +38,10 @@
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Rule::SingleAnswer => "OneAnswer",
+            Rule::SingleResponse => "OneAnswer",
             Rule::NoUnsafeRetry => "NoRepeat",
             Rule::DrainRespected => "Drains",
-            Rule::NoColdOverload => "NoTip",
+            Rule::NoOverloadWhileWarmingUp => "NoTip",
             Rule::BoundedStaleness => "NoStale",
             Rule::ReadYourWrites => "OwnWrites",
         })
@@ -59,7 +59,7 @@
 
 /// Kind of final response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FinalAnswer {
+pub enum FinalResponse {
     /// The router rejected the request, which asserts that the request was not executed.
     Rejected,
     /// A server's response, or a failure that leaves open whether the request was executed.
@@ -140,7 +140,7 @@
             });
         }
         let Some(state) = self.open_requests.get_mut(&key) else {
-            return self.violated(Rule::SingleAnswer, now, || {
+            return self.violated(Rule::SingleResponse, now, || {
                 format!("router {router} sends an attempt of request {request}, which has ended")
             });
         };
@@ -161,20 +161,20 @@
     }
 
     /// Records the final response to a request, and checks that it is the only one and in time.
-    pub fn request_answered(&mut self, now: Time, key: RouterRequest, answer: FinalAnswer) {
+    pub fn request_completed(&mut self, now: Time, key: RouterRequest, response: FinalResponse) {
         let RouterRequest { router, request } = key;
         let Some(state) = self.open_requests.remove(&key) else {
-            return self.violated(Rule::SingleAnswer, now, || {
+            return self.violated(Rule::SingleResponse, now, || {
                 format!("router {router}: request {request} got a second final response")
             });
         };
         if now.0 > state.deadline.0 + FINAL_RESPONSE_GRACE {
             let late = now.0 - state.deadline.0;
-            self.violated(Rule::SingleAnswer, now, || {
+            self.violated(Rule::SingleResponse, now, || {
                 format!("router {router}: request {request} got its final response {late} us late")
             });
         }
-        if answer == FinalAnswer::Rejected && !state.idempotent && state.possibly_executed > 0 {
+        if response == FinalResponse::Rejected && !state.idempotent && state.possibly_executed > 0 {
             self.violated(Rule::NoUnsafeRetry, now, || {
                 format!("router {router}: request {request} is rejected, but may have been executed")
             });
@@ -200,7 +200,7 @@
         let overdue = |state: &&RequestState| now.0 > state.deadline.0 + FINAL_RESPONSE_GRACE;
         let without_response = self.open_requests.values().filter(overdue).count();
         for _ in 0..without_response {
-            self.violated(Rule::SingleAnswer, now, || "a request got no final response".into());
+            self.violated(Rule::SingleResponse, now, || "a request got no final response".into());
         }
     }
 
@@ -215,8 +215,8 @@
     }
 
     /// Records that a node was overloaded and crashed while it warmed up.
-    pub fn cold_node_overloaded(&mut self, now: Time, node: usize) {
-        self.violated(Rule::NoColdOverload, now, || format!("node {node}"));
+    pub fn node_overloaded_while_warming_up(&mut self, now: Time, node: usize) {
+        self.violated(Rule::NoOverloadWhileWarmingUp, now, || format!("node {node}"));
     }
 
     /// Records that a write was acknowledged to the client of a session.
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -22,4 +22,4 @@
 pub use plan::{ClassPlan, Plan};
 pub use plan_validation::PlanError;
 pub use results::Results;
-pub use world::play;
+pub use world::simulate;
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -15,4 +15,4 @@
 mod setup;
 mod state;
 
-pub use run::play;
+pub use run::simulate;
--- a/simulator/src/world/nodes.rs
+++ b/simulator/src/world/nodes.rs
@@ -108,7 +108,7 @@
         if arrivals <= limit {
             return false;
         }
-        self.checker.cold_node_overloaded(now, index);
+        self.checker.node_overloaded_while_warming_up(now, index);
         self.crash_node(index);
         self.update_replicas_in_service();
         true
--- a/simulator/src/world/routers.rs
+++ b/simulator/src/world/routers.rs
@@ -3,7 +3,7 @@
     AttemptConnection, ConnectionState, ProcessEvent, Response, RouterProcess, SimulationEvent,
 };
 use super::state::{Attempt, UnacknowledgedWrite, World};
-use crate::checker::{FinalAnswer, RouterRequest, ServedRead};
+use crate::checker::{FinalResponse, RouterRequest, ServedRead};
 use crate::node::Job;
 use crate::times::{CONNECT_TIMEOUT, RUN_START, SECOND, TICK_INTERVAL, from_milliseconds};
 use decision::{Action, Event, MemberId, MemberReport, Outcome, RequestId, Time};
@@ -143,26 +143,26 @@
     }
 
     fn reject_request(&mut self, router: usize, request: RequestId, retry_after: Option<i64>) {
-        if let Some(client) = self.respond_without_node(router, request.0, FinalAnswer::Rejected) {
+        if let Some(client) = self.respond_without_node(router, request.0, FinalResponse::Rejected) {
             self.retry_or_give_up(client, retry_after);
         }
     }
 
     fn fail_request(&mut self, router: usize, request: RequestId) {
-        if let Some(client) = self.respond_without_node(router, request.0, FinalAnswer::Other) {
+        if let Some(client) = self.respond_without_node(router, request.0, FinalResponse::Other) {
             self.record_failure(client);
         }
     }
 
     /// Records a final response by the router itself. Returns the client, unless the request already had its
     /// final response.
-    fn respond_without_node(&mut self, router: usize, request: u64, answer: FinalAnswer) -> Option<u64> {
+    fn respond_without_node(&mut self, router: usize, request: u64, response: FinalResponse) -> Option<u64> {
         let open = self.routers[router].open_requests.get_mut(&request)?;
         if std::mem::replace(&mut open.responded, true) {
             return None;
         }
         let client = open.client;
-        self.checker.request_answered(self.now, RouterRequest { router, request }, answer);
+        self.checker.request_completed(self.now, RouterRequest { router, request }, response);
         self.remove_if_finished(router, request);
         Some(client)
     }
@@ -265,7 +265,7 @@
             data_position,
         };
         self.checker.read_served(self.now, read);
-        self.checker.request_answered(self.now, key, FinalAnswer::Other);
+        self.checker.request_completed(self.now, key, FinalResponse::Other);
         self.record_success(client_id);
     }
 
--- a/simulator/src/world/run.rs
+++ b/simulator/src/world/run.rs
@@ -11,7 +11,7 @@
 const GRACE_AFTER_DEADLINES: i64 = 200_000;
 
 /// Simulates a plan and returns its results.
-pub fn play(plan: &Plan) -> Results {
+pub fn simulate(plan: &Plan) -> Results {
     let mut world = World::new(plan);
     world.run();
     world.into_results()
--- a/simulator/src/world/sessions.rs
+++ b/simulator/src/world/sessions.rs
@@ -2,7 +2,7 @@
 //! writes.
 use super::events::{PeerMessage, ProcessEvent, SimulationEvent};
 use super::state::{JournalEntry, PeerConnection, UnacknowledgedWrite, World};
-use crate::checker::{FinalAnswer, RouterRequest};
+use crate::checker::{FinalResponse, RouterRequest};
 use crate::times::{CLOCK_UNCERTAINTY, JOURNAL_SYNC_DURATION};
 use decision::Time;
 use sessions::SessionKey;
@@ -81,14 +81,14 @@
         let write = self.routers[router].unacknowledged_writes.remove(&request);
         let Some(UnacknowledgedWrite { client, session, commit }) = write else { return };
         self.checker.write_acknowledged(session, commit);
-        self.checker.request_answered(self.now, RouterRequest { router, request }, FinalAnswer::Other);
+        self.checker.request_completed(self.now, RouterRequest { router, request }, FinalResponse::Other);
         self.record_success(client);
     }
 
     /// Fails a write whose commit the session machine could not record.
     fn fail_write(&mut self, router: usize, request: u64) {
         let Some(write) = self.routers[router].unacknowledged_writes.remove(&request) else { return };
-        self.checker.request_answered(self.now, RouterRequest { router, request }, FinalAnswer::Other);
+        self.checker.request_completed(self.now, RouterRequest { router, request }, FinalResponse::Other);
         self.record_failure(write.client);
     }
 }
--- a/simulator/tests/checker.rs
+++ b/simulator/tests/checker.rs
@@ -1,6 +1,6 @@
 //! Tests that the checker counts and describes violations of each rule.
 use decision::{Freshness, Time};
-use simulator::checker::{Checker, FinalAnswer, RouterRequest, Rule, ServedRead};
+use simulator::checker::{Checker, FinalResponse, RouterRequest, Rule, ServedRead};
 
 const DEADLINE: Time = Time(1_000_000);
 
@@ -35,15 +35,15 @@
     checker.attempt_not_executed(request(1));
     checker.attempt_sent(Time(2), request(1), 6);
     assert_eq!(violations(&checker, Rule::NoUnsafeRetry), 1);
-    checker.request_answered(Time(3), request(1), FinalAnswer::Rejected);
+    checker.request_completed(Time(3), request(1), FinalResponse::Rejected);
     assert_eq!(violations(&checker, Rule::NoUnsafeRetry), 2);
-    checker.request_answered(Time(4), request(1), FinalAnswer::Other);
-    assert_eq!(violations(&checker, Rule::SingleAnswer), 1);
+    checker.request_completed(Time(4), request(1), FinalResponse::Other);
+    assert_eq!(violations(&checker, Rule::SingleResponse), 1);
     checker.request_accepted(request(2), DEADLINE, true);
     checker.request_accepted(request(3), DEADLINE, true);
-    checker.request_answered(Time(1_050_001), request(2), FinalAnswer::Other);
+    checker.request_completed(Time(1_050_001), request(2), FinalResponse::Other);
     checker.run_ended(Time(2_000_000));
-    assert_eq!(violations(&checker, Rule::SingleAnswer), 3);
+    assert_eq!(violations(&checker, Rule::SingleResponse), 3);
     checker.node_state_notified(Time(0), 0, 7, false);
     checker.request_accepted(request(4), DEADLINE, true);
     checker.attempt_sent(Time(250_000), request(4), 7);
@@ -63,15 +63,15 @@
     assert_eq!(violations(&checker, Rule::NoUnsafeRetry), 2);
     checker.write_executed(Time(3), 77);
     assert_eq!(violations(&checker, Rule::NoUnsafeRetry), 3);
-    checker.cold_node_overloaded(Time(1), 3);
+    checker.node_overloaded_while_warming_up(Time(1), 3);
     assert_eq!(checker.violations.len(), 6);
 }
 
 #[test]
 fn violations_are_described_with_the_recorded_rule_names() {
     let mut checker = Checker::default();
-    checker.cold_node_overloaded(Time(1_500_000), 3);
-    checker.request_answered(Time(2_000_000), request(1), FinalAnswer::Other);
+    checker.node_overloaded_while_warming_up(Time(1_500_000), 3);
+    checker.request_completed(Time(2_000_000), request(1), FinalResponse::Other);
     assert_eq!(
         checker.first_violations,
         [
--- a/simulator/tests/play.rs
+++ b/simulator/tests/play.rs
@@ -1,6 +1,6 @@
 //! Tests of whole runs: a run is reproducible from its seed, and has no violations under any kind of fault.
 use simulator::checker::Rule;
-use simulator::{Fault, FaultKind, InjectedBug, Plan, Results, play};
+use simulator::{Fault, FaultKind, InjectedBug, Plan, Results, simulate};
 
 fn plan(kind: Option<(FaultKind, f64)>) -> Plan {
     let fault =
@@ -32,18 +32,18 @@
         count: 2,
         severity: 1.0,
     });
-    let first = play(&crash_plan);
+    let first = simulate(&crash_plan);
     let again: Vec<Results> = std::thread::scope(|scope| {
-        let runs: Vec<_> = (0..3).map(|_| scope.spawn(|| play(&crash_plan))).collect();
+        let runs: Vec<_> = (0..3).map(|_| scope.spawn(|| simulate(&crash_plan))).collect();
         runs.into_iter().map(|run| run.join().unwrap()).collect()
     });
     assert!(again.iter().all(|results| *results == first));
-    assert_ne!(play(&Plan { seed: 2, ..crash_plan }).total(), first.total());
+    assert_ne!(simulate(&Plan { seed: 2, ..crash_plan }).total(), first.total());
 }
 
 #[test]
 fn without_faults_requests_are_served_in_time_mostly_by_replicas() {
-    let results = play(&plan(None));
+    let results = simulate(&plan(None));
     assert_no_violations(&results);
     let total = results.total();
     assert!(total.goodput() > 0.98, "{total:?}");
@@ -68,7 +68,7 @@
         (FaultKind::LoadSurge, 4.0),
     ];
     for (kind, severity) in faults {
-        let results = play(&plan(Some((kind, severity))));
+        let results = simulate(&plan(Some((kind, severity))));
         assert!(
             results.violations.is_empty(),
             "{kind:?}: {:?} {:#?}",
@@ -113,14 +113,14 @@
         (plan(Some((FaultKind::Drain, 1.0))), InjectedBug::IgnoreDrains, Rule::DrainRespected),
         (write_plan, InjectedBug::ReportResetsAsConnectFailures, Rule::NoUnsafeRetry),
     ] {
-        let without_bug = play(&plan_without_bug);
+        let without_bug = simulate(&plan_without_bug);
         assert!(
             without_bug.violations.is_empty(),
             "{bug:?}: {:?} {:#?}",
             without_bug.violations,
             without_bug.first_violations
         );
-        let with_bug = play(&Plan { injected_bug: Some(bug), ..plan_without_bug });
+        let with_bug = simulate(&Plan { injected_bug: Some(bug), ..plan_without_bug });
         assert!(with_bug.violations.contains_key(&rule), "{bug:?}: {:?}", with_bug.violations);
     }
 }
--- a/simulator/tests/recorded_runs.rs
+++ b/simulator/tests/recorded_runs.rs
@@ -1,6 +1,6 @@
 //! Compares runs and plans with recorded fixtures: the results of a plan and seed, and the keys of plan
 //! files, must not change.
-use simulator::{Fault, FaultKind, InjectedBug, Plan, Results, play};
+use simulator::{Fault, FaultKind, InjectedBug, Plan, Results, simulate};
 use testkit::fixture::Fixtures;
 use testkit::hash::fnv1a;
 
@@ -43,11 +43,11 @@
 
 #[test]
 fn run_of_each_fault_kind_matches_recording() {
-    let mut lines = summary_line(&play(&short_plan("calm")));
+    let mut lines = summary_line(&simulate(&short_plan("calm")));
     for (kind, name, severity) in KINDS {
         let fault = Fault { kind, start_s: 1.5, duration_s: 1.5, count: 2, severity };
         let plan = Plan { faults: vec![fault], ..short_plan(name) };
-        lines += &summary_line(&play(&plan));
+        lines += &summary_line(&simulate(&plan));
     }
     FIXTURES.assert_same("runs.txt", &lines);
 }
@@ -66,7 +66,7 @@
         })
         .collect();
     let plan = Plan { faults, ..short_plan("all") };
-    FIXTURES.assert_same("all.json", &(serde_json::to_string_pretty(&play(&plan)).unwrap() + "\n"));
+    FIXTURES.assert_same("all.json", &(serde_json::to_string_pretty(&simulate(&plan)).unwrap() + "\n"));
 }
 
 #[test]
@@ -96,7 +96,7 @@
             ..short_plan(name)
         };
         plan.classes.last_mut().unwrap().load_share = 30.0;
-        let results = play(&plan);
+        let results = simulate(&plan);
         assert!(!results.violations.is_empty(), "{name}");
         let text = serde_json::to_string_pretty(&results).unwrap() + "\n";
         FIXTURES.assert_same(&format!("{name}.json"), &text);
