--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -21,7 +21,7 @@
 use test_servers::replication_group::ReplicationGroup;
 
 const PREFIX: &str = "/damsonvale/shop/";
-/// Interval of a primary's heartbeats.
+/// Interval between a primary's heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Number of drains that are measured for each variant.
@@ -271,7 +271,7 @@
 /// change.
 fn measure_size() {
     println!(
-        "size: cost of a list by its number of nodes, in groups of three, {CHANGES} changes at 1,000 per second"
+        "size: cost of a list by number of nodes, in groups of three, {CHANGES} changes at 1,000 per second"
     );
     println!(
         "{:<10}{:>14}{:>10}{:>10}{:>16}{:>14}",
--- a/benches/sessions.rs
+++ b/benches/sessions.rs
@@ -20,7 +20,7 @@
 use support::{Part, process_status, run_parts};
 use test_servers::replication_group::ReplicationGroup;
 
-/// Interval of a primary's heartbeats.
+/// Interval between a primary's heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(5);
 /// Number of sessions that write and read while instances are killed.
 const LOOP_SESSIONS: usize = 9;
--- a/simulator/src/checker.rs
+++ b/simulator/src/checker.rs
@@ -23,7 +23,7 @@
     /// A draining or removed node receives no attempt once the drain's grace period is over.
     #[serde(rename = "drains")]
     DrainRespected,
-    /// No node is overloaded until it crashes while it warms up.
+    /// No node is overloaded to the point of a crash while it warms up.
     #[serde(rename = "no_tip")]
     NoOverloadWhileWarmingUp,
     /// No read returns data older than its class allows.
@@ -60,13 +60,13 @@
 /// Kind of final response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
-    /// The router rejected the request, which asserts that the request was not executed.
+    /// The router rejected the request, which tells the client that it was not executed.
     Rejected,
     /// A server's response, or a failure that leaves open whether the request was executed.
     Other,
 }
 
-/// A served read, and what its data is checked against.
+/// A served read, and the requirements that its data is checked against.
 #[derive(Clone, Copy, Debug)]
 pub struct ServedRead {
     /// Freshness that the read's class requires.
@@ -129,7 +129,8 @@
         self.open_requests.insert(key, RequestState { idempotent, possibly_executed: 0, deadline });
     }
 
-    /// Records that a router has sent an attempt of a request to a node, and checks that it may.
+    /// Records that a router has sent an attempt of a request to a node, and checks that the attempt is
+    /// allowed.
     pub fn attempt_sent(&mut self, now: Time, key: RouterRequest, node: usize) {
         self.checked_attempts += 1;
         let RouterRequest { router, request } = key;
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Records that a router was killed: its requests get no response, and it has no endpoint list.
+    /// Records that a router was killed: its open requests get no response, and its endpoint list is lost.
     pub fn router_killed(&mut self, router: usize) {
         self.open_requests.retain(|key, _| key.router != router);
         self.out_of_service_since.retain(|key, _| key.router != router);
--- a/simulator/src/fault.rs
+++ b/simulator/src/fault.rs
@@ -74,7 +74,7 @@
     /// Reads of a session are sent without the commit position that they require.
     #[serde(rename = "forget_sessions")]
     IgnoreSessionCommits,
-    /// Changes of the endpoint list are not forwarded to the router's decision.
+    /// Changes of the endpoint list are not forwarded to the decision state machine.
     IgnoreDrains,
     /// A reset connection is reported as one that could not be established.
     #[serde(rename = "deny_resets")]
--- a/simulator/src/load_spread.rs
+++ b/simulator/src/load_spread.rs
@@ -5,7 +5,8 @@
 /// the mean over its replicas.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Imbalance {
-    /// Number of windows measured; in each time span, one for each group, or one for the whole fleet.
+    /// Number of windows measured: one per time span for each group, or one per time span for the whole
+    /// fleet.
     pub windows: u64,
     /// Mean of the ratio over all windows.
     pub mean: f64,
--- a/simulator/src/node.rs
+++ b/simulator/src/node.rs
@@ -49,9 +49,9 @@
     pub gray_share: f64,
     /// Factor by which writes, and applying commits, take longer.
     pub disk_slowdown: f64,
-    /// Increases with each crash, and with the end of each hang.
+    /// Epoch of the server's process; increases with each crash, and with the end of each hang.
     pub epoch: u32,
-    /// Time at which the process started; `None` if it runs since long before the simulation.
+    /// Time at which the process started; `None` if it has run since long before the simulation.
     pub started_at: Option<Time>,
     /// Number of cores that serve a request.
     pub busy_cores: usize,
@@ -68,7 +68,7 @@
 }
 
 impl Node {
-    /// Creates a server that runs since long before the simulation, so that it does not warm up.
+    /// Creates a server that has run since long before the simulation, so that it does not warm up.
     pub fn new(group: usize, zone: usize, primary: bool) -> Node {
         Node {
             group,
--- a/simulator/src/results.rs
+++ b/simulator/src/results.rs
@@ -17,7 +17,7 @@
     pub in_time: u64,
     /// Number of requests served after their latency objective.
     pub late: u64,
-    /// Number of requests that were rejected and that no retry by the client got served.
+    /// Number of requests that were rejected, and not retried or retried without success.
     #[serde(rename = "refused")]
     pub rejected: u64,
     /// Number of requests that failed.
--- a/simulator/src/spread_meter.rs
+++ b/simulator/src/spread_meter.rs
@@ -6,8 +6,8 @@
 use decision::Time;
 use std::collections::BTreeMap;
 
-/// Minimum length of a period without requests that counts as idle, in microseconds. It counts only while the
-/// replica's group has work.
+/// Minimum time without requests for which a replica counts as idle, if its group had work meanwhile; in
+/// microseconds.
 pub const MIN_IDLE_PERIOD: i64 = 2_000_000;
 /// Length of a long window, in seconds.
 pub const LONG_WINDOW: usize = 10;
@@ -25,7 +25,7 @@
     active_requests: usize,
     /// Time since which the node has no active requests, if it has none.
     idle_since: Time,
-    /// Number of requests started in the node's group when the node became idle.
+    /// Number of requests that had been started in the node's group when the node became idle.
     group_starts_when_idle: u64,
 }
 
@@ -248,7 +248,8 @@
     }
 }
 
-/// Returns the seconds covered by the long windows with the given begins, sorted and without duplicates.
+/// Returns the seconds covered by the long windows that begin at the given seconds, sorted and without
+/// duplicates.
 fn seconds_after(begins: &[usize], seconds: usize) -> Vec<usize> {
     let mut after: Vec<usize> = begins.iter().flat_map(|begin| *begin..begin + LONG_WINDOW).collect();
     after.retain(|second| *second < seconds);
--- a/simulator/src/world/clients.rs
+++ b/simulator/src/world/clients.rs
@@ -44,12 +44,12 @@
     /// Updates the counts of a client's class and second, unless the client arrived during the warm-up.
     pub(super) fn count_for_client(&mut self, client: u64, update: impl Fn(&mut Counts)) {
         let Some(client) = self.clients.get(&client) else { return };
-        let since_begin = client.arrived_at.0 - RUN_START.0;
-        if since_begin < from_seconds(self.plan.warmup_s) {
+        let since_start = client.arrived_at.0 - RUN_START.0;
+        if since_start < from_seconds(self.plan.warmup_s) {
             return;
         }
         update(&mut self.class_recorders[client.class].counts);
-        if let Some(second) = self.second_counts.get_mut((since_begin / SECOND) as usize) {
+        if let Some(second) = self.second_counts.get_mut((since_start / SECOND) as usize) {
             update(second);
         }
     }
--- a/simulator/src/world/faults.rs
+++ b/simulator/src/world/faults.rs
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Crashes a node and schedules its restart. If the node is a primary, the failover to a replica comes
-    /// first.
+    /// Crashes a node and schedules its restart. If the node is a primary, a replica is promoted before the
+    /// restart.
     fn crash_with_failover(&mut self, node: usize, duration: i64) {
         let (group, primary) = (self.nodes[node].group, self.nodes[node].primary);
         self.crash_node(node);
--- a/simulator/src/world/nodes.rs
+++ b/simulator/src/world/nodes.rs
@@ -58,7 +58,7 @@
             }
             node.connections += 1;
         }
-        if self.crashes_by_overload(index) {
+        if self.crash_if_overloaded(index) {
             return self.reject_attempt(job, index, Outcome::Reset, ConnectionState::Closed);
         }
         self.admit_job(job, index);
@@ -93,7 +93,7 @@
 
     /// Counts an arrival at a node that warms up, and crashes the node if there were too many within a
     /// second. Returns whether it crashed.
-    fn crashes_by_overload(&mut self, index: usize) -> bool {
+    fn crash_if_overloaded(&mut self, index: usize) -> bool {
         let capacity_share = self.capacity_share(index);
         if capacity_share >= 1.0 {
             return false;
@@ -246,8 +246,8 @@
         jobs
     }
 
-    /// Promotes the replica with the highest applied position, if the group has no running primary. Without a
-    /// candidate, schedules another try.
+    /// Promotes the replica with the highest applied position, if the group has no running primary. If no
+    /// replica can be promoted, retries after the failover time.
     pub(super) fn promote_replica(&mut self, group: usize) {
         let members = self.group_members(group);
         if members.clone().any(|node| self.nodes[node].primary && self.nodes[node].up) {
--- a/simulator/src/world/routers.rs
+++ b/simulator/src/world/routers.rs
@@ -125,8 +125,8 @@
         });
     }
 
-    /// Loses an attempt that is sent into a network partition: a new connection fails to be established, and
-    /// on an existing one there is never a response.
+    /// Loses an attempt that is sent into a network partition: establishing a new connection fails, and on an
+    /// existing connection no response ever arrives.
     fn lose_attempt_in_partition(&mut self, job: Job, node: usize, connection: AttemptConnection) {
         if connection != AttemptConnection::New {
             return;
@@ -242,8 +242,8 @@
         self.remove_if_finished(router, request);
     }
 
-    /// Forwards a response to the client. For a write, that waits until the session machine acknowledges the
-    /// commit.
+    /// Forwards a response to the client. The response to a write waits until session peers have acknowledged
+    /// the commit.
     fn record_response(&mut self, job: Job, commit: Option<Time>, data_position: Time) {
         let key = RouterRequest { router: job.router, request: job.request };
         let Some(open) = self.routers[key.router].open_requests.get(&key.request) else { return };
--- a/simulator/src/world/run.rs
+++ b/simulator/src/world/run.rs
@@ -56,7 +56,7 @@
             SimulationEvent::Process(process, event) if self.is_running(process) => {
                 self.handle_process_event(process, event);
             }
-            // The event's process has ended.
+            // The router process that the event is for has ended.
             SimulationEvent::Process(..) => {}
             SimulationEvent::Availability(change) => {
                 self.handle_availability_change(change);
--- a/simulator/src/world/state.rs
+++ b/simulator/src/world/state.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::ops::Range;
 
-/// A client, which makes one request and may retry it at other routers.
+/// A client, which makes one request and may retry it at any router of its session cluster.
 pub(super) struct Client {
     pub(super) class: usize,
     pub(super) group: usize,
@@ -43,7 +43,7 @@
     pub(super) responded: bool,
 }
 
-/// A write that a node has executed and that the session machine has not acknowledged yet.
+/// An executed write that is acknowledged to the client once the session peers know the session's commit.
 #[derive(Clone, Copy)]
 pub(super) struct UnacknowledgedWrite {
     pub(super) client: u64,
--- a/simulator/tests/play.rs
+++ b/simulator/tests/play.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn no_rule_is_violated_through_any_fault() {
+fn no_rule_is_violated_under_any_fault() {
     let faults = [
         (FaultKind::CrashPrimary, 1.0),
         (FaultKind::CrashReplica, 1.0),
--- a/testkit/src/routing.rs
+++ b/testkit/src/routing.rs
@@ -65,7 +65,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Returns the entry of a ready replica on loopback, without a site, whose process is taken to run for long.
+/// Returns the entry of a ready replica on loopback, without a site, that counts as started long ago.
 pub fn endpoint(id: &str, port: u16, group: GroupId) -> EndpointEntry {
     EndpointEntry {
         id: id.into(),
