--- a/multiprocess/src/check.rs
+++ b/multiprocess/src/check.rs
@@ -1,14 +1,16 @@
-//! The checker: a pure function over the whole history of a run.
+//! Checks the recorded history of a run against the guarantees. The check is a pure function of the history.
 //!
-//! **Quotas.** A request is admitted by its router after the client wrote it and before a server has read it, and both
-//! times are known. So of all requests that were sent at or after `a` and run by `b`, it is certain that they were
-//! admitted within `[a, b]`, and no slack is needed: their number may be at most `rate x (b - a) + burst`, for every
-//! `a` and `b`. The excess by arrival alone is given as a figure: it includes requests that were delayed on the way.
+//! **Quotas.** A router admits a request after the client has written it and before a server has read it, and
+//! both times are recorded. All requests that were sent at or after `a` and had run by `b` were therefore
+//! certainly admitted within `[a, b]`, and the check needs no tolerance: for every `a` and `b` their number
+//! may be at most `rate x (b - a) + burst`. The excess by arrival times alone is only reported, because it
+//! includes requests that were delayed between the router and the server.
 //!
-//! **Placement.** A statement may run only at the sites of a rule that is in force when the server reads it.
+//! **Placement.** A statement may run only at the sites of a rule that is in force when the server reads the
+//! statement.
 //!
-//! **Answers.** Each request to a router that is up gets exactly one answer, which is true: a write runs at most once,
-//! a rejected one never, and a request that was served has run.
+//! **Responses.** Each request to a router that is up gets exactly one response, and the response is correct:
+//! a write runs at most once, a rejected write never runs, and a request reported as served has run.
 mod answers;
 mod configuration;
 mod max_tree;
@@ -26,7 +28,7 @@
 
 use crate::history::History;
 
-/// Checks a whole history; the same history gives the same verdict.
+/// Checks a complete history; the same history always gives the same verdict.
 pub fn check(history: &History, settings: &CheckSettings) -> Verdict {
     let mut verdict = Verdict::default();
     quota::check(history, settings, &mut verdict);
--- a/multiprocess/src/check/configuration.rs
+++ b/multiprocess/src/check/configuration.rs
@@ -1,8 +1,8 @@
-//! Which values of a configuration are in force at a time.
+//! Finds the versions of a setting that are in force at a given time.
 use crate::history::{ConfigVersion, Micros};
 
-/// The values in force at `at`: each from the request for its change until the next one has been committed and
-/// `settle_time` has passed.
+/// Returns the values in force at `at`. A value is in force from the time of its change request until the
+/// next version has been committed and `settle_time` has passed.
 pub(super) fn values_in_force<T>(
     versions: &[ConfigVersion<T>],
     at: Micros,
--- a/multiprocess/src/check/max_tree.rs
+++ b/multiprocess/src/check/max_tree.rs
@@ -1,6 +1,6 @@
-//! A segment tree for the maximum of many values, with increments of all values up to a position.
+//! A segment tree that finds the maximum of many values and can increment all values up to a position.
 
-/// A maximum and the position where it is.
+/// A maximum and its position.
 #[derive(Clone, Copy)]
 pub(super) struct Maximum {
     pub(super) value: f64,
@@ -9,17 +9,18 @@
 
 #[derive(Clone, Copy)]
 struct Node {
-    /// The maximum of the values below, `increment` included.
+    /// Maximum of the subtree, including `increment`.
     max: Maximum,
-    /// Added to all values below, beside what stands there.
+    /// Pending increment of all values in the subtree, not yet added to the children.
     increment: f64,
 }
 
-/// Values by position. The maximum of a range of positions from 0 on is found in logarithmic time.
+/// The values by position. The maximum of the positions from 0 to `n` is found in logarithmic time.
 pub(super) struct MaxTree {
     /// Number of leaves, a power of two.
     size: usize,
-    /// The root is at 1, the children of `n` are at `2n` and `2n + 1`, the leaves begin at `size`.
+    /// The root is at index 1, the children of `n` are at `2n` and `2n + 1`, and the leaves start at index
+    /// `size`.
     nodes: Vec<Node>,
 }
 
@@ -36,7 +37,7 @@
         tree
     }
 
-    /// Recomputes a node's maximum from its children's.
+    /// Recomputes a node's maximum from those of its children.
     fn update(&mut self, node: usize) {
         let (left, right) = (self.nodes[2 * node].max, self.nodes[2 * node + 1].max);
         let max = if left.value >= right.value { left } else { right };
@@ -44,14 +45,14 @@
         self.nodes[node].max = Maximum { value: max.value + increment, position: max.position };
     }
 
-    /// Adds 1 to each value at positions up to and including `last`, and returns the maximum among them.
+    /// Adds 1 to each value at positions up to and including `last`, and returns their maximum.
     pub(super) fn increment_up_to(&mut self, last: usize) -> Maximum {
         let mut node = self.size + last;
         self.nodes[node].max.value += 1.0;
         let mut max = self.nodes[node].max;
         while node > 1 {
             if node % 2 == 1 {
-                // The left sibling's positions are all before `last`.
+                // All positions of the left sibling are before `last`.
                 let left = &mut self.nodes[node - 1];
                 left.max.value += 1.0;
                 left.increment += 1.0;
--- a/multiprocess/src/check/placement.rs
+++ b/multiprocess/src/check/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: statements run only at the sites of a strict rule that is in force.
+//! Checks that statements run only at the sites of a strict placement rule that is in force.
 use super::configuration::values_in_force;
 use super::settings::CheckSettings;
 use super::verdict::Verdict;
@@ -6,23 +6,23 @@
 use crate::history::{AllowedSites, History, Micros, Statement, Tenant};
 use std::collections::BTreeMap;
 
-/// Indexes of a tenant and a server.
+/// Indexes of a tenant and of the server that ran its statements.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TenantAtServer {
     tenant: usize,
     server: usize,
 }
 
-/// Statements that ran outside the rule.
+/// The statements of a tenant that a server ran in violation of the placement rules.
 #[derive(Default)]
-struct Misplaced {
+struct MisplacedStatements {
     statements: usize,
-    /// How long after the rule's commit the last one ran.
+    /// Maximum time between the commit of the rule and a statement that violates it.
     latest: Micros,
 }
 
 pub(super) fn check(history: &History, settings: &CheckSettings, verdict: &mut Verdict) {
-    let mut misplaced: BTreeMap<TenantAtServer, Misplaced> = BTreeMap::new();
+    let mut misplaced: BTreeMap<TenantAtServer, MisplacedStatements> = BTreeMap::new();
     for statement in &history.statements {
         let Some(tenant) = history.tenants.get(statement.tenant) else { continue };
         let site = &history.servers[statement.server].site;
@@ -34,13 +34,13 @@
         found.statements += 1;
         found.latest = found.latest.max(statement.at - rule_committed(tenant, statement.at));
     }
-    for (TenantAtServer { tenant, server }, Misplaced { statements, latest }) in misplaced {
+    for (TenantAtServer { tenant, server }, MisplacedStatements { statements, latest }) in misplaced {
         let (tenant, server) = (history.tenants[tenant].name.clone(), history.servers[server].name.clone());
         verdict.violations.push(Violation::OutsidePlacement { tenant, server, statements, latest });
     }
 }
 
-/// Whether one of the rules in force allows the site; without a rule in force every site is allowed.
+/// Whether any rule in force allows the site; if no rule is in force, every site is allowed.
 fn is_allowed(statement: &Statement, tenant: &Tenant, site: &str, settle_time: Micros) -> bool {
     let mut rules = values_in_force(&tenant.placements, statement.at, settle_time).peekable();
     let allows = |rule: &AllowedSites| {
@@ -50,7 +50,7 @@
     rules.peek().is_none() || rules.any(allows)
 }
 
-/// When the last rule before `at` was committed.
+/// Returns the commit time of the last rule that was committed by `at`.
 fn rule_committed(tenant: &Tenant, at: Micros) -> Micros {
     let rule = tenant.placements.iter().rev().find(|rule| rule.committed <= at);
     rule.map_or(0, |rule| rule.committed)
--- a/multiprocess/src/check/quota.rs
+++ b/multiprocess/src/check/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas: no window may have more admitted requests than the quota allows.
+//! Checks that no time window has more admitted requests than the quota allows.
 use super::max_tree::MaxTree;
 use super::quota_envelope::QuotaEnvelope;
 use super::settings::CheckSettings;
@@ -7,17 +7,17 @@
 use crate::history::{History, Micros};
 use std::collections::{BTreeMap, HashMap};
 
-/// Excess up to this is rounding: sums of rates are not exact, and a request too many counts 1.
+/// Tolerance for rounding errors in sums of rates; a single excess request counts 1.
 const EXCESS_TOLERANCE: f64 = 1e-3;
 
-/// The times between which a request was admitted.
+/// The earliest and the latest time at which a request may have been admitted.
 #[derive(Clone, Copy)]
 struct AdmissionInterval {
     earliest: Micros,
     latest: Micros,
 }
 
-/// The first run of a request.
+/// The first execution of a request by a server.
 struct FirstRun {
     at: Micros,
     tenant: usize,
@@ -41,10 +41,11 @@
         let limited = tenant.quotas.iter().any(|version| version.value.is_some());
         let envelope = limited.then(|| QuotaEnvelope::new(&tenant.quotas, settings.quota_settle_time));
         let certain = envelope.as_ref().and_then(|envelope| worst_window(&admitted, envelope));
-        let arrived: Vec<AdmissionInterval> =
+        let arrivals: Vec<AdmissionInterval> =
             admitted.iter().map(|i| AdmissionInterval { earliest: i.latest, latest: i.latest }).collect();
-        let by_arrival = envelope.as_ref().and_then(|envelope| worst_window(&arrived, envelope));
-        // What may be used for certain: no quota before its commit, and none while it settles.
+        let by_arrival = envelope.as_ref().and_then(|envelope| worst_window(&arrivals, envelope));
+        // The quota that is certainly available: no version counts before its commit or during the settle
+        // time.
         let allowed_by_rate =
             limited.then(|| admitted_by_rate(history, &QuotaEnvelope::new(&tenant.quotas, 0)));
         let name = tenant.name.clone();
@@ -56,7 +57,7 @@
     }
 }
 
-/// The first run of each request. Further attempts cost nothing: a request counts where it first ran.
+/// Finds the first execution of each request. Retries do not count against the quota.
 fn first_runs(history: &History) -> BTreeMap<u64, FirstRun> {
     let mut runs: BTreeMap<u64, FirstRun> = BTreeMap::new();
     for statement in &history.statements {
@@ -67,38 +68,40 @@
     runs
 }
 
-/// Requests that the rate admits from the load's begin to the last request's end.
+/// Returns the number of requests that the rate admits from the start of the load to the end of the last
+/// request.
 fn admitted_by_rate(history: &History, envelope: &QuotaEnvelope) -> f64 {
     let last_end = history.requests.iter().map(|request| request.ended).max();
     let end = envelope.admission(last_end.unwrap_or(history.load_started)).by_rate;
     end - envelope.admission(history.load_started).by_rate
 }
 
-/// The window with the most requests beyond the limit; `None` where nothing was admitted.
+/// Finds the window with the largest excess over the limit; returns `None` if no request was admitted.
 ///
-/// Windows begin at a request's earliest and end at a request's latest time. A tree has for each begin the number of
-/// requests so far that lie in the window, less what the limit had admitted before the begin.
+/// A window starts at some request's earliest admission time and ends at some request's latest one. For each
+/// start, the tree stores the number of requests found so far within the window, minus what the limit had
+/// admitted before the start.
 fn worst_window(admitted: &[AdmissionInterval], envelope: &QuotaEnvelope) -> Option<QuotaWindow> {
-    let mut begins: Vec<Micros> = admitted.iter().map(|interval| interval.earliest).collect();
-    begins.sort_unstable();
-    begins.dedup();
-    if begins.is_empty() {
+    let mut window_starts: Vec<Micros> = admitted.iter().map(|interval| interval.earliest).collect();
+    window_starts.sort_unstable();
+    window_starts.dedup();
+    if window_starts.is_empty() {
         return None;
     }
-    let credit = |begin: &Micros| {
-        let admission = envelope.admission(*begin);
+    let baseline_at = |start: &Micros| {
+        let admission = envelope.admission(*start);
         admission.by_rate - admission.burst
     };
-    let credits: Vec<f64> = begins.iter().map(credit).collect();
-    let mut tree = MaxTree::new(&credits);
+    let baselines: Vec<f64> = window_starts.iter().map(baseline_at).collect();
+    let mut tree = MaxTree::new(&baselines);
     let mut by_end = admitted.to_vec();
     by_end.sort_unstable_by_key(|interval| interval.latest);
     let mut worst: Option<QuotaWindow> = None;
     for AdmissionInterval { earliest, latest } in by_end {
-        let max = tree.increment_up_to(begins.partition_point(|begin| *begin < earliest));
+        let max = tree.increment_up_to(window_starts.partition_point(|start| *start < earliest));
         let excess = max.value - envelope.admission(latest).by_rate;
         if worst.is_none_or(|window| excess > window.excess) {
-            worst = Some(QuotaWindow { from: begins[max.position], until: latest, excess });
+            worst = Some(QuotaWindow { from: window_starts[max.position], until: latest, excess });
         }
     }
     worst
--- a/multiprocess/src/check/quota_envelope.rs
+++ b/multiprocess/src/check/quota_envelope.rs
@@ -1,34 +1,35 @@
-//! The upper bound of a quota over time, while its configuration changes.
+//! The upper bound that a quota sets over time, including changes of its configuration.
 use super::configuration::values_in_force;
 use crate::history::{ConfigVersion, Micros, QuotaLimit};
 
-/// Stands for a tenant without a limit: far more than any run can ask for.
+/// Limit of a tenant without a quota; far more than any load can send.
 const UNLIMITED: QuotaLimit = QuotaLimit { rate: 1e9, burst: 1e9 };
 
-/// A time of constant rate and burst.
+/// A period with constant rate and burst.
 struct Segment {
     from: Micros,
     limit: QuotaLimit,
-    /// Requests that the rates before have admitted up to `from`.
+    /// Requests that the rates of earlier segments admit before `from`.
     admitted_before: f64,
 }
 
 impl Segment {
-    /// Requests that the rates have admitted from time 0 up to `at`.
+    /// Returns the number of requests that the rates admit from time 0 to `at`.
     fn admitted(&self, at: Micros) -> f64 {
         self.admitted_before + self.limit.rate * at.saturating_sub(self.from) as f64 / 1e6
     }
 }
 
-/// What a quota admits up to a time.
+/// The number of requests that a quota admits from time 0 to a given time.
 pub(super) struct Admission {
-    /// Requests that its rates have admitted from time 0 on.
+    /// Requests admitted by the rates from time 0 on.
     pub(super) by_rate: f64,
-    /// Requests beyond the rate.
+    /// Requests that may exceed the rate.
     pub(super) burst: f64,
 }
 
-/// The upper bound of a quota over time. Where several values are in force, the highest rate and burst count.
+/// The upper bound of a quota over time. While several versions are in force, the highest rate and the
+/// highest burst apply.
 pub(super) struct QuotaEnvelope {
     segments: Vec<Segment>,
 }
@@ -51,7 +52,7 @@
     }
 }
 
-/// Time 0 and each time at which a value comes into force or goes, in order.
+/// Returns time 0 and each time at which a version comes into force or ceases to be, in order.
 fn change_times(versions: &[ConfigVersion<Option<QuotaLimit>>], settle_time: Micros) -> Vec<Micros> {
     let changes = versions.iter().flat_map(|v| [v.requested, v.committed + settle_time]);
     let mut times: Vec<Micros> = changes.chain([0]).collect();
--- a/multiprocess/src/check/settings.rs
+++ b/multiprocess/src/check/settings.rs
@@ -1,22 +1,22 @@
-//! Times that the checker allows for.
+//! Settings of the checker.
 use crate::history::Micros;
 
-/// Times that the checker allows for.
+/// The settle times and the window length that the checker uses.
 #[derive(Clone, Copy, Debug)]
 pub struct CheckSettings {
-    /// How long after its commit a lowered quota may still be exceeded: a grant's time to live and the way to all
-    /// routers.
+    /// Time after the commit of a lowered quota in which the old quota may still apply. It covers the
+    /// lifetime of a grant and the propagation to all routers.
     pub quota_settle_time: Micros,
-    /// How long after its commit a tightened placement rule may still be broken.
+    /// Time after the commit of a stricter placement rule in which the old rule may still apply.
     pub placement_settle_time: Micros,
-    /// The length of the windows over which the spread of reads is measured.
+    /// Length of the windows over which the spread of reads is measured.
     pub spread_window: Micros,
 }
 
 impl Default for CheckSettings {
     fn default() -> Self {
         CheckSettings {
-            // 250 ms and a grant's time to live of 2 s, each.
+            // Both settle times are 250 ms plus the 2 s lifetime of a grant.
             quota_settle_time: 2_250_000,
             placement_settle_time: 2_250_000,
             spread_window: 1_000_000,
--- a/multiprocess/src/check/spread.rs
+++ b/multiprocess/src/check/spread.rs
@@ -1,19 +1,19 @@
-//! How evenly reads are spread over a group's replicas, beside what chance alone would give.
+//! Measures how evenly reads are spread over a group's replicas, compared with a random spread.
 use super::settings::CheckSettings;
 use super::verdict::{ReplicaSpread, Verdict};
 use crate::history::{History, Micros};
 use std::collections::{BTreeMap, HashMap};
 
-/// How often the random spread is sampled for each window.
+/// Number of random samples for each window.
 const RANDOM_SAMPLES: usize = 20;
-/// A window counts where it has this many reads for each replica, on average.
+/// Minimum mean number of reads for each replica; windows with fewer reads are skipped.
 const MIN_READS_PER_REPLICA: usize = 5;
 
-/// How evenly one window's reads are spread.
+/// The evenness of the reads of one window.
 struct Evenness {
-    /// The busiest replica's reads divided by the mean replica's.
+    /// Reads of the busiest replica divided by the mean of all replicas.
     max_by_mean: f64,
-    /// Replicas without a read.
+    /// Number of replicas without a read.
     idle: usize,
 }
 
@@ -24,7 +24,7 @@
         Evenness { max_by_mean: max as f64 / mean, idle: reads.iter().filter(|count| **count == 0).count() }
     }
 
-    /// The evenness of reads that are spread over the replicas at random.
+    /// Returns the evenness of `reads` reads that are spread over the replicas at random.
     fn random(rng: &mut fastrand::Rng, reads: usize, replicas: usize) -> Evenness {
         let mut by_replica = vec![0usize; replicas];
         (0..reads).for_each(|_| by_replica[rng.usize(0..replicas)] += 1);
@@ -67,7 +67,7 @@
     spread
 }
 
-/// The reads of each replica, by the window in which they ran.
+/// Returns the number of reads of each replica, by the window in which they ran.
 fn reads_by_window(history: &History, window: Micros, replicas: &[usize]) -> BTreeMap<Micros, Vec<usize>> {
     let positions: HashMap<usize, usize> =
         replicas.iter().enumerate().map(|(position, server)| (*server, position)).collect();
--- a/multiprocess/src/check/verdict.rs
+++ b/multiprocess/src/check/verdict.rs
@@ -1,52 +1,56 @@
-//! What the checker found.
+//! The results of the checker.
 use super::violation::{QuotaWindow, Violation};
 use crate::history::Micros;
 
-/// How much of its quota a tenant used.
+/// A tenant's use of its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaUsage {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Requests that ran.
+    /// Number of requests that ran.
     pub ran: usize,
-    /// Requests that the rate admitted from the load's begin to the last request's end; `None` without a quota.
+    /// Number of requests that the rate admits from the start of the load to the end of the last request;
+    /// `None` without a quota.
     pub allowed_by_rate: Option<f64>,
-    /// The worst window by what is certain; `None` without a quota or where nothing ran.
+    /// The window with the largest excess of requests that were certainly admitted within it; `None` without
+    /// a quota or if no request ran.
     pub certain: Option<QuotaWindow>,
-    /// The worst window by arrival at servers; `None` as above.
+    /// The window with the largest excess by arrival times at the servers; `None` without a quota or if no
+    /// request ran.
     pub by_arrival: Option<QuotaWindow>,
 }
 
-/// How evenly a group's replicas were read, over the windows that had at least five reads for each replica.
+/// How evenly reads were spread over a group's replicas, measured in the windows with at least five reads for
+/// each replica on average.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReplicaSpread {
-    /// The group.
+    /// Number of the group.
     pub group: u32,
-    /// How many replicas it has.
+    /// Number of replicas in the group.
     pub replicas: usize,
-    /// How many windows were measured.
+    /// Number of measured windows.
     pub windows: usize,
-    /// The busiest replica's reads divided by the mean replica's, as the mean over the windows.
+    /// Reads of the busiest replica divided by the mean of all replicas, averaged over the windows.
     pub max_by_mean: f64,
-    /// The same ratio in the worst window.
+    /// Highest value of this ratio in any window.
     pub worst: f64,
-    /// Replicas without a read, summed over the windows.
+    /// Number of replicas without a read, summed over the windows.
     pub idle: usize,
-    /// The mean ratio that the same number of reads spread at random would give.
+    /// Mean ratio of the busiest replica for the same number of reads spread at random.
     pub random_max_by_mean: f64,
-    /// The idle replicas that the same number of reads spread at random would leave.
+    /// Expected number of idle replicas for the same number of reads spread at random.
     pub random_idle: f64,
 }
 
-/// What the checker found in a history.
+/// The results of checking a history.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// Broken guarantees; empty in a good run.
+    /// Violations of guarantees; empty if the run was correct.
     pub violations: Vec<Violation>,
-    /// Quota usage by tenant.
+    /// Quota usage of each tenant.
     pub quota_usage: Vec<QuotaUsage>,
-    /// Spread of reads by group.
+    /// Spread of reads for each group.
     pub spread: Vec<ReplicaSpread>,
-    /// The longest time from a request's being sent to its first run.
+    /// Longest time between the sending of a request and its first execution.
     pub max_time_to_server: Micros,
 }
--- a/multiprocess/src/check/violation.rs
+++ b/multiprocess/src/check/violation.rs
@@ -1,59 +1,59 @@
-//! Guarantees that a run has broken.
+//! Violations of the guarantees.
 use crate::history::{Micros, Outcome};
 use std::fmt;
 
-/// A guarantee that was broken.
+/// A violation of a guarantee.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    /// More was admitted than the quota allows.
+    /// More requests were admitted than the quota allows.
     QuotaExceeded {
-        /// The tenant's name.
+        /// Name of the tenant.
         tenant: String,
-        /// The worst window.
+        /// The window with the largest excess.
         worst: QuotaWindow,
     },
-    /// Statements ran outside their tenant's sites.
+    /// Statements ran at a site that the tenant's placement rule forbids.
     OutsidePlacement {
-        /// The tenant's name.
+        /// Name of the tenant.
         tenant: String,
-        /// The server's name.
+        /// Name of the server that ran the statements.
         server: String,
-        /// How many statements.
+        /// Number of statements.
         statements: usize,
-        /// How long after the rule's commit the last one ran.
+        /// Time between the commit of the rule and the last of these statements.
         latest: Micros,
     },
     /// A write ran more than once.
     WriteRepeated {
-        /// The request's number.
+        /// Number of the write's request.
         id: u64,
-        /// How often it ran.
+        /// How often the write ran.
         times: usize,
     },
-    /// A request to a router that was up ended without a final answer.
-    NoAnswer {
-        /// The request's number.
+    /// A request to a router that was up got no response.
+    NoResponse {
+        /// Number of the request.
         id: u64,
-        /// Index of its router.
+        /// Index of the request's router.
         router: usize,
-        /// How it ended.
+        /// Outcome of the request.
         outcome: Outcome,
     },
-    /// A router sent answers that no request waited for, or another request's.
-    UnexpectedAnswers {
+    /// A router sent responses that belong to no open request, or to another request than the one in flight.
+    UnexpectedResponses {
         /// Index of the router.
         router: usize,
-        /// How many answers.
-        answers: usize,
+        /// Number of unexpected responses.
+        responses: usize,
     },
-    /// A write was reported as rejected, but ran.
-    RejectedWriteRan {
-        /// The request's number.
+    /// A write was reported as rejected, but a server ran it.
+    RejectedWriteExecuted {
+        /// Number of the rejected request.
         id: u64,
     },
-    /// A request was reported as served, but ran at no server.
-    ServedNeverRan {
-        /// The request's number.
+    /// A request was reported as served, but no server ran it.
+    ServedNotExecuted {
+        /// Number of the request reported as served.
         id: u64,
     },
 }
@@ -68,28 +68,28 @@
                 seconds(*latest)
             ),
             Violation::WriteRepeated { id, times } => write!(f, "write {id} ran {times} times"),
-            Violation::NoAnswer { id, router, outcome } => {
+            Violation::NoResponse { id, router, outcome } => {
                 write!(f, "request {id} at router {router}, which was up, had no answer: {outcome:?}")
             }
-            Violation::UnexpectedAnswers { router, answers } => {
-                write!(f, "router {router} sent {answers} answers that nobody waited for")
+            Violation::UnexpectedResponses { router, responses } => {
+                write!(f, "router {router} sent {responses} answers that nobody waited for")
             }
-            Violation::RejectedWriteRan { id } => write!(f, "write {id} was told as refused, but ran"),
-            Violation::ServedNeverRan { id } => {
+            Violation::RejectedWriteExecuted { id } => write!(f, "write {id} was told as refused, but ran"),
+            Violation::ServedNotExecuted { id } => {
                 write!(f, "request {id} was told as served, but no server ran it")
             }
         }
     }
 }
 
-/// The window in which a tenant came nearest to its quota's limit, or exceeded it most.
+/// The time window in which a tenant came closest to its quota, or exceeded it most.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaWindow {
-    /// Its begin.
+    /// Start of the window.
     pub from: Micros,
-    /// Its end.
+    /// End of the window.
     pub until: Micros,
-    /// Requests in it beyond the limit; below 0 where more would have been allowed.
+    /// Number of requests above the limit; negative if the window is below the limit.
     pub excess: f64,
 }
 
--- a/multiprocess/src/history.rs
+++ b/multiprocess/src/history.rs
@@ -1,154 +1,154 @@
-//! The record of a run: every request of the clients and every statement of the servers, by one monotonic clock. All of
-//! it is recorded in the process that plays clients and servers, so that times of both sides can be compared.
+//! The recorded history of a run: every request of the clients and every statement that a server ran. Clients
+//! and servers run in one process and use one monotonic clock, so that their timestamps can be compared.
 use std::collections::BTreeSet;
 
-/// Microseconds since the run began.
+/// Microseconds since the start of the run.
 pub type Micros = u64;
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// The server's answer arrived.
+    /// The server's response was received.
     Served,
-    /// Rejected: nothing ran, or a retry is harmless.
+    /// The router rejected the request: it did not run, or a retry is safe.
     Rejected,
-    /// Failed: it may have run.
+    /// The router returned an error, and the statement may have run.
     Failed,
-    /// The connection ended while the request was in flight.
+    /// The connection was closed while the request was in flight.
     Lost,
-    /// No answer arrived before the client's timeout.
+    /// The client timed out before a response was received.
     Unanswered,
-    /// It was never sent: its router accepted no connection in time.
+    /// The request was never sent, because its router accepted no connection in time.
     Unsent,
 }
 
-/// One request of a client.
+/// A request of a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its number, unique in the run.
+    /// Number of the request, unique within the run.
     pub id: u64,
-    /// When it was to be sent.
+    /// Scheduled time of the request.
     pub due: Micros,
-    /// When it was written to the router; `None` where it never was.
+    /// Time at which the request was written to the router; `None` if it was never sent.
     pub sent: Option<Micros>,
-    /// When it ended for the client.
+    /// Time at which the client recorded the outcome.
     pub ended: Micros,
-    /// Index of the router that it was for.
+    /// Index of the router to which the request is sent.
     pub router: usize,
-    /// Index of its tenant.
+    /// Index of the request's tenant.
     pub tenant: usize,
-    /// Whether it is a write, which must not run twice.
+    /// Whether the request is a write, which must not run twice.
     pub write: bool,
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// The answer's error code; 0 for none.
+    /// Error code of the response; 0 for no error.
     pub code: u16,
 }
 
-/// One statement that a server ran.
+/// A statement that a server ran.
 #[derive(Clone, Copy, Debug)]
 pub struct Statement {
-    /// The request's number.
+    /// Number of the request that the statement belongs to.
     pub id: u64,
-    /// When the server had read all of it.
+    /// Time at which the server had read the whole statement.
     pub at: Micros,
-    /// Index of the server.
+    /// Index of the server that ran the statement.
     pub server: usize,
-    /// Index of the tenant that its comment names.
+    /// Index of the tenant named in the statement's comment.
     pub tenant: usize,
-    /// Whether it was a write.
+    /// Whether the statement is a write.
     pub write: bool,
 }
 
-/// A server of the run.
+/// A fake database server of the run.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// Its site.
+    /// Site of the server.
     pub site: String,
-    /// Its group.
+    /// Number of the server's replication group.
     pub group: u32,
-    /// Whether it is its group's primary.
+    /// Whether the server is the primary of its group.
     pub primary: bool,
 }
 
-/// One value of a tenant's configuration. It is in force from the moment when it was requested until the next value has
-/// been committed and the time for it to settle has passed.
+/// One version of a tenant's setting. A version is in force from the time at which it was requested until the
+/// next version has been committed and the settle time has passed.
 #[derive(Clone, Debug)]
 pub struct ConfigVersion<T> {
-    /// When the change was requested.
+    /// Time at which the change was sent to the store.
     pub requested: Micros,
-    /// When the store had confirmed it.
+    /// Time at which the store had confirmed the change.
     pub committed: Micros,
-    /// The value.
+    /// Value of the setting in this version.
     pub value: T,
 }
 
-/// The number of requests that a quota admits: `rate` for each second of any window, and `burst` beyond.
+/// The limit that a quota sets: in any time window at most `rate` requests for each second, plus `burst`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaLimit {
-    /// Requests a second.
+    /// Admitted requests per second.
     pub rate: f64,
-    /// Requests beyond the rate.
+    /// Requests that may exceed the rate within a window.
     pub burst: f64,
 }
 
-/// The sites at which statements may run; `None` for any site.
+/// The sites at which a tenant's statements may run; `None` allows any site.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AllowedSites {
-    /// Sites for reads.
+    /// Sites that reads may use.
     pub reads: Option<BTreeSet<String>>,
-    /// Sites for writes.
+    /// Sites that writes may use.
     pub writes: Option<BTreeSet<String>>,
 }
 
-/// A tenant of the run.
+/// A tenant of the run, with its configuration over time.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its quotas, in the order of their commits; `None` for a tenant without a limit.
+    /// Quotas in commit order; the value is `None` while the tenant has no limit.
     pub quotas: Vec<ConfigVersion<Option<QuotaLimit>>>,
-    /// Its strict placement rules, in the order of their commits.
+    /// Strict placement rules in commit order.
     pub placements: Vec<ConfigVersion<AllowedSites>>,
 }
 
-/// A time in which a router was killed, stopped or restarted on purpose and could not answer.
+/// A period in which a router was deliberately killed, stopped or restarted and could not respond.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
-    /// Index of the router.
+    /// Index of the router that was down.
     pub router: usize,
-    /// Its begin.
+    /// Start of the outage.
     pub from: Micros,
-    /// Its end; [`Micros::MAX`] while it lasts.
+    /// End of the outage; [`Micros::MAX`] while it lasts.
     pub until: Micros,
 }
 
-/// An answer that no request waited for, or another request's answer.
+/// A response that belongs to no open request, or to another request than the one in flight.
 #[derive(Clone, Copy, Debug)]
-pub struct UnexpectedAnswer {
-    /// Index of the router that sent it.
+pub struct UnexpectedResponse {
+    /// Index of the router that sent the response.
     pub router: usize,
-    /// When it arrived.
+    /// Time at which the response was received.
     pub at: Micros,
 }
 
-/// Everything that was recorded in a run.
+/// Everything that is recorded during a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// When the load began.
+    /// Start of the load.
     pub load_started: Micros,
-    /// Requests, each once.
+    /// All requests of the clients, each listed once.
     pub requests: Vec<Request>,
-    /// Statements.
+    /// All statements that the servers ran, in the order in which they were recorded.
     pub statements: Vec<Statement>,
-    /// Servers.
+    /// All servers, by index.
     pub servers: Vec<Server>,
-    /// Tenants.
+    /// All tenants, by index.
     pub tenants: Vec<Tenant>,
-    /// Outages of routers.
+    /// Deliberate outages of routers.
     pub outages: Vec<Outage>,
-    /// Answers that should not have been sent.
-    pub unexpected_answers: Vec<UnexpectedAnswer>,
+    /// Responses that should not have been sent.
+    pub unexpected_responses: Vec<UnexpectedResponse>,
 }
--- a/multiprocess/src/lib.rs
+++ b/multiprocess/src/lib.rs
@@ -1,7 +1,7 @@
-//! Runs hundreds of real router processes at once: [`run`](run::run) starts them with store nodes and fake `MySQL`
-//! servers, sends load and injects faults according to a [`Plan`](plan::Plan), and checks the servers' own records
-//! against the guarantees that must hold ([`check`]). The caller names the program to run; only processes started here
-//! are ended here.
+//! Runs hundreds of router processes at once. [`run`](run::run) starts them together with store nodes and
+//! fake `MySQL` servers, sends load and injects faults according to a [`Plan`](plan::Plan), and checks the
+//! statements that the servers recorded against the guarantees in [`check`]. The caller passes the path of
+//! the router program. Only processes that this crate started are signalled or killed.
 pub mod addresses;
 pub mod check;
 pub mod history;
--- a/multiprocess/src/load.rs
+++ b/multiprocess/src/load.rs
@@ -1,6 +1,6 @@
-//! Light `MySQL` clients: a few threads send all requests at times that were decided before, over a few connections to
-//! each router, one request at a time on each. The latency of a request that waits for a connection counts from when it
-//! was due.
+//! Lightweight `MySQL` clients. A few threads send all requests at precomputed times over a few connections
+//! to each router, with one request in flight on each connection. The latency of a request is measured from
+//! its scheduled time, so that it includes the wait for a free connection.
 mod client_protocol;
 mod client_thread;
 mod connection;
@@ -21,40 +21,45 @@
 
 const THREAD_STACK_BYTES: usize = 512 << 10;
 
-/// A load that is being sent.
+/// A load that is running in background threads.
 pub struct RunningLoad {
     threads: Vec<JoinHandle<io::Result<LoadResult>>>,
 }
 
 impl RunningLoad {
-    /// Waits until every request has ended.
+    /// Waits until every request has an outcome, and returns the recorded results.
     ///
     /// # Errors
-    /// A thread could not poll its connections, or has panicked.
+    /// Returns an error if a thread could not poll its connections or has panicked.
     pub fn join(self) -> io::Result<LoadResult> {
-        let mut all = LoadResult::default();
+        let mut combined = LoadResult::default();
         for thread in self.threads {
-            let result = thread.join().map_err(|_| io::Error::other("a load thread broke"))??;
-            all.requests.extend(result.requests);
-            all.unexpected_answers.extend(result.unexpected_answers);
+            let result = thread.join().map_err(|_| io::Error::other("a load thread panicked"))??;
+            combined.requests.extend(result.requests);
+            combined.unexpected_responses.extend(result.unexpected_responses);
         }
-        all.requests.sort_by_key(|request| request.id);
-        Ok(all)
+        combined.requests.sort_by_key(|request| request.id);
+        Ok(combined)
     }
 }
 
-/// Starts a plan's load at `begin`; times count from `epoch`.
+/// Starts a plan's load at `load_start`; timestamps are relative to `run_start`.
 ///
 /// # Errors
-/// The system has no thread left.
-pub fn start(plan: &Plan, ports: &RouterPorts, epoch: Instant, begin: Instant) -> io::Result<RunningLoad> {
+/// Returns an error if the system can't start a thread.
+pub fn start(
+    plan: &Plan,
+    ports: &RouterPorts,
+    run_start: Instant,
+    load_start: Instant,
+) -> io::Result<RunningLoad> {
     let mut schedules: Vec<VecDeque<ScheduledRequest>> = vec![VecDeque::new(); plan.load_threads];
-    for request in schedule::draw(plan) {
+    for request in schedule::generate(plan) {
         schedules[request.router % plan.load_threads].push_back(request);
     }
     let mut threads = Vec::new();
     for (index, schedule) in schedules.into_iter().enumerate() {
-        let client = ClientThread::new(plan, index, schedule, ports.clone(), epoch, begin)?;
+        let client = ClientThread::new(plan, index, schedule, ports.clone(), run_start, load_start)?;
         let thread = std::thread::Builder::new().name("load".into()).stack_size(THREAD_STACK_BYTES);
         threads.push(thread.spawn(move || client.run())?);
     }
--- a/multiprocess/src/load/client_thread.rs
+++ b/multiprocess/src/load/client_thread.rs
@@ -1,11 +1,10 @@
-//! One thread of the load: the clients of the routers whose index leaves the thread's own when divided by the number of
-//! threads.
-use super::client_protocol::{Answer, ERROR_REJECTED, login, parse_answer, query};
+//! One thread of the load. Thread `i` of `n` has the clients of every router whose index modulo `n` is `i`.
+use super::client_protocol::{ERROR_REJECTED, Response, encode_login, encode_query, parse_response};
 use super::connection::{Connection, InFlight, State};
 use super::result::LoadResult;
 use super::router_ports::RouterPorts;
 use super::schedule::ScheduledRequest;
-use crate::history::{Micros, Outcome, Request, UnexpectedAnswer};
+use crate::history::{Micros, Outcome, Request, UnexpectedResponse};
 use crate::packet_io::{ConnectionState, read_available, take_packet, write_available};
 use crate::plan::Plan;
 use mio::net::TcpStream;
@@ -15,24 +14,24 @@
 use std::time::{Duration, Instant};
 use test_servers::wire::{ERROR_HEADER, GREETING_HEADER, OK_HEADER};
 
-/// How long a client waits for an answer: longer than the deadline of every class.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(3500);
-/// How long a request waits for a free connection.
+/// Response timeout of a client; it exceeds the deadline of every class.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3500);
+/// Maximum time that a request waits for a free connection.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest time between two looks at all connections.
+/// Maximum time between two checks of all connections.
 const MAX_POLL_TIMEOUT: Duration = Duration::from_millis(10);
 const EVENT_CAPACITY: usize = 256;
 
 pub(super) struct ClientThread {
     ports: RouterPorts,
-    epoch: Instant,
-    begin: Instant,
-    /// Requests that are not due yet.
+    run_start: Instant,
+    load_start: Instant,
+    /// Requests that are not due yet, in order of time.
     schedule: VecDeque<ScheduledRequest>,
     thread_count: usize,
-    /// Requests that wait for a connection, by router.
+    /// Due requests that wait for a free connection, by router.
     queues: Vec<VecDeque<ScheduledRequest>>,
-    /// `connections_per_router` for each router, in the order of routers.
+    /// Client connections, `connections_per_router` for each router, in router order.
     connections: Vec<Connection>,
     connections_per_router: usize,
     poll: Poll,
@@ -45,15 +44,15 @@
         index: usize,
         schedule: VecDeque<ScheduledRequest>,
         ports: RouterPorts,
-        epoch: Instant,
-        begin: Instant,
+        run_start: Instant,
+        load_start: Instant,
     ) -> io::Result<ClientThread> {
         let routers: Vec<usize> = (index..plan.routers).step_by(plan.load_threads).collect();
         let of_router = |router: &usize| std::iter::repeat_n(*router, plan.connections);
         Ok(ClientThread {
             ports,
-            epoch,
-            begin,
+            run_start,
+            load_start,
             schedule,
             thread_count: plan.load_threads,
             queues: vec![VecDeque::new(); routers.len()],
@@ -64,14 +63,14 @@
         })
     }
 
-    /// Sends the requests at their times, until each has ended.
+    /// Sends each request at its scheduled time, and returns when every request has an outcome.
     pub(super) fn run(mut self) -> io::Result<LoadResult> {
         let mut events = Events::with_capacity(EVENT_CAPACITY);
         loop {
             let now = Instant::now();
             self.queue_due_requests(now);
             self.maintain_connections(now);
-            self.give_up_queued_requests(now);
+            self.expire_queued_requests(now);
             if self.is_finished() {
                 return Ok(self.result);
             }
@@ -86,7 +85,7 @@
     }
 
     fn queue_due_requests(&mut self, now: Instant) {
-        while self.schedule.front().is_some_and(|request| self.begin + request.at <= now) {
+        while self.schedule.front().is_some_and(|request| self.load_start + request.at <= now) {
             let Some(request) = self.schedule.pop_front() else { break };
             self.queues[request.router / self.thread_count].push_back(request);
         }
@@ -99,15 +98,15 @@
 
     fn poll_timeout(&self, now: Instant) -> Duration {
         let next = self.schedule.front();
-        let wait = next.map_or(MAX_POLL_TIMEOUT, |r| (self.begin + r.at).saturating_duration_since(now));
+        let wait = next.map_or(MAX_POLL_TIMEOUT, |r| (self.load_start + r.at).saturating_duration_since(now));
         wait.min(MAX_POLL_TIMEOUT)
     }
 
-    /// Ends requests without an answer, connects, and sends what waits for an idle connection.
+    /// Times out requests in flight, reconnects, and sends queued requests over idle connections.
     fn maintain_connections(&mut self, now: Instant) {
         for index in 0..self.connections.len() {
             let state = &self.connections[index].state;
-            if matches!(state, State::Busy(in_flight) if now > in_flight.sent + ANSWER_TIMEOUT) {
+            if matches!(state, State::Busy(in_flight) if now > in_flight.sent + RESPONSE_TIMEOUT) {
                 self.close(index, Outcome::Unanswered);
             }
             if self.connections[index].is_connect_due(now) {
@@ -117,9 +116,9 @@
         }
     }
 
-    fn give_up_queued_requests(&mut self, now: Instant) {
-        let begin = self.begin;
-        let expired = |request: &ScheduledRequest| begin + request.at + CONNECTION_TIMEOUT < now;
+    fn expire_queued_requests(&mut self, now: Instant) {
+        let load_start = self.load_start;
+        let expired = |request: &ScheduledRequest| load_start + request.at + CONNECTION_TIMEOUT < now;
         for queue in 0..self.queues.len() {
             while self.queues[queue].front().is_some_and(expired) {
                 if let Some(request) = self.queues[queue].pop_front() {
@@ -140,7 +139,7 @@
         }
     }
 
-    /// Sends the router's next request where the connection is idle.
+    /// Sends the router's next queued request if the connection is idle.
     fn send_next(&mut self, index: usize, now: Instant) {
         if !matches!(self.connections[index].state, State::Idle) {
             return;
@@ -148,7 +147,7 @@
         let queue = &mut self.queues[index / self.connections_per_router];
         let Some(request) = queue.pop_front() else { return };
         let connection = &mut self.connections[index];
-        connection.write_buffer.extend(query(&request.sql));
+        connection.write_buffer.extend(encode_query(&request.sql));
         connection.state = State::Busy(InFlight { request, sent: now });
         if self.write(index) == ConnectionState::Closed {
             self.close(index, Outcome::Lost);
@@ -163,18 +162,18 @@
         }
     }
 
-    /// Closes a connection; the request in flight on it ends with this outcome.
+    /// Closes a connection and records the outcome of its request in flight.
     fn close(&mut self, index: usize, outcome: Outcome) {
         if let Some(InFlight { request, sent }) = self.connections[index].close() {
             self.record(&request, Some(sent), outcome, 0);
         }
     }
 
-    /// Reads and writes what a connection is ready for.
+    /// Reads and writes until a connection would block, and handles complete packets.
     fn handle_readiness(&mut self, index: usize) {
         let connection = &mut self.connections[index];
         let Some(stream) = connection.stream.as_mut() else { return };
-        // A refused connection is noticed at the first read.
+        // A failed connection attempt is reported by the first read.
         let read = read_available(stream, &mut connection.read_buffer);
         while let Some(packet) = take_packet(&mut self.connections[index].read_buffer) {
             if self.handle_packet(index, packet) == ConnectionState::Closed {
@@ -188,7 +187,7 @@
         self.send_next(index, Instant::now());
     }
 
-    /// Handles one packet; `Closed` where the connection can't be used any longer.
+    /// Handles a packet; returns `Closed` if the connection is no longer usable.
     fn handle_packet(&mut self, index: usize, packet: Vec<u8>) -> ConnectionState {
         let connection = &mut self.connections[index];
         match &connection.state {
@@ -196,7 +195,7 @@
                 if packet.first() != Some(&GREETING_HEADER) {
                     return ConnectionState::Closed;
                 }
-                connection.write_buffer.extend(login());
+                connection.write_buffer.extend(encode_login());
                 connection.state = State::AwaitingLogin;
             }
             State::AwaitingLogin => {
@@ -206,51 +205,51 @@
                 connection.state = State::Idle;
             }
             State::Busy(_) => {
-                connection.answer.push(packet);
-                if let Some(answer) = parse_answer(&connection.answer) {
-                    self.finish_request(index, answer);
+                connection.response_packets.push(packet);
+                if let Some(response) = parse_response(&connection.response_packets) {
+                    self.finish_request(index, response);
                 }
             }
             State::Idle | State::Disconnected => {
-                // A server that closes a connection may send an error first.
+                // The router may send an error before it closes a connection.
                 if packet.first() == Some(&ERROR_HEADER) {
                     return ConnectionState::Closed;
                 }
                 let router = connection.router;
-                self.record_unexpected_answer(router);
+                self.record_unexpected_response(router);
             }
         }
         ConnectionState::Open
     }
 
-    /// Ends the request in flight on a connection with its answer.
-    fn finish_request(&mut self, index: usize, answer: Answer) {
+    /// Records the outcome of a connection's request in flight from the response.
+    fn finish_request(&mut self, index: usize, response: Response) {
         let connection = &mut self.connections[index];
-        connection.answer.clear();
+        connection.response_packets.clear();
         let State::Busy(InFlight { request, sent }) = std::mem::replace(&mut connection.state, State::Idle)
         else {
             return;
         };
-        let outcome = match answer.code {
+        let outcome = match response.code {
             0 => Outcome::Served,
             ERROR_REJECTED => Outcome::Rejected,
             _ => Outcome::Failed,
         };
-        if outcome == Outcome::Served && !request.write && answer.id != Some(request.id) {
-            self.record_unexpected_answer(request.router);
+        if outcome == Outcome::Served && !request.write && response.id != Some(request.id) {
+            self.record_unexpected_response(request.router);
         }
-        self.record(&request, Some(sent), outcome, answer.code);
+        self.record(&request, Some(sent), outcome, response.code);
     }
 
     fn micros(&self, at: Instant) -> Micros {
-        at.saturating_duration_since(self.epoch).as_micros() as Micros
+        at.saturating_duration_since(self.run_start).as_micros() as Micros
     }
 
     fn record(&mut self, request: &ScheduledRequest, sent: Option<Instant>, outcome: Outcome, code: u16) {
         let ended = self.micros(Instant::now());
         self.result.requests.push(Request {
             id: request.id,
-            due: self.micros(self.begin + request.at),
+            due: self.micros(self.load_start + request.at),
             sent: sent.map(|at| self.micros(at)),
             ended,
             router: request.router,
@@ -261,8 +260,8 @@
         });
     }
 
-    fn record_unexpected_answer(&mut self, router: usize) {
+    fn record_unexpected_response(&mut self, router: usize) {
         let at = self.micros(Instant::now());
-        self.result.unexpected_answers.push(UnexpectedAnswer { router, at });
+        self.result.unexpected_responses.push(UnexpectedResponse { router, at });
     }
 }
--- a/multiprocess/src/load/result.rs
+++ b/multiprocess/src/load/result.rs
@@ -1,11 +1,11 @@
-//! What a load has recorded.
-use crate::history::{Request, UnexpectedAnswer};
+//! The recorded results of a load.
+use crate::history::{Request, UnexpectedResponse};
 
-/// What a load has recorded.
+/// The requests and the unexpected responses that the clients recorded.
 #[derive(Default)]
 pub struct LoadResult {
-    /// Each request, ended.
+    /// All requests with their outcomes.
     pub requests: Vec<Request>,
-    /// Answers that no request waited for, or that were another request's.
-    pub unexpected_answers: Vec<UnexpectedAnswer>,
+    /// Responses that belong to no open request, or to another request than the one in flight.
+    pub unexpected_responses: Vec<UnexpectedResponse>,
 }
--- a/multiprocess/src/load/router_ports.rs
+++ b/multiprocess/src/load/router_ports.rs
@@ -1,22 +1,22 @@
-//! Where the routers listen, shared between the load and what starts and ends routers.
+//! The routers' ports, shared between the load and the code that starts and stops routers.
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// The port of a router that is down.
+/// Placeholder for the port of a router that is down.
 const DOWN: u16 = 0;
 
-/// The ports on 127.0.0.1 at which the routers listen. Clones share them.
+/// The ports on 127.0.0.1 on which the routers listen. Clones share the same ports.
 #[derive(Clone, Debug)]
 pub struct RouterPorts(Arc<Vec<AtomicU16>>);
 
 impl RouterPorts {
-    /// Ports of this many routers, all of them down.
+    /// Creates the ports of `routers` routers, all of them down.
     pub fn new(routers: usize) -> RouterPorts {
         RouterPorts(Arc::new((0..routers).map(|_| AtomicU16::new(DOWN)).collect()))
     }
 
-    /// Where a router listens; `None` while it is down.
+    /// Returns a router's address; `None` while the router is down.
     pub fn address(&self, router: usize) -> Option<SocketAddr> {
         match self.0[router].load(Ordering::Relaxed) {
             DOWN => None,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Sets the port at which a router listens.
+    /// Sets the port on which a router listens.
     pub fn set(&self, router: usize, port: u16) {
         self.0[router].store(port, Ordering::Relaxed);
     }
--- a/multiprocess/src/load/schedule.rs
+++ b/multiprocess/src/load/schedule.rs
@@ -1,26 +1,26 @@
-//! The requests of a plan and their times, drawn from the plan's seed.
+//! Generates the requests of a plan and their times from the plan's seed.
 use crate::plan::{Load, Plan, READ_CLASS, WRITE_CLASS};
 use std::time::Duration;
 
-/// A request that is to be sent.
+/// A request with its scheduled time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduledRequest {
-    /// Its number, from 1 in the order of times.
+    /// Number of the request, from 1 in order of time.
     pub id: u64,
-    /// When it is due, after the load's begin.
+    /// Scheduled time, relative to the start of the load.
     pub at: Duration,
-    /// Index of the router that it is sent to.
+    /// Index of the router to which the request is sent.
     pub router: usize,
-    /// Index of its tenant.
+    /// Index of the request's tenant.
     pub tenant: usize,
-    /// Whether it is a write.
+    /// Whether the request is a write.
     pub write: bool,
-    /// The statement.
+    /// SQL text of the request.
     pub sql: String,
 }
 
-/// A request before its number is known, which depends on all others.
-struct DrawnRequest {
+/// A generated request without its number, which depends on the times of all other requests.
+struct UnnumberedRequest {
     at: Duration,
     router: usize,
     tenant: usize,
@@ -28,19 +28,19 @@
     group: usize,
 }
 
-/// All requests of a plan, in the order of their times; the same plan gives the same requests.
-pub fn draw(plan: &Plan) -> Vec<ScheduledRequest> {
+/// Generates all requests of a plan, in order of time. The same plan always gives the same requests.
+pub fn generate(plan: &Plan) -> Vec<ScheduledRequest> {
     let mut rng = fastrand::Rng::with_seed(plan.seed);
-    let mut drawn = Vec::new();
+    let mut generated = Vec::new();
     for load in plan.loads.iter().filter(|load| load.rate > 0.0) {
-        draw_load(plan, load, &mut rng, &mut drawn);
+        generate_load(plan, load, &mut rng, &mut generated);
     }
-    drawn.sort_by_key(|request| request.at);
-    (1..).zip(drawn).map(|(id, request)| number(plan, id, &request)).collect()
+    generated.sort_by_key(|request| request.at);
+    (1..).zip(generated).map(|(id, request)| assign_number(plan, id, &request)).collect()
 }
 
-/// Draws one load's requests: a Poisson process of its rate.
-fn draw_load(plan: &Plan, load: &Load, rng: &mut fastrand::Rng, drawn: &mut Vec<DrawnRequest>) {
+/// Generates the requests of one load as a Poisson process with the load's rate.
+fn generate_load(plan: &Plan, load: &Load, rng: &mut fastrand::Rng, generated: &mut Vec<UnnumberedRequest>) {
     let tenant = plan.tenants.iter().position(|tenant| tenant.name == load.tenant).unwrap_or(0);
     let mut seconds = 0.0;
     loop {
@@ -51,13 +51,19 @@
         let router = rng.usize(0..load.router_count(plan.routers));
         let write = rng.f64() < load.write_share;
         let group = rng.usize(0..plan.groups.len());
-        drawn.push(DrawnRequest { at: Duration::from_secs_f64(seconds), router, tenant, write, group });
+        generated.push(UnnumberedRequest {
+            at: Duration::from_secs_f64(seconds),
+            router,
+            tenant,
+            write,
+            group,
+        });
     }
 }
 
-/// Gives a request its number, which its statement contains.
-fn number(plan: &Plan, id: u64, drawn: &DrawnRequest) -> ScheduledRequest {
-    let &DrawnRequest { at, router, tenant, write, group } = drawn;
+/// Assigns a number to a request and writes it into the SQL text.
+fn assign_number(plan: &Plan, id: u64, generated: &UnnumberedRequest) -> ScheduledRequest {
+    let &UnnumberedRequest { at, router, tenant, write, group } = generated;
     let class = if write { WRITE_CLASS } else { READ_CLASS };
     let comment = format!("/* c={class},cluster={group},t={} */", plan.tenants[tenant].name);
     let sql = if write {
--- a/multiprocess/src/packet_io.rs
+++ b/multiprocess/src/packet_io.rs
@@ -1,18 +1,18 @@
-//! `MySQL` packets over non-blocking connections.
+//! Reads and writes `MySQL` packets on non-blocking connections.
 use mio::net::TcpStream;
 use std::io::{ErrorKind, Read, Write};
 
-/// Bytes of a packet's header: three of the payload's length, and its sequence number.
+/// Length of a packet header: three bytes of payload length and one byte of sequence id.
 const HEADER_BYTES: usize = 4;
 
-/// Whether a connection can still be used.
+/// Whether a connection is still usable after a read or a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionState {
     Open,
     Closed,
 }
 
-/// Takes the first packet's payload out of a buffer; `None` until all of it has been read.
+/// Removes the first packet from a buffer and returns its payload; `None` if the packet is incomplete.
 pub(crate) fn take_packet(buffer: &mut Vec<u8>) -> Option<Vec<u8>> {
     let header = buffer.first_chunk::<HEADER_BYTES>()?;
     let length = u32::from_le_bytes([header[0], header[1], header[2], 0]) as usize;
@@ -25,7 +25,7 @@
     Some(payload)
 }
 
-/// Reads all bytes that have arrived.
+/// Reads until the socket would block, and appends the bytes to the buffer.
 pub(crate) fn read_available(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> ConnectionState {
     let mut bytes = [0; 4096];
     loop {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Writes as much of a buffer as the connection takes now, and removes it from the buffer.
+/// Writes until the buffer is empty or the socket would block, and removes the written bytes from the buffer.
 pub(crate) fn write_available(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> ConnectionState {
     while !buffer.is_empty() {
         match stream.write(buffer) {
--- a/multiprocess/src/plan.rs
+++ b/multiprocess/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a run: a TOML document, checked as a whole before anything is started.
+//! The plan of a run: a TOML document that is validated completely before any process is started.
 mod document;
 mod error;
 mod fault;
@@ -10,10 +10,10 @@
 pub use fault::{Fault, FaultKind, LinkDirection};
 pub use load::{Load, RouterSet, Targets};
 
-/// Reads a plan and checks it.
+/// Parses a plan and validates it.
 ///
 /// # Errors
-/// A [`PlanError`] that names the key.
+/// Returns a [`PlanError`] that names the invalid key.
 pub fn read(text: &str) -> Result<Plan, PlanError> {
     let plan: Plan = toml::from_str(text)?;
     plan.check()?;
--- a/multiprocess/src/plan/document.rs
+++ b/multiprocess/src/plan/document.rs
@@ -1,53 +1,54 @@
-//! The document itself: processes, servers and tenants.
+//! The data types of a plan: processes, servers and tenants.
 use super::fault::Fault;
 use super::load::Load;
 use serde::Deserialize;
 
-/// How many routers a plan may ask for.
+/// Maximum number of routers in a plan.
 pub const MAX_ROUTERS: usize = 1000;
-/// The class of the load's reads.
+/// Request class of the load's reads.
 pub const READ_CLASS: &str = "basket-read";
-/// The class of the load's writes.
+/// Request class of the load's writes.
 pub const WRITE_CLASS: &str = "basket-add";
 
-/// A plan.
+/// The plan of a run, as its TOML document describes it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// How many routers run, a process each.
+    /// Number of routers; each is a process.
     pub routers: usize,
-    /// How many nodes the store has, a process each besides the routers; 0 for no store.
+    /// Number of store nodes, each a process besides the routers; 0 for a run without a store.
     #[serde(default, rename = "nodes")]
     pub store_nodes: usize,
-    /// Whether the routers follow a fleet document in the store. Without one there are no quotas and no placement.
+    /// Whether the routers take their configuration from a fleet document in the store. Without a fleet
+    /// document there are no quotas and no placement rules.
     #[serde(default, rename = "fleet")]
     pub follows_fleet: bool,
-    /// Seconds of load.
+    /// Duration of the load in seconds.
     pub seconds: f64,
-    /// Seed of request times, routers and faults.
+    /// Random seed for the times and routers of requests, and for the routers that faults affect.
     #[serde(default = "default_seed")]
     pub seed: u64,
-    /// Milliseconds that a statement takes at a server.
+    /// Time that a server takes to run a statement, in milliseconds.
     #[serde(default = "default_service_ms")]
     pub service_ms: f64,
-    /// Threads that send the load.
+    /// Number of threads that send the load.
     #[serde(default = "default_load_threads")]
     pub load_threads: usize,
-    /// Client connections to each router.
+    /// Number of client connections to each router.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// Sites.
+    /// Names of all sites.
     pub sites: Vec<String>,
-    /// Groups of servers, numbered from 0.
+    /// Replication groups, numbered from 0.
     #[serde(rename = "group")]
     pub groups: Vec<Group>,
-    /// Tenants; the first one is that of requests without a tenant.
+    /// Tenants; the first one is the default tenant, which gets the requests that name no tenant.
     #[serde(rename = "tenant")]
     pub tenants: Vec<Tenant>,
-    /// The requests that are sent.
+    /// Loads, one for each stream of requests.
     #[serde(rename = "load")]
     pub loads: Vec<Load>,
-    /// The faults that are injected.
+    /// Faults that are injected during the load.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
 }
@@ -68,47 +69,47 @@
     2
 }
 
-/// A group of servers: a primary and its replicas.
+/// A replication group: a primary and its replicas.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
-    /// The primary's site.
+    /// Site of the primary.
     pub primary: String,
-    /// The replicas' sites.
+    /// Sites of the replicas, one entry for each replica.
     pub replicas: Vec<String>,
 }
 
-/// A tenant.
+/// A tenant with its quota and its placement rule.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Requests a second for all routers together; without it the tenant has no quota.
+    /// Quota of all routers together, in requests per second; a tenant without a rate has no quota.
     pub rate: Option<f64>,
-    /// Requests beyond the rate.
+    /// Requests that may exceed the rate.
     pub burst: Option<u32>,
-    /// The share of the quota that the routers use together without the store; none where it is left out.
+    /// Share of the quota that the routers use together while the store is unreachable; 0 if omitted.
     pub on_loss: Option<f64>,
-    /// Its placement rule.
+    /// Placement rule of the tenant.
     #[serde(rename = "place")]
     pub placement: Option<Placement>,
 }
 
-/// Where a tenant's statements may run.
+/// A placement rule: the sites at which a tenant's statements may run.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, rename = "Place")]
 pub struct Placement {
-    /// The sites.
+    /// Sites that the rule allows or prefers.
     pub sites: Vec<String>,
-    /// Whether other sites are forbidden; otherwise these are preferred.
+    /// Whether other sites are forbidden; if false, the listed sites are only preferred.
     pub strict: bool,
-    /// The classes that the rule is for, [`READ_CLASS`] or [`WRITE_CLASS`]; all where it is left out.
+    /// Classes that the rule applies to, [`READ_CLASS`] or [`WRITE_CLASS`]; all classes if omitted.
     pub classes: Option<Vec<String>>,
 }
 
 impl Placement {
-    /// Whether the rule is for this class.
+    /// Whether the rule applies to a class.
     pub fn applies_to(&self, class: &str) -> bool {
         self.classes.as_ref().is_none_or(|classes| classes.iter().any(|c| c == class))
     }
--- a/multiprocess/src/plan/error.rs
+++ b/multiprocess/src/plan/error.rs
@@ -1,26 +1,26 @@
-//! Why a plan can't be played.
+//! Errors of reading a plan.
 use thiserror::Error;
 
-/// Why a plan can't be played.
+/// An error of parsing or validating a plan.
 #[derive(Debug, Error)]
 pub enum PlanError {
-    /// It is not TOML, or has a key that is not known or of another kind.
+    /// The plan is not valid TOML, or has an unknown key or a value of the wrong type.
     #[error("{0}; correct the key that is named")]
     Toml(#[from] toml::de::Error),
-    /// A key's value can't be used.
+    /// The value of a key is out of range or inconsistent with other keys.
     #[error("{key}: expected {expected}, found {found}")]
     Value {
-        /// The key, with the tables around it.
+        /// The key, with the tables that contain it.
         key: String,
-        /// The values that it may have.
+        /// Valid values of the key.
         expected: String,
-        /// The value that it has.
+        /// Value in the plan.
         found: String,
     },
 }
 
 impl PlanError {
-    /// The error for a value that can't be used.
+    /// Creates the error for an invalid value.
     pub(super) fn value(
         key: impl Into<String>,
         expected: impl Into<String>,
--- a/multiprocess/src/plan/fault.rs
+++ b/multiprocess/src/plan/fault.rs
@@ -1,129 +1,130 @@
-//! Faults and when they are injected.
+//! The faults of a plan and their times.
 use serde::Deserialize;
 
-/// A fault at a time after the load's begin.
+/// A fault that is injected at a set time.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Fault {
-    /// Seconds after the load's begin.
+    /// Time of the injection, in seconds after the start of the load.
     pub at: f64,
-    /// The kind of fault.
+    /// Kind of the fault, with its parameters.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
 
-/// The direction in which a link is cut.
+/// The direction of traffic that a link fault blocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkDirection {
-    /// Both directions.
+    /// Traffic in both directions is blocked.
     #[default]
     Both,
-    /// Nothing reaches the target; its answers arrive.
+    /// Traffic to the target is blocked; its responses are forwarded.
     #[serde(rename = "there")]
     ToTarget,
-    /// The target is reached; nothing comes back.
+    /// Traffic from the target is blocked; requests still reach it.
     #[serde(rename = "back")]
     FromTarget,
 }
 
-/// A kind of fault. Shares are from 0 to 1, of all routers; the routers of a share are drawn from those that are up.
+/// A kind of fault. A share is a fraction of all routers from 0 to 1; the affected routers are chosen at
+/// random from those that are up.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "do", rename_all = "snake_case", deny_unknown_fields)]
 pub enum FaultKind {
-    /// SIGKILL to a share of the routers.
+    /// Kills a share of the routers with SIGKILL.
     Kill {
-        /// The share.
+        /// Share of the routers to kill.
         share: f64,
-        /// They are started again after this many seconds; never where it is left out.
+        /// Seconds until the routers are started again; if omitted, they stay down.
         back_s: Option<f64>,
     },
-    /// SIGTERM to a share of the routers, which are started again.
+    /// Shuts down a share of the routers with SIGTERM and starts them again.
     Restart {
-        /// The share.
+        /// Share of the routers to restart.
         share: f64,
-        /// Seconds until they are started again.
+        /// Seconds from SIGTERM until the routers are started again.
         back_s: f64,
     },
-    /// SIGSTOP to a share of the routers, and SIGCONT later.
+    /// Suspends a share of the routers with SIGSTOP and resumes them with SIGCONT.
     Stop {
-        /// The share.
+        /// Share of the routers to suspend.
         share: f64,
-        /// Seconds until SIGCONT.
+        /// Seconds until the routers are resumed.
         for_s: f64,
     },
-    /// SIGKILL to the store's leader, which is started again.
+    /// Kills the store's leader with SIGKILL and starts it again.
     KillLeader {
-        /// Seconds until it is started again.
+        /// Seconds until the node is started again.
         back_s: f64,
     },
-    /// SIGSTOP to the store's leader, and SIGCONT later.
+    /// Suspends the store's leader with SIGSTOP and resumes it with SIGCONT.
     StopLeader {
-        /// Seconds until SIGCONT.
+        /// Seconds until the node is resumed.
         for_s: f64,
     },
-    /// Routers are cut off from the store.
+    /// Blocks traffic between routers and the store.
     CutStore {
-        /// How many, the first ones.
+        /// Number of affected routers, counted from the first one.
         routers: usize,
-        /// The direction that is cut.
+        /// Direction that is blocked.
         #[serde(default, rename = "way")]
         direction: LinkDirection,
-        /// Seconds until the links work again.
+        /// Seconds until traffic is forwarded again.
         for_s: f64,
     },
-    /// Routers are cut off from all servers of a site.
+    /// Blocks traffic between routers and all servers of a site.
     CutServers {
-        /// How many, the first ones.
+        /// Number of affected routers, counted from the first one.
         routers: usize,
-        /// The site.
+        /// Site of the servers.
         site: String,
-        /// The direction that is cut.
+        /// Direction that is blocked.
         #[serde(default, rename = "way")]
         direction: LinkDirection,
-        /// Seconds until the links work again.
+        /// Seconds until traffic is forwarded again.
         for_s: f64,
     },
-    /// Data between routers and a site's servers is delayed.
+    /// Delays traffic between routers and the servers of a site.
     Delay {
-        /// How many routers, the first ones.
+        /// Number of affected routers, counted from the first one.
         routers: usize,
-        /// The site.
+        /// Site of the servers.
         site: String,
-        /// The delay in milliseconds, each way.
+        /// Delay in each direction, in milliseconds.
         ms: f64,
-        /// Seconds until the links work again.
+        /// Seconds until traffic is no longer delayed.
         for_s: f64,
     },
-    /// Connections between routers and a site's servers are reset.
+    /// Resets the connections between routers and the servers of a site.
     Reset {
-        /// How many routers, the first ones.
+        /// Number of affected routers, counted from the first one.
         routers: usize,
-        /// The site.
+        /// Site of the servers.
         site: String,
     },
-    /// A tenant's quota changes.
+    /// Changes a tenant's quota.
     Quota {
-        /// The tenant's name.
+        /// Name of the tenant.
         tenant: String,
-        /// The new rate, requests a second.
+        /// New rate in requests per second.
         rate: f64,
-        /// The new burst, requests beyond the rate.
+        /// New burst: requests that may exceed the rate.
         burst: u32,
     },
-    /// A tenant's placement rule changes; it stays for the same classes.
+    /// Changes the sites of a tenant's placement rule; the rule's classes stay the same.
     #[serde(rename = "place")]
     Placement {
-        /// The tenant's name.
+        /// Name of the tenant.
         tenant: String,
-        /// The new sites.
+        /// New sites of the rule.
         sites: Vec<String>,
-        /// Whether other sites are forbidden; otherwise these are preferred.
+        /// Whether other sites are forbidden; if false, the listed sites are only preferred.
         strict: bool,
     },
 }
 
 impl FaultKind {
-    /// How many routers need proxies in front of the servers.
+    /// Returns how many routers need proxies between them and the servers.
     pub fn routers_with_server_proxies(&self) -> usize {
         match self {
             FaultKind::CutServers { routers, .. }
@@ -133,12 +134,12 @@
         }
     }
 
-    /// How many routers need proxies in front of the store.
+    /// Returns how many routers need proxies between them and the store.
     pub fn routers_with_store_proxies(&self) -> usize {
         if let FaultKind::CutStore { routers, .. } = self { *routers } else { 0 }
     }
 
-    /// Whether it changes the fleet document.
+    /// Whether the fault changes the fleet document.
     pub fn changes_fleet(&self) -> bool {
         matches!(self, FaultKind::Quota { .. } | FaultKind::Placement { .. })
     }
--- a/multiprocess/src/plan/load.rs
+++ b/multiprocess/src/plan/load.rs
@@ -1,45 +1,45 @@
-//! The load of a tenant.
+//! The load of a tenant and the routers that it is sent to.
 use serde::Deserialize;
 
 /// The routers that a load is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-// The text of the error quotes the name by which operators know the key.
+// The error text quotes `From`, the name under which operators know this type.
 #[serde(untagged, expecting = "data did not match any variant of untagged enum From")]
 pub enum Targets {
-    /// This many, the first ones.
+    /// The first routers, up to this number.
     First(usize),
-    /// `"all"` or `"one"`.
+    /// A set of routers with a name: `"all"` or `"one"`.
     Named(RouterSet),
 }
 
-/// The words that stand for a set of routers.
+/// A named set of routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouterSet {
-    /// Every router alike.
+    /// All routers, with equal shares of the load.
     All,
-    /// The first router alone.
+    /// Only the first router.
     One,
 }
 
-/// A tenant's load.
+/// A stream of requests of one tenant.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Requests a second over all routers, at random times.
+    /// Mean rate over all routers in requests per second; the times are random.
     pub rate: f64,
-    /// The routers that they are sent to.
+    /// Routers that the requests are sent to.
     #[serde(rename = "from")]
     pub targets: Targets,
-    /// The share of writes, from 0 to 1.
+    /// Share of writes among the requests, from 0 to 1.
     #[serde(default, rename = "writes")]
     pub write_share: f64,
 }
 
 impl Load {
-    /// To how many of `total` routers it is sent; they are the first ones.
+    /// Returns the number of routers that get this load, out of `total`; these are the first routers.
     pub fn router_count(&self, total: usize) -> usize {
         match self.targets {
             Targets::First(count) => count.min(total),
--- a/multiprocess/src/plan/validate.rs
+++ b/multiprocess/src/plan/validate.rs
@@ -1,32 +1,32 @@
-//! Checks of a plan that has been read: ranges, names that refer to each other, and what needs a store.
+//! Validation of a parsed plan: ranges of values, references between names, and settings that need a store.
 use super::document::{Group, MAX_ROUTERS, Plan, READ_CLASS, Tenant, WRITE_CLASS};
 use super::error::PlanError;
 use super::fault::{Fault, FaultKind};
 use super::load::{Load, Targets};
 use std::collections::BTreeSet;
 
-/// The longest load, in seconds.
+/// Maximum duration of the load, in seconds.
 const MAX_LOAD_SECONDS: f64 = 86_400.0;
-/// The longest time of a fault, in seconds.
+/// Maximum duration of a fault, in seconds.
 const MAX_FAULT_SECONDS: f64 = 3600.0;
-/// The longest service time of a statement, in milliseconds.
+/// Maximum service time of a statement, in milliseconds.
 const MAX_SERVICE_MS: f64 = 10_000.0;
-/// The longest delay of a link, in milliseconds.
+/// Maximum delay that a link fault may add, in milliseconds.
 const MAX_DELAY_MS: f64 = 60_000.0;
-/// The highest rate of a load, in requests a second.
+/// Maximum rate of a load, in requests per second.
 const MAX_LOAD_RATE: f64 = 100_000.0;
-/// The highest rate of a quota, in requests a second.
+/// Maximum rate of a quota, in requests per second.
 const MAX_QUOTA_RATE: f64 = 1e9;
-/// The most threads that send a load.
+/// Maximum number of threads that send the load.
 const MAX_LOAD_THREADS: f64 = 64.0;
-/// The most client connections to each router.
+/// Maximum number of client connections to each router.
 const MAX_CONNECTIONS: f64 = 100.0;
 
 impl Plan {
-    /// Checks it.
+    /// Validates the plan.
     ///
     /// # Errors
-    /// A [`PlanError`] that names the key.
+    /// Returns a [`PlanError`] that names the invalid key.
     pub fn check(&self) -> Result<(), PlanError> {
         self.check_general()?;
         self.check_groups()?;
--- a/multiprocess/src/process.rs
+++ b/multiprocess/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the program under test: started, signalled and ended by their id.
+//! Starts processes of the program under test, signals them by process id and ends them.
 mod child;
 mod command;
 mod error;
@@ -6,6 +6,6 @@
 mod resource_usage;
 
 pub use child::Child;
-pub use command::run_to_end;
+pub use command::run_command;
 pub use error::ProcessError;
 pub use resource_usage::ResourceUsage;
--- a/multiprocess/src/process/child.rs
+++ b/multiprocess/src/process/child.rs
@@ -1,4 +1,4 @@
-//! A child process that runs until it is signalled or dropped.
+//! A child process that runs until it exits, is signalled or is dropped.
 use super::error::ProcessError;
 use super::log_buffer::LogBuffer;
 use super::resource_usage::ResourceUsage;
@@ -10,24 +10,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Buffer of the thread that reads a log; there are hundreds of them.
+/// Size of a log reader's buffer; small, because a run has hundreds of log readers.
 const LOG_READ_BUFFER_BYTES: usize = 1024;
-/// Stack of the thread that reads a log.
+/// Stack size of a log reader's thread; small for the same reason.
 const LOG_THREAD_STACK_BYTES: usize = 128 << 10;
 
-/// A running process; it is killed when this is dropped.
+/// A child process; it is killed when this value is dropped.
 pub struct Child {
-    /// Its name in messages.
+    /// Name of the process in error messages.
     pub name: String,
     process: std::process::Child,
     log: Arc<LogBuffer>,
 }
 
 impl Child {
-    /// Starts the program with an empty environment; a thread reads its standard error as its log.
+    /// Starts the program with an empty environment. A thread reads its standard error, which is its log.
     ///
     /// # Errors
-    /// [`ProcessError::Start`].
+    /// Returns [`ProcessError::Start`] if the program or the log reader's thread can't be started.
     pub fn start(program: &Path, name: &str, arguments: &[&str]) -> Result<Child, ProcessError> {
         let failed = ProcessError::start(program);
         let mut command = Command::new(program);
@@ -35,7 +35,7 @@
         let mut process = command.spawn().map_err(&failed)?;
         let stderr = process.stderr.take();
         let log = Arc::<LogBuffer>::default();
-        // Made before the thread is started: where there is none for it, dropping this ends the process.
+        // Created before the thread starts, so that the process is killed if the thread can't be started.
         let child = Child { name: name.into(), process, log: log.clone() };
         if let Some(stderr) = stderr {
             read_log(stderr, log).map_err(&failed)?;
@@ -43,10 +43,11 @@
         Ok(child)
     }
 
-    /// Waits for a log line that contains `text`, and returns what follows it.
+    /// Waits for a log line that contains `text`, and returns the rest of the line after `text`.
     ///
     /// # Errors
-    /// [`ProcessError::LogLineMissing`] where the line is missing when the time is over or the process has ended.
+    /// Returns [`ProcessError::LogLineMissing`] if the wait times out or the process ends before it writes
+    /// the line.
     pub fn wait_for_log(&self, text: &str, timeout: Duration) -> Result<String, ProcessError> {
         self.log.wait_for(text, timeout).map_err(|last_lines| ProcessError::LogLineMissing {
             name: self.name.clone(),
@@ -56,31 +57,33 @@
         })
     }
 
-    /// The last lines of its log, the oldest first.
+    /// Returns the retained log lines, oldest first.
     pub fn log_lines(&self) -> Vec<String> {
         self.log.lines()
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.process.id()
     }
 
-    /// Sends it a signal. Its id can't be another process's: it is waited for only when this is dropped.
+    /// Sends a signal to the process. The id can't have been reused: the process is not reaped before this
+    /// value is dropped, unless [`has_ended`](Child::has_ended) has returned true.
     ///
     /// # Errors
-    /// [`ProcessError::Signal`].
+    /// Returns [`ProcessError::Signal`] if the system rejects the signal.
     pub fn signal(&self, signal: Signal) -> Result<(), ProcessError> {
         let failed = |error| ProcessError::Signal { name: self.name.clone(), error };
         kill(Pid::from_raw(self.id() as i32), signal).map_err(failed)
     }
 
-    /// Whether it has ended by itself. Its id may be another process's after that: it must not be signalled again.
+    /// Whether the process has exited. If so, it has been reaped, its id may be reused, and it must not be
+    /// signalled.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.process.try_wait(), Ok(Some(_)))
     }
 
-    /// The resources that it uses now; `None` where the system does not say.
+    /// Returns the current resource usage; `None` if `/proc` does not report it.
     pub fn resource_usage(&self) -> Option<ResourceUsage> {
         ResourceUsage::of_process(self.id())
     }
@@ -93,7 +96,7 @@
     }
 }
 
-/// Starts the thread that reads a log to its end.
+/// Starts a thread that reads the log until end of file.
 fn read_log(stderr: impl Read + Send + 'static, log: Arc<LogBuffer>) -> io::Result<()> {
     let read = move || {
         let lines = BufReader::with_capacity(LOG_READ_BUFFER_BYTES, stderr).lines();
--- a/multiprocess/src/process/command.rs
+++ b/multiprocess/src/process/command.rs
@@ -1,13 +1,15 @@
-//! Commands of the program that run to their end.
+//! Runs short-lived commands of the program.
 use super::error::ProcessError;
 use std::path::Path;
 use std::process::Command;
 
-/// Runs one of the program's commands to its end with an empty environment, and returns its standard output.
+/// Runs a command of the program with an empty environment, waits for its exit, and returns its standard
+/// output.
 ///
 /// # Errors
-/// [`ProcessError::Start`] where it can't be started, [`ProcessError::Command`] where its exit code is not 0.
-pub fn run_to_end(program: &Path, arguments: &[&str]) -> Result<String, ProcessError> {
+/// Returns [`ProcessError::Start`] if the command can't be started, and [`ProcessError::Command`] if its exit
+/// code is not 0.
+pub fn run_command(program: &Path, arguments: &[&str]) -> Result<String, ProcessError> {
     let mut command = Command::new(program);
     let output = command.args(arguments).env_clear().output().map_err(ProcessError::start(program))?;
     if output.status.success() {
--- a/multiprocess/src/process/error.rs
+++ b/multiprocess/src/process/error.rs
@@ -1,53 +1,51 @@
-//! What can go wrong with a process.
+//! Errors of starting and controlling processes.
 use std::io;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a process is of no use.
+/// An error of starting or controlling a process.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// It can't be started.
-    #[error(
-        "{program}: cannot be started ({error}); name the program's path, and look at the bound on processes"
-    )]
+    /// The process can't be started.
+    #[error("cannot start {program} ({error}); check the path of the program and the limit on processes")]
     Start {
-        /// The program's path.
+        /// Path of the program.
         program: String,
-        /// Why it can't be started.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// A log line was not written in time.
-    #[error("{name} wrote no line with '{text}' within {} s; its last lines: {last_lines}", timeout.as_secs())]
+    /// The process did not write an expected log line in time.
+    #[error("{name} logged no line containing '{text}' within {} s; last lines of its log: {last_lines}", timeout.as_secs())]
     LogLineMissing {
-        /// The process's name in messages.
+        /// Name of the process in error messages.
         name: String,
-        /// The text that the line had to contain.
+        /// Text that the log line has to contain.
         text: String,
-        /// How long it was waited for.
+        /// Maximum time to wait for the line.
         timeout: Duration,
-        /// The last lines of its log.
+        /// Last lines of the process's log.
         last_lines: String,
     },
-    /// A command ended with an error.
-    #[error("'{arguments}' failed: {output}")]
+    /// A command exited with an error.
+    #[error("command '{arguments}' failed: {output}")]
     Command {
-        /// The command's arguments.
+        /// Arguments of the command.
         arguments: String,
-        /// What it wrote to standard error.
+        /// Standard error of the command.
         output: String,
     },
-    /// It can't be signalled.
-    #[error("{name} cannot be signalled: {error}")]
+    /// A signal can't be sent to the process.
+    #[error("cannot send a signal to {name}: {error}")]
     Signal {
-        /// The process's name in messages.
+        /// Name of the process in error messages.
         name: String,
-        /// Why it can't be signalled.
+        /// Error of the operating system.
         error: nix::Error,
     },
 }
 
 impl ProcessError {
-    /// The error for a program that can't be started.
+    /// Returns a function that wraps an operating system error in [`ProcessError::Start`].
     pub(super) fn start(program: &std::path::Path) -> impl Fn(io::Error) -> ProcessError {
         move |error| ProcessError::Start { program: program.display().to_string(), error }
     }
--- a/multiprocess/src/process/log_buffer.rs
+++ b/multiprocess/src/process/log_buffer.rs
@@ -1,11 +1,11 @@
-//! The last lines of a process's log, with a way to wait for a line.
+//! A bounded buffer of a process's last log lines, with a blocking wait for a line.
 use std::collections::VecDeque;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How many lines of each process's log are retained.
+/// Maximum number of log lines that are retained for each process.
 const MAX_LINES: usize = 200;
-/// How many lines an error quotes.
+/// Number of log lines that an error message quotes.
 const QUOTED_LINES: usize = 5;
 
 #[derive(Default)]
@@ -14,7 +14,7 @@
     ended: bool,
 }
 
-/// The last lines of a log, written by the thread that reads it and read by any other.
+/// The last lines of a log. The log reader's thread writes to the buffer, and any thread may read it.
 #[derive(Default)]
 pub(super) struct LogBuffer {
     log: Mutex<Log>,
@@ -26,7 +26,7 @@
         self.log.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Appends a line; the oldest one goes where there are too many.
+    /// Appends a line; removes the oldest line if the buffer is full.
     pub(super) fn push(&self, line: String) {
         let mut log = self.log();
         if log.lines.len() == MAX_LINES {
@@ -36,14 +36,14 @@
         self.changed.notify_all();
     }
 
-    /// Marks the log as complete: no line follows.
+    /// Marks the log as complete: no more lines follow.
     pub(super) fn end(&self) {
         self.log().ended = true;
         self.changed.notify_all();
     }
 
-    /// Waits for a line that contains `text` and returns what follows it, trimmed. `Err` has the last lines where the
-    /// line is missing at the timeout or at the log's end.
+    /// Waits for a line that contains `text`, and returns the trimmed rest of that line. If the wait times
+    /// out or the log ends first, `Err` contains the last lines of the log.
     pub(super) fn wait_for(&self, text: &str, timeout: Duration) -> Result<String, String> {
         let deadline = Instant::now() + timeout;
         let mut log = self.log();
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The retained lines, the oldest first.
+    /// Returns the retained lines, oldest first.
     pub(super) fn lines(&self) -> Vec<String> {
         self.log().lines.iter().cloned().collect()
     }
--- a/multiprocess/src/process/resource_usage.rs
+++ b/multiprocess/src/process/resource_usage.rs
@@ -1,18 +1,18 @@
-//! Threads and memory of a process, as Linux reports them.
+//! Thread count and memory usage of a process, read from `/proc`.
 
-/// The resources that a process uses.
+/// Thread count and memory usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResourceUsage {
-    /// Its threads.
+    /// Number of threads.
     pub threads: u64,
-    /// Resident memory, the program's shared pages included, in KiB.
+    /// Resident memory in KiB, including shared pages of the program file.
     pub resident_kb: u64,
-    /// Resident memory that no other process shares, in KiB.
+    /// Resident anonymous memory in KiB, which is not shared with other processes.
     pub private_kb: u64,
 }
 
 impl ResourceUsage {
-    /// Reads `/proc/ID/status`; `None` where the process has ended or a figure is missing.
+    /// Reads `/proc/ID/status`; returns `None` if the process has ended or a value is missing.
     pub(super) fn of_process(id: u32) -> Option<ResourceUsage> {
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
         let figure = |key: &str| {
--- a/multiprocess/src/report.rs
+++ b/multiprocess/src/report.rs
@@ -1,5 +1,5 @@
-//! What a run showed: how requests ended, what processes cost, and the checker's verdict. Printed, it is a text of
-//! tables.
+//! The report of a run: outcomes of requests, resource usage of processes, and the checker's verdict.
+//! `Display` formats it as text tables.
 mod data;
 mod outcomes;
 mod text;
--- a/multiprocess/src/report/data.rs
+++ b/multiprocess/src/report/data.rs
@@ -1,56 +1,57 @@
-//! The report's data.
+//! The data of a report.
 use super::outcomes::{OutcomeCounts, TenantOutcomes};
 use crate::check::Verdict;
 use crate::history::History;
 use crate::process::ResourceUsage;
 use std::time::Duration;
 
-/// The resources that processes used before the first fault.
+/// The resource usage of processes before the first fault.
 #[derive(Clone, Debug, Default)]
 pub struct ResourceFigures {
-    /// Each router's.
+    /// Resource usage of each router.
     pub routers: Vec<ResourceUsage>,
-    /// Each store node's.
+    /// Resource usage of each store node.
     pub store_nodes: Vec<ResourceUsage>,
-    /// Traffic between the first router and the store, bytes a second, both ways together; `None` where there is none.
+    /// Traffic between the first router and the store in bytes per second, both directions together; `None`
+    /// if not measured.
     pub store_bytes_per_s: Option<f64>,
 }
 
-/// A router that ended though nobody ended it.
+/// A router that exited although no fault ended it.
 #[derive(Clone, Debug)]
 pub struct UnexpectedExit {
-    /// Index of the router.
+    /// Index of the router that exited.
     pub router: usize,
-    /// The last lines of its log.
+    /// Last lines of the router's log.
     pub log_lines: Vec<String>,
 }
 
-/// Everything that a run showed.
+/// The report of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// How many routers ran.
+    /// Number of routers.
     pub routers: usize,
-    /// Time from the begin until all processes were ready.
+    /// Time from the start of the run until all processes were ready.
     pub startup_time: Duration,
-    /// The whole run's time.
+    /// Duration of the whole run.
     pub total_time: Duration,
-    /// The resources that processes used.
+    /// Resource usage of the processes.
     pub resources: ResourceFigures,
-    /// Routers that ended by themselves.
+    /// Routers that exited although no fault ended them.
     pub unexpected_exits: Vec<UnexpectedExit>,
-    /// The record of the run.
+    /// The recorded history of the run.
     pub history: History,
-    /// What the checker found in it.
+    /// The checker's verdict on the history.
     pub verdict: Verdict,
 }
 
 impl Report {
-    /// Whether no guarantee was broken and no router ended by itself.
+    /// Whether the run has no violation and no unexpected exit.
     pub fn is_good(&self) -> bool {
         self.verdict.violations.is_empty() && self.unexpected_exits.is_empty()
     }
 
-    /// How requests ended, by tenant in the plan's order.
+    /// Returns the outcomes of requests for each tenant, in the plan's order.
     pub fn outcomes(&self) -> Vec<TenantOutcomes> {
         let of_tenant = |index| self.history.requests.iter().filter(move |r| r.tenant == index);
         let tenants = self.history.tenants.iter().enumerate();
--- a/multiprocess/src/report/outcomes.rs
+++ b/multiprocess/src/report/outcomes.rs
@@ -1,41 +1,42 @@
-//! How requests ended.
+//! Counts of the outcomes of requests, and their latencies.
 use crate::history::{Outcome, Request};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// The longest latency that is recorded, in microseconds; longer ones count as this.
+/// Maximum recorded latency in microseconds; higher latencies are recorded as this value.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Significant digits of latencies.
+/// Significant decimal digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
-/// How the requests of one tenant ended.
+/// The outcomes of one tenant's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantOutcomes {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// How its requests ended.
+    /// Outcome counts and latencies of the tenant's requests.
     pub counts: OutcomeCounts,
 }
 
-/// How requests ended.
+/// Outcome counts and latencies of a set of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OutcomeCounts {
-    /// Requests.
+    /// Total number of requests.
     pub requests: usize,
-    /// Requests by outcome; outcomes that no request had are missing.
+    /// Number of requests for each outcome; outcomes without requests are omitted.
     pub by_outcome: BTreeMap<Outcome, usize>,
-    /// Median latency of served requests, from when they were due, in milliseconds.
+    /// Median latency of served requests in milliseconds, measured from their scheduled times.
     pub p50_ms: f64,
-    /// 99th percentile of the same.
+    /// 99th percentile of this latency, in milliseconds.
     pub p99_ms: f64,
 }
 
 impl OutcomeCounts {
-    /// Counts the outcomes of requests.
+    /// Counts the outcomes of requests and computes the quantiles of their latencies.
     pub(super) fn of<'a>(requests: impl Iterator<Item = &'a Request>) -> OutcomeCounts {
         let mut counts = OutcomeCounts::default();
-        // These bounds are known to be valid; without a histogram there are no quantiles.
+        // The bounds are constants and valid; if the histogram could not be created, the quantiles would be
+        // 0.
         let mut latencies = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS).ok();
         for request in requests {
             counts.requests += 1;
@@ -54,7 +55,7 @@
         counts
     }
 
-    /// The number of requests with this outcome.
+    /// Returns the number of requests with the given outcome.
     pub fn count(&self, outcome: Outcome) -> usize {
         self.by_outcome.get(&outcome).copied().unwrap_or(0)
     }
--- a/multiprocess/src/report/text.rs
+++ b/multiprocess/src/report/text.rs
@@ -1,4 +1,4 @@
-//! The report as text. Its wording is what operators and pages quote.
+//! Formats the report as text. Operators and documentation quote its wording.
 use super::data::{Report, ResourceFigures};
 use super::outcomes::TenantOutcomes;
 use crate::check::{QuotaUsage, ReplicaSpread};
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How many violations are listed.
+/// Maximum number of violations that are listed.
 const LISTED_VIOLATIONS: usize = 20;
 const KIB_PER_MIB: f64 = 1024.0;
 
@@ -145,7 +145,7 @@
     Ok(())
 }
 
-/// A figure over several processes.
+/// Mean and maximum of a measurement over several processes.
 struct MeanAndMax {
     mean: f64,
     max: u64,
--- a/multiprocess/src/run/deployment.rs
+++ b/multiprocess/src/run/deployment.rs
@@ -1,4 +1,4 @@
-//! Everything that runs for a plan: servers, the store, routers, and the fleet document.
+//! The processes and servers of a run: fake servers, store nodes and routers, and the fleet document.
 use super::error::RunError;
 use super::fleet_document::FleetDocument;
 use super::links::Links;
@@ -9,7 +9,7 @@
 use crate::addresses::free_addresses;
 use crate::history::{ConfigVersion, Micros, Server, Tenant};
 use crate::plan::{Group, Plan};
-use crate::process::run_to_end;
+use crate::process::run_command;
 use crate::report::ResourceFigures;
 use crate::servers::Servers;
 use std::net::SocketAddr;
@@ -17,49 +17,52 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// How long writing the document into the store is retried.
+/// How long writing the fleet document to the store is retried.
 const DOCUMENT_TIMEOUT: Duration = Duration::from_secs(15);
-/// Addresses that each node of the store needs: of its control, clients, peers and allocator.
+/// Number of addresses of a store node: one each for its control, clients, peers and allocator listener.
 const ADDRESSES_PER_NODE: usize = 4;
 
-/// Everything that runs for a plan.
+/// The processes, servers, proxies and files of a run.
 pub(super) struct Deployment<'a> {
     program: &'a Path,
     pub(super) plan: &'a Plan,
     folder: TempDir,
-    epoch: Instant,
+    run_start: Instant,
     pub(super) servers: Servers,
     pub(super) store: StoreCluster,
     pub(super) routers: Routers,
     pub(super) links: Links,
     pub(super) document: FleetDocument,
-    /// The tenants' configuration over time.
+    /// The tenants with their configuration over time.
     pub(super) tenants: Vec<Tenant>,
 }
 
 impl<'a> Deployment<'a> {
-    /// Starts everything and waits until it is ready; times count from `epoch`.
+    /// Starts all servers and processes, and waits until they are ready. Timestamps are relative to
+    /// `run_start`.
     pub(super) fn start(
         program: &'a Path,
         plan: &'a Plan,
-        epoch: Instant,
+        run_start: Instant,
     ) -> Result<Deployment<'a>, RunError> {
         let names: Vec<String> = plan.tenants.iter().map(|tenant| tenant.name.clone()).collect();
         let service_time = Duration::from_secs_f64(plan.service_ms / 1000.0);
-        let servers = Servers::start(list_servers(plan), &names, service_time, epoch)
-            .map_err(RunError::system("a server"))?;
-        let folder = tempfile::tempdir().map_err(RunError::system("a temporary folder"))?;
+        let servers = Servers::start(list_servers(plan), &names, service_time, run_start)
+            .map_err(RunError::system("cannot start a server"))?;
+        let folder = tempfile::tempdir().map_err(RunError::system("cannot create a temporary folder"))?;
         let addresses = free_addresses(ADDRESSES_PER_NODE * plan.store_nodes);
-        let addresses =
-            StoreAddresses::new(plan.store_nodes, &addresses.map_err(RunError::system("a port"))?);
+        let addresses = StoreAddresses::new(
+            plan.store_nodes,
+            &addresses.map_err(RunError::system("cannot reserve addresses"))?,
+        );
         let mut deployment = Deployment {
             program,
             plan,
             folder,
-            epoch,
+            run_start,
             servers,
             store: StoreCluster::new(program.to_path_buf(), addresses),
-            routers: Routers::new(program.to_path_buf(), plan.routers, plan.seed, epoch),
+            routers: Routers::new(program.to_path_buf(), plan.routers, plan.seed, run_start),
             links: Links::default(),
             document: FleetDocument::new(plan),
             tenants: names.into_iter().map(|name| Tenant { name, ..Tenant::default() }).collect(),
@@ -68,14 +71,14 @@
         if plan.follows_fleet {
             deployment.write_document()?;
         } else {
-            // Without a document, the plan's configuration is in force from the start.
+            // Without a fleet document, the plan's configuration is in force from the start.
             deployment.record_configuration(0, 0);
         }
         deployment.start_routers()?;
         Ok(deployment)
     }
 
-    /// Writes the nodes' files, starts them and waits for a leader.
+    /// Writes the configuration files of the store nodes, starts the nodes and waits for a leader.
     fn start_store(&mut self) -> Result<(), RunError> {
         for index in 0..self.plan.store_nodes {
             let file = self.write_file(&format!("node-{index}.toml"), &self.node_file(index).to_string())?;
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Writes the routers' files and starts all of them.
+    /// Writes the configuration files of the routers and starts the routers.
     fn start_routers(&mut self) -> Result<(), RunError> {
         self.links = Links::start(self.plan, &self.servers, &self.store.addresses);
         for index in 0..self.plan.routers {
@@ -127,7 +130,7 @@
         }
     }
 
-    /// The table of a member; `None` where the plan has no fleet.
+    /// Returns the `[fleet]` table of a member; `None` if the plan has no fleet document.
     fn fleet_table(
         &self,
         name: String,
@@ -141,19 +144,19 @@
 
     fn write_file(&self, name: &str, text: &str) -> Result<PathBuf, RunError> {
         let path = self.folder.path().join(name);
-        std::fs::write(&path, text).map_err(RunError::system("an operator's file"))?;
+        std::fs::write(&path, text).map_err(RunError::system("cannot write a configuration file"))?;
         Ok(path)
     }
 
-    /// Writes the document into the store, and records from when on it is in force.
+    /// Writes the fleet document to the store, and records from which time its values are in force.
     pub(super) fn write_document(&mut self) -> Result<(), RunError> {
         let file = self.write_file("fleet.toml", &self.document.to_string())?.display().to_string();
         let clients: Vec<String> = self.store.addresses.clients.iter().map(SocketAddr::to_string).collect();
         let clients = clients.join(",");
         let requested = self.now();
         let deadline = Instant::now() + DOCUMENT_TIMEOUT;
-        // It fails while the store has no leader; the command is idempotent, so it can be retried.
-        while let Err(e) = run_to_end(self.program, &["fleet", "set", &file, "--store", &clients]) {
+        // The command fails while the store has no leader. It is idempotent, so it can be retried.
+        while let Err(e) = run_command(self.program, &["fleet", "set", &file, "--store", &clients]) {
             if Instant::now() > deadline {
                 return Err(e.into());
             }
@@ -172,18 +175,18 @@
         }
     }
 
-    /// The resources that processes use now.
+    /// Returns the current resource usage of all processes.
     pub(super) fn resource_figures(&self, store_bytes_per_s: Option<f64>) -> ResourceFigures {
         let routers = self.routers.resource_usage();
         ResourceFigures { routers, store_nodes: self.store.resource_usage(), store_bytes_per_s }
     }
 
     fn now(&self) -> Micros {
-        self.epoch.elapsed().as_micros() as Micros
+        self.run_start.elapsed().as_micros() as Micros
     }
 }
 
-/// All servers of a plan, group by group, each group's primary first.
+/// Returns all servers of a plan in group order, each group's primary first.
 fn list_servers(plan: &Plan) -> Vec<Server> {
     (0..).zip(&plan.groups).flat_map(|(number, group)| list_group(number, group)).collect()
 }
--- a/multiprocess/src/run/error.rs
+++ b/multiprocess/src/run/error.rs
@@ -1,43 +1,43 @@
-//! Why a plan was not played to its end.
+//! Errors of running a plan.
 use super::startup::STARTUP_TIMEOUT;
 use crate::process::ProcessError;
 use std::io;
 use thiserror::Error;
 
-/// Why a plan was not played to its end.
+/// An error that ended a run early.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A process can't be used.
+    /// A process could not be started or controlled.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// The system gives no folder, port or thread.
+    /// The operating system could not provide a folder, a port or a thread.
     #[error(
-        "{resource}: {error}; look at the space in the temporary folder and the bounds on processes and open files"
+        "{operation}: {error}; check the free space in the temporary folder and the limits on processes and open files"
     )]
     System {
-        /// What was wanted.
-        resource: &'static str,
-        /// Why there is none.
+        /// The operation that failed.
+        operation: &'static str,
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// A router's log names no address.
+    /// A router logged a listener address that can't be parsed.
     #[error(
-        "{name} says that it listens on '{address}', which is no ip:port; use a program of the same build"
+        "{name} logged the listener address '{address}', which is not an ip:port; use a program of the same build"
     )]
     Address {
-        /// The router's name in messages.
+        /// Name of the router in error messages.
         name: String,
-        /// What its log has instead.
+        /// Text in place of the address.
         address: String,
     },
-    /// The store has no leader in time.
-    #[error("the store's nodes chose no leader within {} s; look at how busy this machine is", STARTUP_TIMEOUT.as_secs())]
+    /// The store elected no leader in time.
+    #[error("the store elected no leader within {} s; check the load of this machine", STARTUP_TIMEOUT.as_secs())]
     NoLeader,
 }
 
 impl RunError {
-    /// The error for a resource that the system does not give.
-    pub(super) fn system(resource: &'static str) -> impl Fn(io::Error) -> RunError {
-        move |error| RunError::System { resource, error }
+    /// Returns a function that wraps an operating system error in [`RunError::System`].
+    pub(super) fn system(operation: &'static str) -> impl Fn(io::Error) -> RunError {
+        move |error| RunError::System { operation, error }
     }
 }
--- a/multiprocess/src/run/faults.rs
+++ b/multiprocess/src/run/faults.rs
@@ -1,4 +1,4 @@
-//! Faults as they are injected, and what ends them.
+//! Injection of faults, and the actions that end them.
 use super::deployment::Deployment;
 use super::error::RunError;
 use super::fleet_document::Quota;
@@ -6,7 +6,7 @@
 use nix::sys::signal::Signal;
 use std::time::Duration;
 
-/// What ends a fault.
+/// The action that ends a fault.
 pub(super) enum Recovery {
     StartRouters(Vec<usize>),
     ResumeRouters(Vec<usize>),
@@ -16,7 +16,7 @@
     HealServerLinks { routers: usize, site: String },
 }
 
-/// A recovery, and how long after the fault it is due.
+/// A recovery action and its delay after the fault.
 pub(super) struct DelayedRecovery {
     pub(super) delay: Duration,
     pub(super) recovery: Recovery,
@@ -29,7 +29,8 @@
 }
 
 impl Deployment<'_> {
-    /// Injects a fault. Returns what ends it; `None` for one that does not end.
+    /// Injects a fault. Returns the action that ends it; `None` if the fault is a single change or reset, or
+    /// lasts until the end of the run.
     pub(super) fn inject(&mut self, fault: &FaultKind) -> Result<Option<DelayedRecovery>, RunError> {
         match fault {
             FaultKind::Kill { share, back_s } => return Ok(self.kill_routers(*share, *back_s)),
@@ -64,38 +65,38 @@
     }
 
     fn kill_routers(&mut self, share: f64, back_s: Option<f64>) -> Option<DelayedRecovery> {
-        let chosen = self.routers.draw(share);
+        let chosen = self.routers.choose_running(share);
         self.routers.kill(&chosen);
         back_s.map(|seconds| DelayedRecovery::new(seconds, Recovery::StartRouters(chosen)))
     }
 
     fn terminate_routers(&mut self, share: f64, back_s: f64) -> Result<DelayedRecovery, RunError> {
-        let chosen = self.routers.draw(share);
+        let chosen = self.routers.choose_running(share);
         self.routers.terminate(&chosen)?;
         Ok(DelayedRecovery::new(back_s, Recovery::StartRouters(chosen)))
     }
 
     fn suspend_routers(&mut self, share: f64, for_s: f64) -> Result<DelayedRecovery, RunError> {
-        let chosen = self.routers.draw(share);
+        let chosen = self.routers.choose_running(share);
         self.routers.suspend(&chosen)?;
         Ok(DelayedRecovery::new(for_s, Recovery::ResumeRouters(chosen)))
     }
 
-    /// Kills the store's leader; `None` where no node leads.
+    /// Kills the store's leader; returns `None` if the store has no leader.
     fn kill_leader(&mut self, back_s: f64) -> Option<DelayedRecovery> {
         let leader = self.store.leader()?;
         self.store.kill_node(leader);
         Some(DelayedRecovery::new(back_s, Recovery::StartNode(leader)))
     }
 
-    /// Suspends the store's leader; `None` where no node leads.
+    /// Suspends the store's leader; returns `None` if the store has no leader.
     fn suspend_leader(&self, for_s: f64) -> Result<Option<DelayedRecovery>, RunError> {
         let Some(leader) = self.store.leader() else { return Ok(None) };
         self.store.signal_node(leader, Signal::SIGSTOP)?;
         Ok(Some(DelayedRecovery::new(for_s, Recovery::ResumeNode(leader))))
     }
 
-    /// Ends a fault.
+    /// Performs a recovery action.
     pub(super) fn recover(&mut self, recovery: &Recovery) -> Result<(), RunError> {
         match recovery {
             Recovery::StartRouters(routers) => self.routers.restart(routers)?,
--- a/multiprocess/src/run/fleet_document.rs
+++ b/multiprocess/src/run/fleet_document.rs
@@ -1,19 +1,19 @@
-//! The fleet document: the tenants' quotas and placement rules, which faults of a plan change.
+//! The fleet document of a run: the tenants' quotas and placement rules, which faults may change.
 use super::operator_file::toml_array;
 use crate::history::{AllowedSites, QuotaLimit};
 use crate::plan::{self, Placement, Plan, READ_CLASS, WRITE_CLASS};
 use std::fmt;
 
-/// A tenant's quota.
+/// The quota of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Requests a second.
+    /// Admitted requests per second.
     pub rate: f64,
-    /// Requests beyond the rate.
+    /// Requests that may exceed the rate.
     pub burst: u32,
 }
 
-/// A tenant as the document has it.
+/// The configuration of a tenant in the fleet document.
 #[derive(Clone, Debug)]
 pub struct TenantConfig {
     name: String,
@@ -32,12 +32,12 @@
         }
     }
 
-    /// What the quota admits; `None` without one.
+    /// Returns the quota as a limit for the checker; `None` for a tenant without a quota.
     pub fn quota_limit(&self) -> Option<QuotaLimit> {
         self.quota.map(|quota| QuotaLimit { rate: quota.rate, burst: f64::from(quota.burst) })
     }
 
-    /// The sites at which statements may run; a rule that only prefers sites allows all.
+    /// Returns the sites at which statements may run. A rule that only prefers sites allows all sites.
     pub fn allowed_sites(&self) -> AllowedSites {
         let Some(rule) = self.placement.as_ref().filter(|rule| rule.strict) else {
             return AllowedSites::default();
@@ -66,17 +66,17 @@
     }
 }
 
-/// The fleet document; printed, it is TOML.
+/// The fleet document; `Display` writes it as TOML.
 #[derive(Clone, Debug)]
 pub struct FleetDocument {
-    /// Members of the fleet: routers and store nodes.
+    /// Number of members of the fleet: routers and store nodes.
     members: usize,
     sites: Vec<String>,
     tenants: Vec<TenantConfig>,
 }
 
 impl FleetDocument {
-    /// The document as a plan begins with it.
+    /// Creates the fleet document with the initial configuration of a plan.
     pub fn new(plan: &Plan) -> FleetDocument {
         FleetDocument {
             members: plan.routers + plan.store_nodes,
@@ -85,17 +85,17 @@
         }
     }
 
-    /// The tenants, in the plan's order.
+    /// Returns the tenants in the plan's order.
     pub fn tenants(&self) -> &[TenantConfig] {
         &self.tenants
     }
 
-    /// Changes a tenant's quota.
+    /// Sets a tenant's quota.
     pub fn set_quota(&mut self, tenant: &str, quota: Quota) {
         self.tenants_named(tenant).for_each(|tenant| tenant.quota = Some(quota));
     }
 
-    /// Changes a tenant's placement rule; it stays for the same classes.
+    /// Sets the sites of a tenant's placement rule; the rule's classes stay the same.
     pub fn set_placement(&mut self, tenant: &str, sites: &[String], strict: bool) {
         for tenant in self.tenants_named(tenant) {
             let classes = tenant.placement.take().and_then(|rule| rule.classes);
--- a/multiprocess/src/run/links.rs
+++ b/multiprocess/src/run/links.rs
@@ -1,4 +1,5 @@
-//! Links between routers and what they connect to, through fault proxies where a plan has faults for them.
+//! Network paths from routers to servers and to the store; those that a fault of the plan affects go through
+//! fault-injecting proxies.
 use super::store_cluster::StoreAddresses;
 use crate::plan::{FaultKind, LinkDirection, Plan};
 use crate::servers::{ListeningServer, Servers};
@@ -6,7 +7,7 @@
 use std::time::Duration;
 use test_servers::proxy::Proxy;
 
-/// A router's proxies in front of the store's nodes.
+/// The proxies between a router and the store's nodes.
 struct StoreLinks {
     clients: Vec<Proxy>,
     allocators: Vec<Proxy>,
@@ -18,13 +19,13 @@
     }
 }
 
-/// A router's proxy in front of a server.
+/// The proxy between a router and a server.
 struct ServerLink {
     site: String,
     proxy: Proxy,
 }
 
-/// The proxies of those routers for which the plan has faults; they are the first ones.
+/// The proxies of all routers that link faults of the plan affect; these are the first routers.
 #[derive(Default)]
 pub(super) struct Links {
     to_servers: Vec<Vec<ServerLink>>,
@@ -32,13 +33,14 @@
 }
 
 impl Links {
-    /// Starts the proxies that a plan's faults need.
+    /// Starts the proxies that the plan's faults need.
     pub(super) fn start(plan: &Plan, servers: &Servers, store: &StoreAddresses) -> Links {
         let kinds = || plan.faults.iter().map(|fault| &fault.kind);
         let server_count = kinds().map(FaultKind::routers_with_server_proxies).max().unwrap_or(0);
-        // The first router's traffic with the store is counted.
-        let counted = usize::from(plan.follows_fleet);
-        let store_count = kinds().map(FaultKind::routers_with_store_proxies).max().unwrap_or(0).max(counted);
+        // With a fleet document, the first router always has proxies to the store, which count its traffic.
+        let min_store_count = usize::from(plan.follows_fleet);
+        let store_count =
+            kinds().map(FaultKind::routers_with_store_proxies).max().unwrap_or(0).max(min_store_count);
         let server_links = |_| servers.listening.iter().map(ServerLink::start).collect();
         let store_links = |_| StoreLinks {
             clients: start_proxies(&store.clients),
@@ -50,7 +52,7 @@
         }
     }
 
-    /// The servers with the addresses at which a router reaches them.
+    /// Returns the servers with the addresses at which a router reaches them.
     pub(super) fn servers_of(&self, router: usize, servers: &Servers) -> Vec<ListeningServer> {
         let mut listed = servers.listening.clone();
         if let Some(links) = self.to_servers.get(router) {
@@ -59,7 +61,7 @@
         listed
     }
 
-    /// The store's addresses as a router reaches them.
+    /// Returns the store's addresses as a router reaches them.
     pub(super) fn store_of(&self, router: usize, store: &StoreAddresses) -> StoreAddresses {
         let mut addresses = store.clone();
         if let Some(links) = self.to_store.get(router) {
@@ -69,38 +71,38 @@
         addresses
     }
 
-    /// Cuts the first `routers` off from the store.
+    /// Blocks traffic between the first `routers` routers and the store.
     pub(super) fn cut_store(&self, routers: usize, direction: LinkDirection) {
         self.store_proxies(routers).for_each(|proxy| cut(proxy, direction));
     }
 
-    /// Cuts the first `routers` off from a site's servers.
+    /// Blocks traffic between the first `routers` routers and a site's servers.
     pub(super) fn cut_servers(&self, routers: usize, site: &str, direction: LinkDirection) {
         self.server_proxies(routers, site).for_each(|proxy| cut(proxy, direction));
     }
 
-    /// Delays data between the first `routers` and a site's servers.
+    /// Delays traffic between the first `routers` routers and a site's servers.
     pub(super) fn delay_servers(&self, routers: usize, site: &str, delay: Duration) {
         self.server_proxies(routers, site)
             .for_each(|proxy| proxy.update_faults(|faults| faults.delay = delay));
     }
 
-    /// Resets connections between the first `routers` and a site's servers.
+    /// Resets the connections between the first `routers` routers and a site's servers.
     pub(super) fn reset_servers(&self, routers: usize, site: &str) {
         self.server_proxies(routers, site).for_each(Proxy::reset);
     }
 
-    /// Ends faults between the first `routers` and the store.
+    /// Removes all faults between the first `routers` routers and the store.
     pub(super) fn heal_store(&self, routers: usize) {
         self.store_proxies(routers).for_each(Proxy::heal);
     }
 
-    /// Ends faults between the first `routers` and a site's servers.
+    /// Removes all faults between the first `routers` routers and a site's servers.
     pub(super) fn heal_servers(&self, routers: usize, site: &str) {
         self.server_proxies(routers, site).for_each(Proxy::heal);
     }
 
-    /// Bytes that the first router and the store have exchanged, both ways together.
+    /// Returns the number of bytes forwarded between the first router and the store, in both directions.
     pub(super) fn store_bytes(&self) -> u64 {
         self.store_proxies(1).map(Proxy::bytes_forwarded).sum()
     }
--- a/multiprocess/src/run/operator_file.rs
+++ b/multiprocess/src/run/operator_file.rs
@@ -1,52 +1,52 @@
-//! The operators' files of routers and store nodes.
+//! The configuration files of routers and store nodes.
 use crate::plan::{READ_CLASS, WRITE_CLASS};
 use crate::servers::ListeningServer;
 use std::fmt;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// An operator's file; printed, it is TOML.
+/// The configuration file of a router or a store node; `Display` writes it as TOML.
 #[derive(Clone, Debug)]
 pub struct OperatorFile {
-    /// How many routers there are.
+    /// Number of routers in the run.
     pub routers: usize,
-    /// Whether servers are listed with their sites: a router without placement knows no sites.
+    /// Whether servers are listed with their sites; a router without placement rules accepts no sites.
     pub with_sites: bool,
-    /// The servers.
+    /// Servers that the router uses, with their addresses.
     pub servers: Vec<ListeningServer>,
-    /// The table of a store node.
+    /// The `[store]` table; `None` for a router.
     pub store: Option<StoreTable>,
-    /// The table of a member of a fleet.
+    /// The `[fleet]` table; `None` without a fleet document.
     pub fleet: Option<FleetTable>,
 }
 
-/// The table of a store node.
+/// The `[store]` table of a store node.
 #[derive(Clone, Debug)]
 pub struct StoreTable {
-    /// The node's number, from 1.
+    /// Number of the node, from 1.
     pub node: usize,
-    /// Where it has its data.
+    /// Folder of the node's data.
     pub folder: PathBuf,
-    /// Where it answers commands.
+    /// Address for operators' commands.
     pub control: SocketAddr,
-    /// Where it answers clients.
+    /// Address for clients of the store.
     pub clients: SocketAddr,
-    /// Where the nodes answer each other, in the order of their numbers.
+    /// Addresses for traffic between nodes, in the order of the nodes' numbers.
     pub peers: Vec<SocketAddr>,
 }
 
-/// The table of a member of a fleet.
+/// The `[fleet]` table of a member.
 #[derive(Clone, Debug)]
 pub struct FleetTable {
-    /// The member's name.
+    /// Name of the member.
     pub name: String,
-    /// A router's slot, from 1; a store node has none.
+    /// Slot of a router, from 1; `None` for a store node.
     pub slot: Option<usize>,
-    /// Where the store's nodes answer clients.
+    /// Addresses at which the store's nodes accept clients.
     pub nodes: Vec<SocketAddr>,
-    /// Where the store's nodes answer routers.
+    /// Addresses at which the store's nodes accept quota reports from routers.
     pub allocators: Vec<SocketAddr>,
-    /// Where this store node answers routers; a router has none.
+    /// Address at which this store node accepts quota reports; `None` for a router.
     pub listen: Option<SocketAddr>,
 }
 
@@ -113,7 +113,7 @@
     }
 }
 
-/// Values as an array of TOML strings.
+/// Formats values as a TOML array of strings.
 pub(super) fn toml_array<T: fmt::Display>(values: &[T]) -> String {
     let quoted: Vec<String> = values.iter().map(|value| format!("'{value}'")).collect();
     format!("[{}]", quoted.join(", "))
--- a/multiprocess/src/run/playback.rs
+++ b/multiprocess/src/run/playback.rs
@@ -7,51 +7,54 @@
 use crate::report::ResourceFigures;
 use std::time::{Duration, Instant};
 
-/// Resources are measured at this part of the time to the first fault,
+/// Resource usage is sampled at this fraction of the time until the first fault.
 const SAMPLE_BEFORE_FIRST_FAULT: f64 = 0.95;
-/// or of the load where there is no fault.
+/// Resource usage is sampled at this fraction of the load if the plan has no faults.
 const SAMPLE_WITHOUT_FAULT: f64 = 0.5;
 
-/// A recovery and when it is due.
+/// A recovery action and the time at which it is due.
 struct DueRecovery {
     at: Instant,
     recovery: Recovery,
 }
 
-struct Playback<'a, 'p> {
+struct FaultInjector<'a, 'p> {
     deployment: &'a mut Deployment<'p>,
-    begin: Instant,
-    /// Faults that are not injected yet, the next one last.
+    load_start: Instant,
+    /// Faults that have not been injected yet, in reverse order of time.
     faults: Vec<&'p Fault>,
     recoveries: Vec<DueRecovery>,
     sample_at: Instant,
-    /// Bytes that the first router and the store had exchanged before the load.
+    /// Bytes forwarded between the first router and the store before the load started.
     store_bytes_before: u64,
     resources: Option<ResourceFigures>,
 }
 
-/// Injects the faults and ends them, until the load's time is over. Returns the resources that processes used before
-/// the first fault.
-pub(super) fn play(deployment: &mut Deployment<'_>, begin: Instant) -> Result<ResourceFigures, RunError> {
+/// Injects the faults and performs the recovery actions until the load's time is over. Returns the resource
+/// usage before the first fault.
+pub(super) fn inject_faults(
+    deployment: &mut Deployment<'_>,
+    load_start: Instant,
+) -> Result<ResourceFigures, RunError> {
     let plan = deployment.plan;
-    let end = begin + Duration::from_secs_f64(plan.seconds);
-    let mut playback = Playback::new(deployment, begin);
-    std::thread::sleep(begin.saturating_duration_since(Instant::now()));
+    let end = load_start + Duration::from_secs_f64(plan.seconds);
+    let mut injector = FaultInjector::new(deployment, load_start);
+    std::thread::sleep(load_start.saturating_duration_since(Instant::now()));
     loop {
         let now = Instant::now();
-        playback.sample_resources(now);
-        playback.inject_due_faults(now)?;
-        playback.recover_due(now)?;
-        playback.deployment.routers.find_ready()?;
-        if now >= end && playback.faults.is_empty() {
-            return playback.finish();
+        injector.sample_resources(now);
+        injector.inject_due_faults(now)?;
+        injector.recover_due(now)?;
+        injector.deployment.routers.update_readiness()?;
+        if now >= end && injector.faults.is_empty() {
+            return injector.finish();
         }
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-impl<'a, 'p> Playback<'a, 'p> {
-    fn new(deployment: &'a mut Deployment<'p>, begin: Instant) -> Playback<'a, 'p> {
+impl<'a, 'p> FaultInjector<'a, 'p> {
+    fn new(deployment: &'a mut Deployment<'p>, load_start: Instant) -> FaultInjector<'a, 'p> {
         let plan: &'p Plan = deployment.plan;
         let mut faults: Vec<&Fault> = plan.faults.iter().collect();
         faults.sort_by(|a, b| b.at.total_cmp(&a.at));
@@ -60,12 +63,12 @@
             None => plan.seconds * SAMPLE_WITHOUT_FAULT,
         };
         let store_bytes_before = deployment.links.store_bytes();
-        Playback {
+        FaultInjector {
             deployment,
-            begin,
+            load_start,
             faults,
             recoveries: Vec::new(),
-            sample_at: begin + Duration::from_secs_f64(sample_after),
+            sample_at: load_start + Duration::from_secs_f64(sample_after),
             store_bytes_before,
             resources: None,
         }
@@ -75,7 +78,7 @@
         if self.resources.is_some() || now < self.sample_at {
             return;
         }
-        let seconds = now.saturating_duration_since(self.begin).as_secs_f64();
+        let seconds = now.saturating_duration_since(self.load_start).as_secs_f64();
         let bytes = || (self.deployment.links.store_bytes() - self.store_bytes_before) as f64;
         let rate = (self.deployment.plan.follows_fleet && seconds > 0.0).then(|| bytes() / seconds);
         self.resources = Some(self.deployment.resource_figures(rate));
@@ -83,7 +86,7 @@
 
     fn inject_due_faults(&mut self, now: Instant) -> Result<(), RunError> {
         while let Some(fault) =
-            self.faults.pop_if(|fault| self.begin + Duration::from_secs_f64(fault.at) <= now)
+            self.faults.pop_if(|fault| self.load_start + Duration::from_secs_f64(fault.at) <= now)
         {
             if let Some(delayed) = self.deployment.inject(&fault.kind)? {
                 let at = Instant::now() + delayed.delay;
@@ -100,7 +103,8 @@
         due.iter().try_for_each(|due| self.deployment.recover(&due.recovery))
     }
 
-    /// Ends all faults that last, so that every request ends; killed routers stay down.
+    /// Ends all remaining faults, so that every request gets an outcome. Killed routers are not started
+    /// again.
     fn finish(self) -> Result<ResourceFigures, RunError> {
         let lasting = self.recoveries.iter().filter(|r| !matches!(r.recovery, Recovery::StartRouters(_)));
         lasting.into_iter().try_for_each(|due| self.deployment.recover(&due.recovery))?;
--- a/multiprocess/src/run/routers.rs
+++ b/multiprocess/src/run/routers.rs
@@ -1,4 +1,4 @@
-//! The routers: their processes, ports and outages.
+//! The router processes, their ports and their outages.
 use super::error::RunError;
 use super::startup::{POLL_INTERVAL, READY_LOG_LINE, STARTUP_TIMEOUT};
 use crate::history::{Micros, Outage};
@@ -10,31 +10,31 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Keeps the draws of routers apart from those of the load.
+/// Gives the choice of routers another random sequence than the load, which uses the same seed.
 const SEED_MASK: u64 = 0x5eed;
 
 struct Router {
     file: PathBuf,
     child: Option<Child>,
-    /// Index of its present outage.
+    /// Index of the current outage; `None` while the router is up.
     outage: Option<usize>,
-    /// It was started and is not ready yet.
+    /// Whether the router was started and is not ready yet.
     starting: bool,
 }
 
-/// What happens to a router that is not ready.
+/// How to treat a router that is not ready yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum NotReady {
-    /// It may still become ready.
+enum OnNotReady {
+    /// Keep waiting.
     Wait,
-    /// Its time is over.
+    /// The startup timed out: return an error.
     Fail,
 }
 
-/// The routers, a process each.
+/// All routers of a run; each is a process.
 pub(super) struct Routers {
     program: PathBuf,
-    epoch: Instant,
+    run_start: Instant,
     routers: Vec<Router>,
     ports: RouterPorts,
     outages: Vec<Outage>,
@@ -42,11 +42,11 @@
 }
 
 impl Routers {
-    /// No routers yet, of `count` to be added.
-    pub(super) fn new(program: PathBuf, count: usize, seed: u64, epoch: Instant) -> Routers {
+    /// Creates an empty list, with ports for `count` routers that are added later.
+    pub(super) fn new(program: PathBuf, count: usize, seed: u64, run_start: Instant) -> Routers {
         Routers {
             program,
-            epoch,
+            run_start,
             routers: Vec::new(),
             ports: RouterPorts::new(count),
             outages: Vec::new(),
@@ -54,17 +54,17 @@
         }
     }
 
-    /// Adds a router with its operator's file, without starting it.
+    /// Adds a router with its configuration file, without starting it.
     pub(super) fn add(&mut self, file: PathBuf) {
         self.routers.push(Router { file, child: None, outage: None, starting: false });
     }
 
-    /// Where the routers listen.
+    /// Returns the ports on which the routers listen.
     pub(super) fn ports(&self) -> &RouterPorts {
         &self.ports
     }
 
-    /// Outages so far.
+    /// Returns all outages so far.
     pub(super) fn outages(&self) -> &[Outage] {
         &self.outages
     }
@@ -74,8 +74,8 @@
         (0..self.routers.len()).try_for_each(|index| self.start(index))?;
         let deadline = Instant::now() + STARTUP_TIMEOUT;
         while self.routers.iter().any(|router| router.starting) {
-            let not_ready = if Instant::now() > deadline { NotReady::Fail } else { NotReady::Wait };
-            self.check_readiness(not_ready)?;
+            let on_not_ready = if Instant::now() > deadline { OnNotReady::Fail } else { OnNotReady::Wait };
+            self.check_readiness(on_not_ready)?;
             std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
@@ -89,12 +89,12 @@
         Ok(())
     }
 
-    /// Finds which of the starting routers have become ready.
-    pub(super) fn find_ready(&mut self) -> Result<(), RunError> {
-        self.check_readiness(NotReady::Wait)
+    /// Marks the starting routers that have become ready, and ends their outages.
+    pub(super) fn update_readiness(&mut self) -> Result<(), RunError> {
+        self.check_readiness(OnNotReady::Wait)
     }
 
-    fn check_readiness(&mut self, not_ready: NotReady) -> Result<(), RunError> {
+    fn check_readiness(&mut self, on_not_ready: OnNotReady) -> Result<(), RunError> {
         let now = self.now();
         let starting = self.routers.iter_mut().enumerate().filter(|(_, router)| router.starting);
         for (index, router) in starting {
@@ -107,15 +107,16 @@
                         self.outages[outage].until = now;
                     }
                 }
-                Err(e) if not_ready == NotReady::Fail => return Err(e.into()),
+                Err(e) if on_not_ready == OnNotReady::Fail => return Err(e.into()),
                 Err(_) => {}
             }
         }
         Ok(())
     }
 
-    /// Draws a share of all routers from those that are up.
-    pub(super) fn draw(&mut self, share: f64) -> Vec<usize> {
+    /// Chooses routers at random from those that are up. Their number is the given share of all routers, or
+    /// fewer if not enough are up.
+    pub(super) fn choose_running(&mut self, share: f64) -> Vec<usize> {
         let is_up = |router: &Router| router.child.is_some() && router.outage.is_none();
         let mut up: Vec<usize> = (0..self.routers.len()).filter(|i| is_up(&self.routers[*i])).collect();
         self.rng.shuffle(&mut up);
@@ -123,7 +124,7 @@
         up
     }
 
-    /// Kills routers.
+    /// Kills the chosen routers.
     pub(super) fn kill(&mut self, chosen: &[usize]) {
         for &index in chosen {
             self.begin_outage(index);
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Asks routers to end.
+    /// Sends SIGTERM to the chosen routers.
     pub(super) fn terminate(&mut self, chosen: &[usize]) -> Result<(), RunError> {
         for &index in chosen {
             self.begin_outage(index);
@@ -142,13 +143,13 @@
         Ok(())
     }
 
-    /// Starts routers again; one that was asked to end and has not is killed.
+    /// Starts the chosen routers again; kills those that have not exited after SIGTERM.
     pub(super) fn restart(&mut self, chosen: &[usize]) -> Result<(), RunError> {
         chosen.iter().for_each(|index| self.routers[*index].child = None);
         chosen.iter().try_for_each(|index| self.start(*index))
     }
 
-    /// Stops routers' processes until they are resumed.
+    /// Suspends the chosen routers until they are resumed.
     pub(super) fn suspend(&mut self, chosen: &[usize]) -> Result<(), RunError> {
         for &index in chosen {
             self.begin_outage(index);
@@ -157,7 +158,7 @@
         Ok(())
     }
 
-    /// Lets suspended routers go on.
+    /// Resumes suspended routers.
     pub(super) fn resume(&mut self, chosen: &[usize]) -> Result<(), RunError> {
         for &index in chosen {
             self.signal(index, Signal::SIGCONT)?;
@@ -181,13 +182,13 @@
         }
     }
 
-    /// The resources that the running routers use.
+    /// Returns the resource usage of the running routers.
     pub(super) fn resource_usage(&self) -> Vec<ResourceUsage> {
         let children = self.routers.iter().filter_map(|router| router.child.as_ref());
         children.filter_map(Child::resource_usage).collect()
     }
 
-    /// Routers that ended though they have no outage.
+    /// Returns the routers that exited without an outage.
     pub(super) fn unexpected_exits(&mut self) -> Vec<UnexpectedExit> {
         let expected_up = self.routers.iter_mut().enumerate().filter(|(_, router)| router.outage.is_none());
         expected_up
@@ -199,7 +200,7 @@
     }
 
     fn now(&self) -> Micros {
-        self.epoch.elapsed().as_micros() as Micros
+        self.run_start.elapsed().as_micros() as Micros
     }
 }
 
--- a/multiprocess/src/run/startup.rs
+++ b/multiprocess/src/run/startup.rs
@@ -1,9 +1,9 @@
-//! What starting a process of any kind needs.
+//! Constants for starting processes.
 use std::time::Duration;
 
-/// How long a process may take until it is ready: hundreds start at once.
+/// Maximum time until a process is ready; long, because hundreds of processes start at once.
 pub(super) const STARTUP_TIMEOUT: Duration = Duration::from_mins(1);
-/// How often the main thread looks at what it waits for.
+/// Interval at which the main thread polls for readiness, due faults and due recoveries.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The part of a log line that precedes the address at which a router accepts clients.
+/// The text in a router's log line that precedes its client listener's address.
 pub(super) const READY_LOG_LINE: &str = "client listener bound name=\"mysql\" addr=";
--- a/multiprocess/src/run/store_cluster.rs
+++ b/multiprocess/src/run/store_cluster.rs
@@ -1,27 +1,27 @@
-//! The nodes of the store.
+//! The processes of the store's nodes.
 use super::error::RunError;
 use super::startup::{POLL_INTERVAL, READY_LOG_LINE, STARTUP_TIMEOUT};
-use crate::process::{Child, ResourceUsage, run_to_end};
+use crate::process::{Child, ResourceUsage, run_command};
 use nix::sys::signal::Signal;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Instant;
 
-/// Addresses of the store's nodes, in the order of their numbers.
+/// Addresses of the store's nodes, in the order of the nodes' numbers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StoreAddresses {
-    /// Where they answer each other.
+    /// Addresses for traffic between nodes.
     pub(super) peers: Vec<SocketAddr>,
-    /// Where they answer clients.
+    /// Addresses for clients of the store.
     pub(super) clients: Vec<SocketAddr>,
-    /// Where they answer commands.
+    /// Addresses for operators' commands.
     pub(super) controls: Vec<SocketAddr>,
-    /// Where they answer routers of the fleet.
+    /// Addresses of the quota allocators, to which routers of the fleet connect.
     pub(super) allocators: Vec<SocketAddr>,
 }
 
 impl StoreAddresses {
-    /// Divides addresses, four for each node.
+    /// Assigns the addresses to the nodes, four to each.
     pub(super) fn new(nodes: usize, addresses: &[SocketAddr]) -> StoreAddresses {
         let part = |index: usize| addresses[index * nodes..(index + 1) * nodes].to_vec();
         StoreAddresses { peers: part(0), clients: part(1), controls: part(2), allocators: part(3) }
@@ -34,7 +34,7 @@
     child: Option<Child>,
 }
 
-/// The nodes of the store, a process each.
+/// All nodes of the store; each is a process.
 pub(super) struct StoreCluster {
     program: PathBuf,
     pub(super) addresses: StoreAddresses,
@@ -46,7 +46,7 @@
         StoreCluster { program, addresses, nodes: Vec::new() }
     }
 
-    /// Adds a node with its operator's file, and starts it.
+    /// Adds a node with its configuration file, and starts it.
     pub(super) fn add_node(&mut self, file: PathBuf) -> Result<(), RunError> {
         let index = self.nodes.len();
         self.nodes.push(Node { file, control: self.addresses.controls[index], child: None });
@@ -60,14 +60,14 @@
         Ok(())
     }
 
-    /// Waits until every node is ready and one of them leads.
+    /// Waits until every node is ready and the store has a leader.
     pub(super) fn wait_until_ready(&self) -> Result<(), RunError> {
         for child in self.nodes.iter().filter_map(|node| node.child.as_ref()) {
             child.wait_for_log(READY_LOG_LINE, STARTUP_TIMEOUT)?;
         }
-        let begin = Instant::now();
+        let wait_start = Instant::now();
         while !self.nodes.is_empty() && self.leader().is_none() {
-            if begin.elapsed() > STARTUP_TIMEOUT {
+            if wait_start.elapsed() > STARTUP_TIMEOUT {
                 return Err(RunError::NoLeader);
             }
             std::thread::sleep(POLL_INTERVAL);
@@ -75,14 +75,14 @@
         Ok(())
     }
 
-    /// Index of the leader, as the first node that answers reports it.
+    /// Returns the index of the leader, as reported by the first node that responds.
     pub(super) fn leader(&self) -> Option<usize> {
         self.nodes.iter().find_map(|node| self.leader_reported_by(node))
     }
 
     fn leader_reported_by(&self, node: &Node) -> Option<usize> {
         node.child.as_ref()?;
-        let text = run_to_end(&self.program, &["ctl", &node.control.to_string(), "status"]).ok()?;
+        let text = run_command(&self.program, &["ctl", &node.control.to_string(), "status"]).ok()?;
         let status: serde_json::Value = serde_json::from_str(&text).ok()?;
         status["leader"].as_u64().filter(|number| *number > 0).map(|number| number as usize - 1)
     }
@@ -91,7 +91,7 @@
         self.nodes[index].child = None;
     }
 
-    /// Sends a node a signal; one that was killed gets none.
+    /// Sends a signal to a node; does nothing if the node was killed.
     pub(super) fn signal_node(&self, index: usize, signal: Signal) -> Result<(), RunError> {
         match &self.nodes[index].child {
             Some(child) => Ok(child.signal(signal)?),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The resources that the running nodes use.
+    /// Returns the resource usage of the running nodes.
     pub(super) fn resource_usage(&self) -> Vec<ResourceUsage> {
         let children = self.nodes.iter().filter_map(|node| node.child.as_ref());
         children.filter_map(Child::resource_usage).collect()
--- a/multiprocess/src/servers.rs
+++ b/multiprocess/src/servers.rs
@@ -1,8 +1,10 @@
-//! Fake `MySQL` servers that record what they run: a primary and its replicas for each group, a thread for each server
-//! and none for a connection, so that some thousand connections of hundreds of routers cost little.
+//! Fake `MySQL` servers that record the statements they run. Each group has a primary and its replicas. Each
+//! server has one thread for all of its connections, so that the thousands of connections from hundreds of
+//! routers need few resources.
 //!
-//! `INSERT INTO basket VALUES ('ID')` and `SELECT n FROM basket WHERE k = 'ID'` are run and recorded by the number ID
-//! and the comment's `t=TENANT`; a read returns its ID and the server's name. The probe is `SELECT probe`.
+//! The servers run `INSERT INTO basket VALUES ('ID')` and `SELECT n FROM basket WHERE k = 'ID'`, and record
+//! the request number ID and the tenant from `t=TENANT` in the statement's comment. A read returns the ID and
+//! the server's name. The health check is `SELECT probe`.
 mod server_thread;
 mod shared;
 
@@ -18,35 +20,35 @@
 
 const THREAD_STACK_BYTES: usize = 256 << 10;
 
-/// A server that listens.
+/// A server and the address on which it listens.
 #[derive(Clone, Debug)]
 pub struct ListeningServer {
-    /// What it is.
+    /// Name, site, group and role of the server.
     pub server: Server,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
 }
 
-/// The servers of a run; dropping this ends them.
+/// All servers of a run; dropping this value stops them.
 pub struct Servers {
     shared: Arc<Shared>,
-    /// The servers, in the order of their indexes.
+    /// The servers by index.
     pub listening: Vec<ListeningServer>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Servers {
-    /// Starts them. A statement takes `service_time`; times count from `epoch`.
+    /// Starts the servers. Each statement takes `service_time`; timestamps are relative to `run_start`.
     ///
     /// # Errors
-    /// The system has no port or no thread left.
+    /// Returns an error if the system has no free port or can't start a thread.
     pub fn start(
         servers: Vec<Server>,
         tenants: &[String],
         service_time: Duration,
-        epoch: Instant,
+        run_start: Instant,
     ) -> io::Result<Servers> {
-        let shared = Arc::new(Shared::new(tenants, service_time, epoch));
+        let shared = Arc::new(Shared::new(tenants, service_time, run_start));
         let mut started = Servers { shared: shared.clone(), listening: Vec::new(), threads: Vec::new() };
         for (index, server) in servers.into_iter().enumerate() {
             let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
@@ -59,7 +61,7 @@
         Ok(started)
     }
 
-    /// The statements that have run.
+    /// Returns the statements that have run so far.
     pub fn statements(&self) -> Vec<Statement> {
         self.shared.statements()
     }
--- a/multiprocess/src/servers/server_thread.rs
+++ b/multiprocess/src/servers/server_thread.rs
@@ -1,4 +1,5 @@
-//! The thread of one server: it accepts connections, runs statements, and answers them when their time is over.
+//! The thread of one server: it accepts connections, runs statements, and sends each response after the
+//! service time.
 use super::shared::Shared;
 use crate::history::{Server, Statement};
 use crate::packet_io::{ConnectionState, read_available, take_packet, write_available};
@@ -14,35 +15,35 @@
     COMMAND_QUERY, COMMAND_QUIT, ERROR_READ_ONLY, ERROR_SYNTAX, OK, error, greeting, packets, row,
 };
 
-/// The token of the listener; connections have those from [`FIRST_CONNECTION`] on.
+/// Token of the listener; the tokens of connections start at [`FIRST_CONNECTION`].
 const LISTENER: Token = Token(0);
 const FIRST_CONNECTION: usize = 1;
-/// Readiness events that one poll returns at most.
+/// Maximum number of readiness events returned by one poll.
 const EVENT_CAPACITY: usize = 256;
-/// How often the thread checks whether the servers were stopped.
+/// How often the thread checks whether it has to stop.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Number of the packet that answers a login: it follows the greeting and the login itself.
-const LOGIN_ANSWER_NUMBER: u8 = 2;
-/// Number of the first packet that answers a command.
-const COMMAND_ANSWER_NUMBER: u8 = 1;
+/// Sequence id of the response to a login, which follows the greeting (0) and the login (1).
+const LOGIN_RESPONSE_SEQUENCE_ID: u8 = 2;
+/// Sequence id of the first packet of a response to a command.
+const COMMAND_RESPONSE_SEQUENCE_ID: u8 = 1;
 
 struct Connection {
     stream: TcpStream,
     read_buffer: Vec<u8>,
     write_buffer: Vec<u8>,
-    /// The client's login has been answered.
+    /// Whether the response to the client's login has been queued.
     logged_in: bool,
 }
 
-/// An answer that is sent later. The order is by time, then by connection.
+/// A response that is sent later, ordered by due time, then by connection.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct PendingAnswer {
+struct PendingResponse {
     due: Instant,
     connection: Token,
     bytes: Vec<u8>,
 }
 
-/// One server, with its listener and its connections.
+/// State of one server: its listener, connections and pending responses.
 pub(super) struct ServerThread {
     index: usize,
     server: Server,
@@ -51,7 +52,7 @@
     poll: Poll,
     connections: HashMap<Token, Connection>,
     next_token: usize,
-    pending_answers: BinaryHeap<Reverse<PendingAnswer>>,
+    pending_responses: BinaryHeap<Reverse<PendingResponse>>,
 }
 
 impl ServerThread {
@@ -71,11 +72,11 @@
             poll,
             connections: HashMap::new(),
             next_token: FIRST_CONNECTION,
-            pending_answers: BinaryHeap::new(),
+            pending_responses: BinaryHeap::new(),
         })
     }
 
-    /// Serves until the servers are stopped.
+    /// Runs the event loop until the servers are stopped.
     pub(super) fn run(mut self) {
         let mut events = Events::with_capacity(EVENT_CAPACITY);
         while !self.shared.is_stopped() {
@@ -87,15 +88,16 @@
             for event in &events {
                 if event.token() == LISTENER { self.accept() } else { self.handle_readiness(event) }
             }
-            self.send_due_answers();
+            self.send_due_responses();
         }
     }
 
-    /// The time until the next answer is due, at most [`STOP_CHECK_INTERVAL`].
+    /// Returns the time until the next response is due, at most [`STOP_CHECK_INTERVAL`].
     fn poll_timeout(&self) -> Duration {
         let now = Instant::now();
-        let next = self.pending_answers.peek();
-        let wait = next.map_or(STOP_CHECK_INTERVAL, |Reverse(a)| a.due.saturating_duration_since(now));
+        let next = self.pending_responses.peek();
+        let wait =
+            next.map_or(STOP_CHECK_INTERVAL, |Reverse(response)| response.due.saturating_duration_since(now));
         wait.min(STOP_CHECK_INTERVAL)
     }
 
@@ -117,14 +119,15 @@
         }
     }
 
-    /// Reads and writes what a connection is ready for; a connection that has ended is dropped.
+    /// Reads commands from a connection and writes queued responses; drops the connection if it has been
+    /// closed.
     fn handle_readiness(&mut self, event: &Event) {
         let token = event.token();
         let Some(mut connection) = self.connections.remove(&token) else { return };
         let state = read_available(&mut connection.stream, &mut connection.read_buffer);
         while let Some(packet) = take_packet(&mut connection.read_buffer) {
             if !std::mem::replace(&mut connection.logged_in, true) {
-                connection.write_buffer.extend(packets(LOGIN_ANSWER_NUMBER, &[OK]));
+                connection.write_buffer.extend(packets(LOGIN_RESPONSE_SEQUENCE_ID, &[OK]));
                 continue;
             }
             match packet.split_first() {
@@ -132,7 +135,7 @@
                     self.run_statement(&mut connection, token, &String::from_utf8_lossy(sql));
                 }
                 Some((&COMMAND_QUIT, _)) | None => return,
-                _ => connection.write_buffer.extend(packets(COMMAND_ANSWER_NUMBER, &[OK])),
+                _ => connection.write_buffer.extend(packets(COMMAND_RESPONSE_SEQUENCE_ID, &[OK])),
             }
         }
         if state == ConnectionState::Open
@@ -142,10 +145,11 @@
         }
     }
 
-    /// Answers a probe or an error at once; runs and records any other statement, which is answered later.
+    /// Responds to a probe or an invalid statement immediately. Runs and records any other statement, and
+    /// queues its response.
     fn run_statement(&mut self, connection: &mut Connection, token: Token, sql: &str) {
         if sql.starts_with("SELECT probe") {
-            return connection.write_buffer.extend(self.probe_answer());
+            return connection.write_buffer.extend(self.probe_response());
         }
         let write = !sql.starts_with("SELECT");
         let Some(id) = sql.split('\'').nth(1).and_then(|id| id.parse().ok()) else {
@@ -155,40 +159,41 @@
             return connection.write_buffer.extend(error(ERROR_READ_ONLY, "read-only"));
         }
         let at = self.shared.now();
-        let tenant = self.shared.tenant_index(tenant_of(sql));
+        let tenant = self.shared.tenant_index(parse_tenant(sql));
         self.shared.record(Statement { id, at, server: self.index, tenant, write });
         let bytes = if write {
-            packets(COMMAND_ANSWER_NUMBER, &[OK])
+            packets(COMMAND_RESPONSE_SEQUENCE_ID, &[OK])
         } else {
             row(&[&id.to_string(), &self.server.name])
         };
         let due = Instant::now() + self.shared.service_time;
-        self.pending_answers.push(Reverse(PendingAnswer { due, connection: token, bytes }));
+        self.pending_responses.push(Reverse(PendingResponse { due, connection: token, bytes }));
     }
 
-    /// Whether this server is read-only, and its heartbeat in milliseconds of Unix time.
-    fn probe_answer(&self) -> Vec<u8> {
+    /// Returns the probe's row: the read-only flag, and the replication heartbeat as Unix time in
+    /// milliseconds.
+    fn probe_response(&self) -> Vec<u8> {
         let read_only = if self.server.primary { "0" } else { "1" };
         let heartbeat = (test_servers::replication_group::unix_micros() / 1000).to_string();
         row(&[read_only, &heartbeat])
     }
 
-    fn send_due_answers(&mut self) {
+    fn send_due_responses(&mut self) {
         let now = Instant::now();
-        while self.pending_answers.peek().is_some_and(|Reverse(answer)| answer.due <= now) {
-            let Some(Reverse(answer)) = self.pending_answers.pop() else { break };
-            let Some(connection) = self.connections.get_mut(&answer.connection) else { continue };
-            connection.write_buffer.extend(answer.bytes);
+        while self.pending_responses.peek().is_some_and(|Reverse(response)| response.due <= now) {
+            let Some(Reverse(response)) = self.pending_responses.pop() else { break };
+            let Some(connection) = self.connections.get_mut(&response.connection) else { continue };
+            connection.write_buffer.extend(response.bytes);
             if write_available(&mut connection.stream, &mut connection.write_buffer)
                 == ConnectionState::Closed
             {
-                self.connections.remove(&answer.connection);
+                self.connections.remove(&response.connection);
             }
         }
     }
 }
 
-/// The tenant that a statement's comment names; empty for none.
-fn tenant_of(sql: &str) -> &str {
+/// Returns the tenant named in a statement's comment; empty if there is none.
+fn parse_tenant(sql: &str) -> &str {
     sql.split("t=").nth(1).and_then(|rest| rest.split([',', ' ', '*']).next()).unwrap_or("")
 }
--- a/multiprocess/src/servers/shared.rs
+++ b/multiprocess/src/servers/shared.rs
@@ -1,28 +1,28 @@
-//! State that all servers of a run share.
+//! State shared by all servers of a run.
 use crate::history::{Micros, Statement};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Stands for a tenant that the plan does not list.
+/// Index used for a tenant that the plan does not list.
 const UNKNOWN_TENANT: usize = usize::MAX;
 
-/// State that all servers of a run share.
+/// State shared by the threads of all servers.
 pub(super) struct Shared {
-    epoch: Instant,
-    /// How long a statement takes.
+    run_start: Instant,
+    /// Time that a server takes to run a statement.
     pub(super) service_time: Duration,
-    /// Indexes of tenants by their names.
+    /// Tenant indexes by name.
     tenants: HashMap<String, usize>,
     statements: Mutex<Vec<Statement>>,
     stopped: AtomicBool,
 }
 
 impl Shared {
-    pub(super) fn new(tenants: &[String], service_time: Duration, epoch: Instant) -> Shared {
+    pub(super) fn new(tenants: &[String], service_time: Duration, run_start: Instant) -> Shared {
         Shared {
-            epoch,
+            run_start,
             service_time,
             tenants: tenants.iter().cloned().zip(0..).collect(),
             statements: Mutex::default(),
@@ -30,17 +30,17 @@
         }
     }
 
-    /// The time since the run began.
+    /// Returns the time since the start of the run.
     pub(super) fn now(&self) -> Micros {
-        self.epoch.elapsed().as_micros() as Micros
+        self.run_start.elapsed().as_micros() as Micros
     }
 
-    /// The index of a tenant.
+    /// Returns a tenant's index, or [`UNKNOWN_TENANT`].
     pub(super) fn tenant_index(&self, name: &str) -> usize {
         self.tenants.get(name).copied().unwrap_or(UNKNOWN_TENANT)
     }
 
-    /// Records a statement that runs.
+    /// Records a statement that a server runs.
     pub(super) fn record(&self, statement: Statement) {
         self.statements.lock().unwrap_or_else(PoisonError::into_inner).push(statement);
     }
@@ -49,7 +49,7 @@
         self.statements.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Lets the servers' threads end.
+    /// Signals the servers' threads to stop.
     pub(super) fn stop(&self) {
         self.stopped.store(true, Ordering::Relaxed);
     }
--- a/multiprocess/tests/generated_files.rs
+++ b/multiprocess/tests/generated_files.rs
@@ -1,4 +1,5 @@
-//! The files that processes of a run are started with, and the fleet document with the changes that faults make.
+//! Tests the configuration files of routers and store nodes, and the fleet document before and after faults
+//! change it.
 use multiprocess::history::{AllowedSites, QuotaLimit, Server};
 use multiprocess::plan;
 use multiprocess::run::fleet_document::{FleetDocument, Quota, TenantConfig};
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn store_node_file_keeps_its_form() {
+fn store_node_file_matches_fixture() {
     let store = StoreTable {
         node: 1,
         folder: "/data/store-0".into(),
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn router_file_of_a_fleet_keeps_its_form() {
+fn router_file_with_fleet_matches_fixture() {
     let fleet = Some(fleet("router-19", Some(20), None));
     let file = OperatorFile { routers: 20, with_sites: true, servers: servers(), store: None, fleet };
     assert_eq!(file.to_string(), ROUTER);
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn fleet_document_keeps_its_form_through_changes() {
+fn fleet_document_matches_fixtures_after_each_change() {
     let mut document = FleetDocument::new(&plan::read(EVERY_KEY).unwrap());
     assert_eq!(document.to_string(), DOCUMENT);
     document.set_quota("tills", Quota { rate: 20.0, burst: 5 });
@@ -87,14 +88,14 @@
 }
 
 #[test]
-fn recorded_limits_are_those_of_the_document() {
+fn limits_for_the_checker_match_the_fleet_document() {
     let mut document = FleetDocument::new(&plan::read(EVERY_KEY).unwrap());
     let limits: Vec<_> = document.tenants().iter().map(TenantConfig::quota_limit).collect();
     assert_eq!(limits, [None, Some(QuotaLimit { rate: 40.5, burst: 110.0 }), None]);
     let reads = Some(["hall-a".to_string()].into());
     assert_eq!(document.tenants()[2].allowed_sites(), AllowedSites { reads, writes: None });
     assert_eq!(document.tenants()[0].allowed_sites(), AllowedSites::default());
-    // A rule that only prefers sites allows all of them.
+    // A rule that only prefers sites allows all sites.
     document.set_placement("books", &["hall-a".into()], false);
     assert_eq!(document.tenants()[2].allowed_sites(), AllowedSites::default());
 }
--- a/multiprocess/tests/plan.rs
+++ b/multiprocess/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans as read from TOML: every key and fault, the defaults, and the text of every error.
+//! Tests the parsing of plans: every key and fault, the defaults, and the text of every error.
 use multiprocess::plan::{self, FaultKind, LinkDirection, Placement, Plan, RouterSet, Targets};
 use std::fmt::Write;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn general_keys_are_read() {
+fn general_keys_are_parsed() {
     let plan = every_key();
     assert_eq!((plan.routers, plan.store_nodes, plan.follows_fleet), (20, 3, true));
     assert_eq!((plan.seconds, plan.seed, plan.service_ms), (12.5, 7, 2.5));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn omitted_keys_get_their_defaults() {
+fn omitted_keys_get_default_values() {
     let plan = plan::read(MINIMAL).unwrap();
     assert_eq!((plan.store_nodes, plan.follows_fleet, plan.seed), (0, false, 1));
     assert_eq!((plan.service_ms, plan.load_threads, plan.connections), (5.0, 4, 2));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn tenants_are_read_with_quota_and_placement() {
+fn tenants_are_parsed_with_quota_and_placement() {
     let plan = every_key();
     let names: Vec<&str> = plan.tenants.iter().map(|t| t.name.as_str()).collect();
     assert_eq!(names, ["everyone", "tills", "books"]);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn loads_are_read_with_their_routers() {
+fn loads_are_parsed_with_their_routers() {
     let plan = every_key();
     let targets: Vec<Targets> = plan.loads.iter().map(|l| l.targets).collect();
     assert_eq!(targets, [Targets::Named(RouterSet::All), Targets::Named(RouterSet::One), Targets::First(5)]);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn every_fault_is_read() {
+fn every_fault_kind_is_parsed() {
     let plan = every_key();
     let times: Vec<f64> = plan.faults.iter().map(|f| f.at).collect();
     assert_eq!(times, [0.5, 1.0, 2.0, 3.0, 4.0, 5.0, 6.0, 6.5, 7.0, 7.5, 8.0, 9.0, 10.0, 11.0]);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn proxied_routers_are_those_of_link_faults() {
+fn only_link_faults_need_proxies() {
     let faults = every_key().faults;
     let server_links: Vec<usize> = faults.iter().map(|f| f.kind.routers_with_server_proxies()).collect();
     assert_eq!(server_links, [0, 0, 0, 0, 0, 0, 0, 0, 4, 4, 5, 6, 0, 0]);
@@ -102,8 +102,8 @@
     assert_eq!(store_links, [0, 0, 0, 0, 0, 0, 2, 3, 0, 0, 0, 0, 0, 0]);
 }
 
-/// What is replaced in the plan with every key, once, by what.
-const CORRUPTIONS: &[(&str, &str)] = &[
+/// Invalid edits of the plan with every key: the text that is replaced once, and its replacement.
+const INVALID_EDITS: &[(&str, &str)] = &[
     ("routers = 20", "routers = 0"),
     ("routers = 20", "routers = 1001"),
     ("routers = 20", "routers = 'many'"),
@@ -145,9 +145,9 @@
 ];
 
 #[test]
-fn error_texts_name_the_key_and_keep_their_wording() {
+fn error_texts_name_the_key_and_match_fixture() {
     let mut found = String::new();
-    for (from, to) in CORRUPTIONS {
+    for (from, to) in INVALID_EDITS {
         assert!(EVERY_KEY.contains(from), "{from}");
         let error = plan::read(&EVERY_KEY.replacen(from, to, 1)).unwrap_err();
         writeln!(found, "## {from:?} -> {to:?}\n{error}").unwrap();
--- a/multiprocess/tests/report.rs
+++ b/multiprocess/tests/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run as text, and the figures that it is made of.
+//! Tests the text of a report, and the counts from which it is formatted.
 use multiprocess::check::{QuotaUsage, QuotaWindow, ReplicaSpread, Verdict, Violation};
 use multiprocess::history::{History, Outage, Outcome, Request, Server, Statement, Tenant};
 use multiprocess::process::ResourceUsage;
@@ -48,10 +48,10 @@
             latest: 2_400_000,
         },
         Violation::WriteRepeated { id: 4, times: 2 },
-        Violation::NoAnswer { id: 5, router: 1, outcome: Outcome::Lost },
-        Violation::UnexpectedAnswers { router: 2, answers: 6 },
-        Violation::RejectedWriteRan { id: 7 },
-        Violation::ServedNeverRan { id: 8 },
+        Violation::NoResponse { id: 5, router: 1, outcome: Outcome::Lost },
+        Violation::UnexpectedResponses { router: 2, responses: 6 },
+        Violation::RejectedWriteExecuted { id: 7 },
+        Violation::ServedNotExecuted { id: 8 },
     ]
 }
 
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn text_of_a_whole_report_keeps_its_form() {
+fn text_of_complete_report_matches_fixture() {
     let text = report().to_string();
     assert_eq!(text, REPORT);
 }
@@ -140,7 +140,7 @@
 #[test]
 fn report_lists_at_most_twenty_violations() {
     let mut report = report();
-    report.verdict.violations = (0..25).map(|id| Violation::ServedNeverRan { id }).collect();
+    report.verdict.violations = (0..25).map(|id| Violation::ServedNotExecuted { id }).collect();
     let text = report.to_string();
     assert!(text.contains("\n25 violations\n"), "{text}");
     assert_eq!(text.matches("no server ran it").count(), 20);
