--- a/lab/src/case.rs
+++ b/lab/src/case.rs
@@ -1,24 +1,24 @@
-//! A case of an experiment: one plan with one seed, and its results.
+//! A case of an experiment: a plan with one seed, and its results.
 use simulator::Results;
 
-/// What separates the name of a case from its seed.
+/// Separator between the experiment's name and the seed in a case name.
 const SEED_SEPARATOR: &str = ", seed ";
 
-/// A simulated run with its name.
+/// A simulated run with its name and results.
 pub struct Case {
-    /// Name of the plan or value of the key, and the seed.
+    /// Name of the plan, or the key and value of a sweep, followed by the seed.
     pub name: String,
-    /// Results of the run.
+    /// Results of the simulation.
     pub results: Results,
 }
 
 impl Case {
-    /// The name of a case of this experiment and seed.
+    /// Returns the name of the case with the given experiment and seed.
     pub fn name_with_seed(experiment: &str, seed: u64) -> String {
         format!("{experiment}{SEED_SEPARATOR}{seed}")
     }
 
-    /// The case's name without its seed.
+    /// Returns the case's name without its seed.
     pub fn name_without_seed(&self) -> &str {
         self.name.rsplit_once(SEED_SEPARATOR).map_or(&self.name, |(name, _)| name)
     }
@@ -29,15 +29,15 @@
     }
 }
 
-/// The cases of all seeds of one experiment.
+/// The cases of one experiment, which differ only in their seed.
 pub struct CaseGroup<'a> {
-    /// Their name without the seed.
+    /// Name of the cases without the seed.
     pub name: &'a str,
-    /// The cases in order.
+    /// The cases in their original order.
     pub cases: Vec<&'a Case>,
 }
 
-/// Groups cases that differ in their seed alone, in the order in which they first appear.
+/// Groups cases that differ only in their seed, in the order of their first appearance.
 pub fn group_by_seed(cases: &[Case]) -> Vec<CaseGroup<'_>> {
     let mut groups: Vec<CaseGroup<'_>> = Vec::new();
     for case in cases {
--- a/lab/src/chart.rs
+++ b/lab/src/chart.rs
@@ -1,4 +1,4 @@
-//! Chart of goodput over time, as SVG.
+//! SVG chart of goodput over time.
 use crate::case::Case;
 use crate::error::Error;
 use plotters::prelude::{
@@ -7,15 +7,15 @@
 };
 use std::path::Path;
 
-/// Width and height in pixels.
+/// Width and height of the chart in pixels.
 const SIZE: (u32, u32) = (1000, 500);
-/// Upper end of the axis in percent.
+/// Upper end of the vertical axis in percent.
 const MAX_PERCENT: f64 = 105.0;
 
-/// Writes a chart with a line for each case: the share served in time, second by second.
+/// Writes a chart with a line for each case: the share of requests served in time, for each second.
 ///
 /// # Errors
-/// The file can't be written.
+/// Returns an error if the file can't be written.
 pub fn write(path: &Path, title: &str, cases: &[Case]) -> Result<(), Error> {
     draw(path, title, cases).map_err(|source| Error::write(path, source))
 }
@@ -43,7 +43,7 @@
     Ok(())
 }
 
-/// Seconds that had requests, with their goodput in percent.
+/// Returns the seconds in which requests were offered, with their goodput in percent.
 fn goodput_points(case: &Case) -> impl Iterator<Item = (f64, f64)> {
     let seconds = case.results.seconds.iter().enumerate().filter(|(_, counts)| counts.offered > 0);
     seconds.map(|(second, counts)| (second as f64, 100.0 * counts.goodput()))
--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -1,9 +1,9 @@
-//! Commands of `damsonvale-lab`.
+//! Command line of `damsonvale-lab`.
 use crate::error::Error;
 use crate::{count, life, load, processes, run, soak};
 use clap::{Parser, Subcommand};
 
-/// Experiments on emulated fleets.
+/// Experiments on simulated fleets and on real router processes
 #[derive(Parser)]
 #[command(name = "damsonvale-lab", version)]
 pub struct Cli {
@@ -13,31 +13,32 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays one plan, with one seed or several.
+    /// Runs the simulation of a plan, with one seed or several.
     Run(run::RunArguments),
-    /// Plays a plan with several values of one of its keys.
+    /// Runs the simulation of a plan with several values of one key.
     Sweep(run::SweepArguments),
-    /// Sends an open-loop load to a router that runs: synthetic, or from a capture file.
+    /// Sends an open-loop load to a running router, either synthetic or from a capture file.
     Load(load::LoadArguments),
-    /// Starts many real routers with stand-in servers, and checks what the servers saw.
-    Processes(processes::Processes),
-    /// Compares the results of two runs or sweeps, case by case.
+    /// Starts many router processes with fake servers, and checks the statements that the servers recorded.
+    Processes(processes::ProcessesArguments),
+    /// Compares the results of two runs or sweeps case by case.
     Compare(run::CompareArguments),
-    /// Prints a plan with every key and its default, to begin from.
+    /// Prints a plan with every key and its default value, as a template.
     Plan,
-    /// Plays real routers under overlapping troubles drawn from a seed, and holds them to their promises.
+    /// Runs router processes under overlapping faults generated from a seed, and checks their guarantees.
     Soak(soak::SoakArguments),
-    /// Prints one request's whole life from a router's log.
+    /// Prints all lines of one request from a router's log.
     Life(life::LifeArguments),
-    /// Counts what a fleet did, second by second, from its routers' logs (`--logs` of the bench).
+    /// Counts requests, attempts and other events of a fleet for each second, from its routers' logs
+    /// (`--logs` of the bench).
     Count(count::CountArguments),
 }
 
 impl Cli {
-    /// Executes the command of the program's arguments; exits the process if they are none.
+    /// Runs the command given by the program's arguments; exits the process if the arguments are invalid.
     ///
     /// # Errors
-    /// The command has failed; the message says why.
+    /// Returns the error of the command.
     pub fn execute_from_arguments() -> Result<(), Error> {
         match Cli::parse().command {
             Command::Run(arguments) => run::run(&arguments),
--- a/lab/src/count.rs
+++ b/lab/src/count.rs
@@ -1,28 +1,30 @@
-//! `count`: counts what a fleet did, second by second, from the logs of its routers.
+//! `count`: counts the events of a fleet for each second, from the logs of its routers.
 //!
-//! Each `*.log` file of a folder is one router's log, written with `DAMSONVALE_LOG=debug`; a line that counts begins with
-//! the second since the start of the run (`12.345 ...`), as the bench writes them. Counted over all routers:
-//! requests, attempts, outcomes, connections opened and failed, probes by what the last probe of that member showed,
-//! rejections and failures by class and by whether an attempt had been sent.
+//! Each `*.log` file of a folder is the log of one router, written with `DAMSONVALE_LOG=debug`. Only lines
+//! that begin with the second since the start of the run (`12.345 ...`) are counted; the bench writes such
+//! lines. Summed over all routers, it counts requests, attempts, outcomes, opened and failed connections,
+//! probes by the result of the member's previous probe, and rejections and failures by class and by whether
+//! an attempt had been sent.
 use crate::error::Error;
 use clap::Args;
 use regex::Regex;
 use std::collections::{BTreeMap, HashMap};
 use std::path::{Path, PathBuf};
 
-/// Seconds from this on are no time within a run.
+/// Upper limit of a valid time within a run, in seconds; a larger number at the start of a line is not a
+/// time.
 const MAX_SECOND: f64 = 1e7;
-/// Value of a field that a line does not have.
+/// Value of a field that is missing in a line.
 const UNKNOWN: &str = "?";
 
 /// Arguments of `count`.
 #[derive(Args)]
 pub struct CountArguments {
-    /// The folder of the routers' logs, one `*.log` file each.
+    /// Folder with the routers' logs, one `*.log` file for each router.
     folder: PathBuf,
 }
 
-/// Counts by name, then by second of the run.
+/// Event counts by event name, then by second of the run.
 #[derive(Default, Debug, PartialEq)]
 pub struct EventCounts(pub BTreeMap<String, BTreeMap<u64, u64>>);
 
@@ -31,7 +33,7 @@
         *self.0.entry(name.into()).or_default().entry(second).or_default() += 1;
     }
 
-    /// The count of a name over the whole run.
+    /// Returns the count of an event over the whole run.
     pub fn total(&self, name: &str) -> u64 {
         self.0.get(name).map_or(0, |by_second| by_second.values().sum())
     }
@@ -41,7 +43,7 @@
     }
 }
 
-/// Fields of a log line that events are counted by; [`UNKNOWN`] where it has none.
+/// The fields of a log line by which events are counted; a missing field is [`UNKNOWN`].
 struct LogFields<'a> {
     request: &'a str,
     member: &'a str,
@@ -49,7 +51,7 @@
     class: &'a str,
 }
 
-/// Patterns of the fields.
+/// Regular expressions that find the fields.
 struct FieldPatterns {
     request: Regex,
     member: Regex,
@@ -68,7 +70,7 @@
         }
     }
 
-    fn fields_of<'a>(&self, line: &'a str) -> LogFields<'a> {
+    fn parse_fields<'a>(&self, line: &'a str) -> LogFields<'a> {
         let value = |pattern: &Regex| {
             pattern
                 .captures(line)
@@ -84,14 +86,14 @@
     }
 }
 
-/// Reader of one router's log, with what later lines refer to.
+/// Counts the events of one router's log, and stores what later lines refer to.
 struct LogReader<'a, 'c> {
     counts: &'c mut EventCounts,
     /// Class of each request.
     classes: HashMap<&'a str, &'a str>,
-    /// Attempts sent of each request.
+    /// Number of attempts sent for each request.
     attempts: HashMap<&'a str, u64>,
-    /// What the last probe of each member showed.
+    /// Result of the last probe of each member.
     last_probes: HashMap<&'a str, String>,
 }
 
@@ -137,8 +139,8 @@
     }
 }
 
-/// The second that a line begins with; `None` for a line of something else.
-fn second_of(line: &str) -> Option<u64> {
+/// Parses the second at the start of a line; `None` for a line without one.
+fn parse_second(line: &str) -> Option<u64> {
     let seconds: f64 = line.split(' ').next()?.parse().ok()?;
     (0.0..MAX_SECOND).contains(&seconds).then_some(seconds as u64)
 }
@@ -146,22 +148,22 @@
 /// Adds the events of one router's log to `counts`. Lines that do not begin with a second are skipped.
 ///
 /// # Panics
-/// Never: the patterns are constants.
+/// Does not panic: the regular expressions are constant and valid.
 pub fn count_router_log<'a>(lines: impl IntoIterator<Item = &'a str>, counts: &mut EventCounts) {
     let patterns = FieldPatterns::new();
     let (classes, attempts, last_probes) = (HashMap::new(), HashMap::new(), HashMap::new());
     let mut reader = LogReader { counts, classes, attempts, last_probes };
     for line in lines {
-        if let Some(second) = second_of(line) {
-            reader.read_line(second, line, &patterns.fields_of(line));
+        if let Some(second) = parse_second(line) {
+            reader.read_line(second, line, &patterns.parse_fields(line));
         }
     }
 }
 
-/// Counts every `*.log` of a folder.
+/// Counts the events of all `*.log` files in a folder.
 ///
 /// # Errors
-/// The folder or a file can't be read.
+/// Returns an error if the folder or a file can't be read.
 pub fn count_folder(folder: &Path) -> Result<EventCounts, Error> {
     let mut files: Vec<PathBuf> = std::fs::read_dir(folder)
         .map_err(|source| Error::Read { path: folder.into(), source })?
@@ -178,17 +180,17 @@
     Ok(counts)
 }
 
-/// Prints a line for each name: its total, then its count in each second of the run.
+/// Prints a line for each event: its total, then its count in each second of the run.
 ///
 /// # Errors
-/// The folder or a file can't be read.
+/// Returns an error if the folder or a file can't be read.
 pub fn run(arguments: &CountArguments) -> Result<(), Error> {
     let counts = count_folder(&arguments.folder)?;
     let last = counts.last_second();
     for (name, by_second) in &counts.0 {
-        let each: Vec<String> =
+        let second_counts: Vec<String> =
             (0..=last).map(|second| format!("{:4}", by_second.get(&second).unwrap_or(&0))).collect();
-        println!("{name:36} {:7}  {}", counts.total(name), each.join(" "));
+        println!("{name:36} {:7}  {}", counts.total(name), second_counts.join(" "));
     }
     Ok(())
 }
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -2,120 +2,122 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a command failed. Each message names the file, the key or the argument at fault.
+/// An error of a command. Each message names the file, the key or the argument that caused it.
 #[derive(Debug, Error)]
 pub enum Error {
     /// A file or folder can't be read.
     #[error("{}: cannot be read: {source}", .path.display())]
     Read {
-        /// Its path.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// The cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A file or folder can't be written.
     #[error("{}: cannot be written: {source}", .path.display())]
     Write {
-        /// Its path.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// The cause.
+        /// Cause of the failure.
         source: Box<dyn std::error::Error>,
     },
-    /// A file is not TOML.
+    /// A file is not valid TOML.
     #[error("{}: {source}", .path.display())]
     Toml {
-        /// Its path.
+        /// Path of the TOML file.
         path: PathBuf,
-        /// The cause.
+        /// Error of the TOML parser.
         source: toml::de::Error,
     },
-    /// A plan can't be played.
+    /// A plan of a simulation is invalid.
     #[error("{}: {source}", .path.display())]
     Plan {
-        /// Its path.
+        /// Path of the simulation's plan.
         path: PathBuf,
-        /// The key and what is wrong with it.
+        /// The invalid key and the reason.
         source: simulator::PlanError,
     },
-    /// A file holds no results.
+    /// A file does not contain results.
     #[error("{}: {source}; give a folder that `run --out` or `sweep --out` wrote", .path.display())]
     Results {
-        /// Their file.
+        /// Path of the results file.
         path: PathBuf,
-        /// The cause.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// A capture can't be read to its end.
+    /// A capture file can't be read completely.
     #[error("{}: {source}", .path.display())]
     Capture {
-        /// Its path.
+        /// Path of the capture file.
         path: PathBuf,
-        /// The place in the file, and the cause.
+        /// The offset in the file and the cause.
         source: pcap::capture::CaptureError,
     },
     /// A plan can't be serialized as TOML.
-    #[error("the plan can't be written down: {0}")]
+    #[error("cannot serialize the plan as TOML: {0}")]
     PlanNotSerialized(#[from] toml::ser::Error),
-    /// A value of `--values` is neither TOML nor a text without quotes.
+    /// A value of `--values` is neither TOML nor an unquoted string.
     #[error("expected a value of TOML, found '{0}'")]
     InvalidValue(String),
-    /// `--key` names nothing in the plan.
+    /// The key given by `--key` is not in the plan.
     #[error("'{key}' is not in the plan: there is no '{part}'")]
     UnknownKey {
-        /// The key.
+        /// The complete key.
         key: String,
-        /// The part of it that was not found.
+        /// The part of the key that was not found.
         part: String,
     },
-    /// An argument of `--statement` has another form than `SHARE:STATEMENT`.
+    /// An argument of `--statement` does not have the form `SHARE:STATEMENT`.
     #[error("expected SHARE:STATEMENT, found '{0}'")]
     InvalidStatement(String),
-    /// Nothing would be sent.
+    /// The shares, the rate or the duration of a load are 0, so that nothing would be sent.
     #[error("expected statements with shares, a rate and a time above 0")]
     NoLoad,
-    /// A log has no line of the request.
+    /// A log has no line of the requested request.
     #[error(
         "the log names no such request; write it with DAMSONVALE_LOG=debug, and look at the number or the id"
     )]
     RequestNotLogged,
-    /// A soak's plan can't be played.
+    /// The plan of a soak run is invalid.
     #[error(transparent)]
     SoakPlan(#[from] soak::plan::PlanError),
-    /// A soak could not be played: a port, a folder, a thread or a process was not available.
-    #[error("the soak could not be played: {0}")]
+    /// A soak run could not be completed: a port, a folder, a thread or a process was not available.
+    #[error("the soak run could not be completed: {0}")]
     Soak(soak::error::RunError),
-    /// A latency is out of the histogram's range.
-    #[error("a time can't be counted: {0}")]
+    /// A latency is outside the histogram's range.
+    #[error("cannot record a latency: {0}")]
     LatencyNotRecorded(Box<dyn std::error::Error>),
-    /// A plan of real processes can't be played.
+    /// A plan of router processes is invalid.
     #[error("{}: {source}", .path.display())]
     ProcessPlan {
-        /// Its path.
+        /// Path of the processes' plan.
         path: PathBuf,
-        /// The key and what is wrong with it.
+        /// The invalid key and the reason.
         source: multiprocess::plan::PlanError,
     },
-    /// The router's program was not found.
-    #[error("no program 'damsonvale' beside this one: build it, or name it with --program")]
+    /// The router program was not found.
+    #[error(
+        "router program 'damsonvale' not found next to this program; build it, or give its path with --program"
+    )]
     ProgramNotFound,
-    /// Processes did not start, or did not end.
+    /// A run of router processes could not be completed.
     #[error(transparent)]
     ProcessRun(multiprocess::run::RunError),
-    /// The checker of a run with real processes, or of a soak, found a violation.
-    #[error("the checker found what must not be")]
+    /// The checker found violations in a run of router processes or in a soak run.
+    #[error("the checker found violations")]
     ViolationFound,
-    /// Simulated cases violated a rule, which fails the experiment whatever its figures are.
+    /// Simulated cases violated a rule, which fails the experiment regardless of its other results.
     #[error("{violating} of {cases} cases broke a rule")]
     RulesViolated {
-        /// Cases with a violation.
+        /// Number of cases with a violation.
         violating: usize,
-        /// All cases.
+        /// Total number of cases.
         cases: usize,
     },
 }
 
 impl Error {
-    /// The error of a path that can't be written.
+    /// Creates the error for a path that can't be written.
     pub fn write(path: &Path, source: impl Into<Box<dyn std::error::Error>>) -> Error {
         Error::Write { path: path.into(), source: source.into() }
     }
--- a/lab/src/interval.rs
+++ b/lab/src/interval.rs
@@ -1,27 +1,28 @@
-//! Bootstrap intervals of means.
+//! Bootstrap confidence intervals of means.
 use fastrand::Rng;
 
-/// Resamples of a bootstrap.
+/// Number of bootstrap resamples.
 const RESAMPLES: usize = 2000;
-/// The share of resampled means on each side outside of the interval is one in this many.
+/// One in this many resampled means lies below the interval, and as many lie above it.
 const TAIL_DIVISOR: usize = 40;
-/// Seed of the draws.
+/// Random seed of the resampling.
 const SEED: u64 = 1;
 
-/// A mean, and the interval that 95 % of resampled means are in.
+/// A mean and its 95 % bootstrap confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Interval {
+pub struct ConfidenceInterval {
     /// Mean of the samples.
     pub mean: f64,
-    /// Lower end.
+    /// Lower bound of the interval.
     pub low: f64,
-    /// Upper end.
+    /// Upper bound of the interval.
     pub high: f64,
 }
 
-impl Interval {
-    /// The interval of samples. The draws are seeded: the same samples give the same interval.
-    pub fn of(samples: &[f64]) -> Interval {
+impl ConfidenceInterval {
+    /// Computes the interval of samples. The random seed is constant, so the same samples give the same
+    /// interval.
+    pub fn of(samples: &[f64]) -> ConfidenceInterval {
         let count = samples.len();
         let mean_of = |sum: f64| sum / count.max(1) as f64;
         let mut rng = Rng::with_seed(SEED);
@@ -29,6 +30,10 @@
         let mut means: Vec<f64> = (0..RESAMPLES).map(|_| resampled_mean()).collect();
         means.sort_by(f64::total_cmp);
         let tail = RESAMPLES / TAIL_DIVISOR;
-        Interval { mean: mean_of(samples.iter().sum()), low: means[tail], high: means[RESAMPLES - 1 - tail] }
+        ConfidenceInterval {
+            mean: mean_of(samples.iter().sum()),
+            low: means[tail],
+            high: means[RESAMPLES - 1 - tail],
+        }
     }
 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,8 +1,9 @@
-//! Command line for experiments: simulated fleets with tables and charts that can be compared, loads for running
-//! routers, runs of real processes, and readers of routers' logs.
+//! Command line for experiments: simulated fleets with comparable tables and charts, loads for running
+//! routers, runs of router processes, and readers of routers' logs.
 //!
-//! [`cli`] lists the commands, and each has a module: [`run`] with `run`, `sweep` and `compare`, [`load`],
-//! [`processes`], [`soak`], [`life`] and [`count`]. The other modules hold and show the results of simulated runs.
+//! [`cli`] lists the commands. [`run`] implements `run`, `sweep` and `compare`; [`load`], [`processes`],
+//! [`soak`], [`life`] and [`count`] implement the commands of the same names. The other modules store and
+//! display the results of simulations.
 pub mod case;
 pub mod chart;
 pub mod cli;
--- a/lab/src/load/arguments.rs
+++ b/lab/src/load/arguments.rs
@@ -1,4 +1,4 @@
-//! Arguments of `load`.
+//! Arguments of the `load` command.
 use clap::Args;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,36 +6,37 @@
 /// Arguments of `load`.
 #[derive(Args)]
 pub struct LoadArguments {
-    /// The router.
+    /// Address of the router
     pub(super) router: SocketAddr,
-    /// The user; its password is in the environment variable `DAMSONVALE_PASSWORD`.
-    #[arg(long, help = "Its user; the password is in $DAMSONVALE_PASSWORD")]
+    /// User name; the password is read from the environment variable `DAMSONVALE_PASSWORD`
+    #[arg(long, help = "User name; the password is read from $DAMSONVALE_PASSWORD")]
     pub(super) user: String,
-    /// The database.
+    /// Database name
     #[arg(long)]
     pub(super) database: String,
-    /// Requests a second.
+    /// Mean rate in requests per second
     #[arg(long, default_value_t = 100.0)]
     pub(super) rate: f64,
-    /// For so long.
+    /// Duration of the load in seconds
     #[arg(long, default_value_t = 10.0)]
     pub(super) seconds: f64,
-    /// Connections.
+    /// Number of connections
     #[arg(long, default_value_t = 16)]
     pub(super) connections: usize,
-    /// A statement and its share, as `5:SELECT ...`; `{s}` stands for a session, `{n}` for a number that rises.
+    /// Statement with its share, for example `5:SELECT ...`; `{s}` is replaced by a random session, and n in
+    /// braces by an increasing number
     #[arg(long = "statement")]
     pub(super) statements: Vec<String>,
-    /// Sessions that `{s}` is drawn from.
+    /// Number of sessions from which `{s}` is chosen
     #[arg(long, default_value_t = 1000)]
     pub(super) sessions: u64,
-    /// Seed of times, statements and sessions.
+    /// Random seed for times, statements and sessions
     #[arg(long, default_value_t = 1)]
     pub(super) seed: u64,
-    /// Takes the reads of a capture file and its pace instead.
+    /// Sends the reads of a capture file with their original intervals instead of `--statement`
     #[arg(long, conflicts_with = "statements")]
     pub(super) pcap: Option<PathBuf>,
-    /// Sends the writes of a capture as well: they run again.
+    /// Also sends the writes of the capture file, which run again
     #[arg(long, requires = "pcap")]
     pub(super) writes: bool,
 }
--- a/lab/src/load/outcome.rs
+++ b/lab/src/load/outcome.rs
@@ -5,23 +5,23 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Significant digits of a reported latency.
+/// Significant decimal digits of reported latencies.
 const LATENCY_DIGITS: u8 = 3;
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
 /// The outcomes of a load's statements; latencies are in microseconds.
 #[derive(Default)]
 pub(super) struct Outcomes {
-    /// Latency of each answer from when its statement was due.
+    /// Latency of each response, measured from the statement's scheduled time.
     since_due: Vec<u64>,
-    /// Latency of each answer from when its statement was sent.
+    /// Latency of each response, measured from the time at which the statement was sent.
     since_sent: Vec<u64>,
     /// Number of errors by description.
     errors: BTreeMap<String, u64>,
 }
 
 impl Outcomes {
-    pub(super) fn record_answer(&mut self, since_due: Duration, since_sent: Duration) {
+    pub(super) fn record_response(&mut self, since_due: Duration, since_sent: Duration) {
         self.since_due.push(since_due.as_micros() as u64);
         self.since_sent.push(since_sent.as_micros() as u64);
     }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The report of a load that offered this many statements in this time.
+    /// Formats the report of a load that offered `offered` statements and took `elapsed`.
     pub(super) fn report(&self, offered: usize, elapsed: Duration) -> Result<String, Error> {
         let (answered, seconds) = (self.since_due.len(), elapsed.as_secs_f64());
         let mut text = format!("{offered} offered, {answered} answered in {seconds:.1} s\n");
--- a/lab/src/load/schedule.rs
+++ b/lab/src/load/schedule.rs
@@ -1,14 +1,14 @@
-//! What is sent when: drawn from a mix of statements, or taken from a capture file. All is decided before the first
-//! statement is sent.
+//! The schedule of a load: statements chosen at random from a mix, or read from a capture file. The complete
+//! schedule is computed before the first statement is sent.
 use super::arguments::LoadArguments;
 use crate::error::Error;
 use fastrand::Rng;
 use std::path::Path;
 use std::time::Duration;
 
-/// A statement with its intended time.
+/// A statement with its scheduled time.
 pub(super) struct ScheduledStatement {
-    /// When it is to be sent, after the begin of the load.
+    /// Scheduled time, relative to the start of the load.
     pub(super) due: Duration,
     pub(super) sql: String,
 }
@@ -29,8 +29,8 @@
     }
 }
 
-/// Draws statements at random times, with exponentially distributed gaps.
-pub(super) fn draw(arguments: &LoadArguments) -> Result<Vec<ScheduledStatement>, Error> {
+/// Generates statements at random times with exponentially distributed intervals.
+pub(super) fn generate(arguments: &LoadArguments) -> Result<Vec<ScheduledStatement>, Error> {
     let mix: Vec<MixEntry<'_>> =
         arguments.statements.iter().map(|text| MixEntry::parse(text)).collect::<Result<_, _>>()?;
     let total_share: f64 = mix.iter().map(|entry| entry.share).sum();
@@ -45,7 +45,7 @@
         if seconds >= arguments.seconds {
             return Ok(schedule);
         }
-        let template = draw_template(&mut rng, &mix, total_share);
+        let template = choose_template(&mut rng, &mix, total_share);
         let session = format!("s{}", rng.u64(0..arguments.sessions.max(1)));
         let number = (schedule.len() + 1).to_string();
         let sql = template.replace("{s}", &session).replace("{n}", &number);
@@ -53,16 +53,16 @@
     }
 }
 
-fn draw_template<'a>(rng: &mut Rng, mix: &[MixEntry<'a>], total_share: f64) -> &'a str {
-    let mut draw = rng.f64() * total_share;
-    let drawn = mix.iter().find(|entry| {
-        draw -= entry.share;
-        draw < 0.0
+fn choose_template<'a>(rng: &mut Rng, mix: &[MixEntry<'a>], total_share: f64) -> &'a str {
+    let mut remaining = rng.f64() * total_share;
+    let chosen = mix.iter().find(|entry| {
+        remaining -= entry.share;
+        remaining < 0.0
     });
-    drawn.or(mix.last()).map_or("", |entry| entry.sql)
+    chosen.or(mix.last()).map_or("", |entry| entry.sql)
 }
 
-/// The statements of a capture file, with the gaps that they had.
+/// Returns the statements of a capture file, with their original intervals.
 pub(super) fn from_capture(path: &Path, writes: bool) -> Result<Vec<ScheduledStatement>, Error> {
     let file = std::fs::File::open(path).map_err(|source| Error::Read { path: path.into(), source })?;
     let contents = pcap::conversations::read(file);
@@ -70,7 +70,7 @@
     let mut schedule = Vec::new();
     for request in &contents.requests {
         let sql = String::from_utf8_lossy(request.statement.text()).into_owned();
-        // Parameters of executions are not sent: only statements that are whole in their text.
+        // Parameters of prepared statements can't be sent, so only statements without placeholders are used.
         if (writes || is_select(&sql)) && !sql.contains('?') {
             schedule.push(ScheduledStatement { due: request.captured_at, sql });
         }
--- a/lab/src/load/worker.rs
+++ b/lab/src/load/worker.rs
@@ -1,4 +1,4 @@
-//! One connection of a load.
+//! A connection of a load.
 use super::arguments::LoadArguments;
 use super::outcome::Outcomes;
 use super::schedule::ScheduledStatement;
@@ -8,30 +8,31 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
-/// Environment variable with the password.
+/// Environment variable that contains the user's password.
 const PASSWORD_VARIABLE: &str = "DAMSONVALE_PASSWORD";
 
-/// Sends statements at their times until the schedule is empty. After an error the next is sent on a new connection.
+/// Sends statements at their scheduled times until the schedule is empty. After an error, the next statement
+/// is sent over a new connection.
 pub(super) fn run(
     arguments: &LoadArguments,
-    begin: Instant,
+    load_start: Instant,
     schedule: &Mutex<Receiver<ScheduledStatement>>,
 ) -> Outcomes {
     let options = connection_options(arguments);
     let mut outcomes = Outcomes::default();
-    let mut idle: Option<Conn> = None;
+    let mut idle_connection: Option<Conn> = None;
     loop {
         let next = schedule.lock().unwrap_or_else(PoisonError::into_inner).recv();
         let Ok(statement) = next else { return outcomes };
-        let due = begin + statement.due;
+        let due = load_start + statement.due;
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         let sent = Instant::now();
-        let connected = idle.take().map_or_else(|| Conn::new(options.clone()), Ok);
-        let answered = connected.and_then(|mut conn| conn.query_drop(&statement.sql).map(|()| conn));
-        match answered {
+        let connected = idle_connection.take().map_or_else(|| Conn::new(options.clone()), Ok);
+        let result = connected.and_then(|mut conn| conn.query_drop(&statement.sql).map(|()| conn));
+        match result {
             Ok(conn) => {
-                idle = Some(conn);
-                outcomes.record_answer(due.elapsed(), sent.elapsed());
+                idle_connection = Some(conn);
+                outcomes.record_response(due.elapsed(), sent.elapsed());
             }
             Err(error) => outcomes.record_error(describe(error)),
         }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `damsonvale-lab`; its commands are in the library.
+//! The program `damsonvale-lab`; the library implements its commands.
 use damsonvale_lab::cli::Cli;
 use std::process::ExitCode;
 
--- a/lab/src/parallel.rs
+++ b/lab/src/parallel.rs
@@ -1,18 +1,19 @@
-//! Plays cases on several threads.
+//! Runs simulations on several threads.
 use crate::case::Case;
 use simulator::{Plan, play};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// A case to be played.
+/// A case that has not been run yet.
 pub struct PlannedCase {
-    /// Its name.
+    /// Name of the case.
     pub name: String,
-    /// Its plan, with the seed.
+    /// Plan of the case, with its seed.
     pub plan: Plan,
 }
 
-/// The cases of an experiment: its plan with so many seeds, from the plan's on; at least one.
+/// Returns the cases of an experiment: its plan with `seeds` consecutive seeds, at least one, starting with
+/// the plan's seed.
 pub fn cases_with_seeds(experiment: &str, plan: &Plan, seeds: u64) -> Vec<PlannedCase> {
     let with_seed = |seed| PlannedCase {
         name: Case::name_with_seed(experiment, seed),
@@ -21,17 +22,17 @@
     (0..seeds.max(1)).map(|offset| with_seed(plan.seed + offset)).collect()
 }
 
-/// Plays cases on so many threads, at least one. The results are in the order of the cases and do not depend on the
-/// number of threads.
-pub fn play_cases(planned: &[PlannedCase], threads: usize) -> Vec<Case> {
+/// Runs cases on the given number of threads, at least one. The results are in the order of the cases and do
+/// not depend on the number of threads.
+pub fn run_cases(planned: &[PlannedCase], threads: usize) -> Vec<Case> {
     let next = AtomicUsize::new(0);
-    let played: Mutex<Vec<(usize, Case)>> = Mutex::new(Vec::new());
+    let finished: Mutex<Vec<(usize, Case)>> = Mutex::new(Vec::new());
     let work = || {
         loop {
             let index = next.fetch_add(1, Ordering::Relaxed);
             let Some(case) = planned.get(index) else { return };
             let case = Case { name: case.name.clone(), results: play(&case.plan) };
-            played.lock().unwrap_or_else(PoisonError::into_inner).push((index, case));
+            finished.lock().unwrap_or_else(PoisonError::into_inner).push((index, case));
         }
     };
     std::thread::scope(|scope| {
@@ -39,7 +40,7 @@
             scope.spawn(work);
         }
     });
-    let mut played = played.into_inner().unwrap_or_else(PoisonError::into_inner);
-    played.sort_by_key(|(index, _)| *index);
-    played.into_iter().map(|(_, case)| case).collect()
+    let mut finished = finished.into_inner().unwrap_or_else(PoisonError::into_inner);
+    finished.sort_by_key(|(index, _)| *index);
+    finished.into_iter().map(|(_, case)| case).collect()
 }
--- a/lab/src/plan_file.rs
+++ b/lab/src/plan_file.rs
@@ -4,29 +4,29 @@
 use std::path::Path;
 use toml::{Table, Value};
 
-/// Reads a TOML file.
+/// Reads and parses a TOML file.
 ///
 /// # Errors
-/// The file can't be read, or is not TOML.
+/// Returns an error if the file can't be read or is not valid TOML.
 pub fn read_table(path: &Path) -> Result<Table, Error> {
     let text = std::fs::read_to_string(path).map_err(|source| Error::Read { path: path.into(), source })?;
     text.parse().map_err(|source| Error::Toml { path: path.into(), source })
 }
 
-/// The plan in a table; `path` is named in errors.
+/// Parses the plan in a table; errors name `path`.
 ///
 /// # Errors
-/// A key is unknown, or its value is out of range.
+/// Returns an error if a key is unknown or its value is out of range.
 pub fn plan_from_table(path: &Path, table: &Table) -> Result<Plan, Error> {
     let text = toml::to_string(table)?;
     Plan::read(&text).map_err(|source| Error::Plan { path: path.into(), source })
 }
 
-/// Sets a key, whose parts are separated by dots; a number is the index in a list. The value is TOML, or a text
-/// without quotes.
+/// Sets a key. Dots separate the parts of the key; a number is an index into an array. The value is TOML or
+/// an unquoted string.
 ///
 /// # Errors
-/// A part of the key but the last is missing, or the value is neither.
+/// Returns an error if a part of the key other than the last is missing, or if the value can't be parsed.
 pub fn set_key(table: &mut Table, key: &str, value: &str) -> Result<(), Error> {
     let value = parse_value(value)?;
     let missing = |part: &str| Error::UnknownKey { key: key.into(), part: part.into() };
--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -1,4 +1,4 @@
-//! The `processes` command: hundreds of real routers on this machine, as a plan says.
+//! `processes`: runs hundreds of router processes on this machine according to a plan.
 use crate::error::Error;
 use clap::Args;
 use multiprocess::check::CheckSettings;
@@ -6,27 +6,27 @@
 use multiprocess::run;
 use std::path::PathBuf;
 
-/// Name of the router's program, which is built beside this one.
+/// Name of the router program, which is built into the same folder as this program.
 const ROUTER_PROGRAM: &str = "damsonvale";
 
-/// The arguments of `processes`.
+/// Arguments of `processes`.
 #[derive(Args)]
-pub struct Processes {
-    /// The plan, TOML.
+pub struct ProcessesArguments {
+    /// Plan of the run (TOML file)
     plan: PathBuf,
-    /// The router's program; the one beside this program where it is left out.
+    /// Path of the router program; defaults to `damsonvale` next to this program
     #[arg(long)]
     program: Option<PathBuf>,
-    /// So many routers instead of the plan's.
+    /// Number of routers; overrides the plan
     #[arg(long)]
     routers: Option<usize>,
-    /// Another seed than the plan's.
+    /// Random seed; overrides the plan
     #[arg(long)]
     seed: Option<u64>,
 }
 
-impl Processes {
-    /// Reads the plan, with the arguments' values in place of its own.
+impl ProcessesArguments {
+    /// Reads the plan and overrides its values with those of the arguments.
     fn read_plan(&self) -> Result<Plan, Error> {
         let path = &self.plan;
         let invalid = |source| Error::ProcessPlan { path: path.clone(), source };
@@ -39,19 +39,19 @@
         Ok(plan)
     }
 
-    /// The router's program: the one that is named, else the one beside this program.
+    /// Returns the path of the router program: the given one, or the one next to this program.
     fn router_program(&self) -> Result<PathBuf, Error> {
-        let beside = || std::env::current_exe().ok().map(|own| own.with_file_name(ROUTER_PROGRAM));
-        let program = self.program.clone().or_else(beside).filter(|path| path.is_file());
+        let default_path = || std::env::current_exe().ok().map(|own| own.with_file_name(ROUTER_PROGRAM));
+        let program = self.program.clone().or_else(default_path).filter(|path| path.is_file());
         program.ok_or(Error::ProgramNotFound)
     }
 }
 
-/// Plays a plan and prints its figures.
+/// Runs a plan and prints its report.
 ///
 /// # Errors
-/// The plan can't be played, or the checker has found a broken guarantee.
-pub fn run(arguments: &Processes) -> Result<(), Error> {
+/// Returns an error if the run could not be completed or the checker found a violation.
+pub fn run(arguments: &ProcessesArguments) -> Result<(), Error> {
     let plan = arguments.read_plan()?;
     let program = arguments.router_program()?;
     let report = run::run(&program, &plan, &CheckSettings::default()).map_err(Error::ProcessRun)?;
--- a/lab/src/result_files.rs
+++ b/lab/src/result_files.rs
@@ -1,4 +1,5 @@
-//! Results in files: JSON with all of them, and parquet with the counts of each second for other tools.
+//! Result files: JSON with the complete results, and Parquet with the counts of each second for use by other
+//! tools.
 use crate::case::Case;
 use crate::error::Error;
 use parquet::data_type::{ByteArray, ByteArrayType, Int64Type};
@@ -16,7 +17,7 @@
 const RESULTS_FILE: &str = "results.json";
 const SECONDS_FILE: &str = "seconds.parquet";
 
-/// A column of counts in the parquet file.
+/// A column of counts in the Parquet file.
 struct Column {
     name: &'static str,
     value: fn(&Counts) -> u64,
@@ -36,10 +37,10 @@
     Column { name: "retries", value: |counts| counts.retries },
 ];
 
-/// Writes the results of cases into a folder.
+/// Writes the results of all cases to a folder.
 ///
 /// # Errors
-/// A file can't be written.
+/// Returns an error if a file can't be written.
 pub fn write(folder: &Path, cases: &[Case]) -> Result<(), Error> {
     let named: Vec<(&str, &Results)> = cases.iter().map(|case| (case.name.as_str(), &case.results)).collect();
     let path = folder.join(RESULTS_FILE);
@@ -49,10 +50,10 @@
     write_seconds(&path, cases).map_err(|source| Error::write(&path, source))
 }
 
-/// Reads the results that [`write()`] has put into a folder.
+/// Reads the results that [`write()`] wrote to a folder.
 ///
 /// # Errors
-/// The file can't be read, or holds no results.
+/// Returns an error if the file can't be read or contains no results.
 pub fn read(folder: &Path) -> Result<Vec<Case>, Error> {
     let path = folder.join(RESULTS_FILE);
     let text = std::fs::read_to_string(&path).map_err(|source| Error::Read { path: path.clone(), source })?;
@@ -61,7 +62,7 @@
     Ok(named.into_iter().map(|(name, results)| Case { name, results }).collect())
 }
 
-/// Writes a row group for each case, with one row for each second.
+/// Writes a row group for each case, with a row for each second.
 fn write_seconds(path: &Path, cases: &[Case]) -> Result<(), ParquetError> {
     let schema = Arc::new(parse_message_type(&seconds_schema())?);
     let properties = WriterProperties::builder().set_compression(parquet::basic::Compression::SNAPPY).build();
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -1,7 +1,7 @@
 //! `run`, `sweep` and `compare`: simulated experiments, their tables and charts.
 use crate::case::Case;
 use crate::error::Error;
-use crate::parallel::{PlannedCase, cases_with_seeds, play_cases};
+use crate::parallel::{PlannedCase, cases_with_seeds, run_cases};
 use crate::plan_file::{plan_from_table, read_table, set_key};
 use crate::{chart, result_files, spread_chart, spread_table, table};
 use clap::Args;
@@ -11,7 +11,7 @@
 /// Arguments of `run`.
 #[derive(Args)]
 pub struct RunArguments {
-    /// The plan, a TOML file.
+    /// Plan of the simulation (TOML file)
     plan: PathBuf,
     #[command(flatten)]
     options: RunOptions,
@@ -20,12 +20,12 @@
 /// Arguments of `sweep`.
 #[derive(Args)]
 pub struct SweepArguments {
-    /// The plan, a TOML file.
+    /// Plan of the simulation (TOML file)
     plan: PathBuf,
-    /// The key that changes; a trouble's or a class's as `trouble.0.by`.
+    /// Key to vary; use the form `trouble.0.by` for a key of a fault or class
     #[arg(long)]
     key: String,
-    /// Its values.
+    /// Values of the key, separated by commas
     #[arg(long, value_delimiter = ',', required = true)]
     values: Vec<String>,
     #[command(flatten)]
@@ -35,42 +35,42 @@
 /// Arguments of `compare`.
 #[derive(Args)]
 pub struct CompareArguments {
-    /// The folder of the earlier results.
+    /// Folder with the baseline results
     before: PathBuf,
-    /// The folder of the later ones.
+    /// Folder with the results to compare
     after: PathBuf,
-    /// Draws how evenly both spread their load into this SVG file.
+    /// Writes an SVG chart of both results' load distribution to this file
     #[arg(long)]
     spread: Option<PathBuf>,
 }
 
 #[derive(Args)]
 struct RunOptions {
-    /// How many seeds, from the plan's on.
+    /// Number of seeds, starting with the plan's seed
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Threads; the results do not depend on it.
+    /// Number of threads; it does not affect the results
     #[arg(long, default_value_t = 4)]
     threads: usize,
-    /// Where results, tables and charts are put.
+    /// Folder to which results and charts are written
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
-/// Plays a plan, and prints its results.
+/// Runs the simulation of a plan and prints its results.
 ///
 /// # Errors
-/// The plan can't be read or played, results can't be written, or a case violated a rule.
+/// Returns an error if the plan is invalid, results can't be written, or a case violated a rule.
 pub fn run(arguments: &RunArguments) -> Result<(), Error> {
     let plan = plan_from_table(&arguments.plan, &read_table(&arguments.plan)?)?;
     let planned = cases_with_seeds(&plan.name, &plan, arguments.options.seeds);
-    play_and_report(&planned, &arguments.options, &plan.name)
+    run_and_report(&planned, &arguments.options, &plan.name)
 }
 
-/// Plays a plan with several values of a key, and prints the results.
+/// Runs the simulation of a plan with several values of a key, and prints the results.
 ///
 /// # Errors
-/// As for [`run`], or the key is not in the plan.
+/// Returns the errors of [`run`], and an error if the key is not in the plan.
 pub fn sweep(arguments: &SweepArguments) -> Result<(), Error> {
     let SweepArguments { plan: path, key, values, options } = arguments;
     let table = read_table(path)?;
@@ -81,13 +81,14 @@
         let plan = plan_from_table(path, &changed)?;
         planned.extend(cases_with_seeds(&format!("{key} {value}"), &plan, options.seeds));
     }
-    play_and_report(&planned, options, &format!("{} over {key}", path.display()))
+    run_and_report(&planned, options, &format!("{} over {key}", path.display()))
 }
 
-/// Prints the differences between two folders of results, and draws their spread where a file is named.
+/// Prints the differences between two folders of results, and writes a chart of the load distribution if a
+/// file is given.
 ///
 /// # Errors
-/// Results can't be read, or the chart can't be written.
+/// Returns an error if results can't be read or the chart can't be written.
 pub fn compare(arguments: &CompareArguments) -> Result<(), Error> {
     let before = result_files::read(&arguments.before)?;
     let after = result_files::read(&arguments.after)?;
@@ -98,8 +99,8 @@
     }
 }
 
-fn play_and_report(planned: &[PlannedCase], options: &RunOptions, title: &str) -> Result<(), Error> {
-    let cases = play_cases(planned, options.threads);
+fn run_and_report(planned: &[PlannedCase], options: &RunOptions, title: &str) -> Result<(), Error> {
+    let cases = run_cases(planned, options.threads);
     print_tables(&cases);
     print_violations(&cases);
     if let Some(folder) = &options.out {
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: real routers under overlapping faults, for many seeds.
+//! `soak`: runs router processes under overlapping faults, for many seeds.
 use crate::error::Error;
 use clap::Args;
 use soak::draw::draw;
@@ -14,42 +14,44 @@
 /// Arguments of `soak`.
 #[derive(Args)]
 pub struct SoakArguments {
-    /// The plan, a TOML file; `soak/plans` has some.
+    /// Plan of the run (TOML file); see `soak/plans` for examples
     plan: PathBuf,
-    /// The first seed.
+    /// First random seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds are played, one after the other.
+    /// Number of seeds, which are run one after the other
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Only these troubles are drawn.
+    /// Generates only faults of these kinds
     #[arg(long, value_delimiter = ',')]
     only: Vec<FaultKind>,
-    /// Goes on with further seeds until so many minutes are over.
+    /// Runs further seeds until this many minutes have passed
     #[arg(long)]
     minutes: Option<u64>,
-    /// The router; the one beside this program where it is not given.
+    /// Path of the router program; defaults to `damsonvale` next to this program
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Of the first seed that fails, leaves out troubles while it still does, and prints the plan that is left.
+    /// For the first seed that fails, removes faults as long as the run still fails, and prints the reduced
+    /// plan
     #[arg(long)]
     reduce: bool,
-    /// Writes the processes' logs into this folder, at the level debug; `life` reads a request back from one.
+    /// Writes the processes' logs at level debug to this folder; `life` can read them
     #[arg(long)]
     logs: Option<PathBuf>,
-    /// Prints the troubles of each seed.
+    /// Prints the faults of each seed
     #[arg(long)]
     troubles: bool,
 }
 
-/// Plays the seeds of a plan, and prints a report of each.
+/// Runs a plan with each seed, and prints a report for each run.
 ///
 /// # Errors
-/// The plan can't be read or played, the router's program was not found, or a seed had a breach.
+/// Returns an error if the plan is invalid, the run could not be completed, the router program was not found,
+/// or a guarantee was violated.
 pub fn run(arguments: &SoakArguments) -> Result<(), Error> {
     let plan = Plan::read(&arguments.plan)?;
     let programs = find_programs(arguments)?;
-    let begin = Instant::now();
+    let start = Instant::now();
     let mut totals = Totals::default();
     let mut seed = arguments.seed;
     loop {
@@ -57,7 +59,7 @@
         if arguments.troubles {
             faults.iter().for_each(|fault| println!("  {fault}"));
         }
-        let report = play(&plan, seed, &faults, &programs)?;
+        let report = run_seed(&plan, seed, &faults, &programs)?;
         print!("{report}");
         totals.add(&report);
         if arguments.reduce && !report.breaches.is_empty() {
@@ -65,22 +67,22 @@
         }
         seed += 1;
         let time_left =
-            arguments.minutes.is_some_and(|minutes| begin.elapsed() < Duration::from_secs(60 * minutes));
+            arguments.minutes.is_some_and(|minutes| start.elapsed() < Duration::from_secs(60 * minutes));
         if !time_left && seed >= arguments.seed + arguments.seeds {
             break;
         }
     }
-    totals.print(arguments.seed, begin.elapsed());
+    totals.print(arguments.seed, start.elapsed());
     if totals.failed > 0 { Err(Error::ViolationFound) } else { Ok(()) }
 }
 
-/// The programs that are played, with the folder of their logs.
+/// Returns the programs to run and the folder for their logs.
 fn find_programs(arguments: &SoakArguments) -> Result<Programs, Error> {
-    let beside = || {
+    let default_path = || {
         let own = std::env::current_exe().ok()?;
         Some(own.parent()?.join("damsonvale"))
     };
-    let router = arguments.program.clone().or_else(beside).filter(|path| path.exists());
+    let router = arguments.program.clone().or_else(default_path).filter(|path| path.exists());
     let mut programs = Programs::beside(&router.ok_or(Error::ProgramNotFound)?);
     if let Some(folder) = &arguments.logs {
         std::fs::create_dir_all(folder).map_err(|source| Error::write(folder, source))?;
@@ -88,19 +90,19 @@
     }
     if programs.library.is_none() {
         eprintln!(
-            "no libfaults.so beside the router (cargo build -p faults): no clock is stepped and no call fails"
+            "libfaults.so not found next to the router (cargo build -p faults): clock and system call faults are off"
         );
     }
     Ok(programs)
 }
 
-fn play(plan: &Plan, seed: u64, faults: &[PlannedFault], programs: &Programs) -> Result<Report, Error> {
+fn run_seed(plan: &Plan, seed: u64, faults: &[PlannedFault], programs: &Programs) -> Result<Report, Error> {
     let history = soak::play::play(plan, seed, faults, programs).map_err(Error::Soak)?;
     let breaches = oracle::check(&history);
     Ok(Report::new(seed, faults, &history, breaches))
 }
 
-/// Sums over all seeds.
+/// Totals over all seeds.
 #[derive(Default)]
 struct Totals {
     seeds: u64,
@@ -127,15 +129,15 @@
     }
 }
 
-/// Reduces a failing run and prints it as a plan.
+/// Reduces the faults of a failing run and prints the reduced plan.
 fn print_reduced(plan: &Plan, report: &Report, programs: &Programs) -> Result<(), Error> {
     let promise = report.breaches[0].promise;
-    println!("reducing {} troubles that break '{}'", report.faults.len(), promise.name());
-    let still_breaks = |faults: &[PlannedFault], promise: Promise| {
-        play(plan, report.seed, faults, programs)
+    println!("reducing {} faults that violate '{}'", report.faults.len(), promise.name());
+    let still_violates = |faults: &[PlannedFault], promise: Promise| {
+        run_seed(plan, report.seed, faults, programs)
             .is_ok_and(|report| oracle::promises(&report.breaches).contains(&promise))
     };
-    let left = reduce::reduce(&report.faults, promise, still_breaks);
-    println!("{}", toml::to_string(&Plan { faults: left, ..plan.clone() })?);
+    let reduced = reduce::reduce(&report.faults, promise, still_violates);
+    println!("{}", toml::to_string(&Plan { faults: reduced, ..plan.clone() })?);
     Err(Error::ViolationFound)
 }
--- a/lab/src/spread_chart.rs
+++ b/lab/src/spread_chart.rs
@@ -1,7 +1,7 @@
-//! Chart of how evenly replicas were loaded before and after a change, as SVG.
+//! SVG chart of the load distribution over replicas before and after a change.
 use crate::case::{Case, CaseGroup, group_by_seed};
 use crate::error::Error as LabError;
-use crate::interval::Interval;
+use crate::interval::ConfidenceInterval;
 use crate::spread_table::excess;
 use plotters::coord::Shift;
 use plotters::coord::types::RangedCoordf64;
@@ -13,21 +13,21 @@
 use std::ops::Range;
 use std::path::Path;
 
-/// Width and height in pixels.
+/// Width and height of the chart in pixels.
 const SIZE: (u32, u32) = (640, 320);
-/// The axis reaches at least this far on both sides of 0.
+/// Minimum extent of the vertical axis on both sides of 0.
 const MIN_AXIS: f64 = 0.02;
-/// Factor by which the axis exceeds the intervals.
+/// Factor by which the vertical axis exceeds the intervals.
 const AXIS_MARGIN: f64 = 1.1;
-/// Horizontal distance between the two series, in experiments.
+/// Horizontal distance between the points of the two series; 1 is the distance between two experiments.
 const SERIES_DISTANCE: f64 = 0.08;
 
 type SpreadChart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// The interval of an experiment at its place on the axis.
+/// The confidence interval of an experiment at its horizontal position.
 struct Point {
     x: f64,
-    interval: Interval,
+    interval: ConfidenceInterval,
 }
 
 /// The experiments of one folder of results.
@@ -37,11 +37,11 @@
     points: Vec<Point>,
 }
 
-/// Writes a chart of the experiments that are in both: the mean imbalance over the fleet in windows of ten seconds,
-/// beyond what random assignment gives, with its interval over seeds.
+/// Writes a chart of the experiments that are in both folders: the mean imbalance over the fleet in windows
+/// of ten seconds, in excess of random assignment, with its confidence interval over the seeds.
 ///
 /// # Errors
-/// The file can't be written.
+/// Returns an error if the file can't be written.
 pub fn write(path: &Path, before: &[Case], after: &[Case]) -> Result<(), LabError> {
     let (before, after) = (group_by_seed(before), group_by_seed(after));
     let in_both = |name: &&str| before.iter().any(|group| group.name == *name);
@@ -59,7 +59,7 @@
         let group = groups.iter().find(|group| group.name == *name)?;
         let samples: Vec<f64> =
             group.cases.iter().map(|case| excess(&case.results.spread.fleet_10s)).collect();
-        Some(Point { x: index as f64, interval: Interval::of(&samples) })
+        Some(Point { x: index as f64, interval: ConfidenceInterval::of(&samples) })
     };
     names.iter().enumerate().filter_map(point).collect()
 }
@@ -103,7 +103,7 @@
     Ok(())
 }
 
-/// Draws a line for each interval and a circle for each mean, shifted to the right.
+/// Draws a line for each interval and a circle for each mean, moved to the right by `shift`.
 fn draw_series(chart: &mut SpreadChart<'_, '_>, series: &Series, shift: f64) -> Result<(), Box<dyn Error>> {
     let Series { label, colour, points } = series;
     let colour = *colour;
@@ -119,7 +119,7 @@
     Ok(())
 }
 
-/// The name of the experiment at a whole number of the axis.
+/// Returns the experiment's name for an integer position on the axis; empty for other positions.
 fn label_at(names: &[&str], x: f64) -> String {
     let index = x.round();
     let whole = (index - x).abs() < 0.01;
--- a/lab/src/table.rs
+++ b/lab/src/table.rs
@@ -1,4 +1,4 @@
-//! Tables of results as text: a line for each case, for each class, or for each difference.
+//! Text tables of results, with a line for each case, class or difference.
 use crate::case::Case;
 use simulator::Results;
 use simulator::results::Counts;
@@ -12,7 +12,7 @@
     counts.attempts as f64 / counts.offered.max(1) as f64
 }
 
-/// A line for each case.
+/// Formats a table with a line for each case.
 pub fn summary(cases: &[Case]) -> String {
     let mut text = format!(
         "{:<34}{:>10}{:>9}{:>8}{:>9}{:>8}{:>9}{:>9}{:>9}{:>9}{:>8}\n",
@@ -49,7 +49,7 @@
     text
 }
 
-/// A line for each class.
+/// Formats a table with a line for each class.
 pub fn classes(results: &Results) -> String {
     let mut text = format!(
         "{:<20}{:>10}{:>9}{:>8}{:>9}{:>8}{:>10}{:>10}{:>10}\n",
@@ -74,7 +74,8 @@
     text
 }
 
-/// A line for each case of both, with its figures after and what changed; then those that are in one alone.
+/// Formats a table with a line for each case that is in `after`: its new values and their changes; cases that
+/// are only in one of the two are marked.
 pub fn comparison(before: &[Case], after: &[Case]) -> String {
     let mut text =
         format!("{:<34}{:>18}{:>18}{:>18}\n", "case", "in time", "worst second", "attempts/request");
@@ -92,15 +93,15 @@
 
 fn comparison_line(before: &Case, after: &Case) -> String {
     let mut line = format!("{:<34}", after.name);
-    for (before, after) in compared_figures(before).into_iter().zip(compared_figures(after)) {
+    for (before, after) in compared_metrics(before).into_iter().zip(compared_metrics(after)) {
         _ = write!(line, "{after:>9.2} {:>+8.2}", after - before);
     }
     line += if after.violates_rules() { "  RULES BROKEN\n" } else { "\n" };
     line
 }
 
-/// Goodput and worst second in percent, and attempts for each request.
-fn compared_figures(case: &Case) -> [f64; 3] {
+/// Returns the goodput and the goodput of the worst second in percent, and the attempts per request.
+fn compared_metrics(case: &Case) -> [f64; 3] {
     let total = case.results.total();
     [100.0 * total.goodput(), 100.0 * case.results.worst_second(), attempts_per_request(&total)]
 }
--- a/lab/tests/commands.rs
+++ b/lab/tests/commands.rs
@@ -1,15 +1,15 @@
-//! The commands of `damsonvale-lab`, started as processes.
+//! Tests the commands of `damsonvale-lab`, each run as a process.
 use std::path::Path;
 use std::process::Command;
 use tempfile::TempDir;
 
 fn lab(arguments: &[&str]) -> (Option<i32>, String) {
-    let done = Command::new(env!("CARGO_BIN_EXE_damsonvale-lab")).args(arguments).output().unwrap();
-    let text = [done.stdout, done.stderr].concat();
-    (done.status.code(), String::from_utf8(text).unwrap())
+    let output = Command::new(env!("CARGO_BIN_EXE_damsonvale-lab")).args(arguments).output().unwrap();
+    let text = [output.stdout, output.stderr].concat();
+    (output.status.code(), String::from_utf8(text).unwrap())
 }
 
-fn place(folder: &TempDir, name: &str) -> String {
+fn path_in(folder: &TempDir, name: &str) -> String {
     folder.path().join(name).display().to_string()
 }
 
@@ -18,9 +18,9 @@
 #[test]
 fn run_and_sweep_write_results_that_compare_reads() {
     let folder = tempfile::tempdir().unwrap();
-    let plan = place(&folder, "plan.toml");
+    let plan = path_in(&folder, "plan.toml");
     std::fs::write(&plan, PLAN).unwrap();
-    let (before, after) = (place(&folder, "before"), place(&folder, "after"));
+    let (before, after) = (path_in(&folder, "before"), path_in(&folder, "after"));
     let (code, text) = lab(&["run", &plan, "--seeds", "2", "--out", &before]);
     assert!(code == Some(0) && text.contains("small, seed 2") && text.contains("kept"), "{text}");
     for name in ["results.json", "seconds.parquet", "seconds.svg"] {
@@ -29,9 +29,9 @@
     let svg = std::fs::read_to_string(Path::new(&before).join("seconds.svg")).unwrap();
     assert!(svg.starts_with("<svg") && svg.contains("small, seed 1"));
     assert_eq!(lab(&["run", &plan, "--seeds", "1", "--threads", "1", "--out", &after]).0, Some(0));
-    let drawn = place(&folder, "spread.svg");
-    let (code, text) = lab(&["compare", &before, &after, "--spread", &drawn]);
-    let svg = std::fs::read_to_string(&drawn).unwrap();
+    let chart = path_in(&folder, "spread.svg");
+    let (code, text) = lab(&["compare", &before, &after, "--spread", &chart]);
+    let svg = std::fs::read_to_string(&chart).unwrap();
     assert!(svg.starts_with("<svg") && svg.contains("before") && svg.contains("small"));
     assert!(code == Some(0) && text.contains("+0.00") && text.contains("gone"), "{text}");
     let (code, text) = lab(&["sweep", &plan, "--key", "replicas", "--values", "1,3"]);
@@ -39,16 +39,16 @@
 }
 
 #[test]
-fn violated_rule_and_faulty_plan_fail_the_command() {
+fn violated_rule_and_invalid_plan_fail_the_command() {
     let folder = tempfile::tempdir().unwrap();
-    let plan = place(&folder, "plan.toml");
+    let plan = path_in(&folder, "plan.toml");
     std::fs::write(&plan, format!("{PLAN}plant = 'forget_sessions'\n")).unwrap();
     let (code, text) = lab(&["run", &plan]);
     assert!(code == Some(1) && text.contains("RULES BROKEN") && text.contains("OwnWrites"), "{text}");
     std::fs::write(&plan, "rates = 5\n").unwrap();
     let (code, text) = lab(&["run", &plan]);
     assert!(code == Some(1) && text.contains("rates"), "{text}");
-    // What it prints as a plan is one.
+    // The default plan that `plan` prints is valid.
     let (code, text) = lab(&["plan"]);
     assert_eq!(code, Some(0));
     std::fs::write(&plan, text.replace("seconds = 20", "seconds = 3")).unwrap();
@@ -59,21 +59,21 @@
 fn shipped_plans_are_valid() {
     for plan in std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("plans")).unwrap() {
         let text = std::fs::read_to_string(plan.unwrap().path()).unwrap();
-        // Of the simulator, or of real processes.
+        // Each plan is one of the simulator or one of router processes.
         let read = simulator::Plan::read(&text).is_ok() || multiprocess::plan::read(&text).is_ok();
         assert!(read, "{text}");
     }
 }
 
 #[test]
-fn load_latency_counts_from_due_time_during_stall() {
+fn load_latency_includes_waiting_time_during_stall() {
     use std::time::Duration;
-    let fleet = test_servers::replication_group::ReplicationGroup::start(&[], Duration::from_millis(5));
-    let at = fleet.servers()[0].1.to_string();
+    let group = test_servers::replication_group::ReplicationGroup::start(&[], Duration::from_millis(5));
+    let address = group.servers()[0].1.to_string();
     let load = |connections: &str| {
         lab(&[
             "load",
-            &at,
+            &address,
             "--user",
             "u",
             "--database",
@@ -92,18 +92,19 @@
     };
     let (code, text) = load("8");
     assert!(code == Some(0) && !text.contains("error"), "{text}");
-    let reads = fleet.counts(0);
+    let reads = group.counts(0);
     assert!(reads.reads > reads.writes && reads.writes > 0, "{reads:?}");
-    // One connection to a server that stops for a while: every request that fell due meanwhile has waited.
-    let stalls = fleet.clone();
-    let before = fleet.counts(0).reads;
+    // The server stalls while a single connection is in use: every request that was scheduled during the
+    // stall has to wait.
+    let stalled_group = group.clone();
+    let before = group.counts(0).reads;
     let stall = std::thread::spawn(move || {
-        while stalls.counts(0).reads < before + 40 {
+        while stalled_group.counts(0).reads < before + 40 {
             std::thread::yield_now();
         }
-        stalls.set_hung(0, true);
+        stalled_group.set_hung(0, true);
         std::thread::sleep(Duration::from_millis(400));
-        stalls.set_hung(0, false);
+        stalled_group.set_hung(0, false);
     });
     let (code, text) = load("1");
     stall.join().unwrap();
@@ -115,25 +116,25 @@
     assert!(p90("from when it was due") > 100.0, "{text}");
     assert!(p90("from when it was sent") < 100.0, "{text}");
     assert!(
-        lab(&["load", &at, "--user", "u", "--database", "d", "--statement", "x"])
+        lab(&["load", &address, "--user", "u", "--database", "d", "--statement", "x"])
             .1
             .contains("SHARE:STATEMENT")
     );
 }
 
 #[test]
-fn short_standing_days_violate_no_rule() {
-    // 300 routers on 120 nodes as on the bench, with a seventh of the load so that it stays short in CI.
+fn mass_scenarios_with_reduced_load_violate_no_rule() {
+    // The plans' 300 routers and 120 nodes, with a seventh of their load to shorten the test in CI.
     let folder = tempfile::tempdir().unwrap();
     let plans = Path::new(env!("CARGO_MANIFEST_DIR")).join("plans");
-    for day in ["herd", "roll", "zone"] {
-        let text = std::fs::read_to_string(plans.join(format!("mass-{day}.toml"))).unwrap();
-        assert!(text.contains("routers = 300\n") && text.contains("rate = 4200\n"), "{day}");
-        let plan = place(&folder, &format!("{day}.toml"));
+    for scenario in ["herd", "roll", "zone"] {
+        let text = std::fs::read_to_string(plans.join(format!("mass-{scenario}.toml"))).unwrap();
+        assert!(text.contains("routers = 300\n") && text.contains("rate = 4200\n"), "{scenario}");
+        let plan = path_in(&folder, &format!("{scenario}.toml"));
         std::fs::write(&plan, text.replace("rate = 4200\n", "rate = 600\n")).unwrap();
-        let (code, text) = lab(&["run", &plan, "--out", &place(&folder, day)]);
+        let (code, text) = lab(&["run", &plan, "--out", &path_in(&folder, scenario)]);
         assert!(
-            code == Some(0) && text.contains(&format!("mass-{day}, seed 1")) && text.contains("kept"),
+            code == Some(0) && text.contains(&format!("mass-{scenario}, seed 1")) && text.contains("kept"),
             "{text}"
         );
     }
@@ -142,8 +143,8 @@
 #[test]
 fn life_prints_lines_of_request_and_end_of_connection() {
     let folder = tempfile::tempdir().unwrap();
-    let log = place(&folder, "router.log");
-    let own = [
+    let log = path_in(&folder, "router.log");
+    let expected = [
         "T DEBUG request accepted request=12 connection=3 class=0 deadline=9",
         "T DEBUG request submitted request=12 connection=3 id=9b1f",
         "T DEBUG attempt dispatched request=12 attempt=0 connection=3 endpoint=\"a\" deadline=9",
@@ -152,10 +153,14 @@
     ];
     let others =
         ["T DEBUG request accepted request=1 connection=2", "T DEBUG client connection closed connection=2"];
-    std::fs::write(&log, [others[0], own[0], own[1], own[2], others[1], own[3], own[4]].join("\n")).unwrap();
-    for asked in [["--request", "12"], ["--id", "9b1f"]] {
-        let (code, text) = lab(&["life", &log, asked[0], asked[1]]);
-        assert_eq!((code, text.lines().collect::<Vec<_>>()), (Some(0), own.to_vec()));
+    std::fs::write(
+        &log,
+        [others[0], expected[0], expected[1], expected[2], others[1], expected[3], expected[4]].join("\n"),
+    )
+    .unwrap();
+    for selector in [["--request", "12"], ["--id", "9b1f"]] {
+        let (code, text) = lab(&["life", &log, selector[0], selector[1]]);
+        assert_eq!((code, text.lines().collect::<Vec<_>>()), (Some(0), expected.to_vec()));
     }
     let (code, text) = lab(&["life", &log, "--request", "2"]);
     assert!(code == Some(1) && text.contains("no such request"), "{text}");
@@ -164,7 +169,7 @@
 #[test]
 fn soak_names_invalid_key_of_plan() {
     let folder = tempfile::tempdir().unwrap();
-    let plan = place(&folder, "plan.toml");
+    let plan = path_in(&folder, "plan.toml");
     std::fs::write(&plan, "routers = 41\n").unwrap();
     let (code, text) = lab(&["soak", &plan]);
     assert!(code == Some(1) && text.contains("expected 1 to 40 routers"), "{text}");
--- a/lab/tests/count.rs
+++ b/lab/tests/count.rs
@@ -1,4 +1,4 @@
-//! Events counted from a router's log.
+//! Tests the counting of events in a router's log.
 use damsonvale_lab::count::{EventCounts, count_router_log};
 use std::collections::BTreeMap;
 
--- a/lab/tests/plan_file.rs
+++ b/lab/tests/plan_file.rs
@@ -1,4 +1,4 @@
-//! Keys that a sweep sets in a plan.
+//! Tests setting a key of a plan, as a sweep does.
 use damsonvale_lab::plan_file::set_key;
 use simulator::Plan;
 
--- a/lab/tests/recorded_output.rs
+++ b/lab/tests/recorded_output.rs
@@ -1,4 +1,4 @@
-//! What the commands print and write, recorded as text: neither a line nor a flag moves.
+//! Compares what the commands print and write with recorded texts.
 use parquet::file::reader::{FileReader, SerializedFileReader};
 use std::path::Path;
 use std::process::Command;
@@ -26,8 +26,8 @@
 a line of something else
 ";
 
-/// The tool's exit code and all that it prints, with the folder's path left out.
-fn printed(folder: &TempDir, arguments: &[&str]) -> String {
+/// Runs the program and returns its exit code and output; the folder's path is replaced by `FOLDER`.
+fn run_lab(folder: &TempDir, arguments: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_damsonvale-lab"))
         .current_dir(folder)
         .env("COLUMNS", "100")
@@ -36,12 +36,12 @@
         .unwrap();
     let (stdout, stderr) =
         (String::from_utf8(output.stdout).unwrap(), String::from_utf8(output.stderr).unwrap());
-    let own = folder.path().display().to_string();
+    let folder_path = folder.path().display().to_string();
     format!("$ {}\n{stdout}{stderr}exit {:?}\n\n", arguments.join(" "), output.status.code())
-        .replace(&own, "FOLDER")
+        .replace(&folder_path, "FOLDER")
 }
 
-/// Compares with a recorded text; `DAMSONVALE_RECORD=1` writes it anew.
+/// Compares a text with a recorded one; with `DAMSONVALE_RECORD` set, records the text first.
 fn assert_recorded(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
     if std::env::var_os("DAMSONVALE_RECORD").is_some() {
@@ -58,33 +58,33 @@
     folder
 }
 
-fn written(folder: &TempDir, name: &str) -> String {
+fn read_file(folder: &TempDir, name: &str) -> String {
     std::fs::read_to_string(folder.path().join(name)).unwrap()
 }
 
 #[test]
-fn runs_sweeps_and_comparisons_print_and_write_as_recorded() {
+fn output_of_run_sweep_and_compare_matches_recording() {
     let folder = folder_with(&[("plan.toml", PLAN)]);
     let text = [
-        printed(&folder, &["run", "plan.toml"]),
-        printed(&folder, &["run", "plan.toml", "--seeds", "3", "--threads", "2", "--out", "before"]),
-        printed(
+        run_lab(&folder, &["run", "plan.toml"]),
+        run_lab(&folder, &["run", "plan.toml", "--seeds", "3", "--threads", "2", "--out", "before"]),
+        run_lab(
             &folder,
             &["sweep", "plan.toml", "--key", "trouble.0.count", "--values", "1,4", "--out", "sweep"],
         ),
-        printed(
+        run_lab(
             &folder,
             &["sweep", "plan.toml", "--key", "name", "--values", "small", "--seeds", "2", "--out", "named"],
         ),
-        printed(&folder, &["compare", "before", "sweep"]),
-        printed(&folder, &["run", "plan.toml", "--seeds", "2", "--out", "after"]),
-        printed(&folder, &["compare", "before", "after", "--spread", "spread.svg"]),
+        run_lab(&folder, &["compare", "before", "sweep"]),
+        run_lab(&folder, &["run", "plan.toml", "--seeds", "2", "--out", "after"]),
+        run_lab(&folder, &["compare", "before", "after", "--spread", "spread.svg"]),
     ]
     .concat();
     assert_recorded("runs.txt", &text);
-    assert_recorded("results.json", &written(&folder, "after/results.json"));
-    assert_recorded("seconds.svg", &written(&folder, "after/seconds.svg"));
-    assert_recorded("spread.svg", &written(&folder, "spread.svg"));
+    assert_recorded("results.json", &read_file(&folder, "after/results.json"));
+    assert_recorded("seconds.svg", &read_file(&folder, "after/seconds.svg"));
+    assert_recorded("spread.svg", &read_file(&folder, "spread.svg"));
     let file = std::fs::File::open(folder.path().join("after/seconds.parquet")).unwrap();
     let reader = SerializedFileReader::new(file).unwrap();
     let rows: Vec<String> = reader.get_row_iter(None).unwrap().map(|row| row.unwrap().to_string()).collect();
@@ -92,34 +92,34 @@
 }
 
 #[test]
-fn broken_rules_are_printed_as_recorded() {
+fn output_for_violated_rules_matches_recording() {
     let plan = format!("plant = 'forget_sessions'\n{PLAN}");
     let folder = folder_with(&[("plan.toml", &plan)]);
     let text = [
-        printed(&folder, &["run", "plan.toml", "--out", "broken"]),
-        printed(&folder, &["compare", "broken", "broken"]),
+        run_lab(&folder, &["run", "plan.toml", "--out", "broken"]),
+        run_lab(&folder, &["compare", "broken", "broken"]),
     ];
     assert_recorded("broken.txt", &text.concat());
 }
 
 #[test]
-fn counts_of_a_log_are_printed_as_recorded() {
+fn output_of_count_matches_recording() {
     let folder = folder_with(&[("a.log", LOG), ("b.log", LOG), ("c.txt", LOG)]);
-    assert_recorded("counts.txt", &printed(&folder, &["count", "."]));
+    assert_recorded("counts.txt", &run_lab(&folder, &["count", "."]));
 }
 
 #[test]
-fn commands_and_flags_are_listed_as_recorded() {
+fn help_texts_and_default_plan_match_recording() {
     let folder = folder_with(&[]);
     let commands = ["run", "sweep", "load", "processes", "compare", "plan", "soak", "life", "count"];
-    let mut text = printed(&folder, &["--help"]);
-    commands.iter().for_each(|command| text += &printed(&folder, &[command, "--help"]));
+    let mut text = run_lab(&folder, &["--help"]);
+    commands.iter().for_each(|command| text += &run_lab(&folder, &[command, "--help"]));
     assert_recorded("help.txt", &text);
-    assert_recorded("plan.txt", &printed(&folder, &["plan"]));
+    assert_recorded("plan.txt", &run_lab(&folder, &["plan"]));
 }
 
 #[test]
-fn faulty_arguments_and_files_are_refused_as_recorded() {
+fn errors_for_invalid_arguments_and_files_match_recording() {
     let folder = folder_with(&[
         ("plan.toml", PLAN),
         ("no.toml", "= ="),
@@ -130,19 +130,19 @@
     std::fs::write(folder.path().join("empty/results.json"), "{}").unwrap();
     std::fs::write(folder.path().join("empty/log"), "nothing\n").unwrap();
     let load = ["load", "127.0.0.1:1", "--user", "u", "--database", "d"];
-    let with = |more: &[&str]| printed(&folder, &[&load[..], more].concat());
+    let with = |more: &[&str]| run_lab(&folder, &[&load[..], more].concat());
     let text = [
-        printed(&folder, &["run", "none.toml"]),
-        printed(&folder, &["run", "no.toml"]),
-        printed(&folder, &["run", "bad.toml"]),
-        printed(&folder, &["run", "plan.toml", "--out", "plan.toml/x"]),
-        printed(&folder, &["sweep", "plan.toml", "--key", "trouble.7.count", "--values", "1"]),
-        printed(&folder, &["sweep", "plan.toml", "--key", "rate", "--values", "a'b"]),
-        printed(&folder, &["compare", "none", "none"]),
-        printed(&folder, &["compare", "empty", "empty"]),
-        printed(&folder, &["count", "none"]),
-        printed(&folder, &["life", "empty/log", "--request", "2"]),
-        printed(&folder, &["processes", "bad.toml"]),
+        run_lab(&folder, &["run", "none.toml"]),
+        run_lab(&folder, &["run", "no.toml"]),
+        run_lab(&folder, &["run", "bad.toml"]),
+        run_lab(&folder, &["run", "plan.toml", "--out", "plan.toml/x"]),
+        run_lab(&folder, &["sweep", "plan.toml", "--key", "trouble.7.count", "--values", "1"]),
+        run_lab(&folder, &["sweep", "plan.toml", "--key", "rate", "--values", "a'b"]),
+        run_lab(&folder, &["compare", "none", "none"]),
+        run_lab(&folder, &["compare", "empty", "empty"]),
+        run_lab(&folder, &["count", "none"]),
+        run_lab(&folder, &["life", "empty/log", "--request", "2"]),
+        run_lab(&folder, &["processes", "bad.toml"]),
         with(&["--statement", "x"]),
         with(&[]),
         with(&["--pcap", "no.pcap"]),
--- a/lab/tests/result_files.rs
+++ b/lab/tests/result_files.rs
@@ -1,4 +1,4 @@
-//! Results in files, and their comparison.
+//! Tests result files and the comparison of their contents.
 use damsonvale_lab::case::Case;
 use damsonvale_lab::{result_files, table};
 use parquet::file::reader::{FileReader, SerializedFileReader};
@@ -6,7 +6,7 @@
 use simulator::{Plan, play};
 
 #[test]
-fn written_results_are_read_again_and_compare_as_equal() {
+fn written_results_are_read_back_unchanged() {
     let plan = Plan { duration_s: 3.0, warmup_s: 1.0, request_rate: 200.0, ..Plan::default() };
     let cases = [Case { name: "a".into(), results: play(&plan) }];
     let folder = tempfile::tempdir().unwrap();
