--- a/test-servers/src/lib.rs
+++ b/test-servers/src/lib.rs
@@ -1,9 +1,10 @@
-//! Fake servers and fault proxies for tests and benches, all on loopback and scripted.
+//! Fake servers and fault-injecting proxies for tests and benches; all of them run on loopback and are
+//! controlled by the test.
 //!
-//! - [`replication_group`]: `MySQL` servers that replicate among themselves.
-//! - [`registry`]: a key-value registry that speaks etcd's and Consul's interfaces.
-//! - [`proxy`] and [`udp`]: connections and datagrams that can be cut, delayed or lost.
-//! - [`wire`]: the server's side of `MySQL`'s protocol.
+//! - [`replication_group`]: `MySQL` servers of one replication group.
+//! - [`registry`]: a key-value registry with the interfaces of etcd and Consul.
+//! - [`proxy`] and [`udp`]: proxies that cut, delay, reset or lose connections and datagrams.
+//! - [`wire`]: the server side of the `MySQL` protocol.
 pub mod proxy;
 pub mod registry;
 pub mod replication_group;
--- a/test-servers/src/proxy.rs
+++ b/test-servers/src/proxy.rs
@@ -1,6 +1,6 @@
-//! A fault proxy for connections: the network between two sides, which can be cut, delayed, throttled, blocked in one
-//! direction, reset or half closed. Connections stay open and silent while it is cut, as they do when a machine
-//! vanishes.
+//! A fault-injecting TCP proxy that simulates the network between two sides: it can be cut, delayed,
+//! throttled, blocked in one direction, reset or half-closed. While it is cut, connections stay open and
+//! silent, as if the remote machine had vanished.
 use socket2::SockRef;
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,22 +10,22 @@
 
 const COPY_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What is wrong with the network; by default nothing is.
+/// The faults that a proxy injects; none by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Nothing gets through in either direction.
+    /// Blocks data in both directions.
     pub cut: bool,
-    /// Nothing reaches the target; its answers get through.
+    /// Blocks data to the target; data from the target is forwarded.
     pub drop_to_target: bool,
-    /// Nothing comes back from the target.
+    /// Blocks data from the target; data to the target is forwarded.
     pub drop_from_target: bool,
-    /// Each read's data is delayed by this, in either direction.
+    /// Delay of each block of data, in both directions.
     pub delay: Duration,
-    /// Bytes a second in either direction; 0 for no limit.
+    /// Maximum rate in bytes per second, separately for each direction; 0 for no limit.
     pub bytes_per_s: u64,
 }
 
-/// The two sides of a connection.
+/// The two sockets of a forwarded connection.
 struct Link {
     client: TcpStream,
     target: TcpStream,
@@ -37,10 +37,10 @@
     links: Vec<Link>,
 }
 
-/// Forwards connections to one address; clones are handles to the same proxy.
+/// Forwards connections to one address. Clones are handles to the same proxy.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub addr: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -53,13 +53,13 @@
 }
 
 impl Proxy {
-    /// Starts a proxy in front of `target`, on a port of the system's choice.
+    /// Starts a proxy for `target` on a free port.
     ///
     /// # Panics
-    /// The system has no free port on loopback.
+    /// Panics if the system has no free port on loopback.
     pub fn start(target: SocketAddr) -> Proxy {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
-        let addr = listener.local_addr().expect("its address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("no free port on loopback");
+        let addr = listener.local_addr().expect("listener has no local address");
         let proxy = Proxy { addr, shared: Arc::default() };
         let shared = proxy.shared.clone();
         std::thread::spawn(move || {
@@ -71,23 +71,23 @@
         proxy
     }
 
-    /// Bytes that got through since the start, in both directions together.
+    /// Returns the number of bytes forwarded since the start, in both directions together.
     pub fn bytes_forwarded(&self) -> u64 {
         self.shared.bytes_forwarded.load(Ordering::Relaxed)
     }
 
-    /// Changes the faults; they apply at once to data that waits.
+    /// Updates the faults; they also apply to data that is currently blocked.
     pub fn update_faults(&self, update: impl FnOnce(&mut Faults)) {
         update(&mut self.shared.state().faults);
         self.shared.changed.notify_all();
     }
 
-    /// Cuts the network: nothing gets through.
+    /// Blocks all data in both directions.
     pub fn cut(&self) {
         self.update_faults(|faults| faults.cut = true);
     }
 
-    /// Ends all faults; connections from before are closed.
+    /// Removes all faults, and closes all existing connections.
     pub fn heal(&self) {
         self.update_faults(|faults| *faults = Faults::default());
         self.shared.take_links(|link| {
@@ -96,18 +96,19 @@
         });
     }
 
-    /// Resets every connection: the client sees a reset, not an end.
+    /// Resets every connection: the client sees a reset instead of an orderly close.
     pub fn reset(&self) {
         self.shared.take_links(|link| {
-            // Closing without lingering sends a reset.
+            // With a linger time of zero, closing the socket sends a reset.
             _ = SockRef::from(&link.client).set_linger(Some(Duration::ZERO));
             _ = link.target.shutdown(Shutdown::Both);
-            // The forwarding threads have the other handles: the client's socket closes when they drop theirs.
+            // The forwarding threads own the other handles to the client's socket, which closes when they
+            // drop them.
             _ = link.client.shutdown(Shutdown::Read);
         });
     }
 
-    /// Ends the sending towards the client of every connection, and leaves the other direction open.
+    /// Closes the direction to the client on every connection; the other direction stays open.
     pub fn half_close(&self) {
         self.shared.take_links(|link| _ = link.client.shutdown(Shutdown::Write));
     }
@@ -118,14 +119,14 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Removes all links and calls `end` on each.
+    /// Removes all links and calls `end` on each of them.
     fn take_links(&self, end: impl Fn(&Link)) {
         let links = std::mem::take(&mut self.state().links);
         links.iter().for_each(end);
         self.changed.notify_all();
     }
 
-    /// Forwards one connection until its end.
+    /// Forwards a connection until it is closed.
     fn forward(self: &Arc<Self>, client: TcpStream, target: SocketAddr) -> io::Result<()> {
         self.wait_while(|faults| faults.cut);
         let target = TcpStream::connect(target)?;
@@ -138,13 +139,13 @@
         Ok(())
     }
 
-    /// Waits while the faults are such, and returns those that follow.
+    /// Waits while the faults meet the condition, and returns the faults after the wait.
     fn wait_while(&self, condition: impl Fn(&Faults) -> bool) -> Faults {
         let waited = self.changed.wait_while(self.state(), |state| condition(&state.faults));
         waited.unwrap_or_else(PoisonError::into_inner).faults
     }
 
-    /// Copies one direction until its end.
+    /// Copies the data of one direction until it is closed.
     fn copy(&self, mut from: &TcpStream, mut to: &TcpStream, blocked: impl Fn(&Faults) -> bool) {
         let mut bytes = [0; COPY_BUFFER_BYTES];
         while let Ok(length @ 1..) = from.read(&mut bytes) {
@@ -158,7 +159,7 @@
             }
             self.bytes_forwarded.fetch_add(length as u64, Ordering::Relaxed);
         }
-        // A connection that is to be reset must not be ended first.
+        // A connection that is to be reset must not be closed in an orderly way first.
         if SockRef::from(to).linger().ok().flatten() != Some(Duration::ZERO) {
             _ = to.shutdown(Shutdown::Write);
         }
--- a/test-servers/src/registry/connection.rs
+++ b/test-servers/src/registry/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client to a member.
+//! A client connection to a member.
 use super::http::{Stream, read_request};
 use super::shared::Shared;
 use super::{consul, etcd, etcd_watch};
@@ -6,14 +6,14 @@
 use std::io::{self, BufReader};
 use std::net::{Shutdown, TcpStream};
 
-/// Whether a member answers.
+/// Whether a member accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Availability {
     Up,
     Down,
 }
 
-/// Serves a connection until its end; a watch stays until then.
+/// Serves a connection until it is closed. A watch occupies the connection until the watch ends.
 pub(super) fn serve(shared: &Shared, member: usize, socket: TcpStream) -> io::Result<()> {
     socket.set_nodelay(true)?;
     {
@@ -35,11 +35,11 @@
         let delay = shared.state().members[member].faults.response_delay;
         std::thread::sleep(delay);
         let response = if request.path.starts_with(consul::PATH_PREFIX) {
-            consul::answer(shared, member, &request)
+            consul::respond(shared, member, &request)
         } else {
-            etcd::answer(shared, member, &request)
+            etcd::respond(shared, member, &request)
         };
-        // The fault may have been set while the answer was made.
+        // The fault may have been set while the response was prepared.
         if wait_until_responsive(shared, member) == Availability::Down {
             break;
         }
@@ -48,14 +48,14 @@
     stream.get_ref().socket().shutdown(Shutdown::Both)
 }
 
-/// The connection with TLS where the registry uses it.
+/// Wraps the socket in TLS if the registry uses it.
 fn start_tls(shared: &Shared, socket: TcpStream) -> io::Result<Box<dyn Stream>> {
     let Some(config) = shared.tls() else { return Ok(Box::new(socket)) };
     let connection = ServerConnection::new(config).map_err(io::Error::other)?;
     Ok(Box::new(StreamOwned::new(connection, socket)))
 }
 
-/// Waits while a member is unresponsive.
+/// Waits while a member is unresponsive, and returns its availability.
 fn wait_until_responsive(shared: &Shared, member: usize) -> Availability {
     let state = shared.wait_while(|state| {
         let faults = &state.members[member].faults;
--- a/test-servers/src/registry/consul.rs
+++ b/test-servers/src/registry/consul.rs
@@ -1,4 +1,4 @@
-//! Consul's HTTP interface: keys, sessions, and the health of services, with blocking queries.
+//! Consul's HTTP interface: keys, sessions and service health, with blocking queries.
 use super::contents::LeaseId;
 use super::etcd_json::encode;
 use super::http::{Request, Response};
@@ -7,26 +7,26 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// What the paths of the interface begin with.
+/// Prefix of all paths of the interface.
 pub(super) const PATH_PREFIX: &str = "/v1/";
-/// The time to live of a session that names none, in seconds.
+/// Time to live of a session whose request specifies none, in seconds.
 const DEFAULT_SESSION_TTL_S: u64 = 10;
 
-/// A list with its index, which a blocking query waits on.
+/// A list with its index, which a blocking query waits to change.
 struct IndexedList {
     index: u64,
     items: Vec<Value>,
 }
 
-/// What a list answers while it is empty.
+/// HTTP status of the response for an empty list.
 #[derive(Clone, Copy)]
 enum EmptyList {
     Found = 200,
     NotFound = 404,
 }
 
-/// Answers a request to a member.
-pub(super) fn answer(shared: &Shared, member: usize, request: &Request) -> Response {
+/// Handles a request to a member.
+pub(super) fn respond(shared: &Shared, member: usize, request: &Request) -> Response {
     let path = request.path.trim_start_matches(PATH_PREFIX);
     if let Some(key) = path.strip_prefix("kv/") {
         let key = format!("/{key}");
@@ -64,7 +64,8 @@
     blocking_query(shared, member, request, EmptyList::Found, list)
 }
 
-/// Sets or deletes a key, under a session's lock or at an index where the request names one.
+/// Sets or deletes a key. If the request names a session or an index, the change applies only under that
+/// session's lock or at that index.
 fn change_key(shared: &Shared, request: &Request, key: &str) -> Response {
     let mut state = shared.state();
     let session = request.query_number("acquire").map(LeaseId);
@@ -116,7 +117,8 @@
     LeaseId(id.parse().unwrap_or(0))
 }
 
-/// Answers with a list; waits until its index is another than the request's, for at most the request's time.
+/// Responds with a list. If the request names the current index, waits until the index changes, at most for
+/// the request's wait time.
 fn blocking_query(
     shared: &Shared,
     member: usize,
@@ -128,7 +130,7 @@
     let wait = request.query.get("wait").and_then(|wait| wait.trim_end_matches("ms").parse().ok());
     let state = shared.wait_timeout_while(Duration::from_millis(wait.unwrap_or(0)), |state| {
         let down = state.members[member].faults.down;
-        // An index ahead of the registry's is answered at once, with the lower one.
+        // A request with an index ahead of the registry's gets an immediate response with the lower index.
         known_index > 0 && list(state).index == known_index && !down
     });
     let IndexedList { index, items } = list(&state);
--- a/test-servers/src/registry/contents.rs
+++ b/test-servers/src/registry/contents.rs
@@ -1,26 +1,26 @@
 //! The registry's keys and values with their revisions.
 use std::collections::BTreeMap;
 
-/// The revision of an empty registry.
+/// Revision of an empty registry.
 const FIRST_REVISION: u64 = 1;
 
-/// The id of a lease.
+/// Id of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseId(pub u64);
 
-/// A key's value.
+/// The value of a key, with its revisions.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) value: Vec<u8>,
-    /// The revision that created the key.
+    /// Revision at which the key was created.
     pub(super) created: u64,
-    /// The revision that changed it last.
+    /// Revision at which the key was last changed.
     pub(super) modified: u64,
-    /// The key is deleted when this lease ends.
+    /// Lease that the key is attached to; the key is deleted when the lease ends.
     pub(super) lease: Option<LeaseId>,
 }
 
-/// One change: at this revision a key got this value, or was deleted.
+/// A change of a key: its new entry, or `None` if the key was deleted.
 #[derive(Clone, Debug)]
 pub(super) struct Change {
     pub(super) revision: u64,
@@ -28,13 +28,13 @@
     pub(super) entry: Option<Entry>,
 }
 
-/// The registry's contents; a copy is a backup.
+/// The contents of a registry; a clone serves as a backup.
 #[derive(Clone)]
 pub struct Contents {
     revision: u64,
     entries: BTreeMap<String, Entry>,
     history: Vec<Change>,
-    /// Revisions before this one can't be read.
+    /// Revisions before this one have been compacted and can't be read.
     compacted: u64,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Contents {
-    /// Sets a key; returns its revision.
+    /// Sets a key and returns the revision of the change.
     pub fn put(&mut self, key: &str, value: Vec<u8>, lease: Option<LeaseId>) -> u64 {
         self.revision += 1;
         let created = self.entries.get(key).map_or(self.revision, |entry| entry.created);
@@ -55,7 +55,7 @@
         self.revision
     }
 
-    /// Deletes a key; returns the registry's revision, which is a new one only where there was such a key.
+    /// Deletes a key and returns the registry's revision, which only increases if the key existed.
     pub fn delete(&mut self, key: &str) -> u64 {
         if self.entries.remove(key).is_some() {
             self.revision += 1;
@@ -68,7 +68,7 @@
         self.revision
     }
 
-    /// Begins a new revision without a change of a key.
+    /// Increases the revision without a change of a key.
     pub(super) fn advance_revision(&mut self) -> u64 {
         self.revision += 1;
         self.revision
@@ -94,12 +94,12 @@
         self.entries.iter().filter(move |(key, _)| key.starts_with(prefix))
     }
 
-    /// The changes from this revision on.
+    /// Returns the changes at or after a revision.
     pub(super) fn changes_from(&self, revision: u64) -> impl Iterator<Item = &Change> {
         self.history.iter().filter(move |change| change.revision >= revision)
     }
 
-    /// Keys and values as of a revision, as far as the history goes back.
+    /// Returns the keys and values as of a revision; changes before the last compaction are unknown.
     pub(super) fn entries_at(&self, revision: u64) -> BTreeMap<String, Entry> {
         let mut entries = self.entries.clone();
         if revision >= self.revision {
@@ -115,7 +115,7 @@
         entries
     }
 
-    /// Deletes the keys of these leases.
+    /// Deletes the keys that are attached to the given leases.
     pub(super) fn delete_leased(&mut self, leases: &[LeaseId]) {
         let is_leased = |entry: &Entry| entry.lease.is_some_and(|lease| leases.contains(&lease));
         let leased = self.entries.iter().filter(|(_, entry)| is_leased(entry));
@@ -123,7 +123,7 @@
         keys.iter().for_each(|key| _ = self.delete(key));
     }
 
-    /// The keys with their values as text.
+    /// Returns the keys with their values as text.
     pub(super) fn texts(&self) -> BTreeMap<String, String> {
         let text = |entry: &Entry| String::from_utf8_lossy(&entry.value).into_owned();
         self.entries.iter().map(|(key, entry)| (key.clone(), text(entry))).collect()
--- a/test-servers/src/registry/etcd.rs
+++ b/test-servers/src/registry/etcd.rs
@@ -7,12 +7,12 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// The cluster id that members report.
+/// Cluster id that members report.
 const CLUSTER_ID: u64 = 14_841_639_068_965_178_418;
-/// The key that someone else writes between two pages of a read.
-const KEY_OF_OTHERS: &str = "/elsewhere";
+/// Key that is written between two pages of a read, to simulate another client.
+const OTHER_CLIENT_KEY: &str = "/elsewhere";
 
-/// An error as etcd reports it.
+/// An error response of etcd.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EtcdError {
     AuthenticationFailed,
@@ -35,8 +35,8 @@
     }
 }
 
-/// Answers a request to a member.
-pub(super) fn answer(shared: &Shared, member: usize, request: &Request) -> Response {
+/// Handles a request to a member.
+pub(super) fn respond(shared: &Shared, member: usize, request: &Request) -> Response {
     let body = request.json();
     let mut state = shared.state();
     if state.requires_user() {
@@ -68,11 +68,11 @@
     drop(state);
     shared.notify();
     match result {
-        Ok(mut answer) => {
-            if answer["header"].is_null() {
-                answer["header"] = header;
+        Ok(mut response) => {
+            if response["header"].is_null() {
+                response["header"] = header;
             }
-            Response::json(200, &answer)
+            Response::json(200, &response)
         }
         Err(error) => error.response(),
     }
@@ -85,37 +85,37 @@
     Response::json(200, &json!({"header": {}, "token": state.token()}))
 }
 
-/// The header of an answer.
+/// Returns the header of a response.
 fn header(state: &State, member: usize) -> Value {
     let cluster = state.members[member].faults.cluster_id.unwrap_or(CLUSTER_ID);
     json!({"cluster_id": cluster.to_string(), "member_id": (member + 1).to_string(),
         "revision": reported_revision(state, member).to_string(), "raft_term": "2"})
 }
 
-/// The revision that a member reports.
+/// Returns the revision that a member reports.
 fn reported_revision(state: &State, member: usize) -> u64 {
     state.members[member].faults.stale_at_revision.unwrap_or(state.contents.revision())
 }
 
 fn range(state: &mut State, member: usize, body: &Value) -> Result<Value, EtcdError> {
     state.read_count += 1;
-    let answer = read_range(&state.contents, body, reported_revision(state, member))?;
+    let page = read_range(&state.contents, body, reported_revision(state, member))?;
     let faults = &mut state.members[member].faults;
-    if answer["more"] == true && std::mem::take(&mut faults.compact_after_first_page) {
-        // Someone writes, and someone compacts, before the next page is read.
-        state.contents.put(KEY_OF_OTHERS, vec![], None);
+    if page["more"] == true && std::mem::take(&mut faults.compact_after_first_page) {
+        // Simulates another client's write and a compaction before the next page is read.
+        state.contents.put(OTHER_CLIENT_KEY, vec![], None);
         state.contents.compact();
     }
-    Ok(answer)
+    Ok(page)
 }
 
-/// Reads keys as of the revision that is asked for, else as of the reported one.
+/// Reads keys as of the requested revision; without one, as of the reported revision.
 fn read_range(contents: &Contents, body: &Value, reported_revision: u64) -> Result<Value, EtcdError> {
-    let asked_revision = number(body, "revision");
-    if asked_revision > 0 && asked_revision < contents.compacted() {
+    let requested_revision = number(body, "revision");
+    if requested_revision > 0 && requested_revision < contents.compacted() {
         return Err(EtcdError::Compacted);
     }
-    let revision = if asked_revision > 0 { asked_revision } else { reported_revision };
+    let revision = if requested_revision > 0 { requested_revision } else { reported_revision };
     let entries = contents.entries_at(revision);
     let range = KeyRange { start: bytes(&body["key"]), end: bytes(&body["range_end"]) };
     let min_modified = number(body, "min_mod_revision");
@@ -133,7 +133,8 @@
     Ok(json!({"kvs": key_values, "count": count.to_string(), "more": count > limit}))
 }
 
-/// Keys from `start` up to and without `end`. An empty end stands for `start` alone, a zero byte for all that follow.
+/// The keys from `start` to before `end`. If `end` is empty, only the key `start`; if it is a zero byte, all
+/// keys from `start`.
 struct KeyRange {
     start: Vec<u8>,
     end: Vec<u8>,
@@ -158,7 +159,8 @@
     Ok(json!({"header": {"revision": revision.to_string()}}))
 }
 
-/// A transaction of one comparison and one put: the key must stand at a revision, 0 for no such key.
+/// Runs a transaction of one comparison and one put: the put applies only if the key is at the given
+/// revision, where 0 stands for a key that does not exist.
 fn transact(contents: &mut Contents, body: &Value) -> Value {
     let compare = &body["compare"][0];
     let modified = contents.entry(&text(&compare["key"])).map_or(0, |entry| entry.modified);
@@ -176,7 +178,7 @@
     json!({"ID": id.0.to_string(), "TTL": ttl.to_string()})
 }
 
-/// Renews a lease. One that has ended is reported by leaving out its time to live, as zeros are left out.
+/// Renews a lease. For a lease that has ended, the time to live is omitted, since zeros are omitted.
 fn renew_lease(state: &mut State, body: &Value) -> Value {
     let id = lease_id(body, "ID");
     let result = match state.renew_lease(id) {
--- a/test-servers/src/registry/etcd_watch.rs
+++ b/test-servers/src/registry/etcd_watch.rs
@@ -1,4 +1,4 @@
-//! etcd's watch: a chunked answer whose lines are the events of a prefix.
+//! etcd's watch: a chunked response in which each line contains events of the watched prefix.
 use super::contents::Change;
 use super::etcd_json::{encode, key_value, number, text};
 use super::faults::Faults;
@@ -9,20 +9,20 @@
 use std::io;
 use std::net::Shutdown;
 
-/// The path of a watch.
+/// Path of a watch request.
 pub(super) const PATH: &str = "/v3/watch";
 
-/// What a watch gets next.
+/// The next update of a watch.
 enum Update {
-    /// Changes of any keys up to and including a revision, and the member's faults.
+    /// Changes of all keys up to and including `revision`, and the member's faults.
     Changes { changes: Vec<Change>, revision: u64, faults: Faults },
-    /// The next changes are lost: the history is compacted up to this revision.
+    /// The next changes are lost, because the history is compacted up to this revision.
     Compacted(u64),
-    /// The member is down.
+    /// The member is down, so the connection is closed.
     Down,
 }
 
-/// Serves a watch until it is canceled or its connection ends.
+/// Serves a watch until it is canceled or its connection is closed.
 pub(super) fn serve(
     shared: &Shared,
     member: usize,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Waits until there is something for the watch.
+/// Waits for the next update of a watch.
 fn next_update(shared: &Shared, member: usize, next_revision: u64) -> Update {
     let nothing_new = |state: &State| {
         let contents = &state.contents;
@@ -87,7 +87,7 @@
     Update::Changes { changes, revision: state.contents.revision(), faults }
 }
 
-/// Changes as one line of events.
+/// Encodes changes as one line of events.
 fn events(mut changes: Vec<Change>, revision: u64, faults: &Faults) -> Value {
     if faults.reversed_events {
         changes.reverse();
@@ -107,7 +107,7 @@
     }
 }
 
-/// Writes a line as a chunk.
+/// Writes a line as an HTTP chunk.
 fn write_chunk(stream: &mut dyn Stream, line: &Value) -> io::Result<()> {
     let text = line.to_string();
     stream.write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes())?;
--- a/test-servers/src/registry/faults.rs
+++ b/test-servers/src/registry/faults.rs
@@ -1,29 +1,29 @@
-//! How a member misbehaves.
+//! The faults of a registry member.
 use std::time::Duration;
 
-/// How a member misbehaves; by default it does not.
+/// The faults that a member simulates; none by default.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Connections are closed at once.
+    /// Connections are closed as soon as they are opened.
     pub down: bool,
-    /// Nothing is answered, and connections stay open.
+    /// The member sends no responses, but connections stay open.
     pub unresponsive: bool,
-    /// Watches get no events; reads are answered.
+    /// Watches get no events, but reads work.
     pub stalled_watches: bool,
-    /// Reads report this revision, as a member does that lags.
+    /// Revision that reads report, to simulate a member that lags behind.
     pub stale_at_revision: Option<u64>,
-    /// The member reports this cluster id instead of the common one.
+    /// Cluster id that the member reports instead of the common one.
     pub cluster_id: Option<u64>,
-    /// The next watch event is cut in the middle, and its connection closed.
+    /// The next watch event is cut off halfway, and its connection is closed.
     pub truncate_next_event: bool,
-    /// Each change is sent twice.
+    /// Watches get each change twice.
     pub duplicated_events: bool,
-    /// Changes that are sent together have the wrong order.
+    /// Watches get the changes of one message in reverse order.
     pub reversed_events: bool,
-    /// The member knows no leader: reads are rejected, and watches get no events.
+    /// The member has no leader: reads are rejected, and watches get no events.
     pub leaderless: bool,
-    /// Each answer is delayed by this.
+    /// Delay before each response.
     pub response_delay: Duration,
-    /// The history is compacted behind the first page of the next read.
+    /// The history is compacted after the first page of the next paged read.
     pub compact_after_first_page: bool,
 }
--- a/test-servers/src/registry/http.rs
+++ b/test-servers/src/registry/http.rs
@@ -1,13 +1,13 @@
-//! HTTP/1.1 as far as the registry's clients use it, plain or with TLS.
+//! The subset of HTTP/1.1 that the registry's clients use, with or without TLS.
 use rustls::{ServerConnection, StreamOwned};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 
-/// A connection, plain or with TLS.
+/// A connection with or without TLS.
 pub(super) trait Stream: Read + Write + Send {
-    /// The socket below.
+    /// Returns the underlying socket.
     fn socket(&self) -> &TcpStream;
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A request.
+/// A parsed HTTP request.
 pub(super) struct Request {
     pub(super) method: String,
     pub(super) path: String,
@@ -33,25 +33,25 @@
 }
 
 impl Request {
-    /// The body as JSON; null where it is not JSON.
+    /// Returns the body as JSON; null if it is not valid JSON.
     pub(super) fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// A number of the query; `None` where it is missing or not a number.
+    /// Returns a query parameter as a number; `None` if it is missing or not a number.
     pub(super) fn query_number(&self, name: &str) -> Option<u64> {
         self.query.get(name).and_then(|value| value.parse().ok())
     }
 }
 
-/// The headers that matter here.
+/// The request headers that the registry uses.
 #[derive(Default)]
 struct Headers {
     content_length: usize,
     token: Option<String>,
 }
 
-/// Reads a request; `None` at the connection's end.
+/// Reads a request; returns `None` if the connection was closed.
 pub(super) fn read_request(stream: &mut BufReader<Box<dyn Stream>>) -> io::Result<Option<Request>> {
     let mut line = String::new();
     if stream.read_line(&mut line)? == 0 {
@@ -82,32 +82,32 @@
     }
 }
 
-/// Name and value of a parameter.
+/// Splits a query parameter into name and value.
 fn parse_parameter(parameter: &str) -> (String, String) {
     let (name, value) = parameter.split_once('=').unwrap_or((parameter, ""));
     (name.to_string(), value.to_string())
 }
 
-/// An answer with a JSON body.
+/// An HTTP response with a JSON body.
 pub(super) struct Response {
     pub(super) status: u16,
-    /// Further headers, each line with its CRLF.
+    /// Additional headers, each line with its CRLF.
     pub(super) headers: String,
     pub(super) body: Vec<u8>,
 }
 
 impl Response {
-    /// An answer without further headers.
+    /// Creates a response without additional headers.
     pub(super) fn new(status: u16, body: impl Into<Vec<u8>>) -> Response {
         Response { status, headers: String::new(), body: body.into() }
     }
 
-    /// An answer with this JSON.
+    /// Creates a response with a JSON value as its body.
     pub(super) fn json(status: u16, body: &Value) -> Response {
         Response::new(status, body.to_string())
     }
 
-    /// Writes the whole response. Clients ignore the reason phrase, so it is a placeholder.
+    /// Writes the complete response. The reason phrase is a placeholder, because clients ignore it.
     pub(super) fn write_to(&self, stream: &mut dyn Stream) -> io::Result<()> {
         let Response { status, headers, body } = self;
         let head = format!(
--- a/test-servers/src/registry/shared.rs
+++ b/test-servers/src/registry/shared.rs
@@ -1,4 +1,4 @@
-//! What the registry's threads share: the state, and a way to wait for its changes.
+//! State shared by the registry's threads, and a way to wait for its changes.
 use super::contents::LeaseId;
 use super::state::State;
 use rustls::ServerConfig;
@@ -20,7 +20,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Wakes what waits for a change.
+    /// Wakes all threads that wait for a change.
     pub(super) fn notify(&self) {
         self.changed.notify_all();
     }
@@ -46,7 +46,7 @@
         *self.tls.lock().unwrap_or_else(PoisonError::into_inner) = Some(tls);
     }
 
-    /// Ends leases and deletes their keys.
+    /// Ends leases, deletes their keys, and wakes the waiting threads.
     pub(super) fn end_leases(&self, ended: &[LeaseId]) {
         self.state().end_leases(ended);
         self.notify();
--- a/test-servers/src/registry/state.rs
+++ b/test-servers/src/registry/state.rs
@@ -6,9 +6,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Lease ids count from here: real ones are as large.
+/// Lease ids start above this value, because the ids of real registries are as large.
 const FIRST_LEASE_ID: u64 = 7_000_000_000_000_000_000;
-/// The index of Consul's services before the first one is set.
+/// Index that Consul's health endpoint reports before a service is set.
 const FIRST_SERVICE_INDEX: u64 = 1;
 
 pub(super) struct Member {
@@ -19,7 +19,7 @@
 }
 
 struct Lease {
-    expires: Instant,
+    expires_at: Instant,
     ttl: Duration,
 }
 
@@ -40,7 +40,7 @@
     leases: HashMap<LeaseId, Lease>,
     granted_leases: u64,
     user: Option<User>,
-    /// How often a user was set: a token is valid until the next time.
+    /// Number of calls that set the user; tokens of earlier generations are invalid.
     token_generation: u64,
     services: Vec<Service>,
     services_revision: u64,
@@ -62,12 +62,12 @@
         self.user.is_some()
     }
 
-    /// Whether these are the name and the password of the user.
+    /// Whether the name and the password are those of the user.
     pub(super) fn is_user(&self, name: &Value, password: &Value) -> bool {
         self.user.as_ref().is_some_and(|user| *name == *user.name && *password == *user.password)
     }
 
-    /// The token of the user.
+    /// Returns the user's current token.
     pub(super) fn token(&self) -> String {
         format!("token.{}", self.token_generation)
     }
@@ -75,14 +75,14 @@
     pub(super) fn grant_lease(&mut self, ttl: Duration) -> LeaseId {
         self.granted_leases += 1;
         let id = LeaseId(FIRST_LEASE_ID + self.granted_leases);
-        self.leases.insert(id, Lease { expires: Instant::now() + ttl, ttl });
+        self.leases.insert(id, Lease { expires_at: Instant::now() + ttl, ttl });
         id
     }
 
-    /// Renews a lease; returns its time to live, `None` where it has ended.
+    /// Renews a lease and returns its time to live; `None` if it has ended.
     pub(super) fn renew_lease(&mut self, id: LeaseId) -> Option<Duration> {
-        let lease = self.leases.get_mut(&id).filter(|lease| lease.expires > Instant::now())?;
-        lease.expires = Instant::now() + lease.ttl;
+        let lease = self.leases.get_mut(&id).filter(|lease| lease.expires_at > Instant::now())?;
+        lease.expires_at = Instant::now() + lease.ttl;
         Some(lease.ttl)
     }
 
@@ -95,7 +95,7 @@
     }
 
     pub(super) fn expired_leases(&self) -> Vec<LeaseId> {
-        let expired = self.leases.iter().filter(|(_, lease)| lease.expires <= Instant::now());
+        let expired = self.leases.iter().filter(|(_, lease)| lease.expires_at <= Instant::now());
         expired.map(|(id, _)| *id).collect()
     }
 
@@ -111,12 +111,12 @@
         self.services.push(Service { name: name.into(), instances });
     }
 
-    /// The index of Consul's services.
+    /// Returns the index that Consul's health endpoint reports.
     pub(super) fn services_index(&self) -> u64 {
         self.services_revision.max(FIRST_SERVICE_INDEX)
     }
 
-    /// A service's instances; none where it is not known.
+    /// Returns the instances of a service; empty if the service is unknown.
     pub(super) fn service_instances(&self, name: &str) -> Vec<Value> {
         let service = self.services.iter().find(|service| service.name == name);
         service.and_then(|service| service.instances.as_array().cloned()).unwrap_or_default()
--- a/test-servers/src/replication_group.rs
+++ b/test-servers/src/replication_group.rs
@@ -1,8 +1,10 @@
-//! A primary and its replicas: one log of commits, and for each server how much of it has been applied. A replica shows
-//! what was committed a lag ago, as its heartbeat reports; nothing is shown that it has not applied.
+//! A primary and its replicas. They share one log of commits, and each server has a position up to which it
+//! has applied the log. A replica applies each commit after its replication lag, and its heartbeat shows the
+//! same position; reads do not return commits that the server has not applied.
 //!
-//! Statements: `INSERT INTO basket VALUES ('SESSION', N)` adds an item, `SELECT n FROM basket WHERE k = 'SESSION'`
-//! returns the newest item that this server shows and the server's name; the probe is `SELECT probe`.
+//! `INSERT INTO basket VALUES ('SESSION', N)` adds an item. `SELECT n FROM basket WHERE k = 'SESSION'`
+//! returns the newest item that the server has applied, and the server's name. The health check is `SELECT
+//! probe`.
 mod clock;
 mod connection;
 mod server;
@@ -17,17 +19,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The servers of a group, by index: the primary is the first one. Clones are handles to the same servers.
+/// The servers of a group by index; index 0 is the first primary. Clones are handles to the same servers.
 #[derive(Clone)]
 pub struct ReplicationGroup {
     shared: Arc<Shared>,
 }
 
 impl ReplicationGroup {
-    /// Starts `primary` and a replica for each lag, `replica-1` and so on. Heartbeats are written at this interval.
+    /// Starts the server `primary`, and a replica for each lag, named `replica-1` and so on. `heartbeat` is
+    /// the interval between two heartbeats.
     ///
     /// # Panics
-    /// The system has no free port on loopback.
+    /// Panics if the system has no free port on loopback.
     pub fn start(lags: &[Duration], heartbeat: Duration) -> ReplicationGroup {
         let group = ReplicationGroup { shared: Arc::new(Shared::new(heartbeat)) };
         group.add("primary".into(), false, Duration::ZERO);
@@ -38,24 +41,24 @@
     }
 
     fn add(&self, name: String, read_only: bool, lag: Duration) {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
-        let address = listener.local_addr().expect("its address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("no free port on loopback");
+        let address = listener.local_addr().expect("listener has no local address");
         let index = self.shared.add(Server::new(name, address, read_only, lag));
         let shared = self.shared.clone();
         std::thread::spawn(move || accept(&shared, index, &listener));
     }
 
-    /// Name and address of each server.
+    /// Returns the name and the address of each server.
     pub fn servers(&self) -> Vec<(String, SocketAddr)> {
         self.shared.state().servers.iter().map(|server| (server.name.clone(), server.address)).collect()
     }
 
-    /// Sets how far a replica lags.
+    /// Sets a replica's replication lag.
     pub fn set_lag(&self, server: usize, lag: Duration) {
         self.shared.update(server, |server| server.set_lag(lag));
     }
 
-    /// Stops replication at all replicas: they show what was committed up to now and nothing else.
+    /// Stops replication on all replicas: they apply no commits that are made from now on.
     pub fn stop_replication(&self) {
         let now = unix_micros();
         let mut state = self.shared.state();
@@ -63,27 +66,28 @@
         replicas.for_each(|replica| replica.stop_replication(now));
     }
 
-    /// Makes a server answer probes only, or all statements again.
+    /// Hangs a server, which then responds only to probes, or ends the hang.
     pub fn set_hung(&self, server: usize, hung: bool) {
         self.shared.update(server, |server| server.hung = hung);
     }
 
-    /// Statements that wait at a hung server: connections of routers that are in use there.
+    /// Returns the number of statements that wait on a hung server; each blocks a connection of a router.
     pub fn blocked_statements(&self, server: usize) -> usize {
         self.shared.state().servers[server].blocked_statements
     }
 
-    /// Withholds the answers of writes, which run all the same, or sends them again.
+    /// Starts or stops withholding the responses of writes. The writes run in either case.
     pub fn withhold_write_answers(&self, server: usize, withhold: bool) {
         self.shared.update(server, |server| server.withholds_answers = withhold);
     }
 
-    /// Waits until this many writes have run whose answers were withheld; `false` at the timeout.
+    /// Waits until `writes` writes have run whose responses were withheld; returns `false` if the wait times
+    /// out.
     pub fn wait_for_withheld_answers(&self, writes: usize, timeout: Duration) -> bool {
         self.shared.wait_for_withheld_answers(writes, timeout)
     }
 
-    /// Ends the primary for good; a replica that has all its commits takes over.
+    /// Shuts down the primary permanently, and promotes a replica, which then has all commits.
     pub fn promote(&self, replica: usize) {
         let mut state = self.shared.state();
         state.servers.iter_mut().filter(|server| !server.read_only).for_each(Server::shut_down);
@@ -92,23 +96,23 @@
         self.shared.notify();
     }
 
-    /// The writes that have run, by session, in the order of their commits.
+    /// Returns the items that were written, by session, in commit order.
     pub fn writes_by_session(&self) -> Vec<(String, Vec<u64>)> {
         self.shared.state().log.iter().map(|(session, log)| (session.clone(), log.items())).collect()
     }
 
-    /// What a server has done.
+    /// Returns the counts of statements that a server has handled.
     pub fn counts(&self, server: usize) -> Counts {
         self.shared.state().servers[server].counts
     }
 
-    /// When a server got its last read; `None` where it got none.
+    /// Returns the time of a server's last read; `None` if it has had no read.
     pub fn last_read(&self, server: usize) -> Option<Instant> {
         self.shared.state().servers[server].last_read
     }
 }
 
-/// Accepts a server's connections, a thread each.
+/// Accepts a server's connections and starts a thread for each.
 fn accept(shared: &Arc<Shared>, server: usize, listener: &TcpListener) {
     for socket in listener.incoming().map_while(Result::ok) {
         if let Ok(handle) = socket.try_clone() {
--- a/test-servers/src/replication_group/clock.rs
+++ b/test-servers/src/replication_group/clock.rs
@@ -1,10 +1,10 @@
-//! The servers' clock.
+//! The clock shared by all servers.
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Microseconds of Unix time, or a number of microseconds.
+/// A Unix time or a duration, in microseconds.
 pub type Micros = i64;
 
-/// The time by the servers' clock, in microseconds of Unix time.
+/// Returns the current Unix time in microseconds.
 pub fn unix_micros() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
 }
--- a/test-servers/src/replication_group/server.rs
+++ b/test-servers/src/replication_group/server.rs
@@ -1,37 +1,37 @@
-//! The state of one server: its role and replication, its injected faults, and its counters.
+//! The state of a server: its role, its replication, its injected faults and its counters.
 use super::clock::{Micros, unix_micros};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// What a server has done since its start.
+/// Counts of the statements that a server has handled since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Reads answered.
+    /// Number of reads that the server ran.
     pub reads: usize,
-    /// Writes run.
+    /// Number of writes that the server ran.
     pub writes: usize,
-    /// Probes answered.
+    /// Number of probes that the server responded to.
     pub probes: usize,
 }
 
-/// One server of the group.
+/// A server of a replication group.
 pub(super) struct Server {
     pub(super) name: String,
     pub(super) address: SocketAddr,
     pub(super) read_only: bool,
     lag: Micros,
-    /// The commit time up to which it had applied the log when its lag was changed.
-    applied_before: Micros,
-    /// It applies nothing that was committed later.
+    /// Commit time up to which the server had applied the log when its lag was last changed.
+    min_applied: Micros,
+    /// Commit time up to which the server applies the log after replication was stopped.
     replication_stopped_at: Option<Micros>,
-    /// It answers nothing but probes.
+    /// Whether the server hangs: it responds only to probes.
     pub(super) hung: bool,
-    /// It has ended: it answers nothing and accepts no connection.
+    /// Whether the server was shut down: it sends no responses and accepts no connections.
     pub(super) shut_down: bool,
-    /// Writes run, and their answers are withheld.
+    /// Whether writes run without their responses being sent.
     pub(super) withholds_answers: bool,
     pub(super) connections: Vec<TcpStream>,
-    /// Statements that wait for an answer while it hangs.
+    /// Number of statements that wait while the server hangs.
     pub(super) blocked_statements: usize,
     pub(super) counts: Counts,
     pub(super) last_read: Option<Instant>,
@@ -44,7 +44,7 @@
             address,
             read_only,
             lag: lag.as_micros() as Micros,
-            applied_before: 0,
+            min_applied: 0,
             replication_stopped_at: None,
             hung: false,
             shut_down: false,
@@ -56,30 +56,30 @@
         }
     }
 
-    /// The commit time up to which it has applied the log.
-    pub(super) fn applied(&self, now: Micros) -> Micros {
-        (now - self.lag).max(self.applied_before).min(self.replication_stopped_at.unwrap_or(now))
+    /// Returns the commit time up to which the server has applied the log.
+    pub(super) fn applied_until(&self, now: Micros) -> Micros {
+        (now - self.lag).max(self.min_applied).min(self.replication_stopped_at.unwrap_or(now))
     }
 
-    /// Changes its lag. What is applied is never undone, however far behind it is from now on.
+    /// Changes the replication lag. Applied commits stay applied, however large the new lag is.
     pub(super) fn set_lag(&mut self, lag: Duration) {
-        self.applied_before = self.applied(unix_micros());
+        self.min_applied = self.applied_until(unix_micros());
         self.lag = lag.as_micros() as Micros;
     }
 
-    /// Stops applying the log at what it has applied by now.
+    /// Stops replication at the position that the server has applied by `now`.
     pub(super) fn stop_replication(&mut self, now: Micros) {
         self.replication_stopped_at = Some(now - self.lag);
     }
 
-    /// Makes a replica the primary, with all commits.
+    /// Makes a replica the primary, which has all commits.
     pub(super) fn promote(&mut self) {
         self.read_only = false;
         self.lag = 0;
         self.replication_stopped_at = None;
     }
 
-    /// Shuts it down for good, with its connections.
+    /// Shuts the server down permanently and closes its connections.
     pub(super) fn shut_down(&mut self) {
         self.read_only = true;
         self.shut_down = true;
--- a/test-servers/src/replication_group/shared.rs
+++ b/test-servers/src/replication_group/shared.rs
@@ -1,17 +1,17 @@
-//! What the servers of a group share: the log of commits, and a way to wait for changes.
+//! State shared by the servers of a group: the log of commits, and a way to wait for changes.
 use super::clock::Micros;
 use super::server::Server;
 use std::collections::HashMap;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// A committed item.
+/// An item and its commit time.
 struct Commit {
     at: Micros,
     item: u64,
 }
 
-/// The items of a session, in the order of their commits.
+/// The items of a session in commit order.
 #[derive(Default)]
 pub(super) struct SessionLog(Vec<Commit>);
 
@@ -24,7 +24,7 @@
         self.0.iter().map(|commit| commit.item).collect()
     }
 
-    /// The highest item that was committed up to a time.
+    /// Returns the highest item that was committed by the time `applied`.
     fn newest(&self, applied: Micros) -> Option<u64> {
         self.0.iter().filter(|commit| commit.at <= applied).map(|commit| commit.item).max()
     }
@@ -32,15 +32,15 @@
 
 #[derive(Default)]
 pub(super) struct State {
-    /// Commits by session.
+    /// Logs by session id.
     pub(super) log: HashMap<String, SessionLog>,
     pub(super) servers: Vec<Server>,
-    /// Writes that ran and whose answers were withheld.
+    /// Number of writes whose responses were withheld.
     pub(super) withheld_answers: usize,
 }
 
 impl State {
-    /// The newest item of a session that was committed up to a time; 0 for none.
+    /// Returns the newest item of a session that was committed by the time `applied`; 0 if there is none.
     pub(super) fn newest_item(&self, session: &str, applied: Micros) -> u64 {
         self.log.get(session).and_then(|log| log.newest(applied)).unwrap_or(0)
     }
@@ -49,39 +49,39 @@
 pub(super) struct Shared {
     state: Mutex<State>,
     changed: Condvar,
-    /// Heartbeats are written at this interval.
-    heartbeat: Micros,
+    /// Interval between two heartbeats.
+    heartbeat_interval: Micros,
 }
 
 impl Shared {
     pub(super) fn new(heartbeat: Duration) -> Shared {
-        let heartbeat = (heartbeat.as_micros() as Micros).max(1);
-        Shared { state: Mutex::default(), changed: Condvar::new(), heartbeat }
+        let heartbeat_interval = (heartbeat.as_micros() as Micros).max(1);
+        Shared { state: Mutex::default(), changed: Condvar::new(), heartbeat_interval }
     }
 
     pub(super) fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Wakes what waits for a change.
+    /// Wakes all threads that wait for a change.
     pub(super) fn notify(&self) {
         self.changed.notify_all();
     }
 
-    /// Adds a server; returns its index.
+    /// Adds a server and returns its index.
     pub(super) fn add(&self, server: Server) -> usize {
         let mut state = self.state();
         state.servers.push(server);
         state.servers.len() - 1
     }
 
-    /// Changes a server.
+    /// Changes a server's state and wakes the waiting threads.
     pub(super) fn update(&self, server: usize, update: impl FnOnce(&mut Server)) {
         update(&mut self.state().servers[server]);
         self.notify();
     }
 
-    /// Waits while a condition holds at a server; `None` where the server has ended.
+    /// Waits while a condition holds for a server; returns `None` if the server has been shut down.
     pub(super) fn wait_while(
         &self,
         server: usize,
@@ -95,15 +95,15 @@
         (!state.servers[server].shut_down).then_some(state)
     }
 
-    /// Waits until this many answers were withheld; `false` at the timeout.
+    /// Waits until `writes` responses were withheld; returns `false` if the wait times out.
     pub(super) fn wait_for_withheld_answers(&self, writes: usize, timeout: Duration) -> bool {
         let missing = |state: &mut State| state.withheld_answers < writes;
         let waited = self.changed.wait_timeout_while(self.state(), timeout, missing);
         waited.is_ok_and(|(state, _)| state.withheld_answers >= writes)
     }
 
-    /// The last heartbeat up to a time.
-    pub(super) fn heartbeat(&self, time: Micros) -> Micros {
-        time / self.heartbeat * self.heartbeat
+    /// Returns the time of the last heartbeat written by `time`.
+    pub(super) fn last_heartbeat(&self, time: Micros) -> Micros {
+        time / self.heartbeat_interval * self.heartbeat_interval
     }
 }
--- a/test-servers/src/udp.rs
+++ b/test-servers/src/udp.rs
@@ -1,37 +1,38 @@
-//! A fault proxy for datagrams to one address, which can be cut, delayed or lossy. It forwards one direction: two of
-//! them stand between two members that hear each other, so a cut of one is a link that works in one direction.
+//! A fault-injecting proxy that forwards datagrams to one address, and can block, delay or lose them. A proxy
+//! forwards one direction only: two members that exchange datagrams need two proxies, and blocking one of
+//! them gives a one-way link.
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, UdpSocket};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Datagrams that may be in flight; more are lost, as in any network.
+/// Maximum number of datagrams in flight; further datagrams are lost, as on a congested network.
 const MAX_IN_FLIGHT: usize = 4096;
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
-/// How often the thread checks whether the proxy was dropped.
+/// How often the forwarding thread checks whether the proxy was dropped.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// The shortest read timeout: the system takes zero for no timeout at all.
+/// Minimum read timeout; the operating system takes zero as no timeout.
 const MIN_READ_TIMEOUT: Duration = Duration::from_micros(100);
 
-/// What is wrong with the network; by default nothing is.
+/// The faults that a proxy injects; none by default.
 #[derive(Clone, Debug, Default)]
 pub struct UdpFaults {
-    /// Nothing gets through.
+    /// All datagrams are lost.
     pub cut: bool,
-    /// Nothing gets through from these senders.
+    /// All datagrams from these senders are lost.
     pub cut_from: Vec<SocketAddr>,
-    /// Each datagram is delayed by this.
+    /// Delay of each datagram.
     pub delay: Duration,
-    /// Every so-many-th datagram is lost, counted from the start; 0 for none.
+    /// If `n` is above 0, every `n`-th datagram since the start is lost; 0 loses none.
     pub lose_one_in: u32,
 }
 
-/// How many datagrams a proxy has handled since its start.
+/// Counts of the datagrams that a proxy has handled since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
-    /// Datagrams sent on to the target.
+    /// Datagrams that were sent to the target.
     pub forwarded: u64,
-    /// Datagrams dropped, by faults or for lack of a target.
+    /// Datagrams that were lost, because of a fault or because no target was set.
     pub lost: u64,
 }
 
@@ -43,20 +44,20 @@
     stopped: bool,
 }
 
-/// Forwards datagrams to one address until it is dropped. The receiver sees the proxy as their sender.
+/// Forwards datagrams to one address until it is dropped. The target sees the proxy's address as the sender.
 pub struct UdpProxy {
-    /// Where it receives.
+    /// Address at which the proxy receives datagrams.
     pub addr: SocketAddrV4,
     state: Arc<Mutex<State>>,
 }
 
 impl UdpProxy {
-    /// Receives on a port of the system's choice; datagrams are lost until [`UdpProxy::set_target`] is called.
+    /// Starts a proxy on a free port. Datagrams are lost until [`UdpProxy::set_target`] is called.
     ///
     /// # Panics
-    /// The system has no free port on loopback.
+    /// Panics if the system has no free port on loopback.
     pub fn start() -> UdpProxy {
-        let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port on loopback");
+        let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("no free port on loopback");
         let Ok(SocketAddr::V4(addr)) = socket.local_addr() else { unreachable!("bound to IPv4") };
         let state = Arc::<Mutex<State>>::default();
         let forwarder = Forwarder::new(socket, state.clone());
@@ -64,17 +65,17 @@
         UdpProxy { addr, state }
     }
 
-    /// Sets where datagrams go from now on.
+    /// Sets the address to which datagrams are forwarded.
     pub fn set_target(&self, target: SocketAddrV4) {
         lock(&self.state).target = Some(target.into());
     }
 
-    /// Changes the faults.
+    /// Updates the faults.
     pub fn update_faults(&self, update: impl FnOnce(&mut UdpFaults)) {
         update(&mut lock(&self.state).faults);
     }
 
-    /// Datagrams forwarded and lost since the start.
+    /// Returns the counts of forwarded and lost datagrams.
     pub fn counts(&self) -> DatagramCounts {
         lock(&self.state).counts
     }
@@ -95,11 +96,11 @@
     bytes: Vec<u8>,
 }
 
-/// The thread that forwards datagrams.
+/// State of the forwarding thread.
 struct Forwarder {
     socket: UdpSocket,
     state: Arc<Mutex<State>>,
-    /// By arrival, which is also the order in which they are sent.
+    /// Delayed datagrams in order of arrival, which is also the order in which they are sent.
     in_flight: VecDeque<DelayedDatagram>,
     received: u64,
 }
@@ -132,14 +133,14 @@
         STOP_CHECK_INTERVAL.min(until_due).max(MIN_READ_TIMEOUT)
     }
 
-    /// Queues a datagram until it is due, or drops it.
+    /// Queues a datagram until it is due, or drops it because of a fault or a full queue.
     fn receive(&mut self, state: &mut State, bytes: &[u8], sender: SocketAddr) {
         self.received += 1;
         let faults = &state.faults;
-        let chosen_to_lose =
+        let lost_by_rate =
             faults.lose_one_in > 0 && self.received.is_multiple_of(u64::from(faults.lose_one_in));
         let cut = faults.cut || faults.cut_from.contains(&sender);
-        if cut || chosen_to_lose || self.in_flight.len() >= MAX_IN_FLIGHT {
+        if cut || lost_by_rate || self.in_flight.len() >= MAX_IN_FLIGHT {
             state.counts.lost += 1;
             return;
         }
--- a/test-servers/src/wire.rs
+++ b/test-servers/src/wire.rs
@@ -1,11 +1,11 @@
-//! The server's side of `MySQL`'s client/server protocol (handshake 10, protocol 4.1), as far as a router uses it. Any
-//! user is accepted.
+//! The server side of the `MySQL` client/server protocol (handshake version 10, protocol 4.1), as far as a
+//! router uses it. The login of any user is accepted.
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
-/// The payload of an OK packet.
+/// Payload of an OK packet.
 pub const OK: &[u8] = &[0, 1, 0, 2, 0, 0, 0];
-/// The payload of an EOF packet.
+/// Payload of an EOF packet.
 pub const EOF: &[u8] = &[0xfe, 0, 0, 2, 0];
 
 /// First byte of an OK packet.
@@ -14,61 +14,61 @@
 pub const ERROR_HEADER: u8 = 0xff;
 /// First byte of an EOF packet.
 pub const EOF_HEADER: u8 = 0xfe;
-/// First byte of the greeting: the protocol's version.
+/// First byte of the greeting: the handshake version.
 pub const GREETING_HEADER: u8 = 10;
 
-/// First byte of the command that ends a connection.
+/// Command byte that closes a connection.
 pub const COMMAND_QUIT: u8 = 1;
-/// First byte of a command that runs a statement.
+/// Command byte that runs a statement.
 pub const COMMAND_QUERY: u8 = 3;
 
-/// The code of an error for a statement that can't be parsed.
+/// Error code for a statement that can't be parsed.
 pub const ERROR_SYNTAX: u16 = 1064;
-/// The code of an error for a write at a read-only server.
+/// Error code for a write on a read-only server.
 pub const ERROR_READ_ONLY: u16 = 1290;
 
-/// The character set `utf8mb4_general_ci`.
+/// Id of the character set `utf8mb4_general_ci`.
 pub const CHARACTER_SET: u8 = 45;
-/// The general SQL state, which follows an error's code.
+/// The general SQL state, which follows the code in an error packet.
 const GENERAL_SQL_STATE: &[u8] = b"#HY000";
 const COLUMN_TYPE_VAR_STRING: u8 = 0xfd;
 
-/// Capability: the login names a database.
+/// Capability: the login contains a database name.
 pub const CLIENT_CONNECT_WITH_DB: u32 = 1 << 3;
-/// Capability: protocol 4.1.
+/// Capability: the peer uses protocol 4.1.
 pub const CLIENT_PROTOCOL_41: u32 = 1 << 9;
-/// Capability: OK and EOF packets have status flags.
+/// Capability: OK and EOF packets contain status flags.
 pub const CLIENT_TRANSACTIONS: u32 = 1 << 13;
-/// Capability: passwords are proven by a challenge.
+/// Capability: passwords are verified by challenge and response.
 pub const CLIENT_SECURE_CONNECTION: u32 = 1 << 15;
 const CLIENT_MULTI_RESULTS: u32 = 1 << 17;
 const CLIENT_PS_MULTI_RESULTS: u32 = 1 << 18;
-/// Capability: the login names its method of authentication.
+/// Capability: the login contains the name of its authentication plugin.
 pub const CLIENT_PLUGIN_AUTH: u32 = 1 << 19;
 
-/// Payloads as packets, numbered from `first` on.
+/// Encodes payloads as packets with consecutive sequence ids, starting with `first`.
 pub fn packets(first: u8, payloads: &[&[u8]]) -> Vec<u8> {
     let framed = payloads.iter().enumerate().flat_map(|(index, payload)| {
         let length = (payload.len() as u32).to_le_bytes();
-        let number = first.wrapping_add(index as u8);
-        [&length[..3], &[number], payload].concat()
+        let sequence_id = first.wrapping_add(index as u8);
+        [&length[..3], &[sequence_id], payload].concat()
     });
     framed.collect()
 }
 
-/// A text with its length in front.
+/// Encodes a text with its length as a prefix.
 pub fn text(text: &str) -> Vec<u8> {
     [&[text.len() as u8][..], text.as_bytes()].concat()
 }
 
-/// The payload of a column's definition.
+/// Encodes the payload of a column definition.
 pub fn column(name: &str) -> Vec<u8> {
     let names = ["def", "", "", "", name, ""].map(text).concat();
     let types = [0x0c, CHARACTER_SET, 0, 0, 1, 0, 0, COLUMN_TYPE_VAR_STRING, 0, 0, 0, 0, 0];
     [&names[..], &types].concat()
 }
 
-/// A result of one row of text, as packets.
+/// Encodes a result set with one row of text cells as packets.
 pub fn row(cells: &[&str]) -> Vec<u8> {
     let columns: Vec<Vec<u8>> = cells.iter().map(|_| column("c")).collect();
     let count = [cells.len() as u8];
@@ -79,16 +79,16 @@
     packets(1, &payloads)
 }
 
-/// An error, as a packet.
+/// Encodes an error packet.
 pub fn error(code: u16, text: &str) -> Vec<u8> {
     let payload = [&[ERROR_HEADER][..], &code.to_le_bytes(), GENERAL_SQL_STATE, text.as_bytes()].concat();
     packets(1, &[&payload])
 }
 
-/// Reads one packet; returns its payload.
+/// Reads a packet and returns its payload.
 ///
 /// # Errors
-/// The connection has failed or ended.
+/// Returns an error if the connection fails or is closed.
 pub fn read(mut socket: &TcpStream) -> io::Result<Vec<u8>> {
     let mut header = [0; 4];
     socket.read_exact(&mut header)?;
@@ -98,7 +98,7 @@
     Ok(payload)
 }
 
-/// The server's greeting, as a packet.
+/// Encodes the server's greeting as a packet.
 pub fn greeting() -> Vec<u8> {
     let capabilities = CLIENT_CONNECT_WITH_DB
         | CLIENT_PROTOCOL_41
@@ -125,10 +125,10 @@
     packets(0, &[&greeting])
 }
 
-/// Greets a client and accepts its login.
+/// Sends the greeting to a client and accepts its login.
 ///
 /// # Errors
-/// The connection has failed or ended.
+/// Returns an error if the connection fails or is closed.
 pub fn greet(mut socket: &TcpStream) -> io::Result<()> {
     socket.write_all(&greeting())?;
     read(socket)?;
--- a/test-servers/tests/proxy.rs
+++ b/test-servers/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! Connections through a proxy that delays, cuts, resets or half closes them.
+//! Tests connections through a proxy that delays, cuts, resets or half-closes them.
 use std::io::{self, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -6,8 +6,8 @@
 
 const LONG: Duration = Duration::from_secs(20);
 
-/// An echo behind a proxy, and a client of it.
-fn echo() -> (Proxy, TcpStream) {
+/// Starts an echo server behind a proxy, and connects a client to it.
+fn start_echo() -> (Proxy, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let proxy = Proxy::start(listener.local_addr().unwrap());
     std::thread::spawn(move || {
@@ -20,29 +20,29 @@
     (proxy, client)
 }
 
-fn echoed(mut client: &TcpStream, n: usize) -> io::Result<Duration> {
-    let (begun, mut back) = (Instant::now(), vec![0; n]);
+fn round_trip(mut client: &TcpStream, n: usize) -> io::Result<Duration> {
+    let (start, mut response) = (Instant::now(), vec![0; n]);
     client.write_all(&vec![7; n])?;
-    client.read_exact(&mut back)?;
-    Ok(begun.elapsed())
+    client.read_exact(&mut response)?;
+    Ok(start.elapsed())
 }
 
 #[test]
 fn delay_and_throttle_slow_both_directions() {
-    let (proxy, client) = echo();
-    echoed(&client, 10).unwrap();
+    let (proxy, client) = start_echo();
+    round_trip(&client, 10).unwrap();
     proxy.update_faults(|f| f.delay = Duration::from_millis(30));
-    assert!(echoed(&client, 10).unwrap() >= Duration::from_millis(60));
+    assert!(round_trip(&client, 10).unwrap() >= Duration::from_millis(60));
     proxy.update_faults(|f| *f = Faults { bytes_per_s: 10_000, ..Faults::default() });
-    assert!(echoed(&client, 1000).unwrap() >= Duration::from_millis(200));
+    assert!(round_trip(&client, 1000).unwrap() >= Duration::from_millis(200));
 }
 
 #[test]
-fn cut_connection_is_silent_and_resumes_when_healed() {
-    for deaf in [false, true] {
-        let (proxy, client) = echo();
-        echoed(&client, 10).unwrap();
-        proxy.update_faults(|f| (f.cut, f.drop_from_target) = (!deaf, deaf));
+fn cut_connection_is_silent_and_resumes_after_fault() {
+    for one_way in [false, true] {
+        let (proxy, client) = start_echo();
+        round_trip(&client, 10).unwrap();
+        proxy.update_faults(|f| (f.cut, f.drop_from_target) = (!one_way, one_way));
         (&client).write_all(b"x").unwrap();
         client.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
         let silent = (&client).read(&mut [0; 1]).unwrap_err().kind();
@@ -54,9 +54,9 @@
 }
 
 #[test]
-fn half_closed_connection_still_carries_the_other_direction() {
-    let (proxy, client) = echo();
-    echoed(&client, 10).unwrap();
+fn half_closed_connection_still_forwards_the_other_direction() {
+    let (proxy, client) = start_echo();
+    round_trip(&client, 10).unwrap();
     proxy.half_close();
     assert_eq!((&client).read(&mut [0; 1]).unwrap(), 0);
     assert!((&client).write_all(b"x").is_ok());
@@ -64,8 +64,8 @@
 
 #[test]
 fn reset_is_seen_as_connection_reset() {
-    let (proxy, client) = echo();
-    echoed(&client, 10).unwrap();
+    let (proxy, client) = start_echo();
+    round_trip(&client, 10).unwrap();
     proxy.reset();
     assert_eq!((&client).read(&mut [0; 1]).unwrap_err().kind(), io::ErrorKind::ConnectionReset);
 }
--- a/test-servers/tests/registry_wire.rs
+++ b/test-servers/tests/registry_wire.rs
@@ -1,4 +1,5 @@
-//! What the registry answers on the wire, to a client of etcd's gateway and to one of Consul's interface.
+//! Tests the registry's HTTP responses to clients of etcd's JSON gateway and of Consul's interface against
+//! recordings.
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use serde_json::{Value, json};
@@ -12,7 +13,7 @@
 const ETCD_WATCH: &str = include_str!("fixtures/etcd_watch.txt");
 const CONSUL: &str = include_str!("fixtures/consul.txt");
 
-/// A client that records requests and what they were answered.
+/// A client that records its requests and the responses.
 struct Client {
     stream: BufReader<TcpStream>,
     transcript: String,
@@ -40,8 +41,8 @@
         line
     }
 
-    /// Reads an answer with a content length.
-    fn read_answer(&mut self) -> Value {
+    /// Reads a response with a content length.
+    fn read_response(&mut self) -> Value {
         let mut length = 0;
         loop {
             let line = self.read_line();
@@ -61,7 +62,7 @@
 
     fn exchange(&mut self, method: &str, target: &str, headers: &str, body: &str) -> Value {
         self.send(method, target, headers, body);
-        self.read_answer()
+        self.read_response()
     }
 
     fn post(&mut self, path: &str, body: &Value) -> Value {
@@ -69,44 +70,56 @@
     }
 }
 
-fn key(text: &str) -> String {
+fn encode_key(text: &str) -> String {
     STANDARD.encode(text)
 }
 
 #[test]
-fn etcd_answers_keep_their_form() {
+fn etcd_responses_match_recording() {
     let registry = Registry::start(1, None);
     let mut client = Client::connect(&registry);
-    let all = json!({"key": key("/a"), "range_end": key("/b")});
+    let all = json!({"key": encode_key("/a"), "range_end": encode_key("/b")});
     client.post("/v3/kv/range", &all);
-    client.post("/v3/kv/put", &json!({"key": key("/a/1"), "value": key("one")}));
-    client.post("/v3/kv/put", &json!({"key": key("/a/2"), "value": key("two")}));
-    client.post("/v3/kv/put", &json!({"key": key("/a/2"), "value": key("second")}));
+    client.post("/v3/kv/put", &json!({"key": encode_key("/a/1"), "value": encode_key("one")}));
+    client.post("/v3/kv/put", &json!({"key": encode_key("/a/2"), "value": encode_key("two")}));
+    client.post("/v3/kv/put", &json!({"key": encode_key("/a/2"), "value": encode_key("second")}));
     client.post("/v3/kv/range", &all);
-    client.post("/v3/kv/range", &json!({"key": key("/a"), "range_end": key("/b"), "limit": 1}));
-    client.post("/v3/kv/range", &json!({"key": key("/a"), "range_end": key("/b"), "count_only": true}));
-    client.post("/v3/kv/range", &json!({"key": key("/a"), "range_end": key("/b"), "revision": "2"}));
-    client.post("/v3/kv/range", &json!({"key": key("/a"), "range_end": key("/b"), "min_mod_revision": 4}));
-    client.post("/v3/kv/range", &json!({"key": key("/a/1")}));
-    client.post("/v3/kv/range", &json!({"key": key("/"), "range_end": key("\0")}));
+    client.post("/v3/kv/range", &json!({"key": encode_key("/a"), "range_end": encode_key("/b"), "limit": 1}));
+    client.post(
+        "/v3/kv/range",
+        &json!({"key": encode_key("/a"), "range_end": encode_key("/b"), "count_only": true}),
+    );
+    client.post(
+        "/v3/kv/range",
+        &json!({"key": encode_key("/a"), "range_end": encode_key("/b"), "revision": "2"}),
+    );
+    client.post(
+        "/v3/kv/range",
+        &json!({"key": encode_key("/a"), "range_end": encode_key("/b"), "min_mod_revision": 4}),
+    );
+    client.post("/v3/kv/range", &json!({"key": encode_key("/a/1")}));
+    client.post("/v3/kv/range", &json!({"key": encode_key("/"), "range_end": encode_key("\0")}));
     for revision in [2, 3] {
-        let compare = json!([{"key": key("/a/1"), "mod_revision": revision}]);
-        let put = json!([{"request_put": {"key": key("/a/1"), "value": key("new")}}]);
+        let compare = json!([{"key": encode_key("/a/1"), "mod_revision": revision}]);
+        let put = json!([{"request_put": {"key": encode_key("/a/1"), "value": encode_key("new")}}]);
         client.post("/v3/kv/txn", &json!({"compare": compare, "success": put}));
     }
-    client.post("/v3/kv/put", &json!({"key": key("/a/3"), "value": "", "lease": "5"}));
+    client.post("/v3/kv/put", &json!({"key": encode_key("/a/3"), "value": "", "lease": "5"}));
     let lease = client.post("/v3/lease/grant", &json!({"TTL": "60"}))["ID"].clone();
-    client.post("/v3/kv/put", &json!({"key": key("/a/3"), "value": "", "lease": lease}));
+    client.post("/v3/kv/put", &json!({"key": encode_key("/a/3"), "value": "", "lease": lease}));
     client.post("/v3/lease/keepalive", &json!({"ID": lease}));
     client.post("/v3/lease/revoke", &json!({"ID": lease}));
     client.post("/v3/lease/keepalive", &json!({"ID": lease}));
-    client.post("/v3/kv/deleterange", &json!({"key": key("/a/1")}));
+    client.post("/v3/kv/deleterange", &json!({"key": encode_key("/a/1")}));
     client.post("/v3/kv/range", &all);
     client.post("/v3/nothing", &json!({}));
     registry.compact();
-    client.post("/v3/kv/range", &json!({"key": key("/a"), "range_end": key("/b"), "revision": "2"}));
+    client.post(
+        "/v3/kv/range",
+        &json!({"key": encode_key("/a"), "range_end": encode_key("/b"), "revision": "2"}),
+    );
     registry.update_faults(0, |f| (f.stale_at_revision, f.cluster_id) = (Some(4), Some(9)));
-    client.post("/v3/kv/range", &json!({"key": key("/c")}));
+    client.post("/v3/kv/range", &json!({"key": encode_key("/c")}));
     registry.update_faults(0, |f| f.leaderless = true);
     client.post("/v3/kv/range", &all);
     registry.update_faults(0, |f| *f = Default::default());
@@ -120,14 +133,13 @@
 }
 
 #[test]
-fn etcd_watch_events_keep_their_form() {
+fn etcd_watch_events_match_recording() {
     let registry = Registry::start(1, None);
     registry.put("/a/1", "one");
     let mut client = Client::connect(&registry);
-    let create =
-        json!({"create_request": {"key": key("/a/"), "range_end": key("/a0"), "start_revision": "2"}});
+    let create = json!({"create_request": {"key": encode_key("/a/"), "range_end": encode_key("/a0"), "start_revision": "2"}});
     client.send("POST", "/v3/watch", "", &create.to_string());
-    // The head, `created` and the first event, each a chunk of two lines and an empty one.
+    // The response head, then `created` and the first event, each a chunk of two lines and an empty one.
     (0..4 + 2 * 3).for_each(|_| drop(client.read_line()));
     registry.put("/elsewhere", "x");
     registry.delete("/a/1");
@@ -146,16 +158,16 @@
     (0..2).for_each(|_| drop(client.read_line()));
     assert_eq!(client.read_line(), "");
     registry.compact();
-    let mut late = Client::connect(&registry);
-    late.send("POST", "/v3/watch", "", &create.to_string());
-    (0..4 + 2 * 3).for_each(|_| drop(late.read_line()));
-    assert_eq!(late.read_line(), "");
-    let transcript = client.transcript + &late.transcript;
+    let mut late_client = Client::connect(&registry);
+    late_client.send("POST", "/v3/watch", "", &create.to_string());
+    (0..4 + 2 * 3).for_each(|_| drop(late_client.read_line()));
+    assert_eq!(late_client.read_line(), "");
+    let transcript = client.transcript + &late_client.transcript;
     assert_eq!(transcript, ETCD_WATCH);
 }
 
 #[test]
-fn consul_answers_keep_their_form() {
+fn consul_responses_match_recording() {
     let registry = Registry::start(1, None);
     let mut client = Client::connect(&registry);
     client.exchange("GET", "/v1/kv/a/?recurse", "", "");
--- a/test-servers/tests/udp.rs
+++ b/test-servers/tests/udp.rs
@@ -1,4 +1,4 @@
-//! Datagrams through a proxy that loses them on purpose.
+//! Tests datagrams through a proxy that loses those of chosen senders.
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
 use test_servers::udp::UdpProxy;
@@ -6,19 +6,19 @@
 #[test]
 fn datagrams_are_forwarded_except_from_cut_senders() {
     let proxy = UdpProxy::start();
-    let (near, far) =
+    let (sender, receiver) =
         (UdpSocket::bind("127.0.0.1:0").expect("near"), UdpSocket::bind("127.0.0.1:0").expect("far"));
-    let Ok(SocketAddr::V4(to)) = far.local_addr() else { panic!("an IPv4 address") };
-    far.set_read_timeout(Some(Duration::from_secs(5))).expect("a bound");
+    let Ok(SocketAddr::V4(to)) = receiver.local_addr() else { panic!("not an IPv4 address") };
+    receiver.set_read_timeout(Some(Duration::from_secs(5))).expect("read timeout set");
     proxy.set_target(to);
     let mut bytes = [0; 16];
-    near.send_to(b"one", proxy.addr).expect("sent");
-    assert_eq!(far.recv(&mut bytes).expect("the first"), 3);
-    proxy.update_faults(|f| f.cut_from = vec![near.local_addr().expect("its address")]);
-    near.send_to(b"lost", proxy.addr).expect("sent");
-    let other = UdpSocket::bind("127.0.0.1:0").expect("other");
-    other.send_to(b"other", proxy.addr).expect("sent");
-    // The datagram of the other arrives, and the one before it does not.
-    assert_eq!(far.recv(&mut bytes).expect("the other's"), 5);
+    sender.send_to(b"one", proxy.addr).expect("sent");
+    assert_eq!(receiver.recv(&mut bytes).expect("first datagram"), 3);
+    proxy.update_faults(|f| f.cut_from = vec![sender.local_addr().expect("sender's address")]);
+    sender.send_to(b"lost", proxy.addr).expect("sent");
+    let other_sender = UdpSocket::bind("127.0.0.1:0").expect("other");
+    other_sender.send_to(b"other", proxy.addr).expect("sent");
+    // The datagram of the other sender is received, and the lost one before it is not.
+    assert_eq!(receiver.recv(&mut bytes).expect("other sender's datagram"), 5);
     assert_eq!(proxy.counts().lost, 1);
 }
--- a/test-servers/tests/wire.rs
+++ b/test-servers/tests/wire.rs
@@ -1,11 +1,11 @@
-//! The bytes of `MySQL` packets.
+//! Tests the encoded bytes of `MySQL` packets against a recording.
 use std::fmt::Write;
 use test_servers::wire;
 
 const PACKETS: &str = include_str!("fixtures/mysql_packets.txt");
 
 #[test]
-fn packets_keep_their_bytes() {
+fn packets_match_recorded_bytes() {
     let packets = [
         ("greeting", wire::greeting()),
         ("row", wire::row(&["1", "replica-1"])),
