--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -42,7 +42,7 @@
 const TICK_MICROSECONDS: f64 = 10_000.0;
 
 fn write_settings(folder: &TestFolder, registry: &Registry, kind: &str) -> String {
-    let endpoints: Vec<String> = registry.addrs().iter().map(|address| format!("'{address}'")).collect();
+    let endpoints: Vec<String> = registry.addresses().iter().map(|address| format!("'{address}'")).collect();
     let text = format!(
         "[mysql]\nlisten = '127.0.0.1:0'\ndatabase = 'shop'\nserver_user = 'router'\nprobe = 'SELECT probe'\n\
          [[mysql.user]]\nname = 'till'\npassword = 'secret'\n\
--- a/test-servers/src/registry.rs
+++ b/test-servers/src/registry.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns the members' addresses.
-    pub fn addrs(&self) -> Vec<SocketAddr> {
+    pub fn addresses(&self) -> Vec<SocketAddr> {
         self.shared.state().members.iter().map(|member| member.address).collect()
     }
 
--- a/test-servers/src/replication_group.rs
+++ b/test-servers/src/replication_group.rs
@@ -77,14 +77,14 @@
     }
 
     /// Starts or stops withholding the responses of writes. The writes run in either case.
-    pub fn withhold_write_answers(&self, server: usize, withhold: bool) {
-        self.shared.update(server, |server| server.withholds_answers = withhold);
+    pub fn withhold_write_responses(&self, server: usize, withhold: bool) {
+        self.shared.update(server, |server| server.withholds_responses = withhold);
     }
 
     /// Waits until `writes` writes have run whose responses were withheld; returns `false` if the wait times
     /// out.
-    pub fn wait_for_withheld_answers(&self, writes: usize, timeout: Duration) -> bool {
-        self.shared.wait_for_withheld_answers(writes, timeout)
+    pub fn wait_for_withheld_responses(&self, writes: usize, timeout: Duration) -> bool {
+        self.shared.wait_for_withheld_responses(writes, timeout)
     }
 
     /// Shuts down the primary permanently, and promotes a replica, which then has all commits.
--- a/test-servers/src/replication_group/connection.rs
+++ b/test-servers/src/replication_group/connection.rs
@@ -92,11 +92,11 @@
     }
     state.servers[server].counts.writes += 1;
     state.log.entry(session.to_string()).or_default().commit(unix_micros(), item);
-    if state.servers[server].withholds_answers {
-        state.withheld_answers += 1;
+    if state.servers[server].withholds_responses {
+        state.withheld_responses += 1;
         drop(state);
         shared.notify();
-        drop(shared.wait_while(server, |server| server.withholds_answers)?);
+        drop(shared.wait_while(server, |server| server.withholds_responses)?);
     }
     Some(packets(1, &[OK]))
 }
--- a/test-servers/src/replication_group/server.rs
+++ b/test-servers/src/replication_group/server.rs
@@ -29,7 +29,7 @@
     /// Whether the server was shut down: it sends no responses and accepts no connections.
     pub(super) shut_down: bool,
     /// Whether writes run without their responses being sent.
-    pub(super) withholds_answers: bool,
+    pub(super) withholds_responses: bool,
     pub(super) connections: Vec<TcpStream>,
     /// Number of statements that wait while the server hangs.
     pub(super) blocked_statements: usize,
@@ -48,7 +48,7 @@
             replication_stopped_at: None,
             hung: false,
             shut_down: false,
-            withholds_answers: false,
+            withholds_responses: false,
             connections: Vec::new(),
             blocked_statements: 0,
             counts: Counts::default(),
--- a/test-servers/src/replication_group/shared.rs
+++ b/test-servers/src/replication_group/shared.rs
@@ -36,7 +36,7 @@
     pub(super) log: HashMap<String, SessionLog>,
     pub(super) servers: Vec<Server>,
     /// Number of writes whose responses were withheld.
-    pub(super) withheld_answers: usize,
+    pub(super) withheld_responses: usize,
 }
 
 impl State {
@@ -96,10 +96,10 @@
     }
 
     /// Waits until `writes` responses were withheld; returns `false` if the wait times out.
-    pub(super) fn wait_for_withheld_answers(&self, writes: usize, timeout: Duration) -> bool {
-        let missing = |state: &mut State| state.withheld_answers < writes;
+    pub(super) fn wait_for_withheld_responses(&self, writes: usize, timeout: Duration) -> bool {
+        let missing = |state: &mut State| state.withheld_responses < writes;
         let waited = self.changed.wait_timeout_while(self.state(), timeout, missing);
-        waited.is_ok_and(|(state, _)| state.withheld_answers >= writes)
+        waited.is_ok_and(|(state, _)| state.withheld_responses >= writes)
     }
 
     /// Returns the time of the last heartbeat written by `time`.
--- a/test-servers/tests/registry_wire.rs
+++ b/test-servers/tests/registry_wire.rs
@@ -21,7 +21,7 @@
 
 impl Client {
     fn connect(registry: &Registry) -> Client {
-        let stream = TcpStream::connect(registry.addrs()[0]).unwrap();
+        let stream = TcpStream::connect(registry.addresses()[0]).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         Client { stream: BufReader::new(stream), transcript: String::new() }
     }
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -56,7 +56,7 @@
     }
 
     fn file(&self, kind: &str) -> String {
-        let endpoints: Vec<String> = self.registry.addrs().iter().map(|a| format!("'{a}'")).collect();
+        let endpoints: Vec<String> = self.registry.addresses().iter().map(|a| format!("'{a}'")).collect();
         let text = format!(
             "[mysql]\nlisten = '127.0.0.1:0'\ndatabase = 'shop'\nserver_user = 'router'\nprobe = 'SELECT probe'\n{}\n\
              [[mysql.user]]\nname = 'till'\npassword = 'secret'\n\
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -54,13 +54,13 @@
 fn kill_before_acknowledgement_keeps_earlier_writes() {
     let mut one = Instances::started(1, lagging_servers(2), Persistence::Disk);
     write(&mut one.client(0), "ann", 1).unwrap();
-    one.servers.withhold_write_answers(0, true);
+    one.servers.withhold_write_responses(0, true);
     let mut client = one.client(0);
     let second = std::thread::spawn(move || write(&mut client, "ann", 2));
-    assert!(one.servers.wait_for_withheld_answers(1, TIMEOUT));
+    assert!(one.servers.wait_for_withheld_responses(1, TIMEOUT));
     one.kill(0);
     assert!(second.join().unwrap().is_err());
-    one.servers.withhold_write_answers(0, false);
+    one.servers.withhold_write_responses(0, false);
     one.start(0);
     assert!(read(&mut one.client(0), "ann").unwrap().item >= 1);
     assert_eq!(one.servers.counts(0).writes, 2);
