--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the commands.
+//! Errors of `damsonvale-lab`'s commands.
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -41,7 +41,8 @@
 
     /// Returns the path of the router program: the given one, or the one next to this program.
     fn router_program(&self) -> Result<PathBuf, Error> {
-        let default_path = || std::env::current_exe().ok().map(|own| own.with_file_name(ROUTER_PROGRAM));
+        let default_path =
+            || std::env::current_exe().ok().map(|current_exe| current_exe.with_file_name(ROUTER_PROGRAM));
         let program = self.program.clone().or_else(default_path).filter(|path| path.is_file());
         program.ok_or(Error::ProgramNotFound)
     }
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -79,8 +79,8 @@
 /// Returns the programs to run and the folder for their logs.
 fn find_programs(arguments: &SoakArguments) -> Result<Programs, Error> {
     let default_path = || {
-        let own = std::env::current_exe().ok()?;
-        Some(own.parent()?.join("damsonvale"))
+        let current_exe = std::env::current_exe().ok()?;
+        Some(current_exe.parent()?.join("damsonvale"))
     };
     let router = arguments.program.clone().or_else(default_path).filter(|path| path.exists());
     let mut programs = Programs::beside(&router.ok_or(Error::ProgramNotFound)?);
--- a/lab/tests/commands.rs
+++ b/lab/tests/commands.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 use tempfile::TempDir;
 
-fn lab(arguments: &[&str]) -> (Option<i32>, String) {
+fn run_lab(arguments: &[&str]) -> (Option<i32>, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_damsonvale-lab")).args(arguments).output().unwrap();
     let text = [output.stdout, output.stderr].concat();
     (output.status.code(), String::from_utf8(text).unwrap())
@@ -21,20 +21,20 @@
     let plan = path_in(&folder, "plan.toml");
     std::fs::write(&plan, PLAN).unwrap();
     let (before, after) = (path_in(&folder, "before"), path_in(&folder, "after"));
-    let (code, text) = lab(&["run", &plan, "--seeds", "2", "--out", &before]);
+    let (code, text) = run_lab(&["run", &plan, "--seeds", "2", "--out", &before]);
     assert!(code == Some(0) && text.contains("small, seed 2") && text.contains("kept"), "{text}");
     for name in ["results.json", "seconds.parquet", "seconds.svg"] {
         assert!(Path::new(&before).join(name).exists(), "{name}");
     }
     let svg = std::fs::read_to_string(Path::new(&before).join("seconds.svg")).unwrap();
     assert!(svg.starts_with("<svg") && svg.contains("small, seed 1"));
-    assert_eq!(lab(&["run", &plan, "--seeds", "1", "--threads", "1", "--out", &after]).0, Some(0));
+    assert_eq!(run_lab(&["run", &plan, "--seeds", "1", "--threads", "1", "--out", &after]).0, Some(0));
     let chart = path_in(&folder, "spread.svg");
-    let (code, text) = lab(&["compare", &before, &after, "--spread", &chart]);
+    let (code, text) = run_lab(&["compare", &before, &after, "--spread", &chart]);
     let svg = std::fs::read_to_string(&chart).unwrap();
     assert!(svg.starts_with("<svg") && svg.contains("before") && svg.contains("small"));
     assert!(code == Some(0) && text.contains("+0.00") && text.contains("gone"), "{text}");
-    let (code, text) = lab(&["sweep", &plan, "--key", "replicas", "--values", "1,3"]);
+    let (code, text) = run_lab(&["sweep", &plan, "--key", "replicas", "--values", "1,3"]);
     assert!(code == Some(0) && text.contains("replicas 3, seed 1"), "{text}");
 }
 
@@ -43,16 +43,16 @@
     let folder = tempfile::tempdir().unwrap();
     let plan = path_in(&folder, "plan.toml");
     std::fs::write(&plan, format!("{PLAN}plant = 'forget_sessions'\n")).unwrap();
-    let (code, text) = lab(&["run", &plan]);
+    let (code, text) = run_lab(&["run", &plan]);
     assert!(code == Some(1) && text.contains("RULES BROKEN") && text.contains("OwnWrites"), "{text}");
     std::fs::write(&plan, "rates = 5\n").unwrap();
-    let (code, text) = lab(&["run", &plan]);
+    let (code, text) = run_lab(&["run", &plan]);
     assert!(code == Some(1) && text.contains("rates"), "{text}");
     // The default plan that `plan` prints is valid.
-    let (code, text) = lab(&["plan"]);
+    let (code, text) = run_lab(&["plan"]);
     assert_eq!(code, Some(0));
     std::fs::write(&plan, text.replace("seconds = 20", "seconds = 3")).unwrap();
-    assert_eq!(lab(&["run", &plan]).0, Some(0));
+    assert_eq!(run_lab(&["run", &plan]).0, Some(0));
 }
 
 #[test]
@@ -71,7 +71,7 @@
     let group = test_servers::replication_group::ReplicationGroup::start(&[], Duration::from_millis(5));
     let address = group.servers()[0].1.to_string();
     let load = |connections: &str| {
-        lab(&[
+        run_lab(&[
             "load",
             &address,
             "--user",
@@ -116,7 +116,7 @@
     assert!(p90("from when it was due") > 100.0, "{text}");
     assert!(p90("from when it was sent") < 100.0, "{text}");
     assert!(
-        lab(&["load", &address, "--user", "u", "--database", "d", "--statement", "x"])
+        run_lab(&["load", &address, "--user", "u", "--database", "d", "--statement", "x"])
             .1
             .contains("SHARE:STATEMENT")
     );
@@ -132,7 +132,7 @@
         assert!(text.contains("routers = 300\n") && text.contains("rate = 4200\n"), "{scenario}");
         let plan = path_in(&folder, &format!("{scenario}.toml"));
         std::fs::write(&plan, text.replace("rate = 4200\n", "rate = 600\n")).unwrap();
-        let (code, text) = lab(&["run", &plan, "--out", &path_in(&folder, scenario)]);
+        let (code, text) = run_lab(&["run", &plan, "--out", &path_in(&folder, scenario)]);
         assert!(
             code == Some(0) && text.contains(&format!("mass-{scenario}, seed 1")) && text.contains("kept"),
             "{text}"
@@ -159,20 +159,20 @@
     )
     .unwrap();
     for selector in [["--request", "12"], ["--id", "9b1f"]] {
-        let (code, text) = lab(&["life", &log, selector[0], selector[1]]);
+        let (code, text) = run_lab(&["life", &log, selector[0], selector[1]]);
         assert_eq!((code, text.lines().collect::<Vec<_>>()), (Some(0), expected.to_vec()));
     }
-    let (code, text) = lab(&["life", &log, "--request", "2"]);
+    let (code, text) = run_lab(&["life", &log, "--request", "2"]);
     assert!(code == Some(1) && text.contains("no such request"), "{text}");
 }
 
 #[test]
-fn soak_names_invalid_key_of_plan() {
+fn soak_error_names_invalid_key_of_plan() {
     let folder = tempfile::tempdir().unwrap();
     let plan = path_in(&folder, "plan.toml");
     std::fs::write(&plan, "routers = 41\n").unwrap();
-    let (code, text) = lab(&["soak", &plan]);
+    let (code, text) = run_lab(&["soak", &plan]);
     assert!(code == Some(1) && text.contains("expected 1 to 40 routers"), "{text}");
-    let (code, text) = lab(&["soak", &plan, "--only", "earthquake"]);
+    let (code, text) = run_lab(&["soak", &plan, "--only", "earthquake"]);
     assert!(code == Some(2) && text.contains("there is no trouble 'earthquake'"), "{text}");
 }
--- a/multiprocess/src/check/violation.rs
+++ b/multiprocess/src/check/violation.rs
@@ -18,7 +18,7 @@
         tenant: String,
         /// Name of the server that ran the statements.
         server: String,
-        /// Number of statements.
+        /// Number of statements that ran outside the allowed sites.
         statements: usize,
         /// Time between the commit of the rule and the last of these statements.
         latest: Micros,
--- a/multiprocess/src/load/client_thread.rs
+++ b/multiprocess/src/load/client_thread.rs
@@ -17,7 +17,7 @@
 /// Response timeout of a client; it exceeds the deadline of every class.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3500);
 /// Maximum time that a request waits for a free connection.
-const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum time between two checks of all connections.
 const MAX_POLL_TIMEOUT: Duration = Duration::from_millis(10);
 const EVENT_CAPACITY: usize = 256;
@@ -118,7 +118,7 @@
 
     fn expire_queued_requests(&mut self, now: Instant) {
         let load_start = self.load_start;
-        let expired = |request: &ScheduledRequest| load_start + request.at + CONNECTION_TIMEOUT < now;
+        let expired = |request: &ScheduledRequest| load_start + request.at + QUEUE_TIMEOUT < now;
         for queue in 0..self.queues.len() {
             while self.queues[queue].front().is_some_and(expired) {
                 if let Some(request) = self.queues[queue].pop_front() {
--- a/multiprocess/src/load/router_ports.rs
+++ b/multiprocess/src/load/router_ports.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 
 /// Placeholder for the port of a router that is down.
-const DOWN: u16 = 0;
+const DOWN_PORT: u16 = 0;
 
 /// The ports on 127.0.0.1 on which the routers listen. Clones share the same ports.
 #[derive(Clone, Debug)]
@@ -13,13 +13,13 @@
 impl RouterPorts {
     /// Creates the ports of `routers` routers, all of them down.
     pub fn new(routers: usize) -> RouterPorts {
-        RouterPorts(Arc::new((0..routers).map(|_| AtomicU16::new(DOWN)).collect()))
+        RouterPorts(Arc::new((0..routers).map(|_| AtomicU16::new(DOWN_PORT)).collect()))
     }
 
     /// Returns a router's address; `None` while the router is down.
     pub fn address(&self, router: usize) -> Option<SocketAddr> {
         match self.0[router].load(Ordering::Relaxed) {
-            DOWN => None,
+            DOWN_PORT => None,
             port => Some(SocketAddr::from(([127, 0, 0, 1], port))),
         }
     }
@@ -31,6 +31,6 @@
 
     /// Marks a router as down.
     pub fn set_down(&self, router: usize) {
-        self.set(router, DOWN);
+        self.set(router, DOWN_PORT);
     }
 }
--- a/multiprocess/src/plan/load.rs
+++ b/multiprocess/src/plan/load.rs
@@ -3,7 +3,7 @@
 
 /// The routers that a load is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-// The error text quotes `From`, the name under which operators know this type.
+// The error text quotes `From`, the name under which operators know this key.
 #[serde(untagged, expecting = "data did not match any variant of untagged enum From")]
 pub enum Targets {
     /// The first routers, up to this number.
--- a/multiprocess/src/process/child.rs
+++ b/multiprocess/src/process/child.rs
@@ -12,7 +12,7 @@
 
 /// Size of a log reader's buffer; small, because a run has hundreds of log readers.
 const LOG_READ_BUFFER_BYTES: usize = 1024;
-/// Stack size of a log reader's thread; small for the same reason.
+/// Stack size of a log reader's thread; small, because a run has hundreds of log readers.
 const LOG_THREAD_STACK_BYTES: usize = 128 << 10;
 
 /// A child process; it is killed when this value is dropped.
--- a/multiprocess/src/process/resource_usage.rs
+++ b/multiprocess/src/process/resource_usage.rs
@@ -15,14 +15,14 @@
     /// Reads `/proc/ID/status`; returns `None` if the process has ended or a value is missing.
     pub(super) fn of_process(id: u32) -> Option<ResourceUsage> {
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
-        let figure = |key: &str| {
+        let value_of = |key: &str| {
             let line = status.lines().find_map(|line| line.strip_prefix(key))?;
             line.trim_start_matches(':').split_whitespace().next()?.parse().ok()
         };
         Some(ResourceUsage {
-            threads: figure("Threads")?,
-            resident_kb: figure("VmRSS")?,
-            private_kb: figure("RssAnon")?,
+            threads: value_of("Threads")?,
+            resident_kb: value_of("VmRSS")?,
+            private_kb: value_of("RssAnon")?,
         })
     }
 }
--- a/multiprocess/src/report/text.rs
+++ b/multiprocess/src/report/text.rs
@@ -152,9 +152,9 @@
 }
 
 impl MeanAndMax {
-    fn of(usage: &[ResourceUsage], figure: fn(&ResourceUsage) -> u64) -> MeanAndMax {
-        let sum: u64 = usage.iter().map(figure).sum();
-        let max = usage.iter().map(figure).max().unwrap_or(0);
+    fn of(usage: &[ResourceUsage], metric: fn(&ResourceUsage) -> u64) -> MeanAndMax {
+        let sum: u64 = usage.iter().map(metric).sum();
+        let max = usage.iter().map(metric).max().unwrap_or(0);
         MeanAndMax { mean: sum as f64 / usage.len().max(1) as f64, max }
     }
 }
--- a/multiprocess/src/run/deployment.rs
+++ b/multiprocess/src/run/deployment.rs
@@ -2,7 +2,7 @@
 use super::error::RunError;
 use super::fleet_document::FleetDocument;
 use super::links::Links;
-use super::operator_file::{FleetTable, OperatorFile, StoreTable};
+use super::operator_file::{ConfigFile, FleetTable, StoreTable};
 use super::routers::Routers;
 use super::startup::POLL_INTERVAL;
 use super::store_cluster::{StoreAddresses, StoreCluster};
@@ -87,7 +87,7 @@
         self.store.wait_until_ready()
     }
 
-    fn node_file(&self, index: usize) -> OperatorFile {
+    fn node_file(&self, index: usize) -> ConfigFile {
         let addresses = &self.store.addresses;
         let store = StoreTable {
             node: index + 1,
@@ -98,7 +98,7 @@
         };
         let listen = Some(addresses.allocators[index]);
         let name = format!("node-{}", index + 1);
-        OperatorFile {
+        ConfigFile {
             routers: self.plan.routers,
             with_sites: self.plan.follows_fleet,
             servers: self.servers.listening.clone(),
@@ -118,10 +118,10 @@
         self.routers.start_all()
     }
 
-    fn router_file(&self, index: usize) -> OperatorFile {
+    fn router_file(&self, index: usize) -> ConfigFile {
         let addresses = self.links.store_of(index, &self.store.addresses);
         let name = format!("router-{index}");
-        OperatorFile {
+        ConfigFile {
             routers: self.plan.routers,
             with_sites: self.plan.follows_fleet,
             servers: self.links.servers_of(index, &self.servers),
--- a/multiprocess/src/run/error.rs
+++ b/multiprocess/src/run/error.rs
@@ -27,7 +27,7 @@
     Address {
         /// Name of the router in error messages.
         name: String,
-        /// Text in place of the address.
+        /// Logged text that is not an address.
         address: String,
     },
     /// The store elected no leader in time.
--- a/multiprocess/src/run/operator_file.rs
+++ b/multiprocess/src/run/operator_file.rs
@@ -7,7 +7,7 @@
 
 /// The configuration file of a router or a store node; `Display` writes it as TOML.
 #[derive(Clone, Debug)]
-pub struct OperatorFile {
+pub struct ConfigFile {
     /// Number of routers in the run.
     pub routers: usize,
     /// Whether servers are listed with their sites; a router without placement rules accepts no sites.
@@ -44,13 +44,13 @@
     pub slot: Option<usize>,
     /// Addresses at which the store's nodes accept clients.
     pub nodes: Vec<SocketAddr>,
-    /// Addresses at which the store's nodes accept quota reports from routers.
+    /// Addresses at which the store's nodes accept routers of the fleet.
     pub allocators: Vec<SocketAddr>,
-    /// Address at which this store node accepts quota reports; `None` for a router.
+    /// Address at which this store node accepts routers of the fleet; `None` for a router.
     pub listen: Option<SocketAddr>,
 }
 
-impl fmt::Display for OperatorFile {
+impl fmt::Display for ConfigFile {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
--- a/multiprocess/src/run/routers.rs
+++ b/multiprocess/src/run/routers.rs
@@ -25,9 +25,9 @@
 /// How to treat a router that is not ready yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OnNotReady {
-    /// Keep waiting.
+    /// Keep waiting for the router.
     Wait,
-    /// The startup timed out: return an error.
+    /// The startup timed out, so return an error.
     Fail,
 }
 
--- a/multiprocess/tests/generated_files.rs
+++ b/multiprocess/tests/generated_files.rs
@@ -3,7 +3,7 @@
 use multiprocess::history::{AllowedSites, QuotaLimit, Server};
 use multiprocess::plan;
 use multiprocess::run::fleet_document::{FleetDocument, Quota, TenantConfig};
-use multiprocess::run::operator_file::{FleetTable, OperatorFile, StoreTable};
+use multiprocess::run::operator_file::{ConfigFile, FleetTable, StoreTable};
 use multiprocess::servers::ListeningServer;
 use std::net::SocketAddr;
 
@@ -53,7 +53,7 @@
         clients: address(1006),
         peers: [1007, 1008, 1009].map(address).to_vec(),
     };
-    let file = OperatorFile {
+    let file = ConfigFile {
         routers: 20,
         with_sites: true,
         servers: servers(),
@@ -66,14 +66,14 @@
 #[test]
 fn router_file_with_fleet_matches_fixture() {
     let fleet = Some(fleet("router-19", Some(20), None));
-    let file = OperatorFile { routers: 20, with_sites: true, servers: servers(), store: None, fleet };
+    let file = ConfigFile { routers: 20, with_sites: true, servers: servers(), store: None, fleet };
     assert_eq!(file.to_string(), ROUTER);
 }
 
 #[test]
 fn router_file_without_fleet_lists_no_sites() {
     let servers = vec![server("g0-primary", "a", 0, 1001)];
-    let file = OperatorFile { routers: 2, with_sites: false, servers, store: None, fleet: None };
+    let file = ConfigFile { routers: 2, with_sites: false, servers, store: None, fleet: None };
     assert_eq!(file.to_string(), ROUTER_WITHOUT_FLEET);
 }
 
--- a/test-servers/src/registry.rs
+++ b/test-servers/src/registry.rs
@@ -126,7 +126,7 @@
 
     /// Returns the current keys with their values.
     pub fn entries(&self) -> BTreeMap<String, String> {
-        self.shared.state().contents.texts()
+        self.shared.state().contents.text_values()
     }
 
     /// Returns the current revision.
--- a/test-servers/src/registry/contents.rs
+++ b/test-servers/src/registry/contents.rs
@@ -124,7 +124,7 @@
     }
 
     /// Returns the keys with their values as text.
-    pub(super) fn texts(&self) -> BTreeMap<String, String> {
+    pub(super) fn text_values(&self) -> BTreeMap<String, String> {
         let text = |entry: &Entry| String::from_utf8_lossy(&entry.value).into_owned();
         self.entries.iter().map(|(key, entry)| (key.clone(), text(entry))).collect()
     }
--- a/test-servers/src/replication_group.rs
+++ b/test-servers/src/replication_group.rs
@@ -19,7 +19,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The servers of a group by index; index 0 is the first primary. Clones are handles to the same servers.
+/// The servers of a group by index; index 0 is the initial primary. Clones are handles to the same servers.
 #[derive(Clone)]
 pub struct ReplicationGroup {
     shared: Arc<Shared>,
@@ -58,7 +58,7 @@
         self.shared.update(server, |server| server.set_lag(lag));
     }
 
-    /// Stops replication on all replicas: they apply no commits that are made from now on.
+    /// Stops replication on all replicas: they apply no further commits.
     pub fn stop_replication(&self) {
         let now = unix_micros();
         let mut state = self.shared.state();
--- a/test-servers/src/replication_group/shared.rs
+++ b/test-servers/src/replication_group/shared.rs
@@ -32,7 +32,7 @@
 
 #[derive(Default)]
 pub(super) struct State {
-    /// Logs by session id.
+    /// Commit logs by session id.
     pub(super) log: HashMap<String, SessionLog>,
     pub(super) servers: Vec<Server>,
     /// Number of writes whose responses were withheld.
--- a/test-servers/tests/proxy.rs
+++ b/test-servers/tests/proxy.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 use test_servers::proxy::{Faults, Proxy};
 
-const LONG: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Starts an echo server behind a proxy, and connects a client to it.
 fn start_echo() -> (Proxy, TcpStream) {
@@ -16,7 +16,7 @@
         }
     });
     let client = TcpStream::connect(proxy.addr).unwrap();
-    client.set_read_timeout(Some(LONG)).unwrap();
+    client.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
     (proxy, client)
 }
 
@@ -47,7 +47,7 @@
         client.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
         let silent = (&client).read(&mut [0; 1]).unwrap_err().kind();
         assert!(matches!(silent, io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut));
-        client.set_read_timeout(Some(LONG)).unwrap();
+        client.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
         proxy.update_faults(|f| *f = Faults::default());
         (&client).read_exact(&mut [0; 1]).unwrap();
     }
