--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -97,7 +97,7 @@
     },
     /// The router program was not found.
     #[error(
-        "router program 'damsonvale' not found next to this program; build it, or give its path with --program"
+        "router program 'damsonvale' not found next to this program; build it or set its path with --program"
     )]
     ProgramNotFound,
     /// A run of router processes could not be completed.
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -90,7 +90,7 @@
     }
     if programs.library.is_none() {
         eprintln!(
-            "libfaults.so not found next to the router (cargo build -p faults): clock and system call faults are off"
+            "no libfaults.so next to the router (cargo build -p faults): clock and system call faults are off"
         );
     }
     Ok(programs)
--- a/multiprocess/src/process/error.rs
+++ b/multiprocess/src/process/error.rs
@@ -15,7 +15,7 @@
         error: io::Error,
     },
     /// The process did not write an expected log line in time.
-    #[error("{name} logged no line containing '{text}' within {} s; last lines of its log: {last_lines}", timeout.as_secs())]
+    #[error("{name} logged no '{text}' within {} s; last log lines: {last_lines}", timeout.as_secs())]
     LogLineMissing {
         /// Name of the process in error messages.
         name: String,
--- a/multiprocess/src/run/error.rs
+++ b/multiprocess/src/run/error.rs
@@ -12,7 +12,7 @@
     Process(#[from] ProcessError),
     /// The operating system could not provide a folder, a port or a thread.
     #[error(
-        "{operation}: {error}; check the free space in the temporary folder and the limits on processes and open files"
+        "{operation}: {error}; check the space for temporary files and the limits on processes and files"
     )]
     System {
         /// The operation that failed.
@@ -22,7 +22,7 @@
     },
     /// A router logged a listener address that can't be parsed.
     #[error(
-        "{name} logged the listener address '{address}', which is not an ip:port; use a program of the same build"
+        "{name} logged listener address '{address}', which is not ip:port; use a program of the same build"
     )]
     Address {
         /// Name of the router in error messages.
@@ -31,7 +31,7 @@
         address: String,
     },
     /// The store elected no leader in time.
-    #[error("the store elected no leader within {} s; check the load of this machine", STARTUP_TIMEOUT.as_secs())]
+    #[error("the store elected no leader within {} s; check this machine's load", STARTUP_TIMEOUT.as_secs())]
     NoLeader,
 }
 
--- a/test-servers/tests/registry_wire.rs
+++ b/test-servers/tests/registry_wire.rs
@@ -70,7 +70,7 @@
     }
 }
 
-fn encode_key(text: &str) -> String {
+fn encode(text: &str) -> String {
     STANDARD.encode(text)
 }
 
@@ -78,48 +78,39 @@
 fn etcd_responses_match_recording() {
     let registry = Registry::start(1, None);
     let mut client = Client::connect(&registry);
-    let all = json!({"key": encode_key("/a"), "range_end": encode_key("/b")});
+    let all = json!({"key": encode("/a"), "range_end": encode("/b")});
     client.post("/v3/kv/range", &all);
-    client.post("/v3/kv/put", &json!({"key": encode_key("/a/1"), "value": encode_key("one")}));
-    client.post("/v3/kv/put", &json!({"key": encode_key("/a/2"), "value": encode_key("two")}));
-    client.post("/v3/kv/put", &json!({"key": encode_key("/a/2"), "value": encode_key("second")}));
+    client.post("/v3/kv/put", &json!({"key": encode("/a/1"), "value": encode("one")}));
+    client.post("/v3/kv/put", &json!({"key": encode("/a/2"), "value": encode("two")}));
+    client.post("/v3/kv/put", &json!({"key": encode("/a/2"), "value": encode("second")}));
     client.post("/v3/kv/range", &all);
-    client.post("/v3/kv/range", &json!({"key": encode_key("/a"), "range_end": encode_key("/b"), "limit": 1}));
+    client.post("/v3/kv/range", &json!({"key": encode("/a"), "range_end": encode("/b"), "limit": 1}));
+    client.post("/v3/kv/range", &json!({"key": encode("/a"), "range_end": encode("/b"), "count_only": true}));
+    client.post("/v3/kv/range", &json!({"key": encode("/a"), "range_end": encode("/b"), "revision": "2"}));
     client.post(
         "/v3/kv/range",
-        &json!({"key": encode_key("/a"), "range_end": encode_key("/b"), "count_only": true}),
+        &json!({"key": encode("/a"), "range_end": encode("/b"), "min_mod_revision": 4}),
     );
-    client.post(
-        "/v3/kv/range",
-        &json!({"key": encode_key("/a"), "range_end": encode_key("/b"), "revision": "2"}),
-    );
-    client.post(
-        "/v3/kv/range",
-        &json!({"key": encode_key("/a"), "range_end": encode_key("/b"), "min_mod_revision": 4}),
-    );
-    client.post("/v3/kv/range", &json!({"key": encode_key("/a/1")}));
-    client.post("/v3/kv/range", &json!({"key": encode_key("/"), "range_end": encode_key("\0")}));
+    client.post("/v3/kv/range", &json!({"key": encode("/a/1")}));
+    client.post("/v3/kv/range", &json!({"key": encode("/"), "range_end": encode("\0")}));
     for revision in [2, 3] {
-        let compare = json!([{"key": encode_key("/a/1"), "mod_revision": revision}]);
-        let put = json!([{"request_put": {"key": encode_key("/a/1"), "value": encode_key("new")}}]);
+        let compare = json!([{"key": encode("/a/1"), "mod_revision": revision}]);
+        let put = json!([{"request_put": {"key": encode("/a/1"), "value": encode("new")}}]);
         client.post("/v3/kv/txn", &json!({"compare": compare, "success": put}));
     }
-    client.post("/v3/kv/put", &json!({"key": encode_key("/a/3"), "value": "", "lease": "5"}));
+    client.post("/v3/kv/put", &json!({"key": encode("/a/3"), "value": "", "lease": "5"}));
     let lease = client.post("/v3/lease/grant", &json!({"TTL": "60"}))["ID"].clone();
-    client.post("/v3/kv/put", &json!({"key": encode_key("/a/3"), "value": "", "lease": lease}));
+    client.post("/v3/kv/put", &json!({"key": encode("/a/3"), "value": "", "lease": lease}));
     client.post("/v3/lease/keepalive", &json!({"ID": lease}));
     client.post("/v3/lease/revoke", &json!({"ID": lease}));
     client.post("/v3/lease/keepalive", &json!({"ID": lease}));
-    client.post("/v3/kv/deleterange", &json!({"key": encode_key("/a/1")}));
+    client.post("/v3/kv/deleterange", &json!({"key": encode("/a/1")}));
     client.post("/v3/kv/range", &all);
     client.post("/v3/nothing", &json!({}));
     registry.compact();
-    client.post(
-        "/v3/kv/range",
-        &json!({"key": encode_key("/a"), "range_end": encode_key("/b"), "revision": "2"}),
-    );
+    client.post("/v3/kv/range", &json!({"key": encode("/a"), "range_end": encode("/b"), "revision": "2"}));
     registry.update_faults(0, |f| (f.stale_at_revision, f.cluster_id) = (Some(4), Some(9)));
-    client.post("/v3/kv/range", &json!({"key": encode_key("/c")}));
+    client.post("/v3/kv/range", &json!({"key": encode("/c")}));
     registry.update_faults(0, |f| f.leaderless = true);
     client.post("/v3/kv/range", &all);
     registry.update_faults(0, |f| *f = Default::default());
@@ -137,7 +128,8 @@
     let registry = Registry::start(1, None);
     registry.put("/a/1", "one");
     let mut client = Client::connect(&registry);
-    let create = json!({"create_request": {"key": encode_key("/a/"), "range_end": encode_key("/a0"), "start_revision": "2"}});
+    let create =
+        json!({"create_request": {"key": encode("/a/"), "range_end": encode("/a0"), "start_revision": "2"}});
     client.send("POST", "/v3/watch", "", &create.to_string());
     // The response head, then `created` and the first event, each a chunk of two lines and an empty one.
     (0..4 + 2 * 3).for_each(|_| drop(client.read_line()));
