--- a/multiprocess/src/process/resource_usage.rs
+++ b/multiprocess/src/process/resource_usage.rs
@@ -1,28 +1,28 @@
-//! Threads and memory of a process, as Linux reports them.
+//! Thread count and memory usage of a process, read from `/proc`.
 
-/// The resources that a process uses.
+/// Thread count and memory usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResourceUsage {
-    /// Its threads.
+    /// Number of threads.
     pub threads: u64,
-    /// Resident memory, the program's shared pages included, in KiB.
+    /// Resident memory in KiB, including shared pages of the program file.
     pub resident_kb: u64,
-    /// Resident memory that no other process shares, in KiB.
+    /// Resident anonymous memory in KiB, which is not shared with other processes.
     pub private_kb: u64,
 }
 
 impl ResourceUsage {
-    /// Reads `/proc/ID/status`; `None` where the process has ended or a figure is missing.
+    /// Reads `/proc/ID/status`; returns `None` if the process has ended or a value is missing.
     pub(super) fn of_process(id: u32) -> Option<ResourceUsage> {
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
-        let figure = |key: &str| {
+        let value_of = |key: &str| {
             let line = status.lines().find_map(|line| line.strip_prefix(key))?;
             line.trim_start_matches(':').split_whitespace().next()?.parse().ok()
         };
         Some(ResourceUsage {
-            threads: figure("Threads")?,
-            resident_kb: figure("VmRSS")?,
-            private_kb: figure("RssAnon")?,
+            threads: value_of("Threads")?,
+            resident_kb: value_of("VmRSS")?,
+            private_kb: value_of("RssAnon")?,
         })
     }
 }
