--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -1,74 +1,74 @@
-//! What is wrong with a configuration, and under which keys.
+//! Configuration errors and the keys at which they occur.
 use serde_json::Value;
 use std::borrow::Cow;
 use std::fmt::Display;
 use thiserror::Error;
 
-/// What is wrong with a configuration. The message begins with the keys that lead to the fault, the outermost first:
+/// A configuration error. The message starts with the path of keys to the faulty value, outermost key first:
 /// `mysql: class[2]: expected safe or unsafe in 'effect', found 'odd'`.
 #[derive(Debug, Error)]
 #[error("{}{fault}", path_prefix(.path))]
 pub struct Error {
-    /// The keys around the fault, the innermost first.
+    /// The keys that enclose the faulty value, innermost first.
     path: Vec<String>,
     fault: Box<Fault>,
 }
 
-/// The fault itself.
+/// The kind of a configuration error, without the path of enclosing keys.
 #[derive(Debug, Error)]
 pub enum Fault {
-    /// A key that must be set is not.
+    /// A required key is missing.
     #[error("expected the field '{0}', found none")]
     MissingKey(String),
-    /// A key's value can't be used.
+    /// The value of a key is invalid.
     #[error("expected {expected} in '{key}', found {found}")]
     InvalidValue {
-        /// The key.
+        /// Name of the faulty key.
         key: String,
-        /// What may stand there.
+        /// Description of the accepted values.
         expected: Cow<'static, str>,
-        /// What stands there; never the value of a key that takes a secret.
+        /// The value found in the configuration, or only its kind where it may be a secret.
         found: String,
     },
-    /// What stands under the innermost key of the path can't be used, or its keys contradict each other.
+    /// The value at the path is invalid as a whole, or its keys contradict each other.
     #[error("expected {expected}, found {found}")]
     Invalid {
-        /// What may stand there.
+        /// Description of the accepted values.
         expected: Cow<'static, str>,
-        /// What stands there.
+        /// Description of the value found in the configuration.
         found: String,
     },
-    /// A key that nothing reads: most often a misspelling.
+    /// A key that the configuration format does not define, usually a misspelling.
     #[error("the key '{key}' is not known; known are {}", known.join(", "))]
     UnknownKey {
-        /// The key.
+        /// Name of the faulty key.
         key: String,
-        /// The keys that may stand beside it.
+        /// The keys that the enclosing table may contain.
         known: Vec<String>,
     },
-    /// The table `[fleet]` can't be used.
+    /// The table `[fleet]` is invalid.
     #[error(transparent)]
     Fleet(#[from] crate::fleet::FleetError),
-    /// The table `[members]` can't be used.
+    /// The table `[members]` is invalid.
     #[error(transparent)]
     Members(#[from] crate::members::Error),
-    /// The bounds of discovery's watch are inconsistent.
+    /// The limits for the watch of discovery contradict each other.
     #[error(transparent)]
     Watch(#[from] crate::limits::WatchError),
-    /// The text is not JSON.
+    /// The configuration text is not valid JSON.
     #[error("expected JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// The text is not TOML.
+    /// The configuration text is not valid TOML.
     #[error("expected TOML: {0}")]
     Toml(#[from] toml::de::Error),
 }
 
-/// The keys before the message, the outermost first.
+/// Formats the path of enclosing keys as the prefix of an error message, outermost key first.
 fn path_prefix(path: &[String]) -> String {
     path.iter().rev().map(|key| format!("{key}: ")).collect()
 }
 
-/// The kind of a value, for messages; not the value itself, which may be a secret.
+/// Name of a JSON value's type for error messages, which must not show the value because it may be a secret.
 pub fn json_kind(v: &Value) -> &'static str {
     match v {
         Value::Null => "nothing",
@@ -81,34 +81,35 @@
 }
 
 impl Error {
-    /// The error for a key that must be set and is not.
+    /// Creates the error for a required key that is missing.
     pub fn missing(key: &str) -> Error {
         Fault::MissingKey(key.into()).into()
     }
 
-    /// The error for a key whose value can't be used: what may stand there, and what does.
+    /// Creates the error for a key with an invalid value; `expected` describes the accepted values.
     pub fn invalid_value(key: &str, expected: impl Into<Cow<'static, str>>, found: impl Display) -> Error {
         Fault::InvalidValue { key: key.into(), expected: expected.into(), found: found.to_string() }.into()
     }
 
-    /// The error for what can't be used as a whole: [`Error::under_key`] names it, or `expected` does.
+    /// Creates the error for a table or value that is invalid as a whole. The message names no key of its
+    /// own: add it with [`Error::under_key`], or name it in `expected`.
     pub fn invalid(expected: impl Into<Cow<'static, str>>, found: impl Display) -> Error {
         Fault::Invalid { expected: expected.into(), found: found.to_string() }.into()
     }
 
-    /// The same fault, under this key.
+    /// Adds an enclosing key to the error's path.
     #[must_use]
     pub fn under_key(mut self, key: impl Into<String>) -> Error {
         self.path.push(key.into());
         self
     }
 
-    /// The keys around the fault, the outermost first.
+    /// Returns the keys that enclose the faulty value, outermost first.
     pub fn path(&self) -> impl Iterator<Item = &str> {
         self.path.iter().rev().map(String::as_str)
     }
 
-    /// The fault itself.
+    /// Returns the kind of the error, without the path of enclosing keys.
     pub fn fault(&self) -> &Fault {
         &self.fault
     }
--- a/settings/src/fields.rs
+++ b/settings/src/fields.rs
@@ -1,17 +1,17 @@
-//! Reading the fields of JSON objects. Each reader takes the object and the field's name; errors name the field, what may
-//! stand there and what does.
+//! Functions that read typed fields of JSON objects. Each takes the object and the name of the field; errors
+//! name the field, the accepted values and the value found.
 use crate::error::{Error, json_kind};
 use decision::Micros;
 use serde_json::Value;
 
-/// The longest duration that a field may set, in milliseconds (three years): small multiples of it, added to the present,
-/// stay far from the end of the clock.
+/// The longest duration that a field may set, in milliseconds (three years): small multiples of it can be
+/// added to the current time without overflow.
 const MAX_DURATION_MS: f64 = 1e11;
 
-/// The time farthest from a clock's zero, in milliseconds (three thousand years).
+/// The largest distance of a configured time from the clock's zero, in milliseconds (three thousand years).
 const MAX_TIME_MS: f64 = 1e14;
 
-/// A field of any kind; null counts as missing.
+/// Returns a field of any type; null counts as missing.
 ///
 /// # Errors
 /// An [`Error`] that names the field: it is missing.
@@ -22,16 +22,16 @@
     }
 }
 
-/// A text.
+/// Reads a string field.
 ///
 /// # Errors
-/// An [`Error`] that names the field: it is missing or not a text.
+/// An [`Error`] that names the field: it is missing or not a string.
 pub fn string<'a>(v: &'a Value, name: &str) -> Result<&'a str, Error> {
     let x = field(v, name)?;
     x.as_str().ok_or_else(|| Error::invalid_value(name, "text", json_kind(x)))
 }
 
-/// An array of texts.
+/// Reads an array of strings.
 pub(crate) fn strings(v: &Value, name: &str) -> Result<Vec<String>, Error> {
     let item = |x: &Value| {
         x.as_str().map(str::to_string).ok_or_else(|| Error::invalid_value(name, "texts", json_kind(x)))
@@ -39,7 +39,7 @@
     array(v, name)?.iter().map(item).collect()
 }
 
-/// A finite number.
+/// Reads a finite number.
 ///
 /// # Errors
 /// An [`Error`] that names the field: it is missing or not a finite number.
@@ -49,10 +49,10 @@
     if x.is_finite() { Ok(x) } else { Err(Error::invalid_value(name, "a finite number", x)) }
 }
 
-/// A whole number that is not negative, also where it is written with a decimal point.
+/// Reads a non-negative integer; a number with a decimal point is accepted if its fraction is zero.
 ///
 /// # Errors
-/// An [`Error`] that names the field: it is missing or not such a number.
+/// An [`Error`] that names the field: it is missing or not a non-negative integer.
 pub fn unsigned_integer(v: &Value, name: &str) -> Result<u64, Error> {
     let x = field(v, name)?;
     let without_fraction = |f: f64| (f >= 0.0 && f.fract() == 0.0 && f < 9e15).then_some(f as u64);
@@ -62,7 +62,7 @@
     })
 }
 
-/// True or false; false where the field is missing.
+/// Reads a boolean; a missing field is read as false.
 ///
 /// # Errors
 /// An [`Error`] that names the field: it is neither true nor false.
@@ -73,16 +73,16 @@
     }
 }
 
-/// A whole number of 32 bits; a larger one is refused, never truncated.
+/// Reads a 32-bit unsigned integer; a larger number is rejected, never truncated.
 ///
 /// # Errors
-/// An [`Error`] that names the field: it is missing, not a whole number, or above `u32::MAX`.
+/// An [`Error`] that names the field: it is missing, not an integer, or above `u32::MAX`.
 pub fn count(v: &Value, name: &str) -> Result<u32, Error> {
     let x = unsigned_integer(v, name)?;
     u32::try_from(x).map_err(|_| Error::invalid_value(name, "at most 4294967295", x))
 }
 
-/// A finite number that is not negative.
+/// Reads a finite number that is not negative.
 ///
 /// # Errors
 /// An [`Error`] that names the field: it is missing, not a number, or below 0.
@@ -91,7 +91,7 @@
     if x >= 0.0 { Ok(x) } else { Err(Error::invalid_value(name, "a number not below 0", x)) }
 }
 
-/// A duration that the field gives in milliseconds.
+/// Reads a duration given in milliseconds.
 ///
 /// # Errors
 /// An [`Error`] that names the field: it is missing, not a number, negative, or longer than three years.
@@ -103,10 +103,11 @@
     Err(Error::invalid_value(name, format!("0 to {MAX_DURATION_MS} milliseconds"), ms))
 }
 
-/// A time on a clock that the field gives in milliseconds from the clock's zero.
+/// Reads a point in time given in milliseconds from the clock's zero.
 ///
 /// # Errors
-/// An [`Error`] that names the field: it is missing, not a number, or farther than three thousand years from 0.
+/// An [`Error`] that names the field: it is missing, not a number, or farther than three thousand years from
+/// 0.
 pub fn time_from_ms(v: &Value, name: &str) -> Result<Micros, Error> {
     let ms = number(v, name)?;
     if ms.abs() <= MAX_TIME_MS {
@@ -115,12 +116,12 @@
     Err(Error::invalid_value(name, format!("at most {MAX_TIME_MS} milliseconds from 0"), ms))
 }
 
-/// Milliseconds as microseconds, rounded to the nearest.
+/// Converts milliseconds to microseconds, rounded to the nearest.
 pub fn ms_to_micros(ms: f64) -> Micros {
     (ms * 1000.0).round() as Micros
 }
 
-/// An array.
+/// Reads an array field.
 ///
 /// # Errors
 /// An [`Error`] that names the field: it is missing or not an array.
--- a/settings/src/fleet.rs
+++ b/settings/src/fleet.rs
@@ -1,6 +1,7 @@
-//! The fleet's own configuration: tenants, their quotas and where their data may be. It is one document, kept in the
-//! store under one version and followed by all routers. It is written as TOML; [`read`] checks it as a whole, so that a
-//! faulty one is refused before it has a version. An operator's file says where the store is ([`FleetMemberConfig`]).
+//! The configuration of the fleet: tenants, their quotas and the sites where their data may be read and
+//! written. It is one TOML document, stored in the replicated store under one version and watched by all
+//! routers. [`read`] validates the whole document, so that an invalid one is rejected before it is stored.
+//! The operator's file has the addresses of the store ([`FleetMemberConfig`]).
 mod document;
 mod error;
 mod member;
--- a/settings/src/fleet/error.rs
+++ b/settings/src/fleet/error.rs
@@ -1,57 +1,63 @@
-//! What is wrong with a fleet's document or an operator's `[fleet]`.
+//! Errors in a fleet document or in the table `[fleet]` of an operator's file.
 use thiserror::Error;
 
-/// Why a document or an operator's `[fleet]` can't be used. Nothing of it is.
+/// Why a fleet document or the table `[fleet]` was rejected. No part of a rejected document or table takes
+/// effect.
 #[derive(Debug, Error)]
 pub enum FleetError {
-    /// It is not TOML, has a key that is not known, lacks one, or has a value of another kind.
+    /// The document is not valid TOML, has an unknown key, lacks a required key, or has a value of the wrong
+    /// type.
     #[error("{0}correct the key that is named and try again; nothing of the document is used")]
     Toml(#[from] toml::de::Error),
-    /// A key's value can't be used.
+    /// The value of a key is invalid.
     #[error("{key}: expected {expected}, found {found}")]
     Value {
-        /// The key, behind the table that it belongs to.
+        /// The faulty key, prefixed with its table.
         key: String,
-        /// What may stand there.
+        /// Description of the accepted values.
         expected: String,
-        /// What stands there.
+        /// The value found in the document.
         found: String,
     },
-    /// Two rules of a tenant are for the same class.
-    #[error("{key}: two rules are for {class}; leave it in one of them")]
+    /// Two placement rules of a tenant apply to the same class.
+    #[error("{key}: two placement rules apply to {class}; remove one of them")]
     Overlap {
-        /// The tenant's key.
+        /// The key of the second rule, prefixed with its tenant.
         key: String,
-        /// The class, or the words for all classes that no rule names.
+        /// The class in both rules, or a phrase for all classes that no rule names.
         class: String,
     },
-    /// A name is listed twice.
+    /// A name is listed more than once.
     #[error("{key}: '{name}' stands twice, here and at {before}; take one away")]
     Twice {
-        /// The key.
+        /// The key of the second entry.
         key: String,
-        /// The name.
+        /// The repeated name.
         name: String,
-        /// Where it stood before.
+        /// The key of the first entry.
         before: String,
     },
-    /// A strict rule names only sites without a server.
+    /// A strict placement rule names only sites that have no server.
     #[error(
-        "{key}: no server is in any of these sites ({sites}), so nothing could be served; name a site that has one, or \
-         list a server there first"
+        "{key}: none of these sites ({sites}) has a server, so no request could be served; name a site that has \
+         a server, or list a server there first"
     )]
     NoMember {
-        /// The rule's key.
+        /// The key of the strict rule.
         key: String,
-        /// Its sites.
+        /// The sites that the rule names, separated by commas.
         sites: String,
     },
-    /// The operator's table can't be read.
+    /// The table `[fleet]` cannot be deserialized.
     #[error("{0}; correct the key that is named")]
     Table(#[from] serde_json::Error),
 }
 
-/// The error for a value that can't be used.
-pub(super) fn value(key: impl Into<String>, expected: impl Into<String>, found: impl ToString) -> FleetError {
+/// Creates the error for a key with an invalid value.
+pub(super) fn invalid_value(
+    key: impl Into<String>,
+    expected: impl Into<String>,
+    found: impl ToString,
+) -> FleetError {
     FleetError::Value { key: key.into(), expected: expected.into(), found: found.to_string() }
 }
--- a/settings/src/fleet/member.rs
+++ b/settings/src/fleet/member.rs
@@ -1,42 +1,45 @@
-//! An operator's `[fleet]`: how a router, or a node of the store, belongs to the fleet.
+//! The table `[fleet]` of an operator's file, on a router or a node of the store.
 use super::document::MAX_ROUTERS;
-use super::error::{FleetError, value};
+use super::error::{FleetError, invalid_value};
 use super::names::check_name;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// An operator's `[fleet]`: how a router, or a node of the store, belongs to the fleet. All addresses are of this
-/// machine's loopback networks.
+/// The table `[fleet]` of an operator's file: how a router or a node of the store connects to the fleet. All
+/// addresses have to be loopback addresses.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "Member")]
 pub struct FleetMemberConfig {
-    /// This router's name; no two routers share one.
+    /// This router's name, unique in the fleet.
     pub name: String,
-    /// This router's slot, 1 to `routers` of the document: which part of a reserved share of a quota is its own.
+    /// This router's slot, from 1 to `routers` of the fleet document: selects its part of each quota's
+    /// reserved share.
     pub slot: Option<u32>,
-    /// Where the store's nodes answer clients (their `store.clients`); at least one.
+    /// Client addresses of the store's nodes (their `store.clients`); at least one.
     pub store_addresses: Vec<SocketAddr>,
-    /// Where the store's nodes answer quota reports (their `fleet.listen`); at least one.
+    /// Addresses at which the store's nodes receive quota reports (their `fleet.listen`); at least one.
     pub allocator_addresses: Vec<SocketAddr>,
-    /// On a node of the store: where it answers quota reports.
+    /// On a node of the store: the address at which it receives quota reports.
     pub allocator_listen: Option<SocketAddr>,
-    /// Path of a file with the document, written to the store once where the store has none.
+    /// Path of a file with a fleet document that is written to the store if the store has none.
     pub seed_document_path: Option<String>,
-    /// The audit; without it none is kept and no router fences itself.
+    /// Settings of the audit; without them no audit record is written and no router fences itself.
     pub audit: Option<AuditConfig>,
 }
 
-/// An operator's `[fleet.audit]`: when a router that lags behind the current version is asked to fetch it, and when it
-/// is fenced. On the routers it makes each fence itself; on the store's nodes it makes the leader keep the record.
+/// The table `[fleet.audit]`: when a router that lags behind the current version of the fleet document is
+/// asked to fetch it, and when the router is fenced. With this table, a router fences itself, and the leader
+/// of the store writes the audit record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "Audit")]
 pub struct AuditConfig {
-    /// A router that has lagged for this long, in milliseconds (100 to 60000), is asked to fetch the current version.
+    /// A router that has lagged for this many milliseconds (100 to 60000) is asked to fetch the current
+    /// version.
     pub max_lag_ms: u64,
-    /// So is one that lags by more versions than this (1 to 200).
+    /// A router that lags by more than this many versions (1 to 200) is asked to fetch the current version.
     pub max_lag_versions: u32,
-    /// How often it is asked to before it is fenced (1 to 100).
+    /// How many times a lagging router is asked to fetch the current version before it is fenced (1 to 100).
     pub max_refetches: u32,
 }
 
@@ -46,9 +49,9 @@
     }
 }
 
-// The names of these two types and their fields stand in error messages.
+// Error messages contain the names of the types `Member` and `Audit` and of their fields.
 
-/// The table `[fleet]` as it stands in the file, before it is checked.
+/// The table `[fleet]` as deserialized from the file, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Member {
@@ -75,7 +78,7 @@
     }
 }
 
-/// The table `[fleet.audit]` as it stands in the file, before it is checked.
+/// The table `[fleet.audit]` as deserialized from the file, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Audit {
@@ -111,14 +114,14 @@
         match bounds.into_iter().find(|(_, found, allowed)| !allowed.contains(found)) {
             Some((key, found, allowed)) => {
                 let expected = format!("{} to {}", allowed.start(), allowed.end());
-                Err(value(format!("audit.{key}"), expected, found))
+                Err(invalid_value(format!("audit.{key}"), expected, found))
             }
             None => Ok(()),
         }
     }
 }
 
-/// Reads an operator's `[fleet]`.
+/// Reads and validates the table `[fleet]` of an operator's file.
 ///
 /// # Errors
 /// A [`FleetError`] that names the faulty key.
@@ -126,23 +129,23 @@
     let member = FleetMemberConfig::deserialize(v)?;
     check_name("name", &member.name)?;
     if let Some(slot) = member.slot.filter(|slot| !(1..=MAX_ROUTERS).contains(slot)) {
-        return Err(value("slot", format!("1 to {MAX_ROUTERS}"), slot));
+        return Err(invalid_value("slot", format!("1 to {MAX_ROUTERS}"), slot));
     }
     member.audit.as_ref().map_or(Ok(()), AuditConfig::check)?;
     check_addresses(&member)?;
     Ok(member)
 }
 
-/// Both lists of addresses hold some, and all addresses are of loopback networks.
+/// Checks that both address lists have entries and that all addresses are loopback addresses.
 fn check_addresses(member: &FleetMemberConfig) -> Result<(), FleetError> {
     let lists = [("nodes", &member.store_addresses), ("allocators", &member.allocator_addresses)];
     if let Some((key, _)) = lists.iter().find(|(_, addrs)| addrs.is_empty()) {
-        return Err(value(*key, "at least one ip:port", "none"));
+        return Err(invalid_value(*key, "at least one ip:port", "none"));
     }
     let listed = lists.iter().flat_map(|(key, addrs)| addrs.iter().map(|addr| (*key, addr)));
     let listen = member.allocator_listen.iter().map(|addr| ("listen", addr));
     match listed.chain(listen).find(|(_, addr)| !addr.ip().is_loopback()) {
-        Some((key, remote)) => Err(value(key, "ip:port on loopback", remote)),
+        Some((key, remote)) => Err(invalid_value(key, "ip:port on loopback", remote)),
         None => Ok(()),
     }
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,12 +1,13 @@
-//! The one place where configuration is read, checked and given its defaults.
+//! Reads and validates configuration files and applies defaults.
 //!
-//! - [`start`] reads the JSON that the platform starts a router with, and [`platform`] the settings in it, for the router
-//!   and for the simulator's adapter alike, so that both run on the same ones.
-//! - [`operator`] reads an operator's own TOML file, with the tables of [`members`] and [`fleet`].
-//! - [`fleet`] reads the document that all routers of a fleet follow.
-//! - [`Limits`] has every bound of the program.
-//! - [`fields`] and [`error`] are what they share: each [`Error`] names the key at fault, what may stand there and what
-//!   does, but never the value of a secret.
+//! - [`start`] reads the JSON configuration with which the platform starts a router. [`platform`] reads the
+//!   settings object in it; the simulator's adapter uses the same code, so that both interpret settings
+//!   alike.
+//! - [`operator`] reads an operator's TOML file, including the tables defined in [`members`] and [`fleet`].
+//! - [`fleet`] reads the configuration document that all routers of a fleet share.
+//! - [`Limits`] holds the size limits, count limits and timeouts of the program.
+//! - [`fields`] and [`error`] are shared by all readers: each [`Error`] names the faulty key, the accepted
+//!   values and the value found, but never the value of a secret.
 pub mod error;
 pub mod fields;
 pub mod fleet;
--- a/settings/src/limits.rs
+++ b/settings/src/limits.rs
@@ -1,5 +1,5 @@
-//! Every size, count and time that bounds the program, in one type that is filled at start and passed down. Sizes are
-//! in bytes unless their name says otherwise.
+//! All size limits, count limits and timeouts of the program, in one type that is built at startup and passed
+//! to the components. Sizes are in bytes unless their name says otherwise.
 mod backoff;
 mod bounds;
 mod descriptors;
--- a/settings/src/limits/backoff.rs
+++ b/settings/src/limits/backoff.rs
@@ -1,11 +1,11 @@
-//! Delays that grow with each failure.
+//! Limits of a backoff delay.
 use std::time::Duration;
 
-/// Bounds of the delay between two attempts, which grows with each attempt that fails.
+/// The shortest and longest backoff between two attempts; the delay grows with each failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// The shortest delay, after the first failure.
+    /// The delay after the first failure.
     pub min: Duration,
-    /// The longest delay.
+    /// The longest delay, however many attempts have failed.
     pub max: Duration,
 }
--- a/settings/src/limits/bounds.rs
+++ b/settings/src/limits/bounds.rs
@@ -1,216 +1,230 @@
-//! The bounds of one router, and how they follow from what the process may use.
+//! The limits of one router and how they are derived from the resources of the process.
 use super::backoff::Backoff;
 use super::descriptors::{self, ConnectionShares};
 use std::time::Duration;
 
-/// What the process may use.
+/// The resources that the process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessResources {
-    /// File descriptors.
+    /// Number of file descriptors.
     pub descriptors: usize,
-    /// Memory in bytes.
+    /// Memory size in bytes.
     pub memory_bytes: usize,
 }
 
-/// Times of the instances and requests that bounds follow.
+/// Configured timeouts from which limits are derived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestTimes {
-    /// A connection to an instance is made within this time.
+    /// The timeout for opening a connection to a server.
     pub connect_timeout: Duration,
-    /// An instance closes a connection that was idle for this long.
+    /// A server closes a connection that was idle for this long.
     pub backend_keepalive: Duration,
-    /// No request has a deadline beyond this.
+    /// The longest deadline of any request.
     pub longest_deadline: Duration,
 }
 
-/// The bounds of one router.
+/// The size limits, count limits and timeouts of one router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Stack of a thread that serves one socket, in bytes.
+    /// Stack size of a thread that serves one socket, in bytes.
     pub socket_thread_stack_bytes: usize,
-    /// Longest message that is read from a client or from an instance.
+    /// Longest message that is read from a client or from a server.
     pub max_message_bytes: usize,
-    /// Longest value that the platform's instances return.
+    /// Longest value that the platform's servers return.
     pub max_value_bytes: usize,
-    /// What all clients' long messages and open requests may hold in memory together.
+    /// Memory that the long messages and open requests of all clients may use together.
     pub max_client_memory_bytes: usize,
-    /// Longest response that is read from a server, all its packets together.
+    /// Longest response that is read from a server, summed over its packets.
     pub max_response_bytes: usize,
-    /// Statements that one client may have prepared.
+    /// Prepared statements that one client may have open.
     pub max_statements_per_client: usize,
-    /// Statements that stay prepared on one connection to a server.
+    /// Prepared statements that are cached on one connection to a server.
     pub max_statements_per_connection: usize,
-    /// How far the clocks of servers and router may differ: a commit counts as this much later.
+    /// Largest difference between the clocks of servers and router; it is added to the time of each commit.
     pub max_clock_skew: Duration,
-    /// What is added to the machine's clock, in microseconds.
+    /// Offset that is added to the time of the system clock, in microseconds.
     pub clock_offset_us: i64,
-    /// How often servers are polled for their clocks.
+    /// Interval at which the servers' clocks are polled.
     pub clock_poll_interval: Duration,
-    /// How soon again after one could not be polled.
+    /// Delay until the next clock poll after a failed one.
     pub clock_poll_retry_delay: Duration,
-    /// Sessions that are remembered one by one where the operator's file has no `[sessions]`.
+    /// Number of sessions whose commits are tracked individually if the operator's file has no `[sessions]`.
     pub max_local_sessions: usize,
-    /// Longest response of a registry, or line of a watch.
+    /// Longest response of a registry, and longest line of a registry watch.
     pub max_registry_response_bytes: usize,
     /// Keys in one page that is read from a registry.
     pub registry_page_size: usize,
-    /// A response of a registry that brings no bytes for this long has failed.
+    /// A registry request fails if no bytes of its response are received for this long.
     pub registry_read_timeout: Duration,
-    /// A watch without events for this long is checked by a read on another connection.
+    /// A registry watch without events for this long is checked by a read on another connection.
     pub registry_watch_check_delay: Duration,
-    /// How long a registry may hold a blocking query.
+    /// The wait time that is requested for a blocking query of a registry.
     pub registry_blocking_query_timeout: Duration,
-    /// First and longest backoff after a member of a registry failed.
+    /// Backoff after a registry endpoint failed.
     pub registry_backoff: Backoff,
-    /// Changes of a registry within this time of each other are applied to the endpoint list together; drains never
-    /// wait.
+    /// Registry changes within this time of each other are applied to the endpoint list together; drains are
+    /// applied without delay.
     pub registry_debounce_delay: Duration,
-    /// The shortest interval at which the last list is written to disk.
+    /// The shortest interval between two writes of the current node list to disk.
     pub registry_save_interval: Duration,
-    /// Commits that are buffered for a peer instance that reconnects: one that missed more is sent all.
+    /// Session commits that are buffered for a peer instance that reconnects; a peer that missed more
+    /// receives a full snapshot.
     pub max_buffered_session_commits: usize,
-    /// Sessions in one frame between instances.
+    /// Largest number of sessions in one frame between router instances.
     pub max_sessions_per_frame: usize,
-    /// Longest frame between instances.
+    /// Longest frame between router instances.
     pub max_session_frame_bytes: usize,
-    /// Frames that may wait for one peer instance before it is disconnected.
+    /// Frames that may be queued for one peer instance before it is disconnected.
     pub max_queued_session_frames: usize,
     /// A peer instance that neither sends nor reads for this long is disconnected.
     pub session_peer_timeout: Duration,
-    /// Smallest size at which a session journal is compacted.
+    /// A session journal below this size is not compacted.
     pub min_session_compaction_bytes: u64,
-    /// How long after a failure the disk is tried again.
+    /// Delay until a failed write of the session journal is retried.
     pub session_disk_retry_delay: Duration,
-    /// Longest line that discovery may send.
+    /// Longest line that is accepted from discovery.
     pub max_discovery_line_bytes: usize,
-    /// Client connections that may be open at a time.
+    /// Largest number of open client connections.
     pub max_client_connections: usize,
-    /// Connections that may be open to all instances together.
+    /// Largest number of open connections to all servers together.
     pub max_backend_connections: usize,
-    /// File descriptors reserved for what is neither a client's nor an instance's connection.
+    /// File descriptors that are reserved for uses other than client and backend connections.
     pub reserved_descriptors: usize,
-    /// Connections that may be open to one instance.
+    /// Largest number of open connections to one server.
     pub max_connections_per_backend: usize,
-    /// Requests that one client connection may have sent ahead of its responses.
+    /// Requests that a client may send on one connection before it has received the responses.
     pub max_pipelined_requests: usize,
-    /// Messages that may wait for an actor.
+    /// Messages that may be queued in the mailbox of one thread.
     pub mailbox_capacity: usize,
-    /// A connection to an instance that is not made within this time has failed.
+    /// The timeout for opening a connection to a server.
     pub backend_connect_timeout: Duration,
-    /// A health check without a response after this time has timed out.
+    /// The timeout for the response to a health check.
     pub health_check_timeout: Duration,
-    /// A connection to an instance is closed after this time without a request, well before the instance would close
+    /// A backend connection is closed after this time without a request, well before the server would close
     /// it.
     pub backend_idle_timeout: Duration,
-    /// A connection that was idle for this long is checked before a request is sent on it: whatever lies between may
-    /// have dropped it, and the request would be lost.
+    /// A backend connection that was idle for this long is checked before a request is sent on it: a device
+    /// on the network path may have dropped the connection, and the request would be lost.
     pub max_unchecked_idle_time: Duration,
-    /// How long the response to that check is waited for.
+    /// The timeout for the check of an idle backend connection.
     pub backend_check_timeout: Duration,
-    /// A client's startup has to be complete this long after it connected.
+    /// The timeout from accepting a client connection to the end of the client's startup.
     pub client_startup_timeout: Duration,
-    /// Where capacity is short, a client that for this long has sent no request and is owed no response is closed.
+    /// When the connection limit is reached, an idle client connection that has not sent a request yet may be
+    /// closed after this time.
     pub client_startup_timeout_when_full: Duration,
-    /// A client has to send its first request this long after it connected.
+    /// The timeout from accepting a client connection to its first request.
     pub client_first_request_timeout: Duration,
-    /// A command has to be complete within this time of its first byte.
+    /// The timeout from the first byte of a client message to its last.
     pub client_message_timeout: Duration,
-    /// A connection without a request is closed after this time.
+    /// A client connection without a request is closed after this time.
     pub client_idle_timeout: Duration,
-    /// The same, where most of the connections that the platform's front opens are in use.
+    /// Replaces `client_idle_timeout` while most of the connections that the platform's front end opens are
+    /// in use.
     pub client_idle_timeout_when_crowded: Duration,
-    /// How many connections the platform's front opens for requests.
+    /// Number of connections that the platform's front end is expected to open for requests.
     pub expected_request_connections: usize,
-    /// How often a client with an open request is polled for more requests or a disconnect.
+    /// Interval at which a client with an open request is polled for further requests or a disconnect.
     pub client_poll_interval: Duration,
-    /// How long to wait before free capacity is looked for again.
+    /// Delay until a client that waits for a free connection slot checks again.
     pub client_capacity_retry_delay: Duration,
-    /// Where capacity is short, a connection without a request may be closed after this time already.
+    /// When the connection limit is reached, an idle client connection that has sent requests may be closed
+    /// after this time.
     pub client_idle_timeout_when_full: Duration,
-    /// Where descriptors run short, a connection to an instance that was idle for this long is closed.
+    /// When file descriptors are exhausted, a backend connection that was idle for this long is closed.
     pub backend_idle_timeout_when_full: Duration,
-    /// How long a connection to an instance rests after a response before it is checked and used again: bytes behind a
-    /// response would otherwise count as the next one.
+    /// Delay after a response before a backend connection is checked and reused: surplus bytes after a
+    /// response would otherwise be read as the start of the next one.
     pub backend_reuse_delay: Duration,
-    /// How long an instance may take from a complete row, or a complete error, to the end of its response: one that
-    /// hangs there must not keep a client from what was received. Never more than half of the time that is left.
+    /// How long a server may take from a complete row or error to the end of its response, and at most half
+    /// of the time left until the deadline: a server that hangs there must not withhold the received data
+    /// from the client.
     pub response_end_timeout: Duration,
-    /// A client that reads none of its response for this long is disconnected.
+    /// A client that reads no byte of its response for this long is disconnected.
     pub client_write_timeout: Duration,
-    /// How long a connection to an instance goes on reading after the router stopped waiting, should nobody close it.
+    /// How long after the deadline of its request a response is still read from a backend connection, unless
+    /// the connection is closed earlier.
     pub abandoned_response_timeout: Duration,
-    /// Stack of the routing thread, in bytes.
+    /// Stack size of the routing thread, in bytes.
     pub routing_thread_stack_bytes: usize,
-    /// After SIGTERM, new connections and requests are accepted as before for this long.
+    /// After SIGTERM, new connections and requests are accepted normally for this long.
     pub shutdown_grace_period: Duration,
-    /// After SIGTERM, clients that send without a pause are read for this long: what was read then still has its whole
-    /// deadline.
+    /// After SIGTERM, clients that send continuously are read for this long; a request that is read by then
+    /// still has its full deadline.
     pub shutdown_read_timeout: Duration,
-    /// After SIGTERM, the process ends at the latest after this time.
+    /// After SIGTERM, the process exits after this time at the latest.
     pub shutdown_timeout: Duration,
-    /// From the start of a manual drain, quiet connections are closed after this time: no new ones are expected by
-    /// then.
+    /// Idle client connections are closed this long after the start of a manual drain, when no new
+    /// connections are expected any more.
     pub drain_idle_close_delay: Duration,
-    /// From the start of a manual drain, clients that send without a pause are read no further after this time.
+    /// Clients that send continuously are no longer read this long after the start of a manual drain.
     pub drain_read_timeout: Duration,
-    /// While clients are disconnected, one that has just connected has this long to send its first request.
+    /// While a drain disconnects clients, a newly connected client has this long to send its first request.
     pub draining_first_request_timeout: Duration,
-    /// How long a closed connection with unread bytes is kept open, so that a reset does not drop its last response.
+    /// How long the socket of a closed client connection lingers, so that a TCP reset because of unread bytes
+    /// does not discard the last response.
     pub client_linger_timeout: Duration,
-    /// How many more bytes are read and discarded in that time.
+    /// Number of bytes that are read and discarded while a closed client connection lingers.
     pub max_client_linger_bytes: usize,
-    /// Admin connections that may be open at a time.
+    /// Largest number of open admin connections.
     pub max_admin_connections: usize,
     /// Longest line of an admin command.
     pub max_admin_line_bytes: usize,
-    /// How long an admin connection may take to send a line or to read its response.
+    /// The timeout for an admin client to send a line or to read a response.
     pub admin_io_timeout: Duration,
-    /// Instances that may be in maintenance at a time.
+    /// Largest number of servers in maintenance at the same time.
     pub max_maintenance_entries: usize,
-    /// How long an instance back from maintenance counts as warming up: longer than any takes to warm up.
+    /// How long a server restored from maintenance counts as warming up; longer than any server needs.
     pub maintenance_warmup_duration: Duration,
-    /// How often the other process's maintenance state is polled: well within the grace of a drain.
+    /// Interval at which the maintenance state of another process on the same host is polled; much shorter
+    /// than the grace time of a drain.
     pub maintenance_poll_interval: Duration,
-    /// How long a start waits for discovery's first event before it accepts clients with the list of its configuration.
+    /// How long startup waits for the first event of discovery before it accepts clients with the endpoint
+    /// list of the configuration.
     pub watch_first_event_timeout: Duration,
-    /// A connection to discovery that is not made within this time has failed.
+    /// The timeout for opening a connection to discovery.
     pub watch_connect_timeout: Duration,
-    /// A watch of discovery without a complete line, not even an empty one, for this long is broken: another is opened
-    /// beside it. Discovery sends an empty line every 2 s; what a silent watch misses counts as notified after 6 s.
+    /// A discovery watch that receives no complete line (an empty one counts) for this long is considered
+    /// broken, and another is opened in parallel. Discovery sends an empty line every 2 s, and counts a
+    /// change as notified after 6 s even if the watch was silent.
     pub watch_silence_timeout: Duration,
-    /// How long a new watch whose response head was received may take for its first line before another is opened
-    /// beside it.
+    /// How long a new discovery watch may take from the response head to its first line before another is
+    /// opened in parallel.
     pub watch_first_line_timeout: Duration,
-    /// Shortest and longest time between two connection attempts while there is no watch.
+    /// Backoff between two connection attempts while no discovery watch is established.
     pub watch_backoff: Backoff,
-    /// After a move to another address, how long the old one is listened to beside the new one, whose changes count as
-    /// notified from then on.
+    /// After the address of discovery changed, how long the previous address is watched in parallel.
+    /// Discovery counts changes at the new address as notified after this time.
     pub watch_previous_address_duration: Duration,
-    /// Connections of the watch that may wait for their first line at a time.
+    /// Largest number of discovery watches that wait for their first line.
     pub max_pending_watches: usize,
-    /// The oldest of them is closed in favour of others once it has waited this long.
+    /// The oldest pending discovery watch is closed in favour of newer ones after it has waited this long.
     pub pending_watch_timeout: Duration,
-    /// Discovery counts a change as notified this long after it could be reached, or after its watch fell silent.
+    /// Discovery counts a change as notified this long after it became reachable, or after its watch fell
+    /// silent.
     pub watch_notification_deadline: Duration,
-    /// How much of that is reserved for a busy processor and for the way from the watch to the router.
+    /// Part of `watch_notification_deadline` that is reserved for scheduling delays and for passing a change
+    /// from the watch to the routing thread.
     pub watch_notification_margin: Duration,
 }
 
-/// The process lives at least this long after SIGTERM and its grace period, where all deadlines are shorter.
-const MIN_SHUTDOWN: Duration = Duration::from_secs(3);
-/// After SIGTERM, the platform's front has this long to notice that the router is draining.
+/// Minimum time from the end of the grace period after SIGTERM to the exit, for the case that all deadlines
+/// are shorter.
+const MIN_SHUTDOWN_TIME: Duration = Duration::from_secs(3);
+/// After SIGTERM, the platform's front end has this long to notice that the router is draining.
 const SHUTDOWN_GRACE_PERIOD: Duration = Duration::from_millis(500);
-/// After that, quiet connections are closed for at least this long before any is closed that may carry a request.
-const SHUTDOWN_IDLE_CLOSE: Duration = Duration::from_millis(150);
+/// After the grace period, only idle connections are closed for at least this long; then also those that may
+/// carry a request.
+const SHUTDOWN_IDLE_CLOSE_DURATION: Duration = Duration::from_millis(150);
 
 impl Limits {
-    /// The bounds for a process with these resources, whose instances and requests have these times.
+    /// Derives the limits of a process from its resources and the configured timeouts.
     pub fn new(resources: ProcessResources, times: RequestTimes) -> Self {
         let ProcessResources { descriptors, memory_bytes } = resources;
         let RequestTimes { connect_timeout, backend_keepalive, longest_deadline } = times;
         let reserved_descriptors = descriptors::RESERVED;
-        let shares = ConnectionShares::of(descriptors, reserved_descriptors);
-        let last_answer = longest_deadline.max(MIN_SHUTDOWN) + SHUTDOWN_GRACE_PERIOD;
+        let shares = ConnectionShares::divide(descriptors, reserved_descriptors);
+        let last_response = longest_deadline.max(MIN_SHUTDOWN_TIME) + SHUTDOWN_GRACE_PERIOD;
         Limits {
             socket_thread_stack_bytes: 96 * 1024,
             // A value of 64 KiB is written as hexadecimal digits in a statement.
@@ -240,7 +254,8 @@
             session_peer_timeout: Duration::from_secs(5),
             min_session_compaction_bytes: 8 << 20,
             session_disk_retry_delay: Duration::from_secs(1),
-            // Each connection of the watch may hold a part of one, and the driver some more.
+            // Each connection of the discovery watch may buffer a partial line, and its driver buffers
+            // further lines.
             max_discovery_line_bytes: (memory_bytes / 32).min(4 << 20),
             max_client_connections: shares.clients,
             max_backend_connections: shares.backends,
@@ -250,11 +265,11 @@
             mailbox_capacity: 4096,
             backend_connect_timeout: connect_timeout,
             health_check_timeout: connect_timeout,
-            // Polled each quarter of it; where the instance closes sooner, `max_unchecked_idle_time` has each one checked
-            // before use.
+            // Idle connections are polled at a quarter of this interval. If a server closes them earlier,
+            // `max_unchecked_idle_time` ensures that each is checked before use.
             backend_idle_timeout: backend_keepalive.mul_f64(0.5).max(Duration::from_millis(50)),
             max_unchecked_idle_time: backend_keepalive.mul_f64(0.5).min(Duration::from_millis(1500)),
-            // One of the round trips that have to fit into the time to connect.
+            // The check takes one of the round trips that have to fit into the connect timeout.
             backend_check_timeout: (connect_timeout * 4 / 25).max(Duration::from_millis(40)),
             client_startup_timeout: Duration::from_millis(1500),
             client_startup_timeout_when_full: Duration::from_millis(100),
@@ -273,15 +288,15 @@
             abandoned_response_timeout: Duration::from_millis(500),
             routing_thread_stack_bytes: 512 * 1024,
             shutdown_grace_period: SHUTDOWN_GRACE_PERIOD,
-            // SIGKILL comes the longest deadline (3 s at most) and 0.7 s after SIGTERM: requests read until then have their
-            // whole deadline before that.
-            shutdown_read_timeout: SHUTDOWN_GRACE_PERIOD + SHUTDOWN_IDLE_CLOSE,
-            shutdown_timeout: last_answer + SHUTDOWN_IDLE_CLOSE,
+            // SIGKILL follows SIGTERM after the longest deadline (at most 3 s) plus 0.7 s: requests that are
+            // read within this timeout have their full deadline before SIGKILL.
+            shutdown_read_timeout: SHUTDOWN_GRACE_PERIOD + SHUTDOWN_IDLE_CLOSE_DURATION,
+            shutdown_timeout: last_response + SHUTDOWN_IDLE_CLOSE_DURATION,
             drain_idle_close_delay: Duration::from_millis(500),
             drain_read_timeout: Duration::from_millis(1500),
             draining_first_request_timeout: Duration::from_millis(300),
             client_linger_timeout: Duration::from_millis(300),
-            // More than its longest message; a client that sends still more gets no more time.
+            // More than the longest client message; a client that sends more is closed without further delay.
             max_client_linger_bytes: 256 * 1024,
             max_admin_connections: 32,
             max_admin_line_bytes: 1024,
@@ -295,27 +310,29 @@
             watch_first_line_timeout: Duration::from_millis(600),
             watch_backoff: Backoff { min: Duration::from_millis(250), max: Duration::from_secs(1) },
             watch_previous_address_duration: Duration::from_secs(4),
-            // One each 600 ms: the first receives its empty line after 2 s, before it would be closed for others.
-            max_pending_watches: descriptors::WAITING_WATCHES,
+            // A new watch is opened every 600 ms: the first one receives its empty line after 2 s, before it
+            // could be closed in favour of newer ones.
+            max_pending_watches: descriptors::MAX_PENDING_WATCHES,
             pending_watch_timeout: Duration::from_secs(10),
             watch_notification_deadline: Duration::from_secs(6),
             watch_notification_margin: Duration::from_secs(1),
         }
     }
 
-    /// Reserves the descriptors of the admin listener: from connections to instances first, down to half of them, then
-    /// from clients, since two processes side by side have to accept all connections that the platform's front opens.
-    /// With few descriptors there are fewer connections of operators.
+    /// Reserves file descriptors for the admin listener. They are taken from backend connections first, down
+    /// to half of those, then from client connections: two processes running in parallel have to accept all
+    /// connections that the platform's front end opens. If there are few descriptors, fewer admin connections
+    /// are allowed.
     pub fn reserve_admin_descriptors(&mut self, descriptors: usize) {
         let max_connections = (descriptors.saturating_sub(32) / 16).max(2);
         self.max_admin_connections = self.max_admin_connections.min(max_connections);
         self.reserved_descriptors =
             descriptors::RESERVED + descriptors::RESERVED_FOR_ADMIN + self.max_admin_connections;
-        let without_admin = ConnectionShares::of(descriptors, descriptors::RESERVED);
-        let with_admin = ConnectionShares::of(descriptors, self.reserved_descriptors);
+        let without_admin = ConnectionShares::divide(descriptors, descriptors::RESERVED);
+        let with_admin = ConnectionShares::divide(descriptors, self.reserved_descriptors);
         let total = with_admin.clients + with_admin.backends;
-        let most_clients = total.saturating_sub(without_admin.backends / 2);
-        self.max_client_connections = without_admin.clients.min(most_clients).max(with_admin.clients);
+        let max_clients = total.saturating_sub(without_admin.backends / 2);
+        self.max_client_connections = without_admin.clients.min(max_clients).max(with_admin.clients);
         self.max_backend_connections = total - self.max_client_connections;
     }
 }
--- a/settings/src/limits/descriptors.rs
+++ b/settings/src/limits/descriptors.rs
@@ -1,55 +1,67 @@
-//! How the process's file descriptors are divided.
+//! Division of the process's file descriptors between client connections, backend connections and other uses.
 
-/// The standard streams.
-const STREAMS: usize = 3;
-/// The listener, and the accepting thread's handle of it.
-const LISTENER: usize = 2;
-/// A client that is accepted and waits for capacity.
-const ACCEPTED: usize = 1;
-/// The poll that notices clients that disconnect.
-const POLL: usize = 1;
-/// The pipe of signals.
-const SIGNALS: usize = 2;
-/// The configuration, while SIGHUP has it read.
+/// Standard input, output and error.
+const STANDARD_STREAMS: usize = 3;
+/// The client listener and its duplicate in the accepting thread.
+const CLIENT_LISTENER: usize = 2;
+/// A client connection that was accepted and waits for a free slot.
+const WAITING_CLIENT: usize = 1;
+/// The poll instance that detects disconnected clients.
+const CLIENT_POLL: usize = 1;
+/// Both ends of the signal pipe.
+const SIGNAL_PIPE: usize = 2;
+/// The configuration file while it is reloaded after SIGHUP.
 const CONFIG_FILE: usize = 1;
-/// Wakes the accepting thread at the end.
-const WAKE: usize = 1;
-/// Connections of the watch that may wait for their first line.
-pub(super) const WAITING_WATCHES: usize = 6;
-/// Beside those that wait: one that fell silent, and after a move the old address's. Each may have been closed while
-/// its reader still holds it, and another stand in its place.
-const WATCHES: usize = 2 * (WAITING_WATCHES + 2);
-/// Clients and connections to instances that are no longer counted, whose last handle a thread is about to drop.
-const CLOSING: usize = 6;
-/// What the system's libraries open for a moment.
-const LIBRARIES: usize = 7;
+/// The descriptor that wakes the accepting thread at shutdown.
+const ACCEPT_WAKER: usize = 1;
+/// Discovery watches that may wait for their first line.
+pub(super) const MAX_PENDING_WATCHES: usize = 6;
+/// All discovery watches: besides the pending ones, a silent one and, after an address change, one of the
+/// previous address. They count twice because a closed watch may still be open in its reader thread while its
+/// replacement is open too.
+const WATCHES: usize = 2 * (MAX_PENDING_WATCHES + 2);
+/// Client and backend connections that are no longer counted but whose descriptor a thread has not closed
+/// yet.
+const CLOSING_CONNECTIONS: usize = 6;
+/// Descriptors that system libraries open temporarily.
+const LIBRARY_DESCRIPTORS: usize = 7;
 
-/// Descriptors beside the connections of clients and to instances, all open at the same moment.
-pub(super) const RESERVED: usize =
-    STREAMS + LISTENER + ACCEPTED + POLL + SIGNALS + CONFIG_FILE + WAKE + WATCHES + CLOSING + LIBRARIES;
+/// Largest number of descriptors in use at the same time apart from client and backend connections.
+pub(super) const RESERVED: usize = STANDARD_STREAMS
+    + CLIENT_LISTENER
+    + WAITING_CLIENT
+    + CLIENT_POLL
+    + SIGNAL_PIPE
+    + CONFIG_FILE
+    + ACCEPT_WAKER
+    + WATCHES
+    + CLOSING_CONNECTIONS
+    + LIBRARY_DESCRIPTORS;
 
-/// The admin listener's: itself, its poll, and a connection over the bound.
+/// The admin listener, its poll instance, and one connection above the limit.
 const ADMIN_LISTENER: usize = 3;
-/// Maintenance's: the state file, its lock, the next state file, the folder, this process's mark and another's.
-const MAINTENANCE: usize = 6;
+/// Files of the maintenance state: the state file, its lock, its replacement, the folder, and the presence
+/// markers of this process and another.
+const MAINTENANCE_FILES: usize = 6;
 
-/// What the admin listener needs beside its connections.
-pub(super) const RESERVED_FOR_ADMIN: usize = ADMIN_LISTENER + MAINTENANCE;
+/// Descriptors that the admin listener needs in addition to its connections.
+pub(super) const RESERVED_FOR_ADMIN: usize = ADMIN_LISTENER + MAINTENANCE_FILES;
 
-/// The fewest descriptors that clients and connections to instances are given together.
+/// Minimum number of descriptors for client and backend connections together.
 const MIN_CONNECTIONS: usize = 12;
 
-/// How many connections of clients and to instances there may be.
+/// The limits of client and backend connections.
 pub(super) struct ConnectionShares {
-    /// Of clients.
+    /// Largest number of client connections.
     pub(super) clients: usize,
-    /// To instances.
+    /// Largest number of backend connections.
     pub(super) backends: usize,
 }
 
 impl ConnectionShares {
-    /// Of `descriptors` without the `reserved` ones: three quarters for clients and a quarter for instances.
-    pub(super) fn of(descriptors: usize, reserved: usize) -> ConnectionShares {
+    /// Divides `descriptors` minus the `reserved` ones: three quarters for client and a quarter for backend
+    /// connections.
+    pub(super) fn divide(descriptors: usize, reserved: usize) -> ConnectionShares {
         let free = descriptors.saturating_sub(reserved).max(MIN_CONNECTIONS);
         ConnectionShares { clients: free * 3 / 4, backends: free / 4 }
     }
--- a/settings/src/limits/watch.rs
+++ b/settings/src/limits/watch.rs
@@ -1,95 +1,103 @@
-//! The bounds of discovery's watch, and how long a change may take to be received under them.
+//! Consistency checks for the limits of the discovery watch, and the longest delay of a change that follows
+//! from them.
 use super::bounds::Limits;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Discovery sends an empty line at this interval where it has no change to report.
+/// Interval at which discovery sends an empty line while it has no change to report.
 const EMPTY_LINE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// More pending watches than this count as this many, so that their time does not overflow.
+/// Upper limit for the number of pending watches in computations, so that durations do not overflow.
 const MAX_COUNTED_WATCHES: usize = 1 << 20;
 
-/// Why the bounds of discovery's watch are inconsistent.
+/// Contradictions between the limits of the discovery watch.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum WatchError {
-    /// A change may be received too late.
+    /// A change may be received too late after a watch fell silent.
     #[error(
-        "a change would be received {delay:?} after discovery has it, later than {deadline:?} less the margin of {margin:?}: \
-         shorten watch_silence_timeout, watch_backoff, watch_connect_timeout or watch_first_line_timeout"
+        "a change would be received up to {delay:?} after discovery has it, later than {deadline:?} less the \
+         margin of {margin:?}: shorten watch_silence_timeout, watch_backoff, watch_connect_timeout or \
+         watch_first_line_timeout"
     )]
     SilenceNoticedLate {
-        /// The longest that it may take.
+        /// The longest time until the change is received.
         delay: Duration,
-        /// When discovery counts the change as notified.
+        /// The time after which discovery counts the change as notified.
         deadline: Duration,
-        /// What has to be left of that time.
+        /// The time that has to remain after the change was received.
         margin: Duration,
     },
-    /// A change may be received too late from another address.
+    /// A change may be received too late after the address of discovery changed.
     #[error(
-        "after a move a change would be received after {delay:?}, later than watch_previous_address_duration ({overlap:?}) \
-         less the margin of {margin:?}: shorten watch_backoff, watch_connect_timeout or watch_first_line_timeout"
+        "after the address of discovery changed, a change would be received after up to {delay:?}, later than \
+         watch_previous_address_duration ({overlap:?}) less the margin of {margin:?}: shorten watch_backoff, \
+         watch_connect_timeout or watch_first_line_timeout"
     )]
     MoveNoticedLate {
-        /// The longest that it may take.
+        /// The longest time until the change is received.
         delay: Duration,
-        /// How long the previous address is still watched.
+        /// How long the previous address is watched in parallel.
         overlap: Duration,
-        /// What has to be left of that time.
+        /// The time that has to remain after the change was received.
         margin: Duration,
     },
-    /// Discovery sends an empty line at this interval when it has no change to report, which must not look like silence.
+    /// A watch would count as silent before discovery sends its next empty line.
     #[error(
-        "watch_silence_timeout is {timeout:?}, expected more than {interval:?}, in which discovery may have nothing to send"
+        "watch_silence_timeout is {timeout:?}, expected more than {interval:?}, the interval \
+         of discovery's empty lines"
     )]
     SilenceTimeoutTooShort {
-        /// When a watch counts as silent.
+        /// The time without a line after which a watch counts as silent.
         timeout: Duration,
         /// The interval of discovery's empty lines.
         interval: Duration,
     },
-    /// A new watch would be closed in favour of later ones before its first line can come.
+    /// A new watch may be closed in favour of newer ones before its first line was due.
     #[error(
-        "a new watch would be closed in favour of others after {evicted_after:?}, before watch_connect_timeout and \
-         watch_first_line_timeout ({timeout:?}) are over: raise max_pending_watches or watch_backoff"
+        "a new watch could be closed in favour of others after {evicted_after:?}, before watch_connect_timeout \
+         and watch_first_line_timeout ({timeout:?}) have expired: raise max_pending_watches or watch_backoff"
     )]
     PendingWatchEvictedEarly {
-        /// When it may be closed.
+        /// The time after which a new watch may be closed.
         evicted_after: Duration,
-        /// How long its first line may take.
+        /// The longest time that a new watch may take to receive its first line.
         timeout: Duration,
     },
 }
 
 impl Limits {
-    /// The longest that a new watch may take to connect and receive its first line: it is not closed in favour of others
-    /// before.
+    /// Returns the longest time that a new watch may take to connect and receive its first line. It is not
+    /// closed in favour of others before.
     pub fn new_watch_timeout(&self) -> Duration {
         self.watch_connect_timeout + self.watch_first_line_timeout
     }
 
-    /// The longest from discovery having a change, and answering new connections, to the endpoint list having it.
+    /// Returns the longest delay, after the current watch fell silent, from the moment that discovery has a
+    /// change and responds to new connections until the endpoint list has the change.
     ///
-    /// A watch that fell silent is noticed after `watch_silence_timeout`. Then a connection is opened at once, or, where
-    /// one was opened just before discovery answered again, after `watch_backoff.max` at the latest, or
-    /// `watch_first_line_timeout` where that one has its response head. Whatever state that one is in (refused, not
-    /// accepted, silent, a head, half a line, reset), it does not delay the next one, which connects within
-    /// `watch_connect_timeout` and receives its first line, with the change, within `watch_first_line_timeout`.
+    /// A silent watch is detected after `watch_silence_timeout`. Then a new connection is opened at once. If
+    /// one was opened just before discovery became responsive, the next one follows after at most
+    /// `watch_backoff.max`, or after `watch_first_line_timeout` if the earlier one has received its response
+    /// head. The state of the earlier connection (refused, not accepted, silent, response head received,
+    /// partial line received, reset) does not delay the next one, which connects within
+    /// `watch_connect_timeout` and receives its first line, with the change, within
+    /// `watch_first_line_timeout`.
     pub fn max_delay_after_silence(&self) -> Duration {
         let next_watch = self.watch_backoff.max.max(self.watch_first_line_timeout);
         self.watch_silence_timeout + next_watch + self.new_watch_timeout()
     }
 
-    /// The same after a move to an address that answers: the last connection may have been opened just before.
+    /// Returns the longest delay of a change after discovery moved to a responsive address. The last
+    /// connection may have been opened just before discovery became responsive there.
     pub fn max_delay_after_move(&self) -> Duration {
         self.watch_backoff.min + self.new_watch_timeout()
     }
 
-    /// Checks that the bounds of discovery's watch are consistent: changes are received before discovery counts them as
-    /// notified.
+    /// Checks that the limits of the discovery watch are consistent, so that changes are received before
+    /// discovery counts them as notified.
     ///
     /// # Errors
-    /// A [`WatchError`] that says which bounds to change.
+    /// A [`WatchError`] that names the limits to change.
     pub fn check_watch(&self) -> Result<(), WatchError> {
         self.check_delay_after_silence()?;
         self.check_delay_after_move()?;
@@ -124,8 +132,8 @@
     }
 
     fn check_pending_watches(&self) -> Result<(), WatchError> {
-        // Watches are opened at least `watch_backoff.min` apart, and a newer one does not replace the oldest but the one
-        // after.
+        // Watches are opened at least `watch_backoff.min` apart. When the limit is reached, a newer watch
+        // replaces the second oldest, not the oldest.
         let newer = self.max_pending_watches.saturating_sub(1).min(MAX_COUNTED_WATCHES) as u32;
         let evicted_after = self.watch_backoff.min * newer;
         let timeout = self.new_watch_timeout();
--- a/settings/src/members.rs
+++ b/settings/src/members.rs
@@ -1,46 +1,47 @@
-//! The table `[members]`: how this router takes part in its fleet. A key that is not known is an error.
+//! The table `[members]` of an operator's file: how this router takes part in the membership protocol of its
+//! fleet. Unknown keys are rejected.
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The protocol period, in milliseconds, where the file sets none.
+/// The default protocol period, in milliseconds.
 const DEFAULT_PROTOCOL_PERIOD_MS: u64 = 500;
-/// What the protocol period may be, in milliseconds.
-const PROTOCOL_PERIOD_MS: RangeInclusive<u64> = 20..=5000;
-/// The longest name, in bytes.
+/// The accepted range of the protocol period, in milliseconds.
+const PROTOCOL_PERIOD_RANGE_MS: RangeInclusive<u64> = 20..=5000;
+/// The maximum length of a router's name, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// What can be wrong with the table; each message names the key and what may stand there.
+/// Errors in the table `[members]`; each message names the key and the accepted values.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// A key is missing, not known, or of another kind; the text of the deserializer names it.
+    /// A key is missing, is unknown, or has a value of the wrong type; the deserializer's message names it.
     #[error("{0}")]
     Table(String),
-    /// The name is empty, too long, or holds a character that names may not hold.
+    /// The router's name is empty, too long, or contains a character that is not allowed.
     #[error("expected 1 to 64 letters, digits, '.', '_' or '-' in 'name', found '{0}'")]
     Name(String),
-    /// The address is not one that members can have.
+    /// An address is not an IPv4 loopback address with a port.
     #[error("expected ip:port of 127.0.0.0/8 in '{key}', found '{found}'")]
     Address {
-        /// The key.
+        /// Name of the faulty key.
         key: &'static str,
-        /// What stands there.
+        /// The value found in the table.
         found: String,
     },
-    /// The cluster's name, by which datagrams of other fleets are recognized, is empty.
-    #[error("expected something in 'cluster'")]
+    /// The cluster's name is empty. It distinguishes the datagrams of this fleet from those of others.
+    #[error("expected a non-empty name in 'cluster', found an empty one")]
     Cluster,
-    /// The protocol period is out of its range.
+    /// The protocol period is outside the accepted range.
     #[error("expected 20 to 5000 in 'rhythm_ms', found {0}")]
     ProtocolPeriod(u64),
-    /// The smallest number of routers to count with is out of its range.
+    /// The minimum number of routers for capacity shares is outside the accepted range.
     #[error("expected 1 to 'mysql.routers' ({routers}) in 'least', found {found}")]
     MinCountedRouters {
-        /// The highest that may stand there: the size of the whole fleet.
+        /// The highest accepted value, which is the size of the whole fleet.
         routers: u32,
-        /// What stands there.
+        /// The value found in the table.
         found: u32,
     },
 }
@@ -48,24 +49,26 @@
 /// How a router takes part in the membership protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipConfig {
-    /// Its name; no two routers of the fleet share one at a time.
+    /// The router's name, unique among the running routers of the fleet.
     pub name: String,
-    /// Where it receives datagrams (UDP).
+    /// The UDP address at which the router receives datagrams.
     pub listen: SocketAddrV4,
-    /// The address that the others send to, where that is not `listen`.
+    /// The address to which other routers send datagrams, if it differs from `listen`.
     pub advertised_address: Option<SocketAddrV4>,
-    /// Addresses of any routers of the fleet to join by; none for the first.
+    /// Addresses of routers of the fleet that are asked to join it; empty for the first router.
     pub seeds: Vec<SocketAddrV4>,
-    /// The fleet's name; not empty.
+    /// The fleet's name in datagrams; not empty.
     pub cluster: String,
-    /// The protocol period (20 ms to 5 s): one member is probed in each; every other time of membership is in proportion.
+    /// The protocol period (20 ms to 5 s). One member is probed in each period; all other timeouts of the
+    /// membership protocol are multiples of it.
     pub protocol_period: Duration,
-    /// Shares of the capacity are computed for at least this many routers, however few are alive.
+    /// Minimum number of routers for computing this router's share of server capacity, even if fewer are
+    /// alive.
     pub min_counted_routers: u32,
 }
 
-/// The table as it stands in the file, before it is checked. Messages of errors contain its name,
-/// which therefore stays.
+/// The table `[members]` as deserialized from the file, before validation. Error messages contain the name of
+/// this type.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Raw {
@@ -86,8 +89,8 @@
     }
 }
 
-/// Reads the table. `routers` is the size of the whole fleet, as `mysql.routers` has it; `least` is half of it where it
-/// is not set.
+/// Reads and validates the table `[members]`. `routers` is the size of the whole fleet (`mysql.routers`);
+/// `least` defaults to half of it.
 ///
 /// # Errors
 /// An [`Error`] that names the faulty key.
@@ -101,7 +104,7 @@
         return Err(Error::Cluster);
     }
     let period_ms = table.rhythm_ms.unwrap_or(DEFAULT_PROTOCOL_PERIOD_MS);
-    if !PROTOCOL_PERIOD_MS.contains(&period_ms) {
+    if !PROTOCOL_PERIOD_RANGE_MS.contains(&period_ms) {
         return Err(Error::ProtocolPeriod(period_ms));
     }
     let routers = routers.max(1);
--- a/settings/src/operator.rs
+++ b/settings/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operator's TOML file: the `MySQL` front, its classes, rules and servers, and the tables beside it. A key that is
-//! not known is an error.
+//! The operator's TOML file: the `MySQL` front end with its classes, rules and servers, and the optional
+//! tables of the other components. Unknown keys are rejected.
 mod config;
 mod credentials;
 mod log;
--- a/settings/src/operator/config.rs
+++ b/settings/src/operator/config.rs
@@ -1,10 +1,10 @@
-//! All tables of the operator's file together.
+//! The complete configuration of an operator's file.
 use super::log::{self, LogConfig, RecordingConfig};
 use super::mysql::{self, MysqlConfig};
 use super::registry::{self, RegistryConfig};
 use super::sessions::{self, SessionsConfig};
 use super::store::{self, StoreConfig};
-use super::table::{only, optional_table};
+use super::table::{check_keys, optional_table};
 use crate::error::Error;
 use crate::fields::field;
 use crate::fleet::FleetMemberConfig;
@@ -13,37 +13,39 @@
 use decision::Settings;
 use serde_json::Value;
 
-/// All that the operator's file sets.
+/// The complete configuration of an operator's file, validated and with defaults applied.
 #[derive(Clone, Debug)]
 pub struct OperatorConfig {
-    /// The recording, where one is wanted.
+    /// Settings of the traffic recording; `None` if nothing is recorded.
     pub recording: Option<RecordingConfig>,
-    /// The log.
+    /// Settings of the log output.
     pub log: LogConfig,
-    /// The registry, where one is followed.
+    /// Settings of the registry; `None` if the node list does not come from a registry.
     pub registry: Option<RegistryConfig>,
-    /// The table `[members]`, where this router follows which routers of its fleet are alive.
+    /// Settings of the membership protocol; `None` if this router does not track which routers of its fleet
+    /// are alive.
     pub members: Option<MembershipConfig>,
-    /// Sessions across restarts and instances, where they are wanted.
+    /// Settings for sharing session commits across restarts and router instances; `None` if they are not
+    /// shared.
     pub sessions: Option<SessionsConfig>,
-    /// The store; a single node in memory where the file has no `[store]`.
+    /// Settings of the replicated store; a single in-memory node if the file has no `[store]`.
     pub store: StoreConfig,
-    /// The `MySQL` front.
+    /// Settings of the `MySQL` front end.
     pub mysql: MysqlConfig,
     /// The settings of the decision logic.
     pub settings: Settings,
-    /// Every bound of the program.
+    /// The size limits, count limits and timeouts of the program.
     pub limits: Limits,
-    /// The table `[fleet]`, where this router belongs to a fleet.
+    /// Settings of the fleet; `None` if this router belongs to none.
     pub fleet: Option<FleetMemberConfig>,
-    /// The file as it was parsed, for [`reload`](super::reload()) to compare a later one with.
+    /// The parsed file, with which [`reload`](super::reload()) compares a later version.
     pub parsed_file: Value,
 }
 
-/// Reads the file's text.
+/// Parses and validates the text of an operator's file.
 ///
 /// # Errors
-/// An [`Error`] that names the faulty key and what may stand there; nothing of the file is used then.
+/// An [`Error`] that names the faulty key and the accepted values; the whole file is rejected.
 pub fn read(toml: &str) -> Result<OperatorConfig, Error> {
     from_value(parse(toml)?)
 }
@@ -53,7 +55,7 @@
 }
 
 pub(super) fn from_value(v: Value) -> Result<OperatorConfig, Error> {
-    only(&v, &["mysql", "store", "record", "sessions", "log", "registry", "fleet", "members"])?;
+    check_keys(&v, &["mysql", "store", "record", "sessions", "log", "registry", "fleet", "members"])?;
     let fleet = optional_table(&v, "fleet", |t| Ok(crate::fleet::read_member(t)?))?;
     let registry = optional_table(&v, "registry", registry::read_registry)?;
     let mut sessions = optional_table(&v, "sessions", sessions::read_sessions)?;
--- a/settings/src/operator/credentials.rs
+++ b/settings/src/operator/credentials.rs
@@ -1,10 +1,10 @@
-//! A user's name and password.
+//! Credentials of a database or registry user.
 
-/// The name and the password of a user.
+/// The name and password of a database or registry user.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Credentials {
-    /// The name.
+    /// The user's name.
     pub user: String,
-    /// The password, in plain text.
+    /// The user's password, in plain text.
     pub password: String,
 }
--- a/settings/src/operator/log.rs
+++ b/settings/src/operator/log.rs
@@ -1,17 +1,17 @@
-//! The tables `[log]` and `[record]`: the log, and the recording of what clients ask.
-use super::table::{only, or, owned, positive};
+//! The tables `[log]` and `[record]`: log output and the recording of client traffic.
+use super::table::{check_keys, owned_string, positive_number, value_or};
 use crate::error::Error;
 use serde_json::Value;
 
-/// Bytes in a megabyte of `record.capacity_mb`.
+/// Number of bytes per megabyte in `record.capacity_mb`.
 const BYTES_PER_MB: f64 = 1e6;
 
-/// The log.
+/// The table `[log]`: settings of the log output.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogConfig {
-    /// The lowest level that is written: error, warn, info, debug or trace.
+    /// The least severe level that is written: error, warn, info, debug or trace.
     pub level: String,
-    /// Lines are JSON objects instead of text.
+    /// Write log lines as JSON objects instead of text.
     pub json: bool,
 }
 
@@ -21,23 +21,23 @@
     }
 }
 
-/// A recording of what the front serves, as a packet capture.
+/// The table `[record]`: the recording of client traffic as a packet capture.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordingConfig {
-    /// Path of the capture file, which each start overwrites.
+    /// Path of the capture file, which is overwritten at each start.
     pub file: String,
-    /// The recording stops when the file has this many bytes.
+    /// The size at which the recording stops, in bytes.
     pub max_bytes: u64,
 }
 
 pub(super) fn read_log(v: &Value) -> Result<LogConfig, Error> {
-    only(v, &["level", "format"])?;
-    let level = or(v, "level", "info".to_string(), owned)?;
+    check_keys(v, &["level", "format"])?;
+    let level = value_or(v, "level", "info".to_string(), owned_string)?;
     if !["error", "warn", "info", "debug", "trace"].contains(&level.as_str()) {
         let known = "error, warn, info, debug or trace";
         return Err(Error::invalid_value("level", known, format_args!("'{level}'")));
     }
-    let json = match or(v, "format", "text".to_string(), owned)?.as_str() {
+    let json = match value_or(v, "format", "text".to_string(), owned_string)?.as_str() {
         "text" => false,
         "json" => true,
         x => return Err(Error::invalid_value("format", "text or json", format_args!("'{x}'"))),
@@ -46,9 +46,9 @@
 }
 
 pub(super) fn read_record(v: &Value) -> Result<RecordingConfig, Error> {
-    only(v, &["file", "capacity_mb"])?;
+    check_keys(v, &["file", "capacity_mb"])?;
     Ok(RecordingConfig {
-        file: owned(v, "file")?,
-        max_bytes: (positive(v, "capacity_mb")? * BYTES_PER_MB) as u64,
+        file: owned_string(v, "file")?,
+        max_bytes: (positive_number(v, "capacity_mb")? * BYTES_PER_MB) as u64,
     })
 }
--- a/settings/src/operator/mysql.rs
+++ b/settings/src/operator/mysql.rs
@@ -1,5 +1,5 @@
-//! The table `[mysql]`: the `MySQL` front, its users, classes, rules and servers, and the bounds and decision settings
-//! that follow from it.
+//! The table `[mysql]`: the `MySQL` front end with its users, classes, rules and servers, and the program
+//! limits and settings of the decision logic that are derived from it.
 mod bounds;
 mod classes;
 mod config;
--- a/settings/src/operator/mysql/bounds.rs
+++ b/settings/src/operator/mysql/bounds.rs
@@ -1,61 +1,64 @@
-//! The bounds of the program and the settings of the decision logic that follow from the table.
+//! Program limits and settings of the decision logic, derived from the table `[mysql]`.
 use crate::error::Error;
 use crate::fields::{number, unsigned_integer};
 use crate::limits::{Limits, ProcessResources, RequestTimes};
-use crate::operator::table::{or, positive};
+use crate::operator::table::{positive_number, value_or};
 use decision::{Class, LaggingReplica, SessionCommitSource, Settings};
 use serde_json::Value;
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The longest time to connect and the largest clock skew, in milliseconds; higher ones count as this.
-const MAX_SHORT_MS: f64 = 60_000.0;
-/// The longest time that a server may leave a connection idle, in seconds: a day. Longer ones count as this.
-const MAX_IDLE_S: f64 = 86_400.0;
-/// The largest offset of the clock, in milliseconds: a day. Larger ones count as this.
+/// Upper limit of the connect timeout and of the clock skew, in milliseconds; higher values are clamped.
+const MAX_CONNECT_AND_SKEW_MS: f64 = 60_000.0;
+/// Upper limit of the servers' idle timeout for connections, in seconds (one day); higher values are clamped.
+const MAX_SERVER_IDLE_S: f64 = 86_400.0;
+/// Upper limit of the clock offset, in milliseconds (one day); larger offsets are clamped.
 const MAX_CLOCK_OFFSET_MS: f64 = 86_400_000.0;
-/// What the memory may be, in MiB; the nearest of these where the file has another.
-const MEMORY_MB: RangeInclusive<u64> = 16..=1 << 20;
-/// How long `MySQL` clients may stay idle: they keep sessions with prepared statements, and servers let them for as long.
-const CLIENT_IDLE: Duration = Duration::from_hours(8);
+/// The accepted range of the memory limit, in MiB; values outside are clamped.
+const MEMORY_RANGE_MB: RangeInclusive<u64> = 16..=1 << 20;
+/// Idle timeout of `MySQL` clients. It is as long as that of `MySQL` servers, because clients keep sessions
+/// with prepared statements open.
+const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_hours(8);
 
-/// The time within which a connection to a server is made.
+/// Reads the timeout for opening a connection to a server.
 pub(super) fn read_connect_timeout(v: &Value) -> Result<Duration, Error> {
-    let connect_ms = or(v, "connect_ms", 250.0, positive)?.min(MAX_SHORT_MS);
+    let connect_ms = value_or(v, "connect_ms", 250.0, positive_number)?.min(MAX_CONNECT_AND_SKEW_MS);
     Ok(Duration::from_secs_f64(connect_ms / 1000.0))
 }
 
-/// The bounds of the program.
+/// Derives the program limits from the table `[mysql]`.
 pub(super) fn read_limits(
     v: &Value,
     connect_timeout: Duration,
     deadlines_ms: &[u64],
 ) -> Result<Limits, Error> {
-    let backend_keepalive = Duration::from_secs_f64(or(v, "idle_s", 60.0, positive)?.min(MAX_IDLE_S));
+    let backend_keepalive =
+        Duration::from_secs_f64(value_or(v, "idle_s", 60.0, positive_number)?.min(MAX_SERVER_IDLE_S));
     let longest_deadline = Duration::from_millis(deadlines_ms.iter().max().copied().unwrap_or(2000));
-    let sockets = or(v, "sockets", 1024, unsigned_integer)? as usize;
-    let memory_mb =
-        or(v, "memory_mb", 256, unsigned_integer)?.clamp(*MEMORY_MB.start(), *MEMORY_MB.end()) as usize;
+    let sockets = value_or(v, "sockets", 1024, unsigned_integer)? as usize;
+    let memory_mb = value_or(v, "memory_mb", 256, unsigned_integer)?
+        .clamp(*MEMORY_RANGE_MB.start(), *MEMORY_RANGE_MB.end()) as usize;
     let resources = ProcessResources { descriptors: sockets, memory_bytes: memory_mb << 20 };
     let times = RequestTimes { connect_timeout, backend_keepalive, longest_deadline };
     let mut limits = Limits::new(resources, times);
-    limits.max_message_bytes = or(v, "message_bytes", 512 * 1024, unsigned_integer)? as usize;
+    limits.max_message_bytes = value_or(v, "message_bytes", 512 * 1024, unsigned_integer)? as usize;
     limits.max_response_bytes =
-        or(v, "answer_bytes", limits.max_response_bytes as u64, unsigned_integer)? as usize;
-    limits.client_idle_timeout = CLIENT_IDLE;
-    limits.client_idle_timeout_when_crowded = CLIENT_IDLE;
-    limits.client_first_request_timeout = CLIENT_IDLE;
-    // These connections are not checked before use: one that is stale must not keep a server's place.
+        value_or(v, "answer_bytes", limits.max_response_bytes as u64, unsigned_integer)? as usize;
+    limits.client_idle_timeout = CLIENT_IDLE_TIMEOUT;
+    limits.client_idle_timeout_when_crowded = CLIENT_IDLE_TIMEOUT;
+    limits.client_first_request_timeout = CLIENT_IDLE_TIMEOUT;
+    // `MySQL` backend connections are not checked before use: a stale one must not occupy a connection slot
+    // of a server.
     limits.backend_idle_timeout = limits.max_unchecked_idle_time;
-    let clock_skew_ms = or(v, "clock_skew_ms", 50.0, positive)?.min(MAX_SHORT_MS);
+    let clock_skew_ms = value_or(v, "clock_skew_ms", 50.0, positive_number)?.min(MAX_CONNECT_AND_SKEW_MS);
     limits.max_clock_skew = Duration::from_secs_f64(clock_skew_ms / 1000.0);
-    let clock_offset_ms = or(v, "clock_offset_ms", 0.0, number)?;
+    let clock_offset_ms = value_or(v, "clock_offset_ms", 0.0, number)?;
     limits.clock_offset_us =
         (clock_offset_ms.clamp(-MAX_CLOCK_OFFSET_MS, MAX_CLOCK_OFFSET_MS) * 1000.0) as i64;
     Ok(limits)
 }
 
-/// The settings of the decision logic. Times are in microseconds.
+/// Returns the settings of the decision logic. Times are in microseconds.
 pub(super) fn decision_settings(
     classes: Vec<Class>,
     router_count: u32,
@@ -68,9 +71,11 @@
         router_count,
         zone: 0,
         min_event_interval: 5_000,
-        // A replica answers from the state that it has: a read goes only where it is proved to be fresh enough.
+        // A lagging replica responds with stale data, so reads are routed only to replicas that are known to
+        // be fresh enough.
         lagging_replica: LaggingReplica::AnswersStale,
-        // The front carries what a session must see: it may come from another instance, or from before a restart.
+        // Each request carries the commits that its session must see: they may come from another router
+        // instance, or from before a restart.
         session_commit_source: SessionCommitSource::CarriedByRequest,
         hedging_allowed: true,
         max_attempts: 6,
--- a/settings/src/operator/mysql/config.rs
+++ b/settings/src/operator/mysql/config.rs
@@ -1,16 +1,16 @@
-//! The table `[mysql]`, read and checked.
+//! Reads and validates the table `[mysql]`.
 use super::bounds::{decision_settings, read_connect_timeout, read_limits};
 use super::classes::{NamedClass, read_classes};
 use crate::error::Error;
 use crate::fields::{boolean, string, unsigned_integer};
 use crate::limits::Limits;
 use crate::operator::credentials::Credentials;
-use crate::operator::table::{each, only, optional, or, owned, positive};
+use crate::operator::table::{check_keys, optional, owned_string, positive_number, read_tables, value_or};
 use decision::{Freshness, Settings};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The keys of the table.
+/// The keys of the table `[mysql]`.
 const KEYS: [&str; 22] = [
     "listen",
     "site",
@@ -36,98 +36,99 @@
     "server",
 ];
 
-/// A rule that gives statements their class and group by their beginning.
+/// A rule that assigns statements with a given prefix to a class and a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatementRule {
-    /// The beginning, in lower case with single spaces.
+    /// The prefix of matching statements, in lower case and with single spaces.
     pub prefix: String,
-    /// Position of the class in [`MysqlConfig::class_names`].
+    /// Index of the class in [`MysqlConfig::class_names`].
     pub class: usize,
-    /// The group of servers.
+    /// The replication group that serves matching statements.
     pub group: u32,
 }
 
-/// A server of the list at the first start.
+/// A database server of the initial server list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its id.
+    /// The server's unique id.
     pub id: String,
-    /// Where it listens.
+    /// The address at which the server listens.
     pub addr: SocketAddr,
-    /// Its group.
+    /// The replication group to which the server belongs.
     pub group: u32,
-    /// Its capacity in proportion to others; above 0.
+    /// The server's capacity relative to other servers; above 0.
     pub weight: f64,
-    /// Its site, where the file names one.
+    /// The server's site, if configured.
     pub site: Option<String>,
 }
 
-/// The `MySQL` front and its connections to servers.
+/// Settings of the `MySQL` front end and of its connections to servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MysqlConfig {
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: String,
-    /// The router's own site: servers of the same site are preferred.
+    /// The router's own site; servers at the same site are preferred.
     pub site: Option<String>,
-    /// The one database.
+    /// The name of the only database that clients can use.
     pub database: String,
-    /// Names and passwords of the clients' users.
+    /// Credentials with which clients log in.
     pub users: Vec<Credentials>,
-    /// The router's user at the servers.
+    /// The user name with which the router logs in to servers.
     pub server_user: String,
-    /// The password of `server_user`; empty where the file sets none.
+    /// The password of `server_user`; empty if not configured.
     pub server_password: String,
-    /// The health check's statement: whether a server is read-only, and its heartbeat in Unix milliseconds.
+    /// The SQL statement of the health check. It returns whether a server is read-only and its heartbeat in
+    /// Unix milliseconds.
     pub health_check_statement: String,
-    /// The names of all classes: those of the file, then `unknown` and `prepare`.
+    /// The names of all classes: those of the file, then the built-in `unknown` and `prepare`.
     pub class_names: Vec<String>,
-    /// Which of them only read.
+    /// For each class, whether its statements only read.
     pub class_is_read: Vec<bool>,
-    /// Their deadlines in milliseconds.
+    /// For each class, its deadline in milliseconds.
     pub class_deadlines_ms: Vec<u64>,
-    /// Position of the class of statements that no rule names: a write that must not run twice.
+    /// Index of the class for statements that match no rule: non-idempotent writes.
     pub unknown_class: usize,
-    /// Position of the class for preparing a statement, which runs nothing.
+    /// Index of the class for preparing a statement without executing it.
     pub prepare_class: usize,
-    /// The group of statements whose rule names none.
+    /// The replication group of statements whose rule names no group.
     pub default_group: u32,
-    /// The rules; the first that matches counts.
+    /// The statement rules; the first match applies.
     pub rules: Vec<StatementRule>,
-    /// The servers at the first start.
+    /// The initial server list, used at the first start.
     pub servers: Vec<Server>,
-    /// Health checks return the server's clock as their third cell.
+    /// The health check statement returns the server's clock in its third column.
     pub health_check_returns_clock: bool,
-    /// Which classes' reads must see what their session has written.
+    /// For each class, whether its reads must see the commits of their session.
     pub class_uses_session: Vec<bool>,
 }
 
-/// Reads the table, and what follows from it for the decision logic and the program's bounds.
+/// Reads the table `[mysql]` and derives the settings of the decision logic and the program limits from it.
 pub(in crate::operator) fn read_mysql(v: &Value) -> Result<(MysqlConfig, Settings, Limits), Error> {
-    only(v, &KEYS)?;
+    check_keys(v, &KEYS)?;
     let classes = read_classes(v)?;
     let mysql = read_front(v, &classes)?;
     let connect_timeout = read_connect_timeout(v)?;
     let limits = read_limits(v, connect_timeout, &mysql.class_deadlines_ms)?;
-    let router_count = or(v, "routers", 1, unsigned_integer)?.max(1) as u32;
+    let router_count = value_or(v, "routers", 1, unsigned_integer)?.max(1) as u32;
     let classes = classes.into_iter().map(|named| named.class).collect();
     Ok((mysql, decision_settings(classes, router_count, connect_timeout), limits))
 }
 
-/// `classes` end in the two of the program.
+/// Reads the settings of the front end. The last two `classes` are the built-in `unknown` and `prepare`.
 fn read_front(v: &Value, classes: &[NamedClass]) -> Result<MysqlConfig, Error> {
-    let group = or(v, "group", 0, unsigned_integer)? as u32;
+    let group = value_or(v, "group", 0, unsigned_integer)? as u32;
     let for_each_class =
         |is: fn(Freshness) -> bool| classes.iter().map(|named| is(named.class.freshness)).collect();
     Ok(MysqlConfig {
-        listen: owned(v, "listen")?,
-        site: optional(v, "site", owned)?,
-        database: owned(v, "database")?,
-        users: each(v, "user", read_user)?,
-        server_user: owned(v, "server_user")?,
-        server_password: or(v, "server_password", String::new(), owned)?,
-        health_check_statement: owned(v, "probe")?,
-        rules: each(v, "rule", |rule| read_rule(rule, classes, group))?,
-        servers: each(v, "server", read_server)?,
+        listen: owned_string(v, "listen")?,
+        site: optional(v, "site", owned_string)?,
+        database: owned_string(v, "database")?,
+        users: read_tables(v, "user", read_user)?,
+        server_user: owned_string(v, "server_user")?,
+        server_password: value_or(v, "server_password", String::new(), owned_string)?,
+        health_check_statement: owned_string(v, "probe")?,
+        rules: read_tables(v, "rule", |rule| read_rule(rule, classes, group))?,
+        servers: read_tables(v, "server", read_server)?,
         health_check_returns_clock: boolean(v, "server_clock")?,
         class_uses_session: for_each_class(|freshness| freshness == Freshness::Session),
         class_is_read: for_each_class(|freshness| freshness != Freshness::Write),
@@ -140,29 +141,29 @@
 }
 
 fn read_user(v: &Value) -> Result<Credentials, Error> {
-    only(v, &["name", "password"])?;
-    Ok(Credentials { user: owned(v, "name")?, password: owned(v, "password")? })
+    check_keys(v, &["name", "password"])?;
+    Ok(Credentials { user: owned_string(v, "name")?, password: owned_string(v, "password")? })
 }
 
 fn read_rule(v: &Value, classes: &[NamedClass], default_group: u32) -> Result<StatementRule, Error> {
-    only(v, &["starts", "class", "group"])?;
+    check_keys(v, &["starts", "class", "group"])?;
     let class = string(v, "class")?;
-    let position = classes.iter().position(|named| named.name == class);
+    let index = classes.iter().position(|named| named.name == class);
     let starts = string(v, "starts")?.split_whitespace().collect::<Vec<_>>().join(" ").to_lowercase();
     Ok(StatementRule {
         prefix: starts,
-        class: position
+        class: index
             .ok_or_else(|| Error::invalid_value("class", "a listed class", format_args!("'{class}'")))?,
-        group: or(v, "group", u64::from(default_group), unsigned_integer)? as u32,
+        group: value_or(v, "group", u64::from(default_group), unsigned_integer)? as u32,
     })
 }
 
 fn read_server(v: &Value) -> Result<Server, Error> {
-    only(v, &["id", "addr", "group", "weight", "site"])?;
+    check_keys(v, &["id", "addr", "group", "weight", "site"])?;
     let addr = string(v, "addr")?;
     let addr = addr.parse().map_err(|_| Error::invalid_value("addr", "ip:port", format_args!("'{addr}'")))?;
-    let group = or(v, "group", 0, unsigned_integer)? as u32;
-    let weight = or(v, "weight", 1.0, positive)?;
-    let site = optional(v, "site", owned)?;
-    Ok(Server { id: owned(v, "id")?, addr, group, weight, site })
+    let group = value_or(v, "group", 0, unsigned_integer)? as u32;
+    let weight = value_or(v, "weight", 1.0, positive_number)?;
+    let site = optional(v, "site", owned_string)?;
+    Ok(Server { id: owned_string(v, "id")?, addr, group, weight, site })
 }
--- a/settings/src/operator/registry.rs
+++ b/settings/src/operator/registry.rs
@@ -1,6 +1,8 @@
-//! The table `[registry]`: the key-value registry from which the node list is followed.
+//! The table `[registry]`: the key-value registry from which the router reads and watches the node list.
 use super::credentials::Credentials;
-use super::table::{only, optional, optional_table, or, owned, positive, seconds};
+use super::table::{
+    check_keys, duration_from_seconds, optional, optional_table, owned_string, positive_number, value_or,
+};
 use crate::error::Error;
 use crate::fields::{string, strings};
 use ipnet::IpNet;
@@ -8,7 +10,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// The keys of the table.
+/// The keys of the table `[registry]`.
 const KEYS: [&str; 19] = [
     "kind",
     "endpoints",
@@ -31,107 +33,108 @@
     "zone",
 ];
 
-/// The shortest lifetime of a registration.
+/// The shortest time to live of a registration.
 const MIN_TTL: Duration = Duration::from_secs(1);
 
-/// Which interface a registry has.
+/// The protocol of a registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistryKind {
-    /// etcd's JSON gateway, version 3.
+    /// The JSON gateway of etcd, version 3.
     Etcd,
-    /// Consul's HTTP interface.
+    /// The HTTP API of Consul.
     Consul,
 }
 
-/// Paths of the PEM files for TLS to the registry.
+/// TLS settings for connections to the registry; the files are in PEM format.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegistryTls {
-    /// The certificate authority of the registry's certificate.
+    /// Path of the certificate of the certificate authority that signed the registry's certificate.
     pub ca_path: String,
-    /// This router's certificate; set together with `key`.
+    /// Path of this router's client certificate; set together with `key_path`.
     pub cert_path: Option<String>,
-    /// The private key of `cert`.
+    /// Path of the private key of this router's client certificate.
     pub key_path: Option<String>,
-    /// The name in the registry's certificate; the address of the endpoint where it is not set.
+    /// The server name expected in the registry's certificate; defaults to the address of the endpoint.
     pub server_name: Option<String>,
 }
 
-/// A key-value registry that is followed.
+/// Settings of the key-value registry from which the node list is read and watched.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegistryConfig {
-    /// Its interface.
+    /// The protocol of the registry.
     pub kind: RegistryKind,
-    /// The addresses of its members; at least one.
+    /// The addresses of the registry's servers; at least one.
     pub endpoints: Vec<SocketAddr>,
-    /// What all keys begin with; starts and ends with a slash.
+    /// The prefix of all keys; starts and ends with a slash.
     pub prefix: String,
-    /// Consul: the service whose instances are nodes.
+    /// Consul only: the service whose instances are used as nodes.
     pub service: Option<String>,
-    /// etcd: user and password.
+    /// etcd only: user and password.
     pub credentials: Option<Credentials>,
-    /// Consul: the access token.
+    /// Consul only: the access token.
     pub access_token: Option<String>,
-    /// TLS to the registry; without it connections are plain.
+    /// TLS settings; `None` for unencrypted connections.
     pub tls: Option<RegistryTls>,
-    /// Networks that nodes may be in; any where the list is empty.
+    /// Networks in which nodes may be; an empty list allows all networks.
     pub allowed_networks: Vec<IpNet>,
-    /// Networks that nodes may not be in.
+    /// Networks in which nodes must not be.
     pub denied_networks: Vec<IpNet>,
-    /// While the list is not older than this, every node gets new requests.
+    /// Up to this age of the node list, all nodes receive new requests.
     pub max_fresh_age: Duration,
-    /// Once the list is older than this, no node gets new requests; without it there is no such age. Not below
+    /// Above this age of the node list, no node receives new requests; `None` for no limit. At least
     /// `max_fresh_age`.
     pub max_usable_age: Option<Duration>,
-    /// Where more than this share (above 0, at most 1) of the nodes vanishes at once, they stay listed for
+    /// If more than this share (above 0, at most 1) of the nodes is removed at once, they stay listed for
     /// `mass_removal_delay`.
     pub mass_removal_share: f64,
-    /// How long nodes that vanished together stay listed.
+    /// How long nodes stay listed after a mass removal.
     pub mass_removal_delay: Duration,
-    /// A registry whose revision is behind for this long counts as restored from a backup.
+    /// A registry whose revision stays lower than an earlier one for this long is treated as restored from a
+    /// backup.
     pub restore_detection_delay: Duration,
-    /// Folder of the last list, for a start without the registry.
+    /// Folder in which the latest node list is stored, for a start while the registry is unavailable.
     pub list_folder: Option<String>,
-    /// The name under which this router registers itself; without it, it does not.
+    /// The name under which this router registers itself; `None` if it does not register.
     pub registration_name: Option<String>,
-    /// How long a registration outlives this router; at least 1 s.
+    /// The time to live of the registration after this router stops renewing it; at least 1 s.
     pub registration_ttl: Duration,
-    /// This router's zone; empty where the file sets none.
+    /// This router's zone; empty if not configured.
     pub zone: String,
 }
 
 pub(super) fn read_registry(v: &Value) -> Result<RegistryConfig, Error> {
-    only(v, &KEYS)?;
+    check_keys(v, &KEYS)?;
     let kind = read_kind(v)?;
     let endpoints = read_endpoints(v)?;
     let prefix = read_prefix(v)?;
-    let mass_removal_share = or(v, "held_share", 0.5, positive)?;
+    let mass_removal_share = value_or(v, "held_share", 0.5, positive_number)?;
     if mass_removal_share > 1.0 {
         return Err(Error::invalid_value("held_share", "at most 1", mass_removal_share));
     }
     let credentials = read_credentials(v)?;
     let ListAges { max_fresh_age, max_usable_age } = read_list_ages(v)?;
     if kind == RegistryKind::Etcd && v.get("service").is_some() {
-        return Err(Error::invalid("'service' with consul only", "it with etcd"));
+        return Err(Error::invalid("'service' only with kind 'consul'", "it with kind 'etcd'"));
     }
     Ok(RegistryConfig {
         kind,
         endpoints,
         prefix,
-        service: optional(v, "service", owned)?,
+        service: optional(v, "service", owned_string)?,
         credentials,
-        access_token: optional(v, "token", owned)?,
+        access_token: optional(v, "token", owned_string)?,
         tls: optional_table(v, "tls", read_tls)?,
         allowed_networks: read_networks(v, "allow")?,
         denied_networks: read_networks(v, "deny")?,
         max_fresh_age,
         max_usable_age,
         mass_removal_share,
-        mass_removal_delay: seconds(v, "held_s", 60.0)?,
-        restore_detection_delay: seconds(v, "restored_after_s", 10.0)?,
-        list_folder: optional(v, "folder", owned)?,
-        registration_name: optional(v, "register", owned)?,
-        registration_ttl: seconds(v, "ttl_s", 10.0)?.max(MIN_TTL),
-        zone: or(v, "zone", String::new(), owned)?,
+        mass_removal_delay: duration_from_seconds(v, "held_s", 60.0)?,
+        restore_detection_delay: duration_from_seconds(v, "restored_after_s", 10.0)?,
+        list_folder: optional(v, "folder", owned_string)?,
+        registration_name: optional(v, "register", owned_string)?,
+        registration_ttl: duration_from_seconds(v, "ttl_s", 10.0)?.max(MIN_TTL),
+        zone: value_or(v, "zone", String::new(), owned_string)?,
     })
 }
 
@@ -149,7 +152,7 @@
         a.parse().map_err(invalid)
     };
     let endpoints: Vec<SocketAddr> =
-        or(v, "endpoints", Vec::new(), strings)?.into_iter().map(address).collect::<Result<_, _>>()?;
+        value_or(v, "endpoints", Vec::new(), strings)?.into_iter().map(address).collect::<Result<_, _>>()?;
     if endpoints.is_empty() {
         return Err(Error::invalid_value("endpoints", "an address", "none"));
     }
@@ -159,26 +162,26 @@
 fn read_prefix(v: &Value) -> Result<String, Error> {
     let prefix = string(v, "prefix")?.trim_matches('/');
     if prefix.is_empty() {
-        return Err(Error::invalid_value("prefix", "something", "nothing but slashes"));
+        return Err(Error::invalid_value("prefix", "a non-empty key prefix", "only slashes"));
     }
     Ok(format!("/{prefix}/"))
 }
 
 fn read_credentials(v: &Value) -> Result<Option<Credentials>, Error> {
-    let Some(user) = optional(v, "user", owned)? else { return Ok(None) };
-    Ok(Some(Credentials { user, password: owned(v, "password")? }))
+    let Some(user) = optional(v, "user", owned_string)? else { return Ok(None) };
+    Ok(Some(Credentials { user, password: owned_string(v, "password")? }))
 }
 
-/// How old the list may be.
+/// Age limits of the node list.
 struct ListAges {
     max_fresh_age: Duration,
     max_usable_age: Option<Duration>,
 }
 
-/// The ages `fresh_s` and `last_s`.
+/// Reads the age limits `fresh_s` and `last_s`.
 fn read_list_ages(v: &Value) -> Result<ListAges, Error> {
-    let max_usable_age = optional(v, "last_s", |v, key| seconds(v, key, 0.0))?;
-    let max_fresh_age = seconds(v, "fresh_s", 10.0)?;
+    let max_usable_age = optional(v, "last_s", |v, key| duration_from_seconds(v, key, 0.0))?;
+    let max_fresh_age = duration_from_seconds(v, "fresh_s", 10.0)?;
     match max_usable_age {
         Some(usable) if usable < max_fresh_age => {
             let found = format!("{} below {}", usable.as_secs_f64(), max_fresh_age.as_secs_f64());
@@ -189,12 +192,12 @@
 }
 
 fn read_tls(v: &Value) -> Result<RegistryTls, Error> {
-    only(v, &["ca", "cert", "key", "server_name"])?;
+    check_keys(v, &["ca", "cert", "key", "server_name"])?;
     let tls = RegistryTls {
-        ca_path: owned(v, "ca")?,
-        cert_path: optional(v, "cert", owned)?,
-        key_path: optional(v, "key", owned)?,
-        server_name: optional(v, "server_name", owned)?,
+        ca_path: owned_string(v, "ca")?,
+        cert_path: optional(v, "cert", owned_string)?,
+        key_path: optional(v, "key", owned_string)?,
+        server_name: optional(v, "server_name", owned_string)?,
     };
     match (&tls.cert_path, &tls.key_path) {
         (Some(_), None) => Err(Error::invalid("'cert' and 'key' together", "'cert' alone")),
@@ -203,12 +206,12 @@
     }
 }
 
-/// A list of networks; an address alone stands for the network of just that address.
+/// Reads a list of networks; a single address is read as the network that contains only that address.
 fn read_networks(v: &Value, key: &str) -> Result<Vec<IpNet>, Error> {
     let network = |a: String| {
         let single_address = || a.parse::<IpAddr>().ok().map(IpNet::from);
         let parsed: Option<IpNet> = a.parse().ok().or_else(single_address);
         parsed.ok_or_else(|| Error::invalid_value(key, "a network or an address", format_args!("'{a}'")))
     };
-    or(v, key, Vec::new(), strings)?.into_iter().map(network).collect()
+    value_or(v, key, Vec::new(), strings)?.into_iter().map(network).collect()
 }
--- a/settings/src/operator/sessions.rs
+++ b/settings/src/operator/sessions.rs
@@ -1,5 +1,8 @@
-//! The table `[sessions]`: session commits that outlive a restart and are shared between router instances.
-use super::table::{each, loopback, only, optional, or, owned, peer, positive};
+//! The table `[sessions]`: session commits that are retained across restarts and shared between router
+//! instances.
+use super::table::{
+    check_keys, loopback_address, optional, owned_string, positive_number, read_peer, read_tables, value_or,
+};
 use crate::error::Error;
 use crate::fields::unsigned_integer;
 use serde_json::Value;
@@ -8,47 +11,50 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The lease, in milliseconds, where the file sets none.
+/// The default lease duration, in milliseconds.
 const DEFAULT_LEASE_MS: f64 = 300.0;
-/// What the lease may be, in milliseconds.
-const LEASE_MS: RangeInclusive<f64> = 50.0..=5000.0;
-/// How many sessions are remembered where the file does not say.
+/// The accepted range of the lease duration, in milliseconds.
+const LEASE_RANGE_MS: RangeInclusive<f64> = 50.0..=5000.0;
+/// The default number of sessions that are tracked individually.
 const DEFAULT_MAX_SESSIONS: u64 = 1_000_000;
-/// How many sessions may be remembered.
+/// The accepted range of the number of sessions that are tracked individually.
 const MAX_SESSIONS_RANGE: RangeInclusive<usize> = 1..=100_000_000;
 
-/// Sessions that live on across restarts and instances.
+/// Settings for retaining session commits across restarts and sharing them between router instances.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SessionsConfig {
-    /// This instance's number.
+    /// The number of this router instance.
     pub instance: u64,
-    /// The cluster's name, the same at all its instances.
+    /// The name of the cluster of router instances, the same at all of them.
     pub cluster: String,
-    /// Where peers send their commits.
+    /// The address at which this instance receives session commits from its peers.
     pub listen: SocketAddr,
-    /// The addresses of the other instances by number.
+    /// The addresses of the other router instances, by instance number.
     pub peers: BTreeMap<u64, SocketAddr>,
-    /// Folder of the journal; without it nothing is written to disk.
+    /// Folder of the session journal; `None` to write nothing to disk.
     pub journal_folder: Option<String>,
-    /// How many sessions are remembered one by one.
+    /// The number of sessions that are tracked individually.
     pub max_sessions: usize,
-    /// How long one instance relies on a peer's commits without receiving anything from it.
+    /// How long an instance treats a peer's commits as complete without receiving anything from that peer.
     pub lease: Duration,
-    /// A registry may give peers other addresses than the file: a refused connection is then no proof that a peer is
-    /// down.
+    /// Whether a registry may change the addresses of peers: a refused connection then does not prove that a
+    /// peer is down.
     pub peer_addresses_may_change: bool,
-    /// After a start without a journal, reads are served without the commits of before. Only for measuring what the
-    /// safe way costs.
+    /// After a start without a journal, serve reads without the session commits from before the start. This
+    /// can return stale data and is only meant for measuring the cost of the safe default.
     pub trust_after_start: bool,
 }
 
 pub(super) fn read_sessions(v: &Value) -> Result<SessionsConfig, Error> {
-    only(v, &["instance", "cluster", "listen", "folder", "remembered", "lease_ms", "after_start", "peer"])?;
+    check_keys(
+        v,
+        &["instance", "cluster", "listen", "folder", "remembered", "lease_ms", "after_start", "peer"],
+    )?;
     let instance = unsigned_integer(v, "instance")?;
     let peers = read_peers(v, instance)?;
-    let journal_folder = optional(v, "folder", owned)?;
+    let journal_folder = optional(v, "folder", owned_string)?;
     let lease = read_lease(v)?;
-    let max_sessions = or(v, "remembered", DEFAULT_MAX_SESSIONS, unsigned_integer)? as usize;
+    let max_sessions = value_or(v, "remembered", DEFAULT_MAX_SESSIONS, unsigned_integer)? as usize;
     if !MAX_SESSIONS_RANGE.contains(&max_sessions) {
         let expected = format!("{} to {}", MAX_SESSIONS_RANGE.start(), MAX_SESSIONS_RANGE.end());
         return Err(Error::invalid_value("remembered", expected, max_sessions));
@@ -56,8 +62,8 @@
     let trust_after_start = read_trust_after_start(v, journal_folder.as_deref())?;
     Ok(SessionsConfig {
         instance,
-        cluster: or(v, "cluster", "damsonvale".to_string(), owned)?,
-        listen: loopback(v, "listen")?,
+        cluster: value_or(v, "cluster", "damsonvale".to_string(), owned_string)?,
+        listen: loopback_address(v, "listen")?,
         peers,
         journal_folder,
         max_sessions,
@@ -68,28 +74,29 @@
 }
 
 fn read_peers(v: &Value, own_instance: u64) -> Result<BTreeMap<u64, SocketAddr>, Error> {
-    let listed = each(v, "peer", |p| peer(p, "instance"))?;
+    let listed = read_tables(v, "peer", |p| read_peer(p, "instance"))?;
     let mut peers: BTreeMap<u64, SocketAddr> = listed.iter().copied().collect();
     if peers.len() < listed.len() {
         return Err(Error::invalid("each 'peer' once", "an instance twice"));
     }
-    // The same list may stand in the files of all instances.
+    // The list may include this instance, so that all instances can use the same one.
     peers.remove(&own_instance);
     Ok(peers)
 }
 
 fn read_lease(v: &Value) -> Result<Duration, Error> {
-    let lease_ms = or(v, "lease_ms", DEFAULT_LEASE_MS, positive)?;
-    if !LEASE_MS.contains(&lease_ms) {
-        let expected = format!("{} to {}", LEASE_MS.start(), LEASE_MS.end());
+    let lease_ms = value_or(v, "lease_ms", DEFAULT_LEASE_MS, positive_number)?;
+    if !LEASE_RANGE_MS.contains(&lease_ms) {
+        let expected = format!("{} to {}", LEASE_RANGE_MS.start(), LEASE_RANGE_MS.end());
         return Err(Error::invalid_value("lease_ms", expected, lease_ms));
     }
     Ok(Duration::from_secs_f64(lease_ms / 1000.0))
 }
 
-/// Whether reads after a start are served without the commits of before; a journal would make that pointless.
+/// Reads whether reads after a start are served without the session commits from before it. This is rejected
+/// together with a journal folder, since a journal restores those commits.
 fn read_trust_after_start(v: &Value, folder: Option<&str>) -> Result<bool, Error> {
-    let after_start = or(v, "after_start", "floor".to_string(), owned)?;
+    let after_start = value_or(v, "after_start", "floor".to_string(), owned_string)?;
     match (after_start.as_str(), folder) {
         ("floor", _) => Ok(false),
         ("trust", None) => Ok(true),
--- a/settings/src/operator/table.rs
+++ b/settings/src/operator/table.rs
@@ -1,15 +1,16 @@
-//! Reading the tables of the operator's file: known keys, defaults, lists of tables and addresses.
+//! Functions that read tables of an operator's file: check for unknown keys, defaults, arrays of tables and
+//! addresses.
 use crate::error::{Error, Fault, json_kind};
 use crate::fields::{array, number, string, unsigned_integer};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest time in seconds that a key given in seconds may set: one day. Longer ones count as this.
+/// The longest duration that a key in seconds can set (one day); longer ones are clamped.
 const MAX_SECONDS: f64 = 86_400.0;
 
-/// Rejects a value that is not a table, and a table with a key that is not one of `keys`.
-pub(super) fn only(v: &Value, keys: &[&str]) -> Result<(), Error> {
+/// Rejects a value that is not a table, and a table that has a key other than `keys`.
+pub(super) fn check_keys(v: &Value, keys: &[&str]) -> Result<(), Error> {
     let table = v.as_object().ok_or_else(|| Error::invalid("a table", json_kind(v)))?;
     match table.keys().find(|key| !keys.contains(&key.as_str())) {
         Some(key) => {
@@ -20,8 +21,8 @@
     }
 }
 
-/// The value of a key, or its default where the key is missing.
-pub(super) fn or<T>(
+/// Reads the value of a key, or returns the default if the key is missing.
+pub(super) fn value_or<T>(
     v: &Value,
     key: &str,
     default: T,
@@ -30,7 +31,7 @@
     if v.get(key).is_some() { read(v, key) } else { Ok(default) }
 }
 
-/// The value of a key, or `None` where the key is missing.
+/// Reads the value of a key, or returns `None` if the key is missing.
 pub(super) fn optional<T>(
     v: &Value,
     key: &str,
@@ -39,7 +40,7 @@
     v.get(key).map(|_| read(v, key)).transpose()
 }
 
-/// The table under a key, or `None` where the key is missing. Errors name the key.
+/// Reads the table with this key, or returns `None` if the key is missing. Errors name the key.
 pub(super) fn optional_table<T>(
     v: &Value,
     key: &str,
@@ -48,8 +49,9 @@
     v.get(key).map(read).transpose().map_err(|e| e.under_key(key))
 }
 
-/// Reads each table of an array; no tables where the key is missing. Errors name the position.
-pub(super) fn each<T>(
+/// Reads each table of an array of tables; a missing key is an empty array. Errors name the index of the
+/// faulty table.
+pub(super) fn read_tables<T>(
     v: &Value,
     key: &str,
     read: impl Fn(&Value) -> Result<T, Error>,
@@ -61,31 +63,31 @@
     array(v, key)?.iter().enumerate().map(at).collect()
 }
 
-/// A text, as an owned `String`.
-pub(super) fn owned(v: &Value, key: &str) -> Result<String, Error> {
+/// Reads a string as an owned `String`.
+pub(super) fn owned_string(v: &Value, key: &str) -> Result<String, Error> {
     string(v, key).map(str::to_string)
 }
 
-/// A number above 0.
-pub(super) fn positive(v: &Value, key: &str) -> Result<f64, Error> {
+/// Reads a number above 0.
+pub(super) fn positive_number(v: &Value, key: &str) -> Result<f64, Error> {
     let x = number(v, key)?;
     if x > 0.0 { Ok(x) } else { Err(Error::invalid_value(key, "a positive number", x)) }
 }
 
-/// A length of time given in seconds, `default` where the key is missing, at most a day.
-pub(super) fn seconds(v: &Value, key: &str, default: f64) -> Result<Duration, Error> {
-    Ok(Duration::from_secs_f64(or(v, key, default, positive)?.min(MAX_SECONDS)))
+/// Reads a duration given in seconds, clamped to one day; `default` is used if the key is missing.
+pub(super) fn duration_from_seconds(v: &Value, key: &str, default: f64) -> Result<Duration, Error> {
+    Ok(Duration::from_secs_f64(value_or(v, key, default, positive_number)?.min(MAX_SECONDS)))
 }
 
-/// A socket address of this machine's loopback networks.
-pub(super) fn loopback(v: &Value, key: &str) -> Result<SocketAddr, Error> {
+/// Reads a loopback socket address.
+pub(super) fn loopback_address(v: &Value, key: &str) -> Result<SocketAddr, Error> {
     let addr = string(v, key)?;
     let parsed: Option<SocketAddr> = addr.parse().ok().filter(|a: &SocketAddr| a.ip().is_loopback());
     parsed.ok_or_else(|| Error::invalid_value(key, "ip:port on loopback", format_args!("'{addr}'")))
 }
 
-/// A peer's table: its number, under `id_key`, and its address.
-pub(super) fn peer(v: &Value, id_key: &str) -> Result<(u64, SocketAddr), Error> {
-    only(v, &[id_key, "addr"])?;
-    Ok((unsigned_integer(v, id_key)?, loopback(v, "addr")?))
+/// Reads the table of a peer: its id, from the key `id_key`, and its address.
+pub(super) fn read_peer(v: &Value, id_key: &str) -> Result<(u64, SocketAddr), Error> {
+    check_keys(v, &[id_key, "addr"])?;
+    Ok((unsigned_integer(v, id_key)?, loopback_address(v, "addr")?))
 }
--- a/settings/src/platform.rs
+++ b/settings/src/platform.rs
@@ -1,5 +1,5 @@
-//! Reads the settings object of the platform's configuration and of the simulator's start message. Keys that are not
-//! named here are skipped.
+//! Reads the settings object of the platform's configuration and of the simulator's start message. Unknown
+//! keys are ignored.
 use crate::error::Error;
 use crate::fields::{
     array, boolean, count, duration_from_ms, field, non_negative_number, string, time_from_ms,
@@ -7,29 +7,29 @@
 use decision::{Class, Freshness, Idempotency, LaggingReplica, Micros, SessionCommitSource, Settings};
 use serde_json::{Value, json};
 
-/// What the simulator's adapter needs to translate its messages and reports.
+/// Settings that the simulator's adapter needs to translate messages and reports.
 #[derive(Clone, Debug)]
 pub struct AdapterSettings {
-    /// The time from which positions are counted, in microseconds of the simulator's clock.
+    /// The time on the simulator's clock that corresponds to replication index 0, in microseconds.
     pub position_zero: Micros,
-    /// Which classes are writes, by position.
+    /// For each class, whether it is a write.
     pub class_is_write: Vec<bool>,
-    /// How many tenants are listed.
+    /// The number of configured tenants.
     pub tenant_count: usize,
 }
 
-/// A table of the settings object; faults in it are reported under its key.
+/// A table of the settings object and its key, which is added to the path of errors.
 struct Section<'a> {
     key: &'static str,
     table: &'a Value,
 }
 
 impl<'a> Section<'a> {
-    fn of(v: &'a Value, key: &'static str) -> Result<Section<'a>, Error> {
+    fn new(v: &'a Value, key: &'static str) -> Result<Section<'a>, Error> {
         Ok(Section { key, table: field(v, key)? })
     }
 
-    /// A field of the table, by one of the readers of [`crate::fields`].
+    /// Reads a field of the table with a function of [`crate::fields`].
     fn read<T>(
         &self,
         read: impl FnOnce(&'a Value, &str) -> Result<T, Error>,
@@ -43,19 +43,19 @@
     }
 }
 
-/// Reads the settings object: the settings of the decision logic, and what the adapter needs beside them.
+/// Reads the settings object: the settings of the decision logic and those of the simulator's adapter.
 ///
 /// # Errors
 /// An [`Error`] that names the faulty field and the tables around it.
 pub fn read(v: &Value) -> Result<(Settings, AdapterSettings), Error> {
-    let extra = Section::of(v, "extra")?;
-    let limits = Section::of(v, "limits")?;
-    let contract = Section::of(v, "contract")?;
+    let extra = Section::new(v, "extra")?;
+    let limits = Section::new(v, "limits")?;
+    let contract = Section::new(v, "contract")?;
     let classes = read_classes(v, &extra)?;
     let lagging_replica = read_lagging_replica(&extra)?;
     let session_commit_source = read_session_commit_source(&extra)?;
     let tenant_rates = read_tenant_rates(v)?;
-    let translation = AdapterSettings {
+    let adapter_settings = AdapterSettings {
         position_zero: extra.read(time_from_ms, "positionZeroMs")?,
         class_is_write: classes.iter().map(|c| c.freshness == Freshness::Write).collect(),
         tenant_count: tenant_rates.len(),
@@ -87,32 +87,37 @@
         overload_duration: contract.read(duration_from_ms, "tipAfterMs")?,
         list_requires_subscription: string(v, "membershipMode")? == "subscribe",
     };
-    Ok((settings, translation))
+    Ok((settings, adapter_settings))
 }
 
-/// The classes; the word for the freshness of each stands at its position in a list of `extra`.
+/// Reads the classes. The table `extra` has a list with the freshness of each class, in the same order.
 fn read_classes(v: &Value, extra: &Section) -> Result<Vec<Class>, Error> {
     let freshness_words = extra.read(array, "freshness")?;
-    let bounds = extra.table.get("oldestDataMs").unwrap_or(&Value::Null);
-    let listed = array(v, "classes")?;
-    if freshness_words.len() != listed.len() {
-        let expected = format!("one word for each of {} classes", listed.len());
+    let staleness_limits = extra.table.get("oldestDataMs").unwrap_or(&Value::Null);
+    let class_tables = array(v, "classes")?;
+    if freshness_words.len() != class_tables.len() {
+        let expected = format!("one word for each of {} classes", class_tables.len());
         return Err(Error::invalid_value("freshness", expected, freshness_words.len()).under_key(extra.key));
     }
     let read = |(i, (class, word))| {
-        read_class(class, word, bounds, i).map_err(|e| e.under_key(format!("classes[{i}]")))
+        read_class(class, word, staleness_limits, i).map_err(|e| e.under_key(format!("classes[{i}]")))
     };
-    listed.iter().zip(freshness_words).enumerate().map(read).collect()
+    class_tables.iter().zip(freshness_words).enumerate().map(read).collect()
 }
 
-fn read_class(v: &Value, freshness_word: &Value, bounds: &Value, position: usize) -> Result<Class, Error> {
+fn read_class(
+    v: &Value,
+    freshness_word: &Value,
+    staleness_limits: &Value,
+    index: usize,
+) -> Result<Class, Error> {
     let idempotency = read_idempotency(v)?;
     let freshness = match freshness_word.as_str() {
         Some("mutate") => Freshness::Write,
         Some("strong") => Freshness::Latest,
         Some("causal") => Freshness::Session,
         Some("eventual") => Freshness::Any,
-        Some("lag_bound") => Freshness::Bounded(read_bound(bounds, position)?),
+        Some("lag_bound") => Freshness::Bounded(read_max_staleness(staleness_limits, index)?),
         _ => {
             let known = "mutate, strong, causal, eventual or lag_bound";
             return Err(Error::invalid_value("freshness", known, freshness_word));
@@ -146,15 +151,15 @@
     }
 }
 
-/// The oldest data that the class at this position may read.
-fn read_bound(bounds: &Value, position: usize) -> Result<Micros, Error> {
+/// Reads the maximum staleness of reads of the class at this index.
+fn read_max_staleness(staleness_limits: &Value, index: usize) -> Result<Micros, Error> {
     const KEY: &str = "oldestDataMs";
-    let bound = bounds.get(position).filter(|bound| bound.is_number());
+    let limit = staleness_limits.get(index).filter(|limit| limit.is_number());
     let missing = || {
-        let found = bounds.get(position).unwrap_or(&Value::Null);
+        let found = staleness_limits.get(index).unwrap_or(&Value::Null);
         Error::invalid_value(KEY, "a bound for each lag_bound class", found)
     };
-    duration_from_ms(&json!({ KEY: bound.ok_or_else(missing)? }), KEY)
+    duration_from_ms(&json!({ KEY: limit.ok_or_else(missing)? }), KEY)
 }
 
 fn read_lagging_replica(extra: &Section) -> Result<LaggingReplica, Error> {
@@ -174,7 +179,7 @@
     }
 }
 
-/// The tenants' rates in requests a second; none where `tenants` is no array.
+/// Reads the tenants' quota rates in requests per second; empty if `tenants` is not an array.
 fn read_tenant_rates(v: &Value) -> Result<Vec<f64>, Error> {
     let Some(tenants) = v.get("tenants").and_then(Value::as_array) else { return Ok(Vec::new()) };
     let rates: Result<_, _> = tenants.iter().map(|tenant| non_negative_number(tenant, "quotaRps")).collect();
--- a/settings/src/start.rs
+++ b/settings/src/start.rs
@@ -1,4 +1,5 @@
-//! What the platform starts a router with: `$BALANCER_CONFIG` and the variables beside it.
+//! The configuration of a router that is started by the platform: the file `$BALANCER_CONFIG` and environment
+//! variables.
 mod bounds;
 mod config;
 mod reload;
--- a/settings/src/start/bounds.rs
+++ b/settings/src/start/bounds.rs
@@ -1,4 +1,4 @@
-//! What the process may use, and the bounds that follow from it.
+//! The resources of the process and the program limits derived from them.
 use crate::error::Error;
 use crate::fields::{count, unsigned_integer};
 use crate::limits::{Limits, ProcessResources, RequestTimes};
@@ -7,28 +7,28 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The fewest file descriptors that the program can run with.
+/// The minimum number of file descriptors with which the program can run.
 const MIN_SOCKETS: usize = 64;
-/// What `memory_mb` may be, in MiB.
-const MEMORY_MB: RangeInclusive<usize> = 16..=(1 << 20) - 1;
-/// The longest time that an instance leaves a connection idle: a day. Longer ones count as this.
+/// The accepted range of `memory_mb`, in MiB.
+const MEMORY_RANGE_MB: RangeInclusive<usize> = 16..=(1 << 20) - 1;
+/// Upper limit of the servers' idle timeout for connections (one day); higher values are clamped.
 const MAX_KEEPALIVE: Duration = Duration::from_hours(24);
 
-/// What the process may use, from the table `limits`.
+/// Reads the resources that the process may use from the table `limits`.
 pub(super) fn read_resources(v: &Value) -> Result<ProcessResources, Error> {
     let sockets = count(v, "sockets")? as usize;
     if sockets < MIN_SOCKETS {
         return Err(Error::invalid_value("sockets", format!("at least {MIN_SOCKETS}"), sockets));
     }
     let memory_mb = unsigned_integer(v, "memory_mb")? as usize;
-    if !MEMORY_MB.contains(&memory_mb) {
-        let expected = format!("{} to {}", MEMORY_MB.start(), MEMORY_MB.end());
+    if !MEMORY_RANGE_MB.contains(&memory_mb) {
+        let expected = format!("{} to {}", MEMORY_RANGE_MB.start(), MEMORY_RANGE_MB.end());
         return Err(Error::invalid_value("memory_mb", expected, memory_mb));
     }
     Ok(ProcessResources { descriptors: sockets, memory_bytes: memory_mb << 20 })
 }
 
-/// The bounds of the program under the settings of the decision logic.
+/// Derives the program limits from the settings of the decision logic and the process's resources.
 pub(super) fn limits(settings: &Settings, keepalive: Micros, resources: ProcessResources) -> Limits {
     let duration = |micros: Micros| Duration::from_micros(micros.max(0) as u64);
     let longest_deadline = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
--- a/settings/src/start/config.rs
+++ b/settings/src/start/config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration, read and checked.
+//! Reads and validates the platform's configuration.
 use super::bounds::{limits, read_resources};
 use crate::error::Error;
 use crate::fields::{array, duration_from_ms, field, string, strings, unsigned_integer};
@@ -8,41 +8,42 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The names of classes and zones, which are numbers elsewhere.
+/// The names of classes and zones. The rest of the program identifies them by number.
 #[derive(Clone, Debug, Default)]
 pub struct ClassAndZoneNames {
     /// Class names in the order of [`Settings::classes`].
     pub classes: Vec<String>,
-    /// Zone names in the order of their numbers; entries of the endpoint list name their zone.
+    /// Zone names in the order of their numbers; endpoints refer to zones by name.
     pub zones: Vec<String>,
 }
 
-/// All that one router is started with on the platform.
+/// The complete configuration of a router that is started by the platform.
 #[derive(Clone, Debug)]
 pub struct PlatformConfig {
-    /// The router's name, the same after a restart.
+    /// The router's name, which stays the same across restarts.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: String,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery_address: SocketAddr,
-    /// Where the admin listener is bound; without it there is none.
+    /// The address of the admin listener; `None` to start none.
     pub admin_address: Option<SocketAddr>,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// The endpoint list as the router had it last, in discovery's form.
+    /// The router's last known endpoint list, in the format of discovery.
     pub initial_endpoints: Value,
     /// The settings of the decision logic.
     pub settings: Settings,
-    /// Names of classes and zones.
+    /// The names of classes and zones.
     pub names: ClassAndZoneNames,
-    /// Every bound of the program.
+    /// The size limits, count limits and timeouts of the program.
     pub limits: Limits,
-    /// The file as it was parsed, without `known`, for [`reload`](super::reload()) to compare a later one with.
+    /// The parsed file without `known`, with which [`reload`](super::reload()) compares a later version.
     pub parsed_file: Value,
 }
 
-/// The value of a variable, or the config's field of the same meaning where it is not set or empty.
+/// Returns the value of an environment variable, or the corresponding field of the configuration if the
+/// variable is unset or empty.
 fn env_or_field(
     env: &dyn Fn(&str) -> Option<String>,
     variable: &str,
@@ -59,7 +60,7 @@
     addr.parse().map_err(|_| Error::invalid("ip:port", format_args!("'{addr}'")).under_key(key))
 }
 
-/// The admin listener's address, where one is given.
+/// Reads the address of the admin listener, if configured.
 fn read_admin_address(env: &dyn Fn(&str) -> Option<String>, v: &Value) -> Result<Option<SocketAddr>, Error> {
     let given = env("BALANCER_ADMIN_ADDR").is_some_and(|x| !x.is_empty())
         || v.get("admin_addr").is_some_and(|a| !a.is_null() && a.as_str() != Some(""));
@@ -76,8 +77,8 @@
     }
 }
 
-/// The classes' names. Each is unique, since requests name their class by it, and without control characters, since
-/// metrics have it on one line.
+/// Reads the class names. They have to be unique, since requests refer to classes by name, and must not
+/// contain control characters, since metrics print the name within a line.
 fn read_class_names(settings: &Value) -> Result<Vec<String>, Error> {
     let name = |c: &Value| string(c, "name").map(str::to_string);
     let names = array(settings, "classes")?.iter().map(name).collect::<Result<Vec<_>, _>>();
@@ -97,7 +98,7 @@
     Ok(names)
 }
 
-/// Refuses settings with which no instance could be reached.
+/// Rejects settings under which no server could be reached.
 fn check_attempts(settings: &Settings) -> Result<(), Error> {
     if settings.connect_timeout == 0 {
         return Err(Error::invalid_value("dialTimeoutMs", "more than 0", 0));
@@ -108,10 +109,10 @@
     Ok(())
 }
 
-/// Reads the config's text; `env` looks up a variable.
+/// Parses and validates the text of the platform's configuration; `env` looks up an environment variable.
 ///
 /// # Errors
-/// An [`Error`] that names the faulty key and the tables around it.
+/// An [`Error`] that names the faulty key and its enclosing tables.
 pub fn read(config: &str, env: &dyn Fn(&str) -> Option<String>) -> Result<PlatformConfig, Error> {
     let mut v: Value = serde_json::from_str(config)?;
     let (settings, names, keepalive) =
@@ -140,11 +141,13 @@
     })
 }
 
-/// The settings of the decision logic, the names in them, and for how long an instance leaves a connection idle.
+/// Reads the settings of the decision logic, the names of classes and zones, and the servers' idle timeout
+/// for connections.
 fn read_settings(v: &Value) -> Result<(Settings, ClassAndZoneNames, Micros), Error> {
     let (mut settings, _) = platform::read(v)?;
     let names = ClassAndZoneNames { classes: read_class_names(v)?, zones: strings(v, "failureDomains")? };
-    // Zones of the endpoint list without a name here get the numbers behind these: this router is in none of them.
+    // Zones that only the endpoint list names are numbered after the configured ones. This router is in none
+    // of them.
     if settings.zone as usize >= names.zones.len() {
         settings.zone = u32::MAX;
     }
--- a/settings/tests/customers.rs
+++ b/settings/tests/customers.rs
@@ -1,4 +1,5 @@
-//! Generated configurations: any number of classes and zones, of any name and in any order, and any value in any place.
+//! Property tests of the platform configuration: generated classes and zones with arbitrary names in any
+//! order, and an arbitrary value in pointer of any other.
 use decision::{Freshness, Idempotency};
 use proptest::prelude::*;
 use serde_json::{Value, json};
@@ -6,7 +7,8 @@
 use settings::start::{PlatformConfig, read};
 use std::time::Duration;
 
-/// A class, and its word and bound in the lists beside the classes.
+/// Returns a class with its entries in the lists of freshness keywords and staleness limits; `at` varies its
+/// settings.
 fn class(name: String, at: u64) -> (Value, Value, Value) {
     let words = ["mutate", "strong", "causal", "lag_bound", "eventual"];
     let effects = ["read_like", "non_idempotent", "idempotency_key"];
@@ -17,7 +19,7 @@
     (class, json!(words[at as usize % 5]), json!(100 + at))
 }
 
-/// A configuration with these classes.
+/// Returns a platform configuration with these classes and zones.
 fn config(classes: &[(Value, Value, Value)], zones: &[String], zone: u32) -> Value {
     let column =
         |at: fn(&(Value, Value, Value)) -> &Value| Value::Array(classes.iter().map(at).cloned().collect());
@@ -39,17 +41,17 @@
     read(&config.to_string(), &|_| None)
 }
 
-/// What is read of a class, but for its name.
+/// Returns the settings of a class, without its name, as text.
 fn class_settings(start: &PlatformConfig, at: usize) -> String {
     format!("{:?}", start.settings.classes[at])
 }
 
-/// Names that differ, of any characters.
+/// Generates distinct names with arbitrary printable characters.
 fn distinct_names(max_count: usize) -> impl Strategy<Value = Vec<String>> {
     proptest::collection::btree_set("\\PC{0,9}", 0..max_count).prop_map(|s| s.into_iter().collect())
 }
 
-/// Every place in a value, as a JSON pointer.
+/// Collects JSON pointers to the value and all values nested in it.
 fn pointers(v: &Value, at: String, all: &mut Vec<String>) {
     match v {
         Value::Object(o) => o.iter().for_each(|(k, v)| pointers(v, format!("{at}/{k}"), all)),
@@ -59,7 +61,7 @@
     all.push(at);
 }
 
-fn any_value() -> impl Strategy<Value = Value> {
+fn arbitrary_value() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
         any::<bool>().prop_map(Value::from),
@@ -89,61 +91,65 @@
         seed in any::<u64>(),
         order in any::<u64>(),
     ) {
-        let drawn = |name: &String, i: usize| class(name.clone(), seed.wrapping_add(i as u64 * 7919) % 100_000);
-        let listed: Vec<_> = names.iter().enumerate().map(|(i, n)| drawn(n, i)).collect();
+        let class_of = |name: &String, i: usize| class(name.clone(), seed.wrapping_add(i as u64 * 7919) % 100_000);
+        let classes: Vec<_> = names.iter().enumerate().map(|(i, n)| class_of(n, i)).collect();
         let zones = vec!["a".to_string(), "b".to_string()];
-        let one = start(&config(&listed, &zones, 1)).unwrap();
-        prop_assert_eq!(&one.names.classes, &names);
-        // Other names.
+        let original = start(&config(&classes, &zones, 1)).unwrap();
+        prop_assert_eq!(&original.names.classes, &names);
+        // Renaming the classes does not change their settings.
         let renamed: Vec<_> = names.iter().enumerate().map(|(i, _)| {
-            let name = others.get(i).cloned().unwrap_or_else(|| format!("class of place {i} that has no other name"));
-            drawn(&name, i)
+            let name = others.get(i).cloned().unwrap_or_else(|| format!("class {i} without a drawn name"));
+            class_of(&name, i)
         }).collect();
-        let two = start(&config(&renamed, &zones, 1)).unwrap();
+        let renamed_start = start(&config(&renamed, &zones, 1)).unwrap();
         for i in 0..names.len() {
-            prop_assert_eq!(class_settings(&one, i), class_settings(&two, i));
+            prop_assert_eq!(class_settings(&original, i), class_settings(&renamed_start, i));
         }
-        // Another order.
-        let mut places: Vec<usize> = (0..names.len()).collect();
-        places.sort_by_key(|i| (*i as u64).wrapping_mul(order | 1).rotate_left(17));
-        let moved: Vec<_> = places.iter().map(|i| listed[*i].clone()).collect();
-        let three = start(&config(&moved, &zones, 1)).unwrap();
-        for (at, i) in places.iter().enumerate() {
-            prop_assert_eq!(class_settings(&three, at), class_settings(&one, *i));
-            prop_assert_eq!(&three.names.classes[at], &names[*i]);
+        // Reordering the classes reorders their settings.
+        let mut new_order: Vec<usize> = (0..names.len()).collect();
+        new_order.sort_by_key(|i| (*i as u64).wrapping_mul(order | 1).rotate_left(17));
+        let reordered: Vec<_> = new_order.iter().map(|i| classes[*i].clone()).collect();
+        let reordered_start = start(&config(&reordered, &zones, 1)).unwrap();
+        for (at, i) in new_order.iter().enumerate() {
+            prop_assert_eq!(class_settings(&reordered_start, at), class_settings(&original, *i));
+            prop_assert_eq!(&reordered_start.names.classes[at], &names[*i]);
         }
-        // Bounds of the program that follow from the classes follow from all of them, wherever they stand.
-        prop_assert_eq!(&three.limits, &one.limits);
-        prop_assert_eq!(&two.limits, &one.limits);
+        // Limits that are derived from the classes do not depend on their order or names.
+        prop_assert_eq!(&reordered_start.limits, &original.limits);
+        prop_assert_eq!(&renamed_start.limits, &original.limits);
     }
 
     #[test]
-    fn zone_without_name_is_shared_with_no_member(
+    fn unnamed_zone_matches_no_member(
         zones in distinct_names(12),
         zone in prop_oneof![0u32..14, any::<u32>()],
     ) {
-        let listed = [class("only".into(), 4)];
-        let read = start(&config(&listed, &zones, zone)).unwrap();
+        let classes = [class("only".into(), 4)];
+        let read = start(&config(&classes, &zones, zone)).unwrap();
         prop_assert_eq!(&read.names.zones, &zones);
-        // Zones that the list names beyond these get the numbers behind them.
+        // Zones that only the endpoint list names are numbered after the configured ones, so this original
+        // must not match.
         let own = if (zone as usize) < zones.len() { zone } else { u32::MAX };
         prop_assert_eq!(read.settings.zone, own);
     }
 
     #[test]
-    fn any_value_is_read_or_refused_with_its_key(place in any::<prop::sample::Index>(), value in any_value()) {
-        let listed: Vec<_> = (0..4).map(|i| class(format!("class {i}"), i)).collect();
-        let good = config(&listed, &["a".into(), "b".into()], 0);
+    fn any_value_is_accepted_or_rejected_with_its_key(
+        pointer in any::<prop::sample::Index>(),
+        value in arbitrary_value(),
+    ) {
+        let classes: Vec<_> = (0..4).map(|i| class(format!("class {i}"), i)).collect();
+        let valid = config(&classes, &["a".into(), "b".into()], 0);
         let mut all = Vec::new();
-        pointers(&good, String::new(), &mut all);
-        let place = place.get(&all);
-        let mut bad = good.clone();
-        *bad.pointer_mut(place).unwrap() = value;
-        match start(&bad) {
+        pointers(&valid, String::new(), &mut all);
+        let pointer = pointer.get(&all);
+        let mut changed = valid.clone();
+        *changed.pointer_mut(pointer).unwrap() = value;
+        match start(&changed) {
             Ok(read) => {
-                // What was read can be reckoned with: no sum or small multiple of its times runs over.
+                // Accepted durations are small enough that sums and small multiples of them do not overflow.
                 let s = &read.settings;
-                let most = 1e14 as i64;
+                let max_micros = 1e14 as i64;
                 for c in &s.classes {
                     let bound = match c.freshness { Freshness::Bounded(b) => b, _ => 0 };
                     let window = match c.idempotency {
@@ -151,12 +157,12 @@
                         Idempotency::Idempotent | Idempotency::NotIdempotent => 0,
                     };
                     for time in [c.latency_objective, c.deadline, bound, window] {
-                        prop_assert!((0..=most).contains(&time));
+                        prop_assert!((0..=max_micros).contains(&time));
                     }
                     prop_assert!(c.priority_weight >= 0.0 && c.late_weight_share >= 0.0);
                 }
                 for time in [s.min_event_interval, s.connect_timeout, s.drain_grace, s.slow_start_duration, s.overload_duration] {
-                    prop_assert!((0..=most).contains(&time));
+                    prop_assert!((0..=max_micros).contains(&time));
                 }
                 prop_assert!(s.connect_timeout > 0 && s.max_attempts > 0 && s.router_count > 0);
                 prop_assert_eq!(read.names.classes.len(), s.classes.len());
@@ -164,11 +170,11 @@
                 prop_assert!(read.limits.max_unchecked_idle_time <= read.limits.backend_idle_timeout);
             }
             Err(e) => {
-                // The innermost name of the place, or one that it holds or is held by, stands in the message.
-                let said = e.to_string();
-                let names = place.split('/').filter(|p| !p.is_empty() && p.parse::<usize>().is_err());
-                let named = names.clone().any(|name| said.contains(name));
-                prop_assert!(named || names.count() == 0, "{}: {}", place, said);
+                // The message contains at least original key of the path to the changed value.
+                let message = e.to_string();
+                let names = pointer.split('/').filter(|p| !p.is_empty() && p.parse::<usize>().is_err());
+                let named = names.clone().any(|name| message.contains(name));
+                prop_assert!(named || names.count() == 0, "{}: {}", pointer, message);
             }
         }
     }
--- a/settings/tests/faults.rs
+++ b/settings/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Faulty files and their error texts: the keys that lead to the fault, what was expected and what was found.
+//! Error messages for invalid configuration files: the path of keys, the expected values and the value found.
 use serde_json::{Value, json};
 
 const MYSQL: &str =
@@ -10,7 +10,7 @@
 const REGISTRY: &str = "[registry]\nkind = 'etcd'\nprefix = 'a'\nendpoints = ['127.0.0.1:1']\n";
 
 #[test]
-fn faulty_operator_file_is_refused_with_the_key() {
+fn invalid_operator_file_is_rejected_with_the_key() {
     let with = |more: &str| format!("{MYSQL}{more}");
     let listen = |x: &str| MYSQL.replace("'127.0.0.1:0'", x);
     let class = |from: &str, to: &str| format!("{MYSQL}{CLASS}{}", CLASS.replace(from, to));
@@ -25,7 +25,7 @@
         (with("connect_ms = 0\n"), "mysql: expected a positive number in 'connect_ms', found 0"),
         (with("server_clock = 'yes'\n"), "mysql: expected true or false in 'server_clock', found a text"),
         (with("user = 'cook'\n"), "mysql: expected an array in 'user', found a text"),
-        // A secret stands in no message.
+        // Error messages do not contain secrets.
         (
             with("[[mysql.user]]\nname = 'a'\npassword = 4711\n"),
             "mysql: user[0]: expected text in 'password', found a number",
@@ -91,7 +91,7 @@
         ),
         (
             with(&REGISTRY.replace("'a'", "'/'")),
-            "registry: expected something in 'prefix', found nothing but slashes",
+            "registry: expected a non-empty key prefix in 'prefix', found only slashes",
         ),
         (
             with(&format!("{REGISTRY}allow = ['x']\n")),
@@ -107,7 +107,7 @@
         ),
         (
             with(&format!("{REGISTRY}service = 'shop'\n")),
-            "registry: expected 'service' with consul only, found it with etcd",
+            "registry: expected 'service' only with kind 'consul', found it with kind 'etcd'",
         ),
         (with(&format!("{REGISTRY}user = 'a'\n")), "registry: expected the field 'password', found none"),
         (
@@ -125,13 +125,13 @@
     ];
     for (text, message) in cases {
         let error = settings::operator::read(&text).map(|_| ()).unwrap_err().to_string();
-        assert!(error.starts_with(message), "{text}\n{error}\nis not: {message}");
+        assert!(error.starts_with(message), "{text}\n{error}\ndoes not start with: {message}");
         assert!(!error.contains("4711"), "{error}");
     }
 }
 
 #[test]
-fn faulty_registry_overlay_is_refused_with_the_key() {
+fn invalid_registry_overlay_is_rejected_with_the_key() {
     let start = settings::operator::read(MYSQL).unwrap();
     for (overlay, message) in [
         ("[[mysql.user]]\nname = 7\n", "mysql: user[0]: expected text in 'name', found a number"),
@@ -160,9 +160,9 @@
 }
 
 #[test]
-fn faulty_platform_configuration_is_refused_with_the_key() {
+fn invalid_platform_configuration_is_rejected_with_the_key() {
     settings::start::read(&platform().to_string(), &|_| None).unwrap();
-    for (place, value, message) in [
+    for (pointer, value, message) in [
         ("/name", json!(null), "expected the field 'name', found none"),
         ("/discovery", json!("nowhere"), "discovery: expected ip:port, found 'nowhere'"),
         ("/seed", json!("xyz"), "expected a hexadecimal number of 64 bits in 'seed', found 'xyz'"),
@@ -215,7 +215,7 @@
             json!(null),
             "settings: contract: expected the field 'coldMs', found none",
         ),
-        // What would be cut, turned round or never come to an end on the way.
+        // Values that would be truncated, change their sign or be infinite after conversion.
         (
             "/settings/classes/1/deadlineMs",
             json!(-5.0),
@@ -293,9 +293,9 @@
         ),
     ] {
         let mut config = platform();
-        *config.pointer_mut(place).unwrap() = value;
+        *config.pointer_mut(pointer).unwrap() = value;
         let error = settings::start::read(&config.to_string(), &|_| None).unwrap_err();
-        assert_eq!(error.to_string(), message, "{place}");
+        assert_eq!(error.to_string(), message, "{pointer}");
     }
     let error = settings::start::read("{", &|_| None).unwrap_err();
     assert!(error.to_string().starts_with("expected JSON: "), "{error}");
--- a/settings/tests/fleet_documents.rs
+++ b/settings/tests/fleet_documents.rs
@@ -1,9 +1,10 @@
-//! The fleet's document and an operator's `[fleet]`: what is read of good ones, and which key a faulty one is refused by.
+//! The fleet document and the table `[fleet]` of an operator's file: valid ones are read completely, and
+//! errors in invalid ones name the faulty key.
 use serde_json::Value;
 use settings::fleet::{AuditConfig, MAX_TENANTS, OnLoss, Quota, read, read_member};
 use std::collections::BTreeSet;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 routers = 300
 sites = ["hall-a", "hall-b", "hall-c"]
 unnamed = "everyone"
@@ -25,8 +26,8 @@
 "#;
 
 #[test]
-fn document_is_read_with_all_its_parts() {
-    let fleet = read(GOOD, Some(&["basket-read".into()])).unwrap();
+fn document_is_read_completely() {
+    let fleet = read(VALID, Some(&["basket-read".into()])).unwrap();
     let tills = &fleet.tenants["tills"];
     assert_eq!(tills.quota, Some(Quota { rate: 500.0, burst: 600, on_loss: OnLoss::Share(0.2) }));
     assert!(
@@ -35,8 +36,8 @@
             && tills.placement_rules[1].classes.is_none()
     );
     assert!(tills.users.contains("till") && fleet.default_tenant == "everyone");
-    let has = BTreeSet::from(["hall-b".to_string()]);
-    fleet.has_members(&has).unwrap();
+    let server_sites = BTreeSet::from(["hall-b".to_string()]);
+    fleet.has_members(&server_sites).unwrap();
     assert!(fleet.has_members(&BTreeSet::new()).unwrap_err().to_string().contains("tenant 'tills'.place[0]"));
 }
 
@@ -44,21 +45,23 @@
 fn shipped_document_and_table_are_valid() {
     let text = include_str!("../../deploy/fleet.toml");
     read(text, None).unwrap();
-    // The table stands there as a comment.
+    // The shipped document contains the table `[fleet]` as a comment.
     let table = text.split("#   [fleet]").nth(1).unwrap().replace("#   ", "");
     let table: Value = toml::from_str(&table).unwrap();
     assert_eq!(read_member(&table).unwrap().slot, Some(17));
-    let audited: Value = toml::from_str("audit = { lag_ms = 900 }").unwrap();
-    let mut with = table.clone();
-    with["audit"] = audited["audit"].clone();
+    let audit: Value = toml::from_str("audit = { lag_ms = 900 }").unwrap();
+    let mut changed = table.clone();
+    changed["audit"] = audit["audit"].clone();
     assert_eq!(
-        read_member(&with).unwrap().audit,
+        read_member(&changed).unwrap().audit,
         Some(AuditConfig { max_lag_ms: 900, ..AuditConfig::default() })
     );
-    with["audit"]["lag_ms"] = 1.into();
-    assert!(read_member(&with).unwrap_err().to_string().starts_with("audit.lag_ms: expected 100 to 60000"));
-    let faults = [("name", "no name"), ("slot", "0"), ("nodes", "x"), ("lists", "1")];
-    for (key, found) in faults {
+    changed["audit"]["lag_ms"] = 1.into();
+    assert!(
+        read_member(&changed).unwrap_err().to_string().starts_with("audit.lag_ms: expected 100 to 60000")
+    );
+    let cases = [("name", "no name"), ("slot", "0"), ("nodes", "x"), ("lists", "1")];
+    for (key, found) in cases {
         let mut faulty = table.clone();
         faulty[key] = found.into();
         assert!(read_member(&faulty).is_err(), "{key}");
@@ -66,9 +69,9 @@
 }
 
 #[test]
-fn faulty_document_is_refused_with_the_key() {
-    let long = format!("name = \"{}\"", "x".repeat(65));
-    let faults = [
+fn invalid_document_is_rejected_with_the_key() {
+    let too_long = format!("name = \"{}\"", "x".repeat(65));
+    let cases = [
         ("routers = 300", "routers = 0", "routers: expected 1 to 10000"),
         ("routers = 300", "routers = 10001", "routers: expected 1 to 10000"),
         ("routers = 300", "router = 300", "router"),
@@ -91,13 +94,13 @@
         ("name = \"everyone\"", "name = \"everyone\"\nusers = [\"till\"]", "tenant 'everyone'.users"),
         ("name = \"everyone\"", "name = \"tills\"", "'tills' stands twice"),
         ("name = \"everyone\"", "name = \"every one\"", "tenant[0].name"),
-        ("name = \"everyone\"", &long, "tenant[0].name"),
+        ("name = \"everyone\"", &too_long, "tenant[0].name"),
     ];
-    for (good, bad, says) in faults {
-        let text = GOOD.replacen(good, bad, 1);
-        assert_ne!(text, GOOD, "{good}");
+    for (original, replacement, message) in cases {
+        let text = VALID.replacen(original, replacement, 1);
+        assert_ne!(text, VALID, "{original}");
         let error = read(&text, Some(&["basket-read".into()])).unwrap_err().to_string();
-        assert!(error.contains(says), "{bad}: {error}");
+        assert!(error.contains(message), "{replacement}: {error}");
     }
     let many: String = (0..=MAX_TENANTS).map(|i| format!("[[tenant]]\nname='t{i}'\n")).collect();
     let many = read(&format!("routers = 1\nunnamed = 't0'\n{many}"), None).unwrap_err().to_string();
--- a/settings/tests/limits.rs
+++ b/settings/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds that have to be consistent, each broken in turn.
+//! Consistency of the limits: each rule between limits is violated in turn.
 use settings::Limits;
 use settings::limits::{ProcessResources, RequestTimes, WatchError};
 use std::time::Duration;
@@ -16,10 +16,10 @@
 }
 
 #[test]
-fn watch_bounds_leave_one_second_of_six() {
+fn watch_limits_leave_one_second_of_the_notification_deadline() {
     let limits = limits();
     assert_eq!(limits.check_watch(), Ok(()));
-    // Silence, the pause between two openings, a connection and its first line.
+    // Silence timeout, longest backoff, connect timeout and first-line timeout.
     assert_eq!(limits.max_delay_after_silence(), ms(2600 + 1000 + 500 + 600));
     assert_eq!(limits.max_delay_after_move(), ms(250 + 500 + 600));
     assert!(
@@ -30,49 +30,49 @@
 }
 
 #[test]
-fn inconsistent_watch_bound_is_refused_with_a_remedy() {
-    type BreakBound = fn(&mut Limits);
-    let noticed_late: [(&str, BreakBound); 5] = [
+fn inconsistent_watch_limit_is_rejected_with_a_remedy() {
+    type SetLimit = fn(&mut Limits);
+    let noticed_late: [(&str, SetLimit); 5] = [
         ("silent", |l| l.watch_silence_timeout = ms(2901)),
         ("retry", |l| l.watch_backoff.max = ms(1301)),
         ("connect", |l| (l.watch_connect_timeout, l.max_pending_watches) = (ms(801), 16)),
-        ("answer, in the line", |l| (l.watch_first_line_timeout, l.max_pending_watches) = (ms(901), 16)),
-        ("answer, before the next opening", |l| l.watch_first_line_timeout = ms(1001)),
+        ("line after the head", |l| (l.watch_first_line_timeout, l.max_pending_watches) = (ms(901), 16)),
+        ("line before the next watch", |l| l.watch_first_line_timeout = ms(1001)),
     ];
-    for (bound, break_bound) in noticed_late {
+    for (limit, set_limit) in noticed_late {
         let mut limits = limits();
-        break_bound(&mut limits);
+        set_limit(&mut limits);
         let found = limits.check_watch();
-        assert!(matches!(found, Err(WatchError::SilenceNoticedLate { .. })), "{bound}: {found:?}");
+        assert!(matches!(found, Err(WatchError::SilenceNoticedLate { .. })), "{limit}: {found:?}");
         let error = found.unwrap_err().to_string();
         assert!(
             error.contains("later than 6s less the margin of 1s: shorten watch_silence_timeout"),
             "{error}"
         );
     }
-    for (bound, break_bound) in [
-        ("deadline", (|l| l.watch_notification_deadline = ms(5699)) as BreakBound),
+    for (limit, set_limit) in [
+        ("deadline", (|l| l.watch_notification_deadline = ms(5699)) as SetLimit),
         ("margin", |l| l.watch_notification_margin = ms(1301)),
     ] {
         let mut limits = limits();
-        break_bound(&mut limits);
-        assert!(matches!(limits.check_watch(), Err(WatchError::SilenceNoticedLate { .. })), "{bound}");
+        set_limit(&mut limits);
+        assert!(matches!(limits.check_watch(), Err(WatchError::SilenceNoticedLate { .. })), "{limit}");
     }
-    let refusal_of = |break_bound: BreakBound| {
+    let error_after = |set_limit: SetLimit| {
         let mut limits = limits();
-        break_bound(&mut limits);
+        set_limit(&mut limits);
         limits.check_watch().unwrap_err()
     };
-    let move_noticed_late = refusal_of(|l| l.watch_previous_address_duration = ms(2349));
+    let move_noticed_late = error_after(|l| l.watch_previous_address_duration = ms(2349));
     assert!(matches!(move_noticed_late, WatchError::MoveNoticedLate { .. }), "{move_noticed_late}");
-    let too_short = refusal_of(|l| l.watch_silence_timeout = ms(2000));
+    let too_short = error_after(|l| l.watch_silence_timeout = ms(2000));
     assert!(matches!(too_short, WatchError::SilenceTimeoutTooShort { .. }), "{too_short}");
-    for break_bound in [
-        (|l| l.max_pending_watches = 5) as BreakBound,
+    for set_limit in [
+        (|l| l.max_pending_watches = 5) as SetLimit,
         |l| l.max_pending_watches = 0,
         |l| l.watch_backoff.min = ms(219),
     ] {
-        let evicted_early = refusal_of(break_bound);
+        let evicted_early = error_after(set_limit);
         assert!(matches!(evicted_early, WatchError::PendingWatchEvictedEarly { .. }), "{evicted_early}");
         assert!(
             evicted_early.to_string().contains("raise max_pending_watches or watch_backoff"),
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn connections_and_reserve_fit_into_descriptors() {
+fn connections_and_reserved_descriptors_fit_into_the_total() {
     let long = Duration::from_secs(20);
     for sockets in 64..=4096 {
         let mut limits = Limits::new(
@@ -91,15 +91,16 @@
         );
         let total =
             |l: &Limits| l.max_client_connections + l.max_backend_connections + l.reserved_descriptors;
-        assert!(total(&limits) <= sockets, "{sockets}: {} are handed out", total(&limits));
+        assert!(total(&limits) <= sockets, "{sockets}: {} are assigned", total(&limits));
         let (reserved_before, admin_connections_before, clients_before) =
             (limits.reserved_descriptors, limits.max_admin_connections, limits.max_client_connections);
         limits.reserve_admin_descriptors(sockets);
-        // Two processes have to hold all that the platform's front opens, with an admin listener as without.
+        // Two processes running in parallel have to accept all connections that the platform's front end
+        // opens, with or without an admin listener.
         assert!(sockets < 256 || limits.max_client_connections == clients_before, "{sockets}: {limits:?}");
         assert!(
             total(&limits) <= sockets,
-            "{sockets} with an admin listener: {} are handed out",
+            "{sockets} with an admin listener: {} are assigned",
             total(&limits)
         );
         assert!(
@@ -114,8 +115,9 @@
 }
 
 #[test]
-fn watch_has_descriptors_for_all_its_connections() {
+fn reserved_descriptors_suffice_for_all_watches() {
     let limits = limits();
-    // Those that wait, a silent one and a former one, each a second time while it is being closed.
+    // Pending watches, a silent one and one of the previous address; each counts twice because its
+    // predecessor may not be closed yet.
     assert!(limits.reserved_descriptors > 2 * (limits.max_pending_watches + 2) + 3 + 2 + 2);
 }
--- a/settings/tests/operator_files.rs
+++ b/settings/tests/operator_files.rs
@@ -1,10 +1,10 @@
-//! The operator's file: what follows from its keys.
+//! Settings that are derived from the keys of an operator's file.
 use settings::operator::read;
 
 const SHIPPED: &str = include_str!("../../deploy/mysql.toml");
 
 #[test]
-fn unchecked_connections_idle_no_longer_than_they_are_trusted() {
+fn mysql_connections_are_closed_when_they_would_need_a_check() {
     let limits = read(SHIPPED).unwrap().limits;
     assert_eq!(limits.backend_idle_timeout, limits.max_unchecked_idle_time);
 }
--- a/settings/tests/recorded_readings.rs
+++ b/settings/tests/recorded_readings.rs
@@ -1,6 +1,7 @@
-//! What the shipped files and a file with every table are read to, and what is reading of each of them with one place
-//! changed, against recordings under `fixtures/`. The recordings hold Debug texts and error messages; they were
-//! written by the code as it stood before its modules were split, and follow the names of types and fields.
+//! Compares the parsed form of the shipped files and of a file with every table, each also with single values
+//! changed, with recordings under `fixtures/`. The recordings contain Debug output and error messages. They
+//! were written before the modules were split, to show that the split changed no result, and are adapted when
+//! types or fields are renamed.
 use serde_json::{Value, json};
 use settings::{fleet, operator, platform, start};
 use std::fmt::{Debug, Write};
@@ -13,7 +14,7 @@
 const AKUREYRI: &str = include_str!("../../deploy/sites/akureyri-skjol/settings.json");
 const HAFNARFJORDUR: &str = include_str!("../../deploy/sites/hafnarfjordur-lager/settings.json");
 
-/// Compares line by line, so that a failure shows the first line that differs.
+/// Compares texts line by line, so that a failure shows the first line that differs.
 fn assert_recorded(name: &str, recorded: &str, found: &str) {
     for (number, (recorded, found)) in recorded.lines().zip(found.lines()).enumerate() {
         assert_eq!(found, recorded, "{name}, line {}", number + 1);
@@ -25,7 +26,7 @@
     toml::from_str(text).expect("TOML")
 }
 
-/// The platform's configuration around a site's settings.
+/// Returns a platform configuration that contains the settings of a site.
 fn platform_config(site_settings: &str) -> Value {
     let settings: Value = serde_json::from_str(site_settings).expect("JSON");
     json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "admin_addr": "127.0.0.1:2",
@@ -33,7 +34,7 @@
         "limits": {"memory_mb": 192, "sockets": 256}, "settings": settings})
 }
 
-/// The operator's `[fleet]` table, which stands in the shipped document as a comment.
+/// Returns the table `[fleet]`, which the shipped document contains as a comment.
 fn fleet_member_table() -> Value {
     toml_value(&FLEET.split("#   [fleet]").nth(1).expect("the table").replace("#   ", ""))
 }
@@ -58,7 +59,7 @@
 
 #[test]
 fn document_is_printed_with_the_recorded_keys() {
-    let document = fleet::read(FLEET, None).expect("a good document");
+    let document = fleet::read(FLEET, None).expect("a valid document");
     let printed = serde_json::to_string_pretty(&document).expect("JSON");
     assert_recorded(
         "printed_document",
@@ -67,7 +68,7 @@
     );
 }
 
-/// Every place in a value as a JSON pointer; of arrays only the first item.
+/// Collects JSON pointers to the value and all values nested in it; of arrays only the first item.
 fn pointers(value: &Value, at: String, all: &mut Vec<String>) {
     match value {
         Value::Object(fields) => fields.iter().for_each(|(key, v)| pointers(v, format!("{at}/{key}"), all)),
@@ -77,45 +78,46 @@
     all.push(at);
 }
 
-/// The value with one place changed in each of many ways, and what was done.
+/// Returns variants of the value with one nested value removed, replaced, extended or duplicated, each with a
+/// description of the change.
 fn changes(value: &Value) -> Vec<(String, Value)> {
     let mut all = Vec::new();
     pointers(value, String::new(), &mut all);
     let mut changed = Vec::new();
-    for place in all.iter().filter(|place| !place.is_empty()) {
-        let (parent, key) = place.rsplit_once('/').expect("a place has a parent");
+    for pointer in all.iter().filter(|pointer| !pointer.is_empty()) {
+        let (parent, key) = pointer.rsplit_once('/').expect("a pointer with a parent");
         let mut without = value.clone();
         match without.pointer_mut(parent) {
             Some(Value::Object(fields)) => drop(fields.remove(key)),
             Some(Value::Array(items)) => drop(items.remove(0)),
-            _ => unreachable!("{parent} holds {place}"),
+            _ => unreachable!("{parent} contains {pointer}"),
         }
-        changed.push((format!("{place} removed"), without));
+        changed.push((format!("{pointer} removed"), without));
         for other in
             [json!(true), json!(-1), json!(0), json!(0.5), json!(1e12), json!("odd"), json!([]), json!({})]
         {
             let mut with = value.clone();
-            *with.pointer_mut(place).expect("a place") = other.clone();
-            changed.push((format!("{place} = {other}"), with));
+            *with.pointer_mut(pointer).expect("an existing pointer") = other.clone();
+            changed.push((format!("{pointer} = {other}"), with));
         }
-        if value.pointer(place).is_some_and(Value::is_object) {
+        if value.pointer(pointer).is_some_and(Value::is_object) {
             let mut with = value.clone();
-            with.pointer_mut(place).expect("a place")["unheard"] = json!(1);
-            changed.push((format!("{place}/unheard added"), with));
+            with.pointer_mut(pointer).expect("an existing pointer")["unheard"] = json!(1);
+            changed.push((format!("{pointer}/unheard added"), with));
         }
         if let Some(Value::Array(items)) =
-            value.pointer(place).filter(|v| v.as_array().is_some_and(|a| !a.is_empty()))
+            value.pointer(pointer).filter(|v| v.as_array().is_some_and(|a| !a.is_empty()))
         {
             let mut with = value.clone();
             let first = items[0].clone();
-            with.pointer_mut(place).and_then(Value::as_array_mut).expect("an array").push(first);
-            changed.push((format!("{place}/0 twice"), with));
+            with.pointer_mut(pointer).and_then(Value::as_array_mut).expect("an array").push(first);
+            changed.push((format!("{pointer}/0 twice"), with));
         }
     }
     changed
 }
 
-/// The error text, or the lines of the Debug text that the unchanged value has not.
+/// Returns the error message, or the lines of the Debug output that differ from those of the unchanged value.
 fn outcome<T: Debug, E: ToString>(unchanged: &T, read: Result<T, E>) -> String {
     let value = match read {
         Err(error) => return format!("error: {}", error.to_string().replace('\n', "\\n")),
@@ -141,7 +143,8 @@
     operator::read(text).map(|read| operator::OperatorConfig { parsed_file: Value::Null, ..read })
 }
 
-/// What a later file changes while the program runs, but for the keys that stay as they were.
+/// Returns the result of a reload with this file as text: keys that require a restart, session peers, and the
+/// parts of `[mysql]` that can change at run time.
 fn reload_outcome(text: &str, start: &operator::OperatorConfig) -> String {
     match operator::reload(text, None, start) {
         Ok(reload) => {
@@ -153,8 +156,8 @@
 }
 
 fn operator_changes(text: &str) -> String {
-    let start = operator::read(text).expect("a good file");
-    let unchanged = read_operator(text).expect("a good file");
+    let start = operator::read(text).expect("a valid file");
+    let unchanged = read_operator(text).expect("a valid file");
     let mut found = String::new();
     for (change, value) in changes(&toml_value(text)) {
         let text = toml::to_string(&value).expect("TOML");
@@ -165,15 +168,15 @@
 }
 
 #[test]
-fn changed_operator_files_are_read_or_refused_as_recorded() {
+fn changed_operator_files_are_accepted_or_rejected_as_recorded() {
     let mut found = operator_changes(ALL_TABLES);
     found.push_str(&operator_changes(REGISTRY));
     assert_recorded("operator_changes", include_str!("fixtures/operator_changes.txt"), &found);
 }
 
 #[test]
-fn changed_fleet_documents_are_read_or_refused_as_recorded() {
-    let unchanged = fleet::read(FLEET, None).expect("a good document");
+fn changed_fleet_documents_are_accepted_or_rejected_as_recorded() {
+    let unchanged = fleet::read(FLEET, None).expect("a valid document");
     let classes = ["basket-read".to_string()];
     let mut found = String::new();
     for (change, value) in changes(&toml_value(FLEET)) {
@@ -183,7 +186,7 @@
             .unwrap();
     }
     let table = fleet_member_table();
-    let unchanged = fleet::read_member(&table).expect("a good table");
+    let unchanged = fleet::read_member(&table).expect("a valid table");
     for (change, value) in changes(&table) {
         writeln!(found, "member {change}: {}", outcome(&unchanged, fleet::read_member(&value))).unwrap();
     }
@@ -191,13 +194,13 @@
 }
 
 #[test]
-fn changed_platform_configurations_are_read_or_refused_as_recorded() {
+fn changed_platform_configurations_are_accepted_or_rejected_as_recorded() {
     let read = |config: &Value| {
         start::read(&config.to_string(), &|_| None)
             .map(|read| start::PlatformConfig { parsed_file: Value::Null, ..read })
     };
     let config = platform_config(AKUREYRI);
-    let unchanged = read(&config).expect("a good configuration");
+    let unchanged = read(&config).expect("a valid configuration");
     let mut found = String::new();
     for (change, value) in changes(&config) {
         writeln!(found, "{change}: {}", outcome(&unchanged, read(&value))).unwrap();
--- a/settings/tests/sites.rs
+++ b/settings/tests/sites.rs
@@ -1,4 +1,5 @@
-//! The deployments under `deploy/sites/`: the settings that tests start routers with lie within the site files.
+//! The deployments under `deploy/sites/`: the settings with which tests start routers conform to the site
+//! files.
 use serde_json::{Value, json};
 use toml::Table;
 
@@ -15,8 +16,8 @@
     ),
 ];
 
-/// The site file's word, and the wire's.
-const WORDS: [(&str, &str); 13] = [
+/// Keywords of the site files and the corresponding keywords of the platform settings.
+const KEYWORDS: [(&str, &str); 13] = [
     ("safe", "read_like"),
     ("unsafe", "non_idempotent"),
     ("any", "eventual"),
@@ -32,45 +33,45 @@
     ("push", "automatic"),
 ];
 
-fn wire(word: &toml::Value) -> &'static str {
-    let word = word.as_str().expect("a word");
-    WORDS.iter().find(|(site, _)| *site == word).map(|(_, wire)| *wire).expect("a known word")
+fn platform_keyword(word: &toml::Value) -> &'static str {
+    let word = word.as_str().expect("a string");
+    KEYWORDS.iter().find(|(site, _)| *site == word).map(|(_, wire)| *wire).expect("a known keyword")
 }
 
-/// Whether a figure of the settings is one that the site file allows: its one, or one of its range.
-fn allows(site: &toml::Value, factor: f64, said: &Value) -> bool {
+/// Returns whether the site file allows a value of the settings: `site` is a single value or a range.
+fn allows(site: &toml::Value, factor: f64, found: &Value) -> bool {
     let number = |v: &toml::Value| v.as_float().or(v.as_integer().map(|n| n as f64)).map(|x| x * factor);
-    let Some(said) = said.as_f64() else { return site.as_bool().is_some_and(|b| *said == json!(b)) };
+    let Some(found) = found.as_f64() else { return site.as_bool().is_some_and(|b| *found == json!(b)) };
     match site.as_array() {
         Some(range) => {
-            number(&range[0]).is_some_and(|a| a <= said) && number(&range[1]).is_some_and(|b| said <= b)
+            number(&range[0]).is_some_and(|a| a <= found) && number(&range[1]).is_some_and(|b| found <= b)
         }
-        None => number(site) == Some(said),
+        None => number(site) == Some(found),
     }
 }
 
 #[test]
-fn site_settings_lie_within_their_site_files() {
+fn settings_conform_to_site_files() {
     for (name, site, settings) in SITES {
         let site: Table = site.parse().expect("TOML");
         let settings: Value = serde_json::from_str(settings).expect("JSON");
         assert_eq!(site["name"].as_str(), Some(name));
         let fam = &site["fam"];
-        let listed = site["class"].as_array().expect("classes");
-        let said = settings["classes"].as_array().expect("classes");
-        assert_eq!(listed.len(), said.len(), "{name}");
-        for (i, (class, said)) in listed.iter().zip(said).enumerate() {
+        let site_classes = site["class"].as_array().expect("classes");
+        let found_classes = settings["classes"].as_array().expect("classes");
+        assert_eq!(site_classes.len(), found_classes.len(), "{name}");
+        for (i, (class, found)) in site_classes.iter().zip(found_classes).enumerate() {
             let needs = &fam["class"][i];
-            assert_eq!(said["name"].as_str(), class["name"].as_str());
-            assert_eq!(said["semantics"], wire(&class["effect"]), "{name}: {i}");
-            assert_eq!(settings["extra"]["freshness"][i], wire(&needs["read"]), "{name}: {i}");
+            assert_eq!(found["name"].as_str(), class["name"].as_str());
+            assert_eq!(found["semantics"], platform_keyword(&class["effect"]), "{name}: {i}");
+            assert_eq!(settings["extra"]["freshness"][i], platform_keyword(&needs["read"]), "{name}: {i}");
             for (key, wire) in [
                 ("aim_ms", "objectiveMs"),
                 ("deadline_ms", "deadlineMs"),
                 ("worth", "worth"),
                 ("late_worth", "lateWorth"),
             ] {
-                assert!(allows(&class[key], 1.0, &said[wire]), "{name}: class {i}: {key}");
+                assert!(allows(&class[key], 1.0, &found[wire]), "{name}: class {i}: {key}");
             }
             if let Some(bound) = needs.get("bound_ms") {
                 assert!(allows(bound, 1.0, &settings["extra"]["oldestDataMs"][i]), "{name}: class {i}");
@@ -78,12 +79,12 @@
         }
         let zones = site["net"]["zones"].as_array().expect("zones").iter().map(|z| json!(z.as_str()));
         assert_eq!(settings["failureDomains"], json!(zones.collect::<Vec<_>>()), "{name}");
-        assert_eq!(settings["extra"]["whenBehind"], wire(&fam["checks"]), "{name}");
-        assert_eq!(settings["extra"]["writeMarks"], wire(&fam["tokens"]), "{name}");
-        assert_eq!(settings["membershipMode"], wire(&site["discovery"]["mode"]), "{name}");
+        assert_eq!(settings["extra"]["whenBehind"], platform_keyword(&fam["checks"]), "{name}");
+        assert_eq!(settings["extra"]["writeMarks"], platform_keyword(&fam["tokens"]), "{name}");
+        assert_eq!(settings["membershipMode"], platform_keyword(&site["discovery"]["mode"]), "{name}");
         let tier = &site["tier"][0];
         let cold = &tier["kind"][0];
-        for (figure, factor, place) in [
+        for (allowed, factor, pointer) in [
             (&site["allow"]["max_attempts"], 1.0, "/limits/mostTries"),
             (&site["allow"]["probes"], 1.0, "/limits/probes"),
             (&site["allow"]["cancel"], 1.0, "/limits/cancel"),
@@ -101,9 +102,9 @@
             (&site["day"]["tick_ms"], 1.0, "/roundMs"),
             (&site["scale"]["balancers"], 1.0, "/replicasOfMe"),
         ] {
-            let said = settings.pointer(place).expect(place);
-            assert!(allows(figure, factor, said), "{name}: {place}: {said} is none of {figure}");
+            let found = settings.pointer(pointer).expect(pointer);
+            assert!(allows(allowed, factor, found), "{name}: {pointer}: {found} is not within {allowed}");
         }
-        settings::platform::read(&settings).expect("settings that can be read");
+        settings::platform::read(&settings).expect("valid settings");
     }
 }
