--- a/settings/src/fleet/error.rs
+++ b/settings/src/fleet/error.rs
@@ -39,8 +39,8 @@
     },
     /// A strict placement rule names only sites that have no server.
     #[error(
-        "{key}: none of these sites ({sites}) has a server, so no request could be served; name a site that has \
-         a server, or list a server there first"
+        "{key}: no server is at any of these sites ({sites}), so no request could be served; name a site that \
+         has a server, or list a server there first"
     )]
     NoMember {
         /// The key of the strict rule.
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,12 +1,12 @@
-//! The command line: it is read, and the sub-command that it names is run.
+//! Parses the command line and runs the selected sub-command.
 use crate::commands::{self, capture, check, ctl, fleet, platform, registry, serve, sessions};
 use crate::log;
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The command line. Help is given as text instead of a doc comment where a doc comment would have to put a word into
-/// backticks, which the help would show.
+/// The command line. Help is given as text instead of a doc comment where a doc comment would have to put a
+/// word into backticks, which the help would show.
 #[derive(Parser)]
 #[command(
     name = "damsonvale",
@@ -27,7 +27,8 @@
 enum Command {
     #[command(about = "Serves MySQL as an operator's file says")]
     Serve(FileArgument),
-    /// Checks an operator's file and says what it sets up; exit code 1 and the faulty key where it can't be used.
+    /// Checks an operator's file and says what it sets up; exit code 1 and the faulty key where it can't be
+    /// used.
     Check(FileArgument),
     /// Reads or changes the store of a router that runs.
     Ctl(ctl::Arguments),
@@ -51,8 +52,8 @@
     file: PathBuf,
 }
 
-/// Runs the program as its arguments say. Where it fails, the reason is in the log, or on standard error before there
-/// is a log.
+/// Runs the program with its command-line arguments. On failure, the error is reported in the log, or on
+/// standard error if the log was not initialized yet.
 pub fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
@@ -63,9 +64,10 @@
     }
 }
 
-/// Runs the sub-command that the arguments name.
+/// Parses the arguments and runs the selected sub-command.
 fn run() -> Result<(), commands::Error> {
-    // How the platform starts a router: it saves the memory of the code that reads arguments.
+    // The platform starts routers without arguments. Skipping the argument parser saves the memory of its
+    // code.
     if std::env::args_os().len() == 1 {
         return platform::run();
     }
--- a/src/commands/capture.rs
+++ b/src/commands/capture.rs
@@ -1,4 +1,4 @@
-//! `requests` and `replay`: lists the requests of a capture file, or sends them again.
+//! The sub-commands `requests` and `replay`: list the requests of a capture file, or send them to a router.
 use super::Error;
 use clap::Args;
 use mysql_wire::login::Credentials;
@@ -25,15 +25,15 @@
     writes: bool,
 }
 
-/// What a capture file holds.
+/// The parsed contents of a capture file.
 struct Capture {
-    /// The requests up to the end of the file or the first fault in it.
+    /// The requests up to the end of the file or its first invalid part.
     requests: Vec<Request>,
-    /// The fault at which reading ended, if it ended early.
+    /// The error at which parsing stopped, if it stopped before the end of the file.
     ended: Result<(), Error>,
 }
 
-/// Reads a capture file. What could not be read in full is reported on standard error.
+/// Reads a capture file. Remarks about requests that could not be read in full are printed to standard error.
 fn read(path: &Path) -> Result<Capture, Error> {
     let name = path.display();
     let file = std::fs::File::open(path).map_err(|source| Error::ReadFile { path: path.into(), source })?;
@@ -49,7 +49,8 @@
     String::from_utf8_lossy(request.statement.text())
 }
 
-/// Lists a capture's requests. Those before a fault in the file are listed all the same.
+/// Prints the requests of a capture file. If the file is invalid from some point on, the requests before it
+/// are printed and then the error is returned.
 pub(crate) fn list_requests(path: &Path) -> Result<(), Error> {
     let capture = read(path)?;
     for request in &capture.requests {
@@ -65,7 +66,7 @@
     capture.ended
 }
 
-/// Sends a capture's requests through a router, unless the capture has a fault.
+/// Sends the requests of a capture file to a router. An invalid file is rejected before any request is sent.
 pub(crate) fn replay(arguments: &ReplayArguments) -> Result<(), Error> {
     let capture = read(&arguments.file)?;
     capture.ended?;
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,9 +1,10 @@
-//! `check`: reads an operator's file as `serve` would, and prints a summary of what it sets up.
+//! The sub-command `check`: validates an operator's file as `serve` does, and prints a summary of its
+//! settings.
 use super::Error;
 use settings::operator::{OperatorConfig, SessionsConfig};
 use std::path::Path;
 
-/// Checks a file.
+/// Validates an operator's file and the fleet document that it names, and prints a summary.
 pub(crate) fn run(path: &Path) -> Result<(), Error> {
     let operator = super::read_operator_file(path)?;
     println!("{}: can be used", path.display());
@@ -40,7 +41,8 @@
     );
 }
 
-/// Checks the fleet document that the file names, and prints how the router belongs to the fleet.
+/// Validates the fleet document that the operator's file names, and prints the router's name in the fleet and
+/// the number of store and allocator addresses.
 fn check_fleet(operator: &OperatorConfig) -> Result<(), Error> {
     let Some(fleet) = &operator.fleet else { return Ok(()) };
     if let Some(document) = &fleet.seed_document_path {
--- a/src/commands/ctl.rs
+++ b/src/commands/ctl.rs
@@ -1,4 +1,4 @@
-//! `ctl`: reads or changes the store of a running router, through its control address.
+//! The sub-command `ctl`: reads or changes the store of a running router through its control address.
 use super::Error;
 use clap::{Args, Subcommand};
 use serde_json::{Value, json};
@@ -55,7 +55,7 @@
     },
 }
 
-/// The command as the control address receives it: one JSON object.
+/// Encodes the command as the JSON object that is sent to the control address.
 pub fn encode(command: &Command) -> Value {
     let mut encoded = match command {
         Command::Status => json!({"do": "status"}),
@@ -75,7 +75,7 @@
     encoded
 }
 
-/// Sends the command, and prints the response.
+/// Sends the command to the control address and prints the response.
 pub(crate) fn run(arguments: &Arguments) -> Result<(), Error> {
     let response = store::control::send_command(&arguments.address, &encode(&arguments.command))?;
     println!("{response}");
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -1,165 +1,165 @@
-//! Errors that end a command.
+//! Errors that end a sub-command.
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// An error that ends a command. Each message names the file, the key or the address at fault and, where an operator can
-/// do something about it, what.
+/// An error that ends a sub-command. Each message names the affected file, key or address and, where an
+/// operator can fix the problem, how.
 #[derive(Debug, Error)]
 pub(crate) enum Error {
-    /// A file can't be read.
+    /// A file cannot be read.
     #[error("{}: cannot be read: {source}", .path.display())]
     ReadFile {
-        /// The file.
+        /// Path of the affected file.
         path: PathBuf,
-        /// The cause.
+        /// The underlying error.
         source: io::Error,
     },
-    /// A configuration can't be used.
+    /// A configuration file is invalid.
     #[error("{}: {source}", .path.display())]
     Settings {
-        /// Its file.
+        /// Path of the affected file.
         path: PathBuf,
-        /// The key and what is wrong with it.
+        /// The error in the configuration, which names the faulty key.
         source: settings::Error,
     },
-    /// The environment does not name the platform's configuration.
-    #[error("BALANCER_CONFIG: expected the path of the configuration")]
+    /// The environment variable with the path of the platform's configuration is not set.
+    #[error("BALANCER_CONFIG: expected the path of the configuration file")]
     NoPlatformConfiguration,
-    /// The socket that the platform passed can't be used.
+    /// The listening socket that the platform passed is invalid.
     #[error("BALANCER_PASSED_SOCKET: {0}")]
     InheritedSocket(#[from] client_listener::InheritedSocketError),
-    /// The address of the passed socket can't be read.
-    #[error("BALANCER_PASSED_SOCKET: {0}; let the platform pass it anew")]
+    /// The local address of the listening socket that the platform passed cannot be determined.
+    #[error("BALANCER_PASSED_SOCKET: cannot determine the socket's address: {0}; start the router again")]
     InheritedSocketAddress(io::Error),
-    /// An address can't be listened on.
-    #[error("{key}: {addr}: {source}; see who else listens there")]
+    /// An address cannot be bound for listening.
+    #[error("{key}: cannot listen on {addr}: {source}; check whether another process uses this address")]
     Listen {
-        /// The configuration key that gives the address.
+        /// The configuration key of the address.
         key: &'static str,
-        /// The address.
+        /// The address that cannot be bound.
         addr: String,
-        /// The cause.
+        /// The underlying error.
         source: io::Error,
     },
-    /// Signals can't be handled.
-    #[error("no signals: {0}")]
+    /// The signal handlers cannot be installed.
+    #[error("cannot install the signal handlers: {0}")]
     Signals(io::Error),
-    /// No thread could be started.
-    #[error("{what}: no thread: {source}; raise the limit of processes of this user")]
+    /// A thread cannot be started.
+    #[error("{what}: cannot start a thread: {source}; raise the limit of processes of this user")]
     Thread {
-        /// What the thread is for.
+        /// The purpose of the thread.
         what: &'static str,
-        /// The cause.
+        /// The underlying error.
         source: io::Error,
     },
-    /// The threads of the routing core don't start.
-    #[error("the core does not start: {0}; raise the limit of processes of this user")]
+    /// The threads of the routing core cannot be started.
+    #[error("cannot start the routing core: {0}; raise the limit of processes of this user")]
     Core(io::Error),
-    /// The operators' address can't be listened on.
+    /// The admin address cannot be bound for listening.
     #[error("admin_addr: {0}")]
     AdminListen(#[from] admin::AdminServerError),
-    /// The metrics can't be set up: a class has a name that no metric can have.
-    #[error("figures: {0}")]
+    /// The metrics cannot be created because a class name is not valid in a metric.
+    #[error("metrics: {0}")]
     Metrics(Box<dyn std::error::Error + Send + Sync>),
-    /// Discovery can't be watched.
-    #[error("no watch: {0}; raise the limit of processes of this user")]
+    /// The watch of discovery cannot be started.
+    #[error("cannot start the discovery watch: {0}; raise the limit of processes of this user")]
     DiscoveryWatch(io::Error),
-    /// Client connections can no longer be accepted.
-    #[error("the front ended: {0}")]
+    /// The client listener failed and accepts no more connections.
+    #[error("the client listener failed: {0}")]
     ClientListener(io::Error),
-    /// The store does not start.
+    /// The store cannot be started.
     #[error(transparent)]
     Store(#[from] store::Error),
-    /// A command did not reach a running store, or was rejected by it.
+    /// A control command could not be sent to a running store or was rejected by it.
     #[error(transparent)]
     StoreCommand(#[from] store::control::CommandError),
-    /// Sessions don't start.
+    /// The sessions component cannot be started.
     #[error(transparent)]
     Sessions(#[from] sessions::Error),
-    /// The status of a sessions instance could not be requested.
+    /// The sessions status of a running instance could not be read.
     #[error(transparent)]
     SessionStatus(#[from] sessions::error::StatusError),
-    /// A sessions folder holds no journal.
+    /// A folder contains no session journal.
     #[error("{}: there is no journal", .0.display())]
     NoSessionJournal(PathBuf),
-    /// A sessions journal is damaged.
+    /// A session journal is damaged.
     #[error("{}: {source}", .path.display())]
     SessionJournal {
-        /// Its file.
+        /// Path of the affected file.
         path: PathBuf,
-        /// The cause.
+        /// The underlying error.
         source: sessions::journal::JournalFault,
     },
-    /// A recording can't be started.
+    /// The traffic recording cannot be started.
     #[error(transparent)]
     Recording(#[from] pcap::record::RecordError),
-    /// A capture can't be read to its end.
+    /// A capture file is invalid or incomplete.
     #[error("{}: {source}", .path.display())]
     Capture {
-        /// Its file.
+        /// Path of the affected file.
         path: PathBuf,
-        /// Where, and why.
+        /// The error with its offset in the file.
         source: pcap::capture::CaptureError,
     },
-    /// A replay ended early.
+    /// A replay failed before all requests were sent.
     #[error(transparent)]
     Replay(#[from] pcap::replay::ReplayError),
-    /// The registry can't be followed.
+    /// The registry client cannot be started.
     #[error(transparent)]
     Registry(#[from] registry::Error),
-    /// The fleet's members can't be joined.
+    /// The membership protocol cannot be started.
     #[error("members: {0}")]
     Membership(#[from] membership::Error),
-    /// A file holds a fleet document that can't be used.
+    /// A file contains an invalid fleet document.
     #[error("{}: {source}", .path.display())]
     FleetFile {
-        /// The file.
+        /// Path of the affected file.
         path: PathBuf,
-        /// The key and what is wrong with it.
+        /// The error in the configuration, which names the faulty key.
         source: settings::fleet::FleetError,
     },
-    /// The fleet document can't be read from the store or written to it.
+    /// The fleet document cannot be read from the store or written to it.
     #[error("fleet: {0}")]
     FleetDocument(#[from] fleet::document::DocumentError),
-    /// A file's fleet document can't be written to the store.
+    /// The fleet document of a file cannot be written to the store.
     #[error("{}: {source}", .path.display())]
     FleetDocumentFile {
-        /// The file.
+        /// Path of the affected file.
         path: PathBuf,
-        /// The cause.
+        /// The underlying error.
         source: fleet::document::DocumentError,
     },
-    /// The store does not answer its client.
+    /// A request to the store failed.
     #[error("store: {0}")]
     StoreClient(#[from] store::client::ClientError),
-    /// The store holds no fleet document.
+    /// The store has no fleet document.
     #[error("there is no document yet; set one with `fleet set`")]
     NoFleetDocument,
-    /// The operator's file names no registry.
-    #[error("{}: expected a table 'registry' in the file", .0.display())]
+    /// The operator's file has no table `[registry]`.
+    #[error("{}: the file has no table [registry]", .0.display())]
     NoRegistry(PathBuf),
-    /// A request did not reach the registry, or was rejected by it.
+    /// A request could not be sent to the registry or was rejected by it.
     #[error(transparent)]
     RegistryRequest(#[from] registry::RequestError),
-    /// Every member of the registry failed; this is the error of the member that was tried last.
+    /// All endpoints of the registry failed; this is the error of the endpoint that was tried last.
     #[error("{addr}: {source}")]
     RegistryMember {
-        /// The member.
+        /// The address of the registry endpoint.
         addr: SocketAddr,
-        /// The cause.
+        /// The underlying error.
         source: Box<Error>,
     },
-    /// The registry does not hold a key.
+    /// A key does not exist in the registry.
     #[error("there is no {0}; `registry FILE get` lists what there is")]
     NoRegistryKey(String),
-    /// A node's value can't be read, or can't be put into the registry.
-    #[error("{key}: {source}; `docs/design/registry.md` has the form")]
+    /// The registry value of a node is not valid JSON for a node, or cannot be encoded.
+    #[error("{key}: invalid node: {source}; `docs/design/registry.md` describes the format")]
     RegistryNode {
-        /// Its key.
+        /// The key of the node in the registry.
         key: String,
-        /// The cause.
+        /// The underlying error.
         source: serde_json::Error,
     },
 }
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -1,5 +1,5 @@
-//! `fleet`: sets, shows and takes back the fleet's configuration, which is one document in the store, and reports which
-//! router acted on which version of it.
+//! The sub-command `fleet`: writes, prints and reverts the fleet document in the store, and prints the audit
+//! of which router acted on which version of it.
 pub mod timeline;
 
 use super::Error;
@@ -13,9 +13,9 @@
 use store::client::{Client, Settings};
 use store::wire::Consistency;
 
-/// Exit code of `fleet audit` where a gap is open.
+/// Exit code of `fleet audit` if the timeline has an open gap.
 const EXIT_OPEN_GAP: i32 = 2;
-/// The store has times in microseconds.
+/// Number of microseconds per second, the unit of times in audit records.
 const MICROSECONDS_PER_SECOND: i64 = 1_000_000;
 
 /// The store that is meant.
@@ -50,7 +50,8 @@
         #[arg(long)]
         json: bool,
     },
-    /// Prints which router acted on which version from when to when, and the gaps; exit code 2 where one is open.
+    /// Prints which router acted on which version from when to when, and the gaps; exit code 2 where one is
+    /// open.
     Audit {
         #[command(flatten)]
         addresses: StoreAddresses,
@@ -80,7 +81,7 @@
     }
 }
 
-/// Carries a command out.
+/// Runs a `fleet` command.
 pub(crate) fn run(command: &Command) -> Result<(), Error> {
     match command {
         Command::Set { file, addresses, expect, note } => set(&addresses.client(), file, *expect, note),
@@ -97,7 +98,8 @@
 
 fn set(client: &Client, file: &Path, expected_version: Option<u64>, note: &str) -> Result<(), Error> {
     let text = super::read_file(file)?;
-    // Checked before the store is contacted: a faulty file is reported as one even where the store does not answer.
+    // Validated before the store is contacted, so that an invalid file is reported even if the store is
+    // unreachable.
     settings::fleet::read(&text, None).map_err(|source| Error::FleetFile { path: file.into(), source })?;
     let version = document::write(client, &text, expected_version, note)
         .map_err(|source| Error::FleetDocumentFile { path: file.into(), source })?;
@@ -127,7 +129,8 @@
     Ok(())
 }
 
-/// Prints which router acted on which version. Ends the program with [`EXIT_OPEN_GAP`] where a gap is open.
+/// Prints which router acted on which version of the fleet document. Exits the process with [`EXIT_OPEN_GAP`]
+/// if a gap is open.
 fn audit(
     client: &Client,
     since_seconds: Option<u32>,
@@ -147,7 +150,8 @@
     Ok(())
 }
 
-/// Builds the timeline from the records in the store. A record that can't be read is reported on standard error.
+/// Builds the timeline from the audit records in the store. Records that cannot be parsed are skipped and
+/// reported on standard error.
 fn read_timeline(
     client: &Client,
     since_seconds: Option<u32>,
--- a/src/commands/fleet/timeline.rs
+++ b/src/commands/fleet/timeline.rs
@@ -1,8 +1,9 @@
-//! `fleet audit`'s table: which router acted on which version of the document, and the gaps.
+//! The table that `fleet audit` prints: which router acted on which version of the fleet document, and the
+//! gaps.
 use audit::timeline::{GapKind, Timeline};
 use chrono::DateTime;
 
-/// Prints a timeline as a table, with the gaps below it.
+/// Prints a timeline as a table, followed by the gaps.
 pub(super) fn print(timeline: &Timeline) {
     println!(
         "{:<24} {:>9} {:>9} {:<8} {:<23} {:<23} {:>12}",
@@ -26,7 +27,7 @@
     }
 }
 
-/// Says what a gap consists of.
+/// Returns a description of a gap's kind.
 fn describe(gap: &GapKind) -> String {
     match gap {
         GapKind::ConcurrentVersions(versions) => {
@@ -42,12 +43,13 @@
     }
 }
 
-/// The end of an interval or a gap, in microseconds of Unix time; `None` for one that lasts.
+/// Formats the end of an interval or a gap, in microseconds of Unix time; `None` means that it has not ended.
 fn format_end(until: Option<i64>) -> String {
     until.map_or_else(|| "now".into(), format_time)
 }
 
-/// Date and time of day, UTC, of a Unix time in microseconds; the number itself where no calendar has it.
+/// Formats a Unix time in microseconds as date and time in UTC, or as a plain number if it is outside the
+/// calendar's range.
 pub fn format_time(unix_microseconds: i64) -> String {
     match DateTime::from_timestamp_micros(unix_microseconds) {
         Some(time) => time.format("%Y-%m-%dT%H:%M:%S%.3f").to_string(),
--- a/src/commands/members.rs
+++ b/src/commands/members.rs
@@ -1,25 +1,25 @@
-//! The fleet that a router of an operator's file is a member of: which routers are alive, and the share of the capacity
-//! that follows from their number.
+//! Membership of a `serve` router in its fleet: tracks which routers are alive, and derives from their number
+//! the router's share of the servers' capacity.
 use super::Error;
 use crossbeam_channel::Receiver;
 use membership::{Change, Config, Membership, live_router_count};
-use settings::members::MembershipConfig as Table;
+use settings::members::MembershipConfig;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A router that is no longer heard counts on for this many probe intervals: longer than a member that was wrongly
-/// taken for dead needs to return.
+/// Number of protocol periods for which a router that left or failed still counts; longer than a member that
+/// was wrongly declared dead needs to rejoin.
 const SETTLE_INTERVALS: u32 = 10;
-/// A start waits at most this many probe intervals for another router, so that the first client finds the share of a
-/// router that has joined.
+/// Number of protocol periods for which startup waits for another router, so that the capacity share already
+/// accounts for the other routers when the first client connects.
 const JOIN_INTERVALS: u32 = 4;
-/// How long a leaving router waits at most until its departure is spread; at the default interval that takes a quarter
-/// of a second.
+/// How long a leaving router waits for its leave message to be disseminated; with the default protocol period
+/// that takes a quarter of a second.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Joins the fleet and follows it. `on_router_count` is given the number of routers that share the capacity, at once and
-/// at each change; `router_count` is the fleet's size that the file gives.
+/// Joins the fleet and tracks its members. `on_router_count` is called with the number of routers that share
+/// the capacity, immediately and at each change; `router_count` is the configured size of the fleet.
 pub(super) fn start(
-    table: &Table,
+    table: &MembershipConfig,
     router_count: u32,
     on_router_count: impl Fn(u32) + Send + 'static,
 ) -> Result<Membership, Error> {
@@ -37,13 +37,17 @@
     let address = members.addr();
     tracing::info!(member = table.name, cluster = table.cluster, addr = %address, "cluster membership started");
     if expects_others && !wait_for_other_router(&changes, table.protocol_period * JOIN_INTERVALS) {
-        tracing::warn!(router_count, "no other cluster member heard yet, serving with an equal share");
+        tracing::warn!(
+            router_count,
+            "no other cluster member has responded yet, serving with an equal share"
+        );
     }
     Ok(members)
 }
 
-/// This router's membership. The generation tells it from an earlier process of the same name.
-fn config(table: &Table) -> Config {
+/// Returns the settings of the membership protocol. The generation distinguishes this process from an earlier
+/// one with the same name.
+fn config(table: &MembershipConfig) -> Config {
     let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Config {
         name: table.name.clone(),
@@ -56,7 +60,7 @@
     }
 }
 
-/// Whether another router is heard before the timeout.
+/// Waits for another router to become known; returns false if none does before the timeout.
 fn wait_for_other_router(changes: &Receiver<Change>, timeout: Duration) -> bool {
     let deadline = Instant::now() + timeout;
     loop {
@@ -69,10 +73,11 @@
     }
 }
 
-/// Leaves the fleet, so that the others need not find out by their probes.
+/// Announces that this router leaves the fleet, so that the other members need not detect it by failed
+/// probes.
 pub(super) fn leave(members: &Membership) {
     let (Ok(changes), Ok(())) = (members.subscribe(), members.leave()) else { return };
     let deadline = Instant::now() + LEAVE_TIMEOUT;
-    // The changes end when the departure has been spread.
+    // The channel is closed when the leave message has been disseminated.
     while changes.recv_deadline(deadline).is_ok() {}
 }
--- a/src/commands/platform.rs
+++ b/src/commands/platform.rs
@@ -1,7 +1,8 @@
-//! One of the platform's routers: `PostgreSQL`, configured by the file that `$BALANCER_CONFIG` names.
+//! The router that the platform runs: a `PostgreSQL` front end, configured by the file `$BALANCER_CONFIG`.
 //!
-//! [`run`] binds the operators' address first and accepts clients last. In between it starts the routing core, applies
-//! what operators and the file say about endpoints, and gives discovery a short time to bring its list.
+//! [`run`] binds the admin address first and accepts clients last. In between it starts the routing core,
+//! applies the stored maintenance state and the configured endpoints, and waits a short time for the endpoint
+//! list of discovery.
 mod admin;
 
 use super::Error;
@@ -21,52 +22,52 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// How many orders to the client listener may wait; few come at a time.
-const MAX_PENDING_ORDERS: usize = 64;
+/// Capacity of the command queue of the client listener; only a few commands are queued at a time.
+const MAX_PENDING_COMMANDS: usize = 64;
 
-fn environment(name: &str) -> Option<String> {
+fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-/// Serves the platform until SIGTERM.
+/// Runs the platform's router until SIGTERM.
 pub(crate) fn run() -> Result<(), Error> {
     start_log();
-    let path = PathBuf::from(environment("BALANCER_CONFIG").ok_or(Error::NoPlatformConfiguration)?);
+    let path = PathBuf::from(environment_variable("BALANCER_CONFIG").ok_or(Error::NoPlatformConfiguration)?);
     let signals = signals::register()?;
     let configuration = Configuration::read(path)?;
     let inherited = inherited_listener()?;
     let admin = AdminListener::bind(&configuration.start)?;
 
     let router = Router::start(&configuration.start, admin.as_ref().map(|admin| admin.metrics.clone()))?;
-    let (order_sender, orders) = bounded(MAX_PENDING_ORDERS);
-    // What operators have put in maintenance is known before the first endpoint list.
-    let admin = admin.map(|admin| admin.serve(&configuration.start, &router, order_sender.clone()));
+    let (command_sender, commands) = bounded(MAX_PENDING_COMMANDS);
+    // The stored maintenance state is restored before the first endpoint list is applied.
+    let admin = admin.map(|admin| admin.serve(&configuration.start, &router, command_sender.clone()));
     let admin = admin.transpose()?;
     configuration.apply_known_endpoints(&router.endpoints)?;
     let watch = start_discovery(&configuration.start, &router)?;
     let listener = match inherited {
-        Some(listener) => announce_inherited(listener, &configuration.start.name)?,
+        Some(listener) => log_inherited_listener(listener, &configuration.start.name)?,
         None => {
             ClientListener::Exclusive(super::listen(&configuration.start.name, &configuration.start.listen)?)
         }
     };
     let stack_bytes = router.limits.routing_thread_stack_bytes;
     let reload = configuration.into_reload(watch);
-    signals::handle(signals, stack_bytes, reload, shut_down(admin.clone(), order_sender))?;
+    signals::handle(signals, stack_bytes, reload, shut_down(admin.clone(), command_sender))?;
     if let Some(admin) = admin {
         admin.start_sync().map_err(|source| Error::Thread { what: "holds", source })?;
     }
-    router.serve(listener, &orders)
+    router.serve(listener, &commands)
 }
 
-/// Starts the log. Without `$DAMSONVALE_LOG` it has the default level: lines for whoever is on call, none for each
-/// request.
+/// Initializes the log with the level of `$DAMSONVALE_LOG`. The default level logs events that matter to
+/// operators, and no line per request.
 fn start_log() {
-    let level = environment("DAMSONVALE_LOG").unwrap_or_else(|| LogConfig::default().level);
+    let level = environment_variable("DAMSONVALE_LOG").unwrap_or_else(|| LogConfig::default().level);
     crate::log::start(&LogConfig { level, ..LogConfig::default() });
 }
 
-/// The configuration as it was at the start, and the file that it is read from.
+/// The configuration at the start and the path of its file.
 struct Configuration {
     path: PathBuf,
     start: PlatformConfig,
@@ -75,14 +76,14 @@
 impl Configuration {
     fn read(path: PathBuf) -> Result<Configuration, Error> {
         let text = super::read_file(&path)?;
-        let start = settings::start::read(&text, &environment)
+        let start = settings::start::read(&text, &environment_variable)
             .map_err(|source| Error::Settings { path: path.clone(), source })?;
         tracing::debug!(settings = ?start.settings, "settings read");
         tracing::debug!(file = %start.parsed_file, "configuration file read");
         Ok(Configuration { path, start })
     }
 
-    /// Gives the router the endpoints that the file lists, with which it serves until discovery brings others.
+    /// Applies the endpoints of the configuration file, which are used until discovery sends a list.
     fn apply_known_endpoints(&self, endpoints: &EndpointsHandle) -> Result<(), Error> {
         if self.start.initial_endpoints.is_null() {
             return Ok(());
@@ -96,8 +97,8 @@
         Ok(())
     }
 
-    /// What SIGHUP runs: reads the file anew, moves the watch where discovery's address has changed, and returns the
-    /// keys that need a restart.
+    /// Returns the function that SIGHUP runs: it reloads the file, moves the watch if the address of
+    /// discovery has changed, and returns the changed keys that require a restart.
     fn into_reload(self, watch: Watch) -> impl FnMut() -> Result<Vec<String>, Error> + Send + 'static {
         let mut watched: SocketAddr = self.start.discovery_address;
         move || {
@@ -113,7 +114,7 @@
     }
 }
 
-/// The running core with its `PostgreSQL` front.
+/// The running routing core with its `PostgreSQL` front end.
 struct Router {
     handle: RouterHandle<Postgres>,
     endpoints: EndpointsHandle,
@@ -123,7 +124,7 @@
 }
 
 impl Router {
-    /// Starts the core; `metrics` are counted where operators can ask for them.
+    /// Starts the routing core. `metrics` is set if there is an admin listener that serves them.
     fn start(start: &PlatformConfig, metrics: Option<Arc<Metrics>>) -> Result<Router, Error> {
         let limits = Arc::new(start.limits.clone());
         let clock = Clock::new();
@@ -143,48 +144,53 @@
         Ok(Router { handle, endpoints, front, clients, limits })
     }
 
-    /// Serves clients until an order to shut down.
-    fn serve(self, listener: ClientListener, orders: &Receiver<ServerCommand>) -> Result<(), Error> {
-        self.clients.serve(listener, orders).map_err(Error::ClientListener)
+    /// Serves clients until a shutdown command is received.
+    fn serve(self, listener: ClientListener, commands: &Receiver<ServerCommand>) -> Result<(), Error> {
+        self.clients.serve(listener, commands).map_err(Error::ClientListener)
     }
 }
 
-/// Starts to watch discovery. A list of the agent's is in force before the first client, whatever the file says; an
-/// agent that is silent delays the start only for a short time.
+/// Starts the watch of discovery. If discovery responds in time, its endpoint list replaces that of the file
+/// before the first client is accepted; otherwise startup continues after a short timeout.
 fn start_discovery(start: &PlatformConfig, router: &Router) -> Result<Watch, Error> {
     let limits = &router.limits;
     let watch = Watch::new(start.names.zones.clone(), limits.clone(), router.endpoints.clone());
     watch.follow(start.discovery_address).map_err(Error::DiscoveryWatch)?;
     if !watch.wait_for_first_line(limits.watch_first_event_timeout) {
-        tracing::warn!("discovery not heard yet, starting with the known endpoint list");
+        tracing::warn!("no response from discovery yet, starting with the configured endpoint list");
     }
-    // A machine that is too busy to apply the list in time does not keep the router from starting.
+    // On an overloaded machine the list may not be applied in time; the router starts nevertheless.
     if !router.endpoints.wait_until_applied(limits.watch_first_event_timeout) {
         tracing::warn!("endpoint list not applied yet, starting without it");
     }
     Ok(watch)
 }
 
-/// The listening socket that the platform has passed, if it has.
+/// Returns the listening socket that the platform passed, if any.
 fn inherited_listener() -> Result<Option<ClientListener>, Error> {
-    let descriptor = environment("BALANCER_PASSED_SOCKET").filter(|text| !text.is_empty());
+    let descriptor = environment_variable("BALANCER_PASSED_SOCKET").filter(|text| !text.is_empty());
     Ok(descriptor.map(|descriptor| ClientListener::from_inherited_descriptor(&descriptor)).transpose()?)
 }
 
-/// Logs where an inherited socket listens, as is logged of one that the router opens itself.
-fn announce_inherited(listener: ClientListener, name: &str) -> Result<ClientListener, Error> {
+/// Logs the address of an inherited listening socket, in the same form as for a socket that the router opens.
+fn log_inherited_listener(listener: ClientListener, name: &str) -> Result<ClientListener, Error> {
     let address = listener.local_addr().map_err(Error::InheritedSocketAddress)?;
     super::log_client_listener(name, address);
     Ok(listener)
 }
 
-/// What SIGTERM runs: announces the shutdown to the router's other processes, and orders it.
-fn shut_down(admin: Option<Arc<AdminService>>, orders: Sender<ServerCommand>) -> impl Fn() + Send + 'static {
+/// Returns the function that SIGTERM runs: it announces the shutdown to other processes of the same router,
+/// and sends a shutdown command to the client listener.
+fn shut_down(
+    admin: Option<Arc<AdminService>>,
+    commands: Sender<ServerCommand>,
+) -> impl Fn() + Send + 'static {
     move || {
         if let Some(admin) = &admin {
             admin.announce_shutdown();
         }
-        // Waits where operators' orders fill the queue while the program still starts: the shutdown must not be lost.
-        _ = orders.send(ServerCommand::Shutdown);
+        // Blocks if admin commands fill the queue during startup, since the shutdown command must not be
+        // dropped.
+        _ = commands.send(ServerCommand::Shutdown);
     }
 }
--- a/src/commands/platform/admin.rs
+++ b/src/commands/platform/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' address, and what its commands act on.
+//! The admin listener and the components on which its commands act.
 use super::Router;
 use crate::commands::Error;
 use ::admin::{AdminLimits, AdminServer, AdminService, ServiceDependencies};
@@ -9,16 +9,16 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// The operators' address, bound before anything else is started: a second process of the same router that can't have
-/// it must not come to serve clients.
+/// The admin listener. It is bound before anything else is started, so that a second process of the same
+/// router that cannot bind the address does not serve clients.
 pub(super) struct AdminListener {
     server: AdminServer,
-    /// What the router counts, for its operators to ask.
+    /// The router's metrics, which the admin listener serves.
     pub(super) metrics: Arc<Metrics>,
 }
 
 impl AdminListener {
-    /// Binds the address that the configuration gives; `None` where it gives none.
+    /// Binds the configured admin address; returns `None` if none is configured.
     pub(super) fn bind(start: &PlatformConfig) -> Result<Option<AdminListener>, Error> {
         let Some(address) = start.admin_address else { return Ok(None) };
         let limits = &start.limits;
@@ -33,7 +33,7 @@
         Ok(Some(AdminListener { server, metrics }))
     }
 
-    /// Answers operators' commands from now on. Orders to the client listener go to `client_orders`.
+    /// Starts to serve admin commands. Commands for the client listener are sent to `client_orders`.
     pub(super) fn serve(
         self,
         start: &PlatformConfig,
@@ -62,8 +62,8 @@
     }
 }
 
-/// Where state that outlives the process is kept: a folder of this router's own, since several may share one
-/// `$TMPDIR`. `None` where there is no `$TMPDIR`.
+/// Returns the folder for state that is retained across restarts. Its name contains the router's name, since
+/// several routers may share one `$TMPDIR`. `None` if `$TMPDIR` is not set.
 fn state_folder(router_name: &str) -> Option<PathBuf> {
     let safe = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
     let name: String = router_name.chars().map(safe).collect();
--- a/src/commands/registry.rs
+++ b/src/commands/registry.rs
@@ -1,4 +1,4 @@
-//! `registry`: reads the registry that an operator's file names, and changes what it holds.
+//! The sub-command `registry`: reads and changes the registry that an operator's file names.
 mod watch;
 
 use super::Error;
@@ -10,9 +10,10 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What the keys of nodes begin with, behind the registry's own prefix.
+/// Prefix of the keys of nodes, after the registry's configured prefix.
 const NODE_PREFIX: &str = "nodes/";
-/// The key, behind the prefix, whose value is the time in milliseconds at which held nodes were released.
+/// The key, after the configured prefix, that releases nodes retained after a mass removal. Its value is the
+/// time of the release in Unix milliseconds.
 const RELEASE_KEY: &str = "control/let-go";
 
 /// `registry`'s arguments.
@@ -59,21 +60,21 @@
     LetGo,
 }
 
-/// The registry that a file names.
-struct NamedRegistry {
+/// The registry of an operator's file, with its settings.
+struct ConfiguredRegistry {
     file: PathBuf,
     operator: OperatorConfig,
     settings: settings::operator::RegistryConfig,
 }
 
-impl NamedRegistry {
-    fn read(file: &Path) -> Result<NamedRegistry, Error> {
+impl ConfiguredRegistry {
+    fn read(file: &Path) -> Result<ConfiguredRegistry, Error> {
         let operator = super::read_operator_file(file)?;
         let settings = operator.registry.clone().ok_or_else(|| Error::NoRegistry(file.into()))?;
-        Ok(NamedRegistry { file: file.into(), operator, settings })
+        Ok(ConfiguredRegistry { file: file.into(), operator, settings })
     }
 
-    /// The whole key of what is called `key` behind the prefix.
+    /// Returns the full registry key, that is, `key` with the configured prefix.
     fn key(&self, key: &str) -> String {
         format!("{}{key}", self.settings.prefix)
     }
@@ -82,21 +83,22 @@
         self.key(&format!("{NODE_PREFIX}{node}"))
     }
 
-    /// Tries every member in turn, until a request succeeds. The error is that of the last member.
+    /// Tries the registry's endpoints in turn until a request succeeds. Returns the error of the last
+    /// endpoint if all fail.
     fn try_members<T>(
         &self,
         mut request: impl FnMut(&mut MemberClient) -> Result<T, Error>,
     ) -> Result<T, Error> {
         let connector = MemberConnector::new(&self.settings, &self.operator.limits)?;
-        // Never returned: the settings have at least one member.
-        let mut failed = Error::NoRegistry(self.file.clone());
+        // Placeholder that is never returned, since the settings have at least one endpoint.
+        let mut last_error = Error::NoRegistry(self.file.clone());
         for (index, &addr) in self.settings.endpoints.iter().enumerate() {
             match request(&mut connector.client_for(index)) {
                 Ok(response) => return Ok(response),
-                Err(error) => failed = Error::RegistryMember { addr, source: Box::new(error) },
+                Err(error) => last_error = Error::RegistryMember { addr, source: Box::new(error) },
             }
         }
-        Err(failed)
+        Err(last_error)
     }
 
     fn get(&self, key: &str) -> Result<Vec<Item>, Error> {
@@ -110,18 +112,19 @@
         self.try_members(|member| Ok(member.put(&key, value, None)?))
     }
 
-    /// Changes a node's state. A change by somebody else in between makes it read the node again.
+    /// Sets a node's state. If another client modifies the node concurrently, the node is read again and the
+    /// write is retried.
     fn set_node_state(&self, node: &str, state: State) -> Result<(), Error> {
         let key = self.node_key(node);
-        let faulty = |source| Error::RegistryNode { key: key.clone(), source };
+        let invalid_node = |source| Error::RegistryNode { key: key.clone(), source };
         self.try_members(|member| {
             loop {
                 let (_, items) = member.read(&key)?;
                 let item = items.into_iter().find(|item| item.key == key);
                 let item = item.ok_or_else(|| Error::NoRegistryKey(key.clone()))?;
-                let mut node: Node = serde_json::from_slice(&item.value).map_err(faulty)?;
+                let mut node: Node = serde_json::from_slice(&item.value).map_err(invalid_node)?;
                 node.state = state;
-                let value = serde_json::to_vec(&node).map_err(faulty)?;
+                let value = serde_json::to_vec(&node).map_err(invalid_node)?;
                 if member.put_if(&key, &value, item.modified)? {
                     return Ok(());
                 }
@@ -130,14 +133,14 @@
     }
 }
 
-/// One line for a key: the revision of its newest change, the key and the value.
+/// Formats a key as a line with the revision of its last modification, the key and the value.
 fn format_item(item: &Item) -> String {
     format!("{}\t{}\t{}", item.modified, item.key, String::from_utf8_lossy(&item.value))
 }
 
-/// Carries a command out.
+/// Runs a `registry` command.
 pub(crate) fn run(arguments: &Arguments) -> Result<(), Error> {
-    let registry = NamedRegistry::read(&arguments.file)?;
+    let registry = ConfiguredRegistry::read(&arguments.file)?;
     match &arguments.command {
         Command::Watch { changes } => watch::run(&registry, *changes),
         Command::Get { key } => {
@@ -154,7 +157,7 @@
     }
 }
 
-/// Checks the value of a key before it is put, where it is a node's.
+/// Validates the value before it is written, if the key is that of a node.
 fn check_node(key: &str, value: &str) -> Result<(), Error> {
     if !key.starts_with(NODE_PREFIX) {
         return Ok(());
--- a/src/commands/registry/watch.rs
+++ b/src/commands/registry/watch.rs
@@ -1,5 +1,5 @@
-//! `registry FILE watch`: prints what the registry holds, then each change.
-use super::{NamedRegistry, format_item};
+//! The command `registry FILE watch`: prints the contents of the registry, then each change.
+use super::{ConfiguredRegistry, format_item};
 use crate::commands::Error;
 use ::registry::client::MemberClient;
 use ::registry::consul::Consul;
@@ -7,24 +7,25 @@
 use ::registry::machine::{Change, Item, Revision};
 use std::time::Duration;
 
-/// How often a silent etcd watch calls back. Nothing is done then: a command that is watched by a person has no timeout.
-const ETCD_SILENCE: Duration = Duration::from_secs(1);
-/// How long Consul holds one request for changes.
-const CONSUL_WAIT: Duration = Duration::from_secs(5);
+/// Interval at which an etcd watch without events reports silence. It is ignored, since this interactive
+/// command has no timeout.
+const ETCD_SILENCE_INTERVAL: Duration = Duration::from_secs(1);
+/// Wait time of one blocking query to Consul.
+const CONSUL_WAIT_TIME: Duration = Duration::from_secs(5);
 
-/// What the registry holds at one revision.
+/// The contents of the registry at one revision.
 struct Contents {
     revision: Revision,
     items: Vec<Item>,
 }
 
-/// Prints changes, and counts them where only some are wanted.
+/// Prints changes up to an optional maximum number.
 struct ChangePrinter {
     remaining: Option<usize>,
 }
 
 impl ChangePrinter {
-    /// Prints a change, and returns whether more are wanted.
+    /// Prints a change. Returns false if the maximum number of changes is reached.
     fn print(&mut self, line: &str) -> bool {
         println!("{line}");
         self.remaining = self.remaining.map(|n| n.saturating_sub(1));
@@ -32,12 +33,12 @@
     }
 }
 
-fn deletion(revision: Revision, key: &str) -> String {
+fn format_deletion(revision: Revision, key: &str) -> String {
     format!("{revision}\t{key}\tdeleted")
 }
 
-/// Watches until `max_changes` are printed; without end where there is none.
-pub(super) fn run(registry: &NamedRegistry, max_changes: Option<usize>) -> Result<(), Error> {
+/// Prints the contents, then changes until `max_changes` were printed, or forever if it is `None`.
+pub(super) fn run(registry: &ConfiguredRegistry, max_changes: Option<usize>) -> Result<(), Error> {
     let prefix = &registry.settings.prefix;
     registry.try_members(|member| {
         let (position, items) = member.read(prefix)?;
@@ -52,7 +53,7 @@
     })
 }
 
-/// Follows etcd's changes since `contents`.
+/// Watches etcd and prints the changes since `contents`.
 fn watch_etcd(
     etcd: &mut Etcd,
     prefix: &str,
@@ -61,16 +62,17 @@
 ) -> Result<(), Error> {
     let line = |change: &Change| match change {
         Change::Put(item) => format_item(item),
-        Change::Delete { key, revision } => deletion(*revision, key),
+        Change::Delete { key, revision } => format_deletion(*revision, key),
     };
-    etcd.watch(prefix, contents.revision + 1, ETCD_SILENCE, |event| match event {
+    etcd.watch(prefix, contents.revision + 1, ETCD_SILENCE_INTERVAL, |event| match event {
         WatchEvent::Changes(changes) => changes.iter().all(|change| printer.print(&line(change))),
         _ => true,
     })?;
     Ok(())
 }
 
-/// Reads Consul's keys again at each change, and prints how they differ from `contents`.
+/// Reads all keys again whenever Consul reports a change, and prints the differences from the previous
+/// contents.
 fn watch_consul(
     consul: &mut Consul,
     prefix: &str,
@@ -78,20 +80,20 @@
     printer: &mut ChangePrinter,
 ) -> Result<(), Error> {
     loop {
-        let (revision, items) = consul.read(prefix, Some((contents.revision, CONSUL_WAIT)))?;
+        let (revision, items) = consul.read(prefix, Some((contents.revision, CONSUL_WAIT_TIME)))?;
         let next = Contents { revision, items };
-        if !differences(&contents, &next).iter().all(|line| printer.print(line)) {
+        if !format_differences(&contents, &next).iter().all(|line| printer.print(line)) {
             return Ok(());
         }
         contents = next;
     }
 }
 
-/// A line for each key that `next` no longer holds, then one for each that is new or has changed.
-fn differences(previous: &Contents, next: &Contents) -> Vec<String> {
+/// Returns a line for each key deleted in `next`, then one for each key that was added or changed.
+fn format_differences(previous: &Contents, next: &Contents) -> Vec<String> {
     let deleted = previous.items.iter().filter(|old| !next.items.iter().any(|new| new.key == old.key));
     let changed = next.items.iter().filter(|new| !previous.items.contains(new));
-    let mut lines: Vec<String> = deleted.map(|old| deletion(next.revision, &old.key)).collect();
+    let mut lines: Vec<String> = deleted.map(|old| format_deletion(next.revision, &old.key)).collect();
     lines.extend(changed.map(format_item));
     lines
 }
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -1,8 +1,8 @@
-//! `serve FILE`: one `MySQL` router, built from an operator's file and run until SIGTERM.
+//! The sub-command `serve FILE`: runs a `MySQL` router configured by an operator's file until SIGTERM.
 //!
-//! `run` starts the parts in the order in which they depend on each other: sessions, the routing core, the store, the
-//! fleet and its members, the client listener, the registry. Each part has a file of its own below this one. Clients
-//! are accepted last, when everything that decides about their requests is there.
+//! `run` starts the components in the order of their dependencies: sessions, the routing core, the store, the
+//! fleet and its members, the client listener, the registry. Larger ones have a submodule. Clients are
+//! accepted last, when all components that their requests depend on are running.
 mod configuration;
 pub mod endpoints;
 mod fleet;
@@ -26,11 +26,11 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// How many servers of a registry's list are probed for their clocks. Servers of one installation are near each other
-/// in time, so a few are enough.
+/// Number of servers of the registry's list whose clocks are probed. The clocks of servers in one
+/// installation differ little, so a few are enough.
 const MAX_CLOCK_SOURCES: usize = 8;
 
-/// What every part of the router is built from.
+/// Configuration, limits and clock from which all components are built.
 struct Environment {
     operator: OperatorConfig,
     mysql: Arc<settings::operator::MysqlConfig>,
@@ -47,15 +47,16 @@
     }
 }
 
-/// The routing core, and what other parts need of it.
+/// Handles of the running routing core.
 struct Core {
     handle: RouterHandle<Mysql>,
     endpoints: EndpointsHandle,
-    /// Which endpoints have responded to a request: set where a registry is followed, which judges its updates by that.
+    /// The endpoints that have responded to a request; set if a registry is used, whose client checks updates
+    /// against them.
     responded: Option<Arc<RespondedEndpoints>>,
 }
 
-/// Serves `MySQL` until SIGTERM.
+/// Runs a `MySQL` router until SIGTERM.
 pub(crate) fn run(path: &Path) -> Result<(), Error> {
     let operator = super::read_operator_file(path)?;
     crate::log::start(&operator.log);
@@ -63,16 +64,18 @@
     let environment = Environment::new(operator);
     let random_seed = u64::from(std::process::id()) ^ environment.clock.now().0 as u64;
     let protocol = Mysql::new(environment.mysql.clone(), environment.limits.clone(), environment.clock);
-    // The peers' listener comes before any client's: a refused connection proves that nothing is served here.
+    // The listener for session peers is bound before that for clients, so that a refused peer connection
+    // proves that this router serves no clients.
     let sessions = start_sessions(&environment, &protocol)?;
-    let clock_probes = environment.mysql.health_check_returns_clock.then(|| protocol.clone());
+    let clock_protocol = environment.mysql.health_check_returns_clock.then(|| protocol.clone());
     let core = start_core(&environment, protocol, random_seed)?;
     let store = store::start(&environment, &core.endpoints)?;
     let fleet = environment.operator.fleet.as_ref();
     let fleet = fleet.map(|member| fleet::join(member, &environment, &store, &core)).transpose()?;
     store::listen(&environment.operator.store, &store)?;
-    // The fleet comes before the first client, so that it finds a share and not the capacity of a router that is alone.
-    let members = join_members(&environment.operator, &core.handle)?;
+    // The fleet is joined before the first client is accepted, so that the router does not start with the
+    // capacity share of a single router.
+    let members = join_membership(&environment.operator, &core.handle)?;
     let listener = super::listen("mysql", &environment.mysql.listen)?;
     let address = local_address(&listener, &environment.mysql.listen)?;
     let Core { handle, endpoints, responded } = core;
@@ -83,29 +86,30 @@
     let configuration = LiveConfiguration::new(path, operator, front.clone(), sessions.clone(), store);
     let configuration = Arc::new(configuration);
     let registry = registry::start(&environment, address, endpoints, responded, configuration.clone())?;
-    let (shutdown_sender, shutdown_orders) = bounded(1);
+    let (shutdown_sender, shutdown_commands) = bounded(1);
     let shut_down = move || _ = shutdown_sender.try_send(ServerCommand::Shutdown);
     let stack_bytes = environment.limits.routing_thread_stack_bytes;
     signals::handle(signals, stack_bytes, move || configuration.reload(), shut_down)?;
-    if let Some(protocol) = clock_probes {
+    if let Some(protocol) = clock_protocol {
         watch_server_clocks(&environment, protocol, registry.clone())?;
     }
-    let orders = match registry {
-        None => shutdown_orders,
-        Some(client) => shutdown::deregister_on_shutdown(client, shutdown_orders, stack_bytes)?,
+    let commands = match registry {
+        None => shutdown_commands,
+        Some(client) => shutdown::deregister_on_shutdown(client, shutdown_commands, stack_bytes)?,
     };
-    let served = ClientServer::new(front, environment.limits, None)
-        .serve(ClientListener::Exclusive(listener), &orders);
+    let result = ClientServer::new(front, environment.limits, None)
+        .serve(ClientListener::Exclusive(listener), &commands);
     sessions.stop();
-    // No request is admitted any more, so the fleet may give this router's share to the others.
+    // No more requests are admitted, so the fleet may assign this router's share to other routers.
     if let Some(fleet) = fleet {
         fleet.leave();
     }
     members.iter().for_each(super::members::leave);
-    served.map_err(Error::ClientListener)
+    result.map_err(Error::ClientListener)
 }
 
-/// Starts sessions: shared with other instances where the file says so, else known to this process alone.
+/// Starts the sessions component: shared with other router instances if configured, otherwise local to this
+/// process.
 fn start_sessions(environment: &Environment, protocol: &Mysql) -> Result<Arc<Sessions>, Error> {
     let clocks = protocol.clocks.clone();
     match environment.operator.sessions.clone() {
@@ -114,7 +118,7 @@
     }
 }
 
-/// Starts the routing core.
+/// Starts the routing core for the `MySQL` protocol.
 fn start_core(environment: &Environment, protocol: Mysql, seed: u64) -> Result<Core, Error> {
     let operator = &environment.operator;
     let responded = operator.registry.as_ref().map(|_| Arc::new(RespondedEndpoints::default()));
@@ -133,8 +137,9 @@
     Ok(Core { handle, endpoints, responded })
 }
 
-/// Joins the fleet whose members share the capacity, where the file names one, and follows their number.
-fn join_members(
+/// Joins the membership protocol, if configured, and updates the routing core when the number of routers
+/// changes.
+fn join_membership(
     operator: &OperatorConfig,
     handle: &RouterHandle<Mysql>,
 ) -> Result<Option<Membership>, Error> {
@@ -145,7 +150,7 @@
     super::members::start(table, router_count, on_router_count).map(Some)
 }
 
-/// Starts to record requests, where the file asks for it.
+/// Starts the recording of client traffic, if configured.
 fn start_recording(
     operator: &OperatorConfig,
     address: SocketAddr,
@@ -155,7 +160,8 @@
     Ok(Some(Arc::new(recorder)))
 }
 
-/// Follows the servers' clocks: those that the registry lists, else those of the file.
+/// Starts polling the clocks of the servers that the registry lists or, without a registry, of the configured
+/// servers.
 fn watch_server_clocks(
     environment: &Environment,
     protocol: Mysql,
@@ -170,12 +176,12 @@
         .map_err(|source| Error::Thread { what: "clocks", source })
 }
 
-/// The address that the client listener has, which the system chose where the file gives port 0.
+/// Returns the bound address of the client listener; if port 0 is configured, the system chose the port.
 fn local_address(listener: &TcpListener, configured: &str) -> Result<SocketAddr, Error> {
     listener.local_addr().map_err(|source| Error::Listen { key: "listen", addr: configured.into(), source })
 }
 
-/// Listens at an address that a key of the file names, and returns the listener with the address that it has.
+/// Binds a listener to the configured address of `key`, and returns it with its bound address.
 fn bind(
     key: &'static str,
     address: impl std::net::ToSocketAddrs + ToString,
--- a/src/commands/serve/configuration.rs
+++ b/src/commands/serve/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration while the router runs: the operator's file, and what a registry says besides.
+//! The configuration of a running router: the operator's file and an overlay from a registry.
 use crate::commands::Error;
 use mysql_wire::front::Front;
 use registry::client::{RegistryObserver, Router};
@@ -9,30 +9,31 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The configuration that a running router follows, and the parts that follow it. Changes come from SIGHUP
-/// ([`LiveConfiguration::reload`]) and from the registry, of which this is an observer.
+/// The configuration of a running router and the components to which changes are applied. Changes are
+/// triggered by SIGHUP ([`LiveConfiguration::reload`]) and by the registry, which this type observes.
 pub(super) struct LiveConfiguration {
     path: PathBuf,
-    /// The file as it was at the start; some keys can only be changed by a restart.
+    /// The configuration at the start; some keys can only be changed by a restart.
     operator: OperatorConfig,
     front: Arc<Front>,
     sessions: Arc<Sessions>,
     store: store::Store,
-    registered: Mutex<Registered>,
+    registry_values: Mutex<RegistryValues>,
 }
 
-/// What the registry has said so far.
+/// The latest values from the registry.
 #[derive(Default)]
-struct Registered {
-    /// Users, rules and the default group.
+struct RegistryValues {
+    /// The overlay with users, rules and the default group, as TOML.
     overlay: Option<String>,
-    /// Where instances that share sessions are registered. Which of them belong together, the file alone says: an
-    /// instance that is not listed yet, or no longer registered, may still acknowledge writes to its clients.
+    /// The registered addresses of instances that share sessions, by instance. Only the file determines which
+    /// instances are peers: one that is not registered yet, or no longer, may still acknowledge writes to its
+    /// clients.
     session_peers: BTreeMap<u64, SocketAddr>,
 }
 
 impl LiveConfiguration {
-    /// The configuration at `path`, which was read as `operator` at the start.
+    /// Creates the configuration from the file at `path`, which was parsed into `operator` at the start.
     pub(super) fn new(
         path: &Path,
         operator: OperatorConfig,
@@ -40,34 +41,34 @@
         sessions: Arc<Sessions>,
         store: store::Store,
     ) -> LiveConfiguration {
-        let registered = Mutex::default();
-        LiveConfiguration { path: path.to_path_buf(), operator, front, sessions, store, registered }
+        let registry_values = Mutex::default();
+        LiveConfiguration { path: path.to_path_buf(), operator, front, sessions, store, registry_values }
     }
 
-    /// Reads the file anew and applies it. Returns the keys that differ and need a restart.
+    /// Reloads the file and applies it. Returns the changed keys that require a restart.
     pub(super) fn reload(&self) -> Result<Vec<String>, Error> {
-        let registered = self.registered();
-        let reload = self.read(registered.overlay.as_deref())?;
-        Ok(self.apply(reload, &registered))
+        let registry_values = self.lock_registry_values();
+        let reload = self.read(registry_values.overlay.as_deref())?;
+        Ok(self.apply(reload, &registry_values))
     }
 
-    fn registered(&self) -> MutexGuard<'_, Registered> {
-        self.registered.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_registry_values(&self) -> MutexGuard<'_, RegistryValues> {
+        self.registry_values.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads the file with the registry's overlay on it.
+    /// Reads the file and replaces some of its keys with those of the registry's overlay.
     fn read(&self, overlay: Option<&str>) -> Result<Reload, Error> {
         let text = crate::commands::read_file(&self.path)?;
         settings::operator::reload(&text, overlay, &self.operator)
             .map_err(|source| Error::Settings { path: self.path.clone(), source })
     }
 
-    /// Hands what was read to the parts that follow it. Returns the keys that need a restart.
-    fn apply(&self, reload: Reload, registered: &Registered) -> Vec<String> {
+    /// Applies a reload to the front end and to sessions. Returns the changed keys that require a restart.
+    fn apply(&self, reload: Reload, registry_values: &RegistryValues) -> Vec<String> {
         self.front.reload(reload.mysql);
         if let Some(mut peers) = reload.session_peers {
             for (instance, address) in &mut peers {
-                if let Some(current) = registered.session_peers.get(instance) {
+                if let Some(current) = registry_values.session_peers.get(instance) {
                     *address = *current;
                 }
             }
@@ -79,10 +80,10 @@
 
 impl RegistryObserver for LiveConfiguration {
     fn config(&self, text: Option<&str>) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
-        let mut registered = self.registered();
+        let mut registry_values = self.lock_registry_values();
         let reload = self.read(text)?;
-        registered.overlay = text.map(str::to_string);
-        self.apply(reload, &registered);
+        registry_values.overlay = text.map(str::to_string);
+        self.apply(reload, &registry_values);
         Ok(())
     }
 
@@ -91,16 +92,16 @@
             self.store.set_peer_address(node, address);
         }
         let Some(own) = &self.operator.sessions else { return };
-        let mut registered = self.registered();
-        let before = registered.session_peers.clone();
+        let mut registry_values = self.lock_registry_values();
+        let previous_peers = registry_values.session_peers.clone();
         let instances = known.values().filter_map(|router| router.sessions);
-        registered.session_peers.extend(instances.filter(|(instance, _)| *instance != own.instance));
-        if registered.session_peers == before {
+        registry_values.session_peers.extend(instances.filter(|(instance, _)| *instance != own.instance));
+        if registry_values.session_peers == previous_peers {
             return;
         }
-        // A file that is faulty by now is reported when SIGHUP asks for it.
-        if let Ok(reload) = self.read(registered.overlay.as_deref()) {
-            self.apply(reload, &registered);
+        // If the file has become invalid, the error is reported at the next reload by SIGHUP.
+        if let Ok(reload) = self.read(registry_values.overlay.as_deref()) {
+            self.apply(reload, &registry_values);
         }
     }
 }
--- a/src/commands/serve/endpoints.rs
+++ b/src/commands/serve/endpoints.rs
@@ -1,4 +1,4 @@
-//! Servers as the store holds them: one JSON document for each, read as the router's endpoint list.
+//! Conversion between the store's JSON documents of servers and the router's endpoint list.
 use routing::{EndpointEntry, EndpointUpdate, GroupId, MemberState};
 use serde_json::{Value, json};
 use settings::Error as SettingsError;
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What the store's keys of servers begin with.
+/// Prefix of the store's keys of servers.
 const KEY_PREFIX: &str = "server/";
 const IN_SERVICE: &str = "in_service";
 const DRAINING: &str = "draining";
 
-/// Key and document of a server that the file lists, as a new store is filled with them.
+/// Returns the key and JSON document with which a new store is initialized for a configured server.
 pub fn server_document(server: &Server) -> (String, String) {
     let mut document =
         json!({"addr": server.addr, "group": server.group, "weight": server.weight, "state": IN_SERVICE});
@@ -22,8 +22,8 @@
     (store::control::server_key(&server.id), document.to_string())
 }
 
-/// The endpoint list as the store holds it, to a router at `own_site`. A server whose document can't be read is left
-/// out and named in the log.
+/// Builds the endpoint list from the store's servers, for a router at `own_site`. Servers with an invalid
+/// document are skipped and logged.
 pub fn endpoint_update(state: &store::State, own_site: Option<&str>) -> EndpointUpdate {
     let entry = |(key, value): (&str, &store::Value)| {
         let entry = endpoint_entry(key, &value.text, own_site);
@@ -33,10 +33,10 @@
     EndpointUpdate { version: state.applied_index, complete: true, endpoints: entries }
 }
 
-/// Reads the document of a server that stands under `key`.
+/// Parses the document that is stored for a server under `key`.
 ///
 /// # Errors
-/// The document is no JSON object, or one of its fields is missing or can't be used.
+/// The document is not a JSON object, or one of its fields is missing or invalid.
 pub fn endpoint_entry(
     key: &str,
     document: &str,
@@ -53,7 +53,7 @@
         zone: zone_distance(site.as_deref(), own_site),
         site,
         state,
-        // Servers say themselves which is primary, when they are probed.
+        // Health checks, not the stored list, determine which server is primary.
         listed_primary: false,
         weight: number(&document, "weight")?,
         started_at: None,
@@ -74,7 +74,8 @@
     address.parse().map_err(|_| SettingsError::invalid_value("addr", "ip:port", format_args!("'{address}'")))
 }
 
-/// Distance to a server: where the router's own site is known, servers of other sites and of none are farther.
+/// Returns the zone of a server relative to the router: 1 if the router has a site and the server is at
+/// another or at no site, otherwise 0.
 fn zone_distance(site: Option<&str>, own_site: Option<&str>) -> u32 {
     u32::from(own_site.is_some() && site != own_site)
 }
--- a/src/commands/serve/fleet.rs
+++ b/src/commands/serve/fleet.rs
@@ -1,4 +1,4 @@
-//! Membership in a fleet whose quotas and placement come from its store.
+//! Connects a router to its fleet, from whose store it receives quotas and placement rules.
 use super::{Core, Environment, bind};
 use crate::commands::Error;
 use ::fleet::FleetClient;
@@ -7,12 +7,12 @@
 use std::path::Path;
 use store::Store;
 
-fn no_thread(source: std::io::Error) -> Error {
+fn thread_error(source: std::io::Error) -> Error {
     Error::Thread { what: "fleet", source }
 }
 
-/// Joins the fleet. Where the file says so, this node of the store answers the fleet's routers, and the store is given
-/// a first document.
+/// Joins the fleet. If configured, this node of the store also serves the fleet's routers, and an initial
+/// fleet document is written to the store.
 pub(super) fn join(
     member: &FleetMemberConfig,
     environment: &Environment,
@@ -43,10 +43,10 @@
         move |update| handle.update_placement(update),
         move || endpoints.version(),
     )
-    .map_err(no_thread)
+    .map_err(thread_error)
 }
 
-/// Answers the fleet's routers at `address`.
+/// Starts to serve quota reports of the fleet's routers at `address`.
 fn serve_routers(
     member: &FleetMemberConfig,
     address: SocketAddr,
@@ -59,12 +59,12 @@
     let random_seed = clock.now().0 as u64;
     let audit = member.audit.as_ref().map(|table| audit::Settings::new(table, quotas.ttl, random_seed));
     ::fleet::service::start(listener, store.clone(), clock, quotas.clone(), audit, Default::default())
-        .map_err(no_thread)?;
+        .map_err(thread_error)?;
     tracing::info!(addr = %address, "fleet listener bound");
     Ok(())
 }
 
-/// Writes the document of a file into the store, unless there is one already.
+/// Validates a fleet document and starts to write it to the store, unless the store already has one.
 fn seed_document(
     member: &FleetMemberConfig,
     path: &Path,
@@ -75,5 +75,5 @@
     settings::fleet::read(&text, Some(classes))
         .map_err(|source| Error::FleetFile { path: path.into(), source })?;
     let settings = store::client::Settings::new(member.store_addresses.clone(), client_seed);
-    ::fleet::document::start_seeding(store::client::Client::new(settings), text).map_err(no_thread)
+    ::fleet::document::start_seeding(store::client::Client::new(settings), text).map_err(thread_error)
 }
--- a/src/commands/serve/registry.rs
+++ b/src/commands/serve/registry.rs
@@ -1,4 +1,4 @@
-//! The registry that names the servers, and in which this router registers itself.
+//! Starts the registry client, which watches the server list and registers this router.
 use super::Environment;
 use super::configuration::LiveConfiguration;
 use crate::commands::Error;
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Follows the registry that the file names, and registers this router, which serves clients at `address`. `None`
-/// where the file names no registry.
+/// Starts the client of the configured registry and registers this router, which serves clients at `address`.
+/// Returns `None` if no registry is configured.
 pub(super) fn start(
     environment: &Environment,
     address: SocketAddr,
@@ -20,7 +20,8 @@
     let Some((settings, responded)) = operator.registry.clone().zip(responded) else { return Ok(None) };
     let clock = environment.clock;
     let client = Client::start(settings, &environment.limits, clock, endpoints, responded, observer)?;
-    // A port that the system chose is not known here: such a node of the store is not registered.
+    // A node of the store with port 0 is not registered, since the port that the system chose is not known
+    // here.
     let store = operator.store.node_addresses.get(&operator.store.node_id).filter(|a| a.port() != 0);
     client.register(Router {
         addr: address,
--- a/src/commands/serve/shutdown.rs
+++ b/src/commands/serve/shutdown.rs
@@ -1,26 +1,27 @@
-//! The order of a graceful shutdown where this router is registered.
+//! Graceful shutdown of a router that is registered in a registry.
 use crate::commands::Error;
 use client_listener::ServerCommand;
 use crossbeam_channel::{Receiver, bounded};
 use registry::client::Client;
 use std::sync::Arc;
 
-/// Takes this router off the registry once the shutdown is ordered, while it still serves its last requests. Returns
-/// the orders that the client listener is to follow instead of `shutdown_orders`.
+/// Removes this router from the registry after a shutdown command, while its last requests are still served.
+/// Returns the command channel that the client listener has to use instead of `shutdown_commands`.
 pub(super) fn deregister_on_shutdown(
     client: Arc<Client>,
-    shutdown_orders: Receiver<ServerCommand>,
+    shutdown_commands: Receiver<ServerCommand>,
     stack_bytes: usize,
 ) -> Result<Receiver<ServerCommand>, Error> {
-    let (sender, forwarded_orders) = bounded(1);
+    let (sender, forwarded_commands) = bounded(1);
     let forward = move || {
-        // The listener's grace period begins before the lease is given up, which takes less time than that.
-        if let Ok(order) = shutdown_orders.recv() {
-            _ = sender.send(order);
+        // The listener's grace period starts before the lease is revoked; revoking it takes less time than
+        // that period.
+        if let Ok(command) = shutdown_commands.recv() {
+            _ = sender.send(command);
         }
         client.stop();
     };
     routing::spawn_needed("leaving", stack_bytes, forward)
         .map_err(|source| Error::Thread { what: "leaving", source })?;
-    Ok(forwarded_orders)
+    Ok(forwarded_commands)
 }
--- a/src/commands/serve/store.rs
+++ b/src/commands/serve/store.rs
@@ -1,10 +1,11 @@
-//! The store's node in this router: its start, and the addresses at which it answers.
+//! Starts this router's node of the store and its listeners.
 use super::{Environment, bind, endpoints};
 use crate::commands::Error;
 use ::store::Store;
 use routing::EndpointsHandle;
 
-/// Starts this router's node. Where no registry is followed, the store's servers are the endpoint list.
+/// Starts this router's node of the store. Without a registry, the servers in the store are the endpoint
+/// list.
 pub(super) fn start(environment: &Environment, list: &EndpointsHandle) -> Result<Store, Error> {
     let operator = &environment.operator;
     let node = operator.store.clone();
@@ -15,7 +16,7 @@
         seeds: environment.mysql.servers.iter().map(endpoints::server_document).collect(),
         ..::store::Settings::default()
     };
-    // A registry is the only source of the list where it is followed.
+    // If a registry is configured, it is the only source of the endpoint list.
     let list = operator.registry.is_none().then(|| list.clone());
     let own_site = operator.mysql.site.clone();
     let store = ::store::start(settings, move |state| {
@@ -26,7 +27,7 @@
     Ok(store)
 }
 
-/// Answers the store's clients and the commands of `ctl`, each where the file gives it an address.
+/// Starts the listeners for store clients and for `ctl` commands, each if its address is configured.
 pub(super) fn listen(node: &settings::operator::StoreConfig, store: &Store) -> Result<(), Error> {
     if let Some(address) = node.client_address {
         let (listener, address) = bind("store.clients", address)?;
--- a/src/commands/sessions.rs
+++ b/src/commands/sessions.rs
@@ -1,4 +1,5 @@
-//! `sessions`: what a folder of session journals holds, read without changing it, and the status of a running instance.
+//! The sub-command `sessions`: reads the journals of a sessions folder without changing them, or the status
+//! of a running instance.
 use super::Error;
 use clap::Subcommand;
 use serde_json::json;
@@ -28,10 +29,10 @@
     },
 }
 
-/// How long an instance may take to answer with its status.
+/// Timeout for the status response of a running instance.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The newest journal of a folder.
+/// The newest session journal in a folder.
 struct NewestJournal {
     path: PathBuf,
     contents: journal::JournalContents,
@@ -49,7 +50,7 @@
     }
 }
 
-/// Carries a command out.
+/// Runs a `sessions` command.
 pub(crate) fn run(command: &Command) -> Result<(), Error> {
     match command {
         Command::Show { what } => match what.parse::<SocketAddr>() {
@@ -82,7 +83,7 @@
     Ok(())
 }
 
-/// Lists the newest commit of each session, as a start would restore it.
+/// Prints the latest commit of each session, as a restart would restore it.
 fn dump(folder: &Path) -> Result<(), Error> {
     let mut newest_commits = BTreeMap::new();
     for (session, commit) in NewestJournal::read(folder)?.contents.entries {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! The program `damsonvale`: the command line and its sub-commands.
 //!
-//! Each sub-command has a file under [`commands`]. They build the parts that the other packages bring, and decide
-//! nothing about requests themselves. The library exists for the program and its tests alone.
+//! Each sub-command is a module of [`commands`]. The sub-commands assemble the components of the other
+//! packages and contain no request routing logic. This library exists only for the program and its tests.
 pub mod cli;
 pub mod commands;
 mod log;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
-//! The program `damsonvale`. Without arguments it is one of the platform's routers; `serve FILE` (or the file alone)
-//! serves `MySQL` as an operator's file says. `--help` lists the rest.
+//! The program `damsonvale`. Without arguments it runs a router of the platform; `serve FILE` (or just
+//! `FILE`) runs a `MySQL` router configured by an operator's file. `--help` lists the other sub-commands.
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,21 +1,22 @@
-//! Signals: SIGHUP reads the configuration anew, SIGTERM and SIGINT shut the program down.
+//! Signal handling: SIGHUP reloads the configuration, SIGTERM and SIGINT shut the program down.
 use crate::commands::Error;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Registers for the signals, so that from now on none of them kills the program while it still starts. They wait until
-/// [`handle`] is called.
+/// Registers the signal handlers, so that no signal terminates the program during startup. Signals are queued
+/// until [`handle`] is called.
 pub(crate) fn register() -> Result<Signals, Error> {
     Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(Error::Signals)
 }
 
-/// Handles signals on a thread of its own with a stack of `stack_bytes`: SIGHUP calls `reload`, which returns the keys
-/// that need a restart; any other signal calls `shut_down`.
+/// Handles signals on a separate thread with a stack of `stack_bytes`: SIGHUP calls `reload`, which returns
+/// the changed keys that require a restart; any other signal calls `shut_down`.
 ///
-/// `reload` runs on a second thread: a file whose reading never ends must not hold up the shutdown. That thread ends when
-/// nothing is asked for any more, and where none can be had it is tried again.
+/// `reload` runs on another thread, so that a configuration file whose read blocks does not delay the
+/// shutdown. That thread ends when no reload is requested any more. If it cannot be started, the start is
+/// retried.
 pub(crate) fn handle(
     mut signals: Signals,
     stack_bytes: usize,
@@ -25,7 +26,8 @@
     let reloader = Arc::new(Reloader { state: Mutex::default(), reload: Mutex::new(Box::new(reload)) });
     let handler = move || {
         loop {
-            // A reload that has no thread yet is looked after in between.
+            // While a requested reload has no thread, signals are polled, so that the thread start is retried
+            // in between.
             let received: Vec<i32> = if reloader.needs_thread() {
                 std::thread::sleep(THREAD_RETRY_DELAY);
                 signals.pending().collect()
@@ -41,24 +43,25 @@
     routing::spawn_needed("signals", stack_bytes, handler).map_err(Error::Signals)
 }
 
-/// How long to wait before a thread for a reload is tried for again.
+/// Delay until a failed start of the reload thread is retried.
 const THREAD_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What reads the configuration anew.
-type Reload = Box<dyn FnMut() -> Result<Vec<String>, Error> + Send>;
+/// The function that reloads the configuration and returns the changed keys that require a restart.
+type ReloadFn = Box<dyn FnMut() -> Result<Vec<String>, Error> + Send>;
 
 #[derive(Default)]
 struct ReloaderState {
-    /// A signal has come that no reload has followed yet. One is enough: it reads what the file holds by then.
+    /// A reload was requested and has not started yet. Further requests until then need no reload of their
+    /// own, since the file is read when the reload starts.
     requested: bool,
-    /// A thread carries reloads out.
+    /// The reload thread is running.
     running: bool,
 }
 
-/// Carries reloads out, one after the other.
+/// Runs requested reloads one after the other.
 struct Reloader {
     state: Mutex<ReloaderState>,
-    reload: Mutex<Reload>,
+    reload: Mutex<ReloadFn>,
 }
 
 impl Reloader {
@@ -75,30 +78,31 @@
         state.requested && !state.running
     }
 
-    /// Starts the thread where one is needed. Where none can be had, the request stays.
+    /// Starts the reload thread if a reload is requested and the thread is not running. If the start fails,
+    /// the request remains pending.
     fn start_if_needed(this: &Arc<Reloader>, stack_bytes: usize) {
         if !this.needs_thread() {
             return;
         }
         this.state().running = true;
-        let own = this.clone();
-        if let Err(error) = routing::spawn("reload", stack_bytes, move || own.run()) {
-            tracing::error!(%error, "configuration reload thread not started, retrying");
+        let reloader = this.clone();
+        if let Err(error) = routing::spawn("reload", stack_bytes, move || reloader.run()) {
+            tracing::error!(%error, "cannot start the configuration reload thread, retrying");
             this.state().running = false;
         }
     }
 
-    /// Whether one more reload is asked for; if not, the thread counts as ended.
-    fn next(&self) -> bool {
+    /// Takes the next reload request. Returns false and marks the thread as ended if there is none.
+    fn take_request(&self) -> bool {
         let mut state = self.state();
         state.running = state.requested;
         std::mem::take(&mut state.requested)
     }
 
-    /// Reloads until nothing is asked for any more, and logs what came of it.
+    /// Reloads the configuration until no request is pending, and logs the results.
     fn run(&self) {
         let mut reload = self.reload.lock().unwrap_or_else(PoisonError::into_inner);
-        while self.next() {
+        while self.take_request() {
             match reload() {
                 Ok(keys) if keys.is_empty() => tracing::info!("configuration reloaded"),
                 Ok(keys) => {
