--- a/fleet/src/document/write.rs
+++ b/fleet/src/document/write.rs
@@ -72,7 +72,7 @@
         return Err(DocumentError::NoteTooLong(note.len()));
     }
     if let Some(sites) = listed_sites(client)? {
-        fleet.has_members(&sites)?;
+        fleet.check_strict_sites(&sites)?;
     }
     Ok(())
 }
--- a/settings/src/fleet/document.rs
+++ b/settings/src/fleet/document.rs
@@ -80,14 +80,14 @@
     /// Checks that each strict placement rule names a site that has a server.
     ///
     /// # Errors
-    /// [`FleetError::NoMember`] for the first strict rule whose sites have no server.
-    pub fn has_members(&self, server_sites: &BTreeSet<String>) -> Result<(), FleetError> {
+    /// [`FleetError::NoServer`] for the first strict rule whose sites have no server.
+    pub fn check_strict_sites(&self, server_sites: &BTreeSet<String>) -> Result<(), FleetError> {
         for (name, tenant) in &self.tenants {
             let without_server =
                 |place: &PlacementRule| place.strict && place.sites.is_disjoint(server_sites);
             if let Some(i) = tenant.placement_rules.iter().position(without_server) {
                 let sites = tenant.placement_rules[i].sites.iter().cloned().collect::<Vec<_>>().join(", ");
-                return Err(FleetError::NoMember { key: format!("tenant '{name}'.place[{i}]"), sites });
+                return Err(FleetError::NoServer { key: format!("tenant '{name}'.place[{i}]"), sites });
             }
         }
         Ok(())
--- a/settings/src/fleet/error.rs
+++ b/settings/src/fleet/error.rs
@@ -28,21 +28,21 @@
         class: String,
     },
     /// A name is listed more than once.
-    #[error("{key}: '{name}' stands twice, here and at {before}; take one away")]
-    Twice {
-        /// The key of the second entry.
+    #[error("{key}: '{name}' stands twice, here and at {first_key}; take one away")]
+    Duplicate {
+        /// The configuration key at which the name is repeated.
         key: String,
         /// The repeated name.
         name: String,
-        /// The key of the first entry.
-        before: String,
+        /// The configuration key at which the name occurs first.
+        first_key: String,
     },
     /// A strict placement rule names only sites that have no server.
     #[error(
         "{key}: no server is at any of these sites ({sites}), so no request could be served; name a site that \
          has a server, or list a server there first"
     )]
-    NoMember {
+    NoServer {
         /// The key of the strict rule.
         key: String,
         /// The sites that the rule names, separated by commas.
--- a/settings/src/fleet/names.rs
+++ b/settings/src/fleet/names.rs
@@ -21,7 +21,7 @@
     for name in names {
         check_name(key, name)?;
         if !set.insert(name.clone()) {
-            return Err(FleetError::Twice { key: key.into(), name: name.clone(), before: key.into() });
+            return Err(FleetError::Duplicate { key: key.into(), name: name.clone(), first_key: key.into() });
         }
     }
     Ok(set)
--- a/settings/src/fleet/text.rs
+++ b/settings/src/fleet/text.rs
@@ -94,7 +94,11 @@
         check_classes(&key, &tenant.placement_rules, classes)?;
         if tenants.insert(name.clone(), tenant).is_some() {
             let key = format!("tenant[{i}].name");
-            return Err(FleetError::Twice { key, name: name.clone(), before: "an earlier tenant".into() });
+            return Err(FleetError::Duplicate {
+                key,
+                name: name.clone(),
+                first_key: "an earlier tenant".into(),
+            });
         }
     }
     Ok(tenants)
@@ -108,9 +112,9 @@
     tenant_of_user: &mut BTreeMap<String, String>,
 ) -> Result<(), FleetError> {
     for user in users {
-        if let Some(before) = tenant_of_user.insert(user.clone(), tenant.to_string()) {
-            let (key, before) = (format!("{key}.users"), format!("tenant '{before}'.users"));
-            return Err(FleetError::Twice { key, name: user.clone(), before });
+        if let Some(first_tenant) = tenant_of_user.insert(user.clone(), tenant.to_string()) {
+            let (key, first_key) = (format!("{key}.users"), format!("tenant '{first_tenant}'.users"));
+            return Err(FleetError::Duplicate { key, name: user.clone(), first_key });
         }
     }
     Ok(())
--- a/settings/src/limits/bounds.rs
+++ b/settings/src/limits/bounds.rs
@@ -126,7 +126,7 @@
     pub expected_request_connections: usize,
     /// Interval at which a client with an open request is polled for further requests or a disconnect.
     pub client_poll_interval: Duration,
-    /// Delay until a client that waits for a free connection slot checks again.
+    /// Interval at which an accepted client connection that waits for a free slot checks for one.
     pub client_capacity_retry_delay: Duration,
     /// When the connection limit is reached, an idle client connection that has sent requests may be closed
     /// after this time.
@@ -227,7 +227,8 @@
         let last_response = longest_deadline.max(MIN_SHUTDOWN_TIME) + SHUTDOWN_GRACE_PERIOD;
         Limits {
             socket_thread_stack_bytes: 96 * 1024,
-            // A value of 64 KiB is written as hexadecimal digits in a statement.
+            // The longest value, 64 KiB, is written as hexadecimal digits in a statement, which takes twice
+            // its size.
             max_message_bytes: 160 * 1024,
             max_value_bytes: 64 * 1024,
             max_client_memory_bytes: memory_bytes / 4,
--- a/settings/src/limits/watch.rs
+++ b/settings/src/limits/watch.rs
@@ -19,7 +19,7 @@
          margin of {margin:?}: shorten watch_silence_timeout, watch_backoff, watch_connect_timeout or \
          watch_first_line_timeout"
     )]
-    SilenceNoticedLate {
+    SilenceDetectedLate {
         /// The longest time until the change is received.
         delay: Duration,
         /// The time after which discovery counts the change as notified.
@@ -33,7 +33,7 @@
          watch_previous_address_duration ({overlap:?}) less the margin of {margin:?}: shorten watch_backoff, \
          watch_connect_timeout or watch_first_line_timeout"
     )]
-    MoveNoticedLate {
+    MoveDetectedLate {
         /// The longest time until the change is received.
         delay: Duration,
         /// How long the previous address is watched in parallel.
@@ -109,7 +109,7 @@
         let delay = self.max_delay_after_silence();
         let (deadline, margin) = (self.watch_notification_deadline, self.watch_notification_margin);
         if delay + margin > deadline {
-            return Err(WatchError::SilenceNoticedLate { delay, deadline, margin });
+            return Err(WatchError::SilenceDetectedLate { delay, deadline, margin });
         }
         Ok(())
     }
@@ -118,7 +118,7 @@
         let delay = self.max_delay_after_move();
         let (overlap, margin) = (self.watch_previous_address_duration, self.watch_notification_margin);
         if delay + margin > overlap {
-            return Err(WatchError::MoveNoticedLate { delay, overlap, margin });
+            return Err(WatchError::MoveDetectedLate { delay, overlap, margin });
         }
         Ok(())
     }
--- a/settings/src/members.rs
+++ b/settings/src/members.rs
@@ -55,7 +55,7 @@
     pub listen: SocketAddrV4,
     /// The address to which other routers send datagrams, if it differs from `listen`.
     pub advertised_address: Option<SocketAddrV4>,
-    /// Addresses of routers of the fleet that are asked to join it; empty for the first router.
+    /// Addresses of routers through which this router joins the fleet; empty for the first router.
     pub seeds: Vec<SocketAddrV4>,
     /// The fleet's name in datagrams; not empty.
     pub cluster: String,
--- a/settings/src/platform.rs
+++ b/settings/src/platform.rs
@@ -10,7 +10,7 @@
 /// Settings that the simulator's adapter needs to translate messages and reports.
 #[derive(Clone, Debug)]
 pub struct AdapterSettings {
-    /// The time on the simulator's clock that corresponds to replication index 0, in microseconds.
+    /// The time on the simulator's clock that corresponds to replication position 0, in microseconds.
     pub position_zero: Micros,
     /// For each class, whether it is a write.
     pub class_is_write: Vec<bool>,
--- a/settings/tests/fleet_documents.rs
+++ b/settings/tests/fleet_documents.rs
@@ -37,8 +37,14 @@
     );
     assert!(tills.users.contains("till") && fleet.default_tenant == "everyone");
     let server_sites = BTreeSet::from(["hall-b".to_string()]);
-    fleet.has_members(&server_sites).unwrap();
-    assert!(fleet.has_members(&BTreeSet::new()).unwrap_err().to_string().contains("tenant 'tills'.place[0]"));
+    fleet.check_strict_sites(&server_sites).unwrap();
+    assert!(
+        fleet
+            .check_strict_sites(&BTreeSet::new())
+            .unwrap_err()
+            .to_string()
+            .contains("tenant 'tills'.place[0]")
+    );
 }
 
 #[test]
--- a/settings/tests/limits.rs
+++ b/settings/tests/limits.rs
@@ -32,18 +32,18 @@
 #[test]
 fn inconsistent_watch_limit_is_rejected_with_a_remedy() {
     type SetLimit = fn(&mut Limits);
-    let noticed_late: [(&str, SetLimit); 5] = [
+    let detected_late: [(&str, SetLimit); 5] = [
         ("silent", |l| l.watch_silence_timeout = ms(2901)),
         ("retry", |l| l.watch_backoff.max = ms(1301)),
         ("connect", |l| (l.watch_connect_timeout, l.max_pending_watches) = (ms(801), 16)),
         ("line after the head", |l| (l.watch_first_line_timeout, l.max_pending_watches) = (ms(901), 16)),
         ("line before the next watch", |l| l.watch_first_line_timeout = ms(1001)),
     ];
-    for (limit, set_limit) in noticed_late {
+    for (limit, set_limit) in detected_late {
         let mut limits = limits();
         set_limit(&mut limits);
         let found = limits.check_watch();
-        assert!(matches!(found, Err(WatchError::SilenceNoticedLate { .. })), "{limit}: {found:?}");
+        assert!(matches!(found, Err(WatchError::SilenceDetectedLate { .. })), "{limit}: {found:?}");
         let error = found.unwrap_err().to_string();
         assert!(
             error.contains("later than 6s less the margin of 1s: shorten watch_silence_timeout"),
@@ -56,15 +56,15 @@
     ] {
         let mut limits = limits();
         set_limit(&mut limits);
-        assert!(matches!(limits.check_watch(), Err(WatchError::SilenceNoticedLate { .. })), "{limit}");
+        assert!(matches!(limits.check_watch(), Err(WatchError::SilenceDetectedLate { .. })), "{limit}");
     }
     let error_after = |set_limit: SetLimit| {
         let mut limits = limits();
         set_limit(&mut limits);
         limits.check_watch().unwrap_err()
     };
-    let move_noticed_late = error_after(|l| l.watch_previous_address_duration = ms(2349));
-    assert!(matches!(move_noticed_late, WatchError::MoveNoticedLate { .. }), "{move_noticed_late}");
+    let move_detected_late = error_after(|l| l.watch_previous_address_duration = ms(2349));
+    assert!(matches!(move_detected_late, WatchError::MoveDetectedLate { .. }), "{move_detected_late}");
     let too_short = error_after(|l| l.watch_silence_timeout = ms(2000));
     assert!(matches!(too_short, WatchError::SilenceTimeoutTooShort { .. }), "{too_short}");
     for set_limit in [
