--- a/settings/src/limits/bounds.rs
+++ b/settings/src/limits/bounds.rs
@@ -60,7 +60,7 @@
     pub registry_watch_check_delay: Duration,
     /// The wait time that is requested for a blocking query of a registry.
     pub registry_blocking_query_timeout: Duration,
-    /// Backoff after a registry endpoint failed.
+    /// Backoff after a registry member failed.
     pub registry_backoff: Backoff,
     /// Registry changes within this time of each other are applied to the endpoint list together; drains are
     /// applied without delay.
--- a/settings/src/operator/registry.rs
+++ b/settings/src/operator/registry.rs
@@ -63,7 +63,7 @@
 pub struct RegistryConfig {
     /// The protocol of the registry.
     pub kind: RegistryKind,
-    /// The addresses of the registry's servers; at least one.
+    /// The addresses of the registry's members; at least one.
     pub endpoints: Vec<SocketAddr>,
     /// The prefix of all keys; starts and ends with a slash.
     pub prefix: String,
--- a/settings/tests/customers.rs
+++ b/settings/tests/customers.rs
@@ -1,5 +1,5 @@
 //! Property tests of the platform configuration: generated classes and zones with arbitrary names in any
-//! order, and an arbitrary value in pointer of any other.
+//! order, and an arbitrary value in place of any other.
 use decision::{Freshness, Idempotency};
 use proptest::prelude::*;
 use serde_json::{Value, json};
@@ -127,8 +127,8 @@
         let classes = [class("only".into(), 4)];
         let read = start(&config(&classes, &zones, zone)).unwrap();
         prop_assert_eq!(&read.names.zones, &zones);
-        // Zones that only the endpoint list names are numbered after the configured ones, so this original
-        // must not match.
+        // Zones that only the endpoint list names are numbered after the configured ones, so this router is
+        // in none of them.
         let own = if (zone as usize) < zones.len() { zone } else { u32::MAX };
         prop_assert_eq!(read.settings.zone, own);
     }
@@ -170,7 +170,7 @@
                 prop_assert!(read.limits.max_unchecked_idle_time <= read.limits.backend_idle_timeout);
             }
             Err(e) => {
-                // The message contains at least original key of the path to the changed value.
+                // The message contains at least one key of the path to the changed value.
                 let message = e.to_string();
                 let names = pointer.split('/').filter(|p| !p.is_empty() && p.parse::<usize>().is_err());
                 let named = names.clone().any(|name| message.contains(name));
--- a/settings/tests/shutdown.rs
+++ b/settings/tests/shutdown.rs
@@ -19,16 +19,14 @@
             limits.shutdown_read_timeout >= limits.shutdown_grace_period + Duration::from_millis(50),
             "{ms}"
         );
-        // SIGKILL is sent at the earliest after the longest deadline, counted_deadline as at most 3 s, plus
-        // 0.7 s.
+        // SIGKILL is sent at the earliest after the longest deadline, counted as at most 3 s, plus 0.7 s.
         let counted_deadline = longest.min(Duration::from_secs(3));
         let earliest_kill = counted_deadline + Duration::from_millis(700);
         assert!(
             limits.shutdown_read_timeout + counted_deadline + Duration::from_millis(50) <= earliest_kill,
             "{ms}"
         );
-        // SIGKILL is sent at the latest_kill after the longest deadline, counted_deadline as at least 3 s,
-        // plus 0.7 s.
+        // SIGKILL is sent at the latest after the longest deadline, counted as at least 3 s, plus 0.7 s.
         let latest_kill = longest.max(Duration::from_secs(3)) + Duration::from_millis(700);
         assert!(limits.shutdown_timeout + Duration::from_millis(50) <= latest_kill, "{ms}");
     }
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -143,10 +143,10 @@
     /// A request could not be sent to the registry or was rejected by it.
     #[error(transparent)]
     RegistryRequest(#[from] registry::RequestError),
-    /// All endpoints of the registry failed; this is the error of the endpoint that was tried last.
+    /// All members of the registry failed; this is the error of the member that was tried last.
     #[error("{addr}: {source}")]
     RegistryMember {
-        /// The address of the registry endpoint.
+        /// The address of the registry member.
         addr: SocketAddr,
         /// The underlying error.
         source: Box<Error>,
--- a/src/commands/registry.rs
+++ b/src/commands/registry.rs
@@ -83,14 +83,14 @@
         self.key(&format!("{NODE_PREFIX}{node}"))
     }
 
-    /// Tries the registry's endpoints in turn until a request succeeds. Returns the error of the last
-    /// endpoint if all fail.
+    /// Tries the registry's members in turn until a request succeeds. If all fail, returns the error of the last
+    /// member.
     fn try_members<T>(
         &self,
         mut request: impl FnMut(&mut MemberClient) -> Result<T, Error>,
     ) -> Result<T, Error> {
         let connector = MemberConnector::new(&self.settings, &self.operator.limits)?;
-        // Placeholder that is never returned, since the settings have at least one endpoint.
+        // Placeholder that is never returned, since the settings have at least one member.
         let mut last_error = Error::NoRegistry(self.file.clone());
         for (index, &addr) in self.settings.endpoints.iter().enumerate() {
             match request(&mut connector.client_for(index)) {
