--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -1,5 +1,6 @@
-//! The fleet's audit: real processes, three store nodes that route and three more routers, each behind a way to the
-//! store of its own that can be cut. What the record says is held against the routers' own logs.
+//! Audit of the fleet's document versions, with processes of the program: three routers that are also store
+//! nodes, and three more routers that reach the quota allocators through proxies whose connections can be
+//! cut. The audit record is compared with the routers' own logs.
 mod common;
 use common::TIMEOUT;
 use common::environment::{TestFolder, unused_addresses};
@@ -14,55 +15,70 @@
 use test_servers::replication_group::ReplicationGroup;
 
 const ROUTERS: usize = 6;
-/// A router that hears of no leader has fenced itself after this time.
+/// A router that receives nothing from a leader fences itself within this time.
 const LEASE: Duration = Duration::from_secs(2);
-/// Nothing is served later than this after a fence.
-const AFTER: Duration = Duration::from_millis(250);
+/// The time that fencing may take after `LEASE` has passed.
+const FENCE_TOLERANCE: Duration = Duration::from_millis(250);
 
 struct Installation {
     servers: ReplicationGroup,
     folder: TestFolder,
-    peers: Vec<SocketAddr>,
-    clients: Vec<SocketAddr>,
-    lend: Vec<SocketAddr>,
-    /// The ways of the routers that are no nodes.
-    ways: Vec<Vec<Proxy>>,
+    peer_addresses: Vec<SocketAddr>,
+    store_addresses: Vec<SocketAddr>,
+    allocator_addresses: Vec<SocketAddr>,
+    /// Proxies to the allocators, for each router that is not a store node.
+    allocator_proxies: Vec<Vec<Proxy>>,
     running: Vec<Option<(Program, SocketAddr)>>,
 }
 
 impl Installation {
     fn start(document: &str) -> (Installation, u64) {
         let servers = ReplicationGroup::start(&[Duration::ZERO], Duration::from_millis(1));
-        let (peers, clients, lend) = (unused_addresses(3), unused_addresses(3), unused_addresses(3));
-        let ways = (3..ROUTERS).map(|_| lend.iter().map(|a| Proxy::start(*a)).collect()).collect();
+        let (peer_addresses, store_addresses, allocator_addresses) =
+            (unused_addresses(3), unused_addresses(3), unused_addresses(3));
+        let allocator_proxies =
+            (3..ROUTERS).map(|_| allocator_addresses.iter().map(|a| Proxy::start(*a)).collect()).collect();
         let running = (0..ROUTERS).map(|_| None).collect();
-        let mut all =
-            Installation { servers, folder: TestFolder::new(), peers, clients, lend, ways, running };
-        (0..ROUTERS).for_each(|i| all.run(i));
-        let version = all.set(document);
-        (0..ROUTERS).for_each(|i| all.in_force(i, version));
-        (all, version)
+        let mut installation = Installation {
+            servers,
+            folder: TestFolder::new(),
+            peer_addresses,
+            store_addresses,
+            allocator_addresses,
+            allocator_proxies,
+            running,
+        };
+        (0..ROUTERS).for_each(|i| installation.start_router(i));
+        let version = installation.set_document(document);
+        (0..ROUTERS).for_each(|i| installation.wait_until_in_force(i, version));
+        (installation, version)
     }
 
-    fn run(&mut self, i: usize) {
+    fn start_router(&mut self, i: usize) {
         let servers = installation::server_tables(&self.servers, |_| String::new());
         let (allocators, listen, store) = if i < 3 {
-            let store = installation::store_table(i, &self.peers, &self.clients);
-            (toml_list(&self.lend), format!("listen = '{}'\n", self.lend[i]), store)
+            let store = installation::store_table(i, &self.peer_addresses, &self.store_addresses);
+            (
+                toml_list(&self.allocator_addresses),
+                format!("listen = '{}'\n", self.allocator_addresses[i]),
+                store,
+            )
         } else {
-            let ways: Vec<SocketAddr> = self.ways[i - 3].iter().map(|p| p.addr).collect();
-            (toml_list(&ways), String::new(), String::new())
+            let allocator_proxies: Vec<SocketAddr> =
+                self.allocator_proxies[i - 3].iter().map(|p| p.addr).collect();
+            (toml_list(&allocator_proxies), String::new(), String::new())
         };
-        // Clocks off by seconds, and not the leader's, whose times the record has.
-        let off = [0, 0, 0, 4000, -4000, 0][i];
+        // Two routers have clocks that are wrong by seconds. The record has the leader's times, so these must
+        // not appear in it.
+        let clock_offset_ms = [0, 0, 0, 4000, -4000, 0][i];
         let text = format!(
-            "[mysql]\nclock_offset_ms = {off}\nlisten = '127.0.0.1:0'\ndatabase = 'shop'\nserver_user = 'router'\nprobe = 'SELECT probe'\n\
+            "[mysql]\nclock_offset_ms = {clock_offset_ms}\nlisten = '127.0.0.1:0'\ndatabase = 'shop'\nserver_user = 'router'\nprobe = 'SELECT probe'\n\
              [[mysql.user]]\nname = 'till'\npassword = 'secret'\n\
              [[mysql.class]]\nname = 'add'\nfreshness = 'write'\neffect = 'unsafe'\naim_ms = 2000\ndeadline_ms = 4000\n\
              {servers}[fleet]\nname = 'router-{i}'\nslot = {}\nnodes = [{}]\nallocators = [{allocators}]\n{listen}\
              [fleet.audit]\n{store}",
             i + 1,
-            toml_list(&self.clients),
+            toml_list(&self.store_addresses),
         );
         let path = self.folder.write(&format!("router-{i}.toml"), &text);
         let mut program = Program::serve(&path);
@@ -74,76 +90,78 @@
         &mut self.running[i].as_mut().unwrap().0
     }
 
-    /// Waits until this router says that the version is in force.
-    fn in_force(&mut self, i: usize, version: u64) {
+    /// Waits until the router logs that the version is in force.
+    fn wait_until_in_force(&mut self, i: usize, version: u64) {
         self.program(i).wait_for_log(&format!("fleet document in force version={version} fenced=false"));
     }
 
-    fn store(&self) -> String {
-        installation::comma_separated(&self.clients)
+    fn store_argument(&self) -> String {
+        installation::comma_separated(&self.store_addresses)
     }
 
-    fn set(&self, text: &str) -> u64 {
+    fn set_document(&self, text: &str) -> u64 {
         let path = self.folder.write("fleet.toml", text);
-        let set = Program::start(&["fleet", "set", path.to_str().unwrap(), "--store", &self.store()], &[]);
-        let (code, said) = set.wait_for_exit();
+        let command =
+            Program::start(&["fleet", "set", path.to_str().unwrap(), "--store", &self.store_argument()], &[]);
+        let (code, output) = command.wait_for_exit();
         assert_eq!(code, Some(0));
-        said.trim().strip_prefix("version ").unwrap().parse().unwrap()
+        output.trim().strip_prefix("version ").unwrap().parse().unwrap()
     }
 
-    /// The audit of one router, and whether the command has said that a gap is open.
+    /// The audit record of one router, and whether the command reports an open gap.
     fn audit(&self, i: usize) -> (Value, bool) {
-        let (store, name) = (self.store(), format!("router-{i}"));
+        let (store, name) = (self.store_argument(), format!("router-{i}"));
         let program =
             Program::start(&["fleet", "audit", "--json", "--router", &name, "--store", &store], &[]);
-        let (code, said) = program.wait_for_exit();
-        let seen: Value = serde_json::from_str(&said).unwrap();
-        let open = seen["open"].as_bool().unwrap();
+        let (code, output) = program.wait_for_exit();
+        let record: Value = serde_json::from_str(&output).unwrap();
+        let open = record["open"].as_bool().unwrap();
         assert_eq!(code, Some(if open { 2 } else { 0 }));
-        (seen, open)
+        (record, open)
     }
 
-    /// Waits until the record of a router is this: what it did, and with which version.
-    fn recorded(&self, i: usize, expected: &[(&str, u64)]) -> Value {
-        let begun = Instant::now();
+    /// Waits until the record of a router has exactly these rows: the kind of the interval and the version.
+    fn wait_for_record(&self, i: usize, expected: &[(&str, u64)]) -> Value {
+        let started_at = Instant::now();
         loop {
-            let seen = self.audit(i).0;
-            let rows = seen["rows"].as_array().unwrap();
+            let record = self.audit(i).0;
+            let rows = record["rows"].as_array().unwrap();
             let rows: Vec<_> = rows
                 .iter()
                 .filter(|r| r["version"] != 0)
                 .map(|r| (r["kind"].as_str().unwrap(), r["version"].as_u64().unwrap()))
                 .collect();
             if rows == expected {
-                return seen;
+                return record;
             }
-            assert!(begun.elapsed() < TIMEOUT, "router-{i}: {rows:?}, expected {expected:?}");
+            assert!(started_at.elapsed() < TIMEOUT, "router-{i}: {rows:?}, expected {expected:?}");
         }
     }
 
-    /// Waits until the record of a router's running start says what its own log does: the versions that were in force,
-    /// in order, and since when.
-    fn agrees(&mut self, i: usize) {
-        let begun = Instant::now();
+    /// Waits until the record of the router's current incarnation agrees with its log: the versions that were
+    /// in force, in order, and the time from which each was.
+    fn wait_until_record_matches_log(&mut self, i: usize) {
+        let started_at = Instant::now();
         loop {
             let logged: Vec<(u64, f64)> =
-                self.program(i).log_lines().iter().filter_map(|l| in_force(l)).collect();
-            let seen = self.audit(i).0;
-            let rows = seen["rows"].as_array().unwrap();
+                self.program(i).log_lines().iter().filter_map(|l| parse_in_force_line(l)).collect();
+            let record = self.audit(i).0;
+            let rows = record["rows"].as_array().unwrap();
             let start = rows.last().map(|r| r["start"].clone());
             let rows: Vec<(u64, f64)> = rows
                 .iter()
                 .filter(|r| r["kind"] == "acting" && Some(&r["start"]) == start.as_ref())
                 .map(|r| (r["version"].as_u64().unwrap(), r["from"].as_f64().unwrap() / 1e6 % 86_400.0))
                 .collect();
-            // Both in seconds of the day. The router's clock may be off: its log's is not, nor is the leader's.
-            let near = |((v, at), (w, logged)): (&(u64, f64), &(u64, f64))| {
+            // Both times are seconds of the day. The router's configured clock offset affects neither its
+            // log's times nor the leader's.
+            let matches_log = |((v, at), (w, logged)): (&(u64, f64), &(u64, f64))| {
                 v == w && ((at - logged).abs() < 1.0 || (at - logged).abs() > 86_399.0)
             };
-            if rows.len() == logged.len() && rows.iter().zip(&logged).all(near) {
+            if rows.len() == logged.len() && rows.iter().zip(&logged).all(matches_log) {
                 return;
             }
-            assert!(begun.elapsed() < TIMEOUT, "router-{i}: recorded {rows:?}, logged {logged:?}");
+            assert!(started_at.elapsed() < TIMEOUT, "router-{i}: recorded {rows:?}, logged {logged:?}");
         }
     }
 
@@ -157,8 +175,8 @@
     }
 }
 
-/// The version that a line says is in force, and its second of the day.
-fn in_force(line: &str) -> Option<(u64, f64)> {
+/// The version that a log line reports as in force, and the line's time in seconds of the day.
+fn parse_in_force_line(line: &str) -> Option<(u64, f64)> {
     let version = line.split("fleet document in force version=").nth(1)?.split(' ').next()?.parse().ok()?;
     let mut clock = line.split('T').nth(1)?.split('Z').next()?.split(':').map(|n| n.parse::<f64>().unwrap());
     Some((version, clock.next()? * 3600.0 + clock.next()? * 60.0 + clock.next()?))
@@ -168,158 +186,174 @@
     conn.query_drop(format!("INSERT INTO basket VALUES ('k', 1) /* c=add,t={tenant} */"))
 }
 
-/// Asks until a write is served.
-fn served(conn: &mut Conn, tenant: &str) {
-    let begun = Instant::now();
+/// Repeats a write until it succeeds.
+fn write_until_served(conn: &mut Conn, tenant: &str) {
+    let started_at = Instant::now();
     while let Err(e) = write(conn, tenant) {
-        assert!(begun.elapsed() < TIMEOUT, "{e}");
+        assert!(started_at.elapsed() < TIMEOUT, "{e}");
     }
 }
 
-/// Asks until a write is refused with this reason.
-fn refused(conn: &mut Conn, reason: &str) {
-    let begun = Instant::now();
+/// Repeats a write until it is rejected with this reason.
+fn write_until_rejected(conn: &mut Conn, reason: &str) {
+    let started_at = Instant::now();
     loop {
         match write(conn, "all") {
             Err(e) if e.to_string().contains(reason) => return,
-            other => assert!(begun.elapsed() < TIMEOUT, "{other:?}"),
+            other => assert!(started_at.elapsed() < TIMEOUT, "{other:?}"),
         }
     }
 }
 
-/// Whoever goes by the open one serves `tills`; by the shut one nobody does.
+/// A document with the tenants `all` and `tills`; `more` is appended to `tills`. Without a quota in `more`,
+/// writes of `tills` are admitted; with a rate of 0 they are rejected.
 fn document(more: &str) -> String {
     format!("routers = 8\nunnamed = 'all'\n[[tenant]]\nname = 'all'\n[[tenant]]\nname = 'tills'\n{more}")
 }
 
 #[test]
 fn stopped_router_routes_nothing_by_old_version() {
-    let (mut all, first) = Installation::start(&document(""));
-    let mut conn = all.connect(3);
-    served(&mut conn, "tills");
-    let waiting: Vec<Conn> = (0..8).map(|_| all.connect(3)).collect();
-    all.program(3).signal(Signal::SIGSTOP);
-    let second = all.set(&document("rate = 0.0\nburst = 1\n"));
-    let third = all.set(&document("rate = 0.0\nburst = 2\n"));
-    (0..3).chain([4, 5]).for_each(|i| all.in_force(i, third));
-    // Its silence is in the record while it lasts.
-    let seen = all.recorded(3, &[("acting", first), ("silent", first)]);
-    assert!(seen["rows"][1]["from"].as_i64().unwrap() > seen["rows"][0]["from"].as_i64().unwrap());
-    let before = all.writes();
-    // Asked while it stands still: read as it goes on, maybe before it has heard of anything.
+    let (mut installation, first_version) = Installation::start(&document(""));
+    let mut conn = installation.connect(3);
+    write_until_served(&mut conn, "tills");
+    let idle_clients: Vec<Conn> = (0..8).map(|_| installation.connect(3)).collect();
+    installation.program(3).signal(Signal::SIGSTOP);
+    let second_version = installation.set_document(&document("rate = 0.0\nburst = 1\n"));
+    let third_version = installation.set_document(&document("rate = 0.0\nburst = 2\n"));
+    (0..3).chain([4, 5]).for_each(|i| installation.wait_until_in_force(i, third_version));
+    // The record shows the router as silent while it is still stopped.
+    let record = installation.wait_for_record(3, &[("acting", first_version), ("silent", first_version)]);
+    assert!(record["rows"][1]["from"].as_i64().unwrap() > record["rows"][0]["from"].as_i64().unwrap());
+    let before = installation.writes();
+    // Sent while the router is stopped. It reads them when it resumes, possibly before it receives anything
+    // from the leader.
     let ask = |mut conn: Conn| std::thread::spawn(move || write(&mut conn, "tills"));
-    let waiting: Vec<_> = waiting.into_iter().map(ask).collect();
-    all.program(3).signal(Signal::SIGCONT);
-    assert!(waiting.into_iter().all(|w| w.join().unwrap().is_err()));
-    // The open version would have served each.
+    let pending_writes: Vec<_> = idle_clients.into_iter().map(ask).collect();
+    installation.program(3).signal(Signal::SIGCONT);
+    assert!(pending_writes.into_iter().all(|w| w.join().unwrap().is_err()));
+    // Under the first version, which has no quota, each of these writes would be served.
     assert!((0..50).all(|_| write(&mut conn, "tills").is_err()));
-    assert_eq!(all.writes(), before);
-    all.in_force(3, third);
-    served(&mut conn, "all");
+    assert_eq!(installation.writes(), before);
+    installation.wait_until_in_force(3, third_version);
+    write_until_served(&mut conn, "all");
     assert!((0..50).all(|_| write(&mut conn, "tills").is_err()));
-    let seen =
-        all.recorded(3, &[("acting", first), ("silent", first), ("shutout", first), ("acting", third)]);
-    assert!(seen["rows"][3]["epoch"].as_u64() >= Some(1 << 32));
-    // The router says the same.
-    all.program(3).wait_for_log(&format!("it is shut out under epoch {}", seen["rows"][3]["epoch"]));
-    assert!(second < third);
-    (0..ROUTERS).for_each(|i| all.agrees(i));
+    let record = installation.wait_for_record(
+        3,
+        &[
+            ("acting", first_version),
+            ("silent", first_version),
+            ("shutout", first_version),
+            ("acting", third_version),
+        ],
+    );
+    assert!(record["rows"][3]["epoch"].as_u64() >= Some(1 << 32));
+    // The router logs the same epoch.
+    installation
+        .program(3)
+        .wait_for_log(&format!("it is shut out under epoch {}", record["rows"][3]["epoch"]));
+    assert!(second_version < third_version);
+    (0..ROUTERS).for_each(|i| installation.wait_until_record_matches_log(i));
 }
 
 #[test]
 fn partitioned_router_fences_itself_and_reports_it() {
-    let (mut all, first) = Installation::start(&document(""));
-    let mut conn = all.connect(3);
-    served(&mut conn, "all");
-    all.ways[0].iter().for_each(Proxy::cut);
-    let cut = Instant::now();
-    refused(&mut conn, "this router is fenced: nobody has confirmed its version");
-    let fenced = cut.elapsed();
-    assert!(fenced <= LEASE + AFTER, "{fenced:?}");
-    let before = all.writes();
+    let (mut installation, first_version) = Installation::start(&document(""));
+    let mut conn = installation.connect(3);
+    write_until_served(&mut conn, "all");
+    installation.allocator_proxies[0].iter().for_each(Proxy::cut);
+    let cut_at = Instant::now();
+    write_until_rejected(&mut conn, "this router is fenced: nobody has confirmed its version");
+    let fenced_after = cut_at.elapsed();
+    assert!(fenced_after <= LEASE + FENCE_TOLERANCE, "{fenced_after:?}");
+    let before = installation.writes();
     assert!((0..50).all(|_| write(&mut conn, "all").is_err()));
-    assert_eq!(all.writes(), before);
-    all.recorded(3, &[("acting", first), ("silent", first)]);
-    let begun = Instant::now();
-    while !all.audit(3).1 {
-        assert!(begun.elapsed() < TIMEOUT);
+    assert_eq!(installation.writes(), before);
+    installation.wait_for_record(3, &[("acting", first_version), ("silent", first_version)]);
+    let started_at = Instant::now();
+    while !installation.audit(3).1 {
+        assert!(started_at.elapsed() < TIMEOUT);
     }
-    let table = Program::start(&["fleet", "audit", "--since", "60", "--store", &all.store()], &[]);
-    let (code, said) = table.wait_for_exit();
-    assert!(code == Some(2) && said.contains(" to now: router-3 is silent"), "{said}");
-    assert!(said.lines().filter(|l| l.starts_with("router-") && l.contains(" acting ")).count() >= ROUTERS);
-    // The others go on.
-    served(&mut all.connect(4), "all");
-    all.ways[0].iter().for_each(Proxy::heal);
-    served(&mut conn, "all");
-    let seen = all.recorded(3, &[("acting", first), ("silent", first), ("acting", first)]);
-    // It was back in the record before it served again, or within a write of it.
-    assert!(seen["rows"][1]["until"].as_i64().is_some());
-    all.program(3).wait_for_log("this router is fenced: nobody has confirmed its version");
-    (0..ROUTERS).for_each(|i| all.agrees(i));
+    let table =
+        Program::start(&["fleet", "audit", "--since", "60", "--store", &installation.store_argument()], &[]);
+    let (code, output) = table.wait_for_exit();
+    assert!(code == Some(2) && output.contains(" to now: router-3 is silent"), "{output}");
+    assert!(output.lines().filter(|l| l.starts_with("router-") && l.contains(" acting ")).count() >= ROUTERS);
+    // The other routers still serve.
+    write_until_served(&mut installation.connect(4), "all");
+    installation.allocator_proxies[0].iter().for_each(Proxy::heal);
+    write_until_served(&mut conn, "all");
+    let record = installation.wait_for_record(
+        3,
+        &[("acting", first_version), ("silent", first_version), ("acting", first_version)],
+    );
+    // The record must show the end of the silent interval by the time the router serves again.
+    assert!(record["rows"][1]["until"].as_i64().is_some());
+    installation.program(3).wait_for_log("this router is fenced: nobody has confirmed its version");
+    (0..ROUTERS).for_each(|i| installation.wait_until_record_matches_log(i));
 }
 
 #[test]
 fn audit_record_survives_loss_of_leader_and_router() {
-    let (mut all, first) = Installation::start(&document(""));
-    let line = all.program(0).wait_for_log("store leader elected leader=");
-    let node = line.split(" leader=").nth(1).unwrap().split(' ').next().unwrap();
-    let leader = node.parse::<usize>().unwrap() - 1;
-    (0..ROUTERS).for_each(|i| _ = all.recorded(i, &[("acting", first)]));
-    let second = all.set(&document("rate = 0.0\nburst = 1\n"));
-    all.running[leader] = None;
-    all.running[4] = None;
-    all.run(4);
+    let (mut installation, first_version) = Installation::start(&document(""));
+    let line = installation.program(0).wait_for_log("store leader elected leader=");
+    let node_number = line.split(" leader=").nth(1).unwrap().split(' ').next().unwrap();
+    let leader = node_number.parse::<usize>().unwrap() - 1;
+    (0..ROUTERS).for_each(|i| _ = installation.wait_for_record(i, &[("acting", first_version)]));
+    let second_version = installation.set_document(&document("rate = 0.0\nburst = 1\n"));
+    installation.running[leader] = None;
+    installation.running[4] = None;
+    installation.start_router(4);
     for i in (0..ROUTERS).filter(|i| *i != leader) {
-        all.in_force(i, second);
-        let mut conn = all.connect(i);
-        served(&mut conn, "all");
+        installation.wait_until_in_force(i, second_version);
+        let mut conn = installation.connect(i);
+        write_until_served(&mut conn, "all");
         assert!(write(&mut conn, "tills").is_err());
-        // Whether silent for the time without a leader or not, it has gone from the first to the second.
-        let begun = Instant::now();
+        // The router may have been silent while there was no leader; either way it went from the first
+        // version to the second.
+        let started_at = Instant::now();
         loop {
-            let seen = all.audit(i).0;
-            let rows = seen["rows"].as_array().unwrap();
+            let record = installation.audit(i).0;
+            let rows = record["rows"].as_array().unwrap();
             let acting: Vec<_> = rows
                 .iter()
                 .filter(|r| r["kind"] == "acting" && r["version"] != 0)
                 .map(|r| r["version"].clone())
                 .collect();
-            if acting.last().is_some_and(|v| *v == second) {
-                assert!(acting.iter().all(|v| *v == first || *v == second), "{acting:?}");
+            if acting.last().is_some_and(|v| *v == second_version) {
+                assert!(acting.iter().all(|v| *v == first_version || *v == second_version), "{acting:?}");
                 break;
             }
-            assert!(begun.elapsed() < TIMEOUT, "router-{i}: {rows:?}");
+            assert!(started_at.elapsed() < TIMEOUT, "router-{i}: {rows:?}");
         }
     }
-    let starts = all.audit(4).0["rows"].as_array().unwrap().clone();
-    assert_ne!(starts.first().unwrap()["start"], starts.last().unwrap()["start"]);
-    (0..ROUTERS).filter(|i| *i != leader).for_each(|i| all.agrees(i));
-    // The one that is lost is found silent by the next leader.
-    let begun = Instant::now();
-    while all.audit(leader).0["rows"].as_array().unwrap().last().unwrap()["kind"] != "silent" {
-        assert!(begun.elapsed() < TIMEOUT);
+    let rows = installation.audit(4).0["rows"].as_array().unwrap().clone();
+    assert_ne!(rows.first().unwrap()["start"], rows.last().unwrap()["start"]);
+    (0..ROUTERS).filter(|i| *i != leader).for_each(|i| installation.wait_until_record_matches_log(i));
+    // The new leader records the killed router as silent.
+    let started_at = Instant::now();
+    while installation.audit(leader).0["rows"].as_array().unwrap().last().unwrap()["kind"] != "silent" {
+        assert!(started_at.elapsed() < TIMEOUT);
     }
 }
 
 #[test]
 fn router_that_never_fetches_is_notified_then_fenced_out() {
-    let (all, first) = Installation::start(&document(""));
-    // One that reports as a router does and holds on to the first version.
+    let (installation, first_version) = Installation::start(&document(""));
+    // A client that sends reports as a router does, but never fetches a version after the first.
     let mut socket: Option<TcpStream> = None;
-    let (mut seq, mut told, mut at, begun) = (0, 0, 0, Instant::now());
-    let mut changed = None;
+    let (mut seq, mut refetch_count, mut node, started_at) = (0, 0, 0, Instant::now());
+    let mut changed_at = None;
     let epoch = loop {
-        assert!(begun.elapsed() < TIMEOUT);
-        let patience = Duration::from_secs(2);
+        assert!(started_at.elapsed() < TIMEOUT);
+        let timeout = Duration::from_secs(2);
         if socket.is_none() {
-            let open = TcpStream::connect(all.lend[at]).unwrap();
-            fleet::wire::send_hello(&open).unwrap();
-            fleet::wire::receive_hello(&open, patience).unwrap();
-            let _: fleet::wire::Response = fleet::wire::receive(&open, patience, patience).unwrap();
-            socket = Some(open);
+            let connected = TcpStream::connect(installation.allocator_addresses[node]).unwrap();
+            fleet::wire::send_hello(&connected).unwrap();
+            fleet::wire::receive_hello(&connected, timeout).unwrap();
+            let _: fleet::wire::Response = fleet::wire::receive(&connected, timeout, timeout).unwrap();
+            socket = Some(connected);
         }
-        let to = socket.as_ref().unwrap();
+        let stream = socket.as_ref().unwrap();
         seq += 1;
         let report = quotas::Report {
             router: "straggler".into(),
@@ -327,32 +361,32 @@
             seq,
             term: 0,
             applied_seq: 0,
-            version: first,
+            version: first_version,
             leaving: false,
             held: None,
             demand: Vec::new(),
         };
         let version_report = audit::VersionReport::default();
-        fleet::wire::send(to, &fleet::wire::Request::Report { quota_report: report, version_report })
+        fleet::wire::send(stream, &fleet::wire::Request::Report { quota_report: report, version_report })
             .unwrap();
-        match fleet::wire::receive(to, patience, patience).unwrap() {
-            fleet::wire::Response::NotLeader { .. } => (at, socket) = ((at + 1) % 3, None),
+        match fleet::wire::receive(stream, timeout, timeout).unwrap() {
+            fleet::wire::Response::NotLeader { .. } => (node, socket) = ((node + 1) % 3, None),
             fleet::wire::Response::Report { audit_directive: audit::Directive::Refetch { .. }, .. } => {
-                told += 1;
+                refetch_count += 1;
             }
             fleet::wire::Response::Report {
                 audit_directive: audit::Directive::FenceOut { epoch }, ..
             } => break epoch,
-            fleet::wire::Response::Report { .. } if changed.is_none() => {
-                all.set(&document("rate = 0.0\nburst = 1\n"));
-                changed = Some(Instant::now());
+            fleet::wire::Response::Report { .. } if changed_at.is_none() => {
+                installation.set_document(&document("rate = 0.0\nburst = 1\n"));
+                changed_at = Some(Instant::now());
             }
             fleet::wire::Response::Report { .. } => {}
-            odd => panic!("{odd:?}"),
+            unexpected => panic!("{unexpected:?}"),
         }
-        // A router's pace, as good as.
+        // About the interval at which a router sends reports.
         std::thread::sleep(Duration::from_millis(50));
     };
-    assert!(told == 3 && epoch >= 1 << 32, "{told}");
-    assert!(changed.unwrap().elapsed() >= Duration::from_millis(800 + 3 * 150));
+    assert!(refetch_count == 3 && epoch >= 1 << 32, "{refetch_count}");
+    assert!(changed_at.unwrap().elapsed() >= Duration::from_millis(800 + 3 * 150));
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,11 +1,12 @@
-//! The command line's forms, which pages and scripts quote: help, commands to a store node, and printed times.
+//! Output of the command line that documentation and scripts rely on: help texts, encoded commands for a
+//! store node, and printed times.
 use clap::CommandFactory;
 use damsonvale::cli::Cli;
 use damsonvale::commands::ctl::{Command, encode};
 use damsonvale::commands::fleet::timeline::format_time;
 use std::fmt::Write;
 
-/// Appends the long help of a command and of every command below it.
+/// Appends the long help of a command and of all its subcommands.
 fn render_help(command: &mut clap::Command, path: &str, text: &mut String) {
     write!(text, "== {path}\n{}", command.render_long_help()).unwrap();
     for subcommand in command.get_subcommands_mut() {
@@ -15,7 +16,7 @@
 }
 
 #[test]
-fn help_of_every_command_keeps_its_text() {
+fn help_of_every_command_matches_fixture() {
     let mut command = Cli::command();
     command.build();
     let mut text = String::new();
@@ -24,7 +25,7 @@
 }
 
 #[test]
-fn encoded_ctl_command_keeps_its_form() {
+fn encoded_ctl_commands_match_fixture() {
     let key = || "server/db-1".to_string();
     let text = || "a \"quoted\" text".to_string();
     let commands = [
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn time_is_printed_in_utc_with_milliseconds_before_1970_too() {
+fn time_is_printed_in_utc_with_milliseconds_including_before_1970() {
     assert_eq!(format_time(1_709_210_096_007_900), "2024-02-29T12:34:56.007");
     assert_eq!(format_time(-1000), "1969-12-31T23:59:59.999");
 }
--- a/tests/command.rs
+++ b/tests/command.rs
@@ -1,9 +1,9 @@
-//! The command line and the log of the real program.
+//! Command line and log output of the program, run as a process.
 mod common;
 use common::environment::TestFolder;
 use common::program::Program;
 
-const FILE: &str =
+const MINIMAL_CONFIG: &str =
     "[mysql]\nlisten = '127.0.0.1:0'\ndatabase = 'stock'\nserver_user = 'r'\nprobe = 'SELECT 1'\n";
 
 fn run_to_exit(arguments: &[&str]) -> (Option<i32>, String, String) {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn help_and_version_are_there_and_a_wrong_call_says_how() {
+fn help_and_version_are_printed_and_invalid_arguments_are_named() {
     let (code, out, _) = run_to_exit(&["--help"]);
     assert_eq!(code, Some(0));
     for name in ["serve", "check", "ctl", "requests", "replay", "sessions", "fleet"] {
@@ -24,22 +24,23 @@
     assert!(run_to_exit(&["--version"]).1.starts_with("damsonvale "));
     let (code, _, log) = run_to_exit(&["replay", "x.pcap", "nowhere"]);
     assert!(code != Some(0) && log.contains("nowhere"), "{log}");
-    // Without arguments it is a router of the platform, which has to be told where its configuration is.
+    // Without arguments the program is a router of the platform, which reads its configuration's path from
+    // BALANCER_CONFIG.
     let (code, _, log) = run_to_exit(&[]);
     assert!(code == Some(1) && log.contains("program failed error=BALANCER_CONFIG: expected"), "{log}");
 }
 
 #[test]
-fn check_says_what_a_file_sets_up_or_which_key_is_at_fault() {
+fn check_describes_a_valid_file_or_names_the_invalid_key() {
     let folder = TestFolder::new();
     let check = |more: &str| {
-        let path = folder.write("it.toml", &format!("{FILE}{more}"));
+        let path = folder.write("it.toml", &format!("{MINIMAL_CONFIG}{more}"));
         run_to_exit(&["check", path.to_str().unwrap()])
     };
     let sessions = "[sessions]\ninstance = 1\nlisten = '127.0.0.1:0'\n";
     let (code, out, _) = check(&format!("{sessions}[[sessions.peer]]\ninstance = 2\naddr = '127.0.0.1:7'\n"));
     assert!(code == Some(0) && out.contains("instance 1 with 1 peers, nothing on disk"), "{out}");
-    let faults = [
+    let invalid_configs = [
         (format!("{sessions}leese_ms = 3\n"), "sessions: the key 'leese_ms' is not known"),
         (format!("{sessions}lease_ms = 3\n"), "'lease_ms', found 3"),
         (format!("{sessions}after_start = 'trust'\nfolder = 'x'\n"), "expected no 'folder'"),
@@ -55,14 +56,14 @@
         ("[log]\nformat = 'xml'\n".into(), "log: expected text or json"),
         ("[sesions]\n".into(), "the key 'sesions' is not known"),
     ];
-    for (more, fault) in faults {
+    for (more, expected) in invalid_configs {
         let (code, _, log) = check(&more);
-        assert!(code == Some(1) && log.contains(fault), "{more}: {log}");
+        assert!(code == Some(1) && log.contains(expected), "{more}: {log}");
     }
 }
 
 #[test]
-fn the_files_that_are_shipped_can_be_used() {
+fn shipped_configuration_files_pass_check() {
     for name in ["mysql.toml", "sessions.toml", "registry.toml"] {
         let path = format!("{}/deploy/{name}", env!("CARGO_MANIFEST_DIR"));
         let (code, out, log) = run_to_exit(&["check", &path]);
@@ -71,23 +72,23 @@
 }
 
 #[test]
-fn the_log_is_lines_of_json_where_that_is_wanted() {
+fn json_log_format_writes_one_object_per_line() {
     let folder = TestFolder::new();
-    let path = folder.write("it.toml", &format!("{FILE}[log]\nformat = 'json'\nlevel = 'info'\n"));
+    let path = folder.write("it.toml", &format!("{MINIMAL_CONFIG}[log]\nformat = 'json'\nlevel = 'info'\n"));
     let mut program = Program::start(&[path.to_str().unwrap()], &[]);
     let line = program.wait_for_log("client listener bound");
     let line: serde_json::Value = serde_json::from_str(&line).unwrap();
     assert_eq!(line["level"], "INFO");
     assert_eq!((&line["message"], &line["name"]), (&"client listener bound".into(), &"mysql".into()));
     assert!(line["addr"].as_str().unwrap().starts_with("127.0.0.1:"));
-    // A level above it keeps that line back: the program serves all the same.
-    let at = common::environment::unused_addresses(1)[0];
-    let text = FILE.replace("127.0.0.1:0", &at.to_string());
+    // At level `warn` that line is not written; the program serves nevertheless.
+    let address = common::environment::unused_addresses(1)[0];
+    let text = MINIMAL_CONFIG.replace("127.0.0.1:0", &address.to_string());
     let path = folder.write("it.toml", &format!("{text}[log]\nlevel = 'warn'\n"));
     let mut program = Program::serve(&path);
-    let begun = std::time::Instant::now();
-    while std::net::TcpStream::connect(at).is_err() {
-        assert!(begun.elapsed() < common::TIMEOUT);
+    let started_at = std::time::Instant::now();
+    while std::net::TcpStream::connect(address).is_err() {
+        assert!(started_at.elapsed() < common::TIMEOUT);
     }
     program.terminate();
     assert!(program.child.wait().unwrap().success());
--- a/tests/common/client.rs
+++ b/tests/common/client.rs
@@ -1,17 +1,17 @@
-//! A client on the platform's wire, and the statements that it sends.
+//! A client of the platform's `PostgreSQL` front, and the statements that it sends.
 use super::TIMEOUT;
 use super::wire::{message, read_message};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::time::Instant;
 
-/// A client's connection.
+/// A client connection after its startup.
 pub(crate) struct Client(pub(crate) TcpStream);
 
 #[derive(Debug, PartialEq)]
 pub(crate) enum Response {
     Row(String),
-    /// Code, and the field D.
+    /// SQLSTATE code, and the detail field (`D`).
     Error(String, Option<String>),
     Empty,
 }
@@ -32,31 +32,33 @@
     }
 
     pub(crate) fn response(&self) -> Response {
-        let mut got = Response::Empty;
+        let mut response = Response::Empty;
         loop {
-            let (tag, body) = read_message(&self.0).expect("an answer");
+            let (tag, body) = read_message(&self.0).expect("no response");
             match tag {
-                b'D' => got = Response::Row(String::from_utf8(body[6..].to_vec()).unwrap()),
+                b'D' => response = Response::Row(String::from_utf8(body[6..].to_vec()).unwrap()),
                 b'E' => {
                     let text = String::from_utf8(body).unwrap();
-                    let of = |f: char| text.split('\0').find_map(|p| p.strip_prefix(f)).map(str::to_string);
-                    got = Response::Error(of('C').unwrap(), of('D'));
+                    let field =
+                        |f: char| text.split('\0').find_map(|p| p.strip_prefix(f)).map(str::to_string);
+                    response = Response::Error(field('C').unwrap(), field('D'));
                 }
-                b'Z' => return got,
+                b'Z' => return response,
                 _ => {}
             }
         }
     }
 
-    /// Asks again until this one has answered: a ban or a first probe may stand before it.
+    /// Repeats the query until the named instance has served it: the instance may be ejected or not yet
+    /// probed.
     pub(crate) fn query_until_served_by(&self, sql: &str, by: &str) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         loop {
-            let answer = self.query(sql);
-            if answer == served(by) {
+            let response = self.query(sql);
+            if response == served(by) {
                 return;
             }
-            assert!(begun.elapsed() < TIMEOUT, "{answer:?}");
+            assert!(started_at.elapsed() < TIMEOUT, "{response:?}");
         }
     }
 
@@ -66,13 +68,13 @@
     }
 }
 
-pub(crate) fn select(id: &str, wait: u32) -> String {
-    format!("SELECT body FROM objects WHERE oid = 'k1' /* id={id},c=read,d={wait},cluster=3 */")
+pub(crate) fn select(id: &str, deadline_ms: u32) -> String {
+    format!("SELECT body FROM objects WHERE oid = 'k1' /* id={id},c=read,d={deadline_ms},cluster=3 */")
 }
 
-pub(crate) fn insert(id: &str, wait: u32) -> String {
+pub(crate) fn insert(id: &str, deadline_ms: u32) -> String {
     format!(
-        "INSERT INTO objects (oid, body) VALUES ('k1', '\\x9f') RETURNING body /* id={id},c=order,d={wait},cluster=3 */"
+        "INSERT INTO objects (oid, body) VALUES ('k1', '\\x9f') RETURNING body /* id={id},c=order,d={deadline_ms},cluster=3 */"
     )
 }
 
--- a/tests/common/environment.rs
+++ b/tests/common/environment.rs
@@ -1,10 +1,10 @@
-//! What a test takes from the machine: a folder and addresses of its own.
+//! A temporary folder and unused network addresses for a test.
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 use tempfile::TempDir;
 
-/// A folder of this test's own, removed at its end.
+/// A temporary folder, removed when the test ends.
 pub(crate) struct TestFolder(TempDir);
 
 impl TestFolder {
@@ -23,13 +23,13 @@
     }
 }
 
-/// Addresses that nobody else listens on: on a loopback address of this call's own, so that they stay free between the
-/// asking and the using, whatever ports other processes and outgoing connections take meanwhile.
+/// Addresses that nothing listens on. Each call uses a loopback IP address of its own, so that the ports stay
+/// free until the test binds them, whatever ports other processes and outgoing connections take meanwhile.
 pub(crate) fn unused_addresses(n: usize) -> Vec<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (id, call) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let ip = [127, 1 + (id / 250 % 250) as u8, (id % 250) as u8, 1 + (call % 250) as u8];
-    let held: Vec<TcpListener> =
+    let listeners: Vec<TcpListener> =
         (0..n).map(|_| TcpListener::bind(SocketAddr::from((ip, 0))).unwrap()).collect();
-    held.iter().map(|l| l.local_addr().unwrap()).collect()
+    listeners.iter().map(|l| l.local_addr().unwrap()).collect()
 }
--- a/tests/common/instances.rs
+++ b/tests/common/instances.rs
@@ -1,4 +1,4 @@
-//! Several instances of the real program that share servers, and clients with sessions of their own.
+//! Several instances of the program that share servers and exchange session state, and their clients.
 use super::TIMEOUT;
 use super::environment::{TestFolder, unused_addresses};
 use super::program::Program;
@@ -9,31 +9,31 @@
 use std::time::{Duration, Instant};
 use test_servers::replication_group::ReplicationGroup;
 
-/// Where instances hold what sessions must see, beside their memory.
+/// Where instances store session positions besides memory.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Persistence {
-    /// On disk and at peers.
+    /// In the journal on disk and at peers.
     DiskAndPeers,
-    /// At peers alone.
+    /// Only at peers.
     Peers,
-    /// On disk alone.
+    /// Only in the journal on disk.
     Disk,
-    /// Nowhere: after a start a floor covers what is not known.
+    /// Nowhere; after a start, a floor position is required of reads whose session position is not known.
     FloorOnly,
-    /// Nowhere, and nothing covers what is lost with a process.
+    /// Nowhere, and without a floor: positions are lost when the process ends.
     None,
 }
 
-/// More keys of an instance's file.
+/// Further keys for an instance's configuration file.
 #[derive(Clone, Default)]
 pub(crate) struct ExtraKeys {
-    /// Of `[mysql]`.
+    /// For the `[mysql]` table.
     pub(crate) mysql: String,
-    /// Of `[sessions]`.
+    /// For the `[sessions]` table.
     pub(crate) sessions: String,
 }
 
-/// An instance's process, and where it listens for clients.
+/// An instance's process, and its address for clients.
 pub(crate) struct RunningInstance {
     pub(crate) program: Program,
     pub(crate) address: SocketAddr,
@@ -43,11 +43,11 @@
     pub(crate) servers: ReplicationGroup,
     pub(crate) folder: TestFolder,
     pub(crate) persistence: Persistence,
-    /// Where each one listens for its peers.
+    /// Address at which each instance listens for its peers.
     pub(crate) peer_addresses: Vec<SocketAddr>,
-    /// Where each one connects to each peer.
+    /// Addresses at which each instance connects to each peer.
     pub(crate) known_peer_addresses: Vec<Vec<SocketAddr>>,
-    /// More keys for each one's file.
+    /// Further keys for each instance's configuration file.
     pub(crate) extra_keys: Vec<ExtraKeys>,
     pub(crate) running: Vec<Option<RunningInstance>>,
 }
@@ -63,9 +63,9 @@
 /// What a read returned.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) struct ReadResult {
-    /// The newest item.
+    /// The newest item that the read returned.
     pub(crate) item: u64,
-    /// Which server answered.
+    /// Name of the server that responded.
     pub(crate) server: String,
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl Instances {
-    /// Instances that are set up, not started yet.
+    /// Creates instances without starting them.
     pub(crate) fn new(count: usize, servers: ReplicationGroup, persistence: Persistence) -> Instances {
         let peer_addresses = unused_addresses(count);
         Instances {
@@ -94,26 +94,26 @@
         }
     }
 
-    /// Instances that run and rely on each other.
+    /// Starts instances and waits until their peers are up to date.
     pub(crate) fn started(count: usize, servers: ReplicationGroup, persistence: Persistence) -> Instances {
         let mut all = Instances::new(count, servers, persistence);
         all.start_all();
         all
     }
 
-    /// Starts every instance and waits until they rely on each other.
+    /// Starts every instance and waits until their peers are up to date.
     pub(crate) fn start_all(&mut self) {
         let count = self.peer_addresses.len();
         (0..count).for_each(|i| self.start(i));
         (0..count).for_each(|i| self.wait_for_peers(i));
     }
 
-    /// An instance's folder for its journal.
+    /// Folder of an instance's session journal.
     pub(crate) fn journal_folder(&self, i: usize) -> PathBuf {
         self.folder.path().join(format!("kept-{i}"))
     }
 
-    /// Writes an instance's file, with these peers.
+    /// Writes an instance's configuration file with these peers.
     pub(crate) fn write_config(&self, i: usize, peers: &[usize]) -> PathBuf {
         let server = |(name, addr)| format!("[[mysql.server]]\nid = '{name}'\naddr = '{addr}'\n");
         let servers: String = self.servers.servers().into_iter().map(server).collect();
@@ -155,13 +155,13 @@
         self.folder.write(&format!("instance-{i}.toml"), &text)
     }
 
-    /// Waits until every instance sends a new session's reads to replicas, and stops replication then: whatever is
-    /// written from now on is on the primary alone.
+    /// Waits until every instance sends a new session's reads to replicas, then stops replication: later
+    /// writes are only on the primary.
     pub(crate) fn freeze_replicas(&mut self) {
         for i in 0..self.running.len() {
-            let (mut client, begun) = (self.client(i), Instant::now());
+            let (mut client, started_at) = (self.client(i), Instant::now());
             while !read(&mut client, "nobody").unwrap().is_from_replica() {
-                assert!(begun.elapsed() < TIMEOUT);
+                assert!(started_at.elapsed() < TIMEOUT);
             }
         }
         self.servers.stop_replication();
@@ -179,12 +179,12 @@
         &mut self.running[i].as_mut().unwrap().program
     }
 
-    /// Waits until an instance relies on all its peers.
+    /// Waits until an instance logs that all its session peers are up to date.
     pub(crate) fn wait_for_peers(&mut self, i: usize) {
         self.program(i).wait_for_log("session peers up to date");
     }
 
-    /// SIGKILL.
+    /// Kills an instance with SIGKILL.
     pub(crate) fn kill(&mut self, i: usize) {
         self.running[i] = None;
     }
@@ -197,7 +197,7 @@
         connect(self.address(i)).unwrap()
     }
 
-    /// An instance's status.
+    /// The status that `sessions show` prints for an instance.
     pub(crate) fn status(&self, i: usize) -> serde_json::Value {
         let (code, out) =
             Program::start(&["sessions", "show", &self.peer_addresses[i].to_string()], &[]).wait_for_exit();
@@ -205,27 +205,28 @@
         serde_json::from_str(&out).unwrap()
     }
 
-    /// Polls an instance's status until it is as wanted; only a failure takes long.
+    /// Polls an instance's status until the condition holds.
     pub(crate) fn wait_for_status(
         &self,
         i: usize,
         is_wanted: impl Fn(&serde_json::Value) -> bool,
     ) -> serde_json::Value {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         loop {
             let status = self.status(i);
             if is_wanted(&status) {
                 return status;
             }
-            assert!(begun.elapsed() < TIMEOUT, "{status}");
+            assert!(started_at.elapsed() < TIMEOUT, "{status}");
         }
     }
 }
 
 pub(crate) fn connect(addr: SocketAddr) -> mysql::Result<Conn> {
-    let at = OptsBuilder::new().ip_or_hostname(Some("127.0.0.1")).tcp_port(addr.port()).prefer_socket(false);
-    let at = at.user(Some("till")).pass(Some("secret")).db_name(Some("shop"));
-    Conn::new(at.tcp_connect_timeout(Some(Duration::from_secs(2))).read_timeout(Some(TIMEOUT)))
+    let options =
+        OptsBuilder::new().ip_or_hostname(Some("127.0.0.1")).tcp_port(addr.port()).prefer_socket(false);
+    let options = options.user(Some("till")).pass(Some("secret")).db_name(Some("shop"));
+    Conn::new(options.tcp_connect_timeout(Some(Duration::from_secs(2))).read_timeout(Some(TIMEOUT)))
 }
 
 pub(crate) fn read(client: &mut Conn, key: &str) -> mysql::Result<ReadResult> {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! What the tests of the real program share: the program as a process, and the clients, the instances and the discovery
-//! service around it. Nothing here waits by sleeping: each wait is for a message, with a bound that only a failure
-//! reaches.
-#![allow(dead_code, reason = "each test file uses a part of these helpers")]
+//! Helpers for the tests that run the program as a process: the process itself, clients, stand-in database
+//! instances and a stand-in discovery service. Nothing here waits by sleeping: each wait is for an event,
+//! with a timeout that only a failure reaches.
+#![allow(dead_code, reason = "each test file uses only some of these helpers")]
 pub(crate) mod client;
 pub(crate) mod discovery;
 pub(crate) mod environment;
@@ -15,5 +15,5 @@
 
 use std::time::Duration;
 
-/// The longest that a test waits for what has to happen; only a failure reaches it.
+/// Maximum wait for an expected event; only a failure reaches it.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
--- a/tests/common/platform.rs
+++ b/tests/common/platform.rs
@@ -1,8 +1,8 @@
-//! The platform's configuration of a router.
+//! A router's configuration in the platform's format.
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// Settings of two classes, `read` and `order`.
+/// Settings with two classes, `read` and `order`.
 pub(crate) fn settings() -> Value {
     let class = |name: &str, effect: &str, deadline: f64| {
         json!({"name": name, "semantics": effect, "deadlineMs": deadline, "objectiveMs": deadline / 2.0,
@@ -21,9 +21,9 @@
     })
 }
 
-/// The configuration of a router that knows these servers from the start.
+/// A router's configuration with an initial list of these servers.
 pub(crate) fn config(discovery: SocketAddr, servers: Vec<Value>) -> Value {
-    json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+    json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
+        "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
         "known": {"version": 41, "full": true, "servers": servers}, "settings": settings()})
 }
--- a/tests/common/restart_loop.rs
+++ b/tests/common/restart_loop.rs
@@ -1,4 +1,4 @@
-//! Instances that are killed and restarted one after the other while sessions write and read.
+//! Kills and restarts instances in turn while sessions write and read.
 use super::TIMEOUT;
 use super::instances::{Instances, connect, read, write};
 use mysql::Conn;
@@ -7,29 +7,29 @@
 use std::sync::atomic::{AtomicBool, AtomicU16, Ordering};
 use std::sync::mpsc::{SyncSender, sync_channel};
 
-/// Reads that follow each write of a session.
+/// Number of reads after each write of a session.
 const READS_PER_WRITE: usize = 10;
-/// Statements of all sessions together that are waited for between two kills.
+/// Number of statements, of all sessions together, that have to succeed between two kills.
 const STATEMENTS_BETWEEN_KILLS: usize = 30;
 
-/// Which instances a session goes to.
+/// How a session chooses the instance for a statement.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum SessionPath {
-    /// To another one for every statement.
+    /// Sends each statement to a different instance than the one before.
     Wandering,
-    /// To one alone.
+    /// Sends all statements to the same instance.
     Staying,
 }
 
-/// What sessions observed.
+/// Counts of kills and of the sessions' statements.
 #[derive(Default, Debug)]
 pub(crate) struct LoopOutcome {
     pub(crate) kills: u64,
     pub(crate) writes: u64,
     pub(crate) reads: u64,
-    /// Reads that showed less than what their session had been acknowledged.
+    /// Reads that returned an older item than the newest acknowledged write of their session.
     pub(crate) missed_writes: u64,
-    /// Reads that a replica answered.
+    /// Reads that a replica served.
     pub(crate) replica_reads: u64,
     pub(crate) errors: u64,
 }
@@ -55,10 +55,10 @@
 struct SessionClient {
     key: String,
     path: SessionPath,
-    /// Where each instance listens for clients now.
+    /// Current client port of each instance.
     ports: Arc<Vec<AtomicU16>>,
     connections: Vec<Option<OpenConnection>>,
-    /// The instance of the last statement.
+    /// Index of the instance that the current or last statement goes to.
     instance: usize,
     /// The newest item whose write was acknowledged.
     acknowledged: u64,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Writes and reads until `done`; each statement that succeeds is reported.
+    /// Writes and reads until `done` is set; reports each statement that succeeds to `succeeded`.
     fn run(mut self, done: &AtomicBool, succeeded: &SyncSender<()>) -> LoopOutcome {
         let mut item = 0;
         while !done.load(Ordering::Relaxed) {
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Connects to the instance where there is no connection to its present start; whether there is one then.
+    /// Connects to the chosen instance unless there is a connection to its current process; returns whether
+    /// there is one now.
     fn connected(&mut self) -> bool {
         let port = self.ports[self.instance].load(Ordering::Relaxed);
         let connection = &mut self.connections[self.instance];
@@ -111,13 +112,14 @@
         let is_open = connection.is_some();
         if !is_open {
             self.outcome.errors += 1;
-            // The instance is down: the next one may not be.
+            // The instance is down; the session tries again, possibly at another instance.
             std::thread::yield_now();
         }
         is_open
     }
 
-    /// The first statement of an item writes it, the others read it; whether it succeeded.
+    /// Writes the item if this is its first statement, else reads it; returns whether the statement
+    /// succeeded.
     fn send_statement(&mut self, item: u64, step: usize) -> bool {
         let result = if step == 0 { self.write(item) } else { self.read() };
         if result.is_err() {
@@ -128,7 +130,7 @@
     }
 
     fn client(&mut self) -> &mut Conn {
-        &mut self.connections[self.instance].as_mut().expect("a connection").client
+        &mut self.connections[self.instance].as_mut().expect("not connected to the instance").client
     }
 
     fn write(&mut self, item: u64) -> mysql::Result<()> {
@@ -149,7 +151,7 @@
     }
 }
 
-/// Kills and restarts instances one after the other while sessions write and read.
+/// Kills and restarts instances in turn while sessions write and read.
 pub(crate) fn restart_loop(
     instances: &mut Instances,
     kills: u64,
@@ -175,7 +177,7 @@
         instances.start(i);
         ports[i].store(port_of(instances, i), Ordering::Relaxed);
         total.kills += 1;
-        // The sessions go on in between.
+        // Wait until the sessions have made progress.
         (0..STATEMENTS_BETWEEN_KILLS).for_each(|_| successes.recv_timeout(TIMEOUT).unwrap());
     }
     done.store(true, Ordering::Relaxed);
--- a/tests/common/scripted_instance.rs
+++ b/tests/common/scripted_instance.rs
@@ -1,4 +1,4 @@
-//! A database instance whose behavior the test sets.
+//! A stand-in database instance whose behavior the test sets.
 use super::wire::{message, read_bytes, read_message, row_response};
 use serde_json::{Value, json};
 use std::io::Write;
@@ -8,26 +8,26 @@
 use std::sync::{Arc, Mutex};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What an instance does with a request.
+/// How an instance responds to a request.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Behavior {
     Serve,
     Error(&'static str),
-    /// The connection breaks after the request has come whole.
+    /// Closes the connection after the complete request has been received.
     Reset,
-    /// The answer stops in the middle of its row.
+    /// Closes the connection in the middle of the response's row.
     TruncatedRow,
     Silent,
-    /// The answer, spoilt in one of the ways that are listed in [`SPOILT`].
+    /// Sends the malformed response with this index in [`malformed_responses`].
     Malformed(usize),
-    /// A good answer with a second one behind it.
+    /// Sends a valid response followed by a second one.
     ExtraResponse,
 }
 
-/// Answers that are none: whatever of them may have run, nobody is served with them.
+/// Malformed or incomplete responses. The router must not forward any of them as a served request.
 pub(crate) fn malformed_responses() -> Vec<Vec<u8>> {
-    let whole = row_response("a");
-    let (columns, value) = (&whole[..whole.len() - 26], message(b'D', b"\0\x01\0\0\0\x01a"));
+    let complete = row_response("a");
+    let (columns, value) = (&complete[..complete.len() - 26], message(b'D', b"\0\x01\0\0\0\x01a"));
     vec![
         b"\x15\x07 noise that is no message at all, and some more of it".to_vec(),
         [columns, b"D\xbb\0\0\0\0\x01\xba\xff\xff\xf6".as_slice(), &vec![b'a'; 1 << 20]].concat(),
@@ -44,21 +44,21 @@
     ]
 }
 
-/// A stand-in instance: every statement that reached it whole stands in `executed`, in order.
+/// A stand-in instance. `executed` lists the statements that it received completely, in order.
 #[derive(Clone)]
 pub(crate) struct ScriptedInstance {
     pub(crate) addr: SocketAddr,
     pub(crate) name: &'static str,
     pub(crate) behavior: Arc<Mutex<Behavior>>,
     pub(crate) executed: Arc<Mutex<Vec<String>>>,
-    /// Gets each statement as it comes.
+    /// Sends each statement to the test when it is received.
     pub(crate) executed_sender: Sender<String>,
     pub(crate) connections: Arc<AtomicU32>,
-    /// Probes that it was asked.
+    /// Number of probes received.
     pub(crate) probes: Arc<AtomicU32>,
-    /// How far behind it says that it is to probes, in milliseconds.
+    /// Replication lag that it reports to probes, in milliseconds.
     pub(crate) lag_ms: Arc<AtomicU32>,
-    /// Closes each connection after one answer.
+    /// Whether to close each connection after one response.
     pub(crate) closes_after_response: Arc<AtomicBool>,
     pub(crate) primary: bool,
 }
@@ -79,24 +79,25 @@
             closes_after_response: Arc::default(),
             primary,
         };
-        let own = instance.clone();
+        let instance_handle = instance.clone();
         std::thread::spawn(move || {
             for socket in listener.incoming() {
-                own.connections.fetch_add(1, Ordering::SeqCst);
-                let (own, socket) = (own.clone(), socket.unwrap());
-                std::thread::spawn(move || own.serve_connection(&socket));
+                instance_handle.connections.fetch_add(1, Ordering::SeqCst);
+                let (instance_handle, socket) = (instance_handle.clone(), socket.unwrap());
+                std::thread::spawn(move || instance_handle.serve_connection(&socket));
             }
         });
         (instance, executed)
     }
 
     pub(crate) fn entry(&self, state: &str) -> Value {
-        json!({"id": self.name, "addr": self.addr.to_string(), "zone": "a", "kind": "k", "cell": 3, "state": state,
-            "weight": 1.0, "started_ms": 0, "mode": if self.primary { "read-write" } else { "read-only" }})
+        json!({"id": self.name, "addr": self.addr.to_string(), "zone": "a", "kind": "k", "cell": 3,
+            "state": state, "weight": 1.0, "started_ms": 0,
+            "mode": if self.primary { "read-write" } else { "read-only" }})
     }
 
-    pub(crate) fn set_behavior(&self, act: Behavior) {
-        *self.behavior.lock().unwrap() = act;
+    pub(crate) fn set_behavior(&self, behavior: Behavior) {
+        *self.behavior.lock().unwrap() = behavior;
     }
 
     pub(crate) fn executions_of(&self, id: &str) -> usize {
@@ -108,49 +109,52 @@
         read_bytes(socket, u32::from_be_bytes([length[0], length[1], length[2], length[3]]) as usize - 4)
             .ok()?;
         let ready = message(b'Z', b"I");
-        let mut to = socket;
-        to.write_all(&[message(b'R', &[0; 4]), ready.clone()].concat()).ok()?;
+        let mut stream = socket;
+        stream.write_all(&[message(b'R', &[0; 4]), ready.clone()].concat()).ok()?;
         loop {
             let (_, body) = read_message(socket).ok()?;
             let sql = String::from_utf8(body).unwrap();
             let sql = sql.trim_end_matches('\0');
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
             let mode: &[u8] = if self.primary { b"mode\0read-write\0" } else { b"mode\0read-only\0" };
-            let notes =
+            let parameter_statuses =
                 [message(b'S', mode), message(b'S', format!("wal_time\0{now}\0").as_bytes())].concat();
             if sql == "SHOW stats" {
                 self.probes.fetch_add(1, Ordering::SeqCst);
                 let position = (now - u128::from(self.lag_ms.load(Ordering::SeqCst))) as f64 / 1000.0;
                 let stats = format!("x0={position},x1={},util=0.1,queue=0", u8::from(self.primary));
-                to.write_all(&[row_response(&stats), ready.clone()].concat()).ok()?;
+                stream.write_all(&[row_response(&stats), ready.clone()].concat()).ok()?;
                 continue;
             }
             self.executed.lock().unwrap().push(sql.to_string());
-            let mut act = *self.behavior.lock().unwrap();
-            if act == Behavior::Serve && !self.primary && sql.starts_with("INSERT") {
-                act = Behavior::Error("25006");
+            let mut behavior = *self.behavior.lock().unwrap();
+            if behavior == Behavior::Serve && !self.primary && sql.starts_with("INSERT") {
+                behavior = Behavior::Error("25006");
             }
             _ = self.executed_sender.send(sql.to_string());
-            let answer = match act {
+            let response = match behavior {
                 Behavior::Serve => row_response(self.name),
                 Behavior::Error(code) => message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes()),
                 Behavior::Reset => return None,
                 Behavior::TruncatedRow => {
-                    let whole = row_response("a value that will not arrive whole");
-                    to.write_all(&whole[..whole.len() - 30]).ok()?;
+                    let complete = row_response("a value that will not arrive whole");
+                    stream.write_all(&complete[..complete.len() - 30]).ok()?;
                     return None;
                 }
                 Behavior::Silent => continue,
                 Behavior::Malformed(n) => {
-                    // The connection stays open: whoever waits for more waits for good.
-                    _ = to.write_all(&malformed_responses()[n]);
+                    // The connection stays open and nothing more is sent, so a router that waits for more
+                    // would wait forever.
+                    _ = stream.write_all(&malformed_responses()[n]);
                     continue;
                 }
                 Behavior::ExtraResponse => row_response(&format!("{} for {sql}", self.name)),
             };
-            let beyond = [row_response("nobody's"), ready.clone()].concat();
-            let beyond = if act == Behavior::ExtraResponse { &beyond[..] } else { &[] };
-            to.write_all(&[answer, notes, ready.clone(), beyond.to_vec()].concat()).ok()?;
+            let extra_response = [row_response("nobody's"), ready.clone()].concat();
+            let extra_response = if behavior == Behavior::ExtraResponse { &extra_response[..] } else { &[] };
+            stream
+                .write_all(&[response, parameter_statuses, ready.clone(), extra_response.to_vec()].concat())
+                .ok()?;
             if self.closes_after_response.load(Ordering::SeqCst) {
                 _ = socket.shutdown(Shutdown::Both);
                 _ = self.executed_sender.send("closed".to_string());
--- a/tests/common/wire.rs
+++ b/tests/common/wire.rs
@@ -1,4 +1,4 @@
-//! Messages of the platform's wire.
+//! Messages of the `PostgreSQL` protocol, which the platform's clients and instances use.
 use std::io::Read;
 use std::net::TcpStream;
 
@@ -9,12 +9,12 @@
     Ok(bytes)
 }
 
-/// A message with this tag.
+/// Encodes a message with this tag and body.
 pub(crate) fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     [&[tag][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
-/// The next message: its tag and its body.
+/// Reads the next message; returns its tag and its body.
 pub(crate) fn read_message(socket: &TcpStream) -> std::io::Result<(u8, Vec<u8>)> {
     let head = read_bytes(socket, 5)?;
     let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,5 @@
-//! The real program before an agent that falls silent, is reset, moves or is slow.
+//! Runs the program against a discovery service that goes silent, resets its connections, changes its
+//! address, or sends endless responses.
 mod common;
 use common::TIMEOUT;
 use common::client::{Client, insert, select, served};
@@ -15,19 +16,20 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// An agent whose watches the test holds: each with the index it asked for, and nothing written to it yet.
-struct Agent {
+/// A stand-in discovery service. The test gets each watch with the index that it requested, before any
+/// response is written.
+struct ScriptedDiscovery {
     addr: SocketAddr,
     watches: Receiver<(String, TcpStream)>,
 }
 
-impl Agent {
-    fn start() -> Agent {
+impl ScriptedDiscovery {
+    fn start() -> ScriptedDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let (to, watches) = channel();
+        let (watch_sender, watches) = channel();
         std::thread::spawn(move || {
             for socket in listener.incoming() {
                 let (socket, mut request) = (socket.unwrap(), String::new());
@@ -35,22 +37,23 @@
                 let mut from = BufReader::new(socket.try_clone().unwrap());
                 while !request.ends_with("\r\n\r\n") && from.read_line(&mut request).is_ok_and(|n| n > 0) {}
                 let index = request.split("index=").nth(1).and_then(|r| r.split(' ').next()).unwrap_or("");
-                if to.send((index.to_string(), socket)).is_err() {
+                if watch_sender.send((index.to_string(), socket)).is_err() {
                     return;
                 }
             }
         });
-        Agent { addr, watches }
+        ScriptedDiscovery { addr, watches }
     }
 
-    fn next(&self) -> (String, TcpStream) {
-        self.watches.recv_timeout(TIMEOUT).expect("a watch")
+    /// The next watch, before anything is written to it.
+    fn next_request(&self) -> (String, TcpStream) {
+        self.watches.recv_timeout(TIMEOUT).expect("no watch within the timeout")
     }
 
-    /// The next watch, its head written.
-    fn watch(&self) -> (String, TcpStream) {
-        let (index, socket) = self.next();
-        (&socket).write_all(HEAD.as_bytes()).unwrap();
+    /// The next watch, after the HTTP response's head has been written to it.
+    fn next_watch(&self) -> (String, TcpStream) {
+        let (index, socket) = self.next_request();
+        (&socket).write_all(RESPONSE_HEAD.as_bytes()).unwrap();
         (index, socket)
     }
 }
@@ -59,7 +62,7 @@
     to.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).unwrap();
 }
 
-/// Ends a connection by a reset, now.
+/// Closes a connection with a TCP reset.
 fn reset(socket: TcpStream) {
     SockRef::from(&socket).set_linger(Some(Duration::ZERO)).unwrap();
 }
@@ -68,65 +71,78 @@
     json!({"version": version, "full": full, "servers": servers}).to_string() + "\n"
 }
 
-/// A router whose agent has told of a primary and a replica, version 50, and holds that watch.
-struct Site {
+/// A router whose discovery service has sent a list with a primary and a replica, version 50, on a watch that
+/// is still open.
+struct Setup {
     folder: TestFolder,
-    agent: Agent,
-    old: Option<TcpStream>,
-    /// When the old watch was last heard.
-    last: Instant,
+    discovery: ScriptedDiscovery,
+    first_watch: Option<TcpStream>,
+    /// When the list was sent on the first watch.
+    list_sent_at: Instant,
     router: Program,
     addr: SocketAddr,
     primary: ScriptedInstance,
     replica: ScriptedInstance,
 }
 
-impl Site {
-    fn start() -> Site {
-        Site::start_by(|_| {}, |path| Program::start(&[], &[("BALANCER_CONFIG", path)]))
+impl Setup {
+    fn start() -> Setup {
+        Setup::start_with(|_| {}, |path| Program::start(&[], &[("BALANCER_CONFIG", path)]))
     }
 
-    fn start_by(change: impl Fn(&mut Value), start: impl Fn(&str) -> Program) -> Site {
+    fn start_with(change: impl Fn(&mut Value), start: impl Fn(&str) -> Program) -> Setup {
         let (primary, replica) =
             (ScriptedInstance::start("primary", true).0, ScriptedInstance::start("replica", false).0);
-        let (agent, folder) = (Agent::start(), TestFolder::new());
-        let known = vec![primary.entry("in_service"), replica.entry("in_service")];
-        let mut config = config(agent.addr, vec![]);
+        let (discovery, folder) = (ScriptedDiscovery::start(), TestFolder::new());
+        let initial_list = vec![primary.entry("in_service"), replica.entry("in_service")];
+        let mut config = config(discovery.addr, vec![]);
         change(&mut config);
         let path = folder.write("config.json", &config.to_string());
         let mut router = start(path.to_str().unwrap());
-        let (_, old) = agent.watch();
-        write_chunk(&old, &list_update(50, true, &known));
-        let last = Instant::now();
+        let (_, first_watch) = discovery.next_watch();
+        write_chunk(&first_watch, &list_update(50, true, &initial_list));
+        let list_sent_at = Instant::now();
         router.wait_for_log("endpoint list applied version=50 endpoints=2 ready=2 ");
         let addr = router.listening_address();
         Client::connect(addr).query_until_served_by(&select("warm", 1900), "replica");
-        Site { folder, agent, old: Some(old), last, router, addr, primary, replica }
+        Setup {
+            folder,
+            discovery,
+            first_watch: Some(first_watch),
+            list_sent_at,
+            router,
+            addr,
+            primary,
+            replica,
+        }
     }
 
-    fn old(&self) -> &TcpStream {
-        self.old.as_ref().unwrap()
+    fn first_watch(&self) -> &TcpStream {
+        self.first_watch.as_ref().unwrap()
     }
 
-    fn drains(&self, version: u64) -> String {
+    /// An update that drains the replica.
+    fn drain_update(&self, version: u64) -> String {
         list_update(version, false, &[self.replica.entry("terminating")])
     }
 
-    /// From now on the replica gets nothing.
-    fn drained(&mut self, version: u64) {
+    /// Waits until the update of this version takes effect, and checks that the replica gets no further
+    /// request.
+    fn assert_drained(&mut self, version: u64) {
         self.router.wait_for_log(&format!("endpoint list applied version={version} endpoints=2 ready=1 "));
-        // The line is written before the module has the news.
+        // The line is logged before the router's state machine receives the list, so the first requests may
+        // still go to the replica.
         let client = Client::connect(self.addr);
         client.query_until_served_by(&select(&format!("told{version}"), 1900), "primary");
         for n in 0..10 {
             let id = format!("after{version}.{n}");
             assert_eq!(client.query(&select(&id, 1900)), served("primary"));
-            assert_eq!(self.replica.executions_of(&id), 0, "the drained one got something");
+            assert_eq!(self.replica.executions_of(&id), 0, "the drained replica executed a request");
         }
     }
 
-    /// The configuration names another agent from now on.
-    fn moves(&mut self, to: SocketAddr) {
+    /// Reloads the configuration with another discovery address, and waits until the watch moves.
+    fn move_discovery_to(&mut self, to: SocketAddr) {
         let config = config(to, vec![]);
         self.folder.write("config.json", &config.to_string());
         self.router.signal(Signal::SIGHUP);
@@ -135,139 +151,140 @@
 }
 
 #[test]
-fn update_on_new_watch_binds_within_bound() {
+fn update_on_new_watch_takes_effect_within_5_s() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let (to, last) = channel();
+    let (sent_at_sender, list_sent_at) = channel();
     std::thread::spawn(move || {
-        let mut held = Vec::new();
+        let mut open_sockets = Vec::new();
         for (n, socket) in listener.incoming().enumerate() {
             let mut socket = socket.unwrap();
             _ = socket.read(&mut [0; 1024]);
-            // The first says its list and nothing more, three that come behind it nothing at all.
+            // The first watch gets a list and then nothing; the three after it get no response at all.
             if !(1..4).contains(&n) {
                 let list = format!("{{\n \"version\": {},\n \"full\": true,\n \"servers\": []\n}}\n", 50 + n);
-                _ = write!(socket, "{HEAD}{:x}\r\n{list}\r\n", list.len());
-                _ = to.send(Instant::now());
+                _ = write!(socket, "{RESPONSE_HEAD}{:x}\r\n{list}\r\n", list.len());
+                _ = sent_at_sender.send(Instant::now());
             }
-            held.push(socket);
+            open_sockets.push(socket);
         }
     });
     let folder = TestFolder::new();
     let path = folder.write("config.json", &config(addr, vec![]).to_string());
     let mut router = Program::start(&[], &[("BALANCER_CONFIG", path.to_str().unwrap())]);
     router.wait_for_log("endpoint list applied version=50 ");
-    let last = last.recv_timeout(TIMEOUT).unwrap();
+    let list_sent_at = list_sent_at.recv_timeout(TIMEOUT).unwrap();
     router.wait_for_log("discovery watch stale, opening another silent=2.6s");
     router.wait_for_log("endpoint list applied version=54 ");
-    assert!(last.elapsed() < Duration::from_secs(5), "{:?}", last.elapsed());
+    assert!(list_sent_at.elapsed() < Duration::from_secs(5), "{:?}", list_sent_at.elapsed());
 }
 
 #[test]
-fn drain_on_new_watch_binds_while_old_watch_hangs() {
-    let mut site = Site::start();
-    // The first new one hangs with its head, the second in half of a line.
-    let (index, _head) = site.agent.watch();
+fn drain_on_new_watch_takes_effect_while_old_watch_hangs() {
+    let mut setup = Setup::start();
+    // The first new watch hangs after the response's head, the second in the middle of a line.
+    let (index, _head) = setup.discovery.next_watch();
     assert_eq!(index, "50");
-    let (_, half) = site.agent.watch();
-    write_chunk(&half, &site.drains(51)[..30]);
-    let (index, new) = site.agent.watch();
+    let (_, incomplete_watch) = setup.discovery.next_watch();
+    write_chunk(&incomplete_watch, &setup.drain_update(51)[..30]);
+    let (index, new_watch) = setup.discovery.next_watch();
     assert_eq!(index, "50");
-    write_chunk(&new, &site.drains(51));
-    site.router.wait_for_log("endpoint list applied version=51 ");
-    assert!(site.last.elapsed() < Duration::from_secs(6), "{:?}", site.last.elapsed());
-    site.drained(51);
-    // The old one speaks again too late: what it says now is another watch's business.
-    _ = site.old().write_all(b"1\r\n\n\r\n");
-    site.drained(51);
+    write_chunk(&new_watch, &setup.drain_update(51));
+    setup.router.wait_for_log("endpoint list applied version=51 ");
+    assert!(setup.list_sent_at.elapsed() < Duration::from_secs(6), "{:?}", setup.list_sent_at.elapsed());
+    setup.assert_drained(51);
+    // Data on the old watch has no effect once a new watch has replaced it.
+    _ = setup.first_watch().write_all(b"1\r\n\n\r\n");
+    setup.assert_drained(51);
 }
 
 #[test]
 fn update_missed_by_old_watch_arrives_on_new_watch() {
-    let mut site = Site::start();
-    let (_, _mute) = site.agent.next();
-    // Version 51 never comes on the old one: the replica drains. 52 does.
-    write_chunk(site.old(), &list_update(52, false, &[site.primary.entry("in_service")]));
-    site.router.wait_for_log("endpoint list applied version=52 endpoints=2 ready=2 ");
-    // One that was opened before may have asked before.
-    _ = site.agent.next();
-    let (index, new) = site.agent.watch();
-    assert_eq!(index, "50", "what the old watch missed is asked for");
+    let mut setup = Setup::start();
+    let (_, _unanswered) = setup.discovery.next_request();
+    // Version 51, which drains the replica, is never sent on the old watch; version 52 is.
+    write_chunk(setup.first_watch(), &list_update(52, false, &[setup.primary.entry("in_service")]));
+    setup.router.wait_for_log("endpoint list applied version=52 endpoints=2 ready=2 ");
+    // This watch may have been opened before version 52 was received.
+    _ = setup.discovery.next_request();
+    let (index, new_watch) = setup.discovery.next_watch();
+    assert_eq!(index, "50", "the new watch must request the versions that the old one missed");
     write_chunk(
-        &new,
-        &list_update(52, false, &[site.replica.entry("terminating"), site.primary.entry("in_service")]),
+        &new_watch,
+        &list_update(52, false, &[setup.replica.entry("terminating"), setup.primary.entry("in_service")]),
     );
-    site.drained(52);
+    setup.assert_drained(52);
 }
 
 #[test]
-fn reset_during_change_loses_no_update() {
-    let mut site = Site::start();
-    let change = site.drains(51);
-    write_chunk(site.old(), &change[..change.len() / 2]);
-    reset(site.old.take().unwrap());
-    // The same under a head alone, under the first byte of the line and under its last but one.
-    for cut in [0, 1, change.len() - 2] {
-        let (index, socket) = site.agent.watch();
-        assert_eq!(index, "50", "half a change is none");
-        if cut > 0 {
-            write_chunk(&socket, &change[..cut]);
+fn reset_during_update_loses_nothing() {
+    let mut setup = Setup::start();
+    let update = setup.drain_update(51);
+    write_chunk(setup.first_watch(), &update[..update.len() / 2]);
+    reset(setup.first_watch.take().unwrap());
+    // The same with a reset after the response's head, after the first byte of the line, and before its last
+    // two bytes.
+    for length in [0, 1, update.len() - 2] {
+        let (index, socket) = setup.discovery.next_watch();
+        assert_eq!(index, "50", "an incomplete update must not be applied");
+        if length > 0 {
+            write_chunk(&socket, &update[..length]);
         }
         reset(socket);
     }
-    let (index, new) = site.agent.watch();
+    let (index, new_watch) = setup.discovery.next_watch();
     assert_eq!(index, "50");
-    write_chunk(&new, &change);
-    site.drained(51);
+    write_chunk(&new_watch, &update);
+    setup.assert_drained(51);
 }
 
 #[test]
 fn sighup_during_silence_moves_watch_at_once() {
-    let mut site = Site::start();
-    let (_, _mute) = site.agent.next();
-    site.router.wait_for_log("discovery watch stale, opening another silent=2.6s");
-    let new = Agent::start();
-    site.moves(new.addr);
-    let moved = Instant::now();
-    // The new agent's first is mute as well.
-    let (index, _mute) = new.next();
+    let mut setup = Setup::start();
+    let (_, _unanswered) = setup.discovery.next_request();
+    setup.router.wait_for_log("discovery watch stale, opening another silent=2.6s");
+    let new_discovery = ScriptedDiscovery::start();
+    setup.move_discovery_to(new_discovery.addr);
+    let moved_at = Instant::now();
+    // The first watch at the new address gets no response either.
+    let (index, _unanswered) = new_discovery.next_request();
     assert_eq!(index, "50");
-    let (index, socket) = new.watch();
+    let (index, socket) = new_discovery.next_watch();
     assert_eq!(index, "50");
-    write_chunk(&socket, &site.drains(51));
-    site.router.wait_for_log("endpoint list applied version=51 ");
-    assert!(moved.elapsed() < Duration::from_secs(4), "{:?}", moved.elapsed());
-    site.drained(51);
+    write_chunk(&socket, &setup.drain_update(51));
+    setup.router.wait_for_log("endpoint list applied version=51 ");
+    assert!(moved_at.elapsed() < Duration::from_secs(4), "{:?}", moved_at.elapsed());
+    setup.assert_drained(51);
 }
 
 #[test]
 fn sighup_to_refusing_address_keeps_old_watch() {
-    let mut site = Site::start();
-    site.moves(unused_addresses(1)[0]);
-    site.router.wait_for_log("discovery watch broken");
-    write_chunk(site.old(), &site.drains(51));
-    site.drained(51);
-    let up = list_update(52, false, &[site.replica.entry("in_service")]);
-    write_chunk(site.old(), &up);
-    site.router.wait_for_log("endpoint list applied version=52 endpoints=2 ready=2 ");
-    let new = Agent::start();
-    site.moves(new.addr);
-    let (index, socket) = new.watch();
+    let mut setup = Setup::start();
+    setup.move_discovery_to(unused_addresses(1)[0]);
+    setup.router.wait_for_log("discovery watch broken");
+    write_chunk(setup.first_watch(), &setup.drain_update(51));
+    setup.assert_drained(51);
+    let update = list_update(52, false, &[setup.replica.entry("in_service")]);
+    write_chunk(setup.first_watch(), &update);
+    setup.router.wait_for_log("endpoint list applied version=52 endpoints=2 ready=2 ");
+    let new_discovery = ScriptedDiscovery::start();
+    setup.move_discovery_to(new_discovery.addr);
+    let (index, socket) = new_discovery.next_watch();
     assert_eq!(index, "52");
-    write_chunk(&socket, &site.drains(53));
-    site.drained(53);
+    write_chunk(&socket, &setup.drain_update(53));
+    setup.assert_drained(53);
 }
 
-/// Idle clients that come again whenever they are let go.
-struct Crowd {
+/// Idle clients that reconnect whenever the router closes their connection.
+struct IdleClients {
     stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<()>>,
 }
 
-impl Crowd {
-    fn start(addr: SocketAddr, n: usize) -> Crowd {
+impl IdleClients {
+    fn start(addr: SocketAddr, n: usize) -> IdleClients {
         let stop = Arc::new(AtomicBool::new(false));
-        let one = |_| {
+        let start_client = |_| {
             let stop = stop.clone();
             std::thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
@@ -283,104 +300,110 @@
                 }
             })
         };
-        let threads = (0..n).map(one).collect();
-        Crowd { stop, threads }
+        let threads = (0..n).map(start_client).collect();
+        IdleClients { stop, threads }
     }
 }
 
-impl Drop for Crowd {
+impl Drop for IdleClients {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.drain(..).for_each(|t| t.join().unwrap());
     }
 }
 
-/// How many descriptors a process holds.
+/// Number of open descriptors of a process.
 fn open_descriptors(of: &Program) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", of.child.id())).unwrap().count()
 }
 
 #[test]
 fn idle_clients_do_not_block_watch_or_sighup() {
-    crowded(&|_| {});
+    check_with_descriptors_exhausted(&|_| {});
 }
 
 #[test]
-fn stuck_admin_callers_do_not_block_watch_or_sighup() {
-    let door = unused_addresses(1)[0];
-    crowded(&|config| config["admin_addr"] = json!(door.to_string()));
+fn stuck_admin_connections_do_not_block_watch_or_sighup() {
+    let admin_address = unused_addresses(1)[0];
+    check_with_descriptors_exhausted(&|config| config["admin_addr"] = json!(admin_address.to_string()));
 }
 
-/// A router that may hold 64 descriptors, its clients' places and its door full, before an agent that falls silent.
-fn crowded(change: &dyn Fn(&mut Value)) {
-    let (program, kept) = (env!("CARGO_BIN_EXE_damsonvale"), TestFolder::new());
-    let (tmp, least) = (kept.path().display().to_string(), json!(64));
+/// Checks that a new watch and a SIGHUP work while idle clients, and admin connections where there is an
+/// admin address, use up the descriptors of a router that is limited to 64, and its discovery service goes
+/// silent.
+fn check_with_descriptors_exhausted(change: &dyn Fn(&mut Value)) {
+    let (program, temp_folder) = (env!("CARGO_BIN_EXE_damsonvale"), TestFolder::new());
+    let (tmp, socket_limit) = (temp_folder.path().display().to_string(), json!(64));
     let change = |config: &mut Value| {
-        config["limits"]["sockets"] = least.clone();
+        config["limits"]["sockets"] = socket_limit.clone();
         change(config);
     };
-    let mut site = Site::start_by(change, |path| {
+    let mut setup = Setup::start_with(change, |path| {
         let line = format!("ulimit -n 64; TMPDIR='{tmp}' BALANCER_CONFIG='{path}' exec {program}");
         Program::shell(&line)
     });
-    let mut now = config(site.agent.addr, vec![]);
-    change(&mut now);
-    let door = now["admin_addr"].as_str().map(|at| at.parse::<SocketAddr>().unwrap());
-    let callers: Vec<TcpStream> =
-        door.iter().flat_map(|door| (0..40).map(move |_| TcpStream::connect(door).unwrap())).collect();
-    let before = open_descriptors(&site.router);
-    let crowd = Crowd::start(site.addr, 60);
-    let begun = Instant::now();
-    while open_descriptors(&site.router) < before + 12 {
-        assert!(begun.elapsed() < TIMEOUT, "clients do not fill their places");
+    let mut initial_config = config(setup.discovery.addr, vec![]);
+    change(&mut initial_config);
+    let admin_address = initial_config["admin_addr"].as_str().map(|at| at.parse::<SocketAddr>().unwrap());
+    let admin_connections: Vec<TcpStream> = admin_address
+        .iter()
+        .flat_map(|admin_address| (0..40).map(move |_| TcpStream::connect(admin_address).unwrap()))
+        .collect();
+    let before = open_descriptors(&setup.router);
+    let idle_clients = IdleClients::start(setup.addr, 60);
+    let started_at = Instant::now();
+    while open_descriptors(&setup.router) < before + 12 {
+        assert!(started_at.elapsed() < TIMEOUT, "idle clients do not use up the descriptors for clients");
     }
-    // The agent falls silent; what it takes stays mute. Ten are opened one after another, six at a time.
-    let mute: Vec<_> = (0..10).map(|_| site.agent.next()).collect();
-    assert!(mute.iter().all(|(index, _)| index == "50"));
-    let (_, new) = site.agent.watch();
-    write_chunk(&new, &site.drains(51));
-    site.drained(51);
-    let next = Agent::start();
-    let mut moved = config(next.addr, vec![]);
-    change(&mut moved);
-    site.folder.write("config.json", &moved.to_string());
-    site.router.signal(Signal::SIGHUP);
-    let (index, socket) = next.watch();
+    // The discovery service goes silent and sends no response on new watches. Ten are opened in sequence, at
+    // most six at a time.
+    let unanswered: Vec<_> = (0..10).map(|_| setup.discovery.next_request()).collect();
+    assert!(unanswered.iter().all(|(index, _)| index == "50"));
+    let (_, watch) = setup.discovery.next_watch();
+    write_chunk(&watch, &setup.drain_update(51));
+    setup.assert_drained(51);
+    let new_discovery = ScriptedDiscovery::start();
+    let mut moved_config = config(new_discovery.addr, vec![]);
+    change(&mut moved_config);
+    setup.folder.write("config.json", &moved_config.to_string());
+    setup.router.signal(Signal::SIGHUP);
+    let (index, socket) = new_discovery.next_watch();
     assert_eq!(index, "51");
-    write_chunk(&socket, &list_update(52, false, &[site.replica.entry("in_service")]));
-    site.router.wait_for_log("endpoint list applied version=52 endpoints=2 ready=2 ");
-    Client::connect(site.addr).query_until_served_by(&select("back", 1900), "replica");
-    assert_eq!(Client::connect(site.addr).query(&insert("w1", 1900)), served("primary"));
-    drop((crowd, callers));
-    let short = |l: &&String| l.contains("open files");
-    assert_eq!(site.router.log_lines().iter().find(short), None);
+    write_chunk(&socket, &list_update(52, false, &[setup.replica.entry("in_service")]));
+    setup.router.wait_for_log("endpoint list applied version=52 endpoints=2 ready=2 ");
+    Client::connect(setup.addr).query_until_served_by(&select("back", 1900), "replica");
+    assert_eq!(Client::connect(setup.addr).query(&insert("w1", 1900)), served("primary"));
+    drop((idle_clients, admin_connections));
+    let out_of_descriptors = |l: &&String| l.contains("open files");
+    assert_eq!(setup.router.log_lines().iter().find(out_of_descriptors), None);
 }
 
 #[test]
-fn endless_lists_are_bounded_in_memory() {
-    let loud = |path: &str| [("BALANCER_CONFIG", path.to_string()), ("DAMSONVALE_LOG", "debug".to_string())];
-    let mut site = Site::start_by(
+fn endless_list_uses_bounded_memory() {
+    let debug_env =
+        |path: &str| [("BALANCER_CONFIG", path.to_string()), ("DAMSONVALE_LOG", "debug".to_string())];
+    let mut setup = Setup::start_with(
         |_| {},
-        |path| Program::start(&[], &loud(path).each_ref().map(|(name, value)| (*name, value.as_str()))),
+        |path| Program::start(&[], &debug_env(path).each_ref().map(|(name, value)| (*name, value.as_str()))),
     );
-    site.old = None;
+    setup.first_watch = None;
     let bytes = format!("{:x}\r\n{}\r\n", 1 << 16, "a".repeat(1 << 16));
-    let peak = |of: &Program| {
+    let peak_memory_mib = |of: &Program| {
         let status = std::fs::read_to_string(format!("/proc/{}/status", of.child.id())).unwrap();
         let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
         line.trim().trim_end_matches(" kB").parse::<usize>().unwrap() / 1024
     };
-    let before = peak(&site.router);
+    let before = peak_memory_mib(&setup.router);
     for _ in 0..5 {
-        let (index, mut socket) = site.agent.watch();
+        let (index, mut socket) = setup.discovery.next_watch();
         assert_eq!(index, "50");
         write_chunk(&socket, "{\"version\":51,\"x\":\"");
         while socket.write_all(bytes.as_bytes()).is_ok() {}
     }
-    site.router.wait_for_log("longer than 4194304 bytes");
-    let (_, socket) = site.agent.watch();
-    write_chunk(&socket, &site.drains(51));
-    site.drained(51);
-    let grown = peak(&site.router) - before;
-    assert!(grown < 64, "{grown} MiB more");
+    setup.router.wait_for_log("longer than 4194304 bytes");
+    let (_, socket) = setup.discovery.next_watch();
+    write_chunk(&socket, &setup.drain_update(51));
+    setup.assert_drained(51);
+    let growth_mib = peak_memory_mib(&setup.router) - before;
+    assert!(growth_mib < 64, "memory grew by {growth_mib} MiB");
 }
