--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn stopped_router_routes_nothing_by_old_version() {
+fn resumed_router_serves_nothing_by_outdated_version() {
     let (mut installation, first_version) = Installation::start(&document(""));
     let mut conn = installation.connect(3);
     write_until_served(&mut conn, "tills");
@@ -227,8 +227,8 @@
     let before = installation.writes();
     // Sent while the router is stopped. It reads them when it resumes, possibly before it receives anything
     // from the leader.
-    let ask = |mut conn: Conn| std::thread::spawn(move || write(&mut conn, "tills"));
-    let pending_writes: Vec<_> = idle_clients.into_iter().map(ask).collect();
+    let start_write = |mut conn: Conn| std::thread::spawn(move || write(&mut conn, "tills"));
+    let pending_writes: Vec<_> = idle_clients.into_iter().map(start_write).collect();
     installation.program(3).signal(Signal::SIGCONT);
     assert!(pending_writes.into_iter().all(|w| w.join().unwrap().is_err()));
     // Under the first version, which has no quota, each of these writes would be served.
--- a/tests/common/instances.rs
+++ b/tests/common/instances.rs
@@ -96,9 +96,9 @@
 
     /// Starts instances and waits until their peers are up to date.
     pub(crate) fn started(count: usize, servers: ReplicationGroup, persistence: Persistence) -> Instances {
-        let mut all = Instances::new(count, servers, persistence);
-        all.start_all();
-        all
+        let mut instances = Instances::new(count, servers, persistence);
+        instances.start_all();
+        instances
     }
 
     /// Starts every instance and waits until their peers are up to date.
@@ -168,8 +168,8 @@
     }
 
     pub(crate) fn start(&mut self, i: usize) {
-        let all: Vec<usize> = (0..self.peer_addresses.len()).collect();
-        let path = self.write_config(i, &all);
+        let peers: Vec<usize> = (0..self.peer_addresses.len()).collect();
+        let path = self.write_config(i, &peers);
         let mut program = Program::start(&["serve", path.to_str().unwrap()], &[]);
         let address = program.listening_address();
         self.running[i] = Some(RunningInstance { program, address });
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn sighup_to_refusing_address_keeps_old_watch() {
+fn sighup_to_address_that_refuses_connections_keeps_old_watch() {
     let mut setup = Setup::start();
     setup.move_discovery_to(unused_addresses(1)[0]);
     setup.router.wait_for_log("discovery watch broken");
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -29,7 +29,7 @@
 }
 
 impl Setup {
-    /// Starts a router with these instances. Without any, requests wait until the list has a first one.
+    /// Starts a router with these instances. Without any, requests wait until a list with a first one is sent.
     fn start(initial_list: Vec<Value>) -> Setup {
         Setup::start_with_probes(initial_list, true)
     }
