--- a/routing/src/backends/actor.rs
+++ b/routing/src/backends/actor.rs
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 /// Number of checks for expired idle connections per idle timeout.
-const IDLE_CHECKS_PER_LIFETIME: u32 = 4;
+const IDLE_CHECKS_PER_TIMEOUT: u32 = 4;
 
 pub(super) struct BackendsActor<P: BackendProtocol> {
     resources: BackendResources<P>,
@@ -27,7 +27,7 @@
     }
 
     pub(super) fn run(mut self, mailbox: &Receiver<AddressedCommand<P>>) {
-        let interval = self.resources.limits.backend_idle_timeout / IDLE_CHECKS_PER_LIFETIME;
+        let interval = self.resources.limits.backend_idle_timeout / IDLE_CHECKS_PER_TIMEOUT;
         let mut last_check = Instant::now();
         loop {
             match mailbox.recv_timeout(interval.saturating_sub(last_check.elapsed())) {
--- a/routing/src/backends/backend.rs
+++ b/routing/src/backends/backend.rs
@@ -148,7 +148,7 @@
                 tracing::error!(
                     %error,
                     addr = %self.context.addr,
-                    "cannot start exchange thread, exchange not sent"
+                    "exchange thread not started, exchange not sent"
                 );
                 if let Ok((task, _)) = task_receiver.try_recv() {
                     self.context.report_outcome(&task, Outcome::NeverSent);
--- a/routing/src/observer/trace.rs
+++ b/routing/src/observer/trace.rs
@@ -12,7 +12,7 @@
 /// socket.
 const SCHEDULING_SLACK: Micros = 150_000;
 
-/// A violated invariant of a request that the caller knows.
+/// A violated invariant. The caller knows which request violated it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Finding {
     pub(super) invariant: Invariant,
--- a/routing/src/permit/attempt.rs
+++ b/routing/src/permit/attempt.rs
@@ -28,7 +28,7 @@
 /// Times at which an attempt reached each step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptTimes {
-    /// Time at which a connection was first permitted, until the exchange starts on it.
+    /// Time at which opening a connection was first permitted; `None` once the first byte is permitted.
     pub connecting_since: Option<Instant>,
     /// Time at which the first byte was last permitted.
     pub permitted_at: Option<Instant>,
--- a/routing/src/permit/handshake.rs
+++ b/routing/src/permit/handshake.rs
@@ -34,7 +34,7 @@
         match connected {
             Ok(socket) => Ok(Handshake { socket: Some(Arc::new(socket)) }),
             Err(error) if socket::is_local_shortage(&error) => {
-                tracing::warn!(%error, %addr, "cannot open backend connection, this host lacks resources");
+                tracing::warn!(%error, %addr, "backend connection not opened, this host lacks resources");
                 Err(Outcome::NeverSent)
             }
             Err(_) => Err(Outcome::ConnectFailed),
--- a/routing/src/router/attempts.rs
+++ b/routing/src/router/attempts.rs
@@ -122,7 +122,7 @@
         match backends::start(self.resources.clone()) {
             Ok(sender) => self.backends = Some(sender),
             Err(error) => {
-                tracing::error!(%error, "cannot start backends thread, nothing sent until a retry succeeds");
+                tracing::error!(%error, "backends thread not started, nothing sent until a retry succeeds");
             }
         }
     }
