--- a/decision/src/interface.rs
+++ b/decision/src/interface.rs
@@ -68,7 +68,7 @@
 pub struct Class {
     /// The required freshness of the data.
     pub freshness: Freshness,
-    /// The effect of a second execution.
+    /// The effect of executing a request of this class a second time.
     pub idempotency: Idempotency,
     /// A response within this time earns the full weight of the class.
     pub latency_objective: Micros,
@@ -76,25 +76,25 @@
     pub deadline: Micros,
     /// The weight of a response within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// The share of the weight that a response after the latency objective earns, from 0 to 1.
+    /// The share of `priority_weight` that a response after the latency objective earns, 0 to 1.
     pub late_weight_share: f64,
 }
 
 /// How a replica treats a read that requires fresher data than the replica has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LaggingReplica {
-    /// It serves the read from its stale data, so the router must not send it such reads.
+    /// The replica serves the read from its stale data, so the router must not send it such reads.
     AnswersStale,
-    /// It rejects the read at once.
+    /// The replica rejects the read at once.
     Rejects,
-    /// It waits up to this long to catch up, then rejects the read.
+    /// The replica waits up to this long to catch up, then rejects the read.
     WaitsThenRejects(Micros),
 }
 
 /// How the router knows which commit a session read must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionCommitSource {
-    /// The request carries it.
+    /// The request contains the commit.
     CarriedByRequest,
     /// The router records the commits that it sees in responses.
     RememberedByRouter,
@@ -136,7 +136,7 @@
     pub probe_cost: f64,
     /// The longest retry-after time that clients respect; `None` if they ignore retry-after.
     pub max_retry_after: Option<Micros>,
-    /// A connection that is not established within this time has failed.
+    /// The time within which a connection to a member must be established, or the connection has failed.
     pub connect_timeout: Micros,
     /// The time after the router was notified within which new work for a draining or removed member must
     /// end. No decision reads this: such a member gets no new work from the notification on.
@@ -180,11 +180,11 @@
     pub zone: u32,
     /// The member's state.
     pub state: MemberState,
-    /// Whether the list names it as the primary of its group. This may be out of date.
+    /// Whether the list names the member as the primary of its group. The list may be out of date.
     pub listed_primary: bool,
-    /// Its capacity relative to other members; 1 if unknown.
+    /// The member's capacity relative to other members; 1 if unknown.
     pub weight: f64,
-    /// When its process last started; `None` if that is unknown or long ago.
+    /// When the member's process last started; `None` if the time is unknown or long ago.
     pub started_at: Option<Time>,
 }
 
@@ -203,7 +203,7 @@
     pub group: GroupId,
     /// When the client stops waiting.
     pub deadline: Time,
-    /// The commit that the request must see, if requests carry it
+    /// The commit that the request must see, if requests contain it
     /// ([`SessionCommitSource::CarriedByRequest`]).
     pub session_commit: Option<Time>,
 }
@@ -211,7 +211,7 @@
 /// The result of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The member served the attempt.
     Ok,
     /// The member responded with an error. The attempt may have run.
     Error,
@@ -241,7 +241,7 @@
 /// The role and the replication position that a member reported.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct MemberReport {
-    /// Whether it is the primary.
+    /// Whether the member is the primary.
     pub primary: Option<bool>,
     /// The member has applied every commit up to this time.
     pub position: Option<Time>,
--- a/decision/src/router.rs
+++ b/decision/src/router.rs
@@ -35,7 +35,7 @@
     /// When a response of the member last stated that it is a replica.
     reported_replica_at: Option<Time>,
     in_flight: u32,
-    /// When a response was last late or missing; a fast response clears it.
+    /// When a response was last late or missing; cleared by a fast response.
     late_response_at: Option<Time>,
     /// The limit of attempts in flight from this router, adjusted by observed latency (see `pool.rs`).
     pool_size: f64,
@@ -45,14 +45,14 @@
     consecutive_failed_probes: u32,
     ejected_until: Option<Time>,
     consecutive_ejections: u32,
-    /// The member returned from an ejection: it gets one attempt at a time until one is served quickly.
+    /// Whether the member returned from ejection; it gets one attempt at a time until one is served quickly.
     half_open: bool,
     /// Consecutive refused connections. Once there are [`health::RESTART_CONNECT_FAILURES`], only a
     /// successful probe resets the count.
     consecutive_connect_failures: u32,
-    /// The member was ejected because it was unreachable; a successful probe ends such an ejection early.
+    /// Whether the member was ejected as unreachable; a successful probe ends such an ejection early.
     ejected_as_unreachable: bool,
-    /// A connection was reset; the outcome of the next probe decides whether the member stays ejected.
+    /// Whether a connection was reset; the outcome of the next probe decides whether the ejection continues.
     reset_awaits_probe: bool,
     /// The times until which failed attempts still count as in flight.
     abandoned_attempts: Vec<Time>,
@@ -89,7 +89,7 @@
     queued: bool,
     /// Probes sent for this request to prove that a replica is fresh enough.
     freshness_probes: u32,
-    /// The final response was given or is streaming, so no further attempt is sent.
+    /// Whether the final response was given or is streaming, so that no further attempt is sent.
     finished: bool,
     /// When the first attempt was sent that may have run.
     may_have_run_since: Option<Time>,
--- a/decision/src/router/admission.rs
+++ b/decision/src/router/admission.rs
@@ -140,7 +140,7 @@
     pub(super) fn dispatch_queued(&mut self, id: GroupId) {
         self.end_ejections(id);
         let Some(group) = self.groups.get(&id) else { return };
-        // The highest weight per work goes first, then the oldest request.
+        // The highest weight per unit of latency goes first, then the oldest request.
         let mut ordered: Vec<_> = group.queued.iter().map(|id| (-self.queue_priority(*id), *id)).collect();
         ordered.sort_unstable();
         for (_, id) in ordered {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The weight that a response would earn, divided by the usual latency of the class as its work.
+    /// The weight that a response would earn, divided by the usual latency of the class.
     fn queue_priority(&self, id: RequestId) -> i64 {
         let pending = &self.requests[&id];
         let class = self.class(pending);
--- a/decision/src/router/choice.rs
+++ b/decision/src/router/choice.rs
@@ -6,14 +6,14 @@
 
 /// The number of probes that one read may start to prove a replica fresh; afterwards the primary serves it.
 const MAX_FRESHNESS_PROBES: u32 = 2;
-/// The number of replicas that one read tries without proof of freshness, if replicas check it themselves.
+/// The number of replicas that one read tries without proof of freshness, if replicas check freshness.
 const MAX_UNPROVEN_ATTEMPTS: usize = 2;
 /// A replica that exceeds the permitted lag by some time may be tried again after that time divided by this.
 const CATCH_UP_DIVISOR: i64 = 4;
 /// Weight of a member in the router's own zone among equally loaded members. Other zones add latency, but an
 /// overloaded zone adds more, so all zones get a share.
 const LOCAL_ZONE_WEIGHT: f64 = 2.0;
-/// A read waits for a probe in flight only while its age is below its latency objective divided by this.
+/// A read waits for a probe in flight only until the latency objective divided by this has passed.
 const PROBE_WAIT_DIVISOR: Micros = 8;
 
 /// The conditions under which a member may serve a read.
@@ -22,15 +22,15 @@
     group: GroupId,
     /// The position that the member must have applied, if any.
     position: Option<Time>,
-    /// The read may still start a probe to prove that a replica is fresh enough.
+    /// Whether the read may still start a probe to prove that a replica is fresh enough.
     may_start_probe: bool,
-    /// The read arrived so recently that it can wait for a probe in flight.
+    /// Whether the read arrived so recently that it can wait for a probe in flight.
     may_wait_for_probe: bool,
-    /// The read may be sent to a replica that is possibly too stale, because replicas check that themselves.
+    /// Whether the read may be sent to a replica that may be too stale, because replicas check freshness.
     may_try_unproven: bool,
     /// The request's random number for the admission limits of members that are warming up.
     admission_draw: f64,
-    /// How many requests this one counts as at a member that is warming up.
+    /// The number of requests that this read counts as at a member that is warming up.
     backlog_factor: f64,
 }
 
@@ -39,7 +39,7 @@
     /// Replicas known to be fresh enough.
     fresh: Vec<MemberId>,
     /// Replicas not known to be fresh enough.
-    behind: Vec<MemberId>,
+    unproven: Vec<MemberId>,
 }
 
 impl Router {
@@ -101,7 +101,7 @@
             let spare_primary = primary.filter(|p| self.has_spare_capacity(*p, read.admission_draw));
             return spare_primary.map_or(Decision::Queue, Decision::Forward);
         }
-        if read.may_wait_for_probe && replicas.behind.iter().any(|m| self.members[m].probes_in_flight > 0) {
+        if read.may_wait_for_probe && replicas.unproven.iter().any(|m| self.members[m].probes_in_flight > 0) {
             return Decision::Queue;
         }
         if !read.may_try_unproven {
@@ -143,7 +143,7 @@
     fn possibly_fresh_replicas(&self, replicas: &UntriedReplicas, read: &ReadRequirements) -> Vec<MemberId> {
         let min_load = replicas.fresh.iter().map(|m| self.load(&self.members[m])).min();
         let less_loaded = |m: &MemberId| min_load.is_none_or(|min| self.load(&self.members[m]) + 1 < min);
-        let candidates = replicas.behind.iter().copied().filter(less_loaded);
+        let candidates = replicas.unproven.iter().copied().filter(less_loaded);
         let usable = candidates.filter(|m| self.has_capacity(*m, read.admission_draw, read.backlog_factor));
         usable.filter(|m| self.may_have_caught_up(*m, read.position)).collect()
     }
@@ -219,8 +219,8 @@
                 && self.counts_as_replica(&self.members[m], needed)
         });
         let is_fresh = |m: &MemberId| needed.is_none_or(|n| self.estimated_position(&self.members[m]) >= n);
-        let (fresh, behind) = candidates.partition(is_fresh);
-        UntriedReplicas { fresh, behind }
+        let (fresh, unproven) = candidates.partition(is_fresh);
+        UntriedReplicas { fresh, unproven }
     }
 
     /// Whether to treat a member that is not the known primary as a replica. If members check their
@@ -234,8 +234,8 @@
     }
 
     /// Chooses the member with the fewest attempts in flight among those with capacity. Ties go to a member
-    /// that is warming up, because that share is reserved for it, otherwise to a random one by weight, with a
-    /// preference for the router's zone. With hundreds of routers most choices are ties.
+    /// that is warming up, because `slow_start_draw` reserves a share for it, otherwise to a random one by
+    /// weight, with a preference for the router's zone. With hundreds of routers most choices are ties.
     fn least_loaded(&mut self, candidates: &[MemberId], read: &ReadRequirements) -> Option<MemberId> {
         let draw = self.rng.f64();
         let usable =
@@ -251,8 +251,8 @@
         chosen.or(eligible.first()).map(|(id, _)| *id)
     }
 
-    /// Orders members by load; among equals, one that is warming up is first. A recent late response counts
-    /// as an attempt in flight, because routers with little traffic rarely have any.
+    /// Ranks a member by load; of equally loaded members, one that is warming up is first. A recent late
+    /// response counts as an attempt in flight, because routers with little traffic rarely have any.
     fn load_rank(&self, member: &Member) -> usize {
         let is_late = elapsed(self.now, member.late_response_at) < MAX_EJECTION;
         let is_warm = self.capacity_share(member) >= 1.0;
--- a/decision/src/router/health.rs
+++ b/decision/src/router/health.rs
@@ -5,11 +5,11 @@
 /// Duration of a first ejection: long enough to outlast a short pause, short enough that a healthy member
 /// soon returns.
 const BASE_EJECTION: Micros = 1_000_000;
-/// The duration doubles with each consecutive ejection, at most this often: to 8 s, or to 10 s with jitter,
-/// the documented maximum.
+/// How often the duration of an ejection doubles at most, once per consecutive ejection: to 8 s, or to 10 s
+/// with jitter, the documented maximum.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 pub(super) const MAX_EJECTION: Micros = BASE_EJECTION << MAX_EJECTION_DOUBLINGS;
-/// The same limit for an unreachable member: probing it is cheap, and it may return at any time.
+/// The maximum doublings for an unreachable member, which is cheap to probe and may return at any time.
 const MAX_UNREACHABLE_DOUBLINGS: u32 = 1;
 /// Consecutive refused connections after which a member that responds again is treated as restarted and cold.
 /// A single refusal can as well be caused by the network. A connection that times out indicates an
@@ -59,8 +59,8 @@
         self.members.get(&id).is_some_and(|m| elapsed(self.now, m.reported_replica_at) < hold_time)
     }
 
-    /// Clears a group's primary after it proved unreachable or not primary. It becomes the primary again only
-    /// when it reports so.
+    /// Clears a group's primary after it proved unreachable or not primary. The member becomes the primary
+    /// again only when it reports this role.
     pub(super) fn clear_primary(&mut self, id: MemberId) {
         self.groups.values_mut().filter(|g| g.primary == Some(id)).for_each(|g| g.primary = None);
     }
@@ -160,7 +160,7 @@
         let none_available = group.is_some_and(|g| !g.members.iter().any(|m| self.is_available(*m)));
         let Some(member) = self.members.get_mut(&id) else { return };
         if ok && std::mem::take(&mut member.consecutive_connect_failures) >= RESTART_CONNECT_FAILURES {
-            // Its process was down and may have restarted, cold, before any list says so.
+            // The member's process was down and may have restarted, cold, before any list states this.
             member.listed.started_at = member.listed.started_at.max(Some(self.now));
         }
         let refused = 2 * elapsed(self.now, member.last_probe_at) < self.settings.connect_timeout;
--- a/decision/src/router/member_list.rs
+++ b/decision/src/router/member_list.rs
@@ -62,8 +62,8 @@
         self.dispatch_queued(id);
     }
 
-    /// Rescales the limits of attempts in flight: routers that join take over a part of them, and the others
-    /// take over the part of those that leave.
+    /// Rescales the limits of attempts in flight: new routers take over a part of the limits, and the
+    /// remaining routers take over the part of routers that leave.
     pub(super) fn on_router_count(&mut self, new_count: u32) {
         let (old_count, new_count) = (f64::from(self.settings.router_count.max(1)), new_count.max(1));
         self.settings.router_count = new_count;
--- a/decision/src/router/pool.rs
+++ b/decision/src/router/pool.rs
@@ -40,7 +40,7 @@
             && (load < (member.pool_size * capacity).floor() || (load == 0.0 && draw < member.pool_size))
     }
 
-    /// Whether a primary has capacity that its writes do not need. One that is warming up has none.
+    /// Whether a primary has capacity that its writes do not need. A primary that is warming up has none.
     pub(super) fn has_spare_capacity(&self, id: MemberId, draw: f64) -> bool {
         let member = &self.members[&id];
         let spare = (member.pool_size * self.capacity_share(member).floor() * SPARE_CAPACITY_SHARE).floor();
@@ -64,8 +64,8 @@
         initial + (1.0 - initial) * (age / duration).min(1.0)
     }
 
-    /// How many requests one counts as at a member that is warming up: the requests that queue up within a
-    /// deadline arrive at once, in addition to new ones.
+    /// The number of requests that one request counts as at a member that is warming up: the requests that
+    /// queue up within a deadline arrive at once, in addition to new ones.
     pub(super) fn backlog_factor(&self, pending: &PendingRequest) -> f64 {
         let queued = self.class(pending).deadline as f64 / self.settings.overload_duration as f64;
         if pending.queued { MIN_BACKLOG_FACTOR.max(1.0 + queued) } else { 1.0 }
--- a/decision/src/router/probes.rs
+++ b/decision/src/router/probes.rs
@@ -3,11 +3,11 @@
 
 /// Minimum time between two probes of a member, in units of [`Settings::min_event_interval`].
 const MIN_EVENT_INTERVALS: i64 = 20;
-/// Lower bound of that time, in microseconds. Reports are about this old anyway, and every router sends
-/// probes.
+/// Lower bound of the time between two probes of a member, in microseconds. Reports are about this old
+/// anyway, and every router sends probes.
 const MIN_INTERVAL: Micros = 100_000;
-/// Backoff: how often that time doubles at most while no primary is found or probes of a member return no
-/// report.
+/// Backoff: how often the time between probes doubles at most while no primary is found or probes of a
+/// member return no report.
 const MAX_DOUBLINGS: u32 = 3;
 
 /// The time until the next probe or primary search after this many consecutive failures.
--- a/decision/tests/admission.rs
+++ b/decision/tests/admission.rs
@@ -32,9 +32,9 @@
     // First tries have 700 of 1200 ms left to their deadline, and the latency objective is 400 ms. A timeout
     // above 700 ms is also taken for a client's retry.
     assert!((0..20).all(|_| !is_rejected_with(700)));
-    assert!(is_rejected_with(750), "450 ms have passed");
-    assert!(is_rejected_with(600), "600 ms have passed");
-    assert!(!is_rejected_with(1100), "100 ms have passed");
+    assert!(is_rejected_with(750), "not rejected 450 ms after the first try");
+    assert!(is_rejected_with(600), "not rejected 600 ms after the first try");
+    assert!(!is_rejected_with(1100), "rejected 100 ms after the first try");
     assert!(!is_rejected_with(700));
     // When most clients change to a shorter timeout, it is eventually recognised as that of first tries, even
     // after a long time with the old one.
--- a/decision/tests/choice.rs
+++ b/decision/tests/choice.rs
@@ -118,7 +118,7 @@
     assert_eq!(
         (sent.len(), probed_members(&actions).len()),
         (1, 0),
-        "no probe: a hundred routers would probe sixty members each"
+        "the read must be sent without a probe, because each router would probe every member"
     );
     assert_ne!(sent[0].1, MemberId(0), "the listed primary is reserved for writes");
     let response_report = MemberReport { primary: Some(false), position: Some(Time(router.now)) };
@@ -153,7 +153,10 @@
     // The next write does not retry members that have just responded as replicas.
     assert!(sent_attempts(&router.request(0, None).1).is_empty());
     router.now += 500 * MS;
-    assert!(sent_attempts(&router.request(0, None).1).is_empty(), "their responses take precedence for 1 s");
+    assert!(
+        sent_attempts(&router.request(0, None).1).is_empty(),
+        "responses of replicas must take precedence for 1 s"
+    );
     // A report names the new primary, and queued requests are sent to it.
     router.now += 20 * MS;
     let actions = router.probe_ended(2, true, 0);
--- a/decision/tests/common/mod.rs
+++ b/decision/tests/common/mod.rs
@@ -24,8 +24,8 @@
     }
 }
 
-/// One value of each kind. The windows are for deduplication in the group, everywhere and in the zone, in
-/// this order.
+/// One value of each variant of [`Idempotency`]. The windows are for deduplication in the group, everywhere
+/// and in the zone, in this order.
 pub(crate) fn idempotencies(windows: [Micros; 3]) -> [Idempotency; 5] {
     let [in_group, everywhere, in_zone] = windows;
     [
--- a/decision/tests/recorded_runs/text.rs
+++ b/decision/tests/recorded_runs/text.rs
@@ -1,5 +1,5 @@
-//! Formats events and actions with fixed names of its own, so that a renamed variant or field does not change
-//! the fixtures.
+//! Formats events and actions with fixed names, so that a renamed variant or field does not change the
+//! fixtures.
 use decision::{Action, Event, MemberEntry, MemberReport, MemberState, Outcome, Time};
 
 fn optional(time: Option<Time>) -> String {
--- a/decision/tests/recorded_runs/world.rs
+++ b/decision/tests/recorded_runs/world.rs
@@ -398,7 +398,7 @@
         self.members.iter_mut().filter(|s| s.group == group).for_each(|s| s.primary = s.id == new);
     }
 
-    /// Feeds an event about something that is unknown to the router or has already ended.
+    /// Feeds the end of an attempt or a probe that is unknown to the router or has already ended.
     fn unexpected_event(&mut self) {
         let (request, member) = (self.recent_request_id(), MemberId(self.rng.u32(..12)));
         let (attempt, report) = (self.rng.u32(..3), self.report(member));
--- a/decision/tests/scale_invariance.rs
+++ b/decision/tests/scale_invariance.rs
@@ -183,10 +183,10 @@
         self.first.handle(Time(self.now), event.clone(), &mut actions);
         let expected: Vec<Action> = actions.iter().map(|a| self.second_environment.action(a)).collect();
         assert_eq!(second_actions, expected, "actions differ at {} after {event:?}", self.now);
-        actions.into_iter().for_each(|action| self.carry_out(action));
+        actions.into_iter().for_each(|action| self.execute(action));
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { request, member, .. } => {
                 let (class, attempts) = self.requests.get_mut(&request).expect("a request that arrived");
