--- a/store/src/acceptor.rs
+++ b/store/src/acceptor.rs
@@ -71,7 +71,7 @@
         tracing::error!(
             service,
             %error,
-            "service connection thread not started; raise this user's process limit"
+            "service connection thread not started, connection closed; raise this user's process limit"
         );
     }
 }
--- a/store/src/change_log.rs
+++ b/store/src/change_log.rs
@@ -9,9 +9,9 @@
 /// Limits on the retained changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionLimits {
-    /// Maximum number of revisions.
+    /// Maximum number of retained revisions.
     pub max_revisions: usize,
-    /// Maximum total length of their keys and texts, in bytes.
+    /// Maximum total length of the keys and texts of the changes, in bytes.
     pub max_bytes: usize,
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// The changes after the requested revision are no longer all retained: the watch must read all keys again.
+/// Some changes after the requested revision are no longer retained: the watch must read all keys again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Compacted {
     /// All changes after this revision are still retained.
@@ -82,7 +82,7 @@
     /// Returns the changes after a revision, in order, at most `max_count` of them.
     ///
     /// # Errors
-    /// [`Compacted`] if they are no longer all retained.
+    /// [`Compacted`] if the changes after the revision are no longer all retained.
     pub fn after(&self, revision: u64, max_count: usize) -> Result<Vec<Arc<ChangeSet>>, Compacted> {
         if revision < self.compacted_revision {
             return Err(Compacted { compacted_revision: self.compacted_revision });
--- a/store/src/client/lease.rs
+++ b/store/src/client/lease.rs
@@ -107,7 +107,7 @@
         lock(&self.lease).clone()
     }
 
-    /// Whether the holder may rely on the lease now.
+    /// Whether the holder may rely on the lease at the current time.
     pub fn is_valid(&self) -> bool {
         self.lease().is_valid(Instant::now())
     }
--- a/store/src/client/watch.rs
+++ b/store/src/client/watch.rs
@@ -29,7 +29,7 @@
     Changes(ChangeSet),
 }
 
-/// A watch. It ends when it is dropped.
+/// A watch, which ends when it is dropped.
 pub struct Watch {
     /// The events, in the order of their revisions.
     pub events: Receiver<WatchEvent>,
--- a/store/src/command.rs
+++ b/store/src/command.rs
@@ -58,7 +58,7 @@
 pub enum Command {
     /// Assigns the id of a new store, so that its revisions are not mistaken for those of another store.
     Initialize {
-        /// The id; 0 is not allowed.
+        /// The id of the store; 0 is not allowed.
         store_id: u64,
     },
     /// Registers a client and assigns its id.
@@ -78,8 +78,8 @@
         /// command, the lease stays alive.
         renewals: u64,
     },
-    /// An update in the legacy log format, from before leases were introduced. It is applied without limits,
-    /// as it was then.
+    /// An update in the legacy log format, from before leases and limits were introduced. It is applied
+    /// without limits.
     LegacyUpdate(Update),
 }
 
@@ -144,7 +144,7 @@
 /// The change of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyChange {
-    /// The key.
+    /// The changed key.
     pub key: String,
     /// The key's new value; `None` if the key was deleted.
     pub value: Option<Value>,
--- a/store/src/control.rs
+++ b/store/src/control.rs
@@ -19,7 +19,7 @@
     /// A field of the command is missing or invalid.
     #[error("expected {expected}")]
     InvalidCommand {
-        /// The expected form.
+        /// The expected form of the field.
         expected: String,
     },
     /// The key, server or command does not exist.
@@ -75,7 +75,7 @@
                 Err(_) => std::thread::sleep(ACCEPT_RETRY_DELAY),
             };
             if let Err(error) = spawn("command", serve) {
-                tracing::error!(%error, "store control connection thread not started");
+                tracing::error!(%error, "store control connection thread not started, connection closed");
             }
         }
     })
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -56,7 +56,7 @@
         /// The cause.
         source: raft::Error,
     },
-    /// The raft library failed to start.
+    /// The raft library returned an error while the node was starting.
     #[error("store: {0}")]
     Raft(#[from] raft::Error),
     /// The node cannot listen on an address.
--- a/store/src/lease_timers.rs
+++ b/store/src/lease_timers.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct LeaseTimers {
     is_leader: bool,
-    /// Keyed by the epoch of the lease.
+    /// The countdowns, keyed by the epoch of the lease.
     countdowns: HashMap<u64, Countdown>,
 }
 
--- a/store/src/log_file.rs
+++ b/store/src/log_file.rs
@@ -20,9 +20,9 @@
 const ENTRY: u8 = 2;
 const SNAPSHOT: u8 = 3;
 
-/// Length of the length field.
+/// Length of a record's length field, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Length of the length field and the checksum.
+/// Length of a record's length field and checksum, in bytes.
 const HEADER_BYTES: usize = 8;
 
 /// Why a log file is rejected. Its records have been acknowledged, so none of them may be dropped.
--- a/store/src/machine/clients.rs
+++ b/store/src/machine/clients.rs
@@ -1,4 +1,4 @@
-//! The registered clients and the response to each one's last write, which a retry receives again.
+//! The registered clients and the response to the last write of each client, which a retry receives again.
 use crate::command::{CommandResponse, RequestOrigin};
 use crate::rejection::Rejection;
 use serde::{Deserialize, Serialize};
--- a/store/src/machine/leases.rs
+++ b/store/src/machine/leases.rs
@@ -12,7 +12,7 @@
     pub(super) epoch: u64,
     ttl_ms: u64,
     pub(super) renewals: u64,
-    /// Not serialized: a snapshot contains the lease epoch of each key, from which this set is rebuilt.
+    /// Not serialized: a snapshot contains the lease epoch of each key, from which this field is rebuilt.
     #[serde(skip)]
     pub(super) attached_keys: BTreeSet<String>,
 }
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct NameRecord {
     highest_epoch: u64,
-    /// `None` while the name is free.
+    /// The current lease; `None` while the name is free.
     lease: Option<Lease>,
 }
 
--- a/store/src/node/actor.rs
+++ b/store/src/node/actor.rs
@@ -39,15 +39,15 @@
 pub(super) struct Node {
     pub(super) raft: RawNode<RaftStorage>,
     pub(super) storage: RaftStorage,
-    /// `None` for a node that keeps its log only in memory.
+    /// The log file; `None` for a node whose log is only in memory.
     pub(super) log_file: Option<LogFile>,
     /// The queue of the sender thread of each peer, keyed by node id.
     pub(super) peers: HashMap<u64, Sender<Message>>,
-    /// Keyed by the request id, which is the context of the log entry.
+    /// The pending writes, keyed by the request id, which is the context of the log entry.
     pub(super) pending_writes: HashMap<Vec<u8>, PendingWrite>,
     pub(super) reads: PendingReads,
     pub(super) lease_timers: LeaseTimers,
-    /// Called on this thread with the state, once at the start and after each change.
+    /// Called on the actor's thread with the state, once at the start and after each change.
     pub(super) on_change: Box<dyn Fn(&State) + Send>,
     settings: Settings,
     /// The number in the most recent request id.
@@ -177,7 +177,9 @@
                 self.settings.peers.insert(node, addr);
                 tracing::info!(node, %addr, "store peer address changed");
             }
-            Err(error) => tracing::error!(node, %error, "store sender thread for peer not started"),
+            Err(error) => {
+                tracing::error!(node, %error, "store sender thread not started, peer address not changed");
+            }
         }
     }
 
@@ -190,9 +192,9 @@
         expirations.iter().for_each(|command| self.propose_internal(command));
     }
 
-    /// If this node leads a new store, proposes its id and seed keys, once per term. Duplicate proposals by
-    /// successive leaders are harmless: only the first id takes effect, and seed keys are written only if
-    /// they do not exist.
+    /// If this node leads a new store, proposes the store's id and seed keys, once per term. Duplicate
+    /// proposals by successive leaders are harmless: only the first id takes effect, and seed keys are
+    /// written only if they do not exist.
     fn seed(&mut self) {
         let Some(term) = self.leading_term() else { return };
         if self.seeded_term == term {
--- a/store/src/node/handle.rs
+++ b/store/src/node/handle.rs
@@ -22,7 +22,7 @@
 }
 
 impl Store {
-    /// Updates a key. Returns its new version, 0 if it was deleted.
+    /// Updates a key. Returns the new version of the key, 0 if the key was deleted.
     ///
     /// # Errors
     /// Any [`Rejection`]. After [`Rejection::Unconfirmed`] the update may still be applied.
@@ -37,8 +37,8 @@
     /// Applies a client's write. A retry receives the response of the first execution.
     ///
     /// # Errors
-    /// A [`Rejection`] if the write was not committed or is not known to be. A rejection by the state machine
-    /// is returned in the response instead.
+    /// A [`Rejection`] if the write was not committed or is not known to be committed. A rejection by the
+    /// state machine is returned in the response instead.
     pub fn write(&self, origin: RequestOrigin, operation: Operation) -> Result<CommittedWrite, Rejection> {
         self.propose(Command::Write { origin: Some(origin), operation })
     }
@@ -73,7 +73,7 @@
     /// call: a majority has confirmed the leader since then, and this node has caught up.
     ///
     /// # Errors
-    /// [`Rejection::NoQuorum`] if that did not happen within the timeout.
+    /// [`Rejection::NoQuorum`] if the leader was not confirmed or this node did not catch up in time.
     pub fn read(&self) -> Result<ConfirmedRead, Rejection> {
         self.confirmed_read().map(|result| result.read)
     }
--- a/store/src/node/reads.rs
+++ b/store/src/node/reads.rs
@@ -35,7 +35,7 @@
 
 /// The read index request in flight.
 struct ReadIndexRequest {
-    /// Raft returns this id together with the read index.
+    /// Id of the request, which raft returns together with the read index.
     id: Vec<u8>,
     sent_at: Instant,
     /// The term that this node led when it sent the request; `None` if it was not the leader.
@@ -45,7 +45,7 @@
 /// A reader whose read index has been received.
 struct ConfirmedReader {
     reader: Reader,
-    /// The response is sent once this index is applied.
+    /// The log index that must be applied before the response is sent.
     index: u64,
     /// The term in which a majority confirmed this node as the leader; `None` if another node leads.
     leading_term: Option<u64>,
--- a/store/src/node/recovery.rs
+++ b/store/src/node/recovery.rs
@@ -12,7 +12,7 @@
 pub(super) struct Recovered {
     pub(super) log: MemStorage,
     pub(super) machine: StateMachine,
-    /// `None` if no folder is configured.
+    /// The log file; `None` if no folder is configured.
     pub(super) log_file: Option<LogFile>,
 }
 
--- a/store/src/node/settings.rs
+++ b/store/src/node/settings.rs
@@ -11,7 +11,7 @@
     pub node: u64,
     /// All nodes, including this one, and the addresses where they listen for raft messages.
     pub peers: BTreeMap<u64, SocketAddr>,
-    /// The folder of the log file. Without it, the log is kept only in memory.
+    /// The folder of the log file. Without a folder, the log is only in memory.
     pub folder: Option<PathBuf>,
     /// Keys and texts that are written once, when the store is new.
     pub seeds: Vec<(String, String)>,
--- a/store/src/node/shared.rs
+++ b/store/src/node/shared.rs
@@ -8,7 +8,7 @@
 pub(super) struct Shared {
     machine: Mutex<StateMachine>,
     change_log: Mutex<ChangeLog>,
-    /// Notified when the change log has grown or was reset.
+    /// Notified when changes were appended to the change log or the change log was reset.
     pub(super) changed: Condvar,
     /// The leader's id, or [`raft::INVALID_ID`] if none is known.
     leader: AtomicU64,
--- a/store/src/node/start.rs
+++ b/store/src/node/start.rs
@@ -30,7 +30,7 @@
 const MAX_INFLIGHT_APPENDS: usize = 64;
 
 /// Starts a node. `on_change` is called on the actor's thread with the committed keys: first with the
-/// restored ones, then after each change.
+/// restored keys, then after each change.
 ///
 /// # Errors
 /// Fails if the settings are invalid, the folder cannot be used, the node cannot listen on its address, or a
--- a/store/src/peers.rs
+++ b/store/src/peers.rs
@@ -71,7 +71,7 @@
                 Err(_) => std::thread::sleep(ACCEPT_RETRY_DELAY),
             };
             if let Err(error) = spawn("store-peer", serve) {
-                tracing::error!(%error, "store peer thread not started");
+                tracing::error!(%error, "store peer thread not started, connection closed");
             }
         }
     })
--- a/store/src/server.rs
+++ b/store/src/server.rs
@@ -15,15 +15,15 @@
 /// Limits on client connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Maximum number of open connections, and so of threads. Each watch takes one.
+    /// Maximum number of open connections, and so of threads. Each watch takes one connection.
     pub max_connections: u64,
-    /// A connection without a request for this long is closed; the client reconnects.
+    /// Time without a request after which a connection is closed; the client then reconnects.
     pub idle_timeout: Duration,
-    /// A message must be received completely, and a response accepted by the client, within this time.
+    /// Time within which a message must be received completely, and a response be accepted by the client.
     pub message_timeout: Duration,
-    /// A watch without changes gets a progress message at this interval.
+    /// Interval at which a watch without changes gets progress messages.
     pub progress_interval: Duration,
-    /// A watch ends when the node has known no leader for this long.
+    /// Time without a known leader after which a watch ends.
     pub no_leader_timeout: Duration,
 }
 
--- a/store/src/server/watch.rs
+++ b/store/src/server/watch.rs
@@ -1,5 +1,5 @@
-//! The node's side of a watch. Nothing is queued per watch: it reads from the node's shared change log, and
-//! only the message that is being written to the socket is in flight.
+//! The node's side of a watch. Nothing is queued per watch: a watch reads from the node's shared change log,
+//! and only the message that is being written to the socket is in flight.
 use super::{Connection, send_in_parts};
 use crate::command::{ChangeSet, KeyChange};
 use crate::rejection::Rejection;
@@ -15,8 +15,8 @@
 enum WatchStart {
     /// The client has seen all changes up to this revision.
     After(u64),
-    /// The client receives these keys first, because the changes since its position are not retained or it
-    /// has no position.
+    /// The client receives these keys first, because the changes since the client's position are not retained
+    /// or the client has no position.
     Snapshot(State),
 }
 
@@ -40,7 +40,7 @@
         loop {
             self.send_next_changes(prefix, &mut progress)?;
             if progress.last_sent.elapsed() >= self.limits.progress_interval {
-                // This also detects clients that have disconnected.
+                // Sending this message also detects clients that have disconnected.
                 self.send(&Response::Progress { revision: progress.revision })?;
                 progress.last_sent = Instant::now();
             }
@@ -90,7 +90,7 @@
                 tracing::debug!(
                     revision = progress.revision,
                     compacted_revision = compacted.compacted_revision,
-                    "store watch restarted with all keys, changes after its revision are no longer retained"
+                    "store watch restarted with all keys, changes after this revision are no longer retained"
                 );
                 progress.revision = self.send_snapshot(&self.store.state(), prefix, true)?;
                 progress.last_sent = Instant::now();
--- a/store/src/state.rs
+++ b/store/src/state.rs
@@ -13,7 +13,7 @@
     pub revision: u64,
     /// The epoch of the lease that the key is attached to, if any.
     pub lease_epoch: Option<u64>,
-    /// The text.
+    /// The text of the value.
     pub text: String,
 }
 
@@ -21,11 +21,11 @@
 /// change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The key.
+    /// The key to update.
     pub key: String,
     /// The new text; `None` deletes the key.
     pub text: Option<String>,
-    /// The version that the key must have; 0 if the key must not exist. Without it, any version is accepted.
+    /// The version that the key must have; 0 if the key must not exist. If `None`, any version is accepted.
     pub expected_version: Option<u64>,
 }
 
--- a/store/src/wire.rs
+++ b/store/src/wire.rs
@@ -27,9 +27,9 @@
 /// The maximum length of a message, in bytes. The longest message that cannot be split is the change that
 /// removes all keys of an ended lease, which is far below this limit.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// A list of keys is sent in parts. A part ends with the entry that makes it longer than this, in bytes.
+/// Length in bytes after which a part of a list of keys ends. A part ends with the entry that exceeds it.
 pub const PART_BYTES: usize = 256 << 10;
-/// The receive buffer grows by this many bytes at a time, after the previous ones have been received.
+/// Number of bytes by which the receive buffer grows each time it has been filled.
 const BUFFER_STEP_BYTES: usize = 64 << 10;
 /// Length of the length field of a frame, which is not included in the length itself.
 const LENGTH_BYTES: usize = 4;
@@ -72,8 +72,8 @@
 /// Receives and checks the other side's hello within `timeout`.
 ///
 /// # Errors
-/// [`WireError::WrongProtocol`] and [`WireError::WrongVersion`] if it differs, [`WireError::Io`] if none is
-/// received.
+/// [`WireError::WrongProtocol`] and [`WireError::WrongVersion`] if the hello differs, [`WireError::Io`] if no
+/// hello is received.
 pub fn receive_hello(socket: &TcpStream, protocol: Protocol, timeout: Duration) -> Result<(), WireError> {
     let mut bytes = [0; HELLO_BYTES];
     read_exact_until(socket, &mut bytes, Instant::now() + timeout)?;
@@ -107,8 +107,8 @@
 /// after that.
 ///
 /// # Errors
-/// [`WireError::Io`] if it is not received in time, [`WireError::TooLong`] and [`WireError::Malformed`] if it
-/// is invalid.
+/// [`WireError::Io`] if the message is not received in time, [`WireError::TooLong`] and
+/// [`WireError::Malformed`] if the message is invalid.
 pub fn receive<T: DeserializeOwned>(
     socket: &TcpStream,
     idle_timeout: Duration,
--- a/store/tests/cluster/connections.rs
+++ b/store/tests/cluster/connections.rs
@@ -53,7 +53,7 @@
     assert_closed_after(addr, &[&hello[..], &u32::MAX.to_le_bytes()].concat());
     assert_closed_after(addr, &[&hello[..], &3u32.to_le_bytes(), b"\xff\xff\xff"].concat());
     assert_closed_after(addr, &[&hello[..], &100u32.to_le_bytes(), b"begun"].concat());
-    // Two open connections leave no slot for a third. A closed one frees its slot.
+    // Two open connections leave no slot for a third one. Closing a connection frees its slot.
     let open: Vec<TcpStream> = (0..2).map(|_| connect_until_welcome(addr)).collect();
     let short_timeout = Settings { call_timeout: Duration::from_millis(100), ..settings.clone() };
     let excess = Client::new(short_timeout).get("a", Consistency::Local);
--- a/store/tests/cluster/watches.rs
+++ b/store/tests/cluster/watches.rs
@@ -25,23 +25,24 @@
     for n in 0..9 {
         client.put("b", &n.to_string(), unconditional()).unwrap();
     }
-    // Progress messages for other keys have advanced its position, so no change that it needs is compacted.
+    // Progress messages for other keys have advanced the position of the watch, so no change that the watch
+    // needs is compacted.
     let last = client.put("a/2", "x", unconditional()).unwrap().revision;
     assert_eq!(next_changes(&watch), (last, vec![("a/2".into(), Some("x".into()))]));
     // The read makes sure that the node has caught up before the watch starts.
     cluster.client(0).get("a/2", Consistency::Linearizable).unwrap();
-    let behind = cluster.client(0).watch("a/", Some(resumed_at)).unwrap();
-    let snapshot = next_snapshot(&behind);
+    let compacted_watch = cluster.client(0).watch("a/", Some(resumed_at)).unwrap();
+    let snapshot = next_snapshot(&compacted_watch);
     assert!(snapshot.compacted && snapshot.position.revision >= last && snapshot.entries.len() == 2);
-    // A position of another store, or one that has not been reached yet, is invalid: the watch starts with a
-    // snapshot.
+    // A position of another store, or a position that has not been reached yet, is invalid: the watch starts
+    // with a snapshot.
     let other_store = WatchPosition { store_id: start.store_id ^ 1, ..start };
     let future = WatchPosition { revision: 1 << 40, ..start };
     for position in [other_store, future] {
         assert!(next_snapshot(&cluster.client(0).watch("a/", Some(position)).unwrap()).compacted);
     }
     let deleted = client.delete("a/2", unconditional()).unwrap().revision;
-    assert_eq!(next_changes(&behind), (deleted, vec![("a/2".into(), None)]));
+    assert_eq!(next_changes(&compacted_watch), (deleted, vec![("a/2".into(), None)]));
 }
 
 #[test]
--- a/store/tests/cluster/writes.rs
+++ b/store/tests/cluster/writes.rs
@@ -42,7 +42,7 @@
         Client::new(Settings { attempt_timeout, call_timeout: TEST_TIMEOUT, ..Settings::new(nodes, 1) });
     client.put("a", "1", at_version(0)).unwrap();
     // A majority has applied the write, but perhaps not the watched node. The read makes sure that the watch
-    // starts after it.
+    // starts after the write.
     let watched = cluster.client(2);
     assert_eq!(watched.get("a", Consistency::Linearizable).unwrap().value.unwrap().text, "1");
     let watch = watched.watch("", None).unwrap();
--- a/store/tests/log_damage.rs
+++ b/store/tests/log_damage.rs
@@ -49,7 +49,7 @@
             format!("{remaining} bytes remain, {entries} entries, term {term}")
         }
         Err(error) => {
-            assert_eq!(fs::read(&path).unwrap(), bytes, "a rejected file is not changed");
+            assert_eq!(fs::read(&path).unwrap(), bytes, "a rejected file was changed");
             format!("refused: {error}")
         }
     }
@@ -59,7 +59,7 @@
 fn assert_tail_truncated(path: &Path, before: &[u8], torn_bytes: u64) -> usize {
     let after = fs::read(path).unwrap();
     assert_eq!(after.len() as u64 + torn_bytes, before.len() as u64);
-    assert!(before.starts_with(&after), "only the tail is truncated");
+    assert!(before.starts_with(&after), "more than the tail of the file was changed");
     after.len()
 }
 
--- a/store/tests/pending_reads.rs
+++ b/store/tests/pending_reads.rs
@@ -53,7 +53,7 @@
     reads.respond(&state_at(4), 3);
     assert!(reader.try_recv().is_err() && reads.has_confirmed());
     reads.respond(&state_at(5), 3);
-    let Ok(Ok(result)) = reader.try_recv() else { panic!("no read") };
+    let Ok(Ok(result)) = reader.try_recv() else { panic!("the reader got no result") };
     assert_eq!((result.read.state, result.read.term), (state_at(5), 3));
     assert!(!reads.has_confirmed());
 }
--- a/store/tests/recorded/log_forms.rs
+++ b/store/tests/recorded/log_forms.rs
@@ -119,7 +119,7 @@
             assert_eq!(opened.is_err(), is_error, "record {first}..{end}");
             if let Err(error) = opened {
                 assert_eq!(error.kind(), std::io::ErrorKind::InvalidData);
-                assert_eq!(std::fs::read(&path).unwrap(), damaged, "nothing is truncated");
+                assert_eq!(std::fs::read(&path).unwrap(), damaged, "a damaged log file was changed");
             }
         }
     }
--- a/store/tests/state_machine.rs
+++ b/store/tests/state_machine.rs
@@ -28,7 +28,7 @@
 
     fn apply(&mut self, command: Command) -> Applied {
         self.index += 1;
-        // Encoded and decoded, as the log does.
+        // The command is encoded and decoded, as it is in the log.
         let command = Command::decode(&command.encode().unwrap()).unwrap();
         let applied = self.machine.apply(self.index, command);
         applied.changes.iter().for_each(|changes| self.change_log.push(changes.clone()));
