--- a/fleet/src/audit_record.rs
+++ b/fleet/src/audit_record.rs
@@ -2,7 +2,7 @@
 use audit::Batch;
 use store::{State, Value};
 
-/// Prefix of the batches' keys. A slot number of four digits follows.
+/// Prefix of the batches' keys, which is followed by a slot number of four digits.
 pub const KEY_PREFIX: &str = "fleet/audit/";
 
 /// Parses the text of one stored batch.
--- a/fleet/src/client/exchange.rs
+++ b/fleet/src/client/exchange.rs
@@ -46,7 +46,7 @@
     pub(super) seed: u64,
 }
 
-/// Whether a leader responds, according to the last log line about it.
+/// Whether a leader responds, according to the last log line about the leader.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LeaderContact {
     NeverTried,
@@ -76,7 +76,8 @@
     /// The last logged version of a store whose document is older than the one this router follows; 0 for
     /// none.
     stale_store_version: Version,
-    /// The version of a document that this router cannot parse, 0 for none. It is not fetched again.
+    /// The version of a document that this router cannot parse, 0 for none. Such a version is not fetched
+    /// again.
     unreadable_version: Version,
     random: fastrand::Rng,
 }
@@ -152,7 +153,7 @@
             last_failure = format!("{node}: {error}");
             self.connection.fail_over(&error, &mut unresponsive);
         }
-        // The lease may have expired. This check logs it even if no request arrives that would be rejected.
+        // The lease may have expired. This check logs the expiry even if no request arrives.
         _ = self.shared.check_fence();
         self.log_leader_lost(&last_failure);
         false
@@ -206,7 +207,7 @@
                 version,
                 followed,
                 "fleet document in the store is older than the one in use, because the store was recreated; \
-                 restart the router to use it"
+                 restart the router to use the stored one"
             );
         }
     }
@@ -263,7 +264,7 @@
                 "this router lags, the leader requested a refetch of the fleet document; check earlier logs"
             );
         }
-        // Logs if the response has fenced this router or lifted its fence.
+        // This check logs a message if the response has fenced this router or lifted its fence.
         _ = self.shared.check_fence();
     }
 
--- a/fleet/src/client/mod.rs
+++ b/fleet/src/client/mod.rs
@@ -100,8 +100,8 @@
             settings: settings.quotas.clone(),
             seed: settings.seed,
         });
-        // The leader counts down the full lease. It is shorter here by the maximum drift between the two
-        // clocks.
+        // The leader counts down the full lease. The router's lease is shorter by the maximum drift between
+        // the two clocks.
         let lease_us = (settings.quotas.ttl as f64 * (1.0 - settings.quotas.max_clock_drift)) as i64;
         let fence = member.audit.map(|_| VersionFence::new(lease_us));
         let (wakeup_sender, wakeups) = bounded(1);
--- a/fleet/src/document/parts.rs
+++ b/fleet/src/document/parts.rs
@@ -4,7 +4,7 @@
 use settings::fleet::Version;
 use sha2::{Digest, Sha256};
 
-/// Prefix of the parts' keys. The content hash and the part's index follow.
+/// Prefix of the parts' keys, which is followed by the content hash and the index of the part.
 pub const KEY_PREFIX: &str = "fleet/parts/";
 /// Maximum length of a part, in bytes. It must not exceed the store's maximum length of a value.
 pub const MAX_PART_BYTES: usize = 48 << 10;
--- a/fleet/src/document/read.rs
+++ b/fleet/src/document/read.rs
@@ -7,8 +7,8 @@
 use store::client::Client;
 use store::wire::Consistency;
 
-/// Maximum number of attempts of a reader. It starts over if a part is missing, because another document has
-/// been written in the meantime.
+/// Maximum number of attempts of a reader. A reader starts over if a part is missing, because another
+/// document has been written in the meantime.
 const MAX_READ_ATTEMPTS: usize = 8;
 
 fn parse(version: Version, pointer: Pointer, text: String) -> Result<Document, DocumentError> {
--- a/fleet/src/document/write.rs
+++ b/fleet/src/document/write.rs
@@ -25,8 +25,8 @@
     key_version: u64,
     /// The document's version; 0 if there is no document.
     version: Version,
-    /// `None` if there is no pointer or it cannot be parsed. It is replaced in either case, but the documents
-    /// that an invalid pointer references are not retained.
+    /// The pointer; `None` if it does not exist or cannot be parsed. A pointer that cannot be parsed is
+    /// replaced as well, but the documents that it references are not retained.
     pointer: Option<Pointer>,
 }
 
--- a/fleet/src/service/audit_recorder.rs
+++ b/fleet/src/service/audit_recorder.rs
@@ -33,8 +33,8 @@
         Ok(Recorder { batches: batch_sender, results })
     }
 
-    /// Starts writing a batch. A [`WriteResult`] will follow. Returns false if a batch, of an earlier term,
-    /// is still being written.
+    /// Starts writing a batch, whose result [`Recorder::next_result`] returns later. Returns false if a batch
+    /// of an earlier term is still being written.
     pub(super) fn try_write(&self, batch: Batch) -> bool {
         self.batches.try_send(batch).is_ok()
     }
--- a/fleet/src/service/auditor.rs
+++ b/fleet/src/service/auditor.rs
@@ -8,7 +8,7 @@
 pub(super) struct Auditor {
     tracker: VersionTracker,
     recorder: Recorder,
-    /// Reused to avoid allocations.
+    /// Buffer for the actions of the state machine, reused to avoid allocations.
     actions: Vec<Action>,
 }
 
--- a/fleet/src/service/leader.rs
+++ b/fleet/src/service/leader.rs
@@ -2,7 +2,7 @@
 //!
 //! In each round it first reads the clock, then has a majority confirm that this node is the leader, and then
 //! makes all decisions as of the time it read. So a node that was paused, or replaced as the leader in the
-//! meantime, makes no decision based on what expired after that time.
+//! meantime, makes no decision based on grants or leases that expired after that time.
 use super::auditor::Auditor;
 use crate::wire::{Response, UNKNOWN_LEADER};
 use crate::{audit_record, document};
@@ -183,7 +183,7 @@
         }
         let audit_directive = self.audit_report(now, &pending);
         if matches!(audit_directive, audit::Directive::FenceOut { .. }) {
-            // Nothing is renewed, so the router's grants expire. Until then they are not granted to other
+            // No grant is renewed, so the router's grants expire. Until then they are not granted to other
             // routers.
             let quota_response = GrantResponse {
                 term: self.term,
--- a/fleet/src/service/mod.rs
+++ b/fleet/src/service/mod.rs
@@ -17,10 +17,10 @@
 use store::Store;
 use store::wire::WireError;
 
-/// Larger than the stacks of the other threads, because the actor parses whole documents.
+/// Stack size of the actor's thread, larger than that of other threads because the actor parses documents.
 const ACTOR_STACK_BYTES: usize = 1 << 20;
-/// Maximum number of reports queued for the actor. Further ones get the response of a node that is not the
-/// leader.
+/// Maximum number of reports queued for the actor. Further reports get the response of a node that is not
+/// the leader.
 const MAX_PENDING_REPORTS: usize = 4 * MAX_REPORTS_PER_ROUND;
 /// How long a connection waits for the actor's response to a report. Routers wait no longer than this.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -30,10 +30,10 @@
 pub struct Limits {
     /// Maximum number of open connections, each with its own thread.
     pub max_connections: u64,
-    /// A connection without a request for this long is closed; the router reconnects.
+    /// Time without a request after which a connection is closed; the router then reconnects.
     pub idle_timeout: Duration,
-    /// A message must be received within this time of its first byte, and the router must accept a response
-    /// within this time.
+    /// Time within which a message must be received, counted from its first byte, and a response be accepted
+    /// by the router.
     pub message_timeout: Duration,
 }
 
--- a/fleet/tests/client.rs
+++ b/fleet/tests/client.rs
@@ -139,10 +139,10 @@
         Box::new(|report| report_response(report, Directive::AuditDisabled)),
     );
     let (client, updates) = start_client(&[&node], None);
-    let unknown = client.admit("till", None).unwrap_err();
-    assert!(matches!(unknown, AdmissionError::NotConfigured { .. }), "{unknown}");
+    let not_configured = client.admit("till", None).unwrap_err();
+    assert!(matches!(not_configured, AdmissionError::NotConfigured { .. }), "{not_configured}");
     assert_eq!(
-        unknown.to_string(),
+        not_configured.to_string(),
         "this router has not heard from the fleet's store yet; come back in 400 ms"
     );
     node.accept.send(()).unwrap();
@@ -159,8 +159,8 @@
 
     assert_eq!(client.admit("till", Some("all")).unwrap(), named("tills"));
     assert_eq!(client.resolve_tenant("guest", Some("nobody")).unwrap(), named("all"));
-    let over = client.admit("guest", None).unwrap_err();
-    assert!(over.to_string().starts_with("quota of tenant 'all'; come back in "), "{over}");
+    let over_quota = client.admit("guest", None).unwrap_err();
+    assert!(over_quota.to_string().starts_with("quota of tenant 'all'; come back in "), "{over_quota}");
     assert_eq!(client.dispatch_deadline(Time(5)), Time(5));
 
     client.leave();
@@ -187,8 +187,8 @@
     assert_eq!(client.admit("till", None).unwrap(), named("tills"));
     // The deadline is limited to shortly after the end of the lease of about two seconds.
     let now = Clock::new().now().0;
-    let until = client.dispatch_deadline(Time(i64::MAX)).0;
-    assert!((now + 200_000..now + 2_200_000).contains(&until), "{}", until - now);
+    let dispatch_deadline = client.dispatch_deadline(Time(i64::MAX)).0;
+    assert!((now + 200_000..now + 2_200_000).contains(&dispatch_deadline), "{}", dispatch_deadline - now);
     is_fenced_out.store(true, Ordering::Relaxed);
     let started = Instant::now();
     let fenced = loop {
