--- a/client-listener/src/connection.rs
+++ b/client-listener/src/connection.rs
@@ -38,8 +38,8 @@
     /// Requests without a response, and whether the client has disconnected.
     pub in_flight_requests: InFlightRequests,
     opened_at: Instant,
-    /// When `accept` returned the connection. Since then it may have waited for capacity below the connection
-    /// limit and for a thread.
+    /// When `accept` returned the connection. Since then the connection may have waited for capacity below
+    /// the connection limit and for a thread.
     accepted_at: Instant,
     /// How long the first command may have been unread in the socket before the connection's thread started,
     /// in microseconds.
@@ -127,10 +127,10 @@
     }
 
     /// Must be called right before a response is written. When the close policy is to close, the response
-    /// that leaves no command in flight is the last one on the connection. The kernel holds back its last
-    /// bytes (`TCP_CORK`) until [`Connection::finish_command`] shuts down the sending side, so they are sent
-    /// together with the end of stream. A client that has the whole response thus never takes the connection
-    /// for a reusable one.
+    /// that leaves no command in flight is the last one on the connection. The kernel holds back the last
+    /// bytes of that response (`TCP_CORK`) until [`Connection::finish_command`] shuts down the sending side,
+    /// so they are sent together with the end of stream. A client that has the whole response thus never
+    /// takes the connection for a reusable one.
     pub fn prepare_response(&self) {
         if self.may_close_when_idle() && self.commands.permit_last_response().is_ok() {
             self.set_close_reason(CloseReason::ShuttingDown);
--- a/client-listener/src/connection/idle.rs
+++ b/client-listener/src/connection/idle.rs
@@ -36,9 +36,13 @@
     /// that share, the platform rejects new clients before they reach this router, so the timeout is shorter
     /// then.
     pub(super) fn idle_timeout(&self) -> Duration {
-        let crowded =
+        let near_limit =
             4 * self.shared.connections_with_requests() > 3 * self.limits.expected_request_connections;
-        if crowded { self.limits.client_idle_timeout_when_crowded } else { self.limits.client_idle_timeout }
+        if near_limit {
+            self.limits.client_idle_timeout_when_crowded
+        } else {
+            self.limits.client_idle_timeout
+        }
     }
 
     /// Returns when the last command in flight finished, or when the connection was opened if there was none.
@@ -52,7 +56,7 @@
         evictable.then(|| EvictionRank { min_idle: self.min_idle(), idle_since: self.idle_since() })
     }
 
-    /// Closes the connection to free a place below the connection limit; returns `false` if a command has
+    /// Closes the connection to free capacity below the connection limit; returns `false` if a command has
     /// arrived on it.
     pub(crate) fn evict(&self) -> bool {
         if self.commands.is_closed() {
@@ -78,8 +82,8 @@
         }
     }
 
-    /// Closes the connection immediately if no command is in flight and no bytes have arrived. Its last
-    /// response was received long ago, so an immediate close cannot discard it.
+    /// Closes the connection immediately if no command is in flight and no bytes have arrived. The client
+    /// received the last response long ago, so an immediate close cannot discard that response.
     fn close_if_no_input(&self, reason: CloseReason) -> bool {
         let closed = self.has_no_input() && self.commands.permit_idle_close().is_ok();
         if closed {
--- a/client-listener/src/listener.rs
+++ b/client-listener/src/listener.rs
@@ -37,9 +37,9 @@
 /// A listening socket for clients.
 #[derive(Debug)]
 pub enum ClientListener {
-    /// Used by this process only.
+    /// A listener that only this process uses.
     Exclusive(TcpListener),
-    /// Shared with other processes of this router.
+    /// A listener that is shared with other processes of this router.
     Inherited(TcpListener),
 }
 
@@ -159,7 +159,7 @@
     pub fn wake(&self) {
         if let Some((socket, address)) = &self.target {
             // A blocked accept returns only for a connection. If this connection fails, the backlog is full
-            // of others that wake the accept too.
+            // of other connections, which also wake the accept.
             _ = socket.connect_timeout(address, WAKE_TIMEOUT);
             _ = socket.shutdown(Shutdown::Both);
         }
--- a/client-listener/src/server/accept.rs
+++ b/client-listener/src/server/accept.rs
@@ -15,10 +15,11 @@
 /// Pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Failed accepts are logged at most this often.
+/// Minimum interval between two log lines about failed accepts.
 const ACCEPT_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Maximum number of connections that are evicted at once. Finding several costs as much as finding one.
+/// Maximum number of connections that are evicted at once. Finding several idle connections costs as much as
+/// finding one.
 const EVICTION_BATCH: usize = 8;
 
 /// How long a connection waits for a thread before it is rejected. Its first request may have been sent
@@ -76,8 +77,8 @@
         std::thread::sleep(ACCEPT_RETRY_DELAY);
     }
 
-    /// Returns once there is capacity for one more connection, evicting idle ones at the limit. While none
-    /// may be evicted, the accepted connection waits and further ones stay in the listen backlog.
+    /// Returns once there is capacity for one more connection, evicting idle connections at the limit. While
+    /// none may be evicted, the accepted connection waits and further ones stay in the listen backlog.
     fn wait_for_capacity(&self) {
         // Once the server has stopped accepting, a connection that was accepted before is served regardless
         // of the limit.
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Returns whether there is capacity for one more connection; evicts idle ones if not.
+    /// Returns whether there is capacity for one more connection; evicts idle connections if not.
     fn check_capacity_or_evict(&self) -> bool {
         let connections = self.connections();
         if connections.len() < self.max_connections.load(Ordering::Relaxed) {
@@ -210,7 +211,7 @@
         .filter(|(rank, _)| rank.is_due(now))
         .collect();
     candidates.sort_unstable_by_key(|(rank, _)| *rank);
-    // `evict` also checks the socket: under load, a reader may not have read yet what has arrived.
+    // `evict` also checks the socket: under load, bytes may have arrived that the reader has not read yet.
     let evicted = candidates.into_iter().filter(|(_, connection)| connection.evict());
     _ = evicted.take(EVICTION_BATCH).count();
 }
--- a/client-listener/src/server/command_loop.rs
+++ b/client-listener/src/server/command_loop.rs
@@ -43,7 +43,7 @@
 /// The thread that accepts connections, and a handle of the listener that it uses.
 struct AcceptThread {
     listener: ClientListener,
-    /// This channel is disconnected once the thread has stopped.
+    /// Channel that is disconnected once the thread has stopped.
     stopped: Receiver<()>,
 }
 
@@ -55,7 +55,7 @@
     started_at: Instant,
     successor: bool,
     accept_thread: Option<AcceptThread>,
-    /// Created at the start, because at shutdown there may be no free descriptor for it.
+    /// Wakes the accept thread. Created at the start, because at shutdown there may be no free descriptor.
     waker: AcceptWaker,
 }
 
--- a/client-listener/src/shutdown.rs
+++ b/client-listener/src/shutdown.rs
@@ -1,5 +1,5 @@
 //! State machine that decides when connections close, at shutdown (SIGTERM) and during a drain by operators.
-//! It uses no sockets and no clock.
+//! The state machine uses no sockets and no clock.
 //!
 //! Some time after health checks have begun to fail, clients open no new connections, but they go on using
 //! open ones for as long as these stay open. So connections close in stages ([`ClosePolicy`]): first they all
@@ -54,7 +54,7 @@
         /// Whether another process accepts the router's clients already.
         successor: bool,
     },
-    /// Another process accepts the router's clients from now on (`true`), or none does any more.
+    /// Another process accepts the router's clients from now on (`true`), or no longer.
     SetSuccessor(bool),
     /// Time has passed; sent periodically while [`GracefulShutdown::needs_ticks`] returns `true`.
     Tick {
--- a/client-listener/tests/connections/support.rs
+++ b/client-listener/tests/connections/support.rs
@@ -139,8 +139,8 @@
 /// Asserts that the client sees an end of stream, not a reset.
 pub(crate) fn assert_closed_without_reset(mut client: &TcpStream) {
     let mut byte = [0];
-    assert_eq!(client.read(&mut byte).unwrap(), 0, "end of stream");
-    assert!(SockRef::from(client).take_error().unwrap().is_none(), "no reset");
+    assert_eq!(client.read(&mut byte).unwrap(), 0, "expected an end of stream");
+    assert!(SockRef::from(client).take_error().unwrap().is_none(), "expected no reset");
 }
 
 /// A server whose handler treats each byte as a command and leaves the responses to the test.
