--- a/postgres/src/backend.rs
+++ b/postgres/src/backend.rs
@@ -111,8 +111,8 @@
             return Err(NotSent::ConnectionBroken);
         }
         let permit = guard.permit_write().map_err(|_| NotSent::Cancelled)?;
-        // The clock is read after the permit was obtained, so that the waiting time in the message is what is
-        // left when it is sent.
+        // The clock is read after the permit was obtained, so that the waiting time in the message is the
+        // time left when the message is sent.
         let now = Instant::now();
         let (kind, deadlines, written) = match exchange {
             Exchange::Attempt(statement, deadline) => {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Until when a response is awaited.
+/// Deadlines for the response to an exchange.
 struct Deadlines {
     /// Deadline after which the response is of no use to the client.
     response: Instant,
--- a/postgres/src/buffer.rs
+++ b/postgres/src/buffer.rs
@@ -77,7 +77,7 @@
     }
 }
 
-/// Receive buffer of a connection. It may hold bytes past the current message.
+/// Receive buffer of a connection, which may hold bytes past the current message.
 pub struct MessageBuffer {
     bytes: Vec<u8>,
     start: usize,
@@ -203,8 +203,8 @@
         Ok(true)
     }
 
-    /// Grows the buffer, at most to twice its size. It grows only as bytes arrive, because a length field
-    /// alone costs its sender nothing and must not reserve memory.
+    /// Grows the buffer, at most to twice its size. A buffer grows only as bytes arrive, because a length
+    /// field alone costs its sender nothing and must not reserve memory.
     fn grow(&mut self, needed: usize) -> Result<(), ProtocolError> {
         let size = (2 * self.bytes.len()).min(needed.max(2 * INITIAL_BYTES));
         if size > MAX_IDLE_BYTES && self.reservation.as_mut().is_some_and(|r| !r.grow_to(size)) {
--- a/postgres/src/front.rs
+++ b/postgres/src/front.rs
@@ -4,10 +4,11 @@
 //! that the client has disconnected, and writes the responses. For a client that pipelines, a writer thread
 //! is added, which writes the responses in the order of the commands.
 //!
-//! Each of these modules uses only those named before it: `shared` has the state that all connections share,
-//! `open_request` releases the resources of a request in flight, `submission` submits a query to the routing
-//! core, `response` encodes responses, `command` decides which response a message gets, `response_writer`
-//! waits for responses and writes them, `startup` handles the start of a connection and `session` serves it.
+//! Each of these modules uses only the modules named before it: `shared` has the state that all connections
+//! share, `open_request` releases the resources of a request in flight, `submission` submits a query to the
+//! routing core, `response` encodes responses, `command` decides which response a message gets,
+//! `response_writer` waits for responses and writes them, `startup` handles the start of a connection and
+//! `session` serves it.
 mod command;
 mod open_request;
 mod response;
--- a/postgres/src/front/response_writer.rs
+++ b/postgres/src/front/response_writer.rs
@@ -12,8 +12,7 @@
 use routing::spawn;
 use std::sync::Arc;
 
-/// Error: responses can no longer be delivered, because the client has disconnected or the program is
-/// shutting down.
+/// Responses can no longer be delivered, because the client has disconnected or the program is shutting down.
 pub(super) struct ClientDisconnected;
 
 /// Result of trying to respond on the reader's thread.
@@ -48,7 +47,7 @@
 
 /// How the wait for a response ended.
 enum WaitResult {
-    /// The response is ready; this is its encoding.
+    /// The response is ready and encoded.
     Ready(Vec<u8>),
     /// The client has sent another command.
     Pipelined(PendingRequest),
@@ -124,7 +123,7 @@
 /// The thread that writes the responses of a client that pipelines.
 pub(super) struct ResponseWriter {
     responses: Sender<CommandResponse>,
-    /// This channel is disconnected once the thread has ended.
+    /// Channel that is disconnected once the thread has ended.
     ended: Receiver<()>,
 }
 
--- a/postgres/src/front/session.rs
+++ b/postgres/src/front/session.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Reads and handles one command. Returns without one if none was received within the read timeout and
+    /// Reads and handles one command. Also returns if no command was received within the read timeout and
     /// the connection stays open.
     fn read_command(&mut self) -> Result<(), SessionEnd> {
         let Some(frame) = self.read_frame()? else { return Ok(()) };
--- a/postgres/src/front/shared.rs
+++ b/postgres/src/front/shared.rs
@@ -30,7 +30,7 @@
     cancel_keys: Mutex<HashMap<CancelKey, Arc<Connection>>>,
     /// Memory for long messages and open requests of clients.
     pub(super) memory: MemoryPool,
-    /// Bytes of that memory that are reserved for other processes of this router.
+    /// Bytes of `memory` that are reserved for other processes of this router.
     other_processes_bytes: Mutex<isize>,
 }
 
--- a/postgres/src/response.rs
+++ b/postgres/src/response.rs
@@ -19,7 +19,7 @@
     /// No further message was received in time.
     TimedOut,
     /// A message was received that is not valid in a response. Reports in the same response are not trusted
-    /// then; a complete row before it is.
+    /// then, but a complete row before the message is.
     Malformed,
 }
 
--- a/postgres/tests/connections.rs
+++ b/postgres/tests/connections.rs
@@ -42,12 +42,15 @@
 fn long_idle_connection_is_checked_and_recently_used_one_is_not() {
     let (mut connection, received) = connect_responding(&[EMPTY_QUERY_RESPONSE, EMPTY_QUERY_RESPONSE]);
     assert!(connection.is_usable(Duration::ZERO, permit()));
-    assert!(connection.is_usable(Duration::from_secs(5), permit()), "the instance responds to the check");
+    assert!(
+        connection.is_usable(Duration::from_secs(5), permit()),
+        "the instance has responded to the check"
+    );
     assert!(connection.is_usable(Duration::from_secs(5), permit()), "a connection can be checked repeatedly");
     assert_eq!(
         received.try_iter().collect::<Vec<_>>(),
         [EMPTY_QUERY, EMPTY_QUERY],
-        "the recently used connection was not checked"
+        "only the two checks after a long idle time must send a query"
     );
 }
 
@@ -267,7 +270,7 @@
     assert_eq!(
         connect_to(&limits, endless).err(),
         Some(Outcome::ConnectFailed),
-        "the size of the startup response is limited"
+        "the size of the startup response must be limited"
     );
     limits.backend_connect_timeout = Duration::from_millis(300);
     let slow = start_scripted_instance(|mut socket| {
--- a/postgres/tests/responses.rs
+++ b/postgres/tests/responses.rs
@@ -228,7 +228,7 @@
     });
     let deadline = Instant::now() + TIMEOUT;
     let result = attempt(&mut connection, deadline).unwrap();
-    assert!(Instant::now() < deadline, "waits after a malformed message");
+    assert!(Instant::now() < deadline, "reading did not stop at a malformed message");
     result
 }
 
