--- a/decision/src/router/health.rs
+++ b/decision/src/router/health.rs
@@ -136,9 +136,9 @@
     }
 
     /// Ejects a member after a failure, for longer with each consecutive ejection.
-    pub(super) fn eject(&mut self, id: MemberId, signal: Outcome) {
+    pub(super) fn eject(&mut self, id: MemberId, cause: Outcome) {
         let jitter = 0.75 + 0.5 * self.rng.f64();
-        let unreachable = matches!(signal, Outcome::ConnectFailed | Outcome::Reset);
+        let unreachable = matches!(cause, Outcome::ConnectFailed | Outcome::Reset);
         let Some(member) = self.members.get_mut(&id) else { return };
         if member.ejected_until.is_some_and(|t| t > self.now) {
             return;
--- a/routing/src/probe_spacing.rs
+++ b/routing/src/probe_spacing.rs
@@ -10,7 +10,7 @@
 
 /// Minimum interval between two probes of one member, as a multiple of the minimum event interval. Must match
 /// `decision`.
-const MIN_INTERVAL_ROUNDS: i64 = 20;
+const MIN_EVENT_INTERVALS: i64 = 20;
 /// Lower bound of the minimum interval between two probes of one member. Must match `decision`.
 const MIN_INTERVAL: Micros = 100_000;
 /// Maximum number of times that the interval is doubled while a member's probes return no report.
@@ -48,7 +48,7 @@
 impl ProbeSpacing {
     /// Creates the state for a single process without any probes sent.
     pub fn new(settings: &Settings) -> ProbeSpacing {
-        let interval = (MIN_INTERVAL_ROUNDS * settings.min_event_interval).max(MIN_INTERVAL);
+        let interval = (MIN_EVENT_INTERVALS * settings.min_event_interval).max(MIN_INTERVAL);
         ProbeSpacing { interval, process_count: 1, histories: HashMap::new() }
     }
 
--- a/routing/src/router/actor.rs
+++ b/routing/src/router/actor.rs
@@ -65,7 +65,7 @@
     pub(super) resources: BackendResources<P>,
     /// Sender to the backends actor, which is started with the first backend.
     pub(super) backends: Option<BackendSender<P>>,
-    pub(super) last_backend: u64,
+    pub(super) last_backend_id: u64,
     pub(super) classes: Vec<ClassRules>,
     pub(super) member_ids: MemberIds,
     /// Canonical member IDs by endpoint ID.
@@ -110,7 +110,7 @@
             clock,
             resources,
             backends: None,
-            last_backend: 0,
+            last_backend_id: 0,
             member_ids: MemberIds::default(),
             members_by_id: HashMap::new(),
             endpoints: HashMap::new(),
--- a/routing/src/router/attempts.rs
+++ b/routing/src/router/attempts.rs
@@ -105,8 +105,8 @@
         self.start_backends_actor();
         let Some(sender) = self.backends.clone() else { return false };
         let Some(record) = self.endpoints.get_mut(&endpoint) else { return false };
-        self.last_backend += 1;
-        record.backend = Some(BackendRef { id: BackendId(self.last_backend), sender });
+        self.last_backend_id += 1;
+        record.backend = Some(BackendRef { id: BackendId(self.last_backend_id), sender });
         let (addr, state) = (record.addr, record.state.clone());
         let created = record.send(BackendCommand::Create { member: endpoint, addr, state });
         if !created {
--- a/routing/tests/placement/rules.rs
+++ b/routing/tests/placement/rules.rs
@@ -116,14 +116,14 @@
 
 #[test]
 fn site_change_reroutes_attempt_that_is_connecting() {
-    let stays = endpoint("a1", 1, "a");
-    let mut core = Core::with(&[stays.clone(), endpoint("m", 5, "a")], &[strict("t", &["a"])]);
+    let unchanged = endpoint("a1", 1, "a");
+    let mut core = Core::with(&[unchanged.clone(), endpoint("m", 5, "a")], &[strict("t", &["a"])]);
     core.request_until_served_by("t", 5, "the replica served no request");
     core.script.with(addr(5), |e| e.paused.connections = true);
     let waiting = core.submit("t", ANY);
     core.script.wait_until(addr(5), |e| e.waiting > 0);
     let before = core.attempts(5);
-    core.list(vec![stays, endpoint("m", 5, "b")]);
+    core.list(vec![unchanged, endpoint("m", 5, "b")]);
     assert_eq!(core.served_by("t", ANY), addr(1));
     core.script.with(addr(5), |e| e.paused.connections = false);
     let response = waiting.recv_timeout(TIMEOUT).unwrap();
@@ -156,15 +156,15 @@
     let mut core = Core::start(300_000);
     core.rules(&[strict("a", &["a"]), strict("b", &["b"])]);
     core.confirm();
-    let stays = [endpoint("a1", 1, "a"), endpoint("b1", 3, "b")];
-    core.list([&stays[..], &[endpoint("m", 5, "a")]].concat());
+    let unchanged = [endpoint("a1", 1, "a"), endpoint("b1", 3, "b")];
+    core.list([&unchanged[..], &[endpoint("m", 5, "a")]].concat());
     let mut started = Instant::now();
     while core.attempts(5) == 0 {
         assert!(started.elapsed() < TIMEOUT, "endpoint m received no attempt from site a's tenant");
         core.served_by("a", ANY);
     }
-    core.list(stays.to_vec());
-    core.list([&stays[..], &[endpoint("m", 6, "b")]].concat());
+    core.list(unchanged.to_vec());
+    core.list([&unchanged[..], &[endpoint("m", 6, "b")]].concat());
     started = Instant::now();
     let old = core.attempts(5);
     while core.attempts(6) == 0 {
@@ -196,8 +196,8 @@
     core.list(vec![a1, a2, drained(b1), drained(b2)]);
     assert!((0..20).all(|_| !inside.contains(&core.served_by("p", ANY))));
     core.list(four_endpoints());
-    let back: Vec<SocketAddr> = (0..20).map(|_| core.served_by("p", ANY)).collect();
-    assert!(back.iter().all(|at| inside.contains(at)), "{back:?}");
+    let served_after_drain: Vec<SocketAddr> = (0..20).map(|_| core.served_by("p", ANY)).collect();
+    assert!(served_after_drain.iter().all(|at| inside.contains(at)), "{served_after_drain:?}");
     let mut served_by = BTreeSet::new();
     let started = Instant::now();
     while served_by.len() < 3 {
--- a/routing/tests/recorded_run.rs
+++ b/routing/tests/recorded_run.rs
@@ -253,9 +253,9 @@
             ProbeStart::AlreadyPending => "under way".into(),
         };
         let unknown = self.subsets.group_without_primary(member);
-        let looked = unknown.map(|group| self.subsets.primary_search_targets(group, Time(self.now)));
-        let looked = looked.map(|ids| ids_text(&ids));
-        format!("probe {}: {decided}, {:?} {looked:?}", member.0, unknown.map(|g| g.0))
+        let search_targets = unknown.map(|group| self.subsets.primary_search_targets(group, Time(self.now)));
+        let search_targets = search_targets.map(|ids| ids_text(&ids));
+        format!("probe {}: {decided}, {:?} {search_targets:?}", member.0, unknown.map(|g| g.0))
     }
 
     fn probe_ended(&mut self, member: MemberId, random: &mut Random) -> String {
