--- a/client-listener/src/connection.rs
+++ b/client-listener/src/connection.rs
@@ -57,7 +57,7 @@
     idle_since_ms: AtomicU64,
     /// Set while part of a command has been read, but not all of it.
     command_started: AtomicBool,
-    /// Set while the reader waits for the socket; its buffer then holds less than a whole command.
+    /// Set while the reader waits for the socket; the reader's buffer then holds less than a whole command.
     reader_waiting: AtomicBool,
     /// When the sending side was shut down, in milliseconds since the connection was opened.
     write_shutdown_ms: AtomicU64,
@@ -69,7 +69,7 @@
 }
 
 impl Connection {
-    /// Creates an open connection with no commands in flight; its timeouts count from now.
+    /// Creates an open connection with no commands in flight, whose timeouts count from now.
     pub(crate) fn new(
         socket: TcpStream,
         id: u64,
@@ -167,7 +167,7 @@
         self.shared.is_draining()
     }
 
-    /// Records that the client has made a request, so that it is expected to make more.
+    /// Records that the client has made a request, so that more requests are expected.
     pub fn record_request(&self) {
         if !self.has_made_request.swap(true, Ordering::Relaxed) {
             self.shared.add_connection_with_requests();
--- a/client-listener/src/connection/reader.rs
+++ b/client-listener/src/connection/reader.rs
@@ -17,7 +17,7 @@
 }
 
 impl Connection {
-    /// Returns the state of the socket. It is [`SocketState::Idle`] once reading has stopped: bytes that
+    /// Returns the state of the socket, which is [`SocketState::Idle`] once reading has stopped: bytes that
     /// arrive after that are not for this process.
     pub fn socket_state(&self) -> SocketState {
         if self.in_flight_requests.is_disconnected() {
--- a/client-listener/src/disconnects.rs
+++ b/client-listener/src/disconnects.rs
@@ -1,5 +1,5 @@
 //! Detects that clients have disconnected, whatever the threads of their connections are doing. A thread that
-//! waits for a response, or for a place in a queue, does not read from its socket, and unread bytes hide the
+//! waits for a response, or for capacity in a queue, does not read from its socket, and unread bytes hide the
 //! end of stream that follows them. So one thread watches the sockets of all clients for their end of stream
 //! only.
 //!
--- a/client-listener/src/listener.rs
+++ b/client-listener/src/listener.rs
@@ -44,10 +44,10 @@
 }
 
 impl ClientListener {
-    /// Takes ownership of the listener with this descriptor number; it is closed when this process ends.
+    /// Takes ownership of the listener with this descriptor number, which is closed when this process ends.
     ///
     /// # Errors
-    /// Fails if the descriptor is not a listener. It is left unchanged then.
+    /// Fails if the descriptor is not a listener. The descriptor is left unchanged then.
     pub fn from_inherited_descriptor(descriptor: &str) -> Result<ClientListener, InheritedSocketError> {
         let number = descriptor.trim().parse().ok().filter(|n: &RawFd| *n > LAST_STANDARD_DESCRIPTOR);
         let fd = number.ok_or_else(|| InheritedSocketError::InvalidDescriptor(descriptor.to_string()))?;
--- a/client-listener/src/server/accept.rs
+++ b/client-listener/src/server/accept.rs
@@ -22,7 +22,7 @@
 /// finding one.
 const EVICTION_BATCH: usize = 8;
 
-/// How long a connection waits for a thread before it is rejected. Its first request may have been sent
+/// How long a connection waits for a thread before it is rejected. The first request may have been sent
 /// already, and that request's deadline approaches.
 const THREAD_START_TIMEOUT: Duration = Duration::from_millis(250);
 
--- a/decision/src/interface.rs
+++ b/decision/src/interface.rs
@@ -146,7 +146,7 @@
     pub missing_members_may_serve: bool,
     /// The share of its full capacity that a member has right after its start, from 0 to 1.
     pub slow_start_initial_share: f64,
-    /// The time from a member's start to its full capacity. Its capacity rises linearly in between.
+    /// The time from a member's start to its full capacity. The capacity rises linearly in between.
     pub slow_start_duration: Micros,
     /// A member that is warming up is overloaded when it gets more than this multiple of its present
     /// capacity.
@@ -223,7 +223,7 @@
     ConnectFailed,
     /// The connection broke. The attempt may have run.
     Reset,
-    /// The attempt was cancelled. It may have run.
+    /// The attempt was cancelled. The attempt may have run.
     Cancelled,
     /// The attempt was never sent.
     NeverSent,
@@ -261,7 +261,7 @@
     ListUpdateFailed,
     /// The number of routers in the fleet has changed to this value, which includes this router.
     RouterCountChanged(u32),
-    /// A request has arrived. It requires exactly one final response.
+    /// A request has arrived, which requires exactly one final response.
     RequestArrived(Request),
     /// The response to an attempt has begun to stream to the client, so the request can no longer be retried.
     ResponseStarted {
@@ -285,7 +285,7 @@
         response_report: MemberReport,
         /// The commit time of a write that was served.
         commit: Option<Time>,
-        /// A load report that accompanied the response. It may be older than the response.
+        /// A load report that accompanied the response. The report may be older than the response.
         load_report: MemberReport,
     },
     /// A probe has ended.
--- a/decision/src/router.rs
+++ b/decision/src/router.rs
@@ -26,7 +26,7 @@
     /// The latest list entry, with the group of the first one. A probe that shows a restart also updates its
     /// start time.
     listed: MemberEntry,
-    /// The member has applied every commit up to this position. It never decreases.
+    /// The member has applied every commit up to this position, which never decreases.
     position: Time,
     /// How far the member lagged behind the present when its position was last observed.
     lag: Micros,
--- a/decision/src/router/choice.rs
+++ b/decision/src/router/choice.rs
@@ -191,7 +191,7 @@
         }
     }
 
-    /// The estimated current position of a member. It is a lower bound if members don't check their
+    /// The estimated current position of a member, which is a lower bound if members don't check their
     /// freshness.
     fn estimated_position(&self, member: &Member) -> Time {
         if !self.replicas_check_freshness() || member.lag_observed_at.is_none() {
--- a/decision/src/router/health.rs
+++ b/decision/src/router/health.rs
@@ -19,7 +19,7 @@
 /// probes succeed.
 const MAX_TOLERATED_RESETS: u32 = 3;
 /// For this many connect timeouts after a response stated that a member is a replica, reports that call it
-/// the primary are ignored: they may be older.
+/// the primary are ignored: such reports may be older.
 const ROLE_HOLD_CONNECT_TIMEOUTS: i64 = 4;
 /// Weight of a new observation in a running mean.
 const EWMA_GAIN: f64 = 0.1;
--- a/decision/tests/cold_fleet/world.rs
+++ b/decision/tests/cold_fleet/world.rs
@@ -19,8 +19,8 @@
 /// Requests that a member serves concurrently, and the length of its queue.
 const CORES: usize = 3;
 const MAX_WAITING: usize = 60;
-/// A rejected client retries with this probability and at most this often. It waits for the retry-after time,
-/// or the default if there is none, but no longer than a random time.
+/// A rejected client retries with this probability and at most this often. A client waits for the retry-after
+/// time, or the default if there is none, but no longer than a random time.
 const RETRY_PROBABILITY: f64 = 0.7;
 const MAX_RETRIES: u32 = 3;
 const DEFAULT_RETRY_AFTER: Micros = 50 * MS;
--- a/fleet/src/client/connection.rs
+++ b/fleet/src/client/connection.rs
@@ -125,8 +125,8 @@
 
     /// Closes the connection after `error` and selects the node to try next: the leader that this node named,
     /// otherwise the next one in order. `unresponsive` collects the nodes that failed in this round without
-    /// naming a leader. They are not selected by name again, because other nodes may still consider one of
-    /// them the leader.
+    /// naming a leader. Such nodes are not selected by name again, because other nodes may still consider one
+    /// of them the leader.
     pub(super) fn fail_over(&mut self, error: &ExchangeError, unresponsive: &mut BTreeSet<usize>) {
         let next = (self.current + 1) % self.nodes.len();
         self.socket = None;
--- a/fleet/src/client/mod.rs
+++ b/fleet/src/client/mod.rs
@@ -64,7 +64,7 @@
     pub incarnation: u64,
     /// The names of the router's request classes, for a warning about placement rules for unknown classes.
     pub classes: Vec<String>,
-    /// Constants of the quota state machines. They must be the same on all routers and nodes.
+    /// Constants of the quota state machines, which must be the same on all routers and nodes.
     pub quotas: quotas::Settings,
     /// Seed for the random jitter of the pauses between reports.
     pub seed: u64,
@@ -145,7 +145,7 @@
         Ok(ResolvedTenant { tenant, version_in_force: self.shared.check_fence()? })
     }
 
-    /// The time by which a request that is admitted now must have been sent to a server. It is the request's
+    /// The time by which a request that is admitted now must have been sent to a server: the request's
     /// deadline or, if the audit is enabled and this is earlier, shortly after the end of the lease under
     /// which the request is admitted.
     pub fn dispatch_deadline(&self, deadline: Time) -> Time {
--- a/fleet/src/document/parts.rs
+++ b/fleet/src/document/parts.rs
@@ -6,7 +6,7 @@
 
 /// Prefix of the parts' keys, which is followed by the content hash and the index of the part.
 pub const KEY_PREFIX: &str = "fleet/parts/";
-/// Maximum length of a part, in bytes. It must not exceed the store's maximum length of a value.
+/// Maximum length of a part, in bytes, which must not exceed the store's maximum length of a value.
 pub const MAX_PART_BYTES: usize = 48 << 10;
 /// Number of bytes of the SHA-256 digest that are used as the content hash.
 const HASH_BYTES: usize = 16;
--- a/fleet/src/document/seed.rs
+++ b/fleet/src/document/seed.rs
@@ -18,8 +18,8 @@
     AlreadyStored,
 }
 
-/// Starts a thread that writes `text` as the document if the store has none. It retries until the store is
-/// known to have a document.
+/// Starts a thread that writes `text` as the document if the store has none. The thread retries until the
+/// store is known to have a document.
 ///
 /// # Errors
 /// Fails if the thread cannot be started.
--- a/http1/src/chunked.rs
+++ b/http1/src/chunked.rs
@@ -1,5 +1,5 @@
-//! State of reading a chunked body. It remains valid when a read fails midway, because each byte of the chunk
-//! framing is consumed only when it has been processed.
+//! State of reading a chunked body. The state remains valid when a read fails midway, because each byte of
+//! the chunk framing is consumed only when it has been processed.
 use crate::error::MalformedResponse;
 use std::io::{self, BufRead};
 
--- a/postgres/src/backend.rs
+++ b/postgres/src/backend.rs
@@ -17,7 +17,7 @@
 
 /// `StartupMessage` of protocol 3.0 for the platform's user and database.
 const STARTUP_MESSAGE: &[u8] = b"\0\0\0\x26\0\x03\0\0user\0worker\0database\0catalog\0\0";
-/// A Query message without text. It has no effect, and the instance responds immediately with
+/// A Query message without text, which has no effect; the instance responds immediately with
 /// `EmptyQueryResponse`.
 const EMPTY_QUERY: &[u8] = b"Q\0\0\0\x05\0";
 /// Text of the Query message of a probe.
--- a/postgres/src/front/response.rs
+++ b/postgres/src/front/response.rs
@@ -33,7 +33,7 @@
     response
 }
 
-/// Encodes the error for a client that violated the protocol; its connection is closed after it.
+/// Encodes the error for a client that violated the protocol; the connection is closed after the error.
 pub(super) fn protocol_violation(violation: ProtocolError) -> Vec<u8> {
     let mut response = Vec::new();
     push_error(&mut response, Severity::Fatal, "08P01", &violation.to_string(), None);
--- a/postgres/src/front/session.rs
+++ b/postgres/src/front/session.rs
@@ -122,7 +122,7 @@
         if self.connection.in_flight_requests.is_disconnected() {
             return Err(SessionEnd::Disconnected);
         }
-        // A request is not accepted if the queue has no place for its response.
+        // A request is not accepted if the queue has no capacity for its response.
         if frame.tag == b'Q' && self.writer.as_ref().is_some_and(ResponseWriter::is_full) {
             return Err(SessionEnd::Violation(ProtocolError::TooManyPipelined));
         }
--- a/postgres/src/response.rs
+++ b/postgres/src/response.rs
@@ -50,7 +50,7 @@
 /// Error for a message that is not valid at its place in a response.
 struct UnexpectedMessage;
 
-/// Parses a response. It consists of a row description, a row and `CommandComplete`, or of an error; then
+/// Parses a response, which consists of a row description, a row and `CommandComplete`, or of an error; then
 /// `ReadyForQuery`. Parameters and notices may come in between.
 pub struct ResponseParser {
     kind: ResponseKind,
--- a/routing/src/backends/actor.rs
+++ b/routing/src/backends/actor.rs
@@ -60,7 +60,7 @@
         self.backends.insert(id, backend);
     }
 
-    /// Closes expired idle connections. It also compensates for commands that were lost because the mailbox
+    /// Closes expired idle connections. This also compensates for commands that were lost because the mailbox
     /// was full: it closes connections of endpoints out of service and removes retired backends.
     fn close_expired(&mut self, mailbox: &Receiver<AddressedCommand<P>>) {
         self.backends.values_mut().for_each(Backend::close_expired);
--- a/routing/src/endpoint.rs
+++ b/routing/src/endpoint.rs
@@ -53,10 +53,10 @@
     VersionsRestarted,
 }
 
-/// Maintenance that operators have requested. It overrides the states in the endpoint list.
+/// Maintenance that operators have requested, which overrides the states in the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MaintenanceMask {
-    /// IDs of endpoints in maintenance. They are treated as draining while they are listed as ready.
+    /// IDs of endpoints in maintenance, which are treated as draining while they are listed as ready.
     pub in_maintenance: BTreeSet<String>,
     /// IDs of endpoints that returned from maintenance, with the time of the return. Such an endpoint may
     /// have restarted without the list mentioning it, so its slow start begins no earlier than this time.
--- a/routing/src/endpoints.rs
+++ b/routing/src/endpoints.rs
@@ -54,7 +54,7 @@
         self.sender.send(EndpointsMessage::Barrier(done_sender)).is_ok() && done.recv_timeout(timeout).is_ok()
     }
 
-    /// Returns the IDs of the listed endpoints. They are published only if the router has metrics; otherwise
+    /// Returns the IDs of the listed endpoints, which are published only if the router has metrics; otherwise
     /// the set is empty.
     pub fn ids(&self) -> BTreeSet<String> {
         self.published.ids()
--- a/routing/src/endpoints/actor.rs
+++ b/routing/src/endpoints/actor.rs
@@ -33,7 +33,7 @@
     /// Unavailable groups in the last notification to the router actor.
     unavailable_groups: BTreeSet<GroupId>,
     wall_clock: WallClock,
-    /// Last reported start of each endpoint, by ID. It is converted only once, so that later steps of the
+    /// Last reported start of each endpoint, by ID, which is converted only once, so that later steps of the
     /// wall clock do not change the result.
     starts: BTreeMap<String, ReportedStart>,
 }
--- a/routing/src/observer.rs
+++ b/routing/src/observer.rs
@@ -1,4 +1,5 @@
-//! Run-time check of the invariants of request handling. It uses only the transitions of each open request.
+//! Run-time check of the invariants of request handling, which uses only the transitions of each open
+//! request.
 //!
 //! The observer makes no decisions and has no access to the decision state machine or to permits. It is
 //! notified when a request is accepted, when each attempt is dispatched and ends, and when the request ends.
--- a/routing/src/permit/attempt.rs
+++ b/routing/src/permit/attempt.rs
@@ -57,8 +57,8 @@
 #[derive(Clone, Default)]
 pub struct AttemptGuard(Arc<Shared>);
 
-/// Permit to write one request to a server. It is issued only by [`AttemptGuard::permit_write`], and the last
-/// write of the request consumes it.
+/// Permit to write one request to a server. Only [`AttemptGuard::permit_write`] issues such a permit, and the
+/// last write of the request consumes it.
 #[must_use]
 pub struct WritePermit(AttemptGuard);
 
--- a/routing/src/permit/endpoint_state.rs
+++ b/routing/src/permit/endpoint_state.rs
@@ -1,5 +1,5 @@
-//! Shared flag that specifies whether an endpoint accepts new exchanges. It is written by the router actor
-//! and read by the threads that start exchanges.
+//! Shared flag that specifies whether an endpoint accepts new exchanges. The flag is written by the router
+//! actor and read by the threads that start exchanges.
 use super::denial::{Denial, Verdict};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/routing/src/request.rs
+++ b/routing/src/request.rs
@@ -23,6 +23,6 @@
     pub session_commit: Option<Time>,
     /// Message to send to an endpoint.
     pub payload: P::Payload,
-    /// Channel for the final response. It must have capacity for one message.
+    /// Channel for the final response, which must have capacity for one message.
     pub response_sender: Sender<FinalResponse<P::Response>>,
 }
--- a/routing/src/router/actor.rs
+++ b/routing/src/router/actor.rs
@@ -73,7 +73,7 @@
     pub(super) endpoints: HashMap<MemberId, EndpointRecord<P>>,
     pub(super) requests: HashMap<RequestId, RequestRecord<P>>,
     pub(super) timers: BinaryHeap<Reverse<(Time, Timer)>>,
-    /// Messages that the actor sends to itself. They are handled after the current message.
+    /// Messages that the actor sends to itself, which are handled after the current message.
     pub(super) deferred: VecDeque<RouterMessage<P>>,
     pub(super) responded: Option<Arc<RespondedEndpoints>>,
     pub(super) metrics: Option<Arc<Metrics>>,
--- a/routing/src/router/attempts.rs
+++ b/routing/src/router/attempts.rs
@@ -27,7 +27,7 @@
 }
 
 impl<P: BackendProtocol> RouterActor<P> {
-    /// Sends an attempt. It may start no later than `latest_start` and times out at `deadline`.
+    /// Sends an attempt, which may start no later than `latest_start` and times out at `deadline`.
     pub(super) fn send_attempt(
         &mut self,
         request: RequestId,
--- a/routing/src/router/requests.rs
+++ b/routing/src/router/requests.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 impl<P: BackendProtocol> RouterActor<P> {
-    /// Records a request and passes it to the decision state machine. It is rejected immediately if placement
-    /// denies it or if its group is unavailable.
+    /// Records a request and passes it to the decision state machine. A request is rejected immediately if
+    /// placement denies it or if its group is unavailable.
     pub(super) fn request_arrived(&mut self, id: RequestId, arrived: ClientRequest<P>) {
         let ClientRequest {
             connection,
--- a/routing/src/router/transitions.rs
+++ b/routing/src/router/transitions.rs
@@ -158,8 +158,8 @@
     }
 
     /// Reports an invariant violation, which is a bug in the router, as an error in the log and in a counter.
-    /// In debug builds, including tests, it also panics, unless the violation can be caused by a lack of CPU
-    /// time alone.
+    /// In debug builds, including tests, this also panics, unless the violation can be caused by a lack of
+    /// CPU time alone.
     fn report(&self, violation: &Violation) {
         let Violation { invariant, request, attempt } = violation;
         let name = invariant.name();
--- a/routing/src/threads.rs
+++ b/routing/src/threads.rs
@@ -17,7 +17,7 @@
 pub struct SpawnError<F> {
     /// Error returned by the operating system.
     pub source: io::Error,
-    /// Closure that was to run on the thread. It has not been called.
+    /// Closure that was to run on the thread and has not been called.
     pub run: F,
 }
 
--- a/routing/src/wall_clock/converter.rs
+++ b/routing/src/wall_clock/converter.rs
@@ -1,5 +1,5 @@
-//! Converter for reported times that connections share. It reads both clocks and stores the last position of
-//! each server.
+//! Converter for reported times that connections share. The converter reads both clocks and stores the last
+//! position of each server.
 use super::offsets::{ClockOffsets, MAX_POSITION_AHEAD, ReportingClock};
 use crate::clock::Clock;
 use decision::Time;
--- a/routing/tests/common/mod.rs
+++ b/routing/tests/common/mod.rs
@@ -42,7 +42,7 @@
     )
 }
 
-/// Returns a listener that accepts connections and leaves them open. It provides the socket that a server
+/// Returns a listener that accepts connections and leaves them open. This provides the socket that a server
 /// connection requires; written data is not read.
 pub(crate) fn accepting_listener() -> Arc<TcpListener> {
     let listener = Arc::new(TcpListener::bind("127.0.0.1:0").unwrap());
--- a/routing/tests/endpoints.rs
+++ b/routing/tests/endpoints.rs
@@ -85,7 +85,7 @@
     // The same update is received from both watches.
     let same = fixture.notify(UpdateOrder::Consecutive, update(45, false, &[("a", DRAINING)]));
     assert_eq!(same, (states(&[("a", DRAINING)]), 45));
-    // A complete list replaces the current one even if its version is the same or lower: it may be from
+    // A complete list replaces the current one even if its version is the same or lower: the list may be from
     // another discovery agent or from one that has restarted.
     let complete = fixture.notify(UpdateOrder::Consecutive, update(45, true, &[("c", READY)]));
     assert_eq!(complete, (states(&[("c", READY)]), 45));
--- a/routing/tests/handover/script.rs
+++ b/routing/tests/handover/script.rs
@@ -128,7 +128,7 @@
     }
 }
 
-/// Payload of a request. It is dropped when no attempt of the request is in flight any longer.
+/// Payload of a request, which is dropped when no attempt of the request is in flight any longer.
 pub(crate) struct Payload {
     _in_use: Sender<()>,
 }
--- a/store/src/client.rs
+++ b/store/src/client.rs
@@ -1,6 +1,6 @@
-//! A client of the store. It sends requests to any node, switches to another node after a failure, and
-//! retries requests where that is safe: each attempt of a write carries the same sequence number, so that the
-//! write is applied at most once.
+//! A client of the store. The client sends requests to any node, switches to another node after a failure,
+//! and retries requests where that is safe: each attempt of a write carries the same sequence number, so that
+//! the write is applied at most once.
 //!
 //! The client counts down a lease from before it was requested, and for a shorter time than it was granted
 //! for, by the share [`MAX_CLOCK_DRIFT`]. As long as the monotonic clocks of this process and of the leader
@@ -66,7 +66,7 @@
 }
 
 impl Client {
-    /// Creates a client. It connects when the first call is made.
+    /// Creates a client, which connects when the first call is made.
     pub fn new(settings: Settings) -> Client {
         let session = Session::new(settings.clone());
         Client { settings, session: Arc::new(Mutex::new(session)) }
--- a/store/src/client/connection.rs
+++ b/store/src/client/connection.rs
@@ -6,8 +6,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The first backoff. It doubles with each attempt. The actual pause is drawn at random between half of the
-/// backoff and all of it.
+/// The first backoff, which doubles with each attempt. The actual pause is drawn at random between half of
+/// the backoff and all of it.
 pub(super) const MIN_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
--- a/store/src/client/session.rs
+++ b/store/src/client/session.rs
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Makes a write, which is applied at most once. Its sequence number follows that of the last write,
+    /// Makes a write, which is applied at most once. The sequence number follows that of the last write,
     /// whether or not that one succeeded.
     pub(super) fn write(&mut self, operation: &Operation) -> Result<Written, ClientError> {
         loop {
--- a/store/src/command.rs
+++ b/store/src/command.rs
@@ -78,8 +78,8 @@
         /// command, the lease stays alive.
         renewals: u64,
     },
-    /// An update in the legacy log format, from before leases and limits were introduced. It is applied
-    /// without limits.
+    /// An update in the legacy log format, from before leases and limits were introduced, which is
+    /// applied without limits.
     LegacyUpdate(Update),
 }
 
--- a/store/src/limits.rs
+++ b/store/src/limits.rs
@@ -1,5 +1,5 @@
-//! Limits of the replicated state. They determine the responses to commands, so they must be identical on all
-//! nodes: they are compiled into the program and cannot be configured.
+//! Limits of the replicated state. The limits determine the responses to commands, so they must be identical
+//! on all nodes: they are compiled into the program and cannot be configured.
 use crate::rejection::Rejection;
 
 /// The tick length for counting down leases, in milliseconds. Two ticks of the leader are at least this far
@@ -21,14 +21,14 @@
     pub max_key_bytes: usize,
     /// Maximum length of a value, in bytes.
     pub max_value_bytes: usize,
-    /// Maximum total length of all keys and values, in bytes. It keeps a snapshot small enough for one
+    /// Maximum total length of all keys and values, in bytes. This keeps a snapshot small enough for one
     /// message between nodes.
     pub max_total_bytes: usize,
     /// Maximum number of registered clients; the last write of each is retained for retries.
     pub max_clients: usize,
     /// Maximum number of lease names, held or free, whose highest epoch is retained.
     pub max_lease_names: usize,
-    /// Maximum number of keys attached to one lease. They are all removed in a single change when the lease
+    /// Maximum number of keys attached to one lease. All keys are removed in a single change when the lease
     /// ends.
     pub max_keys_per_lease: usize,
 }
--- a/store/src/log_file.rs
+++ b/store/src/log_file.rs
@@ -25,7 +25,7 @@
 /// Length of a record's length field and checksum, in bytes.
 const HEADER_BYTES: usize = 8;
 
-/// Why a log file is rejected. Its records have been acknowledged, so none of them may be dropped.
+/// Why a log file is rejected. The records have been acknowledged, so none of them may be dropped.
 #[derive(Debug, thiserror::Error)]
 enum LogDamage {
     #[error(
@@ -160,7 +160,7 @@
     /// Appends entries and a hard state, and syncs the file.
     ///
     /// # Errors
-    /// Fails if the file cannot be written or synced. Its contents are unknown after that.
+    /// Fails if the file cannot be written or synced. The file's contents are unknown after that.
     pub fn append(&mut self, entries: &[Entry], hard_state: Option<&HardState>) -> io::Result<()> {
         let mut bytes = Vec::new();
         for entry in entries {
--- a/store/src/machine/clients.rs
+++ b/store/src/machine/clients.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The stored state of a client. It is part of a snapshot: the order of the fields must not change.
+/// The stored state of a client, which is part of a snapshot: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ClientRecord {
     /// The sequence number of the client's last write, 0 before the first one.
--- a/store/src/machine/leases.rs
+++ b/store/src/machine/leases.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A held lease. It is part of a snapshot: the order of the fields must not change.
+/// A held lease, which is part of a snapshot: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Lease {
     pub(super) epoch: u64,
@@ -27,7 +27,7 @@
     }
 }
 
-/// The record of a lease name. It is part of a snapshot: the order of the fields must not change.
+/// The record of a lease name, which is part of a snapshot: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct NameRecord {
     highest_epoch: u64,
--- a/store/src/node/actor.rs
+++ b/store/src/node/actor.rs
@@ -23,7 +23,7 @@
 const TICK: Duration = Duration::from_millis(TICK_MS);
 /// Writes that are not committed and reads that are not confirmed within this time are rejected.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Maximum number of commands per iteration of the loop. Their log entries are synced together.
+/// Maximum number of commands per iteration of the loop, whose log entries are synced together.
 const MAX_BATCH: usize = 256;
 /// The key that marks a store whose seed keys have been written.
 const SEEDED_KEY: &str = "seeded";
@@ -177,9 +177,7 @@
                 self.settings.peers.insert(node, addr);
                 tracing::info!(node, %addr, "store peer address changed");
             }
-            Err(error) => {
-                tracing::error!(node, %error, "store sender thread not started, peer address not changed");
-            }
+            Err(error) => tracing::error!(node, %error, "store sender thread not started, old address used"),
         }
     }
 
--- a/store/src/node/handle.rs
+++ b/store/src/node/handle.rs
@@ -69,8 +69,8 @@
         self.shared.machine().state().clone()
     }
 
-    /// A linearizable read of all keys. It contains every write that was acknowledged by any node before this
-    /// call: a majority has confirmed the leader since then, and this node has caught up.
+    /// A linearizable read of all keys, which contains every write that was acknowledged by any node before
+    /// this call: a majority has confirmed the leader since then, and this node has caught up.
     ///
     /// # Errors
     /// [`Rejection::NoQuorum`] if the leader was not confirmed or this node did not catch up in time.
--- a/store/src/node/reads.rs
+++ b/store/src/node/reads.rs
@@ -52,8 +52,8 @@
 }
 
 /// The readers that wait for a response. A reader moves from `waiting` to `requested` when a read index
-/// request is sent, and to `confirmed` when the read index is received. It gets its response when that index
-/// is applied.
+/// request is sent, and to `confirmed` when the read index is received. A reader gets the response when that
+/// index is applied.
 #[derive(Default)]
 pub struct PendingReads {
     /// Readers for the next read index request.
--- a/store/src/state.rs
+++ b/store/src/state.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value as Json;
 
-/// The value of a key. It is stored and exchanged in serialized form: the order of the fields must not
+/// The value of a key. A value is stored and exchanged in serialized form: the order of the fields must not
 /// change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Value {
@@ -17,8 +17,8 @@
     pub text: String,
 }
 
-/// An update of one key. It is stored and exchanged in serialized form: the order of the fields must not
-/// change.
+/// An update of one key. An update is stored and exchanged in serialized form: the order of the fields must
+/// not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The key to update.
--- a/store/src/threads.rs
+++ b/store/src/threads.rs
@@ -1,4 +1,4 @@
-//! Spawns the named threads of this package. Their stacks are small because each connection has a thread.
+//! Spawns the named threads of this package. The stacks are small because each connection has a thread.
 use std::io;
 use std::time::Duration;
 
--- a/store/src/wire/messages.rs
+++ b/store/src/wire/messages.rs
@@ -1,5 +1,5 @@
-//! The messages between clients and nodes. They are sent in the postcard format, which contains neither type
-//! nor field names: the order of variants and fields must not change.
+//! The messages between clients and nodes. Messages are sent in the postcard format, which contains neither
+//! type nor field names: the order of variants and fields must not change.
 use crate::command::{ChangeSet, CommandResponse, Operation, RequestOrigin};
 use crate::rejection::Rejection;
 use crate::state::Value;
@@ -10,7 +10,7 @@
 pub enum Consistency {
     /// The read contains every write that was acknowledged by any node before the read was requested.
     Linearizable,
-    /// The read returns this node's state. It may be stale, by any amount of time while the node is
+    /// The read returns this node's state, which may be stale, by any amount of time while the node is
     /// partitioned.
     Local,
 }
--- a/store/tests/recorded/limits.rs
+++ b/store/tests/recorded/limits.rs
@@ -1,4 +1,4 @@
-//! Rejections by limits. Their texts are sent to clients and stored in snapshots.
+//! Rejections by limits, whose texts are sent to clients and stored in snapshots.
 use crate::fixtures::FIXTURES;
 use crate::samples::{set, update};
 use std::fmt::Write;
