--- a/client-listener/tests/connections/limits.rs
+++ b/client-listener/tests/connections/limits.rs
@@ -43,13 +43,13 @@
     assert_closed_without_reset(&lingering);
     let idle = server.connect();
     let (connection, release) =
-        connections.recv_timeout(TEST_TIMEOUT).expect("the lingering connection is evicted");
+        connections.recv_timeout(TEST_TIMEOUT).expect("the lingering connection was not evicted");
     let mut next = server.connect();
     assert_closed_without_reset(&idle);
     assert!(!connection.begin_command(false), "command accepted after the close");
     drop((connection, release));
     let (connection, _release) =
-        connections.recv_timeout(TEST_TIMEOUT).expect("the idle connection is evicted");
+        connections.recv_timeout(TEST_TIMEOUT).expect("the idle connection was not evicted");
     next.write_all(b"request").unwrap();
     wait_until_readable(&connection);
     // A connection with a command in flight is not evicted, however many connect.
--- a/client-listener/tests/connections/shutdown.rs
+++ b/client-listener/tests/connections/shutdown.rs
@@ -25,7 +25,7 @@
     // The server's own close must not look like a disconnect of the client.
     assert!(!receiving_side_ended(&connection.socket), "the server has shut down its receiving side");
     client.write_all(b"2").unwrap();
-    readers_ended.recv_timeout(TEST_TIMEOUT).expect("the reader ends when bytes arrive after the close");
+    readers_ended.recv_timeout(TEST_TIMEOUT).expect("the reader did not end when bytes arrived");
     assert!(commands.try_recv().is_err(), "command accepted after the close");
     let weak = Arc::downgrade(&connection);
     drop(connection);
--- a/client-listener/tests/connections/support.rs
+++ b/client-listener/tests/connections/support.rs
@@ -106,7 +106,7 @@
     }
 
     pub(crate) fn wait_until_stopped(&self) {
-        self.stopped.recv_timeout(TEST_TIMEOUT).expect("the server stops");
+        self.stopped.recv_timeout(TEST_TIMEOUT).expect("the server did not stop");
     }
 }
 
--- a/client-listener/tests/in_flight_commands.rs
+++ b/client-listener/tests/in_flight_commands.rs
@@ -169,16 +169,16 @@
     assert!(commands.permit_command().is_ok() && commands.permit_command().is_ok());
     assert!(
         commands.permit_last_response().is_err() && commands.permit_idle_close().is_err(),
-        "two commands are in flight"
+        "must be denied while two commands are in flight"
     );
     commands.close();
     assert!(commands.is_closed() && commands.permit_command().is_err());
     assert_eq!(commands.count(), 2);
     assert!(
         commands.permit_last_response().is_err() && commands.permit_idle_close().is_err(),
-        "the connection is closed already"
+        "must be denied because the connection is closed already"
     );
     assert!(!commands.finish());
-    assert!(commands.finish(), "the last command closes the connection");
+    assert!(commands.finish(), "the last command must close the connection");
     assert!(commands.permit_command().is_err() && commands.permit_idle_close().is_err());
 }
--- a/client-listener/tests/shutdown.rs
+++ b/client-listener/tests/shutdown.rs
@@ -39,7 +39,7 @@
     assert_eq!(tick(&mut server, 599, 9), []);
     assert_eq!(tick(&mut server, 600, 9), [Action::SetClosePolicy(ClosePolicy::CloseWhenIdle)]);
     assert_eq!(tick(&mut server, 1600, 2), [Action::SetClosePolicy(ClosePolicy::StopReading)]);
-    assert_eq!(tick(&mut server, 9000, 0), [], "a drained process goes on without connections");
+    assert_eq!(tick(&mut server, 9000, 0), [], "a drained process must not complete without a shutdown");
     assert_eq!(
         handle(&mut server, 9001, Event::SetDraining(false)),
         [Action::ReportDraining(false), Action::SetClosePolicy(ClosePolicy::KeepOpen)]
@@ -51,7 +51,7 @@
 fn shutdown_accepts_through_grace_and_completes_when_all_closed_or_at_deadline() {
     let mut server = new_server();
     assert_eq!(handle(&mut server, 0, Event::Shutdown { successor: false }), []);
-    assert_eq!(tick(&mut server, 599, 0), [], "clients may still connect");
+    assert_eq!(tick(&mut server, 599, 0), [], "clients must be able to connect during the grace period");
     assert_eq!(
         tick(&mut server, 600, 3),
         [Action::StopAccepting, Action::SetClosePolicy(ClosePolicy::CloseWhenIdle)]
@@ -93,9 +93,9 @@
     assert_eq!(
         actions,
         [Action::ReportDraining(false)],
-        "the shutdown continues without relaxing the policy"
+        "the end of a drain must not relax the policy of a shutdown"
     );
-    assert_eq!(tick(&mut server, 2450, 1), [], "reading stays stopped");
+    assert_eq!(tick(&mut server, 2450, 1), [], "reading must not resume during a shutdown");
     assert_eq!(tick(&mut server, 2451, 0), [Action::Complete]);
     let mut server = new_server();
     handle(&mut server, 0, Event::Shutdown { successor: true });
--- a/decision/tests/attempts.rs
+++ b/decision/tests/attempts.rs
@@ -50,7 +50,7 @@
     assert_eq!(
         start_timeouts(&actions),
         [1200 * MS],
-        "a first attempt may start until the client's deadline"
+        "a first attempt must be allowed to start until the client's deadline"
     );
     router.now += 60 * MS;
     let again = router.end_attempt(write, 0, MemberId(0), Outcome::Reset);
--- a/decision/tests/choice.rs
+++ b/decision/tests/choice.rs
@@ -120,7 +120,7 @@
         (1, 0),
         "the read must be sent without a probe, because each router would probe every member"
     );
-    assert_ne!(sent[0].1, MemberId(0), "the listed primary is reserved for writes");
+    assert_ne!(sent[0].1, MemberId(0), "the listed primary must be reserved for writes");
     let response_report = MemberReport { primary: Some(false), position: Some(Time(router.now)) };
     router.end_attempt_with_report(read, 0, sent[0].1, Outcome::Ok, response_report, None);
     // The reported position counts: a session read with an older commit goes to this replica.
@@ -146,7 +146,7 @@
             None,
         );
     }
-    assert_eq!(tried_members[0], MemberId(0), "the listed primary is tried first");
+    assert_eq!(tried_members[0], MemberId(0), "the listed primary must be tried first");
     tried_members.sort_unstable();
     assert_eq!(tried_members, [MemberId(0), MemberId(1), MemberId(2)]);
     assert!(!is_rejected(&actions, id) && !is_failed(&actions, id));
@@ -160,7 +160,7 @@
     // A report names the new primary, and queued requests are sent to it.
     router.now += 20 * MS;
     let actions = router.probe_ended(2, true, 0);
-    assert!(sent_attempts(&actions).is_empty(), "a recent response takes precedence over a report");
+    assert!(sent_attempts(&actions).is_empty(), "a recent response must take precedence over a report");
     router.now += 1000 * MS;
     let actions = router.probe_ended(2, true, 0);
     assert!(sent_attempts(&actions).iter().all(|s| s.1 == MemberId(2)));
--- a/decision/tests/health.rs
+++ b/decision/tests/health.rs
@@ -41,10 +41,10 @@
     assert_eq!(
         router.inner.unavailable_member_count(),
         1,
-        "counted as unavailable despite its attempt in flight"
+        "must count as unavailable despite an attempt in flight"
     );
     router.now += 3000 * MS;
-    assert_eq!(router.inner.unavailable_member_count(), 1, "unavailable until a probe succeeds");
+    assert_eq!(router.inner.unavailable_member_count(), 1, "must be unavailable until a probe succeeds");
     router.handle(Event::TimerExpired);
     router.probe_ended(failing.0, false, 0);
     assert_eq!(router.inner.unavailable_member_count(), 0);
@@ -66,7 +66,7 @@
     let actions = router.end_attempt(read, 0, failing, Outcome::Reset);
     assert!(actions.contains(&Action::Probe { member: failing }));
     assert!(sent_attempts(&actions).iter().all(|s| s.1 != failing));
-    assert!(!reads_reach(&mut router, failing), "ejected until the probe succeeds");
+    assert!(!reads_reach(&mut router, failing), "must be ejected until the probe succeeds");
     router.probe_ended(failing.0, false, 0);
     // The member is neither ejected nor treated as one that has just started.
     assert!((0..10).filter(|_| reads_reach(&mut router, failing)).count() >= 8);
--- a/decision/tests/invariants.rs
+++ b/decision/tests/invariants.rs
@@ -92,7 +92,7 @@
                     let may_have_run = pending.may_have_run().next().is_some();
                     assert!(
                         safe_to_retry || !may_have_run,
-                        "rejected although an attempt may have run: {idempotency:?}"
+                        "a request was rejected although an attempt may have run: {idempotency:?}"
                     );
                     self.finish(request.0);
                 }
@@ -123,11 +123,15 @@
 
     fn check_send(&mut self, id: u64, member: u32, timeout: Micros, start_timeout: Micros) {
         let now = self.router.now;
-        assert_eq!(self.ready.get(&member), Some(&true), "sent to a draining or removed member");
+        assert_eq!(
+            self.ready.get(&member),
+            Some(&true),
+            "an attempt was sent to a draining or removed member"
+        );
         let settings = &self.settings;
         let pending = self.pending.get_mut(&id).expect("a sent request is pending");
         let class = &settings.classes[pending.class];
-        assert!(!pending.finished, "sent after the final response");
+        assert!(!pending.finished, "an attempt was sent after the final response");
         assert!(start_timeout <= timeout, "an attempt may start after its timeout");
         assert!(pending.attempts.len() < settings.max_attempts as usize, "too many attempts");
         let none_in_flight = pending.attempts.iter().all(|a| !a.in_flight);
--- a/postgres/tests/fuzz.rs
+++ b/postgres/tests/fuzz.rs
@@ -204,10 +204,10 @@
     if result.outcome == Outcome::Ok {
         prop_assert!(tags.starts_with(b"TDC"), "{tags:?}");
         let text: Vec<u8> = ordered[..3].iter().flat_map(|m| m.iter().copied()).collect();
-        prop_assert_eq!(result.response.as_deref(), Some(&text[..]), "only received messages are forwarded");
+        prop_assert_eq!(result.response.as_deref(), Some(&text[..]), "unreceived bytes were forwarded");
         let value = &ordered[1][5..];
         let length = u32::from_be_bytes([value[2], value[3], value[4], value[5]]) as usize;
-        prop_assert!(value[..2] == [0, 1] && length == value.len() - 6, "one complete value");
+        prop_assert!(value[..2] == [0, 1] && length == value.len() - 6, "the value is not complete");
     } else {
         prop_assert!(result.response.is_none() && result.commit.is_none());
     }
@@ -303,7 +303,7 @@
             }
             prop_assert!(buffer.read_message(&mut source).unwrap().is_none() && buffer.is_empty());
         }
-        prop_assert_eq!(pool.available_bytes(), POOL_BYTES as isize, "all memory is returned to the pool");
+        prop_assert_eq!(pool.available_bytes(), POOL_BYTES as isize, "memory was not returned to the pool");
     }
 
     #[test]
--- a/routing/src/wall_clock.rs
+++ b/routing/src/wall_clock.rs
@@ -5,10 +5,10 @@
 //! stepped by any amount at any time. The router uses its own [`Clock`](crate::Clock), which is never
 //! stepped, so reported times are converted here.
 //!
-//! [`ClockOffsets`] does the calculation without accessing a clock. The caller passes readings of the wall
-//! clock, detects steps, and stores the offsets from before the last steps. A reported time may have been
-//! read before or after a step, so it can have more than one meaning. The interpretation is chosen such that
-//! an error is safe:
+//! [`ClockOffsets`] does the calculation without accessing a clock: it is given readings of the wall clock,
+//! detects steps, and stores the offsets from before the last steps. A reported time may have been read
+//! before or after a step, so it can have more than one meaning. The interpretation is chosen such that an
+//! error is safe:
 //!
 //! - for the start of a server and for a commit that must be observed, the latest possible time is used;
 //! - for the position of a replica, the earliest possible time is used, unless the replica is known to use
--- a/routing/tests/attempt_guard.rs
+++ b/routing/tests/attempt_guard.rs
@@ -93,7 +93,10 @@
     let state = EndpointState::default();
     let guard = AttemptGuard::new(state.clone());
     assert!(guard.check_start().is_ok() && permits_start(&guard));
-    assert!(state.set_in_service(false) && !state.set_in_service(false), "only the first call is a change");
+    assert!(
+        state.set_in_service(false) && !state.set_in_service(false),
+        "only the first call must return true"
+    );
     assert!(guard.check_start().is_err() && !permits_start(&guard), "a repeated write must be denied too");
     assert!(state.set_in_service(true) && permits_start(&guard));
     state.retire();
