--- a/http1/src/error.rs
+++ b/http1/src/error.rs
@@ -1,7 +1,7 @@
 //! Errors for malformed responses.
 use std::io;
 
-/// Why a response is malformed. This is the source of an [`io::Error`] of the kind
+/// Why a response is malformed; the source of an [`io::Error`] of the kind
 /// [`io::ErrorKind::InvalidData`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedResponse {
