--- a/client-listener/src/listener.rs
+++ b/client-listener/src/listener.rs
@@ -37,17 +37,17 @@
 /// A listening socket for clients.
 #[derive(Debug)]
 pub enum ClientListener {
-    /// Used by this process only.
+    /// A listener that only this process uses.
     Exclusive(TcpListener),
-    /// Shared with other processes of this router.
+    /// A listener that is shared with other processes of this router.
     Inherited(TcpListener),
 }
 
 impl ClientListener {
-    /// Takes ownership of the listener with this descriptor number; it is closed when this process ends.
+    /// Takes ownership of the listener with this descriptor number, which is closed when this process ends.
     ///
     /// # Errors
-    /// Fails if the descriptor is not a listener. It is left unchanged then.
+    /// Fails if the descriptor is not a listener. The descriptor is left unchanged then.
     pub fn from_inherited_descriptor(descriptor: &str) -> Result<ClientListener, InheritedSocketError> {
         let number = descriptor.trim().parse().ok().filter(|n: &RawFd| *n > LAST_STANDARD_DESCRIPTOR);
         let fd = number.ok_or_else(|| InheritedSocketError::InvalidDescriptor(descriptor.to_string()))?;
@@ -159,7 +159,7 @@
     pub fn wake(&self) {
         if let Some((socket, address)) = &self.target {
             // A blocked accept returns only for a connection. If this connection fails, the backlog is full
-            // of others that wake the accept too.
+            // of other connections, which also wake the accept.
             _ = socket.connect_timeout(address, WAKE_TIMEOUT);
             _ = socket.shutdown(Shutdown::Both);
         }
--- a/postgres/src/backend.rs
+++ b/postgres/src/backend.rs
@@ -17,7 +17,7 @@
 
 /// `StartupMessage` of protocol 3.0 for the platform's user and database.
 const STARTUP_MESSAGE: &[u8] = b"\0\0\0\x26\0\x03\0\0user\0worker\0database\0catalog\0\0";
-/// A Query message without text. It has no effect, and the instance responds immediately with
+/// A Query message without text, which has no effect; the instance responds immediately with
 /// `EmptyQueryResponse`.
 const EMPTY_QUERY: &[u8] = b"Q\0\0\0\x05\0";
 /// Text of the Query message of a probe.
@@ -111,8 +111,8 @@
             return Err(NotSent::ConnectionBroken);
         }
         let permit = guard.permit_write().map_err(|_| NotSent::Cancelled)?;
-        // The clock is read after the permit was obtained, so that the waiting time in the message is what is
-        // left when it is sent.
+        // The clock is read after the permit was obtained, so that the waiting time in the message is the
+        // time left when the message is sent.
         let now = Instant::now();
         let (kind, deadlines, written) = match exchange {
             Exchange::Attempt(statement, deadline) => {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Until when a response is awaited.
+/// Deadlines for the response to an exchange.
 struct Deadlines {
     /// Deadline after which the response is of no use to the client.
     response: Instant,
--- a/postgres/src/front/session.rs
+++ b/postgres/src/front/session.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Reads and handles one command. Returns without one if none was received within the read timeout and
+    /// Reads and handles one command. Also returns if no command was received within the read timeout and
     /// the connection stays open.
     fn read_command(&mut self) -> Result<(), SessionEnd> {
         let Some(frame) = self.read_frame()? else { return Ok(()) };
@@ -122,7 +122,7 @@
         if self.connection.in_flight_requests.is_disconnected() {
             return Err(SessionEnd::Disconnected);
         }
-        // A request is not accepted if the queue has no place for its response.
+        // A request is not accepted if the queue has no capacity for its response.
         if frame.tag == b'Q' && self.writer.as_ref().is_some_and(ResponseWriter::is_full) {
             return Err(SessionEnd::Violation(ProtocolError::TooManyPipelined));
         }
--- a/routing/src/router/attempts.rs
+++ b/routing/src/router/attempts.rs
@@ -27,7 +27,7 @@
 }
 
 impl<P: BackendProtocol> RouterActor<P> {
-    /// Sends an attempt. It may start no later than `latest_start` and times out at `deadline`.
+    /// Sends an attempt, which may start no later than `latest_start` and times out at `deadline`.
     pub(super) fn send_attempt(
         &mut self,
         request: RequestId,
@@ -105,8 +105,8 @@
         self.start_backends_actor();
         let Some(sender) = self.backends.clone() else { return false };
         let Some(record) = self.endpoints.get_mut(&endpoint) else { return false };
-        self.last_backend += 1;
-        record.backend = Some(BackendRef { id: BackendId(self.last_backend), sender });
+        self.last_backend_id += 1;
+        record.backend = Some(BackendRef { id: BackendId(self.last_backend_id), sender });
         let (addr, state) = (record.addr, record.state.clone());
         let created = record.send(BackendCommand::Create { member: endpoint, addr, state });
         if !created {
@@ -122,7 +122,7 @@
         match backends::start(self.resources.clone()) {
             Ok(sender) => self.backends = Some(sender),
             Err(error) => {
-                tracing::error!(%error, "cannot start backends thread, nothing sent until a retry succeeds");
+                tracing::error!(%error, "backends thread not started, nothing sent until a retry succeeds");
             }
         }
     }
--- a/store/src/machine/leases.rs
+++ b/store/src/machine/leases.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A held lease. It is part of a snapshot: the order of the fields must not change.
+/// A held lease, which is part of a snapshot: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Lease {
     pub(super) epoch: u64,
     ttl_ms: u64,
     pub(super) renewals: u64,
-    /// Not serialized: a snapshot contains the lease epoch of each key, from which this set is rebuilt.
+    /// Not serialized: a snapshot contains the lease epoch of each key, from which this field is rebuilt.
     #[serde(skip)]
     pub(super) attached_keys: BTreeSet<String>,
 }
@@ -27,11 +27,11 @@
     }
 }
 
-/// The record of a lease name. It is part of a snapshot: the order of the fields must not change.
+/// The record of a lease name, which is part of a snapshot: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct NameRecord {
     highest_epoch: u64,
-    /// `None` while the name is free.
+    /// The current lease; `None` while the name is free.
     lease: Option<Lease>,
 }
 
