--- a/fleet/src/client/mod.rs
+++ b/fleet/src/client/mod.rs
@@ -64,7 +64,7 @@
     pub incarnation: u64,
     /// The names of the router's request classes, for a warning about placement rules for unknown classes.
     pub classes: Vec<String>,
-    /// Constants of the quota state machines. They must be the same on all routers and nodes.
+    /// Constants of the quota state machines, which must be the same on all routers and nodes.
     pub quotas: quotas::Settings,
     /// Seed for the random jitter of the pauses between reports.
     pub seed: u64,
@@ -100,8 +100,8 @@
             settings: settings.quotas.clone(),
             seed: settings.seed,
         });
-        // The leader counts down the full lease. It is shorter here by the maximum drift between the two
-        // clocks.
+        // The leader counts down the full lease. The router's lease is shorter by the maximum drift between
+        // the two clocks.
         let lease_us = (settings.quotas.ttl as f64 * (1.0 - settings.quotas.max_clock_drift)) as i64;
         let fence = member.audit.map(|_| VersionFence::new(lease_us));
         let (wakeup_sender, wakeups) = bounded(1);
@@ -145,7 +145,7 @@
         Ok(ResolvedTenant { tenant, version_in_force: self.shared.check_fence()? })
     }
 
-    /// The time by which a request that is admitted now must have been sent to a server. It is the request's
+    /// The time by which a request that is admitted now must have been sent to a server: the request's
     /// deadline or, if the audit is enabled and this is earlier, shortly after the end of the lease under
     /// which the request is admitted.
     pub fn dispatch_deadline(&self, deadline: Time) -> Time {
--- a/postgres/src/response.rs
+++ b/postgres/src/response.rs
@@ -19,7 +19,7 @@
     /// No further message was received in time.
     TimedOut,
     /// A message was received that is not valid in a response. Reports in the same response are not trusted
-    /// then; a complete row before it is.
+    /// then, but a complete row before the message is.
     Malformed,
 }
 
@@ -50,7 +50,7 @@
 /// Error for a message that is not valid at its place in a response.
 struct UnexpectedMessage;
 
-/// Parses a response. It consists of a row description, a row and `CommandComplete`, or of an error; then
+/// Parses a response, which consists of a row description, a row and `CommandComplete`, or of an error; then
 /// `ReadyForQuery`. Parameters and notices may come in between.
 pub struct ResponseParser {
     kind: ResponseKind,
--- a/routing/src/permit/attempt.rs
+++ b/routing/src/permit/attempt.rs
@@ -28,7 +28,7 @@
 /// Times at which an attempt reached each step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptTimes {
-    /// Time at which a connection was first permitted, until the exchange starts on it.
+    /// Time at which opening a connection was first permitted; `None` once the first byte is permitted.
     pub connecting_since: Option<Instant>,
     /// Time at which the first byte was last permitted.
     pub permitted_at: Option<Instant>,
@@ -57,8 +57,8 @@
 #[derive(Clone, Default)]
 pub struct AttemptGuard(Arc<Shared>);
 
-/// Permit to write one request to a server. It is issued only by [`AttemptGuard::permit_write`], and the last
-/// write of the request consumes it.
+/// Permit to write one request to a server. Only [`AttemptGuard::permit_write`] issues such a permit, and the
+/// last write of the request consumes it.
 #[must_use]
 pub struct WritePermit(AttemptGuard);
 
--- a/routing/src/wall_clock.rs
+++ b/routing/src/wall_clock.rs
@@ -5,7 +5,7 @@
 //! stepped by any amount at any time. The router uses its own [`Clock`](crate::Clock), which is never
 //! stepped, so reported times are converted here.
 //!
-//! [`ClockOffsets`] does the calculation without accessing a clock. It is given readings of the wall clock,
+//! [`ClockOffsets`] does the calculation without accessing a clock: it is given readings of the wall clock,
 //! detects steps, and stores the offsets from before the last steps. A reported time may have been read
 //! before or after a step, so it can have more than one meaning. The interpretation is chosen such that an
 //! error is safe:
--- a/store/src/machine/clients.rs
+++ b/store/src/machine/clients.rs
@@ -1,10 +1,10 @@
-//! The registered clients and the response to each one's last write, which a retry receives again.
+//! The registered clients and the response to the last write of each client, which a retry receives again.
 use crate::command::{CommandResponse, RequestOrigin};
 use crate::rejection::Rejection;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The stored state of a client. It is part of a snapshot: the order of the fields must not change.
+/// The stored state of a client, which is part of a snapshot: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ClientRecord {
     /// The sequence number of the client's last write, 0 before the first one.
--- a/store/src/state.rs
+++ b/store/src/state.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value as Json;
 
-/// The value of a key. It is stored and exchanged in serialized form: the order of the fields must not
+/// The value of a key. A value is stored and exchanged in serialized form: the order of the fields must not
 /// change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Value {
@@ -13,19 +13,19 @@
     pub revision: u64,
     /// The epoch of the lease that the key is attached to, if any.
     pub lease_epoch: Option<u64>,
-    /// The text.
+    /// The text of the value.
     pub text: String,
 }
 
-/// An update of one key. It is stored and exchanged in serialized form: the order of the fields must not
-/// change.
+/// An update of one key. An update is stored and exchanged in serialized form: the order of the fields must
+/// not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The key.
+    /// The key to update.
     pub key: String,
     /// The new text; `None` deletes the key.
     pub text: Option<String>,
-    /// The version that the key must have; 0 if the key must not exist. Without it, any version is accepted.
+    /// The version that the key must have; 0 if the key must not exist. If `None`, any version is accepted.
     pub expected_version: Option<u64>,
 }
 
