--- a/multiprocess/src/check/verdict.rs
+++ b/multiprocess/src/check/verdict.rs
@@ -32,7 +32,7 @@
     pub windows: usize,
     /// Reads of the busiest replica divided by the mean of all replicas, averaged over the windows.
     pub max_by_mean: f64,
-    /// Highest value of this ratio in any window.
+    /// Highest ratio of the busiest replica's reads to the mean of all replicas in any window.
     pub worst: f64,
     /// Number of replicas without a read, summed over the windows.
     pub idle: usize,
--- a/multiprocess/src/check/violation.rs
+++ b/multiprocess/src/check/violation.rs
@@ -20,7 +20,7 @@
         server: String,
         /// Number of statements that ran outside the allowed sites.
         statements: usize,
-        /// Time between the commit of the rule and the last of these statements.
+        /// Time between the commit of the rule and the last forbidden statement.
         latest: Micros,
     },
     /// A write ran more than once.
@@ -64,19 +64,22 @@
             Violation::QuotaExceeded { tenant, worst } => write!(f, "quota of tenant {tenant}: {worst}"),
             Violation::OutsidePlacement { tenant, server, statements, latest } => write!(
                 f,
-                "place of tenant {tenant}: {statements} statements at {server}, the latest {:.3} s after the rule",
+                "placement of tenant {tenant}: {statements} forbidden statements at {server}, \
+                 last {:.3} s after the rule",
                 seconds(*latest)
             ),
             Violation::WriteRepeated { id, times } => write!(f, "write {id} ran {times} times"),
             Violation::NoResponse { id, router, outcome } => {
-                write!(f, "request {id} at router {router}, which was up, had no answer: {outcome:?}")
+                write!(f, "request {id} got no response from router {router}, which was up: {outcome:?}")
             }
             Violation::UnexpectedResponses { router, responses } => {
-                write!(f, "router {router} sent {responses} answers that nobody waited for")
+                write!(f, "router {router} sent {responses} responses that no client expected")
+            }
+            Violation::RejectedWriteExecuted { id } => {
+                write!(f, "write {id} was reported as rejected, but ran")
             }
-            Violation::RejectedWriteExecuted { id } => write!(f, "write {id} was told as refused, but ran"),
             Violation::ServedNotExecuted { id } => {
-                write!(f, "request {id} was told as served, but no server ran it")
+                write!(f, "request {id} was reported as served, but no server ran it")
             }
         }
     }
@@ -96,7 +99,7 @@
 impl fmt::Display for QuotaWindow {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (from, until) = (seconds(self.from), seconds(self.until));
-        write!(f, "{:+.1} beside the bound from {from:.3} to {until:.3} s", self.excess)
+        write!(f, "{:+.1} relative to the limit from {from:.3} to {until:.3} s", self.excess)
     }
 }
 
--- a/multiprocess/src/plan/validate.rs
+++ b/multiprocess/src/plan/validate.rs
@@ -45,7 +45,7 @@
             return Err(PlanError::value("nodes", "0, 1, 3 or 5", self.store_nodes));
         }
         if self.follows_fleet && self.store_nodes == 0 {
-            return Err(PlanError::value("nodes", "at least 1 where 'fleet' is on", 0));
+            return Err(PlanError::value("nodes", "at least 1 with fleet = true", 0));
         }
         Ok(())
     }
@@ -67,7 +67,11 @@
         for (index, tenant) in self.tenants.iter().enumerate() {
             if tenant.name.is_empty() || !names.insert(&tenant.name) {
                 let found = format!("'{}'", tenant.name);
-                return Err(PlanError::value(format!("tenant[{index}].name"), "a name of its own", found));
+                return Err(PlanError::value(
+                    format!("tenant[{index}].name"),
+                    "a unique, non-empty name",
+                    found,
+                ));
             }
             self.check_tenant(index, tenant)?;
         }
@@ -83,7 +87,7 @@
             return Err(PlanError::value(key, "both or neither of 'rate' and 'burst'", "one"));
         }
         if (tenant.rate.is_some() || tenant.placement.is_some()) && !self.follows_fleet {
-            return Err(PlanError::value(key, "no quota and no place without fleet = true", "one"));
+            return Err(PlanError::value(key, "no quota and no placement rule without fleet = true", "one"));
         }
         let Some(placement) = &tenant.placement else { return Ok(()) };
         let sites_key = format!("{key}.place.sites");
@@ -126,7 +130,7 @@
                 check_seconds("back_s or for_s", *seconds)?;
             }
             FaultKind::KillLeader { .. } | FaultKind::StopLeader { .. } if self.store_nodes == 0 => {
-                return Err(PlanError::value(key("do"), "nodes of the store", "none"));
+                return Err(PlanError::value(key("do"), "at least one store node", "none"));
             }
             FaultKind::KillLeader { back_s: seconds } | FaultKind::StopLeader { for_s: seconds } => {
                 check_seconds("back_s or for_s", *seconds)?;
--- a/multiprocess/src/report/outcomes.rs
+++ b/multiprocess/src/report/outcomes.rs
@@ -27,7 +27,7 @@
     pub by_outcome: BTreeMap<Outcome, usize>,
     /// Median latency of served requests in milliseconds, measured from their scheduled times.
     pub p50_ms: f64,
-    /// 99th percentile of this latency, in milliseconds.
+    /// 99th-percentile latency of served requests in milliseconds, measured from their scheduled times.
     pub p99_ms: f64,
 }
 
--- a/multiprocess/src/report/text.rs
+++ b/multiprocess/src/report/text.rs
@@ -18,11 +18,11 @@
         write_error_codes(f, &self.history)?;
         write_quota_usage(f, &self.verdict.quota_usage)?;
         let ms_to_server = self.verdict.max_time_to_server as f64 / 1e3;
-        writeln!(f, "the longest way from a client's write to a server: {ms_to_server:.1} ms")?;
+        writeln!(f, "longest time from sending a request to its execution: {ms_to_server:.1} ms")?;
         write_spread(f, &self.verdict.spread)?;
         write_resources(f, &self.resources)?;
         for exit in &self.unexpected_exits {
-            writeln!(f, "router {} ended by itself: {}", exit.router, exit.log_lines.join(" | "))?;
+            writeln!(f, "router {} exited unexpectedly: {}", exit.router, exit.log_lines.join(" | "))?;
         }
         let violations = &self.verdict.violations;
         writeln!(f, "\n{} violations", violations.len())?;
@@ -35,7 +35,8 @@
         let history = &self.history;
         writeln!(
             f,
-            "{} routers, {} servers, ready after {:.1} s, all over after {:.1} s; {} requests, {} statements ran",
+            "{} routers, {} servers, ready after {:.1} s, finished after {:.1} s; \
+             {} requests, {} statements ran",
             self.routers,
             history.servers.len(),
             self.startup_time.as_secs_f64(),
@@ -44,7 +45,7 @@
             history.statements.len()
         )?;
         let down: BTreeSet<usize> = history.outages.iter().map(|outage| outage.router).collect();
-        writeln!(f, "{} routers were down for a time", down.len())
+        writeln!(f, "{} routers were down during the run", down.len())
     }
 }
 
@@ -85,13 +86,14 @@
     for QuotaUsage { tenant, ran, allowed_by_rate, certain, by_arrival } in usage {
         match (certain, by_arrival) {
             (Some(certain), Some(by_arrival)) => {
-                let made = allowed_by_rate.unwrap_or(0.0);
+                let admitted = allowed_by_rate.unwrap_or(0.0);
                 writeln!(
                     f,
-                    "{tenant:<16} {ran} ran, the rate made {made:.0}; certain: {certain}; by arrival: {by_arrival}"
+                    "{tenant:<16} {ran} ran, the rate admits {admitted:.0}; certain: {certain}; \
+                     by arrival: {by_arrival}"
                 )?;
             }
-            _ => writeln!(f, "{tenant:<16} {ran} ran; not bounded")?,
+            _ => writeln!(f, "{tenant:<16} {ran} ran; no quota")?,
         }
     }
     Ok(())
@@ -130,7 +132,7 @@
         let private = MeanAndMax::of(usage, |u| u.private_kb);
         writeln!(
             f,
-            "{process:<8}{:.1} ({}) threads, {:.1} ({:.1}) MB resident, {:.1} ({:.1}) MB of these its own",
+            "{process:<8}{:.1} ({}) threads, {:.1} ({:.1}) MB resident, {:.1} ({:.1}) MB private",
             threads.mean,
             threads.max,
             resident.mean / KIB_PER_MIB,
@@ -140,7 +142,10 @@
         )?;
     }
     if let Some(rate) = resources.store_bytes_per_s {
-        writeln!(f, "talk of one router with the store: {rate:.0} bytes a second, both ways together")?;
+        writeln!(
+            f,
+            "traffic between one router and the store: {rate:.0} bytes per second, both directions together"
+        )?;
     }
     Ok(())
 }
