--- a/lab/src/count.rs
+++ b/lab/src/count.rs
@@ -2,7 +2,7 @@
 //!
 //! Each `*.log` file of a folder is the log of one router, written with `DAMSONVALE_LOG=debug`. Only lines
 //! that begin with the second since the start of the run (`12.345 ...`) are counted; the bench writes such
-//! lines. Summed over all routers, it counts requests, attempts, outcomes, opened and failed connections,
+//! lines. The command sums over all routers: requests, attempts, outcomes, opened and failed connections,
 //! probes by the result of the member's previous probe, and rejections and failures by class and by whether
 //! an attempt had been sent.
 use crate::error::Error;
@@ -14,7 +14,7 @@
 /// Upper limit of a valid time within a run, in seconds; a larger number at the start of a line is not a
 /// time.
 const MAX_SECOND: f64 = 1e7;
-/// Value of a field that is missing in a line.
+/// Value used for a field that is missing in a log line.
 const UNKNOWN: &str = "?";
 
 /// Arguments of `count`.
@@ -86,7 +86,7 @@
     }
 }
 
-/// Counts the events of one router's log, and stores what later lines refer to.
+/// Counts the events of one router's log, and stores the requests and probes that later lines refer to.
 struct LogReader<'a, 'c> {
     counts: &'c mut EventCounts,
     /// Class of each request.
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -57,7 +57,7 @@
     #[error("cannot serialize the plan as TOML: {0}")]
     PlanNotSerialized(#[from] toml::ser::Error),
     /// A value of `--values` is neither TOML nor an unquoted string.
-    #[error("expected a value of TOML, found '{0}'")]
+    #[error("expected a TOML value, found '{0}'")]
     InvalidValue(String),
     /// The key given by `--key` is not in the plan.
     #[error("'{key}' is not in the plan: there is no '{part}'")]
@@ -71,11 +71,11 @@
     #[error("expected SHARE:STATEMENT, found '{0}'")]
     InvalidStatement(String),
     /// The shares, the rate or the duration of a load are 0, so that nothing would be sent.
-    #[error("expected statements with shares, a rate and a time above 0")]
+    #[error("expected statement shares, a rate and a duration above 0")]
     NoLoad,
     /// A log has no line of the requested request.
     #[error(
-        "the log names no such request; write it with DAMSONVALE_LOG=debug, and look at the number or the id"
+        "the log has no such request; record it with DAMSONVALE_LOG=debug, and check the number or the id"
     )]
     RequestNotLogged,
     /// The plan of a soak run is invalid.
@@ -107,7 +107,7 @@
     #[error("the checker found violations")]
     ViolationFound,
     /// Simulated cases violated a rule, which fails the experiment regardless of its other results.
-    #[error("{violating} of {cases} cases broke a rule")]
+    #[error("{violating} of {cases} cases violated a rule")]
     RulesViolated {
         /// Number of cases with a violation.
         violating: usize,
--- a/lab/src/interval.rs
+++ b/lab/src/interval.rs
@@ -3,7 +3,7 @@
 
 /// Number of bootstrap resamples.
 const RESAMPLES: usize = 2000;
-/// One in this many resampled means lies below the interval, and as many lie above it.
+/// Reciprocal of the share of resampled means below the interval; the same share lies above it.
 const TAIL_DIVISOR: usize = 40;
 /// Random seed of the resampling.
 const SEED: u64 = 1;
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -132,7 +132,7 @@
 /// Reduces the faults of a failing run and prints the reduced plan.
 fn print_reduced(plan: &Plan, report: &Report, programs: &Programs) -> Result<(), Error> {
     let promise = report.breaches[0].promise;
-    println!("reducing {} faults that violate '{}'", report.faults.len(), promise.name());
+    println!("reducing the {} faults of a run that violates '{}'", report.faults.len(), promise.name());
     let still_violates = |faults: &[PlannedFault], promise: Promise| {
         run_seed(plan, report.seed, faults, programs)
             .is_ok_and(|report| oracle::promises(&report.breaches).contains(&promise))
--- a/lab/src/table.rs
+++ b/lab/src/table.rs
@@ -75,7 +75,7 @@
 }
 
 /// Formats a table with a line for each case that is in `after`: its new values and their changes; cases that
-/// are only in one of the two are marked.
+/// are only in one of the two results are marked.
 pub fn comparison(before: &[Case], after: &[Case]) -> String {
     let mut text =
         format!("{:<34}{:>18}{:>18}{:>18}\n", "case", "in time", "worst second", "attempts/request");
--- a/lab/tests/commands.rs
+++ b/lab/tests/commands.rs
@@ -59,7 +59,7 @@
 fn shipped_plans_are_valid() {
     for plan in std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("plans")).unwrap() {
         let text = std::fs::read_to_string(plan.unwrap().path()).unwrap();
-        // Each plan is one of the simulator or one of router processes.
+        // Each plan is either for the simulator or for router processes.
         let read = simulator::Plan::read(&text).is_ok() || multiprocess::plan::read(&text).is_ok();
         assert!(read, "{text}");
     }
@@ -124,7 +124,7 @@
 
 #[test]
 fn mass_scenarios_with_reduced_load_violate_no_rule() {
-    // The plans' 300 routers and 120 nodes, with a seventh of their load to shorten the test in CI.
+    // Runs the plans with all 300 routers and 120 nodes, but a seventh of the load to shorten the test in CI.
     let folder = tempfile::tempdir().unwrap();
     let plans = Path::new(env!("CARGO_MANIFEST_DIR")).join("plans");
     for scenario in ["herd", "roll", "zone"] {
