--- a/soak/src/draw.rs
+++ b/soak/src/draw.rs
@@ -66,7 +66,7 @@
 const CLOCK_STEPS: [i64; 4] = [-3600, -5, 5, 3600];
 
 /// Returns the faults listed in the plan or, if there are none, faults generated from the seed; usually two
-/// or three of those overlap. If `only` is not empty, only these kinds are drawn.
+/// or three generated faults overlap. If `only` is not empty, only these kinds are drawn.
 pub fn draw(plan: &Plan, seed: u64, only: &[FaultKind]) -> Vec<PlannedFault> {
     if !plan.faults.is_empty() {
         return plan.faults.clone();
--- a/soak/src/environment/clients/connection.rs
+++ b/soak/src/environment/clients/connection.rs
@@ -15,7 +15,7 @@
 const ABANDON_AFTER: Micros = 3_500_000;
 /// The body of the message that a stalling client sends only in part.
 const STALLED_BODY: [u8; 100] = [b'x'; 100];
-/// How many bytes of that message are sent.
+/// How many bytes of [`STALLED_BODY`] are sent.
 const STALLED_BYTES: usize = 40;
 /// The error code recorded for a response without a row or an error.
 const EMPTY_RESPONSE: &str = "empty";
--- a/soak/src/environment/servers/event_loop.rs
+++ b/soak/src/environment/servers/event_loop.rs
@@ -294,8 +294,8 @@
         let attempt = &mut history.attempts[index];
         let server = &mut state.servers[attempt.server];
         server.end_request();
-        // A server process that has crashed since then did not execute the request, and a server cancels a
-        // request whose connection is closed.
+        // A server process that crashed after the request's arrival did not execute the request, and a server
+        // cancels a request whose connection is closed.
         if !server.alive || attempt.reached_at.is_some_and(|at| server.has_crashed_since(at)) {
             return None;
         }
--- a/soak/src/environment/servers/state.rs
+++ b/soak/src/environment/servers/state.rs
@@ -12,7 +12,7 @@
 const MAX_REQUESTS: usize = 60;
 /// The replication lag of a replica without a fault.
 const REPLICATION_LAG: Micros = 20_000;
-/// How long after its demotion a router may still treat a server as a primary.
+/// How long after a server's demotion a router may still treat the server as a primary.
 const DEMOTION_GRACE: Micros = 5 * SECOND;
 
 /// The capacity of a fully warmed-up server, in requests per second.
@@ -78,8 +78,8 @@
         self.last_primary_at.is_some_and(|at| now - at < DEMOTION_GRACE)
     }
 
-    /// Whether the process has crashed since this time, so that its connections and requests from then are
-    /// lost.
+    /// Whether the server's process has crashed since the given time, so that the connections and requests of
+    /// that time are lost.
     pub(super) fn has_crashed_since(&self, at: Micros) -> bool {
         at < self.last_crash_at
     }
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -49,7 +49,7 @@
     LinkReset,
     /// The link delivers responses one byte at a time.
     LinkTrickle,
-    /// The link loses the state of its connections: the next byte that a router sends on one causes a reset.
+    /// The link loses the state of its connections: the next byte that a router sends causes a reset.
     LinkForget,
     /// Clients disconnect or cancel while requests are pending.
     ClientsLeave,
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -202,7 +202,7 @@
                 write!(f, "connection {connection}: {response:?}")
             }
             UnexpectedResponse::Mismatched { request, value } => {
-                write!(f, "request {request:x} got the answer '{value}'")
+                write!(f, "request {request:x} got the response '{value}'")
             }
         }
     }
--- a/soak/src/oracle/processes.rs
+++ b/soak/src/oracle/processes.rs
@@ -40,12 +40,12 @@
     let mut breaches = Vec::new();
     for violations in &history.invariant_violations {
         let (router, name, count) = (violations.router, violations.invariant.as_str(), violations.count);
-        // A process that was paused for long could not respond in time; the other oracles subtract pauses,
-        // too.
+        // A process that was paused for long could not respond in time, so these violations do not count.
+        // The other oracles subtract pauses as well.
         if TIMING_INVARIANTS.contains(&name) && was_paused_for_long(history, router) {
             continue;
         }
-        let text = format!("router {router} counts {name} {count} times");
+        let text = format!("router {router} counted violations of invariant {name}: {count}");
         breaches.push(Breach::new(Promise::Invariant, text));
     }
     breaches
--- a/soak/src/oracle/requests.rs
+++ b/soak/src/oracle/requests.rs
@@ -6,17 +6,17 @@
 use crate::time::{MILLISECOND, Micros, SECOND};
 use std::collections::HashMap;
 
-/// A response later than this after the client's timeout counts as late, a missing response as lost.
+/// How long after the client's timeout a response may arrive before it counts as late, and a missing response
+/// as lost.
 const RESPONSE_GRACE: Micros = 500_000;
-/// An attempt must not start later than this after its client has disconnected or cancelled.
+/// How long after the client's disconnect or cancel an attempt of the request may still start.
 const MAX_START_AFTER_DISCONNECT: Micros = 100_000;
 /// The scheduling delay added to [`MAX_START_AFTER_DISCONNECT`]. It is less than [`SCHEDULING_SLACK`],
 /// because one process records clients and servers, so only the router's scheduling delay counts.
 const DISCONNECT_SLACK: Micros = 100_000;
 /// The tolerance by which the timeout sent to a server may exceed the client's remaining time.
 const TIMEOUT_SLACK: Micros = 150_000;
-/// A router may close an idle connection while a request is on its way that was sent at most this long
-/// before.
+/// How long before a router closes an idle connection a request may have been sent and stay unread.
 const CLOSE_RACE_TIME: Micros = 150_000;
 /// How long after SIGTERM a router has to serve its clients; later it may close connections with unread
 /// requests.
@@ -48,7 +48,7 @@
     let is_breach = !closed_by_router
         && open_time > STALL_TIMEOUT + SCHEDULING_SLACK
         && !was_absent(history, router, &absence_reasons, from, to);
-    let text = || format!("router {router} held a client that stalled at {}", seconds(from));
+    let text = || format!("router {router} did not disconnect a client that stalled at {}", seconds(from));
     is_breach.then(|| Breach::new(Promise::StalledClientNotClosed, text()))
 }
 
@@ -108,7 +108,7 @@
         // Only the first request of a connection is checked: a later one may have waited for earlier
         // responses.
         let is_late = late > RESPONSE_GRACE + SCHEDULING_SLACK && self.request.sequence == 0;
-        let text = || format!("answered {} after its time", seconds(late));
+        let text = || format!("response {} after the client's timeout", seconds(late));
         is_late.then(|| self.breach(Promise::Late, &text()))
     }
 
@@ -116,7 +116,7 @@
         let until = self.history.load_ended_at.max(self.deadline() + RESPONSE_GRACE);
         let router_was_gone = self.was_absent_until(AbsenceReason::Killed, until)
             || self.was_absent_until(AbsenceReason::ShutDown, until);
-        let text = "no answer, and the connection stands";
+        let text = "no response, and the connection is still open";
         (!router_was_gone).then(|| self.breach(Promise::Lost, text))
     }
 
@@ -131,7 +131,8 @@
             return None;
         }
         let text = format!(
-            "closed without an answer after {} (request {sequence} of its connection, which was opened at {}, forwarded: {forwarded})",
+            "connection closed without a response after {} (request {sequence} of the connection, \
+             which was opened at {}, forwarded: {forwarded})",
             seconds(ended_at - sent_at),
             seconds(connected_at)
         );
@@ -142,16 +143,16 @@
     fn is_close_allowed(&self) -> bool {
         let Request { sequence, sent_at, ended_at, .. } = *self.request;
         match self.shutting_down_since(ended_at) {
-            // The platform no longer directs clients to this router, and clients resend requests that cross a
-            // shutdown.
+            // The platform no longer directs clients to this router, and clients resend requests that are on
+            // their way when the router shuts down.
             Some(since) => sent_at > since + SERVED_AFTER_TERM - SCHEDULING_SLACK,
             None => sequence > 0 && ended_at - sent_at < CLOSE_RACE_TIME + self.paused_time_until(ended_at),
         }
     }
 
     /// Whether the request was sent on a connection whose process no longer exists, because it was killed or
-    /// because it had shut down after serving its clients for [`SERVED_AFTER_TERM`]. Its successor never
-    /// accepted that connection.
+    /// because it had shut down after serving its clients for [`SERVED_AFTER_TERM`]. The router's next
+    /// process never accepted that connection.
     fn is_process_gone(&self) -> bool {
         let Request { router, connected_at, sent_at, ended_at, .. } = *self.request;
         absences_of(self.history, router)
@@ -176,7 +177,7 @@
             return None;
         }
         let ran = self.attempts.iter().find(|attempt| attempt.ran_at.is_some())?;
-        let text = format!("refused, and server {} ran it", ran.server);
+        let text = format!("rejected, but server {} ran it", ran.server);
         Some(self.breach(Promise::RejectedButRan, &text))
     }
 
@@ -215,7 +216,10 @@
             return None;
         }
         let after = seconds(at - abandoned_at);
-        let text = format!("sent to {} {after} after its client left", attempt.server);
+        let text = format!(
+            "sent to server {} {after} after the client had disconnected or cancelled",
+            attempt.server
+        );
         Some(self.breach(Promise::SentAfterDisconnect, &text))
     }
 
@@ -226,7 +230,8 @@
         if excess <= TIMEOUT_SLACK + SCHEDULING_SLACK + self.paused_time_until(attempt.first_byte_at) {
             return None;
         }
-        let text = format!("server {} was told {} more than was left", attempt.server, seconds(excess));
+        let text =
+            format!("server {} got a timeout {} above the remaining time", attempt.server, seconds(excess));
         Some(self.breach(Promise::TimeoutTooLong, &text))
     }
 }
--- a/soak/src/oracle/serve.rs
+++ b/soak/src/oracle/serve.rs
@@ -16,7 +16,7 @@
         return None;
     }
     let text = format!(
-        "session {} was told of {} and a read sent at {} showed {}",
+        "session {}: write {} was confirmed, but a read sent at {} returned write {}",
         read.session,
         read.confirmed,
         seconds(read.at),
@@ -35,12 +35,9 @@
 fn check_store(store: &StoreRecord) -> Option<Breach> {
     let StoreRecord { confirmed, found, recovered } = *store;
     if !recovered {
-        return Some(Breach::new(
-            Promise::StoreLost,
-            "the store took no change again after the last trouble",
-        ));
+        return Some(Breach::new(Promise::StoreLost, "the store accepted no change after the last trouble"));
     }
     let is_lost = found < Some(confirmed) && confirmed > 0;
-    let text = || format!("{confirmed} was confirmed, and the store holds {found:?}");
+    let text = || format!("change {confirmed} was confirmed, but the store returned {found:?}");
     is_lost.then(|| Breach::new(Promise::StoreLost, text()))
 }
--- a/soak/src/oracle/servers.rs
+++ b/soak/src/oracle/servers.rs
@@ -8,8 +8,7 @@
 use crate::time::{MILLISECOND, Micros, SECOND};
 use std::collections::HashMap;
 
-/// The time after its readiness within which a new router process must know the changes of its discovery
-/// agent.
+/// How soon after becoming ready a new router process must know the changes of its discovery agent.
 const MAX_NOTIFICATION_TIME: Micros = 1_000_000;
 /// The delay after which a router is assumed to know a replication position.
 const POSITION_DELAY: Micros = 100_000;
@@ -68,7 +67,7 @@
         return None;
     }
     let text = format!(
-        "router {} sent {:x} to server {} at {}, {} after it was told of its withdrawal",
+        "router {} sent request {:x} to server {} at {}, {} after the router was notified of the withdrawal",
         attempt.router,
         attempt.id,
         attempt.server,
@@ -78,8 +77,8 @@
     Some(Breach::new(Promise::Drain, text))
 }
 
-/// Returns the number of average requests that a server may receive within a window, at this time after its
-/// start, before it counts as overloaded.
+/// Returns how many requests of average cost a server may receive within a window before it counts as
+/// overloaded, at the given time after the server's start.
 fn request_budget(age: Micros) -> f64 {
     let share = COLD_CAPACITY + (1.0 - COLD_CAPACITY) * (age as f64 / WARM_UP_TIME as f64).min(1.0);
     let calls = OVERLOAD_FACTOR * share * CAPACITY * OVERLOAD_WINDOW as f64 / SECOND as f64;
@@ -97,7 +96,8 @@
             return None;
         }
         let text = format!(
-            "server {} started at {} and got {count} requests within a window from {} on, {allowed:.0} allowed",
+            "server {}, started at {}, received {count} requests in the window from {} on; \
+             {allowed:.0} are allowed",
             start.server,
             seconds(start.at),
             seconds(*from)
@@ -143,7 +143,7 @@
         return None;
     }
     let text = format!(
-        "request {:x} ({:?}), sent by router {} at {}, was answered by server {} from data {} too old",
+        "request {:x} ({:?}), sent by router {} at {}, got data from server {} that was {} too old",
         request.id,
         request.class,
         request.router,
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -120,7 +120,8 @@
         writeln!(
             f,
             "seed {}: {} troubles, {} processes, {} requests ({}), {} attempts, \
-             {} failed though never forwarded, at most {} threads and {} descriptors in one process, {} breaches",
+             {} failed without being forwarded, at most {} threads and {} descriptors in one process, \
+             {} breaches",
             self.seed,
             self.faults.len(),
             self.processes,
--- a/soak/src/serve/load.rs
+++ b/soak/src/serve/load.rs
@@ -27,7 +27,7 @@
 const IDLE_TIMEOUT: Micros = 1_500_000;
 /// The factor between a run's seed and its sessions' seeds, so that runs with different seeds share none.
 const SESSIONS_PER_SEED: u64 = 1000;
-/// The request ids of a session start at its index, shifted left by this many bits.
+/// The request ids of a session start at the session's index, shifted left by this many bits.
 const SESSION_ID_SHIFT: u32 = 32;
 
 /// The client threads. They end with [`Load::end`] or when this value is dropped.
@@ -133,7 +133,7 @@
     }
 
     /// Reads the basket and records the result. `confirmed` is the session's last write that was confirmed
-    /// before.
+    /// before the read.
     fn read(&mut self, confirmed: u64) {
         let name = &self.name;
         let statement = format!("SELECT n FROM basket WHERE k = '{name}' /* c={READ_CLASS},s={name} */");
--- a/soak/src/serve/run.rs
+++ b/soak/src/serve/run.rs
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Makes the next change of the store at the next node in turn, if that is not absent.
+    /// Makes the next change of the store at the next node in turn, unless that node is absent.
     fn change_store(&mut self) {
         let node = self.store.next_node();
         let is_present = !self.routers[node].instance.is_absent();
--- a/soak/src/serve/store.rs
+++ b/soak/src/serve/store.rs
@@ -20,7 +20,7 @@
 }
 
 impl StoreProbe {
-    /// Creates a probe that runs this program's command `ctl` with the nodes' control addresses.
+    /// Creates a probe that runs the command `ctl` of the router program with the nodes' control addresses.
     pub(super) fn new(program: &Path, control_addresses: &[SocketAddr]) -> StoreProbe {
         StoreProbe {
             program: program.to_path_buf(),
--- a/soak/tests/exchanged_forms.rs
+++ b/soak/tests/exchanged_forms.rs
@@ -245,7 +245,7 @@
     };
     let mut text: String = breaches.iter().map(|breach| format!("{breach}\n")).collect();
     _ = write!(text, "## report\n{}", Report::new(7, &[fault], &history, breaches));
-    _ = writeln!(text, "## a store that takes no change");
+    _ = writeln!(text, "## a store that accepts no change");
     history.store = Some(StoreRecord { confirmed: 5, found: None, recovered: false });
     text.extend(
         check(&history).iter().filter(|b| b.promise.name() == "store_lost").map(|b| format!("{b}\n")),
--- a/soak/tests/oracle.rs
+++ b/soak/tests/oracle.rs
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn process_beyond_its_limits_is_found() {
+fn process_exceeding_limits_is_found() {
     let sample = |at, cpu, descriptors| Sample {
         router: 0,
         at,
