--- a/simulator/src/checker.rs
+++ b/simulator/src/checker.rs
@@ -137,19 +137,24 @@
         let notified = self.out_of_service_since.get(&RouterNode { router, node });
         if let Some(since) = notified.map(|at| now.0 - at.0).filter(|since| *since > DRAIN_GRACE) {
             self.violated(Rule::DrainRespected, now, || {
-                format!("router {router} to node {node}, told {since} us before")
+                format!(
+                    "router {router} sent an attempt to node {node}, {since} us after the notification that \
+                     the node is out of service"
+                )
             });
         }
         let Some(state) = self.open_requests.get_mut(&key) else {
             return self.violated(Rule::SingleResponse, now, || {
-                format!("router {router} sends an attempt of request {request}, which has ended")
+                format!("router {router} sent an attempt of request {request}, which had ended")
             });
         };
         let unsafe_retry = !state.idempotent && state.possibly_executed > 0;
         state.possibly_executed += 1;
         if unsafe_retry {
             self.violated(Rule::NoUnsafeRetry, now, || {
-                format!("router {router}, request {request}, node {node}")
+                format!(
+                    "router {router} retried request {request} at node {node}, but it may have been executed"
+                )
             });
         }
     }
@@ -177,7 +182,7 @@
         }
         if response == FinalResponse::Rejected && !state.idempotent && state.possibly_executed > 0 {
             self.violated(Rule::NoUnsafeRetry, now, || {
-                format!("router {router}: request {request} is rejected, but may have been executed")
+                format!("router {router}: request {request} was rejected, but may have been executed")
             });
         }
     }
@@ -186,7 +191,7 @@
     /// outcome of the first.
     pub fn write_executed(&mut self, now: Time, client: u64) {
         if !self.executed_writes.insert(client) {
-            self.violated(Rule::NoUnsafeRetry, now, || format!("the write of client {client} has run twice"));
+            self.violated(Rule::NoUnsafeRetry, now, || format!("the write of client {client} ran twice"));
         }
     }
 
@@ -217,7 +222,7 @@
 
     /// Records that a node was overloaded and crashed while it warmed up.
     pub fn node_overloaded_while_warming_up(&mut self, now: Time, node: usize) {
-        self.violated(Rule::NoOverloadWhileWarmingUp, now, || format!("node {node}"));
+        self.violated(Rule::NoOverloadWhileWarmingUp, now, || format!("node {node} crashed under overload"));
     }
 
     /// Records that a write was acknowledged to the client of a session.
@@ -241,7 +246,7 @@
         };
         let position = read.data_position;
         if let Some(minimum) = minimum.filter(|minimum| position < *minimum) {
-            self.violated(rule, now, || format!("data of {position:?} for a read that needs {minimum:?}"));
+            self.violated(rule, now, || format!("read data of {position:?}, required at least {minimum:?}"));
         }
     }
 }
--- a/simulator/src/fault.rs
+++ b/simulator/src/fault.rs
@@ -45,11 +45,12 @@
     Hang,
     /// Replicas respond to every request with an error, at once.
     FastErrors,
-    /// Nodes serve requests slower by the factor, as if another process competed for their cores.
+    /// Nodes serve requests slower by the factor in the fault's severity, as if another process competed for
+    /// the nodes' cores.
     Slow,
-    /// Gray failure: replicas take ten times as long for that share of their requests.
+    /// Gray failure: replicas take ten times as long for the share of requests in the fault's severity.
     Gray,
-    /// Nodes execute writes, and apply replicated commits, slower by the factor.
+    /// Nodes execute writes, and apply replicated commits, slower by the factor in the fault's severity.
     SlowDisk,
     /// A network partition separates one zone from the others.
     Partition,
@@ -62,7 +63,7 @@
     /// Every connection to the affected nodes is reset at once.
     #[serde(rename = "reconnect")]
     ResetConnections,
-    /// Clients send requests at a rate that is multiplied by the factor.
+    /// Clients send requests at a rate that is multiplied by the factor in the fault's severity.
     #[serde(rename = "surge")]
     LoadSurge,
 }
--- a/simulator/src/load_spread.rs
+++ b/simulator/src/load_spread.rs
@@ -8,14 +8,14 @@
     /// Number of windows measured: one per time span for each group, or one per time span for the whole
     /// fleet.
     pub windows: u64,
-    /// Mean of the ratio over all windows.
+    /// Mean imbalance over all windows.
     pub mean: f64,
-    /// Highest ratio of any window.
+    /// Highest imbalance of any window.
     pub worst: f64,
-    /// Expected mean over the same windows if each request went to a replica at random.
+    /// Expected mean imbalance over the same windows if each request went to a replica at random.
     #[serde(rename = "chance")]
     pub random_mean: f64,
-    /// Expected highest ratio of as many windows if each request went to a replica at random.
+    /// Expected highest imbalance of as many windows if each request went to a replica at random.
     #[serde(rename = "chance_worst")]
     pub random_worst: f64,
 }
@@ -43,7 +43,7 @@
     /// Number of periods in which a replica was idle while its group had work.
     #[serde(rename = "idle_spells")]
     pub idle_periods: u64,
-    /// Length of the longest such idle period, in seconds.
+    /// Length of the longest period in which a replica was idle while its group had work, in seconds.
     #[serde(rename = "idle_longest")]
     pub longest_idle_s: f64,
 }
--- a/simulator/src/plan.rs
+++ b/simulator/src/plan.rs
@@ -10,11 +10,11 @@
     pub name: String,
     /// Seed of the generator that all random numbers are drawn from.
     pub seed: u64,
-    /// Length of the run in seconds. Clients make no requests after that, but those in progress are simulated
-    /// to their end.
+    /// Length of the run in seconds. Clients make no requests after the end of the run, but requests in
+    /// progress are simulated to their end.
     #[serde(rename = "seconds")]
     pub duration_s: f64,
-    /// Length of the warm-up in seconds: requests that clients make in it are not counted.
+    /// Length of the warm-up in seconds: requests that clients make during the warm-up are not counted.
     pub warmup_s: f64,
     /// Number of routers, distributed over the zones.
     pub routers: usize,
@@ -30,7 +30,7 @@
     pub zones: usize,
     /// Number of cores of a node, each of which serves one request at a time.
     pub cores: usize,
-    /// Maximum number of requests in a node's queue; the node rejects further ones.
+    /// Maximum number of requests in a node's queue; the node rejects further requests.
     #[serde(rename = "queue")]
     pub queue_capacity: usize,
     /// Maximum number of connections that a node accepts.
--- a/simulator/src/plan_validation.rs
+++ b/simulator/src/plan_validation.rs
@@ -11,19 +11,19 @@
     #[error("{0}")]
     Toml(#[from] toml::de::Error),
     /// The value of the named key must be above 0 and is not.
-    #[error("expected more than 0 in '{0}', found {1}")]
+    #[error("expected a value above 0 for '{0}', found {1}")]
     NotPositive(&'static str, f64),
     /// The warm-up is not shorter than the run, so that nothing would be counted.
     #[error("expected 'warmup_s' to be less than 'seconds', found {0} and {1}")]
     WarmupTooLong(f64, f64),
     /// The plan has no request class.
-    #[error("expected a class: give a [[class]]")]
+    #[error("expected at least one [[class]], found none")]
     NoClass,
     /// A service time, load share, latency objective or deadline of the named class is out of range.
     #[error("class {0}: expected work_ms > 0, share >= 0, 0 < aim_ms <= deadline_ms")]
     ClassOutOfRange(String),
     /// Requests of the named class are writes, and marked as idempotent.
-    #[error("class {0}: expected safe = false with writes")]
+    #[error("class {0}: expected safe = false for writes")]
     IdempotentWrite(String),
     /// The freshness of the named class, given as the second value, is unknown.
     #[error("class {0}: expected write, fresh, session, bounded or any in 'freshness', found '{1}'")]
--- a/simulator/src/random_baseline.rs
+++ b/simulator/src/random_baseline.rs
@@ -31,7 +31,7 @@
 /// Expected imbalance of a set of windows under random assignment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RandomImbalance {
-    /// Expected mean over the windows.
+    /// Expected mean imbalance over the windows.
     pub mean: f64,
     /// Expected imbalance of the worst window.
     pub worst: f64,
@@ -86,7 +86,7 @@
 fn draw_normal_starts(rng: &mut Rng, replicas: usize, mean: f64) -> Vec<f64> {
     let mut draw = || (0..UNIFORM_DRAWS).map(|_| rng.f64()).sum::<f64>() - UNIFORM_DRAWS as f64 / 2.0;
     let deviations: Vec<f64> = (0..replicas).map(|_| draw()).collect();
-    // The total number of requests is fixed, so deviations are taken from their own mean.
+    // The total number of requests is fixed, so each deviation is taken relative to the mean deviation.
     let mean_deviation = deviations.iter().sum::<f64>() / replicas as f64;
     deviations.iter().map(|deviation| mean + mean.sqrt() * (deviation - mean_deviation)).collect()
 }
--- a/simulator/src/world/routers.rs
+++ b/simulator/src/world/routers.rs
@@ -203,7 +203,8 @@
         open.and_then(|open| open.attempts.get(job.attempt as usize)).is_some_and(|attempt| attempt.in_flight)
     }
 
-    /// Ends an attempt at the router. A successful one completes the request, unless it is already complete.
+    /// Ends an attempt at the router. A successful attempt completes the request, unless the request is
+    /// already complete.
     pub(super) fn end_attempt(
         &mut self,
         job: Job,
--- a/simulator/tests/checker.rs
+++ b/simulator/tests/checker.rs
@@ -75,7 +75,7 @@
     assert_eq!(
         checker.first_violations,
         [
-            "1.500000 s: NoTip: node 3",
+            "1.500000 s: NoTip: node 3 crashed under overload",
             "2.000000 s: OneAnswer: router 0: request 1 got a second final response"
         ]
     );
--- a/simulator/tests/load_spread.rs
+++ b/simulator/tests/load_spread.rs
@@ -27,8 +27,8 @@
         start_requests(&mut meter, 0.5, node, count);
     }
     let spread = meter.finish(at(1.0), &[]);
-    // The busiest replica of the first group has 30 requests with a mean of 20, that of the second 20 with a
-    // mean of 20; over the whole fleet it is 30 with a mean of 20.
+    // The mean is 20 requests per replica in each group and in the whole fleet. The busiest replica of the
+    // first group and of the fleet has 30 requests, the busiest replica of the second group has 20.
     assert!((spread.group_10s.mean - 1.25).abs() < 1e-9 && spread.group_10s.worst == 1.5, "{spread:?}");
     assert!(spread.fleet_10s.windows == 1 && spread.fleet_10s.worst == 1.5, "{spread:?}");
     // Expected for 40 requests on 2 replicas: 1 + sqrt(2 / (pi * 40)).
@@ -45,8 +45,8 @@
     start_requests(&mut meter, 2.2, 2, 2);
     start_requests(&mut meter, 2.2, 1, 4);
     let spread = meter.finish(at(12.0), &[1.5]);
-    // The window at second 1 has two replicas in service, with 4 and 0 requests; the one at second 2 has
-    // three, with 0, 4 and 2.
+    // The window at second 1 has two replicas in service, with 4 and 0 requests; the window at second 2 has
+    // three replicas, with 0, 4 and 2 requests.
     assert!(spread.group_1s.windows == 2 && (spread.group_1s.mean - 2.0).abs() < 1e-9, "{spread:?}");
     assert!(
         spread.after_fault_1s.windows == 1 && (spread.after_fault_1s.worst - 2.0).abs() < 1e-9,
