--- a/faults/src/control_map.rs
+++ b/faults/src/control_map.rs
@@ -11,7 +11,7 @@
 /// The size of the buffer for the environment variable's name and its terminating NUL.
 const NAME_BYTES: usize = 64;
 
-/// The address of the control file's mapping, or one of the two constants above.
+/// The address of the control file's mapping, [`NOT_INITIALIZED`] or [`NOT_MAPPED`].
 static MAPPING_ADDRESS: AtomicUsize = AtomicUsize::new(NOT_INITIALIZED);
 
 thread_local! {
--- a/faults/src/interpose.rs
+++ b/faults/src/interpose.rs
@@ -27,7 +27,7 @@
 const SYNC_ERRORS: [c_int; 2] = [libc::EIO, libc::ENOSPC];
 const OPEN_ERRORS: [c_int; 3] = [libc::EMFILE, libc::ENFILE, libc::EACCES];
 
-/// Sets `errno` to one of these error numbers, chosen at random, and returns [`FAILED`].
+/// Sets `errno` to one of the given error numbers, chosen at random, and returns [`FAILED`].
 fn fail(errors: &[c_int]) -> c_int {
     let error_number = errors[(random() % errors.len() as u64) as usize];
     // SAFETY: `errno` is thread-local.
@@ -47,7 +47,7 @@
         return fail(&INTERRUPT_ERRORS) == FAILED;
     }
     if is_opened_by_this_process(fd) && should_inject(Fault::ConnectionLoss) {
-        // Breaks the connection for the remote side, too.
+        // Shuts the connection down, so that the remote side sees the failure, too.
         // SAFETY: `shutdown` has no preconditions.
         unsafe { libc::shutdown(fd, libc::SHUT_RDWR) };
         return fail(&CONNECTION_LOSS_ERRORS) == FAILED;
--- a/faults/src/libc_function.rs
+++ b/faults/src/libc_function.rs
@@ -15,8 +15,8 @@
         LibcFunction { name, address: AtomicUsize::new(0) }
     }
 
-    /// Returns the address of the original function, which is the next symbol of this name after this
-    /// library's.
+    /// Returns the address of the original function, which is the next symbol of this name after the symbol
+    /// of this library.
     pub(crate) fn address(&self) -> usize {
         let cached = self.address.load(Ordering::Relaxed);
         if cached != 0 {
--- a/testkit/tests/fixture_files.rs
+++ b/testkit/tests/fixture_files.rs
@@ -1,5 +1,5 @@
-//! Tests of the comparison with fixtures: equal output passes; any other fails and leaves the fixture
-//! unchanged.
+//! Tests of the comparison with fixtures: equal output passes; different output fails and leaves the
+//! fixture unchanged.
 use testkit::fixture::Fixtures;
 use testkit::hex;
 
