--- a/test-servers/src/registry/consul.rs
+++ b/test-servers/src/registry/consul.rs
@@ -12,7 +12,7 @@
 /// Time to live of a session whose request specifies none, in seconds.
 const DEFAULT_SESSION_TTL_S: u64 = 10;
 
-/// A list with its index, which a blocking query waits to change.
+/// A list and its index. A blocking query waits until the index changes.
 struct IndexedList {
     index: u64,
     items: Vec<Value>,
--- a/test-servers/src/registry/faults.rs
+++ b/test-servers/src/registry/faults.rs
@@ -12,7 +12,7 @@
     pub stalled_watches: bool,
     /// Revision that reads report, to simulate a member that lags behind.
     pub stale_at_revision: Option<u64>,
-    /// Cluster id that the member reports instead of the common one.
+    /// Cluster id that the member reports instead of the id that all members share.
     pub cluster_id: Option<u64>,
     /// The next watch event is cut off halfway, and its connection is closed.
     pub truncate_next_event: bool,
