--- a/lab/src/load/mod.rs
+++ b/lab/src/load/mod.rs
@@ -1,6 +1,6 @@
 //! `load`: an open-loop load generator for a running router. Each request has a scheduled time, and its
-//! latency is measured from that time. A stall is therefore not hidden by clients that wait for it before
-//! they send their next request.
+//! latency is measured from that time. A stall is therefore not hidden by clients that wait for a
+//! response before they send the next request.
 mod arguments;
 mod outcome;
 mod schedule;
--- a/multiprocess/src/check/settings.rs
+++ b/multiprocess/src/check/settings.rs
@@ -4,8 +4,8 @@
 /// The settle times and the window length that the checker uses.
 #[derive(Clone, Copy, Debug)]
 pub struct CheckSettings {
-    /// Time after the commit of a lowered quota in which the old quota may still apply. It covers the
-    /// lifetime of a grant and the propagation to all routers.
+    /// Time after the commit of a lowered quota in which the old quota may still apply. This time
+    /// covers the lifetime of a grant and the propagation to all routers.
     pub quota_settle_time: Micros,
     /// Time after the commit of a stricter placement rule in which the old rule may still apply.
     pub placement_settle_time: Micros,
--- a/multiprocess/src/check/violation.rs
+++ b/multiprocess/src/check/violation.rs
@@ -75,9 +75,7 @@
             Violation::UnexpectedResponses { router, responses } => {
                 write!(f, "router {router} sent {responses} responses that no client expected")
             }
-            Violation::RejectedWriteExecuted { id } => {
-                write!(f, "write {id} was reported as rejected, but ran")
-            }
+            Violation::RejectedWriteExecuted { id } => write!(f, "write {id} was rejected, but ran"),
             Violation::ServedNotExecuted { id } => {
                 write!(f, "request {id} was reported as served, but no server ran it")
             }
--- a/multiprocess/src/run/deployment.rs
+++ b/multiprocess/src/run/deployment.rs
@@ -155,7 +155,7 @@
         let clients = clients.join(",");
         let requested = self.now();
         let deadline = Instant::now() + DOCUMENT_TIMEOUT;
-        // The command fails while the store has no leader. It is idempotent, so it can be retried.
+        // The command fails while the store has no leader. The command is idempotent, so it can be retried.
         while let Err(e) = run_command(self.program, &["fleet", "set", &file, "--store", &clients]) {
             if Instant::now() > deadline {
                 return Err(e.into());
--- a/simulator/src/node.rs
+++ b/simulator/src/node.rs
@@ -109,7 +109,7 @@
 
     /// Replication position up to which reads see every commit. A primary's is the current time; a replica's
     /// is just before the oldest commit that it has not applied, or `replication_delay` microseconds ago if
-    /// it has applied all.
+    /// the replica has applied all commits.
     pub fn position(&mut self, now: Time, replication_delay: i64) -> Time {
         if self.primary {
             return now;
--- a/simulator/src/spread_meter.rs
+++ b/simulator/src/spread_meter.rs
@@ -62,8 +62,8 @@
 }
 
 impl SpreadMeter {
-    /// Creates a meter for nodes with the given group indices, none of them in service yet. It measures
-    /// `seconds` whole seconds from `begin` on.
+    /// Creates a meter for nodes with the given group indices, none of them in service yet. The meter
+    /// measures `seconds` whole seconds from `begin` on.
     pub fn new(begin: Time, seconds: usize, groups: &[usize]) -> SpreadMeter {
         let replica = |group: &usize| ReplicaState {
             group: *group,
--- a/simulator/src/world/faults.rs
+++ b/simulator/src/world/faults.rs
@@ -155,7 +155,8 @@
         }
     }
 
-    /// Kills a router. Its clients retry idempotent requests; all others count as failed.
+    /// Kills a router. Its clients retry idempotent requests; all other requests of these clients
+    /// count as failed.
     fn kill_router(&mut self, router: usize, duration: i64) {
         let clients = self.clients_waiting_at(router);
         let killed = &mut self.routers[router];
--- a/soak/src/environment/servers/mod.rs
+++ b/soak/src/environment/servers/mod.rs
@@ -62,7 +62,8 @@
         self.lock().servers[server].alive = true;
     }
 
-    /// Promotes another member of the server's group to primary; it has all committed data.
+    /// Promotes another member of the server's group to primary; the new primary has all
+    /// committed data.
     pub fn fail_over(&self, server: usize, now: Micros) {
         self.lock().fail_over(server, now);
     }
--- a/soak/src/oracle/promise.rs
+++ b/soak/src/oracle/promise.rs
@@ -8,7 +8,7 @@
     Lost,
     /// The final response arrives in time.
     Late,
-    /// Each request gets exactly one response, its own, in order.
+    /// Each request gets exactly one response, in order, and never the response to another request.
     MismatchedResponse,
     /// No attempt starts after the client has disconnected or cancelled the request.
     SentAfterDisconnect,
--- a/soak/src/oracle/requests.rs
+++ b/soak/src/oracle/requests.rs
@@ -11,8 +11,9 @@
 const RESPONSE_GRACE: Micros = 500_000;
 /// How long after the client's disconnect or cancel an attempt of the request may still start.
 const MAX_START_AFTER_DISCONNECT: Micros = 100_000;
-/// The scheduling delay added to [`MAX_START_AFTER_DISCONNECT`]. It is less than [`SCHEDULING_SLACK`],
-/// because one process records clients and servers, so only the router's scheduling delay counts.
+/// The scheduling delay added to [`MAX_START_AFTER_DISCONNECT`]. This delay is less than
+/// [`SCHEDULING_SLACK`], because one process records clients and servers, so only the router's scheduling
+/// delay counts.
 const DISCONNECT_SLACK: Micros = 100_000;
 /// The tolerance by which the timeout sent to a server may exceed the client's remaining time.
 const TIMEOUT_SLACK: Micros = 150_000;
--- a/soak/src/router/instance.rs
+++ b/soak/src/router/instance.rs
@@ -62,7 +62,8 @@
         self.process.as_ref()
     }
 
-    /// Starts a process with these arguments and environment variables. It replaces the previous process.
+    /// Starts a process with these arguments and environment variables. The started process
+    /// replaces the previous process.
     ///
     /// # Errors
     /// The process can't be started.
--- a/soak/src/router/process.rs
+++ b/soak/src/router/process.rs
@@ -73,8 +73,8 @@
 }
 
 impl Process {
-    /// Starts the router with these arguments and environment variables. It does not inherit the environment
-    /// of this process.
+    /// Starts the router with these arguments and environment variables. The router does not inherit the
+    /// environment of this process.
     ///
     /// # Errors
     /// The process, its log file or the thread that reads its log can't be created.
