--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -83,7 +83,7 @@
         Some(current_exe.parent()?.join("damsonvale"))
     };
     let router = arguments.program.clone().or_else(default_path).filter(|path| path.exists());
-    let mut programs = Programs::beside(&router.ok_or(Error::ProgramNotFound)?);
+    let mut programs = Programs::for_router(&router.ok_or(Error::ProgramNotFound)?);
     if let Some(folder) = &arguments.logs {
         std::fs::create_dir_all(folder).map_err(|source| Error::write(folder, source))?;
         programs.logs = Some(folder.clone());
@@ -97,7 +97,7 @@
 }
 
 fn run_seed(plan: &Plan, seed: u64, faults: &[PlannedFault], programs: &Programs) -> Result<Report, Error> {
-    let history = soak::play::play(plan, seed, faults, programs).map_err(Error::Soak)?;
+    let history = soak::play::run_plan(plan, seed, faults, programs).map_err(Error::Soak)?;
     let breaches = oracle::check(&history);
     Ok(Report::new(seed, faults, &history, breaches))
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -7,7 +7,7 @@
 //!   front. A link is a fault-injecting proxy between a router and a server: it timestamps the bytes that the
 //!   router writes, and can delay or block them, deliver responses one byte at a time, or reset connections.
 //! - [`router`]: the router processes, each with the preloaded library of the package `faults`.
-//! - [`mod@play`]: executes one run on the front that the plan names: [`platform`] or [`serve`].
+//! - [`play`]: executes one run on the front that the plan names: [`platform`] or [`serve`].
 //! - [`history`]: the records of a run.
 //! - [`oracle`]: checks the records of servers, clients and discovery against the router's promises, without
 //!   reading the router's own log. It also checks the router's own counters of violated invariants.
--- a/soak/src/platform/run.rs
+++ b/soak/src/platform/run.rs
@@ -134,7 +134,7 @@
     }
 
     /// Runs the load and injects the faults.
-    pub(super) fn play(&mut self, seed: u64, faults: &[PlannedFault]) -> io::Result<()> {
+    pub(super) fn run_load(&mut self, seed: u64, faults: &[PlannedFault]) -> io::Result<()> {
         let settings = ClientSettings {
             routers: self.routers.iter().map(|router| router.listen).collect(),
             clients: self.plan.clients,
--- a/soak/src/play.rs
+++ b/soak/src/play.rs
@@ -11,14 +11,14 @@
 ///
 /// # Errors
 /// A port, folder or process is not available, or a router does not become ready in time.
-pub fn play(
+pub fn run_plan(
     plan: &Plan,
     seed: u64,
     faults: &[PlannedFault],
     programs: &Programs,
 ) -> Result<History, RunError> {
     match plan.front {
-        Front::Platform => platform::play(plan, seed, faults, programs),
-        Front::Serve => serve::play(plan, seed, faults, programs),
+        Front::Platform => platform::run_plan(plan, seed, faults, programs),
+        Front::Serve => serve::run_plan(plan, seed, faults, programs),
     }
 }
--- a/soak/src/router/process.rs
+++ b/soak/src/router/process.rs
@@ -39,7 +39,7 @@
 impl Programs {
     /// Uses the router at this path, and the library if it was built in the same folder or in its `deps`
     /// folder.
-    pub fn beside(router: &Path) -> Programs {
+    pub fn for_router(router: &Path) -> Programs {
         let folder = router.parent().unwrap_or(Path::new("."));
         let candidates = [folder.join(LIBRARY_FILE), folder.join("deps").join(LIBRARY_FILE)];
         let library = candidates.into_iter().find(|path| path.exists());
--- a/soak/src/serve/mod.rs
+++ b/soak/src/serve/mod.rs
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 /// No port, folder or process is available, or a router does not become ready.
-pub fn play(
+pub fn run_plan(
     plan: &Plan,
     seed: u64,
     faults: &[PlannedFault],
@@ -27,6 +27,6 @@
 ) -> Result<History, RunError> {
     let mut run = Run::prepare(plan, programs)?;
     run.start_routers()?;
-    run.play(seed, faults)?;
+    run.run_load(seed, faults)?;
     Ok(run.finish()?)
 }
--- a/soak/src/serve/run.rs
+++ b/soak/src/serve/run.rs
@@ -137,7 +137,7 @@
     }
 
     /// Runs the load and injects the faults.
-    pub(super) fn play(&mut self, seed: u64, faults: &[PlannedFault]) -> io::Result<()> {
+    pub(super) fn run_load(&mut self, seed: u64, faults: &[PlannedFault]) -> io::Result<()> {
         let mut load = Load::start(self.plan, seed, &self.addresses.clients, &self.clock, &self.recorder)?;
         let load_start = self.clock.now();
         let load_end = load_start + self.plan.seconds as Micros * SECOND;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -2,7 +2,7 @@
 use soak::draw::draw;
 use soak::oracle::{self, Breach, Promise};
 use soak::plan::Plan;
-use soak::play::play;
+use soak::play::run_plan;
 use soak::report::Report;
 use soak::router::Programs;
 
@@ -20,10 +20,10 @@
 /// Plays a plan and returns the broken promises.
 fn breaches_of(plan: &Plan, seed: u64) -> Vec<Breach> {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
-    let programs = Programs::beside(Path::new(env!("CARGO_BIN_EXE_damsonvale")));
+    let programs = Programs::for_router(Path::new(env!("CARGO_BIN_EXE_damsonvale")));
     assert!(programs.library.is_some(), "the package faults is built with the tests");
     let faults = draw(plan, seed, &[]);
-    let history = play(plan, seed, &faults, &programs).unwrap();
+    let history = run_plan(plan, seed, &faults, &programs).unwrap();
     let breaches = oracle::check(&history);
     println!("{}", Report::new(seed, &faults, &history, breaches.clone()));
     breaches
