--- a/lab/src/spread_table.rs
+++ b/lab/src/spread_table.rs
@@ -7,7 +7,7 @@
 
 /// A metric that the table lists for each experiment.
 struct Metric {
-    /// Label of the metric; a metric that refines the one above it has only the difference as its label.
+    /// Label of the metric; a metric that refines the metric above has only the difference as its label.
     name: &'static str,
     value: fn(&LoadSpread) -> f64,
 }
--- a/multiprocess/src/addresses.rs
+++ b/multiprocess/src/addresses.rs
@@ -25,7 +25,7 @@
         (process % VALUES_PER_OCTET) as u8,
         MIN_LAST_OCTET + (call % LAST_OCTET_COUNT) as u8,
     ];
-    // All listeners stay bound until the last one is, so that no address is returned twice.
+    // All listeners stay bound until the last listener is bound, so that no address is returned twice.
     let listeners =
         (0..count).map(|_| TcpListener::bind(SocketAddr::from((ip, 0)))).collect::<io::Result<Vec<_>>>()?;
     listeners.iter().map(TcpListener::local_addr).collect()
--- a/multiprocess/src/plan/document.rs
+++ b/multiprocess/src/plan/document.rs
@@ -102,7 +102,7 @@
 pub struct Placement {
     /// Sites that the rule allows or prefers.
     pub sites: Vec<String>,
-    /// Whether other sites are forbidden; if false, the listed sites are only preferred.
+    /// Whether all sites that are not listed are forbidden; if false, the listed sites are only preferred.
     pub strict: bool,
     /// Classes that the rule applies to, [`READ_CLASS`] or [`WRITE_CLASS`]; all classes if omitted.
     pub classes: Option<Vec<String>>,
--- a/multiprocess/src/plan/fault.rs
+++ b/multiprocess/src/plan/fault.rs
@@ -118,7 +118,8 @@
         tenant: String,
         /// New sites of the rule.
         sites: Vec<String>,
-        /// Whether other sites are forbidden; if false, the listed sites are only preferred.
+        /// Whether all sites that are not listed are forbidden; if false, the listed sites are only
+        /// preferred.
         strict: bool,
     },
 }
--- a/simulator/src/checker.rs
+++ b/simulator/src/checker.rs
@@ -166,7 +166,8 @@
         }
     }
 
-    /// Records the final response to a request, and checks that it is the only one and in time.
+    /// Records the final response to a request, and checks that the request has no other final response
+    /// and that the response is in time.
     pub fn request_completed(&mut self, now: Time, key: RouterRequest, response: FinalResponse) {
         let RouterRequest { router, request } = key;
         let Some(state) = self.open_requests.remove(&key) else {
--- a/simulator/src/spread_meter.rs
+++ b/simulator/src/spread_meter.rs
@@ -23,7 +23,7 @@
     in_service_since: Option<Time>,
     /// Number of requests that the node serves or queues.
     active_requests: usize,
-    /// Time since which the node has no active requests, if it has none.
+    /// Time since which the node has had no active requests; valid only while `active_requests` is 0.
     idle_since: Time,
     /// Number of requests that had been started in the node's group when the node became idle.
     group_starts_when_idle: u64,
--- a/soak/src/draw.rs
+++ b/soak/src/draw.rs
@@ -60,7 +60,8 @@
 const MAX_FAULT_OVERRUN_MS: u64 = 1500;
 /// The faults of a cluster start within this time of each other.
 const CLUSTER_SPREAD_MS: u64 = 1000;
-/// On average, one in this many faults is applied to a router and a server other than those of its cluster.
+/// On average, one in this many faults is applied to a router and a server other than those of the fault's
+/// cluster.
 const OTHER_TARGET_ONE_IN: u8 = 4;
 /// The possible steps of a wall clock, in seconds.
 const CLOCK_STEPS: [i64; 4] = [-3600, -5, 5, 3600];
--- a/soak/src/oracle/requests.rs
+++ b/soak/src/oracle/requests.rs
@@ -17,7 +17,8 @@
 const DISCONNECT_SLACK: Micros = 100_000;
 /// The tolerance by which the timeout sent to a server may exceed the client's remaining time.
 const TIMEOUT_SLACK: Micros = 150_000;
-/// How long before a router closes an idle connection a request may have been sent and stay unread.
+/// A router may close an idle connection without reading a request that was sent at most this long before
+/// the close.
 const CLOSE_RACE_TIME: Micros = 150_000;
 /// How long after SIGTERM a router has to serve its clients; later it may close connections with unread
 /// requests.
--- a/test-servers/src/wire.rs
+++ b/test-servers/src/wire.rs
@@ -35,7 +35,7 @@
 
 /// Capability: the login contains a database name.
 pub const CLIENT_CONNECT_WITH_DB: u32 = 1 << 3;
-/// Capability: the peer uses protocol 4.1.
+/// Capability: the sender uses protocol 4.1.
 pub const CLIENT_PROTOCOL_41: u32 = 1 << 9;
 /// Capability: OK and EOF packets contain status flags.
 pub const CLIENT_TRANSACTIONS: u32 = 1 << 13;
