--- a/soak/src/serve/run.rs
+++ b/soak/src/serve/run.rs
@@ -137,7 +137,7 @@
     }
 
     /// Runs the load and injects the faults.
-    pub(super) fn play(&mut self, seed: u64, faults: &[PlannedFault]) -> io::Result<()> {
+    pub(super) fn run_load(&mut self, seed: u64, faults: &[PlannedFault]) -> io::Result<()> {
         let mut load = Load::start(self.plan, seed, &self.addresses.clients, &self.clock, &self.recorder)?;
         let load_start = self.clock.now();
         let load_end = load_start + self.plan.seconds as Micros * SECOND;
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Makes the next change of the store at the next node in turn, if that is not absent.
+    /// Makes the next change of the store at the next node in turn, unless that node is absent.
     fn change_store(&mut self) {
         let node = self.store.next_node();
         let is_present = !self.routers[node].instance.is_absent();
