--- a/registry/src/client/endpoint_list.rs
+++ b/registry/src/client/endpoint_list.rs
@@ -31,16 +31,19 @@
                 FleetAction::MassRemovalDelayed { nodes } => tracing::error!(
                     nodes,
                     hold_time = ?self.settings.mass_removal_delay,
-                    "most registry nodes vanished at once, they are retained for the hold time"
+                    "most registry nodes disappeared at once, they are retained for the hold time"
                 ),
                 FleetAction::RetainedReleased { nodes } => {
-                    tracing::warn!(nodes, "vanished registry nodes removed after retention");
+                    tracing::warn!(nodes, "disappeared registry nodes removed after retention");
                 }
                 FleetAction::LevelChanged(Level::Fresh) => {
                     tracing::info!("registry list fresh again");
                 }
                 FleetAction::LevelChanged(level) => {
-                    tracing::error!(?level, "registry silent for too long, use of its node list restricted");
+                    tracing::error!(
+                        ?level,
+                        "registry has not responded for too long, use of its node list restricted"
+                    );
                 }
             }
         }
--- a/registry/src/client/etcd_watch.rs
+++ b/registry/src/client/etcd_watch.rs
@@ -1,5 +1,5 @@
-//! Follows an etcd member with a watch; while it is silent, reads on a second connection check for missed
-//! changes.
+//! Follows an etcd member with a watch. While the watch is silent, reads on a second connection check for
+//! missed changes.
 use super::Client;
 use super::follow::NextRequest;
 use crate::RequestError;
--- a/registry/src/client/follow.rs
+++ b/registry/src/client/follow.rs
@@ -11,7 +11,7 @@
 
 /// Capacity of the token bucket for connection attempts to the registry.
 const MAX_ATTEMPT_TOKENS: f64 = 10.0;
-/// Refill rate of that token bucket, in attempts per second.
+/// Refill rate of the token bucket for connection attempts, in attempts per second.
 const ATTEMPTS_PER_S: f64 = 5.0;
 
 /// The next request to the followed registry member.
@@ -86,7 +86,7 @@
         loop {
             next = match next {
                 NextRequest::Leave(reason) => return Ok(reason),
-                NextRequest::None => return Ok("no next request to the registry member".into()),
+                NextRequest::None => return Ok("the state machine requested no read or watch".into()),
                 NextRequest::Read => {
                     let (ClusterRevision { cluster, revision }, items) =
                         member.read(&self.settings.prefix)?;
--- a/registry/src/client/router.rs
+++ b/registry/src/client/router.rs
@@ -5,11 +5,11 @@
 /// A router's entry in the registry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Router {
-    /// The address at which it accepts client connections.
+    /// The address at which the router accepts client connections.
     pub addr: SocketAddr,
-    /// Its instance number for session sharing, and the address at which it accepts session peers.
+    /// The router's instance number for session sharing, and the address at which it accepts session peers.
     pub sessions: Option<(u64, SocketAddr)>,
-    /// The ID of its store node, and the address at which that node listens.
+    /// The ID of the router's store node, and the address at which that node listens.
     #[serde(default)]
     pub store: Option<(u64, SocketAddr)>,
     /// The incarnation: identifies this start of the router process.
--- a/registry/src/client/saved_list.rs
+++ b/registry/src/client/saved_list.rs
@@ -4,7 +4,7 @@
 /// Time and revision of the list that was last written to disk.
 #[derive(Default)]
 pub(super) struct LastSave {
-    /// When it was written, in microseconds of the client's clock.
+    /// When the list was written, in microseconds of the client's clock.
     pub(super) at: i64,
     /// The registry revision of the list.
     pub(super) revision: Revision,
--- a/registry/src/fleet.rs
+++ b/registry/src/fleet.rs
@@ -25,8 +25,8 @@
     pub deny: Vec<IpNet>,
     /// Up to this time since the registry's last response every node is used.
     pub max_fresh_age: Micros,
-    /// After `max_fresh_age` only nodes that have responded since the registry did are used; after this time,
-    /// if set, no node is.
+    /// Between `max_fresh_age` and this time only nodes that have responded since the registry's last
+    /// response are used; after this time, if set, no node is used.
     pub max_usable_age: Option<Micros>,
     /// If more than this share of the nodes in service disappears within the window, further nodes that
     /// disappear are retained.
@@ -89,7 +89,8 @@
         /// Why the value is invalid.
         reason: String,
     },
-    /// Too many nodes disappeared at once; further ones are retained for `mass_removal_delay`.
+    /// Too many nodes disappeared at once; nodes that disappear from now on are retained for
+    /// `mass_removal_delay`.
     MassRemovalDelayed {
         /// The number of nodes in service before the disappearances.
         nodes: usize,
@@ -122,11 +123,11 @@
     id: String,
     created: u64,
     modified: u64,
-    /// Set once its key is deleted: when the retained node is to be removed.
+    /// When the retained node is to be removed; `None` unless the node's key was deleted.
     retained_until: Option<Time>,
-    /// The node was draining before the registry was restored, and its key has not changed since: it keeps
-    /// draining.
-    is_fenced: bool,
+    /// The node was draining or removed when the registry was restored from a backup, and its key has not
+    /// changed since: the node stays draining, whatever its key says.
+    stays_drained: bool,
     /// When the node last responded to this router; until its first response, when its key was read.
     responded_at: Time,
     /// The node's state on the endpoint list; `None` before the node is added.
@@ -149,7 +150,7 @@
     /// Names of nodes whose newest value is invalid.
     invalid: BTreeSet<String>,
     /// Times of the disappearances within the last window.
-    vanished: VecDeque<Time>,
+    disappearances: VecDeque<Time>,
     /// When the registry last responded.
     last_contact: Option<Time>,
     level: Level,
@@ -171,7 +172,7 @@
             settings,
             nodes: BTreeMap::new(),
             invalid: BTreeSet::new(),
-            vanished: VecDeque::new(),
+            disappearances: VecDeque::new(),
             last_contact: None,
             level: Level::Fresh,
             drained_before_restore: BTreeSet::new(),
@@ -226,7 +227,7 @@
 
     /// Remembers the draining and removed nodes, which a restored registry must not put back into service.
     fn record_drained(&mut self) {
-        let is_drained = |entry: &Entry| entry.node.state != State::InService || entry.is_fenced;
+        let is_drained = |entry: &Entry| entry.node.state != State::InService || entry.stays_drained;
         let drained = self.nodes.iter().filter(|(_, entry)| is_drained(entry));
         self.drained_before_restore = drained.map(|(name, _)| name.clone()).collect();
         self.drained_before_restore.extend(self.removed.drain(..));
@@ -254,9 +255,10 @@
             created: item.created,
             modified: item.modified,
             retained_until: None,
-            // It may have been drained after the backup was taken: only a newer change puts it back into
-            // service.
-            is_fenced: was_drained || same.is_some_and(|s| s.is_fenced && s.modified >= item.modified),
+            // The node may have been drained after the backup was taken: only a newer change of its key
+            // puts it back into service.
+            stays_drained: was_drained
+                || same.is_some_and(|s| s.stays_drained && s.modified >= item.modified),
             responded_at: same.map_or(now, |same| same.responded_at),
             listed_state: same.and_then(|same| same.listed_state),
             node,
--- a/registry/src/fleet/disappearance.rs
+++ b/registry/src/fleet/disappearance.rs
@@ -10,9 +10,9 @@
         if entry.node.state != State::InService || entry.retained_until.is_some() {
             return self.remove(name, actions);
         }
-        self.record_vanished(now);
+        self.record_disappearance(now);
         let remaining = self.serving - 1;
-        let serving_before = remaining + self.vanished.len();
+        let serving_before = remaining + self.disappearances.len();
         if !self.is_mass_disappearance(serving_before) && remaining > 0 {
             return self.remove(name, actions);
         }
@@ -22,19 +22,19 @@
         }
     }
 
-    fn record_vanished(&mut self, now: Time) {
+    fn record_disappearance(&mut self, now: Time) {
         let window = self.settings.mass_removal_window;
-        while self.vanished.front().is_some_and(|at| now.0 - at.0 > window) {
-            self.vanished.pop_front();
+        while self.disappearances.front().is_some_and(|at| now.0 - at.0 > window) {
+            self.disappearances.pop_front();
         }
-        self.vanished.push_back(now);
+        self.disappearances.push_back(now);
     }
 
     /// Whether too many of the nodes that were in service before the window have disappeared. A single node
     /// never counts as too many, since removing one of two nodes is an ordinary change.
     fn is_mass_disappearance(&self, serving_before: usize) -> bool {
-        let vanished = self.vanished.len();
-        vanished > 1 && vanished as f64 > self.settings.mass_removal_share * serving_before as f64
+        let disappeared = self.disappearances.len();
+        disappeared > 1 && disappeared as f64 > self.settings.mass_removal_share * serving_before as f64
     }
 
     fn retain(&mut self, name: &str, until: Time) {
@@ -44,7 +44,7 @@
         self.serving -= 1;
     }
 
-    /// Removes the retained nodes for whose retention end `is_over` returns `true`.
+    /// Removes the retained nodes for whose end of retention `has_expired` returns `true`.
     pub(super) fn release_retained(&mut self, has_expired: impl Fn(Time) -> bool, actions: &mut Vec<Action>) {
         // Normally no node is retained; this avoids scanning a long list at each tick.
         if !self.is_retaining {
--- a/registry/src/fleet/listing.rs
+++ b/registry/src/fleet/listing.rs
@@ -15,7 +15,7 @@
             Level::KnownGood => entry.responded_at >= last_contact,
             Level::TooOld => false,
         };
-        if is_usable && !entry.is_fenced { State::InService } else { State::Draining }
+        if is_usable && !entry.stays_drained { State::InService } else { State::Draining }
     }
 
     /// Updates the entry of a node on the endpoint list, if its state differs there or `has_changed` is
--- a/registry/src/fleet/node.rs
+++ b/registry/src/fleet/node.rs
@@ -45,7 +45,7 @@
     /// Whether the node accepts new requests.
     #[serde(default = "default_state")]
     pub state: State,
-    /// Its capacity relative to other nodes; positive.
+    /// The node's capacity relative to other nodes; positive.
     #[serde(default = "default_weight")]
     pub weight: f64,
     /// The name of its zone.
--- a/registry/src/lib.rs
+++ b/registry/src/lib.rs
@@ -60,7 +60,7 @@
     #[error("the requested revision has been compacted")]
     Compacted,
     /// The registry rejected the request.
-    #[error("rejected with status {status}: {message}")]
+    #[error("the registry rejected the request with status {status}: {message}")]
     Rejected {
         /// The HTTP status code.
         status: u16,
--- a/registry/src/machine.rs
+++ b/registry/src/machine.rs
@@ -121,14 +121,14 @@
 /// Why a registry member is not followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaveReason {
-    /// Its revision is older than the known one.
+    /// The member's revision is older than the newest known one.
     Behind {
         /// The member's revision.
         theirs: Revision,
         /// The known revision.
         ours: Revision,
     },
-    /// It belongs to another cluster.
+    /// The member belongs to another cluster.
     OtherCluster {
         /// The member's cluster ID.
         theirs: u64,
--- a/registry/src/tls.rs
+++ b/registry/src/tls.rs
@@ -49,7 +49,7 @@
         source: rustls::pki_types::pem::Error,
     },
     /// The client certificate and the private key do not match.
-    #[error("{path}: does not match the certificate: {source}; give the key of the certificate")]
+    #[error("{path}: the private key does not match the client certificate: {source}; give the matching key")]
     Pair {
         /// The path of the key file.
         path: String,
@@ -117,7 +117,7 @@
     /// Loads the files.
     ///
     /// # Errors
-    /// If one of them is unreadable or invalid.
+    /// If one of the files is unreadable or invalid.
     pub fn new(files: RegistryTls) -> Result<Tls, TlsError> {
         let modified = modification_times(&files);
         let loaded = LoadedConfig { modified, config: Arc::new(read_config(&files)?) };
--- a/registry/tests/dialect_requests.rs
+++ b/registry/tests/dialect_requests.rs
@@ -96,8 +96,8 @@
     let second = r#"{"header":{"cluster_id":"7","revision":"41"},"kvs":[
         {"key":"L2EvMw==","value":"eQ==","create_revision":"5","mod_revision":"6"}]}"#;
     let (mut etcd, requests) = etcd(None, vec![("200 OK", first), ("200 OK", second)]);
-    let (position, items) = etcd.read("/a/").unwrap();
-    assert_eq!((position.cluster, position.revision), (7, 40));
+    let (read_at, items) = etcd.read("/a/").unwrap();
+    assert_eq!((read_at.cluster, read_at.revision), (7, 40));
     assert_eq!(items, [item("/a/1", "x", 3, 9), item("/a/2", "", 4, 4), item("/a/3", "y", 5, 6)]);
     assert_eq!(
         received_requests(&requests),
@@ -110,14 +110,14 @@
 
 #[test]
 fn etcd_requests_match_the_recorded_bytes() {
-    let position = r#"{"header":{"cluster_id":"7","revision":"40"}}"#;
+    let revision_response = r#"{"header":{"cluster_id":"7","revision":"40"}}"#;
     let (mut etcd, requests) = etcd(
         None,
         vec![
-            ("200 OK", position),
-            ("200 OK", position),
+            ("200 OK", revision_response),
+            ("200 OK", revision_response),
             ("200 OK", r#"{"count":"3"}"#),
-            ("200 OK", position),
+            ("200 OK", revision_response),
             ("200 OK", r#"{"succeeded":true}"#),
             ("200 OK", r#"{"ID":"99"}"#),
             ("200 OK", r#"{"result":{"TTL":"0"}}"#),
--- a/registry/tests/fleet.rs
+++ b/registry/tests/fleet.rs
@@ -18,15 +18,15 @@
     })
 }
 
-fn handle(f: &mut Fleet, at: i64, event: Event) -> Vec<Action> {
+fn handle(fleet: &mut Fleet, at: i64, event: Event) -> Vec<Action> {
     let mut actions = Vec::new();
-    f.handle(Time(at), event, &mut actions);
+    fleet.handle(Time(at), event, &mut actions);
     actions
 }
 
-fn put(f: &mut Fleet, at: i64, name: &str, value: &str, created: u64, modified: u64) -> Vec<Action> {
+fn put(fleet: &mut Fleet, at: i64, name: &str, value: &str, created: u64, modified: u64) -> Vec<Action> {
     let item = Item { key: name.into(), value: value.into(), created, modified };
-    handle(f, at, Event::Put { name: name.into(), item })
+    handle(fleet, at, Event::Put { name: name.into(), item })
 }
 
 fn json(port: u16, state: &str) -> String {
@@ -44,17 +44,17 @@
 
 /// A fleet with ten nodes in service, `n0` to `n9`, on different ports.
 fn ten_nodes() -> Fleet {
-    let mut f = fleet();
+    let mut fleet = fleet();
     for n in 0..10 {
-        put(&mut f, 0, &format!("n{n}"), &json(100 + n, "in_service"), 1, 1);
+        put(&mut fleet, 0, &format!("n{n}"), &json(100 + n, "in_service"), 1, 1);
     }
-    handle(&mut f, 0, Event::RegistryResponded);
-    f
+    handle(&mut fleet, 0, Event::RegistryResponded);
+    fleet
 }
 
 #[test]
 fn invalid_value_is_reported_and_the_last_valid_one_stays() {
-    let mut f = ten_nodes();
+    let mut fleet = ten_nodes();
     for bad in [
         "",
         "{}",
@@ -67,64 +67,64 @@
         "{\"addr\":\"127.9.0.1:1\"}",
     ] {
         assert!(
-            matches!(&put(&mut f, 0, "n3", bad, 1, 2)[..], [Action::InvalidNode { name: n, .. }] if n == "n3"),
+            matches!(&put(&mut fleet, 0, "n3", bad, 1, 2)[..], [Action::InvalidNode { name: n, .. }] if n == "n3"),
             "{bad}"
         );
     }
-    assert_eq!(f.invalid_names().collect::<Vec<_>>(), ["n3"]);
-    assert_eq!(f.nodes().count(), 10);
+    assert_eq!(fleet.invalid_names().collect::<Vec<_>>(), ["n3"]);
+    assert_eq!(fleet.nodes().count(), 10);
     assert_eq!(
-        listed(&put(&mut f, 0, "n3", &json(103, "draining"), 1, 3)),
+        listed(&put(&mut fleet, 0, "n3", &json(103, "draining"), 1, 3)),
         [("n3@1".into(), State::Draining)]
     );
-    assert_eq!(f.invalid_names().count(), 0);
+    assert_eq!(fleet.invalid_names().count(), 0);
 }
 
 #[test]
 fn new_node_under_the_same_name_gets_a_new_id() {
-    let mut f = ten_nodes();
-    let recreated = put(&mut f, 0, "n1", &json(101, "in_service"), 5, 5);
+    let mut fleet = ten_nodes();
+    let recreated = put(&mut fleet, 0, "n1", &json(101, "in_service"), 5, 5);
     assert_eq!(recreated[0], Action::Unlist { id: "n1@1".into() });
     assert_eq!(listed(&recreated), [("n1@5".into(), State::InService)]);
-    let moved = put(&mut f, 0, "n1", &json(901, "in_service"), 5, 6);
+    let moved = put(&mut fleet, 0, "n1", &json(901, "in_service"), 5, 6);
     assert_eq!(moved[0], Action::Unlist { id: "n1@5".into() });
     assert_eq!(listed(&moved), [("n1@5.6".into(), State::InService)]);
     assert_eq!(
-        listed(&put(&mut f, 0, "n1", &json(901, "draining"), 5, 7)),
+        listed(&put(&mut fleet, 0, "n1", &json(901, "draining"), 5, 7)),
         [("n1@5.6".into(), State::Draining)]
     );
     // An unchanged value causes no action.
-    assert_eq!(put(&mut f, 0, "n1", &json(901, "draining"), 5, 8), []);
+    assert_eq!(put(&mut fleet, 0, "n1", &json(901, "draining"), 5, 8), []);
 }
 
 #[test]
 fn nodes_of_a_mass_disappearance_are_retained_while_drains_apply_at_once() {
-    let mut f = ten_nodes();
-    // A single disappearance outside the window is applied at once.
+    let mut fleet = ten_nodes();
+    // A single disappearance is applied at once; it is outside the window of the later ones.
     assert_eq!(
-        handle(&mut f, 0, Event::KeyDeleted { name: "n0".into() }),
+        handle(&mut fleet, 0, Event::KeyDeleted { name: "n0".into() }),
         [Action::Unlist { id: "n0@1".into() }]
     );
     let at = 20 * SECOND;
     for n in 1..5 {
-        assert_eq!(handle(&mut f, at, Event::KeyDeleted { name: format!("n{n}") }).len(), 1, "n{n}");
+        assert_eq!(handle(&mut fleet, at, Event::KeyDeleted { name: format!("n{n}") }).len(), 1, "n{n}");
     }
     // More than half of the nodes disappear within the window: from now on they are retained.
     assert_eq!(
-        handle(&mut f, at, Event::KeyDeleted { name: "n5".into() }),
+        handle(&mut fleet, at, Event::KeyDeleted { name: "n5".into() }),
         [Action::MassRemovalDelayed { nodes: 9 }]
     );
-    assert_eq!(handle(&mut f, at, Event::KeyDeleted { name: "n6".into() }), []);
-    assert_eq!(f.retained_count(), 2);
+    assert_eq!(handle(&mut fleet, at, Event::KeyDeleted { name: "n6".into() }), []);
+    assert_eq!(fleet.retained_count(), 2);
     assert_eq!(
-        listed(&put(&mut f, at, "n7", &json(107, "draining"), 1, 9)),
+        listed(&put(&mut fleet, at, "n7", &json(107, "draining"), 1, 9)),
         [("n7@1".into(), State::Draining)]
     );
     // A node whose key is recreated is no longer retained.
-    put(&mut f, at, "n5", &json(105, "in_service"), 1, 10);
-    assert_eq!(f.retained_count(), 1);
+    put(&mut fleet, at, "n5", &json(105, "in_service"), 1, 10);
+    assert_eq!(fleet.retained_count(), 1);
     assert_eq!(
-        handle(&mut f, at + 59 * SECOND, Event::Tick),
+        handle(&mut fleet, at + 59 * SECOND, Event::Tick),
         [Action::LevelChanged(Level::TooOld)]
             .into_iter()
             .chain(
@@ -134,7 +134,7 @@
             )
             .collect::<Vec<_>>()
     );
-    let expired = handle(&mut f, at + 60 * SECOND, Event::Tick);
+    let expired = handle(&mut fleet, at + 60 * SECOND, Event::Tick);
     assert_eq!(expired[..2], [Action::Unlist { id: "n6@1".into() }, Action::RetainedReleased { nodes: 1 }]);
 }
 
@@ -146,53 +146,53 @@
 
 #[test]
 fn last_node_is_retained_until_released_by_operator() {
-    let mut f = fleet();
-    put(&mut f, 0, "n0", &json(100, "in_service"), 1, 1);
-    handle(&mut f, 0, Event::RegistryResponded);
+    let mut fleet = fleet();
+    put(&mut fleet, 0, "n0", &json(100, "in_service"), 1, 1);
+    handle(&mut fleet, 0, Event::RegistryResponded);
     assert_eq!(
-        handle(&mut f, SECOND, Event::KeyDeleted { name: "n0".into() }),
+        handle(&mut fleet, SECOND, Event::KeyDeleted { name: "n0".into() }),
         [Action::MassRemovalDelayed { nodes: 1 }]
     );
-    let removed = handle(&mut f, 2 * SECOND, Event::ReleaseRetained);
+    let removed = handle(&mut fleet, 2 * SECOND, Event::ReleaseRetained);
     assert_eq!(removed, [Action::Unlist { id: "n0@1".into() }, Action::RetainedReleased { nodes: 1 }]);
 }
 
 #[test]
 fn silent_registry_restricts_use_to_responding_nodes_then_to_none() {
-    let mut f = ten_nodes();
-    assert_eq!(handle(&mut f, 10 * SECOND, Event::Tick), []);
-    handle(&mut f, 10 * SECOND, Event::NodeResponded { name: "n4".into() });
-    let restricted = handle(&mut f, 10 * SECOND + 1, Event::Tick);
+    let mut fleet = ten_nodes();
+    assert_eq!(handle(&mut fleet, 10 * SECOND, Event::Tick), []);
+    handle(&mut fleet, 10 * SECOND, Event::NodeResponded { name: "n4".into() });
+    let restricted = handle(&mut fleet, 10 * SECOND + 1, Event::Tick);
     assert_eq!(restricted[0], Action::LevelChanged(Level::KnownGood));
     // All nodes were listed at the time of the registry's last response, so all still count as responding.
     assert_eq!(listed(&restricted), []);
-    handle(&mut f, 11 * SECOND, Event::RegistryResponded);
-    let restricted = handle(&mut f, 30 * SECOND, Event::Tick);
+    handle(&mut fleet, 11 * SECOND, Event::RegistryResponded);
+    let restricted = handle(&mut fleet, 30 * SECOND, Event::Tick);
     assert_eq!(listed(&restricted).len(), 10);
     assert!(listed(&restricted).iter().all(|(_, s)| *s == State::Draining));
     // A node that responds is used again; after `max_usable_age` no node is used.
-    handle(&mut f, 31 * SECOND, Event::NodeResponded { name: "n4".into() });
-    assert_eq!(listed(&handle(&mut f, 31 * SECOND, Event::Tick)), [("n4@1".into(), State::InService)]);
-    assert_eq!(listed(&handle(&mut f, 72 * SECOND, Event::Tick)), [("n4@1".into(), State::Draining)]);
-    let fresh = handle(&mut f, 80 * SECOND, Event::RegistryResponded);
+    handle(&mut fleet, 31 * SECOND, Event::NodeResponded { name: "n4".into() });
+    assert_eq!(listed(&handle(&mut fleet, 31 * SECOND, Event::Tick)), [("n4@1".into(), State::InService)]);
+    assert_eq!(listed(&handle(&mut fleet, 72 * SECOND, Event::Tick)), [("n4@1".into(), State::Draining)]);
+    let fresh = handle(&mut fleet, 80 * SECOND, Event::RegistryResponded);
     assert_eq!((fresh[0].clone(), listed(&fresh).len()), (Action::LevelChanged(Level::Fresh), 10));
 }
 
 #[test]
 fn restored_registry_does_not_put_drained_or_removed_nodes_into_service() {
-    let mut f = ten_nodes();
-    put(&mut f, 0, "n1", &json(101, "draining"), 1, 20);
-    handle(&mut f, 0, Event::KeyDeleted { name: "n2".into() });
-    handle(&mut f, SECOND, Event::Restored);
+    let mut fleet = ten_nodes();
+    put(&mut fleet, 0, "n1", &json(101, "draining"), 1, 20);
+    handle(&mut fleet, 0, Event::KeyDeleted { name: "n2".into() });
+    handle(&mut fleet, SECOND, Event::Restored);
     for n in [1, 2, 3] {
         let state = if n == 3 { State::InService } else { State::Draining };
-        let recreated = put(&mut f, SECOND, &format!("n{n}"), &json(100 + n, "in_service"), 1, 1);
+        let recreated = put(&mut fleet, SECOND, &format!("n{n}"), &json(100 + n, "in_service"), 1, 1);
         assert!(listed(&recreated).iter().all(|(_, s)| *s == state), "n{n}: {recreated:?}");
     }
-    assert!(f.nodes().any(|(name, _, listed)| name == "n2" && listed == Some(State::Draining)));
+    assert!(fleet.nodes().any(|(name, _, listed)| name == "n2" && listed == Some(State::Draining)));
     // A change made after the restore puts the node back into service.
     assert_eq!(
-        listed(&put(&mut f, SECOND, "n1", &json(101, "in_service"), 1, 6)),
+        listed(&put(&mut fleet, SECOND, "n1", &json(101, "in_service"), 1, 6)),
         [("n1@1".into(), State::InService)]
     );
 }
--- a/registry/tests/http.rs
+++ b/registry/tests/http.rs
@@ -71,8 +71,9 @@
 #[test]
 fn lines_survive_timeouts_and_chunk_boundaries_and_truncated_line_is_error() {
     let (http_client, connections) = start_server();
-    let client_thread =
-        on_thread(http_client, |m| m.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, SHORT).unwrap());
+    let client_thread = on_thread(http_client, |client| {
+        client.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, SHORT).unwrap()
+    });
     let socket = connections.recv().unwrap();
     assert_eq!(request(&socket), ("POST /v3/watch HTTP/1.1".into(), "{}".into()));
     send(&socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
@@ -100,11 +101,12 @@
 #[test]
 fn too_long_line_or_body_is_error() {
     let (http_client, connections) = start_server();
-    let client_thread = on_thread(http_client, |m| {
-        let mut lines = m.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, BOUNDS.read_timeout).unwrap();
+    let client_thread = on_thread(http_client, |client| {
+        let mut lines =
+            client.stream_lines("/v3/watch", b"{}", BOUNDS.read_timeout, BOUNDS.read_timeout).unwrap();
         let mut line = Vec::new();
         let longest_line = lines.read_line(&mut line).map(|more| (more, line.len()));
-        let long_body = m.request("GET", "/long", b"").map(|w| w.code);
+        let long_body = client.request("GET", "/long", b"").map(|response| response.code);
         (longest_line.unwrap(), lines.read_line(&mut line).unwrap_err().kind(), long_body)
     });
     let socket = connections.recv().unwrap();
@@ -127,13 +129,13 @@
 fn connection_is_reused_and_replaced_after_close() {
     let (mut http_client, connections) = start_server();
     http_client.auth_header = Some(("X-Consul-Token", "t".into()));
-    let exchange = |m: &mut HttpClient| {
-        let response = m.request("PUT", "/v1/kv/a?cas=1", b"x").unwrap();
+    let exchange = |client: &mut HttpClient| {
+        let response = client.request("PUT", "/v1/kv/a?cas=1", b"x").unwrap();
         (response.code, String::from_utf8(response.body).unwrap(), response.index, response.knows_leader)
     };
     let response =
         "HTTP/1.1 404 No\r\nX-Consul-Index: 7\r\nX-Consul-KnownLeader: false\r\nContent-Length: 2\r\n\r\nno";
-    let client_thread = on_thread(http_client, move |m| (exchange(m), exchange(m)));
+    let client_thread = on_thread(http_client, move |client| (exchange(client), exchange(client)));
     let socket = connections.recv().unwrap();
     for _ in 0..2 {
         assert_eq!(request(&socket), ("PUT /v1/kv/a?cas=1 HTTP/1.1".into(), "x".into()));
@@ -166,7 +168,8 @@
         ["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", "nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nCont"]
     {
         let (http_client, connections) = start_server();
-        let client_thread = on_thread(http_client, |m| m.request("GET", "/a", b"").map(|w| w.code));
+        let client_thread =
+            on_thread(http_client, |client| client.request("GET", "/a", b"").map(|response| response.code));
         let socket = connections.recv().unwrap();
         request(&socket);
         send(&socket, response);
@@ -176,8 +179,9 @@
     }
     // Without a response the request fails after the read timeout.
     let (http_client, connections) = start_server();
-    let client_thread =
-        on_thread(http_client, |m| m.request_with_timeout("GET", "/a", b"", SHORT).map(|w| w.code));
+    let client_thread = on_thread(http_client, |client| {
+        client.request_with_timeout("GET", "/a", b"", SHORT).map(|response| response.code)
+    });
     let _socket = connections.recv().unwrap();
     assert!(matches!(client_thread.join().unwrap().1, Err(RequestError::Io(_))));
 }
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -345,10 +345,10 @@
             c.delete(&format!("{PREFIX}nodes/{}", s.0));
         }
     });
-    router.wait_for_log("most registry nodes vanished at once, they are retained for the hold time");
+    router.wait_for_log("most registry nodes disappeared at once, they are retained for the hold time");
     assert!(by(&mut connect(addr).unwrap()).is_ok());
     assert_eq!(site.command("etcd", &["let-go"]).0, Some(0));
-    router.wait_for_log("vanished registry nodes removed after retention");
+    router.wait_for_log("disappeared registry nodes removed after retention");
     router.wait_for_log("endpoints=0 ready=0 ");
 }
 
@@ -360,7 +360,9 @@
     let load = Load::start(addr);
     site.registry.update_faults(0, |f| f.down = true);
     site.registry.break_connections(0);
-    router.wait_for_log("registry silent for too long, use of its node list restricted level=KnownGood");
+    router.wait_for_log(
+        "registry has not responded for too long, use of its node list restricted level=KnownGood",
+    );
     // Nodes that respond to requests stay in use. The primary, to which no request was sent, gets nothing new
     // until the registry is back.
     gets_nothing_new(&site, 0, 1);
