--- a/discovery/src/connection.rs
+++ b/discovery/src/connection.rs
@@ -64,7 +64,8 @@
     socket: Arc<TcpStream>,
     /// The address that the connection goes to.
     pub(crate) addr: SocketAddr,
-    /// The version that it resumed from, or the last one received; `None` before the request is sent.
+    /// The version that the connection resumed from, or the last version received on it; `None` before the
+    /// request is sent.
     pub(crate) version: Option<u64>,
     state: State,
     /// When the connection times out, unless the current step (connect, or part of the response head) has
--- a/discovery/src/driver.rs
+++ b/discovery/src/driver.rs
@@ -51,7 +51,7 @@
     ready: BTreeSet<ConnectionId>,
     /// The address from which the endpoint list's version was received.
     version_source: Option<SocketAddr>,
-    /// Failed connections since a watch was last live.
+    /// The number of connections that have failed since a watch was last live.
     failures: u32,
 }
 
--- a/discovery/src/liveness.rs
+++ b/discovery/src/liveness.rs
@@ -109,11 +109,12 @@
     id: ConnectionId,
     opened_at: Duration,
     has_response_head: bool,
-    /// When its last complete line was received; `None` before the first one.
+    /// When the last complete line was received on the connection; `None` before the first one.
     last_line_at: Option<Duration>,
-    /// Whether it was ever stale. This is never reset: changes missed meanwhile may never be delivered on it.
+    /// Whether the connection was ever stale. This is never reset: changes that were missed while the
+    /// connection was stale may never be delivered on it.
     was_stale: bool,
-    /// Whether it goes to the currently followed address, as opposed to the previous one.
+    /// Whether the connection goes to the currently followed address, as opposed to the previous one.
     to_current_address: bool,
 }
 
@@ -174,8 +175,8 @@
     /// Handles an event that occurred at `now`, measured from any fixed origin; appends the requested actions
     /// to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
-        // Before handling the event: a line after a long silence must not hide that the connection was stale,
-        // even if this is called late.
+        // Done before the event is handled: a line after a long silence must not hide that the connection was
+        // stale, even if this function is called late.
         self.mark_stale(now, actions);
         match event {
             Event::Follow => self.follow(now, actions),
@@ -269,7 +270,7 @@
         }
     }
 
-    /// Opens a connection if the time of the next opening is reached; called while none is live.
+    /// Opens a connection if the time of the next opening is reached; called while no connection is live.
     fn open_when_due(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let since = *self.outage_since.get_or_insert(now);
         if now < self.open_not_before() {
--- a/discovery/tests/liveness_outages/agent.rs
+++ b/discovery/tests/liveness_outages/agent.rs
@@ -45,7 +45,7 @@
     stage: Stage,
     /// The start of this stage; reset at the end of an outage, so that the stage's delay starts again.
     stage_since: u64,
-    /// The index of the current outage of its address, if it affects this connection.
+    /// The index of the current outage of the connection's address, if the outage affects this connection.
     current_outage: Option<usize>,
     is_dead: bool,
 }
--- a/discovery/tests/recorded_run.rs
+++ b/discovery/tests/recorded_run.rs
@@ -16,7 +16,7 @@
 const READABLE_STEPS: usize = 200;
 /// The number of steps of the runs that the fixture holds as a hash.
 const HASHED_STEPS: usize = 4000;
-/// The number of runs that the fixture holds as a hash, for each settings.
+/// The number of runs that the fixture holds as a hash, for each of the settings.
 const HASHED_SEEDS: u64 = 24;
 
 /// Production settings, and tight ones whose minimum and maximum open intervals are swapped.
