--- a/sessions/src/machine/peers.rs
+++ b/sessions/src/machine/peers.rs
@@ -9,7 +9,7 @@
     pub(super) fn set_peers(&mut self, listed: &[Instance], now: Now, actions: &mut Vec<Action>) {
         let removed: Vec<Instance> = self.peers.keys().copied().filter(|n| !listed.contains(n)).collect();
         for peer in removed.iter().filter_map(|n| self.peers.remove(n)) {
-            // The removed peer may still hold a lease, so writes wait until the lease expires.
+            // A removed peer may still hold a lease, so writes wait until that lease expires.
             self.removed_peers_lease_until = self.removed_peers_lease_until.max(peer.lease_granted_until);
         }
         if !removed.is_empty() {
--- a/sessions/src/node/inbound.rs
+++ b/sessions/src/node/inbound.rs
@@ -30,7 +30,7 @@
                 }
             };
             if let Err(error) = spawn("peer-inbound", self.limits.routing_thread_stack_bytes, run) {
-                tracing::error!(%error, "thread for connection from session peer not started");
+                tracing::error!(%error, "peer-inbound thread not started, connection from session peer closed");
             }
         }
     }
--- a/sessions/src/node/peers.rs
+++ b/sessions/src/node/peers.rs
@@ -36,7 +36,7 @@
         let this = self.clone();
         let run = move || this.run_outbound(peer, addr);
         if let Err(error) = spawn("peer-outbound", self.limits.routing_thread_stack_bytes, run) {
-            tracing::error!(peer, %error, "thread for session peer not started");
+            tracing::error!(peer, %error, "peer-outbound thread not started, session peer not connected");
         }
     }
 }
--- a/sessions/src/node/start.rs
+++ b/sessions/src/node/start.rs
@@ -69,7 +69,7 @@
         }
         JournalWarning::Rejected { path, fault, moved_to } => {
             let (path, moved_to) = (path.display(), moved_to.display());
-            tracing::error!(%path, %fault, %moved_to, "damaged session journal refused");
+            tracing::error!(%path, %fault, %moved_to, "damaged session journal rejected");
         }
     }
 }
@@ -122,7 +122,7 @@
         let this = sessions.clone();
         routing::spawn_needed("leases", limits.socket_thread_stack_bytes, move || this.run_ticks())
             .map_err(Error::Thread)?;
-        tracing::info!(instance, %address, "listener for session peers started");
+        tracing::info!(instance, %address, "session peer listener bound");
         Ok(sessions)
     }
 
--- a/sessions/src/node/ticks.rs
+++ b/sessions/src/node/ticks.rs
@@ -34,6 +34,6 @@
             .map(|peer| peer.instance.to_string())
             .collect();
         let peers = lagging.join(", ");
-        tracing::warn!(%peers, "session peers not up to date, reads of named sessions see the present");
+        tracing::warn!(%peers, "session peers not up to date, reads of named sessions must reflect all commits");
     }
 }
--- a/sessions/tests/simulation.rs
+++ b/sessions/tests/simulation.rs
@@ -55,7 +55,7 @@
 #[derive(Default)]
 struct Link {
     pushes: VecDeque<(i64, Message)>,
-    replies: VecDeque<(i64, Message)>,
+    responses: VecDeque<(i64, Message)>,
     accepted: bool,
 }
 
@@ -206,11 +206,11 @@
         }
     }
 
-    fn reply(&mut self, from: Instance, to: Instance, message: Message) {
-        let end = self.links.get(&(from, to)).and_then(|link| link.replies.back().map(|m| m.0));
+    fn respond(&mut self, from: Instance, to: Instance, message: Message) {
+        let end = self.links.get(&(from, to)).and_then(|link| link.responses.back().map(|m| m.0));
         let at = self.delay(end);
         if let Some(link) = self.links.get_mut(&(from, to)) {
-            link.replies.push_back((at, message));
+            link.responses.push_back((at, message));
         }
     }
 
@@ -238,14 +238,14 @@
                 self.send(instance, to, Message::Push(Push::SnapshotComplete { seq, floor }));
             }
             Action::Accept { peer, incarnation, last_seq: stored_seq } => {
-                self.reply(peer, instance, Message::Accepted { incarnation, last_seq: stored_seq });
+                self.respond(peer, instance, Message::Accepted { incarnation, last_seq: stored_seq });
             }
-            Action::Reject { peer, reason: cause } => self.reply(peer, instance, Message::Rejected(cause)),
+            Action::Reject { peer, reason: cause } => self.respond(peer, instance, Message::Rejected(cause)),
             Action::SendConfirmation { peer, seq } => {
-                self.reply(peer, instance, Message::Confirmation { seq });
+                self.respond(peer, instance, Message::Confirmation { seq });
             }
             Action::RequestLease { peer, requested_at: at } => {
-                self.reply(peer, instance, Message::LeaseRequest { requested_at: at });
+                self.respond(peer, instance, Message::LeaseRequest { requested_at: at });
             }
             Action::Disconnect { peer } => self.disconnect(peer, instance),
             Action::Acknowledge { ack } => {
@@ -336,9 +336,9 @@
         }
         while self.is_running(from)
             && let Some(link) = self.links.get_mut(&(from, to))
-            && link.replies.front().is_some_and(|m| m.0 <= self.now)
+            && link.responses.front().is_some_and(|m| m.0 <= self.now)
         {
-            match link.replies.pop_front().unwrap().1 {
+            match link.responses.pop_front().unwrap().1 {
                 Message::Accepted { incarnation, last_seq: stored_seq } => {
                     link.accepted = true;
                     self.handle(from, Event::Accepted { peer: to, incarnation, last_seq: stored_seq });
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -486,9 +486,9 @@
     assert!(refused.contains("does not list this one"), "{refused}");
     // One that dies is not proven gone by an address that it may have left: nothing is relied on.
     routers.remove(1);
-    routers[0]
-        .0
-        .wait_for_log("session peers not up to date, reads of named sessions see the present peers=2");
+    routers[0].0.wait_for_log(
+        "session peers not up to date, reads of named sessions must reflect all commits peers=2",
+    );
 }
 
 #[test]
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -227,7 +227,7 @@
     let (ok, output) = run_command("verify", &bad);
     assert!(!ok && output.contains("at offset"), "{output}");
     one.start(0);
-    one.program(0).wait_for_log("damaged session journal refused");
+    one.program(0).wait_for_log("damaged session journal rejected");
     assert_eq!(read(&mut one.client(0), "ann").unwrap(), ReadResult::of(1, "primary"));
     one.kill(0);
     // A tail that was torn off: what stood before it counts, and what may have been in it is covered.
