--- a/membership/src/driver.rs
+++ b/membership/src/driver.rs
@@ -88,8 +88,8 @@
         self.handle(Event::Started { seeds });
         let mut socket_errors = 0;
         while self.last_change.is_none() {
-            // Timers are handled first. If the process was stopped, late timers tell the machine so before it
-            // handles the datagrams that were queued during the stop.
+            // Timers are handled first. If the process was stopped, the machine detects that from
+            // the late timers before it handles the datagrams that were queued during the stop.
             self.handle_due_timers();
             self.handle_commands();
             self.send_snapshots();
--- a/membership/src/handle.rs
+++ b/membership/src/handle.rs
@@ -63,7 +63,7 @@
             return Err(Error::InvalidAddress(config.listen));
         }
         let socket = UdpSocket::bind(config.listen).map_err(bind_failed)?;
-        // If this fails, the buffer is smaller and datagrams are lost sooner.
+        // If the size can't be set, the buffer is smaller and datagrams are lost sooner.
         _ = socket2::SockRef::from(&socket).set_recv_buffer_size(SOCKET_BUFFER_BYTES);
         let SocketAddr::V4(addr) = socket.local_addr().map_err(bind_failed)? else {
             return Err(Error::InvalidAddress(config.listen));
--- a/membership/src/machine/datagrams.rs
+++ b/membership/src/machine/datagrams.rs
@@ -50,8 +50,8 @@
         if !self.within_member_limit(named()) || self.resolve_name_conflict(now, named(), actions) {
             return;
         }
-        // A later start uses the sender's name at another address. Declaring the sender down would not tell
-        // it that, so it is sent the identity of the later start.
+        // A later start uses the sender's name at another address. Declaring the sender down would not
+        // inform the sender of that, so the sender receives the identity of the later start.
         let name_holder =
             (self.core.iter_membership_state().map(MemberRecord::id)).find(|member| member.same_name(sender));
         if let Some(later) =
@@ -94,10 +94,11 @@
         fits
     }
 
-    /// Looks for a later holder of this router's name among the members. If it took the name at another
-    /// address after this router joined, membership ends here. Otherwise this router supersedes it with a
-    /// higher incarnation, unless its last rejoin was too recent. Returns whether there was a conflict: the
-    /// rest of the datagram then concerns an outdated identity and must not be handled.
+    /// Looks for a later holder of this router's name among the members. If that holder took the name at
+    /// another address after this router joined, this router's membership ends. Otherwise this router
+    /// supersedes the holder with a higher incarnation, unless this router's last rejoin was too recent.
+    /// Returns whether there was a conflict: the rest of the datagram then concerns an outdated identity and
+    /// must not be handled.
     pub(super) fn resolve_name_conflict<'a>(
         &mut self,
         now: Duration,
--- a/membership/src/machine/event.rs
+++ b/membership/src/machine/event.rs
@@ -10,8 +10,8 @@
 /// An event for the machine. Times are durations from a fixed start.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The router has started and can find the fleet at these addresses. Its own address among them is
-    /// ignored.
+    /// The router has started and can find the fleet at these addresses. This router's own address among
+    /// them is ignored.
     Started {
         /// Addresses of any routers of the fleet.
         seeds: Vec<SocketAddrV4>,
--- a/membership/src/machine/join.rs
+++ b/membership/src/machine/join.rs
@@ -1,5 +1,5 @@
 //! Joining the fleet. Seeds are addresses without names, so a starting router first requests the name of the
-//! router at each seed; only then can the core announce itself to it.
+//! router at each seed; only then can the core announce itself to that router.
 use super::{Action, Machine};
 use crate::member::Member;
 use crate::member_record::MemberRecord;
--- a/membership/src/machine/swim_core.rs
+++ b/membership/src/machine/swim_core.rs
@@ -25,12 +25,12 @@
         num_indirect_probes: at_least_one(settings.indirect_probes),
         max_transmissions: NonZeroU8::new(settings.max_transmissions).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: settings.suspicion_timeout,
-        // `forget_down_members` does this instead: its memory is bounded by the number of names, not by how
-        // often each member went down.
+        // `forget_down_members` removes down members instead: the memory that it needs is bounded by the
+        // number of names, not by how often each member went down.
         remove_down_after: None,
         max_packet_size: at_least_one(MAX_DATAGRAM_BYTES - HEADER_BYTES),
         notify_down_members: true,
-        // List pages replace this: they send whole lists in order instead of random parts.
+        // List pages replace periodic announcements: they send whole lists in order instead of random parts.
         periodic_announce: None,
         periodic_announce_to_down_members: every(settings.down_contact_interval, DOWN_MEMBERS_PER_ROUND),
         periodic_gossip: every(settings.gossip_interval, settings.gossip_fanout),
--- a/membership/src/settings.rs
+++ b/membership/src/settings.rs
@@ -23,8 +23,8 @@
     pub gossip_fanout: usize,
     /// How often one router sends the same update.
     pub max_transmissions: u8,
-    /// Interval between page requests. Each reads one page of another member's list, which repairs updates
-    /// that gossip lost.
+    /// Interval between page requests. Each request reads one page of another member's list, which repairs
+    /// updates that gossip lost.
     pub list_sync_interval: Duration,
     /// Interval between join requests to a seed that is not a live member, while other members are known.
     pub seed_contact_interval: Duration,
