--- a/quotas/src/allocator/candidate.rs
+++ b/quotas/src/allocator/candidate.rs
@@ -20,7 +20,7 @@
         .collect()
 }
 
-/// The same routers, with `parts` of [`RECLAIM_PARTS`] of their reserved shares.
+/// The routers `idle`, with `parts` of [`RECLAIM_PARTS`] of their reserved shares.
 pub(super) fn with_retained_parts(idle: &[Candidate], parts: u64) -> Vec<Candidate> {
     idle.iter()
         .map(|router| Candidate { reserved: retained_share(router.reserved, parts), ..*router })
--- a/quotas/src/allocator/mod.rs
+++ b/quotas/src/allocator/mod.rs
@@ -32,7 +32,7 @@
     /// This node has become the leader. All records of grants are discarded, and nothing new is granted for
     /// one grant lifetime.
     BecameLeader {
-        /// The term in which it leads.
+        /// The term in which this node leads.
         term: u64,
     },
     /// A committed configuration, at least as new as any that a router has received in an earlier term.
--- a/quotas/src/allocator/report.rs
+++ b/quotas/src/allocator/report.rs
@@ -97,8 +97,8 @@
             }
             Sender::New => (self.add_router(&report), false),
         };
-        // After the quiet period a report of grants from a router without a record was delayed: the grants
-        // have expired.
+        // If a router without a record reports grants after the quiet period, the report was delayed and the
+        // grants have expired.
         let skips_quiet_period = self.settings.injected_fault == InjectedFault::SkipQuietPeriod;
         let accepts_held = has_record || in_quiet_period || skips_quiet_period;
         let reset = self.update_held(record_index, report.held, accepts_held);
--- a/quotas/src/client/demand.rs
+++ b/quotas/src/client/demand.rs
@@ -122,8 +122,8 @@
     }
 
     /// The demand in microtokens per second if it is beyond the reserved share, otherwise 0. Without a grant
-    /// by demand it is beyond the share only if it exceeds it by more than random fluctuation explains, or if
-    /// the share never holds a whole token.
+    /// by demand, the demand counts as beyond the reserved share only if it exceeds the share by more than
+    /// random fluctuation explains, or if the share never holds a whole token.
     fn reportable_demand(&self, context: ReportContext<'_>) -> u64 {
         let ReportContext { now, window, .. } = context;
         let rate = self.average_rate(now, window);
--- a/quotas/src/client/tenant.rs
+++ b/quotas/src/client/tenant.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Takes a token from the granted bucket if its grant is valid and it has one, otherwise from the fixed
-    /// bucket.
+    /// Takes a token from the granted bucket if the grant is valid and the bucket has a token, otherwise from
+    /// the fixed bucket.
     pub(super) fn try_take(&mut self, now: Time, grants_valid: bool) -> bool {
         (grants_valid && self.granted_bucket.try_take(now)) || self.fixed_bucket.try_take(now)
     }
@@ -85,7 +85,7 @@
         self.fixed_bucket.set_grant(now, self.next_fixed, clock_drift_ppm);
     }
 
-    /// Sets the next fixed share and lowers the present one to it, if that is less.
+    /// Sets the next fixed share, and lowers the present one to the next one if that is less.
     pub(super) fn lower_fixed_share(&mut self, now: Time, next_fixed: Grant, clock_drift_ppm: u64) {
         self.next_fixed = next_fixed;
         let lowered = self.fixed_bucket.grant().min(next_fixed);
--- a/quotas/src/messages.rs
+++ b/quotas/src/messages.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 use settings::fleet::Version;
 
-/// The reserved shares of a router: one equal part of every tenant's quota. A grant by demand replaces it for
-/// its tenant.
+/// The reserved shares of a router: one equal part of every tenant's quota. A grant by demand replaces the
+/// reserved share of its tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReservedShare {
     /// The index of the equal part, from 0 to below the fleet's number of routers.
--- a/quotas/tests/exchange.rs
+++ b/quotas/tests/exchange.rs
@@ -58,8 +58,8 @@
     response.term = 2;
     small_fleet.deliver(0, response);
     assert_eq!(small_fleet.granted(0, "a"), (1_000.0, 10.0));
-    // The router has seen term 2, so it ignores responses of term 1, and a node of term 1 ignores its
-    // reports.
+    // The router has seen term 2, so it ignores responses of term 1, and a node of term 1 ignores the
+    // router's reports.
     let report = small_fleet.report(0);
     assert_eq!(small_fleet.respond(report.clone()), None);
     let body = ResponseBody::Renewed { reset: true, reserved_share: None, changes: Vec::new() };
