--- a/placement/src/interface.rs
+++ b/placement/src/interface.rs
@@ -17,7 +17,7 @@
     /// timeout of connections to its old site and than the time in which responses from there are in transit.
     pub site_settle_time: Micros,
     /// How long a probe that reports a member as primary is ignored after a response of that member denied
-    /// it, because the probe's result may be older.
+    /// the primary role, because the probe's result may be older.
     pub denial_time: Micros,
 }
 
@@ -52,7 +52,7 @@
     pub name: Arc<str>,
     /// The group of the member.
     pub group: GroupId,
-    /// The site of the member, if known. A member without one is outside every boundary.
+    /// The site of the member, if known. A member whose site is unknown is outside every boundary.
     pub site: Option<Arc<str>>,
     /// The state of the member, such as in service or draining.
     pub state: MemberState,
@@ -78,7 +78,7 @@
     pub class: usize,
     /// The group that the request names.
     pub group: GroupId,
-    /// Whether only the group's primary can serve it.
+    /// Whether only the group's primary can serve the request.
     pub needs_primary: bool,
 }
 
--- a/placement/src/machine/members.rs
+++ b/placement/src/machine/members.rs
@@ -68,7 +68,8 @@
         if is_removed {
             self.member_deadlines.insert(settles_at);
         }
-        // If the list newly names it primary, that is more recent than its own report that it is not.
+        // If the list newly names the member primary, that is more recent than the member's report that it is
+        // not the primary.
         member.denies_primary &= member.is_listed_primary || !entry.primary;
         member.is_listed_primary = entry.primary;
         if member.group != entry.group {
--- a/placement/src/machine/mod.rs
+++ b/placement/src/machine/mod.rs
@@ -87,12 +87,14 @@
         self.timer.is_some_and(|t| t <= now)
     }
 
-    /// Returns the group to route a request in: the view for its tenant's rule for its class, or the group
-    /// that it names if there is no such rule. The first request for a view creates it with an entry in
-    /// `actions`; the actions must be carried out before the request is forwarded.
+    /// Returns the group to route a request in: the view for the rule of the request's tenant for the
+    /// request's class, or the group that the request names if there is no such rule. The first request for a
+    /// view creates the view with an entry in `actions`; the actions must be carried out before the request
+    /// is forwarded.
     ///
     /// # Errors
-    /// [`PlacementError`] if no member may serve the request. No part of it may leave the router then.
+    /// [`PlacementError`] if no member may serve the request. No part of the request may leave the router in
+    /// that case.
     pub fn route(
         &mut self,
         now: Time,
--- a/placement/tests/machine.rs
+++ b/placement/tests/machine.rs
@@ -203,7 +203,8 @@
     assert!(matches!(driver.route("t", WRITE), Err(PlacementError::PrimaryOutside { .. })));
     driver.report_role("a1", true, ReportSource::Probe);
     assert!(driver.route("t", WRITE).is_ok());
-    // A probe may have started before the response that denied the role, so it must not restore it.
+    // A probe may have started before the response that denied the role, so the probe must not restore the
+    // role.
     driver.report_role("a1", false, ReportSource::Response);
     driver.report_role("b1", false, ReportSource::Probe);
     driver.report_role("a1", true, ReportSource::Probe);
