--- a/releases/examples/fleet/sim/checker.rs
+++ b/releases/examples/fleet/sim/checker.rs
@@ -55,12 +55,14 @@
         }
     }
 
-    /// Checks that a router is instructed to update only after this is committed, and only if the previous
-    /// wave was healthy.
+    /// Checks that a router is instructed to update only after the update's start is committed, and only if
+    /// the previous wave was healthy.
     pub(super) fn check_update(&mut self, router: &str, to_target_version: bool) {
         let step = self.snapshot.routers[router].step;
         if !matches!(step, RouterStep::Updating | RouterStep::RollingBack) {
-            self.add_violation(format!("{router} is instructed to update before this is committed"));
+            self.add_violation(format!(
+                "{router} is instructed to update before the update's start is committed"
+            ));
         }
         if to_target_version {
             self.check_previous_wave(router);
--- a/releases/examples/fleet/sim/nodes.rs
+++ b/releases/examples/fleet/sim/nodes.rs
@@ -23,9 +23,9 @@
     pub(crate) out: Option<OutOfService>,
     pub(crate) has_failed: bool,
     pub(crate) disconnected_until: Micros,
-    /// When it last returned to service.
+    /// When the router last returned to service.
     pub(super) back_at: Micros,
-    /// The number of requests served since then.
+    /// The number of requests served since `back_at`.
     pub(super) served: u64,
 }
 
--- a/releases/src/ledger.rs
+++ b/releases/src/ledger.rs
@@ -15,10 +15,10 @@
     MembersChanged(Members),
     /// The budget has changed. Existing reservations remain even if they exceed it.
     BudgetChanged(DisruptionBudget),
-    /// An owner requests to take a member out of service. If the owner already has the reservation, this
-    /// renews it.
+    /// An owner requests to take a member out of service. If the owner already has the
+    /// reservation, this renews it.
     Acquire {
-        /// The owner that requests it.
+        /// The owner that requests the reservation.
         owner: String,
         /// The member to take out of service.
         target: Target,
@@ -50,7 +50,7 @@
     Persist,
     /// Respond that the member may be taken out of service.
     Granted {
-        /// The owner that requested it.
+        /// The owner that requested the reservation.
         owner: String,
         /// The member that may be taken out of service.
         target: Target,
@@ -61,7 +61,7 @@
     },
     /// Respond that the member may not be taken out of service.
     Denied {
-        /// The owner that requested it.
+        /// The owner that requested the reservation.
         owner: String,
         /// The member that may not be taken out of service.
         target: Target,
--- a/releases/src/release.rs
+++ b/releases/src/release.rs
@@ -80,10 +80,10 @@
         router: String,
         /// The version that the router is to run.
         version: Version,
-        /// The grant that permits it to be out of service.
+        /// The grant that permits the router to be out of service.
         grant: GrantId,
-        /// The time within which it must be in service again, in microseconds. If it cannot be, it must not
-        /// start the update.
+        /// The time within which the router must be in service again, in microseconds. If that is not
+        /// possible, the router must not start the update.
         timeout: Micros,
     },
     /// Return a reservation to the ledger.
@@ -116,9 +116,9 @@
 struct TransientState {
     open_request: Option<OpenRequest>,
     grant: Option<GrantId>,
-    /// When it must be in service again; `None` unless this driver has instructed it.
+    /// When the router must be in service again; `None` unless this driver has instructed it to update.
     due_at: Option<Time>,
-    /// When it was last sent an update instruction.
+    /// When the router was last sent an update instruction.
     instructed_at: Time,
     stats: RequestStats,
 }
--- a/releases/src/release/out_of_service.rs
+++ b/releases/src/release/out_of_service.rs
@@ -68,8 +68,8 @@
         actions.push(Action::Update { router, version, grant, timeout });
     }
 
-    /// Handles a denied request. It remains open until it is time to repeat it, unless the router is not a
-    /// member of the fleet: then it would be repeated forever.
+    /// Handles a denied request. The request remains open until it is repeated. If the router is not a member
+    /// of the fleet, the request is dropped instead, because it would be repeated forever.
     pub(super) fn denied(
         &mut self,
         router: &str,
--- a/releases/src/release/rollback.rs
+++ b/releases/src/release/rollback.rs
@@ -25,8 +25,8 @@
         actions.push(Action::Persist);
     }
 
-    /// Starts the next wave of the rollback when each router of the present one is rolled back or has failed
-    /// to.
+    /// Starts the next wave of the rollback when each router of the present one is rolled back or could
+    /// not be rolled back.
     pub(super) fn advance_rollback(&mut self, actions: &mut Vec<Action>) {
         let snapshot = &mut self.snapshot;
         let has_ended =
--- a/releases/src/release/waves.rs
+++ b/releases/src/release/waves.rs
@@ -44,7 +44,7 @@
             actions.extend([Action::Persist, Action::Completed]);
             return;
         };
-        // A fault that occurs in only one zone then affects only one router of it at first.
+        // A fault that occurs in only one zone then affects only one router of that zone at first.
         if snapshot.wave_zone.as_ref() != Some(&zone) {
             snapshot.next_wave_size = 1;
         }
@@ -61,7 +61,8 @@
         actions.push(Action::Persist);
     }
 
-    /// Halts the release if routers are worse, and ends the wave when it has been observed long enough.
+    /// Halts the release if routers have worse statistics, and ends the wave when it has been observed long
+    /// enough.
     fn evaluate_wave(&mut self, now: Time, actions: &mut Vec<Action>) {
         let mut verdicts = self.verdicts();
         if !verdicts.regressed.is_empty() {
--- a/releases/src/reservation.rs
+++ b/releases/src/reservation.rs
@@ -59,7 +59,7 @@
     AlreadyReserved {
         /// The name of the member.
         target: String,
-        /// The owner that has reserved it.
+        /// The owner that has reserved the member.
         owner: String,
     },
     /// The zone's limit is reached.
--- a/releases/src/snapshot.rs
+++ b/releases/src/snapshot.rs
@@ -64,7 +64,7 @@
     pub zone: String,
     /// The progress of the router.
     pub step: RouterStep,
-    /// The number of the router's wave, from 1; 0 if it has not been in one.
+    /// The number of the router's wave, from 1; 0 if the router has not been in any wave.
     pub wave: u32,
     /// The router's statistics before that wave.
     #[serde(rename = "before")]
@@ -74,7 +74,7 @@
 /// Why a release is halted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Error)]
 pub enum HaltReason {
-    /// An operator halted it.
+    /// An operator halted the release.
     #[error("halted by an operator: resume the release or roll it back")]
     Operator,
     /// The statistics of these routers are worse than before their update and worse than those of routers not
