--- a/audit/src/record.rs
+++ b/audit/src/record.rs
@@ -22,8 +22,8 @@
     /// The leader has fenced out the router, which holds the version.
     #[serde(rename = "shutout")]
     FencedOut,
-    /// The router has not reported since then and has fenced itself when its lease expired, or it reports
-    /// that it was fenced from then on.
+    /// The router has not reported since the entry's time and has fenced itself when its lease expired, or
+    /// it reports that it was fenced from that time on.
     Silent,
     /// The router has shut down gracefully.
     Left,
--- a/audit/src/tracker/report.rs
+++ b/audit/src/tracker/report.rs
@@ -126,8 +126,8 @@
     fn record_lifted_fence(&mut self) {
         let lifted_at = self.version_since();
         let fenced_at = lifted_at.saturating_sub(self.report.details.last_fence_duration);
-        // If the router has applied another version since, the interval that the fence ended is of the
-        // recorded version.
+        // If the router has applied another version since, the interval that the fence ended is that of
+        // the recorded version.
         let version = self.router.version;
         self.router.version = self.router.recorded_version.unwrap_or(version);
         self.record(Time(fenced_at), EntryKind::Silent);
