--- a/maintenance/src/interface.rs
+++ b/maintenance/src/interface.rs
@@ -36,8 +36,8 @@
     /// The stored state was read, possibly written by another process. It replaces the machine's state if its
     /// revision is higher.
     StateRead(State),
-    /// Command: put an instance in maintenance. If it already is in maintenance, the command succeeds and
-    /// changes nothing.
+    /// Command: put an instance in maintenance. If the instance already is in maintenance, the command
+    /// succeeds and changes nothing.
     Suspend(String),
     /// Command: end the maintenance of an instance, however often it was suspended and whether or not it is
     /// listed.
--- a/maintenance/src/presence.rs
+++ b/maintenance/src/presence.rs
@@ -41,9 +41,9 @@
 /// The other processes of this router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OtherProcesses {
-    /// Number of processes alive.
+    /// Number of other processes that are alive.
     pub alive: usize,
-    /// Number of those that accept clients.
+    /// Number of the other processes that accept clients.
     pub ready: usize,
 }
 
@@ -78,7 +78,7 @@
             .map_err(SharedFolderError::io(FileOperation::Create, &temporary))?;
         file.try_lock().map_err(|e| SharedFolderError::io(FileOperation::Lock, &temporary)(e.into()))?;
         file.write_all_at(NOT_READY, 0).map_err(SharedFolderError::io(FileOperation::Write, &temporary))?;
-        // Unlike a rename, this fails if the name is in use.
+        // Unlike a rename, a hard link fails if the name is in use.
         std::fs::hard_link(&temporary, &path).map_err(SharedFolderError::io(FileOperation::Link, &path))?;
         std::fs::remove_file(&temporary).map_err(SharedFolderError::io(FileOperation::Remove, &temporary))?;
         Ok(ProcessPresence { folder: folder.to_path_buf(), file_name: file_name.into(), path, file })
@@ -133,7 +133,7 @@
         let mut file = File::open(entry.path()).ok()?;
         match file.try_lock_shared() {
             Ok(()) => {
-                // If this fails, the file was already removed, or the next count tries again.
+                // If the removal fails, the file was already removed, or the next count tries again.
                 let _ = std::fs::remove_file(entry.path());
                 None
             }
@@ -145,7 +145,7 @@
 
 impl Drop for ProcessPresence {
     fn drop(&mut self) {
-        // If this fails, the lock still ends with the process, and another process removes the file.
+        // If the removal fails, the lock still ends with the process, and another process removes the file.
         let _ = std::fs::remove_file(&self.path);
     }
 }
