--- a/admin/src/event_loop.rs
+++ b/admin/src/event_loop.rs
@@ -22,10 +22,10 @@
 /// Maximum number of events handled in one iteration.
 const MAX_EVENTS_PER_ITERATION: usize = 256;
 
-/// When to accept next.
+/// When to accept the next connection, and whether accepting fails.
 struct AcceptSchedule {
-    /// When to accept next; `None` once the listener's queue is empty, until an event reports a new
-    /// connection.
+    /// When to accept the next connection; `None` once the listener's queue is empty, until an event reports
+    /// a new connection.
     next: Option<Instant>,
     /// Whether the last accept failed, so that a series of failures is logged only once.
     failing: bool,
@@ -80,7 +80,7 @@
         if let Err(error) = self.poll.poll(events, self.timeout(schedule))
             && error.kind() != ErrorKind::Interrupted
         {
-            tracing::warn!(%error, "polling the admin connections failed, retrying");
+            tracing::warn!(%error, "admin poll failed, retrying");
             // The delay avoids a busy loop if the error persists.
             std::thread::sleep(ACCEPT_RETRY_DELAY);
         }
@@ -173,9 +173,9 @@
         Ok(())
     }
 
-    /// Closes one connection: the first by [`EvictionOrder`], and of several the oldest. It is advanced once
-    /// more first, and stays if that changes its order, so that a command that was already received gets its
-    /// response.
+    /// Closes one connection: the first by [`EvictionOrder`], and of several the oldest. The connection is
+    /// advanced once more before that, and stays open if its order changes, so that a command that was
+    /// already received gets its response.
     fn evict_one(&mut self, new_token: Token) {
         let order = |token: Token, connection: &AdminConnection| match connection.eviction_order() {
             order if token != new_token || order == EvictionOrder::Finished => order,
--- a/admin/src/service.rs
+++ b/admin/src/service.rs
@@ -33,9 +33,9 @@
     }
 
     /// Starts a thread that follows the router's other processes. If there are any, this returns once this
-    /// process has reduced its use of the resources that they share, and the others have had time to notice
-    /// it and do the same: a process that accepted clients immediately would use its share in addition to the
-    /// shares of the others.
+    /// process has reduced its use of the shared resources, and the other processes have had time to notice
+    /// this process and to reduce their use too: a process that accepted clients immediately would use its
+    /// share in addition to the shares of the others.
     ///
     /// # Errors
     /// The thread cannot be started.
@@ -48,8 +48,8 @@
         };
         let interval = limits.maintenance_poll_interval;
         if !alone {
-            // The others count the processes once per interval: two intervals are enough for them to notice
-            // this process and to reduce their use.
+            // The other processes count the processes once per interval: two intervals are enough for them to
+            // notice this process and to reduce their use.
             std::thread::sleep(2 * interval);
         }
         spawn_needed(SYNC_THREAD_NAME, limits.socket_thread_stack_bytes, move || {
