--- a/mysql/src/front/login.rs
+++ b/mysql/src/front/login.rs
@@ -89,7 +89,7 @@
     if expected.is_some_and(|expected| constant_time_eq(&expected, &response.auth_response)) {
         return Ok(());
     }
-    tracing::warn!(client = %client.addr, user = %response.user, "client login denied");
+    tracing::warn!(client = %client.addr, user = %response.user, "client login rejected");
     let text = format!("access denied for user '{}'", response.user);
     client.close_with_error(sequence, errors::ACCESS_DENIED, &text)
 }
