--- a/pcap/src/capture.rs
+++ b/pcap/src/capture.rs
@@ -78,7 +78,7 @@
     /// A block of a pcapng file is malformed or could not be read.
     #[error("after block {blocks}: {source}")]
     Block {
-        /// Number of blocks that were read before it.
+        /// Number of blocks that were read before that block.
         blocks: u64,
         /// Cause of the error.
         source: Box<CaptureError>,
--- a/pcap/src/record.rs
+++ b/pcap/src/record.rs
@@ -83,7 +83,7 @@
             Event::Closed { connection, captured_at } => writer.end_conversation(connection, captured_at),
         };
         if let Err(error) = written {
-            tracing::error!(%error, "recording stopped");
+            tracing::error!(%error, "recording write failed, nothing more is recorded");
             return;
         }
     }
