--- a/pcap/src/conversation.rs
+++ b/pcap/src/conversation.rs
@@ -226,12 +226,12 @@
             let payload = &packet.payload;
             state.advance(payload);
             match state {
-                ResponseState::Done => return Outcome::Answered,
+                ResponseState::Done => return Outcome::Succeeded,
                 ResponseState::Failed => return Outcome::Error(errors::error_number(payload).unwrap_or(0)),
                 ResponseState::Malformed => return Outcome::Incomplete,
                 // If a cursor is opened, the response ends after the column definitions. The rows are fetched
                 // later.
-                ResponseState::Rows if opens_cursor(payload) => return Outcome::Answered,
+                ResponseState::Rows if opens_cursor(payload) => return Outcome::Succeeded,
                 _ => {}
             }
         }
--- a/pcap/src/replay.rs
+++ b/pcap/src/replay.rs
@@ -36,7 +36,7 @@
     /// The request was not sent, because it may write.
     Skipped,
     /// The router returned a result.
-    Answered,
+    Succeeded,
     /// The router returned the error with this number.
     Error(u16),
 }
@@ -45,7 +45,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ReplayResult::Skipped => f.write_str("left out: it may write"),
-            ReplayResult::Answered => f.write_str("answered"),
+            ReplayResult::Succeeded => f.write_str("answered"),
             ReplayResult::Error(number) => write!(f, "error {number}"),
         }
     }
@@ -55,7 +55,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ReplaySummary {
     /// Requests for which the router returned a result.
-    pub answered: usize,
+    pub succeeded: usize,
     /// Requests for which the router returned an error.
     pub errors: usize,
     /// Requests that were not sent, because they may write.
@@ -66,7 +66,7 @@
     fn count(&mut self, result: ReplayResult) {
         match result {
             ReplayResult::Skipped => self.skipped += 1,
-            ReplayResult::Answered => self.answered += 1,
+            ReplayResult::Succeeded => self.succeeded += 1,
             ReplayResult::Error(_) => self.errors += 1,
         }
     }
@@ -219,10 +219,10 @@
             let payload = self.read_payload()?;
             state.advance(&payload);
             match state {
-                ResponseState::Done => return Ok(ReplayResult::Answered),
+                ResponseState::Done => return Ok(ReplayResult::Succeeded),
                 ResponseState::Failed => {
                     let number = errors::error_number(&payload);
-                    return Ok(number.map_or(ReplayResult::Answered, ReplayResult::Error));
+                    return Ok(number.map_or(ReplayResult::Succeeded, ReplayResult::Error));
                 }
                 ResponseState::Malformed => return Err(ConnectionError::MalformedResponse("a statement")),
                 _ => {}
--- a/pcap/src/request.rs
+++ b/pcap/src/request.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The server returned a result.
-    Answered,
+    Succeeded,
     /// The server returned the error with this number.
     Error(u16),
     /// The capture contains no complete response.
@@ -45,7 +45,7 @@
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Outcome::Answered => f.write_str("Answered"),
+            Outcome::Succeeded => f.write_str("Answered"),
             Outcome::Error(number) => write!(f, "Error({number})"),
             Outcome::Incomplete => f.write_str("Cut"),
         }
--- a/src/commands/capture.rs
+++ b/src/commands/capture.rs
@@ -82,7 +82,7 @@
         pcap::replay::replay(&capture.requests, arguments.router, &credentials, writes, print_result)?;
     println!(
         "{} answered, {} errors, {} writes left out",
-        replayed.answered, replayed.errors, replayed.skipped
+        replayed.succeeded, replayed.errors, replayed.skipped
     );
     Ok(())
 }
