--- a/audit/src/lib.rs
+++ b/audit/src/lib.rs
@@ -1,7 +1,7 @@
 //! Audit of configuration versions: records which router of a fleet served requests under which version, and
 //! when.
 //!
-//! It has three parts; none does I/O or reads a clock:
+//! The package has three parts; none does I/O or reads a clock:
 //!
 //! - [`VersionTracker`] runs on the node that leads the store. It takes each router's [`VersionReport`],
 //!   responds with a [`Directive`], notifies routers that lag, fences out those that still lag afterwards,
--- a/discovery/src/liveness.rs
+++ b/discovery/src/liveness.rs
@@ -14,8 +14,8 @@
 //! Invariants: at most [`Settings::max_pending`] connections wait for their first line; connections are
 //! stored in the order of their opening; a connection that was stale once stays stale.
 //!
-//! It does no I/O, reads no clock and starts no thread: its actions depend only on the events and their
-//! times.
+//! The state machine does no I/O, reads no clock and starts no thread: its actions depend only on the events
+//! and their times.
 
 use settings::Limits;
 use std::time::Duration;
@@ -317,11 +317,12 @@
 
     /// Selects the pending connection to close; `pending` is sorted by age, oldest first.
     ///
-    /// The oldest one is kept for [`Settings::oldest_pending_time`], so that a slow agent has time for its
-    /// first line, but not longer: it may have been established during the outage, and stay silent forever.
-    /// Of the others, one without a response head after [`Settings::min_pending_time`] is closed first: one
-    /// with a head may still get a late first line, and a younger one its head. If there is none, the oldest
-    /// of the others is closed.
+    /// The oldest connection stays open for [`Settings::oldest_pending_time`], so that a slow agent has time
+    /// for its first line, but not longer: the connection may have been established during the outage, and
+    /// may stay silent forever. Of the other connections, one without a response head after
+    /// [`Settings::min_pending_time`] is closed first: a connection with a head may still receive a late
+    /// first line, and a younger connection its head. If there is no such connection, the oldest of the other
+    /// connections is closed.
     fn pending_to_close(&self, now: Duration, pending: &[&Connection]) -> Option<ConnectionId> {
         let (oldest, younger) = pending.split_first()?;
         let oldest_has_expired = now >= oldest.opened_at + self.settings.oldest_pending_time;
--- a/discovery/tests/liveness.rs
+++ b/discovery/tests/liveness.rs
@@ -228,14 +228,14 @@
 
 #[test]
 fn silent_new_connections_do_not_close_a_stale_one_that_receives_lines_again() {
-    // The old connection receives lines again from 4 s on, the others never.
+    // The old connection receives lines again from 4 s on, the other connections never.
     fn old(opened: u64, now: u64) -> Option<AgentEvent> {
         (opened == 0 && (now == STEP || (now >= 4000 && now.is_multiple_of(2000))))
             .then_some(AgentEvent::Update)
     }
     let record = simulate(old, 20_010);
     assert_eq!(record.received.last(), Some(&(20_000, 0)));
-    // The stale connection may have missed changes, so others are still opened.
+    // The stale connection may have missed changes, so further connections are still opened.
     assert!(record.opened.iter().any(|at| *at > 15_000));
 }
 
--- a/discovery/tests/watch/staleness.rs
+++ b/discovery/tests/watch/staleness.rs
@@ -54,7 +54,7 @@
     let silent: Vec<_> = (0..8).map(|_| agent.next()).collect();
     old.send_chunk(&complete_list(6));
     assert_eq!(watched.next_update().version, 6);
-    // The first line on a new connection closes all others.
+    // The first line on a new connection closes all other connections.
     let new = agent.next_with_head();
     new.send_chunk("\n");
     for connection in silent.iter().chain([&old]) {
--- a/discovery/tests/watch/support.rs
+++ b/discovery/tests/watch/support.rs
@@ -113,8 +113,8 @@
         self.connections.recv_timeout(TIMEOUT).expect("timed out waiting for a connection")
     }
 
-    /// The next connection that resumes from this version. Skips others, which may be opened before on a busy
-    /// machine.
+    /// The next connection that resumes from this version. Skips other connections, which may be opened
+    /// before on a busy machine.
     pub(crate) fn next_resuming_from(&self, resume_version: &str) -> AgentConnection {
         let mut next = (0..64).map(|_| self.next());
         next.find(|connection| connection.resume_version() == resume_version)
--- a/membership/tests/live_router_count.rs
+++ b/membership/tests/live_router_count.rs
@@ -90,7 +90,7 @@
     assert_eq!(run_events(settings(12, 1), events, 60.0), [(0.0, 12), (35.0, 3)]);
     let events = vec![(0.0, snapshot_of(1)), (1.0, snapshot_of(3))];
     assert_eq!(run_events(settings(12, 1), events, 60.0), [(0.0, 12), (6.0, 3)]);
-    // The first router of a fleet expects no others.
+    // The first router of a fleet expects no other routers.
     let first_router = Settings { expects_others: false, ..settings(12, 1) };
     assert_eq!(run_events(first_router, vec![(0.0, snapshot_of(1))], 60.0), [(0.0, 12), (5.0, 1)]);
 }
--- a/mysql/src/backend/connection.rs
+++ b/mysql/src/backend/connection.rs
@@ -100,7 +100,7 @@
                 Ok(self.exchange_result(Ok(response)))
             }
             // Preparing a statement does not run it, so if the server fails the request can be sent to
-            // another one.
+            // another server.
             Err(ResponseError::Failed(_)) => Err(NotSent::ConnectionBroken),
             Err(error @ ResponseError::TooLarge) => Ok(self.exchange_result(Err(error))),
         }
--- a/mysql/src/clock_sampler.rs
+++ b/mysql/src/clock_sampler.rs
@@ -25,8 +25,8 @@
     })
 }
 
-/// Samples the clock of each server, also after another one failed. Returns `false` if there are no servers
-/// or a sample failed.
+/// Samples the clock of each server, also after the sample of another server has failed. Returns `false` if
+/// there are no servers or a sample failed.
 fn sample_all(protocol: &Mysql, servers: &[SocketAddr]) -> bool {
     let failures = servers.iter().filter(|addr| !sample(protocol, **addr)).count();
     !servers.is_empty() && failures == 0
--- a/quotas/src/allocator/plan.rs
+++ b/quotas/src/allocator/plan.rs
@@ -146,8 +146,8 @@
             if returns_part { (retainable_half_parts - 1) / 2 } else { retainable_half_parts / 2 };
     }
 
-    /// The largest parts of their reserved shares that routers without demand can retain while the others get
-    /// `others_capacity`; empty if none fit.
+    /// The largest parts of their reserved shares that routers without demand can retain while the other
+    /// routers get `others_capacity`; empty if none fit.
     fn retained_by_idle(&self, idle: &[Candidate], others_capacity: u64, total: Grant) -> Vec<Candidate> {
         let fits = |retained: &Vec<Candidate>| {
             let sum = sum_reserved(retained);
--- a/quotas/src/allocator/report.rs
+++ b/quotas/src/allocator/report.rs
@@ -209,7 +209,8 @@
         }
     }
 
-    /// Whether all routers have acknowledged shares of the present version, and may hold no others.
+    /// Whether all routers have acknowledged shares of the present version, and may hold no shares of other
+    /// versions.
     fn all_hold_this_version(&self) -> bool {
         self.routers.iter().flatten().all(|router| router.holds_only(self.version))
     }
--- a/quotas/src/allocator/router.rs
+++ b/quotas/src/allocator/router.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// One incarnation of a router. It is removed when everything that it may hold has expired.
+/// One incarnation of a router. The record is removed when everything that the router may hold has expired.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct RouterRecord {
     pub(super) name: String,
--- a/quotas/src/client/exchange.rs
+++ b/quotas/src/client/exchange.rs
@@ -79,8 +79,8 @@
     }
 
     /// Releases everything that the client holds, for a graceful shutdown. From now on nothing is admitted by
-    /// a grant. The returned report should be sent to the leader. If it is lost, the grants become available
-    /// to others when they expire.
+    /// a grant. The returned report should be sent to the leader. If the report is lost, the grants become
+    /// available to other routers when they expire.
     pub fn release_all(&mut self, now: Time) -> Report {
         self.released = true;
         self.exchange_failed();
--- a/quotas/src/messages.rs
+++ b/quotas/src/messages.rs
@@ -1,8 +1,8 @@
 //! The messages of an exchange between a router and the leader.
 //!
-//! They are encoded in the postcard format, which contains no names of types or fields: the order and kind of
-//! fields and variants must not change. Tenants are identified by name because their indices differ between
-//! versions of the configuration.
+//! The messages are encoded in the postcard format, which contains no names of types or fields: the order and
+//! kind of fields and variants must not change. Tenants are identified by name because their indices
+//! differ between versions of the configuration.
 use crate::grant::Grant;
 use serde::{Deserialize, Serialize};
 use settings::fleet::Version;
--- a/registry/src/fleet.rs
+++ b/registry/src/fleet.rs
@@ -2,8 +2,8 @@
 //! invalid, when many nodes disappear at once, when the registry does not respond, and after the registry was
 //! restored from a backup.
 //!
-//! It does no I/O, reads no clock and starts no thread: its actions depend only on the events and their
-//! times.
+//! The state machine does no I/O, reads no clock and starts no thread: its actions depend only on the events
+//! and their times.
 mod disappearance;
 mod listing;
 mod node;
--- a/registry/src/machine.rs
+++ b/registry/src/machine.rs
@@ -3,8 +3,8 @@
 //! snapshot if that revision has been compacted. Changes older than the current state are never applied,
 //! except after a restore from a backup.
 //!
-//! It does no I/O, reads no clock and starts no thread: its actions depend only on the events and their
-//! times.
+//! The state machine does no I/O, reads no clock and starts no thread: its actions depend only on the events
+//! and their times.
 mod snapshot;
 
 use decision::{Micros, Time};
--- a/releases/tests/releases/health.rs
+++ b/releases/tests/releases/health.rs
@@ -41,7 +41,7 @@
     phase_after_health_timeout: Phase,
 }
 
-/// Runs the release with these statistics of the updated router and of the others.
+/// Runs the release with these statistics of the updated router and of the other routers.
 fn evaluate(updated: RequestStats, others: RequestStats) -> Evaluation {
     let (mut release, mut actions) = release_with_one_updated(stats(1000, 2, 1000));
     release.handle(Time(3), reported(0, updated), &mut actions);
--- a/sessions/src/machine/message.rs
+++ b/sessions/src/machine/message.rs
@@ -1,7 +1,7 @@
 //! Messages that instances send to each other.
 //!
-//! They are encoded in frames with postcard, which writes values in declaration order, without names: fields
-//! and variants may be renamed, but not reordered.
+//! The messages are encoded in frames with postcard, which writes values in declaration order, without
+//! names: fields and variants may be renamed, but not reordered.
 use crate::SessionKey;
 use serde::{Deserialize, Serialize};
 
