--- a/admin/src/handler.rs
+++ b/admin/src/handler.rs
@@ -5,8 +5,8 @@
 
 /// Handles the commands that the server receives.
 pub trait AdminHandler: Send + Sync + 'static {
-    /// Handles one command. It runs on the server's only thread, which blocks all other connections, so it
-    /// must return quickly.
+    /// Handles one command. The method runs on the server's only thread and blocks all other connections, so
+    /// it must return quickly.
     fn handle(&self, command: Command) -> Response;
 }
 
--- a/maintenance/src/presence.rs
+++ b/maintenance/src/presence.rs
@@ -100,7 +100,7 @@
         self.write_content(NOT_READY)
     }
 
-    /// Counts the other processes and removes the files of dead ones. It reads the whole folder; if the
+    /// Counts the other processes and removes the files of dead processes. Reads the whole folder; if the
     /// folder cannot be read, the counts are 0.
     pub fn count_others(&self) -> OtherProcesses {
         let mut others = OtherProcesses::default();
--- a/membership/src/machine/datagrams.rs
+++ b/membership/src/machine/datagrams.rs
@@ -68,7 +68,7 @@
     }
 
     /// Whether this datagram makes the core rejoin: an update declares this router down, or the sender
-    /// responds to it as to a down member (`TurnUndead`).
+    /// responds to this router as to a down member (`TurnUndead`).
     fn is_declared_down_by(&self, gossip: &GossipDatagram<'_>) -> bool {
         let in_updates =
             (gossip.updates.iter()).any(|record| *record.id() == self.local && record.state() == State::Down);
--- a/registry/src/etcd.rs
+++ b/registry/src/etcd.rs
@@ -134,7 +134,7 @@
     }
 
     /// Reads the page that starts at the key `from`: at the revision of the first page, or at the newest
-    /// revision if it is the first.
+    /// revision if the page is the first one.
     fn read_page(
         &mut self,
         prefix: &str,
--- a/registry/src/machine.rs
+++ b/registry/src/machine.rs
@@ -156,7 +156,7 @@
     Leave {
         /// The registry member to stop following.
         endpoint: EndpointIndex,
-        /// Why it must not be followed.
+        /// Why the member must not be followed.
         reason: LeaveReason,
     },
     /// The registry was restored from a backup or replaced. The actions that follow carry older data than
@@ -197,7 +197,7 @@
     has_snapshot: bool,
     /// Since when every member that responded has been behind or in another cluster.
     behind_since: Option<Time>,
-    /// The registry was restored: the next snapshot is applied although it is older.
+    /// The registry was restored: the next snapshot is applied although its revision is lower.
     is_restoring: bool,
     /// Changes are missing or were received out of order: the keys match no revision until the next snapshot.
     needs_snapshot: bool,
--- a/sessions/src/node/state.rs
+++ b/sessions/src/node/state.rs
@@ -59,15 +59,15 @@
         }
     }
 
-    /// Sends a frame on the outbound connection to a peer. Without a connection it is dropped; the next
-    /// connection sends what the peer lacks.
+    /// Sends a frame on the outbound connection to a peer. Without a connection the frame is dropped; the
+    /// next connection sends what the peer lacks.
     pub(super) fn send_outbound(&self, peer: Instance, frame: Frame) {
         if let Some(connection) = self.outbound.get(&peer) {
             connection.send(frame);
         }
     }
 
-    /// Sends a frame on the inbound connection from a peer. Without a connection it is dropped.
+    /// Sends a frame on the inbound connection from a peer. Without a connection the frame is dropped.
     pub(super) fn send_inbound(&self, peer: Instance, frame: Frame) {
         if let Some(connection) = self.inbound.get(&peer) {
             connection.send(frame);
