--- a/discovery/src/connection.rs
+++ b/discovery/src/connection.rs
@@ -16,7 +16,7 @@
 
 /// Buffer size for reads from the socket.
 const READ_BUFFER_BYTES: usize = 8192;
-/// After reading this many bytes from one connection the driver serves the others.
+/// After reading this many bytes from one connection the driver serves the other connections.
 const MAX_BYTES_PER_TURN: usize = 64 * 1024;
 
 /// A reader for the socket, which the connection also writes to.
@@ -64,7 +64,8 @@
     socket: Arc<TcpStream>,
     /// The address that the connection goes to.
     pub(crate) addr: SocketAddr,
-    /// The version that it resumed from, or the last one received; `None` before the request is sent.
+    /// The version that the connection resumed from, or the last version received on it; `None` before the
+    /// request is sent.
     pub(crate) version: Option<u64>,
     state: State,
     /// When the connection times out, unless the current step (connect, or part of the response head) has
--- a/discovery/src/liveness.rs
+++ b/discovery/src/liveness.rs
@@ -14,8 +14,8 @@
 //! Invariants: at most [`Settings::max_pending`] connections wait for their first line; connections are
 //! stored in the order of their opening; a connection that was stale once stays stale.
 //!
-//! It does no I/O, reads no clock and starts no thread: its actions depend only on the events and their
-//! times.
+//! The state machine does no I/O, reads no clock and starts no thread: its actions depend only on the events
+//! and their times.
 
 use settings::Limits;
 use std::time::Duration;
@@ -109,11 +109,12 @@
     id: ConnectionId,
     opened_at: Duration,
     has_response_head: bool,
-    /// When its last complete line was received; `None` before the first one.
+    /// When the last complete line was received on the connection; `None` before the first one.
     last_line_at: Option<Duration>,
-    /// Whether it was ever stale. This is never reset: changes missed meanwhile may never be delivered on it.
+    /// Whether the connection was ever stale. This is never reset: changes that were missed while the
+    /// connection was stale may never be delivered on it.
     was_stale: bool,
-    /// Whether it goes to the currently followed address, as opposed to the previous one.
+    /// Whether the connection goes to the currently followed address, as opposed to the previous one.
     to_current_address: bool,
 }
 
@@ -174,8 +175,8 @@
     /// Handles an event that occurred at `now`, measured from any fixed origin; appends the requested actions
     /// to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
-        // Before handling the event: a line after a long silence must not hide that the connection was stale,
-        // even if this is called late.
+        // Done before the event is handled: a line after a long silence must not hide that the connection was
+        // stale, even if this function is called late.
         self.mark_stale(now, actions);
         match event {
             Event::Follow => self.follow(now, actions),
@@ -269,7 +270,7 @@
         }
     }
 
-    /// Opens a connection if the time of the next opening is reached; called while none is live.
+    /// Opens a connection if the time of the next opening is reached; called while no connection is live.
     fn open_when_due(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let since = *self.outage_since.get_or_insert(now);
         if now < self.open_not_before() {
@@ -316,11 +317,12 @@
 
     /// Selects the pending connection to close; `pending` is sorted by age, oldest first.
     ///
-    /// The oldest one is kept for [`Settings::oldest_pending_time`], so that a slow agent has time for its
-    /// first line, but not longer: it may have been established during the outage, and stay silent forever.
-    /// Of the others, one without a response head after [`Settings::min_pending_time`] is closed first: one
-    /// with a head may still get a late first line, and a younger one its head. If there is none, the oldest
-    /// of the others is closed.
+    /// The oldest connection stays open for [`Settings::oldest_pending_time`], so that a slow agent has time
+    /// for its first line, but not longer: the connection may have been established during the outage, and
+    /// may stay silent forever. Of the other connections, one without a response head after
+    /// [`Settings::min_pending_time`] is closed first: a connection with a head may still receive a late
+    /// first line, and a younger connection its head. If there is no such connection, the oldest of the other
+    /// connections is closed.
     fn pending_to_close(&self, now: Duration, pending: &[&Connection]) -> Option<ConnectionId> {
         let (oldest, younger) = pending.split_first()?;
         let oldest_has_expired = now >= oldest.opened_at + self.settings.oldest_pending_time;
--- a/quotas/src/messages.rs
+++ b/quotas/src/messages.rs
@@ -1,14 +1,14 @@
 //! The messages of an exchange between a router and the leader.
 //!
-//! They are encoded in the postcard format, which contains no names of types or fields: the order and kind of
-//! fields and variants must not change. Tenants are identified by name because their indices differ between
-//! versions of the configuration.
+//! The messages are encoded in the postcard format, which contains no names of types or fields: the order and
+//! kind of fields and variants must not change. Tenants are identified by name because their indices
+//! differ between versions of the configuration.
 use crate::grant::Grant;
 use serde::{Deserialize, Serialize};
 use settings::fleet::Version;
 
-/// The reserved shares of a router: one equal part of every tenant's quota. A grant by demand replaces it for
-/// its tenant.
+/// The reserved shares of a router: one equal part of every tenant's quota. A grant by demand replaces the
+/// reserved share of its tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReservedShare {
     /// The index of the equal part, from 0 to below the fleet's number of routers.
--- a/registry/src/machine.rs
+++ b/registry/src/machine.rs
@@ -3,8 +3,8 @@
 //! snapshot if that revision has been compacted. Changes older than the current state are never applied,
 //! except after a restore from a backup.
 //!
-//! It does no I/O, reads no clock and starts no thread: its actions depend only on the events and their
-//! times.
+//! The state machine does no I/O, reads no clock and starts no thread: its actions depend only on the events
+//! and their times.
 mod snapshot;
 
 use decision::{Micros, Time};
@@ -121,14 +121,14 @@
 /// Why a registry member is not followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaveReason {
-    /// Its revision is older than the known one.
+    /// The member's revision is older than the newest known one.
     Behind {
         /// The member's revision.
         theirs: Revision,
         /// The known revision.
         ours: Revision,
     },
-    /// It belongs to another cluster.
+    /// The member belongs to another cluster.
     OtherCluster {
         /// The member's cluster ID.
         theirs: u64,
@@ -156,7 +156,7 @@
     Leave {
         /// The registry member to stop following.
         endpoint: EndpointIndex,
-        /// Why it must not be followed.
+        /// Why the member must not be followed.
         reason: LeaveReason,
     },
     /// The registry was restored from a backup or replaced. The actions that follow carry older data than
@@ -197,7 +197,7 @@
     has_snapshot: bool,
     /// Since when every member that responded has been behind or in another cluster.
     behind_since: Option<Time>,
-    /// The registry was restored: the next snapshot is applied although it is older.
+    /// The registry was restored: the next snapshot is applied although its revision is lower.
     is_restoring: bool,
     /// Changes are missing or were received out of order: the keys match no revision until the next snapshot.
     needs_snapshot: bool,
