--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -1,5 +1,6 @@
-//! The platform's router under the settings of customers it has never met: `deploy/sites/`. Names, number and order of
-//! classes, deadlines, freshness, tokens and refusals all come from the settings.
+//! The platform's front with the settings of customers in `deploy/sites/`, for which the code has no special
+//! cases. Names, number and order of classes, deadlines, freshness, tokens and rejections all come from the
+//! settings.
 mod common;
 use common::TIMEOUT;
 use common::client::{Client, Response, served};
@@ -19,12 +20,12 @@
     ("akureyri-skjol", include_str!("../deploy/sites/akureyri-skjol/settings.json")),
 ];
 
-/// More than any class here grants: what a request waits is its class's deadline then. One and the same share of it for
-/// all, as clients that don't come again bring.
-const PATIENT_MS: u64 = 3_600_000;
+/// More than the deadline of any class here, so that the deadline of its class limits a request. All requests
+/// carry the same value, as those of clients that do not retry.
+const LONG_WAIT_MS: u64 = 3_600_000;
 
 /// A router with a primary and a replica, started with these settings.
-struct Site {
+struct TestSetup {
     addr: SocketAddr,
     primary: (ScriptedInstance, Receiver<String>),
     replica: (ScriptedInstance, Receiver<String>),
@@ -34,14 +35,14 @@
     _folder: TestFolder,
 }
 
-impl Site {
-    fn start(settings: &Value) -> Site {
+impl TestSetup {
+    fn start(settings: &Value) -> TestSetup {
         let (primary, replica) =
             (ScriptedInstance::start("primary", true), ScriptedInstance::start("replica", false));
         let discovery = Discovery::start();
         let folder = TestFolder::new();
         let mut known = vec![primary.0.entry("in_service"), replica.0.entry("in_service")];
-        // Instances may stand in zones and be of kinds that the settings don't name.
+        // Instances may be in zones and of kinds that the settings do not contain.
         known[0]["zone"] = settings["failureDomains"][0].clone();
         known[1]["zone"] = json!("a zone of later");
         known[1]["kind"] = json!("a kind of later");
@@ -51,7 +52,15 @@
         let mut router = Program::serve_platform(&path);
         let addr = router.listening_address();
         let settings = settings.clone();
-        Site { addr, primary, replica, settings, _router: router, _discovery: discovery, _folder: folder }
+        TestSetup {
+            addr,
+            primary,
+            replica,
+            settings,
+            _router: router,
+            _discovery: discovery,
+            _folder: folder,
+        }
     }
 
     fn classes(&self) -> std::vec::IntoIter<Class> {
@@ -59,7 +68,7 @@
     }
 }
 
-/// A class as the settings have it.
+/// A class of the settings.
 struct Class {
     name: String,
     write: bool,
@@ -68,7 +77,7 @@
 }
 
 impl Class {
-    /// A request of this class, for the value of this key.
+    /// A request of this class that reads or writes this key.
     fn statement(&self, id: &str, key: &str, wait_ms: u64) -> String {
         let comment = format!("/* id={id},c={},d={wait_ms},cluster=3 */", self.name);
         if self.write {
@@ -86,8 +95,9 @@
         freshness: freshness.as_str().unwrap().to_string(),
         deadline_ms: c["deadlineMs"].as_f64().unwrap() as u64,
     };
-    let listed = settings["classes"].as_array().unwrap().iter();
-    let all: Vec<Class> = listed.zip(settings["extra"]["freshness"].as_array().unwrap()).map(class).collect();
+    let entries = settings["classes"].as_array().unwrap().iter();
+    let all: Vec<Class> =
+        entries.zip(settings["extra"]["freshness"].as_array().unwrap()).map(class).collect();
     all.into_iter()
 }
 
@@ -95,63 +105,64 @@
     SITES.into_iter().map(|(name, text)| (name, serde_json::from_str(text).unwrap()))
 }
 
-/// The time that a statement tells its instance.
-fn told_ms(statement: &str) -> u64 {
-    let told = statement.split(",d=").nth(1).unwrap();
-    told.split(',').next().unwrap().parse().unwrap()
+/// The remaining time in milliseconds that a forwarded statement carries in `d`.
+fn forwarded_wait_ms(statement: &str) -> u64 {
+    let forwarded = statement.split(",d=").nth(1).unwrap();
+    forwarded.split(',').next().unwrap().parse().unwrap()
 }
 
 fn unix_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()
 }
 
-fn failed(answer: &Response) -> bool {
-    matches!(answer, Response::Error(..))
+fn failed(response: &Response) -> bool {
+    matches!(response, Response::Error(..))
 }
 
 #[test]
-fn each_class_is_served_by_its_name_only() {
+fn classes_are_identified_by_name_only() {
     for (name, settings) in sites() {
-        let site = Site::start(&settings);
-        let client = Client::connect(site.addr);
+        let setup = TestSetup::start(&settings);
+        let client = Client::connect(setup.addr);
         assert_eq!(client.query(""), Response::Empty, "{name}: ready");
-        for (n, class) in site.classes().enumerate() {
-            // A read may meet the router before it knows who is who; from its first answer on it is served at once.
-            let (who, by) = match class.freshness.as_str() {
-                "mutate" | "strong" => (&site.primary, "primary"),
-                _ => (&site.replica, "replica"),
+        for (n, class) in setup.classes().enumerate() {
+            // The router may not know the roles of the instances at the first read. Once an instance of the
+            // expected role has served one, later requests are served at once.
+            let (instance, server) = match class.freshness.as_str() {
+                "mutate" | "strong" => (&setup.primary, "primary"),
+                _ => (&setup.replica, "replica"),
             };
-            client.query_until_served_by(&class.statement(&format!("first{n}"), "k", PATIENT_MS), by);
-            while who.1.try_recv().is_ok() {}
-            let asked = class.statement(&format!("then{n}"), "k", PATIENT_MS);
-            assert_eq!(client.query(&asked), served(by), "{name}: {}", class.name);
-            let sent = who.1.recv_timeout(TIMEOUT).unwrap();
-            let told = told_ms(&sent);
+            client.query_until_served_by(&class.statement(&format!("first{n}"), "k", LONG_WAIT_MS), server);
+            while instance.1.try_recv().is_ok() {}
+            let request = class.statement(&format!("then{n}"), "k", LONG_WAIT_MS);
+            assert_eq!(client.query(&request), served(server), "{name}: {}", class.name);
+            let sent = instance.1.recv_timeout(TIMEOUT).unwrap();
+            let forwarded = forwarded_wait_ms(&sent);
             assert_eq!(
                 sent,
-                class.statement(&format!("then{n}"), "k", told),
-                "{name}: only d changes on the way"
+                class.statement(&format!("then{n}"), "k", forwarded),
+                "{name}: only the value of d may differ in the forwarded statement"
             );
             assert!(
-                (1..=class.deadline_ms).contains(&told),
-                "{name}: {} waits {told} ms, its deadline is {}",
+                (1..=class.deadline_ms).contains(&forwarded),
+                "{name}: {} was forwarded with d={forwarded} ms, its deadline is {} ms",
                 class.name,
                 class.deadline_ms
             );
         }
-        // Names of the other customer's classes, of none, and places in the list are no names here.
+        // Class names of the other customer, an empty name and indexes of classes are rejected.
         let others = sites().filter(|(other, _)| *other != name).flat_map(|(_, s)| classes(&s));
         let unknown = others.map(|c| c.name).chain(["", "0", "1", "read"].map(String::from));
         for unknown in unknown.collect::<Vec<_>>() {
             let class = Class { name: unknown, write: false, freshness: "eventual".into(), deadline_ms: 100 };
-            let answer = client.query(&class.statement("u", "k", 100));
+            let response = client.query(&class.statement("u", "k", 100));
             assert!(
-                matches!(&answer, Response::Error(code, _) if code == "42601"),
-                "{name}: {}: {answer:?}",
+                matches!(&response, Response::Error(code, _) if code == "42601"),
+                "{name}: {}: {response:?}",
                 class.name
             );
         }
-        // The connection goes on.
+        // The connection stays open.
         assert_eq!(client.query(""), Response::Empty);
     }
 }
@@ -159,38 +170,39 @@
 #[test]
 fn deadline_of_each_class_ends_its_requests() {
     for (name, settings) in sites() {
-        let site = Site::start(&settings);
-        let warm = Client::connect(site.addr);
-        for class in site.classes() {
-            let by =
+        let setup = TestSetup::start(&settings);
+        let warm = Client::connect(setup.addr);
+        for class in setup.classes() {
+            let server =
                 if matches!(class.freshness.as_str(), "mutate" | "strong") { "primary" } else { "replica" };
             warm.query_until_served_by(
-                &class.statement(&format!("warm-{}", class.name), "k", PATIENT_MS),
-                by,
+                &class.statement(&format!("warm-{}", class.name), "k", LONG_WAIT_MS),
+                server,
             );
         }
-        [&site.primary, &site.replica].iter().for_each(|i| i.0.set_behavior(Behavior::Silent));
-        // All at once: each waits for its own time.
-        let asked: Vec<_> = site
+        [&setup.primary, &setup.replica].iter().for_each(|i| i.0.set_behavior(Behavior::Silent));
+        // The requests run at the same time, each until the deadline of its class.
+        let requests: Vec<_> = setup
             .classes()
             .map(|class| {
-                let client = Client::connect(site.addr);
-                let sql = class.statement(&format!("late-{}", class.name), "k", PATIENT_MS);
+                let client = Client::connect(setup.addr);
+                let sql = class.statement(&format!("late-{}", class.name), "k", LONG_WAIT_MS);
                 let own = class.deadline_ms;
                 let wait = std::thread::spawn(move || {
-                    let begun = Instant::now();
-                    let answer = client.query(&sql);
-                    (answer, begun.elapsed())
+                    let started = Instant::now();
+                    let response = client.query(&sql);
+                    (response, started.elapsed())
                 });
                 (class.name, own, wait)
             })
             .collect();
-        for (class, deadline_ms, wait) in asked {
-            let (answer, took) = wait.join().unwrap();
-            assert!(failed(&answer), "{name}: {class}: {answer:?}");
-            // Far under any other customer's figure times ten; far over what a busy machine needs.
-            let most = Duration::from_millis(deadline_ms) + Duration::from_secs(5);
-            assert!(took < most, "{name}: {class} took {took:?}, its deadline is {deadline_ms} ms");
+        for (class, deadline_ms, wait) in requests {
+            let (response, elapsed) = wait.join().unwrap();
+            assert!(failed(&response), "{name}: {class}: {response:?}");
+            // The 5 s of tolerance are enough for a busy machine, and far less than ten times the deadline of
+            // another customer's class.
+            let limit = Duration::from_millis(deadline_ms) + Duration::from_secs(5);
+            assert!(elapsed < limit, "{name}: {class} took {elapsed:?}, its deadline is {deadline_ms} ms");
         }
     }
 }
@@ -198,67 +210,70 @@
 #[test]
 fn rejection_has_retry_after_only_where_configured() {
     for (name, settings) in sites() {
-        let site = Site::start(&settings);
-        let class = site.classes().find(|c| !c.write).unwrap();
-        // Nothing can be served within a millisecond.
-        let answer = Client::connect(site.addr).query(&class.statement("r", "k", 1));
-        let Response::Error(code, come_back) = answer else { panic!("{name}: {answer:?}") };
+        let setup = TestSetup::start(&settings);
+        let class = setup.classes().find(|c| !c.write).unwrap();
+        // No request can be served within 1 ms.
+        let response = Client::connect(setup.addr).query(&class.statement("r", "k", 1));
+        let Response::Error(code, retry_after) = response else { panic!("{name}: {response:?}") };
         assert_eq!(code, "53300", "{name}");
         let limits = &settings["limits"];
-        let most = limits["maxRetryAfterMs"].as_f64().unwrap();
+        let limit = limits["maxRetryAfterMs"].as_f64().unwrap();
         if limits["retryAfter"].as_bool().unwrap() {
             assert!(
-                come_back.as_ref().is_some_and(|d| (1.0..=most).contains(&d.parse().unwrap())),
-                "{name}: {come_back:?}"
+                retry_after.as_ref().is_some_and(|d| (1.0..=limit).contains(&d.parse().unwrap())),
+                "{name}: {retry_after:?}"
             );
         } else {
-            assert_eq!(come_back, None, "{name}");
+            assert_eq!(retry_after, None, "{name}");
         }
     }
 }
 
 #[test]
-fn remembered_session_reads_from_no_stale_instance() {
+fn session_with_stored_write_does_not_read_stale_data() {
     let (name, settings) = sites().find(|(_, s)| s["extra"]["writeMarks"] == "kept").unwrap();
-    let site = Site::start(&settings);
-    let client = Client::connect(site.addr);
+    let setup = TestSetup::start(&settings);
+    let client = Client::connect(setup.addr);
     let (read, write) = (
-        site.classes().find(|c| c.freshness == "causal").unwrap(),
-        site.classes().find(|c| c.write).unwrap(),
+        setup.classes().find(|c| c.freshness == "causal").unwrap(),
+        setup.classes().find(|c| c.write).unwrap(),
     );
-    // The replica is known, and stands far behind from now on.
-    client.query_until_served_by(&read.statement("first", "other", PATIENT_MS), "replica");
-    let told = unix_ms();
-    site.replica.0.lag_ms.store(60_000, Ordering::SeqCst);
-    // Positions are whole milliseconds: the commit is to be of a later one than what the replica has told.
-    while unix_ms() <= told {
+    // The router knows the replica, which lags by 60 s from now on.
+    client.query_until_served_by(&read.statement("first", "other", LONG_WAIT_MS), "replica");
+    let last_reported_ms = unix_ms();
+    setup.replica.0.lag_ms.store(60_000, Ordering::SeqCst);
+    // Replication positions are whole milliseconds: the commit has to be in a later millisecond than the
+    // position that the replica reported last.
+    while unix_ms() <= last_reported_ms {
         std::hint::spin_loop();
     }
-    client.query_until_served_by(&write.statement("w", "mine", PATIENT_MS), "primary");
-    // Its position is as of before the write: only the primary proves that it has it. Positions only rise, so what
-    // the replica says from here on proves nothing.
-    assert_eq!(client.query(&read.statement("r", "mine", PATIENT_MS)), served("primary"), "{name}");
-    // A session that has written nothing is served by either.
-    assert!(!failed(&client.query(&read.statement("s", "other", PATIENT_MS))), "{name}");
+    client.query_until_served_by(&write.statement("w", "mine", LONG_WAIT_MS), "primary");
+    // The last reported position of the replica precedes the write, so only the primary is known to have it.
+    // Known positions never decrease, so the lower positions that the replica reports from now on change
+    // nothing.
+    assert_eq!(client.query(&read.statement("r", "mine", LONG_WAIT_MS)), served("primary"), "{name}");
+    // A read of a session without writes may be served by either instance.
+    assert!(!failed(&client.query(&read.statement("s", "other", LONG_WAIT_MS))), "{name}");
 }
 
 #[test]
-fn commit_ahead_of_every_clock_is_answered() {
+fn read_after_unreachable_position_fails_without_affecting_others() {
     let (name, settings) = sites().find(|(_, s)| s["extra"]["writeMarks"] == "brought").unwrap();
-    let site = Site::start(&settings);
-    let client = Client::connect(site.addr);
+    let setup = TestSetup::start(&settings);
+    let client = Client::connect(setup.addr);
     let (read, other) = (
-        site.classes().find(|c| c.freshness == "causal").unwrap(),
-        site.classes().find(|c| c.freshness == "lag_bound").unwrap(),
+        setup.classes().find(|c| c.freshness == "causal").unwrap(),
+        setup.classes().find(|c| c.freshness == "lag_bound").unwrap(),
     );
-    client.query_until_served_by(&other.statement("first", "k", PATIENT_MS), "replica");
-    // Whoever it goes to is too far behind, and says so.
-    [&site.primary, &site.replica].iter().for_each(|i| i.0.set_behavior(Behavior::Error("72000")));
-    let ahead =
-        read.statement("far", "k", PATIENT_MS).replace(",cluster=", &format!(",after={},cluster=", i64::MAX));
+    client.query_until_served_by(&other.statement("first", "k", LONG_WAIT_MS), "replica");
+    // Each instance rejects the read because it has not reached the requested position.
+    [&setup.primary, &setup.replica].iter().for_each(|i| i.0.set_behavior(Behavior::Error("72000")));
+    let ahead = read
+        .statement("far", "k", LONG_WAIT_MS)
+        .replace(",cluster=", &format!(",after={},cluster=", i64::MAX));
     assert!(failed(&client.query(&ahead)), "{name}");
-    [&site.primary, &site.replica].iter().for_each(|i| i.0.set_behavior(Behavior::Serve));
-    client.query_until_served_by(&other.statement("then", "k", PATIENT_MS), "replica");
+    [&setup.primary, &setup.replica].iter().for_each(|i| i.0.set_behavior(Behavior::Serve));
+    client.query_until_served_by(&other.statement("then", "k", LONG_WAIT_MS), "replica");
 }
 
 const THREE_DAYS_MS: u64 = 3 * 86_400_000;
@@ -268,12 +283,12 @@
     let (name, mut settings) = sites().next().unwrap();
     let at = classes(&settings).position(|c| c.write).unwrap();
     settings["classes"][at]["deadlineMs"] = json!(THREE_DAYS_MS);
-    let site = Site::start(&settings);
-    let write = site.classes().nth(at).unwrap();
-    Client::connect(site.addr)
+    let setup = TestSetup::start(&settings);
+    let write = setup.classes().nth(at).unwrap();
+    Client::connect(setup.addr)
         .query_until_served_by(&write.statement("w", "k", THREE_DAYS_MS - 1000), "primary");
-    let sent = site.primary.1.recv_timeout(TIMEOUT).unwrap();
-    assert!((2 * 86_400_000..THREE_DAYS_MS).contains(&told_ms(&sent)), "{name}: {sent}");
+    let sent = setup.primary.1.recv_timeout(TIMEOUT).unwrap();
+    assert!((2 * 86_400_000..THREE_DAYS_MS).contains(&forwarded_wait_ms(&sent)), "{name}: {sent}");
 }
 
 #[test]
@@ -292,15 +307,18 @@
         settings["classes"] = json!(many(n));
         settings["extra"]["freshness"] = json!(vec!["eventual"; n]);
         settings["extra"]["oldestDataMs"] = json!(vec![0.0; n]);
-        let site = Site::start(&settings);
-        let client = Client::connect(site.addr);
+        let setup = TestSetup::start(&settings);
+        let client = Client::connect(setup.addr);
         assert_eq!(client.query(""), Response::Empty);
-        site.classes().for_each(|class| {
-            client.query_until_served_by(&class.statement("r", "k", PATIENT_MS), "replica");
+        setup.classes().for_each(|class| {
+            client.query_until_served_by(&class.statement("r", "k", LONG_WAIT_MS), "replica");
         });
         let unknown =
             Class { name: "none".into(), write: false, freshness: "eventual".into(), deadline_ms: 1 };
-        let answer = client.query(&unknown.statement("u", "k", 100));
-        assert!(matches!(&answer, Response::Error(code, _) if code == "42601"), "{n} classes: {answer:?}");
+        let response = client.query(&unknown.statement("u", "k", 100));
+        assert!(
+            matches!(&response, Response::Error(code, _) if code == "42601"),
+            "{n} classes: {response:?}"
+        );
     }
 }
