--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -177,9 +177,9 @@
     Client::connect(addr).query("") == Response::Empty
 }
 
-fn wait_until(what: &str, is: impl Fn() -> bool) {
+fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let started = Instant::now();
-    while !is() {
+    while !condition() {
         assert!(started.elapsed() < TIMEOUT, "{what}");
         std::thread::yield_now();
     }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,4 +1,5 @@
-//! The short plans of the soak, and the reduced plans of failures that it has found, each played against the real program.
+//! Runs the short plans of the soak test, and the reduced plans of failures that the soak test has found,
+//! against the program. A plan injects faults; the promises that are checked are those of `soak::oracle`.
 use soak::draw::draw;
 use soak::oracle::{self, Breach, Promise};
 use soak::plan::Plan;
@@ -9,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, PoisonError};
 
-/// One run at a time: several at once would leave too little processor time to each.
+/// Held during a run, because several runs at once would get too little processor time each.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 fn plan(name: &str) -> Plan {
@@ -17,9 +18,9 @@
     Plan::read(&path).unwrap()
 }
 
-/// Plays a plan and returns the broken promises.
+/// Runs a plan and returns the broken promises.
 fn breaches_of(plan: &Plan, seed: u64) -> Vec<Breach> {
-    let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let programs = Programs::beside(Path::new(env!("CARGO_BIN_EXE_damsonvale")));
     assert!(programs.library.is_some(), "the package faults is built with the tests");
     let faults = draw(plan, seed, &[]);
@@ -29,35 +30,42 @@
     breaches
 }
 
-/// Asserts that a plan does not break a promise.
-fn assert_keeps(name: &str, seed: u64, promise: Promise) {
+/// Asserts that the run of a plan does not break `promise`.
+fn assert_promise_kept(name: &str, seed: u64, promise: Promise) {
     let breaches = breaches_of(&plan(name), seed);
     assert!(!oracle::promises(&breaches).contains(&promise), "{breaches:#?}");
 }
 
+/// In an incident, the wall clock was set back an hour before cold servers were started.
 #[test]
 fn slow_start_holds_after_clock_step_back() {
-    assert_keeps("regressions/slow_start_after_clock_step.toml", 1, Promise::SlowStart);
+    assert_promise_kept("regressions/slow_start_after_clock_step.toml", 1, Promise::SlowStart);
 }
 
+/// In an incident, the wall clock was set back some seconds while replicas did not apply the log.
 #[test]
 fn session_reads_fresh_after_clock_step_back() {
-    assert_keeps("regressions/stale_after_clock_step.toml", 1, Promise::Stale);
+    assert_promise_kept("regressions/stale_after_clock_step.toml", 1, Promise::Stale);
 }
 
+/// In an incident, clients connected while no thread could be created.
 #[test]
-fn no_client_lost_without_threads() {
-    assert_keeps("regressions/no_thread_for_a_client.toml", 1, Promise::Lost);
+fn no_request_lost_when_threads_cannot_be_created() {
+    assert_promise_kept("regressions/no_thread_for_a_client.toml", 1, Promise::Lost);
 }
 
+/// A peek at a client's socket that failed with EINTR was taken for a disconnect, so pending requests lost
+/// their responses.
 #[test]
-fn no_request_lost_under_interrupts() {
-    assert_keeps("regressions/interrupted_looks.toml", 1, Promise::Lost);
+fn no_request_lost_when_socket_peeks_are_interrupted() {
+    assert_promise_kept("regressions/interrupted_looks.toml", 1, Promise::Lost);
 }
 
+/// The disks of two of three store nodes fail for some seconds. After that the store has to accept writes
+/// again and to have all writes that it has confirmed.
 #[test]
 fn store_recovers_after_disk_faults() {
-    assert_keeps("regressions/store_disk_fails_for_a_while.toml", 1, Promise::StoreLost);
+    assert_promise_kept("regressions/store_disk_fails_for_a_while.toml", 1, Promise::StoreLost);
 }
 
 #[test]
@@ -72,12 +80,16 @@
     assert_eq!(breaches_of(&plan("short_serve.toml"), 31), []);
 }
 
+/// Primaries hang with requests in progress, and crash so much later that a retry would be outside the repeat
+/// window.
 #[test]
-fn keyed_writes_not_repeated_outside_window() {
+fn keyed_writes_not_repeated_outside_repeat_window() {
     assert_eq!(breaches_of(&plan("hang_then_crash.toml"), 1), []);
 }
 
+/// A discovery watch that has stopped delivering lines is replaced within 6 s, so that later drains are
+/// applied.
 #[test]
-fn drains_followed_after_silent_watches() {
+fn drains_applied_after_discovery_watch_falls_silent() {
     assert_eq!(breaches_of(&plan("silent_watch.toml"), 1), []);
 }
--- a/tests/stored_servers.rs
+++ b/tests/stored_servers.rs
@@ -1,11 +1,12 @@
-//! The stored form of servers, and the endpoint list that is read from it.
+//! The form in which the store holds servers, and the endpoint list that a router derives from it.
 use crossbeam_channel::bounded;
 use damsonvale::commands::serve::endpoints::{endpoint_entry, endpoint_update, server_document};
 use routing::{EndpointEntry, GroupId, MemberState};
 use settings::operator::Server;
 use std::net::SocketAddr;
 
-/// What the store holds after a first start with servers `a` (of site `north`) and `b` (of none), one a line.
+/// The stored entries after a first start with server `a` in site `north` and server `b` without a site: one
+/// entry per line, as key, tab and document.
 const STORED_SERVERS: &str = include_str!("fixtures/stored_servers.txt");
 
 fn loopback(port: u16) -> SocketAddr {
@@ -41,11 +42,12 @@
 
 #[test]
 fn servers_of_own_site_are_near_and_servers_without_site_are_far() {
-    let seed = |(id, site): (&str, &str)| {
+    let stored_entry = |(id, site): (&str, &str)| {
         let text = format!(r#"{{"addr":"127.0.0.1:1","group":0,"weight":1{site},"state":"in_service"}}"#);
         (store::control::server_key(id), text)
     };
-    let seeds = [("a", r#","site":"north""#), ("b", r#","site":"south""#), ("c", "")].map(seed).to_vec();
+    let seeds =
+        [("a", r#","site":"north""#), ("b", r#","site":"south""#), ("c", "")].map(stored_entry).to_vec();
     let (sender, states) = bounded(16);
     let peers = [(1, loopback(0))].into();
     let settings = store::Settings { node: 1, peers, seeds, ..store::Settings::default() };
--- a/tests/tidy.rs
+++ b/tests/tidy.rs
@@ -1,33 +1,34 @@
-//! The shape of the source: no test code under `src/`, no file that has grown large, and no files of a package that import
-//! each other in a loop.
+//! Checks of the source tree: no test code under `src/`, no file above the size limit, and no import cycles
+//! between the files of a package.
 //!
-//! A file imports another if a `use` declaration in it names an item that the other one defines. A re-export (`pub use`)
-//! is looked through: the importing file depends on the file with the definition, not on the one that passes it on. What
-//! a submodule imports from the modules that contain it does not count: such a file is a part of its parent.
+//! A file imports another one if a `use` declaration in it names an item that the other file defines.
+//! Re-exports (`pub use`) are resolved: the importing file depends on the file with the definition, not on
+//! the file with the re-export. Imports of a submodule from the modules that contain it are ignored, because
+//! it is a part of them.
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::{Path, PathBuf};
 use syn::{Item, UseTree, Visibility};
 
-/// The most lines that a file under `src/` may have.
+/// The maximum number of lines of a file under `src/`.
 const MAX_LINES: usize = 450;
-/// How many re-exports a name may pass through before its search ends.
+/// The maximum number of re-exports that are followed to resolve a name.
 const MAX_RE_EXPORTS: usize = 16;
 
-/// A module's path in its crate; the crate's root is empty.
+/// The path of a module in its crate. The path of the crate root is empty.
 type ModulePath = Vec<String>;
 
 /// One name that a `use` declaration brings into a module.
 struct Import {
     /// The path as written, with its leading `crate`, `self` or `super`.
     path: Vec<String>,
-    /// The name that it has in the importing module; `*` for a glob.
+    /// The name of the item in the importing module; `*` for a glob import.
     name: String,
-    /// Whether others can reach it through the importing module.
+    /// Whether the declaration has a visibility such as `pub`, so that other modules can use the name too.
     re_exported: bool,
 }
 
-/// One file of a crate.
+/// A file of a crate and its imports.
 struct Module {
     file: PathBuf,
     imports: Vec<Import>,
@@ -46,7 +47,7 @@
         CrateModules(modules.collect())
     }
 
-    /// The module that defines what `path`, written in `module`, names. `None` for other crates' items.
+    /// The module that defines the item to which `path` refers in `module`. `None` for items of other crates.
     fn defining_module(&self, module: &[String], path: &[String]) -> Option<ModulePath> {
         let mut absolute = self.absolute(module, path)?;
         for _ in 0..MAX_RE_EXPORTS {
@@ -60,7 +61,8 @@
         None
     }
 
-    /// `path` from the crate's root. `None` where it begins in another crate.
+    /// Resolves `path`, as written in `module`, to a path from the crate root. `None` if it begins with
+    /// another crate.
     fn absolute(&self, module: &[String], path: &[String]) -> Option<Vec<String>> {
         let mut base = module.to_vec();
         let mut rest = path;
@@ -93,7 +95,7 @@
         lengths.map(|length| &absolute[..length]).find(|path| self.0.contains_key(*path)).unwrap().to_vec()
     }
 
-    /// The modules that each module imports from, itself and those that contain it excepted.
+    /// The modules from which each module imports, without itself and the modules that contain it.
     fn dependencies(&self) -> BTreeMap<&ModulePath, BTreeSet<ModulePath>> {
         let of_module = |path: &ModulePath, module: &Module| {
             let used = module.imports.iter().filter(|import| !import.re_exported);
@@ -104,23 +106,23 @@
         self.0.iter().map(|(path, module)| (path, of_module(path, module))).collect()
     }
 
-    /// The groups of files that can reach each other by their imports.
-    fn loops(&self) -> BTreeSet<Vec<&Path>> {
+    /// The import cycles: groups of files that can reach each other through imports.
+    fn cycles(&self) -> BTreeSet<Vec<&Path>> {
         let dependencies = self.dependencies();
         let reached: BTreeMap<&ModulePath, BTreeSet<ModulePath>> =
             dependencies.keys().map(|path| (*path, reachable(path, &dependencies))).collect();
-        let mut loops = BTreeSet::new();
+        let mut cycles = BTreeSet::new();
         for (path, others) in &reached {
             if others.contains(*path) {
                 let members = others.iter().filter(|other| reached[*other].contains(*path));
-                loops.insert(members.map(|member| self.0[member].file.as_path()).collect::<Vec<_>>());
+                cycles.insert(members.map(|member| self.0[member].file.as_path()).collect::<Vec<_>>());
             }
         }
-        loops
+        cycles
     }
 }
 
-/// All modules that can be reached from `start` by one import or more.
+/// All modules that can be reached from `start` through one or more imports.
 fn reachable(
     start: &ModulePath,
     dependencies: &BTreeMap<&ModulePath, BTreeSet<ModulePath>>,
@@ -137,7 +139,7 @@
     reached
 }
 
-/// The module that a file below a source folder holds.
+/// The module path of a file, given its path relative to the source folder.
 fn module_path(relative: &Path) -> ModulePath {
     let mut path: ModulePath =
         relative.with_extension("").iter().map(|part| part.to_str().unwrap().to_owned()).collect();
@@ -187,7 +189,7 @@
     Import { path, name: name.to_string(), re_exported }
 }
 
-/// The folders `src` of all packages of the workspace.
+/// The `src` folders of all packages of the workspace.
 fn source_folders() -> Vec<PathBuf> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let manifest: toml::Table = fs::read_to_string(root.join("Cargo.toml")).unwrap().parse().unwrap();
@@ -196,7 +198,7 @@
     std::iter::once(root.join("src")).chain(members).collect()
 }
 
-/// All Rust files below a folder, in order.
+/// All Rust files below a folder, sorted by path.
 fn rust_files(folder: &Path) -> Vec<PathBuf> {
     let mut entries: Vec<PathBuf> =
         fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
@@ -219,7 +221,7 @@
 }
 
 #[test]
-fn source_folders_hold_no_test_code() {
+fn source_folders_contain_no_test_code() {
     let holds_tests =
         |file: &PathBuf| fs::read_to_string(file).unwrap().lines().any(|line| line.trim() == "#[cfg(test)]");
     let offenders: Vec<PathBuf> = all_source_files().into_iter().filter(holds_tests).collect();
@@ -227,17 +229,17 @@
 }
 
 #[test]
-fn source_files_stay_within_their_length() {
+fn source_files_stay_within_the_line_limit() {
     let lines = |file: &PathBuf| fs::read_to_string(file).unwrap().lines().count();
     let offenders: Vec<PathBuf> =
         all_source_files().into_iter().filter(|file| lines(file) > MAX_LINES).collect();
-    assert!(offenders.is_empty(), "over {MAX_LINES} lines: {offenders:#?}");
+    assert!(offenders.is_empty(), "files with more than {MAX_LINES} lines: {offenders:#?}");
 }
 
 #[test]
-fn source_files_do_not_import_each_other_in_a_loop() {
+fn source_files_have_no_import_cycles() {
     let crates: Vec<CrateModules> =
         source_folders().iter().map(|folder| CrateModules::read(folder)).collect();
-    let loops: Vec<_> = crates.iter().flat_map(CrateModules::loops).collect();
-    assert!(loops.is_empty(), "files that import each other: {loops:#?}");
+    let cycles: Vec<_> = crates.iter().flat_map(CrateModules::cycles).collect();
+    assert!(cycles.is_empty(), "files that import each other: {cycles:#?}");
 }
