--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -441,7 +441,7 @@
 }
 
 /// Pipelines requests without waiting for responses until the connection is closed. Returns the number of
-/// responses and the time from `begun` to the close of the connection.
+/// responses and the time from `started` to the close of the connection.
 fn send_pipelined(addr: SocketAddr, sent: &AtomicUsize, started: Instant) -> (usize, Duration) {
     let client = Client::connect(addr);
     let writer = client.0.try_clone().unwrap();
@@ -468,15 +468,15 @@
 }
 
 #[test]
-fn sigterm_answers_read_requests_and_drops_unread_ones() {
+fn sigterm_completes_received_requests_and_drops_unread_ones() {
     let setup = TestSetup::new();
     let mut router = setup.start();
     let idle = setup.connect_when_replica_serves();
     let (completed_late, never_completed) = (Client::connect(setup.addr), Client::connect(setup.addr));
-    let whole = message(b'Q', format!("{}\0", select("halves", 1900)).as_bytes());
+    let complete = message(b'Q', format!("{}\0", select("halves", 1900)).as_bytes());
     for client in [&completed_late, &never_completed] {
         assert!(matches!(client.query(&select("first", 1900)), Response::Row(_)));
-        (&client.0).write_all(&whole[..40]).unwrap();
+        (&client.0).write_all(&complete[..40]).unwrap();
     }
     let (started, addr) = (Instant::now(), setup.addr);
     router.program.terminate();
@@ -493,7 +493,7 @@
     });
     assert!(read_message(&idle.0).is_err(), "an idle connection is closed when the drain of clients begins");
     // A command whose second half is received only now gets its response; then its connection is closed.
-    (&completed_late.0).write_all(&whole[40..]).unwrap();
+    (&completed_late.0).write_all(&complete[40..]).unwrap();
     assert!(matches!(completed_late.response(), Response::Row(_)));
     assert!(read_message(&completed_late.0).is_err());
     assert!(
@@ -782,8 +782,9 @@
     let first = setup.start();
     first.assert_accepted("SUSPEND replica");
     drop(first);
-    let whole = std::fs::read(&file).unwrap();
-    for (text, held) in [(&whole[..], 1), (&whole[..whole.len() - 3], 0), (b"another program's", 0)] {
+    let complete = std::fs::read(&file).unwrap();
+    for (text, held) in [(&complete[..], 1), (&complete[..complete.len() - 3], 0), (b"another program's", 0)]
+    {
         std::fs::write(&file, text).unwrap();
         let mut router = setup.start();
         router.wait_for_response("STATUS", &format!("{held} instances held"));
@@ -972,9 +973,9 @@
         }
     });
     // One router probes an instance at most every 100 ms.
-    let (asked, one) = (probes() - before, started.elapsed().as_millis() as u32 / 100);
+    let (probe_count, max_expected) = (probes() - before, started.elapsed().as_millis() as u32 / 100);
     assert!(
-        asked > one / 4 && asked <= one + 3,
-        "{asked} probes, one router sends at most {one} in that time"
+        probe_count > max_expected / 4 && probe_count <= max_expected + 3,
+        "{probe_count} probes, one router sends at most {max_expected} in that time"
     );
 }
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -9,7 +9,7 @@
 const PLAN: &str = include_str!("processes.toml");
 
 #[test]
-fn hundred_routers_keep_quotas_placement_and_single_answers_during_faults() {
+fn hundred_routers_keep_quotas_placement_and_single_responses_during_faults() {
     let plan = plan::read(PLAN).unwrap();
     assert!(plan.routers >= 100);
     let report =
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn truncated_repeated_and_reordered_events_give_registry_list() {
+fn list_matches_registry_after_truncated_repeated_and_reordered_events() {
     let setup = TestSetup::new(2, 2);
     let (mut router, addr) = setup.start_ready("etcd");
     let many = |from: u16, n: u16| {
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn faulty_key_affects_no_other_and_network_rules_hold() {
+fn invalid_node_entry_affects_no_other_and_network_rules_apply() {
     let mut setup = TestSetup::new(1, 2);
     setup.registry_keys = "deny = ['127.7.0.0/16']".into();
     let (mut router, addr) = setup.start_ready("etcd");
@@ -439,7 +439,7 @@
 }
 
 #[test]
-fn registry_configuration_is_applied_and_faulty_one_ignored() {
+fn registry_configuration_is_applied_and_invalid_one_is_ignored() {
     let setup = TestSetup::new(1, 1);
     let (mut router, addr) = setup.start_ready("etcd");
     let options =
@@ -475,16 +475,16 @@
 fn session_peers_are_found_through_registry() {
     let mut setup = TestSetup::new(1, 1);
     // Session leases are granted only once the servers' clocks are known. These routers get no requests, so
-    // the clocks have to be read without any.
+    // the health check has to return the clock (`server_clock`).
     setup.mysql_keys = "server_clock = true\nclock_skew_ms = 1".into();
-    let (addresses, unused) =
+    let (addresses, unbound) =
         (common::environment::unused_addresses(3), common::environment::unused_addresses(3));
     let mut routers = Vec::new();
     for (n, own) in addresses.iter().enumerate() {
         setup.registry_keys = format!("register = 'router-{n}'");
         // The first two list each other, at addresses at which nothing listens. No router lists the third
         // one.
-        let peer = |p: usize| format!("[[sessions.peer]]\ninstance = {}\naddr = '{}'\n", p + 1, unused[p]);
+        let peer = |p: usize| format!("[[sessions.peer]]\ninstance = {}\naddr = '{}'\n", p + 1, unbound[p]);
         let peers = if n < 2 { peer(1 - n) } else { peer(0) + &peer(1) };
         setup.extra_sections = format!("[sessions]\ninstance = {}\nlisten = '{own}'\n{peers}\n", n + 1);
         setup.extra_sections.push_str(&"\n".repeat(n));
@@ -706,7 +706,7 @@
 }
 
 #[test]
-fn thousands_of_changes_over_outages_give_registry_list() {
+fn list_matches_registry_after_thousands_of_changes_and_outages() {
     const KEYS: u64 = 2500;
     let setup = TestSetup::new(2, 1);
     let value = |n: u64, state: &str| {
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn alternating_session_sees_its_writes_others_read_replicas() {
+fn alternating_session_sees_its_writes_and_others_read_from_replicas() {
     for persistence in [Persistence::DiskAndPeers, Persistence::Peers] {
         let mut fleet = Instances::started(2, replicating_servers(2), persistence);
         fleet.freeze_replicas();
@@ -128,14 +128,14 @@
             let other_session = read(&mut clients[other], &format!("other-{n}")).unwrap();
             assert!(other_session.is_from_replica(), "{other_session:?}");
         }
-        // Both instances know the commits of each session, so they did not have to route reads to the primary
-        // as reads of the present.
+        // Both instances know the commits of each session, so they did not have to send the reads of all
+        // sessions to the primary (counted by `reads_of_the_present`).
         assert_eq!(fleet.status(1)["reads_of_the_present"].as_u64(), before);
     }
 }
 
 #[test]
-fn partitioned_instances_read_the_present_until_healed() {
+fn partitioned_instances_read_from_primary_until_healed() {
     let mut fleet = Instances::new(2, replicating_servers(2), Persistence::DiskAndPeers);
     let proxies = [Proxy::start(fleet.peer_addresses[1]), Proxy::start(fleet.peer_addresses[0])];
     fleet.known_peer_addresses[0][1] = proxies[0].addr;
@@ -230,8 +230,8 @@
     }
     assert_eq!(run_command("dump", &complete).1.lines().count(), 2);
     assert!(run_command("verify", &complete[..complete.len() - 1]).1.contains("torn tail"));
-    // A damaged record in the middle is reported with its offset, the start rejects the file, and reads see
-    // the present.
+    // A damaged record in the middle is reported with its offset, the start rejects the file, and reads go to
+    // the primary.
     let mut damaged = complete.clone();
     damaged[before.len() - 1] ^= 1;
     let (ok, output) = run_command("verify", &damaged);
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn request_at_shutdown_is_answered_and_runs_once() {
+fn request_at_shutdown_gets_its_response_and_runs_once() {
     for sent_before in [true, false] {
         let setup = TestSetup::start();
         let client = Client::connect(setup.addr);
