--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -466,7 +466,7 @@
         .collect();
     assert!(
         read_message(&many[79].0).is_err(),
-        "an idle connection near the limit is closed to make room for another client"
+        "an idle connection near the limit is closed in favor of another client"
     );
     assert!(started.elapsed().as_millis() < 1500, "{:?}", started.elapsed());
 }
