--- a/decision/src/interface.rs
+++ b/decision/src/interface.rs
@@ -160,7 +160,7 @@
 /// The state of a member in the member list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum MemberState {
-    /// Accepts work.
+    /// The member accepts new attempts.
     #[default]
     Ready,
     /// Finishes its work and gets no new work.
@@ -169,16 +169,16 @@
     Removed,
 }
 
-/// One entry of the member list.
+/// A member as the member list describes it.
 #[derive(Clone, Debug, Default)]
 pub struct MemberEntry {
-    /// The member's id.
+    /// The id of the listed member.
     pub id: MemberId,
-    /// The member's group.
+    /// The group to which the member belongs.
     pub group: GroupId,
-    /// The member's zone.
+    /// The zone in which the member runs.
     pub zone: u32,
-    /// The member's state.
+    /// The member's state according to the list.
     pub state: MemberState,
     /// Whether the list names the member as the primary of its group. The list may be out of date.
     pub listed_primary: bool,
@@ -188,10 +188,10 @@
     pub started_at: Option<Time>,
 }
 
-/// A client request.
+/// A client request as the router receives it.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// The request's id.
+    /// The id that identifies the request in events and actions.
     pub id: RequestId,
     /// The request's class, an index into [`Settings::classes`].
     pub class: usize,
@@ -265,12 +265,12 @@
     RequestArrived(Request),
     /// The response to an attempt has begun to stream to the client, so the request can no longer be retried.
     ResponseStarted {
-        /// The request's id.
+        /// The id of the request whose response has begun to stream.
         request: RequestId,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// The request's id.
+        /// The id of the request to which the attempt belongs.
         request: RequestId,
         /// The index of the attempt, from 0 in the order of sending.
         attempt: u32,
@@ -299,7 +299,7 @@
     },
     /// The client has disconnected. The request requires no response any more.
     ClientDisconnected {
-        /// The request's id.
+        /// The id of the request whose client has disconnected.
         request: RequestId,
     },
     /// A timer set with [`Action::SetTimer`] has expired.
@@ -309,9 +309,9 @@
 /// Output of a router. The driver executes actions in order, at the time of the event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt.
+    /// Send an attempt of a request to a member.
     Send {
-        /// The request's id.
+        /// The id of the request to which the attempt belongs.
         request: RequestId,
         /// The member to which the attempt is sent.
         member: MemberId,
@@ -324,14 +324,14 @@
     },
     /// Abandon an attempt. No decision requests this at present.
     Cancel {
-        /// The request's id.
+        /// The id of the request whose attempt is abandoned.
         request: RequestId,
         /// The index of the attempt.
         attempt: u32,
     },
     /// Final response: the request was not served, and it is safe to retry.
     Reject {
-        /// The request's id.
+        /// The id of the rejected request.
         request: RequestId,
         /// The time from now after which the client should retry.
         retry_after: Option<Micros>,
@@ -339,7 +339,7 @@
     /// Final response: the request was not served, but an attempt may have run, so a retry may take effect
     /// twice.
     Fail {
-        /// The request's id.
+        /// The id of the failed request.
         request: RequestId,
     },
     /// Send a health check to a member.
--- a/decision/src/router/choice.rs
+++ b/decision/src/router/choice.rs
@@ -4,7 +4,7 @@
 };
 use super::{Time, admission::Decision, elapsed, health::MAX_EJECTION, pool::MIN_BACKLOG_FACTOR};
 
-/// The number of probes that one read may start to prove a replica fresh; afterwards the primary serves it.
+/// A read may start this many probes to prove a replica fresh; afterwards the primary serves the read.
 const MAX_FRESHNESS_PROBES: u32 = 2;
 /// The number of replicas that one read tries without proof of freshness, if replicas check freshness.
 const MAX_UNPROVEN_ATTEMPTS: usize = 2;
@@ -148,7 +148,7 @@
         usable.filter(|m| self.may_have_caught_up(*m, read.position)).collect()
     }
 
-    /// Probes candidates in random order until one probe starts, unless one of them already has a probe in
+    /// Probes candidates in random order until a probe starts, unless a probe of a candidate is already in
     /// flight. Leaves the candidates in that random order.
     fn probe_for_freshness(&mut self, id: RequestId, candidates: &mut [MemberId]) {
         if candidates.iter().any(|m| self.members[m].probes_in_flight > 0) {
--- a/decision/src/router/health.rs
+++ b/decision/src/router/health.rs
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Ejects a member after a timeout unless too many are ejected already. If many members time out
-    /// together, overload is the cause, and ejections would only move the load to the others.
+    /// Ejects a member after a timeout unless too many members are ejected already. If many members time out
+    /// together, overload is the cause, and ejections would only move the load to the remaining members.
     fn eject_after_timeout(&mut self, id: MemberId) {
         let group = self.groups.get(&self.members[&id].listed.group);
         let members = group.map_or(&[][..], |g| &g.members);
--- a/decision/src/router/pool.rs
+++ b/decision/src/router/pool.rs
@@ -64,8 +64,8 @@
         initial + (1.0 - initial) * (age / duration).min(1.0)
     }
 
-    /// The number of requests that one request counts as at a member that is warming up: the requests that
-    /// queue up within a deadline arrive at once, in addition to new ones.
+    /// The number of requests that a request counts as at a member that is warming up: the requests that
+    /// queue up within a deadline arrive at once, in addition to new requests.
     pub(super) fn backlog_factor(&self, pending: &PendingRequest) -> f64 {
         let queued = self.class(pending).deadline as f64 / self.settings.overload_duration as f64;
         if pending.queued { MIN_BACKLOG_FACTOR.max(1.0 + queued) } else { 1.0 }
--- a/decision/tests/cold_fleet/scene.rs
+++ b/decision/tests/cold_fleet/scene.rs
@@ -21,9 +21,9 @@
 pub(crate) enum Scenario {
     /// A new replica joins next to warm members.
     Joins,
-    /// The other replicas hang from the cold member's start on.
+    /// All replicas but the cold member hang from the time at which the cold member starts.
     ReplicasHang,
-    /// The other replicas were removed from the list some seconds earlier.
+    /// All replicas but the cold member were removed from the member list some seconds earlier.
     ReplicasRemoved,
     /// The cold member is the only listed member.
     ListedAlone,
--- a/decision/tests/cold_fleet/world.rs
+++ b/decision/tests/cold_fleet/world.rs
@@ -68,7 +68,7 @@
     retries: u32,
 }
 
-/// One attempt, in transit or at its member.
+/// An attempt that is in transit or at its member.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Job {
     router: usize,
--- a/decision/tests/common/mod.rs
+++ b/decision/tests/common/mod.rs
@@ -6,7 +6,7 @@
     Settings, Time,
 };
 
-/// One millisecond, in microseconds.
+/// The number of microseconds in a millisecond.
 pub(crate) const MS: Micros = 1000;
 /// The group of all members that [`entry`] creates.
 pub(crate) const GROUP: GroupId = GroupId(7);
--- a/decision/tests/health.rs
+++ b/decision/tests/health.rs
@@ -76,8 +76,8 @@
 fn errors_of_faulty_request_eject_no_member_errors_of_faulty_member_do() {
     let mut router = TestRouter::ready(settings(DEDUPLICATED));
     let attempts_until_served = |router: &mut TestRouter, failing: &dyn Fn(MemberId) -> bool| {
-        // Long enough for failed attempts to no longer count as in flight, but too short for an ejection to
-        // end.
+        // The wait is long enough for failed attempts to no longer count as in flight, but too short for an
+        // ejection to end.
         router.now += 300 * MS;
         let (id, actions) = router.request(4, None);
         let mut next = sent_attempts(&actions);
--- a/decision/tests/recorded_runs/main.rs
+++ b/decision/tests/recorded_runs/main.rs
@@ -37,7 +37,7 @@
 const SESSIONS_STEPS: usize = 12_000;
 const TRACE_STEPS: usize = 150;
 
-/// One line per history: its seed, the hash of its text and its counts.
+/// Summarises each history on one line: its seed, the hash of its text and its counts.
 fn summary(histories: impl Iterator<Item = (u64, World)>) -> String {
     let mut actual = String::new();
     let mut totals: BTreeMap<&str, usize> = BTreeMap::new();
--- a/discovery/src/connection.rs
+++ b/discovery/src/connection.rs
@@ -16,7 +16,7 @@
 
 /// Buffer size for reads from the socket.
 const READ_BUFFER_BYTES: usize = 8192;
-/// After reading this many bytes from one connection the driver serves the other connections.
+/// After reading this many bytes from one connection, the driver serves the remaining connections.
 const MAX_BYTES_PER_TURN: usize = 64 * 1024;
 
 /// A reader for the socket, which the connection also writes to.
--- a/discovery/src/driver.rs
+++ b/discovery/src/driver.rs
@@ -16,8 +16,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// While discovery is unreachable up to four attempts per second fail; the first and each tenth are logged as
-/// warnings, the others at debug level.
+/// While discovery is unreachable, up to four connection attempts per second fail. The first failure and
+/// every tenth one are logged as warnings, the remaining ones at debug level.
 const FAILURES_PER_WARNING: u32 = 10;
 /// The token of the waker. Connections use their IDs as tokens, which start at 1.
 const WAKER: Token = Token(0);
--- a/discovery/src/json_objects.rs
+++ b/discovery/src/json_objects.rs
@@ -26,7 +26,7 @@
     /// An object exceeds the limit for nested braces and brackets.
     #[error("an object has more than {0} levels of nesting: check that this address is discovery's")]
     NestedTooDeep(usize),
-    /// There is a character other than white space between two objects.
+    /// The stream contains a character other than white space between two objects.
     #[error("expected an object or an empty line, found '{0}': check that this address is discovery's")]
     UnexpectedCharacter(char),
 }
--- a/discovery/src/liveness.rs
+++ b/discovery/src/liveness.rs
@@ -2,10 +2,11 @@
 //!
 //! A connection on which no complete line (empty lines count) is received for [`Settings::stale_after`] is
 //! stale. Its lines are still processed, but further connections are opened, at first one per
-//! [`Settings::min_open_interval`], until a complete line is received on one of them; that one becomes the
-//! live watch and the others are closed. After the response head of a connection the next one is opened only
-//! after [`Settings::first_line_timeout`]; the connection stays open then, since an agent without an update
-//! sends its first empty line late. Incomplete lines are ignored: partial data never postpones a deadline.
+//! [`Settings::min_open_interval`], until a complete line is received on a connection. This connection
+//! becomes the live watch and all other connections are closed. After the response head of a connection the
+//! next connection is opened only after [`Settings::first_line_timeout`]; the earlier connection stays open
+//! then, since an agent without an update sends its first empty line late. Incomplete lines are ignored:
+//! partial data never postpones a deadline.
 //!
 //! If the agent responds when a connection is opened, and its first line is received within
 //! [`Settings::min_pending_time`], the connection is never closed earlier to stay within the limit, as long
@@ -45,10 +46,10 @@
     pub previous_address_grace: Duration,
     /// Limit for connections that wait for their first line, at least 1.
     pub max_pending: usize,
-    /// How long a connection may take to connect and receive its first line before it may be closed in favour
-    /// of another.
+    /// How long a pending connection may take to connect and receive its first line before it may be closed
+    /// in favour of a new connection.
     pub min_pending_time: Duration,
-    /// How long the oldest pending connection is exempt from being closed in favour of another.
+    /// How long the oldest pending connection is exempt from being closed in favour of a new connection.
     pub oldest_pending_time: Duration,
 }
 
@@ -76,7 +77,7 @@
     ResponseHead(ConnectionId),
     /// A connection received a complete line.
     Line {
-        /// The connection.
+        /// The connection that received the line.
         connection: ConnectionId,
         /// Whether the line contained an update; `false` for an empty line.
         has_update: bool,
@@ -103,7 +104,7 @@
     },
 }
 
-/// An open connection.
+/// An open connection of the watch to an agent.
 #[derive(Clone, Copy, Debug)]
 struct Connection {
     id: ConnectionId,
@@ -247,9 +248,9 @@
         if !connection.is_live() {
             return;
         }
-        // This connection becomes the live watch. The connection to the previous address stays open until an
-        // update is received from the new one, so that no change is missed in between; later its changes
-        // could belong to another list.
+        // The connection that received the line becomes the live watch. The connection to the previous
+        // address stays open until an update is received from the new address, so that no change is missed in
+        // between; later its changes could belong to another list.
         self.close_where(actions, |c| {
             let is_replaced = c.to_current_address || c.was_stale || c.is_pending() || has_update;
             c.id != id && is_replaced
@@ -319,10 +320,10 @@
     ///
     /// The oldest connection stays open for [`Settings::oldest_pending_time`], so that a slow agent has time
     /// for its first line, but not longer: the connection may have been established during the outage, and
-    /// may stay silent forever. Of the other connections, one without a response head after
+    /// may stay silent forever. Of the younger connections, a connection without a response head after
     /// [`Settings::min_pending_time`] is closed first: a connection with a head may still receive a late
-    /// first line, and a younger connection its head. If there is no such connection, the oldest of the other
-    /// connections is closed.
+    /// first line, and a connection opened more recently its head. If there is no such connection, the oldest
+    /// of the younger connections is closed.
     fn pending_to_close(&self, now: Duration, pending: &[&Connection]) -> Option<ConnectionId> {
         let (oldest, younger) = pending.split_first()?;
         let oldest_has_expired = now >= oldest.opened_at + self.settings.oldest_pending_time;
--- a/discovery/tests/liveness.rs
+++ b/discovery/tests/liveness.rs
@@ -113,7 +113,7 @@
     (now > opened && (now - opened - STEP).is_multiple_of(2000)).then_some(AgentEvent::EmptyLine)
 }
 
-/// An agent that never sends anything.
+/// An agent that never sends a byte.
 fn silent(_: u64, _: u64) -> Option<AgentEvent> {
     None
 }
@@ -228,7 +228,7 @@
 
 #[test]
 fn silent_new_connections_do_not_close_a_stale_one_that_receives_lines_again() {
-    // The old connection receives lines again from 4 s on, the other connections never.
+    // The old connection receives lines again from 4 s on; all later connections never receive a line.
     fn old(opened: u64, now: u64) -> Option<AgentEvent> {
         (opened == 0 && (now == STEP || (now >= 4000 && now.is_multiple_of(2000))))
             .then_some(AgentEvent::Update)
--- a/discovery/tests/liveness_outages/agent.rs
+++ b/discovery/tests/liveness_outages/agent.rs
@@ -148,7 +148,8 @@
             // The recovered agent does not know a connection that was never established.
             (Stage::Connecting, _) if outage.kind == OutageKind::Unreachable => self.is_dead = true,
             (_, ConnectionFate::Silent | ConnectionFate::Reset) => self.is_dead = true,
-            // Only if the silence makes the watch stale: after a shorter one, a loss could not be detected.
+            // Changes are lost only if the silence makes the watch stale: after a shorter silence, a loss
+            // could not be detected.
             (Stage::Watching { version: before, .. }, ConnectionFate::LosesChanges)
                 if outage.to - outage.from >= input.stale_after =>
             {
--- a/discovery/tests/liveness_outages/history.rs
+++ b/discovery/tests/liveness_outages/history.rs
@@ -1,7 +1,7 @@
 //! Random histories of outages, address changes and list changes. All times are milliseconds of virtual time.
 use proptest::prelude::*;
 
-/// One step of virtual time, in milliseconds.
+/// The length of a step of virtual time, in milliseconds.
 pub(crate) const STEP: u64 = 10;
 
 /// What happens to a connection that is opened during an outage.
@@ -12,7 +12,7 @@
     Unreachable,
     /// The connection is established, but nothing is sent on it.
     Silent,
-    /// Only a response head is sent. An incomplete line would be equivalent for the state machine.
+    /// The agent sends only a response head. An incomplete line would be equivalent for the state machine.
     HeadOnly,
     /// The connection is reset this long after its response head.
     ResetAfterHead(u64),
@@ -54,7 +54,7 @@
     /// The outages of each of the two addresses.
     pub(crate) outages: [Vec<Outage>; 2],
     pub(crate) agents: [AgentDelays; 2],
-    /// When the watch switches to the other address.
+    /// The times at which the watch switches from one agent's address to the other agent's.
     pub(crate) address_changes: Vec<u64>,
     /// When each version becomes available at both addresses.
     pub(crate) changes: Vec<u64>,
--- a/discovery/tests/watch/staleness.rs
+++ b/discovery/tests/watch/staleness.rs
@@ -33,7 +33,7 @@
 fn endless_line_makes_the_watch_stale() {
     let agent = ScriptedAgent::start();
     let (watched, old) = WatchedList::with_applied_list(&agent, Timing::from_millis(200, 50), 5);
-    // One byte every 20 ms, so that reads never time out.
+    // The agent sends a byte every 20 ms, so that reads never time out.
     old.send_chunk("{\"version\":6,\"x\":\"");
     loop {
         old.send_chunk("a");
--- a/discovery/tests/watch/stream.rs
+++ b/discovery/tests/watch/stream.rs
@@ -66,10 +66,10 @@
     endless.write_all(chunk("{\"version\":6,\"x\":\"").as_bytes()).unwrap();
     let more = chunk(&"a".repeat(1 << 16));
     let accepted = (0..1024).take_while(|_| endless.write_all(more.as_bytes()).is_ok()).count();
-    // More is accepted than the limit, since the kernel buffers data on both sides.
+    // The socket accepts more data than the limit, since the kernel buffers data on both sides.
     assert!((64..512).contains(&accepted), "{accepted} pieces of 64 KiB were accepted");
     let connection = agent.next_resuming_from("5");
-    // The same holds for an endless chunk size and an endless response head.
+    // The watch also closes a connection with an endless chunk size or an endless response head.
     _ = connection.send_raw(&[HEAD.as_bytes(), &[b'0'; 100]].concat());
     let connection = agent.next();
     _ = connection.send_raw(format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(20_000)).as_bytes());
--- a/discovery/tests/watch/support.rs
+++ b/discovery/tests/watch/support.rs
@@ -173,7 +173,8 @@
         limits.watch_silence_timeout = timing.stale_after;
         limits.watch_first_line_timeout = timing.first_line_timeout;
         limits.watch_backoff = timing.backoff();
-        // High enough that no pending connection is closed in favour of another, even in a slow test.
+        // The limit is so high that no pending connection is closed in favour of a new one, even in a slow
+        // test.
         limits.max_pending_watches = 64;
         let (sender, updates) = bounded(64);
         let list = start_endpoints(&limits, sender.clone(), None);
@@ -188,8 +189,8 @@
         watched
     }
 
-    /// Starts a watch that follows this agent and has applied a complete list of this version; also returns
-    /// the connection of that list.
+    /// Starts a watch that follows the given agent and has applied a complete list of the given version. Also
+    /// returns the connection on which the list was received.
     pub(crate) fn with_applied_list(
         agent: &ScriptedAgent,
         timing: Timing,
--- a/discovery/tests/watch/versions.rs
+++ b/discovery/tests/watch/versions.rs
@@ -34,7 +34,7 @@
         let connection = new.next_with_head();
         connection.send_chunk(&complete_list(version));
         assert_eq!(watched.next_update().version, version);
-        // That update closes the old connection, so that later data on it is ignored.
+        // The update with the complete list closes the old connection, so that later data on it is ignored.
         old_connection.assert_closed();
         connection.send_chunk(&change(version + 1, "b", "terminating"));
         assert_eq!(watched.next_update().version, version + 1);
--- a/fleet/src/audit_record.rs
+++ b/fleet/src/audit_record.rs
@@ -14,9 +14,9 @@
     serde_json::from_str(text)
 }
 
-/// Returns all batches in a state of the store, ordered by slot. This is not their order in time, because the
-/// slots are reused as a ring. A batch that cannot be parsed is logged and skipped, so that the others can
-/// still be read.
+/// Returns all audit batches in a state of the store, ordered by slot. This is not their order in time,
+/// because the slots are reused as a ring. A batch that cannot be parsed is logged and skipped, so that the
+/// remaining batches can still be read.
 pub fn stored_batches(state: &State) -> Vec<Batch> {
     let parse = |(key, value): (&str, &Value)| match parse_batch(&value.text) {
         Ok(batch) => Some(batch),
--- a/fleet/src/client/connection.rs
+++ b/fleet/src/client/connection.rs
@@ -76,8 +76,8 @@
     fn connect(&mut self) -> Result<TcpStream, ExchangeError> {
         let socket = TcpStream::connect_timeout(&self.addr(), ATTEMPT_TIMEOUT)?;
         if socket.local_addr()? == socket.peer_addr()? {
-            // If nobody listens on a loopback port, a connection to it may be connected to itself and block
-            // the port for the node.
+            // If no process listens on a loopback port, a connection to that port may be connected to itself
+            // and block the port for the node.
             socket2::SockRef::from(&socket).set_linger(Some(Duration::ZERO))?;
             return Err(WireError::WrongProtocol.into());
         }
@@ -123,10 +123,10 @@
         }
     }
 
-    /// Closes the connection after `error` and selects the node to try next: the leader that this node named,
-    /// otherwise the next one in order. `unresponsive` collects the nodes that failed in this round without
-    /// naming a leader. Such nodes are not selected by name again, because other nodes may still consider one
-    /// of them the leader.
+    /// Closes the connection after `error` and selects the node to try next: the leader that the last tried
+    /// node named, otherwise the next node in order. `unresponsive` collects the nodes that failed in this
+    /// round without naming a leader. Such nodes are not selected by name again, because other nodes may
+    /// still consider one of them the leader.
     pub(super) fn fail_over(&mut self, error: &ExchangeError, unresponsive: &mut BTreeSet<usize>) {
         let next = (self.current + 1) % self.nodes.len();
         self.socket = None;
--- a/fleet/src/client/exchange.rs
+++ b/fleet/src/client/exchange.rs
@@ -73,8 +73,8 @@
     lease_us: i64,
     classes: Vec<String>,
     logged_contact: LeaderContact,
-    /// The last logged version of a store whose document is older than the one this router follows; 0 for
-    /// none.
+    /// The last logged version of a store whose document is older than the document that this router follows;
+    /// 0 for none.
     stale_store_version: Version,
     /// The version of a document that this router cannot parse, 0 for none. Such a version is not fetched
     /// again.
@@ -133,13 +133,14 @@
         Duration::from_micros(self.random.u64(longest_us / 2..=longest_us))
     }
 
-    /// Tries the nodes in turn, starting with the one that responded last. Returns whether one responded as
-    /// the leader.
+    /// Tries the nodes in turn, starting with the node that responded last. Returns whether a node responded
+    /// as the leader.
     fn run_round(&mut self) -> bool {
         let mut last_failure = String::new();
         // The nodes that have failed in this round without naming another leader.
         let mut unresponsive = BTreeSet::new();
-        // One attempt more than there are nodes, because a node may name a leader that was tried before it.
+        // A round has one attempt more than there are nodes, because a node may name a leader that was tried
+        // earlier.
         for _ in 0..=self.connection.node_count() {
             let node = self.connection.addr();
             let error = match self.report_and_update() {
@@ -264,12 +265,12 @@
                 "this router lags, the leader requested a refetch of the fleet document; check earlier logs"
             );
         }
-        // This check logs a message if the response has fenced this router or lifted its fence.
+        // `check_fence` logs a message if the response has fenced this router or lifted its fence.
         _ = self.shared.check_fence();
     }
 
-    /// Fetches the document and applies it if it is newer than the one that the router follows. A document
-    /// that cannot be parsed is logged, and not fetched again unless the audit requests it.
+    /// Fetches the document and applies it if it is newer than the document that the router follows. A
+    /// document that cannot be parsed is logged, and not fetched again unless the audit requests it.
     fn update_document(&mut self) -> Result<(), ExchangeError> {
         let ReceivedDocument { version, bytes } = self.connection.fetch_document()?;
         if self.shared.followed_version().is_some_and(|followed| followed >= version) {
--- a/fleet/src/client/mod.rs
+++ b/fleet/src/client/mod.rs
@@ -36,7 +36,7 @@
     /// The tenant has exceeded its quota at this router.
     #[error("quota of tenant '{tenant}'; come back in {} ms", retry_after.as_millis())]
     QuotaExceeded {
-        /// The tenant's name.
+        /// The name of the tenant whose quota is exceeded.
         tenant: Arc<str>,
         /// The time after which a token is likely to be available.
         retry_after: Duration,
--- a/fleet/src/client/tenants.rs
+++ b/fleet/src/client/tenants.rs
@@ -31,8 +31,8 @@
         self.names.len()
     }
 
-    /// Resolves the tenant of a request: the tenant that the user belongs to, otherwise the one that the
-    /// request names if it exists, otherwise the default tenant.
+    /// Resolves the tenant of a request: the tenant that the user belongs to, otherwise the tenant that the
+    /// request names if that tenant exists, otherwise the default tenant.
     pub fn resolve(&self, user: &str, named: Option<&str>) -> Option<&Arc<str>> {
         self.by_user
             .get(user)
--- a/fleet/src/document/mod.rs
+++ b/fleet/src/document/mod.rs
@@ -44,7 +44,7 @@
     /// No previous document is retained.
     #[error("there is no previous document to go back to; set one with `fleet set`")]
     NoPrevious,
-    /// The stored document of this version differs from the one that was written.
+    /// The stored document of this version differs from the document that was written.
     #[error("the document of version {0} is damaged in the store; set it again with `fleet set`")]
     Damaged(Version),
     /// The note is longer than [`MAX_NOTE_BYTES`]. Contains its length.
--- a/fleet/src/document/parts.rs
+++ b/fleet/src/document/parts.rs
@@ -69,7 +69,7 @@
 /// Joins the parts of a text, which `get` looks up by key. Returns `None` if a part is missing.
 ///
 /// # Errors
-/// [`DocumentError::Damaged`] with `version` if the joined text is not the one that was written.
+/// [`DocumentError::Damaged`] with `version` if the joined text differs from the text that was written.
 pub fn join<'a>(
     version: Version,
     metadata: &Metadata,
--- a/fleet/src/service/leader.rs
+++ b/fleet/src/service/leader.rs
@@ -95,7 +95,8 @@
                     let leader = self.store.known_leader().leader.unwrap_or(UNKNOWN_LEADER);
                     respond_not_leader(&pending, leader);
                 }
-                // This node may be partitioned from the current leader without knowing it.
+                // After a failed read the leader is unknown: this node may be partitioned from the current
+                // leader without knowing it.
                 Err(_) => respond_not_leader(&pending, UNKNOWN_LEADER),
             }
         }
--- a/fleet/src/wire.rs
+++ b/fleet/src/wire.rs
@@ -37,7 +37,7 @@
 pub enum Response {
     /// Sent after the hello: the node accepts the connection.
     Welcome {
-        /// The node's id.
+        /// The id of the node that accepts the connection.
         node: u64,
     },
     /// Sent after the hello: the node has the maximum number of connections, and closes this one.
@@ -77,7 +77,7 @@
     store::wire::send_hello(socket, FLEET_PROTOCOL)
 }
 
-/// Receives and checks the other side's hello within `timeout`.
+/// Receives and checks the peer's hello within `timeout`.
 ///
 /// # Errors
 /// Fails if the connection fails, no hello is received in time, or the other side uses another protocol or
--- a/fleet/tests/service.rs
+++ b/fleet/tests/service.rs
@@ -87,7 +87,7 @@
         welcomed.then_some(socket)
     }
 
-    /// Cuts all connections between a node and the others.
+    /// Cuts all connections between a node and the remaining nodes of the store.
     fn isolate(&self, index: usize) {
         let node = index as u64 + 1;
         for link in self.links.iter().filter(|link| link.from == node || link.to == node) {
--- a/fleet/tests/stored_forms.rs
+++ b/fleet/tests/stored_forms.rs
@@ -24,7 +24,7 @@
 
 const FIXTURES: Fixtures = testkit::fixtures!();
 
-/// Both ends of a connection.
+/// Returns both ends of a loopback connection.
 fn connection() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let local = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -254,7 +254,7 @@
     found.into_iter().map(|(key, value)| (key, value.text)).collect()
 }
 
-/// The pointer fixture, with the version of the previous document replaced by the one of this run.
+/// The pointer fixture with the version of the previous document replaced by `version`.
 fn pointer_with_previous(version: u64) -> String {
     let stored = FIXTURES.text("document_pointer_second.json");
     let parsed: serde_json::Value = serde_json::from_str(&stored).unwrap();
--- a/placement/src/error.rs
+++ b/placement/src/error.rs
@@ -54,7 +54,7 @@
     /// The request names a group number that is reserved for views.
     #[error("group {} is out of range; groups are numbered below 2147483648", group.0)]
     Reserved {
-        /// The group number.
+        /// The number of the group that is out of range.
         group: GroupId,
     },
 }
--- a/placement/src/machine/time.rs
+++ b/placement/src/machine/time.rs
@@ -44,7 +44,7 @@
         changed_groups
     }
 
-    /// Requests a timer if the next deadline is earlier than the one that is set.
+    /// Requests a timer if the next deadline is earlier than the timer that is set.
     fn set_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.is_due(now) {
             self.timer = None;
--- a/placement/src/rules.rs
+++ b/placement/src/rules.rs
@@ -76,8 +76,8 @@
     }
 }
 
-/// A tenant's rule for each class, followed by the one for unknown classes. The first rule that names the
-/// class applies, otherwise the first that names no classes.
+/// A tenant's rule for each class, followed by the rule for unknown classes. The first rule that names a
+/// class applies to it, otherwise the first rule that names no classes.
 fn rules_by_class<'a>(
     tenant: &'a Tenant,
     classes: &'a [String],
--- a/placement/tests/machine.rs
+++ b/placement/tests/machine.rs
@@ -168,7 +168,7 @@
     driver.rules(7, vec![("t", strict(&["a"])), ("p", preferred(&["a"]))]);
     driver.members(true, vec![member("a1", "a"), member("b1", "b")]);
     assert_eq!(driver.route("t", READ), Err(PlacementError::Unconfirmed { version: 7 }));
-    // Only strict rules need a confirmation.
+    // Strict placement rules require a confirmation, preferences do not.
     assert!(driver.route("p", READ).is_ok());
     assert_eq!(driver.route("nobody", READ), Ok(GROUP));
     driver.handle(Event::RulesUpdated(RulesUpdate::Confirmed { until: FAR_FUTURE }));
@@ -233,8 +233,8 @@
     assert_eq!(driver.routed_members("b", READ), ["b1"]);
     driver.advance_to(Time(moved.0 + SITE_SETTLE_TIME));
     assert_eq!(driver.routed_members("b", READ), ["b1", "m"]);
-    // The same applies to a member that leaves the list and returns at another site, and to one whose site
-    // was unknown.
+    // The settle time also applies to a member that leaves the list and returns at another site, and to a
+    // member whose site was unknown.
     driver.members(true, vec![member("b1", "b"), member("a1", "a")]);
     driver.members(true, vec![member("b1", "b"), member("a1", "a"), member("m", "a"), member("n", "")]);
     driver.members(false, vec![member("n", "a")]);
--- a/placement/tests/recorded_run.rs
+++ b/placement/tests/recorded_run.rs
@@ -12,8 +12,8 @@
 const FIXTURES: Fixtures = testkit::fixtures!();
 const SEEDS: u64 = 20;
 const EVENTS: usize = 2_000;
-/// The number of lines of the first seed's run that the fixture contains as text; the other lines are only
-/// hashed.
+/// The number of lines of the first seed's run that the fixture contains as text; the remaining lines are
+/// only hashed.
 const READABLE_LINES: usize = 200;
 const SITES: [&str; 4] = ["", "a", "b", "c"];
 const TENANTS: [&str; 3] = ["t", "u", "anyone"];
--- a/quotas/examples/sparse_demand.rs
+++ b/quotas/examples/sparse_demand.rs
@@ -73,8 +73,9 @@
     (early / seeds as f64, late / seeds as f64)
 }
 
-/// The same share for a fixed division: what a bucket of `burst` tokens at `rate` per second, empty at 2 s as
-/// in the fleet, admits of random requests at `demand` per second.
+/// The admitted share of the quota, or of the demand if that is less, for a fixed division of the quota: what
+/// a bucket of `burst` tokens at `rate` per second, empty at 2 s as in the fleet, admits of random requests
+/// at `demand` per second.
 fn split_share(rate: f64, burst: f64, demand: f64, span: Range<i64>) -> f64 {
     let (from, to) = (span.start as f64, span.end as f64);
     let mut random = SmallRng::seed_from_u64(1);
--- a/quotas/src/allocator/mod.rs
+++ b/quotas/src/allocator/mod.rs
@@ -29,8 +29,8 @@
 /// An input of the allocator. Events must be handled in the order of their times.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// This node has become the leader. All records of grants are discarded, and nothing new is granted for
-    /// one grant lifetime.
+    /// The allocator's node has become the leader. All records of grants are discarded, and nothing new is
+    /// granted for one grant lifetime.
     BecameLeader {
         /// The term in which this node leads.
         term: u64,
--- a/quotas/src/allocator/plan.rs
+++ b/quotas/src/allocator/plan.rs
@@ -95,7 +95,8 @@
             && self.wanted_rate(routers) + retained.rate <= total.rate
     }
 
-    /// Targets for the case that all demand can be met while the other routers retain their reserved shares.
+    /// Targets for the case that all demand can be met while routers without exceeding demand retain their
+    /// reserved shares.
     fn targets_with_reserved(
         &self,
         exceeding: &[Candidate],
@@ -112,9 +113,9 @@
     }
 
     /// Targets for the case that not all demand can be met beside the reserved shares. Routers without demand
-    /// give up as many eighths of their reserved shares as the others need. They retain one token each if
-    /// there is one for each router, so that the tokens in their buckets are not discarded and their next
-    /// request is admitted.
+    /// give up as many eighths of their reserved shares as the routers with demand need. Routers without
+    /// demand retain one token each if there is a token for each router, so that the tokens in their buckets
+    /// are not discarded and their next request is admitted.
     fn targets_by_demand(&mut self, eligible: &[Candidate], total: Grant, rotation: i64) -> Vec<Grant> {
         let mut targets = vec![Grant::NONE; self.parts.len()];
         let (with_demand, idle): (Vec<_>, Vec<_>) =
@@ -146,8 +147,8 @@
             if returns_part { (retainable_half_parts - 1) / 2 } else { retainable_half_parts / 2 };
     }
 
-    /// The largest parts of their reserved shares that routers without demand can retain while the other
-    /// routers get `others_capacity`; empty if none fit.
+    /// The largest parts of their reserved shares that routers without demand can retain while the routers
+    /// with demand get `others_capacity`; empty if no parts fit.
     fn retained_by_idle(&self, idle: &[Candidate], others_capacity: u64, total: Grant) -> Vec<Candidate> {
         let fits = |retained: &Vec<Candidate>| {
             let sum = sum_reserved(retained);
--- a/quotas/src/allocator/report.rs
+++ b/quotas/src/allocator/report.rs
@@ -12,7 +12,7 @@
 /// How the sender of a report relates to the allocator's records.
 #[derive(Clone, Copy)]
 enum Sender {
-    /// There is no record of this router.
+    /// The allocator has no record of the router that sent the report.
     New,
     /// The record at this index is of the same incarnation.
     Known(usize),
--- a/quotas/src/allocator/router.rs
+++ b/quotas/src/allocator/router.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// One incarnation of a router. The record is removed when everything that the router may hold has expired.
+/// The record of one incarnation of a router, removed when everything that the router may hold has expired.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct RouterRecord {
     pub(super) name: String,
--- a/quotas/src/client/demand.rs
+++ b/quotas/src/client/demand.rs
@@ -23,7 +23,8 @@
 const MIN_EXPECTED_FOR_STOP: f64 = 4.0;
 /// Demand has risen if the count exceeds the expected one by this many standard deviations and [`MIN_RISE`].
 const RISE_DEVIATIONS: f64 = 4.0;
-/// An added margin in requests, so that one or two more are not a change where hardly any are expected.
+/// An added margin in requests, so that one or two additional requests are not a change where hardly any are
+/// expected.
 const MIN_RISE: f64 = 2.0;
 /// A count may randomly differ from the expected one by this many standard deviations and one request.
 const RANDOM_DEVIATIONS: f64 = 3.0;
--- a/quotas/src/messages.rs
+++ b/quotas/src/messages.rs
@@ -13,8 +13,8 @@
 pub struct ReservedShare {
     /// The index of the equal part, from 0 to below the fleet's number of routers.
     pub index: u32,
-    /// Whether the shares are the full shares of the present version. Otherwise each is the smaller of that
-    /// and what the router held before.
+    /// Whether the reserved shares are the full shares of the present version. Otherwise each share is the
+    /// smaller of the full share and the share that the router held before.
     pub full: bool,
 }
 
--- a/quotas/src/settings.rs
+++ b/quotas/src/settings.rs
@@ -20,7 +20,8 @@
     pub max_clock_drift: f64,
     /// How long a tenant remains allocated by demand after demand beyond the reserved shares has ended.
     pub idle_timeout: Micros,
-    /// Grants are changed when the rate of one of them would change by more than this ratio.
+    /// The grants of a quota are changed when the rate of at least one grant would change by more than this
+    /// ratio.
     pub hysteresis: f64,
     /// The shortest time between two plans for a tenant's quota.
     pub min_plan_interval: Micros,
@@ -91,7 +92,7 @@
     Ratio {
         /// The name of the setting that is out of range.
         key: &'static str,
-        /// The invalid value.
+        /// The value that is out of range.
         value: f64,
         /// The smallest valid value.
         min: f64,
--- a/quotas/tests/shares.rs
+++ b/quotas/tests/shares.rs
@@ -120,7 +120,8 @@
     assert_eq!(small_fleet.granted(0, "a"), (25.0, 10.0));
     small_fleet.run(SECOND);
     assert_eq!(small_fleet.granted(0, "a"), (50.0, 20.0));
-    // In the other direction the granted shares are lowered immediately and the fixed ones are raised later.
+    // When fixed shares are introduced, the granted shares are lowered immediately and the fixed shares are
+    // raised later.
     small_fleet.commit(with(OnLoss::Share(0.5)));
     assert_eq!(small_fleet.granted(0, "a"), (25.0, 10.0));
     small_fleet.run(3 * SECOND);
--- a/quotas/tests/simulation/fault.rs
+++ b/quotas/tests/simulation/fault.rs
@@ -45,7 +45,7 @@
         router: usize,
         downtime: Micros,
     },
-    /// A node becomes the leader, which may be the one that already was.
+    /// A node becomes the leader, even if the node already was the leader.
     Elect {
         node: usize,
     },
--- a/quotas/tests/simulation/mod.rs
+++ b/quotas/tests/simulation/mod.rs
@@ -48,7 +48,7 @@
     fleet: Arc<Fleet>,
 }
 
-/// One admitted request.
+/// A request that a router admitted.
 #[derive(Clone, Copy)]
 pub(crate) struct AdmittedRequest {
     /// When the request was admitted, in true time, microseconds.
--- a/registry/src/cache.rs
+++ b/registry/src/cache.rs
@@ -23,7 +23,7 @@
     pub at: i64,
     /// The registry revision of the list.
     pub revision: u64,
-    /// One tuple per key: name, value, creation revision, modification revision.
+    /// The listed keys, as tuples of name, value, creation revision and modification revision.
     pub items: Vec<(String, Vec<u8>, u64, u64)>,
 }
 
@@ -43,7 +43,7 @@
     Read {
         /// The path of the file.
         path: PathBuf,
-        /// The I/O error.
+        /// The I/O error of the file.
         source: io::Error,
     },
     /// The file is truncated, corrupt or has another format version.
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -146,7 +146,7 @@
     Node(&'a str),
     /// The entry of the router with this name.
     Router(&'a str),
-    /// The configuration.
+    /// The key of the configuration.
     Config,
     /// An operator's command to remove the retained nodes, whose keys were deleted.
     ReleaseRetained,
--- a/registry/src/client/endpoint_list.rs
+++ b/registry/src/client/endpoint_list.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Sends all pending changes to the endpoint list, if one of them is urgent.
+    /// Sends all pending changes to the endpoint list, if at least one change is urgent.
     pub(super) fn flush_if_urgent(&self, list: &mut ListState) {
         if std::mem::take(&mut list.urgent) {
             self.flush(list);
--- a/registry/src/client/etcd_watch.rs
+++ b/registry/src/client/etcd_watch.rs
@@ -13,7 +13,7 @@
     endpoint: EndpointIndex,
     /// A client of the same member on a separate connection, for reads while the watch is silent.
     check_client: Etcd,
-    /// The state machine's next request; anything but `None` ends the watch.
+    /// The state machine's next request; a request other than `None` ends the watch.
     next: NextRequest,
     /// A read has found a change that the watch has not delivered yet.
     change_overdue: bool,
--- a/registry/src/client/list_state.rs
+++ b/registry/src/client/list_state.rs
@@ -11,7 +11,7 @@
     listed: HashMap<String, EndpointEntry>,
     /// Changes that have not been sent to the endpoint list, in order.
     pub(super) pending: Vec<EndpointEntry>,
-    /// One of the pending changes must be sent without waiting for the debounce interval.
+    /// Whether a pending change must be sent without waiting for the debounce interval.
     pub(super) urgent: bool,
     /// The version of the last update sent.
     pub(super) version: u64,
--- a/registry/src/etcd.rs
+++ b/registry/src/etcd.rs
@@ -30,11 +30,11 @@
     pub revision: Revision,
 }
 
-/// One page of a paged read.
+/// A page of keys, from a read in several pages.
 struct Page {
     cluster_revision: ClusterRevision,
     items: Vec<Item>,
-    /// More keys follow after the last one of this page.
+    /// Whether the registry has more keys after the last key of this page.
     has_more: bool,
 }
 
--- a/registry/src/fleet.rs
+++ b/registry/src/fleet.rs
@@ -42,14 +42,14 @@
 pub enum Event {
     /// A node's key was created or its value changed.
     Put {
-        /// The node's name.
+        /// The name of the node whose key was created or changed.
         name: String,
         /// The key with its value.
         item: Item,
     },
     /// A node's key was deleted.
     KeyDeleted {
-        /// The node's name.
+        /// The name of the node whose key was deleted.
         name: String,
     },
     /// The registry was restored from a backup; the events that follow carry older data than before.
@@ -58,7 +58,7 @@
     RegistryResponded,
     /// A node responded to a request of this router.
     NodeResponded {
-        /// The node's name.
+        /// The name of the node that responded.
         name: String,
     },
     /// An operator confirmed the removal of the retained nodes.
@@ -74,17 +74,17 @@
     List {
         /// The endpoint ID, which is never reused for another node.
         id: String,
-        /// The node.
+        /// The node to add to the endpoint list or to update there.
         node: Node,
     },
     /// Remove a node from the endpoint list.
     Unlist {
-        /// The endpoint ID.
+        /// The endpoint ID of the node to remove.
         id: String,
     },
     /// A node's key has an invalid value; its last valid value stays in force.
     InvalidNode {
-        /// The node's name.
+        /// The name of the node whose key has an invalid value.
         name: String,
         /// Why the value is invalid.
         reason: String,
@@ -109,7 +109,7 @@
 pub enum Level {
     /// Every node is used.
     Fresh,
-    /// Only nodes that have responded since the registry's last response are used.
+    /// The router uses only nodes that have responded since the registry's last response.
     KnownGood,
     /// No node is used.
     TooOld,
--- a/registry/src/fleet/node.rs
+++ b/registry/src/fleet/node.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Accepts requests.
+    /// The node accepts requests.
     InService,
     /// Completes its requests and gets no new ones.
     Draining,
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -74,8 +74,8 @@
         self.shared.set_read_timeout(read_timeout);
         let connections = self.shared.connections();
         match self.send_once(method, path, body) {
-            // Only a reused connection may have been closed before the request; all requests here are safe to
-            // repeat.
+            // Only a reused connection may have been closed before the request. All requests to the registry
+            // are safe to repeat.
             Err(ureq::Error::Io(e))
                 if self.shared.connections() == connections && connections > 0 && !is_timeout(&e) =>
             {
--- a/registry/src/http/transport.rs
+++ b/registry/src/http/transport.rs
@@ -125,7 +125,8 @@
         Ok(read > 0)
     }
 
-    /// If an idle connection has something to read, the peer has closed it or has sent unrequested data.
+    /// Whether the idle connection is open. A connection with data to read does not count as open: its peer
+    /// has closed it or has sent unrequested data.
     fn is_open(&mut self) -> bool {
         let socket = self.stream.socket();
         let has_no_input = socket.set_nonblocking(true).is_ok()
--- a/registry/src/machine.rs
+++ b/registry/src/machine.rs
@@ -37,7 +37,7 @@
     Put(Item),
     /// A key was deleted.
     Delete {
-        /// The key.
+        /// The deleted key.
         key: String,
         /// The revision of the deletion.
         revision: Revision,
@@ -77,7 +77,7 @@
 pub enum Event {
     /// A registry member responded with its cluster ID and revision.
     MemberReached {
-        /// The registry member.
+        /// The registry member that responded.
         endpoint: EndpointIndex,
         /// The cluster ID; 0 for Consul, which has none.
         cluster: u64,
@@ -86,9 +86,9 @@
     },
     /// All keys under the prefix at one revision.
     Snapshot {
-        /// The registry member.
+        /// The registry member that sent the snapshot.
         endpoint: EndpointIndex,
-        /// The cluster ID.
+        /// The ID of the member's cluster.
         cluster: u64,
         /// The revision of the snapshot.
         revision: Revision,
@@ -97,21 +97,21 @@
     },
     /// A watch delivered changes.
     Changes {
-        /// The registry member.
+        /// The registry member whose watch delivered the changes.
         endpoint: EndpointIndex,
         /// The changes in the order of delivery.
         changes: Vec<Change>,
     },
     /// A watch has delivered all changes up to this revision.
     Progress {
-        /// The registry member.
+        /// The registry member whose watch delivered the changes.
         endpoint: EndpointIndex,
-        /// The revision.
+        /// The revision up to which all changes have been delivered.
         revision: Revision,
     },
     /// The revision from which the watch was to resume has been compacted.
     Compacted {
-        /// The registry member.
+        /// The registry member on which the watch was to resume.
         endpoint: EndpointIndex,
     },
     /// A read showed changes that the watch did not deliver; the next member has to be read in full.
@@ -123,9 +123,9 @@
 pub enum LeaveReason {
     /// The member's revision is older than the newest known one.
     Behind {
-        /// The member's revision.
+        /// The revision of the registry member's data.
         theirs: Revision,
-        /// The known revision.
+        /// The newest revision known to the router.
         ours: Revision,
     },
     /// The member belongs to another cluster.
@@ -142,12 +142,12 @@
 pub enum Action {
     /// Read all keys from this registry member.
     Read {
-        /// The registry member.
+        /// The registry member to read from.
         endpoint: EndpointIndex,
     },
     /// Watch this registry member for changes from a revision on.
     Watch {
-        /// The registry member.
+        /// The registry member to watch.
         endpoint: EndpointIndex,
         /// The first revision to deliver.
         from: Revision,
@@ -166,12 +166,12 @@
     Put(Item),
     /// A key was deleted.
     Deleted {
-        /// The key.
+        /// The deleted key.
         key: String,
     },
     /// The keys now equal those of the registry at this revision.
     Synchronized {
-        /// The revision reached.
+        /// The registry's revision that the keys now equal.
         revision: Revision,
     },
 }
--- a/registry/src/tls.rs
+++ b/registry/src/tls.rs
@@ -130,7 +130,8 @@
         let mut loaded = self.loaded.lock().unwrap_or_else(PoisonError::into_inner);
         let modified = modification_times(&self.files);
         if loaded.modified != modified {
-            // Also set if the files turn out to be invalid, so that each change is logged once.
+            // The modification times are also stored if the files turn out to be invalid, so that each change
+            // is logged once.
             loaded.modified = modified;
             match read_config(&self.files) {
                 Ok(config) => {
--- a/registry/tests/dialect_requests.rs
+++ b/registry/tests/dialect_requests.rs
@@ -45,8 +45,8 @@
     Some(format!("{}{auth} {}", first.trim(), String::from_utf8_lossy(&body)).trim().to_string())
 }
 
-/// Starts a server that sends these responses in turn; returns a client and the requests that the server
-/// received.
+/// Starts a server that sends the scripted responses in turn. Returns a client and the requests that the
+/// server received.
 fn start_server(responses: Vec<ScriptedResponse>) -> (HttpClient, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr: SocketAddr = listener.local_addr().unwrap();
--- a/registry/tests/fleet.rs
+++ b/registry/tests/fleet.rs
@@ -3,7 +3,7 @@
 use registry::fleet::{Action, Event, Fleet, Level, Node, Settings, State};
 use registry::machine::Item;
 
-/// One second in microseconds, the unit of the state machine's times.
+/// A second in microseconds, the unit of the state machine's times.
 const SECOND: i64 = 1_000_000;
 
 fn fleet() -> Fleet {
@@ -109,7 +109,8 @@
     for n in 1..5 {
         assert_eq!(handle(&mut fleet, at, Event::KeyDeleted { name: format!("n{n}") }).len(), 1, "n{n}");
     }
-    // More than half of the nodes disappear within the window: from now on they are retained.
+    // With the key of n5, more than half of the nodes have disappeared within the window: from then on, nodes
+    // whose keys are deleted are retained.
     assert_eq!(
         handle(&mut fleet, at, Event::KeyDeleted { name: "n5".into() }),
         [Action::MassRemovalDelayed { nodes: 9 }]
--- a/registry/tests/machine.rs
+++ b/registry/tests/machine.rs
@@ -96,7 +96,8 @@
         [Action::Leave { endpoint: 2, reason: LeaveReason::OtherCluster { theirs: 8, ours: 7 } }]
     );
     assert_eq!(handle(&mut machine, 0, snapshot(1, 9, &[])), [Action::Leave { endpoint: 1, reason: behind }]);
-    // One lagging and one up-to-date member: the latter resets the restore detection each time.
+    // A lagging and an up-to-date member respond in turn: the up-to-date member resets the restore detection
+    // each time.
     for n in 1..20 {
         assert_eq!(
             handle(&mut machine, n * SECOND, member_reached(1, 9)),
--- a/registry/tests/support/mod.rs
+++ b/registry/tests/support/mod.rs
@@ -2,7 +2,7 @@
 use decision::Time;
 use registry::machine::{Action, Event, Item, Machine, Settings};
 
-/// One second in microseconds, the unit of the state machine's times.
+/// A second in microseconds, the unit of the state machine's times.
 pub(crate) const SECOND: i64 = 1_000_000;
 
 pub(crate) fn item(key: &str, value: &str, created: u64, modified: u64) -> Item {
--- a/releases/examples/fleet/sim/nodes.rs
+++ b/releases/examples/fleet/sim/nodes.rs
@@ -15,7 +15,7 @@
     deadline: Micros,
 }
 
-/// A simulated router.
+/// A simulated router of the fleet.
 #[derive(Clone, Debug)]
 pub(crate) struct RouterNode {
     zone: usize,
--- a/releases/src/budget.rs
+++ b/releases/src/budget.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "RawLimit")]
 pub enum Limit {
-    /// This number of members.
+    /// A limit of this number of members.
     Count(u32),
-    /// This percentage of the members, 1 to 100.
+    /// A limit of this percentage of the members, 1 to 100.
     Percent(u32),
 }
 
@@ -50,7 +50,7 @@
 pub struct BudgetError {
     /// The key in the `budget` section.
     pub key: &'static str,
-    /// The invalid value.
+    /// The invalid value of the key.
     pub found: String,
 }
 
--- a/releases/src/plan_error.rs
+++ b/releases/src/plan_error.rs
@@ -37,7 +37,7 @@
         key: &'static str,
         /// A description of valid values.
         expected: &'static str,
-        /// The invalid value.
+        /// The invalid value that was found.
         found: String,
     },
 }
--- a/releases/src/release.rs
+++ b/releases/src/release.rs
@@ -50,7 +50,7 @@
     StatsReported {
         /// The name of the router.
         router: String,
-        /// The counted requests.
+        /// The statistics of the requests that the router counted.
         stats: RequestStats,
     },
     /// The operator halts the release.
@@ -123,7 +123,7 @@
     stats: RequestStats,
 }
 
-/// One release. The budget is in the [`BudgetLedger`](crate::BudgetLedger).
+/// A release of a version to routers. Its budget is in the [`BudgetLedger`](crate::BudgetLedger).
 #[derive(Clone, Debug)]
 pub struct Release {
     snapshot: ReleaseSnapshot,
--- a/releases/src/release/verdict.rs
+++ b/releases/src/release/verdict.rs
@@ -10,7 +10,7 @@
     Regressed,
     /// The statistics are worse than before the update, but so are those of routers not updated.
     FleetDegraded,
-    /// There are too few requests to evaluate.
+    /// The router, or both the baseline and the routers not updated, have too few requests to evaluate.
     Undecided,
 }
 
--- a/releases/src/release/waves.rs
+++ b/releases/src/release/waves.rs
@@ -44,7 +44,8 @@
             actions.extend([Action::Persist, Action::Completed]);
             return;
         };
-        // A fault that occurs in only one zone then affects only one router of that zone at first.
+        // The first wave in a zone has one router, so that a fault that occurs in only one zone affects only
+        // one router of that zone at first.
         if snapshot.wave_zone.as_ref() != Some(&zone) {
             snapshot.next_wave_size = 1;
         }
--- a/releases/tests/releases/health.rs
+++ b/releases/tests/releases/health.rs
@@ -33,7 +33,7 @@
     (release, actions)
 }
 
-/// The phases of a release of three routers after one of them was updated.
+/// The phases of a release to three routers after the first router was updated.
 #[derive(Debug, PartialEq)]
 struct Evaluation {
     first_phase: Phase,
@@ -41,7 +41,7 @@
     phase_after_health_timeout: Phase,
 }
 
-/// Runs the release with these statistics of the updated router and of the other routers.
+/// Runs the release with the given statistics of the updated router and of the routers not updated.
 fn evaluate(updated: RequestStats, others: RequestStats) -> Evaluation {
     let (mut release, mut actions) = release_with_one_updated(stats(1000, 2, 1000));
     release.handle(Time(3), reported(0, updated), &mut actions);
--- a/routing/src/backends/backend.rs
+++ b/routing/src/backends/backend.rs
@@ -63,7 +63,7 @@
             }
             BackendCommand::TrimIdle { max_idle } => self.trim_idle(max_idle),
             BackendCommand::CloseIdle => {}
-            // These commands are handled by the backends actor.
+            // The backends actor handles the commands that create or remove a backend.
             BackendCommand::Create { .. } | BackendCommand::Remove => {}
         }
         self.close_expired();
@@ -111,8 +111,8 @@
         self.spawn_exchange(task, guard, idle);
     }
 
-    /// Removes and returns an idle connection: the most recently used one whose reuse delay has passed, or
-    /// else the one whose reuse delay ends first.
+    /// Removes and returns an idle connection: the most recently used connection whose reuse delay has
+    /// passed, or else the connection whose reuse delay ends first.
     fn take_idle(&mut self) -> Option<IdleConnection<P>> {
         let reuse_delay = self.context.resources.limits.backend_reuse_delay;
         let reusable_index = self.idle.iter().rposition(|idle| idle.idle_for() >= reuse_delay);
--- a/routing/src/messages.rs
+++ b/routing/src/messages.rs
@@ -20,7 +20,7 @@
     RequestArrived {
         /// ID that was assigned to the request.
         id: RequestId,
-        /// The submitted request.
+        /// The request that the client submitted.
         request: ClientRequest<P>,
     },
     /// The client of the request with this ID has disconnected.
--- a/routing/src/metrics/reasons.rs
+++ b/routing/src/metrics/reasons.rs
@@ -5,7 +5,7 @@
 use crate::reasons::{CloseReason, EndReason, OUTCOMES, outcome_name};
 use prometheus::{IntCounterVec, Opts};
 
-/// One family of counters for each kind of event, labelled by reason.
+/// Counters for each kind of event, labelled by reason.
 pub struct ReasonCounters {
     /// `rejected_total`: requests that were rejected.
     pub rejected: IntCounterVec,
--- a/routing/src/permit/denial.rs
+++ b/routing/src/permit/denial.rs
@@ -38,7 +38,7 @@
 pub type Verdict<T = ()> = Result<T, Denial>;
 
 impl Denial {
-    /// All denial reasons.
+    /// All reasons for which a permit is denied.
     pub const ALL: [Denial; 14] = [
         Denial::ClientDisconnected,
         Denial::ClientCancelled,
--- a/routing/src/permit/response.rs
+++ b/routing/src/permit/response.rs
@@ -1,4 +1,4 @@
-//! Slot for the one final response of a request.
+//! Slot for the final response of a request, which is sent at most once.
 use super::denial::{Denial, Verdict};
 use crate::final_response::FinalResponse;
 use crossbeam_channel::Sender;
@@ -28,7 +28,8 @@
     /// Returns the reason for which the slot was closed.
     pub fn send(&mut self, response: FinalResponse<R>) -> Verdict {
         let sender = self.sender.take().ok_or(self.closed_by)?;
-        // The channel has capacity for the one response. If it is disconnected, the client has disconnected.
+        // The channel has capacity for the final response. If the channel is disconnected, the client has
+        // disconnected.
         _ = sender.try_send(response);
         Ok(())
     }
--- a/routing/src/placement_subsets.rs
+++ b/routing/src/placement_subsets.rs
@@ -7,8 +7,8 @@
 //! of aliases.
 //!
 //! This module stores the state that links [`placement`] to the router actor: which endpoint each alias
-//! refers to, which member entries change when a subset changes, and which aliases have to receive a report
-//! that one of them has delivered.
+//! refers to, which member entries change when a subset changes, and which aliases of an endpoint have to
+//! receive a report that was delivered under another member ID of the endpoint.
 mod change;
 mod member_ids;
 mod members;
--- a/routing/src/protocol.rs
+++ b/routing/src/protocol.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// One exchange with an endpoint: a message and its response.
+/// An exchange with an endpoint: a message and its response.
 pub enum Exchange<'a, P: BackendProtocol> {
     /// The payload of a request, and the time at which the router stops waiting for the response.
     Attempt(&'a P::Payload, Instant),
@@ -71,9 +71,9 @@
     /// idle time the protocol either verifies it with a round trip, using the permit, or returns `false`.
     fn is_usable(&mut self, idle_for: Duration, permit: ConnectionPermit) -> bool;
 
-    /// Runs one exchange to its end. [`AttemptGuard::permit_write`] must be called immediately before the
-    /// first byte, including the first byte of a preparatory message and of anything written after a
-    /// response. Writing the last byte of the request consumes the permit.
+    /// Runs an exchange with the endpoint to its end. [`AttemptGuard::permit_write`] must be called
+    /// immediately before the first byte, including the first byte of a preparatory message and of anything
+    /// written after a response. Writing the last byte of the request consumes the permit.
     ///
     /// # Errors
     /// Returns [`NotSent`] if the exchange was not completely written, in which case the server has not
--- a/routing/src/reasons.rs
+++ b/routing/src/reasons.rs
@@ -43,7 +43,7 @@
     AttemptOutcome(Outcome),
     /// The client cancelled the request.
     ClientCancelled,
-    /// The client disconnected.
+    /// The client disconnected before the request ended.
     ClientDisconnected,
 }
 
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum CloseReason {
-    /// The client disconnected.
+    /// The client disconnected from the router.
     ClientDisconnected = 1,
     /// The client did not read its responses within the time limit.
     ClientStalled = 2,
--- a/routing/src/router/request_record.rs
+++ b/routing/src/router/request_record.rs
@@ -26,7 +26,7 @@
     pub(super) is_write: bool,
     /// Number of the client connection, for logging.
     pub(super) connection: u64,
-    /// Slot for the one final response.
+    /// Slot for the final response, which is sent at most once.
     pub(super) response: ResponseSlot<P::Response>,
     /// What earlier attempts may have done, which determines whether a retry is permitted.
     pub(super) repeats: RepeatState,
--- a/routing/tests/endpoints.rs
+++ b/routing/tests/endpoints.rs
@@ -49,7 +49,7 @@
 fn update_after_gap_applies_at_once_and_missed_updates_still_apply() {
     let fixture = Fixture::start();
     fixture.notify(UpdateOrder::Consecutive, update(5, true, &[("a", READY), ("b", READY), ("c", READY)]));
-    // Versions 6 and 7 were missed. In one of them, b started draining.
+    // The watch missed versions 6 and 7. In version 6 or 7, endpoint b started draining.
     let result = fixture.notify(UpdateOrder::AfterGap, update(8, false, &[("a", DRAINING)]));
     assert_eq!(result, (states(&[("a", DRAINING)]), 5), "a new watch must resume from version 5");
     let result =
@@ -62,7 +62,7 @@
     let fixture = Fixture::start();
     fixture.notify(UpdateOrder::Consecutive, update(5, true, &[("a", READY), ("b", READY)]));
     fixture.notify(UpdateOrder::AfterGap, update(9, false, &[("a", DRAINING)]));
-    // This update is older than version 9 but received after it.
+    // The update with version 8 is older than version 9 but received after it.
     let result = fixture.notify(UpdateOrder::Consecutive, update(8, false, &[("a", READY), ("b", DRAINING)]));
     assert_eq!(result, (states(&[("b", DRAINING)]), 8));
     let result = fixture.notify(UpdateOrder::Consecutive, update(9, false, &[("a", DRAINING)]));
@@ -82,7 +82,7 @@
     // An update of the old watch is received after the complete list of the new watch.
     assert_eq!(fixture.notify(UpdateOrder::Consecutive, update(44, false, &[("a", READY)])), (vec![], 45));
     assert_eq!(fixture.notify(UpdateOrder::AfterGap, update(44, false, &[("a", READY)])), (vec![], 45));
-    // The same update is received from both watches.
+    // Both watches receive the update with version 45.
     let same = fixture.notify(UpdateOrder::Consecutive, update(45, false, &[("a", DRAINING)]));
     assert_eq!(same, (states(&[("a", DRAINING)]), 45));
     // A complete list replaces the current one even if its version is the same or lower: the list may be from
--- a/routing/tests/handover/cancellation.rs
+++ b/routing/tests/handover/cancellation.rs
@@ -155,7 +155,7 @@
     core.script.resume(addr(1), Pause::Response);
     // Two connections are opening: for the probe that follows a reset, and for the retry.
     core.script.wait_for(addr(1), Pause::Connect, 2);
-    // This sleep does not synchronise threads. The test needs real time to pass.
+    // The sleep does not synchronise threads: the deduplication window has to end in real time.
     std::thread::sleep(WINDOW.saturating_sub(started.elapsed()) + Duration::from_millis(5));
     core.script.resume(addr(1), Pause::Connect);
     let response = request.final_response();
--- a/routing/tests/handover/connections.rs
+++ b/routing/tests/handover/connections.rs
@@ -44,7 +44,7 @@
     core.script.wait_for(addr(1), Pause::Start, 1);
     core.handle.client_disconnected(request.id);
     core.barrier();
-    // This sleep does not synchronise threads. The test needs real time to pass.
+    // The sleep does not synchronise threads: the connection has to be idle for some real time.
     std::thread::sleep(Duration::from_millis(100));
     let idle_for = responded.elapsed();
     core.script.resume(addr(1), Pause::Start);
--- a/routing/tests/placement/rules.rs
+++ b/routing/tests/placement/rules.rs
@@ -17,7 +17,8 @@
     for (n, end) in
         [Outcome::Reset, Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed].into_iter().enumerate()
     {
-        // Whichever endpoint gets the first attempt fails, and the request is retried at the other one.
+        // The first attempt fails at whichever endpoint of the site receives it, and the request is retried
+        // at the remaining endpoint.
         core.script.with(addr(1), |e| e.outcomes = [end].into());
         core.script.with(addr(2), |e| e.outcomes = [end].into());
         for _ in 0..=n {
@@ -49,8 +50,8 @@
     assert_eq!(core.served_by("t", WRITE), addr(1));
     core.script.with(addr(1), |e| e.primary = false);
     core.script.with(addr(3), |e| e.primary = true);
-    // Only this tenant sends requests, and none of them may leave site a. The new primary is therefore found
-    // by probes alone.
+    // Only tenant t sends requests, and no request may leave site a. The new primary is therefore found by
+    // probes alone.
     let outside = PlacementError::PrimaryOutside {
         group: GROUP,
         primary: "b1".into(),
@@ -183,7 +184,7 @@
 fn preferred_tenant_uses_other_sites_during_drain_and_returns() {
     let mut core = Core::with(&four_endpoints(), &[preferred("p", &["b"])]);
     let inside = [addr(3), addr(4)];
-    // The primary may serve reads until the roles of the other endpoints are known.
+    // The primary may serve reads until the roles of the group's other endpoints are known.
     let started = Instant::now();
     while !inside.contains(&core.served_by("p", ANY)) {
         assert!(started.elapsed() < TIMEOUT, "no endpoint in the preferred site served a read");
--- a/routing/tests/probe_spacing.rs
+++ b/routing/tests/probe_spacing.rs
@@ -46,7 +46,7 @@
 /// Time from the start of a probe to its end.
 const PROBE_DURATION: Micros = 2_000;
 
-/// One process with a real decision state machine and the probe that it has in flight.
+/// A router process with a real decision state machine and the probe that it has in flight.
 struct Process {
     state_machine: Router,
     spacing: ProbeSpacing,
@@ -84,7 +84,7 @@
         }
         self.sent_at = None;
         self.ended += 1;
-        // Either the member reports a position that is always slightly too old, or it reports nothing.
+        // The member reports a position that is always slightly too old, or it reports nothing.
         let position = Time(now.0 - 2000);
         let report =
             MemberReport { primary: reports.then_some(false), position: reports.then_some(position) };
--- a/store/src/client/session.rs
+++ b/store/src/client/session.rs
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Makes a write, which is applied at most once. The sequence number follows that of the last write,
-    /// whether or not that one succeeded.
+    /// Executes a write, which is applied at most once. The write's sequence number follows the number of the
+    /// last write, whether or not the last write succeeded.
     pub(super) fn write(&mut self, operation: &Operation) -> Result<Written, ClientError> {
         loop {
             let mut origin = self.origin()?;
--- a/store/src/client/watch.rs
+++ b/store/src/client/watch.rs
@@ -25,7 +25,7 @@
         /// All watched keys and their values.
         entries: Vec<(String, Value)>,
     },
-    /// The watched keys that one command changed.
+    /// The changes of watched keys by one command.
     Changes(ChangeSet),
 }
 
--- a/store/src/command.rs
+++ b/store/src/command.rs
@@ -31,7 +31,7 @@
 /// A write that a client may request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Operation {
-    /// Updates a key.
+    /// Updates the value of a key.
     Update {
         /// The key, its new text and its expected version.
         update: Update,
@@ -72,7 +72,7 @@
     },
     /// Expires a lease whose countdown on the leader has ended.
     ExpireLease {
-        /// The expired lease.
+        /// The fencing token of the expired lease.
         token: FencingToken,
         /// The number of renewals that the leader knew of. If another renewal was committed before this
         /// command, the lease stays alive.
@@ -113,9 +113,9 @@
 pub enum CommandEffect {
     /// A client was registered.
     ClientRegistered {
-        /// The client's id.
+        /// The id of the registered client.
         client_id: u64,
-        /// The store's id.
+        /// The id of the store that registered the client.
         store_id: u64,
     },
     /// A key was updated.
@@ -144,7 +144,7 @@
 /// The change of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyChange {
-    /// The changed key.
+    /// The key that was changed.
     pub key: String,
     /// The key's new value; `None` if the key was deleted.
     pub value: Option<Value>,
--- a/store/src/control.rs
+++ b/store/src/control.rs
@@ -27,15 +27,15 @@
     NotFound {
         /// The kind of thing that was requested.
         what: &'static str,
-        /// The requested name.
+        /// The name of the key, server or command that does not exist.
         name: String,
     },
     /// The value of a server's key is not JSON, so its state cannot be changed.
     #[error("'{key}' is no JSON: {source}; set it right first")]
     InvalidServer {
-        /// The key.
+        /// The server's key in the store.
         key: String,
-        /// The cause.
+        /// The error in the JSON text of the value.
         source: serde_json::Error,
     },
     /// The store rejected the change.
@@ -44,17 +44,17 @@
     /// The node cannot be reached.
     #[error("{addr}: {source}; check that the router is running and that its store.control is this address")]
     Unreachable {
-        /// The address.
+        /// The address of the node that cannot be reached.
         addr: String,
-        /// The cause.
+        /// Why the node cannot be reached.
         source: io::Error,
     },
     /// The response is not JSON.
     #[error("{addr}: the response is not JSON: {source}; check the address")]
     InvalidResponse {
-        /// The address.
+        /// The address from which the response was received.
         addr: String,
-        /// The cause.
+        /// The error in the JSON text of the response.
         source: serde_json::Error,
     },
     /// The node responded with an error.
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -15,15 +15,15 @@
     /// An address is not on loopback.
     #[error("store: expected a loopback address, found {addr}; nodes and clients communicate without TLS")]
     NotLoopback {
-        /// The address.
+        /// The address that is not a loopback address.
         addr: SocketAddr,
     },
     /// The folder or its log file cannot be opened or read.
     #[error("store: folder {path}: {source}; check that it exists and belongs to this user")]
     Folder {
-        /// The folder.
+        /// The path of the store's folder.
         path: PathBuf,
-        /// The cause.
+        /// Why the folder or its log file cannot be opened or read.
         source: std::io::Error,
     },
     /// Stored or received data has a format that this program does not know.
@@ -53,7 +53,7 @@
     Inconsistent {
         /// The inconsistent part of the data.
         what: &'static str,
-        /// The cause.
+        /// The raft library's error.
         source: raft::Error,
     },
     /// The raft library returned an error while the node was starting.
@@ -62,9 +62,9 @@
     /// The node cannot listen on an address.
     #[error("store: cannot listen on {addr}: {source}; check which process listens there")]
     Listen {
-        /// The address.
+        /// The address on which the node cannot listen.
         addr: SocketAddr,
-        /// The cause.
+        /// Why the node cannot listen on the address.
         source: std::io::Error,
     },
     /// A thread could not be started.
--- a/store/src/lease_timers.rs
+++ b/store/src/lease_timers.rs
@@ -12,7 +12,7 @@
 /// A held lease and its time to live, for starting its countdown.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseTimer {
-    /// Identifies the lease.
+    /// The fencing token that identifies the lease.
     pub token: FencingToken,
     /// The number of renewals of the lease so far.
     pub renewals: u64,
@@ -35,14 +35,14 @@
 /// An input event of the timers.
 #[derive(Clone, Debug)]
 pub enum LeaseTimerEvent {
-    /// This node became the leader; these leases are held. Each countdown restarts with the full time to
-    /// live: a change of leader never shortens a lease, and extends it by at most its time to live.
+    /// The node became the leader and counts down the held leases. Each countdown restarts with the full time
+    /// to live: a change of leader never shortens a lease, and extends it by at most its time to live.
     BecameLeader(Vec<LeaseTimer>),
-    /// This node is no longer the leader: all countdowns are discarded.
+    /// The node is no longer the leader: all countdowns are discarded.
     LostLeadership,
     /// A committed command started or ended a lease.
     Lease(LeaseEvent),
-    /// One tick has elapsed.
+    /// One tick of the lease countdowns has elapsed.
     Tick,
 }
 
--- a/store/src/machine.rs
+++ b/store/src/machine.rs
@@ -15,7 +15,7 @@
 use leases::LeaseTable;
 use std::sync::Arc;
 
-/// The replicated state.
+/// The replicated state machine of the store, which applies committed commands.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StateMachine {
     limits: StoreLimits,
@@ -56,7 +56,7 @@
         StateMachine { limits, ..StateMachine::default() }
     }
 
-    /// The current keys.
+    /// The store's current keys and values.
     pub fn state(&self) -> &State {
         &self.state
     }
--- a/store/src/machine/clients.rs
+++ b/store/src/machine/clients.rs
@@ -9,8 +9,8 @@
 struct ClientRecord {
     /// The sequence number of the client's last write, 0 before the first one.
     last_sequence: u64,
-    /// The log index of the client's last command. When there are too many clients, the one with the lowest
-    /// index is evicted.
+    /// The log index of the client's last command. When there are too many clients, the client with the
+    /// lowest index is evicted.
     last_active_index: u64,
     last_response: Option<CommandResponse>,
 }
--- a/store/src/machine/leases.rs
+++ b/store/src/machine/leases.rs
@@ -70,7 +70,7 @@
         self.names.iter().filter_map(timer).collect()
     }
 
-    /// Returns the lease if the token's epoch is the one that holds the name.
+    /// Returns the lease of the token's name if the lease was granted with the token's epoch.
     pub(super) fn find_held(&mut self, token: &FencingToken) -> Result<&mut Lease, Rejection> {
         let Some(record) = self.names.get_mut(&token.name) else {
             return Err(Rejection::Fenced { highest_epoch: self.highest_forgotten_epoch });
--- a/store/src/node/actor.rs
+++ b/store/src/node/actor.rs
@@ -109,8 +109,8 @@
             }
             self.request_read_index();
             if let Err(error) = self.advance() {
-                // Without a log the node must not acknowledge anything, so it stops; the other nodes
-                // continue.
+                // A node that cannot store its log must not acknowledge commands, so it stops; the store's
+                // other nodes continue.
                 tracing::error!(%error, "store node stopped, its log cannot be stored");
                 self.storage.shared.clear_leader();
                 return;
@@ -269,7 +269,7 @@
             Some(_) => LeaseTimerEvent::BecameLeader(shared.machine().lease_timers()),
             None => LeaseTimerEvent::LostLeadership,
         };
-        // Only ticks produce commands, so the list stays empty.
+        // Only ticks of the lease timers produce commands, so the list of commands stays empty.
         self.lease_timers.handle(event, &mut Vec::new());
     }
 
--- a/store/src/node/responses.rs
+++ b/store/src/node/responses.rs
@@ -14,7 +14,7 @@
 /// The result of a linearizable read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfirmedRead {
-    /// All keys.
+    /// The store's state with all keys.
     pub state: State,
     /// The term of the leader.
     pub term: u64,
@@ -34,7 +34,7 @@
 pub struct KnownLeader {
     /// The leader's id; `None` if no leader is known.
     pub leader: Option<u64>,
-    /// The current term.
+    /// The term that the node knows as the current one.
     pub term: u64,
 }
 
@@ -48,10 +48,10 @@
 /// The status of a node: its id, and the leader and term that it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeStatus {
-    /// The node's id.
+    /// The id of the node that reports its status.
     pub node: u64,
     /// The leader's id; `None` if no leader is known.
     pub leader: Option<u64>,
-    /// The current term.
+    /// The term that the node knows as the current one.
     pub term: u64,
 }
--- a/store/src/node/start.rs
+++ b/store/src/node/start.rs
@@ -1,4 +1,4 @@
-//! Starts a node.
+//! Starts a node of the store.
 use super::actor::Node;
 use super::commands::NodeCommand;
 use super::handle::Store;
--- a/store/src/rejection.rs
+++ b/store/src/rejection.rs
@@ -54,7 +54,7 @@
     /// A limit on the size of the store has been reached.
     #[error("the store is full: no more than {max} {what}; delete what is not needed")]
     LimitReached {
-        /// The limited quantity.
+        /// A description of the quantity that is limited.
         what: String,
         /// The largest allowed quantity.
         max: u64,
--- a/store/src/server.rs
+++ b/store/src/server.rs
@@ -58,7 +58,7 @@
     acceptor::accept(listener, "store", max_connections, reject, serve).map_err(Error::SpawnThread)
 }
 
-/// One client's connection.
+/// A client's connection to this node.
 struct Connection<'a> {
     socket: &'a TcpStream,
     store: &'a Store,
--- a/store/src/server/watch.rs
+++ b/store/src/server/watch.rs
@@ -57,8 +57,8 @@
         let is_known = |state: &State, position: &WatchPosition| {
             position.store_id == state.store_id && position.revision <= state.revision
         };
-        // This node may lag behind the leader. A position that is unknown even to the leader belongs to
-        // another store.
+        // The serving node may lag behind the leader. A position that is unknown even to the leader belongs
+        // to another store.
         if state.store_id == 0 || after.is_some_and(|position| !is_known(&state, &position)) {
             state = self.store.read()?.state;
         }
--- a/store/src/wire.rs
+++ b/store/src/wire.rs
@@ -15,7 +15,7 @@
 /// A protocol that uses these frames, as identified by its hello.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Protocol {
-    /// Identifies the protocol.
+    /// The bytes that identify the protocol in a hello.
     pub magic: [u8; 4],
     /// The version of the protocol's messages; both sides must have the same one.
     pub version: u16,
@@ -42,10 +42,10 @@
     /// The connection has failed, was closed or timed out.
     #[error("connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The other side uses another protocol.
+    /// The peer of the connection uses another protocol.
     #[error("the other side does not use this protocol; check the address")]
     WrongProtocol,
-    /// The other side uses another version of the protocol.
+    /// The peer of the connection uses another version of the protocol.
     #[error(
         "the other side uses protocol version {0}, this side {own}; run the same program version on both",
         own = STORE_PROTOCOL.version
@@ -69,7 +69,7 @@
     socket.write_all(&[m0, m1, m2, m3, low, high])
 }
 
-/// Receives and checks the other side's hello within `timeout`.
+/// Receives and checks the peer's hello within `timeout`.
 ///
 /// # Errors
 /// [`WireError::WrongProtocol`] and [`WireError::WrongVersion`] if the hello differs, [`WireError::Io`] if no
@@ -125,7 +125,8 @@
     let mut body = Vec::new();
     while body.len() < length {
         let filled = body.len();
-        // The other side must not make this process allocate more memory than it sends bytes.
+        // The peer must not make this process allocate much more memory than the number of bytes that the
+        // peer sends.
         body.resize(length.min(filled + BUFFER_STEP_BYTES), 0);
         read_exact_until(socket, &mut body[filled..], deadline)?;
     }
--- a/store/src/wire/messages.rs
+++ b/store/src/wire/messages.rs
@@ -40,21 +40,21 @@
 pub enum Request {
     /// Registers the client and requests an id for its writes.
     RegisterClient,
-    /// Reads one key.
+    /// Reads the value of one key.
     Get {
-        /// The key.
+        /// The key to read.
         key: String,
         /// The consistency of the read.
         consistency: Consistency,
     },
     /// Reads all keys with a prefix, at one revision.
     List {
-        /// The prefix.
+        /// The prefix of the keys that are listed.
         prefix: String,
         /// The consistency of the read.
         consistency: Consistency,
     },
-    /// Executes a write.
+    /// Executes a write operation.
     Write {
         /// Identifies the write in retries.
         origin: RequestOrigin,
@@ -65,7 +65,7 @@
     Status,
     /// Watches the keys with a prefix. The connection is used for nothing else from then on.
     Watch {
-        /// The prefix.
+        /// The prefix of the keys that are watched.
         prefix: String,
         /// The position after which changes are requested. Without one, all keys are sent first.
         after: Option<WatchPosition>,
@@ -108,13 +108,13 @@
         /// The leader's term as known to the node.
         term: u64,
     },
-    /// The node's status.
+    /// The status of the node that responds.
     Status {
         /// The id of the node.
         node: u64,
         /// The leader's id, 0 if none is known.
         leader: u64,
-        /// The leader's term.
+        /// The term that the node knows as the current one.
         term: u64,
         /// The revision of the node's state.
         revision: u64,
@@ -133,7 +133,7 @@
         /// Whether this is the last part.
         last: bool,
     },
-    /// The watched keys that one command changed.
+    /// The changes of watched keys by one command.
     Changes(ChangeSet),
     /// Reports that no watched key has changed. Also sent at intervals to show that the node is alive.
     Progress {
--- a/store/tests/cluster/support.rs
+++ b/store/tests/cluster/support.rs
@@ -54,7 +54,7 @@
         cluster
     }
 
-    /// A client that tries this node first and then the others.
+    /// A client that tries the node at index `first` first and then the store's other nodes.
     pub(crate) fn client(&self, first: usize) -> Client {
         let count = self.clients.len();
         let nodes = (0..count).map(|i| self.clients[(first + i) % count]).collect();
--- a/store/tests/cluster/watches.rs
+++ b/store/tests/cluster/watches.rs
@@ -52,8 +52,8 @@
     let watch = cluster.client(0).watch("", None).unwrap();
     next_snapshot(&watch);
     let text = "x".repeat(60_000);
-    // More data than the watch's queue and the socket buffers can take, so that the node cannot send all of
-    // it.
+    // The writes amount to more data than the watch's queue and the socket buffers can take, so that the node
+    // cannot send all changes.
     let put = |n: u32| client.put(&format!("k{}", n % 20), &text, unconditional()).unwrap().revision;
     let revisions: Vec<u64> = (0..500).map(put).collect();
     for revision in revisions {
--- a/store/tests/recorded/frames.rs
+++ b/store/tests/recorded/frames.rs
@@ -9,7 +9,7 @@
 use store::wire::{self, Protocol, Request, Response, STORE_PROTOCOL, WireError};
 use testkit::hex;
 
-/// Both ends of a connection.
+/// Returns both ends of a loopback connection.
 fn connection() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let local = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
--- a/store/tests/recorded/samples.rs
+++ b/store/tests/recorded/samples.rs
@@ -105,8 +105,8 @@
     StoreLimits { max_lease_names: 2, ..StoreLimits::default() }
 }
 
-/// A state machine with everything that a snapshot can contain: keys with and without a lease; held, free and
-/// evicted names; and clients with and without a last response, one of them a rejection.
+/// A state machine with all kinds of data that a snapshot can contain: keys with and without a lease; held,
+/// free and evicted names; and clients with and without a last response, including a rejection.
 pub(crate) fn populated_machine() -> StateMachine {
     let mut machine = StateMachine::new(populated_limits());
     let grant = |name: &str, ttl_ms| internal(Operation::Grant { name: name.into(), ttl_ms });
