--- a/admin/src/command.rs
+++ b/admin/src/command.rs
@@ -22,9 +22,9 @@
     Suspend(String),
     /// End the maintenance of this instance.
     Restore(String),
-    /// Drain the router.
+    /// Drain the whole router.
     Pause,
-    /// End the drain.
+    /// End the drain of the router.
     Resume,
 }
 
@@ -44,10 +44,10 @@
     /// The word after the verb is not a valid ID.
     #[error("the ID after {0} is not 1 to 256 bytes of visible ASCII; send the ID from the endpoint list")]
     InvalidId(&'static str),
-    /// More words follow than the verb takes.
+    /// The line has more words after the verb than the verb takes.
     #[error("{verb} is followed by too many words; send `{usage}` alone on the line")]
     TooManyWords {
-        /// The verb.
+        /// The command's verb, the first word of the line.
         verb: &'static str,
         /// The correct form of the line.
         usage: &'static str,
--- a/admin/src/connection.rs
+++ b/admin/src/connection.rs
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Makes all progress that is possible without blocking, but discards at most one buffer of input, so
-    /// that no connection delays the others.
+    /// Advances this connection as far as is possible without blocking, but discards at most one buffer of
+    /// input, so that no admin connection delays the server's other connections.
     pub(crate) fn advance(
         &mut self,
         now: Instant,
@@ -149,7 +149,7 @@
                 continue;
             }
             if status != LineStatus::TooLong && line.content().is_empty() && self.peer_closed {
-                // The client closed without sending anything.
+                // The client closed the connection without sending a command.
                 return Err(ErrorKind::UnexpectedEof.into());
             }
             let bytes = response_to(line, status, limits.max_line_bytes, &handle).into_bytes();
--- a/admin/src/event_loop.rs
+++ b/admin/src/event_loop.rs
@@ -86,7 +86,8 @@
         }
     }
 
-    /// How long to wait for events before something else is due; `None` to wait without a limit.
+    /// How long to wait for events until a connection or the accept schedule is due; `None` to wait without a
+    /// limit.
     fn timeout(&self, schedule: &AcceptSchedule) -> Option<Duration> {
         if self.connections.values().any(AdminConnection::has_work) {
             return Some(Duration::ZERO);
--- a/admin/src/line.rs
+++ b/admin/src/line.rs
@@ -22,7 +22,8 @@
     pub(crate) fn push(&mut self, received: &[u8], max_line_bytes: usize) -> LineStatus {
         let end = received.iter().position(|&b| b == b'\n');
         let part = &received[..end.unwrap_or(received.len())];
-        // One byte beyond the limit is allowed, as it may be the `\r` before the `\n`.
+        // The received line may be one byte longer than the limit, as its last byte may be the `\r` before
+        // the `\n`.
         if self.received.len() + part.len() > max_line_bytes + 1 {
             return LineStatus::TooLong;
         }
--- a/admin/src/server.rs
+++ b/admin/src/server.rs
@@ -19,7 +19,7 @@
         "cannot listen on admin address {address}: {source}; set `admin_addr` to a free address of this host"
     )]
     Bind {
-        /// The requested address.
+        /// The requested address, from `admin_addr`.
         address: SocketAddr,
         /// The operating system's error.
         source: io::Error,
@@ -27,7 +27,7 @@
     /// The operating system cannot create the poll instance or register the listener with it.
     #[error("cannot poll admin address {address}: {source}; raise the limit of open files, then start again")]
     Poll {
-        /// The listening address.
+        /// The address that the admin server listens on.
         address: SocketAddr,
         /// The operating system's error.
         source: io::Error,
@@ -38,7 +38,7 @@
          then start again"
     )]
     SpawnThread {
-        /// The listening address.
+        /// The address that the admin server listens on.
         address: SocketAddr,
         /// The operating system's error.
         source: io::Error,
@@ -68,7 +68,7 @@
         Ok(AdminServer { address, listener, poll, limits })
     }
 
-    /// The listening address.
+    /// The address that the admin server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/admin/src/service.rs
+++ b/admin/src/service.rs
@@ -48,8 +48,8 @@
         };
         let interval = limits.maintenance_poll_interval;
         if !alone {
-            // The other processes count the processes once per interval: two intervals are enough for them to
-            // notice this process and to reduce their use.
+            // The router's other processes count its processes once per interval: two intervals are enough
+            // for them to notice this process and to reduce their use of the shared resources.
             std::thread::sleep(2 * interval);
         }
         spawn_needed(SYNC_THREAD_NAME, limits.socket_thread_stack_bytes, move || {
@@ -79,7 +79,7 @@
         let mut coordinator = self.coordinator();
         let text = command.to_string();
         let event = match command {
-            // These commands change nothing, so they are not logged.
+            // Status and metrics commands change nothing, so they are not logged.
             Command::Status => return coordinator.status(),
             Command::Metrics => return coordinator.metrics(),
             Command::HttpMetrics => return coordinator.http_metrics(),
--- a/admin/src/service/coordinator.rs
+++ b/admin/src/service/coordinator.rs
@@ -20,7 +20,7 @@
     event: Event,
 }
 
-/// The last values that the other parts of this process were notified of.
+/// The values of the maintenance state that the other parts of this process were last notified of.
 #[derive(Default)]
 struct NotifiedState {
     mask: MaintenanceMask,
--- a/admin/src/service/dependencies.rs
+++ b/admin/src/service/dependencies.rs
@@ -23,6 +23,6 @@
     pub set_process_count: Box<dyn Fn(u32) + Send>,
     /// The clock for maintenance times, the same in all processes of this router: Unix time.
     pub clock: Clock,
-    /// The router's limits.
+    /// The limits that the router is configured with.
     pub limits: Arc<Limits>,
 }
--- a/admin/src/service/shared_folder.rs
+++ b/admin/src/service/shared_folder.rs
@@ -9,7 +9,7 @@
     pub(super) shared: Option<SharedFolder>,
 }
 
-/// This process's handles on the shared folder.
+/// This process's handles on the folder that the processes of this router share.
 pub(super) struct SharedFolder {
     pub(super) state_file: StateFile,
     pub(super) presence: ProcessPresence,
--- a/admin/tests/common/router.rs
+++ b/admin/tests/common/router.rs
@@ -1,5 +1,5 @@
 //! A test router with the real admin service and endpoint list but no instances; it records the effects that
-//! the service has on the other parts.
+//! the admin service has on the other parts of the router.
 use super::{LONG_TIMEOUT, serve_handler};
 use admin::{AdminService, ServiceDependencies};
 use client_listener::ServerCommand;
--- a/admin/tests/server.rs
+++ b/admin/tests/server.rs
@@ -124,8 +124,8 @@
     incomplete.write_all(b"US\n").unwrap();
     assert_eq!(read_to_close(&incomplete), "200 STATUS\n");
 
-    // The same with new connections that exceed the limit, after the rest of the older connection's command
-    // was received but not read.
+    // New connections that exceed the limit do not evict the older connection either, after the rest of its
+    // command was received but not read.
     let mut incomplete = connect(address, b"STAT");
     let blocking = connect(address, b"SUSPEND hold\n");
     HANDLER_BARRIER.wait();
--- a/audit/examples/stragglers/simulation.rs
+++ b/audit/examples/stragglers/simulation.rs
@@ -26,7 +26,7 @@
 const END: Micros = 16_000_000;
 /// A router may route for this long after the leader has fenced it out: the response is still in transit.
 const FENCE_GRACE: Micros = 250 * MS;
-/// One in this many exchanges between router and leader fails.
+/// Average number of exchanges between router and leader per failed exchange.
 const EXCHANGES_PER_FAILURE: u64 = 100;
 
 /// How the stragglers behave once the second version is set.
--- a/audit/src/exchange.rs
+++ b/audit/src/exchange.rs
@@ -35,13 +35,13 @@
     AuditDisabled,
     /// The router may continue under this epoch.
     Continue {
-        /// The router's epoch.
+        /// Latest epoch of the router that the leader knows.
         epoch: u64,
     },
     /// The router's version is outdated and it must fetch the current document. It may continue to route
     /// until its lease expires.
     Refetch {
-        /// The router's epoch.
+        /// Latest epoch of the router that the leader knows.
         epoch: u64,
     },
     /// The router must reject all requests until it reports the current version together with this epoch.
--- a/audit/src/fence.rs
+++ b/audit/src/fence.rs
@@ -52,7 +52,7 @@
     pub reported_version: Version,
     /// Version that the leader named as the current one.
     pub current_version: Version,
-    /// The leader's directive.
+    /// The leader's directive to the router that reported.
     pub directive: Directive,
 }
 
--- a/audit/src/record.rs
+++ b/audit/src/record.rs
@@ -64,7 +64,7 @@
     pub since: i64,
     /// The router's state from that time on.
     pub kind: EntryKind,
-    /// The router's epoch.
+    /// Latest epoch of the router that the leader knew when it made the entry.
     pub epoch: u64,
     /// Term of the leader. Times of different terms come from different clocks.
     pub term: u64,
--- a/audit/src/record_writer.rs
+++ b/audit/src/record_writer.rs
@@ -1,7 +1,7 @@
 //! Writes the audit record as a ring of batches in the store.
 //!
-//! A batch replaces the one `ring_slots` before it and begins with those entries of the replaced batch that
-//! are still the latest of a router. So the ring is bounded, yet contains the latest entry of each live
+//! Each batch replaces the batch `ring_slots` before it and begins with those entries of the replaced batch
+//! that are still the latest of a router. So the ring is bounded, yet contains the latest entry of each live
 //! router.
 use crate::record::MAX_BATCH_BYTES;
 use crate::{Batch, Entry, EntryKind, Settings};
--- a/audit/src/timeline.rs
+++ b/audit/src/timeline.rs
@@ -37,7 +37,7 @@
     /// The router's state: [`EntryKind::Acting`], [`EntryKind::FencedOut`], [`EntryKind::Silent`] or
     /// [`EntryKind::Left`].
     pub kind: EntryKind,
-    /// The router's epoch.
+    /// The router's epoch, from the entry that began the interval.
     pub epoch: u64,
 }
 
@@ -55,13 +55,13 @@
     /// Routers routed requests under these versions at the same time.
     #[serde(rename = "two_versions")]
     ConcurrentVersions(Vec<Version>),
-    /// This router routed requests under this version, which was no longer the current one.
+    /// The router of this name routed requests under this version, which was no longer the current one.
     #[serde(rename = "not_current")]
     OutdatedVersion(String, Version),
-    /// This router was fenced out while it held this version.
+    /// The router of this name was fenced out while it held this version.
     #[serde(rename = "shut_out")]
     FencedOut(String, Version),
-    /// This router did not report.
+    /// The router of this name did not report.
     Silent(String),
     /// The leader does not write the audit record.
     #[serde(rename = "stopped")]
@@ -80,10 +80,10 @@
     }
 }
 
-/// A period during which something was wrong.
+/// A period during which a condition of [`GapKind`] held.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Gap {
-    /// What was wrong.
+    /// The condition that held during the gap.
     #[serde(rename = "what")]
     pub kind: GapKind,
     /// Start, Unix time in microseconds.
--- a/audit/src/timeline/gaps.rs
+++ b/audit/src/timeline/gaps.rs
@@ -1,4 +1,4 @@
-//! Finds the gaps in the timeline: periods during which something was wrong.
+//! Finds the gaps in the timeline: periods during which a condition of [`GapKind`] held.
 use super::intervals::CurrentVersion;
 use super::{Gap, GapKind, Interval, MIN_GAP, RECORD_STOPPED_AFTER};
 use crate::EntryKind;
--- a/audit/src/tracker/event.rs
+++ b/audit/src/tracker/event.rs
@@ -16,7 +16,7 @@
     /// The current configuration version was read. A version that is not later than the last one changes
     /// nothing.
     CurrentVersion {
-        /// The current version.
+        /// The current configuration version, as read.
         version: Version,
     },
     /// A router has reported.
--- a/audit/tests/audit/fence.rs
+++ b/audit/tests/audit/fence.rs
@@ -27,8 +27,8 @@
     let fenced = fence.check(Time(1001)).unwrap_err();
     assert_eq!((fenced.reason, fenced.since, fenced.version), (FenceReason::LeaseExpired, Time(1001), 5));
     fence.version_applied(Time(1100), 6);
-    // Neither a response to a report from before the version was applied nor one received after the lease's
-    // end confirms the version.
+    // A response to a report from before the version was applied does not confirm the version, nor does a
+    // response that is received after the lease's end.
     fence.response_received(Time(1101), &response(1050, 5, 6, Directive::Continue { epoch: 0 }));
     assert!(fence.check(Time(1102)).is_err());
     fence.response_received(Time(2200), &response(1200, 6, 6, Directive::Continue { epoch: 0 }));
--- a/audit/tests/audit/record.rs
+++ b/audit/tests/audit/record.rs
@@ -51,7 +51,7 @@
         leaving: true,
     };
     harness.handle(2, leaving);
-    // One heartbeat every 5 s, until every slot of the ring is replaced.
+    // The tracker writes one heartbeat every 5 s, until every slot of the ring is replaced.
     for i in 0..2 * RING_SLOTS as i64 {
         harness.report(i * 5000, "still", 5, 0);
         harness.report(i * 5000 + 1900, "still", 5, 0);
--- a/audit/tests/audit/recorded_run.rs
+++ b/audit/tests/audit/recorded_run.rs
@@ -161,8 +161,8 @@
         let event =
             Event::ReportReceived { router: format!("router-{i}"), incarnation, version, report, leaving };
         let directive = self.handle(event);
-        // Some responses are lost, among them all to an earlier process, and some of the others are received
-        // late.
+        // Some of the leader's responses are lost, among them all responses to an earlier process, and some
+        // of the remaining responses are received late.
         if stale || self.random.one_in(6) {
             return;
         }
--- a/audit/tests/audit/tracker.rs
+++ b/audit/tests/audit/tracker.rs
@@ -19,7 +19,8 @@
         }
     };
     assert!(notified == 3 && (2200..=2900).contains(&at) && epoch > 1 << 32, "{notified} {at} {epoch}");
-    // Neither the current version alone nor the epoch alone lifts the fence.
+    // A fenced router has to report the current version together with the epoch: neither lifts the fence
+    // alone.
     assert_eq!(harness.report(at + 1, "a", 9, 0), Directive::FenceOut { epoch });
     assert_eq!(harness.report(at + 2, "a", 5, epoch), Directive::FenceOut { epoch });
     assert_eq!(harness.report(at + 3, "a", 9, epoch), Directive::Continue { epoch });
--- a/client-listener/src/connection.rs
+++ b/client-listener/src/connection.rs
@@ -31,7 +31,7 @@
 /// [`Connection::prepare_response`] before it writes a response, and [`Connection::finish_command`] after the
 /// response.
 pub struct Connection {
-    /// The client's socket.
+    /// The socket of the client's connection.
     pub socket: TcpStream,
     /// Identifies the connection; never reused within a server.
     pub id: u64,
--- a/client-listener/src/connection/reader.rs
+++ b/client-listener/src/connection/reader.rs
@@ -10,7 +10,7 @@
 pub enum SocketState {
     /// The connection is open and there is nothing to read.
     Idle,
-    /// There are bytes to read.
+    /// The socket has bytes to read.
     Readable,
     /// The client has closed the connection.
     Disconnected,
@@ -80,7 +80,8 @@
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         let connection = self.connection;
         // `reader_waiting` is set before checking for the close; a thread that closes the connection closes
-        // it first and then checks `reader_waiting`. So at least one of the two sees the other.
+        // it first and then checks `reader_waiting`. So the reader sees the close, or the closing thread sees
+        // that the reader waits, or both.
         connection.reader_waiting.store(true, Ordering::SeqCst);
         let result = if connection.is_closed_to_reads() {
             Ok(0)
--- a/client-listener/src/disconnects.rs
+++ b/client-listener/src/disconnects.rs
@@ -13,7 +13,7 @@
 use routing::reasons::CloseReason;
 use std::os::fd::AsFd;
 
-/// Maximum number of disconnects that one `epoll_wait` call returns.
+/// Maximum number of client disconnects that one `epoll_wait` call returns.
 const EVENTS_PER_WAIT: usize = 64;
 
 impl Connection {
--- a/client-listener/src/shutdown.rs
+++ b/client-listener/src/shutdown.rs
@@ -7,11 +7,11 @@
 //! longer read. Commands that were read always get their response.
 use std::time::Duration;
 
-/// How open connections are treated; each variant is stricter than the one before.
+/// How open client connections are treated; each variant is stricter than the variant before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum ClosePolicy {
-    /// Connections stay open.
+    /// Connections stay open for further commands.
     KeepOpen = 0,
     /// Each connection closes as soon as no command is in flight on it and it has no bytes to read.
     CloseWhenIdle = 1,
@@ -49,7 +49,7 @@
 pub enum Event {
     /// Operators start a drain (`true`) or end it.
     SetDraining(bool),
-    /// Shutdown begins.
+    /// The shutdown of the process begins.
     Shutdown {
         /// Whether another process accepts the router's clients already.
         successor: bool,
--- a/client-listener/tests/connections/closing.rs
+++ b/client-listener/tests/connections/closing.rs
@@ -21,7 +21,7 @@
         ("close", Connection::close),
         ("finish", Connection::shut_down_write),
         ("idle timeout", |connection| {
-            // One command has been read and has had its response.
+            // The connection has read one command and has finished its response.
             assert!(connection.begin_command(false));
             connection.finish_command();
             assert!(connection.close_if_idle_timed_out());
--- a/client-listener/tests/connections/limits.rs
+++ b/client-listener/tests/connections/limits.rs
@@ -36,7 +36,7 @@
     limits.max_client_connections = 1;
     limits.client_startup_timeout_when_full = Duration::ZERO;
     let (server, connections) = TestServer::start_controlled(limits);
-    // This connection lingers, because its client does not close.
+    // The server lingers on this connection, because the client does not close it.
     let lingering = server.connect();
     let (connection, release) = connections.recv_timeout(TEST_TIMEOUT).unwrap();
     drop((connection, release));
--- a/client-listener/tests/connections/shutdown.rs
+++ b/client-listener/tests/connections/shutdown.rs
@@ -131,8 +131,8 @@
     let ByteCommands { server, commands, readers_ended, keep_open } = byte_commands(limits);
     let mut clients: Vec<TcpStream> = (0..4).map(|_| server.connect()).collect();
     clients[0].write_all(b"0").unwrap();
-    // The server is at the connection limit and no connection may be evicted, so the others stay in the
-    // listen backlog.
+    // The server is at the connection limit and no connection may be evicted, so all connections but the
+    // first stay in the listen backlog.
     let (first, _) = commands.recv_timeout(TEST_TIMEOUT).unwrap();
     for (n, client) in clients.iter_mut().enumerate().skip(1) {
         client.write_all(&[b'0' + n as u8]).unwrap();
--- a/client-listener/tests/in_flight_commands.rs
+++ b/client-listener/tests/in_flight_commands.rs
@@ -2,7 +2,7 @@
 //! connection can use it.
 use routing::permit::CommandGate;
 
-/// One step of a thread. Steps of other threads may run between any two steps of a thread.
+/// One step of a thread in the model. Steps of other threads may run between any two steps of a thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     /// The reader counts a command that it has read.
--- a/http1/src/body.rs
+++ b/http1/src/body.rs
@@ -2,7 +2,7 @@
 use crate::chunked::ChunkState;
 use std::io::{self, BufRead, BufReader, Read};
 
-/// Maximum number of bytes that one read appends.
+/// Maximum number of body bytes that one read appends.
 const MAX_READ_BYTES: u64 = 1 << 20;
 
 /// How the end of a body is determined.
--- a/http1/tests/recorded_responses.rs
+++ b/http1/tests/recorded_responses.rs
@@ -3,7 +3,7 @@
 use http1::{MAX_HEAD_BYTES, Response};
 use std::io::{self, BufReader, Read};
 
-/// One response, and the name under which its result is recorded.
+/// A response to parse, and the name under which the result is recorded.
 struct Case {
     name: &'static str,
     head: Vec<u8>,
@@ -181,7 +181,7 @@
 enum Delivery {
     /// Immediately after the head, in reads of any size.
     AtOnce,
-    /// One byte per read, with a timeout before each.
+    /// One byte per read, with a read timeout before each byte.
     ByteByByte,
 }
 
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -62,7 +62,7 @@
     /// The key given by `--key` is not in the plan.
     #[error("'{key}' is not in the plan: there is no '{part}'")]
     UnknownKey {
-        /// The complete key.
+        /// The complete key, as given by `--key`.
         key: String,
         /// The part of the key that was not found.
         part: String,
--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -39,7 +39,8 @@
         Ok(plan)
     }
 
-    /// Returns the path of the router program: the given one, or the one next to this program.
+    /// Returns the path of the router program: the given path, or the path of the router next to this
+    /// program.
     fn router_program(&self) -> Result<PathBuf, Error> {
         let default_path =
             || std::env::current_exe().ok().map(|current_exe| current_exe.with_file_name(ROUTER_PROGRAM));
--- a/maintenance/src/error.rs
+++ b/maintenance/src/error.rs
@@ -88,7 +88,7 @@
         ms = LOCK_TIMEOUT.as_millis()
     )]
     LockTimeout {
-        /// The lock file.
+        /// Path of the lock file.
         path: PathBuf,
     },
     /// The state file is unusable and was moved aside; the state is empty from now on.
@@ -120,7 +120,7 @@
     Encode {
         /// Path of the file.
         path: PathBuf,
-        /// The encoder's error.
+        /// Why the state could not be encoded.
         source: postcard::Error,
     },
 }
--- a/maintenance/src/interface.rs
+++ b/maintenance/src/interface.rs
@@ -14,10 +14,10 @@
     pub restored_retention: Micros,
 }
 
-/// One id in an update of the endpoint list.
+/// A change of one instance in an update of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointChange {
-    /// The instance's id.
+    /// The id of the instance that the update lists or no longer lists.
     pub id: String,
     /// Whether the instance is listed from now on.
     pub listed: bool,
@@ -83,13 +83,13 @@
          check the list's source, then retry"
     )]
     EndpointsPending {
-        /// The requested id.
+        /// The id that the command named.
         id: String,
     },
     /// No instance with this id is listed or in maintenance.
     #[error("instance {id:?} is not among the {listed_count} listed: compare the id with the list")]
     NotListed {
-        /// The requested id.
+        /// The id that the command named.
         id: String,
         /// Number of listed instances.
         listed_count: usize,
@@ -97,7 +97,7 @@
     /// The instance is not in maintenance.
     #[error("{id:?} is not in maintenance; {entry_count} other instances are: compare the id with theirs")]
     NotInMaintenance {
-        /// The requested id.
+        /// The id that the command named.
         id: String,
         /// Number of instances in maintenance.
         entry_count: usize,
--- a/maintenance/src/machine.rs
+++ b/maintenance/src/machine.rs
@@ -116,9 +116,9 @@
     }
 
     /// Drops restored ids whose retention is over. This does not advance the revision: each process does it
-    /// by its own clock, and a revision advanced without a write would hide the other process's next change.
-    /// A time far in the future comes from a clock that was set back since, and must not be retained until
-    /// that clock has caught up.
+    /// by its own clock, and a revision advanced without a write would hide the next change by another
+    /// process. A time far in the future comes from a clock that was set back since, and must not be retained
+    /// until that clock has caught up.
     fn expire_restored(&mut self, now: Time) {
         let retention = self.settings.restored_retention.max(0).unsigned_abs();
         self.state.restored.retain(|_, at| now.0.abs_diff(at.0) <= retention);
@@ -151,7 +151,8 @@
         }
         let previous = std::mem::replace(&mut self.state, state);
         for (id, at) in &self.state.restored {
-            // The other process restored this id, so this process expects it in the list too.
+            // Another process of this router restored this id, so this process expects it in the endpoint
+            // list too.
             if previous.restored.get(id) != Some(at) && !self.is_listed(id) {
                 self.awaiting_listing.insert(id.clone());
             }
--- a/maintenance/src/presence.rs
+++ b/maintenance/src/presence.rs
@@ -38,12 +38,12 @@
     file: File,
 }
 
-/// The other processes of this router.
+/// Counts of the other processes of this router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OtherProcesses {
     /// Number of other processes that are alive.
     pub alive: usize,
-    /// Number of the other processes that accept clients.
+    /// Number of other processes that are alive and accept clients.
     pub ready: usize,
 }
 
@@ -100,8 +100,8 @@
         self.write_content(NOT_READY)
     }
 
-    /// Counts the other processes and removes the files of dead processes. Reads the whole folder; if the
-    /// folder cannot be read, the counts are 0.
+    /// Counts the other processes of this router and removes the files of dead processes. Reads the whole
+    /// folder; if the folder cannot be read, the counts are 0.
     pub fn count_others(&self) -> OtherProcesses {
         let mut others = OtherProcesses::default();
         for entry in std::fs::read_dir(&self.folder).into_iter().flatten().flatten() {
@@ -117,8 +117,8 @@
         self.file.write_all_at(content, 0).map_err(SharedFolderError::io(FileOperation::Write, &self.path))
     }
 
-    /// Returns the status of the other process that owns this file; `None` if no live process owns it.
-    /// Removes the file of a dead process.
+    /// Returns the status of the process that owns this file; `None` if no live process other than this one
+    /// owns it. Removes the file of a dead process.
     fn other_process_status(&self, entry: &DirEntry) -> Option<ProcessStatus> {
         let file_name = entry.file_name();
         let text = file_name.to_str().filter(|name| name.starts_with(FILE_PREFIX))?;
--- a/maintenance/src/state.rs
+++ b/maintenance/src/state.rs
@@ -14,7 +14,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "StoredState", into = "StoredState")]
 pub struct State {
-    /// Number of changes made by commands: of two states, the one with the higher revision is the later one.
+    /// Number of changes made by commands: of two states, the state with the higher revision is the later
+    /// one.
     pub revision: u64,
     /// Instances in maintenance, by id.
     pub in_maintenance: BTreeMap<String, MaintenanceEntry>,
--- a/maintenance/src/state_file.rs
+++ b/maintenance/src/state_file.rs
@@ -133,7 +133,7 @@
             .map_err(SharedFolderError::io(FileOperation::Open, &self.lock_path))
     }
 
-    /// Whether the opened lock file is still the one in the folder: a lock on a file that was removed
+    /// Whether the opened lock file is still the lock file in the folder: a lock on a file that was removed
     /// meanwhile excludes nobody.
     fn is_current_lock_file(&self, lock: &File) -> Result<bool, SharedFolderError> {
         let opened =
--- a/maintenance/tests/machine.rs
+++ b/maintenance/tests/machine.rs
@@ -153,7 +153,7 @@
     later.restored.insert("z".into(), Time(SECOND));
     let actions = handle(&mut machine, SECOND, Event::StateRead(later));
     assert_eq!(actions, [Action::SetMask(mask(&[], &[("z", SECOND)]))]);
-    // The other process restored `z` while it was not listed, so it may be suspended.
+    // Another process of the router restored `z` while `z` was not listed here, so `z` may be suspended.
     assert_eq!(suspend(&mut machine, SECOND, "z").last(), Some(&accepted()));
     assert_eq!(machine.state().revision, 7);
 }
--- a/maintenance/tests/state_file.rs
+++ b/maintenance/tests/state_file.rs
@@ -127,7 +127,7 @@
     let write_entries = || {
         let file = StateFile::open(folder.path()).unwrap();
         for _ in 0..100 {
-            // On a slow disk the other writer may hold the lock for longer than the lock timeout.
+            // On a slow disk another writer of this test may hold the lock for longer than the lock timeout.
             let Some(mut locked) = std::iter::repeat_with(|| file.lock()).find_map(Result::ok) else {
                 return;
             };
--- a/membership/examples/measure.rs
+++ b/membership/examples/measure.rs
@@ -35,7 +35,7 @@
     (simulation.sent_bytes() - before) / running / time.as_secs()
 }
 
-/// For each round, the time in which the other routers detected that a router failed or left.
+/// For each round, the time in which the remaining routers detected that a router failed or left.
 #[derive(Default)]
 struct Detection {
     failure_first: Vec<Duration>,
--- a/membership/src/driver.rs
+++ b/membership/src/driver.rs
@@ -160,7 +160,7 @@
         let next = self.next_due().unwrap_or(NO_TIMER_DUE);
         let wait = next.saturating_sub(self.started_at.elapsed()).max(MIN_WAIT);
         self.socket.set_read_timeout(Some(wait))?;
-        // One byte longer than the limit, so that longer datagrams are detected.
+        // The buffer is one byte longer than the limit, so that longer datagrams are detected.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAM_BATCH {
             match self.socket.recv_from(&mut buffer) {
@@ -207,7 +207,7 @@
         }
     }
 
-    /// All live members: this router first, the others ordered by name.
+    /// All live members: this router first, the remaining members ordered by name.
     fn all_members(&self) -> Vec<Member> {
         std::iter::once(self.machine.local()).chain(self.machine.members()).cloned().collect()
     }
--- a/membership/src/error.rs
+++ b/membership/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of membership.
+//! Errors of starting or using the membership.
 use crate::limits::MAX_NAME_BYTES;
 use std::net::SocketAddrV4;
 
--- a/membership/src/handle.rs
+++ b/membership/src/handle.rs
@@ -84,7 +84,7 @@
         Ok(Membership { name: config.name.into(), addr, commands, published, waker: Arc::new(waker) })
     }
 
-    /// This router's name.
+    /// The name of this router in the fleet.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -94,7 +94,7 @@
         self.addr
     }
 
-    /// All live members: this router first, the others ordered by name.
+    /// All live members: this router first, the remaining members ordered by name.
     pub fn members(&self) -> Vec<Member> {
         Published::lock(&self.published).members.clone()
     }
--- a/membership/src/live_router_count.rs
+++ b/membership/src/live_router_count.rs
@@ -60,7 +60,8 @@
 #[derive(Clone, Debug)]
 pub struct LiveRouterCount {
     settings: Settings,
-    /// The other routers. For a router that has gone down, the time until which it is counted.
+    /// All routers but this one, by name. For a router that has gone down, the time until which it is
+    /// counted.
     others: BTreeMap<String, Option<Duration>>,
     /// The end of the startup period, in which the whole fleet is counted; `None` after it has ended.
     startup_until: Option<Duration>,
@@ -126,7 +127,8 @@
         let Some(due) = self.timer.take().filter(|due| *due <= now) else { return };
         let late = now - due;
         if late > self.settings.settle_time / 2 {
-            // The process was stopped, and unread changes may show that some of the other routers are alive.
+            // This process was stopped, and unread changes may show that some of the routers that went down
+            // are alive.
             let times = self.others.values_mut().flatten().chain(&mut self.startup_until);
             times.for_each(|time| *time += late);
             return;
--- a/membership/src/machine.rs
+++ b/membership/src/machine.rs
@@ -58,7 +58,7 @@
     phase: Phase,
     /// Whether any other member has become known since the start.
     has_joined: bool,
-    /// The other live members by name, as reported to the host.
+    /// All live members but this router, by name, as reported to the host.
     live: BTreeMap<String, Member>,
     timers: Timers,
     list_progress: ListProgress,
@@ -100,12 +100,12 @@
         })
     }
 
-    /// This router, with its current incarnation.
+    /// The member that represents this router, with its current incarnation.
     pub fn local(&self) -> &Member {
         &self.local
     }
 
-    /// The other live members, ordered by name.
+    /// All live members but this router, ordered by name.
     pub fn members(&self) -> impl ExactSizeIterator<Item = &Member> {
         self.live.values()
     }
--- a/membership/src/machine/datagrams.rs
+++ b/membership/src/machine/datagrams.rs
@@ -50,8 +50,8 @@
         if !self.within_member_limit(named()) || self.resolve_name_conflict(now, named(), actions) {
             return;
         }
-        // A later start uses the sender's name at another address. Declaring the sender down would not
-        // inform the sender of that, so the sender receives the identity of the later start.
+        // A later start uses the sender's name at another address. Declaring the sender down would not inform
+        // the sender of the later start, so the sender receives the identity of that start.
         let name_holder =
             (self.core.iter_membership_state().map(MemberRecord::id)).find(|member| member.same_name(sender));
         if let Some(later) =
--- a/membership/src/machine/event.rs
+++ b/membership/src/machine/event.rs
@@ -20,7 +20,7 @@
     Datagram {
         /// The sender's address, as reported by the socket.
         from: SocketAddrV4,
-        /// The datagram's bytes.
+        /// The bytes of the received datagram.
         bytes: Vec<u8>,
     },
     /// The timer of [`Action::SetTimer`] with this token has expired.
@@ -32,9 +32,9 @@
 /// An action that the driver must carry out. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a datagram.
+    /// Send a datagram to the address `to`.
     Send {
-        /// The receiver's address.
+        /// The address that the datagram is sent to.
         to: SocketAddrV4,
         /// The datagram's bytes; at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES).
         bytes: Vec<u8>,
@@ -46,9 +46,9 @@
         /// The token to pass back.
         token: TimerToken,
     },
-    /// This member is alive; never this router itself.
+    /// Report that this member, which is never this router itself, is alive.
     Up(Member),
-    /// This member has left, failed, or been superseded by a later start, whose `Up` follows.
+    /// Report that this member has left, failed, or been superseded by a later start, whose `Up` follows.
     Down(Member),
     /// Other members had declared this router down; it has rejoined with this incarnation.
     Rejoined(Member),
--- a/membership/src/machine/suspicion.rs
+++ b/membership/src/machine/suspicion.rs
@@ -38,9 +38,9 @@
     }
 
     /// Ends a suspicion while this router receives nothing and may itself be unreachable. If this router sent
-    /// updates that other members are down, each of those would refute that and rejoin. So this router waits
-    /// until the other members have declared it down and ignore its updates, and then reports the change only
-    /// to its own host.
+    /// updates that other members are down, each member would refute its update and rejoin. So this router
+    /// waits until the other members have declared it down and ignore its updates, and then reports the
+    /// change only to its own host.
     fn end_suspicion_while_isolated(&mut self, now: Duration, timer: CoreTimer, actions: &mut Vec<Action>) {
         if now - self.last_received < self.settings.suspicion_timeout * ISOLATED_WAIT_TIMEOUTS {
             self.schedule(now, self.settings.probe_interval, Task::Core(timer), actions);
--- a/membership/src/machine/swim_core.rs
+++ b/membership/src/machine/swim_core.rs
@@ -15,7 +15,7 @@
 /// Number of down members that are contacted per round.
 const DOWN_MEMBERS_PER_ROUND: usize = 2;
 
-/// The core's configuration.
+/// Returns the configuration of the SWIM core for these settings.
 pub(super) fn config(settings: &Settings) -> foca::Config {
     let at_least_one = |count| NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
     let every = |frequency, members| Some(PeriodicParams { frequency, num_members: at_least_one(members) });
--- a/membership/src/machine/timers.rs
+++ b/membership/src/machine/timers.rs
@@ -6,7 +6,7 @@
 
 /// The task that a timer runs.
 pub(super) enum Task {
-    /// One of the core's own timers.
+    /// A timer that the SWIM core has set.
     Core(CoreTimer),
     /// Send join requests to seeds.
     ContactSeeds,
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! A member's identity.
+//! The identity of a member: its name, address and incarnation.
 use crate::error::Error;
 use crate::limits::{MAX_GENERATION, MAX_INCARNATION, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
@@ -97,7 +97,7 @@
         self.name_hash == other.name_hash
     }
 
-    /// The same router with an incarnation above its own and above `incarnation`.
+    /// Returns this member with an incarnation above its own and above `incarnation`.
     pub(crate) fn supersede(&self, incarnation: u64) -> Member {
         Member {
             incarnation: self.incarnation.max(incarnation).saturating_add(1).min(MAX_INCARNATION),
--- a/membership/src/member_record.rs
+++ b/membership/src/member_record.rs
@@ -37,14 +37,14 @@
     }
 }
 
-/// One member on a list page.
+/// The entry of one member on a page of a member list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListEntry {
-    /// The member's identity.
+    /// The identity of the listed member.
     pub member: Member,
     /// The number that the member increases to refute a suspicion; not [`Member::incarnation`].
     pub refutation: u16,
-    /// The member's status.
+    /// The status of the listed member.
     pub status: MemberStatus,
 }
 
--- a/membership/src/settings.rs
+++ b/membership/src/settings.rs
@@ -19,7 +19,7 @@
     pub suspicion_timeout: Duration,
     /// Interval between gossip rounds, in addition to the gossip on probes, while there are updates to send.
     pub gossip_interval: Duration,
-    /// Number of members that one gossip round sends to.
+    /// Number of members that a router sends gossip to in one round.
     pub gossip_fanout: usize,
     /// How often one router sends the same update.
     pub max_transmissions: u8,
--- a/membership/src/simulation.rs
+++ b/membership/src/simulation.rs
@@ -238,7 +238,8 @@
         self.routers.iter().filter(|router| router.alive && !router.stopped)
     }
 
-    /// Whether every running router lists exactly the other running ones, with their current incarnations.
+    /// Whether every running router lists all other running routers and no more, with their current
+    /// incarnations.
     pub fn all_agree(&self) -> bool {
         // Compares the lengths of the lists first, because that is fast and this check runs often.
         let count = self.running().count();
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -77,14 +77,14 @@
         from: Member,
         /// The `request_id` of the page request that this page responds to.
         request_id: u64,
-        /// The listed members.
+        /// The members that this page lists.
         entries: Vec<ListEntry>,
         /// Whether the list continues after this page.
         more: bool,
     },
 }
 
-/// A decoded datagram.
+/// A decoded datagram between routers.
 pub enum Datagram<'a> {
     /// A gossip datagram of the SWIM core.
     Gossip(GossipDatagram<'a>),
--- a/membership/tests/datagrams.rs
+++ b/membership/tests/datagrams.rs
@@ -50,7 +50,7 @@
     updates: Option<Vec<MemberRecord>>,
 }
 
-/// One case for each message of the core that routers send.
+/// Returns one case for each message of the SWIM core that routers send.
 fn gossip_cases() -> Vec<GossipCase> {
     let case = |name, message, updates| GossipCase { name, header: header(message), updates };
     let (target, origin, probe_number) = (cat(), cat(), 200);
--- a/membership/tests/live_router_count.rs
+++ b/membership/tests/live_router_count.rs
@@ -112,8 +112,8 @@
     machine.handle(seconds(5.0), Event::Timer, &mut actions);
     machine.handle(seconds(10.0), Event::Down(name(1)), &mut actions);
     actions.clear();
-    // The timer is due at 15 s, but the process handles it at 60 s and receives the other router's return
-    // after that.
+    // The timer is due at 15 s, but the process handles it at 60 s and only then receives the return of the
+    // router that went down.
     machine.handle(seconds(60.0), Event::Timer, &mut actions);
     machine.handle(seconds(61.0), Event::Up(name(1)), &mut actions);
     machine.handle(seconds(70.0), Event::Timer, &mut actions);
--- a/membership/tests/recorded_runs.rs
+++ b/membership/tests/recorded_runs.rs
@@ -241,7 +241,7 @@
     run.run_until(ms(32_000));
     run.resume(3);
     run.run_until(ms(40_000));
-    // Node 2 receives nothing for long enough to declare the other nodes down by itself.
+    // Node 2 receives nothing for long enough to declare all other nodes down by itself.
     run.blocked.extend([(0, 2), (1, 2), (3, 2), (4, 2)]);
     run.run_until(ms(55_000));
     run.blocked.clear();
--- a/multiprocess/src/check/settings.rs
+++ b/multiprocess/src/check/settings.rs
@@ -16,7 +16,8 @@
 impl Default for CheckSettings {
     fn default() -> Self {
         CheckSettings {
-            // Both settle times are 250 ms plus the 2 s lifetime of a grant.
+            // The settle times of quotas and placement rules are each 250 ms plus the 2 s lifetime of a
+            // grant.
             quota_settle_time: 2_250_000,
             placement_settle_time: 2_250_000,
             spread_window: 1_000_000,
--- a/multiprocess/src/check/violation.rs
+++ b/multiprocess/src/check/violation.rs
@@ -39,7 +39,7 @@
         /// Outcome of the request.
         outcome: Outcome,
     },
-    /// A router sent responses that belong to no open request, or to another request than the one in flight.
+    /// A router sent responses that belong to no open request, or to a request other than the one in flight.
     UnexpectedResponses {
         /// Index of the router.
         router: usize,
--- a/multiprocess/src/history.rs
+++ b/multiprocess/src/history.rs
@@ -125,7 +125,7 @@
     pub until: Micros,
 }
 
-/// A response that belongs to no open request, or to another request than the one in flight.
+/// A response that belongs to no open request, or to a request other than the one in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct UnexpectedResponse {
     /// Index of the router that sent the response.
--- a/multiprocess/src/load/client_thread.rs
+++ b/multiprocess/src/load/client_thread.rs
@@ -1,4 +1,5 @@
-//! One thread of the load. Thread `i` of `n` has the clients of every router whose index modulo `n` is `i`.
+//! A thread that generates load. Thread `i` of `n` has the clients of every router whose index modulo `n` is
+//! `i`.
 use super::client_protocol::{ERROR_REJECTED, Response, encode_login, encode_query, parse_response};
 use super::connection::{Connection, InFlight, State};
 use super::result::LoadResult;
--- a/multiprocess/src/load/result.rs
+++ b/multiprocess/src/load/result.rs
@@ -6,6 +6,6 @@
 pub struct LoadResult {
     /// All requests with their outcomes.
     pub requests: Vec<Request>,
-    /// Responses that belong to no open request, or to another request than the one in flight.
+    /// Responses that belong to no open request, or to a request other than the one in flight.
     pub unexpected_responses: Vec<UnexpectedResponse>,
 }
--- a/multiprocess/src/plan/load.rs
+++ b/multiprocess/src/plan/load.rs
@@ -18,7 +18,7 @@
 pub enum RouterSet {
     /// All routers, with equal shares of the load.
     All,
-    /// Only the first router.
+    /// Only the first router, which receives the whole load.
     One,
 }
 
--- a/multiprocess/src/process/log_buffer.rs
+++ b/multiprocess/src/process/log_buffer.rs
@@ -42,8 +42,8 @@
         self.changed.notify_all();
     }
 
-    /// Waits for a line that contains `text`, and returns the trimmed rest of that line. If the wait times
-    /// out or the log ends first, `Err` contains the last lines of the log.
+    /// Waits for a line that contains `text`, and returns the trimmed rest of the line after `text`. If the
+    /// wait times out or the log ends first, `Err` contains the last lines of the log.
     pub(super) fn wait_for(&self, text: &str, timeout: Duration) -> Result<String, String> {
         let deadline = Instant::now() + timeout;
         let mut log = self.log();
--- a/multiprocess/src/process/resource_usage.rs
+++ b/multiprocess/src/process/resource_usage.rs
@@ -3,7 +3,7 @@
 /// Thread count and memory usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResourceUsage {
-    /// Number of threads.
+    /// Number of threads of the process.
     pub threads: u64,
     /// Resident memory in KiB, including shared pages of the program file.
     pub resident_kb: u64,
--- a/multiprocess/src/report/data.rs
+++ b/multiprocess/src/report/data.rs
@@ -29,7 +29,7 @@
 /// The report of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// Number of routers.
+    /// Number of routers in the run.
     pub routers: usize,
     /// Time from the start of the run until all processes were ready.
     pub startup_time: Duration,
--- a/multiprocess/src/run/routers.rs
+++ b/multiprocess/src/run/routers.rs
@@ -158,7 +158,7 @@
         Ok(())
     }
 
-    /// Resumes suspended routers.
+    /// Resumes the chosen suspended routers.
     pub(super) fn resume(&mut self, chosen: &[usize]) -> Result<(), RunError> {
         for &index in chosen {
             self.signal(index, Signal::SIGCONT)?;
--- a/mysql/src/command.rs
+++ b/mysql/src/command.rs
@@ -1,6 +1,6 @@
 //! Codes of the supported protocol commands. The code is the first byte of a command's payload.
 
-/// Closes the connection.
+/// Ends the session and closes the connection.
 pub const QUIT: u8 = 1;
 /// Selects the default database.
 pub const INIT_DB: u8 = 2;
@@ -8,7 +8,7 @@
 pub const QUERY: u8 = 3;
 /// Checks whether the connection is alive.
 pub const PING: u8 = 14;
-/// Prepares a statement.
+/// Prepares a statement for later executions.
 pub const STMT_PREPARE: u8 = 22;
 /// Executes a prepared statement.
 pub const STMT_EXECUTE: u8 = 23;
--- a/mysql/src/errors.rs
+++ b/mysql/src/errors.rs
@@ -23,7 +23,7 @@
 /// Error number and SQLSTATE of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorCode {
-    /// Error number.
+    /// Number of the error in the protocol.
     pub number: u16,
     /// SQLSTATE of five characters.
     pub sql_state: &'static str,
@@ -79,7 +79,7 @@
 pub struct CommandError {
     /// Error number and SQLSTATE.
     pub code: ErrorCode,
-    /// Error message.
+    /// Message of the error, as sent to the client.
     pub text: Cow<'static, str>,
 }
 
--- a/mysql/src/front/session.rs
+++ b/mysql/src/front/session.rs
@@ -28,7 +28,7 @@
 enum Response {
     /// Payloads that have not been framed yet.
     Payloads(ResponsePayloads),
-    /// Encoded packets.
+    /// Packets that are encoded, ready to be sent.
     Packets(Vec<u8>),
     /// The command has no response.
     None,
--- a/mysql/src/handshake.rs
+++ b/mysql/src/handshake.rs
@@ -36,7 +36,7 @@
     greeting
 }
 
-/// A server's greeting.
+/// A server's greeting, the first packet of a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Greeting {
     /// Nonce for the authentication response.
@@ -77,11 +77,11 @@
 pub struct HandshakeResponse {
     /// Capability flags of the client.
     pub capabilities: u32,
-    /// User name.
+    /// Name of the user that logs in.
     pub user: String,
     /// Authentication response, which the plugin computed from the password and the nonce.
     pub auth_response: Vec<u8>,
-    /// Default database.
+    /// Default database of the session; `None` if the client names none.
     pub database: Option<String>,
     /// Name of the authentication plugin.
     pub plugin: String,
--- a/mysql/src/login.rs
+++ b/mysql/src/login.rs
@@ -24,11 +24,11 @@
 /// User, password and default database of a login.
 #[derive(Clone, Debug)]
 pub struct Credentials {
-    /// User name.
+    /// Name of the user that logs in.
     pub user: String,
     /// Password of the user.
     pub password: String,
-    /// Default database.
+    /// Default database of the session.
     pub database: String,
 }
 
--- a/mysql/src/prepared.rs
+++ b/mysql/src/prepared.rs
@@ -19,7 +19,7 @@
     pub requirements: Requirements,
     /// Number and types of the statement's parameters.
     pub parameters: Parameters,
-    /// Long parameters that were received for the next execution.
+    /// Long parameters that were received for the statement's next execution.
     pub long_parameters: LongParameters,
     /// Whether long parameters were invalid or too long, so that the next execution fails.
     pub long_parameters_rejected: bool,
@@ -29,7 +29,7 @@
 
 /// Number and types of a statement's parameters.
 pub struct Parameters {
-    /// Number of parameters.
+    /// Number of the statement's parameters.
     pub count: usize,
     /// Parameter types as the client last sent them, two bytes each. Empty if the client has sent none yet.
     pub types: Vec<u8>,
--- a/mysql/src/request.rs
+++ b/mysql/src/request.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Long parameters of an execution by parameter index. They are sent before the execution.
+/// Long parameters of an execution by parameter index, which are sent before the execution.
 pub type LongParameters = BTreeMap<u16, Vec<u8>>;
 
 /// A request to a server.
@@ -18,7 +18,7 @@
         text: Arc<[u8]>,
         /// Payload of the execution after the statement ID.
         body: Vec<u8>,
-        /// Long parameters, which are sent before the execution.
+        /// Long parameters of the statement, which are sent before the execution.
         long_parameters: LongParameters,
     },
 }
--- a/mysql/src/results.rs
+++ b/mysql/src/results.rs
@@ -13,7 +13,7 @@
 /// Status flag: all rows of the cursor have been fetched.
 pub const LAST_ROW_SENT: u16 = 128;
 
-/// An OK payload.
+/// Payload of an OK packet in which only the autocommit status flag is set.
 pub const OK: &[u8] = &[0, 0, 0, AUTOCOMMIT as u8, 0, 0, 0];
 
 /// Encodes an EOF payload with these status flags.
--- a/pcap/src/capture.rs
+++ b/pcap/src/capture.rs
@@ -16,7 +16,7 @@
 /// Length of the header before each packet of a pcap file.
 const PCAP_PACKET_HEADER_BYTES: u64 = 16;
 
-/// A captured packet.
+/// A packet read from a capture file.
 pub struct Packet {
     /// Time of the capture since the Unix epoch.
     pub captured_at: Duration,
--- a/pcap/src/packet_writer.rs
+++ b/pcap/src/packet_writer.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PacketKind {
     Open,
-    /// Carries payload bytes. Without any, the packet acknowledges the payload of the other side.
+    /// Carries payload bytes. A packet without any acknowledges the payload of the conversation's other side.
     Data,
     Close,
 }
--- a/pcap/src/request.rs
+++ b/pcap/src/request.rs
@@ -16,7 +16,7 @@
         /// Payload of the execution after the statement ID: flags, iteration count, parameter types and
         /// parameters.
         body: Vec<u8>,
-        /// Long parameters by parameter index. They were sent before the execution.
+        /// Long parameters by parameter index. The client sent them before the execution.
         long_parameters: BTreeMap<u16, Vec<u8>>,
     },
 }
--- a/pcap/src/segment.rs
+++ b/pcap/src/segment.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// A TCP segment.
+/// A TCP segment of a captured packet.
 pub struct Segment {
     /// Direction of the segment.
     pub direction: Direction,
--- a/pcap/src/stream.rs
+++ b/pcap/src/stream.rs
@@ -26,7 +26,7 @@
     /// Buffered segments by sequence number.
     pending: BTreeMap<u32, PendingSegment>,
     pending_bytes: usize,
-    /// Reassembled bytes.
+    /// Bytes that have been reassembled from segments.
     bytes: Vec<u8>,
     progress: Vec<Progress>,
     start_missing: bool,
@@ -55,7 +55,7 @@
         progress.map_or(Duration::ZERO, |progress| progress.captured_at)
     }
 
-    /// Adds a segment.
+    /// Adds a captured segment to the stream.
     pub fn add(&mut self, captured_at: Duration, segment: Segment) {
         let Segment { sequence, syn, bytes, .. } = segment;
         if syn {
--- a/postgres/src/backend.rs
+++ b/postgres/src/backend.rs
@@ -53,8 +53,8 @@
 
     fn connect(&self, addr: SocketAddr, permit: ConnectionPermit) -> Result<PostgresConnection, Outcome> {
         let failed = |_: io::Error| Outcome::ConnectFailed;
-        // One deadline covers connecting and the startup response, so an instance that is slow to accept has
-        // less time for its startup response.
+        // The same deadline covers connecting and the startup response, so an instance that is slow to accept
+        // has less time for its startup response.
         let deadline = Instant::now() + self.limits.backend_connect_timeout;
         let handshake = Handshake::connect(permit, addr, &self.limits)?;
         handshake.write(&mut io_slices(&[STARTUP_MESSAGE])).map_err(failed)?;
--- a/postgres/src/buffer.rs
+++ b/postgres/src/buffer.rs
@@ -61,7 +61,7 @@
 /// request.
 pub type CancelKey = [u8; 8];
 
-/// One message in the buffer.
+/// The tag and range of one message in the buffer.
 #[derive(Clone, Debug)]
 pub struct Frame {
     /// The tag, which identifies the type of the message.
--- a/postgres/src/encode.rs
+++ b/postgres/src/encode.rs
@@ -18,7 +18,7 @@
 pub enum Severity {
     /// The command failed; the session continues.
     Error,
-    /// The session ends.
+    /// The error ends the session.
     Fatal,
 }
 
--- a/postgres/src/front/response.rs
+++ b/postgres/src/front/response.rs
@@ -68,7 +68,7 @@
             rejected(retry_after_ms.as_deref())
         }
         FinalResponse::Cancelled => error("57014", "canceling statement due to user request"),
-        // This protocol has no field for the reason.
+        // The PostgreSQL protocol has no field for the reason of the denial.
         FinalResponse::PlacementDenied(_) => rejected(None),
         FinalResponse::Failed(last) => failed(last),
     };
--- a/postgres/tests/common/mod.rs
+++ b/postgres/tests/common/mod.rs
@@ -22,7 +22,7 @@
 pub(crate) enum Ending {
     /// Shuts down the sending side of the connection.
     Fin,
-    /// Resets the connection.
+    /// Resets the TCP connection.
     Reset,
     /// Sends nothing more, and leaves the connection open until the router closes it.
     Stall,
--- a/sessions/src/commit_cache.rs
+++ b/sessions/src/commit_cache.rs
@@ -42,7 +42,7 @@
 
 /// The newest commit of each session, and the floor that covers evicted sessions.
 pub struct CommitCache {
-    /// Newest generation first.
+    /// Generations of cached sessions, newest generation first.
     generations: VecDeque<Generation>,
     generation_sessions: usize,
     max_generations: usize,
@@ -62,7 +62,7 @@
         CommitCache {
             generations: VecDeque::new(),
             generation_sessions,
-            // One extra generation, since the newest may be almost empty.
+            // The cache has one extra generation, since the newest generation may be almost empty.
             max_generations: sessions.max(1).div_ceil(generation_sessions) + 1,
             floor: None,
             evicted_generations: 0,
--- a/sessions/src/error.rs
+++ b/sessions/src/error.rs
@@ -12,7 +12,7 @@
         "sessions: cannot listen on {addr}: {source}; free this address or set another one in sessions.listen"
     )]
     Listen {
-        /// The listen address.
+        /// The address from `sessions.listen`.
         addr: SocketAddr,
         /// The operating system's error.
         source: io::Error,
@@ -31,7 +31,7 @@
     /// The instance can't be reached, or did not respond in time.
     #[error("{addr}: {source}")]
     Unreachable {
-        /// The requested address.
+        /// The address at which the status was requested.
         addr: SocketAddr,
         /// The operating system's error.
         source: io::Error,
--- a/sessions/src/frames.rs
+++ b/sessions/src/frames.rs
@@ -33,7 +33,8 @@
     Accepted {
         /// The newest incarnation of the connecting instance that the responder knows.
         incarnation: u64,
-        /// The newest commit of that incarnation that the responder has stored; 0 if none.
+        /// The number of the newest commit of incarnation `incarnation` that the responder has stored; 0 if
+        /// none.
         last_seq: u64,
     },
     /// The connecting instance's commits are rejected.
--- a/sessions/src/journal/checkpoint.rs
+++ b/sessions/src/journal/checkpoint.rs
@@ -6,7 +6,7 @@
 pub struct Checkpoint<'a> {
     /// The number of the instance that owns the journal.
     pub instance: u64,
-    /// The instance's incarnation.
+    /// The current incarnation of the instance that owns the journal.
     pub incarnation: u64,
     /// Sessions and the times of their commits, oldest first.
     pub entries: &'a [(SessionKey, Time)],
--- a/sessions/src/journal/error.rs
+++ b/sessions/src/journal/error.rs
@@ -9,7 +9,7 @@
     /// The folder, or a file in it, can't be read or written.
     #[error("{}: {source}; check that the folder exists and is writable", .folder.display())]
     Folder {
-        /// The journal's folder.
+        /// The folder of the journal.
         folder: PathBuf,
         /// The operating system's error.
         source: io::Error,
@@ -20,7 +20,7 @@
     /// The folder contains another instance's journal.
     #[error("{}: belongs to instance {instance}; give each instance a folder of its own", .path.display())]
     OtherInstance {
-        /// The other instance's journal file.
+        /// The journal file that another instance owns.
         path: PathBuf,
         /// The number of the instance that owns the file.
         instance: u64,
@@ -28,7 +28,7 @@
     /// No new file could be created, and the old files could not be deleted, so a later start would use them.
     #[error("{}: {source}; deleting old files failed: {removal}; delete them manually", .folder.display())]
     StaleFiles {
-        /// The journal's folder.
+        /// The folder of the journal.
         folder: PathBuf,
         /// Why no new file could be created.
         source: io::Error,
--- a/sessions/src/journal/files.rs
+++ b/sessions/src/journal/files.rs
@@ -26,7 +26,8 @@
     Ok(listed)
 }
 
-/// Reads the journal file that a start would use, without changing anything; `None` if the folder has none.
+/// Reads the journal file that a start would use, and changes no file; `None` if the folder has no journal
+/// file.
 ///
 /// # Errors
 /// If the folder or the file can't be read.
--- a/sessions/src/journal/folder.rs
+++ b/sessions/src/journal/folder.rs
@@ -17,12 +17,12 @@
     TornTail {
         /// Length of the tail in bytes.
         bytes: usize,
-        /// The journal file.
+        /// Path of the journal file that was cut off.
         path: PathBuf,
     },
     /// The file can't be used and was renamed.
     Rejected {
-        /// The journal file.
+        /// Path of the journal file before it was renamed.
         path: PathBuf,
         /// Why the file can't be used.
         fault: JournalFault,
--- a/sessions/src/machine/event.rs
+++ b/sessions/src/machine/event.rs
@@ -21,7 +21,7 @@
 pub enum Event {
     /// A write of a named session was committed by a server.
     Commit {
-        /// Identifies the write.
+        /// Identifies the write when it is acknowledged or fails.
         ack: PendingAck,
         /// The session that wrote.
         session: SessionKey,
@@ -60,7 +60,7 @@
         peer: Instance,
         /// The newest incarnation of this instance that the peer knows.
         incarnation: u64,
-        /// The newest commit of that incarnation that the peer has stored; 0 if none.
+        /// The number of the newest commit of incarnation `incarnation` that the peer has stored; 0 if none.
         last_seq: u64,
     },
     /// A peer rejected this instance's commits.
@@ -107,7 +107,7 @@
     PushReceived {
         /// The peer's instance number.
         peer: Instance,
-        /// The received push.
+        /// The push that the peer sent.
         push: Push,
     },
     /// The connection on which a peer sends its commits has ended.
@@ -124,7 +124,7 @@
 pub enum Action {
     /// Append a commit to the journal.
     AppendCommit {
-        /// The commit's number.
+        /// The number of the appended commit.
         seq: u64,
         /// The session that wrote.
         session: SessionKey,
@@ -156,7 +156,8 @@
         peer: Instance,
         /// The connecting instance's incarnation.
         incarnation: u64,
-        /// The newest commit of that incarnation that is stored here; 0 if none.
+        /// The number of the newest commit of incarnation `incarnation` that this instance has stored; 0 if
+        /// none.
         last_seq: u64,
     },
     /// Reject an instance's connection for its commits.
@@ -187,18 +188,18 @@
     },
     /// Acknowledge a write to its client.
     Acknowledge {
-        /// Identifies the write.
+        /// Identifies the write that is acknowledged.
         ack: PendingAck,
     },
     /// Report a write's outcome as uncertain: it was committed, but must not be acknowledged.
     Fail {
-        /// Identifies the write.
+        /// Identifies the write whose outcome is uncertain.
         ack: PendingAck,
     },
     /// Continue with a higher incarnation, because peers know an earlier start of this instance with an
     /// incarnation above the current one.
     AdoptIncarnation {
-        /// The new incarnation.
+        /// The higher incarnation to continue with.
         incarnation: u64,
     },
     /// A newer start of this instance is running, so this one must not serve named sessions.
--- a/sessions/src/machine/state.rs
+++ b/sessions/src/machine/state.rs
@@ -11,9 +11,9 @@
 /// Settings of the state machine.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This instance's number.
+    /// The number of this instance among its peers.
     pub instance: Instance,
-    /// This start's incarnation; increases with each start.
+    /// Incarnation of this start of the instance; increases with each start.
     pub incarnation: u64,
     /// Duration of a lease for its holder, in microseconds.
     pub lease: Micros,
@@ -114,7 +114,7 @@
         self.pending_acks.len()
     }
 
-    /// This start's incarnation.
+    /// The incarnation of this start of the instance.
     pub fn incarnation(&self) -> u64 {
         self.settings.incarnation
     }
--- a/sessions/tests/clocks.rs
+++ b/sessions/tests/clocks.rs
@@ -37,7 +37,8 @@
     assert!(clocks.commit_upper_bound(at, Time(10 * S + 1000)) >= Time(12 * S + 1000));
     assert!(clocks.commit_upper_bound(at, Time(10 * S + 1000)) <= Time(12 * S + 3000));
     assert!(clocks.latest_commit_bound(Time(10 * S + 1000)) >= Some(Time(12 * S + 50_000)));
-    // A server without a sample may differ from the other servers by the configured skew.
+    // The clock of a server without a sample may differ from those of the sampled servers by the configured
+    // skew.
     assert!(clocks.commit_upper_bound(other, Time(10 * S + 1000)) >= Time(12 * S + 50_000));
     // If health checks do not return the server's clock, only the skew is added.
     assert_eq!(ServerClocks::new(false, 50_000).latest_commit_bound(Time(S)), Some(Time(S + 50_000)));
--- a/sessions/tests/session_keys.rs
+++ b/sessions/tests/session_keys.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn session_keys_are_the_published_hash() {
-    // The XXH3 hash of empty input is taken from its specification; the other keys must match those that
+    // The XXH3 hash of empty input is taken from its specification; the session keys must match those that
     // other instances have stored.
     assert_eq!(xxh3_64(b""), 0x2d06_8005_38d3_94c2);
     assert_eq!(SessionKey::named(GroupId(0), ""), SessionKey(xxh3_64(&[0; 5])));
--- a/simulator/src/fault.rs
+++ b/simulator/src/fault.rs
@@ -30,7 +30,7 @@
     10.0
 }
 
-/// Kind of fault.
+/// Kind of a fault of the simulated fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
@@ -52,7 +52,7 @@
     Gray,
     /// Nodes execute writes, and apply replicated commits, slower by the factor in the fault's severity.
     SlowDisk,
-    /// A network partition separates one zone from the others.
+    /// A network partition separates one zone from all other zones.
     Partition,
     /// The registry delivers no changes to the routers.
     RegistryOutage,
--- a/simulator/src/results.rs
+++ b/simulator/src/results.rs
@@ -62,13 +62,13 @@
 /// Latencies of the requests of a class, in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Latency {
-    /// Median latency.
+    /// Median latency of the class's requests.
     pub p50: u64,
     /// 90th percentile of the latency.
     pub p90: u64,
     /// 99th percentile of the latency.
     pub p99: u64,
-    /// Longest latency.
+    /// Longest latency of the class's requests.
     pub max: u64,
 }
 
--- a/soak/src/environment/clients/event_loop.rs
+++ b/soak/src/environment/clients/event_loop.rs
@@ -88,7 +88,7 @@
 struct Client {
     connection: Option<Connection>,
     next_action_at: Micros,
-    /// The client's session.
+    /// The number of the client's session.
     session: u64,
     lifetime: Lifetime,
     /// The router that the client connects to next.
--- a/soak/src/environment/clock.rs
+++ b/soak/src/environment/clock.rs
@@ -19,7 +19,7 @@
 }
 
 impl RunClock {
-    /// Starts the clocks.
+    /// Starts the clocks of a run.
     pub fn start() -> RunClock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let steps = vec![WallClockStep { from: 0, offset: 0 }];
--- a/soak/src/environment/discovery.rs
+++ b/soak/src/environment/discovery.rs
@@ -28,7 +28,7 @@
 /// A fault of an agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AgentFault {
-    /// The agent works.
+    /// The agent works without a fault.
     #[default]
     None,
     /// Connections opened before this time stay open, but receive nothing.
@@ -44,7 +44,7 @@
 pub enum EndpointState {
     /// The server serves requests.
     InService,
-    /// The server drains.
+    /// The server is draining before it terminates.
     Terminating,
     /// The server has terminated.
     Terminated,
@@ -64,13 +64,13 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The server's index.
+    /// The index of the listed server in the run.
     pub server: usize,
     /// The server's id in the list.
     pub id: String,
     /// The server's replication group.
     pub group: usize,
-    /// The server's state.
+    /// The state that the list shows for the server.
     pub state: EndpointState,
     /// Whether the list shows the server as a primary.
     pub primary: bool,
--- a/soak/src/environment/link.rs
+++ b/soak/src/environment/link.rs
@@ -5,9 +5,9 @@
 /// Identifies the link between a router and a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkId {
-    /// The router's index.
+    /// The index of the router on the link.
     pub router: usize,
-    /// The server's index.
+    /// The index of the server on the link.
     pub server: usize,
 }
 
--- a/soak/src/environment/servers/event_loop.rs
+++ b/soak/src/environment/servers/event_loop.rs
@@ -38,7 +38,7 @@
 /// The `PostgreSQL` error code for a server at its capacity.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// A timer event.
+/// An event that is due at a set time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum TimerEvent {
     /// A request has finished executing.
@@ -50,7 +50,7 @@
     },
     /// A connection is checked for messages again.
     CheckMessages {
-        /// The connection's token.
+        /// The token of the connection that is checked.
         token: usize,
     },
 }
--- a/soak/src/environment/servers/state.rs
+++ b/soak/src/environment/servers/state.rs
@@ -40,7 +40,7 @@
     pub primary: bool,
     /// Whether the server process is running.
     pub alive: bool,
-    /// The server's faults.
+    /// The faults that the server currently has.
     pub faults: ServerFaults,
     /// When the server was last a primary.
     last_primary_at: Option<Micros>,
@@ -78,8 +78,8 @@
         self.last_primary_at.is_some_and(|at| now - at < DEMOTION_GRACE)
     }
 
-    /// Whether the server's process has crashed since the given time, so that the connections and requests of
-    /// that time are lost.
+    /// Whether the server's process has crashed since the given time, so that the connections and requests
+    /// that it had at that time are lost.
     pub(super) fn has_crashed_since(&self, at: Micros) -> bool {
         at < self.last_crash_at
     }
--- a/soak/src/environment/servers/statement.rs
+++ b/soak/src/environment/servers/statement.rs
@@ -12,7 +12,7 @@
     Empty,
     /// The query for the server's load report.
     Stats,
-    /// A client's request.
+    /// A request that a client of the run sent, with its id.
     Request(RequestStatement),
     /// A request without an id.
     WithoutId,
--- a/soak/src/environment/wire.rs
+++ b/soak/src/environment/wire.rs
@@ -26,9 +26,9 @@
 
 /// The fields of an error message.
 pub mod error_fields {
-    /// The error's severity.
+    /// The field for the error's severity.
     pub const SEVERITY: char = 'S';
-    /// The error's code.
+    /// The field for the error's code.
     pub const CODE: char = 'C';
 }
 
@@ -48,10 +48,10 @@
 /// The number of bytes before the value in a row with one column.
 const ROW_HEAD_BYTES: usize = 6;
 
-/// A received message.
+/// A message received on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The message's tag.
+    /// The tag, which identifies the type of the message.
     pub tag: u8,
     /// The bytes after the length field.
     pub body: Vec<u8>,
@@ -66,7 +66,7 @@
     ((body.len() + LENGTH_BYTES) as u32).to_be_bytes()
 }
 
-/// Encodes a query.
+/// Encodes the message that sends a query.
 pub fn query_message(statement: &str) -> Vec<u8> {
     encode_message(tag::QUERY, format!("{statement}\0").as_bytes())
 }
--- a/soak/src/error.rs
+++ b/soak/src/error.rs
@@ -20,7 +20,7 @@
 /// A router that was not ready within the timeout.
 #[derive(Clone, Debug)]
 pub struct UnreadyRouter {
-    /// The router's index.
+    /// The index of the router that was not ready.
     pub router: usize,
     /// The router's address for clients.
     pub listen: std::net::SocketAddr,
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -43,7 +43,7 @@
     /// The number of earlier requests on the connection. For `serve`: 1 if the connection was idle before the
     /// request, else 0.
     pub sequence: usize,
-    /// The request's class.
+    /// The class of the request.
     pub class: Class,
     /// The request's replication group.
     pub group: usize,
@@ -53,7 +53,7 @@
     pub timeout: Micros,
     /// The commit time that a session read must see.
     pub required_commit: Option<Micros>,
-    /// The request's outcome.
+    /// The outcome of the request at the client.
     pub outcome: Outcome,
     /// When the outcome was recorded.
     pub ended_at: Micros,
@@ -64,7 +64,7 @@
 /// An attempt of a request, as a server and its link observed it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request's id.
+    /// The id of the request that the attempt belongs to.
     pub id: u64,
     /// The router that sent the attempt.
     pub router: usize,
@@ -100,7 +100,7 @@
 /// A period in which a router did not serve.
 #[derive(Clone, Copy, Debug)]
 pub struct Absence {
-    /// The router's index.
+    /// The index of the router that did not serve.
     pub router: usize,
     /// The reason for the absence.
     pub reason: AbsenceReason,
@@ -113,7 +113,7 @@
 /// A server that must receive no new requests because it drains or is in maintenance.
 #[derive(Clone, Copy, Debug)]
 pub struct Withdrawal {
-    /// The server's index.
+    /// The index of the withdrawn server.
     pub server: usize,
     /// The router at which an operator withdrew the server; `None` if the endpoint list withdrew it for all
     /// routers.
@@ -127,7 +127,7 @@
 /// The start of a server process.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerStart {
-    /// The server's index.
+    /// The index of the server that started.
     pub server: usize,
     /// When the server process started.
     pub at: Micros,
@@ -136,7 +136,7 @@
 /// A period in which a router's discovery agent sent no changes, or sent them late.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryOutage {
-    /// The router's index.
+    /// The index of the router whose discovery agent had the outage.
     pub router: usize,
     /// The start of the outage.
     pub from: Micros,
@@ -147,7 +147,7 @@
 /// The resource usage of a router process at one time.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// The router's index.
+    /// The index of the sampled router.
     pub router: usize,
     /// When the sample was taken.
     pub at: Micros,
@@ -188,7 +188,7 @@
     },
     /// The response's value belongs to another request.
     Mismatched {
-        /// The request's id.
+        /// The id of the request that received the response.
         request: u64,
         /// The value in the response.
         value: String,
@@ -211,7 +211,7 @@
 /// A router process that crashed or did not start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouterFailure {
-    /// The router's index.
+    /// The index of the router whose process failed.
     pub router: usize,
     /// Lines of the router's log, or the error of the operating system.
     pub detail: String,
@@ -226,7 +226,7 @@
 /// The router's own counter of one violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvariantViolations {
-    /// The router's index.
+    /// The index of the router that counted the violations.
     pub router: usize,
     /// The invariant's name on `/metrics`.
     pub invariant: String,
@@ -237,7 +237,7 @@
 /// A read in a session (`serve`).
 #[derive(Clone, Debug)]
 pub struct SessionRead {
-    /// The session's name.
+    /// The name of the session that read.
     pub session: String,
     /// The number of the session's last write that was confirmed before the read was sent.
     pub confirmed: u64,
@@ -250,7 +250,7 @@
 /// The writes of a session that the servers executed (`serve`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionWrites {
-    /// The session's name.
+    /// The name of the session that wrote.
     pub session: String,
     /// The numbers of the writes, in commit order.
     pub numbers: Vec<u64>,
@@ -270,13 +270,13 @@
 /// The records of one run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// The clients' requests.
+    /// The requests that the clients sent.
     pub requests: Vec<Request>,
     /// The attempts that reached the servers.
     pub attempts: Vec<Attempt>,
     /// Periods in which routers did not serve.
     pub absences: Vec<Absence>,
-    /// Withdrawals of servers.
+    /// Periods in which servers must receive no new requests.
     pub withdrawals: Vec<Withdrawal>,
     /// Starts of server processes.
     pub server_starts: Vec<ServerStart>,
@@ -309,7 +309,7 @@
 pub struct Recorder(Arc<Mutex<History>>);
 
 impl Recorder {
-    /// Locks the history.
+    /// Locks the history of the run for reading or recording.
     pub fn lock(&self) -> MutexGuard<'_, History> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/soak/src/oracle/promise.rs
+++ b/soak/src/oracle/promise.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// A broken promise.
+/// A breach of a promise in a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
     /// The promise that was broken.
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -24,7 +24,7 @@
     Serve,
 }
 
-/// A run's configuration.
+/// The configuration of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Plan {
--- a/soak/src/platform/faults.rs
+++ b/soak/src/platform/faults.rs
@@ -14,7 +14,7 @@
 
 /// How long after the end of a discovery fault a router may still not know a change.
 const OUTAGE_AFTER_FAULT: Micros = 6 * SECOND;
-/// How long a router may not know a change after a new configuration has switched it to the other address of
+/// How long a router may not know a change after a new configuration has switched it to the next address of
 /// its discovery agent.
 const OUTAGE_AFTER_ADDRESS_CHANGE: Micros = 4 * SECOND;
 /// The delay between the start of a server process and the updated start time in the endpoint list.
@@ -322,7 +322,7 @@
     }
 
     /// Writes a configuration and sends SIGHUP. Valid and invalid configurations alternate; each valid one
-    /// names the other address of the router's discovery agent, and the last one is valid.
+    /// names the next address of the router's discovery agent, and the last configuration is valid.
     fn reload(&mut self, reload_round: u8, fault: &PlannedFault, schedule: &mut Schedule) -> io::Result<()> {
         let (router, now) = (fault.router, self.clock.now());
         let is_valid = !reload_round.is_multiple_of(2);
--- a/soak/src/platform/schedule.rs
+++ b/soak/src/platform/schedule.rs
@@ -5,9 +5,9 @@
 /// A step of the schedule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Step {
-    /// Starts a fault.
+    /// Starts a planned fault.
     Begin(PlannedFault),
-    /// Ends a fault.
+    /// Ends a planned fault.
     End(PlannedFault),
     /// Applies a delayed effect of a fault.
     DelayedEffect(DelayedEffect, PlannedFault),
--- a/soak/src/platform/settings.rs
+++ b/soak/src/platform/settings.rs
@@ -22,7 +22,7 @@
 
 /// The parts of a router's configuration that depend on the run or on the router.
 pub struct RouterSettings {
-    /// The router's index.
+    /// The index of the configured router.
     pub router: usize,
     /// The router's address for clients.
     pub listen: SocketAddr,
--- a/soak/src/serve/run.rs
+++ b/soak/src/serve/run.rs
@@ -42,9 +42,9 @@
 /// An edge of a fault: its start or its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Edge {
-    /// The fault starts.
+    /// The start of the fault.
     Begin,
-    /// The fault ends.
+    /// The end of the fault.
     End,
 }
 
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Makes the next change of the store at the next node in turn, unless that node is absent.
+    /// Changes the store at the node whose turn it is, unless that node is absent.
     fn change_store(&mut self) {
         let node = self.store.next_node();
         let is_present = !self.routers[node].instance.is_absent();
--- a/soak/src/serve/settings.rs
+++ b/soak/src/serve/settings.rs
@@ -55,7 +55,7 @@
 /// A server in a router's configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedServer {
-    /// The server's id.
+    /// The id of the server in the configuration.
     pub id: String,
     /// The address of the router's proxy in front of the server.
     pub address: SocketAddr,
--- a/soak/tests/plans.rs
+++ b/soak/tests/plans.rs
@@ -187,7 +187,7 @@
     let plan = read("short_platform.toml");
     let drawn = draw(&plan, 1, &[]);
     let mut trials = 0;
-    // Only the third and the last fault together cause the breach.
+    // The breach needs the third and the last of the drawn faults together.
     let needed = [drawn[2], drawn[drawn.len() - 1]];
     let still_breaks = |remaining: &[PlannedFault], promise| {
         assert_eq!(promise, soak::oracle::Promise::Lost);
--- a/soak/tests/records/mod.rs
+++ b/soak/tests/records/mod.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Returns the executed attempt of that write at a server.
+/// Returns the attempt in which a server executed the write with this id.
 pub(crate) fn attempt(id: u64, server: usize) -> Attempt {
     Attempt {
         id,
--- a/test-servers/src/proxy.rs
+++ b/test-servers/src/proxy.rs
@@ -102,13 +102,13 @@
             // With a linger time of zero, closing the socket sends a reset.
             _ = SockRef::from(&link.client).set_linger(Some(Duration::ZERO));
             _ = link.target.shutdown(Shutdown::Both);
-            // The forwarding threads own the other handles to the client's socket, which closes when they
-            // drop them.
+            // The forwarding threads own the remaining handles to the client's socket, which closes when they
+            // drop these handles.
             _ = link.client.shutdown(Shutdown::Read);
         });
     }
 
-    /// Closes the direction to the client on every connection; the other direction stays open.
+    /// Closes the direction to the client on every connection; the direction to the target stays open.
     pub fn half_close(&self) {
         self.shared.take_links(|link| _ = link.client.shutdown(Shutdown::Write));
     }
--- a/test-servers/src/udp.rs
+++ b/test-servers/src/udp.rs
@@ -70,7 +70,7 @@
         lock(&self.state).target = Some(target.into());
     }
 
-    /// Updates the faults.
+    /// Updates the faults that the proxy injects.
     pub fn update_faults(&self, update: impl FnOnce(&mut UdpFaults)) {
         update(&mut lock(&self.state).faults);
     }
--- a/test-servers/tests/udp.rs
+++ b/test-servers/tests/udp.rs
@@ -18,7 +18,8 @@
     sender.send_to(b"lost", proxy.addr).expect("datagram is sent");
     let other_sender = UdpSocket::bind("127.0.0.1:0").expect("other sender");
     other_sender.send_to(b"other", proxy.addr).expect("datagram is sent");
-    // The datagram of the other sender is received; the earlier datagram of the cut sender is lost.
+    // The datagram of `other_sender` is received; the earlier datagram of `sender`, which is cut off, is
+    // lost.
     assert_eq!(receiver.recv(&mut bytes).expect("other sender's datagram"), 5);
     assert_eq!(proxy.counts().lost, 1);
 }
