--- a/discovery/tests/liveness_outages/agent.rs
+++ b/discovery/tests/liveness_outages/agent.rs
@@ -45,7 +45,7 @@
     stage: Stage,
     /// The start of this stage; reset at the end of an outage, so that the stage's delay starts again.
     stage_since: u64,
-    /// The index of the current outage of its address, if it affects this connection.
+    /// The index of the current outage of the connection's address, if the outage affects this connection.
     current_outage: Option<usize>,
     is_dead: bool,
 }
@@ -148,7 +148,8 @@
             // The recovered agent does not know a connection that was never established.
             (Stage::Connecting, _) if outage.kind == OutageKind::Unreachable => self.is_dead = true,
             (_, ConnectionFate::Silent | ConnectionFate::Reset) => self.is_dead = true,
-            // Only if the silence makes the watch stale: after a shorter one, a loss could not be detected.
+            // Changes are lost only if the silence makes the watch stale: after a shorter silence, a loss
+            // could not be detected.
             (Stage::Watching { version: before, .. }, ConnectionFate::LosesChanges)
                 if outage.to - outage.from >= input.stale_after =>
             {
--- a/membership/src/handle.rs
+++ b/membership/src/handle.rs
@@ -63,7 +63,7 @@
             return Err(Error::InvalidAddress(config.listen));
         }
         let socket = UdpSocket::bind(config.listen).map_err(bind_failed)?;
-        // If this fails, the buffer is smaller and datagrams are lost sooner.
+        // If the size can't be set, the buffer is smaller and datagrams are lost sooner.
         _ = socket2::SockRef::from(&socket).set_recv_buffer_size(SOCKET_BUFFER_BYTES);
         let SocketAddr::V4(addr) = socket.local_addr().map_err(bind_failed)? else {
             return Err(Error::InvalidAddress(config.listen));
@@ -84,7 +84,7 @@
         Ok(Membership { name: config.name.into(), addr, commands, published, waker: Arc::new(waker) })
     }
 
-    /// This router's name.
+    /// The name of this router in the fleet.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -94,7 +94,7 @@
         self.addr
     }
 
-    /// All live members: this router first, the others ordered by name.
+    /// All live members: this router first, the remaining members ordered by name.
     pub fn members(&self) -> Vec<Member> {
         Published::lock(&self.published).members.clone()
     }
--- a/membership/src/settings.rs
+++ b/membership/src/settings.rs
@@ -19,12 +19,12 @@
     pub suspicion_timeout: Duration,
     /// Interval between gossip rounds, in addition to the gossip on probes, while there are updates to send.
     pub gossip_interval: Duration,
-    /// Number of members that one gossip round sends to.
+    /// Number of members that a router sends gossip to in one round.
     pub gossip_fanout: usize,
     /// How often one router sends the same update.
     pub max_transmissions: u8,
-    /// Interval between page requests. Each reads one page of another member's list, which repairs updates
-    /// that gossip lost.
+    /// Interval between page requests. Each request reads one page of another member's list, which repairs
+    /// updates that gossip lost.
     pub list_sync_interval: Duration,
     /// Interval between join requests to a seed that is not a live member, while other members are known.
     pub seed_contact_interval: Duration,
--- a/quotas/src/allocator/report.rs
+++ b/quotas/src/allocator/report.rs
@@ -12,7 +12,7 @@
 /// How the sender of a report relates to the allocator's records.
 #[derive(Clone, Copy)]
 enum Sender {
-    /// There is no record of this router.
+    /// The allocator has no record of the router that sent the report.
     New,
     /// The record at this index is of the same incarnation.
     Known(usize),
@@ -97,8 +97,8 @@
             }
             Sender::New => (self.add_router(&report), false),
         };
-        // After the quiet period a report of grants from a router without a record was delayed: the grants
-        // have expired.
+        // If a router without a record reports grants after the quiet period, the report was delayed and the
+        // grants have expired.
         let skips_quiet_period = self.settings.injected_fault == InjectedFault::SkipQuietPeriod;
         let accepts_held = has_record || in_quiet_period || skips_quiet_period;
         let reset = self.update_held(record_index, report.held, accepts_held);
@@ -209,7 +209,8 @@
         }
     }
 
-    /// Whether all routers have acknowledged shares of the present version, and may hold no others.
+    /// Whether all routers have acknowledged shares of the present version, and may hold no shares of other
+    /// versions.
     fn all_hold_this_version(&self) -> bool {
         self.routers.iter().flatten().all(|router| router.holds_only(self.version))
     }
--- a/quotas/src/messages.rs
+++ b/quotas/src/messages.rs
@@ -1,20 +1,20 @@
 //! The messages of an exchange between a router and the leader.
 //!
-//! They are encoded in the postcard format, which contains no names of types or fields: the order and kind of
-//! fields and variants must not change. Tenants are identified by name because their indices differ between
-//! versions of the configuration.
+//! The messages are encoded in the postcard format, which contains no names of types or fields: the order and
+//! kind of fields and variants must not change. Tenants are identified by name because their indices
+//! differ between versions of the configuration.
 use crate::grant::Grant;
 use serde::{Deserialize, Serialize};
 use settings::fleet::Version;
 
-/// The reserved shares of a router: one equal part of every tenant's quota. A grant by demand replaces it for
-/// its tenant.
+/// The reserved shares of a router: one equal part of every tenant's quota. A grant by demand replaces the
+/// reserved share of its tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReservedShare {
     /// The index of the equal part, from 0 to below the fleet's number of routers.
     pub index: u32,
-    /// Whether the shares are the full shares of the present version. Otherwise each is the smaller of that
-    /// and what the router held before.
+    /// Whether the reserved shares are the full shares of the present version. Otherwise each share is the
+    /// smaller of the full share and the share that the router held before.
     pub full: bool,
 }
 
--- a/registry/src/etcd.rs
+++ b/registry/src/etcd.rs
@@ -30,11 +30,11 @@
     pub revision: Revision,
 }
 
-/// One page of a paged read.
+/// A page of keys, from a read in several pages.
 struct Page {
     cluster_revision: ClusterRevision,
     items: Vec<Item>,
-    /// More keys follow after the last one of this page.
+    /// Whether the registry has more keys after the last key of this page.
     has_more: bool,
 }
 
@@ -134,7 +134,7 @@
     }
 
     /// Reads the page that starts at the key `from`: at the revision of the first page, or at the newest
-    /// revision if it is the first.
+    /// revision if the page is the first one.
     fn read_page(
         &mut self,
         prefix: &str,
--- a/registry/src/fleet/node.rs
+++ b/registry/src/fleet/node.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Accepts requests.
+    /// The node accepts requests.
     InService,
     /// Completes its requests and gets no new ones.
     Draining,
@@ -45,7 +45,7 @@
     /// Whether the node accepts new requests.
     #[serde(default = "default_state")]
     pub state: State,
-    /// Its capacity relative to other nodes; positive.
+    /// The node's capacity relative to other nodes; positive.
     #[serde(default = "default_weight")]
     pub weight: f64,
     /// The name of its zone.
--- a/registry/src/tls.rs
+++ b/registry/src/tls.rs
@@ -49,7 +49,7 @@
         source: rustls::pki_types::pem::Error,
     },
     /// The client certificate and the private key do not match.
-    #[error("{path}: does not match the certificate: {source}; give the key of the certificate")]
+    #[error("{path}: the private key does not match the client certificate: {source}; give the matching key")]
     Pair {
         /// The path of the key file.
         path: String,
@@ -117,7 +117,7 @@
     /// Loads the files.
     ///
     /// # Errors
-    /// If one of them is unreadable or invalid.
+    /// If one of the files is unreadable or invalid.
     pub fn new(files: RegistryTls) -> Result<Tls, TlsError> {
         let modified = modification_times(&files);
         let loaded = LoadedConfig { modified, config: Arc::new(read_config(&files)?) };
@@ -130,7 +130,8 @@
         let mut loaded = self.loaded.lock().unwrap_or_else(PoisonError::into_inner);
         let modified = modification_times(&self.files);
         if loaded.modified != modified {
-            // Also set if the files turn out to be invalid, so that each change is logged once.
+            // The modification times are also stored if the files turn out to be invalid, so that each change
+            // is logged once.
             loaded.modified = modified;
             match read_config(&self.files) {
                 Ok(config) => {
--- a/soak/src/draw.rs
+++ b/soak/src/draw.rs
@@ -60,13 +60,14 @@
 const MAX_FAULT_OVERRUN_MS: u64 = 1500;
 /// The faults of a cluster start within this time of each other.
 const CLUSTER_SPREAD_MS: u64 = 1000;
-/// On average, one in this many faults is applied to a router and a server other than those of its cluster.
+/// On average, one in this many faults is applied to a router and a server other than those of the fault's
+/// cluster.
 const OTHER_TARGET_ONE_IN: u8 = 4;
 /// The possible steps of a wall clock, in seconds.
 const CLOCK_STEPS: [i64; 4] = [-3600, -5, 5, 3600];
 
 /// Returns the faults listed in the plan or, if there are none, faults generated from the seed; usually two
-/// or three of those overlap. If `only` is not empty, only these kinds are drawn.
+/// or three generated faults overlap. If `only` is not empty, only these kinds are drawn.
 pub fn draw(plan: &Plan, seed: u64, only: &[FaultKind]) -> Vec<PlannedFault> {
     if !plan.faults.is_empty() {
         return plan.faults.clone();
--- a/soak/src/environment/servers/event_loop.rs
+++ b/soak/src/environment/servers/event_loop.rs
@@ -38,7 +38,7 @@
 /// The `PostgreSQL` error code for a server at its capacity.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// A timer event.
+/// An event that is due at a set time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum TimerEvent {
     /// A request has finished executing.
@@ -50,7 +50,7 @@
     },
     /// A connection is checked for messages again.
     CheckMessages {
-        /// The connection's token.
+        /// The token of the connection that is checked.
         token: usize,
     },
 }
@@ -294,8 +294,8 @@
         let attempt = &mut history.attempts[index];
         let server = &mut state.servers[attempt.server];
         server.end_request();
-        // A server process that has crashed since then did not execute the request, and a server cancels a
-        // request whose connection is closed.
+        // A server process that crashed after the request's arrival did not execute the request, and a server
+        // cancels a request whose connection is closed.
         if !server.alive || attempt.reached_at.is_some_and(|at| server.has_crashed_since(at)) {
             return None;
         }
