--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -11,12 +11,12 @@
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Bound on reported positions, in seconds from zero. A position beyond it cannot come from a clock and is
-/// ignored.
+/// The largest absolute value of a replication position in a member's report, in seconds. A larger value
+/// cannot come from a clock and is ignored.
 const MAX_POSITION_S: f64 = 1e11;
 
-/// The largest valid `mark` of a response, which encodes 4 * position in milliseconds + role. It limits
-/// positions to the same range as [`MAX_POSITION_S`].
+/// The largest valid `mark` of a response, which encodes 4 * replication position in milliseconds + role.
+/// This limits positions to the same range as [`MAX_POSITION_S`].
 const MAX_MARK: u64 = 400_000_000_000_000;
 
 /// A request that the router may still name in actions, or whose attempts are still in flight.
@@ -154,7 +154,7 @@
         id
     }
 
-    fn entry(&mut self, v: &Value) -> Result<MemberEntry, Error> {
+    fn member_entry(&mut self, v: &Value) -> Result<MemberEntry, Error> {
         let state = match unsigned_integer(v, "status")? {
             0 => MemberState::Removed,
             1 => MemberState::Ready,
@@ -173,8 +173,9 @@
         })
     }
 
-    /// The report in `telemetry`: `x0` is the member's position in seconds, `x1` is 1 for the primary.
-    fn report(&self, body: &Value) -> MemberReport {
+    /// Reads a member's report from `telemetry`: `x0` is the replication position in seconds, `x1` is 1 for
+    /// the primary.
+    fn member_report(&self, body: &Value) -> MemberReport {
         let value = |name: &str| body.get("telemetry").and_then(|t| t.get(name)).and_then(Value::as_f64);
         MemberReport {
             primary: value("x1").map(|x| x == 1.0),
@@ -205,7 +206,7 @@
                 let rows = lists.get(&slot).ok_or_else(|| {
                     Error::invalid_value("slot", "the slot of an earlier list", format_args!("list {slot}"))
                 })?;
-                let entries = rows.iter().map(|r| self.entry(r)).collect::<Result<Vec<_>, _>>()?;
+                let entries = rows.iter().map(|r| self.member_entry(r)).collect::<Result<Vec<_>, _>>()?;
                 Event::MemberListChanged { complete: scope != 1, entries }
             }
             "ACCEPT" => self.request_arrived(now, body)?,
@@ -221,7 +222,7 @@
             "WAKE" => Event::TimerExpired,
             "PING_RESULT" => {
                 let outcome = outcome_from_code(unsigned_integer(body, "ending")?)?;
-                let report = self.report(body);
+                let report = self.member_report(body);
                 match self.member_ids.get(string(body, "member")?) {
                     Some(&member) => Event::ProbeEnded { member, outcome, report },
                     None => return Ok(None),
@@ -271,7 +272,7 @@
         let outcome = outcome_from_code(unsigned_integer(body, "ending")?)?;
         let attempt = unsigned_integer(body, "attempt")? as u32;
         let ended = boolean(body, "over")?;
-        let report = self.report(body);
+        let report = self.member_report(body);
         let (name, member) = (string(body, "req")?, string(body, "member")?);
         let (Some(&request), Some(&member)) = (self.request_ids.get(name), self.member_ids.get(member))
         else {
@@ -317,6 +318,7 @@
         Ok(())
     }
 
+    /// Marks the request as ended; it is removed when none of its attempts is in flight any more.
     fn finish(&mut self, id: RequestId) {
         if let Some(tracked) = self.requests.get_mut(&id) {
             tracked.ended = true;
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -4,7 +4,7 @@
 
 use std::io::{self, BufRead, Write};
 
-/// A fault that ends the adapter. Lines are counted from 1.
+/// An error that ends the adapter. Lines are counted from 1.
 #[derive(Debug, thiserror::Error)]
 enum Error {
     #[error("line {line} cannot be read: {source}")]
--- a/adapter/tests/sites.rs
+++ b/adapter/tests/sites.rs
@@ -136,7 +136,7 @@
                         other => panic!("{name}: {other}"),
                     }
                 }
-                // A periodic timer ends with the round.
+                // The router keeps requesting wake-ups, so the round ends 150 ms after its start.
                 commands =
                     if now_ms < time_ms + 150.0 { adapter.batch(now_ms, json!(events)) } else { Vec::new() };
             }
--- a/settings/src/limits/bounds.rs
+++ b/settings/src/limits/bounds.rs
@@ -270,7 +270,8 @@
             // `max_unchecked_idle_time` ensures that each is checked before use.
             backend_idle_timeout: backend_keepalive.mul_f64(0.5).max(Duration::from_millis(50)),
             max_unchecked_idle_time: backend_keepalive.mul_f64(0.5).min(Duration::from_millis(1500)),
-            // The check takes one of the round trips that have to fit into the connect timeout.
+            // The check of an idle connection takes one round trip, one of several that have to fit into the
+            // connect timeout.
             backend_check_timeout: (connect_timeout * 4 / 25).max(Duration::from_millis(40)),
             client_startup_timeout: Duration::from_millis(1500),
             client_startup_timeout_when_full: Duration::from_millis(100),
@@ -297,7 +298,8 @@
             drain_read_timeout: Duration::from_millis(1500),
             draining_first_request_timeout: Duration::from_millis(300),
             client_linger_timeout: Duration::from_millis(300),
-            // More than the longest client message; a client that sends more is closed without further delay.
+            // More than the longest client message; a connection on which more bytes are received is closed
+            // without further delay.
             max_client_linger_bytes: 256 * 1024,
             max_admin_connections: 32,
             max_admin_line_bytes: 1024,
--- a/settings/src/limits/watch.rs
+++ b/settings/src/limits/watch.rs
@@ -24,21 +24,21 @@
         delay: Duration,
         /// The time after which discovery counts the change as notified.
         deadline: Duration,
-        /// The time that has to remain after the change was received.
+        /// The minimum time between the receipt of the change and `deadline`.
         margin: Duration,
     },
     /// A change may be received too late after the address of discovery changed.
     #[error(
-        "after the address of discovery changed, a change would be received after up to {delay:?}, later than \
-         watch_previous_address_duration ({overlap:?}) less the margin of {margin:?}: shorten watch_backoff, \
-         watch_connect_timeout or watch_first_line_timeout"
+        "after the address of discovery changed, a change would be received after up to {delay:?}, later \
+         than watch_previous_address_duration ({overlap:?}) less the margin of {margin:?}: shorten \
+         watch_backoff, watch_connect_timeout or watch_first_line_timeout"
     )]
     MoveDetectedLate {
         /// The longest time until the change is received.
         delay: Duration,
         /// How long the previous address is watched in parallel.
         overlap: Duration,
-        /// The time that has to remain after the change was received.
+        /// The minimum time between the receipt of the change and the end of `overlap`.
         margin: Duration,
     },
     /// A watch would count as silent before discovery sends its next empty line.
@@ -54,8 +54,9 @@
     },
     /// A new watch may be closed in favour of newer ones before its first line was due.
     #[error(
-        "a new watch could be closed in favour of others after {evicted_after:?}, before watch_connect_timeout \
-         and watch_first_line_timeout ({timeout:?}) have expired: raise max_pending_watches or watch_backoff"
+        "a new watch could be closed in favour of others after {evicted_after:?}, before \
+         watch_connect_timeout and watch_first_line_timeout ({timeout:?}) have expired: raise \
+         max_pending_watches or watch_backoff"
     )]
     PendingWatchEvictedEarly {
         /// The time after which a new watch may be closed.
@@ -66,8 +67,8 @@
 }
 
 impl Limits {
-    /// Returns the longest time that a new watch may take to connect and receive its first line. It is not
-    /// closed in favour of others before.
+    /// Returns the longest time that a new watch may take to connect and receive its first line. The
+    /// watch is not closed in favour of newer ones before this time has passed.
     pub fn new_watch_timeout(&self) -> Duration {
         self.watch_connect_timeout + self.watch_first_line_timeout
     }
--- a/settings/src/operator/mysql/bounds.rs
+++ b/settings/src/operator/mysql/bounds.rs
@@ -47,8 +47,8 @@
     limits.client_idle_timeout = CLIENT_IDLE_TIMEOUT;
     limits.client_idle_timeout_when_crowded = CLIENT_IDLE_TIMEOUT;
     limits.client_first_request_timeout = CLIENT_IDLE_TIMEOUT;
-    // `MySQL` backend connections are not checked before use: a stale one must not occupy a connection slot
-    // of a server.
+    // `MySQL` backend connections are closed once they have been idle for so long that they would need a
+    // check before use: a stale connection must not occupy a connection slot of a server.
     limits.backend_idle_timeout = limits.max_unchecked_idle_time;
     let clock_skew_ms = value_or(v, "clock_skew_ms", 50.0, positive_number)?.min(MAX_CONNECT_AND_SKEW_MS);
     limits.max_clock_skew = Duration::from_secs_f64(clock_skew_ms / 1000.0);
@@ -74,8 +74,8 @@
         // A lagging replica responds with stale data, so reads are routed only to replicas that are known to
         // be fresh enough.
         lagging_replica: LaggingReplica::AnswersStale,
-        // Each request carries the commits that its session must see: they may come from another router
-        // instance, or from before a restart.
+        // Each request carries the commits that its session must see: these commits may come from another
+        // router instance, or from before a restart.
         session_commit_source: SessionCommitSource::CarriedByRequest,
         hedging_allowed: true,
         max_attempts: 6,
--- a/settings/src/operator/registry.rs
+++ b/settings/src/operator/registry.rs
@@ -89,8 +89,8 @@
     pub mass_removal_share: f64,
     /// How long nodes stay listed after a mass removal.
     pub mass_removal_delay: Duration,
-    /// A registry whose revision stays lower than an earlier one for this long is treated as restored from a
-    /// backup.
+    /// A registry whose revision stays lower than one that was read earlier, for this long, is treated as
+    /// restored from a backup.
     pub restore_detection_delay: Duration,
     /// Folder in which the latest node list is stored, for a start while the registry is unavailable.
     pub list_folder: Option<String>,
--- a/settings/src/operator/reload.rs
+++ b/settings/src/operator/reload.rs
@@ -44,8 +44,8 @@
     let (old_sessions, new_sessions) =
         (table(&start.parsed_file, "sessions"), table(&new.parsed_file, "sessions"));
     restart.extend(changed_session_keys(old_sessions, new_sessions));
-    // If the file changes the instance number or the cluster, its peers are not used: this process still
-    // has the old values.
+    // If the file changes the instance number or the cluster, the peers in the file are not used, since this
+    // process still runs with the old instance number and cluster.
     let is_unchanged = |key: &str| old_sessions.get(key) == new_sessions.get(key);
     let session_peers = new
         .sessions
--- a/settings/tests/customers.rs
+++ b/settings/tests/customers.rs
@@ -7,22 +7,24 @@
 use settings::start::{PlatformConfig, read};
 use std::time::Duration;
 
-/// Returns a class with its entries in the lists of freshness keywords and staleness limits; `at` varies its
-/// settings.
-fn class(name: String, at: u64) -> (Value, Value, Value) {
+/// Returns a class with its entries in the lists of freshness keywords and staleness limits; `seed` varies
+/// the settings.
+fn class(name: String, seed: u64) -> (Value, Value, Value) {
     let words = ["mutate", "strong", "causal", "lag_bound", "eventual"];
     let effects = ["read_like", "non_idempotent", "idempotency_key"];
     let groups = ["cell", "all", "zone"];
-    let class = json!({"name": name, "semantics": effects[at as usize % 3], "group": groups[at as usize / 3 % 3],
-        "repeatWindowMs": 10 * at, "deadlineMs": 20 + at, "objectiveMs": 10 + at % 7, "worth": 1 + at % 5,
-        "lateWorth": (at % 3) as f64 / 2.0});
-    (class, json!(words[at as usize % 5]), json!(100 + at))
+    let class = json!({"name": name, "semantics": effects[seed as usize % 3],
+        "group": groups[seed as usize / 3 % 3],
+        "repeatWindowMs": 10 * seed, "deadlineMs": 20 + seed, "objectiveMs": 10 + seed % 7,
+        "worth": 1 + seed % 5,
+        "lateWorth": (seed % 3) as f64 / 2.0});
+    (class, json!(words[seed as usize % 5]), json!(100 + seed))
 }
 
 /// Returns a platform configuration with these classes and zones.
 fn config(classes: &[(Value, Value, Value)], zones: &[String], zone: u32) -> Value {
     let column =
-        |at: fn(&(Value, Value, Value)) -> &Value| Value::Array(classes.iter().map(at).cloned().collect());
+        |get: fn(&(Value, Value, Value)) -> &Value| Value::Array(classes.iter().map(get).cloned().collect());
     json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f",
         "known": {"version": 1, "full": true, "servers": []},
         "limits": {"memory_mb": 192, "sockets": 256},
@@ -34,16 +36,17 @@
             "contract": {"drainGraceMs": 250.0, "coldFrom": 0.15, "coldMs": 18000.0, "overloadFactor": 2.5,
                 "tipAfterMs": 1000.0},
             "tenants": [{"name": "t", "quotaRps": 5.0, "share": 1.0}], "prices": {"probe": 0.03},
-            "failureDomains": zones, "membershipMode": "automatic", "replicasOfMe": 3, "roundMs": 5.0, "zone": zone}})
+            "failureDomains": zones, "membershipMode": "automatic", "replicasOfMe": 3, "roundMs": 5.0,
+            "zone": zone}})
 }
 
-fn start(config: &Value) -> Result<PlatformConfig, Error> {
+fn read_config(config: &Value) -> Result<PlatformConfig, Error> {
     read(&config.to_string(), &|_| None)
 }
 
 /// Returns the settings of a class, without its name, as text.
-fn class_settings(start: &PlatformConfig, at: usize) -> String {
-    format!("{:?}", start.settings.classes[at])
+fn class_settings(start: &PlatformConfig, index: usize) -> String {
+    format!("{:?}", start.settings.classes[index])
 }
 
 /// Generates distinct names with arbitrary printable characters.
@@ -52,13 +55,13 @@
 }
 
 /// Collects JSON pointers to the value and all values nested in it.
-fn pointers(v: &Value, at: String, all: &mut Vec<String>) {
+fn pointers(v: &Value, pointer: String, all: &mut Vec<String>) {
     match v {
-        Value::Object(o) => o.iter().for_each(|(k, v)| pointers(v, format!("{at}/{k}"), all)),
-        Value::Array(a) => a.iter().enumerate().for_each(|(k, v)| pointers(v, format!("{at}/{k}"), all)),
+        Value::Object(o) => o.iter().for_each(|(k, v)| pointers(v, format!("{pointer}/{k}"), all)),
+        Value::Array(a) => a.iter().enumerate().for_each(|(k, v)| pointers(v, format!("{pointer}/{k}"), all)),
         _ => {}
     }
-    all.push(at);
+    all.push(pointer);
 }
 
 fn arbitrary_value() -> impl Strategy<Value = Value> {
@@ -84,24 +87,26 @@
 proptest! {
     #[test]
     fn class_names_and_order_do_not_change_settings(
-        (names, others) in distinct_names(70).prop_flat_map(|n| {
-            let others = distinct_names(2 * n.len().max(1) + 70);
-            (Just(n), others)
+        (names, new_names) in distinct_names(70).prop_flat_map(|n| {
+            let new_names = distinct_names(2 * n.len().max(1) + 70);
+            (Just(n), new_names)
         }),
         seed in any::<u64>(),
         order in any::<u64>(),
     ) {
-        let class_of = |name: &String, i: usize| class(name.clone(), seed.wrapping_add(i as u64 * 7919) % 100_000);
+        let class_of =
+            |name: &String, i: usize| class(name.clone(), seed.wrapping_add(i as u64 * 7919) % 100_000);
         let classes: Vec<_> = names.iter().enumerate().map(|(i, n)| class_of(n, i)).collect();
         let zones = vec!["a".to_string(), "b".to_string()];
-        let original = start(&config(&classes, &zones, 1)).unwrap();
+        let original = read_config(&config(&classes, &zones, 1)).unwrap();
         prop_assert_eq!(&original.names.classes, &names);
         // Renaming the classes does not change their settings.
         let renamed: Vec<_> = names.iter().enumerate().map(|(i, _)| {
-            let name = others.get(i).cloned().unwrap_or_else(|| format!("class {i} without a drawn name"));
+            let name =
+                new_names.get(i).cloned().unwrap_or_else(|| format!("class {i} without a generated name"));
             class_of(&name, i)
         }).collect();
-        let renamed_start = start(&config(&renamed, &zones, 1)).unwrap();
+        let renamed_start = read_config(&config(&renamed, &zones, 1)).unwrap();
         for i in 0..names.len() {
             prop_assert_eq!(class_settings(&original, i), class_settings(&renamed_start, i));
         }
@@ -109,7 +114,7 @@
         let mut new_order: Vec<usize> = (0..names.len()).collect();
         new_order.sort_by_key(|i| (*i as u64).wrapping_mul(order | 1).rotate_left(17));
         let reordered: Vec<_> = new_order.iter().map(|i| classes[*i].clone()).collect();
-        let reordered_start = start(&config(&reordered, &zones, 1)).unwrap();
+        let reordered_start = read_config(&config(&reordered, &zones, 1)).unwrap();
         for (at, i) in new_order.iter().enumerate() {
             prop_assert_eq!(class_settings(&reordered_start, at), class_settings(&original, *i));
             prop_assert_eq!(&reordered_start.names.classes[at], &names[*i]);
@@ -125,12 +130,12 @@
         zone in prop_oneof![0u32..14, any::<u32>()],
     ) {
         let classes = [class("only".into(), 4)];
-        let read = start(&config(&classes, &zones, zone)).unwrap();
+        let read = read_config(&config(&classes, &zones, zone)).unwrap();
         prop_assert_eq!(&read.names.zones, &zones);
         // Zones that only the endpoint list names are numbered after the configured ones, so this router is
         // in none of them.
-        let own = if (zone as usize) < zones.len() { zone } else { u32::MAX };
-        prop_assert_eq!(read.settings.zone, own);
+        let own_zone = if (zone as usize) < zones.len() { zone } else { u32::MAX };
+        prop_assert_eq!(read.settings.zone, own_zone);
     }
 
     #[test]
@@ -145,7 +150,7 @@
         let pointer = pointer.get(&all);
         let mut changed = valid.clone();
         *changed.pointer_mut(pointer).unwrap() = value;
-        match start(&changed) {
+        match read_config(&changed) {
             Ok(read) => {
                 // Accepted durations are small enough that sums and small multiples of them do not overflow.
                 let s = &read.settings;
@@ -153,7 +158,9 @@
                 for c in &s.classes {
                     let bound = match c.freshness { Freshness::Bounded(b) => b, _ => 0 };
                     let window = match c.idempotency {
-                        Idempotency::DeduplicatedInGroup(w) | Idempotency::DeduplicatedEverywhere(w) | Idempotency::DeduplicatedInZone(w) => w,
+                        Idempotency::DeduplicatedInGroup(w)
+                        | Idempotency::DeduplicatedEverywhere(w)
+                        | Idempotency::DeduplicatedInZone(w) => w,
                         Idempotency::Idempotent | Idempotency::NotIdempotent => 0,
                     };
                     for time in [c.latency_objective, c.deadline, bound, window] {
@@ -161,12 +168,17 @@
                     }
                     prop_assert!(c.priority_weight >= 0.0 && c.late_weight_share >= 0.0);
                 }
-                for time in [s.min_event_interval, s.connect_timeout, s.drain_grace, s.slow_start_duration, s.overload_duration] {
+                for time in [
+                    s.min_event_interval, s.connect_timeout, s.drain_grace, s.slow_start_duration,
+                    s.overload_duration
+                ] {
                     prop_assert!((0..=max_micros).contains(&time));
                 }
                 prop_assert!(s.connect_timeout > 0 && s.max_attempts > 0 && s.router_count > 0);
                 prop_assert_eq!(read.names.classes.len(), s.classes.len());
-                prop_assert!(read.limits.max_client_connections > 0 && read.limits.max_backend_connections > 0);
+                prop_assert!(
+                    read.limits.max_client_connections > 0 && read.limits.max_backend_connections > 0
+                );
                 prop_assert!(read.limits.max_unchecked_idle_time <= read.limits.backend_idle_timeout);
             }
             Err(e) => {
@@ -185,7 +197,7 @@
     for keepalive_ms in [0, 1, 20, 99, 100, 3000, 30_000, 60_000] {
         let mut c = config(&[class("only".into(), 4)], &["a".into()], 0);
         c["settings"]["limits"]["keepaliveMs"] = json!(keepalive_ms);
-        let limits = start(&c).unwrap().limits;
+        let limits = read_config(&c).unwrap().limits;
         assert!(
             limits.max_unchecked_idle_time <= Duration::from_millis(keepalive_ms) / 2,
             "{keepalive_ms} ms: {limits:?}"
@@ -199,7 +211,7 @@
     for (dial_ms, check_ms) in [(150, 40), (250, 40), (600, 96), (3000, 480)] {
         let mut c = config(&[class("only".into(), 4)], &["a".into()], 0);
         c["settings"]["limits"]["dialTimeoutMs"] = json!(dial_ms);
-        let limits = start(&c).unwrap().limits;
+        let limits = read_config(&c).unwrap().limits;
         assert_eq!(limits.backend_check_timeout, Duration::from_millis(check_ms), "{dial_ms} ms to connect");
         assert_eq!(limits.backend_connect_timeout, Duration::from_millis(dial_ms));
     }
--- a/settings/tests/limits.rs
+++ b/settings/tests/limits.rs
@@ -19,7 +19,7 @@
 fn watch_limits_leave_one_second_of_the_notification_deadline() {
     let limits = limits();
     assert_eq!(limits.check_watch(), Ok(()));
-    // Silence timeout, longest backoff, connect timeout and first-line timeout.
+    // The sum of silence timeout, longest backoff, connect timeout and first-line timeout.
     assert_eq!(limits.max_delay_after_silence(), ms(2600 + 1000 + 500 + 600));
     assert_eq!(limits.max_delay_after_move(), ms(250 + 500 + 600));
     assert!(
@@ -36,8 +36,8 @@
         ("silent", |l| l.watch_silence_timeout = ms(2901)),
         ("retry", |l| l.watch_backoff.max = ms(1301)),
         ("connect", |l| (l.watch_connect_timeout, l.max_pending_watches) = (ms(801), 16)),
-        ("line after the head", |l| (l.watch_first_line_timeout, l.max_pending_watches) = (ms(901), 16)),
-        ("line before the next watch", |l| l.watch_first_line_timeout = ms(1001)),
+        ("first line after head", |l| (l.watch_first_line_timeout, l.max_pending_watches) = (ms(901), 16)),
+        ("first line before the next watch", |l| l.watch_first_line_timeout = ms(1001)),
     ];
     for (limit, set_limit) in detected_late {
         let mut limits = limits();
@@ -91,7 +91,7 @@
         );
         let total =
             |l: &Limits| l.max_client_connections + l.max_backend_connections + l.reserved_descriptors;
-        assert!(total(&limits) <= sockets, "{sockets}: {} are assigned", total(&limits));
+        assert!(total(&limits) <= sockets, "{sockets} descriptors: {} are assigned", total(&limits));
         let (reserved_before, admin_connections_before, clients_before) =
             (limits.reserved_descriptors, limits.max_admin_connections, limits.max_client_connections);
         limits.reserve_admin_descriptors(sockets);
@@ -100,7 +100,7 @@
         assert!(sockets < 256 || limits.max_client_connections == clients_before, "{sockets}: {limits:?}");
         assert!(
             total(&limits) <= sockets,
-            "{sockets} with an admin listener: {} are assigned",
+            "{sockets} descriptors, with an admin listener: {} are assigned",
             total(&limits)
         );
         assert!(
--- a/settings/tests/sites.rs
+++ b/settings/tests/sites.rs
@@ -56,12 +56,12 @@
         let site: Table = site.parse().expect("TOML");
         let settings: Value = serde_json::from_str(settings).expect("JSON");
         assert_eq!(site["name"].as_str(), Some(name));
-        let fam = &site["fam"];
+        let family = &site["fam"];
         let site_classes = site["class"].as_array().expect("classes");
         let found_classes = settings["classes"].as_array().expect("classes");
         assert_eq!(site_classes.len(), found_classes.len(), "{name}");
         for (i, (class, found)) in site_classes.iter().zip(found_classes).enumerate() {
-            let needs = &fam["class"][i];
+            let needs = &family["class"][i];
             assert_eq!(found["name"].as_str(), class["name"].as_str());
             assert_eq!(found["semantics"], platform_keyword(&class["effect"]), "{name}: {i}");
             assert_eq!(settings["extra"]["freshness"][i], platform_keyword(&needs["read"]), "{name}: {i}");
@@ -79,8 +79,8 @@
         }
         let zones = site["net"]["zones"].as_array().expect("zones").iter().map(|z| json!(z.as_str()));
         assert_eq!(settings["failureDomains"], json!(zones.collect::<Vec<_>>()), "{name}");
-        assert_eq!(settings["extra"]["whenBehind"], platform_keyword(&fam["checks"]), "{name}");
-        assert_eq!(settings["extra"]["writeMarks"], platform_keyword(&fam["tokens"]), "{name}");
+        assert_eq!(settings["extra"]["whenBehind"], platform_keyword(&family["checks"]), "{name}");
+        assert_eq!(settings["extra"]["writeMarks"], platform_keyword(&family["tokens"]), "{name}");
         assert_eq!(settings["membershipMode"], platform_keyword(&site["discovery"]["mode"]), "{name}");
         let tier = &site["tier"][0];
         let cold = &tier["kind"][0];
