--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -47,10 +47,10 @@
     #[error("cannot install the signal handlers: {0}")]
     Signals(io::Error),
     /// A thread cannot be started.
-    #[error("{what}: cannot start a thread: {source}; raise the limit of processes of this user")]
+    #[error("{purpose}: cannot start a thread: {source}; raise the limit of processes of this user")]
     Thread {
         /// The purpose of the thread.
-        what: &'static str,
+        purpose: &'static str,
         /// The underlying error.
         source: io::Error,
     },
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -162,7 +162,7 @@
     for (key, value) in &records {
         match audit_record::parse_batch(&value.text) {
             Ok(batch) => batches.push(batch),
-            Err(e) => eprintln!("{key} can't be read and is left out: {e}"),
+            Err(e) => eprintln!("audit record {key} cannot be parsed and is skipped: {e}"),
         }
     }
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as i64;
--- a/src/commands/members.rs
+++ b/src/commands/members.rs
@@ -8,10 +8,10 @@
 
 /// Number of protocol periods for which a router that left or failed still counts; longer than a member that
 /// was wrongly declared dead needs to rejoin.
-const SETTLE_INTERVALS: u32 = 10;
+const SETTLE_PERIODS: u32 = 10;
 /// Number of protocol periods for which startup waits for another router, so that the capacity share already
 /// accounts for the other routers when the first client connects.
-const JOIN_INTERVALS: u32 = 4;
+const JOIN_PERIODS: u32 = 4;
 /// How long a leaving router waits for its leave message to be disseminated; with the default protocol period
 /// that takes a quarter of a second.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -29,17 +29,22 @@
     let settings = live_router_count::Settings {
         fleet_size: router_count,
         min_count: table.min_counted_routers,
-        settle_time: table.protocol_period * SETTLE_INTERVALS,
+        settle_time: table.protocol_period * SETTLE_PERIODS,
         expects_others,
     };
     let changes = members.subscribe()?;
     membership::follow_router_count(&members, settings, on_router_count)?;
     let address = members.addr();
-    tracing::info!(member = table.name, cluster = table.cluster, addr = %address, "cluster membership started");
-    if expects_others && !wait_for_other_router(&changes, table.protocol_period * JOIN_INTERVALS) {
+    tracing::info!(
+        member = table.name,
+        cluster = table.cluster,
+        addr = %address,
+        "cluster membership started"
+    );
+    if expects_others && !wait_for_other_router(&changes, table.protocol_period * JOIN_PERIODS) {
         tracing::warn!(
             router_count,
-            "no other cluster member has responded yet, serving with an equal share"
+            "no other router has responded yet, serving with an equal share of the capacity"
         );
     }
     Ok(members)
--- a/src/commands/platform.rs
+++ b/src/commands/platform.rs
@@ -55,7 +55,7 @@
     let reload = configuration.into_reload(watch);
     signals::handle(signals, stack_bytes, reload, shut_down(admin.clone(), command_sender))?;
     if let Some(admin) = admin {
-        admin.start_sync().map_err(|source| Error::Thread { what: "holds", source })?;
+        admin.start_sync().map_err(|source| Error::Thread { purpose: "holds", source })?;
     }
     router.serve(listener, &commands)
 }
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -173,7 +173,7 @@
         Some(client) => client.in_service_addresses(MAX_CLOCK_SOURCES),
     };
     mysql_wire::clock_sampler::start(protocol, servers, &environment.limits)
-        .map_err(|source| Error::Thread { what: "clocks", source })
+        .map_err(|source| Error::Thread { purpose: "clocks", source })
 }
 
 /// Returns the bound address of the client listener; if port 0 is configured, the system chose the port.
--- a/src/commands/serve/fleet.rs
+++ b/src/commands/serve/fleet.rs
@@ -8,7 +8,7 @@
 use store::Store;
 
 fn thread_error(source: std::io::Error) -> Error {
-    Error::Thread { what: "fleet", source }
+    Error::Thread { purpose: "fleet", source }
 }
 
 /// Joins the fleet. If configured, this node of the store also serves the fleet's routers, and an initial
--- a/src/commands/serve/shutdown.rs
+++ b/src/commands/serve/shutdown.rs
@@ -22,6 +22,6 @@
         client.stop();
     };
     routing::spawn_needed("leaving", stack_bytes, forward)
-        .map_err(|source| Error::Thread { what: "leaving", source })?;
+        .map_err(|source| Error::Thread { purpose: "leaving", source })?;
     Ok(forwarded_commands)
 }
--- a/src/commands/serve/store.rs
+++ b/src/commands/serve/store.rs
@@ -37,7 +37,7 @@
     if let Some(address) = &node.control_address {
         let (listener, address) = bind("store.control", address)?;
         ::store::control::listen(listener, store.clone())
-            .map_err(|source| Error::Thread { what: "store.control", source })?;
+            .map_err(|source| Error::Thread { purpose: "store.control", source })?;
         tracing::info!(addr = %address, "store control listener bound");
     }
     Ok(())
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -87,7 +87,7 @@
         this.state().running = true;
         let reloader = this.clone();
         if let Err(error) = routing::spawn("reload", stack_bytes, move || reloader.run()) {
-            tracing::error!(%error, "cannot start the configuration reload thread, retrying");
+            tracing::error!(%error, "configuration reload thread not started, retrying");
             this.state().running = false;
         }
     }
