--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Waits until the record of the router's current incarnation agrees with its log: the versions that were
-    /// in force, in order, and the time from which each was.
+    /// Waits until the record of the router's current incarnation agrees with the router's log: the versions
+    /// that were in force, in order, and the start time of each.
     fn wait_until_record_matches_log(&mut self, i: usize) {
         let started_at = Instant::now();
         loop {
@@ -153,8 +153,8 @@
                 .filter(|r| r["kind"] == "acting" && Some(&r["start"]) == start.as_ref())
                 .map(|r| (r["version"].as_u64().unwrap(), r["from"].as_f64().unwrap() / 1e6 % 86_400.0))
                 .collect();
-            // Both times are seconds of the day. The router's configured clock offset affects neither its
-            // log's times nor the leader's.
+            // The times of the record and of the log are seconds of the day. The router's configured clock
+            // offset affects neither.
             let matches_log = |((v, at), (w, logged)): (&(u64, f64), &(u64, f64))| {
                 v == w && ((at - logged).abs() < 1.0 || (at - logged).abs() > 86_399.0)
             };
@@ -225,8 +225,8 @@
     let record = installation.wait_for_record(3, &[("acting", first_version), ("silent", first_version)]);
     assert!(record["rows"][1]["from"].as_i64().unwrap() > record["rows"][0]["from"].as_i64().unwrap());
     let before = installation.writes();
-    // Sent while the router is stopped. It reads them when it resumes, possibly before it receives anything
-    // from the leader.
+    // These writes are sent while the router is stopped. The router reads them when it resumes, possibly
+    // before it receives anything from the leader.
     let start_write = |mut conn: Conn| std::thread::spawn(move || write(&mut conn, "tills"));
     let pending_writes: Vec<_> = idle_clients.into_iter().map(start_write).collect();
     installation.program(3).signal(Signal::SIGCONT);
@@ -247,7 +247,7 @@
         ],
     );
     assert!(record["rows"][3]["epoch"].as_u64() >= Some(1 << 32));
-    // The router logs the same epoch.
+    // The router's log has the same epoch as the audit record.
     installation
         .program(3)
         .wait_for_log(&format!("it is shut out under epoch {}", record["rows"][3]["epoch"]));
@@ -308,8 +308,8 @@
         let mut conn = installation.connect(i);
         write_until_served(&mut conn, "all");
         assert!(write(&mut conn, "tills").is_err());
-        // The router may have been silent while there was no leader; either way it went from the first
-        // version to the second.
+        // Each router's record goes from the first version to the second, with or without a silent interval
+        // while there was no leader.
         let started_at = Instant::now();
         loop {
             let record = installation.audit(i).0;
@@ -384,7 +384,7 @@
             fleet::wire::Response::Report { .. } => {}
             unexpected => panic!("{unexpected:?}"),
         }
-        // About the interval at which a router sends reports.
+        // A router sends reports at about this interval.
         std::thread::sleep(Duration::from_millis(50));
     };
     assert!(refetch_count == 3 && epoch >= 1 << 32, "{refetch_count}");
--- a/tests/command.rs
+++ b/tests/command.rs
@@ -81,7 +81,7 @@
     assert_eq!(line["level"], "INFO");
     assert_eq!((&line["message"], &line["name"]), (&"client listener bound".into(), &"mysql".into()));
     assert!(line["addr"].as_str().unwrap().starts_with("127.0.0.1:"));
-    // At level `warn` that line is not written; the program serves nevertheless.
+    // At level `warn` the line `client listener bound` is not written, but the program serves clients.
     let address = common::environment::unused_addresses(1)[0];
     let text = MINIMAL_CONFIG.replace("127.0.0.1:0", &address.to_string());
     let path = folder.write("it.toml", &format!("{text}[log]\nlevel = 'warn'\n"));
--- a/tests/common/discovery.rs
+++ b/tests/common/discovery.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::time::Duration;
 
-/// A discovery service that accepts watches and sends each the lines that the test passes to it.
+/// A discovery service that accepts watches and sends the lines that the test passes to each watch.
 pub(crate) struct Discovery {
     pub(crate) addr: SocketAddr,
     /// For each watch, the index that it requested and the sender of its lines. Dropping the sender ends the
--- a/tests/common/instances.rs
+++ b/tests/common/instances.rs
@@ -12,24 +12,25 @@
 /// Where instances store session positions besides memory.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Persistence {
-    /// In the journal on disk and at peers.
+    /// Positions are stored in the journal on disk and at peers.
     DiskAndPeers,
-    /// Only at peers.
+    /// Positions are stored only at peers.
     Peers,
-    /// Only in the journal on disk.
+    /// Positions are stored only in the journal on disk.
     Disk,
-    /// Nowhere; after a start, a floor position is required of reads whose session position is not known.
+    /// Positions are not stored; after a start, reads whose session position is not known require a floor
+    /// position.
     FloorOnly,
-    /// Nowhere, and without a floor: positions are lost when the process ends.
+    /// Positions are not stored and there is no floor: they are lost when the process ends.
     None,
 }
 
 /// Further keys for an instance's configuration file.
 #[derive(Clone, Default)]
 pub(crate) struct ExtraKeys {
-    /// For the `[mysql]` table.
+    /// Keys of the `[mysql]` table.
     pub(crate) mysql: String,
-    /// For the `[sessions]` table.
+    /// Keys of the `[sessions]` table.
     pub(crate) sessions: String,
 }
 
--- a/tests/common/program.rs
+++ b/tests/common/program.rs
@@ -51,7 +51,7 @@
         Program { child, log, lines: Vec::new() }
     }
 
-    /// Waits for a log line that contains this text; returns at once if an earlier line does.
+    /// Waits for a log line that contains this text; returns at once if the log already has such a line.
     pub(crate) fn wait_for_log(&mut self, text: &str) -> String {
         if let Some(line) = self.lines.iter().find(|l| l.contains(text)) {
             return line.clone();
--- a/tests/common/restart_loop.rs
+++ b/tests/common/restart_loop.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// A connection to the instance that listened on this port when it was opened.
+/// A connection, and the port at which its instance listened when the connection was opened.
 struct OpenConnection {
     port: u16,
     client: Conn,
@@ -101,7 +101,7 @@
     }
 
     /// Connects to the chosen instance unless there is a connection to its current process; returns whether
-    /// there is one now.
+    /// the connection is open.
     fn connected(&mut self) -> bool {
         let port = self.ports[self.instance].load(Ordering::Relaxed);
         let connection = &mut self.connections[self.instance];
@@ -118,8 +118,7 @@
         is_open
     }
 
-    /// Writes the item if this is its first statement, else reads it; returns whether the statement
-    /// succeeded.
+    /// Writes the item in step 0, and reads it in each later step; returns whether the statement succeeded.
     fn send_statement(&mut self, item: u64, step: usize) -> bool {
         let result = if step == 0 { self.write(item) } else { self.read() };
         if result.is_err() {
--- a/tests/common/scripted_instance.rs
+++ b/tests/common/scripted_instance.rs
@@ -51,12 +51,12 @@
     pub(crate) name: &'static str,
     pub(crate) behavior: Arc<Mutex<Behavior>>,
     pub(crate) executed: Arc<Mutex<Vec<String>>>,
-    /// Sends each statement to the test when it is received.
+    /// Passes each received statement to the test.
     pub(crate) executed_sender: Sender<String>,
     pub(crate) connections: Arc<AtomicU32>,
     /// Number of probes received.
     pub(crate) probes: Arc<AtomicU32>,
-    /// Replication lag that it reports to probes, in milliseconds.
+    /// Replication lag that the instance reports to probes, in milliseconds.
     pub(crate) lag_ms: Arc<AtomicU32>,
     /// Whether to close each connection after one response.
     pub(crate) closes_after_response: Arc<AtomicBool>,
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -77,7 +77,7 @@
     folder: TestFolder,
     discovery: ScriptedDiscovery,
     first_watch: Option<TcpStream>,
-    /// When the list was sent on the first watch.
+    /// Time at which the list was sent on the first watch.
     list_sent_at: Instant,
     router: Program,
     addr: SocketAddr,
@@ -160,7 +160,7 @@
         for (n, socket) in listener.incoming().enumerate() {
             let mut socket = socket.unwrap();
             _ = socket.read(&mut [0; 1024]);
-            // The first watch gets a list and then nothing; the three after it get no response at all.
+            // The first watch gets a list and then nothing; the next three watches get no response at all.
             if !(1..4).contains(&n) {
                 let list = format!("{{\n \"version\": {},\n \"full\": true,\n \"servers\": []\n}}\n", 50 + n);
                 _ = write!(socket, "{RESPONSE_HEAD}{:x}\r\n{list}\r\n", list.len());
@@ -222,8 +222,8 @@
     let update = setup.drain_update(51);
     write_chunk(setup.first_watch(), &update[..update.len() / 2]);
     reset(setup.first_watch.take().unwrap());
-    // The same with a reset after the response's head, after the first byte of the line, and before its last
-    // two bytes.
+    // The next watches are reset after the response's head, after the first byte of the update, and before
+    // the last two bytes of the update.
     for length in [0, 1, update.len() - 2] {
         let (index, socket) = setup.discovery.next_watch();
         assert_eq!(index, "50", "an incomplete update must not be applied");
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -22,13 +22,14 @@
 
 /// Memory limit in the router's configuration, in MiB.
 const MEMORY_LIMIT_MIB: u64 = 192;
-/// Maximum response time for another client: the request's deadline, and a margin for a busy machine.
+/// Maximum response time for a client outside the flood: the request's deadline plus a margin for a busy
+/// machine.
 const MAX_RESPONSE_TIME: Duration = Duration::from_secs(4);
 /// Number of bytes that one flooding client sends.
 const FLOOD_BYTES: usize = 60 << 20;
 
 /// Held by each test, so that only one flood runs at a time: response times to other clients are measured
-/// during it.
+/// during the flood.
 static FLOOD_LOCK: Mutex<()> = Mutex::new(());
 
 struct Setup {
@@ -121,7 +122,8 @@
             while responses == 0 || !ended.load(Ordering::SeqCst) {
                 let (sent_at, sql) = (Instant::now(), select(&format!("other{responses}"), 1900));
                 let response = query(&socket, &sql).or_else(|_| {
-                    // A router may close a connection between requests; the client retries once on a new one.
+                    // A router may close a connection between requests; the client retries once on a new
+                    // connection.
                     socket = connect(addr)?;
                     query(&socket, &sql)
                 });
@@ -215,7 +217,8 @@
 /// Sends `head`, then `piece` repeatedly until `FLOOD_BYTES` are sent or the router closes the connection.
 fn send_flood(addr: SocketAddr, head: &[u8], piece: &[u8]) {
     let Ok(mut socket) = TcpStream::connect(addr) else { return };
-    // The router may stop reading from a client long before it has sent everything; the client then gives up.
+    // The router may stop reading long before the client has sent everything; the write then times out, which
+    // ends the flood.
     socket.set_write_timeout(Some(Duration::from_secs(8))).unwrap();
     let pieces = piece.repeat((1 << 16) / piece.len() + 1);
     let mut sent = 0;
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -29,12 +29,13 @@
 }
 
 impl Setup {
-    /// Starts a router with these instances. Without any, requests wait until a list with a first one is sent.
+    /// Starts a router with these instances. If there are none, requests wait until `send_list` adds one.
     fn start(initial_list: Vec<Value>) -> Setup {
         Setup::start_with_probes(initial_list, true)
     }
 
-    /// As `start`. Without probes, every connection to an instance is for a request.
+    /// Starts a router with these instances, with or without probes. Without probes, every connection to an
+    /// instance is for a request.
     fn start_with_probes(initial_list: Vec<Value>, probes: bool) -> Setup {
         let discovery = Discovery::start();
         let folder = TestFolder::new();
@@ -128,7 +129,7 @@
         disconnect(client);
         setup.wait_for_disconnect(1);
         setup.send_list(std::slice::from_ref(&entry));
-        // The request's id can be used again.
+        // The id of the disconnected client's request can be used again.
         Client::connect(setup.addr).query_until_served_by(&insert("w1", 7900), "primary");
         assert!(!setup.was_attempt_started(0));
     }
@@ -364,7 +365,8 @@
         client.send(&insert(&format!("w{n}"), 7900));
         setup.wait_for_request(n);
     }
-    // The writer has the first request and 63 are queued behind it; the queue has space for one of these two.
+    // The writer has the first request and 63 are queued behind it; the queue has space for one of the next
+    // two.
     (&client.0)
         .write_all(&[encode_query(&insert("x1", 7900)), encode_query(&insert("x2", 7900))].concat())
         .unwrap();
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -12,8 +12,8 @@
 use test_servers::replication_group::ReplicationGroup;
 use test_servers::udp::UdpProxy;
 
-/// The protocol period: failure detection takes about 6 periods and the settle time 10. Short enough for a
-/// test, long enough for a busy host.
+/// Failure detection takes about 6 protocol periods, and the settle time is 10. The period is short enough
+/// for a test and long enough for a busy host.
 const PROTOCOL_PERIOD: Duration = Duration::from_millis(200);
 
 struct Routers {
@@ -191,9 +191,9 @@
     }
     assert!(killed_at.elapsed() < Duration::from_secs(15), "{:?}", killed_at.elapsed());
     let four: Vec<usize> = (0..4).collect();
-    let with_four = routers.peak_statements(&four, before + 6);
-    // Eight routers start at the same time: once the last one serves, they all use no more capacity than
-    // before.
+    let peak_with_four = routers.peak_statements(&four, before + 6);
+    // Eight routers start at the same time. Once the last of them serves clients, the twelve routers together
+    // use no more capacity than before.
     (4..12).for_each(|i| routers.start(i));
     (4..12).for_each(|i| routers.wait_until_serving(i));
     let after = routers.peak_statements(&all_routers, 12);
@@ -202,11 +202,11 @@
         let first_line = routers.program(i).wait_for_log("router_count=");
         assert!(first_line.contains(&share_log_text(12)), "{first_line}");
     }
-    eprintln!("statements at once: {before} with 12 routers, {with_four} with 4, {after} with 12 again");
+    eprintln!("statements at once: {before} with 12 routers, {peak_with_four} with 4, {after} with 12 again");
     // Each of the twelve routers raises its estimate by at most one as the blocked statements are served.
     assert!(
-        with_four <= before * 2 && after <= before,
-        "concurrent statements: {before}, {with_four}, {after}"
+        peak_with_four <= before * 2 && after <= before,
+        "concurrent statements: {before}, {peak_with_four}, {after}"
     );
 }
 
@@ -252,7 +252,7 @@
         std::thread::park_timeout(PROTOCOL_PERIOD / 4);
     }
     (0..5).for_each(|i| assert_eq!(routers.find_log_line(i, "membership changed change=Down("), None));
-    // Control: with its incoming path cut for all senders, the router has to be declared down.
+    // Cross-check: a router whose incoming path is cut for all senders has to be declared down.
     routers.proxies[2].update_faults(|f| f.cut = true);
     routers.program(0).wait_for_log("membership changed change=Down(Member { name: \"r2\"");
 }
@@ -271,7 +271,8 @@
     (0..8).for_each(|i| _ = routers.program(i).wait_for_next_log(&share_log_text(4)));
     routers.proxies.iter().for_each(|w| w.update_faults(|f| f.cut_from.clear()));
     (0..8).for_each(|i| _ = routers.program(i).wait_for_next_log(&share_log_text(8)));
-    // Below the minimum of four counted routers the share does not grow: a router alone takes a quarter.
+    // At least four routers are counted, so a router that sees no other router uses a quarter of the
+    // capacity.
     routers.proxies[0].update_faults(|f| f.cut = true);
     (1..8).for_each(|i| routers.proxies[i].update_faults(|f| f.cut_from = vec![listen_addresses[0].into()]));
     routers.program(0).wait_for_next_log(&share_log_text(4));
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -432,8 +432,8 @@
     let mut client = setup.client();
     setup.replica.0.state.lock().unwrap().lag_ms = 60_000;
     client.query_drop("INSERT INTO basket VALUES (1)").unwrap();
-    // The replica's heartbeat is older than the commit, so the read goes to the primary. Another session has
-    // no commit.
+    // The replica's heartbeat is older than the commit, so the read goes to the primary. A session without
+    // commits reads from the replica.
     assert_eq!(client.query_first::<String, _>("SELECT who FROM basket").unwrap().unwrap(), "primary");
     assert_eq!(
         setup.client().query_first::<String, _>("SELECT who FROM basket").unwrap().unwrap(),
@@ -476,7 +476,7 @@
     ] {
         assert_eq!(code(client.query_drop(sql).unwrap_err()), (1235, "42000".into()), "{sql}");
     }
-    // Settings that every connection has anyway are accepted, and keywords in quoted text are ignored.
+    // SET is accepted if every connection already has the value, and keywords in quoted text are ignored.
     client.query_drop("SET NAMES utf8mb4").unwrap();
     client.query_drop("INSERT INTO notes VALUES ('SET @a := 1 /* c=any-read */ ?')").unwrap();
     assert_eq!(code(client.query_drop("").unwrap_err()).0, 1065);
@@ -584,7 +584,7 @@
         let bytes = packets(0, &[&[&[24][..], &id, &[0, 0], part].concat()]);
         bytes.chunks(3).for_each(|c| (&raw_client.0).write_all(c).unwrap());
     }
-    // With a cursor: the columns at once, the rows when they are fetched.
+    // With a cursor, the response to the execution has the columns, and each fetch returns rows.
     let execute = [&[23][..], &id, &[1, 1, 0, 0, 0, 0, 1, 0xfc, 0]].concat();
     let head = raw_client.exchange(&execute, 3);
     assert_eq!(head[2], [0xfe, 0, 0, 66, 0]);
@@ -594,7 +594,7 @@
     assert_eq!(raw_client.exchange(&fetch(2), 2)[1], [0xfe, 0, 0, 130, 0]);
     assert_eq!(raw_client.exchange(&[&[26][..], &id].concat(), 1)[0][0], 0);
     assert_eq!(raw_client.error(&fetch(1)), 1421);
-    // Parameter types that were never sent, unknown statement ids, unsupported commands.
+    // Missing parameter types, unknown statement ids and unsupported commands are rejected.
     assert_eq!(raw_client.error(&[&[23][..], &id, &[0, 1, 0, 0, 0]].concat()), 1210);
     assert_eq!(raw_client.error(&[23, 9, 9, 0, 0, 0, 1, 0, 0, 0]), 1243);
     assert_eq!(raw_client.error(&[23, 9]), 1835);
@@ -709,7 +709,7 @@
     );
     assert_eq!(listed.lines().filter(|l| l.contains("WHERE note = ?")).count(), 1);
 
-    // Replay through the router: only reads, and writes with `--writes`.
+    // A replay through the router sends only reads, and also writes with `--writes`.
     let file = std::fs::read(path).unwrap();
     let copy = setup.folder.path().join("kept.pcap");
     std::fs::write(&copy, &file).unwrap();
@@ -768,8 +768,8 @@
         assert_eq!((code, sorted(&out)), (Some(0), sorted(&expected)), "{log}");
     }
 
-    // A file that is truncated within its last packet: the requests before it are listed, and the message has
-    // the offset.
+    // If the file is truncated within its last packet, the requests before that packet are listed, and the
+    // error message has the offset.
     let truncated = setup.folder.path().join("cut.pcap");
     std::fs::write(&truncated, &file[..file.len() - 5]).unwrap();
     let (code, out, log) = run(&["requests", truncated.to_str().unwrap()]);
--- a/tests/one_fleet.rs
+++ b/tests/one_fleet.rs
@@ -172,8 +172,8 @@
         }
     }
 
-    /// Number of writes executed since `from`; fails if it is more than the quota allows in the time since
-    /// `started_at`.
+    /// Number of writes executed since their count was `from`; fails if the quota allows fewer in the time
+    /// since `started_at`.
     fn assert_within_quota(&self, from: usize, started_at: Instant, rate: f64, burst: u32) -> usize {
         let executed = self.writes() - from;
         let max_writes = rate * started_at.elapsed().as_secs_f64() + f64::from(burst);
@@ -223,7 +223,7 @@
                         }
                         Err(_) => return,
                     }
-                    // Limits the load: a higher one would only take CPU time from the routers.
+                    // The pause limits the load: a higher load would only take CPU time from the routers.
                     std::thread::sleep(Duration::from_millis(1));
                 }
             })
@@ -368,8 +368,8 @@
     installation.program(leader).signal(Signal::SIGSTOP);
     std::thread::sleep(GRANT_LIFETIME);
     installation.assert_within_quota(before, started_at, 200.0, 60);
-    // Another leader issues grants by now. The paused one resumes with grants that it still counts as its
-    // own.
+    // Another leader issues grants by now. When the paused leader resumes, it still has records of the
+    // grants that it issued before.
     installation.wait_for_writes(50);
     installation.program(leader).signal(Signal::SIGCONT);
     installation.write_until_served(leader, "tills");
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -30,7 +30,7 @@
     primary: (ScriptedInstance, Receiver<String>),
     replica: (ScriptedInstance, Receiver<String>),
     folder: TestFolder,
-    /// The address that the processes get as that of discovery.
+    /// Discovery address in the configuration of the processes.
     discovery_addr: SocketAddr,
     /// The value of `limits.sockets`: how many file descriptors a router process may have open.
     socket_limit: u32,
@@ -76,8 +76,8 @@
         command
     }
 
-    /// Starts two processes that serve as one router, each at an address of its own, and waits until each has
-    /// counted the other.
+    /// Starts two processes that serve as one router, each at an address of its own, and waits until each
+    /// process has counted the other one.
     fn start_pair(&self, change: impl Fn(&mut Value)) -> [SeparateRouter; 2] {
         let start = |_| {
             let admin = unused_addresses(1)[0];
@@ -194,7 +194,7 @@
     let executed_count =
         || setup.primary.0.executed.lock().unwrap().len() + setup.replica.0.executed.lock().unwrap().len();
     let executed_before = executed_count();
-    // Rejected at once: 60 ms is less than reads have taken so far.
+    // Reads with a deadline of 60 ms are rejected at once, because reads have taken longer so far.
     for n in 0..3 {
         let response = client.query(&select(&format!("s{n}"), 60));
         assert!(matches!(&response, Response::Error(c, _) if c == "53300"), "{response:?}");
@@ -207,8 +207,8 @@
     // counted as failed.
     let expired = client.query(&select("spent", 0));
     assert!(matches!(&expired, Response::Error(c, _) if c == "53300"), "{expired:?}");
-    // Counted as failed: a write that may have run, or a response that is received after the client's
-    // deadline.
+    // A write that may have run, and a response that is received after the client's deadline, are counted as
+    // failed.
     setup.primary.0.set_behavior(Behavior::Error("XX000"));
     (0..5)
         .for_each(|n| assert!(matches!(client.query(&insert(&format!("e{n}"), 1900)), Response::Error(..))));
@@ -288,7 +288,7 @@
         (connections_before, None),
         "the suspended replica received something"
     );
-    // SUSPEND is idempotent: one RESTORE undoes all of them, and a second RESTORE is rejected.
+    // SUSPEND is idempotent: one RESTORE undoes every SUSPEND, and a second RESTORE is rejected.
     router.assert_accepted("RESTORE replica");
     router.assert_rejected("RESTORE replica");
     // The replica may have been restarted in the meantime. It is treated as cold: it soon gets reads, but
@@ -322,7 +322,8 @@
     router.assert_accepted("SUSPEND primary");
     router.assert_accepted("SUSPEND replica");
     router.wait_for_response("METRICS", "router.cluster_unhealthy=2\n");
-    // No instance can serve the request, and waiting does not change that: it is rejected early.
+    // No instance can serve the request, and waiting does not change that, so the request is
+    // rejected before its deadline.
     for sql in [insert("w1", 1900), select("r1", 1900)] {
         let started = Instant::now();
         let response = client.query(&sql);
@@ -378,7 +379,7 @@
     let new = setup.launch(unused_addresses(1)[0]);
     let started = Instant::now();
     // The replica is suspended and restored repeatedly until the new process is ready, so that the last
-    // SUSPEND comes immediately before that.
+    // SUSPEND is received immediately before the process is ready.
     loop {
         old.assert_accepted("SUSPEND replica");
         if new.run_command("STATUS").starts_with("200") {
@@ -519,7 +520,7 @@
     served: usize,
     rejected: usize,
     failed: usize,
-    /// Sent again, because the connection was closed before the first byte of a response.
+    /// Requests sent again because the connection was closed before the first byte of a response.
     resent: usize,
 }
 
@@ -816,8 +817,8 @@
     routers
         .iter()
         .for_each(|one| Client::connect(one.addr).query_until_served_by(&select("warm", 1900), "replica"));
-    // The replica was restarted 8 s ago and is half warm. The third instance only shows in the metrics that
-    // the update has been applied.
+    // The replica was restarted 8 s ago and is half warm. The third instance is in the update only so that
+    // the metrics show when the update has been applied.
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis() as u64;
     let mut half_warm = setup.replica.0.entry("in_service");
     half_warm["started_ms"] = json!(now - 8000);
@@ -887,17 +888,17 @@
     );
 }
 
-/// The highest number of requests that these routers had accepted at once. Polls the metrics until the number
-/// has reached `least` and has fallen below it again.
-fn peak_current_requests(routers: &[&Router], least: u64) -> u64 {
-    let (started, mut most) = (Instant::now(), 0);
+/// The highest number of requests that these routers had accepted at the same time. Polls the metrics until
+/// the number has reached `min_peak` and has fallen below it again.
+fn peak_current_requests(routers: &[&Router], min_peak: u64) -> u64 {
+    let (started, mut peak) = (Instant::now(), 0);
     loop {
         let current = routers.iter().map(|r| r.metrics()["router.current"]).sum::<u64>();
-        most = most.max(current);
-        if most >= least && current < least {
-            return most;
+        peak = peak.max(current);
+        if peak >= min_peak && current < min_peak {
+            return peak;
         }
-        assert!(started.elapsed() < TIMEOUT, "{most}");
+        assert!(started.elapsed() < TIMEOUT, "{peak}");
     }
 }
 
@@ -940,12 +941,12 @@
     let setup = TestSetup::new();
     let routers = setup.start_pair(|config| config["limits"]["memory_mb"] = json!(16));
     setup.primary.0.set_behavior(Behavior::Silent);
-    // One router may use a quarter of the memory for requests. 17 such statements fit, each of them stored in
-    // the buffer of its connection and in its request.
+    // One router may use a quarter of the memory for requests. 17 such statements fit, because each is stored
+    // twice: in the buffer of its connection and in its request.
     let long = |n: usize| insert(&format!("m{n}"), 1900).replace("x9f", &format!("x{}", "9f".repeat(60_000)));
     let _sockets: Vec<TcpStream> = (0..60).map(|n| connect_and_send(routers[n % 2].addr, &long(n))).collect();
-    let most = peak_current_requests(&routers.each_ref().map(|one| &one.router), 8);
-    assert!(most <= 17, "{most} of 17");
+    let peak = peak_current_requests(&routers.each_ref().map(|one| &one.router), 8);
+    assert!(peak <= 17, "{peak} requests accepted at once, at most 17 allowed");
 }
 
 #[test]
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -466,7 +466,7 @@
         .collect();
     assert!(
         read_message(&many[79].0).is_err(),
-        "an idle connection near the limit is closed to make room for another client"
+        "an idle connection near the limit is closed so that another client can be accepted"
     );
     assert!(started.elapsed().as_millis() < 1500, "{:?}", started.elapsed());
 }
@@ -570,7 +570,7 @@
 }
 
 #[test]
-fn endpoint_lists_of_ten_thousand_and_none_apply_in_time() {
+fn endpoint_lists_with_ten_thousand_and_zero_entries_apply_in_time() {
     let mut setup = TestSetup::start();
     let (client, lines) = setup.connect_with_watch();
     let router = &mut setup.router;
--- a/tests/ready.rs
+++ b/tests/ready.rs
@@ -101,8 +101,8 @@
         (0..30).map(|i| start_router(&folder, &format!("n{i}"), silent_agent.addr, list.clone())).collect();
     let used: Vec<Duration> = routers.iter_mut().map(wait_until_ready).collect();
     let took = started.elapsed();
-    let most = *used.iter().max().unwrap();
-    println!("the last of 30 routers was ready after {took:?}; processor time at most {most:?}");
+    let max_used = *used.iter().max().unwrap();
+    println!("the last of 30 routers was ready after {took:?}; processor time at most {max_used:?}");
     assert!(took < Duration::from_secs(10), "{took:?}");
-    assert!(starts_in_time_on_a_fifth_of_a_core(most), "{most:?} of processor time");
+    assert!(starts_in_time_on_a_fifth_of_a_core(max_used), "{max_used:?} of processor time");
 }
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -155,7 +155,7 @@
 }
 
 /// Asserts that `server` gets no new read from 250 ms after the router has applied a change, while `other`
-/// gets 50. The caller has to generate load.
+/// gets 50 reads. The caller has to generate load.
 fn assert_no_new_reads(setup: &TestSetup, server: usize, other: usize) {
     std::thread::sleep(Duration::from_millis(250));
     let (before, other_before) = (setup.group.counts(server).reads, setup.group.counts(other).reads);
@@ -401,7 +401,7 @@
     setup.registry.update_faults(0, |f| f.down = false);
     router.wait_for_log("endpoints=1 ready=1 ");
     drop(router);
-    // A truncated file is rejected, and the startup continues without it.
+    // A truncated saved list is rejected, and the startup continues without a list.
     std::fs::write(&saved_list, b"DVREGI\x01\nhalf").unwrap();
     let (mut router, _) = setup.start("etcd");
     router.wait_for_log("saved registry list not used");
@@ -484,8 +484,8 @@
     let mut routers = Vec::new();
     for (n, own) in addresses.iter().enumerate() {
         setup.registry_keys = format!("register = 'router-{n}'");
-        // The first two list each other, at addresses at which nothing listens. No router lists the third
-        // one.
+        // The first two routers list each other, at addresses at which nothing listens. No router lists the
+        // third one.
         let peer = |p: usize| format!("[[sessions.peer]]\ninstance = {}\naddr = '{}'\n", p + 1, unbound[p]);
         let peers = if n < 2 { peer(1 - n) } else { peer(0) + &peer(1) };
         setup.extra_sections = format!("[sessions]\ninstance = {}\nlisten = '{own}'\n{peers}\n", n + 1);
@@ -630,7 +630,7 @@
         let key = setup.key(1);
         let started = Instant::now();
         while watch.child.try_wait().unwrap().is_none() {
-            // A change may precede the blocking query that is to see it, so the change is repeated.
+            // A blocking query does not return a change made before it starts, so the change is repeated.
             setup.registry.put(&key, "changed");
             assert!(started.elapsed() < TIMEOUT);
         }
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -11,10 +11,10 @@
 
 const HEARTBEAT: Duration = Duration::from_millis(5);
 /// A lag longer than any test: the replica shows none of the test's writes.
-const FAR_BEHIND: Duration = Duration::from_mins(10);
+const LONG_LAG: Duration = Duration::from_mins(10);
 
 fn lagging_servers(replicas: usize) -> ReplicationGroup {
-    ReplicationGroup::start(&vec![FAR_BEHIND; replicas], HEARTBEAT)
+    ReplicationGroup::start(&vec![LONG_LAG; replicas], HEARTBEAT)
 }
 
 /// Replicas without lag until replication is stopped.
@@ -73,7 +73,7 @@
 
 #[test]
 fn primary_serves_read_when_only_fresh_replica_hangs() {
-    let group = ReplicationGroup::start(&[Duration::ZERO, FAR_BEHIND], HEARTBEAT);
+    let group = ReplicationGroup::start(&[Duration::ZERO, LONG_LAG], HEARTBEAT);
     let mut fleet = Instances::started(1, group, Persistence::Disk);
     write(&mut fleet.client(0), "ann", 1).unwrap();
     fleet.kill(0);
@@ -103,7 +103,7 @@
         loop {
             match read(&mut fleet.client(i), "ann") {
                 Ok(result) => break assert_eq!(result, ReadResult::of(1, "replica-2")),
-                // Rejected until the new primary is known.
+                // The read is rejected until the new primary is known.
                 Err(e) => assert!(started.elapsed() < TIMEOUT, "{e}"),
             }
         }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -331,7 +331,7 @@
     let idle: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(addr).unwrap()).collect();
     let started = Instant::now();
     router.wait_for_log("client connection not accepted");
-    // Connections that send nothing are closed long before their timeout to make room for others.
+    // Connections that send nothing are closed long before their timeout so that others can be accepted.
     assert_eq!(Client::connect(addr).query(""), Response::Empty);
     assert!(started.elapsed().as_millis() < 1500, "{:?}", started.elapsed());
     router.terminate();
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -21,7 +21,7 @@
 ];
 
 /// More than the deadline of any class here, so that the deadline of its class limits a request. All requests
-/// carry the same value, as those of clients that do not retry.
+/// carry the same value, as requests of clients that do not retry do.
 const LONG_WAIT_MS: u64 = 3_600_000;
 
 /// A router with a primary and a replica, started with these settings.
@@ -162,7 +162,7 @@
                 class.name
             );
         }
-        // The connection stays open.
+        // The connection stays open after the errors.
         assert_eq!(client.query(""), Response::Empty);
     }
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -11,7 +11,7 @@
 use std::sync::{Mutex, PoisonError};
 
 /// Held during a run, because several runs at once would get too little processor time each.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+static RUN_LOCK: Mutex<()> = Mutex::new(());
 
 fn plan(name: &str) -> Plan {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("soak/plans").join(name);
@@ -20,7 +20,7 @@
 
 /// Runs a plan and returns the broken promises.
 fn breaches_of(plan: &Plan, seed: u64) -> Vec<Breach> {
-    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = RUN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let programs = Programs::for_router(Path::new(env!("CARGO_BIN_EXE_damsonvale")));
     assert!(programs.library.is_some(), "the package faults is built with the tests");
     let faults = draw(plan, seed, &[]);
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -257,7 +257,7 @@
     stopped.signal(Signal::SIGSTOP);
     let new = cluster.client(&others);
     new.put("a", "2", UpdateOptions::default()).unwrap();
-    // The read is sent to the stopped leader, which still believes that it leads when it continues.
+    // The read is sent to the stopped leader, which still considers itself the leader when it resumes.
     let pending_read = std::thread::spawn(move || reader.get("a", Consistency::Linearizable).unwrap());
     let new_lease = loop {
         match new.grant("shard", ttl) {
--- a/tests/stored_servers.rs
+++ b/tests/stored_servers.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn stored_server_is_read_to_its_endpoint() {
+fn stored_server_is_parsed_into_its_endpoint() {
     let entry = |line: &str| {
         let (key, document) = line.split_once('\t').expect("a key, a tab and a document");
         endpoint_entry(key, document, Some("north")).expect("a document that can be read")
