--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -448,12 +448,13 @@
 }
 
 #[test]
-fn replica_read_proves_no_position() {
+fn replica_response_does_not_confirm_the_commit_is_applied() {
     let setup = Setup::start();
     let (mut client, mut other) = (setup.client(), setup.client());
     setup.replica.0.state.lock().unwrap().lag_ms = 60_000;
     client.query_drop("INSERT INTO basket VALUES (1)").unwrap();
-    // The replica serves another client after the commit; that does not prove that it has applied the commit.
+    // The replica serves another client after the commit; this response does not prove that the replica has
+    // applied the commit.
     assert_eq!(other.query_first::<String, _>(SELECT_STOCK).unwrap().unwrap(), "replica");
     assert_eq!(client.query_first::<String, _>("SELECT who FROM basket").unwrap().unwrap(), "primary");
 }
@@ -573,7 +574,7 @@
 }
 
 #[test]
-fn remaining_statement_commands_are_supported() {
+fn long_data_cursors_reset_and_command_errors_are_supported() {
     let setup = Setup::start();
     let raw_client = RawClient::connect(setup.addr);
     let sql = "SELECT who FROM stock WHERE note = ? /* c=any-read */";
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn extra_response_is_not_taken_for_next_one() {
+fn extra_response_is_not_used_for_next_request() {
     let setup = TestSetup::start();
     let client = Client::connect(setup.addr);
     setup.primary.0.set_behavior(Behavior::ExtraResponse);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn id_in_use_is_rejected_without_affecting_its_owner() {
+fn request_id_in_use_is_rejected_without_affecting_pending_request() {
     let setup = TestSetup::start();
     let (owner, other) = (Client::connect(setup.addr), Client::connect(setup.addr));
     setup.primary.0.set_behavior(Behavior::Silent);
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -238,7 +238,7 @@
     router.wait_for_log("the watch did not deliver changes that a read found");
     router.wait_for_log("endpoints=3 ready=2 ");
     assert_no_new_reads(&setup, 1, 2);
-    // The router leaves a member that does not respond and follows the other one.
+    // The router stops following a member that does not respond, and follows the other member.
     setup.registry.update_faults(1, |f| f.stalled_watches = false);
     setup.registry.update_faults(0, |f| f.unresponsive = true);
     setup.set_state(1, "in_service");
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn clock_two_seconds_off_misses_no_write() {
+fn instance_with_wrong_clock_misses_no_write() {
     for offset_ms in [-2000, 2000] {
         // With 500 ms of lag, an instance whose clock is 2 s behind would take a new write for an old one and
         // read from a replica.
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn client_in_lockstep_loses_nothing_at_shutdown() {
+fn sequential_client_loses_no_request_at_shutdown() {
     let setup = TestSetup::start();
     let client = Client::connect(setup.addr);
     setup.router.terminate();
--- a/tests/stored_servers.rs
+++ b/tests/stored_servers.rs
@@ -52,7 +52,7 @@
     let peers = [(1, loopback(0))].into();
     let settings = store::Settings { node: 1, peers, seeds, ..store::Settings::default() };
     let store = store::start(settings, move |state| _ = sender.send(state.clone()));
-    let store = store.unwrap_or_else(|e| panic!("no store: {e}"));
+    let store = store.unwrap_or_else(|e| panic!("store not started: {e}"));
     let listed = states.iter().find(|s| s.with_prefix("server/").count() == 3);
     let state = listed.unwrap_or_default();
     let zones = |own_site| {
