--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn extra_response_is_not_taken_for_next_one() {
+fn extra_response_is_not_used_for_next_request() {
     let setup = TestSetup::start();
     let client = Client::connect(setup.addr);
     setup.primary.0.set_behavior(Behavior::ExtraResponse);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn id_in_use_is_rejected_without_affecting_its_owner() {
+fn request_id_in_use_is_rejected_without_affecting_pending_request() {
     let setup = TestSetup::start();
     let (owner, other) = (Client::connect(setup.addr), Client::connect(setup.addr));
     setup.primary.0.set_behavior(Behavior::Silent);
@@ -466,7 +466,7 @@
         .collect();
     assert!(
         read_message(&many[79].0).is_err(),
-        "an idle connection near the limit is closed in favor of another client"
+        "an idle connection near the limit is closed so that another client can be accepted"
     );
     assert!(started.elapsed().as_millis() < 1500, "{:?}", started.elapsed());
 }
@@ -570,7 +570,7 @@
 }
 
 #[test]
-fn endpoint_lists_of_ten_thousand_and_none_apply_in_time() {
+fn endpoint_lists_with_ten_thousand_and_zero_entries_apply_in_time() {
     let mut setup = TestSetup::start();
     let (client, lines) = setup.connect_with_watch();
     let router = &mut setup.router;
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn client_in_lockstep_loses_nothing_at_shutdown() {
+fn sequential_client_loses_no_request_at_shutdown() {
     let setup = TestSetup::start();
     let client = Client::connect(setup.addr);
     setup.router.terminate();
@@ -331,7 +331,7 @@
     let idle: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(addr).unwrap()).collect();
     let started = Instant::now();
     router.wait_for_log("client connection not accepted");
-    // Connections that send nothing are closed long before their timeout in favor of other clients.
+    // Connections that send nothing are closed long before their timeout so that others can be accepted.
     assert_eq!(Client::connect(addr).query(""), Response::Empty);
     assert!(started.elapsed().as_millis() < 1500, "{:?}", started.elapsed());
     router.terminate();
