--- a/adapter/tests/sites.rs
+++ b/adapter/tests/sites.rs
@@ -37,7 +37,7 @@
         let response: Value = serde_json::from_str(&response).expect("the response is JSON");
         assert_eq!(response["turn"], self.turn);
         self.turn += 1;
-        response["cmds"].as_array().expect("an array").clone()
+        response["cmds"].as_array().expect("cmds is an array").clone()
     }
 }
 
@@ -52,12 +52,12 @@
 fn customer_classes_are_served_within_their_deadlines() {
     for (name, text) in SITES {
         let settings: Value = serde_json::from_str(text).expect("JSON");
-        let position_zero = settings["extra"]["positionZeroMs"].as_f64().expect("a number");
+        let position_zero = settings["extra"]["positionZeroMs"].as_f64().expect("positionZeroMs is a number");
         let deadlines: Vec<f64> = settings["classes"]
             .as_array()
             .expect("classes")
             .iter()
-            .map(|c| c["deadlineMs"].as_f64().expect("a number"))
+            .map(|c| c["deadlineMs"].as_f64().expect("deadlineMs is a number"))
             .collect();
         let freshness: Vec<&str> = settings["extra"]["freshness"]
             .as_array()
@@ -107,10 +107,10 @@
                     let mark = 4 * position as u64 + if primary { 1 } else { 2 };
                     match command_name.as_str() {
                         "PLACE" => {
-                            let request = body["req"].as_str().expect("a request id");
+                            let request = body["req"].as_str().expect("req is a string");
                             let class: usize =
                                 request.rsplit('-').next().and_then(|c| c.parse().ok()).expect("a class");
-                            let timeout = body["patienceMs"].as_f64().expect("a number");
+                            let timeout = body["patienceMs"].as_f64().expect("patienceMs is a number");
                             assert!(
                                 timeout > 0.0 && timeout <= deadlines[class],
                                 "{name}: class {class} has a timeout of {timeout} ms and a deadline of {} ms",
--- a/adapter/tests/transcript.rs
+++ b/adapter/tests/transcript.rs
@@ -85,7 +85,7 @@
     // A member that is not eligible makes the router try the next one, and that member's response determines
     // the primary for later writes.
     let attempts_sent = |turn: usize| {
-        let commands = responses[turn]["cmds"].as_array().expect("an array");
+        let commands = responses[turn]["cmds"].as_array().expect("cmds is an array");
         commands.iter().map(|c| (c["PLACE"]["req"].clone(), c["PLACE"]["member"].clone())).collect::<Vec<_>>()
     };
     assert_eq!(responses[0], json!({"turn": 0, "cmds": []}));
@@ -126,7 +126,7 @@
     let output = run(&[batch(0, 1000.0, events)]);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let response: Value = serde_json::from_slice(&output.stdout).expect("the response is JSON");
-    let commands = response["cmds"].as_array().expect("an array");
+    let commands = response["cmds"].as_array().expect("cmds is an array");
     let probed: Vec<&Value> =
         commands.iter().filter_map(|c| c.get("SOUND_OUT").map(|s| &s["member"])).collect();
     assert_eq!(probed, [&json!("10.0.0.1:9000"), &json!("10.0.0.2:9000"), &json!("10.0.0.9:9000")]);
--- a/audit/src/timeline.rs
+++ b/audit/src/timeline.rs
@@ -83,7 +83,7 @@
 /// A period during which a condition of [`GapKind`] held.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Gap {
-    /// The condition that held during the gap.
+    /// The condition that held during the period.
     #[serde(rename = "what")]
     pub kind: GapKind,
     /// Start, Unix time in microseconds.
--- a/audit/src/tracker/history.rs
+++ b/audit/src/tracker/history.rs
@@ -22,7 +22,7 @@
 }
 
 impl VersionHistory {
-    /// Adds the current version. Returns whether it is later than all previous ones.
+    /// Adds the version to the history if it is later than every version there. Returns whether it was added.
     pub(super) fn push(&mut self, version: Version, now: Time) -> bool {
         if !self.is_later_than_all(version) {
             return false;
--- a/audit/tests/audit/tracker.rs
+++ b/audit/tests/audit/tracker.rs
@@ -39,7 +39,7 @@
     harness.tick(1900);
     assert_eq!(harness.recorded("a").len(), 1);
     harness.tick(2100);
-    let Directive::FenceOut { epoch } = harness.report(4000, "a", 5, 0) else { panic!("not fenced out") };
+    let Directive::FenceOut { epoch } = harness.report(4000, "a", 5, 0) else { panic!("a: not fenced out") };
     assert_eq!(harness.report(4001, "a", 9, epoch), Directive::Continue { epoch });
     assert_eq!(
         harness.recorded("a"),
--- a/client-listener/src/connection.rs
+++ b/client-listener/src/connection.rs
@@ -47,21 +47,21 @@
     limits: Arc<Limits>,
     /// Commands that were read and have no response yet, and whether more are accepted.
     commands: CommandGate,
-    /// Set once a command has been read on this connection.
+    /// Whether a command has been read on this connection.
     has_read_command: AtomicBool,
-    /// Set once a command has led to a request to the router; some commands get a response without one.
+    /// Whether a command has led to a request to the router; some commands get a response without one.
     has_made_request: AtomicBool,
-    /// Set if the last command could not be parsed.
+    /// Whether the last command could not be parsed.
     last_command_malformed: AtomicBool,
     /// When the last command in flight finished, in milliseconds since the connection was opened.
     idle_since_ms: AtomicU64,
-    /// Set while part of a command has been read, but not all of it.
+    /// Whether part of a command has been read, but not all of it.
     command_started: AtomicBool,
-    /// Set while the reader waits for the socket; the reader's buffer then holds less than a whole command.
+    /// Whether the reader waits for the socket; the reader's buffer then holds less than a whole command.
     reader_waiting: AtomicBool,
     /// When the sending side was shut down, in milliseconds since the connection was opened.
     write_shutdown_ms: AtomicU64,
-    /// Set once both directions of the socket have been shut down.
+    /// Whether both directions of the socket have been shut down.
     closed: AtomicBool,
     /// The first [`CloseReason`] that was set; 0 until then.
     close_reason: AtomicU8,
--- a/decision/tests/cold_fleet/world.rs
+++ b/decision/tests/cold_fleet/world.rs
@@ -331,7 +331,7 @@
     fn send(&mut self, router: usize, request: u64, member: MemberId, timeout: Micros) {
         let work = -(1.0 - self.rng.f64()).ln();
         let node = &mut self.routers[router];
-        let (client, attempts) = node.clients.get_mut(&request).expect("a pending request");
+        let (client, attempts) = node.clients.get_mut(&request).expect("a sent request is pending");
         let job = Job {
             router,
             epoch: node.epoch,
@@ -350,7 +350,7 @@
     }
 
     fn reject(&mut self, router: usize, request: u64, retry_after: Option<Micros>) {
-        let (client, _) = self.routers[router].clients.remove(&request).expect("a pending request");
+        let (client, _) = self.routers[router].clients.remove(&request).expect("the request is pending");
         let wait = retry_after.unwrap_or(DEFAULT_RETRY_AFTER).min(self.rng.i64(20..160) * MS);
         let retries = client.retries < MAX_RETRIES && self.rng.f64() < RETRY_PROBABILITY;
         if retries && self.now + wait < client.deadline {
--- a/decision/tests/invariants.rs
+++ b/decision/tests/invariants.rs
@@ -242,7 +242,7 @@
 
     fn end_attempt(&mut self, id: u64, attempt: usize, outcome: Outcome) {
         let now = self.router.now;
-        let pending = self.pending.get_mut(&id).expect("a pending request");
+        let pending = self.pending.get_mut(&id).expect("the request of an attempt is pending");
         let served_write =
             self.settings.classes[pending.class].freshness == Freshness::Write && outcome == Outcome::Ok;
         let member = pending.attempts[attempt].member;
--- a/discovery/src/connection.rs
+++ b/discovery/src/connection.rs
@@ -118,7 +118,7 @@
         if let Some(error) = self.socket.take_error()? {
             return Err(error.into());
         }
-        // Set after the connection is established, as some operating systems reject it before.
+        // `TCP_NODELAY` is set only on an established connection, as some operating systems reject it before.
         self.socket.set_nodelay(true)?;
         let addr = self.addr;
         let request = format!("GET /v1/servers?stream=1&index={version} HTTP/1.1\r\nHost: {addr}\r\n\r\n");
--- a/discovery/src/shared.rs
+++ b/discovery/src/shared.rs
@@ -12,7 +12,7 @@
 /// Capacity of the queue of addresses for the driver.
 const ADDRESS_QUEUE_CAPACITY: usize = 4;
 
-/// Shared by all threads of a watch.
+/// State that all threads of a watch share.
 pub(crate) struct Shared {
     /// Names of the configured zones; a zone's index is its number.
     pub(crate) zones: Vec<String>,
--- a/discovery/tests/endpoint_list.rs
+++ b/discovery/tests/endpoint_list.rs
@@ -8,7 +8,7 @@
 }
 
 fn entry(cell: Value, zone: Value) -> Value {
-    json!({"id": "s-1", "addr": "127.0.0.1:5433", "zone": zone, "kind": "of no name", "cell": cell,
+    json!({"id": "s-1", "addr": "127.0.0.1:5433", "zone": zone, "kind": "ignored", "cell": cell,
         "state": "in_service", "weight": 1.0, "started_ms": 0})
 }
 
--- a/discovery/tests/liveness.rs
+++ b/discovery/tests/liveness.rs
@@ -148,7 +148,7 @@
     assert!(first_line_after_outage(recovered::<2700>, 9000) <= 2700 + 280);
     assert!(first_line_after_outage(recovered::<4000>, 9000) <= 4000 + 280);
     assert!(first_line_after_outage(recovered::<5700>, 9000) <= 5700 + 280);
-    // After a long outage within the maximum open interval.
+    // After an outage of 60 s, connections are opened at the maximum interval.
     assert!(first_line_after_outage(recovered::<60000>, 70000) <= 60000 + 1030);
 }
 
--- a/faults/src/interpose.rs
+++ b/faults/src/interpose.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// Implemented with the interposed `clock_gettime`, so that both functions return the same time.
+/// Replaces libc's `gettimeofday`. It calls the `clock_gettime` above, so that both return the same time.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn gettimeofday(at: *mut timeval, _zone: *mut c_void) -> c_int {
     let mut now = timespec { tv_sec: 0, tv_nsec: 0 };
--- a/fleet/src/service/mod.rs
+++ b/fleet/src/service/mod.rs
@@ -80,8 +80,8 @@
 ) -> Result<(), WireError> {
     socket.set_nodelay(true)?;
     socket.set_write_timeout(Some(limits.message_timeout))?;
-    // Sent before the router's hello is checked, so that a router of another version can report why the
-    // connection is closed.
+    // The node sends its hello before it checks the router's, so that a router of another version can report
+    // why the connection is closed.
     wire::send_hello(socket)?;
     wire::receive_hello(socket, limits.message_timeout)?;
     wire::send(socket, &Response::Welcome { node: store.status().node })?;
--- a/fleet/src/wire.rs
+++ b/fleet/src/wire.rs
@@ -64,7 +64,7 @@
         version: Version,
         /// A part of the text. A part may end within a character.
         bytes: Vec<u8>,
-        /// Whether this is the last part.
+        /// Whether this is the last part of the document's text.
         is_last: bool,
     },
 }
--- a/maintenance/src/error.rs
+++ b/maintenance/src/error.rs
@@ -76,7 +76,7 @@
     Io {
         /// The operation that failed.
         operation: FileOperation,
-        /// Path of the file.
+        /// Path of the file or folder that the operation was applied to.
         path: PathBuf,
         /// The operating system's error.
         source: io::Error,
@@ -110,15 +110,15 @@
         max = MAX_FILE_BYTES
     )]
     TooLarge {
-        /// Path of the file.
+        /// Path of the state file.
         path: PathBuf,
-        /// Size that the file would have, in bytes.
+        /// Size that the state file would have, in bytes.
         bytes: usize,
     },
     /// The state could not be encoded.
     #[error("the maintenance state cannot be encoded for {path}: {source}; this is a bug, report it")]
     Encode {
-        /// Path of the file.
+        /// Path of the state file.
         path: PathBuf,
         /// Why the state could not be encoded.
         source: postcard::Error,
--- a/multiprocess/src/process/child.rs
+++ b/multiprocess/src/process/child.rs
@@ -35,7 +35,7 @@
         let mut process = command.spawn().map_err(&failed)?;
         let stderr = process.stderr.take();
         let log = Arc::<LogBuffer>::default();
-        // Created before the thread starts, so that the process is killed if the thread can't be started.
+        // If the log thread can't be started, the drop of this `Child` kills the process.
         let child = Child { name: name.into(), process, log: log.clone() };
         if let Some(stderr) = stderr {
             read_log(stderr, log).map_err(&failed)?;
--- a/pcap/tests/recording.rs
+++ b/pcap/tests/recording.rs
@@ -90,7 +90,7 @@
     ]
 }
 
-/// Records a conversation and returns the contents of the file.
+/// Records a conversation and returns the contents of the capture file.
 fn record(steps: &[(bool, Vec<u8>)], capacity: u64) -> Vec<u8> {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("recorded.pcap");
--- a/quotas/src/client/configuration.rs
+++ b/quotas/src/client/configuration.rs
@@ -64,7 +64,7 @@
     fn index_tenants(&mut self, fleet: &Fleet) {
         self.index = self.tenants.iter().zip(0..).map(|(tenant, i)| (tenant.name.clone(), i)).collect();
         self.default_tenant = self.index.get(&fleet.default_tenant).copied();
-        // Sized for all tenants, because admission must not allocate memory.
+        // The list of active tenants has room for all tenants, because admission must not allocate memory.
         self.active = Vec::with_capacity(self.tenants.len());
         for (tenant, i) in self.tenants.iter_mut().zip(0..) {
             tenant.active = tenant.has_recent_demand();
--- a/registry/src/cache.rs
+++ b/registry/src/cache.rs
@@ -16,12 +16,12 @@
 /// The temporary file that is renamed to `FILE_NAME` once it is complete.
 const NEW_FILE_NAME: &str = "registry.new";
 
-/// The contents of the file.
+/// The contents of the file with the saved node list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct CachedList {
     /// When the list was current, as a Unix time in microseconds.
     pub at: i64,
-    /// The registry revision of the list.
+    /// The registry revision at which the list was current.
     pub revision: u64,
     /// The listed keys, as tuples of name, value, creation revision and modification revision.
     pub items: Vec<(String, Vec<u8>, u64, u64)>,
@@ -41,9 +41,9 @@
     /// The file cannot be read.
     #[error("{}: {source}", .path.display())]
     Read {
-        /// The path of the file.
+        /// The path of the saved list's file.
         path: PathBuf,
-        /// The I/O error of the file.
+        /// The I/O error of that file.
         source: io::Error,
     },
     /// The file is truncated, corrupt or has another format version.
--- a/registry/src/client/list_file.rs
+++ b/registry/src/client/list_file.rs
@@ -44,7 +44,7 @@
         if is_recent || last_saved.revision == machine.revision() {
             return;
         }
-        // Set before the write, so that a failed write is not retried before the next interval.
+        // The save is noted before the write, so that a failed write is not retried before the next interval.
         *last_saved = LastSave { at: now, revision: machine.revision() };
         let nodes = machine.all_items().filter(|item| matches!(self.classify(&item.key), Key::Node(_)));
         let items = nodes.map(|i| (i.key, i.value, i.created, i.modified)).collect();
--- a/registry/src/client/saved_list.rs
+++ b/registry/src/client/saved_list.rs
@@ -6,6 +6,6 @@
 pub(super) struct LastSave {
     /// When the list was written, in microseconds of the client's clock.
     pub(super) at: i64,
-    /// The registry revision of the list.
+    /// The registry revision of the list that was written.
     pub(super) revision: Revision,
 }
--- a/registry/src/fleet.rs
+++ b/registry/src/fleet.rs
@@ -107,11 +107,11 @@
 /// Which nodes of the list may be used, given the time since the registry's last response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Level {
-    /// Every node is used.
+    /// The router uses every node of the list.
     Fresh,
     /// The router uses only nodes that have responded since the registry's last response.
     KnownGood,
-    /// No node is used.
+    /// The router uses no node of the list.
     TooOld,
 }
 
--- a/registry/src/tls.rs
+++ b/registry/src/tls.rs
@@ -16,7 +16,7 @@
     /// The CA file cannot be read or parsed.
     #[error("{path}: cannot read the CA certificates: {source}; give a file of certificates in PEM")]
     Authority {
-        /// The path of the file.
+        /// The path of the CA file.
         path: String,
         /// The error of the PEM reader.
         source: rustls::pki_types::pem::Error,
@@ -35,7 +35,7 @@
     /// The client certificate cannot be read.
     #[error("{path}: cannot read the client certificate: {source}; give a file of certificates in PEM")]
     Certificate {
-        /// The path of the file.
+        /// The path of the client certificate's file.
         path: String,
         /// The error of the PEM reader.
         source: rustls::pki_types::pem::Error,
@@ -43,7 +43,7 @@
     /// The private key of the client certificate cannot be read.
     #[error("{path}: cannot read the private key: {source}; give a file with a private key in PEM")]
     Key {
-        /// The path of the file.
+        /// The path of the private key's file.
         path: String,
         /// The error of the PEM reader.
         source: rustls::pki_types::pem::Error,
--- a/registry/tests/http.rs
+++ b/registry/tests/http.rs
@@ -144,7 +144,7 @@
     let (http_client, (first, second)) = client_thread.join().unwrap();
     assert_eq!(first, (404, "no".into(), Some(7), false));
     assert_eq!(second, first);
-    // Closed while idle: the next request uses a new connection without an error.
+    // The connection is closed while idle: the next request uses a new connection without an error.
     drop(socket);
     let client_thread = on_thread(http_client, exchange);
     let socket = connections.recv().unwrap();
@@ -152,7 +152,7 @@
     send(&socket, response);
     let (http_client, third) = client_thread.join().unwrap();
     assert_eq!(third, first);
-    // Closed while a request is in flight: the request is repeated on a new connection.
+    // The connection is closed while a request is in flight: the request is repeated on a new one.
     let client_thread = on_thread(http_client, exchange);
     request(&socket);
     drop(socket);
--- a/registry/tests/stored_forms.rs
+++ b/registry/tests/stored_forms.rs
@@ -36,7 +36,7 @@
         store: Some((3, "[::1]:7100".parse().unwrap())),
         incarnation: 1_764_656_000_123_456,
     };
-    // Serialized as the client does it, with the keys in alphabetical order.
+    // The entry is serialized as the client does it, with the keys in alphabetical order.
     let written = serde_json::json!(router).to_string();
     FIXTURES.assert_same("router-entry.json", written);
     let recorded = FIXTURES.text("router-entry.json");
--- a/releases/src/snapshot.rs
+++ b/releases/src/snapshot.rs
@@ -28,24 +28,25 @@
 /// The progress of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouterStep {
-    /// In service with the last good version; not updated yet.
+    /// The router is in service with the last good version; not updated yet.
     #[serde(rename = "Waiting")]
     Pending,
-    /// Out of service for the update to the target version.
+    /// The router is out of service for the update to the target version.
     #[serde(rename = "Moving")]
     Updating,
-    /// In service with the target version.
+    /// The router is in service with the target version.
     #[serde(rename = "Moved")]
     Updated,
-    /// Instructed to update but not in service again in time, or has had too few requests since.
+    /// The router was instructed to update but was not in service again in time, or has had too few requests
+    /// since.
     Lost,
-    /// Out of service for the rollback to the last good version.
+    /// The router is out of service for the rollback to the last good version.
     #[serde(rename = "Returning")]
     RollingBack,
-    /// In service with the last good version again.
+    /// The router is in service with the last good version again.
     #[serde(rename = "Back")]
     RolledBack,
-    /// Instructed to roll back but not in service again in time.
+    /// The router was instructed to roll back but was not in service again in time.
     #[serde(rename = "Left")]
     RollbackFailed,
 }
--- a/routing/src/router/endpoint_record.rs
+++ b/routing/src/router/endpoint_record.rs
@@ -17,8 +17,8 @@
     pub(super) addr: SocketAddr,
     /// Whether the endpoint accepts exchanges. Attempts read this immediately before they start.
     pub(super) state: EndpointState,
-    /// Created when the first exchange is sent, because a router with a long list sends nothing to most
-    /// endpoints.
+    /// The endpoint's backend; it is created when the first exchange is sent, because a router with a long
+    /// list sends nothing to most endpoints.
     pub(super) backend: Option<BackendRef<P>>,
 }
 
--- a/routing/tests/attempt_guard.rs
+++ b/routing/tests/attempt_guard.rs
@@ -36,7 +36,7 @@
 #[test]
 fn cancel_shuts_socket_down_only_between_start_and_detach() {
     let (server_socket, remote_socket) = connected_pair();
-    // Cancelled before the first byte: the connection stays usable for another exchange.
+    // An attempt is cancelled before the first byte: the connection stays usable for another exchange.
     let guard = AttemptGuard::default();
     guard.attach_socket(server_socket.clone());
     guard.cancel(Denial::AttemptTimedOut);
@@ -45,7 +45,7 @@
             && server_socket.is_idle_and_open()
             && is_open_without_unread_data(&remote_socket)
     );
-    // Cancelled after the response: the connection may already be running another exchange.
+    // An attempt is cancelled after the response: the connection may already be running another exchange.
     let guard = AttemptGuard::default();
     guard.attach_socket(server_socket.clone());
     assert!(permits_start(&guard));
--- a/routing/tests/handover/cancellation.rs
+++ b/routing/tests/handover/cancellation.rs
@@ -101,12 +101,12 @@
 #[test]
 fn cancelled_request_gets_one_final_response() {
     let mut core = Core::start(|_| ());
-    // Cancelled while the request waits for its group to be listed.
+    // The first request is cancelled while it waits for its group to be listed.
     let waiting = core.submit(0, IDEMPOTENT);
     core.handle.cancel(waiting.id);
     assert!(matches!(waiting.final_response(), FinalResponse::Cancelled));
     waiting.wait_until_finished();
-    // Cancelled after the attempt has started.
+    // The second request is cancelled after its attempt has started.
     core.list(&[endpoint("a", 1, 0)]);
     core.script.pause(addr(1), Pause::Response);
     let started = core.submit(0, IDEMPOTENT);
@@ -116,7 +116,7 @@
     core.script.resume(addr(1), Pause::Response);
     started.wait_until_finished();
     assert!(started.response.try_recv().is_err(), "the request received a second response");
-    // Cancelled after the final response.
+    // The third request is cancelled after its final response.
     let served = core.submit(0, IDEMPOTENT);
     served.wait_until_finished();
     core.handle.cancel(served.id);
--- a/routing/tests/metrics.rs
+++ b/routing/tests/metrics.rs
@@ -2,8 +2,8 @@
 //! they must not change.
 use routing::Metrics;
 
-/// Recorded before identifiers were renamed. The lines are sorted, because the order of the classes is not
-/// fixed.
+/// The metrics, recorded before identifiers were renamed. The lines are sorted, because the order of the
+/// classes is not fixed.
 const EXPECTED: &str = include_str!("fixtures/metrics.txt");
 
 #[test]
--- a/routing/tests/reason_counters.rs
+++ b/routing/tests/reason_counters.rs
@@ -5,8 +5,8 @@
 use routing::reasons::{CloseReason, EndReason, OUTCOMES, outcome_name};
 use routing::{Denial, Metrics};
 
-/// Recorded before the identifiers of permits and the observer were renamed. The lines are sorted, because
-/// the order of the labels within a family is not fixed.
+/// The metrics, recorded before the identifiers of permits and the observer were renamed. The lines are
+/// sorted, because the order of the labels within a family is not fixed.
 const EXPECTED: &str = include_str!("fixtures/reason_counters.txt");
 
 /// Increments the counter of each label by a distinct value, starting at `first`.
--- a/routing/tests/wall_clock.rs
+++ b/routing/tests/wall_clock.rs
@@ -45,9 +45,9 @@
     let now = Time(103 * SECOND);
     for step in [-HOUR, -5 * SECOND, 5 * SECOND, HOUR] {
         let offsets = stepped(step);
-        // Started at 102 s, after the step, and reported by the stepped clock.
+        // A server that started at 102 s, after the step, and reported by the stepped clock.
         assert_eq!(offsets.start(now, Time(102 * SECOND + step)), Time(102 * SECOND), "{step}");
-        // Started at 98 s, before the step. The conversion must not be earlier than that.
+        // A server that started at 98 s, before the step. The conversion must not be earlier than that.
         let start = offsets.start(now, Time(98 * SECOND));
         assert!((Time(98 * SECOND)..=now).contains(&start), "{step}: {start:?}");
     }
@@ -109,6 +109,6 @@
         Some(Time(120 * SECOND))
     );
     assert_eq!(offsets.start(now, Time(120 * SECOND)), Time(120 * SECOND));
-    // Started between the two steps.
+    // A server that started between the two steps.
     assert_eq!(offsets.start(now, Time(105 * SECOND + HOUR)), Time(105 * SECOND));
 }
--- a/sessions/src/journal/error.rs
+++ b/sessions/src/journal/error.rs
@@ -22,7 +22,7 @@
     OtherInstance {
         /// The journal file that another instance owns.
         path: PathBuf,
-        /// The number of the instance that owns the file.
+        /// The number of the instance that owns the journal file.
         instance: u64,
     },
     /// No new file could be created, and the old files could not be deleted, so a later start would use them.
--- a/sessions/src/journal/record.rs
+++ b/sessions/src/journal/record.rs
@@ -21,9 +21,9 @@
 pub enum Record {
     /// Identifies the instance that wrote the file; the first record of each file.
     Header {
-        /// The number of the instance that wrote the file.
+        /// The number of the instance that wrote the journal file.
         instance: u64,
-        /// The incarnation that wrote the file.
+        /// The incarnation of the instance that wrote the journal file.
         incarnation: u64,
         /// Commits of earlier starts may be missing, and no floor record that covers them had been written
         /// yet.
@@ -39,9 +39,9 @@
 /// The contents of a journal file.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct JournalContents {
-    /// The number of the instance that wrote the file.
+    /// The number of the instance that wrote the journal file.
     pub instance: u64,
-    /// The incarnation that wrote the file.
+    /// The incarnation of the instance that wrote the journal file.
     pub incarnation: u64,
     /// Sessions and the times of their commits, oldest first.
     pub entries: Vec<(SessionKey, Time)>,
--- a/sessions/src/journal/writer.rs
+++ b/sessions/src/journal/writer.rs
@@ -18,7 +18,7 @@
     bytes: u64,
     /// Size of the checkpoint at the beginning of the file, in bytes.
     checkpoint_bytes: u64,
-    /// Kept open, because closing this file releases the folder's lock.
+    /// The folder's lock file. It stays open, because closing it releases the lock.
     _lock: File,
 }
 
--- a/sessions/tests/recorded_run.rs
+++ b/sessions/tests/recorded_run.rs
@@ -88,7 +88,7 @@
             statuses.iter().find(|status| status.instance == peer).map_or(0, |status| status.received_seq);
         match self.rng.u8(0..10) {
             0..=4 => {
-                // Occasionally repeats the newest commit, or leaves a gap.
+                // The peer occasionally repeats its newest commit, or leaves out commits.
                 let first = match self.rng.u8(0..16) {
                     0 => received_seq.max(1),
                     1 => received_seq + 2,
--- a/simulator/src/spread_meter.rs
+++ b/simulator/src/spread_meter.rs
@@ -221,7 +221,7 @@
             imbalance.worst = imbalance.worst.max(ratio);
             shapes.push(WindowShape { starts: total, replicas: starts.len() });
         }
-        // Sorted because the baseline's random draws depend on the order of the shapes.
+        // The shapes are sorted because the baseline's random draws depend on their order.
         shapes.sort_unstable();
         let mean = imbalance.mean / imbalance.windows.max(1) as f64;
         imbalance.mean = (mean * MEAN_RESOLUTION).round() / MEAN_RESOLUTION;
--- a/soak/src/environment/discovery.rs
+++ b/soak/src/environment/discovery.rs
@@ -66,7 +66,7 @@
 pub struct Endpoint {
     /// The index of the listed server in the run.
     pub server: usize,
-    /// The server's id in the list.
+    /// The server's id in the endpoint list.
     pub id: String,
     /// The server's replication group.
     pub group: usize,
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -100,7 +100,7 @@
     Capture {
         /// Path of the affected file.
         path: PathBuf,
-        /// The error with its offset in the file.
+        /// The error with its offset in the capture file.
         source: pcap::capture::CaptureError,
     },
     /// A replay failed before all requests were sent.
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -98,8 +98,8 @@
 
 fn set(client: &Client, file: &Path, expected_version: Option<u64>, note: &str) -> Result<(), Error> {
     let text = super::read_file(file)?;
-    // Validated before the store is contacted, so that an invalid file is reported even if the store is
-    // unreachable.
+    // The file is validated before the store is contacted, so that an invalid file is reported even if the
+    // store is unreachable.
     settings::fleet::read(&text, None).map_err(|source| Error::FleetFile { path: file.into(), source })?;
     let version = document::write(client, &text, expected_version, note)
         .map_err(|source| Error::FleetDocumentFile { path: file.into(), source })?;
--- a/store/src/control.rs
+++ b/store/src/control.rs
@@ -35,7 +35,7 @@
     InvalidServer {
         /// The server's key in the store.
         key: String,
-        /// The error in the JSON text of the value.
+        /// The error in the JSON text of the server key's value.
         source: serde_json::Error,
     },
     /// The store rejected the change.
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -41,9 +41,9 @@
          give this node an empty folder while all other nodes run"
     )]
     LogGap {
-        /// The entry before the gap.
+        /// The index of the last log entry before the missing ones.
         previous: u64,
-        /// The entry after the gap.
+        /// The index of the first log entry after the missing ones.
         index: u64,
     },
     /// The raft library rejects the stored data as inconsistent.
--- a/store/src/log_file.rs
+++ b/store/src/log_file.rs
@@ -157,7 +157,7 @@
         Ok((LogFile { path, file }, contents))
     }
 
-    /// Appends entries and a hard state, and syncs the file.
+    /// Appends entries and a hard state to the log file, and syncs it.
     ///
     /// # Errors
     /// Fails if the file cannot be written or synced. The file's contents are unknown after that.
--- a/store/src/node/actor.rs
+++ b/store/src/node/actor.rs
@@ -47,7 +47,7 @@
     pub(super) pending_writes: HashMap<Vec<u8>, PendingWrite>,
     pub(super) reads: PendingReads,
     pub(super) lease_timers: LeaseTimers,
-    /// Called on the actor's thread with the state, once at the start and after each change.
+    /// The callback that the actor's thread calls with the state, once at the start and after each change.
     pub(super) on_change: Box<dyn Fn(&State) + Send>,
     settings: Settings,
     /// The number in the most recent request id.
--- a/store/src/node/ready.rs
+++ b/store/src/node/ready.rs
@@ -106,8 +106,8 @@
         let state = machine.state().clone();
         let shared = &self.storage.shared;
         *shared.machine() = machine;
-        // Reset only after the keys are replaced: a watch that finds its changes compacted must find the new
-        // keys.
+        // The change log is reset only after the keys are replaced: a watch that finds its changes compacted
+        // must find the new keys.
         shared.change_log().reset(state.revision);
         shared.changed.notify_all();
         (self.on_change)(&state);
--- a/store/src/node/shared.rs
+++ b/store/src/node/shared.rs
@@ -8,7 +8,7 @@
 pub(super) struct Shared {
     machine: Mutex<StateMachine>,
     change_log: Mutex<ChangeLog>,
-    /// Notified when changes were appended to the change log or the change log was reset.
+    /// Wakes the threads that wait until changes are appended to the change log, or until it is reset.
     pub(super) changed: Condvar,
     /// The leader's id, or [`raft::INVALID_ID`] if none is known.
     leader: AtomicU64,
--- a/store/src/server.rs
+++ b/store/src/server.rs
@@ -70,8 +70,8 @@
         let Limits { idle_timeout, message_timeout, .. } = *self.limits;
         self.socket.set_nodelay(true)?;
         self.socket.set_write_timeout(Some(message_timeout))?;
-        // Sent before the client's hello is checked, so that a client of another version can report both
-        // versions.
+        // The server sends its hello before it checks the client's, so that a client of another version can
+        // report both versions.
         wire::send_hello(self.socket, STORE_PROTOCOL)?;
         wire::receive_hello(self.socket, STORE_PROTOCOL, message_timeout)?;
         self.send(&Response::Welcome { node: self.store.status().node })?;
--- a/store/src/state.rs
+++ b/store/src/state.rs
@@ -13,7 +13,7 @@
     pub revision: u64,
     /// The epoch of the lease that the key is attached to, if any.
     pub lease_epoch: Option<u64>,
-    /// The text of the value.
+    /// The key's value.
     pub text: String,
 }
 
--- a/store/src/wire/messages.rs
+++ b/store/src/wire/messages.rs
@@ -98,7 +98,7 @@
         header: ReadHeader,
         /// The keys and their values.
         entries: Vec<(String, Value)>,
-        /// Whether this is the last part.
+        /// Whether this is the last part of the list of keys.
         last: bool,
     },
     /// A write was committed.
@@ -130,7 +130,7 @@
         compacted: bool,
         /// The keys and their values.
         entries: Vec<(String, Value)>,
-        /// Whether this is the last part.
+        /// Whether this is the last part of the watched keys.
         last: bool,
     },
     /// The changes of watched keys by one command.
--- a/test-servers/src/registry.rs
+++ b/test-servers/src/registry.rs
@@ -113,12 +113,12 @@
         self.shared.state().contents.compact();
     }
 
-    /// Returns a copy of the contents.
+    /// Returns a copy of the test registry's contents.
     pub fn backup(&self) -> Contents {
         self.shared.state().contents.clone()
     }
 
-    /// Replaces the contents with a copy.
+    /// Replaces the test registry's contents with these, and notifies its watches.
     pub fn restore(&self, contents: Contents) {
         self.shared.state().contents = contents;
         self.shared.notify();
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -28,8 +28,8 @@
 /// Number of bytes that one flooding client sends.
 const FLOOD_BYTES: usize = 60 << 20;
 
-/// Held by each test, so that only one flood runs at a time: response times to other clients are measured
-/// during the flood.
+/// Each test holds this lock, so that only one flood runs at a time: response times to other clients are
+/// measured during the flood.
 static FLOOD_LOCK: Mutex<()> = Mutex::new(());
 
 struct Setup {
--- a/tests/ready.rs
+++ b/tests/ready.rs
@@ -54,8 +54,8 @@
     Program::serve_platform(&path)
 }
 
-/// Whether a start with this processor time would take less than 6 s on a fifth of a core. 6 s is the startup
-/// limit on short days. A start waits twice for the endpoint list, at most 300 ms each time.
+/// Whether a router whose start uses this processor time would be ready in less than 6 s on a fifth of a
+/// core. A start also waits twice for the endpoint list, at most 300 ms each time.
 fn starts_in_time_on_a_fifth_of_a_core(used: Duration) -> bool {
     5 * used + 2 * Duration::from_millis(300) < Duration::from_secs(6)
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, PoisonError};
 
-/// Held during a run, because several runs at once would get too little processor time each.
+/// A run holds this lock, because several runs at once would get too little processor time each.
 static RUN_LOCK: Mutex<()> = Mutex::new(());
 
 fn plan(name: &str) -> Plan {
